--- a/internal/relay/handover_test.go
+++ b/internal/relay/handover_test.go
@@ -1,6 +1,7 @@
 package relay
 
 import (
+	"cmp"
 	"encoding/json"
 	"fmt"
 	"io"
@@ -25,6 +26,9 @@
 	return core.Member{ID: id, HostPort: "127.0.0.1:1", Cell: cell, Phase: core.Draining}
 }
 
+// programEnv names the program that a relay is started from; unset for the tests' own.
+const programEnv = "TROUTUSHER_TEST_PROGRAM"
+
 // another starts a relay beside those that are there, at a console of its own,
 // and does not wait for it.
 func another(t *testing.T, env map[string]string) *child {
@@ -34,7 +38,7 @@
 		own[k] = v
 	}
 	own["ROUTER_CONSOLE"] = freeAddr(t)
-	c := &child{cmd: exec.Command(os.Args[0]), env: own, exited: make(chan error, 1)}
+	c := &child{cmd: exec.Command(cmp.Or(env[programEnv], os.Args[0])), env: own, exited: make(chan error, 1)}
 	c.cmd.Env = append(os.Environ(), childEnv+"=1")
 	for k, v := range own {
 		c.cmd.Env = append(c.cmd.Env, k+"="+v)
@@ -85,7 +89,10 @@
 // An upgrade under load: a kept connection, half a command on another, a call
 // of an unsafe message that is out, what is held, and a wait that the old
 // process was told. Nothing is lost, nothing goes out twice, no connection ends.
-func TestUpgrade(t *testing.T) {
+func TestUpgrade(t *testing.T) { upgradeUnderLoad(t, os.Args[0], os.Args[0]) }
+
+// upgradeUnderLoad has the work move from a process of one program to one of another.
+func upgradeUnderLoad(t *testing.T, from, to string) {
 	release := make(chan struct{})
 	slow := newFakeEndpoint(t, func(w http.ResponseWriter, r *http.Request, _ int) {
 		select {
@@ -114,6 +121,7 @@
 	gone := drainingMember("s-0", 5)
 	disc := newFakeDiscovery(t, slow.member("s-1", 1), quick.member("s-2", 2), waits.member("s-3", 3), busy.member("s-4", 4), gone)
 	env := testConfig(t, disc, 3)
+	env[programEnv] = from
 	old := firstOf(t, env)
 	cl, half := dialClient(t, env["ROUTER_LISTEN"]), dialClient(t, env["ROUTER_LISTEN"])
 	putOnce(t, cl, map[string]int{"out": 1, "wait": 3, "busy": 4})
@@ -125,6 +133,7 @@
 	io.WriteString(half, text[:len(text)-9])
 	waitFor(t, "the wait's answer", func() bool { return figures(t, old.console())["current"] == 4 })
 
+	old.env[programEnv] = to
 	fresh := upgrade(t, old)
 	if s := cl.put("after", fields("plain", 8000, 2), nil); s != "+OK" {
 		t.Errorf("on a kept connection: %s", s)
--- /dev/null
+++ b/internal/relay/versions_test.go
@@ -0,0 +1,52 @@
+package relay
+
+import (
+	"os"
+	"os/exec"
+	"path/filepath"
+	"testing"
+)
+
+// releasedCommit is the last one before packages, names and shape were changed.
+const releasedCommit = "97f3134a31e945ebf7aa341edfa4e5bd58e7c416"
+
+// releasedProgram builds the relay of that commit. It returns an empty path where
+// the repository's history is not at hand.
+func releasedProgram(t *testing.T) string {
+	t.Helper()
+	root := filepath.Join("..", "..")
+	if err := exec.Command("git", "-C", root, "cat-file", "-e", releasedCommit+"^{commit}").Run(); err != nil {
+		return ""
+	}
+	source := filepath.Join(t.TempDir(), "source")
+	if err := os.Mkdir(source, 0o700); err != nil {
+		t.Fatal(err)
+	}
+	archive := source + ".tar"
+	program := source + ".program"
+	runCommand(t, root, "git", "archive", "--format=tar", "-o", archive, releasedCommit)
+	runCommand(t, source, "tar", "-xf", archive)
+	runCommand(t, source, "go", "build", "-o", program, "./cmd/troutusher")
+	return program
+}
+
+func runCommand(t *testing.T, dir, name string, args ...string) {
+	t.Helper()
+	cmd := exec.Command(name, args...)
+	cmd.Dir = dir
+	if out, err := cmd.CombinedOutput(); err != nil {
+		t.Fatalf("%s %v: %v\n%s", name, args, err, out)
+	}
+}
+
+// A process of the released program and one of this hand the work over to each
+// other, with calls out, messages owed, half a command and a wait.
+func TestUpgradeAcrossVersions(t *testing.T) {
+	released := releasedProgram(t)
+	if released == "" {
+		t.Log("the history is not at hand: recorded packets alone stand for the released program")
+		return
+	}
+	t.Run("from the released program", func(t *testing.T) { upgradeUnderLoad(t, released, os.Args[0]) })
+	t.Run("to the released program", func(t *testing.T) { upgradeUnderLoad(t, os.Args[0], released) })
+}
