--- a/internal/core/carry_test.go
+++ b/internal/core/carry_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"encoding/json"
+	"fmt"
 	"slices"
 	"testing"
 
@@ -60,6 +61,9 @@
 	if err != nil {
 		w.failf("%v", err)
 	}
+	if w.golden != nil {
+		fmt.Fprintf(w.golden, "%d handover %s\n", w.now, text)
+	}
 	c := &Carried{}
 	if err := json.Unmarshal(text, c); err != nil {
 		w.failf("%v", err)
--- a/internal/core/core_test.go
+++ b/internal/core/core_test.go
@@ -5,6 +5,7 @@
 	"go/ast"
 	"go/parser"
 	"go/token"
+	"io"
 	"io/fs"
 	"math/rand/v2"
 	"os"
@@ -43,6 +44,7 @@
 	spent   map[string]bool // unsafe messages that may have run, where that is watched
 	ceded   bool            // nothing may be begun
 	telling func(*Event)    // where more is to be noted of what the core is told
+	golden  io.Writer       // receives every effect in a stable text form, if set
 }
 
 func newWorld(t *testing.T, seed uint64) *world {
@@ -60,6 +62,9 @@
 func (w *world) carry(fx []Effect) {
 	for i := range fx {
 		e := &fx[i]
+		if w.golden != nil {
+			fmt.Fprintf(w.golden, "%d %s\n", w.now, renderEffect(e))
+		}
 		fmt.Fprintf(&w.trace, "%d %d", w.now, e.Kind)
 		switch e.Kind {
 		case Answer:
