--- /dev/null
+++ b/internal/source/etcd/fixtures_test.go
@@ -0,0 +1,110 @@
+package etcd
+
+import (
+	"bytes"
+	"encoding/json"
+	"fmt"
+	"os"
+	"path/filepath"
+	"testing"
+)
+
+// checkFixture compares bytes with a recorded file. UPDATE_FIXTURES=1 records it.
+func checkFixture(t *testing.T, name string, got []byte) {
+	t.Helper()
+	path := filepath.Join("testdata", name)
+	if os.Getenv("UPDATE_FIXTURES") != "" {
+		if err := os.WriteFile(path, got, 0o644); err != nil {
+			t.Fatal(err)
+		}
+	}
+	want, err := os.ReadFile(path)
+	if err != nil {
+		t.Fatal(err)
+	}
+	if !bytes.Equal(got, want) {
+		t.Errorf("%s:\ngot  %s\nwant %s", path, got, want)
+	}
+}
+
+// fixtureKeys are recorded keys and values of the layout.
+func fixtureKeys(t *testing.T) (all []KV) {
+	t.Helper()
+	text, err := os.ReadFile(filepath.Join("testdata", "layout.jsonl"))
+	if err != nil {
+		t.Fatal(err)
+	}
+	for dec := json.NewDecoder(bytes.NewReader(text)); dec.More(); {
+		var line struct{ Key, Value string }
+		if err := dec.Decode(&line); err != nil {
+			t.Fatal(err)
+		}
+		all = append(all, KV{Key: line.Key, Value: line.Value})
+	}
+	return all
+}
+
+// What the recorded keys and values say to the view: as a whole, and after one of each
+// kind was deleted.
+func TestLayoutFixture(t *testing.T) {
+	s := newScript(t, 1)
+	s.then(Event{}, DoRange)
+	var text bytes.Buffer
+	enc := json.NewEncoder(&text)
+	step := func(e Event) {
+		for _, d := range s.m.Step(s.now, []Event{e}) {
+			if d.Kind != DoSay {
+				continue
+			}
+			if err := enc.Encode(d.Word); err != nil {
+				t.Fatal(err)
+			}
+		}
+	}
+	step(Event{Kind: Ranged, Call: s.m.call, Cluster: 0x4d, Revision: 9, KVs: fixtureKeys(t)})
+	step(Event{Kind: Watching, Call: s.m.call, Cluster: 0x4d, Revision: 9})
+	step(Event{Kind: Changed, Call: s.m.call, Cluster: 0x4d, Revision: 12, Last: 12, KVs: []KV{
+		{Key: "/t/drains/d", Gone: true}, {Key: "/t/partners/3", Gone: true}, {Key: "/t/endpoints/c", Gone: true}}})
+	checkFixture(t, "words.jsonl", text.Bytes())
+}
+
+// Values that can be read are written as the same bytes.
+func TestValueFixture(t *testing.T) {
+	for _, kv := range fixtureKeys(t) {
+		folder, name, ok := split("/t", kv.Key)
+		if !ok || CheckValue(folder, name, []byte(kv.Value)) != nil || name == "not-published" {
+			continue
+		}
+		var again []byte
+		var err error
+		switch folder {
+		case endpoints:
+			var e Endpoint
+			if e, err = ReadEndpoint([]byte(kv.Value)); err == nil {
+				again, err = json.Marshal(e)
+			}
+		case partners:
+			var p Partner
+			if _, p, err = readPartner(name, []byte(kv.Value)); err == nil {
+				again, err = json.Marshal(p)
+			}
+		case drains:
+			again, err = json.Marshal(Drain{V: version})
+		}
+		if err != nil || string(again) != kv.Value {
+			t.Errorf("%s: %s is written as %s (%v)", kv.Key, kv.Value, again, err)
+		}
+	}
+}
+
+// Keys, and the ends of their ranges.
+func TestKeyFixture(t *testing.T) {
+	var text bytes.Buffer
+	for _, prefix := range []string{"/t", "/t/", "/troutusher/fleet"} {
+		for _, folder := range []string{endpoints, partners, drains} {
+			fmt.Fprintf(&text, "%q %q %q\n", Key(prefix, folder, "x"), Folder(prefix, folder), End(Folder(prefix, folder)))
+		}
+	}
+	fmt.Fprintf(&text, "%q %q\n", End("/t"), End("\xff"))
+	checkFixture(t, "keys.txt", text.Bytes())
+}
--- /dev/null
+++ b/internal/source/etcd/follow/fixtures_test.go
@@ -0,0 +1,45 @@
+package follow
+
+import (
+	"bytes"
+	"encoding/json"
+	"os"
+	"path/filepath"
+	"testing"
+
+	"troutusher/internal/membership"
+)
+
+// The lines that the helper writes for its relay, and the one that it reads. Package
+// relay reads the same file in its tests.
+func TestLineFixture(t *testing.T) {
+	m := membership.Member{ID: "a", HostPort: "10.1.0.18:6379", Locality: "a", Flavor: "m2", Cell: 3, Phase: membership.Up, Size: 40}
+	var text bytes.Buffer
+	enc := json.NewEncoder(&text)
+	for _, l := range []Line{
+		{Word: &membership.Word{Epoch: "000000000000004d.0", Revision: 9, Whole: true, Members: []membership.Member{m}}},
+		{Alive: true},
+		{Word: &membership.Word{Epoch: "000000000000004d.0", Revision: 12, Members: []membership.Member{{ID: "b", Phase: membership.Removed}}}},
+		{Word: &membership.Word{Epoch: "000000000000004d.1", Revision: 13, Whole: true, Anew: true, Spoilt: []string{"c"}, Drained: []string{"c"}}},
+	} {
+		if err := enc.Encode(l); err != nil {
+			t.Fatal(err)
+		}
+	}
+	path := filepath.Join("testdata", "lines.jsonl")
+	if os.Getenv("UPDATE_FIXTURES") != "" {
+		if err := os.WriteFile(path, text.Bytes(), 0o644); err != nil {
+			t.Fatal(err)
+		}
+	}
+	want, err := os.ReadFile(path)
+	if err != nil {
+		t.Fatal(err)
+	}
+	if !bytes.Equal(text.Bytes(), want) {
+		t.Errorf("%s:\ngot  %s\nwant %s", path, text.Bytes(), want)
+	}
+	if Anew != "anew" {
+		t.Errorf("the relay asks by %q", Anew)
+	}
+}
