--- a/internal/duty/duty_test.go
+++ b/internal/duty/duty_test.go
@@ -114,3 +114,25 @@
 		}
 	}
 }
+
+// The words of each answer, which operators' scripts read.
+func TestWordsOfAnswers(t *testing.T) {
+	for _, c := range []struct {
+		state                 State
+		ready, drain, undrain string
+	}{
+		{Starting, "starting", "draining once serving", "serving once ready"},
+		{Serving, "serving", "draining", "serving already"},
+		{Draining, "draining", "draining already", "serving"},
+		{Ceding, "ceding", "draining once serving", "serving once ready"},
+		{Ceded, "ceded", "ceded", "ceded"},
+		{Stopping, "stopping", "stopping", "stopping"},
+	} {
+		ready, drain, undrain := &Machine{state: c.state}, &Machine{state: c.state}, &Machine{state: c.state}
+		d, _ := drain.Drain()
+		u, _ := undrain.Undrain()
+		if r := ready.Ready(); r.Why != c.ready || d.Why != c.drain || u.Why != c.undrain || c.state.String() != c.ready {
+			t.Errorf("%s: ready %q, drain %q, undrain %q", c.state, r.Why, d.Why, u.Why)
+		}
+	}
+}
--- /dev/null
+++ b/internal/relay/answers_test.go
@@ -0,0 +1,73 @@
+package relay
+
+import (
+	"errors"
+	"fmt"
+	"io"
+	"strings"
+	"testing"
+
+	"troutusher/internal/console"
+	"troutusher/internal/core"
+)
+
+// Guards the words in which clients are answered where nothing is wrong with a
+// command, and the form of those that the core decides on.
+func TestAnswersToClients(t *testing.T) {
+	_, addr, _ := serveClients(t, accept)
+	for text, want := range map[string]string{
+		"*1\r\n$4\r\nPING\r\n":                      "+PONG",
+		"*2\r\n$4\r\nping\r\n$2\r\nhi\r\n":          "$2",
+		putText("m", fields("plain", 8000, 1), nil): "+OK",
+	} {
+		cl := dialClient(t, addr)
+		io.WriteString(cl, text)
+		if got := cl.line(); got != want {
+			t.Errorf("%q: %q, want %q", text, got, want)
+		}
+	}
+	for want, a := range map[string]core.Reply{
+		"+OK\r\n":         {OK: true},
+		"-BUSY 7\r\n":     {Busy: 7},
+		"-BUSY\r\n":       {},
+		"-ERR a??b??\r\n": {Fault: errors.New("a\r\nb\x7f\u0080")},
+	} {
+		if got := text(a); got != want {
+			t.Errorf("%q, want %q", got, want)
+		}
+	}
+}
+
+// Guards the console's words and the names and units of its figures, through a
+// drain and back, and what clients hear meanwhile.
+func TestConsoleAnswers(t *testing.T) {
+	ep := newFakeEndpoint(t, nil)
+	env := testConfig(t, newFakeDiscovery(t, ep.member("s-1", 1)), 3)
+	env["ROUTER_CONSOLE"] = freeAddr(t)
+	startChild(t, env)
+	var got strings.Builder
+	for _, call := range strings.Fields("READY DRAIN DRAIN READY PING PUT UNDRAIN UNDRAIN PING READY STOP") {
+		var said string
+		switch call {
+		case "PING":
+			cl := dialClient(t, env["ROUTER_LISTEN"])
+			io.WriteString(cl, "*1\r\n$4\r\nPING\r\n")
+			said = cl.line()
+		case "PUT":
+			said = dialClient(t, env["ROUTER_LISTEN"]).put("m", fields("plain", 8000, 9), nil)
+		default:
+			said = mustCall(t, env["ROUTER_CONSOLE"], call)
+		}
+		fmt.Fprintf(&got, "%s: %q\n", call, said)
+	}
+	r := &Relay{board: console.NewBoard(classNames(testSet(t)))}
+	r.shown.Store(newTLSSite(t, nil).partners)
+	for _, stats := range []string{mustCall(t, env["ROUTER_CONSOLE"], "STATS"), string(r.stats(nil))} {
+		for line := range strings.Lines(stats) {
+			name, rest, _ := strings.Cut(strings.TrimSpace(line), ":")
+			_, unit, _ := strings.Cut(rest, "|")
+			fmt.Fprintf(&got, "STATS %s %s\n", name, unit)
+		}
+	}
+	sameAsRecorded(t, "console.txt", got.String())
+}
--- a/internal/relay/clients_test.go
+++ b/internal/relay/clients_test.go
@@ -3,6 +3,7 @@
 import (
 	"errors"
 	"io"
+	"slices"
 	"strconv"
 	"strings"
 	"testing"
@@ -54,6 +55,7 @@
 // named, and a connection that is still in step goes on.
 func TestBadInput(t *testing.T) {
 	long := strings.Repeat("x", resp.BodyMost+1)
+	var answers []string
 	for name, x := range map[string]struct {
 		text string
 		ends bool
@@ -96,9 +98,11 @@
 			_, addr, _ := serveClients(t, func(q *request) { t.Error("taken"); accept(q) })
 			cl := dialClient(t, addr)
 			io.WriteString(cl, x.text)
-			if s := cl.line(); !strings.HasPrefix(s, "-ERR ") {
+			s := cl.line()
+			if !strings.HasPrefix(s, "-ERR ") {
 				t.Fatalf("answer %q", s)
 			}
+			answers = append(answers, name+": "+s+"\n")
 			if x.ends {
 				if _, err := cl.in.ReadByte(); !errors.Is(err, io.EOF) {
 					t.Errorf("still open: %v", err)
@@ -111,6 +115,8 @@
 			}
 		})
 	}
+	slices.Sort(answers)
+	sameAsRecorded(t, "faults.txt", strings.Join(answers, ""))
 }
 
 func TestParsePut(t *testing.T) {
