--- /dev/null
+++ b/internal/front/fixture_test.go
@@ -0,0 +1,130 @@
+package front
+
+import (
+	"bufio"
+	"bytes"
+	"encoding/json"
+	"errors"
+	"fmt"
+	"io"
+	"os"
+	"reflect"
+	"strconv"
+	"strings"
+	"sync"
+	"testing"
+
+	"troutusher/internal/places"
+)
+
+// testdata/replies.txt holds what a client sends ("<") and all that it hears
+// until it is closed (">"). Behind each input goes a line that ends the
+// connection with an error, unless that has happened by then.
+func TestRepliesFixture(t *testing.T) {
+	want, err := os.ReadFile("testdata/replies.txt")
+	if err != nil {
+		t.Fatal(err)
+	}
+	f, _ := start(t, Options{}, places.Default(100, 300))
+	var inputs, replies []string
+	var wg sync.WaitGroup
+	for text := range strings.Lines(string(want)) {
+		if row, ok := strings.CutPrefix(text, "< "); ok {
+			inputs = append(inputs, strings.TrimSpace(row))
+		}
+	}
+	replies = make([]string, len(inputs))
+	for i, row := range inputs {
+		input := ""
+		for part := range strings.SplitSeq(row, " + ") {
+			times, quoted, _ := strings.Cut(part, "*")
+			n, _ := strconv.Atoi(times)
+			text, err := strconv.Unquote(quoted)
+			if err != nil {
+				t.Fatalf("%s: %v", row, err)
+			}
+			input += strings.Repeat(text, n)
+		}
+		c := dial(t, f.Addr().String())
+		wg.Add(1)
+		go func() {
+			defer wg.Done()
+			io.WriteString(c, input+"end\r\n")
+			heard, err := io.ReadAll(c)
+			if err != nil {
+				t.Errorf("%s: %v", row, err)
+			}
+			replies[i] = string(heard)
+		}()
+	}
+	wg.Wait()
+	var got strings.Builder
+	for i, row := range inputs {
+		fmt.Fprintf(&got, "< %s\n> %q\n", row, replies[i])
+	}
+	if got.String() != string(want) {
+		t.Errorf("got:\n%s\nwant:\n%s", got.String(), want)
+	}
+}
+
+// What a client hears whose command ends too late, or finds no memory.
+func TestRepliesToLateCommands(t *testing.T) {
+	l := places.Default(100, 300)
+	l.First = 200e3
+	f, _ := start(t, Options{}, l)
+	late := dial(t, f.Addr().String())
+	io.WriteString(late, "*1\r\n$4\r\nPI")
+	if heard, err := io.ReadAll(late); string(heard) != "-ERR command not finished in time\r\n" || err != nil {
+		t.Errorf("half a command: %q, %v", heard, err)
+	}
+	f, _ = start(t, Options{Memory: 1}, l)
+	holder := dial(t, f.Addr().String())
+	io.WriteString(holder, say("PING"))
+	line(t, bufio.NewReader(holder))
+	io.WriteString(holder, "*1\r\n$4\r\nPI") // all of the memory
+	until(t, "the memory is in use", func() bool { m := 0; f.Look(func(*places.Book) { m = f.mem }); return m > 0 })
+	starved := dial(t, f.Addr().String())
+	io.WriteString(starved, say("PING"))
+	if heard, err := io.ReadAll(starved); string(heard) != "-BUSY 500\r\n" || err != nil {
+		t.Errorf("no memory: %q, %v", heard, err)
+	}
+}
+
+func TestReplyTexts(t *testing.T) {
+	for name, c := range map[string]struct{ got, want string }{
+		"busy, time unknown": {Busy(0), "-BUSY\r\n"},
+		"busy, no time":      {Busy(-1), "-BUSY\r\n"},
+		"busy, 1 ms":         {Busy(1), "-BUSY 1\r\n"},
+		"busy, 12 s":         {Busy(12000), "-BUSY 12000\r\n"},
+		"fault":              {Fault(errors.New("k: missing")), "-ERR k: missing\r\n"},
+		"fault, not plain":   {Fault(errors.New("a\r\nb\x00\x7fé~")), "-ERR a??b???~\r\n"},
+	} {
+		if c.got != c.want {
+			t.Errorf("%s: %q, want %q", name, c.got, c.want)
+		}
+	}
+}
+
+// The form in which connections go to another process.
+func TestHeldFixture(t *testing.T) {
+	want, err := os.ReadFile("testdata/conns.json")
+	if err != nil {
+		t.Fatal(err)
+	}
+	conns := []Held{
+		{Place: places.Kept{Left: 2600000}},
+		{Ahead: []byte("*1\r\n$4\r\nPI"), Place: places.Kept{Known: true, Spoke: true, Asked: 7, Left: 4000000}},
+		{Out: []byte("+OK\r\n"), Place: places.Kept{Spoke: true, Left: 10000}},
+	}
+	got, err := json.MarshalIndent(conns, "", " ")
+	if err != nil {
+		t.Fatal(err)
+	}
+	if !bytes.Equal(got, bytes.TrimSpace(want)) {
+		t.Errorf("got:\n%s\nwant:\n%s", got, want)
+	}
+	var back []Held
+	if err := json.Unmarshal(want, &back); err != nil || !reflect.DeepEqual(back, conns) {
+		t.Errorf("%+v, %v", back, err)
+	}
+}
