--- /dev/null
+++ b/internal/operator/format_test.go
@@ -0,0 +1,114 @@
+package operator
+
+import (
+	"encoding/json"
+	"os"
+	"path/filepath"
+	"reflect"
+	"regexp"
+	"slices"
+	"testing"
+)
+
+// Each key that the file may have arrives where it belongs.
+func TestEveryKey(t *testing.T) {
+	path := filepath.Join("testdata", "every_key.toml")
+	text, err := os.ReadFile(path)
+	if err != nil {
+		t.Fatal(err)
+	}
+	f, err := Parse(path, text)
+	if err != nil {
+		t.Fatal(err)
+	}
+	weight := 2.5
+	want := &File{
+		Clients: Clients{Listen: []string{"127.0.0.1:7001", "[::1]:7002"}, Descriptors: 20000, Places: 19000, Strangers: 9500,
+			AskedMost: 18000, IdleS: 600.5, MemoryMB: 64},
+		TLS: []TLS{{Name: "pay", Destinations: []int{3, 7}, Flavors: []string{"lanac"}, ServerName: "pay.example.org",
+			Roots:       "/etc/troutusher/pay-roots.pem",
+			Pins:        []string{"AAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAA=", "AQAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAA="},
+			Certificate: "/etc/troutusher/relay.pem", Key: "/etc/troutusher/relay.key", Revocations: "/etc/troutusher/pay.crl",
+			UnknownRevocation: "refuse", MinVersion: "1.3", Weight: &weight, WarnDays: 21}},
+		Handshakes: Handshakes{Share: 0.25, BurstMS: 60, Parallel: 5, TimeoutS: 2.5, Sessions: 300, SessionKey: "/etc/troutusher/session.key"},
+		Stories:    Stories{PerSecond: 101},
+		Learned:    Learned{PeriodS: 3},
+		Rest:       Rest{Awake: 1025, QuietS: 61},
+		Discovery:  Discovery{ListMB: 5},
+		Etcd: Etcd{Endpoints: []string{"10.1.0.5:2379", "10.1.0.6:2379"}, Prefix: "/recepti", User: "relay",
+			PasswordFile: "/etc/troutusher/etcd.password", Roots: "/etc/troutusher/etcd-roots.pem", Certificate: "/etc/troutusher/etcd.pem",
+			Key: "/etc/troutusher/etcd.key", ServerName: "etcd.example.org", First: "registry"},
+	}
+	if !reflect.DeepEqual(f, want) {
+		t.Errorf("got\n%+v\nwant\n%+v", f, want)
+	}
+	if got := unset(reflect.ValueOf(f).Elem(), "file"); len(got) > 0 {
+		t.Errorf("keys that the file leaves out: %q", got)
+	}
+}
+
+// unset names the keys of fields that have their zero value.
+func unset(v reflect.Value, key string) (names []string) {
+	if v.IsZero() {
+		return []string{key}
+	}
+	switch v.Kind() {
+	case reflect.Struct:
+		for i := range v.NumField() {
+			names = append(names, unset(v.Field(i), key+"."+v.Type().Field(i).Tag.Get("toml"))...)
+		}
+	case reflect.Slice:
+		for i := range v.Len() {
+			names = append(names, unset(v.Index(i), key)...)
+		}
+	}
+	return names
+}
+
+// The text of each error, whole: operators and their scripts read it.
+func TestErrorTexts(t *testing.T) {
+	text, err := os.ReadFile(filepath.Join("testdata", "errors.json"))
+	if err != nil {
+		t.Fatal(err)
+	}
+	var cases []struct {
+		File   string   `json:"file"`
+		Errors []string `json:"errors"`
+	}
+	if err := json.Unmarshal(text, &cases); err != nil {
+		t.Fatal(err)
+	}
+	for _, c := range cases {
+		got, want := withoutGoNames(parseErrors(c.File)), withoutGoNames(c.Errors)
+		if !slices.Equal(got, want) {
+			t.Errorf("%q: got\n%q\nwant\n%q", c.File, got, want)
+		}
+	}
+}
+
+// goName is the name of a Go field, which the TOML library tells beside line and
+// key. It follows the package's name, so it is not compared.
+var goName = regexp.MustCompile(`struct field \S+`)
+
+func withoutGoNames(texts []string) []string {
+	var list []string
+	for _, text := range texts {
+		list = append(list, goName.ReplaceAllString(text, "struct field"))
+	}
+	return list
+}
+
+// parseErrors gives the text of each error of a file.
+func parseErrors(text string) (all []string) {
+	_, err := Parse("o.toml", []byte(text))
+	if many, ok := err.(interface{ Unwrap() []error }); ok {
+		for _, e := range many.Unwrap() {
+			all = append(all, e.Error())
+		}
+		return all
+	}
+	if err != nil {
+		all = append(all, err.Error())
+	}
+	return all
+}
--- /dev/null
+++ b/internal/relay/wal_format_test.go
@@ -0,0 +1,112 @@
+package relay
+
+import (
+	"bytes"
+	"encoding/json"
+	"os"
+	"path/filepath"
+	"slices"
+	"testing"
+
+	"troutusher/internal/core"
+)
+
+// recordsOfEachKind is the content of testdata/wal/every_kind.wal: each kind of
+// record, and each field of one.
+func recordsOfEachKind() []*record {
+	return []*record{
+		{Kind: core.Taken, ID: "m-1", Class: "keyed", Tenant: "acme", Key: "key-1", Dest: 7, Deadline: 1764384020000000, Body: []byte("one\n\x00\xf7TRW")},
+		{Kind: core.Taken, ID: "m-2", Class: "plain", Dest: -3, Deadline: 1764384030000000},
+		{Kind: core.Taken, ID: "m-3", Class: "once", Deadline: 1764384040000000, Body: []byte("three")},
+		{Kind: core.Taken, ID: "m-4", Class: "plain", Dest: 4, Deadline: 1764384050000000, Body: []byte("four <&>")},
+		{Kind: core.Taken, ID: "m-5", Class: "plain", Dest: 5, Deadline: 1764384060000000, Body: []byte("five")},
+		{Kind: core.Attempt, ID: "m-1", At: 1764384001000000, Zone: 1},
+		{Kind: core.Outcome, ID: "m-1", Ran: true},
+		{Kind: core.Attempt, ID: "m-1", At: 1764384002000000},
+		{Kind: core.Attempt, ID: "m-2", At: 1764384003000000, Zone: 2},
+		{Kind: core.Outcome, ID: "m-2", Void: true},
+		{Kind: core.Attempt, ID: "m-3", At: 1764384004000000, Zone: 1},
+		{Kind: core.Ending, ID: "m-4", Notice: core.GivenUp},
+		{Kind: core.Ending, ID: "m-5", Notice: core.HandedBack, RetryMS: 1500},
+		{Kind: core.Taken, ID: "m-6", Class: "plain", Dest: 6, Deadline: 1764384070000000, Body: []byte("six")},
+		{Kind: core.End, ID: "m-5"},
+	}
+}
+
+func fixture(t *testing.T, parts ...string) []byte {
+	t.Helper()
+	b, err := os.ReadFile(filepath.Join(append([]string{"testdata"}, parts...)...))
+	if err != nil {
+		t.Fatal(err)
+	}
+	return b
+}
+
+// owedJSON shows what is owed under the keys of the stored form.
+func owedJSON(t *testing.T, owed []*record) []byte {
+	t.Helper()
+	type shown struct {
+		Record *record `json:"record"`
+		Body   []byte  `json:"body"`
+	}
+	var list []shown
+	for _, r := range owed {
+		list = append(list, shown{r, r.Body})
+	}
+	b, err := json.MarshalIndent(list, "", " ")
+	if err != nil {
+		t.Fatal(err)
+	}
+	return append(b, '\n')
+}
+
+// The bytes of each record are those that earlier processes wrote.
+func TestWALBytesOfEachKind(t *testing.T) {
+	dir := t.TempDir()
+	w, _ := openTestWAL(t, dir, 1<<20)
+	mustAppend(t, w, recordsOfEachKind()...)
+	got, err := os.ReadFile(filepath.Join(dir, "relay.wal"))
+	if err != nil {
+		t.Fatal(err)
+	}
+	if want := fixture(t, "wal", "every_kind.wal"); !bytes.Equal(got, want) {
+		t.Errorf("got\n%q\nwant\n%q", got, want)
+	}
+}
+
+// What is owed after a start with a stored log, and the compacted log that the
+// start leaves.
+func TestWALStoredForms(t *testing.T) {
+	for _, c := range []struct {
+		name, log, owed, compacted string
+		out                        []string // attempts that are known to be out still
+	}{
+		{"every kind", "every_kind.wal", "every_kind_owed.json", "every_kind_compacted.wal", nil},
+		{"attempts known to be out", "every_kind.wal", "call_out_owed.json", "call_out_compacted.wal", []string{"m-1", "m-3"}},
+		{"compacted", "every_kind_compacted.wal", "every_kind_owed.json", "every_kind_compacted.wal", nil},
+		{"torn", "torn.wal", "torn_owed.json", "torn_compacted.wal", nil},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			dir := t.TempDir()
+			path := filepath.Join(dir, "relay.wal")
+			if err := os.WriteFile(path, fixture(t, "wal", c.log), 0o600); err != nil {
+				t.Fatal(err)
+			}
+			w, owed, err := openWAL(dir, 1<<20, func(id string) bool { return slices.Contains(c.out, id) }, quietLog())
+			if err != nil {
+				t.Fatal(err)
+			}
+			defer w.file.Close()
+			if got, want := owedJSON(t, owed), fixture(t, "wal", c.owed); !bytes.Equal(got, want) {
+				t.Errorf("owed\n%s\nwant\n%s", got, want)
+			}
+			got, err := os.ReadFile(path)
+			if err != nil {
+				t.Fatal(err)
+			}
+			if want := fixture(t, "wal", c.compacted); !bytes.Equal(got, want) {
+				t.Errorf("compacted\n%q\nwant\n%q", got, want)
+			}
+		})
+	}
+}
