--- /dev/null
+++ b/internal/relay/golden_calls_test.go
@@ -0,0 +1,189 @@
+package relay
+
+import (
+	"bufio"
+	"bytes"
+	"context"
+	"encoding/json"
+	"io"
+	"net"
+	"os"
+	"path/filepath"
+	"strings"
+	"testing"
+	"time"
+
+	"troutusher/decide"
+	"troutusher/internal/gate"
+)
+
+// The forms that endpoints see and send, as files recorded from an earlier build
+// under testdata/calls. They do not change with the names of the code.
+
+// readGolden reads a recorded file.
+func readGolden(t *testing.T, name string) []byte {
+	t.Helper()
+	text, err := os.ReadFile(filepath.Join("testdata", "calls", name))
+	if err != nil {
+		t.Fatal(err)
+	}
+	return text
+}
+
+// compare compares what was written with a recorded file.
+func compare(t *testing.T, name string, written []byte) {
+	t.Helper()
+	if want := readGolden(t, name); !bytes.Equal(written, want) {
+		t.Errorf("got  %q\nwant %q", written, want)
+	}
+}
+
+// recordingConn keeps what is written to it.
+type recordingConn struct {
+	*net.TCPConn
+	written *bytes.Buffer
+}
+
+func (c *recordingConn) Write(b []byte) (int, error) {
+	c.written.Write(b)
+	return c.TCPConn.Write(b)
+}
+
+// TestGoldenRequestBytes compares every byte that a call and a health check write:
+// headers, their order and case, the idempotency key and the timeout.
+func TestGoldenRequestBytes(t *testing.T) {
+	const address = "endpoint.example.org:8080" // the Host header is part of the file
+	body := []byte("{\"amount\":12}\x00\xff\r\n")
+	callWith := func(id, key string, body []byte, limit time.Duration) func(h *home) {
+		return func(h *home) {
+			newTestCall().run(h, &record{ID: id, Key: key, Body: body}, limit, nil, func(outcome) {})
+		}
+	}
+	for name, send := range map[string]func(h *home){
+		"call-with-key.request":     callWith("m-0000017", "5c0f6e1a2b3d4c59", body, 1500*time.Millisecond),
+		"call-without-key.request":  callWith("m-0000018", "", body, 20*time.Second),
+		"call-without-body.request": callWith("m-0000019", "k", nil, 999500*time.Microsecond),
+		"health-check.request":      func(h *home) { probe(context.Background(), h) },
+	} {
+		t.Run(name, func(t *testing.T) {
+			server := rawEndpoint(t, func(c net.Conn) {
+				if readCall(bufio.NewReader(c)) {
+					io.WriteString(c, fine)
+				}
+			})
+			var written bytes.Buffer
+			p := testPool(t)
+			p.moment = time.Microsecond
+			h := p.home(address)
+			h.dial = func(_ context.Context, addr string) (net.Conn, error) {
+				if addr != address {
+					t.Errorf("dialled %q", addr)
+				}
+				conn, err := net.Dial("tcp", server)
+				if err != nil {
+					return nil, err
+				}
+				return &recordingConn{TCPConn: conn.(*net.TCPConn), written: &written}, nil
+			}
+			send(h)
+			compare(t, name, written.Bytes())
+		})
+	}
+	t.Run("call-shortest-limit.request", func(t *testing.T) { // over before it could be written
+		req, err := newCallRequest(address, "m-0000020", "", body[:1], 990*time.Microsecond)
+		if err != nil {
+			t.Fatal(err)
+		}
+		var written bytes.Buffer
+		if err := req.Write(&written); err != nil {
+			t.Fatal(err)
+		}
+		compare(t, "call-shortest-limit.request", written.Bytes())
+	})
+}
+
+// recordedAnswer is one recorded answer of an endpoint and what it means.
+type recordedAnswer struct {
+	Name       string  `json:"name"`
+	Answer     string  `json:"answer"`
+	Outcomes   int     `json:"outcomes"` // how often one was told
+	Outcome    string  `json:"outcome"`
+	Status     int     `json:"status"`
+	RetryAfter int64   `json:"retry_after_us"`
+	Hold       int64   `json:"hold_us"` // how long calls to the destination are held back
+	Slots      bool    `json:"slots_taken"`
+	Over       bool    `json:"message_over"`
+	Malformed  bool    `json:"malformed"`
+	Error      bool    `json:"error"`
+	LoadLeft   float64 `json:"load_left"`
+	LoadLimit  float64 `json:"load_limit"`
+	Reusable   bool    `json:"reusable"` // the connection
+}
+
+var outcomeNames = map[decide.Outcome]string{decide.Delivered: "delivered", decide.Errored: "failed", decide.Full: "rejected",
+	decide.TimedOut: "timed out", decide.NoConnect: "connect failed", decide.Reset: "reset", decide.Cancelled: "cancelled", decide.NotSent: "not sent"}
+
+// answered has a recorded answer read as that to a call.
+func answered(t *testing.T, answer string) recordedAnswer {
+	t.Helper()
+	here, there := net.Pipe()
+	go func() {
+		io.WriteString(there, answer)
+		there.Close()
+	}()
+	p := testPool(t)
+	p.now = func() decide.Time { return 1000 }
+	h := p.home("endpoint.example.org:8080")
+	p.open++
+	conn := &poolConn{Conn: here, home: h, left: answerMost}
+	conn.in = bufio.NewReader(conn)
+	defer conn.drop()
+	req, err := newCallRequest(h.addr, "m", "k", nil, time.Second)
+	if err != nil {
+		t.Fatal(err)
+	}
+	got := recordedAnswer{Answer: answer}
+	got.Reusable = readAnswer(conn, req, []string{"x0", "x1"}, func(o outcome) {
+		got.Outcomes++
+		got.Outcome, got.Status, got.RetryAfter, got.Slots = outcomeNames[o.what], o.status, o.wait, o.slots
+		got.Over, got.Malformed, got.Error = o.settled, o.spoilt, o.err != nil
+		got.LoadLeft, got.LoadLimit = o.load.Left, o.load.Limit
+	})
+	got.Hold = held(h)
+	return got
+}
+
+// TestGoldenAnswers reads recorded answers and compares what they are taken for.
+func TestGoldenAnswers(t *testing.T) {
+	var recorded []recordedAnswer
+	if err := json.Unmarshal(readGolden(t, "answers.json"), &recorded); err != nil {
+		t.Fatal(err)
+	}
+	if len(recorded) < 30 {
+		t.Fatalf("%d answers recorded", len(recorded))
+	}
+	for _, want := range recorded {
+		t.Run(want.Name, func(t *testing.T) {
+			got := answered(t, want.Answer)
+			got.Name = want.Name
+			if got != want {
+				t.Errorf("got  %+v\nwant %+v", got, want)
+			}
+		})
+	}
+}
+
+// TestGoldenErrorTexts compares the texts of errors that go into message traces.
+func TestGoldenErrorTexts(t *testing.T) {
+	got := []string{}
+	for _, err := range []error{gate.ErrGone, gate.ErrWait{Left: 1234567}, gate.ErrLate, errNoRoom, errTooBig, errUnasked, errCancelled, errUnpaid,
+		errNoTurn{1234567 * time.Microsecond}} {
+		got = append(got, err.Error())
+		if refusal := gate.Refused(err); refusal != (len(got) <= 3) {
+			t.Errorf("%v is a refusal of the send gate: %v", err, refusal)
+		}
+	}
+	if text, want := strings.Join(got, "\n")+"\n", string(readGolden(t, "errors.txt")); text != want {
+		t.Errorf("got\n%swant\n%s", text, want)
+	}
+}
