--- a/cmd/benchlink/host_test.go
+++ b/cmd/benchlink/host_test.go
@@ -25,7 +25,7 @@
 	return b
 }
 
-func up(relay uint16, seed uint64, text string, off int) []byte {
+func startRecord(relay uint16, seed uint64, text string, off int) []byte {
 	b := record(10, relay)
 	be.PutUint64(b[3:], seed)
 	be.PutUint32(b[11:], uint32(off))
@@ -33,7 +33,7 @@
 	return b
 }
 
-func table(n byte, off, entries int) []byte {
+func tableRecord(n byte, off, entries int) []byte {
 	b := make([]byte, 48)
 	b[0], b[1] = 110, n
 	be.PutUint32(b[2:], uint32(off))
@@ -41,20 +41,20 @@
 	return b
 }
 
-func sync(relay uint16, n byte) []byte {
+func syncRecord(relay uint16, n byte) []byte {
 	b := record(20, relay)
 	b[12] = n
 	return b
 }
 
-func call(relay uint16, id uint32) []byte {
+func callRecord(relay uint16, id uint32) []byte {
 	b := record(30, relay)
 	be.PutUint32(b[3:], id)
 	be.PutUint32(b[15:], 5000000)
 	return b
 }
 
-func entry(addr uint32) []byte {
+func tableEntry(addr uint32) []byte {
 	b := make([]byte, 24)
 	be.PutUint32(b, addr)
 	b[11] = 1
@@ -62,7 +62,7 @@
 	return b
 }
 
-func batch(clock uint64, tail []byte, records ...[]byte) []byte {
+func frame(clock uint64, tail []byte, records ...[]byte) []byte {
 	b := make([]byte, 16)
 	be.PutUint64(b, clock)
 	be.PutUint32(b[8:], uint32(48*len(records)+len(tail)))
@@ -96,12 +96,12 @@
 	return got
 }
 
-// TestListNumberReusedInOneBatch: each instance takes the list as it stood at its own event.
-func TestListNumberReusedInOneBatch(t *testing.T) {
-	tail := append(append([]byte(settingsText), entry(1)...), entry(2)...)
+// TestListNumberReusedInOneFrame: each instance takes the list as it stood at its own event.
+func TestListNumberReusedInOneFrame(t *testing.T) {
+	tail := append(append([]byte(settingsText), tableEntry(1)...), tableEntry(2)...)
 	n := len(settingsText)
-	out, err := run(t, batch(1e6, tail, up(0, 1, settingsText, 0), up(1, 2, settingsText, 0), table(3, n, 1), sync(0, 3),
-		table(3, n+24, 1), sync(1, 3), call(0, 10), call(1, 11)))
+	out, err := run(t, frame(1e6, tail, startRecord(0, 1, settingsText, 0), startRecord(1, 2, settingsText, 0), tableRecord(3, n, 1), syncRecord(0, 3),
+		tableRecord(3, n+24, 1), syncRecord(1, 3), callRecord(0, 10), callRecord(1, 11)))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -110,12 +110,12 @@
 	}
 }
 
-// TestRestartInOneBatch: the second life knows nothing of the first, not even its messages.
-func TestRestartInOneBatch(t *testing.T) {
-	tail := append([]byte(settingsText), entry(1)...)
+// TestRestartInOneFrame: the second life knows nothing of the first, not even its messages.
+func TestRestartInOneFrame(t *testing.T) {
+	tail := append([]byte(settingsText), tableEntry(1)...)
 	n := len(settingsText)
-	out, err := run(t, batch(1e6, tail, up(0, 1, settingsText, 0), table(0, n, 1), sync(0, 0), call(0, 10),
-		record(100, 0), up(0, 2, settingsText, 0), sync(0, 0), call(0, 12)))
+	out, err := run(t, frame(1e6, tail, startRecord(0, 1, settingsText, 0), tableRecord(0, n, 1), syncRecord(0, 0), callRecord(0, 10),
+		record(100, 0), startRecord(0, 2, settingsText, 0), syncRecord(0, 0), callRecord(0, 12)))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -126,8 +126,8 @@
 
 // TestStoppedStaysSilent: no action for a relay that died in the batch.
 func TestStoppedStaysSilent(t *testing.T) {
-	tail := append([]byte(settingsText), entry(1)...)
-	out, err := run(t, batch(1e6, tail, up(0, 1, settingsText, 0), table(0, len(settingsText), 1), sync(0, 0), call(0, 10),
+	tail := append([]byte(settingsText), tableEntry(1)...)
+	out, err := run(t, frame(1e6, tail, startRecord(0, 1, settingsText, 0), tableRecord(0, len(settingsText), 1), syncRecord(0, 0), callRecord(0, 10),
 		record(100, 0)))
 	if err != nil || !bytes.Equal(out, make([]byte, 8)) {
 		t.Fatalf("reply %x, error %v", out, err)
@@ -138,22 +138,22 @@
 func TestSameBytes(t *testing.T) {
 	stream := func(relays int) []byte {
 		r := rand.New(rand.NewPCG(1, 2))
-		tail := append(append([]byte(settingsText), entry(1)...), entry(2)...)
+		tail := append(append([]byte(settingsText), tableEntry(1)...), tableEntry(2)...)
 		var recs [][]byte
 		for i := range relays {
-			recs = append(recs, up(uint16(i), uint64(i), settingsText, 0), table(0, len(settingsText), 2), sync(uint16(i), 0))
+			recs = append(recs, startRecord(uint16(i), uint64(i), settingsText, 0), tableRecord(0, len(settingsText), 2), syncRecord(uint16(i), 0))
 		}
-		in := batch(1e6, tail, recs...)
+		in := frame(1e6, tail, recs...)
 		for step := range 50 {
 			recs = nil
 			for range r.IntN(4) {
 				id := uint32(step*10 + len(recs))
-				recs = append(recs, call(0, id))
+				recs = append(recs, callRecord(0, id))
 				if relays > 1 {
-					recs = append(recs, call(1, id))
+					recs = append(recs, callRecord(1, id))
 				}
 			}
-			in = append(in, batch(uint64(1e6+5000*step), nil, recs...)...)
+			in = append(in, frame(uint64(1e6+5000*step), nil, recs...)...)
 		}
 		return in
 	}
@@ -177,12 +177,12 @@
 	}
 }
 
-// TestBadSettingsAreAFault: the wire's own way of saying it, with the key.
-func TestBadSettingsAreAFault(t *testing.T) {
+// TestInvalidSettingsAreReported: the wire's own way of saying it, with the key.
+func TestInvalidSettingsAreReported(t *testing.T) {
 	for from, to := range map[string]string{`"calls_out":4`: `"calls_out":0`, `"retryable"`: `"sometimes"`,
 		`"fall_us":3000000`: `"fall_us":-1`} {
 		text := strings.Replace(settingsText, from, to, 1)
-		out, err := run(t, batch(1e6, []byte(text), up(4, 1, text, 0)))
+		out, err := run(t, frame(1e6, []byte(text), startRecord(4, 1, text, 0)))
 		if err != nil || be.Uint32(out[4:]) != 1 || out[8] != 100 || be.Uint16(out[9:]) != 4 || len(out) <= 32 {
 			t.Errorf("%s: reply %s, error %v", to, hex.EncodeToString(out), err)
 		}
@@ -190,7 +190,7 @@
 }
 
 func TestMalformedFrameEndsWithOneLine(t *testing.T) {
-	out, err := run(t, append(batch(1e6, nil), batch(2e6, nil, record(7, 0))...))
+	out, err := run(t, append(frame(1e6, nil), frame(2e6, nil, record(7, 0))...))
 	if err == nil || !strings.Contains(err.Error(), "frame 1: record 0") || strings.Contains(err.Error(), "\n") {
 		t.Fatalf("error %v", err)
 	}
@@ -204,7 +204,7 @@
 
 // TestUnknownRelay: an event for a life that is over is no fault and wakes nobody.
 func TestUnknownRelay(t *testing.T) {
-	out, err := run(t, batch(1e6, nil, call(9, 1)))
+	out, err := run(t, frame(1e6, nil, callRecord(9, 1)))
 	if err != nil || !bytes.Equal(out, make([]byte, 8)) {
 		t.Fatalf("reply %x, error %v", out, err)
 	}
--- a/cmd/benchlink/main.go
+++ b/cmd/benchlink/main.go
@@ -24,7 +24,7 @@
 func serve(in io.Reader, out *bufio.Writer) error {
 	h := newHost()
 	for n := 0; ; n++ {
-		reply, err := h.turn(in)
+		reply, err := h.handleFrame(in)
 		if err == io.EOF {
 			return nil
 		}
--- a/cmd/troutusher-kit/kit_test.go
+++ b/cmd/troutusher-kit/kit_test.go
@@ -98,7 +98,7 @@
 	state := t.TempDir()
 	if _, err := learned.NewStore(state, "n7", 3<<20).Write(&learned.File{Wall: 1777658400e6, State: &core.Learned{Now: 9e6, Revision: 41,
 		Members: []core.CarriedMember{{Member: core.Member{ID: "s-1", Cell: 4, Phase: core.Up}, Number: 3}}, Waits: []core.CarriedWait{{Dest: 4, Until: 14e6}},
-		Policy: &decide.Memory{Now: 9e6, Lanes: []decide.LaneMemory{{Dest: 4, Endpoints: []decide.EndpointMemory{{ID: 3, Sick: true, FirstBad: 7e6}}}}}}}); err != nil {
+		Policy: &decide.Snapshot{Now: 9e6, Limiters: []decide.LimiterSnapshot{{Destination: 4, Endpoints: []decide.EndpointSnapshot{{ID: 3, Unhealthy: true, FirstFailureAt: 7e6}}}}}}}); err != nil {
 		t.Fatal(err)
 	}
 	for _, c := range []struct {
--- a/cmd/troutusher-kit/learned.go
+++ b/cmd/troutusher-kit/learned.go
@@ -45,7 +45,7 @@
 		how = "as it ended"
 	}
 	fmt.Fprintf(out, "relay %s, written %s %s, %d bytes; list %d\n\n", f.Relay, time.UnixMicro(f.Wall).UTC().Format(time.RFC3339), how, size, s.Revision)
-	name := map[decide.Endpoint]string{}
+	name := map[decide.EndpointID]string{}
 	for i := range s.Members {
 		m := &s.Members[i]
 		name[m.Number] = m.ID
@@ -65,8 +65,8 @@
 	}
 	w := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(w, "dest\twaits for\trequests\taccepts\twindow\tpace\tcut to a second\trefused in a row\tout\tendpoints")
-	for i := range s.Policy.Lanes {
-		l := &s.Policy.Lanes[i]
+	for i := range s.Policy.Limiters {
+		l := &s.Policy.Limiters[i]
 		var n [2]float64
 		for _, b := range l.Bins {
 			n[0], n[1] = n[0]+b[0], n[1]+b[1]
@@ -75,20 +75,20 @@
 		out := 0
 		for _, e := range l.Endpoints {
 			text := name[e.ID]
-			if e.Sick {
+			if e.Unhealthy {
 				out++
-				text += fmt.Sprintf(" out for %.1f s", float64(s.Now-e.FirstBad)/1e6)
-			} else if e.GoodAt > 0 {
-				text += fmt.Sprintf(" back for %.1f s", float64(s.Now-e.GoodAt)/1e6)
+				text += fmt.Sprintf(" out for %.1f s", float64(s.Now-e.FirstFailureAt)/1e6)
+			} else if e.RecoveredAt > 0 {
+				text += fmt.Sprintf(" back for %.1f s", float64(s.Now-e.RecoveredAt)/1e6)
 			}
 			all = append(all, text)
 		}
 		cut := "-"
-		if l.Cut > 0 {
-			cut = fmt.Sprintf("%.2f", l.Cut)
+		if l.ReducedRate > 0 {
+			cut = fmt.Sprintf("%.2f", l.ReducedRate)
 		}
-		fmt.Fprintf(w, "%d\t%s\t%.0f\t%.0f\t%.1f\t%.2f\t%s\t%d\t%d of %d\t%s\n", l.Dest, left(max(l.WaitUntil, waits[l.Dest])), n[0], n[1], l.Window, l.Boost, cut,
-			l.FullRun, out, len(l.Endpoints), strings.Join(all, ", "))
+		fmt.Fprintf(w, "%d\t%s\t%.0f\t%.0f\t%.1f\t%.2f\t%s\t%d\t%d of %d\t%s\n", l.Destination, left(max(l.RetryAfterUntil, waits[l.Destination])), n[0], n[1], l.Window, l.RateMultiplier, cut,
+			l.RejectionRun, out, len(l.Endpoints), strings.Join(all, ", "))
 	}
 	return w.Flush()
 }
--- a/decide/bar_test.go
+++ b/decide/bar_test.go
@@ -2,75 +2,77 @@
 
 import "testing"
 
-// TestBarred: where an endpoint's identity is not proved nothing goes, others serve, and what cannot wait is
+// TestIdentityRejected: where an endpoint's identity is not proved nothing goes, others serve, and what cannot wait is
 // refused at once with the time to come back.
-func TestBarred(t *testing.T) {
-	s := one()
+func TestIdentityRejected(t *testing.T) {
+	s := singleClassSettings()
 	s.MaxRetryAfter = 100 * second
-	r := newRig(t, s, ready(1, 100), ready(2, 100))
-	r.step(Event{Kind: EvBarred, Endpoint: 1, Wait: 60 * second})
+	r := newHarness(t, s, readyEndpoint(1, 100), readyEndpoint(2, 100))
+	r.step(Event{Kind: EvIdentityRejected, Endpoint: 1, RetryAfter: 60 * second})
 	for range 8 {
 		r.step(r.message(0, 0))
 		for _, a := range r.sends {
 			if a.Endpoint != 2 {
 				t.Fatalf("sent to an endpoint that is barred")
 			}
-			r.step(answer(a, Delivered))
+			r.step(endOf(a, Delivered))
 		}
 	}
-	if !r.p.Avoids(1, r.now) || r.p.Avoids(2, r.now) {
+	if !r.engine.Avoids(1, r.now) || r.engine.Avoids(2, r.now) {
 		t.Error("figures: it is not avoided, or the other one is")
 	}
 	// Both are out now: one for longer than a message may take, one for less.
-	r.step(Event{Kind: EvBarred, Endpoint: 2, Wait: 5 * second})
-	if r.step(r.message(0, 0)); len(r.sends) != 0 || count(r.acts, ActRefuse) != 0 {
-		t.Fatalf("one comes back within 5 s: %v", r.acts)
+	r.step(Event{Kind: EvIdentityRejected, Endpoint: 2, RetryAfter: 5 * second})
+	if r.step(r.message(0, 0)); len(r.sends) != 0 || count(r.actions, ActReject) != 0 {
+		t.Fatalf("one comes back within 5 s: %v", r.actions)
 	}
-	r.step(Event{Kind: EvBarred, Endpoint: 2, Wait: 70 * second})
-	if count(r.acts, ActRefuse) != 1 {
-		t.Fatalf("what was held is not refused: %v", r.acts)
+	r.step(Event{Kind: EvIdentityRejected, Endpoint: 2, RetryAfter: 70 * second})
+	if count(r.actions, ActReject) != 1 {
+		t.Fatalf("what was held is not refused: %v", r.actions)
 	}
 	r.step(r.message(0, 0))
-	if len(r.acts) == 0 || r.acts[0].Kind != ActRefuse || r.acts[0].After < 60*second || r.acts[0].After > 61*second {
-		t.Fatalf("want a refusal with the 60 s until the first is asked again: %v", r.acts)
+	if len(r.actions) == 0 || r.actions[0].Kind != ActReject || r.actions[0].After < 60*second || r.actions[0].After > 61*second {
+		t.Fatalf("want a refusal with the 60 s until the first is asked again: %v", r.actions)
 	}
-	if r.step(Event{Kind: EvBarred, Endpoint: 1}, r.message(0, 0)); len(r.sends) != 1 || r.sends[0].Endpoint != 1 {
-		t.Fatalf("proved again, and nothing goes there: %v", r.acts)
+	if r.step(Event{Kind: EvIdentityRejected, Endpoint: 1}, r.message(0, 0)); len(r.sends) != 1 || r.sends[0].Endpoint != 1 {
+		t.Fatalf("proved again, and nothing goes there: %v", r.actions)
 	}
 	// Time alone lifts it too.
-	r = newRig(t, one(), ready(1, 100))
-	r.step(Event{Kind: EvBarred, Endpoint: 1, Wait: second}, r.message(0, 0))
+	r = newHarness(t, singleClassSettings(), readyEndpoint(1, 100))
+	r.step(Event{Kind: EvIdentityRejected, Endpoint: 1, RetryAfter: second}, r.message(0, 0))
 	r.now += second + 5000
 	if r.step(Event{Kind: EvTimer}); len(r.sends) != 1 {
-		t.Fatalf("its bar is over, and nothing goes there: %v", r.acts)
+		t.Fatalf("its bar is over, and nothing goes there: %v", r.actions)
 	}
 }
 
-// TestOpeningIsPaid: a connection that must be opened is paid for like calls, at the pace of a sound endpoint
+// TestConnectCostIsPaid: a connection that must be opened is paid for like calls, at the pace of a sound endpoint
 // and out of the budget of a cold one; one that is there costs nothing more.
-func TestOpeningIsPaid(t *testing.T) {
-	x := ready(1, 100)
-	x.Opening = 5
-	r := newRig(t, one(), x)
-	p := r.p
-	ep := p.eps[1]
-	level := func() float64 { return ep.lane.tokens.level(r.now, p.pace(ep.lane), p.depth(ep.lane)) }
+func TestConnectCostIsPaid(t *testing.T) {
+	x := readyEndpoint(1, 100)
+	x.ConnectCost = 5
+	r := newHarness(t, singleClassSettings(), x)
+	p := r.engine
+	ep := p.endpoints[1]
+	level := func() float64 {
+		return ep.limiter.tokens.level(r.now, p.rateLimit(ep.limiter), p.bucketDepth(ep.limiter))
+	}
 	before := level()
 	r.step(r.message(0, 0))
 	if len(r.sends) != 1 || before-level() != 6 {
 		t.Fatalf("a call and its connection took %v of the pace, want 6", before-level())
 	}
-	r.step(answer(r.sends[0], Delivered))
+	r.step(endOf(r.sends[0], Delivered))
 	before = level()
 	if r.step(r.message(0, 0)); len(r.sends) != 1 || before-level() != 1 {
 		t.Fatalf("a call on a connection that is there took %v, want 1", before-level())
 	}
-	r.step(answer(r.sends[0], TimedOut)) // and its connection went with it
-	if p.opening(ep) != 5 {
+	r.step(endOf(r.sends[0], TimedOut)) // and its connection went with it
+	if p.nextConnectCost(ep) != 5 {
 		t.Error("after a call without an answer its connection is still counted on")
 	}
-	ep.sick, ep.goodAt, ep.need = true, r.now, 1
-	full := func(tokens float64) { ep.budget = bucket{r.now, tokens, true} }
+	ep.unhealthy, ep.recoveredAt, ep.requiredTokens = true, r.now, 1
+	full := func(tokens float64) { ep.recoveryBudget = tokenBucket{r.now, tokens, true} }
 	if full(5.9); p.mayCall(ep) {
 		t.Error("cold: a connection is opened though the budget does not hold it")
 	}
@@ -78,68 +80,68 @@
 	if !p.mayCall(ep) {
 		t.Error("cold: not opened though the budget holds it")
 	}
-	if p.spend(ep); ep.budget.tokens != 0 {
-		t.Errorf("cold: %v of 6 left", ep.budget.tokens)
+	if p.spendRecoveryBudget(ep); ep.recoveryBudget.tokens != 0 {
+		t.Errorf("cold: %v of 6 left", ep.recoveryBudget.tokens)
 	}
-	ep.conns, ep.need = ep.flying+1, 1
+	ep.connections, ep.requiredTokens = ep.callsInFlight+1, 1
 	if full(1); !p.mayCall(ep) {
 		t.Error("cold: a connection that is there costs as much as a new one")
 	}
 	// One more than the budget ever saves up is waited for, not given up.
-	ep.conns, ep.opening = 0, 1000
-	if full(0); p.opens(ep.lane.dest) <= r.now {
+	ep.connections, ep.connectCost = 0, 1000
+	if full(0); p.nextSendTime(ep.limiter.destination) <= r.now {
 		t.Error("cold: a dear connection is told to be possible now")
 	}
 }
 
-// TestOpenedIsSettled: a connection that was opened and not thought of is paid for after, and one that was
+// TestConnectCostIsSettled: a connection that was opened and not thought of is paid for after, and one that was
 // paid for and not opened is given back.
-func TestOpenedIsSettled(t *testing.T) {
-	x := ready(1, 100)
-	x.Opening = 5
-	r := newRig(t, one(), x)
-	ep := r.p.eps[1]
-	level := func() float64 { return ep.lane.tokens.level(r.now, r.p.pace(ep.lane), 1000) }
+func TestConnectCostIsSettled(t *testing.T) {
+	x := readyEndpoint(1, 100)
+	x.ConnectCost = 5
+	r := newHarness(t, singleClassSettings(), x)
+	ep := r.engine.endpoints[1]
+	level := func() float64 { return ep.limiter.tokens.level(r.now, r.engine.rateLimit(ep.limiter), 1000) }
 	r.step(r.message(0, 0))
 	before := level()
-	if !r.sends[0].Opens {
+	if !r.sends[0].OpensConnection {
 		t.Fatal("the first call is not told to open a connection")
 	}
-	if r.step(answer(r.sends[0], Delivered)); level()-before != 5 {
+	if r.step(endOf(r.sends[0], Delivered)); level()-before != 5 {
 		t.Errorf("none was opened, and %v of 5 came back", level()-before)
 	}
 	r.step(r.message(0, 0))
-	if r.sends[0].Opens {
+	if r.sends[0].OpensConnection {
 		t.Fatal("the second call is told to open one")
 	}
 	before = level()
-	e := answer(r.sends[0], Delivered)
-	e.Opened = 2
+	e := endOf(r.sends[0], Delivered)
+	e.ConnectionsOpened = 2
 	if r.step(e); before-level() != 10 {
 		t.Errorf("two were opened for it, and %v of 10 was paid", before-level())
 	}
 	r.now += 10 * second
 	r.step(r.message(0, 0))
-	if r.step(answer(r.sends[0], NotSent)); r.p.opening(ep) != 5 && len(r.sends) == 0 {
+	if r.step(endOf(r.sends[0], NotSent)); r.engine.nextConnectCost(ep) != 5 && len(r.sends) == 0 {
 		t.Error("after a call that found none, one is counted on")
 	}
 }
 
-// TestFailBackBudgetWithConnections: with connections that weigh as much as four calls, this relay's part of a
+// TestRecoveryBudgetWithConnections: with connections that weigh as much as four calls, this relay's part of a
 // cold destination's budget holds in any window of the fall time, whatever became of the connections before.
-func TestFailBackBudgetWithConnections(t *testing.T) {
+func TestRecoveryBudgetWithConnections(t *testing.T) {
 	const weight = 4.0
-	s := one()
-	s.RampTime = 1000 * second // so that it can do the same in every window
+	s := singleClassSettings()
+	s.RampDuration = 1000 * second // so that it can do the same in every window
 	for seed := uint64(1); seed <= 40; seed++ {
-		x := ready(1, 15)
-		x.Opening = weight
+		x := readyEndpoint(1, 15)
+		x.ConnectCost = weight
 		p, err := New(s, seed)
 		if err != nil {
 			t.Fatal(err)
 		}
-		r := &rig{t: t, p: p, now: 1000 * second, next: 1}
-		r.step(Event{Kind: EvList, List: ListCached, Entries: []Entry{x}})
+		r := &harness{t: t, engine: p, now: 1000 * second, nextMessage: 1}
+		r.step(Event{Kind: EvListUpdated, ListUpdate: ListCached, Updates: []EndpointUpdate{x}})
 		start := r.now
 		back := start + 8*second
 		type spent struct {
@@ -174,21 +176,21 @@
 			}
 			r.step(events...)
 			for _, a := range r.sends {
-				e := answer(a, Delivered)
+				e := endOf(a, Delivered)
 				e.Attempt = tries[a.Message]
 				tries[a.Message]++
 				due := r.now + second/10
 				switch {
 				case r.now > start+2*second && r.now < back:
-					e.Outcome, due = NoConnect, r.now+5000
+					e.Outcome, due = ConnectFailed, r.now+5000
 					idle = 0
 				case idle > 0:
 					idle--
 					all = append(all, spent{r.now, 1})
-				case a.Cold && !a.Opens:
+				case a.Recovering && !a.OpensConnection:
 					e.Outcome, due = NotSent, r.now+5000
 				default:
-					e.Opened = 1
+					e.ConnectionsOpened = 1
 					all = append(all, spent{r.now, 1 + weight})
 				}
 				flights = append(flights, out{e, due})
@@ -198,11 +200,11 @@
 		for from := back; from < back+17*second; from += second / 4 {
 			work := 0.0
 			for _, x := range all {
-				if x.at >= from && x.at < from+s.FallTime {
+				if x.at >= from && x.at < from+s.OverloadDuration {
 					work += x.work
 				}
 			}
-			share := s.StartCapacity + (1-s.StartCapacity)*float64(from+s.FallTime-back)/float64(s.RampTime)
+			share := s.InitialCapacity + (1-s.InitialCapacity)*float64(from+s.OverloadDuration-back)/float64(s.RampDuration)
 			if most := s.OverloadFactor*share*15*3/float64(s.Relays) + 1; work > most {
 				t.Fatalf("seed %d: work of %.0f calls in the 3 s from %d ms after the return, want %.1f at most", seed, work, (from-back)/1000, most)
 			}
@@ -210,31 +212,31 @@
 	}
 }
 
-// TestColdIsTold: the driver is told where one connection is opened at a time.
-func TestColdIsTold(t *testing.T) {
-	r := newRig(t, one(), ready(1, 1000))
-	if r.step(r.message(0, 0)); len(r.sends) != 1 || r.sends[0].Cold {
-		t.Fatalf("a sound endpoint: %v", r.acts)
-	}
-	r.step(answer(r.sends[0], Delivered))
-	ep := r.p.eps[1]
-	ep.sick, ep.goodAt, ep.need, ep.budget = true, r.now, 1, bucket{r.now, 1, true}
-	if r.step(r.message(0, 0)); len(r.sends) != 1 || !r.sends[0].Cold {
-		t.Fatalf("a cold one: %v", r.acts)
+// TestSendTellsOfRecovery: the driver is told where one connection is opened at a time.
+func TestSendTellsOfRecovery(t *testing.T) {
+	r := newHarness(t, singleClassSettings(), readyEndpoint(1, 1000))
+	if r.step(r.message(0, 0)); len(r.sends) != 1 || r.sends[0].Recovering {
+		t.Fatalf("a sound endpoint: %v", r.actions)
+	}
+	r.step(endOf(r.sends[0], Delivered))
+	ep := r.engine.endpoints[1]
+	ep.unhealthy, ep.recoveredAt, ep.requiredTokens, ep.recoveryBudget = true, r.now, 1, tokenBucket{r.now, 1, true}
+	if r.step(r.message(0, 0)); len(r.sends) != 1 || !r.sends[0].Recovering {
+		t.Fatalf("a cold one: %v", r.actions)
 	}
 }
 
-// TestWaitOfWhatWasNotSent: where the relay itself could open nothing, the destination rests, and is not blamed.
-func TestWaitOfWhatWasNotSent(t *testing.T) {
-	r := newRig(t, one(), ready(1, 1000))
+// TestRetryAfterOfUnsentCall: where the relay itself could open nothing, the destination rests, and is not blamed.
+func TestRetryAfterOfUnsentCall(t *testing.T) {
+	r := newHarness(t, singleClassSettings(), readyEndpoint(1, 1000))
 	r.step(r.message(0, 0))
-	e := answer(r.sends[0], NotSent)
-	e.Wait = second
-	if r.step(e); len(r.sends) != 0 || r.p.eps[1].score != 0 {
-		t.Fatalf("sent again at once, or blamed: %v", r.acts)
+	e := endOf(r.sends[0], NotSent)
+	e.RetryAfter = second
+	if r.step(e); len(r.sends) != 0 || r.engine.endpoints[1].failureScore != 0 {
+		t.Fatalf("sent again at once, or blamed: %v", r.actions)
 	}
 	r.now += second + 5000
 	if r.step(Event{Kind: EvTimer}); len(r.sends) != 1 {
-		t.Fatalf("not sent after the wait: %v", r.acts)
+		t.Fatalf("not sent after the wait: %v", r.actions)
 	}
 }
--- a/decide/decide_test.go
+++ b/decide/decide_test.go
@@ -9,53 +9,53 @@
 	"unicode/utf8"
 )
 
-// one returns settings for a relay with one safe class and one kind of destination.
-func one() Settings {
-	return Settings{Relays: 2, Slots: 8, MaxHeld: 100, MaxAttempts: 9, Halving: true, OverShareWorth: 0.1,
-		RatesListed: true, Probes: true, Cancels: true, RetryAfter: true, MaxRetryAfter: 2 * second, Tick: 5000,
-		AnswerSlack: 20000, DrainGrace: second, StartCapacity: 0.2, RampTime: 10 * second, OverloadFactor: 2,
-		FallTime: 3 * second, KeepAlive: 10 * second, ConnectTimeout: second, Kinds: []Kind{{Batch: 1}},
-		Classes: []Class{{Name: "m", Aim: 2 * second, Deadline: 20 * second, Worth: 1, LateWorth: 0.3}}}
-}
-
-// rig drives a policy by hand: a steady host that answers as told.
-type rig struct {
-	t      *testing.T
-	p      *Policy
-	now    Time
-	acts   []Action
-	next   uint32
-	sends  []Action
-	sentAt []Time
-	events []Event
-}
-
-func newRig(t *testing.T, s Settings, entries ...Entry) *rig {
+// singleClassSettings returns settings for a relay with one safe class and one kind of destination.
+func singleClassSettings() Settings {
+	return Settings{Relays: 2, MaxConcurrentCalls: 8, MaxPending: 100, MaxAttempts: 9, ExponentialDecay: true, OverQuotaWeight: 0.1,
+		ListHasRates: true, HealthChecks: true, Cancellation: true, SendRetryAfter: true, MaxRetryAfter: 2 * second, TickInterval: 5000,
+		ReplyGrace: 20000, DrainGrace: second, InitialCapacity: 0.2, RampDuration: 10 * second, OverloadFactor: 2,
+		OverloadDuration: 3 * second, IdleTimeout: 10 * second, ConnectTimeout: second, DestinationKinds: []DestinationKind{{BatchSize: 1}},
+		Classes: []Class{{Name: "m", LatencyObjective: 2 * second, Deadline: 20 * second, Weight: 1, LateWeight: 0.3}}}
+}
+
+// harness drives a policy by hand: a steady host that answers as told.
+type harness struct {
+	t           *testing.T
+	engine      *Engine
+	now         Time
+	actions     []Action
+	nextMessage uint32
+	sends       []Action
+	sentAt      []Time
+	events      []Event
+}
+
+func newHarness(t *testing.T, s Settings, entries ...EndpointUpdate) *harness {
 	t.Helper()
 	p, err := New(s, 1)
 	if err != nil {
 		t.Fatal(err)
 	}
-	r := &rig{t: t, p: p, now: 1000 * second, next: 1}
-	r.step(Event{Kind: EvList, List: ListCached, Entries: entries})
+	r := &harness{t: t, engine: p, now: 1000 * second, nextMessage: 1}
+	r.step(Event{Kind: EvListUpdated, ListUpdate: ListCached, Updates: entries})
 	return r
 }
 
-func (r *rig) step(events ...Event) []Action {
-	r.acts = r.p.Step(r.now, events, nil)
+func (r *harness) step(events ...Event) []Action {
+	r.actions = r.engine.Step(r.now, events, nil)
 	r.sends = nil
-	for _, a := range r.acts {
+	for _, a := range r.actions {
 		if a.Kind == ActSend {
 			r.sends = append(r.sends, a)
 			r.sentAt = append(r.sentAt, r.now)
 		}
 	}
-	return r.acts
+	return r.actions
 }
 
-func (r *rig) message(class, dest int) Event {
-	r.next++
-	return Event{Kind: EvMessage, Message: r.next - 1, Class: class, Dest: dest, Left: r.p.set.Classes[class].Deadline}
+func (r *harness) message(class, dest int) Event {
+	r.nextMessage++
+	return Event{Kind: EvMessageSubmitted, Message: r.nextMessage - 1, Class: class, Destination: dest, TimeLeft: r.engine.settings.Classes[class].Deadline}
 }
 
 func count(acts []Action, k ActionKind) int {
@@ -68,11 +68,13 @@
 	return n
 }
 
-func ready(id Endpoint, rate float64) Entry { return Entry{Endpoint: id, State: Ready, Rate: rate} }
+func readyEndpoint(id EndpointID, rate float64) EndpointUpdate {
+	return EndpointUpdate{Endpoint: id, State: Ready, Rate: rate}
+}
 
-func answer(a Action, o Outcome) Event {
-	return Event{Kind: EvOutcome, Message: a.Message, Endpoint: a.Endpoint, Attempt: a.Attempt, Outcome: o,
-		Took: second / 10, Settled: o == Delivered}
+func endOf(a Action, o Outcome) Event {
+	return Event{Kind: EvAttemptEnded, Message: a.Message, Endpoint: a.Endpoint, Attempt: a.Attempt, Outcome: o,
+		Latency: second / 10, MessageFinished: o == Delivered}
 }
 
 func TestDropChance(t *testing.T) {
@@ -84,14 +86,14 @@
 		{1000, 0, 0.9},   // dead: the cap
 		{3, 0, 0},        // hardly asked: that tells nothing
 	} {
-		if got := dropChance(c.req, c.acc); math.Abs(got-c.want) > 1e-9 {
+		if got := dropProbability(c.req, c.acc); math.Abs(got-c.want) > 1e-9 {
 			t.Errorf("dropChance(%v, %v) = %v, want %v", c.req, c.acc, got, c.want)
 		}
 	}
 }
 
 func TestHistoryExpires(t *testing.T) {
-	c := newCounter(10*second, 20)
+	c := newSlidingCounter(10*second, 20)
 	for i := range Time(10) {
 		c.request(i * second)
 		c.accept(i * second)
@@ -108,23 +110,23 @@
 
 // TestLocalDropsCount: a draw is a request whether or not it passes.
 func TestLocalDropsCount(t *testing.T) {
-	r := newRig(t, one(), ready(1, 10))
-	l := r.p.eps[1].lane
+	r := newHarness(t, singleClassSettings(), readyEndpoint(1, 10))
+	l := r.engine.endpoints[1].limiter
 	drops := 0
 	for range 200 {
-		if r.p.dropped(l) {
+		if r.engine.drawDrop(l) {
 			drops++
 		}
 	}
-	if req, _ := l.hist.totals(r.now); req != 200 || drops < 140 || drops > 195 {
+	if req, _ := l.history.totals(r.now); req != 200 || drops < 140 || drops > 195 {
 		t.Fatalf("%v requests counted, %d drops of 200", req, drops)
 	}
 }
 
 // TestWindow: it starts at one, grows by one with each success, and halves on a refusal or a time-out.
 func TestWindow(t *testing.T) {
-	r := newRig(t, one(), ready(1, 1000))
-	l := r.p.eps[1].lane
+	r := newHarness(t, singleClassSettings(), readyEndpoint(1, 1000))
+	l := r.engine.endpoints[1].limiter
 	var burst []Event
 	for range 20 {
 		burst = append(burst, r.message(0, 0))
@@ -134,14 +136,14 @@
 		t.Fatalf("%d calls in the first turn, want 1", len(r.sends))
 	}
 	r.now += second / 10
-	r.step(answer(r.sends[0], Delivered))
+	r.step(endOf(r.sends[0], Delivered))
 	if len(r.sends) != 2 || l.window != 2 {
 		t.Fatalf("%d calls after a success, window %v, want 2 and 2", len(r.sends), l.window)
 	}
-	for _, o := range []Outcome{Full, TimedOut} {
+	for _, o := range []Outcome{Rejected, TimedOut} {
 		l.window = 6
 		r.now += second / 10
-		r.p.observe(&call{ep: r.p.eps[1], sent: r.now, msgs: []*message{{class: &r.p.set.Classes[0]}}}, &Event{Kind: EvOutcome, Outcome: o})
+		r.engine.observeCall(&call{endpoint: r.engine.endpoints[1], sentAt: r.now, messages: []*message{{class: &r.engine.settings.Classes[0]}}}, &Event{Kind: EvAttemptEnded, Outcome: o})
 		if l.window != 3 {
 			t.Errorf("window after outcome %d: %v, want 3", o, l.window)
 		}
@@ -151,25 +153,25 @@
 // TestSlotsAtOneDestination: three quarters of the slots at most, half while it fails.
 func TestSlotsAtOneDestination(t *testing.T) {
 	for _, failing := range []bool{false, true} {
-		r := newRig(t, one(), ready(1, 1000))
-		l := r.p.eps[1].lane
+		r := newHarness(t, singleClassSettings(), readyEndpoint(1, 1000))
+		l := r.engine.endpoints[1].limiter
 		l.window = 100
 		want := 6
 		if failing {
-			r.p.eps[1].score, want = 0.35, 4
+			r.engine.endpoints[1].failureScore, want = 0.35, 4
 		}
 		for range 10 {
 			r.step(r.message(0, 0), r.message(0, 0))
 		}
-		if l.dest.flying != want {
-			t.Errorf("failing %v: %d calls out of 8 slots, want %d", failing, l.dest.flying, want)
+		if l.destination.callsInFlight != want {
+			t.Errorf("failing %v: %d calls out of 8 slots, want %d", failing, l.destination.callsInFlight, want)
 		}
 	}
 }
 
-// outage sends a message each 100 ms; the destination answers with o from the first second to the twelfth.
-func outage(t *testing.T, s Settings, rate float64, o Outcome) *rig {
-	r := newRig(t, s, ready(1, rate/2), ready(2, rate/2))
+// runOutage sends a message each 100 ms; the destination answers with o from the first second to the twelfth.
+func runOutage(t *testing.T, s Settings, rate float64, o Outcome) *harness {
+	r := newHarness(t, s, readyEndpoint(1, rate/2), readyEndpoint(2, rate/2))
 	start := r.now
 	type out struct {
 		a   Action
@@ -186,14 +188,14 @@
 				still = append(still, f)
 				continue
 			}
-			events = append(events, answer(f.a, f.o))
+			events = append(events, endOf(f.a, f.o))
 		}
 		flights = still
 		if (r.now-start)%(second/10) == 0 {
 			events = append(events, r.message(0, 0))
 		}
 		r.step(events...)
-		for _, a := range r.acts {
+		for _, a := range r.actions {
 			switch a.Kind {
 			case ActSend:
 				a.Attempt = tries[a.Message]
@@ -202,7 +204,7 @@
 				if at := r.now - start; at > second && at < 12*second {
 					f.o = o
 					if o == TimedOut {
-						f.due = a.At
+						f.due = a.TimeoutAt
 					}
 				}
 				flights = append(flights, f)
@@ -213,12 +215,12 @@
 	return r
 }
 
-// TestFailBackBudget: after an outage seen, this relay's part of the budget holds in any window of the fall
+// TestRecoveryBudget: after an outage seen, this relay's part of the budget holds in any window of the fall
 // time, from the return on, with the capacity at its slowest ramp.
-func TestFailBackBudget(t *testing.T) {
-	for _, o := range []Outcome{Errored, TimedOut, NoConnect, Reset, Full} {
-		s := one()
-		r := outage(t, s, 20, o)
+func TestRecoveryBudget(t *testing.T) {
+	for _, o := range []Outcome{Failed, TimedOut, ConnectFailed, ConnectionReset, Rejected} {
+		s := singleClassSettings()
+		r := runOutage(t, s, 20, o)
 		start, back := 1000*second, 1012*second
 		early, late := 0, 0
 		for _, at := range r.sentAt {
@@ -229,14 +231,14 @@
 				late++
 			}
 		}
-		for from := back; from < back+s.RampTime; from += second / 4 {
+		for from := back; from < back+s.RampDuration; from += second / 4 {
 			n := 0
 			for _, at := range r.sentAt {
-				if at >= from && at < from+s.FallTime {
+				if at >= from && at < from+s.OverloadDuration {
 					n++
 				}
 			}
-			share := s.StartCapacity + (1-s.StartCapacity)*float64(from-back)/float64(s.RampTime)
+			share := s.InitialCapacity + (1-s.InitialCapacity)*float64(from-back)/float64(s.RampDuration)
 			most := s.OverloadFactor * share * 20 * 3 / float64(s.Relays)
 			if float64(n) > most+2 { // a trial at each endpoint is the allowance for chance
 				t.Errorf("outcome %d: %d calls in the 3 s from %d ms after the return, want at most %.1f", o, n,
@@ -249,86 +251,86 @@
 	}
 }
 
-// TestPartialSuccessKeepsTheBudget: a success amid failures starts no ramp that survives the next failure.
-func TestPartialSuccessKeepsTheBudget(t *testing.T) {
-	r := newRig(t, one(), ready(1, 10))
-	ep := r.p.eps[1]
-	r.p.failed(ep, r.now, false)
-	r.p.failed(ep, r.now, false)
-	if ep.sick {
+// TestPartialSuccessKeepsRecoveryBudget: a success amid failures starts no ramp that survives the next failure.
+func TestPartialSuccessKeepsRecoveryBudget(t *testing.T) {
+	r := newHarness(t, singleClassSettings(), readyEndpoint(1, 10))
+	ep := r.engine.endpoints[1]
+	r.engine.recordFailure(ep, r.now, false)
+	r.engine.recordFailure(ep, r.now, false)
+	if ep.unhealthy {
 		t.Fatal("two failures in a row are an outage")
 	}
-	r.p.failed(ep, r.now, false)
-	if !ep.sick {
+	r.engine.recordFailure(ep, r.now, false)
+	if !ep.unhealthy {
 		t.Fatal("three failures in a row are no outage")
 	}
 	r.now += second
-	r.p.now = r.now
-	r.p.healthy(ep, r.now)
-	r.p.now += 5 * second
-	if r.p.ramped(ep) < 0.5 {
-		t.Fatalf("half a ramp gives %v", r.p.ramped(ep))
+	r.engine.now = r.now
+	r.engine.recordSuccess(ep, r.now)
+	r.engine.now += 5 * second
+	if r.engine.rampedCapacity(ep) < 0.5 {
+		t.Fatalf("half a ramp gives %v", r.engine.rampedCapacity(ep))
 	}
-	r.p.failed(ep, r.p.now, false)
-	r.p.failed(ep, r.p.now, false)
-	if got := r.p.ramped(ep); got != 0.2 || !ep.sick {
-		t.Fatalf("after a failure in the ramp: share %v, out %v", got, ep.sick)
+	r.engine.recordFailure(ep, r.engine.now, false)
+	r.engine.recordFailure(ep, r.engine.now, false)
+	if got := r.engine.rampedCapacity(ep); got != 0.2 || !ep.unhealthy {
+		t.Fatalf("after a failure in the ramp: share %v, out %v", got, ep.unhealthy)
 	}
 }
 
-// TestOldCallsTellNothingOfTheReturn: what left before the outage was over does not restart it.
-func TestOldCallsTellNothingOfTheReturn(t *testing.T) {
-	r := newRig(t, one(), ready(1, 10))
-	ep := r.p.eps[1]
+// TestCallsBeforeRecoveryAreIgnored: what left before the outage was over does not restart it.
+func TestCallsBeforeRecoveryAreIgnored(t *testing.T) {
+	r := newHarness(t, singleClassSettings(), readyEndpoint(1, 10))
+	ep := r.engine.endpoints[1]
 	early := r.now
 	for range 3 {
-		r.p.failed(ep, r.now, true)
+		r.engine.recordFailure(ep, r.now, true)
 	}
-	r.p.now += 3 * second
-	r.p.healthy(ep, r.p.now-second/10)
-	good := ep.goodAt
-	r.p.failed(ep, early, true)
-	if good == 0 || ep.goodAt != good {
-		t.Fatalf("ramp began at %d and now says %d", good, ep.goodAt)
+	r.engine.now += 3 * second
+	r.engine.recordSuccess(ep, r.engine.now-second/10)
+	good := ep.recoveredAt
+	r.engine.recordFailure(ep, early, true)
+	if good == 0 || ep.recoveredAt != good {
+		t.Fatalf("ramp began at %d and now says %d", good, ep.recoveredAt)
 	}
 }
 
-// TestTimeoutNotUnderAim: one quick answer must not make the next slow one look like an outage.
-func TestTimeoutNotUnderAim(t *testing.T) {
-	r := newRig(t, one(), ready(1, 1000))
+// TestTimeoutNotBelowLatencyObjective: one quick answer must not make the next slow one look like an outage.
+func TestTimeoutNotBelowLatencyObjective(t *testing.T) {
+	r := newHarness(t, singleClassSettings(), readyEndpoint(1, 1000))
 	r.step(r.message(0, 0))
-	e := answer(r.sends[0], Delivered)
-	e.Took = 1000
+	e := endOf(r.sends[0], Delivered)
+	e.Latency = 1000
 	r.now += 1000
 	r.step(e)
 	r.step(r.message(0, 0))
-	if len(r.sends) != 1 || r.sends[0].At-r.now < 2*second {
+	if len(r.sends) != 1 || r.sends[0].TimeoutAt-r.now < 2*second {
 		t.Fatalf("sends %+v at %d: time-out under the aim", r.sends, r.now)
 	}
 }
 
-// TestChanceOfASmallShare: with many relays a lane still lets a few arrivals close together pass.
-func TestChanceOfASmallShare(t *testing.T) {
-	s := one()
+// TestSmallShareAllowsBurst: with many relays a lane still lets a few arrivals close together pass.
+func TestSmallShareAllowsBurst(t *testing.T) {
+	s := singleClassSettings()
 	s.Relays = 12
-	r := newRig(t, s, ready(1, 9))
-	r.p.eps[1].lane.window = 5
+	r := newHarness(t, s, readyEndpoint(1, 9))
+	r.engine.endpoints[1].limiter.window = 5
 	r.step(r.message(0, 0), r.message(0, 0), r.message(0, 0))
 	if len(r.sends) != 3 {
 		t.Fatalf("%d of 3 calls passed at once", len(r.sends))
 	}
 }
 
-// TestTrialsUseMessages: a trial call is a message that waits; an unsafe one only once it is late.
-func TestTrialsUseMessages(t *testing.T) {
+// TestTrialCallsUsePendingMessages: a trial call is a message that waits; an unsafe one only once it is late.
+func TestTrialCallsUsePendingMessages(t *testing.T) {
 	for _, unsafe := range []bool{false, true} {
-		s := one()
+		s := singleClassSettings()
 		if unsafe {
-			s.Classes[0].Repeat = Unsafe
+			s.Classes[0].Idempotency = NonIdempotent
 		}
-		r := newRig(t, s, ready(1, 10))
+		r := newHarness(t, s, readyEndpoint(1, 10))
 		for range 3 {
-			r.p.failed(r.p.eps[1], r.now, true)
+			r.engine.recordFailure(r.engine.endpoints[1], r.now, true)
 		}
 		start := r.now
 		r.step(r.message(0, 0))
@@ -336,34 +338,34 @@
 			r.now += second / 20
 			r.step()
 		}
-		if len(r.sends) != 1 || unsafe && r.now <= start+s.Classes[0].Aim {
+		if len(r.sends) != 1 || unsafe && r.now <= start+s.Classes[0].LatencyObjective {
 			t.Errorf("unsafe %v: %d sends after %d ms", unsafe, len(r.sends), (r.now-start)/1000)
 		}
 	}
 }
 
-// TestBatchOfOneTurn: what waits for one endpoint shares a call and a slot, and the call counts once.
-func TestBatchOfOneTurn(t *testing.T) {
-	s := one()
-	s.Kinds[0].Batch = 3
-	r := newRig(t, s, ready(1, 10))
+// TestBatchSharesOneCall: what waits for one endpoint shares a call and a slot, and the call counts once.
+func TestBatchSharesOneCall(t *testing.T) {
+	s := singleClassSettings()
+	s.DestinationKinds[0].BatchSize = 3
+	r := newHarness(t, s, readyEndpoint(1, 10))
 	r.step(r.message(0, 0), r.message(0, 0), r.message(0, 0))
-	if len(r.sends) != 3 || r.p.calls != 1 {
-		t.Fatalf("%d sends in %d calls, want 3 in 1", len(r.sends), r.p.calls)
+	if len(r.sends) != 3 || r.engine.callsInFlight != 1 {
+		t.Fatalf("%d sends in %d calls, want 3 in 1", len(r.sends), r.engine.callsInFlight)
 	}
 	r.now += second / 5
-	r.step(answer(r.sends[0], Delivered))
-	if r.p.calls != 1 {
+	r.step(endOf(r.sends[0], Delivered))
+	if r.engine.callsInFlight != 1 {
 		t.Fatal("the slot was freed before the call's last outcome")
 	}
 }
 
-// TestWorthOrder: what loses most by waiting goes first; what is over its tenant's share goes last.
-func TestWorthOrder(t *testing.T) {
-	s := one()
-	s.Classes = append(s.Classes, Class{Name: "dear", Aim: 2 * second, Deadline: 20 * second, Worth: 3, LateWorth: 0.3})
+// TestQueueOrderedByWeight: what loses most by waiting goes first; what is over its tenant's share goes last.
+func TestQueueOrderedByWeight(t *testing.T) {
+	s := singleClassSettings()
+	s.Classes = append(s.Classes, Class{Name: "dear", LatencyObjective: 2 * second, Deadline: 20 * second, Weight: 3, LateWeight: 0.3})
 	s.Tenants = []Tenant{{Name: "a", Quota: 2}, {Name: "b", Quota: 100}}
-	r := newRig(t, s, ready(1, 2))
+	r := newHarness(t, s, readyEndpoint(1, 2))
 	r.step(r.message(0, 0)) // takes the window of one
 	var events []Event
 	for i := range 6 {
@@ -375,58 +377,58 @@
 		events = append(events, e)
 	}
 	r.step(events...)
-	r.p.order(r.p.dests[0])
-	q := r.p.dests[0].queue
-	if len(q) != 6 || q[0].class.Name != "dear" || q[5].worth > 0.5 && q[4].worth > 0.5 {
-		t.Fatalf("queue of %d, first %s, last worth %v", len(q), q[0].class.Name, q[5].worth)
+	r.engine.orderQueue(r.engine.destinations[0])
+	q := r.engine.destinations[0].queue
+	if len(q) != 6 || q[0].class.Name != "dear" || q[5].weight > 0.5 && q[4].weight > 0.5 {
+		t.Fatalf("queue of %d, first %s, last worth %v", len(q), q[0].class.Name, q[5].weight)
 	}
 }
 
-// TestNoEndpoint: a message without a usable endpoint is held, then answered in time by its class.
-func TestNoEndpoint(t *testing.T) {
-	r := newRig(t, one())
+// TestMessageWithoutEndpoint: a message without a usable endpoint is held, then answered in time by its class.
+func TestMessageWithoutEndpoint(t *testing.T) {
+	r := newHarness(t, singleClassSettings())
 	r.step(r.message(0, 7))
-	if count(r.acts, ActTimer) != 1 || count(r.acts, ActRefuse) != 0 {
-		t.Fatalf("actions %+v", r.acts)
+	if count(r.actions, ActTimer) != 1 || count(r.actions, ActReject) != 0 {
+		t.Fatalf("actions %+v", r.actions)
 	}
 	r.now += 20*second - 5000
-	if r.step(); count(r.acts, ActRefuse) != 1 {
-		t.Fatalf("no answer before the deadline: %+v", r.acts)
+	if r.step(); count(r.actions, ActReject) != 1 {
+		t.Fatalf("no answer before the deadline: %+v", r.actions)
 	}
 }
 
 // TestUnknownClass: nothing is known of such a message, and nothing has run.
 func TestUnknownClass(t *testing.T) {
-	r := newRig(t, one(), ready(1, 10))
+	r := newHarness(t, singleClassSettings(), readyEndpoint(1, 10))
 	e := r.message(0, 0)
 	e.Class = 9
-	if r.step(e); count(r.acts, ActRefuse) != 1 || len(r.sends) != 0 {
-		t.Fatalf("actions %+v", r.acts)
+	if r.step(e); count(r.actions, ActReject) != 1 || len(r.sends) != 0 {
+		t.Fatalf("actions %+v", r.actions)
 	}
 }
 
-func TestSettingsThatCannotBe(t *testing.T) {
+func TestInvalidSettings(t *testing.T) {
 	for _, c := range []struct {
 		key    string
 		change func(*Settings)
 	}{
-		{"Slots", func(s *Settings) { s.Slots = 0 }},
+		{"Slots", func(s *Settings) { s.MaxConcurrentCalls = 0 }},
 		{"Relays", func(s *Settings) { s.Relays = 0 }},
-		{"FallTime", func(s *Settings) { s.FallTime = -1 }},
-		{"Classes[0].Repeat", func(s *Settings) { s.Classes[0].Repeat = 9 }},
+		{"FallTime", func(s *Settings) { s.OverloadDuration = -1 }},
+		{"Classes[0].Repeat", func(s *Settings) { s.Classes[0].Idempotency = 9 }},
 		{"Classes[0].Deadline", func(s *Settings) { s.Classes[0].Deadline = 0 }},
 		{"Classes[0].DedupWindow", func(s *Settings) { s.Classes[0].DedupWindow = -5 }},
 		{"Classes", func(s *Settings) { s.Classes = nil }},
-		{"StartCapacity", func(s *Settings) { s.StartCapacity = math.NaN() }},
-		{"Kinds[0].Batch", func(s *Settings) { s.Kinds[0].Batch = -1 }},
+		{"StartCapacity", func(s *Settings) { s.InitialCapacity = math.NaN() }},
+		{"Kinds[0].Batch", func(s *Settings) { s.DestinationKinds[0].BatchSize = -1 }},
 	} {
-		s := one()
+		s := singleClassSettings()
 		c.change(&s)
 		if _, err := New(s, 1); err == nil || !strings.Contains(err.Error(), c.key) {
 			t.Errorf("%s: error %v", c.key, err)
 		}
 	}
-	if _, err := New(one(), 1); err != nil {
+	if _, err := New(singleClassSettings(), 1); err != nil {
 		t.Errorf("good settings: %v", err)
 	}
 }
@@ -455,27 +457,27 @@
 	}
 }
 
-// TestReclaim: calls that never come back do not hold the last slots while messages wait, and a call to an
+// TestOverdueCallsAreCancelled: calls that never come back do not hold the last slots while messages wait, and a call to an
 // endpoint that has answered others since does not count against it.
-func TestReclaim(t *testing.T) {
-	s := one()
-	s.Slots = 2
-	r := newRig(t, s, Entry{Endpoint: 1, State: Ready, Dest: 0, Rate: 1000}, Entry{Endpoint: 2, State: Ready, Dest: 1, Rate: 1000})
+func TestOverdueCallsAreCancelled(t *testing.T) {
+	s := singleClassSettings()
+	s.MaxConcurrentCalls = 2
+	r := newHarness(t, s, EndpointUpdate{Endpoint: 1, State: Ready, Destination: 0, Rate: 1000}, EndpointUpdate{Endpoint: 2, State: Ready, Destination: 1, Rate: 1000})
 	for dest := range 2 { // both have answered once, so what is usual is known
 		r.step(r.message(0, dest))
 		r.now += second / 10
-		r.step(answer(r.sends[0], Delivered))
+		r.step(endOf(r.sends[0], Delivered))
 	}
 	r.now += second
 	r.step(r.message(0, 0), r.message(0, 1), r.message(0, 1))
-	if r.p.calls != 2 {
-		t.Fatalf("%d calls out, want both slots taken", r.p.calls)
+	if r.engine.callsInFlight != 2 {
+		t.Fatalf("%d calls out, want both slots taken", r.engine.callsInFlight)
 	}
 	cancels := 0
 	for range 400 {
 		r.now += 5000
 		r.step()
-		cancels += count(r.acts, ActCancel)
+		cancels += count(r.actions, ActCancel)
 		if cancels > 0 {
 			break
 		}
@@ -483,66 +485,66 @@
 	if cancels == 0 {
 		t.Fatal("no overdue call was called off")
 	}
-	ep := r.p.eps[1]
-	ep.okAt = r.now
-	before := ep.score
-	r.p.observe(&call{ep: ep, sent: r.now - second}, &Event{Kind: EvOutcome, Outcome: Cancelled})
-	if ep.score != before {
+	ep := r.engine.endpoints[1]
+	ep.lastSuccessAt = r.now
+	before := ep.failureScore
+	r.engine.observeCall(&call{endpoint: ep, sentAt: r.now - second}, &Event{Kind: EvAttemptEnded, Outcome: Cancelled})
+	if ep.failureScore != before {
 		t.Error("a call called off counted against an endpoint that has answered since")
 	}
 }
 
-// TestFewerThanHalfFailing: where most calls pass, failures neither make an outage nor undo a ramp.
-func TestFewerThanHalfFailing(t *testing.T) {
-	r := newRig(t, one(), ready(1, 10))
-	ep := r.p.eps[1]
+// TestMinorityOfFailures: where most calls pass, failures neither make an outage nor undo a ramp.
+func TestMinorityOfFailures(t *testing.T) {
+	r := newHarness(t, singleClassSettings(), readyEndpoint(1, 10))
+	ep := r.engine.endpoints[1]
 	for i := range 300 { // two of five fail
-		r.p.now += second / 10
+		r.engine.now += second / 10
 		if i%5 == 1 || i%5 == 3 {
-			r.p.failed(ep, r.p.now, false)
+			r.engine.recordFailure(ep, r.engine.now, false)
 		} else {
-			r.p.healthy(ep, r.p.now)
+			r.engine.recordSuccess(ep, r.engine.now)
 		}
-		if ep.sick {
+		if ep.unhealthy {
 			t.Fatalf("out after %d calls of which two in five failed", i)
 		}
 	}
 	for range 3 {
-		r.p.failed(ep, r.p.now, false)
+		r.engine.recordFailure(ep, r.engine.now, false)
 	}
 	for range 6 {
-		r.p.healthy(ep, r.p.now)
+		r.engine.recordSuccess(ep, r.engine.now)
 	}
-	good := ep.goodAt
-	r.p.failed(ep, r.p.now, false)
-	if good == 0 || ep.goodAt != good {
+	good := ep.recoveredAt
+	r.engine.recordFailure(ep, r.engine.now, false)
+	if good == 0 || ep.recoveredAt != good {
 		t.Fatal("one failure among passes undid the ramp")
 	}
 }
 
-// TestRestAfterARefusal: the first rest after an untold refusal is this relay's turn at the limit, but no longer
+// TestBackoffAfterRejection: the first rest after an untold refusal is this relay's turn at the limit, but no longer
 // than a message has to its aim.
-func TestRestAfterARefusal(t *testing.T) {
+func TestBackoffAfterRejection(t *testing.T) {
 	for _, n := range []int{2, 7, 400} {
-		s := one()
+		s := singleClassSettings()
 		s.Relays = n
-		r := newRig(t, s, ready(1, 4))
-		l := r.p.eps[1].lane
-		r.p.observe(&call{ep: r.p.eps[1], sent: r.now, msgs: []*message{{class: &r.p.set.Classes[0]}}}, &Event{Kind: EvOutcome, Outcome: Full})
+		r := newHarness(t, s, readyEndpoint(1, 4))
+		l := r.engine.endpoints[1].limiter
+		r.engine.observeCall(&call{endpoint: r.engine.endpoints[1], sentAt: r.now, messages: []*message{{class: &r.engine.settings.Classes[0]}}}, &Event{Kind: EvAttemptEnded, Outcome: Rejected})
 		turn := min(Time(n)*second/4, 2*second)
-		if rest := l.pauseUntil - r.now; rest < turn/2 || rest > turn*3/2 {
+		if rest := l.backoffUntil - r.now; rest < turn/2 || rest > turn*3/2 {
 			t.Errorf("%d relays: a rest of %d ms at 4 calls a second", n, rest/1000)
 		}
 	}
 }
 
-// TestShedLatest: with the room nearly full the message that opens latest is handed back, not the next arrival.
-func TestShedLatest(t *testing.T) {
-	s := one()
-	s.MaxHeld = 16
-	r := newRig(t, s, Entry{Endpoint: 1, State: Ready, Dest: 0, Rate: 4}, Entry{Endpoint: 2, State: Ready, Dest: 1, Rate: 4})
-	r.p.eps[1].lane.pauseUntil = r.now + 15*second
-	r.p.eps[2].lane.pauseUntil = r.now + second
+// TestLoadSheddingOrder: with the room nearly full the message that opens latest is handed back, not the next arrival.
+func TestLoadSheddingOrder(t *testing.T) {
+	s := singleClassSettings()
+	s.MaxPending = 16
+	r := newHarness(t, s, EndpointUpdate{Endpoint: 1, State: Ready, Destination: 0, Rate: 4}, EndpointUpdate{Endpoint: 2, State: Ready, Destination: 1, Rate: 4})
+	r.engine.endpoints[1].limiter.backoffUntil = r.now + 15*second
+	r.engine.endpoints[2].limiter.backoffUntil = r.now + second
 	var events []Event
 	dest := map[uint32]int{}
 	for i := range 16 {
@@ -552,8 +554,8 @@
 	}
 	r.step(events...)
 	refused := 0
-	for _, a := range r.acts {
-		if a.Kind == ActRefuse {
+	for _, a := range r.actions {
+		if a.Kind == ActReject {
 			refused++
 			if dest[a.Message] != 0 {
 				t.Errorf("message %d of the destination that opens soon was shed", a.Message)
@@ -565,52 +567,52 @@
 	}
 }
 
-// TestCrowdIsCheap guards the core in a crowd: where all the room is taken, making some for the next message
+// TestManyPendingMessagesAreCheap guards the core in a crowd: where all the room is taken, making some for the next message
 // asked for each one held when its destination opens, which took a relay's whole share of a core at four times
 // the usual traffic; notices then came too late.
-func TestCrowdIsCheap(t *testing.T) {
+func TestManyPendingMessagesAreCheap(t *testing.T) {
 	const dests = 5
-	s := one()
-	s.MaxHeld = 400
-	var list []Entry
+	s := singleClassSettings()
+	s.MaxPending = 400
+	var list []EndpointUpdate
 	for i := range dests {
-		x := ready(Endpoint(i+1), 1)
-		x.Dest = i
+		x := readyEndpoint(EndpointID(i+1), 1)
+		x.Destination = i
 		list = append(list, x)
 	}
-	r := newRig(t, s, list...)
+	r := newHarness(t, s, list...)
 	for i := range 1000 {
-		before := r.p.looks
+		before := r.engine.nextSendTimeCalls
 		r.step(r.message(0, i%dests))
-		if n := r.p.looks - before; n > 3*dests {
+		if n := r.engine.nextSendTimeCalls - before; n > 3*dests {
 			t.Fatalf("message %d: %d destinations looked at, %d there are", i, n, dests)
 		}
 	}
-	if len(r.p.live) < 300 {
-		t.Fatalf("%d held: no crowd", len(r.p.live))
+	if len(r.engine.pending) < 300 {
+		t.Fatalf("%d held: no crowd", len(r.engine.pending))
 	}
 }
 
-// TestGrowth: ids, messages and waits of what has gone leave nothing behind.
-func TestGrowth(t *testing.T) {
-	s := one()
-	s.Kinds = []Kind{{Apart: true, Batch: 1}}
-	r := newRig(t, s, ready(1, 5))
+// TestRateMultiplierGrowth: ids, messages and waits of what has gone leave nothing behind.
+func TestRateMultiplierGrowth(t *testing.T) {
+	s := singleClassSettings()
+	s.DestinationKinds = []DestinationKind{{IndependentRoutes: true, BatchSize: 1}}
+	r := newHarness(t, s, readyEndpoint(1, 5))
 	kept := func() int {
-		return len(r.p.eps) + len(r.p.msgs) + len(r.p.live) + len(r.p.later.items) + len(r.p.dests[0].lanes)
+		return len(r.engine.endpoints) + len(r.engine.messages) + len(r.engine.pending) + len(r.engine.timers.items) + len(r.engine.destinations[0].limiters)
 	}
 	after := 0
 	for i := range 3000 {
 		acts := r.step(r.message(0, 0))
 		for _, a := range acts {
 			if a.Kind == ActSend {
-				e := answer(a, Full)
-				e.Wait = second
-				r.step(e, Event{Kind: EvWithdraw, Message: a.Message})
+				e := endOf(a, Rejected)
+				e.RetryAfter = second
+				r.step(e, Event{Kind: EvMessageWithdrawn, Message: a.Message})
 			}
 		}
-		x := ready(Endpoint(i+2), 5)
-		r.step(Event{Kind: EvList, Entries: []Entry{{Endpoint: Endpoint(i + 1), State: Gone}, x}})
+		x := readyEndpoint(EndpointID(i+2), 5)
+		r.step(Event{Kind: EvListUpdated, Updates: []EndpointUpdate{{Endpoint: EndpointID(i + 1), State: Gone}, x}})
 		r.now += second
 		r.step()
 		if i == 300 {
@@ -622,12 +624,12 @@
 	}
 }
 
-// TestFleetBudget: after an outage that every relay has seen, all relays together stay inside the budget of a
+// TestRecoveryBudgetOfFleet: after an outage that every relay has seen, all relays together stay inside the budget of a
 // cold destination, for two relays and for hundreds.
-func TestFleetBudget(t *testing.T) {
+func TestRecoveryBudgetOfFleet(t *testing.T) {
 	for _, n := range []int{2, 50, 400} {
-		s := one()
-		s.Relays, s.MaxHeld = n, 1000
+		s := singleClassSettings()
+		s.Relays, s.MaxPending = n, 1000
 		const rate = 20.0
 		back := 1012 * second
 		calls := make([]float64, 40) // by half seconds from the return on
@@ -637,9 +639,9 @@
 				t.Fatal(err)
 			}
 			now := 1000*second + Time(k)*1000
-			events := []Event{{Kind: EvList, List: ListCached, Entries: []Entry{ready(1, rate)}}}
+			events := []Event{{Kind: EvListUpdated, ListUpdate: ListCached, Updates: []EndpointUpdate{readyEndpoint(1, rate)}}}
 			for i := range max(1, 240/n) { // twelve seconds of traffic, spread over the relays
-				events = append(events, Event{Kind: EvMessage, Message: uint32(i + 1), Left: 30 * second})
+				events = append(events, Event{Kind: EvMessageSubmitted, Message: uint32(i + 1), TimeLeft: 30 * second})
 			}
 			tries := map[uint32]int{}
 			for now < back+10*second {
@@ -650,7 +652,7 @@
 						if at := (now - back) * 2 / second; now >= back {
 							calls[at]++
 						}
-						e := answer(a, NoConnect)
+						e := endOf(a, ConnectFailed)
 						e.Attempt = tries[a.Message]
 						tries[a.Message]++
 						events = append(events, e)
@@ -664,27 +666,27 @@
 			for _, c := range calls[from : from+6] {
 				sum += c
 			}
-			if most := s.OverloadFactor * s.StartCapacity * rate * 3; sum > most*1.25 {
+			if most := s.OverloadFactor * s.InitialCapacity * rate * 3; sum > most*1.25 {
 				t.Errorf("%d relays: %v calls in 3 s from %d ms after the return, budget %v", n, sum, from*500, most)
 			}
 		}
 	}
 }
 
-// TestIdleGivenBack: where connections run out, idle ones are given back, the sooner the more relays there are.
-func TestIdleGivenBack(t *testing.T) {
+// TestIdleConnectionsClosed: where connections run out, idle ones are given back, the sooner the more relays there are.
+func TestIdleConnectionsClosed(t *testing.T) {
 	for _, tight := range []float64{0, 1} {
-		s := one()
+		s := singleClassSettings()
 		s.Relays = 50
-		r := newRig(t, s, ready(1, 1000))
-		r.p.tight[0] = tight
+		r := newHarness(t, s, readyEndpoint(1, 1000))
+		r.engine.connectFailureRatios[0] = tight
 		r.step(r.message(0, 0))
 		r.now += second / 10
 		closes := 0
-		r.step(answer(r.sends[0], Delivered))
+		r.step(endOf(r.sends[0], Delivered))
 		for range 40 { // two seconds, of ten that connections live
 			r.now += second / 20
-			closes += count(r.step(), ActClose)
+			closes += count(r.step(), ActCloseIdle)
 		}
 		if closes != int(tight) {
 			t.Errorf("share without connection %v: %d times given back", tight, closes)
@@ -692,14 +694,14 @@
 	}
 }
 
-// TestGoneAndMoved: what left or moved is not sent to, and is really let go.
-func TestGoneAndMoved(t *testing.T) {
-	r := newRig(t, one(), ready(1, 10), ready(2, 10))
-	r.p.failed(r.p.eps[1], r.now, true)
-	r.p.eps[1].sick = true
-	r.step(Event{Kind: EvList, List: ListChange, Entries: []Entry{{Endpoint: 1, State: Gone}, {Endpoint: 2, State: Ready, Dest: 5}}})
-	if len(r.p.eps) != 1 || len(r.p.dest(0).lanes[0].eps) != 0 {
-		t.Fatalf("%d endpoints kept, %d at the old place", len(r.p.eps), len(r.p.dest(0).lanes[0].eps))
+// TestEndpointGoneAndMoved: what left or moved is not sent to, and is really let go.
+func TestEndpointGoneAndMoved(t *testing.T) {
+	r := newHarness(t, singleClassSettings(), readyEndpoint(1, 10), readyEndpoint(2, 10))
+	r.engine.recordFailure(r.engine.endpoints[1], r.now, true)
+	r.engine.endpoints[1].unhealthy = true
+	r.step(Event{Kind: EvListUpdated, ListUpdate: ListDelta, Updates: []EndpointUpdate{{Endpoint: 1, State: Gone}, {Endpoint: 2, State: Ready, Destination: 5}}})
+	if len(r.engine.endpoints) != 1 || len(r.engine.destinationFor(0).limiters[0].endpoints) != 0 {
+		t.Fatalf("%d endpoints kept, %d at the old place", len(r.engine.endpoints), len(r.engine.destinationFor(0).limiters[0].endpoints))
 	}
 	if r.step(r.message(0, 0)); len(r.sends) != 0 {
 		t.Fatal("sent to an endpoint of another destination")
@@ -713,139 +715,139 @@
 func BenchmarkStep(b *testing.B) {
 	for _, n := range []int{20, 700} {
 		b.Run(fmt.Sprint(n, " endpoints"), func(b *testing.B) {
-			p, _ := New(one(), 1)
-			var list []Entry
+			p, _ := New(singleClassSettings(), 1)
+			var list []EndpointUpdate
 			for i := range n {
-				list = append(list, Entry{Endpoint: Endpoint(i + 1), State: Ready, Dest: i, Rate: 1e6})
+				list = append(list, EndpointUpdate{Endpoint: EndpointID(i + 1), State: Ready, Destination: i, Rate: 1e6})
 			}
 			now := second
-			p.Step(now, []Event{{Kind: EvList, List: ListCached, Entries: list}}, nil)
+			p.Step(now, []Event{{Kind: EvListUpdated, ListUpdate: ListCached, Updates: list}}, nil)
 			var acts []Action
 			for i := range b.N {
 				now += 5000
 				id := uint32(i + 1)
-				acts = p.Step(now, []Event{{Kind: EvMessage, Message: id, Dest: i % n, Left: 20 * second}}, acts[:0])
-				acts = p.Step(now, []Event{{Kind: EvOutcome, Message: id, Settled: true, Took: 1000}}, acts[:0])
+				acts = p.Step(now, []Event{{Kind: EvMessageSubmitted, Message: id, Destination: i % n, TimeLeft: 20 * second}}, acts[:0])
+				acts = p.Step(now, []Event{{Kind: EvAttemptEnded, Message: id, MessageFinished: true, Latency: 1000}}, acts[:0])
 			}
 		})
 	}
 }
 
-// TestRestOfWhatFails: with many relays for the messages an endpoint that fails twice rests, and the longer the
+// TestBackoffOfFailingEndpoint: with many relays for the messages an endpoint that fails twice rests, and the longer the
 // longer it has failed; where few relays send there much each, it hardly does.
-func TestRestOfWhatFails(t *testing.T) {
+func TestBackoffOfFailingEndpoint(t *testing.T) {
 	for _, n := range []int{2, 400} {
-		s := one()
+		s := singleClassSettings()
 		s.Relays = n
-		r := newRig(t, s, ready(1, 10))
-		ep := r.p.eps[1]
-		r.p.failed(ep, r.now, false)
-		if ep.restUntil > r.now {
+		r := newHarness(t, s, readyEndpoint(1, 10))
+		ep := r.engine.endpoints[1]
+		r.engine.recordFailure(ep, r.now, false)
+		if ep.backoffUntil > r.now {
 			t.Fatalf("%d relays: a rest after the first failure", n)
 		}
-		r.p.now += second / 2
-		r.p.failed(ep, r.p.now, false)
-		if rest := ep.restUntil - r.p.now; n == 400 && rest < second || n == 2 && rest > second/4 {
+		r.engine.now += second / 2
+		r.engine.recordFailure(ep, r.engine.now, false)
+		if rest := ep.backoffUntil - r.engine.now; n == 400 && rest < second || n == 2 && rest > second/4 {
 			t.Errorf("%d relays: a rest of %d ms half a second after the first failure", n, rest/1000)
 		}
 	}
 }
 
-// TestConnectionsRunOut guards against idle connections that a whole fleet closes and opens again, since
+// TestScarceConnections guards against idle connections that a whole fleet closes and opens again, since
 // what is down takes no connection: only an endpoint that answers others meanwhile has none left.
-func TestConnectionsRunOut(t *testing.T) {
+func TestScarceConnections(t *testing.T) {
 	for _, c := range []struct {
 		name   string
 		ends   []Outcome // of two calls that are out together, in this order
 		scarce bool
 	}{
-		{"down", []Outcome{NoConnect, NoConnect}, false},
-		{"down, then cut off", []Outcome{NoConnect, Reset}, false},
-		{"another was answered", []Outcome{NoConnect, Delivered}, true},
-		{"another had been answered", []Outcome{Delivered, NoConnect}, true},
-		{"another was turned away", []Outcome{NoConnect, Full}, true},
+		{"down", []Outcome{ConnectFailed, ConnectFailed}, false},
+		{"down, then cut off", []Outcome{ConnectFailed, ConnectionReset}, false},
+		{"another was answered", []Outcome{ConnectFailed, Delivered}, true},
+		{"another had been answered", []Outcome{Delivered, ConnectFailed}, true},
+		{"another was turned away", []Outcome{ConnectFailed, Rejected}, true},
 		{"both were answered", []Outcome{Delivered, Delivered}, false},
 	} {
-		r := newRig(t, one(), ready(1, 100))
-		r.p.dest(0).lanes[0].window = 4
+		r := newHarness(t, singleClassSettings(), readyEndpoint(1, 100))
+		r.engine.destinationFor(0).limiters[0].window = 4
 		r.step(r.message(0, 0), r.message(0, 0))
 		if len(r.sends) != 2 {
 			t.Fatalf("%s: %d calls out", c.name, len(r.sends))
 		}
 		for i, a := range r.sends {
 			r.now += second / 10
-			r.step(answer(a, c.ends[i]))
+			r.step(endOf(a, c.ends[i]))
 		}
-		if got := r.p.tight[0] > 0; got != c.scarce {
+		if got := r.engine.connectFailureRatios[0] > 0; got != c.scarce {
 			t.Errorf("%s: held to run out: %v", c.name, got)
 		}
 	}
 }
 
-// allOut has all endpoints of a rig's destination 0 held to be out since now.
-func allOut(r *rig) {
-	for _, ep := range r.p.dest(0).lanes[0].eps {
+// failAllEndpoints has all endpoints of a rig's destination 0 held to be out since now.
+func failAllEndpoints(r *harness) {
+	for _, ep := range r.engine.destinationFor(0).limiters[0].endpoints {
 		for range 3 {
-			r.p.failed(ep, r.now, false)
+			r.engine.recordFailure(ep, r.now, false)
 		}
-		if !ep.sick {
+		if !ep.unhealthy {
 			r.t.Fatalf("endpoint %d is not held to be out", ep.id)
 		}
 	}
 }
 
-// TestRampBegins: a relay that asks seldom hears of a return long after it. The ramp is held to have begun in
+// TestRampStart: a relay that asks seldom hears of a return long after it. The ramp is held to have begun in
 // the middle between its last failure and the call that was answered, and for all endpoints that went with it.
-func TestRampBegins(t *testing.T) {
-	r := newRig(t, one(), ready(1, 100), ready(2, 100))
-	allOut(r)
-	a, b := r.p.eps[1], r.p.eps[2]
+func TestRampStart(t *testing.T) {
+	r := newHarness(t, singleClassSettings(), readyEndpoint(1, 100), readyEndpoint(2, 100))
+	failAllEndpoints(r)
+	a, b := r.engine.endpoints[1], r.engine.endpoints[2]
 	down := r.now
 	r.now += 4 * second
-	r.p.now = r.now
-	r.p.healthy(a, r.now-second) // sent 3 s after the last failure
-	if want := down + 3*second/2; a.goodAt != want || b.goodAt != want {
-		t.Errorf("the ramps begin %d and %d after the last failure, want %d", a.goodAt-down, b.goodAt-down, want-down)
+	r.engine.now = r.now
+	r.engine.recordSuccess(a, r.now-second) // sent 3 s after the last failure
+	if want := down + 3*second/2; a.recoveredAt != want || b.recoveredAt != want {
+		t.Errorf("the ramps begin %d and %d after the last failure, want %d", a.recoveredAt-down, b.recoveredAt-down, want-down)
 	}
-	if got, want := r.p.ramped(b), 0.2+0.8*0.25; math.Abs(got-want) > 0.001 {
+	if got, want := r.engine.rampedCapacity(b), 0.2+0.8*0.25; math.Abs(got-want) > 0.001 {
 		t.Errorf("held to have %.3f of its capacity, want %.3f", got, want)
 	}
-	r.p.failed(b, r.now-second/2, false) // it has not returned after all
-	if b.goodAt != 0 || a.goodAt == 0 {
+	r.engine.recordFailure(b, r.now-second/2, false) // it has not returned after all
+	if b.recoveredAt != 0 || a.recoveredAt == 0 {
 		t.Error("a failure there does not undo its own ramp, and its alone")
 	}
-	r = newRig(t, one(), ready(1, 100), ready(2, 100))
-	allOut(r)
+	r = newHarness(t, singleClassSettings(), readyEndpoint(1, 100), readyEndpoint(2, 100))
+	failAllEndpoints(r)
 	r.now += second
-	r.p.now = r.now
-	r.p.failed(r.p.eps[2], r.now, false)
-	r.p.healthy(r.p.eps[1], r.now-second/2)
-	if r.p.eps[2].goodAt != 0 {
+	r.engine.now = r.now
+	r.engine.recordFailure(r.engine.endpoints[2], r.now, false)
+	r.engine.recordSuccess(r.engine.endpoints[1], r.now-second/2)
+	if r.engine.endpoints[2].recoveredAt != 0 {
 		t.Error("one that failed after the call was sent is held to be back")
 	}
 }
 
-// TestWaitOfARouteThatLeft: a wait that is told after its route has left the list binds it when it comes back,
+// TestRetryAfterOfRemovedRoute: a wait that is told after its route has left the list binds it when it comes back,
 // whichever is first.
-func TestWaitOfARouteThatLeft(t *testing.T) {
+func TestRetryAfterOfRemovedRoute(t *testing.T) {
 	for _, order := range []string{"told, back", "back, told"} {
-		s := one()
-		s.Kinds[0].Apart = true
-		r := newRig(t, s, ready(1, 100))
+		s := singleClassSettings()
+		s.DestinationKinds[0].IndependentRoutes = true
+		r := newHarness(t, s, readyEndpoint(1, 100))
 		r.step(r.message(0, 0))
 		a := r.sends[0]
-		told := answer(a, Full)
-		told.Wait = 2 * second
-		gone, back := ready(1, 100), ready(1, 100)
+		told := endOf(a, Rejected)
+		told.RetryAfter = 2 * second
+		gone, back := readyEndpoint(1, 100), readyEndpoint(1, 100)
 		gone.State = Gone
-		r.step(Event{Kind: EvList, List: ListChange, Entries: []Entry{gone}})
-		end := r.now + told.Wait
+		r.step(Event{Kind: EvListUpdated, ListUpdate: ListDelta, Updates: []EndpointUpdate{gone}})
+		end := r.now + told.RetryAfter
 		if order == "told, back" {
 			r.step(told)
 			r.now += second / 2
-			r.step(Event{Kind: EvList, List: ListChange, Entries: []Entry{back}})
+			r.step(Event{Kind: EvListUpdated, ListUpdate: ListDelta, Updates: []EndpointUpdate{back}})
 		} else {
-			r.step(Event{Kind: EvList, List: ListChange, Entries: []Entry{back}})
+			r.step(Event{Kind: EvListUpdated, ListUpdate: ListDelta, Updates: []EndpointUpdate{back}})
 			r.step(told)
 		}
 		for r.now < end-second/10 {
@@ -867,23 +869,23 @@
 	}
 }
 
-// TestGoneRouteIsForgotten: one that was told a wait after it left, and does not come back, is kept for that wait
+// TestRemovedRouteIsForgotten: one that was told a wait after it left, and does not come back, is kept for that wait
 // and no longer.
-func TestGoneRouteIsForgotten(t *testing.T) {
-	s := one()
-	s.Kinds[0].Apart = true
-	r := newRig(t, s, ready(1, 100))
+func TestRemovedRouteIsForgotten(t *testing.T) {
+	s := singleClassSettings()
+	s.DestinationKinds[0].IndependentRoutes = true
+	r := newHarness(t, s, readyEndpoint(1, 100))
 	r.step(r.message(0, 0))
-	told := answer(r.sends[0], Full)
-	told.Wait = 2 * second
-	gone := ready(1, 100)
+	told := endOf(r.sends[0], Rejected)
+	told.RetryAfter = 2 * second
+	gone := readyEndpoint(1, 100)
 	gone.State = Gone
-	r.step(Event{Kind: EvList, List: ListChange, Entries: []Entry{gone}})
-	if r.step(told); len(r.p.eps) != 1 {
+	r.step(Event{Kind: EvListUpdated, ListUpdate: ListDelta, Updates: []EndpointUpdate{gone}})
+	if r.step(told); len(r.engine.endpoints) != 1 {
 		t.Error("forgotten within its wait")
 	}
 	r.now += 3 * second
-	if r.step(Event{Kind: EvTimer}); len(r.p.eps) != 0 {
+	if r.step(Event{Kind: EvTimer}); len(r.engine.endpoints) != 0 {
 		t.Error("kept after its wait")
 	}
 }
--- a/decide/example_test.go
+++ b/decide/example_test.go
@@ -10,11 +10,11 @@
 func Example() {
 	const second = decide.Time(1e6)
 	p, err := decide.New(decide.Settings{
-		Relays: 2, Slots: 8, MaxAttempts: 6, Tick: 5000, RatesListed: true,
-		StartCapacity: 0.2, RampTime: 10 * second, OverloadFactor: 2, FallTime: 3 * second,
-		Kinds: []decide.Kind{{Batch: 1}},
-		Classes: []decide.Class{{Name: "order", Aim: 2 * second, Deadline: 20 * second, Worth: 1, LateWorth: 0.3,
-			Repeat: decide.Keyed, DedupWindow: 15 * second}},
+		Relays: 2, MaxConcurrentCalls: 8, MaxAttempts: 6, TickInterval: 5000, ListHasRates: true,
+		InitialCapacity: 0.2, RampDuration: 10 * second, OverloadFactor: 2, OverloadDuration: 3 * second,
+		DestinationKinds: []decide.DestinationKind{{BatchSize: 1}},
+		Classes: []decide.Class{{Name: "order", LatencyObjective: 2 * second, Deadline: 20 * second, Weight: 1, LateWeight: 0.3,
+			Idempotency: decide.IdempotentByKey, DedupWindow: 15 * second}},
 	}, 42)
 	if err != nil {
 		fmt.Println(err)
@@ -22,9 +22,9 @@
 	}
 	now := 100 * second // the host's own clock, never the module's
 	actions := p.Step(now, []decide.Event{
-		{Kind: decide.EvList, List: decide.ListFull,
-			Entries: []decide.Entry{{Endpoint: 7, Dest: 1, State: decide.Ready, Rate: 20}}},
-		{Kind: decide.EvMessage, Message: 1, Class: 0, Dest: 1, Left: 20 * second},
+		{Kind: decide.EvListUpdated, ListUpdate: decide.ListFull,
+			Updates: []decide.EndpointUpdate{{Endpoint: 7, Destination: 1, State: decide.Ready, Rate: 20}}},
+		{Kind: decide.EvMessageSubmitted, Message: 1, Class: 0, Destination: 1, TimeLeft: 20 * second},
 	}, nil)
 	for _, a := range actions {
 		if a.Kind == decide.ActSend {
@@ -32,8 +32,8 @@
 		}
 	}
 	now += second / 5
-	actions = p.Step(now, []decide.Event{{Kind: decide.EvOutcome, Message: 1, Attempt: 0, Endpoint: 7,
-		Outcome: decide.Delivered, Settled: true, Took: second / 5}}, actions[:0])
+	actions = p.Step(now, []decide.Event{{Kind: decide.EvAttemptEnded, Message: 1, Attempt: 0, Endpoint: 7,
+		Outcome: decide.Delivered, MessageFinished: true, Latency: second / 5}}, actions[:0])
 	fmt.Println("still to do:", len(actions))
 	// Output:
 	// send message 1 to endpoint 7
--- a/decide/guards_test.go
+++ b/decide/guards_test.go
@@ -20,31 +20,31 @@
 	}
 	for _, m := range []struct{ name, old, new, run string }{
 		{"none", "", "", ""},
-		{"drain", "ep.state != Ready || ep.barred", "ep.barred", "TestRules"},
-		{"barred", "ep.barred > p.now || ep.lane", "ep.lane", "TestBarred"},
-		{"opening", "return ep.need * (1 + p.opening(ep))", "return ep.need", "TestOpeningIsPaid"},
-		{"cold", "Cold: c.ep.sick", "Cold: false", "TestColdIsTold"},
-		{"opened", "p.settle(c, e)", "_ = p.settle", "TestOpenedIsSettled"},
-		{"burst of a connection", "depth = max(depth, 1+ep.opening)", "_ = 0", "TestFailBackBudgetWithConnections"},
-		{"wait", " || ep.lane.waitUntil > p.now || ", " || ", "TestRules"},
-		{"unsafe", "if m.doubtAt == 0 || m.class.Repeat == Safe {", "if m.doubtAt == 0 || m.class.Repeat != Keyed {", "TestRules"},
-		{"dedup window", " || p.now >= p.lastByte(m)", "", "TestRules"},
-		{"dedup window of a late connection", "By: p.lastByte(m),", "By: 0,", "TestRepeatsStayInTheirWindow"},
-		{"way of a repeat", "max(2*p.set.Tick, min(keyedWay, m.class.DedupWindow/20))", "2*p.set.Tick", "TestRepeatsStayInTheirWindow"},
-		{"dedup zone", "m.class.ZoneOnly && ep.zone != m.doubtIn", "false", "TestRules"},
-		{"order", "l.turns[0] != m || ", "", "TestRules"},
-		{"rest of a key", "m.tries == 0 && l.rest > p.now", "false", "TestRules"},
-		{"answer in time", "p.now < m.deadline-p.margin() && (m.call", "(m.call", "TestRules"},
-		{"attempts", "p.set.MaxAttempts > 0 && m.tries-m.void >= p.set.MaxAttempts", "false", "TestRules"},
-		{"attempts that never left", "if e.Void && m.void < p.set.MaxAttempts {", "if false {", "TestNeverLeft"},
-		{"attempts that never leave", "e.Void && m.void < p.set.MaxAttempts", "e.Void", "TestNeverLeft"},
-		{"untried first", "if m.owed && m.deadline > soon {", "if false {", "TestUntriedGoFirst"},
-		{"untried kept", "if p.refusable(m) && !m.owed {", "if p.refusable(m) {", "TestUntriedGoFirst"},
-		{"untried until tried", "m.owed = m.owed && e.Void", "_ = 0", "TestUntriedGoFirst"},
-		{"refusal", "return m.class.Repeat == Keyed && !m.class.ZoneOnly", "return m.class.Repeat == Keyed", "TestRules"},
-		{"budget", "max(depth, need)) >= need", "max(depth, need)) >= -99", "TestFailBackBudget"},
-		{"outage", "ep.sick || ep.score < scoreSick", "true", "TestPartialSuccessKeepsTheBudget"},
-		{"calling off", "p.review(c)\n\t}\n\tl.bound", "}\n\tl.bound", "TestReclaim"},
+		{"drain", "endpoint.state != Ready || endpoint.identityRejectedUntil", "endpoint.identityRejectedUntil", "TestRules"},
+		{"barred", "endpoint.identityRejectedUntil > engine.now || endpoint.limiter", "endpoint.limiter", "TestIdentityRejected"},
+		{"opening", "return endpoint.requiredTokens * (1 + engine.connectCost(endpoint))", "return endpoint.requiredTokens", "TestConnectCostIsPaid"},
+		{"cold", "Recovering: c.endpoint.unhealthy", "Recovering: false", "TestSendTellsOfRecovery"},
+		{"opened", "engine.settleConnectCost(c, e)", "_ = engine.settleConnectCost", "TestConnectCostIsSettled"},
+		{"burst of a connection", "bucketDepth = max(bucketDepth, 1+endpoint.connectCost)", "_ = 0", "TestRecoveryBudgetWithConnections"},
+		{"wait", " || endpoint.limiter.retryAfterUntil > engine.now || ", " || ", "TestRules"},
+		{"unsafe", "if m.firstUncertainAt == 0 || m.class.Idempotency == Idempotent {", "if m.firstUncertainAt == 0 || m.class.Idempotency != IdempotentByKey {", "TestRules"},
+		{"dedup window", " || engine.now >= engine.lastByteDeadline(m)", "", "TestRules"},
+		{"dedup window of a late connection", "LastByteBy: engine.lastByteDeadline(m),", "LastByteBy: 0,", "TestRetriesStayInDedupWindow"},
+		{"way of a repeat", "max(2*engine.settings.TickInterval, min(dedupTransitTime, m.class.DedupWindow/20))", "2*engine.settings.TickInterval", "TestRetriesStayInDedupWindow"},
+		{"dedup zone", "m.class.DedupPerZone && endpoint.zone != m.firstUncertainZone", "false", "TestRules"},
+		{"order", "l.messages[0] != m || ", "", "TestRules"},
+		{"rest of a key", "m.attempts == 0 && l.backoffUntil > engine.now", "false", "TestRules"},
+		{"answer in time", "engine.now < m.deadline-engine.deadlineMargin() && (m.startCall", "(m.startCall", "TestRules"},
+		{"attempts", "engine.settings.MaxAttempts > 0 && m.attempts-m.uncountedAttempts >= engine.settings.MaxAttempts", "false", "TestRules"},
+		{"attempts that never left", "if e.NotCounted && m.uncountedAttempts < engine.settings.MaxAttempts {", "if false {", "TestUnsentAttemptsNotCounted"},
+		{"attempts that never leave", "e.NotCounted && m.uncountedAttempts < engine.settings.MaxAttempts", "e.NotCounted", "TestUnsentAttemptsNotCounted"},
+		{"untried first", "if m.recoveredUntried && m.deadline > soon {", "if false {", "TestRecoveredUntriedGoFirst"},
+		{"untried kept", "if engine.rejectable(m) && !m.recoveredUntried {", "if engine.rejectable(m) {", "TestRecoveredUntriedGoFirst"},
+		{"untried until tried", "m.recoveredUntried = m.recoveredUntried && e.NotCounted", "_ = 0", "TestRecoveredUntriedGoFirst"},
+		{"refusal", "return m.class.Idempotency == IdempotentByKey && !m.class.DedupPerZone", "return m.class.Idempotency == IdempotentByKey", "TestRules"},
+		{"budget", "max(bucketDepth, requiredTokens)) >= requiredTokens", "max(bucketDepth, requiredTokens)) >= -99", "TestRecoveryBudget"},
+		{"outage", "endpoint.unhealthy || endpoint.failureScore < unhealthyScore", "true", "TestPartialSuccessKeepsRecoveryBudget"},
+		{"calling off", "engine.cancelOverdueCall(c)\n\t}\n\tl.rateBound", "}\n\tl.rateBound", "TestOverdueCallsAreCancelled"},
 	} {
 		t.Run(m.name, func(t *testing.T) {
 			t.Parallel()
@@ -94,17 +94,17 @@
 // A keyed message that may have run goes out again only as long as its endpoint
 // knows the key for certain as it arrives, and each repeat says until when; one
 // whose time for that is over is ended, and never sent.
-func TestRepeatsStayInTheirWindow(t *testing.T) {
+func TestRetriesStayInDedupWindow(t *testing.T) {
 	for _, window := range []Time{1 * second, 6 * second, 20 * second} {
-		s := one()
-		s.Classes = []Class{{Name: "k", Aim: second / 2, Deadline: 30 * second, Worth: 1, LateWorth: 0.5, Repeat: Keyed, DedupWindow: window}}
+		s := singleClassSettings()
+		s.Classes = []Class{{Name: "k", LatencyObjective: second / 2, Deadline: 30 * second, Weight: 1, LateWeight: 0.5, Idempotency: IdempotentByKey, DedupWindow: window}}
 		p, err := New(s, 7)
 		if err != nil {
 			t.Fatal(err)
 		}
 		now := Time(100 * second)
-		list := Event{Kind: EvList, List: ListFull, Entries: []Entry{{Endpoint: 1, Dest: 1, State: Ready, Rate: 1000}, {Endpoint: 2, Dest: 1, State: Ready, Rate: 1000}}}
-		events := []Event{list, {Kind: EvMessage, Message: 1, Dest: 1, Left: 30 * second}}
+		list := Event{Kind: EvListUpdated, ListUpdate: ListFull, Updates: []EndpointUpdate{{Endpoint: 1, Destination: 1, State: Ready, Rate: 1000}, {Endpoint: 2, Destination: 1, State: Ready, Rate: 1000}}}
+		events := []Event{list, {Kind: EvMessageSubmitted, Message: 1, Destination: 1, TimeLeft: 30 * second}}
 		var first Time
 		sends, ended := 0, false
 		for range 20000 {
@@ -114,15 +114,15 @@
 				switch a.Kind {
 				case ActSend:
 					if sends++; sends == 1 {
-						if first = now; a.By != 0 {
-							t.Errorf("window %d: a first attempt has until %d", window, a.By-now)
+						if first = now; a.LastByteBy != 0 {
+							t.Errorf("window %d: a first attempt has until %d", window, a.LastByteBy-now)
 						}
-					} else if most := first + window - window/20; a.By <= now || a.By > max(most, first+window-keyedWay) {
-						t.Errorf("window %d: a repeat %d after the first has until %d", window, now-first, a.By-first)
+					} else if most := first + window - window/20; a.LastByteBy <= now || a.LastByteBy > max(most, first+window-dedupTransitTime) {
+						t.Errorf("window %d: a repeat %d after the first has until %d", window, now-first, a.LastByteBy-first)
 					}
-					events = append(events, Event{Kind: EvOutcome, Message: 1, Attempt: a.Attempt, Endpoint: a.Endpoint, Outcome: Errored, Took: 1000})
+					events = append(events, Event{Kind: EvAttemptEnded, Message: 1, Attempt: a.Attempt, Endpoint: a.Endpoint, Outcome: Failed, Latency: 1000})
 					events[len(events)-1].Attempt = sends - 1
-				case ActRefuse, ActFail:
+				case ActReject, ActFail:
 					ended = true
 				}
 			}
--- a/decide/recall_test.go
+++ b/decide/recall_test.go
@@ -13,25 +13,25 @@
 
 // restart puts a new policy in the place of one, with what that one held and,
 // where it is given, what was written of it before.
-func (c *crowd) restart(now Time, i int, text []byte) {
-	old := c.relays[i]
-	q, err := New(old.set, uint64(now)+uint64(i))
+func (c *fleet) restart(now Time, i int, text []byte) {
+	old := c.engines[i]
+	q, err := New(old.settings, uint64(now)+uint64(i))
 	if err != nil {
 		panic(err)
 	}
-	c.relays[i] = q
-	c.gen[i]++
-	c.step(now, i, Event{Kind: EvList, List: ListCached, Entries: []Entry{ready(1, c.rate), ready(2, c.rate)}})
+	c.engines[i] = q
+	c.incarnation[i]++
+	c.step(now, i, Event{Kind: EvListUpdated, ListUpdate: ListCached, Updates: []EndpointUpdate{readyEndpoint(1, c.rate), readyEndpoint(2, c.rate)}})
 	if text != nil {
-		m := &Memory{}
+		m := &Snapshot{}
 		if err := json.Unmarshal(text, m); err != nil {
 			panic(err)
 		}
-		q.Recall(now, m, 0)
+		q.RestoreAfterRestart(now, m, 0)
 	}
 	var held []Event
-	for _, m := range old.live {
-		held = append(held, Event{Kind: EvMessage, Message: m.id, Left: m.deadline - now, Tries: m.tries, Resumed: true})
+	for _, m := range old.pending {
+		held = append(held, Event{Kind: EvMessageSubmitted, Message: m.id, TimeLeft: m.deadline - now, Attempts: m.attempts, Recovered: true})
 	}
 	slices.SortFunc(held, func(a, b Event) int { return int(a.Message) - int(b.Message) })
 	c.step(now, i, held...)
@@ -47,13 +47,13 @@
 // shortly after it, knowing what was written up to 0.25 s before, or nothing.
 func outageWithRestart(t *testing.T, n int, seed uint64, at Time, restart, know bool) (d restartDay) {
 	const rate, begin = 60.0, 1000 * second
-	c := newCrowd(t, n, rate, seed)
-	c.gen = make([]int, n)
+	c := newFleet(t, n, rate, seed)
+	c.incarnation = make([]int, n)
 	c.downAt, c.upAt = begin+6*second, begin+12*second
 	c.play(begin, at-250e3, 0.8*rate)
 	texts := make([][]byte, n)
-	for i, p := range c.relays {
-		text, err := json.Marshal(p.Export(begin + at - 250e3))
+	for i, p := range c.engines {
+		text, err := json.Marshal(p.Snapshot(begin + at - 250e3))
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -61,7 +61,7 @@
 	}
 	c.play(begin+at-250e3, 250e3, 0.8*rate)
 	if restart {
-		for i := range c.relays {
+		for i := range c.engines {
 			text := texts[i]
 			if !know {
 				text = nil
@@ -71,20 +71,20 @@
 	}
 	c.play(begin+at, 32*second-at, 0.8*rate)
 	d.came = make([]int, 20)
-	s := &c.relays[0].set
-	for k, x := range c.came {
+	s := &c.engines[0].settings
+	for k, x := range c.received {
 		if sec := int((x - c.upAt) / second); sec >= 0 && sec < len(d.came) {
 			d.came[sec]++
 		}
 		n := 0
-		for j := k; j >= 0 && c.came[j] > x-s.FallTime; j-- {
+		for j := k; j >= 0 && c.received[j] > x-s.OverloadDuration; j-- {
 			n++
 		}
-		if float64(n) > s.OverloadFactor*c.able(x)*float64(s.FallTime)/1e6+3 {
+		if float64(n) > s.OverloadFactor*c.capacityAt(x)*float64(s.OverloadDuration)/1e6+3 {
 			d.pushed++
 		}
 	}
-	for _, x := range c.taken {
+	for _, x := range c.accepted {
 		d.taken += x
 	}
 	return d
@@ -92,7 +92,7 @@
 
 // A relay that was restarted in an outage, or on the ramp after it, goes on as
 // one that never was; one that has forgotten does not.
-func TestRestartedAsNeverRestarted(t *testing.T) {
+func TestRestartKeepsDecisions(t *testing.T) {
 	const seeds = 12
 	for _, n := range []int{3, 40} {
 		for what, at := range map[string]Time{"in the outage": 9 * second, "on the ramp": 15 * second} {
@@ -142,7 +142,7 @@
 // Over many seeds, with the restart at any moment of the outage and the recovery,
 // a returning destination is pushed over by relays that remember no more often
 // than by relays that were never restarted. RESTART_SEEDS asks for more seeds.
-func TestRestartsPushNobodyOver(t *testing.T) {
+func TestRestartsOverloadNothing(t *testing.T) {
 	seeds := uint64(40)
 	if n, err := strconv.ParseUint(os.Getenv("RESTART_SEEDS"), 10, 32); err == nil {
 		seeds = n
@@ -179,7 +179,7 @@
 
 // A verdict that rests on refusals in a row alone is a ramp after the gap: the
 // destination answered. One that rests on silence, or is on its ramp, stays.
-func TestRecallOfWhatRefused(t *testing.T) {
+func TestRestoreAfterRejections(t *testing.T) {
 	const then, bad = 1000 * second, 996 * second
 	for name, c := range map[string]struct {
 		run    int
@@ -188,20 +188,20 @@
 		want   Time
 	}{"refusals in a row": {2, false, 0, bad + 3*second}, "a silence": {2, true, 0, 0}, "one refusal among errors": {1, false, 0, 0},
 		"on its ramp": {2, false, then - second, then - second}} {
-		p, err := New(one(), 1)
+		p, err := New(singleClassSettings(), 1)
 		if err != nil {
 			t.Fatal(err)
 		}
 		now := then + 2*second
-		p.Step(now, []Event{{Kind: EvList, List: ListCached, Entries: []Entry{ready(1, 50)}}}, nil)
-		p.Recall(now, &Memory{Now: then, Lanes: []LaneMemory{{Window: 1, Boost: 1, FullRun: c.run,
-			Endpoints: []EndpointMemory{{ID: 1, Sick: true, Score: 1, Mute: c.mute, BadAt: bad, FirstBad: bad, GoodAt: c.goodAt, GoodSent: c.goodAt}}}}}, 0)
-		ep := p.eps[1]
-		if ep.goodAt != c.want || ep.goodSent != c.want || !ep.sick {
-			t.Errorf("%s: its ramp begins at %d, want %d; held to have been out: %v", name, ep.goodAt, c.want, ep.sick)
+		p.Step(now, []Event{{Kind: EvListUpdated, ListUpdate: ListCached, Updates: []EndpointUpdate{readyEndpoint(1, 50)}}}, nil)
+		p.RestoreAfterRestart(now, &Snapshot{Now: then, Limiters: []LimiterSnapshot{{Window: 1, RateMultiplier: 1, RejectionRun: c.run,
+			Endpoints: []EndpointSnapshot{{ID: 1, Unhealthy: true, FailureScore: 1, LastFailureSilent: c.mute, LastFailureAt: bad, FirstFailureAt: bad, RecoveredAt: c.goodAt, RecoverySentAt: c.goodAt}}}}}, 0)
+		ep := p.endpoints[1]
+		if ep.recoveredAt != c.want || ep.recoverySentAt != c.want || !ep.unhealthy {
+			t.Errorf("%s: its ramp begins at %d, want %d; held to have been out: %v", name, ep.recoveredAt, c.want, ep.unhealthy)
 		}
-		if got := ep.score < 1; got != (name == "refusals in a row") {
-			t.Errorf("%s: score %v", name, ep.score)
+		if got := ep.failureScore < 1; got != (name == "refusals in a row") {
+			t.Errorf("%s: score %v", name, ep.failureScore)
 		}
 	}
 }
@@ -209,53 +209,53 @@
 // Each field ages by its rule: waits and pauses keep their moments, budgets do
 // not grow in the gap, nothing is saved up; what is merely old is the default
 // again, and what was out stays out.
-func TestRecallAges(t *testing.T) {
+func TestRestoreAgesState(t *testing.T) {
 	const then = 1000 * second
-	memory := func() *Memory {
-		return &Memory{Now: then, Tenants: []BucketMemory{{then, 3, true}}, Lanes: []LaneMemory{{Window: 7, Boost: 0.6, Cut: 2, CutAt: then, FullRun: 1, FullAt: then, Bound: true,
-			WaitUntil: then + 30*second, PauseUntil: then + second, Tokens: BucketMemory{then, 5, true}, Bins: make([][2]float64, historyBins), Started: then - 5*second,
-			Endpoints: []EndpointMemory{{ID: 1, Sick: true, Score: 0.9, FirstBad: then - 4*second, BadAt: then - second, Budget: BucketMemory{then - 2*second, 0.25, true}},
-				{ID: 2, Score: 0.4}}}}}
+	memory := func() *Snapshot {
+		return &Snapshot{Now: then, TenantQuotas: []TokenBucketSnapshot{{then, 3, true}}, Limiters: []LimiterSnapshot{{Window: 7, RateMultiplier: 0.6, ReducedRate: 2, ReducedAt: then, RejectionRun: 1, FirstRejectionAt: then, RateBound: true,
+			RetryAfterUntil: then + 30*second, BackoffUntil: then + second, Tokens: TokenBucketSnapshot{then, 5, true}, Bins: make([][2]float64, historyBins), HistoryStart: then - 5*second,
+			Endpoints: []EndpointSnapshot{{ID: 1, Unhealthy: true, FailureScore: 0.9, FirstFailureAt: then - 4*second, LastFailureAt: then - second, RecoveryBudget: TokenBucketSnapshot{then - 2*second, 0.25, true}},
+				{ID: 2, FailureScore: 0.4}}}}}
 	}
 	for _, gap := range []Time{second, 60 * second} {
 		for _, shift := range []Time{0, -900 * second, 5000 * second} {
-			s := one()
+			s := singleClassSettings()
 			s.Tenants = []Tenant{{Name: "a", Quota: 10}}
 			p, err := New(s, 1)
 			if err != nil {
 				t.Fatal(err)
 			}
 			now := then + shift + gap
-			p.Step(now, []Event{{Kind: EvList, List: ListCached, Entries: []Entry{ready(1, 50), ready(2, 50)}}}, nil)
+			p.Step(now, []Event{{Kind: EvListUpdated, ListUpdate: ListCached, Updates: []EndpointUpdate{readyEndpoint(1, 50), readyEndpoint(2, 50)}}}, nil)
 			m := memory()
-			p.Recall(now, m, shift)
-			if m.Lanes[0].Tokens.Tokens != 5 || m.Lanes[0].Endpoints[0].Budget.At != then-2*second {
+			p.RestoreAfterRestart(now, m, shift)
+			if m.Limiters[0].Tokens.Tokens != 5 || m.Limiters[0].Endpoints[0].RecoveryBudget.At != then-2*second {
 				t.Fatal("the memory that was given is changed")
 			}
-			l, a, b := p.eps[1].lane, p.eps[1], p.eps[2]
-			if l.waitUntil != then+shift+30*second || l.pauseUntil != then+shift+second {
-				t.Errorf("gap %d: waits until %d, pauses until %d", gap, l.waitUntil, l.pauseUntil)
+			l, a, b := p.endpoints[1].limiter, p.endpoints[1], p.endpoints[2]
+			if l.retryAfterUntil != then+shift+30*second || l.backoffUntil != then+shift+second {
+				t.Errorf("gap %d: waits until %d, pauses until %d", gap, l.retryAfterUntil, l.backoffUntil)
 			}
-			if !a.sick || a.score != 0.9 || a.badAt != then+shift-second || a.firstBad != then+shift-4*second {
+			if !a.unhealthy || a.failureScore != 0.9 || a.lastFailureAt != then+shift-second || a.firstFailureAt != then+shift-4*second {
 				t.Errorf("gap %d: what was out: %+v", gap, a)
 			}
-			if got := a.budget.level(now, 1, 100); got != 0.25 {
+			if got := a.recoveryBudget.level(now, 1, 100); got != 0.25 {
 				t.Errorf("gap %d: its budget is %v", gap, got)
 			}
 			if got := l.tokens.level(now, 50, 100); got != 1 {
 				t.Errorf("gap %d: %v saved up", gap, got)
 			}
-			if got := p.tenants[0].level(now, 10, 100); got != 3 {
+			if got := p.tenantQuotas[0].level(now, 10, 100); got != 3 {
 				t.Errorf("gap %d: the tenant has %v", gap, got)
 			}
-			if l.cut != 2 || l.cutAt != then+shift || l.bound {
-				t.Errorf("gap %d: cut %v at %d, bound %v", gap, l.cut, l.cutAt, l.bound)
+			if l.reducedRate != 2 || l.reducedAt != then+shift || l.rateBound {
+				t.Errorf("gap %d: cut %v at %d, bound %v", gap, l.reducedRate, l.reducedAt, l.rateBound)
 			}
 			want := [4]float64{7, 0.6, 1, 0.4}
-			if gap > historySpan {
+			if gap > historyWindow {
 				want = [4]float64{1, 1, 0, 0}
 			}
-			if got := [4]float64{l.window, l.boost, float64(l.fullRun), b.score}; got != want {
+			if got := [4]float64{l.window, l.rateMultiplier, float64(l.rejectionRun), b.failureScore}; got != want {
 				t.Errorf("gap %d: window, boost, refusals, score %v, want %v", gap, got, want)
 			}
 		}
--- a/internal/core/await_test.go
+++ b/internal/core/await_test.go
@@ -74,7 +74,7 @@
 	}
 	var got []string
 	drained := &List{Members: []Member{member("s1", Draining)}}
-	events = []Event{{Kind: News, News: decide.ListChange, List: drained}, {Kind: Begin}}
+	events = []Event{{Kind: News, News: decide.ListDelta, List: drained}, {Kind: Begin}}
 	for at, n := now+100e3, 0; n < 100 && len(got) < 3; at, n = at+20e3, n+1 { // those that were meant for s1 are chosen anew
 		fx := r.Step(at, events, nil)
 		events = nil
@@ -103,22 +103,22 @@
 	}
 	r.Book(now, []Event{{Kind: News, News: decide.ListCached, List: &List{Complete: true, Members: []Member{member("s1", Up), member("s2", Up)}}}}, nil)
 	r.Await()
-	for _, ep := range []decide.Endpoint{1, 2} {
-		r.act(now, &decide.Action{Kind: decide.ActProbe, Endpoint: ep})
+	for _, ep := range []decide.EndpointID{1, 2} {
+		r.act(now, &decide.Action{Kind: decide.ActHealthCheck, Endpoint: ep})
 	}
 	if fx := r.done(); len(fx) > 0 {
 		t.Errorf("%+v while the list is waited for", fx)
 	}
 	drained := &List{Members: []Member{member("s1", Draining)}}
-	var probed []decide.Endpoint
+	var probed []decide.EndpointID
 	for range 2 { // once
-		for _, e := range r.Book(now, []Event{{Kind: News, News: decide.ListChange, List: drained}, {Kind: Begin}}, nil) {
+		for _, e := range r.Book(now, []Event{{Kind: News, News: decide.ListDelta, List: drained}, {Kind: Begin}}, nil) {
 			if e.Kind == Probe {
 				probed = append(probed, e.Endpoint)
 			}
 		}
 	}
-	if !slices.Equal(probed, []decide.Endpoint{2}) {
+	if !slices.Equal(probed, []decide.EndpointID{2}) {
 		t.Errorf("probed %v", probed)
 	}
 }
--- a/internal/core/booking.go
+++ b/internal/core/booking.go
@@ -24,13 +24,13 @@
 }
 
 // list books news of the list.
-func (r *Core) list(l *List, kind decide.ListNews) {
+func (r *Core) list(l *List, kind decide.ListUpdateKind) {
 	r.bookAll() // the one before: the newer word must come last
 	r.rev = l.Revision
 	r.stirred++
-	b := &booking{list: l, whole: kind != decide.ListChange, done: make([]bool, len(l.Members)), unnamed: map[string]bool{}}
+	b := &booking{list: l, whole: kind != decide.ListDelta, done: make([]bool, len(l.Members)), unnamed: map[string]bool{}}
 	r.booking = b
-	e := decide.Event{Kind: decide.EvList, List: kind}
+	e := decide.Event{Kind: decide.EvListUpdated, ListUpdate: kind}
 	for i := range l.Members {
 		b.done[i] = r.byID[l.Members[i].ID] != nil
 	}
@@ -49,7 +49,7 @@
 		}
 		if entry, awake := r.news(x); awake {
 			seen[x.ID] = true
-			e.Entries = append(e.Entries, entry)
+			e.Updates = append(e.Updates, entry)
 		}
 	}
 	if b.whole {
@@ -76,25 +76,25 @@
 // bookOn books so many more members, and reports whether any are left.
 func (r *Core) bookOn(most int) (more bool) {
 	b := r.booking
-	e := decide.Event{Kind: decide.EvList, List: decide.ListChange}
+	e := decide.Event{Kind: decide.EvListUpdated, ListUpdate: decide.ListDelta}
 	for ; b.next < len(b.done) && most > 0; b.next++ {
 		if b.done[b.next] || b.list.Members[b.next].Check() != nil {
 			continue
 		}
 		most--
 		if entry, awake := r.news(&b.list.Members[b.next]); awake {
-			e.Entries = append(e.Entries, entry)
+			e.Updates = append(e.Updates, entry)
 		}
 	}
 	left := b.next < len(b.done)
 	if !left {
 		for _, id := range slices.Sorted(maps.Keys(b.unnamed)) {
 			if ep := r.byID[id]; ep != nil {
-				e.Entries = append(e.Entries, r.member(&Member{ID: id, Cell: ep.cell, Phase: Removed}))
+				e.Updates = append(e.Updates, r.member(&Member{ID: id, Cell: ep.cell, Phase: Removed}))
 			}
 		}
 	}
-	if len(e.Entries) > 0 {
+	if len(e.Updates) > 0 {
 		r.events = append(r.events, e)
 	}
 	if left {
--- a/internal/core/carry.go
+++ b/internal/core/carry.go
@@ -15,21 +15,21 @@
 // Carried is what a core knows beside its log. Moments are those of the
 // exporting core's clock.
 type Carried struct {
-	Revision int64           `json:"revision,omitempty"` // of the list that it goes by
-	Members  []CarriedMember `json:"members"`
-	Named    []int           `json:"named"`
-	Waits    []CarriedWait   `json:"waits,omitempty"`
-	Calls    []CarriedCall   `json:"calls"`
-	Worth    []CarriedWorth  `json:"worth"`
-	Policy   *decide.Memory  `json:"policy"`
+	Revision int64            `json:"revision,omitempty"` // of the list that it goes by
+	Members  []CarriedMember  `json:"members"`
+	Named    []int            `json:"named"`
+	Waits    []CarriedWait    `json:"waits,omitempty"`
+	Calls    []CarriedCall    `json:"calls"`
+	Worth    []CarriedWorth   `json:"worth"`
+	Policy   *decide.Snapshot `json:"policy"`
 }
 
 // CarriedMember is an endpoint that the list holds, or one that has left and is
 // still bound by a wait or a call.
 type CarriedMember struct {
 	Member
-	Number    decide.Endpoint `json:"number"`
-	WaitUntil decide.Time     `json:"wait_until,omitempty"`
+	Number    decide.EndpointID `json:"number"`
+	WaitUntil decide.Time       `json:"wait_until,omitempty"`
 }
 
 // CarriedWait is a wait that a destination has told.
@@ -107,9 +107,9 @@
 func (r *Core) Carry(now decide.Time) *Carried {
 	r.now = max(now, r.now)
 	r.bookAll()
-	c := &Carried{Revision: r.rev, Policy: r.policy.Export(r.now), Members: r.carriedMembers(), Waits: r.carriedWaits()}
+	c := &Carried{Revision: r.rev, Policy: r.policy.Snapshot(r.now), Members: r.carriedMembers(), Waits: r.carriedWaits()}
 	members, lanes := r.resting(true)
-	c.Members, c.Policy.Lanes = append(c.Members, members...), append(c.Policy.Lanes, lanes...)
+	c.Members, c.Policy.Limiters = append(c.Members, members...), append(c.Policy.Limiters, lanes...)
 	for dest := range r.named {
 		c.Named = append(c.Named, dest)
 	}
@@ -123,7 +123,7 @@
 	}
 	slices.SortFunc(held, func(a, b *message) int { return int(a.num) - int(b.num) })
 	for _, m := range held {
-		c.Worth = append(c.Worth, CarriedWorth{m.rec.ID, r.policy.Worth(m.num)})
+		c.Worth = append(c.Worth, CarriedWorth{m.rec.ID, r.policy.Weight(m.num)})
 		if k := m.call; k != nil && k.ep != nil {
 			c.Calls = append(c.Calls, CarriedCall{m.rec.ID, k.ep.id, k.sent, k.sent + k.Limit, k})
 		}
@@ -178,7 +178,7 @@
 	}
 	p := c.Policy
 	if p == nil {
-		p = &decide.Memory{}
+		p = &decide.Snapshot{}
 	}
 	r.wakeAll(p)
 	r.step() // the policy knows the endpoints from here on
@@ -189,7 +189,7 @@
 		}
 	}
 	if c.Policy != nil {
-		r.policy.Import(r.now, p, shift)
+		r.policy.LoadSnapshot(r.now, p, shift)
 	}
 	calls, worth := map[string]*CarriedCall{}, map[string]float64{}
 	for i := range c.Calls {
@@ -213,7 +213,7 @@
 	m.call = c
 	ep.calls = append(ep.calls, c)
 	r.calls++
-	e.SentAt, e.SentTo = max(sent, 1), ep.num
+	e.AttemptSentAt, e.AttemptEndpoint = max(sent, 1), ep.num
 	r.do(Effect{Kind: GoOn, Call: c})
 	r.tell(slog.LevelInfo, "call goes on", "message", m.rec.ID, "endpoint", ep.num, "left_ms", c.Limit/1000)
 }
--- a/internal/core/carry_test.go
+++ b/internal/core/carry_test.go
@@ -88,7 +88,7 @@
 		w.failf("%v", err)
 	}
 	w.core, w.now = next, w.now+shift
-	w.drained, w.cell = map[decide.Endpoint]bool{}, map[decide.Endpoint]int{}
+	w.drained, w.cell = map[decide.EndpointID]bool{}, map[decide.EndpointID]int{}
 	fx := next.Restore(w.now, owed, c, shift, nil)
 	calls := map[string]*Call{}
 	for i := range fx {
@@ -106,7 +106,7 @@
 		id := e.Call.Rec.ID
 		if k := calls[id]; k != nil { // its end comes here
 			if e.Kind == Unsent {
-				e.Kind, e.Result = Finished, &Result{What: decide.Reset}
+				e.Kind, e.Result = Finished, &Result{What: decide.ConnectionReset}
 			}
 			e.Call = k
 			w.open[k] = true
@@ -204,7 +204,7 @@
 	}
 	c := s.core.ids["a"].call
 	s.now += 10e3
-	s.step(Event{Kind: Finished, Call: c, Result: &Result{What: decide.Full, Status: 429, Wait: 3e6}})
+	s.step(Event{Kind: Finished, Call: c, Result: &Result{What: decide.Rejected, Status: 429, Wait: 3e6}})
 	w := &world{t: t, core: s.core, now: s.now}
 	const shift = decide.Time(-777e6)
 	carried := w.core.Carry(w.now)
--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -64,7 +64,7 @@
 // Call is one attempt of a message. The driver makes it once it is logged.
 type Call struct {
 	Rec      *Record // of its message
-	Endpoint decide.Endpoint
+	Endpoint decide.EndpointID
 	Limit    decide.Time // how long it may take
 	By       decide.Time // its last byte goes out by then or never; 0 for any time
 	Cold     bool        // at an endpoint where one connection is opened at a time
@@ -89,7 +89,7 @@
 	Settled bool // the message is over
 	Opened  int  // connections that were opened for it
 	Took    decide.Time
-	Load    decide.Load
+	Load    decide.LoadReport
 	Status  int
 	Spoilt  bool // an answer came and cannot be believed
 	Err     error
@@ -121,9 +121,9 @@
 	Request  *Request
 	OK       bool
 	List     *List
-	News     decide.ListNews
+	News     decide.ListUpdateKind
 	Call     *Call
-	Endpoint decide.Endpoint
+	Endpoint decide.EndpointID
 	Wait     decide.Time
 	Result   *Result
 }
@@ -169,7 +169,7 @@
 	Record   *Record
 	Call     *Call
 	Notice   Notice
-	Endpoint decide.Endpoint
+	Endpoint decide.EndpointID
 	Address  string
 	Dest     int
 	Flavor   string
@@ -201,7 +201,7 @@
 // endpoint is one address of a destination.
 type endpoint struct {
 	id        string
-	num       decide.Endpoint
+	num       decide.EndpointID
 	cell      int
 	zone      int
 	hostPort  string
@@ -221,7 +221,7 @@
 // them would hang or be reset under a call that may then have run.
 func (ep *endpoint) suspect(o *Result, now decide.Time) bool {
 	switch o.What {
-	case decide.Reset, decide.NoConnect:
+	case decide.ConnectionReset, decide.ConnectFailed:
 		return true
 	case decide.TimedOut, decide.Cancelled:
 		return ep.answerAt < now-o.Took // others that were sent later were answered: one slow call
@@ -235,16 +235,16 @@
 // Core is one relay.
 type Core struct {
 	set       Settings
-	policy    *decide.Policy
+	policy    *decide.Engine
 	now       decide.Time
 	lastNum   uint32
-	lastEnd   decide.Endpoint
+	lastEnd   decide.EndpointID
 	msgs      map[uint32]*message
 	ids       map[string]*message
 	waiting   map[*Request]*message // whose clients have no answer yet
 	endpoints []*endpoint           // in the order in which they came
 	byID      map[string]*endpoint
-	byNum     map[decide.Endpoint]*endpoint
+	byNum     map[decide.EndpointID]*endpoint
 	named     map[int]bool        // destinations that a list has named
 	waits     map[int]decide.Time // ends of the waits that destinations have told
 	rest      rests
@@ -259,12 +259,12 @@
 	stories   *story.Budget
 	held      int
 	calls     int
-	rev       int64             // of the list
-	stirred   uint64            // what a restart should not forget
-	moved     uint64            // calls that have ended
-	ceding    bool              // no new call is begun
-	awaiting  bool              // likewise, since the list may be old
-	probes    []decide.Endpoint // asked for meanwhile
+	rev       int64               // of the list
+	stirred   uint64              // what a restart should not forget
+	moved     uint64              // calls that have ended
+	ceding    bool                // no new call is begun
+	awaiting  bool                // likewise, since the list may be old
+	probes    []decide.EndpointID // asked for meanwhile
 	stopping  bool
 	stopAt    decide.Time
 	fx        []Effect
@@ -277,7 +277,7 @@
 		return nil, err
 	}
 	return &Core{set: s, policy: policy, msgs: map[uint32]*message{}, ids: map[string]*message{}, waiting: map[*Request]*message{},
-		byID: map[string]*endpoint{}, byNum: map[decide.Endpoint]*endpoint{}, named: map[int]bool{}, waits: map[int]decide.Time{},
+		byID: map[string]*endpoint{}, byNum: map[decide.EndpointID]*endpoint{}, named: map[int]bool{}, waits: map[int]decide.Time{},
 		ends: make([]Ends, len(s.Policy.Classes)), tally: tally.New(), stories: story.NewBudget(s.Stories),
 		pieces: listAtOnce, rest: rests{roster: dormant.NewRoster(s.Rest), wary: map[int]bool{}}}, nil
 }
@@ -427,23 +427,23 @@
 		if !ok { // the settings have changed: nothing is promised of its effect
 			m.over = true
 			r.drop(m)
-			r.uncalled(m, GivenUp, decide.Unknown.String())
+			r.uncalled(m, GivenUp, decide.UnknownClass.String())
 			r.end(m, GivenUp, 0) // and it counts nowhere else: its class has no figure
 			continue
 		}
-		e := decide.Event{Kind: decide.EvMessage, Message: m.num, Class: class, Dest: rec.Dest, Tenant: -1,
-			Left: r.fromWall(rec.Deadline) - r.now, Tries: rec.Tries, DoubtIn: rec.DoubtIn,
-			Resumed: carried == nil}
+		e := decide.Event{Kind: decide.EvMessageSubmitted, Message: m.num, Class: class, Destination: rec.Dest, Tenant: -1,
+			TimeLeft: r.fromWall(rec.Deadline) - r.now, Attempts: rec.Tries, FirstUncertainZone: rec.DoubtIn,
+			Recovered: carried == nil}
 		r.rouse(rec.Dest)
 		r.named[rec.Dest] = true // once, or it would not have been taken on
 		r.rest.roster.Stir(rec.Dest, r.now)
 		if w, ok := worth[rec.ID]; ok {
-			e.Worth = w // its tenant's share was asked already
+			e.Weight = w // its tenant's share was asked already
 		} else if t, ok := r.set.Tenants[rec.Tenant]; ok {
 			e.Tenant = t
 		}
 		if rec.Doubt != 0 {
-			e.DoubtAt = max(r.fromWall(rec.Doubt), 1)
+			e.FirstUncertainAt = max(r.fromWall(rec.Doubt), 1)
 		}
 		if k := calls[rec.ID]; k != nil {
 			r.goOn(m, k, shift, &e)
@@ -451,7 +451,7 @@
 		r.events = append(r.events, e)
 		r.tally.Add(rec.Dest, tally.Resumed, 1)
 		r.tell(slog.LevelInfo, story.Resumed, "message", rec.ID, "class", rec.Class, "tries", rec.Tries,
-			"may_have_run", rec.Doubt != 0, "left_ms", e.Left/1000)
+			"may_have_run", rec.Doubt != 0, "left_ms", e.TimeLeft/1000)
 	}
 	return r.done()
 }
@@ -475,7 +475,7 @@
 		return false
 	}
 	last := StopSends
-	if i, ok := r.set.Classes[m.rec.Class]; ok && r.set.Policy.Classes[i].Repeat == decide.Unsafe {
+	if i, ok := r.set.Classes[m.rec.Class]; ok && r.set.Policy.Classes[i].Idempotency == decide.NonIdempotent {
 		last = stopUnsafe
 	}
 	return r.now-r.stopAt >= last
@@ -502,10 +502,10 @@
 	case Unsent:
 		r.finished(e.Call, &Result{What: decide.NotSent, Err: errNotLogged}, false)
 	case Probed:
-		r.events = append(r.events, decide.Event{Kind: decide.EvProbed, Endpoint: e.Endpoint,
-			Outcome: e.Result.What, Took: e.Result.Took, Load: e.Result.Load})
+		r.events = append(r.events, decide.Event{Kind: decide.EvHealthChecked, Endpoint: e.Endpoint,
+			Outcome: e.Result.What, Latency: e.Result.Took, Load: e.Result.Load})
 	case Barred:
-		r.events = append(r.events, decide.Event{Kind: decide.EvBarred, Endpoint: e.Endpoint, Wait: e.Wait})
+		r.events = append(r.events, decide.Event{Kind: decide.EvIdentityRejected, Endpoint: e.Endpoint, RetryAfter: e.Wait})
 	case Begin:
 		r.begin()
 	case Stop:
@@ -540,7 +540,7 @@
 		r.count(q.Rec.Class, errored)
 		r.answer(q, Reply{Fault: fmt.Errorf("dest: no list names %d", q.Rec.Dest)})
 		return
-	case r.set.Policy.MaxHeld > 0 && r.held >= r.set.Policy.MaxHeld:
+	case r.set.Policy.MaxPending > 0 && r.held >= r.set.Policy.MaxPending:
 		r.count(q.Rec.Class, deferred)
 		r.tally.Add(q.Rec.Dest, tally.Back+"most_held", 1)
 		r.answer(q, Reply{})
@@ -554,8 +554,8 @@
 		r.tally.Add(q.Rec.Dest, tally.Untold, 1)
 	}
 	r.waiting[q] = m
-	r.events = append(r.events, decide.Event{Kind: decide.EvMessage, Message: m.num, Class: q.Class,
-		Dest: q.Rec.Dest, Tenant: q.Tenant, Left: r.fromWall(q.Rec.Deadline) - r.now})
+	r.events = append(r.events, decide.Event{Kind: decide.EvMessageSubmitted, Message: m.num, Class: q.Class,
+		Destination: q.Rec.Dest, Tenant: q.Tenant, TimeLeft: r.fromWall(q.Rec.Deadline) - r.now})
 }
 
 // takesStopping: until its process is killed the relay's slots would stand
@@ -564,13 +564,13 @@
 // better handed in elsewhere.
 func (r *Core) takesStopping(q *Request) bool {
 	last := stopTake
-	if r.set.Policy.Classes[q.Class].Repeat == decide.Unsafe {
+	if r.set.Policy.Classes[q.Class].Idempotency == decide.NonIdempotent {
 		last = StopKeep
 	}
 	return r.now-r.stopAt < last && !r.backlog()
 }
 
-func (r *Core) backlog() bool { return r.held-r.calls >= max(r.set.Policy.Slots/2, 1) }
+func (r *Core) backlog() bool { return r.held-r.calls >= max(r.set.Policy.MaxConcurrentCalls/2, 1) }
 
 // KeepsClients reports whether a relay that ends has use for its clients'
 // connections: one that would refuse what comes on them is better without, since
@@ -622,7 +622,7 @@
 	if !m.over {
 		m.over = true
 		r.drop(m)
-		r.events = append(r.events, decide.Event{Kind: decide.EvWithdraw, Message: m.num})
+		r.events = append(r.events, decide.Event{Kind: decide.EvMessageWithdrawn, Message: m.num})
 	}
 	if a := m.pending; a != nil {
 		m.pending = nil
@@ -639,7 +639,7 @@
 	}
 }
 
-func (r *Core) member(x *Member) decide.Entry {
+func (r *Core) member(x *Member) decide.EndpointUpdate {
 	ep := r.byID[x.ID]
 	if ep == nil {
 		r.lastEnd++
@@ -663,10 +663,10 @@
 	if x.Phase != Removed {
 		r.named[x.Cell] = true
 	}
-	entry := decide.Entry{Endpoint: ep.num, Zone: place(r.set.Zones, x.Locality), Kind: place(r.set.Kinds, x.Flavor),
-		Dest: x.Cell, State: decide.Ready, Rate: x.Size}
+	entry := decide.EndpointUpdate{Endpoint: ep.num, Zone: place(r.set.Zones, x.Locality), Kind: place(r.set.Kinds, x.Flavor),
+		Destination: x.Cell, State: decide.Ready, Rate: x.Size}
 	if ep.zone = entry.Zone; r.set.Opening != nil {
-		entry.Opening = r.set.Opening(x.Cell, x.Flavor)
+		entry.ConnectCost = r.set.Opening(x.Cell, x.Flavor)
 	}
 	if ep.listed = x.Phase != Removed; ep.listed {
 		ep.member = *x
@@ -678,7 +678,7 @@
 		entry.State = decide.Draining
 		r.leave(ep)
 	case Removed:
-		entry.State, entry.Dest = decide.Gone, ep.cell
+		entry.State, entry.Destination = decide.Gone, ep.cell
 		r.leave(ep)
 	}
 	return entry
@@ -708,7 +708,7 @@
 	r.events = nil
 	fresh := make([]*message, 0, len(events))
 	for i := range events {
-		if events[i].Kind == decide.EvMessage {
+		if events[i].Kind == decide.EvMessageSubmitted {
 			if m := r.msgs[events[i].Message]; m != nil && m.req != nil {
 				fresh = append(fresh, m)
 			}
@@ -719,7 +719,7 @@
 	// log, so that no send comes before it.
 	for i := range r.actions {
 		switch a := &r.actions[i]; a.Kind {
-		case decide.ActRefuse:
+		case decide.ActReject:
 			r.ended(a, HandedBack)
 		case decide.ActFail:
 			r.ended(a, GivenUp)
@@ -748,7 +748,7 @@
 	ms := (a.After + 999) / 1000
 	if word == HandedBack {
 		r.count(m.rec.Class, deferred)
-		r.tally.Add(m.rec.Dest, tally.Back+a.Why.String(), 1)
+		r.tally.Add(m.rec.Dest, tally.Back+a.Reason.String(), 1)
 	} else {
 		r.count(m.rec.Class, errored)
 		r.tally.Add(m.rec.Dest, tally.GivenUp, 1)
@@ -761,13 +761,13 @@
 		} else {
 			r.answer(q, Reply{Fault: errors.New("given up")})
 		}
-		r.story(m, story.Refused, "outcome", word, "why", a.Why.String(), "left_ms", r.left(m), "waited_ms", q.Waited/1000)
+		r.story(m, story.Refused, "outcome", word, "why", a.Reason.String(), "left_ms", r.left(m), "waited_ms", q.Waited/1000)
 		r.drop(m)
 		return
 	}
 	r.drop(m)
-	r.uncalled(m, word, a.Why.String())
-	r.tell(slog.LevelInfo, story.Ended, "message", m.rec.ID, "class", m.rec.Class, "dest", m.rec.Dest, "outcome", word, "why", a.Why.String(), "tries", m.tries,
+	r.uncalled(m, word, a.Reason.String())
+	r.tell(slog.LevelInfo, story.Ended, "message", m.rec.ID, "class", m.rec.Class, "dest", m.rec.Dest, "outcome", word, "why", a.Reason.String(), "tries", m.tries,
 		"left_ms", r.left(m))
 	if !m.heard {
 		m.ending = &Record{Notice: word, RetryMS: ms}
@@ -812,13 +812,13 @@
 		}
 	case decide.ActTimer:
 		r.timers.add(now + a.After)
-	case decide.ActProbe:
+	case decide.ActHealthCheck:
 		if r.awaiting {
 			r.probes = append(r.probes, a.Endpoint)
 		} else if ep := r.byNum[a.Endpoint]; ep != nil && !ep.gone {
 			r.probe(ep)
 		}
-	case decide.ActClose:
+	case decide.ActCloseIdle:
 		if ep := r.byNum[a.Endpoint]; ep != nil && ep.open {
 			r.do(Effect{Kind: CloseIdle, Endpoint: a.Endpoint})
 		}
@@ -834,7 +834,7 @@
 }
 
 // notSent tells the policy of an attempt that never left, in the next step.
-func (r *Core) notSent(m *message, ep decide.Endpoint) {
+func (r *Core) notSent(m *message, ep decide.EndpointID) {
 	r.later = append(r.later, Event{Kind: Unsent, Call: &Call{Rec: m.rec, m: m, ep: r.byNum[ep], attempt: m.tries - 1}})
 	r.do(Effect{Kind: Again})
 }
@@ -842,12 +842,12 @@
 // send logs an attempt, which is then made.
 func (r *Core) send(m *message, a *decide.Action) {
 	ep := r.byNum[a.Endpoint]
-	limit := a.At - r.now
-	if ep == nil || ep.gone || ep.cell != m.rec.Dest || limit <= 0 || m.over || a.By > 0 && r.now > a.By {
+	limit := a.TimeoutAt - r.now
+	if ep == nil || ep.gone || ep.cell != m.rec.Dest || limit <= 0 || m.over || a.LastByteBy > 0 && r.now > a.LastByteBy {
 		r.notSent(m, a.Endpoint)
 		return
 	}
-	c := &Call{Rec: m.rec, Endpoint: ep.num, Limit: limit, By: a.By, Cold: a.Cold, Opens: a.Opens, m: m, ep: ep, apart: r.apart(ep.flavor), attempt: m.tries - 1, sent: r.now}
+	c := &Call{Rec: m.rec, Endpoint: ep.num, Limit: limit, By: a.LastByteBy, Cold: a.Recovering, Opens: a.OpensConnection, m: m, ep: ep, apart: r.apart(ep.flavor), attempt: m.tries - 1, sent: r.now}
 	m.call = c
 	ep.calls = append(ep.calls, c)
 	r.calls++
@@ -865,7 +865,7 @@
 // apart reports whether the endpoints of a flavour are routes of their own.
 func (r *Core) apart(flavor string) bool {
 	i := place(r.set.Kinds, flavor)
-	return i >= 0 && i < len(r.set.Policy.Kinds) && r.set.Policy.Kinds[i].Apart
+	return i >= 0 && i < len(r.set.Policy.DestinationKinds) && r.set.Policy.DestinationKinds[i].IndependentRoutes
 }
 
 // wait books what a call was told: nothing may go to its endpoint before a
@@ -892,8 +892,8 @@
 }
 
 // ended are the outcomes in the tally's words.
-var ended = map[decide.Outcome]string{decide.Delivered: tally.Delivered, decide.Errored: tally.Errored, decide.Full: tally.Full,
-	decide.TimedOut: tally.TimedOut, decide.NoConnect: tally.NoConnect, decide.Reset: tally.Reset, decide.Cancelled: tally.Cancelled, decide.NotSent: tally.NotSent}
+var ended = map[decide.Outcome]string{decide.Delivered: tally.Delivered, decide.Failed: tally.Errored, decide.Rejected: tally.Full,
+	decide.TimedOut: tally.TimedOut, decide.ConnectFailed: tally.NoConnect, decide.ConnectionReset: tally.Reset, decide.Cancelled: tally.Cancelled, decide.NotSent: tally.NotSent}
 
 // finished books the end of an attempt.
 func (r *Core) finished(c *Call, o *Result, logged bool) {
@@ -901,8 +901,8 @@
 	if r.moved++; o.What != decide.Delivered && o.What != decide.NotSent && o.What != decide.Cancelled {
 		r.stirred++
 	}
-	e := decide.Event{Kind: decide.EvOutcome, Message: m.num, Attempt: c.attempt, Outcome: o.What, Wait: o.Wait,
-		Slots: o.Slots, Void: o.never(), Opened: o.Opened, Settled: o.Settled || m.over, Took: o.Took, Load: o.Load}
+	e := decide.Event{Kind: decide.EvAttemptEnded, Message: m.num, Attempt: c.attempt, Outcome: o.What, RetryAfter: o.Wait,
+		NoFreeSlot: o.Slots, NotCounted: o.never(), ConnectionsOpened: o.Opened, MessageFinished: o.Settled || m.over, Latency: o.Took, Load: o.Load}
 	if c.ep != nil {
 		e.Endpoint = c.ep.num
 		if o.Wait > 0 && o.What != decide.NotSent { // that one is of our own making
--- a/internal/core/core_test.go
+++ b/internal/core/core_test.go
@@ -30,8 +30,8 @@
 	taken   map[string]bool // in the log
 	heard   map[string]bool // told OK
 	out     map[string]int  // calls under way
-	drained map[decide.Endpoint]bool
-	cell    map[decide.Endpoint]int
+	drained map[decide.EndpointID]bool
+	cell    map[decide.EndpointID]int
 	open    map[*Call]bool
 	ended   map[string]int // notices and refusals
 	refused map[string]bool
@@ -49,7 +49,7 @@
 
 func newWorld(t *testing.T, seed uint64) *world {
 	return &world{t: t, rng: rand.New(rand.NewPCG(seed, 3)), core: testCore(t), now: 3600e6, taken: map[string]bool{}, heard: map[string]bool{},
-		out: map[string]int{}, drained: map[decide.Endpoint]bool{}, cell: map[decide.Endpoint]int{}, open: map[*Call]bool{},
+		out: map[string]int{}, drained: map[decide.EndpointID]bool{}, cell: map[decide.EndpointID]int{}, open: map[*Call]bool{},
 		ended: map[string]int{}, refused: map[string]bool{}, byAddr: map[string]int{}, flavors: []string{"k"}}
 }
 
@@ -126,13 +126,13 @@
 			o := &Result{Took: decide.Time(w.rng.IntN(400e3)), Status: 200, What: decide.Delivered, Settled: true}
 			switch w.rng.IntN(6) {
 			case 0:
-				o = &Result{What: decide.Full, Status: 429, Wait: decide.Time(w.rng.IntN(500e3))}
+				o = &Result{What: decide.Rejected, Status: 429, Wait: decide.Time(w.rng.IntN(500e3))}
 			case 1:
-				o = &Result{What: decide.NoConnect}
+				o = &Result{What: decide.ConnectFailed}
 			case 2:
-				o = &Result{What: decide.Reset, Took: 1000}
+				o = &Result{What: decide.ConnectionReset, Took: 1000}
 			case 3:
-				o = &Result{What: decide.Errored, Status: 500}
+				o = &Result{What: decide.Failed, Status: 500}
 			}
 			w.finish(c, Event{Kind: Finished, Call: c, Result: o})
 		case LogThenNotice:
@@ -236,7 +236,7 @@
 				w.byAddr[addr] = m.Cell
 				l.Members = append(l.Members, m)
 			}
-			kind := decide.ListChange
+			kind := decide.ListDelta
 			if i == 0 || w.rng.IntN(4) == 0 {
 				kind = decide.ListFull
 			}
--- a/internal/core/fixtures_test.go
+++ b/internal/core/fixtures_test.go
@@ -162,19 +162,19 @@
 // The packed memory of a passive destination: recorded bytes are read, and written
 // again byte for byte.
 func TestPackedFormIsUnchanged(t *testing.T) {
-	m, next := &decide.Memory{}, 0
+	m, next := &decide.Snapshot{}, 0
 	fill(reflect.ValueOf(m).Elem(), &next)
 	m.Now = 1000
-	b, err := pack(m, func(n decide.Endpoint) (uint32, bool) { return uint32(n) + 1e8, true })
+	b, err := pack(m, func(n decide.EndpointID) (uint32, bool) { return uint32(n) + 1e8, true })
 	if err != nil {
 		t.Fatal(err)
 	}
 	compareFixture(t, "packed.hex", []byte(hex.EncodeToString(b)+"\n"))
-	back, err := unpack(b, 3, func(mark uint32) decide.Endpoint { return decide.Endpoint(mark - 1e8) })
+	back, err := unpack(b, 3, func(mark uint32) decide.EndpointID { return decide.EndpointID(mark - 1e8) })
 	if err != nil {
 		t.Fatal(err)
 	}
-	if again, err := pack(back, func(n decide.Endpoint) (uint32, bool) { return uint32(n) + 1e8, true }); err != nil || !bytes.Equal(again, b) {
+	if again, err := pack(back, func(n decide.EndpointID) (uint32, bool) { return uint32(n) + 1e8, true }); err != nil || !bytes.Equal(again, b) {
 		t.Errorf("packed again: %x, %v\nwant %x", again, err, b)
 	}
 	text, err := json.Marshal(back)
--- a/internal/core/growth_test.go
+++ b/internal/core/growth_test.go
@@ -19,14 +19,14 @@
 }
 
 func settings() Settings {
-	class := func(r decide.Repeat) decide.Class {
-		return decide.Class{Name: "c", Aim: 1500e3, Deadline: 20e6, Worth: 1, Repeat: r, DedupWindow: 20e6}
+	class := func(r decide.Idempotency) decide.Class {
+		return decide.Class{Name: "c", LatencyObjective: 1500e3, Deadline: 20e6, Weight: 1, Idempotency: r, DedupWindow: 20e6}
 	}
-	return Settings{Seed: 1, Epoch: 1e15, Policy: decide.Settings{Relays: 1, Slots: 16, MaxHeld: 100, MaxAttempts: 8, OverShareWorth: 1,
-		RatesListed: true, Probes: true, Cancels: true, RetryAfter: true, MaxRetryAfter: 2e6, ConnectTimeout: 1500e3, KeepAlive: 10e6,
-		Streams: 1, Tick: 5000, AnswerSlack: 20e3, DrainGrace: 2e6, StartCapacity: 0.26, RampTime: 13e6, OverloadFactor: 1.5, FallTime: 2e6,
-		Classes: []decide.Class{class(decide.Safe), class(decide.Keyed), class(decide.Unsafe)}, Tenants: []decide.Tenant{{Name: "acme", Quota: 1000}},
-		Kinds: []decide.Kind{{Batch: 1}, {Batch: 1, Apart: true}}},
+	return Settings{Seed: 1, Epoch: 1e15, Policy: decide.Settings{Relays: 1, MaxConcurrentCalls: 16, MaxPending: 100, MaxAttempts: 8, OverQuotaWeight: 1,
+		ListHasRates: true, HealthChecks: true, Cancellation: true, SendRetryAfter: true, MaxRetryAfter: 2e6, ConnectTimeout: 1500e3, IdleTimeout: 10e6,
+		StreamsPerConnection: 1, TickInterval: 5000, ReplyGrace: 20e3, DrainGrace: 2e6, InitialCapacity: 0.26, RampDuration: 13e6, OverloadFactor: 1.5, OverloadDuration: 2e6,
+		Classes: []decide.Class{class(decide.Idempotent), class(decide.IdempotentByKey), class(decide.NonIdempotent)}, Tenants: []decide.Tenant{{Name: "acme", Quota: 1000}},
+		DestinationKinds: []decide.DestinationKind{{BatchSize: 1}, {BatchSize: 1, IndependentRoutes: true}}},
 		Zones: map[string]int{"a": 0}, Kinds: map[string]int{"k": 0, "r": 1}, Classes: map[string]int{"plain": 0, "keyed": 1, "once": 2},
 		Tenants: map[string]int{"acme": 0}}
 }
@@ -39,10 +39,10 @@
 	up := func(i int) Member {
 		return Member{ID: fmt.Sprintf("s-%d", i), HostPort: fmt.Sprintf("127.0.0.1:%d", 7000+i%3), Cell: i % 3, Phase: Up, Size: 5}
 	}
-	news := func(kind decide.ListNews, members ...Member) []Effect {
+	news := func(kind decide.ListUpdateKind, members ...Member) []Effect {
 		return r.Step(r.now, []Event{{Kind: News, News: kind, List: &List{Members: members}}}, nil)
 	}
-	homes := map[decide.Endpoint]string{} // as a driver has them
+	homes := map[decide.EndpointID]string{} // as a driver has them
 	carry := func(fx []Effect) {
 		for _, e := range fx {
 			switch e.Kind {
@@ -63,7 +63,7 @@
 		old := r.byID[up(i-3).ID]
 		leaves := up(i - 3)
 		leaves.Phase = Removed
-		carry(news(decide.ListChange, leaves, up(i)))
+		carry(news(decide.ListDelta, leaves, up(i)))
 		fresh := r.byID[up(i).ID]
 		if fresh.num == old.num || homes[old.num] != "" || homes[fresh.num] != up(i).HostPort {
 			t.Fatalf("%s inherits from %s: %v", fresh.id, old.id, homes)
@@ -102,7 +102,7 @@
 	m := Member{ID: "s-1", HostPort: "127.0.0.1:7000", Cell: 1, Phase: Up, Size: 5}
 	r.list(&List{Complete: true, Members: []Member{m}}, decide.ListFull)
 	m.Phase = Removed
-	r.list(&List{Members: []Member{m}}, decide.ListChange)
+	r.list(&List{Members: []Member{m}}, decide.ListDelta)
 	if s := put("known", 1); s != "held" {
 		t.Errorf("gone for now: %q", s)
 	}
@@ -129,9 +129,9 @@
 		{Result{What: decide.Delivered, Status: 200, Took: 10}, 1000, false},
 		{Result{What: decide.TimedOut, Took: 500}, 1100, false}, // it was sent at 600, and 1000 was answered
 		{Result{What: decide.TimedOut, Took: 500}, 2000, true},
-		{Result{What: decide.Reset}, 2100, true},
-		{Result{What: decide.NoConnect}, 2200, true},
-		{Result{What: decide.Full, Status: 503}, 2300, false},
+		{Result{What: decide.ConnectionReset}, 2100, true},
+		{Result{What: decide.ConnectFailed}, 2200, true},
+		{Result{What: decide.Rejected, Status: 503}, 2300, false},
 		{Result{What: decide.Cancelled, Took: 50}, 2320, false},
 	} {
 		if got := ep.suspect(&x.o, x.now); got != x.want {
--- a/internal/core/herd_test.go
+++ b/internal/core/herd_test.go
@@ -33,7 +33,7 @@
 	events  []Event
 	log     *book
 	members []Member
-	shut    map[decide.Endpoint]bool
+	shut    map[decide.EndpointID]bool
 
 	file      []byte // what was learned, as it lies beside the log
 	fileAt    int64
@@ -156,7 +156,7 @@
 	h.base = h.now - 3600e6
 	set := testCore(h.t).set
 	set.Seed, set.Epoch = h.rng.Uint64(), h.base
-	set.Policy.Slots, set.Policy.MaxAttempts = 6, 3
+	set.Policy.MaxConcurrentCalls, set.Policy.MaxAttempts = 6, 3
 	next, err := New(set)
 	if err != nil {
 		h.failf("%v", err)
@@ -165,7 +165,7 @@
 	if h.rng.IntN(4) == 0 { // again before it has resumed
 		h.killAfter = h.rng.IntN(8)
 	}
-	h.core, h.shut = next, map[decide.Endpoint]bool{}
+	h.core, h.shut = next, map[decide.EndpointID]bool{}
 	h.note("started, owed %d", len(h.log.live))
 	var owed []*Record
 	for _, id := range h.log.order {
@@ -377,15 +377,15 @@
 			if w := h.waits[c.Rec.Dest]; h.now+wait > w.until {
 				h.waits[c.Rec.Dest] = told{h.now, h.now + wait}
 			}
-			h.events = append(h.events, Event{Kind: Finished, Call: c, Result: &Result{What: decide.Full, Status: 429, Wait: wait, Took: took}})
+			h.events = append(h.events, Event{Kind: Finished, Call: c, Result: &Result{What: decide.Rejected, Status: 429, Wait: wait, Took: took}})
 		})
 	case k == 6:
-		end(&Result{What: decide.NoConnect})
+		end(&Result{What: decide.ConnectFailed})
 	case k == 7:
-		end(&Result{What: decide.Full, Status: 503})
+		end(&Result{What: decide.Rejected, Status: 503})
 	case k == 8: // it ran, and nobody heard
 		h.after(took/2, run)
-		end(&Result{What: decide.Reset})
+		end(&Result{What: decide.ConnectionReset})
 	default: // silent until the relay stops waiting
 		if h.rng.IntN(2) == 0 {
 			h.after(took/2, run)
@@ -467,7 +467,7 @@
 			x := &h.members[h.rng.IntN(len(h.members))]
 			x.Phase = []string{Up, Draining, Removed}[h.rng.IntN(3)]
 			if h.core != nil && h.downs[len(h.downs)-1][1] < 1<<62 && !h.core.awaiting {
-				h.events = append(h.events, Event{Kind: News, News: decide.ListChange, List: &List{Members: []Member{*x}}})
+				h.events = append(h.events, Event{Kind: News, News: decide.ListDelta, List: &List{Members: []Member{*x}}})
 			}
 		})
 	}
@@ -546,7 +546,7 @@
 func TestThousandsDueAtOnce(t *testing.T) {
 	const n = 6000
 	set := testCore(t).set
-	set.Policy.MaxHeld = 2 * n
+	set.Policy.MaxPending = 2 * n
 	r, err := New(set)
 	if err != nil {
 		t.Fatal(err)
--- a/internal/core/idle_bench_test.go
+++ b/internal/core/idle_bench_test.go
@@ -45,7 +45,7 @@
 		b.Fatal(err)
 	}
 	for d := 0; d < dests; d += 1000 {
-		r.Step(3600e6, []Event{{Kind: News, News: decide.ListChange, List: &List{Members: quiet(d, min(d+1000, dests), endpoints)}}}, nil)
+		r.Step(3600e6, []Event{{Kind: News, News: decide.ListDelta, List: &List{Members: quiet(d, min(d+1000, dests), endpoints)}}}, nil)
 	}
 	return r
 }
--- a/internal/core/learn.go
+++ b/internal/core/learn.go
@@ -6,20 +6,20 @@
 // relay should know as well: no message is in it. Moments are those of the
 // core's clock.
 type Learned struct {
-	Now      decide.Time     `json:"now"`
-	Revision int64           `json:"revision"` // of the list that it goes by
-	Members  []CarriedMember `json:"members"`
-	Partial  bool            `json:"partial,omitempty"` // destinations that rest are left out, but for those that were out
-	Waits    []CarriedWait   `json:"waits,omitempty"`
-	Policy   *decide.Memory  `json:"policy"`
+	Now      decide.Time      `json:"now"`
+	Revision int64            `json:"revision"` // of the list that it goes by
+	Members  []CarriedMember  `json:"members"`
+	Partial  bool             `json:"partial,omitempty"` // destinations that rest are left out, but for those that were out
+	Waits    []CarriedWait    `json:"waits,omitempty"`
+	Policy   *decide.Snapshot `json:"policy"`
 }
 
 // Learn shows what is known by now. It shares nothing with the core.
 func (r *Core) Learn(now decide.Time) *Learned {
 	r.now = max(now, r.now)
-	l := &Learned{Now: r.now, Revision: r.rev, Members: r.carriedMembers(), Waits: r.carriedWaits(), Policy: r.policy.Export(r.now), Partial: r.rest.store != nil}
+	l := &Learned{Now: r.now, Revision: r.rev, Members: r.carriedMembers(), Waits: r.carriedWaits(), Policy: r.policy.Snapshot(r.now), Partial: r.rest.store != nil}
 	members, lanes := r.resting(false)
-	l.Members, l.Policy.Lanes = append(l.Members, members...), append(l.Policy.Lanes, lanes...)
+	l.Members, l.Policy.Limiters = append(l.Members, members...), append(l.Policy.Limiters, lanes...)
 	return l
 }
 
@@ -41,8 +41,8 @@
 
 // Slim leaves out what is longest and soonest old: the counts of the last seconds.
 func (l *Learned) Slim() {
-	for i := range l.Policy.Lanes {
-		l.Policy.Lanes[i].Bins = nil
+	for i := range l.Policy.Limiters {
+		l.Policy.Limiters[i].Bins = nil
 	}
 }
 
@@ -63,7 +63,7 @@
 	}
 	if l.Policy != nil {
 		r.inherit(l.Policy, l.Members, shift)
-		r.policy.Recall(r.now, l.Policy, shift)
+		r.policy.RestoreAfterRestart(r.now, l.Policy, shift)
 	}
 	for _, ep := range r.endpoints {
 		if until := r.heldUntil(ep); until > r.now {
@@ -76,8 +76,8 @@
 // inherit puts this core's numbers into another's memory, and books the waits of
 // routes. Endpoints that are not known here, or are elsewhere now, get 0, which
 // none has.
-func (r *Core) inherit(p *decide.Memory, members []CarriedMember, shift decide.Time) {
-	number := map[decide.Endpoint]decide.Endpoint{}
+func (r *Core) inherit(p *decide.Snapshot, members []CarriedMember, shift decide.Time) {
+	number := map[decide.EndpointID]decide.EndpointID{}
 	for i := range members {
 		m := &members[i]
 		ep := r.byID[m.ID]
@@ -89,8 +89,8 @@
 			ep.waitUntil = max(ep.waitUntil, m.WaitUntil+shift)
 		}
 	}
-	for i := range p.Lanes {
-		eps := p.Lanes[i].Endpoints
+	for i := range p.Limiters {
+		eps := p.Limiters[i].Endpoints
 		for j := range eps {
 			eps[j].ID = number[eps[j].ID]
 		}
--- a/internal/core/learn_test.go
+++ b/internal/core/learn_test.go
@@ -28,9 +28,9 @@
 			case LogThenAnswer:
 				events = append(events, Event{Kind: Said, Request: e.Request, OK: true})
 			case LogThenSend:
-				o := &Result{What: decide.Full, Status: 429, Wait: 8e6}
+				o := &Result{What: decide.Rejected, Status: 429, Wait: 8e6}
 				if e.Call.Rec.Dest == 2 {
-					o = &Result{What: decide.NoConnect}
+					o = &Result{What: decide.ConnectFailed}
 				}
 				events = append(events, Event{Kind: Finished, Call: e.Call, Result: o})
 			}
--- a/internal/core/pairs_test.go
+++ b/internal/core/pairs_test.go
@@ -62,7 +62,7 @@
 		}
 		m := ep.member
 		m.Phase = phase
-		return Event{Kind: News, News: decide.ListChange, List: &List{Members: []Member{m}}}, true
+		return Event{Kind: News, News: decide.ListDelta, List: &List{Members: []Member{m}}}, true
 	}
 	return Event{}, false
 }
@@ -110,7 +110,7 @@
 		p.failf("%v", err)
 	}
 	p.core = next
-	p.drained, p.cell = map[decide.Endpoint]bool{}, map[decide.Endpoint]int{}
+	p.drained, p.cell = map[decide.EndpointID]bool{}, map[decide.EndpointID]int{}
 	p.carry(next.Book(p.now, []Event{{Kind: News, List: list, News: decide.ListCached}}, nil))
 	var owed []*Record
 	for _, id := range p.book.order {
@@ -161,7 +161,7 @@
 			return e, ok
 		}),
 		outcome("a call is delivered", Result{What: decide.Delivered, Status: 200, Settled: true, Took: 1000}),
-		outcome("a call is told to wait", Result{What: decide.Full, Status: 429, Wait: 400e3}),
+		outcome("a call is told to wait", Result{What: decide.Rejected, Status: 429, Wait: 400e3}),
 		outcome("a call times out", Result{What: decide.TimedOut, Took: 300e3}),
 		outcome("a call never leaves", Result{What: decide.NotSent}),
 		outcome("a call is over there", Result{What: decide.NotSent, Status: 410, Settled: true}),
--- a/internal/core/rest.go
+++ b/internal/core/rest.go
@@ -51,7 +51,7 @@
 
 // news books a member of the list under way where it belongs: in the store, or among what is
 // awake, and then its entry is for the policy.
-func (r *Core) news(x *Member) (entry decide.Entry, awake bool) {
+func (r *Core) news(x *Member) (entry decide.EndpointUpdate, awake bool) {
 	s := r.rest.store
 	delete(r.booking.unnamed, x.ID)
 	if s != nil {
@@ -122,8 +122,8 @@
 	r.rest.roster.Stir(dest, r.now)
 	delete(r.rest.wary, dest)
 	r.named[dest] = true
-	e := decide.Event{Kind: decide.EvList, List: decide.ListChange}
-	number := map[uint32]decide.Endpoint{}
+	e := decide.Event{Kind: decide.EvListUpdated, ListUpdate: decide.ListDelta}
+	number := map[uint32]decide.EndpointID{}
 	for i := range endpoints {
 		x := &endpoints[i]
 		m := listed(dest, x)
@@ -132,10 +132,10 @@
 			r.booking.unnamed[x.ID] = true
 		}
 		number[endpointMark(x.ID, x.HostPort)] = entry.Endpoint
-		e.Entries = append(e.Entries, entry)
+		e.Updates = append(e.Updates, entry)
 	}
 	var err error
-	if e.Memory, err = unpack(learned, dest, func(mark uint32) decide.Endpoint { return number[mark] }); err != nil {
+	if e.Snapshot, err = unpack(learned, dest, func(mark uint32) decide.EndpointID { return number[mark] }); err != nil {
 		r.tell(slog.LevelError, "what was learned of a destination that rested cannot be read", "dest", dest, "err", err) // it wakes as one that nobody knows
 	}
 	r.events = append(r.events, e)
@@ -150,7 +150,7 @@
 	s.due, s.again = s.roster.Due(r.now, restAtOnce, s.due[:0])
 	going := make(map[int][]dormant.Endpoint, len(s.due))
 	for _, dest := range s.due {
-		if r.policy.Quiet(r.now, dest) {
+		if r.policy.CanPassivate(r.now, dest) {
 			going[dest] = nil
 		} else {
 			s.roster.Stir(dest, r.now)
@@ -178,7 +178,7 @@
 		s.store = dormant.New()
 	}
 	kept := r.endpoints[:0]
-	marks := map[decide.Endpoint]uint32{}
+	marks := map[decide.EndpointID]uint32{}
 	for _, ep := range r.endpoints {
 		list, ok := going[ep.cell]
 		if !ok || !ep.listed { // one that has left is kept for its wait, or a while
@@ -202,8 +202,8 @@
 		if !ok {
 			continue
 		}
-		m := r.policy.PutAway(r.now, dest)
-		b, err := pack(m, func(num decide.Endpoint) (uint32, bool) { x, ok := marks[num]; return x, ok })
+		m := r.policy.Passivate(r.now, dest)
+		b, err := pack(m, func(num decide.EndpointID) (uint32, bool) { x, ok := marks[num]; return x, ok })
 		if err != nil {
 			r.tell(slog.LevelError, "what was learned of a destination cannot be kept while it rests", "dest", dest, "err", err)
 		}
@@ -222,10 +222,10 @@
 }
 
 // wary: a restart should know that it was out.
-func wary(m *decide.Memory) bool {
-	for i := range m.Lanes {
-		for j := range m.Lanes[i].Endpoints {
-			if m.Lanes[i].Endpoints[j].Sick {
+func wary(m *decide.Snapshot) bool {
+	for i := range m.Limiters {
+		for j := range m.Limiters[i].Endpoints {
+			if m.Limiters[i].Endpoints[j].Unhealthy {
 				return true
 			}
 		}
@@ -248,34 +248,34 @@
 
 // wakeAll wakes the destinations that a memory tells of, so that it can be taken
 // over; they rest again in their time.
-func (r *Core) wakeAll(m *decide.Memory) {
-	for i := range m.Lanes {
-		r.rouse(m.Lanes[i].Dest)
+func (r *Core) wakeAll(m *decide.Snapshot) {
+	for i := range m.Limiters {
+		r.rouse(m.Limiters[i].Destination)
 	}
 }
 
 // resting shows the members of destinations that rest, with numbers that no other
 // endpoint has, and what was learned of them: of all, or of those alone that a
 // restart should know.
-func (r *Core) resting(all bool) (members []CarriedMember, lanes []decide.LaneMemory) {
+func (r *Core) resting(all bool) (members []CarriedMember, lanes []decide.LimiterSnapshot) {
 	s := &r.rest
 	if s.store == nil {
 		return nil, nil
 	}
 	next := r.lastEnd
 	show := func(dest int, learned []byte, endpoints []dormant.Endpoint) {
-		number := map[uint32]decide.Endpoint{}
+		number := map[uint32]decide.EndpointID{}
 		for i := range endpoints {
 			x := &endpoints[i]
 			next++
 			number[endpointMark(x.ID, x.HostPort)] = next
 			members = append(members, CarriedMember{Member: listed(dest, x), Number: next})
 		}
-		m, err := unpack(learned, dest, func(mark uint32) decide.Endpoint { return number[mark] })
+		m, err := unpack(learned, dest, func(mark uint32) decide.EndpointID { return number[mark] })
 		if err != nil {
 			return // it is known by its members
 		}
-		lanes = append(lanes, m.Lanes...)
+		lanes = append(lanes, m.Limiters...)
 	}
 	if all {
 		s.store.All(show)
--- a/internal/core/rest_test.go
+++ b/internal/core/rest_test.go
@@ -94,7 +94,7 @@
 
 // sends has one message be handed in, and tells when and where it was sent within
 // a span; the call is answered by o.
-func sends(t *testing.T, r *Core, from, until decide.Time, id string, dest int, o *Result) (at decide.Time, ep decide.Endpoint, fx []Effect) {
+func sends(t *testing.T, r *Core, from, until decide.Time, id string, dest int, o *Result) (at decide.Time, ep decide.EndpointID, fx []Effect) {
 	t.Helper()
 	rec := &Record{Kind: Taken, ID: id, Class: "plain", Dest: dest, Deadline: r.wall(until)}
 	events := []Event{{Kind: Put, Request: &Request{Class: 0, Tenant: -1, Rec: rec}}}
@@ -139,8 +139,8 @@
 	if n, _ := r.Resting(); n != 2 { // beyond the first, they begin asleep
 		t.Fatalf("%d rest from the start", n)
 	}
-	sends(t, r, now, now+1e6, "a", 1, &Result{What: decide.Full, Status: 429, Wait: 100e6})
-	sends(t, r, now, now+1e6, "b", 2, &Result{What: decide.Full, Status: 429, Wait: 90e6})
+	sends(t, r, now, now+1e6, "a", 1, &Result{What: decide.Rejected, Status: 429, Wait: 100e6})
+	sends(t, r, now, now+1e6, "b", 2, &Result{What: decide.Rejected, Status: 429, Wait: 90e6})
 	for at := now + 2e6; at < now+60e6; at += 1e6 {
 		r.Step(at, nil, nil)
 	}
@@ -164,7 +164,7 @@
 			r.Step(now+1e6, list(member(2, 2, "r"), member(1, 1, "k"), member(3, 3, "k")), nil)
 		},
 		"one joins": func(r *Core, now decide.Time) {
-			r.Step(now, []Event{{Kind: News, News: decide.ListChange, List: &List{Members: []Member{member(9, 1, "k")}}}}, nil)
+			r.Step(now, []Event{{Kind: News, News: decide.ListDelta, List: &List{Members: []Member{member(9, 1, "k")}}}}, nil)
 		},
 		"a restart": func(r *Core, now decide.Time) {
 			l := &Learned{}
@@ -223,8 +223,8 @@
 	r.Step(now, []Event{{Kind: News, News: decide.ListFull, List: &List{Complete: true, Members: []Member{member(9, 9, "k"), member(1, 1, "k"), member(2, 2, "k"), member(3, 3, "k")}}}}, nil)
 	for i := range 3 {
 		at := now + decide.Time(i)*3e6
-		sends(t, r, at, at+1e6, fmt.Sprint("a", i), 1+i, &Result{What: decide.NoConnect})
-		sends(t, r, at+2e6, at+3e6, fmt.Sprint("b", i), 1+i, &Result{What: decide.NoConnect})
+		sends(t, r, at, at+1e6, fmt.Sprint("a", i), 1+i, &Result{What: decide.ConnectFailed})
+		sends(t, r, at+2e6, at+3e6, fmt.Sprint("b", i), 1+i, &Result{What: decide.ConnectFailed})
 	}
 	for at := now + 10e6; at < now+60e6; at += 1e6 {
 		r.Step(at, nil, nil)
@@ -248,7 +248,7 @@
 	moved.HostPort, swapped.HostPort = "127.0.0.1:1", member(3, 3, "k").HostPort
 	gone := member(3, 3, "k")
 	gone.Phase = Removed
-	r.Step(now+60e6, []Event{{Kind: News, News: decide.ListChange, List: &List{Members: []Member{moved, gone, swapped}}}}, nil)
+	r.Step(now+60e6, []Event{{Kind: News, News: decide.ListDelta, List: &List{Members: []Member{moved, gone, swapped}}}}, nil)
 	for dest, want := range map[int]bool{1: true, 2: false, 3: false} {
 		r.rouse(dest)
 		r.step()
@@ -309,7 +309,7 @@
 		want := map[string]Member{}
 		for i := range 120 {
 			l := &List{}
-			kind := decide.ListChange
+			kind := decide.ListDelta
 			if whole := i == 0 || rng.IntN(6) == 0; whole {
 				kind, l.Complete = decide.ListFull, true
 			}
@@ -383,7 +383,7 @@
 	gone, drains := all[0], all[1]
 	gone.Phase, drains.Phase = Removed, Draining
 	l := &List{Members: append(slices.Clone(all[2:]), gone, drains)}
-	r.Step(now, []Event{{Kind: News, News: decide.ListChange, List: l}}, nil)
+	r.Step(now, []Event{{Kind: News, News: decide.ListDelta, List: l}}, nil)
 	for _, id := range []string{"s-0", "s-1"} {
 		if ep := r.byID[id]; !ep.gone {
 			t.Errorf("%s is not gone after the first piece", id)
@@ -437,7 +437,7 @@
 		t.Error("refused at once")
 	}
 	for at := now + 1e6; at < now+1900e6; at += 10e6 {
-		r.Step(at, []Event{{Kind: News, News: decide.ListChange, List: &List{}}}, nil)
+		r.Step(at, []Event{{Kind: News, News: decide.ListDelta, List: &List{}}}, nil)
 	}
 	if taken(now+1900e6, "late", 151) {
 		t.Error("known for good")
@@ -449,17 +449,17 @@
 
 // What lies in the store is read with bounds, and gives nothing where it is damaged.
 func FuzzUnpack(f *testing.F) {
-	m := &decide.Memory{Now: 5e9, Lanes: []decide.LaneMemory{{Lat: decide.LatencyMemory{Mean: 3, N: 2},
-		Endpoints: []decide.EndpointMemory{{ID: 1, Sick: true, OkAt: 4e9, BadAt: 5e9}}}}}
-	b, err := pack(m, func(decide.Endpoint) (uint32, bool) { return 7, true })
+	m := &decide.Snapshot{Now: 5e9, Limiters: []decide.LimiterSnapshot{{Latency: decide.LatencySnapshot{Mean: 3, Count: 2},
+		Endpoints: []decide.EndpointSnapshot{{ID: 1, Unhealthy: true, LastSuccessAt: 4e9, LastFailureAt: 5e9}}}}}
+	b, err := pack(m, func(decide.EndpointID) (uint32, bool) { return 7, true })
 	if err != nil {
 		f.Fatal(err)
 	}
 	f.Add(b)
 	f.Add([]byte{0xa2, 1, 0, 2, 0x9b, 0xff, 0xff, 0xff, 0xff, 0xff, 0xff, 0xff, 0xff})
 	f.Fuzz(func(t *testing.T, b []byte) {
-		m, err := unpack(b, 1, func(uint32) decide.Endpoint { return 1 })
-		if m == nil || err != nil && len(m.Lanes) > 0 {
+		m, err := unpack(b, 1, func(uint32) decide.EndpointID { return 1 })
+		if m == nil || err != nil && len(m.Limiters) > 0 {
 			t.Errorf("%v, %v", m, err)
 		}
 	})
@@ -467,21 +467,21 @@
 
 // Moments, waits and health come back as they were; a wait is never shorter.
 func TestPackedIsUnpacked(t *testing.T) {
-	m := &decide.Memory{Now: 5e9, Lanes: []decide.LaneMemory{{Dest: 3, Window: 1, Boost: 1, Limit: 12.5, Cut: 0.25, CutAt: 4e9 + 1,
-		Lat: decide.LatencyMemory{Mean: 1500, Dev: 20, N: 7},
-		Endpoints: []decide.EndpointMemory{{ID: 11, Sick: true, Mute: true, FirstBad: 4e9, BadAt: 5e9, GoodAt: 4e9 + 5, GoodSent: 4e9 + 3, OkAt: 1, RestUntil: 5e9 + 7,
-			Score: 0.5, Budget: decide.BucketMemory{At: 4e9, Tokens: 1.5, Used: true}, Need: 0.75, Lat: decide.LatencyMemory{Mean: 9, Dev: 1, N: 1}}, {ID: 12}}}}}
-	b, err := pack(m, func(n decide.Endpoint) (uint32, bool) { return uint32(n) * 1e8, true })
+	m := &decide.Snapshot{Now: 5e9, Limiters: []decide.LimiterSnapshot{{Destination: 3, Window: 1, RateMultiplier: 1, ReportedRate: 12.5, ReducedRate: 0.25, ReducedAt: 4e9 + 1,
+		Latency: decide.LatencySnapshot{Mean: 1500, Deviation: 20, Count: 7},
+		Endpoints: []decide.EndpointSnapshot{{ID: 11, Unhealthy: true, LastFailureSilent: true, FirstFailureAt: 4e9, LastFailureAt: 5e9, RecoveredAt: 4e9 + 5, RecoverySentAt: 4e9 + 3, LastSuccessAt: 1, BackoffUntil: 5e9 + 7,
+			FailureScore: 0.5, RecoveryBudget: decide.TokenBucketSnapshot{At: 4e9, Tokens: 1.5, Used: true}, RequiredTokens: 0.75, Latency: decide.LatencySnapshot{Mean: 9, Deviation: 1, Count: 1}}, {ID: 12}}}}}
+	b, err := pack(m, func(n decide.EndpointID) (uint32, bool) { return uint32(n) * 1e8, true })
 	if err != nil {
 		t.Fatal(err)
 	}
-	got, err := unpack(b, 3, func(x uint32) decide.Endpoint { return decide.Endpoint(x / 1e8) })
+	got, err := unpack(b, 3, func(x uint32) decide.EndpointID { return decide.EndpointID(x / 1e8) })
 	if err != nil {
 		t.Fatal(err)
 	}
 	want := *m
-	want.Lanes[0].Endpoints[0].BadAt++ // this very moment is told as a µs later
-	if a, b := fmt.Sprintf("%+v", got.Lanes), fmt.Sprintf("%+v", want.Lanes); a != b {
+	want.Limiters[0].Endpoints[0].LastFailureAt++ // this very moment is told as a µs later
+	if a, b := fmt.Sprintf("%+v", got.Limiters), fmt.Sprintf("%+v", want.Limiters); a != b {
 		t.Errorf("%s\nwant %s", a, b)
 	}
 	if len(b) > 160 {
--- a/internal/core/restarts_test.go
+++ b/internal/core/restarts_test.go
@@ -72,7 +72,7 @@
 				o := &Result{What: decide.Delivered, Settled: true, Status: 200, Took: 1000}
 				switch e.Call.Rec.Dest {
 				case 2:
-					o = &Result{What: decide.Full, Status: 503}
+					o = &Result{What: decide.Rejected, Status: 503}
 				case 3:
 					o = &Result{What: decide.NotSent}
 				}
@@ -117,7 +117,7 @@
 	}
 	set := settings()
 	set.Policy.MaxAttempts = 1
-	set.Policy.Classes[0].Aim = 100e3
+	set.Policy.Classes[0].LatencyObjective = 100e3
 	r, err := New(set)
 	if err != nil {
 		t.Fatal(err)
--- a/internal/core/rested.go
+++ b/internal/core/rested.go
@@ -92,42 +92,42 @@
 	return max(now+d, 1)
 }
 
-func packLat(l decide.LatencyMemory) *restedLat {
-	if l.N == 0 {
+func packLat(l decide.LatencySnapshot) *restedLat {
+	if l.Count == 0 {
 		return nil
 	}
 	us := func(v float64) uint32 { return uint32(min(max(math.Round(v), 0), math.MaxUint32)) }
-	return &restedLat{Mean: us(l.Mean), Dev: us(l.Dev), N: uint32(min(l.N, math.MaxInt32))}
+	return &restedLat{Mean: us(l.Mean), Dev: us(l.Deviation), N: uint32(min(l.Count, math.MaxInt32))}
 }
 
-func (l *restedLat) memory() (m decide.LatencyMemory) {
+func (l *restedLat) memory() (m decide.LatencySnapshot) {
 	if l != nil {
-		m = decide.LatencyMemory{Mean: float64(l.Mean), Dev: float64(l.Dev), N: int(l.N)}
+		m = decide.LatencySnapshot{Mean: float64(l.Mean), Deviation: float64(l.Dev), Count: int(l.N)}
 	}
 	return m
 }
 
 // pack makes the bytes of a memory; none where nothing was learned. mark tells
 // what stands for an endpoint that has a number.
-func pack(m *decide.Memory, mark func(decide.Endpoint) (uint32, bool)) ([]byte, error) {
-	if len(m.Lanes) == 0 {
+func pack(m *decide.Snapshot, mark func(decide.EndpointID) (uint32, bool)) ([]byte, error) {
+	if len(m.Limiters) == 0 {
 		return nil, nil
 	}
 	r := rested{Now: m.Now}
-	for i := range m.Lanes {
-		l := &m.Lanes[i]
-		x := restedLane{Nominal: float32(l.Nominal), Limit: float32(l.Limit), Cut: float32(l.Cut),
-			CutAt: from(m.Now, l.CutAt), Lat: packLat(l.Lat)}
+	for i := range m.Limiters {
+		l := &m.Limiters[i]
+		x := restedLane{Nominal: float32(l.NominalRate), Limit: float32(l.ReportedRate), Cut: float32(l.ReducedRate),
+			CutAt: from(m.Now, l.ReducedAt), Lat: packLat(l.Latency)}
 		for j := range l.Endpoints {
 			e := &l.Endpoints[j]
 			id, ok := mark(e.ID)
 			if !ok {
 				continue
 			}
-			x.Ends = append(x.Ends, restedEnd{ID: id, Sick: e.Sick, Mute: e.Mute, FirstBad: from(m.Now, e.FirstBad), BadAt: from(m.Now, e.BadAt),
-				GoodAt: from(m.Now, e.GoodAt), GoodSent: from(m.Now, e.GoodSent), OkAt: from(m.Now, e.OkAt), Rest: from(m.Now, e.RestUntil),
-				Score: float32(e.Score), BudgetAt: from(m.Now, e.Budget.At), Budget: float32(e.Budget.Tokens), Used: e.Budget.Used,
-				Need: float32(e.Need), Lat: packLat(e.Lat)})
+			x.Ends = append(x.Ends, restedEnd{ID: id, Sick: e.Unhealthy, Mute: e.LastFailureSilent, FirstBad: from(m.Now, e.FirstFailureAt), BadAt: from(m.Now, e.LastFailureAt),
+				GoodAt: from(m.Now, e.RecoveredAt), GoodSent: from(m.Now, e.RecoverySentAt), OkAt: from(m.Now, e.LastSuccessAt), Rest: from(m.Now, e.BackoffUntil),
+				Score: float32(e.FailureScore), BudgetAt: from(m.Now, e.RecoveryBudget.At), Budget: float32(e.RecoveryBudget.Tokens), Used: e.RecoveryBudget.Used,
+				Need: float32(e.RequiredTokens), Lat: packLat(e.Latency)})
 		}
 		r.Lanes = append(r.Lanes, x)
 	}
@@ -140,27 +140,27 @@
 
 // unpack reads what pack made, of a destination. number tells the number of what
 // a mark stands for; 0 for nothing that is known.
-func unpack(b []byte, dest int, number func(uint32) decide.Endpoint) (*decide.Memory, error) {
+func unpack(b []byte, dest int, number func(uint32) decide.EndpointID) (*decide.Snapshot, error) {
 	if len(b) == 0 {
-		return &decide.Memory{}, nil
+		return &decide.Snapshot{}, nil
 	}
 	var r rested
 	if err := readForm.Unmarshal(b, &r); err != nil {
-		return &decide.Memory{}, fmt.Errorf("rested: %w", err)
+		return &decide.Snapshot{}, fmt.Errorf("rested: %w", err)
 	}
-	m := &decide.Memory{Now: r.Now}
+	m := &decide.Snapshot{Now: r.Now}
 	for i := range r.Lanes {
 		x := &r.Lanes[i]
-		l := decide.LaneMemory{Dest: dest, Window: 1, Boost: 1, Nominal: float64(x.Nominal),
-			Limit: float64(x.Limit), Cut: float64(x.Cut), CutAt: at(r.Now, x.CutAt), Lat: x.Lat.memory()}
+		l := decide.LimiterSnapshot{Destination: dest, Window: 1, RateMultiplier: 1, NominalRate: float64(x.Nominal),
+			ReportedRate: float64(x.Limit), ReducedRate: float64(x.Cut), ReducedAt: at(r.Now, x.CutAt), Latency: x.Lat.memory()}
 		for j := range x.Ends {
 			e := &x.Ends[j]
-			l.Endpoints = append(l.Endpoints, decide.EndpointMemory{ID: number(e.ID), Sick: e.Sick, Mute: e.Mute, FirstBad: at(r.Now, e.FirstBad),
-				BadAt: at(r.Now, e.BadAt), GoodAt: at(r.Now, e.GoodAt), GoodSent: at(r.Now, e.GoodSent), OkAt: at(r.Now, e.OkAt),
-				RestUntil: at(r.Now, e.Rest), Score: float64(e.Score), Budget: decide.BucketMemory{At: at(r.Now, e.BudgetAt), Tokens: float64(e.Budget), Used: e.Used},
-				Need: float64(e.Need), Lat: e.Lat.memory()})
+			l.Endpoints = append(l.Endpoints, decide.EndpointSnapshot{ID: number(e.ID), Unhealthy: e.Sick, LastFailureSilent: e.Mute, FirstFailureAt: at(r.Now, e.FirstBad),
+				LastFailureAt: at(r.Now, e.BadAt), RecoveredAt: at(r.Now, e.GoodAt), RecoverySentAt: at(r.Now, e.GoodSent), LastSuccessAt: at(r.Now, e.OkAt),
+				BackoffUntil: at(r.Now, e.Rest), FailureScore: float64(e.Score), RecoveryBudget: decide.TokenBucketSnapshot{At: at(r.Now, e.BudgetAt), Tokens: float64(e.Budget), Used: e.Used},
+				RequiredTokens: float64(e.Need), Latency: e.Lat.memory()})
 		}
-		m.Lanes = append(m.Lanes, l)
+		m.Limiters = append(m.Limiters, l)
 	}
 	return m, nil
 }
--- a/internal/core/stop_test.go
+++ b/internal/core/stop_test.go
@@ -88,7 +88,7 @@
 			s.now += after
 			l := &List{Members: []Member{{ID: "late", HostPort: "127.0.0.1:1", Cell: 20, Phase: Up, Size: 1000, Locality: "a", Flavor: "k"}}}
 			sent = false
-			fx := s.step(Event{Kind: News, News: decide.ListChange, List: l})
+			fx := s.step(Event{Kind: News, News: decide.ListDelta, List: l})
 			for i := range fx {
 				sent = sent || fx[i].Kind == LogThenSend
 			}
--- a/internal/core/waits_test.go
+++ b/internal/core/waits_test.go
@@ -17,7 +17,7 @@
 type driver struct {
 	w      *world
 	scopes map[string]*gate.Scope
-	homes  map[decide.Endpoint]*place1
+	homes  map[decide.EndpointID]*place1
 	calls  []*wayOut
 	told   map[string]decide.Time // the end of the longest wait, by scope
 	longer decide.Time            // waits are so much longer now and then
@@ -41,7 +41,7 @@
 }
 
 func newDriver(w *world) *driver {
-	return &driver{w: w, scopes: map[string]*gate.Scope{}, homes: map[decide.Endpoint]*place1{}, told: map[string]decide.Time{}, asked: map[string]bool{}}
+	return &driver{w: w, scopes: map[string]*gate.Scope{}, homes: map[decide.EndpointID]*place1{}, told: map[string]decide.Time{}, asked: map[string]bool{}}
 }
 
 func (d *driver) open(e *Effect) {
@@ -55,14 +55,14 @@
 	d.homes[e.Endpoint] = &place1{scope: name, gate: d.scopes[name].Gate(), dest: e.Dest}
 }
 
-func (w *world) idOf(n decide.Endpoint) string {
+func (w *world) idOf(n decide.EndpointID) string {
 	if ep := w.core.byNum[n]; ep != nil {
 		return ep.id
 	}
 	return fmt.Sprint("forgotten ", n) // in the same step: its destination rests
 }
 
-func (d *driver) shut(n decide.Endpoint) {
+func (d *driver) shut(n decide.EndpointID) {
 	if h := d.homes[n]; h != nil {
 		h.gone = true
 		h.gate.Close()
@@ -70,7 +70,7 @@
 }
 
 // forget lets go of all that is kept for an endpoint.
-func (d *driver) forget(n decide.Endpoint) {
+func (d *driver) forget(n decide.EndpointID) {
 	if h := d.homes[n]; h != nil && !h.gone {
 		d.w.failf("endpoint %d is forgotten and not shut", n)
 	}
@@ -122,7 +122,7 @@
 				continue // the connection takes its time
 			}
 			if w.rng.IntN(8) == 0 {
-				d.end(c, &Result{What: decide.NoConnect})
+				d.end(c, &Result{What: decide.ConnectFailed})
 				continue
 			}
 			if err = c.pass.First(w.now); err != nil {
@@ -150,18 +150,18 @@
 			o := &Result{What: decide.Delivered, Status: 200, Settled: true, Took: w.now - c.call.Sent()}
 			switch w.rng.IntN(8) {
 			case 0, 1:
-				o = &Result{What: decide.Full, Status: 429, Wait: decide.Time(w.rng.IntN(900e3))}
+				o = &Result{What: decide.Rejected, Status: 429, Wait: decide.Time(w.rng.IntN(900e3))}
 			case 2: // its head came, and no more
-				o = &Result{What: decide.Errored, Status: 429, Spoilt: true, Wait: decide.Time(w.rng.IntN(900e3))}
+				o = &Result{What: decide.Failed, Status: 429, Spoilt: true, Wait: decide.Time(w.rng.IntN(900e3))}
 			case 3: // nobody hears what was told
 				o = &Result{What: decide.TimedOut, Took: w.now - c.call.Sent()}
 			case 4:
-				o = &Result{What: decide.Full, Status: 503}
+				o = &Result{What: decide.Rejected, Status: 503}
 			case 5:
-				o = &Result{What: decide.Reset}
+				o = &Result{What: decide.ConnectionReset}
 			}
 			if c.home == nil { // it left before the hand-over
-				o = &Result{What: decide.Reset}
+				o = &Result{What: decide.ConnectionReset}
 			}
 			if o.Wait > 0 {
 				if d.longer > 0 && w.rng.IntN(3) == 0 {
@@ -292,9 +292,9 @@
 		}
 		// One that joins a destination which has told a wait is bound as well, and
 		// one that joins a route's is not.
-		fx := c.Step(now, []Event{{Kind: News, News: decide.ListChange, List: &List{Members: []Member{
+		fx := c.Step(now, []Event{{Kind: News, News: decide.ListDelta, List: &List{Members: []Member{
 			{ID: "e", HostPort: "127.0.0.1:5", Cell: 1, Phase: Up, Flavor: "k"}, {ID: "f", HostPort: "127.0.0.1:6", Cell: 2, Phase: Up, Flavor: "r"}}}}}, nil)
-		held := map[decide.Endpoint]decide.Time{}
+		held := map[decide.EndpointID]decide.Time{}
 		for i := range fx {
 			if fx[i].Kind == Hold {
 				held[fx[i].Endpoint] = fx[i].Until - now
--- a/internal/draw/draw.go
+++ b/internal/draw/draw.go
@@ -21,8 +21,8 @@
 	return z ^ z>>31
 }
 
-// Unit is a figure in (0, 1).
-func Unit(seed uint64, of ...uint64) float64 {
+// Float64 is a figure in (0, 1).
+func Float64(seed uint64, of ...uint64) float64 {
 	return (float64(Hash(seed, of...)>>11) + 0.5) / (1 << 53)
 }
 
@@ -32,22 +32,22 @@
 // NewStream makes a stream of its own for what it is used for.
 func NewStream(seed uint64, of ...uint64) *Stream { return &Stream{seed: Hash(seed, of...)} }
 
-// Unit is the next figure in (0, 1).
-func (s *Stream) Unit() float64 {
+// Float64 is the next figure in (0, 1).
+func (s *Stream) Float64() float64 {
 	s.n++
-	return Unit(s.seed, s.n)
+	return Float64(s.seed, s.n)
 }
 
-// Exp is the next figure of an exponential distribution with mean 1.
-func (s *Stream) Exp() float64 { return -math.Log(s.Unit()) }
+// ExpFloat64 is the next figure of an exponential distribution with mean 1.
+func (s *Stream) ExpFloat64() float64 { return -math.Log(s.Float64()) }
 
-// Pick is an index drawn by weight; -1 where no weight is above 0.
-func (s *Stream) Pick(weights []float64) int {
+// WeightedIndex is an index drawn by weight; -1 where no weight is above 0.
+func (s *Stream) WeightedIndex(weights []float64) int {
 	sum := 0.0
 	for _, w := range weights {
 		sum += w
 	}
-	at, last := s.Unit()*sum, -1
+	at, last := s.Float64()*sum, -1
 	for i, w := range weights {
 		if w <= 0 {
 			continue
@@ -60,20 +60,20 @@
 	return last
 }
 
-// Dist names a distribution of service times.
-type Dist string
+// Distribution names a distribution of service times.
+type Distribution string
 
 // Distributions.
 const (
-	Fixed     Dist = "fixed"     // always the mean
-	Exp       Dist = "exp"       // exponential; its coefficient of variation is 1
-	LogNormal Dist = "lognormal" // log-normal with the coefficient of variation that is given
+	Constant    Distribution = "fixed"     // always the mean
+	Exponential Distribution = "exp"       // exponential; its coefficient of variation is 1
+	LogNormal   Distribution = "lognormal" // log-normal with the coefficient of variation that is given
 )
 
-// Service draws a service time of mean 1 from two figures in (0, 1).
-func (d Dist) Service(cv, u1, u2 float64) float64 {
+// ServiceTime draws a service time of mean 1 from two figures in (0, 1).
+func (d Distribution) ServiceTime(cv, u1, u2 float64) float64 {
 	switch d {
-	case Exp:
+	case Exponential:
 		return -math.Log(u1)
 	case LogNormal:
 		s2 := math.Log(1 + cv*cv)
--- a/internal/draw/draw_test.go
+++ b/internal/draw/draw_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-func TestFiguresStayAsTheyAre(t *testing.T) {
+func TestHashIsStable(t *testing.T) {
 	// Recordings hold seeds, not figures: these must never change.
 	for _, c := range []struct {
 		got, want uint64
@@ -22,12 +22,12 @@
 func TestMeansAndSpread(t *testing.T) {
 	const n = 200_000
 	for _, c := range []struct {
-		d      Dist
+		d      Distribution
 		cv, sd float64
-	}{{Fixed, 3, 0}, {Exp, 3, 1}, {LogNormal, 0.5, 0.5}, {LogNormal, 1.3, 1.3}} {
+	}{{Constant, 3, 0}, {Exponential, 3, 1}, {LogNormal, 0.5, 0.5}, {LogNormal, 1.3, 1.3}} {
 		sum, sq := 0.0, 0.0
 		for i := range uint64(n) {
-			v := c.d.Service(c.cv, Unit(7, i, 0), Unit(7, i, 1))
+			v := c.d.ServiceTime(c.cv, Float64(7, i, 0), Float64(7, i, 1))
 			sum, sq = sum+v, sq+v*v
 		}
 		mean := sum / n
@@ -38,16 +38,16 @@
 	}
 }
 
-func TestPick(t *testing.T) {
+func TestWeightedIndex(t *testing.T) {
 	s := NewStream(3, 1)
 	var n [4]int
 	for range 100_000 {
-		n[s.Pick([]float64{1, 0, 3, 0})]++
+		n[s.WeightedIndex([]float64{1, 0, 3, 0})]++
 	}
 	if n[1]+n[3] != 0 || math.Abs(float64(n[2])/float64(n[0])-3) > 0.1 {
 		t.Errorf("picked %v, want 1 to 3", n)
 	}
-	if got := s.Pick([]float64{0, 0}); got != -1 {
+	if got := s.WeightedIndex([]float64{0, 0}); got != -1 {
 		t.Errorf("no weights: %d", got)
 	}
 }
--- a/internal/learned/kill_test.go
+++ b/internal/learned/kill_test.go
@@ -28,7 +28,7 @@
 		f := sample("")
 		f.State.Revision = rev
 		for range rev % 50 { // of any length
-			f.State.Policy.Lanes = append(f.State.Policy.Lanes, f.State.Policy.Lanes[0])
+			f.State.Policy.Limiters = append(f.State.Policy.Limiters, f.State.Policy.Limiters[0])
 		}
 		if _, err := s.Write(f); err != nil {
 			fmt.Println(err)
@@ -74,7 +74,7 @@
 		cmd.Wait()
 		s := NewStore(dir, "n1", 3<<20)
 		f, err := s.Read()
-		if err != nil || f == nil || f.State.Revision < last || f.State.Revision > last+1 || len(f.State.Policy.Lanes) != 1+int(f.State.Revision%50) {
+		if err != nil || f == nil || f.State.Revision < last || f.State.Revision > last+1 || len(f.State.Policy.Limiters) != 1+int(f.State.Revision%50) {
 			t.Fatalf("round %d: killed after version %d: %+v, %v", round, last, f, err)
 		}
 		if f.State.Revision > last {
--- a/internal/rehearse/load/load.go
+++ b/internal/rehearse/load/load.go
@@ -400,11 +400,11 @@
 	d.mu.Unlock()
 	cl := &d.cfg.Plan.Scenario.Clients
 	wait := scenario.Micros(cl.BackoffMS * math.Pow(2, float64(min(try, 10))))
-	if advice > 0 && draw.Unit(d.cfg.Plan.Seed, 78, uint64(num), uint64(try)) < cl.Honour {
+	if advice > 0 && draw.Float64(d.cfg.Plan.Seed, 78, uint64(num), uint64(try)) < cl.Honour {
 		wait = advice
 	}
 	// Spread, so that those who were refused together do not come together.
-	wait += trace.Time(float64(wait) * 0.2 * draw.Unit(d.cfg.Plan.Seed, 79, uint64(num), uint64(try)))
+	wait += trace.Time(float64(wait) * 0.2 * draw.Float64(d.cfg.Plan.Seed, 79, uint64(num), uint64(try)))
 	if try >= cl.Retries || wait >= d.left(num) {
 		d.end(num, Refused)
 		return
--- a/internal/rehearse/scenario/plan.go
+++ b/internal/rehearse/scenario/plan.go
@@ -89,7 +89,7 @@
 			}
 			for _, c := range s.Classes {
 				ms, _ := x.service(c.Name)
-				spec.Service = append(spec.Service, partner.Service{Mean: Micros(ms), Dist: draw.Dist(x.Dist), CV: x.CV})
+				spec.Service = append(spec.Service, partner.Service{Mean: Micros(ms), Dist: draw.Distribution(x.Dist), CV: x.CV})
 			}
 			for e := range x.Endpoints {
 				p.Endpoints = append(p.Endpoints, Endpoint{Name: fmt.Sprintf("%s/%d", name, e+1), Partner: len(p.Specs), TLS: x.TLS,
@@ -161,7 +161,7 @@
 		}
 	}
 	add := func(at float64, class, part int, st *draw.Stream) {
-		a := Arrival{At: trace.Time(at * 1e6), Class: class, Dest: p.Specs[part].Dest, Portal: st.Pick(portals)}
+		a := Arrival{At: trace.Time(at * 1e6), Class: class, Dest: p.Specs[part].Dest, Portal: st.WeightedIndex(portals)}
 		if name := s.Partners[of[part]].Portal; name != "" {
 			a.Portal = byName[name]
 		}
@@ -171,23 +171,23 @@
 	single := s.Traffic.RatePerS * (1 - s.Traffic.ClumpShare)
 	st := draw.NewStream(p.Seed, forArrivals)
 	if single > 0 {
-		for at := st.Exp() / (single * top); at < s.LengthS; at += st.Exp() / (single * top) {
-			if st.Unit()*top < s.factor(at) { // thinning (Lewis and Shedler, 1979)
-				i := st.Pick(weights)
+		for at := st.ExpFloat64() / (single * top); at < s.LengthS; at += st.ExpFloat64() / (single * top) {
+			if st.Float64()*top < s.factor(at) { // thinning (Lewis and Shedler, 1979)
+				i := st.WeightedIndex(weights)
 				add(at, i/len(p.Specs), i%len(p.Specs), st)
 			}
 		}
 	}
 	if rate := s.Traffic.RatePerS * s.Traffic.ClumpShare / float64(s.Traffic.ClumpSize); rate > 0 {
 		st := draw.NewStream(p.Seed, forClumps)
-		for at := st.Exp() / (rate * top); at < s.LengthS; at += st.Exp() / (rate * top) {
-			if st.Unit()*top >= s.factor(at) {
+		for at := st.ExpFloat64() / (rate * top); at < s.LengthS; at += st.ExpFloat64() / (rate * top) {
+			if st.Float64()*top >= s.factor(at) {
 				continue
 			}
-			part := st.Pick(weights) % len(p.Specs)
+			part := st.WeightedIndex(weights) % len(p.Specs)
 			for range s.Traffic.ClumpSize {
-				if t := at + st.Unit()*0.1; t < s.LengthS {
-					add(t, st.Pick(p.Specs[part].Mix), part, st)
+				if t := at + st.Float64()*0.1; t < s.LengthS {
+					add(t, st.WeightedIndex(p.Specs[part].Mix), part, st)
 				}
 			}
 		}
@@ -196,7 +196,7 @@
 	for part := range p.Specs {
 		x := &s.Partners[of[part]]
 		for range x.ReturnBurst {
-			add(x.ReturnS+returns.Unit(), returns.Pick(p.Specs[part].Mix), part, returns)
+			add(x.ReturnS+returns.Float64(), returns.WeightedIndex(p.Specs[part].Mix), part, returns)
 		}
 	}
 	slices.SortStableFunc(p.Arrivals, func(a, b Arrival) int { return int(a.At - b.At) })
@@ -268,7 +268,7 @@
 				ends[e] = first + e
 			}
 			for e := range k { // the first k of a shuffle
-				o := e + int(st.Unit()*float64(len(ends)-e))
+				o := e + int(st.Float64()*float64(len(ends)-e))
 				ends[e], ends[o] = ends[o], ends[e]
 			}
 			ends = ends[:k]
--- a/internal/rehearse/scenario/scenario.go
+++ b/internal/rehearse/scenario/scenario.go
@@ -552,7 +552,7 @@
 			c.between(key+"."+x.key, x.v, x.min, x.max)
 		}
 		c.word(key+".routes", p.Routes, "shared", "apart")
-		c.word(key+".dist", p.Dist, string(draw.Fixed), string(draw.Exp), string(draw.LogNormal))
+		c.word(key+".dist", p.Dist, string(draw.Constant), string(draw.Exponential), string(draw.LogNormal))
 		c.word(key+".limit", p.Limit, string(partner.NoLimit), string(partner.RateLimit), string(partner.WindowLimit))
 		c.word(key+".cancel", p.Cancel, string(partner.CancelNone), string(partner.CancelQueued), string(partner.CancelAll))
 		if x := p.TLS; x != nil {
--- a/internal/relay/clients_test.go
+++ b/internal/relay/clients_test.go
@@ -360,7 +360,7 @@
 	f.Add([]byte(putText("m", fields("keyed", 8000, 1), []byte("b"))))
 	f.Add([]byte(putText("m", "c=plain,t=,d=1e400,dest=1,k=", nil)))
 	cfg := &Config{classes: map[string]int{"plain": 0, "keyed": 1}, tenants: map[string]int{}, Policy: decide.Settings{
-		Classes: []decide.Class{{Deadline: 8e6}, {Deadline: 8e6, Repeat: decide.Keyed}}}}
+		Classes: []decide.Class{{Deadline: 8e6}, {Deadline: 8e6, Idempotency: decide.IdempotentByKey}}}}
 	f.Fuzz(func(t *testing.T, b []byte) {
 		var r resp.Reader
 		if _, whole, err := r.Feed(b); !whole || err != nil {
--- a/internal/relay/config.go
+++ b/internal/relay/config.go
@@ -110,8 +110,8 @@
 		}
 		c.Limits.Sockets = o.Descriptors
 	}
-	if most := c.Limits.Sockets - ownSockets - c.Policy.Slots - spareEndpoints; o.Places > most {
-		return fmt.Errorf("clients.places: %d, and beside %d calls out there are descriptors for %d", o.Places, c.Policy.Slots, most)
+	if most := c.Limits.Sockets - ownSockets - c.Policy.MaxConcurrentCalls - spareEndpoints; o.Places > most {
+		return fmt.Errorf("clients.places: %d, and beside %d calls out there are descriptors for %d", o.Places, c.Policy.MaxConcurrentCalls, most)
 	}
 	return nil
 }
@@ -202,7 +202,7 @@
 	if err != nil {
 		return fmt.Errorf("config: %w", err)
 	}
-	if c.Policy, err = settings.Policy(s); err != nil {
+	if c.Policy, err = settings.ForPolicy(s); err != nil {
 		return fmt.Errorf("config: %w", err)
 	}
 	if err := c.Policy.Validate(); err != nil {
@@ -210,9 +210,9 @@
 	}
 	// On sockets a connection carries one call at a time, whatever the
 	// simulator's connections carry.
-	c.Policy.Streams = 1
-	for i := range c.Policy.Kinds {
-		c.Policy.Kinds[i].Batch = 1 // and a call carries one message
+	c.Policy.StreamsPerConnection = 1
+	for i := range c.Policy.DestinationKinds {
+		c.Policy.DestinationKinds[i].BatchSize = 1 // and a call carries one message
 	}
 	var names struct {
 		Localities []string `json:"localities"`
@@ -294,11 +294,13 @@
 // and opens its own.
 func (c *Config) budget() (clients, endpoints int) {
 	free := c.Limits.Sockets - ownSockets
-	endpoints = min(max(free/4, c.Policy.Slots+spareEndpoints, min(2*c.Policy.Slots, free*2/5)), free/2)
+	endpoints = min(max(free/4, c.Policy.MaxConcurrentCalls+spareEndpoints, min(2*c.Policy.MaxConcurrentCalls, free*2/5)), free/2)
 	if most := c.Operator.Places; most > 0 {
 		endpoints = free - most
 	}
 	return free - endpoints, endpoints
 }
 
-func (c *Config) keyed(class int) bool { return c.Policy.Classes[class].Repeat == decide.Keyed }
+func (c *Config) keyed(class int) bool {
+	return c.Policy.Classes[class].Idempotency == decide.IdempotentByKey
+}
--- a/internal/relay/config_format_test.go
+++ b/internal/relay/config_format_test.go
@@ -36,17 +36,17 @@
 		t.Errorf("known %s (%v), want %s", known, err, want)
 	}
 	want := decide.Settings{
-		Relays: 3, Zone: 1, Slots: 16, MaxHeld: 100, MaxAttempts: 8, Halving: true, OverShareWorth: 0.5, WorthByWork: true,
-		RatesListed: true, Probes: true, Cancels: true, RetryAfter: true, MaxRetryAfter: 2000000, AskForList: true,
-		AskEvery: 250000, ConnectTimeout: 1500000, KeepAlive: 10000000, Streams: 1, Tick: 5000, AnswerSlack: 20000,
-		DrainGrace: 2100000, StartCapacity: 0.26, RampTime: 13000000, OverloadFactor: 1.5, FallTime: 2200000, KeyRest: 2300000,
+		Relays: 3, Zone: 1, MaxConcurrentCalls: 16, MaxPending: 100, MaxAttempts: 8, ExponentialDecay: true, OverQuotaWeight: 0.5, WeightByCost: true,
+		ListHasRates: true, HealthChecks: true, Cancellation: true, SendRetryAfter: true, MaxRetryAfter: 2000000, PollList: true,
+		PollInterval: 250000, ConnectTimeout: 1500000, IdleTimeout: 10000000, StreamsPerConnection: 1, TickInterval: 5000, ReplyGrace: 20000,
+		DrainGrace: 2100000, InitialCapacity: 0.26, RampDuration: 13000000, OverloadFactor: 1.5, OverloadDuration: 2200000, OrderedKeyBackoff: 2300000,
 		Classes: []decide.Class{
-			{Name: "plain", Aim: 1500000, Deadline: 20000000, Worth: 1, LateWorth: 0.1, Repeat: decide.Safe, DedupWindow: 5000000, InOrder: true},
-			{Name: "keyed", Aim: 3000000, Deadline: 21000000, Worth: 2, LateWorth: 0.3, Repeat: decide.Keyed, DedupWindow: 22000000, ZoneOnly: true},
-			{Name: "once", Aim: 3500000, Deadline: 23000000, Worth: 3, LateWorth: 0.4, Repeat: decide.Unsafe, DedupWindow: 6000000},
+			{Name: "plain", LatencyObjective: 1500000, Deadline: 20000000, Weight: 1, LateWeight: 0.1, Idempotency: decide.Idempotent, DedupWindow: 5000000, Ordered: true},
+			{Name: "keyed", LatencyObjective: 3000000, Deadline: 21000000, Weight: 2, LateWeight: 0.3, Idempotency: decide.IdempotentByKey, DedupWindow: 22000000, DedupPerZone: true},
+			{Name: "once", LatencyObjective: 3500000, Deadline: 23000000, Weight: 3, LateWeight: 0.4, Idempotency: decide.NonIdempotent, DedupWindow: 6000000},
 		},
-		Tenants: []decide.Tenant{{Name: "acme", Quota: 1000}, {Name: "zeta", Quota: 10}},
-		Kinds:   []decide.Kind{{Batch: 1}, {Batch: 1, Apart: true}},
+		Tenants:          []decide.Tenant{{Name: "acme", Quota: 1000}, {Name: "zeta", Quota: 10}},
+		DestinationKinds: []decide.DestinationKind{{BatchSize: 1}, {BatchSize: 1, IndependentRoutes: true}},
 	}
 	if !reflect.DeepEqual(c.Policy, want) {
 		t.Errorf("policy\n%+v\nwant\n%+v", c.Policy, want)
--- a/internal/relay/config_test.go
+++ b/internal/relay/config_test.go
@@ -46,11 +46,11 @@
 		})
 	}
 	c, err := parseConfig([]byte(good), func(k string) string { return map[string]string{"ROUTER_STATE": "/y"}[k] }, false)
-	if err != nil || c.State != "/y" || c.Seed != 0x1f || c.Policy.Slots != 16 || c.Policy.Streams != 1 || c.zones["b"] != 1 || c.classes["once"] != 2 {
+	if err != nil || c.State != "/y" || c.Seed != 0x1f || c.Policy.MaxConcurrentCalls != 16 || c.Policy.StreamsPerConnection != 1 || c.zones["b"] != 1 || c.classes["once"] != 2 {
 		t.Errorf("got %+v, %v", c, err)
 	}
 	clients, endpoints := c.budget()
-	if clients+endpoints+ownSockets > 256 || endpoints < c.Policy.Slots {
+	if clients+endpoints+ownSockets > 256 || endpoints < c.Policy.MaxConcurrentCalls {
 		t.Errorf("budget %d and %d of 256", clients, endpoints)
 	}
 }
@@ -69,10 +69,10 @@
 		t.Errorf("%+v, %d", l, o.Memory)
 	}
 	clients, endpoints := c.budget()
-	if clients != 700 || clients+endpoints+ownSockets != 900 || endpoints < c.Policy.Slots {
+	if clients != 700 || clients+endpoints+ownSockets != 900 || endpoints < c.Policy.MaxConcurrentCalls {
 		t.Errorf("budget %d and %d of 900", clients, endpoints)
 	}
-	for key, bad := range map[string]operator.Clients{"clients.places": {Descriptors: 900, Places: 900 - ownSockets - c.Policy.Slots},
+	for key, bad := range map[string]operator.Clients{"clients.places": {Descriptors: 900, Places: 900 - ownSockets - c.Policy.MaxConcurrentCalls},
 		"clients.descriptors": {Descriptors: operator.DescriptorsMost}} {
 		if err := testSet(t).apply(&bad); err == nil || !strings.Contains(err.Error(), key) {
 			t.Errorf("%s: %v", key, err)
--- a/internal/relay/crossings_test.go
+++ b/internal/relay/crossings_test.go
@@ -442,10 +442,10 @@
 	}{
 		{"timed out", "", "", 50 * time.Millisecond, false, decide.TimedOut},
 		{"called off", "", "", testLimit, true, decide.Cancelled},
-		{"stops in the middle", head, "", testLimit, false, decide.Errored},
-		{"never ends", "HTTP/1.1 500 E\r\nTransfer-Encoding: chunked\r\n\r\n", "1\r\nx\r\n", testLimit, false, decide.Errored},
-		{"nonsense", "what is this?\r\n", "", testLimit, false, decide.Errored},
-		{"a wait that cannot be read", "HTTP/1.1 429 W\r\nRetry-After: soon\r\nContent-Length: 0\r\n\r\n", "", testLimit, false, decide.Errored},
+		{"stops in the middle", head, "", testLimit, false, decide.Failed},
+		{"never ends", "HTTP/1.1 500 E\r\nTransfer-Encoding: chunked\r\n\r\n", "1\r\nx\r\n", testLimit, false, decide.Failed},
+		{"nonsense", "what is this?\r\n", "", testLimit, false, decide.Failed},
+		{"a wait that cannot be read", "HTTP/1.1 429 W\r\nRetry-After: soon\r\nContent-Length: 0\r\n\r\n", "", testLimit, false, decide.Failed},
 	} {
 		t.Run(x.name, func(t *testing.T) {
 			came, over := make(chan struct{}), make(chan struct{})
--- a/internal/relay/endpoints.go
+++ b/internal/relay/endpoints.go
@@ -58,7 +58,7 @@
 	opened  int  // connections over TLS that were opened for it
 	settled bool // the message is over
 	took    decide.Time
-	load    decide.Load
+	load    decide.LoadReport
 	status  int
 	spoilt  bool // an answer came and cannot be believed
 	err     error
@@ -145,7 +145,7 @@
 	keep := readAnswer(conn, req, loads, func(o outcome) {
 		told, o.opened = true, c.want.opened
 		o.took = time.Since(began).Microseconds()
-		if o.what == decide.Reset {
+		if o.what == decide.ConnectionReset {
 			o.what = c.unanswered(ctx)
 		}
 		if conn.tls != nil && o.err != nil { // its word that it does not accept us may come late: the next call is spared
@@ -188,7 +188,7 @@
 			return nil, decide.NotSent, cmp.Or(why, err)
 		}
 		if err != nil {
-			return nil, decide.NoConnect, err
+			return nil, decide.ConnectFailed, err
 		}
 		conn.left = answerMost
 		stop := context.AfterFunc(ctx, func() { conn.SetDeadline(longAgo) })
@@ -211,7 +211,7 @@
 			}
 		}
 		if left == 0 || ctx.Err() != nil {
-			return nil, decide.NoConnect, err
+			return nil, decide.ConnectFailed, err
 		}
 		pass.Again()
 	}
@@ -233,7 +233,7 @@
 	case ctx.Err() != nil:
 		return decide.TimedOut
 	}
-	return decide.Reset
+	return decide.ConnectionReset
 }
 
 // readAnswer reads an answer and tells its outcome: a first line with 200 is
@@ -258,9 +258,9 @@
 			err = errors.New("too many answers ahead of the last")
 		}
 		if err != nil {
-			o := outcome{what: decide.Reset, err: err}
+			o := outcome{what: decide.ConnectionReset, err: err}
 			if begun && !errors.Is(err, io.EOF) && !errors.Is(err, syscall.ECONNRESET) {
-				o.what, o.spoilt = decide.Errored, true
+				o.what, o.spoilt = decide.Failed, true
 			}
 			tell(o)
 			return false
@@ -270,7 +270,7 @@
 		}
 		// The answer itself may come much later than what is ahead of it.
 		if err := skipHead(conn.in); err != nil || !stop() {
-			tell(outcome{what: decide.Errored, spoilt: true, err: err})
+			tell(outcome{what: decide.Failed, spoilt: true, err: err})
 			return false
 		}
 		begun = false
@@ -305,7 +305,7 @@
 		o.err = o.read(resp.Header)
 	}
 	if o.err != nil {
-		o.what, o.spoilt, o.wait, o.slots, o.settled = decide.Errored, true, told, false, false
+		o.what, o.spoilt, o.wait, o.slots, o.settled = decide.Failed, true, told, false, false
 	}
 	tell(o)
 	return o.err == nil && !resp.Close
@@ -326,9 +326,9 @@
 		if err != nil {
 			return err
 		}
-		o.what, o.wait = decide.Full, wait
+		o.what, o.wait = decide.Rejected, wait
 	case http.StatusServiceUnavailable:
-		if o.what = decide.Full; head.Get("Slots-Taken") == "1" {
+		if o.what = decide.Rejected; head.Get("Slots-Taken") == "1" {
 			o.what, o.slots = decide.NotSent, true
 		}
 	case http.StatusGatewayTimeout: // has had all its attempts
@@ -336,7 +336,7 @@
 	case http.StatusGone:
 		o.what, o.settled = decide.NotSent, true
 	default: // 500, and what no page names: it may have run
-		o.what = decide.Errored
+		o.what = decide.Failed
 	}
 	return nil
 }
@@ -354,7 +354,7 @@
 }
 
 // readLoad reads a report such as x0=0.4,x1=25.
-func readLoad(s string, fields []string) (l decide.Load) {
+func readLoad(s string, fields []string) (l decide.LoadReport) {
 	if len(fields) == 0 {
 		return l
 	}
@@ -366,7 +366,7 @@
 		}
 		switch name {
 		case "x0":
-			l.Left = v
+			l.Remaining = v
 		case "x1":
 			l.Limit = v
 		}
@@ -398,7 +398,7 @@
 		if why := pass.Stopped(); err != nil && (why != nil || neverAsked(err)) {
 			return cmp.Or(why, err)
 		}
-		if o.what = decide.NoConnect; err != nil {
+		if o.what = decide.ConnectFailed; err != nil {
 			return err
 		}
 		conn.left = answerMost
--- a/internal/relay/endpoints_test.go
+++ b/internal/relay/endpoints_test.go
@@ -120,17 +120,17 @@
 	}{
 		"delivered":          {serve: say("HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok"), what: decide.Delivered, settled: true},
 		"delivered, cut":     {serve: say("HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nok"), what: decide.Delivered, settled: true},
-		"error":              {serve: say("HTTP/1.1 500 E\r\nContent-Length: 0\r\n\r\n"), what: decide.Errored},
-		"told to wait":       {serve: say("HTTP/1.1 429 W\r\nRetry-After: 0.75\r\nContent-Length: 0\r\n\r\n"), what: decide.Full, wait: 750000},
-		"full":               {serve: say("HTTP/1.1 503 F\r\nContent-Length: 0\r\n\r\n"), what: decide.Full},
+		"error":              {serve: say("HTTP/1.1 500 E\r\nContent-Length: 0\r\n\r\n"), what: decide.Failed},
+		"told to wait":       {serve: say("HTTP/1.1 429 W\r\nRetry-After: 0.75\r\nContent-Length: 0\r\n\r\n"), what: decide.Rejected, wait: 750000},
+		"full":               {serve: say("HTTP/1.1 503 F\r\nContent-Length: 0\r\n\r\n"), what: decide.Rejected},
 		"slots taken":        {serve: say("HTTP/1.1 503 F\r\nSlots-Taken: 1\r\nContent-Length: 0\r\n\r\n"), what: decide.NotSent, slots: true},
 		"attempts used up":   {serve: say("HTTP/1.1 504 A\r\nContent-Length: 0\r\n\r\n"), what: decide.NotSent},
 		"over":               {serve: say("HTTP/1.1 410 G\r\nContent-Length: 0\r\n\r\n"), what: decide.NotSent, settled: true},
-		"no page names it":   {serve: say("HTTP/1.1 418 T\r\nContent-Length: 0\r\n\r\n"), what: decide.Errored},
-		"no redirect":        {serve: say("HTTP/1.1 307 R\r\nLocation: /x\r\nContent-Length: 0\r\n\r\n"), what: decide.Errored},
-		"broken after":       {serve: say(""), what: decide.Reset},
-		"nonsense":           {serve: say("what?\r\n\r\n"), what: decide.Errored},
-		"half an answer":     {serve: say("HTTP/1.1 20"), what: decide.Reset},
+		"no page names it":   {serve: say("HTTP/1.1 418 T\r\nContent-Length: 0\r\n\r\n"), what: decide.Failed},
+		"no redirect":        {serve: say("HTTP/1.1 307 R\r\nLocation: /x\r\nContent-Length: 0\r\n\r\n"), what: decide.Failed},
+		"broken after":       {serve: say(""), what: decide.ConnectionReset},
+		"nonsense":           {serve: say("what?\r\n\r\n"), what: decide.Failed},
+		"half an answer":     {serve: say("HTTP/1.1 20"), what: decide.ConnectionReset},
 		"first a hint, then": {serve: say("HTTP/1.1 100 C\r\n\r\nHTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n"), what: decide.Delivered, settled: true},
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -155,7 +155,7 @@
 	}
 	refused := ln.Addr().String()
 	ln.Close()
-	if o := newTestCall().made(t, w.home(p, refused), &record{ID: "m"}, testLimit); o.what != decide.NoConnect {
+	if o := newTestCall().made(t, w.home(p, refused), &record{ID: "m"}, testLimit); o.what != decide.ConnectFailed {
 		t.Errorf("refused: %+v", o)
 	}
 	gone := make(chan struct{}, 2)
@@ -203,7 +203,7 @@
 				t.Fatalf("first: %+v", o)
 			}
 			settled(h)
-			if o := newTestCall().made(t, h, rec, testLimit); o.what != decide.Reset {
+			if o := newTestCall().made(t, h, rec, testLimit); o.what != decide.ConnectionReset {
 				t.Errorf("second: %+v", o)
 			}
 			if n := calls.Load(); n != 2 {
@@ -300,18 +300,18 @@
 
 func TestReadLoad(t *testing.T) {
 	fields := []string{"x0", "x1"}
-	for s, want := range map[string]decide.Load{"x0=0.4,x1=25": {Left: 0.4, Limit: 25}, "x1=3": {Limit: 3}, "": {}, "x0=?,x1=-2": {}, "x1=NaN": {}, "x1=Inf,x0=+Inf": {}, "x1=1e300": {}} {
+	for s, want := range map[string]decide.LoadReport{"x0=0.4,x1=25": {Remaining: 0.4, Limit: 25}, "x1=3": {Limit: 3}, "": {}, "x0=?,x1=-2": {}, "x1=NaN": {}, "x1=Inf,x0=+Inf": {}, "x1=1e300": {}} {
 		if got := readLoad(s, fields); got != want {
 			t.Errorf("%q: %+v", s, got)
 		}
 	}
-	if got := readLoad("x0=1", nil); got != (decide.Load{}) {
+	if got := readLoad("x0=1", nil); got != (decide.LoadReport{}) {
 		t.Errorf("a report where none is due: %+v", got)
 	}
 }
 
 func TestProbe(t *testing.T) {
-	for code, want := range map[int]decide.Outcome{200: decide.Delivered, 503: decide.Full, 404: decide.Errored} {
+	for code, want := range map[int]decide.Outcome{200: decide.Delivered, 503: decide.Rejected, 404: decide.Failed} {
 		ep := newFakeEndpoint(t, status(code))
 		if o := probe(context.Background(), testPool(t).home(ep.addr())); o.what != want {
 			t.Errorf("%d: %+v", code, o)
--- a/internal/relay/golden_calls_test.go
+++ b/internal/relay/golden_calls_test.go
@@ -120,8 +120,8 @@
 	Reusable   bool    `json:"reusable"` // the connection
 }
 
-var outcomeNames = map[decide.Outcome]string{decide.Delivered: "delivered", decide.Errored: "failed", decide.Full: "rejected",
-	decide.TimedOut: "timed out", decide.NoConnect: "connect failed", decide.Reset: "reset", decide.Cancelled: "cancelled", decide.NotSent: "not sent"}
+var outcomeNames = map[decide.Outcome]string{decide.Delivered: "delivered", decide.Failed: "failed", decide.Rejected: "rejected",
+	decide.TimedOut: "timed out", decide.ConnectFailed: "connect failed", decide.ConnectionReset: "reset", decide.Cancelled: "cancelled", decide.NotSent: "not sent"}
 
 // answered has a recorded answer read as that to a call.
 func answered(t *testing.T, answer string) recordedAnswer {
@@ -147,7 +147,7 @@
 		got.Outcomes++
 		got.Outcome, got.Status, got.RetryAfter, got.Slots = outcomeNames[o.what], o.status, o.wait, o.slots
 		got.Over, got.Malformed, got.Error = o.settled, o.spoilt, o.err != nil
-		got.LoadLeft, got.LoadLimit = o.load.Left, o.load.Limit
+		got.LoadLeft, got.LoadLimit = o.load.Remaining, o.load.Limit
 	})
 	got.Hold = held(h)
 	return got
--- a/internal/relay/handover.go
+++ b/internal/relay/handover.go
@@ -701,7 +701,7 @@
 	fd, ok := r.passed[out.Rec.ID]
 	if !ok {
 		stop(nil)
-		tell(outcome{what: decide.Reset, err: errors.New("its connection was not handed over")})
+		tell(outcome{what: decide.ConnectionReset, err: errors.New("its connection was not handed over")})
 		return
 	}
 	delete(r.passed, out.Rec.ID)
@@ -716,7 +716,7 @@
 		defer stop(nil)
 		defer r.out.done(out)
 		if err := c.goOn(h, fd, out.Rec, limit, r.cfg.loads, tell); err != nil {
-			tell(outcome{what: decide.Reset, err: err})
+			tell(outcome{what: decide.ConnectionReset, err: err})
 		}
 	}()
 }
--- a/internal/relay/keep.go
+++ b/internal/relay/keep.go
@@ -59,7 +59,7 @@
 	}
 	now := k.r.now()
 	shift = f.Gap(mono()-now, mono(), time.Now().UnixMicro(), k.boot)
-	k.r.log.Info("learned: remembered", "destinations", len(f.State.Policy.Lanes), "revision", f.State.Revision,
+	k.r.log.Info("learned: remembered", "destinations", len(f.State.Policy.Limiters), "revision", f.State.Revision,
 		"ago_ms", (now-f.State.Now-shift)/1000, "clean", f.Clean)
 	return f.State, shift
 }
--- a/internal/relay/loop.go
+++ b/internal/relay/loop.go
@@ -56,7 +56,7 @@
 	seen      time.Time // when the endpoints avoided were last counted
 	began     time.Time
 	longest   time.Duration // of the steps since the last tally
-	homes     map[decide.Endpoint]*home
+	homes     map[decide.EndpointID]*home
 	events    []core.Event
 	effects   []core.Effect
 	pool      *pool
@@ -108,7 +108,7 @@
 func run(cfg *Config, log *slog.Logger, stop <-chan struct{}, re Reload) (asked bool, err error) {
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
-	r := &Relay{cfg: cfg, log: log, in: newMailbox[happening](), began: time.Now(), ctx: ctx, stop: stop, re: re, homes: map[decide.Endpoint]*home{},
+	r := &Relay{cfg: cfg, log: log, in: newMailbox[happening](), began: time.Now(), ctx: ctx, stop: stop, re: re, homes: map[decide.EndpointID]*home{},
 		duty: &duties{}, board: console.NewBoard(classNames(cfg))}
 	defer func() { asked = r.asked.Load() > 0 }()
 	if cfg.Console != "" { // it answers from the first moment on
@@ -136,7 +136,7 @@
 		return false, fmt.Errorf("config: settings: %w", err)
 	}
 	_, conns := cfg.budget()
-	keep := time.Duration(cfg.Policy.KeepAlive) * time.Microsecond
+	keep := time.Duration(cfg.Policy.IdleTimeout) * time.Microsecond
 	// A request written to a connection that the endpoint is closing ends as a
 	// reset: ours close first.
 	r.pool = newPool(time.Duration(cfg.Policy.ConnectTimeout)*time.Microsecond, keep-idleMargin(keep), conns)
@@ -238,7 +238,7 @@
 		if newer {
 			kind := decide.ListCached
 			if known.Partial {
-				kind = decide.ListChange
+				kind = decide.ListDelta
 			}
 			r.book([]core.Event{{Kind: core.News, List: known.List(), News: kind}})
 		}
@@ -310,7 +310,7 @@
 }
 
 func news(l *List) core.Event {
-	kind := decide.ListChange
+	kind := decide.ListDelta
 	if l.Complete {
 		kind = decide.ListFull
 	}
@@ -664,7 +664,7 @@
 
 // barred is told by the handshakes that an endpoint gets nothing for a time.
 func (r *Relay) barred(endpoint uint64, wait time.Duration) {
-	r.tell(core.Event{Kind: core.Barred, Endpoint: decide.Endpoint(endpoint), Wait: wait.Microseconds()})
+	r.tell(core.Event{Kind: core.Barred, Endpoint: decide.EndpointID(endpoint), Wait: wait.Microseconds()})
 }
 
 // send logs an attempt and then makes it.
--- a/internal/relay/pool.go
+++ b/internal/relay/pool.go
@@ -62,7 +62,7 @@
 // routes apart.
 type scope struct {
 	dest  int
-	route decide.Endpoint // 0 for a destination
+	route decide.EndpointID // 0 for a destination
 }
 
 // scope gives the gates' of a destination or a route. It outlasts the homes
@@ -78,7 +78,7 @@
 
 // forget lets go of a route for good. A destination's scope stays, like all else
 // that is known of one.
-func (p *pool) forget(route decide.Endpoint) { delete(p.scopes, scope{route: route}) }
+func (p *pool) forget(route decide.EndpointID) { delete(p.scopes, scope{route: route}) }
 
 // rest lets go of a destination's scope: nothing is at its endpoints, and what
 // binds them is told anew as it wakes.
--- a/internal/relay/pool_test.go
+++ b/internal/relay/pool_test.go
@@ -30,28 +30,28 @@
 		settled bool
 		keeps   bool
 	}{
-		"refusal with a short body":     {answer: "HTTP/1.1 503 F\r\nContent-Length: 9\r\n\r\nno", what: decide.Errored},
-		"told to wait with a bad time":  {answer: "HTTP/1.1 429 W\r\nRetry-After: -3\r\nContent-Length: 0\r\n\r\n", what: decide.Errored},
-		"over, head without end":        {answer: "HTTP/1.1 410 G\r\nContent-Le", what: decide.Errored},
-		"not sent, two lengths":         {answer: "HTTP/1.1 504 A\r\nContent-Length: 0\r\nContent-Length: 5\r\n\r\n", what: decide.Errored},
-		"refusal, length no number":     {answer: "HTTP/1.1 503 F\r\nContent-Length: many\r\n\r\n", what: decide.Errored},
-		"refusal, negative length":      {answer: "HTTP/1.1 503 F\r\nContent-Length: -1\r\n\r\n", what: decide.Errored},
-		"refusal of 3 GB":               {answer: "HTTP/1.1 503 F\r\nContent-Length: 3221225472\r\n\r\n", goes: true, what: decide.Errored},
-		"refusal, endless head":         {answer: "HTTP/1.1 503 F\r\n", goes: true, what: decide.Errored},
-		"refusal, chunks cut":           {answer: "HTTP/1.1 503 F\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nab", what: decide.Errored},
-		"noise":                         {answer: "\x00\xff\x13noise\x00", what: decide.Errored},
-		"noise with a line":             {answer: "\x00\xffnoise\r\nHTTP/1.1 503 F\r\n\r\n", what: decide.Errored},
-		"endless line":                  {answer: "HTTP/1.1 503 " + long, goes: true, what: decide.Errored},
-		"not quite a code":              {answer: "HTTP/1.1 2000 OK\r\nContent-Length: 0\r\n\r\n", what: decide.Errored},
-		"another protocol":              {answer: "HTTP/2.0 200 OK\r\nContent-Length: 0\r\n\r\n", what: decide.Errored},
+		"refusal with a short body":     {answer: "HTTP/1.1 503 F\r\nContent-Length: 9\r\n\r\nno", what: decide.Failed},
+		"told to wait with a bad time":  {answer: "HTTP/1.1 429 W\r\nRetry-After: -3\r\nContent-Length: 0\r\n\r\n", what: decide.Failed},
+		"over, head without end":        {answer: "HTTP/1.1 410 G\r\nContent-Le", what: decide.Failed},
+		"not sent, two lengths":         {answer: "HTTP/1.1 504 A\r\nContent-Length: 0\r\nContent-Length: 5\r\n\r\n", what: decide.Failed},
+		"refusal, length no number":     {answer: "HTTP/1.1 503 F\r\nContent-Length: many\r\n\r\n", what: decide.Failed},
+		"refusal, negative length":      {answer: "HTTP/1.1 503 F\r\nContent-Length: -1\r\n\r\n", what: decide.Failed},
+		"refusal of 3 GB":               {answer: "HTTP/1.1 503 F\r\nContent-Length: 3221225472\r\n\r\n", goes: true, what: decide.Failed},
+		"refusal, endless head":         {answer: "HTTP/1.1 503 F\r\n", goes: true, what: decide.Failed},
+		"refusal, chunks cut":           {answer: "HTTP/1.1 503 F\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nab", what: decide.Failed},
+		"noise":                         {answer: "\x00\xff\x13noise\x00", what: decide.Failed},
+		"noise with a line":             {answer: "\x00\xffnoise\r\nHTTP/1.1 503 F\r\n\r\n", what: decide.Failed},
+		"endless line":                  {answer: "HTTP/1.1 503 " + long, goes: true, what: decide.Failed},
+		"not quite a code":              {answer: "HTTP/1.1 2000 OK\r\nContent-Length: 0\r\n\r\n", what: decide.Failed},
+		"another protocol":              {answer: "HTTP/2.0 200 OK\r\nContent-Length: 0\r\n\r\n", what: decide.Failed},
 		"delivered, 3 GB":               {answer: "HTTP/1.1 200 OK\r\nContent-Length: 3221225472\r\n\r\n", goes: true, what: decide.Delivered, settled: true},
 		"delivered, head without end":   {answer: "HTTP/1.1 200 OK\r\nX-", what: decide.Delivered, settled: true},
 		"delivered, noise for a head":   {answer: "HTTP/1.1 200 OK\r\n\x00\x01\xff", what: decide.Delivered, settled: true},
 		"delivered, bad length":         {answer: "HTTP/1.1 200 OK\r\nContent-Length: -7\r\n\r\n", what: decide.Delivered, settled: true},
 		"several hints":                 {answer: "HTTP/1.1 100 C\r\n\r\nHTTP/1.1 103 E\r\nLink: x\r\n\r\nHTTP/1.1 102 P\r\n\r\n" + fine, what: decide.Delivered, settled: true, keeps: true},
-		"hints without end":             {answer: strings.Repeat("HTTP/1.1 100 C\r\n\r\n", 500), what: decide.Errored},
-		"a hint, then nothing":          {answer: "HTTP/1.1 103 E\r\n", what: decide.Errored},
-		"refusal, then a copy behind":   {answer: "HTTP/1.1 503 F\r\nContent-Length: 0\r\n\r\nHTTP/1.1 503 F\r\nContent-Length: 0\r\n\r\n", what: decide.Full},
+		"hints without end":             {answer: strings.Repeat("HTTP/1.1 100 C\r\n\r\n", 500), what: decide.Failed},
+		"a hint, then nothing":          {answer: "HTTP/1.1 103 E\r\n", what: decide.Failed},
+		"refusal, then a copy behind":   {answer: "HTTP/1.1 503 F\r\nContent-Length: 0\r\n\r\nHTTP/1.1 503 F\r\nContent-Length: 0\r\n\r\n", what: decide.Rejected},
 		"delivered, then a copy behind": {answer: fine + fine, what: decide.Delivered, settled: true},
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -194,7 +194,7 @@
 				defer h.pool.mu.Unlock()
 				return len(h.pool.idle) == 0 || !h.pool.idle[0].clean()
 			})
-			if o := newTestCall().made(t, h, &record{ID: "b"}, testLimit); o.what != decide.Full {
+			if o := newTestCall().made(t, h, &record{ID: "b"}, testLimit); o.what != decide.Rejected {
 				t.Errorf("second: %+v", o)
 			}
 			if conns.Load() != 2 || calls.Load() != 2 {
@@ -229,7 +229,7 @@
 		c := h.pool.idle[0]
 		c.Conn = &racing{TCPConn: c.Conn.(*net.TCPConn)}
 		h.pool.mu.Unlock()
-		if o := newTestCall().made(t, h, &record{ID: "b", Body: []byte("the tail of the body")}, testLimit); o.what != decide.Full {
+		if o := newTestCall().made(t, h, &record{ID: "b", Body: []byte("the tail of the body")}, testLimit); o.what != decide.Rejected {
 			t.Errorf("second: %+v", o)
 		}
 		if n := <-got; n != 0 || conns.Load() != 2 {
@@ -302,7 +302,7 @@
 		c, err := dial(ctx, addr)
 		return &breaking{TCPConn: c.(*net.TCPConn)}, err
 	}
-	if o := newTestCall().made(t, h, &record{ID: "m", Body: []byte("b")}, testLimit); o.what != decide.NoConnect {
+	if o := newTestCall().made(t, h, &record{ID: "m", Body: []byte("b")}, testLimit); o.what != decide.ConnectFailed {
 		t.Errorf("got %+v", o)
 	}
 }
@@ -364,7 +364,7 @@
 	}
 	waitFor(t, "places", func() bool { open, _ := p.counts(); return open == 0 })
 	refused := w.home(p, "127.0.0.1:1")
-	if o := newTestCall().made(t, refused, &record{ID: "m"}, testLimit); o.what != decide.NoConnect {
+	if o := newTestCall().made(t, refused, &record{ID: "m"}, testLimit); o.what != decide.ConnectFailed {
 		t.Errorf("refused: %+v", o)
 	}
 	if open, _ := p.counts(); open != 0 {
--- a/internal/relay/tls_test.go
+++ b/internal/relay/tls_test.go
@@ -155,7 +155,7 @@
 					p.moment = testLimit // the alert ends it, however late it is
 				}
 				o := newTestCall().made(t, s.home(p, addr), &record{ID: "m", Body: []byte("b")}, testLimit)
-				if whole && o.what != decide.Reset || !whole && !o.what.NeverRan() {
+				if whole && o.what != decide.ConnectionReset || !whole && !o.what.NeverRan() {
 					t.Errorf("alert %d, whole %v: %+v", code, whole, o)
 				}
 				if !whole && (o.what == decide.NotSent) != identity {
@@ -198,16 +198,16 @@
 		"half of the first line's record": {func(raw net.Conn, seal *sealer) {
 			r := seal.seal(recordData, []byte(fine))
 			raw.Write(r[:len(r)/2])
-		}, decide.Reset},
+		}, decide.ConnectionReset},
 		"a refusal without its end": {func(raw net.Conn, seal *sealer) {
 			raw.Write(seal.seal(recordData, []byte("HTTP/1.1 503 F\r\nContent-Le")))
-		}, decide.Errored},
+		}, decide.Failed},
 		"a record that was tampered with": {func(raw net.Conn, seal *sealer) {
 			r := seal.seal(recordData, []byte(fine))
 			r[len(r)-1] ^= 1
 			raw.Write(r)
 			io.Copy(io.Discard, raw)
-		}, decide.Reset},
+		}, decide.ConnectionReset},
 		"keys updated once, then the answer": {func(raw net.Conn, seal *sealer) {
 			raw.Write(seal.update())
 			raw.Write(seal.seal(recordData, []byte(fine)))
@@ -219,7 +219,7 @@
 				}
 			}
 			io.Copy(io.Discard, raw)
-		}, decide.Reset},
+		}, decide.ConnectionReset},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
--- a/internal/relay/waits_test.go
+++ b/internal/relay/waits_test.go
@@ -129,7 +129,7 @@
 				read <- true
 			}
 			o := <-done
-			if (o.what != decide.Errored && o.what != decide.Reset) || o.wait != x.wait {
+			if (o.what != decide.Failed && o.what != decide.ConnectionReset) || o.wait != x.wait {
 				t.Errorf("got %+v, want a wait of %d ms", o, x.wait/1000)
 			}
 			if left := held(h); (left > 0) != (x.wait > 0) || left > x.wait {
@@ -165,7 +165,7 @@
 			}
 			var got []outcome
 			c.answer(ctx, conn, req, time.Now(), nil, func(o outcome) { got = append(got, o) })
-			if len(got) != 1 || got[0].what != decide.Full || got[0].wait != 2e6 || held(h) == 0 {
+			if len(got) != 1 || got[0].what != decide.Rejected || got[0].wait != 2e6 || held(h) == 0 {
 				t.Errorf("got %+v, held for %d ms", got, held(h)/1000)
 			}
 		})
@@ -175,9 +175,9 @@
 // A wait binds a destination's endpoints together, also one that opens later, and
 // of routes apart the one that told it; it outlasts the home that heard it.
 func TestScopesOfWaits(t *testing.T) {
-	r := &Relay{homes: map[decide.Endpoint]*home{}, pool: testPool(t), began: time.Now()}
+	r := &Relay{homes: map[decide.EndpointID]*home{}, pool: testPool(t), began: time.Now()}
 	r.pool.now = r.now
-	open := func(n decide.Endpoint, dest int, apart bool) {
+	open := func(n decide.EndpointID, dest int, apart bool) {
 		r.do(&core.Effect{Kind: core.Open, Endpoint: n, Address: "127.0.0.1:1", Dest: dest, Apart: apart})
 	}
 	open(1, 1, false)
@@ -191,7 +191,7 @@
 	r.do(&core.Effect{Kind: core.Shut, Endpoint: 3})
 	open(3, 2, true)
 	open(6, 1, false)
-	for n, want := range map[decide.Endpoint]bool{1: true, 2: true, 3: true, 4: false, 5: false, 6: true} {
+	for n, want := range map[decide.EndpointID]bool{1: true, 2: true, 3: true, 4: false, 5: false, 6: true} {
 		if got := held(r.homes[n]) > 0; got != want {
 			t.Errorf("endpoint %d is held: %v", n, got)
 		}
@@ -200,7 +200,7 @@
 	if open(3, 2, true); held(r.homes[3]) > 0 {
 		t.Error("a route that was forgotten is held")
 	}
-	for _, n := range []decide.Endpoint{1, 2, 6} {
+	for _, n := range []decide.EndpointID{1, 2, 6} {
 		r.do(&core.Effect{Kind: core.Shut, Endpoint: n})
 		r.do(&core.Effect{Kind: core.Forget, Endpoint: n})
 	}
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -26,25 +26,25 @@
 
 // TestMapping pins where each key of the settings text goes.
 func TestMapping(t *testing.T) {
-	got, err := Policy(readSettings(t))
+	got, err := ForPolicy(readSettings(t))
 	if err != nil {
 		t.Fatal(err)
 	}
 	want := decide.Settings{
-		Relays: 7, Zone: 2, Slots: 23, MaxHeld: 14, MaxAttempts: 15, Halving: true, OverShareWorth: 0.6, WorthByWork: true,
-		RatesListed: true, Probes: true, Cancels: true, RetryAfter: true, MaxRetryAfter: 13, AskForList: true, AskEvery: 18,
-		ConnectTimeout: 11, KeepAlive: 12, Streams: 16, Tick: 24, AnswerSlack: 17, DrainGrace: 19, StartCapacity: 0.35,
-		RampTime: 21, OverloadFactor: 2.25, FallTime: 20, KeyRest: 22,
+		Relays: 7, Zone: 2, MaxConcurrentCalls: 23, MaxPending: 14, MaxAttempts: 15, ExponentialDecay: true, OverQuotaWeight: 0.6, WeightByCost: true,
+		ListHasRates: true, HealthChecks: true, Cancellation: true, SendRetryAfter: true, MaxRetryAfter: 13, PollList: true, PollInterval: 18,
+		ConnectTimeout: 11, IdleTimeout: 12, StreamsPerConnection: 16, TickInterval: 24, ReplyGrace: 17, DrainGrace: 19, InitialCapacity: 0.35,
+		RampDuration: 21, OverloadFactor: 2.25, OverloadDuration: 20, OrderedKeyBackoff: 22,
 		Classes: []decide.Class{
-			{Name: "plain", Aim: 2000002, Deadline: 20000001, Worth: 1.5, LateWorth: 0.1, Repeat: decide.Safe, InOrder: true},
-			{Name: "keyed", Aim: 2000005, Deadline: 20000003, Worth: 2.5, LateWorth: 0.2, Repeat: decide.Keyed,
-				DedupWindow: 15000004, ZoneOnly: true},
-			{Name: "keyed everywhere", Aim: 2000008, Deadline: 20000006, Worth: 3.5, LateWorth: 0.3, Repeat: decide.Keyed,
+			{Name: "plain", LatencyObjective: 2000002, Deadline: 20000001, Weight: 1.5, LateWeight: 0.1, Idempotency: decide.Idempotent, Ordered: true},
+			{Name: "keyed", LatencyObjective: 2000005, Deadline: 20000003, Weight: 2.5, LateWeight: 0.2, Idempotency: decide.IdempotentByKey,
+				DedupWindow: 15000004, DedupPerZone: true},
+			{Name: "keyed everywhere", LatencyObjective: 2000008, Deadline: 20000006, Weight: 3.5, LateWeight: 0.3, Idempotency: decide.IdempotentByKey,
 				DedupWindow: 15000007},
-			{Name: "once", Aim: 2000010, Deadline: 20000009, Worth: 4.5, LateWorth: 0.4, Repeat: decide.Unsafe},
+			{Name: "once", LatencyObjective: 2000010, Deadline: 20000009, Weight: 4.5, LateWeight: 0.4, Idempotency: decide.NonIdempotent},
 		},
-		Tenants: []decide.Tenant{{Name: "north", Quota: 12.5}, {Name: "south"}},
-		Kinds:   []decide.Kind{{Batch: 3}, {Apart: true, Batch: 1}, {Batch: 1}},
+		Tenants:          []decide.Tenant{{Name: "north", Quota: 12.5}, {Name: "south"}},
+		DestinationKinds: []decide.DestinationKind{{BatchSize: 3}, {IndependentRoutes: true, BatchSize: 1}, {BatchSize: 1}},
 	}
 	if !reflect.DeepEqual(got, want) {
 		t.Errorf("mapped to\n%+v, want\n%+v", got, want)
@@ -59,17 +59,17 @@
 		got    func(decide.Settings) bool
 		want   bool
 	}{
-		{"late by a line", func(s *wire.Settings) { s.Specifics.Late = "linear" }, func(d decide.Settings) bool { return d.Halving }, false},
-		{"value by count", func(s *wire.Settings) { s.ValueBy = "count" }, func(d decide.Settings) bool { return d.WorthByWork }, false},
-		{"no weights", func(s *wire.Settings) { s.Weights = "none" }, func(d decide.Settings) bool { return d.RatesListed }, false},
-		{"weights left out", func(s *wire.Settings) { s.Weights = "" }, func(d decide.Settings) bool { return d.RatesListed }, false},
-		{"list pushed", func(s *wire.Settings) { s.Discovery = "push" }, func(d decide.Settings) bool { return d.AskForList }, false},
+		{"late by a line", func(s *wire.Settings) { s.Specifics.Late = "linear" }, func(d decide.Settings) bool { return d.ExponentialDecay }, false},
+		{"value by count", func(s *wire.Settings) { s.ValueBy = "count" }, func(d decide.Settings) bool { return d.WeightByCost }, false},
+		{"no weights", func(s *wire.Settings) { s.Weights = "none" }, func(d decide.Settings) bool { return d.ListHasRates }, false},
+		{"weights left out", func(s *wire.Settings) { s.Weights = "" }, func(d decide.Settings) bool { return d.ListHasRates }, false},
+		{"list pushed", func(s *wire.Settings) { s.Discovery = "push" }, func(d decide.Settings) bool { return d.PollList }, false},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
 			text := readSettings(t)
 			tt.change(text)
-			mapped, err := Policy(text)
+			mapped, err := ForPolicy(text)
 			if err != nil || tt.got(mapped) != tt.want {
 				t.Errorf("got %v, error %v, want %v", tt.got(mapped), err, tt.want)
 			}
@@ -77,7 +77,7 @@
 	}
 	text := readSettings(t)
 	text.Classes[1].Repeat = "sometimes"
-	if _, err := Policy(text); err == nil || !strings.Contains(err.Error(), "classes[1].repeat") {
+	if _, err := ForPolicy(text); err == nil || !strings.Contains(err.Error(), "classes[1].repeat") {
 		t.Errorf("an unknown repeat: error %v", err)
 	}
 }
--- a/internal/standin/partner/h1/server_test.go
+++ b/internal/standin/partner/h1/server_test.go
@@ -81,7 +81,7 @@
 }
 
 func spec() partner.Spec {
-	return partner.Spec{Name: "p", Dest: 1, Endpoints: 1, Capacity: 1000, Queue: 100, Service: []partner.Service{{Mean: 5 * ms, Dist: draw.Fixed}},
+	return partner.Spec{Name: "p", Dest: 1, Endpoints: 1, Capacity: 1000, Queue: 100, Service: []partner.Service{{Mean: 5 * ms, Dist: draw.Constant}},
 		Mix: []float64{1}, Limit: partner.Limit{Kind: partner.NoLimit}, ColdShare: 1, Cancel: partner.CancelNone}
 }
 
--- a/internal/standin/partner/spec.go
+++ b/internal/standin/partner/spec.go
@@ -38,7 +38,7 @@
 // Service is how long a call works at an endpoint of usual pace.
 type Service struct {
 	Mean Time
-	Dist draw.Dist
+	Dist draw.Distribution
 	CV   float64
 }
 
--- a/internal/standin/partner/world.go
+++ b/internal/standin/partner/world.go
@@ -529,15 +529,15 @@
 
 // unit is a figure in (0, 1) of a call, the same in each run of a plan.
 func (w *World) unit(x *call, of uint64) float64 {
-	return draw.Unit(w.seed, uint64(x.msg.Num), uint64(x.try), of)
+	return draw.Float64(w.seed, uint64(x.msg.Num), uint64(x.try), of)
 }
 
 // work is how long a call keeps a slot at usual pace.
 func (w *World) work(x *call) float64 {
 	s := x.ep.part.Service[x.msg.Class]
-	d := float64(s.Mean) * s.Dist.Service(s.CV, w.unit(x, 10), w.unit(x, 11)) * x.ep.pace
+	d := float64(s.Mean) * s.Dist.ServiceTime(s.CV, w.unit(x, 10), w.unit(x, 11)) * x.ep.pace
 	for _, f := range x.ep.faults {
-		if f.Kind == Tail && f.Class == x.msg.Class && draw.Unit(w.seed, uint64(x.msg.Num), 20) < f.Share {
+		if f.Kind == Tail && f.Class == x.msg.Class && draw.Float64(w.seed, uint64(x.msg.Num), 20) < f.Share {
 			d *= f.Size
 		}
 	}
--- a/internal/standin/partner/world_test.go
+++ b/internal/standin/partner/world_test.go
@@ -38,7 +38,7 @@
 }
 
 func plain() Spec {
-	return Spec{Name: "p", Dest: 1, Endpoints: 1, Capacity: 10, Queue: 5, Service: []Service{{Mean: 200 * ms, Dist: draw.Fixed}},
+	return Spec{Name: "p", Dest: 1, Endpoints: 1, Capacity: 10, Queue: 5, Service: []Service{{Mean: 200 * ms, Dist: draw.Constant}},
 		Mix: []float64{1}, Limit: Limit{Kind: NoLimit}, ColdShare: 1, Cancel: CancelNone}
 }
 
@@ -109,9 +109,9 @@
 	for _, c := range []struct {
 		capacity float64
 		mean     Time
-		dist     draw.Dist
+		dist     draw.Distribution
 		cv       float64
-	}{{10, 200 * ms, draw.Fixed, 0}, {3.3, 400 * ms, draw.Exp, 1}, {47, 130 * ms, draw.LogNormal, 0.8}, {0.7, 300 * ms, draw.Fixed, 0}} {
+	}{{10, 200 * ms, draw.Constant, 0}, {3.3, 400 * ms, draw.Exponential, 1}, {47, 130 * ms, draw.LogNormal, 0.8}, {0.7, 300 * ms, draw.Constant, 0}} {
 		s := plain()
 		s.Capacity, s.Service[0] = c.capacity, Service{c.mean, c.dist, c.cv}
 		r := newRig(t, Rules{}, s)
--- a/internal/standin/registry/registry.go
+++ b/internal/standin/registry/registry.go
@@ -143,7 +143,7 @@
 	for _, a := range r.agents {
 		a.mu.Lock()
 		a.drawn++
-		d := a.cfg.Delay + time.Duration(float64(a.cfg.Spread)*draw.Unit(a.cfg.Seed, uint64(a.relay), a.drawn))
+		d := a.cfg.Delay + time.Duration(float64(a.cfg.Spread)*draw.Float64(a.cfg.Seed, uint64(a.relay), a.drawn))
 		for _, more := range a.late {
 			d += more
 		}
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -164,7 +164,7 @@
 
 func endpoint(b []byte) uint64 { return uint64(be.Uint32(b))<<16 | uint64(be.Uint16(b[4:])) }
 
-func span(tail, field []byte, unit int) ([]byte, error) {
+func tailBytes(tail, field []byte, unit int) ([]byte, error) {
 	off, n := uint64(be.Uint32(field)), uint64(be.Uint32(field[4:]))
 	if off > uint64(len(tail)) || n*uint64(unit) > uint64(len(tail))-off {
 		return nil, fmt.Errorf("offset %d and length %d lie outside the tail of %d bytes", off, n, len(tail))
@@ -192,7 +192,7 @@
 		if e.Sheet > maxList {
 			return fmt.Errorf("table: list number %d, at most %d", e.Sheet, maxList)
 		}
-		raw, err := span(tail, b[2:], entrySize)
+		raw, err := tailBytes(tail, b[2:], entrySize)
 		if err != nil {
 			return fmt.Errorf("table: %w", err)
 		}
@@ -203,7 +203,7 @@
 	switch e.Code {
 	case EvUp:
 		e.Token = be.Uint64(b[3:])
-		if e.Text, err = span(tail, b[11:], 1); err != nil {
+		if e.Text, err = tailBytes(tail, b[11:], 1); err != nil {
 			return fmt.Errorf("up: %w", err)
 		}
 	case EvSync:
@@ -246,7 +246,7 @@
 			return fmt.Errorf("health_result: %w", err)
 		}
 	case EvDatagram:
-		if e.Text, err = span(tail, b[7:], 1); err != nil {
+		if e.Text, err = tailBytes(tail, b[7:], 1); err != nil {
 			return fmt.Errorf("datagram: %w", err)
 		}
 	case EvPowerOff:
