--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -18,8 +18,8 @@
 	return b
 }
 
-// pad writes a record of 48 bytes that begins as given.
-func pad(t testing.TB, s string) []byte {
+// padRecord writes a record of 48 bytes that begins as given.
+func padRecord(t testing.TB, s string) []byte {
 	b := unhex(t, s)
 	return append(b, make([]byte, eventSize-len(b))...)
 }
@@ -39,8 +39,8 @@
 // TestKnownBatch decodes the frame that the wire page lays out.
 func TestKnownBatch(t *testing.T) {
 	clock, ev, err := ReadBatch(bytes.NewReader(frame(0x805c5a, nil,
-		pad(t, "1e 0003 5d3a91c4 91f03b7c55d20a64 0003a980 0001 0000 42640000 00000000 00002ee0"),
-		pad(t, "46 0003 000000000000004d"), pad(t, "3c 0005 0e6f2b19"))))
+		padRecord(t, "1e 0003 5d3a91c4 91f03b7c55d20a64 0003a980 0001 0000 42640000 00000000 00002ee0"),
+		padRecord(t, "46 0003 000000000000004d"), padRecord(t, "3c 0005 0e6f2b19"))))
 	if err != nil || clock != 0x805c5a || len(ev) != 3 {
 		t.Fatalf("clock %x, %d events, error %v", clock, len(ev), err)
 	}
@@ -57,8 +57,8 @@
 func TestKnownList(t *testing.T) {
 	tail := unhex(t, `0a124a07 1f43 0000 00 0039 01 3f800000 0000000000000000
 		0a9011f2 1f6c 0001 02 0039 02 3fc00000 00000000005d1420`)
-	_, ev, err := ReadBatch(bytes.NewReader(frame(1, tail, pad(t, "6e 0f 00000000 00000002"),
-		pad(t, "14 0003 00 0000000000000029 0f"))))
+	_, ev, err := ReadBatch(bytes.NewReader(frame(1, tail, padRecord(t, "6e 0f 00000000 00000002"),
+		padRecord(t, "14 0003 00 0000000000000029 0f"))))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -70,7 +70,7 @@
 
 func TestKnownOutcome(t *testing.T) {
 	_, ev, err := ReadBatch(bytes.NewReader(frame(1, nil,
-		pad(t, "32 0003 5d3a91c4 0a124a07 1f43 07 00000019 00004844 fe 01 02 3ecccccd 3fa00000 00000000 00000000"))))
+		padRecord(t, "32 0003 5d3a91c4 0a124a07 1f43 07 00000019 00004844 fe 01 02 3ecccccd 3fa00000 00000000 00000000"))))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -126,7 +126,7 @@
 }
 
 func TestMalformed(t *testing.T) {
-	call := pad(t, "1e 0003 5d3a91c4")
+	call := padRecord(t, "1e 0003 5d3a91c4")
 	nan := append([]byte(nil), call...)
 	be.PutUint32(nan[23:], math.Float32bits(float32(math.NaN())))
 	long := frame(1, nil, call)
@@ -141,15 +141,15 @@
 		"short body":       {frame(1, nil, call)[:40], "body"},
 		"too many records": {long, "records"},
 		"huge":             {huge, "length"},
-		"unknown code":     {frame(1, nil, pad(t, "07")), "code 7"},
-		"list number":      {frame(1, nil, pad(t, "6e 10")), "list number 16"},
-		"sync list number": {frame(1, nil, pad(t, "14 0003 04 0000000000000001 10")), "list number 16"},
-		"sync kind":        {frame(1, nil, pad(t, "14 0003 02")), "kind 2"},
-		"entries outside":  {frame(1, make([]byte, 30), pad(t, "6e 00 00000000 00000002")), "outside the tail"},
-		"offset outside":   {frame(1, nil, pad(t, "0a 0003 0000000000000001 ffffffff ffffffff")), "outside the tail"},
-		"readiness":        {frame(1, append(make([]byte, 11), append([]byte{9}, make([]byte, 12)...)...), pad(t, "6e 00 00000000 00000001")), "readiness 9"},
-		"status":           {frame(1, nil, pad(t, "32 0003 00000001 00000000 0000 00 00000000 00000000 10")), "status 16"},
-		"report":           {frame(1, nil, pad(t, "32 0003 00000001 00000000 0000 00 00000000 00000000 00 00 05")), "report of 5"},
+		"unknown code":     {frame(1, nil, padRecord(t, "07")), "code 7"},
+		"list number":      {frame(1, nil, padRecord(t, "6e 10")), "list number 16"},
+		"sync list number": {frame(1, nil, padRecord(t, "14 0003 04 0000000000000001 10")), "list number 16"},
+		"sync kind":        {frame(1, nil, padRecord(t, "14 0003 02")), "kind 2"},
+		"entries outside":  {frame(1, make([]byte, 30), padRecord(t, "6e 00 00000000 00000002")), "outside the tail"},
+		"offset outside":   {frame(1, nil, padRecord(t, "0a 0003 0000000000000001 ffffffff ffffffff")), "outside the tail"},
+		"readiness":        {frame(1, append(make([]byte, 11), append([]byte{9}, make([]byte, 12)...)...), padRecord(t, "6e 00 00000000 00000001")), "readiness 9"},
+		"status":           {frame(1, nil, padRecord(t, "32 0003 00000001 00000000 0000 00 00000000 00000000 10")), "status 16"},
+		"report":           {frame(1, nil, padRecord(t, "32 0003 00000001 00000000 0000 00 00000000 00000000 00 00 05")), "report of 5"},
 		"destination":      {frame(1, nil, nan), "destination"},
 	} {
 		if _, _, err := ReadBatch(bytes.NewReader(c.in)); err == nil || !strings.Contains(err.Error(), c.want) {
@@ -179,9 +179,9 @@
 
 // FuzzReadBatch: no input makes the decoder panic, and what it takes it takes in whole.
 func FuzzReadBatch(f *testing.F) {
-	f.Add(frame(1, nil, pad(f, "1e 0003 5d3a91c4"), pad(f, "3c 0005 0e6f2b19")))
-	f.Add(frame(1, make([]byte, 24), pad(f, "6e 0f 00000000 00000001"), pad(f, "0a 0001 0000000000000001 00000000 00000002")))
-	f.Add(frame(9, nil, pad(f, "32 0003 00000001 00000000 0000 00 00000000 00000000 fe 00 02")))
+	f.Add(frame(1, nil, padRecord(f, "1e 0003 5d3a91c4"), padRecord(f, "3c 0005 0e6f2b19")))
+	f.Add(frame(1, make([]byte, 24), padRecord(f, "6e 0f 00000000 00000001"), padRecord(f, "0a 0001 0000000000000001 00000000 00000002")))
+	f.Add(frame(9, nil, padRecord(f, "32 0003 00000001 00000000 0000 00 00000000 00000000 fe 00 02")))
 	f.Add([]byte{1, 2, 3})
 	f.Fuzz(func(t *testing.T, in []byte) {
 		_, ev, err := ReadBatch(bytes.NewReader(in))
