--- a/cmd/troutusher-kit/learned.go
+++ b/cmd/troutusher-kit/learned.go
@@ -60,7 +60,7 @@
 		return fmt.Sprintf("%.1f s", float64(t-s.Now)/1e6)
 	}
 	waits := map[int]decide.Time{}
-	for _, w := range s.Waits {
+	for _, w := range s.RetryAfters {
 		waits[w.Dest] = w.Until
 	}
 	w := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
--- a/internal/console/console.go
+++ b/internal/console/console.go
@@ -21,22 +21,22 @@
 
 // Bounds.
 const (
-	LineMost  = 256              // bytes of a call, with its end
-	ConnsMost = 12               // callers at once; the one that has said nothing for longest makes room
-	lineWait  = 15 * time.Second // for a call's end
-	writeWait = 2 * time.Second  // for a caller to read
+	MaxLineBytes = 256              // bytes of a call, with its end
+	MaxConns     = 12               // callers at once; the one that has said nothing for longest makes room
+	readTimeout  = 15 * time.Second // for a call's end
+	writeTimeout = 2 * time.Second  // for a caller to read
 )
 
-// Calls are what may be called. Each must return at once.
-type Calls struct {
+// Handlers are what may be called. Each must return at once.
+type Handlers struct {
 	Ready   func() (yes bool, why string)
 	Drain   func() (yes bool, why string)
 	Undrain func() (yes bool, why string)
 	Stats   func(to []byte) []byte // appends the figures, a line each
 }
 
-// Answer is what a call is answered, whole.
-func (c *Calls) Answer(line []byte) []byte {
+// Execute is what a call is answered, whole.
+func (c *Handlers) Execute(line []byte) []byte {
 	word := strings.ToUpper(string(bytes.TrimSpace(line)))
 	var do func() (bool, string)
 	switch word {
@@ -58,55 +58,55 @@
 	return []byte("NO " + why + "\n")
 }
 
-// ErrLine is a call that cannot be read.
-var ErrLine = errors.New("call too long")
+// ErrLineTooLong is a call that cannot be read.
+var ErrLineTooLong = errors.New("call too long")
 
-// Line finds the first whole line of what has come. An error is for good.
-func Line(got []byte) (line []byte, whole bool, err error) {
-	if i := bytes.IndexByte(got[:min(len(got), LineMost)], '\n'); i >= 0 {
+// FirstLine finds the first whole line of what has come. An error is for good.
+func FirstLine(got []byte) (line []byte, whole bool, err error) {
+	if i := bytes.IndexByte(got[:min(len(got), MaxLineBytes)], '\n'); i >= 0 {
 		return bytes.TrimSuffix(got[:i], []byte{'\r'}), true, nil
 	}
-	if len(got) >= LineMost {
-		return nil, false, ErrLine
+	if len(got) >= MaxLineBytes {
+		return nil, false, ErrLineTooLong
 	}
 	return nil, false, nil
 }
 
-// Console is one listener for operators.
-type Console struct {
-	ln    net.Listener
-	calls Calls
-	log   *slog.Logger
-	mu    sync.Mutex
-	open  []net.Conn // still without a whole call, the oldest first
-	busy  int        // being answered
+// Server is one listener for operators.
+type Server struct {
+	listener net.Listener
+	handlers Handlers
+	logger   *slog.Logger
+	mu       sync.Mutex
+	waiting  []net.Conn // still without a whole call, the oldest first
+	replying int        // being answered
 }
 
 // Listen opens a console; Serve serves it.
-func Listen(addr string, calls Calls, log *slog.Logger) (*Console, error) {
+func Listen(addr string, calls Handlers, log *slog.Logger) (*Server, error) {
 	ln, err := (&net.ListenConfig{KeepAlive: -1}).Listen(context.Background(), "tcp", addr)
 	if err != nil {
 		return nil, fmt.Errorf("console: %w", err)
 	}
-	return &Console{ln: ln, calls: calls, log: log}, nil
+	return &Server{listener: ln, handlers: calls, logger: log}, nil
 }
 
 // Addr is where it listens.
-func (c *Console) Addr() net.Addr { return c.ln.Addr() }
+func (c *Server) Addr() net.Addr { return c.listener.Addr() }
 
 // Serve answers callers until Close.
-func (c *Console) Serve() {
+func (c *Server) Serve() {
 	for {
-		conn, err := c.ln.Accept()
+		conn, err := c.listener.Accept()
 		if errors.Is(err, net.ErrClosed) {
 			return
 		}
 		if err != nil { // out of descriptors, mostly
-			c.log.Warn("console: accept", "err", err)
+			c.logger.Warn("console: accept", "err", err)
 			time.Sleep(50 * time.Millisecond)
 			continue
 		}
-		if !c.enter(conn) {
+		if !c.admit(conn) {
 			conn.Close()
 			continue
 		}
@@ -115,58 +115,58 @@
 }
 
 // Close ends the console and all its connections.
-func (c *Console) Close() {
-	c.ln.Close()
+func (c *Server) Close() {
+	c.listener.Close()
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	for _, conn := range c.open {
+	for _, conn := range c.waiting {
 		conn.Close()
 	}
 }
 
-// enter lets a caller in. Those that have said nothing make room; where all are
+// admit lets a caller in. Those that have said nothing make room; where all are
 // being answered, nobody does.
-func (c *Console) enter(conn net.Conn) bool {
+func (c *Server) admit(conn net.Conn) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if len(c.open)+c.busy >= ConnsMost {
-		if len(c.open) == 0 {
+	if len(c.waiting)+c.replying >= MaxConns {
+		if len(c.waiting) == 0 {
 			return false
 		}
-		c.open[0].Close() // its goroutine sees that
-		c.open = slices.Delete(c.open, 0, 1)
+		c.waiting[0].Close() // its goroutine sees that
+		c.waiting = slices.Delete(c.waiting, 0, 1)
 	}
-	c.open = append(c.open, conn)
+	c.waiting = append(c.waiting, conn)
 	return true
 }
 
-// leave takes a caller from those without a call; false where it was closed.
-func (c *Console) leave(conn net.Conn, answered bool) bool {
+// stopWaiting takes a caller from those without a call; false where it was closed.
+func (c *Server) stopWaiting(conn net.Conn, answered bool) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	i := slices.Index(c.open, conn)
+	i := slices.Index(c.waiting, conn)
 	if i < 0 {
 		return false
 	}
-	c.open = slices.Delete(c.open, i, i+1)
+	c.waiting = slices.Delete(c.waiting, i, i+1)
 	if answered {
-		c.busy++
+		c.replying++
 	}
 	return true
 }
 
-func (c *Console) serve(conn net.Conn) {
+func (c *Server) serve(conn net.Conn) {
 	defer conn.Close()
-	conn.SetReadDeadline(time.Now().Add(lineWait))
-	var buf [LineMost]byte
+	conn.SetReadDeadline(time.Now().Add(readTimeout))
+	var buf [MaxLineBytes]byte
 	for n := 0; ; {
 		m, err := conn.Read(buf[n:])
 		n += m
-		line, whole, bad := Line(buf[:n])
+		line, whole, bad := FirstLine(buf[:n])
 		if !whole && bad == nil && err == nil {
 			continue
 		}
-		if !c.leave(conn, whole || bad != nil) {
+		if !c.stopWaiting(conn, whole || bad != nil) {
 			return
 		}
 		if !whole && bad == nil {
@@ -174,12 +174,12 @@
 		}
 		answer := []byte("NO call too long\n")
 		if bad == nil {
-			answer = c.calls.Answer(line)
+			answer = c.handlers.Execute(line)
 		}
-		conn.SetWriteDeadline(time.Now().Add(writeWait))
+		conn.SetWriteDeadline(time.Now().Add(writeTimeout))
 		conn.Write(answer)
 		c.mu.Lock()
-		c.busy--
+		c.replying--
 		c.mu.Unlock()
 		return
 	}
--- a/internal/console/console_test.go
+++ b/internal/console/console_test.go
@@ -11,16 +11,16 @@
 	"time"
 )
 
-func testCalls() Calls {
-	b := NewBoard([]string{"termin", "placanje"})
-	b.Show(0, Ends{Answered: 812, Deferred: 3, Errored: 1})
-	b.Late(0)
+func testHandlers() Handlers {
+	b := NewStats([]string{"termin", "placanje"})
+	b.SetOutcomes(0, Outcomes{Delivered: 812, Deferred: 3, Failed: 1})
+	b.AddShed(0)
 	b.Sends.Store(900)
-	b.Current.Store(14)
-	b.Listed.Store(22)
-	b.Avoided.Store(2)
+	b.Pending.Store(14)
+	b.Endpoints.Store(22)
+	b.UnhealthyEndpoints.Store(2)
 	say := func(yes bool, why string) func() (bool, string) { return func() (bool, string) { return yes, why } }
-	return Calls{Ready: say(false, "starting"), Drain: say(true, "draining"), Undrain: say(true, "serving"), Stats: b.Append}
+	return Handlers{Ready: say(false, "starting"), Drain: say(true, "draining"), Undrain: say(true, "serving"), Stats: b.AppendTo}
 }
 
 const wantStats = `edge_router.answered.termin:812|c
@@ -36,9 +36,9 @@
 END
 `
 
-func startConsole(t *testing.T) *Console {
+func startConsole(t *testing.T) *Server {
 	t.Helper()
-	c, err := Listen("127.0.0.1:0", testCalls(), slog.New(slog.DiscardHandler))
+	c, err := Listen("127.0.0.1:0", testHandlers(), slog.New(slog.DiscardHandler))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -47,7 +47,7 @@
 	return c
 }
 
-func dial(t *testing.T, c *Console) net.Conn {
+func dial(t *testing.T, c *Server) net.Conn {
 	t.Helper()
 	conn, err := net.Dial("tcp", c.Addr().String())
 	if err != nil {
@@ -58,7 +58,7 @@
 	return conn
 }
 
-func all(t *testing.T, conn net.Conn) string {
+func readAll(t *testing.T, conn net.Conn) string {
 	t.Helper()
 	text, err := io.ReadAll(conn)
 	if err != nil {
@@ -67,18 +67,18 @@
 	return string(text)
 }
 
-func TestCalls(t *testing.T) {
+func TestCommands(t *testing.T) {
 	c := startConsole(t)
 	for _, x := range []struct{ call, want string }{
 		{"READY\n", "NO starting\n"}, {"drain\r\n", "YES draining\n"}, {" UNDRAIN \n", "YES serving\n"}, {"STATS\n", wantStats},
 		{"DISABLE\n", "NO unknown call \"DISABLE\", known are READY, STATS, DRAIN, UNDRAIN\n"},
 		{"\n", "NO unknown call \"\", known are READY, STATS, DRAIN, UNDRAIN\n"},
 		{"READY\nSTATS\n", "NO starting\n"}, // one call a connection
-		{strings.Repeat("x", LineMost), "NO call too long\n"},
+		{strings.Repeat("x", MaxLineBytes), "NO call too long\n"},
 	} {
 		conn := dial(t, c)
 		io.WriteString(conn, x.call)
-		if got := all(t, conn); got != x.want {
+		if got := readAll(t, conn); got != x.want {
 			t.Errorf("%q: %q, want %q", x.call, got, x.want)
 		}
 	}
@@ -87,16 +87,16 @@
 		conn.Write([]byte{b})
 	}
 	io.WriteString(conn, "DY\n")
-	if got := all(t, conn); got != "NO starting\n" {
+	if got := readAll(t, conn); got != "NO starting\n" {
 		t.Errorf("in pieces: %q", got)
 	}
 }
 
 // Callers that connect and say nothing, or half a call, keep nobody out: the
 // one that has been silent for longest makes room.
-func TestSilentCallersHoldNothingUp(t *testing.T) {
+func TestSilentClientsAreEvicted(t *testing.T) {
 	c := startConsole(t)
-	silent := make([]net.Conn, 3*ConnsMost)
+	silent := make([]net.Conn, 3*MaxConns)
 	for i := range silent {
 		silent[i] = dial(t, c)
 		if i%2 == 0 {
@@ -113,21 +113,21 @@
 	}
 	last := silent[len(silent)-1]
 	io.WriteString(last, "READY\n")
-	if got := all(t, last); got != "NO starting\n" {
+	if got := readAll(t, last); got != "NO starting\n" {
 		t.Errorf("the newest: %q", got)
 	}
 }
 
 // Whatever comes, in whatever pieces, the same line is read, and within bounds.
-func FuzzLine(f *testing.F) {
-	for _, s := range []string{"READY\n", "\r\n", "STATS\r\nDRAIN\n", strings.Repeat("a", LineMost), strings.Repeat("b", LineMost-1) + "\n", "\x00\xff\n"} {
+func FuzzFirstLine(f *testing.F) {
+	for _, s := range []string{"READY\n", "\r\n", "STATS\r\nDRAIN\n", strings.Repeat("a", MaxLineBytes), strings.Repeat("b", MaxLineBytes-1) + "\n", "\x00\xff\n"} {
 		f.Add([]byte(s))
 	}
-	calls := testCalls()
+	calls := testHandlers()
 	f.Fuzz(func(t *testing.T, in []byte) {
-		want, whole, err := Line(in)
+		want, whole, err := FirstLine(in)
 		for n := range in {
-			line, w, e := Line(in[:n])
+			line, w, e := FirstLine(in[:n])
 			if e != nil && err == nil || w && (!whole || !bytes.Equal(line, want)) {
 				t.Fatalf("%d bytes: %q %v %v; all: %q %v %v", n, line, w, e, want, whole, err)
 			}
@@ -135,10 +135,10 @@
 		if !whole {
 			return
 		}
-		if len(want) >= LineMost || bytes.IndexByte(want, '\n') >= 0 {
+		if len(want) >= MaxLineBytes || bytes.IndexByte(want, '\n') >= 0 {
 			t.Fatalf("line %q", want)
 		}
-		got := calls.Answer(want)
+		got := calls.Execute(want)
 		if s := string(got); s != wantStats && !strings.HasPrefix(s, "YES ") && !strings.HasPrefix(s, "NO ") || s[len(s)-1] != '\n' {
 			t.Fatalf("%q: answer %q", want, got)
 		}
@@ -146,9 +146,9 @@
 }
 
 func BenchmarkStats(b *testing.B) {
-	calls := testCalls()
+	calls := testHandlers()
 	b.ReportAllocs()
 	for b.Loop() {
-		calls.Answer([]byte("STATS"))
+		calls.Execute([]byte("STATS"))
 	}
 }
--- a/internal/console/fixture_test.go
+++ b/internal/console/fixture_test.go
@@ -11,7 +11,7 @@
 
 // testdata/answers.txt holds calls ("<") and the answer to each, line by line
 // (">"), as they go over a connection.
-func TestAnswersFixture(t *testing.T) {
+func TestRepliesFixture(t *testing.T) {
 	want, err := os.ReadFile("testdata/answers.txt")
 	if err != nil {
 		t.Fatal(err)
@@ -30,7 +30,7 @@
 		conn := dial(t, c)
 		io.WriteString(conn, call)
 		got.WriteString(line)
-		for answer := range strings.Lines(all(t, conn)) {
+		for answer := range strings.Lines(readAll(t, conn)) {
 			fmt.Fprintf(&got, "> %q\n", answer)
 		}
 	}
@@ -40,20 +40,20 @@
 }
 
 // The lines of STATS that this package writes: names, order, units.
-func TestFiguresFixture(t *testing.T) {
+func TestStatsFixture(t *testing.T) {
 	want, err := os.ReadFile("testdata/figures.txt")
 	if err != nil {
 		t.Fatal(err)
 	}
-	b := NewBoard([]string{"first", "second"})
-	b.Show(0, Ends{Answered: 1, Deferred: 2, Errored: 3})
-	b.Show(1, Ends{Answered: 4, Deferred: 5, Errored: 6})
-	b.Late(1)
+	b := NewStats([]string{"first", "second"})
+	b.SetOutcomes(0, Outcomes{Delivered: 1, Deferred: 2, Failed: 3})
+	b.SetOutcomes(1, Outcomes{Delivered: 4, Deferred: 5, Failed: 6})
+	b.AddShed(1)
 	b.Sends.Store(7)
-	b.Current.Store(8)
-	b.Listed.Store(9)
-	b.Avoided.Store(10)
-	if got := string(b.Append(nil)); got != string(want) {
+	b.Pending.Store(8)
+	b.Endpoints.Store(9)
+	b.UnhealthyEndpoints.Store(10)
+	if got := string(b.AppendTo(nil)); got != string(want) {
 		t.Errorf("got:\n%s\nwant:\n%s", got, want)
 	}
 }
--- a/internal/core/await_test.go
+++ b/internal/core/await_test.go
@@ -12,25 +12,25 @@
 // While a core waits for the list it takes messages on and ends them as ever,
 // and begins no call and no probe; then what was put off goes out, oldest first,
 // and nothing to who has drained meanwhile.
-func TestAwaitHoldsCallsAlone(t *testing.T) {
+func TestDeferSendsHoldsOnlyCalls(t *testing.T) {
 	taken, sent, ended := 0, 0, 0
 	for seed := range uint64(60) {
-		w := newWorld(t, seed)
-		w.core.Await()
+		w := newSimulation(t, seed)
+		w.core.DeferSends()
 		text := w.play(120)
-		for _, kind := range []EffectKind{LogThenSend, Probe, Cancel} {
-			if strings.Contains(text, fmt.Sprintf(" %d m", kind)) || strings.Contains("\n"+text, fmt.Sprintf(" %d\n", kind)) && kind == Probe {
+		for _, kind := range []EffectKind{AppendThenSend, CheckHealth, CancelCall} {
+			if strings.Contains(text, fmt.Sprintf(" %d m", kind)) || strings.Contains("\n"+text, fmt.Sprintf(" %d\n", kind)) && kind == CheckHealth {
 				w.failf("seed %d: effect %d while the list is waited for", seed, kind)
 			}
 		}
-		taken += strings.Count(text, fmt.Sprintf(" %d m", LogThenAnswer))
-		ended += strings.Count(text, fmt.Sprintf(" %d {", LogThenNotice))
+		taken += strings.Count(text, fmt.Sprintf(" %d m", AppendThenReply))
+		ended += strings.Count(text, fmt.Sprintf(" %d {", AppendThenNotify))
 		w.trace.Reset()
-		w.carry(w.core.Step(w.now, []Event{{Kind: Begin}}, nil))
+		w.execute(w.core.Step(w.now, []Event{{Kind: Started}}, nil))
 		var order []int
 		for _, l := range strings.Split(w.trace.String(), "\n") {
 			var at, kind, n, to int
-			if k, _ := fmt.Sscanf(l, "%d %d m%d to %d", &at, &kind, &n, &to); k == 4 && kind == int(LogThenSend) {
+			if k, _ := fmt.Sscanf(l, "%d %d m%d to %d", &at, &kind, &n, &to); k == 4 && kind == int(AppendThenSend) {
 				order = append(order, n)
 			}
 		}
@@ -44,47 +44,47 @@
 
 // A message that comes while the list is waited for is answered in that step, and
 // what was put off goes out in the order in which it came.
-func TestAwaitAnswersAtOnce(t *testing.T) {
+func TestDeferSendsRepliesAtOnce(t *testing.T) {
 	r := testCore(t)
 	member := func(id, phase string) Member {
 		return Member{ID: id, HostPort: "10.0.0.1:" + id[1:], Locality: "a", Flavor: "k", Cell: 1, Phase: phase, Size: 1000}
 	}
 	now := decide.Time(3600e6)
-	r.Book(now, []Event{{Kind: News, News: decide.ListCached, List: &List{Complete: true, Members: []Member{member("s1", Up), member("s2", Up)}}}}, nil)
-	r.Await()
+	r.Observe(now, []Event{{Kind: EndpointListUpdated, News: decide.ListCached, List: &EndpointList{Complete: true, Members: []Member{member("s1", Up), member("s2", Up)}}}}, nil)
+	r.DeferSends()
 	r.Step(now, nil, nil)
 	var events []Event
 	for _, id := range []string{"a", "b", "c"} {
-		events = append(events, Event{Kind: Put, Request: &Request{Class: 0, Tenant: -1,
-			Rec: &Record{Kind: Taken, ID: id, Class: "plain", Dest: 1, Deadline: r.wall(now + 5e6)}}})
+		events = append(events, Event{Kind: Submitted, Request: &Request{Class: 0, Tenant: -1,
+			Record: &Record{Kind: RecordAccepted, ID: id, Class: "plain", Dest: 1, Deadline: r.wall(now + 5e6)}}})
 	}
 	var said []Event
 	for _, e := range r.Step(now, events, nil) {
-		if e.Kind == LogThenAnswer {
-			said = append(said, Event{Kind: Said, Request: e.Request, OK: true})
+		if e.Kind == AppendThenReply {
+			said = append(said, Event{Kind: ReplyDelivered, Request: e.Request, OK: true})
 		}
 	}
 	if len(said) != 3 {
 		t.Fatalf("%d of 3 answered at once", len(said))
 	}
 	for _, e := range r.Step(now+1000, said, nil) {
-		if e.Kind == LogThenSend || e.Kind == Probe {
+		if e.Kind == AppendThenSend || e.Kind == CheckHealth {
 			t.Errorf("%+v before the list", e)
 		}
 	}
 	var got []string
-	drained := &List{Members: []Member{member("s1", Draining)}}
-	events = []Event{{Kind: News, News: decide.ListDelta, List: drained}, {Kind: Begin}}
+	drained := &EndpointList{Members: []Member{member("s1", Draining)}}
+	events = []Event{{Kind: EndpointListUpdated, News: decide.ListDelta, List: drained}, {Kind: Started}}
 	for at, n := now+100e3, 0; n < 100 && len(got) < 3; at, n = at+20e3, n+1 { // those that were meant for s1 are chosen anew
 		fx := r.Step(at, events, nil)
 		events = nil
 		for _, e := range fx {
-			if e.Kind == LogThenSend {
-				got = append(got, e.Call.Rec.ID)
-				if r.byNum[e.Call.Endpoint].id == "s1" {
-					t.Errorf("%s goes to who has drained", e.Call.Rec.ID)
+			if e.Kind == AppendThenSend {
+				got = append(got, e.Call.Record.ID)
+				if r.endpointsByNumber[e.Call.Endpoint].id == "s1" {
+					t.Errorf("%s goes to who has drained", e.Call.Record.ID)
 				}
-				events = append(events, Event{Kind: Finished, Call: e.Call, Result: &Result{What: decide.Delivered, Status: 200, Settled: true}})
+				events = append(events, Event{Kind: AttemptFinished, Call: e.Call, Result: &Result{Outcome: decide.Delivered, Status: 200, Final: true}})
 			}
 		}
 	}
@@ -95,25 +95,25 @@
 
 // A probe that is asked for meanwhile is made after it, where its endpoint is
 // still listed.
-func TestAwaitPutsProbesOff(t *testing.T) {
+func TestDeferSendsDelaysHealthChecks(t *testing.T) {
 	r := testCore(t)
 	now := decide.Time(3600e6)
 	member := func(id, phase string) Member {
 		return Member{ID: id, HostPort: "10.0.0.1:" + id[1:], Locality: "a", Flavor: "k", Cell: 1, Phase: phase, Size: 1000}
 	}
-	r.Book(now, []Event{{Kind: News, News: decide.ListCached, List: &List{Complete: true, Members: []Member{member("s1", Up), member("s2", Up)}}}}, nil)
-	r.Await()
+	r.Observe(now, []Event{{Kind: EndpointListUpdated, News: decide.ListCached, List: &EndpointList{Complete: true, Members: []Member{member("s1", Up), member("s2", Up)}}}}, nil)
+	r.DeferSends()
 	for _, ep := range []decide.EndpointID{1, 2} {
-		r.act(now, &decide.Action{Kind: decide.ActHealthCheck, Endpoint: ep})
+		r.executeAction(now, &decide.Action{Kind: decide.ActHealthCheck, Endpoint: ep})
 	}
-	if fx := r.done(); len(fx) > 0 {
+	if fx := r.takeEffects(); len(fx) > 0 {
 		t.Errorf("%+v while the list is waited for", fx)
 	}
-	drained := &List{Members: []Member{member("s1", Draining)}}
+	drained := &EndpointList{Members: []Member{member("s1", Draining)}}
 	var probed []decide.EndpointID
 	for range 2 { // once
-		for _, e := range r.Book(now, []Event{{Kind: News, News: decide.ListDelta, List: drained}, {Kind: Begin}}, nil) {
-			if e.Kind == Probe {
+		for _, e := range r.Observe(now, []Event{{Kind: EndpointListUpdated, News: decide.ListDelta, List: drained}, {Kind: Started}}, nil) {
+			if e.Kind == CheckHealth {
 				probed = append(probed, e.Endpoint)
 			}
 		}
--- a/internal/core/carry_test.go
+++ b/internal/core/carry_test.go
@@ -9,31 +9,31 @@
 	"troutusher/decide"
 )
 
-// book keeps the log as a driver does.
-type book struct {
-	order []string
-	live  map[string]*Record
+// logModel keeps the log as a driver does.
+type logModel struct {
+	order   []string
+	pending map[string]*Record
 }
 
-func (b *book) apply(r *Record) {
-	old := b.live[r.ID]
+func (b *logModel) apply(r *Record) {
+	old := b.pending[r.ID]
 	switch {
-	case r.Kind == Taken && old == nil:
+	case r.Kind == RecordAccepted && old == nil:
 		c := *r
-		b.live[r.ID] = &c
+		b.pending[r.ID] = &c
 		b.order = append(b.order, r.ID)
 	case old == nil:
-	case r.Kind == End:
-		delete(b.live, r.ID)
+	case r.Kind == RecordDone:
+		delete(b.pending, r.ID)
 	default:
-		old.Fold(r)
+		old.Apply(r)
 	}
 }
 
 // written books what effects have logged.
-func (b *book) written(fx []Effect, lost map[*Request]bool) {
+func (b *logModel) written(fx []Effect, lost map[*Request]bool) {
 	for i := range fx {
-		if r := fx[i].Record; r != nil && !(fx[i].Kind == LogThenAnswer && lost[fx[i].Request]) {
+		if r := fx[i].Record; r != nil && !(fx[i].Kind == AppendThenReply && lost[fx[i].Request]) {
 			b.apply(r)
 		}
 	}
@@ -41,11 +41,11 @@
 
 // handOver moves a world's core into a fresh one whose clock reads otherwise,
 // as two processes do it: requests answered, nothing begun, the log read anew.
-func (w *world) handOver(b *book, shift decide.Time) (goesOn int) {
-	w.core.Cede()
-	for limit := 0; w.core.Waiting() > 0; limit++ {
+func (w *simulation) handOver(b *logModel, shift decide.Time) (goesOn int) {
+	w.core.BeginHandover()
+	for limit := 0; w.core.UnansweredRequests() > 0; limit++ {
 		if limit > 1000 {
-			w.failf("%d requests are never answered", w.core.Waiting())
+			w.failf("%d requests are never answered", w.core.UnansweredRequests())
 		}
 		var events []Event
 		w.queue = slices.DeleteFunc(w.queue, func(e Event) bool {
@@ -57,14 +57,14 @@
 		})
 		w.step(b, events)
 	}
-	text, err := json.Marshal(w.core.Carry(w.now))
+	text, err := json.Marshal(w.core.ExportHandover(w.now))
 	if err != nil {
 		w.failf("%v", err)
 	}
 	if w.golden != nil {
 		fmt.Fprintf(w.golden, "%d handover %s\n", w.now, text)
 	}
-	c := &Carried{}
+	c := &HandoverState{}
 	if err := json.Unmarshal(text, c); err != nil {
 		w.failf("%v", err)
 	}
@@ -74,79 +74,79 @@
 	}
 	var owed []*Record
 	for _, id := range b.order {
-		if r := b.live[id]; r != nil {
+		if r := b.pending[id]; r != nil {
 			if !out[id] {
-				r.Settle()
+				r.ResolveOpenAttempt()
 			}
 			owed = append(owed, r)
 		}
 	}
-	set := w.core.set
+	set := w.core.settings
 	set.Epoch -= shift
 	next, err := New(set)
 	if err != nil {
 		w.failf("%v", err)
 	}
 	w.core, w.now = next, w.now+shift
-	w.drained, w.cell = map[decide.EndpointID]bool{}, map[decide.EndpointID]int{}
-	fx := next.Restore(w.now, owed, c, shift, nil)
+	w.closedEndpoints, w.destOf = map[decide.EndpointID]bool{}, map[decide.EndpointID]int{}
+	fx := next.RecoverMessages(w.now, owed, c, shift, nil)
 	calls := map[string]*Call{}
 	for i := range fx {
-		if fx[i].Kind == GoOn {
-			calls[fx[i].Call.Rec.ID] = fx[i].Call
+		if fx[i].Kind == ResumeCall {
+			calls[fx[i].Call.Record.ID] = fx[i].Call
 		}
 	}
 	if len(calls) != len(c.Calls) {
 		w.failf("%d calls go on of %d", len(calls), len(c.Calls))
 	}
-	w.open = map[*Call]bool{}
+	w.openCalls = map[*Call]bool{}
 	w.queue = slices.DeleteFunc(w.queue, func(e Event) bool { return e.Call == nil })
 	for i := range w.queue {
 		e := &w.queue[i]
-		id := e.Call.Rec.ID
+		id := e.Call.Record.ID
 		if k := calls[id]; k != nil { // its end comes here
-			if e.Kind == Unsent {
-				e.Kind, e.Result = Finished, &Result{What: decide.ConnectionReset}
+			if e.Kind == AttemptNotLogged {
+				e.Kind, e.Result = AttemptFinished, &Result{Outcome: decide.ConnectionReset}
 			}
 			e.Call = k
-			w.open[k] = true
+			w.openCalls[k] = true
 			goesOn++
 		} else { // its message is over: nobody waits for it
-			w.out[id]--
+			w.openCallCount[id]--
 			e.Call = nil
 		}
 	}
 	w.queue = slices.DeleteFunc(w.queue, func(e Event) bool { return e.Call == nil })
 	if w.driver != nil { // those that are out whole go on
 		for i := range fx {
-			if k := fx[i].Call; fx[i].Kind == GoOn {
-				w.open[k] = true
-				w.driver.calls = append(w.driver.calls, &wayOut{call: k, step: 3})
+			if k := fx[i].Call; fx[i].Kind == ResumeCall {
+				w.openCalls[k] = true
+				w.driver.calls = append(w.driver.calls, &driverCall{call: k, step: 3})
 				goesOn++
 			}
 		}
 	}
 	for i := range fx { // notices that were logged go out once more, harmlessly
-		if fx[i].Kind == Notify {
+		if fx[i].Kind == SendNotice {
 			w.trace.WriteString("again " + fx[i].Notice.Message + "\n")
 		}
 	}
 	b.written(fx, nil)
-	w.carry(fx)
+	w.execute(fx)
 	if w.driver != nil {
 		for _, c := range w.driver.calls {
-			c.home = w.driver.homes[c.call.Endpoint]
+			c.endpoint = w.driver.endpoints[c.call.Endpoint]
 		}
 	}
 	return goesOn
 }
 
-func (w *world) step(b *book, events []Event) {
+func (w *simulation) step(b *logModel, events []Event) {
 	lost := map[*Request]bool{}
 	fx := w.core.Step(w.now, events, nil)
-	w.carry(fx)
+	w.execute(fx)
 	for _, e := range w.queue {
-		if e.Kind == Lost {
+		if e.Kind == LogWriteFailed {
 			lost[e.Request] = true
 		}
 	}
@@ -155,22 +155,22 @@
 
 // Handed over again and again under load, the relay is one relay: nothing is
 // sent twice at a time, sent after its end, ended twice or lost.
-func TestHandedOverAgainAndAgain(t *testing.T) {
+func TestRepeatedHandover(t *testing.T) {
 	goesOn, ends := 0, 0
 	for seed := range uint64(60) {
-		w := newWorld(t, seed)
-		b := &book{live: map[string]*Record{}}
-		w.log = b
+		w := newSimulation(t, seed)
+		b := &logModel{pending: map[string]*Record{}}
+		w.logModel = b
 		for turn := range 8 {
 			w.playFrom(turn*60, 60)
 			goesOn += w.handOver(b, decide.Time(w.rng.Int64N(2e9))-1e9)
 		}
 		for range 4000 { // to the end of all that was taken on
 			w.now += 20e3
-			w.rest()
+			w.drainQueue()
 		}
-		for id := range w.heard {
-			if r := b.live[id]; r != nil && r.Notice == "" {
+		for id := range w.acknowledged {
+			if r := b.pending[id]; r != nil && r.Notice == "" {
 				w.failf("%s has no end: %+v", id, r)
 			}
 			ends += w.ended[id]
@@ -183,47 +183,47 @@
 
 // A hand-over that comes to nothing leaves the core as it was: what was put off
 // meanwhile goes out.
-func TestThaw(t *testing.T) {
-	s := newStopper(t)
-	s.core.Cede()
-	if taken, sent := s.put("m", "plain", 1); !taken || sent {
+func TestResumeSends(t *testing.T) {
+	s := newShutdownFixture(t)
+	s.core.BeginHandover()
+	if taken, sent := s.submit("m", "plain", 1); !taken || sent {
 		t.Fatalf("while ceding: taken %v, sent %v", taken, sent)
 	}
-	fx := s.core.Thaw(s.now, nil)
-	if len(fx) != 1 || fx[0].Kind != LogThenSend || fx[0].Call.Rec.ID != "m" {
+	fx := s.core.ResumeSends(s.now, nil)
+	if len(fx) != 1 || fx[0].Kind != AppendThenSend || fx[0].Call.Record.ID != "m" {
 		t.Errorf("after it: %+v", fx)
 	}
 }
 
 // A wait that the old process was told holds for the new one, to the moment,
 // and so do its failures.
-func TestWaitsAndFailuresAreCarried(t *testing.T) {
-	s := newStopper(t)
-	if _, sent := s.put("a", "plain", 1); !sent {
+func TestHandoverKeepsRetryAfterAndFailures(t *testing.T) {
+	s := newShutdownFixture(t)
+	if _, sent := s.submit("a", "plain", 1); !sent {
 		t.Fatal("not sent")
 	}
-	c := s.core.ids["a"].call
+	c := s.core.messagesByID["a"].call
 	s.now += 10e3
-	s.step(Event{Kind: Finished, Call: c, Result: &Result{What: decide.Rejected, Status: 429, Wait: 3e6}})
-	w := &world{t: t, core: s.core, now: s.now}
+	s.step(Event{Kind: AttemptFinished, Call: c, Result: &Result{Outcome: decide.Rejected, Status: 429, RetryAfter: 3e6}})
+	w := &simulation{t: t, core: s.core, now: s.now}
 	const shift = decide.Time(-777e6)
-	carried := w.core.Carry(w.now)
-	set := s.core.set
+	carried := w.core.ExportHandover(w.now)
+	set := s.core.settings
 	set.Epoch -= shift
 	next, err := New(set)
 	if err != nil {
 		t.Fatal(err)
 	}
-	rec := *s.core.ids["a"].rec
-	rec.Tries = 1
+	rec := *s.core.messagesByID["a"].record
+	rec.Attempts = 1
 	s.core, s.now = next, s.now+shift
-	next.Restore(s.now, []*Record{&rec}, carried, shift, nil)
+	next.RecoverMessages(s.now, []*Record{&rec}, carried, shift, nil)
 	began, sentAt := s.now, decide.Time(0)
 	for sentAt == 0 && s.now < began+10e6 {
 		s.now += 10e3
 		fx := s.step()
 		for i := range fx {
-			if fx[i].Kind == LogThenSend {
+			if fx[i].Kind == AppendThenSend {
 				sentAt = s.now
 			}
 		}
--- a/internal/core/core_test.go
+++ b/internal/core/core_test.go
@@ -17,9 +17,9 @@
 	"troutusher/decide"
 )
 
-// world is a driver of chance round a core: it writes the log, answers clients
+// simulation is a driver of chance round a core: it writes the log, answers clients
 // and makes calls, each now or later, well or badly, and watches the order.
-type world struct {
+type simulation struct {
 	t     *testing.T
 	rng   *rand.Rand
 	core  *Core
@@ -27,39 +27,39 @@
 	queue []Event // what will be told, in any order
 	trace strings.Builder
 
-	taken   map[string]bool // in the log
-	heard   map[string]bool // told OK
-	out     map[string]int  // calls under way
-	drained map[decide.EndpointID]bool
-	cell    map[decide.EndpointID]int
-	open    map[*Call]bool
-	ended   map[string]int // notices and refusals
-	refused map[string]bool
-	byAddr  map[string]int
-	log     *book   // where one is kept
-	driver  *driver // where calls go out in pieces
-	flavors []string
-	long    int             // one step in so many takes 11 to 31 s; 0 for none
-	rested  int             // destinations that were put away
-	spent   map[string]bool // unsafe messages that may have run, where that is watched
-	ceded   bool            // nothing may be begun
-	telling func(*Event)    // where more is to be noted of what the core is told
-	golden  io.Writer       // receives every effect in a stable text form, if set
+	accepted        map[string]bool // in the log
+	acknowledged    map[string]bool // told OK
+	openCallCount   map[string]int  // calls under way
+	closedEndpoints map[decide.EndpointID]bool
+	destOf          map[decide.EndpointID]int
+	openCalls       map[*Call]bool
+	ended           map[string]int // notices and refusals
+	rejected        map[string]bool
+	byAddr          map[string]int
+	logModel        *logModel   // where one is kept
+	driver          *callDriver // where calls go out in pieces
+	flavors         []string
+	longStepOdds    int             // one step in so many takes 11 to 31 s; 0 for none
+	passivated      int             // destinations that were put away
+	mayHaveRunOnce  map[string]bool // unsafe messages that may have run, where that is watched
+	handingOver     bool            // nothing may be begun
+	onEvent         func(*Event)    // where more is to be noted of what the core is told
+	golden          io.Writer       // receives every effect in a stable text form, if set
 }
 
-func newWorld(t *testing.T, seed uint64) *world {
-	return &world{t: t, rng: rand.New(rand.NewPCG(seed, 3)), core: testCore(t), now: 3600e6, taken: map[string]bool{}, heard: map[string]bool{},
-		out: map[string]int{}, drained: map[decide.EndpointID]bool{}, cell: map[decide.EndpointID]int{}, open: map[*Call]bool{},
-		ended: map[string]int{}, refused: map[string]bool{}, byAddr: map[string]int{}, flavors: []string{"k"}}
+func newSimulation(t *testing.T, seed uint64) *simulation {
+	return &simulation{t: t, rng: rand.New(rand.NewPCG(seed, 3)), core: testCore(t), now: 3600e6, accepted: map[string]bool{}, acknowledged: map[string]bool{},
+		openCallCount: map[string]int{}, closedEndpoints: map[decide.EndpointID]bool{}, destOf: map[decide.EndpointID]int{}, openCalls: map[*Call]bool{},
+		ended: map[string]int{}, rejected: map[string]bool{}, byAddr: map[string]int{}, flavors: []string{"k"}}
 }
 
-func (w *world) failf(format string, a ...any) {
+func (w *simulation) failf(format string, a ...any) {
 	w.t.Helper()
 	text := w.trace.String()
 	w.t.Fatalf(format+"\n%s", append(a, text[max(0, len(text)-3000):])...)
 }
 
-func (w *world) carry(fx []Effect) {
+func (w *simulation) execute(fx []Effect) {
 	for i := range fx {
 		e := &fx[i]
 		if w.golden != nil {
@@ -67,162 +67,162 @@
 		}
 		fmt.Fprintf(&w.trace, "%d %d", w.now, e.Kind)
 		switch e.Kind {
-		case Answer:
-			id := e.Request.Rec.ID
+		case SendReply:
+			id := e.Request.Record.ID
 			fmt.Fprintf(&w.trace, " %s %+v", id, e.Reply)
-			if !e.Reply.OK && w.heard[id] {
+			if !e.Reply.OK && w.acknowledged[id] {
 				w.failf("%s is refused after it was taken on", id)
 			}
 			if !e.Reply.OK {
-				w.refused[id] = true
+				w.rejected[id] = true
 			}
-		case LogThenAnswer:
+		case AppendThenReply:
 			id := e.Record.ID
 			fmt.Fprintf(&w.trace, " %s", id)
-			if w.refused[id] || w.heard[id] {
+			if w.rejected[id] || w.acknowledged[id] {
 				w.failf("%s is logged after its answer", id)
 			}
 			if w.rng.IntN(20) == 0 {
-				w.queue = append(w.queue, Event{Kind: Lost, Request: e.Request})
+				w.queue = append(w.queue, Event{Kind: LogWriteFailed, Request: e.Request})
 				break
 			}
-			w.taken[id] = true
+			w.accepted[id] = true
 			ok := w.rng.IntN(15) > 0
 			if ok {
-				w.heard[id] = true
+				w.acknowledged[id] = true
 			}
-			w.queue = append(w.queue, Event{Kind: Said, Request: e.Request, OK: ok})
-		case LogThenSend:
+			w.queue = append(w.queue, Event{Kind: ReplyDelivered, Request: e.Request, OK: ok})
+		case AppendThenSend:
 			c := e.Call
-			fmt.Fprintf(&w.trace, " %s to %d", c.Rec.ID, c.Endpoint)
+			fmt.Fprintf(&w.trace, " %s to %d", c.Record.ID, c.Endpoint)
 			switch {
-			case w.ceded:
-				w.failf("%s is sent while the work is handed over", c.Rec.ID)
-			case !w.heard[c.Rec.ID]:
-				w.failf("%s is sent before its client heard", c.Rec.ID)
-			case w.out[c.Rec.ID] > 0:
-				w.failf("%s is sent while a call of it is out", c.Rec.ID)
-			case w.drained[c.Endpoint]:
-				w.failf("%s is sent to an endpoint that has left", c.Rec.ID)
-			case w.cell[c.Endpoint] != c.Rec.Dest:
-				w.failf("%s for %d is sent to %d", c.Rec.ID, c.Rec.Dest, w.cell[c.Endpoint])
-			case e.Record.ID != c.Rec.ID || e.Record.Kind != Attempt || c.Limit <= 0:
-				w.failf("%s: logged as %+v", c.Rec.ID, e.Record)
-			case w.spent[c.Rec.ID]:
-				w.failf("%s may have run and is sent again", c.Rec.ID)
-			case w.ended[c.Rec.ID] > 0:
-				w.failf("%s is sent after its end", c.Rec.ID)
+			case w.handingOver:
+				w.failf("%s is sent while the work is handed over", c.Record.ID)
+			case !w.acknowledged[c.Record.ID]:
+				w.failf("%s is sent before its client heard", c.Record.ID)
+			case w.openCallCount[c.Record.ID] > 0:
+				w.failf("%s is sent while a call of it is out", c.Record.ID)
+			case w.closedEndpoints[c.Endpoint]:
+				w.failf("%s is sent to an endpoint that has left", c.Record.ID)
+			case w.destOf[c.Endpoint] != c.Record.Dest:
+				w.failf("%s for %d is sent to %d", c.Record.ID, c.Record.Dest, w.destOf[c.Endpoint])
+			case e.Record.ID != c.Record.ID || e.Record.Kind != RecordAttempt || c.Timeout <= 0:
+				w.failf("%s: logged as %+v", c.Record.ID, e.Record)
+			case w.mayHaveRunOnce[c.Record.ID]:
+				w.failf("%s may have run and is sent again", c.Record.ID)
+			case w.ended[c.Record.ID] > 0:
+				w.failf("%s is sent after its end", c.Record.ID)
 			}
-			w.out[c.Rec.ID]++
-			w.open[c] = true
+			w.openCallCount[c.Record.ID]++
+			w.openCalls[c] = true
 			if d := w.driver; d != nil {
-				d.calls = append(d.calls, &wayOut{call: c, home: d.homes[c.Endpoint]})
+				d.calls = append(d.calls, &driverCall{call: c, endpoint: d.endpoints[c.Endpoint]})
 				break
 			}
 			if w.rng.IntN(25) == 0 {
-				w.finish(c, Event{Kind: Unsent, Call: c})
+				w.enqueue(c, Event{Kind: AttemptNotLogged, Call: c})
 				break
 			}
-			o := &Result{Took: decide.Time(w.rng.IntN(400e3)), Status: 200, What: decide.Delivered, Settled: true}
+			o := &Result{Elapsed: decide.Time(w.rng.IntN(400e3)), Status: 200, Outcome: decide.Delivered, Final: true}
 			switch w.rng.IntN(6) {
 			case 0:
-				o = &Result{What: decide.Rejected, Status: 429, Wait: decide.Time(w.rng.IntN(500e3))}
+				o = &Result{Outcome: decide.Rejected, Status: 429, RetryAfter: decide.Time(w.rng.IntN(500e3))}
 			case 1:
-				o = &Result{What: decide.ConnectFailed}
+				o = &Result{Outcome: decide.ConnectFailed}
 			case 2:
-				o = &Result{What: decide.ConnectionReset, Took: 1000}
+				o = &Result{Outcome: decide.ConnectionReset, Elapsed: 1000}
 			case 3:
-				o = &Result{What: decide.Failed, Status: 500}
+				o = &Result{Outcome: decide.Failed, Status: 500}
 			}
-			w.finish(c, Event{Kind: Finished, Call: c, Result: o})
-		case LogThenNotice:
+			w.enqueue(c, Event{Kind: AttemptFinished, Call: c, Result: o})
+		case AppendThenNotify:
 			fmt.Fprintf(&w.trace, " %+v", e.Notice)
 			w.ended[e.Notice.Message]++
-			if !w.heard[e.Notice.Message] || w.ended[e.Notice.Message] > 1 {
-				w.failf("notice %d of %s, heard %v", w.ended[e.Notice.Message], e.Notice.Message, w.heard[e.Notice.Message])
+			if !w.acknowledged[e.Notice.Message] || w.ended[e.Notice.Message] > 1 {
+				w.failf("notice %d of %s, heard %v", w.ended[e.Notice.Message], e.Notice.Message, w.acknowledged[e.Notice.Message])
 			}
-		case Cancel:
-			fmt.Fprintf(&w.trace, " %s", e.Call.Rec.ID)
-			if !w.open[e.Call] {
-				w.failf("a call of %s is stopped that is not out", e.Call.Rec.ID)
+		case CancelCall:
+			fmt.Fprintf(&w.trace, " %s", e.Call.Record.ID)
+			if !w.openCalls[e.Call] {
+				w.failf("a call of %s is stopped that is not out", e.Call.Record.ID)
 			}
-		case Probe:
-			if w.drained[e.Endpoint] {
+		case CheckHealth:
+			if w.closedEndpoints[e.Endpoint] {
 				w.failf("a probe of one that has left")
 			}
-			w.queue = append(w.queue, Event{Kind: Probed, Endpoint: e.Endpoint, Result: &Result{What: decide.Delivered, Took: 1000}})
-		case Open:
+			w.queue = append(w.queue, Event{Kind: HealthChecked, Endpoint: e.Endpoint, Result: &Result{Outcome: decide.Delivered, Elapsed: 1000}})
+		case OpenEndpoint:
 			fmt.Fprintf(&w.trace, " %d %s", e.Endpoint, e.Address)
-			w.drained[e.Endpoint], w.cell[e.Endpoint] = false, w.byAddr[e.Address]
+			w.closedEndpoints[e.Endpoint], w.destOf[e.Endpoint] = false, w.byAddr[e.Address]
 			if w.driver != nil {
-				w.driver.open(e)
+				w.driver.openEndpoint(e)
 			}
-		case Shut:
+		case CloseEndpoint:
 			fmt.Fprintf(&w.trace, " %d", e.Endpoint)
-			w.drained[e.Endpoint] = true
+			w.closedEndpoints[e.Endpoint] = true
 			if w.driver != nil {
-				w.driver.shut(e.Endpoint)
+				w.driver.closeEndpoint(e.Endpoint)
 			}
-		case Forget:
+		case ForgetEndpoint:
 			if w.driver != nil {
-				w.driver.forget(e.Endpoint)
+				w.driver.forgetEndpoint(e.Endpoint)
 			}
-		case Rest:
+		case PassivateDestination:
 			fmt.Fprintf(&w.trace, " %d", e.Dest)
-			w.rested++
+			w.passivated++
 			if w.driver != nil {
 				delete(w.driver.scopes, fmt.Sprintf("dest %d", e.Dest))
 			}
-		case Hold:
+		case ApplyRetryAfter:
 			fmt.Fprintf(&w.trace, " %d %d", e.Endpoint, e.Until)
-			if d := w.driver; d != nil && d.homes[e.Endpoint] != nil {
-				d.homes[e.Endpoint].gate.Tell(w.now, e.Until)
+			if d := w.driver; d != nil && d.endpoints[e.Endpoint] != nil {
+				d.endpoints[e.Endpoint].gate.Tell(w.now, e.Until)
 			}
-		case Tell:
+		case Log:
 			fmt.Fprintf(&w.trace, " %s %v", e.Text, e.Args)
 		}
 		w.trace.WriteByte('\n')
 	}
 }
 
-func (w *world) finish(c *Call, e Event) { w.queue = append(w.queue, e) }
+func (w *simulation) enqueue(c *Call, e Event) { w.queue = append(w.queue, e) }
 
 // play runs for a while and tells all that was done.
-func (w *world) play(steps int) string { return w.playFrom(0, steps) }
+func (w *simulation) play(steps int) string { return w.playFrom(0, steps) }
 
-func (w *world) playFrom(first, steps int) string {
+func (w *simulation) playFrom(first, steps int) string {
 	for i := first; i < first+steps; i++ {
 		w.now += decide.Time(w.rng.IntN(20e3))
-		if w.long > 0 && w.rng.IntN(w.long) == 0 {
+		if w.longStepOdds > 0 && w.rng.IntN(w.longStepOdds) == 0 {
 			w.now += decide.Time(11e6 + w.rng.IntN(20e6))
 		}
 		if w.driver != nil {
-			w.driver.turn()
+			w.driver.advance()
 		}
 		var events []Event
 		for n := w.rng.IntN(4); n > 0 && len(w.queue) > 0; n-- { // what was begun ends in any order
 			k := w.rng.IntN(len(w.queue))
 			e := w.queue[k]
 			w.queue = slices.Delete(w.queue, k, k+1)
-			if w.telling != nil {
-				w.telling(&e)
+			if w.onEvent != nil {
+				w.onEvent(&e)
 			} else if e.Call != nil {
-				w.out[e.Call.Rec.ID]--
-				delete(w.open, e.Call)
+				w.openCallCount[e.Call.Record.ID]--
+				delete(w.openCalls, e.Call)
 			}
 			events = append(events, e)
 		}
 		if w.rng.IntN(3) > 0 {
 			class := w.rng.IntN(3)
-			rec := &Record{Kind: Taken, ID: "m" + strconv.Itoa(i), Class: []string{"plain", "keyed", "once"}[class], Dest: w.rng.IntN(3),
+			rec := &Record{Kind: RecordAccepted, ID: "m" + strconv.Itoa(i), Class: []string{"plain", "keyed", "once"}[class], Dest: w.rng.IntN(3),
 				Deadline: w.core.wall(w.now + decide.Time(w.rng.IntN(3e6)))}
 			if class == 1 {
 				rec.Key = rec.ID
 			}
-			events = append(events, Event{Kind: Put, Request: &Request{Rec: rec, Class: class}})
+			events = append(events, Event{Kind: Submitted, Request: &Request{Record: rec, Class: class}})
 		}
 		if w.rng.IntN(25) == 0 || i == 0 { // i is the step since the start
-			l := &List{}
+			l := &EndpointList{}
 			for k := range 6 {
 				if i > 0 && w.rng.IntN(2) == 0 {
 					continue
@@ -240,12 +240,12 @@
 			if i == 0 || w.rng.IntN(4) == 0 {
 				kind = decide.ListFull
 			}
-			events = append(events, Event{Kind: News, List: l, News: kind})
+			events = append(events, Event{Kind: EndpointListUpdated, List: l, News: kind})
 		}
-		if w.log != nil {
-			w.step(w.log, events)
+		if w.logModel != nil {
+			w.step(w.logModel, events)
 		} else {
-			w.carry(w.core.Step(w.now, events, nil))
+			w.execute(w.core.Step(w.now, events, nil))
 		}
 	}
 	return w.trace.String()
@@ -253,11 +253,11 @@
 
 // Whatever happens, in whatever order: log, answer, send; one attempt out for
 // each message; nothing to who has left; one end for each.
-func TestOrderOfThings(t *testing.T) {
+func TestOrderOfEffects(t *testing.T) {
 	sent := 0
 	for seed := range uint64(150) {
-		text := newWorld(t, seed).play(400)
-		sent += strings.Count(text, fmt.Sprintf(" %d m", LogThenSend))
+		text := newSimulation(t, seed).play(400)
+		sent += strings.Count(text, fmt.Sprintf(" %d m", AppendThenSend))
 	}
 	if sent < 5000 {
 		t.Errorf("only %d sends in all", sent)
@@ -265,9 +265,9 @@
 }
 
 // The same events at the same times give the same effects, byte for byte.
-func TestTheSameAgain(t *testing.T) {
+func TestDeterministic(t *testing.T) {
 	for seed := range uint64(60) {
-		if a, b := newWorld(t, seed).play(300), newWorld(t, seed).play(300); a != b {
+		if a, b := newSimulation(t, seed).play(300), newSimulation(t, seed).play(300); a != b {
 			t.Fatalf("seed %d differs", seed)
 		}
 	}
--- a/internal/core/fixtures_test.go
+++ b/internal/core/fixtures_test.go
@@ -90,9 +90,9 @@
 	for name, empty := range map[string]func() any{
 		"record.json":   func() any { return &Record{} },
 		"notice.json":   func() any { return &Notice{} },
-		"list.json":     func() any { return &List{} },
-		"handover.json": func() any { return &Carried{} },
-		"snapshot.json": func() any { return &Learned{} },
+		"list.json":     func() any { return &EndpointList{} },
+		"handover.json": func() any { return &HandoverState{} },
+		"snapshot.json": func() any { return &StateSnapshot{} },
 	} {
 		full, next := empty(), 0
 		fill(reflect.ValueOf(full).Elem(), &next)
@@ -119,7 +119,7 @@
 
 // The words that stand in records, notices and lists.
 func TestStoredWordsAreUnchanged(t *testing.T) {
-	got := fmt.Sprintln(Taken, Attempt, Outcome, Ending, End, GivenUp, HandedBack, Up, Draining, Removed)
+	got := fmt.Sprintln(RecordAccepted, RecordAttempt, RecordOutcome, RecordEnding, RecordDone, NoticeGivenUp, NoticeHandedBack, Up, Draining, Removed)
 	if want := "taken attempt outcome ending end given_up handed_back up draining removed\n"; got != want {
 		t.Errorf("%s\nwant %s", got, want)
 	}
@@ -128,7 +128,7 @@
 // What a record of each kind does to what is owed, by the keys of the log.
 func TestRecordsFoldAsRecorded(t *testing.T) {
 	var got bytes.Buffer
-	state := &Record{Kind: Taken, ID: "m", Class: "keyed", Tenant: "acme", Key: "k", Dest: 7, Deadline: 9e15}
+	state := &Record{Kind: RecordAccepted, ID: "m", Class: "keyed", Tenant: "acme", Key: "k", Dest: 7, Deadline: 9e15}
 	show := func() {
 		text, err := json.Marshal(state)
 		if err != nil {
@@ -148,13 +148,13 @@
 		if err := json.Unmarshal([]byte(text), rec); err != nil {
 			t.Fatal(err)
 		}
-		state.Fold(rec)
+		state.Apply(rec)
 		show()
 	}
-	state.Settle()
+	state.ResolveOpenAttempt()
 	show()
-	state = &Record{Kind: Taken, ID: "n", Out: 500, OutIn: 5}
-	state.Settle()
+	state = &Record{Kind: RecordAccepted, ID: "n", OpenAttemptAt: 500, OpenAttemptZone: 5}
+	state.ResolveOpenAttempt()
 	show()
 	compareFixture(t, "record_states.json", got.Bytes())
 }
@@ -182,7 +182,7 @@
 		t.Fatal(err)
 	}
 	compareFixture(t, "unpacked.json", append(text, '\n'))
-	if got := fmt.Sprint(endpointMark("s-1", "10.0.0.1:8080"), endpointMark("", "")); got != "1994948295 842108706" {
+	if got := fmt.Sprint(endpointHash("s-1", "10.0.0.1:8080"), endpointHash("", "")); got != "1994948295 842108706" {
 		t.Errorf("marks %s", got)
 	}
 }
@@ -198,45 +198,45 @@
 	}
 	call := func() string {
 		c := e.Call
-		return fmt.Sprint(c.Rec.ID, " endpoint=", c.Endpoint, " timeout=", c.Limit, " by=", c.By, " warming=", c.Cold, " connect=", c.Opens, " sent=", c.Sent())
+		return fmt.Sprint(c.Record.ID, " endpoint=", c.Endpoint, " timeout=", c.Timeout, " by=", c.SendBy, " warming=", c.WarmingUp, " connect=", c.MayConnect, " sent=", c.SentAt())
 	}
 	switch e.Kind {
-	case Answer:
-		return fmt.Sprint("reply ", e.Request.Rec.ID, " ok=", e.Reply.OK, " err=", e.Reply.Fault, " retry=", e.Reply.Busy)
-	case LogOnly:
+	case SendReply:
+		return fmt.Sprint("reply ", e.Request.Record.ID, " ok=", e.Reply.OK, " err=", e.Reply.Err, " retry=", e.Reply.RetryAfterMS)
+	case AppendRecord:
 		return "append " + record()
-	case LogThenAnswer:
-		return "append-reply " + e.Request.Rec.ID + " " + record()
-	case LogThenSend:
+	case AppendThenReply:
+		return "append-reply " + e.Request.Record.ID + " " + record()
+	case AppendThenSend:
 		return "append-send " + record() + " " + call()
-	case GoOn:
+	case ResumeCall:
 		return "resume " + call()
-	case LogThenNotice:
+	case AppendThenNotify:
 		return fmt.Sprintf("append-notify %s %+v", record(), e.Notice)
-	case Notify:
+	case SendNotice:
 		return fmt.Sprintf("notify %+v", e.Notice)
-	case Cancel:
+	case CancelCall:
 		return "cancel " + call()
-	case Probe:
+	case CheckHealth:
 		return fmt.Sprint("probe ", e.Endpoint)
-	case Open:
+	case OpenEndpoint:
 		return fmt.Sprint("open ", e.Endpoint, " ", e.Address, " dest=", e.Dest, " flavor=", e.Flavor, " independent=", e.Apart)
-	case Shut:
+	case CloseEndpoint:
 		return fmt.Sprint("close ", e.Endpoint)
-	case Hold:
+	case ApplyRetryAfter:
 		return fmt.Sprint("retry-after ", e.Endpoint, " ", e.Until)
-	case CloseIdle:
+	case CloseIdleConnections:
 		return fmt.Sprint("close-idle ", e.Endpoint)
-	case Forget:
+	case ForgetEndpoint:
 		return fmt.Sprint("forget ", e.Endpoint)
-	case Rest:
+	case PassivateDestination:
 		return fmt.Sprint("passivate ", e.Dest)
-	case Tell:
+	case Log:
 		if e.Text == "policy" {
 			return "log " + e.Level.String() + " policy" // its words are pinned where they are made
 		}
 		return fmt.Sprint("log ", e.Level, " ", e.Text, " ", e.Args)
-	case Again:
+	case StepAgain:
 		return "again"
 	}
 	return "unknown"
@@ -248,39 +248,39 @@
 	play func(t *testing.T, seed uint64, golden io.Writer)
 }{
 	{"plain", func(t *testing.T, seed uint64, golden io.Writer) {
-		w := newWorld(t, seed)
+		w := newSimulation(t, seed)
 		w.golden = golden
 		w.play(300)
 	}},
 	{"deferred", func(t *testing.T, seed uint64, golden io.Writer) {
-		w := newWorld(t, seed)
+		w := newSimulation(t, seed)
 		w.golden = golden
-		w.core.Await()
+		w.core.DeferSends()
 		w.play(60)
-		w.carry(w.core.Step(w.now, []Event{{Kind: Begin}}, nil))
+		w.execute(w.core.Step(w.now, []Event{{Kind: Started}}, nil))
 		w.playFrom(60, 100)
-		w.carry(w.core.Step(w.now, []Event{{Kind: Stop}}, nil))
+		w.execute(w.core.Step(w.now, []Event{{Kind: ShutdownRequested}}, nil))
 		w.playFrom(160, 100)
 	}},
 	{"handover", func(t *testing.T, seed uint64, golden io.Writer) {
-		w := newWorld(t, seed)
+		w := newSimulation(t, seed)
 		w.golden = golden
-		b := &book{live: map[string]*Record{}}
-		w.log = b
+		b := &logModel{pending: map[string]*Record{}}
+		w.logModel = b
 		for turn := range 3 {
 			w.playFrom(turn*60, 60)
 			w.handOver(b, decide.Time(w.rng.Int64N(2e9))-1e9)
 		}
 	}},
 	{"passive", func(t *testing.T, seed uint64, golden io.Writer) {
-		w := newWorld(t, seed)
+		w := newSimulation(t, seed)
 		w.golden = golden
-		w.core = resting(t, dormant.Limits{Awake: 1, After: 10e6})
-		w.flavors, w.long = []string{"k", "r"}, 12
-		w.driver = newDriver(w)
-		w.driver.longer = 45e6
-		b := &book{live: map[string]*Record{}}
-		w.log = b
+		w.core = passivatingCore(t, dormant.Limits{Awake: 1, After: 10e6})
+		w.flavors, w.longStepOdds = []string{"k", "r"}, 12
+		w.driver = newCallDriver(w)
+		w.driver.extraWait = 45e6
+		b := &logModel{pending: map[string]*Record{}}
+		w.logModel = b
 		for turn := range 3 {
 			w.playFrom(turn*100, 100)
 			w.handOverQuietly(b)
@@ -295,7 +295,7 @@
 		t.Skip("the recorded runs hold for amd64: other machines may fuse floating-point operations")
 	}
 	var digests, whole bytes.Buffer
-	newWorld(t, 1).playRecorded(&whole, 50)
+	newSimulation(t, 1).playRecorded(&whole, 50)
 	compareFixture(t, "effects.txt", whole.Bytes())
 	for _, run := range goldenRuns {
 		for seed := range uint64(12) {
@@ -307,7 +307,7 @@
 	compareFixture(t, "effects.sha256", digests.Bytes())
 }
 
-func (w *world) playRecorded(golden io.Writer, steps int) {
+func (w *simulation) playRecorded(golden io.Writer, steps int) {
 	w.golden = golden
 	w.play(steps)
 }
--- a/internal/core/growth_test.go
+++ b/internal/core/growth_test.go
@@ -11,14 +11,14 @@
 // testCore is a core with three classes and no endpoint.
 func testCore(t *testing.T) *Core {
 	t.Helper()
-	c, err := New(settings())
+	c, err := New(testSettings())
 	if err != nil {
 		t.Fatal(err)
 	}
 	return c
 }
 
-func settings() Settings {
+func testSettings() Settings {
 	class := func(r decide.Idempotency) decide.Class {
 		return decide.Class{Name: "c", LatencyObjective: 1500e3, Deadline: 20e6, Weight: 1, Idempotency: r, DedupWindow: 20e6}
 	}
@@ -34,50 +34,50 @@
 // Guards the memory on a long day: endpoints come under ever new ids, also at
 // the address of one that has gone, and what has gone is forgotten. A new id
 // inherits nothing there; one that is told to wait keeps that while it is away.
-func TestReplacedEndpointsAreForgotten(t *testing.T) {
+func TestForgetsReplacedEndpoints(t *testing.T) {
 	r := testCore(t)
 	up := func(i int) Member {
 		return Member{ID: fmt.Sprintf("s-%d", i), HostPort: fmt.Sprintf("127.0.0.1:%d", 7000+i%3), Cell: i % 3, Phase: Up, Size: 5}
 	}
 	news := func(kind decide.ListUpdateKind, members ...Member) []Effect {
-		return r.Step(r.now, []Event{{Kind: News, News: kind, List: &List{Members: members}}}, nil)
+		return r.Step(r.now, []Event{{Kind: EndpointListUpdated, News: kind, List: &EndpointList{Members: members}}}, nil)
 	}
 	homes := map[decide.EndpointID]string{} // as a driver has them
 	carry := func(fx []Effect) {
 		for _, e := range fx {
 			switch e.Kind {
-			case Open:
+			case OpenEndpoint:
 				homes[e.Endpoint] = e.Address
-			case Shut:
+			case CloseEndpoint:
 				homes[e.Endpoint] = ""
-			case Forget:
+			case ForgetEndpoint:
 				delete(homes, e.Endpoint)
 			}
 		}
 	}
 	carry(news(decide.ListFull, up(0), up(1), up(2)))
-	waits := r.byID["s-1"]
-	waits.waitUntil = r.now + decide.Time(1800e6)
+	waits := r.endpointsByID["s-1"]
+	waits.retryAfter = r.now + decide.Time(1800e6)
 	most := 0
 	for i := 3; i < 3000; i++ {
-		old := r.byID[up(i-3).ID]
+		old := r.endpointsByID[up(i-3).ID]
 		leaves := up(i - 3)
 		leaves.Phase = Removed
 		carry(news(decide.ListDelta, leaves, up(i)))
-		fresh := r.byID[up(i).ID]
-		if fresh.num == old.num || homes[old.num] != "" || homes[fresh.num] != up(i).HostPort {
+		fresh := r.endpointsByID[up(i).ID]
+		if fresh.number == old.number || homes[old.number] != "" || homes[fresh.number] != up(i).HostPort {
 			t.Fatalf("%s inherits from %s: %v", fresh.id, old.id, homes)
 		}
 		r.now += 1e6
 		most = max(most, len(r.endpoints), len(homes))
 	}
-	if most > 20 || len(r.byNum) != len(r.endpoints) || len(r.byID) != len(r.endpoints) {
-		t.Errorf("%d endpoints kept, %d by number", most, len(r.byNum))
+	if most > 20 || len(r.endpointsByNumber) != len(r.endpoints) || len(r.endpointsByID) != len(r.endpoints) {
+		t.Errorf("%d endpoints kept, %d by number", most, len(r.endpointsByNumber))
 	}
-	if len(r.named) != 3 {
-		t.Errorf("%d destinations named", len(r.named))
+	if len(r.knownDestinations) != 3 {
+		t.Errorf("%d destinations named", len(r.knownDestinations))
 	}
-	if r.byID["s-1"] != nil {
+	if r.endpointsByID["s-1"] != nil {
 		t.Error("kept though its wait is over")
 	}
 }
@@ -88,10 +88,10 @@
 func TestUnknownDestinations(t *testing.T) {
 	r := testCore(t)
 	put := func(id string, dest int) string {
-		q := &Request{Rec: &Record{ID: id, Class: "plain", Dest: dest, Deadline: r.wall(20e6)}}
-		for _, e := range r.Book(r.now, []Event{{Kind: Put, Request: q}}, nil) {
-			if e.Kind == Answer && e.Request == q {
-				return fmt.Sprint(e.Reply.Fault)
+		q := &Request{Record: &Record{ID: id, Class: "plain", Dest: dest, Deadline: r.wall(20e6)}}
+		for _, e := range r.Observe(r.now, []Event{{Kind: Submitted, Request: q}}, nil) {
+			if e.Kind == SendReply && e.Request == q {
+				return fmt.Sprint(e.Reply.Err)
 			}
 		}
 		return "held"
@@ -100,41 +100,41 @@
 		t.Errorf("before any list: %q", s)
 	}
 	m := Member{ID: "s-1", HostPort: "127.0.0.1:7000", Cell: 1, Phase: Up, Size: 5}
-	r.list(&List{Complete: true, Members: []Member{m}}, decide.ListFull)
+	r.applyList(&EndpointList{Complete: true, Members: []Member{m}}, decide.ListFull)
 	m.Phase = Removed
-	r.list(&List{Members: []Member{m}}, decide.ListDelta)
+	r.applyList(&EndpointList{Members: []Member{m}}, decide.ListDelta)
 	if s := put("known", 1); s != "held" {
 		t.Errorf("gone for now: %q", s)
 	}
-	held := r.held
+	held := r.heldMessages
 	for i := range 1000 {
 		if s := put(fmt.Sprint("m", i), 2+i); !strings.HasPrefix(s, "dest: no list names") {
 			t.Fatalf("unknown: %q", s)
 		}
 	}
-	if r.held != held || len(r.ids) != held {
-		t.Errorf("%d held, want %d", r.held, held)
+	if r.heldMessages != held || len(r.messagesByID) != held {
+		t.Errorf("%d held, want %d", r.heldMessages, held)
 	}
 }
 
 // Guards against connections that died in silence: after a machine was away,
 // what is idle to it is given up; one slow call among others is no reason.
-func TestSuspect(t *testing.T) {
+func TestSuspectsIdleConnections(t *testing.T) {
 	ep := &endpoint{}
 	for i, x := range []struct {
 		o    Result
 		now  decide.Time
 		want bool
 	}{
-		{Result{What: decide.Delivered, Status: 200, Took: 10}, 1000, false},
-		{Result{What: decide.TimedOut, Took: 500}, 1100, false}, // it was sent at 600, and 1000 was answered
-		{Result{What: decide.TimedOut, Took: 500}, 2000, true},
-		{Result{What: decide.ConnectionReset}, 2100, true},
-		{Result{What: decide.ConnectFailed}, 2200, true},
-		{Result{What: decide.Rejected, Status: 503}, 2300, false},
-		{Result{What: decide.Cancelled, Took: 50}, 2320, false},
+		{Result{Outcome: decide.Delivered, Status: 200, Elapsed: 10}, 1000, false},
+		{Result{Outcome: decide.TimedOut, Elapsed: 500}, 1100, false}, // it was sent at 600, and 1000 was answered
+		{Result{Outcome: decide.TimedOut, Elapsed: 500}, 2000, true},
+		{Result{Outcome: decide.ConnectionReset}, 2100, true},
+		{Result{Outcome: decide.ConnectFailed}, 2200, true},
+		{Result{Outcome: decide.Rejected, Status: 503}, 2300, false},
+		{Result{Outcome: decide.Cancelled, Elapsed: 50}, 2320, false},
 	} {
-		if got := ep.suspect(&x.o, x.now); got != x.want {
+		if got := ep.suspectsIdleConnections(&x.o, x.now); got != x.want {
 			t.Errorf("%d: %v", i, got)
 		}
 	}
--- a/internal/core/herd_test.go
+++ b/internal/core/herd_test.go
@@ -14,79 +14,79 @@
 	"troutusher/decide"
 )
 
-// herd plays one relay that is killed again and again, also before it has taken
+// crashSimulation plays one relay that is killed again and again, also before it has taken
 // up what it held, with clients, endpoints, a log and a platform round it, on one
 // clock. A kill comes between any two writes. It knows what every client was
 // told, what ran where, and what the platform was told, and holds that against
 // what is owed.
-type herd struct {
+type crashSimulation struct {
 	t     *testing.T
 	seed  uint64
 	rng   *rand.Rand
 	now   int64 // µs; of the machine, not of the core
-	due   moments
+	due   scheduledRuns
 	trace strings.Builder
 
-	core    *Core // nil while it is down
-	process int   // of how many; what was begun for an earlier one is gone
-	base    int64 // machine time at moment 0 of the core's clock
-	events  []Event
-	log     *book
-	members []Member
-	shut    map[decide.EndpointID]bool
+	core            *Core // nil while it is down
+	process         int   // of how many; what was begun for an earlier one is gone
+	base            int64 // machine time at moment 0 of the core's clock
+	events          []Event
+	log             *logModel
+	members         []Member
+	closedEndpoints map[decide.EndpointID]bool
 
-	file      []byte // what was learned, as it lies beside the log
-	fileAt    int64
-	fileBase  int64        // moment 0 of the clock of the process that wrote it
-	stirred   uint64       // as of the file
-	waits     map[int]told // what destinations have told
-	forgets   bool         // no file is read: waits end with the process
-	heldWaits int          // starts that had a wait to keep
-	rev       int
+	file                   []byte // what was learned, as it lies beside the log
+	fileAt                 int64
+	fileBase               int64                    // moment 0 of the clock of the process that wrote it
+	stateVersion           uint64                   // as of the file
+	retryAfters            map[int]retryAfterPeriod // what destinations have told
+	ignoresSnapshot        bool                     // no file is read: waits end with the process
+	startsInsideRetryAfter int                      // starts that had a wait to keep
+	listRevision           int
 
-	msgs      map[string]*owedMessage
+	messages  map[string]*owedMessage
 	downs     [][2]int64 // from a kill to the next start
 	kills     int
 	killAfter int // writes until the next kill; <0 for none
 }
 
 type owedMessage struct {
-	class      string
-	sent, due  int64 // by the client
-	heardAt    int64
-	heard      bool // the client has +OK, in its time
-	left       bool // it gave up before
-	resumed    bool // an earlier process had it in its log
-	refused    bool
-	ran        int     // how often its effect took place
-	lastRan    int64   // when, first
-	ended      []int64 // by a 200 or a notice that was taken
-	backs      int     // of them, notices of handed_back
-	told       map[string]bool
-	out        int // calls at endpoints now
-	mostOut    int
-	sentLate   bool
-	unanswered bool // its relay died under it
+	class          string
+	sent, due      int64 // by the client
+	acknowledgedAt int64
+	acknowledged   bool // the client has +OK, in its time
+	left           bool // it gave up before
+	recovered      bool // an earlier process had it in its log
+	rejected       bool
+	ran            int     // how often its effect took place
+	lastRan        int64   // when, first
+	ended          []int64 // by a 200 or a notice that was taken
+	handedBack     int     // of them, notices of handed_back
+	toldOutcomes   map[string]bool
+	openCalls      int // calls at endpoints now
+	maxOpenCalls   int
+	sentLate       bool
+	unanswered     bool // its relay died under it
 }
 
-// told is a wait.
-type told struct{ at, until int64 }
+// retryAfterPeriod is a wait.
+type retryAfterPeriod struct{ at, until int64 }
 
-type moment struct {
+type scheduledRun struct {
 	at  int64
 	n   int
 	run func()
 }
 
-type moments []moment
+type scheduledRuns []scheduledRun
 
-func (m moments) Len() int { return len(m) }
-func (m moments) Less(i, j int) bool {
+func (m scheduledRuns) Len() int { return len(m) }
+func (m scheduledRuns) Less(i, j int) bool {
 	return m[i].at < m[j].at || m[i].at == m[j].at && m[i].n < m[j].n
 }
-func (m moments) Swap(i, j int) { m[i], m[j] = m[j], m[i] }
-func (m *moments) Push(x any)   { *m = append(*m, x.(moment)) }
-func (m *moments) Pop() any {
+func (m scheduledRuns) Swap(i, j int) { m[i], m[j] = m[j], m[i] }
+func (m *scheduledRuns) Push(x any)   { *m = append(*m, x.(scheduledRun)) }
+func (m *scheduledRuns) Pop() any {
 	x := (*m)[len(*m)-1]
 	*m = (*m)[:len(*m)-1]
 	return x
@@ -99,35 +99,35 @@
 	dedupWindow = 20e6
 )
 
-func (h *herd) after(us int64, run func()) {
-	heap.Push(&h.due, moment{h.now + us, len(h.due) + int(h.now%7)<<20, run})
+func (h *crashSimulation) schedule(us int64, run func()) {
+	heap.Push(&h.due, scheduledRun{h.now + us, len(h.due) + int(h.now%7)<<20, run})
 }
 
-// here is after, for as long as the process lives.
-func (h *herd) here(us int64, run func()) {
+// scheduleInProcess is after, for as long as the process lives.
+func (h *crashSimulation) scheduleInProcess(us int64, run func()) {
 	p := h.process
-	h.after(us, func() {
+	h.schedule(us, func() {
 		if h.core != nil && h.process == p {
 			run()
 		}
 	})
 }
 
-func (h *herd) failf(format string, a ...any) {
+func (h *crashSimulation) failf(format string, a ...any) {
 	h.t.Helper()
 	text := h.trace.String()
 	h.t.Fatalf("seed %d: "+format+"\n%s", append(append([]any{h.seed}, a...), text[max(0, len(text)-6000):])...)
 }
 
-func (h *herd) note(format string, a ...any) {
+func (h *crashSimulation) note(format string, a ...any) {
 	fmt.Fprintf(&h.trace, "%.3f ", float64(h.now)/1e6)
 	fmt.Fprintf(&h.trace, format+"\n", a...)
 }
 
-func (h *herd) clock() decide.Time { return h.now - h.base }
+func (h *crashSimulation) clock() decide.Time { return h.now - h.base }
 
 // write is a point at which a kill may come; false where it did.
-func (h *herd) write() bool {
+func (h *crashSimulation) write() bool {
 	if h.killAfter >= 0 {
 		if h.killAfter--; h.killAfter < 0 {
 			h.kill()
@@ -137,24 +137,24 @@
 	return true
 }
 
-func (h *herd) kill() {
+func (h *crashSimulation) kill() {
 	h.note("killed")
 	h.kills++
 	h.core, h.events = nil, nil
 	h.downs = append(h.downs, [2]int64{h.now, 1 << 62})
-	for _, m := range h.msgs {
-		if !m.heard && !m.refused && !m.left {
+	for _, m := range h.messages {
+		if !m.acknowledged && !m.rejected && !m.left {
 			m.unanswered = true
 		}
 	}
-	h.after(int64(600e3+h.rng.IntN(200e3)), h.start)
+	h.schedule(int64(600e3+h.rng.IntN(200e3)), h.start)
 }
 
 // start is a new process on the same folder: it may be killed before it serves.
-func (h *herd) start() {
+func (h *crashSimulation) start() {
 	h.process++
 	h.base = h.now - 3600e6
-	set := testCore(h.t).set
+	set := testCore(h.t).settings
 	set.Seed, set.Epoch = h.rng.Uint64(), h.base
 	set.Policy.MaxConcurrentCalls, set.Policy.MaxAttempts = 6, 3
 	next, err := New(set)
@@ -165,14 +165,14 @@
 	if h.rng.IntN(4) == 0 { // again before it has resumed
 		h.killAfter = h.rng.IntN(8)
 	}
-	h.core, h.shut = next, map[decide.EndpointID]bool{}
-	h.note("started, owed %d", len(h.log.live))
+	h.core, h.closedEndpoints = next, map[decide.EndpointID]bool{}
+	h.note("started, owed %d", len(h.log.pending))
 	var owed []*Record
 	for _, id := range h.log.order {
-		if r := h.log.live[id]; r != nil {
+		if r := h.log.pending[id]; r != nil {
 			c := *r
-			c.Settle()
-			h.msgs[id].resumed = true
+			c.ResolveOpenAttempt()
+			h.messages[id].recovered = true
 			owed = append(owed, &c)
 		}
 	}
@@ -183,29 +183,29 @@
 			known.Members[i].Phase = Up
 		}
 	}
-	if !h.do(next.Book(h.clock(), []Event{{Kind: News, List: known, News: decide.ListCached}}, nil)) {
+	if !h.execute(next.Observe(h.clock(), []Event{{Kind: EndpointListUpdated, List: known, News: decide.ListCached}}, nil)) {
 		return
 	}
-	next.Await()
-	if h.forgets {
-		h.file, h.waits = nil, map[int]told{}
+	next.DeferSends()
+	if h.ignoresSnapshot {
+		h.file, h.retryAfters = nil, map[int]retryAfterPeriod{}
 	} else if h.file != nil {
-		l := &Learned{}
+		l := &StateSnapshot{}
 		if err := json.Unmarshal(h.file, l); err != nil {
 			h.failf("%v", err)
 		}
-		if !h.do(next.Recall(h.clock(), l, h.fileBase-h.base, nil)) {
+		if !h.execute(next.RestoreState(h.clock(), l, h.fileBase-h.base, nil)) {
 			return
 		}
 	}
-	for dest, w := range h.waits { // what was told after the last write is forgotten
+	for dest, w := range h.retryAfters { // what was told after the last write is forgotten
 		if w.at > h.fileAt {
-			delete(h.waits, dest)
+			delete(h.retryAfters, dest)
 		} else if w.until > h.now {
-			h.heldWaits++
+			h.startsInsideRetryAfter++
 		}
 	}
-	if !h.do(next.Restore(h.clock(), owed, nil, 0, nil)) {
+	if !h.execute(next.RecoverMessages(h.clock(), owed, nil, 0, nil)) {
 		return
 	}
 	if !h.step() {
@@ -214,19 +214,19 @@
 	h.downs[len(h.downs)-1][1] = h.now // it serves
 	switch h.rng.IntN(3) {
 	case 0: // silent, or refuses
-		h.here(300e3, func() { h.events = append(h.events, Event{Kind: Begin}) })
+		h.scheduleInProcess(300e3, func() { h.events = append(h.events, Event{Kind: Started}) })
 	default:
-		h.here(int64(h.rng.IntN(300e3)), func() {
-			h.events = append(h.events, Event{Kind: News, List: h.list(), News: decide.ListFull}, Event{Kind: Begin})
+		h.scheduleInProcess(int64(h.rng.IntN(300e3)), func() {
+			h.events = append(h.events, Event{Kind: EndpointListUpdated, List: h.list(), News: decide.ListFull}, Event{Kind: Started})
 		})
 	}
 	if h.rng.IntN(5) > 0 {
-		h.here(int64(h.rng.IntN(3e6)), func() { h.killAfter = h.rng.IntN(12) })
+		h.scheduleInProcess(int64(h.rng.IntN(3e6)), func() { h.killAfter = h.rng.IntN(12) })
 	}
 }
 
-func (h *herd) list() *List {
-	l := &List{Complete: true, Revision: int64(h.rev)}
+func (h *crashSimulation) list() *EndpointList {
+	l := &EndpointList{Complete: true, Revision: int64(h.listRevision)}
 	for i := range h.members {
 		if h.members[i].Phase != Removed {
 			l.Members = append(l.Members, h.members[i])
@@ -236,38 +236,38 @@
 }
 
 // step is one turn of the loop; false where the process died in it.
-func (h *herd) step() bool {
+func (h *crashSimulation) step() bool {
 	if h.core == nil {
 		return false
 	}
 	events := h.events
 	h.events = nil
-	if !h.do(h.core.Step(h.clock(), events, nil)) {
+	if !h.execute(h.core.Step(h.clock(), events, nil)) {
 		return false
 	}
-	if h.core.Stirred() != h.stirred && h.now >= h.fileAt+250e3 && h.write() {
-		text, err := json.Marshal(h.core.Learn(h.clock()))
+	if h.core.StateVersion() != h.stateVersion && h.now >= h.fileAt+250e3 && h.write() {
+		text, err := json.Marshal(h.core.SnapshotState(h.clock()))
 		if err != nil {
 			h.failf("%v", err)
 		}
-		h.file, h.fileAt, h.fileBase, h.stirred = text, h.now, h.base, h.core.Stirred()
+		h.file, h.fileAt, h.fileBase, h.stateVersion = text, h.now, h.base, h.core.StateVersion()
 	}
 	return h.core != nil
 }
 
-// do carries effects out in their order, as the drivers do.
-func (h *herd) do(fx []Effect) bool {
+// execute carries effects out in their order, as the drivers do.
+func (h *crashSimulation) execute(fx []Effect) bool {
 	for i := range fx {
 		e := &fx[i]
-		if e.Kind == Tell || e.Kind == Again {
+		if e.Kind == Log || e.Kind == StepAgain {
 			continue
 		}
 		if e.Record != nil {
 			if !h.write() { // before the record
 				return false
 			}
-			if e.Kind == LogThenAnswer && h.rng.IntN(60) == 0 { // no room
-				h.events = append(h.events, Event{Kind: Lost, Request: e.Request})
+			if e.Kind == AppendThenReply && h.rng.IntN(60) == 0 { // no room
+				h.events = append(h.events, Event{Kind: LogWriteFailed, Request: e.Request})
 				continue
 			}
 			h.log.apply(e.Record)
@@ -276,20 +276,20 @@
 			}
 		}
 		switch e.Kind {
-		case Answer:
-			m := h.msgs[e.Request.Rec.ID]
+		case SendReply:
+			m := h.messages[e.Request.Record.ID]
 			if e.Reply.OK {
-				h.heard(m, e.Request)
+				h.replied(m, e.Request)
 			} else {
-				m.refused = true
+				m.rejected = true
 			}
-		case Open, Shut:
-			h.shut[e.Endpoint] = e.Kind == Shut
-		case LogThenAnswer:
-			h.heard(h.msgs[e.Request.Rec.ID], e.Request)
-		case LogThenSend:
+		case OpenEndpoint, CloseEndpoint:
+			h.closedEndpoints[e.Endpoint] = e.Kind == CloseEndpoint
+		case AppendThenReply:
+			h.replied(h.messages[e.Request.Record.ID], e.Request)
+		case AppendThenSend:
 			h.call(e.Call)
-		case LogThenNotice, Notify:
+		case AppendThenNotify, SendNotice:
 			h.notice(e.Notice)
 		}
 		if h.core == nil {
@@ -299,58 +299,58 @@
 	return true
 }
 
-// heard: the answer is on its way to a client that reads now, slowly, or has
+// replied: the answer is on its way to a client that reads now, slowly, or has
 // given up.
-func (h *herd) heard(m *owedMessage, q *Request) {
+func (h *crashSimulation) replied(m *owedMessage, q *Request) {
 	wait := int64(0)
 	if h.rng.IntN(6) == 0 {
 		wait = int64(h.rng.IntN(500e3))
 	}
 	if at := h.now + wait; at-m.sent >= clientWait {
-		h.here(max(m.sent+clientWait-h.now, 0), func() {
+		h.scheduleInProcess(max(m.sent+clientWait-h.now, 0), func() {
 			m.left = true
-			h.events = append(h.events, Event{Kind: Said, Request: q, OK: false})
+			h.events = append(h.events, Event{Kind: ReplyDelivered, Request: q, OK: false})
 		})
 		return
 	}
 	tell := func() {
-		m.heard, m.heardAt = true, h.now
-		h.events = append(h.events, Event{Kind: Said, Request: q, OK: true})
+		m.acknowledged, m.acknowledgedAt = true, h.now
+		h.events = append(h.events, Event{Kind: ReplyDelivered, Request: q, OK: true})
 	}
 	if wait == 0 {
 		tell()
 	} else {
-		h.here(wait, tell)
+		h.scheduleInProcess(wait, tell)
 	}
 }
 
 // call plays an endpoint, which goes on where the relay dies.
-func (h *herd) call(c *Call) {
-	m := h.msgs[c.Rec.ID]
-	ep := h.core.byNum[c.Endpoint]
-	if !m.heard && !m.resumed || h.core.awaiting {
-		h.failf("%s is sent before its client heard, or before the list", c.Rec.ID)
-	}
-	if h.shut[c.Endpoint] || ep.cell != c.Rec.Dest {
-		h.failf("%s for %d is sent to %s of %d", c.Rec.ID, c.Rec.Dest, ep.id, ep.cell)
-	}
-	if w := h.waits[c.Rec.Dest]; h.now < w.until { // what was decided before it came, the gate stops
-		if h.now <= w.at+200e3 || h.now-m.heardAt < 150e3 {
-			h.here(0, func() {
-				h.events = append(h.events, Event{Kind: Finished, Call: c, Result: &Result{What: decide.NotSent, Wait: w.until - h.now}})
+func (h *crashSimulation) call(c *Call) {
+	m := h.messages[c.Record.ID]
+	ep := h.core.endpointsByNumber[c.Endpoint]
+	if !m.acknowledged && !m.recovered || h.core.sendsDeferred {
+		h.failf("%s is sent before its client heard, or before the list", c.Record.ID)
+	}
+	if h.closedEndpoints[c.Endpoint] || ep.dest != c.Record.Dest {
+		h.failf("%s for %d is sent to %s of %d", c.Record.ID, c.Record.Dest, ep.id, ep.dest)
+	}
+	if w := h.retryAfters[c.Record.Dest]; h.now < w.until { // what was decided before it came, the gate stops
+		if h.now <= w.at+200e3 || h.now-m.acknowledgedAt < 150e3 {
+			h.scheduleInProcess(0, func() {
+				h.events = append(h.events, Event{Kind: AttemptFinished, Call: c, Result: &Result{Outcome: decide.NotSent, RetryAfter: w.until - h.now}})
 			})
 			return
 		}
-		h.failf("%s goes to %d, %d ms before the end of a wait that was told %d ms ago", c.Rec.ID, c.Rec.Dest, (w.until-h.now)/1000, (h.now-w.at)/1000)
+		h.failf("%s goes to %d, %d ms before the end of a wait that was told %d ms ago", c.Record.ID, c.Record.Dest, (w.until-h.now)/1000, (h.now-w.at)/1000)
 	}
-	if rec := h.log.live[c.Rec.ID]; rec == nil || rec.Out == 0 {
-		h.failf("%s is sent before the log has the attempt", c.Rec.ID)
+	if rec := h.log.pending[c.Record.ID]; rec == nil || rec.OpenAttemptAt == 0 {
+		h.failf("%s is sent before the log has the attempt", c.Record.ID)
 	}
-	if len(m.told) > 0 {
-		h.failf("%s is sent after the platform was told %v", c.Rec.ID, m.told)
+	if len(m.toldOutcomes) > 0 {
+		h.failf("%s is sent after the platform was told %v", c.Record.ID, m.toldOutcomes)
 	}
 	if m.ran > 0 && (m.class == "once" || m.class == "keyed" && h.now-m.lastRan > dedupWindow) {
-		h.failf("%s (%s) is sent again after it ran", c.Rec.ID, m.class)
+		h.failf("%s (%s) is sent again after it ran", c.Record.ID, m.class)
 	}
 	took := int64(20e3 + h.rng.IntN(200e3))
 	run := func() {
@@ -359,86 +359,89 @@
 		}
 	}
 	end := func(r *Result) {
-		h.here(took, func() { r.Took = took; h.events = append(h.events, Event{Kind: Finished, Call: c, Result: r}) })
+		h.scheduleInProcess(took, func() {
+			r.Elapsed = took
+			h.events = append(h.events, Event{Kind: AttemptFinished, Call: c, Result: r})
+		})
 	}
 	switch k := h.rng.IntN(10); {
 	case k < 5: // the 200 is an end as it is written to a relay that lives
-		h.after(took/2, run)
-		h.here(took, func() {
+		h.schedule(took/2, run)
+		h.scheduleInProcess(took, func() {
 			m.ended = append(m.ended, h.now)
-			h.events = append(h.events, Event{Kind: Finished, Call: c, Result: &Result{What: decide.Delivered, Status: 200, Settled: true, Took: took}})
+			h.events = append(h.events, Event{Kind: AttemptFinished, Call: c, Result: &Result{Outcome: decide.Delivered, Status: 200, Final: true, Elapsed: took}})
 		})
 	case k == 5:
 		wait := int64(h.rng.IntN(500e3))
 		if h.rng.IntN(3) == 0 {
 			wait = int64(h.rng.IntN(4e6))
 		}
-		h.here(took, func() {
-			if w := h.waits[c.Rec.Dest]; h.now+wait > w.until {
-				h.waits[c.Rec.Dest] = told{h.now, h.now + wait}
+		h.scheduleInProcess(took, func() {
+			if w := h.retryAfters[c.Record.Dest]; h.now+wait > w.until {
+				h.retryAfters[c.Record.Dest] = retryAfterPeriod{h.now, h.now + wait}
 			}
-			h.events = append(h.events, Event{Kind: Finished, Call: c, Result: &Result{What: decide.Rejected, Status: 429, Wait: wait, Took: took}})
+			h.events = append(h.events, Event{Kind: AttemptFinished, Call: c, Result: &Result{Outcome: decide.Rejected, Status: 429, RetryAfter: wait, Elapsed: took}})
 		})
 	case k == 6:
-		end(&Result{What: decide.ConnectFailed})
+		end(&Result{Outcome: decide.ConnectFailed})
 	case k == 7:
-		end(&Result{What: decide.Rejected, Status: 503})
+		end(&Result{Outcome: decide.Rejected, Status: 503})
 	case k == 8: // it ran, and nobody heard
-		h.after(took/2, run)
-		end(&Result{What: decide.ConnectionReset})
+		h.schedule(took/2, run)
+		end(&Result{Outcome: decide.ConnectionReset})
 	default: // silent until the relay stops waiting
 		if h.rng.IntN(2) == 0 {
-			h.after(took/2, run)
+			h.schedule(took/2, run)
 		}
-		took = int64(c.Limit)
-		end(&Result{What: decide.TimedOut})
+		took = int64(c.Timeout)
+		end(&Result{Outcome: decide.TimedOut})
 	}
 }
 
-func (h *herd) notice(n Notice) {
-	if rec := h.log.live[n.Message]; rec == nil || rec.Notice != n.Outcome {
+func (h *crashSimulation) notice(n Notice) {
+	if rec := h.log.pending[n.Message]; rec == nil || rec.Notice != n.Outcome {
 		h.failf("the notice of %s goes out before the log has it", n.Message)
 	}
-	h.here(int64(h.rng.IntN(80e3)), func() { // the platform takes it
-		m := h.msgs[n.Message]
+	h.scheduleInProcess(int64(h.rng.IntN(80e3)), func() { // the platform takes it
+		m := h.messages[n.Message]
 		m.ended = append(m.ended, h.now)
-		m.told[n.Outcome] = true
-		if n.Outcome == HandedBack && m.class == "once" && m.ran > 0 {
+		m.toldOutcomes[n.Outcome] = true
+		if n.Outcome == NoticeHandedBack && m.class == "once" && m.ran > 0 {
 			h.failf("%s is handed back, and ran", n.Message)
 		}
 		if !h.write() {
 			return
 		}
-		h.log.apply(&Record{Kind: End, ID: n.Message})
+		h.log.apply(&Record{Kind: RecordDone, ID: n.Message})
 	})
 }
 
 // client hands one message in, where somebody listens.
-func (h *herd) client(i int) {
+func (h *crashSimulation) client(i int) {
 	if h.core == nil || h.downs[len(h.downs)-1][1] == 1<<62 {
 		return
 	}
 	id := "m" + strconv.Itoa(i)
 	class := []string{"plain", "plain", "keyed", "once"}[h.rng.IntN(4)]
 	d := int64(200e3 + h.rng.IntN(9e6))
-	m := &owedMessage{class: class, sent: h.now, due: h.now + d, told: map[string]bool{}}
-	h.msgs[id] = m
+	m := &owedMessage{class: class, sent: h.now, due: h.now + d, toldOutcomes: map[string]bool{}}
+	h.messages[id] = m
 	waited := int64(0)
 	if h.rng.IntN(4) == 0 { // its turn comes late
 		waited = int64(h.rng.IntN(250e3))
 	}
-	h.here(waited, func() {
-		rec := &Record{Kind: Taken, ID: id, Class: class, Tenant: "acme", Dest: 1 + h.rng.IntN(4), Deadline: m.due}
+	h.scheduleInProcess(waited, func() {
+		rec := &Record{Kind: RecordAccepted, ID: id, Class: class, Tenant: "acme", Dest: 1 + h.rng.IntN(4), Deadline: m.due}
 		if class == "keyed" {
 			rec.Key = "k" + id
 		}
-		h.events = append(h.events, Event{Kind: Put, Request: &Request{Rec: rec, Waited: waited,
+		h.events = append(h.events, Event{Kind: Submitted, Request: &Request{Record: rec, Queued: waited,
 			Class: map[string]int{"plain": 0, "keyed": 1, "once": 2}[class]}})
 	})
 }
 
-// late is by how much an end came after it was owed.
-func (h *herd) late(m *owedMessage, at int64) int64 {
+// lateness is by how much an end came after it was owed.
+func (h *crashSimulation) lateness(m *owedMessage, at int64) int64 {
 	by := m.due + noticeSlack
 	for _, d := range h.downs {
 		if d[0] <= by && d[1]+readySlack > by { // from a kill until 1.5 s after the relay is ready again no notice is overdue
@@ -448,9 +451,9 @@
 	return at - by
 }
 
-func playHerd(t *testing.T, seed uint64) (h *herd, taken int) {
-	h = &herd{t: t, seed: seed, rng: rand.New(rand.NewPCG(seed, 39)), log: &book{live: map[string]*Record{}}, msgs: map[string]*owedMessage{}, killAfter: -1,
-		waits: map[int]told{}, forgets: seed%10 == 9}
+func playCrashSimulation(t *testing.T, seed uint64) (h *crashSimulation, taken int) {
+	h = &crashSimulation{t: t, seed: seed, rng: rand.New(rand.NewPCG(seed, 39)), log: &logModel{pending: map[string]*Record{}}, messages: map[string]*owedMessage{}, killAfter: -1,
+		retryAfters: map[int]retryAfterPeriod{}, ignoresSnapshot: seed%10 == 9}
 	h.now = 1e15
 	for i := range 6 {
 		h.members = append(h.members, Member{ID: fmt.Sprintf("s%d", i), HostPort: fmt.Sprintf("10.0.0.%d:1", i), Locality: "a", Flavor: "k", Cell: 1 + i%3, Phase: Up, Size: 40})
@@ -459,15 +462,15 @@
 	h.start()
 	const clients, day = 260, 12e6
 	for i := range clients {
-		h.after(int64(h.rng.IntN(day)), func() { h.client(i) })
+		h.schedule(int64(h.rng.IntN(day)), func() { h.client(i) })
 	}
 	for range 4 {
-		h.after(int64(h.rng.IntN(day)), func() { // discovery's news
-			h.rev++
+		h.schedule(int64(h.rng.IntN(day)), func() { // discovery's news
+			h.listRevision++
 			x := &h.members[h.rng.IntN(len(h.members))]
 			x.Phase = []string{Up, Draining, Removed}[h.rng.IntN(3)]
-			if h.core != nil && h.downs[len(h.downs)-1][1] < 1<<62 && !h.core.awaiting {
-				h.events = append(h.events, Event{Kind: News, News: decide.ListDelta, List: &List{Members: []Member{*x}}})
+			if h.core != nil && h.downs[len(h.downs)-1][1] < 1<<62 && !h.core.sendsDeferred {
+				h.events = append(h.events, Event{Kind: EndpointListUpdated, News: decide.ListDelta, List: &EndpointList{Members: []Member{*x}}})
 			}
 		})
 	}
@@ -479,7 +482,7 @@
 		}
 		until := h.now + pause
 		for len(h.due) > 0 && h.due[0].at <= until {
-			x := heap.Pop(&h.due).(moment)
+			x := heap.Pop(&h.due).(scheduledRun)
 			h.now = max(h.now, x.at)
 			x.run()
 		}
@@ -487,50 +490,50 @@
 		if h.now > over-12e6 {
 			h.killAfter = -1
 		}
-		if h.core != nil && (len(h.events) > 0 || h.core.Next() > 0 && h.core.Next() <= h.clock()) {
+		if h.core != nil && (len(h.events) > 0 || h.core.NextWakeup() > 0 && h.core.NextWakeup() <= h.clock()) {
 			h.step()
 		}
 	}
-	for id, m := range h.msgs {
+	for id, m := range h.messages {
 		switch {
-		case !m.heard && m.told[HandedBack]: // it was in the log, and nobody had heard
-		case !m.heard:
+		case !m.acknowledged && m.toldOutcomes[NoticeHandedBack]: // it was in the log, and nobody had heard
+		case !m.acknowledged:
 			continue
 		}
 		taken++
 		if len(m.ended) == 0 {
 			h.failf("%s (%s) was taken on and has no end", id, m.class)
 		}
-		if l := h.late(m, m.ended[0]); l > 0 && m.heard {
+		if l := h.lateness(m, m.ended[0]); l > 0 && m.acknowledged {
 			h.failf("%s (%s, sent at %.3f, due at %.3f) ended %d ms too late", id, m.class, float64(m.sent)/1e6, float64(m.due)/1e6, l/1000)
 		}
 		if m.class == "once" && m.ran > 1 {
 			h.failf("%s ran %d times", id, m.ran)
 		}
-		if len(m.told) > 1 {
-			h.failf("%s has two ends: %v", id, m.told)
+		if len(m.toldOutcomes) > 1 {
+			h.failf("%s has two ends: %v", id, m.toldOutcomes)
 		}
 	}
-	if len(h.log.live) > 0 {
-		h.failf("%d messages are left in the log", len(h.log.live))
+	if len(h.log.pending) > 0 {
+		h.failf("%d messages are left in the log", len(h.log.pending))
 	}
-	if c := h.core; c == nil || c.Held()+c.Waiting()+c.Calls()+len(c.msgs)+len(c.ids) > 0 {
-		h.failf("at the end of the day something is held: %d messages, %d requests, %d calls", c.Held(), c.Waiting(), c.Calls())
+	if c := h.core; c == nil || c.HeldMessages()+c.UnansweredRequests()+c.OpenCalls()+len(c.messages)+len(c.messagesByID) > 0 {
+		h.failf("at the end of the day something is held: %d messages, %d requests, %d calls", c.HeldMessages(), c.UnansweredRequests(), c.OpenCalls())
 	}
 	return h, taken
 }
 
 // Every request that was taken on is ended once, whole and in time, whenever its
 // relay dies and starts again, and as late as clients, turns and lists may be.
-func TestHerdOwesEveryEnd(t *testing.T) {
+func TestCrashesLoseNoOutcome(t *testing.T) {
 	seeds := uint64(150)
 	if n, err := strconv.ParseUint(os.Getenv("HERD_SEEDS"), 10, 32); err == nil {
 		seeds = n
 	}
 	kills, taken, waits := 0, 0, 0
 	for seed := range seeds {
-		h, n := playHerd(t, seed)
-		kills, taken, waits = kills+h.kills, taken+n, waits+h.heldWaits
+		h, n := playCrashSimulation(t, seed)
+		kills, taken, waits = kills+h.kills, taken+n, waits+h.startsInsideRetryAfter
 	}
 	if waits < int(seeds)/4 {
 		t.Errorf("only %d starts had a wait to keep", waits)
@@ -543,30 +546,30 @@
 
 // Thousands that are owed at a start, half of them due already and the others in
 // one later instant, end in the step in which they are due: each once, none late.
-func TestThousandsDueAtOnce(t *testing.T) {
+func TestThousandsDueTogether(t *testing.T) {
 	const n = 6000
-	set := testCore(t).set
+	set := testCore(t).settings
 	set.Policy.MaxPending = 2 * n
 	r, err := New(set)
 	if err != nil {
 		t.Fatal(err)
 	}
 	now := decide.Time(3600e6)
-	r.Book(now, []Event{{Kind: News, News: decide.ListCached, List: &List{Complete: true, Members: []Member{
+	r.Observe(now, []Event{{Kind: EndpointListUpdated, News: decide.ListCached, List: &EndpointList{Complete: true, Members: []Member{
 		{ID: "s1", HostPort: "10.0.0.1:1", Locality: "a", Flavor: "k", Cell: 1, Phase: Draining, Size: 40}}}}}, nil)
-	r.Await()
+	r.DeferSends()
 	var owed []*Record
 	for i := range n {
 		due := now - 1e6
 		if i%2 == 1 {
 			due = now + 2e6
 		}
-		owed = append(owed, &Record{Kind: Taken, ID: "m" + strconv.Itoa(i), Class: "plain", Dest: 1, Deadline: r.wall(due)})
+		owed = append(owed, &Record{Kind: RecordAccepted, ID: "m" + strconv.Itoa(i), Class: "plain", Dest: 1, Deadline: r.wall(due)})
 	}
 	ends := map[string]decide.Time{}
 	step := func(at decide.Time, fx []Effect) (count int) {
 		for i := range fx {
-			if fx[i].Kind == LogThenNotice {
+			if fx[i].Kind == AppendThenNotify {
 				count++
 				if _, twice := ends[fx[i].Notice.Message]; twice {
 					t.Fatalf("%s ends twice", fx[i].Notice.Message)
@@ -576,18 +579,18 @@
 		}
 		return count
 	}
-	step(now, r.Restore(now, owed, nil, 0, nil))
+	step(now, r.RecoverMessages(now, owed, nil, 0, nil))
 	if got := step(now, r.Step(now, nil, nil)); got != n/2 {
 		t.Errorf("%d end at the start, want %d", got, n/2)
 	}
-	for at := now + 1000; at <= now+2e6; at = r.Next() {
+	for at := now + 1000; at <= now+2e6; at = r.NextWakeup() {
 		step(at, r.Step(at, nil, nil))
-		if r.Next() == 0 {
+		if r.NextWakeup() == 0 {
 			break
 		}
 	}
-	if len(ends) != n || r.Held() != 0 {
-		t.Errorf("%d of %d have ended, %d are held", len(ends), n, r.Held())
+	if len(ends) != n || r.HeldMessages() != 0 {
+		t.Errorf("%d of %d have ended, %d are held", len(ends), n, r.HeldMessages())
 	}
 	for id, at := range ends {
 		if at > now+2e6 {
--- a/internal/core/idle_bench_test.go
+++ b/internal/core/idle_bench_test.go
@@ -20,8 +20,8 @@
 //
 // BenchmarkIdleMemory's resident figure is true for one case a process alone.
 
-// resident is what the process holds in memory, in bytes.
-func resident(b *testing.B) float64 {
+// residentBytes is what the process holds in memory, in bytes.
+func residentBytes(b *testing.B) float64 {
 	text, err := os.ReadFile("/proc/self/statm")
 	if err != nil {
 		b.Skip(err)
@@ -33,26 +33,26 @@
 	return pages * float64(os.Getpagesize())
 }
 
-// idle is a core that a list has told of so many destinations, of which at most
+// idleCore is a core that a list has told of so many destinations, of which at most
 // 1,024 are awake, or all.
-func idle(b *testing.B, dests, endpoints int, rest bool) *Core {
-	set := settings()
+func idleCore(b *testing.B, dests, endpoints int, rest bool) *Core {
+	set := testSettings()
 	if rest {
-		set.Rest = dormant.Limits{Awake: 1024, After: 60e6}
+		set.Passivation = dormant.Limits{Awake: 1024, After: 60e6}
 	}
 	r, err := New(set)
 	if err != nil {
 		b.Fatal(err)
 	}
 	for d := 0; d < dests; d += 1000 {
-		r.Step(3600e6, []Event{{Kind: News, News: decide.ListDelta, List: &List{Members: quiet(d, min(d+1000, dests), endpoints)}}}, nil)
+		r.Step(3600e6, []Event{{Kind: EndpointListUpdated, News: decide.ListDelta, List: &EndpointList{Members: idleMembers(d, min(d+1000, dests), endpoints)}}}, nil)
 	}
 	return r
 }
 
-// quiet are the members of destinations, as a list of 13-byte ids and addresses
+// idleMembers are the members of destinations, as a list of 13-byte ids and addresses
 // has them.
-func quiet(from, to, endpoints int) []Member {
+func idleMembers(from, to, endpoints int) []Member {
 	l := make([]Member, 0, (to-from)*endpoints)
 	for d := from; d < to; d++ {
 		for e := range endpoints {
@@ -70,14 +70,14 @@
 				b.Run(fmt.Sprintf("%d/%d/%s", endpoints, n, what), func(b *testing.B) {
 					var before, after runtime.MemStats
 					debug.FreeOSMemory()
-					held := resident(b)
+					held := residentBytes(b)
 					runtime.ReadMemStats(&before)
-					r := idle(b, n, endpoints, rest)
+					r := idleCore(b, n, endpoints, rest)
 					debug.FreeOSMemory()
 					runtime.ReadMemStats(&after)
 					b.ReportMetric(float64(after.HeapAlloc-before.HeapAlloc)/float64(n), "heap-B/dest")
-					b.ReportMetric((resident(b)-held)/float64(n), "resident-B/dest")
-					if _, bytes := r.Resting(); bytes > 0 {
+					b.ReportMetric((residentBytes(b)-held)/float64(n), "resident-B/dest")
+					if _, bytes := r.PassiveDestinations(); bytes > 0 {
 						b.ReportMetric(float64(bytes)/float64(n-1024), "store-B/dest")
 					}
 					runtime.KeepAlive(r)
@@ -87,14 +87,14 @@
 	}
 }
 
-// delivers has messages go to destinations and be delivered, one after another,
+// measureDeliveries has messages go to destinations and be delivered, one after another,
 // and returns how long each took from hand-in to end, all steps together.
-func delivers(b *testing.B, r *Core, now decide.Time, n int, dest func(i int) int) (took []time.Duration) {
+func measureDeliveries(b *testing.B, r *Core, now decide.Time, n int, dest func(i int) int) (took []time.Duration) {
 	var fx []Effect
 	for i := range n {
 		began := time.Now()
-		q := &Request{Tenant: -1, Rec: &Record{Kind: Taken, ID: strconv.Itoa(int(now)) + "-" + strconv.Itoa(i), Class: "plain", Dest: dest(i), Deadline: r.wall(now + 20e6)}}
-		events, done := []Event{{Kind: Put, Request: q}}, false
+		q := &Request{Tenant: -1, Record: &Record{Kind: RecordAccepted, ID: strconv.Itoa(int(now)) + "-" + strconv.Itoa(i), Class: "plain", Dest: dest(i), Deadline: r.wall(now + 20e6)}}
+		events, done := []Event{{Kind: Submitted, Request: q}}, false
 		for turn := 0; !done; turn++ {
 			if turn > 100 {
 				b.Fatalf("message %d is not sent", i)
@@ -103,13 +103,13 @@
 			events = events[:0]
 			for k := range fx {
 				switch e := &fx[k]; e.Kind {
-				case LogThenAnswer:
-					events = append(events, Event{Kind: Said, Request: e.Request, OK: true})
-				case LogThenSend:
-					events = append(events, Event{Kind: Finished, Call: e.Call, Result: delivered})
-				case LogOnly:
-					done = done || e.Record.Kind == End
-				case Answer:
+				case AppendThenReply:
+					events = append(events, Event{Kind: ReplyDelivered, Request: e.Request, OK: true})
+				case AppendThenSend:
+					events = append(events, Event{Kind: AttemptFinished, Call: e.Call, Result: deliveredResult})
+				case AppendRecord:
+					done = done || e.Record.Kind == RecordDone
+				case SendReply:
 					b.Fatalf("%+v", e.Reply)
 				}
 			}
@@ -125,12 +125,12 @@
 func BenchmarkIdleMessage(b *testing.B) {
 	for _, n := range []int{1000, 100_000, 1_000_000} {
 		b.Run(strconv.Itoa(n), func(b *testing.B) {
-			r := idle(b, n, 1, true)
-			delivers(b, r, 3700e6, 2000, func(i int) int { return i % 500 })
+			r := idleCore(b, n, 1, true)
+			measureDeliveries(b, r, 3700e6, 2000, func(i int) int { return i % 500 })
 			runtime.GC()
 			b.ResetTimer()
 			for range b.N {
-				delivers(b, r, r.now+1e6, 20_000, func(i int) int { return i % 500 })
+				measureDeliveries(b, r, r.now+1e6, 20_000, func(i int) int { return i % 500 })
 			}
 			b.ReportMetric(float64(b.Elapsed().Nanoseconds())/20_000/float64(b.N), "ns/message")
 		})
@@ -142,8 +142,8 @@
 func BenchmarkIdleList(b *testing.B) {
 	for _, n := range []int{1000, 100_000, 1_000_000} {
 		b.Run(strconv.Itoa(n), func(b *testing.B) {
-			r := idle(b, n, 1, true)
-			l := &List{Complete: true, Members: quiet(0, n, 1)}
+			r := idleCore(b, n, 1, true)
+			l := &EndpointList{Complete: true, Members: idleMembers(0, n, 1)}
 			var longest time.Duration
 			var before, after runtime.MemStats
 			for i := range b.N {
@@ -153,14 +153,14 @@
 				runtime.GC()
 				runtime.ReadMemStats(&before)
 				now := decide.Time(4000e6 + i*1e6)
-				events := []Event{{Kind: News, News: decide.ListFull, List: l}}
+				events := []Event{{Kind: EndpointListUpdated, News: decide.ListFull, List: l}}
 				for more := true; more; {
 					began := time.Now()
 					fx := r.Step(now, events, nil)
 					longest = max(longest, time.Since(began))
 					more, events = false, nil
 					for k := range fx {
-						more = more || fx[k].Kind == Again
+						more = more || fx[k].Kind == StepAgain
 					}
 				}
 				runtime.ReadMemStats(&after)
@@ -173,23 +173,23 @@
 }
 
 // One that wakes, and ten thousand that wake together, beside a thousand others.
-func BenchmarkIdleWake(b *testing.B) {
+func BenchmarkIdleActivate(b *testing.B) {
 	for _, n := range []int{100_000, 1_000_000} {
 		b.Run(strconv.Itoa(n), func(b *testing.B) {
-			r := idle(b, n, 1, true)
+			r := idleCore(b, n, 1, true)
 			var one, longest time.Duration
 			woken := 2000
 			for range b.N {
 				began := time.Now()
 				for range 100 {
-					r.rouse(woken)
-					r.step()
+					r.activate(woken)
+					r.runPolicy()
 					woken++
 				}
 				one += time.Since(began) / 100
 				var events []Event
 				for i := range 10_000 {
-					events = append(events, Event{Kind: Put, Request: &Request{Tenant: -1, Rec: &Record{Kind: Taken, ID: fmt.Sprint(woken, i), Class: "plain",
+					events = append(events, Event{Kind: Submitted, Request: &Request{Tenant: -1, Record: &Record{Kind: RecordAccepted, ID: fmt.Sprint(woken, i), Class: "plain",
 						Dest: woken, Deadline: r.wall(r.now + 20e6)}}})
 					woken++
 					if len(events) == 10 { // as many come in a step, of ten thousand in a second
--- a/internal/core/learn_test.go
+++ b/internal/core/learn_test.go
@@ -7,44 +7,44 @@
 	"troutusher/decide"
 )
 
-// learnt has a core learn of two destinations: 1 told a wait of 8 s, 2 refuses
+// learnedSnapshot has a core learn of two destinations: 1 told a wait of 8 s, 2 refuses
 // connections. Its state goes through JSON, as it lies in the file.
-func learnt(t *testing.T, members []Member) *Learned {
+func learnedSnapshot(t *testing.T, members []Member) *StateSnapshot {
 	t.Helper()
 	r := testCore(t)
 	now := decide.Time(3600e6)
-	r.Book(now, []Event{{Kind: News, News: decide.ListFull, List: &List{Complete: true, Revision: 7, Members: members}}}, nil)
+	r.Observe(now, []Event{{Kind: EndpointListUpdated, News: decide.ListFull, List: &EndpointList{Complete: true, Revision: 7, Members: members}}}, nil)
 	var events []Event
 	for i := range 40 {
 		if i < 12 {
 			id := "m" + string(rune('a'+i))
-			events = append(events, Event{Kind: Put, Request: &Request{Class: 0, Tenant: -1,
-				Rec: &Record{Kind: Taken, ID: id, Class: "plain", Dest: 1 + i%2, Deadline: r.wall(now + 15e6)}}})
+			events = append(events, Event{Kind: Submitted, Request: &Request{Class: 0, Tenant: -1,
+				Record: &Record{Kind: RecordAccepted, ID: id, Class: "plain", Dest: 1 + i%2, Deadline: r.wall(now + 15e6)}}})
 		}
 		fx := r.Step(now, events, nil)
 		events = nil
 		for _, e := range fx {
 			switch e.Kind {
-			case LogThenAnswer:
-				events = append(events, Event{Kind: Said, Request: e.Request, OK: true})
-			case LogThenSend:
-				o := &Result{What: decide.Rejected, Status: 429, Wait: 8e6}
-				if e.Call.Rec.Dest == 2 {
-					o = &Result{What: decide.ConnectFailed}
+			case AppendThenReply:
+				events = append(events, Event{Kind: ReplyDelivered, Request: e.Request, OK: true})
+			case AppendThenSend:
+				o := &Result{Outcome: decide.Rejected, Status: 429, RetryAfter: 8e6}
+				if e.Call.Record.Dest == 2 {
+					o = &Result{Outcome: decide.ConnectFailed}
 				}
-				events = append(events, Event{Kind: Finished, Call: e.Call, Result: o})
+				events = append(events, Event{Kind: AttemptFinished, Call: e.Call, Result: o})
 			}
 		}
 		now += 20e3
 	}
-	if r.Stirred() == 0 || r.Moved() == 0 {
+	if r.StateVersion() == 0 || r.CompletedCalls() == 0 {
 		t.Error("nothing is told to have been learned")
 	}
-	text, err := json.Marshal(r.Learn(now))
+	text, err := json.Marshal(r.SnapshotState(now))
 	if err != nil {
 		t.Fatal(err)
 	}
-	l := &Learned{}
+	l := &StateSnapshot{}
 	if err := json.Unmarshal(text, l); err != nil {
 		t.Fatal(err)
 	}
@@ -54,7 +54,7 @@
 // A core that recalls holds what was told to wait and avoids what was out, as
 // long as it is where it was; under another address, or another's address under
 // a new id, nothing is inherited; and without the file nothing is known.
-func TestRecall(t *testing.T) {
+func TestRestoreState(t *testing.T) {
 	member := func(id, addr string, dest int) Member {
 		return Member{ID: id, HostPort: addr, Locality: "a", Flavor: "k", Cell: dest, Phase: Up, Size: 40}
 	}
@@ -75,43 +75,43 @@
 		"a new one of the destination":  {[]Member{was[0], was[1], member("s4", "10.0.0.4:1", 1)}, true, 3, true, false},
 		"all of one that waits are new": {[]Member{member("s5", "10.0.0.5:1", 1), was[1]}, true, 2, true, false},
 	} {
-		l := learnt(t, was)
-		if l.Revision != 7 || len(l.List().Members) != 2 {
+		l := learnedSnapshot(t, was)
+		if l.Revision != 7 || len(l.EndpointList().Members) != 2 {
 			t.Fatalf("learned %+v", l)
 		}
 		r := testCore(t)
 		now := l.Now + shift + 700e3
-		r.Book(now, []Event{{Kind: News, News: decide.ListCached, List: &List{Complete: true, Members: c.list}}}, nil)
+		r.Observe(now, []Event{{Kind: EndpointListUpdated, News: decide.ListCached, List: &EndpointList{Complete: true, Members: c.list}}}, nil)
 		holds := 0
 		if c.learned {
-			for _, e := range r.Recall(now, l, shift, nil) {
-				if e.Kind == Hold && r.byNum[e.Endpoint].cell == 1 && e.Until > now+6e6 && e.Until <= now+8e6 {
+			for _, e := range r.RestoreState(now, l, shift, nil) {
+				if e.Kind == ApplyRetryAfter && r.endpointsByNumber[e.Endpoint].dest == 1 && e.Until > now+6e6 && e.Until <= now+8e6 {
 					holds++
 				}
 			}
 		}
-		if _, got := r.Cluster(); got != c.avoided {
+		if _, got := r.ListedEndpoints(); got != c.avoided {
 			t.Errorf("%s: %d avoided, want %d", name, got, c.avoided)
 		}
 		if (holds > 0) != c.held {
 			t.Errorf("%s: the wait holds %d endpoints", name, holds)
 		}
 		// Nothing goes to destination 1 before its wait is over.
-		rec := &Record{Kind: Taken, ID: "m", Class: "plain", Dest: 1, Deadline: r.wall(now + 20e6)}
-		events, first := []Event{{Kind: Put, Request: &Request{Class: 0, Tenant: -1, Rec: rec}}}, decide.Time(0)
+		rec := &Record{Kind: RecordAccepted, ID: "m", Class: "plain", Dest: 1, Deadline: r.wall(now + 20e6)}
+		events, first := []Event{{Kind: Submitted, Request: &Request{Class: 0, Tenant: -1, Record: rec}}}, decide.Time(0)
 		for at := now; at < now+10e6 && first == 0; at += 20e3 {
 			fx := r.Step(at, events, nil)
 			events = nil
 			for _, e := range fx {
 				switch e.Kind {
-				case LogThenAnswer:
-					events = append(events, Event{Kind: Said, Request: e.Request, OK: true})
-				case LogThenSend:
+				case AppendThenReply:
+					events = append(events, Event{Kind: ReplyDelivered, Request: e.Request, OK: true})
+				case AppendThenSend:
 					first = at
 				}
 			}
 		}
-		until := l.Waits[0].Until + shift
+		until := l.RetryAfters[0].Until + shift
 		if c.held && (first < until || first > until+1e6) || !c.held && first > now+1e6 {
 			t.Errorf("%s: sent at %d, the wait ends at %d", name, first-now, until-now)
 		}
--- a/internal/core/list.go
+++ b/internal/core/list.go
@@ -12,8 +12,8 @@
 // Member is an endpoint in discovery's list.
 type Member = membership.Member
 
-// List is discovery's list, or what changed in it.
-type List struct {
+// EndpointList is discovery's list, or what changed in it.
+type EndpointList struct {
 	Revision int64    `json:"revision"`
 	Complete bool     `json:"complete"`
 	Members  []Member `json:"members"`
--- a/internal/core/pairs_test.go
+++ b/internal/core/pairs_test.go
@@ -10,25 +10,25 @@
 	"troutusher/decide"
 )
 
-// crossing is one thing that can happen to a relay. It happens by an event, which
+// pairCase is one thing that can happen to a relay. It happens by an event, which
 // can come in one step with another, or by what a driver does between two steps.
-type crossing struct {
+type pairCase struct {
 	name  string
-	event func(p *pairing) (Event, bool) // false where there is nothing that it could happen to
-	does  func(p *pairing) bool
+	event func(p *pairSimulation) (Event, bool) // false where there is nothing that it could happen to
+	does  func(p *pairSimulation) bool
 }
 
-// pairing is a world in which two of them meet.
-type pairing struct {
-	*world
-	book    *book
+// pairSimulation is a world in which two of them meet.
+type pairSimulation struct {
+	*simulation
+	book    *logModel
 	draw    *rand.Rand // what is drawn for the pair: the same in each order
 	stopped bool
 	next    int
 }
 
 // take draws one of the events that are to be told.
-func (p *pairing) take(kinds ...EventKind) (Event, bool) {
+func (p *pairSimulation) take(kinds ...EventKind) (Event, bool) {
 	var at []int
 	for i, e := range p.queue {
 		if slices.Contains(kinds, e.Kind) {
@@ -44,186 +44,188 @@
 	return e, true
 }
 
-// ended draws a call that is out and has it end in a way.
-func (p *pairing) ended(o Result) (Event, bool) {
-	e, ok := p.take(Finished, Unsent)
+// endAttempt draws a call that is out and has it end in a way.
+func (p *pairSimulation) endAttempt(o Result) (Event, bool) {
+	e, ok := p.take(AttemptFinished, AttemptNotLogged)
 	if ok {
-		e.Kind, e.Result = Finished, &o
+		e.Kind, e.Result = AttemptFinished, &o
 	}
 	return e, ok
 }
 
-// listed is a list of one endpoint in a phase.
-func (p *pairing) listed(phase string) (Event, bool) {
+// updateOneEndpoint is a list of one endpoint in a phase.
+func (p *pairSimulation) updateOneEndpoint(phase string) (Event, bool) {
 	for _, k := range p.draw.Perm(6) {
-		ep := p.core.byID[fmt.Sprint("s", k)]
+		ep := p.core.endpointsByID[fmt.Sprint("s", k)]
 		if ep == nil || !ep.listed {
 			continue
 		}
 		m := ep.member
 		m.Phase = phase
-		return Event{Kind: News, News: decide.ListDelta, List: &List{Members: []Member{m}}}, true
+		return Event{Kind: EndpointListUpdated, News: decide.ListDelta, List: &EndpointList{Members: []Member{m}}}, true
 	}
 	return Event{}, false
 }
 
-// tells books what an event means for the world before the core hears it.
-func (p *pairing) tells(e *Event) {
+// observe books what an event means for the world before the core hears it.
+func (p *pairSimulation) observe(e *Event) {
 	switch {
-	case e.Kind == Stop:
+	case e.Kind == ShutdownRequested:
 		p.stopped = true
 	case e.Call != nil:
-		p.out[e.Call.Rec.ID]--
-		delete(p.open, e.Call)
-		if e.Kind == Finished && !e.Result.What.NeverRan() && e.Result.What != decide.Delivered {
-			p.mayRun(e.Call.Rec)
+		p.openCallCount[e.Call.Record.ID]--
+		delete(p.openCalls, e.Call)
+		if e.Kind == AttemptFinished && !e.Result.Outcome.NeverRan() && e.Result.Outcome != decide.Delivered {
+			p.noteMayHaveRun(e.Call.Record)
 		}
 	}
 }
 
-// mayRun notes that an attempt may have run: an unsafe message is never sent again.
-func (p *pairing) mayRun(r *Record) {
+// noteMayHaveRun notes that an attempt may have run: an unsafe message is never sent again.
+func (p *pairSimulation) noteMayHaveRun(r *Record) {
 	if r.Class == "once" {
-		p.spent[r.ID] = true
+		p.mayHaveRunOnce[r.ID] = true
 	}
 }
 
 // restart kills the process and starts the next one on its log.
-func (p *pairing) restart() bool {
-	for c := range p.open {
-		p.mayRun(c.Rec)
+func (p *pairSimulation) restart() bool {
+	for c := range p.openCalls {
+		p.noteMayHaveRun(c.Record)
 	}
 	for i := range p.queue {
 		if e := &p.queue[i]; e.Call != nil {
-			p.mayRun(e.Call.Rec)
+			p.noteMayHaveRun(e.Call.Record)
 		}
 	}
-	p.queue, p.open, p.out, p.stopped = nil, map[*Call]bool{}, map[string]int{}, false
-	list := &List{Complete: true}
+	p.queue, p.openCalls, p.openCallCount, p.stopped = nil, map[*Call]bool{}, map[string]int{}, false
+	list := &EndpointList{Complete: true}
 	for _, ep := range p.core.endpoints {
 		if ep.listed {
 			list.Members = append(list.Members, ep.member)
 		}
 	}
-	next, err := New(p.core.set)
+	next, err := New(p.core.settings)
 	if err != nil {
 		p.failf("%v", err)
 	}
 	p.core = next
-	p.drained, p.cell = map[decide.EndpointID]bool{}, map[decide.EndpointID]int{}
-	p.carry(next.Book(p.now, []Event{{Kind: News, List: list, News: decide.ListCached}}, nil))
+	p.closedEndpoints, p.destOf = map[decide.EndpointID]bool{}, map[decide.EndpointID]int{}
+	p.execute(next.Observe(p.now, []Event{{Kind: EndpointListUpdated, List: list, News: decide.ListCached}}, nil))
 	var owed []*Record
 	for _, id := range p.book.order {
-		if r := p.book.live[id]; r != nil {
-			r.Settle()
-			p.heard[id] = true // from here on it is owed, whatever its client heard
+		if r := p.book.pending[id]; r != nil {
+			r.ResolveOpenAttempt()
+			p.acknowledged[id] = true // from here on it is owed, whatever its client heard
 			c := *r
 			owed = append(owed, &c)
 		}
 	}
-	fx := next.Restore(p.now, owed, nil, 0, nil)
+	fx := next.RecoverMessages(p.now, owed, nil, 0, nil)
 	p.book.written(fx, nil)
-	p.carry(fx)
+	p.execute(fx)
 	p.step(p.book, nil)
 	return true
 }
 
-// crossings are what can meet. Where a class of messages, a wait or an endpoint is
+// pairCases are what can meet. Where a class of messages, a wait or an endpoint is
 // drawn, it is drawn by the pair's own seed.
-func crossings() []crossing {
-	event := func(name string, f func(p *pairing) (Event, bool)) crossing { return crossing{name: name, event: f} }
-	does := func(name string, f func(p *pairing) bool) crossing { return crossing{name: name, does: f} }
-	outcome := func(name string, o Result) crossing {
-		return event(name, func(p *pairing) (Event, bool) { return p.ended(o) })
+func pairCases() []pairCase {
+	event := func(name string, f func(p *pairSimulation) (Event, bool)) pairCase {
+		return pairCase{name: name, event: f}
 	}
-	return []crossing{
-		event("a message comes", func(p *pairing) (Event, bool) {
+	does := func(name string, f func(p *pairSimulation) bool) pairCase { return pairCase{name: name, does: f} }
+	outcome := func(name string, o Result) pairCase {
+		return event(name, func(p *pairSimulation) (Event, bool) { return p.endAttempt(o) })
+	}
+	return []pairCase{
+		event("a message comes", func(p *pairSimulation) (Event, bool) {
 			p.next++
 			class := p.draw.IntN(3)
-			rec := &Record{Kind: Taken, ID: fmt.Sprint("pair", p.next), Class: []string{"plain", "keyed", "once"}[class], Key: "k", Dest: p.draw.IntN(3),
+			rec := &Record{Kind: RecordAccepted, ID: fmt.Sprint("pair", p.next), Class: []string{"plain", "keyed", "once"}[class], Key: "k", Dest: p.draw.IntN(3),
 				Deadline: p.core.wall(p.now + decide.Time(p.draw.IntN(3e6)))}
-			return Event{Kind: Put, Request: &Request{Rec: rec, Class: class}}, true
+			return Event{Kind: Submitted, Request: &Request{Record: rec, Class: class}}, true
 		}),
-		event("a client has its answer", func(p *pairing) (Event, bool) {
-			e, ok := p.take(Said)
+		event("a client has its answer", func(p *pairSimulation) (Event, bool) {
+			e, ok := p.take(ReplyDelivered)
 			if ok && !e.OK { // it has left: the other case
 				p.queue = append(p.queue, e)
 				return Event{}, false
 			}
 			return e, ok
 		}),
-		event("a client leaves before", func(p *pairing) (Event, bool) {
-			e, ok := p.take(Said)
+		event("a client leaves before", func(p *pairSimulation) (Event, bool) {
+			e, ok := p.take(ReplyDelivered)
 			if ok {
 				e.OK = false
-				delete(p.heard, e.Request.Rec.ID)
+				delete(p.acknowledged, e.Request.Record.ID)
 			}
 			return e, ok
 		}),
-		outcome("a call is delivered", Result{What: decide.Delivered, Status: 200, Settled: true, Took: 1000}),
-		outcome("a call is told to wait", Result{What: decide.Rejected, Status: 429, Wait: 400e3}),
-		outcome("a call times out", Result{What: decide.TimedOut, Took: 300e3}),
-		outcome("a call never leaves", Result{What: decide.NotSent}),
-		outcome("a call is over there", Result{What: decide.NotSent, Status: 410, Settled: true}),
-		event("a call cannot be logged", func(p *pairing) (Event, bool) {
-			e, ok := p.take(Finished, Unsent)
-			e.Kind, e.Result = Unsent, nil
+		outcome("a call is delivered", Result{Outcome: decide.Delivered, Status: 200, Final: true, Elapsed: 1000}),
+		outcome("a call is told to wait", Result{Outcome: decide.Rejected, Status: 429, RetryAfter: 400e3}),
+		outcome("a call times out", Result{Outcome: decide.TimedOut, Elapsed: 300e3}),
+		outcome("a call never leaves", Result{Outcome: decide.NotSent}),
+		outcome("a call is over there", Result{Outcome: decide.NotSent, Status: 410, Final: true}),
+		event("a call cannot be logged", func(p *pairSimulation) (Event, bool) {
+			e, ok := p.take(AttemptFinished, AttemptNotLogged)
+			e.Kind, e.Result = AttemptNotLogged, nil
 			return e, ok
 		}),
-		event("an endpoint drains", func(p *pairing) (Event, bool) { return p.listed(Draining) }),
-		event("an endpoint is removed", func(p *pairing) (Event, bool) { return p.listed(Removed) }),
-		event("an endpoint is up", func(p *pairing) (Event, bool) { return p.listed(Up) }),
-		event("the process is to end", func(p *pairing) (Event, bool) { return Event{Kind: Stop}, true }),
-		event("the list has been waited for", func(p *pairing) (Event, bool) { return Event{Kind: Begin}, true }),
-		does("a list is waited for", func(p *pairing) bool { p.core.Await(); return true }),
-		does("a hand-over comes to nothing", func(p *pairing) bool {
-			p.core.Cede()
-			p.ceded = true
+		event("an endpoint drains", func(p *pairSimulation) (Event, bool) { return p.updateOneEndpoint(Draining) }),
+		event("an endpoint is removed", func(p *pairSimulation) (Event, bool) { return p.updateOneEndpoint(Removed) }),
+		event("an endpoint is up", func(p *pairSimulation) (Event, bool) { return p.updateOneEndpoint(Up) }),
+		event("the process is to end", func(p *pairSimulation) (Event, bool) { return Event{Kind: ShutdownRequested}, true }),
+		event("the list has been waited for", func(p *pairSimulation) (Event, bool) { return Event{Kind: Started}, true }),
+		does("a list is waited for", func(p *pairSimulation) bool { p.core.DeferSends(); return true }),
+		does("a hand-over comes to nothing", func(p *pairSimulation) bool {
+			p.core.BeginHandover()
+			p.handingOver = true
 			for range 3 { // what was begun ends, and what comes is taken on
 				p.playFrom(1000+10*p.next, 3)
 				p.next++
 			}
-			p.ceded = false
-			fx := p.core.Thaw(p.now, nil)
+			p.handingOver = false
+			fx := p.core.ResumeSends(p.now, nil)
 			p.book.written(fx, nil)
-			p.carry(fx)
+			p.execute(fx)
 			return true
 		}),
-		does("the work is handed over", func(p *pairing) bool {
+		does("the work is handed over", func(p *pairSimulation) bool {
 			if p.stopped {
 				return false // the other process is not told to end
 			}
 			p.handOver(p.book, 777e6)
 			return true
 		}),
-		does("a message's time is up", func(p *pairing) bool {
+		does("a message's time is up", func(p *pairSimulation) bool {
 			for _, id := range p.book.order {
-				if r := p.book.live[id]; r != nil && r.Notice == "" && p.core.fromWall(r.Deadline) > p.now {
+				if r := p.book.pending[id]; r != nil && r.Notice == "" && p.core.fromWall(r.Deadline) > p.now {
 					p.now = p.core.fromWall(r.Deadline)
 					return true
 				}
 			}
 			return false
 		}),
-		does("the process is killed", (*pairing).restart),
+		does("the process is killed", (*pairSimulation).restart),
 	}
 }
 
-// happen has one of them happen by itself.
-func (p *pairing) happen(x *crossing) bool {
+// apply has one of them happen by itself.
+func (p *pairSimulation) apply(x *pairCase) bool {
 	if x.does != nil {
 		return x.does(p)
 	}
 	e, ok := x.event(p)
 	if ok {
-		p.tells(&e)
+		p.observe(&e)
 		p.step(p.book, []Event{e})
 	}
 	return ok
 }
 
-// together has two events come in one step.
-func (p *pairing) together(x, y *crossing) bool {
+// applyBoth has two events come in one step.
+func (p *pairSimulation) applyBoth(x, y *pairCase) bool {
 	if x.event == nil || y.event == nil {
 		return false
 	}
@@ -235,7 +237,7 @@
 		ok bool
 	}{{a, okA}, {b, okB}} {
 		if e.ok {
-			p.tells(&e.Event)
+			p.observe(&e.Event)
 			events = append(events, e.Event)
 		}
 	}
@@ -243,30 +245,30 @@
 	return okA && okB
 }
 
-// settle tells all that is to be told, and has time pass until all has ended; a
+// finishAll tells all that is to be told, and has time pass until all has ended; a
 // process that was to end is followed by its next one.
-func (p *pairing) settle() {
+func (p *pairSimulation) finishAll() {
 	for turn := 0; turn < 400; turn++ {
 		if p.now += 20e3; turn == 20 {
 			if p.stopped {
 				p.restart()
 			}
-			p.step(p.book, []Event{{Kind: Begin}})
+			p.step(p.book, []Event{{Kind: Started}})
 		}
 		events := p.queue
 		p.queue = nil
 		for i := range events {
-			p.tells(&events[i])
+			p.observe(&events[i])
 		}
 		p.step(p.book, events)
 	}
-	for id := range p.heard {
-		if r := p.book.live[id]; r != nil && r.Notice == "" {
+	for id := range p.acknowledged {
+		if r := p.book.pending[id]; r != nil && r.Notice == "" {
 			p.failf("%s has no end: %+v", id, r)
 		}
 	}
-	if c := p.core; c.Calls() != 0 || c.Held() != 0 || c.Waiting() != 0 {
-		p.failf("at the end %d calls, %d messages and %d requests are counted", c.Calls(), c.Held(), c.Waiting())
+	if c := p.core; c.OpenCalls() != 0 || c.HeldMessages() != 0 || c.UnansweredRequests() != 0 {
+		p.failf("at the end %d calls, %d messages and %d requests are counted", c.OpenCalls(), c.HeldMessages(), c.UnansweredRequests())
 	}
 }
 
@@ -274,31 +276,31 @@
 // and in one step: the log before the answer before the send, one attempt out for
 // each message, an unsafe one that may have run never again, nothing to who has
 // left, and one end for each.
-func TestPairsOfEvents(t *testing.T) {
-	all := crossings()
+func TestEventPairs(t *testing.T) {
+	all := pairCases()
 	met := map[string]int{}
 	for i := range all {
 		for j := range all[:i+1] {
 			x, y := &all[i], &all[j]
 			name := x.name + " / " + y.name
 			for seed := uint64(0); seed < 4 || met[name] < 3 && seed < 100; seed++ {
-				orders := map[string]func(p *pairing) bool{
-					"first, then second": func(p *pairing) bool { return p.happen(x) && p.happen(y) },
-					"second, then first": func(p *pairing) bool { return p.happen(y) && p.happen(x) },
-					"together":           func(p *pairing) bool { return p.together(x, y) },
+				orders := map[string]func(p *pairSimulation) bool{
+					"first, then second": func(p *pairSimulation) bool { return p.apply(x) && p.apply(y) },
+					"second, then first": func(p *pairSimulation) bool { return p.apply(y) && p.apply(x) },
+					"together":           func(p *pairSimulation) bool { return p.applyBoth(x, y) },
 				}
 				for _, order := range []string{"first, then second", "second, then first", "together"} {
-					w := newWorld(t, seed*1000+uint64(i*40+j))
-					w.spent = map[string]bool{}
-					p := &pairing{world: w, book: &book{live: map[string]*Record{}}, draw: rand.New(rand.NewPCG(seed, uint64(i*40+j)))}
-					w.log = p.book
+					w := newSimulation(t, seed*1000+uint64(i*40+j))
+					w.mayHaveRunOnce = map[string]bool{}
+					p := &pairSimulation{simulation: w, book: &logModel{pending: map[string]*Record{}}, draw: rand.New(rand.NewPCG(seed, uint64(i*40+j)))}
+					w.logModel = p.book
 					w.trace.WriteString(fmt.Sprintf("%s / %s, %s, seed %d\n", x.name, y.name, order, seed))
-					w.telling = p.tells
+					w.onEvent = p.observe
 					w.playFrom(0, 20+p.draw.IntN(30))
 					if orders[order](p) {
 						met[name]++
 					}
-					p.settle()
+					p.finishAll()
 				}
 			}
 		}
--- a/internal/core/rest_test.go
+++ b/internal/core/rest_test.go
@@ -11,11 +11,11 @@
 	"troutusher/internal/dormant"
 )
 
-// resting is a core like testCore's, whose destinations rest as soon as they may.
-func resting(t *testing.T, l dormant.Limits) *Core {
+// passivatingCore is a core like testCore's, whose destinations rest as soon as they may.
+func passivatingCore(t *testing.T, l dormant.Limits) *Core {
 	t.Helper()
-	set := testCore(t).set
-	set.Rest = l
+	set := testCore(t).settings
+	set.Passivation = l
 	r, err := New(set)
 	if err != nil {
 		t.Fatal(err)
@@ -27,17 +27,17 @@
 // send as ever; no byte inside a wait that was told before the rest, at who has
 // left in it, or at another destination; the same effects for the same events;
 // and the same across hand-overs, where each is taken along.
-func TestRestKeepsTheRules(t *testing.T) {
+func TestPassivationKeepsInvariants(t *testing.T) {
 	rested, sent, kept, woken := 0, 0, 0, 0
 	for seed := range uint64(150) {
-		play := func() *world {
-			w := newWorld(t, seed)
-			w.core = resting(t, dormant.Limits{Awake: 1, After: 10e6})
-			w.flavors, w.long = []string{"k", "r"}, 12
-			w.driver = newDriver(w)
-			w.driver.longer = 45e6
-			b := &book{live: map[string]*Record{}}
-			w.log = b
+		play := func() *simulation {
+			w := newSimulation(t, seed)
+			w.core = passivatingCore(t, dormant.Limits{Awake: 1, After: 10e6})
+			w.flavors, w.longStepOdds = []string{"k", "r"}, 12
+			w.driver = newCallDriver(w)
+			w.driver.extraWait = 45e6
+			b := &logModel{pending: map[string]*Record{}}
+			w.logModel = b
 			for turn := range 3 {
 				w.playFrom(turn*150, 150)
 				if turn == 2 {
@@ -45,11 +45,11 @@
 				}
 				var before [3]bool
 				for dest := range before {
-					before[dest] = w.core.knows(dest)
+					before[dest] = w.core.knowsDestination(dest)
 				}
 				w.handOverQuietly(b)
 				for dest := range before {
-					if w.core.knows(dest) != before[dest] {
+					if w.core.knowsDestination(dest) != before[dest] {
 						w.failf("destination %d was known: %v", dest, before[dest])
 					}
 				}
@@ -57,15 +57,15 @@
 			return w
 		}
 		w := play()
-		rested += w.rested
+		rested += w.passivated
 		sent += w.driver.sent
-		kept += w.driver.kept
-		if w.rested > 0 && seed%10 == 0 {
+		kept += w.driver.blocked
+		if w.passivated > 0 && seed%10 == 0 {
 			if a, b := w.trace.String(), play().trace.String(); a != b {
 				t.Fatalf("seed %d differs", seed)
 			}
 		}
-		woken += int(w.core.lastEnd) - 6
+		woken += int(w.core.lastEndpointNumber) - 6
 	}
 	if rested < 1500 || sent < 3000 || kept < 100 || woken < 1000 {
 		t.Errorf("too little was tried: %d put away, %d sent, %d kept back, %d endpoints anew", rested, sent, kept, woken)
@@ -74,46 +74,46 @@
 
 // handOverQuietly brings what is under way to rest first and hands over; what is
 // out whole goes on.
-func (w *world) handOverQuietly(b *book) (goesOn int) {
-	w.core.Cede()
+func (w *simulation) handOverQuietly(b *logModel) (goesOn int) {
+	w.core.BeginHandover()
 	for _, c := range slices.Clone(w.driver.calls) {
 		if c.step < 3 {
-			w.driver.end(c, &Result{What: decide.NotSent})
+			w.driver.finishCall(c, &Result{Outcome: decide.NotSent})
 		}
 	}
-	w.rest()
+	w.drainQueue()
 	shift := decide.Time(w.rng.Int64N(2e9)) - 1e9
-	d := newDriver(w)
-	for name, until := range w.driver.told {
-		d.told[name] = until + shift
+	d := newCallDriver(w)
+	for name, until := range w.driver.retryAfterOf {
+		d.retryAfterOf[name] = until + shift
 	}
-	d.sent, d.kept, d.longer, d.asked = w.driver.sent, w.driver.kept, w.driver.longer, w.driver.asked
+	d.sent, d.blocked, d.extraWait, d.tellingScopes = w.driver.sent, w.driver.blocked, w.driver.extraWait, w.driver.tellingScopes
 	w.driver = d
 	return w.handOver(b, shift)
 }
 
-// sends has one message be handed in, and tells when and where it was sent within
+// deliverOne has one message be handed in, and tells when and where it was sent within
 // a span; the call is answered by o.
-func sends(t *testing.T, r *Core, from, until decide.Time, id string, dest int, o *Result) (at decide.Time, ep decide.EndpointID, fx []Effect) {
+func deliverOne(t *testing.T, r *Core, from, until decide.Time, id string, dest int, o *Result) (at decide.Time, ep decide.EndpointID, fx []Effect) {
 	t.Helper()
-	rec := &Record{Kind: Taken, ID: id, Class: "plain", Dest: dest, Deadline: r.wall(until)}
-	events := []Event{{Kind: Put, Request: &Request{Class: 0, Tenant: -1, Rec: rec}}}
+	rec := &Record{Kind: RecordAccepted, ID: id, Class: "plain", Dest: dest, Deadline: r.wall(until)}
+	events := []Event{{Kind: Submitted, Request: &Request{Class: 0, Tenant: -1, Record: rec}}}
 	for now := from; now < until; now += 20e3 {
 		got := r.Step(now, events, nil)
 		fx, events = append(fx, got...), nil
 		for _, e := range got {
 			switch e.Kind {
-			case Answer:
+			case SendReply:
 				if !e.Reply.OK {
 					return 0, 0, fx
 				}
-			case LogThenAnswer:
-				events = append(events, Event{Kind: Said, Request: e.Request, OK: true})
-			case LogThenSend:
+			case AppendThenReply:
+				events = append(events, Event{Kind: ReplyDelivered, Request: e.Request, OK: true})
+			case AppendThenSend:
 				if at == 0 {
 					at, ep = now, e.Call.Endpoint
 				}
-				events = append(events, Event{Kind: Finished, Call: e.Call, Result: o})
+				events = append(events, Event{Kind: AttemptFinished, Call: e.Call, Result: o})
 			}
 		}
 		if at > 0 && len(events) == 0 {
@@ -123,28 +123,28 @@
 	return at, ep, fx
 }
 
-var delivered = &Result{What: decide.Delivered, Status: 200, Settled: true, Took: 1000}
+var deliveredResult = &Result{Outcome: decide.Delivered, Status: 200, Final: true, Elapsed: 1000}
 
-func member(i, dest int, flavor string) Member {
+func testMember(i, dest int, flavor string) Member {
 	return Member{ID: fmt.Sprintf("s-%d", i), HostPort: fmt.Sprintf("127.0.0.1:%d", 7000+i), Locality: "a", Flavor: flavor, Cell: dest, Phase: Up, Size: 40}
 }
 
-// twoWait is a core with destinations 1 to 3, routes apart at 2, of which 1 was told
+// coreWithTwoWaits is a core with destinations 1 to 3, routes apart at 2, of which 1 was told
 // a wait of 100 s and 2's only route one of 90 s a minute ago.
-func twoWait(t *testing.T) (*Core, decide.Time) {
+func coreWithTwoWaits(t *testing.T) (*Core, decide.Time) {
 	t.Helper()
-	r := resting(t, dormant.Limits{Awake: 1, After: 20e6})
+	r := passivatingCore(t, dormant.Limits{Awake: 1, After: 20e6})
 	now := decide.Time(3600e6)
-	r.Step(now, []Event{{Kind: News, News: decide.ListFull, List: &List{Complete: true, Members: []Member{member(3, 3, "k"), member(1, 1, "k"), member(2, 2, "r")}}}}, nil)
-	if n, _ := r.Resting(); n != 2 { // beyond the first, they begin asleep
+	r.Step(now, []Event{{Kind: EndpointListUpdated, News: decide.ListFull, List: &EndpointList{Complete: true, Members: []Member{testMember(3, 3, "k"), testMember(1, 1, "k"), testMember(2, 2, "r")}}}}, nil)
+	if n, _ := r.PassiveDestinations(); n != 2 { // beyond the first, they begin asleep
 		t.Fatalf("%d rest from the start", n)
 	}
-	sends(t, r, now, now+1e6, "a", 1, &Result{What: decide.Rejected, Status: 429, Wait: 100e6})
-	sends(t, r, now, now+1e6, "b", 2, &Result{What: decide.Rejected, Status: 429, Wait: 90e6})
+	deliverOne(t, r, now, now+1e6, "a", 1, &Result{Outcome: decide.Rejected, Status: 429, RetryAfter: 100e6})
+	deliverOne(t, r, now, now+1e6, "b", 2, &Result{Outcome: decide.Rejected, Status: 429, RetryAfter: 90e6})
 	for at := now + 2e6; at < now+60e6; at += 1e6 {
 		r.Step(at, nil, nil)
 	}
-	if !r.asleep(3) { // which nobody sent to
+	if !r.isPassive(3) { // which nobody sent to
 		t.Fatal("none rests")
 	}
 	return r, now
@@ -153,43 +153,43 @@
 // What was told to wait does not rest before the wait is over, and the wait holds:
 // whether its endpoints leave and come back, others join, or the relay is
 // restarted or upgraded. Then it rests.
-func TestWaitOutlastsRest(t *testing.T) {
+func TestRetryAfterOutlastsPassivation(t *testing.T) {
 	list := func(l ...Member) []Event {
-		return []Event{{Kind: News, News: decide.ListFull, List: &List{Complete: true, Members: l}}}
+		return []Event{{Kind: EndpointListUpdated, News: decide.ListFull, List: &EndpointList{Complete: true, Members: l}}}
 	}
 	for name, meanwhile := range map[string]func(r *Core, now decide.Time){
 		"nothing": func(*Core, decide.Time) {},
 		"all leave and come back": func(r *Core, now decide.Time) {
-			r.Step(now, list(member(3, 3, "k")), nil)
-			r.Step(now+1e6, list(member(2, 2, "r"), member(1, 1, "k"), member(3, 3, "k")), nil)
+			r.Step(now, list(testMember(3, 3, "k")), nil)
+			r.Step(now+1e6, list(testMember(2, 2, "r"), testMember(1, 1, "k"), testMember(3, 3, "k")), nil)
 		},
 		"one joins": func(r *Core, now decide.Time) {
-			r.Step(now, []Event{{Kind: News, News: decide.ListDelta, List: &List{Members: []Member{member(9, 1, "k")}}}}, nil)
+			r.Step(now, []Event{{Kind: EndpointListUpdated, News: decide.ListDelta, List: &EndpointList{Members: []Member{testMember(9, 1, "k")}}}}, nil)
 		},
 		"a restart": func(r *Core, now decide.Time) {
-			l := &Learned{}
-			again(t, r.Learn(now), l)
-			if !l.Partial || l.List().Complete {
+			l := &StateSnapshot{}
+			roundTrip(t, r.SnapshotState(now), l)
+			if !l.Partial || l.EndpointList().Complete {
 				t.Error("a list without those that rest is told to be whole")
 			}
-			next := resting(t, dormant.Limits{Awake: 1, After: 20e6})
-			next.Book(now, list(member(3, 3, "k"), member(2, 2, "r"), member(1, 1, "k")), nil)
-			next.Recall(now, l, 0, nil)
+			next := passivatingCore(t, dormant.Limits{Awake: 1, After: 20e6})
+			next.Observe(now, list(testMember(3, 3, "k"), testMember(2, 2, "r"), testMember(1, 1, "k")), nil)
+			next.RestoreState(now, l, 0, nil)
 			*r = *next
 		},
 		"an upgrade": func(r *Core, now decide.Time) {
-			c := &Carried{}
-			again(t, r.Carry(now), c)
-			next := resting(t, dormant.Limits{Awake: 1, After: 20e6})
-			next.Restore(now, nil, c, 0, nil)
+			c := &HandoverState{}
+			roundTrip(t, r.ExportHandover(now), c)
+			next := passivatingCore(t, dormant.Limits{Awake: 1, After: 20e6})
+			next.RecoverMessages(now, nil, c, 0, nil)
 			*r = *next
 		},
 	} {
-		r, began := twoWait(t)
+		r, began := coreWithTwoWaits(t)
 		meanwhile(r, began+62e6)
 		for _, dest := range []int{2, 1} { // the second's clock has come to the end of the first one's wait
 			end := began + map[int]decide.Time{1: 100e6, 2: 90e6}[dest]
-			at, _, _ := sends(t, r, began+65e6, began+120e6, fmt.Sprint("late", dest), dest, delivered)
+			at, _, _ := deliverOne(t, r, began+65e6, began+120e6, fmt.Sprint("late", dest), dest, deliveredResult)
 			if at < end || at > end+3e6 {
 				t.Errorf("%s: destination %d is sent to %.1f s after the end of its wait", name, dest, float64(at-end)/1e6)
 			}
@@ -197,14 +197,14 @@
 		for at := began + 130e6; at < began+200e6; at += 1e6 {
 			r.Step(at, nil, nil)
 		}
-		if n := r.rest.roster.Len(); n != 1 || len(r.waits) > 1 {
-			t.Errorf("%s: in the end %d are awake, %d waits are kept", name, n, len(r.waits))
+		if n := r.passivation.roster.Len(); n != 1 || len(r.retryAfter) > 1 {
+			t.Errorf("%s: in the end %d are awake, %d waits are kept", name, n, len(r.retryAfter))
 		}
 	}
 }
 
-// again takes a value through JSON, as it lies in files and comes to a new process.
-func again(t *testing.T, from, to any) {
+// roundTrip takes a value through JSON, as it lies in files and comes to a new process.
+func roundTrip(t *testing.T, from, to any) {
 	t.Helper()
 	text, err := json.Marshal(from)
 	if err == nil {
@@ -217,43 +217,43 @@
 
 // What rested under one id and address is what it was; elsewhere, or under another
 // id, nothing is inherited but the destination's own wait.
-func TestRestedElsewhereInheritsNothing(t *testing.T) {
-	r := resting(t, dormant.Limits{Awake: 1, After: 20e6})
+func TestMovedEndpointInheritsNothing(t *testing.T) {
+	r := passivatingCore(t, dormant.Limits{Awake: 1, After: 20e6})
 	now := decide.Time(3600e6)
-	r.Step(now, []Event{{Kind: News, News: decide.ListFull, List: &List{Complete: true, Members: []Member{member(9, 9, "k"), member(1, 1, "k"), member(2, 2, "k"), member(3, 3, "k")}}}}, nil)
+	r.Step(now, []Event{{Kind: EndpointListUpdated, News: decide.ListFull, List: &EndpointList{Complete: true, Members: []Member{testMember(9, 9, "k"), testMember(1, 1, "k"), testMember(2, 2, "k"), testMember(3, 3, "k")}}}}, nil)
 	for i := range 3 {
 		at := now + decide.Time(i)*3e6
-		sends(t, r, at, at+1e6, fmt.Sprint("a", i), 1+i, &Result{What: decide.ConnectFailed})
-		sends(t, r, at+2e6, at+3e6, fmt.Sprint("b", i), 1+i, &Result{What: decide.ConnectFailed})
+		deliverOne(t, r, at, at+1e6, fmt.Sprint("a", i), 1+i, &Result{Outcome: decide.ConnectFailed})
+		deliverOne(t, r, at+2e6, at+3e6, fmt.Sprint("b", i), 1+i, &Result{Outcome: decide.ConnectFailed})
 	}
 	for at := now + 10e6; at < now+60e6; at += 1e6 {
 		r.Step(at, nil, nil)
 		if at == now+30e6 {
-			sends(t, r, at, at+1e6, "c", 9, delivered)
+			deliverOne(t, r, at, at+1e6, "c", 9, deliveredResult)
 		}
 	}
-	if n, _ := r.Resting(); n < 3 || !r.asleep(1) || !r.asleep(2) || !r.asleep(3) {
+	if n, _ := r.PassiveDestinations(); n < 3 || !r.isPassive(1) || !r.isPassive(2) || !r.isPassive(3) {
 		t.Fatalf("%d rest", n)
 	}
 	// A restart knows of all three: they were out.
-	l := &Learned{}
-	again(t, r.Learn(now+60e6), l)
-	next := resting(t, dormant.Limits{Awake: 1, After: 20e6})
-	next.Book(now+60e6, []Event{{Kind: News, News: decide.ListFull, List: &List{Complete: true, Members: []Member{member(9, 9, "k"), member(1, 1, "k"), member(2, 2, "k"), member(3, 3, "k")}}}}, nil)
-	next.Recall(now+60e6, l, 0, nil)
-	if _, avoided := next.Cluster(); avoided != 3 {
+	l := &StateSnapshot{}
+	roundTrip(t, r.SnapshotState(now+60e6), l)
+	next := passivatingCore(t, dormant.Limits{Awake: 1, After: 20e6})
+	next.Observe(now+60e6, []Event{{Kind: EndpointListUpdated, News: decide.ListFull, List: &EndpointList{Complete: true, Members: []Member{testMember(9, 9, "k"), testMember(1, 1, "k"), testMember(2, 2, "k"), testMember(3, 3, "k")}}}}, nil)
+	next.RestoreState(now+60e6, l, 0, nil)
+	if _, avoided := next.ListedEndpoints(); avoided != 3 {
 		t.Errorf("after a restart %d are avoided", avoided)
 	}
-	moved, swapped := member(2, 2, "k"), member(8, 3, "k")
-	moved.HostPort, swapped.HostPort = "127.0.0.1:1", member(3, 3, "k").HostPort
-	gone := member(3, 3, "k")
+	moved, swapped := testMember(2, 2, "k"), testMember(8, 3, "k")
+	moved.HostPort, swapped.HostPort = "127.0.0.1:1", testMember(3, 3, "k").HostPort
+	gone := testMember(3, 3, "k")
 	gone.Phase = Removed
-	r.Step(now+60e6, []Event{{Kind: News, News: decide.ListDelta, List: &List{Members: []Member{moved, gone, swapped}}}}, nil)
+	r.Step(now+60e6, []Event{{Kind: EndpointListUpdated, News: decide.ListDelta, List: &EndpointList{Members: []Member{moved, gone, swapped}}}}, nil)
 	for dest, want := range map[int]bool{1: true, 2: false, 3: false} {
-		r.rouse(dest)
-		r.step()
+		r.activate(dest)
+		r.runPolicy()
 		for _, ep := range r.endpoints {
-			if ep.cell == dest && ep.listed && r.policy.Avoids(ep.num, r.now) != want {
+			if ep.dest == dest && ep.listed && r.policy.Avoids(ep.number, r.now) != want {
 				t.Errorf("destination %d: avoided %v, want %v", dest, !want, want)
 			}
 		}
@@ -262,60 +262,60 @@
 
 // A message that is owed wakes its destination; what the core alone was told to
 // wait keeps one awake.
-func TestOwedAndHeldAreAwake(t *testing.T) {
-	r := resting(t, dormant.Limits{Awake: 1, After: 20e6})
+func TestPendingDestinationsStayActive(t *testing.T) {
+	r := passivatingCore(t, dormant.Limits{Awake: 1, After: 20e6})
 	now := decide.Time(3600e6)
-	r.Book(now, []Event{{Kind: News, News: decide.ListFull, List: &List{Complete: true, Members: []Member{member(1, 1, "k"), member(2, 2, "k")}}}}, nil)
-	r.Restore(now, []*Record{{Kind: Taken, ID: "owed", Class: "plain", Dest: 2, Deadline: r.wall(now + 20e6)}}, nil, 0, nil)
+	r.Observe(now, []Event{{Kind: EndpointListUpdated, News: decide.ListFull, List: &EndpointList{Complete: true, Members: []Member{testMember(1, 1, "k"), testMember(2, 2, "k")}}}}, nil)
+	r.RecoverMessages(now, []*Record{{Kind: RecordAccepted, ID: "owed", Class: "plain", Dest: 2, Deadline: r.wall(now + 20e6)}}, nil, 0, nil)
 	sent := false
 	for at := now; at < now+2e6; at += 20e3 {
 		for _, e := range r.Step(at, nil, nil) {
-			sent = sent || e.Kind == LogThenSend && e.Call.Rec.ID == "owed"
+			sent = sent || e.Kind == AppendThenSend && e.Call.Record.ID == "owed"
 		}
 	}
 	if !sent {
 		t.Error("what is owed to one that rests is not sent")
 	}
-	r = resting(t, dormant.Limits{Awake: 1, After: 20e6})
-	r.Step(now, []Event{{Kind: News, News: decide.ListFull, List: &List{Complete: true, Members: []Member{member(1, 1, "k")}}}}, nil)
-	r.waits[1] = now + 100e6
-	sends(t, r, now+1e6, now+2e6, "m", 2, delivered) // nobody is there, and the other is the one that is awake
-	r.attend(3)
+	r = passivatingCore(t, dormant.Limits{Awake: 1, After: 20e6})
+	r.Step(now, []Event{{Kind: EndpointListUpdated, News: decide.ListFull, List: &EndpointList{Complete: true, Members: []Member{testMember(1, 1, "k")}}}}, nil)
+	r.retryAfter[1] = now + 100e6
+	deliverOne(t, r, now+1e6, now+2e6, "m", 2, deliveredResult) // nobody is there, and the other is the one that is awake
+	r.ensureActive(3)
 	for at := now + 2e6; at < now+90e6; at += 1e6 {
-		if r.Step(at, nil, nil); r.asleep(1) {
+		if r.Step(at, nil, nil); r.isPassive(1) {
 			t.Fatalf("it rests %d s before its wait is over", (now+100e6-at)/1e6)
 		}
 	}
-	for at := now + 90e6; at < now+200e6 && !r.asleep(1); at += 1e6 {
+	for at := now + 90e6; at < now+200e6 && !r.isPassive(1); at += 1e6 {
 		if r.Step(at, nil, nil); at == now+101e6 {
-			r.attend(3)
+			r.ensureActive(3)
 		}
 	}
-	if !r.asleep(1) || len(r.waits) > 0 {
+	if !r.isPassive(1) || len(r.retryAfter) > 0 {
 		t.Error("it never rests, or its wait is kept")
 	}
 }
 
 // Lists of any kind leave the same endpoints known, whoever rests: under each id
 // one, where the list last had it, draining or not.
-func TestListsReachWhoRests(t *testing.T) {
+func TestListUpdatesReachPassiveDestinations(t *testing.T) {
 	for seed := range uint64(40) {
 		rng := rand.New(rand.NewPCG(seed, 9))
-		r := resting(t, dormant.Limits{Awake: 5, After: 10e6})
+		r := passivatingCore(t, dormant.Limits{Awake: 5, After: 10e6})
 		if seed%2 == 0 {
-			r.pieces = 1 + rng.IntN(6) // and messages come between two of them
+			r.listBatchSize = 1 + rng.IntN(6) // and messages come between two of them
 		}
 		now := decide.Time(3600e6)
 		want := map[string]Member{}
 		for i := range 120 {
-			l := &List{}
+			l := &EndpointList{}
 			kind := decide.ListDelta
 			if whole := i == 0 || rng.IntN(6) == 0; whole {
 				kind, l.Complete = decide.ListFull, true
 			}
 			for range rng.IntN(40) {
 				k := rng.IntN(60)
-				m := member(k, (k+rng.IntN(8)/7)%30, "k")
+				m := testMember(k, (k+rng.IntN(8)/7)%30, "k")
 				m.Phase = []string{Up, Up, Up, Draining, Removed}[rng.IntN(5)]
 				if rng.IntN(10) == 0 {
 					m.HostPort = fmt.Sprintf("127.0.0.1:%d", 9000+k)
@@ -335,16 +335,16 @@
 				}
 			}
 			now += decide.Time(rng.IntN(15e6))
-			r.Step(now, []Event{{Kind: News, News: kind, List: l}}, nil)
+			r.Step(now, []Event{{Kind: EndpointListUpdated, News: kind, List: l}}, nil)
 			if rng.IntN(2) == 0 { // somebody wakes
-				sends(t, r, now, now+1e6, fmt.Sprint("m", i), rng.IntN(30), delivered)
+				deliverOne(t, r, now, now+1e6, fmt.Sprint("m", i), rng.IntN(30), deliveredResult)
 				now += 1e6
 			}
-			if r.pieces < 10 && rng.IntN(3) > 0 && i < 119 {
+			if r.listBatchSize < 10 && rng.IntN(3) > 0 && i < 119 {
 				continue // the next list comes before the rest of this one is booked
 			}
 			got := map[string]Member{}
-			for _, m := range r.Carry(now).Members {
+			for _, m := range r.ExportHandover(now).Members {
 				if _, twice := got[m.ID]; twice {
 					t.Fatalf("seed %d, list %d: %s is known twice", seed, i, m.ID)
 				}
@@ -358,11 +358,11 @@
 				if up++; got[id] != m {
 					t.Fatalf("seed %d, list %d: %s is %+v, want %+v", seed, i, id, got[id], m)
 				}
-				if ep := r.byID[id]; ep != nil && r.asleep(ep.cell) {
-					t.Fatalf("seed %d, list %d: %s is awake, and its destination %d rests %+v", seed, i, id, ep.cell, ep)
+				if ep := r.endpointsByID[id]; ep != nil && r.isPassive(ep.dest) {
+					t.Fatalf("seed %d, list %d: %s is awake, and its destination %d rests %+v", seed, i, id, ep.dest, ep)
 				}
 			}
-			if listed, _ := r.Cluster(); len(got) != up || listed != up {
+			if listed, _ := r.ListedEndpoints(); len(got) != up || listed != up {
 				t.Fatalf("seed %d, list %d: %d known and %d listed, want %d", seed, i, len(got), listed, up)
 			}
 		}
@@ -371,63 +371,63 @@
 
 // Of a long list what concerns who is awake is booked at once, however late it
 // stands there; who wakes while the rest is booked, and is not named, has left.
-func TestLongListInPieces(t *testing.T) {
-	r := resting(t, dormant.Limits{Awake: 2, After: 10e6})
+func TestLongListInBatches(t *testing.T) {
+	r := passivatingCore(t, dormant.Limits{Awake: 2, After: 10e6})
 	now := decide.Time(3600e6)
 	var all []Member
 	for i := range 60 {
-		all = append(all, member(i, i, "k"))
+		all = append(all, testMember(i, i, "k"))
 	}
-	r.Step(now, []Event{{Kind: News, News: decide.ListFull, List: &List{Complete: true, Members: all}}}, nil)
-	r.pieces = 1
+	r.Step(now, []Event{{Kind: EndpointListUpdated, News: decide.ListFull, List: &EndpointList{Complete: true, Members: all}}}, nil)
+	r.listBatchSize = 1
 	gone, drains := all[0], all[1]
 	gone.Phase, drains.Phase = Removed, Draining
-	l := &List{Members: append(slices.Clone(all[2:]), gone, drains)}
-	r.Step(now, []Event{{Kind: News, News: decide.ListDelta, List: l}}, nil)
+	l := &EndpointList{Members: append(slices.Clone(all[2:]), gone, drains)}
+	r.Step(now, []Event{{Kind: EndpointListUpdated, News: decide.ListDelta, List: l}}, nil)
 	for _, id := range []string{"s-0", "s-1"} {
-		if ep := r.byID[id]; !ep.gone {
+		if ep := r.endpointsByID[id]; !ep.retired {
 			t.Errorf("%s is not gone after the first piece", id)
 		}
 	}
-	r.bookAll()
-	l = &List{Complete: true, Members: slices.Clone(all[:50])} // 55 has left
-	fx := r.Step(now, []Event{{Kind: News, News: decide.ListFull, List: l}}, nil)
-	if r.booking == nil || !slices.ContainsFunc(fx, func(e Effect) bool { return e.Kind == Again }) {
+	r.finishListUpdate()
+	l = &EndpointList{Complete: true, Members: slices.Clone(all[:50])} // 55 has left
+	fx := r.Step(now, []Event{{Kind: EndpointListUpdated, News: decide.ListFull, List: l}}, nil)
+	if r.listUpdate == nil || !slices.ContainsFunc(fx, func(e Effect) bool { return e.Kind == StepAgain }) {
 		t.Fatal("it is booked whole, or nobody steps for the rest")
 	}
-	r.rouse(55)
+	r.activate(55)
 	for _, dest := range []int{45, 46, 47} { // so that the first ones could be put away meanwhile
-		r.rouse(dest)
+		r.activate(dest)
 	}
-	for at := now; r.booking != nil; at += 1e6 {
+	for at := now; r.listUpdate != nil; at += 1e6 {
 		r.Step(at, nil, nil)
 	}
-	r.step()
+	r.runPolicy()
 	for id, want := range map[string]bool{"s-55": false, "s-45": true} {
-		if ep := r.byID[id]; (ep != nil && ep.listed || ep == nil && r.asleep(45)) != want {
+		if ep := r.endpointsByID[id]; (ep != nil && ep.listed || ep == nil && r.isPassive(45)) != want {
 			t.Errorf("%s is listed: %v", id, !want)
 		}
 	}
-	if listed, _ := r.Cluster(); listed != 50 {
+	if listed, _ := r.ListedEndpoints(); listed != 50 {
 		t.Errorf("%d are listed, want 50", listed)
 	}
 }
 
 // A destination whose endpoints have all left while it rested is known for half an
 // hour, and then forgotten; nothing of it is left.
-func TestDepartedIsForgotten(t *testing.T) {
-	r := resting(t, dormant.Limits{Awake: 1, After: 20e6})
+func TestForgetsDepartedDestinations(t *testing.T) {
+	r := passivatingCore(t, dormant.Limits{Awake: 1, After: 20e6})
 	now := decide.Time(3600e6)
 	var all []Member
 	for i := range 200 {
-		all = append(all, member(i, i, "k"))
+		all = append(all, testMember(i, i, "k"))
 	}
-	r.Step(now, []Event{{Kind: News, News: decide.ListFull, List: &List{Complete: true, Members: all}}}, nil)
-	r.Step(now, []Event{{Kind: News, News: decide.ListFull, List: &List{Complete: true, Members: all[:2]}}}, nil)
+	r.Step(now, []Event{{Kind: EndpointListUpdated, News: decide.ListFull, List: &EndpointList{Complete: true, Members: all}}}, nil)
+	r.Step(now, []Event{{Kind: EndpointListUpdated, News: decide.ListFull, List: &EndpointList{Complete: true, Members: all[:2]}}}, nil)
 	taken := func(at decide.Time, id string, dest int) bool {
-		q := &Request{Tenant: -1, Rec: &Record{ID: id, Class: "plain", Dest: dest, Deadline: r.wall(at + 20e6)}}
-		for _, e := range r.Step(at, []Event{{Kind: Put, Request: q}}, nil) {
-			if e.Kind == Answer && e.Request == q {
+		q := &Request{Tenant: -1, Record: &Record{ID: id, Class: "plain", Dest: dest, Deadline: r.wall(at + 20e6)}}
+		for _, e := range r.Step(at, []Event{{Kind: Submitted, Request: q}}, nil) {
+			if e.Kind == SendReply && e.Request == q {
 				return false
 			}
 		}
@@ -437,13 +437,13 @@
 		t.Error("refused at once")
 	}
 	for at := now + 1e6; at < now+1900e6; at += 10e6 {
-		r.Step(at, []Event{{Kind: News, News: decide.ListDelta, List: &List{}}}, nil)
+		r.Step(at, []Event{{Kind: EndpointListUpdated, News: decide.ListDelta, List: &EndpointList{}}}, nil)
 	}
 	if taken(now+1900e6, "late", 151) {
 		t.Error("known for good")
 	}
-	if n, _ := r.Resting(); n > 3 || len(r.named) > 3 || len(r.rest.departed) > 3 {
-		t.Errorf("%d rest, %d are named, %d wait to be forgotten", n, len(r.named), len(r.rest.departed))
+	if n, _ := r.PassiveDestinations(); n > 3 || len(r.knownDestinations) > 3 || len(r.passivation.departed) > 3 {
+		t.Errorf("%d rest, %d are named, %d wait to be forgotten", n, len(r.knownDestinations), len(r.passivation.departed))
 	}
 }
 
@@ -466,7 +466,7 @@
 }
 
 // Moments, waits and health come back as they were; a wait is never shorter.
-func TestPackedIsUnpacked(t *testing.T) {
+func TestPackUnpackRoundTrip(t *testing.T) {
 	m := &decide.Snapshot{Now: 5e9, Limiters: []decide.LimiterSnapshot{{Destination: 3, Window: 1, RateMultiplier: 1, ReportedRate: 12.5, ReducedRate: 0.25, ReducedAt: 4e9 + 1,
 		Latency: decide.LatencySnapshot{Mean: 1500, Deviation: 20, Count: 7},
 		Endpoints: []decide.EndpointSnapshot{{ID: 11, Unhealthy: true, LastFailureSilent: true, FirstFailureAt: 4e9, LastFailureAt: 5e9, RecoveredAt: 4e9 + 5, RecoverySentAt: 4e9 + 3, LastSuccessAt: 1, BackoffUntil: 5e9 + 7,
--- a/internal/core/restarts.go
+++ b/internal/core/restarts.go
@@ -12,62 +12,62 @@
 // or the proof that it needs is not there. How each start's ended is counted here,
 // in the tally, by what it was found with: sums over all relays add up.
 
-// foundAs is how a message came into this process.
-type foundAs uint8
+// recoveryState is how a message came into this process.
+type recoveryState uint8
 
 const (
-	fresh   foundAs = iota // handed in here
-	resumed                // taken up, with attempts behind it
-	untried                // taken up, and no attempt of it was ever logged
-	spoken                 // untried, and a call of it has gone out since
+	notRecovered       recoveryState = iota // handed in here
+	recoveredTried                          // taken up, with attempts behind it
+	recoveredUntried                        // taken up, and no attempt of it was ever logged
+	recoveredThenTried                      // untried, and a call of it has gone out since
 )
 
-// found books what a start has taken up.
-func (r *Core) found(m *message) {
-	if m.found = resumed; m.rec.Tries > 0 {
+// classifyRecovered books what a start has taken up.
+func (r *Core) classifyRecovered(m *message) {
+	if m.recoveryState = recoveredTried; m.record.Attempts > 0 {
 		return
 	}
-	m.found = untried
-	r.tally.Add(m.rec.Dest, tally.Untried, 1)
+	m.recoveryState = recoveredUntried
+	r.metrics.Add(m.record.Dest, tally.RecoveredUntried, 1)
 	switch {
-	case r.fromWall(m.rec.Deadline) <= r.now:
-		r.tally.Add(m.rec.Dest, tally.UntriedOver, 1)
-	case !r.listed(m.rec.Dest):
-		r.tally.Add(m.rec.Dest, tally.UntriedNowhere, 1)
+	case r.fromWall(m.record.Deadline) <= r.now:
+		r.metrics.Add(m.record.Dest, tally.UntriedExpired, 1)
+	case !r.hasUsableEndpoint(m.record.Dest):
+		r.metrics.Add(m.record.Dest, tally.UntriedUnroutable, 1)
 	}
 }
 
-// listed reports whether the list holds an endpoint of a destination to which
+// hasUsableEndpoint reports whether the list holds an endpoint of a destination to which
 // something new may go.
-func (r *Core) listed(dest int) bool {
+func (r *Core) hasUsableEndpoint(dest int) bool {
 	for _, ep := range r.endpoints {
-		if ep.cell == dest && ep.listed && !ep.gone {
+		if ep.dest == dest && ep.listed && !ep.retired {
 			return true
 		}
 	}
 	return false
 }
 
-// called books that an attempt has ended. One that never left is none.
-func (r *Core) called(m *message, o decide.Outcome) {
-	if m.found == untried && o != decide.NotSent {
-		m.found = spoken
-		r.tally.Add(m.rec.Dest, tally.UntriedTried, 1)
+// countRecoveredAttempt books that an attempt has ended. One that never left is none.
+func (r *Core) countRecoveredAttempt(m *message, o decide.Outcome) {
+	if m.recoveryState == recoveredUntried && o != decide.NotSent {
+		m.recoveryState = recoveredThenTried
+		r.metrics.Add(m.record.Dest, tally.UntriedAttempted, 1)
 	}
-	if m.found == spoken && o == decide.Delivered {
-		r.tally.Add(m.rec.Dest, tally.UntriedDelivered, 1)
+	if m.recoveryState == recoveredThenTried && o == decide.Delivered {
+		r.metrics.Add(m.record.Dest, tally.UntriedDelivered, 1)
 	}
 }
 
-// uncalled books an end with no call. One whose call is out, and is being called
+// countRecoveredUnsent books an end with no call. One whose call is out, and is being called
 // off, had one.
-func (r *Core) uncalled(m *message, word, why string) {
-	if m.found != untried || m.call != nil {
+func (r *Core) countRecoveredUnsent(m *message, word, why string) {
+	if m.recoveryState != recoveredUntried || m.call != nil {
 		return
 	}
-	what := tally.UntriedBack
-	if word == GivenUp {
-		what = tally.UntriedGivenUp
+	what := tally.UntriedHandedBackPrefix
+	if word == NoticeGivenUp {
+		what = tally.UntriedGivenUpPrefix
 	}
-	r.tally.Add(m.rec.Dest, what+why, 1)
+	r.metrics.Add(m.record.Dest, what+why, 1)
 }
--- a/internal/core/restarts_test.go
+++ b/internal/core/restarts_test.go
@@ -9,10 +9,10 @@
 	"troutusher/internal/tally"
 )
 
-// counted adds up the tally lines of effects, by name.
-func counted(sum map[string]int64, fx []Effect) {
+// addCounts adds up the tally lines of effects, by name.
+func addCounts(sum map[string]int64, fx []Effect) {
 	for i := range fx {
-		if fx[i].Kind == Tell && fx[i].Text == tally.Line {
+		if fx[i].Kind == Log && fx[i].Text == tally.LogText {
 			for _, a := range fx[i].Args {
 				group, ok := a.(interface{ String() string })
 				if !ok {
@@ -37,47 +37,47 @@
 // The invariant of restarts: what a start finds untried, with time left and an
 // endpoint in the list, is not ended in the step that takes it up, and is called.
 // What it finds is counted once by how it was found and once by what became of it.
-func TestUntriedAreTried(t *testing.T) {
+func TestRecoveredUntriedAreAttempted(t *testing.T) {
 	r := testCore(t)
 	now := decide.Time(3600e6)
-	left := func(us int64) int64 { return r.set.Epoch + now + us }
+	left := func(us int64) int64 { return r.settings.Epoch + now + us }
 	up := Member{ID: "s-1", HostPort: "127.0.0.1:7001", Cell: 1, Phase: Up, Size: 1000, Flavor: "k", Locality: "a"}
 	full, never := up, up
 	full.ID, full.HostPort, full.Cell = "s-2", "127.0.0.1:7002", 2
 	never.ID, never.HostPort, never.Cell = "s-3", "127.0.0.1:7003", 3
 	var owed []*Record
 	for i := range 8 {
-		owed = append(owed, &Record{Kind: Taken, ID: fmt.Sprintf("m%d", i), Class: []string{"plain", "keyed", "once"}[i%3], Tenant: "acme", Key: "k", Dest: 1, Deadline: left(10e6)})
+		owed = append(owed, &Record{Kind: RecordAccepted, ID: fmt.Sprintf("m%d", i), Class: []string{"plain", "keyed", "once"}[i%3], Tenant: "acme", Key: "k", Dest: 1, Deadline: left(10e6)})
 	}
-	owed = append(owed, &Record{Kind: Taken, ID: "tried", Class: "plain", Dest: 1, Deadline: left(10e6), Tries: 1},
-		&Record{Kind: Taken, ID: "over", Class: "plain", Dest: 1, Deadline: left(-1e3)},
-		&Record{Kind: Taken, ID: "nowhere", Class: "plain", Dest: 9, Deadline: left(300e3)},
-		&Record{Kind: Taken, ID: "unknown", Class: "gone", Dest: 1, Deadline: left(10e6)},
-		&Record{Kind: Taken, ID: "full", Class: "plain", Dest: 2, Deadline: left(300e3)},
-		&Record{Kind: Taken, ID: "never", Class: "plain", Dest: 3, Deadline: left(300e3)},
-		&Record{Kind: Taken, ID: "ended", Class: "plain", Dest: 1, Deadline: left(10e6), Notice: HandedBack})
-	fx := r.Book(now, []Event{{Kind: News, News: decide.ListCached, List: &List{Complete: true, Members: []Member{up, full, never}}}}, nil)
-	fx = r.Restore(now, owed, nil, 0, fx)
+	owed = append(owed, &Record{Kind: RecordAccepted, ID: "tried", Class: "plain", Dest: 1, Deadline: left(10e6), Attempts: 1},
+		&Record{Kind: RecordAccepted, ID: "over", Class: "plain", Dest: 1, Deadline: left(-1e3)},
+		&Record{Kind: RecordAccepted, ID: "nowhere", Class: "plain", Dest: 9, Deadline: left(300e3)},
+		&Record{Kind: RecordAccepted, ID: "unknown", Class: "gone", Dest: 1, Deadline: left(10e6)},
+		&Record{Kind: RecordAccepted, ID: "full", Class: "plain", Dest: 2, Deadline: left(300e3)},
+		&Record{Kind: RecordAccepted, ID: "never", Class: "plain", Dest: 3, Deadline: left(300e3)},
+		&Record{Kind: RecordAccepted, ID: "ended", Class: "plain", Dest: 1, Deadline: left(10e6), Notice: NoticeHandedBack})
+	fx := r.Observe(now, []Event{{Kind: EndpointListUpdated, News: decide.ListCached, List: &EndpointList{Complete: true, Members: []Member{up, full, never}}}}, nil)
+	fx = r.RecoverMessages(now, owed, nil, 0, fx)
 	sum := map[string]int64{}
 	called, ends := map[string]bool{}, map[string]string{}
 	var events []Event
 	for step := 0; step < 2000; step++ {
 		fx = r.Step(now, events, fx)
-		counted(sum, fx)
+		addCounts(sum, fx)
 		events = nil
 		for i := range fx {
 			switch e := &fx[i]; e.Kind {
-			case LogThenSend:
-				called[e.Call.Rec.ID] = true
-				o := &Result{What: decide.Delivered, Settled: true, Status: 200, Took: 1000}
-				switch e.Call.Rec.Dest {
+			case AppendThenSend:
+				called[e.Call.Record.ID] = true
+				o := &Result{Outcome: decide.Delivered, Final: true, Status: 200, Elapsed: 1000}
+				switch e.Call.Record.Dest {
 				case 2:
-					o = &Result{What: decide.Rejected, Status: 503}
+					o = &Result{Outcome: decide.Rejected, Status: 503}
 				case 3:
-					o = &Result{What: decide.NotSent}
+					o = &Result{Outcome: decide.NotSent}
 				}
-				events = append(events, Event{Kind: Finished, Call: e.Call, Result: o})
-			case LogThenNotice:
+				events = append(events, Event{Kind: AttemptFinished, Call: e.Call, Result: o})
+			case AppendThenNotify:
 				ends[e.Notice.Message] = e.Notice.Outcome
 				if step == 0 && strings.HasPrefix(e.Notice.Message, "m") {
 					t.Errorf("%s is ended in the step that takes it up", e.Notice.Message)
@@ -92,9 +92,9 @@
 			t.Errorf("%s: called %v, ended %q", id, called[id], ends[id])
 		}
 	}
-	want := map[string]int64{tally.Resumed: 13, tally.Untried: 13, tally.UntriedOver: 1, tally.UntriedNowhere: 1, tally.UntriedTried: 9, tally.UntriedDelivered: 8,
-		tally.UntriedBack + "time": 3, tally.UntriedGivenUp + "unknown": 1}
-	sum[tally.UntriedBack+"time"] += sum[tally.UntriedBack+"attempts"] // the one that never leaves, by either
+	want := map[string]int64{tally.Recovered: 13, tally.RecoveredUntried: 13, tally.UntriedExpired: 1, tally.UntriedUnroutable: 1, tally.UntriedAttempted: 9, tally.UntriedDelivered: 8,
+		tally.UntriedHandedBackPrefix + "time": 3, tally.UntriedGivenUpPrefix + "unknown": 1}
+	sum[tally.UntriedHandedBackPrefix+"time"] += sum[tally.UntriedHandedBackPrefix+"attempts"] // the one that never leaves, by either
 	for name, n := range want {
 		if sum[name] != n {
 			t.Errorf("%s: %d, want %d (%v)", name, sum[name], n, sum)
@@ -105,17 +105,17 @@
 // An attempt that was put off while the list was waited for, and whose time was over
 // as it could go, uses up none; so is one that was logged and never left, here and
 // for the next process. One that its endpoint turned away does.
-func TestAttemptsThatNeverLeft(t *testing.T) {
+func TestAttemptsNeverSent(t *testing.T) {
 	for _, status := range []int{0, 503} {
-		rec := &Record{Kind: Taken, ID: "m"}
-		rec.Fold(&Record{Kind: Attempt, At: 7})
-		o := Result{What: decide.NotSent, Status: status}
-		rec.Fold(&Record{Kind: Outcome, Void: o.never()})
-		if want := min(status, 1); rec.Tries != want || rec.Doubt != 0 || rec.Out != 0 {
+		rec := &Record{Kind: RecordAccepted, ID: "m"}
+		rec.Apply(&Record{Kind: RecordAttempt, At: 7})
+		o := Result{Outcome: decide.NotSent, Status: status}
+		rec.Apply(&Record{Kind: RecordOutcome, NotCounted: o.neverLeft()})
+		if want := min(status, 1); rec.Attempts != want || rec.FirstUncertainAt != 0 || rec.OpenAttemptAt != 0 {
 			t.Errorf("status %d: %+v", status, rec)
 		}
 	}
-	set := settings()
+	set := testSettings()
 	set.Policy.MaxAttempts = 1
 	set.Policy.Classes[0].LatencyObjective = 100e3
 	r, err := New(set)
@@ -124,23 +124,23 @@
 	}
 	now := decide.Time(3600e6)
 	up := Member{ID: "s-1", HostPort: "127.0.0.1:7001", Cell: 1, Phase: Up, Size: 1000, Flavor: "k", Locality: "a"}
-	r.Book(now, []Event{{Kind: News, News: decide.ListCached, List: &List{Complete: true, Members: []Member{up}}}}, nil)
-	r.Await()
-	r.Restore(now, []*Record{{Kind: Taken, ID: "m", Class: "plain", Dest: 1, Deadline: set.Epoch + now + 5e6}}, nil, 0, nil)
+	r.Observe(now, []Event{{Kind: EndpointListUpdated, News: decide.ListCached, List: &EndpointList{Complete: true, Members: []Member{up}}}}, nil)
+	r.DeferSends()
+	r.RecoverMessages(now, []*Record{{Kind: RecordAccepted, ID: "m", Class: "plain", Dest: 1, Deadline: set.Epoch + now + 5e6}}, nil, 0, nil)
 	sends := 0
 	events := []Event(nil)
 	for step := 0; step < 400; step++ {
 		if step == 60 { // long after what the attempt was given
-			events = append(events, Event{Kind: Begin})
+			events = append(events, Event{Kind: Started})
 		}
 		fx := r.Step(now, events, nil)
 		events = nil
 		for i := range fx {
 			switch fx[i].Kind {
-			case LogThenSend:
+			case AppendThenSend:
 				sends++
-				events = append(events, Event{Kind: Finished, Call: fx[i].Call, Result: &Result{What: decide.Delivered, Settled: true, Status: 200}})
-			case LogThenNotice:
+				events = append(events, Event{Kind: AttemptFinished, Call: fx[i].Call, Result: &Result{Outcome: decide.Delivered, Final: true, Status: 200}})
+			case AppendThenNotify:
 				t.Fatalf("ended at step %d: %+v", step, fx[i].Notice)
 			}
 		}
--- a/internal/core/rested.go
+++ b/internal/core/rested.go
@@ -13,39 +13,39 @@
 // What was learned of a destination that rests, as CBOR (RFC 8949) with numbers
 // for keys: about 40 bytes where only latencies are known. Moments count from
 // Now. No wait is among it: what was told one is awake until it is over.
-type rested struct {
-	Now   int64        `cbor:"1,keyasint"`
-	Lanes []restedLane `cbor:"2,keyasint,omitempty"`
+type packedMemory struct {
+	Now    int64         `cbor:"1,keyasint"`
+	Routes []packedRoute `cbor:"2,keyasint,omitempty"`
 }
 
-type restedLane struct {
-	Ends    []restedEnd `cbor:"1,keyasint,omitempty"`
-	Nominal float32     `cbor:"3,keyasint,omitempty"`
-	Limit   float32     `cbor:"4,keyasint,omitempty"`
-	Cut     float32     `cbor:"5,keyasint,omitempty"`
-	CutAt   int64       `cbor:"6,keyasint,omitempty"`
-	Lat     *restedLat  `cbor:"7,keyasint,omitempty"`
+type packedRoute struct {
+	Endpoints     []packedEndpoint `cbor:"1,keyasint,omitempty"`
+	Nominal       float32          `cbor:"3,keyasint,omitempty"`
+	Limit         float32          `cbor:"4,keyasint,omitempty"`
+	ReducedRate   float32          `cbor:"5,keyasint,omitempty"`
+	RateReducedAt int64            `cbor:"6,keyasint,omitempty"`
+	Latency       *packedLatency   `cbor:"7,keyasint,omitempty"`
 }
 
-type restedEnd struct {
-	ID       uint32     `cbor:"1,keyasint"` // of its id and its address: elsewhere it is another
-	Sick     bool       `cbor:"2,keyasint,omitempty"`
-	Mute     bool       `cbor:"3,keyasint,omitempty"`
-	FirstBad int64      `cbor:"4,keyasint,omitempty"`
-	BadAt    int64      `cbor:"5,keyasint,omitempty"`
-	GoodAt   int64      `cbor:"6,keyasint,omitempty"`
-	GoodSent int64      `cbor:"7,keyasint,omitempty"`
-	OkAt     int64      `cbor:"8,keyasint,omitempty"`
-	Rest     int64      `cbor:"9,keyasint,omitempty"`
-	Score    float32    `cbor:"10,keyasint,omitempty"`
-	BudgetAt int64      `cbor:"11,keyasint,omitempty"`
-	Budget   float32    `cbor:"12,keyasint,omitempty"`
-	Used     bool       `cbor:"13,keyasint,omitempty"`
-	Need     float32    `cbor:"14,keyasint,omitempty"`
-	Lat      *restedLat `cbor:"15,keyasint,omitempty"`
+type packedEndpoint struct {
+	ID                uint32         `cbor:"1,keyasint"` // of its id and its address: elsewhere it is another
+	Ejected           bool           `cbor:"2,keyasint,omitempty"`
+	LastFailureSilent bool           `cbor:"3,keyasint,omitempty"`
+	FirstFailureAt    int64          `cbor:"4,keyasint,omitempty"`
+	LastFailureAt     int64          `cbor:"5,keyasint,omitempty"`
+	RecoveredAt       int64          `cbor:"6,keyasint,omitempty"`
+	GoodSent          int64          `cbor:"7,keyasint,omitempty"`
+	LastSuccessAt     int64          `cbor:"8,keyasint,omitempty"`
+	EjectedUntil      int64          `cbor:"9,keyasint,omitempty"`
+	Score             float32        `cbor:"10,keyasint,omitempty"`
+	BudgetAt          int64          `cbor:"11,keyasint,omitempty"`
+	Budget            float32        `cbor:"12,keyasint,omitempty"`
+	Used              bool           `cbor:"13,keyasint,omitempty"`
+	RequiredTokens    float32        `cbor:"14,keyasint,omitempty"`
+	Latency           *packedLatency `cbor:"15,keyasint,omitempty"`
 }
 
-type restedLat struct {
+type packedLatency struct {
 	_    struct{} `cbor:",toarray"`
 	Mean uint32   // µs
 	Dev  uint32
@@ -53,8 +53,8 @@
 }
 
 var (
-	restedForm = must(cbor.EncOptions{ShortestFloat: cbor.ShortestFloat16}.EncMode())
-	readForm   = must(cbor.DecOptions{MaxNestedLevels: 8, IndefLength: cbor.IndefLengthForbidden}.DecMode())
+	packedEncoding = must(cbor.EncOptions{ShortestFloat: cbor.ShortestFloat16}.EncMode())
+	packedDecoding = must(cbor.DecOptions{MaxNestedLevels: 8, IndefLength: cbor.IndefLengthForbidden}.DecMode())
 )
 
 func must[T any](v T, err error) T {
@@ -64,8 +64,8 @@
 	return v
 }
 
-// endpointMark stands for an endpoint at its address.
-func endpointMark(id, hostPort string) uint32 {
+// endpointHash stands for an endpoint at its address.
+func endpointHash(id, hostPort string) uint32 {
 	h := xxhash.New()
 	h.WriteString(id)
 	h.Write([]byte{0})
@@ -74,8 +74,8 @@
 	return uint32(sum) ^ uint32(sum>>32)
 }
 
-// from tells a moment by its distance; 0 stays none. A distance of 0 is a µs later.
-func from(now, t decide.Time) int64 {
+// encodeMoment tells a moment by its distance; 0 stays none. A distance of 0 is a µs later.
+func encodeMoment(now, t decide.Time) int64 {
 	switch t {
 	case 0:
 		return 0
@@ -85,22 +85,22 @@
 	return t - now
 }
 
-func at(now decide.Time, d int64) decide.Time {
+func decodeMoment(now decide.Time, d int64) decide.Time {
 	if d == 0 {
 		return 0
 	}
 	return max(now+d, 1)
 }
 
-func packLat(l decide.LatencySnapshot) *restedLat {
+func packLatency(l decide.LatencySnapshot) *packedLatency {
 	if l.Count == 0 {
 		return nil
 	}
 	us := func(v float64) uint32 { return uint32(min(max(math.Round(v), 0), math.MaxUint32)) }
-	return &restedLat{Mean: us(l.Mean), Dev: us(l.Deviation), N: uint32(min(l.Count, math.MaxInt32))}
+	return &packedLatency{Mean: us(l.Mean), Dev: us(l.Deviation), N: uint32(min(l.Count, math.MaxInt32))}
 }
 
-func (l *restedLat) memory() (m decide.LatencySnapshot) {
+func (l *packedLatency) memory() (m decide.LatencySnapshot) {
 	if l != nil {
 		m = decide.LatencySnapshot{Mean: float64(l.Mean), Deviation: float64(l.Dev), Count: int(l.N)}
 	}
@@ -113,25 +113,25 @@
 	if len(m.Limiters) == 0 {
 		return nil, nil
 	}
-	r := rested{Now: m.Now}
+	r := packedMemory{Now: m.Now}
 	for i := range m.Limiters {
 		l := &m.Limiters[i]
-		x := restedLane{Nominal: float32(l.NominalRate), Limit: float32(l.ReportedRate), Cut: float32(l.ReducedRate),
-			CutAt: from(m.Now, l.ReducedAt), Lat: packLat(l.Latency)}
+		x := packedRoute{Nominal: float32(l.NominalRate), Limit: float32(l.ReportedRate), ReducedRate: float32(l.ReducedRate),
+			RateReducedAt: encodeMoment(m.Now, l.ReducedAt), Latency: packLatency(l.Latency)}
 		for j := range l.Endpoints {
 			e := &l.Endpoints[j]
 			id, ok := mark(e.ID)
 			if !ok {
 				continue
 			}
-			x.Ends = append(x.Ends, restedEnd{ID: id, Sick: e.Unhealthy, Mute: e.LastFailureSilent, FirstBad: from(m.Now, e.FirstFailureAt), BadAt: from(m.Now, e.LastFailureAt),
-				GoodAt: from(m.Now, e.RecoveredAt), GoodSent: from(m.Now, e.RecoverySentAt), OkAt: from(m.Now, e.LastSuccessAt), Rest: from(m.Now, e.BackoffUntil),
-				Score: float32(e.FailureScore), BudgetAt: from(m.Now, e.RecoveryBudget.At), Budget: float32(e.RecoveryBudget.Tokens), Used: e.RecoveryBudget.Used,
-				Need: float32(e.RequiredTokens), Lat: packLat(e.Latency)})
+			x.Endpoints = append(x.Endpoints, packedEndpoint{ID: id, Ejected: e.Unhealthy, LastFailureSilent: e.LastFailureSilent, FirstFailureAt: encodeMoment(m.Now, e.FirstFailureAt), LastFailureAt: encodeMoment(m.Now, e.LastFailureAt),
+				RecoveredAt: encodeMoment(m.Now, e.RecoveredAt), GoodSent: encodeMoment(m.Now, e.RecoverySentAt), LastSuccessAt: encodeMoment(m.Now, e.LastSuccessAt), EjectedUntil: encodeMoment(m.Now, e.BackoffUntil),
+				Score: float32(e.FailureScore), BudgetAt: encodeMoment(m.Now, e.RecoveryBudget.At), Budget: float32(e.RecoveryBudget.Tokens), Used: e.RecoveryBudget.Used,
+				RequiredTokens: float32(e.RequiredTokens), Latency: packLatency(e.Latency)})
 		}
-		r.Lanes = append(r.Lanes, x)
+		r.Routes = append(r.Routes, x)
 	}
-	b, err := restedForm.Marshal(&r)
+	b, err := packedEncoding.Marshal(&r)
 	if err != nil {
 		return nil, fmt.Errorf("rested: %w", err)
 	}
@@ -144,21 +144,21 @@
 	if len(b) == 0 {
 		return &decide.Snapshot{}, nil
 	}
-	var r rested
-	if err := readForm.Unmarshal(b, &r); err != nil {
+	var r packedMemory
+	if err := packedDecoding.Unmarshal(b, &r); err != nil {
 		return &decide.Snapshot{}, fmt.Errorf("rested: %w", err)
 	}
 	m := &decide.Snapshot{Now: r.Now}
-	for i := range r.Lanes {
-		x := &r.Lanes[i]
+	for i := range r.Routes {
+		x := &r.Routes[i]
 		l := decide.LimiterSnapshot{Destination: dest, Window: 1, RateMultiplier: 1, NominalRate: float64(x.Nominal),
-			ReportedRate: float64(x.Limit), ReducedRate: float64(x.Cut), ReducedAt: at(r.Now, x.CutAt), Latency: x.Lat.memory()}
-		for j := range x.Ends {
-			e := &x.Ends[j]
-			l.Endpoints = append(l.Endpoints, decide.EndpointSnapshot{ID: number(e.ID), Unhealthy: e.Sick, LastFailureSilent: e.Mute, FirstFailureAt: at(r.Now, e.FirstBad),
-				LastFailureAt: at(r.Now, e.BadAt), RecoveredAt: at(r.Now, e.GoodAt), RecoverySentAt: at(r.Now, e.GoodSent), LastSuccessAt: at(r.Now, e.OkAt),
-				BackoffUntil: at(r.Now, e.Rest), FailureScore: float64(e.Score), RecoveryBudget: decide.TokenBucketSnapshot{At: at(r.Now, e.BudgetAt), Tokens: float64(e.Budget), Used: e.Used},
-				RequiredTokens: float64(e.Need), Latency: e.Lat.memory()})
+			ReportedRate: float64(x.Limit), ReducedRate: float64(x.ReducedRate), ReducedAt: decodeMoment(r.Now, x.RateReducedAt), Latency: x.Latency.memory()}
+		for j := range x.Endpoints {
+			e := &x.Endpoints[j]
+			l.Endpoints = append(l.Endpoints, decide.EndpointSnapshot{ID: number(e.ID), Unhealthy: e.Ejected, LastFailureSilent: e.LastFailureSilent, FirstFailureAt: decodeMoment(r.Now, e.FirstFailureAt),
+				LastFailureAt: decodeMoment(r.Now, e.LastFailureAt), RecoveredAt: decodeMoment(r.Now, e.RecoveredAt), RecoverySentAt: decodeMoment(r.Now, e.GoodSent), LastSuccessAt: decodeMoment(r.Now, e.LastSuccessAt),
+				BackoffUntil: decodeMoment(r.Now, e.EjectedUntil), FailureScore: float64(e.Score), RecoveryBudget: decide.TokenBucketSnapshot{At: decodeMoment(r.Now, e.BudgetAt), Tokens: float64(e.Budget), Used: e.Used},
+				RequiredTokens: float64(e.RequiredTokens), Latency: e.Latency.memory()})
 		}
 		m.Limiters = append(m.Limiters, l)
 	}
--- a/internal/core/stop_test.go
+++ b/internal/core/stop_test.go
@@ -7,41 +7,41 @@
 	"troutusher/decide"
 )
 
-// stopper is a core with 16 endpoints of destination 1, whose effects a test
+// shutdownFixture is a core with 16 endpoints of destination 1, whose effects a test
 // looks at.
-type stopper struct {
+type shutdownFixture struct {
 	t    *testing.T
 	core *Core
 	now  decide.Time
 }
 
-func newStopper(t *testing.T) *stopper {
-	s := &stopper{t: t, core: testCore(t), now: 3600e6}
-	l := &List{}
+func newShutdownFixture(t *testing.T) *shutdownFixture {
+	s := &shutdownFixture{t: t, core: testCore(t), now: 3600e6}
+	l := &EndpointList{}
 	for k := range 16 {
 		l.Members = append(l.Members, Member{ID: fmt.Sprintf("s-%d", k), HostPort: fmt.Sprintf("127.0.0.1:%d", 7000+k), Cell: k, Phase: Up, Size: 1000, Locality: "a", Flavor: "k"})
 	}
-	s.step(Event{Kind: News, News: decide.ListFull, List: l})
+	s.step(Event{Kind: EndpointListUpdated, News: decide.ListFull, List: l})
 	return s
 }
 
-func (s *stopper) step(events ...Event) []Effect { return s.core.Step(s.now, events, nil) }
+func (s *shutdownFixture) step(events ...Event) []Effect { return s.core.Step(s.now, events, nil) }
 
-// put hands a message in, has its client hear, and tells whether it was taken
+// submit hands a message in, has its client hear, and tells whether it was taken
 // on and whether its call was begun.
-func (s *stopper) put(id, class string, dest int) (taken, sent bool) {
+func (s *shutdownFixture) submit(id, class string, dest int) (taken, sent bool) {
 	s.t.Helper()
-	q := &Request{Class: s.core.set.Classes[class], Rec: &Record{Kind: Taken, ID: id, Class: class, Key: id, Dest: dest, Deadline: s.core.wall(s.now + 15e6)}}
-	fx := s.step(Event{Kind: Put, Request: q})
+	q := &Request{Class: s.core.settings.Classes[class], Record: &Record{Kind: RecordAccepted, ID: id, Class: class, Key: id, Dest: dest, Deadline: s.core.wall(s.now + 15e6)}}
+	fx := s.step(Event{Kind: Submitted, Request: q})
 	for i := range fx {
-		if fx[i].Kind == LogThenAnswer {
+		if fx[i].Kind == AppendThenReply {
 			taken = true
 		}
 	}
 	if taken {
-		fx = s.step(Event{Kind: Said, Request: q, OK: true})
+		fx = s.step(Event{Kind: ReplyDelivered, Request: q, OK: true})
 		for i := range fx {
-			sent = sent || fx[i].Kind == LogThenSend
+			sent = sent || fx[i].Kind == AppendThenSend
 		}
 	}
 	return taken, sent
@@ -49,7 +49,7 @@
 
 // What a planned stop promises, each moment by itself: what is taken on, and
 // which calls are begun, so long after SIGTERM.
-func TestMomentsOfAPlannedStop(t *testing.T) {
+func TestShutdownSchedule(t *testing.T) {
 	for _, x := range []struct {
 		class       string
 		after       decide.Time
@@ -57,16 +57,16 @@
 		keeps       bool
 	}{
 		{"plain", 0, true, true, true}, {"once", 0, true, true, true},
-		{"once", StopKeep - 1, true, true, true}, {"once", StopKeep, false, false, false},
-		{"plain", StopKeep, true, true, false}, {"keyed", stopTake - 1, true, true, false}, {"plain", stopTake, false, false, false},
+		{"once", CloseClientsAfter - 1, true, true, true}, {"once", CloseClientsAfter, false, false, false},
+		{"plain", CloseClientsAfter, true, true, false}, {"keyed", stopAcceptingAfter - 1, true, true, false}, {"plain", stopAcceptingAfter, false, false, false},
 	} {
-		s := newStopper(t)
-		s.step(Event{Kind: Stop})
+		s := newShutdownFixture(t)
+		s.step(Event{Kind: ShutdownRequested})
 		s.now += x.after
-		if got := s.core.KeepsClients(s.now); got != x.keeps {
+		if got := s.core.KeepsClientConnections(s.now); got != x.keeps {
 			t.Errorf("%d ms after SIGTERM clients are kept: %v", x.after/1000, got)
 		}
-		if taken, sent := s.put("m", x.class, 1); taken != x.taken || sent != x.sent {
+		if taken, sent := s.submit("m", x.class, 1); taken != x.taken || sent != x.sent {
 			t.Errorf("%s, %d ms after SIGTERM: taken %v, sent %v; want %v, %v", x.class, x.after/1000, taken, sent, x.taken, x.sent)
 		}
 	}
@@ -74,23 +74,23 @@
 	for _, x := range []struct {
 		class string
 		last  decide.Time
-	}{{"plain", StopSends}, {"keyed", StopSends}, {"once", stopUnsafe}} {
+	}{{"plain", StopSendsAfter}, {"keyed", StopSendsAfter}, {"once", stopNonIdempotentSendsAfter}} {
 		for _, after := range []decide.Time{x.last - 20e3, x.last} {
-			s := newStopper(t)
-			taken, sent := s.put("m", x.class, 20) // no list names an endpoint of it
-			if s.core.named[20] = true; taken || sent {
+			s := newShutdownFixture(t)
+			taken, sent := s.submit("m", x.class, 20) // no list names an endpoint of it
+			if s.core.knownDestinations[20] = true; taken || sent {
 				t.Fatal("taken for a destination that nobody named")
 			}
-			if taken, sent = s.put("m", x.class, 20); !taken || sent {
+			if taken, sent = s.submit("m", x.class, 20); !taken || sent {
 				t.Fatalf("taken %v, sent %v", taken, sent)
 			}
-			s.step(Event{Kind: Stop})
+			s.step(Event{Kind: ShutdownRequested})
 			s.now += after
-			l := &List{Members: []Member{{ID: "late", HostPort: "127.0.0.1:1", Cell: 20, Phase: Up, Size: 1000, Locality: "a", Flavor: "k"}}}
+			l := &EndpointList{Members: []Member{{ID: "late", HostPort: "127.0.0.1:1", Cell: 20, Phase: Up, Size: 1000, Locality: "a", Flavor: "k"}}}
 			sent = false
-			fx := s.step(Event{Kind: News, News: decide.ListDelta, List: l})
+			fx := s.step(Event{Kind: EndpointListUpdated, News: decide.ListDelta, List: l})
 			for i := range fx {
-				sent = sent || fx[i].Kind == LogThenSend
+				sent = sent || fx[i].Kind == AppendThenSend
 			}
 			if want := after < x.last; sent != want {
 				t.Errorf("%s: a call is begun %d ms after SIGTERM: %v, want %v", x.class, after/1000, sent, want)
@@ -101,61 +101,61 @@
 
 // Where more waits than the slots can take soon, nothing more is taken on, and
 // clients are let go at once.
-func TestAPlannedStopWithABacklog(t *testing.T) {
-	s := newStopper(t)
-	s.core.named[20] = true
+func TestShutdownWithBacklog(t *testing.T) {
+	s := newShutdownFixture(t)
+	s.core.knownDestinations[20] = true
 	for i := range 8 {
-		s.put(fmt.Sprintf("m%d", i), "plain", 20)
+		s.submit(fmt.Sprintf("m%d", i), "plain", 20)
 	}
-	s.step(Event{Kind: Stop})
-	if s.core.KeepsClients(s.now) {
+	s.step(Event{Kind: ShutdownRequested})
+	if s.core.KeepsClientConnections(s.now) {
 		t.Error("clients are kept with 8 messages waiting for 16 slots")
 	}
-	if taken, _ := s.put("late", "plain", 1); taken {
+	if taken, _ := s.submit("late", "plain", 1); taken {
 		t.Error("more is taken on")
 	}
 }
 
 // What a restart promises: attempts that were made count, one whose outcome
 // nobody saw may have run, and the time that is left goes on.
-func TestRestoredPast(t *testing.T) {
+func TestRecoveredHistory(t *testing.T) {
 	for _, x := range []struct {
 		name string
 		rec  Record
 		want string // how it goes on: sent, failed, or refused
 	}{
 		{"fresh", Record{Class: "plain"}, "sent"},
-		{"seven of eight attempts", Record{Class: "plain", Tries: 7}, "sent"},
-		{"all eight attempts", Record{Class: "plain", Tries: 8}, HandedBack},
-		{"unsafe, never ran", Record{Class: "once", Tries: 2}, "sent"},
-		{"unsafe, out", Record{Class: "once", Tries: 1, Out: 1}, GivenUp},
-		{"safe, out", Record{Class: "plain", Tries: 1, Out: 1}, "sent"},
-		{"keyed, in its window", Record{Class: "keyed", Tries: 1, Doubt: 15e6}, "sent"},
-		{"keyed, past its window", Record{Class: "keyed", Tries: 1, Doubt: 25e6}, GivenUp},
-		{"its time over", Record{Class: "plain", Deadline: -1}, HandedBack},
+		{"seven of eight attempts", Record{Class: "plain", Attempts: 7}, "sent"},
+		{"all eight attempts", Record{Class: "plain", Attempts: 8}, NoticeHandedBack},
+		{"unsafe, never ran", Record{Class: "once", Attempts: 2}, "sent"},
+		{"unsafe, out", Record{Class: "once", Attempts: 1, OpenAttemptAt: 1}, NoticeGivenUp},
+		{"safe, out", Record{Class: "plain", Attempts: 1, OpenAttemptAt: 1}, "sent"},
+		{"keyed, in its window", Record{Class: "keyed", Attempts: 1, FirstUncertainAt: 15e6}, "sent"},
+		{"keyed, past its window", Record{Class: "keyed", Attempts: 1, FirstUncertainAt: 25e6}, NoticeGivenUp},
+		{"its time over", Record{Class: "plain", Deadline: -1}, NoticeHandedBack},
 	} {
-		s := newStopper(t)
+		s := newShutdownFixture(t)
 		rec := x.rec
-		rec.Kind, rec.ID, rec.Dest = Taken, "m", 1
+		rec.Kind, rec.ID, rec.Dest = RecordAccepted, "m", 1
 		ago := func(us int64) int64 { return s.core.wall(s.now) - us }
-		if rec.Doubt > 0 {
-			rec.Doubt = ago(rec.Doubt)
+		if rec.FirstUncertainAt > 0 {
+			rec.FirstUncertainAt = ago(rec.FirstUncertainAt)
 		}
-		if rec.Out > 0 {
-			rec.Out = ago(1e6)
+		if rec.OpenAttemptAt > 0 {
+			rec.OpenAttemptAt = ago(1e6)
 		}
 		rec.Deadline = s.core.wall(s.now + 15e6 + 16e6*rec.Deadline)
-		rec.Settle()
-		fx := s.core.Restore(s.now, []*Record{&rec}, nil, 0, nil)
+		rec.ResolveOpenAttempt()
+		fx := s.core.RecoverMessages(s.now, []*Record{&rec}, nil, 0, nil)
 		fx = append(fx, s.step()...)
 		s.now += 10e3
 		fx = append(fx, s.step()...)
 		got := "nothing"
 		for i := range fx {
 			switch fx[i].Kind {
-			case LogThenSend:
+			case AppendThenSend:
 				got = "sent"
-			case LogThenNotice:
+			case AppendThenNotify:
 				got = fx[i].Notice.Outcome
 			}
 		}
--- a/internal/core/story_test.go
+++ b/internal/core/story_test.go
@@ -11,9 +11,9 @@
 
 // What is told of a message is all of it, from its hand-in to its end; beyond the
 // budget only its end is told, and the tally says how many.
-func TestStoriesAreWhole(t *testing.T) {
-	set := testCore(t).set
-	set.Stories = 5
+func TestTracesAreComplete(t *testing.T) {
+	set := testCore(t).settings
+	set.TracesPerSecond = 5
 	r, err := New(set)
 	if err != nil {
 		t.Fatal(err)
@@ -27,7 +27,7 @@
 		events = nil
 		for i := range fx {
 			switch e := &fx[i]; e.Kind {
-			case Tell:
+			case Log:
 				if e.Text == "tally" {
 					for _, a := range e.Args {
 						if g, ok := a.(slog.Attr); ok {
@@ -42,21 +42,21 @@
 					id := e.Args[1].(string)
 					lines[id] = append(lines[id], e.Text)
 				}
-			case LogThenAnswer:
-				events = append(events, Event{Kind: Said, Request: e.Request, OK: e.Request.Rec.ID != "leaves"})
-			case LogThenSend:
-				events = append(events, Event{Kind: Finished, Call: e.Call, Result: &Result{What: decide.Delivered, Status: 200, Settled: true}})
+			case AppendThenReply:
+				events = append(events, Event{Kind: ReplyDelivered, Request: e.Request, OK: e.Request.Record.ID != "leaves"})
+			case AppendThenSend:
+				events = append(events, Event{Kind: AttemptFinished, Call: e.Call, Result: &Result{Outcome: decide.Delivered, Status: 200, Final: true}})
 			}
 		}
 		now += 10e3
 	}
 	put := func(id string, dest int, left decide.Time) {
-		events = append(events, Event{Kind: Put, Request: &Request{Class: 0, Tenant: -1, Waited: 7e3,
-			Rec: &Record{Kind: Taken, ID: id, Class: "plain", Dest: dest, Deadline: r.wall(now + left)}}})
+		events = append(events, Event{Kind: Submitted, Request: &Request{Class: 0, Tenant: -1, Queued: 7e3,
+			Record: &Record{Kind: RecordAccepted, ID: id, Class: "plain", Dest: dest, Deadline: r.wall(now + left)}}})
 	}
-	l := &List{Complete: true, Members: []Member{{ID: "s1", HostPort: "10.0.0.1:1", Locality: "a", Flavor: "k", Cell: 1, Phase: Up, Size: 1000},
+	l := &EndpointList{Complete: true, Members: []Member{{ID: "s1", HostPort: "10.0.0.1:1", Locality: "a", Flavor: "k", Cell: 1, Phase: Up, Size: 1000},
 		{ID: "s2", HostPort: "10.0.0.1:2", Locality: "a", Flavor: "k", Cell: 2, Phase: Draining, Size: 1000}}}
-	r.Book(now, []Event{{Kind: News, News: decide.ListFull, List: l}}, nil)
+	r.Observe(now, []Event{{Kind: EndpointListUpdated, News: decide.ListFull, List: l}}, nil)
 	put("goes", 1, 5e6)
 	put("leaves", 1, 5e6)
 	put("waits", 2, 200e3)
@@ -78,7 +78,7 @@
 	if untold != 2 {
 		t.Errorf("%d untold, want 2", untold)
 	}
-	if story.Default < 1 {
+	if story.DefaultPerSecond < 1 {
 		t.Error("nothing is told by default")
 	}
 }
--- a/internal/core/timers_test.go
+++ b/internal/core/timers_test.go
@@ -9,11 +9,11 @@
 // Guards the later of two moments: the policy asked for it in a step that ran
 // just past the earlier one, and does not ask again. A message whose end hung
 // on it never got one where nothing else happened.
-func TestTimersKeepTheLater(t *testing.T) {
+func TestTimersKeepLaterDeadline(t *testing.T) {
 	r := &Core{}
-	r.act(100, &decide.Action{Kind: decide.ActTimer, After: 50})
+	r.executeAction(100, &decide.Action{Kind: decide.ActTimer, After: 50})
 	// A step at 160 asks for 300 before the loop has looked at 150.
-	r.act(160, &decide.Action{Kind: decide.ActTimer, After: 140})
+	r.executeAction(160, &decide.Action{Kind: decide.ActTimer, After: 140})
 	if !r.timers.due(161) {
 		t.Fatal("the earlier one did not come")
 	}
--- a/internal/fleetlog/fleetlog.go
+++ b/internal/fleetlog/fleetlog.go
@@ -100,7 +100,7 @@
 // the names end in.
 func (c Counts) Handed() (sum int64) {
 	for k, n := range c {
-		if strings.HasPrefix(k, tally.Back) {
+		if strings.HasPrefix(k, tally.HandedBackPrefix) {
 			sum += n
 		}
 	}
@@ -157,8 +157,8 @@
 func (d *Day) take(relay string, e *entry, lists map[int64]*List, said map[string]bool, heard map[int64]bool) {
 	when, fields, order := e.when, e.fields, e.order
 	switch fields["msg"] {
-	case tally.Line:
-		if us, err := strconv.ParseInt(fields[tally.Longest], 10, 64); err == nil && us < countMost {
+	case tally.LogText:
+		if us, err := strconv.ParseInt(fields[tally.LongestStepKey], 10, 64); err == nil && us < countMost {
 			if step := time.Duration(us) * time.Microsecond; step > d.Longest {
 				d.Longest, d.LongestAt = step, relay+" in second "+fields["second"]
 			}
@@ -212,7 +212,7 @@
 		d.own[relay] = map[int]Counts{}
 	}
 	for _, k := range order {
-		dest, what, ok := tally.Key(k)
+		dest, what, ok := tally.ParseKey(k)
 		if !ok {
 			continue
 		}
--- a/internal/fleetlog/report.go
+++ b/internal/fleetlog/report.go
@@ -39,12 +39,12 @@
 }
 
 var columns = []column{
-	plain("in", tally.In), plain("taken", tally.Taken), plain("resumed", tally.Resumed), plain("sent", tally.Sent), plain("ok", tally.Delivered),
-	plain("full", tally.Full), plain("errors", tally.Errored), plain("late", tally.TimedOut), plain("no-conn", tally.NoConnect), plain("reset", tally.Reset),
+	plain("in", tally.Submitted), plain("taken", tally.Accepted), plain("resumed", tally.Recovered), plain("sent", tally.Attempts), plain("ok", tally.Delivered),
+	plain("full", tally.Rejected), plain("errors", tally.Failed), plain("late", tally.TimedOut), plain("no-conn", tally.ConnectFailed), plain("reset", tally.ConnectionReset),
 	{"refused", func(c Counts) string { return fmt.Sprint(c.Handed()) }}, plain("given-up", tally.GivenUp),
-	plain("dials", tally.Dialed), {"msg/conn", func(c Counts) string { return per(c[tally.Sent], c[tally.Dialed], 1) }},
-	plain("probes", tally.Probed), {"crossed", func(c Counts) string { return per(c[tally.Crossed], c[tally.Sent], 2) }},
-	{"held-ms", func(c Counts) string { return per(c[tally.FirstMS], c[tally.Firsts], 0) }},
+	plain("dials", tally.ConnectionsOpened), {"msg/conn", func(c Counts) string { return per(c[tally.Attempts], c[tally.ConnectionsOpened], 1) }},
+	plain("probes", tally.HealthChecks), {"crossed", func(c Counts) string { return per(c[tally.CrossZoneAttempts], c[tally.Attempts], 2) }},
+	{"held-ms", func(c Counts) string { return per(c[tally.FirstAttemptDelayMS], c[tally.FirstAttempts], 0) }},
 }
 
 // rows calls f with each row of a table, its head first: of destinations, or of
@@ -84,14 +84,14 @@
 	for _, id := range d.Dests {
 		c := d.Dest(id)
 		all.add(c)
-		median, most := d.Spread(id, tally.Sent)
+		median, most := d.Spread(id, tally.Attempts)
 		row(destName(id), c, fmt.Sprint(median), fmt.Sprint(most))
 	}
 	row("all", all, "", "")
 }
 
 func destName(id int) string {
-	if id == tally.Rest {
+	if id == tally.OtherDestinations {
 		return "others"
 	}
 	return fmt.Sprint(id)
@@ -122,8 +122,8 @@
 	why := Counts{}
 	for _, id := range d.Dests {
 		for k, n := range d.Dest(id) {
-			if len(k) > len(tally.Back) && k[:len(tally.Back)] == tally.Back {
-				why[k[len(tally.Back):]] += n
+			if len(k) > len(tally.HandedBackPrefix) && k[:len(tally.HandedBackPrefix)] == tally.HandedBackPrefix {
+				why[k[len(tally.HandedBackPrefix):]] += n
 			}
 		}
 	}
@@ -214,12 +214,12 @@
 		fmt.Fprintf(b, "<li>%s</li>", html.EscapeString(l))
 	}
 	fmt.Fprint(b, "</ul>\n")
-	lines := []series{rate("handed in", tally.In), rate("sent", tally.Sent), rate("delivered", tally.Delivered), rate("turned away", tally.Full),
+	lines := []series{rate("handed in", tally.Submitted), rate("sent", tally.Attempts), rate("delivered", tally.Delivered), rate("turned away", tally.Rejected),
 		{"refused here", func(c Counts) float64 { return float64(c.Handed()) }}}
 	plots := []func() (string, error){
 		func() (string, error) { return d.draw("all destinations", d.Second, lines...) },
 		func() (string, error) {
-			return d.draw("what is dear", d.Second, rate("connections opened", tally.Dialed), rate("no connection", tally.NoConnect), rate("crossed zones", tally.Crossed), rate("probes", tally.Probed))
+			return d.draw("what is dear", d.Second, rate("connections opened", tally.ConnectionsOpened), rate("no connection", tally.ConnectFailed), rate("crossed zones", tally.CrossZoneAttempts), rate("probes", tally.HealthChecks))
 		},
 	}
 	for _, id := range d.Dests[:min(len(d.Dests), 40)] {
--- a/internal/fleetlog/restarts.go
+++ b/internal/fleetlog/restarts.go
@@ -37,10 +37,10 @@
 		switch e.text {
 		case story.Ready:
 			r.Starts++
-		case tally.Line:
+		case tally.LogText:
 			for _, k := range e.order {
 				n, err := strconv.ParseInt(e.fields[k], 10, 64)
-				if _, what, ok := tally.Key(k); ok && err == nil && n > 0 && n < countMost {
+				if _, what, ok := tally.ParseKey(k); ok && err == nil && n > 0 && n < countMost {
 					r.add(what, n)
 				}
 			}
@@ -53,16 +53,16 @@
 }
 
 func (r *Restarts) add(what string, n int64) {
-	for name, sum := range map[string]*int64{tally.Resumed: &r.Found, tally.Untried: &r.Untried, tally.UntriedOver: &r.Over,
-		tally.UntriedNowhere: &r.Nowhere, tally.UntriedTried: &r.Tried, tally.UntriedDelivered: &r.Delivered} {
+	for name, sum := range map[string]*int64{tally.Recovered: &r.Found, tally.RecoveredUntried: &r.Untried, tally.UntriedExpired: &r.Over,
+		tally.UntriedUnroutable: &r.Nowhere, tally.UntriedAttempted: &r.Tried, tally.UntriedDelivered: &r.Delivered} {
 		if what == name {
 			*sum += n
 			return
 		}
 	}
-	if why, ok := strings.CutPrefix(what, tally.UntriedBack); ok {
+	if why, ok := strings.CutPrefix(what, tally.UntriedHandedBackPrefix); ok {
 		r.Back[why] += n
-	} else if why, ok := strings.CutPrefix(what, tally.UntriedGivenUp); ok {
+	} else if why, ok := strings.CutPrefix(what, tally.UntriedGivenUpPrefix); ok {
 		r.GivenUp[why] += n
 	}
 }
--- a/internal/fleetlog/stories.go
+++ b/internal/fleetlog/stories.go
@@ -346,7 +346,7 @@
 	case story.Ready:
 		p.starts = append(p.starts, start{x.when, x.fields["log"] == "none"})
 		return
-	case tally.Line:
+	case tally.LogText:
 		for _, k := range x.order {
 			if n, err := strconv.ParseInt(x.fields[k], 10, 64); err == nil && n > 0 && n < countMost && strings.HasSuffix(k, ".untold") {
 				e.Untold += n
@@ -359,7 +359,7 @@
 		return
 	}
 	switch x.text {
-	case story.Taken, story.Withdrawn, story.Delivered, story.Over, story.Attempt, story.Ended, story.Told, story.Resumed:
+	case story.Accepted, story.Withdrawn, story.Delivered, story.EndpointFinished, story.AttemptFailed, story.Ended, story.NoticeDelivered, story.Recovered:
 	default:
 		return // refused ones were never taken on
 	}
@@ -373,28 +373,28 @@
 		e.lives[id] = l
 	}
 	l.relay = relay
-	if rest, ok := x.ms("left_ms"); ok && (x.text == story.Taken || x.text == story.Resumed || !l.seen) {
+	if rest, ok := x.ms("left_ms"); ok && (x.text == story.Accepted || x.text == story.Recovered || !l.seen) {
 		l.due = x.when.Add(rest)
 	}
 	if w, ok := x.ms("waited_ms"); ok {
 		e.Longest = max(e.Longest, w)
 	}
 	switch x.text {
-	case story.Taken:
+	case story.Accepted:
 		l.seen = true
 	case story.Withdrawn:
 		l.left = true
-	case story.Resumed:
+	case story.Recovered:
 		l.seen, l.resumed = true, x.when
 	case story.Delivered:
 		l.deliveries++
 		l.delivered = x.when
-	case story.Over:
+	case story.EndpointFinished:
 		l.over = true
 	case story.Ended:
 		l.endings++
 		l.ended = x.when
-	case story.Told:
+	case story.NoticeDelivered:
 		if l.told.IsZero() {
 			l.told = x.when
 		}
--- a/internal/front/came_test.go
+++ b/internal/front/came_test.go
@@ -13,36 +13,36 @@
 	"troutusher/internal/places"
 )
 
-// bare makes a front that nobody runs: the test turns it by hand, and moves its
+// newStoppedServer makes a front that nobody runs: the test turns it by hand, and moves its
 // clock by moving its beginning. Each command that is read is shown to seen.
-func bare(t *testing.T, o Options, seen func(*Asked)) *Front {
+func newStoppedServer(t *testing.T, o Options, seen func(*Command)) *Server {
 	t.Helper()
-	o.Limits, o.Memory, o.Log = places.Default(100, 300), 8<<20, slog.New(slog.NewTextHandler(io.Discard, nil))
-	o.Handle = func(a *Asked) Reply { seen(a); return Reply{Text: "+OK\r\n", What: places.Request} }
+	o.Limits, o.MemoryLimit, o.Logger = places.DefaultLimits(100, 300), 8<<20, slog.New(slog.NewTextHandler(io.Discard, nil))
+	o.Handler = func(a *Command) Reply { seen(a); return Reply{Text: "+OK\r\n", Kind: places.CommandRequest} }
 	f, err := New(o, "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(f.end)
+	t.Cleanup(f.teardown)
 	return f
 }
 
-// later moves the clock on. What is kept as a moment stays the same moment.
-func (f *Front) later(d time.Duration) { f.began = f.began.Add(-d) }
+// advanceClock moves the clock on. What is kept as a moment stays the same moment.
+func (f *Server) advanceClock(d time.Duration) { f.startedAt = f.startedAt.Add(-d) }
 
-// hear books what the poller tells, until something came of a connection.
-func (f *Front) hear(t *testing.T) {
+// pollOnce books what the poller tells, until something came of a connection.
+func (f *Server) pollOnce(t *testing.T) {
 	t.Helper()
 	for end := time.Now().Add(20 * time.Second); time.Now().Before(end); {
-		events, err := f.poll.wait(time.Now().Add(time.Second), func() bool { return false })
+		events, err := f.poller.wait(time.Now().Add(time.Second), func() bool { return false })
 		if err != nil {
 			t.Fatal(err)
 		}
 		got := false
 		for _, e := range events {
-			if e.Fd != bellSlot {
+			if e.Fd != wakeSlot {
 				got = true
-				f.event(f.now(), e.Fd, e.Events)
+				f.handleEvent(f.now(), e.Fd, e.Events)
 			}
 		}
 		if got {
@@ -55,11 +55,14 @@
 // A message's time runs from when its client sent it, and not from when it was
 // read: what stood unread in a listener's queue, or on a connection whose turn
 // had not come, is told with the moment from which it may have stood there.
-func TestTimeRunsFromWhenItCame(t *testing.T) {
+func TestReceiveTimeIncludesQueueing(t *testing.T) {
 	var age time.Duration
-	var f *Front
+	var f *Server
 	read := 0
-	seen := func(a *Asked) { read++; age = f.began.Add(time.Duration(f.now()) * time.Microsecond).Sub(a.At) }
+	seen := func(a *Command) {
+		read++
+		age = f.startedAt.Add(time.Duration(f.now()) * time.Microsecond).Sub(a.ReceivedAt)
+	}
 	near := func(what string, want time.Duration) {
 		t.Helper()
 		f.serveReady()
@@ -69,51 +72,51 @@
 		read = 0
 	}
 
-	f = bare(t, Options{}, seen)
+	f = newStoppedServer(t, Options{}, seen)
 	c := dial(t, f.Addr().String())
-	io.WriteString(c, say("SAY", "x"))
-	f.hear(t)
-	f.later(200 * time.Millisecond)
-	f.acceptAll()
+	io.WriteString(c, encodeCommand("SAY", "x"))
+	f.pollOnce(t)
+	f.advanceClock(200 * time.Millisecond)
+	f.acceptPending()
 	near("in the queue of a listener", 200*time.Millisecond)
 
 	f.serveReady() // it sees that nothing more is there
-	io.WriteString(c, say("SAY", "y"))
-	f.hear(t)
-	f.later(250 * time.Millisecond)
+	io.WriteString(c, encodeCommand("SAY", "y"))
+	f.pollOnce(t)
+	f.advanceClock(250 * time.Millisecond)
 	near("on a connection", 250*time.Millisecond)
 
 	f.serveReady()
-	f.later(3 * time.Second)
-	io.WriteString(c, say("SAY", "y"))
-	f.hear(t)
+	f.advanceClock(3 * time.Second)
+	io.WriteString(c, encodeCommand("SAY", "y"))
+	f.pollOnce(t)
 	near("at once, after a long rest", 0)
 
 	f.serveReady()
-	io.WriteString(c, say("SAY", "y"))
-	f.hear(t)
-	f.later(9 * time.Second)
-	near("longer than any client waits", answerWait)
+	io.WriteString(c, encodeCommand("SAY", "y"))
+	f.pollOnce(t)
+	f.advanceClock(9 * time.Second)
+	near("longer than any client waits", clientReplyTimeout)
 
-	f.later(3 * time.Second)
+	f.advanceClock(3 * time.Second)
 	c2 := dial(t, f.Addr().String())
-	io.WriteString(c2, say("SAY", "z"))
-	f.hear(t)
-	f.later(150 * time.Millisecond)
-	f.acceptAll()
+	io.WriteString(c2, encodeCommand("SAY", "z"))
+	f.pollOnce(t)
+	f.advanceClock(150 * time.Millisecond)
+	f.acceptPending()
 	near("in a queue that was empty before", 150*time.Millisecond)
 
 	// One that crosses the closing of its idle connection has just come.
 	f.serveReady()
-	f.later(3 * time.Second)
-	io.WriteString(c, say("SAY", "y"))
+	f.advanceClock(3 * time.Second)
+	io.WriteString(c, encodeCommand("SAY", "y"))
 	for n := 0; n <= 0; { // it is there, and the poller has not been asked
 		if err := control(c, func(int) {}); err != nil {
 			t.Fatal(err)
 		}
-		n = pendingBytes(t, int(f.conn(0).fd))
+		n = pendingBytes(t, int(f.connAt(0).fd))
 	}
-	f.release(0, f.conn(0))
+	f.closeUnlessReadable(0, f.connAt(0))
 	if read != 1 || age > 100*time.Millisecond {
 		t.Errorf("across a close: read %d times, %v old", read, age)
 	}
@@ -143,11 +146,11 @@
 
 // What another process passed on may have stood unread since that one stopped
 // reading, and where that is not told for as long as any client waits.
-func TestTimeOfWhatWasHandedOver(t *testing.T) {
+func TestReceiveTimeAfterHandover(t *testing.T) {
 	for name, c := range map[string]struct {
 		unread time.Duration
 		want   time.Duration
-	}{"told": {100 * time.Millisecond, 100 * time.Millisecond}, "not told": {0, answerWait}} {
+	}{"told": {100 * time.Millisecond, 100 * time.Millisecond}, "not told": {0, clientReplyTimeout}} {
 		t.Run(name, func(t *testing.T) {
 			ln, err := net.Listen("tcp", "127.0.0.1:0")
 			if err != nil {
@@ -164,28 +167,28 @@
 			}
 			held.Close()
 			queued := dial(t, ln.Addr().String())
-			o := Options{Listeners: []net.Listener{ln}}
+			o := Options{InheritedListeners: []net.Listener{ln}}
 			if c.unread > 0 {
-				o.Unread = time.Now().Add(-c.unread)
+				o.UnreadSince = time.Now().Add(-c.unread)
 			}
 			ages := map[string]time.Duration{}
-			var f *Front
-			o.Limits, o.Memory, o.Log = places.Default(100, 300), 8<<20, slog.New(slog.NewTextHandler(io.Discard, nil))
-			o.Handle = func(a *Asked) Reply {
-				ages[string(a.Args[1])] = time.Since(a.At)
-				return Reply{Text: "+OK\r\n", What: places.Request}
+			var f *Server
+			o.Limits, o.MemoryLimit, o.Logger = places.DefaultLimits(100, 300), 8<<20, slog.New(slog.NewTextHandler(io.Discard, nil))
+			o.Handler = func(a *Command) Reply {
+				ages[string(a.Args[1])] = time.Since(a.ReceivedAt)
+				return Reply{Text: "+OK\r\n", Kind: places.CommandRequest}
 			}
 			if f, err = New(o, ln.Addr().String()); err != nil {
 				t.Fatal(err)
 			}
-			t.Cleanup(f.end)
-			io.WriteString(client, say("SAY", "kept"))
-			io.WriteString(queued, say("SAY", "queued"))
-			if n := f.Adopt([]Held{{FD: fd, Place: places.Kept{Known: true}}}); n != 1 {
+			t.Cleanup(f.teardown)
+			io.WriteString(client, encodeCommand("SAY", "kept"))
+			io.WriteString(queued, encodeCommand("SAY", "queued"))
+			if n := f.Import([]ConnSnapshot{{FD: fd, Slot: places.Snapshot{Known: true}}}); n != 1 {
 				t.Fatal("not adopted")
 			}
 			for end := time.Now().Add(20 * time.Second); len(ages) < 2 && time.Now().Before(end); {
-				f.acceptAll()
+				f.acceptPending()
 				f.serveReady()
 			}
 			for what, age := range ages {
@@ -202,16 +205,16 @@
 
 // A shut front has its address, which no other process can serve on, and no
 // client comes to it before it can be answered.
-func TestNobodyComesInBeforeOpen(t *testing.T) {
+func TestNoConnectionsBeforeListen(t *testing.T) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	addr := ln.Addr().String()
-	o := Options{Shut: true, Limits: places.Default(100, 300), Memory: 1 << 20, Log: slog.New(slog.NewTextHandler(io.Discard, nil)),
-		Handle: func(*Asked) Reply { return Reply{Text: "+PONG\r\n", What: places.Useful} }}
+	o := Options{DeferListen: true, Limits: places.DefaultLimits(100, 300), MemoryLimit: 1 << 20, Logger: slog.New(slog.NewTextHandler(io.Discard, nil)),
+		Handler: func(*Command) Reply { return Reply{Text: "+PONG\r\n", Kind: places.CommandControl} }}
 	if f, err := New(o, addr); err == nil {
-		f.end()
+		f.teardown()
 		t.Error("an address that somebody serves on was taken")
 	}
 	ln.Close()
@@ -225,18 +228,18 @@
 		}
 		t.Errorf("before Open: %v", err)
 	}
-	if err := f.Open(); err != nil {
+	if err := f.Listen(); err != nil {
 		t.Fatal(err)
 	}
 	c := dial(t, addr) // nobody serves yet; it is in the queue
-	if other, err := New(Options{Limits: o.Limits, Memory: 1, Log: o.Log}, addr); err == nil {
-		other.end()
+	if other, err := New(Options{Limits: o.Limits, MemoryLimit: 1, Logger: o.Logger}, addr); err == nil {
+		other.teardown()
 		t.Error("two serve on one address")
 	}
 	ended := make(chan error, 1)
 	go func() { ended <- f.Run() }()
-	io.WriteString(c, say("PING"))
-	if s := line(t, bufio.NewReader(c)); s != "+PONG" {
+	io.WriteString(c, encodeCommand("PING"))
+	if s := readLine(t, bufio.NewReader(c)); s != "+PONG" {
 		t.Error(s)
 	}
 	f.Close()
@@ -247,15 +250,15 @@
 
 // Addresses of all kinds are taken and opened; what cannot be is an error that
 // names it, and nothing stays behind.
-func TestShutAddresses(t *testing.T) {
-	o := Options{Shut: true, Limits: places.Default(100, 300), Memory: 1 << 20, Log: slog.New(slog.NewTextHandler(io.Discard, nil))}
+func TestDeferredListenAddresses(t *testing.T) {
+	o := Options{DeferListen: true, Limits: places.DefaultLimits(100, 300), MemoryLimit: 1 << 20, Logger: slog.New(slog.NewTextHandler(io.Discard, nil))}
 	for _, addr := range []string{":0", "0.0.0.0:0", "localhost:0", "127.0.0.9:0"} {
 		f, err := New(o, addr)
 		if err != nil {
 			t.Errorf("%s: %v", addr, err)
 			continue
 		}
-		if err := f.Open(); err != nil {
+		if err := f.Listen(); err != nil {
 			t.Errorf("%s: %v", addr, err)
 		} else if _, port, _ := net.SplitHostPort(f.Addr().String()); port == "0" {
 			t.Errorf("%s: listens on %s", addr, f.Addr())
@@ -263,11 +266,11 @@
 			c := dial(t, net.JoinHostPort(map[bool]string{true: "127.0.0.9", false: "127.0.0.1"}[addr == "127.0.0.9:0"], port))
 			c.Close()
 		}
-		f.end()
+		f.teardown()
 	}
 	for _, addr := range []string{"127.0.0.1", "127.0.0.1:65536", "198.51.100.7:0"} {
 		if f, err := New(o, "127.0.0.1:0", addr); err == nil {
-			f.end()
+			f.teardown()
 			t.Errorf("%s was taken", addr)
 		}
 	}
--- a/internal/front/fixture_test.go
+++ b/internal/front/fixture_test.go
@@ -25,7 +25,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	f, _ := start(t, Options{}, places.Default(100, 300))
+	f, _ := startServer(t, Options{}, places.DefaultLimits(100, 300))
 	var inputs, replies []string
 	var wg sync.WaitGroup
 	for text := range strings.Lines(string(want)) {
@@ -69,22 +69,22 @@
 
 // What a client hears whose command ends too late, or finds no memory.
 func TestRepliesToLateCommands(t *testing.T) {
-	l := places.Default(100, 300)
-	l.First = 200e3
-	f, _ := start(t, Options{}, l)
+	l := places.DefaultLimits(100, 300)
+	l.FirstCommandTimeout = 200e3
+	f, _ := startServer(t, Options{}, l)
 	late := dial(t, f.Addr().String())
 	io.WriteString(late, "*1\r\n$4\r\nPI")
 	if heard, err := io.ReadAll(late); string(heard) != "-ERR command not finished in time\r\n" || err != nil {
 		t.Errorf("half a command: %q, %v", heard, err)
 	}
-	f, _ = start(t, Options{Memory: 1}, l)
+	f, _ = startServer(t, Options{MemoryLimit: 1}, l)
 	holder := dial(t, f.Addr().String())
-	io.WriteString(holder, say("PING"))
-	line(t, bufio.NewReader(holder))
+	io.WriteString(holder, encodeCommand("PING"))
+	readLine(t, bufio.NewReader(holder))
 	io.WriteString(holder, "*1\r\n$4\r\nPI") // all of the memory
-	until(t, "the memory is in use", func() bool { m := 0; f.Look(func(*places.Book) { m = f.mem }); return m > 0 })
+	waitUntil(t, "the memory is in use", func() bool { m := 0; f.Inspect(func(*places.Limiter) { m = f.memoryUsed }); return m > 0 })
 	starved := dial(t, f.Addr().String())
-	io.WriteString(starved, say("PING"))
+	io.WriteString(starved, encodeCommand("PING"))
 	if heard, err := io.ReadAll(starved); string(heard) != "-BUSY 500\r\n" || err != nil {
 		t.Errorf("no memory: %q, %v", heard, err)
 	}
@@ -92,12 +92,12 @@
 
 func TestReplyTexts(t *testing.T) {
 	for name, c := range map[string]struct{ got, want string }{
-		"busy, time unknown": {Busy(0), "-BUSY\r\n"},
-		"busy, no time":      {Busy(-1), "-BUSY\r\n"},
-		"busy, 1 ms":         {Busy(1), "-BUSY 1\r\n"},
-		"busy, 12 s":         {Busy(12000), "-BUSY 12000\r\n"},
-		"fault":              {Fault(errors.New("k: missing")), "-ERR k: missing\r\n"},
-		"fault, not plain":   {Fault(errors.New("a\r\nb\x00\x7fé~")), "-ERR a??b???~\r\n"},
+		"busy, time unknown": {BusyReply(0), "-BUSY\r\n"},
+		"busy, no time":      {BusyReply(-1), "-BUSY\r\n"},
+		"busy, 1 ms":         {BusyReply(1), "-BUSY 1\r\n"},
+		"busy, 12 s":         {BusyReply(12000), "-BUSY 12000\r\n"},
+		"fault":              {ErrorReply(errors.New("k: missing")), "-ERR k: missing\r\n"},
+		"fault, not plain":   {ErrorReply(errors.New("a\r\nb\x00\x7fé~")), "-ERR a??b???~\r\n"},
 	} {
 		if c.got != c.want {
 			t.Errorf("%s: %q, want %q", name, c.got, c.want)
@@ -106,15 +106,15 @@
 }
 
 // The form in which connections go to another process.
-func TestHeldFixture(t *testing.T) {
+func TestConnSnapshotFixture(t *testing.T) {
 	want, err := os.ReadFile("testdata/conns.json")
 	if err != nil {
 		t.Fatal(err)
 	}
-	conns := []Held{
-		{Place: places.Kept{Left: 2600000}},
-		{Ahead: []byte("*1\r\n$4\r\nPI"), Place: places.Kept{Known: true, Spoke: true, Asked: 7, Left: 4000000}},
-		{Out: []byte("+OK\r\n"), Place: places.Kept{Spoke: true, Left: 10000}},
+	conns := []ConnSnapshot{
+		{Slot: places.Snapshot{Left: 2600000}},
+		{Unprocessed: []byte("*1\r\n$4\r\nPI"), Slot: places.Snapshot{Known: true, Spoke: true, Asked: 7, Left: 4000000}},
+		{Unwritten: []byte("+OK\r\n"), Slot: places.Snapshot{Spoke: true, Left: 10000}},
 	}
 	got, err := json.MarshalIndent(conns, "", " ")
 	if err != nil {
@@ -123,7 +123,7 @@
 	if !bytes.Equal(got, bytes.TrimSpace(want)) {
 		t.Errorf("got:\n%s\nwant:\n%s", got, want)
 	}
-	var back []Held
+	var back []ConnSnapshot
 	if err := json.Unmarshal(want, &back); err != nil || !reflect.DeepEqual(back, conns) {
 		t.Errorf("%+v, %v", back, err)
 	}
