--- a/internal/relay/wal.go
+++ b/internal/relay/wal.go
@@ -126,7 +126,7 @@
 	w.replay(text)
 	for id, l := range w.live {
 		if out == nil || !out(id) {
-			l.rec.Settle()
+			l.rec.ResolveOpenAttempt()
 		}
 	}
 	w.size = int64(len(text))
@@ -183,7 +183,7 @@
 func (w *wal) apply(r *record) {
 	l := w.live[r.ID]
 	switch {
-	case r.Kind == core.Taken:
+	case r.Kind == core.RecordAccepted:
 		if l == nil {
 			w.taken++
 			l = &liveRecord{rec: r, seq: w.taken, size: recordRoom(r)}
@@ -191,11 +191,11 @@
 			w.owed += l.size
 		}
 	case l == nil: // over, or its first record was damaged
-	case r.Kind == core.End:
+	case r.Kind == core.RecordDone:
 		w.owed -= l.size
 		delete(w.live, r.ID)
 	default:
-		l.rec.Fold(r)
+		l.rec.Apply(r)
 	}
 }
 
@@ -217,7 +217,7 @@
 	var text []byte
 	for _, l := range w.inOrder() {
 		c := *l.rec
-		c.Kind = core.Taken
+		c.Kind = core.RecordAccepted
 		var err error
 		if text, err = encodeRecord(&c, text); err != nil {
 			return err
@@ -284,7 +284,7 @@
 
 // append writes one record, if there is room for it and for a compaction.
 func (w *wal) append(r *record) error {
-	if r.Kind != core.Taken && w.live[r.ID] == nil {
+	if r.Kind != core.RecordAccepted && w.live[r.ID] == nil {
 		return errNotOwed
 	}
 	var err error
@@ -293,7 +293,7 @@
 	}
 	n := int64(len(w.buffer))
 	owed, free := w.owed, w.limit-walSlack
-	if r.Kind == core.Taken {
+	if r.Kind == core.RecordAccepted {
 		owed += recordRoom(r)
 		free -= walSpare   // later records on what is held must still fit
 		if 2*owed > free { // compaction would not help, so it is not tried for each
--- a/internal/relay/wal_format_test.go
+++ b/internal/relay/wal_format_test.go
@@ -15,21 +15,21 @@
 // record, and each field of one.
 func recordsOfEachKind() []*record {
 	return []*record{
-		{Kind: core.Taken, ID: "m-1", Class: "keyed", Tenant: "acme", Key: "key-1", Dest: 7, Deadline: 1764384020000000, Body: []byte("one\n\x00\xf7TRW")},
-		{Kind: core.Taken, ID: "m-2", Class: "plain", Dest: -3, Deadline: 1764384030000000},
-		{Kind: core.Taken, ID: "m-3", Class: "once", Deadline: 1764384040000000, Body: []byte("three")},
-		{Kind: core.Taken, ID: "m-4", Class: "plain", Dest: 4, Deadline: 1764384050000000, Body: []byte("four <&>")},
-		{Kind: core.Taken, ID: "m-5", Class: "plain", Dest: 5, Deadline: 1764384060000000, Body: []byte("five")},
-		{Kind: core.Attempt, ID: "m-1", At: 1764384001000000, Zone: 1},
-		{Kind: core.Outcome, ID: "m-1", Ran: true},
-		{Kind: core.Attempt, ID: "m-1", At: 1764384002000000},
-		{Kind: core.Attempt, ID: "m-2", At: 1764384003000000, Zone: 2},
-		{Kind: core.Outcome, ID: "m-2", Void: true},
-		{Kind: core.Attempt, ID: "m-3", At: 1764384004000000, Zone: 1},
-		{Kind: core.Ending, ID: "m-4", Notice: core.GivenUp},
-		{Kind: core.Ending, ID: "m-5", Notice: core.HandedBack, RetryMS: 1500},
-		{Kind: core.Taken, ID: "m-6", Class: "plain", Dest: 6, Deadline: 1764384070000000, Body: []byte("six")},
-		{Kind: core.End, ID: "m-5"},
+		{Kind: core.RecordAccepted, ID: "m-1", Class: "keyed", Tenant: "acme", Key: "key-1", Dest: 7, Deadline: 1764384020000000, Body: []byte("one\n\x00\xf7TRW")},
+		{Kind: core.RecordAccepted, ID: "m-2", Class: "plain", Dest: -3, Deadline: 1764384030000000},
+		{Kind: core.RecordAccepted, ID: "m-3", Class: "once", Deadline: 1764384040000000, Body: []byte("three")},
+		{Kind: core.RecordAccepted, ID: "m-4", Class: "plain", Dest: 4, Deadline: 1764384050000000, Body: []byte("four <&>")},
+		{Kind: core.RecordAccepted, ID: "m-5", Class: "plain", Dest: 5, Deadline: 1764384060000000, Body: []byte("five")},
+		{Kind: core.RecordAttempt, ID: "m-1", At: 1764384001000000, Zone: 1},
+		{Kind: core.RecordOutcome, ID: "m-1", MayHaveRun: true},
+		{Kind: core.RecordAttempt, ID: "m-1", At: 1764384002000000},
+		{Kind: core.RecordAttempt, ID: "m-2", At: 1764384003000000, Zone: 2},
+		{Kind: core.RecordOutcome, ID: "m-2", NotCounted: true},
+		{Kind: core.RecordAttempt, ID: "m-3", At: 1764384004000000, Zone: 1},
+		{Kind: core.RecordEnding, ID: "m-4", Notice: core.NoticeGivenUp},
+		{Kind: core.RecordEnding, ID: "m-5", Notice: core.NoticeHandedBack, RetryMS: 1500},
+		{Kind: core.RecordAccepted, ID: "m-6", Class: "plain", Dest: 6, Deadline: 1764384070000000, Body: []byte("six")},
+		{Kind: core.RecordDone, ID: "m-5"},
 	}
 }
 
--- a/internal/relay/wal_test.go
+++ b/internal/relay/wal_test.go
@@ -32,7 +32,7 @@
 }
 
 func taken(id string, body string) *record {
-	return &record{Kind: core.Taken, ID: id, Class: "keyed", Tenant: "acme", Key: "k", Dest: 7, Deadline: 1e15, Body: []byte(body)}
+	return &record{Kind: core.RecordAccepted, ID: id, Class: "keyed", Tenant: "acme", Key: "k", Dest: 7, Deadline: 1e15, Body: []byte(body)}
 }
 
 // What is owed comes back with its state, in order, also after a second start,
@@ -41,25 +41,25 @@
 	dir := t.TempDir()
 	w, _ := openTestWAL(t, dir, 1<<20)
 	mustAppend(t, w, taken("a", "A\n\x00"), taken("b", ""), taken("c", "C"), taken("d", "D"), taken("e", "E"),
-		&record{Kind: core.Attempt, ID: "a", At: 100, Zone: 1},
-		&record{Kind: core.Outcome, ID: "a", Ran: false},
-		&record{Kind: core.Attempt, ID: "b", At: 200, Zone: 1},
-		&record{Kind: core.Outcome, ID: "b", Ran: true},
-		&record{Kind: core.Attempt, ID: "b", At: 300, Zone: 0},
-		&record{Kind: core.Attempt, ID: "c", At: 400, Zone: 1}, // no outcome: it may have run
-		&record{Kind: core.End, ID: "d"},
-		&record{Kind: core.Ending, ID: "e", Notice: core.HandedBack, RetryMS: 20})
+		&record{Kind: core.RecordAttempt, ID: "a", At: 100, Zone: 1},
+		&record{Kind: core.RecordOutcome, ID: "a", MayHaveRun: false},
+		&record{Kind: core.RecordAttempt, ID: "b", At: 200, Zone: 1},
+		&record{Kind: core.RecordOutcome, ID: "b", MayHaveRun: true},
+		&record{Kind: core.RecordAttempt, ID: "b", At: 300, Zone: 0},
+		&record{Kind: core.RecordAttempt, ID: "c", At: 400, Zone: 1}, // no outcome: it may have run
+		&record{Kind: core.RecordDone, ID: "d"},
+		&record{Kind: core.RecordEnding, ID: "e", Notice: core.NoticeHandedBack, RetryMS: 20})
 	for range 2 {
 		_, owed := openTestWAL(t, dir, 1<<20)
 		var got []string
 		for _, r := range owed {
-			got = append(got, r.ID+" "+string(r.Body)+" "+strconv.Itoa(r.Tries)+" "+strconv.FormatInt(r.Doubt, 10)+" "+r.Notice)
+			got = append(got, r.ID+" "+string(r.Body)+" "+strconv.Itoa(r.Attempts)+" "+strconv.FormatInt(r.FirstUncertainAt, 10)+" "+r.Notice)
 		}
-		want := []string{"a A\n\x00 1 0 ", "b  2 200 ", "c C 1 400 ", "e E 0 0 " + core.HandedBack}
+		want := []string{"a A\n\x00 1 0 ", "b  2 200 ", "c C 1 400 ", "e E 0 0 " + core.NoticeHandedBack}
 		if !slices.Equal(got, want) {
 			t.Fatalf("got %q", got)
 		}
-		if r := owed[1]; r.Key != "k" || r.Class != "keyed" || r.Tenant != "acme" || r.Dest != 7 || r.Deadline != 1e15 || r.DoubtIn != 1 {
+		if r := owed[1]; r.Key != "k" || r.Class != "keyed" || r.Tenant != "acme" || r.Dest != 7 || r.Deadline != 1e15 || r.FirstUncertainZone != 1 {
 			t.Errorf("got %+v", r)
 		}
 	}
@@ -140,7 +140,7 @@
 	}
 	for round := range 3000 { // far more than fits without compaction
 		id := strconv.Itoa(round % n)
-		mustAppend(t, w, &record{Kind: core.Attempt, ID: id, At: int64(round) + 1}, &record{Kind: core.Outcome, ID: id, Ran: true})
+		mustAppend(t, w, &record{Kind: core.RecordAttempt, ID: id, At: int64(round) + 1}, &record{Kind: core.RecordOutcome, ID: id, MayHaveRun: true})
 		if w.size+w.owed > limit {
 			t.Fatalf("round %d: log %d, compaction would add %d", round, w.size, w.owed)
 		}
@@ -149,7 +149,7 @@
 		t.Fatalf("size on disk %v, held to be %d, %v", info, w.size, err)
 	}
 	for i := range n {
-		mustAppend(t, w, &record{Kind: core.End, ID: strconv.Itoa(i)})
+		mustAppend(t, w, &record{Kind: core.RecordDone, ID: strconv.Itoa(i)})
 	}
 	if w.owed != 0 {
 		t.Errorf("%d bytes owed by nobody", w.owed)
@@ -161,7 +161,7 @@
 // when the message is taken on.
 func TestRecordRoom(t *testing.T) {
 	r := taken("9b1f03aa5c7e2d41", "body")
-	r.Tries, r.Doubt, r.DoubtIn, r.Out, r.OutIn, r.Notice, r.RetryMS = 255, 1764384000000000, 9, 1764384000000000, 9, core.HandedBack, 2000
+	r.Attempts, r.FirstUncertainAt, r.FirstUncertainZone, r.OpenAttemptAt, r.OpenAttemptZone, r.Notice, r.RetryMS = 255, 1764384000000000, 9, 1764384000000000, 9, core.NoticeHandedBack, 2000
 	text, err := encodeRecord(r, nil)
 	if err != nil || int64(len(text)) > recordRoom(r) {
 		t.Errorf("%d bytes, booked %d, %v", len(text), recordRoom(r), err)
@@ -181,7 +181,7 @@
 	if w.live["b"] != nil {
 		t.Error("held to be owed")
 	}
-	if err := w.append(&record{Kind: core.Attempt, ID: "b"}); !errors.Is(err, errNotOwed) {
+	if err := w.append(&record{Kind: core.RecordAttempt, ID: "b"}); !errors.Is(err, errNotOwed) {
 		t.Errorf("an attempt of what was refused: %v", err)
 	}
 	if _, owed := openTestWAL(t, dir, 1<<20); len(owed) != 1 {
--- a/internal/resp/fixture_test.go
+++ b/internal/resp/fixture_test.go
@@ -78,7 +78,7 @@
 			out.WriteString("\n")
 		}
 	}
-	if r.Midway() {
+	if r.Incomplete() {
 		if pending, ok := r.Pending(); ok {
 			fmt.Fprintf(&out, "~ %q\n", pending)
 		} else {
--- a/internal/resp/resp_test.go
+++ b/internal/resp/resp_test.go
@@ -22,7 +22,7 @@
 func model(b []byte) (all []result) {
 	r := bufio.NewReader(bytes.NewReader(b))
 	for {
-		args, err := modelCommand(r)
+		args, err := modelReadCommand(r)
 		if errors.Is(err, io.EOF) || errors.Is(err, io.ErrUnexpectedEOF) {
 			return all
 		}
@@ -41,35 +41,35 @@
 	}
 }
 
-func modelCommand(r *bufio.Reader) ([][]byte, error) {
-	n, err := modelLine(r, '*')
+func modelReadCommand(r *bufio.Reader) ([][]byte, error) {
+	n, err := modelReadHeader(r, '*')
 	if err != nil {
 		return nil, err
 	}
-	if n < 1 || n > ArgsMost {
+	if n < 1 || n > MaxArgs {
 		return nil, fmt.Errorf("command of %d arguments", n)
 	}
 	var args [][]byte
 	long := false
 	for i := range n {
-		size, err := modelLine(r, '$')
+		size, err := modelReadHeader(r, '$')
 		if err != nil {
 			return nil, err
 		}
-		if size < 0 || size > SkipMost {
+		if size < 0 || size > MaxSkippedBytes {
 			return nil, fmt.Errorf("argument of %d bytes", size)
 		}
-		long = long || size > BodyMost || size > ArgMost && i < n-1
+		long = long || size > MaxBodyBytes || size > MaxArgBytes && i < n-1
 		arg := make([]byte, size+2)
 		if k, err := io.ReadFull(r, arg); err != nil {
 			// A wrong end is told as soon as it shows.
 			if k == size+1 && arg[size] != '\r' {
-				return nil, errNoEnd
+				return nil, errMissingCRLF
 			}
 			return nil, err
 		}
 		if string(arg[size:]) != "\r\n" {
-			return nil, errNoEnd
+			return nil, errMissingCRLF
 		}
 		args = append(args, arg[:size])
 	}
@@ -79,9 +79,9 @@
 	return args, nil
 }
 
-func modelLine(r *bufio.Reader, kind byte) (int, error) {
+func modelReadHeader(r *bufio.Reader, kind byte) (int, error) {
 	var line []byte
-	for len(line) < lineMost {
+	for len(line) < maxHeaderBytes {
 		c, err := r.ReadByte()
 		if err != nil {
 			return 0, err
@@ -101,18 +101,18 @@
 	return 0, fmt.Errorf("expected %q and a number", kind)
 }
 
-// feed gives the machine b in pieces, cut where the function says.
-func feed(t testing.TB, b []byte, piece func(at int) int) (all []result) {
+// feedInPieces gives the machine b in pieces, cut where the function says.
+func feedInPieces(t testing.TB, b []byte, piece func(at int) int) (all []result) {
 	var r Reader
 	for at := 0; at < len(b); {
 		part := b[at:min(at+piece(at), len(b))]
 		at += len(part)
 		for len(part) > 0 {
 			took, whole, err := r.Feed(part)
-			if r.Held() > 2*(ArgMost*ArgsMost+BodyMost) {
-				t.Fatalf("%d bytes held", r.Held())
+			if r.BufferBytes() > 2*(MaxArgBytes*MaxArgs+MaxBodyBytes) {
+				t.Fatalf("%d bytes held", r.BufferBytes())
 			}
-			if whole && r.Midway() {
+			if whole && r.Incomplete() {
 				t.Fatal("midway behind a command")
 			}
 			part = part[took:]
@@ -140,38 +140,38 @@
 	return all
 }
 
-func same(a, b []result) bool { return fmt.Sprintf("%q", a) == fmt.Sprintf("%q", b) }
+func sameResults(a, b []result) bool { return fmt.Sprintf("%q", a) == fmt.Sprintf("%q", b) }
 
-func check(t testing.TB, b []byte) {
+func checkEveryCut(t testing.TB, b []byte) {
 	want := model(b)
-	if got := feed(t, b, func(int) int { return len(b) }); !same(got, want) {
+	if got := feedInPieces(t, b, func(int) int { return len(b) }); !sameResults(got, want) {
 		t.Fatalf("in one piece: %.300q, want %.300q", got, want)
 	}
-	if got := feed(t, b, func(int) int { return 1 }); !same(got, want) {
+	if got := feedInPieces(t, b, func(int) int { return 1 }); !sameResults(got, want) {
 		t.Fatalf("byte by byte: %.300q, want %.300q", got, want)
 	}
 	step := max(1, len(b)/300) // every boundary of a short input
 	for cut := 0; cut < len(b); cut += step {
-		got := feed(t, b, func(at int) int {
+		got := feedInPieces(t, b, func(at int) int {
 			if at == 0 && cut > 0 {
 				return cut
 			}
 			return len(b)
 		})
-		if !same(got, want) {
+		if !sameResults(got, want) {
 			t.Fatalf("cut at %d: %.300q, want %.300q", cut, got, want)
 		}
 	}
 	x := uint32(len(b)) // pieces of many sizes
 	for range 4 {
-		got := feed(t, b, func(int) int { x = x*1664525 + 1013904223; return int(x>>24)%17 + 1 })
-		if !same(got, want) {
+		got := feedInPieces(t, b, func(int) int { x = x*1664525 + 1013904223; return int(x>>24)%17 + 1 })
+		if !sameResults(got, want) {
 			t.Fatalf("in pieces: %.300q, want %.300q", got, want)
 		}
 	}
 }
 
-func bulk(args ...string) string {
+func encodeCommand(args ...string) string {
 	var b strings.Builder
 	fmt.Fprintf(&b, "*%d\r\n", len(args))
 	for _, a := range args {
@@ -181,57 +181,57 @@
 }
 
 var inputs = []string{
-	bulk("PING"),
-	bulk("PING") + bulk("ping", "hi"),
-	bulk("MSG.PUT", "0000000000000000", "id", "c=plain,d=1,dest=2", "body\r\n\x00") + bulk("PING"),
-	bulk("a", ""), bulk("", ""), "*1\r\n$0\r\n\r\n",
-	bulk("MSG.PUT", "0", "i", "c", strings.Repeat("b", BodyMost)) + bulk("PING"),
-	bulk("MSG.PUT", "0", "i", "c", strings.Repeat("b", BodyMost+1)) + bulk("PING"),
-	bulk("MSG.PUT", strings.Repeat("k", ArgMost+1), "i", "c", "b") + bulk("PING"),
-	bulk("MSG.PUT", strings.Repeat("k", ArgMost), "i", "c", "b") + bulk("PING"),
-	bulk(strings.Split(strings.Repeat("a,", 15)+"a", ",")...),
+	encodeCommand("PING"),
+	encodeCommand("PING") + encodeCommand("ping", "hi"),
+	encodeCommand("MSG.PUT", "0000000000000000", "id", "c=plain,d=1,dest=2", "body\r\n\x00") + encodeCommand("PING"),
+	encodeCommand("a", ""), encodeCommand("", ""), "*1\r\n$0\r\n\r\n",
+	encodeCommand("MSG.PUT", "0", "i", "c", strings.Repeat("b", MaxBodyBytes)) + encodeCommand("PING"),
+	encodeCommand("MSG.PUT", "0", "i", "c", strings.Repeat("b", MaxBodyBytes+1)) + encodeCommand("PING"),
+	encodeCommand("MSG.PUT", strings.Repeat("k", MaxArgBytes+1), "i", "c", "b") + encodeCommand("PING"),
+	encodeCommand("MSG.PUT", strings.Repeat("k", MaxArgBytes), "i", "c", "b") + encodeCommand("PING"),
+	encodeCommand(strings.Split(strings.Repeat("a,", 15)+"a", ",")...),
 	"PING\r\n", "*x\r\n", "*0\r\n", "*-1\r\n", "*17\r\n", "*1\n", "*\r\n", "\n", "\r\n", "*+1\r\n$4\r\nPING\r\n",
 	"*1\r\n$999999999\r\n", "*1\r\n$-1\r\n", "*1\r\n:4\r\n", "*1\r\n$4\r\nPINGxx", "*1\r\n$4\r\nPING\rx", "*1\r\n$4\r\nPINGx",
 	"*" + strings.Repeat("1", 99) + "\r\n", "*1\r\n$" + strings.Repeat("0", 40), "*2\r\n$1\r\na\r\n*1\r\n",
-	"*1\r\n$99999999999999999999\r\n", "*2\r\n$1048576\r\n" + strings.Repeat("q", 1048576) + "\r\n$1\r\nz\r\n" + bulk("PING"),
+	"*1\r\n$99999999999999999999\r\n", "*2\r\n$1048576\r\n" + strings.Repeat("q", 1048576) + "\r\n$1\r\nz\r\n" + encodeCommand("PING"),
 }
 
-func TestTheSameCommandsAtEveryCut(t *testing.T) {
+func TestSameCommandsAtEveryCut(t *testing.T) {
 	for i, s := range inputs {
-		t.Run(strconv.Itoa(i), func(t *testing.T) { t.Parallel(); check(t, []byte(s)) })
+		t.Run(strconv.Itoa(i), func(t *testing.T) { t.Parallel(); checkEveryCut(t, []byte(s)) })
 	}
 }
 
 // Memory is spent as bytes come, not when they are announced, and a reader
 // that is done keeps little of it.
-func TestMemoryFollowsWhatCame(t *testing.T) {
+func TestBufferGrowsWithInput(t *testing.T) {
 	var r Reader
 	r.Feed([]byte("*2\r\n$7\r\nMSG.PUT\r\n$65536\r\nabc"))
-	if r.Held() > 1024 {
-		t.Errorf("%d bytes held for 10 that came", r.Held())
+	if r.BufferBytes() > 1024 {
+		t.Errorf("%d bytes held for 10 that came", r.BufferBytes())
 	}
 	r.Feed(bytes.Repeat([]byte("x"), 65533))
 	if _, whole, err := r.Feed([]byte("\r\n")); !whole || err != nil || len(r.Args()[1]) != 65536 {
 		t.Fatalf("whole %v, err %v", whole, err)
 	}
-	if r.Held() > 2*BodyMost {
-		t.Errorf("%d bytes held for a body of %d", r.Held(), BodyMost)
+	if r.BufferBytes() > 2*MaxBodyBytes {
+		t.Errorf("%d bytes held for a body of %d", r.BufferBytes(), MaxBodyBytes)
 	}
 	r.Reset()
-	if r.Held() > keepMost {
-		t.Errorf("%d bytes kept", r.Held())
+	if r.BufferBytes() > maxKeptBuffer {
+		t.Errorf("%d bytes kept", r.BufferBytes())
 	}
 	// What is read past is not held at all.
 	r.Feed([]byte("*2\r\n$100000\r\n" + strings.Repeat("x", 100000) + "\r\n$60000\r\n" + strings.Repeat("y", 60000)))
-	if r.Held() != 0 {
-		t.Errorf("%d bytes held of a command that will not be used", r.Held())
+	if r.BufferBytes() != 0 {
+		t.Errorf("%d bytes held of a command that will not be used", r.BufferBytes())
 	}
-	if !r.Midway() {
+	if !r.Incomplete() {
 		t.Error("not midway")
 	}
 }
 
-func FuzzCuts(f *testing.F) {
+func FuzzSplitInput(f *testing.F) {
 	for _, s := range inputs {
 		if len(s) < 2000 {
 			f.Add([]byte(s))
@@ -241,12 +241,12 @@
 		if len(b) > 4096 {
 			b = b[:4096]
 		}
-		check(t, b)
+		checkEveryCut(t, b)
 	})
 }
 
 func BenchmarkFeed(b *testing.B) {
-	text := []byte(bulk("MSG.PUT", "7f3a9c21e0b4d655", "9b1f03aa5c7e2d41", "c=notice,t=acme,d=8000,dest=7", strings.Repeat("b", 200)))
+	text := []byte(encodeCommand("MSG.PUT", "7f3a9c21e0b4d655", "9b1f03aa5c7e2d41", "c=notice,t=acme,d=8000,dest=7", strings.Repeat("b", 200)))
 	var r Reader
 	b.ReportAllocs()
 	b.SetBytes(int64(len(text)))
--- a/internal/story/fixtures_test.go
+++ b/internal/story/fixtures_test.go
@@ -15,8 +15,8 @@
 		t.Fatal(err)
 	}
 	got := strings.Join([]string{
-		Taken, Refused, Withdrawn, Delivered, Over, Attempt, Ended, Told, Resumed,
-		Ready, Stopping, Stopped, fmt.Sprint(Default),
+		Accepted, Rejected, Withdrawn, Delivered, EndpointFinished, AttemptFailed, Ended, NoticeDelivered, Recovered,
+		Ready, Stopping, Stopped, fmt.Sprint(DefaultPerSecond),
 	}, "\n") + "\n"
 	if got != string(want) {
 		t.Errorf("lines are\n%swant\n%s", got, want)
--- a/internal/story/story.go
+++ b/internal/story/story.go
@@ -10,15 +10,15 @@
 // Lines, by their text. Ended, Told, Attempt and Resumed are told of every
 // message; the others of those that the budget has room for.
 const (
-	Taken     = "taken"     // on: its client has the answer
-	Refused   = "refused"   // and never taken on: its client was told at once
-	Withdrawn = "withdrawn" // its client left before it had its answer
-	Delivered = "delivered" // and over
-	Over      = "over"      // at its endpoint (410): withdrawn, or out of time; nothing more is owed
-	Attempt   = "attempt"   // an attempt ended otherwise
-	Ended     = "ended"     // by the policy: handed back or given up
-	Told      = "told"      // the platform has taken the notice of its end
-	Resumed   = "resumed"   // taken up from an earlier process
+	Accepted         = "taken"     // on: its client has the answer
+	Rejected         = "refused"   // and never taken on: its client was told at once
+	Withdrawn        = "withdrawn" // its client left before it had its answer
+	Delivered        = "delivered" // and over
+	EndpointFinished = "over"      // at its endpoint (410): withdrawn, or out of time; nothing more is owed
+	AttemptFailed    = "attempt"   // an attempt ended otherwise
+	Ended            = "ended"     // by the policy: handed back or given up
+	NoticeDelivered  = "told"      // the platform has taken the notice of its end
+	Recovered        = "resumed"   // taken up from an earlier process
 )
 
 // Lines of a process, which stand round the stories.
@@ -28,29 +28,29 @@
 	Stopped  = "stopped"
 )
 
-// Default is how many messages a second are told from their hand-in on.
-const Default = 100
+// DefaultPerSecond is how many messages a second are told from their hand-in on.
+const DefaultPerSecond = 100
 
-const second = 1_000_000 // µs
+const microsPerSecond = 1_000_000 // µs
 
-// Budget is how many more messages may be told.
-type Budget struct {
-	most, used int
-	at         int64 // the second
+// Sampler is how many more messages may be told.
+type Sampler struct {
+	perSecond, sampled int
+	second             int64 // the second
 }
 
-// NewBudget makes one of so many messages a second.
-func NewBudget(perSecond int) *Budget { return &Budget{most: perSecond} }
+// NewSampler makes one of so many messages a second.
+func NewSampler(perSecond int) *Sampler { return &Sampler{perSecond: perSecond} }
 
-// Take reports whether a message that comes now (µs) is told. A clock that goes
+// Sample reports whether a message that comes now (µs) is told. A clock that goes
 // back begins no new second.
-func (b *Budget) Take(now int64) bool {
-	if s := now / second; s > b.at {
-		b.at, b.used = s, 0
+func (b *Sampler) Sample(now int64) bool {
+	if s := now / microsPerSecond; s > b.second {
+		b.second, b.sampled = s, 0
 	}
-	if b.used >= b.most {
+	if b.sampled >= b.perSecond {
 		return false
 	}
-	b.used++
+	b.sampled++
 	return true
 }
--- a/internal/story/story_test.go
+++ b/internal/story/story_test.go
@@ -4,11 +4,11 @@
 
 // So many a second are told, of whatever second; a clock that goes back opens
 // no second again.
-func TestBudget(t *testing.T) {
-	b := NewBudget(3)
+func TestSampler(t *testing.T) {
+	b := NewSampler(3)
 	took := func(now int64, n int) (got int) {
 		for range n {
-			if b.Take(now) {
+			if b.Sample(now) {
 				got++
 			}
 		}
@@ -23,7 +23,7 @@
 			t.Errorf("%d: %d of %d told at %d, want %d", i, got, x.n, x.now, x.want)
 		}
 	}
-	if NewBudget(0).Take(1e6) {
+	if NewSampler(0).Sample(1e6) {
 		t.Error("told with no budget")
 	}
 }
--- a/internal/tally/fixtures_test.go
+++ b/internal/tally/fixtures_test.go
@@ -15,10 +15,10 @@
 		t.Fatal(err)
 	}
 	got := strings.Join([]string{
-		Line, Longest, In, Taken, Resumed, Sent, Crossed, Dialed, Delivered, Full, Errored, TimedOut, NoConnect,
-		Reset, Cancelled, NotSent, Firsts, FirstMS, GivenUp, Probed, Untold, Back, Untried, UntriedOver,
-		UntriedNowhere, UntriedTried, UntriedDelivered, UntriedBack, UntriedGivenUp,
-		group(7), group(Rest), fmt.Sprint(most),
+		LogText, LongestStepKey, Submitted, Accepted, Recovered, Attempts, CrossZoneAttempts, ConnectionsOpened, Delivered, Rejected, Failed, TimedOut, ConnectFailed,
+		ConnectionReset, Cancelled, NotSent, FirstAttempts, FirstAttemptDelayMS, GivenUp, HealthChecks, Untraced, HandedBackPrefix, RecoveredUntried, UntriedExpired,
+		UntriedUnroutable, UntriedAttempted, UntriedDelivered, UntriedHandedBackPrefix, UntriedGivenUpPrefix,
+		groupName(7), groupName(OtherDestinations), fmt.Sprint(maxDestinations),
 	}, "\n") + "\n"
 	if got != string(want) {
 		t.Errorf("keys are\n%swant\n%s", got, want)
--- a/internal/wheel/wheel.go
+++ b/internal/wheel/wheel.go
@@ -9,30 +9,30 @@
 package wheel
 
 const (
-	bits   = 6
-	slots  = 1 << bits
-	levels = 5 // 64^5 ticks: with a tick of 10 ms, 124 days
-	none   = -1
+	slotBits      = 6
+	slotsPerLevel = 1 << slotBits
+	levelCount    = 5 // 64^5 ticks: with a tick of 10 ms, 124 days
+	noTimer       = -1
 )
 
 type node struct {
 	next, prev int32 // numbers of timers, or -2-i for the head of list i
-	at         int64 // tick; 0 for not set
+	dueTick    int64 // tick; 0 for not set
 }
 
 const (
-	heads = levels*slots + 1
-	work  = levels * slots // the list that is being gone through
+	listCount = levelCount*slotsPerLevel + 1
+	workList  = levelCount * slotsPerLevel // the list that is being gone through
 )
 
 // Wheel holds the timers. Its methods are not safe for several goroutines.
 type Wheel struct {
-	tick  int64 // length
-	now   int64 // last tick that was gone through, or is while work is not empty
-	nodes []node
-	heads [heads]struct{ first, last int32 }
-	used  [levels]uint64 // slots that may hold something
-	count int
+	tickLength  int64 // length
+	currentTick int64 // last tick that was gone through, or is while work is not empty
+	nodes       []node
+	lists       [listCount]struct{ first, last int32 }
+	occupied    [levelCount]uint64 // slots that may hold something
+	count       int
 }
 
 // New makes a wheel whose ticks are so long, in the unit of all times here.
@@ -40,9 +40,9 @@
 	if tick <= 0 {
 		panic("wheel: a tick must be longer than nothing")
 	}
-	w := &Wheel{tick: tick, now: now / tick}
-	for i := range w.heads {
-		w.heads[i].first, w.heads[i].last = none, none
+	w := &Wheel{tickLength: tick, currentTick: now / tick}
+	for i := range w.lists {
+		w.lists[i].first, w.lists[i].last = noTimer, noTimer
 	}
 	return w
 }
@@ -59,45 +59,45 @@
 	w.count++
 	// Up to the next whole tick: never early. What is due already comes with
 	// the next tick, so that a moment is always ahead.
-	w.nodes[id].at = max((at+w.tick-1)/w.tick, w.now+1)
-	w.place(int32(id))
+	w.nodes[id].dueTick = max((at+w.tickLength-1)/w.tickLength, w.currentTick+1)
+	w.insert(int32(id))
 }
 
 // Cancel takes back a number's timer, if there is one.
 func (w *Wheel) Cancel(id uint32) {
-	if int(id) < len(w.nodes) && w.nodes[id].at != 0 {
+	if int(id) < len(w.nodes) && w.nodes[id].dueTick != 0 {
 		w.unlink(int32(id))
-		w.nodes[id].at = 0
+		w.nodes[id].dueTick = 0
 		w.count--
 	}
 }
 
-// place puts a timer in the slot where it is looked at next.
-func (w *Wheel) place(id int32) {
-	at := w.nodes[id].at
-	if at <= w.now { // in a work list that was left half done
-		w.link(id, work)
+// insert puts a timer in the slot where it is looked at next.
+func (w *Wheel) insert(id int32) {
+	at := w.nodes[id].dueTick
+	if at <= w.currentTick { // in a work list that was left half done
+		w.link(id, workList)
 		return
 	}
 	level := 0
-	for level < levels-1 && at>>(bits*(level+1)) != w.now>>(bits*(level+1)) {
+	for level < levelCount-1 && at>>(slotBits*(level+1)) != w.currentTick>>(slotBits*(level+1)) {
 		level++
 	}
 	// Beyond the last level's span: looked at once a turn of it.
-	slot := at >> (bits * level)
-	if farthest := w.now>>(bits*level) + slots - 1; slot > farthest {
+	slot := at >> (slotBits * level)
+	if farthest := w.currentTick>>(slotBits*level) + slotsPerLevel - 1; slot > farthest {
 		slot = farthest
 	}
-	slot &= slots - 1
-	w.used[level] |= 1 << slot
-	w.link(id, int32(level*slots)+int32(slot))
+	slot &= slotsPerLevel - 1
+	w.occupied[level] |= 1 << slot
+	w.link(id, int32(level*slotsPerLevel)+int32(slot))
 }
 
 func (w *Wheel) link(id, list int32) {
-	h := &w.heads[list]
+	h := &w.lists[list]
 	n := &w.nodes[id]
 	n.next, n.prev = -2-list, h.last
-	if h.last == none {
+	if h.last == noTimer {
 		n.prev = -2 - list
 		h.first = id
 	} else {
@@ -112,16 +112,16 @@
 	if n.prev >= 0 {
 		w.nodes[n.prev].next = n.next
 	} else if n.next >= 0 {
-		w.heads[-2-n.prev].first = n.next
+		w.lists[-2-n.prev].first = n.next
 	} else {
-		w.heads[-2-n.prev].first = none
+		w.lists[-2-n.prev].first = noTimer
 	}
 	if n.next >= 0 {
 		w.nodes[n.next].prev = n.prev
 	} else if n.prev >= 0 {
-		w.heads[-2-n.next].last = n.prev
+		w.lists[-2-n.next].last = n.prev
 	} else {
-		w.heads[-2-n.next].last = none
+		w.lists[-2-n.next].last = noTimer
 	}
 }
 
@@ -129,78 +129,78 @@
 // come, which are then not set any more. It looks at most timers in all; more
 // tells that it stopped there and is to be called again.
 func (w *Wheel) Advance(now int64, most int, due []uint32) (_ []uint32, more bool) {
-	to := now / w.tick
+	to := now / w.tickLength
 	for {
-		for w.heads[work].first != none {
+		for w.lists[workList].first != noTimer {
 			if most == 0 {
 				return due, true
 			}
 			most--
-			id := w.heads[work].first
+			id := w.lists[workList].first
 			w.unlink(id)
-			if n := &w.nodes[id]; n.at > w.now {
-				w.place(id)
+			if n := &w.nodes[id]; n.dueTick > w.currentTick {
+				w.insert(id)
 			} else {
-				n.at = 0
+				n.dueTick = 0
 				w.count--
 				due = append(due, uint32(id))
 			}
 		}
 		next, ok := w.nextTick()
 		if !ok || next > to {
-			w.now = max(w.now, to)
+			w.currentTick = max(w.currentTick, to)
 			return due, false
 		}
-		w.now = next
-		w.open(next)
+		w.currentTick = next
+		w.openSlots(next)
 	}
 }
 
-// open moves what is in the slots that a tick begins to the work list.
-func (w *Wheel) open(tick int64) {
-	for level := levels - 1; level >= 0; level-- {
-		if tick&(1<<(bits*level)-1) != 0 {
+// openSlots moves what is in the slots that a tick begins to the work list.
+func (w *Wheel) openSlots(tick int64) {
+	for level := levelCount - 1; level >= 0; level-- {
+		if tick&(1<<(slotBits*level)-1) != 0 {
 			continue
 		}
-		slot := tick >> (bits * level) & (slots - 1)
-		if w.used[level]&(1<<slot) == 0 {
+		slot := tick >> (slotBits * level) & (slotsPerLevel - 1)
+		if w.occupied[level]&(1<<slot) == 0 {
 			continue
 		}
-		w.used[level] &^= 1 << slot
-		w.splice(int32(level*slots) + int32(slot))
+		w.occupied[level] &^= 1 << slot
+		w.splice(int32(level*slotsPerLevel) + int32(slot))
 	}
 }
 
 // splice moves a whole list behind the work list, in constant time.
 func (w *Wheel) splice(list int32) {
-	h, to := &w.heads[list], &w.heads[work]
-	if h.first == none {
+	h, to := &w.lists[list], &w.lists[workList]
+	if h.first == noTimer {
 		return
 	}
-	if to.last == none {
+	if to.last == noTimer {
 		to.first = h.first
-		w.nodes[h.first].prev = -2 - work
+		w.nodes[h.first].prev = -2 - workList
 	} else {
 		w.nodes[to.last].next = h.first
 		w.nodes[h.first].prev = to.last
 	}
-	w.nodes[h.last].next = -2 - work
+	w.nodes[h.last].next = -2 - workList
 	to.last = h.last
-	h.first, h.last = none, none
+	h.first, h.last = noTimer, noTimer
 }
 
 // nextTick is the next tick that opens a slot which may hold something.
 func (w *Wheel) nextTick() (int64, bool) {
 	best, ok := int64(0), false
-	for level := range levels {
-		used := w.used[level]
+	for level := range levelCount {
+		used := w.occupied[level]
 		if used == 0 {
 			continue
 		}
-		at := w.now >> (bits * level)
-		for d := int64(1); d <= slots; d++ {
-			if used&(1<<((at+d)&(slots-1))) != 0 {
-				if t := (at + d) << (bits * level); !ok || t < best {
+		at := w.currentTick >> (slotBits * level)
+		for d := int64(1); d <= slotsPerLevel; d++ {
+			if used&(1<<((at+d)&(slotsPerLevel-1))) != 0 {
+				if t := (at + d) << (slotBits * level); !ok || t < best {
 					best, ok = t, true
 				}
 				break
@@ -213,12 +213,12 @@
 // Next is the moment at which Advance has something to look at; false where no
 // timer is set. Nothing is due before it.
 func (w *Wheel) Next() (at int64, ok bool) {
-	if w.heads[work].first != none {
-		return w.now * w.tick, true
+	if w.lists[workList].first != noTimer {
+		return w.currentTick * w.tickLength, true
 	}
 	if w.count == 0 {
 		return 0, false
 	}
 	t, ok := w.nextTick()
-	return t * w.tick, ok
+	return t * w.tickLength, ok
 }
--- a/internal/wheel/wheel_test.go
+++ b/internal/wheel/wheel_test.go
@@ -8,9 +8,9 @@
 )
 
 // The model: a plain list of moments.
-type model map[uint32]int64
+type modelTimers map[uint32]int64
 
-func (m model) due(now int64) (ids []uint32) {
+func (m modelTimers) due(now int64) (ids []uint32) {
 	for id, at := range m {
 		if at <= now {
 			ids = append(ids, id)
@@ -23,12 +23,12 @@
 // Every timer comes once, never before its moment, and with no more than a
 // tick between the moment and a call that could tell of it; whatever is set,
 // moved and cancelled in between, and however small the turns are.
-func TestAgainstAList(t *testing.T) {
+func TestMatchesModel(t *testing.T) {
 	for seed := range uint64(300) {
 		rng := rand.New(rand.NewPCG(seed, 1))
 		tick := int64(1 + rng.IntN(10))
 		now := rng.Int64N(1 << 40)
-		w, m := New(tick, now), model{}
+		w, m := New(tick, now), modelTimers{}
 		for range 400 {
 			switch id := uint32(rng.IntN(50)); rng.IntN(6) {
 			case 0:
@@ -112,7 +112,7 @@
 
 // A hundred thousand timers that end in the same instant: the longest turn,
 // beside what the runtime's own timers need for the same.
-func BenchmarkEqual(b *testing.B) {
+func BenchmarkSimultaneousTimers(b *testing.B) {
 	const n = 100_000
 	b.Run("wheel", func(b *testing.B) {
 		worst, due := time.Duration(0), make([]uint32, 0, 512)
@@ -148,7 +148,7 @@
 }
 
 // What a connection does with its timer: move it for each command.
-func BenchmarkMove(b *testing.B) {
+func BenchmarkReset(b *testing.B) {
 	b.Run("wheel", func(b *testing.B) {
 		w := New(10_000, 0)
 		for i := int64(0); b.Loop(); i++ {
