--- a/internal/core/core_test.go
+++ b/internal/core/core_test.go
@@ -176,7 +176,7 @@
 		case ApplyRetryAfter:
 			fmt.Fprintf(&w.trace, " %d %d", e.Endpoint, e.Until)
 			if d := w.driver; d != nil && d.endpoints[e.Endpoint] != nil {
-				d.endpoints[e.Endpoint].gate.Tell(w.now, e.Until)
+				d.endpoints[e.Endpoint].gate.HoldUntil(w.now, e.Until)
 			}
 		case Log:
 			fmt.Fprintf(&w.trace, " %s %v", e.Text, e.Args)
--- a/internal/core/waits_test.go
+++ b/internal/core/waits_test.go
@@ -36,7 +36,7 @@
 type driverCall struct {
 	call     *Call
 	endpoint *driverEndpoint
-	pass     *gate.Pass
+	pass     *gate.Permit
 	step     int
 }
 
@@ -83,7 +83,7 @@
 // recordRetryAfter is what reads an answer: the word of a wait is told to the gate at once.
 func (d *callDriver) recordRetryAfter(h *driverEndpoint, wait decide.Time) {
 	until := d.w.now + wait
-	h.gate.Tell(d.w.now, until)
+	h.gate.HoldUntil(d.w.now, until)
 	d.retryAfterOf[h.scope] = max(d.retryAfterOf[h.scope], until)
 	d.tellingScopes[h.scope] = true
 }
@@ -91,7 +91,7 @@
 // finishCall tells the core of a call's end, now or in any later turn.
 func (d *callDriver) finishCall(c *driverCall, o *Result) {
 	if c.pass != nil {
-		c.pass.Leave()
+		c.pass.Release()
 		c.pass = nil
 	}
 	d.calls = slices.DeleteFunc(d.calls, func(x *driverCall) bool { return x == c })
@@ -113,7 +113,7 @@
 		var err error
 		switch c.step {
 		case 0:
-			if c.pass, err = c.endpoint.gate.Enter(w.now, func(error) {}); err != nil {
+			if c.pass, err = c.endpoint.gate.Acquire(w.now, func(error) {}); err != nil {
 				d.blockCall(c, err)
 				continue
 			}
@@ -125,7 +125,7 @@
 				d.finishCall(c, &Result{Outcome: decide.ConnectFailed})
 				continue
 			}
-			if err = c.pass.First(w.now); err != nil {
+			if err = c.pass.AllowFirstByte(w.now); err != nil {
 				d.blockCall(c, err)
 				continue
 			}
@@ -133,7 +133,7 @@
 				w.failf("%s begins at an endpoint that has left", c.call.Record.ID)
 			}
 		case 2:
-			if err = c.pass.Last(w.now); err != nil {
+			if err = c.pass.AllowLastByte(w.now); err != nil {
 				d.blockCall(c, err)
 				continue
 			}
@@ -143,7 +143,7 @@
 			if c.endpoint.dest != c.call.Record.Dest {
 				w.failf("%s for %d goes to %d", c.call.Record.ID, c.call.Record.Dest, c.endpoint.dest)
 			}
-			c.pass.Leave()
+			c.pass.Release()
 			c.pass = nil
 			d.sent++
 		case 3:
--- a/internal/gate/gate.go
+++ b/internal/gate/gate.go
@@ -21,51 +21,51 @@
 	"troutusher/decide"
 )
 
-// ErrGone is a call to an endpoint that drains or has left.
-var ErrGone = errors.New("endpoint drained")
+// ErrEndpointDraining is a call to an endpoint that drains or has left.
+var ErrEndpointDraining = errors.New("endpoint drained")
 
-// ErrWait is a call to a destination that has told this relay to wait.
-type ErrWait struct{ Left decide.Time }
+// RetryAfterError is a call to a destination that has told this relay to wait.
+type RetryAfterError struct{ Remaining decide.Time }
 
-func (e ErrWait) Error() string {
-	return fmt.Sprintf("told to wait for %.3f s more", float64(e.Left)/1e6)
+func (e RetryAfterError) Error() string {
+	return fmt.Sprintf("told to wait for %.3f s more", float64(e.Remaining)/1e6)
 }
 
-// ErrLate is a call that would come too late at its endpoint to be known there as
+// ErrDedupWindowExpired is a call that would come too late at its endpoint to be known there as
 // a repeat.
-var ErrLate = errors.New("too late to be remembered as a repeat")
+var ErrDedupWindowExpired = errors.New("too late to be remembered as a repeat")
 
-// Refused reports whether an error is this package's: the call has not gone out,
+// IsRefusal reports whether an error is this package's: the call has not gone out,
 // and its endpoint was not asked.
-func Refused(err error) bool {
-	var w ErrWait
-	return errors.Is(err, ErrGone) || errors.Is(err, ErrLate) || errors.As(err, &w)
+func IsRefusal(err error) bool {
+	var w RetryAfterError
+	return errors.Is(err, ErrEndpointDraining) || errors.Is(err, ErrDedupWindowExpired) || errors.As(err, &w)
 }
 
 // Scope is all that one wait binds. The zero value is ready.
 type Scope struct {
-	mu     sync.Mutex
-	until  decide.Time
-	passes []*Pass // of calls whose last byte is not out
+	mu         sync.Mutex
+	retryAfter decide.Time
+	permits    []*Permit // of calls whose last byte is not out
 }
 
-// Tell has nothing go out before a moment. A wait never shortens: it ends when
+// HoldUntil has nothing go out before a moment. A wait never shortens: it ends when
 // the longest that was told ends.
-func (s *Scope) Tell(now, until decide.Time) {
+func (s *Scope) HoldUntil(now, until decide.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.until = max(s.until, until)
-	if s.until > now {
-		s.halt(ErrWait{s.until - now}, func(*Pass) bool { return true })
+	s.retryAfter = max(s.retryAfter, until)
+	if s.retryAfter > now {
+		s.stopUnstarted(RetryAfterError{s.retryAfter - now}, func(*Permit) bool { return true })
 	}
 }
 
-// halt stops those calls that wait for a connection and that which names. One
+// stopUnstarted stops those calls that wait for a connection and that which names. One
 // whose bytes are under way is refused its last. The caller holds mu.
-func (s *Scope) halt(why error, which func(*Pass) bool) {
-	for _, p := range s.passes {
-		if !p.begun && p.why == nil && which(p) {
-			p.why = why
+func (s *Scope) stopUnstarted(why error, which func(*Permit) bool) {
+	for _, p := range s.permits {
+		if !p.started && p.stopReason == nil && which(p) {
+			p.stopReason = why
 			p.stop(why)
 		}
 	}
@@ -73,107 +73,107 @@
 
 // Gate is one endpoint's, from when it may be called until it drains or leaves.
 type Gate struct {
-	scope *Scope
-	gone  bool
+	scope  *Scope
+	closed bool
 }
 
 // Gate makes one that is open as far as the scope's wait lets it be.
 func (s *Scope) Gate() *Gate { return &Gate{scope: s} }
 
-// Tell is the scope's.
-func (g *Gate) Tell(now, until decide.Time) { g.scope.Tell(now, until) }
+// HoldUntil is the scope's.
+func (g *Gate) HoldUntil(now, until decide.Time) { g.scope.HoldUntil(now, until) }
 
 // Close lets nothing begin any more. What is under way already goes on.
 func (g *Gate) Close() {
 	g.scope.mu.Lock()
 	defer g.scope.mu.Unlock()
-	g.gone = true
-	g.scope.halt(ErrGone, func(p *Pass) bool { return p.gate == g })
+	g.closed = true
+	g.scope.stopUnstarted(ErrEndpointDraining, func(p *Permit) bool { return p.gate == g })
 }
 
-// Pass is one call's way out.
-type Pass struct {
-	gate  *Gate
-	stop  func(error) // called with the scope's lock held: it may not wait or call back
-	begun bool        // its first byte may be out
-	// By is the last moment for its last byte; 0 for none. Its call sets it as it
+// Permit is one call's way out.
+type Permit struct {
+	gate    *Gate
+	stop    func(error) // called with the scope's lock held: it may not wait or call back
+	started bool        // its first byte may be out
+	// SendBy is the last moment for its last byte; 0 for none. Its call sets it as it
 	// enters.
-	By  decide.Time
-	why error // it was stopped before that
+	SendBy     decide.Time
+	stopReason error // it was stopped before that
 }
 
-// Enter is a call's that is about to get its connection. Where it could not go
+// Acquire is a call's that is about to get its connection. Where it could not go
 // out now, no connection is worth having. stop is called at most once.
-func (g *Gate) Enter(now decide.Time, stop func(error)) (*Pass, error) {
+func (g *Gate) Acquire(now decide.Time, stop func(error)) (*Permit, error) {
 	s := g.scope
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	p := &Pass{gate: g, stop: stop}
-	if err := p.may(now); err != nil {
+	p := &Permit{gate: g, stop: stop}
+	if err := p.check(now); err != nil {
 		return nil, err
 	}
-	s.passes = append(s.passes, p)
+	s.permits = append(s.permits, p)
 	return p, nil
 }
 
-// may tells what keeps a call that has not begun. The caller holds the lock.
-func (p *Pass) may(now decide.Time) error {
+// check tells what keeps a call that has not begun. The caller holds the lock.
+func (p *Permit) check(now decide.Time) error {
 	switch s := p.gate.scope; {
-	case p.why != nil:
-		return p.why
-	case p.gate.gone:
-		return ErrGone
-	case s.until > now:
-		return ErrWait{s.until - now}
-	case p.By > 0 && now > p.By:
-		return ErrLate
+	case p.stopReason != nil:
+		return p.stopReason
+	case p.gate.closed:
+		return ErrEndpointDraining
+	case s.retryAfter > now:
+		return RetryAfterError{s.retryAfter - now}
+	case p.SendBy > 0 && now > p.SendBy:
+		return ErrDedupWindowExpired
 	}
 	return nil
 }
 
-// First asks before the first byte.
-func (p *Pass) First(now decide.Time) error {
+// AllowFirstByte asks before the first byte.
+func (p *Permit) AllowFirstByte(now decide.Time) error {
 	p.gate.scope.mu.Lock()
 	defer p.gate.scope.mu.Unlock()
-	err := p.may(now)
-	p.begun = err == nil
+	err := p.check(now)
+	p.started = err == nil
 	return err
 }
 
-// Last asks before the last byte. A drain that came since the first is no
+// AllowLastByte asks before the last byte. A drain that came since the first is no
 // obstacle: the call had begun. A wait is one.
-func (p *Pass) Last(now decide.Time) error {
+func (p *Permit) AllowLastByte(now decide.Time) error {
 	s := p.gate.scope
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	switch {
-	case s.until > now:
-		return ErrWait{s.until - now}
-	case p.By > 0 && now > p.By:
-		return ErrLate
+	case s.retryAfter > now:
+		return RetryAfterError{s.retryAfter - now}
+	case p.SendBy > 0 && now > p.SendBy:
+		return ErrDedupWindowExpired
 	}
 	return nil
 }
 
-// Again is said by a call that begins anew on another connection.
-func (p *Pass) Again() {
+// Restart is said by a call that begins anew on another connection.
+func (p *Permit) Restart() {
 	p.gate.scope.mu.Lock()
 	defer p.gate.scope.mu.Unlock()
-	p.begun = false
+	p.started = false
 }
 
-// Stopped tells why the call was stopped before its first byte; nil if it was
+// StopReason tells why the call was stopped before its first byte; nil if it was
 // not.
-func (p *Pass) Stopped() error {
+func (p *Permit) StopReason() error {
 	p.gate.scope.mu.Lock()
 	defer p.gate.scope.mu.Unlock()
-	return p.why
+	return p.stopReason
 }
 
-// Leave is said once the last byte is out, or never will be.
-func (p *Pass) Leave() {
+// Release is said once the last byte is out, or never will be.
+func (p *Permit) Release() {
 	s := p.gate.scope
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.passes = slices.DeleteFunc(s.passes, func(x *Pass) bool { return x == p })
+	s.permits = slices.DeleteFunc(s.permits, func(x *Permit) bool { return x == p })
 }
--- a/internal/relay/answers_test.go
+++ b/internal/relay/answers_test.go
@@ -60,7 +60,7 @@
 		}
 		fmt.Fprintf(&got, "%s: %q\n", call, said)
 	}
-	r := &Relay{board: console.NewStats(classNames(testSet(t)))}
+	r := &Relay{board: console.NewStats(classNames(testConfigParsed(t)))}
 	r.shown.Store(newTLSSite(t, nil).partners)
 	for _, stats := range []string{mustCall(t, env["ROUTER_CONSOLE"], "STATS"), string(r.stats(nil))} {
 		for line := range strings.Lines(stats) {
--- a/internal/relay/clients_test.go
+++ b/internal/relay/clients_test.go
@@ -17,7 +17,7 @@
 // serveClients runs the client side alone; put stands for the loop.
 func serveClients(t *testing.T, put func(*request), change ...func(*places.Limits)) (*clients, string, chan bool) {
 	t.Helper()
-	cfg := testSet(t)
+	cfg := testConfigParsed(t)
 	opt := cfg.frontOptions()
 	opt.Logger = quietLog()
 	for _, f := range change {
@@ -121,7 +121,7 @@
 
 func TestParsePut(t *testing.T) {
 	now := time.UnixMicro(1e15)
-	q, err := testSet(t).parsePut([][]byte{[]byte("MSG.PUT"), nil, []byte("id1"),
+	q, err := testConfigParsed(t).parsePut([][]byte{[]byte("MSG.PUT"), nil, []byte("id1"),
 		[]byte("c=keyed,t=acme,d=1500.5,k=k1,dest=12,r=1,again=1,new=x"), []byte("b")}, now)
 	if err != nil {
 		t.Fatal(err)
--- a/internal/relay/config_test.go
+++ b/internal/relay/config_test.go
@@ -58,7 +58,7 @@
 // What the operator's file says comes before what follows from the limits, and
 // never leaves the calls out without descriptors.
 func TestOperatorsFile(t *testing.T) {
-	c := testSet(t)
+	c := testConfigParsed(t)
 	before := c.frontOptions()
 	if err := c.apply(&operator.Clients{Descriptors: 900, Places: 700, Strangers: 650, AskedMost: 690, IdleS: 60, MemoryMB: 3}); err != nil {
 		t.Fatal(err)
@@ -74,7 +74,7 @@
 	}
 	for key, bad := range map[string]operator.Clients{"clients.places": {Descriptors: 900, Places: 900 - ownSockets - c.Policy.MaxConcurrentCalls},
 		"clients.descriptors": {Descriptors: operator.DescriptorsMost}} {
-		if err := testSet(t).apply(&bad); err == nil || !strings.Contains(err.Error(), key) {
+		if err := testConfigParsed(t).apply(&bad); err == nil || !strings.Contains(err.Error(), key) {
 			t.Errorf("%s: %v", key, err)
 		}
 	}
--- a/internal/relay/crossings_test.go
+++ b/internal/relay/crossings_test.go
@@ -353,16 +353,16 @@
 // The end of the time in which an endpoint knows a key, and a connection that comes
 // up late: a repeat that was in time as it was begun is not written after it, in
 // either order of the two, and it never ran. The connection stays good for others.
-func TestRepeatAndItsWindow(t *testing.T) {
+func TestRetryInsideDedupWindow(t *testing.T) {
 	for name, up := range map[string]decide.Time{"in time": 999, "late": 1001} {
 		for _, at := range []string{"before the first byte", "before the last byte"} {
 			ep := newFakeEndpoint(t, nil)
 			p := testPool(t)
 			var now atomic.Int64
 			p.now = now.Load
-			h := p.home(ep.addr())
+			h := p.newEndpoint(ep.addr())
 			c := newTestCall()
-			c.by = 1000
+			c.SendBy = 1000
 			if at == "before the first byte" {
 				dial := h.dial
 				h.dial = func(ctx context.Context, addr string) (net.Conn, error) {
@@ -374,31 +374,31 @@
 				dial := h.dial
 				h.dial = func(ctx context.Context, addr string) (net.Conn, error) {
 					conn, err := dial(ctx, addr)
-					return &firstWrite{conn.(*net.TCPConn), func() { now.Store(up) }}, err
+					return &firstWriteConn{conn.(*net.TCPConn), func() { now.Store(up) }}, err
 				}
 			}
-			o := c.made(t, h, &record{ID: "m", Key: "k"}, testLimit)
+			o := c.complete(t, h, &record{ID: "m", Key: "k"}, testLimit)
 			want, calls := decide.Delivered, 1
 			if name == "late" {
 				want, calls = decide.NotSent, 0
 			}
-			if o.what != want || ep.count("m") != calls {
-				t.Errorf("%s, %s: outcome %d (%v), %d calls at the endpoint", name, at, o.what, o.err, ep.count("m"))
+			if o.Outcome != want || ep.count("m") != calls {
+				t.Errorf("%s, %s: outcome %d (%v), %d calls at the endpoint", name, at, o.Outcome, o.Err, ep.count("m"))
 			}
-			if !o.what.NeverRan() && calls == 0 {
+			if !o.Outcome.NeverRan() && calls == 0 {
 				t.Errorf("%s, %s: held to have run", name, at)
 			}
 		}
 	}
 }
 
-// firstWrite does something as the first bytes are out.
-type firstWrite struct {
+// firstWriteConn does something as the first bytes are out.
+type firstWriteConn struct {
 	*net.TCPConn
 	then func()
 }
 
-func (c *firstWrite) Write(b []byte) (int, error) {
+func (c *firstWriteConn) Write(b []byte) (int, error) {
 	n, err := c.TCPConn.Write(b)
 	if c.then != nil {
 		c.then()
@@ -410,15 +410,15 @@
 // A connection is not taken when its endpoint, which counts from when it wrote its
 // answer and closes by its own clock, may close it before the next call is there:
 // two ways of 60 ms and a late turn, also where it keeps connections for a second.
-func TestIdleConnectionsCloseFirst(t *testing.T) {
+func TestIdleTimeoutBeforeKeepAlive(t *testing.T) {
 	for _, keep := range []time.Duration{600 * time.Millisecond, time.Second, 2 * time.Second, 10 * time.Second} {
-		p := newPool(time.Second, keep-idleMargin(keep), 4)
+		p := NewPool(time.Second, keep-IdleMargin(keep), 4)
 		now := time.Now()
-		c := &poolConn{at: now}
-		if !p.stale(c, now.Add(keep-200*time.Millisecond)) {
+		c := &poolConn{idleSince: now}
+		if !p.expired(c, now.Add(keep-200*time.Millisecond)) {
 			t.Errorf("%v: taken 200 ms before its endpoint closes it", keep)
 		}
-		if p.stale(c, now.Add(keep/2)) {
+		if p.expired(c, now.Add(keep/2)) {
 			t.Errorf("%v: not taken after half of its time", keep)
 		}
 	}
@@ -428,9 +428,11 @@
 // go out again in that very moment, and an endpoint counts a second copy for as long
 // as the first one's connection is open: a call that timed out or was called off, an
 // answer that never ends, one that cannot be read.
-func TestToldOnceTheConnectionIsOver(t *testing.T) { overEach(t, testToldOnceTheConnectionIsOver) }
+func TestResultAfterConnectionClosed(t *testing.T) {
+	forEachTransport(t, testResultAfterConnectionClosed)
+}
 
-func testToldOnceTheConnectionIsOver(t *testing.T, w *way) {
+func testResultAfterConnectionClosed(t *testing.T, w *transport) {
 	const head = "HTTP/1.1 500 E\r\nContent-Length: 60000\r\n\r\n"
 	for _, x := range []struct {
 		name   string
@@ -449,10 +451,10 @@
 	} {
 		t.Run(x.name, func(t *testing.T) {
 			came, over := make(chan struct{}), make(chan struct{})
-			h := w.home(testPool(t), w.endpoint(t, func(c net.Conn) {
+			h := w.endpoint(testPool(t), w.serve(t, func(c net.Conn) {
 				defer close(over)
 				in := bufio.NewReader(c)
-				if !readCall(in) {
+				if !readRequest(in) {
 					return
 				}
 				close(came)
@@ -466,10 +468,10 @@
 			}))
 			c := newTestCall()
 			if x.cancel {
-				go func() { <-came; c.stop(errCancelled) }()
+				go func() { <-came; c.cancel(ErrCancelled) }()
 			}
-			told := make(chan outcome, 1)
-			c.run(h, &record{ID: "m", Key: "k"}, x.limit, nil, func(o outcome) {
+			told := make(chan Result, 1)
+			c.Do(h, &record{ID: "m", Key: "k"}, x.limit, nil, func(o Result) {
 				select {
 				case <-over:
 				case <-time.After(2 * time.Second):
@@ -477,8 +479,8 @@
 				}
 				told <- o
 			})
-			if o := <-told; o.what != x.want {
-				t.Errorf("outcome %d, want %d: %v", o.what, x.want, o.err)
+			if o := <-told; o.Outcome != x.want {
+				t.Errorf("outcome %d, want %d: %v", o.Outcome, x.want, o.Err)
 			}
 		})
 	}
--- a/internal/relay/discovery_test.go
+++ b/internal/relay/discovery_test.go
@@ -200,9 +200,9 @@
 // has gone silent, a second try comes soon enough for the notice to be in time.
 func TestNoticeOnSilentConnection(t *testing.T) {
 	var tries atomic.Int32
-	addr := rawEndpoint(t, func(c net.Conn) {
+	addr := serveTCP(t, func(c net.Conn) {
 		in := bufio.NewReader(c)
-		for readCall(in) {
+		for readRequest(in) {
 			if tries.Add(1) != 2 {
 				io.WriteString(c, "HTTP/1.1 204 No Content\r\n\r\n")
 			}
--- a/internal/relay/endpoints.go
+++ b/internal/relay/endpoints.go
@@ -21,53 +21,53 @@
 )
 
 const (
-	callPath    = "/v1/messages"
-	probePath   = "/health/live"
-	answerMost  = 192 << 10              // bytes of an answer that are read, with what comes ahead of it
-	answerWait  = 300 * time.Millisecond // from an answer's first byte to its last: it is written at once
-	lateWait    = 10 * time.Millisecond  // for what has come of an answer by the time that it is given up
-	connsMost   = 4                      // connections on which one call is begun
-	hintsMost   = 8                      // 1xx answers ahead of the last
-	probeWait   = 2 * time.Second        // a probe that takes longer has failed
-	longestWait = 10 * time.Minute
-	loadMost    = 1e6 // no figure of a load report is higher
+	callPath            = "/v1/messages"
+	healthPath          = "/health/live"
+	maxResponseBytes    = 192 << 10              // bytes of an answer that are read, with what comes ahead of it
+	responseReadTimeout = 300 * time.Millisecond // from an answer's first byte to its last: it is written at once
+	lateResponseGrace   = 10 * time.Millisecond  // for what has come of an answer by the time that it is given up
+	maxConnAttempts     = 4                      // connections on which one call is begun
+	maxInterimResponses = 8                      // 1xx answers ahead of the last
+	healthCheckTimeout  = 2 * time.Second        // a probe that takes longer has failed
+	maxRetryAfter       = 10 * time.Minute
+	maxLoad             = 1e6 // no figure of a load report is higher
 )
 
-var errCancelled = errors.New("cancelled")
+var ErrCancelled = errors.New("cancelled")
 
-// call is one call out.
-type call struct {
-	by      decide.Time // its last byte goes out by then or never; 0 for any time
-	written func()      // told once its last byte is written; may be nil
-	ctx     context.Context
-	stop    context.CancelCauseFunc
-	before  time.Duration // it was out for so long in another process
-	want    want          // of a connection over TLS
+// Call is one call out.
+type Call struct {
+	SendBy        decide.Time // its last byte goes out by then or never; 0 for any time
+	OnSent        func()      // told once its last byte is written; may be nil
+	ctx           context.Context
+	cancel        context.CancelCauseFunc
+	elapsedBefore time.Duration // it was out for so long in another process
+	connRequest   connRequest   // of a connection over TLS
 
-	mu     sync.Mutex
-	conn   *poolConn // once its last byte is out
-	ceding chan bool // it is to come to rest; then: whether to go on here
-	parked bool
+	mu         sync.Mutex
+	conn       *poolConn // once its last byte is out
+	resumeHere chan bool // it is to come to rest; then: whether to go on here
+	suspended  bool
 }
 
-// outcome is what became of a call or a probe.
-type outcome struct {
-	what    decide.Outcome
-	wait    decide.Time
-	slots   bool // not sent, since all slots were taken
-	opened  int  // connections over TLS that were opened for it
-	settled bool // the message is over
-	took    decide.Time
-	load    decide.LoadReport
-	status  int
-	spoilt  bool // an answer came and cannot be believed
-	err     error
+// Result is what became of a call or a probe.
+type Result struct {
+	Outcome           decide.Outcome
+	RetryAfter        decide.Time
+	SlotsExhausted    bool // not sent, since all slots were taken
+	ConnectionsOpened int  // connections over TLS that were opened for it
+	Final             bool // the message is over
+	Elapsed           decide.Time
+	Load              decide.LoadReport
+	Status            int
+	Malformed         bool // an answer came and cannot be believed
+	Err               error
 }
 
-// result is the outcome in the core's words.
-func (o *outcome) result() *core.Result {
-	return &core.Result{Outcome: o.what, RetryAfter: o.wait, SlotsExhausted: o.slots, Final: o.settled, ConnectionsOpened: o.opened, Elapsed: o.took, Load: o.load,
-		Status: o.status, Malformed: o.spoilt, Err: o.err}
+// coreResult is the outcome in the core's words.
+func (o *Result) coreResult() *core.Result {
+	return &core.Result{Outcome: o.Outcome, RetryAfter: o.RetryAfter, SlotsExhausted: o.SlotsExhausted, Final: o.Final, ConnectionsOpened: o.ConnectionsOpened, Elapsed: o.Elapsed, Load: o.Load,
+		Status: o.Status, Malformed: o.Malformed, Err: o.Err}
 }
 
 // newCallRequest makes the request of a call. Its GetBody stays nil.
@@ -88,15 +88,15 @@
 	return req, nil
 }
 
-// run makes the call. It tells what became of it once, as soon as that is
+// Do makes the call. It tells what became of it once, as soon as that is
 // certain, and returns when the call's connection carries nothing of it any
 // more.
-func (c *call) run(h *home, rec *record, limit time.Duration, loads []string, tell func(outcome)) {
+func (c *Call) Do(h *Endpoint, rec *record, limit time.Duration, loads []string, tell func(Result)) {
 	began := time.Now()
 	ctx, cancel := context.WithTimeoutCause(c.ctx, limit, context.DeadlineExceeded)
 	defer cancel()
 	end := func(what decide.Outcome, err error) {
-		tell(outcome{what: what, err: err, took: time.Since(began).Microseconds()})
+		tell(Result{Outcome: what, Err: err, Elapsed: time.Since(began).Microseconds()})
 	}
 	req, err := newCallRequest(h.addr, rec.ID, rec.Key, rec.Body, limit)
 	if err != nil {
@@ -110,51 +110,51 @@
 	}
 	conn, what, err := c.send(ctx, h, text.Bytes())
 	if err != nil {
-		if errors.Is(context.Cause(c.ctx), errCeded) {
+		if errors.Is(context.Cause(c.ctx), errHandedOver) {
 			what = decide.NotSent
 		}
 		wait := decide.Time(0) // after which it may be tried again
-		var turn errNoTurn
-		var held gate.ErrWait
+		var turn handshakeBudgetError
+		var held gate.RetryAfterError
 		switch {
 		case errors.As(err, &turn):
-			wait = turn.wait.Microseconds()
+			wait = turn.retryAfter.Microseconds()
 		case errors.As(err, &held):
-			wait = held.Left
+			wait = held.Remaining
 		}
-		tell(outcome{what: what, err: err, wait: wait, opened: c.want.opened, took: time.Since(began).Microseconds()})
+		tell(Result{Outcome: what, Err: err, RetryAfter: wait, ConnectionsOpened: c.connRequest.opened, Elapsed: time.Since(began).Microseconds()})
 		return
 	}
-	c.sent(conn)
-	if c.written != nil {
-		c.written()
+	c.markSent(conn)
+	if c.OnSent != nil {
+		c.OnSent()
 	}
-	c.answer(ctx, conn, req, began, loads, tell)
+	c.awaitResponse(ctx, conn, req, began, loads, tell)
 }
 
-// answer waits for the answer to a call that is out.
-func (c *call) answer(ctx context.Context, conn *poolConn, req *http.Request, began time.Time, loads []string, tell func(outcome)) {
+// awaitResponse waits for the answer to a call that is out.
+func (c *Call) awaitResponse(ctx context.Context, conn *poolConn, req *http.Request, began time.Time, loads []string, tell func(Result)) {
 	// What lies there already has come, and is heard: it may be a wait.
-	unwatch := context.AfterFunc(ctx, func() { conn.SetDeadline(time.Now().Add(lateWait)) })
-	if !c.begun(ctx, conn) {
+	unwatch := context.AfterFunc(ctx, func() { conn.SetDeadline(time.Now().Add(lateResponseGrace)) })
+	if !c.awaitFirstByte(ctx, conn) {
 		unwatch()
-		conn.drop()
+		conn.discard()
 		return
 	}
 	told, dropped := false, false
-	keep := readAnswer(conn, req, loads, func(o outcome) {
-		told, o.opened = true, c.want.opened
-		o.took = time.Since(began).Microseconds()
-		if o.what == decide.ConnectionReset {
-			o.what = c.unanswered(ctx)
+	keep := readResponse(conn, req, loads, func(o Result) {
+		told, o.ConnectionsOpened = true, c.connRequest.opened
+		o.Elapsed = time.Since(began).Microseconds()
+		if o.Outcome == decide.ConnectionReset {
+			o.Outcome = c.outcomeWithoutResponse(ctx)
 		}
-		if conn.tls != nil && o.err != nil { // its word that it does not accept us may come late: the next call is spared
-			conn.tls.Peer().Refused(o.err)
+		if conn.tls != nil && o.Err != nil { // its word that it does not accept us may come late: the next call is spared
+			conn.tls.Peer().Refused(o.Err)
 		}
-		if o.what != decide.Delivered && (o.err != nil || o.spoilt) {
+		if o.Outcome != decide.Delivered && (o.Err != nil || o.Malformed) {
 			// What is told now may go out again at once, and the endpoint counts two
 			// copies for as long as this connection is open.
-			conn.drop()
+			conn.discard()
 			dropped = true
 		}
 		// Nobody waits for the call any more; what is left of its answer has
@@ -164,45 +164,45 @@
 	switch over := !unwatch(); {
 	case dropped:
 	case over || !told || !keep:
-		conn.drop()
+		conn.discard()
 	default:
-		conn.put()
+		conn.release()
 	}
 }
 
-var longAgo = time.Unix(1, 0)
+var pastDeadline = time.Unix(1, 0)
 
 // send gets a connection and writes the call to it. With an error, its last
 // byte was not written. A connection that turns out to be of no use before
 // then is replaced: nothing of the call counts so far.
-func (c *call) send(ctx context.Context, h *home, text []byte) (*poolConn, decide.Outcome, error) {
-	pass, err := h.gate.Enter(h.pool.now(), c.stop)
+func (c *Call) send(ctx context.Context, h *Endpoint, text []byte) (*poolConn, decide.Outcome, error) {
+	pass, err := h.gate.Acquire(h.pool.now(), c.cancel)
 	if err != nil {
 		return nil, decide.NotSent, err
 	}
-	defer pass.Leave()
-	pass.By = c.by
-	for left := connsMost - 1; ; left-- {
-		conn, err := h.get(ctx, &c.want)
-		if why := pass.Stopped(); err != nil && (why != nil || neverAsked(err)) {
+	defer pass.Release()
+	pass.SendBy = c.SendBy
+	for left := maxConnAttempts - 1; ; left-- {
+		conn, err := h.acquire(ctx, &c.connRequest)
+		if why := pass.StopReason(); err != nil && (why != nil || notAttempted(err)) {
 			return nil, decide.NotSent, cmp.Or(why, err)
 		}
 		if err != nil {
 			return nil, decide.ConnectFailed, err
 		}
-		conn.left = answerMost
-		stop := context.AfterFunc(ctx, func() { conn.SetDeadline(longAgo) })
-		clean, err := conn.write(ctx, pass, text)
+		conn.remaining = maxResponseBytes
+		stop := context.AfterFunc(ctx, func() { conn.SetDeadline(pastDeadline) })
+		clean, err := conn.writeRequest(ctx, pass, text)
 		mine := stop() // else its deadline may be set at any moment
 		if err == nil {
 			return conn, 0, nil // the caller watches on
 		}
 		if clean && mine {
-			conn.put()
+			conn.release()
 		} else {
-			conn.drop()
+			conn.discard()
 		}
-		if gate.Refused(err) {
+		if gate.IsRefusal(err) {
 			return nil, decide.NotSent, err
 		}
 		if conn.tls != nil {
@@ -213,22 +213,22 @@
 		if left == 0 || ctx.Err() != nil {
 			return nil, decide.ConnectFailed, err
 		}
-		pass.Again()
+		pass.Restart()
 	}
 }
 
-// neverAsked reports whether there is no connection for a reason that is not the
+// notAttempted reports whether there is no connection for a reason that is not the
 // endpoint's health.
-func neverAsked(err error) bool {
+func notAttempted(err error) bool {
 	var out *secure.Out
-	var turn errNoTurn
-	return err == errNoRoom || gate.Refused(err) || err == errUnpaid || errors.As(err, &out) || errors.As(err, &turn)
+	var turn handshakeBudgetError
+	return err == errPoolFull || gate.IsRefusal(err) || err == errConnectNotAllowed || errors.As(err, &out) || errors.As(err, &turn)
 }
 
-// unanswered maps a call that was written and has no answer.
-func (c *call) unanswered(ctx context.Context) decide.Outcome {
+// outcomeWithoutResponse maps a call that was written and has no answer.
+func (c *Call) outcomeWithoutResponse(ctx context.Context) decide.Outcome {
 	switch {
-	case errors.Is(context.Cause(ctx), errCancelled):
+	case errors.Is(context.Cause(ctx), ErrCancelled):
 		return decide.Cancelled
 	case ctx.Err() != nil:
 		return decide.TimedOut
@@ -236,31 +236,31 @@
 	return decide.ConnectionReset
 }
 
-// readAnswer reads an answer and tells its outcome: a first line with 200 is
+// readResponse reads an answer and tells its outcome: a first line with 200 is
 // true whatever follows it; anything else is believed only once all of it has
 // been read and makes sense, since a spoilt answer is that of a call that may
 // have run. It reports whether the connection can carry another call.
-func readAnswer(conn *poolConn, req *http.Request, loads []string, tell func(outcome)) (keep bool) {
+func readResponse(conn *poolConn, req *http.Request, loads []string, tell func(Result)) (keep bool) {
 	status, err := 0, error(nil)
 	stop := func() bool { return true }
 	defer func() { stop() }()
 	begun := false
 	for hints := 0; ; hints++ {
 		var line string
-		if _, err = conn.in.Peek(1); err == nil {
+		if _, err = conn.reader.Peek(1); err == nil {
 			begun = true
-			stop = conn.bound(answerWait)
+			stop = conn.startReadTimeout(responseReadTimeout)
 		}
-		if line, err = firstLine(conn.in); err == nil {
-			status, err = statusOf(line)
+		if line, err = peekStatusLine(conn.reader); err == nil {
+			status, err = parseStatus(line)
 		}
-		if err == nil && status < 200 && hints >= hintsMost {
+		if err == nil && status < 200 && hints >= maxInterimResponses {
 			err = errors.New("too many answers ahead of the last")
 		}
 		if err != nil {
-			o := outcome{what: decide.ConnectionReset, err: err}
+			o := Result{Outcome: decide.ConnectionReset, Err: err}
 			if begun && !errors.Is(err, io.EOF) && !errors.Is(err, syscall.ECONNRESET) {
-				o.what, o.spoilt = decide.Failed, true
+				o.Outcome, o.Malformed = decide.Failed, true
 			}
 			tell(o)
 			return false
@@ -269,28 +269,28 @@
 			break
 		}
 		// The answer itself may come much later than what is ahead of it.
-		if err := skipHead(conn.in); err != nil || !stop() {
-			tell(outcome{what: decide.Failed, spoilt: true, err: err})
+		if err := skipHead(conn.reader); err != nil || !stop() {
+			tell(Result{Outcome: decide.Failed, Malformed: true, Err: err})
 			return false
 		}
 		begun = false
 	}
 	if status == http.StatusOK {
-		tell(outcome{what: decide.Delivered, settled: true, status: status})
+		tell(Result{Outcome: decide.Delivered, Final: true, Status: status})
 	}
-	resp, err := http.ReadResponse(conn.in, req)
+	resp, err := http.ReadResponse(conn.reader, req)
 	told := decide.Time(0)
 	if err == nil {
 		if status == http.StatusTooManyRequests {
 			// It binds from here on, whatever becomes of the rest of the answer.
-			if wait, bad := retryAfter(resp.Header.Get("Retry-After")); bad == nil && wait > 0 {
+			if wait, bad := parseRetryAfter(resp.Header.Get("Retry-After")); bad == nil && wait > 0 {
 				told = wait
-				now := conn.home.pool.now()
-				conn.home.gate.Tell(now, now+wait)
+				now := conn.endpoint.pool.now()
+				conn.endpoint.gate.HoldUntil(now, now+wait)
 			}
 		}
 		if resp.ContentLength > bodyMost {
-			err = errTooBig
+			err = errResponseTooLarge
 		} else {
 			_, err = io.Copy(io.Discard, resp.Body)
 		}
@@ -299,69 +299,69 @@
 	if status == http.StatusOK {
 		return err == nil && !resp.Close
 	}
-	o := outcome{status: status, err: err}
+	o := Result{Status: status, Err: err}
 	if err == nil {
-		o.load = readLoad(resp.Header.Get("X-Server-Load"), loads)
-		o.err = o.read(resp.Header)
+		o.Load = parseLoad(resp.Header.Get("X-Server-Load"), loads)
+		o.Err = o.readHead(resp.Header)
 	}
-	if o.err != nil {
-		o.what, o.spoilt, o.wait, o.slots, o.settled = decide.Failed, true, told, false, false
+	if o.Err != nil {
+		o.Outcome, o.Malformed, o.RetryAfter, o.SlotsExhausted, o.Final = decide.Failed, true, told, false, false
 	}
 	tell(o)
-	return o.err == nil && !resp.Close
+	return o.Err == nil && !resp.Close
 }
 
-// bound gives what is left of an answer some time. The call's own limit stays.
-func (c *poolConn) bound(d time.Duration) (stop func() bool) {
-	t := time.AfterFunc(d, func() { c.SetReadDeadline(longAgo) })
+// startReadTimeout gives what is left of an answer some time. The call's own limit stays.
+func (c *poolConn) startReadTimeout(d time.Duration) (stop func() bool) {
+	t := time.AfterFunc(d, func() { c.SetReadDeadline(pastDeadline) })
 	return t.Stop
 }
 
-// read maps the head of an answer other than 200 to an outcome. An error means
+// readHead maps the head of an answer other than 200 to an outcome. An error means
 // that the head cannot be believed.
-func (o *outcome) read(head http.Header) error {
-	switch o.status {
+func (o *Result) readHead(head http.Header) error {
+	switch o.Status {
 	case http.StatusTooManyRequests:
-		wait, err := retryAfter(head.Get("Retry-After"))
+		wait, err := parseRetryAfter(head.Get("Retry-After"))
 		if err != nil {
 			return err
 		}
-		o.what, o.wait = decide.Rejected, wait
+		o.Outcome, o.RetryAfter = decide.Rejected, wait
 	case http.StatusServiceUnavailable:
-		if o.what = decide.Rejected; head.Get("Slots-Taken") == "1" {
-			o.what, o.slots = decide.NotSent, true
+		if o.Outcome = decide.Rejected; head.Get("Slots-Taken") == "1" {
+			o.Outcome, o.SlotsExhausted = decide.NotSent, true
 		}
 	case http.StatusGatewayTimeout: // has had all its attempts
-		o.what = decide.NotSent
+		o.Outcome = decide.NotSent
 	case http.StatusGone:
-		o.what, o.settled = decide.NotSent, true
+		o.Outcome, o.Final = decide.NotSent, true
 	default: // 500, and what no page names: it may have run
-		o.what = decide.Failed
+		o.Outcome = decide.Failed
 	}
 	return nil
 }
 
-// retryAfter reads seconds with decimals. None told is no wait.
-func retryAfter(s string) (decide.Time, error) {
+// parseRetryAfter reads seconds with decimals. None told is no wait.
+func parseRetryAfter(s string) (decide.Time, error) {
 	if s = strings.TrimSpace(s); s == "" {
 		return 0, nil
 	}
 	v, err := strconv.ParseFloat(s, 64)
-	if err != nil || !(v >= 0 && v <= longestWait.Seconds()) {
+	if err != nil || !(v >= 0 && v <= maxRetryAfter.Seconds()) {
 		return 0, fmt.Errorf("Retry-After: %.40q", s)
 	}
 	return decide.Time(v * 1e6), nil
 }
 
-// readLoad reads a report such as x0=0.4,x1=25.
-func readLoad(s string, fields []string) (l decide.LoadReport) {
+// parseLoad reads a report such as x0=0.4,x1=25.
+func parseLoad(s string, fields []string) (l decide.LoadReport) {
 	if len(fields) == 0 {
 		return l
 	}
 	for part := range strings.SplitSeq(s, ",") {
 		name, text, _ := strings.Cut(strings.TrimSpace(part), "=")
 		v, err := strconv.ParseFloat(text, 64)
-		if err != nil || !(v >= 0 && v <= loadMost) {
+		if err != nil || !(v >= 0 && v <= maxLoad) {
 			continue
 		}
 		switch name {
@@ -374,14 +374,14 @@
 	return l
 }
 
-// probe asks an endpoint whether it is alive.
-func probe(ctx context.Context, h *home) outcome {
+// checkHealth asks an endpoint whether it is alive.
+func checkHealth(ctx context.Context, h *Endpoint) Result {
 	began := time.Now()
-	ctx, cancel := context.WithTimeout(ctx, probeWait)
+	ctx, cancel := context.WithTimeout(ctx, healthCheckTimeout)
 	defer cancel()
-	o := outcome{what: decide.NotSent}
-	if o.err = func() error {
-		req, err := http.NewRequest(http.MethodGet, "http://"+h.addr+probePath, nil)
+	o := Result{Outcome: decide.NotSent}
+	if o.Err = func() error {
+		req, err := http.NewRequest(http.MethodGet, "http://"+h.addr+healthPath, nil)
 		if err != nil {
 			return err
 		}
@@ -389,35 +389,35 @@
 		if err := req.Write(&text); err != nil {
 			return err
 		}
-		pass, err := h.gate.Enter(h.pool.now(), func(error) { cancel() })
+		pass, err := h.gate.Acquire(h.pool.now(), func(error) { cancel() })
 		if err != nil {
 			return err
 		}
-		defer pass.Leave()
-		conn, err := h.get(ctx, &want{cold: true, paid: true})
-		if why := pass.Stopped(); err != nil && (why != nil || neverAsked(err)) {
+		defer pass.Release()
+		conn, err := h.acquire(ctx, &connRequest{warmingUp: true, mayConnect: true})
+		if why := pass.StopReason(); err != nil && (why != nil || notAttempted(err)) {
 			return cmp.Or(why, err)
 		}
-		if o.what = decide.ConnectFailed; err != nil {
+		if o.Outcome = decide.ConnectFailed; err != nil {
 			return err
 		}
-		conn.left = answerMost
-		unwatch := context.AfterFunc(ctx, func() { conn.SetDeadline(longAgo) })
+		conn.remaining = maxResponseBytes
+		unwatch := context.AfterFunc(ctx, func() { conn.SetDeadline(pastDeadline) })
 		keep := false
-		if _, err = conn.write(ctx, pass, text.Bytes()); err == nil {
-			keep = readAnswer(conn, req, nil, func(x outcome) { o.what, o.status, err = x.what, x.status, x.err })
-		} else if gate.Refused(err) {
-			o.what = decide.NotSent
+		if _, err = conn.writeRequest(ctx, pass, text.Bytes()); err == nil {
+			keep = readResponse(conn, req, nil, func(x Result) { o.Outcome, o.Status, err = x.Outcome, x.Status, x.Err })
+		} else if gate.IsRefusal(err) {
+			o.Outcome = decide.NotSent
 		}
 		if !unwatch() || !keep {
-			conn.drop()
+			conn.discard()
 		} else {
-			conn.put()
+			conn.release()
 		}
 		return err
-	}(); ctx.Err() != nil && o.status == 0 && !gate.Refused(o.err) {
-		o.what = decide.TimedOut
+	}(); ctx.Err() != nil && o.Status == 0 && !gate.IsRefusal(o.Err) {
+		o.Outcome = decide.TimedOut
 	}
-	o.took = time.Since(began).Microseconds()
+	o.Elapsed = time.Since(began).Microseconds()
 	return o
 }
--- a/internal/relay/endpoints_test.go
+++ b/internal/relay/endpoints_test.go
@@ -14,7 +14,7 @@
 	"troutusher/decide"
 )
 
-func testSet(t *testing.T) *Config {
+func testConfigParsed(t *testing.T) *Config {
 	t.Helper()
 	c, err := parseConfig([]byte(`{"name":"n1","listen":"127.0.0.1:0","discovery":"127.0.0.1:1","state":"x","seed":"1","settings":`+
 		testSettings+`}`), func(string) string { return "" }, false)
@@ -24,19 +24,19 @@
 	return c
 }
 
-func newTestCall() *call {
+func newTestCall() *Call {
 	ctx, stop := context.WithCancelCause(context.Background())
-	return &call{ctx: ctx, stop: stop}
+	return &Call{ctx: ctx, cancel: stop}
 }
 
 const testLimit = 20 * time.Second
 
 // testPool is a pool as a relay has it; what it holds open at the end is a leak.
-func testPool(t *testing.T) *pool {
+func testPool(t *testing.T) *Pool {
 	t.Helper()
-	p := newPool(1500*time.Millisecond, 9*time.Second, 64)
+	p := NewPool(1500*time.Millisecond, 9*time.Second, 64)
 	t.Cleanup(func() {
-		p.sweep(func(*poolConn) bool { return true })
+		p.closeIdleIf(func(*poolConn) bool { return true })
 		if open, _ := p.counts(); open != 0 {
 			t.Errorf("%d connections left open", open)
 		}
@@ -44,24 +44,24 @@
 	return p
 }
 
-// made makes a call to its end and gives its one outcome.
-func (c *call) made(t *testing.T, h *home, rec *record, limit time.Duration) outcome {
+// complete makes a call to its end and gives its one outcome.
+func (c *Call) complete(t *testing.T, h *Endpoint, rec *record, limit time.Duration) Result {
 	t.Helper()
-	told := make(chan outcome, 4)
-	c.run(h, rec, limit, nil, func(o outcome) { told <- o })
+	told := make(chan Result, 4)
+	c.Do(h, rec, limit, nil, func(o Result) { told <- o })
 	if len(told) != 1 {
 		t.Fatalf("told %d outcomes, want 1", len(told))
 	}
 	return <-told
 }
 
-// settled waits until a kept connection may be used again.
-func settled(h *home) {
+// waitReusable waits until a kept connection may be used again.
+func waitReusable(h *Endpoint) {
 	for {
 		h.pool.mu.Lock()
 		ready := true
 		for _, c := range h.pool.idle {
-			ready = ready && time.Since(c.at) >= poolSettle
+			ready = ready && time.Since(c.idleSince) >= reuseDelay
 		}
 		h.pool.mu.Unlock()
 		if ready {
@@ -71,8 +71,8 @@
 	}
 }
 
-// rawEndpoint serves connections by hand, for what no HTTP server does.
-func rawEndpoint(t testing.TB, serve func(net.Conn)) string {
+// serveTCP serves connections by hand, for what no HTTP server does.
+func serveTCP(t testing.TB, serve func(net.Conn)) string {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -91,8 +91,8 @@
 	return ln.Addr().String()
 }
 
-// readCall reads one whole call off a connection.
-func readCall(in *bufio.Reader) bool {
+// readRequest reads one whole call off a connection.
+func readRequest(in *bufio.Reader) bool {
 	req, err := http.ReadRequest(in)
 	if err != nil {
 		return false
@@ -101,12 +101,12 @@
 	return err == nil
 }
 
-func TestOutcomes(t *testing.T) { overEach(t, testOutcomes) }
+func TestOutcomeOfResponse(t *testing.T) { forEachTransport(t, testOutcomeOfResponse) }
 
-func testOutcomes(t *testing.T, w *way) {
+func testOutcomeOfResponse(t *testing.T, w *transport) {
 	say := func(text string) func(net.Conn) {
 		return func(c net.Conn) {
-			if readCall(bufio.NewReader(c)) {
+			if readRequest(bufio.NewReader(c)) {
 				io.WriteString(c, text)
 			}
 		}
@@ -134,9 +134,9 @@
 		"first a hint, then": {serve: say("HTTP/1.1 100 C\r\n\r\nHTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n"), what: decide.Delivered, settled: true},
 	} {
 		t.Run(name, func(t *testing.T) {
-			h := w.home(testPool(t), w.endpoint(t, x.serve))
-			o := newTestCall().made(t, h, &record{ID: "m", Key: "k", Body: []byte("b")}, testLimit)
-			if o.what != x.what || o.wait != x.wait || o.slots != x.slots || o.settled != x.settled {
+			h := w.endpoint(testPool(t), w.serve(t, x.serve))
+			o := newTestCall().complete(t, h, &record{ID: "m", Key: "k", Body: []byte("b")}, testLimit)
+			if o.Outcome != x.what || o.RetryAfter != x.wait || o.SlotsExhausted != x.slots || o.Final != x.settled {
 				t.Errorf("got %+v", o)
 			}
 		})
@@ -145,9 +145,9 @@
 
 // Guards the difference between what never ran and what may have: a refused
 // connection never ran, silence after the last byte may have.
-func TestOutcomesWithoutAnswer(t *testing.T) { overEach(t, testOutcomesWithoutAnswer) }
+func TestOutcomeWithoutResponse(t *testing.T) { forEachTransport(t, testOutcomeWithoutResponse) }
 
-func testOutcomesWithoutAnswer(t *testing.T, w *way) {
+func testOutcomeWithoutResponse(t *testing.T, w *transport) {
 	p := testPool(t)
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -155,26 +155,26 @@
 	}
 	refused := ln.Addr().String()
 	ln.Close()
-	if o := newTestCall().made(t, w.home(p, refused), &record{ID: "m"}, testLimit); o.what != decide.ConnectFailed {
+	if o := newTestCall().complete(t, w.endpoint(p, refused), &record{ID: "m"}, testLimit); o.Outcome != decide.ConnectFailed {
 		t.Errorf("refused: %+v", o)
 	}
 	gone := make(chan struct{}, 2)
 	entered := make(chan struct{}, 2)
-	silent := w.endpoint(t, func(c net.Conn) {
+	silent := w.serve(t, func(c net.Conn) {
 		in := bufio.NewReader(c)
-		readCall(in)
+		readRequest(in)
 		entered <- struct{}{}
 		in.ReadByte() // until the caller closes
 		gone <- struct{}{}
 	})
-	if o := newTestCall().made(t, w.home(p, silent), &record{ID: "m"}, 50*time.Millisecond); o.what != decide.TimedOut {
+	if o := newTestCall().complete(t, w.endpoint(p, silent), &record{ID: "m"}, 50*time.Millisecond); o.Outcome != decide.TimedOut {
 		t.Errorf("silent: %+v", o)
 	}
 	<-entered
 	<-gone // giving up closes the connection
 	c := newTestCall()
-	go func() { <-entered; c.stop(errCancelled) }()
-	if o := c.made(t, w.home(p, silent), &record{ID: "m"}, testLimit); o.what != decide.Cancelled {
+	go func() { <-entered; c.cancel(ErrCancelled) }()
+	if o := c.complete(t, w.endpoint(p, silent), &record{ID: "m"}, testLimit); o.Outcome != decide.Cancelled {
 		t.Errorf("cancelled: %+v", o)
 	}
 	<-gone
@@ -182,28 +182,28 @@
 
 // Guards against a call that is sent again by itself where a kept-alive
 // connection breaks under it.
-func TestNoResendByItself(t *testing.T) { overEach(t, testNoResendByItself) }
+func TestNoAutomaticRetry(t *testing.T) { forEachTransport(t, testNoAutomaticRetry) }
 
-func testNoResendByItself(t *testing.T, w *way) {
+func testNoAutomaticRetry(t *testing.T, w *transport) {
 	for name, body := range map[string][]byte{"body": []byte("b"), "empty body": nil} {
 		t.Run(name, func(t *testing.T) {
 			var calls atomic.Int32
-			addr := w.endpoint(t, func(c net.Conn) {
+			addr := w.serve(t, func(c net.Conn) {
 				in := bufio.NewReader(c)
-				for readCall(in) {
+				for readRequest(in) {
 					if calls.Add(1) == 2 {
 						return // the second call on a kept connection breaks
 					}
 					io.WriteString(c, "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n")
 				}
 			})
-			h := w.home(testPool(t), addr)
+			h := w.endpoint(testPool(t), addr)
 			rec := &record{ID: "m", Key: "k", Body: body}
-			if o := newTestCall().made(t, h, rec, testLimit); o.what != decide.Delivered {
+			if o := newTestCall().complete(t, h, rec, testLimit); o.Outcome != decide.Delivered {
 				t.Fatalf("first: %+v", o)
 			}
-			settled(h)
-			if o := newTestCall().made(t, h, rec, testLimit); o.what != decide.ConnectionReset {
+			waitReusable(h)
+			if o := newTestCall().complete(t, h, rec, testLimit); o.Outcome != decide.ConnectionReset {
 				t.Errorf("second: %+v", o)
 			}
 			if n := calls.Load(); n != 2 {
@@ -223,40 +223,40 @@
 	ep := newFakeEndpoint(t, nil)
 	p := testPool(t)
 	dialing, release := make(chan struct{}), make(chan struct{})
-	h := p.home(ep.addr())
+	h := p.newEndpoint(ep.addr())
 	h.dial = func(ctx context.Context, addr string) (net.Conn, error) {
 		close(dialing)
 		<-release
 		return net.Dial("tcp", addr)
 	}
 	c := newTestCall()
-	go func() { <-dialing; h.close(); close(release) }()
-	if o := c.made(t, h, &record{ID: "m"}, testLimit); o.what != decide.NotSent {
+	go func() { <-dialing; h.Close(); close(release) }()
+	if o := c.complete(t, h, &record{ID: "m"}, testLimit); o.Outcome != decide.NotSent {
 		t.Errorf("got %+v", o)
 	}
 	if n := ep.count("m"); n != 0 {
 		t.Errorf("the call went out %d times", n)
 	}
 	// The word may also come just as the connection does.
-	h = p.home(ep.addr())
-	h.close()
-	if o := newTestCall().made(t, h, &record{ID: "late"}, testLimit); o.what != decide.NotSent || ep.count("late") != 0 {
+	h = p.newEndpoint(ep.addr())
+	h.Close()
+	if o := newTestCall().complete(t, h, &record{ID: "late"}, testLimit); o.Outcome != decide.NotSent || ep.count("late") != 0 {
 		t.Errorf("got %+v, and %d calls", o, ep.count("late"))
 	}
 }
 
 // Guards reuse: a new connection costs a handshake, so answers are read to
 // their end and more than two connections are kept after a burst.
-func TestConnectionsAreKept(t *testing.T) { overEach(t, testConnectionsAreKept) }
+func TestConnectionReuse(t *testing.T) { forEachTransport(t, testConnectionReuse) }
 
-func testConnectionsAreKept(t *testing.T, w *way) {
+func testConnectionReuse(t *testing.T, w *transport) {
 	var conns atomic.Int32
 	const burst = 6
 	together := make(chan struct{}, burst)
-	addr := w.endpoint(t, func(c net.Conn) {
+	addr := w.serve(t, func(c net.Conn) {
 		conns.Add(1)
 		in := bufio.NewReader(c)
-		for readCall(in) {
+		for readRequest(in) {
 			together <- struct{}{}
 			for len(together) < burst { // all of a burst are out at once
 				time.Sleep(time.Millisecond)
@@ -264,22 +264,22 @@
 			io.Copy(c, bytes.NewReader(append([]byte("HTTP/1.1 200 OK\r\nContent-Length: 9000\r\n\r\n"), make([]byte, 9000)...)))
 		}
 	})
-	h := w.home(testPool(t), addr)
+	h := w.endpoint(testPool(t), addr)
 	for round := range 2 {
-		done, ended := make(chan outcome, burst), make(chan bool, burst)
+		done, ended := make(chan Result, burst), make(chan bool, burst)
 		for range burst {
 			go func() {
-				newTestCall().run(h, &record{ID: "m"}, testLimit, nil, func(o outcome) { done <- o })
+				newTestCall().Do(h, &record{ID: "m"}, testLimit, nil, func(o Result) { done <- o })
 				ended <- true
 			}()
 		}
 		for range burst {
-			if o := <-done; o.what != decide.Delivered {
+			if o := <-done; o.Outcome != decide.Delivered {
 				t.Fatalf("round %d: %+v", round, o)
 			}
 			<-ended
 		}
-		settled(h)
+		waitReusable(h)
 		for len(together) > 0 {
 			<-together
 		}
@@ -289,31 +289,31 @@
 	}
 }
 
-func TestReadRetryAfter(t *testing.T) {
+func TestParseRetryAfter(t *testing.T) {
 	for s, want := range map[string]decide.Time{"1.5": 1500000, " 2 ": 2000000, "": 0, "0": 0, "soon": -1, "-1": -1, "NaN": -1, "Inf": -1, "1e99": -1} {
-		got, err := retryAfter(s)
+		got, err := parseRetryAfter(s)
 		if (err != nil) != (want < 0) || err == nil && got != want {
 			t.Errorf("%q: %d, %v, want %d", s, got, err, want)
 		}
 	}
 }
 
-func TestReadLoad(t *testing.T) {
+func TestParseLoad(t *testing.T) {
 	fields := []string{"x0", "x1"}
 	for s, want := range map[string]decide.LoadReport{"x0=0.4,x1=25": {Remaining: 0.4, Limit: 25}, "x1=3": {Limit: 3}, "": {}, "x0=?,x1=-2": {}, "x1=NaN": {}, "x1=Inf,x0=+Inf": {}, "x1=1e300": {}} {
-		if got := readLoad(s, fields); got != want {
+		if got := parseLoad(s, fields); got != want {
 			t.Errorf("%q: %+v", s, got)
 		}
 	}
-	if got := readLoad("x0=1", nil); got != (decide.LoadReport{}) {
+	if got := parseLoad("x0=1", nil); got != (decide.LoadReport{}) {
 		t.Errorf("a report where none is due: %+v", got)
 	}
 }
 
-func TestProbe(t *testing.T) {
+func TestCheckHealth(t *testing.T) {
 	for code, want := range map[int]decide.Outcome{200: decide.Delivered, 503: decide.Rejected, 404: decide.Failed} {
 		ep := newFakeEndpoint(t, status(code))
-		if o := probe(context.Background(), testPool(t).home(ep.addr())); o.what != want {
+		if o := checkHealth(context.Background(), testPool(t).newEndpoint(ep.addr())); o.Outcome != want {
 			t.Errorf("%d: %+v", code, o)
 		}
 	}
--- a/internal/relay/golden_calls_test.go
+++ b/internal/relay/golden_calls_test.go
@@ -54,27 +54,27 @@
 func TestGoldenRequestBytes(t *testing.T) {
 	const address = "endpoint.example.org:8080" // the Host header is part of the file
 	body := []byte("{\"amount\":12}\x00\xff\r\n")
-	callWith := func(id, key string, body []byte, limit time.Duration) func(h *home) {
-		return func(h *home) {
-			newTestCall().run(h, &record{ID: id, Key: key, Body: body}, limit, nil, func(outcome) {})
+	callWith := func(id, key string, body []byte, limit time.Duration) func(h *Endpoint) {
+		return func(h *Endpoint) {
+			newTestCall().Do(h, &record{ID: id, Key: key, Body: body}, limit, nil, func(Result) {})
 		}
 	}
-	for name, send := range map[string]func(h *home){
+	for name, send := range map[string]func(h *Endpoint){
 		"call-with-key.request":     callWith("m-0000017", "5c0f6e1a2b3d4c59", body, 1500*time.Millisecond),
 		"call-without-key.request":  callWith("m-0000018", "", body, 20*time.Second),
 		"call-without-body.request": callWith("m-0000019", "k", nil, 999500*time.Microsecond),
-		"health-check.request":      func(h *home) { probe(context.Background(), h) },
+		"health-check.request":      func(h *Endpoint) { checkHealth(context.Background(), h) },
 	} {
 		t.Run(name, func(t *testing.T) {
-			server := rawEndpoint(t, func(c net.Conn) {
-				if readCall(bufio.NewReader(c)) {
-					io.WriteString(c, fine)
+			server := serveTCP(t, func(c net.Conn) {
+				if readRequest(bufio.NewReader(c)) {
+					io.WriteString(c, okResponse)
 				}
 			})
 			var written bytes.Buffer
 			p := testPool(t)
-			p.moment = time.Microsecond
-			h := p.home(address)
+			p.staleCheckDelay = time.Microsecond
+			h := p.newEndpoint(address)
 			h.dial = func(_ context.Context, addr string) (net.Conn, error) {
 				if addr != address {
 					t.Errorf("dialled %q", addr)
@@ -133,23 +133,23 @@
 	}()
 	p := testPool(t)
 	p.now = func() decide.Time { return 1000 }
-	h := p.home("endpoint.example.org:8080")
+	h := p.newEndpoint("endpoint.example.org:8080")
 	p.open++
-	conn := &poolConn{Conn: here, home: h, left: answerMost}
-	conn.in = bufio.NewReader(conn)
-	defer conn.drop()
+	conn := &poolConn{Conn: here, endpoint: h, remaining: maxResponseBytes}
+	conn.reader = bufio.NewReader(conn)
+	defer conn.discard()
 	req, err := newCallRequest(h.addr, "m", "k", nil, time.Second)
 	if err != nil {
 		t.Fatal(err)
 	}
 	got := recordedAnswer{Answer: answer}
-	got.Reusable = readAnswer(conn, req, []string{"x0", "x1"}, func(o outcome) {
+	got.Reusable = readResponse(conn, req, []string{"x0", "x1"}, func(o Result) {
 		got.Outcomes++
-		got.Outcome, got.Status, got.RetryAfter, got.Slots = outcomeNames[o.what], o.status, o.wait, o.slots
-		got.Over, got.Malformed, got.Error = o.settled, o.spoilt, o.err != nil
-		got.LoadLeft, got.LoadLimit = o.load.Remaining, o.load.Limit
+		got.Outcome, got.Status, got.RetryAfter, got.Slots = outcomeNames[o.Outcome], o.Status, o.RetryAfter, o.SlotsExhausted
+		got.Over, got.Malformed, got.Error = o.Final, o.Malformed, o.Err != nil
+		got.LoadLeft, got.LoadLimit = o.Load.Remaining, o.Load.Limit
 	})
-	got.Hold = held(h)
+	got.Hold = retryAfterLeft(h)
 	return got
 }
 
@@ -176,10 +176,10 @@
 // TestGoldenErrorTexts compares the texts of errors that go into message traces.
 func TestGoldenErrorTexts(t *testing.T) {
 	got := []string{}
-	for _, err := range []error{gate.ErrGone, gate.ErrWait{Left: 1234567}, gate.ErrLate, errNoRoom, errTooBig, errUnasked, errCancelled, errUnpaid,
-		errNoTurn{1234567 * time.Microsecond}} {
+	for _, err := range []error{gate.ErrEndpointDraining, gate.RetryAfterError{Remaining: 1234567}, gate.ErrDedupWindowExpired, errPoolFull, errResponseTooLarge, errStaleConn, ErrCancelled, errConnectNotAllowed,
+		handshakeBudgetError{1234567 * time.Microsecond}} {
 		got = append(got, err.Error())
-		if refusal := gate.Refused(err); refusal != (len(got) <= 3) {
+		if refusal := gate.IsRefusal(err); refusal != (len(got) <= 3) {
 			t.Errorf("%v is a refusal of the send gate: %v", err, refusal)
 		}
 	}
--- a/internal/relay/handover.go
+++ b/internal/relay/handover.go
@@ -510,13 +510,13 @@
 	cross(seamQuiet)
 	r.core.BeginHandover()
 	r.barrier() // what was logged by now is out
-	r.out.park()
+	r.out.Suspend()
 	// One over TLS, whose keys are in this process alone, or whose answer goes on
 	// has that time. Then it is called off and may have run, and its connection is
 	// over before the other process is told of its message.
-	if !r.pump(r.out.still, parkWait) {
-		r.out.cut()
-		if !r.pump(r.out.still, cutWait) {
+	if !r.pump(r.out.AllSuspended, parkWait) {
+		r.out.CancelUnsuspended()
+		if !r.pump(r.out.AllSuspended, cutWait) {
 			return errors.New("calls do not come to rest")
 		}
 	}
@@ -554,15 +554,15 @@
 // sendAll sends what the other process needs.
 func (r *Relay) sendAll(l *link.Link, cl *clients) error {
 	by := time.Now().Add(sendWait)
-	r.pool.sweep(func(*poolConn) bool { return true })
+	r.pool.closeIdleIf(func(*poolConn) bool { return true })
 	carried := r.core.ExportHandover(r.now())
 	ids, fds := []string{}, []int{}
 	carried.Calls = slices.DeleteFunc(carried.Calls, func(k core.HandoverCall) bool {
-		c, ok := k.Call().Handle.(*call)
+		c, ok := k.Call().Handle.(*Call)
 		if !ok {
 			return true
 		}
-		conn := c.parkedConn()
+		conn := c.suspendedConn()
 		if conn == nil {
 			return true // its answer goes on here, and is not waited for
 		}
@@ -629,7 +629,7 @@
 	r.log.Warn("hand-over: came to nothing, this process serves on")
 	r.notices.resume()
 	r.keeper.resume()
-	r.out.unpark(true)
+	r.out.Resume(true)
 	r.carryOut(r.core.ResumeSends(r.now(), r.effects[:0]))
 	cl.front.Resume()
 	r.duty.back()
@@ -638,7 +638,7 @@
 // letGo closes what the other process has now.
 func (r *Relay) letGo(cl *clients) {
 	r.duty.gone()
-	r.out.unpark(false)
+	r.out.Resume(false)
 	r.discovery.stop()
 	cl.front.Close()
 	r.closeLog()
@@ -695,28 +695,28 @@
 // goOn has a call that the process before had out go on here.
 func (r *Relay) goOn(out *core.Call) {
 	ctx, stop := context.WithCancelCause(r.ctx)
-	c := &call{ctx: ctx, stop: stop, before: time.Duration(r.now()-out.SentAt()) * time.Microsecond}
+	c := &Call{ctx: ctx, cancel: stop, elapsedBefore: time.Duration(r.now()-out.SentAt()) * time.Microsecond}
 	out.Handle = c
-	tell := func(o outcome) { r.tell(core.Event{Kind: core.AttemptFinished, Call: out, Result: o.result()}) }
+	tell := func(o Result) { r.tell(core.Event{Kind: core.AttemptFinished, Call: out, Result: o.coreResult()}) }
 	fd, ok := r.passed[out.Record.ID]
 	if !ok {
 		stop(nil)
-		tell(outcome{what: decide.ConnectionReset, err: errors.New("its connection was not handed over")})
+		tell(Result{Outcome: decide.ConnectionReset, Err: errors.New("its connection was not handed over")})
 		return
 	}
 	delete(r.passed, out.Record.ID)
 	h := r.homes[out.Endpoint]
 	if h == nil { // its endpoint has left
-		h = r.pool.home("")
+		h = r.pool.newEndpoint("")
 		h.closed = true
 	}
 	limit := time.Duration(out.Timeout) * time.Microsecond
-	r.out.add(out, c)
+	r.out.Add(out, c)
 	go func() {
 		defer stop(nil)
-		defer r.out.done(out)
-		if err := c.goOn(h, fd, out.Record, limit, r.cfg.loads, tell); err != nil {
-			tell(outcome{what: decide.ConnectionReset, err: err})
+		defer r.out.Remove(out)
+		if err := c.Adopt(h, fd, out.Record, limit, r.cfg.loads, tell); err != nil {
+			tell(Result{Outcome: decide.ConnectionReset, Err: err})
 		}
 	}()
 }
--- a/internal/relay/loop.go
+++ b/internal/relay/loop.go
@@ -56,13 +56,13 @@
 	seen      time.Time // when the endpoints avoided were last counted
 	began     time.Time
 	longest   time.Duration // of the steps since the last tally
-	homes     map[decide.EndpointID]*home
+	homes     map[decide.EndpointID]*Endpoint
 	events    []core.Event
 	effects   []core.Effect
-	pool      *pool
+	pool      *Pool
 	partners  *secure.Partners                // nil without TLS
 	shown     atomic.Pointer[secure.Partners] // the same, for the console
-	out       outgoing
+	out       InFlight
 	got       []happening
 	taking    *taking
 	taker     takeover.Taker
@@ -108,7 +108,7 @@
 func run(cfg *Config, log *slog.Logger, stop <-chan struct{}, re Reload) (asked bool, err error) {
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
-	r := &Relay{cfg: cfg, log: log, in: newMailbox[happening](), began: time.Now(), ctx: ctx, stop: stop, re: re, homes: map[decide.EndpointID]*home{},
+	r := &Relay{cfg: cfg, log: log, in: newMailbox[happening](), began: time.Now(), ctx: ctx, stop: stop, re: re, homes: map[decide.EndpointID]*Endpoint{},
 		duty: &duties{}, board: console.NewStats(classNames(cfg))}
 	defer func() { asked = r.asked.Load() > 0 }()
 	if cfg.Console != "" { // it answers from the first moment on
@@ -139,9 +139,9 @@
 	keep := time.Duration(cfg.Policy.IdleTimeout) * time.Microsecond
 	// A request written to a connection that the endpoint is closing ends as a
 	// reset: ours close first.
-	r.pool = newPool(time.Duration(cfg.Policy.ConnectTimeout)*time.Microsecond, keep-idleMargin(keep), conns)
+	r.pool = NewPool(time.Duration(cfg.Policy.ConnectTimeout)*time.Microsecond, keep-IdleMargin(keep), conns)
 	r.pool.now = r.now
-	go r.pool.run(ctx)
+	go r.pool.Run(ctx)
 	r.notices = newNotices(cfg.Discovery, log, func(id string) {
 		log.Info(story.NoticeDelivered, "message", id)
 		r.wal.submit(&record{Kind: core.RecordDone, ID: id}, nil)
@@ -608,36 +608,36 @@
 	case core.ResumeCall:
 		r.goOn(e.Call)
 	case core.CancelCall:
-		if c, ok := e.Call.Handle.(*call); ok {
-			c.stop(errCancelled)
+		if c, ok := e.Call.Handle.(*Call); ok {
+			c.cancel(ErrCancelled)
 		}
 	case core.ApplyRetryAfter:
 		if h := r.homes[e.Endpoint]; h != nil {
-			h.gate.Tell(r.now(), e.Until)
+			h.gate.HoldUntil(r.now(), e.Until)
 		}
 	case core.CheckHealth:
 		h, ep := r.homes[e.Endpoint], e.Endpoint
 		go func() {
-			o := probe(r.ctx, h)
-			r.tell(core.Event{Kind: core.HealthChecked, Endpoint: ep, Result: o.result()})
+			o := checkHealth(r.ctx, h)
+			r.tell(core.Event{Kind: core.HealthChecked, Endpoint: ep, Result: o.coreResult()})
 		}()
 	case core.OpenEndpoint:
-		at := scope{dest: e.Dest}
+		at := scopeKey{dest: e.Dest}
 		if e.Apart {
-			at = scope{route: e.Endpoint}
+			at = scopeKey{route: e.Endpoint}
 		}
-		h := r.pool.secureHome(e.Address, r.partners, uint64(e.Endpoint), e.Dest, e.Flavor)
+		h := r.pool.OpenEndpoint(e.Address, r.partners, uint64(e.Endpoint), e.Dest, e.Flavor)
 		h.gate = r.pool.scope(at).Gate()
 		r.homes[e.Endpoint] = h
 	case core.CloseEndpoint:
-		r.homes[e.Endpoint].close()
+		r.homes[e.Endpoint].Close()
 	case core.CloseIdleConnections:
-		r.homes[e.Endpoint].closeIdle()
+		r.homes[e.Endpoint].CloseIdle()
 	case core.ForgetEndpoint:
 		delete(r.homes, e.Endpoint)
-		r.pool.forget(e.Endpoint)
+		r.pool.ForgetRoute(e.Endpoint)
 	case core.PassivateDestination:
-		r.pool.rest(e.Dest)
+		r.pool.ForgetDestination(e.Dest)
 	case core.Log:
 		if e.Text == tally.LogText {
 			e.Args = append(e.Args, tally.LongestStepKey, r.longest.Microseconds())
@@ -670,7 +670,7 @@
 // send logs an attempt and then makes it.
 func (r *Relay) send(rec *record, out *core.Call) {
 	ctx, stop := context.WithCancelCause(r.ctx)
-	c := &call{ctx: ctx, stop: stop, want: want{cold: out.WarmingUp, paid: out.MayConnect}, by: out.SendBy, written: func() { r.board.Sends.Add(1) }}
+	c := &Call{ctx: ctx, cancel: stop, connRequest: connRequest{warmingUp: out.WarmingUp, mayConnect: out.MayConnect}, SendBy: out.SendBy, OnSent: func() { r.board.Sends.Add(1) }}
 	out.Handle = c
 	h, limit := r.homes[out.Endpoint], time.Duration(out.Timeout)*time.Microsecond
 	r.wal.submit(rec, func(err error) {
@@ -679,12 +679,12 @@
 			r.tell(core.Event{Kind: core.AttemptNotLogged, Call: out})
 			return
 		}
-		r.out.add(out, c)
+		r.out.Add(out, c)
 		go func() {
 			defer stop(nil)
-			defer r.out.done(out)
-			c.run(h, out.Record, limit, r.cfg.loads, func(o outcome) {
-				r.tell(core.Event{Kind: core.AttemptFinished, Call: out, Result: o.result()})
+			defer r.out.Remove(out)
+			c.Do(h, out.Record, limit, r.cfg.loads, func(o Result) {
+				r.tell(core.Event{Kind: core.AttemptFinished, Call: out, Result: o.coreResult()})
 			})
 		}()
 	})
--- a/internal/relay/pool_test.go
+++ b/internal/relay/pool_test.go
@@ -14,14 +14,14 @@
 	"troutusher/decide"
 )
 
-const fine = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok"
+const okResponse = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok"
 
 // Guards what is believed of an answer. A spoilt one is that of a call that
 // may have run, whatever its first line says, unless that says 200; and no
 // answer is read for longer than it may be or take.
-func TestSpoiltAnswers(t *testing.T) { overEach(t, testSpoiltAnswers) }
+func TestMalformedResponses(t *testing.T) { forEachTransport(t, testMalformedResponses) }
 
-func testSpoiltAnswers(t *testing.T, w *way) {
+func testMalformedResponses(t *testing.T, w *transport) {
 	long := strings.Repeat("x", 8000)
 	for name, x := range map[string]struct {
 		answer  string
@@ -48,18 +48,18 @@
 		"delivered, head without end":   {answer: "HTTP/1.1 200 OK\r\nX-", what: decide.Delivered, settled: true},
 		"delivered, noise for a head":   {answer: "HTTP/1.1 200 OK\r\n\x00\x01\xff", what: decide.Delivered, settled: true},
 		"delivered, bad length":         {answer: "HTTP/1.1 200 OK\r\nContent-Length: -7\r\n\r\n", what: decide.Delivered, settled: true},
-		"several hints":                 {answer: "HTTP/1.1 100 C\r\n\r\nHTTP/1.1 103 E\r\nLink: x\r\n\r\nHTTP/1.1 102 P\r\n\r\n" + fine, what: decide.Delivered, settled: true, keeps: true},
+		"several hints":                 {answer: "HTTP/1.1 100 C\r\n\r\nHTTP/1.1 103 E\r\nLink: x\r\n\r\nHTTP/1.1 102 P\r\n\r\n" + okResponse, what: decide.Delivered, settled: true, keeps: true},
 		"hints without end":             {answer: strings.Repeat("HTTP/1.1 100 C\r\n\r\n", 500), what: decide.Failed},
 		"a hint, then nothing":          {answer: "HTTP/1.1 103 E\r\n", what: decide.Failed},
 		"refusal, then a copy behind":   {answer: "HTTP/1.1 503 F\r\nContent-Length: 0\r\n\r\nHTTP/1.1 503 F\r\nContent-Length: 0\r\n\r\n", what: decide.Rejected},
-		"delivered, then a copy behind": {answer: fine + fine, what: decide.Delivered, settled: true},
+		"delivered, then a copy behind": {answer: okResponse + okResponse, what: decide.Delivered, settled: true},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			closed := make(chan int, 1)
-			h := w.home(testPool(t), w.endpoint(t, func(c net.Conn) {
+			h := w.endpoint(testPool(t), w.serve(t, func(c net.Conn) {
 				in := bufio.NewReader(c)
-				if !readCall(in) {
+				if !readRequest(in) {
 					return
 				}
 				io.WriteString(c, x.answer)
@@ -74,17 +74,17 @@
 				io.Copy(io.Discard, in) // the connection stays open from this side
 				closed <- n
 			}))
-			o := newTestCall().made(t, h, &record{ID: "m", Body: []byte("b")}, testLimit)
-			if o.what != x.what || o.settled != x.settled {
+			o := newTestCall().complete(t, h, &record{ID: "m", Body: []byte("b")}, testLimit)
+			if o.Outcome != x.what || o.Final != x.settled {
 				t.Errorf("got %+v", o)
 			}
-			if o.took > (testLimit / 2).Microseconds() {
-				t.Errorf("took %d us: it waited for what does not come", o.took)
+			if o.Elapsed > (testLimit / 2).Microseconds() {
+				t.Errorf("took %d us: it waited for what does not come", o.Elapsed)
 			}
 			if _, idle := h.pool.counts(); (idle != 0) != x.keeps {
 				t.Errorf("%d connections kept", idle)
 			}
-			h.closeIdle()
+			h.CloseIdle()
 			if n := <-closed; n > 64<<20 {
 				t.Errorf("%d bytes were sent before the close", n)
 			}
@@ -93,22 +93,22 @@
 }
 
 // Guards the moment at which a delivery is known: with its first line.
-func TestDeliveredAtFirstLine(t *testing.T) { overEach(t, testDeliveredAtFirstLine) }
+func TestDeliveredAtStatusLine(t *testing.T) { forEachTransport(t, testDeliveredAtStatusLine) }
 
-func testDeliveredAtFirstLine(t *testing.T, w *way) {
+func testDeliveredAtStatusLine(t *testing.T, w *transport) {
 	release := make(chan struct{})
-	h := w.home(testPool(t), w.endpoint(t, func(c net.Conn) {
-		if readCall(bufio.NewReader(c)) {
+	h := w.endpoint(testPool(t), w.serve(t, func(c net.Conn) {
+		if readRequest(bufio.NewReader(c)) {
 			io.WriteString(c, "HTTP/1.1 200 OK\r\n")
 			<-release
 		}
 	}))
-	told, over := make(chan outcome, 1), make(chan struct{})
+	told, over := make(chan Result, 1), make(chan struct{})
 	go func() {
 		defer close(over)
-		newTestCall().run(h, &record{ID: "m"}, testLimit, nil, func(o outcome) { told <- o })
+		newTestCall().Do(h, &record{ID: "m"}, testLimit, nil, func(o Result) { told <- o })
 	}()
-	if o := <-told; o.what != decide.Delivered {
+	if o := <-told; o.Outcome != decide.Delivered {
 		t.Errorf("got %+v", o)
 	}
 	select {
@@ -122,29 +122,29 @@
 
 // Guards an answer that is long in coming behind one that is ahead of it: only
 // what has begun must come quickly.
-func TestHintLongBeforeTheAnswer(t *testing.T) { overEach(t, testHintLongBeforeTheAnswer) }
+func TestInterimLongBeforeResponse(t *testing.T) { forEachTransport(t, testInterimLongBeforeResponse) }
 
-func testHintLongBeforeTheAnswer(t *testing.T, w *way) {
+func testInterimLongBeforeResponse(t *testing.T, w *transport) {
 	release := make(chan struct{})
-	h := w.home(testPool(t), w.endpoint(t, func(c net.Conn) {
-		if readCall(bufio.NewReader(c)) {
+	h := w.endpoint(testPool(t), w.serve(t, func(c net.Conn) {
+		if readRequest(bufio.NewReader(c)) {
 			io.WriteString(c, "HTTP/1.1 102 P\r\n\r\n")
 			<-release
-			io.WriteString(c, fine)
+			io.WriteString(c, okResponse)
 		}
 	}))
-	told, over := make(chan outcome, 1), make(chan struct{})
+	told, over := make(chan Result, 1), make(chan struct{})
 	go func() {
 		defer close(over)
-		newTestCall().run(h, &record{ID: "m"}, testLimit, nil, func(o outcome) { told <- o })
+		newTestCall().Do(h, &record{ID: "m"}, testLimit, nil, func(o Result) { told <- o })
 	}()
 	select {
 	case o := <-told:
 		t.Fatalf("before the answer: %+v", o)
-	case <-time.After(2 * answerWait):
+	case <-time.After(2 * responseReadTimeout):
 	}
 	close(release)
-	if o := <-told; o.what != decide.Delivered {
+	if o := <-told; o.Outcome != decide.Delivered {
 		t.Errorf("got %+v", o)
 	}
 	<-over
@@ -155,23 +155,23 @@
 // the connection is put back, while it is idle, or only when the call is
 // written but for its last byte. Nothing of the call counts then, so that it
 // goes out on another connection, once.
-func TestBytesBehindAnAnswer(t *testing.T) { overEach(t, testBytesBehindAnAnswer) }
+func TestBytesAfterResponse(t *testing.T) { forEachTransport(t, testBytesAfterResponse) }
 
-func testBytesBehindAnAnswer(t *testing.T, w *way) {
-	for name, behind := range map[string]string{"copy": fine, "noise": "\x00\x01\x02", "end": ""} {
+func testBytesAfterResponse(t *testing.T, w *transport) {
+	for name, behind := range map[string]string{"copy": okResponse, "noise": "\x00\x01\x02", "end": ""} {
 		t.Run("while idle, "+name, func(t *testing.T) {
 			var conns, calls atomic.Int32
 			said := make(chan struct{}, 8)
 			more := make(chan struct{})
-			h := w.home(testPool(t), w.endpoint(t, func(c net.Conn) {
+			h := w.endpoint(testPool(t), w.serve(t, func(c net.Conn) {
 				first := conns.Add(1) == 1
 				in := bufio.NewReader(c)
-				for readCall(in) {
+				for readRequest(in) {
 					if calls.Add(1); !first {
 						io.WriteString(c, "HTTP/1.1 503 F\r\nContent-Length: 0\r\n\r\n")
 						continue
 					}
-					io.WriteString(c, fine)
+					io.WriteString(c, okResponse)
 					<-more
 					io.WriteString(c, behind)
 					said <- struct{}{}
@@ -180,7 +180,7 @@
 					}
 				}
 			}))
-			if o := newTestCall().made(t, h, &record{ID: "a"}, testLimit); o.what != decide.Delivered {
+			if o := newTestCall().complete(t, h, &record{ID: "a"}, testLimit); o.Outcome != decide.Delivered {
 				t.Fatalf("first: %+v", o)
 			}
 			if _, idle := h.pool.counts(); idle != 1 {
@@ -188,13 +188,13 @@
 			}
 			close(more)
 			<-said
-			settled(h)
+			waitReusable(h)
 			waitFor(t, "the bytes", func() bool {
 				h.pool.mu.Lock()
 				defer h.pool.mu.Unlock()
-				return len(h.pool.idle) == 0 || !h.pool.idle[0].clean()
+				return len(h.pool.idle) == 0 || !h.pool.idle[0].reusable()
 			})
-			if o := newTestCall().made(t, h, &record{ID: "b"}, testLimit); o.what != decide.Rejected {
+			if o := newTestCall().complete(t, h, &record{ID: "b"}, testLimit); o.Outcome != decide.Rejected {
 				t.Errorf("second: %+v", o)
 			}
 			if conns.Load() != 2 || calls.Load() != 2 {
@@ -208,28 +208,28 @@
 		}
 		var conns atomic.Int32
 		got := make(chan int, 4) // bytes of the second call on the first connection
-		h := w.home(testPool(t), w.endpoint(t, func(c net.Conn) {
+		h := w.endpoint(testPool(t), w.serve(t, func(c net.Conn) {
 			first := conns.Add(1) == 1
 			in := bufio.NewReader(c)
-			for n := 0; readCall(in); n++ {
+			for n := 0; readRequest(in); n++ {
 				if !first {
 					io.WriteString(c, "HTTP/1.1 503 F\r\nContent-Length: 0\r\n\r\n")
 					continue
 				}
-				io.WriteString(c, fine)
+				io.WriteString(c, okResponse)
 				rest, _ := io.ReadAll(in)
 				got <- strings.Count(string(rest), "tail of the body")
 			}
 		}))
-		if o := newTestCall().made(t, h, &record{ID: "a"}, testLimit); o.what != decide.Delivered {
+		if o := newTestCall().complete(t, h, &record{ID: "a"}, testLimit); o.Outcome != decide.Delivered {
 			t.Fatalf("first: %+v", o)
 		}
-		settled(h)
+		waitReusable(h)
 		h.pool.mu.Lock()
 		c := h.pool.idle[0]
-		c.Conn = &racing{TCPConn: c.Conn.(*net.TCPConn)}
+		c.Conn = &closeReadOnWriteConn{TCPConn: c.Conn.(*net.TCPConn)}
 		h.pool.mu.Unlock()
-		if o := newTestCall().made(t, h, &record{ID: "b", Body: []byte("the tail of the body")}, testLimit); o.what != decide.Rejected {
+		if o := newTestCall().complete(t, h, &record{ID: "b", Body: []byte("the tail of the body")}, testLimit); o.Outcome != decide.Rejected {
 			t.Errorf("second: %+v", o)
 		}
 		if n := <-got; n != 0 || conns.Load() != 2 {
@@ -238,13 +238,13 @@
 	})
 }
 
-// racing brings bytes just as a call begins to be written.
-type racing struct {
+// closeReadOnWriteConn brings bytes just as a call begins to be written.
+type closeReadOnWriteConn struct {
 	*net.TCPConn
 	begun bool
 }
 
-func (r *racing) Write(b []byte) (int, error) {
+func (r *closeReadOnWriteConn) Write(b []byte) (int, error) {
 	n, err := r.TCPConn.Write(b)
 	if !r.begun {
 		r.begun = true
@@ -256,36 +256,36 @@
 // Guards unsafe messages against kept connections that their endpoint has
 // dropped in silence: the reset comes before the last byte, so the call goes
 // out on another connection and counts once.
-func TestDroppedInSilence(t *testing.T) { overEach(t, testDroppedInSilence) }
+func TestSilentlyDroppedConnection(t *testing.T) { forEachTransport(t, testSilentlyDroppedConnection) }
 
-func testDroppedInSilence(t *testing.T, w *way) {
+func testSilentlyDroppedConnection(t *testing.T, w *transport) {
 	var conns, calls atomic.Int32
 	p := testPool(t)
-	h := w.home(p, w.endpoint(t, func(c net.Conn) {
+	h := w.endpoint(p, w.serve(t, func(c net.Conn) {
 		first := conns.Add(1) == 1
 		in := bufio.NewReader(c)
-		if !readCall(in) {
+		if !readRequest(in) {
 			return
 		}
 		calls.Add(1)
-		io.WriteString(c, fine)
+		io.WriteString(c, okResponse)
 		if first {
 			in.ReadByte() // of the next call
-			rawOf(c).SetLinger(0)
+			tcpConnOf(c).SetLinger(0)
 		}
 	}))
-	p.moment = time.Millisecond
-	if o := newTestCall().made(t, h, &record{ID: "a"}, testLimit); o.what != decide.Delivered {
+	p.staleCheckDelay = time.Millisecond
+	if o := newTestCall().complete(t, h, &record{ID: "a"}, testLimit); o.Outcome != decide.Delivered {
 		t.Fatalf("first: %+v", o)
 	}
-	settled(h)
+	waitReusable(h)
 	dial := h.dial
 	h.dial = func(ctx context.Context, addr string) (net.Conn, error) {
-		p.moment = time.Millisecond
+		p.staleCheckDelay = time.Millisecond
 		return dial(ctx, addr)
 	}
-	p.moment = testLimit // the reset ends it
-	if o := newTestCall().made(t, h, &record{ID: "b"}, testLimit); o.what != decide.Delivered {
+	p.staleCheckDelay = testLimit // the reset ends it
+	if o := newTestCall().complete(t, h, &record{ID: "b"}, testLimit); o.Outcome != decide.Delivered {
 		t.Errorf("second: %+v", o)
 	}
 	if conns.Load() != 2 || calls.Load() != 2 {
@@ -295,24 +295,24 @@
 
 // Guards what never ran: a connection that breaks before the call's last byte
 // is written.
-func TestBrokenBeforeTheLastByte(t *testing.T) {
-	h := testPool(t).home(rawEndpoint(t, func(c net.Conn) { io.Copy(io.Discard, c) }))
+func TestBrokenBeforeLastByte(t *testing.T) {
+	h := testPool(t).newEndpoint(serveTCP(t, func(c net.Conn) { io.Copy(io.Discard, c) }))
 	dial := h.dial
 	h.dial = func(ctx context.Context, addr string) (net.Conn, error) {
 		c, err := dial(ctx, addr)
-		return &breaking{TCPConn: c.(*net.TCPConn)}, err
+		return &failSecondWriteConn{TCPConn: c.(*net.TCPConn)}, err
 	}
-	if o := newTestCall().made(t, h, &record{ID: "m", Body: []byte("b")}, testLimit); o.what != decide.ConnectFailed {
+	if o := newTestCall().complete(t, h, &record{ID: "m", Body: []byte("b")}, testLimit); o.Outcome != decide.ConnectFailed {
 		t.Errorf("got %+v", o)
 	}
 }
 
-type breaking struct {
+type failSecondWriteConn struct {
 	*net.TCPConn
 	writes int
 }
 
-func (b *breaking) Write(p []byte) (int, error) {
+func (b *failSecondWriteConn) Write(p []byte) (int, error) {
 	if b.writes++; b.writes == 2 {
 		return 0, errors.New("broken")
 	}
@@ -322,18 +322,18 @@
 // Guards the descriptors: the number open is bounded over all endpoints, and
 // what is idle makes room for what is wanted. A dial that is given up frees
 // its place.
-func TestPoolBounded(t *testing.T) { overEach(t, testPoolBounded) }
+func TestPoolBounded(t *testing.T) { forEachTransport(t, testPoolBounded) }
 
-func testPoolBounded(t *testing.T, w *way) {
+func testPoolBounded(t *testing.T, w *transport) {
 	serve := func(c net.Conn) {
-		for in := bufio.NewReader(c); readCall(in); {
-			io.WriteString(c, fine)
+		for in := bufio.NewReader(c); readRequest(in); {
+			io.WriteString(c, okResponse)
 		}
 	}
 	p := testPool(t)
-	p.most = 3
+	p.maxConns = 3
 	for i := range 10 {
-		if o := newTestCall().made(t, w.home(p, w.endpoint(t, serve)), &record{ID: "m"}, testLimit); o.what != decide.Delivered {
+		if o := newTestCall().complete(t, w.endpoint(p, w.serve(t, serve)), &record{ID: "m"}, testLimit); o.Outcome != decide.Delivered {
 			t.Fatalf("endpoint %d: %+v", i, o)
 		}
 		if open, _ := p.counts(); open > 3 {
@@ -341,30 +341,30 @@
 		}
 	}
 	entered := make(chan struct{}, 3)
-	stuck := w.home(p, w.endpoint(t, func(c net.Conn) {
+	stuck := w.endpoint(p, w.serve(t, func(c net.Conn) {
 		in := bufio.NewReader(c)
-		readCall(in)
+		readRequest(in)
 		entered <- struct{}{}
 		in.ReadByte()
 	}))
-	var calls []*call
-	over := make(chan outcome, 3)
+	var calls []*Call
+	over := make(chan Result, 3)
 	for range 3 {
 		c := newTestCall()
 		calls = append(calls, c)
-		go func() { c.run(stuck, &record{ID: "m"}, testLimit, nil, func(o outcome) { over <- o }) }()
+		go func() { c.Do(stuck, &record{ID: "m"}, testLimit, nil, func(o Result) { over <- o }) }()
 		<-entered
 	}
-	if o := newTestCall().made(t, stuck, &record{ID: "m"}, testLimit); o.what != decide.NotSent {
+	if o := newTestCall().complete(t, stuck, &record{ID: "m"}, testLimit); o.Outcome != decide.NotSent {
 		t.Errorf("a fourth: %+v", o)
 	}
 	for _, c := range calls {
-		c.stop(errCancelled)
+		c.cancel(ErrCancelled)
 		<-over
 	}
 	waitFor(t, "places", func() bool { open, _ := p.counts(); return open == 0 })
-	refused := w.home(p, "127.0.0.1:1")
-	if o := newTestCall().made(t, refused, &record{ID: "m"}, testLimit); o.what != decide.ConnectFailed {
+	refused := w.endpoint(p, "127.0.0.1:1")
+	if o := newTestCall().complete(t, refused, &record{ID: "m"}, testLimit); o.Outcome != decide.ConnectFailed {
 		t.Errorf("refused: %+v", o)
 	}
 	if open, _ := p.counts(); open != 0 {
@@ -374,21 +374,21 @@
 
 // Guards against what an endpoint closed or wrote to while it was idle: it
 // must not hold a descriptor until its next use.
-func TestPoolSweeps(t *testing.T) { overEach(t, testPoolSweeps) }
+func TestPoolClosesDeadIdle(t *testing.T) { forEachTransport(t, testPoolClosesDeadIdle) }
 
-func testPoolSweeps(t *testing.T, w *way) {
+func testPoolClosesDeadIdle(t *testing.T, w *transport) {
 	end := make(chan struct{})
 	p := testPool(t)
-	h := w.home(p, w.endpoint(t, func(c net.Conn) {
-		if readCall(bufio.NewReader(c)) {
-			io.WriteString(c, fine)
+	h := w.endpoint(p, w.serve(t, func(c net.Conn) {
+		if readRequest(bufio.NewReader(c)) {
+			io.WriteString(c, okResponse)
 			<-end
 		}
 	}))
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan struct{})
-	go func() { defer close(done); p.run(ctx) }()
-	newTestCall().made(t, h, &record{ID: "m"}, testLimit)
+	go func() { defer close(done); p.Run(ctx) }()
+	newTestCall().complete(t, h, &record{ID: "m"}, testLimit)
 	if _, idle := p.counts(); idle != 1 {
 		t.Fatalf("%d idle", idle)
 	}
@@ -397,14 +397,14 @@
 	cancel()
 	<-done
 	// And one whose endpoint has left is not kept after its call.
-	gone := w.home(p, w.endpoint(t, func(c net.Conn) {
-		if readCall(bufio.NewReader(c)) {
-			io.WriteString(c, fine)
+	gone := w.endpoint(p, w.serve(t, func(c net.Conn) {
+		if readRequest(bufio.NewReader(c)) {
+			io.WriteString(c, okResponse)
 			time.Sleep(time.Millisecond)
 		}
 	}))
-	gone.close()
-	newTestCall().made(t, gone, &record{ID: "m"}, testLimit)
+	gone.Close()
+	newTestCall().complete(t, gone, &record{ID: "m"}, testLimit)
 	if open, _ := p.counts(); open != 0 {
 		t.Errorf("%d open at an endpoint that left", open)
 	}
--- a/internal/relay/securepool.go
+++ b/internal/relay/securepool.go
@@ -18,59 +18,59 @@
 // are opened, and none is thrown away half made.
 
 const (
-	housekeeping = time.Millisecond // for what a partner's TLS says unasked, to be read
-	saidMost     = 8                // times that it is read before a call
-	spoiltMost   = 2                // new connections of no use that one wait for a connection stands
+	postHandshakeWait     = time.Millisecond // for what a partner's TLS says unasked, to be read
+	maxPostHandshakeReads = 8                // times that it is read before a call
+	maxUnusableConns      = 2                // new connections of no use that one wait for a connection stands
 )
 
-// want is what a call wants of a connection over TLS, and what it took.
-type want struct {
-	cold   bool // its endpoint is: one is opened at a time, by a call that has paid
-	paid   bool // the decision module has counted on one being opened
-	opened int
+// connRequest is what a call wants of a connection over TLS, and what it took.
+type connRequest struct {
+	warmingUp  bool // its endpoint is: one is opened at a time, by a call that has paid
+	mayConnect bool // the decision module has counted on one being opened
+	opened     int
 }
 
-// errUnpaid is a call that found no connection at a cold endpoint, and no call
+// errConnectNotAllowed is a call that found no connection at a cold endpoint, and no call
 // that it could have one of, and that was not to open its own.
-var errUnpaid = errors.New("tls: no connection is free at a cold endpoint")
+var errConnectNotAllowed = errors.New("tls: no connection is free at a cold endpoint")
 
-// errNoTurn is a call that could not have its connection in time.
-type errNoTurn struct{ wait time.Duration }
+// handshakeBudgetError is a call that could not have its connection in time.
+type handshakeBudgetError struct{ retryAfter time.Duration }
 
-func (e errNoTurn) Error() string {
-	return fmt.Sprintf("tls: no turn for a handshake in time, the next is in %v", e.wait.Round(time.Millisecond))
+func (e handshakeBudgetError) Error() string {
+	return fmt.Sprintf("tls: no turn for a handshake in time, the next is in %v", e.retryAfter.Round(time.Millisecond))
 }
 
-// secureHome is a home that is reached over TLS where the operator's file says
+// OpenEndpoint is a home that is reached over TLS where the operator's file says
 // so.
-func (p *pool) secureHome(addr string, peers *secure.Partners, endpoint uint64, dest int, flavor string) *home {
-	h := p.home(addr)
+func (p *Pool) OpenEndpoint(addr string, peers *secure.Partners, endpoint uint64, dest int, flavor string) *Endpoint {
+	h := p.newEndpoint(addr)
 	h.peer = peers.Peer(endpoint, dest, flavor, func() bool {
 		p.mu.Lock()
-		h.opening++
+		h.connecting++
 		p.mu.Unlock()
-		opened, _, err := h.openSecure(true, true)
+		opened, _, err := h.openTLS(true, true)
 		return err == nil && opened != nil
 	})
 	return h
 }
 
-// getSecure gives an idle connection, or waits for one that becomes free or
+// acquireTLS gives an idle connection, or waits for one that becomes free or
 // opens. Its error is errNoTurn or *secure.Out where nothing was asked of the
 // endpoint.
-func (h *home) getSecure(ctx context.Context, w *want) (*poolConn, error) {
+func (h *Endpoint) acquireTLS(ctx context.Context, w *connRequest) (*poolConn, error) {
 	p := h.pool
 	timer := time.NewTimer(time.Hour)
 	defer timer.Stop()
 	deadline, bounded := ctx.Deadline()
 	p.mu.Lock()
-	h.waiting++
+	h.waiters++
 	p.mu.Unlock()
 	waits := true
 	defer func() {
 		if waits {
 			p.mu.Lock()
-			h.waiting--
+			h.waiters--
 			p.mu.Unlock()
 		}
 	}()
@@ -80,38 +80,38 @@
 		now := time.Now()
 		if h.closed {
 			p.mu.Unlock()
-			return nil, gate.ErrGone
+			return nil, gate.ErrEndpointDraining
 		}
-		c, again, bad := h.take(now)
+		c, again, bad := h.takeIdle(now)
 		if c != nil { // counted out at once: nobody opens one for it any more
 			waits = false
-			h.waiting--
+			h.waiters--
 		}
-		if h.news == nil {
-			h.news = make(chan struct{})
+		if h.connChanged == nil {
+			h.connChanged = make(chan struct{})
 		}
-		news, wanted := h.news, c == nil && opened == nil && spoilt+bad < spoiltMost && h.opening < h.waiting
+		news, wanted := h.connChanged, c == nil && opened == nil && spoilt+bad < maxUnusableConns && h.connecting < h.waiters
 		if wanted {
-			h.opening++
+			h.connecting++
 		}
 		p.mu.Unlock()
 		if c != nil {
 			return c, nil
 		}
-		if spoilt += bad; spoilt >= spoiltMost {
-			return nil, errUnasked
+		if spoilt += bad; spoilt >= maxUnusableConns {
+			return nil, errStaleConn
 		}
-		if wanted && w.cold && !w.paid && h.peer.Weighs() {
+		if wanted && w.warmingUp && !w.mayConnect && h.peer.Weighs() {
 			p.mu.Lock()
-			h.opening--
+			h.connecting--
 			p.mu.Unlock()
 			if again.IsZero() {
-				return nil, errUnpaid
+				return nil, errConnectNotAllowed
 			}
 			wanted = false // one is too fresh to be used, and soon will not be
 		}
 		if wanted {
-			began, at, err := h.openSecure(w.cold, false)
+			began, at, err := h.openTLS(w.warmingUp, false)
 			if err != nil {
 				return nil, err
 			}
@@ -121,7 +121,7 @@
 			switch opened = began; {
 			case began != nil || at.IsZero():
 			case bounded && at.After(deadline) && again.IsZero():
-				return nil, errNoTurn{at.Sub(now)}
+				return nil, handshakeBudgetError{at.Sub(now)}
 			case again.IsZero() || at.Before(again):
 				again = at
 			}
@@ -142,21 +142,21 @@
 			if opened != nil { // the endpoint was asked, and is slow
 				return nil, ctx.Err()
 			}
-			return nil, errNoTurn{}
+			return nil, handshakeBudgetError{}
 		}
 	}
 }
 
-// openSecure begins to open a connection, which its caller has counted as one
+// openTLS begins to open a connection, which its caller has counted as one
 // that is being opened, and which is idle once it is open. Without
 // a channel and an error it may not be begun now: at is when to ask again, zero
 // for once another one there has ended.
-func (h *home) openSecure(cold, scheduled bool) (opened <-chan error, at time.Time, err error) {
+func (h *Endpoint) openTLS(cold, scheduled bool) (opened <-chan error, at time.Time, err error) {
 	p := h.pool
 	defer func() {
 		if opened == nil {
 			p.mu.Lock()
-			h.opening--
+			h.connecting--
 			p.mu.Unlock()
 		}
 	}()
@@ -165,39 +165,39 @@
 		return nil, at, err
 	}
 	p.mu.Lock()
-	ok := p.room()
+	ok := p.reserveLocked()
 	p.mu.Unlock()
 	if !ok {
 		turn.Abandon()
-		return nil, at, errNoRoom
+		return nil, at, errPoolFull
 	}
 	done := make(chan error, 1)
 	go func() {
 		ctx, cancel := context.WithTimeout(context.Background(), turn.Timeout())
 		defer cancel()
-		conn, err := h.shake(ctx, turn)
+		conn, err := h.handshake(ctx, turn)
 		p.mu.Lock()
 		defer p.mu.Unlock()
-		h.opening--
+		h.connecting--
 		switch {
 		case err != nil:
 			p.open--
 		default:
-			c := &poolConn{Conn: conn, tls: conn, home: h, left: answerMost, at: time.Now().Add(-poolSettle)}
-			c.in = bufio.NewReader(c)
+			c := &poolConn{Conn: conn, tls: conn, endpoint: h, remaining: maxResponseBytes, idleSince: time.Now().Add(-reuseDelay)}
+			c.reader = bufio.NewReader(c)
 			if h.closed {
-				p.shut(c)
+				p.closeLocked(c)
 				break
 			}
 			p.idle = append(p.idle, c)
 		}
-		h.tell()
+		h.notifyWaiters()
 		done <- err
 	}()
 	return done, time.Time{}, nil
 }
 
-func (h *home) shake(ctx context.Context, turn *secure.Turn) (*secure.Conn, error) {
+func (h *Endpoint) handshake(ctx context.Context, turn *secure.Turn) (*secure.Conn, error) {
 	raw, err := h.dial(ctx, h.addr)
 	if err != nil {
 		turn.Abandon()
@@ -206,35 +206,35 @@
 	return turn.Shake(ctx, raw)
 }
 
-// cleanTLS is clean over TLS. What has come may be the partner's housekeeping,
+// reusableTLS is clean over TLS. What has come may be the partner's housekeeping,
 // new sessions or keys (RFC 8446 section 4.6), which is taken in; anything else,
 // and part of a record, which may be the connection's end, is of no use.
-func (c *poolConn) cleanTLS() bool {
+func (c *poolConn) reusableTLS() bool {
 	if !c.tls.Fresh() {
 		return false
 	}
 	defer c.SetReadDeadline(time.Time{})
-	for range saidMost {
-		c.SetReadDeadline(longAgo) // what was read from the socket already
-		if c.said() {
+	for range maxPostHandshakeReads {
+		c.SetReadDeadline(pastDeadline) // what was read from the socket already
+		if c.hasUnexpectedInput() {
 			return false
 		}
 		c.SetReadDeadline(time.Time{})
-		if quiet(c.tls.Raw()) {
+		if noPendingInput(c.tls.Raw()) {
 			return c.tls.Whole()
 		}
-		c.SetReadDeadline(time.Now().Add(housekeeping))
-		if c.said() {
+		c.SetReadDeadline(time.Now().Add(postHandshakeWait))
+		if c.hasUnexpectedInput() {
 			return false
 		}
 	}
 	return false
 }
 
-// said reports whether something comes by the read's deadline that is not
+// hasUnexpectedInput reports whether something comes by the read's deadline that is not
 // housekeeping: bytes, the end, or the partner's word that it does not accept us.
-func (c *poolConn) said() bool {
-	_, err := c.in.Peek(1)
+func (c *poolConn) hasUnexpectedInput() bool {
+	_, err := c.reader.Peek(1)
 	if errors.Is(err, os.ErrDeadlineExceeded) {
 		return false
 	}
--- a/internal/relay/tls_bench_test.go
+++ b/internal/relay/tls_bench_test.go
@@ -19,28 +19,28 @@
 // in service.
 func BenchmarkCalls(b *testing.B) {
 	body := make([]byte, 200)
-	for name, w := range map[string]*way{"plain": {}, "tls 1.3": nil} {
+	for name, w := range map[string]*transport{"plain": {}, "tls 1.3": nil} {
 		b.Run(name, func(b *testing.B) {
 			if w == nil {
 				s := newTLSSite(b, func(_ *tlsSite, h *operator.Handshakes) { h.Share, h.BurstMS, h.Parallel = 1, 1000, 64 })
-				w = &way{site: s, cfg: &tls.Config{Certificates: []tls.Certificate{s.own.TLS()}}}
+				w = &transport{site: s, cfg: &tls.Config{Certificates: []tls.Certificate{s.own.TLS()}}}
 			}
 			var addr string
 			handle := func(c net.Conn) {
-				for in := bufio.NewReader(c); readCall(in); {
-					io.WriteString(c, fine)
+				for in := bufio.NewReader(c); readRequest(in); {
+					io.WriteString(c, okResponse)
 				}
 			}
 			if w.site == nil {
-				addr = rawEndpoint(b, handle)
+				addr = serveTCP(b, handle)
 			} else {
-				addr = tlsEndpoint(b, w.cfg, handle)
+				addr = serveTLS(b, w.cfg, handle)
 			}
-			p := newPool(1500*time.Millisecond, 9*time.Second, 200)
-			h := w.home(p, addr)
+			p := NewPool(1500*time.Millisecond, 9*time.Second, 200)
+			h := w.endpoint(p, addr)
 			call := func() {
-				newTestCall().run(h, &record{ID: "m", Body: body}, testLimit, nil, func(o outcome) {
-					if o.what != decide.Delivered {
+				newTestCall().Do(h, &record{ID: "m", Body: body}, testLimit, nil, func(o Result) {
+					if o.Outcome != decide.Delivered {
 						b.Errorf("got %+v", o)
 					}
 				})
@@ -75,7 +75,7 @@
 			b.StopTimer()
 			b.ReportMetric(float64(cpu()-began)/float64(b.N)/1e3, "cpu-us/call")
 			b.ReportMetric(float64(b.N)/b.Elapsed().Seconds(), "calls/s")
-			h.close()
+			h.Close()
 		})
 	}
 }
--- a/internal/relay/tls_relay_test.go
+++ b/internal/relay/tls_relay_test.go
@@ -35,7 +35,7 @@
 func operatorFile(t *testing.T, s *tlsSite, env map[string]string, more string) {
 	t.Helper()
 	path := filepath.Join(s.dir, "operator.toml")
-	if err := os.WriteFile(path, []byte(s.file()+more), 0o600); err != nil {
+	if err := os.WriteFile(path, []byte(s.operatorFile()+more), 0o600); err != nil {
 		t.Fatal(err)
 	}
 	env["TROUTUSHER_OPERATOR"] = path
@@ -63,7 +63,7 @@
 		t.Fatal(got)
 	}
 	waitFor(t, "the first delivery", func() bool { return ep.count("a") == 1 })
-	shown.Store(issued(t, s.root, "shop.example.org"))
+	shown.Store(issueCert(t, s.root, "shop.example.org"))
 	ep.CloseClientConnections()
 	if got := cl.put("b", fields("once", 15000, 1), []byte("b")); got != "+OK" {
 		t.Fatal(got)
--- a/internal/relay/tls_test.go
+++ b/internal/relay/tls_test.go
@@ -31,9 +31,9 @@
 	"troutusher/internal/tlspolicy"
 )
 
-// sealer writes records of TLS 1.3 that crypto/tls does not let a server write,
+// recordSealer writes records of TLS 1.3 that crypto/tls does not let a server write,
 // under the server's own keys (RFC 8446 section 5.2 and 7.1).
-type sealer struct {
+type recordSealer struct {
 	mu     sync.Mutex
 	secret []byte
 	seq    uint64
@@ -43,7 +43,7 @@
 }
 
 // Write takes lines of the key log.
-func (s *sealer) Write(line []byte) (int, error) {
+func (s *recordSealer) Write(line []byte) (int, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	f := strings.Fields(string(line))
@@ -53,7 +53,7 @@
 	return len(line), nil
 }
 
-func expand(secret []byte, label string, n int) []byte {
+func hkdfExpandLabel(secret []byte, label string, n int) []byte {
 	info := binary.BigEndian.AppendUint16(nil, uint16(n))
 	info = append(info, byte(len("tls13 ")+len(label)))
 	info = append(append(info, "tls13 "+label...), 0)
@@ -64,20 +64,20 @@
 	return out
 }
 
-// keys derives the keys of the secret in use.
-func (s *sealer) keys(suite uint16) {
+// deriveKeys derives the keys of the secret in use.
+func (s *recordSealer) deriveKeys(suite uint16) {
 	s.suite = suite
-	s.seq, s.iv = 0, expand(s.secret, "iv", 12)
+	s.seq, s.iv = 0, hkdfExpandLabel(s.secret, "iv", 12)
 	if suite == tls.TLS_CHACHA20_POLY1305_SHA256 {
-		s.aead, _ = chacha20poly1305.New(expand(s.secret, "key", 32))
+		s.aead, _ = chacha20poly1305.New(hkdfExpandLabel(s.secret, "key", 32))
 		return
 	}
-	block, _ := aes.NewCipher(expand(s.secret, "key", 16))
+	block, _ := aes.NewCipher(hkdfExpandLabel(s.secret, "key", 16))
 	s.aead, _ = cipher.NewGCM(block)
 }
 
 // seal makes a record of a kind of content.
-func (s *sealer) seal(kind byte, text []byte) []byte {
+func (s *recordSealer) seal(kind byte, text []byte) []byte {
 	nonce := append([]byte{}, s.iv...)
 	for i := range 8 {
 		nonce[11-i] ^= byte(s.seq >> (8 * i))
@@ -94,16 +94,16 @@
 	recordData      = 23
 )
 
-// sealedEndpoint serves connections over TLS 1.3 whose records are made by hand
+// serveSealedTLS serves connections over TLS 1.3 whose records are made by hand
 // once the handshake is over.
-func sealedEndpoint(t testing.TB, s *tlsSite, serve func(c *tls.Conn, raw net.Conn, seal *sealer)) string {
-	return rawEndpoint(t, func(raw net.Conn) {
-		k := &sealer{}
+func serveSealedTLS(t testing.TB, s *tlsSite, serve func(c *tls.Conn, raw net.Conn, seal *recordSealer)) string {
+	return serveTCP(t, func(raw net.Conn) {
+		k := &recordSealer{}
 		c := tls.Server(raw, &tls.Config{Certificates: []tls.Certificate{s.own.TLS()}, MinVersion: tls.VersionTLS13, SessionTicketsDisabled: true, KeyLogWriter: k})
 		if c.Handshake() != nil {
 			return
 		}
-		k.keys(c.ConnectionState().CipherSuite)
+		k.deriveKeys(c.ConnectionState().CipherSuite)
 		serve(c, raw, k)
 	})
 }
@@ -117,21 +117,21 @@
 // Guards the table of what ran: each alert in the handshake and before a call's
 // last byte says that it never ran; behind the last byte it may have, whatever
 // the alert is called. Those about who we are put the endpoint out.
-func TestAlertsProveByWhatWasSent(t *testing.T) {
+func TestAlertOutcomes(t *testing.T) {
 	for _, code := range alerts {
 		_, identity := tlspolicy.CauseOf(code)
 		t.Run("", func(t *testing.T) {
 			t.Parallel()
 			s := newTLSSite(t, nil)
 			var conns atomic.Int32
-			inHandshake := rawEndpoint(t, func(c net.Conn) {
+			inHandshake := serveTCP(t, func(c net.Conn) {
 				conns.Add(1)
 				c.Read(make([]byte, 4096)) // the client's hello
 				c.Write([]byte{recordAlert, 3, 3, 0, 2, 2, code})
 				c.Read(make([]byte, 4096))
 			})
-			o := newTestCall().made(t, s.home(testPool(t), inHandshake), &record{ID: "m"}, testLimit)
-			if !o.what.NeverRan() || (o.what == decide.NotSent) != identity && code != 0 {
+			o := newTestCall().complete(t, s.endpoint(testPool(t), inHandshake), &record{ID: "m"}, testLimit)
+			if !o.Outcome.NeverRan() || (o.Outcome == decide.NotSent) != identity && code != 0 {
 				t.Errorf("alert %d in the handshake: %+v", code, o)
 			}
 			if n := conns.Load(); n > 1 {
@@ -140,9 +140,9 @@
 			for _, whole := range []bool{false, true} {
 				s := newTLSSite(t, nil)
 				conns.Store(0)
-				addr := sealedEndpoint(t, s, func(c *tls.Conn, raw net.Conn, seal *sealer) {
+				addr := serveSealedTLS(t, s, func(c *tls.Conn, raw net.Conn, seal *recordSealer) {
 					conns.Add(1)
-					if whole && !readCall(bufio.NewReader(c)) {
+					if whole && !readRequest(bufio.NewReader(c)) {
 						return
 					}
 					raw.Write(seal.seal(recordAlert, []byte{2, code}))
@@ -152,16 +152,16 @@
 				})
 				p := testPool(t)
 				if !whole {
-					p.moment = testLimit // the alert ends it, however late it is
+					p.staleCheckDelay = testLimit // the alert ends it, however late it is
 				}
-				o := newTestCall().made(t, s.home(p, addr), &record{ID: "m", Body: []byte("b")}, testLimit)
-				if whole && o.what != decide.ConnectionReset || !whole && !o.what.NeverRan() {
+				o := newTestCall().complete(t, s.endpoint(p, addr), &record{ID: "m", Body: []byte("b")}, testLimit)
+				if whole && o.Outcome != decide.ConnectionReset || !whole && !o.Outcome.NeverRan() {
 					t.Errorf("alert %d, whole %v: %+v", code, whole, o)
 				}
-				if !whole && (o.what == decide.NotSent) != identity {
+				if !whole && (o.Outcome == decide.NotSent) != identity {
 					t.Errorf("alert %d: %+v", code, o)
 				}
-				if n := conns.Load(); (whole || identity) && n != 1 || n > 2*connsMost {
+				if n := conns.Load(); (whole || identity) && n != 1 || n > 2*maxConnAttempts {
 					t.Errorf("alert %d, whole %v: %d connections for one call", code, whole, n)
 				}
 				if out := s.partners.Counts().Out; (out == 1) != identity {
@@ -175,46 +175,46 @@
 // Guards what is believed where records are cut: a 200 whose first line came
 // whole is true though the rest is cut off without a farewell, or comes a byte a
 // record; and keys that are updated without end are no answer.
-func TestRecordsThatAreCut(t *testing.T) {
+func TestTruncatedRecords(t *testing.T) {
 	for name, x := range map[string]struct {
-		say  func(raw net.Conn, seal *sealer)
+		say  func(raw net.Conn, seal *recordSealer)
 		what decide.Outcome
 	}{
-		"a byte a record": {func(raw net.Conn, seal *sealer) {
-			for i := range len(fine) {
-				raw.Write(seal.seal(recordData, []byte{fine[i]}))
+		"a byte a record": {func(raw net.Conn, seal *recordSealer) {
+			for i := range len(okResponse) {
+				raw.Write(seal.seal(recordData, []byte{okResponse[i]}))
 			}
 		}, decide.Delivered},
-		"empty records between": {func(raw net.Conn, seal *sealer) {
+		"empty records between": {func(raw net.Conn, seal *recordSealer) {
 			for i := range 10 {
 				raw.Write(seal.seal(recordData, nil))
-				raw.Write(seal.seal(recordData, []byte{fine[i]}))
+				raw.Write(seal.seal(recordData, []byte{okResponse[i]}))
 			}
-			raw.Write(seal.seal(recordData, []byte(fine[10:])))
+			raw.Write(seal.seal(recordData, []byte(okResponse[10:])))
 		}, decide.Delivered},
-		"the first line, then cut without a farewell": {func(raw net.Conn, seal *sealer) {
+		"the first line, then cut without a farewell": {func(raw net.Conn, seal *recordSealer) {
 			raw.Write(seal.seal(recordData, []byte("HTTP/1.1 200 OK\r\nContent-Length: 9\r\n")))
 		}, decide.Delivered},
-		"half of the first line's record": {func(raw net.Conn, seal *sealer) {
-			r := seal.seal(recordData, []byte(fine))
+		"half of the first line's record": {func(raw net.Conn, seal *recordSealer) {
+			r := seal.seal(recordData, []byte(okResponse))
 			raw.Write(r[:len(r)/2])
 		}, decide.ConnectionReset},
-		"a refusal without its end": {func(raw net.Conn, seal *sealer) {
+		"a refusal without its end": {func(raw net.Conn, seal *recordSealer) {
 			raw.Write(seal.seal(recordData, []byte("HTTP/1.1 503 F\r\nContent-Le")))
 		}, decide.Failed},
-		"a record that was tampered with": {func(raw net.Conn, seal *sealer) {
-			r := seal.seal(recordData, []byte(fine))
+		"a record that was tampered with": {func(raw net.Conn, seal *recordSealer) {
+			r := seal.seal(recordData, []byte(okResponse))
 			r[len(r)-1] ^= 1
 			raw.Write(r)
 			io.Copy(io.Discard, raw)
 		}, decide.ConnectionReset},
-		"keys updated once, then the answer": {func(raw net.Conn, seal *sealer) {
-			raw.Write(seal.update())
-			raw.Write(seal.seal(recordData, []byte(fine)))
+		"keys updated once, then the answer": {func(raw net.Conn, seal *recordSealer) {
+			raw.Write(seal.keyUpdate())
+			raw.Write(seal.seal(recordData, []byte(okResponse)))
 		}, decide.Delivered},
-		"keys updated without end": {func(raw net.Conn, seal *sealer) {
+		"keys updated without end": {func(raw net.Conn, seal *recordSealer) {
 			for range 1000 {
-				if _, err := raw.Write(seal.update()); err != nil {
+				if _, err := raw.Write(seal.keyUpdate()); err != nil {
 					return
 				}
 			}
@@ -224,13 +224,13 @@
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			s := newTLSSite(t, nil)
-			addr := sealedEndpoint(t, s, func(c *tls.Conn, raw net.Conn, seal *sealer) {
-				if readCall(bufio.NewReader(c)) {
+			addr := serveSealedTLS(t, s, func(c *tls.Conn, raw net.Conn, seal *recordSealer) {
+				if readRequest(bufio.NewReader(c)) {
 					x.say(raw, seal)
 				}
 			})
-			o := newTestCall().made(t, s.home(testPool(t), addr), &record{ID: "m", Body: []byte("b")}, testLimit)
-			if o.what != x.what {
+			o := newTestCall().complete(t, s.endpoint(testPool(t), addr), &record{ID: "m", Body: []byte("b")}, testLimit)
+			if o.Outcome != x.what {
 				t.Errorf("got %+v", o)
 			}
 		})
@@ -239,15 +239,15 @@
 
 // Guards a call against a connection on which part of a record lies: that may be
 // its end, and the call would be written into it.
-func TestHalfARecordWhileIdle(t *testing.T) {
+func TestPartialRecordWhileIdle(t *testing.T) {
 	s := newTLSSite(t, nil)
 	var conns, calls atomic.Int32
 	said := make(chan struct{}, 1)
-	addr := sealedEndpoint(t, s, func(c *tls.Conn, raw net.Conn, seal *sealer) {
+	addr := serveSealedTLS(t, s, func(c *tls.Conn, raw net.Conn, seal *recordSealer) {
 		first := conns.Add(1) == 1
-		for in := bufio.NewReader(c); readCall(in); {
+		for in := bufio.NewReader(c); readRequest(in); {
 			calls.Add(1)
-			raw.Write(seal.seal(recordData, []byte(fine)))
+			raw.Write(seal.seal(recordData, []byte(okResponse)))
 			if first {
 				raw.Write(seal.seal(recordAlert, []byte{1, 0})[:9])
 				said <- struct{}{}
@@ -256,15 +256,15 @@
 			}
 		}
 	})
-	h := s.home(testPool(t), addr)
-	deliver(t, h)
+	h := s.endpoint(testPool(t), addr)
+	mustDeliver(t, h)
 	<-said
 	waitFor(t, "the half record", func() bool {
 		h.pool.mu.Lock()
 		defer h.pool.mu.Unlock()
-		return len(h.pool.idle) == 0 || !h.pool.idle[0].clean()
+		return len(h.pool.idle) == 0 || !h.pool.idle[0].reusable()
 	})
-	deliver(t, h)
+	mustDeliver(t, h)
 	if conns.Load() != 2 || calls.Load() != 2 {
 		t.Errorf("%d connections, %d calls, want 2 and 2", conns.Load(), calls.Load())
 	}
@@ -272,52 +272,52 @@
 
 // Guards a hand-over: a call over TLS is not put to rest, since its keys are here
 // alone, and its answer is heard.
-func TestCallOverTLSIsNotParked(t *testing.T) {
+func TestTLSCallIsNotSuspended(t *testing.T) {
 	s := newTLSSite(t, nil)
 	entered, release := make(chan struct{}), make(chan struct{})
-	h := s.home(testPool(t), tlsEndpoint(t, &tls.Config{Certificates: []tls.Certificate{s.own.TLS()}}, func(c net.Conn) {
-		if readCall(bufio.NewReader(c)) {
+	h := s.endpoint(testPool(t), serveTLS(t, &tls.Config{Certificates: []tls.Certificate{s.own.TLS()}}, func(c net.Conn) {
+		if readRequest(bufio.NewReader(c)) {
 			close(entered)
 			<-release
-			io.WriteString(c, fine)
+			io.WriteString(c, okResponse)
 		}
 	}))
 	c := newTestCall()
-	over := make(chan outcome, 1)
-	go c.run(h, &record{ID: "m"}, testLimit, nil, func(o outcome) { over <- o })
+	over := make(chan Result, 1)
+	go c.Do(h, &record{ID: "m"}, testLimit, nil, func(o Result) { over <- o })
 	<-entered
 	waitFor(t, "the call to be out", func() bool { c.mu.Lock(); defer c.mu.Unlock(); return c.conn != nil })
-	c.park()
-	if c.parkedConn() != nil {
+	c.suspend()
+	if c.suspendedConn() != nil {
 		t.Error("it rests")
 	}
 	close(release)
 	select {
 	case o := <-over:
-		if o.what != decide.Delivered {
+		if o.Outcome != decide.Delivered {
 			t.Errorf("got %+v", o)
 		}
 	case <-time.After(testLimit):
 		t.Error("its answer is not heard")
 	}
-	c.unpark(false)
+	c.resume(false)
 	waitFor(t, "rest", func() bool { open, idle := h.pool.counts(); return open == idle })
 }
 
-// update is a change of the server's keys (RFC 8446 section 4.6.3).
-func (s *sealer) update() []byte {
+// keyUpdate is a change of the server's keys (RFC 8446 section 4.6.3).
+func (s *recordSealer) keyUpdate() []byte {
 	r := s.seal(recordHandshake, []byte{24, 0, 0, 1, 0})
-	s.secret = expand(s.secret, "traffic upd", 32)
-	s.keys(s.suite)
+	s.secret = hkdfExpandLabel(s.secret, "traffic upd", 32)
+	s.deriveKeys(s.suite)
 	return r
 }
 
-// refusedBy runs calls against a partner that shows what it should not, and
+// callRejectedPeer runs calls against a partner that shows what it should not, and
 // tells how many bytes of plaintext the partner got.
-func refusedBy(t *testing.T, s *tlsSite, cfg *tls.Config) (o outcome, plaintext int64, conns int32) {
+func callRejectedPeer(t *testing.T, s *tlsSite, cfg *tls.Config) (o Result, plaintext int64, conns int32) {
 	var got atomic.Int64
 	var n atomic.Int32
-	addr := rawEndpoint(t, func(raw net.Conn) {
+	addr := serveTCP(t, func(raw net.Conn) {
 		n.Add(1)
 		c := tls.Server(raw, cfg)
 		if c.Handshake() != nil {
@@ -331,59 +331,59 @@
 			}
 		}
 	})
-	h := s.home(testPool(t), addr)
+	h := s.endpoint(testPool(t), addr)
 	for range 5 {
-		o = newTestCall().made(t, h, &record{ID: "m", Key: "secret-key", Body: []byte("body")}, testLimit)
+		o = newTestCall().complete(t, h, &record{ID: "m", Key: "secret-key", Body: []byte("body")}, testLimit)
 	}
-	h.close()
+	h.Close()
 	return o, got.Load(), n.Load()
 }
 
 // Guards messages against partners whose proof is not accepted, over both
 // versions: nothing is sent, the message never ran, the endpoint is out for its
 // own cause, and five messages make one handshake.
-func TestRefusedPartnersGetNothing(t *testing.T) {
+func TestRejectedPeersGetNothing(t *testing.T) {
 	now := time.Now()
 	type c = x509.Certificate
-	other := issued(t, nil, "other", devca.Authority)
+	other := issueCert(t, nil, "other", devca.Authority)
 	for _, version := range []uint16{tls.VersionTLS12, tls.VersionTLS13} {
 		for name, x := range map[string]struct {
 			change func(s *tlsSite) // of the site, before its rule is read
 			show   func(s *tlsSite) *devca.Made
 			cause  tlspolicy.Cause
 		}{
-			"another name": {show: func(s *tlsSite) *devca.Made { return issued(t, s.root, "shop.example.org") }, cause: tlspolicy.WrongName},
-			"no name":      {show: func(s *tlsSite) *devca.Made { return issued(t, s.root, "x", devca.Names()) }, cause: tlspolicy.WrongName},
+			"another name": {show: func(s *tlsSite) *devca.Made { return issueCert(t, s.root, "shop.example.org") }, cause: tlspolicy.WrongName},
+			"no name":      {show: func(s *tlsSite) *devca.Made { return issueCert(t, s.root, "x", devca.Names()) }, cause: tlspolicy.WrongName},
 			"its address": {show: func(s *tlsSite) *devca.Made {
-				return issued(t, s.root, "x", devca.Names("127.0.0.1"))
+				return issueCert(t, s.root, "x", devca.Names("127.0.0.1"))
 			}, cause: tlspolicy.WrongName},
-			"a wildcard too wide": {show: func(s *tlsSite) *devca.Made { return issued(t, s.root, "*.org") }, cause: tlspolicy.WrongName},
-			"another root":        {show: func(*tlsSite) *devca.Made { return issued(t, other, partnerName) }, cause: tlspolicy.WrongRoot},
-			"signed by itself":    {show: func(*tlsSite) *devca.Made { return issued(t, nil, partnerName) }, cause: tlspolicy.WrongRoot},
+			"a wildcard too wide": {show: func(s *tlsSite) *devca.Made { return issueCert(t, s.root, "*.org") }, cause: tlspolicy.WrongName},
+			"another root":        {show: func(*tlsSite) *devca.Made { return issueCert(t, other, partnerName) }, cause: tlspolicy.WrongRoot},
+			"signed by itself":    {show: func(*tlsSite) *devca.Made { return issueCert(t, nil, partnerName) }, cause: tlspolicy.WrongRoot},
 			"another root of the same name": {show: func(*tlsSite) *devca.Made {
-				return issued(t, issued(t, nil, "root", devca.Authority), partnerName)
+				return issueCert(t, issueCert(t, nil, "root", devca.Authority), partnerName)
 			}, cause: tlspolicy.WrongRoot},
 			"expired": {show: func(s *tlsSite) *devca.Made {
-				return issued(t, s.root, partnerName, devca.Valid(now.Add(-2*time.Hour), now.Add(-time.Minute)))
+				return issueCert(t, s.root, partnerName, devca.Valid(now.Add(-2*time.Hour), now.Add(-time.Minute)))
 			}, cause: tlspolicy.Expired},
 			"not yet valid": {show: func(s *tlsSite) *devca.Made {
-				return issued(t, s.root, partnerName, devca.Valid(now.Add(time.Minute), now.Add(time.Hour)))
+				return issueCert(t, s.root, partnerName, devca.Valid(now.Add(time.Minute), now.Add(time.Hour)))
 			}, cause: tlspolicy.NotYetValid},
 			"expired above": {show: func(s *tlsSite) *devca.Made {
-				return issued(t, issued(t, s.root, "mid", devca.Authority, devca.Valid(now.Add(-2*time.Hour), now.Add(-time.Minute))), partnerName)
+				return issueCert(t, issueCert(t, s.root, "mid", devca.Authority, devca.Valid(now.Add(-2*time.Hour), now.Add(-time.Minute))), partnerName)
 			}, cause: tlspolicy.Expired},
 			"no authority above": {show: func(s *tlsSite) *devca.Made {
-				return issued(t, issued(t, s.root, "mid", devca.Authority, func(x *c) { x.IsCA = false }), partnerName)
+				return issueCert(t, issueCert(t, s.root, "mid", devca.Authority, func(x *c) { x.IsCA = false }), partnerName)
 			}, cause: tlspolicy.WrongRoot},
 			"for clients": {show: func(s *tlsSite) *devca.Made {
-				return issued(t, s.root, partnerName, func(x *c) { x.ExtKeyUsage = []x509.ExtKeyUsage{x509.ExtKeyUsageClientAuth} })
+				return issueCert(t, s.root, partnerName, func(x *c) { x.ExtKeyUsage = []x509.ExtKeyUsage{x509.ExtKeyUsageClientAuth} })
 			}, cause: tlspolicy.BadChain},
 			"deeper than its authority may go": {show: func(s *tlsSite) *devca.Made {
-				short := issued(t, s.root, "short", devca.Authority, func(x *c) { x.MaxPathLen, x.MaxPathLenZero = 0, true })
-				return issued(t, issued(t, short, "deep", devca.Authority), partnerName)
+				short := issueCert(t, s.root, "short", devca.Authority, func(x *c) { x.MaxPathLen, x.MaxPathLenZero = 0, true })
+				return issueCert(t, issueCert(t, short, "deep", devca.Authority), partnerName)
 			}, cause: tlspolicy.BadChain},
 			"outside what its authority may name": {show: func(s *tlsSite) *devca.Made {
-				return issued(t, issued(t, s.root, "narrow", devca.Authority, func(x *c) {
+				return issueCert(t, issueCert(t, s.root, "narrow", devca.Authority, func(x *c) {
 					x.PermittedDNSDomains, x.PermittedDNSDomainsCritical = []string{"shop.example.org"}, true
 				}), partnerName)
 			}, cause: tlspolicy.BadChain},
@@ -394,7 +394,7 @@
 			"revocation unknown, and hard": {change: func(s *tlsSite) { s.rule.UnknownRevocation = "refuse" },
 				cause: tlspolicy.RevocationUnknown},
 			"must staple and does not": {show: func(s *tlsSite) *devca.Made {
-				return issued(t, s.root, partnerName, devca.MustStaple)
+				return issueCert(t, s.root, partnerName, devca.MustStaple)
 			}, cause: tlspolicy.RevocationUnknown},
 			"wants a certificate that we lack": {cause: tlspolicy.RefusesUs},
 		} {
@@ -413,15 +413,15 @@
 				if x.cause == tlspolicy.RefusesUs {
 					cfg.ClientAuth, cfg.ClientCAs = tls.RequireAndVerifyClientCert, s.root.Pool()
 				}
-				o, plaintext, conns := refusedBy(t, s, cfg)
+				o, plaintext, conns := callRejectedPeer(t, s, cfg)
 				var out *secure.Out
-				if o.what != decide.NotSent || !errors.As(o.err, &out) || out.Failure.Cause != x.cause {
+				if o.Outcome != decide.NotSent || !errors.As(o.Err, &out) || out.Failure.Cause != x.cause {
 					t.Errorf("got %+v, want %s", o, x.cause)
 				}
 				if plaintext != 0 || conns != 1 {
 					t.Errorf("%d bytes of plaintext at the partner in %d connections, want none in one", plaintext, conns)
 				}
-				if b := <-s.barred; b.wait <= 0 {
+				if b := <-s.rejections; b.wait <= 0 {
 					t.Errorf("the decision module is told %v", b)
 				}
 			})
@@ -429,27 +429,27 @@
 	}
 	t.Run("only an old version", func(t *testing.T) {
 		s := newTLSSite(t, nil)
-		o, plaintext, _ := refusedBy(t, s, &tls.Config{Certificates: []tls.Certificate{s.own.TLS()}, MaxVersion: tls.VersionTLS11, MinVersion: tls.VersionTLS10})
+		o, plaintext, _ := callRejectedPeer(t, s, &tls.Config{Certificates: []tls.Certificate{s.own.TLS()}, MaxVersion: tls.VersionTLS11, MinVersion: tls.VersionTLS10})
 		var out *secure.Out
-		if !errors.As(o.err, &out) || out.Failure.Cause != tlspolicy.NothingCommon || plaintext != 0 {
+		if !errors.As(o.Err, &out) || out.Failure.Cause != tlspolicy.NothingCommon || plaintext != 0 {
 			t.Errorf("got %+v, %d bytes", o, plaintext)
 		}
 	})
 	t.Run("no TLS at all", func(t *testing.T) {
 		s := newTLSSite(t, nil)
 		var got atomic.Int64
-		h := s.home(testPool(t), rawEndpoint(t, func(c net.Conn) {
+		h := s.endpoint(testPool(t), serveTCP(t, func(c net.Conn) {
 			b := make([]byte, 4096)
 			n, _ := c.Read(b)
 			if strings.Contains(string(b[:n]), "secret-key") {
 				got.Add(1)
 			}
-			io.WriteString(c, fine)
+			io.WriteString(c, okResponse)
 		}))
-		o := newTestCall().made(t, h, &record{ID: "m", Key: "secret-key"}, testLimit)
-		h.close()
+		o := newTestCall().complete(t, h, &record{ID: "m", Key: "secret-key"}, testLimit)
+		h.Close()
 		var out *secure.Out
-		if !errors.As(o.err, &out) || out.Failure.Cause != tlspolicy.NothingCommon || got.Load() != 0 {
+		if !errors.As(o.Err, &out) || out.Failure.Cause != tlspolicy.NothingCommon || got.Load() != 0 {
 			t.Errorf("got %+v", o)
 		}
 	})
@@ -458,21 +458,21 @@
 // Guards a message against a partner that takes a while to refuse our certificate:
 // with TLS 1.3 the handshake is over here by then, and the message would be whole
 // on its way.
-func TestOursRefusedLate(t *testing.T) {
+func TestOwnCertificateRejectedLate(t *testing.T) {
 	s := newTLSSite(t, func(s *tlsSite, _ *operator.Handshakes) {
-		cert, key, err := issued(t, s.root, "relay").Write(s.dir, "own", true)
+		cert, key, err := issueCert(t, s.root, "relay").Write(s.dir, "own", true)
 		if err != nil {
 			t.Fatal(err)
 		}
 		s.rule.Certificate, s.rule.Key = cert, key
 	})
-	o, plaintext, conns := refusedBy(t, s, &tls.Config{Certificates: []tls.Certificate{s.own.TLS()}, MinVersion: tls.VersionTLS13,
+	o, plaintext, conns := callRejectedPeer(t, s, &tls.Config{Certificates: []tls.Certificate{s.own.TLS()}, MinVersion: tls.VersionTLS13,
 		ClientAuth: tls.RequireAnyClientCert, VerifyPeerCertificate: func([][]byte, [][]*x509.Certificate) error {
-			time.Sleep(5 * poolMoment) // longer than the moment before a call's last byte
+			time.Sleep(5 * defaultStaleCheckDelay) // longer than the moment before a call's last byte
 			return errors.New("not registered here")
 		}})
 	var out *secure.Out
-	if o.what != decide.NotSent || !errors.As(o.err, &out) || out.Failure.Cause != tlspolicy.RefusesUs || plaintext != 0 || conns != 1 {
+	if o.Outcome != decide.NotSent || !errors.As(o.Err, &out) || out.Failure.Cause != tlspolicy.RefusesUs || plaintext != 0 || conns != 1 {
 		t.Errorf("got %+v, %d bytes, %d connections", o, plaintext, conns)
 	}
 	if n := s.partners.Counts(); n.Full != 0 || n.Refused != 1 {
@@ -493,51 +493,51 @@
 	}
 }
 
-// answering serves calls one after the other, each with 200.
-func answering(c net.Conn) {
-	for in := bufio.NewReader(c); readCall(in); {
-		io.WriteString(c, fine)
+// serveOK serves calls one after the other, each with 200.
+func serveOK(c net.Conn) {
+	for in := bufio.NewReader(c); readRequest(in); {
+		io.WriteString(c, okResponse)
 	}
 }
 
-func deliver(t *testing.T, h *home) {
+func mustDeliver(t *testing.T, h *Endpoint) {
 	t.Helper()
-	if o := newTestCall().made(t, h, &record{ID: "m", Body: []byte("b")}, testLimit); o.what != decide.Delivered {
+	if o := newTestCall().complete(t, h, &record{ID: "m", Body: []byte("b")}, testLimit); o.Outcome != decide.Delivered {
 		t.Fatalf("got %+v", o)
 	}
-	settled(h)
+	waitReusable(h)
 }
 
 // Guards a certificate that ends while its connection is open: the call that is
 // out on it ends well, and no other begins there.
-func TestExpiryOnAnOpenConnection(t *testing.T) {
+func TestCertificateExpiresOnOpenConnection(t *testing.T) {
 	s := newTLSSite(t, nil)
 	var conns atomic.Int32
 	entered, release := make(chan struct{}), make(chan struct{})
-	addr := tlsEndpoint(t, &tls.Config{Certificates: []tls.Certificate{s.own.TLS()}}, func(c net.Conn) {
+	addr := serveTLS(t, &tls.Config{Certificates: []tls.Certificate{s.own.TLS()}}, func(c net.Conn) {
 		conns.Add(1)
-		for in := bufio.NewReader(c); readCall(in); {
+		for in := bufio.NewReader(c); readRequest(in); {
 			entered <- struct{}{}
 			<-release
-			io.WriteString(c, fine)
+			io.WriteString(c, okResponse)
 		}
 	})
-	h := s.home(testPool(t), addr)
-	over := make(chan outcome, 1)
-	go func() { newTestCall().run(h, &record{ID: "a"}, testLimit, nil, func(o outcome) { over <- o }) }()
+	h := s.endpoint(testPool(t), addr)
+	over := make(chan Result, 1)
+	go func() { newTestCall().Do(h, &record{ID: "a"}, testLimit, nil, func(o Result) { over <- o }) }()
 	<-entered
-	s.skew.Store(int64(2 * time.Hour)) // its certificate ended an hour ago
+	s.clockSkew.Store(int64(2 * time.Hour)) // its certificate ended an hour ago
 	close(release)
-	if o := <-over; o.what != decide.Delivered {
+	if o := <-over; o.Outcome != decide.Delivered {
 		t.Errorf("the call that was out: %+v", o)
 	}
 	waitFor(t, "the connection's end", func() bool { open, _ := h.pool.counts(); return open == 0 })
-	o := newTestCall().made(t, h, &record{ID: "b"}, testLimit)
+	o := newTestCall().complete(t, h, &record{ID: "b"}, testLimit)
 	var out *secure.Out
-	if !errors.As(o.err, &out) || out.Failure.Cause != tlspolicy.Expired || o.what != decide.NotSent || conns.Load() != 1 {
+	if !errors.As(o.Err, &out) || out.Failure.Cause != tlspolicy.Expired || o.Outcome != decide.NotSent || conns.Load() != 1 {
 		t.Errorf("the next one: %+v, %d connections served", o, conns.Load())
 	}
-	h.close()
+	h.Close()
 }
 
 // Guards trust that changes: connections and sessions that were made under the
@@ -545,27 +545,27 @@
 // the operator has mended the file; no message is spent on that.
 func TestRootsReplaced(t *testing.T) {
 	s := newTLSSite(t, nil)
-	h := s.home(testPool(t), tlsEndpoint(t, &tls.Config{Certificates: []tls.Certificate{s.own.TLS()}}, answering))
-	deliver(t, h)
+	h := s.endpoint(testPool(t), serveTLS(t, &tls.Config{Certificates: []tls.Certificate{s.own.TLS()}}, serveOK))
+	mustDeliver(t, h)
 	if _, idle := h.pool.counts(); idle != 1 {
 		t.Fatalf("%d idle", idle)
 	}
-	other := issued(t, nil, "other", devca.Authority)
+	other := issueCert(t, nil, "other", devca.Authority)
 	if _, _, err := other.Write(s.dir, "roots", false); err != nil {
 		t.Fatal(err)
 	}
 	s.partners.Look()
-	if o := newTestCall().made(t, h, &record{ID: "b"}, testLimit); o.what != decide.NotSent {
+	if o := newTestCall().complete(t, h, &record{ID: "b"}, testLimit); o.Outcome != decide.NotSent {
 		t.Fatalf("under roots that do not know the partner: %+v", o)
 	}
-	if b := <-s.barred; b.wait == 0 {
+	if b := <-s.rejections; b.wait == 0 {
 		t.Fatal("not barred")
 	}
 	if _, _, err := s.root.Write(s.dir, "roots", false); err != nil {
 		t.Fatal(err)
 	}
 	s.partners.Look()
-	for b := range s.barred {
+	for b := range s.rejections {
 		if b.wait == 0 {
 			break // proved again, and no message was sent for it
 		}
@@ -573,73 +573,73 @@
 	if n := s.partners.Counts(); n.Full != 2 || n.Resumed != 0 {
 		t.Errorf("%+v: a session outlived the trust that it was made under", n)
 	}
-	settled(h)
-	deliver(t, h)
-	h.close()
+	waitReusable(h)
+	mustDeliver(t, h)
+	h.Close()
 }
 
 // Guards the schedule: a partner that mends its certificate is found out without
 // a message.
-func TestPartnerComesBackByItself(t *testing.T) {
+func TestPeerRecoversWithoutCall(t *testing.T) {
 	s := newTLSSite(t, nil)
 	var good atomic.Bool
-	wrong := issued(t, s.root, "shop.example.org").TLS()
+	wrong := issueCert(t, s.root, "shop.example.org").TLS()
 	right := s.own.TLS()
-	h := s.home(testPool(t), tlsEndpoint(t, &tls.Config{GetCertificate: func(*tls.ClientHelloInfo) (*tls.Certificate, error) {
+	h := s.endpoint(testPool(t), serveTLS(t, &tls.Config{GetCertificate: func(*tls.ClientHelloInfo) (*tls.Certificate, error) {
 		if good.Load() {
 			return &right, nil
 		}
 		return &wrong, nil
-	}}, answering))
-	if o := newTestCall().made(t, h, &record{ID: "a"}, testLimit); o.what != decide.NotSent {
+	}}, serveOK))
+	if o := newTestCall().complete(t, h, &record{ID: "a"}, testLimit); o.Outcome != decide.NotSent {
 		t.Fatalf("got %+v", o)
 	}
 	good.Store(true)
-	for b := range s.barred {
+	for b := range s.rejections {
 		if b.wait == 0 {
 			break
 		}
 	}
-	deliver(t, h)
-	h.close()
+	mustDeliver(t, h)
+	h.Close()
 }
 
 // Guards sessions: the second connection is resumed with both versions, a
 // session is shown once under TLS 1.3, and never for another rule.
-func TestSessionsAreResumed(t *testing.T) {
+func TestSessionResumption(t *testing.T) {
 	for _, version := range []uint16{tls.VersionTLS12, tls.VersionTLS13} {
 		t.Run(tls.VersionName(version), func(t *testing.T) {
 			s := newTLSSite(t, nil)
 			var conns, resumed atomic.Int32
 			cfg := &tls.Config{Certificates: []tls.Certificate{s.own.TLS()}, MinVersion: version, MaxVersion: version}
-			addr := tlsEndpoint(t, cfg, func(c net.Conn) {
+			addr := serveTLS(t, cfg, func(c net.Conn) {
 				conns.Add(1)
 				if c.(*tls.Conn).ConnectionState().DidResume {
 					resumed.Add(1)
 				}
-				answering(c)
+				serveOK(c)
 			})
-			h := s.home(testPool(t), addr)
+			h := s.endpoint(testPool(t), addr)
 			for range 4 {
-				deliver(t, h)
-				h.closeIdle()
+				mustDeliver(t, h)
+				h.CloseIdle()
 			}
 			if n := s.partners.Counts(); n.Full != 1 || n.Resumed != 3 || conns.Load() != 4 || resumed.Load() != 3 {
 				t.Errorf("%+v; the partner saw %d, of them %d resumed", n, conns.Load(), resumed.Load())
 			}
 			// What a proof would not be accepted for any more, a session is not either.
-			s.skew.Store(int64(3 * time.Hour))
-			if o := newTestCall().made(t, h, &record{ID: "m"}, testLimit); o.what != decide.NotSent {
+			s.clockSkew.Store(int64(3 * time.Hour))
+			if o := newTestCall().complete(t, h, &record{ID: "m"}, testLimit); o.Outcome != decide.NotSent {
 				t.Errorf("after the certificate's end a session serves: %+v", o)
 			}
-			h.close()
+			h.Close()
 		})
 	}
 }
 
 // Guards a cold partner: thirty calls at once make one handshake at a time, and
 // take their turns on what there is.
-func TestColdPartnerIsOpenedOneAtATime(t *testing.T) {
+func TestWarmingUpConnectsOneAtATime(t *testing.T) {
 	s := newTLSSite(t, nil)
 	var under, most atomic.Int32
 	cfg := &tls.Config{GetCertificate: func(*tls.ClientHelloInfo) (*tls.Certificate, error) {
@@ -650,17 +650,17 @@
 		own := s.own.TLS()
 		return &own, nil
 	}, SessionTicketsDisabled: true, VerifyConnection: func(tls.ConnectionState) error { under.Add(-1); return nil }}
-	h := s.home(testPool(t), tlsEndpoint(t, cfg, answering))
-	over := make(chan outcome, 30)
+	h := s.endpoint(testPool(t), serveTLS(t, cfg, serveOK))
+	over := make(chan Result, 30)
 	for range 30 {
 		go func() {
 			c := newTestCall()
-			c.want = want{cold: true, paid: true}
-			c.run(h, &record{ID: "m"}, testLimit, nil, func(o outcome) { over <- o })
+			c.connRequest = connRequest{warmingUp: true, mayConnect: true}
+			c.Do(h, &record{ID: "m"}, testLimit, nil, func(o Result) { over <- o })
 		}()
 	}
 	for range 30 {
-		if o := <-over; o.what != decide.Delivered {
+		if o := <-over; o.Outcome != decide.Delivered {
 			t.Errorf("got %+v", o)
 		}
 	}
@@ -676,24 +676,24 @@
 // Guards the one budget for calls and connections: at a cold endpoint a call for
 // which none was paid opens none, and goes out on one that is free; where a
 // handshake weighs nothing it opens its own.
-func TestUnpaidOpensNone(t *testing.T) {
+func TestConnectNotAllowed(t *testing.T) {
 	for _, weight := range []float64{0, 1} {
 		s := newTLSSite(t, func(s *tlsSite, _ *operator.Handshakes) { s.rule.Weight = &weight })
-		h := s.home(testPool(t), tlsEndpoint(t, &tls.Config{Certificates: []tls.Certificate{s.own.TLS()}}, answering))
-		call := func(paid bool) outcome {
+		h := s.endpoint(testPool(t), serveTLS(t, &tls.Config{Certificates: []tls.Certificate{s.own.TLS()}}, serveOK))
+		call := func(paid bool) Result {
 			c := newTestCall()
-			c.want = want{cold: true, paid: paid}
-			return c.made(t, h, &record{ID: "m"}, testLimit)
+			c.connRequest = connRequest{warmingUp: true, mayConnect: paid}
+			return c.complete(t, h, &record{ID: "m"}, testLimit)
 		}
 		o := call(false)
-		if weight == 0 && (o.what != decide.Delivered || o.opened != 1) || weight > 0 && (o.what != decide.NotSent || o.opened != 0 || s.partners.Counts().Full != 0) {
+		if weight == 0 && (o.Outcome != decide.Delivered || o.ConnectionsOpened != 1) || weight > 0 && (o.Outcome != decide.NotSent || o.ConnectionsOpened != 0 || s.partners.Counts().Full != 0) {
 			t.Errorf("weight %v, not paid: %+v", weight, o)
 		}
-		if o := call(true); o.what != decide.Delivered || o.opened != 1 && weight > 0 {
+		if o := call(true); o.Outcome != decide.Delivered || o.ConnectionsOpened != 1 && weight > 0 {
 			t.Errorf("weight %v, paid: %+v", weight, o)
 		}
-		settled(h)
-		if o := call(false); o.what != decide.Delivered || o.opened != 0 {
+		waitReusable(h)
+		if o := call(false); o.Outcome != decide.Delivered || o.ConnectionsOpened != 0 {
 			t.Errorf("weight %v, one is free: %+v", weight, o)
 		}
 	}
@@ -702,14 +702,14 @@
 // Guards our own core, and a message that cannot make it: where the budget
 // allows no handshake before the call's end, the call never ran, at once, with
 // the time to come back.
-func TestNoTurnInTime(t *testing.T) {
+func TestHandshakeBudgetExhausted(t *testing.T) {
 	s := newTLSSite(t, func(_ *tlsSite, h *operator.Handshakes) { h.Share, h.BurstMS = 1e-6, 1 })
-	h := s.home(testPool(t), tlsEndpoint(t, &tls.Config{Certificates: []tls.Certificate{s.own.TLS()}}, answering))
-	deliver(t, h) // which takes all of the budget
-	h.closeIdle()
-	o := newTestCall().made(t, h, &record{ID: "m"}, time.Second)
-	var turn errNoTurn
-	if o.what != decide.NotSent || !errors.As(o.err, &turn) || o.wait < 1e6 || o.took > 500e3 {
+	h := s.endpoint(testPool(t), serveTLS(t, &tls.Config{Certificates: []tls.Certificate{s.own.TLS()}}, serveOK))
+	mustDeliver(t, h) // which takes all of the budget
+	h.CloseIdle()
+	o := newTestCall().complete(t, h, &record{ID: "m"}, time.Second)
+	var turn handshakeBudgetError
+	if o.Outcome != decide.NotSent || !errors.As(o.Err, &turn) || o.RetryAfter < 1e6 || o.Elapsed > 500e3 {
 		t.Errorf("got %+v", o)
 	}
 }
@@ -720,7 +720,7 @@
 func TestOwnCertificateReplaced(t *testing.T) {
 	s := newTLSSite(t, func(s *tlsSite, h *operator.Handshakes) {
 		h.Parallel, h.Share, h.BurstMS = 50, 1, 1000
-		cert, key, err := issued(t, s.root, "relay one").Write(s.dir, "own", true)
+		cert, key, err := issueCert(t, s.root, "relay one").Write(s.dir, "own", true)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -730,7 +730,7 @@
 	shown := map[string]int{}
 	arrived, gate := make(chan struct{}, 200), make(chan struct{})
 	var open atomic.Bool
-	h := s.home(testPool(t), tlsEndpoint(t, &tls.Config{ClientAuth: tls.RequireAndVerifyClientCert, ClientCAs: s.root.Pool(),
+	h := s.endpoint(testPool(t), serveTLS(t, &tls.Config{ClientAuth: tls.RequireAndVerifyClientCert, ClientCAs: s.root.Pool(),
 		GetCertificate: func(*tls.ClientHelloInfo) (*tls.Certificate, error) {
 			if !open.Load() {
 				arrived <- struct{}{}
@@ -742,19 +742,19 @@
 		mu.Lock()
 		shown[c.(*tls.Conn).ConnectionState().PeerCertificates[0].Subject.CommonName]++
 		mu.Unlock()
-		answering(c)
+		serveOK(c)
 	}))
-	over := make(chan outcome, 100)
+	over := make(chan Result, 100)
 	send := func(n int) {
 		for range n {
-			go func() { newTestCall().run(h, &record{ID: "m"}, testLimit, nil, func(o outcome) { over <- o }) }()
+			go func() { newTestCall().Do(h, &record{ID: "m"}, testLimit, nil, func(o Result) { over <- o }) }()
 		}
 	}
 	send(50)
 	for range 50 {
 		<-arrived
 	}
-	two := issued(t, s.root, "relay two")
+	two := issueCert(t, s.root, "relay two")
 	if err := devca.Replace(s.rule.Certificate, two.CertPEM(), 0o644); err != nil {
 		t.Fatal(err)
 	}
@@ -762,13 +762,13 @@
 	open.Store(true)
 	close(gate)
 	for range 50 {
-		if o := <-over; o.what != decide.Delivered {
+		if o := <-over; o.Outcome != decide.Delivered {
 			t.Errorf("got %+v", o)
 		}
 	}
 	waitFor(t, "all handshakes", func() bool {
 		h.pool.mu.Lock()
-		opening := h.opening
+		opening := h.connecting
 		h.pool.mu.Unlock()
 		mu.Lock()
 		defer mu.Unlock()
@@ -788,10 +788,10 @@
 		t.Fatal(err)
 	}
 	s.partners.Look()
-	settled(h)
+	waitReusable(h)
 	send(20)
 	for range 20 {
-		if o := <-over; o.what != decide.Delivered {
+		if o := <-over; o.Outcome != decide.Delivered {
 			t.Errorf("got %+v", o)
 		}
 	}
@@ -800,21 +800,21 @@
 	if len(shown) != 1 || shown["relay two"] == 0 {
 		t.Errorf("shown after the change: %v", shown)
 	}
-	h.close()
+	h.Close()
 	waitFor(t, "rest", func() bool { open, _ := h.pool.counts(); return open == 0 })
 }
 
 // Guards what never ran: a reset at each write before the last byte, and the
 // write that carries it.
-func TestBrokenAtEachWriteOverTLS(t *testing.T) {
+func TestBrokenAtEachTLSWrite(t *testing.T) {
 	for at := 1; ; at++ {
 		s := newTLSSite(t, nil)
 		var calls atomic.Int32
 		p := testPool(t)
-		h := s.home(p, tlsEndpoint(t, &tls.Config{Certificates: []tls.Certificate{s.own.TLS()}}, func(c net.Conn) {
-			if readCall(bufio.NewReader(c)) {
+		h := s.endpoint(p, serveTLS(t, &tls.Config{Certificates: []tls.Certificate{s.own.TLS()}}, func(c net.Conn) {
+			if readRequest(bufio.NewReader(c)) {
 				calls.Add(1)
-				io.WriteString(c, fine)
+				io.WriteString(c, okResponse)
 			}
 		}))
 		dial := h.dial
@@ -825,25 +825,25 @@
 				return c, err
 			}
 			broke = true
-			return &breakingAt{TCPConn: c.(*net.TCPConn), at: at}, nil
+			return &closeAtWriteConn{TCPConn: c.(*net.TCPConn), at: at}, nil
 		}
-		o := newTestCall().made(t, h, &record{ID: "m", Body: []byte("b")}, testLimit)
-		if calls.Load() > 1 || o.what == decide.Delivered && calls.Load() != 1 || o.what != decide.Delivered && (!o.what.NeverRan() || calls.Load() != 0) {
+		o := newTestCall().complete(t, h, &record{ID: "m", Body: []byte("b")}, testLimit)
+		if calls.Load() > 1 || o.Outcome == decide.Delivered && calls.Load() != 1 || o.Outcome != decide.Delivered && (!o.Outcome.NeverRan() || calls.Load() != 0) {
 			t.Fatalf("broken at write %d: %+v, and %d calls", at, o, calls.Load())
 		}
-		h.close()
+		h.Close()
 		if at > 8 {
 			return
 		}
 	}
 }
 
-type breakingAt struct {
+type closeAtWriteConn struct {
 	*net.TCPConn
 	at, writes int
 }
 
-func (b *breakingAt) Write(p []byte) (int, error) {
+func (b *closeAtWriteConn) Write(p []byte) (int, error) {
 	if b.writes++; b.writes == b.at {
 		b.TCPConn.Close()
 		return 0, os.ErrClosed
