--- a/internal/duty/duty.go
+++ b/internal/duty/duty.go
@@ -14,43 +14,43 @@
 const (
 	Starting State = iota // nothing may be handed in yet
 	Serving
-	Draining // clients are let go, and what still comes is served
-	Ceding   // another process is about to take the work over
-	Ceded    // it has
-	Stopping // the process ends
+	Draining    // clients are let go, and what still comes is served
+	HandingOver // another process is about to take the work over
+	HandedOver  // it has
+	Stopping    // the process ends
 )
 
-var names = [...]string{"starting", "serving", "draining", "ceding", "ceded", "stopping"}
+var stateNames = [...]string{"starting", "serving", "draining", "ceding", "ceded", "stopping"}
 
-func (s State) String() string { return names[s] }
+func (s State) String() string { return stateNames[s] }
 
-// Do is what a move asks of the driver.
-type Do uint8
+// Action is what a move asks of the driver.
+type Action uint8
 
 // What there is to do.
 const (
-	Nothing  Do = iota
-	LetGo       // close clients' connections, each as soon as nothing is open on it
-	TakeBack    // keep connections again
+	NoAction     Action = iota
+	CloseClients        // close clients' connections, each as soon as nothing is open on it
+	KeepClients         // keep connections again
 )
 
 // Answer is what one who asks for a move is told.
 type Answer struct {
-	Yes bool
-	Why string
+	OK     bool
+	Reason string
 }
 
 // Machine is the duty of one process. Its zero value is starting.
 type Machine struct {
-	state State
-	rest  bool // drained: what to go on with once it serves
+	state          State
+	drainRequested bool // drained: what to go on with once it serves
 }
 
 // State is what the process does now.
 func (m *Machine) State() State { return m.state }
 
-// Clients reports whether new clients are wanted: the answer to PING.
-func (m *Machine) Clients() bool { return m.state == Serving || m.state == Stopping }
+// AcceptsClients reports whether new clients are wanted: the answer to PING.
+func (m *Machine) AcceptsClients() bool { return m.state == Serving || m.state == Stopping }
 
 // Ready answers whether the process can serve. One that is drained can.
 func (m *Machine) Ready() Answer {
@@ -61,55 +61,55 @@
 	return Answer{false, m.state.String()}
 }
 
-// Drain has clients let go, until Undrain. Asked again, or before the process
+// StartDrain has clients let go, until Undrain. Asked again, or before the process
 // serves, it holds as well; one that ends or has ceded has no clients to drain.
-func (m *Machine) Drain() (Answer, Do) {
+func (m *Machine) StartDrain() (Answer, Action) {
 	switch m.state {
-	case Starting, Ceding: // it begins, or goes on, drained
-		m.rest = true
-		return Answer{true, "draining once serving"}, Nothing
+	case Starting, HandingOver: // it begins, or goes on, drained
+		m.drainRequested = true
+		return Answer{true, "draining once serving"}, NoAction
 	case Serving:
-		m.state, m.rest = Draining, true
-		return Answer{true, "draining"}, LetGo
+		m.state, m.drainRequested = Draining, true
+		return Answer{true, "draining"}, CloseClients
 	case Draining:
-		return Answer{true, "draining already"}, Nothing
+		return Answer{true, "draining already"}, NoAction
 	}
-	return Answer{false, m.state.String()}, Nothing
+	return Answer{false, m.state.String()}, NoAction
 }
 
-// Undrain ends a drain; where there is none, nothing is to be done.
-func (m *Machine) Undrain() (Answer, Do) {
+// EndDrain ends a drain; where there is none, nothing is to be done.
+func (m *Machine) EndDrain() (Answer, Action) {
 	switch m.state {
-	case Starting, Ceding:
-		m.rest = false
-		return Answer{true, "serving once ready"}, Nothing
+	case Starting, HandingOver:
+		m.drainRequested = false
+		return Answer{true, "serving once ready"}, NoAction
 	case Serving:
-		return Answer{true, "serving already"}, Nothing
+		return Answer{true, "serving already"}, NoAction
 	case Draining:
-		m.state, m.rest = Serving, false
-		return Answer{true, "serving"}, TakeBack
+		m.state, m.drainRequested = Serving, false
+		return Answer{true, "serving"}, KeepClients
 	}
-	return Answer{false, m.state.String()}, Nothing
+	return Answer{false, m.state.String()}, NoAction
 }
 
-// Serve is told when the process can serve, at first or again after a take-over
+// StartServing is told when the process can serve, at first or again after a take-over
 // that came to nothing.
-func (m *Machine) Serve() Do {
-	if m.state != Starting && m.state != Ceding {
-		return Nothing
+func (m *Machine) StartServing() Action {
+	if m.state != Starting && m.state != HandingOver {
+		return NoAction
 	}
-	if m.state = Serving; m.rest {
+	if m.state = Serving; m.drainRequested {
 		m.state = Draining
-		return LetGo
+		return CloseClients
 	}
-	return Nothing
+	return NoAction
 }
 
-// Cede begins to hand the work to another process; false where that cannot be.
-func (m *Machine) Cede() bool {
+// StartHandover begins to hand the work to another process; false where that cannot be.
+func (m *Machine) StartHandover() bool {
 	switch m.state {
 	case Serving, Draining:
-		m.state = Ceding
+		m.state = HandingOver
 	case Stopping: // and goes on to, if it comes to nothing
 	default:
 		return false
@@ -117,14 +117,14 @@
 	return true
 }
 
-// Gone is told when the other process has the work.
-func (m *Machine) Gone() { m.state = Ceded }
+// CompleteHandover is told when the other process has the work.
+func (m *Machine) CompleteHandover() { m.state = HandedOver }
 
 // Stop has the process end.
-func (m *Machine) Stop() Do {
-	if m.state == Stopping || m.state == Ceded {
-		return Nothing
+func (m *Machine) Stop() Action {
+	if m.state == Stopping || m.state == HandedOver {
+		return NoAction
 	}
 	m.state = Stopping
-	return LetGo
+	return CloseClients
 }
--- a/internal/relay/answers_test.go
+++ b/internal/relay/answers_test.go
@@ -14,15 +14,15 @@
 // Guards the words in which clients are answered where nothing is wrong with a
 // command, and the form of those that the core decides on.
 func TestAnswersToClients(t *testing.T) {
-	_, addr, _ := serveClients(t, accept)
+	_, addr, _ := serveClients(t, acceptRequest)
 	for text, want := range map[string]string{
-		"*1\r\n$4\r\nPING\r\n":                      "+PONG",
-		"*2\r\n$4\r\nping\r\n$2\r\nhi\r\n":          "$2",
-		putText("m", fields("plain", 8000, 1), nil): "+OK",
+		"*1\r\n$4\r\nPING\r\n":                           "+PONG",
+		"*2\r\n$4\r\nping\r\n$2\r\nhi\r\n":               "$2",
+		encodePut("m", putFields("plain", 8000, 1), nil): "+OK",
 	} {
 		cl := dialClient(t, addr)
 		io.WriteString(cl, text)
-		if got := cl.line(); got != want {
+		if got := cl.readLine(); got != want {
 			t.Errorf("%q: %q, want %q", text, got, want)
 		}
 	}
@@ -32,7 +32,7 @@
 		"-BUSY\r\n":       {},
 		"-ERR a??b??\r\n": {Err: errors.New("a\r\nb\x7f\u0080")},
 	} {
-		if got := text(a); got != want {
+		if got := replyText(a); got != want {
 			t.Errorf("%q, want %q", got, want)
 		}
 	}
@@ -52,22 +52,22 @@
 		case "PING":
 			cl := dialClient(t, env["ROUTER_LISTEN"])
 			io.WriteString(cl, "*1\r\n$4\r\nPING\r\n")
-			said = cl.line()
+			said = cl.readLine()
 		case "PUT":
-			said = dialClient(t, env["ROUTER_LISTEN"]).put("m", fields("plain", 8000, 9), nil)
+			said = dialClient(t, env["ROUTER_LISTEN"]).put("m", putFields("plain", 8000, 9), nil)
 		default:
 			said = mustCall(t, env["ROUTER_CONSOLE"], call)
 		}
 		fmt.Fprintf(&got, "%s: %q\n", call, said)
 	}
 	r := &Relay{board: console.NewStats(classNames(testConfigParsed(t)))}
-	r.shown.Store(newTLSSite(t, nil).partners)
-	for _, stats := range []string{mustCall(t, env["ROUTER_CONSOLE"], "STATS"), string(r.stats(nil))} {
+	r.consoleTLSPeers.Store(newTLSSite(t, nil).partners)
+	for _, stats := range []string{mustCall(t, env["ROUTER_CONSOLE"], "STATS"), string(r.appendStats(nil))} {
 		for line := range strings.Lines(stats) {
 			name, rest, _ := strings.Cut(strings.TrimSpace(line), ":")
 			_, unit, _ := strings.Cut(rest, "|")
 			fmt.Fprintf(&got, "STATS %s %s\n", name, unit)
 		}
 	}
-	sameAsRecorded(t, "console.txt", got.String())
+	compareWithFixture(t, "console.txt", got.String())
 }
--- a/internal/relay/clients.go
+++ b/internal/relay/clients.go
@@ -18,31 +18,31 @@
 // front's.
 
 const (
-	deadlineMost = 2 // times what its class has: no message has more left
-	bodyMost     = resp.MaxBodyBytes
+	maxDeadlineFactor = 2 // times what its class has: no message has more left
+	maxBodySize       = resp.MaxBodyBytes
 )
 
 // request is a message that a client hands in; it is answered once.
 type request struct {
 	core.Request
-	left  time.Duration
-	reply func(string)
-	said  func(q *request, ok bool)
+	timeLeft    time.Duration
+	sendReply   func(string)
+	onReplyDone func(q *request, ok bool)
 }
 
-func (q *request) answer(s string) { q.reply(s) }
+func (q *request) answer(s string) { q.sendReply(s) }
 
 // ReplyDone is told that the answer was written, or that its client is gone.
-func (q *request) ReplyDone(ok bool) { q.said(q, ok) }
+func (q *request) ReplyDone(ok bool) { q.onReplyDone(q, ok) }
 
 const (
-	replyOK      = "+OK\r\n"
-	replyDrained = "-DRAINING no new connections here for now\r\n"
+	replyOK       = "+OK\r\n"
+	replyDraining = "-DRAINING no new connections here for now\r\n"
 )
 
-func busy(ms int64) string { return front.BusyReply(ms) }
+func busyReply(ms int64) string { return front.BusyReply(ms) }
 
-func fault(err error) string { return front.ErrorReply(err) }
+func errorReply(err error) string { return front.ErrorReply(err) }
 
 // parsePut reads a handed-in message; what is wrong is named, and nothing is
 // taken.
@@ -51,7 +51,7 @@
 		return nil, fmt.Errorf("MSG.PUT takes 4 arguments, %d came", len(args)-1)
 	}
 	id := string(args[2])
-	if !token(id) {
+	if !isToken(id) {
 		return nil, errors.New("id: empty, too long or not plain")
 	}
 	q := &request{Request: core.Request{Record: &record{Kind: core.RecordAccepted, ID: id, Body: bytes.Clone(args[4])}}}
@@ -76,21 +76,21 @@
 		q.Tenant = -1
 	}
 	q.Record.Tenant = have["t"]
-	ms, err := milliseconds(have["d"])
+	ms, err := parseMilliseconds(have["d"])
 	if err != nil {
 		return nil, fmt.Errorf("d: %w", err)
 	}
-	if most := float64(c.Policy.Classes[q.Class].Deadline) / 1000; ms > deadlineMost*most {
+	if most := float64(c.Policy.Classes[q.Class].Deadline) / 1000; ms > maxDeadlineFactor*most {
 		return nil, fmt.Errorf("d: %v ms, and messages of class %s have %v at most", ms, q.Record.Class, most)
 	}
-	q.left = time.Duration(ms * float64(time.Millisecond))
-	q.Record.Deadline = now.Add(q.left).UnixMicro()
+	q.timeLeft = time.Duration(ms * float64(time.Millisecond))
+	q.Record.Deadline = now.Add(q.timeLeft).UnixMicro()
 	dest, err := strconv.ParseUint(have["dest"], 10, 16)
 	if err != nil {
 		return nil, fmt.Errorf("dest: %.32q is no destination", have["dest"])
 	}
 	q.Record.Dest = int(dest)
-	if q.Record.Key = have["k"]; q.Record.Key != "" && !token(q.Record.Key) {
+	if q.Record.Key = have["k"]; q.Record.Key != "" && !isToken(q.Record.Key) {
 		return nil, errors.New("k: too long or not plain")
 	}
 	if q.Record.Key == "" && c.keyed(q.Class) {
@@ -99,9 +99,9 @@
 	return q, nil
 }
 
-// milliseconds reads a time: digits, maybe with decimals. What a number may
+// parseMilliseconds reads a time: digits, maybe with decimals. What a number may
 // look like elsewhere (a sign, an exponent, hexadecimal) is no time.
-func milliseconds(s string) (float64, error) {
+func parseMilliseconds(s string) (float64, error) {
 	whole, _, _ := strings.Cut(s, ".")
 	if whole == "" || len(s) > 24 || strings.Trim(s, "0123456789.") != "" {
 		return 0, fmt.Errorf("%.32q is no time in milliseconds", s)
@@ -109,8 +109,8 @@
 	return strconv.ParseFloat(s, 64)
 }
 
-// token reports whether s can stand in a header as it is.
-func token(s string) bool {
+// isToken reports whether s can stand in a header as it is.
+func isToken(s string) bool {
 	if s == "" || len(s) > 256 {
 		return false
 	}
@@ -122,31 +122,31 @@
 	return true
 }
 
-// clients makes requests of what clients send.
-type clients struct {
-	cfg   *Config
-	front *front.Server
-	put   func(*request) // hands it to the loop, which answers
-	duty  *duties
-	late  func(class int)           // a request was refused before the loop saw it
-	said  func(q *request, ok bool) // the answer was written, or its client is gone
+// clientServer makes requests of what clients send.
+type clientServer struct {
+	cfg         *Config
+	server      *front.Server
+	submit      func(*request) // hands it to the loop, which answers
+	lifecycle   *processLifecycle
+	countShed   func(class int)           // a request was refused before the loop saw it
+	onReplyDone func(q *request, ok bool) // the answer was written, or its client is gone
 }
 
-// newClients opens the front that serves clients.
-func newClients(cfg *Config, opt front.Options, put func(*request), said func(*request, bool), addrs ...string) (*clients, error) {
-	c := &clients{cfg: cfg, put: put, said: said}
-	opt.Handler = c.command
+// newClientServer opens the front that serves clients.
+func newClientServer(cfg *Config, opt front.Options, put func(*request), said func(*request, bool), addrs ...string) (*clientServer, error) {
+	c := &clientServer{cfg: cfg, submit: put, onReplyDone: said}
+	opt.Handler = c.handleCommand
 	var err error
-	c.front, err = front.New(opt, addrs...)
+	c.server, err = front.New(opt, addrs...)
 	return c, err
 }
 
-// command is the front's handler.
-func (c *clients) command(a *front.Command) front.Reply {
+// handleCommand is the front's handler.
+func (c *clientServer) handleCommand(a *front.Command) front.Reply {
 	switch name := string(bytes.ToUpper(a.Args[0])); name {
 	case "PING":
-		if c.duty != nil && !c.duty.clients.Load() {
-			return front.Reply{Text: replyDrained, Kind: places.CommandControl}
+		if c.lifecycle != nil && !c.lifecycle.acceptsClients.Load() {
+			return front.Reply{Text: replyDraining, Kind: places.CommandControl}
 		}
 		if len(a.Args) > 1 {
 			p := a.Args[1]
@@ -156,21 +156,21 @@
 	case "MSG.PUT":
 		q, err := c.cfg.parsePut(a.Args, a.ReceivedAt)
 		if err != nil {
-			return front.Reply{Text: fault(err)}
+			return front.Reply{Text: errorReply(err)}
 		}
 		if a.Shed {
-			if c.late != nil {
-				c.late(q.Class)
+			if c.countShed != nil {
+				c.countShed(q.Class)
 			}
-			return front.Reply{Text: busy(max(a.RetryAfter.Milliseconds(), 1)), Kind: places.CommandRequest}
+			return front.Reply{Text: busyReply(max(a.RetryAfter.Milliseconds(), 1)), Kind: places.CommandRequest}
 		}
 		q.Queued = a.QueueDelay.Microseconds()
 		t := a.ID
-		q.reply = func(s string) { c.front.SendReply(t, s) }
-		q.said = c.said
-		c.put(q)
+		q.sendReply = func(s string) { c.server.SendReply(t, s) }
+		q.onReplyDone = c.onReplyDone
+		c.submit(q)
 		return front.Reply{Kind: places.CommandRequest, Pending: q, PendingBytes: len(q.Record.Body)}
 	default:
-		return front.Reply{Text: fault(fmt.Errorf("unknown command %.32q", name))}
+		return front.Reply{Text: errorReply(fmt.Errorf("unknown command %.32q", name))}
 	}
 }
--- a/internal/relay/clients_test.go
+++ b/internal/relay/clients_test.go
@@ -15,7 +15,7 @@
 )
 
 // serveClients runs the client side alone; put stands for the loop.
-func serveClients(t *testing.T, put func(*request), change ...func(*places.Limits)) (*clients, string, chan bool) {
+func serveClients(t *testing.T, put func(*request), change ...func(*places.Limits)) (*clientServer, string, chan bool) {
 	t.Helper()
 	cfg := testConfigParsed(t)
 	opt := cfg.frontOptions()
@@ -24,36 +24,36 @@
 		f(&opt.Limits)
 	}
 	said := make(chan bool, 16)
-	c, err := newClients(cfg, opt, put, func(_ *request, ok bool) { said <- ok }, "127.0.0.1:0")
+	c, err := newClientServer(cfg, opt, put, func(_ *request, ok bool) { said <- ok }, "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	ended := make(chan error, 1)
-	go func() { ended <- c.front.Run() }()
+	go func() { ended <- c.server.Run() }()
 	t.Cleanup(func() {
-		c.front.Close()
+		c.server.Close()
 		if err := <-ended; err != nil {
 			t.Error(err)
 		}
 	})
-	return c, c.front.Addr().String(), said
+	return c, c.server.Addr().String(), said
 }
 
-// count is a figure of the account of places.
-func (c *clients) count(f func(*places.Limiter) int) (n int) {
-	c.front.Inspect(func(b *places.Limiter) { n = f(b) })
+// inspectLimiter is a figure of the account of places.
+func (c *clientServer) inspectLimiter(f func(*places.Limiter) int) (n int) {
+	c.server.Inspect(func(b *places.Limiter) { n = f(b) })
 	return n
 }
 
-func open(b *places.Limiter) int {
+func connsBetweenRequests(b *places.Limiter) int {
 	return b.Count(places.StateReadingCommand) + b.Count(places.StateAwaitingReply) + b.Count(places.StateReplyingInvalid)
 }
 
-func accept(q *request) { q.answer(replyOK) }
+func acceptRequest(q *request) { q.answer(replyOK) }
 
 // Guards against what no client should send: nothing is taken, the fault is
 // named, and a connection that is still in step goes on.
-func TestBadInput(t *testing.T) {
+func TestInvalidInput(t *testing.T) {
 	long := strings.Repeat("x", resp.MaxBodyBytes+1)
 	var answers []string
 	for name, x := range map[string]struct {
@@ -71,52 +71,52 @@
 		"no end":           {"*1\r\n$4\r\nPINGxx", true},
 		"not a bulk":       {"*1\r\n:4\r\n", true},
 		"unknown command":  {"*1\r\n$3\r\nGET\r\n", false},
-		"long body":        {putText("m", fields("plain", 8000, 1), []byte(long)), false},
+		"long body":        {encodePut("m", putFields("plain", 8000, 1), []byte(long)), false},
 		"few arguments":    {"*2\r\n$7\r\nMSG.PUT\r\n$1\r\n0\r\n", false},
-		"unknown class":    {putText("m", "c=other,t=acme,d=1,dest=1", nil), false},
-		"no class":         {putText("m", "t=acme,d=1,dest=1", nil), false},
-		"unknown tenant":   {putText("m", "c=plain,t=other,d=1,dest=1", nil), false},
-		"no time":          {putText("m", "c=plain,t=acme,dest=1", nil), false},
-		"bad time":         {putText("m", "c=plain,t=acme,d=NaN,dest=1", nil), false},
-		"time in hex":      {putText("m", "c=plain,t=acme,d=0x10,dest=1", nil), false},
-		"exponent":         {putText("m", "c=plain,t=acme,d=1e3,dest=1", nil), false},
-		"signed time":      {putText("m", "c=plain,t=acme,d=+10,dest=1", nil), false},
-		"two points":       {putText("m", "c=plain,t=acme,d=1.2.3,dest=1", nil), false},
-		"absurd time":      {putText("m", "c=plain,t=acme,d=900000000,dest=1", nil), false},
-		"signed dest":      {putText("m", "c=plain,t=acme,d=1,dest=+1", nil), false},
-		"huge dest":        {putText("m", "c=plain,t=acme,d=1,dest=99999999999", nil), false},
-		"negative time":    {putText("m", "c=plain,t=acme,d=-1,dest=1", nil), false},
-		"no destination":   {putText("m", "c=plain,t=acme,d=1", nil), false},
-		"bad destination":  {putText("m", "c=plain,t=acme,d=1,dest=-3", nil), false},
-		"no key":           {putText("m", "c=keyed,t=acme,d=1,dest=1", nil), false},
-		"key in two lines": {putText("m", "c=keyed,t=acme,d=1,dest=1,k=a\r\nX: b", nil), false},
-		"id in two lines":  {putText("a\r\nX: b", fields("plain", 1, 1), nil), false},
-		"no id":            {putText("", fields("plain", 1, 1), nil), false},
-		"field alone":      {putText("m", "c", nil), false},
+		"unknown class":    {encodePut("m", "c=other,t=acme,d=1,dest=1", nil), false},
+		"no class":         {encodePut("m", "t=acme,d=1,dest=1", nil), false},
+		"unknown tenant":   {encodePut("m", "c=plain,t=other,d=1,dest=1", nil), false},
+		"no time":          {encodePut("m", "c=plain,t=acme,dest=1", nil), false},
+		"bad time":         {encodePut("m", "c=plain,t=acme,d=NaN,dest=1", nil), false},
+		"time in hex":      {encodePut("m", "c=plain,t=acme,d=0x10,dest=1", nil), false},
+		"exponent":         {encodePut("m", "c=plain,t=acme,d=1e3,dest=1", nil), false},
+		"signed time":      {encodePut("m", "c=plain,t=acme,d=+10,dest=1", nil), false},
+		"two points":       {encodePut("m", "c=plain,t=acme,d=1.2.3,dest=1", nil), false},
+		"absurd time":      {encodePut("m", "c=plain,t=acme,d=900000000,dest=1", nil), false},
+		"signed dest":      {encodePut("m", "c=plain,t=acme,d=1,dest=+1", nil), false},
+		"huge dest":        {encodePut("m", "c=plain,t=acme,d=1,dest=99999999999", nil), false},
+		"negative time":    {encodePut("m", "c=plain,t=acme,d=-1,dest=1", nil), false},
+		"no destination":   {encodePut("m", "c=plain,t=acme,d=1", nil), false},
+		"bad destination":  {encodePut("m", "c=plain,t=acme,d=1,dest=-3", nil), false},
+		"no key":           {encodePut("m", "c=keyed,t=acme,d=1,dest=1", nil), false},
+		"key in two lines": {encodePut("m", "c=keyed,t=acme,d=1,dest=1,k=a\r\nX: b", nil), false},
+		"id in two lines":  {encodePut("a\r\nX: b", putFields("plain", 1, 1), nil), false},
+		"no id":            {encodePut("", putFields("plain", 1, 1), nil), false},
+		"field alone":      {encodePut("m", "c", nil), false},
 	} {
 		t.Run(name, func(t *testing.T) {
-			_, addr, _ := serveClients(t, func(q *request) { t.Error("taken"); accept(q) })
+			_, addr, _ := serveClients(t, func(q *request) { t.Error("taken"); acceptRequest(q) })
 			cl := dialClient(t, addr)
 			io.WriteString(cl, x.text)
-			s := cl.line()
+			s := cl.readLine()
 			if !strings.HasPrefix(s, "-ERR ") {
 				t.Fatalf("answer %q", s)
 			}
 			answers = append(answers, name+": "+s+"\n")
 			if x.ends {
-				if _, err := cl.in.ReadByte(); !errors.Is(err, io.EOF) {
+				if _, err := cl.reader.ReadByte(); !errors.Is(err, io.EOF) {
 					t.Errorf("still open: %v", err)
 				}
 				return
 			}
 			io.WriteString(cl, "*2\r\n$4\r\nping\r\n$2\r\nhi\r\n")
-			if s := cl.line() + cl.line(); s != "$2hi" {
+			if s := cl.readLine() + cl.readLine(); s != "$2hi" {
 				t.Errorf("out of step: %q", s)
 			}
 		})
 	}
 	slices.Sort(answers)
-	sameAsRecorded(t, "faults.txt", strings.Join(answers, ""))
+	compareWithFixture(t, "faults.txt", strings.Join(answers, ""))
 }
 
 func TestParsePut(t *testing.T) {
@@ -138,7 +138,7 @@
 	got := make(chan *request, 1)
 	_, addr, said := serveClients(t, func(q *request) { got <- q })
 	cl := dialClient(t, addr)
-	io.WriteString(cl, putText("m", fields("plain", 8000, 1), nil))
+	io.WriteString(cl, encodePut("m", putFields("plain", 8000, 1), nil))
 	q := <-got
 	cl.Close()
 	if <-said {
@@ -148,19 +148,19 @@
 }
 
 // A client that sends ahead gets its answers in turn.
-func TestSentAhead(t *testing.T) {
+func TestPipelining(t *testing.T) {
 	first := make(chan *request, 1)
 	_, addr, said := serveClients(t, func(q *request) {
 		if q.Record.ID == "a" {
 			first <- q
 			return
 		}
-		q.answer(busy(7))
+		q.answer(busyReply(7))
 	})
 	cl := dialClient(t, addr)
-	io.WriteString(cl, putText("a", fields("plain", 8000, 1), nil)+putText("b", fields("plain", 8000, 1), nil)+"*1\r\n$4\r\nPING\r\n")
+	io.WriteString(cl, encodePut("a", putFields("plain", 8000, 1), nil)+encodePut("b", putFields("plain", 8000, 1), nil)+"*1\r\n$4\r\nPING\r\n")
 	(<-first).answer(replyOK)
-	if s := cl.line() + cl.line() + cl.line(); s != "+OK-BUSY 7+PONG" {
+	if s := cl.readLine() + cl.readLine() + cl.readLine(); s != "+OK-BUSY 7+PONG" {
 		t.Errorf("answers %q", s)
 	}
 	if !<-said || !<-said {
@@ -175,18 +175,18 @@
 	c, addr, _ := serveClients(t, func(q *request) { got <- q })
 	idle, busyOne := dialClient(t, addr), dialClient(t, addr)
 	io.WriteString(idle, "*1\r\n$4\r\nPING\r\n")
-	idle.line()
-	io.WriteString(busyOne, putText("m", fields("plain", 8000, 1), nil))
+	idle.readLine()
+	io.WriteString(busyOne, encodePut("m", putFields("plain", 8000, 1), nil))
 	q := <-got
-	c.front.CloseIdleConns()
-	if _, err := idle.in.ReadByte(); !errors.Is(err, io.EOF) {
+	c.server.CloseIdleConns()
+	if _, err := idle.reader.ReadByte(); !errors.Is(err, io.EOF) {
 		t.Errorf("idle: %v", err)
 	}
 	q.answer(replyOK)
-	if s := busyOne.line(); s != "+OK" {
+	if s := busyOne.readLine(); s != "+OK" {
 		t.Errorf("answer %q", s)
 	}
-	if _, err := busyOne.in.ReadByte(); !errors.Is(err, io.EOF) {
+	if _, err := busyOne.reader.ReadByte(); !errors.Is(err, io.EOF) {
 		t.Errorf("after its answer: %v", err)
 	}
 }
@@ -194,21 +194,21 @@
 // Guards the limit on descriptors: past it the connection that was idle for
 // longest makes room, and the new one is served.
 func TestConnectionsBounded(t *testing.T) {
-	c, addr, _ := serveClients(t, accept, func(l *places.Limits) { l.MaxConns = 2 })
+	c, addr, _ := serveClients(t, acceptRequest, func(l *places.Limits) { l.MaxConns = 2 })
 	var all []*testClient
 	for i := range 3 {
 		cl := dialClient(t, addr)
-		if s := cl.put("m"+strconv.Itoa(i), fields("plain", 8000, 1), nil); s != "+OK" {
+		if s := cl.put("m"+strconv.Itoa(i), putFields("plain", 8000, 1), nil); s != "+OK" {
 			t.Fatal(s)
 		}
 		// It is idle once its answer is booked, a moment after that was read.
-		waitFor(t, "the request's end", func() bool { return c.count(open) == 0 })
+		waitFor(t, "the request's end", func() bool { return c.inspectLimiter(connsBetweenRequests) == 0 })
 		all = append(all, cl)
 	}
-	if _, err := all[0].in.ReadByte(); !errors.Is(err, io.EOF) {
+	if _, err := all[0].reader.ReadByte(); !errors.Is(err, io.EOF) {
 		t.Errorf("the oldest: %v", err)
 	}
-	if s := all[1].put("x", fields("plain", 8000, 1), nil); s != "+OK" {
+	if s := all[1].put("x", putFields("plain", 8000, 1), nil); s != "+OK" {
 		t.Error(s)
 	}
 }
@@ -216,69 +216,69 @@
 // Guards the places of clients against those that begin a command and never
 // end it, or say nothing at all: they hear of it, or are closed. One that waits
 // for its answer is left alone.
-func TestHalfACommand(t *testing.T) {
+func TestPartialCommand(t *testing.T) {
 	got := make(chan *request, 1)
 	c, addr, _ := serveClients(t, func(q *request) { got <- q }, func(l *places.Limits) { l.FirstCommandTimeout, l.CommandTimeout, l.IdleTimeout = 300e3, 300e3, 400e3 })
 	waits, half, silent := dialClient(t, addr), dialClient(t, addr), dialClient(t, addr)
 	later, quiet := dialClient(t, addr), dialClient(t, addr)
-	io.WriteString(waits, putText("m", fields("plain", 8000, 1), nil))
+	io.WriteString(waits, encodePut("m", putFields("plain", 8000, 1), nil))
 	q := <-got
 	io.WriteString(half, "*5\r\n$7\r\nMSG")
 	for _, cl := range []*testClient{later, quiet} {
 		io.WriteString(cl, "*1\r\n$4\r\nPING\r\n")
-		if s := cl.line(); s != "+PONG" {
+		if s := cl.readLine(); s != "+PONG" {
 			t.Fatal(s)
 		}
 	}
 	io.WriteString(later, "*5\r\n")
 	for name, cl := range map[string]*testClient{"first": half, "later": later} {
-		if s := cl.line(); !strings.HasPrefix(s, "-ERR ") {
+		if s := cl.readLine(); !strings.HasPrefix(s, "-ERR ") {
 			t.Errorf("half a command, %s: %q", name, s)
 		}
 	}
 	for name, cl := range map[string]*testClient{"half": half, "later": later, "silent": silent, "idle": quiet} {
-		if _, err := cl.in.ReadByte(); !errors.Is(err, io.EOF) {
+		if _, err := cl.reader.ReadByte(); !errors.Is(err, io.EOF) {
 			t.Errorf("%s is still open: %v", name, err)
 		}
 	}
 	q.answer(replyOK) // later than the patience with the others
-	if s := waits.line(); s != "+OK" {
+	if s := waits.readLine(); s != "+OK" {
 		t.Errorf("answer %q", s)
 	}
-	waitFor(t, "places", func() bool { return c.count((*places.Limiter).InUse) <= 1 })
+	waitFor(t, "places", func() bool { return c.inspectLimiter((*places.Limiter).InUse) <= 1 })
 }
 
 // Guards the places of those that have sent a command against hundreds that
 // only connect: these make room for each other, and where nobody can, the new
 // one waits a while and is then closed.
-func TestCrowdThatSaysNothing(t *testing.T) {
+func TestSilentConnectionFlood(t *testing.T) {
 	hold := make(chan *request, 8)
 	c, addr, _ := serveClients(t, func(q *request) { hold <- q }, func(l *places.Limits) { l.MaxConns, l.MaxUnvalidated, l.FirstCommandTimeout = 8, 4, 300e3 })
 	usual := dialClient(t, addr)
 	io.WriteString(usual, "*1\r\n$4\r\nPING\r\n")
-	usual.line()
+	usual.readLine()
 	for range 200 {
 		dialClient(t, addr)
-		if n := c.count((*places.Limiter).InUse); n > 8 {
+		if n := c.inspectLimiter((*places.Limiter).InUse); n > 8 {
 			t.Errorf("%d connections, 8 allowed", n)
 		}
 	}
 	io.WriteString(usual, "*1\r\n$4\r\nPING\r\n")
-	if s := usual.line(); s != "+PONG" {
+	if s := usual.readLine(); s != "+PONG" {
 		t.Fatalf("the usual client: %q", s)
 	}
-	waitFor(t, "the crowd's end", func() bool { return c.count((*places.Limiter).InUse) <= 1 })
+	waitFor(t, "the crowd's end", func() bool { return c.inspectLimiter((*places.Limiter).InUse) <= 1 })
 	for i := range 8 { // the last takes the place of the usual one, where that is still there
 		cl := dialClient(t, addr)
-		io.WriteString(cl, putText("m"+strconv.Itoa(i), fields("plain", 8000, 1), nil))
+		io.WriteString(cl, encodePut("m"+strconv.Itoa(i), putFields("plain", 8000, 1), nil))
 		q := <-hold
 		defer q.answer(replyOK)
 	}
-	if n := c.count((*places.Limiter).InUse); n != 8 {
+	if n := c.inspectLimiter((*places.Limiter).InUse); n != 8 {
 		t.Errorf("%d connections", n)
 	}
 	over := dialClient(t, addr)
-	if _, err := over.in.ReadByte(); err == nil {
+	if _, err := over.reader.ReadByte(); err == nil {
 		t.Error("one too many is served")
 	}
 }
@@ -286,29 +286,29 @@
 // Clients hold only so many connections for requests. When they sit on all of
 // them, each asked once and idle, no further message comes: that lost a third
 // of the messages of a day. One that is in use or waits for its answer stays.
-func TestThoseThatAskedOnceMakeRoom(t *testing.T) {
+func TestSingleUseConnectionsAreEvicted(t *testing.T) {
 	hold := make(chan *request, 1)
 	c, addr, _ := serveClients(t, func(q *request) {
 		if q.Record.ID == "held" {
 			hold <- q
 			return
 		}
-		accept(q)
+		acceptRequest(q)
 	}, func(l *places.Limits) {
 		l.SingleUseEvictionThreshold, l.IdleTimeout, l.FirstCommandTimeout = 4, 3600e6, 3600e6
 	}) // nobody is let go for being idle
 	out := 0 // requests that are held
 	ask := func(cl *testClient, id string) {
 		t.Helper()
-		if got := cl.put(id, fields("plain", 8000, 1), nil); got != "+OK" {
+		if got := cl.put(id, putFields("plain", 8000, 1), nil); got != "+OK" {
 			t.Fatalf("%s: %q", id, got)
 		}
-		waitFor(t, "the request's end", func() bool { return c.count(open) == out })
+		waitFor(t, "the request's end", func() bool { return c.inspectLimiter(connsBetweenRequests) == out })
 	}
 	steady, silent, waiting := dialClient(t, addr), dialClient(t, addr), dialClient(t, addr)
 	ask(steady, "a")
 	ask(steady, "b")
-	io.WriteString(waiting, putText("held", fields("plain", 8000, 1), nil))
+	io.WriteString(waiting, encodePut("held", putFields("plain", 8000, 1), nil))
 	q := <-hold
 	out = 1
 	var once []*testClient
@@ -319,7 +319,7 @@
 	}
 	// With steady and waiting that makes eight; the four oldest go, in turn.
 	for i, cl := range once[:4] {
-		if _, err := cl.in.ReadByte(); !errors.Is(err, io.EOF) {
+		if _, err := cl.reader.ReadByte(); !errors.Is(err, io.EOF) {
 			t.Errorf("the one that asked once and is oldest but %d: %v", i, err)
 		}
 	}
@@ -327,24 +327,24 @@
 		ask(cl, "again"+strconv.Itoa(i))
 	}
 	q.answer(replyOK)
-	if got := waiting.line(); got != "+OK" {
+	if got := waiting.readLine(); got != "+OK" {
 		t.Errorf("the one that waited for its answer: %q", got)
 	}
 	out = 0
 	ask(steady, "c")
-	if io.WriteString(silent, "*1\r\n$4\r\nPING\r\n"); silent.line() != "+PONG" {
+	if io.WriteString(silent, "*1\r\n$4\r\nPING\r\n"); silent.readLine() != "+PONG" {
 		t.Error("one that has not asked was let go")
 	}
 }
 
 // Guards the core: the same fault again and again ends the connection.
-func TestFaultsEndAConnection(t *testing.T) {
-	_, addr, _ := serveClients(t, accept)
+func TestRepeatedErrorsCloseConnection(t *testing.T) {
+	_, addr, _ := serveClients(t, acceptRequest)
 	cl := dialClient(t, addr)
 	io.WriteString(cl, strings.Repeat("*1\r\n$3\r\nGET\r\n", 300))
 	n := 0
 	for {
-		s, err := cl.in.ReadString('\n')
+		s, err := cl.reader.ReadString('\n')
 		if err != nil {
 			break
 		}
@@ -358,9 +358,9 @@
 }
 
 func FuzzParsePut(f *testing.F) {
-	f.Add([]byte(putText("m", "c=plain", []byte("b"))))
-	f.Add([]byte(putText("m", fields("keyed", 8000, 1), []byte("b"))))
-	f.Add([]byte(putText("m", "c=plain,t=,d=1e400,dest=1,k=", nil)))
+	f.Add([]byte(encodePut("m", "c=plain", []byte("b"))))
+	f.Add([]byte(encodePut("m", putFields("keyed", 8000, 1), []byte("b"))))
+	f.Add([]byte(encodePut("m", "c=plain,t=,d=1e400,dest=1,k=", nil)))
 	cfg := &Config{classes: map[string]int{"plain": 0, "keyed": 1}, tenants: map[string]int{}, Policy: decide.Settings{
 		Classes: []decide.Class{{Deadline: 8e6}, {Deadline: 8e6, Idempotency: decide.IdempotentByKey}}}}
 	f.Fuzz(func(t *testing.T, b []byte) {
@@ -369,7 +369,7 @@
 			return
 		}
 		q, err := cfg.parsePut(r.Args(), time.Now())
-		if err == nil && (!token(q.Record.ID) || q.left < 0 || q.left > 16*time.Second || q.Class == 1 && q.Record.Key == "") {
+		if err == nil && (!isToken(q.Record.ID) || q.timeLeft < 0 || q.timeLeft > 16*time.Second || q.Class == 1 && q.Record.Key == "") {
 			t.Fatalf("taken: %+v", q.Record)
 		}
 	})
--- a/internal/relay/config_test.go
+++ b/internal/relay/config_test.go
@@ -99,7 +99,7 @@
 	for _, addr := range []string{env["ROUTER_LISTEN"], second} {
 		cl := dialClient(t, addr)
 		io.WriteString(cl, "*1\r\n$4\r\nPING\r\n")
-		if s := cl.line(); s != "+PONG" {
+		if s := cl.readLine(); s != "+PONG" {
 			t.Errorf("%s: %q", addr, s)
 		}
 	}
--- a/internal/relay/crossings_test.go
+++ b/internal/relay/crossings_test.go
@@ -19,25 +19,25 @@
 	"troutusher/internal/source/registry"
 )
 
-// here is a relay in the test's own process, so that its seam can be held.
-type here struct {
+// inProcessRelay is a relay in the test's own process, so that its seam can be held.
+type inProcessRelay struct {
 	env  map[string]string
 	stop chan struct{}
 	done chan error
 }
 
-// runHere starts one; at is called at each point of the seam.
-func runHere(t *testing.T, env map[string]string, at func(point string)) *here {
+// startInProcess starts one; at is called at each point of the seam.
+func startInProcess(t *testing.T, env map[string]string, at func(point string)) *inProcessRelay {
 	t.Helper()
 	cfg, err := LoadConfig(func(name string) string { return env[name] })
 	if err != nil {
 		t.Fatal(err)
 	}
-	seam = at
-	h := &here{env, make(chan struct{}), make(chan error, 1)}
+	failpoint = at
+	h := &inProcessRelay{env, make(chan struct{}), make(chan error, 1)}
 	go func() { h.done <- Run(cfg, quietLog(), h.stop, Reload{}) }()
 	t.Cleanup(func() {
-		h.end()
+		h.shutDown()
 		select {
 		case err := <-h.done:
 			if err != nil {
@@ -46,13 +46,13 @@
 		case <-time.After(20 * time.Second):
 			t.Error("relay: does not end")
 		}
-		seam = nil
+		failpoint = nil
 	})
-	(&child{env: env}).ready(t)
+	(&child{env: env}).waitReady(t)
 	return h
 }
 
-func (h *here) end() {
+func (h *inProcessRelay) shutDown() {
 	select {
 	case <-h.stop:
 	default:
@@ -60,8 +60,8 @@
 	}
 }
 
-// answer reads a client's answer; an end with none is a lost message.
-func answer(c net.Conn) string {
+// readReply reads a client's answer; an end with none is a lost message.
+func readReply(c net.Conn) string {
 	s, err := bufio.NewReader(c).ReadString('\n')
 	if err != nil {
 		return "lost: " + err.Error()
@@ -73,29 +73,29 @@
 // has its answer, and so has one on a connection that lay in the listener's queue as
 // that was closed. Without the front's own word that nothing is open the process
 // ended under the first; without letting in who waits the second was reset.
-func TestRequestsAsARelayEnds(t *testing.T) {
+func TestRequestsDuringShutdown(t *testing.T) {
 	ep := newFakeEndpoint(t, nil)
 	env := testConfig(t, newFakeDiscovery(t, ep.member("s-1", 1)), 3)
 	var mu sync.Mutex
 	got := map[string]net.Conn{}
 	send := func(id string, c net.Conn) {
 		c.SetDeadline(time.Now().Add(10 * time.Second))
-		io.WriteString(c, putText(id, fields("plain", 8000, 1), nil))
+		io.WriteString(c, encodePut(id, putFields("plain", 8000, 1), nil))
 		mu.Lock()
 		defer mu.Unlock()
 		got[id] = c
 	}
 	var idle net.Conn
 	points := make(chan string, 16)
-	h := runHere(t, env, func(point string) {
+	h := startInProcess(t, env, func(point string) {
 		switch point {
-		case seamLetGo:
+		case failpointClientsReleased:
 			send("idle", idle)
-		case seamUnlisten:
+		case failpointListenersClosing:
 			if c, err := net.Dial("tcp", env["ROUTER_LISTEN"]); err == nil {
 				send("queued", c)
 			}
-		case seamEnd:
+		case failpointProcessEnd:
 		default:
 			return // of its start
 		}
@@ -103,10 +103,10 @@
 	})
 	cl := dialClient(t, env["ROUTER_LISTEN"])
 	idle = cl.Conn
-	if s := cl.put("first", fields("plain", 8000, 1), nil); s != "+OK" {
+	if s := cl.put("first", putFields("plain", 8000, 1), nil); s != "+OK" {
 		t.Fatal(s)
 	}
-	h.end()
+	h.shutDown()
 	for seen := 0; seen < 3; seen++ {
 		<-points
 	}
@@ -118,7 +118,7 @@
 			t.Errorf("%s: could not be sent", id)
 			continue
 		}
-		if s := answer(c); !strings.HasPrefix(s, "+OK") && !strings.HasPrefix(s, "-BUSY") {
+		if s := readReply(c); !strings.HasPrefix(s, "+OK") && !strings.HasPrefix(s, "-BUSY") {
 			t.Errorf("%s: %s", id, s)
 		}
 		c.Close()
@@ -126,26 +126,26 @@
 }
 
 // A command that is half read as its relay ends has its answer once it is whole.
-func TestHalfARequestAsARelayEnds(t *testing.T) {
+func TestPartialRequestDuringShutdown(t *testing.T) {
 	ep := newFakeEndpoint(t, nil)
 	env := testConfig(t, newFakeDiscovery(t, ep.member("s-1", 1)), 3)
-	text := putText("half", fields("plain", 8000, 1), []byte("body"))
+	text := encodePut("half", putFields("plain", 8000, 1), []byte("body"))
 	let := make(chan struct{})
 	var once sync.Once
-	h := runHere(t, env, func(point string) {
-		if point == seamLetGo {
+	h := startInProcess(t, env, func(point string) {
+		if point == failpointClientsReleased {
 			once.Do(func() { close(let) })
 		}
 	})
 	cl := dialClient(t, env["ROUTER_LISTEN"])
-	if s := cl.put("first", fields("plain", 8000, 1), nil); s != "+OK" {
+	if s := cl.put("first", putFields("plain", 8000, 1), nil); s != "+OK" {
 		t.Fatal(s)
 	}
 	io.WriteString(cl, text[:len(text)-3])
-	h.end()
+	h.shutDown()
 	<-let
 	io.WriteString(cl, text[len(text)-3:])
-	if s := answer(cl); !strings.HasPrefix(s, "+OK") && !strings.HasPrefix(s, "-BUSY") {
+	if s := readReply(cl); !strings.HasPrefix(s, "+OK") && !strings.HasPrefix(s, "-BUSY") {
 		t.Error(s)
 	}
 }
--- a/internal/relay/discovery.go
+++ b/internal/relay/discovery.go
@@ -78,7 +78,7 @@
 type discovery struct {
 	addr    string
 	base    string           // of the address that is watched now
-	moves   *mailbox[string] // further addresses, each in the place of the one before
+	moves   *Mailbox[string] // further addresses, each in the place of the one before
 	log     *slog.Logger
 	client  *http.Client
 	silence time.Duration
@@ -307,10 +307,10 @@
 type notices struct {
 	addr   string
 	url    string           // at the address that is used now
-	moves  *mailbox[string] // further addresses, each in the place of the one before
+	moves  *Mailbox[string] // further addresses, each in the place of the one before
 	log    *slog.Logger
 	client *http.Client
-	in     *mailbox[notice]
+	in     *Mailbox[notice]
 	left   []notice // not confirmed yet
 	taken  func(id string)
 	begin  func() (stop func()) // runs it; set by start
@@ -346,7 +346,7 @@
 	defer n.client.CloseIdleConnections()
 	var fresh []notice
 	for pause, wait := noticePause, noticeWait; ctx.Err() == nil; {
-		fresh = n.in.takeAll(fresh)
+		fresh = n.in.TakeAll(fresh)
 		n.left = append(n.left, fresh...)
 		if len(n.left) == 0 {
 			select {
--- a/internal/relay/discovery_fixtures_test.go
+++ b/internal/relay/discovery_fixtures_test.go
@@ -110,7 +110,7 @@
 	text := <-requests + "\n" + <-requests + "\n"
 	n := newNotices(addr, quietLog(), func(string) {})
 	for _, x := range []notice{{Message: "m-1", Outcome: core.NoticeGivenUp}, {Message: "m-2", Outcome: core.NoticeHandedBack, RetryMS: 500}} {
-		n.in.put(x)
+		n.in.Put(x)
 	}
 	start(n.run)
 	text += <-requests
--- a/internal/relay/discovery_test.go
+++ b/internal/relay/discovery_test.go
@@ -125,7 +125,7 @@
 	env := testConfig(t, d, 3)
 	c := startChild(t, env)
 	cl := dialClient(t, env["ROUTER_LISTEN"])
-	if s := cl.put("m", fields("plain", 20000, 1), nil); s != "+OK" {
+	if s := cl.put("m", putFields("plain", 20000, 1), nil); s != "+OK" {
 		t.Error(s)
 	}
 	_ = c
@@ -139,13 +139,13 @@
 	d.set(func(d *fakeDiscovery) { d.mute = true })
 	gone := old.member("s-old", 1)
 	env := testConfig(t, d, 3, gone)
-	env[firstListEnv] = "1h"
+	env[firstListTimeoutEnv] = "1h"
 	startChild(t, env)
 	cl := dialClient(t, env["ROUTER_LISTEN"])
-	if s := cl.put("m", fields("plain", 20000, 1), nil); s != "+OK" {
+	if s := cl.put("m", putFields("plain", 20000, 1), nil); s != "+OK" {
 		t.Fatal(s)
 	}
-	if s := cl.put("short", fields("plain", 50, 1), nil); s != "+OK" {
+	if s := cl.put("short", putFields("plain", 50, 1), nil); s != "+OK" {
 		t.Fatal(s)
 	}
 	waitFor(t, "the end of a message whose time is over", func() bool { n, ok := d.notice("short"); return ok && n.Outcome == core.NoticeHandedBack })
@@ -175,8 +175,8 @@
 	done := make(chan struct{})
 	go func() { defer close(done); n.run(ctx) }()
 	defer func() { cancel(); <-done }()
-	n.in.put(notice{Message: "a", Outcome: core.NoticeGivenUp, RetryMS: 0})
-	n.in.put(notice{Message: "b", Outcome: core.NoticeHandedBack, RetryMS: 500})
+	n.in.Put(notice{Message: "a", Outcome: core.NoticeGivenUp, RetryMS: 0})
+	n.in.Put(notice{Message: "b", Outcome: core.NoticeHandedBack, RetryMS: 500})
 	select {
 	case id := <-taken:
 		t.Fatalf("%s held to be told", id)
@@ -190,7 +190,7 @@
 		t.Errorf("told %+v", b)
 	}
 	d.set(func(d *fakeDiscovery) { d.answer = http.StatusBadRequest })
-	n.in.put(notice{Message: "c", Outcome: core.NoticeGivenUp, RetryMS: 0})
+	n.in.Put(notice{Message: "c", Outcome: core.NoticeGivenUp, RetryMS: 0})
 	if id := <-taken; id != "c" {
 		t.Errorf("%s in place of c", id)
 	}
@@ -215,7 +215,7 @@
 	go func() { defer close(done); n.run(ctx) }()
 	defer func() { cancel(); <-done }()
 	for _, id := range []string{"a", "b"} {
-		n.in.put(notice{Message: id, Outcome: core.NoticeGivenUp, RetryMS: 0})
+		n.in.Put(notice{Message: id, Outcome: core.NoticeGivenUp, RetryMS: 0})
 		if got := <-taken; got != id {
 			t.Fatalf("%s in place of %s", got, id)
 		}
--- a/internal/relay/endpoints.go
+++ b/internal/relay/endpoints.go
@@ -289,7 +289,7 @@
 				conn.endpoint.gate.HoldUntil(now, now+wait)
 			}
 		}
-		if resp.ContentLength > bodyMost {
+		if resp.ContentLength > maxBodySize {
 			err = errResponseTooLarge
 		} else {
 			_, err = io.Copy(io.Discard, resp.Body)
--- a/internal/relay/endpoints_test.go
+++ b/internal/relay/endpoints_test.go
@@ -312,7 +312,7 @@
 
 func TestCheckHealth(t *testing.T) {
 	for code, want := range map[int]decide.Outcome{200: decide.Delivered, 503: decide.Rejected, 404: decide.Failed} {
-		ep := newFakeEndpoint(t, status(code))
+		ep := newFakeEndpoint(t, respondStatus(code))
 		if o := checkHealth(context.Background(), testPool(t).newEndpoint(ep.addr())); o.Outcome != want {
 			t.Errorf("%d: %+v", code, o)
 		}
--- a/internal/relay/fake_test.go
+++ b/internal/relay/fake_test.go
@@ -23,24 +23,24 @@
 	"troutusher/internal/core"
 )
 
-// childEnv makes the test's own program a relay, so that a test can kill one.
-const childEnv = "TROUTUSHER_TEST_CHILD"
+// childProcessEnv makes the test's own program a relay, so that a test can kill one.
+const childProcessEnv = "TROUTUSHER_TEST_CHILD"
 
-// firstListEnv is how long a child's first calls wait for discovery, and how
+// firstListTimeoutEnv is how long a child's first calls wait for discovery, and how
 // long a watch may be silent there.
-const firstListEnv = "TROUTUSHER_TEST_FIRST_LIST"
+const firstListTimeoutEnv = "TROUTUSHER_TEST_FIRST_LIST"
 
-// crossEnv has something happen to a child at a point of the seam: POINT=WHAT. WHAT
+// failpointEnv has something happen to a child at a point of the seam: POINT=WHAT. WHAT
 // is KILL, TERM or HUP (the child has that signal, and goes on once it has been
 // heard), HUP:FILE (likewise, with the file in the configuration's place), or
 // WAIT:FILE (it stops until there is such a file, and makes FILE.at as it does).
-const crossEnv = "TROUTUSHER_TEST_CROSS"
+const failpointEnv = "TROUTUSHER_TEST_CROSS"
 
-func crossAt(text string, term context.Context, read <-chan struct{}) {
+func setFailpoint(text string, term context.Context, read <-chan struct{}) {
 	point, what, _ := strings.Cut(text, "=")
 	what, file, _ := strings.Cut(what, ":")
 	self, once := os.Getpid(), false
-	seam = func(at string) {
+	failpoint = func(at string) {
 		if at != point || once {
 			return
 		}
@@ -71,11 +71,11 @@
 	if os.Getenv(helperEnv) != "" {
 		os.Exit(helper())
 	}
-	if os.Getenv(childEnv) == "" {
+	if os.Getenv(childProcessEnv) == "" {
 		os.Exit(m.Run())
 	}
-	if d, err := time.ParseDuration(os.Getenv(firstListEnv)); err == nil {
-		firstList, discSilence = d, d
+	if d, err := time.ParseDuration(os.Getenv(firstListTimeoutEnv)); err == nil {
+		firstListTimeout, discSilence = d, d
 	}
 	log := slog.New(slog.NewTextHandler(os.Stderr, nil))
 	cfg, err := LoadConfig(os.Getenv)
@@ -92,8 +92,8 @@
 		read <- struct{}{}
 		return cfg, err
 	}}
-	if at := os.Getenv(crossEnv); at != "" {
-		crossAt(at, ctx, read)
+	if at := os.Getenv(failpointEnv); at != "" {
+		setFailpoint(at, ctx, read)
 	}
 	err = Run(cfg, log, ctx.Done(), re)
 	if err != nil {
@@ -267,26 +267,26 @@
 // fakeEndpoint answers calls by a function and keeps what came.
 type fakeEndpoint struct {
 	*httptest.Server
-	mu     sync.Mutex
-	calls  []gotCall
-	answer func(w http.ResponseWriter, r *http.Request, n int)
+	mu      sync.Mutex
+	calls   []receivedCall
+	handler func(w http.ResponseWriter, r *http.Request, n int)
 }
 
-type gotCall struct {
+type receivedCall struct {
 	id, key, timeout string
 	body             []byte
 }
 
 func newFakeEndpoint(t testing.TB, answer func(w http.ResponseWriter, r *http.Request, n int)) *fakeEndpoint {
-	e := &fakeEndpoint{answer: answer}
+	e := &fakeEndpoint{handler: answer}
 	e.Server = httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		body, err := io.ReadAll(r.Body)
 		if err != nil {
 			return
 		}
 		e.mu.Lock()
-		e.calls = append(e.calls, gotCall{r.Header.Get("X-Request-ID"), r.Header.Get("Idempotency-Key"), r.Header.Get("X-Timeout-Ms"), body})
-		n, answer := len(e.calls), e.answer
+		e.calls = append(e.calls, receivedCall{r.Header.Get("X-Request-ID"), r.Header.Get("Idempotency-Key"), r.Header.Get("X-Timeout-Ms"), body})
+		n, answer := len(e.calls), e.handler
 		e.mu.Unlock()
 		if answer != nil {
 			answer(w, r, n)
@@ -299,16 +299,16 @@
 // hang holds a call until its caller is gone.
 func hang(_ http.ResponseWriter, r *http.Request, _ int) { <-r.Context().Done() }
 
-func status(code int) func(http.ResponseWriter, *http.Request, int) {
+func respondStatus(code int) func(http.ResponseWriter, *http.Request, int) {
 	return func(w http.ResponseWriter, _ *http.Request, _ int) { w.WriteHeader(code) }
 }
 
 func (e *fakeEndpoint) addr() string { return e.Listener.Addr().String() }
 
-func (e *fakeEndpoint) then(answer func(http.ResponseWriter, *http.Request, int)) {
+func (e *fakeEndpoint) setHandler(answer func(http.ResponseWriter, *http.Request, int)) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.answer = answer
+	e.handler = answer
 }
 
 func (e *fakeEndpoint) count(id string) (n int) {
@@ -363,7 +363,7 @@
 func startChild(t testing.TB, env map[string]string) *child {
 	t.Helper()
 	c := &child{cmd: exec.Command(os.Args[0]), env: env}
-	c.cmd.Env = append(os.Environ(), childEnv+"=1")
+	c.cmd.Env = append(os.Environ(), childProcessEnv+"=1")
 	for k, v := range env {
 		c.cmd.Env = append(c.cmd.Env, k+"="+v)
 	}
@@ -372,7 +372,7 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { c.cmd.Process.Kill(); c.cmd.Wait() })
-	c.ready(t)
+	c.waitReady(t)
 	return c
 }
 
@@ -380,7 +380,7 @@
 
 func (w testWriter) Write(p []byte) (int, error) { os.Stderr.Write(p); return len(p), nil }
 
-func (c *child) ready(t testing.TB) {
+func (c *child) waitReady(t testing.TB) {
 	t.Helper()
 	waitFor(t, "PONG", func() bool {
 		conn, err := net.Dial("tcp", c.env["ROUTER_LISTEN"])
@@ -400,7 +400,7 @@
 type testClient struct {
 	t testing.TB
 	net.Conn
-	in *bufio.Reader
+	reader *bufio.Reader
 }
 
 func dialClient(t testing.TB, addr string) *testClient {
@@ -414,7 +414,7 @@
 	return &testClient{t, conn, bufio.NewReader(conn)}
 }
 
-func putText(id, fields string, body []byte) string {
+func encodePut(id, fields string, body []byte) string {
 	var b strings.Builder
 	b.WriteString("*5\r\n")
 	for _, s := range []string{"MSG.PUT", "0000000000000000", id, fields, string(body)} {
@@ -425,20 +425,20 @@
 
 func (c *testClient) put(id, fields string, body []byte) string {
 	c.t.Helper()
-	io.WriteString(c, putText(id, fields, body))
-	return c.line()
+	io.WriteString(c, encodePut(id, fields, body))
+	return c.readLine()
 }
 
-func (c *testClient) line() string {
+func (c *testClient) readLine() string {
 	c.t.Helper()
-	s, err := c.in.ReadString('\n')
+	s, err := c.reader.ReadString('\n')
 	if err != nil {
 		c.t.Fatalf("no answer: %v", err)
 	}
 	return strings.TrimSuffix(s, "\r\n")
 }
 
-func fields(class string, deadlineMS int, dest int) string {
+func putFields(class string, deadlineMS int, dest int) string {
 	s := fmt.Sprintf("c=%s,t=acme,d=%d,dest=%d", class, deadlineMS, dest)
 	if class == "keyed" {
 		s += ",k=5c0f6e1a2b3d4c59"
--- a/internal/relay/handover_packets_test.go
+++ b/internal/relay/handover_packets_test.go
@@ -21,21 +21,21 @@
 )
 
 const (
-	giverFixture = "handover/giver.txt" // a packet a line: kind, descriptors, body
-	takerFixture = "handover/taker.txt"
+	outgoingFixture = "handover/giver.txt" // a packet a line: kind, descriptors, body
+	incomingFixture = "handover/taker.txt"
 )
 
-// packet is one that went over a link, its descriptors owned by who has it.
-type packet struct {
+// recordedPacket is one that went over a link, its descriptors owned by who has it.
+type recordedPacket struct {
 	kind byte
 	fds  []int
 	body []byte
 }
 
-func (p packet) String() string { return fmt.Sprintf("%c %d %s", p.kind, len(p.fds), p.body) }
+func (p recordedPacket) String() string { return fmt.Sprintf("%c %d %s", p.kind, len(p.fds), p.body) }
 
 // packetLines reads a fixture; descriptors are counted only.
-func packetLines(t *testing.T, text string) (all []packet) {
+func packetLines(t *testing.T, text string) (all []recordedPacket) {
 	t.Helper()
 	for line := range strings.Lines(text) {
 		parts := strings.SplitN(strings.TrimSuffix(line, "\n"), " ", 3)
@@ -43,7 +43,7 @@
 		if err != nil || len(parts) != 3 || len(parts[0]) != 1 {
 			t.Fatalf("fixture: %q", line)
 		}
-		all = append(all, packet{parts[0][0], make([]int, n), []byte(parts[2])})
+		all = append(all, recordedPacket{parts[0][0], make([]int, n), []byte(parts[2])})
 	}
 	return all
 }
@@ -89,13 +89,13 @@
 }
 
 // form is what of a packet is the same in every hand-over.
-func (p packet) form(t *testing.T) string {
+func (p recordedPacket) form(t *testing.T) string {
 	return fmt.Sprintf("%c %d %s", p.kind, len(p.fds), keyPaths(t, p.body, 2))
 }
 
-// recordedScene is the hand-over that was recorded: a call that is out, a held
+// handoverScenario is the hand-over that was recorded: a call that is out, a held
 // message, a client between two commands and one in the midst of a command.
-type recordedScene struct {
+type handoverScenario struct {
 	slow, quick *fakeEndpoint
 	disc        *fakeDiscovery
 	env         map[string]string
@@ -107,9 +107,9 @@
 	addrs       *strings.Replacer // and back
 }
 
-func newRecordedScene(t *testing.T) *recordedScene {
+func newHandoverScenario(t *testing.T) *handoverScenario {
 	t.Helper()
-	s := &recordedScene{release: make(chan struct{})}
+	s := &handoverScenario{release: make(chan struct{})}
 	s.slow = newFakeEndpoint(t, func(w http.ResponseWriter, r *http.Request, _ int) {
 		select {
 		case <-s.release:
@@ -117,39 +117,39 @@
 		}
 	})
 	s.quick = newFakeEndpoint(t, nil)
-	s.disc = newFakeDiscovery(t, s.slow.member("s-1", 1), s.quick.member("s-2", 2), drainingMember("s-0", 5))
+	s.disc = newFakeDiscovery(t, s.slow.member("s-1", 1), s.quick.member("s-2", 2), unreachableMember("s-0", 5))
 	s.env = testConfig(t, s.disc, 3)
-	s.old = firstOf(t, s.env)
+	s.old = startAndWait(t, s.env)
 	s.names = strings.NewReplacer(s.slow.addr(), "slow.addr", s.quick.addr(), "quick.addr", s.disc.addr(), "disc.addr")
 	s.addrs = strings.NewReplacer("slow.addr", s.slow.addr(), "quick.addr", s.quick.addr(), "disc.addr", s.disc.addr())
 	s.cl, s.half = dialClient(t, s.env["ROUTER_LISTEN"]), dialClient(t, s.env["ROUTER_LISTEN"])
-	putOnce(t, s.cl, map[string]int{"out": 1})
+	mustSubmitOnce(t, s.cl, map[string]int{"out": 1})
 	waitFor(t, "the call", func() bool { return s.slow.count("out") == 1 })
 	io.WriteString(s.half, "*1\r\n$4\r\nPING\r\n")
-	s.half.line()
-	text := putText("half", fields("keyed", 20000, 2), []byte("two"))
+	s.half.readLine()
+	text := encodePut("half", putFields("keyed", 20000, 2), []byte("two"))
 	s.rest = text[len(text)-4:]
 	io.WriteString(s.half, strings.TrimSuffix(text, s.rest))
-	putOnce(t, s.cl, map[string]int{"held": 5}) // answered after the half command was read
+	mustSubmitOnce(t, s.cl, map[string]int{"held": 5}) // answered after the half command was read
 	return s
 }
 
-// takeAll has the old process hand over to the test, and returns its packets.
-func (s *recordedScene) takeAll(t *testing.T) (k *taker, all []packet) {
+// receiveAll has the old process hand over to the test, and returns its packets.
+func (s *handoverScenario) receiveAll(t *testing.T) (k *testSuccessor, all []recordedPacket) {
 	t.Helper()
-	k = newTaker(t, s.env["ROUTER_STATE"])
+	k = newTestSuccessor(t, s.env["ROUTER_STATE"])
 	by := time.Now().Add(10 * time.Second)
-	if err := k.link.Send(pktTake, nil, by); err != nil {
+	if err := k.conn.Send(packetRequest, nil, by); err != nil {
 		t.Fatal(err)
 	}
 	for {
-		p, err := k.link.Receive(by)
+		p, err := k.conn.Receive(by)
 		if err != nil {
 			t.Fatal(err)
 		}
 		k.fds = append(k.fds, p.FDs...)
-		all = append(all, packet{p.Kind, p.FDs, []byte(s.names.Replace(string(p.Body)))})
-		if p.Kind == pktEnd {
+		all = append(all, recordedPacket{p.Kind, p.FDs, []byte(s.names.Replace(string(p.Body)))})
+		if p.Kind == packetEnd {
 			return k, all
 		}
 	}
@@ -160,8 +160,8 @@
 	frozenText = regexp.MustCompile(`"frozen":\d+`)
 )
 
-// renew makes a recorded state one of this moment: its clocks go on from now.
-func (s *recordedScene) renew(t *testing.T, state []byte) []byte {
+// rebaseClocks makes a recorded state one of this moment: its clocks go on from now.
+func (s *handoverScenario) rebaseClocks(t *testing.T, state []byte) []byte {
 	t.Helper()
 	var at struct {
 		Core struct {
@@ -174,12 +174,12 @@
 		t.Fatal(err)
 	}
 	text := s.addrs.Replace(string(state))
-	text = monoText.ReplaceAllString(text, fmt.Sprintf(`"mono":%d`, mono()-at.Core.Policy.Now))
-	return []byte(frozenText.ReplaceAllString(text, fmt.Sprintf(`"frozen":%d`, mono())))
+	text = monoText.ReplaceAllString(text, fmt.Sprintf(`"mono":%d`, monotonicMicros()-at.Core.Policy.Now))
+	return []byte(frozenText.ReplaceAllString(text, fmt.Sprintf(`"frozen":%d`, monotonicMicros())))
 }
 
-// halfAt is which of the clients is in the midst of a command.
-func halfAt(t *testing.T, conns []byte) int {
+// partialCommandIndex is which of the clients is in the midst of a command.
+func partialCommandIndex(t *testing.T, conns []byte) int {
 	t.Helper()
 	var all []front.ConnSnapshot
 	if err := json.Unmarshal(conns, &all); err != nil {
@@ -198,17 +198,17 @@
 // sends packets of the recorded form, and a starting one takes the recorded packets
 // over, byte for byte but for clocks and addresses, with real descriptors, and
 // answers in the recorded words.
-func TestRecordedHandOver(t *testing.T) {
-	s := newRecordedScene(t)
-	k, sent := s.takeAll(t)
-	if os.Getenv(recordEnv) != "" {
+func TestRecordedHandover(t *testing.T) {
+	s := newHandoverScenario(t)
+	k, sent := s.receiveAll(t)
+	if os.Getenv(updateFixturesEnv) != "" {
 		var text strings.Builder
 		for _, p := range sent {
 			fmt.Fprintln(&text, p)
 		}
-		sameAsRecorded(t, giverFixture, text.String())
+		compareWithFixture(t, outgoingFixture, text.String())
 	}
-	was := packetLines(t, recorded(t, giverFixture))
+	was := packetLines(t, readFixture(t, outgoingFixture))
 	if len(was) != len(sent) {
 		t.Fatalf("%d packets, %d are recorded", len(sent), len(was))
 	}
@@ -218,19 +218,19 @@
 		}
 		was[i].fds = sent[i].fds
 		switch was[i].kind {
-		case pktState:
-			was[i].body = s.renew(t, was[i].body)
-		case pktConns:
-			if a, b := halfAt(t, was[i].body), halfAt(t, sent[i].body); a != b {
+		case packetState:
+			was[i].body = s.rebaseClocks(t, was[i].body)
+		case packetClients:
+			if a, b := partialCommandIndex(t, was[i].body), partialCommandIndex(t, sent[i].body); a != b {
 				was[i].fds[a], was[i].fds[b] = was[i].fds[b], was[i].fds[a]
 			}
-		case pktLock:
-			k.lock.adopt(os.NewFile(uintptr(sent[i].fds[0]), lockName))
+		case packetLock:
+			k.lock.adopt(os.NewFile(uintptr(sent[i].fds[0]), lockFileName))
 			k.fds = k.fds[:len(k.fds)-1]
 		}
 	}
 	by := time.Now().Add(20 * time.Second)
-	if err := k.link.Send(pktMine, nil, by); err != nil {
+	if err := k.conn.Send(packetClaim, nil, by); err != nil {
 		t.Fatal(err)
 	}
 
@@ -239,7 +239,7 @@
 		t.Fatal(err)
 	}
 	defer ln.Close()
-	fresh := another(t, s.env)
+	fresh := startPeer(t, s.env)
 	l, err := ln.Accept()
 	if err != nil {
 		t.Fatal(err)
@@ -254,7 +254,7 @@
 		fmt.Fprintf(&heard, "%c %d %s\n", p.Kind, len(p.FDs), regexp.MustCompile(`"pid":\d+`).ReplaceAll(p.Body, []byte(`"pid":1`)))
 	}
 	hear()
-	if err := l.Send(pktHello, []byte(`{"form":2,"pid":1}`), by); err != nil {
+	if err := l.Send(packetHello, []byte(`{"form":2,"pid":1}`), by); err != nil {
 		t.Fatal(err)
 	}
 	hear()
@@ -270,49 +270,49 @@
 	k.fds = nil
 	k.lock.close()
 	hear()
-	sameAsRecorded(t, takerFixture, heard.String())
-	if err := k.link.Send(pktServing, nil, by); err != nil {
+	compareWithFixture(t, incomingFixture, heard.String())
+	if err := k.conn.Send(packetServing, nil, by); err != nil {
 		t.Fatal(err)
 	}
 	if err := <-s.old.exited; err != nil {
 		t.Errorf("the old process: %v", err)
 	}
-	s.goesOn(t, fresh)
+	s.checkTakenOver(t, fresh)
 }
 
-// goesOn checks that a process has taken the scene over.
-func (s *recordedScene) goesOn(t *testing.T, fresh *child) {
+// checkTakenOver checks that a process has taken the scene over.
+func (s *handoverScenario) checkTakenOver(t *testing.T, fresh *child) {
 	t.Helper()
-	waitFor(t, "yes", fresh.yes)
-	if got := s.cl.put("after", fields("once", 8000, 2), nil); got != "+OK" {
+	waitFor(t, "yes", fresh.isReady)
+	if got := s.cl.put("after", putFields("once", 8000, 2), nil); got != "+OK" {
 		t.Errorf("on a kept connection: %s", got)
 	}
 	io.WriteString(s.half, s.rest)
-	if got := s.half.line(); got != "+OK" {
+	if got := s.half.readLine(); got != "+OK" {
 		t.Errorf("half a command: %s", got)
 	}
 	close(s.release)
 	line := change(7, s.quick.member("s-5", 5))
 	waitFor(t, "what was held", func() bool { s.disc.sayToAll(line); return s.quick.count("held") == 1 })
-	waitFor(t, "all to end", func() bool { return figures(t, fresh.console())["current"] == 0 })
-	got := figures(t, fresh.console())
+	waitFor(t, "all to end", func() bool { return readStats(t, fresh.console())["current"] == 0 })
+	got := readStats(t, fresh.console())
 	if n := s.slow.count("out"); n != 1 || got["answered.once"] != 3 || got["errored.once"] != 0 {
 		t.Errorf("the call that was out went out %d times; figures %v", n, got)
 	}
 }
 
 // What is read from recorded packets and written again is the same to the byte.
-func TestRecordedPacketsAreWrittenAsTheyWere(t *testing.T) {
-	for _, p := range packetLines(t, recorded(t, giverFixture)+recorded(t, takerFixture)) {
+func TestRecordedPacketsRoundTrip(t *testing.T) {
+	for _, p := range packetLines(t, readFixture(t, outgoingFixture)+readFixture(t, incomingFixture)) {
 		var v any
 		switch p.kind {
-		case pktHello:
-			v = &linkHello{}
-		case pktState:
-			v = &handed{}
-		case pktConns:
+		case packetHello:
+			v = &helloBody{}
+		case packetState:
+			v = &handoverState{}
+		case packetClients:
 			v = &[]front.ConnSnapshot{}
-		case pktCalls:
+		case packetCalls:
 			v = &[]string{}
 		default:
 			if len(p.body) > 0 {
@@ -330,12 +330,12 @@
 }
 
 // Fields that the recorded hand-over left empty, and the kinds of packet.
-func TestFormOfPackets(t *testing.T) {
+func TestPacketEncoding(t *testing.T) {
 	for want, v := range map[string]any{
-		`{"form":2,"pid":7}`: linkHello{Form: linkForm, PID: 7},
-		`{"core":{"members":null,"named":null,"calls":null,"worth":null,"policy":null},"mono":-5,"frozen":6,"agent":"a:1","again":true}`: handed{
-			Core: &core.HandoverState{}, Mono: -5, Frozen: 6, Agent: "a:1", Again: true},
-		`{"core":null,"mono":0}`: handed{},
+		`{"form":2,"pid":7}`: helloBody{Version: handoverVersion, PID: 7},
+		`{"core":{"members":null,"named":null,"calls":null,"worth":null,"policy":null},"mono":-5,"frozen":6,"agent":"a:1","again":true}`: handoverState{
+			Core: &core.HandoverState{}, ClockOrigin: -5, ClientsPausedAt: 6, DiscoveryAddr: "a:1", ReloadRequested: true},
+		`{"core":null,"mono":0}`: handoverState{},
 		`[{"ahead":"aGFsZg==","out":"b3V0","place":{"Known":true,"Spoke":true,"Asked":3,"Left":-4}},{"place":{"Known":false,"Spoke":false,"Asked":0,"Left":0}}]`: []front.ConnSnapshot{
 			{FD: 9, Unprocessed: []byte("half"), Unwritten: []byte("out"), Slot: places.Snapshot{Known: true, Spoke: true, Asked: 3, Left: -4}}, {}},
 	} {
@@ -343,11 +343,11 @@
 			t.Errorf("%v\n got %s\nwant %s", err, got, want)
 		}
 	}
-	kinds := string([]byte{pktHello, pktTake, pktRefuse, pktPart, pktState, pktListen, pktConns, pktLock, pktCalls, pktEnd, pktMine, pktServing})
+	kinds := string([]byte{packetHello, packetRequest, packetReject, packetPart, packetState, packetListeners, packetClients, packetLock, packetCalls, packetEnd, packetClaim, packetServing})
 	if kinds != "HTNpSLCFKEMR" {
 		t.Errorf("kinds of packet: %s", kinds)
 	}
-	if lockName != "relay.lock" || link.Name != "relay.sock" || link.BodyMost != 32<<10 || link.FDsMost != 64 {
-		t.Errorf("lock %s, link %s, %d bytes and %d descriptors a packet", lockName, link.Name, link.BodyMost, link.FDsMost)
+	if lockFileName != "relay.lock" || link.SocketName != "relay.sock" || link.MaxBodySize != 32<<10 || link.MaxDescriptors != 64 {
+		t.Errorf("lock %s, link %s, %d bytes and %d descriptors a packet", lockFileName, link.SocketName, link.MaxBodySize, link.MaxDescriptors)
 	}
 }
--- a/internal/relay/handover_test.go
+++ b/internal/relay/handover_test.go
@@ -21,17 +21,17 @@
 	"troutusher/internal/takeover/link"
 )
 
-// drainingMember names a destination that nobody serves for now.
-func drainingMember(id string, cell int) core.Member {
+// unreachableMember names a destination that nobody serves for now.
+func unreachableMember(id string, cell int) core.Member {
 	return core.Member{ID: id, HostPort: "127.0.0.1:1", Cell: cell, Phase: core.Draining}
 }
 
 // programEnv names the program that a relay is started from; unset for the tests' own.
 const programEnv = "TROUTUSHER_TEST_PROGRAM"
 
-// another starts a relay beside those that are there, at a console of its own,
+// startPeer starts a relay beside those that are there, at a console of its own,
 // and does not wait for it.
-func another(t *testing.T, env map[string]string) *child {
+func startPeer(t *testing.T, env map[string]string) *child {
 	t.Helper()
 	own := map[string]string{}
 	for k, v := range env {
@@ -39,7 +39,7 @@
 	}
 	own["ROUTER_CONSOLE"] = freeAddr(t)
 	c := &child{cmd: exec.Command(cmp.Or(env[programEnv], os.Args[0])), env: own, exited: make(chan error, 1)}
-	c.cmd.Env = append(os.Environ(), childEnv+"=1")
+	c.cmd.Env = append(os.Environ(), childProcessEnv+"=1")
 	for k, v := range own {
 		c.cmd.Env = append(c.cmd.Env, k+"="+v)
 	}
@@ -54,16 +54,16 @@
 
 func (c *child) console() string { return c.env["ROUTER_CONSOLE"] }
 
-func (c *child) yes() bool {
+func (c *child) isReady() bool {
 	s, err := callConsole(c.console(), "READY")
 	return err == nil && strings.HasPrefix(s, "YES")
 }
 
-// putOnce hands in unsafe messages for destinations, which must be taken on.
-func putOnce(t *testing.T, cl *testClient, dests map[string]int) {
+// mustSubmitOnce hands in unsafe messages for destinations, which must be taken on.
+func mustSubmitOnce(t *testing.T, cl *testClient, dests map[string]int) {
 	t.Helper()
 	for id, dest := range dests {
-		if s := cl.put(id, fields("once", 20000, dest), nil); s != "+OK" {
+		if s := cl.put(id, putFields("once", 20000, dest), nil); s != "+OK" {
 			t.Fatalf("%s: %s", id, s)
 		}
 	}
@@ -72,17 +72,17 @@
 // upgrade starts a process beside another and waits until it has taken over.
 func upgrade(t *testing.T, old *child) *child {
 	t.Helper()
-	c := another(t, old.env)
-	waitFor(t, "the new process's yes", c.yes)
+	c := startPeer(t, old.env)
+	waitFor(t, "the new process's yes", c.isReady)
 	if err := <-old.exited; err != nil {
 		t.Errorf("the old process: %v", err)
 	}
 	return c
 }
 
-func firstOf(t *testing.T, env map[string]string) *child {
-	c := another(t, env)
-	waitFor(t, "yes", c.yes)
+func startAndWait(t *testing.T, env map[string]string) *child {
+	c := startPeer(t, env)
+	waitFor(t, "yes", c.isReady)
 	return c
 }
 
@@ -118,28 +118,28 @@
 		}
 	})
 	quick := newFakeEndpoint(t, nil)
-	gone := drainingMember("s-0", 5)
+	gone := unreachableMember("s-0", 5)
 	disc := newFakeDiscovery(t, slow.member("s-1", 1), quick.member("s-2", 2), waits.member("s-3", 3), busy.member("s-4", 4), gone)
 	env := testConfig(t, disc, 3)
 	env[programEnv] = from
-	old := firstOf(t, env)
+	old := startAndWait(t, env)
 	cl, half := dialClient(t, env["ROUTER_LISTEN"]), dialClient(t, env["ROUTER_LISTEN"])
-	putOnce(t, cl, map[string]int{"out": 1, "wait": 3, "busy": 4})
-	if s := cl.put("held", fields("plain", 20000, 5), []byte("body")); s != "+OK" { // nobody serves 5 yet
+	mustSubmitOnce(t, cl, map[string]int{"out": 1, "wait": 3, "busy": 4})
+	if s := cl.put("held", putFields("plain", 20000, 5), []byte("body")); s != "+OK" { // nobody serves 5 yet
 		t.Fatal(s)
 	}
 	waitFor(t, "the calls", func() bool { return slow.count("out") == 1 && busy.count("busy") == 1 && told.Load() > 0 })
-	text := putText("half", fields("keyed", 20000, 2), []byte("two\r\nlines"))
+	text := encodePut("half", putFields("keyed", 20000, 2), []byte("two\r\nlines"))
 	io.WriteString(half, text[:len(text)-9])
-	waitFor(t, "the wait's answer", func() bool { return figures(t, old.console())["current"] == 4 })
+	waitFor(t, "the wait's answer", func() bool { return readStats(t, old.console())["current"] == 4 })
 
 	old.env[programEnv] = to
 	fresh := upgrade(t, old)
-	if s := cl.put("after", fields("plain", 8000, 2), nil); s != "+OK" {
+	if s := cl.put("after", putFields("plain", 8000, 2), nil); s != "+OK" {
 		t.Errorf("on a kept connection: %s", s)
 	}
 	io.WriteString(half, text[len(text)-9:])
-	if s := half.line(); s != "+OK" {
+	if s := half.readLine(); s != "+OK" {
 		t.Errorf("half a command: %s", s)
 	}
 	waitFor(t, "both", func() bool { return quick.count("after") == 1 && quick.count("half") == 1 })
@@ -159,8 +159,8 @@
 	m := other.member("s-5", 5)
 	disc.say(t, change(7, m))
 	waitFor(t, "the held one", func() bool { return other.count("held") == 1 })
-	waitFor(t, "all to end", func() bool { return figures(t, fresh.console())["current"] == 0 })
-	got := figures(t, fresh.console())
+	waitFor(t, "all to end", func() bool { return readStats(t, fresh.console())["current"] == 0 })
+	got := readStats(t, fresh.console())
 	if n := busy.count("busy"); n != 2 {
 		t.Errorf("one that never ran went out %d times, want 2", n)
 	}
@@ -176,11 +176,11 @@
 
 // Again and again, also during a drain and with discovery silent: each process
 // takes over from the one before, and the clients' connection lasts.
-func TestUpgradesBackToBack(t *testing.T) {
+func TestConsecutiveUpgrades(t *testing.T) {
 	ep := newFakeEndpoint(t, nil)
 	disc := newFakeDiscovery(t, ep.member("s-1", 1))
 	env := testConfig(t, disc, 3)
-	now := firstOf(t, env)
+	now := startAndWait(t, env)
 	cl := dialClient(t, env["ROUTER_LISTEN"])
 	stop := make(chan struct{})
 	var sum sync.WaitGroup
@@ -194,8 +194,8 @@
 				return
 			default:
 			}
-			io.WriteString(cl, putText(fmt.Sprintf("m%d", n), fields("once", 20000, 1), nil))
-			if s, err := cl.in.ReadString('\n'); err != nil || s != "+OK\r\n" {
+			io.WriteString(cl, encodePut(fmt.Sprintf("m%d", n), putFields("once", 20000, 1), nil))
+			if s, err := cl.reader.ReadString('\n'); err != nil || s != "+OK\r\n" {
 				t.Errorf("m%d: %q %v", n, s, err)
 				return
 			}
@@ -214,7 +214,7 @@
 	if n < 20 {
 		t.Errorf("only %d messages", n)
 	}
-	waitFor(t, "all to end", func() bool { return figures(t, now.console())["current"] == 0 })
+	waitFor(t, "all to end", func() bool { return readStats(t, now.console())["current"] == 0 })
 	for i := range n { // each has one end; at this speed some are handed back
 		id := fmt.Sprintf("m%d", i)
 		calls := ep.count(id)
@@ -231,84 +231,84 @@
 	now = upgrade(t, now)
 	c := dialClient(t, env["ROUTER_LISTEN"])
 	io.WriteString(c, "*1\r\n$4\r\nPING\r\n")
-	if s := c.line(); s != "+PONG" {
+	if s := c.readLine(); s != "+PONG" {
 		t.Errorf("after an upgrade during a drain: %s", s)
 	}
 }
 
-// taker is the other process of a hand-over, as far as a test wants it to get.
-type taker struct {
+// testSuccessor is the other process of a hand-over, as far as a test wants it to get.
+type testSuccessor struct {
 	t     *testing.T
-	link  *link.Link
+	conn  *link.Conn
 	lock  *stateLock
-	state handed
+	state handoverState
 	fds   []int
 }
 
-func newTaker(t *testing.T, dir string) *taker {
+func newTestSuccessor(t *testing.T, dir string) *testSuccessor {
 	t.Helper()
-	l, err := greet(dir, time.Now().Add(10*time.Second))
+	l, err := connectToOwner(dir, time.Now().Add(10*time.Second))
 	if err != nil {
 		t.Fatal(err)
 	}
-	k := &taker{t: t, link: l}
+	k := &testSuccessor{t: t, conn: l}
 	if k.lock, err = openLock(dir); err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(k.die)
+	t.Cleanup(k.close)
 	return k
 }
 
 // receive takes everything, or so many packets.
-func (k *taker) receive(most int) {
+func (k *testSuccessor) receive(most int) {
 	k.t.Helper()
 	by := time.Now().Add(10 * time.Second)
-	if err := k.link.Send(pktTake, nil, by); err != nil {
+	if err := k.conn.Send(packetRequest, nil, by); err != nil {
 		k.t.Fatal(err)
 	}
 	var body []byte
 	for range most {
-		p, err := k.link.Receive(by)
+		p, err := k.conn.Receive(by)
 		if err != nil {
 			k.t.Fatal(err)
 		}
 		k.fds = append(k.fds, p.FDs...)
 		body = append(body, p.Body...)
 		switch p.Kind {
-		case pktPart:
+		case packetPart:
 			continue
-		case pktLock: // held by both from here on
+		case packetLock: // held by both from here on
 			k.fds = k.fds[:len(k.fds)-1]
-			k.lock.adopt(os.NewFile(uintptr(p.FDs[0]), lockName))
-		case pktState:
+			k.lock.adopt(os.NewFile(uintptr(p.FDs[0]), lockFileName))
+		case packetState:
 			if err := json.Unmarshal(body, &k.state); err != nil {
 				k.t.Fatal(err)
 			}
-		case pktEnd:
+		case packetEnd:
 			return
 		}
 		body = body[:0]
 	}
 }
 
-// die is what a killed process's end looks like to others.
-func (k *taker) die() {
+// close is what a killed process's end looks like to others.
+func (k *testSuccessor) close() {
 	for _, fd := range k.fds {
 		syscall.Close(fd)
 	}
 	k.fds = nil
-	k.link.Close()
+	k.conn.Close()
 	k.lock.close()
 }
 
 // The new process dies before it says that the work is its own, at each point:
 // the old one serves on as if nothing had happened.
-func TestTakerDiesBeforeItOwns(t *testing.T) {
-	for name, far := range map[string]func(k *taker){
-		"greeted":                func(k *taker) {},
-		"asked":                  func(k *taker) { k.link.Send(pktTake, nil, time.Now().Add(time.Second)) },
-		"in the middle":          func(k *taker) { k.receive(1) },
-		"with all, and the lock": func(k *taker) { k.receive(1000) },
+func TestSuccessorDiesBeforeClaim(t *testing.T) {
+	for name, far := range map[string]func(k *testSuccessor){
+		"greeted":                func(k *testSuccessor) {},
+		"asked":                  func(k *testSuccessor) { k.conn.Send(packetRequest, nil, time.Now().Add(time.Second)) },
+		"in the middle":          func(k *testSuccessor) { k.receive(1) },
+		"with all, and the lock": func(k *testSuccessor) { k.receive(1000) },
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
@@ -322,45 +322,45 @@
 			quick := newFakeEndpoint(t, nil)
 			disc := newFakeDiscovery(t, slow.member("s-1", 1), quick.member("s-2", 2))
 			env := testConfig(t, disc, 3)
-			old := firstOf(t, env)
+			old := startAndWait(t, env)
 			cl := dialClient(t, env["ROUTER_LISTEN"])
-			if s := cl.put("out", fields("once", 20000, 1), nil); s != "+OK" {
+			if s := cl.put("out", putFields("once", 20000, 1), nil); s != "+OK" {
 				t.Fatal(s)
 			}
 			waitFor(t, "the call", func() bool { return slow.count("out") == 1 })
-			k := newTaker(t, env["ROUTER_STATE"])
+			k := newTestSuccessor(t, env["ROUTER_STATE"])
 			far(k)
-			k.die()
-			waitFor(t, "it to serve on", old.yes)
-			if s := cl.put("after", fields("once", 8000, 2), nil); s != "+OK" {
+			k.close()
+			waitFor(t, "it to serve on", old.isReady)
+			if s := cl.put("after", putFields("once", 8000, 2), nil); s != "+OK" {
 				t.Errorf("on the kept connection: %s", s)
 			}
 			waitFor(t, "the message after it", func() bool { return quick.count("after") == 1 })
 			close(release)
-			waitFor(t, "both to end", func() bool { return figures(t, old.console())["answered.once"] == 2 })
+			waitFor(t, "both to end", func() bool { return readStats(t, old.console())["answered.once"] == 2 })
 			if n := slow.count("out"); n != 1 {
 				t.Errorf("the call that was out went out %d times", n)
 			}
 			fresh := upgrade(t, old) // and the next one is taken seriously
-			if s := cl.put("last", fields("once", 8000, 2), nil); s != "+OK" {
+			if s := cl.put("last", putFields("once", 8000, 2), nil); s != "+OK" {
 				t.Errorf("after the next upgrade: %s", s)
 			}
-			waitFor(t, "the last", func() bool { return figures(t, fresh.console())["answered.once"] == 1 })
+			waitFor(t, "the last", func() bool { return readStats(t, fresh.console())["answered.once"] == 1 })
 		})
 	}
 }
 
 // The new process dies after it said that the work is its own, and before it
 // serves: the old one starts anew from the log, as after a kill.
-func TestTakerDiesOnceItOwns(t *testing.T) {
+func TestSuccessorDiesAfterClaim(t *testing.T) {
 	quick, slow := newFakeEndpoint(t, nil), newFakeEndpoint(t, hang)
-	disc := newFakeDiscovery(t, slow.member("s-1", 1), drainingMember("s-0", 5))
+	disc := newFakeDiscovery(t, slow.member("s-1", 1), unreachableMember("s-0", 5))
 	env := testConfig(t, disc, 3)
-	old := firstOf(t, env)
+	old := startAndWait(t, env)
 	cl := dialClient(t, env["ROUTER_LISTEN"])
-	putOnce(t, cl, map[string]int{"out": 1, "held": 5})
+	mustSubmitOnce(t, cl, map[string]int{"out": 1, "held": 5})
 	waitFor(t, "the call", func() bool { return slow.count("out") == 1 })
-	k := newTaker(t, env["ROUTER_STATE"])
+	k := newTestSuccessor(t, env["ROUTER_STATE"])
 	k.receive(1000)
 	if len(k.state.Core.Calls) != 1 || k.state.Core.Calls[0].Message != "out" {
 		t.Errorf("calls: %+v", k.state.Core.Calls)
@@ -368,11 +368,11 @@
 	if !k.lock.held {
 		t.Error("the lock did not come")
 	}
-	if err := k.link.Send(pktMine, nil, time.Now().Add(time.Second)); err != nil {
+	if err := k.conn.Send(packetClaim, nil, time.Now().Add(time.Second)); err != nil {
 		t.Fatal(err)
 	}
-	k.die()
-	waitFor(t, "it to serve anew", old.yes)
+	k.close()
+	waitFor(t, "it to serve anew", old.isReady)
 	waitFor(t, "the end of what may have run", func() bool { n, ok := disc.notice("out"); return ok && n.Outcome == "given_up" })
 	disc.say(t, change(7, quick.member("s-5", 5)))
 	waitFor(t, "what never ran", func() bool { return quick.count("held") == 1 })
@@ -383,23 +383,23 @@
 
 // The old process is killed while the new one waits for it: the new one starts
 // from the log. So it does where a dead process has left lock and socket.
-func TestGiverIsKilled(t *testing.T) {
+func TestPredecessorIsKilled(t *testing.T) {
 	quick, slow := newFakeEndpoint(t, nil), newFakeEndpoint(t, hang)
-	disc := newFakeDiscovery(t, slow.member("s-1", 1), drainingMember("s-0", 5))
+	disc := newFakeDiscovery(t, slow.member("s-1", 1), unreachableMember("s-0", 5))
 	env := testConfig(t, disc, 3)
-	old := firstOf(t, env)
+	old := startAndWait(t, env)
 	cl := dialClient(t, env["ROUTER_LISTEN"])
-	putOnce(t, cl, map[string]int{"out": 1, "held": 5})
+	mustSubmitOnce(t, cl, map[string]int{"out": 1, "held": 5})
 	waitFor(t, "the call", func() bool { return slow.count("out") == 1 })
 	old.cmd.Process.Signal(syscall.SIGSTOP) // it answers nothing
-	fresh := another(t, env)
+	fresh := startPeer(t, env)
 	waitFor(t, "the new process", func() bool { _, err := callConsole(fresh.console(), "READY"); return err == nil })
 	if s, _ := callConsole(fresh.console(), "READY"); !strings.HasPrefix(s, "NO") {
 		t.Errorf("READY while the old process owns the work: %q", s)
 	}
 	old.cmd.Process.Kill()
-	waitFor(t, "yes", fresh.yes)
-	if _, err := os.Stat(filepath.Join(env["ROUTER_STATE"], lockName)); err != nil {
+	waitFor(t, "yes", fresh.isReady)
+	if _, err := os.Stat(filepath.Join(env["ROUTER_STATE"], lockFileName)); err != nil {
 		t.Error(err)
 	}
 	waitFor(t, "the end of what may have run", func() bool { n, ok := disc.notice("out"); return ok && n.Outcome == "given_up" })
@@ -412,14 +412,14 @@
 
 // The disk is nearly full when another process takes over: all that is owed
 // still is, and the folder stays under its limit.
-func TestUpgradeWithAFullDisk(t *testing.T) {
-	disc := newFakeDiscovery(t, drainingMember("s-0", 5))
+func TestUpgradeWithFullDisk(t *testing.T) {
+	disc := newFakeDiscovery(t, unreachableMember("s-0", 5))
 	env := testConfig(t, disc, 1)
-	old := firstOf(t, env)
+	old := startAndWait(t, env)
 	cl := dialClient(t, env["ROUTER_LISTEN"])
 	taken := int64(0)
 	for i := range 40 {
-		if s := cl.put(fmt.Sprintf("m%d", i), fields("plain", 20000, 5), []byte(strings.Repeat("b", bodyMost))); s == "+OK" {
+		if s := cl.put(fmt.Sprintf("m%d", i), putFields("plain", 20000, 5), []byte(strings.Repeat("b", maxBodySize))); s == "+OK" {
 			taken++
 		}
 	}
@@ -428,7 +428,7 @@
 	}
 	for range 3 {
 		old = upgrade(t, old)
-		if got := figures(t, old.console())["current"]; got != taken {
+		if got := readStats(t, old.console())["current"]; got != taken {
 			t.Errorf("%d messages are held, %d were taken on", got, taken)
 		}
 		if size := folderSize(t, env["ROUTER_STATE"]); size > 1<<20 {
@@ -452,7 +452,7 @@
 
 // The old process is told to end in the middle of it, or has been already: the
 // new one takes over what it holds and has out.
-func TestUpgradeOfOneThatEnds(t *testing.T) {
+func TestUpgradeDuringShutdown(t *testing.T) {
 	release := make(chan struct{})
 	slow := newFakeEndpoint(t, func(w http.ResponseWriter, r *http.Request, _ int) {
 		select {
@@ -460,29 +460,29 @@
 		case <-r.Context().Done():
 		}
 	})
-	disc := newFakeDiscovery(t, slow.member("s-1", 1), drainingMember("s-0", 5))
+	disc := newFakeDiscovery(t, slow.member("s-1", 1), unreachableMember("s-0", 5))
 	env := testConfig(t, disc, 3)
-	old := firstOf(t, env)
+	old := startAndWait(t, env)
 	cl := dialClient(t, env["ROUTER_LISTEN"])
-	putOnce(t, cl, map[string]int{"out": 1, "held": 5})
+	mustSubmitOnce(t, cl, map[string]int{"out": 1, "held": 5})
 	waitFor(t, "the call", func() bool { return slow.count("out") == 1 })
 	old.cmd.Process.Signal(syscall.SIGTERM)
 	fresh := upgrade(t, old)
 	close(release)
-	waitFor(t, "the call's end", func() bool { return figures(t, fresh.console())["answered.once"] == 1 })
-	if n, held := slow.count("out"), figures(t, fresh.console())["current"]; n != 1 || held != 1 {
+	waitFor(t, "the call's end", func() bool { return readStats(t, fresh.console())["answered.once"] == 1 })
+	if n, held := slow.count("out"), readStats(t, fresh.console())["current"]; n != 1 || held != 1 {
 		t.Errorf("went out %d times, %d held", n, held)
 	}
 }
 
 // Two new processes at once: one takes over, the other takes over from it, and
 // in the end one serves.
-func TestTwoNewProcessesAtOnce(t *testing.T) {
+func TestTwoSuccessorsAtOnce(t *testing.T) {
 	ep := newFakeEndpoint(t, nil)
 	env := testConfig(t, newFakeDiscovery(t, ep.member("s-1", 1)), 3)
-	old := firstOf(t, env)
+	old := startAndWait(t, env)
 	cl := dialClient(t, env["ROUTER_LISTEN"])
-	a, b := another(t, env), another(t, env)
+	a, b := startPeer(t, env), startPeer(t, env)
 	if err := <-old.exited; err != nil {
 		t.Errorf("the old process: %v", err)
 	}
@@ -499,8 +499,8 @@
 			t.Errorf("the first new one: %v", err)
 		}
 	}
-	waitFor(t, "yes", left.yes)
-	if s := cl.put("m", fields("once", 8000, 1), nil); s != "+OK" {
+	waitFor(t, "yes", left.isReady)
+	if s := cl.put("m", putFields("once", 8000, 1), nil); s != "+OK" {
 		t.Errorf("on the kept connection: %s", s)
 	}
 	waitFor(t, "the message", func() bool { return ep.count("m") == 1 })
@@ -508,7 +508,7 @@
 
 // Where an older program serves, which knows nothing of the lock, a new one
 // ends at once, and does not touch its log.
-func TestOlderProgramServes(t *testing.T) {
+func TestOlderProgramHoldsAddress(t *testing.T) {
 	disc := newFakeDiscovery(t)
 	env := testConfig(t, disc, 3)
 	ln, err := net.Listen("tcp", env["ROUTER_LISTEN"]) // as an older program has it
@@ -520,7 +520,7 @@
 	if err := os.WriteFile(log, []byte("a log that is in use"), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	c := another(t, env)
+	c := startPeer(t, env)
 	if err := <-c.exited; err == nil || c.cmd.ProcessState.ExitCode() != 1 {
 		t.Errorf("exit: %v", err)
 	}
@@ -530,7 +530,7 @@
 }
 
 // A packet that makes no sense is refused and leaves no descriptor open.
-func FuzzHanded(f *testing.F) {
+func FuzzHandoverPacket(f *testing.F) {
 	for _, s := range []string{`S{"core":{"members":[]}}`, `C[{"place":{}}]`, `K["a"]`, "L", "E", "N", "x", `S{"core":null}`, `K{}`} {
 		f.Add([]byte(s))
 	}
@@ -538,12 +538,12 @@
 		if len(in) == 0 {
 			return
 		}
-		h := &inheritance{calls: map[string]int{}}
-		err := h.take(in[0], in[1:], nil)
-		if err == nil && in[0] == pktEnd && h.Core == nil {
+		h := &inheritedState{calls: map[string]int{}}
+		err := h.addPacket(in[0], in[1:], nil)
+		if err == nil && in[0] == packetEnd && h.Core == nil {
 			t.Fatal("an end without a state is believed")
 		}
-		if len(h.conns)+len(h.calls)+len(h.listeners) > 0 {
+		if len(h.clients)+len(h.calls)+len(h.listeners) > 0 {
 			t.Fatalf("descriptors out of nothing: %+v", h)
 		}
 	})
@@ -551,26 +551,26 @@
 
 // The list in the configuration may be older than what the process before has
 // heard: an endpoint that drained is not sent to because that one names it.
-func TestUpgradeKeepsADrain(t *testing.T) {
+func TestUpgradeKeepsDrain(t *testing.T) {
 	gone, stays := newFakeEndpoint(t, nil), newFakeEndpoint(t, nil)
 	d := newFakeDiscovery(t)
 	d.set(func(d *fakeDiscovery) { d.mute = true })
 	drains := gone.member("s-1", 1)
 	env := testConfig(t, d, 3, drains, stays.member("s-2", 1))
-	now := firstOf(t, env)
+	now := startAndWait(t, env)
 	drains.Phase = core.Draining
 	line, err := json.Marshal(List{Revision: 9, Members: []core.Member{drains}})
 	if err != nil {
 		t.Fatal(err)
 	}
 	d.say(t, string(line))
-	waitFor(t, "the drain", func() bool { return figures(t, now.console())["cluster_unhealthy"] == 1 })
+	waitFor(t, "the drain", func() bool { return readStats(t, now.console())["cluster_unhealthy"] == 1 })
 	d.set(func(d *fakeDiscovery) { d.silent = true })
 	upgrade(t, now)
 	cl := dialClient(t, env["ROUTER_LISTEN"])
 	for i := range 12 {
 		id := fmt.Sprintf("m%d", i)
-		if s := cl.put(id, fields("plain", 20000, 1), nil); s != "+OK" {
+		if s := cl.put(id, putFields("plain", 20000, 1), nil); s != "+OK" {
 			t.Fatal(s)
 		}
 		waitFor(t, "the call of "+id, func() bool { return gone.count(id)+stays.count(id) == 1 })
--- a/internal/relay/idle_bench_test.go
+++ b/internal/relay/idle_bench_test.go
@@ -18,23 +18,23 @@
 	"troutusher/internal/core"
 )
 
-// BenchmarkListed starts a relay with one core whose list names so many
+// BenchmarkEndpointList starts a relay with one core whose list names so many
 // destinations, hands in messages to a few of them, and has the whole list come
 // once more meanwhile. Figures of docs/measurements/idle.md:
 //
 //	go test -run '^$' -bench Listed -benchtime 1x -timeout 20m ./internal/relay
-func BenchmarkListed(b *testing.B) {
+func BenchmarkEndpointList(b *testing.B) {
 	for _, n := range []int{1000, 100_000, 1_000_000} {
 		for _, awake := range []string{"1024", "-1"} {
 			if n > 100_000 && awake == "-1" {
 				continue // in the core alone: minutes go by here
 			}
-			b.Run(fmt.Sprintf("%d/awake=%s", n, awake), func(b *testing.B) { listed(b, n, awake) })
+			b.Run(fmt.Sprintf("%d/awake=%s", n, awake), func(b *testing.B) { benchmarkEndpointList(b, n, awake) })
 		}
 	}
 }
 
-func listed(b *testing.B, n int, awake string) {
+func benchmarkEndpointList(b *testing.B, n int, awake string) {
 	ep := newFakeEndpoint(b, nil)
 	l := List{Revision: 1, Complete: true}
 	for i := range n {
@@ -88,7 +88,7 @@
 	put := func() time.Duration {
 		num++
 		began := time.Now()
-		if s := cl.put(fmt.Sprint("m-", num), fields("plain", 20000, num%20), nil); s != "+OK" {
+		if s := cl.put(fmt.Sprint("m-", num), putFields("plain", 20000, num%20), nil); s != "+OK" {
 			b.Fatalf("%s", s)
 		}
 		return time.Since(began)
@@ -102,7 +102,7 @@
 	}
 	waitFor(b, "the list", func() bool {
 		num++
-		return cl.put(fmt.Sprint("m-", num), fields("plain", 20000, num%20), nil) == "+OK"
+		return cl.put(fmt.Sprint("m-", num), putFields("plain", 20000, num%20), nil) == "+OK"
 	})
 	puts(3 * time.Second)
 	resident := func() float64 {
--- a/internal/relay/keep_test.go
+++ b/internal/relay/keep_test.go
@@ -14,7 +14,7 @@
 // A wait that was told holds across a kill, to its end: what was learned lies in
 // the state folder beside the log. A file of another relay is set aside, and the
 // relay starts.
-func TestWaitOutlastsAKill(t *testing.T) {
+func TestRetryAfterSurvivesKill(t *testing.T) {
 	const wait = 3 * time.Second
 	var mu sync.Mutex
 	var told, next time.Time
@@ -34,7 +34,7 @@
 	d := newFakeDiscovery(t, ep.member("s-1", 1))
 	env := testConfig(t, d, 3, ep.member("s-1", 1))
 	c := startChild(t, env)
-	if s := dialClient(t, env["ROUTER_LISTEN"]).put("m", fields("plain", 20000, 1), nil); s != "+OK" {
+	if s := dialClient(t, env["ROUTER_LISTEN"]).put("m", putFields("plain", 20000, 1), nil); s != "+OK" {
 		t.Fatal(s)
 	}
 	path := filepath.Join(env["ROUTER_STATE"], learned.Name)
@@ -48,7 +48,7 @@
 	})
 	c.kill()
 	c = startChild(t, env)
-	if s := dialClient(t, env["ROUTER_LISTEN"]).put("m2", fields("plain", 20000, 1), nil); s != "+OK" {
+	if s := dialClient(t, env["ROUTER_LISTEN"]).put("m2", putFields("plain", 20000, 1), nil); s != "+OK" {
 		t.Fatal(s)
 	}
 	waitFor(t, "both to be delivered", func() bool { return ep.count("m") == 2 && ep.count("m2") == 1 })
@@ -67,7 +67,7 @@
 		t.Fatal(err)
 	}
 	startChild(t, env)
-	if s := dialClient(t, env["ROUTER_LISTEN"]).put("m3", fields("plain", 20000, 1), nil); s != "+OK" {
+	if s := dialClient(t, env["ROUTER_LISTEN"]).put("m3", putFields("plain", 20000, 1), nil); s != "+OK" {
 		t.Fatal(s)
 	}
 	waitFor(t, "the third", func() bool { return ep.count("m3") == 1 })
--- a/internal/relay/loop.go
+++ b/internal/relay/loop.go
@@ -28,59 +28,59 @@
 	"troutusher/internal/tally"
 )
 
-const clockStart = decide.Time(3600e6) // of the core's clock: sends of an earlier process lie before it
+const coreClockOrigin = decide.Time(3600e6) // of the core's clock: sends of an earlier process lie before it
 
-// firstList is how long the first calls wait for discovery; clients wait for
+// firstListTimeout is how long the first calls wait for discovery; clients wait for
 // nothing. Tests alone change it.
-var firstList = 300 * time.Millisecond
+var firstListTimeout = 300 * time.Millisecond
 
-// happening is something that the loop is told.
-type happening struct {
+// loopInput is something that the loop is told.
+type loopInput struct {
 	core.Event
-	config *Config // a new one
-	taking *taking // another process is ready to take over
+	config   *Config          // a new one
+	handover *handoverRequest // another process is ready to take over
 }
 
 // Relay is one running relay.
 type Relay struct {
-	cfg       *Config
-	log       *slog.Logger
-	core      *core.Core
-	in        *mailbox[happening]
-	wal       *wal
-	notices   *notices
-	discovery *discovery
-	agent     string // the address that both of them use
-	duty      *duties
-	board     *console.Stats
-	seen      time.Time // when the endpoints avoided were last counted
-	began     time.Time
-	longest   time.Duration // of the steps since the last tally
-	homes     map[decide.EndpointID]*Endpoint
-	events    []core.Event
-	effects   []core.Effect
-	pool      *Pool
-	partners  *secure.Partners                // nil without TLS
-	shown     atomic.Pointer[secure.Partners] // the same, for the console
-	out       InFlight
-	got       []happening
-	taking    *taking
-	taker     takeover.Taker
-	lock      *stateLock
-	keeper    *keeper      // nil where nothing is kept
-	members   *members     // nil where discovery alone says who is there
-	watched   atomic.Value // the address of discovery, a string, for it
-	frozen    int64        // when the clients were last read, on the system's monotonic clock
-	asked     atomic.Int64 // how often the configuration was to be read again
-	told      int64        // of them, as another process was told of
-	re        Reload
-	passed    map[string]int // calls that the process before had out, by message
-	closeLog  func()
-	stop      <-chan struct{}
-	ctx       context.Context
+	cfg               *Config
+	log               *slog.Logger
+	core              *core.Core
+	inbox             *Mailbox[loopInput]
+	wal               *wal
+	notices           *notices
+	discovery         *discovery
+	discoveryAddr     string // the address that both of them use
+	lifecycle         *processLifecycle
+	board             *console.Stats
+	endpointStatsAt   time.Time // when the endpoints avoided were last counted
+	startedAt         time.Time
+	longestStep       time.Duration // of the steps since the last tally
+	endpoints         map[decide.EndpointID]*Endpoint
+	events            []core.Event
+	effects           []core.Effect
+	pool              *Pool
+	tlsPeers          *secure.Partners                // nil without TLS
+	consoleTLSPeers   atomic.Pointer[secure.Partners] // the same, for the console
+	inFlight          InFlight
+	received          []loopInput
+	pendingHandover   *handoverRequest
+	incoming          takeover.Incoming
+	lock              *stateLock
+	stateSaver        *stateSaver  // nil where nothing is kept
+	members           *members     // nil where discovery alone says who is there
+	watchedAddr       atomic.Value // the address of discovery, a string, for it
+	clientsPausedAt   int64        // when the clients were last read, on the system's monotonic clock
+	reloadsRequested  atomic.Int64 // how often the configuration was to be read again
+	reloadsHandedOver int64        // of them, as another process was told of
+	reload            Reload
+	inheritedCalls    map[string]int // calls that the process before had out, by message
+	closeLog          func()
+	stop              <-chan struct{}
+	ctx               context.Context
 }
 
-func (r *Relay) now() decide.Time { return clockStart + time.Since(r.began).Microseconds() }
+func (r *Relay) now() decide.Time { return coreClockOrigin + time.Since(r.startedAt).Microseconds() }
 
 // Run serves until stop is closed and the end is made, until another process has
 // taken the work over, or something fails that a relay cannot go on without.
@@ -89,7 +89,7 @@
 func Run(cfg *Config, log *slog.Logger, stop <-chan struct{}, re Reload) error {
 	for {
 		asked, err := run(cfg, log, stop, re)
-		if !errors.Is(err, errStartAnew) {
+		if !errors.Is(err, errRestartFromLog) {
 			return err
 		}
 		log.Warn("hand-over: the process that took over is gone, starting from the log")
@@ -108,28 +108,28 @@
 func run(cfg *Config, log *slog.Logger, stop <-chan struct{}, re Reload) (asked bool, err error) {
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
-	r := &Relay{cfg: cfg, log: log, in: newMailbox[happening](), began: time.Now(), ctx: ctx, stop: stop, re: re, homes: map[decide.EndpointID]*Endpoint{},
-		duty: &duties{}, board: console.NewStats(classNames(cfg))}
-	defer func() { asked = r.asked.Load() > 0 }()
+	r := &Relay{cfg: cfg, log: log, inbox: newMailbox[loopInput](), startedAt: time.Now(), ctx: ctx, stop: stop, reload: re, endpoints: map[decide.EndpointID]*Endpoint{},
+		lifecycle: &processLifecycle{}, board: console.NewStats(classNames(cfg))}
+	defer func() { asked = r.reloadsRequested.Load() > 0 }()
 	if cfg.Console != "" { // it answers from the first moment on
-		con, err := console.Listen(cfg.Console, r.calls(), log)
+		con, err := console.Listen(cfg.Console, r.consoleCalls(), log)
 		if err != nil {
 			return false, err
 		}
 		defer con.Close()
 		go con.Serve()
 	}
-	set := core.Settings{Policy: cfg.Policy, Seed: cfg.Seed, Epoch: r.began.UnixMicro() - clockStart,
+	set := core.Settings{Policy: cfg.Policy, Seed: cfg.Seed, Epoch: r.startedAt.UnixMicro() - coreClockOrigin,
 		TracesPerSecond: cfg.Stories, Passivation: cfg.Rest, Zones: cfg.zones, Kinds: cfg.kinds, Classes: cfg.classes, Tenants: cfg.tenants}
 	if len(cfg.TLS) > 0 {
-		r.partners, err = secure.New(secure.Options{Rules: cfg.TLS, Handshakes: cfg.Handshakes, Log: log, Seed: cfg.Seed, State: cfg.State, Barred: r.barred})
+		r.tlsPeers, err = secure.New(secure.Options{Rules: cfg.TLS, Handshakes: cfg.Handshakes, Log: log, Seed: cfg.Seed, State: cfg.State, Barred: r.identityRejected})
 		if err != nil {
 			return false, err
 		}
-		set.ConnectionCost = r.partners.Opening
-		r.shown.Store(r.partners)
-		defer r.partners.Save(cfg.State)
-		go r.partners.Run(ctx)
+		set.ConnectionCost = r.tlsPeers.Opening
+		r.consoleTLSPeers.Store(r.tlsPeers)
+		defer r.tlsPeers.Save(cfg.State)
+		go r.tlsPeers.Run(ctx)
 	}
 	r.core, err = core.New(set)
 	if err != nil {
@@ -152,28 +152,28 @@
 	if cfg.Known != nil {
 		follow.Know(cfg.Known.Revision)
 	}
-	r.discovery = newDiscovery(cfg.Discovery, log, follow, func(l *List) { r.in.put(happening{Event: news(l)}) })
+	r.discovery = newDiscovery(cfg.Discovery, log, follow, func(l *List) { r.inbox.Put(loopInput{Event: listEvent(l)}) })
 	if cfg.Etcd != nil {
-		if err := r.merge(); err != nil {
+		if err := r.mergeSources(); err != nil {
 			return false, err
 		}
 	}
 	r.discovery.end = unwatch
 	r.discovery.most = cmp.Or(cfg.ListMost, listMost)
 	go r.discovery.run(watch)
-	r.agent = cfg.Discovery
+	r.discoveryAddr = cfg.Discovery
 	go r.follow(ctx, re)
 
 	if r.lock, err = openLock(cfg.State); err != nil {
 		return false, err
 	}
 	defer r.lock.close()
-	list := sync.OnceValue(r.firstList)
+	list := sync.OnceValue(r.collectFirstLists)
 	if r.members != nil { // what discovery says goes through the view, once that has begun
 		list = func() []core.Event { return nil }
 	}
 	heard := false
-	inherited, err := r.claim(func() { list(); heard = true })
+	inherited, err := r.acquireState(func() { list(); heard = true })
 	if err != nil {
 		return false, err
 	}
@@ -181,7 +181,7 @@
 	opt.Logger = log
 	opt.DeferListen = true // until all is there that an answer takes
 	if inherited == nil {
-		inherited = &inheritance{}
+		inherited = &inheritedState{}
 	}
 	defer inherited.close()
 	for i, fd := range inherited.listeners {
@@ -193,31 +193,31 @@
 		opt.InheritedListeners = append(opt.InheritedListeners, ln)
 	}
 	inherited.listeners = nil
-	if inherited.Frozen > 0 {
-		opt.UnreadSince = time.Now().Add(-time.Duration(max(mono()-inherited.Frozen, 0)) * time.Microsecond)
+	if inherited.ClientsPausedAt > 0 {
+		opt.UnreadSince = time.Now().Add(-time.Duration(max(monotonicMicros()-inherited.ClientsPausedAt, 0)) * time.Microsecond)
 	}
 	// Before the log is touched: who has the address may be a relay that knows
 	// of no lock.
-	listen := func() (*clients, error) {
-		return newClients(cfg, opt, func(q *request) { r.tell(core.Event{Kind: core.Submitted, Request: &q.Request}) },
-			func(q *request, ok bool) { r.tell(core.Event{Kind: core.ReplyDelivered, Request: &q.Request, OK: ok}) },
+	listen := func() (*clientServer, error) {
+		return newClientServer(cfg, opt, func(q *request) { r.post(core.Event{Kind: core.Submitted, Request: &q.Request}) },
+			func(q *request, ok bool) { r.post(core.Event{Kind: core.ReplyDelivered, Request: &q.Request, OK: ok}) },
 			append([]string{cfg.Listen}, cfg.Operator.Listen...)...)
 	}
 	cl, err := listen()
 	// The system takes lock, link and address from a process that dies one after
 	// the other: who has heard of its end by the first may find the last still held.
-	for end := time.Now().Add(addressWait); errors.Is(err, syscall.EADDRINUSE) && len(opt.InheritedListeners) == 0 && time.Now().Before(end); cl, err = listen() {
-		cross(seamInUse)
-		time.Sleep(lockPause)
+	for end := time.Now().Add(addressInUseTimeout); errors.Is(err, syscall.EADDRINUSE) && len(opt.InheritedListeners) == 0 && time.Now().Before(end); cl, err = listen() {
+		hitFailpoint(failpointAddressInUse)
+		time.Sleep(lockRetryInterval)
 	}
 	if err != nil {
 		return false, err
 	}
-	cl.duty, cl.late = r.duty, r.board.AddShed
-	r.passed = inherited.calls
-	r.keeper = newKeeper(r)
+	cl.lifecycle, cl.countShed = r.lifecycle, r.board.AddShed
+	r.inheritedCalls = inherited.calls
+	r.stateSaver = newStateSaver(r)
 	disk := int64(cfg.Limits.DiskMB) << 20
-	wal, owed, err := openWAL(cfg.State, disk-r.keeper.reserve(disk), func(id string) bool { _, ok := inherited.calls[id]; return ok }, log)
+	wal, owed, err := openWAL(cfg.State, disk-r.stateSaver.diskReserve(disk), func(id string) bool { _, ok := inherited.calls[id]; return ok }, log)
 	if err != nil {
 		return false, err
 	}
@@ -230,86 +230,86 @@
 	defer func() { r.notices.halt() }()
 
 	if inherited.Core == nil {
-		known, shift := r.keeper.read()
+		known, shift := r.stateSaver.load()
 		newer := known != nil && (cfg.Known == nil || known.Revision > cfg.Known.Revision) // it has heard more
 		if !newer || known.Partial {
-			r.book(r.knownList())
+			r.observe(r.configuredList())
 		}
 		if newer {
 			kind := decide.ListCached
 			if known.Partial {
 				kind = decide.ListDelta
 			}
-			r.book([]core.Event{{Kind: core.EndpointListUpdated, List: known.EndpointList(), News: kind}})
+			r.observe([]core.Event{{Kind: core.EndpointListUpdated, List: known.EndpointList(), News: kind}})
 		}
 		if heard || cfg.Known == nil && known == nil { // without any list there is nothing to serve on, and nobody is let in
-			r.book(list())
+			r.observe(list())
 		} else {
 			r.core.DeferSends()
-			go r.awaitList()
+			go r.awaitFirstList()
 		}
 		if known != nil {
-			r.carryOut(r.core.RestoreState(r.now(), known, shift, r.effects[:0]))
+			r.execute(r.core.RestoreState(r.now(), known, shift, r.effects[:0]))
 		}
-		r.carryOut(r.core.RecoverMessages(r.now(), owed, nil, 0, r.effects[:0]))
+		r.execute(r.core.RecoverMessages(r.now(), owed, nil, 0, r.effects[:0]))
 	} else {
-		r.carryOut(r.core.RecoverMessages(r.now(), owed, inherited.Core, inherited.Mono-(mono()-r.now()), r.effects[:0]))
+		r.execute(r.core.RecoverMessages(r.now(), owed, inherited.Core, inherited.ClockOrigin-(monotonicMicros()-r.now()), r.effects[:0]))
 		heard := list()
-		r.book(r.newer(heard, inherited))
-		if inherited.Again {
+		r.observe(r.dropStaleLists(heard, inherited))
+		if inherited.ReloadRequested {
 			r.readAgain()
 		}
 	}
-	cross(seamTakenUp)
+	hitFailpoint(failpointIncomingRecovered)
 	if r.members != nil {
 		r.members.seed(r.core.SnapshotState(r.now()).EndpointList())
 		go r.members.run(watch)
 		go r.members.help(watch)
 	}
 	r.step()
-	kept := cl.front.Import(inherited.conns)
-	inherited.conns = nil
-	cross(seamAdopted)
-	if err := cl.front.Listen(); err != nil {
+	kept := cl.server.Import(inherited.clients)
+	inherited.clients = nil
+	hitFailpoint(failpointIncomingClientsAdopted)
+	if err := cl.server.Listen(); err != nil {
 		return false, err
 	}
 	failed := make(chan error, 1)
-	go func() { failed <- cl.front.Run() }()
-	defer cl.front.Close()
+	go func() { failed <- cl.server.Run() }()
+	defer cl.server.Close()
 	go func() {
 		<-stop
-		r.tell(core.Event{Kind: core.ShutdownRequested})
+		r.post(core.Event{Kind: core.ShutdownRequested})
 	}()
-	r.duty.open(cl.front)
-	if inherited.link != nil {
-		r.taker.Step(takeover.Up)
-		cross(seamUp)
-		if err := inherited.link.Send(pktServing, nil, time.Now().Add(sendWait)); err != nil {
+	r.lifecycle.startServing(cl.server)
+	if inherited.conn != nil {
+		r.incoming.Step(takeover.ReadyToServe)
+		hitFailpoint(failpointIncomingServing)
+		if err := inherited.conn.Send(packetServing, nil, time.Now().Add(packetTimeout)); err != nil {
 			log.Warn("hand-over: the process before did not hear that it may end", "err", err)
 		}
-		inherited.link.Close()
-		inherited.link = nil
+		inherited.conn.Close()
+		inherited.conn = nil
 	}
 	ln, err := link.Listen(cfg.State)
 	if err != nil { // it serves; only an upgrade will not work
 		log.Error("hand-over: cannot be offered", "err", err)
 	} else {
 		defer ln.Close()
-		go r.offer(ln)
+		go r.acceptHandovers(ln)
 	}
-	log.Info(story.Ready, "name", cfg.Name, "listen", cl.front.Addr().String(), "endpoints", r.core.EndpointCount(), "owed", len(owed), "log", wal.found,
+	log.Info(story.Ready, "name", cfg.Name, "listen", cl.server.Addr().String(), "endpoints", r.core.EndpointCount(), "owed", len(owed), "log", wal.found,
 		"handed_over", inherited.Core != nil, "clients", kept)
-	err = r.loop(cl, failed)
-	if err == errGiven {
+	err = r.eventLoop(cl, failed)
+	if err == errHandoverComplete {
 		return false, nil
 	}
 	if err == nil {
-		r.keeper.last()
+		r.stateSaver.saveFinal()
 	}
 	return false, err
 }
 
-func news(l *List) core.Event {
+func listEvent(l *List) core.Event {
 	kind := decide.ListDelta
 	if l.Complete {
 		kind = decide.ListFull
@@ -317,28 +317,28 @@
 	return core.Event{Kind: core.EndpointListUpdated, List: l, News: kind}
 }
 
-func (r *Relay) tell(e core.Event) { r.in.put(happening{Event: e}) }
+func (r *Relay) post(e core.Event) { r.inbox.Put(loopInput{Event: e}) }
 
-// book has the core take events in without a decision.
-func (r *Relay) book(events []core.Event) {
-	r.carryOut(r.core.Observe(r.now(), events, r.effects[:0]))
+// observe has the core take events in without a decision.
+func (r *Relay) observe(events []core.Event) {
+	r.execute(r.core.Observe(r.now(), events, r.effects[:0]))
 }
 
-// knownList is the list in the configuration.
-func (r *Relay) knownList() (lists []core.Event) {
+// configuredList is the list in the configuration.
+func (r *Relay) configuredList() (lists []core.Event) {
 	if r.cfg.Known != nil {
 		lists = append(lists, core.Event{Kind: core.EndpointListUpdated, List: r.cfg.Known, News: decide.ListCached})
 	}
 	return lists
 }
 
-// awaitList waits a while for discovery's first word: the list in the
+// awaitFirstList waits a while for discovery's first word: the list in the
 // configuration may be old, and an endpoint that drained since must not be sent
 // to. Where discovery is silent, or turns the relay away, the old one has to do.
 // Calls alone wait for it. Clients are served meanwhile: they give up after
 // 0.4 s, and count their messages' time from when they sent them.
-func (r *Relay) awaitList() {
-	limit := time.NewTimer(firstList)
+func (r *Relay) awaitFirstList() {
+	limit := time.NewTimer(firstListTimeout)
 	defer limit.Stop()
 	select {
 	case <-r.discovery.first: // what it said of the list came before
@@ -348,16 +348,16 @@
 		return
 	}
 	if r.members != nil {
-		r.members.after(func() { r.tell(core.Event{Kind: core.Started}) })
+		r.members.after(func() { r.post(core.Event{Kind: core.Started}) })
 		return
 	}
-	r.tell(core.Event{Kind: core.Started})
+	r.post(core.Event{Kind: core.Started})
 }
 
-// merge has discovery's words go through a view that etcd's go through as well.
-func (r *Relay) merge() (err error) {
+// mergeSources has discovery's words go through a view that etcd's go through as well.
+func (r *Relay) mergeSources() (err error) {
 	d := r.discovery
-	r.members, err = newMembers(r.cfg.Etcd, r.cfg.State, r.log, r.tell, func() { d.moves.put(r.watched.Load().(string)) })
+	r.members, err = newMembers(r.cfg.Etcd, r.cfg.State, r.log, r.post, func() { d.moves.Put(r.watchedAddr.Load().(string)) })
 	if err != nil {
 		return err
 	}
@@ -365,17 +365,17 @@
 		r.members.put(r.members.registry, &membership.Word{Epoch: d.epoch(), Revision: l.Revision, Whole: l.Complete, Members: l.Members})
 	}
 	d.life = func() { r.members.put(r.members.registry, nil) }
-	r.watched.Store(r.cfg.Discovery)
+	r.watchedAddr.Store(r.cfg.Discovery)
 	return nil
 }
 
-// newer leaves out lists that the process before has heard later ones than, from
+// dropStaleLists leaves out lists that the process before has heard later ones than, from
 // the same agent: what has drained since is not up again. What is left out is had
 // once more, whole, in case the registry has begun anew.
-func (r *Relay) newer(lists []core.Event, before *inheritance) []core.Event {
+func (r *Relay) dropStaleLists(lists []core.Event, before *inheritedState) []core.Event {
 	switch {
-	case before.Agent == r.agent:
-	case before.Again: // it had moved, and this one will
+	case before.DiscoveryAddr == r.discoveryAddr:
+	case before.ReloadRequested: // it had moved, and this one will
 		return nil
 	default:
 		return lists // another's versions are its own
@@ -383,32 +383,32 @@
 	all := len(lists)
 	lists = slices.DeleteFunc(lists, func(e core.Event) bool { return e.List.Revision < r.core.ListRevision() })
 	if len(lists) < all {
-		r.discovery.moves.put(r.agent)
+		r.discovery.moves.Put(r.discoveryAddr)
 	}
 	return lists
 }
 
-// firstList is the same for a process that is to take over from another one,
+// collectFirstLists is the same for a process that is to take over from another one,
 // which serves meanwhile, or that has no list: it returns what was heard. The list
 // in the configuration is not among it, since the other's is newer.
-func (r *Relay) firstList() (lists []core.Event) {
-	limit := time.NewTimer(firstList)
+func (r *Relay) collectFirstLists() (lists []core.Event) {
+	limit := time.NewTimer(firstListTimeout)
 	defer limit.Stop()
 	first := r.discovery.first
 	if r.cfg.Known == nil {
 		first = nil // without any list there is nothing to serve on
 	}
-	var got []happening
+	var got []loopInput
 	for heard := false; ; {
 		select {
-		case <-r.in.ready:
+		case <-r.inbox.ready:
 		case <-first: // what it said of the list came before
 			first, heard = nil, true
 		case <-limit.C:
 			r.log.Warn("discovery is silent: the list that is known is used")
 			return lists
 		}
-		got = r.in.takeAll(got)
+		got = r.inbox.TakeAll(got)
 		for _, h := range got {
 			switch {
 			case h.config != nil:
@@ -424,9 +424,9 @@
 	}
 }
 
-// loop is the one goroutine that the core belongs to: it hands over what has
+// eventLoop is the one goroutine that the core belongs to: it hands over what has
 // happened and carries out what is to be done.
-func (r *Relay) loop(cl *clients, failed <-chan error) error {
+func (r *Relay) eventLoop(cl *clientServer, failed <-chan error) error {
 	timer := time.NewTimer(time.Hour)
 	defer timer.Stop()
 	listening, told := true, false
@@ -440,22 +440,22 @@
 			wait = min(wait, 20*time.Millisecond)
 		}
 		if r.cfg.Console != "" {
-			wait = min(wait, boardWait)
+			wait = min(wait, endpointStatsInterval)
 		}
-		if at := r.keeper.look(r.now()); at > 0 {
+		if at := r.stateSaver.saveIfDue(r.now()); at > 0 {
 			wait = min(wait, time.Duration(at-r.now()+1)*time.Microsecond)
 		}
 		timer.Reset(max(wait, 0))
 		select {
-		case <-r.in.ready:
+		case <-r.inbox.ready:
 		case <-timer.C:
 		case err := <-failed:
 			return err
 		}
-		r.turn()
-		if t := r.taking; t != nil {
-			r.taking = nil
-			if err := r.give(t, cl); err != nil {
+		r.processInbox()
+		if t := r.pendingHandover; t != nil {
+			r.pendingHandover = nil
+			if err := r.handOver(t, cl); err != nil {
 				return err
 			}
 		}
@@ -465,38 +465,38 @@
 		}
 		if !told && !r.core.KeepsClientConnections(r.now()) {
 			told = true
-			cross(seamLetGo)
-			r.duty.stop()
+			hitFailpoint(failpointClientsReleased)
+			r.lifecycle.stop()
 		}
 		if listening && gone >= core.CloseListenerAfter {
 			listening = false
-			cross(seamUnlisten)
-			cl.front.CloseListeners()
+			hitFailpoint(failpointListenersClosing)
+			cl.server.CloseListeners()
 		}
 		if told && !listening && quiet == nil {
 			// The front reads on until it has nothing open: a request that it had read
 			// as this process ended would have no answer.
 			done := make(chan struct{})
 			quiet = done
-			cl.front.Shutdown(func() { close(done); r.in.put(happening{}) })
+			cl.server.Shutdown(func() { close(done); r.inbox.Put(loopInput{}) })
 		}
 		idle := isClosed(quiet) && r.core.UnansweredRequests() == 0 && r.core.OpenCalls() == 0 && (r.core.HeldMessages() == 0 || gone >= core.StopSendsAfter)
 		if !idle && gone >= core.AbandonCallsAfter && !isClosed(quiet) { // half a command, maybe
 			done := make(chan struct{})
-			cl.front.Pause(func() { close(done) })
-			r.pump(func() bool { return isClosed(done) && r.core.UnansweredRequests() == 0 }, stopQuiet)
+			cl.server.Pause(func() { close(done) })
+			r.processUntil(func() bool { return isClosed(done) && r.core.UnansweredRequests() == 0 }, lastReplyTimeout)
 		}
 		if idle || gone >= core.AbandonCallsAfter {
-			cross(seamEnd)
+			hitFailpoint(failpointProcessEnd)
 			r.log.Info(story.Stopped, "held", r.core.HeldMessages(), "calls", r.core.OpenCalls())
 			return nil
 		}
 	}
 }
 
-// stopQuiet is how long requests that were read have for their answers, once a
+// lastReplyTimeout is how long requests that were read have for their answers, once a
 // process is out of time.
-const stopQuiet = 200 * time.Millisecond
+const lastReplyTimeout = 200 * time.Millisecond
 
 // isClosed reports whether a channel is closed on which nothing is sent.
 func isClosed(c chan struct{}) bool {
@@ -510,53 +510,53 @@
 
 // Points between two steps at which something else may happen.
 const (
-	seamLetGo    = "clients are let go"
-	seamUnlisten = "nobody new is let in"
-	seamEnd      = "the process ends"
-	seamInUse    = "the address is in use"
+	failpointClientsReleased  = "clients are let go"
+	failpointListenersClosing = "nobody new is let in"
+	failpointProcessEnd       = "the process ends"
+	failpointAddressInUse     = "the address is in use"
 
 	// Of a hand-over, the side that serves.
-	seamAsked   = "give: asked"
-	seamQuiet   = "give: requests are answered"
-	seamStill   = "give: all is at rest"
-	seamState   = "give: the state is sent"
-	seamListen  = "give: the listeners are sent"
-	seamConns   = "give: the clients are sent"
-	seamCalls   = "give: the calls are sent"
-	seamLock    = "give: the lock is sent"
-	seamSent    = "give: all is sent"
-	seamOthers  = "give: it is the other's"
-	seamLetOver = "give: let go"
+	failpointOutgoingRequested        = "give: asked"
+	failpointOutgoingRequestsAnswered = "give: requests are answered"
+	failpointOutgoingQuiesced         = "give: all is at rest"
+	failpointOutgoingStateSent        = "give: the state is sent"
+	failpointOutgoingListenersSent    = "give: the listeners are sent"
+	failpointOutgoingClientsSent      = "give: the clients are sent"
+	failpointOutgoingCallsSent        = "give: the calls are sent"
+	failpointOutgoingLockSent         = "give: the lock is sent"
+	failpointOutgoingAllSent          = "give: all is sent"
+	failpointOutgoingClaimed          = "give: it is the other's"
+	failpointOutgoingReleased         = "give: let go"
 	// And the side that starts.
-	seamLinked  = "take: linked"
-	seamHeard   = "take: the list is heard"
-	seamWhole   = "take: all has come"
-	seamLocked  = "take: the lock is held"
-	seamMine    = "take: said mine"
-	seamTakenUp = "take: taken up"
-	seamAdopted = "take: clients are adopted"
-	seamUp      = "take: serves"
+	failpointIncomingConnected      = "take: linked"
+	failpointIncomingListReceived   = "take: the list is heard"
+	failpointIncomingAllReceived    = "take: all has come"
+	failpointIncomingLockAdopted    = "take: the lock is held"
+	failpointIncomingClaimSent      = "take: said mine"
+	failpointIncomingRecovered      = "take: taken up"
+	failpointIncomingClientsAdopted = "take: clients are adopted"
+	failpointIncomingServing        = "take: serves"
 )
 
-// seam is called at such a point. Tests alone set it, before a relay runs.
-var seam func(point string)
+// failpoint is called at such a point. Tests alone set it, before a relay runs.
+var failpoint func(point string)
 
-func cross(point string) {
-	if seam != nil {
-		seam(point)
+func hitFailpoint(point string) {
+	if failpoint != nil {
+		failpoint(point)
 	}
 }
 
-// turn hands over what has happened so far.
-func (r *Relay) turn() {
-	r.got = r.in.takeAll(r.got)
+// processInbox hands over what has happened so far.
+func (r *Relay) processInbox() {
+	r.received = r.inbox.TakeAll(r.received)
 	r.events = r.events[:0]
-	for i := range r.got {
-		switch h := &r.got[i]; {
+	for i := range r.received {
+		switch h := &r.received[i]; {
 		case h.config != nil:
 			r.reconfigure(h.config)
-		case h.taking != nil:
-			r.taking = h.taking // there is one at a time
+		case h.handover != nil:
+			r.pendingHandover = h.handover // there is one at a time
 		case h.Kind != 0:
 			r.events = append(r.events, h.Event)
 		}
@@ -567,124 +567,124 @@
 // step lets the core decide on what has happened.
 func (r *Relay) step() {
 	began := time.Now()
-	defer func() { r.longest = max(r.longest, time.Since(began)) }()
-	r.carryOut(r.core.Step(r.now(), r.events, r.effects[:0]))
+	defer func() { r.longestStep = max(r.longestStep, time.Since(began)) }()
+	r.execute(r.core.Step(r.now(), r.events, r.effects[:0]))
 	clear(r.events)
-	r.show()
+	r.updateBoard()
 }
 
-// carryOut does what the core says, in its order.
-func (r *Relay) carryOut(fx []core.Effect) {
+// execute does what the core says, in its order.
+func (r *Relay) execute(fx []core.Effect) {
 	for i := range fx {
-		r.do(&fx[i])
+		r.executeEffect(&fx[i])
 	}
 	clear(fx)
 	r.effects = fx[:0]
 }
 
-func (r *Relay) do(e *core.Effect) {
+func (r *Relay) executeEffect(e *core.Effect) {
 	switch e.Kind {
 	case core.SendReply:
-		handle(e.Request).answer(text(e.Reply))
+		requestOf(e.Request).answer(replyText(e.Reply))
 	case core.AppendRecord:
 		r.wal.submit(e.Record, nil)
 	case core.AppendThenReply:
 		q := e.Request
 		r.wal.submit(e.Record, func(err error) {
 			if err != nil {
-				r.tell(core.Event{Kind: core.LogWriteFailed, Request: q})
+				r.post(core.Event{Kind: core.LogWriteFailed, Request: q})
 				return
 			}
-			handle(q).answer(replyOK)
+			requestOf(q).answer(replyOK)
 		})
 	case core.AppendThenSend:
-		r.send(e.Record, e.Call)
+		r.startCall(e.Record, e.Call)
 	case core.AppendThenNotify:
 		n := e.Notice
 		// The notice goes out whether or not it could be logged.
-		r.wal.submit(e.Record, func(error) { r.notices.in.put(n) })
+		r.wal.submit(e.Record, func(error) { r.notices.in.Put(n) })
 	case core.SendNotice:
-		r.notices.in.put(e.Notice)
+		r.notices.in.Put(e.Notice)
 	case core.ResumeCall:
-		r.goOn(e.Call)
+		r.resumeCall(e.Call)
 	case core.CancelCall:
 		if c, ok := e.Call.Handle.(*Call); ok {
 			c.cancel(ErrCancelled)
 		}
 	case core.ApplyRetryAfter:
-		if h := r.homes[e.Endpoint]; h != nil {
+		if h := r.endpoints[e.Endpoint]; h != nil {
 			h.gate.HoldUntil(r.now(), e.Until)
 		}
 	case core.CheckHealth:
-		h, ep := r.homes[e.Endpoint], e.Endpoint
+		h, ep := r.endpoints[e.Endpoint], e.Endpoint
 		go func() {
 			o := checkHealth(r.ctx, h)
-			r.tell(core.Event{Kind: core.HealthChecked, Endpoint: ep, Result: o.coreResult()})
+			r.post(core.Event{Kind: core.HealthChecked, Endpoint: ep, Result: o.coreResult()})
 		}()
 	case core.OpenEndpoint:
 		at := scopeKey{dest: e.Dest}
 		if e.Apart {
 			at = scopeKey{route: e.Endpoint}
 		}
-		h := r.pool.OpenEndpoint(e.Address, r.partners, uint64(e.Endpoint), e.Dest, e.Flavor)
+		h := r.pool.OpenEndpoint(e.Address, r.tlsPeers, uint64(e.Endpoint), e.Dest, e.Flavor)
 		h.gate = r.pool.scope(at).Gate()
-		r.homes[e.Endpoint] = h
+		r.endpoints[e.Endpoint] = h
 	case core.CloseEndpoint:
-		r.homes[e.Endpoint].Close()
+		r.endpoints[e.Endpoint].Close()
 	case core.CloseIdleConnections:
-		r.homes[e.Endpoint].CloseIdle()
+		r.endpoints[e.Endpoint].CloseIdle()
 	case core.ForgetEndpoint:
-		delete(r.homes, e.Endpoint)
+		delete(r.endpoints, e.Endpoint)
 		r.pool.ForgetRoute(e.Endpoint)
 	case core.PassivateDestination:
 		r.pool.ForgetDestination(e.Dest)
 	case core.Log:
 		if e.Text == tally.LogText {
-			e.Args = append(e.Args, tally.LongestStepKey, r.longest.Microseconds())
-			r.longest = 0
+			e.Args = append(e.Args, tally.LongestStepKey, r.longestStep.Microseconds())
+			r.longestStep = 0
 		}
 		r.log.Log(r.ctx, e.Level, e.Text, e.Args...)
 	case core.StepAgain:
-		r.in.put(happening{})
+		r.inbox.Put(loopInput{})
 	}
 }
 
-func handle(q *core.Request) *request { return q.Handle.(*request) }
+func requestOf(q *core.Request) *request { return q.Handle.(*request) }
 
-// text is an answer in RESP2.
-func text(a core.Reply) string {
+// replyText is an answer in RESP2.
+func replyText(a core.Reply) string {
 	switch {
 	case a.OK:
 		return replyOK
 	case a.Err != nil:
-		return fault(a.Err)
+		return errorReply(a.Err)
 	}
-	return busy(a.RetryAfterMS)
+	return busyReply(a.RetryAfterMS)
 }
 
-// barred is told by the handshakes that an endpoint gets nothing for a time.
-func (r *Relay) barred(endpoint uint64, wait time.Duration) {
-	r.tell(core.Event{Kind: core.IdentityRejected, Endpoint: decide.EndpointID(endpoint), Wait: wait.Microseconds()})
+// identityRejected is told by the handshakes that an endpoint gets nothing for a time.
+func (r *Relay) identityRejected(endpoint uint64, wait time.Duration) {
+	r.post(core.Event{Kind: core.IdentityRejected, Endpoint: decide.EndpointID(endpoint), Wait: wait.Microseconds()})
 }
 
-// send logs an attempt and then makes it.
-func (r *Relay) send(rec *record, out *core.Call) {
+// startCall logs an attempt and then makes it.
+func (r *Relay) startCall(rec *record, out *core.Call) {
 	ctx, stop := context.WithCancelCause(r.ctx)
 	c := &Call{ctx: ctx, cancel: stop, connRequest: connRequest{warmingUp: out.WarmingUp, mayConnect: out.MayConnect}, SendBy: out.SendBy, OnSent: func() { r.board.Sends.Add(1) }}
 	out.Handle = c
-	h, limit := r.homes[out.Endpoint], time.Duration(out.Timeout)*time.Microsecond
+	h, limit := r.endpoints[out.Endpoint], time.Duration(out.Timeout)*time.Microsecond
 	r.wal.submit(rec, func(err error) {
 		if err != nil {
 			stop(err)
-			r.tell(core.Event{Kind: core.AttemptNotLogged, Call: out})
+			r.post(core.Event{Kind: core.AttemptNotLogged, Call: out})
 			return
 		}
-		r.out.Add(out, c)
+		r.inFlight.Add(out, c)
 		go func() {
 			defer stop(nil)
-			defer r.out.Remove(out)
+			defer r.inFlight.Remove(out)
 			c.Do(h, out.Record, limit, r.cfg.loads, func(o Result) {
-				r.tell(core.Event{Kind: core.AttemptFinished, Call: out, Result: o.coreResult()})
+				r.post(core.Event{Kind: core.AttemptFinished, Call: out, Result: o.coreResult()})
 			})
 		}()
 	})
--- a/internal/relay/mailbox.go
+++ b/internal/relay/mailbox.go
@@ -2,18 +2,18 @@
 
 import "sync"
 
-// mailbox is a queue between goroutines that never makes a sender wait, so
+// Mailbox is a queue between goroutines that never makes a sender wait, so
 // that the loop and the log, which send to each other, cannot lock each other
 // up. What bounds it is that each message and client has little in it at once.
-type mailbox[T any] struct {
+type Mailbox[T any] struct {
 	mu    sync.Mutex
 	items []T
 	ready chan struct{}
 }
 
-func newMailbox[T any]() *mailbox[T] { return &mailbox[T]{ready: make(chan struct{}, 1)} }
+func newMailbox[T any]() *Mailbox[T] { return &Mailbox[T]{ready: make(chan struct{}, 1)} }
 
-func (m *mailbox[T]) put(v T) {
+func (m *Mailbox[T]) Put(v T) {
 	m.mu.Lock()
 	m.items = append(m.items, v)
 	m.mu.Unlock()
@@ -23,8 +23,8 @@
 	}
 }
 
-// takeAll empties the mailbox; into is reused as its next store.
-func (m *mailbox[T]) takeAll(into []T) []T {
+// TakeAll empties the mailbox; into is reused as its next store.
+func (m *Mailbox[T]) TakeAll(into []T) []T {
 	clear(into)
 	m.mu.Lock()
 	defer m.mu.Unlock()
--- a/internal/relay/members.go
+++ b/internal/relay/members.go
@@ -64,7 +64,7 @@
 type members struct {
 	log   *slog.Logger
 	view  *membership.View
-	in    *mailbox[said]
+	in    *Mailbox[said]
 	tell  func(core.Event) // in order
 	again func()           // has discovery's list read anew
 	anew  chan struct{}    // has the helper read etcd's
@@ -97,10 +97,10 @@
 func (m *members) now() membership.Time { return 1 + time.Since(m.began).Microseconds() }
 
 // put hands on what a source says, in its order.
-func (m *members) put(source int, w *membership.Word) { m.in.put(said{source: source, word: w}) }
+func (m *members) put(source int, w *membership.Word) { m.in.Put(said{source: source, word: w}) }
 
 // after calls a function once all that was said before has been told on.
-func (m *members) after(then func()) { m.in.put(said{source: -1, then: then}) }
+func (m *members) after(then func()) { m.in.Put(said{source: -1, then: then}) }
 
 // seed begins with what an earlier process knew, and with the list that the loop
 // goes by, of which it need not be told.
@@ -163,7 +163,7 @@
 // turn takes what was said, tells on what has changed, and gives the time until
 // there is more to do. A drain is kept at once, so that a start does not take it back.
 func (m *members) turn() (wait time.Duration) {
-	got := m.in.takeAll(nil)
+	got := m.in.TakeAll(nil)
 	for i := range got {
 		m.take(&got[i])
 	}
--- a/internal/relay/members_test.go
+++ b/internal/relay/members_test.go
@@ -114,7 +114,7 @@
 		for range 6 {
 			n++
 			id := fmt.Sprint("m", n)
-			if s := cl.put(id, fields("plain", 20000, 1), nil); s != "+OK" {
+			if s := cl.put(id, putFields("plain", 20000, 1), nil); s != "+OK" {
 				t.Fatalf("%s: %s", what, s)
 			}
 			waitFor(t, "the call of "+id, func() bool { return gone.count(id)+stays.count(id) == 1 })
@@ -123,10 +123,10 @@
 			}
 		}
 	}
-	avoided := func() int64 { return figures(t, env["ROUTER_CONSOLE"])["cluster_unhealthy"] }
-	listed := func() int64 { return figures(t, env["ROUTER_CONSOLE"])["cluster_size"] }
+	avoided := func() int64 { return readStats(t, env["ROUTER_CONSOLE"])["cluster_unhealthy"] }
+	listed := func() int64 { return readStats(t, env["ROUTER_CONSOLE"])["cluster_size"] }
 	waitFor(t, "what etcd alone lists", func() bool {
-		return dialClient(t, env["ROUTER_LISTEN"]).put("x", fields("plain", 20000, 3), nil) == "+OK"
+		return dialClient(t, env["ROUTER_LISTEN"]).put("x", putFields("plain", 20000, 3), nil) == "+OK"
 	})
 	waitFor(t, "its call", func() bool { return other.count("x") == 1 })
 	do(drained("s-1", false))
@@ -215,8 +215,8 @@
 					return
 				default:
 				}
-				io.WriteString(cl, putText(fmt.Sprintf("l%d-%d", k, n), fields("plain", 8000, 1), nil))
-				if _, err := cl.in.ReadString('\n'); err != nil {
+				io.WriteString(cl, encodePut(fmt.Sprintf("l%d-%d", k, n), putFields("plain", 8000, 1), nil))
+				if _, err := cl.reader.ReadString('\n'); err != nil {
 					t.Error(err)
 					return
 				}
@@ -282,7 +282,7 @@
 		t.Fatal(err)
 	}
 	disc.say(t, string(line))
-	waitFor(t, "the drain", func() bool { return figures(t, env["ROUTER_CONSOLE"])["cluster_unhealthy"] == 1 })
+	waitFor(t, "the drain", func() bool { return readStats(t, env["ROUTER_CONSOLE"])["cluster_unhealthy"] == 1 })
 }
 
 // A drain is kept in the turn that tells it; what comes up is, in its time; and a
--- a/internal/relay/operate.go
+++ b/internal/relay/operate.go
@@ -16,69 +16,69 @@
 // What operators call and see. Nothing here waits for the loop: a drain goes
 // straight to the front, and figures are read where the loop put them.
 
-// boardWait is how old the figures of endpoints may be. The others are put up
+// endpointStatsInterval is how old the figures of endpoints may be. The others are put up
 // with each step.
-const boardWait = 200 * time.Millisecond
+const endpointStatsInterval = 200 * time.Millisecond
 
-// duties is the duty of this process, for several goroutines.
-type duties struct {
-	mu      sync.Mutex
-	m       duty.Machine
-	front   *front.Server
-	clients atomic.Bool // new clients are wanted
+// processLifecycle is the duty of this process, for several goroutines.
+type processLifecycle struct {
+	mu             sync.Mutex
+	machine        duty.Machine
+	server         *front.Server
+	acceptsClients atomic.Bool // new clients are wanted
 }
 
-// move makes one move and carries out what it asks for.
-func (d *duties) move(f func(m *duty.Machine) (duty.Answer, duty.Do)) (bool, string) {
+// transition makes one move and carries out what it asks for.
+func (d *processLifecycle) transition(f func(m *duty.Machine) (duty.Answer, duty.Action)) (bool, string) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	a, do := f(&d.m)
-	d.clients.Store(d.m.Clients())
+	a, do := f(&d.machine)
+	d.acceptsClients.Store(d.machine.AcceptsClients())
 	switch {
-	case d.front == nil:
-	case do == duty.LetGo:
-		d.front.CloseIdleConns()
-	case do == duty.TakeBack:
-		d.front.KeepIdleConns()
+	case d.server == nil:
+	case do == duty.CloseClients:
+		d.server.CloseIdleConns()
+	case do == duty.KeepClients:
+		d.server.KeepIdleConns()
 	}
-	return a.Yes, a.Why
+	return a.OK, a.Reason
 }
 
-// open is told when clients can be served.
-func (d *duties) open(f *front.Server) {
-	d.move(func(m *duty.Machine) (duty.Answer, duty.Do) {
-		d.front = f
-		return duty.Answer{}, m.Serve()
+// startServing is told when clients can be served.
+func (d *processLifecycle) startServing(f *front.Server) {
+	d.transition(func(m *duty.Machine) (duty.Answer, duty.Action) {
+		d.server = f
+		return duty.Answer{}, m.StartServing()
 	})
 }
 
-func (d *duties) stop() {
-	d.move(func(m *duty.Machine) (duty.Answer, duty.Do) { return duty.Answer{}, m.Stop() })
+func (d *processLifecycle) stop() {
+	d.transition(func(m *duty.Machine) (duty.Answer, duty.Action) { return duty.Answer{}, m.Stop() })
 }
 
-// calls are what the console may call.
-func (r *Relay) calls() console.Handlers {
-	told := func(what string, f func(m *duty.Machine) (duty.Answer, duty.Do)) func() (bool, string) {
+// consoleCalls are what the console may call.
+func (r *Relay) consoleCalls() console.Handlers {
+	told := func(what string, f func(m *duty.Machine) (duty.Answer, duty.Action)) func() (bool, string) {
 		return func() (bool, string) {
-			yes, why := r.duty.move(f)
+			yes, why := r.lifecycle.transition(f)
 			r.log.Log(r.ctx, slog.LevelInfo, "console", "call", what, "yes", yes, "why", why)
 			return yes, why
 		}
 	}
 	return console.Handlers{
 		Ready: func() (bool, string) {
-			return r.duty.move(func(m *duty.Machine) (duty.Answer, duty.Do) { return m.Ready(), duty.Nothing })
+			return r.lifecycle.transition(func(m *duty.Machine) (duty.Answer, duty.Action) { return m.Ready(), duty.NoAction })
 		},
-		Drain:   told("drain", (*duty.Machine).Drain),
-		Undrain: told("undrain", (*duty.Machine).Undrain),
-		Stats:   r.stats,
+		Drain:   told("drain", (*duty.Machine).StartDrain),
+		Undrain: told("undrain", (*duty.Machine).EndDrain),
+		Stats:   r.appendStats,
 	}
 }
 
-// stats writes all figures; those of TLS where there is a rule for it.
-func (r *Relay) stats(to []byte) []byte {
+// appendStats writes all figures; those of TLS where there is a rule for it.
+func (r *Relay) appendStats(to []byte) []byte {
 	to = r.board.AppendTo(to)
-	p := r.shown.Load()
+	p := r.consoleTLSPeers.Load()
 	if p == nil {
 		return to
 	}
@@ -95,14 +95,14 @@
 	return to
 }
 
-// show puts up what the core has counted.
-func (r *Relay) show() {
+// updateBoard puts up what the core has counted.
+func (r *Relay) updateBoard() {
 	for i, e := range r.core.CountsByClass() {
 		r.board.SetOutcomes(i, console.Outcomes(e))
 	}
 	r.board.Pending.Store(int64(r.core.HeldMessages()))
-	if now := time.Now(); now.Sub(r.seen) >= boardWait {
-		r.seen = now
+	if now := time.Now(); now.Sub(r.endpointStatsAt) >= endpointStatsInterval {
+		r.endpointStatsAt = now
 		listed, avoided := r.core.ListedEndpoints()
 		r.board.Endpoints.Store(int64(listed))
 		r.board.UnhealthyEndpoints.Store(int64(avoided))
--- a/internal/relay/operate_test.go
+++ b/internal/relay/operate_test.go
@@ -37,8 +37,8 @@
 	return s
 }
 
-// figures reads what STATS shows.
-func figures(t *testing.T, addr string) map[string]int64 {
+// readStats reads what STATS shows.
+func readStats(t *testing.T, addr string) map[string]int64 {
 	t.Helper()
 	text := mustCall(t, addr, "STATS")
 	body, ok := strings.CutSuffix(text, "END\n")
@@ -78,8 +78,8 @@
 // A drained relay says no to PING on every connection, serves what still comes
 // on those that are open, lets them go, and serves again once the drain ends;
 // any number of times.
-func TestDrainAndBack(t *testing.T) {
-	ep := newFakeEndpoint(t, status(http.StatusOK))
+func TestDrainAndUndrain(t *testing.T) {
+	ep := newFakeEndpoint(t, respondStatus(http.StatusOK))
 	d := newFakeDiscovery(t, ep.member("e1", 1))
 	env := testConfig(t, d, 3)
 	env["ROUTER_CONSOLE"] = freeAddr(t)
@@ -90,35 +90,35 @@
 	}
 	for round := range 3 {
 		idle := dialClient(t, env["ROUTER_LISTEN"])
-		if got := idle.put(fmt.Sprintf("before-%d", round), fields("plain", 8000, 1), nil); got != "+OK" {
+		if got := idle.put(fmt.Sprintf("before-%d", round), putFields("plain", 8000, 1), nil); got != "+OK" {
 			t.Fatalf("before: %q", got)
 		}
 		half := dialClient(t, env["ROUTER_LISTEN"])
-		text := putText(fmt.Sprintf("half-%d", round), fields("plain", 8000, 1), nil)
+		text := encodePut(fmt.Sprintf("half-%d", round), putFields("plain", 8000, 1), nil)
 		io.WriteString(half, text[:30])
 		if got := mustCall(t, console, "DRAIN"); got != "YES draining\n" {
 			t.Fatalf("DRAIN: %q", got)
 		}
-		if _, err := idle.in.ReadByte(); err != io.EOF {
+		if _, err := idle.reader.ReadByte(); err != io.EOF {
 			t.Errorf("an idle connection: %v, want its end", err)
 		}
 		c := dialClient(t, env["ROUTER_LISTEN"])
 		io.WriteString(c, "*1\r\n$4\r\nPING\r\n")
-		if got := c.line(); got == "+PONG" {
+		if got := c.readLine(); got == "+PONG" {
 			t.Errorf("PING while drained: %q", got)
 		}
-		if _, err := c.in.ReadByte(); err != io.EOF {
+		if _, err := c.reader.ReadByte(); err != io.EOF {
 			t.Errorf("a connection after its answer: %v, want its end", err)
 		}
 		io.WriteString(half, text[30:])
-		if got := half.line(); got != "+OK" {
+		if got := half.readLine(); got != "+OK" {
 			t.Errorf("a hand-in begun before the drain: %q", got)
 		}
-		if _, err := half.in.ReadByte(); err != io.EOF {
+		if _, err := half.reader.ReadByte(); err != io.EOF {
 			t.Errorf("its connection: %v, want its end", err)
 		}
 		late := dialClient(t, env["ROUTER_LISTEN"])
-		if got := late.put(fmt.Sprintf("late-%d", round), fields("plain", 8000, 1), nil); got != "+OK" {
+		if got := late.put(fmt.Sprintf("late-%d", round), putFields("plain", 8000, 1), nil); got != "+OK" {
 			t.Errorf("a hand-in while drained: %q", got)
 		}
 		if got := mustCall(t, console, "UNDRAIN"); got != "YES serving\n" {
@@ -127,18 +127,18 @@
 		again := dialClient(t, env["ROUTER_LISTEN"])
 		for range 2 { // and the connection stays
 			io.WriteString(again, "*1\r\n$4\r\nPING\r\n")
-			if got := again.line(); got != "+PONG" {
+			if got := again.readLine(); got != "+PONG" {
 				t.Errorf("PING after the drain: %q", got)
 			}
 		}
 	}
-	waitFor(t, "nine deliveries", func() bool { return figures(t, console)["answered.plain"] == 9 })
+	waitFor(t, "nine deliveries", func() bool { return readStats(t, console)["answered.plain"] == 9 })
 }
 
 // Thousands of messages with every kind of end: the figures agree with what
 // clients heard, what the platform was told and what came to the endpoints,
 // also while the traffic lasts.
-func TestFiguresAgreeWithAnIndependentCount(t *testing.T) {
+func TestStatsMatchObservedCounts(t *testing.T) {
 	ep := newFakeEndpoint(t, func(w http.ResponseWriter, r *http.Request, n int) {
 		id := r.Header.Get("X-Request-ID")
 		switch n, _ := strconv.Atoi(id[strings.LastIndexByte(id, '-')+1:]); {
@@ -170,8 +170,8 @@
 				if i%50 == 49 {
 					dest = 9 // no list names it
 				}
-				io.WriteString(conn, putText(fmt.Sprintf("%s-%d-%d", class, c, i), fields(class, 300, dest), []byte("x")))
-				line, err := conn.in.ReadString('\n')
+				io.WriteString(conn, encodePut(fmt.Sprintf("%s-%d-%d", class, c, i), putFields(class, 300, dest), []byte("x")))
+				line, err := conn.reader.ReadString('\n')
 				switch {
 				case err != nil:
 					return
@@ -185,13 +185,13 @@
 					if conn.Conn, err = net.Dial("tcp", env["ROUTER_LISTEN"]); err != nil {
 						return
 					}
-					conn.in.Reset(conn.Conn)
+					conn.reader.Reset(conn.Conn)
 				}
 			}
 		}()
 	}
 	sum := map[string]*told{"plain": {}, "keyed": {}, "once": {}}
-	last := figures(t, console)
+	last := readStats(t, console)
 	for left := clients; left > 0; {
 		select {
 		case got := <-counts:
@@ -201,7 +201,7 @@
 				s.ok, s.busy, s.wrong = s.ok+g.ok, s.busy+g.busy, s.wrong+g.wrong
 			}
 		default:
-			now := figures(t, console)
+			now := readStats(t, console)
 			for name, v := range last { // counters never go back
 				if name != "current" && !strings.HasPrefix(name, "cluster") && now[name] < v {
 					t.Errorf("%s went from %d to %d", name, v, now[name])
@@ -210,8 +210,8 @@
 			last = now
 		}
 	}
-	waitFor(t, "all to end", func() bool { return figures(t, console)["current"] == 0 })
-	got := figures(t, console)
+	waitFor(t, "all to end", func() bool { return readStats(t, console)["current"] == 0 })
+	got := readStats(t, console)
 	handedBack, givenUp := map[string]int{}, map[string]int{}
 	waitFor(t, "the notices", func() bool {
 		clear(handedBack)
--- a/internal/relay/recorded_test.go
+++ b/internal/relay/recorded_test.go
@@ -7,12 +7,12 @@
 	"testing"
 )
 
-// recordEnv has tests write the fixtures that they otherwise compare with. Only
+// updateFixturesEnv has tests write the fixtures that they otherwise compare with. Only
 // ever for a form that is new.
-const recordEnv = "TROUTUSHER_TEST_RECORD"
+const updateFixturesEnv = "TROUTUSHER_TEST_RECORD"
 
-// recorded is a fixture's text.
-func recorded(t *testing.T, name string) string {
+// readFixture is a fixture's text.
+func readFixture(t *testing.T, name string) string {
 	t.Helper()
 	text, err := os.ReadFile(filepath.Join("testdata", name))
 	if err != nil {
@@ -21,15 +21,15 @@
 	return string(text)
 }
 
-// sameAsRecorded compares what is sent today with a fixture, line by line.
-func sameAsRecorded(t *testing.T, name, got string) {
+// compareWithFixture compares what is sent today with a fixture, line by line.
+func compareWithFixture(t *testing.T, name, got string) {
 	t.Helper()
-	if os.Getenv(recordEnv) != "" {
+	if os.Getenv(updateFixturesEnv) != "" {
 		if err := os.WriteFile(filepath.Join("testdata", name), []byte(got), 0o600); err != nil {
 			t.Fatal(err)
 		}
 	}
-	want := strings.Split(recorded(t, name), "\n")
+	want := strings.Split(readFixture(t, name), "\n")
 	lines := strings.Split(got, "\n")
 	for i := range max(len(want), len(lines)) {
 		var a, b string
--- a/internal/relay/reload.go
+++ b/internal/relay/reload.go
@@ -23,17 +23,17 @@
 		case <-ctx.Done():
 			return
 		case <-re.Asked:
-			r.asked.Add(1)
+			r.reloadsRequested.Add(1)
 		}
 		if cfg := r.readNew(); cfg != nil {
-			r.in.put(happening{config: cfg})
+			r.inbox.Put(loopInput{config: cfg})
 		}
 	}
 }
 
 // readNew is the configuration as it is now; nil for one that is of no use.
 func (r *Relay) readNew() *Config {
-	cfg, err := r.re.Read()
+	cfg, err := r.reload.Read()
 	if err != nil {
 		r.log.Error("new configuration not taken over, the old one stays", "err", err)
 		return nil
@@ -44,7 +44,7 @@
 // readAgain is for a process that took over from one that was told to: it began
 // with what the environment says, which the file has been put before since.
 func (r *Relay) readAgain() {
-	r.asked.Add(1)
+	r.reloadsRequested.Add(1)
 	if cfg := r.readNew(); cfg != nil {
 		r.reconfigure(cfg)
 	}
@@ -56,21 +56,21 @@
 	if !reflect.DeepEqual(cfg.Policy, r.cfg.Policy) || cfg.Limits != r.cfg.Limits || cfg.Listen != r.cfg.Listen {
 		r.log.Warn("new configuration: settings, limits and listen wait for the next start")
 	}
-	if cfg.Discovery == r.agent {
-		r.log.Info("new configuration: discovery stays", "discovery", r.agent)
+	if cfg.Discovery == r.discoveryAddr {
+		r.log.Info("new configuration: discovery stays", "discovery", r.discoveryAddr)
 		return
 	}
-	r.log.Info("new configuration: discovery moves", "from", r.agent, "to", cfg.Discovery)
-	r.agent = cfg.Discovery
-	r.watched.Store(r.agent)
-	r.discovery.moves.put(r.agent)
-	r.notices.moves.put(r.agent)
+	r.log.Info("new configuration: discovery moves", "from", r.discoveryAddr, "to", cfg.Discovery)
+	r.discoveryAddr = cfg.Discovery
+	r.watchedAddr.Store(r.discoveryAddr)
+	r.discovery.moves.Put(r.discoveryAddr)
+	r.notices.moves.Put(r.discoveryAddr)
 }
 
 // atEach runs work for one address after another, each until the next is
 // named. work must return when its context ends: nothing of an old address
 // overlaps with the new one.
-func atEach(ctx context.Context, addr string, moves *mailbox[string], work func(ctx context.Context, addr string)) {
+func atEach(ctx context.Context, addr string, moves *Mailbox[string], work func(ctx context.Context, addr string)) {
 	for ctx.Err() == nil {
 		here, leave := context.WithCancel(ctx)
 		done := make(chan struct{})
@@ -84,7 +84,7 @@
 		}
 		leave()
 		<-done
-		if named := moves.takeAll(nil); len(named) > 0 {
+		if named := moves.TakeAll(nil); len(named) > 0 {
 			addr = named[len(named)-1]
 		}
 	}
--- a/internal/relay/reload_test.go
+++ b/internal/relay/reload_test.go
@@ -43,7 +43,7 @@
 // relay goes on serving, moves again, and ends as planned.
 func TestReload(t *testing.T) {
 	before, after, last := newFakeEndpoint(t, nil), newFakeEndpoint(t, nil), newFakeEndpoint(t, nil)
-	lost := newFakeEndpoint(t, status(http.StatusServiceUnavailable))
+	lost := newFakeEndpoint(t, respondStatus(http.StatusServiceUnavailable))
 	first := newFakeDiscovery(t, before.member("s-1", 1), lost.member("s-9", 9))
 	first.set(func(d *fakeDiscovery) { d.answer = http.StatusInternalServerError })
 	env := testConfig(t, first, 3)
@@ -55,8 +55,8 @@
 			t.Fatalf("%s: %s", id, s)
 		}
 	}
-	put("a", fields("plain", 8000, 1))
-	put("unheard", fields("plain", 600, 9))
+	put("a", putFields("plain", 8000, 1))
+	put("unheard", putFields("plain", 600, 9))
 	waitFor(t, "a message at the first endpoint", func() bool { return before.count("a") == 1 })
 	// The load goes on over all that follows.
 	stop, done := make(chan struct{}), make(chan struct{})
@@ -70,7 +70,7 @@
 			default:
 			}
 			id := fmt.Sprintf("load%d", i)
-			if s := load.put(id, fields("plain", 8000, 1), nil); s != "+OK" {
+			if s := load.put(id, putFields("plain", 8000, 1), nil); s != "+OK" {
 				t.Errorf("under load: %s", s)
 				return
 			}
@@ -96,7 +96,7 @@
 	waitFor(t, "a notice at the second address", func() bool { _, ok := second.notice("unheard"); return ok })
 	waitFor(t, "a message at the second list's endpoint", func() bool {
 		id := fmt.Sprintf("b%d", seq.Add(1))
-		put(id, fields("plain", 8000, 1))
+		put(id, putFields("plain", 8000, 1))
 		waitFor(t, id, func() bool { return before.count(id)+after.count(id) == 1 })
 		return after.count(id) == 1
 	})
@@ -106,7 +106,7 @@
 		t.Fatal(err)
 	}
 	c.signal(t, syscall.SIGHUP)
-	put("c", fields("plain", 8000, 1))
+	put("c", putFields("plain", 8000, 1))
 	waitFor(t, "service under the old configuration", func() bool { return after.count("c") == 1 })
 	third := newFakeDiscovery(t, last.member("s-1", 1))
 	fresh := testConfig(t, third, 3)
@@ -120,7 +120,7 @@
 	c.signal(t, syscall.SIGHUP)
 	waitFor(t, "a message at the third list's endpoint", func() bool {
 		id := fmt.Sprintf("d%d", seq.Add(1))
-		put(id, fields("plain", 8000, 1))
+		put(id, putFields("plain", 8000, 1))
 		waitFor(t, id, func() bool { return before.count(id)+after.count(id)+last.count(id) == 1 })
 		return last.count(id) == 1
 	})
--- a/internal/relay/rest_test.go
+++ b/internal/relay/rest_test.go
@@ -13,7 +13,7 @@
 // one and is delivered; a change reaches one that rests, so that nothing goes to
 // what has drained; figures count them; and a kill and a restart change nothing of
 // that.
-func TestRestingDestinationsAreServed(t *testing.T) {
+func TestPassiveDestinationsAreServed(t *testing.T) {
 	var eps []*fakeEndpoint
 	var members []core.Member
 	for i := range 6 { // two for each of three destinations
@@ -29,7 +29,7 @@
 	}
 	c := startChild(t, env)
 	listed := func() (n, avoided int64) {
-		f := figures(t, env["ROUTER_CONSOLE"])
+		f := readStats(t, env["ROUTER_CONSOLE"])
 		return f["cluster_size"], f["cluster_unhealthy"]
 	}
 	waitFor(t, "the figures", func() bool { n, _ := listed(); return n == 6 })
@@ -42,7 +42,7 @@
 		for i := range 12 {
 			id := fmt.Sprintf("m-%d-%d", round, i)
 			dest := 1 + i%3
-			if s := cl.put(id, fields("once", 20000, dest), nil); s != "+OK" {
+			if s := cl.put(id, putFields("once", 20000, dest), nil); s != "+OK" {
 				t.Fatalf("%s: %s", id, s)
 			}
 			waitFor(t, id, func() bool { return eps[2*dest-2].count(id)+eps[2*dest-1].count(id) == 1 })
@@ -50,7 +50,7 @@
 				t.Errorf("%s went to an endpoint that had drained", id)
 			}
 		}
-		if s := cl.put("nobody", fields("once", 20000, 9), nil); s == "+OK" {
+		if s := cl.put("nobody", putFields("once", 20000, 9), nil); s == "+OK" {
 			t.Error("a destination that no list names is taken on for")
 		}
 		if round == 0 {
--- a/internal/relay/restart_test.go
+++ b/internal/relay/restart_test.go
@@ -18,10 +18,10 @@
 	ep := newFakeEndpoint(t, nil)
 	c := startChild(t, testConfig(t, newFakeDiscovery(t, ep.member("s-1", 7)), 3))
 	cl := dialClient(t, c.env["ROUTER_LISTEN"])
-	bodies := [][]byte{nil, []byte("\r\n\x00\xff*5\r\n"), []byte(strings.Repeat("x", bodyMost))}
+	bodies := [][]byte{nil, []byte("\r\n\x00\xff*5\r\n"), []byte(strings.Repeat("x", maxBodySize))}
 	for i, body := range bodies {
 		id := fmt.Sprintf("m%d", i)
-		if s := cl.put(id, fields("keyed", 8000, 7), body); s != "+OK" {
+		if s := cl.put(id, putFields("keyed", 8000, 7), body); s != "+OK" {
 			t.Fatalf("body %d: %s", i, s)
 		}
 		waitFor(t, "the call", func() bool { return ep.count(id) == 1 })
@@ -37,17 +37,17 @@
 // Guards what was taken on against SIGKILL: an unsafe attempt with no outcome
 // may have run and fails by notice, a keyed one goes out again in its window,
 // one that was only turned away goes on, and what was delivered stays so.
-func TestKilled(t *testing.T) {
+func TestRecoveryAfterKill(t *testing.T) {
 	done := newFakeEndpoint(t, nil)
 	stuck := newFakeEndpoint(t, hang)
-	full := newFakeEndpoint(t, status(http.StatusServiceUnavailable))
+	full := newFakeEndpoint(t, respondStatus(http.StatusServiceUnavailable))
 	keyed := newFakeEndpoint(t, hang)
 	disc := newFakeDiscovery(t, done.member("s-1", 1), stuck.member("s-2", 2), full.member("s-3", 3), keyed.member("s-4", 4))
 	env := testConfig(t, disc, 3)
 	c := startChild(t, env)
 	cl := dialClient(t, env["ROUTER_LISTEN"])
-	for id, f := range map[string]string{"done": fields("once", 20000, 1), "stuck": fields("once", 20000, 2),
-		"full": fields("once", 20000, 3), "keyed": fields("keyed", 20000, 4)} {
+	for id, f := range map[string]string{"done": putFields("once", 20000, 1), "stuck": putFields("once", 20000, 2),
+		"full": putFields("once", 20000, 3), "keyed": putFields("keyed", 20000, 4)} {
 		if s := cl.put(id, f, []byte("body of "+id)); s != "+OK" {
 			t.Fatalf("%s: %s", id, s)
 		}
@@ -61,7 +61,7 @@
 	})
 	c.kill()
 	for _, e := range []*fakeEndpoint{stuck, full, keyed} {
-		e.then(nil)
+		e.setHandler(nil)
 	}
 	startChild(t, env)
 	waitFor(t, "notice of the unsafe one", func() bool { n, ok := disc.notice("stuck"); return ok && n.Outcome == core.NoticeGivenUp })
@@ -88,7 +88,7 @@
 	c := startChild(t, env)
 	cl := dialClient(t, env["ROUTER_LISTEN"])
 	for _, id := range []string{"short", "later"} {
-		if s := cl.put(id, fields("plain", map[string]int{"short": 1000, "later": 3000}[id], 9), nil); s != "+OK" {
+		if s := cl.put(id, putFields("plain", map[string]int{"short": 1000, "later": 3000}[id], 9), nil); s != "+OK" {
 			t.Fatal(s)
 		}
 	}
@@ -111,7 +111,7 @@
 // Guards a planned end: calls that are out finish, what can go out at once is
 // still taken on and delivered, clients are let go, what is held waits in the
 // log, and the exit code is 0.
-func TestTerminated(t *testing.T) {
+func TestGracefulShutdown(t *testing.T) {
 	release, entered := make(chan struct{}), atomic.Int32{}
 	slow := newFakeEndpoint(t, func(_ http.ResponseWriter, r *http.Request, _ int) {
 		entered.Add(1)
@@ -126,20 +126,20 @@
 	env := testConfig(t, disc, 3)
 	c := startChild(t, env)
 	cl := dialClient(t, env["ROUTER_LISTEN"])
-	if s := cl.put("out", fields("once", 20000, 1), nil); s != "+OK" {
+	if s := cl.put("out", putFields("once", 20000, 1), nil); s != "+OK" {
 		t.Fatal(s)
 	}
-	if s := cl.put("held", fields("plain", 20000, 5), nil); s != "+OK" { // nobody serves 5 yet
+	if s := cl.put("held", putFields("plain", 20000, 5), nil); s != "+OK" { // nobody serves 5 yet
 		t.Fatal(s)
 	}
 	waitFor(t, "the call", func() bool { return entered.Load() == 1 })
 	c.cmd.Process.Signal(syscall.SIGTERM)
 	late := dialClient(t, env["ROUTER_LISTEN"]) // connections go on coming for a while
-	if s := late.put("late", fields("plain", 8000, 2), nil); s != "+OK" {
+	if s := late.put("late", putFields("plain", 8000, 2), nil); s != "+OK" {
 		t.Errorf("what can go out at once is answered %q", s)
 	}
 	waitFor(t, "the late one", func() bool { return quick.count("late") == 1 })
-	if _, err := cl.in.ReadByte(); err == nil {
+	if _, err := cl.reader.ReadByte(); err == nil {
 		t.Error("an idle client's connection stays open")
 	}
 	close(release)
@@ -164,10 +164,10 @@
 	env := testConfig(t, newFakeDiscovery(t), 1)
 	c := startChild(t, env)
 	cl := dialClient(t, env["ROUTER_LISTEN"])
-	body := []byte(strings.Repeat("b", bodyMost))
+	body := []byte(strings.Repeat("b", maxBodySize))
 	taken, refused := 0, 0
 	for i := range 40 {
-		switch s := cl.put(fmt.Sprintf("m%d", i), fields("plain", 20000, 9), body); {
+		switch s := cl.put(fmt.Sprintf("m%d", i), putFields("plain", 20000, 9), body); {
 		case s == "+OK":
 			taken++
 		case strings.HasPrefix(s, "-BUSY"):
@@ -206,7 +206,7 @@
 	cl := dialClient(t, env["ROUTER_LISTEN"])
 	put := func(id string, dest int) {
 		t.Helper()
-		if s := cl.put(id, fields("once", 20000, dest), nil); s != "+OK" {
+		if s := cl.put(id, putFields("once", 20000, dest), nil); s != "+OK" {
 			t.Fatalf("%s: %s", id, s)
 		}
 	}
@@ -225,7 +225,7 @@
 	moved := after.member("s-1", 2)
 	disc.say(t, change(3, moved))
 	// Refused until the list that names it is there.
-	waitFor(t, "the new name", func() bool { return cl.put("two", fields("once", 20000, 2), nil) == "+OK" })
+	waitFor(t, "the new name", func() bool { return cl.put("two", putFields("once", 20000, 2), nil) == "+OK" })
 	waitFor(t, "the new destination", func() bool { return after.count("two") == 1 })
 	put("one", 1) // nobody serves it any more
 	moved.Phase = core.Draining
@@ -257,17 +257,17 @@
 
 // What the policy turns away in the step that takes it is answered directly:
 // nothing is logged, and there is no notice.
-func TestTurnedAwayAtOnce(t *testing.T) {
+func TestRejectedImmediately(t *testing.T) {
 	disc := newFakeDiscovery(t)
 	env := testConfig(t, disc, 3)
 	startChild(t, env)
 	cl := dialClient(t, env["ROUTER_LISTEN"])
-	if s := cl.put("late", fields("plain", 0, 9), nil); !strings.HasPrefix(s, "-BUSY") {
+	if s := cl.put("late", putFields("plain", 0, 9), nil); !strings.HasPrefix(s, "-BUSY") {
 		t.Fatalf("out of time: %s", s)
 	}
 	refused := 0
 	for i := range 150 { // more than may be held
-		if s := cl.put(fmt.Sprintf("m%d", i), fields("once", 20000, 9), nil); strings.HasPrefix(s, "-BUSY") {
+		if s := cl.put(fmt.Sprintf("m%d", i), putFields("once", 20000, 9), nil); strings.HasPrefix(s, "-BUSY") {
 			refused++
 		}
 	}
@@ -287,7 +287,7 @@
 }
 
 // Guards against handing in twice: an id that is held is not taken on again.
-func TestSameIDAgain(t *testing.T) {
+func TestDuplicateID(t *testing.T) {
 	release := make(chan struct{})
 	ep := newFakeEndpoint(t, func(_ http.ResponseWriter, r *http.Request, _ int) {
 		select {
@@ -299,13 +299,13 @@
 	startChild(t, env)
 	cl := dialClient(t, env["ROUTER_LISTEN"])
 	for range 2 {
-		if s := cl.put("m", fields("once", 20000, 1), nil); s != "+OK" {
+		if s := cl.put("m", putFields("once", 20000, 1), nil); s != "+OK" {
 			t.Fatal(s)
 		}
 		waitFor(t, "the call", func() bool { return ep.count("m") == 1 })
 	}
 	close(release)
-	if s := cl.put("other", fields("once", 20000, 1), nil); s != "+OK" {
+	if s := cl.put("other", putFields("once", 20000, 1), nil); s != "+OK" {
 		t.Fatal(s)
 	}
 	waitFor(t, "the next", func() bool { return ep.count("other") == 1 })
--- a/internal/relay/takeover_cross_test.go
+++ b/internal/relay/takeover_cross_test.go
@@ -15,20 +15,20 @@
 
 // Points of a hand-over, in their order.
 var (
-	givePoints = []string{seamAsked, seamQuiet, seamStill, seamState, seamListen, seamConns, seamCalls, seamLock, seamSent, seamOthers, seamLetOver}
-	takePoints = []string{seamLinked, seamHeard, seamWhole, seamLocked, seamMine, seamTakenUp, seamAdopted, seamUp}
+	outgoingFailpoints = []string{failpointOutgoingRequested, failpointOutgoingRequestsAnswered, failpointOutgoingQuiesced, failpointOutgoingStateSent, failpointOutgoingListenersSent, failpointOutgoingClientsSent, failpointOutgoingCallsSent, failpointOutgoingLockSent, failpointOutgoingAllSent, failpointOutgoingClaimed, failpointOutgoingReleased}
+	incomingFailpoints = []string{failpointIncomingConnected, failpointIncomingListReceived, failpointIncomingAllReceived, failpointIncomingLockAdopted, failpointIncomingClaimSent, failpointIncomingRecovered, failpointIncomingClientsAdopted, failpointIncomingServing}
 )
 
-// with is an environment in which something happens at a point.
-func with(env map[string]string, cross string) map[string]string {
-	own := map[string]string{crossEnv: cross}
+// withFailpoint is an environment in which something happens at a point.
+func withFailpoint(env map[string]string, cross string) map[string]string {
+	own := map[string]string{failpointEnv: cross}
 	for k, v := range env {
 		own[k] = v
 	}
 	return own
 }
 
-func (c *child) over() bool {
+func (c *child) hasExited() bool {
 	select {
 	case err := <-c.exited:
 		c.exited <- err
@@ -38,10 +38,10 @@
 	}
 }
 
-// crossed plays a hand-over in which something happens to one side at a point: an
+// testHandoverWithFailpoint plays a hand-over in which something happens to one side at a point: an
 // unsafe message's call is out, another is held. In the end one relay serves, the
 // call has been made once and has one end, and what was held is delivered once.
-func crossed(t *testing.T, give bool, cross string) {
+func testHandoverWithFailpoint(t *testing.T, give bool, cross string) {
 	t.Parallel()
 	release := make(chan struct{})
 	slow := newFakeEndpoint(t, func(w http.ResponseWriter, r *http.Request, _ int) {
@@ -51,43 +51,43 @@
 		}
 	})
 	quick := newFakeEndpoint(t, nil)
-	disc := newFakeDiscovery(t, slow.member("s-1", 1), quick.member("s-2", 2), drainingMember("s-0", 5))
+	disc := newFakeDiscovery(t, slow.member("s-1", 1), quick.member("s-2", 2), unreachableMember("s-0", 5))
 	env := testConfig(t, disc, 3)
 	plain := env
 	if give {
-		env = with(env, cross)
+		env = withFailpoint(env, cross)
 	}
-	old := firstOf(t, env)
+	old := startAndWait(t, env)
 	cl := dialClient(t, env["ROUTER_LISTEN"])
-	putOnce(t, cl, map[string]int{"out": 1, "held": 5})
+	mustSubmitOnce(t, cl, map[string]int{"out": 1, "held": 5})
 	waitFor(t, "the call", func() bool { return slow.count("out") == 1 })
 	env = plain
 	if !give {
-		env = with(env, cross)
+		env = withFailpoint(env, cross)
 	}
-	fresh := another(t, env)
+	fresh := startPeer(t, env)
 	left, ends := fresh, old
 	switch kill := strings.HasSuffix(cross, "=KILL"); {
 	case kill && !give:
 		left, ends = old, fresh
 	case !kill && !give: // it takes over, and ends
 		left = nil
-		waitFor(t, "the end of the new process", fresh.over)
+		waitFor(t, "the end of the new process", fresh.hasExited)
 	}
-	waitFor(t, "an end", ends.over)
+	waitFor(t, "an end", ends.hasExited)
 	if left == nil {
-		left = firstOf(t, plain)
+		left = startAndWait(t, plain)
 	}
-	waitFor(t, "yes", left.yes)
+	waitFor(t, "yes", left.isReady)
 	close(release)
 	line := change(7, quick.member("s-5", 5))
 	waitFor(t, "what was held", func() bool { disc.sayToAll(line); return quick.count("held") == 1 })
 	late := dialClient(t, env["ROUTER_LISTEN"])
-	if s := late.put("after", fields("once", 8000, 2), nil); s != "+OK" {
+	if s := late.put("after", putFields("once", 8000, 2), nil); s != "+OK" {
 		t.Errorf("after it: %s", s)
 	}
 	waitFor(t, "the message after it", func() bool { return quick.count("after") == 1 })
-	waitFor(t, "all to end", func() bool { return figures(t, left.console())["current"] == 0 })
+	waitFor(t, "all to end", func() bool { return readStats(t, left.console())["current"] == 0 })
 	if n := slow.count("out"); n != 1 {
 		t.Errorf("an unsafe message went out %d times", n)
 	}
@@ -96,32 +96,32 @@
 	}
 }
 
-func TestAProcessDiesInAHandOver(t *testing.T) {
-	for _, p := range givePoints {
-		t.Run(p, func(t *testing.T) { crossed(t, true, p+"=KILL") })
+func TestProcessKilledDuringHandover(t *testing.T) {
+	for _, p := range outgoingFailpoints {
+		t.Run(p, func(t *testing.T) { testHandoverWithFailpoint(t, true, p+"=KILL") })
 	}
-	for _, p := range takePoints {
-		t.Run(p, func(t *testing.T) { crossed(t, false, p+"=KILL") })
+	for _, p := range incomingFailpoints {
+		t.Run(p, func(t *testing.T) { testHandoverWithFailpoint(t, false, p+"=KILL") })
 	}
 }
 
-func TestAProcessIsToEndInAHandOver(t *testing.T) {
-	for _, p := range givePoints {
-		t.Run(p, func(t *testing.T) { crossed(t, true, p+"=TERM") })
+func TestProcessTerminatedDuringHandover(t *testing.T) {
+	for _, p := range outgoingFailpoints {
+		t.Run(p, func(t *testing.T) { testHandoverWithFailpoint(t, true, p+"=TERM") })
 	}
-	for _, p := range takePoints {
-		t.Run(p, func(t *testing.T) { crossed(t, false, p+"=TERM") })
+	for _, p := range incomingFailpoints {
+		t.Run(p, func(t *testing.T) { testHandoverWithFailpoint(t, false, p+"=TERM") })
 	}
 }
 
 // The configuration changes and SIGHUP comes to either side in the middle: who
 // serves in the end follows discovery at its new address, and so does a process
 // that is started from the log.
-func TestConfigurationChangesInAHandOver(t *testing.T) {
+func TestReloadDuringHandover(t *testing.T) {
 	moves := func(t *testing.T, give bool, point, then string) {
 		t.Parallel()
 		quick := newFakeEndpoint(t, nil)
-		before, after := newFakeDiscovery(t, drainingMember("s-0", 5)), newFakeDiscovery(t, quick.member("s-5", 5))
+		before, after := newFakeDiscovery(t, unreachableMember("s-0", 5)), newFakeDiscovery(t, quick.member("s-5", 5))
 		after.list.Revision = 1 // its versions are its own
 		before.list.Revision = 50
 		env := testConfig(t, before, 3)
@@ -133,42 +133,42 @@
 		if err := os.WriteFile(next, []byte(moveTo(after, before.addr())(string(text))), 0o600); err != nil {
 			t.Fatal(err)
 		}
-		hup := with(env, point+"=HUP:"+next)
+		hup := withFailpoint(env, point+"=HUP:"+next)
 		first, second := env, hup
 		if give {
 			first, second = hup, env
 		}
 		if then != "" {
-			second = with(env, then)
+			second = withFailpoint(env, then)
 		}
-		old := firstOf(t, first)
+		old := startAndWait(t, first)
 		cl := dialClient(t, env["ROUTER_LISTEN"])
-		putOnce(t, cl, map[string]int{"held": 5})
-		fresh := another(t, second)
+		mustSubmitOnce(t, cl, map[string]int{"held": 5})
+		fresh := startPeer(t, second)
 		if then != "" { // the new one dies: the old one starts anew
-			waitFor(t, "its end", fresh.over)
-			waitFor(t, "yes", old.yes)
+			waitFor(t, "its end", fresh.hasExited)
+			waitFor(t, "yes", old.isReady)
 		} else {
-			waitFor(t, "the end of the old process", old.over)
-			waitFor(t, "yes", fresh.yes)
+			waitFor(t, "the end of the old process", old.hasExited)
+			waitFor(t, "yes", fresh.isReady)
 		}
 		waitFor(t, "what the new address alone tells of", func() bool { return quick.count("held") == 1 })
 	}
-	for _, p := range givePoints {
+	for _, p := range outgoingFailpoints {
 		t.Run(p, func(t *testing.T) { moves(t, true, p, "") })
 	}
-	for _, p := range takePoints {
+	for _, p := range incomingFailpoints {
 		t.Run(p, func(t *testing.T) { moves(t, false, p, "") })
 	}
-	t.Run("and the new process dies", func(t *testing.T) { moves(t, true, seamStill, seamTakenUp+"=KILL") })
+	t.Run("and the new process dies", func(t *testing.T) { moves(t, true, failpointOutgoingQuiesced, failpointIncomingRecovered+"=KILL") })
 }
 
-// drainIsKept hands in messages for destination 1, of which one endpoint has drained.
-func drainIsKept(t *testing.T, env map[string]string, gone, stays *fakeEndpoint) {
+// checkDrainKept hands in messages for destination 1, of which one endpoint has drained.
+func checkDrainKept(t *testing.T, env map[string]string, gone, stays *fakeEndpoint) {
 	t.Helper()
 	cl := dialClient(t, env["ROUTER_LISTEN"])
 	for _, id := range strings.Fields("a b c d e f g h i j k l") {
-		if s := cl.put(id, fields("plain", 20000, 1), nil); s != "+OK" {
+		if s := cl.put(id, putFields("plain", 20000, 1), nil); s != "+OK" {
 			t.Fatal(s)
 		}
 		waitFor(t, "the call of "+id, func() bool { return gone.count(id)+stays.count(id) == 1 })
@@ -180,17 +180,17 @@
 
 // A process that takes over has a list that is older than what the one before has
 // heard since: what drained meanwhile is not up again.
-func TestAnOlderListOfTheOneThatTakesOver(t *testing.T) {
+func TestSuccessorHasOlderList(t *testing.T) {
 	gone, stays := newFakeEndpoint(t, nil), newFakeEndpoint(t, nil)
 	disc := newFakeDiscovery(t, gone.member("s-1", 1), stays.member("s-2", 1))
 	env := testConfig(t, disc, 3)
-	old := firstOf(t, env)
+	old := startAndWait(t, env)
 	waitFor(t, "a watch", func() bool { disc.mu.Lock(); defer disc.mu.Unlock(); return len(disc.lines) > 0 })
 	disc.mu.Lock()
 	watch := disc.lines[0]
 	disc.mu.Unlock()
 	file := filepath.Join(t.TempDir(), "go")
-	fresh := another(t, with(env, seamHeard+"=WAIT:"+file))
+	fresh := startPeer(t, withFailpoint(env, failpointIncomingListReceived+"=WAIT:"+file))
 	waitFor(t, "the new one's list", func() bool { _, err := os.Stat(file + ".at"); return err == nil })
 	disc.set(func(d *fakeDiscovery) { d.silent = true }) // the old one alone hears what follows
 	drains := gone.member("s-1", 1)
@@ -200,21 +200,21 @@
 		t.Fatal(err)
 	}
 	watch <- string(line)
-	waitFor(t, "the drain", func() bool { return figures(t, old.console())["cluster_unhealthy"] == 1 })
+	waitFor(t, "the drain", func() bool { return readStats(t, old.console())["cluster_unhealthy"] == 1 })
 	if err := os.WriteFile(file, nil, 0o600); err != nil {
 		t.Fatal(err)
 	}
-	waitFor(t, "the end of the old process", old.over)
-	waitFor(t, "yes", fresh.yes)
-	if got := figures(t, fresh.console())["cluster_unhealthy"]; got != 1 {
+	waitFor(t, "the end of the old process", old.hasExited)
+	waitFor(t, "yes", fresh.isReady)
+	if got := readStats(t, fresh.console())["cluster_unhealthy"]; got != 1 {
 		t.Errorf("%d endpoints are avoided after the hand-over", got)
 	}
-	drainIsKept(t, env, gone, stays)
+	checkDrainKept(t, env, gone, stays)
 }
 
 // A process that dies lets go of its lock before its address: who starts on the
 // first waits for the second, and does not end.
-func TestTheAddressIsFreeLaterThanTheLock(t *testing.T) {
+func TestAddressReleasedAfterLock(t *testing.T) {
 	ep := newFakeEndpoint(t, nil)
 	env := testConfig(t, newFakeDiscovery(t, ep.member("s-1", 1)), 3)
 	ln, err := net.Listen("tcp", env["ROUTER_LISTEN"])
@@ -222,14 +222,14 @@
 		t.Fatal(err)
 	}
 	file := filepath.Join(t.TempDir(), "go")
-	c := another(t, with(env, seamInUse+"=WAIT:"+file))
-	waitFor(t, "it to find the address in use", func() bool { _, err := os.Stat(file + ".at"); return err == nil || c.over() })
+	c := startPeer(t, withFailpoint(env, failpointAddressInUse+"=WAIT:"+file))
+	waitFor(t, "it to find the address in use", func() bool { _, err := os.Stat(file + ".at"); return err == nil || c.hasExited() })
 	ln.Close()
 	if err := os.WriteFile(file, nil, 0o600); err != nil {
 		t.Fatal(err)
 	}
-	waitFor(t, "yes, or its end", func() bool { return c.yes() || c.over() })
-	if c.over() {
+	waitFor(t, "yes, or its end", func() bool { return c.isReady() || c.hasExited() })
+	if c.hasExited() {
 		t.Error("it has ended")
 	}
 }
@@ -237,23 +237,23 @@
 // A process that takes over was started with an address of discovery that the one
 // before has left since on SIGHUP: what is said there counts for nothing, also
 // where the new address says nothing for now.
-func TestAListOfAnAddressThatWasLeft(t *testing.T) {
+func TestListFromFormerDiscoveryAddress(t *testing.T) {
 	gone, stays := newFakeEndpoint(t, nil), newFakeEndpoint(t, nil)
 	drains := gone.member("s-1", 1)
 	drains.Phase = core.Draining
 	before, after := newFakeDiscovery(t, gone.member("s-1", 1), stays.member("s-2", 1)), newFakeDiscovery(t, drains, stays.member("s-2", 1))
 	before.list.Revision = 50
 	env := testConfig(t, before, 3)
-	old := firstOf(t, env)
+	old := startAndWait(t, env)
 	rewrite(t, env, moveTo(after, before.addr()))
 	old.signal(t, syscall.SIGHUP)
-	waitFor(t, "the drain", func() bool { return figures(t, old.console())["cluster_unhealthy"] == 1 })
+	waitFor(t, "the drain", func() bool { return readStats(t, old.console())["cluster_unhealthy"] == 1 })
 	after.set(func(d *fakeDiscovery) { d.silent = true })
-	fresh := another(t, env)
-	waitFor(t, "the end of the old process", old.over)
-	waitFor(t, "yes", fresh.yes)
-	if got := figures(t, fresh.console())["cluster_unhealthy"]; got != 1 {
+	fresh := startPeer(t, env)
+	waitFor(t, "the end of the old process", old.hasExited)
+	waitFor(t, "yes", fresh.isReady)
+	if got := readStats(t, fresh.console())["cluster_unhealthy"]; got != 1 {
 		t.Errorf("%d endpoints are avoided after the hand-over", got)
 	}
-	drainIsKept(t, env, gone, stays)
+	checkDrainKept(t, env, gone, stays)
 }
--- a/internal/relay/tls_relay_test.go
+++ b/internal/relay/tls_relay_test.go
@@ -59,25 +59,25 @@
 	operatorFile(t, s, env, "")
 	r := startChild(t, env)
 	cl := dialClient(t, env["ROUTER_LISTEN"])
-	if got := cl.put("a", fields("once", 10000, 1), []byte("b")); got != "+OK" {
+	if got := cl.put("a", putFields("once", 10000, 1), []byte("b")); got != "+OK" {
 		t.Fatal(got)
 	}
 	waitFor(t, "the first delivery", func() bool { return ep.count("a") == 1 })
 	shown.Store(issueCert(t, s.root, "shop.example.org"))
 	ep.CloseClientConnections()
-	if got := cl.put("b", fields("once", 15000, 1), []byte("b")); got != "+OK" {
+	if got := cl.put("b", putFields("once", 15000, 1), []byte("b")); got != "+OK" {
 		t.Fatal(got)
 	}
 	// It is held, and what cannot wait for the next proof is not taken on.
 	var refused string
 	waitFor(t, "a refusal", func() bool {
-		refused = cl.put("c", fields("plain", 300, 1), []byte("b"))
+		refused = cl.put("c", putFields("plain", 300, 1), []byte("b"))
 		return strings.HasPrefix(refused, "-BUSY ")
 	})
 	if refused == "-BUSY" || strings.HasSuffix(refused, " 0") {
 		t.Errorf("refused without a time: %q", refused)
 	}
-	if got := cl.put("d", fields("once", 10000, 2), []byte("b")); got != "+OK" {
+	if got := cl.put("d", putFields("once", 10000, 2), []byte("b")); got != "+OK" {
 		t.Error(got)
 	}
 	waitFor(t, "the other partner", func() bool { return other.count("d") == 1 })
@@ -111,15 +111,15 @@
 	operatorFile(t, s, env, "")
 	startChild(t, env)
 	cl := dialClient(t, env["ROUTER_LISTEN"])
-	if got := cl.put("a", fields("once", 15000, 1), []byte("b")); got != "+OK" {
+	if got := cl.put("a", putFields("once", 15000, 1), []byte("b")); got != "+OK" {
 		t.Fatal(got)
 	}
 	<-entered
-	b := another(t, env)
+	b := startPeer(t, env)
 	// The old process comes to rest only once its call has ended.
 	close(release)
-	waitFor(t, "the new process", b.yes)
-	if got := cl.put("b", fields("once", 15000, 1), []byte("b")); got != "+OK" {
+	waitFor(t, "the new process", b.isReady)
+	if got := cl.put("b", putFields("once", 15000, 1), []byte("b")); got != "+OK" {
 		t.Fatal(got)
 	}
 	waitFor(t, "the next message", func() bool { return ep.count("b") == 1 })
@@ -149,11 +149,11 @@
 	operatorFile(t, s, env, "")
 	startChild(t, env)
 	cl := dialClient(t, env["ROUTER_LISTEN"])
-	if got := cl.put("a", fields("keyed", 15000, 1), []byte("b")); got != "+OK" {
+	if got := cl.put("a", putFields("keyed", 15000, 1), []byte("b")); got != "+OK" {
 		t.Fatal(got)
 	}
 	<-entered
-	k := newTaker(t, env["ROUTER_STATE"])
+	k := newTestSuccessor(t, env["ROUTER_STATE"])
 	k.receive(1000)
 	select {
 	case <-over:
@@ -163,7 +163,7 @@
 	if len(k.state.Core.Calls) != 0 {
 		t.Errorf("calls that go on: %+v", k.state.Core.Calls)
 	}
-	k.die() // and the old one, which serves on, sends it once more
+	k.close() // and the old one, which serves on, sends it once more
 	waitFor(t, "the next attempt", func() bool { return ep.count("a") == 2 })
 }
 
--- a/internal/relay/waits_test.go
+++ b/internal/relay/waits_test.go
@@ -177,10 +177,10 @@
 // A wait binds a destination's endpoints together, also one that opens later, and
 // of routes apart the one that told it; it outlasts the home that heard it.
 func TestRetryAfterScopes(t *testing.T) {
-	r := &Relay{homes: map[decide.EndpointID]*Endpoint{}, pool: testPool(t), began: time.Now()}
+	r := &Relay{endpoints: map[decide.EndpointID]*Endpoint{}, pool: testPool(t), startedAt: time.Now()}
 	r.pool.now = r.now
 	open := func(n decide.EndpointID, dest int, apart bool) {
-		r.do(&core.Effect{Kind: core.OpenEndpoint, Endpoint: n, Address: "127.0.0.1:1", Dest: dest, Apart: apart})
+		r.executeEffect(&core.Effect{Kind: core.OpenEndpoint, Endpoint: n, Address: "127.0.0.1:1", Dest: dest, Apart: apart})
 	}
 	open(1, 1, false)
 	open(2, 1, false)
@@ -188,25 +188,25 @@
 	open(4, 2, true)
 	open(5, 3, false)
 	until := r.now() + 60e6
-	r.do(&core.Effect{Kind: core.ApplyRetryAfter, Endpoint: 1, Until: until})
-	r.do(&core.Effect{Kind: core.ApplyRetryAfter, Endpoint: 3, Until: until})
-	r.do(&core.Effect{Kind: core.CloseEndpoint, Endpoint: 3})
+	r.executeEffect(&core.Effect{Kind: core.ApplyRetryAfter, Endpoint: 1, Until: until})
+	r.executeEffect(&core.Effect{Kind: core.ApplyRetryAfter, Endpoint: 3, Until: until})
+	r.executeEffect(&core.Effect{Kind: core.CloseEndpoint, Endpoint: 3})
 	open(3, 2, true)
 	open(6, 1, false)
 	for n, want := range map[decide.EndpointID]bool{1: true, 2: true, 3: true, 4: false, 5: false, 6: true} {
-		if got := retryAfterLeft(r.homes[n]) > 0; got != want {
+		if got := retryAfterLeft(r.endpoints[n]) > 0; got != want {
 			t.Errorf("endpoint %d is held: %v", n, got)
 		}
 	}
-	r.do(&core.Effect{Kind: core.ForgetEndpoint, Endpoint: 3})
-	if open(3, 2, true); retryAfterLeft(r.homes[3]) > 0 {
+	r.executeEffect(&core.Effect{Kind: core.ForgetEndpoint, Endpoint: 3})
+	if open(3, 2, true); retryAfterLeft(r.endpoints[3]) > 0 {
 		t.Error("a route that was forgotten is held")
 	}
 	for _, n := range []decide.EndpointID{1, 2, 6} {
-		r.do(&core.Effect{Kind: core.CloseEndpoint, Endpoint: n})
-		r.do(&core.Effect{Kind: core.ForgetEndpoint, Endpoint: n})
+		r.executeEffect(&core.Effect{Kind: core.CloseEndpoint, Endpoint: n})
+		r.executeEffect(&core.Effect{Kind: core.ForgetEndpoint, Endpoint: n})
 	}
-	if r.do(&core.Effect{Kind: core.PassivateDestination, Dest: 1}); r.pool.scopes[scopeKey{dest: 1}] != nil {
+	if r.executeEffect(&core.Effect{Kind: core.PassivateDestination, Dest: 1}); r.pool.scopes[scopeKey{dest: 1}] != nil {
 		t.Error("a destination that rests keeps its scope")
 	}
 }
--- a/internal/relay/wal.go
+++ b/internal/relay/wal.go
@@ -99,7 +99,7 @@
 	owed   int64  // bytes that the live records need
 	taken  int    // messages so far, for their order
 	found  string // what was there at the start
-	in     *mailbox[walOp]
+	in     *Mailbox[walOp]
 	done   chan struct{}
 	buffer []byte
 }
@@ -246,14 +246,14 @@
 }
 
 // submit hands a record over. It never waits.
-func (w *wal) submit(r *record, then func(error)) { w.in.put(walOp{r, then}) }
+func (w *wal) submit(r *record, then func(error)) { w.in.Put(walOp{r, then}) }
 
 // run writes until stop is closed and everything handed over before is written.
 func (w *wal) run(stop <-chan struct{}) {
 	defer close(w.done)
 	var ops []walOp
 	for stopping := false; ; {
-		ops = w.in.takeAll(ops)
+		ops = w.in.TakeAll(ops)
 		for _, op := range ops {
 			if op.rec == nil { // only the order counts
 				op.then(nil)
--- a/internal/relay/wal_test.go
+++ b/internal/relay/wal_test.go
@@ -125,7 +125,7 @@
 	const limit = 1 << 20
 	dir := t.TempDir()
 	w, _ := openTestWAL(t, dir, limit)
-	body := strings.Repeat("b", bodyMost)
+	body := strings.Repeat("b", maxBodySize)
 	n := 0
 	for ; ; n++ {
 		if err := w.append(taken(strconv.Itoa(n), body)); err != nil {
--- a/internal/takeover/link/link.go
+++ b/internal/takeover/link/link.go
@@ -18,10 +18,10 @@
 
 // Bounds.
 const (
-	Name     = "relay.sock" // in the state folder
-	BodyMost = 32 << 10     // bytes of one packet
-	FDsMost  = 64           // descriptors with one packet
-	pathMost = 100          // of a socket's name, which has 108 bytes with its end
+	SocketName     = "relay.sock" // in the state folder
+	MaxBodySize    = 32 << 10     // bytes of one packet
+	MaxDescriptors = 64           // descriptors with one packet
+	maxPathLength  = 100          // of a socket's name, which has 108 bytes with its end
 )
 
 // Packet is one message.
@@ -31,38 +31,38 @@
 	FDs  []int // the receiver's, close-on-exec
 }
 
-// Link is one connection.
-type Link struct {
-	c   *net.UnixConn
-	buf []byte
-	oob []byte
+// Conn is one connection.
+type Conn struct {
+	conn *net.UnixConn
+	buf  []byte
+	oob  []byte
 }
 
 // Listener waits for links.
 type Listener struct{ ln *net.UnixListener }
 
-// address names the socket, by a shorter way where its path is too long.
-func address(dir string) (name string, done func(), err error) {
-	path := filepath.Join(dir, Name)
-	if len(path) <= pathMost {
+// socketAddress names the socket, by a shorter way where its path is too long.
+func socketAddress(dir string) (name string, done func(), err error) {
+	path := filepath.Join(dir, SocketName)
+	if len(path) <= maxPathLength {
 		return path, func() {}, nil
 	}
 	d, err := os.Open(dir)
 	if err != nil {
 		return "", nil, fmt.Errorf("link: %w", err)
 	}
-	return filepath.Join("/proc/self/fd", strconv.Itoa(int(d.Fd())), Name), func() { d.Close() }, nil
+	return filepath.Join("/proc/self/fd", strconv.Itoa(int(d.Fd())), SocketName), func() { d.Close() }, nil
 }
 
 // Listen opens the socket of a folder, in the place of whoever had it. The
 // caller must own the folder's lock.
 func Listen(dir string) (*Listener, error) {
-	name, done, err := address(dir)
+	name, done, err := socketAddress(dir)
 	if err != nil {
 		return nil, err
 	}
 	defer done()
-	if err := os.Remove(filepath.Join(dir, Name)); err != nil && !errors.Is(err, os.ErrNotExist) {
+	if err := os.Remove(filepath.Join(dir, SocketName)); err != nil && !errors.Is(err, os.ErrNotExist) {
 		return nil, fmt.Errorf("link: %w", err)
 	}
 	ln, err := net.ListenUnix("unixpacket", &net.UnixAddr{Name: name, Net: "unixpacket"})
@@ -74,14 +74,14 @@
 }
 
 // Accept waits for the next link.
-func (l *Listener) Accept() (*Link, error) {
+func (l *Listener) Accept() (*Conn, error) {
 	for {
 		c, err := l.ln.AcceptUnix()
 		if err != nil {
 			return nil, fmt.Errorf("link: %w", err)
 		}
-		if same(c) {
-			return wrap(c), nil
+		if sameUser(c) {
+			return newConn(c), nil
 		}
 		c.Close()
 	}
@@ -91,8 +91,8 @@
 func (l *Listener) Close() error { return l.ln.Close() }
 
 // Dial links to whoever listens in a folder.
-func Dial(dir string) (*Link, error) {
-	name, done, err := address(dir)
+func Dial(dir string) (*Conn, error) {
+	name, done, err := socketAddress(dir)
 	if err != nil {
 		return nil, err
 	}
@@ -101,19 +101,19 @@
 	if err != nil {
 		return nil, fmt.Errorf("link: %w", err)
 	}
-	if !same(c) {
+	if !sameUser(c) {
 		c.Close()
 		return nil, errors.New("link: it is another user's")
 	}
-	return wrap(c), nil
+	return newConn(c), nil
 }
 
-func wrap(c *net.UnixConn) *Link {
-	return &Link{c: c, buf: make([]byte, BodyMost+2), oob: make([]byte, syscall.CmsgSpace(4*FDsMost))}
+func newConn(c *net.UnixConn) *Conn {
+	return &Conn{conn: c, buf: make([]byte, MaxBodySize+2), oob: make([]byte, syscall.CmsgSpace(4*MaxDescriptors))}
 }
 
-// same reports whether the other side is a process of our own user.
-func same(c *net.UnixConn) bool {
+// sameUser reports whether the other side is a process of our own user.
+func sameUser(c *net.UnixConn) bool {
 	raw, err := c.SyscallConn()
 	if err != nil {
 		return false
@@ -127,16 +127,16 @@
 }
 
 // Send sends one packet. The descriptors stay the sender's, too.
-func (l *Link) Send(kind byte, body []byte, by time.Time, fds ...int) error {
-	if len(body) > BodyMost || len(fds) > FDsMost {
+func (l *Conn) Send(kind byte, body []byte, by time.Time, fds ...int) error {
+	if len(body) > MaxBodySize || len(fds) > MaxDescriptors {
 		return fmt.Errorf("link: a packet of %d bytes and %d descriptors", len(body), len(fds))
 	}
-	l.c.SetWriteDeadline(by)
+	l.conn.SetWriteDeadline(by)
 	var oob []byte
 	if len(fds) > 0 {
 		oob = syscall.UnixRights(fds...)
 	}
-	if _, _, err := l.c.WriteMsgUnix(append([]byte{kind}, body...), oob, nil); err != nil {
+	if _, _, err := l.conn.WriteMsgUnix(append([]byte{kind}, body...), oob, nil); err != nil {
 		return fmt.Errorf("link: %w", err)
 	}
 	return nil
@@ -144,20 +144,20 @@
 
 // SendParts sends a text of any length: parts of kind more, and the last one of
 // kind last, with the descriptors.
-func (l *Link) SendParts(more, last byte, text []byte, by time.Time, fds ...int) error {
-	for len(text) > BodyMost {
-		if err := l.Send(more, text[:BodyMost], by); err != nil {
+func (l *Conn) SendParts(more, last byte, text []byte, by time.Time, fds ...int) error {
+	for len(text) > MaxBodySize {
+		if err := l.Send(more, text[:MaxBodySize], by); err != nil {
 			return err
 		}
-		text = text[BodyMost:]
+		text = text[MaxBodySize:]
 	}
 	return l.Send(last, text, by, fds...)
 }
 
 // Receive waits for a packet. Its body holds until the next call.
-func (l *Link) Receive(by time.Time) (Packet, error) {
-	l.c.SetReadDeadline(by)
-	n, oobn, flags, _, err := l.c.ReadMsgUnix(l.buf, l.oob)
+func (l *Conn) Receive(by time.Time) (Packet, error) {
+	l.conn.SetReadDeadline(by)
+	n, oobn, flags, _, err := l.conn.ReadMsgUnix(l.buf, l.oob)
 	if err != nil {
 		return Packet{}, fmt.Errorf("link: %w", err)
 	}
@@ -174,7 +174,7 @@
 			}
 		}
 	}
-	if n == 0 || n > BodyMost+1 || flags&(syscall.MSG_TRUNC|syscall.MSG_CTRUNC) != 0 {
+	if n == 0 || n > MaxBodySize+1 || flags&(syscall.MSG_TRUNC|syscall.MSG_CTRUNC) != 0 {
 		for _, fd := range fds {
 			syscall.Close(fd)
 		}
@@ -186,9 +186,9 @@
 	return Packet{l.buf[0], l.buf[1:n], fds}, nil
 }
 
-// Shut lets the other side say nothing more; what it has said can still be
+// CloseRead lets the other side say nothing more; what it has said can still be
 // received.
-func (l *Link) Shut() error { return l.c.CloseRead() }
+func (l *Conn) CloseRead() error { return l.conn.CloseRead() }
 
 // Close ends the link.
-func (l *Link) Close() error { return l.c.Close() }
+func (l *Conn) Close() error { return l.conn.Close() }
--- a/internal/takeover/link/link_test.go
+++ b/internal/takeover/link/link_test.go
@@ -11,14 +11,14 @@
 	"time"
 )
 
-// pair links both ends of a folder's socket.
-func pair(t *testing.T, dir string) (a, b *Link) {
+// connectedPair links both ends of a folder's socket.
+func connectedPair(t *testing.T, dir string) (a, b *Conn) {
 	t.Helper()
 	ln, err := Listen(dir)
 	if err != nil {
 		t.Fatal(err)
 	}
-	got := make(chan *Link, 1)
+	got := make(chan *Conn, 1)
 	go func() {
 		l, err := ln.Accept()
 		if err != nil {
@@ -34,7 +34,7 @@
 	return a, b
 }
 
-func soon() time.Time { return time.Now().Add(10 * time.Second) }
+func testDeadline() time.Time { return time.Now().Add(10 * time.Second) }
 
 // Texts of any length arrive whole and in order, and descriptors with them, as
 // the same open files.
@@ -43,9 +43,9 @@
 		if err := os.MkdirAll(dir, 0o700); err != nil {
 			t.Fatal(err)
 		}
-		a, b := pair(t, dir)
+		a, b := connectedPair(t, dir)
 		rng := rand.New(rand.NewPCG(1, 2))
-		for _, size := range []int{0, 1, BodyMost, BodyMost + 1, 5*BodyMost + 77} {
+		for _, size := range []int{0, 1, MaxBodySize, MaxBodySize + 1, 5*MaxBodySize + 77} {
 			text := make([]byte, size)
 			for i := range text {
 				text[i] = byte(rng.Uint32())
@@ -55,10 +55,10 @@
 				t.Fatal(err)
 			}
 			sent := make(chan error, 1)
-			go func() { sent <- a.SendParts('p', 'S', text, soon(), int(w.Fd())) }()
+			go func() { sent <- a.SendParts('p', 'S', text, testDeadline(), int(w.Fd())) }()
 			var got []byte
 			for {
-				p, err := b.Receive(soon())
+				p, err := b.Receive(testDeadline())
 				if err != nil {
 					t.Fatal(err)
 				}
@@ -83,7 +83,7 @@
 			}
 			r.Close()
 		}
-		if err := a.Send('x', make([]byte, BodyMost+1), soon()); err == nil {
+		if err := a.Send('x', make([]byte, MaxBodySize+1), testDeadline()); err == nil {
 			t.Error("a packet over the bound is sent")
 		}
 	}
@@ -91,27 +91,27 @@
 
 // What was said before an end is heard; after Shut nothing more can be said.
 func TestTheLastWord(t *testing.T) {
-	a, b := pair(t, t.TempDir())
-	if err := a.Send('M', nil, soon()); err != nil {
+	a, b := connectedPair(t, t.TempDir())
+	if err := a.Send('M', nil, testDeadline()); err != nil {
 		t.Fatal(err)
 	}
-	b.Shut()
-	if err := a.Send('R', nil, soon()); err == nil {
+	b.CloseRead()
+	if err := a.Send('R', nil, testDeadline()); err == nil {
 		t.Error("a word goes out that nobody will hear")
 	}
-	if p, err := b.Receive(soon()); err != nil || p.Kind != 'M' {
+	if p, err := b.Receive(testDeadline()); err != nil || p.Kind != 'M' {
 		t.Errorf("the word before: %q, %v", p.Kind, err)
 	}
-	if _, err := b.Receive(soon()); err == nil {
+	if _, err := b.Receive(testDeadline()); err == nil {
 		t.Error("something comes after the end")
 	}
-	c, d := pair(t, t.TempDir())
-	c.Send('M', nil, soon())
+	c, d := connectedPair(t, t.TempDir())
+	c.Send('M', nil, testDeadline())
 	c.Close()
-	if p, err := d.Receive(soon()); err != nil || p.Kind != 'M' {
+	if p, err := d.Receive(testDeadline()); err != nil || p.Kind != 'M' {
 		t.Errorf("before the other's end: %q, %v", p.Kind, err)
 	}
-	if _, err := d.Receive(soon()); err == nil {
+	if _, err := d.Receive(testDeadline()); err == nil {
 		t.Error("the other's end is not seen")
 	}
 }
@@ -128,7 +128,7 @@
 	if _, err := Dial(dir); err == nil {
 		t.Error("linked to nobody")
 	}
-	if a, b := pair(t, dir); a == nil || b == nil {
+	if a, b := connectedPair(t, dir); a == nil || b == nil {
 		t.Error("not taken over")
 	}
 }
--- a/internal/takeover/takeover.go
+++ b/internal/takeover/takeover.go
@@ -15,209 +15,209 @@
 // log alone counts.
 package takeover
 
-// Giver is the side of the process that serves.
-type Giver struct{ state giverState }
+// Outgoing is the side of the process that serves.
+type Outgoing struct{ state outgoingState }
 
-type giverState uint8
+type outgoingState uint8
 
 const (
-	owning   giverState = iota // nobody is asking
-	stilling                   // asked: what is under way comes to rest
-	giving                     // at rest: all is being sent
-	released                   // sent, the lock shared
-	given                      // the taker said that it is its own
-	over                       // and that it serves; or this process is to end
+	outgoingOwner       outgoingState = iota // nobody is asking
+	outgoingQuiescing                        // asked: what is under way comes to rest
+	outgoingSending                          // at rest: all is being sent
+	outgoingLockShared                       // sent, the lock shared
+	outgoingTransferred                      // the taker said that it is its own
+	outgoingFinished                         // and that it serves; or this process is to end
 )
 
-// GiverEvent is what a giver is told.
-type GiverEvent uint8
+// OutgoingEvent is what a giver is told.
+type OutgoingEvent uint8
 
 // What happens to a giver.
 const (
-	Asked      GiverEvent = iota + 1 // a taker is ready to take
-	Still                            // all is at rest, and the log on disk
-	NotStill                         // it did not come to rest in time
-	Sent                             // everything is on its way, a part in the lock as well
-	SaidMine                         // the taker holds the lock; this side gives up its part
-	SaidServes                       // the taker serves
-	Broken                           // the taker is gone, or silent for too long
-	LockBack                         // the lock was had again
-	LockTaken                        // somebody else holds it
+	HandoverRequested OutgoingEvent = iota + 1 // a taker is ready to take
+	Quiesced                                   // all is at rest, and the log on disk
+	QuiesceTimedOut                            // it did not come to rest in time
+	StateSent                                  // everything is on its way, a part in the lock as well
+	OwnershipClaimed                           // the taker holds the lock; this side gives up its part
+	SuccessorServing                           // the taker serves
+	SuccessorLost                              // the taker is gone, or silent for too long
+	LockRegained                               // the lock was had again
+	LockUnavailable                            // somebody else holds it
 )
 
-// GiverDo is what a giver is to do.
-type GiverDo uint8
+// OutgoingAction is what a giver is to do.
+type OutgoingAction uint8
 
 // What a giver does.
 const (
-	GiverNothing GiverDo = iota
-	Quiet                // bring everything to rest
-	Send                 // send all, and a part in the lock
-	TryLock              // see whether the lock can be had
-	GoOnAsBefore         // with what is in memory
-	StartAnew            // from the log, as after a kill
-	LetGo                // close what was handed over: it is the taker's
-	End                  // nothing is left to do
-	Refuse               // tell the taker that it cannot have it now
+	OutgoingNoAction OutgoingAction = iota
+	Quiesce                         // bring everything to rest
+	SendState                       // send all, and a part in the lock
+	TryLock                         // see whether the lock can be had
+	ResumeServing                   // with what is in memory
+	RestartFromLog                  // from the log, as after a kill
+	ReleaseResources                // close what was handed over: it is the taker's
+	Exit                            // nothing is left to do
+	Reject                          // tell the taker that it cannot have it now
 )
 
 // Step takes one event.
-func (g *Giver) Step(e GiverEvent) GiverDo {
+func (g *Outgoing) Step(e OutgoingEvent) OutgoingAction {
 	switch {
-	case e == Asked && g.state == owning:
-		g.state = stilling
-		return Quiet
-	case e == Asked:
-		return Refuse
-	case e == Still && g.state == stilling:
-		g.state = giving
-		return Send
-	case e == NotStill && g.state == stilling:
-		g.state = owning
-		return GoOnAsBefore
-	case e == Sent && g.state == giving:
-		g.state = released
-	case e == SaidMine && g.state == released:
-		g.state = given
-		return LetGo
-	case e == SaidServes && g.state == given:
-		g.state = over
-		return End
-	case e == Broken:
+	case e == HandoverRequested && g.state == outgoingOwner:
+		g.state = outgoingQuiescing
+		return Quiesce
+	case e == HandoverRequested:
+		return Reject
+	case e == Quiesced && g.state == outgoingQuiescing:
+		g.state = outgoingSending
+		return SendState
+	case e == QuiesceTimedOut && g.state == outgoingQuiescing:
+		g.state = outgoingOwner
+		return ResumeServing
+	case e == StateSent && g.state == outgoingSending:
+		g.state = outgoingLockShared
+	case e == OwnershipClaimed && g.state == outgoingLockShared:
+		g.state = outgoingTransferred
+		return ReleaseResources
+	case e == SuccessorServing && g.state == outgoingTransferred:
+		g.state = outgoingFinished
+		return Exit
+	case e == SuccessorLost:
 		switch g.state {
-		case stilling, giving:
-			g.state = owning // the lock was never let go
-			return GoOnAsBefore
-		case released, given:
+		case outgoingQuiescing, outgoingSending:
+			g.state = outgoingOwner // the lock was never let go
+			return ResumeServing
+		case outgoingLockShared, outgoingTransferred:
 			return TryLock
 		}
-	case e == LockBack && g.state == released:
-		g.state = owning // the taker can have done nothing, and cannot now
-		return GoOnAsBefore
-	case e == LockBack && g.state == given:
-		g.state = owning
-		return StartAnew
-	case e == LockTaken && (g.state == released || g.state == given):
+	case e == LockRegained && g.state == outgoingLockShared:
+		g.state = outgoingOwner // the taker can have done nothing, and cannot now
+		return ResumeServing
+	case e == LockRegained && g.state == outgoingTransferred:
+		g.state = outgoingOwner
+		return RestartFromLog
+	case e == LockUnavailable && (g.state == outgoingLockShared || g.state == outgoingTransferred):
 		// The taker lives, and can no longer say so: it is told by the broken
 		// link to end if it has not said Mine. If it has, it is the relay.
 		return TryLock
 	}
-	return GiverNothing
+	return OutgoingNoAction
 }
 
-// Owns reports whether the giver may write and send.
-func (g *Giver) Owns() bool { return g.state <= giving }
+// IsOwner reports whether the giver may write and send.
+func (g *Outgoing) IsOwner() bool { return g.state <= outgoingSending }
 
-// Over reports whether this process has nothing left to do.
-func (g *Giver) Over() bool { return g.state == over }
+// Finished reports whether this process has nothing left to do.
+func (g *Outgoing) Finished() bool { return g.state == outgoingFinished }
 
-// Given reports whether the taker has said that all is its own.
-func (g *Giver) Given() bool { return g.state >= given }
+// Transferred reports whether the taker has said that all is its own.
+func (g *Outgoing) Transferred() bool { return g.state >= outgoingTransferred }
 
-// Taker is the side of the process that starts.
-type Taker struct{ state takerState }
+// Incoming is the side of the process that starts.
+type Incoming struct{ state incomingState }
 
-type takerState uint8
+type incomingState uint8
 
 const (
-	looking   takerState = iota // is there anybody?
-	asking                      // there is: it is asked
-	receiving                   // it sends
-	locking                     // all has come
-	saying                      // the lock is held, and that is being said
-	owner                       // it may write and send
-	serving                     // and answers clients
-	failed
+	incomingTryingLock   incomingState = iota // is there anybody?
+	incomingRequesting                        // there is: it is asked
+	incomingReceiving                         // it sends
+	incomingAdoptingLock                      // all has come
+	incomingClaiming                          // the lock is held, and that is being said
+	incomingOwner                             // it may write and send
+	incomingServing                           // and answers clients
+	incomingFailed
 )
 
-// TakerEvent is what a taker is told.
-type TakerEvent uint8
+// IncomingEvent is what a taker is told.
+type IncomingEvent uint8
 
 // What happens to a taker.
 const (
-	Free      TakerEvent = iota + 1 // the lock could be had
-	Held                            // somebody holds it
-	Linked                          // the giver answers
-	Began                           // the first part has come
-	Whole                           // all has come
-	Locked                          // the lock is held
-	MineSaid                        // the word has gone out
-	Up                              // clients can be served
-	GiverGone                       // the link broke
-	TooLate                         // the time for the step is over
+	LockAcquired        IncomingEvent = iota + 1 // the lock could be had
+	LockHeld                                     // somebody holds it
+	Connected                                    // the giver answers
+	FirstPacketReceived                          // the first part has come
+	AllReceived                                  // all has come
+	LockAdopted                                  // the lock is held
+	ClaimSent                                    // the word has gone out
+	ReadyToServe                                 // clients can be served
+	PredecessorLost                              // the link broke
+	TimedOut                                     // the time for the step is over
 )
 
-// TakerDo is what a taker is to do.
-type TakerDo uint8
+// IncomingAction is what a taker is to do.
+type IncomingAction uint8
 
 // What a taker does.
 const (
-	TakerNothing TakerDo = iota
-	StartAlone           // from the log; nobody else is there
-	Connect              // to the giver
-	AskForAll            // tell it to bring all to rest
-	Lock                 // it has come with the rest
-	SayMine
-	TakeUp    // what has come, and the log
-	SayServes // and answer yes
-	LookAgain // for the lock: the giver is gone, and what it had lies in the log
-	GiveUp    // end: there is a giver and it cannot give
+	IncomingNoAction IncomingAction = iota
+	StartFromLog                    // from the log; nobody else is there
+	Connect                         // to the giver
+	RequestState                    // tell it to bring all to rest
+	AdoptLock                       // it has come with the rest
+	SendClaim
+	TakeOver    // what has come, and the log
+	SendServing // and answer yes
+	RetryLock   // for the lock: the giver is gone, and what it had lies in the log
+	Abort       // end: there is a giver and it cannot give
 )
 
 // Step takes one event.
-func (t *Taker) Step(e TakerEvent) TakerDo {
+func (t *Incoming) Step(e IncomingEvent) IncomingAction {
 	switch t.state {
-	case looking:
+	case incomingTryingLock:
 		switch e {
-		case Free:
-			t.state = owner
-			return StartAlone
-		case Held:
-			t.state = asking
+		case LockAcquired:
+			t.state = incomingOwner
+			return StartFromLog
+		case LockHeld:
+			t.state = incomingRequesting
 			return Connect
 		}
-	case asking, receiving, locking:
+	case incomingRequesting, incomingReceiving, incomingAdoptingLock:
 		switch e {
-		case Linked:
-			if t.state == asking {
-				return AskForAll
+		case Connected:
+			if t.state == incomingRequesting {
+				return RequestState
 			}
-		case Began:
-			t.state = receiving
-		case Whole:
-			t.state = locking
-			return Lock
-		case Locked:
-			if t.state == locking {
-				t.state = saying
-				return SayMine
+		case FirstPacketReceived:
+			t.state = incomingReceiving
+		case AllReceived:
+			t.state = incomingAdoptingLock
+			return AdoptLock
+		case LockAdopted:
+			if t.state == incomingAdoptingLock {
+				t.state = incomingClaiming
+				return SendClaim
 			}
-		case GiverGone: // also with the lock in reach: only its word and ours together move it
-			t.state = looking
-			return LookAgain
-		case TooLate:
-			t.state = failed
-			return GiveUp
+		case PredecessorLost: // also with the lock in reach: only its word and ours together move it
+			t.state = incomingTryingLock
+			return RetryLock
+		case TimedOut:
+			t.state = incomingFailed
+			return Abort
 		}
-	case saying:
+	case incomingClaiming:
 		switch e {
-		case MineSaid:
-			t.state = owner
-			return TakeUp
-		case GiverGone, TooLate:
+		case ClaimSent:
+			t.state = incomingOwner
+			return TakeOver
+		case PredecessorLost, TimedOut:
 			// It may have taken the work back in the moment before: nothing was
 			// begun here, and this side gives up its part in the lock.
-			t.state = looking
-			return LookAgain
+			t.state = incomingTryingLock
+			return RetryLock
 		}
-	case owner:
-		if e == Up {
-			t.state = serving
-			return SayServes
+	case incomingOwner:
+		if e == ReadyToServe {
+			t.state = incomingServing
+			return SendServing
 		}
 	}
-	return TakerNothing
+	return IncomingNoAction
 }
 
-// Owns reports whether the taker may write and send.
-func (t *Taker) Owns() bool { return t.state == owner || t.state == serving }
+// IsOwner reports whether the taker may write and send.
+func (t *Incoming) IsOwner() bool { return t.state == incomingOwner || t.state == incomingServing }
