--- a/internal/takeover/takeover_test.go
+++ b/internal/takeover/takeover_test.go
@@ -7,83 +7,83 @@
 	"testing"
 )
 
-// world is two processes, a lock and a link, as a model.
-type world struct {
-	g           Giver
-	t           Taker
+// simulation is two processes, a lock and a link, as a model.
+type simulation struct {
+	g           Outgoing
+	t           Incoming
 	gLive       bool
 	tLive       bool
 	lockG       bool // each holds its part; the lock is free once nobody does
 	lockT       bool // also while it is on its way
-	toT         []TakerEvent
-	toG         []GiverEvent
+	toT         []IncomingEvent
+	toG         []OutgoingEvent
 	linkUp      bool
-	gDo         []GiverDo
-	tDo         []TakerDo
+	gDo         []OutgoingAction
+	tDo         []IncomingAction
 	tBegan      bool // the taker has written or sent something
 	gMemory     bool // the giver's memory is still true
 	startedAnew bool
 	mine        bool // the taker has said so, or found itself alone
 }
 
-func (w *world) giver(e GiverEvent) {
-	if do := w.g.Step(e); do != GiverNothing {
+func (w *simulation) stepOutgoingWith(e OutgoingEvent) {
+	if do := w.g.Step(e); do != OutgoingNoAction {
 		w.gDo = append(w.gDo, do)
 	}
 }
 
-func (w *world) taker(e TakerEvent) {
-	if do := w.t.Step(e); do != TakerNothing {
+func (w *simulation) stepIncomingWith(e IncomingEvent) {
+	if do := w.t.Step(e); do != IncomingNoAction {
 		w.tDo = append(w.tDo, do)
 	}
 }
 
-func (w *world) breakLink() {
+func (w *simulation) breakLink() {
 	if w.linkUp {
 		w.linkUp = false
 		// What was said before the end is still heard.
-		w.toG = append(w.toG, Broken)
-		w.toT = append(w.toT, GiverGone)
+		w.toG = append(w.toG, SuccessorLost)
+		w.toT = append(w.toT, PredecessorLost)
 	}
 }
 
-func (w *world) killTaker() {
+func (w *simulation) killIncoming() {
 	w.tLive, w.lockT = false, false
 	w.breakLink()
 }
 
-func (w *world) killGiver() {
+func (w *simulation) killOutgoing() {
 	w.gLive, w.lockG = false, false
 	w.breakLink()
 }
 
-func (w *world) stepGiver() {
+func (w *simulation) stepOutgoing() {
 	if len(w.gDo) > 0 {
 		do := w.gDo[0]
 		w.gDo = w.gDo[1:]
 		switch do {
-		case Quiet:
-			w.giver(Still)
-		case Send:
+		case Quiesce:
+			w.stepOutgoingWith(Quiesced)
+		case SendState:
 			if w.linkUp {
-				w.toT = append(w.toT, Began, Whole)
+				w.toT = append(w.toT, FirstPacketReceived, AllReceived)
 				w.lockT = true
 			}
-			w.giver(Sent)
-		case LetGo:
+			w.stepOutgoingWith(StateSent)
+		case ReleaseResources:
 			w.lockG = false
 		case TryLock:
 			if w.lockG || !w.lockT {
 				w.lockG = true
-				w.giver(LockBack)
+				w.stepOutgoingWith(LockRegained)
 			} else {
 				w.gDo = append(w.gDo, TryLock) // later
 			}
-		case GoOnAsBefore:
+		case ResumeServing:
 			if !w.gMemory {
 				panic("the giver goes on with what is no longer true")
 			}
-		case StartAnew:
+		case RestartFromLog:
 			w.startedAnew, w.gMemory = true, true
 		}
 		return
@@ -91,118 +91,118 @@
 	if len(w.toG) > 0 {
 		e := w.toG[0]
 		w.toG = w.toG[1:]
-		w.giver(e)
+		w.stepOutgoingWith(e)
 	}
 }
 
-func (w *world) stepTaker() {
+func (w *simulation) stepIncoming() {
 	if len(w.tDo) > 0 {
 		do := w.tDo[0]
 		w.tDo = w.tDo[1:]
 		switch do {
 		case Connect:
-			if w.gLive && !w.linkUp && w.g.Owns() {
+			if w.gLive && !w.linkUp && w.g.IsOwner() {
 				w.linkUp, w.toT, w.toG = true, nil, nil
-				w.taker(Linked)
+				w.stepIncomingWith(Connected)
 			} else {
-				w.taker(GiverGone)
+				w.stepIncomingWith(PredecessorLost)
 			}
-		case AskForAll:
+		case RequestState:
 			if w.linkUp {
-				w.toG = append(w.toG, Asked)
+				w.toG = append(w.toG, HandoverRequested)
 			}
-		case Lock:
+		case AdoptLock:
 			if !w.lockT {
 				panic("all has come, and the lock has not")
 			}
-			w.taker(Locked)
-		case SayMine:
+			w.stepIncomingWith(LockAdopted)
+		case SendClaim:
 			if w.linkUp {
-				w.toG = append(w.toG, SaidMine)
+				w.toG = append(w.toG, OwnershipClaimed)
 				w.mine = true
-				w.taker(MineSaid)
+				w.stepIncomingWith(ClaimSent)
 			} else {
-				w.taker(GiverGone)
+				w.stepIncomingWith(PredecessorLost)
 			}
-		case LookAgain:
+		case RetryLock:
 			w.lockT = false
 			w.tDo, w.toT = nil, nil
-			w.look()
-		case TakeUp, StartAlone:
+			w.checkOwnership()
+		case TakeOver, StartFromLog:
 			w.tBegan, w.gMemory, w.mine = true, false, true
-			w.taker(Up)
-		case SayServes:
+			w.stepIncomingWith(ReadyToServe)
+		case SendServing:
 			if w.linkUp {
-				w.toG = append(w.toG, SaidServes)
+				w.toG = append(w.toG, SuccessorServing)
 			}
-		case GiveUp:
-			w.killTaker()
+		case Abort:
+			w.killIncoming()
 		}
 		return
 	}
 	if len(w.toT) > 0 {
 		e := w.toT[0]
 		w.toT = w.toT[1:]
-		w.taker(e)
+		w.stepIncomingWith(e)
 	}
 }
 
-func (w *world) look() {
+func (w *simulation) checkOwnership() {
 	if !w.lockG && !w.lockT {
 		w.lockT = true
-		w.taker(Free)
+		w.stepIncomingWith(LockAcquired)
 	} else {
-		w.taker(Held)
+		w.stepIncomingWith(LockHeld)
 	}
 }
 
 // Whoever is killed, whenever, or whose link breaks: never do both own the
 // work, a giver never goes on with what is no longer true, and in the end one
 // of those that live owns it.
-func TestNeverBothAndNeverNeither(t *testing.T) {
+func TestExactlyOneOwner(t *testing.T) {
 	outcomes := map[string]int{}
 	for seed := range uint64(60000) {
 		rng := rand.New(rand.NewPCG(seed, 3))
-		w := &world{gLive: true, tLive: true, lockG: true, gMemory: true}
-		w.look()
+		w := &simulation{gLive: true, tLive: true, lockG: true, gMemory: true}
+		w.checkOwnership()
 		kill, what := rng.IntN(30), rng.IntN(4)
 		for n := range 400 {
 			if n == kill {
 				switch what {
 				case 0:
-					w.killGiver()
+					w.killOutgoing()
 				case 1:
-					w.killTaker()
+					w.killIncoming()
 				case 2:
 					w.breakLink()
 				}
 			}
 			if rng.IntN(2) == 0 {
 				if w.gLive {
-					w.stepGiver()
+					w.stepOutgoing()
 				}
 			} else if w.tLive {
-				w.stepTaker()
+				w.stepIncoming()
 			}
 			if what == 3 && !w.lockG && !w.lockT {
 				t.Fatalf("seed %d, step %d: a third process could take the lock", seed, n)
 			}
-			if w.gLive && w.tLive && w.g.Owns() && w.t.Owns() {
+			if w.gLive && w.tLive && w.g.IsOwner() && w.t.IsOwner() {
 				t.Fatalf("seed %d, step %d: both own it: giver %d, taker %d", seed, n, w.g.state, w.t.state)
 			}
-			if w.tLive && w.t.Owns() && !w.mine && !slices.Contains(w.tDo, StartAlone) {
+			if w.tLive && w.t.IsOwner() && !w.mine && !slices.Contains(w.tDo, StartFromLog) {
 				t.Fatalf("seed %d, step %d: the taker owns it and has not said so", seed, n)
 			}
-			if w.tLive && w.t.Owns() && !w.lockT || w.gLive && w.g.Owns() && !w.lockG {
+			if w.tLive && w.t.IsOwner() && !w.lockT || w.gLive && w.g.IsOwner() && !w.lockG {
 				t.Fatalf("seed %d, step %d: the owner has no lock: giver %d, taker %d", seed, n, w.g.state, w.t.state)
 			}
 		}
-		if w.gLive && !w.g.Over() || w.tLive { // after the last word a death is no longer an upgrade's matter
-			if !(w.gLive && w.g.Owns()) && !(w.tLive && w.t.Owns()) {
+		if w.gLive && !w.g.Finished() || w.tLive { // after the last word a death is no longer an upgrade's matter
+			if !(w.gLive && w.g.IsOwner()) && !(w.tLive && w.t.IsOwner()) {
 				t.Fatalf("seed %d: nobody owns it: kill %d at %d, giver %v %d, taker %v %d", seed, what, kill, w.gLive, w.g.state, w.tLive, w.t.state)
 			}
 		}
-		outcomes[fmt.Sprintf("kind %d giver %v taker %v anew %v", what, w.gLive && w.g.Owns(), w.tLive && w.t.Owns(), w.startedAnew)]++
+		outcomes[fmt.Sprintf("kind %d giver %v taker %v anew %v", what, w.gLive && w.g.IsOwner(), w.tLive && w.t.IsOwner(), w.startedAnew)]++
 	}
 	for _, want := range []string{"kind 0 giver false taker true anew false", "kind 1 giver true taker false anew false",
 		"kind 1 giver true taker false anew true", "kind 3 giver false taker true anew false"} {
