--- a/cmd/troutusher-kit/kit_test.go
+++ b/cmd/troutusher-kit/kit_test.go
@@ -36,7 +36,7 @@
 		os.Exit(2)
 	}
 	ctx, _ := signal.NotifyContext(context.Background(), syscall.SIGTERM)
-	re := relay.Reload{Asked: hup, Read: func() (*relay.Config, error) { return relay.ReloadConfig(os.Getenv) }}
+	re := relay.ReloadRequests{Signals: hup, Load: func() (*relay.Config, error) { return relay.ReloadConfig(os.Getenv) }}
 	if err := relay.Run(cfg, slog.New(slog.NewTextHandler(os.Stderr, nil)), ctx.Done(), re); err != nil {
 		os.Exit(1)
 	}
@@ -97,7 +97,7 @@
 		"time=2026-05-01T18:00:01Z level=INFO msg=taken message=m1 left_ms=900\ntime=2026-05-01T18:00:09Z level=INFO msg=tally second=9\n"))
 	state := t.TempDir()
 	if _, err := learned.NewStore(state, "n7", 3<<20).Write(&learned.File{Wall: 1777658400e6, State: &core.StateSnapshot{Now: 9e6, Revision: 41,
-		Members: []core.HandoverMember{{Member: core.Member{ID: "s-1", Cell: 4, Phase: core.Up}, Number: 3}}, RetryAfters: []core.HandoverRetryAfter{{Dest: 4, Until: 14e6}},
+		Members: []core.HandoverMember{{Member: core.Member{ID: "s-1", Dest: 4, Phase: core.Up}, Number: 3}}, RetryAfters: []core.HandoverRetryAfter{{Dest: 4, Until: 14e6}},
 		Policy: &decide.Snapshot{Now: 9e6, Limiters: []decide.LimiterSnapshot{{Destination: 4, Endpoints: []decide.EndpointSnapshot{{ID: 3, Unhealthy: true, FirstFailureAt: 7e6}}}}}}}); err != nil {
 		t.Fatal(err)
 	}
--- a/cmd/troutusher-kit/members.go
+++ b/cmd/troutusher-kit/members.go
@@ -35,12 +35,12 @@
 	}
 	var sources []membership.Source
 	for _, s := range st.Sources {
-		sources = append(sources, membership.Source{Name: s.Name, Stale: 1})
+		sources = append(sources, membership.Source{Name: s.Name, StaleAfter: 1})
 	}
 	if len(sources) == 0 {
 		return fmt.Errorf("%s: no source has said anything", path)
 	}
-	v, err := membership.New(membership.Default(sources...))
+	v, err := membership.New(membership.DefaultSettings(sources...))
 	if err != nil {
 		return fmt.Errorf("%s: %w", path, err)
 	}
@@ -62,7 +62,7 @@
 	fmt.Fprintln(w, "id\taddress\tdest\tphase\tby\tsaid")
 	for _, l := range lines {
 		var said []string
-		for _, s := range l.Said {
+		for _, s := range l.Records {
 			text := fmt.Sprintf("%s %s@%d", s.Source, s.Phase, s.Revision)
 			if s.ID != l.ID {
 				text += " as " + s.ID
@@ -72,7 +72,7 @@
 			}
 			said = append(said, text)
 		}
-		fmt.Fprintf(w, "%s\t%s\t%d\t%s\t%s\t%s\n", l.ID, l.HostPort, l.Cell, l.Phase, l.By, strings.Join(said, ", "))
+		fmt.Fprintf(w, "%s\t%s\t%d\t%s\t%s\t%s\n", l.ID, l.HostPort, l.Dest, l.Phase, l.DecidedBy, strings.Join(said, ", "))
 	}
 	return w.Flush()
 }
--- a/cmd/troutusher-kit/publish.go
+++ b/cmd/troutusher-kit/publish.go
@@ -49,7 +49,7 @@
 const publishWait = 10 * time.Second
 
 // published connects to the cluster of the operator's file.
-func published(do func(context.Context, *publish.Prefix) error) error {
+func published(do func(context.Context, *publish.Publisher) error) error {
 	file, err := operator.Load(os.Getenv)
 	if err == nil && file == nil {
 		err = fmt.Errorf("%s: not set", operator.Env)
@@ -68,10 +68,10 @@
 		return err
 	}
 	defer conn.Close()
-	return do(ctx, &publish.Prefix{KV: etcdserverpb.NewKVClient(conn), Path: file.Etcd.Prefix})
+	return do(ctx, &publish.Publisher{KV: etcdserverpb.NewKVClient(conn), Prefix: file.Etcd.Prefix})
 }
 
-func told(out io.Writer, d *publish.Done, err error) error {
+func told(out io.Writer, d *publish.Result, err error) error {
 	if err != nil {
 		return err
 	}
@@ -100,35 +100,35 @@
 	if err := dec.Decode(l); err != nil {
 		return fmt.Errorf("%s: %w", c.File, err)
 	}
-	return published(func(ctx context.Context, p *publish.Prefix) error {
+	return published(func(ctx context.Context, p *publish.Publisher) error {
 		d, err := p.Publish(ctx, l, c.All)
 		return told(out, d, err)
 	})
 }
 
 func (c *publishDrain) Run(out io.Writer) error {
-	return published(func(ctx context.Context, p *publish.Prefix) error {
+	return published(func(ctx context.Context, p *publish.Publisher) error {
 		d, err := p.Drain(ctx, false, c.IDs...)
 		return told(out, d, err)
 	})
 }
 
 func (c *publishUndrain) Run(out io.Writer) error {
-	return published(func(ctx context.Context, p *publish.Prefix) error {
+	return published(func(ctx context.Context, p *publish.Publisher) error {
 		d, err := p.Drain(ctx, true, c.IDs...)
 		return told(out, d, err)
 	})
 }
 
 func (c *publishRemove) Run(out io.Writer) error {
-	return published(func(ctx context.Context, p *publish.Prefix) error {
+	return published(func(ctx context.Context, p *publish.Publisher) error {
 		d, err := p.Remove(ctx, c.IDs...)
 		return told(out, d, err)
 	})
 }
 
 func (c *publishShow) Run(out io.Writer) error {
-	return published(func(ctx context.Context, p *publish.Prefix) error {
+	return published(func(ctx context.Context, p *publish.Publisher) error {
 		lines, err := p.Show(ctx)
 		if err != nil {
 			return err
--- a/cmd/troutusher/main.go
+++ b/cmd/troutusher/main.go
@@ -39,7 +39,7 @@
 	debug.SetMemoryLimit(int64(cfg.Limits.MemoryMB) << 20 / 10 * 7) // the rest is for files and stacks
 	ctx, cancel := signal.NotifyContext(context.Background(), syscall.SIGTERM, syscall.SIGINT)
 	defer cancel()
-	re := relay.Reload{Asked: hup, Read: func() (*relay.Config, error) { return relay.ReloadConfig(os.Getenv) }}
+	re := relay.ReloadRequests{Signals: hup, Load: func() (*relay.Config, error) { return relay.ReloadConfig(os.Getenv) }}
 	err = relay.Run(cfg, log, ctx.Done(), re)
 	if err != nil {
 		log.Error("ended", "err", err)
--- a/internal/core/await_test.go
+++ b/internal/core/await_test.go
@@ -47,7 +47,7 @@
 func TestDeferSendsRepliesAtOnce(t *testing.T) {
 	r := testCore(t)
 	member := func(id, phase string) Member {
-		return Member{ID: id, HostPort: "10.0.0.1:" + id[1:], Locality: "a", Flavor: "k", Cell: 1, Phase: phase, Size: 1000}
+		return Member{ID: id, HostPort: "10.0.0.1:" + id[1:], Locality: "a", Flavor: "k", Dest: 1, Phase: phase, Rate: 1000}
 	}
 	now := decide.Time(3600e6)
 	r.Observe(now, []Event{{Kind: EndpointListUpdated, News: decide.ListCached, List: &EndpointList{Complete: true, Members: []Member{member("s1", Up), member("s2", Up)}}}}, nil)
@@ -99,7 +99,7 @@
 	r := testCore(t)
 	now := decide.Time(3600e6)
 	member := func(id, phase string) Member {
-		return Member{ID: id, HostPort: "10.0.0.1:" + id[1:], Locality: "a", Flavor: "k", Cell: 1, Phase: phase, Size: 1000}
+		return Member{ID: id, HostPort: "10.0.0.1:" + id[1:], Locality: "a", Flavor: "k", Dest: 1, Phase: phase, Rate: 1000}
 	}
 	r.Observe(now, []Event{{Kind: EndpointListUpdated, News: decide.ListCached, List: &EndpointList{Complete: true, Members: []Member{member("s1", Up), member("s2", Up)}}}}, nil)
 	r.DeferSends()
--- a/internal/core/booking.go
+++ b/internal/core/booking.go
@@ -40,7 +40,7 @@
 	seen := map[string]bool{}
 	for i := range l.Members {
 		x := &l.Members[i]
-		if !b.applied[i] && (x.Phase == Removed || !r.passivation.roster.Awake(x.Cell)) {
+		if !b.applied[i] && (x.Phase == Removed || !r.passivation.roster.Awake(x.Dest)) {
 			continue
 		}
 		b.applied[i] = true
@@ -90,7 +90,7 @@
 	if !left {
 		for _, id := range slices.Sorted(maps.Keys(b.unnamed)) {
 			if ep := r.endpointsByID[id]; ep != nil {
-				e.Updates = append(e.Updates, r.updateEndpoint(&Member{ID: id, Cell: ep.dest, Phase: Removed}))
+				e.Updates = append(e.Updates, r.updateEndpoint(&Member{ID: id, Dest: ep.dest, Phase: Removed}))
 			}
 		}
 	}
--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -653,11 +653,11 @@
 		r.endpointsByID[x.ID], r.endpointsByNumber[ep.number] = ep, ep
 		r.endpoints = append(r.endpoints, ep)
 	}
-	if x.Phase != Removed && (ep.hostPort != x.HostPort || ep.dest != x.Cell || ep.flavor != x.Flavor && r.settings.ConnectionCost != nil) {
+	if x.Phase != Removed && (ep.hostPort != x.HostPort || ep.dest != x.Dest || ep.flavor != x.Flavor && r.settings.ConnectionCost != nil) {
 		// It moved under its old name, or is to prove itself in another way:
 		// nothing more goes to the old place.
 		r.retireEndpoint(ep)
-		ep.hostPort, ep.dest, ep.flavor = x.HostPort, x.Cell, x.Flavor
+		ep.hostPort, ep.dest, ep.flavor = x.HostPort, x.Dest, x.Flavor
 	}
 	if x.Phase == Up && (!ep.open || ep.retired) {
 		ep.open = true
@@ -667,12 +667,12 @@
 		r.emit(Effect{Kind: ApplyRetryAfter, Endpoint: ep.number, Until: until})
 	}
 	if x.Phase != Removed {
-		r.knownDestinations[x.Cell] = true
+		r.knownDestinations[x.Dest] = true
 	}
 	entry := decide.EndpointUpdate{Endpoint: ep.number, Zone: indexOf(r.settings.Zones, x.Locality), Kind: indexOf(r.settings.Kinds, x.Flavor),
-		Destination: x.Cell, State: decide.Ready, Rate: x.Size}
+		Destination: x.Dest, State: decide.Ready, Rate: x.Rate}
 	if ep.zone = entry.Zone; r.settings.ConnectionCost != nil {
-		entry.ConnectCost = r.settings.ConnectionCost(x.Cell, x.Flavor)
+		entry.ConnectCost = r.settings.ConnectionCost(x.Dest, x.Flavor)
 	}
 	if ep.listed = x.Phase != Removed; ep.listed {
 		ep.member = *x
--- a/internal/core/core_test.go
+++ b/internal/core/core_test.go
@@ -228,12 +228,12 @@
 					continue
 				}
 				addr := fmt.Sprintf("10.0.0.%d:%d", k, 1+w.rng.IntN(2))
-				m := Member{ID: "s" + strconv.Itoa(k), HostPort: addr, Locality: "a", Cell: (k + w.rng.IntN(8)/7) % 3, Phase: Up, Size: 100}
-				m.Flavor = w.flavors[m.Cell%len(w.flavors)] // a destination's are of one kind
+				m := Member{ID: "s" + strconv.Itoa(k), HostPort: addr, Locality: "a", Dest: (k + w.rng.IntN(8)/7) % 3, Phase: Up, Rate: 100}
+				m.Flavor = w.flavors[m.Dest%len(w.flavors)] // a destination's are of one kind
 				if i > 0 {
 					m.Phase = []string{Up, Up, Draining, Removed}[w.rng.IntN(4)]
 				}
-				w.byAddr[addr] = m.Cell
+				w.byAddr[addr] = m.Dest
 				l.Members = append(l.Members, m)
 			}
 			kind := decide.ListDelta
--- a/internal/core/growth_test.go
+++ b/internal/core/growth_test.go
@@ -37,7 +37,7 @@
 func TestForgetsReplacedEndpoints(t *testing.T) {
 	r := testCore(t)
 	up := func(i int) Member {
-		return Member{ID: fmt.Sprintf("s-%d", i), HostPort: fmt.Sprintf("127.0.0.1:%d", 7000+i%3), Cell: i % 3, Phase: Up, Size: 5}
+		return Member{ID: fmt.Sprintf("s-%d", i), HostPort: fmt.Sprintf("127.0.0.1:%d", 7000+i%3), Dest: i % 3, Phase: Up, Rate: 5}
 	}
 	news := func(kind decide.ListUpdateKind, members ...Member) []Effect {
 		return r.Step(r.now, []Event{{Kind: EndpointListUpdated, News: kind, List: &EndpointList{Members: members}}}, nil)
@@ -99,7 +99,7 @@
 	if s := put("early", 5); s != "held" {
 		t.Errorf("before any list: %q", s)
 	}
-	m := Member{ID: "s-1", HostPort: "127.0.0.1:7000", Cell: 1, Phase: Up, Size: 5}
+	m := Member{ID: "s-1", HostPort: "127.0.0.1:7000", Dest: 1, Phase: Up, Rate: 5}
 	r.applyList(&EndpointList{Complete: true, Members: []Member{m}}, decide.ListFull)
 	m.Phase = Removed
 	r.applyList(&EndpointList{Members: []Member{m}}, decide.ListDelta)
--- a/internal/core/herd_test.go
+++ b/internal/core/herd_test.go
@@ -456,7 +456,7 @@
 		retryAfters: map[int]retryAfterPeriod{}, ignoresSnapshot: seed%10 == 9}
 	h.now = 1e15
 	for i := range 6 {
-		h.members = append(h.members, Member{ID: fmt.Sprintf("s%d", i), HostPort: fmt.Sprintf("10.0.0.%d:1", i), Locality: "a", Flavor: "k", Cell: 1 + i%3, Phase: Up, Size: 40})
+		h.members = append(h.members, Member{ID: fmt.Sprintf("s%d", i), HostPort: fmt.Sprintf("10.0.0.%d:1", i), Locality: "a", Flavor: "k", Dest: 1 + i%3, Phase: Up, Rate: 40})
 	}
 	h.downs = [][2]int64{{h.now, 1 << 62}}
 	h.start()
@@ -556,7 +556,7 @@
 	}
 	now := decide.Time(3600e6)
 	r.Observe(now, []Event{{Kind: EndpointListUpdated, News: decide.ListCached, List: &EndpointList{Complete: true, Members: []Member{
-		{ID: "s1", HostPort: "10.0.0.1:1", Locality: "a", Flavor: "k", Cell: 1, Phase: Draining, Size: 40}}}}}, nil)
+		{ID: "s1", HostPort: "10.0.0.1:1", Locality: "a", Flavor: "k", Dest: 1, Phase: Draining, Rate: 40}}}}}, nil)
 	r.DeferSends()
 	var owed []*Record
 	for i := range n {
--- a/internal/core/idle_bench_test.go
+++ b/internal/core/idle_bench_test.go
@@ -57,7 +57,7 @@
 	for d := from; d < to; d++ {
 		for e := range endpoints {
 			l = append(l, Member{ID: fmt.Sprintf("shop-%07d-%d", d, e), HostPort: fmt.Sprintf("10.%d.%d.%d:8080", d>>16&255, d>>8&255, d&255),
-				Locality: "a", Flavor: "k", Cell: d, Phase: Up, Size: 40})
+				Locality: "a", Flavor: "k", Dest: d, Phase: Up, Rate: 40})
 		}
 	}
 	return l
@@ -148,7 +148,7 @@
 			var before, after runtime.MemStats
 			for i := range b.N {
 				for k := i % 100; k < n; k += 100 {
-					l.Members[k].Size++
+					l.Members[k].Rate++
 				}
 				runtime.GC()
 				runtime.ReadMemStats(&before)
--- a/internal/core/learn.go
+++ b/internal/core/learn.go
@@ -81,7 +81,7 @@
 	for i := range members {
 		m := &members[i]
 		ep := r.endpointsByID[m.ID]
-		if ep == nil || ep.hostPort != m.HostPort || ep.dest != m.Cell {
+		if ep == nil || ep.hostPort != m.HostPort || ep.dest != m.Dest {
 			continue
 		}
 		number[m.Number] = ep.number
--- a/internal/core/learn_test.go
+++ b/internal/core/learn_test.go
@@ -56,7 +56,7 @@
 // a new id, nothing is inherited; and without the file nothing is known.
 func TestRestoreState(t *testing.T) {
 	member := func(id, addr string, dest int) Member {
-		return Member{ID: id, HostPort: addr, Locality: "a", Flavor: "k", Cell: dest, Phase: Up, Size: 40}
+		return Member{ID: id, HostPort: addr, Locality: "a", Flavor: "k", Dest: dest, Phase: Up, Rate: 40}
 	}
 	was := []Member{member("s1", "10.0.0.1:1", 1), member("s2", "10.0.0.2:1", 2)}
 	const shift = decide.Time(-3000e6) // the new process's clock reads otherwise
--- a/internal/core/rest.go
+++ b/internal/core/rest.go
@@ -57,11 +57,11 @@
 	s := r.passivation.store
 	delete(r.listUpdate.unnamed, x.ID)
 	if s != nil {
-		e := dormant.Endpoint{ID: x.ID, HostPort: x.HostPort, Locality: x.Locality, Flavor: x.Flavor, Draining: x.Phase == Draining, Size: x.Size}
-		if x.Phase != Removed && s.Same(x.Cell, &e) {
+		e := dormant.Endpoint{ID: x.ID, HostPort: x.HostPort, Locality: x.Locality, Flavor: x.Flavor, Draining: x.Phase == Draining, Size: x.Rate}
+		if x.Phase != Removed && s.Same(x.Dest, &e) {
 			return entry, false
 		}
-		if at, ok := s.Find(x.ID); ok && (x.Phase == Removed || x.Cell != at) {
+		if at, ok := s.Find(x.ID); ok && (x.Phase == Removed || x.Dest != at) {
 			s.Remove(x.ID)
 			r.noteDeparture(at)
 			if x.Phase == Removed {
@@ -75,7 +75,7 @@
 		}
 		return r.updateEndpoint(x), true
 	}
-	if r.endpointsByID[x.ID] == nil && !r.passivation.roster.Awake(x.Cell) && (r.isPassive(x.Cell) || r.passivation.roster.Full()) && (s == nil || s.Room()) {
+	if r.endpointsByID[x.ID] == nil && !r.passivation.roster.Awake(x.Dest) && (r.isPassive(x.Dest) || r.passivation.roster.Full()) && (s == nil || s.Room()) {
 		if s == nil {
 			s = dormant.New()
 			r.passivation.store = s
@@ -83,10 +83,10 @@
 				s.Begin()
 			}
 		}
-		s.Put(x.Cell, &dormant.Endpoint{ID: x.ID, HostPort: x.HostPort, Locality: x.Locality, Flavor: x.Flavor, Draining: x.Phase == Draining, Size: x.Size})
+		s.Put(x.Dest, &dormant.Endpoint{ID: x.ID, HostPort: x.HostPort, Locality: x.Locality, Flavor: x.Flavor, Draining: x.Phase == Draining, Size: x.Rate})
 		return entry, false
 	}
-	r.ensureActive(x.Cell)
+	r.ensureActive(x.Dest)
 	return r.updateEndpoint(x), true
 }
 
@@ -188,7 +188,7 @@
 			continue
 		}
 		m := &ep.member
-		going[ep.dest] = append(list, dormant.Endpoint{ID: ep.id, HostPort: m.HostPort, Locality: m.Locality, Flavor: m.Flavor, Draining: m.Phase == Draining, Size: m.Size})
+		going[ep.dest] = append(list, dormant.Endpoint{ID: ep.id, HostPort: m.HostPort, Locality: m.Locality, Flavor: m.Flavor, Draining: m.Phase == Draining, Size: m.Rate})
 		marks[ep.number] = endpointHash(ep.id, ep.hostPort)
 		if ep.open {
 			r.emit(Effect{Kind: CloseEndpoint, Endpoint: ep.number})
@@ -294,7 +294,7 @@
 
 // memberFromStore is an endpoint as the list has it.
 func memberFromStore(dest int, x *dormant.Endpoint) Member {
-	m := Member{ID: x.ID, HostPort: x.HostPort, Locality: x.Locality, Flavor: x.Flavor, Cell: dest, Phase: Up, Size: x.Size}
+	m := Member{ID: x.ID, HostPort: x.HostPort, Locality: x.Locality, Flavor: x.Flavor, Dest: dest, Phase: Up, Rate: x.Size}
 	if x.Draining {
 		m.Phase = Draining
 	}
--- a/internal/core/rest_test.go
+++ b/internal/core/rest_test.go
@@ -126,7 +126,7 @@
 var deliveredResult = &Result{Outcome: decide.Delivered, Status: 200, Final: true, Elapsed: 1000}
 
 func testMember(i, dest int, flavor string) Member {
-	return Member{ID: fmt.Sprintf("s-%d", i), HostPort: fmt.Sprintf("127.0.0.1:%d", 7000+i), Locality: "a", Flavor: flavor, Cell: dest, Phase: Up, Size: 40}
+	return Member{ID: fmt.Sprintf("s-%d", i), HostPort: fmt.Sprintf("127.0.0.1:%d", 7000+i), Locality: "a", Flavor: flavor, Dest: dest, Phase: Up, Rate: 40}
 }
 
 // coreWithTwoWaits is a core with destinations 1 to 3, routes apart at 2, of which 1 was told
--- a/internal/core/restarts_test.go
+++ b/internal/core/restarts_test.go
@@ -41,10 +41,10 @@
 	r := testCore(t)
 	now := decide.Time(3600e6)
 	left := func(us int64) int64 { return r.settings.Epoch + now + us }
-	up := Member{ID: "s-1", HostPort: "127.0.0.1:7001", Cell: 1, Phase: Up, Size: 1000, Flavor: "k", Locality: "a"}
+	up := Member{ID: "s-1", HostPort: "127.0.0.1:7001", Dest: 1, Phase: Up, Rate: 1000, Flavor: "k", Locality: "a"}
 	full, never := up, up
-	full.ID, full.HostPort, full.Cell = "s-2", "127.0.0.1:7002", 2
-	never.ID, never.HostPort, never.Cell = "s-3", "127.0.0.1:7003", 3
+	full.ID, full.HostPort, full.Dest = "s-2", "127.0.0.1:7002", 2
+	never.ID, never.HostPort, never.Dest = "s-3", "127.0.0.1:7003", 3
 	var owed []*Record
 	for i := range 8 {
 		owed = append(owed, &Record{Kind: RecordAccepted, ID: fmt.Sprintf("m%d", i), Class: []string{"plain", "keyed", "once"}[i%3], Tenant: "acme", Key: "k", Dest: 1, Deadline: left(10e6)})
@@ -123,7 +123,7 @@
 		t.Fatal(err)
 	}
 	now := decide.Time(3600e6)
-	up := Member{ID: "s-1", HostPort: "127.0.0.1:7001", Cell: 1, Phase: Up, Size: 1000, Flavor: "k", Locality: "a"}
+	up := Member{ID: "s-1", HostPort: "127.0.0.1:7001", Dest: 1, Phase: Up, Rate: 1000, Flavor: "k", Locality: "a"}
 	r.Observe(now, []Event{{Kind: EndpointListUpdated, News: decide.ListCached, List: &EndpointList{Complete: true, Members: []Member{up}}}}, nil)
 	r.DeferSends()
 	r.RecoverMessages(now, []*Record{{Kind: RecordAccepted, ID: "m", Class: "plain", Dest: 1, Deadline: set.Epoch + now + 5e6}}, nil, 0, nil)
--- a/internal/core/stop_test.go
+++ b/internal/core/stop_test.go
@@ -19,7 +19,7 @@
 	s := &shutdownFixture{t: t, core: testCore(t), now: 3600e6}
 	l := &EndpointList{}
 	for k := range 16 {
-		l.Members = append(l.Members, Member{ID: fmt.Sprintf("s-%d", k), HostPort: fmt.Sprintf("127.0.0.1:%d", 7000+k), Cell: k, Phase: Up, Size: 1000, Locality: "a", Flavor: "k"})
+		l.Members = append(l.Members, Member{ID: fmt.Sprintf("s-%d", k), HostPort: fmt.Sprintf("127.0.0.1:%d", 7000+k), Dest: k, Phase: Up, Rate: 1000, Locality: "a", Flavor: "k"})
 	}
 	s.step(Event{Kind: EndpointListUpdated, News: decide.ListFull, List: l})
 	return s
@@ -86,7 +86,7 @@
 			}
 			s.step(Event{Kind: ShutdownRequested})
 			s.now += after
-			l := &EndpointList{Members: []Member{{ID: "late", HostPort: "127.0.0.1:1", Cell: 20, Phase: Up, Size: 1000, Locality: "a", Flavor: "k"}}}
+			l := &EndpointList{Members: []Member{{ID: "late", HostPort: "127.0.0.1:1", Dest: 20, Phase: Up, Rate: 1000, Locality: "a", Flavor: "k"}}}
 			sent = false
 			fx := s.step(Event{Kind: EndpointListUpdated, News: decide.ListDelta, List: l})
 			for i := range fx {
--- a/internal/core/story_test.go
+++ b/internal/core/story_test.go
@@ -54,8 +54,8 @@
 		events = append(events, Event{Kind: Submitted, Request: &Request{Class: 0, Tenant: -1, Queued: 7e3,
 			Record: &Record{Kind: RecordAccepted, ID: id, Class: "plain", Dest: dest, Deadline: r.wall(now + left)}}})
 	}
-	l := &EndpointList{Complete: true, Members: []Member{{ID: "s1", HostPort: "10.0.0.1:1", Locality: "a", Flavor: "k", Cell: 1, Phase: Up, Size: 1000},
-		{ID: "s2", HostPort: "10.0.0.1:2", Locality: "a", Flavor: "k", Cell: 2, Phase: Draining, Size: 1000}}}
+	l := &EndpointList{Complete: true, Members: []Member{{ID: "s1", HostPort: "10.0.0.1:1", Locality: "a", Flavor: "k", Dest: 1, Phase: Up, Rate: 1000},
+		{ID: "s2", HostPort: "10.0.0.1:2", Locality: "a", Flavor: "k", Dest: 2, Phase: Draining, Rate: 1000}}}
 	r.Observe(now, []Event{{Kind: EndpointListUpdated, News: decide.ListFull, List: l}}, nil)
 	put("goes", 1, 5e6)
 	put("leaves", 1, 5e6)
--- a/internal/core/waits_test.go
+++ b/internal/core/waits_test.go
@@ -216,7 +216,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		list := &EndpointList{Members: []Member{{ID: "a", HostPort: "127.0.0.1:1", Cell: 1, Phase: Up, Flavor: "k", Size: 100}}}
+		list := &EndpointList{Members: []Member{{ID: "a", HostPort: "127.0.0.1:1", Dest: 1, Phase: Up, Flavor: "k", Rate: 100}}}
 		var owed []*Record
 		for i := range 20 {
 			owed = append(owed, &Record{Kind: RecordAccepted, ID: fmt.Sprint("m", i), Class: "plain", Dest: 1, Deadline: r.wall(3620e6)})
@@ -268,8 +268,8 @@
 func TestLongestRetryAfterWins(t *testing.T) {
 	r := testCore(t)
 	r.Step(3600e6, []Event{{Kind: EndpointListUpdated, News: decide.ListFull, List: &EndpointList{Members: []Member{
-		{ID: "a", HostPort: "127.0.0.1:1", Cell: 1, Phase: Up, Flavor: "k"}, {ID: "b", HostPort: "127.0.0.1:2", Cell: 1, Phase: Up, Flavor: "k"},
-		{ID: "c", HostPort: "127.0.0.1:3", Cell: 2, Phase: Up, Flavor: "r"}, {ID: "d", HostPort: "127.0.0.1:4", Cell: 2, Phase: Up, Flavor: "r"}}}}}, nil)
+		{ID: "a", HostPort: "127.0.0.1:1", Dest: 1, Phase: Up, Flavor: "k"}, {ID: "b", HostPort: "127.0.0.1:2", Dest: 1, Phase: Up, Flavor: "k"},
+		{ID: "c", HostPort: "127.0.0.1:3", Dest: 2, Phase: Up, Flavor: "r"}, {ID: "d", HostPort: "127.0.0.1:4", Dest: 2, Phase: Up, Flavor: "r"}}}}}, nil)
 	now := r.now
 	for _, x := range []struct {
 		id    string
@@ -293,7 +293,7 @@
 		// One that joins a destination which has told a wait is bound as well, and
 		// one that joins a route's is not.
 		fx := c.Step(now, []Event{{Kind: EndpointListUpdated, News: decide.ListDelta, List: &EndpointList{Members: []Member{
-			{ID: "e", HostPort: "127.0.0.1:5", Cell: 1, Phase: Up, Flavor: "k"}, {ID: "f", HostPort: "127.0.0.1:6", Cell: 2, Phase: Up, Flavor: "r"}}}}}, nil)
+			{ID: "e", HostPort: "127.0.0.1:5", Dest: 1, Phase: Up, Flavor: "k"}, {ID: "f", HostPort: "127.0.0.1:6", Dest: 2, Phase: Up, Flavor: "r"}}}}}, nil)
 		held := map[decide.EndpointID]decide.Time{}
 		for i := range fx {
 			if fx[i].Kind == ApplyRetryAfter {
--- a/internal/learned/format_test.go
+++ b/internal/learned/format_test.go
@@ -38,7 +38,7 @@
 				f.State.Now != 4000000000 || f.State.Revision != 12 || f.State.Partial != c.partial {
 				t.Errorf("got %+v, %+v", f, f.State)
 			}
-			if m := f.State.Members[0]; m.ID != "s-1" || m.HostPort != "10.0.0.1:80" || m.Cell != 4 || m.Phase != core.Up || m.Number != 3 {
+			if m := f.State.Members[0]; m.ID != "s-1" || m.HostPort != "10.0.0.1:80" || m.Dest != 4 || m.Phase != core.Up || m.Number != 3 {
 				t.Errorf("got %+v", m)
 			}
 			if got := unset(reflect.ValueOf(f).Elem(), ""); !slices.Equal(got, c.unset) {
--- a/internal/learned/learned_test.go
+++ b/internal/learned/learned_test.go
@@ -15,7 +15,7 @@
 
 func sample(relay string) *File {
 	return &File{Relay: relay, Wall: 5e15, Mono: 7e9, Zero: 3e9, Boot: "b", State: &core.StateSnapshot{Now: 4e9, Revision: 12,
-		Members:     []core.HandoverMember{{Member: core.Member{ID: "s-1", HostPort: "10.0.0.1:1", Cell: 4, Phase: core.Up}, Number: 3}},
+		Members:     []core.HandoverMember{{Member: core.Member{ID: "s-1", HostPort: "10.0.0.1:1", Dest: 4, Phase: core.Up}, Number: 3}},
 		RetryAfters: []core.HandoverRetryAfter{{Dest: 4, Until: 4e9 + 5}},
 		Policy:      &decide.Snapshot{Now: 4e9, Limiters: []decide.LimiterSnapshot{{Destination: 4, Window: 2, Endpoints: []decide.EndpointSnapshot{{ID: 3, Unhealthy: true, FailureScore: 0.7}}}}}}}
 }
--- a/internal/membership/fixtures_test.go
+++ b/internal/membership/fixtures_test.go
@@ -46,22 +46,22 @@
 func fixtureView(t *testing.T) *View {
 	t.Helper()
 	v := newView(t)
-	v.take(t, s, whole(etcd, 7, many(8)...), Believed)
-	other := up("other-name", 2)
-	other.Size = 0
-	v.take(t, s, whole(disc, 3, up("e00000", 0), up("e00001", 1), other, up("only-disc", 9)), Believed)
-	v.take(t, 2*s, part(etcd, 8, in(Draining, up("e00001", 1)), in(Removed, up("e00002", 2))), Believed)
-	w := part(etcd, 9)
-	w.Spoilt, w.Drained = []string{"e00003", "e00004"}, []string{"e00004"}
-	v.take(t, 2*s, w, Believed)
-	v.take(t, 3*s, part(disc, 4, in(Removed, up("e00000", 0))), Believed)
-	v.take(t, 3*s, whole(etcd, 12, up("e00000", 0), in(Draining, up("e00001", 1))), Held)
+	v.applyAndStep(t, second, completeUpdate(etcdSource, 7, upMembers(8)...), Accepted)
+	other := upMember("other-name", 2)
+	other.Rate = 0
+	v.applyAndStep(t, second, completeUpdate(registrySource, 3, upMember("e00000", 0), upMember("e00001", 1), other, upMember("only-disc", 9)), Accepted)
+	v.applyAndStep(t, 2*second, changeUpdate(etcdSource, 8, withPhase(Draining, upMember("e00001", 1)), withPhase(Removed, upMember("e00002", 2))), Accepted)
+	w := changeUpdate(etcdSource, 9)
+	w.UnreadableIDs, w.DrainedIDs = []string{"e00003", "e00004"}, []string{"e00004"}
+	v.applyAndStep(t, 2*second, w, Accepted)
+	v.applyAndStep(t, 3*second, changeUpdate(registrySource, 4, withPhase(Removed, upMember("e00000", 0))), Accepted)
+	v.applyAndStep(t, 3*second, completeUpdate(etcdSource, 12, upMember("e00000", 0), withPhase(Draining, upMember("e00001", 1))), RemovalsHeld)
 	return v
 }
 
 // The members file: its bytes from a view, and a view from its bytes.
 func TestStateFixture(t *testing.T) {
-	text, err := json.Marshal(fixtureView(t).Export(4 * s))
+	text, err := json.Marshal(fixtureView(t).Export(4 * second))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -75,40 +75,40 @@
 		t.Fatal(err)
 	}
 	v := newView(t)
-	v.Import(1000*s, st)
-	if text, err = json.Marshal(v.Export(1000 * s)); err != nil {
+	v.Import(1000*second, st)
+	if text, err = json.Marshal(v.Export(1000 * second)); err != nil {
 		t.Fatal(err)
 	}
 	checkFixture(t, "members.json", text)
-	for v.Next() <= 1000*s {
-		v.Step(1000 * s)
+	for v.NextDeadline() <= 1000*second {
+		v.Step(1000 * second)
 	}
 	checkFixture(t, "members-imported.jsonl", encodeLines(t, v.Members()))
 }
 
 // The lines of "troutusher members --json".
 func TestExplainFixture(t *testing.T) {
-	checkFixture(t, "explain.jsonl", encodeLines(t, fixtureView(t).Explain(4*s)))
+	checkFixture(t, "explain.jsonl", encodeLines(t, fixtureView(t).Explain(4*second)))
 }
 
 // What a source says, between a relay and its helper.
-func TestWordFixture(t *testing.T) {
-	words := []Word{
-		*whole(disc, 5, up("a", 1), in(Draining, up("b", 2))),
-		*part(etcd, 6, in(Removed, Member{ID: "c"})),
-		{Source: etcd, Epoch: "000000000000004d.1", Revision: 7, Whole: true, Anew: true, Spoilt: []string{"d", "e"}, Drained: []string{"e"}},
+func TestUpdateFixture(t *testing.T) {
+	words := []Update{
+		*completeUpdate(registrySource, 5, upMember("a", 1), withPhase(Draining, upMember("b", 2))),
+		*changeUpdate(etcdSource, 6, withPhase(Removed, Member{ID: "c"})),
+		{Source: etcdSource, Epoch: "000000000000004d.1", Revision: 7, Complete: true, Resync: true, UnreadableIDs: []string{"d", "e"}, DrainedIDs: []string{"e"}},
 	}
 	text := encodeLines(t, words)
 	checkFixture(t, "words.jsonl", text)
 	dec := json.NewDecoder(bytes.NewReader(text))
 	dec.DisallowUnknownFields()
 	for i := range words {
-		var got Word
+		var got Update
 		if err := dec.Decode(&got); err != nil {
 			t.Fatal(err)
 		}
 		got.Source = words[i].Source
-		if again := encodeLines(t, []Word{got}); !bytes.Equal(again, encodeLines(t, words[i:i+1])) {
+		if again := encodeLines(t, []Update{got}); !bytes.Equal(again, encodeLines(t, words[i:i+1])) {
 			t.Errorf("read back: %s", again)
 		}
 	}
@@ -117,7 +117,7 @@
 // Verdicts by their names in logs.
 func TestVerdictFixture(t *testing.T) {
 	var text bytes.Buffer
-	for _, verdict := range []Verdict{Believed, Old, Needed, Held} {
+	for _, verdict := range []Verdict{Accepted, Outdated, ResyncRequired, RemovalsHeld} {
 		text.WriteString(verdict.String() + "\n")
 	}
 	checkFixture(t, "verdicts.txt", text.Bytes())
--- a/internal/membership/membership.go
+++ b/internal/membership/membership.go
@@ -49,9 +49,9 @@
 	HostPort string  `json:"host_port"`
 	Locality string  `json:"locality"`
 	Flavor   string  `json:"flavor"`
-	Cell     int     `json:"cell"`
+	Dest     int     `json:"cell"`
 	Phase    string  `json:"phase"`
-	Size     float64 `json:"size"` // the rate that its destination takes; 0 where that is not told
+	Rate     float64 `json:"size"` // the rate that its destination takes; 0 where that is not told
 }
 
 // Check tells what is wrong with a member.
@@ -70,8 +70,8 @@
 	return nil
 }
 
-// rank orders phases: the highest wins.
-func rank(phase string) int {
+// phaseRank orders phases: the highest wins.
+func phaseRank(phase string) int {
 	switch phase {
 	case Up:
 		return 1
@@ -83,8 +83,8 @@
 
 // Source is one that says who is there.
 type Source struct {
-	Name  string
-	Stale Time // not heard of for so long, it no longer comes before those that are
+	Name       string
+	StaleAfter Time // not heard of for so long, it no longer comes before those that are
 }
 
 // Settings are the rule's figures.
@@ -92,21 +92,21 @@
 	Sources []Source // those that come first go before the others
 	// A source may take away LossShare of what it lists within LossSpan, and
 	// LossLeast endpoints in any case; what goes beyond that is held.
-	LossShare float64
-	LossLeast int
-	LossSpan  Time
+	MaxRemovalShare float64
+	MinRemovalLimit int
+	RemovalWindow   Time
 	// An endpoint that went down Flaps times within FlapSpan comes up again HoldDown
 	// after it last did.
-	Flaps    int
-	FlapSpan Time
-	HoldDown Time
-	AtOnce   int  // endpoints that come up in one step
-	Forget   Time // how long a removal binds the other sources
+	MaxFlaps         int
+	FlapWindow       Time
+	HoldDown         Time
+	MaxUpsPerStep    int  // endpoints that come up in one step
+	RemovalRetention Time // how long a removal binds the other sources
 }
 
-// Default are figures for some thousand endpoints.
-func Default(sources ...Source) Settings {
-	return Settings{Sources: sources, LossShare: 0.5, LossLeast: 2, LossSpan: 30e6, Flaps: 4, FlapSpan: 10e6, HoldDown: 5e6, AtOnce: 4096, Forget: 600e6}
+// DefaultSettings are figures for some thousand endpoints.
+func DefaultSettings(sources ...Source) Settings {
+	return Settings{Sources: sources, MaxRemovalShare: 0.5, MinRemovalLimit: 2, RemovalWindow: 30e6, MaxFlaps: 4, FlapWindow: 10e6, HoldDown: 5e6, MaxUpsPerStep: 4096, RemovalRetention: 600e6}
 }
 
 // Check tells what is wrong with settings.
@@ -121,29 +121,29 @@
 			return fmt.Errorf("membership: source %d has no name", i+1)
 		case slices.ContainsFunc(s.Sources[:i], func(y Source) bool { return y.Name == x.Name }):
 			return fmt.Errorf("membership: two sources are called %q", x.Name)
-		case x.Stale <= 0:
-			return fmt.Errorf("membership: source %s: stale after %d", x.Name, x.Stale)
+		case x.StaleAfter <= 0:
+			return fmt.Errorf("membership: source %s: stale after %d", x.Name, x.StaleAfter)
 		}
 	}
 	switch {
-	case !(s.LossShare >= 0 && s.LossShare <= 1):
-		return fmt.Errorf("membership: a share of %v that may be lost", s.LossShare)
-	case s.LossLeast < 0 || s.LossSpan <= 0 || s.Flaps < 1 || s.FlapSpan <= 0 || s.HoldDown < 0 || s.AtOnce < 1 || s.Forget <= 0:
+	case !(s.MaxRemovalShare >= 0 && s.MaxRemovalShare <= 1):
+		return fmt.Errorf("membership: a share of %v that may be lost", s.MaxRemovalShare)
+	case s.MinRemovalLimit < 0 || s.RemovalWindow <= 0 || s.MaxFlaps < 1 || s.FlapWindow <= 0 || s.HoldDown < 0 || s.MaxUpsPerStep < 1 || s.RemovalRetention <= 0:
 		return errors.New("membership: a figure is out of range")
 	}
 	return nil
 }
 
-// Word is what a source says.
-type Word struct {
-	Source   int      `json:"-"`     // whoever hands it in knows
-	Epoch    string   `json:"epoch"` // what its revisions belong to: an address, a cluster
-	Revision int64    `json:"revision"`
-	Whole    bool     `json:"whole,omitempty"`   // all that it lists; else what changed
-	Anew     bool     `json:"anew,omitempty"`    // Whole: it was read after the view asked for that
-	Members  []Member `json:"members,omitempty"` // in a change, those that were removed among them
-	Spoilt   []string `json:"spoilt,omitempty"`  // ids of entries that cannot be read: these stay as they were
-	Drained  []string `json:"drained,omitempty"` // ids that drain, and of which it says nothing else
+// Update is what a source says.
+type Update struct {
+	Source        int      `json:"-"`     // whoever hands it in knows
+	Epoch         string   `json:"epoch"` // what its revisions belong to: an address, a cluster
+	Revision      int64    `json:"revision"`
+	Complete      bool     `json:"whole,omitempty"`   // all that it lists; else what changed
+	Resync        bool     `json:"anew,omitempty"`    // Whole: it was read after the view asked for that
+	Members       []Member `json:"members,omitempty"` // in a change, those that were removed among them
+	UnreadableIDs []string `json:"spoilt,omitempty"`  // ids of entries that cannot be read: these stay as they were
+	DrainedIDs    []string `json:"drained,omitempty"` // ids that drain, and of which it says nothing else
 }
 
 // Verdict is what a word is worth.
@@ -151,24 +151,24 @@
 
 // Verdicts.
 const (
-	Believed Verdict = iota + 1
-	Old              // no newer than what is known, or of an epoch that was left
-	Needed           // it builds on nothing that is known: the whole list is needed
-	Held             // believed, but for endpoints that it takes away
+	Accepted       Verdict = iota + 1
+	Outdated               // no newer than what is known, or of an epoch that was left
+	ResyncRequired         // it builds on nothing that is known: the whole list is needed
+	RemovalsHeld           // believed, but for endpoints that it takes away
 )
 
 func (v Verdict) String() string {
-	return [...]string{"none", "believed", "old", "needed", "held"}[min(v, Held)]
+	return [...]string{"none", "believed", "old", "needed", "held"}[min(v, RemovalsHeld)]
 }
 
 // Change is a change of the view.
 type Change struct {
 	Member
-	By int // the source whose word decided the phase
+	DecidedBy int // the source whose word decided the phase
 }
 
-// Note is something that an operator should read.
-type Note struct {
+// Warning is something that an operator should read.
+type Warning struct {
 	Source int
 	Text   string
 	ID     string // of the endpoint that it is about; empty for none
@@ -178,45 +178,45 @@
 // entry is what a source last said of an id.
 type entry struct {
 	Member
-	source int
-	rev    int64  // of the word that last said something new of it
-	seq    int64  // the number of that word: revisions may begin anew
-	at     Time   // of a removal, when it was heard
-	held   bool   // it was taken away, and that is not believed yet
-	spoilt bool   // its value cannot be read, and that was noted
-	canon  string // the view's id for it
-	visit  uint64 // of the walk that came by last
-}
-
-func (e *entry) live() bool { return e.Phase != Removed }
-
-// side is one source's.
-type side struct {
-	epoch  string
-	left   []string // epochs that it had before
-	rev    int64
-	seq    int64 // words believed
-	known  bool
-	heard  Time // when it last said anything
-	fresh  bool
-	listed int // live entries
-	ids    map[string]*entry
+	source       int
+	revision     int64  // of the word that last said something new of it
+	updateNumber int64  // the number of that word: revisions may begin anew
+	removedAt    Time   // of a removal, when it was heard
+	held         bool   // it was taken away, and that is not believed yet
+	unreadable   bool   // its value cannot be read, and that was noted
+	viewID       string // the view's id for it
+	visitedBy    uint64 // of the walk that came by last
+}
+
+func (e *entry) listed() bool { return e.Phase != Removed }
+
+// sourceTracker is one source's.
+type sourceTracker struct {
+	epoch        string
+	formerEpochs []string // epochs that it had before
+	revision     int64
+	updates      int64 // words believed
+	known        bool
+	lastHeard    Time // when it last said anything
+	fresh        bool
+	listedCount  int // live entries
+	entries      map[string]*entry
 	// Losses in a span.
-	spanFrom Time
-	spanBase int
-	spanLost int
-	ask      bool
+	windowStart     Time
+	windowBase      int
+	windowRemovals  int
+	resyncRequested bool
 }
 
 const (
-	leftMost = 8     // epochs remembered
-	goneMost = 65536 // removals remembered
+	maxFormerEpochs = 8     // epochs remembered
+	maxRemovals     = 65536 // removals remembered
 )
 
-// place is what two names of one endpoint share.
-type place struct {
-	addr string
-	cell int
+// addressKey is what two names of one endpoint share.
+type addressKey struct {
+	hostPort string
+	dest     int
 }
 
 // removal is an entry that was taken away, and when: it may be back since, or have
@@ -226,34 +226,34 @@
 	at Time
 }
 
-func (r removal) stands() bool { return !r.live() && r.entry.at == r.at }
+func (r removal) current() bool { return !r.listed() && r.entry.removedAt == r.at }
 
-// shown is an endpoint of the view, as it was told on.
-type shown struct {
+// publishedMember is an endpoint of the view, as it was told on.
+type publishedMember struct {
 	Member
-	up       bool // it is listed in the view
-	by       int
-	downs    int
-	downFrom Time
-	downAt   Time
-	waiting  bool // an up, or more of it, is to be told
+	listed          bool // it is listed in the view
+	decidedBy       int
+	flaps           int
+	flapWindowStart Time
+	lastDownAt      Time
+	pending         bool // an up, or more of it, is to be told
 }
 
-// putOff is an up that is put off.
-type putOff struct {
+// delayedUp is an up that is put off.
+type delayedUp struct {
 	at Time
 	id string
 }
 
-type putOffs []putOff
+type delayedUps []delayedUp
 
-func (l putOffs) Len() int { return len(l) }
-func (l putOffs) Less(i, j int) bool {
+func (l delayedUps) Len() int { return len(l) }
+func (l delayedUps) Less(i, j int) bool {
 	return l[i].at < l[j].at || l[i].at == l[j].at && l[i].id < l[j].id
 }
-func (l putOffs) Swap(i, j int) { l[i], l[j] = l[j], l[i] }
-func (l *putOffs) Push(x any)   { *l = append(*l, x.(putOff)) }
-func (l *putOffs) Pop() any {
+func (l delayedUps) Swap(i, j int) { l[i], l[j] = l[j], l[i] }
+func (l *delayedUps) Push(x any)   { *l = append(*l, x.(delayedUp)) }
+func (l *delayedUps) Pop() any {
 	x := (*l)[len(*l)-1]
 	*l = (*l)[:len(*l)-1]
 	return x
@@ -261,20 +261,20 @@
 
 // View is the one view.
 type View struct {
-	set     Settings
-	sides   []side
-	at      map[place][]*entry
-	groups  map[string][]*entry // by the view's id
-	view    map[string]*shown
-	urgent  []string  // drains, removals, cuts: to be told in the next step
-	waiting []string  // ups, in their order
-	off     putOffs   // ups of those that went down too often, by when they may come
-	gone    []removal // in their order
-	notes   []Note
-	now     Time
-	visit   uint64   // walks
-	found   []*entry // of the walk that is on
-	again   []string // likewise
+	settings   Settings
+	sources    []sourceTracker
+	byAddress  map[addressKey][]*entry
+	byViewID   map[string][]*entry // by the view's id
+	published  map[string]*publishedMember
+	urgent     []string   // drains, removals, cuts: to be told in the next step
+	pendingUps []string   // ups, in their order
+	delayedUps delayedUps // ups of those that went down too often, by when they may come
+	removals   []removal  // in their order
+	warnings   []Warning
+	now        Time
+	walkNumber uint64   // walks
+	connected  []*entry // of the walk that is on
+	changedIDs []string // likewise
 }
 
 // New makes an empty view.
@@ -282,36 +282,36 @@
 	if err := s.Check(); err != nil {
 		return nil, err
 	}
-	v := &View{set: s, sides: make([]side, len(s.Sources)), at: map[place][]*entry{}, groups: map[string][]*entry{}, view: map[string]*shown{}}
-	for i := range v.sides {
-		v.sides[i].ids = map[string]*entry{}
+	v := &View{settings: s, sources: make([]sourceTracker, len(s.Sources)), byAddress: map[addressKey][]*entry{}, byViewID: map[string][]*entry{}, published: map[string]*publishedMember{}}
+	for i := range v.sources {
+		v.sources[i].entries = map[string]*entry{}
 	}
 	return v, nil
 }
 
-// Heard books a sign of life of a source that had nothing to say.
-func (v *View) Heard(now Time, source int) {
+// Heartbeat books a sign of life of a source that had nothing to say.
+func (v *View) Heartbeat(now Time, source int) {
 	v.now = max(v.now, now)
-	v.alive(source)
+	v.markHeard(source)
 }
 
-func (v *View) alive(source int) {
-	s := &v.sides[source]
-	s.heard = v.now
+func (v *View) markHeard(source int) {
+	s := &v.sources[source]
+	s.lastHeard = v.now
 	if !s.fresh && s.known {
 		s.fresh = true
-		v.all(source)
+		v.reevaluateSource(source)
 	}
 }
 
-// all looks again at every endpoint that a source names.
-func (v *View) all(source int) {
-	for _, id := range sorted(v.sides[source].ids) {
-		v.decide(v.sides[source].ids[id].canon)
+// reevaluateSource looks again at every endpoint that a source names.
+func (v *View) reevaluateSource(source int) {
+	for _, id := range sortedKeys(v.sources[source].entries) {
+		v.reevaluate(v.sources[source].entries[id].viewID)
 	}
 }
 
-func sorted[T any](m map[string]T) []string {
+func sortedKeys[T any](m map[string]T) []string {
 	ids := make([]string, 0, len(m))
 	for id := range m {
 		ids = append(ids, id)
@@ -320,465 +320,465 @@
 	return ids
 }
 
-// Take takes a word in.
-func (v *View) Take(now Time, w *Word) Verdict {
+// Apply takes a word in.
+func (v *View) Apply(now Time, w *Update) Verdict {
 	v.now = max(v.now, now)
-	s := &v.sides[w.Source]
+	s := &v.sources[w.Source]
 	switch {
-	case s.known && w.Epoch != s.epoch && slices.Contains(s.left, w.Epoch):
-		return Old
-	case !w.Whole && (!s.known || w.Epoch != s.epoch):
-		return Needed
-	case s.known && w.Epoch == s.epoch && (w.Revision < s.rev || w.Revision == s.rev && !w.Whole):
-		return Old
+	case s.known && w.Epoch != s.epoch && slices.Contains(s.formerEpochs, w.Epoch):
+		return Outdated
+	case !w.Complete && (!s.known || w.Epoch != s.epoch):
+		return ResyncRequired
+	case s.known && w.Epoch == s.epoch && (w.Revision < s.revision || w.Revision == s.revision && !w.Complete):
+		return Outdated
 	}
 	if s.known && w.Epoch != s.epoch {
-		v.note(Note{Source: w.Source, Text: "its revisions have begun anew: " + w.Epoch})
-		s.left = append(s.left, s.epoch)
-		s.left = s.left[max(0, len(s.left)-leftMost):]
+		v.warn(Warning{Source: w.Source, Text: "its revisions have begun anew: " + w.Epoch})
+		s.formerEpochs = append(s.formerEpochs, s.epoch)
+		s.formerEpochs = s.formerEpochs[max(0, len(s.formerEpochs)-maxFormerEpochs):]
 	}
-	s.epoch, s.rev, s.seq, s.known = w.Epoch, w.Revision, s.seq+1, true
+	s.epoch, s.revision, s.updates, s.known = w.Epoch, w.Revision, s.updates+1, true
 	if !s.fresh {
 		s.fresh = true
-		defer v.all(w.Source)
+		defer v.reevaluateSource(w.Source)
 	}
-	s.heard = v.now
-	for _, id := range w.Spoilt {
-		if e := s.ids[id]; e == nil || !e.spoilt {
-			v.note(Note{Source: w.Source, Text: "cannot be read, and stays as it was", ID: id})
+	s.lastHeard = v.now
+	for _, id := range w.UnreadableIDs {
+		if e := s.entries[id]; e == nil || !e.unreadable {
+			v.warn(Warning{Source: w.Source, Text: "cannot be read, and stays as it was", ID: id})
 			if e != nil {
-				e.spoilt = true
+				e.unreadable = true
 			}
 		}
 	}
 	named := map[string]bool{}
-	if w.Whole {
-		for _, id := range w.Spoilt {
+	if w.Complete {
+		for _, id := range w.UnreadableIDs {
 			named[id] = true
 		}
 	}
-	for _, id := range w.Drained {
-		if e := s.ids[id]; e != nil && e.Phase == Up {
-			m, spoilt := e.Member, e.spoilt
+	for _, id := range w.DrainedIDs {
+		if e := s.entries[id]; e != nil && e.Phase == Up {
+			m, spoilt := e.Member, e.unreadable
 			m.Phase = Draining
-			v.say(w.Source, &m)
-			e.spoilt = spoilt
+			v.listMember(w.Source, &m)
+			e.unreadable = spoilt
 		}
 	}
 	var lost []string
 	for i := range w.Members {
 		m := &w.Members[i]
-		if w.Whole {
+		if w.Complete {
 			named[m.ID] = true
 		}
 		if m.Phase == Removed {
 			lost = append(lost, m.ID)
 			continue
 		}
-		v.say(w.Source, m)
+		v.listMember(w.Source, m)
 	}
-	if w.Whole {
-		for _, id := range sorted(s.ids) {
-			if s.ids[id].live() && !named[id] {
+	if w.Complete {
+		for _, id := range sortedKeys(s.entries) {
+			if s.entries[id].listed() && !named[id] {
 				lost = append(lost, id)
 			}
 		}
 	}
-	verdict := Believed
-	if v.lose(w, lost) {
-		verdict = Held
+	verdict := Accepted
+	if v.applyRemovals(w, lost) {
+		verdict = RemovalsHeld
 	}
 	return verdict
 }
 
-// say books that a source lists an endpoint.
-func (v *View) say(source int, m *Member) {
-	s := &v.sides[source]
-	e := s.ids[m.ID]
+// listMember books that a source lists an endpoint.
+func (v *View) listMember(source int, m *Member) {
+	s := &v.sources[source]
+	e := s.entries[m.ID]
 	switch {
 	case e == nil:
 		e = &entry{source: source}
-		s.ids[m.ID] = e
-		s.listed++
-	case !e.live():
-		s.listed++
-	case e.Member == *m && !e.held && !e.spoilt:
+		s.entries[m.ID] = e
+		s.listedCount++
+	case !e.listed():
+		s.listedCount++
+	case e.Member == *m && !e.held && !e.unreadable:
 		return // it said so before: that is no later word
 	}
-	e.rev, e.seq, e.held, e.spoilt = s.rev, s.seq, false, false
-	v.put(e, *m)
+	e.revision, e.updateNumber, e.held, e.unreadable = s.revision, s.updates, false, false
+	v.updateEntry(e, *m)
 }
 
-// lose books what a word takes away, and reports whether any of it is held.
-func (v *View) lose(w *Word, ids []string) (held bool) {
-	s := &v.sides[w.Source]
-	anew := w.Whole && w.Anew
+// applyRemovals books what a word takes away, and reports whether any of it is held.
+func (v *View) applyRemovals(w *Update, ids []string) (held bool) {
+	s := &v.sources[w.Source]
+	anew := w.Complete && w.Resync
 	var count []*entry
 	for _, id := range ids {
-		e := s.ids[id]
+		e := s.entries[id]
 		switch {
-		case e == nil || !e.live():
+		case e == nil || !e.listed():
 		case e.held && !anew:
 			held = true
 		case e.Phase == Draining || anew: // that was announced, or is said twice
-			v.remove(e)
+			v.removeEntry(e)
 		default:
 			count = append(count, e)
 		}
 	}
 	if anew {
-		s.ask = false
-		s.spanFrom, s.spanLost = 0, 0
+		s.resyncRequested = false
+		s.windowStart, s.windowRemovals = 0, 0
 	}
-	if v.now >= s.spanFrom+v.set.LossSpan || s.spanFrom == 0 {
-		s.spanFrom, s.spanBase, s.spanLost = max(v.now, 1), s.listed, 0
+	if v.now >= s.windowStart+v.settings.RemovalWindow || s.windowStart == 0 {
+		s.windowStart, s.windowBase, s.windowRemovals = max(v.now, 1), s.listedCount, 0
 	}
-	s.spanBase = max(s.spanBase, s.listed)
+	s.windowBase = max(s.windowBase, s.listedCount)
 	if len(count) == 0 {
 		return held
 	}
-	room := max(v.set.LossLeast, int(math.Floor(v.set.LossShare*float64(s.spanBase)+1e-9))) - s.spanLost
+	room := max(v.settings.MinRemovalLimit, int(math.Floor(v.settings.MaxRemovalShare*float64(s.windowBase)+1e-9))) - s.windowRemovals
 	if len(count) <= room {
-		s.spanLost += len(count)
+		s.windowRemovals += len(count)
 		for _, e := range count {
-			v.remove(e)
+			v.removeEntry(e)
 		}
 		return held
 	}
 	for _, e := range count {
 		e.held = true
 	}
-	s.ask = true
-	v.note(Note{Source: w.Source, Text: "takes away more than may go unconfirmed: held until it is read anew", Count: len(count)})
+	s.resyncRequested = true
+	v.warn(Warning{Source: w.Source, Text: "takes away more than may go unconfirmed: held until it is read anew", Count: len(count)})
 	return true
 }
 
-// remove books that a source has taken an endpoint away.
-func (v *View) remove(e *entry) {
-	s := &v.sides[e.source]
-	s.listed--
+// removeEntry books that a source has taken an endpoint away.
+func (v *View) removeEntry(e *entry) {
+	s := &v.sources[e.source]
+	s.listedCount--
 	m := e.Member
 	m.Phase = Removed
-	e.rev, e.seq, e.at, e.held, e.spoilt = s.rev, s.seq, v.now, false, false
-	v.gone = append(v.gone, removal{e, v.now})
-	v.put(e, m)
+	e.revision, e.updateNumber, e.removedAt, e.held, e.unreadable = s.revision, s.updates, v.now, false, false
+	v.removals = append(v.removals, removal{e, v.now})
+	v.updateEntry(e, m)
 }
 
-// put has an entry say something else, and looks again at all that this touches.
-func (v *View) put(e *entry, m Member) {
-	v.walk()
-	fresh := e.ID == "" || e.HostPort != m.HostPort || e.Cell != m.Cell
+// updateEntry has an entry say something else, and looks again at all that this touches.
+func (v *View) updateEntry(e *entry, m Member) {
+	v.beginWalk()
+	fresh := e.ID == "" || e.HostPort != m.HostPort || e.Dest != m.Dest
 	if fresh && e.ID != "" {
-		v.component(e)
-		v.leave(e, place{e.HostPort, e.Cell})
-		v.found, e.visit = slices.Delete(v.found, 0, 1), 0 // it is where it begins: its new place is walked as well
+		v.collectConnected(e)
+		v.unindexAddress(e, addressKey{e.HostPort, e.Dest})
+		v.connected, e.visitedBy = slices.Delete(v.connected, 0, 1), 0 // it is where it begins: its new place is walked as well
 	}
 	e.Member = m
 	if fresh {
-		at := place{m.HostPort, m.Cell}
-		v.at[at] = append(v.at[at], e)
+		at := addressKey{m.HostPort, m.Dest}
+		v.byAddress[at] = append(v.byAddress[at], e)
 	}
-	v.component(e)
-	v.settle()
+	v.collectConnected(e)
+	v.assignViewIDs()
 }
 
-// walk begins a walk through what shares names and places.
-func (v *View) walk() { v.visit, v.found = v.visit+1, v.found[:0] }
+// beginWalk begins a walk through what shares names and places.
+func (v *View) beginWalk() { v.walkNumber, v.connected = v.walkNumber+1, v.connected[:0] }
 
-func (v *View) leave(e *entry, at place) {
-	if v.at[at] = slices.DeleteFunc(v.at[at], func(x *entry) bool { return x == e }); len(v.at[at]) == 0 {
-		delete(v.at, at)
+func (v *View) unindexAddress(e *entry, at addressKey) {
+	if v.byAddress[at] = slices.DeleteFunc(v.byAddress[at], func(x *entry) bool { return x == e }); len(v.byAddress[at]) == 0 {
+		delete(v.byAddress, at)
 	}
 }
 
-// component finds all that shares a name or a place with an entry, and with those.
-func (v *View) component(e *entry) {
-	if e.visit == v.visit {
+// collectConnected finds all that shares a name or a place with an entry, and with those.
+func (v *View) collectConnected(e *entry) {
+	if e.visitedBy == v.walkNumber {
 		return
 	}
-	e.visit = v.visit
-	v.found = append(v.found, e)
-	for i := range v.sides {
-		if x := v.sides[i].ids[e.ID]; x != nil {
-			v.component(x)
+	e.visitedBy = v.walkNumber
+	v.connected = append(v.connected, e)
+	for i := range v.sources {
+		if x := v.sources[i].entries[e.ID]; x != nil {
+			v.collectConnected(x)
 		}
 	}
-	for _, x := range v.at[place{e.HostPort, e.Cell}] {
-		v.component(x)
+	for _, x := range v.byAddress[addressKey{e.HostPort, e.Dest}] {
+		v.collectConnected(x)
 	}
 }
 
-// settle gives the entries that were found their names in the view.
-func (v *View) settle() {
-	slices.SortFunc(v.found, func(a, b *entry) int { return cmp.Or(a.source-b.source, cmp.Compare(a.ID, b.ID)) })
-	again := v.again[:0]
-	for _, e := range v.found { // those that come first have theirs first
-		old := e.canon
-		e.canon = v.name(e)
-		again = append(again, e.canon)
-		if old != e.canon {
+// assignViewIDs gives the entries that were found their names in the view.
+func (v *View) assignViewIDs() {
+	slices.SortFunc(v.connected, func(a, b *entry) int { return cmp.Or(a.source-b.source, cmp.Compare(a.ID, b.ID)) })
+	again := v.changedIDs[:0]
+	for _, e := range v.connected { // those that come first have theirs first
+		old := e.viewID
+		e.viewID = v.viewIDOf(e)
+		again = append(again, e.viewID)
+		if old != e.viewID {
 			if old != "" {
 				again = append(again, old)
-				v.out(e, old)
+				v.leaveGroup(e, old)
 			}
-			v.groups[e.canon] = append(v.groups[e.canon], e)
+			v.byViewID[e.viewID] = append(v.byViewID[e.viewID], e)
 		}
 	}
 	slices.Sort(again)
-	v.again = slices.Compact(again)
-	for _, id := range v.again {
-		v.decide(id)
+	v.changedIDs = slices.Compact(again)
+	for _, id := range v.changedIDs {
+		v.reevaluate(id)
 	}
 }
 
-func (v *View) out(e *entry, name string) {
-	if v.groups[name] = slices.DeleteFunc(v.groups[name], func(x *entry) bool { return x == e }); len(v.groups[name]) == 0 {
-		delete(v.groups, name)
+func (v *View) leaveGroup(e *entry, name string) {
+	if v.byViewID[name] = slices.DeleteFunc(v.byViewID[name], func(x *entry) bool { return x == e }); len(v.byViewID[name]) == 0 {
+		delete(v.byViewID, name)
 	}
 }
 
-// name is the view's id of an entry: that of the first source before its own that
+// viewIDOf is the view's id of an entry: that of the first source before its own that
 // names it by its id, or else by its place. Of several ids at one place the latest
 // counts.
-func (v *View) name(e *entry) string {
+func (v *View) viewIDOf(e *entry) string {
 	for i := range e.source {
-		if x := v.sides[i].ids[e.ID]; x != nil {
-			return x.canon
+		if x := v.sources[i].entries[e.ID]; x != nil {
+			return x.viewID
 		}
 	}
 	for i := range e.source {
-		x := latest(v.at[place{e.HostPort, e.Cell}], i)
-		if x != nil && v.sides[e.source].ids[x.canon] == nil { // else its own source tells the two apart
-			return x.canon
+		x := newestEntry(v.byAddress[addressKey{e.HostPort, e.Dest}], i)
+		if x != nil && v.sources[e.source].entries[x.viewID] == nil { // else its own source tells the two apart
+			return x.viewID
 		}
 	}
 	return e.ID
 }
 
-// latest is the last word of a source among some entries.
-func latest(all []*entry, source int) (last *entry) {
+// newestEntry is the last word of a source among some entries.
+func newestEntry(all []*entry, source int) (last *entry) {
 	for _, e := range all {
-		if e.source == source && (last == nil || e.seq > last.seq || e.seq == last.seq && later(e, last)) {
+		if e.source == source && (last == nil || e.updateNumber > last.updateNumber || e.updateNumber == last.updateNumber && newer(e, last)) {
 			last = e
 		}
 	}
 	return last
 }
 
-// later orders what one word says: what is there comes after what is gone.
-func later(a, b *entry) bool {
-	if a.live() != b.live() {
-		return a.live()
+// newer orders what one word says: what is there comes after what is gone.
+func newer(a, b *entry) bool {
+	if a.listed() != b.listed() {
+		return a.listed()
 	}
 	return a.ID > b.ID
 }
 
-// merged is what the sources together say of one of the view's endpoints; false
+// mergedMember is what the sources together say of one of the view's endpoints; false
 // where it is in the view no more. by is the source that decided its phase.
-func (v *View) merged(id string) (m Member, by int, ok bool) {
+func (v *View) mergedMember(id string) (m Member, by int, ok bool) {
 	var first, fresh, rated *entry // of those that list it
 	worst := 0
 	by = -1
-	for i := range v.sides {
-		e := latest(v.groups[id], i)
+	for i := range v.sources {
+		e := newestEntry(v.byViewID[id], i)
 		if e == nil {
 			continue
 		}
-		if n := rank(e.Phase); n > worst {
+		if n := phaseRank(e.Phase); n > worst {
 			worst, by = n, i
 		}
-		if own := v.sides[i].ids[id]; own != nil && own != e && own.canon == id { // it names it twice
-			if n := rank(own.Phase); n > worst {
+		if own := v.sources[i].entries[id]; own != nil && own != e && own.viewID == id { // it names it twice
+			if n := phaseRank(own.Phase); n > worst {
 				worst, by = n, i
 			}
-			if own.live() || !e.live() {
+			if own.listed() || !e.listed() {
 				e = own
 			}
 		}
-		if !e.live() {
+		if !e.listed() {
 			continue
 		}
 		if first == nil {
 			first = e
 		}
-		if fresh == nil && v.sides[i].fresh {
+		if fresh == nil && v.sources[i].fresh {
 			fresh = e
 		}
-		if e.Size > 0 && (rated == nil || !v.sides[rated.source].fresh && v.sides[i].fresh) {
+		if e.Rate > 0 && (rated == nil || !v.sources[rated.source].fresh && v.sources[i].fresh) {
 			rated = e
 		}
 	}
-	if first == nil || worst == rank(Removed) {
+	if first == nil || worst == phaseRank(Removed) {
 		return Member{ID: id, Phase: Removed}, by, false
 	}
 	if fresh == nil {
 		fresh = first
 	}
 	m = fresh.Member
-	m.ID, m.Size, m.Phase = id, 0, Up
+	m.ID, m.Rate, m.Phase = id, 0, Up
 	if rated != nil {
-		m.Size = rated.Size
+		m.Rate = rated.Rate
 	}
-	if worst == rank(Draining) {
+	if worst == phaseRank(Draining) {
 		m.Phase = Draining
 	}
 	return m, by, true
 }
 
-// decide looks again at one of the view's endpoints: what must not wait is told in
+// reevaluate looks again at one of the view's endpoints: what must not wait is told in
 // the next step, the rest in its turn.
-func (v *View) decide(id string) {
-	m, by, ok := v.merged(id)
-	x := v.view[id]
+func (v *View) reevaluate(id string) {
+	m, by, ok := v.mergedMember(id)
+	x := v.published[id]
 	if x == nil {
 		if !ok {
 			return
 		}
-		x = &shown{Member: Member{ID: id, Phase: Removed}}
-		v.view[id] = x
+		x = &publishedMember{Member: Member{ID: id, Phase: Removed}}
+		v.published[id] = x
 	}
-	if x.Member == m || !ok && !x.up {
+	if x.Member == m || !ok && !x.listed {
 		return
 	}
-	if x.by = by; m.Phase != Up || x.up && x.Phase == Up && m.Size < x.Size {
+	if x.decidedBy = by; m.Phase != Up || x.listed && x.Phase == Up && m.Rate < x.Rate {
 		v.urgent = append(v.urgent, id)
-	} else if !x.waiting {
-		x.waiting = true
-		v.waiting = append(v.waiting, id)
+	} else if !x.pending {
+		x.pending = true
+		v.pendingUps = append(v.pendingUps, id)
 	}
 }
 
-func (v *View) note(n Note) { v.notes = append(v.notes, n) }
+func (v *View) warn(n Warning) { v.warnings = append(v.warnings, n) }
 
-// Notes gives what is to be logged since it was last asked.
-func (v *View) Notes() []Note {
-	n := v.notes
-	v.notes = nil
+// TakeWarnings gives what is to be logged since it was last asked.
+func (v *View) TakeWarnings() []Warning {
+	n := v.warnings
+	v.warnings = nil
 	return n
 }
 
-// Asks reports whether a source is to be read anew, as a whole.
-func (v *View) Asks(source int) bool { return v.sides[source].ask }
+// ResyncRequested reports whether a source is to be read anew, as a whole.
+func (v *View) ResyncRequested(source int) bool { return v.sources[source].resyncRequested }
 
-// Known tells the revision up to which a source is known, and of what.
-func (v *View) Known(source int) (epoch string, revision int64, known bool) {
-	s := &v.sides[source]
-	return s.epoch, s.rev, s.known
+// Position tells the revision up to which a source is known, and of what.
+func (v *View) Position(source int) (epoch string, revision int64, known bool) {
+	s := &v.sources[source]
+	return s.epoch, s.revision, s.known
 }
 
 // Fresh reports whether a source was heard of late.
-func (v *View) Fresh(source int) bool { return v.sides[source].fresh }
+func (v *View) Fresh(source int) bool { return v.sources[source].fresh }
 
 // Step tells on what has changed by now: drains, removals and lowered rates at once
 // and first, then who comes up, so many in one step.
 func (v *View) Step(now Time) (changes []Change) {
 	v.now = max(v.now, now)
-	v.age()
+	v.applyTimeouts()
 	urgent := v.urgent
 	v.urgent = nil
 	for _, id := range urgent {
-		changes = v.tell(changes, id)
+		changes = v.publish(changes, id)
 	}
-	for len(v.off) > 0 && v.off[0].at <= v.now {
-		v.waiting = append(v.waiting, heap.Pop(&v.off).(putOff).id)
+	for len(v.delayedUps) > 0 && v.delayedUps[0].at <= v.now {
+		v.pendingUps = append(v.pendingUps, heap.Pop(&v.delayedUps).(delayedUp).id)
 	}
-	kept := v.waiting[:0]
+	kept := v.pendingUps[:0]
 	told := 0
-	for i, id := range v.waiting {
-		x := v.view[id]
+	for i, id := range v.pendingUps {
+		x := v.published[id]
 		switch {
-		case x == nil || !x.waiting:
-		case told >= v.set.AtOnce:
-			kept = append(kept, v.waiting[i:]...)
-			v.waiting = kept
+		case x == nil || !x.pending:
+		case told >= v.settings.MaxUpsPerStep:
+			kept = append(kept, v.pendingUps[i:]...)
+			v.pendingUps = kept
 			return changes
-		case v.dampened(x):
-			heap.Push(&v.off, putOff{x.downAt + v.set.HoldDown, id})
+		case v.flapping(x):
+			heap.Push(&v.delayedUps, delayedUp{x.lastDownAt + v.settings.HoldDown, id})
 		default:
-			x.waiting = false
+			x.pending = false
 			n := len(changes)
-			changes = v.tell(changes, id)
+			changes = v.publish(changes, id)
 			told += len(changes) - n
 		}
 	}
-	v.waiting = kept
+	v.pendingUps = kept
 	return changes
 }
 
-// dampened reports whether an endpoint has gone down too often to come up now.
-func (v *View) dampened(x *shown) bool {
-	return x.downs >= v.set.Flaps && v.now < x.downAt+v.set.HoldDown
+// flapping reports whether an endpoint has gone down too often to come up now.
+func (v *View) flapping(x *publishedMember) bool {
+	return x.flaps >= v.settings.MaxFlaps && v.now < x.lastDownAt+v.settings.HoldDown
 }
 
-// tell tells on what is true of an endpoint now.
-func (v *View) tell(changes []Change, id string) []Change {
-	x := v.view[id]
+// publish tells on what is true of an endpoint now.
+func (v *View) publish(changes []Change, id string) []Change {
+	x := v.published[id]
 	if x == nil {
 		return changes
 	}
-	m, by, ok := v.merged(id)
-	if x.Member == m || !ok && !x.up {
-		if !ok && !x.waiting {
-			v.forget(id, x)
+	m, by, ok := v.mergedMember(id)
+	if x.Member == m || !ok && !x.listed {
+		if !ok && !x.pending {
+			v.forgetPublished(id, x)
 		}
 		return changes
 	}
-	if x.up && x.Phase == Up && m.Phase != Up {
-		if v.now >= x.downFrom+v.set.FlapSpan {
-			x.downFrom, x.downs = v.now, 0
+	if x.listed && x.Phase == Up && m.Phase != Up {
+		if v.now >= x.flapWindowStart+v.settings.FlapWindow {
+			x.flapWindowStart, x.flaps = v.now, 0
 		}
-		x.downs, x.downAt = x.downs+1, v.now
+		x.flaps, x.lastDownAt = x.flaps+1, v.now
 	}
-	x.Member, x.up, x.by = m, ok, by
+	x.Member, x.listed, x.decidedBy = m, ok, by
 	if ok && m.Phase != Up {
-		x.waiting = false
+		x.pending = false
 	}
 	return append(changes, Change{m, by})
 }
 
-// forget lets go of one that is not in the view, unless it is still to be kept down.
-func (v *View) forget(id string, x *shown) {
-	if v.now >= x.downAt+max(v.set.HoldDown, v.set.FlapSpan) {
-		delete(v.view, id)
+// forgetPublished lets go of one that is not in the view, unless it is still to be kept down.
+func (v *View) forgetPublished(id string, x *publishedMember) {
+	if v.now >= x.lastDownAt+max(v.settings.HoldDown, v.settings.FlapWindow) {
+		delete(v.published, id)
 	}
 }
 
-// age books what the time alone has changed.
-func (v *View) age() {
-	for i := range v.sides {
-		if s := &v.sides[i]; s.fresh && v.now > s.heard+v.set.Sources[i].Stale {
+// applyTimeouts books what the time alone has changed.
+func (v *View) applyTimeouts() {
+	for i := range v.sources {
+		if s := &v.sources[i]; s.fresh && v.now > s.lastHeard+v.settings.Sources[i].StaleAfter {
 			s.fresh = false
-			v.note(Note{Source: i, Text: "silent: what it listed stays as last known"})
-			v.all(i)
+			v.warn(Warning{Source: i, Text: "silent: what it listed stays as last known"})
+			v.reevaluateSource(i)
 		}
 	}
 	n := 0
-	for ; n < len(v.gone) && (v.now >= v.gone[n].at+v.set.Forget || len(v.gone)-n > goneMost); n++ {
-		if v.gone[n].stands() {
-			v.lapse(v.gone[n].entry)
+	for ; n < len(v.removals) && (v.now >= v.removals[n].at+v.settings.RemovalRetention || len(v.removals)-n > maxRemovals); n++ {
+		if v.removals[n].current() {
+			v.expireRemoval(v.removals[n].entry)
 		}
 	}
-	v.gone = slices.Delete(v.gone, 0, n)
+	v.removals = slices.Delete(v.removals, 0, n)
 }
 
-// lapse: a removal binds nobody any more.
-func (v *View) lapse(e *entry) {
-	v.walk()
-	v.component(e)
-	v.found = slices.Delete(v.found, 0, 1) // it is where it begins
-	delete(v.sides[e.source].ids, e.ID)
-	v.leave(e, place{e.HostPort, e.Cell})
-	v.out(e, e.canon)
-	v.settle()
-	v.decide(e.canon)
-	if x := v.view[e.canon]; x != nil && !x.up && !x.waiting {
-		v.forget(e.canon, x)
+// expireRemoval: a removal binds nobody any more.
+func (v *View) expireRemoval(e *entry) {
+	v.beginWalk()
+	v.collectConnected(e)
+	v.connected = slices.Delete(v.connected, 0, 1) // it is where it begins
+	delete(v.sources[e.source].entries, e.ID)
+	v.unindexAddress(e, addressKey{e.HostPort, e.Dest})
+	v.leaveGroup(e, e.viewID)
+	v.assignViewIDs()
+	v.reevaluate(e.viewID)
+	if x := v.published[e.viewID]; x != nil && !x.listed && !x.pending {
+		v.forgetPublished(e.viewID, x)
 	}
 }
 
-// Next is when to step though nothing comes; 0 for never, and now where more is to
+// NextDeadline is when to step though nothing comes; 0 for never, and now where more is to
 // be told already.
-func (v *View) Next() (at Time) {
+func (v *View) NextDeadline() (at Time) {
 	earlier := func(t Time) {
 		if at == 0 || t < at {
 			at = max(t, 1)
@@ -787,19 +787,19 @@
 	if len(v.urgent) > 0 {
 		return max(v.now, 1)
 	}
-	if len(v.waiting) > 0 {
+	if len(v.pendingUps) > 0 {
 		return max(v.now, 1)
 	}
-	if len(v.off) > 0 {
-		earlier(v.off[0].at)
+	if len(v.delayedUps) > 0 {
+		earlier(v.delayedUps[0].at)
 	}
-	for i := range v.sides {
-		if s := &v.sides[i]; s.fresh {
-			earlier(s.heard + v.set.Sources[i].Stale + 1)
+	for i := range v.sources {
+		if s := &v.sources[i]; s.fresh {
+			earlier(s.lastHeard + v.settings.Sources[i].StaleAfter + 1)
 		}
 	}
-	if len(v.gone) > 0 {
-		earlier(v.gone[0].at + v.set.Forget)
+	if len(v.removals) > 0 {
+		earlier(v.removals[0].at + v.settings.RemovalRetention)
 	}
 	return at
 }
@@ -807,8 +807,8 @@
 // Members is the view as it was told on, by id.
 func (v *View) Members() []Member {
 	var all []Member
-	for _, id := range sorted(v.view) {
-		if x := v.view[id]; x.up {
+	for _, id := range sortedKeys(v.published) {
+		if x := v.published[id]; x.listed {
 			all = append(all, x.Member)
 		}
 	}
--- a/internal/membership/membership_test.go
+++ b/internal/membership/membership_test.go
@@ -13,7 +13,7 @@
 	"pgregory.net/rapid"
 )
 
-const s Time = 1e6
+const second Time = 1e6
 
 // The properties are tried on the same words in each run; -rapid.seed 0 draws others.
 func TestMain(m *testing.M) {
@@ -30,18 +30,18 @@
 
 // Sources of the tests, by precedence.
 const (
-	etcd = iota
-	disc
-	srv
+	etcdSource = iota
+	registrySource
+	dnsSource
 )
 
-func settings() Settings {
-	return Default(Source{"etcd", 10 * s}, Source{"registry", 20 * s}, Source{"srv", 300 * s})
+func testSettings() Settings {
+	return DefaultSettings(Source{"etcd", 10 * second}, Source{"registry", 20 * second}, Source{"srv", 300 * second})
 }
 
 func newView(t testing.TB, change ...func(*Settings)) *View {
 	t.Helper()
-	set := settings()
+	set := testSettings()
 	for _, f := range change {
 		f(&set)
 	}
@@ -52,39 +52,39 @@
 	return v
 }
 
-func up(id string, k int) Member {
-	return Member{ID: id, HostPort: fmt.Sprintf("127.0.0.1:%d", 7000+k), Locality: "a", Flavor: "k", Cell: k % 5, Phase: Up, Size: 10}
+func upMember(id string, k int) Member {
+	return Member{ID: id, HostPort: fmt.Sprintf("127.0.0.1:%d", 7000+k), Locality: "a", Flavor: "k", Dest: k % 5, Phase: Up, Rate: 10}
 }
 
-func in(phase string, m Member) Member { m.Phase = phase; return m }
+func withPhase(phase string, m Member) Member { m.Phase = phase; return m }
 
-// many are endpoints 0 to n-1.
-func many(n int) (all []Member) {
+// upMembers are endpoints 0 to n-1.
+func upMembers(n int) (all []Member) {
 	for k := range n {
-		all = append(all, up(fmt.Sprintf("e%05d", k), k))
+		all = append(all, upMember(fmt.Sprintf("e%05d", k), k))
 	}
 	return all
 }
 
-func whole(source int, rev int64, m ...Member) *Word {
-	return &Word{Source: source, Epoch: "1", Revision: rev, Whole: true, Members: m}
+func completeUpdate(source int, rev int64, m ...Member) *Update {
+	return &Update{Source: source, Epoch: "1", Revision: rev, Complete: true, Members: m}
 }
 
-func part(source int, rev int64, m ...Member) *Word {
-	return &Word{Source: source, Epoch: "1", Revision: rev, Members: m}
+func changeUpdate(source int, rev int64, m ...Member) *Update {
+	return &Update{Source: source, Epoch: "1", Revision: rev, Members: m}
 }
 
-// has is the phase of an endpoint in the view; empty where it is not there.
-func (v *View) has(id string) string {
-	if x := v.view[id]; x != nil && x.up {
+// publishedPhase is the phase of an endpoint in the view; empty where it is not there.
+func (v *View) publishedPhase(id string) string {
+	if x := v.published[id]; x != nil && x.listed {
 		return x.Phase
 	}
 	return ""
 }
 
-func (v *View) take(t testing.TB, now Time, w *Word, want Verdict) []Change {
+func (v *View) applyAndStep(t testing.TB, now Time, w *Update, want Verdict) []Change {
 	t.Helper()
-	if got := v.Take(now, w); got != want {
+	if got := v.Apply(now, w); got != want {
 		t.Fatalf("verdict %v, want %v", got, want)
 	}
 	return v.Step(now)
@@ -95,13 +95,13 @@
 		"no source":        func(x *Settings) { x.Sources = nil },
 		"no name":          func(x *Settings) { x.Sources[1].Name = "" },
 		"two of one name":  func(x *Settings) { x.Sources[1].Name = "etcd" },
-		"never stale":      func(x *Settings) { x.Sources[0].Stale = 0 },
-		"more than all":    func(x *Settings) { x.LossShare = 1.1 },
-		"nothing at once":  func(x *Settings) { x.AtOnce = 0 },
-		"no span":          func(x *Settings) { x.LossSpan = 0 },
-		"remember nothing": func(x *Settings) { x.Forget = 0 },
+		"never stale":      func(x *Settings) { x.Sources[0].StaleAfter = 0 },
+		"more than all":    func(x *Settings) { x.MaxRemovalShare = 1.1 },
+		"nothing at once":  func(x *Settings) { x.MaxUpsPerStep = 0 },
+		"no span":          func(x *Settings) { x.RemovalWindow = 0 },
+		"remember nothing": func(x *Settings) { x.RemovalRetention = 0 },
 	} {
-		set := settings()
+		set := testSettings()
 		f(&set)
 		if _, err := New(set); err == nil {
 			t.Errorf("%s: no error", name)
@@ -111,64 +111,64 @@
 
 // Discovery says up, etcd says draining and is lost then: it stays draining, until
 // etcd itself says up again.
-func TestADrainOutlastsItsSource(t *testing.T) {
+func TestDrainOutlastsSilentSource(t *testing.T) {
 	v := newView(t)
-	v.take(t, s, whole(disc, 5, many(4)...), Believed)
-	v.take(t, s, whole(etcd, 100, many(4)...), Believed)
-	got := v.take(t, 2*s, part(etcd, 101, in(Draining, up("e00001", 1))), Believed)
-	if len(got) != 1 || got[0].ID != "e00001" || got[0].Phase != Draining || got[0].By != etcd {
+	v.applyAndStep(t, second, completeUpdate(registrySource, 5, upMembers(4)...), Accepted)
+	v.applyAndStep(t, second, completeUpdate(etcdSource, 100, upMembers(4)...), Accepted)
+	got := v.applyAndStep(t, 2*second, changeUpdate(etcdSource, 101, withPhase(Draining, upMember("e00001", 1))), Accepted)
+	if len(got) != 1 || got[0].ID != "e00001" || got[0].Phase != Draining || got[0].DecidedBy != etcdSource {
 		t.Fatalf("told %+v", got)
 	}
-	for at := 3 * s; at < 200*s; at += s { // etcd is silent, discovery goes on to say up
-		v.take(t, at, whole(disc, 5+at/s, many(4)...), Believed)
+	for at := 3 * second; at < 200*second; at += second { // etcd is silent, discovery goes on to say up
+		v.applyAndStep(t, at, completeUpdate(registrySource, 5+at/second, upMembers(4)...), Accepted)
 	}
-	if v.Fresh(etcd) || v.has("e00001") != Draining {
-		t.Errorf("etcd heard of late: %v; the endpoint is %q", v.Fresh(etcd), v.has("e00001"))
+	if v.Fresh(etcdSource) || v.publishedPhase("e00001") != Draining {
+		t.Errorf("etcd heard of late: %v; the endpoint is %q", v.Fresh(etcdSource), v.publishedPhase("e00001"))
 	}
-	if got := v.take(t, 201*s, part(etcd, 102, up("e00001", 1)), Believed); len(got) != 1 || got[0].Phase != Up {
+	if got := v.applyAndStep(t, 201*second, changeUpdate(etcdSource, 102, upMember("e00001", 1)), Accepted); len(got) != 1 || got[0].Phase != Up {
 		t.Errorf("etcd is back and says up: %+v", got)
 	}
 }
 
 // A removal binds the others, for a time.
-func TestARemovalBindsTheOthers(t *testing.T) {
+func TestRemovalBindsOtherSources(t *testing.T) {
 	v := newView(t)
-	v.take(t, s, whole(etcd, 1, many(4)...), Believed)
-	v.take(t, s, whole(disc, 1, many(4)...), Believed)
-	if got := v.take(t, 2*s, part(disc, 2, in(Removed, up("e00002", 2))), Believed); len(got) != 1 || got[0].Phase != Removed || got[0].By != disc {
+	v.applyAndStep(t, second, completeUpdate(etcdSource, 1, upMembers(4)...), Accepted)
+	v.applyAndStep(t, second, completeUpdate(registrySource, 1, upMembers(4)...), Accepted)
+	if got := v.applyAndStep(t, 2*second, changeUpdate(registrySource, 2, withPhase(Removed, upMember("e00002", 2))), Accepted); len(got) != 1 || got[0].Phase != Removed || got[0].DecidedBy != registrySource {
 		t.Fatalf("told %+v", got)
 	}
-	v.take(t, 3*s, part(etcd, 2, up("e00002", 2)), Believed)
-	if v.has("e00002") != "" {
+	v.applyAndStep(t, 3*second, changeUpdate(etcdSource, 2, upMember("e00002", 2)), Accepted)
+	if v.publishedPhase("e00002") != "" {
 		t.Error("another source has taken a removal back")
 	}
-	last := 2*s + v.set.Forget
+	last := 2*second + v.settings.RemovalRetention
 	v.Step(last - 1)
-	if v.has("e00002") != "" {
+	if v.publishedPhase("e00002") != "" {
 		t.Error("too early")
 	}
-	if v.Step(last); v.has("e00002") != Up {
+	if v.Step(last); v.publishedPhase("e00002") != Up {
 		t.Error("bound for longer than stated")
 	}
-	if v.take(t, last+s, part(disc, 3, up("e00002", 2)), Believed); v.has("e00002") != Up {
+	if v.applyAndStep(t, last+second, changeUpdate(registrySource, 3, upMember("e00002", 2)), Accepted); v.publishedPhase("e00002") != Up {
 		t.Error("the same source lists it again")
 	}
 }
 
 // Silence takes nobody out of the view.
-func TestSilenceEmptiesNothing(t *testing.T) {
+func TestSilentSourceRemovesNothing(t *testing.T) {
 	v := newView(t)
-	v.take(t, s, whole(etcd, 1, many(9)...), Believed)
-	v.take(t, s, whole(disc, 1, many(9)...), Believed)
-	for at := 2 * s; at < 4000*s; at += 7 * s {
+	v.applyAndStep(t, second, completeUpdate(etcdSource, 1, upMembers(9)...), Accepted)
+	v.applyAndStep(t, second, completeUpdate(registrySource, 1, upMembers(9)...), Accepted)
+	for at := 2 * second; at < 4000*second; at += 7 * second {
 		if got := v.Step(at); len(got) > 0 {
-			t.Fatalf("at %d s: %+v", at/s, got)
+			t.Fatalf("at %d s: %+v", at/second, got)
 		}
 	}
-	if len(v.Members()) != 9 || v.Fresh(etcd) || v.Fresh(disc) {
+	if len(v.Members()) != 9 || v.Fresh(etcdSource) || v.Fresh(registrySource) {
 		t.Errorf("%d left", len(v.Members()))
 	}
-	if n := v.Notes(); len(n) != 2 {
+	if n := v.TakeWarnings(); len(n) != 2 {
 		t.Errorf("noted %+v", n)
 	}
 }
@@ -176,22 +176,22 @@
 // Who comes first has the address and the rate, while it is heard.
 func TestPrecedence(t *testing.T) {
 	v := newView(t)
-	a, b := up("x", 1), up("x", 1)
-	a.HostPort, a.Size, b.Size = "127.0.0.1:9001", 0, 4
+	a, b := upMember("x", 1), upMember("x", 1)
+	a.HostPort, a.Rate, b.Rate = "127.0.0.1:9001", 0, 4
 	b.Locality = "b"
-	v.take(t, s, whole(etcd, 1, a), Believed)
-	v.take(t, s, whole(disc, 1, b), Believed)
+	v.applyAndStep(t, second, completeUpdate(etcdSource, 1, a), Accepted)
+	v.applyAndStep(t, second, completeUpdate(registrySource, 1, b), Accepted)
 	m := v.Members()[0]
-	if m.HostPort != a.HostPort || m.Locality != "a" || m.Size != 4 {
+	if m.HostPort != a.HostPort || m.Locality != "a" || m.Rate != 4 {
 		t.Errorf("both heard: %+v", m)
 	}
-	v.Heard(19*s, disc)
-	v.Step(19 * s)
+	v.Heartbeat(19*second, registrySource)
+	v.Step(19 * second)
 	if m := v.Members()[0]; m.HostPort != b.HostPort || m.Locality != "b" {
 		t.Errorf("the first one is silent: %+v", m)
 	}
-	v.Heard(20*s, etcd)
-	v.Step(20 * s)
+	v.Heartbeat(20*second, etcdSource)
+	v.Step(20 * second)
 	if m := v.Members()[0]; m.HostPort != a.HostPort {
 		t.Errorf("it is heard again: %+v", m)
 	}
@@ -199,68 +199,68 @@
 
 // A source that suddenly loses most of what it listed is asked once more; what it
 // drains meanwhile drains.
-func TestMassRemoval(t *testing.T) {
+func TestMassRemovalNeedsResync(t *testing.T) {
 	for _, x := range []struct {
 		name string
 		left int // once a list that was not read anew has said most of it again
-		word func(rev int64) *Word
+		word func(rev int64) *Update
 	}{
-		{"an empty list", 10, func(rev int64) *Word { return whole(etcd, rev) }},
-		{"empty after a restore", 10, func(int64) *Word { w := whole(etcd, 1); w.Epoch = "2"; return w }},
-		{"in one change", 8, func(rev int64) *Word {
-			w := part(etcd, rev)
-			for _, m := range many(8) {
-				w.Members = append(w.Members, in(Removed, m))
+		{"an empty list", 10, func(rev int64) *Update { return completeUpdate(etcdSource, rev) }},
+		{"empty after a restore", 10, func(int64) *Update { w := completeUpdate(etcdSource, 1); w.Epoch = "2"; return w }},
+		{"in one change", 8, func(rev int64) *Update {
+			w := changeUpdate(etcdSource, rev)
+			for _, m := range upMembers(8) {
+				w.Members = append(w.Members, withPhase(Removed, m))
 			}
 			return w
 		}},
 	} {
 		t.Run(x.name, func(t *testing.T) {
 			v := newView(t)
-			v.take(t, s, whole(etcd, 50, many(10)...), Believed)
-			if got := v.take(t, 2*s, x.word(51), Held); len(got) > 0 || len(v.Members()) != 10 || !v.Asks(etcd) {
-				t.Fatalf("told %+v, %d left, asks %v", got, len(v.Members()), v.Asks(etcd))
+			v.applyAndStep(t, second, completeUpdate(etcdSource, 50, upMembers(10)...), Accepted)
+			if got := v.applyAndStep(t, 2*second, x.word(51), RemovalsHeld); len(got) > 0 || len(v.Members()) != 10 || !v.ResyncRequested(etcdSource) {
+				t.Fatalf("told %+v, %d left, asks %v", got, len(v.Members()), v.ResyncRequested(etcdSource))
 			}
-			epoch, rev, _ := v.Known(etcd)
-			drain := part(etcd, rev+1, in(Draining, up("e00003", 3)))
+			epoch, rev, _ := v.Position(etcdSource)
+			drain := changeUpdate(etcdSource, rev+1, withPhase(Draining, upMember("e00003", 3)))
 			drain.Epoch = epoch
-			if v.take(t, 3*s, drain, Believed); v.has("e00003") != Draining {
+			if v.applyAndStep(t, 3*second, drain, Accepted); v.publishedPhase("e00003") != Draining {
 				t.Error("a drain is not obeyed while a loss is held")
 			}
-			same := whole(etcd, rev+2, many(4)...)
+			same := completeUpdate(etcdSource, rev+2, upMembers(4)...)
 			same.Epoch = epoch
-			if v.take(t, 4*s, same, Held); len(v.Members()) != x.left {
+			if v.applyAndStep(t, 4*second, same, RemovalsHeld); len(v.Members()) != x.left {
 				t.Error("a list that was not read anew is believed")
 			}
-			same.Anew = true
-			if v.take(t, 5*s, same, Believed); len(v.Members()) != 4 || v.Asks(etcd) {
-				t.Errorf("read anew: %d left, asks %v", len(v.Members()), v.Asks(etcd))
+			same.Resync = true
+			if v.applyAndStep(t, 5*second, same, Accepted); len(v.Members()) != 4 || v.ResyncRequested(etcdSource) {
+				t.Errorf("read anew: %d left, asks %v", len(v.Members()), v.ResyncRequested(etcdSource))
 			}
 		})
 	}
 }
 
 // One by one most of them go as well; those that had drained do not count.
-func TestManyRemovalsOneByOne(t *testing.T) {
+func TestSingleRemovalsAddUp(t *testing.T) {
 	v := newView(t)
-	v.take(t, s, whole(etcd, 1, many(20)...), Believed)
+	v.applyAndStep(t, second, completeUpdate(etcdSource, 1, upMembers(20)...), Accepted)
 	held := 0
 	for k := range 16 {
 		id := fmt.Sprintf("e%05d", k)
 		rev := int64(10 + 2*k)
 		if k < 4 {
-			v.take(t, 2*s, part(etcd, rev, in(Draining, up(id, k))), Believed)
+			v.applyAndStep(t, 2*second, changeUpdate(etcdSource, rev, withPhase(Draining, upMember(id, k))), Accepted)
 		}
-		if v.Take(2*s, part(etcd, rev+1, in(Removed, up(id, k)))) == Held {
+		if v.Apply(2*second, changeUpdate(etcdSource, rev+1, withPhase(Removed, upMember(id, k)))) == RemovalsHeld {
 			held++
 		}
-		v.Step(2 * s)
+		v.Step(2 * second)
 	}
 	if held != 2 || len(v.Members()) != 6 { // ten of twenty may go; four had drained
 		t.Errorf("%d held, %d left", held, len(v.Members()))
 	}
 	for k := 16; k < 20; k++ { // long after, they may
-		v.take(t, 2*s+v.set.LossSpan+Time(k)*v.set.LossSpan, part(etcd, int64(100+k), in(Removed, up(fmt.Sprintf("e%05d", k), k))), Believed)
+		v.applyAndStep(t, 2*second+v.settings.RemovalWindow+Time(k)*v.settings.RemovalWindow, changeUpdate(etcdSource, int64(100+k), withPhase(Removed, upMember(fmt.Sprintf("e%05d", k), k))), Accepted)
 	}
 	if len(v.Members()) != 2 {
 		t.Errorf("%d left", len(v.Members()))
@@ -271,38 +271,38 @@
 // no more than so often; the others are told as ever.
 func TestFlapping(t *testing.T) {
 	v := newView(t)
-	v.take(t, s, whole(etcd, 1, many(3)...), Believed)
+	v.applyAndStep(t, second, completeUpdate(etcdSource, 1, upMembers(3)...), Accepted)
 	ups, downs, rev := 0, 0, int64(1)
-	now := 2 * s
+	now := 2 * second
 	for range 500 {
 		for _, phase := range []string{Draining, Up} {
 			rev++
 			now += 5000
-			for _, c := range v.take(t, now, part(etcd, rev, in(phase, up("e00001", 1))), Believed) {
+			for _, c := range v.applyAndStep(t, now, changeUpdate(etcdSource, rev, withPhase(phase, upMember("e00001", 1))), Accepted) {
 				if c.Phase == Up {
 					ups++
 				} else {
 					downs++
 				}
 			}
-			if phase == Draining && v.has("e00001") == Up {
+			if phase == Draining && v.publishedPhase("e00001") == Up {
 				t.Fatal("a drain waits")
 			}
 		}
 	}
-	if ups > v.set.Flaps || downs != ups+1 {
+	if ups > v.settings.MaxFlaps || downs != ups+1 {
 		t.Errorf("told %d ups and %d downs", ups, downs)
 	}
-	for n := 0; v.has("e00001") != Up && n < 10; n++ {
-		next := v.Next()
+	for n := 0; v.publishedPhase("e00001") != Up && n < 10; n++ {
+		next := v.NextDeadline()
 		if next <= now {
 			t.Fatalf("next at %d, now %d", next, now)
 		}
 		now = next
 		v.Step(now)
 	}
-	if v.has("e00001") != Up || now > 2*s+5*s+v.set.HoldDown+s {
-		t.Errorf("%q at %d ms", v.has("e00001"), now/1000)
+	if v.publishedPhase("e00001") != Up || now > 2*second+5*second+v.settings.HoldDown+second {
+		t.Errorf("%q at %d ms", v.publishedPhase("e00001"), now/1000)
 	}
 }
 
@@ -310,85 +310,85 @@
 // is cut, do not wait for the rest.
 func TestLongLists(t *testing.T) {
 	v := newView(t)
-	v.Take(s, whole(etcd, 1, many(50000)...))
-	if got := v.Step(s); len(got) != v.set.AtOnce || v.Next() > s {
-		t.Fatalf("%d told, next at %d", len(got), v.Next())
-	}
-	slow := up("e00002", 2)
-	slow.Size = 1
-	v.Take(s, part(etcd, 2, in(Draining, up("e00001", 1)), slow, in(Draining, up("e49999", 49999))))
-	got := v.Step(s)
-	if len(got) != v.set.AtOnce+3 || got[0].ID != "e00001" || got[1].Size != 1 || got[2].Phase != Draining {
+	v.Apply(second, completeUpdate(etcdSource, 1, upMembers(50000)...))
+	if got := v.Step(second); len(got) != v.settings.MaxUpsPerStep || v.NextDeadline() > second {
+		t.Fatalf("%d told, next at %d", len(got), v.NextDeadline())
+	}
+	slow := upMember("e00002", 2)
+	slow.Rate = 1
+	v.Apply(second, changeUpdate(etcdSource, 2, withPhase(Draining, upMember("e00001", 1)), slow, withPhase(Draining, upMember("e49999", 49999))))
+	got := v.Step(second)
+	if len(got) != v.settings.MaxUpsPerStep+3 || got[0].ID != "e00001" || got[1].Rate != 1 || got[2].Phase != Draining {
 		t.Errorf("%d told, first %+v", len(got), got[:3])
 	}
 	steps := 2
-	for ; v.Next() <= s; steps++ {
-		v.Step(s)
+	for ; v.NextDeadline() <= second; steps++ {
+		v.Step(second)
 	}
 	if steps != 13 || len(v.Members()) != 50000 {
 		t.Errorf("%d steps, %d members", steps, len(v.Members()))
 	}
-	if v.has("e49999") != Draining {
+	if v.publishedPhase("e49999") != Draining {
 		t.Error("one that drained before it was told came up")
 	}
 }
 
 // An entry that cannot be read stays as it was, and is noted once.
-func TestSpoiltEntries(t *testing.T) {
+func TestUnreadableEntries(t *testing.T) {
 	v := newView(t)
-	v.take(t, s, whole(etcd, 1, many(3)...), Believed)
+	v.applyAndStep(t, second, completeUpdate(etcdSource, 1, upMembers(3)...), Accepted)
 	for rev := int64(2); rev < 6; rev++ {
-		w := whole(etcd, rev, many(2)...)
-		w.Spoilt = []string{"e00002", "never"}
-		if got := v.take(t, s, w, Believed); len(got) > 0 {
+		w := completeUpdate(etcdSource, rev, upMembers(2)...)
+		w.UnreadableIDs = []string{"e00002", "never"}
+		if got := v.applyAndStep(t, second, w, Accepted); len(got) > 0 {
 			t.Fatalf("told %+v", got)
 		}
 	}
 	known := 0
-	for _, n := range v.Notes() {
+	for _, n := range v.TakeWarnings() {
 		if n.ID == "e00002" {
 			known++
 		}
 	}
-	if known != 1 || v.has("e00002") != Up {
-		t.Errorf("noted %d times; %q", known, v.has("e00002"))
+	if known != 1 || v.publishedPhase("e00002") != Up {
+		t.Errorf("noted %d times; %q", known, v.publishedPhase("e00002"))
 	}
-	w := part(etcd, 7)
-	w.Spoilt, w.Drained = []string{"e00002"}, []string{"e00002", "never"}
-	if v.take(t, s, w, Believed); v.has("e00002") != Draining || v.has("never") != "" {
+	w := changeUpdate(etcdSource, 7)
+	w.UnreadableIDs, w.DrainedIDs = []string{"e00002"}, []string{"e00002", "never"}
+	if v.applyAndStep(t, second, w, Accepted); v.publishedPhase("e00002") != Draining || v.publishedPhase("never") != "" {
 		t.Error("a drain of one that cannot be read")
 	}
-	if v.take(t, s, part(etcd, 8, up("e00002", 2)), Believed); v.has("e00002") != Up {
+	if v.applyAndStep(t, second, changeUpdate(etcdSource, 8, upMember("e00002", 2)), Accepted); v.publishedPhase("e00002") != Up {
 		t.Error("it can be read again, and does not drain")
 	}
 }
 
 // One endpoint under two names is one; an address under a new id of the same source
 // is a new endpoint, and inherits nothing.
-func TestTwoNames(t *testing.T) {
+func TestEndpointWithTwoIDs(t *testing.T) {
 	v := newView(t)
-	v.take(t, s, whole(etcd, 1, up("a1", 1)), Believed)
-	v.take(t, s, whole(disc, 1, up("b1", 1), up("b2", 2)), Believed)
-	if len(v.Members()) != 2 || v.has("b1") != "" || v.has("a1") != Up {
+	v.applyAndStep(t, second, completeUpdate(etcdSource, 1, upMember("a1", 1)), Accepted)
+	v.applyAndStep(t, second, completeUpdate(registrySource, 1, upMember("b1", 1), upMember("b2", 2)), Accepted)
+	if len(v.Members()) != 2 || v.publishedPhase("b1") != "" || v.publishedPhase("a1") != Up {
 		t.Fatalf("%+v", v.Members())
 	}
-	v.take(t, s, part(disc, 2, in(Draining, up("b1", 1))), Believed)
-	if v.has("a1") != Draining {
+	v.applyAndStep(t, second, changeUpdate(registrySource, 2, withPhase(Draining, upMember("b1", 1))), Accepted)
+	if v.publishedPhase("a1") != Draining {
 		t.Error("a drain under its other name")
 	}
 	// It is replaced: both say so, one after the other.
-	got := v.take(t, s, part(etcd, 2, in(Removed, up("a1", 1)), up("a2", 1)), Believed)
-	if v.has("a1") != "" || v.has("a2") != Draining {
-		t.Errorf("told %+v; a1 %q, a2 %q", got, v.has("a1"), v.has("a2"))
+	got := v.applyAndStep(t, second, changeUpdate(etcdSource, 2, withPhase(Removed, upMember("a1", 1)), upMember("a2", 1)), Accepted)
+	if v.publishedPhase("a1") != "" || v.publishedPhase("a2") != Draining {
+		t.Errorf("told %+v; a1 %q, a2 %q", got, v.publishedPhase("a1"), v.publishedPhase("a2"))
 	}
-	v.take(t, s, part(disc, 3, in(Removed, up("b1", 1)), up("b0", 1)), Believed)
-	if v.has("a2") != Up || v.has("b0") != "" || len(v.Members()) != 2 {
-		t.Errorf("a2 %q: %+v", v.has("a2"), v.Explain(s))
+	v.applyAndStep(t, second, changeUpdate(registrySource, 3, withPhase(Removed, upMember("b1", 1)), upMember("b0", 1)), Accepted)
+	if v.publishedPhase("a2") != Up || v.publishedPhase("b0") != "" || len(v.Members()) != 2 {
+		t.Errorf("a2 %q: %+v", v.publishedPhase("a2"), v.Explain(second))
 	}
 	// In another cell the same address is somebody else.
-	other := up("b4", 1)
-	other.Cell = 4
-	if v.take(t, s, part(disc, 4, other), Believed); v.has("b4") != Up {
+	other := upMember("b4", 1)
+	other.Dest = 4
+	if v.applyAndStep(t, second, changeUpdate(registrySource, 4, other), Accepted); v.publishedPhase("b4") != Up {
 		t.Errorf("%+v", v.Members())
 	}
 }
@@ -397,31 +397,31 @@
 // on nothing are not believed.
 func TestRevisions(t *testing.T) {
 	v := newView(t)
-	v.take(t, s, part(etcd, 5, up("x", 1)), Needed)
-	v.take(t, s, whole(etcd, 5, many(3)...), Believed)
-	v.take(t, s, part(etcd, 4, in(Draining, up("e00001", 1))), Old)
-	v.take(t, s, whole(etcd, 4), Old)
-	w := part(etcd, 6, in(Draining, up("e00001", 1)))
+	v.applyAndStep(t, second, changeUpdate(etcdSource, 5, upMember("x", 1)), ResyncRequired)
+	v.applyAndStep(t, second, completeUpdate(etcdSource, 5, upMembers(3)...), Accepted)
+	v.applyAndStep(t, second, changeUpdate(etcdSource, 4, withPhase(Draining, upMember("e00001", 1))), Outdated)
+	v.applyAndStep(t, second, completeUpdate(etcdSource, 4), Outdated)
+	w := changeUpdate(etcdSource, 6, withPhase(Draining, upMember("e00001", 1)))
 	w.Epoch = "2"
-	v.take(t, s, w, Needed)
-	w = whole(etcd, 2, many(3)...)
+	v.applyAndStep(t, second, w, ResyncRequired)
+	w = completeUpdate(etcdSource, 2, upMembers(3)...)
 	w.Epoch = "2"
-	v.take(t, s, w, Believed)
-	v.take(t, s, whole(etcd, 900, many(1)...), Old)
-	if len(v.Members()) != 3 || v.has("e00001") != Up {
+	v.applyAndStep(t, second, w, Accepted)
+	v.applyAndStep(t, second, completeUpdate(etcdSource, 900, upMembers(1)...), Outdated)
+	if len(v.Members()) != 3 || v.publishedPhase("e00001") != Up {
 		t.Errorf("%+v", v.Members())
 	}
 }
 
-// plans draws what three sources say.
-func plans(t *rapid.T) [][]*Word {
+// drawUpdates draws what three sources say.
+func drawUpdates(t *rapid.T) [][]*Update {
 	ids := rapid.SampledFrom([]string{"a", "b", "c", "d", "e"})
-	plan := make([][]*Word, 3)
+	plan := make([][]*Update, 3)
 	for i := range plan {
 		rev, epoch := int64(0), 1
 		for n := rapid.IntRange(0, 8).Draw(t, "words"); n > 0; n-- {
-			w := &Word{Source: i, Whole: len(plan[i]) == 0 || rapid.IntRange(0, 3).Draw(t, "whole") == 0}
-			if w.Whole && rapid.IntRange(0, 5).Draw(t, "epoch") == 0 {
+			w := &Update{Source: i, Complete: len(plan[i]) == 0 || rapid.IntRange(0, 3).Draw(t, "whole") == 0}
+			if w.Complete && rapid.IntRange(0, 5).Draw(t, "epoch") == 0 {
 				epoch++
 				rev = 0
 			}
@@ -430,16 +430,16 @@
 				w.Revision = rev - int64(rapid.IntRange(1, 3).Draw(t, "back"))
 			} else {
 				rev += int64(rapid.IntRange(1, 3).Draw(t, "step"))
-				w.Revision, w.Anew = rev, w.Whole && rapid.Bool().Draw(t, "anew")
+				w.Revision, w.Resync = rev, w.Complete && rapid.Bool().Draw(t, "anew")
 			}
 			for _, id := range rapid.SliceOfNDistinct(ids, 0, 5, rapid.ID).Draw(t, "ids") {
-				m := Member{ID: id, HostPort: rapid.SampledFrom([]string{"1", "2", "3"}).Draw(t, "at"), Cell: rapid.IntRange(0, 1).Draw(t, "cell"),
-					Phase: rapid.SampledFrom([]string{Up, Up, Draining, Removed}).Draw(t, "phase"), Size: float64(rapid.IntRange(0, 2).Draw(t, "size"))}
-				if w.Whole && m.Phase == Removed {
+				m := Member{ID: id, HostPort: rapid.SampledFrom([]string{"1", "2", "3"}).Draw(t, "at"), Dest: rapid.IntRange(0, 1).Draw(t, "cell"),
+					Phase: rapid.SampledFrom([]string{Up, Up, Draining, Removed}).Draw(t, "phase"), Rate: float64(rapid.IntRange(0, 2).Draw(t, "size"))}
+				if w.Complete && m.Phase == Removed {
 					m.Phase = Up
 				}
 				if rapid.IntRange(0, 9).Draw(t, "spoilt") == 0 {
-					w.Spoilt = append(w.Spoilt, id)
+					w.UnreadableIDs = append(w.UnreadableIDs, id)
 				} else {
 					w.Members = append(w.Members, m)
 				}
@@ -450,8 +450,8 @@
 	return plan
 }
 
-// merge draws an order of what sources say, each in its own.
-func merge(t *rapid.T, plan [][]*Word) (order []*Word) {
+// drawOrder draws an order of what sources say, each in its own.
+func drawOrder(t *rapid.T, plan [][]*Update) (order []*Update) {
 	at := make([]int, len(plan))
 	for {
 		var left []int
@@ -469,10 +469,10 @@
 	}
 }
 
-// told is a relay's list, made of what it was told.
-type told map[string]Member
+// publishedList is a relay's list, made of what it was told.
+type publishedList map[string]Member
 
-func (l told) hear(changes []Change) {
+func (l publishedList) apply(changes []Change) {
 	for _, c := range changes {
 		if c.Phase == Removed {
 			delete(l, c.ID)
@@ -482,59 +482,59 @@
 	}
 }
 
-// settled steps until all is told, and shows the view.
-func (v *View) settled(l told, now Time) []Member {
+// stepUntilDone steps until all is told, and shows the view.
+func (v *View) stepUntilDone(l publishedList, now Time) []Member {
 	for range 100 {
-		l.hear(v.Step(now))
+		l.apply(v.Step(now))
 	}
 	return v.Members()
 }
 
-const noon = 1000 * s
+const noon = 1000 * second
 
-func calm(x *Settings) {
+func withoutDelays(x *Settings) {
 	for i := range x.Sources {
-		x.Sources[i].Stale = 1e15
+		x.Sources[i].StaleAfter = 1e15
 	}
-	x.HoldDown, x.AtOnce = 0, 2
+	x.HoldDown, x.MaxUpsPerStep = 0, 2
 }
 
 // The view does not depend on which source was heard first; words that are said
 // again change nothing; what was told adds up to it; and another process that takes
 // over what was known has the same.
-func TestOrderOfArrival(t *testing.T) {
+func TestArrivalOrderIsIrrelevant(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
-		plan := plans(rt)
-		play := func(order []*Word) (*View, told) {
-			v, l := newView(t, calm), told{}
+		plan := drawUpdates(rt)
+		play := func(order []*Update) (*View, publishedList) {
+			v, l := newView(t, withoutDelays), publishedList{}
 			for _, w := range order {
-				v.Take(noon, w)
-				l.hear(v.Step(noon))
+				v.Apply(noon, w)
+				l.apply(v.Step(noon))
 			}
-			v.settled(l, noon)
+			v.stepUntilDone(l, noon)
 			return v, l
 		}
-		first := merge(rt, plan)
+		first := drawOrder(rt, plan)
 		a, la := play(first)
-		b, _ := play(merge(rt, plan))
+		b, _ := play(drawOrder(rt, plan))
 		if !reflect.DeepEqual(a.Explain(noon), b.Explain(noon)) || !reflect.DeepEqual(a.Members(), b.Members()) {
 			rt.Fatalf("two orders:\n%+v\n%+v", a.Explain(noon), b.Explain(noon))
 		}
-		for id, x := range a.view {
-			if m, ok := la[id]; ok != x.up || ok && m != x.Member {
+		for id, x := range a.published {
+			if m, ok := la[id]; ok != x.listed || ok && m != x.Member {
 				rt.Fatalf("%s was told as %+v, and is %+v", id, m, x)
 			}
 		}
 		before := a.Members()
 		for _, w := range first[:rapid.IntRange(0, len(first)).Draw(rt, "again")] {
-			a.Take(noon, w)
+			a.Apply(noon, w)
 		}
-		if a.settled(la, noon); !reflect.DeepEqual(before, a.Members()) {
+		if a.stepUntilDone(la, noon); !reflect.DeepEqual(before, a.Members()) {
 			rt.Fatalf("said again:\n%+v\n%+v", before, a.Members())
 		}
-		c := newView(t, calm)
+		c := newView(t, withoutDelays)
 		c.Import(noon, b.Export(noon))
-		if c.settled(told{}, noon); !reflect.DeepEqual(c.Members(), b.Members()) {
+		if c.stepUntilDone(publishedList{}, noon); !reflect.DeepEqual(c.Members(), b.Members()) {
 			rt.Fatalf("taken over:\n%+v\n%+v", b.Members(), c.Members())
 		}
 	})
@@ -544,35 +544,35 @@
 // whatever the others say, from the next step on.
 func TestDrainsAreMonotone(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
-		v := newView(t, calm)
-		l := told{}
+		v := newView(t, withoutDelays)
+		l := publishedList{}
 		last := make([]map[string]string, 3) // the phase that each source last told, by id
 		for i := range last {
 			last[i] = map[string]string{}
 		}
-		for _, w := range merge(rt, plans(rt)) {
-			verdict := v.Take(noon, w)
-			if verdict == Believed || verdict == Held {
+		for _, w := range drawOrder(rt, drawUpdates(rt)) {
+			verdict := v.Apply(noon, w)
+			if verdict == Accepted || verdict == RemovalsHeld {
 				listed := map[string]bool{}
 				for _, m := range w.Members {
 					listed[m.ID] = true
 					if m.Phase != Removed {
 						last[w.Source][m.ID] = m.Phase
-					} else if verdict == Believed && last[w.Source][m.ID] != "" {
+					} else if verdict == Accepted && last[w.Source][m.ID] != "" {
 						last[w.Source][m.ID] = Removed
 					} else if last[w.Source][m.ID] != Draining && last[w.Source][m.ID] != Removed {
 						delete(last[w.Source], m.ID)
 					}
 				}
-				if w.Whole && verdict == Believed {
+				if w.Complete && verdict == Accepted {
 					for id := range last[w.Source] {
-						if !listed[id] && !slices.Contains(w.Spoilt, id) {
+						if !listed[id] && !slices.Contains(w.UnreadableIDs, id) {
 							last[w.Source][id] = Removed
 						}
 					}
 				}
 			}
-			l.hear(v.Step(noon))
+			l.apply(v.Step(noon))
 			for i := range last {
 				for id, phase := range last[i] {
 					if m, ok := l[id]; ok && phase != Up && m.Phase == Up {
@@ -584,9 +584,9 @@
 	})
 }
 
-func BenchmarkWholeList(b *testing.B) {
+func BenchmarkCompleteList(b *testing.B) {
 	for _, n := range []int{1000, 10000, 50000} {
-		all := many(n)
+		all := upMembers(n)
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
 			var before, after runtime.MemStats
 			runtime.GC()
@@ -594,10 +594,10 @@
 			var v *View
 			for b.Loop() {
 				v = newView(b)
-				v.Take(s, whole(etcd, 1, all...))
-				v.Take(s, whole(disc, 1, all...))
-				for v.Next() <= s {
-					v.Step(s)
+				v.Apply(second, completeUpdate(etcdSource, 1, all...))
+				v.Apply(second, completeUpdate(registrySource, 1, all...))
+				for v.NextDeadline() <= second {
+					v.Step(second)
 				}
 			}
 			runtime.GC()
@@ -611,13 +611,13 @@
 
 func BenchmarkChange(b *testing.B) {
 	v := newView(b)
-	v.Take(s, whole(etcd, 1, many(50000)...))
+	v.Apply(second, completeUpdate(etcdSource, 1, upMembers(50000)...))
 	rng := rand.New(rand.NewPCG(1, 2))
 	rev := int64(1)
 	for b.Loop() {
 		rev++
 		k := rng.IntN(50000)
-		v.Take(s+rev, part(etcd, rev, in([]string{Up, Draining}[rev%2], up(fmt.Sprintf("e%05d", k), k))))
-		v.Step(s + rev)
+		v.Apply(second+rev, changeUpdate(etcdSource, rev, withPhase([]string{Up, Draining}[rev%2], upMember(fmt.Sprintf("e%05d", k), k))))
+		v.Step(second + rev)
 	}
 }
--- a/internal/rehearse/stage/stage_test.go
+++ b/internal/rehearse/stage/stage_test.go
@@ -54,7 +54,7 @@
 	}
 	ctx, cancel := signal.NotifyContext(context.Background(), syscall.SIGTERM)
 	defer cancel()
-	re := daemon.Reload{Asked: hup, Read: func() (*daemon.Config, error) { return daemon.ReloadConfig(os.Getenv) }}
+	re := daemon.ReloadRequests{Signals: hup, Load: func() (*daemon.Config, error) { return daemon.ReloadConfig(os.Getenv) }}
 	err = daemon.Run(cfg, log, ctx.Done(), re)
 	if err != nil {
 		log.Error("relay", "err", err)
--- a/internal/relay/config.go
+++ b/internal/relay/config.go
@@ -37,7 +37,7 @@
 	State        string // the folder that outlasts the process
 	Seed         uint64
 	Limits       Limits
-	Known        *List // the list as this relay last had it, maybe old
+	Known        *EndpointList // the list as this relay last had it, maybe old
 	Policy       decide.Settings
 	Operator     operator.Clients // what the operator's file says; zero where there is none
 	LearnedEvery time.Duration    // between two writes of what was learned; 0 for none
@@ -147,7 +147,7 @@
 		State     string          `json:"state"`
 		Seed      json.RawMessage `json:"seed"`
 		Limits    Limits          `json:"limits"`
-		Known     *List           `json:"known"`
+		Known     *EndpointList   `json:"known"`
 		Settings  json.RawMessage `json:"settings"`
 	}
 	if err := json.Unmarshal(text, &f); err != nil {
--- a/internal/relay/crossings_test.go
+++ b/internal/relay/crossings_test.go
@@ -35,7 +35,7 @@
 	}
 	failpoint = at
 	h := &inProcessRelay{env, make(chan struct{}), make(chan error, 1)}
-	go func() { h.done <- Run(cfg, quietLog(), h.stop, Reload{}) }()
+	go func() { h.done <- Run(cfg, quietLog(), h.stop, ReloadRequests{}) }()
 	t.Cleanup(func() {
 		h.shutDown()
 		select {
@@ -188,13 +188,13 @@
 		"no members":      {[]string{`{"revision":1}`}, nil, 0, true},
 	} {
 		alive := 0
-		in := newLists(feed(c.chunks...), 4096, func() { alive++ })
+		in := newListDecoder(feed(c.chunks...), 4096, func() { alive++ })
 		var revs []int64
 		l, err := in.next()
 		for ; err == nil; l, err = in.next() {
 			revs = append(revs, l.Revision)
 		}
-		if fmt.Sprint(revs) != fmt.Sprint(c.revs) || errors.Is(err, errGarbled) != c.bad || alive != c.alive {
+		if fmt.Sprint(revs) != fmt.Sprint(c.revs) || errors.Is(err, errMalformed) != c.bad || alive != c.alive {
 			t.Errorf("%s: revisions %v, %d signs of life, %v", name, revs, alive, err)
 		}
 	}
@@ -229,13 +229,13 @@
 			body.bytes = `{"id":"`
 		}
 		alive := 0
-		if _, err := newLists(body, most, func() { alive++ }).next(); !errors.Is(err, errGarbled) || alive > 0 {
+		if _, err := newListDecoder(body, most, func() { alive++ }).next(); !errors.Is(err, errMalformed) || alive > 0 {
 			t.Errorf("%q for ever: %v, %d signs of life", bytes, err, alive)
 		}
 	}
-	for _, n := range []int{0, 1, 1000, 4095, 4096, listKept, most / 2, most - 100} {
+	for _, n := range []int{0, 1, 1000, 4095, 4096, maxKeptBuffer, most / 2, most - 100} {
 		long := `{"revision":1,"members":[],"x":"` + strings.Repeat("b", n) + `"}`
-		in := newLists(io.MultiReader(strings.NewReader(long+"\n"+long+"\n"+`{"revision":2,"members":[]}`)), most, func() {})
+		in := newListDecoder(io.MultiReader(strings.NewReader(long+"\n"+long+"\n"+`{"revision":2,"members":[]}`)), most, func() {})
 		for i := range 3 {
 			if l, err := in.next(); err != nil || (l.Revision == 2) != (i == 2) {
 				t.Fatalf("%d bytes, list %d: %+v, %v", n, i, l, err)
@@ -243,7 +243,7 @@
 		}
 	}
 	// Made as it is read: what held it for a reader would be counted as kept.
-	in := newLists(io.MultiReader(strings.NewReader(`{"revision":1,"members":[],"x":"`), io.LimitReader(letters{}, most-100),
+	in := newListDecoder(io.MultiReader(strings.NewReader(`{"revision":1,"members":[],"x":"`), io.LimitReader(letters{}, most-100),
 		strings.NewReader(`"}`+"\n"+`{"revision":2,"members":[]}`)), most, func() {})
 	for range 2 {
 		if _, err := in.next(); err != nil {
@@ -257,7 +257,7 @@
 	in = nil
 	runtime.GC()
 	runtime.ReadMemStats(&after)
-	if kept := int64(before.HeapAlloc) - int64(after.HeapAlloc); kept > listKept*8 {
+	if kept := int64(before.HeapAlloc) - int64(after.HeapAlloc); kept > maxKeptBuffer*8 {
 		t.Errorf("%d bytes are kept behind a long list", kept)
 	}
 }
@@ -281,7 +281,7 @@
 		for at := 0; at < len(text); at += size {
 			chunks = append(chunks, string(text[at:min(at+size, len(text))]))
 		}
-		in := newLists(feed(chunks...), 4096, func() {})
+		in := newListDecoder(feed(chunks...), 4096, func() {})
 		for n := 0; ; n++ {
 			l, err := in.next()
 			if err != nil {
@@ -332,10 +332,10 @@
 	defer srv.Close()
 	defer close(release)
 	follow := registry.New(3, 1)
-	follow.Know(4)
+	follow.SetRevision(4)
 	heard := make(chan int64, 16)
-	d := newDiscovery(ln.Addr().String(), quietLog(), follow, func(l *List) { heard <- l.Revision })
-	d.silence = 100 * time.Millisecond
+	d := newListWatcher(ln.Addr().String(), quietLog(), follow, func(l *EndpointList) { heard <- l.Revision })
+	d.silenceTimeout = 100 * time.Millisecond
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan struct{})
 	go func() { defer close(done); d.run(ctx) }()
--- a/internal/relay/discovery_fixtures_test.go
+++ b/internal/relay/discovery_fixtures_test.go
@@ -50,7 +50,7 @@
 	}
 	var got bytes.Buffer
 	enc := json.NewEncoder(&got)
-	for in := newLists(bytes.NewReader(text), listMost, func() {}); ; {
+	for in := newListDecoder(bytes.NewReader(text), defaultMaxListBytes, func() {}); ; {
 		list, err := in.next()
 		if err == io.EOF {
 			break
@@ -105,12 +105,12 @@
 	}
 	defer cancel()
 	addr := srv.Listener.Addr().String()
-	d := newDiscovery(addr, quietLog(), registry.New(3, 1), func(*List) {})
+	d := newListWatcher(addr, quietLog(), registry.New(3, 1), func(*EndpointList) {})
 	start(d.run)
 	text := <-requests + "\n" + <-requests + "\n"
-	n := newNotices(addr, quietLog(), func(string) {})
+	n := newNoticeSender(addr, quietLog(), func(string) {})
 	for _, x := range []notice{{Message: "m-1", Outcome: core.NoticeGivenUp}, {Message: "m-2", Outcome: core.NoticeHandedBack, RetryMS: 500}} {
-		n.in.Put(x)
+		n.queue.Put(x)
 	}
 	start(n.run)
 	text += <-requests
@@ -124,21 +124,21 @@
 		t.Fatal(err)
 	}
 	for line := range bytes.Lines(text) {
-		var got helperLine
+		var got helperMessage
 		dec := json.NewDecoder(bytes.NewReader(line))
 		dec.DisallowUnknownFields()
 		if err := dec.Decode(&got); err != nil {
 			t.Fatalf("%s: %v", line, err)
 		}
 		want := `{"alive":true}` + "\n"
-		if got.Word != nil {
-			word, err := json.Marshal(got.Word)
+		if got.Update != nil {
+			word, err := json.Marshal(got.Update)
 			if err != nil {
 				t.Fatal(err)
 			}
 			want = fmt.Sprintf("{\"word\":%s}\n", word)
 		}
-		if string(line) != want || got.Alive != (got.Word == nil) {
+		if string(line) != want || got.Heartbeat != (got.Update == nil) {
 			t.Errorf("%s is read as %+v", line, got)
 		}
 	}
@@ -147,23 +147,23 @@
 // The members file as a relay writes it, and what one that begins with it tells on.
 func TestMembersFileFixture(t *testing.T) {
 	var events []core.Event
-	begun := func(dir string) *members {
+	begun := func(dir string) *memberMerger {
 		events = nil
-		m, err := newMembers(&operator.Etcd{}, dir, quietLog(), func(e core.Event) { events = append(events, e) }, func() {})
+		m, err := newMemberMerger(&operator.Etcd{}, dir, quietLog(), func(e core.Event) { events = append(events, e) }, func() {})
 		if err != nil {
 			t.Fatal(err)
 		}
 		return m
 	}
 	member := func(id string, k int, phase string) core.Member {
-		return core.Member{ID: id, HostPort: fmt.Sprint("127.0.0.1:", 7000+k), Locality: "a", Flavor: "k", Cell: 3, Phase: phase, Size: float64(k)}
+		return core.Member{ID: id, HostPort: fmt.Sprint("127.0.0.1:", 7000+k), Locality: "a", Flavor: "k", Dest: 3, Phase: phase, Rate: float64(k)}
 	}
 	dir := t.TempDir()
 	m := begun(dir)
-	m.put(m.registry, &membership.Word{Epoch: "http://127.0.0.1:9#1@7", Revision: 4, Whole: true, Members: []core.Member{member("a", 1, core.Up), member("b", 2, core.Up)}})
-	m.put(m.etcd, &membership.Word{Epoch: "000000000000004d.0", Revision: 8, Whole: true, Members: []core.Member{member("a", 0, core.Up), member("c", 3, core.Up)}})
-	m.put(m.etcd, &membership.Word{Epoch: "000000000000004d.0", Revision: 9, Members: []core.Member{member("a", 0, core.Draining)}})
-	m.turn()
+	m.enqueue(m.registry, &membership.Update{Epoch: "http://127.0.0.1:9#1@7", Revision: 4, Complete: true, Members: []core.Member{member("a", 1, core.Up), member("b", 2, core.Up)}})
+	m.enqueue(m.etcd, &membership.Update{Epoch: "000000000000004d.0", Revision: 8, Complete: true, Members: []core.Member{member("a", 0, core.Up), member("c", 3, core.Up)}})
+	m.enqueue(m.etcd, &membership.Update{Epoch: "000000000000004d.0", Revision: 9, Members: []core.Member{member("a", 0, core.Draining)}})
+	m.step()
 	text, err := os.ReadFile(filepath.Join(dir, membersFile))
 	if err != nil {
 		t.Fatal(err)
@@ -178,7 +178,7 @@
 		t.Fatal(err)
 	}
 	m = begun(dir)
-	m.seed(&List{Revision: 4, Complete: true, Members: []core.Member{member("a", 1, core.Up), member("b", 2, core.Up)}})
+	m.start(&EndpointList{Revision: 4, Complete: true, Members: []core.Member{member("a", 1, core.Up), member("b", 2, core.Up)}})
 	if len(events) != 1 || events[0].Kind != core.EndpointListUpdated {
 		t.Fatalf("told %+v", events)
 	}
@@ -186,9 +186,9 @@
 		t.Fatal(err)
 	}
 	checkDiscoveryFixture(t, "members-told.json", text)
-	m.saved = time.Time{}
+	m.lastSaved = time.Time{}
 	m.dirty = true
-	m.turn()
+	m.step()
 	if text, err = os.ReadFile(filepath.Join(dir, membersFile)); err != nil {
 		t.Fatal(err)
 	}
--- a/internal/relay/fake_test.go
+++ b/internal/relay/fake_test.go
@@ -69,13 +69,13 @@
 
 func TestMain(m *testing.M) {
 	if os.Getenv(helperEnv) != "" {
-		os.Exit(helper())
+		os.Exit(helperMain())
 	}
 	if os.Getenv(childProcessEnv) == "" {
 		os.Exit(m.Run())
 	}
 	if d, err := time.ParseDuration(os.Getenv(firstListTimeoutEnv)); err == nil {
-		firstListTimeout, discSilence = d, d
+		firstListTimeout, watchSilenceTimeout = d, d
 	}
 	log := slog.New(slog.NewTextHandler(os.Stderr, nil))
 	cfg, err := LoadConfig(os.Getenv)
@@ -87,7 +87,7 @@
 	hup := make(chan os.Signal, 1)
 	signal.Notify(hup, syscall.SIGHUP)
 	read := make(chan struct{}, 16)
-	re := Reload{Asked: hup, Read: func() (*Config, error) {
+	re := ReloadRequests{Signals: hup, Load: func() (*Config, error) {
 		cfg, err := ReloadConfig(os.Getenv)
 		read <- struct{}{}
 		return cfg, err
@@ -132,27 +132,27 @@
 // fakeDiscovery is the agent on a relay's machine.
 type fakeDiscovery struct {
 	*httptest.Server
-	mu       sync.Mutex
-	list     List
-	lines    []chan string // of the watches that are open
-	froms    []string      // what watches asked for
-	fetches  int
-	notices  map[string]notice
-	answer   int // status of notices
-	silent   bool
-	mute     bool     // a watch opens, and no empty line comes
-	busy     int      // calls that are still to be turned away
-	turned   []string // what they asked for
-	unheard  int      // requests that came while silent
-	released chan struct{}
+	mu                sync.Mutex
+	List              EndpointList
+	Watches           []chan string // of the watches that are open
+	WatchedFrom       []string      // what watches asked for
+	Fetches           int
+	Notices           map[string]notice
+	NoticeStatus      int // status of notices
+	Silent            bool
+	WithoutEmptyLines bool     // a watch opens, and no empty line comes
+	CallsToReject     int      // calls that are still to be turned away
+	RejectedQueries   []string // what they asked for
+	UnansweredCalls   int      // requests that came while silent
+	released          chan struct{}
 }
 
 func newFakeDiscovery(t testing.TB, members ...core.Member) *fakeDiscovery {
-	d := &fakeDiscovery{list: List{Revision: 1, Complete: true, Members: members}, notices: map[string]notice{},
-		answer: http.StatusNoContent, released: make(chan struct{})}
+	d := &fakeDiscovery{List: EndpointList{Revision: 1, Complete: true, Members: members}, Notices: map[string]notice{},
+		NoticeStatus: http.StatusNoContent, released: make(chan struct{})}
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET "+listPath, d.serveList)
-	mux.HandleFunc("POST "+noticePath, d.serveNotices)
+	mux.HandleFunc("POST "+noticesPath, d.serveNotices)
 	d.Server = httptest.NewServer(mux)
 	t.Cleanup(func() { close(d.released); d.CloseClientConnections(); d.Close() })
 	return d
@@ -160,8 +160,8 @@
 
 func (d *fakeDiscovery) serveList(w http.ResponseWriter, r *http.Request) {
 	d.mu.Lock()
-	if d.silent {
-		d.unheard++
+	if d.Silent {
+		d.UnansweredCalls++
 		d.mu.Unlock()
 		select {
 		case <-r.Context().Done():
@@ -169,22 +169,22 @@
 		}
 		return
 	}
-	if d.busy > 0 {
-		d.busy--
-		d.turned = append(d.turned, r.URL.RawQuery)
+	if d.CallsToReject > 0 {
+		d.CallsToReject--
+		d.RejectedQueries = append(d.RejectedQueries, r.URL.RawQuery)
 		d.mu.Unlock()
 		w.WriteHeader(http.StatusServiceUnavailable)
 		return
 	}
 	if r.URL.Query().Get("watch") == "" {
-		d.fetches++
-		json.NewEncoder(w).Encode(d.list)
+		d.Fetches++
+		json.NewEncoder(w).Encode(d.List)
 		d.mu.Unlock()
 		return
 	}
 	lines := make(chan string, 16)
-	d.lines = append(d.lines, lines)
-	d.froms = append(d.froms, r.URL.Query().Get("from"))
+	d.Watches = append(d.Watches, lines)
+	d.WatchedFrom = append(d.WatchedFrom, r.URL.Query().Get("from"))
 	d.mu.Unlock()
 	w.WriteHeader(http.StatusOK)
 	w.(http.Flusher).Flush()
@@ -202,7 +202,7 @@
 			return
 		case <-time.After(time.Second):
 			d.mu.Lock()
-			silent := d.silent || d.mute
+			silent := d.Silent || d.WithoutEmptyLines
 			d.mu.Unlock()
 			if !silent {
 				io.WriteString(w, "\n")
@@ -215,48 +215,48 @@
 func (d *fakeDiscovery) serveNotices(w http.ResponseWriter, r *http.Request) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if d.answer == http.StatusNoContent {
+	if d.NoticeStatus == http.StatusNoContent {
 		for dec := json.NewDecoder(r.Body); dec.More(); {
 			var n notice
 			if dec.Decode(&n) != nil {
 				break
 			}
-			d.notices[n.Message] = n
+			d.Notices[n.Message] = n
 		}
 	}
-	w.WriteHeader(d.answer)
+	w.WriteHeader(d.NoticeStatus)
 }
 
-func (d *fakeDiscovery) addr() string { return d.Listener.Addr().String() }
+func (d *fakeDiscovery) Addr() string { return d.Listener.Addr().String() }
 
-func (d *fakeDiscovery) notice(id string) (notice, bool) {
+func (d *fakeDiscovery) Notice(id string) (notice, bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	n, ok := d.notices[id]
+	n, ok := d.Notices[id]
 	return n, ok
 }
 
-func (d *fakeDiscovery) set(f func(*fakeDiscovery)) {
+func (d *fakeDiscovery) Update(f func(*fakeDiscovery)) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	f(d)
 }
 
-// say sends a line on the newest watch.
-func (d *fakeDiscovery) say(t testing.TB, line string) {
+// SendLine sends a line on the newest watch.
+func (d *fakeDiscovery) SendLine(t testing.TB, line string) {
 	t.Helper()
-	waitFor(t, "a watch", func() bool { d.mu.Lock(); defer d.mu.Unlock(); return len(d.lines) > 0 })
+	waitFor(t, "a watch", func() bool { d.mu.Lock(); defer d.mu.Unlock(); return len(d.Watches) > 0 })
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.lines[len(d.lines)-1] <- line
+	d.Watches[len(d.Watches)-1] <- line
 }
 
-// sayToAll sends a line on every watch that has room for it, also of processes that
+// SendLineToAll sends a line on every watch that has room for it, also of processes that
 // have ended.
-func (d *fakeDiscovery) sayToAll(line string) {
+func (d *fakeDiscovery) SendLineToAll(line string) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	for _, w := range d.lines {
+	for _, w := range d.Watches {
 		select {
 		case w <- line:
 		default:
@@ -323,7 +323,7 @@
 }
 
 func (e *fakeEndpoint) member(id string, cell int) core.Member {
-	return core.Member{ID: id, HostPort: e.addr(), Locality: "a", Flavor: "k", Cell: cell, Phase: core.Up, Size: 1000}
+	return core.Member{ID: id, HostPort: e.addr(), Locality: "a", Flavor: "k", Dest: cell, Phase: core.Up, Rate: 1000}
 }
 
 // testConfig writes a configuration and returns the environment that names it.
@@ -338,19 +338,19 @@
 	path := filepath.Join(dir, "config.json")
 	list := ""
 	if len(known) > 0 {
-		text, err := json.Marshal(List{Revision: 1, Complete: true, Members: known})
+		text, err := json.Marshal(EndpointList{Revision: 1, Complete: true, Members: known})
 		if err != nil {
 			t.Fatal(err)
 		}
 		list = `"known":` + string(text) + ","
 	}
 	text := fmt.Sprintf(`{"name":"n1","listen":%q,"discovery":%q,"seed":"8c1f30d27a5be964","surplus":1,`+list+`
-		"limits":{"cores":1.0,"memory_mb":192,"sockets":1024,"disk_mb":%d},"settings":%s}`, listen, d.addr(), diskMB, testSettings)
+		"limits":{"cores":1.0,"memory_mb":192,"sockets":1024,"disk_mb":%d},"settings":%s}`, listen, d.Addr(), diskMB, testSettings)
 	if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
 		t.Fatal(err)
 	}
 	return map[string]string{"ROUTER_CONFIG": path, "ROUTER_STATE": state, "ROUTER_LISTEN": listen,
-		"ROUTER_DISCOVERY": d.addr(), "ROUTER_NAME": "n1"}
+		"ROUTER_DISCOVERY": d.Addr(), "ROUTER_NAME": "n1"}
 }
 
 // child is a relay in a process of its own.
--- a/internal/relay/handover.go
+++ b/internal/relay/handover.go
@@ -647,7 +647,7 @@
 // forwardReload has the other process read the configuration again, where that was asked
 // of this one after it had told the other of all.
 func (r *Relay) forwardReload(t *handoverRequest) {
-	if r.reloadsRequested.Load() > r.reloadsHandedOver || len(r.reload.Asked) > 0 {
+	if r.reloadsRequested.Load() > r.reloadsHandedOver || len(r.reload.Signals) > 0 {
 		if err := syscall.Kill(t.pid, syscall.SIGHUP); err != nil {
 			r.log.Error("hand-over: the other process is not told to read its configuration again", "err", err)
 		}
--- a/internal/relay/handover_packets_test.go
+++ b/internal/relay/handover_packets_test.go
@@ -120,8 +120,8 @@
 	s.disc = newFakeDiscovery(t, s.slow.member("s-1", 1), s.quick.member("s-2", 2), unreachableMember("s-0", 5))
 	s.env = testConfig(t, s.disc, 3)
 	s.old = startAndWait(t, s.env)
-	s.names = strings.NewReplacer(s.slow.addr(), "slow.addr", s.quick.addr(), "quick.addr", s.disc.addr(), "disc.addr")
-	s.addrs = strings.NewReplacer("slow.addr", s.slow.addr(), "quick.addr", s.quick.addr(), "disc.addr", s.disc.addr())
+	s.names = strings.NewReplacer(s.slow.addr(), "slow.addr", s.quick.addr(), "quick.addr", s.disc.Addr(), "disc.addr")
+	s.addrs = strings.NewReplacer("slow.addr", s.slow.addr(), "quick.addr", s.quick.addr(), "disc.addr", s.disc.Addr())
 	s.cl, s.half = dialClient(t, s.env["ROUTER_LISTEN"]), dialClient(t, s.env["ROUTER_LISTEN"])
 	mustSubmitOnce(t, s.cl, map[string]int{"out": 1})
 	waitFor(t, "the call", func() bool { return s.slow.count("out") == 1 })
@@ -292,8 +292,8 @@
 		t.Errorf("half a command: %s", got)
 	}
 	close(s.release)
-	line := change(7, s.quick.member("s-5", 5))
-	waitFor(t, "what was held", func() bool { s.disc.sayToAll(line); return s.quick.count("held") == 1 })
+	line := changeText(7, s.quick.member("s-5", 5))
+	waitFor(t, "what was held", func() bool { s.disc.SendLineToAll(line); return s.quick.count("held") == 1 })
 	waitFor(t, "all to end", func() bool { return readStats(t, fresh.console())["current"] == 0 })
 	got := readStats(t, fresh.console())
 	if n := s.slow.count("out"); n != 1 || got["answered.once"] != 3 || got["errored.once"] != 0 {
--- a/internal/relay/handover_test.go
+++ b/internal/relay/handover_test.go
@@ -23,7 +23,7 @@
 
 // unreachableMember names a destination that nobody serves for now.
 func unreachableMember(id string, cell int) core.Member {
-	return core.Member{ID: id, HostPort: "127.0.0.1:1", Cell: cell, Phase: core.Draining}
+	return core.Member{ID: id, HostPort: "127.0.0.1:1", Dest: cell, Phase: core.Draining}
 }
 
 // programEnv names the program that a relay is started from; unset for the tests' own.
@@ -157,7 +157,7 @@
 	close(release)
 	other := newFakeEndpoint(t, nil)
 	m := other.member("s-5", 5)
-	disc.say(t, change(7, m))
+	disc.SendLine(t, changeText(7, m))
 	waitFor(t, "the held one", func() bool { return other.count("held") == 1 })
 	waitFor(t, "all to end", func() bool { return readStats(t, fresh.console())["current"] == 0 })
 	got := readStats(t, fresh.console())
@@ -167,9 +167,9 @@
 	if n := slow.count("out"); n != 1 || got["answered.once"] != 3 || got["errored.once"] != 0 {
 		t.Errorf("the call that was out went out %d times; figures %v", n, got)
 	}
-	disc.set(func(d *fakeDiscovery) {
-		if len(d.notices) > 0 {
-			t.Errorf("notices: %v", d.notices)
+	disc.Update(func(d *fakeDiscovery) {
+		if len(d.Notices) > 0 {
+			t.Errorf("notices: %v", d.Notices)
 		}
 	})
 }
@@ -207,7 +207,7 @@
 		}
 		now = upgrade(t, now)
 	}
-	disc.set(func(d *fakeDiscovery) { d.silent = true })
+	disc.Update(func(d *fakeDiscovery) { d.Silent = true })
 	now = upgrade(t, now)
 	close(stop)
 	sum.Wait()
@@ -221,7 +221,7 @@
 		if calls == 1 {
 			continue
 		}
-		waitFor(t, "the notice of "+id, func() bool { x, ok := disc.notice(id); return ok && x.Outcome == "handed_back" })
+		waitFor(t, "the notice of "+id, func() bool { x, ok := disc.Notice(id); return ok && x.Outcome == "handed_back" })
 		if calls > 1 {
 			t.Errorf("%s went out %d times", id, calls)
 		}
@@ -373,8 +373,8 @@
 	}
 	k.close()
 	waitFor(t, "it to serve anew", old.isReady)
-	waitFor(t, "the end of what may have run", func() bool { n, ok := disc.notice("out"); return ok && n.Outcome == "given_up" })
-	disc.say(t, change(7, quick.member("s-5", 5)))
+	waitFor(t, "the end of what may have run", func() bool { n, ok := disc.Notice("out"); return ok && n.Outcome == "given_up" })
+	disc.SendLine(t, changeText(7, quick.member("s-5", 5)))
 	waitFor(t, "what never ran", func() bool { return quick.count("held") == 1 })
 	if n := slow.count("out"); n != 1 {
 		t.Errorf("an unsafe message went out %d times", n)
@@ -402,8 +402,8 @@
 	if _, err := os.Stat(filepath.Join(env["ROUTER_STATE"], lockFileName)); err != nil {
 		t.Error(err)
 	}
-	waitFor(t, "the end of what may have run", func() bool { n, ok := disc.notice("out"); return ok && n.Outcome == "given_up" })
-	disc.say(t, change(7, quick.member("s-5", 5)))
+	waitFor(t, "the end of what may have run", func() bool { n, ok := disc.Notice("out"); return ok && n.Outcome == "given_up" })
+	disc.SendLine(t, changeText(7, quick.member("s-5", 5)))
 	waitFor(t, "what never ran", func() bool { return quick.count("held") == 1 })
 	if n := slow.count("out"); n != 1 {
 		t.Errorf("an unsafe message went out %d times", n)
@@ -554,18 +554,18 @@
 func TestUpgradeKeepsDrain(t *testing.T) {
 	gone, stays := newFakeEndpoint(t, nil), newFakeEndpoint(t, nil)
 	d := newFakeDiscovery(t)
-	d.set(func(d *fakeDiscovery) { d.mute = true })
+	d.Update(func(d *fakeDiscovery) { d.WithoutEmptyLines = true })
 	drains := gone.member("s-1", 1)
 	env := testConfig(t, d, 3, drains, stays.member("s-2", 1))
 	now := startAndWait(t, env)
 	drains.Phase = core.Draining
-	line, err := json.Marshal(List{Revision: 9, Members: []core.Member{drains}})
+	line, err := json.Marshal(EndpointList{Revision: 9, Members: []core.Member{drains}})
 	if err != nil {
 		t.Fatal(err)
 	}
-	d.say(t, string(line))
+	d.SendLine(t, string(line))
 	waitFor(t, "the drain", func() bool { return readStats(t, now.console())["cluster_unhealthy"] == 1 })
-	d.set(func(d *fakeDiscovery) { d.silent = true })
+	d.Update(func(d *fakeDiscovery) { d.Silent = true })
 	upgrade(t, now)
 	cl := dialClient(t, env["ROUTER_LISTEN"])
 	for i := range 12 {
--- a/internal/relay/idle_bench_test.go
+++ b/internal/relay/idle_bench_test.go
@@ -36,10 +36,10 @@
 
 func benchmarkEndpointList(b *testing.B, n int, awake string) {
 	ep := newFakeEndpoint(b, nil)
-	l := List{Revision: 1, Complete: true}
+	l := EndpointList{Revision: 1, Complete: true}
 	for i := range n {
 		m := core.Member{ID: fmt.Sprintf("shop-%07d-0", i), HostPort: fmt.Sprintf("10.%d.%d.%d:8080", i>>16&255, i>>8&255, i&255), Locality: "a", Flavor: "k",
-			Cell: i, Phase: core.Up, Size: 40}
+			Dest: i, Phase: core.Up, Rate: 40}
 		if i < 20 {
 			m.HostPort = ep.addr()
 		}
@@ -52,7 +52,7 @@
 	l.Members = nil
 	more, done := make(chan bool), make(chan bool)
 	d := &fakeDiscovery{Server: httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		if r.URL.Path == noticePath {
+		if r.URL.Path == noticesPath {
 			w.WriteHeader(http.StatusNoContent)
 			return
 		}
--- a/internal/relay/loop.go
+++ b/internal/relay/loop.go
@@ -48,8 +48,8 @@
 	core              *core.Core
 	inbox             *Mailbox[loopInput]
 	wal               *wal
-	notices           *notices
-	discovery         *discovery
+	notices           *noticeSender
+	discovery         *listWatcher
 	discoveryAddr     string // the address that both of them use
 	lifecycle         *processLifecycle
 	board             *console.Stats
@@ -67,13 +67,13 @@
 	pendingHandover   *handoverRequest
 	incoming          takeover.Incoming
 	lock              *stateLock
-	stateSaver        *stateSaver  // nil where nothing is kept
-	members           *members     // nil where discovery alone says who is there
-	watchedAddr       atomic.Value // the address of discovery, a string, for it
-	clientsPausedAt   int64        // when the clients were last read, on the system's monotonic clock
-	reloadsRequested  atomic.Int64 // how often the configuration was to be read again
-	reloadsHandedOver int64        // of them, as another process was told of
-	reload            Reload
+	stateSaver        *stateSaver   // nil where nothing is kept
+	members           *memberMerger // nil where discovery alone says who is there
+	watchedAddr       atomic.Value  // the address of discovery, a string, for it
+	clientsPausedAt   int64         // when the clients were last read, on the system's monotonic clock
+	reloadsRequested  atomic.Int64  // how often the configuration was to be read again
+	reloadsHandedOver int64         // of them, as another process was told of
+	reload            ReloadRequests
 	inheritedCalls    map[string]int // calls that the process before had out, by message
 	closeLog          func()
 	stop              <-chan struct{}
@@ -86,7 +86,7 @@
 // taken the work over, or something fails that a relay cannot go on without.
 // Where the process that took over died before it served, it starts anew from the
 // log, with the configuration that it was last told to read.
-func Run(cfg *Config, log *slog.Logger, stop <-chan struct{}, re Reload) error {
+func Run(cfg *Config, log *slog.Logger, stop <-chan struct{}, re ReloadRequests) error {
 	for {
 		asked, err := run(cfg, log, stop, re)
 		if !errors.Is(err, errRestartFromLog) {
@@ -94,7 +94,7 @@
 		}
 		log.Warn("hand-over: the process that took over is gone, starting from the log")
 		if asked {
-			if fresh, err := re.Read(); err != nil {
+			if fresh, err := re.Load(); err != nil {
 				log.Error("new configuration not taken over, the old one stays", "err", err)
 			} else {
 				cfg = fresh
@@ -105,7 +105,7 @@
 
 // run is one life of a relay; asked tells whether the configuration was read again
 // in it.
-func run(cfg *Config, log *slog.Logger, stop <-chan struct{}, re Reload) (asked bool, err error) {
+func run(cfg *Config, log *slog.Logger, stop <-chan struct{}, re ReloadRequests) (asked bool, err error) {
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	r := &Relay{cfg: cfg, log: log, inbox: newMailbox[loopInput](), startedAt: time.Now(), ctx: ctx, stop: stop, reload: re, endpoints: map[decide.EndpointID]*Endpoint{},
@@ -142,7 +142,7 @@
 	r.pool = NewPool(time.Duration(cfg.Policy.ConnectTimeout)*time.Microsecond, keep-IdleMargin(keep), conns)
 	r.pool.now = r.now
 	go r.pool.Run(ctx)
-	r.notices = newNotices(cfg.Discovery, log, func(id string) {
+	r.notices = newNoticeSender(cfg.Discovery, log, func(id string) {
 		log.Info(story.NoticeDelivered, "message", id)
 		r.wal.submit(&record{Kind: core.RecordDone, ID: id}, nil)
 	})
@@ -150,19 +150,19 @@
 	defer unwatch()
 	follow := registry.New(cfg.Policy.Relays, cfg.Seed)
 	if cfg.Known != nil {
-		follow.Know(cfg.Known.Revision)
+		follow.SetRevision(cfg.Known.Revision)
 	}
-	r.discovery = newDiscovery(cfg.Discovery, log, follow, func(l *List) { r.inbox.Put(loopInput{Event: listEvent(l)}) })
+	r.discovery = newListWatcher(cfg.Discovery, log, follow, func(l *EndpointList) { r.inbox.Put(loopInput{Event: listEvent(l)}) })
 	if cfg.Etcd != nil {
 		if err := r.mergeSources(); err != nil {
 			return false, err
 		}
 	}
-	r.discovery.end = unwatch
-	r.discovery.most = cmp.Or(cfg.ListMost, listMost)
+	r.discovery.cancel = unwatch
+	r.discovery.maxListBytes = cmp.Or(cfg.ListMost, defaultMaxListBytes)
 	go r.discovery.run(watch)
 	r.discoveryAddr = cfg.Discovery
-	go r.follow(ctx, re)
+	go r.watchReloads(ctx, re)
 
 	if r.lock, err = openLock(cfg.State); err != nil {
 		return false, err
@@ -227,7 +227,7 @@
 	r.closeLog = sync.OnceFunc(func() { close(walStop); <-wal.done })
 	defer r.closeLog()
 	r.notices.start(ctx)
-	defer func() { r.notices.halt() }()
+	defer func() { r.notices.stopRun() }()
 
 	if inherited.Core == nil {
 		known, shift := r.stateSaver.load()
@@ -257,14 +257,14 @@
 		heard := list()
 		r.observe(r.dropStaleLists(heard, inherited))
 		if inherited.ReloadRequested {
-			r.readAgain()
+			r.reloadNow()
 		}
 	}
 	hitFailpoint(failpointIncomingRecovered)
 	if r.members != nil {
-		r.members.seed(r.core.SnapshotState(r.now()).EndpointList())
+		r.members.start(r.core.SnapshotState(r.now()).EndpointList())
 		go r.members.run(watch)
-		go r.members.help(watch)
+		go r.members.superviseHelper(watch)
 	}
 	r.step()
 	kept := cl.server.Import(inherited.clients)
@@ -309,7 +309,7 @@
 	return false, err
 }
 
-func listEvent(l *List) core.Event {
+func listEvent(l *EndpointList) core.Event {
 	kind := decide.ListDelta
 	if l.Complete {
 		kind = decide.ListFull
@@ -341,14 +341,14 @@
 	limit := time.NewTimer(firstListTimeout)
 	defer limit.Stop()
 	select {
-	case <-r.discovery.first: // what it said of the list came before
+	case <-r.discovery.firstResponse: // what it said of the list came before
 	case <-limit.C:
 		r.log.Warn("discovery is silent: the list that is known is used")
 	case <-r.ctx.Done():
 		return
 	}
 	if r.members != nil {
-		r.members.after(func() { r.post(core.Event{Kind: core.Started}) })
+		r.members.enqueueCallback(func() { r.post(core.Event{Kind: core.Started}) })
 		return
 	}
 	r.post(core.Event{Kind: core.Started})
@@ -357,14 +357,14 @@
 // mergeSources has discovery's words go through a view that etcd's go through as well.
 func (r *Relay) mergeSources() (err error) {
 	d := r.discovery
-	r.members, err = newMembers(r.cfg.Etcd, r.cfg.State, r.log, r.post, func() { d.moves.Put(r.watchedAddr.Load().(string)) })
+	r.members, err = newMemberMerger(r.cfg.Etcd, r.cfg.State, r.log, r.post, func() { d.addresses.Put(r.watchedAddr.Load().(string)) })
 	if err != nil {
 		return err
 	}
-	d.news = func(l *List) {
-		r.members.put(r.members.registry, &membership.Word{Epoch: d.epoch(), Revision: l.Revision, Whole: l.Complete, Members: l.Members})
+	d.onList = func(l *EndpointList) {
+		r.members.enqueue(r.members.registry, &membership.Update{Epoch: d.epoch(), Revision: l.Revision, Complete: l.Complete, Members: l.Members})
 	}
-	d.life = func() { r.members.put(r.members.registry, nil) }
+	d.onHeartbeat = func() { r.members.enqueue(r.members.registry, nil) }
 	r.watchedAddr.Store(r.cfg.Discovery)
 	return nil
 }
@@ -383,7 +383,7 @@
 	all := len(lists)
 	lists = slices.DeleteFunc(lists, func(e core.Event) bool { return e.List.Revision < r.core.ListRevision() })
 	if len(lists) < all {
-		r.discovery.moves.Put(r.discoveryAddr)
+		r.discovery.addresses.Put(r.discoveryAddr)
 	}
 	return lists
 }
@@ -394,7 +394,7 @@
 func (r *Relay) collectFirstLists() (lists []core.Event) {
 	limit := time.NewTimer(firstListTimeout)
 	defer limit.Stop()
-	first := r.discovery.first
+	first := r.discovery.firstResponse
 	if r.cfg.Known == nil {
 		first = nil // without any list there is nothing to serve on
 	}
@@ -602,9 +602,9 @@
 	case core.AppendThenNotify:
 		n := e.Notice
 		// The notice goes out whether or not it could be logged.
-		r.wal.submit(e.Record, func(error) { r.notices.in.Put(n) })
+		r.wal.submit(e.Record, func(error) { r.notices.queue.Put(n) })
 	case core.SendNotice:
-		r.notices.in.Put(e.Notice)
+		r.notices.queue.Put(e.Notice)
 	case core.ResumeCall:
 		r.resumeCall(e.Call)
 	case core.CancelCall:
--- a/internal/relay/members.go
+++ b/internal/relay/members.go
@@ -26,15 +26,15 @@
 // libraries that speak its protocol would weigh on every relay.
 
 const (
-	helperName  = "troutusher-kit"
-	membersFile = "members"
-	helperPause = 200 * time.Millisecond // doubles with each helper that ends
-	helperMost  = 5 * time.Second
-	helperLong  = 10 * time.Second // one that lasted so long was none in vain
-	membersSave = time.Second
-	lineMost    = 256 << 20 // bytes of one word
-	etcdStale   = membership.Time(10e6)
-	listStale   = membership.Time(20e6)
+	helperName          = "troutusher-kit"
+	membersFile         = "members"
+	minHelperBackoff    = 200 * time.Millisecond // doubles with each helper that ends
+	maxHelperBackoff    = 5 * time.Second
+	stableHelperRun     = 10 * time.Second // one that lasted so long was none in vain
+	membersSaveInterval = time.Second
+	maxHelperLineBytes  = 256 << 20 // bytes of one word
+	etcdStaleAfter      = membership.Time(10e6)
+	registryStaleAfter  = membership.Time(20e6)
 )
 
 // helperCommand starts what follows etcd. Tests alone change it.
@@ -46,65 +46,69 @@
 	return exec.Command(filepath.Join(filepath.Dir(self), helperName), "follow"), nil
 }
 
-// helperLine is what the helper says.
-type helperLine struct {
-	Word  *membership.Word `json:"word"`
-	Alive bool             `json:"alive"`
+// helperMessage is what the helper says.
+type helperMessage struct {
+	Update    *membership.Update `json:"word"`
+	Heartbeat bool               `json:"alive"`
 }
 
-// said is what a source says; or a function that is called once all before it has
+// sourceEvent is what a source says; or a function that is called once all before it has
 // been told on.
-type said struct {
-	source int
-	word   *membership.Word
-	then   func()
+type sourceEvent struct {
+	source   int
+	update   *membership.Update
+	callback func()
 }
 
-// members owns the view.
-type members struct {
-	log   *slog.Logger
-	view  *membership.View
-	in    *Mailbox[said]
-	tell  func(core.Event) // in order
-	again func()           // has discovery's list read anew
-	anew  chan struct{}    // has the helper read etcd's
-	began time.Time
-	path  string
+// memberMerger owns the view.
+type memberMerger struct {
+	log            *slog.Logger
+	view           *membership.View
+	queue          *Mailbox[sourceEvent]
+	emitEvent      func(core.Event) // in order
+	resyncRegistry func()           // has discovery's list read anew
+	etcdResync     chan struct{}    // has the helper read etcd's
+	startedAt      time.Time
+	path           string
 
-	etcd, registry int
-	rev            int64  // of discovery's list
-	asked          []bool // of sources: for their whole list
-	askedAt        string // the registry's epoch then
-	neededAt       string // its epoch as a change came that builds on nothing known
-	dirty          bool   // to be kept when its turn comes
-	urgent         bool   // to be kept now: a drain or an end
-	saved          time.Time
+	etcd, registry   int
+	registryRevision int64  // of discovery's list
+	resyncRequested  []bool // of sources: for their whole list
+	resyncEpoch      string // the registry's epoch then
+	missingBaseEpoch string // its epoch as a change came that builds on nothing known
+	dirty            bool   // to be kept when its turn comes
+	urgent           bool   // to be kept now: a drain or an end
+	lastSaved        time.Time
 }
 
-func newMembers(e *operator.Etcd, state string, log *slog.Logger, tell func(core.Event), again func()) (*members, error) {
-	m := &members{log: log, in: newMailbox[said](), tell: tell, again: again, anew: make(chan struct{}, 1), began: time.Now(),
-		path: filepath.Join(state, membersFile), registry: 1, asked: make([]bool, 2)}
-	sources := []membership.Source{{Name: "etcd", Stale: etcdStale}, {Name: "registry", Stale: listStale}}
+func newMemberMerger(e *operator.Etcd, state string, log *slog.Logger, tell func(core.Event), again func()) (*memberMerger, error) {
+	m := &memberMerger{log: log, queue: newMailbox[sourceEvent](), emitEvent: tell, resyncRegistry: again, etcdResync: make(chan struct{}, 1), startedAt: time.Now(),
+		path: filepath.Join(state, membersFile), registry: 1, resyncRequested: make([]bool, 2)}
+	sources := []membership.Source{{Name: "etcd", StaleAfter: etcdStaleAfter}, {Name: "registry", StaleAfter: registryStaleAfter}}
 	if e.First == "registry" {
 		m.etcd, m.registry = 1, 0
 		sources[0], sources[1] = sources[1], sources[0]
 	}
 	var err error
-	m.view, err = membership.New(membership.Default(sources...))
+	m.view, err = membership.New(membership.DefaultSettings(sources...))
 	return m, err
 }
 
-func (m *members) now() membership.Time { return 1 + time.Since(m.began).Microseconds() }
+func (m *memberMerger) now() membership.Time { return 1 + time.Since(m.startedAt).Microseconds() }
 
-// put hands on what a source says, in its order.
-func (m *members) put(source int, w *membership.Word) { m.in.Put(said{source: source, word: w}) }
+// enqueue hands on what a source says, in its order.
+func (m *memberMerger) enqueue(source int, w *membership.Update) {
+	m.queue.Put(sourceEvent{source: source, update: w})
+}
 
-// after calls a function once all that was said before has been told on.
-func (m *members) after(then func()) { m.in.Put(said{source: -1, then: then}) }
+// enqueueCallback calls a function once all that was said before has been told on.
+func (m *memberMerger) enqueueCallback(then func()) {
+	m.queue.Put(sourceEvent{source: -1, callback: then})
+}
 
-// seed begins with what an earlier process knew, and with the list that the loop
+// start begins with what an earlier process knew, and with the list that the loop
 // goes by, of which it need not be told.
-func (m *members) seed(list *List) {
+func (m *memberMerger) start(list *EndpointList) {
 	text, err := os.ReadFile(m.path)
 	st := &membership.State{}
 	if err == nil {
@@ -115,10 +119,10 @@
 	} else if !errors.Is(err, os.ErrNotExist) {
 		m.log.Warn("members: set aside, nothing is remembered", "err", err)
 	}
-	if _, _, known := m.view.Known(m.registry); !known {
-		m.view.Take(m.now(), &membership.Word{Source: m.registry, Epoch: "before", Revision: list.Revision, Whole: true, Members: list.Members})
+	if _, _, known := m.view.Position(m.registry); !known {
+		m.view.Apply(m.now(), &membership.Update{Source: m.registry, Epoch: "before", Revision: list.Revision, Complete: true, Members: list.Members})
 	}
-	m.rev = list.Revision
+	m.registryRevision = list.Revision
 	// The loop is told of what differs: what was draining by etcd's word may be up in
 	// its list.
 	have := map[string]core.Member{}
@@ -126,7 +130,7 @@
 		have[x.ID] = x
 	}
 	var events []core.Member
-	for m.view.Next() <= m.now() && m.view.Next() > 0 {
+	for m.view.NextDeadline() <= m.now() && m.view.NextDeadline() > 0 {
 		if len(m.view.Step(m.now())) == 0 {
 			break
 		}
@@ -139,87 +143,87 @@
 	m.emit(events)
 }
 
-func (m *members) emit(all []core.Member) {
+func (m *memberMerger) emit(all []core.Member) {
 	if len(all) > 0 {
-		m.tell(core.Event{Kind: core.EndpointListUpdated, List: &List{Revision: m.rev, Members: all}, News: decide.ListDelta})
+		m.emitEvent(core.Event{Kind: core.EndpointListUpdated, List: &EndpointList{Revision: m.registryRevision, Members: all}, News: decide.ListDelta})
 	}
 }
 
 // run merges until ctx ends. What is not kept by then is left: the file may be
 // another process's already.
-func (m *members) run(ctx context.Context) {
+func (m *memberMerger) run(ctx context.Context) {
 	timer := time.NewTimer(0)
 	defer timer.Stop()
 	for ctx.Err() == nil {
-		timer.Reset(m.turn())
+		timer.Reset(m.step())
 		select {
 		case <-ctx.Done():
-		case <-m.in.ready:
+		case <-m.queue.ready:
 		case <-timer.C:
 		}
 	}
 }
 
-// turn takes what was said, tells on what has changed, and gives the time until
+// step takes what was said, tells on what has changed, and gives the time until
 // there is more to do. A drain is kept at once, so that a start does not take it back.
-func (m *members) turn() (wait time.Duration) {
-	got := m.in.TakeAll(nil)
+func (m *memberMerger) step() (wait time.Duration) {
+	got := m.queue.TakeAll(nil)
 	for i := range got {
-		m.take(&got[i])
+		m.handle(&got[i])
 	}
-	m.tellOn()
-	for _, n := range m.view.Notes() {
-		m.log.Warn("members: "+n.Text, "source", m.name(n.Source), "endpoint", n.ID, "count", n.Count)
+	m.publishChanges()
+	for _, n := range m.view.TakeWarnings() {
+		m.log.Warn("members: "+n.Text, "source", m.sourceName(n.Source), "endpoint", n.ID, "count", n.Count)
 	}
-	m.ask()
+	m.requestResyncs()
 	wait = time.Hour
-	if left := membersSave - time.Since(m.saved); m.urgent || m.dirty && left <= 0 {
+	if left := membersSaveInterval - time.Since(m.lastSaved); m.urgent || m.dirty && left <= 0 {
 		m.save()
 	} else if m.dirty {
 		wait = left
 	}
-	if at := m.view.Next(); at > 0 {
+	if at := m.view.NextDeadline(); at > 0 {
 		wait = min(wait, time.Duration(max(at-m.now(), 0))*time.Microsecond)
 	}
 	return wait
 }
 
-func (m *members) name(source int) string {
+func (m *memberMerger) sourceName(source int) string {
 	if source == m.etcd {
 		return "etcd"
 	}
 	return "registry"
 }
 
-func (m *members) take(s *said) {
+func (m *memberMerger) handle(s *sourceEvent) {
 	switch {
-	case s.then != nil:
-		m.tellOn()
-		s.then()
-	case s.word == nil:
-		m.view.Heard(m.now(), s.source)
+	case s.callback != nil:
+		m.publishChanges()
+		s.callback()
+	case s.update == nil:
+		m.view.Heartbeat(m.now(), s.source)
 	default:
-		w := s.word
+		w := s.update
 		if w.Source = s.source; s.source == m.registry {
-			m.rev = w.Revision
-			w.Anew = w.Whole && m.asked[s.source] && w.Epoch != m.askedAt
+			m.registryRevision = w.Revision
+			w.Resync = w.Complete && m.resyncRequested[s.source] && w.Epoch != m.resyncEpoch
 		}
 		m.dirty = true
-		v := m.view.Take(m.now(), w)
-		if v == membership.Needed && s.source == m.registry && w.Epoch != m.neededAt {
+		v := m.view.Apply(m.now(), w)
+		if v == membership.ResyncRequired && s.source == m.registry && w.Epoch != m.missingBaseEpoch {
 			// It follows the list that the loop began with, which the view has from
 			// elsewhere: the whole one is had in its place.
-			m.neededAt = w.Epoch
-			m.again()
+			m.missingBaseEpoch = w.Epoch
+			m.resyncRegistry()
 		}
-		if v == membership.Old || v == membership.Needed {
-			m.log.Warn("members: a word is of no use", "source", m.name(s.source), "epoch", w.Epoch, "revision", w.Revision, "verdict", v.String())
+		if v == membership.Outdated || v == membership.ResyncRequired {
+			m.log.Warn("members: a word is of no use", "source", m.sourceName(s.source), "epoch", w.Epoch, "revision", w.Revision, "verdict", v.String())
 		}
 	}
 }
 
-// tellOn tells on what has changed by now, in pieces.
-func (m *members) tellOn() {
+// publishChanges tells on what has changed by now, in pieces.
+func (m *memberMerger) publishChanges() {
 	for {
 		changes := m.view.Step(m.now())
 		if len(changes) == 0 {
@@ -235,28 +239,28 @@
 	}
 }
 
-// ask has sources read anew whose loss is not believed, once for each.
-func (m *members) ask() {
+// requestResyncs has sources read anew whose loss is not believed, once for each.
+func (m *memberMerger) requestResyncs() {
 	for _, source := range []int{m.etcd, m.registry} {
-		asks := m.view.Asks(source)
-		if asks && !m.asked[source] {
+		asks := m.view.ResyncRequested(source)
+		if asks && !m.resyncRequested[source] {
 			if source == m.etcd {
 				select {
-				case m.anew <- struct{}{}:
+				case m.etcdResync <- struct{}{}:
 				default:
 				}
 			} else {
-				m.askedAt, _, _ = m.view.Known(source)
-				m.again()
+				m.resyncEpoch, _, _ = m.view.Position(source)
+				m.resyncRegistry()
 			}
 		}
-		m.asked[source] = asks
+		m.resyncRequested[source] = asks
 	}
 }
 
 // save keeps what the sources have said, whole or not at all.
-func (m *members) save() {
-	m.dirty, m.urgent, m.saved = false, false, time.Now()
+func (m *memberMerger) save() {
+	m.dirty, m.urgent, m.lastSaved = false, false, time.Now()
 	text, err := json.Marshal(m.view.Export(m.now()))
 	if err == nil {
 		err = renameio.WriteFile(m.path, text, 0o600)
@@ -266,26 +270,26 @@
 	}
 }
 
-// help runs the helper until ctx ends, again and again.
-func (m *members) help(ctx context.Context) {
-	for pause := helperPause; ctx.Err() == nil; {
+// superviseHelper runs the helper until ctx ends, again and again.
+func (m *memberMerger) superviseHelper(ctx context.Context) {
+	for pause := minHelperBackoff; ctx.Err() == nil; {
 		began := time.Now()
-		err := m.helped(ctx)
+		err := m.runHelper(ctx)
 		if ctx.Err() != nil {
 			return
 		}
 		m.log.Warn("members: the helper that follows etcd has ended", "err", err)
-		if time.Since(began) > helperLong {
-			pause = helperPause
+		if time.Since(began) > stableHelperRun {
+			pause = minHelperBackoff
 		}
 		sleep(ctx, pause)
-		pause = min(2*pause, helperMost)
+		pause = min(2*pause, maxHelperBackoff)
 	}
 }
 
-// helped runs one helper to its end. It ends with its input, also where this process
+// runHelper runs one helper to its end. It ends with its input, also where this process
 // is killed.
-func (m *members) helped(ctx context.Context) error {
+func (m *memberMerger) runHelper(ctx context.Context) error {
 	cmd, err := helperCommand()
 	if err != nil {
 		return err
@@ -310,7 +314,7 @@
 			select {
 			case <-ctx.Done():
 				return
-			case <-m.anew:
+			case <-m.etcdResync:
 				if _, err := io.WriteString(in, "anew\n"); err != nil {
 					return
 				}
@@ -318,15 +322,15 @@
 		}
 	}()
 	lines := bufio.NewScanner(out)
-	lines.Buffer(nil, lineMost)
+	lines.Buffer(nil, maxHelperLineBytes)
 	for lines.Scan() {
-		var l helperLine
+		var l helperMessage
 		if err = json.Unmarshal(lines.Bytes(), &l); err != nil {
 			err = fmt.Errorf("the helper says what makes no sense: %w", err)
 			break
 		}
-		if l.Word != nil || l.Alive {
-			m.put(m.etcd, l.Word)
+		if l.Update != nil || l.Heartbeat {
+			m.enqueue(m.etcd, l.Update)
 		}
 	}
 	cancel()
--- a/internal/relay/members_test.go
+++ b/internal/relay/members_test.go
@@ -39,8 +39,8 @@
 	}
 }
 
-// helper is its main.
-func helper() int {
+// helperMain is its main.
+func helperMain() int {
 	os.WriteFile(os.Getenv(helperEnv), []byte(strconv.Itoa(os.Getpid())), 0o600)
 	file, err := operator.Load(os.Getenv)
 	if err != nil {
@@ -56,8 +56,8 @@
 	return 0
 }
 
-// helperOf is the process of a relay's helper.
-func helperOf(t *testing.T, env map[string]string, not int) (pid int) {
+// helperPID is the process of a relay's helper.
+func helperPID(t *testing.T, env map[string]string, not int) (pid int) {
 	t.Helper()
 	waitFor(t, "the helper", func() bool {
 		text, _ := os.ReadFile(filepath.Join(env["ROUTER_STATE"], "..", "helper.pid"))
@@ -67,7 +67,7 @@
 	return pid
 }
 
-func withEtcd(t *testing.T, env map[string]string, c *standin.Cluster) {
+func configureEtcd(t *testing.T, env map[string]string, c *standin.Cluster) {
 	t.Helper()
 	path := filepath.Join(t.TempDir(), "operator.toml")
 	text := fmt.Sprintf("[etcd]\nendpoints = [\"%s\"]\nprefix = \"/t\"\n", strings.Join(c.Addrs(), `", "`))
@@ -77,11 +77,11 @@
 	env["TROUTUSHER_OPERATOR"] = path
 }
 
-func published(ep *fakeEndpoint, id string, dest int) standin.Op {
+func endpointOp(ep *fakeEndpoint, id string, dest int) standin.Op {
 	return standin.Op{Key: etcd.Key("/t", "endpoints", id), Value: fmt.Sprintf(`{"v":1,"host_port":%q,"dest":%d,"locality":"a","flavor":"k","rate":1000}`, ep.addr(), dest)}
 }
 
-func drained(id string, off bool) standin.Op {
+func drainOp(id string, off bool) standin.Op {
 	return standin.Op{Key: etcd.Key("/t", "drains", id), Value: `{"v":1}`, Delete: off}
 }
 
@@ -101,11 +101,11 @@
 			t.Fatal(err)
 		}
 	}
-	do(published(gone, "s-1", 1), published(stays, "s-2", 1), published(other, "e-3", 3))
+	do(endpointOp(gone, "s-1", 1), endpointOp(stays, "s-2", 1), endpointOp(other, "e-3", 3))
 	disc := newFakeDiscovery(t, gone.member("s-1", 1), stays.member("s-2", 1))
 	env := testConfig(t, disc, 3)
 	env["ROUTER_CONSOLE"] = freeAddr(t)
-	withEtcd(t, env, c)
+	configureEtcd(t, env, c)
 	r := startChild(t, env)
 	n := 0
 	send := func(what string) { // six messages reach who stays
@@ -129,20 +129,20 @@
 		return dialClient(t, env["ROUTER_LISTEN"]).put("x", putFields("plain", 20000, 3), nil) == "+OK"
 	})
 	waitFor(t, "its call", func() bool { return other.count("x") == 1 })
-	do(drained("s-1", false))
+	do(drainOp("s-1", false))
 	waitFor(t, "the drain", func() bool { return avoided() == 1 })
 	send("drained")
 	up := gone.member("s-1", 1)
-	disc.say(t, change(5, up))
+	disc.SendLine(t, changeText(5, up))
 	late := stays.member("s-9", 1)
-	disc.say(t, change(6, late)) // once this is known, so is what came before
+	disc.SendLine(t, changeText(6, late)) // once this is known, so is what came before
 	waitFor(t, "discovery's word", func() bool { return listed() == 4 })
 	if send("discovery says up"); avoided() != 1 {
 		t.Error("discovery has taken the drain back")
 	}
-	first := helperOf(t, env, 0)
+	first := helperPID(t, env, 0)
 	syscall.Kill(first, syscall.SIGKILL)
-	second := helperOf(t, env, first)
+	second := helperPID(t, env, first)
 	send("the helper was killed")
 	c.Stop(0)
 	c.Stop(1)
@@ -157,7 +157,7 @@
 	send("after a restart without etcd")
 	c.Start(0)
 	c.Start(1)
-	do(drained("s-1", true))
+	do(drainOp("s-1", true))
 	waitFor(t, "the end of the drain", func() bool { return avoided() == 0 })
 }
 
@@ -194,12 +194,12 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(c.Close)
-	if _, err := c.Do(published(gone, "s-1", 1), published(stays, "s-2", 1)); err != nil {
+	if _, err := c.Do(endpointOp(gone, "s-1", 1), endpointOp(stays, "s-2", 1)); err != nil {
 		t.Fatal(err)
 	}
 	disc := newFakeDiscovery(t, gone.member("s-1", 1), stays.member("s-2", 1))
 	env := testConfig(t, disc, 3)
-	withEtcd(t, env, c)
+	configureEtcd(t, env, c)
 	startChild(t, env)
 	stop := make(chan struct{})
 	var load sync.WaitGroup
@@ -241,13 +241,13 @@
 			waitFor(t, "calls there", func() bool { return last.Load() > seen })
 			x.do(n)
 			put := time.Now()
-			if _, err := c.Do(drained("s-1", false)); err != nil {
+			if _, err := c.Do(drainOp("s-1", false)); err != nil {
 				t.Fatal(err)
 			}
 			time.Sleep(x.look)
 			took = append(took, max(time.Duration(last.Load()-put.UnixMicro())*time.Microsecond, 0))
 			x.undo(n)
-			if _, err := c.Do(drained("s-1", true)); err != nil {
+			if _, err := c.Do(drainOp("s-1", true)); err != nil {
 				t.Fatal(err)
 			}
 		}
@@ -262,7 +262,7 @@
 // What a relay begins with is the list of its configuration, and discovery's first
 // word may be a change of that: a drain in it is not lost with the list that the view
 // does not have.
-func TestAChangeOfTheKnownList(t *testing.T) {
+func TestChangeOfKnownList(t *testing.T) {
 	gone, stays := newFakeEndpoint(t, nil), newFakeEndpoint(t, nil)
 	c, err := standin.NewCluster(1)
 	if err != nil {
@@ -272,25 +272,25 @@
 	drains := gone.member("s-1", 1)
 	drains.Phase = core.Draining
 	disc := newFakeDiscovery(t, drains, stays.member("s-2", 1))
-	disc.list.Revision = 9
+	disc.List.Revision = 9
 	env := testConfig(t, disc, 3, gone.member("s-1", 1), stays.member("s-2", 1))
 	env["ROUTER_CONSOLE"] = freeAddr(t)
-	withEtcd(t, env, c)
+	configureEtcd(t, env, c)
 	startChild(t, env)
-	line, err := json.Marshal(List{Revision: 9, Members: []core.Member{drains}})
+	line, err := json.Marshal(EndpointList{Revision: 9, Members: []core.Member{drains}})
 	if err != nil {
 		t.Fatal(err)
 	}
-	disc.say(t, string(line))
+	disc.SendLine(t, string(line))
 	waitFor(t, "the drain", func() bool { return readStats(t, env["ROUTER_CONSOLE"])["cluster_unhealthy"] == 1 })
 }
 
 // A drain is kept in the turn that tells it; what comes up is, in its time; and a
 // process that has given its work away writes no more.
-func TestWhatMembersKeep(t *testing.T) {
+func TestMembersFileWrites(t *testing.T) {
 	dir := t.TempDir()
 	told := 0
-	m, err := newMembers(&operator.Etcd{}, dir, quietLog(), func(core.Event) { told++ }, func() {})
+	m, err := newMemberMerger(&operator.Etcd{}, dir, quietLog(), func(core.Event) { told++ }, func() {})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -298,20 +298,20 @@
 		text, _ := os.ReadFile(filepath.Join(dir, membersFile))
 		return strings.Contains(string(text), what)
 	}
-	m.saved = time.Now()
+	m.lastSaved = time.Now()
 	word := func(rev int64, id, phase string) {
-		m.put(m.etcd, &membership.Word{Epoch: "c", Revision: rev, Whole: rev == 1, Members: []core.Member{{ID: id, HostPort: "127.0.0.1:7001", Phase: phase}}})
+		m.enqueue(m.etcd, &membership.Update{Epoch: "c", Revision: rev, Complete: rev == 1, Members: []core.Member{{ID: id, HostPort: "127.0.0.1:7001", Phase: phase}}})
 	}
 	word(1, "a", core.Up)
-	if wait := m.turn(); told != 1 || kept("a") || wait > membersSave {
+	if wait := m.step(); told != 1 || kept("a") || wait > membersSaveInterval {
 		t.Errorf("one that comes up: told %d times, kept %v, next turn in %v", told, kept("a"), wait)
 	}
 	word(2, "a", core.Draining)
-	if m.turn(); told != 2 || !kept(core.Draining) {
+	if m.step(); told != 2 || !kept(core.Draining) {
 		t.Errorf("a drain: told %d times, kept %v", told, kept(core.Draining))
 	}
 	word(3, "b", core.Up)
-	m.turn()
+	m.step()
 	ctx, cancel := context.WithCancel(t.Context())
 	cancel()
 	if m.run(ctx); kept(`"b"`) {
--- a/internal/relay/operate_test.go
+++ b/internal/relay/operate_test.go
@@ -217,8 +217,8 @@
 		clear(handedBack)
 		clear(givenUp)
 		n := 0
-		d.set(func(d *fakeDiscovery) {
-			for id, x := range d.notices {
+		d.Update(func(d *fakeDiscovery) {
+			for id, x := range d.Notices {
 				n++
 				if x.Outcome == "handed_back" {
 					handedBack[id[:strings.IndexByte(id, '-')]]++
--- a/internal/relay/reload.go
+++ b/internal/relay/reload.go
@@ -9,31 +9,31 @@
 // A configuration is read again on SIGHUP. What a running relay takes over from
 // it is the address of discovery; everything else binds until the next start.
 
-// Reload tells a running relay of new configurations.
-type Reload struct {
-	Asked <-chan os.Signal        // one value for each time that it is to be read
-	Read  func() (*Config, error) // reads it
+// ReloadRequests tells a running relay of new configurations.
+type ReloadRequests struct {
+	Signals <-chan os.Signal        // one value for each time that it is to be read
+	Load    func() (*Config, error) // reads it
 }
 
-// follow reads the configuration whenever that is asked for. One that cannot
+// watchReloads reads the configuration whenever that is asked for. One that cannot
 // be read or is wrong changes nothing.
-func (r *Relay) follow(ctx context.Context, re Reload) {
+func (r *Relay) watchReloads(ctx context.Context, re ReloadRequests) {
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case <-re.Asked:
+		case <-re.Signals:
 			r.reloadsRequested.Add(1)
 		}
-		if cfg := r.readNew(); cfg != nil {
+		if cfg := r.loadNewConfig(); cfg != nil {
 			r.inbox.Put(loopInput{config: cfg})
 		}
 	}
 }
 
-// readNew is the configuration as it is now; nil for one that is of no use.
-func (r *Relay) readNew() *Config {
-	cfg, err := r.reload.Read()
+// loadNewConfig is the configuration as it is now; nil for one that is of no use.
+func (r *Relay) loadNewConfig() *Config {
+	cfg, err := r.reload.Load()
 	if err != nil {
 		r.log.Error("new configuration not taken over, the old one stays", "err", err)
 		return nil
@@ -41,11 +41,11 @@
 	return cfg
 }
 
-// readAgain is for a process that took over from one that was told to: it began
+// reloadNow is for a process that took over from one that was told to: it began
 // with what the environment says, which the file has been put before since.
-func (r *Relay) readAgain() {
+func (r *Relay) reloadNow() {
 	r.reloadsRequested.Add(1)
-	if cfg := r.readNew(); cfg != nil {
+	if cfg := r.loadNewConfig(); cfg != nil {
 		r.reconfigure(cfg)
 	}
 }
@@ -63,14 +63,14 @@
 	r.log.Info("new configuration: discovery moves", "from", r.discoveryAddr, "to", cfg.Discovery)
 	r.discoveryAddr = cfg.Discovery
 	r.watchedAddr.Store(r.discoveryAddr)
-	r.discovery.moves.Put(r.discoveryAddr)
-	r.notices.moves.Put(r.discoveryAddr)
+	r.discovery.addresses.Put(r.discoveryAddr)
+	r.notices.addresses.Put(r.discoveryAddr)
 }
 
-// atEach runs work for one address after another, each until the next is
+// runPerAddress runs work for one address after another, each until the next is
 // named. work must return when its context ends: nothing of an old address
 // overlaps with the new one.
-func atEach(ctx context.Context, addr string, moves *Mailbox[string], work func(ctx context.Context, addr string)) {
+func runPerAddress(ctx context.Context, addr string, moves *Mailbox[string], work func(ctx context.Context, addr string)) {
 	for ctx.Err() == nil {
 		here, leave := context.WithCancel(ctx)
 		done := make(chan struct{})
--- a/internal/relay/reload_test.go
+++ b/internal/relay/reload_test.go
@@ -17,8 +17,8 @@
 	}
 }
 
-// rewrite changes the configuration's file.
-func rewrite(t *testing.T, env map[string]string, change func(string) string) {
+// rewriteConfig changes the configuration's file.
+func rewriteConfig(t *testing.T, env map[string]string, change func(string) string) {
 	t.Helper()
 	path := env["ROUTER_CONFIG"]
 	text, err := os.ReadFile(path)
@@ -30,9 +30,9 @@
 	}
 }
 
-func moveTo(d *fakeDiscovery, from string) func(string) string {
+func replaceDiscovery(d *fakeDiscovery, from string) func(string) string {
 	return func(text string) string {
-		return strings.Replace(text, fmt.Sprintf(`"discovery":%q`, from), fmt.Sprintf(`"discovery":%q`, d.addr()), 1)
+		return strings.Replace(text, fmt.Sprintf(`"discovery":%q`, from), fmt.Sprintf(`"discovery":%q`, d.Addr()), 1)
 	}
 }
 
@@ -45,7 +45,7 @@
 	before, after, last := newFakeEndpoint(t, nil), newFakeEndpoint(t, nil), newFakeEndpoint(t, nil)
 	lost := newFakeEndpoint(t, respondStatus(http.StatusServiceUnavailable))
 	first := newFakeDiscovery(t, before.member("s-1", 1), lost.member("s-9", 9))
-	first.set(func(d *fakeDiscovery) { d.answer = http.StatusInternalServerError })
+	first.Update(func(d *fakeDiscovery) { d.NoticeStatus = http.StatusInternalServerError })
 	env := testConfig(t, first, 3)
 	c := startChild(t, env)
 	cl := dialClient(t, env["ROUTER_LISTEN"])
@@ -85,22 +85,22 @@
 	}()
 	// The second address has a lower revision: the two are not compared.
 	second := newFakeDiscovery(t, after.member("s-1", 1), lost.member("s-9", 9))
-	second.set(func(d *fakeDiscovery) { d.list.Revision = 0 })
-	rewrite(t, env, moveTo(second, first.addr()))
+	second.Update(func(d *fakeDiscovery) { d.List.Revision = 0 })
+	rewriteConfig(t, env, replaceDiscovery(second, first.Addr()))
 	c.signal(t, syscall.SIGHUP)
 	waitFor(t, "a watch at the second address", func() bool {
 		second.mu.Lock()
 		defer second.mu.Unlock()
-		return second.fetches == 1 && len(second.froms) == 1 && second.froms[0] == "0"
+		return second.Fetches == 1 && len(second.WatchedFrom) == 1 && second.WatchedFrom[0] == "0"
 	})
-	waitFor(t, "a notice at the second address", func() bool { _, ok := second.notice("unheard"); return ok })
+	waitFor(t, "a notice at the second address", func() bool { _, ok := second.Notice("unheard"); return ok })
 	waitFor(t, "a message at the second list's endpoint", func() bool {
 		id := fmt.Sprintf("b%d", seq.Add(1))
 		put(id, putFields("plain", 8000, 1))
 		waitFor(t, id, func() bool { return before.count(id)+after.count(id) == 1 })
 		return after.count(id) == 1
 	})
-	rewrite(t, env, func(string) string { return "{" })
+	rewriteConfig(t, env, func(string) string { return "{" })
 	c.signal(t, syscall.SIGHUP)
 	if err := os.Remove(env["ROUTER_CONFIG"]); err != nil {
 		t.Fatal(err)
@@ -126,7 +126,7 @@
 	})
 	close(stop)
 	<-done
-	if fetched := func() int { second.mu.Lock(); defer second.mu.Unlock(); return second.fetches }(); fetched != 1 {
+	if fetched := func() int { second.mu.Lock(); defer second.mu.Unlock(); return second.Fetches }(); fetched != 1 {
 		t.Errorf("the second address was asked %d times for the list", fetched)
 	}
 	c.signal(t, syscall.SIGTERM)
@@ -149,7 +149,7 @@
 	if err != nil || again.Discovery == "127.0.0.1:9" || again.Name != "other" {
 		t.Fatalf("again %+v, %v", again, err)
 	}
-	rewrite(t, env, func(s string) string { return strings.Replace(s, `"discovery"`, `"x"`, 1) })
+	rewriteConfig(t, env, func(s string) string { return strings.Replace(s, `"discovery"`, `"x"`, 1) })
 	if again, err = ReloadConfig(get); err != nil || again.Discovery != "127.0.0.1:9" {
 		t.Errorf("with none in the file %+v, %v", again, err)
 	}
--- a/internal/relay/rest_test.go
+++ b/internal/relay/rest_test.go
@@ -35,7 +35,7 @@
 	waitFor(t, "the figures", func() bool { n, _ := listed(); return n == 6 })
 	drained := members[4]
 	drained.Phase = core.Draining
-	d.say(t, change(2, drained)) // of destination 3, which rests
+	d.SendLine(t, changeText(2, drained)) // of destination 3, which rests
 	waitFor(t, "the drain", func() bool { _, n := listed(); return n == 1 })
 	cl := dialClient(t, env["ROUTER_LISTEN"])
 	for round := range 2 {
@@ -54,7 +54,7 @@
 			t.Error("a destination that no list names is taken on for")
 		}
 		if round == 0 {
-			d.set(func(d *fakeDiscovery) { d.list.Members[4] = drained })
+			d.Update(func(d *fakeDiscovery) { d.List.Members[4] = drained })
 			c.kill()
 			c = startChild(t, env)
 			cl = dialClient(t, env["ROUTER_LISTEN"])
--- a/internal/relay/restart_test.go
+++ b/internal/relay/restart_test.go
@@ -64,7 +64,7 @@
 		e.setHandler(nil)
 	}
 	startChild(t, env)
-	waitFor(t, "notice of the unsafe one", func() bool { n, ok := disc.notice("stuck"); return ok && n.Outcome == core.NoticeGivenUp })
+	waitFor(t, "notice of the unsafe one", func() bool { n, ok := disc.Notice("stuck"); return ok && n.Outcome == core.NoticeGivenUp })
 	waitFor(t, "the others", func() bool { return full.count("full") >= 2 && keyed.count("keyed") == 2 })
 	if n := stuck.count("stuck"); n != 1 {
 		t.Errorf("the unsafe message went out %d times", n)
@@ -84,7 +84,7 @@
 func TestOverdueAfterRestart(t *testing.T) {
 	disc := newFakeDiscovery(t)
 	env := testConfig(t, disc, 3)
-	disc.set(func(d *fakeDiscovery) { d.answer = http.StatusInternalServerError })
+	disc.Update(func(d *fakeDiscovery) { d.NoticeStatus = http.StatusInternalServerError })
 	c := startChild(t, env)
 	cl := dialClient(t, env["ROUTER_LISTEN"])
 	for _, id := range []string{"short", "later"} {
@@ -97,10 +97,10 @@
 		return strings.Contains(string(text), `"kind":"ending","id":"short"`)
 	})
 	c.kill()
-	disc.set(func(d *fakeDiscovery) { d.answer = http.StatusNoContent })
+	disc.Update(func(d *fakeDiscovery) { d.NoticeStatus = http.StatusNoContent })
 	startChild(t, env)
 	for _, id := range []string{"short", "later"} {
-		waitFor(t, "notice of "+id, func() bool { n, ok := disc.notice(id); return ok && n.Outcome == core.NoticeHandedBack })
+		waitFor(t, "notice of "+id, func() bool { n, ok := disc.Notice(id); return ok && n.Outcome == core.NoticeHandedBack })
 	}
 	waitFor(t, "ends in the log", func() bool {
 		text, _ := os.ReadFile(filepath.Join(env["ROUTER_STATE"], walName))
@@ -122,7 +122,7 @@
 	})
 	quick := newFakeEndpoint(t, nil)
 	disc := newFakeDiscovery(t, slow.member("s-1", 1), quick.member("s-2", 2),
-		core.Member{ID: "s-0", HostPort: "127.0.0.1:1", Cell: 5, Phase: core.Draining})
+		core.Member{ID: "s-0", HostPort: "127.0.0.1:1", Dest: 5, Phase: core.Draining})
 	env := testConfig(t, disc, 3)
 	c := startChild(t, env)
 	cl := dialClient(t, env["ROUTER_LISTEN"])
@@ -147,13 +147,13 @@
 		t.Errorf("exit: %v", err)
 	}
 	other := newFakeEndpoint(t, nil)
-	disc.set(func(d *fakeDiscovery) { d.list.Members = append(d.list.Members, other.member("s-5", 5)) })
+	disc.Update(func(d *fakeDiscovery) { d.List.Members = append(d.List.Members, other.member("s-5", 5)) })
 	startChild(t, env)
 	waitFor(t, "the held message", func() bool { return other.count("held") == 1 })
 	if n := slow.count("out"); n != 1 {
 		t.Errorf("the finished call went out %d times", n)
 	}
-	if _, ok := disc.notice("out"); ok {
+	if _, ok := disc.Notice("out"); ok {
 		t.Error("a delivered message was ended by a notice")
 	}
 }
@@ -213,7 +213,7 @@
 	put("old", 1)
 	waitFor(t, "old", func() bool { return before.count("old") == 1 })
 	m.HostPort = after.addr()
-	disc.say(t, change(2, m))
+	disc.SendLine(t, changeText(2, m))
 	// The change and the message come by different ways: what is sent before
 	// the change may still go to the old place, so wait for the new one.
 	waitFor(t, "the new address", func() bool {
@@ -223,15 +223,15 @@
 		return len(after.calls) > 0
 	})
 	moved := after.member("s-1", 2)
-	disc.say(t, change(3, moved))
+	disc.SendLine(t, changeText(3, moved))
 	// Refused until the list that names it is there.
 	waitFor(t, "the new name", func() bool { return cl.put("two", putFields("once", 20000, 2), nil) == "+OK" })
 	waitFor(t, "the new destination", func() bool { return after.count("two") == 1 })
 	put("one", 1) // nobody serves it any more
 	moved.Phase = core.Draining
-	disc.say(t, change(4, moved))
+	disc.SendLine(t, changeText(4, moved))
 	fresh := before.member("s-2", 2)
-	disc.say(t, change(5, fresh))
+	disc.SendLine(t, changeText(5, fresh))
 	put("marker", 2)
 	waitFor(t, "the marker", func() bool { return before.count("marker")+after.count("marker") == 1 })
 	waitFor(t, "the drain", func() bool {
@@ -275,13 +275,13 @@
 	waitFor(t, "the ends of what is too much", func() bool {
 		disc.mu.Lock()
 		defer disc.mu.Unlock()
-		return refused+len(disc.notices) >= 50
+		return refused+len(disc.Notices) >= 50
 	})
 	text, err := os.ReadFile(filepath.Join(env["ROUTER_STATE"], walName))
 	if err != nil || strings.Contains(string(text), `"id":"late"`) {
 		t.Errorf("logged: %v", err)
 	}
-	if _, ok := disc.notice("late"); ok {
+	if _, ok := disc.Notice("late"); ok {
 		t.Error("a notice for what was never taken on")
 	}
 }
--- a/internal/relay/takeover_cross_test.go
+++ b/internal/relay/takeover_cross_test.go
@@ -80,8 +80,8 @@
 	}
 	waitFor(t, "yes", left.isReady)
 	close(release)
-	line := change(7, quick.member("s-5", 5))
-	waitFor(t, "what was held", func() bool { disc.sayToAll(line); return quick.count("held") == 1 })
+	line := changeText(7, quick.member("s-5", 5))
+	waitFor(t, "what was held", func() bool { disc.SendLineToAll(line); return quick.count("held") == 1 })
 	late := dialClient(t, env["ROUTER_LISTEN"])
 	if s := late.put("after", putFields("once", 8000, 2), nil); s != "+OK" {
 		t.Errorf("after it: %s", s)
@@ -122,15 +122,15 @@
 		t.Parallel()
 		quick := newFakeEndpoint(t, nil)
 		before, after := newFakeDiscovery(t, unreachableMember("s-0", 5)), newFakeDiscovery(t, quick.member("s-5", 5))
-		after.list.Revision = 1 // its versions are its own
-		before.list.Revision = 50
+		after.List.Revision = 1 // its versions are its own
+		before.List.Revision = 50
 		env := testConfig(t, before, 3)
 		text, err := os.ReadFile(env["ROUTER_CONFIG"])
 		if err != nil {
 			t.Fatal(err)
 		}
 		next := filepath.Join(t.TempDir(), "next.json")
-		if err := os.WriteFile(next, []byte(moveTo(after, before.addr())(string(text))), 0o600); err != nil {
+		if err := os.WriteFile(next, []byte(replaceDiscovery(after, before.Addr())(string(text))), 0o600); err != nil {
 			t.Fatal(err)
 		}
 		hup := withFailpoint(env, point+"=HUP:"+next)
@@ -185,17 +185,17 @@
 	disc := newFakeDiscovery(t, gone.member("s-1", 1), stays.member("s-2", 1))
 	env := testConfig(t, disc, 3)
 	old := startAndWait(t, env)
-	waitFor(t, "a watch", func() bool { disc.mu.Lock(); defer disc.mu.Unlock(); return len(disc.lines) > 0 })
+	waitFor(t, "a watch", func() bool { disc.mu.Lock(); defer disc.mu.Unlock(); return len(disc.Watches) > 0 })
 	disc.mu.Lock()
-	watch := disc.lines[0]
+	watch := disc.Watches[0]
 	disc.mu.Unlock()
 	file := filepath.Join(t.TempDir(), "go")
 	fresh := startPeer(t, withFailpoint(env, failpointIncomingListReceived+"=WAIT:"+file))
 	waitFor(t, "the new one's list", func() bool { _, err := os.Stat(file + ".at"); return err == nil })
-	disc.set(func(d *fakeDiscovery) { d.silent = true }) // the old one alone hears what follows
+	disc.Update(func(d *fakeDiscovery) { d.Silent = true }) // the old one alone hears what follows
 	drains := gone.member("s-1", 1)
 	drains.Phase = core.Draining
-	line, err := json.Marshal(List{Revision: 9, Members: []core.Member{drains}})
+	line, err := json.Marshal(EndpointList{Revision: 9, Members: []core.Member{drains}})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -242,13 +242,13 @@
 	drains := gone.member("s-1", 1)
 	drains.Phase = core.Draining
 	before, after := newFakeDiscovery(t, gone.member("s-1", 1), stays.member("s-2", 1)), newFakeDiscovery(t, drains, stays.member("s-2", 1))
-	before.list.Revision = 50
+	before.List.Revision = 50
 	env := testConfig(t, before, 3)
 	old := startAndWait(t, env)
-	rewrite(t, env, moveTo(after, before.addr()))
+	rewriteConfig(t, env, replaceDiscovery(after, before.Addr()))
 	old.signal(t, syscall.SIGHUP)
 	waitFor(t, "the drain", func() bool { return readStats(t, old.console())["cluster_unhealthy"] == 1 })
-	after.set(func(d *fakeDiscovery) { d.silent = true })
+	after.Update(func(d *fakeDiscovery) { d.Silent = true })
 	fresh := startPeer(t, env)
 	waitFor(t, "the end of the old process", old.hasExited)
 	waitFor(t, "yes", fresh.isReady)
--- a/internal/relay/tls_relay_test.go
+++ b/internal/relay/tls_relay_test.go
@@ -126,7 +126,7 @@
 	if n := ep.count("a"); n != 1 {
 		t.Errorf("the call that was out was made %d times", n)
 	}
-	if _, told := d.notice("a"); told {
+	if _, told := d.Notice("a"); told {
 		t.Error("the call that was out is told as failed")
 	}
 }
@@ -179,7 +179,7 @@
 		t.Fatal(err)
 	}
 	stop := make(chan struct{})
-	if err := Run(cfg, quietLog(), stop, Reload{}); err == nil || !strings.Contains(err.Error(), "tls pay") || !strings.Contains(err.Error(), "none.pem") {
+	if err := Run(cfg, quietLog(), stop, ReloadRequests{}); err == nil || !strings.Contains(err.Error(), "tls pay") || !strings.Contains(err.Error(), "none.pem") {
 		t.Errorf("got %v", err)
 	}
 
--- a/internal/source/etcd/fixtures_test.go
+++ b/internal/source/etcd/fixtures_test.go
@@ -47,49 +47,49 @@
 // What the recorded keys and values say to the view: as a whole, and after one of each
 // kind was deleted.
 func TestLayoutFixture(t *testing.T) {
-	s := newScript(t, 1)
-	s.then(Event{}, DoRange)
+	s := newScriptedMachine(t, 1)
+	s.step(Event{}, ActionReadPage)
 	var text bytes.Buffer
 	enc := json.NewEncoder(&text)
 	step := func(e Event) {
-		for _, d := range s.m.Step(s.now, []Event{e}) {
-			if d.Kind != DoSay {
+		for _, d := range s.machine.Step(s.now, []Event{e}) {
+			if d.Kind != ActionUpdate {
 				continue
 			}
-			if err := enc.Encode(d.Word); err != nil {
+			if err := enc.Encode(d.Update); err != nil {
 				t.Fatal(err)
 			}
 		}
 	}
-	step(Event{Kind: Ranged, Call: s.m.call, Cluster: 0x4d, Revision: 9, KVs: fixtureKeys(t)})
-	step(Event{Kind: Watching, Call: s.m.call, Cluster: 0x4d, Revision: 9})
-	step(Event{Kind: Changed, Call: s.m.call, Cluster: 0x4d, Revision: 12, Last: 12, KVs: []KV{
-		{Key: "/t/drains/d", Gone: true}, {Key: "/t/partners/3", Gone: true}, {Key: "/t/endpoints/c", Gone: true}}})
+	step(Event{Kind: EventPageRead, Call: s.machine.call, Cluster: 0x4d, Revision: 9, KVs: fixtureKeys(t)})
+	step(Event{Kind: EventWatchOpened, Call: s.machine.call, Cluster: 0x4d, Revision: 9})
+	step(Event{Kind: EventChanged, Call: s.machine.call, Cluster: 0x4d, Revision: 12, LastRevision: 12, KVs: []KV{
+		{Key: "/t/drains/d", Deleted: true}, {Key: "/t/partners/3", Deleted: true}, {Key: "/t/endpoints/c", Deleted: true}}})
 	checkFixture(t, "words.jsonl", text.Bytes())
 }
 
 // Values that can be read are written as the same bytes.
 func TestValueFixture(t *testing.T) {
 	for _, kv := range fixtureKeys(t) {
-		folder, name, ok := split("/t", kv.Key)
+		folder, name, ok := splitKey("/t", kv.Key)
 		if !ok || CheckValue(folder, name, []byte(kv.Value)) != nil || name == "not-published" {
 			continue
 		}
 		var again []byte
 		var err error
 		switch folder {
-		case endpoints:
+		case endpointsFolder:
 			var e Endpoint
-			if e, err = ReadEndpoint([]byte(kv.Value)); err == nil {
+			if e, err = DecodeEndpoint([]byte(kv.Value)); err == nil {
 				again, err = json.Marshal(e)
 			}
-		case partners:
+		case partnersFolder:
 			var p Partner
-			if _, p, err = readPartner(name, []byte(kv.Value)); err == nil {
+			if _, p, err = decodePartner(name, []byte(kv.Value)); err == nil {
 				again, err = json.Marshal(p)
 			}
-		case drains:
-			again, err = json.Marshal(Drain{V: version})
+		case drainsFolder:
+			again, err = json.Marshal(Drain{Version: layoutVersion})
 		}
 		if err != nil || string(again) != kv.Value {
 			t.Errorf("%s: %s is written as %s (%v)", kv.Key, kv.Value, again, err)
@@ -101,10 +101,10 @@
 func TestKeyFixture(t *testing.T) {
 	var text bytes.Buffer
 	for _, prefix := range []string{"/t", "/t/", "/troutusher/fleet"} {
-		for _, folder := range []string{endpoints, partners, drains} {
-			fmt.Fprintf(&text, "%q %q %q\n", Key(prefix, folder, "x"), Folder(prefix, folder), End(Folder(prefix, folder)))
+		for _, folder := range []string{endpointsFolder, partnersFolder, drainsFolder} {
+			fmt.Fprintf(&text, "%q %q %q\n", Key(prefix, folder, "x"), FolderPrefix(prefix, folder), RangeEnd(FolderPrefix(prefix, folder)))
 		}
 	}
-	fmt.Fprintf(&text, "%q %q\n", End("/t"), End("\xff"))
+	fmt.Fprintf(&text, "%q %q\n", RangeEnd("/t"), RangeEnd("\xff"))
 	checkFixture(t, "keys.txt", text.Bytes())
 }
--- a/internal/source/etcd/follow/dial.go
+++ b/internal/source/etcd/follow/dial.go
@@ -22,11 +22,11 @@
 	}
 	var all []error
 	for _, at := range o.Endpoints {
-		conn, err := grpc.NewClient("passthrough:///"+at, grpc.WithTransportCredentials(creds), grpc.WithDefaultCallOptions(grpc.MaxCallRecvMsgSize(answerMost)))
+		conn, err := grpc.NewClient("passthrough:///"+at, grpc.WithTransportCredentials(creds), grpc.WithDefaultCallOptions(grpc.MaxCallRecvMsgSize(maxResponseBytes)))
 		if err != nil {
 			return nil, nil, fmt.Errorf("etcd: endpoint %q: %w", at, err)
 		}
-		with, err := greet(ctx, conn, &o)
+		with, err := authenticate(ctx, conn, &o)
 		if err == nil {
 			return conn, with, nil
 		}
@@ -36,8 +36,8 @@
 	return nil, nil, errors.Join(all...)
 }
 
-// greet makes sure that a member answers, and has a token from it.
-func greet(ctx context.Context, conn *grpc.ClientConn, o *Options) (context.Context, error) {
+// authenticate makes sure that a member answers, and has a token from it.
+func authenticate(ctx context.Context, conn *grpc.ClientConn, o *Options) (context.Context, error) {
 	if o.User != "" {
 		r, err := etcdserverpb.NewAuthClient(conn).Authenticate(ctx, &etcdserverpb.AuthenticateRequest{Name: o.User, Password: o.Password})
 		if err != nil {
--- a/internal/source/etcd/follow/fixtures_test.go
+++ b/internal/source/etcd/follow/fixtures_test.go
@@ -12,15 +12,15 @@
 
 // The lines that the helper writes for its relay, and the one that it reads. Package
 // relay reads the same file in its tests.
-func TestLineFixture(t *testing.T) {
-	m := membership.Member{ID: "a", HostPort: "10.1.0.18:6379", Locality: "a", Flavor: "m2", Cell: 3, Phase: membership.Up, Size: 40}
+func TestMessageFixture(t *testing.T) {
+	m := membership.Member{ID: "a", HostPort: "10.1.0.18:6379", Locality: "a", Flavor: "m2", Dest: 3, Phase: membership.Up, Rate: 40}
 	var text bytes.Buffer
 	enc := json.NewEncoder(&text)
-	for _, l := range []Line{
-		{Word: &membership.Word{Epoch: "000000000000004d.0", Revision: 9, Whole: true, Members: []membership.Member{m}}},
-		{Alive: true},
-		{Word: &membership.Word{Epoch: "000000000000004d.0", Revision: 12, Members: []membership.Member{{ID: "b", Phase: membership.Removed}}}},
-		{Word: &membership.Word{Epoch: "000000000000004d.1", Revision: 13, Whole: true, Anew: true, Spoilt: []string{"c"}, Drained: []string{"c"}}},
+	for _, l := range []Message{
+		{Update: &membership.Update{Epoch: "000000000000004d.0", Revision: 9, Complete: true, Members: []membership.Member{m}}},
+		{Heartbeat: true},
+		{Update: &membership.Update{Epoch: "000000000000004d.0", Revision: 12, Members: []membership.Member{{ID: "b", Phase: membership.Removed}}}},
+		{Update: &membership.Update{Epoch: "000000000000004d.1", Revision: 13, Complete: true, Resync: true, UnreadableIDs: []string{"c"}, DrainedIDs: []string{"c"}}},
 	} {
 		if err := enc.Encode(l); err != nil {
 			t.Fatal(err)
@@ -39,7 +39,7 @@
 	if !bytes.Equal(text.Bytes(), want) {
 		t.Errorf("%s:\ngot  %s\nwant %s", path, text.Bytes(), want)
 	}
-	if Anew != "anew" {
-		t.Errorf("the relay asks by %q", Anew)
+	if ResyncCommand != "anew" {
+		t.Errorf("the relay asks by %q", ResyncCommand)
 	}
 }
--- a/internal/source/etcd/follow/follow.go
+++ b/internal/source/etcd/follow/follow.go
@@ -27,36 +27,36 @@
 )
 
 const (
-	answerMost = 64 << 20               // bytes of one answer
-	redialMost = 250 * time.Millisecond // a member that is back is to be asked within a drain's grace
-	dialMost   = time.Second
+	maxResponseBytes = 64 << 20               // bytes of one answer
+	maxRedialBackoff = 250 * time.Millisecond // a member that is back is to be asked within a drain's grace
+	connectTimeout   = time.Second
 )
 
 // Options are what a follower needs.
 type Options struct {
-	Settings  etcd.Settings // Members and Auth are taken from what follows
-	Endpoints []string      // host:port
-	User      string        // with Password, where the cluster asks for them
-	Password  string
-	TLS       *tls.Config // nil for none
-	Seed      uint64
-	Log       *slog.Logger
-	Say       func(*membership.Word) // called in order
-	Alive     func()                 // the source has nothing new to say
+	Settings    etcd.Settings // Members and Auth are taken from what follows
+	Endpoints   []string      // host:port
+	User        string        // with Password, where the cluster asks for them
+	Password    string
+	TLS         *tls.Config // nil for none
+	Seed        uint64
+	Log         *slog.Logger
+	OnUpdate    func(*membership.Update) // called in order
+	OnHeartbeat func()                   // the source has nothing new to say
 }
 
 // Follower follows a prefix.
 type Follower struct {
-	o     Options
-	m     *etcd.Machine
-	conns []*grpc.ClientConn
-	began time.Time
-	calls map[uint64]*call // the loop's
-	wake  chan struct{}
+	options Options
+	machine *etcd.Machine
+	conns   []*grpc.ClientConn
+	began   time.Time
+	calls   map[uint64]*call // the loop's
+	wake    chan struct{}
 
 	mu     sync.Mutex
 	events []etcd.Event
-	anew   bool
+	resync bool
 	token  string
 }
 
@@ -69,7 +69,7 @@
 
 // New makes a follower; Run has it begin.
 func New(o Options) (*Follower, error) {
-	o.Settings.Members, o.Settings.Auth = len(o.Endpoints), o.User != ""
+	o.Settings.Members, o.Settings.AuthRequired = len(o.Endpoints), o.User != ""
 	m, err := etcd.New(o.Settings, o.Seed)
 	if err != nil {
 		return nil, err
@@ -78,12 +78,12 @@
 	if o.TLS != nil {
 		creds = credentials.NewTLS(o.TLS)
 	}
-	f := &Follower{o: o, m: m, began: time.Now(), calls: map[uint64]*call{}, wake: make(chan struct{}, 1)}
+	f := &Follower{options: o, machine: m, began: time.Now(), calls: map[uint64]*call{}, wake: make(chan struct{}, 1)}
 	for _, at := range o.Endpoints {
 		// A member is one address: which is asked, and when again, the machine says.
 		c, err := grpc.NewClient("passthrough:///"+at, grpc.WithTransportCredentials(creds),
-			grpc.WithConnectParams(grpc.ConnectParams{Backoff: backoff.Config{BaseDelay: 50 * time.Millisecond, Multiplier: 2, Jitter: 0.2, MaxDelay: redialMost}, MinConnectTimeout: dialMost}),
-			grpc.WithDefaultCallOptions(grpc.MaxCallRecvMsgSize(answerMost)), grpc.WithDisableServiceConfig())
+			grpc.WithConnectParams(grpc.ConnectParams{Backoff: backoff.Config{BaseDelay: 50 * time.Millisecond, Multiplier: 2, Jitter: 0.2, MaxDelay: maxRedialBackoff}, MinConnectTimeout: connectTimeout}),
+			grpc.WithDefaultCallOptions(grpc.MaxCallRecvMsgSize(maxResponseBytes)), grpc.WithDisableServiceConfig())
 		if err != nil {
 			f.close()
 			return nil, fmt.Errorf("etcd: endpoint %q: %w", at, err)
@@ -101,26 +101,26 @@
 
 func (f *Follower) now() etcd.Time { return 1 + time.Since(f.began).Microseconds() }
 
-// ReadAnew has the whole list read once more.
-func (f *Follower) ReadAnew() {
+// Resync has the whole list read once more.
+func (f *Follower) Resync() {
 	f.mu.Lock()
-	f.anew = true
+	f.resync = true
 	f.mu.Unlock()
-	f.ring()
+	f.wakeUp()
 }
 
-func (f *Follower) ring() {
+func (f *Follower) wakeUp() {
 	select {
 	case f.wake <- struct{}{}:
 	default:
 	}
 }
 
-func (f *Follower) tell(e etcd.Event) {
+func (f *Follower) enqueue(e etcd.Event) {
 	f.mu.Lock()
 	f.events = append(f.events, e)
 	f.mu.Unlock()
-	f.ring()
+	f.wakeUp()
 }
 
 // Run follows until ctx ends.
@@ -130,14 +130,14 @@
 	defer timer.Stop()
 	for {
 		f.mu.Lock()
-		events, anew := f.events, f.anew
-		f.events, f.anew = nil, false
+		events, anew := f.events, f.resync
+		f.events, f.resync = nil, false
 		f.mu.Unlock()
-		f.carry(ctx, f.m.Step(f.now(), events))
+		f.execute(ctx, f.machine.Step(f.now(), events))
 		if anew {
-			f.carry(ctx, f.m.ReadAnew(f.now()))
+			f.execute(ctx, f.machine.Resync(f.now()))
 		}
-		timer.Reset(time.Duration(max(f.m.Next()-f.now(), 0)) * time.Microsecond)
+		timer.Reset(time.Duration(max(f.machine.NextDeadline()-f.now(), 0)) * time.Microsecond)
 		select {
 		case <-ctx.Done():
 			return ctx.Err()
@@ -147,37 +147,37 @@
 	}
 }
 
-func (f *Follower) carry(ctx context.Context, all []etcd.Do) {
+func (f *Follower) execute(ctx context.Context, all []etcd.Action) {
 	for i := range all {
 		d := &all[i]
 		switch d.Kind {
-		case etcd.DoAuth:
-			f.begin(ctx, d, f.auth)
-		case etcd.DoRange:
-			f.begin(ctx, d, f.ranged)
-		case etcd.DoWatch:
-			f.begin(ctx, d, f.watch)
-		case etcd.DoProgress:
+		case etcd.ActionAuthenticate:
+			f.startCall(ctx, d, f.authenticate)
+		case etcd.ActionReadPage:
+			f.startCall(ctx, d, f.readPage)
+		case etcd.ActionOpenWatch:
+			f.startCall(ctx, d, f.watch)
+		case etcd.ActionRequestProgress:
 			if c := f.calls[d.Call]; c != nil {
-				c.progress()
+				c.requestProgress()
 			}
-		case etcd.DoClose:
-			f.end(d.Call)
-		case etcd.DoSay:
-			f.o.Say(d.Word)
-		case etcd.DoAlive:
-			f.o.Alive()
-		case etcd.DoLog:
-			f.o.Log.Info("etcd: " + d.Text)
+		case etcd.ActionCancelCall:
+			f.cancelCall(d.Call)
+		case etcd.ActionUpdate:
+			f.options.OnUpdate(d.Update)
+		case etcd.ActionHeartbeat:
+			f.options.OnHeartbeat()
+		case etcd.ActionLog:
+			f.options.Log.Info("etcd: " + d.Text)
 		}
 	}
 }
 
-// begin makes a call; there is one at a time, and what is left of the one before is
+// startCall makes a call; there is one at a time, and what is left of the one before is
 // over.
-func (f *Follower) begin(ctx context.Context, d *etcd.Do, make func(context.Context, *call, *etcd.Do)) {
+func (f *Follower) startCall(ctx context.Context, d *etcd.Action, make func(context.Context, *call, *etcd.Action)) {
 	for no := range f.calls {
-		f.end(no)
+		f.cancelCall(no)
 	}
 	f.mu.Lock()
 	token := f.token
@@ -191,73 +191,73 @@
 	go make(ctx, c, d)
 }
 
-func (f *Follower) end(no uint64) {
+func (f *Follower) cancelCall(no uint64) {
 	if c := f.calls[no]; c != nil {
 		c.cancel()
 		delete(f.calls, no)
 	}
 }
 
-func (f *Follower) failed(no uint64, err error) {
-	f.tell(etcd.Event{Kind: etcd.Failed, Call: no, Why: why(err), Text: status.Convert(err).Message()})
+func (f *Follower) callFailed(no uint64, err error) {
+	f.enqueue(etcd.Event{Kind: etcd.EventFailed, Call: no, Reason: failureReason(err), Detail: status.Convert(err).Message()})
 }
 
-// why reads an error in the machine's words.
-func why(err error) etcd.Why {
+// failureReason reads an error in the machine's words.
+func failureReason(err error) etcd.FailureReason {
 	s := status.Convert(err)
 	switch {
 	case s.Message() == status.Convert(rpctypes.ErrGRPCCompacted).Message():
-		return etcd.Compacted
+		return etcd.ReasonCompacted
 	case s.Code() == codes.Unauthenticated:
-		return etcd.Denied
+		return etcd.ReasonUnauthenticated
 	case s.Code() == codes.InvalidArgument, s.Code() == codes.PermissionDenied, s.Code() == codes.Unimplemented:
-		return etcd.Refused
+		return etcd.ReasonRejected
 	}
-	return etcd.Unavailable
+	return etcd.ReasonUnavailable
 }
 
-func (f *Follower) auth(ctx context.Context, _ *call, d *etcd.Do) {
+func (f *Follower) authenticate(ctx context.Context, _ *call, d *etcd.Action) {
 	no, member := d.Call, d.Member
-	r, err := etcdserverpb.NewAuthClient(f.conns[member]).Authenticate(ctx, &etcdserverpb.AuthenticateRequest{Name: f.o.User, Password: f.o.Password})
+	r, err := etcdserverpb.NewAuthClient(f.conns[member]).Authenticate(ctx, &etcdserverpb.AuthenticateRequest{Name: f.options.User, Password: f.options.Password})
 	if err != nil {
-		f.failed(no, err)
+		f.callFailed(no, err)
 		return
 	}
 	f.mu.Lock()
-	f.events = append(f.events, etcd.Event{Kind: etcd.Authed, Call: no})
+	f.events = append(f.events, etcd.Event{Kind: etcd.EventAuthenticated, Call: no})
 	f.token = r.Token
 	f.mu.Unlock()
-	f.ring()
+	f.wakeUp()
 }
 
-func (f *Follower) ranged(ctx context.Context, _ *call, d *etcd.Do) {
+func (f *Follower) readPage(ctx context.Context, _ *call, d *etcd.Action) {
 	no := d.Call
-	r, err := etcdserverpb.NewKVClient(f.conns[d.Member]).Range(ctx, &etcdserverpb.RangeRequest{Key: []byte(d.Key), RangeEnd: []byte(d.End),
+	r, err := etcdserverpb.NewKVClient(f.conns[d.Member]).Range(ctx, &etcdserverpb.RangeRequest{Key: []byte(d.Key), RangeEnd: []byte(d.RangeEnd),
 		Revision: d.Revision, Limit: d.Limit}, grpc.WaitForReady(false))
 	if err == nil && r.Header == nil {
 		err = errors.New("an answer without a header")
 	}
 	if err != nil {
-		f.failed(no, err)
+		f.callFailed(no, err)
 		return
 	}
-	e := etcd.Event{Kind: etcd.Ranged, Call: no, Cluster: r.Header.ClusterId, Revision: r.Header.Revision, More: r.More}
+	e := etcd.Event{Kind: etcd.EventPageRead, Call: no, Cluster: r.Header.ClusterId, Revision: r.Header.Revision, More: r.More}
 	for _, kv := range r.Kvs {
 		e.KVs = append(e.KVs, etcd.KV{Key: string(kv.Key), Value: string(kv.Value)})
 	}
-	f.tell(e)
+	f.enqueue(e)
 }
 
-func (f *Follower) watch(ctx context.Context, c *call, d *etcd.Do) {
+func (f *Follower) watch(ctx context.Context, c *call, d *etcd.Action) {
 	no := d.Call
 	ctx = metadata.AppendToOutgoingContext(ctx, rpctypes.MetadataRequireLeaderKey, rpctypes.MetadataHasLeader)
 	stream, err := etcdserverpb.NewWatchClient(f.conns[d.Member]).Watch(ctx)
 	if err == nil {
 		err = stream.Send(&etcdserverpb.WatchRequest{RequestUnion: &etcdserverpb.WatchRequest_CreateRequest{CreateRequest: &etcdserverpb.WatchCreateRequest{
-			Key: []byte(d.Key), RangeEnd: []byte(d.End), StartRevision: d.Revision, ProgressNotify: true, Fragment: true}}})
+			Key: []byte(d.Key), RangeEnd: []byte(d.RangeEnd), StartRevision: d.Revision, ProgressNotify: true, Fragment: true}}})
 	}
 	if err != nil {
-		f.failed(no, err)
+		f.callFailed(no, err)
 		return
 	}
 	c.mu.Lock()
@@ -266,45 +266,45 @@
 	for {
 		r, err := stream.Recv()
 		if err != nil {
-			f.failed(no, err)
+			f.callFailed(no, err)
 			return
 		}
-		e, over := event(r)
+		e, over := decodeWatchResponse(r)
 		e.Call = no
-		if f.tell(e); over {
+		if f.enqueue(e); over {
 			return
 		}
 	}
 }
 
-// event reads what a watch says.
-func event(r *etcdserverpb.WatchResponse) (e etcd.Event, over bool) {
+// decodeWatchResponse reads what a watch says.
+func decodeWatchResponse(r *etcdserverpb.WatchResponse) (e etcd.Event, over bool) {
 	if h := r.Header; h != nil {
 		e.Cluster, e.Revision = h.ClusterId, h.Revision
 	}
 	switch {
 	case r.Canceled && r.CompactRevision > 0:
-		e.Kind, e.Why, e.Revision, e.Text = etcd.Failed, etcd.Compacted, r.CompactRevision, r.CancelReason
+		e.Kind, e.Reason, e.Revision, e.Detail = etcd.EventFailed, etcd.ReasonCompacted, r.CompactRevision, r.CancelReason
 		return e, true
 	case r.Canceled:
-		e.Kind, e.Why, e.Text = etcd.Failed, etcd.Unavailable, "cancelled: "+r.CancelReason
+		e.Kind, e.Reason, e.Detail = etcd.EventFailed, etcd.ReasonUnavailable, "cancelled: "+r.CancelReason
 		return e, true
 	case r.Created:
-		e.Kind = etcd.Watching
+		e.Kind = etcd.EventWatchOpened
 	case len(r.Events) == 0:
-		e.Kind = etcd.Progress
+		e.Kind = etcd.EventProgress
 	default:
-		e.Kind, e.Fragment = etcd.Changed, r.Fragment
+		e.Kind, e.Fragment = etcd.EventChanged, r.Fragment
 		for _, x := range r.Events {
-			e.KVs = append(e.KVs, etcd.KV{Key: string(x.Kv.Key), Value: string(x.Kv.Value), Gone: x.Type == mvccpb.DELETE})
-			e.Last = max(e.Last, x.Kv.ModRevision)
+			e.KVs = append(e.KVs, etcd.KV{Key: string(x.Kv.Key), Value: string(x.Kv.Value), Deleted: x.Type == mvccpb.DELETE})
+			e.LastRevision = max(e.LastRevision, x.Kv.ModRevision)
 		}
 	}
 	return e, false
 }
 
-// progress asks a watch how far it has come.
-func (c *call) progress() {
+// requestProgress asks a watch how far it has come.
+func (c *call) requestProgress() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.stream != nil {
--- a/internal/source/etcd/follow/follow_test.go
+++ b/internal/source/etcd/follow/follow_test.go
@@ -16,21 +16,21 @@
 	standin "troutusher/internal/standin/etcd"
 )
 
-var rounds = flag.Int("rounds", 4, "drains in each trouble; 40 for a measurement")
+var drainRounds = flag.Int("rounds", 4, "drains in each trouble; 40 for a measurement")
 
-// follower is one on real sockets, with the view that it feeds and a registry that
+// testFollower is one on real sockets, with the view that it feeds and a registry that
 // says up whatever happens.
-type follower struct {
-	t    *testing.T
-	c    *standin.Cluster
-	f    *Follower
-	mu   sync.Mutex
-	v    *membership.View
-	list map[string]membership.Member
-	cond *sync.Cond
+type testFollower struct {
+	t         *testing.T
+	cluster   *standin.Cluster
+	follower  *Follower
+	mu        sync.Mutex
+	view      *membership.View
+	published map[string]membership.Member
+	cond      *sync.Cond
 }
 
-func start(t *testing.T, members int, user string) *follower {
+func startFollower(t *testing.T, members int, user string) *testFollower {
 	t.Helper()
 	c, err := standin.NewCluster(members)
 	if err != nil {
@@ -40,43 +40,43 @@
 	if user != "" {
 		c.Auth(user, "secret")
 	}
-	x := &follower{t: t, c: c, list: map[string]membership.Member{}}
+	x := &testFollower{t: t, cluster: c, published: map[string]membership.Member{}}
 	x.cond = sync.NewCond(&x.mu)
-	set := membership.Default(membership.Source{Name: "etcd", Stale: 10e6}, membership.Source{Name: "registry", Stale: 20e6})
+	set := membership.DefaultSettings(membership.Source{Name: "etcd", StaleAfter: 10e6}, membership.Source{Name: "registry", StaleAfter: 20e6})
 	set.HoldDown = 0
-	if x.v, err = membership.New(set); err != nil {
+	if x.view, err = membership.New(set); err != nil {
 		t.Fatal(err)
 	}
 	began := time.Now()
 	now := func() membership.Time { return 1 + time.Since(began).Microseconds() }
-	opt := Options{Settings: etcd.Default("/t", members), Endpoints: c.Addrs(), User: user, Password: "secret", Seed: 7,
-		Log: slog.New(slog.NewTextHandler(io.Discard, nil)), Alive: func() { x.mu.Lock(); x.v.Heard(now(), 0); x.mu.Unlock() }}
-	opt.Say = func(w *membership.Word) {
+	opt := Options{Settings: etcd.DefaultSettings("/t", members), Endpoints: c.Addrs(), User: user, Password: "secret", Seed: 7,
+		Log: slog.New(slog.NewTextHandler(io.Discard, nil)), OnHeartbeat: func() { x.mu.Lock(); x.view.Heartbeat(now(), 0); x.mu.Unlock() }}
+	opt.OnUpdate = func(w *membership.Update) {
 		x.mu.Lock()
 		defer x.mu.Unlock()
-		x.v.Take(now(), w)
-		for _, ch := range x.v.Step(now()) {
-			if x.list[ch.ID] = ch.Member; ch.Phase == membership.Removed {
-				delete(x.list, ch.ID)
+		x.view.Apply(now(), w)
+		for _, ch := range x.view.Step(now()) {
+			if x.published[ch.ID] = ch.Member; ch.Phase == membership.Removed {
+				delete(x.published, ch.ID)
 			}
 		}
-		if x.v.Asks(0) {
-			x.f.ReadAnew()
+		if x.view.ResyncRequested(0) {
+			x.follower.Resync()
 		}
 		x.cond.Broadcast()
 	}
-	if x.f, err = New(opt); err != nil {
+	if x.follower, err = New(opt); err != nil {
 		t.Fatal(err)
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan struct{})
-	go func() { defer close(done); x.f.Run(ctx) }()
+	go func() { defer close(done); x.follower.Run(ctx) }()
 	t.Cleanup(func() { cancel(); <-done })
 	return x
 }
 
-// until waits until the list is as wanted, and gives how long that took.
-func (x *follower) until(what string, cond func() bool) time.Duration {
+// waitFor waits until the list is as wanted, and gives how long that took.
+func (x *testFollower) waitFor(what string, cond func() bool) time.Duration {
 	x.t.Helper()
 	began, late := time.Now(), false
 	stop := time.AfterFunc(20*time.Second, func() { x.mu.Lock(); late = true; x.cond.Broadcast(); x.mu.Unlock() })
@@ -85,7 +85,7 @@
 	defer x.mu.Unlock()
 	for !cond() {
 		if late {
-			x.t.Fatalf("never came: %s; the list is %v", what, x.list)
+			x.t.Fatalf("never came: %s; the list is %v", what, x.published)
 		}
 		x.cond.Wait()
 	}
@@ -96,9 +96,9 @@
 	return fmt.Sprintf(`{"v":1,"host_port":"127.0.0.1:%d","dest":%d}`, 7000+k, k%3)
 }
 
-func (x *follower) do(ops ...standin.Op) {
+func (x *testFollower) do(ops ...standin.Op) {
 	x.t.Helper()
-	if _, err := x.c.Do(ops...); err != nil {
+	if _, err := x.cluster.Do(ops...); err != nil {
 		x.t.Fatal(err)
 	}
 }
@@ -109,48 +109,48 @@
 
 // A drain is heard within 2 s of its put with all well, and whatever of these goes
 // wrong as it is put; a registry that says up takes none back.
-func TestDrainsAreHeard(t *testing.T) {
+func TestDrainLatency(t *testing.T) {
 	for _, trouble := range []struct {
 		name string
-		do   func(x *follower, n int)
-		undo func(x *follower, n int)
+		do   func(x *testFollower, n int)
+		undo func(x *testFollower, n int)
 		most time.Duration
 	}{
-		{"all well", func(*follower, int) {}, nil, 500 * time.Millisecond},
-		{"watches broken", func(x *follower, n int) { x.c.Stop(n % 3); x.c.Stop((n + 1) % 3) },
-			func(x *follower, n int) { x.c.Start(n % 3); x.c.Start((n + 1) % 3) }, 2 * time.Second},
-		{"compacted in the gap", func(x *follower, n int) {
-			x.c.SilenceWatches()
+		{"all well", func(*testFollower, int) {}, nil, 500 * time.Millisecond},
+		{"watches broken", func(x *testFollower, n int) { x.cluster.Stop(n % 3); x.cluster.Stop((n + 1) % 3) },
+			func(x *testFollower, n int) { x.cluster.Start(n % 3); x.cluster.Start((n + 1) % 3) }, 2 * time.Second},
+		{"compacted in the gap", func(x *testFollower, n int) {
+			x.cluster.SilenceWatches()
 			x.do(standin.Op{Key: "/t/other", Value: "a"}, standin.Op{Key: "/t/other", Delete: true})
 			x.do(standin.Op{Key: "/t/other", Value: "b"})
-			x.c.With(func(s *standin.Store) { s.Compact(s.Revision()) })
+			x.cluster.With(func(s *standin.Store) { s.Compact(s.Revision()) })
 		}, nil, 2 * time.Second},
-		{"silent watches", func(x *follower, _ int) { x.c.SilenceWatches() }, nil, 2 * time.Second},
-		{"a silent member, and silent watches", func(x *follower, n int) { x.c.SilenceWatches(); x.c.Silence(n%3, true) },
-			func(x *follower, n int) { x.c.Silence(n%3, false) }, 2 * time.Second},
-		{"no leader", func(x *follower, n int) { x.c.NoLeader(n%3, true); x.c.NoLeader((n+1)%3, true) },
-			func(x *follower, n int) { x.c.NoLeader(n%3, false); x.c.NoLeader((n+1)%3, false) }, 2 * time.Second},
+		{"silent watches", func(x *testFollower, _ int) { x.cluster.SilenceWatches() }, nil, 2 * time.Second},
+		{"a silent member, and silent watches", func(x *testFollower, n int) { x.cluster.SilenceWatches(); x.cluster.Silence(n%3, true) },
+			func(x *testFollower, n int) { x.cluster.Silence(n%3, false) }, 2 * time.Second},
+		{"no leader", func(x *testFollower, n int) { x.cluster.NoLeader(n%3, true); x.cluster.NoLeader((n+1)%3, true) },
+			func(x *testFollower, n int) { x.cluster.NoLeader(n%3, false); x.cluster.NoLeader((n+1)%3, false) }, 2 * time.Second},
 	} {
 		t.Run(trouble.name, func(t *testing.T) {
 			t.Parallel()
-			x := start(t, 3, "")
+			x := startFollower(t, 3, "")
 			var ops []standin.Op
 			var said []membership.Member
 			for k := range 8 {
 				ops = append(ops, standin.Op{Key: etcd.Key("/t", "endpoints", fmt.Sprint("e", k)), Value: value(k)})
-				said = append(said, membership.Member{ID: fmt.Sprint("e", k), HostPort: fmt.Sprintf("127.0.0.1:%d", 7000+k), Cell: k % 3, Phase: membership.Up})
+				said = append(said, membership.Member{ID: fmt.Sprint("e", k), HostPort: fmt.Sprintf("127.0.0.1:%d", 7000+k), Dest: k % 3, Phase: membership.Up})
 			}
 			x.do(ops...)
-			x.until("the list", func() bool { return len(x.list) == 8 })
+			x.waitFor("the list", func() bool { return len(x.published) == 8 })
 			var took []time.Duration
-			for n := range *rounds {
+			for n := range *drainRounds {
 				id := fmt.Sprint("e", n%8)
 				trouble.do(x, n)
 				x.do(drain(id, false))
-				took = append(took, x.until("the drain", func() bool { return x.list[id].Phase == membership.Draining }))
+				took = append(took, x.waitFor("the drain", func() bool { return x.published[id].Phase == membership.Draining }))
 				x.mu.Lock()
-				x.v.Take(x.v.Next(), &membership.Word{Source: 1, Epoch: "r", Revision: int64(n + 1), Whole: true, Members: said})
-				for _, ch := range x.v.Step(0) {
+				x.view.Apply(x.view.NextDeadline(), &membership.Update{Source: 1, Epoch: "r", Revision: int64(n + 1), Complete: true, Members: said})
+				for _, ch := range x.view.Step(0) {
 					if ch.ID == id && ch.Phase == membership.Up {
 						t.Errorf("the registry has taken back the drain of %s", id)
 					}
@@ -160,7 +160,7 @@
 					trouble.undo(x, n)
 				}
 				x.do(drain(id, true))
-				x.until("its end", func() bool { return x.list[id].Phase == membership.Up })
+				x.waitFor("its end", func() bool { return x.published[id].Phase == membership.Up })
 			}
 			slices.Sort(took)
 			t.Logf("%d drains: median %v, most %v", len(took), took[len(took)/2].Round(time.Millisecond), took[len(took)-1].Round(time.Millisecond))
@@ -174,29 +174,29 @@
 // A long list comes in pages and fragments; tokens that end are had anew; a lease
 // that runs out takes its endpoint away; most of the list gone at once, as after a
 // restore, is believed once it has been read anew.
-func TestFollowing(t *testing.T) {
-	x := start(t, 2, "relay")
+func TestPagesTokensLeasesAndRestore(t *testing.T) {
+	x := startFollower(t, 2, "relay")
 	var ops []standin.Op
 	for k := range 2500 {
 		ops = append(ops, standin.Op{Key: etcd.Key("/t", "endpoints", fmt.Sprint("e", k)), Value: value(k % 50000)})
 	}
 	x.do(ops...)
-	x.until("2,500", func() bool { return len(x.list) == 2500 })
-	x.c.EndTokens()
+	x.waitFor("2,500", func() bool { return len(x.published) == 2500 })
+	x.cluster.EndTokens()
 	x.do(drain("e7", false))
-	x.until("a drain after the tokens have ended", func() bool { return x.list["e7"].Phase == membership.Draining })
+	x.waitFor("a drain after the tokens have ended", func() bool { return x.published["e7"].Phase == membership.Draining })
 	var lease *standin.Lease
-	x.c.With(func(s *standin.Store) { lease, _ = s.Grant(0, 1, time.Now().UnixMicro()) })
+	x.cluster.With(func(s *standin.Store) { lease, _ = s.Grant(0, 1, time.Now().UnixMicro()) })
 	x.do(standin.Op{Key: etcd.Key("/t", "endpoints", "leased"), Value: value(3000), Lease: lease.ID})
-	x.until("the leased one", func() bool { return x.list["leased"].ID != "" })
-	x.until("its end", func() bool { return x.list["leased"].ID == "" })
+	x.waitFor("the leased one", func() bool { return x.published["leased"].ID != "" })
+	x.waitFor("its end", func() bool { return x.published["leased"].ID == "" })
 	var copy *standin.Store
-	x.c.With(func(s *standin.Store) { copy = s.Copy() })
+	x.cluster.With(func(s *standin.Store) { copy = s.Copy() })
 	for i := range ops {
 		ops[i].Delete = true
 	}
 	x.do(ops[100:]...)
-	x.until("most of them gone", func() bool { return len(x.list) == 100 })
-	x.c.PutBack(copy, 0xc0b1)
-	x.until("all of them back", func() bool { return len(x.list) == 2500 })
+	x.waitFor("most of them gone", func() bool { return len(x.published) == 100 })
+	x.cluster.PutBack(copy, 0xc0b1)
+	x.waitFor("all of them back", func() bool { return len(x.published) == 2500 })
 }
