--- a/internal/source/etcd/follow/serve.go
+++ b/internal/source/etcd/follow/serve.go
@@ -19,20 +19,20 @@
 	"troutusher/internal/source/etcd"
 )
 
-// Line is what the helper tells the relay that has started it, one JSON object a
+// Message is what the helper tells the relay that has started it, one JSON object a
 // line. What the relay tells the helper is a line with Anew alone; its end is the
 // helper's.
-type Line struct {
-	Word  *membership.Word `json:"word,omitempty"`
-	Alive bool             `json:"alive,omitempty"`
+type Message struct {
+	Update    *membership.Update `json:"word,omitempty"`
+	Heartbeat bool               `json:"alive,omitempty"`
 }
 
-// Anew has the whole list read once more.
-const Anew = "anew"
+// ResyncCommand has the whole list read once more.
+const ResyncCommand = "anew"
 
 // FromOperator makes options of the operator's file.
 func FromOperator(e *operator.Etcd) (Options, error) {
-	o := Options{Settings: etcd.Default(e.Prefix, len(e.Endpoints)), Endpoints: e.Endpoints, User: e.User}
+	o := Options{Settings: etcd.DefaultSettings(e.Prefix, len(e.Endpoints)), Endpoints: e.Endpoints, User: e.User}
 	if len(e.Endpoints) == 0 {
 		return o, errors.New("etcd.endpoints: none in the operator's file")
 	}
@@ -71,14 +71,14 @@
 	defer cancel(nil)
 	var mu sync.Mutex
 	enc := json.NewEncoder(out)
-	say := func(l Line) {
+	say := func(l Message) {
 		mu.Lock()
 		defer mu.Unlock()
 		if err := enc.Encode(l); err != nil { // nobody hears any more
 			cancel(err)
 		}
 	}
-	o.Say, o.Alive = func(w *membership.Word) { say(Line{Word: w}) }, func() { say(Line{Alive: true}) }
+	o.OnUpdate, o.OnHeartbeat = func(w *membership.Update) { say(Message{Update: w}) }, func() { say(Message{Heartbeat: true}) }
 	if o.Log == nil {
 		o.Log = slog.New(slog.NewTextHandler(os.Stderr, nil))
 	}
@@ -89,8 +89,8 @@
 	go func() {
 		lines := bufio.NewScanner(in)
 		for lines.Scan() {
-			if lines.Text() == Anew {
-				f.ReadAnew()
+			if lines.Text() == ResyncCommand {
+				f.Resync()
 			}
 		}
 		cancel(io.EOF)
--- a/internal/source/etcd/follow/tls_test.go
+++ b/internal/source/etcd/follow/tls_test.go
@@ -105,18 +105,18 @@
 			lines := bufio.NewScanner(out)
 			words := 0
 			for lines.Scan() {
-				var l Line
+				var l Message
 				if err := json.Unmarshal(lines.Bytes(), &l); err != nil {
 					t.Fatal(err)
 				}
-				if l.Word == nil {
+				if l.Update == nil {
 					continue
 				}
-				if !l.Word.Whole || len(l.Word.Members) != 1 || l.Word.Members[0].ID != "a" || l.Word.Anew != (words == 1) {
-					t.Errorf("%+v", *l.Word)
+				if !l.Update.Complete || len(l.Update.Members) != 1 || l.Update.Members[0].ID != "a" || l.Update.Resync != (words == 1) {
+					t.Errorf("%+v", *l.Update)
 				}
 				if words++; words == 1 { // what a relay asks
-					go io.WriteString(inEnd, Anew+"\n")
+					go io.WriteString(inEnd, ResyncCommand+"\n")
 				} else {
 					inEnd.Close()
 				}
--- a/internal/source/etcd/layout.go
+++ b/internal/source/etcd/layout.go
@@ -24,19 +24,19 @@
 // An endpoint drains while its own phase says so or a drain of it lies there,
 // whether or not it has been published yet. Its rate is its own, or its partner's.
 
-// version of the values that are read. One that is newer cannot be read.
-const version = 1
+// layoutVersion of the values that are read. One that is newer cannot be read.
+const layoutVersion = 1
 
 // Folders under the prefix.
 const (
-	endpoints = "endpoints"
-	partners  = "partners"
-	drains    = "drains"
+	endpointsFolder = "endpoints"
+	partnersFolder  = "partners"
+	drainsFolder    = "drains"
 )
 
 // Endpoint is the value of an endpoint.
 type Endpoint struct {
-	V        int     `json:"v"`
+	Version  int     `json:"v"`
 	HostPort string  `json:"host_port"`
 	Dest     int     `json:"dest"`
 	Locality string  `json:"locality,omitempty"`
@@ -47,19 +47,19 @@
 
 // Partner is the value of a destination.
 type Partner struct {
-	V    int     `json:"v"`
-	Rate float64 `json:"rate"`
+	Version int     `json:"v"`
+	Rate    float64 `json:"rate"`
 }
 
 // Drain is the value of a drain.
 type Drain struct {
-	V int `json:"v"`
+	Version int `json:"v"`
 }
 
 const (
-	idMost   = 256
-	rateMost = 1e9
-	destMost = 1<<16 - 1
+	maxTextLength = 256
+	maxRate       = 1e9
+	maxDest       = 1<<16 - 1
 )
 
 // Key is a key's path under the prefix.
@@ -67,12 +67,12 @@
 	return strings.TrimSuffix(prefix, "/") + "/" + folder + "/" + name
 }
 
-// Folder is the beginning of the keys of one kind, and End the first key behind all
+// FolderPrefix is the beginning of the keys of one kind, and End the first key behind all
 // that begin so.
-func Folder(prefix, folder string) string { return Key(prefix, folder, "") }
+func FolderPrefix(prefix, folder string) string { return Key(prefix, folder, "") }
 
-// End is the first key behind all that begin with a prefix.
-func End(prefix string) string {
+// RangeEnd is the first key behind all that begin with a prefix.
+func RangeEnd(prefix string) string {
 	b := []byte(prefix)
 	for i := len(b) - 1; i >= 0; i-- {
 		if b[i] < 0xff {
@@ -83,14 +83,14 @@
 	return "\x00" // to the end of all keys
 }
 
-// split takes a key apart; false where it is none of the layout's.
-func split(prefix, key string) (folder, name string, ok bool) {
+// splitKey takes a key apart; false where it is none of the layout's.
+func splitKey(prefix, key string) (folder, name string, ok bool) {
 	rest, ok := strings.CutPrefix(key, strings.TrimSuffix(prefix, "/")+"/")
 	if !ok {
 		return "", "", false
 	}
 	folder, name, ok = strings.Cut(rest, "/")
-	if !ok || folder != endpoints && folder != partners && folder != drains {
+	if !ok || folder != endpointsFolder && folder != partnersFolder && folder != drainsFolder {
 		return "", "", false
 	}
 	return folder, name, true
@@ -98,7 +98,7 @@
 
 // CheckID tells what is wrong with an endpoint's id.
 func CheckID(id string) error {
-	if id == "" || len(id) > idMost {
+	if id == "" || len(id) > maxTextLength {
 		return fmt.Errorf("an id of %d bytes", len(id))
 	}
 	for i := range len(id) {
@@ -110,15 +110,15 @@
 }
 
 func checkRate(r float64) error {
-	if !(r >= 0 && r <= rateMost) || math.IsNaN(r) {
+	if !(r >= 0 && r <= maxRate) || math.IsNaN(r) {
 		return fmt.Errorf("rate %v", r)
 	}
 	return nil
 }
 
-// read reads a value as strictly as it was written: what is misspelt must not be
+// decodeValue reads a value as strictly as it was written: what is misspelt must not be
 // taken for what was left out.
-func read(text []byte, v any, of func() int) error {
+func decodeValue(text []byte, v any, of func() int) error {
 	d := json.NewDecoder(bytes.NewReader(text))
 	d.DisallowUnknownFields()
 	if err := d.Decode(v); err != nil {
@@ -127,15 +127,15 @@
 	if d.More() {
 		return errors.New("more behind the object")
 	}
-	if n := of(); n != version {
-		return fmt.Errorf("version %d, %d is known", n, version)
+	if n := of(); n != layoutVersion {
+		return fmt.Errorf("version %d, %d is known", n, layoutVersion)
 	}
 	return nil
 }
 
-// ReadEndpoint reads and checks the value of an endpoint.
-func ReadEndpoint(text []byte) (e Endpoint, err error) {
-	if err := read(text, &e, func() int { return e.V }); err != nil {
+// DecodeEndpoint reads and checks the value of an endpoint.
+func DecodeEndpoint(text []byte) (e Endpoint, err error) {
+	if err := decodeValue(text, &e, func() int { return e.Version }); err != nil {
 		return e, err
 	}
 	return e, e.check()
@@ -143,31 +143,31 @@
 
 func (e *Endpoint) check() error {
 	host, port, err := net.SplitHostPort(e.HostPort)
-	if err != nil || host == "" || port == "" || len(e.HostPort) > idMost {
+	if err != nil || host == "" || port == "" || len(e.HostPort) > maxTextLength {
 		return fmt.Errorf("host_port %.60q", e.HostPort)
 	}
 	if n, err := strconv.ParseUint(port, 10, 16); err != nil || n == 0 {
 		return fmt.Errorf("host_port %.60q", e.HostPort)
 	}
-	if e.Dest < 0 || e.Dest > destMost {
+	if e.Dest < 0 || e.Dest > maxDest {
 		return fmt.Errorf("dest %d", e.Dest)
 	}
 	if e.Phase != "" && e.Phase != membership.Up && e.Phase != membership.Draining {
 		return fmt.Errorf("phase %.40q", e.Phase)
 	}
-	if len(e.Locality) > idMost || len(e.Flavor) > idMost {
+	if len(e.Locality) > maxTextLength || len(e.Flavor) > maxTextLength {
 		return errors.New("locality or flavor too long")
 	}
 	return checkRate(e.Rate)
 }
 
-// readPartner reads and checks the value of a destination.
-func readPartner(name string, text []byte) (dest int, p Partner, err error) {
+// decodePartner reads and checks the value of a destination.
+func decodePartner(name string, text []byte) (dest int, p Partner, err error) {
 	n, err := strconv.ParseUint(name, 10, 16)
 	if err != nil || strconv.FormatUint(n, 10) != name {
 		return 0, p, fmt.Errorf("partner %.40q is no destination", name)
 	}
-	if err := read(text, &p, func() int { return p.V }); err != nil {
+	if err := decodeValue(text, &p, func() int { return p.Version }); err != nil {
 		return 0, p, err
 	}
 	return int(n), p, checkRate(p.Rate)
@@ -176,14 +176,14 @@
 // CheckValue tells what a relay would find wrong with a value.
 func CheckValue(folder, name string, text []byte) error {
 	switch folder {
-	case endpoints:
+	case endpointsFolder:
 		if err := CheckID(name); err != nil {
 			return err
 		}
-		_, err := ReadEndpoint(text)
+		_, err := DecodeEndpoint(text)
 		return err
-	case partners:
-		_, _, err := readPartner(name, text)
+	case partnersFolder:
+		_, _, err := decodePartner(name, text)
 		return err
 	}
 	return nil
@@ -192,74 +192,74 @@
 // KV is a key and its value; Gone where it was deleted.
 type KV struct {
 	Key, Value string
-	Gone       bool
+	Deleted    bool
 }
 
-// table is what lies under the prefix, as far as it can be read.
-type table struct {
-	prefix    string
-	endpoints map[string]Endpoint
-	rates     map[int]float64
-	drains    map[string]bool
-	spoilt    map[string]bool // ids of endpoints whose last value cannot be read
-	cells     map[int]map[string]bool
+// keyTable is what lies under the prefix, as far as it can be read.
+type keyTable struct {
+	prefix      string
+	endpoints   map[string]Endpoint
+	ratesByDest map[int]float64
+	drains      map[string]bool
+	unreadable  map[string]bool // ids of endpoints whose last value cannot be read
+	idsByDest   map[int]map[string]bool
 }
 
-func newTable(prefix string) *table {
-	return &table{prefix: prefix, endpoints: map[string]Endpoint{}, rates: map[int]float64{}, drains: map[string]bool{},
-		spoilt: map[string]bool{}, cells: map[int]map[string]bool{}}
+func newKeyTable(prefix string) *keyTable {
+	return &keyTable{prefix: prefix, endpoints: map[string]Endpoint{}, ratesByDest: map[int]float64{}, drains: map[string]bool{},
+		unreadable: map[string]bool{}, idsByDest: map[int]map[string]bool{}}
 }
 
-// put books a key, and adds the ids that it touches. bad is what cannot be read.
-func (t *table) put(kv KV, touched map[string]bool) (bad error) {
-	folder, name, ok := split(t.prefix, kv.Key)
+// apply books a key, and adds the ids that it touches. bad is what cannot be read.
+func (t *keyTable) apply(kv KV, touched map[string]bool) (bad error) {
+	folder, name, ok := splitKey(t.prefix, kv.Key)
 	if !ok {
 		return nil // somebody else's, or of a layout to come
 	}
 	switch folder {
-	case endpoints:
-		if kv.Gone {
-			t.unlist(name)
-			delete(t.spoilt, name)
+	case endpointsFolder:
+		if kv.Deleted {
+			t.removeEndpoint(name)
+			delete(t.unreadable, name)
 			touched[name] = true
 			return nil
 		}
-		e, err := ReadEndpoint([]byte(kv.Value))
+		e, err := DecodeEndpoint([]byte(kv.Value))
 		if err = cmp.Or(CheckID(name), err); err != nil {
-			t.spoilt[name] = true
+			t.unreadable[name] = true
 			touched[name] = true
 			return fmt.Errorf("%.80q: %w", kv.Key, err)
 		}
-		t.unlist(name)
-		delete(t.spoilt, name)
+		t.removeEndpoint(name)
+		delete(t.unreadable, name)
 		t.endpoints[name] = e
-		if t.cells[e.Dest] == nil {
-			t.cells[e.Dest] = map[string]bool{}
+		if t.idsByDest[e.Dest] == nil {
+			t.idsByDest[e.Dest] = map[string]bool{}
 		}
-		t.cells[e.Dest][name] = true
+		t.idsByDest[e.Dest][name] = true
 		touched[name] = true
-	case partners:
+	case partnersFolder:
 		var dest int
 		var p Partner
 		var err error
-		if kv.Gone {
+		if kv.Deleted {
 			n, bad := strconv.ParseUint(name, 10, 16)
 			dest, err = int(n), bad
 		} else {
-			dest, p, err = readPartner(name, []byte(kv.Value))
+			dest, p, err = decodePartner(name, []byte(kv.Value))
 		}
 		if err != nil {
 			return fmt.Errorf("%.80q: %w", kv.Key, err)
 		}
-		if t.rates[dest] = p.Rate; p.Rate == 0 {
-			delete(t.rates, dest)
+		if t.ratesByDest[dest] = p.Rate; p.Rate == 0 {
+			delete(t.ratesByDest, dest)
 		}
-		for id := range t.cells[dest] {
+		for id := range t.idsByDest[dest] {
 			touched[id] = true
 		}
-	case drains:
+	case drainsFolder:
 		// That there is one says it all: a value that cannot be read drains as well.
-		if t.drains[name] = true; kv.Gone {
+		if t.drains[name] = true; kv.Deleted {
 			delete(t.drains, name)
 		}
 		touched[name] = true
@@ -267,10 +267,10 @@
 	return nil
 }
 
-func (t *table) unlist(id string) {
+func (t *keyTable) removeEndpoint(id string) {
 	if e, ok := t.endpoints[id]; ok {
-		if delete(t.cells[e.Dest], id); len(t.cells[e.Dest]) == 0 {
-			delete(t.cells, e.Dest)
+		if delete(t.idsByDest[e.Dest], id); len(t.idsByDest[e.Dest]) == 0 {
+			delete(t.idsByDest, e.Dest)
 		}
 		delete(t.endpoints, id)
 	}
@@ -278,22 +278,22 @@
 
 // member is an endpoint as the view takes it; false where it is not published, or
 // never could be read.
-func (t *table) member(id string) (membership.Member, bool) {
+func (t *keyTable) member(id string) (membership.Member, bool) {
 	e, ok := t.endpoints[id]
 	if !ok {
 		return membership.Member{ID: id, Phase: membership.Removed}, false
 	}
-	m := membership.Member{ID: id, HostPort: e.HostPort, Locality: e.Locality, Flavor: e.Flavor, Cell: e.Dest,
-		Phase: cmp.Or(e.Phase, membership.Up), Size: cmp.Or(e.Rate, t.rates[e.Dest])}
+	m := membership.Member{ID: id, HostPort: e.HostPort, Locality: e.Locality, Flavor: e.Flavor, Dest: e.Dest,
+		Phase: cmp.Or(e.Phase, membership.Up), Rate: cmp.Or(e.Rate, t.ratesByDest[e.Dest])}
 	if t.drains[id] {
 		m.Phase = membership.Draining
 	}
 	return m, true
 }
 
-// members puts what some ids are into a word. Those that cannot be read stay as they
+// addMembers puts what some ids are into a word. Those that cannot be read stay as they
 // were, but for a drain: that is another key, and can be read.
-func (t *table) members(ids map[string]bool, w *membership.Word) {
+func (t *keyTable) addMembers(ids map[string]bool, w *membership.Update) {
 	sorted := make([]string, 0, len(ids))
 	for id := range ids {
 		sorted = append(sorted, id)
@@ -302,25 +302,25 @@
 	for _, id := range sorted {
 		m, _ := t.member(id)
 		switch {
-		case !t.spoilt[id]:
+		case !t.unreadable[id]:
 			w.Members = append(w.Members, m)
 		case t.drains[id]:
-			w.Drained = append(w.Drained, id)
+			w.DrainedIDs = append(w.DrainedIDs, id)
 			fallthrough
 		default:
-			w.Spoilt = append(w.Spoilt, id)
+			w.UnreadableIDs = append(w.UnreadableIDs, id)
 		}
 	}
 }
 
-// all puts the whole list into a word.
-func (t *table) all(w *membership.Word) {
+// addAllMembers puts the whole list into a word.
+func (t *keyTable) addAllMembers(w *membership.Update) {
 	ids := map[string]bool{}
 	for id := range t.endpoints {
 		ids[id] = true
 	}
-	for id := range t.spoilt {
+	for id := range t.unreadable {
 		ids[id] = true
 	}
-	t.members(ids, w)
+	t.addMembers(ids, w)
 }
--- a/internal/source/etcd/machine.go
+++ b/internal/source/etcd/machine.go
@@ -26,436 +26,438 @@
 
 // Settings say what is followed and how patiently.
 type Settings struct {
-	Prefix  string
-	Members int  // endpoints of the cluster, asked in turn
-	Auth    bool // a token is asked for first
-	Source  int  // in the view
-	Page    int64
+	Prefix       string
+	Members      int  // endpoints of the cluster, asked in turn
+	AuthRequired bool // a token is asked for first
+	Source       int  // in the view
+	PageSize     int64
 	// A watch that has said nothing for Quiet is asked for its progress, and given up
 	// where it has not told it Answer later.
-	Quiet, Answer Time
-	Patience      Time // of a token, and of a watch that is opened
-	Reading       Time // of a page
-	PauseLeast    Time // between rounds of members in vain; doubles up to PauseMost
-	PauseMost     Time
-	// Refresh is after how long a watch the whole list is read once more: a cluster that
+	SilenceTimeout, ProgressTimeout Time
+	OpenTimeout                     Time // of a token, and of a watch that is opened
+	ReadTimeout                     Time // of a page
+	MinBackoff                      Time // between rounds of members in vain; doubles up to PauseMost
+	MaxBackoff                      Time
+	// ResyncInterval is after how long a watch the whole list is read once more: a cluster that
 	// was put back from a copy under its old id, and has come as far again, cannot be
 	// told from the one before.
-	Refresh Time
+	ResyncInterval Time
 }
 
-// Default are figures by which a drain is heard within 2 s of its put, also where
+// DefaultSettings are figures by which a drain is heard within 2 s of its put, also where
 // the watch has fallen silent and the two members asked next as well: 0.4 + 0.3 s
 // until that is known, and 0.45 s for each of them.
-func Default(prefix string, members int) Settings {
-	return Settings{Prefix: prefix, Members: members, Page: 1000, Quiet: 400e3, Answer: 300e3, Patience: 450e3, Reading: 700e3, PauseLeast: 100e3, PauseMost: 3e6, Refresh: 300e6}
+func DefaultSettings(prefix string, members int) Settings {
+	return Settings{Prefix: prefix, Members: members, PageSize: 1000, SilenceTimeout: 400e3, ProgressTimeout: 300e3, OpenTimeout: 450e3, ReadTimeout: 700e3, MinBackoff: 100e3, MaxBackoff: 3e6, ResyncInterval: 300e6}
 }
 
 // Check tells what is wrong with settings.
 func (s *Settings) Check() error {
 	switch {
-	case !strings.HasPrefix(s.Prefix, "/") || len(s.Prefix) > idMost || strings.Trim(s.Prefix, "/") == "":
+	case !strings.HasPrefix(s.Prefix, "/") || len(s.Prefix) > maxTextLength || strings.Trim(s.Prefix, "/") == "":
 		return fmt.Errorf("etcd: prefix %.40q: wants a path that begins with a slash", s.Prefix)
 	case s.Members < 1:
 		return errors.New("etcd: no endpoints")
-	case s.Page < 1 || s.Quiet <= 0 || s.Answer <= 0 || s.Patience <= 0 || s.Reading <= 0 || s.PauseLeast <= 0 || s.PauseMost < s.PauseLeast || s.Refresh < s.Quiet:
+	case s.PageSize < 1 || s.SilenceTimeout <= 0 || s.ProgressTimeout <= 0 || s.OpenTimeout <= 0 || s.ReadTimeout <= 0 || s.MinBackoff <= 0 || s.MaxBackoff < s.MinBackoff || s.ResyncInterval < s.SilenceTimeout:
 		return errors.New("etcd: a figure is out of range")
 	}
 	return nil
 }
 
-// Kind is what happened.
-type Kind uint8
+// EventKind is what happened.
+type EventKind uint8
 
 // Kinds of event, and what comes with each. Those of a call name it; what comes of
 // one that is over is of no account.
 const (
-	Authed   Kind = iota + 1 // a token was had, which the driver keeps
-	Ranged                   // Cluster, Revision, KVs, More
-	Watching                 // Cluster, Revision: the watch is open
-	Changed                  // Cluster, Revision, KVs with their revisions, Fragment
-	Progress                 // Revision: all up to it was told
-	Failed                   // Why, Compacted: the call is over
+	EventAuthenticated EventKind = iota + 1 // a token was had, which the driver keeps
+	EventPageRead                           // Cluster, Revision, KVs, More
+	EventWatchOpened                        // Cluster, Revision: the watch is open
+	EventChanged                            // Cluster, Revision, KVs with their revisions, Fragment
+	EventProgress                           // Revision: all up to it was told
+	EventFailed                             // Why, Compacted: the call is over
 )
 
-// Why a call failed.
-type Why uint8
+// FailureReason a call failed.
+type FailureReason uint8
 
 // Reasons.
 const (
-	Unavailable Why = iota + 1 // the member is not there, has no leader, or has too much to do
-	Compacted                  // the revision is no longer kept; Event.Revision from which one is
-	Denied                     // the token is not known any more
-	Refused                    // the request itself: another member would say the same
+	ReasonUnavailable     FailureReason = iota + 1 // the member is not there, has no leader, or has too much to do
+	ReasonCompacted                                // the revision is no longer kept; Event.Revision from which one is
+	ReasonUnauthenticated                          // the token is not known any more
+	ReasonRejected                                 // the request itself: another member would say the same
 )
 
-func (w Why) String() string {
-	return [...]string{"none", "unavailable", "compacted", "denied", "refused"}[min(w, Refused)]
+func (w FailureReason) String() string {
+	return [...]string{"none", "unavailable", "compacted", "denied", "refused"}[min(w, ReasonRejected)]
 }
 
 // Event is one thing that happened.
 type Event struct {
-	Kind     Kind
-	Call     uint64
-	Cluster  uint64
-	Revision int64 // of the answer's header; of Compacted, the first that is kept
-	KVs      []KV
-	Last     int64 // of Changed: the revision of the last of them
-	More     bool  // of Ranged: there are further keys
-	Fragment bool  // of Changed: more of the same answer follows
-	Why      Why
-	Text     string // for the log
+	Kind         EventKind
+	Call         uint64
+	Cluster      uint64
+	Revision     int64 // of the answer's header; of Compacted, the first that is kept
+	KVs          []KV
+	LastRevision int64 // of Changed: the revision of the last of them
+	More         bool  // of Ranged: there are further keys
+	Fragment     bool  // of Changed: more of the same answer follows
+	Reason       FailureReason
+	Detail       string // for the log
 }
 
-// Do is what is to be done.
-type Do struct {
-	Kind     DoKind
-	Call     uint64
-	Member   int
-	Key, End string
-	Revision int64 // of Range: at which, 0 for the newest; of Watch: the first
-	Limit    int64
-	Word     *membership.Word
-	Text     string
+// Action is what is to be done.
+type Action struct {
+	Kind          ActionKind
+	Call          uint64
+	Member        int
+	Key, RangeEnd string
+	Revision      int64 // of Range: at which, 0 for the newest; of Watch: the first
+	Limit         int64
+	Update        *membership.Update
+	Text          string
 }
 
-// DoKind is what kind of thing is to be done.
-type DoKind uint8
+// ActionKind is what kind of thing is to be done.
+type ActionKind uint8
 
 // Kinds of thing to be done, and what comes with each.
 const (
-	DoAuth     DoKind = iota + 1 // Call, Member
-	DoRange                      // Call, Member, Key, End, Revision, Limit; linearizable where Revision is 0
-	DoWatch                      // Call, Member, Key, End, Revision; fragments, a leader required
-	DoProgress                   // Call: ask that watch for its progress
-	DoClose                      // Call: give it up
-	DoSay                        // Word: for the view
-	DoAlive                      // the source has nothing new to say
-	DoLog                        // Text
+	ActionAuthenticate    ActionKind = iota + 1 // Call, Member
+	ActionReadPage                              // Call, Member, Key, End, Revision, Limit; linearizable where Revision is 0
+	ActionOpenWatch                             // Call, Member, Key, End, Revision; fragments, a leader required
+	ActionRequestProgress                       // Call: ask that watch for its progress
+	ActionCancelCall                            // Call: give it up
+	ActionUpdate                                // Word: for the view
+	ActionHeartbeat                             // the source has nothing new to say
+	ActionLog                                   // Text
 )
 
 type state uint8
 
 const (
-	pausing state = iota
-	authing
-	ranging
-	opening // a watch
+	backingOff state = iota
+	authenticating
+	reading
+	openingWatch // a watch
 	watching
 )
 
 // Machine follows one prefix.
 type Machine struct {
-	set    Settings
-	rng    *rand.Rand
-	state  state
-	call   uint64
-	member int
-	fails  int  // in a row
-	token  bool // there is one
-	due    Time // of what the state waits for
-	since  Time // watching: from when on
-	read   Time // when the whole list was read last
-	asked  bool // watching: its progress
-	doubt  bool // a watch began behind what is known, and that was looked into
-
-	table   *table // as of rev
-	cluster uint64
-	gen     int // how often its revisions have begun anew
-	rev     int64
-	known   bool
-
-	reading *table // a whole list under way
-	at      int64  // its revision
-	from    string // its next key
-	anew    bool   // it was begun after the view had asked for one
-	wants   bool   // the view has, and has not had it yet
-	pending []KV   // fragments
-	last    int64
-	now     Time
-	out     []Do
+	settings          Settings
+	rng               *rand.Rand
+	state             state
+	call              uint64
+	member            int
+	failures          int  // in a row
+	hasToken          bool // there is one
+	deadline          Time // of what the state waits for
+	watchingSince     Time // watching: from when on
+	lastReadAt        Time // when the whole list was read last
+	progressRequested bool // watching: its progress
+	rollbackSuspected bool // a watch began behind what is known, and that was looked into
+
+	table       *keyTable // as of rev
+	cluster     uint64
+	generation  int // how often its revisions have begun anew
+	revision    int64
+	hasRevision bool
+
+	pages             *keyTable // a whole list under way
+	pagesRevision     int64     // its revision
+	nextKey           string    // its next key
+	pagesForResync    bool      // it was begun after the view had asked for one
+	resyncRequested   bool      // the view has, and has not had it yet
+	fragments         []KV      // fragments
+	fragmentsRevision int64
+	now               Time
+	actions           []Action
 }
 
 // New makes the machine of one relay, which draws from its own seed.
 func New(s Settings, seed uint64) (*Machine, error) {
-	if s.Page == 0 {
+	if s.PageSize == 0 {
 		return nil, errors.New("etcd: settings were not made by Default")
 	}
 	if err := s.Check(); err != nil {
 		return nil, err
 	}
-	m := &Machine{set: s, rng: rand.New(rand.NewPCG(seed, 0xe7cd))}
+	m := &Machine{settings: s, rng: rand.New(rand.NewPCG(seed, 0xe7cd))}
 	m.member = m.rng.IntN(s.Members) // a fleet does not ask one member
 	return m, nil
 }
 
-// Next is when to step though nothing comes.
-func (m *Machine) Next() Time { return max(m.due, 1) }
+// NextDeadline is when to step though nothing comes.
+func (m *Machine) NextDeadline() Time { return max(m.deadline, 1) }
 
-// Known tells the revision up to which all is known.
-func (m *Machine) Known() (int64, bool) { return m.rev, m.known }
+// Revision tells the revision up to which all is known.
+func (m *Machine) Revision() (int64, bool) { return m.revision, m.hasRevision }
 
-// ReadAnew has the whole list read once more, for the view that does not believe a
+// Resync has the whole list read once more, for the view that does not believe a
 // loss.
-func (m *Machine) ReadAnew(now Time) []Do {
-	m.begin(now)
-	if m.state == ranging && m.anew {
-		return m.done()
+func (m *Machine) Resync(now Time) []Action {
+	m.beginStep(now)
+	if m.state == reading && m.pagesForResync {
+		return m.takeActions()
 	}
-	m.wants = true // also after the read that is on: it began before
-	if m.state == watching || m.state == opening {
-		m.close()
-		m.start()
+	m.resyncRequested = true // also after the read that is on: it began before
+	if m.state == watching || m.state == openingWatch {
+		m.cancelCall()
+		m.startNextCall()
 	}
-	return m.done()
+	return m.takeActions()
 }
 
-func (m *Machine) begin(now Time) { m.now, m.out = max(now, m.now), nil }
+func (m *Machine) beginStep(now Time) { m.now, m.actions = max(now, m.now), nil }
 
-func (m *Machine) done() []Do {
-	out := m.out
-	m.out = nil
+func (m *Machine) takeActions() []Action {
+	out := m.actions
+	m.actions = nil
 	return out
 }
 
-func (m *Machine) do(d Do) { m.out = append(m.out, d) }
+func (m *Machine) emit(d Action) { m.actions = append(m.actions, d) }
 
-func (m *Machine) log(format string, a ...any) {
-	m.do(Do{Kind: DoLog, Text: fmt.Sprintf(format, a...)})
+func (m *Machine) logf(format string, a ...any) {
+	m.emit(Action{Kind: ActionLog, Text: fmt.Sprintf(format, a...)})
 }
 
 // Step takes what happened by now.
-func (m *Machine) Step(now Time, events []Event) []Do {
-	m.begin(now)
+func (m *Machine) Step(now Time, events []Event) []Action {
+	m.beginStep(now)
 	for i := range events {
-		if e := &events[i]; e.Call == m.call && m.state != pausing {
-			m.take(e)
+		if e := &events[i]; e.Call == m.call && m.state != backingOff {
+			m.handle(e)
 		}
 	}
-	if m.now >= m.due {
-		m.timeout()
+	if m.now >= m.deadline {
+		m.handleTimeout()
 	}
-	return m.done()
+	return m.takeActions()
 }
 
 // epoch is what revisions belong to: a cluster, and how often it has been put back.
-func (m *Machine) epoch() string { return fmt.Sprintf("%016x.%d", m.cluster, m.gen) }
+func (m *Machine) epoch() string { return fmt.Sprintf("%016x.%d", m.cluster, m.generation) }
 
-// next begins a call.
-func (m *Machine) next(s state, patience Time) uint64 {
-	m.state, m.call, m.due = s, m.call+1, m.now+patience
+// beginCall begins a call.
+func (m *Machine) beginCall(s state, patience Time) uint64 {
+	m.state, m.call, m.deadline = s, m.call+1, m.now+patience
 	return m.call
 }
 
-// close gives up the call that is out.
-func (m *Machine) close() { m.do(Do{Kind: DoClose, Call: m.call}) }
+// cancelCall gives up the call that is out.
+func (m *Machine) cancelCall() { m.emit(Action{Kind: ActionCancelCall, Call: m.call}) }
 
-// start goes on from what is known, or reads it first.
-func (m *Machine) start() {
-	m.pending, m.last, m.asked = nil, 0, false
+// startNextCall goes on from what is known, or reads it first.
+func (m *Machine) startNextCall() {
+	m.fragments, m.fragmentsRevision, m.progressRequested = nil, 0, false
 	switch {
-	case m.set.Auth && !m.token:
-		m.do(Do{Kind: DoAuth, Call: m.next(authing, m.set.Patience), Member: m.member})
-	case !m.known || m.wants:
-		m.reading, m.at, m.from = newTable(m.set.Prefix), 0, Key(m.set.Prefix, "", "")
-		m.from = strings.TrimSuffix(m.from, "/") // of "PREFIX//": all below it
-		m.anew = m.wants
-		m.page()
+	case m.settings.AuthRequired && !m.hasToken:
+		m.emit(Action{Kind: ActionAuthenticate, Call: m.beginCall(authenticating, m.settings.OpenTimeout), Member: m.member})
+	case !m.hasRevision || m.resyncRequested:
+		m.pages, m.pagesRevision, m.nextKey = newKeyTable(m.settings.Prefix), 0, Key(m.settings.Prefix, "", "")
+		m.nextKey = strings.TrimSuffix(m.nextKey, "/") // of "PREFIX//": all below it
+		m.pagesForResync = m.resyncRequested
+		m.readPage()
 	default:
-		m.watch()
+		m.openWatch()
 	}
 }
 
-func (m *Machine) page() {
-	m.do(Do{Kind: DoRange, Call: m.next(ranging, m.set.Reading), Member: m.member, Key: m.from, End: m.end(), Revision: m.at, Limit: m.set.Page})
+func (m *Machine) readPage() {
+	m.emit(Action{Kind: ActionReadPage, Call: m.beginCall(reading, m.settings.ReadTimeout), Member: m.member, Key: m.nextKey, RangeEnd: m.rangeEnd(), Revision: m.pagesRevision, Limit: m.settings.PageSize})
 }
 
-func (m *Machine) end() string { return End(strings.TrimSuffix(m.set.Prefix, "/") + "/") }
+func (m *Machine) rangeEnd() string {
+	return RangeEnd(strings.TrimSuffix(m.settings.Prefix, "/") + "/")
+}
 
-func (m *Machine) watch() {
-	m.do(Do{Kind: DoWatch, Call: m.next(opening, m.set.Patience), Member: m.member, Key: strings.TrimSuffix(m.set.Prefix, "/") + "/", End: m.end(), Revision: m.rev + 1})
+func (m *Machine) openWatch() {
+	m.emit(Action{Kind: ActionOpenWatch, Call: m.beginCall(openingWatch, m.settings.OpenTimeout), Member: m.member, Key: strings.TrimSuffix(m.settings.Prefix, "/") + "/", RangeEnd: m.rangeEnd(), Revision: m.revision + 1})
 }
 
-// alive books that the watch has said something. One that has lasted for a while, or
+// watchAnswered books that the watch has said something. One that has lasted for a while, or
 // has told a change, is no failure; one that ends as it begins is, however often it
 // begins.
-func (m *Machine) alive() {
-	m.due, m.asked = m.now+m.set.Quiet, false
-	if m.now >= m.since+steady {
-		m.fails = 0
+func (m *Machine) watchAnswered() {
+	m.deadline, m.progressRequested = m.now+m.settings.SilenceTimeout, false
+	if m.now >= m.watchingSince+stableAfter {
+		m.failures = 0
 	}
 }
 
-const steady = Time(1e6)
+const stableAfter = Time(1e6)
 
-func (m *Machine) take(e *Event) {
+func (m *Machine) handle(e *Event) {
 	switch {
-	case e.Kind == Failed:
-		m.failed(e)
-	case e.Kind == Authed && m.state == authing:
-		m.token = true
-		m.start()
-	case e.Kind == Ranged && m.state == ranging:
-		m.ranged(e)
-	case e.Kind == Watching && m.state == opening:
-		if m.moved(e) {
+	case e.Kind == EventFailed:
+		m.handleFailure(e)
+	case e.Kind == EventAuthenticated && m.state == authenticating:
+		m.hasToken = true
+		m.startNextCall()
+	case e.Kind == EventPageRead && m.state == reading:
+		m.handlePage(e)
+	case e.Kind == EventWatchOpened && m.state == openingWatch:
+		if m.resyncIfReplaced(e) {
 			return
 		}
-		m.state, m.since = watching, m.now
-		m.alive()
-		m.do(Do{Kind: DoAlive})
-	case e.Kind == Changed && m.state == watching:
-		if !m.moved(e) {
-			m.changed(e)
+		m.state, m.watchingSince = watching, m.now
+		m.watchAnswered()
+		m.emit(Action{Kind: ActionHeartbeat})
+	case e.Kind == EventChanged && m.state == watching:
+		if !m.resyncIfReplaced(e) {
+			m.handleChange(e)
 		}
-	case e.Kind == Progress && m.state == watching:
-		if m.moved(e) {
+	case e.Kind == EventProgress && m.state == watching:
+		if m.resyncIfReplaced(e) {
 			return
 		}
-		m.alive()
-		if len(m.pending) == 0 && e.Revision > m.rev { // one that lies behind tells nothing
-			m.rev = e.Revision
+		m.watchAnswered()
+		if len(m.fragments) == 0 && e.Revision > m.revision { // one that lies behind tells nothing
+			m.revision = e.Revision
 		}
-		m.do(Do{Kind: DoAlive})
+		m.emit(Action{Kind: ActionHeartbeat})
 	}
 }
 
-// moved tells whether a watch is of another cluster than what is known, or maybe of
+// resyncIfReplaced tells whether a watch is of another cluster than what is known, or maybe of
 // one that was put back from a copy; then all is read once more. A member that lags
 // behind looks like the second, and is told from it by that read: its watch catches
 // up.
-func (m *Machine) moved(e *Event) bool {
+func (m *Machine) resyncIfReplaced(e *Event) bool {
 	other := e.Cluster != 0 && e.Cluster != m.cluster
-	behind := e.Kind == Watching && e.Revision < m.rev // later words of a watch may lie behind
+	behind := e.Kind == EventWatchOpened && e.Revision < m.revision // later words of a watch may lie behind
 	if !behind && !other {
-		m.doubt = m.doubt && e.Kind != Watching
+		m.rollbackSuspected = m.rollbackSuspected && e.Kind != EventWatchOpened
 		return false
 	}
-	if !other && m.doubt {
+	if !other && m.rollbackSuspected {
 		return false
 	}
-	m.doubt = behind
-	m.log("cluster %016x at revision %d answers, %016x was known up to %d: read anew", e.Cluster, e.Revision, m.cluster, m.rev)
-	m.close()
-	m.known = false
-	m.start()
+	m.rollbackSuspected = behind
+	m.logf("cluster %016x at revision %d answers, %016x was known up to %d: read anew", e.Cluster, e.Revision, m.cluster, m.revision)
+	m.cancelCall()
+	m.hasRevision = false
+	m.startNextCall()
 	return true
 }
 
-// ranged takes a page of the whole list.
-func (m *Machine) ranged(e *Event) {
-	if m.at == 0 {
-		m.at = e.Revision
+// handlePage takes a page of the whole list.
+func (m *Machine) handlePage(e *Event) {
+	if m.pagesRevision == 0 {
+		m.pagesRevision = e.Revision
 		switch {
-		case !m.known && m.cluster == 0 && m.gen == 0:
+		case !m.hasRevision && m.cluster == 0 && m.generation == 0:
 			m.cluster = e.Cluster
 		case e.Cluster != m.cluster:
-			m.cluster, m.gen = e.Cluster, 0
-		case e.Revision < m.rev: // a linearizable read does not go back
-			m.gen++
-			m.log("revision %d after %d: put back from a copy, nothing before it counts", e.Revision, m.rev)
+			m.cluster, m.generation = e.Cluster, 0
+		case e.Revision < m.revision: // a linearizable read does not go back
+			m.generation++
+			m.logf("revision %d after %d: put back from a copy, nothing before it counts", e.Revision, m.revision)
 		}
 	} else if e.Cluster != m.cluster { // another one in the middle of it
-		m.retry("another cluster answers")
+		m.retryNextMember("another cluster answers")
 		return
 	}
 	ids := map[string]bool{}
 	for _, kv := range e.KVs {
-		if bad := m.reading.put(kv, ids); bad != nil {
-			m.log("cannot be read: %v", bad)
+		if bad := m.pages.apply(kv, ids); bad != nil {
+			m.logf("cannot be read: %v", bad)
 		}
 	}
 	if e.More && len(e.KVs) > 0 {
-		m.from = e.KVs[len(e.KVs)-1].Key + "\x00"
-		m.page()
+		m.nextKey = e.KVs[len(e.KVs)-1].Key + "\x00"
+		m.readPage()
 		return
 	}
-	m.table, m.rev, m.known, m.reading = m.reading, m.at, true, nil
-	w := &membership.Word{Source: m.set.Source, Epoch: m.epoch(), Revision: m.rev, Whole: true, Anew: m.anew}
-	m.table.all(w)
-	m.do(Do{Kind: DoSay, Word: w})
-	m.wants, m.anew, m.read = m.wants && !m.anew, false, m.now
-	m.start()
+	m.table, m.revision, m.hasRevision, m.pages = m.pages, m.pagesRevision, true, nil
+	w := &membership.Update{Source: m.settings.Source, Epoch: m.epoch(), Revision: m.revision, Complete: true, Resync: m.pagesForResync}
+	m.table.addAllMembers(w)
+	m.emit(Action{Kind: ActionUpdate, Update: w})
+	m.resyncRequested, m.pagesForResync, m.lastReadAt = m.resyncRequested && !m.pagesForResync, false, m.now
+	m.startNextCall()
 }
 
-// changed takes events. What comes in fragments is one word.
-func (m *Machine) changed(e *Event) {
-	m.alive()
-	m.pending = append(m.pending, e.KVs...)
-	m.last = max(m.last, e.Last)
+// handleChange takes events. What comes in fragments is one word.
+func (m *Machine) handleChange(e *Event) {
+	m.watchAnswered()
+	m.fragments = append(m.fragments, e.KVs...)
+	m.fragmentsRevision = max(m.fragmentsRevision, e.LastRevision)
 	if e.Fragment {
 		return
 	}
-	kvs, last := m.pending, m.last
-	m.pending, m.last = nil, 0
-	if last <= m.rev { // told once already
+	kvs, last := m.fragments, m.fragmentsRevision
+	m.fragments, m.fragmentsRevision = nil, 0
+	if last <= m.revision { // told once already
 		return
 	}
 	ids := map[string]bool{}
 	for _, kv := range kvs {
-		if bad := m.table.put(kv, ids); bad != nil {
-			m.log("cannot be read: %v", bad)
+		if bad := m.table.apply(kv, ids); bad != nil {
+			m.logf("cannot be read: %v", bad)
 		}
 	}
-	m.rev, m.fails = last, 0
-	w := &membership.Word{Source: m.set.Source, Epoch: m.epoch(), Revision: m.rev}
-	m.table.members(ids, w)
-	m.do(Do{Kind: DoSay, Word: w})
+	m.revision, m.failures = last, 0
+	w := &membership.Update{Source: m.settings.Source, Epoch: m.epoch(), Revision: m.revision}
+	m.table.addMembers(ids, w)
+	m.emit(Action{Kind: ActionUpdate, Update: w})
 }
 
-// failed: the call is over.
-func (m *Machine) failed(e *Event) {
+// handleFailure: the call is over.
+func (m *Machine) handleFailure(e *Event) {
 	switch {
-	case e.Why == Compacted && (m.state == opening || m.state == watching):
-		m.log("revision %d is no longer kept (%d is): read anew", m.rev+1, e.Revision)
-		m.known = false
-		m.start()
+	case e.Reason == ReasonCompacted && (m.state == openingWatch || m.state == watching):
+		m.logf("revision %d is no longer kept (%d is): read anew", m.revision+1, e.Revision)
+		m.hasRevision = false
+		m.startNextCall()
 		return
-	case e.Why == Compacted: // under a long read
-		m.start()
+	case e.Reason == ReasonCompacted: // under a long read
+		m.startNextCall()
 		return
-	case e.Why == Denied && m.set.Auth:
-		m.token = false
-		m.log("the token is not known any more")
-		if m.fails == 0 {
-			m.fails++
-			m.start()
+	case e.Reason == ReasonUnauthenticated && m.settings.AuthRequired:
+		m.hasToken = false
+		m.logf("the token is not known any more")
+		if m.failures == 0 {
+			m.failures++
+			m.startNextCall()
 			return
 		}
 	}
-	m.retry(e.Why.String() + ": " + e.Text)
+	m.retryNextMember(e.Reason.String() + ": " + e.Detail)
 }
 
-// retry goes to the next member at once, and pauses after each round in vain.
-func (m *Machine) retry(why string) {
-	m.fails++
-	m.log("member %d: %s", m.member, why)
-	m.member = (m.member + 1) % m.set.Members
-	m.reading = nil
-	if m.fails%max(m.set.Members, 2) != 0 {
-		m.start()
+// retryNextMember goes to the next member at once, and pauses after each round in vain.
+func (m *Machine) retryNextMember(why string) {
+	m.failures++
+	m.logf("member %d: %s", m.member, why)
+	m.member = (m.member + 1) % m.settings.Members
+	m.pages = nil
+	if m.failures%max(m.settings.Members, 2) != 0 {
+		m.startNextCall()
 		return
 	}
-	m.state = pausing
-	pause := m.set.PauseLeast << min(m.fails/max(m.set.Members, 2)-1, 16)
-	pause = min(pause, m.set.PauseMost)
-	m.due = m.now + pause/2 + Time(m.rng.Float64()*float64(pause))
+	m.state = backingOff
+	pause := m.settings.MinBackoff << min(m.failures/max(m.settings.Members, 2)-1, 16)
+	pause = min(pause, m.settings.MaxBackoff)
+	m.deadline = m.now + pause/2 + Time(m.rng.Float64()*float64(pause))
 }
 
-// timeout: what the state waits for has not come.
-func (m *Machine) timeout() {
+// handleTimeout: what the state waits for has not come.
+func (m *Machine) handleTimeout() {
 	switch {
-	case m.state == pausing:
-		m.start()
-	case m.state == watching && !m.asked && m.now >= m.read+m.set.Refresh:
-		m.close()
-		m.known = false
-		m.start()
-	case m.state == watching && !m.asked:
-		m.asked, m.due = true, m.now+m.set.Answer
-		m.do(Do{Kind: DoProgress, Call: m.call})
+	case m.state == backingOff:
+		m.startNextCall()
+	case m.state == watching && !m.progressRequested && m.now >= m.lastReadAt+m.settings.ResyncInterval:
+		m.cancelCall()
+		m.hasRevision = false
+		m.startNextCall()
+	case m.state == watching && !m.progressRequested:
+		m.progressRequested, m.deadline = true, m.now+m.settings.ProgressTimeout
+		m.emit(Action{Kind: ActionRequestProgress, Call: m.call})
 	default:
-		m.close()
-		m.retry([...]string{"", "no token in time", "no list in time", "no watch in time", "the watch is silent"}[m.state])
+		m.cancelCall()
+		m.retryNextMember([...]string{"", "no token in time", "no list in time", "no watch in time", "the watch is silent"}[m.state])
 	}
 }
--- a/internal/source/etcd/machine_test.go
+++ b/internal/source/etcd/machine_test.go
@@ -13,45 +13,45 @@
 	standin "troutusher/internal/standin/etcd"
 )
 
-// seeds is how many worlds are drawn; more are for a measurement.
+// worldCount is how many worlds are drawn; more are for a measurement.
 var (
-	seeds     = flag.Uint64("seeds", 1200, "worlds to draw")
-	firstSeed = flag.Uint64("first", 0, "the first of them")
+	worldCount = flag.Uint64("seeds", 1200, "worlds to draw")
+	firstWorld = flag.Uint64("first", 0, "the first of them")
 )
 
-const sec Time = 1e6
-
-// cluster plays an etcd cluster in virtual time, round a machine and a view.
-type cluster struct {
-	t     testing.TB
-	seed  uint64
-	rng   *rand.Rand
-	now   Time
-	due   happenings
-	n     int
-	id    uint64
-	store *standin.Store
-	copy  *standin.Store // a backup
-	place []placeState
-	watch map[uint64]*watcher
-	token int // which is good
-	had   int // which the machine has
-	auth  bool
-
-	m      *Machine
-	v      *membership.View
-	list   map[string]membership.Member
-	trace  strings.Builder
-	quiet  bool            // no more faults
-	drains map[string]Time // since when an endpoint has been marked, with all well
-	slow   []Time          // from a put to the change
-	worst  Time
-	sick   Time // until when no member was well, or the world was put back
-	words  int
-	revs   map[string]int64
-}
-
-type placeState struct {
+const second Time = 1e6
+
+// simulatedCluster plays an etcd cluster in virtual time, round a machine and a view.
+type simulatedCluster struct {
+	t            testing.TB
+	seed         uint64
+	rng          *rand.Rand
+	now          Time
+	timers       timerHeap
+	timerCount   int
+	id           uint64
+	store        *standin.Store
+	backup       *standin.Store // a backup
+	members      []memberState
+	watches      map[uint64]*watcher
+	validToken   int // which is good
+	heldToken    int // which the machine has
+	authRequired bool
+
+	machine        *Machine
+	view           *membership.View
+	published      map[string]membership.Member
+	trace          strings.Builder
+	quiet          bool            // no more faults
+	drains         map[string]Time // since when an endpoint has been marked, with all well
+	drainDelays    []Time          // from a put to the change
+	longestDelay   Time
+	unhealthyUntil Time // until when no member was well, or the world was put back
+	updates        int
+	lastRevisions  map[string]int64
+}
+
+type memberState struct {
 	down   bool
 	silent bool
 	lag    Time
@@ -67,91 +67,93 @@
 	open   bool
 }
 
-type happening struct {
-	at  Time
-	n   int
-	run func()
+type timer struct {
+	at    Time
+	order int
+	run   func()
 }
 
-type happenings []happening
+type timerHeap []timer
 
-func (h happenings) Len() int { return len(h) }
-func (h happenings) Less(i, j int) bool {
-	return h[i].at < h[j].at || h[i].at == h[j].at && h[i].n < h[j].n
+func (h timerHeap) Len() int { return len(h) }
+func (h timerHeap) Less(i, j int) bool {
+	return h[i].at < h[j].at || h[i].at == h[j].at && h[i].order < h[j].order
 }
-func (h happenings) Swap(i, j int) { h[i], h[j] = h[j], h[i] }
-func (h *happenings) Push(x any)   { *h = append(*h, x.(happening)) }
-func (h *happenings) Pop() any {
+func (h timerHeap) Swap(i, j int) { h[i], h[j] = h[j], h[i] }
+func (h *timerHeap) Push(x any)   { *h = append(*h, x.(timer)) }
+func (h *timerHeap) Pop() any {
 	x := (*h)[len(*h)-1]
 	*h = (*h)[:len(*h)-1]
 	return x
 }
 
-func newCluster(t testing.TB, seed uint64) *cluster {
-	c := &cluster{t: t, seed: seed, rng: rand.New(rand.NewPCG(seed, 11)), now: 1000 * sec, id: 77, store: standin.NewStore(),
-		place: make([]placeState, 3), watch: map[uint64]*watcher{}, list: map[string]membership.Member{}, drains: map[string]Time{}, revs: map[string]int64{}}
-	c.auth = c.rng.IntN(3) == 0
-	set := Default("/t", 3)
-	set.Auth, set.Page, set.Refresh = c.auth, int64(1+c.rng.IntN(5)), 20*sec
+func newCluster(t testing.TB, seed uint64) *simulatedCluster {
+	c := &simulatedCluster{t: t, seed: seed, rng: rand.New(rand.NewPCG(seed, 11)), now: 1000 * second, id: 77, store: standin.NewStore(),
+		members: make([]memberState, 3), watches: map[uint64]*watcher{}, published: map[string]membership.Member{}, drains: map[string]Time{}, lastRevisions: map[string]int64{}}
+	c.authRequired = c.rng.IntN(3) == 0
+	set := DefaultSettings("/t", 3)
+	set.AuthRequired, set.PageSize, set.ResyncInterval = c.authRequired, int64(1+c.rng.IntN(5)), 20*second
 	var err error
-	if c.m, err = New(set, seed); err != nil {
+	if c.machine, err = New(set, seed); err != nil {
 		t.Fatal(err)
 	}
-	figures := membership.Default(membership.Source{Name: "etcd", Stale: 10 * sec})
+	figures := membership.DefaultSettings(membership.Source{Name: "etcd", StaleAfter: 10 * second})
 	figures.HoldDown = 0
-	if c.v, err = membership.New(figures); err != nil {
+	if c.view, err = membership.New(figures); err != nil {
 		t.Fatal(err)
 	}
 	return c
 }
 
-func (c *cluster) failf(format string, a ...any) {
+func (c *simulatedCluster) failf(format string, a ...any) {
 	c.t.Helper()
 	text := c.trace.String()
 	c.t.Fatalf("seed %d: "+format+"\n%s", append(append([]any{c.seed}, a...), text[max(0, len(text)-5000):])...)
 }
 
-func (c *cluster) note(format string, a ...any) {
+func (c *simulatedCluster) note(format string, a ...any) {
 	fmt.Fprintf(&c.trace, "%.3f ", float64(c.now)/1e6)
 	fmt.Fprintf(&c.trace, format+"\n", a...)
 }
 
-func (c *cluster) after(d Time, run func()) {
-	c.n++
-	heap.Push(&c.due, happening{c.now + d, c.n, run})
+func (c *simulatedCluster) after(d Time, run func()) {
+	c.timerCount++
+	heap.Push(&c.timers, timer{c.now + d, c.timerCount, run})
 }
 
-func (c *cluster) way() Time { return Time(1e3 + c.rng.IntN(9e3)) }
+func (c *simulatedCluster) networkDelay() Time { return Time(1e3 + c.rng.IntN(9e3)) }
 
-func (c *cluster) well(member int) bool { return !c.place[member].down && !c.place[member].silent }
+func (c *simulatedCluster) healthy(member int) bool {
+	return !c.members[member].down && !c.members[member].silent
+}
 
-// tell has an event reach the machine.
-func (c *cluster) tell(e Event) {
-	c.after(c.way(), func() { c.step(e) })
+// sendEvent has an event reach the machine.
+func (c *simulatedCluster) sendEvent(e Event) {
+	c.after(c.networkDelay(), func() { c.step(e) })
 }
 
-func (c *cluster) step(events ...Event) {
-	c.carry(c.m.Step(c.now, events))
+func (c *simulatedCluster) step(events ...Event) {
+	c.execute(c.machine.Step(c.now, events))
 	for range 3 {
-		for _, x := range c.v.Step(c.now) {
+		for _, x := range c.view.Step(c.now) {
 			if x.Phase == membership.Removed {
-				delete(c.list, x.ID)
+				delete(c.published, x.ID)
 			} else {
-				c.list[x.ID] = x.Member
+				c.published[x.ID] = x.Member
 			}
 			if since, ok := c.drains[x.ID]; ok && x.Phase != membership.Up {
-				if c.slow = append(c.slow, c.now-since); since > c.sick {
-					c.worst = max(c.worst, c.now-since)
+				if c.drainDelays = append(c.drainDelays, c.now-since); since > c.unhealthyUntil {
+					c.longestDelay = max(c.longestDelay, c.now-since)
 				}
-				if c.now-since > 2*sec && since > c.sick {
+				if c.now-since > 2*second && since > c.unhealthyUntil {
 					c.failf("a drain of %s was heard after %d ms", x.ID, (c.now-since)/1000)
 				}
 				delete(c.drains, x.ID)
 			}
 		}
 	}
-	if c.v.Asks(0) {
-		c.carry(c.m.ReadAnew(c.now))
+	if c.view.ResyncRequested(0) {
+		c.execute(c.machine.Resync(c.now))
 	}
 }
 
@@ -162,114 +164,114 @@
 	return out
 }
 
-func (c *cluster) carry(all []Do) {
+func (c *simulatedCluster) execute(all []Action) {
 	for _, d := range all {
 		switch d.Kind {
-		case DoAuth:
-			if c.well(d.Member) {
-				c.had = c.token
-				c.tell(Event{Kind: Authed, Call: d.Call})
-			} else if c.place[d.Member].down {
-				c.tell(Event{Kind: Failed, Call: d.Call, Why: Unavailable})
+		case ActionAuthenticate:
+			if c.healthy(d.Member) {
+				c.heldToken = c.validToken
+				c.sendEvent(Event{Kind: EventAuthenticated, Call: d.Call})
+			} else if c.members[d.Member].down {
+				c.sendEvent(Event{Kind: EventFailed, Call: d.Call, Reason: ReasonUnavailable})
 			}
-		case DoRange:
-			c.after(c.way(), func() { c.ranged(d) })
-		case DoWatch:
-			c.after(c.way(), func() { c.opens(d) })
-		case DoProgress:
-			if w := c.watch[d.Call]; w != nil && !w.silent && c.well(w.member) {
-				c.after(c.way(), func() { c.flush(w); c.progress(w) })
+		case ActionReadPage:
+			c.after(c.networkDelay(), func() { c.readPage(d) })
+		case ActionOpenWatch:
+			c.after(c.networkDelay(), func() { c.openWatch(d) })
+		case ActionRequestProgress:
+			if w := c.watches[d.Call]; w != nil && !w.silent && c.healthy(w.member) {
+				c.after(c.networkDelay(), func() { c.flush(w); c.progress(w) })
 			}
-		case DoClose:
-			delete(c.watch, d.Call)
-		case DoSay:
-			c.words++
-			w := d.Word
-			c.note("say epoch %s revision %d whole %v anew %v: %d", w.Epoch, w.Revision, w.Whole, w.Anew, len(w.Members))
-			if w.Revision < c.revs[w.Epoch] {
-				c.failf("revision %d of epoch %s after %d", w.Revision, w.Epoch, c.revs[w.Epoch])
+		case ActionCancelCall:
+			delete(c.watches, d.Call)
+		case ActionUpdate:
+			c.updates++
+			w := d.Update
+			c.note("say epoch %s revision %d whole %v anew %v: %d", w.Epoch, w.Revision, w.Complete, w.Resync, len(w.Members))
+			if w.Revision < c.lastRevisions[w.Epoch] {
+				c.failf("revision %d of epoch %s after %d", w.Revision, w.Epoch, c.lastRevisions[w.Epoch])
 			}
-			c.revs[w.Epoch] = w.Revision
-			if got := c.v.Take(c.now, w); got == membership.Needed || got == membership.Old && !w.Whole {
+			c.lastRevisions[w.Epoch] = w.Revision
+			if got := c.view.Apply(c.now, w); got == membership.ResyncRequired || got == membership.Outdated && !w.Complete {
 				c.failf("word %+v: %v", *w, got)
 			}
-		case DoAlive:
-			c.v.Heard(c.now, 0)
-		case DoLog:
+		case ActionHeartbeat:
+			c.view.Heartbeat(c.now, 0)
+		case ActionLog:
 			c.note("%s", d.Text)
 		}
 	}
 }
 
 // visible is the revision that a member has by now.
-func (c *cluster) visible(member int) int64 {
-	if c.place[member].lag == 0 {
+func (c *simulatedCluster) visible(member int) int64 {
+	if c.members[member].lag == 0 {
 		return c.store.Revision()
 	}
 	return max(c.store.Revision()-2, 1)
 }
 
-func (c *cluster) denied(call uint64) bool {
-	if c.auth && c.had != c.token {
-		c.tell(Event{Kind: Failed, Call: call, Why: Denied, Text: "invalid auth token"})
+func (c *simulatedCluster) denied(call uint64) bool {
+	if c.authRequired && c.heldToken != c.validToken {
+		c.sendEvent(Event{Kind: EventFailed, Call: call, Reason: ReasonUnauthenticated, Detail: "invalid auth token"})
 		return true
 	}
 	return false
 }
 
-func (c *cluster) ranged(d Do) {
+func (c *simulatedCluster) readPage(d Action) {
 	switch {
-	case c.place[d.Member].down:
-		c.tell(Event{Kind: Failed, Call: d.Call, Why: Unavailable})
+	case c.members[d.Member].down:
+		c.sendEvent(Event{Kind: EventFailed, Call: d.Call, Reason: ReasonUnavailable})
 		return
-	case c.place[d.Member].silent || c.denied(d.Call):
+	case c.members[d.Member].silent || c.denied(d.Call):
 		return
 	}
-	all, count, err := c.store.Range(d.Key, d.End, d.Revision, d.Limit)
+	all, count, err := c.store.Range(d.Key, d.RangeEnd, d.Revision, d.Limit)
 	if err != nil {
-		c.tell(Event{Kind: Failed, Call: d.Call, Why: Compacted, Revision: c.store.Compacted()})
+		c.sendEvent(Event{Kind: EventFailed, Call: d.Call, Reason: ReasonCompacted, Revision: c.store.Compacted()})
 		return
 	}
-	c.tell(Event{Kind: Ranged, Call: d.Call, Cluster: c.id, Revision: c.store.Revision(), KVs: kvs(all), More: count > int64(len(all))})
+	c.sendEvent(Event{Kind: EventPageRead, Call: d.Call, Cluster: c.id, Revision: c.store.Revision(), KVs: kvs(all), More: count > int64(len(all))})
 }
 
-func (c *cluster) opens(d Do) {
+func (c *simulatedCluster) openWatch(d Action) {
 	switch {
-	case c.place[d.Member].down:
-		c.tell(Event{Kind: Failed, Call: d.Call, Why: Unavailable})
+	case c.members[d.Member].down:
+		c.sendEvent(Event{Kind: EventFailed, Call: d.Call, Reason: ReasonUnavailable})
 		return
-	case c.place[d.Member].silent || c.denied(d.Call):
+	case c.members[d.Member].silent || c.denied(d.Call):
 		return
 	}
-	w := &watcher{call: d.Call, member: d.Member, next: d.Revision, key: d.Key, end: d.End}
-	c.watch[d.Call] = w
+	w := &watcher{call: d.Call, member: d.Member, next: d.Revision, key: d.Key, end: d.RangeEnd}
+	c.watches[d.Call] = w
 	// Events of one watch are told in order: they go by one queue.
-	c.tellOn(w, Event{Kind: Watching, Call: d.Call, Cluster: c.id, Revision: c.visible(d.Member)})
+	c.sendOnWatch(w, Event{Kind: EventWatchOpened, Call: d.Call, Cluster: c.id, Revision: c.visible(d.Member)})
 	w.open = true
 	c.flush(w)
 }
 
-// tellOn has an event of a watch reach the machine behind those before it.
-func (c *cluster) tellOn(w *watcher, e Event) {
+// sendOnWatch has an event of a watch reach the machine behind those before it.
+func (c *simulatedCluster) sendOnWatch(w *watcher, e Event) {
 	if w.silent {
 		return
 	}
 	c.after(5e3, func() {
-		if c.watch[w.call] == w && !w.silent {
+		if c.watches[w.call] == w && !w.silent {
 			c.step(e)
 		}
 	})
 }
 
 // flush tells what a watch has not been told.
-func (c *cluster) flush(w *watcher) {
-	if !w.open || w.silent || !c.well(w.member) || c.watch[w.call] != w {
+func (c *simulatedCluster) flush(w *watcher) {
+	if !w.open || w.silent || !c.healthy(w.member) || c.watches[w.call] != w {
 		return
 	}
 	to := c.visible(w.member)
 	all, err := c.store.Since(w.key, w.end, w.next, to)
 	if err != nil {
-		c.tellOn(w, Event{Kind: Failed, Call: w.call, Why: Compacted, Revision: c.store.Compacted()})
+		c.sendOnWatch(w, Event{Kind: EventFailed, Call: w.call, Reason: ReasonCompacted, Revision: c.store.Compacted()})
 		w.open = false
 		return
 	}
@@ -277,46 +279,46 @@
 	if len(all) == 0 {
 		return
 	}
-	e := Event{Kind: Changed, Call: w.call, Cluster: c.id, Revision: to}
+	e := Event{Kind: EventChanged, Call: w.call, Cluster: c.id, Revision: to}
 	for len(all) > 1 && c.rng.IntN(3) == 0 { // in fragments
 		x := e
-		x.KVs, x.Last, x.Fragment = kvs(all[:1]), all[0].Modified, true
+		x.KVs, x.LastRevision, x.Fragment = kvs(all[:1]), all[0].Modified, true
 		all = all[1:]
-		c.tellOn(w, x)
+		c.sendOnWatch(w, x)
 	}
-	e.KVs, e.Last = kvs(all), all[len(all)-1].Modified
-	c.tellOn(w, e)
+	e.KVs, e.LastRevision = kvs(all), all[len(all)-1].Modified
+	c.sendOnWatch(w, e)
 }
 
-func (c *cluster) progress(w *watcher) {
+func (c *simulatedCluster) progress(w *watcher) {
 	rev := w.next - 1
 	if c.rng.IntN(4) == 0 {
 		rev = max(rev-3, 1) // it lies behind
 	}
-	c.tellOn(w, Event{Kind: Progress, Call: w.call, Cluster: c.id, Revision: rev})
+	c.sendOnWatch(w, Event{Kind: EventProgress, Call: w.call, Cluster: c.id, Revision: rev})
 }
 
-// changed has all watches told, each when its member knows.
-func (c *cluster) changed() {
-	for _, w := range c.sorted() {
-		c.after(c.way(), func() { c.flush(w) })
+// flushAll has all watches told, each when its member knows.
+func (c *simulatedCluster) flushAll() {
+	for _, w := range c.openWatches() {
+		c.after(c.networkDelay(), func() { c.flush(w) })
 	}
 }
 
-func (c *cluster) sorted() (all []*watcher) {
-	for call := uint64(0); call <= c.m.call; call++ {
-		if w := c.watch[call]; w != nil {
+func (c *simulatedCluster) openWatches() (all []*watcher) {
+	for call := uint64(0); call <= c.machine.call; call++ {
+		if w := c.watches[call]; w != nil {
 			all = append(all, w)
 		}
 	}
 	return all
 }
 
-func (c *cluster) do(ops ...standin.Op) {
+func (c *simulatedCluster) do(ops ...standin.Op) {
 	if _, err := c.store.Do(ops...); err != nil {
 		c.failf("%v", err)
 	}
-	c.changed()
+	c.flushAll()
 }
 
 func endpointValue(k int, rate float64) string {
@@ -324,43 +326,43 @@
 }
 
 // publish changes something.
-func (c *cluster) publish() {
+func (c *simulatedCluster) publish() {
 	k := c.rng.IntN(8)
 	id := fmt.Sprintf("e%d", k)
 	switch c.rng.IntN(9) {
 	case 0, 1, 2:
 		c.note("publish %s", id)
-		c.do(standin.Op{Key: Key("/t", endpoints, id), Value: endpointValue(k, float64(c.rng.IntN(3)))})
+		c.do(standin.Op{Key: Key("/t", endpointsFolder, id), Value: endpointValue(k, float64(c.rng.IntN(3)))})
 	case 3:
 		c.note("delete %s", id)
-		c.do(standin.Op{Key: Key("/t", endpoints, id), Delete: true})
+		c.do(standin.Op{Key: Key("/t", endpointsFolder, id), Delete: true})
 		delete(c.drains, id)
 	case 4:
 		c.note("drain %s", id)
-		c.do(standin.Op{Key: Key("/t", drains, id), Value: `{"v":1}`})
-		if m, ok := c.list[id]; ok && m.Phase == membership.Up && c.drains[id] == 0 {
+		c.do(standin.Op{Key: Key("/t", drainsFolder, id), Value: `{"v":1}`})
+		if m, ok := c.published[id]; ok && m.Phase == membership.Up && c.drains[id] == 0 {
 			c.drains[id] = c.now
 		}
 	case 5:
 		c.note("undrain %s", id)
-		c.do(standin.Op{Key: Key("/t", drains, id), Delete: true})
+		c.do(standin.Op{Key: Key("/t", drainsFolder, id), Delete: true})
 		delete(c.drains, id)
 	case 6:
-		c.do(standin.Op{Key: Key("/t", partners, fmt.Sprint(c.rng.IntN(3))), Value: fmt.Sprintf(`{"v":1,"rate":%d}`, c.rng.IntN(50))})
+		c.do(standin.Op{Key: Key("/t", partnersFolder, fmt.Sprint(c.rng.IntN(3))), Value: fmt.Sprintf(`{"v":1,"rate":%d}`, c.rng.IntN(50))})
 	case 7:
 		c.note("a value of %s that cannot be read", id)
-		c.do(standin.Op{Key: Key("/t", endpoints, id), Value: `{"v":2}`})
+		c.do(standin.Op{Key: Key("/t", endpointsFolder, id), Value: `{"v":2}`})
 	case 8:
 		c.do(standin.Op{Key: "/other/x", Value: "somebody else's"}, standin.Op{Key: "/t/later/x", Value: "of a layout to come"})
 	}
 }
 
-// fault has something go wrong.
-func (c *cluster) fault() {
+// injectFault has something go wrong.
+func (c *simulatedCluster) injectFault() {
 	i := c.rng.IntN(3)
 	ill := 0
-	for k := range c.place {
-		if !c.well(k) || c.place[k].lag > 0 {
+	for k := range c.members {
+		if !c.healthy(k) || c.members[k].lag > 0 {
 			ill++
 		}
 	}
@@ -368,22 +370,22 @@
 	case 0:
 		if ill < 1 {
 			c.note("member %d is down", i)
-			c.place[i].down = true
-			for _, w := range c.sorted() {
+			c.members[i].down = true
+			for _, w := range c.openWatches() {
 				if w.member == i {
-					c.tellOn(w, Event{Kind: Failed, Call: w.call, Why: Unavailable, Text: "no leader"})
+					c.sendOnWatch(w, Event{Kind: EventFailed, Call: w.call, Reason: ReasonUnavailable, Detail: "no leader"})
 				}
 			}
-			c.after(Time(c.rng.Int64N(3e6)), func() { c.place[i].down = false; c.note("member %d is back", i) })
+			c.after(Time(c.rng.Int64N(3e6)), func() { c.members[i].down = false; c.note("member %d is back", i) })
 		}
 	case 1:
 		if ill < 1 {
 			c.note("member %d is silent", i)
-			c.place[i].silent = true
-			c.after(Time(c.rng.Int64N(4e6)), func() { c.place[i].silent = false })
+			c.members[i].silent = true
+			c.after(Time(c.rng.Int64N(4e6)), func() { c.members[i].silent = false })
 		}
 	case 2:
-		for _, w := range c.sorted() {
+		for _, w := range c.openWatches() {
 			c.note("watch %d is silent", w.call)
 			w.silent = true
 		}
@@ -395,106 +397,106 @@
 			}
 		}
 	case 4:
-		c.copy = c.store.Copy()
+		c.backup = c.store.Copy()
 	case 5:
-		if c.copy != nil && c.rng.IntN(2) == 0 {
-			c.note("put back to %d from %d", c.copy.Revision(), c.store.Revision())
-			c.store, c.copy = c.copy, nil
-			c.sick = c.now + 25*sec // under its old id it may not be told before the next refresh
+		if c.backup != nil && c.rng.IntN(2) == 0 {
+			c.note("put back to %d from %d", c.backup.Revision(), c.store.Revision())
+			c.store, c.backup = c.backup, nil
+			c.unhealthyUntil = c.now + 25*second // under its old id it may not be told before the next refresh
 			if c.rng.IntN(2) == 0 {
 				c.id++
-				c.sick = c.now + 3*sec
+				c.unhealthyUntil = c.now + 3*second
 			}
-			for _, w := range c.sorted() {
-				c.tellOn(w, Event{Kind: Failed, Call: w.call, Why: Unavailable, Text: "gone"})
+			for _, w := range c.openWatches() {
+				c.sendOnWatch(w, Event{Kind: EventFailed, Call: w.call, Reason: ReasonUnavailable, Detail: "gone"})
 				w.open = false
 			}
 			clear(c.drains)
 		}
 	case 6:
-		c.token++
-		if c.auth {
-			for _, w := range c.sorted() {
-				c.tellOn(w, Event{Kind: Failed, Call: w.call, Why: Denied})
+		c.validToken++
+		if c.authRequired {
+			for _, w := range c.openWatches() {
+				c.sendOnWatch(w, Event{Kind: EventFailed, Call: w.call, Reason: ReasonUnauthenticated})
 			}
 		}
 	case 7:
 		if ill < 1 {
 			c.note("member %d lags", i)
-			c.place[i].lag = 1
-			c.after(Time(c.rng.Int64N(500e3)), func() { c.place[i].lag = 0; c.changed() })
+			c.members[i].lag = 1
+			c.after(Time(c.rng.Int64N(500e3)), func() { c.members[i].lag = 0; c.flushAll() })
 		}
 	}
 }
 
 // run has time pass.
-func (c *cluster) run(until Time) {
+func (c *simulatedCluster) run(until Time) {
 	for turns := 0; ; turns++ {
 		if turns > 100000 {
-			c.failf("it turns and turns: next %d, view %d, state %d", c.m.Next()-c.now, c.v.Next()-c.now, c.m.state)
+			c.failf("it turns and turns: next %d, view %d, state %d", c.machine.NextDeadline()-c.now, c.view.NextDeadline()-c.now, c.machine.state)
 		}
-		at := c.m.Next()
-		if n := c.v.Next(); n > 0 && n < at {
+		at := c.machine.NextDeadline()
+		if n := c.view.NextDeadline(); n > 0 && n < at {
 			at = n
 		}
-		if len(c.due) > 0 && c.due[0].at < at {
-			at = c.due[0].at
+		if len(c.timers) > 0 && c.timers[0].at < at {
+			at = c.timers[0].at
 		}
 		if at > until {
 			c.now = until
 			return
 		}
 		c.now = max(c.now, at)
-		if len(c.due) > 0 && c.due[0].at <= c.now {
-			heap.Pop(&c.due).(happening).run()
+		if len(c.timers) > 0 && c.timers[0].at <= c.now {
+			heap.Pop(&c.timers).(timer).run()
 			continue
 		}
 		c.step()
 	}
 }
 
-// truth is what the store holds, as the view should have it.
-func (c *cluster) truth() map[string]membership.Member {
-	all, _, err := c.store.Range("/t/", End("/t/"), 0, 0)
+// expected is what the store holds, as the view should have it.
+func (c *simulatedCluster) expected() map[string]membership.Member {
+	all, _, err := c.store.Range("/t/", RangeEnd("/t/"), 0, 0)
 	if err != nil {
 		c.failf("%v", err)
 	}
-	table := newTable("/t")
+	table := newKeyTable("/t")
 	for _, kv := range kvs(all) {
-		table.put(kv, map[string]bool{})
+		table.apply(kv, map[string]bool{})
 	}
 	want := map[string]membership.Member{}
-	w := &membership.Word{}
-	table.all(w)
+	w := &membership.Update{}
+	table.addAllMembers(w)
 	for _, m := range w.Members {
 		want[m.ID] = m
 	}
 	return want
 }
 
-func (c *cluster) play() {
+func (c *simulatedCluster) play() {
 	c.step()
-	c.run(c.now + sec)
+	c.run(c.now + second)
 	for range 40 {
 		c.run(c.now + Time(c.rng.Int64N(600e3)))
 		if c.publish(); c.rng.IntN(4) == 0 {
-			c.fault()
+			c.injectFault()
 		}
 	}
-	c.run(c.now + 5*sec)
-	for i := range c.place {
-		c.place[i] = placeState{}
+	c.run(c.now + 5*second)
+	for i := range c.members {
+		c.members[i] = memberState{}
 	}
 	for k := range 8 { // what could not be read is written anew
-		if id := fmt.Sprintf("e%d", k); c.list[id].ID != "" || c.rng.IntN(2) == 0 {
-			c.do(standin.Op{Key: Key("/t", endpoints, id), Value: endpointValue(k, 1)})
+		if id := fmt.Sprintf("e%d", k); c.published[id].ID != "" || c.rng.IntN(2) == 0 {
+			c.do(standin.Op{Key: Key("/t", endpointsFolder, id), Value: endpointValue(k, 1)})
 		} else {
-			c.do(standin.Op{Key: Key("/t", endpoints, id), Delete: true})
+			c.do(standin.Op{Key: Key("/t", endpointsFolder, id), Delete: true})
 		}
 	}
-	c.run(c.now + 40*sec)
-	if want := c.truth(); !reflect.DeepEqual(want, c.list) {
-		c.failf("the view is\n%v, and there is\n%v", c.list, want)
+	c.run(c.now + 40*second)
+	if want := c.expected(); !reflect.DeepEqual(want, c.published) {
+		c.failf("the view is\n%v, and there is\n%v", c.published, want)
 	}
 	if len(c.drains) > 0 {
 		c.failf("never heard: %v", c.drains)
@@ -509,14 +511,14 @@
 func TestFollowingACluster(t *testing.T) {
 	var worst Time
 	drains, words := 0, 0
-	for seed := *firstSeed; seed < *firstSeed+*seeds; seed++ {
+	for seed := *firstWorld; seed < *firstWorld+*worldCount; seed++ {
 		c := newCluster(t, seed)
 		c.play()
-		worst = max(worst, c.worst)
-		drains += len(c.slow)
-		words += c.words
+		worst = max(worst, c.longestDelay)
+		drains += len(c.drainDelays)
+		words += c.updates
 	}
-	if drains < int(*seeds) || words < 20*int(*seeds) {
+	if drains < int(*worldCount) || words < 20*int(*worldCount) {
 		t.Errorf("too little was tried: %d drains, %d words", drains, words)
 	}
 	t.Logf("%d drains, the slowest heard after %d ms; %d words", drains, worst/1000, words)
@@ -525,9 +527,9 @@
 func TestSettings(t *testing.T) {
 	for _, f := range []func(*Settings){
 		func(s *Settings) { s.Prefix = "t" }, func(s *Settings) { s.Prefix = "//" }, func(s *Settings) { s.Members = 0 },
-		func(s *Settings) { s.Quiet = 0 }, func(s *Settings) { s.Reading = 0 }, func(s *Settings) { s.PauseMost = 1 }, func(s *Settings) { s.Page = -1 },
+		func(s *Settings) { s.SilenceTimeout = 0 }, func(s *Settings) { s.ReadTimeout = 0 }, func(s *Settings) { s.MaxBackoff = 1 }, func(s *Settings) { s.PageSize = -1 },
 	} {
-		s := Default("/t", 1)
+		s := DefaultSettings("/t", 1)
 		if f(&s); s.Check() == nil {
 			t.Errorf("%+v: no error", s)
 		}
@@ -558,12 +560,12 @@
 		`null`: false,
 		`{"v":1,"host_port":"10.0.0.1:80","dest":3,"locality":"` + strings.Repeat("x", 300): false,
 	} {
-		if _, err := ReadEndpoint([]byte(text)); (err == nil) != ok {
+		if _, err := DecodeEndpoint([]byte(text)); (err == nil) != ok {
 			t.Errorf("%s: %v", text, err)
 		}
 	}
 	for prefix, want := range map[string]string{"/t/": "/t0", "a\xff": "b", "\xff": "\x00"} {
-		if got := End(prefix); got != want {
+		if got := RangeEnd(prefix); got != want {
 			t.Errorf("End(%q) = %q", prefix, got)
 		}
 	}
@@ -575,14 +577,14 @@
 	f.Add("/t/endpoints/a", endpointValue(1, 2), "/t/partners/1", `{"v":1,"rate":3}`)
 	f.Add("/t/drains/a", "", "/t/endpoints/a/b", "x")
 	f.Fuzz(func(t *testing.T, k1, v1, k2, v2 string) {
-		table := newTable("/t")
+		table := newKeyTable("/t")
 		for _, kv := range []KV{{k1, v1, false}, {k2, v2, false}, {k1, v2, false}, {k2, "", true}} {
 			ids := map[string]bool{}
-			table.put(kv, ids)
-			table.members(ids, &membership.Word{})
+			table.apply(kv, ids)
+			table.addMembers(ids, &membership.Update{})
 		}
-		w := &membership.Word{}
-		table.all(w)
+		w := &membership.Update{}
+		table.addAllMembers(w)
 		for _, m := range w.Members {
 			if m.HostPort == "" || m.ID == "" || m.Phase != membership.Up && m.Phase != membership.Draining {
 				t.Fatalf("listed: %+v", m)
@@ -591,34 +593,34 @@
 	})
 }
 
-// script tells a machine one thing after another.
-type script struct {
-	t   *testing.T
-	m   *Machine
-	now Time
+// scriptedMachine tells a machine one thing after another.
+type scriptedMachine struct {
+	t       *testing.T
+	machine *Machine
+	now     Time
 }
 
-func newScript(t *testing.T, members int) *script {
-	m, err := New(Default("/t", members), 1)
+func newScriptedMachine(t *testing.T, members int) *scriptedMachine {
+	m, err := New(DefaultSettings("/t", members), 1)
 	if err != nil {
 		t.Fatal(err)
 	}
-	return &script{t, m, 1000 * sec}
+	return &scriptedMachine{t, m, 1000 * second}
 }
 
-// then has something happen to the call that is out, and gives what follows of some
+// step has something happen to the call that is out, and gives what follows of some
 // kinds.
-func (s *script) then(e Event, kinds ...DoKind) (found []Do) {
+func (s *scriptedMachine) step(e Event, kinds ...ActionKind) (found []Action) {
 	s.t.Helper()
 	var events []Event
 	if e.Kind != 0 {
 		if e.Call == 0 {
-			e.Call = s.m.call
+			e.Call = s.machine.call
 		}
 		events = append(events, e)
 	}
 	s.now += 1000
-	for _, d := range s.m.Step(s.now, events) {
+	for _, d := range s.machine.Step(s.now, events) {
 		for _, k := range kinds {
 			if d.Kind == k {
 				found = append(found, d)
@@ -631,77 +633,79 @@
 	return found
 }
 
-func pair(id string, k int) KV { return KV{Key: Key("/t", endpoints, id), Value: endpointValue(k, 0)} }
+func endpointKV(id string, k int) KV {
+	return KV{Key: Key("/t", endpointsFolder, id), Value: endpointValue(k, 0)}
+}
 
-// begun is a machine that watches cluster 7 from revision 11 on.
-func begun(t *testing.T, members int) *script {
-	s := newScript(t, members)
-	s.then(Event{}, DoRange)
-	s.then(Event{Kind: Ranged, Cluster: 7, Revision: 10, KVs: []KV{pair("a", 1), pair("b", 2)}}, DoSay, DoWatch)
-	s.then(Event{Kind: Watching, Cluster: 7, Revision: 10}, DoAlive)
+// watchingMachine is a machine that watches cluster 7 from revision 11 on.
+func watchingMachine(t *testing.T, members int) *scriptedMachine {
+	s := newScriptedMachine(t, members)
+	s.step(Event{}, ActionReadPage)
+	s.step(Event{Kind: EventPageRead, Cluster: 7, Revision: 10, KVs: []KV{endpointKV("a", 1), endpointKV("b", 2)}}, ActionUpdate, ActionOpenWatch)
+	s.step(Event{Kind: EventWatchOpened, Cluster: 7, Revision: 10}, ActionHeartbeat)
 	return s
 }
 
 // A watch that is of another cluster, or behind what is known, has all read once
 // more; one that lags is let be after that, and one that was put back has a new
 // epoch.
-func TestAnotherCluster(t *testing.T) {
-	s := begun(t, 1)
-	s.then(Event{Kind: Changed, Cluster: 8, Revision: 11, Last: 11, KVs: []KV{pair("c", 3)}}, DoClose, DoRange)
-	if w := s.then(Event{Kind: Ranged, Cluster: 8, Revision: 40, KVs: []KV{pair("c", 3)}}, DoSay)[0].Word; w.Epoch != "0000000000000008.0" || !w.Whole || w.Anew {
+func TestReplacedCluster(t *testing.T) {
+	s := watchingMachine(t, 1)
+	s.step(Event{Kind: EventChanged, Cluster: 8, Revision: 11, LastRevision: 11, KVs: []KV{endpointKV("c", 3)}}, ActionCancelCall, ActionReadPage)
+	if w := s.step(Event{Kind: EventPageRead, Cluster: 8, Revision: 40, KVs: []KV{endpointKV("c", 3)}}, ActionUpdate)[0].Update; w.Epoch != "0000000000000008.0" || !w.Complete || w.Resync {
 		t.Errorf("%+v", *w)
 	}
 
-	s = begun(t, 1)
-	s.then(Event{Kind: Failed, Why: Unavailable}, DoWatch)
-	s.then(Event{Kind: Watching, Cluster: 7, Revision: 6}, DoClose, DoRange)
-	s.then(Event{Kind: Ranged, Cluster: 7, Revision: 10}, DoSay, DoWatch) // it lags
-	s.then(Event{Kind: Watching, Cluster: 7, Revision: 6}, DoAlive)
+	s = watchingMachine(t, 1)
+	s.step(Event{Kind: EventFailed, Reason: ReasonUnavailable}, ActionOpenWatch)
+	s.step(Event{Kind: EventWatchOpened, Cluster: 7, Revision: 6}, ActionCancelCall, ActionReadPage)
+	s.step(Event{Kind: EventPageRead, Cluster: 7, Revision: 10}, ActionUpdate, ActionOpenWatch) // it lags
+	s.step(Event{Kind: EventWatchOpened, Cluster: 7, Revision: 6}, ActionHeartbeat)
 
-	s = begun(t, 1)
-	s.then(Event{Kind: Failed, Why: Unavailable}, DoWatch)
-	s.then(Event{Kind: Watching, Cluster: 7, Revision: 6}, DoClose, DoRange)
-	if w := s.then(Event{Kind: Ranged, Cluster: 7, Revision: 6}, DoSay)[0].Word; w.Epoch != "0000000000000007.1" || w.Revision != 6 {
+	s = watchingMachine(t, 1)
+	s.step(Event{Kind: EventFailed, Reason: ReasonUnavailable}, ActionOpenWatch)
+	s.step(Event{Kind: EventWatchOpened, Cluster: 7, Revision: 6}, ActionCancelCall, ActionReadPage)
+	if w := s.step(Event{Kind: EventPageRead, Cluster: 7, Revision: 6}, ActionUpdate)[0].Update; w.Epoch != "0000000000000007.1" || w.Revision != 6 {
 		t.Errorf("%+v", *w)
 	}
 }
 
 // A partner's rate is told for each of its endpoints that has none of its own; what
 // comes of a call that is over counts for nothing; keys between two pages are read.
-func TestRatesLateWordsAndPages(t *testing.T) {
-	s := begun(t, 1)
-	w := s.then(Event{Kind: Changed, Cluster: 7, Revision: 11, Last: 11, KVs: []KV{{Key: Key("/t", partners, "1"), Value: `{"v":1,"rate":5}`}}}, DoSay)[0].Word
-	if len(w.Members) != 1 || w.Members[0].ID != "a" || w.Members[0].Size != 5 {
+func TestRatesStaleEventsAndPages(t *testing.T) {
+	s := watchingMachine(t, 1)
+	w := s.step(Event{Kind: EventChanged, Cluster: 7, Revision: 11, LastRevision: 11, KVs: []KV{{Key: Key("/t", partnersFolder, "1"), Value: `{"v":1,"rate":5}`}}}, ActionUpdate)[0].Update
+	if len(w.Members) != 1 || w.Members[0].ID != "a" || w.Members[0].Rate != 5 {
 		t.Errorf("%+v", *w)
 	}
-	old := s.m.call
-	s.then(Event{Kind: Failed, Why: Unavailable}, DoWatch)
-	s.then(Event{Kind: Watching, Cluster: 7, Revision: 11}, DoAlive)
-	if got := s.m.Step(s.now, []Event{{Kind: Changed, Call: old, Cluster: 7, Revision: 12, Last: 12, KVs: []KV{pair("x", 1)}}}); len(got) > 0 {
+	old := s.machine.call
+	s.step(Event{Kind: EventFailed, Reason: ReasonUnavailable}, ActionOpenWatch)
+	s.step(Event{Kind: EventWatchOpened, Cluster: 7, Revision: 11}, ActionHeartbeat)
+	if got := s.machine.Step(s.now, []Event{{Kind: EventChanged, Call: old, Cluster: 7, Revision: 12, LastRevision: 12, KVs: []KV{endpointKV("x", 1)}}}); len(got) > 0 {
 		t.Errorf("of a call that is over: %+v", got)
 	}
-	s = newScript(t, 1)
-	s.then(Event{}, DoRange)
-	next := s.then(Event{Kind: Ranged, Cluster: 7, Revision: 10, KVs: []KV{pair("a", 1)}, More: true}, DoRange)[0]
-	if next.Key <= Key("/t", endpoints, "a") || next.Key > Key("/t", endpoints, "a!") || next.Revision != 10 {
+	s = newScriptedMachine(t, 1)
+	s.step(Event{}, ActionReadPage)
+	next := s.step(Event{Kind: EventPageRead, Cluster: 7, Revision: 10, KVs: []KV{endpointKV("a", 1)}, More: true}, ActionReadPage)[0]
+	if next.Key <= Key("/t", endpointsFolder, "a") || next.Key > Key("/t", endpointsFolder, "a!") || next.Revision != 10 {
 		t.Errorf("the next page is %+v", next)
 	}
 }
 
 // A watch that ends as it begins, again and again, is paused for, longer each time.
-func TestWatchesThatEndAtOnce(t *testing.T) {
-	s := begun(t, 2)
+func TestShortWatchesBackOff(t *testing.T) {
+	s := watchingMachine(t, 2)
 	var pauses []Time
 	for range 60 {
-		s.then(Event{Kind: Failed, Why: Unavailable})
-		if s.m.state == pausing {
-			pauses = append(pauses, s.m.Next()-s.now)
-			s.now = s.m.Next()
-			s.then(Event{})
+		s.step(Event{Kind: EventFailed, Reason: ReasonUnavailable})
+		if s.machine.state == backingOff {
+			pauses = append(pauses, s.machine.NextDeadline()-s.now)
+			s.now = s.machine.NextDeadline()
+			s.step(Event{})
 		}
-		s.then(Event{Kind: Watching, Cluster: 7, Revision: 10})
+		s.step(Event{Kind: EventWatchOpened, Cluster: 7, Revision: 10})
 	}
-	if len(pauses) < 20 || pauses[len(pauses)-1] < s.m.set.PauseMost/2-1000 || pauses[0] > 2*s.m.set.PauseLeast {
+	if len(pauses) < 20 || pauses[len(pauses)-1] < s.machine.settings.MaxBackoff/2-1000 || pauses[0] > 2*s.machine.settings.MinBackoff {
 		t.Errorf("%d pauses: %v", len(pauses), pauses)
 	}
 }
--- a/internal/source/etcd/publish/publish_test.go
+++ b/internal/source/etcd/publish/publish_test.go
@@ -15,21 +15,21 @@
 	standin "troutusher/internal/standin/etcd"
 )
 
-// meddling lets somebody else change something between what is read and what is
+// interferingKV lets somebody else change something between what is read and what is
 // written.
-type meddling struct {
+type interferingKV struct {
 	etcdserverpb.KVClient
 	before func()
 }
 
-func (m *meddling) Txn(ctx context.Context, r *etcdserverpb.TxnRequest, o ...grpc.CallOption) (*etcdserverpb.TxnResponse, error) {
+func (m *interferingKV) Txn(ctx context.Context, r *etcdserverpb.TxnRequest, o ...grpc.CallOption) (*etcdserverpb.TxnResponse, error) {
 	if m.before != nil {
 		m.before()
 	}
 	return m.KVClient.Txn(ctx, r, o...)
 }
 
-func start(t *testing.T) (*standin.Cluster, *Prefix, *meddling, context.Context) {
+func startCluster(t *testing.T) (*standin.Cluster, *Publisher, *interferingKV, context.Context) {
 	t.Helper()
 	c, err := standin.NewCluster(1)
 	if err != nil {
@@ -39,16 +39,16 @@
 	c.Auth("ops", "secret")
 	ctx, cancel := context.WithTimeout(t.Context(), 20*time.Second)
 	t.Cleanup(cancel)
-	conn, ctx, err := follow.Dial(ctx, follow.Options{Settings: etcd.Default("/t", 1), Endpoints: c.Addrs(), User: "ops", Password: "secret"})
+	conn, ctx, err := follow.Dial(ctx, follow.Options{Settings: etcd.DefaultSettings("/t", 1), Endpoints: c.Addrs(), User: "ops", Password: "secret"})
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { conn.Close() })
-	m := &meddling{KVClient: etcdserverpb.NewKVClient(conn)}
-	return c, &Prefix{KV: m, Path: "/t"}, m, ctx
+	m := &interferingKV{KVClient: etcdserverpb.NewKVClient(conn)}
+	return c, &Publisher{KV: m, Prefix: "/t"}, m, ctx
 }
 
-func list(n int) *List {
+func exampleList(n int) *List {
 	l := &List{Endpoints: map[string]etcd.Endpoint{}, Partners: map[string]etcd.Partner{"1": {Rate: 40}}}
 	for k := range n {
 		l.Endpoints[fmt.Sprint("e", k)] = etcd.Endpoint{HostPort: fmt.Sprintf("127.0.0.1:%d", 7000+k), Dest: k % 3}
@@ -57,18 +57,18 @@
 }
 
 func TestPublish(t *testing.T) {
-	_, p, _, ctx := start(t)
-	d, err := p.Publish(ctx, list(250), false)
+	_, p, _, ctx := startCluster(t)
+	d, err := p.Publish(ctx, exampleList(250), false)
 	if err != nil || len(d.Put) != 251 || len(d.Deleted) != 0 {
 		t.Fatalf("%v: %+v", err, d)
 	}
-	if d, err = p.Publish(ctx, list(250), false); err != nil || d.Revision != 0 || len(d.Put) > 0 {
+	if d, err = p.Publish(ctx, exampleList(250), false); err != nil || d.Revision != 0 || len(d.Put) > 0 {
 		t.Errorf("said again: %v, %+v", err, d)
 	}
-	if _, err = p.Publish(ctx, list(100), false); !errors.Is(err, ErrMany) {
+	if _, err = p.Publish(ctx, exampleList(100), false); !errors.Is(err, ErrTooManyRemovals) {
 		t.Errorf("most of it taken away: %v", err)
 	}
-	if d, err = p.Publish(ctx, list(100), true); err != nil || len(d.Deleted) != 150 {
+	if d, err = p.Publish(ctx, exampleList(100), true); err != nil || len(d.Deleted) != 150 {
 		t.Errorf("with a word of its own: %v, %+v", err, d)
 	}
 	if d, err = p.Drain(ctx, false, "e1", "e2", "e1"); err != nil || len(d.Put) != 2 {
@@ -81,7 +81,7 @@
 		t.Errorf("undrained: %v, %+v", err, d)
 	}
 	lines, err := p.Show(ctx)
-	if err != nil || len(lines) != 100 || !lines[1].Drains || lines[2].Drains || lines[1].Text() != fmt.Sprintf("e1\t127.0.0.1:7001\t1\tup, drained\t%d", lines[1].Revision) {
+	if err != nil || len(lines) != 100 || !lines[1].Draining || lines[2].Draining || lines[1].Text() != fmt.Sprintf("e1\t127.0.0.1:7001\t1\tup, drained\t%d", lines[1].Revision) {
 		t.Errorf("%v: %+v", err, lines[:3])
 	}
 	if d, err = p.Remove(ctx, "e1"); err != nil || len(d.Deleted) != 2 {
@@ -102,9 +102,9 @@
 
 // Two operators at once: the second one's change is not made where the first one has
 // changed what it was to replace.
-func TestTwoOperators(t *testing.T) {
-	c, p, m, ctx := start(t)
-	if _, err := p.Publish(ctx, list(4), false); err != nil {
+func TestConcurrentOperators(t *testing.T) {
+	c, p, m, ctx := startCluster(t)
+	if _, err := p.Publish(ctx, exampleList(4), false); err != nil {
 		t.Fatal(err)
 	}
 	other := func(op standin.Op) func() {
@@ -117,25 +117,25 @@
 	}
 	key := etcd.Key("/t", "drains", "e1")
 	m.before = other(standin.Op{Key: key, Value: `{"v":1}`})
-	if _, err := p.Drain(ctx, false, "e1", "e2"); !errors.Is(err, ErrChanged) {
+	if _, err := p.Drain(ctx, false, "e1", "e2"); !errors.Is(err, ErrConflict) {
 		t.Errorf("drained by another one: %v", err)
 	}
 	m.before = other(standin.Op{Key: key, Value: `{"v":1}`})
-	if _, err := p.Drain(ctx, true, "e1"); !errors.Is(err, ErrChanged) {
+	if _, err := p.Drain(ctx, true, "e1"); !errors.Is(err, ErrConflict) {
 		t.Errorf("a drain that was said anew is undone: %v", err)
 	}
 	m.before = other(standin.Op{Key: etcd.Key("/t", "endpoints", "e3"), Value: `{"v":1,"host_port":"127.0.0.1:9","dest":2}`})
-	if _, err := p.Remove(ctx, "e3"); !errors.Is(err, ErrChanged) {
+	if _, err := p.Remove(ctx, "e3"); !errors.Is(err, ErrConflict) {
 		t.Errorf("one that was published anew is removed: %v", err)
 	}
 	m.before = other(standin.Op{Key: etcd.Key("/t", "endpoints", "e9"), Value: `{"v":1,"host_port":"127.0.0.1:9","dest":2}`})
-	l := list(4)
+	l := exampleList(4)
 	l.Endpoints["e9"] = etcd.Endpoint{HostPort: "127.0.0.1:10", Dest: 1}
-	if _, err := p.Publish(ctx, l, false); !errors.Is(err, ErrChanged) {
+	if _, err := p.Publish(ctx, l, false); !errors.Is(err, ErrConflict) {
 		t.Errorf("one that another has published: %v", err)
 	}
 	lines, err := p.Show(ctx)
-	if err != nil || len(lines) != 5 || !lines[1].Drains || lines[2].Drains || lines[3].Endpoint.HostPort != "127.0.0.1:9" || lines[4].Endpoint.HostPort != "127.0.0.1:9" {
+	if err != nil || len(lines) != 5 || !lines[1].Draining || lines[2].Draining || lines[3].Endpoint.HostPort != "127.0.0.1:9" || lines[4].Endpoint.HostPort != "127.0.0.1:9" {
 		t.Errorf("%v: %+v", err, lines)
 	}
 }
--- a/internal/source/registry/registry_test.go
+++ b/internal/source/registry/registry_test.go
@@ -7,40 +7,40 @@
 	"time"
 )
 
-// queue is a registry that serves so many calls a second, turns a call away
+// registryModel is a registry that serves so many calls a second, turns a call away
 // where its answer would come more than 2 s late, and works for that as well.
-type queue struct {
-	rate    float64
-	free    time.Duration // when it has done all that it has begun
-	refused int
-	served  int
+type registryModel struct {
+	callsPerSecond float64
+	idleAt         time.Duration // when it has done all that it has begun
+	rejected       int
+	served         int
 }
 
-func (q *queue) call(now time.Duration) (End, time.Duration) {
-	q.free = max(q.free, now) + time.Duration(float64(time.Second)/q.rate)
-	if q.free-now > 2*time.Second {
-		q.refused++
-		return Refused, 0
+func (q *registryModel) call(now time.Duration) (Outcome, time.Duration) {
+	q.idleAt = max(q.idleAt, now) + time.Duration(float64(time.Second)/q.callsPerSecond)
+	if q.idleAt-now > 2*time.Second {
+		q.rejected++
+		return Rejected, 0
 	}
 	q.served++
-	return Served, q.free - now
+	return Served, q.idleAt - now
 }
 
-// fleet lets the watches of n relays break at moment 0 and plays until each has
+// playFleet lets the watches of n relays break at moment 0 and plays until each has
 // one again, or the time is up. It returns when the last one had, and when half
 // of them had.
-func fleet(n int, rate float64, seed uint64, most time.Duration, reach func(f *Follower) time.Duration) (last, half time.Duration, q *queue) {
-	q = &queue{rate: rate}
-	fs, at, call := make([]*Follower, n), make([]time.Duration, n), make([]Call, n)
+func playFleet(n int, rate float64, seed uint64, most time.Duration, reach func(f *Scheduler) time.Duration) (last, half time.Duration, q *registryModel) {
+	q = &registryModel{callsPerSecond: rate}
+	fs, at, call := make([]*Scheduler, n), make([]time.Duration, n), make([]Call, n)
 	var done []time.Duration
 	for i := range fs {
 		fs[i] = New(n, seed*1000+uint64(i))
-		fs[i].Know(4)
-		c := fs[i].Next()
-		fs[i].Take(4, false)
-		fs[i].Ended(c, Served, time.Hour)
-		call[i] = fs[i].Next()
-		if at[i] = call[i].After; reach != nil {
+		fs[i].SetRevision(4)
+		c := fs[i].NextCall()
+		fs[i].Judge(4, false)
+		fs[i].CallEnded(c, Served, time.Hour)
+		call[i] = fs[i].NextCall()
+		if at[i] = call[i].Delay; reach != nil {
 			at[i] = reach(fs[i])
 		}
 	}
@@ -56,14 +56,14 @@
 			break
 		}
 		end, took := q.call(now)
-		if end == Served && took <= call[i].Patience {
+		if end == Served && took <= call[i].Timeout {
 			done = append(done, now+took)
 			at[i] = time.Hour
 			continue
 		}
-		fs[i].Ended(call[i], end, took)
-		call[i] = fs[i].Next()
-		if at[i] = now + took + call[i].After; reach != nil {
+		fs[i].CallEnded(call[i], end, took)
+		call[i] = fs[i].NextCall()
+		if at[i] = now + took + call[i].Delay; reach != nil {
 			at[i] = now + took + reach(fs[i])
 		}
 	}
@@ -86,123 +86,123 @@
 			}
 			worst, worstHalf, calls := time.Duration(0), time.Duration(0), 0
 			for seed := range uint64(10) {
-				last, half, q := fleet(n, float64(n)/all, seed, time.Minute, nil)
-				worst, worstHalf, calls = max(worst, last), max(worstHalf, half), max(calls, q.served+q.refused)
+				last, half, q := playFleet(n, float64(n)/all, seed, time.Minute, nil)
+				worst, worstHalf, calls = max(worst, last), max(worstHalf, half), max(calls, q.served+q.rejected)
 			}
 			if worst > 25*time.Second || worstHalf > 12*time.Second || calls > 2*n+20 {
 				t.Errorf("%d relays, %g s: last %v, half %v, %d calls", n, all, worst, worstHalf, calls)
 			}
 		}
 	}
-	_, half, q := fleet(80, 80.0/8, 1, 30*time.Second, func(*Follower) time.Duration { return 200 * time.Millisecond })
-	if half < 30*time.Second || q.refused < 2000 {
-		t.Errorf("in step: half served after %v, %d refused; the model can't tell", half, q.refused)
+	_, half, q := playFleet(80, 80.0/8, 1, 30*time.Second, func(*Scheduler) time.Duration { return 200 * time.Millisecond })
+	if half < 30*time.Second || q.rejected < 2000 {
+		t.Errorf("in step: half served after %v, %d refused; the model can't tell", half, q.rejected)
 	}
 }
 
 // Few relays ask again nearly at once: nothing is gained by waiting.
-func TestFewAskSoon(t *testing.T) {
-	for n, most := range map[int]time.Duration{0: 200 * time.Millisecond, 1: 200 * time.Millisecond, 3: 400 * time.Millisecond, 1 << 40: spanMost + pause} {
+func TestSmallFleetPollsSoon(t *testing.T) {
+	for n, most := range map[int]time.Duration{0: 200 * time.Millisecond, 1: 200 * time.Millisecond, 3: 400 * time.Millisecond, 1 << 40: maxBaseSpread + minDelay} {
 		f := New(n, 7)
-		f.Know(1)
+		f.SetRevision(1)
 		for range 200 {
-			c := f.Next()
-			if c.After > most {
-				t.Fatalf("%d relays: %v", n, c.After)
+			c := f.NextCall()
+			if c.Delay > most {
+				t.Fatalf("%d relays: %v", n, c.Delay)
 			}
-			f.Take(1, false)
-			f.Ended(c, Served, time.Minute)
+			f.Judge(1, false)
+			f.CallEnded(c, Served, time.Minute)
 		}
 	}
 }
 
 // The first call is made at once. What is known is asked for by its version;
 // what cannot be read, or builds on nothing, makes the whole list be had.
-func TestWhatIsAsked(t *testing.T) {
+func TestNextCall(t *testing.T) {
 	f := New(80, 1)
-	if c := f.Next(); !c.Whole || c.After != 0 {
+	if c := f.NextCall(); !c.Complete || c.Delay != 0 {
 		t.Fatalf("first %+v", c)
-	} else if f.Take(7, true) != Believe {
+	} else if f.Judge(7, true) != Accept {
 		t.Fatal("a first list is not believed")
 	} else {
-		f.Ended(c, Served, 0)
+		f.CallEnded(c, Served, 0)
 	}
-	c := f.Next()
-	if c.Whole || c.From != 7 || c.After != 0 {
+	c := f.NextCall()
+	if c.Complete || c.FromRevision != 7 || c.Delay != 0 {
 		t.Fatalf("the watch does not follow its list at once: %+v", c)
 	}
-	f.Ended(c, Refused, 0)
-	if c = f.Next(); c.Whole || c.From != 7 || c.After < pause || c.Patience != late {
+	f.CallEnded(c, Rejected, 0)
+	if c = f.NextCall(); c.Complete || c.FromRevision != 7 || c.Delay < minDelay || c.Timeout != longTimeout {
 		t.Fatalf("a refusal forgets the version, or its pause: %+v", c)
 	}
-	f.Ended(c, Garbled, 0)
-	if c = f.Next(); !c.Whole {
+	f.CallEnded(c, Malformed, 0)
+	if c = f.NextCall(); !c.Complete {
 		t.Fatalf("after what cannot be read: %+v", c)
 	}
-	f.Take(8, true)
-	f.Ended(c, Served, 0)
-	f.Move()
-	if c = f.Next(); !c.Whole || c.After != 0 {
+	f.Judge(8, true)
+	f.CallEnded(c, Served, 0)
+	f.ChangeAddress()
+	if c = f.NextCall(); !c.Complete || c.Delay != 0 {
 		t.Fatalf("at another address: %+v", c)
 	}
 	g := New(80, 1)
-	g.Know(41)
-	if c = g.Next(); c.Whole || c.From != 41 || c.After != 0 {
+	g.SetRevision(41)
+	if c = g.NextCall(); c.Complete || c.FromRevision != 41 || c.Delay != 0 {
 		t.Fatalf("with a list from before: %+v", c)
 	}
-	g.Ended(c, Foreign, 0)
-	if c = g.Next(); !c.Whole {
+	g.CallEnded(c, RevisionUnknown, 0)
+	if c = g.NextCall(); !c.Complete {
 		t.Fatalf("its version is not known there: %+v", c)
 	}
 }
 
 // Against any order of lists: what is believed never grows older, but for a
 // registry that says the same thrice; changes are never believed on nothing.
-func TestVersions(t *testing.T) {
+func TestJudgeRevisions(t *testing.T) {
 	for seed := range uint64(2000) {
 		rng := rand.New(rand.NewPCG(seed, 1))
 		f := New(80, seed)
 		at, known, older := int64(-1), false, 0
 		if rng.IntN(2) == 0 {
-			f.Know(5)
+			f.SetRevision(5)
 			known = true
 		}
 		for range 30 {
 			rev, whole := rng.Int64N(10), rng.IntN(3) == 0
-			v := f.Take(rev, whole)
+			v := f.Judge(rev, whole)
 			switch {
 			case whole && rev < at:
-				if older++; (v == Believe) != (older >= oldMost) {
+				if older++; (v == Accept) != (older >= maxOlderLists) {
 					t.Fatalf("seed %d: older for the %d. time: %d", seed, older, v)
 				}
 			case whole:
-				if v != Believe {
+				if v != Accept {
 					t.Fatalf("seed %d: whole list %d after %d: %d", seed, rev, at, v)
 				}
-			case v == Believe && (!known || rev < at):
+			case v == Accept && (!known || rev < at):
 				t.Fatalf("seed %d: changes up to %d believed after %d, known %v", seed, rev, at, known)
-			case v == Ask:
+			case v == Resync:
 				known = false
 			}
-			if v == Believe {
+			if v == Accept {
 				at, known, older = rev, true, 0
 			}
-			if f.Known() != known {
-				t.Fatalf("seed %d: known %v, want %v", seed, f.Known(), known)
+			if f.HasRevision() != known {
+				t.Fatalf("seed %d: known %v, want %v", seed, f.HasRevision(), known)
 			}
 		}
 	}
 }
 
 // A watch that breaks as soon as it stands is as bad as none: calls back off.
-func TestWatchThatBreaksAtOnce(t *testing.T) {
+func TestShortWatchesBackOff(t *testing.T) {
 	f, now, calls := New(80, 3), time.Duration(0), 0
-	f.Know(1)
+	f.SetRevision(1)
 	for ; now < time.Minute; calls++ {
-		c := f.Next()
-		now += c.After + time.Millisecond
-		f.Take(1, false)
-		f.Ended(c, Served, time.Millisecond)
+		c := f.NextCall()
+		now += c.Delay + time.Millisecond
+		f.Judge(1, false)
+		f.CallEnded(c, Served, time.Millisecond)
 	}
 	if calls > 14 {
 		t.Errorf("%d calls in a minute", calls)
@@ -217,23 +217,23 @@
 		worst := time.Duration(0)
 		for seed := range uint64(300) {
 			f := New(n, seed)
-			f.Know(1)
+			f.SetRevision(1)
 			if seed%3 == 1 {
-				f.Ended(f.Next(), Refused, 0)
+				f.CallEnded(f.NextCall(), Rejected, 0)
 			}
 			for range 1 + seed%5 { // again and again, each sooner than the span
-				c := f.Next()
-				f.Take(1, false)
-				f.Ended(c, Silent, Silence)
-				next := f.Next()
-				worst = max(worst, Silence+next.After+next.Patience)
-				if next.Whole || next.From != 1 {
+				c := f.NextCall()
+				f.Judge(1, false)
+				f.CallEnded(c, Silent, SilenceTimeout)
+				next := f.NextCall()
+				worst = max(worst, SilenceTimeout+next.Delay+next.Timeout)
+				if next.Complete || next.FromRevision != 1 {
 					t.Fatalf("%d relays: %+v", n, next)
 				}
 			}
 		}
-		if worst >= ToldAfter {
-			t.Errorf("%d relays: a successor's answer may come %v after the last byte; %v counts as told", n, worst, ToldAfter)
+		if worst >= NotifiedAfter {
+			t.Errorf("%d relays: a successor's answer may come %v after the last byte; %v counts as told", n, worst, NotifiedAfter)
 		}
 	}
 }
@@ -243,19 +243,19 @@
 func TestUnheardIsAskedAgainSoon(t *testing.T) {
 	for _, n := range []int{3, 300} {
 		f := New(n, 1)
-		f.Know(1)
+		f.SetRevision(1)
 		for range 20 {
-			f.Ended(f.Next(), Unheard, soon)
-			if c := f.Next(); c.After > pause+unheardMost {
+			f.CallEnded(f.NextCall(), Unanswered, shortTimeout)
+			if c := f.NextCall(); c.Delay > minDelay+maxUnansweredSpread {
 				t.Errorf("%d relays: %+v", n, c)
 			}
 		}
 	}
 	f, most := New(300, 1), time.Duration(0)
-	f.Know(1)
+	f.SetRevision(1)
 	for range 20 {
-		f.Ended(f.Next(), Refused, 0)
-		most = max(most, f.Next().After)
+		f.CallEnded(f.NextCall(), Rejected, 0)
+		most = max(most, f.NextCall().Delay)
 	}
 	if most < 3*time.Second {
 		t.Errorf("turned away 20 times, and asks again within %v", most)
