--- a/cmd/troutusher-kit/follow.go
+++ b/cmd/troutusher-kit/follow.go
@@ -23,7 +23,7 @@
 	}
 	file, err := operator.Load(os.Getenv)
 	if err == nil && file == nil {
-		err = fmt.Errorf("%s: not set", operator.Env)
+		err = fmt.Errorf("%s: not set", operator.EnvVar)
 	}
 	var o follow.Options
 	if err == nil {
--- a/cmd/troutusher-kit/kit_test.go
+++ b/cmd/troutusher-kit/kit_test.go
@@ -96,7 +96,7 @@
 	logs := filepath.Dir(write(t, "n1.log", "time=2026-05-01T18:00:00Z level=INFO msg=ready log=none\n"+
 		"time=2026-05-01T18:00:01Z level=INFO msg=taken message=m1 left_ms=900\ntime=2026-05-01T18:00:09Z level=INFO msg=tally second=9\n"))
 	state := t.TempDir()
-	if _, err := learned.NewStore(state, "n7", 3<<20).Write(&learned.File{Wall: 1777658400e6, State: &core.StateSnapshot{Now: 9e6, Revision: 41,
+	if _, err := learned.NewStore(state, "n7", 3<<20).Write(&learned.File{WrittenAt: 1777658400e6, State: &core.StateSnapshot{Now: 9e6, Revision: 41,
 		Members: []core.HandoverMember{{Member: core.Member{ID: "s-1", Dest: 4, Phase: core.Up}, Number: 3}}, RetryAfters: []core.HandoverRetryAfter{{Dest: 4, Until: 14e6}},
 		Policy: &decide.Snapshot{Now: 9e6, Limiters: []decide.LimiterSnapshot{{Destination: 4, Endpoints: []decide.EndpointSnapshot{{ID: 3, Unhealthy: true, FirstFailureAt: 7e6}}}}}}}); err != nil {
 		t.Fatal(err)
--- a/cmd/troutusher-kit/learned.go
+++ b/cmd/troutusher-kit/learned.go
@@ -25,7 +25,7 @@
 func (c *learnedInspect) Run(out io.Writer) error {
 	path := c.Path
 	if st, err := os.Stat(path); err == nil && st.IsDir() {
-		path = filepath.Join(path, learned.Name)
+		path = filepath.Join(path, learned.FileName)
 	}
 	b, err := os.ReadFile(path)
 	if err != nil {
@@ -41,10 +41,10 @@
 func writeLearned(out io.Writer, f *learned.File, size int) error {
 	s := f.State
 	how := "while it ran"
-	if f.Clean {
+	if f.CleanShutdown {
 		how = "as it ended"
 	}
-	fmt.Fprintf(out, "relay %s, written %s %s, %d bytes; list %d\n\n", f.Relay, time.UnixMicro(f.Wall).UTC().Format(time.RFC3339), how, size, s.Revision)
+	fmt.Fprintf(out, "relay %s, written %s %s, %d bytes; list %d\n\n", f.Relay, time.UnixMicro(f.WrittenAt).UTC().Format(time.RFC3339), how, size, s.Revision)
 	name := map[decide.EndpointID]string{}
 	for i := range s.Members {
 		m := &s.Members[i]
--- a/cmd/troutusher-kit/publish.go
+++ b/cmd/troutusher-kit/publish.go
@@ -52,7 +52,7 @@
 func published(do func(context.Context, *publish.Publisher) error) error {
 	file, err := operator.Load(os.Getenv)
 	if err == nil && file == nil {
-		err = fmt.Errorf("%s: not set", operator.Env)
+		err = fmt.Errorf("%s: not set", operator.EnvVar)
 	}
 	if err != nil {
 		return err
--- a/cmd/troutusher-kit/tls.go
+++ b/cmd/troutusher-kit/tls.go
@@ -94,15 +94,15 @@
 		return err
 	}
 	var all []error
-	for i := range f.TLS {
-		if _, err := keys.Load(f.TLS[i].Files(), time.Now()); err != nil {
-			all = append(all, fmt.Errorf("%s: rule %s: %w", c.File, f.TLS[i].Name, err))
+	for i := range f.TLSRules {
+		if _, err := keys.Load(f.TLSRules[i].Files(), time.Now()); err != nil {
+			all = append(all, fmt.Errorf("%s: rule %s: %w", c.File, f.TLSRules[i].Name, err))
 		}
 	}
 	if len(all) > 0 {
 		return errBad{errors.Join(all...)}
 	}
-	out.line("%s: %d rules, all files can be used", c.File, len(f.TLS))
+	out.line("%s: %d rules, all files can be used", c.File, len(f.TLSRules))
 	return nil
 }
 
@@ -117,8 +117,8 @@
 		return err
 	}
 	now := time.Now()
-	for i := range f.TLS {
-		x := &f.TLS[i]
+	for i := range f.TLSRules {
+		x := &f.TLSRules[i]
 		set, err := keys.Load(x.Files(), now)
 		if err != nil {
 			return errBad{fmt.Errorf("%s: rule %s: %w", c.File, x.Name, err)}
@@ -161,8 +161,8 @@
 	if _, _, err := net.SplitHostPort(c.Addr); err != nil {
 		return errBad{fmt.Errorf("address: %w", err)}
 	}
-	f.Handshakes = operator.Handshakes{Share: 1, BurstMS: 1000, TimeoutS: min(max(c.Timeout.Seconds(), 0.1), 30)}
-	p, err := secure.New(secure.Options{Rules: f.TLS, Handshakes: f.Handshakes, Log: slog.New(slog.DiscardHandler), Barred: func(uint64, time.Duration) {}})
+	f.Handshakes = operator.Handshakes{CPUShare: 1, BurstMS: 1000, TimeoutS: min(max(c.Timeout.Seconds(), 0.1), 30)}
+	p, err := secure.New(secure.Options{Rules: f.TLSRules, Handshakes: f.Handshakes, Log: slog.New(slog.DiscardHandler), Barred: func(uint64, time.Duration) {}})
 	if err != nil {
 		return errBad{err}
 	}
--- a/internal/core/booking.go
+++ b/internal/core/booking.go
@@ -35,12 +35,12 @@
 		b.applied[i] = r.endpointsByID[l.Members[i].ID] != nil
 	}
 	if s := r.passivation.store; s != nil && b.complete {
-		s.Begin()
+		s.BeginList()
 	}
 	seen := map[string]bool{}
 	for i := range l.Members {
 		x := &l.Members[i]
-		if !b.applied[i] && (x.Phase == Removed || !r.passivation.roster.Awake(x.Dest)) {
+		if !b.applied[i] && (x.Phase == Removed || !r.passivation.roster.Contains(x.Dest)) {
 			continue
 		}
 		b.applied[i] = true
@@ -101,7 +101,7 @@
 		return true
 	}
 	if s := r.passivation.store; s != nil && b.complete {
-		for _, dest := range s.End() {
+		for _, dest := range s.EndList() {
 			r.noteDeparture(dest)
 		}
 	}
--- a/internal/core/carry.go
+++ b/internal/core/carry.go
@@ -173,7 +173,7 @@
 	for _, dest := range c.KnownDestinations {
 		if !r.isPassive(dest) {
 			r.knownDestinations[dest] = true
-			r.passivation.roster.Stir(dest, r.now)
+			r.passivation.roster.Touch(dest, r.now)
 		}
 	}
 	p := c.Policy
--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -279,7 +279,7 @@
 	return &Core{settings: s, policy: policy, messages: map[uint32]*message{}, messagesByID: map[string]*message{}, unanswered: map[*Request]*message{},
 		endpointsByID: map[string]*endpoint{}, endpointsByNumber: map[decide.EndpointID]*endpoint{}, knownDestinations: map[int]bool{}, retryAfter: map[int]decide.Time{},
 		classCounts: make([]ClassCounts, len(s.Policy.Classes)), metrics: tally.NewRecorder(), traceSampler: story.NewSampler(s.TracesPerSecond),
-		listBatchSize: defaultListBatchSize, passivation: passivationState{roster: dormant.NewRoster(s.Passivation), ejectedWhilePassive: map[int]bool{}}}, nil
+		listBatchSize: defaultListBatchSize, passivation: passivationState{roster: dormant.NewActiveSet(s.Passivation), ejectedWhilePassive: map[int]bool{}}}, nil
 }
 
 // ClassCounts are how many messages of a class ended in each way: delivered; refused
@@ -440,7 +440,7 @@
 			Recovered: carried == nil}
 		r.activate(rec.Dest)
 		r.knownDestinations[rec.Dest] = true // once, or it would not have been taken on
-		r.passivation.roster.Stir(rec.Dest, r.now)
+		r.passivation.roster.Touch(rec.Dest, r.now)
 		if w, ok := worth[rec.ID]; ok {
 			e.Weight = w // its tenant's share was asked already
 		} else if t, ok := r.settings.Tenants[rec.Tenant]; ok {
@@ -551,7 +551,7 @@
 		return
 	}
 	r.activate(q.Record.Dest)
-	r.passivation.roster.Stir(q.Record.Dest, r.now)
+	r.passivation.roster.Touch(q.Record.Dest, r.now)
 	m := r.addMessage(q.Record)
 	m.request = q
 	if m.traced = r.traceSampler.Sample(r.wall(r.now)); !m.traced {
--- a/internal/core/fixtures_test.go
+++ b/internal/core/fixtures_test.go
@@ -275,7 +275,7 @@
 	{"passive", func(t *testing.T, seed uint64, golden io.Writer) {
 		w := newSimulation(t, seed)
 		w.golden = golden
-		w.core = passivatingCore(t, dormant.Limits{Awake: 1, After: 10e6})
+		w.core = passivatingCore(t, dormant.Limits{MaxActive: 1, IdleTimeout: 10e6})
 		w.flavors, w.longStepOdds = []string{"k", "r"}, 12
 		w.driver = newCallDriver(w)
 		w.driver.extraWait = 45e6
--- a/internal/core/idle_bench_test.go
+++ b/internal/core/idle_bench_test.go
@@ -38,7 +38,7 @@
 func idleCore(b *testing.B, dests, endpoints int, rest bool) *Core {
 	set := testSettings()
 	if rest {
-		set.Passivation = dormant.Limits{Awake: 1024, After: 60e6}
+		set.Passivation = dormant.Limits{MaxActive: 1024, IdleTimeout: 60e6}
 	}
 	r, err := New(set)
 	if err != nil {
--- a/internal/core/rest.go
+++ b/internal/core/rest.go
@@ -28,7 +28,7 @@
 // passivationState are the destinations that are not awake, and who is.
 type passivationState struct {
 	store               *dormant.Store // nil until the first one rests
-	roster              *dormant.Roster
+	roster              *dormant.ActiveSet
 	candidates          []int
 	nextCheckAt         decide.Time  // when the roster wants to be asked
 	ejectedWhilePassive map[int]bool // of those that rest, the ones that were out
@@ -58,11 +58,11 @@
 	delete(r.listUpdate.unnamed, x.ID)
 	if s != nil {
 		e := dormant.Endpoint{ID: x.ID, HostPort: x.HostPort, Locality: x.Locality, Flavor: x.Flavor, Draining: x.Phase == Draining, Size: x.Rate}
-		if x.Phase != Removed && s.Same(x.Dest, &e) {
+		if x.Phase != Removed && s.ConfirmUnchanged(x.Dest, &e) {
 			return entry, false
 		}
-		if at, ok := s.Find(x.ID); ok && (x.Phase == Removed || x.Dest != at) {
-			s.Remove(x.ID)
+		if at, ok := s.DestinationOf(x.ID); ok && (x.Phase == Removed || x.Dest != at) {
+			s.RemoveEndpoint(x.ID)
 			r.noteDeparture(at)
 			if x.Phase == Removed {
 				return entry, false
@@ -75,15 +75,15 @@
 		}
 		return r.updateEndpoint(x), true
 	}
-	if r.endpointsByID[x.ID] == nil && !r.passivation.roster.Awake(x.Dest) && (r.isPassive(x.Dest) || r.passivation.roster.Full()) && (s == nil || s.Room()) {
+	if r.endpointsByID[x.ID] == nil && !r.passivation.roster.Contains(x.Dest) && (r.isPassive(x.Dest) || r.passivation.roster.Full()) && (s == nil || s.HasRoom()) {
 		if s == nil {
 			s = dormant.New()
 			r.passivation.store = s
 			if r.listUpdate.complete {
-				s.Begin()
+				s.BeginList()
 			}
 		}
-		s.Put(x.Dest, &dormant.Endpoint{ID: x.ID, HostPort: x.HostPort, Locality: x.Locality, Flavor: x.Flavor, Draining: x.Phase == Draining, Size: x.Rate})
+		s.PutEndpoint(x.Dest, &dormant.Endpoint{ID: x.ID, HostPort: x.HostPort, Locality: x.Locality, Flavor: x.Flavor, Draining: x.Phase == Draining, Size: x.Rate})
 		return entry, false
 	}
 	r.ensureActive(x.Dest)
@@ -93,8 +93,8 @@
 // ensureActive has a destination be awake.
 func (r *Core) ensureActive(dest int) {
 	r.activate(dest)
-	if !r.passivation.roster.Awake(dest) {
-		r.passivation.roster.Stir(dest, r.now)
+	if !r.passivation.roster.Contains(dest) {
+		r.passivation.roster.Touch(dest, r.now)
 	}
 }
 
@@ -120,8 +120,8 @@
 	if !r.isPassive(dest) {
 		return
 	}
-	learned, endpoints, _ := r.passivation.store.Wake(dest)
-	r.passivation.roster.Stir(dest, r.now)
+	learned, endpoints, _ := r.passivation.store.Activate(dest)
+	r.passivation.roster.Touch(dest, r.now)
 	delete(r.passivation.ejectedWhilePassive, dest)
 	r.knownDestinations[dest] = true
 	e := decide.Event{Kind: decide.EvListUpdated, ListUpdate: decide.ListDelta}
@@ -130,7 +130,7 @@
 		x := &endpoints[i]
 		m := memberFromStore(dest, x)
 		entry := r.updateEndpoint(&m)
-		if r.listUpdate != nil && r.listUpdate.complete && x.Unnamed {
+		if r.listUpdate != nil && r.listUpdate.complete && x.Unconfirmed {
 			r.listUpdate.unnamed[x.ID] = true
 		}
 		number[endpointHash(x.ID, x.HostPort)] = entry.Endpoint
@@ -146,22 +146,22 @@
 // passivateIdle has destinations rest that the roster names and the policy lets go.
 func (r *Core) passivateIdle() {
 	s := &r.passivation
-	if !s.roster.Over() || s.nextCheckAt > r.now || r.handingOver || r.sendsDeferred || r.shuttingDown || r.listUpdate != nil {
+	if !s.roster.OverLimit() || s.nextCheckAt > r.now || r.handingOver || r.sendsDeferred || r.shuttingDown || r.listUpdate != nil {
 		return
 	}
-	s.candidates, s.nextCheckAt = s.roster.Due(r.now, passivationBatchSize, s.candidates[:0])
+	s.candidates, s.nextCheckAt = s.roster.Idle(r.now, passivationBatchSize, s.candidates[:0])
 	going := make(map[int][]dormant.Endpoint, len(s.candidates))
 	for _, dest := range s.candidates {
 		if r.policy.CanPassivate(r.now, dest) {
 			going[dest] = nil
 		} else {
-			s.roster.Stir(dest, r.now)
+			s.roster.Touch(dest, r.now)
 		}
 	}
 	for _, ep := range r.endpoints {
 		if _, ok := going[ep.dest]; ok && r.retryAfterOf(ep) > r.now {
 			delete(going, ep.dest)
-			s.roster.Stir(ep.dest, r.now)
+			s.roster.Touch(ep.dest, r.now)
 		}
 	}
 	if len(going) > 0 {
@@ -209,8 +209,8 @@
 		if err != nil {
 			r.log(slog.LevelError, "what was learned of a destination cannot be kept while it rests", "dest", dest, "err", err)
 		}
-		s.store.Sleep(dest, b, list)
-		s.roster.Leave(dest)
+		s.store.Passivate(dest, b, list)
+		s.roster.Remove(dest)
 		delete(r.knownDestinations, dest)
 		delete(r.retryAfter, dest)
 		if hasEjectedEndpoint(m) {
@@ -242,7 +242,7 @@
 	for n := 0; n < passivationBatchSize && len(s.departed) > 0 && s.departed[0].at+forgetDepartedAfter <= r.now; n++ {
 		dest := s.departed[0].dest
 		s.departed = s.departed[1:]
-		if s.store.Forget(dest) {
+		if s.store.RemoveEmpty(dest) {
 			delete(s.ejectedWhilePassive, dest)
 		}
 	}
@@ -280,7 +280,7 @@
 		lanes = append(lanes, m.Limiters...)
 	}
 	if all {
-		s.store.All(show)
+		s.store.ForEach(show)
 		return members, lanes
 	}
 	dests := slices.Sorted(maps.Keys(s.ejectedWhilePassive))
--- a/internal/core/rest_test.go
+++ b/internal/core/rest_test.go
@@ -32,7 +32,7 @@
 	for seed := range uint64(150) {
 		play := func() *simulation {
 			w := newSimulation(t, seed)
-			w.core = passivatingCore(t, dormant.Limits{Awake: 1, After: 10e6})
+			w.core = passivatingCore(t, dormant.Limits{MaxActive: 1, IdleTimeout: 10e6})
 			w.flavors, w.longStepOdds = []string{"k", "r"}, 12
 			w.driver = newCallDriver(w)
 			w.driver.extraWait = 45e6
@@ -133,7 +133,7 @@
 // a wait of 100 s and 2's only route one of 90 s a minute ago.
 func coreWithTwoWaits(t *testing.T) (*Core, decide.Time) {
 	t.Helper()
-	r := passivatingCore(t, dormant.Limits{Awake: 1, After: 20e6})
+	r := passivatingCore(t, dormant.Limits{MaxActive: 1, IdleTimeout: 20e6})
 	now := decide.Time(3600e6)
 	r.Step(now, []Event{{Kind: EndpointListUpdated, News: decide.ListFull, List: &EndpointList{Complete: true, Members: []Member{testMember(3, 3, "k"), testMember(1, 1, "k"), testMember(2, 2, "r")}}}}, nil)
 	if n, _ := r.PassiveDestinations(); n != 2 { // beyond the first, they begin asleep
@@ -172,7 +172,7 @@
 			if !l.Partial || l.EndpointList().Complete {
 				t.Error("a list without those that rest is told to be whole")
 			}
-			next := passivatingCore(t, dormant.Limits{Awake: 1, After: 20e6})
+			next := passivatingCore(t, dormant.Limits{MaxActive: 1, IdleTimeout: 20e6})
 			next.Observe(now, list(testMember(3, 3, "k"), testMember(2, 2, "r"), testMember(1, 1, "k")), nil)
 			next.RestoreState(now, l, 0, nil)
 			*r = *next
@@ -180,7 +180,7 @@
 		"an upgrade": func(r *Core, now decide.Time) {
 			c := &HandoverState{}
 			roundTrip(t, r.ExportHandover(now), c)
-			next := passivatingCore(t, dormant.Limits{Awake: 1, After: 20e6})
+			next := passivatingCore(t, dormant.Limits{MaxActive: 1, IdleTimeout: 20e6})
 			next.RecoverMessages(now, nil, c, 0, nil)
 			*r = *next
 		},
@@ -218,7 +218,7 @@
 // What rested under one id and address is what it was; elsewhere, or under another
 // id, nothing is inherited but the destination's own wait.
 func TestMovedEndpointInheritsNothing(t *testing.T) {
-	r := passivatingCore(t, dormant.Limits{Awake: 1, After: 20e6})
+	r := passivatingCore(t, dormant.Limits{MaxActive: 1, IdleTimeout: 20e6})
 	now := decide.Time(3600e6)
 	r.Step(now, []Event{{Kind: EndpointListUpdated, News: decide.ListFull, List: &EndpointList{Complete: true, Members: []Member{testMember(9, 9, "k"), testMember(1, 1, "k"), testMember(2, 2, "k"), testMember(3, 3, "k")}}}}, nil)
 	for i := range 3 {
@@ -238,7 +238,7 @@
 	// A restart knows of all three: they were out.
 	l := &StateSnapshot{}
 	roundTrip(t, r.SnapshotState(now+60e6), l)
-	next := passivatingCore(t, dormant.Limits{Awake: 1, After: 20e6})
+	next := passivatingCore(t, dormant.Limits{MaxActive: 1, IdleTimeout: 20e6})
 	next.Observe(now+60e6, []Event{{Kind: EndpointListUpdated, News: decide.ListFull, List: &EndpointList{Complete: true, Members: []Member{testMember(9, 9, "k"), testMember(1, 1, "k"), testMember(2, 2, "k"), testMember(3, 3, "k")}}}}, nil)
 	next.RestoreState(now+60e6, l, 0, nil)
 	if _, avoided := next.ListedEndpoints(); avoided != 3 {
@@ -263,7 +263,7 @@
 // A message that is owed wakes its destination; what the core alone was told to
 // wait keeps one awake.
 func TestPendingDestinationsStayActive(t *testing.T) {
-	r := passivatingCore(t, dormant.Limits{Awake: 1, After: 20e6})
+	r := passivatingCore(t, dormant.Limits{MaxActive: 1, IdleTimeout: 20e6})
 	now := decide.Time(3600e6)
 	r.Observe(now, []Event{{Kind: EndpointListUpdated, News: decide.ListFull, List: &EndpointList{Complete: true, Members: []Member{testMember(1, 1, "k"), testMember(2, 2, "k")}}}}, nil)
 	r.RecoverMessages(now, []*Record{{Kind: RecordAccepted, ID: "owed", Class: "plain", Dest: 2, Deadline: r.wall(now + 20e6)}}, nil, 0, nil)
@@ -276,7 +276,7 @@
 	if !sent {
 		t.Error("what is owed to one that rests is not sent")
 	}
-	r = passivatingCore(t, dormant.Limits{Awake: 1, After: 20e6})
+	r = passivatingCore(t, dormant.Limits{MaxActive: 1, IdleTimeout: 20e6})
 	r.Step(now, []Event{{Kind: EndpointListUpdated, News: decide.ListFull, List: &EndpointList{Complete: true, Members: []Member{testMember(1, 1, "k")}}}}, nil)
 	r.retryAfter[1] = now + 100e6
 	deliverOne(t, r, now+1e6, now+2e6, "m", 2, deliveredResult) // nobody is there, and the other is the one that is awake
@@ -301,7 +301,7 @@
 func TestListUpdatesReachPassiveDestinations(t *testing.T) {
 	for seed := range uint64(40) {
 		rng := rand.New(rand.NewPCG(seed, 9))
-		r := passivatingCore(t, dormant.Limits{Awake: 5, After: 10e6})
+		r := passivatingCore(t, dormant.Limits{MaxActive: 5, IdleTimeout: 10e6})
 		if seed%2 == 0 {
 			r.listBatchSize = 1 + rng.IntN(6) // and messages come between two of them
 		}
@@ -372,7 +372,7 @@
 // Of a long list what concerns who is awake is booked at once, however late it
 // stands there; who wakes while the rest is booked, and is not named, has left.
 func TestLongListInBatches(t *testing.T) {
-	r := passivatingCore(t, dormant.Limits{Awake: 2, After: 10e6})
+	r := passivatingCore(t, dormant.Limits{MaxActive: 2, IdleTimeout: 10e6})
 	now := decide.Time(3600e6)
 	var all []Member
 	for i := range 60 {
@@ -416,7 +416,7 @@
 // A destination whose endpoints have all left while it rested is known for half an
 // hour, and then forgotten; nothing of it is left.
 func TestForgetsDepartedDestinations(t *testing.T) {
-	r := passivatingCore(t, dormant.Limits{Awake: 1, After: 20e6})
+	r := passivatingCore(t, dormant.Limits{MaxActive: 1, IdleTimeout: 20e6})
 	now := decide.Time(3600e6)
 	var all []Member
 	for i := range 200 {
--- a/internal/dormant/bench_test.go
+++ b/internal/dormant/bench_test.go
@@ -34,9 +34,9 @@
 // blockIndex is sorted slots in blocks, each cut in two as it fills.
 type blockIndex struct{ blocks [][]uint64 }
 
-const blockMost = 512
+const maxBlockSlots = 512
 
-func key(hash uint64, place uint32) uint64 { return hash>>32<<32 | uint64(place) }
+func slotKey(hash uint64, place uint32) uint64 { return hash>>32<<32 | uint64(place) }
 
 func (b *blockIndex) block(k uint64) int {
 	at, ok := slices.BinarySearchFunc(b.blocks, k, func(s []uint64, k uint64) int {
@@ -55,7 +55,7 @@
 }
 
 func (b *blockIndex) add(hash uint64, place uint32) {
-	k := key(hash, place)
+	k := slotKey(hash, place)
 	if len(b.blocks) == 0 {
 		b.blocks = [][]uint64{{k}}
 		return
@@ -64,18 +64,18 @@
 	s := b.blocks[at]
 	i, _ := slices.BinarySearch(s, k)
 	s = slices.Insert(s, i, k)
-	if b.blocks[at] = s; len(s) == blockMost {
-		b.blocks[at] = slices.Clone(s[:blockMost/2])
-		b.blocks = slices.Insert(b.blocks, at+1, slices.Clone(s[blockMost/2:]))
+	if b.blocks[at] = s; len(s) == maxBlockSlots {
+		b.blocks[at] = slices.Clone(s[:maxBlockSlots/2])
+		b.blocks = slices.Insert(b.blocks, at+1, slices.Clone(s[maxBlockSlots/2:]))
 	}
 }
 
 func (b *blockIndex) has(hash uint64, place uint32) bool {
-	_, ok := slices.BinarySearch(b.blocks[b.block(key(hash, place))], key(hash, place))
+	_, ok := slices.BinarySearch(b.blocks[b.block(slotKey(hash, place))], slotKey(hash, place))
 	return ok
 }
 
-func heap() uint64 {
+func heapBytes() uint64 {
 	var m runtime.MemStats
 	runtime.GC()
 	runtime.ReadMemStats(&m)
@@ -92,12 +92,12 @@
 	for name, make := range map[string]func() index{"table": func() index { return &tableIndex{} }, "map": func() index { return mapIndex{} },
 		"blocks": func() index { return &blockIndex{} }} {
 		b.Run(name, func(b *testing.B) {
-			before := heap()
+			before := heapBytes()
 			x := make()
 			for i, h := range hashes {
 				x.add(h, uint32(i))
 			}
-			held := heap() - before
+			held := heapBytes() - before
 			b.ResetTimer()
 			for i := range b.N {
 				k := i * 7919 % n
@@ -117,13 +117,13 @@
 		return Endpoint{ID: fmt.Sprintf("shop-%07d-0", i), HostPort: fmt.Sprintf("10.%d.%d.%d:8080", i>>16&255, i>>8&255, i&255), Locality: "a", Flavor: "k", Size: 40}
 	}
 	b.Run("store", func(b *testing.B) {
-		before := heap()
+		before := heapBytes()
 		s := New()
 		for i := range n {
 			e := one(i)
-			s.Put(i, &e)
+			s.PutEndpoint(i, &e)
 		}
-		held := heap() - before
+		held := heapBytes() - before
 		b.ResetTimer()
 		for i := range b.N {
 			if !s.Has(i * 7919 % n) {
@@ -137,14 +137,14 @@
 			learned   []byte
 			endpoints []Endpoint
 		}
-		before := heap()
+		before := heapBytes()
 		dests, ids := map[int]*dest{}, map[string]int{}
 		for i := range n {
 			e := one(i)
 			dests[i] = &dest{endpoints: []Endpoint{e}}
 			ids[e.ID] = i
 		}
-		held := heap() - before
+		held := heapBytes() - before
 		b.ResetTimer()
 		for i := range b.N {
 			if dests[i*7919%n] == nil {
--- a/internal/dormant/roster.go
+++ b/internal/dormant/roster.go
@@ -8,68 +8,70 @@
 
 // Limits say when a destination that nobody sends to is put away.
 type Limits struct {
-	Awake int         // so many may be awake for any time; 0 for all
-	After decide.Time // beyond them, one goes that has been quiet for so long
+	MaxActive   int         // so many may be awake for any time; 0 for all
+	IdleTimeout decide.Time // beyond them, one goes that has been quiet for so long
 }
 
-// Roster is the destinations that are awake, the longest quiet first.
-type Roster struct {
+// ActiveSet is the destinations that are awake, the longest quiet first.
+type ActiveSet struct {
 	limits Limits
 	order  *list.List // of *quiet
 	byDest map[int]*list.Element
 }
 
-type quiet struct {
-	dest  int
-	since decide.Time
+type activeEntry struct {
+	dest     int
+	lastUsed decide.Time
 }
 
-// NewRoster makes one on which nobody is.
-func NewRoster(l Limits) *Roster {
-	return &Roster{limits: l, order: list.New(), byDest: map[int]*list.Element{}}
+// NewActiveSet makes one on which nobody is.
+func NewActiveSet(l Limits) *ActiveSet {
+	return &ActiveSet{limits: l, order: list.New(), byDest: map[int]*list.Element{}}
 }
 
 // Len is how many are awake.
-func (r *Roster) Len() int { return r.order.Len() }
+func (r *ActiveSet) Len() int { return r.order.Len() }
 
-// Awake reports whether a destination is on it.
-func (r *Roster) Awake(dest int) bool { return r.byDest[dest] != nil }
+// Contains reports whether a destination is on it.
+func (r *ActiveSet) Contains(dest int) bool { return r.byDest[dest] != nil }
 
-// Over reports whether more are awake than may be for any time.
-func (r *Roster) Over() bool { return r.limits.Awake > 0 && r.order.Len() > r.limits.Awake }
+// OverLimit reports whether more are awake than may be for any time.
+func (r *ActiveSet) OverLimit() bool {
+	return r.limits.MaxActive > 0 && r.order.Len() > r.limits.MaxActive
+}
 
 // Full reports whether one more would be too many: a destination that the list
 // names for the first time then begins asleep.
-func (r *Roster) Full() bool { return r.limits.Awake > 0 && r.order.Len() >= r.limits.Awake }
+func (r *ActiveSet) Full() bool { return r.limits.MaxActive > 0 && r.order.Len() >= r.limits.MaxActive }
 
-// Stir books that something has been done for a destination.
-func (r *Roster) Stir(dest int, now decide.Time) {
+// Touch books that something has been done for a destination.
+func (r *ActiveSet) Touch(dest int, now decide.Time) {
 	if e := r.byDest[dest]; e != nil {
-		e.Value.(*quiet).since = now
+		e.Value.(*activeEntry).lastUsed = now
 		r.order.MoveToBack(e)
 		return
 	}
-	r.byDest[dest] = r.order.PushBack(&quiet{dest, now})
+	r.byDest[dest] = r.order.PushBack(&activeEntry{dest, now})
 }
 
-// Leave takes a destination off.
-func (r *Roster) Leave(dest int) {
+// Remove takes a destination off.
+func (r *ActiveSet) Remove(dest int) {
 	if e := r.byDest[dest]; e != nil {
 		r.order.Remove(e)
 		delete(r.byDest, dest)
 	}
 }
 
-// Due appends up to most destinations that are to be put away, longest quiet
+// Idle appends up to most destinations that are to be put away, longest quiet
 // first, and tells when to ask again; 0 where there is nothing to wait for.
-func (r *Roster) Due(now decide.Time, most int, to []int) (due []int, again decide.Time) {
+func (r *ActiveSet) Idle(now decide.Time, most int, to []int) (due []int, again decide.Time) {
 	over := 0
-	if r.limits.Awake > 0 {
-		over = r.order.Len() - r.limits.Awake
+	if r.limits.MaxActive > 0 {
+		over = r.order.Len() - r.limits.MaxActive
 	}
 	for e := r.order.Front(); e != nil && over > 0; e = e.Next() {
-		q := e.Value.(*quiet)
-		if at := q.since + r.limits.After; at > now {
+		q := e.Value.(*activeEntry)
+		if at := q.lastUsed + r.limits.IdleTimeout; at > now {
 			return to, at
 		}
 		if len(to) == most {
--- a/internal/dormant/store.go
+++ b/internal/dormant/store.go
@@ -22,59 +22,59 @@
 
 // Endpoint is one endpoint of a destination.
 type Endpoint struct {
-	ID       string
-	HostPort string
-	Locality string
-	Flavor   string
-	Draining bool
-	Size     float64
-	Unnamed  bool // told by the store: the whole list under way has not named it yet
+	ID          string
+	HostPort    string
+	Locality    string
+	Flavor      string
+	Draining    bool
+	Size        float64
+	Unconfirmed bool // told by the store: the whole list under way has not named it yet
 }
 
 const (
 	chunkBits = 18
 	chunkSize = 1 << chunkBits
-	chunkMost = 1 << (32 - chunkBits) // a place in a chunk is told in 32 bits
+	maxChunks = 1 << (32 - chunkBits) // a place in a chunk is told in 32 bits
 
 	// Flags of an endpoint in its record.
-	isDraining = 1 << 0
-	isMarked   = 1 << 1 // which of two lists it was in last
-	isAddr     = 1 << 2 // the address is four bytes and a port
-	isWhole    = 1 << 3 // the size is a whole number
+	flagDraining    = 1 << 0
+	flagConfirmed   = 1 << 1 // which of two lists it was in last
+	flagPackedAddr  = 1 << 2 // the address is four bytes and a port
+	flagIntegerSize = 1 << 3 // the size is a whole number
 )
 
 // chunk holds records one behind the other.
 type chunk struct {
-	b    []byte
-	dead int // bytes of records that have moved or gone
+	data      []byte
+	deadBytes int // bytes of records that have moved or gone
 }
 
 // Store is what is kept. The zero value is not ready: New makes one.
 type Store struct {
-	seed      maphash.Seed
-	chunks    []chunk // one that is empty may be filled anew
-	free      []int   // chunks that are empty
-	at        int     // the one that is being filled
-	dests     table
-	ids       table
-	tags      []tag // localities and flavours: few, and the same for many
-	tagged    map[tag]int
-	endpoints int
-	draining  int  // of them
-	marked    int  // of them, named by the newest whole list
-	mark      byte // isMarked or 0: what an endpoint has that the newest whole list names
-	scratch   []byte
+	seed          maphash.Seed
+	chunks        []chunk // one that is empty may be filled anew
+	freeChunks    []int   // chunks that are empty
+	current       int     // the one that is being filled
+	destIndex     table
+	idIndex       table
+	tags          []tag // localities and flavours: few, and the same for many
+	tagNumbers    map[tag]int
+	endpoints     int
+	draining      int  // of them
+	confirmed     int  // of them, named by the newest whole list
+	confirmedFlag byte // isMarked or 0: what an endpoint has that the newest whole list names
+	scratch       []byte
 }
 
 type tag struct{ locality, flavor string }
 
 // New makes a store that holds nothing.
 func New() *Store {
-	return &Store{seed: maphash.MakeSeed(), chunks: []chunk{{}}, tagged: map[tag]int{}}
+	return &Store{seed: maphash.MakeSeed(), chunks: []chunk{{}}, tagNumbers: map[tag]int{}}
 }
 
 // Len is how many destinations there are; Endpoints how many endpoints they have.
-func (s *Store) Len() int       { return s.dests.n }
+func (s *Store) Len() int       { return s.destIndex.count }
 func (s *Store) Endpoints() int { return s.endpoints }
 
 // Draining is how many of the endpoints drain.
@@ -82,56 +82,56 @@
 
 // Bytes is how much memory the records and the tables take.
 func (s *Store) Bytes() int {
-	n := s.dests.bytes() + s.ids.bytes()
+	n := s.destIndex.memory() + s.idIndex.memory()
 	for i := range s.chunks {
-		n += cap(s.chunks[i].b)
+		n += cap(s.chunks[i].data)
 	}
 	return n
 }
 
 // record is one that was read.
 type record struct {
-	place   uint32
-	dead    bool
-	dest    int
-	learned []byte // in the chunk
-	rest    []byte // the endpoints, in the chunk
-	size    int    // of all of it
+	position  uint32
+	dead      bool
+	dest      int
+	state     []byte // in the chunk
+	endpoints []byte // the endpoints, in the chunk
+	size      int    // of all of it
 }
 
-func (s *Store) bytes(place uint32) []byte {
-	return s.chunks[place>>chunkBits].b[place&(chunkSize-1):]
+func (s *Store) bytesAt(place uint32) []byte {
+	return s.chunks[place>>chunkBits].data[place&(chunkSize-1):]
 }
 
-// read reads the record at a place. What stands there was written by put alone.
-func (s *Store) read(place uint32) record {
-	b := s.bytes(place)
+// readRecord reads the record at a place. What stands there was written by put alone.
+func (s *Store) readRecord(place uint32) record {
+	b := s.bytesAt(place)
 	n, head := binary.Uvarint(b)
-	r := record{place: place, size: head + int(n)}
+	r := record{position: place, size: head + int(n)}
 	r.dead = b[head] != 0
 	b = b[head+1 : r.size]
 	dest, k := binary.Varint(b)
 	r.dest = int(dest)
 	b = b[k:]
 	n, k = binary.Uvarint(b)
-	r.learned, r.rest = b[k:k+int(n)], b[k+int(n):]
+	r.state, r.endpoints = b[k:k+int(n)], b[k+int(n):]
 	return r
 }
 
-// next cuts the first endpoint off the bytes of some, and tells its id without
+// cutEndpoint cuts the first endpoint off the bytes of some, and tells its id without
 // copying it.
-func next(b []byte) (one, id, rest []byte) {
+func cutEndpoint(b []byte) (one, id, rest []byte) {
 	n, k := binary.Uvarint(b[1:])
 	at := 1 + k + int(n)
 	id = b[1+k : at]
-	if b[0]&isAddr != 0 {
+	if b[0]&flagPackedAddr != 0 {
 		at += 6
 	} else {
 		n, k = binary.Uvarint(b[at:])
 		at += k + int(n)
 	}
 	_, k = binary.Uvarint(b[at:])
-	if at += k; b[0]&isWhole != 0 {
+	if at += k; b[0]&flagIntegerSize != 0 {
 		_, k = binary.Uvarint(b[at:])
 		at += k
 	} else {
@@ -140,11 +140,11 @@
 	return b[:at], id, b[at:]
 }
 
-func (s *Store) decode(one, id []byte) Endpoint {
-	e := Endpoint{ID: string(id), Draining: one[0]&isDraining != 0, Unnamed: one[0]&isMarked != s.mark}
+func (s *Store) decodeEndpoint(one, id []byte) Endpoint {
+	e := Endpoint{ID: string(id), Draining: one[0]&flagDraining != 0, Unconfirmed: one[0]&flagConfirmed != s.confirmedFlag}
 	_, k := binary.Uvarint(one[1:])
 	b := one[1+k+len(id):]
-	if one[0]&isAddr != 0 {
+	if one[0]&flagPackedAddr != 0 {
 		e.HostPort = netip.AddrPortFrom(netip.AddrFrom4([4]byte(b[:4])), binary.BigEndian.Uint16(b[4:])).String()
 		b = b[6:]
 	} else {
@@ -154,7 +154,7 @@
 	}
 	n, k := binary.Uvarint(b)
 	e.Locality, e.Flavor = s.tags[n].locality, s.tags[n].flavor
-	if b = b[k:]; one[0]&isWhole != 0 {
+	if b = b[k:]; one[0]&flagIntegerSize != 0 {
 		n, _ = binary.Uvarint(b)
 		e.Size = float64(n)
 	} else {
@@ -163,25 +163,25 @@
 	return e
 }
 
-func (s *Store) encode(b []byte, e *Endpoint) []byte {
-	flags := s.mark
+func (s *Store) appendEndpoint(b []byte, e *Endpoint) []byte {
+	flags := s.confirmedFlag
 	if e.Draining {
-		flags |= isDraining
+		flags |= flagDraining
 	}
 	// Only an address that is read back as it was written is packed.
 	at, err := netip.ParseAddrPort(e.HostPort)
 	var text [len("255.255.255.255:65535")]byte
 	if err == nil && at.Addr().Is4() && string(at.AppendTo(text[:0])) == e.HostPort {
-		flags |= isAddr
+		flags |= flagPackedAddr
 	}
 	whole := e.Size >= 0 && e.Size < 1<<32 && e.Size == math.Trunc(e.Size) && !math.Signbit(e.Size)
 	if whole {
-		flags |= isWhole
+		flags |= flagIntegerSize
 	}
 	b = append(b, flags)
 	b = binary.AppendUvarint(b, uint64(len(e.ID)))
 	b = append(b, e.ID...)
-	if flags&isAddr != 0 {
+	if flags&flagPackedAddr != 0 {
 		four := at.Addr().As4()
 		b = append(b, four[:]...)
 		b = binary.BigEndian.AppendUint16(b, at.Port())
@@ -190,11 +190,11 @@
 		b = append(b, e.HostPort...)
 	}
 	t := tag{e.Locality, e.Flavor}
-	n, ok := s.tagged[t]
+	n, ok := s.tagNumbers[t]
 	if !ok {
 		n = len(s.tags)
 		s.tags = append(s.tags, t)
-		s.tagged[t] = n
+		s.tagNumbers[t] = n
 	}
 	b = binary.AppendUvarint(b, uint64(n))
 	if whole {
@@ -203,31 +203,31 @@
 	return binary.BigEndian.AppendUint64(b, math.Float64bits(e.Size))
 }
 
-// Room reports whether more can be kept: a place is told in 32 bits, which is 4 GB
+// HasRoom reports whether more can be kept: a place is told in 32 bits, which is 4 GB
 // of records.
-func (s *Store) Room() bool { return len(s.chunks)-len(s.free) < chunkMost-2 }
+func (s *Store) HasRoom() bool { return len(s.chunks)-len(s.freeChunks) < maxChunks-2 }
 
-// room is where a record of so many bytes can be written; it may be in a chunk of
+// chunkFor is where a record of so many bytes can be written; it may be in a chunk of
 // its own.
-func (s *Store) room(size int) int {
-	c := &s.chunks[s.at]
-	if len(c.b)+size <= max(chunkSize, cap(c.b)) && len(c.b) < chunkSize {
-		return s.at
+func (s *Store) chunkFor(size int) int {
+	c := &s.chunks[s.current]
+	if len(c.data)+size <= max(chunkSize, cap(c.data)) && len(c.data) < chunkSize {
+		return s.current
 	}
-	if n := len(s.free); n > 0 {
-		s.at, s.free = s.free[n-1], s.free[:n-1]
+	if n := len(s.freeChunks); n > 0 {
+		s.current, s.freeChunks = s.freeChunks[n-1], s.freeChunks[:n-1]
 	} else {
-		s.at = len(s.chunks)
+		s.current = len(s.chunks)
 		s.chunks = append(s.chunks, chunk{})
 	}
 	if size > chunkSize {
-		s.chunks[s.at].b = make([]byte, 0, size)
+		s.chunks[s.current].data = make([]byte, 0, size)
 	}
-	return s.at
+	return s.current
 }
 
-// put writes a record and returns its place. Its bytes may come from the store.
-func (s *Store) put(dest int, learned, endpoints []byte) uint32 {
+// writeRecord writes a record and returns its place. Its bytes may come from the store.
+func (s *Store) writeRecord(dest int, learned, endpoints []byte) uint32 {
 	b := append(s.scratch[:0], 0) // it lives
 	b = binary.AppendVarint(b, int64(dest))
 	b = binary.AppendUvarint(b, uint64(len(learned)))
@@ -239,90 +239,90 @@
 	}
 	var head [binary.MaxVarintLen64]byte
 	n := binary.PutUvarint(head[:], uint64(len(b)))
-	at := s.room(n + len(b))
+	at := s.chunkFor(n + len(b))
 	c := &s.chunks[at]
-	place := uint32(at)<<chunkBits | uint32(len(c.b))
-	c.b = append(append(grown(c.b, n+len(b)), head[:n]...), b...)
+	place := uint32(at)<<chunkBits | uint32(len(c.data))
+	c.data = append(append(growChunk(c.data, n+len(b)), head[:n]...), b...)
 	return place
 }
 
-// grown makes room in a chunk: the first one grows as it fills, to at most its
+// growChunk makes room in a chunk: the first one grows as it fills, to at most its
 // size, since a relay with few destinations should not pay for many.
-func grown(b []byte, more int) []byte {
+func growChunk(b []byte, more int) []byte {
 	if len(b)+more <= cap(b) {
 		return b
 	}
 	return slices.Grow(b, max(more, min(len(b), chunkSize-len(b))))[:len(b)]
 }
 
-// drop books that a record is dead, and empties its chunk if half of it is.
-func (s *Store) drop(r record) {
-	at := int(r.place >> chunkBits)
+// markDead books that a record is dead, and empties its chunk if half of it is.
+func (s *Store) markDead(r record) {
+	at := int(r.position >> chunkBits)
 	c := &s.chunks[at]
-	c.dead += r.size
-	b := s.bytes(r.place)
+	c.deadBytes += r.size
+	b := s.bytesAt(r.position)
 	_, head := binary.Uvarint(b)
 	b[head] = 1
 	switch {
-	case c.dead == len(c.b):
-		s.clear(at)
-	case at != s.at && c.dead > len(c.b)/2:
-		s.empty(at)
+	case c.deadBytes == len(c.data):
+		s.releaseChunk(at)
+	case at != s.current && c.deadBytes > len(c.data)/2:
+		s.evacuateChunk(at)
 	}
 }
 
-func (s *Store) clear(at int) {
+func (s *Store) releaseChunk(at int) {
 	s.chunks[at] = chunk{}
-	if at != s.at {
-		s.free = append(s.free, at)
+	if at != s.current {
+		s.freeChunks = append(s.freeChunks, at)
 	}
 }
 
-// empty moves what lives in a chunk.
-func (s *Store) empty(at int) {
-	for off := 0; off < len(s.chunks[at].b); {
-		r := s.read(uint32(at)<<chunkBits | uint32(off))
+// evacuateChunk moves what lives in a chunk.
+func (s *Store) evacuateChunk(at int) {
+	for off := 0; off < len(s.chunks[at].data); {
+		r := s.readRecord(uint32(at)<<chunkBits | uint32(off))
 		off += r.size
 		if !r.dead {
-			s.move(r, r.learned, r.rest)
+			s.relocate(r, r.state, r.endpoints)
 		}
 	}
-	s.clear(at)
+	s.releaseChunk(at)
 }
 
-// move writes a record anew, at the end, and has the tables find it there.
-func (s *Store) move(r record, learned, endpoints []byte) record {
-	place := s.put(r.dest, learned, endpoints)
-	s.dests.move(s.destHash(r.dest), r.place, place)
-	for b := r.rest; len(b) > 0; {
+// relocate writes a record anew, at the end, and has the tables find it there.
+func (s *Store) relocate(r record, learned, endpoints []byte) record {
+	place := s.writeRecord(r.dest, learned, endpoints)
+	s.destIndex.replace(s.destHash(r.dest), r.position, place)
+	for b := r.endpoints; len(b) > 0; {
 		var id []byte
-		_, id, b = next(b)
-		s.ids.move(s.idHash(id), r.place, place)
+		_, id, b = cutEndpoint(b)
+		s.idIndex.replace(s.idHash(id), r.position, place)
 	}
-	return s.read(place)
+	return s.readRecord(place)
 }
 
-func (s *Store) destHash(dest int) uint64  { return maphash.Comparable(s.seed, dest) }
-func (s *Store) idHash(id []byte) uint64   { return maphash.Bytes(s.seed, id) }
-func (s *Store) nameHash(id string) uint64 { return maphash.String(s.seed, id) }
+func (s *Store) destHash(dest int) uint64      { return maphash.Comparable(s.seed, dest) }
+func (s *Store) idHash(id []byte) uint64       { return maphash.Bytes(s.seed, id) }
+func (s *Store) idStringHash(id string) uint64 { return maphash.String(s.seed, id) }
 
-// byDest finds the record of a destination.
-func (s *Store) byDest(dest int) (r record, ok bool) {
-	s.dests.each(s.destHash(dest), func(place uint32) bool {
-		r = s.read(place)
+// findDest finds the record of a destination.
+func (s *Store) findDest(dest int) (r record, ok bool) {
+	s.destIndex.forEach(s.destHash(dest), func(place uint32) bool {
+		r = s.readRecord(place)
 		ok = r.dest == dest
 		return !ok
 	})
 	return r, ok
 }
 
-// byID finds the record that has an endpoint, and which one it is there.
-func (s *Store) byID(id string) (r record, one []byte, ok bool) {
-	s.ids.each(s.nameHash(id), func(place uint32) bool {
-		r = s.read(place)
-		for b := r.rest; len(b) > 0; {
+// findEndpoint finds the record that has an endpoint, and which one it is there.
+func (s *Store) findEndpoint(id string) (r record, one []byte, ok bool) {
+	s.idIndex.forEach(s.idStringHash(id), func(place uint32) bool {
+		r = s.readRecord(place)
+		for b := r.endpoints; len(b) > 0; {
 			var name []byte
-			if one, name, b = next(b); string(name) == id {
+			if one, name, b = cutEndpoint(b); string(name) == id {
 				ok = true
 				return false
 			}
@@ -334,205 +334,205 @@
 
 // Has reports whether a destination is here.
 func (s *Store) Has(dest int) bool {
-	_, ok := s.byDest(dest)
+	_, ok := s.findDest(dest)
 	return ok
 }
 
-// Find tells whose an endpoint is.
-func (s *Store) Find(id string) (dest int, ok bool) {
-	r, _, ok := s.byID(id)
+// DestinationOf tells whose an endpoint is.
+func (s *Store) DestinationOf(id string) (dest int, ok bool) {
+	r, _, ok := s.findEndpoint(id)
 	return r.dest, ok
 }
 
-// Sleep puts a destination here, with what was learned of it, in the place of
+// Passivate puts a destination here, with what was learned of it, in the place of
 // what was here of it. None of its endpoints may be here under another one.
-func (s *Store) Sleep(dest int, learned []byte, endpoints []Endpoint) {
-	if r, ok := s.byDest(dest); ok {
-		s.forget(r)
+func (s *Store) Passivate(dest int, learned []byte, endpoints []Endpoint) {
+	if r, ok := s.findDest(dest); ok {
+		s.removeRecord(r)
 	}
 	var b []byte
 	for i := range endpoints {
 		at := len(b)
-		b = s.encode(b, &endpoints[i])
-		s.count(b[at], 1)
+		b = s.appendEndpoint(b, &endpoints[i])
+		s.adjustCounts(b[at], 1)
 	}
-	place := s.put(dest, learned, b)
-	s.dests.add(s.destHash(dest), place)
+	place := s.writeRecord(dest, learned, b)
+	s.destIndex.add(s.destHash(dest), place)
 	for i := range endpoints {
-		s.ids.add(s.nameHash(endpoints[i].ID), place)
+		s.idIndex.add(s.idStringHash(endpoints[i].ID), place)
 	}
 }
 
-// forget takes a record out.
-func (s *Store) forget(r record) {
-	s.dests.remove(s.destHash(r.dest), r.place)
-	for b := r.rest; len(b) > 0; {
+// removeRecord takes a record out.
+func (s *Store) removeRecord(r record) {
+	s.destIndex.remove(s.destHash(r.dest), r.position)
+	for b := r.endpoints; len(b) > 0; {
 		var one, id []byte
-		one, id, b = next(b)
-		s.ids.remove(s.idHash(id), r.place)
-		s.count(one[0], -1)
+		one, id, b = cutEndpoint(b)
+		s.idIndex.remove(s.idHash(id), r.position)
+		s.adjustCounts(one[0], -1)
 	}
-	s.drop(r)
+	s.markDead(r)
 }
 
-// all decodes the endpoints of a record.
-func (s *Store) all(r record) (list []Endpoint) {
-	for b := r.rest; len(b) > 0; {
+// decodeEndpoints decodes the endpoints of a record.
+func (s *Store) decodeEndpoints(r record) (list []Endpoint) {
+	for b := r.endpoints; len(b) > 0; {
 		var one, id []byte
-		one, id, b = next(b)
-		list = append(list, s.decode(one, id))
+		one, id, b = cutEndpoint(b)
+		list = append(list, s.decodeEndpoint(one, id))
 	}
 	return list
 }
 
-// Wake takes a destination out.
-func (s *Store) Wake(dest int) (learned []byte, endpoints []Endpoint, ok bool) {
-	r, ok := s.byDest(dest)
+// Activate takes a destination out.
+func (s *Store) Activate(dest int) (learned []byte, endpoints []Endpoint, ok bool) {
+	r, ok := s.findDest(dest)
 	if !ok {
 		return nil, nil, false
 	}
-	learned, endpoints = slices.Clone(r.learned), s.all(r)
-	s.forget(r)
+	learned, endpoints = slices.Clone(r.state), s.decodeEndpoints(r)
+	s.removeRecord(r)
 	return learned, endpoints, true
 }
 
-// Put books that an endpoint is in the list, at a destination that is here or
+// PutEndpoint books that an endpoint is in the list, at a destination that is here or
 // comes here. One that was elsewhere is there no more. What was learned of the
 // destination stays: whose it is by now is for him to say who wrote it.
-func (s *Store) Put(dest int, e *Endpoint) {
-	r, one, have := s.byID(e.ID)
+func (s *Store) PutEndpoint(dest int, e *Endpoint) {
+	r, one, have := s.findEndpoint(e.ID)
 	if have && r.dest != dest {
-		s.Remove(e.ID)
+		s.RemoveEndpoint(e.ID)
 		have = false
 	}
 	if !have {
-		r, ok := s.byDest(dest)
+		r, ok := s.findDest(dest)
 		if !ok {
-			s.Sleep(dest, nil, []Endpoint{*e})
+			s.Passivate(dest, nil, []Endpoint{*e})
 			return
 		}
-		fresh := s.encode(nil, e)
-		s.count(fresh[0], 1)
-		r = s.rewrite(r, r.learned, append(slices.Clone(r.rest), fresh...))
-		s.ids.add(s.nameHash(e.ID), r.place)
+		fresh := s.appendEndpoint(nil, e)
+		s.adjustCounts(fresh[0], 1)
+		r = s.replaceRecord(r, r.state, append(slices.Clone(r.endpoints), fresh...))
+		s.idIndex.add(s.idStringHash(e.ID), r.position)
 		return
 	}
-	fresh := s.encode(nil, e)
-	s.count(one[0], -1)
-	s.count(fresh[0], 1)
+	fresh := s.appendEndpoint(nil, e)
+	s.adjustCounts(one[0], -1)
+	s.adjustCounts(fresh[0], 1)
 	if len(fresh) == len(one) && string(fresh[1:]) == string(one[1:]) {
 		one[0] = fresh[0] // nothing but its flags: no new record
 		return
 	}
-	s.rewrite(r, r.learned, append(without(r.rest, e.ID), fresh...))
+	s.replaceRecord(r, r.state, append(withoutEndpoint(r.endpoints, e.ID), fresh...))
 }
 
-// Same reports whether an endpoint is here as it is told, draining or not, and if
+// ConfirmUnchanged reports whether an endpoint is here as it is told, draining or not, and if
 // so books that, and that the list names it: most of a whole list is so.
-func (s *Store) Same(dest int, e *Endpoint) bool {
-	r, one, ok := s.byID(e.ID)
+func (s *Store) ConfirmUnchanged(dest int, e *Endpoint) bool {
+	r, one, ok := s.findEndpoint(e.ID)
 	if !ok || r.dest != dest {
 		return false
 	}
-	s.scratch = s.encode(s.scratch[:0], e)
-	if string(s.scratch[1:]) != string(one[1:]) || (s.scratch[0]^one[0])&^(isMarked|isDraining) != 0 {
+	s.scratch = s.appendEndpoint(s.scratch[:0], e)
+	if string(s.scratch[1:]) != string(one[1:]) || (s.scratch[0]^one[0])&^(flagConfirmed|flagDraining) != 0 {
 		return false
 	}
-	s.count(one[0], -1)
-	s.count(s.scratch[0], 1)
+	s.adjustCounts(one[0], -1)
+	s.adjustCounts(s.scratch[0], 1)
 	one[0] = s.scratch[0]
 	return true
 }
 
-// Learn has something else be what was learned of a destination that is here.
-func (s *Store) Learn(dest int, learned []byte) {
-	if r, ok := s.byDest(dest); ok {
-		s.rewrite(r, learned, slices.Clone(r.rest))
+// SetState has something else be what was learned of a destination that is here.
+func (s *Store) SetState(dest int, learned []byte) {
+	if r, ok := s.findDest(dest); ok {
+		s.replaceRecord(r, learned, slices.Clone(r.endpoints))
 	}
 }
 
 // Peek shows a destination without waking it.
 func (s *Store) Peek(dest int) (learned []byte, endpoints []Endpoint, ok bool) {
-	r, ok := s.byDest(dest)
+	r, ok := s.findDest(dest)
 	if !ok {
 		return nil, nil, false
 	}
-	return slices.Clone(r.learned), s.all(r), true
+	return slices.Clone(r.state), s.decodeEndpoints(r), true
 }
 
-// count books that an endpoint with such flags is here, or no more.
-func (s *Store) count(flags byte, n int) {
+// adjustCounts books that an endpoint with such flags is here, or no more.
+func (s *Store) adjustCounts(flags byte, n int) {
 	s.endpoints += n
-	if flags&isDraining != 0 {
+	if flags&flagDraining != 0 {
 		s.draining += n
 	}
-	if flags&isMarked == s.mark {
-		s.marked += n
+	if flags&flagConfirmed == s.confirmedFlag {
+		s.confirmed += n
 	}
 }
 
-// rewrite puts other bytes into the place of a record's. Its old ids are found at
+// replaceRecord puts other bytes into the place of a record's. Its old ids are found at
 // the new one.
-func (s *Store) rewrite(r record, learned, endpoints []byte) record {
-	if c, off := &s.chunks[s.at], int(r.place&(chunkSize-1)); int(r.place>>chunkBits) == s.at && off+r.size == len(c.b) {
+func (s *Store) replaceRecord(r record, learned, endpoints []byte) record {
+	if c, off := &s.chunks[s.current], int(r.position&(chunkSize-1)); int(r.position>>chunkBits) == s.current && off+r.size == len(c.data) {
 		// It is the last one: a list that names a destination's endpoints one behind the other leaves nothing dead.
-		r.rest = slices.Clone(r.rest)
-		c.b = c.b[:off]
-		return s.move(r, learned, endpoints)
+		r.endpoints = slices.Clone(r.endpoints)
+		c.data = c.data[:off]
+		return s.relocate(r, learned, endpoints)
 	}
-	x := s.move(r, learned, endpoints)
-	s.drop(r)
-	if now, ok := s.byDest(r.dest); ok {
+	x := s.relocate(r, learned, endpoints)
+	s.markDead(r)
+	if now, ok := s.findDest(r.dest); ok {
 		return now // to drop the old one may have moved it once more
 	}
 	return x
 }
 
-// without are the endpoints of a record but one.
-func without(b []byte, id string) (left []byte) {
+// withoutEndpoint are the endpoints of a record but one.
+func withoutEndpoint(b []byte, id string) (left []byte) {
 	for len(b) > 0 {
 		var one, name []byte
-		if one, name, b = next(b); string(name) != id {
+		if one, name, b = cutEndpoint(b); string(name) != id {
 			left = append(left, one...)
 		}
 	}
 	return left
 }
 
-// Remove takes an endpoint out. Its destination stays, with what was learned of
+// RemoveEndpoint takes an endpoint out. Its destination stays, with what was learned of
 // it, until Forget.
-func (s *Store) Remove(id string) (dest int, ok bool) {
-	r, one, ok := s.byID(id)
+func (s *Store) RemoveEndpoint(id string) (dest int, ok bool) {
+	r, one, ok := s.findEndpoint(id)
 	if !ok {
 		return 0, false
 	}
-	s.ids.remove(s.nameHash(id), r.place)
-	s.count(one[0], -1)
-	s.rewrite(r, r.learned, without(r.rest, id))
+	s.idIndex.remove(s.idStringHash(id), r.position)
+	s.adjustCounts(one[0], -1)
+	s.replaceRecord(r, r.state, withoutEndpoint(r.endpoints, id))
 	return r.dest, true
 }
 
-// Forget takes a destination out that has no endpoint, and reports whether it was
+// RemoveEmpty takes a destination out that has no endpoint, and reports whether it was
 // one.
-func (s *Store) Forget(dest int) bool {
-	r, ok := s.byDest(dest)
-	if !ok || len(r.rest) > 0 {
+func (s *Store) RemoveEmpty(dest int) bool {
+	r, ok := s.findDest(dest)
+	if !ok || len(r.endpoints) > 0 {
 		return false
 	}
-	s.forget(r)
+	s.removeRecord(r)
 	return true
 }
 
-// Begin begins a whole list: what is not put until End is not in it.
-func (s *Store) Begin() {
-	s.mark ^= isMarked
-	s.marked = s.endpoints - s.marked
+// BeginList begins a whole list: what is not put until End is not in it.
+func (s *Store) BeginList() {
+	s.confirmedFlag ^= flagConfirmed
+	s.confirmed = s.endpoints - s.confirmed
 }
 
-// End takes out what the list did not name, and returns the destinations that
+// EndList takes out what the list did not name, and returns the destinations that
 // have lost an endpoint, in the order of their records.
-func (s *Store) End() (lost []int) {
-	if s.marked == s.endpoints {
+func (s *Store) EndList() (lost []int) {
+	if s.confirmed == s.endpoints {
 		return nil
 	}
 	type old struct {
@@ -540,16 +540,16 @@
 		id   string
 	}
 	var gone []old
-	s.Each(func(dest int, _ []byte, rest []byte) {
+	s.eachRecord(func(dest int, _ []byte, rest []byte) {
 		for b := rest; len(b) > 0; {
 			var one, id []byte
-			if one, id, b = next(b); one[0]&isMarked != s.mark {
+			if one, id, b = cutEndpoint(b); one[0]&flagConfirmed != s.confirmedFlag {
 				gone = append(gone, old{dest, string(id)})
 			}
 		}
 	})
 	for _, x := range gone {
-		s.Remove(x.id)
+		s.RemoveEndpoint(x.id)
 		if len(lost) == 0 || lost[len(lost)-1] != x.dest {
 			lost = append(lost, x.dest)
 		}
@@ -557,23 +557,23 @@
 	return lost
 }
 
-// Each shows each destination with the bytes of its record, in their order. The
+// eachRecord shows each destination with the bytes of its record, in their order. The
 // store must not change meanwhile.
-func (s *Store) Each(f func(dest int, learned, endpoints []byte)) {
+func (s *Store) eachRecord(f func(dest int, learned, endpoints []byte)) {
 	for at := range s.chunks {
-		for off := 0; off < len(s.chunks[at].b); {
-			r := s.read(uint32(at)<<chunkBits | uint32(off))
+		for off := 0; off < len(s.chunks[at].data); {
+			r := s.readRecord(uint32(at)<<chunkBits | uint32(off))
 			off += r.size
 			if !r.dead {
-				f(r.dest, r.learned, r.rest)
+				f(r.dest, r.state, r.endpoints)
 			}
 		}
 	}
 }
 
-// All shows each destination.
-func (s *Store) All(f func(dest int, learned []byte, endpoints []Endpoint)) {
-	s.Each(func(dest int, learned, rest []byte) {
-		f(dest, learned, s.all(record{rest: rest}))
+// ForEach shows each destination.
+func (s *Store) ForEach(f func(dest int, learned []byte, endpoints []Endpoint)) {
+	s.eachRecord(func(dest int, learned, rest []byte) {
+		f(dest, learned, s.decodeEndpoints(record{endpoints: rest}))
 	})
 }
--- a/internal/dormant/table.go
+++ b/internal/dormant/table.go
@@ -5,9 +5,9 @@
 // the hash's upper bits, each of which grows by itself, a quarter at a time: so
 // no insertion moves more than a small part, and little of it is ever empty.
 type table struct {
-	parts [parts][]slot
-	used  [parts]int32
-	n     int
+	parts [partCount][]slot
+	used  [partCount]int32
+	count int
 }
 
 // slot is the lower half of a hash, and a place; 0 is an empty one, since no hash
@@ -15,25 +15,25 @@
 type slot uint64
 
 const (
-	partBits = 8
-	parts    = 1 << partBits
-	fullest  = 0.85 // of a part, before it grows
-	growth   = 1.25
-	least    = 4
+	partBits     = 8
+	partCount    = 1 << partBits
+	maxLoad      = 0.85 // of a part, before it grows
+	growthFactor = 1.25
+	minPartSize  = 4
 )
 
-// split tells the part of a hash and its mark there.
-func split(hash uint64) (part int, mark uint32) {
+// partOf tells the part of a hash and its mark there.
+func partOf(hash uint64) (part int, mark uint32) {
 	return int(hash >> (64 - partBits)), max(uint32(hash), 1)
 }
 
-func (x slot) mark() uint32  { return uint32(x >> 32) }
-func (x slot) place() uint32 { return uint32(x) }
+func (x slot) mark() uint32     { return uint32(x >> 32) }
+func (x slot) position() uint32 { return uint32(x) }
 
-// home is where a mark belongs among so many.
-func home(mark uint32, size int) int { return int(uint64(mark) * uint64(size) >> 32) }
+// homeSlot is where a mark belongs among so many.
+func homeSlot(mark uint32, size int) int { return int(uint64(mark) * uint64(size) >> 32) }
 
-func (t *table) bytes() int {
+func (t *table) memory() int {
 	n := 0
 	for i := range t.parts {
 		n += 8 * cap(t.parts[i])
@@ -41,16 +41,16 @@
 	return n
 }
 
-// each shows the places with a hash until f returns false. f may not change the
+// forEach shows the places with a hash until f returns false. f may not change the
 // table.
-func (t *table) each(hash uint64, f func(place uint32) bool) {
-	p, mark := split(hash)
+func (t *table) forEach(hash uint64, f func(place uint32) bool) {
+	p, mark := partOf(hash)
 	s := t.parts[p]
 	if len(s) == 0 {
 		return
 	}
-	for i := home(mark, len(s)); s[i] != 0; i = (i + 1) % len(s) {
-		if s[i].mark() == mark && !f(s[i].place()) {
+	for i := homeSlot(mark, len(s)); s[i] != 0; i = (i + 1) % len(s) {
+		if s[i].mark() == mark && !f(s[i].position()) {
 			return
 		}
 	}
@@ -58,13 +58,13 @@
 
 // find tells where in its part a place with a hash stands.
 func (t *table) find(hash uint64, place uint32) (int, bool) {
-	p, mark := split(hash)
+	p, mark := partOf(hash)
 	s := t.parts[p]
 	if len(s) == 0 {
 		return 0, false
 	}
 	want := slot(mark)<<32 | slot(place)
-	i := home(mark, len(s))
+	i := homeSlot(mark, len(s))
 	for ; s[i] != 0; i = (i + 1) % len(s) {
 		if s[i] == want {
 			return i, true
@@ -74,33 +74,33 @@
 }
 
 func (t *table) add(hash uint64, place uint32) {
-	p, mark := split(hash)
-	if float64(t.used[p]+1) > fullest*float64(len(t.parts[p])) {
+	p, mark := partOf(hash)
+	if float64(t.used[p]+1) > maxLoad*float64(len(t.parts[p])) {
 		old := t.parts[p]
-		t.parts[p] = make([]slot, max(least, int(float64(len(old))*growth)+1))
+		t.parts[p] = make([]slot, max(minPartSize, int(float64(len(old))*growthFactor)+1))
 		for _, x := range old {
 			if x != 0 {
-				insert(t.parts[p], x)
+				insertSlot(t.parts[p], x)
 			}
 		}
 	}
-	insert(t.parts[p], slot(mark)<<32|slot(place))
+	insertSlot(t.parts[p], slot(mark)<<32|slot(place))
 	t.used[p]++
-	t.n++
+	t.count++
 }
 
-func insert(s []slot, x slot) {
-	i := home(x.mark(), len(s))
+func insertSlot(s []slot, x slot) {
+	i := homeSlot(x.mark(), len(s))
 	for s[i] != 0 {
 		i = (i + 1) % len(s)
 	}
 	s[i] = x
 }
 
-// move has a place that a hash leads to be another one.
-func (t *table) move(hash uint64, from, to uint32) {
+// replace has a place that a hash leads to be another one.
+func (t *table) replace(hash uint64, from, to uint32) {
 	if i, ok := t.find(hash, from); ok {
-		p, mark := split(hash)
+		p, mark := partOf(hash)
 		t.parts[p][i] = slot(mark)<<32 | slot(to)
 	}
 }
@@ -112,17 +112,17 @@
 	if !ok {
 		return
 	}
-	p, _ := split(hash)
+	p, _ := partOf(hash)
 	s := t.parts[p]
 	for j := (i + 1) % len(s); s[j] != 0; j = (j + 1) % len(s) {
-		h := home(s[j].mark(), len(s))
+		h := homeSlot(s[j].mark(), len(s))
 		if (j-h+len(s))%len(s) >= (j-i+len(s))%len(s) { // its home is not behind the gap
 			s[i] = s[j]
 			i = j
 		}
 	}
 	s[i] = 0
-	t.n--
+	t.count--
 	if t.used[p]--; t.used[p] == 0 {
 		t.parts[p] = nil
 	}
--- a/internal/learned/format_test.go
+++ b/internal/learned/format_test.go
@@ -34,7 +34,7 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			if f.Relay != "n1" || f.Wall != 1764384020000000 || f.Mono != 7000000000 || f.Zero != 3000000000 || f.Clean != c.clean ||
+			if f.Relay != "n1" || f.WrittenAt != 1764384020000000 || f.WrittenAtMonotonic != 7000000000 || f.ClockZero != 3000000000 || f.CleanShutdown != c.clean ||
 				f.State.Now != 4000000000 || f.State.Revision != 12 || f.State.Partial != c.partial {
 				t.Errorf("got %+v, %+v", f, f.State)
 			}
--- a/internal/learned/kill_test.go
+++ b/internal/learned/kill_test.go
@@ -12,20 +12,20 @@
 	"time"
 )
 
-const killEnv = "TROUTUSHER_TEST_LEARNED"
+const writerDirEnv = "TROUTUSHER_TEST_LEARNED"
 
 func TestMain(m *testing.M) {
-	if dir := os.Getenv(killEnv); dir != "" {
-		writeOn(dir)
+	if dir := os.Getenv(writerDirEnv); dir != "" {
+		writeUntilKilled(dir)
 	}
 	os.Exit(m.Run())
 }
 
-// writeOn writes one version after another, and tells of each that is written.
-func writeOn(dir string) {
+// writeUntilKilled writes one version after another, and tells of each that is written.
+func writeUntilKilled(dir string) {
 	s := NewStore(dir, "n1", 3<<20)
 	for rev := int64(1); ; rev++ {
-		f := sample("")
+		f := sampleFile("")
 		f.State.Revision = rev
 		for range rev % 50 { // of any length
 			f.State.Policy.Limiters = append(f.State.Policy.Limiters, f.State.Policy.Limiters[0])
@@ -47,7 +47,7 @@
 	for round := range 40 {
 		dir := t.TempDir()
 		cmd := exec.Command(os.Args[0])
-		cmd.Env = append(os.Environ(), killEnv+"="+dir)
+		cmd.Env = append(os.Environ(), writerDirEnv+"="+dir)
 		out, err := cmd.StdoutPipe()
 		if err != nil {
 			t.Fatal(err)
@@ -80,7 +80,7 @@
 		if f.State.Revision > last {
 			newer++
 		}
-		if got := names(t, dir); len(got) != 1 || got[0] != Name {
+		if got := fileNames(t, dir); len(got) != 1 || got[0] != FileName {
 			t.Errorf("round %d: in the folder: %v", round, got)
 		}
 	}
--- a/internal/learned/learned_test.go
+++ b/internal/learned/learned_test.go
@@ -13,14 +13,14 @@
 	"troutusher/internal/core"
 )
 
-func sample(relay string) *File {
-	return &File{Relay: relay, Wall: 5e15, Mono: 7e9, Zero: 3e9, Boot: "b", State: &core.StateSnapshot{Now: 4e9, Revision: 12,
+func sampleFile(relay string) *File {
+	return &File{Relay: relay, WrittenAt: 5e15, WrittenAtMonotonic: 7e9, ClockZero: 3e9, BootID: "b", State: &core.StateSnapshot{Now: 4e9, Revision: 12,
 		Members:     []core.HandoverMember{{Member: core.Member{ID: "s-1", HostPort: "10.0.0.1:1", Dest: 4, Phase: core.Up}, Number: 3}},
 		RetryAfters: []core.HandoverRetryAfter{{Dest: 4, Until: 4e9 + 5}},
 		Policy:      &decide.Snapshot{Now: 4e9, Limiters: []decide.LimiterSnapshot{{Destination: 4, Window: 2, Endpoints: []decide.EndpointSnapshot{{ID: 3, Unhealthy: true, FailureScore: 0.7}}}}}}}
 }
 
-func names(t *testing.T, dir string) (all []string) {
+func fileNames(t *testing.T, dir string) (all []string) {
 	t.Helper()
 	entries, err := os.ReadDir(dir)
 	if err != nil {
@@ -33,14 +33,14 @@
 }
 
 // What is written is read again, and replaces what was there.
-func TestWrittenAndRead(t *testing.T) {
+func TestWriteThenRead(t *testing.T) {
 	dir := t.TempDir()
 	s := NewStore(dir, "n1", 3<<20)
 	if f, err := s.Read(); f != nil || err != nil {
 		t.Fatalf("of nothing: %v %v", f, err)
 	}
 	for rev := range int64(3) {
-		f := sample("")
+		f := sampleFile("")
 		f.State.Revision = rev
 		if _, err := s.Write(f); err != nil {
 			t.Fatal(err)
@@ -51,7 +51,7 @@
 			t.Fatalf("%+v %v", got, err)
 		}
 	}
-	if got := names(t, dir); !slices.Equal(got, []string{Name}) {
+	if got := fileNames(t, dir); !slices.Equal(got, []string{FileName}) {
 		t.Errorf("in the folder: %v", got)
 	}
 }
@@ -59,7 +59,7 @@
 // Damage at any byte, and an end at any length, is an error: nothing else than
 // what was written is ever read.
 func TestDamageAtEachByte(t *testing.T) {
-	b, err := Encode(sample("n1"))
+	b, err := Encode(sampleFile("n1"))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -67,7 +67,7 @@
 		for _, flip := range []byte{1, 0x80, 0xff} {
 			c := bytes.Clone(b)
 			c[i] ^= flip
-			if _, err := Decode(c); !errors.Is(err, ErrDamaged) && !errors.Is(err, ErrNewer) {
+			if _, err := Decode(c); !errors.Is(err, ErrDamaged) && !errors.Is(err, ErrNewerVersion) {
 				t.Fatalf("byte %d: %v", i, err)
 			}
 		}
@@ -82,14 +82,14 @@
 
 // What cannot be used is set aside, one file of it at most, and the next write
 // and read go on as if there had been none.
-func TestSetAside(t *testing.T) {
-	whole, err := Encode(sample("n1"))
+func TestRejectedFileIsSetAside(t *testing.T) {
+	whole, err := Encode(sampleFile("n1"))
 	if err != nil {
 		t.Fatal(err)
 	}
 	newer := bytes.Clone(whole)
 	newer[7] = 9
-	foreign, err := Encode(sample("n2"))
+	foreign, err := Encode(sampleFile("n2"))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -98,7 +98,7 @@
 	for what, c := range map[string]struct {
 		text []byte
 		want error
-	}{"newer": {newer, ErrNewer}, "foreign": {foreign, ErrForeign}, "damaged": {whole[:30], ErrDamaged},
+	}{"newer": {newer, ErrNewerVersion}, "foreign": {foreign, ErrOtherRelay}, "damaged": {whole[:30], ErrDamaged},
 		"empty": {nil, ErrDamaged}, "too long": {bytes.Repeat([]byte("x"), 1<<20), ErrDamaged}} {
 		if err := os.WriteFile(s.Path(), c.text, 0o600); err != nil {
 			t.Fatal(err)
@@ -106,10 +106,10 @@
 		if f, err := s.Read(); f != nil || !errors.Is(err, c.want) {
 			t.Errorf("%s: %v %v", what, f, err)
 		}
-		if got := names(t, dir); !slices.Equal(got, []string{aside}) {
+		if got := fileNames(t, dir); !slices.Equal(got, []string{rejectedName}) {
 			t.Errorf("%s: in the folder: %v", what, got)
 		}
-		if fi, err := os.Stat(filepath.Join(dir, aside)); err != nil || fi.Size() > Share(3<<20) {
+		if fi, err := os.Stat(filepath.Join(dir, rejectedName)); err != nil || fi.Size() > MaxFileBytes(3<<20) {
 			t.Errorf("%s: set aside %v %v", what, fi, err)
 		}
 		if f, err := s.Read(); f != nil || err != nil {
@@ -121,25 +121,25 @@
 // A kill at any point of a write leaves the old file or the new one, and what it
 // left beside is removed at the next start.
 func TestKillAtEachPoint(t *testing.T) {
-	whole, err := Encode(sample("n1"))
+	whole, err := Encode(sampleFile("n1"))
 	if err != nil {
 		t.Fatal(err)
 	}
 	for n := 0; n <= len(whole); n += 13 {
 		dir := t.TempDir()
 		s := NewStore(dir, "n1", 3<<20)
-		old := sample("")
+		old := sampleFile("")
 		old.State.Revision = 1
 		if _, err := s.Write(old); err != nil {
 			t.Fatal(err)
 		}
-		if err := os.WriteFile(filepath.Join(dir, "."+Name+"123"), whole[:n], 0o600); err != nil { // not renamed yet
+		if err := os.WriteFile(filepath.Join(dir, "."+FileName+"123"), whole[:n], 0o600); err != nil { // not renamed yet
 			t.Fatal(err)
 		}
 		if f, err := s.Read(); err != nil || f.State.Revision != 1 {
 			t.Fatalf("after %d bytes: %v %v", n, f, err)
 		}
-		if got := names(t, dir); !slices.Equal(got, []string{Name}) {
+		if got := fileNames(t, dir); !slices.Equal(got, []string{FileName}) {
 			t.Errorf("after %d bytes: %v", n, got)
 		}
 	}
@@ -149,18 +149,18 @@
 func TestWriteFails(t *testing.T) {
 	dir := t.TempDir()
 	s := NewStore(dir, "n1", 3<<20)
-	if _, err := s.Write(sample("")); err != nil {
+	if _, err := s.Write(sampleFile("")); err != nil {
 		t.Fatal(err)
 	}
-	long := sample("")
-	long.State.Members[0].ID = strings.Repeat("x", int(Share(3<<20)))
-	if _, err := s.Write(long); !errors.Is(err, ErrTooLong) {
+	long := sampleFile("")
+	long.State.Members[0].ID = strings.Repeat("x", int(MaxFileBytes(3<<20)))
+	if _, err := s.Write(long); !errors.Is(err, ErrTooLarge) {
 		t.Errorf("too long: %v", err)
 	}
 	if f, err := s.Read(); err != nil || f.State.Members[0].ID != "s-1" {
 		t.Errorf("%v %v", f, err)
 	}
-	if _, err := NewStore(filepath.Join(dir, "none"), "n1", 3<<20).Write(sample("")); err == nil {
+	if _, err := NewStore(filepath.Join(dir, "none"), "n1", 3<<20).Write(sampleFile("")); err == nil {
 		t.Error("written where there is no folder")
 	}
 	if err := os.Remove(s.Path()); err != nil {
@@ -169,18 +169,18 @@
 	if err := os.Mkdir(s.Path(), 0o700); err != nil { // a rename onto it fails
 		t.Fatal(err)
 	}
-	if _, err := s.Write(sample("")); err == nil {
+	if _, err := s.Write(sampleFile("")); err == nil {
 		t.Error("a folder was replaced")
 	}
-	if got := names(t, dir); !slices.Equal(got, []string{Name}) {
+	if got := fileNames(t, dir); !slices.Equal(got, []string{FileName}) {
 		t.Errorf("left in the folder: %v", got)
 	}
 }
 
 // The moments of a file lie right on the reader's clock: by the monotonic clock
 // in the same boot, by the wall clock else; one that went back shortens nothing.
-func TestGap(t *testing.T) {
-	f := sample("n1") // written at moment 4e9 of a clock whose moment 0 was mono 3e9
+func TestClockShift(t *testing.T) {
+	f := sampleFile("n1") // written at moment 4e9 of a clock whose moment 0 was mono 3e9
 	for name, c := range map[string]struct {
 		mono, wall int64
 		boot       string
@@ -195,7 +195,7 @@
 	} {
 		zero := c.mono - 3600e6 // the reader's clock begins at an hour
 		now := c.mono - zero
-		if ago := now - (f.State.Now + f.Gap(zero, c.mono, c.wall, c.boot)); ago != c.ago {
+		if ago := now - (f.State.Now + f.ClockShift(zero, c.mono, c.wall, c.boot)); ago != c.ago {
 			t.Errorf("%s: written %d µs ago, want %d", name, ago, c.ago)
 		}
 	}
@@ -203,8 +203,8 @@
 
 // The file is due soon after what should not be forgotten, now and then while
 // anything is learned, never more than its bytes allow, and not where nothing is.
-func TestPace(t *testing.T) {
-	p := NewPace(2e6)
+func TestWriteSchedule(t *testing.T) {
+	p := NewWriteSchedule(2e6)
 	if due, again := p.Due(1e6, 0, 0); due || again != 0 {
 		t.Errorf("with nothing learned: %v %d", due, again)
 	}
@@ -217,7 +217,7 @@
 	if due, _ := p.Due(1.25e6, 1, 1); !due {
 		t.Error("not due")
 	}
-	p.Wrote(1.25e6, 1000, 1, 1)
+	p.RecordWrite(1.25e6, 1000, 1, 1)
 	if due, again := p.Due(1.3e6, 1, 1); due || again != 0 {
 		t.Errorf("nothing since: %v %d", due, again)
 	}
@@ -225,20 +225,20 @@
 	for ; now < 62e6; now += 10e3 { // a minute in which something happens all the time
 		stirred++
 		if due, _ := p.Due(now, stirred, stirred); due {
-			p.Wrote(now, 20<<10, stirred, stirred)
+			p.RecordWrite(now, 20<<10, stirred, stirred)
 			bytes += 20 << 10
 		}
 	}
-	if most := int(rate*60 + depth + 20<<10); bytes > most || bytes < most/2 {
+	if most := int(maxBytesPerSecond*60 + maxBurstBytes + 20<<10); bytes > most || bytes < most/2 {
 		t.Errorf("%d bytes in a minute, want %d at most", bytes, most)
 	}
 }
 
 // Whatever a file holds, it is read whole or not at all.
 func FuzzDecode(f *testing.F) {
-	b, _ := Encode(sample("n1"))
+	b, _ := Encode(sampleFile("n1"))
 	f.Add(b)
-	f.Add([]byte(mark))
+	f.Add([]byte(magic))
 	f.Fuzz(func(t *testing.T, b []byte) {
 		x, err := Decode(b)
 		if err != nil {
--- a/internal/operator/format_test.go
+++ b/internal/operator/format_test.go
@@ -23,21 +23,21 @@
 	}
 	weight := 2.5
 	want := &File{
-		Clients: Clients{Listen: []string{"127.0.0.1:7001", "[::1]:7002"}, Descriptors: 20000, Places: 19000, Strangers: 9500,
-			AskedMost: 18000, IdleS: 600.5, MemoryMB: 64},
-		TLS: []TLS{{Name: "pay", Destinations: []int{3, 7}, Flavors: []string{"lanac"}, ServerName: "pay.example.org",
+		Clients: Clients{ListenAddresses: []string{"127.0.0.1:7001", "[::1]:7002"}, Descriptors: 20000, MaxConns: 19000, MaxUnvalidated: 9500,
+			SingleUseEvictionThreshold: 18000, IdleTimeoutS: 600.5, MemoryMB: 64},
+		TLSRules: []TLSRule{{Name: "pay", Destinations: []int{3, 7}, Flavors: []string{"lanac"}, ServerName: "pay.example.org",
 			Roots:       "/etc/troutusher/pay-roots.pem",
 			Pins:        []string{"AAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAA=", "AQAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAA="},
 			Certificate: "/etc/troutusher/relay.pem", Key: "/etc/troutusher/relay.key", Revocations: "/etc/troutusher/pay.crl",
-			UnknownRevocation: "refuse", MinVersion: "1.3", Weight: &weight, WarnDays: 21}},
-		Handshakes: Handshakes{Share: 0.25, BurstMS: 60, Parallel: 5, TimeoutS: 2.5, Sessions: 300, SessionKey: "/etc/troutusher/session.key"},
-		Stories:    Stories{PerSecond: 101},
-		Learned:    Learned{PeriodS: 3},
-		Rest:       Rest{Awake: 1025, QuietS: 61},
-		Discovery:  Discovery{ListMB: 5},
+			UnknownRevocation: "refuse", MinVersion: "1.3", HandshakeWeight: &weight, ExpiryWarningDays: 21}},
+		Handshakes:  Handshakes{CPUShare: 0.25, BurstMS: 60, MaxParallel: 5, TimeoutS: 2.5, MaxSessions: 300, SessionKey: "/etc/troutusher/session.key"},
+		Traces:      Traces{PerSecond: 101},
+		PolicyState: PolicyState{WritePeriodS: 3},
+		Passivation: Passivation{MaxActive: 1025, IdleTimeoutS: 61},
+		Discovery:   Discovery{MaxListMB: 5},
 		Etcd: Etcd{Endpoints: []string{"10.1.0.5:2379", "10.1.0.6:2379"}, Prefix: "/recepti", User: "relay",
 			PasswordFile: "/etc/troutusher/etcd.password", Roots: "/etc/troutusher/etcd-roots.pem", Certificate: "/etc/troutusher/etcd.pem",
-			Key: "/etc/troutusher/etcd.key", ServerName: "etcd.example.org", First: "registry"},
+			Key: "/etc/troutusher/etcd.key", ServerName: "etcd.example.org", Precedence: "registry"},
 	}
 	if !reflect.DeepEqual(f, want) {
 		t.Errorf("got\n%+v\nwant\n%+v", f, want)
--- a/internal/rehearse/scenario/scenario.go
+++ b/internal/rehearse/scenario/scenario.go
@@ -385,7 +385,7 @@
 // checker collects what is wrong, each with its key and line.
 type checker struct{ *tomlfile.Checker }
 
-func (c *checker) wrong(key, format string, a ...any) { c.Wrong(key, format, a...) }
+func (c *checker) wrong(key, format string, a ...any) { c.Errorf(key, format, a...) }
 
 // between checks a figure; NaN and infinities are out of every range.
 func (c *checker) between(key string, v, least, most float64) {
--- a/internal/rehearse/scenario/scenario_test.go
+++ b/internal/rehearse/scenario/scenario_test.go
@@ -115,7 +115,7 @@
 			t.Errorf("%q -> %q: %v\nwant %s", c.old, c.new, err, c.want)
 		}
 	}
-	if _, err := Parse("f.toml", make([]byte, tomlfile.Most+1)); err == nil {
+	if _, err := Parse("f.toml", make([]byte, tomlfile.MaxFileBytes+1)); err == nil {
 		t.Error("a huge file was read")
 	}
 }
--- a/internal/rehearse/stage/secure.go
+++ b/internal/rehearse/stage/secure.go
@@ -166,4 +166,4 @@
 }
 
 // env is what relays are started with.
-func (s *secrets) env() string { return operator.Env + "=" + s.file }
+func (s *secrets) env() string { return operator.EnvVar + "=" + s.file }
--- a/internal/relay/clients.go
+++ b/internal/relay/clients.go
@@ -65,12 +65,12 @@
 		have[name] = value
 	}
 	var ok bool
-	if q.Class, ok = c.classes[have["c"]]; !ok {
+	if q.Class, ok = c.Classes[have["c"]]; !ok {
 		return nil, fmt.Errorf("c: unknown class %q", have["c"])
 	}
 	q.Record.Class = have["c"]
-	if q.Tenant, ok = c.tenants[have["t"]]; !ok {
-		if len(c.tenants) > 0 {
+	if q.Tenant, ok = c.Tenants[have["t"]]; !ok {
+		if len(c.Tenants) > 0 {
 			return nil, fmt.Errorf("t: unknown tenant %q", have["t"])
 		}
 		q.Tenant = -1
@@ -93,7 +93,7 @@
 	if q.Record.Key = have["k"]; q.Record.Key != "" && !isToken(q.Record.Key) {
 		return nil, errors.New("k: too long or not plain")
 	}
-	if q.Record.Key == "" && c.keyed(q.Class) {
+	if q.Record.Key == "" && c.NeedsIdempotencyKey(q.Class) {
 		return nil, errors.New("k: missing in a keyed class")
 	}
 	return q, nil
--- a/internal/relay/clients_test.go
+++ b/internal/relay/clients_test.go
@@ -18,7 +18,7 @@
 func serveClients(t *testing.T, put func(*request), change ...func(*places.Limits)) (*clientServer, string, chan bool) {
 	t.Helper()
 	cfg := testConfigParsed(t)
-	opt := cfg.frontOptions()
+	opt := cfg.ServerOptions()
 	opt.Logger = quietLog()
 	for _, f := range change {
 		f(&opt.Limits)
@@ -361,7 +361,7 @@
 	f.Add([]byte(encodePut("m", "c=plain", []byte("b"))))
 	f.Add([]byte(encodePut("m", putFields("keyed", 8000, 1), []byte("b"))))
 	f.Add([]byte(encodePut("m", "c=plain,t=,d=1e400,dest=1,k=", nil)))
-	cfg := &Config{classes: map[string]int{"plain": 0, "keyed": 1}, tenants: map[string]int{}, Policy: decide.Settings{
+	cfg := &Config{Classes: map[string]int{"plain": 0, "keyed": 1}, Tenants: map[string]int{}, Policy: decide.Settings{
 		Classes: []decide.Class{{Deadline: 8e6}, {Deadline: 8e6, Idempotency: decide.IdempotentByKey}}}}
 	f.Fuzz(func(t *testing.T, b []byte) {
 		var r resp.Reader
--- a/internal/relay/config.go
+++ b/internal/relay/config.go
@@ -30,28 +30,28 @@
 
 // Config is everything that a relay is told before it starts.
 type Config struct {
-	Name         string
-	Listen       string
-	Discovery    string
-	Console      string // where operators call; empty for nowhere
-	State        string // the folder that outlasts the process
-	Seed         uint64
-	Limits       Limits
-	Known        *EndpointList // the list as this relay last had it, maybe old
-	Policy       decide.Settings
-	Operator     operator.Clients // what the operator's file says; zero where there is none
-	LearnedEvery time.Duration    // between two writes of what was learned; 0 for none
-	Rest         dormant.Limits   // which destinations are put away
-	ListMost     int              // bytes of discovery's list
-	Etcd         *operator.Etcd   // nil where none is followed
-	Stories      int              // messages a second that the log tells of from their hand-in on
-	TLS          []operator.TLS   // likewise
-	Handshakes   operator.Handshakes
-	zones        map[string]int
-	kinds        map[string]int
-	classes      map[string]int
-	tenants      map[string]int
-	loads        []string // fields of a load report
+	Name              string
+	Listen            string
+	Discovery         string
+	Console           string // where operators call; empty for nowhere
+	State             string // the folder that outlasts the process
+	Seed              uint64
+	Limits            Limits
+	KnownList         *EndpointList // the list as this relay last had it, maybe old
+	Policy            decide.Settings
+	ClientSettings    operator.Clients   // what the operator's file says; zero where there is none
+	PolicyStatePeriod time.Duration      // between two writes of what was learned; 0 for none
+	Passivation       dormant.Limits     // which destinations are put away
+	MaxListBytes      int                // bytes of discovery's list
+	Etcd              *operator.Etcd     // nil where none is followed
+	TracesPerSecond   int                // messages a second that the log tells of from their hand-in on
+	TLSRules          []operator.TLSRule // likewise
+	Handshakes        operator.Handshakes
+	Zones             map[string]int
+	DestinationKinds  map[string]int
+	Classes           map[string]int
+	Tenants           map[string]int
+	LoadReportFields  []string // fields of a load report
 }
 
 // LoadConfig reads the file that ROUTER_CONFIG names. What the environment
@@ -81,28 +81,28 @@
 	}
 	own, err := operator.Load(getenv)
 	if err != nil {
-		return nil, fmt.Errorf("%s: %w", operator.Env, err)
+		return nil, fmt.Errorf("%s: %w", operator.EnvVar, err)
 	}
-	stories, learned, rest, disc := operator.Stories{}, operator.Learned{}, operator.Rest{}, operator.Discovery{}
+	stories, learned, rest, disc := operator.Traces{}, operator.PolicyState{}, operator.Passivation{}, operator.Discovery{}
 	if own != nil {
-		stories, learned, rest, disc = own.Stories, own.Learned, own.Rest, own.Discovery
-		c.TLS, c.Handshakes = own.TLS, own.Handshakes
+		stories, learned, rest, disc = own.Traces, own.PolicyState, own.Passivation, own.Discovery
+		c.TLSRules, c.Handshakes = own.TLSRules, own.Handshakes
 		if len(own.Etcd.Endpoints) > 0 {
 			c.Etcd = &own.Etcd
 		}
-		if err := c.apply(&own.Clients); err != nil {
-			return nil, fmt.Errorf("%s: %w", operator.Env, err)
+		if err := c.applyClientSettings(&own.Clients); err != nil {
+			return nil, fmt.Errorf("%s: %w", operator.EnvVar, err)
 		}
 	}
-	c.Stories = stories.Most()
-	c.LearnedEvery = learned.Every()
-	c.Rest, c.ListMost = rest.Limits(), disc.Bytes()
+	c.TracesPerSecond = stories.MaxPerSecond()
+	c.PolicyStatePeriod = learned.WritePeriod()
+	c.Passivation, c.MaxListBytes = rest.Limits(), disc.MaxListBytes()
 	return c, nil
 }
 
-// apply takes over the operator's file.
-func (c *Config) apply(o *operator.Clients) error {
-	c.Operator = *o
+// applyClientSettings takes over the operator's file.
+func (c *Config) applyClientSettings(o *operator.Clients) error {
+	c.ClientSettings = *o
 	if o.Descriptors > 0 {
 		var limit syscall.Rlimit
 		if err := syscall.Getrlimit(syscall.RLIMIT_NOFILE, &limit); err == nil && limit.Cur < uint64(o.Descriptors) {
@@ -110,33 +110,33 @@
 		}
 		c.Limits.Sockets = o.Descriptors
 	}
-	if most := c.Limits.Sockets - ownSockets - c.Policy.MaxConcurrentCalls - spareEndpoints; o.Places > most {
-		return fmt.Errorf("clients.places: %d, and beside %d calls out there are descriptors for %d", o.Places, c.Policy.MaxConcurrentCalls, most)
+	if most := c.Limits.Sockets - ReservedDescriptors - c.Policy.MaxConcurrentCalls - spareEndpointConns; o.MaxConns > most {
+		return fmt.Errorf("clients.places: %d, and beside %d calls out there are descriptors for %d", o.MaxConns, c.Policy.MaxConcurrentCalls, most)
 	}
 	return nil
 }
 
-// frontOptions are those of this relay's machine and operator.
-func (c *Config) frontOptions() front.Options {
-	most, _ := c.budget()
-	l, o := places.DefaultLimits(most, c.Limits.Sockets), &c.Operator
-	if o.Strangers > 0 {
-		l.MaxUnvalidated = min(o.Strangers, most)
+// ServerOptions are those of this relay's machine and operator.
+func (c *Config) ServerOptions() front.Options {
+	most, _ := c.DescriptorBudget()
+	l, o := places.DefaultLimits(most, c.Limits.Sockets), &c.ClientSettings
+	if o.MaxUnvalidated > 0 {
+		l.MaxUnvalidated = min(o.MaxUnvalidated, most)
 	}
-	if o.AskedMost > 0 {
-		l.SingleUseEvictionThreshold = o.AskedMost
+	if o.SingleUseEvictionThreshold > 0 {
+		l.SingleUseEvictionThreshold = o.SingleUseEvictionThreshold
 	}
-	if o.IdleS > 0 {
-		l.IdleTimeout = o.Idle().Microseconds()
+	if o.IdleTimeoutS > 0 {
+		l.IdleTimeout = o.IdleTimeout().Microseconds()
 	}
-	memory := c.Limits.MemoryMB << 20 / clientMemory
+	memory := c.Limits.MemoryMB << 20 / clientMemoryDivisor
 	if o.MemoryMB > 0 {
 		memory = o.MemoryMB << 20
 	}
 	return front.Options{Limits: l, MemoryLimit: memory}
 }
 
-const clientMemory = 8 // clients' commands hold one byte of memory in so many at most
+const clientMemoryDivisor = 8 // clients' commands hold one byte of memory in so many at most
 
 func parseConfig(text []byte, getenv func(string) string, again bool) (*Config, error) {
 	var f struct {
@@ -157,7 +157,7 @@
 		}
 		return nil, fmt.Errorf("config: %w", err)
 	}
-	c := &Config{Name: f.Name, Listen: f.Listen, Discovery: f.Discovery, Console: f.Console, State: f.State, Limits: f.Limits, Known: f.Known}
+	c := &Config{Name: f.Name, Listen: f.Listen, Discovery: f.Discovery, Console: f.Console, State: f.State, Limits: f.Limits, KnownList: f.Known}
 	for _, v := range []struct {
 		env, key string
 		to       *string
@@ -187,17 +187,17 @@
 	if c.Seed, err = parseSeed(f.Seed); err != nil {
 		return nil, fmt.Errorf("config: seed: %w", err)
 	}
-	if err := c.Limits.fill(); err != nil {
+	if err := c.Limits.applyDefaults(); err != nil {
 		return nil, fmt.Errorf("config: limits.%w", err)
 	}
 	if len(f.Settings) == 0 {
 		return nil, errors.New("config: settings: missing")
 	}
-	return c, c.read(f.Settings)
+	return c, c.parseSettings(f.Settings)
 }
 
-// read maps the settings object and the names in it.
-func (c *Config) read(text []byte) error {
+// parseSettings maps the settings object and the names in it.
+func (c *Config) parseSettings(text []byte) error {
 	s, err := wire.ParseSettings(text)
 	if err != nil {
 		return fmt.Errorf("config: %w", err)
@@ -220,19 +220,19 @@
 	if err := json.Unmarshal(text, &names); err != nil {
 		return fmt.Errorf("config: settings: localities: %w", err)
 	}
-	c.loads = s.Report.Fields
-	c.zones, c.kinds = numbered(names.Localities), numbered(s.Kinds)
-	c.classes, c.tenants = map[string]int{}, map[string]int{}
+	c.LoadReportFields = s.Report.Fields
+	c.Zones, c.DestinationKinds = indexByName(names.Localities), indexByName(s.Kinds)
+	c.Classes, c.Tenants = map[string]int{}, map[string]int{}
 	for i, x := range s.Classes {
-		c.classes[x.Name] = i
+		c.Classes[x.Name] = i
 	}
 	for i, x := range s.Accounts {
-		c.tenants[x.Name] = i
+		c.Tenants[x.Name] = i
 	}
 	return nil
 }
 
-func numbered(names []string) map[string]int {
+func indexByName(names []string) map[string]int {
 	m := make(map[string]int, len(names))
 	for i, n := range names {
 		m[n] = i
@@ -252,15 +252,15 @@
 	return strconv.ParseUint(string(raw), 10, 64)
 }
 
-// fill puts in what is left out, and tells of limits that cannot be.
-func (l *Limits) fill() error {
+// applyDefaults puts in what is left out, and tells of limits that cannot be.
+func (l *Limits) applyDefaults() error {
 	switch {
 	case l.Cores < 0:
 		return fmt.Errorf("cores: %v, want 0 or more", l.Cores)
 	case l.MemoryMB < 0:
 		return fmt.Errorf("memory_mb: %d, want 0 or more", l.MemoryMB)
-	case l.Sockets < 0 || l.Sockets > 0 && l.Sockets < minSockets:
-		return fmt.Errorf("sockets: %d, want at least %d", l.Sockets, minSockets)
+	case l.Sockets < 0 || l.Sockets > 0 && l.Sockets < minDescriptors:
+		return fmt.Errorf("sockets: %d, want at least %d", l.Sockets, minDescriptors)
 	case l.DiskMB < 0:
 		return fmt.Errorf("disk_mb: %d, want 0 or more", l.DiskMB)
 	}
@@ -282,25 +282,25 @@
 // Descriptors: what the runtime, the log, the listener and discovery hold, and
 // the least that a relay can work with.
 const (
-	ownSockets     = 32
-	minSockets     = 64
-	spareEndpoints = 8 // connections to endpoints beside those in use
+	ReservedDescriptors = 32
+	minDescriptors      = 64
+	spareEndpointConns  = 8 // connections to endpoints beside those in use
 )
 
-// budget splits the descriptors between clients and endpoints. A call out
+// DescriptorBudget splits the descriptors between clients and endpoints. A call out
 // needs one each, so the endpoints' part is never under the slots as long as
 // the clients keep half. Twice the slots, where there are as many, leave some
 // idle ones to each endpoint: with fewer, each call closes another endpoint's
 // and opens its own.
-func (c *Config) budget() (clients, endpoints int) {
-	free := c.Limits.Sockets - ownSockets
-	endpoints = min(max(free/4, c.Policy.MaxConcurrentCalls+spareEndpoints, min(2*c.Policy.MaxConcurrentCalls, free*2/5)), free/2)
-	if most := c.Operator.Places; most > 0 {
+func (c *Config) DescriptorBudget() (clients, endpoints int) {
+	free := c.Limits.Sockets - ReservedDescriptors
+	endpoints = min(max(free/4, c.Policy.MaxConcurrentCalls+spareEndpointConns, min(2*c.Policy.MaxConcurrentCalls, free*2/5)), free/2)
+	if most := c.ClientSettings.MaxConns; most > 0 {
 		endpoints = free - most
 	}
 	return free - endpoints, endpoints
 }
 
-func (c *Config) keyed(class int) bool {
+func (c *Config) NeedsIdempotencyKey(class int) bool {
 	return c.Policy.Classes[class].Idempotency == decide.IdempotentByKey
 }
--- a/internal/relay/config_format_test.go
+++ b/internal/relay/config_format_test.go
@@ -31,7 +31,7 @@
 	if want := (Limits{Cores: 1.5, MemoryMB: 96, Sockets: 512, DiskMB: 4}); c.Limits != want {
 		t.Errorf("limits %+v, want %+v", c.Limits, want)
 	}
-	known, err := json.Marshal(c.Known)
+	known, err := json.Marshal(c.KnownList)
 	if want := `{"revision":12,"complete":true,"members":[{"id":"s-1","host_port":"10.0.0.1:80","locality":"a","flavor":"k","cell":4,"phase":"up","size":40}]}`; err != nil || string(known) != want {
 		t.Errorf("known %s (%v), want %s", known, err, want)
 	}
@@ -52,17 +52,17 @@
 		t.Errorf("policy\n%+v\nwant\n%+v", c.Policy, want)
 	}
 	for what, numbers := range map[string]struct{ got, want map[string]int }{
-		"localities": {c.zones, map[string]int{"a": 0, "b": 1}},
-		"kinds":      {c.kinds, map[string]int{"k": 0, "l": 1}},
-		"classes":    {c.classes, map[string]int{"plain": 0, "keyed": 1, "once": 2}},
-		"accounts":   {c.tenants, map[string]int{"acme": 0, "zeta": 1}},
+		"localities": {c.Zones, map[string]int{"a": 0, "b": 1}},
+		"kinds":      {c.DestinationKinds, map[string]int{"k": 0, "l": 1}},
+		"classes":    {c.Classes, map[string]int{"plain": 0, "keyed": 1, "once": 2}},
+		"accounts":   {c.Tenants, map[string]int{"acme": 0, "zeta": 1}},
 	} {
 		if !maps.Equal(numbers.got, numbers.want) {
 			t.Errorf("%s %v, want %v", what, numbers.got, numbers.want)
 		}
 	}
-	if !slices.Equal(c.loads, []string{"queue", "busy"}) {
-		t.Errorf("fields of a load report %v", c.loads)
+	if !slices.Equal(c.LoadReportFields, []string{"queue", "busy"}) {
+		t.Errorf("fields of a load report %v", c.LoadReportFields)
 	}
 }
 
--- a/internal/relay/config_test.go
+++ b/internal/relay/config_test.go
@@ -46,35 +46,35 @@
 		})
 	}
 	c, err := parseConfig([]byte(good), func(k string) string { return map[string]string{"ROUTER_STATE": "/y"}[k] }, false)
-	if err != nil || c.State != "/y" || c.Seed != 0x1f || c.Policy.MaxConcurrentCalls != 16 || c.Policy.StreamsPerConnection != 1 || c.zones["b"] != 1 || c.classes["once"] != 2 {
+	if err != nil || c.State != "/y" || c.Seed != 0x1f || c.Policy.MaxConcurrentCalls != 16 || c.Policy.StreamsPerConnection != 1 || c.Zones["b"] != 1 || c.Classes["once"] != 2 {
 		t.Errorf("got %+v, %v", c, err)
 	}
-	clients, endpoints := c.budget()
-	if clients+endpoints+ownSockets > 256 || endpoints < c.Policy.MaxConcurrentCalls {
+	clients, endpoints := c.DescriptorBudget()
+	if clients+endpoints+ReservedDescriptors > 256 || endpoints < c.Policy.MaxConcurrentCalls {
 		t.Errorf("budget %d and %d of 256", clients, endpoints)
 	}
 }
 
 // What the operator's file says comes before what follows from the limits, and
 // never leaves the calls out without descriptors.
-func TestOperatorsFile(t *testing.T) {
+func TestOperatorFileOverrides(t *testing.T) {
 	c := testConfigParsed(t)
-	before := c.frontOptions()
-	if err := c.apply(&operator.Clients{Descriptors: 900, Places: 700, Strangers: 650, AskedMost: 690, IdleS: 60, MemoryMB: 3}); err != nil {
+	before := c.ServerOptions()
+	if err := c.applyClientSettings(&operator.Clients{Descriptors: 900, MaxConns: 700, MaxUnvalidated: 650, SingleUseEvictionThreshold: 690, IdleTimeoutS: 60, MemoryMB: 3}); err != nil {
 		t.Fatal(err)
 	}
-	o := c.frontOptions()
+	o := c.ServerOptions()
 	l := o.Limits
 	if l.MaxConns != 700 || l.MaxUnvalidated != 650 || l.SingleUseEvictionThreshold != 690 || l.IdleTimeout != 60e6 || o.MemoryLimit != 3<<20 || l.FirstCommandTimeout != before.Limits.FirstCommandTimeout {
 		t.Errorf("%+v, %d", l, o.MemoryLimit)
 	}
-	clients, endpoints := c.budget()
-	if clients != 700 || clients+endpoints+ownSockets != 900 || endpoints < c.Policy.MaxConcurrentCalls {
+	clients, endpoints := c.DescriptorBudget()
+	if clients != 700 || clients+endpoints+ReservedDescriptors != 900 || endpoints < c.Policy.MaxConcurrentCalls {
 		t.Errorf("budget %d and %d of 900", clients, endpoints)
 	}
-	for key, bad := range map[string]operator.Clients{"clients.places": {Descriptors: 900, Places: 900 - ownSockets - c.Policy.MaxConcurrentCalls},
-		"clients.descriptors": {Descriptors: operator.DescriptorsMost}} {
-		if err := testConfigParsed(t).apply(&bad); err == nil || !strings.Contains(err.Error(), key) {
+	for key, bad := range map[string]operator.Clients{"clients.places": {Descriptors: 900, MaxConns: 900 - ReservedDescriptors - c.Policy.MaxConcurrentCalls},
+		"clients.descriptors": {Descriptors: operator.MaxDescriptors}} {
+		if err := testConfigParsed(t).applyClientSettings(&bad); err == nil || !strings.Contains(err.Error(), key) {
 			t.Errorf("%s: %v", key, err)
 		}
 	}
@@ -82,7 +82,7 @@
 
 // A relay that is started with the file listens on all of its addresses; one
 // with a wrong file does not start.
-func TestOperatorsListeners(t *testing.T) {
+func TestOperatorFileListeners(t *testing.T) {
 	env := testConfig(t, newFakeDiscovery(t), 3)
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -91,7 +91,7 @@
 	second := ln.Addr().String()
 	ln.Close()
 	path := filepath.Join(t.TempDir(), "operator.toml")
-	env[operator.Env] = path
+	env[operator.EnvVar] = path
 	if err := os.WriteFile(path, []byte("[clients]\nlisten = [\""+second+"\"]\n"), 0o600); err != nil {
 		t.Fatal(err)
 	}
--- a/internal/relay/handover.go
+++ b/internal/relay/handover.go
@@ -529,7 +529,7 @@
 // flushLog waits until all that was handed to the log is written.
 func (r *Relay) flushLog() {
 	written := make(chan struct{})
-	r.wal.in.Put(walOp{then: func(error) { close(written) }})
+	r.wal.queue.Put(walRequest{onWritten: func(error) { close(written) }})
 	<-written
 }
 
@@ -585,7 +585,7 @@
 	hitFailpoint(failpointOutgoingStateSent)
 	// Both processes have them for a moment: what is left of the descriptors
 	// bounds how many clients go over. The others were idle longest.
-	most := r.cfg.Limits.Sockets - 2*ownSockets - 2*len(fds)
+	most := r.cfg.Limits.Sockets - 2*ReservedDescriptors - 2*len(fds)
 	listeners, conns := cl.server.Export(most)
 	if err := l.Send(packetListeners, nil, by, listeners...); err != nil {
 		return err
@@ -721,7 +721,7 @@
 	go func() {
 		defer stop(nil)
 		defer r.inFlight.Remove(out)
-		if err := c.Adopt(h, fd, out.Record, limit, r.cfg.loads, tell); err != nil {
+		if err := c.Adopt(h, fd, out.Record, limit, r.cfg.LoadReportFields, tell); err != nil {
 			tell(Result{Outcome: decide.ConnectionReset, Err: err})
 		}
 	}()
--- a/internal/relay/handover_test.go
+++ b/internal/relay/handover_test.go
@@ -516,7 +516,7 @@
 		t.Fatal(err)
 	}
 	defer ln.Close()
-	log := filepath.Join(env["ROUTER_STATE"], walName)
+	log := filepath.Join(env["ROUTER_STATE"], WALFileName)
 	if err := os.WriteFile(log, []byte("a log that is in use"), 0o600); err != nil {
 		t.Fatal(err)
 	}
--- a/internal/relay/keep.go
+++ b/internal/relay/keep.go
@@ -16,7 +16,7 @@
 type stateSaver struct {
 	relay         *Relay
 	store         *learned.Store
-	schedule      *learned.Pace
+	schedule      *learned.WriteSchedule
 	bootID        string
 	writing       bool      // a write is under way
 	written       chan int  // its bytes; -1 where it failed
@@ -28,11 +28,11 @@
 const bootIDPath = "/proc/sys/kernel/random/boot_id"
 
 func newStateSaver(r *Relay) *stateSaver {
-	if r.cfg.LearnedEvery <= 0 {
+	if r.cfg.PolicyStatePeriod <= 0 {
 		return nil
 	}
 	boot, _ := os.ReadFile(bootIDPath) // where there is none, the wall clock has to do
-	return &stateSaver{relay: r, store: learned.NewStore(r.cfg.State, r.cfg.Name, int64(r.cfg.Limits.DiskMB)<<20), schedule: learned.NewPace(r.cfg.LearnedEvery.Microseconds()),
+	return &stateSaver{relay: r, store: learned.NewStore(r.cfg.State, r.cfg.Name, int64(r.cfg.Limits.DiskMB)<<20), schedule: learned.NewWriteSchedule(r.cfg.PolicyStatePeriod.Microseconds()),
 		bootID: strings.TrimSpace(string(boot)), written: make(chan int, 1)}
 }
 
@@ -41,7 +41,7 @@
 	if k == nil {
 		return 0
 	}
-	return learned.Copies * learned.Share(disk)
+	return learned.MaxCopies * learned.MaxFileBytes(disk)
 }
 
 // load is what an earlier process has left, and by how much its moments are off.
@@ -58,9 +58,9 @@
 		return nil, 0
 	}
 	now := k.relay.now()
-	shift = f.Gap(monotonicMicros()-now, monotonicMicros(), time.Now().UnixMicro(), k.bootID)
+	shift = f.ClockShift(monotonicMicros()-now, monotonicMicros(), time.Now().UnixMicro(), k.bootID)
 	k.relay.log.Info("learned: remembered", "destinations", len(f.State.Policy.Limiters), "revision", f.State.Revision,
-		"ago_ms", (now-f.State.Now-shift)/1000, "clean", f.Clean)
+		"ago_ms", (now-f.State.Now-shift)/1000, "clean", f.CleanShutdown)
 	return f.State, shift
 }
 
@@ -72,7 +72,7 @@
 	select {
 	case n := <-k.written:
 		k.writing = false
-		k.schedule.Wrote(now, max(n, 0), k.savedVersions[0], k.savedVersions[1]) // where it failed, the next change tries again, not the next step
+		k.schedule.RecordWrite(now, max(n, 0), k.savedVersions[0], k.savedVersions[1]) // where it failed, the next change tries again, not the next step
 	default:
 	}
 	if k.writing {
@@ -91,12 +91,12 @@
 func (k *stateSaver) snapshotFile(now decide.Time, clean bool) *learned.File {
 	k.savedVersions = [2]uint64{k.relay.core.StateVersion(), k.relay.core.CompletedCalls()}
 	m := monotonicMicros()
-	return &learned.File{Wall: time.Now().UnixMicro(), Mono: m, Zero: m - k.relay.now(), Boot: k.bootID, Clean: clean, State: k.relay.core.SnapshotState(now)}
+	return &learned.File{WrittenAt: time.Now().UnixMicro(), WrittenAtMonotonic: m, ClockZero: m - k.relay.now(), BootID: k.bootID, CleanShutdown: clean, State: k.relay.core.SnapshotState(now)}
 }
 
 func (k *stateSaver) write(f *learned.File) int {
 	n, err := k.store.Write(f)
-	if errors.Is(err, learned.ErrTooLong) {
+	if errors.Is(err, learned.ErrTooLarge) {
 		f.State.DropRecentCounts()
 		n, err = k.store.Write(f)
 	}
--- a/internal/relay/keep_test.go
+++ b/internal/relay/keep_test.go
@@ -37,7 +37,7 @@
 	if s := dialClient(t, env["ROUTER_LISTEN"]).put("m", putFields("plain", 20000, 1), nil); s != "+OK" {
 		t.Fatal(s)
 	}
-	path := filepath.Join(env["ROUTER_STATE"], learned.Name)
+	path := filepath.Join(env["ROUTER_STATE"], learned.FileName)
 	waitFor(t, "the wait in the file", func() bool {
 		b, err := os.ReadFile(path)
 		if err != nil {
--- a/internal/relay/loop.go
+++ b/internal/relay/loop.go
@@ -120,9 +120,9 @@
 		go con.Serve()
 	}
 	set := core.Settings{Policy: cfg.Policy, Seed: cfg.Seed, Epoch: r.startedAt.UnixMicro() - coreClockOrigin,
-		TracesPerSecond: cfg.Stories, Passivation: cfg.Rest, Zones: cfg.zones, Kinds: cfg.kinds, Classes: cfg.classes, Tenants: cfg.tenants}
-	if len(cfg.TLS) > 0 {
-		r.tlsPeers, err = secure.New(secure.Options{Rules: cfg.TLS, Handshakes: cfg.Handshakes, Log: log, Seed: cfg.Seed, State: cfg.State, Barred: r.identityRejected})
+		TracesPerSecond: cfg.TracesPerSecond, Passivation: cfg.Passivation, Zones: cfg.Zones, Kinds: cfg.DestinationKinds, Classes: cfg.Classes, Tenants: cfg.Tenants}
+	if len(cfg.TLSRules) > 0 {
+		r.tlsPeers, err = secure.New(secure.Options{Rules: cfg.TLSRules, Handshakes: cfg.Handshakes, Log: log, Seed: cfg.Seed, State: cfg.State, Barred: r.identityRejected})
 		if err != nil {
 			return false, err
 		}
@@ -135,7 +135,7 @@
 	if err != nil {
 		return false, fmt.Errorf("config: settings: %w", err)
 	}
-	_, conns := cfg.budget()
+	_, conns := cfg.DescriptorBudget()
 	keep := time.Duration(cfg.Policy.IdleTimeout) * time.Microsecond
 	// A request written to a connection that the endpoint is closing ends as a
 	// reset: ours close first.
@@ -144,13 +144,13 @@
 	go r.pool.Run(ctx)
 	r.notices = newNoticeSender(cfg.Discovery, log, func(id string) {
 		log.Info(story.NoticeDelivered, "message", id)
-		r.wal.submit(&record{Kind: core.RecordDone, ID: id}, nil)
+		r.wal.Submit(&record{Kind: core.RecordDone, ID: id}, nil)
 	})
 	watch, unwatch := context.WithCancel(ctx)
 	defer unwatch()
 	follow := registry.New(cfg.Policy.Relays, cfg.Seed)
-	if cfg.Known != nil {
-		follow.SetRevision(cfg.Known.Revision)
+	if cfg.KnownList != nil {
+		follow.SetRevision(cfg.KnownList.Revision)
 	}
 	r.discovery = newListWatcher(cfg.Discovery, log, follow, func(l *EndpointList) { r.inbox.Put(loopInput{Event: listEvent(l)}) })
 	if cfg.Etcd != nil {
@@ -159,7 +159,7 @@
 		}
 	}
 	r.discovery.cancel = unwatch
-	r.discovery.maxListBytes = cmp.Or(cfg.ListMost, defaultMaxListBytes)
+	r.discovery.maxListBytes = cmp.Or(cfg.MaxListBytes, defaultMaxListBytes)
 	go r.discovery.run(watch)
 	r.discoveryAddr = cfg.Discovery
 	go r.watchReloads(ctx, re)
@@ -177,7 +177,7 @@
 	if err != nil {
 		return false, err
 	}
-	opt := cfg.frontOptions()
+	opt := cfg.ServerOptions()
 	opt.Logger = log
 	opt.DeferListen = true // until all is there that an answer takes
 	if inherited == nil {
@@ -201,7 +201,7 @@
 	listen := func() (*clientServer, error) {
 		return newClientServer(cfg, opt, func(q *request) { r.post(core.Event{Kind: core.Submitted, Request: &q.Request}) },
 			func(q *request, ok bool) { r.post(core.Event{Kind: core.ReplyDelivered, Request: &q.Request, OK: ok}) },
-			append([]string{cfg.Listen}, cfg.Operator.Listen...)...)
+			append([]string{cfg.Listen}, cfg.ClientSettings.ListenAddresses...)...)
 	}
 	cl, err := listen()
 	// The system takes lock, link and address from a process that dies one after
@@ -223,7 +223,7 @@
 	}
 	r.wal = wal
 	walStop := make(chan struct{})
-	go wal.run(walStop)
+	go wal.Run(walStop)
 	r.closeLog = sync.OnceFunc(func() { close(walStop); <-wal.done })
 	defer r.closeLog()
 	r.notices.start(ctx)
@@ -231,7 +231,7 @@
 
 	if inherited.Core == nil {
 		known, shift := r.stateSaver.load()
-		newer := known != nil && (cfg.Known == nil || known.Revision > cfg.Known.Revision) // it has heard more
+		newer := known != nil && (cfg.KnownList == nil || known.Revision > cfg.KnownList.Revision) // it has heard more
 		if !newer || known.Partial {
 			r.observe(r.configuredList())
 		}
@@ -242,7 +242,7 @@
 			}
 			r.observe([]core.Event{{Kind: core.EndpointListUpdated, List: known.EndpointList(), News: kind}})
 		}
-		if heard || cfg.Known == nil && known == nil { // without any list there is nothing to serve on, and nobody is let in
+		if heard || cfg.KnownList == nil && known == nil { // without any list there is nothing to serve on, and nobody is let in
 			r.observe(list())
 		} else {
 			r.core.DeferSends()
@@ -297,7 +297,7 @@
 		defer ln.Close()
 		go r.acceptHandovers(ln)
 	}
-	log.Info(story.Ready, "name", cfg.Name, "listen", cl.server.Addr().String(), "endpoints", r.core.EndpointCount(), "owed", len(owed), "log", wal.found,
+	log.Info(story.Ready, "name", cfg.Name, "listen", cl.server.Addr().String(), "endpoints", r.core.EndpointCount(), "owed", len(owed), "log", wal.Found,
 		"handed_over", inherited.Core != nil, "clients", kept)
 	err = r.eventLoop(cl, failed)
 	if err == errHandoverComplete {
@@ -326,8 +326,8 @@
 
 // configuredList is the list in the configuration.
 func (r *Relay) configuredList() (lists []core.Event) {
-	if r.cfg.Known != nil {
-		lists = append(lists, core.Event{Kind: core.EndpointListUpdated, List: r.cfg.Known, News: decide.ListCached})
+	if r.cfg.KnownList != nil {
+		lists = append(lists, core.Event{Kind: core.EndpointListUpdated, List: r.cfg.KnownList, News: decide.ListCached})
 	}
 	return lists
 }
@@ -395,7 +395,7 @@
 	limit := time.NewTimer(firstListTimeout)
 	defer limit.Stop()
 	first := r.discovery.firstResponse
-	if r.cfg.Known == nil {
+	if r.cfg.KnownList == nil {
 		first = nil // without any list there is nothing to serve on
 	}
 	var got []loopInput
@@ -587,10 +587,10 @@
 	case core.SendReply:
 		requestOf(e.Request).answer(replyText(e.Reply))
 	case core.AppendRecord:
-		r.wal.submit(e.Record, nil)
+		r.wal.Submit(e.Record, nil)
 	case core.AppendThenReply:
 		q := e.Request
-		r.wal.submit(e.Record, func(err error) {
+		r.wal.Submit(e.Record, func(err error) {
 			if err != nil {
 				r.post(core.Event{Kind: core.LogWriteFailed, Request: q})
 				return
@@ -602,7 +602,7 @@
 	case core.AppendThenNotify:
 		n := e.Notice
 		// The notice goes out whether or not it could be logged.
-		r.wal.submit(e.Record, func(error) { r.notices.queue.Put(n) })
+		r.wal.Submit(e.Record, func(error) { r.notices.queue.Put(n) })
 	case core.SendNotice:
 		r.notices.queue.Put(e.Notice)
 	case core.ResumeCall:
@@ -673,7 +673,7 @@
 	c := &Call{ctx: ctx, cancel: stop, connRequest: connRequest{warmingUp: out.WarmingUp, mayConnect: out.MayConnect}, SendBy: out.SendBy, OnSent: func() { r.board.Sends.Add(1) }}
 	out.Handle = c
 	h, limit := r.endpoints[out.Endpoint], time.Duration(out.Timeout)*time.Microsecond
-	r.wal.submit(rec, func(err error) {
+	r.wal.Submit(rec, func(err error) {
 		if err != nil {
 			stop(err)
 			r.post(core.Event{Kind: core.AttemptNotLogged, Call: out})
@@ -683,7 +683,7 @@
 		go func() {
 			defer stop(nil)
 			defer r.inFlight.Remove(out)
-			c.Do(h, out.Record, limit, r.cfg.loads, func(o Result) {
+			c.Do(h, out.Record, limit, r.cfg.LoadReportFields, func(o Result) {
 				r.post(core.Event{Kind: core.AttemptFinished, Call: out, Result: o.coreResult()})
 			})
 		}()
--- a/internal/relay/members.go
+++ b/internal/relay/members.go
@@ -85,7 +85,7 @@
 	m := &memberMerger{log: log, queue: newMailbox[sourceEvent](), emitEvent: tell, resyncRegistry: again, etcdResync: make(chan struct{}, 1), startedAt: time.Now(),
 		path: filepath.Join(state, membersFile), registry: 1, resyncRequested: make([]bool, 2)}
 	sources := []membership.Source{{Name: "etcd", StaleAfter: etcdStaleAfter}, {Name: "registry", StaleAfter: registryStaleAfter}}
-	if e.First == "registry" {
+	if e.Precedence == "registry" {
 		m.etcd, m.registry = 1, 0
 		sources[0], sources[1] = sources[1], sources[0]
 	}
--- a/internal/relay/operate.go
+++ b/internal/relay/operate.go
@@ -111,7 +111,7 @@
 
 func classNames(cfg *Config) []string {
 	names := make([]string, len(cfg.Policy.Classes))
-	for name, i := range cfg.classes {
+	for name, i := range cfg.Classes {
 		names[i] = name
 	}
 	return names
--- a/internal/relay/tls_bench_test.go
+++ b/internal/relay/tls_bench_test.go
@@ -22,7 +22,7 @@
 	for name, w := range map[string]*transport{"plain": {}, "tls 1.3": nil} {
 		b.Run(name, func(b *testing.B) {
 			if w == nil {
-				s := newTLSSite(b, func(_ *tlsSite, h *operator.Handshakes) { h.Share, h.BurstMS, h.Parallel = 1, 1000, 64 })
+				s := newTLSSite(b, func(_ *tlsSite, h *operator.Handshakes) { h.CPUShare, h.BurstMS, h.MaxParallel = 1, 1000, 64 })
 				w = &transport{site: s, cfg: &tls.Config{Certificates: []tls.Certificate{s.own.TLS()}}}
 			}
 			var addr string
--- a/internal/relay/tls_test.go
+++ b/internal/relay/tls_test.go
@@ -678,7 +678,7 @@
 // handshake weighs nothing it opens its own.
 func TestConnectNotAllowed(t *testing.T) {
 	for _, weight := range []float64{0, 1} {
-		s := newTLSSite(t, func(s *tlsSite, _ *operator.Handshakes) { s.rule.Weight = &weight })
+		s := newTLSSite(t, func(s *tlsSite, _ *operator.Handshakes) { s.rule.HandshakeWeight = &weight })
 		h := s.endpoint(testPool(t), serveTLS(t, &tls.Config{Certificates: []tls.Certificate{s.own.TLS()}}, serveOK))
 		call := func(paid bool) Result {
 			c := newTestCall()
@@ -703,7 +703,7 @@
 // allows no handshake before the call's end, the call never ran, at once, with
 // the time to come back.
 func TestHandshakeBudgetExhausted(t *testing.T) {
-	s := newTLSSite(t, func(_ *tlsSite, h *operator.Handshakes) { h.Share, h.BurstMS = 1e-6, 1 })
+	s := newTLSSite(t, func(_ *tlsSite, h *operator.Handshakes) { h.CPUShare, h.BurstMS = 1e-6, 1 })
 	h := s.endpoint(testPool(t), serveTLS(t, &tls.Config{Certificates: []tls.Certificate{s.own.TLS()}}, serveOK))
 	mustDeliver(t, h) // which takes all of the budget
 	h.CloseIdle()
@@ -719,7 +719,7 @@
 // that does not match is never shown, and from then on the new one is.
 func TestOwnCertificateReplaced(t *testing.T) {
 	s := newTLSSite(t, func(s *tlsSite, h *operator.Handshakes) {
-		h.Parallel, h.Share, h.BurstMS = 50, 1, 1000
+		h.MaxParallel, h.CPUShare, h.BurstMS = 50, 1, 1000
 		cert, key, err := issueCert(t, s.root, "relay one").Write(s.dir, "own", true)
 		if err != nil {
 			t.Fatal(err)
--- a/internal/relay/wal.go
+++ b/internal/relay/wal.go
@@ -23,19 +23,19 @@
 // so nothing is synced.
 
 const (
-	walName   = "relay.wal"
-	walMark   = "\xf7TRW"
-	walHead   = 12
-	walMost   = 128 << 10 // longer than any record
-	walSlack  = 16 << 10  // of the disk, never used: file sizes are rounded up
-	walSpare  = 64 << 10  // kept for records on messages that were taken on already
-	walGarden = 1 << 20   // a log this short is not worth compacting
-	stateRoom = 160       // bytes by which a message's record may grow later
+	WALFileName        = "relay.wal"
+	walMagic           = "\xf7TRW"
+	walHeaderSize      = 12
+	walMaxPayload      = 128 << 10 // longer than any record
+	walRoundingReserve = 16 << 10  // of the disk, never used: file sizes are rounded up
+	walHeldReserve     = 64 << 10  // kept for records on messages that were taken on already
+	walMinCompactSize  = 1 << 20   // a log this short is not worth compacting
+	maxStateGrowth     = 160       // bytes by which a message's record may grow later
 )
 
 var (
-	errDiskFull = errors.New("log: no room")
-	errNotOwed  = errors.New("log: message is not owed")
+	ErrFull       = errors.New("log: no room")
+	ErrNotPending = errors.New("log: message is not owed")
 )
 
 // record is one entry of the log.
@@ -47,28 +47,28 @@
 		return to, fmt.Errorf("log: %w", err)
 	}
 	n := len(line) + 1 + len(r.Body)
-	if n > walMost {
+	if n > walMaxPayload {
 		return to, fmt.Errorf("log: a record of %d bytes", n)
 	}
 	start := len(to)
-	to = append(to, walMark...)
+	to = append(to, walMagic...)
 	to = binary.BigEndian.AppendUint32(to, uint32(n))
 	to = append(to, 0, 0, 0, 0)
 	to = append(append(append(to, line...), '\n'), r.Body...)
-	binary.BigEndian.PutUint32(to[start+8:], crc32.ChecksumIEEE(to[start+walHead:]))
+	binary.BigEndian.PutUint32(to[start+8:], crc32.ChecksumIEEE(to[start+walHeaderSize:]))
 	return to, nil
 }
 
 // decodeRecord reads the record at the start of b. size is 0 where there is none.
 func decodeRecord(b []byte) (r *record, size int) {
-	if len(b) < walHead || string(b[:4]) != walMark {
+	if len(b) < walHeaderSize || string(b[:4]) != walMagic {
 		return nil, 0
 	}
 	n := int(binary.BigEndian.Uint32(b[4:]))
-	if n > walMost || walHead+n > len(b) {
+	if n > walMaxPayload || walHeaderSize+n > len(b) {
 		return nil, 0
 	}
-	payload := b[walHead : walHead+n]
+	payload := b[walHeaderSize : walHeaderSize+n]
 	if crc32.ChecksumIEEE(payload) != binary.BigEndian.Uint32(b[8:]) {
 		return nil, 0
 	}
@@ -78,55 +78,55 @@
 		return nil, 0
 	}
 	r.Body = slices.Clone(body)
-	return r, walHead + n
+	return r, walHeaderSize + n
 }
 
-// walOp is a record to write, and what to do once that is done or has failed.
-type walOp struct {
-	rec  *record
-	then func(error)
+// walRequest is a record to write, and what to do once that is done or has failed.
+type walRequest struct {
+	record    *record
+	onWritten func(error)
 }
 
 // wal is the log. Its goroutine alone touches the file; then-functions run on
 // it, in the order in which their records were handed over, and may not wait.
 type wal struct {
-	path   string
-	limit  int64
-	log    *slog.Logger
-	file   *os.File
-	size   int64
-	live   map[string]*liveRecord
-	owed   int64  // bytes that the live records need
-	taken  int    // messages so far, for their order
-	found  string // what was there at the start
-	in     *Mailbox[walOp]
-	done   chan struct{}
-	buffer []byte
+	path         string
+	limit        int64
+	log          *slog.Logger
+	file         *os.File
+	size         int64
+	pending      map[string]*pendingRecord
+	pendingBytes int64  // bytes that the live records need
+	accepted     int    // messages so far, for their order
+	Found        string // what was there at the start
+	queue        *Mailbox[walRequest]
+	done         chan struct{}
+	buffer       []byte
 }
 
-type liveRecord struct {
-	rec  *record
-	seq  int
-	size int64
+type pendingRecord struct {
+	record   *record
+	sequence int
+	size     int64
 }
 
 // openWAL recovers what the log holds, oldest first, and makes it ready. out
 // names the messages whose attempt is known to be out still; may be nil.
 func openWAL(dir string, limit int64, out func(id string) bool, log *slog.Logger) (*wal, []*record, error) {
-	w := &wal{path: filepath.Join(dir, walName), limit: limit, log: log, live: map[string]*liveRecord{},
-		in: newMailbox[walOp](), done: make(chan struct{})}
+	w := &wal{path: filepath.Join(dir, WALFileName), limit: limit, log: log, pending: map[string]*pendingRecord{},
+		queue: newMailbox[walRequest](), done: make(chan struct{})}
 	os.Remove(w.path + ".new") // a compaction that a kill cut short
 	text, err := os.ReadFile(w.path)
 	if err != nil && !errors.Is(err, os.ErrNotExist) {
 		return nil, nil, fmt.Errorf("log: %w", err)
 	}
-	if w.found = "found"; err != nil {
-		w.found = "none"
+	if w.Found = "found"; err != nil {
+		w.Found = "none"
 	}
 	w.replay(text)
-	for id, l := range w.live {
+	for id, l := range w.pending {
 		if out == nil || !out(id) {
-			l.rec.ResolveOpenAttempt()
+			l.record.ResolveOpenAttempt()
 		}
 	}
 	w.size = int64(len(text))
@@ -141,8 +141,8 @@
 		}
 	}
 	var owed []*record
-	for _, l := range w.inOrder() {
-		c := *l.rec
+	for _, l := range w.pendingInOrder() {
+		c := *l.record
 		owed = append(owed, &c)
 	}
 	return w, owed, nil
@@ -160,7 +160,7 @@
 		}
 		next := -1
 		for from := at + 1; from < len(text); {
-			i := bytes.Index(text[from:], []byte(walMark))
+			i := bytes.Index(text[from:], []byte(walMagic))
 			if i < 0 {
 				break
 			}
@@ -181,50 +181,50 @@
 
 // apply books a written record.
 func (w *wal) apply(r *record) {
-	l := w.live[r.ID]
+	l := w.pending[r.ID]
 	switch {
 	case r.Kind == core.RecordAccepted:
 		if l == nil {
-			w.taken++
-			l = &liveRecord{rec: r, seq: w.taken, size: recordRoom(r)}
-			w.live[r.ID] = l
-			w.owed += l.size
+			w.accepted++
+			l = &pendingRecord{record: r, sequence: w.accepted, size: reservedSize(r)}
+			w.pending[r.ID] = l
+			w.pendingBytes += l.size
 		}
 	case l == nil: // over, or its first record was damaged
 	case r.Kind == core.RecordDone:
-		w.owed -= l.size
-		delete(w.live, r.ID)
+		w.pendingBytes -= l.size
+		delete(w.pending, r.ID)
 	default:
-		l.rec.Apply(r)
+		l.record.Apply(r)
 	}
 }
 
-func recordRoom(r *record) int64 {
-	return int64(walHead + len(r.Body) + len(r.ID) + len(r.Key) + len(r.Class) + len(r.Tenant) + 160 + stateRoom)
+func reservedSize(r *record) int64 {
+	return int64(walHeaderSize + len(r.Body) + len(r.ID) + len(r.Key) + len(r.Class) + len(r.Tenant) + 160 + maxStateGrowth)
 }
 
-func (w *wal) inOrder() []*liveRecord {
-	all := make([]*liveRecord, 0, len(w.live))
-	for _, l := range w.live {
+func (w *wal) pendingInOrder() []*pendingRecord {
+	all := make([]*pendingRecord, 0, len(w.pending))
+	for _, l := range w.pending {
 		all = append(all, l)
 	}
-	slices.SortFunc(all, func(a, b *liveRecord) int { return a.seq - b.seq })
+	slices.SortFunc(all, func(a, b *pendingRecord) int { return a.sequence - b.sequence })
 	return all
 }
 
 // compact writes what is owed to a new file and puts it in the old one's place.
 func (w *wal) compact() error {
 	var text []byte
-	for _, l := range w.inOrder() {
-		c := *l.rec
+	for _, l := range w.pendingInOrder() {
+		c := *l.record
 		c.Kind = core.RecordAccepted
 		var err error
 		if text, err = encodeRecord(&c, text); err != nil {
 			return err
 		}
 	}
-	if w.size+int64(len(text)) > w.limit-walSlack/2 {
-		return errDiskFull
+	if w.size+int64(len(text)) > w.limit-walRoundingReserve/2 {
+		return ErrFull
 	}
 	f, err := os.OpenFile(w.path+".new", os.O_RDWR|os.O_CREATE|os.O_TRUNC, 0o600)
 	if err != nil {
@@ -245,26 +245,26 @@
 	return nil
 }
 
-// submit hands a record over. It never waits.
-func (w *wal) submit(r *record, then func(error)) { w.in.Put(walOp{r, then}) }
+// Submit hands a record over. It never waits.
+func (w *wal) Submit(r *record, then func(error)) { w.queue.Put(walRequest{r, then}) }
 
-// run writes until stop is closed and everything handed over before is written.
-func (w *wal) run(stop <-chan struct{}) {
+// Run writes until stop is closed and everything handed over before is written.
+func (w *wal) Run(stop <-chan struct{}) {
 	defer close(w.done)
-	var ops []walOp
+	var ops []walRequest
 	for stopping := false; ; {
-		ops = w.in.TakeAll(ops)
+		ops = w.queue.TakeAll(ops)
 		for _, op := range ops {
-			if op.rec == nil { // only the order counts
-				op.then(nil)
+			if op.record == nil { // only the order counts
+				op.onWritten(nil)
 				continue
 			}
-			err := w.append(op.rec)
-			if err != nil && err != errNotOwed {
-				w.log.Error("log: record not written", "kind", op.rec.Kind, "message", op.rec.ID, "err", err)
+			err := w.append(op.record)
+			if err != nil && err != ErrNotPending {
+				w.log.Error("log: record not written", "kind", op.record.Kind, "message", op.record.ID, "err", err)
 			}
-			if op.then != nil {
-				op.then(err)
+			if op.onWritten != nil {
+				op.onWritten(err)
 			}
 		}
 		if len(ops) > 0 {
@@ -275,7 +275,7 @@
 			return
 		}
 		select {
-		case <-w.in.ready:
+		case <-w.queue.ready:
 		case <-stop:
 			stopping = true
 		}
@@ -284,28 +284,28 @@
 
 // append writes one record, if there is room for it and for a compaction.
 func (w *wal) append(r *record) error {
-	if r.Kind != core.RecordAccepted && w.live[r.ID] == nil {
-		return errNotOwed
+	if r.Kind != core.RecordAccepted && w.pending[r.ID] == nil {
+		return ErrNotPending
 	}
 	var err error
 	if w.buffer, err = encodeRecord(r, w.buffer[:0]); err != nil {
 		return err
 	}
 	n := int64(len(w.buffer))
-	owed, free := w.owed, w.limit-walSlack
+	owed, free := w.pendingBytes, w.limit-walRoundingReserve
 	if r.Kind == core.RecordAccepted {
-		owed += recordRoom(r)
-		free -= walSpare   // later records on what is held must still fit
-		if 2*owed > free { // compaction would not help, so it is not tried for each
-			return errDiskFull
+		owed += reservedSize(r)
+		free -= walHeldReserve // later records on what is held must still fit
+		if 2*owed > free {     // compaction would not help, so it is not tried for each
+			return ErrFull
 		}
 	}
-	if w.size+n+owed > free || w.size > max(walGarden, 4*owed) {
+	if w.size+n+owed > free || w.size > max(walMinCompactSize, 4*owed) {
 		if err := w.compact(); err != nil {
 			w.log.Error("log: not compacted", "err", err)
 		}
 		if w.size+n+owed > free {
-			return errDiskFull
+			return ErrFull
 		}
 	}
 	if _, err := w.file.WriteAt(w.buffer, w.size); err != nil {
--- a/internal/relay/wal_test.go
+++ b/internal/relay/wal_test.go
@@ -73,10 +73,10 @@
 		w, _ := openTestWAL(t, dir, 1<<20)
 		sizes = sizes[:0]
 		for _, id := range []string{"a", "b", "c"} {
-			mustAppend(t, w, taken(id, "body "+walMark+" of "+id))
+			mustAppend(t, w, taken(id, "body "+walMagic+" of "+id))
 			sizes = append(sizes, int(w.size))
 		}
-		return filepath.Join(dir, walName)
+		return filepath.Join(dir, WALFileName)
 	}
 	ids := func(owed []*record) (s string) {
 		for _, r := range owed {
@@ -94,7 +94,7 @@
 		"length damaged": {func(b []byte) []byte { b[sizes[0]+4] ^= 0x7f; return b }, "ac"},
 		"mark damaged":   {func(b []byte) []byte { b[0] ^= 1; return b }, "bc"},
 		"noise before":   {func(b []byte) []byte { return append([]byte("noise"), b...) }, "abc"},
-		"nothing but it": {func([]byte) []byte { return []byte(walMark + "noise") }, ""},
+		"nothing but it": {func([]byte) []byte { return []byte(walMagic + "noise") }, ""},
 		"empty":          {func([]byte) []byte { return nil }, ""},
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -129,7 +129,7 @@
 	n := 0
 	for ; ; n++ {
 		if err := w.append(taken(strconv.Itoa(n), body)); err != nil {
-			if !errors.Is(err, errDiskFull) {
+			if !errors.Is(err, ErrFull) {
 				t.Fatal(err)
 			}
 			break
@@ -141,8 +141,8 @@
 	for round := range 3000 { // far more than fits without compaction
 		id := strconv.Itoa(round % n)
 		mustAppend(t, w, &record{Kind: core.RecordAttempt, ID: id, At: int64(round) + 1}, &record{Kind: core.RecordOutcome, ID: id, MayHaveRun: true})
-		if w.size+w.owed > limit {
-			t.Fatalf("round %d: log %d, compaction would add %d", round, w.size, w.owed)
+		if w.size+w.pendingBytes > limit {
+			t.Fatalf("round %d: log %d, compaction would add %d", round, w.size, w.pendingBytes)
 		}
 	}
 	if info, err := os.Stat(w.path); err != nil || info.Size() != w.size {
@@ -151,20 +151,20 @@
 	for i := range n {
 		mustAppend(t, w, &record{Kind: core.RecordDone, ID: strconv.Itoa(i)})
 	}
-	if w.owed != 0 {
-		t.Errorf("%d bytes owed by nobody", w.owed)
+	if w.pendingBytes != 0 {
+		t.Errorf("%d bytes owed by nobody", w.pendingBytes)
 	}
 	mustAppend(t, w, taken("next", body))
 }
 
 // A record may grow by its state in a compaction; the room for that is booked
 // when the message is taken on.
-func TestRecordRoom(t *testing.T) {
+func TestReservedSizeCoversState(t *testing.T) {
 	r := taken("9b1f03aa5c7e2d41", "body")
 	r.Attempts, r.FirstUncertainAt, r.FirstUncertainZone, r.OpenAttemptAt, r.OpenAttemptZone, r.Notice, r.RetryMS = 255, 1764384000000000, 9, 1764384000000000, 9, core.NoticeHandedBack, 2000
 	text, err := encodeRecord(r, nil)
-	if err != nil || int64(len(text)) > recordRoom(r) {
-		t.Errorf("%d bytes, booked %d, %v", len(text), recordRoom(r), err)
+	if err != nil || int64(len(text)) > reservedSize(r) {
+		t.Errorf("%d bytes, booked %d, %v", len(text), reservedSize(r), err)
 	}
 }
 
@@ -178,10 +178,10 @@
 	if w.append(taken("b", "B")) == nil {
 		t.Fatal("written to a closed file")
 	}
-	if w.live["b"] != nil {
+	if w.pending["b"] != nil {
 		t.Error("held to be owed")
 	}
-	if err := w.append(&record{Kind: core.RecordAttempt, ID: "b"}); !errors.Is(err, errNotOwed) {
+	if err := w.append(&record{Kind: core.RecordAttempt, ID: "b"}); !errors.Is(err, ErrNotPending) {
 		t.Errorf("an attempt of what was refused: %v", err)
 	}
 	if _, owed := openTestWAL(t, dir, 1<<20); len(owed) != 1 {
@@ -195,11 +195,11 @@
 		f.Fatal(err)
 	}
 	f.Add(good)
-	f.Add([]byte(walMark + "\x00\x00\x00\x02"))
+	f.Add([]byte(walMagic + "\x00\x00\x00\x02"))
 	f.Fuzz(func(t *testing.T, b []byte) {
-		w := &wal{live: map[string]*liveRecord{}, log: quietLog()}
+		w := &wal{pending: map[string]*pendingRecord{}, log: quietLog()}
 		w.replay(append(b, good...))
-		if w.live["a"] == nil && !strings.Contains(string(b), walMark) {
+		if w.pending["a"] == nil && !strings.Contains(string(b), walMagic) {
 			t.Fatal("the sound record is lost")
 		}
 	})
--- a/internal/relay/way_test.go
+++ b/internal/relay/way_test.go
@@ -77,7 +77,7 @@
 	dir          string
 	root         *devca.Made
 	own          *devca.Made // the partner's
-	rule         operator.TLS
+	rule         operator.TLSRule
 	partners     *secure.Partners
 	rejections   chan identityRejection
 	clockSkew    atomic.Int64 // of its clock
@@ -104,12 +104,12 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	s.rule = operator.TLS{Name: "pay", Flavors: []string{"k"}, ServerName: partnerName, Roots: roots}
+	s.rule = operator.TLSRule{Name: "pay", Flavors: []string{"k"}, ServerName: partnerName, Roots: roots}
 	var h operator.Handshakes
 	if change != nil {
 		change(s, &h)
 	}
-	s.partners, err = secure.New(secure.Options{Rules: []operator.TLS{s.rule}, Handshakes: h, Log: quietLog(), Seed: 1,
+	s.partners, err = secure.New(secure.Options{Rules: []operator.TLSRule{s.rule}, Handshakes: h, Log: quietLog(), Seed: 1,
 		Clock:  func() time.Time { return time.Now().Add(time.Duration(s.clockSkew.Load())) },
 		Barred: func(endpoint uint64, wait time.Duration) { s.rejections <- identityRejection{endpoint, wait} }})
 	if err != nil {
--- a/internal/secure/bench_test.go
+++ b/internal/secure/bench_test.go
@@ -48,8 +48,8 @@
 				addr := serve(b, &tls.Config{Certificates: []tls.Certificate{own.TLS()}, MinVersion: version, MaxVersion: version, SessionTicketsDisabled: !resumed})
 				what := fmt.Sprintf("%s/%s/resumed=%v", kind, tls.VersionName(version), resumed)
 				b.Run(what+"/ours", func(b *testing.B) {
-					p, err := New(Options{Rules: []operator.TLS{{Name: "pay", Destinations: []int{1}, ServerName: name, Roots: roots}},
-						Handshakes: operator.Handshakes{Share: 1, BurstMS: 1000}, Log: slog.New(slog.DiscardHandler), Barred: func(uint64, time.Duration) {}})
+					p, err := New(Options{Rules: []operator.TLSRule{{Name: "pay", Destinations: []int{1}, ServerName: name, Roots: roots}},
+						Handshakes: operator.Handshakes{CPUShare: 1, BurstMS: 1000}, Log: slog.New(slog.DiscardHandler), Barred: func(uint64, time.Duration) {}})
 					if err != nil {
 						b.Fatal(err)
 					}
--- a/internal/secure/handshake.go
+++ b/internal/secure/handshake.go
@@ -190,7 +190,7 @@
 		e.rule.end.Store(c.until.Unix())
 	}
 	rule, until := e.rule, c.until
-	if until.Sub(p.o.Clock()) <= rule.set.Warn() {
+	if until.Sub(p.o.Clock()) <= rule.set.ExpiryWarning() {
 		go p.warn(rule, "a partner's certificate", until)
 	}
 }
--- a/internal/secure/sealed_test.go
+++ b/internal/secure/sealed_test.go
@@ -22,7 +22,7 @@
 type site struct {
 	dir, key string
 	own      *devca.Made
-	rule     operator.TLS
+	rule     operator.TLSRule
 	log      bytes.Buffer
 }
 
@@ -44,13 +44,13 @@
 	if err := os.WriteFile(s.key, bytes.Repeat([]byte("k"), 32), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	s.rule = operator.TLS{Name: "pay", Destinations: []int{1, 2}, ServerName: name, Roots: roots}
+	s.rule = operator.TLSRule{Name: "pay", Destinations: []int{1, 2}, ServerName: name, Roots: roots}
 	return s
 }
 
 func (s *site) partners(t testing.TB) *Partners {
 	t.Helper()
-	p, err := New(Options{Rules: []operator.TLS{s.rule}, Handshakes: operator.Handshakes{SessionKey: s.key, Share: 1, BurstMS: 1000}, State: s.dir,
+	p, err := New(Options{Rules: []operator.TLSRule{s.rule}, Handshakes: operator.Handshakes{SessionKey: s.key, CPUShare: 1, BurstMS: 1000}, State: s.dir,
 		Log: slog.New(slog.NewTextHandler(&s.log, nil)), Barred: func(uint64, time.Duration) {}})
 	if err != nil {
 		t.Fatal(err)
--- a/internal/secure/secure.go
+++ b/internal/secure/secure.go
@@ -36,7 +36,7 @@
 
 // Options are what partners are reached by.
 type Options struct {
-	Rules      []operator.TLS
+	Rules      []operator.TLSRule
 	Handshakes operator.Handshakes
 	Log        *slog.Logger
 	Clock      func() time.Time // by which certificates are judged; nil for time.Now
@@ -66,7 +66,7 @@
 
 // rule is one of the operator's, with what its files hold now.
 type rule struct {
-	set    *operator.TLS
+	set    *operator.TLSRule
 	policy tlspolicy.Rule // but for its roots
 	store  *keys.Store
 	gen    atomic.Uint64 // of what the files hold
@@ -86,9 +86,9 @@
 	if o.Clock == nil {
 		o.Clock = time.Now
 	}
-	f := operator.File{TLS: o.Rules}
+	f := operator.File{TLSRules: o.Rules}
 	p := &Partners{o: o, timeout: o.Handshakes.Timeout(), book: tlspolicy.NewBook(o.Seed), peers: map[uint64]*Peer{}, warned: map[string]time.Time{},
-		sessions: tlspolicy.NewSessions[*tls.ClientSessionState](o.Handshakes.Kept())}
+		sessions: tlspolicy.NewSessions[*tls.ClientSessionState](o.Handshakes.SessionCacheSize())}
 	var err error
 	if p.selector, err = tlspolicy.NewSelector(f.Targets()); err != nil {
 		return nil, err
@@ -119,7 +119,7 @@
 // Opening is what a connection to a destination takes there, in calls.
 func (p *Partners) Opening(dest int, flavor string) float64 {
 	if i, ok := p.selector.Find(dest, flavor); ok {
-		return p.rules[i].set.Opening()
+		return p.rules[i].set.ConnectionCost()
 	}
 	return 0
 }
@@ -182,7 +182,7 @@
 		return
 	}
 	left := end.Sub(p.o.Clock())
-	if left > r.set.Warn() {
+	if left > r.set.ExpiryWarning() {
 		return
 	}
 	p.mu.Lock()
@@ -258,7 +258,7 @@
 }
 
 // Weighs reports whether a handshake there is paid for like calls.
-func (e *Peer) Weighs() bool { return e.rule.set.Opening() > 0 }
+func (e *Peer) Weighs() bool { return e.rule.set.ConnectionCost() > 0 }
 
 // Close forgets an endpoint that has gone.
 func (e *Peer) Close() {
--- a/internal/secure/stored_test.go
+++ b/internal/secure/stored_test.go
@@ -48,7 +48,7 @@
 		t.Fatal(err)
 	}
 	now := all[0].Until.Add(-time.Hour)
-	p, err := New(Options{Rules: []operator.TLS{s.rule}, Handshakes: operator.Handshakes{SessionKey: s.key}, State: s.dir,
+	p, err := New(Options{Rules: []operator.TLSRule{s.rule}, Handshakes: operator.Handshakes{SessionKey: s.key}, State: s.dir,
 		Clock: func() time.Time { return now }, Log: slog.New(slog.DiscardHandler), Barred: func(uint64, time.Duration) {}})
 	if err != nil {
 		t.Fatal(err)
@@ -84,7 +84,7 @@
 		return a
 	}
 	var log bytes.Buffer
-	p, err := New(Options{Rules: []operator.TLS{s.rule}, Clock: func() time.Time { return now },
+	p, err := New(Options{Rules: []operator.TLSRule{s.rule}, Clock: func() time.Time { return now },
 		Log: slog.New(slog.NewTextHandler(&log, &slog.HandlerOptions{ReplaceAttr: leave})), Barred: func(uint64, time.Duration) {}})
 	if err != nil {
 		t.Fatal(err)
--- a/internal/tomlfile/tomlfile.go
+++ b/internal/tomlfile/tomlfile.go
@@ -17,10 +17,10 @@
 	"github.com/pelletier/go-toml/v2/unstable"
 )
 
-// Most is how many bytes a file may have.
-const Most = 1 << 20
+// MaxFileBytes is how many bytes a file may have.
+const MaxFileBytes = 1 << 20
 
-const errorsMost = 50 // told of one file
+const maxErrors = 50 // told of one file
 
 // Error is one thing that is wrong with a file.
 type Error struct {
@@ -48,16 +48,16 @@
 		return nil, err
 	}
 	defer f.Close()
-	text, err := io.ReadAll(io.LimitReader(f, Most+1))
+	text, err := io.ReadAll(io.LimitReader(f, MaxFileBytes+1))
 	if err != nil {
 		return nil, err
 	}
-	return text, size(path, text)
+	return text, checkSize(path, text)
 }
 
-func size(file string, text []byte) error {
-	if len(text) > Most {
-		return &Error{File: file, Text: fmt.Sprintf("more than %d bytes", Most)}
+func checkSize(file string, text []byte) error {
+	if len(text) > MaxFileBytes {
+		return &Error{File: file, Text: fmt.Sprintf("more than %d bytes", MaxFileBytes)}
 	}
 	return nil
 }
@@ -65,7 +65,7 @@
 // Decode reads a text into a struct; keys that it does not have are errors.
 // The error joins one Error for each thing that is wrong.
 func Decode(file string, text []byte, into any) (*Checker, error) {
-	if err := size(file, text); err != nil {
+	if err := checkSize(file, text); err != nil {
 		return nil, err
 	}
 	dec := toml.NewDecoder(bytes.NewReader(text)).DisallowUnknownFields()
@@ -87,7 +87,7 @@
 		}
 		return nil, errors.Join(all...)
 	}
-	return &Checker{file: file, lines: lines(text)}, nil
+	return &Checker{file: file, lines: keyLines(text)}, nil
 }
 
 // Checker collects what is wrong with the values of a file.
@@ -100,10 +100,10 @@
 // Err joins what was wrong; nil for nothing.
 func (c *Checker) Err() error { return errors.Join(c.errs...) }
 
-// Wrong tells of a key, as a.b or a[1].b. One that was left out has the line of
+// Errorf tells of a key, as a.b or a[1].b. One that was left out has the line of
 // its table.
-func (c *Checker) Wrong(key, format string, a ...any) {
-	if len(c.errs) >= errorsMost {
+func (c *Checker) Errorf(key, format string, a ...any) {
+	if len(c.errs) >= maxErrors {
 		return
 	}
 	line := 0
@@ -121,9 +121,9 @@
 	c.errs = append(c.errs, &Error{c.file, line, key, fmt.Sprintf(format, a...)})
 }
 
-// lines finds the line of each key, with tables that come many times numbered
+// keyLines finds the line of each key, with tables that come many times numbered
 // as in fault[2].at_s.
-func lines(text []byte) map[string]int {
+func keyLines(text []byte) map[string]int {
 	at := map[string]int{}
 	count := map[string]int{}
 	var p unstable.Parser
