--- a/cmd/troutusher-kit/tls.go
+++ b/cmd/troutusher-kit/tls.go
@@ -127,14 +127,14 @@
 		for _, p := range x.Pins {
 			out.line("  pinned        %s", p)
 		}
-		if set.Own != nil {
-			showCertificate(out, "our own", set.Own.Leaf, now)
+		if set.Certificate != nil {
+			showCertificate(out, "our own", set.Certificate.Leaf, now)
 		}
-		for _, r := range set.Certs {
+		for _, r := range set.RootCertificates {
 			showCertificate(out, "trusted", r, now)
 		}
-		if n := set.Lists.Len(); n > 0 {
-			out.line("  revocations   %d lists, the next one due %s", n, set.Lists.Ends().UTC().Format(time.RFC3339))
+		if n := set.RevocationLists.Len(); n > 0 {
+			out.line("  revocations   %d lists, the next one due %s", n, set.RevocationLists.NextUpdate().UTC().Format(time.RFC3339))
 		}
 	}
 	return nil
@@ -162,11 +162,11 @@
 		return errBad{fmt.Errorf("address: %w", err)}
 	}
 	f.Handshakes = operator.Handshakes{CPUShare: 1, BurstMS: 1000, TimeoutS: min(max(c.Timeout.Seconds(), 0.1), 30)}
-	p, err := secure.New(secure.Options{Rules: f.TLSRules, Handshakes: f.Handshakes, Log: slog.New(slog.DiscardHandler), Barred: func(uint64, time.Duration) {}})
+	p, err := secure.New(secure.Options{Rules: f.TLSRules, Handshakes: f.Handshakes, Log: slog.New(slog.DiscardHandler), OnRejected: func(uint64, time.Duration) {}})
 	if err != nil {
 		return errBad{err}
 	}
-	peer := p.Peer(1, c.Dest, c.Flavor, nil)
+	peer := p.Endpoint(1, c.Dest, c.Flavor, nil)
 	if peer == nil {
 		return errBad{fmt.Errorf("%s: no rule is for destination %d of flavour %q", c.File, c.Dest, c.Flavor)}
 	}
@@ -179,10 +179,10 @@
 	return nil
 }
 
-func (c *tlsProbe) shake(out printer, peer *secure.Peer, what string) error {
+func (c *tlsProbe) shake(out printer, peer *secure.Endpoint, what string) error {
 	ctx, cancel := context.WithTimeout(context.Background(), c.Timeout)
 	defer cancel()
-	turn, _, err := peer.Begin(false, false)
+	turn, _, err := peer.Acquire(false, false)
 	if err != nil {
 		return err
 	}
@@ -192,10 +192,10 @@
 	began := time.Now()
 	raw, err := (&net.Dialer{}).DialContext(ctx, "tcp", c.Addr)
 	if err != nil {
-		turn.Abandon()
+		turn.Release()
 		return err
 	}
-	conn, err := turn.Shake(ctx, raw)
+	conn, err := turn.Handshake(ctx, raw)
 	if err != nil {
 		return err
 	}
@@ -237,30 +237,30 @@
 	if _, err := os.Stat(filepath.Join(c.Dir, "root.pem")); err == nil {
 		return errBad{fmt.Errorf("%s: an authority is there already", c.Dir)}
 	}
-	valid := devca.Valid(time.Now().Add(-time.Hour), time.Now().Add(time.Duration(c.Days)*24*time.Hour))
-	key, err := devca.NewKey(devca.Kind(c.Key))
+	valid := devca.WithValidity(time.Now().Add(-time.Hour), time.Now().Add(time.Duration(c.Days)*24*time.Hour))
+	key, err := devca.NewKey(devca.KeyKind(c.Key))
 	if err != nil {
 		return errBad{err}
 	}
-	root, err := devca.Issue(nil, "troutusher dev-ca", key, devca.Authority, valid)
+	root, err := devca.Issue(nil, "troutusher dev-ca", key, devca.AsAuthority, valid)
 	if err != nil {
 		return err
 	}
-	path, _, err := root.Write(c.Dir, "root", false)
+	path, _, err := root.WriteFiles(c.Dir, "root", false)
 	if err != nil {
 		return err
 	}
 	out.line("%s: pin %s; its private key is not kept", path, tlspolicy.PinOf(root.Certificate))
 	for _, name := range c.Names {
-		key, err := devca.NewKey(devca.Kind(c.Key))
+		key, err := devca.NewKey(devca.KeyKind(c.Key))
 		if err != nil {
 			return err
 		}
-		m, err := devca.Issue(root, name, key, devca.Names(name), valid)
+		m, err := devca.Issue(root, name, key, devca.WithNames(name), valid)
 		if err != nil {
 			return err
 		}
-		cert, keyPath, err := m.Write(c.Dir, name, true)
+		cert, keyPath, err := m.WriteFiles(c.Dir, name, true)
 		if err != nil {
 			return err
 		}
--- a/internal/devca/devca.go
+++ b/internal/devca/devca.go
@@ -27,15 +27,15 @@
 	"time"
 )
 
-// MustStaple is a change that has a certificate say that it never comes without
+// WithMustStaple is a change that has a certificate say that it never comes without
 // an OCSP response (RFC 7633).
-func MustStaple(c *x509.Certificate) {
+func WithMustStaple(c *x509.Certificate) {
 	c.ExtraExtensions = append(c.ExtraExtensions, pkix.Extension{Id: asn1.ObjectIdentifier{1, 3, 6, 1, 5, 5, 7, 1, 24}, Value: []byte{0x30, 3, 2, 1, 5}})
 }
 
-// RevocationList is an authority's list in PEM, with the next one due at a
+// RevocationListPEM is an authority's list in PEM, with the next one due at a
 // moment.
-func RevocationList(up *Made, next time.Time, revoked ...*Made) ([]byte, error) {
+func RevocationListPEM(up *Issued, next time.Time, revoked ...*Issued) ([]byte, error) {
 	l := &x509.RevocationList{Number: big.NewInt(time.Now().Unix()), ThisUpdate: time.Now().Add(-time.Hour), NextUpdate: next}
 	for _, m := range revoked {
 		l.RevokedCertificateEntries = append(l.RevokedCertificateEntries, x509.RevocationListEntry{SerialNumber: m.SerialNumber, RevocationTime: l.ThisUpdate})
@@ -47,18 +47,18 @@
 	return pem.EncodeToMemory(&pem.Block{Type: "X509 CRL", Bytes: der}), nil
 }
 
-// Kind is a kind of key.
-type Kind string
+// KeyKind is a kind of key.
+type KeyKind string
 
 // Kinds of key.
 const (
-	P256    Kind = "p256"
-	RSA2048 Kind = "rsa2048"
-	Ed25519 Kind = "ed25519"
+	P256    KeyKind = "p256"
+	RSA2048 KeyKind = "rsa2048"
+	Ed25519 KeyKind = "ed25519"
 )
 
 // NewKey makes a key.
-func NewKey(k Kind) (crypto.Signer, error) {
+func NewKey(k KeyKind) (crypto.Signer, error) {
 	switch k {
 	case P256, "":
 		return ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
@@ -74,22 +74,22 @@
 // Template is what a certificate is made from.
 type Template = x509.Certificate
 
-// Made is a certificate with its key, and those above it.
-type Made struct {
+// Issued is a certificate with its key, and those above it.
+type Issued struct {
 	*x509.Certificate
-	Key crypto.Signer
-	Up  *Made // who signed it; nil for itself
+	Key    crypto.Signer
+	Parent *Issued // who signed it; nil for itself
 }
 
-// Authority is a change that makes a certificate one that may sign others.
-func Authority(c *x509.Certificate) {
+// AsAuthority is a change that makes a certificate one that may sign others.
+func AsAuthority(c *x509.Certificate) {
 	c.IsCA, c.DNSNames, c.IPAddresses, c.ExtKeyUsage = true, nil, nil, nil
 	c.KeyUsage = x509.KeyUsageCertSign | x509.KeyUsageCRLSign
 }
 
-// Names is a change of the names that a certificate is for: host names and
+// WithNames is a change of the names that a certificate is for: host names and
 // addresses.
-func Names(names ...string) func(*x509.Certificate) {
+func WithNames(names ...string) func(*x509.Certificate) {
 	return func(c *x509.Certificate) {
 		c.DNSNames, c.IPAddresses = nil, nil
 		for _, n := range names {
@@ -102,15 +102,15 @@
 	}
 }
 
-// Valid is a change of the time for which a certificate is good.
-func Valid(from, to time.Time) func(*x509.Certificate) {
+// WithValidity is a change of the time for which a certificate is good.
+func WithValidity(from, to time.Time) func(*x509.Certificate) {
 	return func(c *x509.Certificate) { c.NotBefore, c.NotAfter = from, to }
 }
 
 // Issue makes a certificate with a key of its own, or with key where that is not
 // nil. up signs it; where that is nil it signs itself. Unless changed it is for
 // servers and clients alike, and good for an hour each way.
-func Issue(up *Made, name string, key crypto.Signer, changes ...func(*x509.Certificate)) (*Made, error) {
+func Issue(up *Issued, name string, key crypto.Signer, changes ...func(*x509.Certificate)) (*Issued, error) {
 	if key == nil {
 		var err error
 		if key, err = NewKey(P256); err != nil {
@@ -141,25 +141,25 @@
 	if err != nil {
 		return nil, err
 	}
-	return &Made{got, key, up}, nil
+	return &Issued{got, key, up}, nil
 }
 
 // Chain is the certificate and those above it but for the root, as a server
 // shows them.
-func (m *Made) Chain() (der [][]byte) {
-	for ; m != nil && (m.Up != nil || len(der) == 0); m = m.Up {
+func (m *Issued) Chain() (der [][]byte) {
+	for ; m != nil && (m.Parent != nil || len(der) == 0); m = m.Parent {
 		der = append(der, m.Raw)
 	}
 	return der
 }
 
-// TLS is the certificate as crypto/tls wants it.
-func (m *Made) TLS() tls.Certificate {
+// TLSCertificate is the certificate as crypto/tls wants it.
+func (m *Issued) TLSCertificate() tls.Certificate {
 	return tls.Certificate{Certificate: m.Chain(), PrivateKey: m.Key, Leaf: m.Certificate}
 }
 
 // CertPEM is the chain in PEM.
-func (m *Made) CertPEM() []byte {
+func (m *Issued) CertPEM() []byte {
 	var b bytes.Buffer
 	for _, der := range m.Chain() {
 		pem.Encode(&b, &pem.Block{Type: "CERTIFICATE", Bytes: der})
@@ -168,7 +168,7 @@
 }
 
 // KeyPEM is the private key in PEM (RFC 5958).
-func (m *Made) KeyPEM() ([]byte, error) {
+func (m *Issued) KeyPEM() ([]byte, error) {
 	der, err := x509.MarshalPKCS8PrivateKey(m.Key)
 	if err != nil {
 		return nil, err
@@ -176,18 +176,18 @@
 	return pem.EncodeToMemory(&pem.Block{Type: "PRIVATE KEY", Bytes: der}), nil
 }
 
-// Pool is a set of roots with this one alone.
-func (m *Made) Pool() *x509.CertPool {
+// RootPool is a set of roots with this one alone.
+func (m *Issued) RootPool() *x509.CertPool {
 	p := x509.NewCertPool()
 	p.AddCert(m.Certificate)
 	return p
 }
 
-// Write puts NAME.pem and, with key, NAME.key into a folder, each in one move.
+// WriteFiles puts NAME.pem and, with key, NAME.key into a folder, each in one move.
 // It returns their paths.
-func (m *Made) Write(dir, name string, key bool) (cert, keyPath string, err error) {
+func (m *Issued) WriteFiles(dir, name string, key bool) (cert, keyPath string, err error) {
 	cert = filepath.Join(dir, name+".pem")
-	if err := Replace(cert, m.CertPEM(), 0o644); err != nil || !key {
+	if err := ReplaceFile(cert, m.CertPEM(), 0o644); err != nil || !key {
 		return cert, "", err
 	}
 	text, err := m.KeyPEM()
@@ -195,11 +195,11 @@
 		return "", "", err
 	}
 	keyPath = filepath.Join(dir, name+".key")
-	return cert, keyPath, Replace(keyPath, text, 0o600)
+	return cert, keyPath, ReplaceFile(keyPath, text, 0o600)
 }
 
-// Replace writes a file beside its place and moves it there.
-func Replace(path string, text []byte, mode os.FileMode) error {
+// ReplaceFile writes a file beside its place and moves it there.
+func ReplaceFile(path string, text []byte, mode os.FileMode) error {
 	if err := os.WriteFile(path+".new", text, mode); err != nil {
 		return err
 	}
--- a/internal/devca/devca_test.go
+++ b/internal/devca/devca_test.go
@@ -10,7 +10,7 @@
 // The files that "troutusher tls dev-ca" writes: names, modes and PEM types.
 func TestWrittenFiles(t *testing.T) {
 	dir := t.TempDir()
-	root, err := Issue(nil, "root", nil, Authority)
+	root, err := Issue(nil, "root", nil, AsAuthority)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -18,11 +18,11 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	cert, key, err := leaf.Write(dir, "relay", true)
+	cert, key, err := leaf.WriteFiles(dir, "relay", true)
 	if err != nil {
 		t.Fatal(err)
 	}
-	rootCert, rootKey, err := root.Write(dir, "root", false)
+	rootCert, rootKey, err := root.WriteFiles(dir, "root", false)
 	if err != nil || rootKey != "" {
 		t.Fatalf("root's key path %q, error %v", rootKey, err)
 	}
--- a/internal/keys/keys.go
+++ b/internal/keys/keys.go
@@ -24,53 +24,53 @@
 
 // Bounds.
 const (
-	fileMost  = 1 << 20
-	certsMost = 1000
+	maxFileBytes    = 1 << 20
+	maxCertificates = 1000
 	// Key and certificate are replaced one after the other: a pair that does not
 	// match is no error before that.
-	settle = 5 * time.Second
+	replacementGrace = 5 * time.Second
 )
 
 // Files are the paths of one set; an empty one is not wanted.
 type Files struct {
-	Cert  string // our own certificate, then those above it
-	Key   string // its private key, readable by its owner alone
-	Roots string // whom we trust
-	Lists string // revocation lists, in PEM (RFC 7468 section 7) or one in DER
+	Certificate     string // our own certificate, then those above it
+	Key             string // its private key, readable by its owner alone
+	Roots           string // whom we trust
+	RevocationLists string // revocation lists, in PEM (RFC 7468 section 7) or one in DER
 }
 
-// Set is what the files held at one moment.
-type Set struct {
-	Own   *tls.Certificate    // nil where none is named
-	Roots *x509.CertPool      // nil where none is named
-	Certs []*x509.Certificate // the roots
-	Until time.Time           // the end of our own certificate, zero without one
-	Lists *tlspolicy.Lists    // nil where none is named
+// Credentials is what the files held at one moment.
+type Credentials struct {
+	Certificate      *tls.Certificate           // nil where none is named
+	Roots            *x509.CertPool             // nil where none is named
+	RootCertificates []*x509.Certificate        // the roots
+	NotAfter         time.Time                  // the end of our own certificate, zero without one
+	RevocationLists  *tlspolicy.RevocationLists // nil where none is named
 
-	RootsSum, OwnSum []byte // what stands for them where sessions are told apart
+	RootsSum, CertificateSum []byte // what stands for them where sessions are told apart
 }
 
 // Load reads a set, whole or not at all.
-func Load(f Files, now time.Time) (*Set, error) {
+func Load(f Files, now time.Time) (*Credentials, error) {
 	set, _, err := load(f, now)
 	return set, err
 }
 
-type print [sha256.Size]byte
+type fingerprint [sha256.Size]byte
 
-func load(f Files, now time.Time) (*Set, print, error) {
-	var all print
+func load(f Files, now time.Time) (*Credentials, fingerprint, error) {
+	var all fingerprint
 	sum := sha256.New()
-	set := &Set{}
-	if (f.Cert == "") != (f.Key == "") {
+	set := &Credentials{}
+	if (f.Certificate == "") != (f.Key == "") {
 		return nil, all, errors.New("keys: certificate and key are named together or not at all")
 	}
-	if f.Cert != "" {
-		cert, err := read(f.Cert, false)
+	if f.Certificate != "" {
+		cert, err := readFile(f.Certificate, false)
 		if err != nil {
 			return nil, all, err
 		}
-		key, err := read(f.Key, true)
+		key, err := readFile(f.Key, true)
 		if err != nil {
 			return nil, all, err
 		}
@@ -78,21 +78,21 @@
 		sum.Write(key)
 		defer clear(key)
 		copy(all[:], sum.Sum(nil))
-		if set.Own, err = pair(f, cert, key, now); err != nil {
+		if set.Certificate, err = parseKeyPair(f, cert, key, now); err != nil {
 			return nil, all, err
 		}
-		set.Until = set.Own.Leaf.NotAfter
+		set.NotAfter = set.Certificate.Leaf.NotAfter
 		own := sha256.Sum256(cert)
-		set.OwnSum = own[:]
+		set.CertificateSum = own[:]
 	}
 	if f.Roots != "" {
-		text, err := read(f.Roots, false)
+		text, err := readFile(f.Roots, false)
 		if err != nil {
 			return nil, all, err
 		}
 		sum.Write(text)
 		copy(all[:], sum.Sum(nil))
-		certs, err := parse(f.Roots, text)
+		certs, err := parseCertificates(f.Roots, text)
 		if err != nil {
 			return nil, all, err
 		}
@@ -103,45 +103,45 @@
 			}
 			set.Roots.AddCert(c)
 		}
-		set.Certs = certs
+		set.RootCertificates = certs
 		roots := sha256.Sum256(text)
 		set.RootsSum = roots[:]
 	}
-	if f.Lists != "" {
-		text, err := read(f.Lists, false)
+	if f.RevocationLists != "" {
+		text, err := readFile(f.RevocationLists, false)
 		if err != nil {
 			return nil, all, err
 		}
 		sum.Write(text)
 		copy(all[:], sum.Sum(nil))
-		if set.Lists, err = revocations(f.Lists, text); err != nil {
+		if set.RevocationLists, err = parseRevocationLists(f.RevocationLists, text); err != nil {
 			return nil, all, err
 		}
 	}
 	return set, all, nil
 }
 
-// errPair is a key that is not the certificate's: it may be about to be.
-var errPair = errors.New("the key is not the certificate's")
+// errKeyMismatch is a key that is not the certificate's: it may be about to be.
+var errKeyMismatch = errors.New("the key is not the certificate's")
 
-// pair makes our own certificate of its parts.
-func pair(f Files, cert, key []byte, now time.Time) (*tls.Certificate, error) {
-	certs, err := parse(f.Cert, cert)
+// parseKeyPair makes our own certificate of its parts.
+func parseKeyPair(f Files, cert, key []byte, now time.Time) (*tls.Certificate, error) {
+	certs, err := parseCertificates(f.Certificate, cert)
 	if err != nil {
 		return nil, err
 	}
 	leaf := certs[0]
 	switch {
 	case leaf.IsCA && len(certs) > 1:
-		return nil, fmt.Errorf("keys: %s: an authority (%s) comes first; our own certificate belongs there", f.Cert, leaf.Subject)
+		return nil, fmt.Errorf("keys: %s: an authority (%s) comes first; our own certificate belongs there", f.Certificate, leaf.Subject)
 	case now.Before(leaf.NotBefore):
-		return nil, fmt.Errorf("keys: %s: valid from %s on", f.Cert, leaf.NotBefore.UTC().Format(time.RFC3339))
+		return nil, fmt.Errorf("keys: %s: valid from %s on", f.Certificate, leaf.NotBefore.UTC().Format(time.RFC3339))
 	case !now.Before(leaf.NotAfter):
-		return nil, fmt.Errorf("keys: %s: valid until %s", f.Cert, leaf.NotAfter.UTC().Format(time.RFC3339))
+		return nil, fmt.Errorf("keys: %s: valid until %s", f.Certificate, leaf.NotAfter.UTC().Format(time.RFC3339))
 	}
 	for i := range certs[1:] { // RFC 8446 section 4.4.2: each certifies the one before
 		if err := certs[i].CheckSignatureFrom(certs[i+1]); err != nil {
-			return nil, fmt.Errorf("keys: %s: certificate %d does not certify the one before it", f.Cert, i+2)
+			return nil, fmt.Errorf("keys: %s: certificate %d does not certify the one before it", f.Certificate, i+2)
 		}
 	}
 	own, err := tls.X509KeyPair(cert, key)
@@ -151,14 +151,14 @@
 		if block, _ := pem.Decode(key); block == nil {
 			return nil, fmt.Errorf("keys: %s: no PEM in it", f.Key)
 		}
-		return nil, fmt.Errorf("keys: %s: %w", f.Key, errPair)
+		return nil, fmt.Errorf("keys: %s: %w", f.Key, errKeyMismatch)
 	}
 	own.Leaf = leaf
 	return &own, nil
 }
 
-// parse reads the certificates of a file.
-func parse(path string, text []byte) (certs []*x509.Certificate, err error) {
+// parseCertificates reads the certificates of a file.
+func parseCertificates(path string, text []byte) (certs []*x509.Certificate, err error) {
 	for n := 1; ; n++ {
 		block, rest := pem.Decode(text)
 		if block == nil {
@@ -172,8 +172,8 @@
 		if err != nil {
 			return nil, fmt.Errorf("keys: %s: certificate %d: %w", path, n, err)
 		}
-		if certs = append(certs, c); len(certs) > certsMost {
-			return nil, fmt.Errorf("keys: %s: more than %d certificates", path, certsMost)
+		if certs = append(certs, c); len(certs) > maxCertificates {
+			return nil, fmt.Errorf("keys: %s: more than %d certificates", path, maxCertificates)
 		}
 	}
 	if len(certs) == 0 {
@@ -182,8 +182,8 @@
 	return certs, nil
 }
 
-// revocations reads the revocation lists of a file.
-func revocations(path string, text []byte) (*tlspolicy.Lists, error) {
+// parseRevocationLists reads the revocation lists of a file.
+func parseRevocationLists(path string, text []byte) (*tlspolicy.RevocationLists, error) {
 	var der [][]byte
 	for rest := text; ; {
 		var block *pem.Block
@@ -198,15 +198,15 @@
 	if len(der) == 0 {
 		der = [][]byte{text}
 	}
-	l, err := tlspolicy.NewLists(der...)
+	l, err := tlspolicy.NewRevocationLists(der...)
 	if err != nil {
 		return nil, fmt.Errorf("keys: %s: %w", path, err)
 	}
 	return l, nil
 }
 
-// read reads a file; a secret one must be its owner's alone.
-func read(path string, secret bool) ([]byte, error) {
+// readFile reads a file; a secret one must be its owner's alone.
+func readFile(path string, secret bool) ([]byte, error) {
 	// A pipe in a file's place would hold up whoever opens it.
 	file, err := os.OpenFile(path, os.O_RDONLY|syscall.O_NONBLOCK, 0)
 	if err != nil {
@@ -222,23 +222,23 @@
 	case secret && info.Mode().Perm()&0o077 != 0:
 		return nil, fmt.Errorf("keys: %s: mode %04o: others than its owner may use it, want 0600", path, info.Mode().Perm())
 	}
-	text, err := io.ReadAll(io.LimitReader(file, fileMost+1))
+	text, err := io.ReadAll(io.LimitReader(file, maxFileBytes+1))
 	if err != nil {
 		return nil, fmt.Errorf("keys: %w", err)
 	}
-	if len(text) > fileMost {
-		return nil, fmt.Errorf("keys: %s: over %d bytes", path, fileMost)
+	if len(text) > maxFileBytes {
+		return nil, fmt.Errorf("keys: %s: over %d bytes", path, maxFileBytes)
 	}
 	return text, nil
 }
 
 // Store keeps a set and looks whether its files have changed.
 type Store struct {
-	files Files
-	now   atomic.Pointer[Set]
-	last  print     // of the set in use
-	said  string    // the last error that was told
-	odd   time.Time // since when the pair does not match
+	files           Files
+	current         atomic.Pointer[Credentials]
+	lastFingerprint fingerprint // of the set in use
+	lastError       string      // the last error that was told
+	mismatchSince   time.Time   // since when the pair does not match
 }
 
 // Open loads the first set, which must be good.
@@ -247,39 +247,39 @@
 	if err != nil {
 		return nil, err
 	}
-	s := &Store{files: f, last: p}
-	s.now.Store(set)
+	s := &Store{files: f, lastFingerprint: p}
+	s.current.Store(set)
 	return s, nil
 }
 
 // Current is the set in use, for any goroutine.
-func (s *Store) Current() *Set { return s.now.Load() }
+func (s *Store) Current() *Credentials { return s.current.Load() }
 
-// Look reads the files again. changed tells that another set is in use from here
+// Reload reads the files again. changed tells that another set is in use from here
 // on; an error why what the files hold now is not, told once.
 // One goroutine calls it.
-func (s *Store) Look(now time.Time) (changed bool, err error) {
+func (s *Store) Reload(now time.Time) (changed bool, err error) {
 	set, p, err := load(s.files, now)
 	if err == nil {
-		s.odd, s.said = time.Time{}, ""
-		if p == s.last {
+		s.mismatchSince, s.lastError = time.Time{}, ""
+		if p == s.lastFingerprint {
 			return false, nil
 		}
-		s.last = p
-		s.now.Store(set)
+		s.lastFingerprint = p
+		s.current.Store(set)
 		return true, nil
 	}
-	if errors.Is(err, errPair) {
-		if s.odd.IsZero() {
-			s.odd = now
+	if errors.Is(err, errKeyMismatch) {
+		if s.mismatchSince.IsZero() {
+			s.mismatchSince = now
 		}
-		if now.Sub(s.odd) < settle {
+		if now.Sub(s.mismatchSince) < replacementGrace {
 			return false, nil // the other file may come yet
 		}
 	}
-	if err.Error() == s.said {
+	if err.Error() == s.lastError {
 		return false, nil
 	}
-	s.said = err.Error()
+	s.lastError = err.Error()
 	return false, err
 }
--- a/internal/keys/keys_test.go
+++ b/internal/keys/keys_test.go
@@ -17,13 +17,13 @@
 
 var noon = time.Date(2026, 6, 7, 12, 0, 0, 0, time.UTC)
 
-type made = devca.Made
+type issuedCert = devca.Issued
 
-func issue(t testing.TB, up *made, ca bool, from, to time.Duration) *made {
+func issue(t testing.TB, up *issuedCert, ca bool, from, to time.Duration) *issuedCert {
 	t.Helper()
-	changes := []func(*x509.Certificate){devca.Valid(noon.Add(from), noon.Add(to))}
+	changes := []func(*x509.Certificate){devca.WithValidity(noon.Add(from), noon.Add(to))}
 	if ca {
-		changes = append(changes, devca.Authority)
+		changes = append(changes, devca.AsAuthority)
 	}
 	m, err := devca.Issue(up, "c", nil, changes...)
 	if err != nil {
@@ -32,11 +32,11 @@
 	return m
 }
 
-func certPEM(m *made) []byte {
+func certPEM(m *issuedCert) []byte {
 	return pem.EncodeToMemory(&pem.Block{Type: "CERTIFICATE", Bytes: m.Raw})
 }
 
-func keyPEM(t testing.TB, m *made) []byte {
+func keyPEM(t testing.TB, m *issuedCert) []byte {
 	t.Helper()
 	text, err := m.KeyPEM()
 	if err != nil {
@@ -45,7 +45,7 @@
 	return text
 }
 
-func write(t testing.TB, path string, mode os.FileMode, parts ...[]byte) {
+func replaceFile(t testing.TB, path string, mode os.FileMode, parts ...[]byte) {
 	t.Helper()
 	if err := os.WriteFile(path+".new", bytes.Join(parts, nil), mode); err != nil {
 		t.Fatal(err)
@@ -86,20 +86,20 @@
 		{name: "rubbish in PEM", cert: rubbish, key: keyPEM(t, own), want: "certificate 1"},
 		{name: "no key", cert: certPEM(own), key: []byte("nothing"), want: "no PEM"},
 		{name: "a root that is none", roots: certPEM(own), want: "no authority"},
-		{name: "too long", roots: bytes.Repeat([]byte{'\n'}, fileMost+1), want: "bytes"},
+		{name: "too long", roots: bytes.Repeat([]byte{'\n'}, maxFileBytes+1), want: "bytes"},
 	} {
 		dir := t.TempDir()
 		f := Files{}
 		put := func(to *string, name string, text []byte, mode os.FileMode) {
 			if text != nil {
 				*to = filepath.Join(dir, name)
-				write(t, *to, mode, text)
+				replaceFile(t, *to, mode, text)
 			}
 		}
 		if x.keyMode == 0 {
 			x.keyMode = 0o600
 		}
-		put(&f.Cert, "cert", x.cert, 0o644)
+		put(&f.Certificate, "cert", x.cert, 0o644)
 		put(&f.Key, "key", x.key, x.keyMode)
 		put(&f.Roots, "roots", x.roots, 0o644)
 		set, err := Load(f, noon)
@@ -128,57 +128,57 @@
 // Certificate and key are replaced one after the other, with a moment between:
 // the old pair is used until the new one is whole, and nothing is told. One that
 // stays broken is told once; the last good one stays.
-func TestReplaced(t *testing.T) {
+func TestReloadReplacedFiles(t *testing.T) {
 	dir := t.TempDir()
-	f := Files{Cert: filepath.Join(dir, "cert"), Key: filepath.Join(dir, "key")}
+	f := Files{Certificate: filepath.Join(dir, "cert"), Key: filepath.Join(dir, "key")}
 	a, b := issue(t, nil, false, -time.Hour, time.Hour), issue(t, nil, false, -time.Hour, time.Hour)
-	write(t, f.Cert, 0o644, certPEM(a))
-	write(t, f.Key, 0o600, keyPEM(t, a))
+	replaceFile(t, f.Certificate, 0o644, certPEM(a))
+	replaceFile(t, f.Key, 0o600, keyPEM(t, a))
 	s, err := Open(f, noon)
 	if err != nil {
 		t.Fatal(err)
 	}
-	uses := func(m *made) {
+	uses := func(m *issuedCert) {
 		t.Helper()
-		if set := s.Current(); !set.Own.Leaf.Equal(m.Certificate) || !m.Key.(*ecdsa.PrivateKey).PublicKey.Equal(set.Own.PrivateKey.(*ecdsa.PrivateKey).Public()) {
+		if set := s.Current(); !set.Certificate.Leaf.Equal(m.Certificate) || !m.Key.(*ecdsa.PrivateKey).PublicKey.Equal(set.Certificate.PrivateKey.(*ecdsa.PrivateKey).Public()) {
 			t.Error("another pair is in use, or half of it")
 		}
 	}
 	look := func(after time.Duration, changed bool, want string) {
 		t.Helper()
-		got, err := s.Look(noon.Add(after))
+		got, err := s.Reload(noon.Add(after))
 		if got != changed || (err == nil) != (want == "") || err != nil && !strings.Contains(err.Error(), want) {
 			t.Errorf("after %v: changed %v, %v", after, got, err)
 		}
 	}
 	look(0, false, "")
-	write(t, f.Cert, 0o644, certPEM(b))
+	replaceFile(t, f.Certificate, 0o644, certPEM(b))
 	look(time.Second, false, "")
 	uses(a)
-	write(t, f.Key, 0o600, keyPEM(t, b))
+	replaceFile(t, f.Key, 0o600, keyPEM(t, b))
 	look(2*time.Second, true, "")
 	uses(b)
-	write(t, f.Key, 0o600, keyPEM(t, a))
+	replaceFile(t, f.Key, 0o600, keyPEM(t, a))
 	look(3*time.Second, false, "")
 	look(9*time.Second, false, "not the certificate's")
 	look(10*time.Second, false, "")
 	uses(b)
-	write(t, f.Key, 0o600, keyPEM(t, b))
+	replaceFile(t, f.Key, 0o600, keyPEM(t, b))
 	look(11*time.Second, false, "")
-	if err := os.Remove(f.Cert); err != nil {
+	if err := os.Remove(f.Certificate); err != nil {
 		t.Fatal(err)
 	}
 	look(12*time.Second, false, "no such file")
 	uses(b)
 }
 
-func FuzzParse(f *testing.F) {
+func FuzzParseCertificates(f *testing.F) {
 	m := issue(f, nil, true, -time.Hour, time.Hour)
 	f.Add(certPEM(m))
 	f.Add(append(certPEM(m), certPEM(m)...))
 	f.Add([]byte("-----BEGIN CERTIFICATE-----\n-----END CERTIFICATE-----\n"))
 	f.Fuzz(func(t *testing.T, text []byte) {
-		if certs, err := parse("f", text); err == nil && len(certs) == 0 {
+		if certs, err := parseCertificates("f", text); err == nil && len(certs) == 0 {
 			t.Error("neither certificates nor an error")
 		}
 	})
--- a/internal/keys/stored_test.go
+++ b/internal/keys/stored_test.go
@@ -20,7 +20,7 @@
 	if err := os.WriteFile(private, key, 0o600); err != nil {
 		t.Fatal(err)
 	}
-	set, err := Load(Files{Cert: filepath.Join("testdata", "own.pem"), Key: private, Roots: filepath.Join("testdata", "roots.pem")}, noon)
+	set, err := Load(Files{Certificate: filepath.Join("testdata", "own.pem"), Key: private, Roots: filepath.Join("testdata", "roots.pem")}, noon)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -28,11 +28,11 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	got := "own " + hex.EncodeToString(set.OwnSum) + "\nroots " + hex.EncodeToString(set.RootsSum) + "\n"
+	got := "own " + hex.EncodeToString(set.CertificateSum) + "\nroots " + hex.EncodeToString(set.RootsSum) + "\n"
 	if got != string(want) {
 		t.Errorf("sums:\n%swant:\n%s", got, want)
 	}
-	if !strings.HasPrefix(set.Until.String(), "2126-01-01") {
-		t.Errorf("own certificate until %s", set.Until)
+	if !strings.HasPrefix(set.NotAfter.String(), "2126-01-01") {
+		t.Errorf("own certificate until %s", set.NotAfter)
 	}
 }
--- a/internal/operator/operator.go
+++ b/internal/operator/operator.go
@@ -332,7 +332,7 @@
 		check.Errorf("tls", "%d rules, want %d at most", len(f.TLSRules), maxTLSRules)
 		return
 	}
-	targets := make([]tlspolicy.Target, 0, len(f.TLSRules))
+	targets := make([]tlspolicy.RuleTarget, 0, len(f.TLSRules))
 	names := map[string]bool{}
 	for i := range f.TLSRules {
 		x := &f.TLSRules[i]
@@ -351,7 +351,7 @@
 			check.Errorf(key("pins"), "%v", err)
 		}
 		rule.Roots = x509.NewCertPool() // the files are read later
-		if err := rule.Check(); err != nil {
+		if err := rule.Validate(); err != nil {
 			k, text, _ := strings.Cut(err.Error(), ": ")
 			check.Errorf(key(k), "%s", text)
 		}
@@ -373,9 +373,9 @@
 		if x.ExpiryWarningDays < 0 || x.ExpiryWarningDays > maxExpiryWarningDays {
 			check.Errorf(key("warn_days"), "%d, want 0 to %d", x.ExpiryWarningDays, maxExpiryWarningDays)
 		}
-		targets = append(targets, tlspolicy.Target{Rule: x.Name, Dests: x.Destinations, Flavors: x.Flavors})
+		targets = append(targets, tlspolicy.RuleTarget{Rule: x.Name, Destinations: x.Destinations, Flavors: x.Flavors})
 	}
-	if _, err := tlspolicy.NewSelector(targets); err != nil {
+	if _, err := tlspolicy.NewRuleSelector(targets); err != nil {
 		check.Errorf("tls", "%v", err)
 	}
 	h := &f.Handshakes
@@ -400,7 +400,7 @@
 
 // Rule is the rule without what its files hold.
 func (x *TLSRule) Rule() (tlspolicy.Rule, error) {
-	r := tlspolicy.Rule{Name: x.Name, ServerName: x.ServerName, Hard: x.UnknownRevocation == "refuse"}
+	r := tlspolicy.Rule{Name: x.Name, ServerName: x.ServerName, RequireRevocationStatus: x.UnknownRevocation == "refuse"}
 	for _, s := range x.Pins {
 		p, err := tlspolicy.ParsePin(s)
 		if err != nil {
@@ -413,7 +413,7 @@
 
 // Files are the rule's files.
 func (x *TLSRule) Files() keys.Files {
-	return keys.Files{Cert: x.Certificate, Key: x.Key, Roots: x.Roots, Lists: x.Revocations}
+	return keys.Files{Certificate: x.Certificate, Key: x.Key, Roots: x.Roots, RevocationLists: x.Revocations}
 }
 
 // ConnectionCost is what a connection under the rule takes at the partner, in calls.
@@ -430,19 +430,19 @@
 }
 
 // Targets are whom the rules are for.
-func (f *File) Targets() (t []tlspolicy.Target) {
+func (f *File) Targets() (t []tlspolicy.RuleTarget) {
 	for i := range f.TLSRules {
-		t = append(t, tlspolicy.Target{Rule: f.TLSRules[i].Name, Dests: f.TLSRules[i].Destinations, Flavors: f.TLSRules[i].Flavors})
+		t = append(t, tlspolicy.RuleTarget{Rule: f.TLSRules[i].Name, Destinations: f.TLSRules[i].Destinations, Flavors: f.TLSRules[i].Flavors})
 	}
 	return t
 }
 
 // Limits are the handshake budget's.
-func (h *Handshakes) Limits() tlspolicy.Limits {
-	l := tlspolicy.Default()
+func (h *Handshakes) Limits() tlspolicy.HandshakeLimits {
+	l := tlspolicy.DefaultHandshakeLimits()
 	l.Share = cmp.Or(h.CPUShare, l.Share)
 	l.Burst = cmp.Or(time.Duration(h.BurstMS*float64(time.Millisecond)), l.Burst)
-	l.Parallel = cmp.Or(h.MaxParallel, l.Parallel)
+	l.MaxParallel = cmp.Or(h.MaxParallel, l.MaxParallel)
 	for k := range l.Cost {
 		l.Cost[k] = min(l.Cost[k], l.Burst)
 	}
--- a/internal/operator/operator_test.go
+++ b/internal/operator/operator_test.go
@@ -30,11 +30,11 @@
 	}
 	x, h := &f.TLSRules[0], &f.Handshakes
 	r, err := x.Rule()
-	if err != nil || !r.Hard || r.ServerName != "pay.example.org" || x.ConnectionCost() != 0 || x.ExpiryWarning() != 30*24*time.Hour || x.Files().Roots != "r.pem" {
+	if err != nil || !r.RequireRevocationStatus || r.ServerName != "pay.example.org" || x.ConnectionCost() != 0 || x.ExpiryWarning() != 30*24*time.Hour || x.Files().Roots != "r.pem" {
 		t.Errorf("%+v %+v %v", x, r, err)
 	}
 	l := h.Limits()
-	if l.Check() != nil || l.Share != 0.5 || l.Burst != time.Millisecond || h.SessionCacheSize() != 0 || h.Timeout() != 1500*time.Millisecond {
+	if l.Validate() != nil || l.Share != 0.5 || l.Burst != time.Millisecond || h.SessionCacheSize() != 0 || h.Timeout() != 1500*time.Millisecond {
 		t.Errorf("%+v %+v", l, h)
 	}
 	f, err = Parse("o.toml", []byte(minimalTLSRule))
--- a/internal/rehearse/stage/secure.go
+++ b/internal/rehearse/stage/secure.go
@@ -37,28 +37,28 @@
 	}
 	var text bytes.Buffer
 	var err error
-	must := func(m *devca.Made, e error) *devca.Made {
+	must := func(m *devca.Issued, e error) *devca.Issued {
 		if e != nil && err == nil {
 			err = e
 		}
 		return m
 	}
-	year := devca.Valid(time.Now().Add(-time.Hour), time.Now().Add(24*365*time.Hour))
-	root := must(devca.Issue(nil, "rehearsal", nil, devca.Authority, year))
-	stranger := must(devca.Issue(nil, "stranger", nil, devca.Authority, year))
+	year := devca.WithValidity(time.Now().Add(-time.Hour), time.Now().Add(24*365*time.Hour))
+	root := must(devca.Issue(nil, "rehearsal", nil, devca.AsAuthority, year))
+	stranger := must(devca.Issue(nil, "stranger", nil, devca.AsAuthority, year))
 	if err != nil {
 		return nil, err
 	}
-	mid, other := must(devca.Issue(root, "one", nil, devca.Authority, year)), must(devca.Issue(root, "two", nil, devca.Authority, year))
+	mid, other := must(devca.Issue(root, "one", nil, devca.AsAuthority, year)), must(devca.Issue(root, "two", nil, devca.AsAuthority, year))
 	ours := must(devca.Issue(root, "relay.example.org", nil, year))
 	if err != nil {
 		return nil, err
 	}
-	roots, _, err := root.Write(dir, "roots", false)
+	roots, _, err := root.WriteFiles(dir, "roots", false)
 	if err != nil {
 		return nil, err
 	}
-	cert, key, err := ours.Write(dir, "relay", true)
+	cert, key, err := ours.WriteFiles(dir, "relay", true)
 	if err != nil {
 		return nil, err
 	}
@@ -73,8 +73,8 @@
 		seen[e.Partner], any = true, true
 		share = max(share, x.Share)
 		name := p.Specs[e.Partner].Name + ".example.org"
-		made := func(up *devca.Made, name string, changes ...func(*devca.Template)) *devca.Made {
-			k, e := devca.NewKey(devca.Kind(x.Key))
+		made := func(up *devca.Issued, name string, changes ...func(*devca.Template)) *devca.Issued {
+			k, e := devca.NewKey(devca.KeyKind(x.Key))
 			if e != nil && err == nil {
 				err = e
 				return nil
@@ -82,16 +82,16 @@
 			return must(devca.Issue(up, name, k, append([]func(*devca.Template){year}, changes...)...))
 		}
 		good, next := made(mid, name), made(other, name)
-		bad := map[string]*devca.Made{
-			scenario.TLSExpired:   made(mid, name, devca.Valid(time.Now().Add(-2*time.Hour), time.Now().Add(-time.Hour))),
+		bad := map[string]*devca.Issued{
+			scenario.TLSExpired:   made(mid, name, devca.WithValidity(time.Now().Add(-2*time.Hour), time.Now().Add(-time.Hour))),
 			scenario.TLSWrongName: made(mid, "other.example.org"),
 			scenario.TLSWrongRoot: made(stranger, name),
 		}
 		if err != nil {
 			return nil, err
 		}
-		show := func(m *devca.Made, trusted bool) *h1.Show {
-			cfg := &tls.Config{Certificates: []tls.Certificate{m.TLS()}, SessionTicketsDisabled: x.NoSessions}
+		show := func(m *devca.Issued, trusted bool) *h1.Show {
+			cfg := &tls.Config{Certificates: []tls.Certificate{m.TLSCertificate()}, SessionTicketsDisabled: x.NoSessions}
 			switch x.Version {
 			case "1.2":
 				cfg.MaxVersion = tls.VersionTLS12
@@ -99,7 +99,7 @@
 				cfg.MinVersion = tls.VersionTLS13
 			}
 			if x.WantsOurs {
-				cfg.ClientAuth, cfg.ClientCAs = tls.RequireAndVerifyClientCert, root.Pool()
+				cfg.ClientAuth, cfg.ClientCAs = tls.RequireAndVerifyClientCert, root.RootPool()
 			}
 			// Keys of its own for sessions: what one certificate was shown for is
 			// not resumed under another.
@@ -136,7 +136,7 @@
 	if share > 0 {
 		fmt.Fprintf(&text, "[handshakes]\nshare = %v\n", share)
 	}
-	return s, devca.Replace(s.file, text.Bytes(), 0o600)
+	return s, devca.ReplaceFile(s.file, text.Bytes(), 0o600)
 }
 
 // show is what an endpoint shows now.
--- a/internal/relay/endpoints.go
+++ b/internal/relay/endpoints.go
@@ -149,7 +149,7 @@
 			o.Outcome = c.outcomeWithoutResponse(ctx)
 		}
 		if conn.tls != nil && o.Err != nil { // its word that it does not accept us may come late: the next call is spared
-			conn.tls.Peer().Refused(o.Err)
+			conn.tls.Endpoint().RecordAlert(o.Err)
 		}
 		if o.Outcome != decide.Delivered && (o.Err != nil || o.Malformed) {
 			// What is told now may go out again at once, and the endpoint counts two
@@ -206,7 +206,7 @@
 			return nil, decide.NotSent, err
 		}
 		if conn.tls != nil {
-			if out, refused := conn.tls.Peer().Refused(err); refused { // it has closed on who we are: nothing ran
+			if out, refused := conn.tls.Endpoint().RecordAlert(err); refused { // it has closed on who we are: nothing ran
 				return nil, decide.NotSent, out
 			}
 		}
@@ -220,7 +220,7 @@
 // notAttempted reports whether there is no connection for a reason that is not the
 // endpoint's health.
 func notAttempted(err error) bool {
-	var out *secure.Out
+	var out *secure.RejectedError
 	var turn handshakeBudgetError
 	return err == errPoolFull || gate.IsRefusal(err) || err == errConnectNotAllowed || errors.As(err, &out) || errors.As(err, &turn)
 }
--- a/internal/relay/loop.go
+++ b/internal/relay/loop.go
@@ -60,8 +60,8 @@
 	events            []core.Event
 	effects           []core.Effect
 	pool              *Pool
-	tlsPeers          *secure.Partners                // nil without TLS
-	consoleTLSPeers   atomic.Pointer[secure.Partners] // the same, for the console
+	tlsPeers          *secure.Dialer                // nil without TLS
+	consoleTLSPeers   atomic.Pointer[secure.Dialer] // the same, for the console
 	inFlight          InFlight
 	received          []loopInput
 	pendingHandover   *handoverRequest
@@ -122,13 +122,13 @@
 	set := core.Settings{Policy: cfg.Policy, Seed: cfg.Seed, Epoch: r.startedAt.UnixMicro() - coreClockOrigin,
 		TracesPerSecond: cfg.TracesPerSecond, Passivation: cfg.Passivation, Zones: cfg.Zones, Kinds: cfg.DestinationKinds, Classes: cfg.Classes, Tenants: cfg.Tenants}
 	if len(cfg.TLSRules) > 0 {
-		r.tlsPeers, err = secure.New(secure.Options{Rules: cfg.TLSRules, Handshakes: cfg.Handshakes, Log: log, Seed: cfg.Seed, State: cfg.State, Barred: r.identityRejected})
+		r.tlsPeers, err = secure.New(secure.Options{Rules: cfg.TLSRules, Handshakes: cfg.Handshakes, Log: log, Seed: cfg.Seed, StateDir: cfg.State, OnRejected: r.identityRejected})
 		if err != nil {
 			return false, err
 		}
-		set.ConnectionCost = r.tlsPeers.Opening
+		set.ConnectionCost = r.tlsPeers.HandshakeWeight
 		r.consoleTLSPeers.Store(r.tlsPeers)
-		defer r.tlsPeers.Save(cfg.State)
+		defer r.tlsPeers.SaveSessions(cfg.State)
 		go r.tlsPeers.Run(ctx)
 	}
 	r.core, err = core.New(set)
--- a/internal/relay/operate.go
+++ b/internal/relay/operate.go
@@ -88,10 +88,10 @@
 	c := p.Counts()
 	line("full", c.Full, "c")
 	line("resumed", c.Resumed, "c")
-	line("refused", c.Refused, "c")
-	line("broken", c.Broken, "c")
-	line("out", int64(c.Out), "g")
-	p.Days(func(name string, days float64) { line("days."+name, int64(math.Floor(days)), "g") })
+	line("refused", c.Rejected, "c")
+	line("broken", c.Inconclusive, "c")
+	line("out", int64(c.RejectedEndpoints), "g")
+	p.DaysLeft(func(name string, days float64) { line("days."+name, int64(math.Floor(days)), "g") })
 	return to
 }
 
--- a/internal/relay/pool.go
+++ b/internal/relay/pool.go
@@ -90,8 +90,8 @@
 	gate   *gate.Gate
 	addr   string
 	dial   func(ctx context.Context, addr string) (net.Conn, error)
-	peer   *secure.Peer // nil where it is reached without TLS
-	closed bool         // under the pool's lock: nothing is kept any more
+	peer   *secure.Endpoint // nil where it is reached without TLS
+	closed bool             // under the pool's lock: nothing is kept any more
 	// Of one that is reached over TLS, under the pool's lock: closed where who
 	// waits for a connection should look again; how many wait, and how many are
 	// being opened.
@@ -218,7 +218,7 @@
 			c.used = true
 			return c, fresh, spoilt
 		}
-		if !c.used && c.tls.Fresh() {
+		if !c.used && c.tls.IdentityCurrent() {
 			spoilt++
 		}
 		p.closeLocked(c)
--- a/internal/relay/securepool.go
+++ b/internal/relay/securepool.go
@@ -43,9 +43,9 @@
 
 // OpenEndpoint is a home that is reached over TLS where the operator's file says
 // so.
-func (p *Pool) OpenEndpoint(addr string, peers *secure.Partners, endpoint uint64, dest int, flavor string) *Endpoint {
+func (p *Pool) OpenEndpoint(addr string, peers *secure.Dialer, endpoint uint64, dest int, flavor string) *Endpoint {
 	h := p.newEndpoint(addr)
-	h.peer = peers.Peer(endpoint, dest, flavor, func() bool {
+	h.peer = peers.Endpoint(endpoint, dest, flavor, func() bool {
 		p.mu.Lock()
 		h.connecting++
 		p.mu.Unlock()
@@ -101,7 +101,7 @@
 		if spoilt += bad; spoilt >= maxUnusableConns {
 			return nil, errStaleConn
 		}
-		if wanted && w.warmingUp && !w.mayConnect && h.peer.Weighs() {
+		if wanted && w.warmingUp && !w.mayConnect && h.peer.ChargesHandshakes() {
 			p.mu.Lock()
 			h.connecting--
 			p.mu.Unlock()
@@ -160,7 +160,7 @@
 			p.mu.Unlock()
 		}
 	}()
-	turn, at, err := h.peer.Begin(cold, scheduled)
+	turn, at, err := h.peer.Acquire(cold, scheduled)
 	if err != nil || turn == nil {
 		return nil, at, err
 	}
@@ -168,7 +168,7 @@
 	ok := p.reserveLocked()
 	p.mu.Unlock()
 	if !ok {
-		turn.Abandon()
+		turn.Release()
 		return nil, at, errPoolFull
 	}
 	done := make(chan error, 1)
@@ -197,20 +197,20 @@
 	return done, time.Time{}, nil
 }
 
-func (h *Endpoint) handshake(ctx context.Context, turn *secure.Turn) (*secure.Conn, error) {
+func (h *Endpoint) handshake(ctx context.Context, turn *secure.Permit) (*secure.Conn, error) {
 	raw, err := h.dial(ctx, h.addr)
 	if err != nil {
-		turn.Abandon()
+		turn.Release()
 		return nil, err
 	}
-	return turn.Shake(ctx, raw)
+	return turn.Handshake(ctx, raw)
 }
 
 // reusableTLS is clean over TLS. What has come may be the partner's housekeeping,
 // new sessions or keys (RFC 8446 section 4.6), which is taken in; anything else,
 // and part of a record, which may be the connection's end, is of no use.
 func (c *poolConn) reusableTLS() bool {
-	if !c.tls.Fresh() {
+	if !c.tls.IdentityCurrent() {
 		return false
 	}
 	defer c.SetReadDeadline(time.Time{})
@@ -221,7 +221,7 @@
 		}
 		c.SetReadDeadline(time.Time{})
 		if noPendingInput(c.tls.Raw()) {
-			return c.tls.Whole()
+			return c.tls.AtRecordBoundary()
 		}
 		c.SetReadDeadline(time.Now().Add(postHandshakeWait))
 		if c.hasUnexpectedInput() {
@@ -239,7 +239,7 @@
 		return false
 	}
 	if err != nil {
-		c.tls.Peer().Refused(err)
+		c.tls.Endpoint().RecordAlert(err)
 	}
 	return true
 }
--- a/internal/relay/tls_bench_test.go
+++ b/internal/relay/tls_bench_test.go
@@ -23,7 +23,7 @@
 		b.Run(name, func(b *testing.B) {
 			if w == nil {
 				s := newTLSSite(b, func(_ *tlsSite, h *operator.Handshakes) { h.CPUShare, h.BurstMS, h.MaxParallel = 1, 1000, 64 })
-				w = &transport{site: s, cfg: &tls.Config{Certificates: []tls.Certificate{s.own.TLS()}}}
+				w = &transport{site: s, cfg: &tls.Config{Certificates: []tls.Certificate{s.own.TLSCertificate()}}}
 			}
 			var addr string
 			handle := func(c net.Conn) {
--- a/internal/relay/tls_relay_test.go
+++ b/internal/relay/tls_relay_test.go
@@ -15,7 +15,7 @@
 )
 
 // newTLSEndpoint is a partner's endpoint over TLS that shows what own says.
-func newTLSEndpoint(t *testing.T, own func() *devca.Made, answer func(w http.ResponseWriter, r *http.Request, n int)) *fakeEndpoint {
+func newTLSEndpoint(t *testing.T, own func() *devca.Issued, answer func(w http.ResponseWriter, r *http.Request, n int)) *fakeEndpoint {
 	e := newFakeEndpoint(t, answer)
 	handler := e.Config.Handler
 	e.CloseClientConnections()
@@ -23,7 +23,7 @@
 	e.Server = httptest.NewUnstartedServer(handler)
 	// A session would go on under the proof that it was made by.
 	e.TLS = &tls.Config{SessionTicketsDisabled: true, GetCertificate: func(*tls.ClientHelloInfo) (*tls.Certificate, error) {
-		c := own().TLS()
+		c := own().TLSCertificate()
 		return &c, nil
 	}}
 	e.StartTLS()
@@ -47,7 +47,7 @@
 // for the partner to be found sound again. The others serve on.
 func TestRelayThroughARotation(t *testing.T) {
 	s := newTLSSite(t, nil)
-	var shown atomic.Pointer[devca.Made]
+	var shown atomic.Pointer[devca.Issued]
 	shown.Store(s.own)
 	ep := newTLSEndpoint(t, shown.Load, nil)
 	other := newFakeEndpoint(t, nil)
@@ -99,7 +99,7 @@
 func TestUpgradeWithCallsOverTLS(t *testing.T) {
 	s := newTLSSite(t, nil)
 	entered, release := make(chan struct{}, 8), make(chan struct{})
-	ep := newTLSEndpoint(t, func() *devca.Made { return s.own }, func(w http.ResponseWriter, r *http.Request, n int) {
+	ep := newTLSEndpoint(t, func() *devca.Issued { return s.own }, func(w http.ResponseWriter, r *http.Request, n int) {
 		if n == 1 {
 			entered <- struct{}{}
 			<-release
@@ -136,7 +136,7 @@
 func TestCallsThatCannotRestAreOverFirst(t *testing.T) {
 	s := newTLSSite(t, nil)
 	entered, over := make(chan struct{}, 8), make(chan struct{})
-	ep := newTLSEndpoint(t, func() *devca.Made { return s.own }, func(_ http.ResponseWriter, r *http.Request, n int) {
+	ep := newTLSEndpoint(t, func() *devca.Issued { return s.own }, func(_ http.ResponseWriter, r *http.Request, n int) {
 		if n == 1 {
 			entered <- struct{}{}
 			<-r.Context().Done()
--- a/internal/relay/tls_test.go
+++ b/internal/relay/tls_test.go
@@ -99,7 +99,7 @@
 func serveSealedTLS(t testing.TB, s *tlsSite, serve func(c *tls.Conn, raw net.Conn, seal *recordSealer)) string {
 	return serveTCP(t, func(raw net.Conn) {
 		k := &recordSealer{}
-		c := tls.Server(raw, &tls.Config{Certificates: []tls.Certificate{s.own.TLS()}, MinVersion: tls.VersionTLS13, SessionTicketsDisabled: true, KeyLogWriter: k})
+		c := tls.Server(raw, &tls.Config{Certificates: []tls.Certificate{s.own.TLSCertificate()}, MinVersion: tls.VersionTLS13, SessionTicketsDisabled: true, KeyLogWriter: k})
 		if c.Handshake() != nil {
 			return
 		}
@@ -119,7 +119,7 @@
 // the alert is called. Those about who we are put the endpoint out.
 func TestAlertOutcomes(t *testing.T) {
 	for _, code := range alerts {
-		_, identity := tlspolicy.CauseOf(code)
+		_, identity := tlspolicy.CauseOfAlert(code)
 		t.Run("", func(t *testing.T) {
 			t.Parallel()
 			s := newTLSSite(t, nil)
@@ -164,7 +164,7 @@
 				if n := conns.Load(); (whole || identity) && n != 1 || n > 2*maxConnAttempts {
 					t.Errorf("alert %d, whole %v: %d connections for one call", code, whole, n)
 				}
-				if out := s.partners.Counts().Out; (out == 1) != identity {
+				if out := s.partners.Counts().RejectedEndpoints; (out == 1) != identity {
 					t.Errorf("alert %d, whole %v: %d endpoints out", code, whole, out)
 				}
 			}
@@ -275,7 +275,7 @@
 func TestTLSCallIsNotSuspended(t *testing.T) {
 	s := newTLSSite(t, nil)
 	entered, release := make(chan struct{}), make(chan struct{})
-	h := s.endpoint(testPool(t), serveTLS(t, &tls.Config{Certificates: []tls.Certificate{s.own.TLS()}}, func(c net.Conn) {
+	h := s.endpoint(testPool(t), serveTLS(t, &tls.Config{Certificates: []tls.Certificate{s.own.TLSCertificate()}}, func(c net.Conn) {
 		if readRequest(bufio.NewReader(c)) {
 			close(entered)
 			<-release
@@ -345,58 +345,58 @@
 func TestRejectedPeersGetNothing(t *testing.T) {
 	now := time.Now()
 	type c = x509.Certificate
-	other := issueCert(t, nil, "other", devca.Authority)
+	other := issueCert(t, nil, "other", devca.AsAuthority)
 	for _, version := range []uint16{tls.VersionTLS12, tls.VersionTLS13} {
 		for name, x := range map[string]struct {
 			change func(s *tlsSite) // of the site, before its rule is read
-			show   func(s *tlsSite) *devca.Made
-			cause  tlspolicy.Cause
+			show   func(s *tlsSite) *devca.Issued
+			cause  tlspolicy.FailureCause
 		}{
-			"another name": {show: func(s *tlsSite) *devca.Made { return issueCert(t, s.root, "shop.example.org") }, cause: tlspolicy.WrongName},
-			"no name":      {show: func(s *tlsSite) *devca.Made { return issueCert(t, s.root, "x", devca.Names()) }, cause: tlspolicy.WrongName},
-			"its address": {show: func(s *tlsSite) *devca.Made {
-				return issueCert(t, s.root, "x", devca.Names("127.0.0.1"))
-			}, cause: tlspolicy.WrongName},
-			"a wildcard too wide": {show: func(s *tlsSite) *devca.Made { return issueCert(t, s.root, "*.org") }, cause: tlspolicy.WrongName},
-			"another root":        {show: func(*tlsSite) *devca.Made { return issueCert(t, other, partnerName) }, cause: tlspolicy.WrongRoot},
-			"signed by itself":    {show: func(*tlsSite) *devca.Made { return issueCert(t, nil, partnerName) }, cause: tlspolicy.WrongRoot},
-			"another root of the same name": {show: func(*tlsSite) *devca.Made {
-				return issueCert(t, issueCert(t, nil, "root", devca.Authority), partnerName)
-			}, cause: tlspolicy.WrongRoot},
-			"expired": {show: func(s *tlsSite) *devca.Made {
-				return issueCert(t, s.root, partnerName, devca.Valid(now.Add(-2*time.Hour), now.Add(-time.Minute)))
+			"another name": {show: func(s *tlsSite) *devca.Issued { return issueCert(t, s.root, "shop.example.org") }, cause: tlspolicy.NameMismatch},
+			"no name":      {show: func(s *tlsSite) *devca.Issued { return issueCert(t, s.root, "x", devca.WithNames()) }, cause: tlspolicy.NameMismatch},
+			"its address": {show: func(s *tlsSite) *devca.Issued {
+				return issueCert(t, s.root, "x", devca.WithNames("127.0.0.1"))
+			}, cause: tlspolicy.NameMismatch},
+			"a wildcard too wide": {show: func(s *tlsSite) *devca.Issued { return issueCert(t, s.root, "*.org") }, cause: tlspolicy.NameMismatch},
+			"another root":        {show: func(*tlsSite) *devca.Issued { return issueCert(t, other, partnerName) }, cause: tlspolicy.UntrustedRoot},
+			"signed by itself":    {show: func(*tlsSite) *devca.Issued { return issueCert(t, nil, partnerName) }, cause: tlspolicy.UntrustedRoot},
+			"another root of the same name": {show: func(*tlsSite) *devca.Issued {
+				return issueCert(t, issueCert(t, nil, "root", devca.AsAuthority), partnerName)
+			}, cause: tlspolicy.UntrustedRoot},
+			"expired": {show: func(s *tlsSite) *devca.Issued {
+				return issueCert(t, s.root, partnerName, devca.WithValidity(now.Add(-2*time.Hour), now.Add(-time.Minute)))
 			}, cause: tlspolicy.Expired},
-			"not yet valid": {show: func(s *tlsSite) *devca.Made {
-				return issueCert(t, s.root, partnerName, devca.Valid(now.Add(time.Minute), now.Add(time.Hour)))
+			"not yet valid": {show: func(s *tlsSite) *devca.Issued {
+				return issueCert(t, s.root, partnerName, devca.WithValidity(now.Add(time.Minute), now.Add(time.Hour)))
 			}, cause: tlspolicy.NotYetValid},
-			"expired above": {show: func(s *tlsSite) *devca.Made {
-				return issueCert(t, issueCert(t, s.root, "mid", devca.Authority, devca.Valid(now.Add(-2*time.Hour), now.Add(-time.Minute))), partnerName)
+			"expired above": {show: func(s *tlsSite) *devca.Issued {
+				return issueCert(t, issueCert(t, s.root, "mid", devca.AsAuthority, devca.WithValidity(now.Add(-2*time.Hour), now.Add(-time.Minute))), partnerName)
 			}, cause: tlspolicy.Expired},
-			"no authority above": {show: func(s *tlsSite) *devca.Made {
-				return issueCert(t, issueCert(t, s.root, "mid", devca.Authority, func(x *c) { x.IsCA = false }), partnerName)
-			}, cause: tlspolicy.WrongRoot},
-			"for clients": {show: func(s *tlsSite) *devca.Made {
+			"no authority above": {show: func(s *tlsSite) *devca.Issued {
+				return issueCert(t, issueCert(t, s.root, "mid", devca.AsAuthority, func(x *c) { x.IsCA = false }), partnerName)
+			}, cause: tlspolicy.UntrustedRoot},
+			"for clients": {show: func(s *tlsSite) *devca.Issued {
 				return issueCert(t, s.root, partnerName, func(x *c) { x.ExtKeyUsage = []x509.ExtKeyUsage{x509.ExtKeyUsageClientAuth} })
-			}, cause: tlspolicy.BadChain},
-			"deeper than its authority may go": {show: func(s *tlsSite) *devca.Made {
-				short := issueCert(t, s.root, "short", devca.Authority, func(x *c) { x.MaxPathLen, x.MaxPathLenZero = 0, true })
-				return issueCert(t, issueCert(t, short, "deep", devca.Authority), partnerName)
-			}, cause: tlspolicy.BadChain},
-			"outside what its authority may name": {show: func(s *tlsSite) *devca.Made {
-				return issueCert(t, issueCert(t, s.root, "narrow", devca.Authority, func(x *c) {
+			}, cause: tlspolicy.InvalidChain},
+			"deeper than its authority may go": {show: func(s *tlsSite) *devca.Issued {
+				short := issueCert(t, s.root, "short", devca.AsAuthority, func(x *c) { x.MaxPathLen, x.MaxPathLenZero = 0, true })
+				return issueCert(t, issueCert(t, short, "deep", devca.AsAuthority), partnerName)
+			}, cause: tlspolicy.InvalidChain},
+			"outside what its authority may name": {show: func(s *tlsSite) *devca.Issued {
+				return issueCert(t, issueCert(t, s.root, "narrow", devca.AsAuthority, func(x *c) {
 					x.PermittedDNSDomains, x.PermittedDNSDomainsCritical = []string{"shop.example.org"}, true
 				}), partnerName)
-			}, cause: tlspolicy.BadChain},
+			}, cause: tlspolicy.InvalidChain},
 			"not pinned": {change: func(s *tlsSite) {
 				s.rule.Pins = []string{tlspolicy.PinOf(other.Certificate).String(), tlspolicy.Pin{1}.String()}
-			}, cause: tlspolicy.WrongPin},
-			"revoked": {change: func(s *tlsSite) { s.revoke(t, s.own) }, cause: tlspolicy.IsRevoked},
+			}, cause: tlspolicy.PinMismatch},
+			"revoked": {change: func(s *tlsSite) { s.revoke(t, s.own) }, cause: tlspolicy.CertificateRevoked},
 			"revocation unknown, and hard": {change: func(s *tlsSite) { s.rule.UnknownRevocation = "refuse" },
-				cause: tlspolicy.RevocationUnknown},
-			"must staple and does not": {show: func(s *tlsSite) *devca.Made {
-				return issueCert(t, s.root, partnerName, devca.MustStaple)
-			}, cause: tlspolicy.RevocationUnknown},
-			"wants a certificate that we lack": {cause: tlspolicy.RefusesUs},
+				cause: tlspolicy.RevocationUnresolved},
+			"must staple and does not": {show: func(s *tlsSite) *devca.Issued {
+				return issueCert(t, s.root, partnerName, devca.WithMustStaple)
+			}, cause: tlspolicy.RevocationUnresolved},
+			"wants a certificate that we lack": {cause: tlspolicy.ClientCertificateRejected},
 		} {
 			t.Run(name+" "+tls.VersionName(version), func(t *testing.T) {
 				t.Parallel()
@@ -409,13 +409,13 @@
 				if x.show != nil {
 					shown = x.show(s)
 				}
-				cfg := &tls.Config{Certificates: []tls.Certificate{shown.TLS()}, MinVersion: version, MaxVersion: version}
-				if x.cause == tlspolicy.RefusesUs {
-					cfg.ClientAuth, cfg.ClientCAs = tls.RequireAndVerifyClientCert, s.root.Pool()
+				cfg := &tls.Config{Certificates: []tls.Certificate{shown.TLSCertificate()}, MinVersion: version, MaxVersion: version}
+				if x.cause == tlspolicy.ClientCertificateRejected {
+					cfg.ClientAuth, cfg.ClientCAs = tls.RequireAndVerifyClientCert, s.root.RootPool()
 				}
 				o, plaintext, conns := callRejectedPeer(t, s, cfg)
-				var out *secure.Out
-				if o.Outcome != decide.NotSent || !errors.As(o.Err, &out) || out.Failure.Cause != x.cause {
+				var out *secure.RejectedError
+				if o.Outcome != decide.NotSent || !errors.As(o.Err, &out) || out.Reason.Cause != x.cause {
 					t.Errorf("got %+v, want %s", o, x.cause)
 				}
 				if plaintext != 0 || conns != 1 {
@@ -429,9 +429,9 @@
 	}
 	t.Run("only an old version", func(t *testing.T) {
 		s := newTLSSite(t, nil)
-		o, plaintext, _ := callRejectedPeer(t, s, &tls.Config{Certificates: []tls.Certificate{s.own.TLS()}, MaxVersion: tls.VersionTLS11, MinVersion: tls.VersionTLS10})
-		var out *secure.Out
-		if !errors.As(o.Err, &out) || out.Failure.Cause != tlspolicy.NothingCommon || plaintext != 0 {
+		o, plaintext, _ := callRejectedPeer(t, s, &tls.Config{Certificates: []tls.Certificate{s.own.TLSCertificate()}, MaxVersion: tls.VersionTLS11, MinVersion: tls.VersionTLS10})
+		var out *secure.RejectedError
+		if !errors.As(o.Err, &out) || out.Reason.Cause != tlspolicy.NoCommonParameters || plaintext != 0 {
 			t.Errorf("got %+v, %d bytes", o, plaintext)
 		}
 	})
@@ -448,8 +448,8 @@
 		}))
 		o := newTestCall().complete(t, h, &record{ID: "m", Key: "secret-key"}, testLimit)
 		h.Close()
-		var out *secure.Out
-		if !errors.As(o.Err, &out) || out.Failure.Cause != tlspolicy.NothingCommon || got.Load() != 0 {
+		var out *secure.RejectedError
+		if !errors.As(o.Err, &out) || out.Reason.Cause != tlspolicy.NoCommonParameters || got.Load() != 0 {
 			t.Errorf("got %+v", o)
 		}
 	})
@@ -460,35 +460,35 @@
 // on its way.
 func TestOwnCertificateRejectedLate(t *testing.T) {
 	s := newTLSSite(t, func(s *tlsSite, _ *operator.Handshakes) {
-		cert, key, err := issueCert(t, s.root, "relay").Write(s.dir, "own", true)
+		cert, key, err := issueCert(t, s.root, "relay").WriteFiles(s.dir, "own", true)
 		if err != nil {
 			t.Fatal(err)
 		}
 		s.rule.Certificate, s.rule.Key = cert, key
 	})
-	o, plaintext, conns := callRejectedPeer(t, s, &tls.Config{Certificates: []tls.Certificate{s.own.TLS()}, MinVersion: tls.VersionTLS13,
+	o, plaintext, conns := callRejectedPeer(t, s, &tls.Config{Certificates: []tls.Certificate{s.own.TLSCertificate()}, MinVersion: tls.VersionTLS13,
 		ClientAuth: tls.RequireAnyClientCert, VerifyPeerCertificate: func([][]byte, [][]*x509.Certificate) error {
 			time.Sleep(5 * defaultStaleCheckDelay) // longer than the moment before a call's last byte
 			return errors.New("not registered here")
 		}})
-	var out *secure.Out
-	if o.Outcome != decide.NotSent || !errors.As(o.Err, &out) || out.Failure.Cause != tlspolicy.RefusesUs || plaintext != 0 || conns != 1 {
+	var out *secure.RejectedError
+	if o.Outcome != decide.NotSent || !errors.As(o.Err, &out) || out.Reason.Cause != tlspolicy.ClientCertificateRejected || plaintext != 0 || conns != 1 {
 		t.Errorf("got %+v, %d bytes, %d connections", o, plaintext, conns)
 	}
-	if n := s.partners.Counts(); n.Full != 0 || n.Refused != 1 {
+	if n := s.partners.Counts(); n.Full != 0 || n.Rejected != 1 {
 		t.Errorf("%+v: it passed for proved", n)
 	}
 }
 
 // revoke puts a certificate on the site's revocation list.
-func (s *tlsSite) revoke(t testing.TB, m *devca.Made) {
+func (s *tlsSite) revoke(t testing.TB, m *devca.Issued) {
 	t.Helper()
-	text, err := devca.RevocationList(s.root, time.Now().Add(time.Hour), m)
+	text, err := devca.RevocationListPEM(s.root, time.Now().Add(time.Hour), m)
 	if err != nil {
 		t.Fatal(err)
 	}
 	s.rule.Revocations = filepath.Join(s.dir, "crl.pem")
-	if err := devca.Replace(s.rule.Revocations, text, 0o644); err != nil {
+	if err := devca.ReplaceFile(s.rule.Revocations, text, 0o644); err != nil {
 		t.Fatal(err)
 	}
 }
@@ -514,7 +514,7 @@
 	s := newTLSSite(t, nil)
 	var conns atomic.Int32
 	entered, release := make(chan struct{}), make(chan struct{})
-	addr := serveTLS(t, &tls.Config{Certificates: []tls.Certificate{s.own.TLS()}}, func(c net.Conn) {
+	addr := serveTLS(t, &tls.Config{Certificates: []tls.Certificate{s.own.TLSCertificate()}}, func(c net.Conn) {
 		conns.Add(1)
 		for in := bufio.NewReader(c); readRequest(in); {
 			entered <- struct{}{}
@@ -533,8 +533,8 @@
 	}
 	waitFor(t, "the connection's end", func() bool { open, _ := h.pool.counts(); return open == 0 })
 	o := newTestCall().complete(t, h, &record{ID: "b"}, testLimit)
-	var out *secure.Out
-	if !errors.As(o.Err, &out) || out.Failure.Cause != tlspolicy.Expired || o.Outcome != decide.NotSent || conns.Load() != 1 {
+	var out *secure.RejectedError
+	if !errors.As(o.Err, &out) || out.Reason.Cause != tlspolicy.Expired || o.Outcome != decide.NotSent || conns.Load() != 1 {
 		t.Errorf("the next one: %+v, %d connections served", o, conns.Load())
 	}
 	h.Close()
@@ -545,26 +545,26 @@
 // the operator has mended the file; no message is spent on that.
 func TestRootsReplaced(t *testing.T) {
 	s := newTLSSite(t, nil)
-	h := s.endpoint(testPool(t), serveTLS(t, &tls.Config{Certificates: []tls.Certificate{s.own.TLS()}}, serveOK))
+	h := s.endpoint(testPool(t), serveTLS(t, &tls.Config{Certificates: []tls.Certificate{s.own.TLSCertificate()}}, serveOK))
 	mustDeliver(t, h)
 	if _, idle := h.pool.counts(); idle != 1 {
 		t.Fatalf("%d idle", idle)
 	}
-	other := issueCert(t, nil, "other", devca.Authority)
-	if _, _, err := other.Write(s.dir, "roots", false); err != nil {
+	other := issueCert(t, nil, "other", devca.AsAuthority)
+	if _, _, err := other.WriteFiles(s.dir, "roots", false); err != nil {
 		t.Fatal(err)
 	}
-	s.partners.Look()
+	s.partners.ReloadFiles()
 	if o := newTestCall().complete(t, h, &record{ID: "b"}, testLimit); o.Outcome != decide.NotSent {
 		t.Fatalf("under roots that do not know the partner: %+v", o)
 	}
 	if b := <-s.rejections; b.wait == 0 {
 		t.Fatal("not barred")
 	}
-	if _, _, err := s.root.Write(s.dir, "roots", false); err != nil {
+	if _, _, err := s.root.WriteFiles(s.dir, "roots", false); err != nil {
 		t.Fatal(err)
 	}
-	s.partners.Look()
+	s.partners.ReloadFiles()
 	for b := range s.rejections {
 		if b.wait == 0 {
 			break // proved again, and no message was sent for it
@@ -583,8 +583,8 @@
 func TestPeerRecoversWithoutCall(t *testing.T) {
 	s := newTLSSite(t, nil)
 	var good atomic.Bool
-	wrong := issueCert(t, s.root, "shop.example.org").TLS()
-	right := s.own.TLS()
+	wrong := issueCert(t, s.root, "shop.example.org").TLSCertificate()
+	right := s.own.TLSCertificate()
 	h := s.endpoint(testPool(t), serveTLS(t, &tls.Config{GetCertificate: func(*tls.ClientHelloInfo) (*tls.Certificate, error) {
 		if good.Load() {
 			return &right, nil
@@ -611,7 +611,7 @@
 		t.Run(tls.VersionName(version), func(t *testing.T) {
 			s := newTLSSite(t, nil)
 			var conns, resumed atomic.Int32
-			cfg := &tls.Config{Certificates: []tls.Certificate{s.own.TLS()}, MinVersion: version, MaxVersion: version}
+			cfg := &tls.Config{Certificates: []tls.Certificate{s.own.TLSCertificate()}, MinVersion: version, MaxVersion: version}
 			addr := serveTLS(t, cfg, func(c net.Conn) {
 				conns.Add(1)
 				if c.(*tls.Conn).ConnectionState().DidResume {
@@ -647,7 +647,7 @@
 			most.Store(n)
 		}
 		time.Sleep(2 * time.Millisecond) // a handshake is slow there
-		own := s.own.TLS()
+		own := s.own.TLSCertificate()
 		return &own, nil
 	}, SessionTicketsDisabled: true, VerifyConnection: func(tls.ConnectionState) error { under.Add(-1); return nil }}
 	h := s.endpoint(testPool(t), serveTLS(t, cfg, serveOK))
@@ -679,7 +679,7 @@
 func TestConnectNotAllowed(t *testing.T) {
 	for _, weight := range []float64{0, 1} {
 		s := newTLSSite(t, func(s *tlsSite, _ *operator.Handshakes) { s.rule.HandshakeWeight = &weight })
-		h := s.endpoint(testPool(t), serveTLS(t, &tls.Config{Certificates: []tls.Certificate{s.own.TLS()}}, serveOK))
+		h := s.endpoint(testPool(t), serveTLS(t, &tls.Config{Certificates: []tls.Certificate{s.own.TLSCertificate()}}, serveOK))
 		call := func(paid bool) Result {
 			c := newTestCall()
 			c.connRequest = connRequest{warmingUp: true, mayConnect: paid}
@@ -704,7 +704,7 @@
 // the time to come back.
 func TestHandshakeBudgetExhausted(t *testing.T) {
 	s := newTLSSite(t, func(_ *tlsSite, h *operator.Handshakes) { h.CPUShare, h.BurstMS = 1e-6, 1 })
-	h := s.endpoint(testPool(t), serveTLS(t, &tls.Config{Certificates: []tls.Certificate{s.own.TLS()}}, serveOK))
+	h := s.endpoint(testPool(t), serveTLS(t, &tls.Config{Certificates: []tls.Certificate{s.own.TLSCertificate()}}, serveOK))
 	mustDeliver(t, h) // which takes all of the budget
 	h.CloseIdle()
 	o := newTestCall().complete(t, h, &record{ID: "m"}, time.Second)
@@ -720,7 +720,7 @@
 func TestOwnCertificateReplaced(t *testing.T) {
 	s := newTLSSite(t, func(s *tlsSite, h *operator.Handshakes) {
 		h.MaxParallel, h.CPUShare, h.BurstMS = 50, 1, 1000
-		cert, key, err := issueCert(t, s.root, "relay one").Write(s.dir, "own", true)
+		cert, key, err := issueCert(t, s.root, "relay one").WriteFiles(s.dir, "own", true)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -730,13 +730,13 @@
 	shown := map[string]int{}
 	arrived, gate := make(chan struct{}, 200), make(chan struct{})
 	var open atomic.Bool
-	h := s.endpoint(testPool(t), serveTLS(t, &tls.Config{ClientAuth: tls.RequireAndVerifyClientCert, ClientCAs: s.root.Pool(),
+	h := s.endpoint(testPool(t), serveTLS(t, &tls.Config{ClientAuth: tls.RequireAndVerifyClientCert, ClientCAs: s.root.RootPool(),
 		GetCertificate: func(*tls.ClientHelloInfo) (*tls.Certificate, error) {
 			if !open.Load() {
 				arrived <- struct{}{}
 				<-gate
 			}
-			own := s.own.TLS()
+			own := s.own.TLSCertificate()
 			return &own, nil
 		}}, func(c net.Conn) {
 		mu.Lock()
@@ -755,10 +755,10 @@
 		<-arrived
 	}
 	two := issueCert(t, s.root, "relay two")
-	if err := devca.Replace(s.rule.Certificate, two.CertPEM(), 0o644); err != nil {
+	if err := devca.ReplaceFile(s.rule.Certificate, two.CertPEM(), 0o644); err != nil {
 		t.Fatal(err)
 	}
-	s.partners.Look() // the moment between: the old pair goes on
+	s.partners.ReloadFiles() // the moment between: the old pair goes on
 	open.Store(true)
 	close(gate)
 	for range 50 {
@@ -784,10 +784,10 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if err := devca.Replace(s.rule.Key, key, 0o600); err != nil {
+	if err := devca.ReplaceFile(s.rule.Key, key, 0o600); err != nil {
 		t.Fatal(err)
 	}
-	s.partners.Look()
+	s.partners.ReloadFiles()
 	waitReusable(h)
 	send(20)
 	for range 20 {
@@ -811,7 +811,7 @@
 		s := newTLSSite(t, nil)
 		var calls atomic.Int32
 		p := testPool(t)
-		h := s.endpoint(p, serveTLS(t, &tls.Config{Certificates: []tls.Certificate{s.own.TLS()}}, func(c net.Conn) {
+		h := s.endpoint(p, serveTLS(t, &tls.Config{Certificates: []tls.Certificate{s.own.TLSCertificate()}}, func(c net.Conn) {
 			if readRequest(bufio.NewReader(c)) {
 				calls.Add(1)
 				io.WriteString(c, okResponse)
--- a/internal/relay/way_test.go
+++ b/internal/relay/way_test.go
@@ -27,7 +27,7 @@
 	for name, version := range map[string]uint16{"tls 1.2": tls.VersionTLS12, "tls 1.3": tls.VersionTLS13} {
 		t.Run(name, func(t *testing.T) {
 			s := newTLSSite(t, nil)
-			f(t, &transport{site: s, cfg: &tls.Config{Certificates: []tls.Certificate{s.own.TLS()}, MinVersion: version, MaxVersion: version}})
+			f(t, &transport{site: s, cfg: &tls.Config{Certificates: []tls.Certificate{s.own.TLSCertificate()}, MinVersion: version, MaxVersion: version}})
 		})
 	}
 }
@@ -75,10 +75,10 @@
 // tlsSite is a site whose only rule is for the destinations of flavour k.
 type tlsSite struct {
 	dir          string
-	root         *devca.Made
-	own          *devca.Made // the partner's
+	root         *devca.Issued
+	own          *devca.Issued // the partner's
 	rule         operator.TLSRule
-	partners     *secure.Partners
+	partners     *secure.Dialer
 	rejections   chan identityRejection
 	clockSkew    atomic.Int64 // of its clock
 	lastEndpoint atomic.Uint64
@@ -86,7 +86,7 @@
 
 const partnerName = "pay.example.org"
 
-func issueCert(t testing.TB, up *devca.Made, name string, changes ...func(*x509.Certificate)) *devca.Made {
+func issueCert(t testing.TB, up *devca.Issued, name string, changes ...func(*x509.Certificate)) *devca.Issued {
 	t.Helper()
 	m, err := devca.Issue(up, name, nil, changes...)
 	if err != nil {
@@ -98,9 +98,9 @@
 func newTLSSite(t testing.TB, change func(s *tlsSite, h *operator.Handshakes)) *tlsSite {
 	t.Helper()
 	s := &tlsSite{dir: t.TempDir(), rejections: make(chan identityRejection, 1000)}
-	s.root = issueCert(t, nil, "root", devca.Authority)
+	s.root = issueCert(t, nil, "root", devca.AsAuthority)
 	s.own = issueCert(t, s.root, partnerName)
-	roots, _, err := s.root.Write(s.dir, "roots", false)
+	roots, _, err := s.root.WriteFiles(s.dir, "roots", false)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -110,8 +110,8 @@
 		change(s, &h)
 	}
 	s.partners, err = secure.New(secure.Options{Rules: []operator.TLSRule{s.rule}, Handshakes: h, Log: quietLog(), Seed: 1,
-		Clock:  func() time.Time { return time.Now().Add(time.Duration(s.clockSkew.Load())) },
-		Barred: func(endpoint uint64, wait time.Duration) { s.rejections <- identityRejection{endpoint, wait} }})
+		Clock:      func() time.Time { return time.Now().Add(time.Duration(s.clockSkew.Load())) },
+		OnRejected: func(endpoint uint64, wait time.Duration) { s.rejections <- identityRejection{endpoint, wait} }})
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/secure/bench_test.go
+++ b/internal/secure/bench_test.go
@@ -16,7 +16,7 @@
 	"troutusher/internal/operator"
 )
 
-func processTime() time.Duration {
+func processCPUTime() time.Duration {
 	var u syscall.Rusage
 	syscall.Getrusage(syscall.RUSAGE_SELF, &u)
 	return time.Duration(u.Utime.Nano() + u.Stime.Nano())
@@ -26,8 +26,8 @@
 // (-cpu 1), ours and crypto/tls's own client on the same certificates, and what
 // one takes of our side's processor time by the budget's own meter.
 func BenchmarkHandshake(b *testing.B) {
-	for _, kind := range []devca.Kind{devca.P256, devca.RSA2048, devca.Ed25519} {
-		root, err := devca.Issue(nil, "root", nil, devca.Authority)
+	for _, kind := range []devca.KeyKind{devca.P256, devca.RSA2048, devca.Ed25519} {
+		root, err := devca.Issue(nil, "root", nil, devca.AsAuthority)
 		if err != nil {
 			b.Fatal(err)
 		}
@@ -35,41 +35,41 @@
 		if err != nil {
 			b.Fatal(err)
 		}
-		own, err := devca.Issue(root, name, key)
+		own, err := devca.Issue(root, serverName, key)
 		if err != nil {
 			b.Fatal(err)
 		}
-		roots, _, err := root.Write(b.TempDir(), "roots", false)
+		roots, _, err := root.WriteFiles(b.TempDir(), "roots", false)
 		if err != nil {
 			b.Fatal(err)
 		}
 		for _, version := range []uint16{tls.VersionTLS12, tls.VersionTLS13} {
 			for _, resumed := range []bool{false, true} {
-				addr := serve(b, &tls.Config{Certificates: []tls.Certificate{own.TLS()}, MinVersion: version, MaxVersion: version, SessionTicketsDisabled: !resumed})
+				addr := startTLSServer(b, &tls.Config{Certificates: []tls.Certificate{own.TLSCertificate()}, MinVersion: version, MaxVersion: version, SessionTicketsDisabled: !resumed})
 				what := fmt.Sprintf("%s/%s/resumed=%v", kind, tls.VersionName(version), resumed)
 				b.Run(what+"/ours", func(b *testing.B) {
-					p, err := New(Options{Rules: []operator.TLSRule{{Name: "pay", Destinations: []int{1}, ServerName: name, Roots: roots}},
-						Handshakes: operator.Handshakes{CPUShare: 1, BurstMS: 1000}, Log: slog.New(slog.DiscardHandler), Barred: func(uint64, time.Duration) {}})
+					p, err := New(Options{Rules: []operator.TLSRule{{Name: "pay", Destinations: []int{1}, ServerName: serverName, Roots: roots}},
+						Handshakes: operator.Handshakes{CPUShare: 1, BurstMS: 1000}, Log: slog.New(slog.DiscardHandler), OnRejected: func(uint64, time.Duration) {}})
 					if err != nil {
 						b.Fatal(err)
 					}
-					e := p.Peer(1, 1, "", nil)
+					e := p.Endpoint(1, 1, "", nil)
 					var own time.Duration
-					began := processTime()
+					began := processCPUTime()
 					for range b.N {
-						turn, at, err := e.Begin(false, false)
+						turn, at, err := e.Acquire(false, false)
 						for turn == nil && err == nil { // the budget is paid back
 							time.Sleep(time.Until(at))
-							turn, at, err = e.Begin(false, false)
+							turn, at, err = e.Acquire(false, false)
 						}
 						raw, err := net.Dial("tcp", addr)
 						if err != nil {
 							b.Fatal(err)
 						}
-						was := threadTime()
+						was := threadCPUTime()
 						runtime.LockOSThread()
-						c, err := turn.Shake(context.Background(), raw)
-						own += threadTime() - was
+						c, err := turn.Handshake(context.Background(), raw)
+						own += threadCPUTime() - was
 						runtime.UnlockOSThread()
 						if err != nil {
 							b.Fatal(err)
@@ -81,12 +81,12 @@
 						c.Raw().(*net.TCPConn).SetLinger(0)
 						c.Raw().Close()
 					}
-					b.ReportMetric(float64(processTime()-began)/float64(b.N)/1e3, "cpu-us/both")
+					b.ReportMetric(float64(processCPUTime()-began)/float64(b.N)/1e3, "cpu-us/both")
 					b.ReportMetric(float64(own)/float64(b.N)/1e3, "cpu-us/ours")
 				})
 				b.Run(what+"/crypto-tls", func(b *testing.B) {
-					cfg := &tls.Config{RootCAs: root.Pool(), ServerName: name, ClientSessionCache: tls.NewLRUClientSessionCache(16)}
-					began := processTime()
+					cfg := &tls.Config{RootCAs: root.RootPool(), ServerName: serverName, ClientSessionCache: tls.NewLRUClientSessionCache(16)}
+					began := processCPUTime()
 					for range b.N {
 						c, err := tls.Dial("tcp", addr, cfg)
 						if err != nil {
@@ -96,22 +96,22 @@
 						c.NetConn().(*net.TCPConn).SetLinger(0)
 						c.NetConn().Close()
 					}
-					b.ReportMetric(float64(processTime()-began)/float64(b.N)/1e3, "cpu-us/both")
+					b.ReportMetric(float64(processCPUTime()-began)/float64(b.N)/1e3, "cpu-us/both")
 				})
 			}
 		}
 	}
 }
 
-// BenchmarkMemory is what an open connection costs the process that holds both of
+// BenchmarkConnectionMemory is what an open connection costs the process that holds both of
 // its ends, and of that what crypto/tls holds for the partner's end.
-func BenchmarkMemory(b *testing.B) {
-	s := newSite(b)
+func BenchmarkConnectionMemory(b *testing.B) {
+	s := newTestSite(b)
 	const n = 500
-	addr := serve(b, &tls.Config{Certificates: []tls.Certificate{s.own.TLS()}})
+	addr := startTLSServer(b, &tls.Config{Certificates: []tls.Certificate{s.certificate.TLSCertificate()}})
 	for range b.N {
-		p := s.partners(b)
-		e := p.Peer(1, 1, "", nil)
+		p := s.newDialer(b)
+		e := p.Endpoint(1, 1, "", nil)
 		heap := func() float64 {
 			var m runtime.MemStats
 			runtime.GC()
@@ -123,7 +123,7 @@
 		var conns []*Conn
 		for range n {
 			for {
-				turn, at, err := e.Begin(false, false)
+				turn, at, err := e.Acquire(false, false)
 				if err != nil {
 					b.Fatal(err)
 				}
@@ -135,7 +135,7 @@
 				if err != nil {
 					b.Fatal(err)
 				}
-				c, err := turn.Shake(context.Background(), raw)
+				c, err := turn.Handshake(context.Background(), raw)
 				if err != nil {
 					b.Fatal(err)
 				}
--- a/internal/secure/sealed.go
+++ b/internal/secure/sealed.go
@@ -32,27 +32,27 @@
 // cache: full handshakes, and nothing else, follow from that.
 
 const (
-	sealedName   = "sessions.sealed"
-	sealedMagic  = "TRSS\x01"
-	saltLen      = 32
-	sealedMost   = 4 << 20
-	keyFileLeast = 32
-	keyFileMost  = 4096
-	sealedInfo   = "troutusher sessions 1"
+	sessionsFile         = "sessions.sealed"
+	sessionsMagic        = "TRSS\x01"
+	saltLen              = 32
+	maxSessionsFileBytes = 4 << 20
+	minSessionKeyBytes   = 32
+	maxSessionKeyBytes   = 4096
+	keyDerivationInfo    = "troutusher sessions 1"
 )
 
-// sealedSession is one session in the file.
-type sealedSession struct {
-	Dest   int       `json:"dest"`
-	Rule   string    `json:"rule"`
-	Sum    []byte    `json:"sum"`
-	Until  time.Time `json:"until"`
-	Ticket []byte    `json:"ticket"`
-	State  []byte    `json:"state"`
+// storedSession is one session in the file.
+type storedSession struct {
+	Destination int       `json:"dest"`
+	Rule        string    `json:"rule"`
+	IdentitySum []byte    `json:"sum"`
+	Until       time.Time `json:"until"`
+	Ticket      []byte    `json:"ticket"`
+	State       []byte    `json:"state"`
 }
 
-// readKeyFile reads the operator's key: 32 bytes at least, its owner's alone.
-func readKeyFile(path string) ([]byte, error) {
+// readSessionKey reads the operator's key: 32 bytes at least, its owner's alone.
+func readSessionKey(path string) ([]byte, error) {
 	f, err := os.Open(path)
 	if err != nil {
 		return nil, fmt.Errorf("session key: %w", err)
@@ -67,99 +67,99 @@
 	case info.Mode().Perm()&0o077 != 0:
 		return nil, fmt.Errorf("session key: %s: mode %04o: others than its owner may use it, want 0600", path, info.Mode().Perm())
 	}
-	key, err := io.ReadAll(io.LimitReader(f, keyFileMost+1))
+	key, err := io.ReadAll(io.LimitReader(f, maxSessionKeyBytes+1))
 	if err != nil {
 		return nil, fmt.Errorf("session key: %w", err)
 	}
-	if len(key) < keyFileLeast || len(key) > keyFileMost {
-		return nil, fmt.Errorf("session key: %s: %d bytes, want %d to %d", path, len(key), keyFileLeast, keyFileMost)
+	if len(key) < minSessionKeyBytes || len(key) > maxSessionKeyBytes {
+		return nil, fmt.Errorf("session key: %s: %d bytes, want %d to %d", path, len(key), minSessionKeyBytes, maxSessionKeyBytes)
 	}
 	return key, nil
 }
 
-func sealer(key, salt []byte) (cipher.AEAD, error) {
-	k, err := hkdf.Key(sha256.New, key, salt, sealedInfo, chacha20poly1305.KeySize)
+func newAEAD(key, salt []byte) (cipher.AEAD, error) {
+	k, err := hkdf.Key(sha256.New, key, salt, keyDerivationInfo, chacha20poly1305.KeySize)
 	if err != nil {
 		return nil, err
 	}
 	return chacha20poly1305.NewX(k)
 }
 
-// seal makes the file's text.
-func seal(key []byte, sessions []sealedSession) ([]byte, error) {
+// encryptSessions makes the file's text.
+func encryptSessions(key []byte, sessions []storedSession) ([]byte, error) {
 	text, err := json.Marshal(sessions)
 	if err != nil {
 		return nil, err
 	}
-	head := make([]byte, len(sealedMagic)+saltLen+chacha20poly1305.NonceSizeX)
-	n := copy(head, sealedMagic)
+	head := make([]byte, len(sessionsMagic)+saltLen+chacha20poly1305.NonceSizeX)
+	n := copy(head, sessionsMagic)
 	if _, err := rand.Read(head[n:]); err != nil {
 		return nil, err
 	}
-	aead, err := sealer(key, head[n:n+saltLen])
+	aead, err := newAEAD(key, head[n:n+saltLen])
 	if err != nil {
 		return nil, err
 	}
 	return aead.Seal(head, head[n+saltLen:], text, append([]byte{}, head...)), nil
 }
 
-var errNotSealed = errors.New("damaged, or sealed under another key")
+var errNotDecryptable = errors.New("damaged, or sealed under another key")
 
-// unseal reads it.
-func unseal(key, file []byte) ([]sealedSession, error) {
-	const headLen = len(sealedMagic) + saltLen + chacha20poly1305.NonceSizeX
+// decryptSessions reads it.
+func decryptSessions(key, file []byte) ([]storedSession, error) {
+	const headLen = len(sessionsMagic) + saltLen + chacha20poly1305.NonceSizeX
 	switch {
-	case len(file) < headLen || string(file[:len(sealedMagic)-1]) != sealedMagic[:len(sealedMagic)-1]:
-		return nil, errNotSealed
-	case file[len(sealedMagic)-1] != sealedMagic[len(sealedMagic)-1]:
-		return nil, fmt.Errorf("version %d is not known here", file[len(sealedMagic)-1])
+	case len(file) < headLen || string(file[:len(sessionsMagic)-1]) != sessionsMagic[:len(sessionsMagic)-1]:
+		return nil, errNotDecryptable
+	case file[len(sessionsMagic)-1] != sessionsMagic[len(sessionsMagic)-1]:
+		return nil, fmt.Errorf("version %d is not known here", file[len(sessionsMagic)-1])
 	}
 	head := file[:headLen]
-	aead, err := sealer(key, head[len(sealedMagic):len(sealedMagic)+saltLen])
+	aead, err := newAEAD(key, head[len(sessionsMagic):len(sessionsMagic)+saltLen])
 	if err != nil {
 		return nil, err
 	}
-	text, err := aead.Open(nil, head[len(sealedMagic)+saltLen:], file[headLen:], head)
+	text, err := aead.Open(nil, head[len(sessionsMagic)+saltLen:], file[headLen:], head)
 	if err != nil {
-		return nil, errNotSealed
+		return nil, errNotDecryptable
 	}
-	var all []sealedSession
+	var all []storedSession
 	if err := json.Unmarshal(text, &all); err != nil {
-		return nil, errNotSealed
+		return nil, errNotDecryptable
 	}
 	return all, nil
 }
 
-// Save keeps the sessions for the next process, where the operator has named a
+// SaveSessions keeps the sessions for the next process, where the operator has named a
 // key. Nothing else depends on it: an error is told, and no more.
-func (p *Partners) Save(dir string) {
-	if p == nil || p.key == nil {
+func (p *Dialer) SaveSessions(dir string) {
+	if p == nil || p.sessionKey == nil {
 		return
 	}
-	var all []sealedSession
+	var all []storedSession
 	p.mu.Lock()
-	p.sessions.Each(func(of tlspolicy.Identity, what *tls.ClientSessionState, until time.Time) {
+	p.sessions.Each(func(of tlspolicy.SessionIdentity, what *tls.ClientSessionState, until time.Time) {
 		ticket, state, err := what.ResumptionState()
 		if err != nil || state == nil {
 			return
 		}
 		if text, err := state.Bytes(); err == nil {
-			all = append(all, sealedSession{of.Dest, of.Rule, of.Sum[:], until, ticket, text})
+			all = append(all, storedSession{of.Destination, of.Rule, of.Sum[:], until, ticket, text})
 		}
 	})
 	p.mu.Unlock()
-	if err := p.save(filepath.Join(dir, sealedName), all); err != nil {
-		p.o.Log.Warn("tls: sessions are not kept for the next process", "err", err)
+	if err := p.writeSessions(filepath.Join(dir, sessionsFile), all); err != nil {
+		p.options.Log.Warn("tls: sessions are not kept for the next process", "err", err)
 	}
 }
 
-func (p *Partners) save(path string, all []sealedSession) error {
-	text, err := seal(p.key, all)
+func (p *Dialer) writeSessions(path string, all []storedSession) error {
+	text, err := encryptSessions(p.sessionKey, all)
 	if err != nil {
 		return err
 	}
-	if len(text) > sealedMost {
-		return fmt.Errorf("%d bytes, %d at most", len(text), sealedMost)
+	if len(text) > maxSessionsFileBytes {
+		return fmt.Errorf("%d bytes, %d at most", len(text), maxSessionsFileBytes)
 	}
 	f, err := os.OpenFile(path+".new", os.O_WRONLY|os.O_CREATE|os.O_TRUNC, 0o600)
 	if err != nil {
@@ -181,38 +181,38 @@
 	return err
 }
 
-// restore takes up what the process before kept, and removes it. A session whose
+// restoreSessions takes up what the process before kept, and removes it. A session whose
 // identity has changed since is never asked for, and ends by its time.
-func (p *Partners) restore(dir string) {
-	path := filepath.Join(dir, sealedName)
+func (p *Dialer) restoreSessions(dir string) {
+	path := filepath.Join(dir, sessionsFile)
 	f, err := os.Open(path)
 	if errors.Is(err, fs.ErrNotExist) {
 		return
 	}
 	if err != nil {
-		p.o.Log.Warn("tls: sessions of the process before are not used", "err", err)
+		p.options.Log.Warn("tls: sessions of the process before are not used", "err", err)
 		return
 	}
-	text, err := io.ReadAll(io.LimitReader(f, sealedMost+1))
+	text, err := io.ReadAll(io.LimitReader(f, maxSessionsFileBytes+1))
 	f.Close()
-	if err == nil && len(text) > sealedMost {
-		err = fmt.Errorf("over %d bytes", sealedMost)
+	if err == nil && len(text) > maxSessionsFileBytes {
+		err = fmt.Errorf("over %d bytes", maxSessionsFileBytes)
 	}
 	// Gone before it is used: a ticket is shown once, also if this process dies.
 	if rerr := os.Remove(path); err == nil {
 		err = rerr
 	}
-	var all []sealedSession
+	var all []storedSession
 	if err == nil {
-		all, err = unseal(p.key, text)
+		all, err = decryptSessions(p.sessionKey, text)
 	}
 	if err != nil {
-		p.o.Log.Warn("tls: sessions of the process before are not used", "file", path, "err", err)
+		p.options.Log.Warn("tls: sessions of the process before are not used", "file", path, "err", err)
 		return
 	}
-	now := p.o.Clock()
+	now := p.options.Clock()
 	for _, x := range all {
-		if len(x.Sum) != sha256.Size {
+		if len(x.IdentitySum) != sha256.Size {
 			continue
 		}
 		state, err := tls.ParseSessionState(x.State)
@@ -223,7 +223,7 @@
 		if err != nil {
 			continue
 		}
-		p.sessions.Restore(tlspolicy.Identity{Dest: x.Dest, Rule: x.Rule, Sum: [sha256.Size]byte(x.Sum)}, s, now, x.Until)
+		p.sessions.PutUntil(tlspolicy.SessionIdentity{Destination: x.Destination, Rule: x.Rule, Sum: [sha256.Size]byte(x.IdentitySum)}, s, now, x.Until)
 	}
-	p.o.Log.Info("tls: sessions of the process before", "read", len(all), "kept", p.sessions.Len())
+	p.options.Log.Info("tls: sessions of the process before", "read", len(all), "kept", p.sessions.Len())
 }
--- a/internal/secure/stored_test.go
+++ b/internal/secure/stored_test.go
@@ -16,7 +16,7 @@
 	"troutusher/internal/tlspolicy"
 )
 
-func fixture(t *testing.T, file string) []byte {
+func readFixture(t *testing.T, file string) []byte {
 	t.Helper()
 	text, err := os.ReadFile(filepath.Join("testdata", file))
 	if err != nil {
@@ -30,48 +30,48 @@
 // looks its sessions up by.
 func TestStoredSessions(t *testing.T) {
 	key := bytes.Repeat([]byte("k"), 32)
-	sealed, want := fixture(t, "sessions.sealed"), fixture(t, "sessions.json")
-	all, err := unseal(key, sealed)
+	sealed, want := readFixture(t, "sessions.sealed"), readFixture(t, "sessions.json")
+	all, err := decryptSessions(key, sealed)
 	if err != nil {
 		t.Fatal(err)
 	}
 	if got, err := json.Marshal(all); err != nil || !bytes.Equal(got, want) {
 		t.Errorf("content, %v:\n%s\nwant\n%s", err, got, want)
 	}
-	again, err := seal(key, all)
+	again, err := encryptSessions(key, all)
 	if err != nil || !bytes.Equal(again[:5], sealed[:5]) || len(again) != len(sealed) {
 		t.Errorf("sealed anew: %v, %d bytes, want %d", err, len(again), len(sealed))
 	}
-	s := newSite(t)
+	s := newTestSite(t)
 	s.rule.Roots = filepath.Join("testdata", "roots.pem")
-	if err := os.WriteFile(filepath.Join(s.dir, "sessions.sealed"), sealed, 0o600); err != nil {
+	if err := os.WriteFile(filepath.Join(s.stateDir, "sessions.sealed"), sealed, 0o600); err != nil {
 		t.Fatal(err)
 	}
 	now := all[0].Until.Add(-time.Hour)
-	p, err := New(Options{Rules: []operator.TLSRule{s.rule}, Handshakes: operator.Handshakes{SessionKey: s.key}, State: s.dir,
-		Clock: func() time.Time { return now }, Log: slog.New(slog.DiscardHandler), Barred: func(uint64, time.Duration) {}})
+	p, err := New(Options{Rules: []operator.TLSRule{s.rule}, Handshakes: operator.Handshakes{SessionKey: s.keyFile}, StateDir: s.stateDir,
+		Clock: func() time.Time { return now }, Log: slog.New(slog.DiscardHandler), OnRejected: func(uint64, time.Duration) {}})
 	if err != nil {
 		t.Fatal(err)
 	}
 	r := p.rules[0]
 	for _, x := range all {
-		id := r.policy.Identity(x.Dest, r.store.Current().RootsSum, nil)
-		if !bytes.Equal(id.Sum[:], x.Sum) || id.Rule != x.Rule {
-			t.Errorf("destination %d: identity %s %x, want %s %x", x.Dest, id.Rule, id.Sum, x.Rule, x.Sum)
+		id := r.policy.SessionIdentity(x.Destination, r.files.Current().RootsSum, nil)
+		if !bytes.Equal(id.Sum[:], x.IdentitySum) || id.Rule != x.Rule {
+			t.Errorf("destination %d: identity %s %x, want %s %x", x.Destination, id.Rule, id.Sum, x.Rule, x.IdentitySum)
 		}
 		_, err := tls.ParseSessionState(x.State) // its form may change with the version of Go
 		if has := p.sessions.Has(id, now); has != (err == nil) {
-			t.Errorf("destination %d: restored %v, its state: %v", x.Dest, has, err)
+			t.Errorf("destination %d: restored %v, its state: %v", x.Destination, has, err)
 		}
 	}
 }
 
 // The lines that docs/operators/tls.md tells operators to look for.
 func TestLogLines(t *testing.T) {
-	s := newSite(t)
+	s := newTestSite(t)
 	dir := t.TempDir()
 	for file, mode := range map[string]os.FileMode{"own.pem": 0o644, "own.key": 0o600, "roots.pem": 0o644} {
-		if err := os.WriteFile(filepath.Join(dir, file), fixture(t, file), mode); err != nil {
+		if err := os.WriteFile(filepath.Join(dir, file), readFixture(t, file), mode); err != nil {
 			t.Fatal(err)
 		}
 	}
@@ -85,33 +85,33 @@
 	}
 	var log bytes.Buffer
 	p, err := New(Options{Rules: []operator.TLSRule{s.rule}, Clock: func() time.Time { return now },
-		Log: slog.New(slog.NewTextHandler(&log, &slog.HandlerOptions{ReplaceAttr: leave})), Barred: func(uint64, time.Duration) {}})
+		Log: slog.New(slog.NewTextHandler(&log, &slog.HandlerOptions{ReplaceAttr: leave})), OnRejected: func(uint64, time.Duration) {}})
 	if err != nil {
 		t.Fatal(err)
 	}
-	e := p.Peer(9, 1, "", nil)
-	failed := func(c tlspolicy.Cause) {
+	e := p.Endpoint(9, 1, "", nil)
+	failed := func(c tlspolicy.FailureCause) {
 		p.mu.Lock()
 		defer p.mu.Unlock()
-		p.failed(e, &tlspolicy.Failure{Cause: c, Rule: "pay", Err: errors.New("test")})
+		p.recordRejection(e, &tlspolicy.IdentityError{Cause: c, Rule: "pay", Err: errors.New("test")})
 	}
 	failed(tlspolicy.Expired)
 	failed(tlspolicy.Expired)
-	failed(tlspolicy.WrongName)
+	failed(tlspolicy.NameMismatch)
 	p.mu.Lock()
-	p.proved(e, &Conn{until: now.Add(365 * 24 * time.Hour)})
+	p.recordVerified(e, &Conn{validUntil: now.Add(365 * 24 * time.Hour)})
 	p.mu.Unlock()
 	if err := os.WriteFile(s.rule.Roots, []byte("nothing"), 0o644); err != nil {
 		t.Fatal(err)
 	}
-	p.Look()
-	if err := os.WriteFile(s.rule.Roots, append(fixture(t, "roots.pem"), '\n'), 0o644); err != nil {
+	p.ReloadFiles()
+	if err := os.WriteFile(s.rule.Roots, append(readFixture(t, "roots.pem"), '\n'), 0o644); err != nil {
 		t.Fatal(err)
 	}
-	p.Look()
-	p.key = bytes.Repeat([]byte("k"), 32)
-	p.Save(filepath.Join(dir, "none"))
-	if got, want := strings.ReplaceAll(log.String(), dir, "DIR"), string(fixture(t, "log.txt")); got != want {
+	p.ReloadFiles()
+	p.sessionKey = bytes.Repeat([]byte("k"), 32)
+	p.SaveSessions(filepath.Join(dir, "none"))
+	if got, want := strings.ReplaceAll(log.String(), dir, "DIR"), string(readFixture(t, "log.txt")); got != want {
 		t.Errorf("got\n%swant\n%s", got, want)
 	}
 }
--- a/internal/source/etcd/follow/tls_test.go
+++ b/internal/source/etcd/follow/tls_test.go
@@ -22,12 +22,12 @@
 // prove its name by them, and be shown a certificate where it wants one. The helper
 // says what it hears line by line, and ends with its input.
 func TestServeOverTLS(t *testing.T) {
-	issue := func(up *devca.Made, name string) *devca.Made {
+	issue := func(up *devca.Issued, name string) *devca.Issued {
 		t.Helper()
-		var m *devca.Made
+		var m *devca.Issued
 		var err error
 		if up == nil {
-			m, err = devca.Issue(nil, name, nil, devca.Authority)
+			m, err = devca.Issue(nil, name, nil, devca.AsAuthority)
 		} else {
 			m, err = devca.Issue(up, name, nil)
 		}
@@ -38,7 +38,7 @@
 	}
 	root, other := issue(nil, "root"), issue(nil, "another root")
 	own, client := issue(root, "etcd.example.org"), issue(root, "relay.example.org")
-	c, err := standin.NewCluster(1, grpc.Creds(credentials.NewTLS(&tls.Config{Certificates: []tls.Certificate{own.TLS()}, ClientAuth: tls.RequireAndVerifyClientCert, ClientCAs: root.Pool()})))
+	c, err := standin.NewCluster(1, grpc.Creds(credentials.NewTLS(&tls.Config{Certificates: []tls.Certificate{own.TLSCertificate()}, ClientAuth: tls.RequireAndVerifyClientCert, ClientCAs: root.RootPool()})))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -47,9 +47,9 @@
 		t.Fatal(err)
 	}
 	dir := t.TempDir()
-	write := func(name string, m *devca.Made) (cert, key string) {
+	write := func(name string, m *devca.Issued) (cert, key string) {
 		t.Helper()
-		cert, key, err := m.Write(dir, name, true)
+		cert, key, err := m.WriteFiles(dir, name, true)
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/internal/standin/partner/h1/secure_test.go
+++ b/internal/standin/partner/h1/secure_test.go
@@ -17,7 +17,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	return &Show{Config: &tls.Config{Certificates: []tls.Certificate{m.TLS()}, SessionTicketsDisabled: true}, Trusted: trusted}
+	return &Show{Config: &tls.Config{Certificates: []tls.Certificate{m.TLSCertificate()}, SessionTicketsDisabled: true}, Trusted: trusted}
 }
 
 func dialTLS(t *testing.T, r *rig) net.Conn {
--- a/internal/tlspolicy/budget_test.go
+++ b/internal/tlspolicy/budget_test.go
@@ -6,9 +6,9 @@
 	"time"
 )
 
-func newBudget(t *testing.T, l Limits) *Budget {
+func newBudget(t *testing.T, l HandshakeLimits) *HandshakeBudget {
 	t.Helper()
-	b, err := NewBudget(l, noon)
+	b, err := NewHandshakeBudget(l, noon)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -18,10 +18,10 @@
 // Over any window, what handshakes were granted is the share of it and one
 // burst at most; to one destination never more at a time than told, to a cold
 // one one; and no allowance of a cold one is passed.
-func TestBudgetIsNeverExceeded(t *testing.T) {
+func TestHandshakeBudgetIsNeverExceeded(t *testing.T) {
 	for seed := range uint64(200) {
 		rng := rand.New(rand.NewPCG(seed, 4))
-		l := Default()
+		l := DefaultHandshakeLimits()
 		l.Share = 0.05 + rng.Float64()*0.5
 		b := newBudget(t, l)
 		type grant struct {
@@ -30,7 +30,7 @@
 		}
 		var grants []grant
 		type flying struct {
-			s    Started
+			s    Reservation
 			cold bool
 		}
 		var open []flying
@@ -40,14 +40,14 @@
 			now = now.Add(time.Duration(rng.IntN(4000)) * time.Microsecond)
 			if len(open) > 0 && rng.IntN(3) == 0 {
 				i := rng.IntN(len(open))
-				b.End(open[i].s, open[i].s.held, true, now) // it took what was thought
+				b.Complete(open[i].s, open[i].s.reserved, true, now) // it took what was thought
 				open = append(open[:i], open[i+1:]...)
 			}
-			dest, kind, cold := rng.IntN(5), Kind(rng.IntN(2)), rng.IntN(2) == 0
-			s, ok, at := b.Begin(dest, kind, cold, now)
+			dest, kind, cold := rng.IntN(5), HandshakeKind(rng.IntN(2)), rng.IntN(2) == 0
+			s, ok, at := b.Reserve(dest, kind, cold, now)
 			n := 0
 			for _, f := range open {
-				if f.s.dest == dest {
+				if f.s.destination == dest {
 					n++
 				}
 			}
@@ -59,13 +59,13 @@
 				continue
 			}
 			granted++
-			if n >= l.Parallel || cold && n > 0 {
+			if n >= l.MaxParallel || cold && n > 0 {
 				t.Fatalf("seed %d: granted with %d under way, cold: %v", seed, n, cold)
 			}
 			open = append(open, flying{s, cold})
-			grants = append(grants, grant{now, s.held})
-			if b.Flying() != len(open) {
-				t.Fatalf("seed %d: %d under way, want %d", seed, b.Flying(), len(open))
+			grants = append(grants, grant{now, s.reserved})
+			if b.InFlight() != len(open) {
+				t.Fatalf("seed %d: %d under way, want %d", seed, b.InFlight(), len(open))
 			}
 		}
 		for i := range grants {
@@ -85,14 +85,14 @@
 }
 
 // Asked again when it is told to, a handshake is granted: nobody waits for ever.
-func TestAskedAgainInTime(t *testing.T) {
-	b := newBudget(t, Default())
+func TestReserveRetryTime(t *testing.T) {
+	b := newBudget(t, DefaultHandshakeLimits())
 	now, n := noon, 0
 	for range 1000 {
-		s, ok, at := b.Begin(1, Full, false, now)
+		s, ok, at := b.Reserve(1, FullHandshake, false, now)
 		if ok {
 			n++
-			b.End(s, s.held, true, now)
+			b.Complete(s, s.reserved, true, now)
 			continue
 		}
 		if at.IsZero() {
@@ -110,37 +110,37 @@
 
 // What handshakes take is learned, and one that takes far more than was thought
 // is paid back before the next.
-func TestCostIsLearned(t *testing.T) {
-	b := newBudget(t, Default())
+func TestHandshakeCostIsLearned(t *testing.T) {
+	b := newBudget(t, DefaultHandshakeLimits())
 	now := noon
 	for range 100 {
 		now = now.Add(time.Second)
-		s, ok, _ := b.Begin(1, Full, false, now)
+		s, ok, _ := b.Reserve(1, FullHandshake, false, now)
 		if !ok {
 			t.Fatal("refused though a second has passed")
 		}
-		b.End(s, 10*time.Millisecond, true, now)
+		b.Complete(s, 10*time.Millisecond, true, now)
 	}
-	if c := b.Cost(Full); c < 9*time.Millisecond || c > 11*time.Millisecond {
+	if c := b.Cost(FullHandshake); c < 9*time.Millisecond || c > 11*time.Millisecond {
 		t.Errorf("a full one is thought to take %v, it takes 10 ms", c)
 	}
-	s, _, _ := b.Begin(1, Full, false, now)
-	b.End(s, 400*time.Millisecond, false, now) // broken off, and dear
-	if c := b.Cost(Full); c > 11*time.Millisecond {
+	s, _, _ := b.Reserve(1, FullHandshake, false, now)
+	b.Complete(s, 400*time.Millisecond, false, now) // broken off, and dear
+	if c := b.Cost(FullHandshake); c > 11*time.Millisecond {
 		t.Errorf("one that was broken off teaches %v", c)
 	}
-	_, ok, at := b.Begin(2, Full, false, now)
+	_, ok, at := b.Reserve(2, FullHandshake, false, now)
 	if wait := at.Sub(now); ok || wait < time.Second {
 		t.Errorf("400 ms over the budget are paid back after %v", wait)
 	}
 }
 
-func TestLimitsCheck(t *testing.T) {
-	for name, change := range map[string]func(*Limits){"no share": func(l *Limits) { l.Share = 0 }, "more than a core": func(l *Limits) { l.Share = 1.5 },
-		"no burst": func(l *Limits) { l.Burst = 0 }, "none at a time": func(l *Limits) { l.Parallel = 0 },
-		"dearer than the burst": func(l *Limits) { l.Cost[Full] = time.Second }} {
-		l := Default()
-		if change(&l); l.Check() == nil {
+func TestHandshakeLimitsValidate(t *testing.T) {
+	for name, change := range map[string]func(*HandshakeLimits){"no share": func(l *HandshakeLimits) { l.Share = 0 }, "more than a core": func(l *HandshakeLimits) { l.Share = 1.5 },
+		"no burst": func(l *HandshakeLimits) { l.Burst = 0 }, "none at a time": func(l *HandshakeLimits) { l.MaxParallel = 0 },
+		"dearer than the burst": func(l *HandshakeLimits) { l.Cost[FullHandshake] = time.Second }} {
+		l := DefaultHandshakeLimits()
+		if change(&l); l.Validate() == nil {
 			t.Errorf("%s: accepted", name)
 		}
 	}
--- a/internal/tlspolicy/identity.go
+++ b/internal/tlspolicy/identity.go
@@ -21,43 +21,43 @@
 	"time"
 )
 
-// Cause is why a partner's proof is not accepted.
-type Cause uint8
+// FailureCause is why a partner's proof is not accepted.
+type FailureCause uint8
 
 // Causes, in the order in which they are looked for.
 const (
-	NoCertificate Cause = iota + 1 // it showed none
-	WeakKey                        // RSA under 2048 bits, a curve under 256, or a kind that is not used any more
-	NotYetValid                    // RFC 5280 section 4.1.2.5, the leaf or one above it
+	NoCertificate FailureCause = iota + 1 // it showed none
+	WeakKey                               // RSA under 2048 bits, a curve under 256, or a kind that is not used any more
+	NotYetValid                           // RFC 5280 section 4.1.2.5, the leaf or one above it
 	Expired
-	WrongName // RFC 6125 section 6: the name is not among its subject alternative names
-	WrongRoot // no chain to a root of the operator's
-	BadChain  // a chain that breaks a rule of RFC 5280 section 6: constraints, usages
-	WrongPin  // RFC 7469 section 2.6: no key of the chain is pinned
-	IsRevoked
-	RevocationUnknown // and the setting is hard
-	RefusesUs         // it does not accept our own certificate, by its alert
-	NothingCommon     // no version, suite or name that both know, by its alert
-	causes
+	NameMismatch  // RFC 6125 section 6: the name is not among its subject alternative names
+	UntrustedRoot // no chain to a root of the operator's
+	InvalidChain  // a chain that breaks a rule of RFC 5280 section 6: constraints, usages
+	PinMismatch   // RFC 7469 section 2.6: no key of the chain is pinned
+	CertificateRevoked
+	RevocationUnresolved      // and the setting is hard
+	ClientCertificateRejected // it does not accept our own certificate, by its alert
+	NoCommonParameters        // no version, suite or name that both know, by its alert
+	causeCount
 )
 
-var causeNames = [causes]string{"", "no certificate", "weak key", "not yet valid", "expired", "wrong name", "wrong root", "bad chain",
+var causeNames = [causeCount]string{"", "no certificate", "weak key", "not yet valid", "expired", "wrong name", "wrong root", "bad chain",
 	"wrong pin", "revoked", "revocation unknown", "refuses our certificate", "nothing in common"}
 
-func (c Cause) String() string { return causeNames[c] }
+func (c FailureCause) String() string { return causeNames[c] }
 
-// Failure is a proof that was not accepted. Nothing was sent to who gave it:
+// IdentityError is a proof that was not accepted. Nothing was sent to who gave it:
 // whatever was to go there never ran.
-type Failure struct {
-	Cause Cause
+type IdentityError struct {
+	Cause FailureCause
 	Rule  string // the setting by which it was judged
 	Err   error
 }
 
-func (f *Failure) Error() string { return fmt.Sprintf("tls: %s: %s: %v", f.Rule, f.Cause, f.Err) }
+func (f *IdentityError) Error() string { return fmt.Sprintf("tls: %s: %s: %v", f.Rule, f.Cause, f.Err) }
 
 // Unwrap is what was found.
-func (f *Failure) Unwrap() error { return f.Err }
+func (f *IdentityError) Unwrap() error { return f.Err }
 
 // Pin is the SHA-256 of a key's SubjectPublicKeyInfo (RFC 7469 section 2.4).
 type Pin [sha256.Size]byte
@@ -77,28 +77,28 @@
 	return Pin(b), nil
 }
 
-// Revocation is what is known of a certificate's revocation.
-type Revocation uint8
+// RevocationStatus is what is known of a certificate's revocation.
+type RevocationStatus uint8
 
 // What can be known.
 const (
-	Unknown Revocation = iota
-	Good
-	Revoked
+	StatusUnknown RevocationStatus = iota
+	StatusGood
+	StatusRevoked
 )
 
 // Rule is whom a destination must prove to be.
 type Rule struct {
-	Name       string         // of the setting
-	ServerName string         // sent as SNI and verified, whatever the list says
-	Roots      *x509.CertPool // the operator's; never the system's
-	Pins       []Pin          // none: the roots alone decide
-	Hard       bool           // what is unknown of revocation counts as revoked
+	Name                    string         // of the setting
+	ServerName              string         // sent as SNI and verified, whatever the list says
+	Roots                   *x509.CertPool // the operator's; never the system's
+	Pins                    []Pin          // none: the roots alone decide
+	RequireRevocationStatus bool           // what is unknown of revocation counts as revoked
 }
 
-// Identity is under whose eyes sessions with a destination are made. roots and
+// SessionIdentity is under whose eyes sessions with a destination are made. roots and
 // own are what the files hold: sums over the roots and our own certificate.
-func (r *Rule) Identity(dest int, roots, own []byte) Identity {
+func (r *Rule) SessionIdentity(dest int, roots, own []byte) SessionIdentity {
 	h := sha256.New()
 	put := func(b []byte) { // with its length: no two lists of parts are alike
 		h.Write(binary.BigEndian.AppendUint64(nil, uint64(len(b))))
@@ -110,11 +110,11 @@
 	for _, p := range r.Pins {
 		put(p[:])
 	}
-	return Identity{dest, r.Name, [sha256.Size]byte(h.Sum(nil))}
+	return SessionIdentity{dest, r.Name, [sha256.Size]byte(h.Sum(nil))}
 }
 
-// Check tells what is wrong with a rule.
-func (r *Rule) Check() error {
+// Validate tells what is wrong with a rule.
+func (r *Rule) Validate() error {
 	switch {
 	case r.ServerName == "":
 		return errors.New("server_name: missing")
@@ -133,28 +133,30 @@
 	return nil
 }
 
-// Proof is an identity that was accepted.
-type Proof struct {
-	Until time.Time // its connection begins no call from then on: the first end in its chain
-	Chain []*x509.Certificate
+// Verification is an identity that was accepted.
+type Verification struct {
+	ValidUntil time.Time // its connection begins no call from then on: the first end in its chain
+	Chain      []*x509.Certificate
 }
 
 // Verify judges what a partner showed, its own certificate first. known is what
 // is known of revocation; nil for nothing.
-func (r *Rule) Verify(shown []*x509.Certificate, now time.Time, known *Evidence) (*Proof, *Failure) {
-	fail := func(c Cause, err error) (*Proof, *Failure) { return nil, &Failure{c, r.Name, err} }
+func (r *Rule) Verify(shown []*x509.Certificate, now time.Time, known *RevocationEvidence) (*Verification, *IdentityError) {
+	fail := func(c FailureCause, err error) (*Verification, *IdentityError) {
+		return nil, &IdentityError{c, r.Name, err}
+	}
 	if len(shown) == 0 {
 		return fail(NoCertificate, errors.New("none was shown"))
 	}
 	leaf := shown[0]
-	if err := strong(leaf); err != nil {
+	if err := checkKeyStrength(leaf); err != nil {
 		return fail(WeakKey, err)
 	}
-	if cause, err := inTime(leaf, now); err != nil {
+	if cause, err := checkValidity(leaf, now); err != nil {
 		return fail(cause, err)
 	}
 	if err := leaf.VerifyHostname(r.ServerName); err != nil {
-		return fail(WrongName, err)
+		return fail(NameMismatch, err)
 	}
 	between := x509.NewCertPool()
 	for _, c := range shown[1:] {
@@ -167,24 +169,24 @@
 		var unknown x509.UnknownAuthorityError
 		switch {
 		case errors.As(err, &invalid) && invalid.Reason == x509.Expired:
-			if cause, terr := inTime(invalid.Cert, now); terr != nil {
+			if cause, terr := checkValidity(invalid.Cert, now); terr != nil {
 				return fail(cause, err)
 			}
 			return fail(Expired, err)
 		case errors.As(err, &unknown):
 			// One above that is out of time makes a chain that leads nowhere.
 			for _, c := range shown[1:] {
-				if cause, terr := inTime(c, now); terr != nil {
+				if cause, terr := checkValidity(c, now); terr != nil {
 					return fail(cause, terr)
 				}
 			}
-			return fail(WrongRoot, err)
+			return fail(UntrustedRoot, err)
 		}
-		return fail(BadChain, err)
+		return fail(InvalidChain, err)
 	}
-	var worst *Failure
+	var worst *IdentityError
 	for _, chain := range chains {
-		f := r.judge(chain, now, known)
+		f := r.checkChain(chain, now, known)
 		if f == nil {
 			until := leaf.NotAfter
 			for _, c := range chain {
@@ -192,7 +194,7 @@
 					until = c.NotAfter
 				}
 			}
-			return &Proof{until, chain}, nil
+			return &Verification{until, chain}, nil
 		}
 		if worst == nil || f.Cause > worst.Cause { // the one that got furthest
 			worst = f
@@ -201,31 +203,31 @@
 	return nil, worst
 }
 
-// judge is what a chain must pass beside x509's rules.
-func (r *Rule) judge(chain []*x509.Certificate, now time.Time, evidence *Evidence) *Failure {
+// checkChain is what a chain must pass beside x509's rules.
+func (r *Rule) checkChain(chain []*x509.Certificate, now time.Time, evidence *RevocationEvidence) *IdentityError {
 	for _, c := range chain[1:] {
-		if err := strong(c); err != nil {
-			return &Failure{WeakKey, r.Name, err}
+		if err := checkKeyStrength(c); err != nil {
+			return &IdentityError{WeakKey, r.Name, err}
 		}
 	}
 	if len(r.Pins) > 0 && !slices.ContainsFunc(chain, func(c *x509.Certificate) bool { return slices.Contains(r.Pins, PinOf(c)) }) {
-		return &Failure{WrongPin, r.Name, fmt.Errorf("none of the chain's %d keys is pinned; the leaf's is %s", len(chain), PinOf(chain[0]))}
+		return &IdentityError{PinMismatch, r.Name, fmt.Errorf("none of the chain's %d keys is pinned; the leaf's is %s", len(chain), PinOf(chain[0]))}
 	}
 	for i, c := range chain[:len(chain)-1] { // a root is not revoked, it is removed
 		known := evidence.status(c, chain[i+1], i == 0, now)
 		switch {
-		case known == Revoked:
-			return &Failure{IsRevoked, r.Name, fmt.Errorf("serial %x", c.SerialNumber)}
-		case i == 0 && mustStaple(c) && (evidence == nil || stapled(evidence.Staple, c, chain[1], now) != Good):
-			return &Failure{RevocationUnknown, r.Name, errors.New("its certificate says that a good OCSP response comes with it, and none did (RFC 7633)")}
-		case known == Unknown && r.Hard:
-			return &Failure{RevocationUnknown, r.Name, fmt.Errorf("serial %x", c.SerialNumber)}
+		case known == StatusRevoked:
+			return &IdentityError{CertificateRevoked, r.Name, fmt.Errorf("serial %x", c.SerialNumber)}
+		case i == 0 && mustStaple(c) && (evidence == nil || stapledStatus(evidence.Staple, c, chain[1], now) != StatusGood):
+			return &IdentityError{RevocationUnresolved, r.Name, errors.New("its certificate says that a good OCSP response comes with it, and none did (RFC 7633)")}
+		case known == StatusUnknown && r.RequireRevocationStatus:
+			return &IdentityError{RevocationUnresolved, r.Name, fmt.Errorf("serial %x", c.SerialNumber)}
 		}
 	}
 	return nil
 }
 
-func inTime(c *x509.Certificate, now time.Time) (Cause, error) {
+func checkValidity(c *x509.Certificate, now time.Time) (FailureCause, error) {
 	switch {
 	case now.Before(c.NotBefore):
 		return NotYetValid, fmt.Errorf("valid from %s on", c.NotBefore.UTC().Format(time.RFC3339))
@@ -236,19 +238,19 @@
 }
 
 const (
-	rsaLeast   = 2048
-	curveLeast = 256
+	minRSABits   = 2048
+	minCurveBits = 256
 )
 
-func strong(c *x509.Certificate) error {
+func checkKeyStrength(c *x509.Certificate) error {
 	switch k := c.PublicKey.(type) {
 	case *rsa.PublicKey:
-		if n := k.N.BitLen(); n < rsaLeast {
-			return fmt.Errorf("RSA of %d bits, %d are wanted", n, rsaLeast)
+		if n := k.N.BitLen(); n < minRSABits {
+			return fmt.Errorf("RSA of %d bits, %d are wanted", n, minRSABits)
 		}
 	case *ecdsa.PublicKey:
-		if n := k.Curve.Params().BitSize; n < curveLeast {
-			return fmt.Errorf("a curve of %d bits, %d are wanted", n, curveLeast)
+		if n := k.Curve.Params().BitSize; n < minCurveBits {
+			return fmt.Errorf("a curve of %d bits, %d are wanted", n, minCurveBits)
 		}
 	case ed25519.PublicKey:
 	default:
--- a/internal/tlspolicy/identity_test.go
+++ b/internal/tlspolicy/identity_test.go
@@ -21,12 +21,12 @@
 
 var noon = time.Date(2026, 6, 7, 12, 0, 0, 0, time.UTC)
 
-type made = devca.Made
+type issuedCert = devca.Issued
 
 // issue makes a certificate that up signs; nil signs itself.
-func issue(t testing.TB, up *made, key crypto.Signer, change func(*x509.Certificate)) *made {
+func issue(t testing.TB, up *issuedCert, key crypto.Signer, change func(*x509.Certificate)) *issuedCert {
 	t.Helper()
-	changes := []func(*x509.Certificate){devca.Names("pay.example.org"), devca.Valid(noon.Add(-time.Hour), noon.Add(time.Hour))}
+	changes := []func(*x509.Certificate){devca.WithNames("pay.example.org"), devca.WithValidity(noon.Add(-time.Hour), noon.Add(time.Hour))}
 	if change != nil {
 		changes = append(changes, change)
 	}
@@ -37,12 +37,12 @@
 	return m
 }
 
-func authority(c *x509.Certificate) {
-	devca.Authority(c)
+func authorityTemplate(c *x509.Certificate) {
+	devca.AsAuthority(c)
 	c.NotBefore, c.NotAfter = noon.Add(-1000*time.Hour), noon.Add(1000*time.Hour)
 }
 
-func and(fs ...func(*x509.Certificate)) func(*x509.Certificate) {
+func combine(fs ...func(*x509.Certificate)) func(*x509.Certificate) {
 	return func(c *x509.Certificate) {
 		for _, f := range fs {
 			f(c)
@@ -50,8 +50,8 @@
 	}
 }
 
-// listOf is an authority's revocation list, with the next one due in some time.
-func listOf(t testing.TB, up *made, next time.Duration, revoked ...*made) []byte {
+// revocationListDER is an authority's revocation list, with the next one due in some time.
+func revocationListDER(t testing.TB, up *issuedCert, next time.Duration, revoked ...*issuedCert) []byte {
 	t.Helper()
 	l := &x509.RevocationList{Number: big.NewInt(7), ThisUpdate: noon.Add(-10 * time.Minute), NextUpdate: noon.Add(next)}
 	for _, m := range revoked {
@@ -64,17 +64,17 @@
 	return der
 }
 
-func lists(t testing.TB, der ...[]byte) *Evidence {
+func revocationEvidence(t testing.TB, der ...[]byte) *RevocationEvidence {
 	t.Helper()
-	l, err := NewLists(der...)
+	l, err := NewRevocationLists(der...)
 	if err != nil {
 		t.Fatal(err)
 	}
-	return &Evidence{Lists: l}
+	return &RevocationEvidence{Lists: l}
 }
 
-// staple is an OCSP response of up's about m.
-func staple(t testing.TB, up, m *made, status int, next time.Duration) []byte {
+// ocspStaple is an OCSP response of up's about m.
+func ocspStaple(t testing.TB, up, m *issuedCert, status int, next time.Duration) []byte {
 	t.Helper()
 	der, err := ocsp.CreateResponse(up.Certificate, up.Certificate, ocsp.Response{Status: status, SerialNumber: m.SerialNumber,
 		ThisUpdate: noon.Add(-10 * time.Minute), NextUpdate: noon.Add(next), RevokedAt: noon.Add(-time.Hour)}, up.Key)
@@ -84,13 +84,15 @@
 	return der
 }
 
-func with(e *Evidence, staple []byte) *Evidence { return &Evidence{staple, e.Lists} }
+func withStaple(e *RevocationEvidence, staple []byte) *RevocationEvidence {
+	return &RevocationEvidence{staple, e.Lists}
+}
 
 // Each refusal has its cause, and nothing else is refused.
 func TestVerify(t *testing.T) {
-	root, other := issue(t, nil, nil, authority), issue(t, nil, nil, authority)
-	mid := issue(t, root, nil, authority)
-	deep := issue(t, mid, nil, authority)
+	root, other := issue(t, nil, nil, authorityTemplate), issue(t, nil, nil, authorityTemplate)
+	mid := issue(t, root, nil, authorityTemplate)
+	deep := issue(t, mid, nil, authorityTemplate)
 	names := func(n ...string) func(*x509.Certificate) { return func(c *x509.Certificate) { c.DNSNames = n } }
 	from := func(from, to time.Duration) func(*x509.Certificate) {
 		return func(c *x509.Certificate) { c.NotBefore, c.NotAfter = noon.Add(from), noon.Add(to) }
@@ -116,23 +118,23 @@
 	must := issue(t, mid, nil, func(c *x509.Certificate) {
 		c.ExtraExtensions = []pkix.Extension{{Id: featureOID, Value: []byte{0x30, 3, 2, 1, 5}}}
 	})
-	oldMid := issue(t, root, nil, and(authority, from(-100*time.Hour, -time.Hour)))
-	youngMid := issue(t, root, nil, and(authority, from(time.Hour, 100*time.Hour)))
-	noCA := issue(t, root, nil, and(authority, func(c *x509.Certificate) { c.IsCA = false }))
-	weakMid := issue(t, root, weakRSA, authority)
-	narrow := issue(t, root, nil, and(authority, func(c *x509.Certificate) {
+	oldMid := issue(t, root, nil, combine(authorityTemplate, from(-100*time.Hour, -time.Hour)))
+	youngMid := issue(t, root, nil, combine(authorityTemplate, from(time.Hour, 100*time.Hour)))
+	noCA := issue(t, root, nil, combine(authorityTemplate, func(c *x509.Certificate) { c.IsCA = false }))
+	weakMid := issue(t, root, weakRSA, authorityTemplate)
+	narrow := issue(t, root, nil, combine(authorityTemplate, func(c *x509.Certificate) {
 		c.PermittedDNSDomains, c.PermittedDNSDomainsCritical = []string{"shop.example.org"}, true
 	}))
-	short := issue(t, root, nil, and(authority, func(c *x509.Certificate) { c.MaxPathLen, c.MaxPathLenZero = 0, true }))
-	underShort := issue(t, short, nil, authority)
-	chain := func(all ...*made) (c []*x509.Certificate) {
+	short := issue(t, root, nil, combine(authorityTemplate, func(c *x509.Certificate) { c.MaxPathLen, c.MaxPathLenZero = 0, true }))
+	underShort := issue(t, short, nil, authorityTemplate)
+	chain := func(all ...*issuedCert) (c []*x509.Certificate) {
 		for _, m := range all {
 			c = append(c, m.Certificate)
 		}
 		return c
 	}
-	leaf := func(up *made, change func(*x509.Certificate)) *made { return issue(t, up, nil, change) }
-	pins := func(all ...*made) (p []Pin) {
+	leaf := func(up *issuedCert, change func(*x509.Certificate)) *issuedCert { return issue(t, up, nil, change) }
+	pins := func(all ...*issuedCert) (p []Pin) {
 		for _, m := range all {
 			p = append(p, PinOf(m.Certificate))
 		}
@@ -143,8 +145,8 @@
 		shown []*x509.Certificate
 		pins  []Pin
 		hard  bool
-		known *Evidence
-		want  Cause // 0: accepted
+		known *RevocationEvidence
+		want  FailureCause // 0: accepted
 	}{
 		{name: "sound", shown: chain(good, mid)},
 		{name: "sound, three deep", shown: chain(leaf(deep, nil), deep, mid)},
@@ -158,8 +160,8 @@
 		{name: "sound, pinned", shown: chain(good, mid), pins: pins(good, backup)},
 		{name: "sound, one above it pinned", shown: chain(good, mid), pins: pins(mid, backup)},
 		{name: "sound, the root pinned", shown: chain(good, mid), pins: pins(backup, root)},
-		{name: "sound, known to be good", shown: chain(good, mid), hard: true, known: lists(t, listOf(t, mid, time.Hour), listOf(t, root, time.Hour))},
-		{name: "sound, unknown and soft", shown: chain(good, mid), known: lists(t, listOf(t, root, time.Hour))},
+		{name: "sound, known to be good", shown: chain(good, mid), hard: true, known: revocationEvidence(t, revocationListDER(t, mid, time.Hour), revocationListDER(t, root, time.Hour))},
+		{name: "sound, unknown and soft", shown: chain(good, mid), known: revocationEvidence(t, revocationListDER(t, root, time.Hour))},
 		{name: "none", want: NoCertificate},
 		{name: "weak RSA", shown: chain(issue(t, mid, weakRSA, nil), mid), want: WeakKey},
 		{name: "weak curve", shown: chain(issue(t, mid, weakCurve, nil), mid), want: WeakKey},
@@ -169,44 +171,44 @@
 		{name: "expired this moment", shown: chain(leaf(mid, from(-time.Hour, 0)), mid), want: Expired},
 		{name: "expired above", shown: chain(leaf(oldMid, nil), oldMid), want: Expired},
 		{name: "not yet above", shown: chain(leaf(youngMid, nil), youngMid), want: NotYetValid},
-		{name: "another name", shown: chain(leaf(mid, names("shop.example.org")), mid), want: WrongName},
-		{name: "no name", shown: chain(leaf(mid, names()), mid), want: WrongName},
-		{name: "the name in the subject alone", shown: chain(leaf(mid, func(c *x509.Certificate) { c.DNSNames, c.Subject.CommonName = nil, "pay.example.org" }), mid), want: WrongName},
-		{name: "a wildcard too wide", shown: chain(leaf(mid, names("*.org")), mid), want: WrongName},
-		{name: "a wildcard one level up", shown: chain(leaf(mid, names("*.pay.example.org")), mid), want: WrongName},
-		{name: "its address, not its name", shown: chain(leaf(mid, func(c *x509.Certificate) { c.DNSNames, c.IPAddresses = nil, []net.IP{{127, 0, 0, 1}} }), mid), want: WrongName},
-		{name: "another root", shown: chain(leaf(other, nil), other), want: WrongRoot},
-		{name: "signed by itself", shown: chain(issue(t, nil, nil, nil)), want: WrongRoot},
-		{name: "what is between is missing", shown: chain(good), want: WrongRoot},
+		{name: "another name", shown: chain(leaf(mid, names("shop.example.org")), mid), want: NameMismatch},
+		{name: "no name", shown: chain(leaf(mid, names()), mid), want: NameMismatch},
+		{name: "the name in the subject alone", shown: chain(leaf(mid, func(c *x509.Certificate) { c.DNSNames, c.Subject.CommonName = nil, "pay.example.org" }), mid), want: NameMismatch},
+		{name: "a wildcard too wide", shown: chain(leaf(mid, names("*.org")), mid), want: NameMismatch},
+		{name: "a wildcard one level up", shown: chain(leaf(mid, names("*.pay.example.org")), mid), want: NameMismatch},
+		{name: "its address, not its name", shown: chain(leaf(mid, func(c *x509.Certificate) { c.DNSNames, c.IPAddresses = nil, []net.IP{{127, 0, 0, 1}} }), mid), want: NameMismatch},
+		{name: "another root", shown: chain(leaf(other, nil), other), want: UntrustedRoot},
+		{name: "signed by itself", shown: chain(issue(t, nil, nil, nil)), want: UntrustedRoot},
+		{name: "what is between is missing", shown: chain(good), want: UntrustedRoot},
 		{name: "what is between is another's", shown: chain(good, oldMid), want: Expired},
-		{name: "no authority above", shown: chain(leaf(noCA, nil), noCA), want: WrongRoot},
-		{name: "for clients", shown: chain(leaf(mid, func(c *x509.Certificate) { c.ExtKeyUsage = []x509.ExtKeyUsage{x509.ExtKeyUsageClientAuth} }), mid), want: BadChain},
-		{name: "outside what its authority may name", shown: chain(leaf(narrow, nil), narrow), want: BadChain},
-		{name: "deeper than its authority may go", shown: chain(leaf(underShort, nil), underShort, short), want: BadChain},
-		{name: "not pinned", shown: chain(good, mid), pins: pins(other, backup), want: WrongPin},
-		{name: "another's pin of the same name", shown: chain(leaf(mid, nil), mid), pins: pins(good, backup), want: WrongPin},
-		{name: "revoked", shown: chain(good, mid), known: lists(t, listOf(t, mid, time.Hour, good)), want: IsRevoked},
-		{name: "revoked above", shown: chain(good, mid), known: lists(t, listOf(t, root, time.Hour, mid)), want: IsRevoked},
-		{name: "revoked by a list past its time", shown: chain(good, mid), known: lists(t, listOf(t, mid, -time.Minute, good)), want: IsRevoked},
-		{name: "acquitted by a list past its time, and hard", shown: chain(good, mid), hard: true, known: lists(t, listOf(t, mid, -time.Minute), listOf(t, root, time.Hour)), want: RevocationUnknown},
-		{name: "sound, another authority's list has its serial", shown: chain(good, mid), known: lists(t, listOf(t, other, time.Hour, good))},
-		{name: "sound, a forged list of its authority's name", shown: chain(good, mid), known: lists(t, listOf(t, &made{Certificate: mid.Certificate, Key: other.Key}, time.Hour, good))},
-		{name: "sound, a good staple and hard", shown: chain(good, mid), hard: true, known: with(lists(t, listOf(t, root, time.Hour)), staple(t, mid, good, ocsp.Good, time.Hour))},
-		{name: "sound, must staple and does", shown: chain(must, mid), known: &Evidence{Staple: staple(t, mid, must, ocsp.Good, time.Hour)}},
-		{name: "must staple and does not", shown: chain(must, mid), known: lists(t, listOf(t, mid, time.Hour)), want: RevocationUnknown},
-		{name: "must staple, an old one", shown: chain(must, mid), known: &Evidence{Staple: staple(t, mid, must, ocsp.Good, -time.Minute)}, want: RevocationUnknown},
-		{name: "must staple, another's", shown: chain(must, mid), known: &Evidence{Staple: staple(t, mid, good, ocsp.Good, time.Hour)}, want: RevocationUnknown},
-		{name: "must staple, rubbish", shown: chain(must, mid), known: &Evidence{Staple: []byte("\x30\x03\x0a\x01\x00")}, want: RevocationUnknown},
-		{name: "a staple that says revoked", shown: chain(good, mid), known: &Evidence{Staple: staple(t, mid, good, ocsp.Revoked, time.Hour)}, want: IsRevoked},
-		{name: "a staple that says revoked, a list that does not", shown: chain(good, mid), known: with(lists(t, listOf(t, mid, time.Hour)), staple(t, mid, good, ocsp.Revoked, time.Hour)), want: IsRevoked},
-		{name: "a staple signed by another, and hard", shown: chain(good, mid), hard: true, known: &Evidence{Staple: staple(t, other, good, ocsp.Good, time.Hour)}, want: RevocationUnknown},
-		{name: "unknown and hard", shown: chain(good, mid), hard: true, known: lists(t, listOf(t, mid, time.Hour)), want: RevocationUnknown},
-		{name: "nothing known and hard", shown: chain(good, mid), hard: true, want: RevocationUnknown},
+		{name: "no authority above", shown: chain(leaf(noCA, nil), noCA), want: UntrustedRoot},
+		{name: "for clients", shown: chain(leaf(mid, func(c *x509.Certificate) { c.ExtKeyUsage = []x509.ExtKeyUsage{x509.ExtKeyUsageClientAuth} }), mid), want: InvalidChain},
+		{name: "outside what its authority may name", shown: chain(leaf(narrow, nil), narrow), want: InvalidChain},
+		{name: "deeper than its authority may go", shown: chain(leaf(underShort, nil), underShort, short), want: InvalidChain},
+		{name: "not pinned", shown: chain(good, mid), pins: pins(other, backup), want: PinMismatch},
+		{name: "another's pin of the same name", shown: chain(leaf(mid, nil), mid), pins: pins(good, backup), want: PinMismatch},
+		{name: "revoked", shown: chain(good, mid), known: revocationEvidence(t, revocationListDER(t, mid, time.Hour, good)), want: CertificateRevoked},
+		{name: "revoked above", shown: chain(good, mid), known: revocationEvidence(t, revocationListDER(t, root, time.Hour, mid)), want: CertificateRevoked},
+		{name: "revoked by a list past its time", shown: chain(good, mid), known: revocationEvidence(t, revocationListDER(t, mid, -time.Minute, good)), want: CertificateRevoked},
+		{name: "acquitted by a list past its time, and hard", shown: chain(good, mid), hard: true, known: revocationEvidence(t, revocationListDER(t, mid, -time.Minute), revocationListDER(t, root, time.Hour)), want: RevocationUnresolved},
+		{name: "sound, another authority's list has its serial", shown: chain(good, mid), known: revocationEvidence(t, revocationListDER(t, other, time.Hour, good))},
+		{name: "sound, a forged list of its authority's name", shown: chain(good, mid), known: revocationEvidence(t, revocationListDER(t, &issuedCert{Certificate: mid.Certificate, Key: other.Key}, time.Hour, good))},
+		{name: "sound, a good staple and hard", shown: chain(good, mid), hard: true, known: withStaple(revocationEvidence(t, revocationListDER(t, root, time.Hour)), ocspStaple(t, mid, good, ocsp.Good, time.Hour))},
+		{name: "sound, must staple and does", shown: chain(must, mid), known: &RevocationEvidence{Staple: ocspStaple(t, mid, must, ocsp.Good, time.Hour)}},
+		{name: "must staple and does not", shown: chain(must, mid), known: revocationEvidence(t, revocationListDER(t, mid, time.Hour)), want: RevocationUnresolved},
+		{name: "must staple, an old one", shown: chain(must, mid), known: &RevocationEvidence{Staple: ocspStaple(t, mid, must, ocsp.Good, -time.Minute)}, want: RevocationUnresolved},
+		{name: "must staple, another's", shown: chain(must, mid), known: &RevocationEvidence{Staple: ocspStaple(t, mid, good, ocsp.Good, time.Hour)}, want: RevocationUnresolved},
+		{name: "must staple, rubbish", shown: chain(must, mid), known: &RevocationEvidence{Staple: []byte("\x30\x03\x0a\x01\x00")}, want: RevocationUnresolved},
+		{name: "a staple that says revoked", shown: chain(good, mid), known: &RevocationEvidence{Staple: ocspStaple(t, mid, good, ocsp.Revoked, time.Hour)}, want: CertificateRevoked},
+		{name: "a staple that says revoked, a list that does not", shown: chain(good, mid), known: withStaple(revocationEvidence(t, revocationListDER(t, mid, time.Hour)), ocspStaple(t, mid, good, ocsp.Revoked, time.Hour)), want: CertificateRevoked},
+		{name: "a staple signed by another, and hard", shown: chain(good, mid), hard: true, known: &RevocationEvidence{Staple: ocspStaple(t, other, good, ocsp.Good, time.Hour)}, want: RevocationUnresolved},
+		{name: "unknown and hard", shown: chain(good, mid), hard: true, known: revocationEvidence(t, revocationListDER(t, mid, time.Hour)), want: RevocationUnresolved},
+		{name: "nothing known and hard", shown: chain(good, mid), hard: true, want: RevocationUnresolved},
 	} {
 		roots := x509.NewCertPool()
 		roots.AddCert(root.Certificate)
-		r := &Rule{Name: "pay", ServerName: "pay.example.org", Roots: roots, Pins: x.pins, Hard: x.hard}
-		if err := r.Check(); err != nil {
+		r := &Rule{Name: "pay", ServerName: "pay.example.org", Roots: roots, Pins: x.pins, RequireRevocationStatus: x.hard}
+		if err := r.Validate(); err != nil {
 			t.Fatal(err)
 		}
 		proof, f := r.Verify(x.shown, noon, x.known)
@@ -217,34 +219,34 @@
 			t.Errorf("%s: accepted", x.name)
 		case f != nil && f.Cause != x.want:
 			t.Errorf("%s: %v, want %s", x.name, f, x.want)
-		case proof != nil && !proof.Until.After(noon):
-			t.Errorf("%s: a proof until %s", x.name, proof.Until)
+		case proof != nil && !proof.ValidUntil.After(noon):
+			t.Errorf("%s: a proof until %s", x.name, proof.ValidUntil)
 		}
 	}
 }
 
 // A proof ends with the first certificate of its chain that does.
-func TestProofEndsWithTheFirst(t *testing.T) {
-	root := issue(t, nil, nil, authority)
-	mid := issue(t, root, nil, and(authority, func(c *x509.Certificate) { c.NotAfter = noon.Add(time.Minute) }))
+func TestVerificationEndsWithEarliestCertificate(t *testing.T) {
+	root := issue(t, nil, nil, authorityTemplate)
+	mid := issue(t, root, nil, combine(authorityTemplate, func(c *x509.Certificate) { c.NotAfter = noon.Add(time.Minute) }))
 	roots := x509.NewCertPool()
 	roots.AddCert(root.Certificate)
 	r := &Rule{Name: "pay", ServerName: "pay.example.org", Roots: roots}
 	p, f := r.Verify([]*x509.Certificate{issue(t, mid, nil, nil).Certificate, mid.Certificate}, noon, nil)
-	if f != nil || !p.Until.Equal(noon.Add(time.Minute)) {
+	if f != nil || !p.ValidUntil.Equal(noon.Add(time.Minute)) {
 		t.Errorf("%v, %v", p, f)
 	}
 }
 
-func TestRuleCheck(t *testing.T) {
+func TestRuleValidate(t *testing.T) {
 	pool := x509.NewCertPool()
 	for name, r := range map[string]*Rule{"no name": {Roots: pool}, "no roots": {ServerName: "a"},
 		"one pin": {ServerName: "a", Roots: pool, Pins: []Pin{{1}}}, "one pin twice": {ServerName: "a", Roots: pool, Pins: []Pin{{1}, {1}}}} {
-		if r.Check() == nil {
+		if r.Validate() == nil {
 			t.Errorf("%s: accepted", name)
 		}
 	}
-	if err := (&Rule{ServerName: "a", Roots: pool, Pins: []Pin{{1}, {2}}}).Check(); err != nil {
+	if err := (&Rule{ServerName: "a", Roots: pool, Pins: []Pin{{1}, {2}}}).Validate(); err != nil {
 		t.Error(err)
 	}
 }
--- a/internal/tlspolicy/revocation.go
+++ b/internal/tlspolicy/revocation.go
@@ -11,44 +11,44 @@
 	"golang.org/x/crypto/ocsp"
 )
 
-// Evidence is what is known of the revocation of what a partner showed.
-type Evidence struct {
-	Staple []byte // an OCSP response sent with the handshake (RFC 6066 section 8), empty for none
-	Lists  *Lists // the operator's revocation lists, nil for none
+// RevocationEvidence is what is known of the revocation of what a partner showed.
+type RevocationEvidence struct {
+	Staple []byte           // an OCSP response sent with the handshake (RFC 6066 section 8), empty for none
+	Lists  *RevocationLists // the operator's revocation lists, nil for none
 }
 
 // status tells what is known of one certificate. A word that it is revoked
 // counts from wherever it comes; else a good word from one place is enough.
-func (e *Evidence) status(c, issuer *x509.Certificate, leaf bool, now time.Time) Revocation {
+func (e *RevocationEvidence) status(c, issuer *x509.Certificate, leaf bool, now time.Time) RevocationStatus {
 	if e == nil {
-		return Unknown
+		return StatusUnknown
 	}
 	known := e.Lists.Status(c, issuer, now)
-	if leaf && known != Revoked {
-		if s := stapled(e.Staple, c, issuer, now); s != Unknown {
+	if leaf && known != StatusRevoked {
+		if s := stapledStatus(e.Staple, c, issuer, now); s != StatusUnknown {
 			known = s
 		}
 	}
 	return known
 }
 
-// stapled reads an OCSP response (RFC 6960). One that is out of time, or does
+// stapledStatus reads an OCSP response (RFC 6960). One that is out of time, or does
 // not belong to the certificate, or is not signed for its issuer, tells nothing.
-func stapled(response []byte, c, issuer *x509.Certificate, now time.Time) Revocation {
+func stapledStatus(response []byte, c, issuer *x509.Certificate, now time.Time) RevocationStatus {
 	if len(response) == 0 {
-		return Unknown
+		return StatusUnknown
 	}
 	r, err := ocsp.ParseResponseForCert(response, c, issuer)
 	if err != nil || now.Before(r.ThisUpdate) || !now.Before(r.NextUpdate) { // one without an end would be good for ever
-		return Unknown
+		return StatusUnknown
 	}
 	switch r.Status {
 	case ocsp.Good:
-		return Good
+		return StatusGood
 	case ocsp.Revoked:
-		return Revoked
+		return StatusRevoked
 	}
-	return Unknown
+	return StatusUnknown
 }
 
 var featureOID = asn1.ObjectIdentifier{1, 3, 6, 1, 5, 5, 7, 1, 24} // RFC 7633 section 4.1
@@ -75,23 +75,23 @@
 	return false
 }
 
-// Lists are revocation lists (RFC 5280 section 5).
-type Lists struct{ all []oneList }
+// RevocationLists are revocation lists (RFC 5280 section 5).
+type RevocationLists struct{ lists []revocationList }
 
-type oneList struct {
-	crl     *x509.RevocationList
-	revoked map[string]bool // serials, as big-endian bytes
+type revocationList struct {
+	crl            *x509.RevocationList
+	revokedSerials map[string]bool // serials, as big-endian bytes
 }
 
-const listsMost = 64
+const maxRevocationLists = 64
 
-// NewLists takes lists as files have them, in DER. Whether one was signed by the
+// NewRevocationLists takes lists as files have them, in DER. Whether one was signed by the
 // issuer that it names is looked at when the issuer is known.
-func NewLists(der ...[]byte) (*Lists, error) {
-	if len(der) > listsMost {
-		return nil, fmt.Errorf("%d revocation lists, want %d at most", len(der), listsMost)
+func NewRevocationLists(der ...[]byte) (*RevocationLists, error) {
+	if len(der) > maxRevocationLists {
+		return nil, fmt.Errorf("%d revocation lists, want %d at most", len(der), maxRevocationLists)
 	}
-	l := &Lists{}
+	l := &RevocationLists{}
 	for i, b := range der {
 		crl, err := x509.ParseRevocationList(b)
 		if err != nil {
@@ -105,16 +105,16 @@
 				return nil, fmt.Errorf("revocation list %d: critical extension %s", i+1, x.Id)
 			}
 		}
-		x := oneList{crl: crl, revoked: make(map[string]bool, len(crl.RevokedCertificateEntries))}
+		x := revocationList{crl: crl, revokedSerials: make(map[string]bool, len(crl.RevokedCertificateEntries))}
 		for _, r := range crl.RevokedCertificateEntries {
 			if r.SerialNumber == nil {
 				return nil, errors.New("revocation list: an entry without a serial")
 			}
 			if r.ReasonCode != removeFromCRL {
-				x.revoked[string(r.SerialNumber.Bytes())] = true
+				x.revokedSerials[string(r.SerialNumber.Bytes())] = true
 			}
 		}
-		l.all = append(l.all, x)
+		l.lists = append(l.lists, x)
 	}
 	return l, nil
 }
@@ -123,33 +123,33 @@
 
 // Status is what the lists tell of a certificate. A list past its time still
 // convicts; it acquits nobody.
-func (l *Lists) Status(c, issuer *x509.Certificate, now time.Time) Revocation {
+func (l *RevocationLists) Status(c, issuer *x509.Certificate, now time.Time) RevocationStatus {
 	if l == nil {
-		return Unknown
+		return StatusUnknown
 	}
-	known := Unknown
-	for i := range l.all {
-		x := &l.all[i]
+	known := StatusUnknown
+	for i := range l.lists {
+		x := &l.lists[i]
 		if !bytes.Equal(x.crl.RawIssuer, issuer.RawSubject) || x.crl.CheckSignatureFrom(issuer) != nil {
 			continue
 		}
-		if x.revoked[string(c.SerialNumber.Bytes())] {
-			return Revoked
+		if x.revokedSerials[string(c.SerialNumber.Bytes())] {
+			return StatusRevoked
 		}
 		if !now.Before(x.crl.ThisUpdate) && now.Before(x.crl.NextUpdate) {
-			known = Good
+			known = StatusGood
 		}
 	}
 	return known
 }
 
-// Ends is when the first of the lists is out of time; zero without one.
-func (l *Lists) Ends() (t time.Time) {
+// NextUpdate is when the first of the lists is out of time; zero without one.
+func (l *RevocationLists) NextUpdate() (t time.Time) {
 	if l == nil {
 		return t
 	}
-	for i := range l.all {
-		if n := l.all[i].crl.NextUpdate; t.IsZero() || n.Before(t) {
+	for i := range l.lists {
+		if n := l.lists[i].crl.NextUpdate; t.IsZero() || n.Before(t) {
 			t = n
 		}
 	}
@@ -157,9 +157,9 @@
 }
 
 // Len is how many lists there are.
-func (l *Lists) Len() int {
+func (l *RevocationLists) Len() int {
 	if l == nil {
 		return 0
 	}
-	return len(l.all)
+	return len(l.lists)
 }
--- a/internal/tlspolicy/revocation_test.go
+++ b/internal/tlspolicy/revocation_test.go
@@ -12,8 +12,8 @@
 
 // A list that is not understood as a whole is refused: a delta, or one without
 // an end, would acquit what it does not tell of.
-func TestListsThatCannotBe(t *testing.T) {
-	root := issue(t, nil, nil, authority)
+func TestNewRevocationListsRejects(t *testing.T) {
+	root := issue(t, nil, nil, authorityTemplate)
 	make := func(change func(*x509.RevocationList)) []byte {
 		l := &x509.RevocationList{Number: big.NewInt(1), ThisUpdate: noon, NextUpdate: noon.Add(time.Hour)}
 		change(l)
@@ -24,7 +24,7 @@
 		return der
 	}
 	many := [][]byte{}
-	for range listsMost + 1 {
+	for range maxRevocationLists + 1 {
 		many = append(many, make(func(*x509.RevocationList) {}))
 	}
 	for name, der := range map[string][][]byte{
@@ -34,34 +34,34 @@
 		})},
 		"too many": many,
 	} {
-		if _, err := NewLists(der...); err == nil {
+		if _, err := NewRevocationLists(der...); err == nil {
 			t.Errorf("%s: accepted", name)
 		}
 	}
-	l, err := NewLists(many[0], make(func(l *x509.RevocationList) { l.NextUpdate = noon.Add(time.Minute) }))
-	if err != nil || !l.Ends().Equal(noon.Add(time.Minute)) || l.Len() != 2 {
-		t.Errorf("two lists end at %v, %v", l.Ends(), err)
+	l, err := NewRevocationLists(many[0], make(func(l *x509.RevocationList) { l.NextUpdate = noon.Add(time.Minute) }))
+	if err != nil || !l.NextUpdate().Equal(noon.Add(time.Minute)) || l.Len() != 2 {
+		t.Errorf("two lists end at %v, %v", l.NextUpdate(), err)
 	}
 }
 
-func FuzzNewLists(f *testing.F) {
-	root := issue(f, nil, nil, authority)
-	f.Add(listOf(f, root, time.Hour, root))
+func FuzzNewRevocationLists(f *testing.F) {
+	root := issue(f, nil, nil, authorityTemplate)
+	f.Add(revocationListDER(f, root, time.Hour, root))
 	f.Add([]byte{0x30, 0})
 	f.Fuzz(func(t *testing.T, der []byte) {
-		if l, err := NewLists(der); err == nil {
+		if l, err := NewRevocationLists(der); err == nil {
 			l.Status(root.Certificate, root.Certificate, noon)
 		}
 	})
 }
 
-func FuzzStapled(f *testing.F) {
-	root, other := issue(f, nil, nil, authority), issue(f, nil, nil, authority)
+func FuzzStapledStatus(f *testing.F) {
+	root, other := issue(f, nil, nil, authorityTemplate), issue(f, nil, nil, authorityTemplate)
 	leaf := issue(f, root, nil, nil)
-	f.Add(staple(f, root, leaf, 0, time.Hour))
+	f.Add(ocspStaple(f, root, leaf, 0, time.Hour))
 	f.Add([]byte{0x30, 3, 0x0a, 1, 0})
 	f.Fuzz(func(t *testing.T, response []byte) {
-		if stapled(response, leaf.Certificate, other.Certificate, noon) != Unknown {
+		if stapledStatus(response, leaf.Certificate, other.Certificate, noon) != StatusUnknown {
 			t.Error("a response speaks for an issuer that did not sign it")
 		}
 	})
--- a/internal/tlspolicy/select.go
+++ b/internal/tlspolicy/select.go
@@ -8,32 +8,32 @@
 // rule into one without: its flavour is the list's word, so a destination whose
 // proof matters is named by number.
 
-// Target is whom one rule is for.
-type Target struct {
-	Rule    string
-	Dests   []int
-	Flavors []string
+// RuleTarget is whom one rule is for.
+type RuleTarget struct {
+	Rule         string
+	Destinations []int
+	Flavors      []string
 }
 
-// Selector finds the rule of a destination.
-type Selector struct {
-	byDest   map[int]int
-	byFlavor map[string]int
+// RuleSelector finds the rule of a destination.
+type RuleSelector struct {
+	byDestination map[int]int
+	byFlavor      map[string]int
 }
 
-// NewSelector checks that no two rules name the same destination or flavour,
+// NewRuleSelector checks that no two rules name the same destination or flavour,
 // and that each names one.
-func NewSelector(targets []Target) (*Selector, error) {
-	s := &Selector{byDest: map[int]int{}, byFlavor: map[string]int{}}
+func NewRuleSelector(targets []RuleTarget) (*RuleSelector, error) {
+	s := &RuleSelector{byDestination: map[int]int{}, byFlavor: map[string]int{}}
 	for i, t := range targets {
-		if len(t.Dests)+len(t.Flavors) == 0 {
+		if len(t.Destinations)+len(t.Flavors) == 0 {
 			return nil, fmt.Errorf("rule %q: names no destination and no flavour", t.Rule)
 		}
-		for _, d := range t.Dests {
-			if j, ok := s.byDest[d]; ok {
+		for _, d := range t.Destinations {
+			if j, ok := s.byDestination[d]; ok {
 				return nil, fmt.Errorf("rule %q: destination %d is named by rule %q", t.Rule, d, targets[j].Rule)
 			}
-			s.byDest[d] = i
+			s.byDestination[d] = i
 		}
 		for _, f := range t.Flavors {
 			if j, ok := s.byFlavor[f]; ok {
@@ -47,11 +47,11 @@
 
 // Find is the number of the rule for a destination, false where it is reached
 // without TLS.
-func (s *Selector) Find(dest int, flavor string) (int, bool) {
+func (s *RuleSelector) Find(dest int, flavor string) (int, bool) {
 	if s == nil {
 		return 0, false
 	}
-	i, ok := s.byDest[dest]
+	i, ok := s.byDestination[dest]
 	if !ok {
 		i, ok = s.byFlavor[flavor]
 	}
--- a/internal/tlspolicy/sessions_test.go
+++ b/internal/tlspolicy/sessions_test.go
@@ -9,21 +9,21 @@
 // Against a plain list: a session is given out once, under its own identity and
 // before its end, the newest first; no bound is passed; trust that changes takes
 // its sessions with it.
-func TestSessions(t *testing.T) {
+func TestSessionCache(t *testing.T) {
 	type entry struct {
-		of    Identity
+		of    SessionIdentity
 		what  int
 		until time.Time
 	}
 	for seed := range uint64(300) {
 		rng := rand.New(rand.NewPCG(seed, 9))
 		most := rng.IntN(30)
-		s := NewSessions[int](most)
+		s := NewSessionCache[int](most)
 		var model []entry // the oldest first
 		now := noon
-		ids := []Identity{}
+		ids := []SessionIdentity{}
 		for i := range 6 {
-			ids = append(ids, Identity{i % 3, []string{"pay", "shop"}[i%2], [32]byte{byte(i)}})
+			ids = append(ids, SessionIdentity{i % 3, []string{"pay", "shop"}[i%2], [32]byte{byte(i)}})
 		}
 		next := 0
 		for range 400 {
@@ -49,7 +49,7 @@
 						}
 					}
 				}
-				if n >= sessionsEach {
+				if n >= maxSessionsPerIdentity {
 					model = append(model[:first], model[first+1:]...)
 				}
 				if len(model) >= most {
@@ -76,7 +76,7 @@
 				}
 			case 7:
 				rule := []string{"pay", "shop", "none"}[rng.IntN(3)]
-				s.Drop(rule)
+				s.DropRule(rule)
 				kept := model[:0]
 				for _, e := range model {
 					if e.of.Rule != rule {
@@ -94,8 +94,8 @@
 
 // Whatever differs in what is proved or shown, the identity differs: no session
 // crosses from one to another.
-func TestIdentities(t *testing.T) {
-	root := issue(t, nil, nil, authority)
+func TestSessionIdentitiesDiffer(t *testing.T) {
+	root := issue(t, nil, nil, authorityTemplate)
 	a, b := PinOf(root.Certificate), Pin{1}
 	rule := func(change func(*Rule)) *Rule {
 		r := &Rule{Name: "pay", ServerName: "pay.example.org", Pins: []Pin{a, b}}
@@ -104,18 +104,18 @@
 		}
 		return r
 	}
-	seen := map[Identity]string{}
-	for name, id := range map[string]Identity{
-		"as it is":            rule(nil).Identity(1, []byte("roots"), []byte("own")),
-		"another destination": rule(nil).Identity(2, []byte("roots"), []byte("own")),
-		"another rule":        rule(func(r *Rule) { r.Name = "shop" }).Identity(1, []byte("roots"), []byte("own")),
-		"another name":        rule(func(r *Rule) { r.ServerName = "pay.example.com" }).Identity(1, []byte("roots"), []byte("own")),
-		"other roots":         rule(nil).Identity(1, []byte("root"), []byte("own")),
-		"another of our own":  rule(nil).Identity(1, []byte("roots"), []byte("ow")),
-		"none of our own":     rule(nil).Identity(1, []byte("roots"), nil),
-		"no pins":             rule(func(r *Rule) { r.Pins = nil }).Identity(1, []byte("roots"), []byte("own")),
-		"other pins":          rule(func(r *Rule) { r.Pins = []Pin{a, {2}} }).Identity(1, []byte("roots"), []byte("own")),
-		"a byte that moved":   rule(func(r *Rule) { r.ServerName = "pay.example.orgr" }).Identity(1, []byte("oots"), []byte("own")),
+	seen := map[SessionIdentity]string{}
+	for name, id := range map[string]SessionIdentity{
+		"as it is":            rule(nil).SessionIdentity(1, []byte("roots"), []byte("own")),
+		"another destination": rule(nil).SessionIdentity(2, []byte("roots"), []byte("own")),
+		"another rule":        rule(func(r *Rule) { r.Name = "shop" }).SessionIdentity(1, []byte("roots"), []byte("own")),
+		"another name":        rule(func(r *Rule) { r.ServerName = "pay.example.com" }).SessionIdentity(1, []byte("roots"), []byte("own")),
+		"other roots":         rule(nil).SessionIdentity(1, []byte("root"), []byte("own")),
+		"another of our own":  rule(nil).SessionIdentity(1, []byte("roots"), []byte("ow")),
+		"none of our own":     rule(nil).SessionIdentity(1, []byte("roots"), nil),
+		"no pins":             rule(func(r *Rule) { r.Pins = nil }).SessionIdentity(1, []byte("roots"), []byte("own")),
+		"other pins":          rule(func(r *Rule) { r.Pins = []Pin{a, {2}} }).SessionIdentity(1, []byte("roots"), []byte("own")),
+		"a byte that moved":   rule(func(r *Rule) { r.ServerName = "pay.example.orgr" }).SessionIdentity(1, []byte("oots"), []byte("own")),
 	} {
 		if other, ok := seen[id]; ok {
 			t.Errorf("%s: the same identity as %s", name, other)
@@ -126,8 +126,8 @@
 
 // A destination named by number comes before its flavour, and no two rules claim
 // the same.
-func TestSelector(t *testing.T) {
-	s, err := NewSelector([]Target{{"chains", nil, []string{"lanac"}}, {"pay", []int{3, 4}, nil}})
+func TestRuleSelector(t *testing.T) {
+	s, err := NewRuleSelector([]RuleTarget{{"chains", nil, []string{"lanac"}}, {"pay", []int{3, 4}, nil}})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -141,17 +141,17 @@
 			t.Errorf("%d %q: rule %d %v, want %d %v", x.dest, x.flavor, got, ok, x.want, x.ok)
 		}
 	}
-	for name, bad := range map[string][]Target{
+	for name, bad := range map[string][]RuleTarget{
 		"nobody named":      {{"a", nil, nil}},
 		"a number twice":    {{"a", []int{1}, nil}, {"b", []int{2, 1}, nil}},
 		"a flavour twice":   {{"a", nil, []string{"x"}}, {"b", nil, []string{"x"}}},
 		"twice in one rule": {{"a", []int{1, 1}, nil}},
 	} {
-		if _, err := NewSelector(bad); err == nil {
+		if _, err := NewRuleSelector(bad); err == nil {
 			t.Errorf("%s: accepted", name)
 		}
 	}
-	if _, ok := (*Selector)(nil).Find(1, "x"); ok {
+	if _, ok := (*RuleSelector)(nil).Find(1, "x"); ok {
 		t.Error("without rules a destination has one")
 	}
 }
@@ -159,18 +159,18 @@
 // What was sent decides what may have run, and no alert's name does; those that
 // tell of who we are put an endpoint out, accidents do not.
 func TestAlerts(t *testing.T) {
-	if Proves(Handshaking) != NeverRan || Proves(Partly) != NeverRan || Proves(Whole) != MayHaveRun {
+	if ExecutionAfter(HandshakeOnly) != NeverRan || ExecutionAfter(PartlySent) != NeverRan || ExecutionAfter(FullySent) != MayHaveRun {
 		t.Error("what an end proves")
 	}
 	refuses := map[uint8]bool{42: true, 43: true, 44: true, 45: true, 46: true, 48: true, 49: true, 116: true}
 	nothing := map[uint8]bool{40: true, 70: true, 71: true, 112: true, 120: true}
 	for code := range 256 {
-		c, ok := CauseOf(uint8(code))
-		want := Cause(0)
+		c, ok := CauseOfAlert(uint8(code))
+		want := FailureCause(0)
 		if refuses[uint8(code)] {
-			want = RefusesUs
+			want = ClientCertificateRejected
 		} else if nothing[uint8(code)] {
-			want = NothingCommon
+			want = NoCommonParameters
 		}
 		if c != want || ok != (want != 0) {
 			t.Errorf("alert %d: %v %v, want %v", code, c, ok, want)
--- a/internal/tlspolicy/stored_test.go
+++ b/internal/tlspolicy/stored_test.go
@@ -12,8 +12,8 @@
 	"time"
 )
 
-// golden compares a text with a file under testdata.
-func golden(t *testing.T, file, got string) {
+// compareGolden compares a text with a file under testdata.
+func compareGolden(t *testing.T, file, got string) {
 	t.Helper()
 	want, err := os.ReadFile(filepath.Join("testdata", file))
 	if err != nil {
@@ -27,10 +27,10 @@
 // What the log calls a failure's cause.
 func TestCauseNames(t *testing.T) {
 	var b strings.Builder
-	for c := NoCertificate; c < causes; c++ {
+	for c := NoCertificate; c < causeCount; c++ {
 		fmt.Fprintf(&b, "%d %s\n", c, c)
 	}
-	golden(t, "causes.txt", b.String())
+	compareGolden(t, "causes.txt", b.String())
 }
 
 // The sum under which sessions are stored on disk.
@@ -41,31 +41,31 @@
 		{Name: "pay", ServerName: "pay.example.org"},
 		{Name: "pay", ServerName: "pay.example.org", Pins: []Pin{{1}, {2}}},
 	} {
-		id := r.Identity(7, sum("roots"), sum("own"))
-		fmt.Fprintf(&b, "%d %s %s\n", id.Dest, id.Rule, hex.EncodeToString(id.Sum[:]))
+		id := r.SessionIdentity(7, sum("roots"), sum("own"))
+		fmt.Fprintf(&b, "%d %s %s\n", id.Destination, id.Rule, hex.EncodeToString(id.Sum[:]))
 	}
-	golden(t, "identities.txt", b.String())
+	compareGolden(t, "identities.txt", b.String())
 }
 
 // The retries of an endpoint whose identity was rejected, drawn from a seed, and
 // what the log says of it.
 func TestSeededSchedule(t *testing.T) {
-	b := NewBook(7)
+	b := NewTrustTracker(7)
 	now := noon
 	var text strings.Builder
-	for _, c := range []Cause{Expired, Expired, WrongName, WrongName, RefusesUs} {
-		said := b.Failed(3, &Failure{c, "pay", errors.New("test")}, now)
-		_, at := b.MayAsk(3, now)
+	for _, c := range []FailureCause{Expired, Expired, NameMismatch, NameMismatch, ClientCertificateRejected} {
+		said := b.RecordFailure(3, &IdentityError{c, "pay", errors.New("test")}, now)
+		_, at := b.MayRetry(3, now)
 		fmt.Fprintf(&text, "%v %q\n", at.Sub(now), said)
 		now = at
 	}
-	fmt.Fprintf(&text, "%q\n", b.Proved(3, &Proof{Until: now.Add(time.Hour)}))
+	fmt.Fprintf(&text, "%q\n", b.RecordVerified(3, &Verification{ValidUntil: now.Add(time.Hour)}))
 	for dest := 1; dest <= 4; dest++ {
-		said := b.Failed(dest+10, &Failure{NotYetValid, "pay", errors.New("test")}, now)
+		said := b.RecordFailure(dest+10, &IdentityError{NotYetValid, "pay", errors.New("test")}, now)
 		if dest == 1 {
-			b.Forget(3)
+			b.Remove(3)
 		}
 		fmt.Fprintf(&text, "%q\n", said)
 	}
-	golden(t, "schedule.txt", text.String())
+	compareGolden(t, "schedule.txt", text.String())
 }
--- a/internal/tlspolicy/trust.go
+++ b/internal/tlspolicy/trust.go
@@ -10,159 +10,159 @@
 
 // Figures of the schedule.
 const (
-	againFirst = time.Second     // after a first failure
-	againMost  = 2 * time.Minute // doubled each time up to this
-	clockLeast = 3               // destinations out of time at once, and none sound: our own clock, rather
+	initialBackoff      = time.Second     // after a first failure
+	maxBackoff          = 2 * time.Minute // doubled each time up to this
+	clockSuspicionCount = 3               // destinations out of time at once, and none sound: our own clock, rather
 )
 
-// Trust is what is known of one destination's proofs.
-type Trust struct {
-	failure *Failure
-	since   time.Time
-	again   time.Time
-	pause   time.Duration
-	asking  bool
-	until   time.Time // of the last proof
+// trustState is what is known of one destination's proofs.
+type trustState struct {
+	failure    *IdentityError
+	since      time.Time
+	retryAt    time.Time
+	backoff    time.Duration
+	retrying   bool
+	validUntil time.Time // of the last proof
 }
 
-// Book keeps the trust in all destinations. It is not safe for several
+// TrustTracker keeps the trust in all destinations. It is not safe for several
 // goroutines; times must not go back.
-type Book struct {
-	rng   *rand.Rand
-	dests map[int]*Trust
-	out   int // destinations that are out
-	time  int // of them, those out of time
-	sound int
-	clock bool // it was said that our own clock may be wrong
+type TrustTracker struct {
+	rng             *rand.Rand
+	states          map[int]*trustState
+	rejected        int // destinations that are out
+	outsideValidity int // of them, those out of time
+	verified        int
+	clockReported   bool // it was said that our own clock may be wrong
 }
 
-// NewBook makes a book that trusts nobody and distrusts nobody yet.
-func NewBook(seed uint64) *Book {
-	return &Book{rng: rand.New(rand.NewPCG(seed, 0x715)), dests: map[int]*Trust{}}
+// NewTrustTracker makes a book that trusts nobody and distrusts nobody yet.
+func NewTrustTracker(seed uint64) *TrustTracker {
+	return &TrustTracker{rng: rand.New(rand.NewPCG(seed, 0x715)), states: map[int]*trustState{}}
 }
 
-func (b *Book) of(dest int) *Trust {
-	t := b.dests[dest]
+func (b *TrustTracker) state(dest int) *trustState {
+	t := b.states[dest]
 	if t == nil {
-		t = &Trust{}
-		b.dests[dest] = t
+		t = &trustState{}
+		b.states[dest] = t
 	}
 	return t
 }
 
-// Out is why a destination gets nothing, and since when; nil where it is not out.
-func (b *Book) Out(dest int) (*Failure, time.Time) {
-	if t := b.dests[dest]; t != nil {
+// Rejection is why a destination gets nothing, and since when; nil where it is not out.
+func (b *TrustTracker) Rejection(dest int) (*IdentityError, time.Time) {
+	if t := b.states[dest]; t != nil {
 		return t.failure, t.since
 	}
 	return nil, time.Time{}
 }
 
-// MayAsk reports whether a handshake may be begun, and else from when on. One
+// MayRetry reports whether a handshake may be begun, and else from when on. One
 // that is out is asked by one handshake at a time.
-func (b *Book) MayAsk(dest int, now time.Time) (bool, time.Time) {
-	t := b.dests[dest]
+func (b *TrustTracker) MayRetry(dest int, now time.Time) (bool, time.Time) {
+	t := b.states[dest]
 	if t == nil || t.failure == nil {
 		return true, time.Time{}
 	}
-	if t.asking {
-		return false, now.Add(againFirst)
+	if t.retrying {
+		return false, now.Add(initialBackoff)
 	}
-	return !now.Before(t.again), t.again
+	return !now.Before(t.retryAt), t.retryAt
 }
 
-// Asking is told that a handshake began.
-func (b *Book) Asking(dest int) { b.of(dest).asking = true }
+// RetryStarted is told that a handshake began.
+func (b *TrustTracker) RetryStarted(dest int) { b.state(dest).retrying = true }
 
-// Said is what a change of trust is worth telling; empty for nothing.
-type Said string
+// LogMessage is what a change of trust is worth telling; empty for nothing.
+type LogMessage string
 
-// Failed is told of a proof that was not accepted.
-func (b *Book) Failed(dest int, f *Failure, now time.Time) Said {
-	t := b.of(dest)
-	t.asking = false
-	said := Said("")
+// RecordFailure is told of a proof that was not accepted.
+func (b *TrustTracker) RecordFailure(dest int, f *IdentityError, now time.Time) LogMessage {
+	t := b.state(dest)
+	t.retrying = false
+	said := LogMessage("")
 	if t.failure == nil {
-		b.out++
-		if !t.until.IsZero() {
-			b.sound--
+		b.rejected++
+		if !t.validUntil.IsZero() {
+			b.verified--
 		}
-		t.since, t.pause = now, againFirst
-		said = Said("out: " + f.Error())
+		t.since, t.backoff = now, initialBackoff
+		said = LogMessage("out: " + f.Error())
 	} else {
-		b.time -= outOfTime(t.failure)
-		t.pause = min(2*t.pause, againMost)
+		b.outsideValidity -= validityFailures(t.failure)
+		t.backoff = min(2*t.backoff, maxBackoff)
 		if t.failure.Cause != f.Cause {
-			said = Said("out for another cause: " + f.Error())
+			said = LogMessage("out for another cause: " + f.Error())
 		}
 	}
-	t.failure, t.until = f, time.Time{}
-	b.time += outOfTime(f)
+	t.failure, t.validUntil = f, time.Time{}
+	b.outsideValidity += validityFailures(f)
 	// Spread: relays that share nothing must not ask in step.
-	t.again = now.Add(t.pause/2 + time.Duration(b.rng.Int64N(int64(t.pause))))
-	if !b.clock && b.time >= clockLeast && b.sound == 0 {
-		b.clock = true
+	t.retryAt = now.Add(t.backoff/2 + time.Duration(b.rng.Int64N(int64(t.backoff))))
+	if !b.clockReported && b.outsideValidity >= clockSuspicionCount && b.verified == 0 {
+		b.clockReported = true
 		return "every partner's certificate is out of time: this machine's clock may be wrong"
 	}
-	if b.clock { // said once for all of them
+	if b.clockReported { // said once for all of them
 		return ""
 	}
 	return said
 }
 
-func outOfTime(f *Failure) int {
+func validityFailures(f *IdentityError) int {
 	if f.Cause == Expired || f.Cause == NotYetValid {
 		return 1
 	}
 	return 0
 }
 
-// Proved is told of a proof that was accepted.
-func (b *Book) Proved(dest int, p *Proof) Said {
-	t := b.of(dest)
-	t.asking = false
+// RecordVerified is told of a proof that was accepted.
+func (b *TrustTracker) RecordVerified(dest int, p *Verification) LogMessage {
+	t := b.state(dest)
+	t.retrying = false
 	was := t.failure
 	if was != nil {
-		b.out--
-		b.time -= outOfTime(was)
+		b.rejected--
+		b.outsideValidity -= validityFailures(was)
 	}
-	if was != nil || t.until.IsZero() {
-		b.sound++
+	if was != nil || t.validUntil.IsZero() {
+		b.verified++
 	}
-	b.clock = false
-	t.failure, t.until, t.pause = nil, p.Until, 0
+	b.clockReported = false
+	t.failure, t.validUntil, t.backoff = nil, p.ValidUntil, 0
 	if was != nil {
-		return Said("back: proved again after " + was.Cause.String())
+		return LogMessage("back: proved again after " + was.Cause.String())
 	}
 	return ""
 }
 
-// Broke is told that a handshake ended with no proof, good or bad: a reset, a
+// RecordInconclusive is told that a handshake ended with no proof, good or bad: a reset, a
 // time-out. Trust is as it was.
-func (b *Book) Broke(dest int) { b.of(dest).asking = false }
+func (b *TrustTracker) RecordInconclusive(dest int) { b.state(dest).retrying = false }
 
-// Forget drops a destination that has gone.
-func (b *Book) Forget(dest int) {
-	if t := b.dests[dest]; t != nil {
+// Remove drops a destination that has gone.
+func (b *TrustTracker) Remove(dest int) {
+	if t := b.states[dest]; t != nil {
 		if t.failure != nil {
-			b.out--
-			b.time -= outOfTime(t.failure)
-		} else if !t.until.IsZero() {
-			b.sound--
+			b.rejected--
+			b.outsideValidity -= validityFailures(t.failure)
+		} else if !t.validUntil.IsZero() {
+			b.verified--
 		}
-		delete(b.dests, dest)
+		delete(b.states, dest)
 	}
 }
 
-// Ends is when the proof of a destination's last handshake ends; false where
+// ValidUntil is when the proof of a destination's last handshake ends; false where
 // there is none.
-func (b *Book) Ends(dest int) (time.Time, bool) {
-	t := b.dests[dest]
-	if t == nil || t.until.IsZero() {
+func (b *TrustTracker) ValidUntil(dest int) (time.Time, bool) {
+	t := b.states[dest]
+	if t == nil || t.validUntil.IsZero() {
 		return time.Time{}, false
 	}
-	return t.until, true
+	return t.validUntil, true
 }
 
 // Counts is how many destinations are out, and how many have proved themselves.
-func (b *Book) Counts() (out, sound int) { return b.out, b.sound }
+func (b *TrustTracker) Counts() (out, sound int) { return b.rejected, b.verified }
