--- a/cmd/benchlink/host.go
+++ b/cmd/benchlink/host.go
@@ -5,26 +5,26 @@
 	"io"
 	"math"
 
-	"troutusher/decide"
 	"troutusher/internal/settings"
 	"troutusher/internal/wire"
+	"troutusher/policy"
 )
 
 // instance is one hosted instance.
 type instance struct {
-	engine               *decide.Engine
+	engine               *policy.Engine
 	remainingAt, limitAt int // places of the load values in a report; -1 when absent
 	kinds                int
-	events               []decide.Event
+	events               []policy.Event
 	queued               bool
 }
 
 // host keeps the instances of one process apart and the lists they share.
 type host struct {
 	instances  map[uint16]*instance
-	lists      [16][]decide.EndpointUpdate
+	lists      [16][]policy.EndpointUpdate
 	order      []uint16 // relays with events in this turn, by first event
-	actions    []decide.Action
+	actions    []policy.Action
 	reply      []wire.Action
 	replyFrame []byte
 }
@@ -40,7 +40,7 @@
 	if clock > math.MaxInt64 {
 		return nil, fmt.Errorf("batch header: clock %d is out of range", clock)
 	}
-	now := decide.Time(clock)
+	now := policy.Time(clock)
 	h.reply, h.order = h.reply[:0], h.order[:0]
 	for i := range events {
 		if err := h.handleRecord(now, &events[i]); err != nil {
@@ -56,7 +56,7 @@
 	return h.replyFrame, err
 }
 
-func (h *host) stepInstance(now decide.Time, id uint16, r *instance) {
+func (h *host) stepInstance(now policy.Time, id uint16, r *instance) {
 	h.actions = r.engine.Step(now, r.events, h.actions[:0])
 	r.events, r.queued = r.events[:0], false
 	for i := range h.actions {
@@ -65,13 +65,13 @@
 }
 
 // handleRecord hands an event to its instance, or changes the host's own tables.
-func (h *host) handleRecord(now decide.Time, e *wire.Event) error {
+func (h *host) handleRecord(now policy.Time, e *wire.Event) error {
 	switch e.Code {
 	case wire.EvTable:
-		list := make([]decide.EndpointUpdate, len(e.Entries))
+		list := make([]policy.EndpointUpdate, len(e.Entries))
 		for i, x := range e.Entries {
-			list[i] = decide.EndpointUpdate{Endpoint: decide.EndpointID(x.Endpoint), Zone: int(x.Zone), Kind: int(x.Kind),
-				Destination: int(x.Dest), State: decide.Readiness(x.State), Rate: float64(x.Nominal)}
+			list[i] = policy.EndpointUpdate{Endpoint: policy.EndpointID(x.Endpoint), Zone: int(x.Zone), Kind: int(x.Kind),
+				Destination: int(x.Dest), State: policy.Readiness(x.State), Rate: float64(x.Nominal)}
 		}
 		h.lists[e.Sheet] = list
 		return nil
@@ -104,48 +104,48 @@
 	return nil
 }
 
-var outcomeByStatus = map[uint8]decide.Outcome{wire.StatusOK: decide.Delivered, wire.StatusError: decide.Failed,
-	wire.StatusFull: decide.Rejected, wire.StatusLate: decide.TimedOut, wire.StatusNoConn: decide.ConnectFailed,
-	wire.StatusReset: decide.ConnectionReset, wire.StatusCancel: decide.Cancelled, wire.StatusMoot: decide.NotSent}
+var outcomeByStatus = map[uint8]policy.Outcome{wire.StatusOK: policy.Delivered, wire.StatusError: policy.Failed,
+	wire.StatusFull: policy.Rejected, wire.StatusLate: policy.TimedOut, wire.StatusNoConn: policy.ConnectFailed,
+	wire.StatusReset: policy.ConnectionReset, wire.StatusCancel: policy.Cancelled, wire.StatusMoot: policy.NotSent}
 
-var updateKindBySync = map[uint8]decide.ListUpdateKind{wire.SyncDelta: decide.ListDelta, wire.SyncFull: decide.ListFull,
-	wire.SyncCached: decide.ListCached, wire.SyncFailed: decide.ListFailed}
+var updateKindBySync = map[uint8]policy.ListUpdateKind{wire.SyncDelta: policy.ListDelta, wire.SyncFull: policy.ListFull,
+	wire.SyncCached: policy.ListCached, wire.SyncFailed: policy.ListFailed}
 
 // policyEvent maps a record to the interface's words.
-func (h *host) policyEvent(r *instance, e *wire.Event) (decide.Event, bool) {
-	ev := decide.Event{Message: e.Ticket, Endpoint: decide.EndpointID(e.Endpoint), Attempt: int(e.Attempt),
-		Latency: decide.Time(e.Took), Outcome: outcomeByStatus[e.Status]}
+func (h *host) policyEvent(r *instance, e *wire.Event) (policy.Event, bool) {
+	ev := policy.Event{Message: e.Ticket, Endpoint: policy.EndpointID(e.Endpoint), Attempt: int(e.Attempt),
+		Latency: policy.Time(e.Took), Outcome: outcomeByStatus[e.Status]}
 	if e.Reports > 0 {
-		ev.Load = decide.LoadReport{Remaining: reportValue(e, r.remainingAt), Limit: reportValue(e, r.limitAt)}
+		ev.Load = policy.LoadReport{Remaining: reportValue(e, r.remainingAt), Limit: reportValue(e, r.limitAt)}
 	}
 	switch e.Code {
 	case wire.EvSync:
-		ev.Kind, ev.ListUpdate = decide.EvListUpdated, updateKindBySync[e.Kind]
-		if ev.ListUpdate != decide.ListFailed {
+		ev.Kind, ev.ListUpdate = policy.EvListUpdated, updateKindBySync[e.Kind]
+		if ev.ListUpdate != policy.ListFailed {
 			ev.Updates = h.lists[e.Sheet]
 		}
 	case wire.EvCall:
-		ev.Kind, ev.Key, ev.TimeLeft, ev.Class = decide.EvMessageSubmitted, e.Subject, decide.Time(e.Grace), int(e.Class)
+		ev.Kind, ev.Key, ev.TimeLeft, ev.Class = policy.EvMessageSubmitted, e.Subject, policy.Time(e.Grace), int(e.Class)
 		ev.Destination, ev.Tenant = int(e.Dest), int(e.Tenant)
 		if e.Flags&1 != 0 {
-			ev.EstimatedCost = decide.Time(e.Estimate)
+			ev.EstimatedCost = policy.Time(e.Estimate)
 		}
 	case wire.EvBegun:
-		ev.Kind = decide.EvReplyStarted
+		ev.Kind = policy.EvReplyStarted
 	case wire.EvResolved:
-		ev.Kind, ev.MessageFinished = decide.EvAttemptEnded, e.Settled
+		ev.Kind, ev.MessageFinished = policy.EvAttemptEnded, e.Settled
 		switch ev.Outcome {
-		case decide.Rejected:
-			ev.RetryAfter = decide.Time(e.Note) * 1000
-		case decide.NotSent:
+		case policy.Rejected:
+			ev.RetryAfter = policy.Time(e.Note) * 1000
+		case policy.NotSent:
 			ev.NoFreeSlot = e.Note == 1
 		}
 	case wire.EvLapsed:
-		ev.Kind = decide.EvMessageWithdrawn
+		ev.Kind = policy.EvMessageWithdrawn
 	case wire.EvAlarm:
-		ev.Kind, ev.Token = decide.EvTimer, e.Token
+		ev.Kind, ev.Token = policy.EvTimer, e.Token
 	case wire.EvHealth:
-		ev.Kind = decide.EvHealthChecked
+		ev.Kind = policy.EvHealthChecked
 	default:
 		return ev, false
 	}
@@ -160,30 +160,30 @@
 }
 
 // wireAction maps the interface's words to a record.
-func wireAction(id uint16, a *decide.Action) wire.Action {
+func wireAction(id uint16, a *policy.Action) wire.Action {
 	w := wire.Action{Relay: id, Ticket: a.Message, Endpoint: uint64(a.Endpoint), Attempt: uint8(a.Attempt),
 		At: uint64(a.TimeoutAt), Token: a.Token, Text: a.Text}
 	w.After = uint32(min(max(a.After, 0), math.MaxUint32))
 	switch a.Kind {
-	case decide.ActSend:
+	case policy.ActSend:
 		w.Code = wire.ActDeliver
-	case decide.ActReject:
+	case policy.ActReject:
 		w.Code = wire.ActRefuse
-	case decide.ActFail:
+	case policy.ActFail:
 		w.Code = wire.ActLose
-	case decide.ActCancel:
+	case policy.ActCancel:
 		w.Code = wire.ActCancel
-	case decide.ActTimer:
+	case policy.ActTimer:
 		w.Code = wire.ActRemind
-	case decide.ActHealthCheck:
+	case policy.ActHealthCheck:
 		w.Code = wire.ActProbe
-	case decide.ActCloseIdle:
+	case policy.ActCloseIdle:
 		w.Code = wire.ActClose
-	case decide.ActWatch:
+	case policy.ActWatch:
 		w.Code, w.On = wire.ActListen, true
-	case decide.ActFetch:
+	case policy.ActFetch:
 		w.Code = wire.ActRead
-	case decide.ActLog:
+	case policy.ActLog:
 		w.Code = wire.ActLog
 	}
 	return w
@@ -199,7 +199,7 @@
 	if err != nil {
 		return nil, err
 	}
-	p, err := decide.New(set, e.Token)
+	p, err := policy.New(set, e.Token)
 	if err != nil {
 		return nil, fmt.Errorf("settings: %w", err)
 	}
--- a/cmd/troutusher-kit/crowd.go
+++ b/cmd/troutusher-kit/crowd.go
@@ -12,7 +12,7 @@
 	"syscall"
 	"time"
 
-	"troutusher/internal/rehearse/crowd"
+	"troutusher/internal/rehearsal/idlebench"
 )
 
 const aboutCrowd = `Starts a relay for each number of idle connections, and tells what they cost it
@@ -62,7 +62,7 @@
 			fmt.Fprintf(errs, "troutusher crowd: %v\n", err)
 			return exitFailed
 		}
-		x, err := crowd.Measure(ctx, crowd.Options{Command: []string{*program}, Dir: dir, Idle: n, Length: *length, Active: *active,
+		x, err := idlebench.Measure(ctx, idlebench.Options{Command: []string{*program}, Dir: dir, Idle: n, Length: *length, Active: *active,
 			Patience: 400 * time.Millisecond, MemoryMB: *memory, Operator: !*old})
 		os.RemoveAll(dir)
 		if err != nil {
--- a/cmd/troutusher-kit/fleet.go
+++ b/cmd/troutusher-kit/fleet.go
@@ -8,7 +8,7 @@
 
 	"github.com/alecthomas/kong"
 
-	"troutusher/internal/fleetlog"
+	"troutusher/internal/logstats"
 )
 
 // fleetCommand is "troutusher fleet": what many relays do together.
@@ -28,26 +28,26 @@
 func (c *fleetReport) Run(out io.Writer) error {
 	switch dir := os.DirFS(c.Dir); {
 	case c.Message != "":
-		s, err := fleetlog.Follow(dir, c.Dir, c.Message)
+		s, err := logstats.Follow(dir, c.Dir, c.Message)
 		if err != nil {
 			return err
 		}
 		return s.WriteText(out)
 	case c.Ends:
-		e, err := fleetlog.ReadEnds(dir, c.Dir)
+		e, err := logstats.ReadEnds(dir, c.Dir)
 		if err != nil {
 			return err
 		}
 		return e.WriteText(out)
 	}
 	if c.Restarts {
-		r, err := fleetlog.ReadRestarts(os.DirFS(c.Dir), c.Dir)
+		r, err := logstats.ReadRestarts(os.DirFS(c.Dir), c.Dir)
 		if err != nil {
 			return err
 		}
 		return errors.Join(r.WriteText(out), r.Broken())
 	}
-	day, err := fleetlog.Read(os.DirFS(c.Dir), c.Dir)
+	day, err := logstats.Read(os.DirFS(c.Dir), c.Dir)
 	if err != nil {
 		return err
 	}
--- a/cmd/troutusher-kit/follow.go
+++ b/cmd/troutusher-kit/follow.go
@@ -7,7 +7,7 @@
 	"io"
 	"os"
 
-	"troutusher/internal/operator"
+	"troutusher/internal/operatorconfig"
 	"troutusher/internal/source/etcd/follow"
 )
 
@@ -21,9 +21,9 @@
 	if _, code, done := parse(f, args, 0); done {
 		return code
 	}
-	file, err := operator.Load(os.Getenv)
+	file, err := operatorconfig.Load(os.Getenv)
 	if err == nil && file == nil {
-		err = fmt.Errorf("%s: not set", operator.EnvVar)
+		err = fmt.Errorf("%s: not set", operatorconfig.EnvVar)
 	}
 	var o follow.Options
 	if err == nil {
--- a/cmd/troutusher-kit/kit_test.go
+++ b/cmd/troutusher-kit/kit_test.go
@@ -13,13 +13,13 @@
 	"testing"
 	"time"
 
-	"troutusher/decide"
 	"troutusher/internal/core"
-	"troutusher/internal/learned"
-	"troutusher/internal/rehearse/recording"
-	"troutusher/internal/rehearse/report"
-	"troutusher/internal/rehearse/scenario"
+	"troutusher/internal/policystate"
+	"troutusher/internal/rehearsal/replay"
+	"troutusher/internal/rehearsal/report"
+	"troutusher/internal/rehearsal/scenario"
 	"troutusher/internal/relay"
+	"troutusher/policy"
 )
 
 // relayEnv makes the test's own program the relay that is rehearsed with.
@@ -84,7 +84,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if err := recording.Save(rec, s.Plan(1), recording.Environment{}); err != nil {
+	if err := replay.Save(rec, s.Plan(1), replay.Environment{}); err != nil {
 		t.Fatal(err)
 	}
 	text, err := os.ReadFile(rec)
@@ -96,9 +96,9 @@
 	logs := filepath.Dir(write(t, "n1.log", "time=2026-05-01T18:00:00Z level=INFO msg=ready log=none\n"+
 		"time=2026-05-01T18:00:01Z level=INFO msg=taken message=m1 left_ms=900\ntime=2026-05-01T18:00:09Z level=INFO msg=tally second=9\n"))
 	state := t.TempDir()
-	if _, err := learned.NewStore(state, "n7", 3<<20).Write(&learned.File{WrittenAt: 1777658400e6, State: &core.StateSnapshot{Now: 9e6, Revision: 41,
+	if _, err := policystate.NewStore(state, "n7", 3<<20).Write(&policystate.File{WrittenAt: 1777658400e6, State: &core.StateSnapshot{Now: 9e6, Revision: 41,
 		Members: []core.HandoverMember{{Member: core.Member{ID: "s-1", Dest: 4, Phase: core.Up}, Number: 3}}, RetryAfters: []core.HandoverRetryAfter{{Dest: 4, Until: 14e6}},
-		Policy: &decide.Snapshot{Now: 9e6, Limiters: []decide.LimiterSnapshot{{Destination: 4, Endpoints: []decide.EndpointSnapshot{{ID: 3, Unhealthy: true, FirstFailureAt: 7e6}}}}}}}); err != nil {
+		Policy: &policy.Snapshot{Now: 9e6, Limiters: []policy.LimiterSnapshot{{Destination: 4, Endpoints: []policy.EndpointSnapshot{{ID: 3, Unhealthy: true, FirstFailureAt: 7e6}}}}}}}); err != nil {
 		t.Fatal(err)
 	}
 	for _, c := range []struct {
--- a/cmd/troutusher-kit/learned.go
+++ b/cmd/troutusher-kit/learned.go
@@ -9,8 +9,8 @@
 	"text/tabwriter"
 	"time"
 
-	"troutusher/decide"
-	"troutusher/internal/learned"
+	"troutusher/internal/policystate"
+	"troutusher/policy"
 )
 
 // learnedCommand is "troutusher learned": what a relay keeps of its destinations.
@@ -25,27 +25,27 @@
 func (c *learnedInspect) Run(out io.Writer) error {
 	path := c.Path
 	if st, err := os.Stat(path); err == nil && st.IsDir() {
-		path = filepath.Join(path, learned.FileName)
+		path = filepath.Join(path, policystate.FileName)
 	}
 	b, err := os.ReadFile(path)
 	if err != nil {
 		return err
 	}
-	f, err := learned.Decode(b)
+	f, err := policystate.Decode(b)
 	if err != nil {
 		return fmt.Errorf("%s: %w", path, err)
 	}
 	return writeLearned(out, f, len(b))
 }
 
-func writeLearned(out io.Writer, f *learned.File, size int) error {
+func writeLearned(out io.Writer, f *policystate.File, size int) error {
 	s := f.State
 	how := "while it ran"
 	if f.CleanShutdown {
 		how = "as it ended"
 	}
 	fmt.Fprintf(out, "relay %s, written %s %s, %d bytes; list %d\n\n", f.Relay, time.UnixMicro(f.WrittenAt).UTC().Format(time.RFC3339), how, size, s.Revision)
-	name := map[decide.EndpointID]string{}
+	name := map[policy.EndpointID]string{}
 	for i := range s.Members {
 		m := &s.Members[i]
 		name[m.Number] = m.ID
@@ -53,13 +53,13 @@
 			name[m.Number] += " (" + m.Phase + ")"
 		}
 	}
-	left := func(t decide.Time) string {
+	left := func(t policy.Time) string {
 		if t <= s.Now {
 			return "-"
 		}
 		return fmt.Sprintf("%.1f s", float64(t-s.Now)/1e6)
 	}
-	waits := map[int]decide.Time{}
+	waits := map[int]policy.Time{}
 	for _, w := range s.RetryAfters {
 		waits[w.Dest] = w.Until
 	}
--- a/cmd/troutusher-kit/publish.go
+++ b/cmd/troutusher-kit/publish.go
@@ -13,7 +13,7 @@
 
 	"go.etcd.io/etcd/api/v3/etcdserverpb"
 
-	"troutusher/internal/operator"
+	"troutusher/internal/operatorconfig"
 	"troutusher/internal/source/etcd/follow"
 	"troutusher/internal/source/etcd/publish"
 )
@@ -50,9 +50,9 @@
 
 // published connects to the cluster of the operator's file.
 func published(do func(context.Context, *publish.Publisher) error) error {
-	file, err := operator.Load(os.Getenv)
+	file, err := operatorconfig.Load(os.Getenv)
 	if err == nil && file == nil {
-		err = fmt.Errorf("%s: not set", operator.EnvVar)
+		err = fmt.Errorf("%s: not set", operatorconfig.EnvVar)
 	}
 	if err != nil {
 		return err
--- a/cmd/troutusher-kit/rehearse.go
+++ b/cmd/troutusher-kit/rehearse.go
@@ -14,11 +14,11 @@
 	"syscall"
 	"time"
 
-	"troutusher/internal/rehearse/recording"
-	"troutusher/internal/rehearse/report"
-	"troutusher/internal/rehearse/scenario"
-	"troutusher/internal/rehearse/stage"
-	"troutusher/internal/rehearse/trace"
+	"troutusher/internal/rehearsal/event"
+	"troutusher/internal/rehearsal/replay"
+	"troutusher/internal/rehearsal/report"
+	"troutusher/internal/rehearsal/runner"
+	"troutusher/internal/rehearsal/scenario"
 )
 
 const aboutRehearse = `Starts relays, stand-in partners, a stand-in for discovery and a load driver
@@ -100,7 +100,7 @@
 		}
 	}
 	if x.record != "" {
-		if err := recording.Save(x.record, plan, environment()); err != nil {
+		if err := replay.Save(x.record, plan, environment()); err != nil {
 			return bad(err)
 		}
 	}
@@ -128,7 +128,7 @@
 // plan finds what is to be played.
 func (x *rehearsal) plan(rest []string) (*scenario.Plan, error) {
 	if x.replay != "" {
-		p, _, err := recording.Load(x.replay)
+		p, _, err := replay.Load(x.replay)
 		if err != nil {
 			return nil, fmt.Errorf("%s: %w", x.replay, err)
 		}
@@ -155,8 +155,8 @@
 	return s.Plan(seed), nil
 }
 
-func environment() recording.Environment {
-	return recording.Environment{Release: release(), Go: runtime.Version(), System: runtime.GOOS + "/" + runtime.GOARCH, Cores: runtime.NumCPU()}
+func environment() replay.Environment {
+	return replay.Environment{Release: release(), Go: runtime.Version(), System: runtime.GOOS + "/" + runtime.GOARCH, Cores: runtime.NumCPU()}
 }
 
 // release names the program's version, or the commit that it was built from.
@@ -180,7 +180,7 @@
 // dir is the folder for the relays' files.
 func (x *rehearsal) dir() (string, func(), error) {
 	if x.keep == "" {
-		return stage.Dir()
+		return runner.Dir()
 	}
 	dir, err := filepath.Abs(x.keep)
 	if err == nil {
@@ -200,15 +200,15 @@
 		if err != nil {
 			return fail(err)
 		}
-		opt := stage.Options{Command: []string{x.relay}, Dir: dir}
+		opt := runner.Options{Command: []string{x.relay}, Dir: dir}
 		if x.keep != "" && x.repeat > 1 {
 			opt.Dir = filepath.Join(dir, fmt.Sprintf("run-%d", run+1))
 		}
 		live := !x.quiet && terminal(errs)
 		if live {
-			opt.Progress = func(p stage.Progress) { progress(errs, run, x.repeat, p) }
+			opt.Progress = func(p runner.Progress) { progress(errs, run, x.repeat, p) }
 		}
-		o, err := stage.Play(ctx, plan, opt)
+		o, err := runner.Play(ctx, plan, opt)
 		remove()
 		if live {
 			fmt.Fprint(errs, "\r\x1b[K")
@@ -234,7 +234,7 @@
 	return 0
 }
 
-func progress(w io.Writer, run, runs int, p stage.Progress) {
+func progress(w io.Writer, run, runs int, p runner.Progress) {
 	line := fmt.Sprintf("%5.1f of %.0f s, %d messages, %d open", p.At.Seconds(), p.Of.Seconds(), p.Begun, p.Open)
 	if runs > 1 {
 		line = fmt.Sprintf("run %d of %d: %s", run+1, runs, line)
@@ -279,27 +279,27 @@
 		return exitFailed
 	}
 	defer remove()
-	ready := func(h stage.Held) {
+	ready := func(h runner.Held) {
 		s := plan.Scenario
 		fmt.Fprintf(out, "%d partners with %d endpoints are up. Start a relay:\n\n    ROUTER_CONFIG=%s %s\n\nHand it a message:\n\n    %s put --to %s --class %s --portal %s --dest 1 hello\n\nInterrupt to end.\n",
 			len(plan.Specs), len(plan.Endpoints), h.Config, x.relay, x.relay, h.Listen, s.Classes[0].Name+keyFlag(&s.Classes[0]), s.Portals[0].Name)
 	}
 	began := time.Now()
-	say := func(e *trace.Event) {
+	say := func(e *event.Event) {
 		at := time.Since(began).Seconds()
 		name := func() string { return plan.Endpoints[e.Endpoint].Name }
 		switch e.Kind {
-		case trace.CallBegan:
+		case event.CallBegan:
 			fmt.Fprintf(out, "%8.3f s  message %s: call to %s\n", at, e.ID, name())
-		case trace.Ran:
+		case event.Ran:
 			fmt.Fprintf(out, "%8.3f s  message %s: took effect at %s\n", at, e.ID, name())
-		case trace.CallEnded:
+		case event.CallEnded:
 			fmt.Fprintf(out, "%8.3f s  message %s: %s answered %d\n", at, e.ID, name(), e.Status)
-		case trace.Noticed:
-			fmt.Fprintf(out, "%8.3f s  message %s: notice, %s\n", at, e.ID, map[int]string{trace.NoticeGivenUp: "given up", trace.NoticeHandedBack: "handed back"}[e.Status])
+		case event.Noticed:
+			fmt.Fprintf(out, "%8.3f s  message %s: notice, %s\n", at, e.ID, map[int]string{event.NoticeGivenUp: "given up", event.NoticeHandedBack: "handed back"}[e.Status])
 		}
 	}
-	if err := stage.Hold(ctx, plan, dir, ready, say); err != nil {
+	if err := runner.Hold(ctx, plan, dir, ready, say); err != nil {
 		fmt.Fprintf(errs, "troutusher rehearse: %v\n", err)
 		return exitFailed
 	}
--- a/cmd/troutusher-kit/tls.go
+++ b/cmd/troutusher-kit/tls.go
@@ -16,10 +16,10 @@
 
 	"github.com/alecthomas/kong"
 
-	"troutusher/internal/devca"
-	"troutusher/internal/keys"
-	"troutusher/internal/operator"
-	"troutusher/internal/secure"
+	"troutusher/internal/certstore"
+	"troutusher/internal/operatorconfig"
+	"troutusher/internal/testca"
+	"troutusher/internal/tlsdial"
 	"troutusher/internal/tlspolicy"
 )
 
@@ -71,12 +71,12 @@
 	return exitFailed
 }
 
-func readOperator(path string) (*operator.File, error) {
+func readOperator(path string) (*operatorconfig.File, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
 		return nil, errBad{err}
 	}
-	f, err := operator.Parse(path, text)
+	f, err := operatorconfig.Parse(path, text)
 	if err != nil {
 		return nil, errBad{err}
 	}
@@ -95,7 +95,7 @@
 	}
 	var all []error
 	for i := range f.TLSRules {
-		if _, err := keys.Load(f.TLSRules[i].Files(), time.Now()); err != nil {
+		if _, err := certstore.Load(f.TLSRules[i].Files(), time.Now()); err != nil {
 			all = append(all, fmt.Errorf("%s: rule %s: %w", c.File, f.TLSRules[i].Name, err))
 		}
 	}
@@ -119,7 +119,7 @@
 	now := time.Now()
 	for i := range f.TLSRules {
 		x := &f.TLSRules[i]
-		set, err := keys.Load(x.Files(), now)
+		set, err := certstore.Load(x.Files(), now)
 		if err != nil {
 			return errBad{fmt.Errorf("%s: rule %s: %w", c.File, x.Name, err)}
 		}
@@ -161,8 +161,8 @@
 	if _, _, err := net.SplitHostPort(c.Addr); err != nil {
 		return errBad{fmt.Errorf("address: %w", err)}
 	}
-	f.Handshakes = operator.Handshakes{CPUShare: 1, BurstMS: 1000, TimeoutS: min(max(c.Timeout.Seconds(), 0.1), 30)}
-	p, err := secure.New(secure.Options{Rules: f.TLSRules, Handshakes: f.Handshakes, Log: slog.New(slog.DiscardHandler), OnRejected: func(uint64, time.Duration) {}})
+	f.Handshakes = operatorconfig.Handshakes{CPUShare: 1, BurstMS: 1000, TimeoutS: min(max(c.Timeout.Seconds(), 0.1), 30)}
+	p, err := tlsdial.New(tlsdial.Options{Rules: f.TLSRules, Handshakes: f.Handshakes, Log: slog.New(slog.DiscardHandler), OnRejected: func(uint64, time.Duration) {}})
 	if err != nil {
 		return errBad{err}
 	}
@@ -179,7 +179,7 @@
 	return nil
 }
 
-func (c *tlsProbe) shake(out printer, peer *secure.Endpoint, what string) error {
+func (c *tlsProbe) shake(out printer, peer *tlsdial.Endpoint, what string) error {
 	ctx, cancel := context.WithTimeout(context.Background(), c.Timeout)
 	defer cancel()
 	turn, _, err := peer.Acquire(false, false)
@@ -237,12 +237,12 @@
 	if _, err := os.Stat(filepath.Join(c.Dir, "root.pem")); err == nil {
 		return errBad{fmt.Errorf("%s: an authority is there already", c.Dir)}
 	}
-	valid := devca.WithValidity(time.Now().Add(-time.Hour), time.Now().Add(time.Duration(c.Days)*24*time.Hour))
-	key, err := devca.NewKey(devca.KeyKind(c.Key))
+	valid := testca.WithValidity(time.Now().Add(-time.Hour), time.Now().Add(time.Duration(c.Days)*24*time.Hour))
+	key, err := testca.NewKey(testca.KeyKind(c.Key))
 	if err != nil {
 		return errBad{err}
 	}
-	root, err := devca.Issue(nil, "troutusher dev-ca", key, devca.AsAuthority, valid)
+	root, err := testca.Issue(nil, "troutusher dev-ca", key, testca.AsAuthority, valid)
 	if err != nil {
 		return err
 	}
@@ -252,11 +252,11 @@
 	}
 	out.line("%s: pin %s; its private key is not kept", path, tlspolicy.PinOf(root.Certificate))
 	for _, name := range c.Names {
-		key, err := devca.NewKey(devca.KeyKind(c.Key))
+		key, err := testca.NewKey(testca.KeyKind(c.Key))
 		if err != nil {
 			return err
 		}
-		m, err := devca.Issue(root, name, key, devca.WithNames(name), valid)
+		m, err := testca.Issue(root, name, key, testca.WithNames(name), valid)
 		if err != nil {
 			return err
 		}
--- a/internal/keys/store.go
+++ b/internal/certstore/store.go
@@ -1,10 +1,10 @@
-// Package keys holds the certificates, private keys, roots and revocation lists of a site, as its
+// Package certstore holds the certificates, private keys, roots and revocation lists of a site, as its
 // files have them: loaded whole or not at all, looked at again while the relay
 // serves, the last good ones kept when the new ones are bad.
 //
 // It owns the files' rules. It must never put a secret into an error or a log,
 // decide whom to trust, or let a half replaced pair be seen.
-package keys
+package certstore
 
 import (
 	"crypto/sha256"
--- a/internal/keys/store_test.go
+++ b/internal/certstore/store_test.go
@@ -1,4 +1,4 @@
-package keys
+package certstore
 
 import (
 	"bytes"
@@ -12,20 +12,20 @@
 	"testing"
 	"time"
 
-	"troutusher/internal/devca"
+	"troutusher/internal/testca"
 )
 
 var noon = time.Date(2026, 6, 7, 12, 0, 0, 0, time.UTC)
 
-type issuedCert = devca.Issued
+type issuedCert = testca.Issued
 
 func issue(t testing.TB, up *issuedCert, ca bool, from, to time.Duration) *issuedCert {
 	t.Helper()
-	changes := []func(*x509.Certificate){devca.WithValidity(noon.Add(from), noon.Add(to))}
+	changes := []func(*x509.Certificate){testca.WithValidity(noon.Add(from), noon.Add(to))}
 	if ca {
-		changes = append(changes, devca.AsAuthority)
+		changes = append(changes, testca.AsAuthority)
 	}
-	m, err := devca.Issue(up, "c", nil, changes...)
+	m, err := testca.Issue(up, "c", nil, changes...)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/keys/stored_test.go
+++ b/internal/certstore/stored_test.go
@@ -1,4 +1,4 @@
-package keys
+package certstore
 
 import (
 	"encoding/hex"
--- a/internal/places/fixture_test.go
+++ b/internal/connlimit/fixture_test.go
@@ -1,4 +1,4 @@
-package places
+package connlimit
 
 import (
 	"fmt"
--- a/internal/places/limiter.go
+++ b/internal/connlimit/limiter.go
@@ -1,4 +1,4 @@
-// Package places decides who holds a place: which connection of a client is
+// Package connlimit decides who holds a place: which connection of a client is
 // accepted, left in the listen queue or turned away, and which one is closed
 // for another, or because its time is over.
 //
@@ -10,12 +10,12 @@
 //
 // Every order names the rule that allows it; docs/design/connections.md says
 // where each rule comes from.
-package places
+package connlimit
 
 import (
 	"fmt"
 
-	"troutusher/internal/wheel"
+	"troutusher/internal/timerwheel"
 )
 
 // Time is a moment or a span in microseconds, of whatever clock the driver has.
@@ -200,7 +200,7 @@
 	shuttingDown      bool
 	queueBlockedSince Time // since when the listen queue stands; 0 for not
 	admitAfter        Time // no accept before this
-	timers            *wheel.Wheel
+	timers            *timerwheel.Wheel
 	closeActions      []CloseAction
 	expired           []uint32
 	closedByReason    [closeReasonCount]uint64
@@ -211,7 +211,7 @@
 	if err := l.Validate(); err != nil {
 		return nil, err
 	}
-	b := &Limiter{limits: l, timers: wheel.New(l.TimerTick, now)}
+	b := &Limiter{limits: l, timers: timerwheel.New(l.TimerTick, now)}
 	for i := range b.byState {
 		b.byState[i] = slotList{first: -1, last: -1}
 	}
--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -16,27 +16,27 @@
 	"log/slog"
 	"slices"
 
-	"troutusher/decide"
-	"troutusher/internal/dormant"
-	"troutusher/internal/story"
-	"troutusher/internal/tally"
+	"troutusher/internal/idlestore"
+	"troutusher/internal/metrics"
+	"troutusher/internal/msgtrace"
+	"troutusher/policy"
 )
 
 // Figures of a planned end. A relay has 3.7 s from SIGTERM until it is killed.
 const (
-	CloseListenerAfter          = decide.Time(1000e3) // new connections still come for a while
-	CloseClientsAfter           = decide.Time(1600e3) // clients keep their connections until then at the latest
-	stopAcceptingAfter          = decide.Time(2100e3) // what still comes on them is taken on if it can go out at once
-	stopNonIdempotentSendsAfter = decide.Time(1600e3) // no unsafe call begins after this: cut short, it would be lost
-	StopSendsAfter              = decide.Time(2400e3) // no call at all
-	AbandonCallsAfter           = decide.Time(3300e3) // what is out by then stays open in the log
+	CloseListenerAfter          = policy.Time(1000e3) // new connections still come for a while
+	CloseClientsAfter           = policy.Time(1600e3) // clients keep their connections until then at the latest
+	stopAcceptingAfter          = policy.Time(2100e3) // what still comes on them is taken on if it can go out at once
+	stopNonIdempotentSendsAfter = policy.Time(1600e3) // no unsafe call begins after this: cut short, it would be lost
+	StopSendsAfter              = policy.Time(2400e3) // no call at all
+	AbandonCallsAfter           = policy.Time(3300e3) // what is out by then stays open in the log
 	shutdownRetryMS             = 400                 // ms after which a client may come again, to another relay
-	forgetRetiredAfter          = decide.Time(10e6)   // how long an endpoint that left is remembered
+	forgetRetiredAfter          = policy.Time(10e6)   // how long an endpoint that left is remembered
 )
 
 // Settings are what a core is told at its start.
 type Settings struct {
-	Policy  decide.Settings
+	Policy  policy.Settings
 	Seed    uint64
 	Epoch   int64 // Unix microseconds at moment 0 of its clock
 	Zones   map[string]int
@@ -46,7 +46,7 @@
 	// TracesPerSecond is how many messages a second the log tells of from their hand-in on.
 	TracesPerSecond int
 	// Passivation says which destinations rest; the zero value is for none.
-	Passivation dormant.Limits
+	Passivation idlestore.Limits
 	// ConnectionCost is what a connection to a destination of a flavour takes there,
 	// in calls; nil where that costs nothing anywhere. It must not change.
 	ConnectionCost func(dest int, flavor string) float64
@@ -57,16 +57,16 @@
 	Record *Record
 	Class  int
 	Tenant int
-	Queued decide.Time // how long it may have stood unread; its deadline counts from before
+	Queued policy.Time // how long it may have stood unread; its deadline counts from before
 	Handle any         // the driver's
 }
 
 // Call is one attempt of a message. The driver makes it once it is logged.
 type Call struct {
 	Record     *Record // of its message
-	Endpoint   decide.EndpointID
-	Timeout    decide.Time // how long it may take
-	SendBy     decide.Time // its last byte goes out by then or never; 0 for any time
+	Endpoint   policy.EndpointID
+	Timeout    policy.Time // how long it may take
+	SendBy     policy.Time // its last byte goes out by then or never; 0 for any time
 	WarmingUp  bool        // at an endpoint where one connection is opened at a time
 	MayConnect bool        // one is paid for; at a cold endpoint none else is opened
 	Handle     any         // the driver's
@@ -75,28 +75,28 @@
 	endpoint         *endpoint
 	independentRoute bool // its endpoint is a route of its own
 	attempt          int
-	sentAt           decide.Time
+	sentAt           policy.Time
 }
 
 // SentAt is when the call was begun.
-func (c *Call) SentAt() decide.Time { return c.sentAt }
+func (c *Call) SentAt() policy.Time { return c.sentAt }
 
 // Result is what became of a call or a probe.
 type Result struct {
-	Outcome           decide.Outcome
-	RetryAfter        decide.Time
+	Outcome           policy.Outcome
+	RetryAfter        policy.Time
 	SlotsExhausted    bool // not sent, since all slots were taken
 	Final             bool // the message is over
 	ConnectionsOpened int  // connections that were opened for it
-	Elapsed           decide.Time
-	Load              decide.LoadReport
+	Elapsed           policy.Time
+	Load              policy.LoadReport
 	Status            int
 	Malformed         bool // an answer came and cannot be believed
 	Err               error
 }
 
 // neverLeft reports whether an attempt never left the relay: nobody was asked.
-func (o *Result) neverLeft() bool { return o.Outcome == decide.NotSent && o.Status == 0 }
+func (o *Result) neverLeft() bool { return o.Outcome == policy.NotSent && o.Status == 0 }
 
 // EventKind is what happened.
 type EventKind uint8
@@ -121,10 +121,10 @@
 	Request  *Request
 	OK       bool
 	List     *EndpointList
-	News     decide.ListUpdateKind
+	News     policy.ListUpdateKind
 	Call     *Call
-	Endpoint decide.EndpointID
-	Wait     decide.Time
+	Endpoint policy.EndpointID
+	Wait     policy.Time
 	Result   *Result
 }
 
@@ -169,12 +169,12 @@
 	Record   *Record
 	Call     *Call
 	Notice   Notice
-	Endpoint decide.EndpointID
+	Endpoint policy.EndpointID
 	Address  string
 	Dest     int
 	Flavor   string
 	Apart    bool // a wait of the endpoint binds it alone
-	Until    decide.Time
+	Until    policy.Time
 	Level    slog.Level
 	Text     string
 	Args     []any
@@ -185,14 +185,14 @@
 type message struct {
 	number        uint32
 	record        *Record
-	receivedAt    decide.Time
+	receivedAt    policy.Time
 	request       *Request // until it is answered
 	acknowledged  bool     // its client knows that it is taken on
 	logged        bool     // the log has it, or will
 	finished      bool     // the policy has ended it, or was told so
 	attempts      int
 	traced        bool           // the log tells of it from its hand-in on
-	pendingSend   *decide.Action // a send that waits for the client to have heard
+	pendingSend   *policy.Action // a send that waits for the client to have heard
 	pendingEnding *Record        // its end, likewise
 	recoveryState recoveryState
 	call          *Call
@@ -201,7 +201,7 @@
 // endpoint is one address of a destination.
 type endpoint struct {
 	id          string
-	number      decide.EndpointID
+	number      policy.EndpointID
 	dest        int
 	zone        int
 	hostPort    string
@@ -210,20 +210,20 @@
 	member      Member // as the list last had it
 	listed      bool   // the list holds it, draining maybe
 	retired     bool   // drained or removed: nothing new goes there
-	retiredAt   decide.Time
-	retryAfter  decide.Time // told to wait, where it is a route of its own
-	lastReplyAt decide.Time // when it last answered at all
+	retiredAt   policy.Time
+	retryAfter  policy.Time // told to wait, where it is a route of its own
+	lastReplyAt policy.Time // when it last answered at all
 	calls       []*Call
 }
 
 // suspectsIdleConnections books how a call went and reports whether the endpoint's idle
 // connections are to be given up. After a machine was silent or died, each of
 // them would hang or be reset under a call that may then have run.
-func (ep *endpoint) suspectsIdleConnections(o *Result, now decide.Time) bool {
+func (ep *endpoint) suspectsIdleConnections(o *Result, now policy.Time) bool {
 	switch o.Outcome {
-	case decide.ConnectionReset, decide.ConnectFailed:
+	case policy.ConnectionReset, policy.ConnectFailed:
 		return true
-	case decide.TimedOut, decide.Cancelled:
+	case policy.TimedOut, policy.Cancelled:
 		return ep.lastReplyAt < now-o.Elapsed // others that were sent later were answered: one slow call
 	}
 	if o.Status != 0 || o.Malformed {
@@ -235,28 +235,28 @@
 // Core is one relay.
 type Core struct {
 	settings             Settings
-	policy               *decide.Engine
-	now                  decide.Time
+	policy               *policy.Engine
+	now                  policy.Time
 	lastMessageNumber    uint32
-	lastEndpointNumber   decide.EndpointID
+	lastEndpointNumber   policy.EndpointID
 	messages             map[uint32]*message
 	messagesByID         map[string]*message
 	unanswered           map[*Request]*message // whose clients have no answer yet
 	endpoints            []*endpoint           // in the order in which they came
 	endpointsByID        map[string]*endpoint
-	endpointsByNumber    map[decide.EndpointID]*endpoint
+	endpointsByNumber    map[policy.EndpointID]*endpoint
 	knownDestinations    map[int]bool        // destinations that a list has named
-	retryAfter           map[int]decide.Time // ends of the waits that destinations have told
+	retryAfter           map[int]policy.Time // ends of the waits that destinations have told
 	passivation          passivationState
 	listUpdate           *listUpdate // a list of which a part is not booked yet
 	listBatchSize        int         // members of it that are booked in one step
-	policyEvents         []decide.Event
-	actions              []decide.Action
+	policyEvents         []policy.Event
+	actions              []policy.Action
 	deferredEvents       []Event // for the next step
 	timers               timers
 	classCounts          []ClassCounts // of each class
-	metrics              *tally.Recorder
-	traceSampler         *story.Sampler
+	metrics              *metrics.Recorder
+	traceSampler         *msgtrace.Sampler
 	heldMessages         int
 	openCalls            int
 	listRevision         int64               // of the list
@@ -264,22 +264,22 @@
 	completedCalls       uint64              // calls that have ended
 	handingOver          bool                // no new call is begun
 	sendsDeferred        bool                // likewise, since the list may be old
-	deferredHealthChecks []decide.EndpointID // asked for meanwhile
+	deferredHealthChecks []policy.EndpointID // asked for meanwhile
 	shuttingDown         bool
-	shutdownAt           decide.Time
+	shutdownAt           policy.Time
 	effects              []Effect
 }
 
 // New makes a core that holds nothing.
 func New(s Settings) (*Core, error) {
-	policy, err := decide.New(s.Policy, s.Seed)
+	engine, err := policy.New(s.Policy, s.Seed)
 	if err != nil {
 		return nil, err
 	}
-	return &Core{settings: s, policy: policy, messages: map[uint32]*message{}, messagesByID: map[string]*message{}, unanswered: map[*Request]*message{},
-		endpointsByID: map[string]*endpoint{}, endpointsByNumber: map[decide.EndpointID]*endpoint{}, knownDestinations: map[int]bool{}, retryAfter: map[int]decide.Time{},
-		classCounts: make([]ClassCounts, len(s.Policy.Classes)), metrics: tally.NewRecorder(), traceSampler: story.NewSampler(s.TracesPerSecond),
-		listBatchSize: defaultListBatchSize, passivation: passivationState{roster: dormant.NewActiveSet(s.Passivation), ejectedWhilePassive: map[int]bool{}}}, nil
+	return &Core{settings: s, policy: engine, messages: map[uint32]*message{}, messagesByID: map[string]*message{}, unanswered: map[*Request]*message{},
+		endpointsByID: map[string]*endpoint{}, endpointsByNumber: map[policy.EndpointID]*endpoint{}, knownDestinations: map[int]bool{}, retryAfter: map[int]policy.Time{},
+		classCounts: make([]ClassCounts, len(s.Policy.Classes)), metrics: metrics.NewRecorder(), traceSampler: msgtrace.NewSampler(s.TracesPerSecond),
+		listBatchSize: defaultListBatchSize, passivation: passivationState{roster: idlestore.NewActiveSet(s.Passivation), ejectedWhilePassive: map[int]bool{}}}, nil
 }
 
 // ClassCounts are how many messages of a class ended in each way: delivered; refused
@@ -322,7 +322,7 @@
 func countFailed(e *ClassCounts)    { e.Failed++ }
 
 // NextWakeup is the moment at which to step though nothing happens; 0 for none.
-func (r *Core) NextWakeup() decide.Time { return r.timers.next() }
+func (r *Core) NextWakeup() policy.Time { return r.timers.next() }
 
 // HeldMessages is how many messages are held.
 func (r *Core) HeldMessages() int { return r.heldMessages }
@@ -345,13 +345,13 @@
 }
 
 // ShuttingDown tells whether it is to end, and for how long.
-func (r *Core) ShuttingDown(now decide.Time) (decide.Time, bool) {
+func (r *Core) ShuttingDown(now policy.Time) (policy.Time, bool) {
 	return now - r.shutdownAt, r.shuttingDown
 }
 
-func (r *Core) wall(t decide.Time) int64 { return r.settings.Epoch + t }
+func (r *Core) wall(t policy.Time) int64 { return r.settings.Epoch + t }
 
-func (r *Core) fromWall(us int64) decide.Time { return us - r.settings.Epoch }
+func (r *Core) fromWall(us int64) policy.Time { return us - r.settings.Epoch }
 
 func (r *Core) emit(e Effect) { r.effects = append(r.effects, e) }
 
@@ -367,7 +367,7 @@
 
 // Observe takes what happened without letting the policy decide on it yet, and
 // appends what follows at once to fx.
-func (r *Core) Observe(now decide.Time, events []Event, fx []Effect) []Effect {
+func (r *Core) Observe(now policy.Time, events []Event, fx []Effect) []Effect {
 	r.now, r.effects = max(now, r.now), fx
 	later := r.deferredEvents
 	r.deferredEvents = nil
@@ -388,20 +388,20 @@
 
 // Step takes what happened by now, lets the policy decide, and appends what is
 // to be done to fx, in order.
-func (r *Core) Step(now decide.Time, events []Event, fx []Effect) []Effect {
+func (r *Core) Step(now policy.Time, events []Event, fx []Effect) []Effect {
 	r.effects = r.Observe(now, events, fx)
 	if r.listUpdate != nil && r.applyListBatch(r.listBatchSize) {
 		r.emit(Effect{Kind: StepAgain})
 	}
 	if r.timers.due(r.now) {
-		r.policyEvents = append(r.policyEvents, decide.Event{Kind: decide.EvTimer})
+		r.policyEvents = append(r.policyEvents, policy.Event{Kind: policy.EvTimer})
 	}
 	if len(r.policyEvents) > 0 {
 		r.runPolicy()
 	}
 	r.passivateIdle()
 	if args := r.metrics.Flush(r.wall(r.now)); args != nil {
-		r.log(slog.LevelInfo, tally.LogText, args...)
+		r.log(slog.LevelInfo, metrics.LogText, args...)
 	}
 	return r.takeEffects()
 }
@@ -409,7 +409,7 @@
 // RecoverMessages takes up what an earlier process left owed, oldest first, and what it
 // handed over beside the log, if it could: its moments lie shift later on this
 // core's clock.
-func (r *Core) RecoverMessages(now decide.Time, owed []*Record, carried *HandoverState, shift decide.Time, fx []Effect) []Effect {
+func (r *Core) RecoverMessages(now policy.Time, owed []*Record, carried *HandoverState, shift policy.Time, fx []Effect) []Effect {
 	r.now, r.effects = max(now, r.now), fx
 	r.finishListUpdate()
 	var calls map[string]*HandoverCall
@@ -431,11 +431,11 @@
 		if !ok { // the settings have changed: nothing is promised of its effect
 			m.finished = true
 			r.removeMessage(m)
-			r.countRecoveredUnsent(m, NoticeGivenUp, decide.UnknownClass.String())
+			r.countRecoveredUnsent(m, NoticeGivenUp, policy.UnknownClass.String())
 			r.appendEnding(m, NoticeGivenUp, 0) // and it counts nowhere else: its class has no figure
 			continue
 		}
-		e := decide.Event{Kind: decide.EvMessageSubmitted, Message: m.number, Class: class, Destination: rec.Dest, Tenant: -1,
+		e := policy.Event{Kind: policy.EvMessageSubmitted, Message: m.number, Class: class, Destination: rec.Dest, Tenant: -1,
 			TimeLeft: r.fromWall(rec.Deadline) - r.now, Attempts: rec.Attempts, FirstUncertainZone: rec.FirstUncertainZone,
 			Recovered: carried == nil}
 		r.activate(rec.Dest)
@@ -453,8 +453,8 @@
 			r.resumeCall(m, k, shift, &e)
 		}
 		r.policyEvents = append(r.policyEvents, e)
-		r.metrics.Add(rec.Dest, tally.Recovered, 1)
-		r.log(slog.LevelInfo, story.Recovered, "message", rec.ID, "class", rec.Class, "tries", rec.Attempts,
+		r.metrics.Add(rec.Dest, metrics.Recovered, 1)
+		r.log(slog.LevelInfo, msgtrace.Recovered, "message", rec.ID, "class", rec.Class, "tries", rec.Attempts,
 			"may_have_run", rec.FirstUncertainAt != 0, "left_ms", e.TimeLeft/1000)
 	}
 	return r.takeEffects()
@@ -479,7 +479,7 @@
 		return false
 	}
 	last := StopSendsAfter
-	if i, ok := r.settings.Classes[m.record.Class]; ok && r.settings.Policy.Classes[i].Idempotency == decide.NonIdempotent {
+	if i, ok := r.settings.Classes[m.record.Class]; ok && r.settings.Policy.Classes[i].Idempotency == policy.NonIdempotent {
 		last = stopNonIdempotentSendsAfter
 	}
 	return r.now-r.shutdownAt >= last
@@ -504,18 +504,18 @@
 	case AttemptFinished:
 		r.finishAttempt(e.Call, e.Result, true)
 	case AttemptNotLogged:
-		r.finishAttempt(e.Call, &Result{Outcome: decide.NotSent, Err: errNotLogged}, false)
+		r.finishAttempt(e.Call, &Result{Outcome: policy.NotSent, Err: errNotLogged}, false)
 	case HealthChecked:
-		r.policyEvents = append(r.policyEvents, decide.Event{Kind: decide.EvHealthChecked, Endpoint: e.Endpoint,
+		r.policyEvents = append(r.policyEvents, policy.Event{Kind: policy.EvHealthChecked, Endpoint: e.Endpoint,
 			Outcome: e.Result.Outcome, Latency: e.Result.Elapsed, Load: e.Result.Load})
 	case IdentityRejected:
-		r.policyEvents = append(r.policyEvents, decide.Event{Kind: decide.EvIdentityRejected, Endpoint: e.Endpoint, RetryAfter: e.Wait})
+		r.policyEvents = append(r.policyEvents, policy.Event{Kind: policy.EvIdentityRejected, Endpoint: e.Endpoint, RetryAfter: e.Wait})
 	case Started:
 		r.start()
 	case ShutdownRequested:
 		if !r.shuttingDown {
 			r.shuttingDown, r.shutdownAt = true, r.now
-			r.log(slog.LevelInfo, story.Stopping, "held", r.heldMessages, "calls", r.openCalls)
+			r.log(slog.LevelInfo, msgtrace.Stopping, "held", r.heldMessages, "calls", r.openCalls)
 		}
 	}
 }
@@ -525,11 +525,11 @@
 // submit shows a message to the policy. Whether it is taken on shows in the
 // step: what the policy ends there is refused with no further ado.
 func (r *Core) submit(q *Request) {
-	r.metrics.Add(q.Record.Dest, tally.Submitted, 1)
+	r.metrics.Add(q.Record.Dest, metrics.Submitted, 1)
 	switch old := r.messagesByID[q.Record.ID]; {
 	case r.shuttingDown && !r.acceptsDuringShutdown(q):
 		r.countOutcome(q.Record.Class, countDeferred)
-		r.metrics.Add(q.Record.Dest, tally.HandedBackPrefix+"stopping", 1)
+		r.metrics.Add(q.Record.Dest, metrics.HandedBackPrefix+"stopping", 1)
 		r.reply(q, Reply{RetryAfterMS: shutdownRetryMS})
 		return
 	case old != nil && old.acknowledged: // it is ours already
@@ -546,7 +546,7 @@
 		return
 	case r.settings.Policy.MaxPending > 0 && r.heldMessages >= r.settings.Policy.MaxPending:
 		r.countOutcome(q.Record.Class, countDeferred)
-		r.metrics.Add(q.Record.Dest, tally.HandedBackPrefix+"most_held", 1)
+		r.metrics.Add(q.Record.Dest, metrics.HandedBackPrefix+"most_held", 1)
 		r.reply(q, Reply{})
 		return
 	}
@@ -555,10 +555,10 @@
 	m := r.addMessage(q.Record)
 	m.request = q
 	if m.traced = r.traceSampler.Sample(r.wall(r.now)); !m.traced {
-		r.metrics.Add(q.Record.Dest, tally.Untraced, 1)
+		r.metrics.Add(q.Record.Dest, metrics.Untraced, 1)
 	}
 	r.unanswered[q] = m
-	r.policyEvents = append(r.policyEvents, decide.Event{Kind: decide.EvMessageSubmitted, Message: m.number, Class: q.Class,
+	r.policyEvents = append(r.policyEvents, policy.Event{Kind: policy.EvMessageSubmitted, Message: m.number, Class: q.Class,
 		Destination: q.Record.Dest, Tenant: q.Tenant, TimeLeft: r.fromWall(q.Record.Deadline) - r.now})
 }
 
@@ -568,7 +568,7 @@
 // better handed in elsewhere.
 func (r *Core) acceptsDuringShutdown(q *Request) bool {
 	last := stopAcceptingAfter
-	if r.settings.Policy.Classes[q.Class].Idempotency == decide.NonIdempotent {
+	if r.settings.Policy.Classes[q.Class].Idempotency == policy.NonIdempotent {
 		last = CloseClientsAfter
 	}
 	return r.now-r.shutdownAt < last && !r.hasBacklog()
@@ -581,7 +581,7 @@
 // KeepsClientConnections reports whether a relay that ends has use for its clients'
 // connections: one that would refuse what comes on them is better without, since
 // a client comes again on the connection that it has.
-func (r *Core) KeepsClientConnections(now decide.Time) bool {
+func (r *Core) KeepsClientConnections(now policy.Time) bool {
 	return now-r.shutdownAt < CloseClientsAfter && !r.hasBacklog()
 }
 
@@ -593,12 +593,12 @@
 	}
 	delete(r.unanswered, q)
 	if !ok {
-		r.trace(m, story.Withdrawn, "waited_ms", q.Queued/1000, "answer_ms", (r.now-m.receivedAt)/1000)
+		r.trace(m, msgtrace.Withdrawn, "waited_ms", q.Queued/1000, "answer_ms", (r.now-m.receivedAt)/1000)
 		r.withdraw(m)
 		return
 	}
 	m.acknowledged = true
-	r.trace(m, story.Accepted, "left_ms", r.remainingMS(m), "waited_ms", q.Queued/1000, "answer_ms", (r.now-m.receivedAt)/1000)
+	r.trace(m, msgtrace.Accepted, "left_ms", r.remainingMS(m), "waited_ms", q.Queued/1000, "answer_ms", (r.now-m.receivedAt)/1000)
 	if a := m.pendingSend; a != nil && !r.mustDeferSend(m) {
 		m.pendingSend = nil
 		r.startAttempt(m, a)
@@ -628,7 +628,7 @@
 	if !m.finished {
 		m.finished = true
 		r.removeMessage(m)
-		r.policyEvents = append(r.policyEvents, decide.Event{Kind: decide.EvMessageWithdrawn, Message: m.number})
+		r.policyEvents = append(r.policyEvents, policy.Event{Kind: policy.EvMessageWithdrawn, Message: m.number})
 	}
 	if a := m.pendingSend; a != nil {
 		m.pendingSend = nil
@@ -645,7 +645,7 @@
 	}
 }
 
-func (r *Core) updateEndpoint(x *Member) decide.EndpointUpdate {
+func (r *Core) updateEndpoint(x *Member) policy.EndpointUpdate {
 	ep := r.endpointsByID[x.ID]
 	if ep == nil {
 		r.lastEndpointNumber++
@@ -669,8 +669,8 @@
 	if x.Phase != Removed {
 		r.knownDestinations[x.Dest] = true
 	}
-	entry := decide.EndpointUpdate{Endpoint: ep.number, Zone: indexOf(r.settings.Zones, x.Locality), Kind: indexOf(r.settings.Kinds, x.Flavor),
-		Destination: x.Dest, State: decide.Ready, Rate: x.Rate}
+	entry := policy.EndpointUpdate{Endpoint: ep.number, Zone: indexOf(r.settings.Zones, x.Locality), Kind: indexOf(r.settings.Kinds, x.Flavor),
+		Destination: x.Dest, State: policy.Ready, Rate: x.Rate}
 	if ep.zone = entry.Zone; r.settings.ConnectionCost != nil {
 		entry.ConnectCost = r.settings.ConnectionCost(x.Dest, x.Flavor)
 	}
@@ -681,10 +681,10 @@
 	case Up:
 		ep.retired = false
 	case Draining:
-		entry.State = decide.Draining
+		entry.State = policy.Draining
 		r.retireEndpoint(ep)
 	case Removed:
-		entry.State, entry.Destination = decide.Gone, ep.dest
+		entry.State, entry.Destination = policy.Gone, ep.dest
 		r.retireEndpoint(ep)
 	}
 	return entry
@@ -714,7 +714,7 @@
 	r.policyEvents = nil
 	fresh := make([]*message, 0, len(events))
 	for i := range events {
-		if events[i].Kind == decide.EvMessageSubmitted {
+		if events[i].Kind == policy.EvMessageSubmitted {
 			if m := r.messages[events[i].Message]; m != nil && m.request != nil {
 				fresh = append(fresh, m)
 			}
@@ -725,9 +725,9 @@
 	// log, so that no send comes before it.
 	for i := range r.actions {
 		switch a := &r.actions[i]; a.Kind {
-		case decide.ActReject:
+		case policy.ActReject:
 			r.endMessage(a, NoticeHandedBack)
-		case decide.ActFail:
+		case policy.ActFail:
 			r.endMessage(a, NoticeGivenUp)
 		}
 	}
@@ -735,7 +735,7 @@
 		if m.request != nil && !m.finished { // its client hears of it once it is logged
 			q := m.request
 			m.request, m.logged = nil, true
-			r.metrics.Add(m.record.Dest, tally.Accepted, 1)
+			r.metrics.Add(m.record.Dest, metrics.Accepted, 1)
 			r.emit(Effect{Kind: AppendThenReply, Record: m.record, Request: q})
 		}
 	}
@@ -745,7 +745,7 @@
 }
 
 // endMessage carries out a final answer.
-func (r *Core) endMessage(a *decide.Action, word string) {
+func (r *Core) endMessage(a *policy.Action, word string) {
 	m := r.messages[a.Message]
 	if m == nil || m.finished {
 		return
@@ -754,10 +754,10 @@
 	ms := (a.After + 999) / 1000
 	if word == NoticeHandedBack {
 		r.countOutcome(m.record.Class, countDeferred)
-		r.metrics.Add(m.record.Dest, tally.HandedBackPrefix+a.Reason.String(), 1)
+		r.metrics.Add(m.record.Dest, metrics.HandedBackPrefix+a.Reason.String(), 1)
 	} else {
 		r.countOutcome(m.record.Class, countFailed)
-		r.metrics.Add(m.record.Dest, tally.GivenUp, 1)
+		r.metrics.Add(m.record.Dest, metrics.GivenUp, 1)
 	}
 	if q := m.request; q != nil { // not taken on: the client hears it at once
 		m.request = nil
@@ -767,13 +767,13 @@
 		} else {
 			r.reply(q, Reply{Err: errors.New("given up")})
 		}
-		r.trace(m, story.Rejected, "outcome", word, "why", a.Reason.String(), "left_ms", r.remainingMS(m), "waited_ms", q.Queued/1000)
+		r.trace(m, msgtrace.Rejected, "outcome", word, "why", a.Reason.String(), "left_ms", r.remainingMS(m), "waited_ms", q.Queued/1000)
 		r.removeMessage(m)
 		return
 	}
 	r.removeMessage(m)
 	r.countRecoveredUnsent(m, word, a.Reason.String())
-	r.log(slog.LevelInfo, story.Ended, "message", m.record.ID, "class", m.record.Class, "dest", m.record.Dest, "outcome", word, "why", a.Reason.String(), "tries", m.attempts,
+	r.log(slog.LevelInfo, msgtrace.Ended, "message", m.record.ID, "class", m.record.Class, "dest", m.record.Dest, "outcome", word, "why", a.Reason.String(), "tries", m.attempts,
 		"left_ms", r.remainingMS(m))
 	if !m.acknowledged {
 		m.pendingEnding = &Record{Notice: word, RetryMS: ms}
@@ -791,9 +791,9 @@
 }
 
 // executeAction carries out what is no final answer.
-func (r *Core) executeAction(now decide.Time, a *decide.Action) {
+func (r *Core) executeAction(now policy.Time, a *policy.Action) {
 	switch a.Kind {
-	case decide.ActSend:
+	case policy.ActSend:
 		m := r.messages[a.Message]
 		if m == nil {
 			return
@@ -805,7 +805,7 @@
 		} else {
 			m.pendingSend = &c
 		}
-	case decide.ActCancel:
+	case policy.ActCancel:
 		if m := r.messages[a.Message]; m != nil && a.Attempt == m.attempts-1 {
 			switch {
 			case m.call != nil:
@@ -816,37 +816,37 @@
 				r.reportNotSent(m, ep)
 			}
 		}
-	case decide.ActTimer:
+	case policy.ActTimer:
 		r.timers.add(now + a.After)
-	case decide.ActHealthCheck:
+	case policy.ActHealthCheck:
 		if r.sendsDeferred {
 			r.deferredHealthChecks = append(r.deferredHealthChecks, a.Endpoint)
 		} else if ep := r.endpointsByNumber[a.Endpoint]; ep != nil && !ep.retired {
 			r.checkHealth(ep)
 		}
-	case decide.ActCloseIdle:
+	case policy.ActCloseIdle:
 		if ep := r.endpointsByNumber[a.Endpoint]; ep != nil && ep.open {
 			r.emit(Effect{Kind: CloseIdleConnections, Endpoint: a.Endpoint})
 		}
-	case decide.ActLog:
+	case policy.ActLog:
 		r.stateVersion++ // a verdict, or the end of one
 		r.log(slog.LevelInfo, "policy", "says", a.Text)
 	}
 }
 
 func (r *Core) checkHealth(ep *endpoint) {
-	r.metrics.Add(ep.dest, tally.HealthChecks, 1)
+	r.metrics.Add(ep.dest, metrics.HealthChecks, 1)
 	r.emit(Effect{Kind: CheckHealth, Endpoint: ep.number})
 }
 
 // reportNotSent tells the policy of an attempt that never left, in the next step.
-func (r *Core) reportNotSent(m *message, ep decide.EndpointID) {
+func (r *Core) reportNotSent(m *message, ep policy.EndpointID) {
 	r.deferredEvents = append(r.deferredEvents, Event{Kind: AttemptNotLogged, Call: &Call{Record: m.record, message: m, endpoint: r.endpointsByNumber[ep], attempt: m.attempts - 1}})
 	r.emit(Effect{Kind: StepAgain})
 }
 
 // startAttempt logs an attempt, which is then made.
-func (r *Core) startAttempt(m *message, a *decide.Action) {
+func (r *Core) startAttempt(m *message, a *policy.Action) {
 	ep := r.endpointsByNumber[a.Endpoint]
 	limit := a.TimeoutAt - r.now
 	if ep == nil || ep.retired || ep.dest != m.record.Dest || limit <= 0 || m.finished || a.LastByteBy > 0 && r.now > a.LastByteBy {
@@ -857,13 +857,13 @@
 	m.call = c
 	ep.calls = append(ep.calls, c)
 	r.openCalls++
-	r.metrics.Add(m.record.Dest, tally.Attempts, 1)
+	r.metrics.Add(m.record.Dest, metrics.Attempts, 1)
 	if ep.zone != r.settings.Policy.Zone {
-		r.metrics.Add(m.record.Dest, tally.CrossZoneAttempts, 1)
+		r.metrics.Add(m.record.Dest, metrics.CrossZoneAttempts, 1)
 	}
 	if m.attempts == 1 {
-		r.metrics.Add(m.record.Dest, tally.FirstAttempts, 1)
-		r.metrics.Add(m.record.Dest, tally.FirstAttemptDelayMS, (r.now-m.receivedAt)/1000)
+		r.metrics.Add(m.record.Dest, metrics.FirstAttempts, 1)
+		r.metrics.Add(m.record.Dest, metrics.FirstAttemptDelayMS, (r.now-m.receivedAt)/1000)
 	}
 	r.emit(Effect{Kind: AppendThenSend, Record: &Record{Kind: RecordAttempt, ID: m.record.ID, At: r.wall(r.now), Zone: ep.zone}, Call: c})
 }
@@ -878,7 +878,7 @@
 // moment, nor to the others of its destination where they are no routes apart.
 // That holds also if the endpoint has moved since, or leaves and comes back, and
 // never shortens.
-func (r *Core) recordRetryAfter(c *Call, until decide.Time) {
+func (r *Core) recordRetryAfter(c *Call, until policy.Time) {
 	if c.independentRoute {
 		c.endpoint.retryAfter = max(c.endpoint.retryAfter, until)
 	} else {
@@ -890,7 +890,7 @@
 }
 
 // retryAfterOf is the end of the wait that binds an endpoint.
-func (r *Core) retryAfterOf(ep *endpoint) decide.Time {
+func (r *Core) retryAfterOf(ep *endpoint) policy.Time {
 	if r.hasIndependentRoutes(ep.flavor) {
 		return ep.retryAfter
 	}
@@ -898,20 +898,20 @@
 }
 
 // outcomeMetrics are the outcomes in the tally's words.
-var outcomeMetrics = map[decide.Outcome]string{decide.Delivered: tally.Delivered, decide.Failed: tally.Failed, decide.Rejected: tally.Rejected,
-	decide.TimedOut: tally.TimedOut, decide.ConnectFailed: tally.ConnectFailed, decide.ConnectionReset: tally.ConnectionReset, decide.Cancelled: tally.Cancelled, decide.NotSent: tally.NotSent}
+var outcomeMetrics = map[policy.Outcome]string{policy.Delivered: metrics.Delivered, policy.Failed: metrics.Failed, policy.Rejected: metrics.Rejected,
+	policy.TimedOut: metrics.TimedOut, policy.ConnectFailed: metrics.ConnectFailed, policy.ConnectionReset: metrics.ConnectionReset, policy.Cancelled: metrics.Cancelled, policy.NotSent: metrics.NotSent}
 
 // finishAttempt books the end of an attempt.
 func (r *Core) finishAttempt(c *Call, o *Result, logged bool) {
 	m := c.message
-	if r.completedCalls++; o.Outcome != decide.Delivered && o.Outcome != decide.NotSent && o.Outcome != decide.Cancelled {
+	if r.completedCalls++; o.Outcome != policy.Delivered && o.Outcome != policy.NotSent && o.Outcome != policy.Cancelled {
 		r.stateVersion++
 	}
-	e := decide.Event{Kind: decide.EvAttemptEnded, Message: m.number, Attempt: c.attempt, Outcome: o.Outcome, RetryAfter: o.RetryAfter,
+	e := policy.Event{Kind: policy.EvAttemptEnded, Message: m.number, Attempt: c.attempt, Outcome: o.Outcome, RetryAfter: o.RetryAfter,
 		NoFreeSlot: o.SlotsExhausted, NotCounted: o.neverLeft(), ConnectionsOpened: o.ConnectionsOpened, MessageFinished: o.Final || m.finished, Latency: o.Elapsed, Load: o.Load}
 	if c.endpoint != nil {
 		e.Endpoint = c.endpoint.number
-		if o.RetryAfter > 0 && o.Outcome != decide.NotSent { // that one is of our own making
+		if o.RetryAfter > 0 && o.Outcome != policy.NotSent { // that one is of our own making
 			r.recordRetryAfter(c, r.now+o.RetryAfter)
 		}
 		c.endpoint.calls = slices.DeleteFunc(c.endpoint.calls, func(x *Call) bool { return x == c })
@@ -922,19 +922,19 @@
 	}
 	r.metrics.Add(m.record.Dest, outcomeMetrics[o.Outcome], 1)
 	r.countRecoveredAttempt(m, o.Outcome)
-	r.metrics.Add(m.record.Dest, tally.ConnectionsOpened, int64(o.ConnectionsOpened))
+	r.metrics.Add(m.record.Dest, metrics.ConnectionsOpened, int64(o.ConnectionsOpened))
 	r.policyEvents = append(r.policyEvents, e)
 	if c.endpoint != nil && c.endpoint.open && c.endpoint.suspectsIdleConnections(o, r.now) {
 		r.emit(Effect{Kind: CloseIdleConnections, Endpoint: c.endpoint.number})
 	}
-	if o.Outcome != decide.Delivered {
-		r.log(slog.LevelInfo, story.AttemptFailed, "message", m.record.ID, "dest", m.record.Dest, "class", m.record.Class, "endpoint", e.Endpoint,
+	if o.Outcome != policy.Delivered {
+		r.log(slog.LevelInfo, msgtrace.AttemptFailed, "message", m.record.ID, "dest", m.record.Dest, "class", m.record.Class, "endpoint", e.Endpoint,
 			"attempt", c.attempt, "outcome", int(o.Outcome), "status", o.Status, "took_ms", o.Elapsed/1000, "err", o.Err)
 	}
 	if o.Final && !m.finished { // told first: a kill in between must not leave a message with neither a line nor a record
-		line := story.EndpointFinished
-		if o.Outcome == decide.Delivered {
-			line = story.Delivered
+		line := msgtrace.EndpointFinished
+		if o.Outcome == policy.Delivered {
+			line = msgtrace.Delivered
 		}
 		r.trace(m, line, "endpoint", e.Endpoint, "took_ms", o.Elapsed/1000, "left_ms", r.remainingMS(m))
 	}
@@ -945,7 +945,7 @@
 		r.appendRecord(&Record{Kind: RecordOutcome, ID: m.record.ID, MayHaveRun: !o.Outcome.NeverRan(), NotCounted: o.neverLeft()})
 	}
 	if o.Final && !m.finished {
-		if o.Outcome == decide.Delivered {
+		if o.Outcome == policy.Delivered {
 			r.countOutcome(m.record.Class, countDelivered)
 		}
 		m.finished = true
--- a/internal/core/core_test.go
+++ b/internal/core/core_test.go
@@ -14,7 +14,7 @@
 	"strings"
 	"testing"
 
-	"troutusher/decide"
+	"troutusher/policy"
 )
 
 // simulation is a driver of chance round a core: it writes the log, answers clients
@@ -23,15 +23,15 @@
 	t     *testing.T
 	rng   *rand.Rand
 	core  *Core
-	now   decide.Time
+	now   policy.Time
 	queue []Event // what will be told, in any order
 	trace strings.Builder
 
 	accepted        map[string]bool // in the log
 	acknowledged    map[string]bool // told OK
 	openCallCount   map[string]int  // calls under way
-	closedEndpoints map[decide.EndpointID]bool
-	destOf          map[decide.EndpointID]int
+	closedEndpoints map[policy.EndpointID]bool
+	destOf          map[policy.EndpointID]int
 	openCalls       map[*Call]bool
 	ended           map[string]int // notices and refusals
 	rejected        map[string]bool
@@ -49,7 +49,7 @@
 
 func newSimulation(t *testing.T, seed uint64) *simulation {
 	return &simulation{t: t, rng: rand.New(rand.NewPCG(seed, 3)), core: testCore(t), now: 3600e6, accepted: map[string]bool{}, acknowledged: map[string]bool{},
-		openCallCount: map[string]int{}, closedEndpoints: map[decide.EndpointID]bool{}, destOf: map[decide.EndpointID]int{}, openCalls: map[*Call]bool{},
+		openCallCount: map[string]int{}, closedEndpoints: map[policy.EndpointID]bool{}, destOf: map[policy.EndpointID]int{}, openCalls: map[*Call]bool{},
 		ended: map[string]int{}, rejected: map[string]bool{}, byAddr: map[string]int{}, flavors: []string{"k"}}
 }
 
@@ -123,16 +123,16 @@
 				w.enqueue(c, Event{Kind: AttemptNotLogged, Call: c})
 				break
 			}
-			o := &Result{Elapsed: decide.Time(w.rng.IntN(400e3)), Status: 200, Outcome: decide.Delivered, Final: true}
+			o := &Result{Elapsed: policy.Time(w.rng.IntN(400e3)), Status: 200, Outcome: policy.Delivered, Final: true}
 			switch w.rng.IntN(6) {
 			case 0:
-				o = &Result{Outcome: decide.Rejected, Status: 429, RetryAfter: decide.Time(w.rng.IntN(500e3))}
+				o = &Result{Outcome: policy.Rejected, Status: 429, RetryAfter: policy.Time(w.rng.IntN(500e3))}
 			case 1:
-				o = &Result{Outcome: decide.ConnectFailed}
+				o = &Result{Outcome: policy.ConnectFailed}
 			case 2:
-				o = &Result{Outcome: decide.ConnectionReset, Elapsed: 1000}
+				o = &Result{Outcome: policy.ConnectionReset, Elapsed: 1000}
 			case 3:
-				o = &Result{Outcome: decide.Failed, Status: 500}
+				o = &Result{Outcome: policy.Failed, Status: 500}
 			}
 			w.enqueue(c, Event{Kind: AttemptFinished, Call: c, Result: o})
 		case AppendThenNotify:
@@ -150,7 +150,7 @@
 			if w.closedEndpoints[e.Endpoint] {
 				w.failf("a probe of one that has left")
 			}
-			w.queue = append(w.queue, Event{Kind: HealthChecked, Endpoint: e.Endpoint, Result: &Result{Outcome: decide.Delivered, Elapsed: 1000}})
+			w.queue = append(w.queue, Event{Kind: HealthChecked, Endpoint: e.Endpoint, Result: &Result{Outcome: policy.Delivered, Elapsed: 1000}})
 		case OpenEndpoint:
 			fmt.Fprintf(&w.trace, " %d %s", e.Endpoint, e.Address)
 			w.closedEndpoints[e.Endpoint], w.destOf[e.Endpoint] = false, w.byAddr[e.Address]
@@ -192,9 +192,9 @@
 
 func (w *simulation) playFrom(first, steps int) string {
 	for i := first; i < first+steps; i++ {
-		w.now += decide.Time(w.rng.IntN(20e3))
+		w.now += policy.Time(w.rng.IntN(20e3))
 		if w.longStepOdds > 0 && w.rng.IntN(w.longStepOdds) == 0 {
-			w.now += decide.Time(11e6 + w.rng.IntN(20e6))
+			w.now += policy.Time(11e6 + w.rng.IntN(20e6))
 		}
 		if w.driver != nil {
 			w.driver.advance()
@@ -215,7 +215,7 @@
 		if w.rng.IntN(3) > 0 {
 			class := w.rng.IntN(3)
 			rec := &Record{Kind: RecordAccepted, ID: "m" + strconv.Itoa(i), Class: []string{"plain", "keyed", "once"}[class], Dest: w.rng.IntN(3),
-				Deadline: w.core.wall(w.now + decide.Time(w.rng.IntN(3e6)))}
+				Deadline: w.core.wall(w.now + policy.Time(w.rng.IntN(3e6)))}
 			if class == 1 {
 				rec.Key = rec.ID
 			}
@@ -236,9 +236,9 @@
 				w.byAddr[addr] = m.Dest
 				l.Members = append(l.Members, m)
 			}
-			kind := decide.ListDelta
+			kind := policy.ListDelta
 			if i == 0 || w.rng.IntN(4) == 0 {
-				kind = decide.ListFull
+				kind = policy.ListFull
 			}
 			events = append(events, Event{Kind: EndpointListUpdated, List: l, News: kind})
 		}
@@ -278,9 +278,9 @@
 func TestCoresArePure(t *testing.T) {
 	allowed := strings.Fields("bytes cmp container/heap errors fmt log/slog maps math math/bits math/rand/v2 net slices sort strconv strings")
 	// The gate is asked by many calls at once: it has a lock, and is else like the others.
-	for _, dir := range []string{".", "../places", "../resp", "../wheel", "../duty", "../takeover", "../gate", "../tlspolicy", "../source/registry", "../tally", "../story", "../dormant", "../membership", "../source/etcd", "../../decide"} {
+	for _, dir := range []string{".", "../connlimit", "../resp", "../timerwheel", "../lifecycle", "../handover", "../sendgate", "../tlspolicy", "../source/registry", "../metrics", "../msgtrace", "../idlestore", "../membership", "../source/etcd", "../../policy"} {
 		allowed := allowed
-		if dir == "../gate" {
+		if dir == "../sendgate" {
 			allowed = append([]string{"sync"}, allowed...)
 		}
 		if dir == "../tlspolicy" { // its values are certificates and times; the clock and the system's roots stay out
@@ -289,7 +289,7 @@
 		if dir == "." { // pure functions over bytes
 			allowed = append(strings.Fields("github.com/cespare/xxhash/v2 github.com/fxamacker/cbor/v2"), allowed...)
 		}
-		if dir == "../dormant" { // the seed of its hash changes no result: nothing is shown in the order of a table
+		if dir == "../idlestore" { // the seed of its hash changes no result: nothing is shown in the order of a table
 			allowed = append(strings.Fields("container/list encoding/binary hash/maphash net/netip"), allowed...)
 		}
 		if dir == "../source/etcd" { // values are read from bytes
@@ -306,7 +306,7 @@
 			for name, f := range p.Files {
 				for _, i := range f.Imports {
 					path, _ := strconv.Unquote(i.Path.Value)
-					own := strings.HasPrefix(path, "troutusher/") && slices.Contains([]string{"troutusher/decide", "troutusher/internal/dormant", "troutusher/internal/membership", "troutusher/internal/story", "troutusher/internal/tally", "troutusher/internal/wheel"}, path)
+					own := strings.HasPrefix(path, "troutusher/") && slices.Contains([]string{"troutusher/policy", "troutusher/internal/idlestore", "troutusher/internal/membership", "troutusher/internal/msgtrace", "troutusher/internal/metrics", "troutusher/internal/timerwheel"}, path)
 					if !own && !slices.Contains(allowed, path) {
 						t.Errorf("%s imports %s", name, path)
 					}
--- a/internal/core/crash_test.go
+++ b/internal/core/crash_test.go
@@ -11,7 +11,7 @@
 	"strings"
 	"testing"
 
-	"troutusher/decide"
+	"troutusher/policy"
 )
 
 // crashSimulation plays one relay that is killed again and again, also before it has taken
@@ -33,7 +33,7 @@
 	events          []Event
 	log             *logModel
 	members         []Member
-	closedEndpoints map[decide.EndpointID]bool
+	closedEndpoints map[policy.EndpointID]bool
 
 	file                   []byte // what was learned, as it lies beside the log
 	fileAt                 int64
@@ -124,7 +124,7 @@
 	fmt.Fprintf(&h.trace, format+"\n", a...)
 }
 
-func (h *crashSimulation) clock() decide.Time { return h.now - h.base }
+func (h *crashSimulation) clock() policy.Time { return h.now - h.base }
 
 // write is a point at which a kill may come; false where it did.
 func (h *crashSimulation) write() bool {
@@ -165,7 +165,7 @@
 	if h.rng.IntN(4) == 0 { // again before it has resumed
 		h.killAfter = h.rng.IntN(8)
 	}
-	h.core, h.closedEndpoints = next, map[decide.EndpointID]bool{}
+	h.core, h.closedEndpoints = next, map[policy.EndpointID]bool{}
 	h.note("started, owed %d", len(h.log.pending))
 	var owed []*Record
 	for _, id := range h.log.order {
@@ -183,7 +183,7 @@
 			known.Members[i].Phase = Up
 		}
 	}
-	if !h.execute(next.Observe(h.clock(), []Event{{Kind: EndpointListUpdated, List: known, News: decide.ListCached}}, nil)) {
+	if !h.execute(next.Observe(h.clock(), []Event{{Kind: EndpointListUpdated, List: known, News: policy.ListCached}}, nil)) {
 		return
 	}
 	next.DeferSends()
@@ -217,7 +217,7 @@
 		h.scheduleInProcess(300e3, func() { h.events = append(h.events, Event{Kind: Started}) })
 	default:
 		h.scheduleInProcess(int64(h.rng.IntN(300e3)), func() {
-			h.events = append(h.events, Event{Kind: EndpointListUpdated, List: h.list(), News: decide.ListFull}, Event{Kind: Started})
+			h.events = append(h.events, Event{Kind: EndpointListUpdated, List: h.list(), News: policy.ListFull}, Event{Kind: Started})
 		})
 	}
 	if h.rng.IntN(5) > 0 {
@@ -337,7 +337,7 @@
 	if w := h.retryAfters[c.Record.Dest]; h.now < w.until { // what was decided before it came, the gate stops
 		if h.now <= w.at+200e3 || h.now-m.acknowledgedAt < 150e3 {
 			h.scheduleInProcess(0, func() {
-				h.events = append(h.events, Event{Kind: AttemptFinished, Call: c, Result: &Result{Outcome: decide.NotSent, RetryAfter: w.until - h.now}})
+				h.events = append(h.events, Event{Kind: AttemptFinished, Call: c, Result: &Result{Outcome: policy.NotSent, RetryAfter: w.until - h.now}})
 			})
 			return
 		}
@@ -369,7 +369,7 @@
 		h.schedule(took/2, run)
 		h.scheduleInProcess(took, func() {
 			m.ended = append(m.ended, h.now)
-			h.events = append(h.events, Event{Kind: AttemptFinished, Call: c, Result: &Result{Outcome: decide.Delivered, Status: 200, Final: true, Elapsed: took}})
+			h.events = append(h.events, Event{Kind: AttemptFinished, Call: c, Result: &Result{Outcome: policy.Delivered, Status: 200, Final: true, Elapsed: took}})
 		})
 	case k == 5:
 		wait := int64(h.rng.IntN(500e3))
@@ -380,21 +380,21 @@
 			if w := h.retryAfters[c.Record.Dest]; h.now+wait > w.until {
 				h.retryAfters[c.Record.Dest] = retryAfterPeriod{h.now, h.now + wait}
 			}
-			h.events = append(h.events, Event{Kind: AttemptFinished, Call: c, Result: &Result{Outcome: decide.Rejected, Status: 429, RetryAfter: wait, Elapsed: took}})
+			h.events = append(h.events, Event{Kind: AttemptFinished, Call: c, Result: &Result{Outcome: policy.Rejected, Status: 429, RetryAfter: wait, Elapsed: took}})
 		})
 	case k == 6:
-		end(&Result{Outcome: decide.ConnectFailed})
+		end(&Result{Outcome: policy.ConnectFailed})
 	case k == 7:
-		end(&Result{Outcome: decide.Rejected, Status: 503})
+		end(&Result{Outcome: policy.Rejected, Status: 503})
 	case k == 8: // it ran, and nobody heard
 		h.schedule(took/2, run)
-		end(&Result{Outcome: decide.ConnectionReset})
+		end(&Result{Outcome: policy.ConnectionReset})
 	default: // silent until the relay stops waiting
 		if h.rng.IntN(2) == 0 {
 			h.schedule(took/2, run)
 		}
 		took = int64(c.Timeout)
-		end(&Result{Outcome: decide.TimedOut})
+		end(&Result{Outcome: policy.TimedOut})
 	}
 }
 
@@ -470,7 +470,7 @@
 			x := &h.members[h.rng.IntN(len(h.members))]
 			x.Phase = []string{Up, Draining, Removed}[h.rng.IntN(3)]
 			if h.core != nil && h.downs[len(h.downs)-1][1] < 1<<62 && !h.core.sendsDeferred {
-				h.events = append(h.events, Event{Kind: EndpointListUpdated, News: decide.ListDelta, List: &EndpointList{Members: []Member{*x}}})
+				h.events = append(h.events, Event{Kind: EndpointListUpdated, News: policy.ListDelta, List: &EndpointList{Members: []Member{*x}}})
 			}
 		})
 	}
@@ -554,8 +554,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	now := decide.Time(3600e6)
-	r.Observe(now, []Event{{Kind: EndpointListUpdated, News: decide.ListCached, List: &EndpointList{Complete: true, Members: []Member{
+	now := policy.Time(3600e6)
+	r.Observe(now, []Event{{Kind: EndpointListUpdated, News: policy.ListCached, List: &EndpointList{Complete: true, Members: []Member{
 		{ID: "s1", HostPort: "10.0.0.1:1", Locality: "a", Flavor: "k", Dest: 1, Phase: Draining, Rate: 40}}}}}, nil)
 	r.DeferSends()
 	var owed []*Record
@@ -566,8 +566,8 @@
 		}
 		owed = append(owed, &Record{Kind: RecordAccepted, ID: "m" + strconv.Itoa(i), Class: "plain", Dest: 1, Deadline: r.wall(due)})
 	}
-	ends := map[string]decide.Time{}
-	step := func(at decide.Time, fx []Effect) (count int) {
+	ends := map[string]policy.Time{}
+	step := func(at policy.Time, fx []Effect) (count int) {
 		for i := range fx {
 			if fx[i].Kind == AppendThenNotify {
 				count++
--- a/internal/core/defersends_test.go
+++ b/internal/core/defersends_test.go
@@ -6,7 +6,7 @@
 	"strings"
 	"testing"
 
-	"troutusher/decide"
+	"troutusher/policy"
 )
 
 // While a core waits for the list it takes messages on and ends them as ever,
@@ -49,8 +49,8 @@
 	member := func(id, phase string) Member {
 		return Member{ID: id, HostPort: "10.0.0.1:" + id[1:], Locality: "a", Flavor: "k", Dest: 1, Phase: phase, Rate: 1000}
 	}
-	now := decide.Time(3600e6)
-	r.Observe(now, []Event{{Kind: EndpointListUpdated, News: decide.ListCached, List: &EndpointList{Complete: true, Members: []Member{member("s1", Up), member("s2", Up)}}}}, nil)
+	now := policy.Time(3600e6)
+	r.Observe(now, []Event{{Kind: EndpointListUpdated, News: policy.ListCached, List: &EndpointList{Complete: true, Members: []Member{member("s1", Up), member("s2", Up)}}}}, nil)
 	r.DeferSends()
 	r.Step(now, nil, nil)
 	var events []Event
@@ -74,7 +74,7 @@
 	}
 	var got []string
 	drained := &EndpointList{Members: []Member{member("s1", Draining)}}
-	events = []Event{{Kind: EndpointListUpdated, News: decide.ListDelta, List: drained}, {Kind: Started}}
+	events = []Event{{Kind: EndpointListUpdated, News: policy.ListDelta, List: drained}, {Kind: Started}}
 	for at, n := now+100e3, 0; n < 100 && len(got) < 3; at, n = at+20e3, n+1 { // those that were meant for s1 are chosen anew
 		fx := r.Step(at, events, nil)
 		events = nil
@@ -84,7 +84,7 @@
 				if r.endpointsByNumber[e.Call.Endpoint].id == "s1" {
 					t.Errorf("%s goes to who has drained", e.Call.Record.ID)
 				}
-				events = append(events, Event{Kind: AttemptFinished, Call: e.Call, Result: &Result{Outcome: decide.Delivered, Status: 200, Final: true}})
+				events = append(events, Event{Kind: AttemptFinished, Call: e.Call, Result: &Result{Outcome: policy.Delivered, Status: 200, Final: true}})
 			}
 		}
 	}
@@ -97,28 +97,28 @@
 // still listed.
 func TestDeferSendsDelaysHealthChecks(t *testing.T) {
 	r := testCore(t)
-	now := decide.Time(3600e6)
+	now := policy.Time(3600e6)
 	member := func(id, phase string) Member {
 		return Member{ID: id, HostPort: "10.0.0.1:" + id[1:], Locality: "a", Flavor: "k", Dest: 1, Phase: phase, Rate: 1000}
 	}
-	r.Observe(now, []Event{{Kind: EndpointListUpdated, News: decide.ListCached, List: &EndpointList{Complete: true, Members: []Member{member("s1", Up), member("s2", Up)}}}}, nil)
+	r.Observe(now, []Event{{Kind: EndpointListUpdated, News: policy.ListCached, List: &EndpointList{Complete: true, Members: []Member{member("s1", Up), member("s2", Up)}}}}, nil)
 	r.DeferSends()
-	for _, ep := range []decide.EndpointID{1, 2} {
-		r.executeAction(now, &decide.Action{Kind: decide.ActHealthCheck, Endpoint: ep})
+	for _, ep := range []policy.EndpointID{1, 2} {
+		r.executeAction(now, &policy.Action{Kind: policy.ActHealthCheck, Endpoint: ep})
 	}
 	if fx := r.takeEffects(); len(fx) > 0 {
 		t.Errorf("%+v while the list is waited for", fx)
 	}
 	drained := &EndpointList{Members: []Member{member("s1", Draining)}}
-	var probed []decide.EndpointID
+	var probed []policy.EndpointID
 	for range 2 { // once
-		for _, e := range r.Observe(now, []Event{{Kind: EndpointListUpdated, News: decide.ListDelta, List: drained}, {Kind: Started}}, nil) {
+		for _, e := range r.Observe(now, []Event{{Kind: EndpointListUpdated, News: policy.ListDelta, List: drained}, {Kind: Started}}, nil) {
 			if e.Kind == CheckHealth {
 				probed = append(probed, e.Endpoint)
 			}
 		}
 	}
-	if !slices.Equal(probed, []decide.EndpointID{2}) {
+	if !slices.Equal(probed, []policy.EndpointID{2}) {
 		t.Errorf("probed %v", probed)
 	}
 }
--- a/internal/core/endpoint_test.go
+++ b/internal/core/endpoint_test.go
@@ -5,7 +5,7 @@
 	"strings"
 	"testing"
 
-	"troutusher/decide"
+	"troutusher/policy"
 )
 
 // testCore is a core with three classes and no endpoint.
@@ -19,14 +19,14 @@
 }
 
 func testSettings() Settings {
-	class := func(r decide.Idempotency) decide.Class {
-		return decide.Class{Name: "c", LatencyObjective: 1500e3, Deadline: 20e6, Weight: 1, Idempotency: r, DedupWindow: 20e6}
+	class := func(r policy.Idempotency) policy.Class {
+		return policy.Class{Name: "c", LatencyObjective: 1500e3, Deadline: 20e6, Weight: 1, Idempotency: r, DedupWindow: 20e6}
 	}
-	return Settings{Seed: 1, Epoch: 1e15, Policy: decide.Settings{Relays: 1, MaxConcurrentCalls: 16, MaxPending: 100, MaxAttempts: 8, OverQuotaWeight: 1,
+	return Settings{Seed: 1, Epoch: 1e15, Policy: policy.Settings{Relays: 1, MaxConcurrentCalls: 16, MaxPending: 100, MaxAttempts: 8, OverQuotaWeight: 1,
 		ListHasRates: true, HealthChecks: true, Cancellation: true, SendRetryAfter: true, MaxRetryAfter: 2e6, ConnectTimeout: 1500e3, IdleTimeout: 10e6,
 		StreamsPerConnection: 1, TickInterval: 5000, ReplyGrace: 20e3, DrainGrace: 2e6, InitialCapacity: 0.26, RampDuration: 13e6, OverloadFactor: 1.5, OverloadDuration: 2e6,
-		Classes: []decide.Class{class(decide.Idempotent), class(decide.IdempotentByKey), class(decide.NonIdempotent)}, Tenants: []decide.Tenant{{Name: "acme", Quota: 1000}},
-		DestinationKinds: []decide.DestinationKind{{BatchSize: 1}, {BatchSize: 1, IndependentRoutes: true}}},
+		Classes: []policy.Class{class(policy.Idempotent), class(policy.IdempotentByKey), class(policy.NonIdempotent)}, Tenants: []policy.Tenant{{Name: "acme", Quota: 1000}},
+		DestinationKinds: []policy.DestinationKind{{BatchSize: 1}, {BatchSize: 1, IndependentRoutes: true}}},
 		Zones: map[string]int{"a": 0}, Kinds: map[string]int{"k": 0, "r": 1}, Classes: map[string]int{"plain": 0, "keyed": 1, "once": 2},
 		Tenants: map[string]int{"acme": 0}}
 }
@@ -39,10 +39,10 @@
 	up := func(i int) Member {
 		return Member{ID: fmt.Sprintf("s-%d", i), HostPort: fmt.Sprintf("127.0.0.1:%d", 7000+i%3), Dest: i % 3, Phase: Up, Rate: 5}
 	}
-	news := func(kind decide.ListUpdateKind, members ...Member) []Effect {
+	news := func(kind policy.ListUpdateKind, members ...Member) []Effect {
 		return r.Step(r.now, []Event{{Kind: EndpointListUpdated, News: kind, List: &EndpointList{Members: members}}}, nil)
 	}
-	homes := map[decide.EndpointID]string{} // as a driver has them
+	homes := map[policy.EndpointID]string{} // as a driver has them
 	carry := func(fx []Effect) {
 		for _, e := range fx {
 			switch e.Kind {
@@ -55,15 +55,15 @@
 			}
 		}
 	}
-	carry(news(decide.ListFull, up(0), up(1), up(2)))
+	carry(news(policy.ListFull, up(0), up(1), up(2)))
 	waits := r.endpointsByID["s-1"]
-	waits.retryAfter = r.now + decide.Time(1800e6)
+	waits.retryAfter = r.now + policy.Time(1800e6)
 	most := 0
 	for i := 3; i < 3000; i++ {
 		old := r.endpointsByID[up(i-3).ID]
 		leaves := up(i - 3)
 		leaves.Phase = Removed
-		carry(news(decide.ListDelta, leaves, up(i)))
+		carry(news(policy.ListDelta, leaves, up(i)))
 		fresh := r.endpointsByID[up(i).ID]
 		if fresh.number == old.number || homes[old.number] != "" || homes[fresh.number] != up(i).HostPort {
 			t.Fatalf("%s inherits from %s: %v", fresh.id, old.id, homes)
@@ -100,9 +100,9 @@
 		t.Errorf("before any list: %q", s)
 	}
 	m := Member{ID: "s-1", HostPort: "127.0.0.1:7000", Dest: 1, Phase: Up, Rate: 5}
-	r.applyList(&EndpointList{Complete: true, Members: []Member{m}}, decide.ListFull)
+	r.applyList(&EndpointList{Complete: true, Members: []Member{m}}, policy.ListFull)
 	m.Phase = Removed
-	r.applyList(&EndpointList{Members: []Member{m}}, decide.ListDelta)
+	r.applyList(&EndpointList{Members: []Member{m}}, policy.ListDelta)
 	if s := put("known", 1); s != "held" {
 		t.Errorf("gone for now: %q", s)
 	}
@@ -123,16 +123,16 @@
 	ep := &endpoint{}
 	for i, x := range []struct {
 		o    Result
-		now  decide.Time
+		now  policy.Time
 		want bool
 	}{
-		{Result{Outcome: decide.Delivered, Status: 200, Elapsed: 10}, 1000, false},
-		{Result{Outcome: decide.TimedOut, Elapsed: 500}, 1100, false}, // it was sent at 600, and 1000 was answered
-		{Result{Outcome: decide.TimedOut, Elapsed: 500}, 2000, true},
-		{Result{Outcome: decide.ConnectionReset}, 2100, true},
-		{Result{Outcome: decide.ConnectFailed}, 2200, true},
-		{Result{Outcome: decide.Rejected, Status: 503}, 2300, false},
-		{Result{Outcome: decide.Cancelled, Elapsed: 50}, 2320, false},
+		{Result{Outcome: policy.Delivered, Status: 200, Elapsed: 10}, 1000, false},
+		{Result{Outcome: policy.TimedOut, Elapsed: 500}, 1100, false}, // it was sent at 600, and 1000 was answered
+		{Result{Outcome: policy.TimedOut, Elapsed: 500}, 2000, true},
+		{Result{Outcome: policy.ConnectionReset}, 2100, true},
+		{Result{Outcome: policy.ConnectFailed}, 2200, true},
+		{Result{Outcome: policy.Rejected, Status: 503}, 2300, false},
+		{Result{Outcome: policy.Cancelled, Elapsed: 50}, 2320, false},
 	} {
 		if got := ep.suspectsIdleConnections(&x.o, x.now); got != x.want {
 			t.Errorf("%d: %v", i, got)
--- a/internal/core/eventpairs_test.go
+++ b/internal/core/eventpairs_test.go
@@ -7,7 +7,7 @@
 	"strings"
 	"testing"
 
-	"troutusher/decide"
+	"troutusher/policy"
 )
 
 // pairCase is one thing that can happen to a relay. It happens by an event, which
@@ -62,7 +62,7 @@
 		}
 		m := ep.member
 		m.Phase = phase
-		return Event{Kind: EndpointListUpdated, News: decide.ListDelta, List: &EndpointList{Members: []Member{m}}}, true
+		return Event{Kind: EndpointListUpdated, News: policy.ListDelta, List: &EndpointList{Members: []Member{m}}}, true
 	}
 	return Event{}, false
 }
@@ -75,7 +75,7 @@
 	case e.Call != nil:
 		p.openCallCount[e.Call.Record.ID]--
 		delete(p.openCalls, e.Call)
-		if e.Kind == AttemptFinished && !e.Result.Outcome.NeverRan() && e.Result.Outcome != decide.Delivered {
+		if e.Kind == AttemptFinished && !e.Result.Outcome.NeverRan() && e.Result.Outcome != policy.Delivered {
 			p.noteMayHaveRun(e.Call.Record)
 		}
 	}
@@ -110,8 +110,8 @@
 		p.failf("%v", err)
 	}
 	p.core = next
-	p.closedEndpoints, p.destOf = map[decide.EndpointID]bool{}, map[decide.EndpointID]int{}
-	p.execute(next.Observe(p.now, []Event{{Kind: EndpointListUpdated, List: list, News: decide.ListCached}}, nil))
+	p.closedEndpoints, p.destOf = map[policy.EndpointID]bool{}, map[policy.EndpointID]int{}
+	p.execute(next.Observe(p.now, []Event{{Kind: EndpointListUpdated, List: list, News: policy.ListCached}}, nil))
 	var owed []*Record
 	for _, id := range p.book.order {
 		if r := p.book.pending[id]; r != nil {
@@ -143,7 +143,7 @@
 			p.next++
 			class := p.draw.IntN(3)
 			rec := &Record{Kind: RecordAccepted, ID: fmt.Sprint("pair", p.next), Class: []string{"plain", "keyed", "once"}[class], Key: "k", Dest: p.draw.IntN(3),
-				Deadline: p.core.wall(p.now + decide.Time(p.draw.IntN(3e6)))}
+				Deadline: p.core.wall(p.now + policy.Time(p.draw.IntN(3e6)))}
 			return Event{Kind: Submitted, Request: &Request{Record: rec, Class: class}}, true
 		}),
 		event("a client has its answer", func(p *pairSimulation) (Event, bool) {
@@ -162,11 +162,11 @@
 			}
 			return e, ok
 		}),
-		outcome("a call is delivered", Result{Outcome: decide.Delivered, Status: 200, Final: true, Elapsed: 1000}),
-		outcome("a call is told to wait", Result{Outcome: decide.Rejected, Status: 429, RetryAfter: 400e3}),
-		outcome("a call times out", Result{Outcome: decide.TimedOut, Elapsed: 300e3}),
-		outcome("a call never leaves", Result{Outcome: decide.NotSent}),
-		outcome("a call is over there", Result{Outcome: decide.NotSent, Status: 410, Final: true}),
+		outcome("a call is delivered", Result{Outcome: policy.Delivered, Status: 200, Final: true, Elapsed: 1000}),
+		outcome("a call is told to wait", Result{Outcome: policy.Rejected, Status: 429, RetryAfter: 400e3}),
+		outcome("a call times out", Result{Outcome: policy.TimedOut, Elapsed: 300e3}),
+		outcome("a call never leaves", Result{Outcome: policy.NotSent}),
+		outcome("a call is over there", Result{Outcome: policy.NotSent, Status: 410, Final: true}),
 		event("a call cannot be logged", func(p *pairSimulation) (Event, bool) {
 			e, ok := p.take(AttemptFinished, AttemptNotLogged)
 			e.Kind, e.Result = AttemptNotLogged, nil
--- a/internal/core/fixtures_test.go
+++ b/internal/core/fixtures_test.go
@@ -15,8 +15,8 @@
 	"strings"
 	"testing"
 
-	"troutusher/decide"
-	"troutusher/internal/dormant"
+	"troutusher/internal/idlestore"
+	"troutusher/policy"
 )
 
 // The fixtures under testdata hold forms that other processes read: records of
@@ -162,19 +162,19 @@
 // The packed memory of a passive destination: recorded bytes are read, and written
 // again byte for byte.
 func TestPackedFormIsUnchanged(t *testing.T) {
-	m, next := &decide.Snapshot{}, 0
+	m, next := &policy.Snapshot{}, 0
 	fill(reflect.ValueOf(m).Elem(), &next)
 	m.Now = 1000
-	b, err := pack(m, func(n decide.EndpointID) (uint32, bool) { return uint32(n) + 1e8, true })
+	b, err := pack(m, func(n policy.EndpointID) (uint32, bool) { return uint32(n) + 1e8, true })
 	if err != nil {
 		t.Fatal(err)
 	}
 	compareFixture(t, "packed.hex", []byte(hex.EncodeToString(b)+"\n"))
-	back, err := unpack(b, 3, func(mark uint32) decide.EndpointID { return decide.EndpointID(mark - 1e8) })
+	back, err := unpack(b, 3, func(mark uint32) policy.EndpointID { return policy.EndpointID(mark - 1e8) })
 	if err != nil {
 		t.Fatal(err)
 	}
-	if again, err := pack(back, func(n decide.EndpointID) (uint32, bool) { return uint32(n) + 1e8, true }); err != nil || !bytes.Equal(again, b) {
+	if again, err := pack(back, func(n policy.EndpointID) (uint32, bool) { return uint32(n) + 1e8, true }); err != nil || !bytes.Equal(again, b) {
 		t.Errorf("packed again: %x, %v\nwant %x", again, err, b)
 	}
 	text, err := json.Marshal(back)
@@ -269,13 +269,13 @@
 		w.logModel = b
 		for turn := range 3 {
 			w.playFrom(turn*60, 60)
-			w.handOver(b, decide.Time(w.rng.Int64N(2e9))-1e9)
+			w.handOver(b, policy.Time(w.rng.Int64N(2e9))-1e9)
 		}
 	}},
 	{"passive", func(t *testing.T, seed uint64, golden io.Writer) {
 		w := newSimulation(t, seed)
 		w.golden = golden
-		w.core = passivatingCore(t, dormant.Limits{MaxActive: 1, IdleTimeout: 10e6})
+		w.core = passivatingCore(t, idlestore.Limits{MaxActive: 1, IdleTimeout: 10e6})
 		w.flavors, w.longStepOdds = []string{"k", "r"}, 12
 		w.driver = newCallDriver(w)
 		w.driver.extraWait = 45e6
--- a/internal/core/handover.go
+++ b/internal/core/handover.go
@@ -4,7 +4,7 @@
 	"log/slog"
 	"slices"
 
-	"troutusher/decide"
+	"troutusher/policy"
 )
 
 // A core can be carried over into another process. What is held lies in the
@@ -21,29 +21,29 @@
 	RetryAfters       []HandoverRetryAfter `json:"waits,omitempty"`
 	Calls             []HandoverCall       `json:"calls"`
 	Weights           []HandoverWeight     `json:"worth"`
-	Policy            *decide.Snapshot     `json:"policy"`
+	Policy            *policy.Snapshot     `json:"policy"`
 }
 
 // HandoverMember is an endpoint that the list holds, or one that has left and is
 // still bound by a wait or a call.
 type HandoverMember struct {
 	Member
-	Number     decide.EndpointID `json:"number"`
-	RetryAfter decide.Time       `json:"wait_until,omitempty"`
+	Number     policy.EndpointID `json:"number"`
+	RetryAfter policy.Time       `json:"wait_until,omitempty"`
 }
 
 // HandoverRetryAfter is a wait that a destination has told.
 type HandoverRetryAfter struct {
 	Dest  int         `json:"dest"`
-	Until decide.Time `json:"until"`
+	Until policy.Time `json:"until"`
 }
 
 // HandoverCall is a call that is out, whole, and not answered.
 type HandoverCall struct {
 	Message  string      `json:"message"`
 	Endpoint string      `json:"endpoint"` // its id
-	SentAt   decide.Time `json:"sent"`
-	Deadline decide.Time `json:"until"`
+	SentAt   policy.Time `json:"sent"`
+	Deadline policy.Time `json:"until"`
 	call     *Call
 }
 
@@ -61,7 +61,7 @@
 
 // ResumeSends ends Cede: what was put off meanwhile is sent, where there is still time
 // for it.
-func (r *Core) ResumeSends(now decide.Time, fx []Effect) []Effect {
+func (r *Core) ResumeSends(now policy.Time, fx []Effect) []Effect {
 	r.now, r.effects, r.handingOver = max(now, r.now), fx, false
 	r.sendDeferred()
 	return r.takeEffects()
@@ -104,7 +104,7 @@
 
 // ExportHandover shows what another core needs to go on in this one's place. No request
 // may wait for its answer, and no call be on its way to its endpoint.
-func (r *Core) ExportHandover(now decide.Time) *HandoverState {
+func (r *Core) ExportHandover(now policy.Time) *HandoverState {
 	r.now = max(now, r.now)
 	r.finishListUpdate()
 	c := &HandoverState{Revision: r.listRevision, Policy: r.policy.Snapshot(r.now), Members: r.handoverMembers(), RetryAfters: r.handoverRetryAfters()}
@@ -160,7 +160,7 @@
 
 // importHandover takes over what another core knew, and returns the calls that it had
 // out and the worths that it had found, by message.
-func (r *Core) importHandover(c *HandoverState, shift decide.Time) (map[string]*HandoverCall, map[string]float64) {
+func (r *Core) importHandover(c *HandoverState, shift policy.Time) (map[string]*HandoverCall, map[string]float64) {
 	for _, w := range c.RetryAfters {
 		r.retryAfter[w.Dest] = max(r.retryAfter[w.Dest], w.Until+shift)
 	}
@@ -168,7 +168,7 @@
 	for i := range c.Members {
 		l.Members = append(l.Members, c.Members[i].Member)
 	}
-	r.applyList(l, decide.ListCached)
+	r.applyList(l, policy.ListCached)
 	r.finishListUpdate()
 	for _, dest := range c.KnownDestinations {
 		if !r.isPassive(dest) {
@@ -178,7 +178,7 @@
 	}
 	p := c.Policy
 	if p == nil {
-		p = &decide.Snapshot{}
+		p = &policy.Snapshot{}
 	}
 	r.activateAll(p)
 	r.runPolicy() // the policy knows the endpoints from here on
@@ -203,7 +203,7 @@
 
 // resumeCall books a call that the other core had out, and has the driver wait for
 // its end.
-func (r *Core) resumeCall(m *message, k *HandoverCall, shift decide.Time, e *decide.Event) {
+func (r *Core) resumeCall(m *message, k *HandoverCall, shift policy.Time, e *policy.Event) {
 	ep := r.endpointsByID[k.Endpoint]
 	if ep == nil {
 		return
--- a/internal/core/handover_test.go
+++ b/internal/core/handover_test.go
@@ -6,7 +6,7 @@
 	"slices"
 	"testing"
 
-	"troutusher/decide"
+	"troutusher/policy"
 )
 
 // logModel keeps the log as a driver does.
@@ -41,7 +41,7 @@
 
 // handOver moves a world's core into a fresh one whose clock reads otherwise,
 // as two processes do it: requests answered, nothing begun, the log read anew.
-func (w *simulation) handOver(b *logModel, shift decide.Time) (goesOn int) {
+func (w *simulation) handOver(b *logModel, shift policy.Time) (goesOn int) {
 	w.core.BeginHandover()
 	for limit := 0; w.core.UnansweredRequests() > 0; limit++ {
 		if limit > 1000 {
@@ -88,7 +88,7 @@
 		w.failf("%v", err)
 	}
 	w.core, w.now = next, w.now+shift
-	w.closedEndpoints, w.destOf = map[decide.EndpointID]bool{}, map[decide.EndpointID]int{}
+	w.closedEndpoints, w.destOf = map[policy.EndpointID]bool{}, map[policy.EndpointID]int{}
 	fx := next.RecoverMessages(w.now, owed, c, shift, nil)
 	calls := map[string]*Call{}
 	for i := range fx {
@@ -106,7 +106,7 @@
 		id := e.Call.Record.ID
 		if k := calls[id]; k != nil { // its end comes here
 			if e.Kind == AttemptNotLogged {
-				e.Kind, e.Result = AttemptFinished, &Result{Outcome: decide.ConnectionReset}
+				e.Kind, e.Result = AttemptFinished, &Result{Outcome: policy.ConnectionReset}
 			}
 			e.Call = k
 			w.openCalls[k] = true
@@ -163,7 +163,7 @@
 		w.logModel = b
 		for turn := range 8 {
 			w.playFrom(turn*60, 60)
-			goesOn += w.handOver(b, decide.Time(w.rng.Int64N(2e9))-1e9)
+			goesOn += w.handOver(b, policy.Time(w.rng.Int64N(2e9))-1e9)
 		}
 		for range 4000 { // to the end of all that was taken on
 			w.now += 20e3
@@ -204,9 +204,9 @@
 	}
 	c := s.core.messagesByID["a"].call
 	s.now += 10e3
-	s.step(Event{Kind: AttemptFinished, Call: c, Result: &Result{Outcome: decide.Rejected, Status: 429, RetryAfter: 3e6}})
+	s.step(Event{Kind: AttemptFinished, Call: c, Result: &Result{Outcome: policy.Rejected, Status: 429, RetryAfter: 3e6}})
 	w := &simulation{t: t, core: s.core, now: s.now}
-	const shift = decide.Time(-777e6)
+	const shift = policy.Time(-777e6)
 	carried := w.core.ExportHandover(w.now)
 	set := s.core.settings
 	set.Epoch -= shift
@@ -218,7 +218,7 @@
 	rec.Attempts = 1
 	s.core, s.now = next, s.now+shift
 	next.RecoverMessages(s.now, []*Record{&rec}, carried, shift, nil)
-	began, sentAt := s.now, decide.Time(0)
+	began, sentAt := s.now, policy.Time(0)
 	for sentAt == 0 && s.now < began+10e6 {
 		s.now += 10e3
 		fx := s.step()
--- a/internal/core/idle_bench_test.go
+++ b/internal/core/idle_bench_test.go
@@ -10,8 +10,8 @@
 	"testing"
 	"time"
 
-	"troutusher/decide"
-	"troutusher/internal/dormant"
+	"troutusher/internal/idlestore"
+	"troutusher/policy"
 )
 
 // Figures of docs/measurements/idle.md:
@@ -38,14 +38,14 @@
 func idleCore(b *testing.B, dests, endpoints int, rest bool) *Core {
 	set := testSettings()
 	if rest {
-		set.Passivation = dormant.Limits{MaxActive: 1024, IdleTimeout: 60e6}
+		set.Passivation = idlestore.Limits{MaxActive: 1024, IdleTimeout: 60e6}
 	}
 	r, err := New(set)
 	if err != nil {
 		b.Fatal(err)
 	}
 	for d := 0; d < dests; d += 1000 {
-		r.Step(3600e6, []Event{{Kind: EndpointListUpdated, News: decide.ListDelta, List: &EndpointList{Members: idleMembers(d, min(d+1000, dests), endpoints)}}}, nil)
+		r.Step(3600e6, []Event{{Kind: EndpointListUpdated, News: policy.ListDelta, List: &EndpointList{Members: idleMembers(d, min(d+1000, dests), endpoints)}}}, nil)
 	}
 	return r
 }
@@ -89,7 +89,7 @@
 
 // measureDeliveries has messages go to destinations and be delivered, one after another,
 // and returns how long each took from hand-in to end, all steps together.
-func measureDeliveries(b *testing.B, r *Core, now decide.Time, n int, dest func(i int) int) (took []time.Duration) {
+func measureDeliveries(b *testing.B, r *Core, now policy.Time, n int, dest func(i int) int) (took []time.Duration) {
 	var fx []Effect
 	for i := range n {
 		began := time.Now()
@@ -152,8 +152,8 @@
 				}
 				runtime.GC()
 				runtime.ReadMemStats(&before)
-				now := decide.Time(4000e6 + i*1e6)
-				events := []Event{{Kind: EndpointListUpdated, News: decide.ListFull, List: l}}
+				now := policy.Time(4000e6 + i*1e6)
+				events := []Event{{Kind: EndpointListUpdated, News: policy.ListFull, List: l}}
 				for more := true; more; {
 					began := time.Now()
 					fx := r.Step(now, events, nil)
--- a/internal/core/listupdate.go
+++ b/internal/core/listupdate.go
@@ -4,7 +4,7 @@
 	"maps"
 	"slices"
 
-	"troutusher/decide"
+	"troutusher/policy"
 )
 
 // defaultListBatchSize is how many members of a list are booked in one step, beside those
@@ -24,13 +24,13 @@
 }
 
 // applyList books news of the list.
-func (r *Core) applyList(l *EndpointList, kind decide.ListUpdateKind) {
+func (r *Core) applyList(l *EndpointList, kind policy.ListUpdateKind) {
 	r.finishListUpdate() // the one before: the newer word must come last
 	r.listRevision = l.Revision
 	r.stateVersion++
-	b := &listUpdate{list: l, complete: kind != decide.ListDelta, applied: make([]bool, len(l.Members)), unnamed: map[string]bool{}}
+	b := &listUpdate{list: l, complete: kind != policy.ListDelta, applied: make([]bool, len(l.Members)), unnamed: map[string]bool{}}
 	r.listUpdate = b
-	e := decide.Event{Kind: decide.EvListUpdated, ListUpdate: kind}
+	e := policy.Event{Kind: policy.EvListUpdated, ListUpdate: kind}
 	for i := range l.Members {
 		b.applied[i] = r.endpointsByID[l.Members[i].ID] != nil
 	}
@@ -76,7 +76,7 @@
 // applyListBatch books so many more members, and reports whether any are left.
 func (r *Core) applyListBatch(most int) (more bool) {
 	b := r.listUpdate
-	e := decide.Event{Kind: decide.EvListUpdated, ListUpdate: decide.ListDelta}
+	e := policy.Event{Kind: policy.EvListUpdated, ListUpdate: policy.ListDelta}
 	for ; b.next < len(b.applied) && most > 0; b.next++ {
 		if b.applied[b.next] || b.list.Members[b.next].Check() != nil {
 			continue
--- a/internal/core/packedmemory.go
+++ b/internal/core/packedmemory.go
@@ -7,7 +7,7 @@
 	"github.com/cespare/xxhash/v2"
 	"github.com/fxamacker/cbor/v2"
 
-	"troutusher/decide"
+	"troutusher/policy"
 )
 
 // What was learned of a destination that rests, as CBOR (RFC 8949) with numbers
@@ -75,7 +75,7 @@
 }
 
 // encodeMoment tells a moment by its distance; 0 stays none. A distance of 0 is a µs later.
-func encodeMoment(now, t decide.Time) int64 {
+func encodeMoment(now, t policy.Time) int64 {
 	switch t {
 	case 0:
 		return 0
@@ -85,14 +85,14 @@
 	return t - now
 }
 
-func decodeMoment(now decide.Time, d int64) decide.Time {
+func decodeMoment(now policy.Time, d int64) policy.Time {
 	if d == 0 {
 		return 0
 	}
 	return max(now+d, 1)
 }
 
-func packLatency(l decide.LatencySnapshot) *packedLatency {
+func packLatency(l policy.LatencySnapshot) *packedLatency {
 	if l.Count == 0 {
 		return nil
 	}
@@ -100,16 +100,16 @@
 	return &packedLatency{Mean: us(l.Mean), Dev: us(l.Deviation), N: uint32(min(l.Count, math.MaxInt32))}
 }
 
-func (l *packedLatency) memory() (m decide.LatencySnapshot) {
+func (l *packedLatency) memory() (m policy.LatencySnapshot) {
 	if l != nil {
-		m = decide.LatencySnapshot{Mean: float64(l.Mean), Deviation: float64(l.Dev), Count: int(l.N)}
+		m = policy.LatencySnapshot{Mean: float64(l.Mean), Deviation: float64(l.Dev), Count: int(l.N)}
 	}
 	return m
 }
 
 // pack makes the bytes of a memory; none where nothing was learned. mark tells
 // what stands for an endpoint that has a number.
-func pack(m *decide.Snapshot, mark func(decide.EndpointID) (uint32, bool)) ([]byte, error) {
+func pack(m *policy.Snapshot, mark func(policy.EndpointID) (uint32, bool)) ([]byte, error) {
 	if len(m.Limiters) == 0 {
 		return nil, nil
 	}
@@ -140,24 +140,24 @@
 
 // unpack reads what pack made, of a destination. number tells the number of what
 // a mark stands for; 0 for nothing that is known.
-func unpack(b []byte, dest int, number func(uint32) decide.EndpointID) (*decide.Snapshot, error) {
+func unpack(b []byte, dest int, number func(uint32) policy.EndpointID) (*policy.Snapshot, error) {
 	if len(b) == 0 {
-		return &decide.Snapshot{}, nil
+		return &policy.Snapshot{}, nil
 	}
 	var r packedMemory
 	if err := packedDecoding.Unmarshal(b, &r); err != nil {
-		return &decide.Snapshot{}, fmt.Errorf("rested: %w", err)
+		return &policy.Snapshot{}, fmt.Errorf("rested: %w", err)
 	}
-	m := &decide.Snapshot{Now: r.Now}
+	m := &policy.Snapshot{Now: r.Now}
 	for i := range r.Routes {
 		x := &r.Routes[i]
-		l := decide.LimiterSnapshot{Destination: dest, Window: 1, RateMultiplier: 1, NominalRate: float64(x.Nominal),
+		l := policy.LimiterSnapshot{Destination: dest, Window: 1, RateMultiplier: 1, NominalRate: float64(x.Nominal),
 			ReportedRate: float64(x.Limit), ReducedRate: float64(x.ReducedRate), ReducedAt: decodeMoment(r.Now, x.RateReducedAt), Latency: x.Latency.memory()}
 		for j := range x.Endpoints {
 			e := &x.Endpoints[j]
-			l.Endpoints = append(l.Endpoints, decide.EndpointSnapshot{ID: number(e.ID), Unhealthy: e.Ejected, LastFailureSilent: e.LastFailureSilent, FirstFailureAt: decodeMoment(r.Now, e.FirstFailureAt),
+			l.Endpoints = append(l.Endpoints, policy.EndpointSnapshot{ID: number(e.ID), Unhealthy: e.Ejected, LastFailureSilent: e.LastFailureSilent, FirstFailureAt: decodeMoment(r.Now, e.FirstFailureAt),
 				LastFailureAt: decodeMoment(r.Now, e.LastFailureAt), RecoveredAt: decodeMoment(r.Now, e.RecoveredAt), RecoverySentAt: decodeMoment(r.Now, e.GoodSent), LastSuccessAt: decodeMoment(r.Now, e.LastSuccessAt),
-				BackoffUntil: decodeMoment(r.Now, e.EjectedUntil), FailureScore: float64(e.Score), RecoveryBudget: decide.TokenBucketSnapshot{At: decodeMoment(r.Now, e.BudgetAt), Tokens: float64(e.Budget), Used: e.Used},
+				BackoffUntil: decodeMoment(r.Now, e.EjectedUntil), FailureScore: float64(e.Score), RecoveryBudget: policy.TokenBucketSnapshot{At: decodeMoment(r.Now, e.BudgetAt), Tokens: float64(e.Budget), Used: e.Used},
 				RequiredTokens: float64(e.RequiredTokens), Latency: e.Latency.memory()})
 		}
 		m.Limiters = append(m.Limiters, l)
--- a/internal/core/passivation.go
+++ b/internal/core/passivation.go
@@ -5,8 +5,8 @@
 	"maps"
 	"slices"
 
-	"troutusher/decide"
-	"troutusher/internal/dormant"
+	"troutusher/internal/idlestore"
+	"troutusher/policy"
 )
 
 // Destinations that nobody sends to rest in a compact store: no endpoint of
@@ -16,21 +16,21 @@
 const (
 	passivationBatchSize = 64                  // so many are put away in one step
 	maxSnapshotEjected   = 1024                // so many are written for a restart
-	forgetDepartedAfter  = decide.Time(1800e6) // how long one that rests and has no endpoint is known: its messages are held meanwhile
+	forgetDepartedAfter  = policy.Time(1800e6) // how long one that rests and has no endpoint is known: its messages are held meanwhile
 )
 
 // departedDestination is a destination that had no endpoint left at a moment, and rested.
 type departedDestination struct {
 	dest int
-	at   decide.Time
+	at   policy.Time
 }
 
 // passivationState are the destinations that are not awake, and who is.
 type passivationState struct {
-	store               *dormant.Store // nil until the first one rests
-	roster              *dormant.ActiveSet
+	store               *idlestore.Store // nil until the first one rests
+	roster              *idlestore.ActiveSet
 	candidates          []int
-	nextCheckAt         decide.Time  // when the roster wants to be asked
+	nextCheckAt         policy.Time  // when the roster wants to be asked
 	ejectedWhilePassive map[int]bool // of those that rest, the ones that were out
 	departed            []departedDestination
 }
@@ -53,11 +53,11 @@
 
 // applyMember books a member of the list under way where it belongs: in the store, or among what is
 // awake, and then its entry is for the policy.
-func (r *Core) applyMember(x *Member) (entry decide.EndpointUpdate, awake bool) {
+func (r *Core) applyMember(x *Member) (entry policy.EndpointUpdate, awake bool) {
 	s := r.passivation.store
 	delete(r.listUpdate.unnamed, x.ID)
 	if s != nil {
-		e := dormant.Endpoint{ID: x.ID, HostPort: x.HostPort, Locality: x.Locality, Flavor: x.Flavor, Draining: x.Phase == Draining, Size: x.Rate}
+		e := idlestore.Endpoint{ID: x.ID, HostPort: x.HostPort, Locality: x.Locality, Flavor: x.Flavor, Draining: x.Phase == Draining, Size: x.Rate}
 		if x.Phase != Removed && s.ConfirmUnchanged(x.Dest, &e) {
 			return entry, false
 		}
@@ -77,13 +77,13 @@
 	}
 	if r.endpointsByID[x.ID] == nil && !r.passivation.roster.Contains(x.Dest) && (r.isPassive(x.Dest) || r.passivation.roster.Full()) && (s == nil || s.HasRoom()) {
 		if s == nil {
-			s = dormant.New()
+			s = idlestore.New()
 			r.passivation.store = s
 			if r.listUpdate.complete {
 				s.BeginList()
 			}
 		}
-		s.PutEndpoint(x.Dest, &dormant.Endpoint{ID: x.ID, HostPort: x.HostPort, Locality: x.Locality, Flavor: x.Flavor, Draining: x.Phase == Draining, Size: x.Rate})
+		s.PutEndpoint(x.Dest, &idlestore.Endpoint{ID: x.ID, HostPort: x.HostPort, Locality: x.Locality, Flavor: x.Flavor, Draining: x.Phase == Draining, Size: x.Rate})
 		return entry, false
 	}
 	r.ensureActive(x.Dest)
@@ -124,8 +124,8 @@
 	r.passivation.roster.Touch(dest, r.now)
 	delete(r.passivation.ejectedWhilePassive, dest)
 	r.knownDestinations[dest] = true
-	e := decide.Event{Kind: decide.EvListUpdated, ListUpdate: decide.ListDelta}
-	number := map[uint32]decide.EndpointID{}
+	e := policy.Event{Kind: policy.EvListUpdated, ListUpdate: policy.ListDelta}
+	number := map[uint32]policy.EndpointID{}
 	for i := range endpoints {
 		x := &endpoints[i]
 		m := memberFromStore(dest, x)
@@ -137,7 +137,7 @@
 		e.Updates = append(e.Updates, entry)
 	}
 	var err error
-	if e.Snapshot, err = unpack(learned, dest, func(mark uint32) decide.EndpointID { return number[mark] }); err != nil {
+	if e.Snapshot, err = unpack(learned, dest, func(mark uint32) policy.EndpointID { return number[mark] }); err != nil {
 		r.log(slog.LevelError, "what was learned of a destination that rested cannot be read", "dest", dest, "err", err) // it wakes as one that nobody knows
 	}
 	r.policyEvents = append(r.policyEvents, e)
@@ -150,7 +150,7 @@
 		return
 	}
 	s.candidates, s.nextCheckAt = s.roster.Idle(r.now, passivationBatchSize, s.candidates[:0])
-	going := make(map[int][]dormant.Endpoint, len(s.candidates))
+	going := make(map[int][]idlestore.Endpoint, len(s.candidates))
 	for _, dest := range s.candidates {
 		if r.policy.CanPassivate(r.now, dest) {
 			going[dest] = nil
@@ -174,13 +174,13 @@
 }
 
 // passivate puts destinations into the store.
-func (r *Core) passivate(going map[int][]dormant.Endpoint) {
+func (r *Core) passivate(going map[int][]idlestore.Endpoint) {
 	s := &r.passivation
 	if s.store == nil {
-		s.store = dormant.New()
+		s.store = idlestore.New()
 	}
 	kept := r.endpoints[:0]
-	marks := map[decide.EndpointID]uint32{}
+	marks := map[policy.EndpointID]uint32{}
 	for _, ep := range r.endpoints {
 		list, ok := going[ep.dest]
 		if !ok || !ep.listed { // one that has left is kept for its wait, or a while
@@ -188,7 +188,7 @@
 			continue
 		}
 		m := &ep.member
-		going[ep.dest] = append(list, dormant.Endpoint{ID: ep.id, HostPort: m.HostPort, Locality: m.Locality, Flavor: m.Flavor, Draining: m.Phase == Draining, Size: m.Rate})
+		going[ep.dest] = append(list, idlestore.Endpoint{ID: ep.id, HostPort: m.HostPort, Locality: m.Locality, Flavor: m.Flavor, Draining: m.Phase == Draining, Size: m.Rate})
 		marks[ep.number] = endpointHash(ep.id, ep.hostPort)
 		if ep.open {
 			r.emit(Effect{Kind: CloseEndpoint, Endpoint: ep.number})
@@ -205,7 +205,7 @@
 			continue
 		}
 		m := r.policy.Passivate(r.now, dest)
-		b, err := pack(m, func(num decide.EndpointID) (uint32, bool) { x, ok := marks[num]; return x, ok })
+		b, err := pack(m, func(num policy.EndpointID) (uint32, bool) { x, ok := marks[num]; return x, ok })
 		if err != nil {
 			r.log(slog.LevelError, "what was learned of a destination cannot be kept while it rests", "dest", dest, "err", err)
 		}
@@ -224,7 +224,7 @@
 }
 
 // hasEjectedEndpoint: a restart should know that it was out.
-func hasEjectedEndpoint(m *decide.Snapshot) bool {
+func hasEjectedEndpoint(m *policy.Snapshot) bool {
 	for i := range m.Limiters {
 		for j := range m.Limiters[i].Endpoints {
 			if m.Limiters[i].Endpoints[j].Unhealthy {
@@ -250,7 +250,7 @@
 
 // activateAll wakes the destinations that a memory tells of, so that it can be taken
 // over; they rest again in their time.
-func (r *Core) activateAll(m *decide.Snapshot) {
+func (r *Core) activateAll(m *policy.Snapshot) {
 	for i := range m.Limiters {
 		r.activate(m.Limiters[i].Destination)
 	}
@@ -259,21 +259,21 @@
 // passiveState shows the members of destinations that rest, with numbers that no other
 // endpoint has, and what was learned of them: of all, or of those alone that a
 // restart should know.
-func (r *Core) passiveState(all bool) (members []HandoverMember, lanes []decide.LimiterSnapshot) {
+func (r *Core) passiveState(all bool) (members []HandoverMember, lanes []policy.LimiterSnapshot) {
 	s := &r.passivation
 	if s.store == nil {
 		return nil, nil
 	}
 	next := r.lastEndpointNumber
-	show := func(dest int, learned []byte, endpoints []dormant.Endpoint) {
-		number := map[uint32]decide.EndpointID{}
+	show := func(dest int, learned []byte, endpoints []idlestore.Endpoint) {
+		number := map[uint32]policy.EndpointID{}
 		for i := range endpoints {
 			x := &endpoints[i]
 			next++
 			number[endpointHash(x.ID, x.HostPort)] = next
 			members = append(members, HandoverMember{Member: memberFromStore(dest, x), Number: next})
 		}
-		m, err := unpack(learned, dest, func(mark uint32) decide.EndpointID { return number[mark] })
+		m, err := unpack(learned, dest, func(mark uint32) policy.EndpointID { return number[mark] })
 		if err != nil {
 			return // it is known by its members
 		}
@@ -293,7 +293,7 @@
 }
 
 // memberFromStore is an endpoint as the list has it.
-func memberFromStore(dest int, x *dormant.Endpoint) Member {
+func memberFromStore(dest int, x *idlestore.Endpoint) Member {
 	m := Member{ID: x.ID, HostPort: x.HostPort, Locality: x.Locality, Flavor: x.Flavor, Dest: dest, Phase: Up, Rate: x.Size}
 	if x.Draining {
 		m.Phase = Draining
--- a/internal/core/passivation_test.go
+++ b/internal/core/passivation_test.go
@@ -7,12 +7,12 @@
 	"slices"
 	"testing"
 
-	"troutusher/decide"
-	"troutusher/internal/dormant"
+	"troutusher/internal/idlestore"
+	"troutusher/policy"
 )
 
 // passivatingCore is a core like testCore's, whose destinations rest as soon as they may.
-func passivatingCore(t *testing.T, l dormant.Limits) *Core {
+func passivatingCore(t *testing.T, l idlestore.Limits) *Core {
 	t.Helper()
 	set := testCore(t).settings
 	set.Passivation = l
@@ -32,7 +32,7 @@
 	for seed := range uint64(150) {
 		play := func() *simulation {
 			w := newSimulation(t, seed)
-			w.core = passivatingCore(t, dormant.Limits{MaxActive: 1, IdleTimeout: 10e6})
+			w.core = passivatingCore(t, idlestore.Limits{MaxActive: 1, IdleTimeout: 10e6})
 			w.flavors, w.longStepOdds = []string{"k", "r"}, 12
 			w.driver = newCallDriver(w)
 			w.driver.extraWait = 45e6
@@ -78,11 +78,11 @@
 	w.core.BeginHandover()
 	for _, c := range slices.Clone(w.driver.calls) {
 		if c.step < 3 {
-			w.driver.finishCall(c, &Result{Outcome: decide.NotSent})
+			w.driver.finishCall(c, &Result{Outcome: policy.NotSent})
 		}
 	}
 	w.drainQueue()
-	shift := decide.Time(w.rng.Int64N(2e9)) - 1e9
+	shift := policy.Time(w.rng.Int64N(2e9)) - 1e9
 	d := newCallDriver(w)
 	for name, until := range w.driver.retryAfterOf {
 		d.retryAfterOf[name] = until + shift
@@ -94,7 +94,7 @@
 
 // deliverOne has one message be handed in, and tells when and where it was sent within
 // a span; the call is answered by o.
-func deliverOne(t *testing.T, r *Core, from, until decide.Time, id string, dest int, o *Result) (at decide.Time, ep decide.EndpointID, fx []Effect) {
+func deliverOne(t *testing.T, r *Core, from, until policy.Time, id string, dest int, o *Result) (at policy.Time, ep policy.EndpointID, fx []Effect) {
 	t.Helper()
 	rec := &Record{Kind: RecordAccepted, ID: id, Class: "plain", Dest: dest, Deadline: r.wall(until)}
 	events := []Event{{Kind: Submitted, Request: &Request{Class: 0, Tenant: -1, Record: rec}}}
@@ -123,7 +123,7 @@
 	return at, ep, fx
 }
 
-var deliveredResult = &Result{Outcome: decide.Delivered, Status: 200, Final: true, Elapsed: 1000}
+var deliveredResult = &Result{Outcome: policy.Delivered, Status: 200, Final: true, Elapsed: 1000}
 
 func testMember(i, dest int, flavor string) Member {
 	return Member{ID: fmt.Sprintf("s-%d", i), HostPort: fmt.Sprintf("127.0.0.1:%d", 7000+i), Locality: "a", Flavor: flavor, Dest: dest, Phase: Up, Rate: 40}
@@ -131,16 +131,16 @@
 
 // coreWithTwoWaits is a core with destinations 1 to 3, routes apart at 2, of which 1 was told
 // a wait of 100 s and 2's only route one of 90 s a minute ago.
-func coreWithTwoWaits(t *testing.T) (*Core, decide.Time) {
+func coreWithTwoWaits(t *testing.T) (*Core, policy.Time) {
 	t.Helper()
-	r := passivatingCore(t, dormant.Limits{MaxActive: 1, IdleTimeout: 20e6})
-	now := decide.Time(3600e6)
-	r.Step(now, []Event{{Kind: EndpointListUpdated, News: decide.ListFull, List: &EndpointList{Complete: true, Members: []Member{testMember(3, 3, "k"), testMember(1, 1, "k"), testMember(2, 2, "r")}}}}, nil)
+	r := passivatingCore(t, idlestore.Limits{MaxActive: 1, IdleTimeout: 20e6})
+	now := policy.Time(3600e6)
+	r.Step(now, []Event{{Kind: EndpointListUpdated, News: policy.ListFull, List: &EndpointList{Complete: true, Members: []Member{testMember(3, 3, "k"), testMember(1, 1, "k"), testMember(2, 2, "r")}}}}, nil)
 	if n, _ := r.PassiveDestinations(); n != 2 { // beyond the first, they begin asleep
 		t.Fatalf("%d rest from the start", n)
 	}
-	deliverOne(t, r, now, now+1e6, "a", 1, &Result{Outcome: decide.Rejected, Status: 429, RetryAfter: 100e6})
-	deliverOne(t, r, now, now+1e6, "b", 2, &Result{Outcome: decide.Rejected, Status: 429, RetryAfter: 90e6})
+	deliverOne(t, r, now, now+1e6, "a", 1, &Result{Outcome: policy.Rejected, Status: 429, RetryAfter: 100e6})
+	deliverOne(t, r, now, now+1e6, "b", 2, &Result{Outcome: policy.Rejected, Status: 429, RetryAfter: 90e6})
 	for at := now + 2e6; at < now+60e6; at += 1e6 {
 		r.Step(at, nil, nil)
 	}
@@ -155,32 +155,32 @@
 // restarted or upgraded. Then it rests.
 func TestRetryAfterOutlastsPassivation(t *testing.T) {
 	list := func(l ...Member) []Event {
-		return []Event{{Kind: EndpointListUpdated, News: decide.ListFull, List: &EndpointList{Complete: true, Members: l}}}
+		return []Event{{Kind: EndpointListUpdated, News: policy.ListFull, List: &EndpointList{Complete: true, Members: l}}}
 	}
-	for name, meanwhile := range map[string]func(r *Core, now decide.Time){
-		"nothing": func(*Core, decide.Time) {},
-		"all leave and come back": func(r *Core, now decide.Time) {
+	for name, meanwhile := range map[string]func(r *Core, now policy.Time){
+		"nothing": func(*Core, policy.Time) {},
+		"all leave and come back": func(r *Core, now policy.Time) {
 			r.Step(now, list(testMember(3, 3, "k")), nil)
 			r.Step(now+1e6, list(testMember(2, 2, "r"), testMember(1, 1, "k"), testMember(3, 3, "k")), nil)
 		},
-		"one joins": func(r *Core, now decide.Time) {
-			r.Step(now, []Event{{Kind: EndpointListUpdated, News: decide.ListDelta, List: &EndpointList{Members: []Member{testMember(9, 1, "k")}}}}, nil)
+		"one joins": func(r *Core, now policy.Time) {
+			r.Step(now, []Event{{Kind: EndpointListUpdated, News: policy.ListDelta, List: &EndpointList{Members: []Member{testMember(9, 1, "k")}}}}, nil)
 		},
-		"a restart": func(r *Core, now decide.Time) {
+		"a restart": func(r *Core, now policy.Time) {
 			l := &StateSnapshot{}
 			roundTrip(t, r.SnapshotState(now), l)
 			if !l.Partial || l.EndpointList().Complete {
 				t.Error("a list without those that rest is told to be whole")
 			}
-			next := passivatingCore(t, dormant.Limits{MaxActive: 1, IdleTimeout: 20e6})
+			next := passivatingCore(t, idlestore.Limits{MaxActive: 1, IdleTimeout: 20e6})
 			next.Observe(now, list(testMember(3, 3, "k"), testMember(2, 2, "r"), testMember(1, 1, "k")), nil)
 			next.RestoreState(now, l, 0, nil)
 			*r = *next
 		},
-		"an upgrade": func(r *Core, now decide.Time) {
+		"an upgrade": func(r *Core, now policy.Time) {
 			c := &HandoverState{}
 			roundTrip(t, r.ExportHandover(now), c)
-			next := passivatingCore(t, dormant.Limits{MaxActive: 1, IdleTimeout: 20e6})
+			next := passivatingCore(t, idlestore.Limits{MaxActive: 1, IdleTimeout: 20e6})
 			next.RecoverMessages(now, nil, c, 0, nil)
 			*r = *next
 		},
@@ -188,7 +188,7 @@
 		r, began := coreWithTwoWaits(t)
 		meanwhile(r, began+62e6)
 		for _, dest := range []int{2, 1} { // the second's clock has come to the end of the first one's wait
-			end := began + map[int]decide.Time{1: 100e6, 2: 90e6}[dest]
+			end := began + map[int]policy.Time{1: 100e6, 2: 90e6}[dest]
 			at, _, _ := deliverOne(t, r, began+65e6, began+120e6, fmt.Sprint("late", dest), dest, deliveredResult)
 			if at < end || at > end+3e6 {
 				t.Errorf("%s: destination %d is sent to %.1f s after the end of its wait", name, dest, float64(at-end)/1e6)
@@ -218,13 +218,13 @@
 // What rested under one id and address is what it was; elsewhere, or under another
 // id, nothing is inherited but the destination's own wait.
 func TestMovedEndpointInheritsNothing(t *testing.T) {
-	r := passivatingCore(t, dormant.Limits{MaxActive: 1, IdleTimeout: 20e6})
-	now := decide.Time(3600e6)
-	r.Step(now, []Event{{Kind: EndpointListUpdated, News: decide.ListFull, List: &EndpointList{Complete: true, Members: []Member{testMember(9, 9, "k"), testMember(1, 1, "k"), testMember(2, 2, "k"), testMember(3, 3, "k")}}}}, nil)
+	r := passivatingCore(t, idlestore.Limits{MaxActive: 1, IdleTimeout: 20e6})
+	now := policy.Time(3600e6)
+	r.Step(now, []Event{{Kind: EndpointListUpdated, News: policy.ListFull, List: &EndpointList{Complete: true, Members: []Member{testMember(9, 9, "k"), testMember(1, 1, "k"), testMember(2, 2, "k"), testMember(3, 3, "k")}}}}, nil)
 	for i := range 3 {
-		at := now + decide.Time(i)*3e6
-		deliverOne(t, r, at, at+1e6, fmt.Sprint("a", i), 1+i, &Result{Outcome: decide.ConnectFailed})
-		deliverOne(t, r, at+2e6, at+3e6, fmt.Sprint("b", i), 1+i, &Result{Outcome: decide.ConnectFailed})
+		at := now + policy.Time(i)*3e6
+		deliverOne(t, r, at, at+1e6, fmt.Sprint("a", i), 1+i, &Result{Outcome: policy.ConnectFailed})
+		deliverOne(t, r, at+2e6, at+3e6, fmt.Sprint("b", i), 1+i, &Result{Outcome: policy.ConnectFailed})
 	}
 	for at := now + 10e6; at < now+60e6; at += 1e6 {
 		r.Step(at, nil, nil)
@@ -238,8 +238,8 @@
 	// A restart knows of all three: they were out.
 	l := &StateSnapshot{}
 	roundTrip(t, r.SnapshotState(now+60e6), l)
-	next := passivatingCore(t, dormant.Limits{MaxActive: 1, IdleTimeout: 20e6})
-	next.Observe(now+60e6, []Event{{Kind: EndpointListUpdated, News: decide.ListFull, List: &EndpointList{Complete: true, Members: []Member{testMember(9, 9, "k"), testMember(1, 1, "k"), testMember(2, 2, "k"), testMember(3, 3, "k")}}}}, nil)
+	next := passivatingCore(t, idlestore.Limits{MaxActive: 1, IdleTimeout: 20e6})
+	next.Observe(now+60e6, []Event{{Kind: EndpointListUpdated, News: policy.ListFull, List: &EndpointList{Complete: true, Members: []Member{testMember(9, 9, "k"), testMember(1, 1, "k"), testMember(2, 2, "k"), testMember(3, 3, "k")}}}}, nil)
 	next.RestoreState(now+60e6, l, 0, nil)
 	if _, avoided := next.ListedEndpoints(); avoided != 3 {
 		t.Errorf("after a restart %d are avoided", avoided)
@@ -248,7 +248,7 @@
 	moved.HostPort, swapped.HostPort = "127.0.0.1:1", testMember(3, 3, "k").HostPort
 	gone := testMember(3, 3, "k")
 	gone.Phase = Removed
-	r.Step(now+60e6, []Event{{Kind: EndpointListUpdated, News: decide.ListDelta, List: &EndpointList{Members: []Member{moved, gone, swapped}}}}, nil)
+	r.Step(now+60e6, []Event{{Kind: EndpointListUpdated, News: policy.ListDelta, List: &EndpointList{Members: []Member{moved, gone, swapped}}}}, nil)
 	for dest, want := range map[int]bool{1: true, 2: false, 3: false} {
 		r.activate(dest)
 		r.runPolicy()
@@ -263,9 +263,9 @@
 // A message that is owed wakes its destination; what the core alone was told to
 // wait keeps one awake.
 func TestPendingDestinationsStayActive(t *testing.T) {
-	r := passivatingCore(t, dormant.Limits{MaxActive: 1, IdleTimeout: 20e6})
-	now := decide.Time(3600e6)
-	r.Observe(now, []Event{{Kind: EndpointListUpdated, News: decide.ListFull, List: &EndpointList{Complete: true, Members: []Member{testMember(1, 1, "k"), testMember(2, 2, "k")}}}}, nil)
+	r := passivatingCore(t, idlestore.Limits{MaxActive: 1, IdleTimeout: 20e6})
+	now := policy.Time(3600e6)
+	r.Observe(now, []Event{{Kind: EndpointListUpdated, News: policy.ListFull, List: &EndpointList{Complete: true, Members: []Member{testMember(1, 1, "k"), testMember(2, 2, "k")}}}}, nil)
 	r.RecoverMessages(now, []*Record{{Kind: RecordAccepted, ID: "owed", Class: "plain", Dest: 2, Deadline: r.wall(now + 20e6)}}, nil, 0, nil)
 	sent := false
 	for at := now; at < now+2e6; at += 20e3 {
@@ -276,8 +276,8 @@
 	if !sent {
 		t.Error("what is owed to one that rests is not sent")
 	}
-	r = passivatingCore(t, dormant.Limits{MaxActive: 1, IdleTimeout: 20e6})
-	r.Step(now, []Event{{Kind: EndpointListUpdated, News: decide.ListFull, List: &EndpointList{Complete: true, Members: []Member{testMember(1, 1, "k")}}}}, nil)
+	r = passivatingCore(t, idlestore.Limits{MaxActive: 1, IdleTimeout: 20e6})
+	r.Step(now, []Event{{Kind: EndpointListUpdated, News: policy.ListFull, List: &EndpointList{Complete: true, Members: []Member{testMember(1, 1, "k")}}}}, nil)
 	r.retryAfter[1] = now + 100e6
 	deliverOne(t, r, now+1e6, now+2e6, "m", 2, deliveredResult) // nobody is there, and the other is the one that is awake
 	r.ensureActive(3)
@@ -301,17 +301,17 @@
 func TestListUpdatesReachPassiveDestinations(t *testing.T) {
 	for seed := range uint64(40) {
 		rng := rand.New(rand.NewPCG(seed, 9))
-		r := passivatingCore(t, dormant.Limits{MaxActive: 5, IdleTimeout: 10e6})
+		r := passivatingCore(t, idlestore.Limits{MaxActive: 5, IdleTimeout: 10e6})
 		if seed%2 == 0 {
 			r.listBatchSize = 1 + rng.IntN(6) // and messages come between two of them
 		}
-		now := decide.Time(3600e6)
+		now := policy.Time(3600e6)
 		want := map[string]Member{}
 		for i := range 120 {
 			l := &EndpointList{}
-			kind := decide.ListDelta
+			kind := policy.ListDelta
 			if whole := i == 0 || rng.IntN(6) == 0; whole {
-				kind, l.Complete = decide.ListFull, true
+				kind, l.Complete = policy.ListFull, true
 			}
 			for range rng.IntN(40) {
 				k := rng.IntN(60)
@@ -334,7 +334,7 @@
 					want[m.ID] = m
 				}
 			}
-			now += decide.Time(rng.IntN(15e6))
+			now += policy.Time(rng.IntN(15e6))
 			r.Step(now, []Event{{Kind: EndpointListUpdated, News: kind, List: l}}, nil)
 			if rng.IntN(2) == 0 { // somebody wakes
 				deliverOne(t, r, now, now+1e6, fmt.Sprint("m", i), rng.IntN(30), deliveredResult)
@@ -372,18 +372,18 @@
 // Of a long list what concerns who is awake is booked at once, however late it
 // stands there; who wakes while the rest is booked, and is not named, has left.
 func TestLongListInBatches(t *testing.T) {
-	r := passivatingCore(t, dormant.Limits{MaxActive: 2, IdleTimeout: 10e6})
-	now := decide.Time(3600e6)
+	r := passivatingCore(t, idlestore.Limits{MaxActive: 2, IdleTimeout: 10e6})
+	now := policy.Time(3600e6)
 	var all []Member
 	for i := range 60 {
 		all = append(all, testMember(i, i, "k"))
 	}
-	r.Step(now, []Event{{Kind: EndpointListUpdated, News: decide.ListFull, List: &EndpointList{Complete: true, Members: all}}}, nil)
+	r.Step(now, []Event{{Kind: EndpointListUpdated, News: policy.ListFull, List: &EndpointList{Complete: true, Members: all}}}, nil)
 	r.listBatchSize = 1
 	gone, drains := all[0], all[1]
 	gone.Phase, drains.Phase = Removed, Draining
 	l := &EndpointList{Members: append(slices.Clone(all[2:]), gone, drains)}
-	r.Step(now, []Event{{Kind: EndpointListUpdated, News: decide.ListDelta, List: l}}, nil)
+	r.Step(now, []Event{{Kind: EndpointListUpdated, News: policy.ListDelta, List: l}}, nil)
 	for _, id := range []string{"s-0", "s-1"} {
 		if ep := r.endpointsByID[id]; !ep.retired {
 			t.Errorf("%s is not gone after the first piece", id)
@@ -391,7 +391,7 @@
 	}
 	r.finishListUpdate()
 	l = &EndpointList{Complete: true, Members: slices.Clone(all[:50])} // 55 has left
-	fx := r.Step(now, []Event{{Kind: EndpointListUpdated, News: decide.ListFull, List: l}}, nil)
+	fx := r.Step(now, []Event{{Kind: EndpointListUpdated, News: policy.ListFull, List: l}}, nil)
 	if r.listUpdate == nil || !slices.ContainsFunc(fx, func(e Effect) bool { return e.Kind == StepAgain }) {
 		t.Fatal("it is booked whole, or nobody steps for the rest")
 	}
@@ -416,15 +416,15 @@
 // A destination whose endpoints have all left while it rested is known for half an
 // hour, and then forgotten; nothing of it is left.
 func TestForgetsDepartedDestinations(t *testing.T) {
-	r := passivatingCore(t, dormant.Limits{MaxActive: 1, IdleTimeout: 20e6})
-	now := decide.Time(3600e6)
+	r := passivatingCore(t, idlestore.Limits{MaxActive: 1, IdleTimeout: 20e6})
+	now := policy.Time(3600e6)
 	var all []Member
 	for i := range 200 {
 		all = append(all, testMember(i, i, "k"))
 	}
-	r.Step(now, []Event{{Kind: EndpointListUpdated, News: decide.ListFull, List: &EndpointList{Complete: true, Members: all}}}, nil)
-	r.Step(now, []Event{{Kind: EndpointListUpdated, News: decide.ListFull, List: &EndpointList{Complete: true, Members: all[:2]}}}, nil)
-	taken := func(at decide.Time, id string, dest int) bool {
+	r.Step(now, []Event{{Kind: EndpointListUpdated, News: policy.ListFull, List: &EndpointList{Complete: true, Members: all}}}, nil)
+	r.Step(now, []Event{{Kind: EndpointListUpdated, News: policy.ListFull, List: &EndpointList{Complete: true, Members: all[:2]}}}, nil)
+	taken := func(at policy.Time, id string, dest int) bool {
 		q := &Request{Tenant: -1, Record: &Record{ID: id, Class: "plain", Dest: dest, Deadline: r.wall(at + 20e6)}}
 		for _, e := range r.Step(at, []Event{{Kind: Submitted, Request: q}}, nil) {
 			if e.Kind == SendReply && e.Request == q {
@@ -437,7 +437,7 @@
 		t.Error("refused at once")
 	}
 	for at := now + 1e6; at < now+1900e6; at += 10e6 {
-		r.Step(at, []Event{{Kind: EndpointListUpdated, News: decide.ListDelta, List: &EndpointList{}}}, nil)
+		r.Step(at, []Event{{Kind: EndpointListUpdated, News: policy.ListDelta, List: &EndpointList{}}}, nil)
 	}
 	if taken(now+1900e6, "late", 151) {
 		t.Error("known for good")
@@ -449,16 +449,16 @@
 
 // What lies in the store is read with bounds, and gives nothing where it is damaged.
 func FuzzUnpack(f *testing.F) {
-	m := &decide.Snapshot{Now: 5e9, Limiters: []decide.LimiterSnapshot{{Latency: decide.LatencySnapshot{Mean: 3, Count: 2},
-		Endpoints: []decide.EndpointSnapshot{{ID: 1, Unhealthy: true, LastSuccessAt: 4e9, LastFailureAt: 5e9}}}}}
-	b, err := pack(m, func(decide.EndpointID) (uint32, bool) { return 7, true })
+	m := &policy.Snapshot{Now: 5e9, Limiters: []policy.LimiterSnapshot{{Latency: policy.LatencySnapshot{Mean: 3, Count: 2},
+		Endpoints: []policy.EndpointSnapshot{{ID: 1, Unhealthy: true, LastSuccessAt: 4e9, LastFailureAt: 5e9}}}}}
+	b, err := pack(m, func(policy.EndpointID) (uint32, bool) { return 7, true })
 	if err != nil {
 		f.Fatal(err)
 	}
 	f.Add(b)
 	f.Add([]byte{0xa2, 1, 0, 2, 0x9b, 0xff, 0xff, 0xff, 0xff, 0xff, 0xff, 0xff, 0xff})
 	f.Fuzz(func(t *testing.T, b []byte) {
-		m, err := unpack(b, 1, func(uint32) decide.EndpointID { return 1 })
+		m, err := unpack(b, 1, func(uint32) policy.EndpointID { return 1 })
 		if m == nil || err != nil && len(m.Limiters) > 0 {
 			t.Errorf("%v, %v", m, err)
 		}
@@ -467,15 +467,15 @@
 
 // Moments, waits and health come back as they were; a wait is never shorter.
 func TestPackUnpackRoundTrip(t *testing.T) {
-	m := &decide.Snapshot{Now: 5e9, Limiters: []decide.LimiterSnapshot{{Destination: 3, Window: 1, RateMultiplier: 1, ReportedRate: 12.5, ReducedRate: 0.25, ReducedAt: 4e9 + 1,
-		Latency: decide.LatencySnapshot{Mean: 1500, Deviation: 20, Count: 7},
-		Endpoints: []decide.EndpointSnapshot{{ID: 11, Unhealthy: true, LastFailureSilent: true, FirstFailureAt: 4e9, LastFailureAt: 5e9, RecoveredAt: 4e9 + 5, RecoverySentAt: 4e9 + 3, LastSuccessAt: 1, BackoffUntil: 5e9 + 7,
-			FailureScore: 0.5, RecoveryBudget: decide.TokenBucketSnapshot{At: 4e9, Tokens: 1.5, Used: true}, RequiredTokens: 0.75, Latency: decide.LatencySnapshot{Mean: 9, Deviation: 1, Count: 1}}, {ID: 12}}}}}
-	b, err := pack(m, func(n decide.EndpointID) (uint32, bool) { return uint32(n) * 1e8, true })
+	m := &policy.Snapshot{Now: 5e9, Limiters: []policy.LimiterSnapshot{{Destination: 3, Window: 1, RateMultiplier: 1, ReportedRate: 12.5, ReducedRate: 0.25, ReducedAt: 4e9 + 1,
+		Latency: policy.LatencySnapshot{Mean: 1500, Deviation: 20, Count: 7},
+		Endpoints: []policy.EndpointSnapshot{{ID: 11, Unhealthy: true, LastFailureSilent: true, FirstFailureAt: 4e9, LastFailureAt: 5e9, RecoveredAt: 4e9 + 5, RecoverySentAt: 4e9 + 3, LastSuccessAt: 1, BackoffUntil: 5e9 + 7,
+			FailureScore: 0.5, RecoveryBudget: policy.TokenBucketSnapshot{At: 4e9, Tokens: 1.5, Used: true}, RequiredTokens: 0.75, Latency: policy.LatencySnapshot{Mean: 9, Deviation: 1, Count: 1}}, {ID: 12}}}}}
+	b, err := pack(m, func(n policy.EndpointID) (uint32, bool) { return uint32(n) * 1e8, true })
 	if err != nil {
 		t.Fatal(err)
 	}
-	got, err := unpack(b, 3, func(x uint32) decide.EndpointID { return decide.EndpointID(x / 1e8) })
+	got, err := unpack(b, 3, func(x uint32) policy.EndpointID { return policy.EndpointID(x / 1e8) })
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/core/recovered.go
+++ b/internal/core/recovered.go
@@ -1,8 +1,8 @@
 package core
 
 import (
-	"troutusher/decide"
-	"troutusher/internal/tally"
+	"troutusher/internal/metrics"
+	"troutusher/policy"
 )
 
 // What a restart finds taken on and untried was taken on in order to be
@@ -28,12 +28,12 @@
 		return
 	}
 	m.recoveryState = recoveredUntried
-	r.metrics.Add(m.record.Dest, tally.RecoveredUntried, 1)
+	r.metrics.Add(m.record.Dest, metrics.RecoveredUntried, 1)
 	switch {
 	case r.fromWall(m.record.Deadline) <= r.now:
-		r.metrics.Add(m.record.Dest, tally.UntriedExpired, 1)
+		r.metrics.Add(m.record.Dest, metrics.UntriedExpired, 1)
 	case !r.hasUsableEndpoint(m.record.Dest):
-		r.metrics.Add(m.record.Dest, tally.UntriedUnroutable, 1)
+		r.metrics.Add(m.record.Dest, metrics.UntriedUnroutable, 1)
 	}
 }
 
@@ -49,13 +49,13 @@
 }
 
 // countRecoveredAttempt books that an attempt has ended. One that never left is none.
-func (r *Core) countRecoveredAttempt(m *message, o decide.Outcome) {
-	if m.recoveryState == recoveredUntried && o != decide.NotSent {
+func (r *Core) countRecoveredAttempt(m *message, o policy.Outcome) {
+	if m.recoveryState == recoveredUntried && o != policy.NotSent {
 		m.recoveryState = recoveredThenTried
-		r.metrics.Add(m.record.Dest, tally.UntriedAttempted, 1)
+		r.metrics.Add(m.record.Dest, metrics.UntriedAttempted, 1)
 	}
-	if m.recoveryState == recoveredThenTried && o == decide.Delivered {
-		r.metrics.Add(m.record.Dest, tally.UntriedDelivered, 1)
+	if m.recoveryState == recoveredThenTried && o == policy.Delivered {
+		r.metrics.Add(m.record.Dest, metrics.UntriedDelivered, 1)
 	}
 }
 
@@ -65,9 +65,9 @@
 	if m.recoveryState != recoveredUntried || m.call != nil {
 		return
 	}
-	what := tally.UntriedHandedBackPrefix
+	what := metrics.UntriedHandedBackPrefix
 	if word == NoticeGivenUp {
-		what = tally.UntriedGivenUpPrefix
+		what = metrics.UntriedGivenUpPrefix
 	}
 	r.metrics.Add(m.record.Dest, what+why, 1)
 }
--- a/internal/core/recovered_test.go
+++ b/internal/core/recovered_test.go
@@ -5,14 +5,14 @@
 	"strings"
 	"testing"
 
-	"troutusher/decide"
-	"troutusher/internal/tally"
+	"troutusher/internal/metrics"
+	"troutusher/policy"
 )
 
 // addCounts adds up the tally lines of effects, by name.
 func addCounts(sum map[string]int64, fx []Effect) {
 	for i := range fx {
-		if fx[i].Kind == Log && fx[i].Text == tally.LogText {
+		if fx[i].Kind == Log && fx[i].Text == metrics.LogText {
 			for _, a := range fx[i].Args {
 				group, ok := a.(interface{ String() string })
 				if !ok {
@@ -39,7 +39,7 @@
 // What it finds is counted once by how it was found and once by what became of it.
 func TestRecoveredUntriedAreAttempted(t *testing.T) {
 	r := testCore(t)
-	now := decide.Time(3600e6)
+	now := policy.Time(3600e6)
 	left := func(us int64) int64 { return r.settings.Epoch + now + us }
 	up := Member{ID: "s-1", HostPort: "127.0.0.1:7001", Dest: 1, Phase: Up, Rate: 1000, Flavor: "k", Locality: "a"}
 	full, never := up, up
@@ -56,7 +56,7 @@
 		&Record{Kind: RecordAccepted, ID: "full", Class: "plain", Dest: 2, Deadline: left(300e3)},
 		&Record{Kind: RecordAccepted, ID: "never", Class: "plain", Dest: 3, Deadline: left(300e3)},
 		&Record{Kind: RecordAccepted, ID: "ended", Class: "plain", Dest: 1, Deadline: left(10e6), Notice: NoticeHandedBack})
-	fx := r.Observe(now, []Event{{Kind: EndpointListUpdated, News: decide.ListCached, List: &EndpointList{Complete: true, Members: []Member{up, full, never}}}}, nil)
+	fx := r.Observe(now, []Event{{Kind: EndpointListUpdated, News: policy.ListCached, List: &EndpointList{Complete: true, Members: []Member{up, full, never}}}}, nil)
 	fx = r.RecoverMessages(now, owed, nil, 0, fx)
 	sum := map[string]int64{}
 	called, ends := map[string]bool{}, map[string]string{}
@@ -69,12 +69,12 @@
 			switch e := &fx[i]; e.Kind {
 			case AppendThenSend:
 				called[e.Call.Record.ID] = true
-				o := &Result{Outcome: decide.Delivered, Final: true, Status: 200, Elapsed: 1000}
+				o := &Result{Outcome: policy.Delivered, Final: true, Status: 200, Elapsed: 1000}
 				switch e.Call.Record.Dest {
 				case 2:
-					o = &Result{Outcome: decide.Rejected, Status: 503}
+					o = &Result{Outcome: policy.Rejected, Status: 503}
 				case 3:
-					o = &Result{Outcome: decide.NotSent}
+					o = &Result{Outcome: policy.NotSent}
 				}
 				events = append(events, Event{Kind: AttemptFinished, Call: e.Call, Result: o})
 			case AppendThenNotify:
@@ -92,9 +92,9 @@
 			t.Errorf("%s: called %v, ended %q", id, called[id], ends[id])
 		}
 	}
-	want := map[string]int64{tally.Recovered: 13, tally.RecoveredUntried: 13, tally.UntriedExpired: 1, tally.UntriedUnroutable: 1, tally.UntriedAttempted: 9, tally.UntriedDelivered: 8,
-		tally.UntriedHandedBackPrefix + "time": 3, tally.UntriedGivenUpPrefix + "unknown": 1}
-	sum[tally.UntriedHandedBackPrefix+"time"] += sum[tally.UntriedHandedBackPrefix+"attempts"] // the one that never leaves, by either
+	want := map[string]int64{metrics.Recovered: 13, metrics.RecoveredUntried: 13, metrics.UntriedExpired: 1, metrics.UntriedUnroutable: 1, metrics.UntriedAttempted: 9, metrics.UntriedDelivered: 8,
+		metrics.UntriedHandedBackPrefix + "time": 3, metrics.UntriedGivenUpPrefix + "unknown": 1}
+	sum[metrics.UntriedHandedBackPrefix+"time"] += sum[metrics.UntriedHandedBackPrefix+"attempts"] // the one that never leaves, by either
 	for name, n := range want {
 		if sum[name] != n {
 			t.Errorf("%s: %d, want %d (%v)", name, sum[name], n, sum)
@@ -109,7 +109,7 @@
 	for _, status := range []int{0, 503} {
 		rec := &Record{Kind: RecordAccepted, ID: "m"}
 		rec.Apply(&Record{Kind: RecordAttempt, At: 7})
-		o := Result{Outcome: decide.NotSent, Status: status}
+		o := Result{Outcome: policy.NotSent, Status: status}
 		rec.Apply(&Record{Kind: RecordOutcome, NotCounted: o.neverLeft()})
 		if want := min(status, 1); rec.Attempts != want || rec.FirstUncertainAt != 0 || rec.OpenAttemptAt != 0 {
 			t.Errorf("status %d: %+v", status, rec)
@@ -122,9 +122,9 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	now := decide.Time(3600e6)
+	now := policy.Time(3600e6)
 	up := Member{ID: "s-1", HostPort: "127.0.0.1:7001", Dest: 1, Phase: Up, Rate: 1000, Flavor: "k", Locality: "a"}
-	r.Observe(now, []Event{{Kind: EndpointListUpdated, News: decide.ListCached, List: &EndpointList{Complete: true, Members: []Member{up}}}}, nil)
+	r.Observe(now, []Event{{Kind: EndpointListUpdated, News: policy.ListCached, List: &EndpointList{Complete: true, Members: []Member{up}}}}, nil)
 	r.DeferSends()
 	r.RecoverMessages(now, []*Record{{Kind: RecordAccepted, ID: "m", Class: "plain", Dest: 1, Deadline: set.Epoch + now + 5e6}}, nil, 0, nil)
 	sends := 0
@@ -139,7 +139,7 @@
 			switch fx[i].Kind {
 			case AppendThenSend:
 				sends++
-				events = append(events, Event{Kind: AttemptFinished, Call: fx[i].Call, Result: &Result{Outcome: decide.Delivered, Final: true, Status: 200}})
+				events = append(events, Event{Kind: AttemptFinished, Call: fx[i].Call, Result: &Result{Outcome: policy.Delivered, Final: true, Status: 200}})
 			case AppendThenNotify:
 				t.Fatalf("ended at step %d: %+v", step, fx[i].Notice)
 			}
--- a/internal/core/retryafter_test.go
+++ b/internal/core/retryafter_test.go
@@ -6,8 +6,8 @@
 	"strings"
 	"testing"
 
-	"troutusher/decide"
-	"troutusher/internal/gate"
+	"troutusher/internal/sendgate"
+	"troutusher/policy"
 )
 
 // callDriver makes a world's calls in pieces, as the sockets do: a connection that
@@ -16,11 +16,11 @@
 // own account of that.
 type callDriver struct {
 	w             *simulation
-	scopes        map[string]*gate.Scope
-	endpoints     map[decide.EndpointID]*driverEndpoint
+	scopes        map[string]*sendgate.Scope
+	endpoints     map[policy.EndpointID]*driverEndpoint
 	calls         []*driverCall
-	retryAfterOf  map[string]decide.Time // the end of the longest wait, by scope
-	extraWait     decide.Time            // waits are so much longer now and then
+	retryAfterOf  map[string]policy.Time // the end of the longest wait, by scope
+	extraWait     policy.Time            // waits are so much longer now and then
 	tellingScopes map[string]bool        // scopes that told one
 	sent          int
 	blocked       int // calls that the gate kept back
@@ -28,7 +28,7 @@
 
 type driverEndpoint struct {
 	scope string
-	gate  *gate.Gate
+	gate  *sendgate.Gate
 	dest  int
 	gone  bool
 }
@@ -36,12 +36,12 @@
 type driverCall struct {
 	call     *Call
 	endpoint *driverEndpoint
-	pass     *gate.Permit
+	pass     *sendgate.Permit
 	step     int
 }
 
 func newCallDriver(w *simulation) *callDriver {
-	return &callDriver{w: w, scopes: map[string]*gate.Scope{}, endpoints: map[decide.EndpointID]*driverEndpoint{}, retryAfterOf: map[string]decide.Time{}, tellingScopes: map[string]bool{}}
+	return &callDriver{w: w, scopes: map[string]*sendgate.Scope{}, endpoints: map[policy.EndpointID]*driverEndpoint{}, retryAfterOf: map[string]policy.Time{}, tellingScopes: map[string]bool{}}
 }
 
 func (d *callDriver) openEndpoint(e *Effect) {
@@ -50,19 +50,19 @@
 		name = "route " + d.w.idOf(e.Endpoint)
 	}
 	if d.scopes[name] == nil {
-		d.scopes[name] = &gate.Scope{}
+		d.scopes[name] = &sendgate.Scope{}
 	}
 	d.endpoints[e.Endpoint] = &driverEndpoint{scope: name, gate: d.scopes[name].Gate(), dest: e.Dest}
 }
 
-func (w *simulation) idOf(n decide.EndpointID) string {
+func (w *simulation) idOf(n policy.EndpointID) string {
 	if ep := w.core.endpointsByNumber[n]; ep != nil {
 		return ep.id
 	}
 	return fmt.Sprint("forgotten ", n) // in the same step: its destination rests
 }
 
-func (d *callDriver) closeEndpoint(n decide.EndpointID) {
+func (d *callDriver) closeEndpoint(n policy.EndpointID) {
 	if h := d.endpoints[n]; h != nil {
 		h.gone = true
 		h.gate.Close()
@@ -70,7 +70,7 @@
 }
 
 // forgetEndpoint lets go of all that is kept for an endpoint.
-func (d *callDriver) forgetEndpoint(n decide.EndpointID) {
+func (d *callDriver) forgetEndpoint(n policy.EndpointID) {
 	if h := d.endpoints[n]; h != nil && !h.gone {
 		d.w.failf("endpoint %d is forgotten and not shut", n)
 	}
@@ -81,7 +81,7 @@
 }
 
 // recordRetryAfter is what reads an answer: the word of a wait is told to the gate at once.
-func (d *callDriver) recordRetryAfter(h *driverEndpoint, wait decide.Time) {
+func (d *callDriver) recordRetryAfter(h *driverEndpoint, wait policy.Time) {
 	until := d.w.now + wait
 	h.gate.HoldUntil(d.w.now, until)
 	d.retryAfterOf[h.scope] = max(d.retryAfterOf[h.scope], until)
@@ -100,7 +100,7 @@
 
 func (d *callDriver) blockCall(c *driverCall, err error) {
 	d.blocked++
-	d.finishCall(c, &Result{Outcome: decide.NotSent, Err: err})
+	d.finishCall(c, &Result{Outcome: policy.NotSent, Err: err})
 }
 
 // advance moves the calls on, each by a step or not.
@@ -122,7 +122,7 @@
 				continue // the connection takes its time
 			}
 			if w.rng.IntN(8) == 0 {
-				d.finishCall(c, &Result{Outcome: decide.ConnectFailed})
+				d.finishCall(c, &Result{Outcome: policy.ConnectFailed})
 				continue
 			}
 			if err = c.pass.AllowFirstByte(w.now); err != nil {
@@ -147,21 +147,21 @@
 			c.pass = nil
 			d.sent++
 		case 3:
-			o := &Result{Outcome: decide.Delivered, Status: 200, Final: true, Elapsed: w.now - c.call.SentAt()}
+			o := &Result{Outcome: policy.Delivered, Status: 200, Final: true, Elapsed: w.now - c.call.SentAt()}
 			switch w.rng.IntN(8) {
 			case 0, 1:
-				o = &Result{Outcome: decide.Rejected, Status: 429, RetryAfter: decide.Time(w.rng.IntN(900e3))}
+				o = &Result{Outcome: policy.Rejected, Status: 429, RetryAfter: policy.Time(w.rng.IntN(900e3))}
 			case 2: // its head came, and no more
-				o = &Result{Outcome: decide.Failed, Status: 429, Malformed: true, RetryAfter: decide.Time(w.rng.IntN(900e3))}
+				o = &Result{Outcome: policy.Failed, Status: 429, Malformed: true, RetryAfter: policy.Time(w.rng.IntN(900e3))}
 			case 3: // nobody hears what was told
-				o = &Result{Outcome: decide.TimedOut, Elapsed: w.now - c.call.SentAt()}
+				o = &Result{Outcome: policy.TimedOut, Elapsed: w.now - c.call.SentAt()}
 			case 4:
-				o = &Result{Outcome: decide.Rejected, Status: 503}
+				o = &Result{Outcome: policy.Rejected, Status: 503}
 			case 5:
-				o = &Result{Outcome: decide.ConnectionReset}
+				o = &Result{Outcome: policy.ConnectionReset}
 			}
 			if c.endpoint == nil { // it left before the hand-over
-				o = &Result{Outcome: decide.ConnectionReset}
+				o = &Result{Outcome: policy.ConnectionReset}
 			}
 			if o.RetryAfter > 0 {
 				if d.extraWait > 0 && w.rng.IntN(3) == 0 {
@@ -222,7 +222,7 @@
 			owed = append(owed, &Record{Kind: RecordAccepted, ID: fmt.Sprint("m", i), Class: "plain", Dest: 1, Deadline: r.wall(3620e6)})
 		}
 		if carried == nil {
-			r.Observe(3600e6, []Event{{Kind: EndpointListUpdated, News: decide.ListFull, List: list}}, nil)
+			r.Observe(3600e6, []Event{{Kind: EndpointListUpdated, News: policy.ListFull, List: list}}, nil)
 			r.RecoverMessages(3600e6, owed, nil, 0, nil)
 		} else {
 			carried.Members = []HandoverMember{{Member: list.Members[0], Number: 1}}
@@ -239,7 +239,7 @@
 			t.Fatalf("%s: %d calls begun", name, len(out))
 		}
 		sent := 0 // the window allows two then, and so does half a second of the usual pace
-		for _, e := range r.Step(3600e6+500e3, []Event{{Kind: AttemptFinished, Call: out[0], Result: &Result{Outcome: decide.Delivered, Final: true, Elapsed: 1000}}}, nil) {
+		for _, e := range r.Step(3600e6+500e3, []Event{{Kind: AttemptFinished, Call: out[0], Result: &Result{Outcome: policy.Delivered, Final: true, Elapsed: 1000}}}, nil) {
 			if e.Kind == AppendThenSend {
 				sent++
 			}
@@ -267,13 +267,13 @@
 // a sibling; and one that another process was told binds its siblings too.
 func TestLongestRetryAfterWins(t *testing.T) {
 	r := testCore(t)
-	r.Step(3600e6, []Event{{Kind: EndpointListUpdated, News: decide.ListFull, List: &EndpointList{Members: []Member{
+	r.Step(3600e6, []Event{{Kind: EndpointListUpdated, News: policy.ListFull, List: &EndpointList{Members: []Member{
 		{ID: "a", HostPort: "127.0.0.1:1", Dest: 1, Phase: Up, Flavor: "k"}, {ID: "b", HostPort: "127.0.0.1:2", Dest: 1, Phase: Up, Flavor: "k"},
 		{ID: "c", HostPort: "127.0.0.1:3", Dest: 2, Phase: Up, Flavor: "r"}, {ID: "d", HostPort: "127.0.0.1:4", Dest: 2, Phase: Up, Flavor: "r"}}}}}, nil)
 	now := r.now
 	for _, x := range []struct {
 		id    string
-		until decide.Time
+		until policy.Time
 	}{{"a", 5e6}, {"b", 1e6}, {"c", 4e6}, {"c", 2e6}} {
 		ep := r.endpointsByID[x.id]
 		r.recordRetryAfter(&Call{Record: &Record{Dest: ep.dest}, endpoint: ep, independentRoute: r.hasIndependentRoutes(ep.flavor)}, now+x.until)
@@ -285,16 +285,16 @@
 		next.RecoverMessages(now, nil, carried, 0, nil)
 		return next
 	}()} {
-		for id, want := range map[string]decide.Time{"a": 5e6, "b": 5e6, "c": 4e6, "d": 0} {
+		for id, want := range map[string]policy.Time{"a": 5e6, "b": 5e6, "c": 4e6, "d": 0} {
 			if got := max(c.retryAfterOf(c.endpointsByID[id])-now, 0); got != want {
 				t.Errorf("%s waits for %d ms, want %d", id, got/1000, want/1000)
 			}
 		}
 		// One that joins a destination which has told a wait is bound as well, and
 		// one that joins a route's is not.
-		fx := c.Step(now, []Event{{Kind: EndpointListUpdated, News: decide.ListDelta, List: &EndpointList{Members: []Member{
+		fx := c.Step(now, []Event{{Kind: EndpointListUpdated, News: policy.ListDelta, List: &EndpointList{Members: []Member{
 			{ID: "e", HostPort: "127.0.0.1:5", Dest: 1, Phase: Up, Flavor: "k"}, {ID: "f", HostPort: "127.0.0.1:6", Dest: 2, Phase: Up, Flavor: "r"}}}}}, nil)
-		held := map[decide.EndpointID]decide.Time{}
+		held := map[policy.EndpointID]policy.Time{}
 		for i := range fx {
 			if fx[i].Kind == ApplyRetryAfter {
 				held[fx[i].Endpoint] = fx[i].Until - now
--- a/internal/core/shutdown_test.go
+++ b/internal/core/shutdown_test.go
@@ -4,7 +4,7 @@
 	"fmt"
 	"testing"
 
-	"troutusher/decide"
+	"troutusher/policy"
 )
 
 // shutdownFixture is a core with 16 endpoints of destination 1, whose effects a test
@@ -12,7 +12,7 @@
 type shutdownFixture struct {
 	t    *testing.T
 	core *Core
-	now  decide.Time
+	now  policy.Time
 }
 
 func newShutdownFixture(t *testing.T) *shutdownFixture {
@@ -21,7 +21,7 @@
 	for k := range 16 {
 		l.Members = append(l.Members, Member{ID: fmt.Sprintf("s-%d", k), HostPort: fmt.Sprintf("127.0.0.1:%d", 7000+k), Dest: k, Phase: Up, Rate: 1000, Locality: "a", Flavor: "k"})
 	}
-	s.step(Event{Kind: EndpointListUpdated, News: decide.ListFull, List: l})
+	s.step(Event{Kind: EndpointListUpdated, News: policy.ListFull, List: l})
 	return s
 }
 
@@ -52,7 +52,7 @@
 func TestShutdownSchedule(t *testing.T) {
 	for _, x := range []struct {
 		class       string
-		after       decide.Time
+		after       policy.Time
 		taken, sent bool
 		keeps       bool
 	}{
@@ -73,9 +73,9 @@
 	// A message that was held before: when its call may be begun at the latest.
 	for _, x := range []struct {
 		class string
-		last  decide.Time
+		last  policy.Time
 	}{{"plain", StopSendsAfter}, {"keyed", StopSendsAfter}, {"once", stopNonIdempotentSendsAfter}} {
-		for _, after := range []decide.Time{x.last - 20e3, x.last} {
+		for _, after := range []policy.Time{x.last - 20e3, x.last} {
 			s := newShutdownFixture(t)
 			taken, sent := s.submit("m", x.class, 20) // no list names an endpoint of it
 			if s.core.knownDestinations[20] = true; taken || sent {
@@ -88,7 +88,7 @@
 			s.now += after
 			l := &EndpointList{Members: []Member{{ID: "late", HostPort: "127.0.0.1:1", Dest: 20, Phase: Up, Rate: 1000, Locality: "a", Flavor: "k"}}}
 			sent = false
-			fx := s.step(Event{Kind: EndpointListUpdated, News: decide.ListDelta, List: l})
+			fx := s.step(Event{Kind: EndpointListUpdated, News: policy.ListDelta, List: l})
 			for i := range fx {
 				sent = sent || fx[i].Kind == AppendThenSend
 			}
--- a/internal/core/snapshot.go
+++ b/internal/core/snapshot.go
@@ -1,21 +1,21 @@
 package core
 
-import "troutusher/decide"
+import "troutusher/policy"
 
 // StateSnapshot is what a core knows of destinations that a later process of this
 // relay should know as well: no message is in it. Moments are those of the
 // core's clock.
 type StateSnapshot struct {
-	Now         decide.Time          `json:"now"`
+	Now         policy.Time          `json:"now"`
 	Revision    int64                `json:"revision"` // of the list that it goes by
 	Members     []HandoverMember     `json:"members"`
 	Partial     bool                 `json:"partial,omitempty"` // destinations that rest are left out, but for those that were out
 	RetryAfters []HandoverRetryAfter `json:"waits,omitempty"`
-	Policy      *decide.Snapshot     `json:"policy"`
+	Policy      *policy.Snapshot     `json:"policy"`
 }
 
 // SnapshotState shows what is known by now. It shares nothing with the core.
-func (r *Core) SnapshotState(now decide.Time) *StateSnapshot {
+func (r *Core) SnapshotState(now policy.Time) *StateSnapshot {
 	r.now = max(now, r.now)
 	l := &StateSnapshot{Now: r.now, Revision: r.listRevision, Members: r.handoverMembers(), RetryAfters: r.handoverRetryAfters(), Policy: r.policy.Snapshot(r.now), Partial: r.passivation.store != nil}
 	members, lanes := r.passiveState(false)
@@ -49,7 +49,7 @@
 // RestoreState takes over what an earlier process had learned. The list has been
 // booked; an endpoint that is not where it was, or another's place under a new
 // name, inherits nothing.
-func (r *Core) RestoreState(now decide.Time, l *StateSnapshot, shift decide.Time, fx []Effect) []Effect {
+func (r *Core) RestoreState(now policy.Time, l *StateSnapshot, shift policy.Time, fx []Effect) []Effect {
 	r.now, r.effects = max(now, r.now), fx
 	r.finishListUpdate()
 	if l.Policy != nil {
@@ -76,8 +76,8 @@
 // translateMemory puts this core's numbers into another's memory, and books the waits of
 // routes. Endpoints that are not known here, or are elsewhere now, get 0, which
 // none has.
-func (r *Core) translateMemory(p *decide.Snapshot, members []HandoverMember, shift decide.Time) {
-	number := map[decide.EndpointID]decide.EndpointID{}
+func (r *Core) translateMemory(p *policy.Snapshot, members []HandoverMember, shift policy.Time) {
+	number := map[policy.EndpointID]policy.EndpointID{}
 	for i := range members {
 		m := &members[i]
 		ep := r.endpointsByID[m.ID]
--- a/internal/core/snapshot_test.go
+++ b/internal/core/snapshot_test.go
@@ -4,7 +4,7 @@
 	"encoding/json"
 	"testing"
 
-	"troutusher/decide"
+	"troutusher/policy"
 )
 
 // learnedSnapshot has a core learn of two destinations: 1 told a wait of 8 s, 2 refuses
@@ -12,8 +12,8 @@
 func learnedSnapshot(t *testing.T, members []Member) *StateSnapshot {
 	t.Helper()
 	r := testCore(t)
-	now := decide.Time(3600e6)
-	r.Observe(now, []Event{{Kind: EndpointListUpdated, News: decide.ListFull, List: &EndpointList{Complete: true, Revision: 7, Members: members}}}, nil)
+	now := policy.Time(3600e6)
+	r.Observe(now, []Event{{Kind: EndpointListUpdated, News: policy.ListFull, List: &EndpointList{Complete: true, Revision: 7, Members: members}}}, nil)
 	var events []Event
 	for i := range 40 {
 		if i < 12 {
@@ -28,9 +28,9 @@
 			case AppendThenReply:
 				events = append(events, Event{Kind: ReplyDelivered, Request: e.Request, OK: true})
 			case AppendThenSend:
-				o := &Result{Outcome: decide.Rejected, Status: 429, RetryAfter: 8e6}
+				o := &Result{Outcome: policy.Rejected, Status: 429, RetryAfter: 8e6}
 				if e.Call.Record.Dest == 2 {
-					o = &Result{Outcome: decide.ConnectFailed}
+					o = &Result{Outcome: policy.ConnectFailed}
 				}
 				events = append(events, Event{Kind: AttemptFinished, Call: e.Call, Result: o})
 			}
@@ -59,7 +59,7 @@
 		return Member{ID: id, HostPort: addr, Locality: "a", Flavor: "k", Dest: dest, Phase: Up, Rate: 40}
 	}
 	was := []Member{member("s1", "10.0.0.1:1", 1), member("s2", "10.0.0.2:1", 2)}
-	const shift = decide.Time(-3000e6) // the new process's clock reads otherwise
+	const shift = policy.Time(-3000e6) // the new process's clock reads otherwise
 	for name, c := range map[string]struct {
 		list     []Member
 		learned  bool
@@ -81,7 +81,7 @@
 		}
 		r := testCore(t)
 		now := l.Now + shift + 700e3
-		r.Observe(now, []Event{{Kind: EndpointListUpdated, News: decide.ListCached, List: &EndpointList{Complete: true, Members: c.list}}}, nil)
+		r.Observe(now, []Event{{Kind: EndpointListUpdated, News: policy.ListCached, List: &EndpointList{Complete: true, Members: c.list}}}, nil)
 		holds := 0
 		if c.learned {
 			for _, e := range r.RestoreState(now, l, shift, nil) {
@@ -98,7 +98,7 @@
 		}
 		// Nothing goes to destination 1 before its wait is over.
 		rec := &Record{Kind: RecordAccepted, ID: "m", Class: "plain", Dest: 1, Deadline: r.wall(now + 20e6)}
-		events, first := []Event{{Kind: Submitted, Request: &Request{Class: 0, Tenant: -1, Record: rec}}}, decide.Time(0)
+		events, first := []Event{{Kind: Submitted, Request: &Request{Class: 0, Tenant: -1, Record: rec}}}, policy.Time(0)
 		for at := now; at < now+10e6 && first == 0; at += 20e3 {
 			fx := r.Step(at, events, nil)
 			events = nil
--- a/internal/core/trace_test.go
+++ b/internal/core/trace_test.go
@@ -5,8 +5,8 @@
 	"log/slog"
 	"testing"
 
-	"troutusher/decide"
-	"troutusher/internal/story"
+	"troutusher/internal/msgtrace"
+	"troutusher/policy"
 )
 
 // What is told of a message is all of it, from its hand-in to its end; beyond the
@@ -18,7 +18,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	now := decide.Time(3600e6)
+	now := policy.Time(3600e6)
 	lines := map[string][]string{}
 	untold := int64(0)
 	var events []Event
@@ -45,18 +45,18 @@
 			case AppendThenReply:
 				events = append(events, Event{Kind: ReplyDelivered, Request: e.Request, OK: e.Request.Record.ID != "leaves"})
 			case AppendThenSend:
-				events = append(events, Event{Kind: AttemptFinished, Call: e.Call, Result: &Result{Outcome: decide.Delivered, Status: 200, Final: true}})
+				events = append(events, Event{Kind: AttemptFinished, Call: e.Call, Result: &Result{Outcome: policy.Delivered, Status: 200, Final: true}})
 			}
 		}
 		now += 10e3
 	}
-	put := func(id string, dest int, left decide.Time) {
+	put := func(id string, dest int, left policy.Time) {
 		events = append(events, Event{Kind: Submitted, Request: &Request{Class: 0, Tenant: -1, Queued: 7e3,
 			Record: &Record{Kind: RecordAccepted, ID: id, Class: "plain", Dest: dest, Deadline: r.wall(now + left)}}})
 	}
 	l := &EndpointList{Complete: true, Members: []Member{{ID: "s1", HostPort: "10.0.0.1:1", Locality: "a", Flavor: "k", Dest: 1, Phase: Up, Rate: 1000},
 		{ID: "s2", HostPort: "10.0.0.1:2", Locality: "a", Flavor: "k", Dest: 2, Phase: Draining, Rate: 1000}}}
-	r.Observe(now, []Event{{Kind: EndpointListUpdated, News: decide.ListFull, List: l}}, nil)
+	r.Observe(now, []Event{{Kind: EndpointListUpdated, News: policy.ListFull, List: l}}, nil)
 	put("goes", 1, 5e6)
 	put("leaves", 1, 5e6)
 	put("waits", 2, 200e3)
@@ -78,7 +78,7 @@
 	if untold != 2 {
 		t.Errorf("%d untold, want 2", untold)
 	}
-	if story.DefaultPerSecond < 1 {
+	if msgtrace.DefaultPerSecond < 1 {
 		t.Error("nothing is told by default")
 	}
 }
--- a/internal/standin/partner/h1/secure_test.go
+++ b/internal/emulator/endpoint/h1/secure_test.go
@@ -6,14 +6,14 @@
 	"testing"
 	"time"
 
-	"troutusher/internal/devca"
-	"troutusher/internal/rehearse/trace"
-	"troutusher/internal/standin/partner"
+	"troutusher/internal/emulator/endpoint"
+	"troutusher/internal/rehearsal/event"
+	"troutusher/internal/testca"
 )
 
 func shown(t *testing.T, trusted bool) *Show {
 	t.Helper()
-	m, err := devca.Issue(nil, "p.example.org", nil)
+	m, err := testca.Issue(nil, "p.example.org", nil)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -41,9 +41,9 @@
 		r.s.Secure(func(int) *Show { return x })
 		c := dialTLS(t, r)
 		c.Write([]byte(callText))
-		want := trace.Ran
+		want := event.Ran
 		if !trusted {
-			want = trace.Stray
+			want = event.Stray
 		}
 		r.wait("its end", func() bool {
 			for _, e := range r.seen {
@@ -69,14 +69,14 @@
 		r := start(t, s)
 		x := shown(t, true)
 		r.s.Secure(func(int) *Show { return x })
-		f := &partner.Fault{Kind: partner.Crash}
+		f := &endpoint.Fault{Kind: endpoint.Crash}
 		r.fault(f)
 		r.over(f)
 		fell := func() bool {
 			r.mu.Lock()
 			defer r.mu.Unlock()
 			for _, e := range r.seen {
-				if e.Kind == trace.Fell {
+				if e.Kind == event.Fell {
 					return true
 				}
 			}
--- a/internal/standin/partner/h1/server.go
+++ b/internal/emulator/endpoint/h1/server.go
@@ -22,8 +22,8 @@
 
 	"github.com/HdrHistogram/hdrhistogram-go"
 
-	"troutusher/internal/standin/loopback"
-	"troutusher/internal/standin/partner"
+	"troutusher/internal/emulator/endpoint"
+	"troutusher/internal/emulator/loopback"
 )
 
 const (
@@ -40,19 +40,19 @@
 
 // Server is the stand-ins' driver.
 type Server struct {
-	clock func() partner.Time
+	clock func() endpoint.Time
 	wake  chan struct{}
 	wg    sync.WaitGroup
 	quit  context.Context
 	stop  context.CancelFunc
 
 	mu    sync.Mutex // guards all below, and the model
-	world *partner.World
-	armed partner.Time // when the agenda's goroutine wakes; 0 for not before it is woken
-	conns map[partner.Conn]*line
+	world *endpoint.World
+	armed endpoint.Time // when the agenda's goroutine wakes; 0 for not before it is woken
+	conns map[endpoint.Conn]*line
 	show  func(ep int) *Show // nil without TLS
 	doors [][]*door          // by endpoint and relay
-	fx    []partner.Effect
+	fx    []endpoint.Effect
 	late  *hdrhistogram.Histogram // of the agenda, in µs
 	err   error
 }
@@ -87,7 +87,7 @@
 const handshakeWait = 10 * time.Second
 
 // secure makes the handshake of a connection; false where none came about.
-func (s *Server) secure(id partner.Conn, ep int, l *line) bool {
+func (s *Server) secure(id endpoint.Conn, ep int, l *line) bool {
 	if s.show == nil {
 		return true
 	}
@@ -116,7 +116,7 @@
 	l.tcp.SetDeadline(time.Now().Add(handshakeWait))
 	err := c.HandshakeContext(s.quit)
 	l.tcp.SetDeadline(time.Time{})
-	s.Do(func(w *partner.World, now partner.Time) {
+	s.Do(func(w *endpoint.World, now endpoint.Time) {
 		l.Conn, l.doubted = c, !x.Trusted // read under the lock
 		w.Handshake(now, id, err == nil && c.ConnectionState().DidResume)
 	})
@@ -129,7 +129,7 @@
 	ep, relay int
 	port      int
 	ln        *net.TCPListener
-	state     partner.Listen
+	state     endpoint.Listen
 	cond      *sync.Cond    // of s.mu: state changed
 	fill      []net.Conn    // what keeps a silent listener's queue full
 	held      []net.Conn    // accepted while silent
@@ -139,8 +139,8 @@
 
 // New opens the doors of a model's endpoints, one for each relay. The caller
 // must not touch the model any more but through Do.
-func New(world *partner.World, relays int, clock func() partner.Time) (*Server, error) {
-	s := &Server{clock: clock, wake: make(chan struct{}, 1), world: world, conns: map[partner.Conn]*line{},
+func New(world *endpoint.World, relays int, clock func() endpoint.Time) (*Server, error) {
+	s := &Server{clock: clock, wake: make(chan struct{}, 1), world: world, conns: map[endpoint.Conn]*line{},
 		late: hdrhistogram.New(1, 60_000_000, 2)}
 	s.quit, s.stop = context.WithCancel(context.Background())
 	for ep := range world.Endpoints() {
@@ -173,7 +173,7 @@
 }
 
 // Do runs a change of the model, such as a fault that begins.
-func (s *Server) Do(change func(w *partner.World, now partner.Time)) {
+func (s *Server) Do(change func(w *endpoint.World, now endpoint.Time)) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	change(s.world, s.clock())
@@ -182,7 +182,7 @@
 
 // Late is how late the agenda was carried out, in µs, at a quantile from 0 to
 // 100; and the error of a port that could not be opened again, if any.
-func (s *Server) Late(quantile float64) (partner.Time, error) {
+func (s *Server) Late(quantile float64) (endpoint.Time, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.late.ValueAtQuantile(quantile), s.err
@@ -268,8 +268,8 @@
 	}
 }
 
-func (s *Server) do(e *partner.Effect) {
-	if e.Kind == partner.DoListen {
+func (s *Server) do(e *endpoint.Effect) {
+	if e.Kind == endpoint.DoListen {
 		for _, d := range s.doors[e.Endpoint] {
 			d.to(e.Listen)
 		}
@@ -280,8 +280,8 @@
 		return
 	}
 	switch e.Kind {
-	case partner.DoAnswer:
-		if e.Form == partner.Head && e.Status != 200 {
+	case endpoint.DoAnswer:
+		if e.Form == endpoint.Head && e.Status != 200 {
 			s.wg.Add(1)
 			go func() { defer s.wg.Done(); endlessHead(c) }()
 			return
@@ -293,25 +293,25 @@
 		if e.Close {
 			c.CloseWrite()
 		}
-	case partner.DoReset:
+	case endpoint.DoReset:
 		c.tcp.SetLinger(0)
 		c.tcp.Close()
-	case partner.DoClose:
+	case endpoint.DoClose:
 		c.tcp.Close()
 	}
 }
 
-func answer(e *partner.Effect) string {
+func answer(e *endpoint.Effect) string {
 	const ok = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok"
 	var b strings.Builder
 	switch {
-	case e.Status == 200 && e.Form == partner.Copy:
+	case e.Status == 200 && e.Form == endpoint.Copy:
 		return ok + ok
 	case e.Status == 200 && !e.Close:
 		return ok
-	case e.Form == partner.Noise:
+	case e.Form == endpoint.Noise:
 		return "\x16\x03\x01\x00\x9e\x01\x00\x00 this is no answer \xff\xfe\x00\r\n\r\n"
-	case e.Form == partner.Length:
+	case e.Form == endpoint.Length:
 		return "HTTP/1.1 503 Service Unavailable\r\nContent-Length: 4000\r\n\r\nshort"
 	}
 	fmt.Fprintf(&b, "HTTP/1.1 %d %s\r\nContent-Length: 0\r\n", e.Status, http.StatusText(e.Status))
@@ -357,15 +357,15 @@
 			continue
 		}
 		d.s.mu.Lock()
-		if d.state == partner.Silent {
+		if d.state == endpoint.Silent {
 			d.held = append(d.held, c)
-			for d.state == partner.Silent && d.s.quit.Err() == nil {
+			for d.state == endpoint.Silent && d.s.quit.Err() == nil {
 				d.cond.Wait()
 			}
 			d.s.mu.Unlock()
 			continue
 		}
-		if d.state != partner.Accepting || d.s.quit.Err() != nil {
+		if d.state != endpoint.Accepting || d.s.quit.Err() != nil {
 			c.SetLinger(0)
 			c.Close()
 			d.s.mu.Unlock()
@@ -382,11 +382,11 @@
 }
 
 // to changes how a door meets new connections. The caller holds mu.
-func (d *door) to(state partner.Listen) {
+func (d *door) to(state endpoint.Listen) {
 	was := d.state
 	d.state = state
 	d.gen++
-	if was == partner.Silent {
+	if was == endpoint.Silent {
 		for _, c := range d.fill {
 			c.Close()
 		}
@@ -399,16 +399,16 @@
 		d.cond.Broadcast()
 	}
 	switch state {
-	case partner.Refusing:
+	case endpoint.Refusing:
 		if d.ln != nil {
 			d.ln.Close()
 			d.ln = nil
 		}
-	case partner.Accepting, partner.Silent:
+	case endpoint.Accepting, endpoint.Silent:
 		if d.ln == nil {
 			d.rebind()
 		}
-		if state == partner.Silent && d.ln != nil {
+		if state == endpoint.Silent && d.ln != nil {
 			d.backlog(0)
 			d.filled = make(chan struct{})
 			d.s.wg.Add(1)
@@ -490,7 +490,7 @@
 }
 
 // serve reads requests from a connection until it ends.
-func (s *Server) serve(id partner.Conn, ep int, c *line) {
+func (s *Server) serve(id endpoint.Conn, ep int, c *line) {
 	defer s.wg.Done()
 	if s.secure(id, ep, c) {
 		s.read(id, c)
@@ -505,7 +505,7 @@
 	c.tcp.Close()
 }
 
-func (s *Server) read(id partner.Conn, c *line) {
+func (s *Server) read(id endpoint.Conn, c *line) {
 	limit := &io.LimitedReader{R: c}
 	in := bufio.NewReaderSize(limit, 1024)
 	for {
@@ -515,7 +515,7 @@
 		}
 		// A whole request mostly lies in the buffer already.
 		c.SetReadDeadline(time.Now().Add(requestWait))
-		s.Do(func(w *partner.World, now partner.Time) { w.First(now, id) })
+		s.Do(func(w *endpoint.World, now endpoint.Time) { w.First(now, id) })
 		req, err := http.ReadRequest(in)
 		if err != nil {
 			var net net.Error
@@ -541,12 +541,12 @@
 			}
 			message, key := req.Header.Get("X-Request-ID"), req.Header.Get("Idempotency-Key")
 			if c.doubted {
-				s.Do(func(w *partner.World, now partner.Time) { w.Untrusted(now, id, message) })
+				s.Do(func(w *endpoint.World, now endpoint.Time) { w.Untrusted(now, id, message) })
 				return
 			}
-			s.Do(func(w *partner.World, now partner.Time) { w.Call(now, id, message, key, ms*1000) })
+			s.Do(func(w *endpoint.World, now endpoint.Time) { w.Call(now, id, message, key, ms*1000) })
 		case req.Method == http.MethodGet && req.URL.Path == probePath:
-			s.Do(func(w *partner.World, now partner.Time) { w.Probe(now, id) })
+			s.Do(func(w *endpoint.World, now endpoint.Time) { w.Probe(now, id) })
 		default:
 			io.WriteString(c, "HTTP/1.1 404 Not Found\r\nContent-Length: 0\r\n\r\n")
 		}
--- a/internal/standin/partner/h1/server_test.go
+++ b/internal/emulator/endpoint/h1/server_test.go
@@ -17,12 +17,12 @@
 	"testing"
 	"time"
 
-	"troutusher/internal/draw"
-	"troutusher/internal/rehearse/trace"
-	"troutusher/internal/standin/partner"
+	"troutusher/internal/emulator/endpoint"
+	"troutusher/internal/rehearsal/event"
+	"troutusher/internal/seededrand"
 )
 
-const ms, sec partner.Time = 1000, 1_000_000
+const ms, sec endpoint.Time = 1000, 1_000_000
 
 type rig struct {
 	t     testing.TB
@@ -30,21 +30,21 @@
 	began time.Time
 	mu    sync.Mutex
 	ran   map[string]int
-	seen  []trace.Event
+	seen  []event.Event
 	dest  int
 }
 
 // start opens stand-ins for the specs; messages named m... are known.
-func start(t testing.TB, specs ...partner.Spec) *rig {
+func start(t testing.TB, specs ...endpoint.Spec) *rig {
 	t.Helper()
 	r := &rig{t: t, began: time.Now(), ran: map[string]int{}, dest: 1}
 	var num atomic.Int64
-	w, err := partner.New(specs, partner.Rules{Relays: 2}, 5, func(id string) (partner.Message, bool) {
-		return partner.Message{Num: int(num.Add(1)), Dest: r.dest}, strings.HasPrefix(id, "m")
-	}, func(e trace.Event) {
+	w, err := endpoint.New(specs, endpoint.Rules{Relays: 2}, 5, func(id string) (endpoint.Message, bool) {
+		return endpoint.Message{Num: int(num.Add(1)), Dest: r.dest}, strings.HasPrefix(id, "m")
+	}, func(e event.Event) {
 		r.mu.Lock()
 		defer r.mu.Unlock()
-		if e.Kind == trace.Ran {
+		if e.Kind == event.Ran {
 			r.ran[e.ID]++
 		}
 		r.seen = append(r.seen, e)
@@ -52,19 +52,19 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if r.s, err = New(w, 2, func() partner.Time { return time.Since(r.began).Microseconds() }); err != nil {
+	if r.s, err = New(w, 2, func() endpoint.Time { return time.Since(r.began).Microseconds() }); err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(r.s.Close)
 	return r
 }
 
-func (r *rig) fault(f *partner.Fault) {
-	r.s.Do(func(w *partner.World, now partner.Time) { w.Begin(now, 0, f) })
+func (r *rig) fault(f *endpoint.Fault) {
+	r.s.Do(func(w *endpoint.World, now endpoint.Time) { w.Begin(now, 0, f) })
 }
 
-func (r *rig) over(f *partner.Fault) {
-	r.s.Do(func(w *partner.World, now partner.Time) { w.End(now, 0, f) })
+func (r *rig) over(f *endpoint.Fault) {
+	r.s.Do(func(w *endpoint.World, now endpoint.Time) { w.End(now, 0, f) })
 }
 
 func (r *rig) wait(what string, cond func() bool) {
@@ -80,9 +80,9 @@
 	r.t.Fatalf("never came: %s", what)
 }
 
-func spec() partner.Spec {
-	return partner.Spec{Name: "p", Dest: 1, Endpoints: 1, Capacity: 1000, Queue: 100, Service: []partner.Service{{Mean: 5 * ms, Dist: draw.Constant}},
-		Mix: []float64{1}, Limit: partner.Limit{Kind: partner.NoLimit}, ColdShare: 1, Cancel: partner.CancelNone}
+func spec() endpoint.Spec {
+	return endpoint.Spec{Name: "p", Dest: 1, Endpoints: 1, Capacity: 1000, Queue: 100, Service: []endpoint.Service{{Mean: 5 * ms, Dist: seededrand.Constant}},
+		Mix: []float64{1}, Limit: endpoint.Limit{Kind: endpoint.NoLimit}, ColdShare: 1, Cancel: endpoint.CancelNone}
 }
 
 type conn struct {
@@ -117,11 +117,11 @@
 	r := start(t, spec())
 	c := r.dial()
 	for _, x := range []struct {
-		fault  *partner.Fault
+		fault  *endpoint.Fault
 		status int
 		wait   string
-	}{{nil, 200, ""}, {&partner.Fault{Kind: partner.Full}, 503, ""}, {&partner.Fault{Kind: partner.FullWait, Size: 0.4}, 429, "0.400"},
-		{&partner.Fault{Kind: partner.Errors, Share: 1}, 500, ""}, {nil, 200, ""}} {
+	}{{nil, 200, ""}, {&endpoint.Fault{Kind: endpoint.Full}, 503, ""}, {&endpoint.Fault{Kind: endpoint.FullWait, Size: 0.4}, 429, "0.400"},
+		{&endpoint.Fault{Kind: endpoint.Errors, Share: 1}, 500, ""}, {nil, 200, ""}} {
 		if x.fault != nil {
 			r.fault(x.fault)
 		}
@@ -151,7 +151,7 @@
 func TestCrashRefusesAndComesBackAtItsAddress(t *testing.T) {
 	r := start(t, spec())
 	c := r.dial()
-	f := &partner.Fault{Kind: partner.Crash}
+	f := &endpoint.Fault{Kind: endpoint.Crash}
 	for range 3 {
 		r.fault(f)
 		if _, err := c.answer(5 * time.Second); !errors.Is(err, syscall.ECONNRESET) {
@@ -174,7 +174,7 @@
 	c := r.dial()
 	c.send("m1")
 	c.answer(5 * time.Second)
-	f := &partner.Fault{Kind: partner.Vanish}
+	f := &endpoint.Fault{Kind: endpoint.Vanish}
 	r.fault(f)
 	r.s.Silenced(0)
 	c.send("m2")
@@ -209,7 +209,7 @@
 	c.send("m1")
 	r.wait("the call", func() bool { return len(r.seen) > 1 })
 	c.Close()
-	r.wait("its effect and its end", func() bool { return r.ran["m1"] == 1 && r.seen[len(r.seen)-1].Kind == trace.CallOver })
+	r.wait("its effect and its end", func() bool { return r.ran["m1"] == 1 && r.seen[len(r.seen)-1].Kind == event.CallOver })
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	order := ""
@@ -223,7 +223,7 @@
 
 func TestResetAfterTheLastByteRunsOn(t *testing.T) {
 	r := start(t, spec())
-	r.fault(&partner.Fault{Kind: partner.Reset, Share: 1})
+	r.fault(&endpoint.Fault{Kind: endpoint.Reset, Share: 1})
 	c := r.dial()
 	c.send("m1")
 	if _, err := c.answer(5 * time.Second); !errors.Is(err, syscall.ECONNRESET) {
@@ -234,7 +234,7 @@
 
 func TestLateAnswerComesAfterTheCallersLimit(t *testing.T) {
 	r := start(t, spec())
-	r.fault(&partner.Fault{Kind: partner.Late, Share: 1, Size: 0.05})
+	r.fault(&endpoint.Fault{Kind: endpoint.Late, Share: 1, Size: 0.05})
 	c := r.dial()
 	at := time.Now()
 	c.send("m1")
@@ -246,13 +246,13 @@
 
 func TestSpoiltAnswers(t *testing.T) {
 	r := start(t, spec())
-	for _, form := range []partner.Form{partner.Noise, partner.Head, partner.Length, partner.Copy} {
-		f := &partner.Fault{Kind: partner.Spoilt, Share: 1, Form: form}
+	for _, form := range []endpoint.Form{endpoint.Noise, endpoint.Head, endpoint.Length, endpoint.Copy} {
+		f := &endpoint.Fault{Kind: endpoint.Spoilt, Share: 1, Form: form}
 		r.fault(f)
 		c := r.dial()
 		c.send("m-" + string(form))
 		resp, err := c.answer(300 * time.Millisecond)
-		if form == partner.Copy {
+		if form == endpoint.Copy {
 			if err != nil || resp.StatusCode != 200 {
 				t.Errorf("%s: %v, %v", form, resp, err)
 			}
@@ -347,14 +347,14 @@
 	capacity := spec()
 	capacity.Capacity = 400
 	rate := spec()
-	rate.Dest, rate.Limit = 2, partner.Limit{Kind: partner.RateLimit, PerSecond: 150, Depth: 8}
+	rate.Dest, rate.Limit = 2, endpoint.Limit{Kind: endpoint.RateLimit, PerSecond: 150, Depth: 8}
 	window := spec()
-	window.Dest, window.Limit = 3, partner.Limit{Kind: partner.WindowLimit, PerSecond: 120, Window: sec / 2}
+	window.Dest, window.Limit = 3, endpoint.Limit{Kind: endpoint.WindowLimit, PerSecond: 120, Window: sec / 2}
 	cold := spec()
 	cold.Dest, cold.Capacity, cold.ColdShare, cold.ColdRamp, cold.FallTime, cold.FallMultiple = 4, 400, 0.25, 4*sec, 2*sec, 1e6
 	r := start(t, capacity, rate, window, cold)
-	f := &partner.Fault{Kind: partner.Full}
-	r.s.Do(func(w *partner.World, now partner.Time) { w.Begin(now, 3, f) })
+	f := &endpoint.Fault{Kind: endpoint.Full}
+	r.s.Do(func(w *endpoint.World, now endpoint.Time) { w.Begin(now, 3, f) })
 	const span = 5 * time.Second
 	// The windows of a limit are counted on the stand-ins' clock, so the span
 	// begins and ends with one: else it holds a part of an eleventh, as large as
@@ -381,7 +381,7 @@
 		}()
 	}
 	<-time.After(time.Until(began))
-	r.s.Do(func(w *partner.World, now partner.Time) { w.End(now, 3, f) })
+	r.s.Do(func(w *endpoint.World, now endpoint.Time) { w.End(now, 3, f) })
 	wg.Wait()
 	late, err := r.s.Late(99)
 	if err != nil {
--- a/internal/standin/partner/spec.go
+++ b/internal/emulator/endpoint/spec.go
@@ -1,19 +1,19 @@
-// Package partner is a model of outside partners: what they take, how long
+// Package endpoint is a model of outside partners: what they take, how long
 // they work, how they refuse, fail, go cold and fall over. It is stepped with
 // moments and requests and says what to answer. It must never touch a socket,
 // a clock or a file, start a goroutine, or know a protocol's bytes; the folders
 // below it connect it to those.
-package partner
+package endpoint
 
 import (
 	"fmt"
 
-	"troutusher/internal/draw"
-	"troutusher/internal/rehearse/trace"
+	"troutusher/internal/rehearsal/event"
+	"troutusher/internal/seededrand"
 )
 
 // Time is a moment or a span in microseconds since the rehearsal began.
-type Time = trace.Time
+type Time = event.Time
 
 // LimitKind says how a partner counts what it takes.
 type LimitKind string
@@ -38,7 +38,7 @@
 // Service is how long a call works at an endpoint of usual pace.
 type Service struct {
 	Mean Time
-	Dist draw.Distribution
+	Dist seededrand.Distribution
 	CV   float64
 }
 
--- a/internal/standin/partner/world.go
+++ b/internal/emulator/endpoint/world.go
@@ -1,12 +1,12 @@
-package partner
+package endpoint
 
 import (
 	"container/heap"
 	"fmt"
 	"math"
 
-	"troutusher/internal/draw"
-	"troutusher/internal/rehearse/trace"
+	"troutusher/internal/rehearsal/event"
+	"troutusher/internal/seededrand"
 )
 
 // Message is what a stand-in knows of a message that calls may bring.
@@ -140,7 +140,7 @@
 	seed     uint64
 	rules    Rules
 	lookup   func(id string) (Message, bool)
-	emit     func(trace.Event)
+	emit     func(event.Event)
 	parts    []*part
 	ends     []*endpoint
 	conns    map[Conn]*conn
@@ -157,7 +157,7 @@
 
 // New makes the world. lookup tells of messages that were handed in; emit
 // takes what happens, in order.
-func New(specs []Spec, rules Rules, seed uint64, lookup func(id string) (Message, bool), emit func(trace.Event)) (*World, error) {
+func New(specs []Spec, rules Rules, seed uint64, lookup func(id string) (Message, bool), emit func(event.Event)) (*World, error) {
 	w := &World{seed: seed, rules: rules, lookup: lookup, emit: emit, conns: map[Conn]*conn{}, tries: map[string]int{},
 		out: make([]int, rules.Relays)}
 	for _, s := range specs {
@@ -225,7 +225,7 @@
 	heap.Push(&w.agenda, item{w.now + max(d, 0), w.seq, do})
 }
 
-func (w *World) say(e trace.Event) {
+func (w *World) say(e event.Event) {
 	e.At = w.now
 	w.emit(e)
 }
@@ -268,7 +268,7 @@
 func (w *World) Untrusted(now Time, id Conn, msg string) {
 	w.Advance(now)
 	if c := w.conns[id]; c != nil {
-		w.say(trace.Event{Kind: trace.Stray, Relay: c.relay, Endpoint: c.ep.num, ID: msg})
+		w.say(event.Event{Kind: event.Stray, Relay: c.relay, Endpoint: c.ep.num, ID: msg})
 	}
 }
 
@@ -282,7 +282,7 @@
 	c.idleVer++
 	w.lastCall++
 	c.first = w.lastCall
-	w.say(trace.Event{Kind: trace.CallFirst, Call: c.first, Relay: c.relay, Endpoint: c.ep.num})
+	w.say(event.Event{Kind: event.CallFirst, Call: c.first, Relay: c.relay, Endpoint: c.ep.num})
 }
 
 // Call books the last byte of a call.
@@ -302,18 +302,18 @@
 	m, known := w.lookup(msg)
 	x.msg = m
 	if !known {
-		w.say(trace.Event{Kind: trace.Stray, Call: x.no, Relay: x.relay, Endpoint: x.ep.num, ID: msg})
-		w.answer(x, trace.StatusUnknown, 0)
+		w.say(event.Event{Kind: event.Stray, Call: x.no, Relay: x.relay, Endpoint: x.ep.num, ID: msg})
+		w.answer(x, event.StatusUnknown, 0)
 		return
 	}
-	w.say(trace.Event{Kind: trace.CallBegan, Call: x.no, ID: msg, Relay: x.relay, Endpoint: x.ep.num})
+	w.say(event.Event{Kind: event.CallBegan, Call: x.no, ID: msg, Relay: x.relay, Endpoint: x.ep.num})
 	w.out[x.relay]++
 	switch {
 	case m.Over:
-		w.answer(x, trace.StatusOver, 0)
+		w.answer(x, event.StatusOver, 0)
 		return
 	case w.rules.MaxAttempts > 0 && w.tries[msg] >= w.rules.MaxAttempts:
-		w.answer(x, trace.StatusSpent, 0)
+		w.answer(x, event.StatusSpent, 0)
 		return
 	case w.rules.Slots > 0 && w.out[x.relay] > w.rules.Slots:
 		w.answerSlots(x)
@@ -345,18 +345,18 @@
 	}
 	c.used = true
 	e := c.ep
-	w.say(trace.Event{Kind: trace.Probed, Relay: c.relay, Endpoint: e.num})
+	w.say(event.Event{Kind: event.Probed, Relay: c.relay, Endpoint: e.num})
 	if f := e.worst(); f != nil && (f.Kind == Vanish || f.Kind == Hang) {
 		return
 	}
-	status := trace.StatusDelivered
+	status := event.StatusDelivered
 	if e.shut() || !e.limit.take(w.now, 1) || w.crowd(e, c.relay) {
-		status = trace.StatusFull
+		status = event.StatusFull
 	}
 	if w.conns[id] == nil {
 		return
 	}
-	w.say(trace.Event{Kind: trace.ProbeDone, Relay: c.relay, Endpoint: e.num, Status: status})
+	w.say(event.Event{Kind: event.ProbeDone, Relay: c.relay, Endpoint: e.num, Status: status})
 	w.effects = append(w.effects, Effect{Kind: DoAnswer, Conn: id, Status: status})
 	w.idle(c)
 }
@@ -400,19 +400,19 @@
 	}
 	x.conn.call, x.conn = nil, nil
 	w.out[x.relay]--
-	w.say(trace.Event{Kind: trace.CallEnded, Call: x.no, ID: x.id, Relay: x.relay, Endpoint: x.ep.num})
+	w.say(event.Event{Kind: event.CallEnded, Call: x.no, ID: x.id, Relay: x.relay, Endpoint: x.ep.num})
 }
 
 func (w *World) over(x *call) {
 	if !x.over {
 		x.over = true
-		w.say(trace.Event{Kind: trace.CallOver, Call: x.no, ID: x.id, Relay: x.relay, Endpoint: x.ep.num})
+		w.say(event.Event{Kind: event.CallOver, Call: x.no, ID: x.id, Relay: x.relay, Endpoint: x.ep.num})
 	}
 }
 
 // answer has an answer written once it has travelled.
 func (w *World) answer(x *call, status int, wait Time) {
-	if trace.NeverRan(status) {
+	if event.NeverRan(status) {
 		w.over(x)
 	}
 	if d := x.ep.part.OneWay; d > 0 && x.conn != nil && !x.ep.dead() {
@@ -424,7 +424,7 @@
 
 func (w *World) answerSlots(x *call) {
 	w.over(x)
-	w.write(x, Effect{Status: trace.StatusFull, Slots: true})
+	w.write(x, Effect{Status: event.StatusFull, Slots: true})
 }
 
 func (w *World) write(x *call, e Effect) {
@@ -432,15 +432,15 @@
 	if c == nil {
 		return
 	}
-	if e.Form == Copy && e.Status == trace.StatusDelivered {
-		e.Status = trace.StatusDelivered
-	} else if e.Form != "" && e.Status == trace.StatusDelivered {
-		e.Status = trace.StatusSpoilt
+	if e.Form == Copy && e.Status == event.StatusDelivered {
+		e.Status = event.StatusDelivered
+	} else if e.Form != "" && e.Status == event.StatusDelivered {
+		e.Status = event.StatusSpoilt
 	}
 	x.conn, c.call = nil, nil
-	if e.Status != trace.StatusUnknown {
+	if e.Status != event.StatusUnknown {
 		w.out[x.relay]--
-		w.say(trace.Event{Kind: trace.CallEnded, Call: x.no, ID: x.id, Relay: x.relay, Endpoint: x.ep.num, Status: e.Status, Wait: e.Wait})
+		w.say(event.Event{Kind: event.CallEnded, Call: x.no, ID: x.id, Relay: x.relay, Endpoint: x.ep.num, Status: e.Status, Wait: e.Wait})
 	}
 	e.Kind, e.Conn, e.Close = DoAnswer, c.id, c.over
 	w.effects = append(w.effects, e)
@@ -501,7 +501,7 @@
 		if w.unit(x, 2) < 0.5 {
 			w.ran(x)
 		}
-		w.after(2000, func() { w.answer(x, trace.StatusError, 0); w.over(x) })
+		w.after(2000, func() { w.answer(x, event.StatusError, 0); w.over(x) })
 		return
 	}
 	if f := e.has(Reset); f != nil && w.unit(x, 3) < f.Share && x.conn != nil {
@@ -520,16 +520,16 @@
 
 // refuse turns a call away.
 func (w *World) refuse(x *call, wait Time) {
-	status := trace.StatusFull
+	status := event.StatusFull
 	if wait > 0 {
-		status = trace.StatusWait
+		status = event.StatusWait
 	}
 	w.answer(x, status, wait)
 }
 
 // unit is a figure in (0, 1) of a call, the same in each run of a plan.
 func (w *World) unit(x *call, of uint64) float64 {
-	return draw.Float64(w.seed, uint64(x.msg.Num), uint64(x.try), of)
+	return seededrand.Float64(w.seed, uint64(x.msg.Num), uint64(x.try), of)
 }
 
 // work is how long a call keeps a slot at usual pace.
@@ -537,7 +537,7 @@
 	s := x.ep.part.Service[x.msg.Class]
 	d := float64(s.Mean) * s.Dist.ServiceTime(s.CV, w.unit(x, 10), w.unit(x, 11)) * x.ep.pace
 	for _, f := range x.ep.faults {
-		if f.Kind == Tail && f.Class == x.msg.Class && draw.Float64(w.seed, uint64(x.msg.Num), 20) < f.Share {
+		if f.Kind == Tail && f.Class == x.msg.Class && seededrand.Float64(w.seed, uint64(x.msg.Num), 20) < f.Share {
 			d *= f.Size
 		}
 	}
@@ -597,10 +597,10 @@
 	w.ran(x)
 	w.over(x)
 	if d := x.late - w.now; d > 0 {
-		w.after(d, func() { w.answer(x, trace.StatusDelivered, 0) })
+		w.after(d, func() { w.answer(x, event.StatusDelivered, 0) })
 		return
 	}
-	w.answer(x, trace.StatusDelivered, 0)
+	w.answer(x, event.StatusDelivered, 0)
 }
 
 func (w *World) ran(x *call) {
@@ -621,7 +621,7 @@
 			}
 		}
 	}
-	w.say(trace.Event{Kind: trace.Ran, Call: x.no, ID: x.id, Relay: x.relay, Endpoint: x.ep.num})
+	w.say(event.Event{Kind: event.Ran, Call: x.no, ID: x.id, Relay: x.relay, Endpoint: x.ep.num})
 }
 
 // Begin has a fault hold at an endpoint. The same value ends it.
@@ -637,7 +637,7 @@
 		if f.Kind == Crash || f.Kind == Vanish {
 			hidden = 1
 		}
-		w.say(trace.Event{Kind: trace.Outage, Endpoint: ep, Status: hidden, Text: string(f.Kind)})
+		w.say(event.Event{Kind: event.Outage, Endpoint: ep, Status: hidden, Text: string(f.Kind)})
 	}
 	switch f.Kind {
 	case Crash, Gone:
@@ -666,7 +666,7 @@
 		for len(e.queue) > e.part.Queue { // it kept more than it ever takes on
 			x := e.queue[len(e.queue)-1]
 			e.queue = e.queue[:len(e.queue)-1]
-			w.answer(x, trace.StatusFull, 0)
+			w.answer(x, event.StatusFull, 0)
 		}
 	}
 	if f.outage() {
@@ -674,7 +674,7 @@
 	}
 	if (f.outage() || f.Kind == Gone) && e.outages == 0 && !e.fell && e.has(Gone) == nil {
 		if f.outage() {
-			w.say(trace.Event{Kind: trace.Back, Endpoint: ep})
+			w.say(event.Event{Kind: event.Back, Endpoint: ep})
 		}
 		e.backAt, e.yard.backAt, e.yard.recent = w.now, w.now, nil
 		if e.part.ColdShare < 1 {
@@ -775,7 +775,7 @@
 	for _, a := range y.recent {
 		by[a.relay]++
 	}
-	w.say(trace.Event{Kind: trace.Fell, Endpoint: e.num, Calls: by,
+	w.say(event.Event{Kind: event.Fell, Endpoint: e.num, Calls: by,
 		Text: fmt.Sprintf("%d calls in %.1f s, when it could do %.1f", len(y.recent), float64(p.FallTime)/1e6, could)})
 	for _, x := range y.ends {
 		x.fell, x.cold = true, false
--- a/internal/standin/partner/world_test.go
+++ b/internal/emulator/endpoint/world_test.go
@@ -1,12 +1,12 @@
-package partner
+package endpoint
 
 import (
 	"fmt"
 	"math"
 	"testing"
 
-	"troutusher/internal/draw"
-	"troutusher/internal/rehearse/trace"
+	"troutusher/internal/rehearsal/event"
+	"troutusher/internal/seededrand"
 )
 
 const ms, sec Time = 1000, 1_000_000
@@ -17,7 +17,7 @@
 	w       *World
 	now     Time
 	known   map[string]Message
-	events  []trace.Event
+	events  []event.Event
 	effects []Effect
 	lastID  int
 }
@@ -29,7 +29,7 @@
 		rules.Relays = 2
 	}
 	w, err := New(specs, rules, 11, func(id string) (Message, bool) { m, ok := r.known[id]; return m, ok },
-		func(e trace.Event) { r.events = append(r.events, e) })
+		func(e event.Event) { r.events = append(r.events, e) })
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -38,7 +38,7 @@
 }
 
 func plain() Spec {
-	return Spec{Name: "p", Dest: 1, Endpoints: 1, Capacity: 10, Queue: 5, Service: []Service{{Mean: 200 * ms, Dist: draw.Constant}},
+	return Spec{Name: "p", Dest: 1, Endpoints: 1, Capacity: 10, Queue: 5, Service: []Service{{Mean: 200 * ms, Dist: seededrand.Constant}},
 		Mix: []float64{1}, Limit: Limit{Kind: NoLimit}, ColdShare: 1, Cancel: CancelNone}
 }
 
@@ -73,7 +73,7 @@
 	return c
 }
 
-func (r *rig) count(k trace.Kind, ok func(trace.Event) bool) (n int) {
+func (r *rig) count(k event.Kind, ok func(event.Event) bool) (n int) {
 	for _, e := range r.events {
 		if e.Kind == k && (ok == nil || ok(e)) {
 			n++
@@ -103,15 +103,15 @@
 	}
 }
 
-func of(id string) func(trace.Event) bool { return func(e trace.Event) bool { return e.ID == id } }
+func of(id string) func(event.Event) bool { return func(e event.Event) bool { return e.ID == id } }
 
 func TestCapacityIsWhatItSays(t *testing.T) {
 	for _, c := range []struct {
 		capacity float64
 		mean     Time
-		dist     draw.Distribution
+		dist     seededrand.Distribution
 		cv       float64
-	}{{10, 200 * ms, draw.Constant, 0}, {3.3, 400 * ms, draw.Exponential, 1}, {47, 130 * ms, draw.LogNormal, 0.8}, {0.7, 300 * ms, draw.Constant, 0}} {
+	}{{10, 200 * ms, seededrand.Constant, 0}, {3.3, 400 * ms, seededrand.Exponential, 1}, {47, 130 * ms, seededrand.LogNormal, 0.8}, {0.7, 300 * ms, seededrand.Constant, 0}} {
 		s := plain()
 		s.Capacity, s.Service[0] = c.capacity, Service{c.mean, c.dist, c.cv}
 		r := newRig(t, Rules{}, s)
@@ -123,7 +123,7 @@
 			next, _ := r.w.Next()
 			r.to(next)
 		}
-		got := float64(r.count(trace.Ran, nil)) / float64(span) * 1e6
+		got := float64(r.count(event.Ran, nil)) / float64(span) * 1e6
 		if math.Abs(got/c.capacity-1) > 0.03 {
 			t.Errorf("capacity %v with %s: served %.3f/s", c.capacity, c.dist, got)
 		}
@@ -139,11 +139,11 @@
 		status int
 	}{
 		{"none", Limit{Kind: NoLimit}, 50 * ms, 20, 0},
-		{"rate", Limit{Kind: RateLimit, PerSecond: 7, Depth: 3}, 50 * ms, 7, trace.StatusFull},
-		{"rate that tells", Limit{Kind: RateLimit, PerSecond: 7, Depth: 3, Wait: 400 * ms}, 50 * ms, 7, trace.StatusWait},
-		{"window", Limit{Kind: WindowLimit, PerSecond: 9, Window: sec}, 50 * ms, 9, trace.StatusFull},
-		{"window of half a second", Limit{Kind: WindowLimit, PerSecond: 9, Window: sec / 2}, 50 * ms, 8, trace.StatusFull},
-		{"refusals spend it", Limit{Kind: RateLimit, PerSecond: 7, Depth: 3, RefusedSpend: true}, 50 * ms, 0, trace.StatusFull},
+		{"rate", Limit{Kind: RateLimit, PerSecond: 7, Depth: 3}, 50 * ms, 7, event.StatusFull},
+		{"rate that tells", Limit{Kind: RateLimit, PerSecond: 7, Depth: 3, Wait: 400 * ms}, 50 * ms, 7, event.StatusWait},
+		{"window", Limit{Kind: WindowLimit, PerSecond: 9, Window: sec}, 50 * ms, 9, event.StatusFull},
+		{"window of half a second", Limit{Kind: WindowLimit, PerSecond: 9, Window: sec / 2}, 50 * ms, 8, event.StatusFull},
+		{"refusals spend it", Limit{Kind: RateLimit, PerSecond: 7, Depth: 3, RefusedSpend: true}, 50 * ms, 0, event.StatusFull},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			s := plain()
@@ -157,7 +157,7 @@
 				}
 			}
 			r.to(span + sec)
-			if got := float64(r.count(trace.Ran, nil)) / float64(span) * 1e6; math.Abs(got-c.served) > 0.03*c.served+0.05 {
+			if got := float64(r.count(event.Ran, nil)) / float64(span) * 1e6; math.Abs(got-c.served) > 0.03*c.served+0.05 {
 				t.Errorf("served %.3f/s, want %v", got, c.served)
 			}
 		})
@@ -178,7 +178,7 @@
 		if apart {
 			want = 10
 		}
-		r.want(fmt.Sprint("served, apart ", apart), r.count(trace.Ran, nil), want)
+		r.want(fmt.Sprint("served, apart ", apart), r.count(event.Ran, nil), want)
 	}
 }
 
@@ -204,7 +204,7 @@
 			next, _ := r.w.Next()
 			r.to(min(next, end))
 		}
-		ran := r.count(trace.Ran, nil)
+		ran := r.count(event.Ran, nil)
 		share := min(0.26+0.74*(float64(span)+0.5)/10, 1)
 		if got := float64(ran - last); math.Abs(got-200*share) > 0.03*200*share+4 { // the four in service come out at once
 			t.Errorf("second %d after the return: %v served, want %.0f", span, got, 200*share)
@@ -243,9 +243,9 @@
 	if at < 2*sec || at > 2*sec+200*ms {
 		t.Errorf("12 a second: fell after %d", at)
 	}
-	var fell trace.Event
+	var fell event.Event
 	for _, e := range r.events {
-		if e.Kind == trace.Fell {
+		if e.Kind == event.Fell {
 			fell = e
 		}
 	}
@@ -300,13 +300,13 @@
 		ran    int
 		later  int // calls that ran once it is over, of the one that came under it
 	}{
-		{Fault{Kind: Full}, trace.StatusFull, 0, 0},
-		{Fault{Kind: FullWait, Size: 2}, trace.StatusWait, 0, 0},
+		{Fault{Kind: Full}, event.StatusFull, 0, 0},
+		{Fault{Kind: FullWait, Size: 2}, event.StatusWait, 0, 0},
 		{Fault{Kind: Vanish}, 0, 0, 0},
 		{Fault{Kind: Hang}, 0, 0, 1},
 		{Fault{Kind: Reset, Share: 1}, -1, 1, 1},
-		{Fault{Kind: Spoilt, Share: 1, Form: Noise}, trace.StatusSpoilt, 1, 1},
-		{Fault{Kind: Spoilt, Share: 1, Form: Copy}, trace.StatusDelivered, 1, 1},
+		{Fault{Kind: Spoilt, Share: 1, Form: Noise}, event.StatusSpoilt, 1, 1},
+		{Fault{Kind: Spoilt, Share: 1, Form: Copy}, event.StatusDelivered, 1, 1},
 		{Fault{Kind: Late, Share: 1, Size: 30}, 0, 1, 1},
 		{Fault{Kind: Slow, Size: 100}, 0, 0, 1},
 		{Fault{Kind: Tail, Share: 1, Size: 100}, 0, 0, 1},
@@ -318,14 +318,14 @@
 			id, conn := r.call(0, 0, "")
 			r.to(5 * sec)
 			r.want("status", r.status(conn), c.status)
-			r.want("ran", r.count(trace.Ran, of(id)), c.ran)
+			r.want("ran", r.count(event.Ran, of(id)), c.ran)
 			r.w.End(r.now, 0, &f)
 			r.to(40 * sec)
-			r.want("ran later", r.count(trace.Ran, of(id)), c.later)
+			r.want("ran later", r.count(event.Ran, of(id)), c.later)
 			id, conn = r.call(0, 0, "")
 			r.to(80 * sec)
-			r.want("status of a call after it", r.status(conn), trace.StatusDelivered)
-			r.want("and it ran", r.count(trace.Ran, of(id)), 1)
+			r.want("status of a call after it", r.status(conn), event.StatusDelivered)
+			r.want("and it ran", r.count(event.Ran, of(id)), 1)
 		})
 	}
 }
@@ -340,17 +340,17 @@
 	for range 4000 {
 		_, conn := r.call(0, 0, "")
 		r.to(r.now + sec)
-		if r.status(conn) == trace.StatusError {
+		if r.status(conn) == event.StatusError {
 			failed++
 		}
 		r.w.Gone(r.now, conn)
 		r.effects = nil
 	}
-	ran := r.count(trace.Ran, nil)
+	ran := r.count(event.Ran, nil)
 	if failed < 2280 || failed > 2520 || math.Abs(float64(ran)-(4000-float64(failed)/2)) > 120 {
 		t.Errorf("%d failed of 4000, %d ran", failed, ran)
 	}
-	r.want("outages", r.count(trace.Outage, nil), 1)
+	r.want("outages", r.count(event.Outage, nil), 1)
 }
 
 func TestCrashLosesWhatIsInService(t *testing.T) {
@@ -361,9 +361,9 @@
 	r.w.Begin(r.now, 0, f)
 	r.to(sec)
 	r.want("its connection", r.status(conn), -1)
-	r.want("ran", r.count(trace.Ran, of(id)), 0)
-	r.want("over", r.count(trace.CallOver, of(id)), 1)
-	r.want("ended with no answer", r.count(trace.CallEnded, of(id)), 1)
+	r.want("ran", r.count(event.Ran, of(id)), 0)
+	r.want("over", r.count(event.CallOver, of(id)), 1)
+	r.want("ended with no answer", r.count(event.CallEnded, of(id)), 1)
 }
 
 func TestVanishedMachineResetsWhatItKnewOnceBack(t *testing.T) {
@@ -378,7 +378,7 @@
 	r.w.End(r.now, 0, f)
 	r.to(21 * sec)
 	r.want("reset", r.status(conn), -1)
-	r.want("ran", r.count(trace.Ran, of(id)), 0)
+	r.want("ran", r.count(event.Ran, of(id)), 0)
 }
 
 func TestFaultsThatOverlapEndInAnyOrder(t *testing.T) {
@@ -397,18 +397,18 @@
 			r.w.Begin(r.now, 0, fb)
 			r.to(2 * sec)
 			r.w.End(r.now, 0, fa)
-			r.want("back too early", r.count(trace.Back, nil), 0)
+			r.want("back too early", r.count(event.Back, nil), 0)
 			r.to(3 * sec)
 			r.w.End(r.now, 0, fb)
 			r.to(4 * sec)
-			r.want(fmt.Sprint(kinds[a], " then ", kinds[b], ": back"), r.count(trace.Back, nil), 1)
+			r.want(fmt.Sprint(kinds[a], " then ", kinds[b], ": back"), r.count(event.Back, nil), 1)
 			r.want("listener", int(r.w.ends[0].listen), int(Accepting))
 			if got := r.w.Capacity(0, r.now); got >= 10 || got <= 3 {
 				t.Errorf("capacity %v one second after the return", got)
 			}
 			_, conn := r.call(0, 0, "")
 			r.to(10 * sec)
-			r.want("serves", r.status(conn), trace.StatusDelivered)
+			r.want("serves", r.status(conn), event.StatusDelivered)
 		}
 	}
 }
@@ -435,7 +435,7 @@
 		}
 		r.to(r.now + 50*ms)
 	}
-	if !r.w.ends[0].fell || r.w.ends[1].fell || r.count(trace.Fell, nil) != 1 {
+	if !r.w.ends[0].fell || r.w.ends[1].fell || r.count(event.Fell, nil) != 1 {
 		t.Errorf("fell: %v and %v", r.w.ends[0].fell, r.w.ends[1].fell)
 	}
 	if got, want := r.w.Capacity(1, r.now), 20*(0.3+0.7*0.5); math.Abs(got-want) > 1e-9 {
@@ -452,7 +452,7 @@
 	r.want("listener", int(r.w.ends[0].listen), int(Refusing))
 	r.to(sec)
 	r.w.End(r.now, 0, f)
-	r.want("outages", r.count(trace.Outage, nil)+r.count(trace.Back, nil), 0)
+	r.want("outages", r.count(event.Outage, nil)+r.count(event.Back, nil), 0)
 	if got := r.w.Capacity(0, r.now); got >= 10 {
 		t.Errorf("capacity %v at its return", got)
 	}
@@ -468,9 +468,9 @@
 	r.to(600 * ms) // 50 of 100 ms left
 	r.w.End(r.now, 0, fa)
 	r.to(849 * ms)
-	r.want("ran early", r.count(trace.Ran, of(id)), 0)
+	r.want("ran early", r.count(event.Ran, of(id)), 0)
 	r.to(851 * ms)
-	r.want("ran", r.count(trace.Ran, of(id)), 1)
+	r.want("ran", r.count(event.Ran, of(id)), 1)
 }
 
 func TestCancelledCalls(t *testing.T) {
@@ -487,9 +487,9 @@
 		r.w.Gone(r.now, ca)
 		r.w.Gone(r.now, cb)
 		r.to(5 * sec)
-		r.want(string(c.cancel)+": in service", r.count(trace.Ran, of(a)), c.served)
-		r.want(string(c.cancel)+": waiting", r.count(trace.Ran, of(b)), c.stood)
-		r.want("over", r.count(trace.CallOver, nil), 2)
+		r.want(string(c.cancel)+": in service", r.count(event.Ran, of(a)), c.served)
+		r.want(string(c.cancel)+": waiting", r.count(event.Ran, of(b)), c.stood)
+		r.want("over", r.count(event.CallOver, nil), 2)
 	}
 }
 
@@ -501,13 +501,13 @@
 	r.to(5 * sec)
 	b, conn := r.call(0, 1, "k")
 	r.to(6 * sec)
-	r.want("first", r.count(trace.Ran, of(a)), 1)
-	r.want("repeat", r.count(trace.Ran, of(b)), 0)
-	r.want("repeat is answered", r.status(conn), trace.StatusDelivered)
+	r.want("first", r.count(event.Ran, of(a)), 1)
+	r.want("repeat", r.count(event.Ran, of(b)), 0)
+	r.want("repeat is answered", r.status(conn), event.StatusDelivered)
 	r.to(30 * sec)
 	c, _ := r.call(0, 0, "k")
 	r.to(31 * sec)
-	r.want("after the window", r.count(trace.Ran, of(c)), 1)
+	r.want("after the window", r.count(event.Ran, of(c)), 1)
 }
 
 func TestPlatformGates(t *testing.T) {
@@ -515,27 +515,27 @@
 	r.call(0, 0, "")
 	r.call(0, 0, "")
 	_, c := r.call(0, 0, "")
-	r.want("beyond the slots", r.status(c), trace.StatusFull)
+	r.want("beyond the slots", r.status(c), event.StatusFull)
 	if e := r.effects[len(r.effects)-1]; !e.Slots {
 		t.Error("slots are not named")
 	}
 	_, c = r.call(0, 1, "")
 	r.to(sec)
-	r.want("of another relay", r.status(c), trace.StatusDelivered)
+	r.want("of another relay", r.status(c), event.StatusDelivered)
 
 	id, _ := r.call(0, 0, "")
 	r.to(2 * sec)
 	r.again(id, 0, 0, "")
 	r.to(3 * sec)
-	r.want("third attempt", r.status(r.again(id, 0, 0, "")), trace.StatusSpent)
+	r.want("third attempt", r.status(r.again(id, 0, 0, "")), event.StatusSpent)
 
 	m := r.known[id]
 	m.Over = true
 	r.known[id] = m
 	r.w.Forget(id)
-	r.want("of one that is over", r.status(r.again(id, 0, 0, "")), trace.StatusOver)
-	r.want("of one that nobody knows", r.status(r.again("zz", 0, 0, "")), trace.StatusUnknown)
-	r.want("stray", r.count(trace.Stray, nil), 1)
+	r.want("of one that is over", r.status(r.again(id, 0, 0, "")), event.StatusOver)
+	r.want("of one that nobody knows", r.status(r.again("zz", 0, 0, "")), event.StatusUnknown)
+	r.want("stray", r.count(event.Stray, nil), 1)
 }
 
 func TestConnections(t *testing.T) {
@@ -544,22 +544,22 @@
 	r := newRig(t, Rules{}, s)
 	id, a := r.call(0, 0, "")
 	r.to(239 * ms) // 10 + 30 + 200, then 10 back
-	r.want("not yet", r.count(trace.Ran, of(id)), 0)
+	r.want("not yet", r.count(event.Ran, of(id)), 0)
 	r.to(249 * ms)
-	r.want("ran", r.count(trace.Ran, of(id)), 1)
+	r.want("ran", r.count(event.Ran, of(id)), 1)
 	r.want("under way", r.status(a), 0)
 	r.to(251 * ms)
-	r.want("answered", r.status(a), trace.StatusDelivered)
+	r.want("answered", r.status(a), event.StatusDelivered)
 	r.effects = nil
 	r.known["m2"] = Message{Num: 50}
 	r.w.First(r.now, a)
 	r.w.Call(r.now, a, "m2", "", sec)
 	r.to(r.now + 221*ms)
-	r.want("second request, no handshake", r.status(a), trace.StatusDelivered)
+	r.want("second request, no handshake", r.status(a), event.StatusDelivered)
 	r.call(0, 0, "")
 	_, over := r.call(0, 0, "")
 	r.to(r.now + 100*ms)
-	r.want("third connection", r.status(over), trace.StatusFull)
+	r.want("third connection", r.status(over), event.StatusFull)
 	r.effects = nil
 	r.to(r.now + 20*sec)
 	closed := 0
@@ -576,13 +576,13 @@
 	c := r.w.Open(0, 0, 1)
 	r.w.Probe(0, c)
 	r.to(0)
-	r.want("alive", r.status(c), trace.StatusDelivered)
+	r.want("alive", r.status(c), event.StatusDelivered)
 	r.effects = nil
 	f := &Fault{Kind: Full}
 	r.w.Begin(0, 0, f)
 	r.w.Probe(0, c)
 	r.to(0)
-	r.want("shut", r.status(c), trace.StatusFull)
+	r.want("shut", r.status(c), event.StatusFull)
 }
 
 func TestSpecsThatCannotBe(t *testing.T) {
--- a/internal/standin/registry/registry.go
+++ b/internal/emulator/registry/registry.go
@@ -16,9 +16,9 @@
 	"sync"
 	"time"
 
-	"troutusher/internal/draw"
-	"troutusher/internal/rehearse/trace"
-	"troutusher/internal/standin/loopback"
+	"troutusher/internal/emulator/loopback"
+	"troutusher/internal/rehearsal/event"
+	"troutusher/internal/seededrand"
 )
 
 // Member is an endpoint as the list names it.
@@ -61,8 +61,8 @@
 	Quiet         []Member                 // named by each whole list beside them; they never change
 	Delay, Spread time.Duration            // changes arrive so much later, and up to so much more
 	Seed          uint64
-	Clock         func() trace.Time
-	Emit          func(trace.Event) // takes Told and Noticed
+	Clock         func() event.Time
+	Emit          func(event.Event) // takes Told and Noticed
 }
 
 // Registry is the agents of all relays.
@@ -143,7 +143,7 @@
 	for _, a := range r.agents {
 		a.mu.Lock()
 		a.drawn++
-		d := a.cfg.Delay + time.Duration(float64(a.cfg.Spread)*draw.Float64(a.cfg.Seed, uint64(a.relay), a.drawn))
+		d := a.cfg.Delay + time.Duration(float64(a.cfg.Spread)*seededrand.Float64(a.cfg.Seed, uint64(a.relay), a.drawn))
 		for _, more := range a.late {
 			d += more
 		}
@@ -324,12 +324,12 @@
 	return l
 }
 
-var toldWords = map[string]int{Up: trace.ToldUp, Draining: trace.ToldDraining, Removed: trace.ToldRemoved}
+var toldWords = map[string]int{Up: event.ToldUp, Draining: event.ToldDraining, Removed: event.ToldRemoved}
 
 // told says what was written to the relay.
 func (a *agent) told(eps []int, phases []string) {
 	for i, ep := range eps {
-		a.cfg.Emit(trace.Event{At: a.cfg.Clock(), Kind: trace.Told, Relay: a.relay, Endpoint: ep, Status: toldWords[phases[i]]})
+		a.cfg.Emit(event.Event{At: a.cfg.Clock(), Kind: event.Told, Relay: a.relay, Endpoint: ep, Status: toldWords[phases[i]]})
 	}
 }
 
@@ -450,7 +450,7 @@
 	return a.log[0].rev - 1
 }
 
-var outcomes = map[string]int{"given_up": trace.NoticeGivenUp, "handed_back": trace.NoticeHandedBack}
+var outcomes = map[string]int{"given_up": event.NoticeGivenUp, "handed_back": event.NoticeHandedBack}
 
 // reports takes notices, one JSON object a line; all of them or none.
 func (a *agent) reports(w http.ResponseWriter, r *http.Request) {
@@ -459,7 +459,7 @@
 		http.Error(w, "too long, or cut off", http.StatusBadRequest)
 		return
 	}
-	var all []trace.Event
+	var all []event.Event
 	for in := bufio.NewScanner(bytes.NewReader(text)); in.Scan(); {
 		if len(bytes.TrimSpace(in.Bytes())) == 0 {
 			continue
@@ -477,7 +477,7 @@
 			http.Error(w, "not a notice", http.StatusBadRequest)
 			return
 		}
-		all = append(all, trace.Event{Kind: trace.Noticed, ID: n.Message, Relay: a.relay, Status: outcome, Wait: n.RetryMS * 1000})
+		all = append(all, event.Event{Kind: event.Noticed, ID: n.Message, Relay: a.relay, Status: outcome, Wait: n.RetryMS * 1000})
 	}
 	for _, e := range all {
 		e.At = a.cfg.Clock()
--- a/internal/standin/registry/registry_test.go
+++ b/internal/emulator/registry/registry_test.go
@@ -12,14 +12,14 @@
 	"testing"
 	"time"
 
-	"troutusher/internal/rehearse/trace"
+	"troutusher/internal/rehearsal/event"
 )
 
 type rig struct {
 	t    *testing.T
 	r    *Registry
 	mu   sync.Mutex
-	said []trace.Event
+	said []event.Event
 }
 
 func start(t *testing.T, delay, spread time.Duration) *rig {
@@ -34,8 +34,8 @@
 			}
 			return m
 		},
-		Clock: func() trace.Time { return time.Since(began).Microseconds() },
-		Emit:  func(e trace.Event) { x.mu.Lock(); defer x.mu.Unlock(); x.said = append(x.said, e) }})
+		Clock: func() event.Time { return time.Since(began).Microseconds() },
+		Emit:  func(e event.Event) { x.mu.Lock(); defer x.mu.Unlock(); x.said = append(x.said, e) }})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -97,7 +97,7 @@
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	for _, e := range x.said {
-		if e.Kind == trace.Told && e.Relay == relay && e.Endpoint == ep && e.Status == what {
+		if e.Kind == event.Told && e.Relay == relay && e.Endpoint == ep && e.Status == what {
 			return true
 		}
 	}
@@ -124,8 +124,8 @@
 	if l := x.next(lines); l.Complete || len(l.Members) != 1 || l.Members[0].ID != "s-1" || l.Members[0].Phase != Draining {
 		t.Errorf("change: %+v", l)
 	}
-	x.wait("told", func() bool { return x.told(0, 1, trace.ToldDraining) })
-	if x.told(1, 1, trace.ToldDraining) {
+	x.wait("told", func() bool { return x.told(0, 1, event.ToldDraining) })
+	if x.told(1, 1, event.ToldDraining) {
 		t.Error("the other relay was told, which asked for nothing")
 	}
 	x.r.Set(2, Removed)
@@ -258,7 +258,7 @@
 	if n := post("{\"message\":\"a\",\"outcome\":\"given_up\"}\n\n{\"message\":\"b\",\"outcome\":\"handed_back\",\"retry_in_ms\":500}\n"); n != 204 {
 		t.Errorf("status %d", n)
 	}
-	if len(x.said) != 2 || x.said[1].ID != "b" || x.said[1].Status != trace.NoticeHandedBack || x.said[1].Wait != 500_000 || x.said[1].Relay != 1 {
+	if len(x.said) != 2 || x.said[1].ID != "b" || x.said[1].Status != event.NoticeHandedBack || x.said[1].Wait != 500_000 || x.said[1].Relay != 1 {
 		t.Errorf("said %+v", x.said)
 	}
 	for _, bad := range []string{"{", "{\"message\":\"a\",\"outcome\":\"lost\"}", "{\"outcome\":\"given_up\"}",
@@ -278,7 +278,7 @@
 	f.Add("{\"message\":\"a\",\"outcome\":\"handed_back\",\"retry_in_ms\":-5}\n{}")
 	f.Fuzz(func(t *testing.T, body string) {
 		said := 0
-		a := &agent{cfg: &Config{Clock: func() trace.Time { return 0 }, Emit: func(trace.Event) { said++ }}}
+		a := &agent{cfg: &Config{Clock: func() event.Time { return 0 }, Emit: func(event.Event) { said++ }}}
 		w := httptest.NewRecorder()
 		a.reports(w, httptest.NewRequest(http.MethodPost, "/reports", strings.NewReader(body)))
 		if w.Code != 204 && (w.Code != 400 || said > 0) {
--- a/internal/takeover/handover.go
+++ b/internal/handover/handover.go
@@ -1,4 +1,4 @@
-// Package takeover says how the work of one process moves to another: two
+// Package handover says how the work of one process moves to another: two
 // processes, one relay.
 //
 // It owns the moments at which ownership moves and what each side does when the
@@ -13,7 +13,7 @@
 // and that one word which of the two things is true: the taker never began, and
 // the giver goes on with what it still has in memory; or it may have, and the
 // log alone counts.
-package takeover
+package handover
 
 // Outgoing is the side of the process that serves.
 type Outgoing struct{ state outgoingState }
--- a/internal/takeover/handover_test.go
+++ b/internal/handover/handover_test.go
@@ -1,4 +1,4 @@
-package takeover
+package handover
 
 import (
 	"fmt"
--- a/internal/dormant/bench_test.go
+++ b/internal/idlestore/bench_test.go
@@ -1,4 +1,4 @@
-package dormant
+package idlestore
 
 import (
 	"fmt"
