--- a/internal/dormant/roster.go
+++ b/internal/idlestore/roster.go
@@ -1,15 +1,15 @@
-package dormant
+package idlestore
 
 import (
 	"container/list"
 
-	"troutusher/decide"
+	"troutusher/policy"
 )
 
 // Limits say when a destination that nobody sends to is put away.
 type Limits struct {
 	MaxActive   int         // so many may be awake for any time; 0 for all
-	IdleTimeout decide.Time // beyond them, one goes that has been quiet for so long
+	IdleTimeout policy.Time // beyond them, one goes that has been quiet for so long
 }
 
 // ActiveSet is the destinations that are awake, the longest quiet first.
@@ -21,7 +21,7 @@
 
 type activeEntry struct {
 	dest     int
-	lastUsed decide.Time
+	lastUsed policy.Time
 }
 
 // NewActiveSet makes one on which nobody is.
@@ -45,7 +45,7 @@
 func (r *ActiveSet) Full() bool { return r.limits.MaxActive > 0 && r.order.Len() >= r.limits.MaxActive }
 
 // Touch books that something has been done for a destination.
-func (r *ActiveSet) Touch(dest int, now decide.Time) {
+func (r *ActiveSet) Touch(dest int, now policy.Time) {
 	if e := r.byDest[dest]; e != nil {
 		e.Value.(*activeEntry).lastUsed = now
 		r.order.MoveToBack(e)
@@ -64,7 +64,7 @@
 
 // Idle appends up to most destinations that are to be put away, longest quiet
 // first, and tells when to ask again; 0 where there is nothing to wait for.
-func (r *ActiveSet) Idle(now decide.Time, most int, to []int) (due []int, again decide.Time) {
+func (r *ActiveSet) Idle(now policy.Time, most int, to []int) (due []int, again policy.Time) {
 	over := 0
 	if r.limits.MaxActive > 0 {
 		over = r.order.Len() - r.limits.MaxActive
--- a/internal/dormant/store.go
+++ b/internal/idlestore/store.go
@@ -1,4 +1,4 @@
-// Package dormant keeps what a relay knows of destinations that nobody sends to:
+// Package idlestore keeps what a relay knows of destinations that nobody sends to:
 // their endpoints and what was learned of them, packed into a few bytes each,
 // and says which destination has been quiet for long enough to be put there.
 //
@@ -10,7 +10,7 @@
 // records are no work for the garbage collector.
 //
 // It must never do I/O, look at a clock, or know what the learned bytes mean.
-package dormant
+package idlestore
 
 import (
 	"encoding/binary"
--- a/internal/dormant/store_test.go
+++ b/internal/idlestore/store_test.go
@@ -1,4 +1,4 @@
-package dormant
+package idlestore
 
 import (
 	"bytes"
@@ -7,7 +7,7 @@
 	"slices"
 	"testing"
 
-	"troutusher/decide"
+	"troutusher/policy"
 )
 
 // mapModel is the store as plain maps.
@@ -223,7 +223,7 @@
 func TestActiveSet(t *testing.T) {
 	r := NewActiveSet(Limits{MaxActive: 2, IdleTimeout: 60})
 	for i := range 6 {
-		r.Touch(i, decide.Time(i))
+		r.Touch(i, policy.Time(i))
 	}
 	r.Touch(0, 10)
 	r.Remove(4)
@@ -232,10 +232,10 @@
 		t.Errorf("%+v", r)
 	}
 	for _, x := range []struct {
-		now   decide.Time
+		now   policy.Time
 		most  int
 		due   []int
-		again decide.Time
+		again policy.Time
 	}{{60, 9, nil, 61}, {61, 9, []int{1}, 62}, {62, 1, []int{1}, 62}, {70, 9, []int{1, 2, 3}, 0}, {1000, 9, []int{1, 2, 3}, 0}} {
 		if due, again := r.Idle(x.now, x.most, nil); !slices.Equal(due, x.due) || again != x.again {
 			t.Errorf("at %d: %v, again at %d, want %v and %d", x.now, due, again, x.due, x.again)
--- a/internal/dormant/table.go
+++ b/internal/idlestore/table.go
@@ -1,4 +1,4 @@
-package dormant
+package idlestore
 
 // table finds places by the hash of a key. Several places may have one hash, and
 // one place several: who asks looks at what lies there. It is cut into parts by
--- a/internal/duty/lifecycle.go
+++ b/internal/lifecycle/lifecycle.go
@@ -1,10 +1,10 @@
-// Package duty says what a process does for the relay that it is: whether it
+// Package lifecycle says what a process does for the relay that it is: whether it
 // takes clients, and what it answers to those who ask.
 //
 // It owns the states, the moves between them and the reason that goes with each
 // answer. It must never touch a socket, look at a clock, begin a goroutine, or
 // know of messages: what is held and owed goes on in every state.
-package duty
+package lifecycle
 
 // State is what a process does.
 type State uint8
--- a/internal/duty/lifecycle_test.go
+++ b/internal/lifecycle/lifecycle_test.go
@@ -1,4 +1,4 @@
-package duty
+package lifecycle
 
 import (
 	"math/rand/v2"
--- a/internal/fleetlog/fleetlog.go
+++ b/internal/logstats/fleetlog.go
@@ -1,8 +1,8 @@
-// Package fleetlog adds up the logs of the relays of one fleet: what each of
+// Package logstats adds up the logs of the relays of one fleet: what each of
 // them counted by second and destination, when it learned of a list, how its
 // calls to discovery ended, and when it was ready. It reads the relay's own log
 // lines and guesses nothing that they do not say.
-package fleetlog
+package logstats
 
 import (
 	"bufio"
@@ -15,7 +15,7 @@
 	"strings"
 	"time"
 
-	"troutusher/internal/tally"
+	"troutusher/internal/metrics"
 )
 
 const (
@@ -100,7 +100,7 @@
 // the names end in.
 func (c Counts) Handed() (sum int64) {
 	for k, n := range c {
-		if strings.HasPrefix(k, tally.HandedBackPrefix) {
+		if strings.HasPrefix(k, metrics.HandedBackPrefix) {
 			sum += n
 		}
 	}
@@ -157,8 +157,8 @@
 func (d *Day) take(relay string, e *entry, lists map[int64]*List, said map[string]bool, heard map[int64]bool) {
 	when, fields, order := e.when, e.fields, e.order
 	switch fields["msg"] {
-	case tally.LogText:
-		if us, err := strconv.ParseInt(fields[tally.LongestStepKey], 10, 64); err == nil && us < countMost {
+	case metrics.LogText:
+		if us, err := strconv.ParseInt(fields[metrics.LongestStepKey], 10, 64); err == nil && us < countMost {
 			if step := time.Duration(us) * time.Microsecond; step > d.Longest {
 				d.Longest, d.LongestAt = step, relay+" in second "+fields["second"]
 			}
@@ -212,7 +212,7 @@
 		d.own[relay] = map[int]Counts{}
 	}
 	for _, k := range order {
-		dest, what, ok := tally.ParseKey(k)
+		dest, what, ok := metrics.ParseKey(k)
 		if !ok {
 			continue
 		}
--- a/internal/fleetlog/fleetlog_test.go
+++ b/internal/logstats/fleetlog_test.go
@@ -1,4 +1,4 @@
-package fleetlog
+package logstats
 
 import (
 	"bytes"
@@ -10,7 +10,7 @@
 	"testing/fstest"
 	"time"
 
-	"troutusher/internal/tally"
+	"troutusher/internal/metrics"
 )
 
 // relayLog writes what a relay's own logger writes: so many messages in and
@@ -22,16 +22,16 @@
 	log.Warn("discovery: call over", "whole", false, "end", "refused", "err", "status 503")
 	log.Info("list", "revision", 7, "whole", true, "members", 3)
 	log.Info("policy", "says", "dest 4: seen failing, trial calls")
-	c := tally.NewRecorder()
+	c := metrics.NewRecorder()
 	for _, s := range seconds {
 		c.Flush(s * 1e6)
-		c.Add(4, tally.Submitted, 3)
-		c.Add(4, tally.Attempts, 2)
-		c.Add(4, tally.Rejected, 1)
-		c.Add(4, tally.HandedBackPrefix+"time", 1)
-		c.Add(9, tally.Attempts, 1)
+		c.Add(4, metrics.Submitted, 3)
+		c.Add(4, metrics.Attempts, 2)
+		c.Add(4, metrics.Rejected, 1)
+		c.Add(4, metrics.HandedBackPrefix+"time", 1)
+		c.Add(9, metrics.Attempts, 1)
 		if args := c.Flush((s + 1) * 1e6); args != nil {
-			log.Info(tally.LogText, append(args, tally.LongestStepKey, 100*s)...)
+			log.Info(metrics.LogText, append(args, metrics.LongestStepKey, 100*s)...)
 		}
 	}
 	return b.String()
@@ -54,16 +54,16 @@
 // saw stands beside.
 func TestSums(t *testing.T) {
 	d := read(t, map[string]string{"n0.log": relayLog(100, 101), "n1.log": relayLog(101), "n2.log": relayLog(101, 103), "notes.txt": "x"})
-	if got := d.At(101, 4); got[tally.Submitted] != 9 || got[tally.Attempts] != 6 || got.Handed() != 3 {
+	if got := d.At(101, 4); got[metrics.Submitted] != 9 || got[metrics.Attempts] != 6 || got.Handed() != 3 {
 		t.Errorf("second 101: %v", got)
 	}
-	if got := d.Second(101)[tally.Attempts]; got != 9 {
+	if got := d.Second(101)[metrics.Attempts]; got != 9 {
 		t.Errorf("second 101, all destinations: %d sent", got)
 	}
-	if got := d.Dest(4)[tally.Rejected]; got != 5 {
+	if got := d.Dest(4)[metrics.Rejected]; got != 5 {
 		t.Errorf("destination 4: %d turned away", got)
 	}
-	if median, most := d.Spread(4, tally.Attempts); median != 4 || most != 4 {
+	if median, most := d.Spread(4, metrics.Attempts); median != 4 || most != 4 {
 		t.Errorf("one relay sent %d in the middle, %d at most", median, most)
 	}
 	if d.From != 100 || d.To != 103 || fmt.Sprint(d.Dests) != "[4 9]" || len(d.Relays) != 3 || len(d.Starts) != 3 {
@@ -90,10 +90,10 @@
 	if len(d.Relays) != 4 || len(d.Empty) != 2 || d.Torn != 1 || d.Foreign != 4 {
 		t.Errorf("relays %v, empty %v, %d torn, %d foreign", d.Relays, d.Empty, d.Torn, d.Foreign)
 	}
-	if got := d.At(100, 4)[tally.Submitted]; got != 12 {
+	if got := d.At(100, 4)[metrics.Submitted]; got != 12 {
 		t.Errorf("%d in second 100, want 12", got)
 	}
-	if got := d.At(101, 4)[tally.Submitted]; got != 9 {
+	if got := d.At(101, 4)[metrics.Submitted]; got != 9 {
 		t.Errorf("%d in second 101, want 9: the torn line counts nothing", got)
 	}
 	_, err := Read(fstest.MapFS{"d.log": &fstest.MapFile{}}, "logs")
--- a/internal/fleetlog/report.go
+++ b/internal/logstats/report.go
@@ -1,4 +1,4 @@
-package fleetlog
+package logstats
 
 import (
 	"bytes"
@@ -17,7 +17,7 @@
 	"gonum.org/v1/plot/vg/draw"
 	"gonum.org/v1/plot/vg/vgsvg"
 
-	"troutusher/internal/tally"
+	"troutusher/internal/metrics"
 )
 
 // column is one figure of the tables.
@@ -39,12 +39,12 @@
 }
 
 var columns = []column{
-	plain("in", tally.Submitted), plain("taken", tally.Accepted), plain("resumed", tally.Recovered), plain("sent", tally.Attempts), plain("ok", tally.Delivered),
-	plain("full", tally.Rejected), plain("errors", tally.Failed), plain("late", tally.TimedOut), plain("no-conn", tally.ConnectFailed), plain("reset", tally.ConnectionReset),
-	{"refused", func(c Counts) string { return fmt.Sprint(c.Handed()) }}, plain("given-up", tally.GivenUp),
-	plain("dials", tally.ConnectionsOpened), {"msg/conn", func(c Counts) string { return per(c[tally.Attempts], c[tally.ConnectionsOpened], 1) }},
-	plain("probes", tally.HealthChecks), {"crossed", func(c Counts) string { return per(c[tally.CrossZoneAttempts], c[tally.Attempts], 2) }},
-	{"held-ms", func(c Counts) string { return per(c[tally.FirstAttemptDelayMS], c[tally.FirstAttempts], 0) }},
+	plain("in", metrics.Submitted), plain("taken", metrics.Accepted), plain("resumed", metrics.Recovered), plain("sent", metrics.Attempts), plain("ok", metrics.Delivered),
+	plain("full", metrics.Rejected), plain("errors", metrics.Failed), plain("late", metrics.TimedOut), plain("no-conn", metrics.ConnectFailed), plain("reset", metrics.ConnectionReset),
+	{"refused", func(c Counts) string { return fmt.Sprint(c.Handed()) }}, plain("given-up", metrics.GivenUp),
+	plain("dials", metrics.ConnectionsOpened), {"msg/conn", func(c Counts) string { return per(c[metrics.Attempts], c[metrics.ConnectionsOpened], 1) }},
+	plain("probes", metrics.HealthChecks), {"crossed", func(c Counts) string { return per(c[metrics.CrossZoneAttempts], c[metrics.Attempts], 2) }},
+	{"held-ms", func(c Counts) string { return per(c[metrics.FirstAttemptDelayMS], c[metrics.FirstAttempts], 0) }},
 }
 
 // rows calls f with each row of a table, its head first: of destinations, or of
@@ -84,14 +84,14 @@
 	for _, id := range d.Dests {
 		c := d.Dest(id)
 		all.add(c)
-		median, most := d.Spread(id, tally.Attempts)
+		median, most := d.Spread(id, metrics.Attempts)
 		row(destName(id), c, fmt.Sprint(median), fmt.Sprint(most))
 	}
 	row("all", all, "", "")
 }
 
 func destName(id int) string {
-	if id == tally.OtherDestinations {
+	if id == metrics.OtherDestinations {
 		return "others"
 	}
 	return fmt.Sprint(id)
@@ -122,8 +122,8 @@
 	why := Counts{}
 	for _, id := range d.Dests {
 		for k, n := range d.Dest(id) {
-			if len(k) > len(tally.HandedBackPrefix) && k[:len(tally.HandedBackPrefix)] == tally.HandedBackPrefix {
-				why[k[len(tally.HandedBackPrefix):]] += n
+			if len(k) > len(metrics.HandedBackPrefix) && k[:len(metrics.HandedBackPrefix)] == metrics.HandedBackPrefix {
+				why[k[len(metrics.HandedBackPrefix):]] += n
 			}
 		}
 	}
@@ -214,12 +214,12 @@
 		fmt.Fprintf(b, "<li>%s</li>", html.EscapeString(l))
 	}
 	fmt.Fprint(b, "</ul>\n")
-	lines := []series{rate("handed in", tally.Submitted), rate("sent", tally.Attempts), rate("delivered", tally.Delivered), rate("turned away", tally.Rejected),
+	lines := []series{rate("handed in", metrics.Submitted), rate("sent", metrics.Attempts), rate("delivered", metrics.Delivered), rate("turned away", metrics.Rejected),
 		{"refused here", func(c Counts) float64 { return float64(c.Handed()) }}}
 	plots := []func() (string, error){
 		func() (string, error) { return d.draw("all destinations", d.Second, lines...) },
 		func() (string, error) {
-			return d.draw("what is dear", d.Second, rate("connections opened", tally.ConnectionsOpened), rate("no connection", tally.ConnectFailed), rate("crossed zones", tally.CrossZoneAttempts), rate("probes", tally.HealthChecks))
+			return d.draw("what is dear", d.Second, rate("connections opened", metrics.ConnectionsOpened), rate("no connection", metrics.ConnectFailed), rate("crossed zones", metrics.CrossZoneAttempts), rate("probes", metrics.HealthChecks))
 		},
 	}
 	for _, id := range d.Dests[:min(len(d.Dests), 40)] {
--- a/internal/fleetlog/restarts.go
+++ b/internal/logstats/restarts.go
@@ -1,4 +1,4 @@
-package fleetlog
+package logstats
 
 import (
 	"fmt"
@@ -10,8 +10,8 @@
 	"strings"
 	"text/tabwriter"
 
-	"troutusher/internal/story"
-	"troutusher/internal/tally"
+	"troutusher/internal/metrics"
+	"troutusher/internal/msgtrace"
 )
 
 // Restarts says what became of the messages that starts found taken on: sums
@@ -35,12 +35,12 @@
 	var err error
 	r.left, err = each(dir, name, func(_ string, e *entry) {
 		switch e.text {
-		case story.Ready:
+		case msgtrace.Ready:
 			r.Starts++
-		case tally.LogText:
+		case metrics.LogText:
 			for _, k := range e.order {
 				n, err := strconv.ParseInt(e.fields[k], 10, 64)
-				if _, what, ok := tally.ParseKey(k); ok && err == nil && n > 0 && n < countMost {
+				if _, what, ok := metrics.ParseKey(k); ok && err == nil && n > 0 && n < countMost {
 					r.add(what, n)
 				}
 			}
@@ -53,16 +53,16 @@
 }
 
 func (r *Restarts) add(what string, n int64) {
-	for name, sum := range map[string]*int64{tally.Recovered: &r.Found, tally.RecoveredUntried: &r.Untried, tally.UntriedExpired: &r.Over,
-		tally.UntriedUnroutable: &r.Nowhere, tally.UntriedAttempted: &r.Tried, tally.UntriedDelivered: &r.Delivered} {
+	for name, sum := range map[string]*int64{metrics.Recovered: &r.Found, metrics.RecoveredUntried: &r.Untried, metrics.UntriedExpired: &r.Over,
+		metrics.UntriedUnroutable: &r.Nowhere, metrics.UntriedAttempted: &r.Tried, metrics.UntriedDelivered: &r.Delivered} {
 		if what == name {
 			*sum += n
 			return
 		}
 	}
-	if why, ok := strings.CutPrefix(what, tally.UntriedHandedBackPrefix); ok {
+	if why, ok := strings.CutPrefix(what, metrics.UntriedHandedBackPrefix); ok {
 		r.Back[why] += n
-	} else if why, ok := strings.CutPrefix(what, tally.UntriedGivenUpPrefix); ok {
+	} else if why, ok := strings.CutPrefix(what, metrics.UntriedGivenUpPrefix); ok {
 		r.GivenUp[why] += n
 	}
 }
--- a/internal/fleetlog/stories.go
+++ b/internal/logstats/stories.go
@@ -1,4 +1,4 @@
-package fleetlog
+package logstats
 
 import (
 	"bufio"
@@ -17,8 +17,8 @@
 
 	"github.com/go-logfmt/logfmt"
 
-	"troutusher/internal/story"
-	"troutusher/internal/tally"
+	"troutusher/internal/metrics"
+	"troutusher/internal/msgtrace"
 )
 
 const (
@@ -163,7 +163,7 @@
 		switch {
 		case e.fields["message"] == id:
 			at.Own = true
-		case e.text == story.Ready, e.text == story.Stopping, e.text == story.Stopped:
+		case e.text == msgtrace.Ready, e.text == msgtrace.Stopping, e.text == msgtrace.Stopped:
 		default:
 			return
 		}
@@ -343,10 +343,10 @@
 		p.last = x.when
 	}
 	switch x.text {
-	case story.Ready:
+	case msgtrace.Ready:
 		p.starts = append(p.starts, start{x.when, x.fields["log"] == "none"})
 		return
-	case tally.LogText:
+	case metrics.LogText:
 		for _, k := range x.order {
 			if n, err := strconv.ParseInt(x.fields[k], 10, 64); err == nil && n > 0 && n < countMost && strings.HasSuffix(k, ".untold") {
 				e.Untold += n
@@ -359,7 +359,7 @@
 		return
 	}
 	switch x.text {
-	case story.Accepted, story.Withdrawn, story.Delivered, story.EndpointFinished, story.AttemptFailed, story.Ended, story.NoticeDelivered, story.Recovered:
+	case msgtrace.Accepted, msgtrace.Withdrawn, msgtrace.Delivered, msgtrace.EndpointFinished, msgtrace.AttemptFailed, msgtrace.Ended, msgtrace.NoticeDelivered, msgtrace.Recovered:
 	default:
 		return // refused ones were never taken on
 	}
@@ -373,28 +373,28 @@
 		e.lives[id] = l
 	}
 	l.relay = relay
-	if rest, ok := x.ms("left_ms"); ok && (x.text == story.Accepted || x.text == story.Recovered || !l.seen) {
+	if rest, ok := x.ms("left_ms"); ok && (x.text == msgtrace.Accepted || x.text == msgtrace.Recovered || !l.seen) {
 		l.due = x.when.Add(rest)
 	}
 	if w, ok := x.ms("waited_ms"); ok {
 		e.Longest = max(e.Longest, w)
 	}
 	switch x.text {
-	case story.Accepted:
+	case msgtrace.Accepted:
 		l.seen = true
-	case story.Withdrawn:
+	case msgtrace.Withdrawn:
 		l.left = true
-	case story.Recovered:
+	case msgtrace.Recovered:
 		l.seen, l.resumed = true, x.when
-	case story.Delivered:
+	case msgtrace.Delivered:
 		l.deliveries++
 		l.delivered = x.when
-	case story.EndpointFinished:
+	case msgtrace.EndpointFinished:
 		l.over = true
-	case story.Ended:
+	case msgtrace.Ended:
 		l.endings++
 		l.ended = x.when
-	case story.NoticeDelivered:
+	case msgtrace.NoticeDelivered:
 		if l.told.IsZero() {
 			l.told = x.when
 		}
--- a/internal/fleetlog/stories_test.go
+++ b/internal/logstats/stories_test.go
@@ -1,4 +1,4 @@
-package fleetlog
+package logstats
 
 import (
 	"bytes"
@@ -9,7 +9,7 @@
 	"testing/fstest"
 	"time"
 
-	"troutusher/internal/story"
+	"troutusher/internal/msgtrace"
 )
 
 var dawn = time.Date(2026, 5, 1, 18, 0, 0, 0, time.UTC)
@@ -32,21 +32,21 @@
 // Each fate is told by what the logs show, and counted once.
 func TestFates(t *testing.T) {
 	taken := func(ms int, id string, left int) string {
-		return at(ms, story.Accepted, of(id, fmt.Sprintf("class=c dest=1 left_ms=%d waited_ms=7", left)))
+		return at(ms, msgtrace.Accepted, of(id, fmt.Sprintf("class=c dest=1 left_ms=%d waited_ms=7", left)))
 	}
-	live := at(0, story.Ready, "log=none") + at(90_000, "tally", "second=90")
+	live := at(0, msgtrace.Ready, "log=none") + at(90_000, "tally", "second=90")
 	for want, logs := range map[Fate]string{
-		InTime:     live + taken(100, "m", 1000) + at(600, story.Delivered, of("m", "left_ms=500")),
-		Elsewhere:  live + taken(100, "m", 1000) + at(600, story.EndpointFinished, of("m", "left_ms=500")),
-		Past:       live + taken(100, "m", 1000) + at(1200, story.Delivered, of("m", "left_ms=-100")),
-		Noticed:    live + taken(100, "m", 1000) + at(1100, story.Ended, of("m", "left_ms=0")) + at(1395, story.NoticeDelivered, of("m", "")),
-		NoticeLate: live + taken(100, "m", 1000) + at(1100, story.Ended, of("m", "left_ms=0")) + at(1402, story.NoticeDelivered, of("m", "")),
-		NoNotice:   live + taken(100, "m", 1000) + at(1100, story.Ended, of("m", "left_ms=0")),
-		NoEnd:      live + taken(100, "m", 1000) + at(500, story.AttemptFailed, of("m", "status=503")),
-		Left:       live + at(100, story.Withdrawn, of("m", "waited_ms=3")),
-		Twice:      live + taken(100, "m", 1000) + at(600, story.Delivered, of("m", "left_ms=500")) + at(700, story.Ended, of("m", "left_ms=400")),
-		Forgotten:  live + taken(100, "m", 1000) + at(600, story.Ready, "log=found"),
-		FolderGone: live + taken(100, "m", 1000) + at(600, story.Ready, "log=none"),
+		InTime:     live + taken(100, "m", 1000) + at(600, msgtrace.Delivered, of("m", "left_ms=500")),
+		Elsewhere:  live + taken(100, "m", 1000) + at(600, msgtrace.EndpointFinished, of("m", "left_ms=500")),
+		Past:       live + taken(100, "m", 1000) + at(1200, msgtrace.Delivered, of("m", "left_ms=-100")),
+		Noticed:    live + taken(100, "m", 1000) + at(1100, msgtrace.Ended, of("m", "left_ms=0")) + at(1395, msgtrace.NoticeDelivered, of("m", "")),
+		NoticeLate: live + taken(100, "m", 1000) + at(1100, msgtrace.Ended, of("m", "left_ms=0")) + at(1402, msgtrace.NoticeDelivered, of("m", "")),
+		NoNotice:   live + taken(100, "m", 1000) + at(1100, msgtrace.Ended, of("m", "left_ms=0")),
+		NoEnd:      live + taken(100, "m", 1000) + at(500, msgtrace.AttemptFailed, of("m", "status=503")),
+		Left:       live + at(100, msgtrace.Withdrawn, of("m", "waited_ms=3")),
+		Twice:      live + taken(100, "m", 1000) + at(600, msgtrace.Delivered, of("m", "left_ms=500")) + at(700, msgtrace.Ended, of("m", "left_ms=400")),
+		Forgotten:  live + taken(100, "m", 1000) + at(600, msgtrace.Ready, "log=found"),
+		FolderGone: live + taken(100, "m", 1000) + at(600, msgtrace.Ready, "log=none"),
 	} {
 		e, err := ReadEnds(fleet(map[string]string{"n1.log": logs, "n2.log": at(95_000, "tally", "second=95")}), "logs")
 		if err != nil {
@@ -61,8 +61,8 @@
 	}
 	// What the end of the logs leaves open: one relay's ends long before the others'.
 	e, err := ReadEnds(fleet(map[string]string{
-		"n1.log": at(0, story.Ready, "log=none") + taken(100, "gone", 30_000) + at(2000, "tally", "second=2"),
-		"n2.log": at(0, story.Ready, "log=none") + taken(9000, "held", 5000) + at(9500, "tally", "second=9")}), "logs")
+		"n1.log": at(0, msgtrace.Ready, "log=none") + taken(100, "gone", 30_000) + at(2000, "tally", "second=2"),
+		"n2.log": at(0, msgtrace.Ready, "log=none") + taken(9000, "held", 5000) + at(9500, "tally", "second=9")}), "logs")
 	if err != nil || e.Count[Gone] != 1 || e.Count[Held] != 1 || e.Taken != 2 {
 		t.Errorf("%v %v", e, err)
 	}
@@ -76,14 +76,14 @@
 // After a start what was due before it has 1.5 s from that; an end that the log
 // of messages did not have may come again; what is resumed is not forgotten.
 func TestFatesAcrossAStart(t *testing.T) {
-	before := at(0, story.Ready, "log=none") + at(100, story.Accepted, of("m", "left_ms=1000")) + at(2000, story.Ready, "log=found")
+	before := at(0, msgtrace.Ready, "log=none") + at(100, msgtrace.Accepted, of("m", "left_ms=1000")) + at(2000, msgtrace.Ready, "log=found")
 	for name, c := range map[string]struct {
 		logs string
 		want Fate
 	}{
-		"told soon after it": {at(1990, story.Recovered, of("m", "left_ms=-890")) + at(1991, story.Ended, of("m", "left_ms=-891")) + at(3400, story.NoticeDelivered, of("m", "")), Noticed},
-		"too late after it":  {at(1990, story.Recovered, of("m", "left_ms=-890")) + at(1991, story.Ended, of("m", "left_ms=-891")) + at(3600, story.NoticeDelivered, of("m", "")), NoticeLate},
-		"delivered again":    {at(500, story.Delivered, of("m", "left_ms=600")) + at(1990, story.Recovered, of("m", "left_ms=100")) + at(2005, story.Delivered, of("m", "left_ms=85")), InTime},
+		"told soon after it": {at(1990, msgtrace.Recovered, of("m", "left_ms=-890")) + at(1991, msgtrace.Ended, of("m", "left_ms=-891")) + at(3400, msgtrace.NoticeDelivered, of("m", "")), Noticed},
+		"too late after it":  {at(1990, msgtrace.Recovered, of("m", "left_ms=-890")) + at(1991, msgtrace.Ended, of("m", "left_ms=-891")) + at(3600, msgtrace.NoticeDelivered, of("m", "")), NoticeLate},
+		"delivered again":    {at(500, msgtrace.Delivered, of("m", "left_ms=600")) + at(1990, msgtrace.Recovered, of("m", "left_ms=100")) + at(2005, msgtrace.Delivered, of("m", "left_ms=85")), InTime},
 		"not taken up":       {at(90_000, "tally", "second=90"), Forgotten},
 	} {
 		e, err := ReadEnds(fleet(map[string]string{"n1.log": before + c.logs + at(91_000, "tally", "second=91")}), "logs")
@@ -97,10 +97,10 @@
 // nothing else of them.
 func TestFollow(t *testing.T) {
 	s, err := Follow(fleet(map[string]string{
-		"n1.log": "14.1 " + at(100, story.Accepted, of("m", "class=c left_ms=900")) + at(0, story.Ready, "log=none") + at(9000, story.Ready, "log=none") +
-			at(200, story.Accepted, of("other", "left_ms=1")) + at(300, story.AttemptFailed, of("m", `status=503 err="dial tcp: refused"`)),
-		"n2.log": at(250, story.Accepted, of("m", "left_ms=700")) + at(50, story.Stopping, "held=3") + "garbage\n" + at(1, story.Ready, "")[:20],
-		"n3.log": at(150, story.Ready, "log=none"),
+		"n1.log": "14.1 " + at(100, msgtrace.Accepted, of("m", "class=c left_ms=900")) + at(0, msgtrace.Ready, "log=none") + at(9000, msgtrace.Ready, "log=none") +
+			at(200, msgtrace.Accepted, of("other", "left_ms=1")) + at(300, msgtrace.AttemptFailed, of("m", `status=503 err="dial tcp: refused"`)),
+		"n2.log": at(250, msgtrace.Accepted, of("m", "left_ms=700")) + at(50, msgtrace.Stopping, "held=3") + "garbage\n" + at(1, msgtrace.Ready, "")[:20],
+		"n3.log": at(150, msgtrace.Ready, "log=none"),
 	}), "logs", "m")
 	if err != nil {
 		t.Fatal(err)
@@ -126,7 +126,7 @@
 // Unknown ids and folders without a log are errors that name them; damage is
 // counted and told.
 func TestStoriesOfDamagedLogs(t *testing.T) {
-	good := at(0, story.Ready, "log=none") + at(100, story.Accepted, of("m", "left_ms=900"))
+	good := at(0, msgtrace.Ready, "log=none") + at(100, msgtrace.Accepted, of("m", "left_ms=900"))
 	if _, err := Follow(fleet(map[string]string{"n.log": good}), "logs", "x"); !errors.Is(err, errUnknown) || !strings.Contains(err.Error(), "x") {
 		t.Errorf("unknown id: %v", err)
 	}
@@ -138,7 +138,7 @@
 			t.Errorf("nothing to read: %v", err)
 		}
 	}
-	e, err := ReadEnds(fleet(map[string]string{"n1.log": good + "x\n" + at(5000, "tally", "second=5 d1.in=9 d1.untold=4 d2.untold=2") + at(100, story.Accepted, "")[:40], "n2.log": ""}), "logs")
+	e, err := ReadEnds(fleet(map[string]string{"n1.log": good + "x\n" + at(5000, "tally", "second=5 d1.in=9 d1.untold=4 d2.untold=2") + at(100, msgtrace.Accepted, "")[:40], "n2.log": ""}), "logs")
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -157,7 +157,7 @@
 func TestFollowedMost(t *testing.T) {
 	e := &Ends{lives: map[string]*life{}, relays: map[string]*process{}, followed: 3}
 	for i := range 10 {
-		x, ok := parse([]byte(strings.TrimSpace(at(i, story.Accepted, of(fmt.Sprint("m", i), "left_ms=5")))))
+		x, ok := parse([]byte(strings.TrimSpace(at(i, msgtrace.Accepted, of(fmt.Sprint("m", i), "left_ms=5")))))
 		if !ok {
 			t.Fatal("not read")
 		}
@@ -170,8 +170,8 @@
 
 // Whatever stands in a log, its messages are each counted once, in few lines.
 func FuzzEnds(f *testing.F) {
-	f.Add(at(0, story.Ready, "log=none") + at(1, story.Accepted, of("m", "left_ms=5")) + at(2, story.NoticeDelivered, of("m", "")))
-	f.Add(at(1, story.Accepted, of("m", "left_ms=99999999999999999999 waited_ms=-1")) + "time=x msg=taken\n\xff\n")
+	f.Add(at(0, msgtrace.Ready, "log=none") + at(1, msgtrace.Accepted, of("m", "left_ms=5")) + at(2, msgtrace.NoticeDelivered, of("m", "")))
+	f.Add(at(1, msgtrace.Accepted, of("m", "left_ms=99999999999999999999 waited_ms=-1")) + "time=x msg=taken\n\xff\n")
 	f.Fuzz(func(t *testing.T, text string) {
 		e, err := ReadEnds(fleet(map[string]string{"n.log": text}), "logs")
 		if err != nil {
--- a/internal/tally/metrics.go
+++ b/internal/metrics/metrics.go
@@ -1,9 +1,9 @@
-// Package tally counts what a relay does, by second and destination, in bounded
+// Package metrics counts what a relay does, by second and destination, in bounded
 // memory, for a log that can be added up over a fleet: what one relay does is
 // seldom wrong by itself.
 //
 // It must never read a clock, or be asked anything by what decides.
-package tally
+package metrics
 
 import (
 	"cmp"
--- a/internal/tally/metrics_test.go
+++ b/internal/metrics/metrics_test.go
@@ -1,4 +1,4 @@
-package tally
+package metrics
 
 import (
 	"bytes"
--- a/internal/story/msgtrace.go
+++ b/internal/msgtrace/msgtrace.go
@@ -1,11 +1,11 @@
-// Package story names the lines in which a relay's log tells what happened to
+// Package msgtrace names the lines in which a relay's log tells what happened to
 // one message, and decides which messages are told from their hand-in on: at
 // most so many a second, each of them to its end, so that a busy relay's log
 // stays in bounds and what is told of a message is all of it.
 //
 // It must never read a clock or write a line, or be asked anything by what
 // decides on messages.
-package story
+package msgtrace
 
 // Lines, by their text. Ended, Told, Attempt and Resumed are told of every
 // message; the others of those that the budget has room for.
--- a/internal/story/msgtrace_test.go
+++ b/internal/msgtrace/msgtrace_test.go
@@ -1,4 +1,4 @@
-package story
+package msgtrace
 
 import "testing"
 
--- a/internal/operator/format_test.go
+++ b/internal/operatorconfig/format_test.go
@@ -1,4 +1,4 @@
-package operator
+package operatorconfig
 
 import (
 	"encoding/json"
--- a/internal/operator/operator.go
+++ b/internal/operatorconfig/operator.go
@@ -1,10 +1,10 @@
-// Package operator reads the operator's own file: what a site may change that
+// Package operatorconfig reads the operator's own file: what a site may change that
 // the platform does not tell a relay. Where no file is named, everything is as
 // the platform wants it.
 //
 // It owns the keys, their bounds and their errors. It must never decide what a
 // setting does, nor read what the files hold that it names.
-package operator
+package operatorconfig
 
 import (
 	"cmp"
@@ -15,9 +15,9 @@
 	"strings"
 	"time"
 
-	"troutusher/internal/dormant"
-	"troutusher/internal/keys"
-	"troutusher/internal/story"
+	"troutusher/internal/certstore"
+	"troutusher/internal/idlestore"
+	"troutusher/internal/msgtrace"
 	"troutusher/internal/tlspolicy"
 	"troutusher/internal/tomlfile"
 )
@@ -104,8 +104,8 @@
 }
 
 // Limits are the core's.
-func (r *Passivation) Limits() dormant.Limits {
-	return dormant.Limits{MaxActive: max(cmp.Or(r.MaxActive, defaultMaxActive), 0),
+func (r *Passivation) Limits() idlestore.Limits {
+	return idlestore.Limits{MaxActive: max(cmp.Or(r.MaxActive, defaultMaxActive), 0),
 		IdleTimeout: time.Duration(cmp.Or(r.IdleTimeoutS, defaultIdleTimeoutS) * float64(time.Second)).Microseconds()}
 }
 
@@ -138,7 +138,7 @@
 }
 
 // MaxPerSecond is PerSecond as a number of messages.
-func (s *Traces) MaxPerSecond() int { return max(cmp.Or(s.PerSecond, story.DefaultPerSecond), 0) }
+func (s *Traces) MaxPerSecond() int { return max(cmp.Or(s.PerSecond, msgtrace.DefaultPerSecond), 0) }
 
 // TLSRule is a rule for partners that are called over TLS.
 type TLSRule struct {
@@ -412,8 +412,8 @@
 }
 
 // Files are the rule's files.
-func (x *TLSRule) Files() keys.Files {
-	return keys.Files{Certificate: x.Certificate, Key: x.Key, Roots: x.Roots, RevocationLists: x.Revocations}
+func (x *TLSRule) Files() certstore.Files {
+	return certstore.Files{Certificate: x.Certificate, Key: x.Key, Roots: x.Roots, RevocationLists: x.Revocations}
 }
 
 // ConnectionCost is what a connection under the rule takes at the partner, in calls.
--- a/internal/operator/operator_test.go
+++ b/internal/operatorconfig/operator_test.go
@@ -1,4 +1,4 @@
-package operator
+package operatorconfig
 
 import (
 	"os"
@@ -6,8 +6,8 @@
 	"strings"
 	"testing"
 	"time"
-	"troutusher/internal/dormant"
-	"troutusher/internal/story"
+	"troutusher/internal/idlestore"
+	"troutusher/internal/msgtrace"
 )
 
 func TestParse(t *testing.T) {
@@ -134,13 +134,13 @@
 // So many messages are told of: the usual number where nothing is said, none
 // where the operator wants none.
 func TestDefaultsAndOverrides(t *testing.T) {
-	for text, want := range map[string]int{"": story.DefaultPerSecond, "[stories]\nper_second = 7\n": 7, "[stories]\nper_second = -1\n": 0} {
+	for text, want := range map[string]int{"": msgtrace.DefaultPerSecond, "[stories]\nper_second = 7\n": 7, "[stories]\nper_second = -1\n": 0} {
 		f, err := Parse("o.toml", []byte(text))
 		if err != nil || f.Traces.MaxPerSecond() != want {
 			t.Errorf("%q: %v, %v", text, f, err)
 		}
 	}
-	for text, want := range map[string]dormant.Limits{"": {MaxActive: 1024, IdleTimeout: 60e6}, "[rest]\nawake = 7\nquiet_s = 12.5\n": {MaxActive: 7, IdleTimeout: 12.5e6},
+	for text, want := range map[string]idlestore.Limits{"": {MaxActive: 1024, IdleTimeout: 60e6}, "[rest]\nawake = 7\nquiet_s = 12.5\n": {MaxActive: 7, IdleTimeout: 12.5e6},
 		"[rest]\nawake = -1\n": {IdleTimeout: 60e6}} {
 		f, err := Parse("o.toml", []byte(text))
 		if err != nil || f.Passivation.Limits() != want || f.Discovery.MaxListBytes() != 4<<20 {
--- a/internal/learned/kill_test.go
+++ b/internal/policystate/kill_test.go
@@ -1,4 +1,4 @@
-package learned
+package policystate
 
 import (
 	"bufio"
--- a/internal/learned/learned.go
+++ b/internal/policystate/learned.go
@@ -1,9 +1,9 @@
-// Package learned keeps what a relay has learned of its destinations in a file
+// Package policystate keeps what a relay has learned of its destinations in a file
 // that outlasts the process: versioned, checksummed, replaced whole.
 //
 // It owns the file's form, when it is due and how much of the disk it may take.
 // It must never decide what a field means or how it ages: that is decide's word.
-package learned
+package policystate
 
 import (
 	"encoding/binary"
--- a/internal/learned/learned_test.go
+++ b/internal/policystate/learned_test.go
@@ -1,4 +1,4 @@
-package learned
+package policystate
 
 import (
 	"bytes"
@@ -9,15 +9,15 @@
 	"strings"
 	"testing"
 
-	"troutusher/decide"
 	"troutusher/internal/core"
+	"troutusher/policy"
 )
 
 func sampleFile(relay string) *File {
 	return &File{Relay: relay, WrittenAt: 5e15, WrittenAtMonotonic: 7e9, ClockZero: 3e9, BootID: "b", State: &core.StateSnapshot{Now: 4e9, Revision: 12,
 		Members:     []core.HandoverMember{{Member: core.Member{ID: "s-1", HostPort: "10.0.0.1:1", Dest: 4, Phase: core.Up}, Number: 3}},
 		RetryAfters: []core.HandoverRetryAfter{{Dest: 4, Until: 4e9 + 5}},
-		Policy:      &decide.Snapshot{Now: 4e9, Limiters: []decide.LimiterSnapshot{{Destination: 4, Window: 2, Endpoints: []decide.EndpointSnapshot{{ID: 3, Unhealthy: true, FailureScore: 0.7}}}}}}}
+		Policy:      &policy.Snapshot{Now: 4e9, Limiters: []policy.LimiterSnapshot{{Destination: 4, Window: 2, Endpoints: []policy.EndpointSnapshot{{ID: 3, Unhealthy: true, FailureScore: 0.7}}}}}}}
 }
 
 func fileNames(t *testing.T, dir string) (all []string) {
--- a/internal/learned/pace.go
+++ b/internal/policystate/pace.go
@@ -1,4 +1,4 @@
-package learned
+package policystate
 
 // WriteSchedule says when the file is due. Times and spans are in µs.
 type WriteSchedule struct {
--- a/internal/rehearse/referee/referee.go
+++ b/internal/rehearsal/checker/referee.go
@@ -1,8 +1,8 @@
-// Package referee judges the six rules over the record of a rehearsal. It is
+// Package checker judges the six rules over the record of a rehearsal. It is
 // the one judge for every front and for simulated time: it takes events in
 // their order and must never touch a socket, a file or a clock, nor know a
 // protocol, nor ask a relay what it thinks of itself.
-package referee
+package checker
 
 import (
 	"cmp"
@@ -10,11 +10,11 @@
 	"fmt"
 	"slices"
 
-	"troutusher/internal/rehearse/trace"
+	"troutusher/internal/rehearsal/event"
 )
 
 // Time is a moment or a span in microseconds.
-type Time = trace.Time
+type Time = event.Time
 
 // Repeat says what a second run of a message does.
 type Repeat uint8
@@ -144,7 +144,7 @@
 }
 
 // doubt reports whether the call may have run.
-func (c *call) doubt() bool { return c.ended == 0 || !trace.NeverRan(c.status) }
+func (c *call) doubt() bool { return c.ended == 0 || !event.NeverRan(c.status) }
 
 type wait struct{ from, until Time }
 
@@ -251,44 +251,44 @@
 func (r *Referee) known(i int) bool { return i >= 0 && i < len(r.relays) }
 
 // Step takes the next event. Moments never go back.
-func (r *Referee) Step(e trace.Event) {
+func (r *Referee) Step(e event.Event) {
 	r.overdue(e.At)
 	r.now = max(r.now, e.At)
 	switch e.Kind {
-	case trace.HandIn, trace.CallFirst, trace.CallBegan, trace.Probed, trace.ProbeDone, trace.Told, trace.Stopping,
-		trace.Killed, trace.Ready, trace.Noticed:
+	case event.HandIn, event.CallFirst, event.CallBegan, event.Probed, event.ProbeDone, event.Told, event.Stopping,
+		event.Killed, event.Ready, event.Noticed:
 		if !r.known(e.Relay) {
 			return
 		}
 	}
 	switch e.Kind {
-	case trace.HandIn:
+	case event.HandIn:
 		r.handIn(&e)
-	case trace.Accepted, trace.Refused, trace.Failed, trace.GivenUp, trace.CutOff:
+	case event.Accepted, event.Refused, event.Failed, event.GivenUp, event.CutOff:
 		r.heard(&e)
-	case trace.CallFirst:
+	case event.CallFirst:
 		r.callFirst(&e)
-	case trace.CallBegan:
+	case event.CallBegan:
 		r.callBegan(&e)
-	case trace.CallEnded:
+	case event.CallEnded:
 		r.callEnded(&e)
-	case trace.Ran:
+	case event.Ran:
 		r.effect(&e)
-	case trace.Probed:
+	case event.Probed:
 		r.waited(nil, e.Relay, e.Endpoint, "a probe")
-	case trace.ProbeDone:
-		if e.Status != trace.StatusDelivered {
+	case event.ProbeDone:
+		if e.Status != event.StatusDelivered {
 			r.saw(e.Relay, e.Endpoint)
 		}
-	case trace.Noticed:
+	case event.Noticed:
 		r.noticed(&e)
-	case trace.Told:
-		if gone := r.relays[e.Relay].gone; e.Status == trace.ToldUp {
+	case event.Told:
+		if gone := r.relays[e.Relay].gone; e.Status == event.ToldUp {
 			delete(gone, e.Endpoint)
 		} else if _, ok := gone[e.Endpoint]; !ok {
 			gone[e.Endpoint] = r.now
 		}
-	case trace.Outage:
+	case event.Outage:
 		p := r.place(e.Endpoint)
 		if len(p.out) == 0 {
 			clear(p.seen)
@@ -296,22 +296,22 @@
 		}
 		p.out[e.Endpoint] = true
 		p.hidden += e.Status
-	case trace.Back:
+	case event.Back:
 		delete(r.place(e.Endpoint).out, e.Endpoint)
-	case trace.Fell:
+	case event.Fell:
 		r.fell(&e)
-	case trace.Stopping:
+	case event.Stopping:
 		r.relays[e.Relay].down = true
-	case trace.Killed:
+	case event.Killed:
 		r.relays[e.Relay].down = true
 		r.forget(e.Relay)
-	case trace.Ready:
+	case event.Ready:
 		x := &r.relays[e.Relay]
 		if x.down {
 			r.restarted(e.Relay)
 		}
 		x.down, x.grace = false, r.now+r.f.RestartGrace
-	case trace.Stray:
+	case event.Stray:
 		r.found = append(r.found, Violation{Rule: Strays, At: r.now, Message: -1, ID: e.ID, Relay: e.Relay, Endpoint: e.Endpoint,
 			Evidence: fmt.Sprintf("relay %d called %s for a message that nobody handed in", e.Relay, r.end(e.Endpoint).Name)})
 	}
@@ -348,7 +348,7 @@
 	}
 }
 
-func (r *Referee) handIn(e *trace.Event) {
+func (r *Referee) handIn(e *event.Event) {
 	if e.Message < 0 || e.Message >= len(r.f.Messages) || r.ids[e.ID] != nil {
 		return // the driver's own mistake, not a relay's
 	}
@@ -374,14 +374,14 @@
 }
 
 // heard: the client has its answer, or none.
-func (r *Referee) heard(e *trace.Event) {
+func (r *Referee) heard(e *event.Event) {
 	h := r.ids[e.ID]
 	if h == nil || h.state != open {
 		return
 	}
 	h.heardAt = r.now
 	switch e.Kind {
-	case trace.Accepted:
+	case event.Accepted:
 		h.state = accepted
 		if m := r.f.Messages[h.num]; r.f.Classes[m.Class].InOrder && m.Thread != 0 {
 			t := thread{h.relay, m.Thread}
@@ -390,14 +390,14 @@
 		if !h.finished() {
 			heap.Push(&r.due, due{h.due + r.f.EndSlack + r.f.Slack, h})
 		}
-	case trace.Refused:
+	case event.Refused:
 		h.state = refused
 		r.assured(h, "its client heard a refusal")
-	case trace.Failed:
+	case event.Failed:
 		h.state = failed
-	case trace.GivenUp:
+	case event.GivenUp:
 		h.state = void
-	case trace.CutOff:
+	case event.CutOff:
 		h.state = void
 		// A new connection that a crowded relay closes has failed its client
 		// and lost nothing: that shows in service.
@@ -432,7 +432,7 @@
 
 func sec(t Time) float64 { return float64(t) / 1e6 }
 
-func (r *Referee) callFirst(e *trace.Event) {
+func (r *Referee) callFirst(e *event.Event) {
 	c := &call{no: e.Call, relay: e.Relay, endpoint: e.Endpoint, first: r.now}
 	r.calls[e.Call] = c
 	if told, ok := r.relays[e.Relay].gone[e.Endpoint]; ok && r.now > told+r.f.DrainGrace+r.f.Slack {
@@ -440,7 +440,7 @@
 	}
 }
 
-func (r *Referee) callBegan(e *trace.Event) {
+func (r *Referee) callBegan(e *event.Event) {
 	c := r.calls[e.Call]
 	if c == nil {
 		c = &call{no: e.Call, relay: e.Relay, endpoint: e.Endpoint, first: r.now}
@@ -512,7 +512,7 @@
 	for _, x := range r.threads[t] {
 		settled := x.finished()
 		for _, y := range x.calls {
-			if y.ended == 0 || y.doubt() && y.status != trace.StatusDelivered && r.now < y.ended+class.Rest-r.f.Slack {
+			if y.ended == 0 || y.doubt() && y.status != event.StatusDelivered && r.now < y.ended+class.Rest-r.f.Slack {
 				settled = false
 				if x != h || y.ended != 0 {
 					r.convict(Order, h, c.relay, c.endpoint, "it goes out while %s of its thread has a call whose end is not sure (%s, at %.3f s)", x.id, y.how(), sec(y.began))
@@ -547,14 +547,14 @@
 	p.waits[relay] = kept
 }
 
-func (r *Referee) callEnded(e *trace.Event) {
+func (r *Referee) callEnded(e *event.Event) {
 	c := r.calls[e.Call]
 	if c == nil || c.ended != 0 {
 		return
 	}
 	c.ended, c.status = max(r.now, 1), e.Status
 	delete(r.calls, e.Call)
-	if e.Status == trace.StatusDelivered {
+	if e.Status == event.StatusDelivered {
 		if c.h != nil && c.h.state != void {
 			c.h.delivered = true // counts once its client has heard that it is taken on
 		}
@@ -564,7 +564,7 @@
 	if len(p.out) > 0 {
 		r.saw(c.relay, c.endpoint)
 	}
-	if e.Status == trace.StatusWait && e.Wait > 0 {
+	if e.Status == event.StatusWait && e.Wait > 0 {
 		p.waits[c.relay] = append(p.waits[c.relay], wait{r.now, r.now + e.Wait})
 	}
 }
@@ -577,7 +577,7 @@
 }
 
 // effect books that a call took effect. Calls may do so long after their end.
-func (r *Referee) effect(e *trace.Event) {
+func (r *Referee) effect(e *event.Event) {
 	h := r.ids[e.ID]
 	if h == nil || h.state == void {
 		return
@@ -594,7 +594,7 @@
 	r.ran[h.num] = append(had, c)
 }
 
-func (r *Referee) noticed(e *trace.Event) {
+func (r *Referee) noticed(e *event.Event) {
 	h := r.ids[e.ID]
 	if h == nil {
 		return
@@ -610,20 +610,20 @@
 		h.untried = false
 		r.starts.Ended++
 	}
-	if e.Status == trace.NoticeHandedBack && h.state != void {
+	if e.Status == event.NoticeHandedBack && h.state != void {
 		r.assured(h, "it was handed back")
 	}
 }
 
 func word(notice int) string {
-	if notice == trace.NoticeHandedBack {
+	if notice == event.NoticeHandedBack {
 		return "handed back"
 	}
 	return "given up"
 }
 
 // fell judges who pushed an endpoint over.
-func (r *Referee) fell(e *trace.Event) {
+func (r *Referee) fell(e *event.Event) {
 	p := r.place(e.Endpoint)
 	all, guilty := 0, 0
 	for i, n := range e.Calls {
--- a/internal/rehearse/referee/referee_test.go
+++ b/internal/rehearsal/checker/referee_test.go
@@ -1,10 +1,10 @@
-package referee
+package checker
 
 import (
 	"strings"
 	"testing"
 
-	"troutusher/internal/rehearse/trace"
+	"troutusher/internal/rehearsal/event"
 )
 
 const ms, s Time = 1000, 1_000_000
@@ -28,44 +28,44 @@
 
 func (x *script) at(t Time) *script { x.t = t; return x }
 
-func (x *script) say(e trace.Event) *script { e.At = x.t; x.r.Step(e); return x }
+func (x *script) say(e event.Event) *script { e.At = x.t; x.r.Step(e); return x }
 
 func (x *script) put(id string, msg, relay int) *script {
-	return x.say(trace.Event{Kind: trace.HandIn, ID: id, Message: msg, Relay: relay, Left: 8 * s}).
-		say(trace.Event{Kind: trace.Accepted, ID: id})
+	return x.say(event.Event{Kind: event.HandIn, ID: id, Message: msg, Relay: relay, Left: 8 * s}).
+		say(event.Event{Kind: event.Accepted, ID: id})
 }
 
 func (x *script) call(no uint64, id string, relay, ep int) *script {
-	return x.say(trace.Event{Kind: trace.CallFirst, Call: no, Relay: relay, Endpoint: ep}).
-		say(trace.Event{Kind: trace.CallBegan, Call: no, ID: id, Relay: relay, Endpoint: ep})
+	return x.say(event.Event{Kind: event.CallFirst, Call: no, Relay: relay, Endpoint: ep}).
+		say(event.Event{Kind: event.CallBegan, Call: no, ID: id, Relay: relay, Endpoint: ep})
 }
 
 func (x *script) ended(no uint64, status int) *script {
-	return x.say(trace.Event{Kind: trace.CallEnded, Call: no, Status: status})
+	return x.say(event.Event{Kind: event.CallEnded, Call: no, Status: status})
 }
 
 func (x *script) told(relay, ep, what int) *script {
-	return x.say(trace.Event{Kind: trace.Told, Relay: relay, Endpoint: ep, Status: what})
+	return x.say(event.Event{Kind: event.Told, Relay: relay, Endpoint: ep, Status: what})
 }
 
 func (x *script) ran(no uint64, id string, ep int) *script {
-	return x.say(trace.Event{Kind: trace.Ran, Call: no, ID: id, Endpoint: ep})
+	return x.say(event.Event{Kind: event.Ran, Call: no, ID: id, Endpoint: ep})
 }
 
-func (x *script) kind(k trace.Kind, relay int) *script {
-	return x.say(trace.Event{Kind: k, Relay: relay})
+func (x *script) kind(k event.Kind, relay int) *script {
+	return x.say(event.Event{Kind: k, Relay: relay})
 }
 
 func (x *script) notice(id string, what int) *script {
-	return x.say(trace.Event{Kind: trace.Noticed, ID: id, Status: what})
+	return x.say(event.Event{Kind: event.Noticed, ID: id, Status: what})
 }
 
 func (x *script) outage(ep, hidden int) *script {
-	return x.say(trace.Event{Kind: trace.Outage, Endpoint: ep, Status: hidden})
+	return x.say(event.Event{Kind: event.Outage, Endpoint: ep, Status: hidden})
 }
 
 func (x *script) fell(ep int, by ...int) *script {
-	return x.say(trace.Event{Kind: trace.Back, Endpoint: ep}).say(trace.Event{Kind: trace.Fell, Endpoint: ep, Calls: by})
+	return x.say(event.Event{Kind: event.Back, Endpoint: ep}).say(event.Event{Kind: event.Fell, Endpoint: ep, Calls: by})
 }
 
 func TestRules(t *testing.T) {
@@ -78,36 +78,36 @@
 	}{
 		// Nothing goes missing.
 		{"delivered", func(x *script) { x.put("m", 0, 0).call(1, "m", 0, 0).at(s).ended(1, 200) }, "", "", 0},
-		{"given up in time", func(x *script) { x.put("m", 0, 0).at(8200*ms).notice("m", trace.NoticeGivenUp) }, "", "", 0},
+		{"given up in time", func(x *script) { x.put("m", 0, 0).at(8200*ms).notice("m", event.NoticeGivenUp) }, "", "", 0},
 		{"no end", func(x *script) { x.put("m", 0, 0) }, Missing, "m", 8350 * ms},
-		{"end too late", func(x *script) { x.put("m", 0, 0).at(9*s).notice("m", trace.NoticeGivenUp) }, Missing, "m", 8350 * ms},
+		{"end too late", func(x *script) { x.put("m", 0, 0).at(9*s).notice("m", event.NoticeGivenUp) }, Missing, "m", 8350 * ms},
 		{"200 to a call that was not awaited any more", func(x *script) { x.put("m", 0, 0).call(1, "m", 0, 0).at(s).ended(1, 0).ended(1, 200) }, Missing, "m", 8350 * ms},
 		{"refused needs no end", func(x *script) {
-			x.say(trace.Event{Kind: trace.HandIn, ID: "m", Left: s}).say(trace.Event{Kind: trace.Refused, ID: "m"})
+			x.say(event.Event{Kind: event.HandIn, ID: "m", Left: s}).say(event.Event{Kind: event.Refused, ID: "m"})
 		}, "", "", 0},
 		{"two ends", func(x *script) {
-			x.put("m", 0, 0).at(s).notice("m", trace.NoticeHandedBack).at(2*s).notice("m", trace.NoticeGivenUp)
+			x.put("m", 0, 0).at(s).notice("m", event.NoticeHandedBack).at(2*s).notice("m", event.NoticeGivenUp)
 		}, Missing, "m", 2 * s},
 		{"one end twice", func(x *script) {
-			x.put("m", 0, 0).at(s).notice("m", trace.NoticeGivenUp).at(2*s).notice("m", trace.NoticeGivenUp)
+			x.put("m", 0, 0).at(s).notice("m", event.NoticeGivenUp).at(2*s).notice("m", event.NoticeGivenUp)
 		}, "", "", 0},
 		{"a notice after the delivery", func(x *script) {
-			x.put("m", 0, 0).call(1, "m", 0, 0).at(s).ended(1, 200).at(2*s).notice("m", trace.NoticeGivenUp)
+			x.put("m", 0, 0).call(1, "m", 0, 0).at(s).ended(1, 200).at(2*s).notice("m", event.NoticeGivenUp)
 		}, "", "", 0},
 		{"due while its relay is down", func(x *script) {
-			x.put("m", 0, 0).at(7*s).kind(trace.Killed, 0).at(9*s).kind(trace.Ready, 0).at(10400*ms).notice("m", trace.NoticeGivenUp)
+			x.put("m", 0, 0).at(7*s).kind(event.Killed, 0).at(9*s).kind(event.Ready, 0).at(10400*ms).notice("m", event.NoticeGivenUp)
 		}, "", "", 0},
 		{"and never ended once it is back", func(x *script) {
-			x.put("m", 0, 0).at(7*s).kind(trace.Killed, 0).at(9*s).kind(trace.Ready, 0)
+			x.put("m", 0, 0).at(7*s).kind(event.Killed, 0).at(9*s).kind(event.Ready, 0)
 		}, Missing, "m", 10550 * ms},
 		{"cut off", func(x *script) {
-			x.say(trace.Event{Kind: trace.HandIn, ID: "m", Left: s}).at(100 * ms).say(trace.Event{Kind: trace.CutOff, ID: "m"})
+			x.say(event.Event{Kind: event.HandIn, ID: "m", Left: s}).at(100 * ms).say(event.Event{Kind: event.CutOff, ID: "m"})
 		}, Missing, "m", 100 * ms},
 		{"cut off at a connection's first request", func(x *script) {
-			x.say(trace.Event{Kind: trace.HandIn, ID: "m", Left: s}).at(100 * ms).say(trace.Event{Kind: trace.CutOff, ID: "m", Status: 1})
+			x.say(event.Event{Kind: event.HandIn, ID: "m", Left: s}).at(100 * ms).say(event.Event{Kind: event.CutOff, ID: "m", Status: 1})
 		}, "", "", 0},
 		{"cut off by a kill", func(x *script) {
-			x.say(trace.Event{Kind: trace.HandIn, ID: "m", Left: s}).kind(trace.Killed, 0).at(100 * ms).say(trace.Event{Kind: trace.CutOff, ID: "m"})
+			x.say(event.Event{Kind: event.HandIn, ID: "m", Left: s}).kind(event.Killed, 0).at(100 * ms).say(event.Event{Kind: event.CutOff, ID: "m"})
 		}, "", "", 0},
 
 		// Every effect at most once.
@@ -130,44 +130,44 @@
 			x.put("m", 2, 0).call(1, "m", 0, 0).at(s).ended(1, 0).at(7*s).call(2, "m", 0, 1).ended(2, 200)
 		}, "", "", 0},
 		{"keyed again after its window", func(x *script) {
-			x.put("m", 2, 0).call(1, "m", 0, 0).at(s).ended(1, 0).notice("m", trace.NoticeHandedBack).at(25*s).
+			x.put("m", 2, 0).call(1, "m", 0, 0).at(s).ended(1, 0).notice("m", event.NoticeHandedBack).at(25*s).
 				put("n", 2, 1).call(2, "n", 1, 1).ended(2, 200)
 		}, Once, "n", 25 * s},
 		{"unsafe handed back though it may have run", func(x *script) {
-			x.put("m", 3, 0).call(1, "m", 0, 0).at(s).ended(1, 0).at(2*s).notice("m", trace.NoticeHandedBack)
+			x.put("m", 3, 0).call(1, "m", 0, 0).at(s).ended(1, 0).at(2*s).notice("m", event.NoticeHandedBack)
 		}, Once, "m", 2 * s},
 		{"unsafe given up though it may have run", func(x *script) {
-			x.put("m", 3, 0).call(1, "m", 0, 0).at(s).ended(1, 0).at(2*s).notice("m", trace.NoticeGivenUp)
+			x.put("m", 3, 0).call(1, "m", 0, 0).at(s).ended(1, 0).at(2*s).notice("m", event.NoticeGivenUp)
 		}, "", "", 0},
 		{"an effect twice", func(x *script) {
 			x.put("m", 2, 0).call(1, "m", 0, 0).at(s).ran(1, "m", 0).ended(1, 0).call(2, "m", 0, 1).at(3*s).ran(2, "m", 1).ended(2, 200)
 		}, Once, "m", 3 * s},
 		{"an effect under an id whose client heard nothing", func(x *script) {
-			x.say(trace.Event{Kind: trace.HandIn, ID: "m", Message: 3, Left: s}).call(1, "m", 0, 0).ran(1, "m", 0).at(400*ms).
-				say(trace.Event{Kind: trace.GivenUp, ID: "m"}).put("n", 3, 1).call(2, "n", 1, 1).at(s).ran(2, "n", 1).ended(2, 200)
+			x.say(event.Event{Kind: event.HandIn, ID: "m", Message: 3, Left: s}).call(1, "m", 0, 0).ran(1, "m", 0).at(400*ms).
+				say(event.Event{Kind: event.GivenUp, ID: "m"}).put("n", 3, 1).call(2, "n", 1, 1).at(s).ran(2, "n", 1).ended(2, 200)
 		}, "", "", 0},
 
 		// Drains.
 		{"within the grace", func(x *script) {
-			x.told(0, 0, trace.ToldDraining).at(2*s).put("m", 0, 0).call(1, "m", 0, 0).ended(1, 200)
+			x.told(0, 0, event.ToldDraining).at(2*s).put("m", 0, 0).call(1, "m", 0, 0).ended(1, 200)
 		}, "", "", 0},
 		{"after the grace", func(x *script) {
-			x.told(0, 0, trace.ToldDraining).at(2100*ms).put("m", 0, 0).call(1, "m", 0, 0).ended(1, 200)
+			x.told(0, 0, event.ToldDraining).at(2100*ms).put("m", 0, 0).call(1, "m", 0, 0).ended(1, 200)
 		}, Drains, "m", 2100 * ms},
 		{"told again does not begin it anew", func(x *script) {
-			x.told(0, 0, trace.ToldDraining).at(s).told(0, 0, trace.ToldRemoved).at(2100*ms).put("m", 0, 0).call(1, "m", 0, 0).ended(1, 200)
+			x.told(0, 0, event.ToldDraining).at(s).told(0, 0, event.ToldRemoved).at(2100*ms).put("m", 0, 0).call(1, "m", 0, 0).ended(1, 200)
 		}, Drains, "m", 2100 * ms},
 		{"another relay, not told", func(x *script) {
-			x.told(0, 0, trace.ToldRemoved).at(3*s).put("m", 0, 1).call(1, "m", 1, 0).ended(1, 200)
+			x.told(0, 0, event.ToldRemoved).at(3*s).put("m", 0, 1).call(1, "m", 1, 0).ended(1, 200)
 		}, "", "", 0},
 		{"back in the list", func(x *script) {
-			x.told(0, 0, trace.ToldRemoved).at(s).told(0, 0, trace.ToldUp).at(4*s).put("m", 0, 0).call(1, "m", 0, 0).ended(1, 200)
+			x.told(0, 0, event.ToldRemoved).at(s).told(0, 0, event.ToldUp).at(4*s).put("m", 0, 0).call(1, "m", 0, 0).ended(1, 200)
 		}, "", "", 0},
 
 		// Returning destinations.
 		{"pushed by those who knew", func(x *script) {
 			x.put("m", 0, 0).call(1, "m", 0, 0).at(s).outage(0, 0).ended(1, 0).at(9*s).
-				notice("m", trace.NoticeGivenUp).fell(0, 9, 3, 0)
+				notice("m", event.NoticeGivenUp).fell(0, 9, 3, 0)
 		}, Missing, "m", 8350 * ms}, // and see below: both rules
 		{"pushed by those who did not", func(x *script) {
 			x.outage(0, 0).put("m", 0, 0).call(1, "m", 0, 0).ended(1, 503).notice("m", 1).at(s).fell(0, 3, 9, 9)
@@ -179,7 +179,7 @@
 			x.outage(3, 0).outage(4, 0).put("m", 6, 0).call(1, "m", 0, 4).ended(1, 503).notice("m", 1).at(s).fell(3, 9, 1, 1)
 		}, "", "", 0},
 		{"seen by a probe", func(x *script) {
-			x.outage(0, 0).say(trace.Event{Kind: trace.ProbeDone, Relay: 2, Status: 503}).at(s).fell(0, 0, 1, 9)
+			x.outage(0, 0).say(event.Event{Kind: event.ProbeDone, Relay: 2, Status: 503}).at(s).fell(0, 0, 1, 9)
 		}, Returning, "", s},
 		{"one of two dead: the calls may have gone to the other", func(x *script) {
 			x.outage(0, 1).put("m", 0, 1).notice("m", 1).at(s).fell(0, 0, 9, 0)
@@ -189,7 +189,7 @@
 		}, Returning, "", s},
 		{"seen in an earlier outage", func(x *script) {
 			x.outage(0, 0).put("m", 0, 0).call(1, "m", 0, 0).ended(1, 503).notice("m", 1).at(s).
-				say(trace.Event{Kind: trace.Back}).at(2*s).outage(0, 0).at(3*s).fell(0, 9, 0, 0)
+				say(event.Event{Kind: event.Back}).at(2*s).outage(0, 0).at(3*s).fell(0, 9, 0, 0)
 		}, "", "", 0},
 
 		// Order.
@@ -200,37 +200,37 @@
 			x.put("m", 4, 0).at(s).put("n", 5, 0).call(2, "n", 0, 0).at(2*s).ended(2, 200).call(1, "m", 0, 0).ended(1, 200)
 		}, Order, "n", s},
 		{"while the end of one is not sure", func(x *script) {
-			x.put("m", 4, 0).put("n", 5, 0).call(1, "m", 0, 0).at(s).ended(1, 0).notice("m", trace.NoticeGivenUp).at(1500*ms).call(2, "n", 0, 0).ended(2, 200)
+			x.put("m", 4, 0).put("n", 5, 0).call(1, "m", 0, 0).at(s).ended(1, 0).notice("m", event.NoticeGivenUp).at(1500*ms).call(2, "n", 0, 0).ended(2, 200)
 		}, Order, "n", 1500 * ms},
 		{"after its rest", func(x *script) {
-			x.put("m", 4, 0).put("n", 5, 0).call(1, "m", 0, 0).at(s).ended(1, 0).notice("m", trace.NoticeGivenUp).at(2*s).call(2, "n", 0, 0).ended(2, 200)
+			x.put("m", 4, 0).put("n", 5, 0).call(1, "m", 0, 0).at(s).ended(1, 0).notice("m", event.NoticeGivenUp).at(2*s).call(2, "n", 0, 0).ended(2, 200)
 		}, "", "", 0},
 
 		// Waits.
 		{"let through", func(x *script) {
-			x.put("m", 0, 0).put("n", 1, 0).call(1, "m", 0, 0).say(trace.Event{Kind: trace.CallEnded, Call: 1, Status: 429, Wait: s}).
+			x.put("m", 0, 0).put("n", 1, 0).call(1, "m", 0, 0).say(event.Event{Kind: event.CallEnded, Call: 1, Status: 429, Wait: s}).
 				at(140*ms).call(2, "n", 0, 1).ended(2, 200).at(s).call(3, "m", 0, 0).ended(3, 200)
 		}, "", "", 0},
 		{"into a wait", func(x *script) {
-			x.put("m", 0, 0).put("n", 1, 0).call(1, "m", 0, 0).say(trace.Event{Kind: trace.CallEnded, Call: 1, Status: 429, Wait: s}).
+			x.put("m", 0, 0).put("n", 1, 0).call(1, "m", 0, 0).say(event.Event{Kind: event.CallEnded, Call: 1, Status: 429, Wait: s}).
 				at(990*ms).call(2, "n", 0, 1).ended(2, 200).at(s).call(3, "m", 0, 0).ended(3, 200)
 		}, Waits, "n", 990 * ms},
 		{"a probe into a wait", func(x *script) {
-			x.put("m", 0, 0).call(1, "m", 0, 0).say(trace.Event{Kind: trace.CallEnded, Call: 1, Status: 429, Wait: s}).notice("m", 1).
-				at(500 * ms).say(trace.Event{Kind: trace.Probed, Relay: 0, Endpoint: 1})
+			x.put("m", 0, 0).call(1, "m", 0, 0).say(event.Event{Kind: event.CallEnded, Call: 1, Status: 429, Wait: s}).notice("m", 1).
+				at(500 * ms).say(event.Event{Kind: event.Probed, Relay: 0, Endpoint: 1})
 		}, Waits, "", 500 * ms},
 		{"another relay was not told", func(x *script) {
-			x.put("m", 0, 0).put("n", 1, 1).call(1, "m", 0, 0).say(trace.Event{Kind: trace.CallEnded, Call: 1, Status: 429, Wait: s}).notice("m", 1).
+			x.put("m", 0, 0).put("n", 1, 1).call(1, "m", 0, 0).say(event.Event{Kind: event.CallEnded, Call: 1, Status: 429, Wait: s}).notice("m", 1).
 				at(500*ms).call(2, "n", 1, 1).ended(2, 200)
 		}, "", "", 0},
 		{"a restart ends it", func(x *script) {
-			x.put("m", 0, 0).call(1, "m", 0, 0).say(trace.Event{Kind: trace.CallEnded, Call: 1, Status: 429, Wait: 5 * s}).at(s).
-				kind(trace.Killed, 0).at(2*s).kind(trace.Ready, 0).call(2, "m", 0, 1).ended(2, 200)
+			x.put("m", 0, 0).call(1, "m", 0, 0).say(event.Event{Kind: event.CallEnded, Call: 1, Status: 429, Wait: 5 * s}).at(s).
+				kind(event.Killed, 0).at(2*s).kind(event.Ready, 0).call(2, "m", 0, 1).ended(2, 200)
 		}, "", "", 0},
 
 		// Strays.
 		{"to another destination", func(x *script) { x.put("m", 0, 0).call(1, "m", 0, 2).ended(1, 200) }, Strays, "m", 0},
-		{"for nobody", func(x *script) { x.say(trace.Event{Kind: trace.Stray, ID: "q"}) }, Strays, "q", 0},
+		{"for nobody", func(x *script) { x.say(event.Event{Kind: event.Stray, ID: "q"}) }, Strays, "q", 0},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			r := New(figures())
@@ -256,7 +256,7 @@
 func TestSeveralRulesInOneRun(t *testing.T) {
 	r := New(figures())
 	x := &script{r: r}
-	x.put("m", 0, 0).call(1, "m", 0, 0).at(s).outage(0, 0).ended(1, 0).at(9*s).notice("m", trace.NoticeGivenUp).fell(0, 9, 3, 0)
+	x.put("m", 0, 0).call(1, "m", 0, 0).at(s).outage(0, 0).ended(1, 0).at(9*s).notice("m", event.NoticeGivenUp).fell(0, 9, 3, 0)
 	r.Finish(20 * s)
 	found := r.Violations()
 	if len(found) != 2 || found[0].Rule != Missing || found[1].Rule != Returning {
@@ -273,7 +273,7 @@
 		at := Time(0)
 		for ; len(text) >= 4; text = text[4:] {
 			at += Time(text[3]) * 20 * ms
-			r.Step(trace.Event{At: at, Kind: trace.Kind(text[0] % 24), Relay: int(int8(text[1])) % 5, Endpoint: int(int8(text[2])) % 7,
+			r.Step(event.Event{At: at, Kind: event.Kind(text[0] % 24), Relay: int(int8(text[1])) % 5, Endpoint: int(int8(text[2])) % 7,
 				Message: int(text[1]) % 8, Call: uint64(text[2]), Status: int(text[2]) * 3, Wait: Time(text[3]) * 10 * ms,
 				Left: s, ID: string('a' + rune(text[1]%8)), Calls: []int{1, 2}})
 		}
@@ -316,19 +316,19 @@
 			}
 			x.put("other", 0, 1) // another relay's
 			if x.at(c.downFrom); !c.never {
-				x.kind(trace.Killed, 0)
+				x.kind(event.Killed, 0)
 			}
-			x.at(c.downFrom+s).kind(trace.Ready, 0)
+			x.at(c.downFrom+s).kind(event.Ready, 0)
 			x.at(c.downFrom + s + 100*ms)
 			for i := range c.tried {
 				x.call(uint64(100+i), ids[i], 0, 0).ended(uint64(100+i), 503)
 			}
 			for i := range 10 { // what was called may be handed back as well
 				if i < c.tried || i < c.tried+c.back {
-					x.notice(ids[i], trace.NoticeHandedBack)
+					x.notice(ids[i], event.NoticeHandedBack)
 				}
 			}
-			x.notice("other", trace.NoticeHandedBack)
+			x.notice("other", event.NoticeHandedBack)
 			x.r.Finish(7 * s)
 			if got := x.r.Starts(); got != c.want {
 				t.Errorf("%+v, want %+v", got, c.want)
--- a/internal/rehearse/trace/trace.go
+++ b/internal/rehearsal/event/trace.go
@@ -1,8 +1,8 @@
-// Package trace is the vocabulary of a rehearsal: what was handed in, sent,
+// Package event is the vocabulary of a rehearsal: what was handed in, sent,
 // answered, told and noticed, in one order. It owns the words and nothing else.
 // No word may belong to one front or protocol, and moments are microseconds
 // since the rehearsal began, whichever clock they came from.
-package trace
+package event
 
 // Time is a moment or a span in microseconds.
 type Time = int64
--- a/internal/rehearse/crowd/crowd.go
+++ b/internal/rehearsal/idlebench/crowd.go
@@ -1,11 +1,11 @@
-// Package crowd measures what many idle connections cost a relay: it starts a
+// Package idlebench measures what many idle connections cost a relay: it starts a
 // real relay process, opens connections that say one PING and then nothing, and
 // tells memory and CPU; then how many messages one core carries beside them,
 // and what happens when all of them ask within one second.
 //
 // It owns the measuring and the stand-ins that this needs. It must never judge
 // the rules or take part in a rehearsal.
-package crowd
+package idlebench
 
 import (
 	"bufio"
@@ -29,9 +29,9 @@
 
 	"github.com/HdrHistogram/hdrhistogram-go"
 
-	"troutusher/internal/rehearse/trace"
-	"troutusher/internal/standin/loopback"
-	"troutusher/internal/standin/registry"
+	"troutusher/internal/emulator/loopback"
+	"troutusher/internal/emulator/registry"
+	"troutusher/internal/rehearsal/event"
 )
 
 // Options say what is measured.
@@ -98,7 +98,7 @@
 	}
 	defer p.close()
 	began := time.Now()
-	reg, err := registry.New(registry.Config{Relays: 1, Clock: func() trace.Time { return time.Since(began).Microseconds() }, Emit: func(trace.Event) {},
+	reg, err := registry.New(registry.Config{Relays: 1, Clock: func() event.Time { return time.Since(began).Microseconds() }, Emit: func(event.Event) {},
 		Members: func(int) []registry.Member {
 			return []registry.Member{{ID: "s-1", HostPort: p.ln.Addr().String(), Locality: "a", Flavor: "k", Cell: 1, Phase: registry.Up, Size: 100_000}}
 		}})
--- a/internal/rehearse/load/flood.go
+++ b/internal/rehearsal/loadgen/flood.go
@@ -1,4 +1,4 @@
-package load
+package loadgen
 
 import (
 	"context"
--- a/internal/rehearse/load/flood_test.go
+++ b/internal/rehearsal/loadgen/flood_test.go
@@ -1,4 +1,4 @@
-package load
+package loadgen
 
 import (
 	"bufio"
@@ -7,7 +7,7 @@
 	"sync/atomic"
 	"testing"
 
-	"troutusher/internal/standin/loopback"
+	"troutusher/internal/emulator/loopback"
 )
 
 // TestFloods: how many come, what they say first, and whether they come back.
--- a/internal/rehearse/load/load.go
+++ b/internal/rehearsal/loadgen/load.go
@@ -1,9 +1,9 @@
-// Package load plays the clients of a rehearsal: open-loop arrivals at their
+// Package loadgen plays the clients of a rehearsal: open-loop arrivals at their
 // planned moments over RESP2, kept connections, retries after refusals, and a
 // front that deals connections to relays. Latency counts from the planned
 // moment of a message, however late the driver was. It must never judge a
 // relay; it records what it did and heard.
-package load
+package loadgen
 
 import (
 	"bufio"
@@ -22,10 +22,10 @@
 
 	"github.com/HdrHistogram/hdrhistogram-go"
 
-	"troutusher/internal/draw"
-	"troutusher/internal/rehearse/scenario"
-	"troutusher/internal/rehearse/trace"
-	"troutusher/internal/standin/partner"
+	"troutusher/internal/emulator/endpoint"
+	"troutusher/internal/rehearsal/event"
+	"troutusher/internal/rehearsal/scenario"
+	"troutusher/internal/seededrand"
 )
 
 // End is how a message ended for its client.
@@ -47,7 +47,7 @@
 // Result is what became of a message.
 type Result struct {
 	End      End
-	At       trace.Time // of its end, from its planned moment on
+	At       event.Time // of its end, from its planned moment on
 	HandIns  int
 	Refusals int
 }
@@ -56,9 +56,9 @@
 type Config struct {
 	Plan   *scenario.Plan
 	Relays []string          // addresses
-	Emit   func(trace.Event) // takes what happens, in order
-	Clock  func() trace.Time
-	Start  trace.Time // moment of the plan's beginning
+	Emit   func(event.Event) // takes what happens, in order
+	Clock  func() event.Time
+	Start  event.Time // moment of the plan's beginning
 }
 
 // Driver plays a plan's arrivals.
@@ -102,7 +102,7 @@
 // seat is what the front knows of a relay.
 type seat struct {
 	down  bool
-	until trace.Time // it goes on dealing connections to it until then
+	until event.Time // it goes on dealing connections to it until then
 }
 
 // New makes a driver.
@@ -123,7 +123,7 @@
 }
 
 // Begin sets the moment of the plan's beginning, before Run.
-func (d *Driver) Begin(at trace.Time) { d.cfg.Start = at }
+func (d *Driver) Begin(at event.Time) { d.cfg.Start = at }
 
 // Run plays the arrivals and returns once every message has its end, or ctx
 // ends.
@@ -172,7 +172,7 @@
 
 // Late is how late the driver began its messages, in µs, at a quantile from 0
 // to 100.
-func (d *Driver) Late(quantile float64) trace.Time {
+func (d *Driver) Late(quantile float64) event.Time {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.late.ValueAtQuantile(quantile)
@@ -207,19 +207,19 @@
 }
 
 // Lookup tells the stand-ins of a hand-in.
-func (d *Driver) Lookup(id string) (partner.Message, bool) {
+func (d *Driver) Lookup(id string) (endpoint.Message, bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	h := d.ids[id]
 	if h == nil {
-		return partner.Message{}, false
+		return endpoint.Message{}, false
 	}
 	a := &d.cfg.Plan.Arrivals[h.num]
-	return partner.Message{Num: h.num, Class: a.Class, Dest: a.Dest, Over: h.over}, true
+	return endpoint.Message{Num: h.num, Class: a.Class, Dest: a.Dest, Over: h.over}, true
 }
 
 // Down tells the front that a relay has ended or is ending; it notices later.
-func (d *Driver) Down(relay int, notice trace.Time) {
+func (d *Driver) Down(relay int, notice event.Time) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if !d.front[relay].down {
@@ -260,7 +260,7 @@
 func (d *Driver) Door() int { return int(d.door.Load()) }
 
 // left is how long a message may still be delivered.
-func (d *Driver) left(num int) trace.Time {
+func (d *Driver) left(num int) event.Time {
 	return d.cfg.Start + d.cfg.Plan.Arrivals[num].At + scenario.Micros(d.messages[num].class.DeadlineMS) - d.cfg.Clock()
 }
 
@@ -308,14 +308,14 @@
 // talk hands a message in over a connection.
 func (d *Driver) talk(num, try, relay int, mark string, c *conn, kept bool) {
 	a := &d.cfg.Plan.Arrivals[num]
-	h := &hand{id: fmt.Sprintf("%016x", draw.Hash(d.cfg.Plan.Seed, 77, uint64(num), uint64(try))), num: num, relay: relay, try: try}
+	h := &hand{id: fmt.Sprintf("%016x", seededrand.Hash(d.cfg.Plan.Seed, 77, uint64(num), uint64(try))), num: num, relay: relay, try: try}
 	d.mu.Lock()
 	d.ids[h.id] = h
 	d.messages[num].HandIns++
 	d.mu.Unlock()
 	left := d.left(num)
 	c.text = put(c.text[:0], d.cfg.Plan, a, h.id, left, mark, d.body)
-	d.cfg.Emit(trace.Event{At: d.cfg.Clock(), Kind: trace.HandIn, ID: h.id, Message: num, Relay: relay, Left: left})
+	d.cfg.Emit(event.Event{At: d.cfg.Clock(), Kind: event.HandIn, ID: h.id, Message: num, Relay: relay, Left: left})
 	wait := time.Duration(scenario.Micros(d.cfg.Plan.Scenario.Clients.AnswerMS)) * time.Microsecond
 	limit := time.Now().Add(wait)
 	written, reply, err := c.ask(limit)
@@ -342,9 +342,9 @@
 		if c != nil {
 			d.conns[relay].drop(c)
 		}
-		what := trace.Event{At: now, Kind: trace.GivenUp, ID: h.id, Text: err.Error()}
+		what := event.Event{At: now, Kind: event.GivenUp, ID: h.id, Text: err.Error()}
 		if written && !errors.Is(err, errTimeout) {
-			what.Kind = trace.CutOff
+			what.Kind = event.CutOff
 			d.door.Add(1)
 			if !c.used {
 				what.Status = 1
@@ -363,10 +363,10 @@
 }
 
 // heard books an answer.
-func (d *Driver) heard(h *hand, reply string, now trace.Time) {
+func (d *Driver) heard(h *hand, reply string, now event.Time) {
 	switch ms, busy := strings.CutPrefix(reply, "-BUSY"); {
 	case reply != "" && reply[0] != '-':
-		d.cfg.Emit(trace.Event{At: now, Kind: trace.Accepted, ID: h.id})
+		d.cfg.Emit(event.Event{At: now, Kind: event.Accepted, ID: h.id})
 		d.mu.Lock()
 		h.heard = true
 		delivered := h.delivered
@@ -382,29 +382,29 @@
 		d.mu.Lock()
 		h.over = true
 		d.mu.Unlock()
-		d.cfg.Emit(trace.Event{At: now, Kind: trace.Refused, ID: h.id, Wait: wait * 1000})
+		d.cfg.Emit(event.Event{At: now, Kind: event.Refused, ID: h.id, Wait: wait * 1000})
 		d.refused(h.num, h.try, wait*1000)
 	default:
 		d.mu.Lock()
 		h.over = true
 		d.mu.Unlock()
-		d.cfg.Emit(trace.Event{At: now, Kind: trace.Failed, ID: h.id, Text: reply})
+		d.cfg.Emit(event.Event{At: now, Kind: event.Failed, ID: h.id, Text: reply})
 		d.end(h.num, Failed)
 	}
 }
 
 // refused: the client comes again after a while, if it does.
-func (d *Driver) refused(num, try int, advice trace.Time) {
+func (d *Driver) refused(num, try int, advice event.Time) {
 	d.mu.Lock()
 	d.messages[num].Refusals++
 	d.mu.Unlock()
 	cl := &d.cfg.Plan.Scenario.Clients
 	wait := scenario.Micros(cl.BackoffMS * math.Pow(2, float64(min(try, 10))))
-	if advice > 0 && draw.Float64(d.cfg.Plan.Seed, 78, uint64(num), uint64(try)) < cl.Honour {
+	if advice > 0 && seededrand.Float64(d.cfg.Plan.Seed, 78, uint64(num), uint64(try)) < cl.Honour {
 		wait = advice
 	}
 	// Spread, so that those who were refused together do not come together.
-	wait += trace.Time(float64(wait) * 0.2 * draw.Float64(d.cfg.Plan.Seed, 79, uint64(num), uint64(try)))
+	wait += event.Time(float64(wait) * 0.2 * seededrand.Float64(d.cfg.Plan.Seed, 79, uint64(num), uint64(try)))
 	if try >= cl.Retries || wait >= d.left(num) {
 		d.end(num, Refused)
 		return
@@ -413,7 +413,7 @@
 }
 
 // again hands a message in anew after a while.
-func (d *Driver) again(num, try int, mark string, wait trace.Time) {
+func (d *Driver) again(num, try int, mark string, wait event.Time) {
 	if try >= d.cfg.Plan.Scenario.Clients.Retries+1 {
 		d.end(num, Unheard)
 		return
@@ -428,7 +428,7 @@
 }
 
 // Happened takes deliveries and notices from the rest of the rehearsal.
-func (d *Driver) Happened(e *trace.Event) {
+func (d *Driver) Happened(e *event.Event) {
 	d.mu.Lock()
 	h := d.ids[e.ID]
 	if h == nil || h.over {
@@ -436,7 +436,7 @@
 		return
 	}
 	switch {
-	case e.Kind == trace.CallEnded && e.Status == trace.StatusDelivered:
+	case e.Kind == event.CallEnded && e.Status == event.StatusDelivered:
 		h.delivered, h.over = true, true
 		heard := h.heard
 		d.mu.Unlock()
@@ -444,10 +444,10 @@
 			d.end(h.num, Delivered)
 		}
 		return
-	case e.Kind == trace.Noticed:
+	case e.Kind == event.Noticed:
 		h.over = true
 		d.mu.Unlock()
-		if e.Status == trace.NoticeHandedBack {
+		if e.Status == event.NoticeHandedBack {
 			d.refused(h.num, h.try, e.Wait)
 		} else {
 			d.end(h.num, Failed)
@@ -475,7 +475,7 @@
 }
 
 // put writes a hand-in in RESP2.
-func put(b []byte, p *scenario.Plan, a *scenario.Arrival, id string, left trace.Time, mark, body string) []byte {
+func put(b []byte, p *scenario.Plan, a *scenario.Arrival, id string, left event.Time, mark, body string) []byte {
 	b = append(b, "*5\r\n$7\r\nMSG.PUT\r\n$16\r\n0000000000000000\r\n"...)
 	b = bulk(b, id)
 	fields := make([]byte, 0, 160)
--- a/internal/rehearse/load/load_test.go
+++ b/internal/rehearsal/loadgen/load_test.go
@@ -1,4 +1,4 @@
-package load
+package loadgen
 
 import (
 	"bufio"
@@ -15,11 +15,11 @@
 	"testing"
 	"time"
 
-	"troutusher/internal/rehearse/referee"
-	"troutusher/internal/rehearse/scenario"
-	"troutusher/internal/rehearse/trace"
-	"troutusher/internal/standin/partner"
-	"troutusher/internal/standin/partner/h1"
+	"troutusher/internal/emulator/endpoint"
+	"troutusher/internal/emulator/endpoint/h1"
+	"troutusher/internal/rehearsal/checker"
+	"troutusher/internal/rehearsal/event"
+	"troutusher/internal/rehearsal/scenario"
 )
 
 const small = `version = 1
@@ -58,11 +58,11 @@
 type rig struct {
 	d    *Driver
 	mu   sync.Mutex
-	said []trace.Event
-	hook func(*trace.Event)
+	said []event.Event
+	hook func(*event.Event)
 }
 
-func (r *rig) emit(e trace.Event) {
+func (r *rig) emit(e event.Event) {
 	r.mu.Lock()
 	r.said = append(r.said, e)
 	r.mu.Unlock()
@@ -71,7 +71,7 @@
 	}
 }
 
-func (r *rig) count(k trace.Kind) (n int) {
+func (r *rig) count(k event.Kind) (n int) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for _, e := range r.said {
@@ -85,7 +85,7 @@
 func start(p *scenario.Plan, relays ...string) *rig {
 	r := &rig{}
 	began := time.Now()
-	r.d = New(Config{Plan: p, Relays: relays, Emit: r.emit, Clock: func() trace.Time { return time.Since(began).Microseconds() }})
+	r.d = New(Config{Plan: p, Relays: relays, Emit: r.emit, Clock: func() event.Time { return time.Since(began).Microseconds() }})
 	return r
 }
 
@@ -98,9 +98,9 @@
 }
 
 // deliver ends each message that was taken on.
-func (r *rig) deliver(e *trace.Event) {
-	if e.Kind == trace.Accepted {
-		r.d.Happened(&trace.Event{Kind: trace.CallEnded, Status: 200, ID: e.ID})
+func (r *rig) deliver(e *event.Event) {
+	if e.Kind == event.Accepted {
+		r.d.Happened(&event.Event{Kind: event.CallEnded, Status: 200, ID: e.ID})
 	}
 }
 
@@ -111,15 +111,15 @@
 	r.hook = r.deliver
 	r.d.Run(t.Context())
 	n := len(p.Arrivals)
-	if got := r.ends(); got[Delivered] != n || r.count(trace.HandIn) != n || len(a.got)+len(b.got) != n {
-		t.Fatalf("%d messages: ends %v, %d hand-ins, %d and %d came", n, got, r.count(trace.HandIn), len(a.got), len(b.got))
+	if got := r.ends(); got[Delivered] != n || r.count(event.HandIn) != n || len(a.got)+len(b.got) != n {
+		t.Fatalf("%d messages: ends %v, %d hand-ins, %d and %d came", n, got, r.count(event.HandIn), len(a.got), len(b.got))
 	}
 	if math.Abs(float64(len(a.got)-len(b.got))) > 1 {
 		t.Errorf("dealt %d and %d", len(a.got), len(b.got))
 	}
-	var at []trace.Time
+	var at []event.Time
 	for _, e := range r.said {
-		if e.Kind == trace.HandIn {
+		if e.Kind == event.HandIn {
 			at = append(at, e.At)
 		}
 	}
@@ -151,17 +151,17 @@
 		end   End
 		puts  int
 		mark  string // of the last
-		event trace.Kind
+		event event.Kind
 	}{
 		{"taken at the second try", func(_ string, n int) string {
 			return map[bool]string{true: "-BUSY 30\r\n", false: "+OK\r\n"}[n == 1]
-		}, Delivered, 2, "r=1", trace.Refused},
-		{"refused to the last", func(string, int) string { return "-BUSY\r\n" }, Refused, 3, "r=1", trace.Refused},
-		{"failed", func(string, int) string { return "-ERR given up\r\n" }, Failed, 1, "dest=1", trace.Failed},
-		{"any bulk string is a yes", func(string, int) string { return "$4\r\nfine\r\n" }, Delivered, 1, "dest=1", trace.Accepted},
-		{"no answer", func(_ string, n int) string { return map[bool]string{true: "", false: "+OK\r\n"}[n == 1] }, Delivered, 2, "again=1", trace.GivenUp},
-		{"cut off", func(_ string, n int) string { return map[bool]string{true: "close", false: "+OK\r\n"}[n == 1] }, Delivered, 2, "again=1", trace.CutOff},
-		{"rubbish", func(string, int) string { return "-" + strings.Repeat("x", 600) + "\r\n" }, Unheard, 4, "again=1", trace.CutOff},
+		}, Delivered, 2, "r=1", event.Refused},
+		{"refused to the last", func(string, int) string { return "-BUSY\r\n" }, Refused, 3, "r=1", event.Refused},
+		{"failed", func(string, int) string { return "-ERR given up\r\n" }, Failed, 1, "dest=1", event.Failed},
+		{"any bulk string is a yes", func(string, int) string { return "$4\r\nfine\r\n" }, Delivered, 1, "dest=1", event.Accepted},
+		{"no answer", func(_ string, n int) string { return map[bool]string{true: "", false: "+OK\r\n"}[n == 1] }, Delivered, 2, "again=1", event.GivenUp},
+		{"cut off", func(_ string, n int) string { return map[bool]string{true: "close", false: "+OK\r\n"}[n == 1] }, Delivered, 2, "again=1", event.CutOff},
+		{"rubbish", func(string, int) string { return "-" + strings.Repeat("x", 600) + "\r\n" }, Unheard, 4, "again=1", event.CutOff},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			p := plan(t, 1, 50, 4000)
@@ -185,14 +185,14 @@
 }
 
 func TestNoticesEndMessages(t *testing.T) {
-	for status, want := range map[int]End{trace.NoticeGivenUp: Failed, trace.NoticeHandedBack: Refused} {
+	for status, want := range map[int]End{event.NoticeGivenUp: Failed, event.NoticeHandedBack: Refused} {
 		p := plan(t, 1, 50, 4000)
 		p.Arrivals = p.Arrivals[:1]
 		s := newSink(t, nil)
 		r := start(p, s.ln.Addr().String())
-		r.hook = func(e *trace.Event) {
-			if e.Kind == trace.Accepted {
-				go r.d.Happened(&trace.Event{Kind: trace.Noticed, Status: status, ID: e.ID, Wait: 1000})
+		r.hook = func(e *event.Event) {
+			if e.Kind == event.Accepted {
+				go r.d.Happened(&event.Event{Kind: event.Noticed, Status: status, ID: e.ID, Wait: 1000})
 			}
 		}
 		r.d.Run(t.Context())
@@ -221,15 +221,15 @@
 	p.Arrivals[1].At = p.Arrivals[0].At + 200_000
 	s := newSink(t, nil)
 	r := start(p, s.ln.Addr().String())
-	r.hook = func(e *trace.Event) {
-		if r.deliver(e); e.Kind == trace.Accepted {
+	r.hook = func(e *event.Event) {
+		if r.deliver(e); e.Kind == event.Accepted {
 			s.mu.Lock()
 			s.all[0].Close()
 			s.mu.Unlock()
 		}
 	}
 	r.d.Run(t.Context())
-	if got := r.ends(); got[Delivered] != 2 || r.count(trace.CutOff) != 0 || r.count(trace.HandIn) != 2 {
+	if got := r.ends(); got[Delivered] != 2 || r.count(event.CutOff) != 0 || r.count(event.HandIn) != 2 {
 		t.Errorf("ends %v, events %v", got, r.said)
 	}
 }
@@ -238,7 +238,7 @@
 	c := &scenario.Class{AimMS: 1000, DeadlineMS: 3000, Worth: 3, LateWorth: 0.5}
 	for _, x := range []struct {
 		end  End
-		at   trace.Time
+		at   event.Time
 		want float64
 	}{{Delivered, 0, 3}, {Delivered, 1e6, 3}, {Delivered, 2e6, 2.25}, {Delivered, 3e6, 1.5}, {Delivered, 3e6 + 1, 0}, {Failed, 0, 0}} {
 		if got := Worth(c, &Result{End: x.end, At: x.at}); math.Abs(got-x.want) > 1e-9 {
@@ -268,7 +268,7 @@
 		if err == nil {
 			p := plan(t, 0.5, 10, 1000)
 			p.Arrivals = []scenario.Arrival{{Dest: 1}}
-			d := New(Config{Plan: p, Relays: []string{"127.0.0.1:1"}, Emit: func(trace.Event) {}, Clock: func() trace.Time { return 0 }})
+			d := New(Config{Plan: p, Relays: []string{"127.0.0.1:1"}, Emit: func(event.Event) {}, Clock: func() event.Time { return 0 }})
 			d.heard(&hand{try: 99}, reply, 0)
 			d.Close()
 		}
@@ -285,16 +285,16 @@
 		p := plan(b, seconds, rate, 5000)
 		r := &rig{}
 		began := time.Now()
-		clock := func() trace.Time { return time.Since(began).Microseconds() }
-		judge := referee.New(p.Figures())
+		clock := func() event.Time { return time.Since(began).Microseconds() }
+		judge := checker.New(p.Figures())
 		var mu sync.Mutex
-		seen := func(e trace.Event) {
+		seen := func(e event.Event) {
 			mu.Lock()
 			judge.Step(e)
 			mu.Unlock()
 		}
-		delivered := func(e trace.Event) { seen(e); r.d.Happened(&e) }
-		w, err := partner.New(p.Specs, partner.Rules{Relays: 1}, p.Work(), func(id string) (partner.Message, bool) { return r.d.Lookup(id) }, delivered)
+		delivered := func(e event.Event) { seen(e); r.d.Happened(&e) }
+		w, err := endpoint.New(p.Specs, endpoint.Rules{Relays: 1}, p.Work(), func(id string) (endpoint.Message, bool) { return r.d.Lookup(id) }, delivered)
 		if err != nil {
 			b.Fatal(err)
 		}
--- a/internal/rehearse/load/sink_test.go
+++ b/internal/rehearsal/loadgen/sink_test.go
@@ -1,4 +1,4 @@
-package load
+package loadgen
 
 import (
 	"bufio"
@@ -11,7 +11,7 @@
 	"sync"
 	"testing"
 
-	"troutusher/internal/standin/loopback"
+	"troutusher/internal/emulator/loopback"
 )
 
 // sink is a relay that does nothing but pass on: each message is taken on and
--- a/internal/rehearse/recording/recording.go
+++ b/internal/rehearsal/replay/recording.go
@@ -1,4 +1,4 @@
-// Package recording owns the file in which a rehearsal is kept to be played
+// Package replay owns the file in which a rehearsal is kept to be played
 // again: the scenario with every default written out, the seed, each arrival
 // and each fault. It must never draw anything anew: what a file holds is what
 // is played, at this release and later ones.
@@ -6,7 +6,7 @@
 // The file is text, a JSON object (RFC 8259) a line: a head, a line for each
 // arrival and each fault, and an end with their counts and a SHA-256 (FIPS
 // 180-4) over all bytes before it. docs/operators/rehearsal.md has the fields.
-package recording
+package replay
 
 import (
 	"bufio"
@@ -21,7 +21,7 @@
 	"os"
 	"path/filepath"
 
-	"troutusher/internal/rehearse/scenario"
+	"troutusher/internal/rehearsal/scenario"
 )
 
 // Version is the newest version of the file that is understood.
--- a/internal/rehearse/recording/recording_test.go
+++ b/internal/rehearsal/replay/recording_test.go
@@ -1,4 +1,4 @@
-package recording
+package replay
 
 import (
 	"bytes"
@@ -11,7 +11,7 @@
 	"strings"
 	"testing"
 
-	"troutusher/internal/rehearse/scenario"
+	"troutusher/internal/rehearsal/scenario"
 )
 
 var golden = flag.Bool("golden", false, "write the golden recording; only ever for a new version")
--- a/internal/rehearse/report/report.go
+++ b/internal/rehearsal/report/report.go
@@ -15,11 +15,11 @@
 
 	"github.com/HdrHistogram/hdrhistogram-go"
 
-	"troutusher/internal/rehearse/load"
-	"troutusher/internal/rehearse/recording"
-	"troutusher/internal/rehearse/referee"
-	"troutusher/internal/rehearse/stage"
-	"troutusher/internal/rehearse/trace"
+	"troutusher/internal/rehearsal/checker"
+	"troutusher/internal/rehearsal/event"
+	"troutusher/internal/rehearsal/loadgen"
+	"troutusher/internal/rehearsal/replay"
+	"troutusher/internal/rehearsal/runner"
 )
 
 // Version is the version of the JSON form.
@@ -28,31 +28,31 @@
 // Report is what is told of a rehearsal. Times are in the units that the
 // fields' names end in; shares and services are from 0 to 1.
 type Report struct {
-	Format      string                `json:"format"`
-	Version     int                   `json:"version"`
-	Scenario    string                `json:"scenario"`
-	About       string                `json:"about"`
-	Seed        uint64                `json:"seed"`
-	Environment recording.Environment `json:"environment"`
-	Verdict     string                `json:"verdict"` // passed, failed or void
-	Reasons     []string              `json:"reasons"` // why it is not passed
-	Floor       float64               `json:"floor"`
-	Service     Service               `json:"service"`
-	Worst10S    Window                `json:"worst_10_s"`
-	Classes     []Group               `json:"classes"`
-	Portals     []Group               `json:"portals"`
-	Partners    []Partner             `json:"partners"`
-	Rules       []Rule                `json:"rules"`
-	Crashes     []string              `json:"crashes"`
-	Answers     Quantiles             `json:"answers_ms"`  // from the planned moment to the first answer
-	Delivery    Quantiles             `json:"delivery_ms"` // from the planned moment to the delivery
-	Late        Late                  `json:"late_ms"`
-	MemoryKB    []int                 `json:"relay_memory_kb"`
-	Untried     Untried               `json:"untried_at_restart"`
-	Door        int                   `json:"door"` // requests that met a connection refused, reset, or closed unread
-	Seconds     []Second              `json:"seconds"`
-	Faults      []Fault               `json:"faults"`
-	Runs        []float64             `json:"runs"` // service of each run, where it was played several times
+	Format      string             `json:"format"`
+	Version     int                `json:"version"`
+	Scenario    string             `json:"scenario"`
+	About       string             `json:"about"`
+	Seed        uint64             `json:"seed"`
+	Environment replay.Environment `json:"environment"`
+	Verdict     string             `json:"verdict"` // passed, failed or void
+	Reasons     []string           `json:"reasons"` // why it is not passed
+	Floor       float64            `json:"floor"`
+	Service     Service            `json:"service"`
+	Worst10S    Window             `json:"worst_10_s"`
+	Classes     []Group            `json:"classes"`
+	Portals     []Group            `json:"portals"`
+	Partners    []Partner          `json:"partners"`
+	Rules       []Rule             `json:"rules"`
+	Crashes     []string           `json:"crashes"`
+	Answers     Quantiles          `json:"answers_ms"`  // from the planned moment to the first answer
+	Delivery    Quantiles          `json:"delivery_ms"` // from the planned moment to the delivery
+	Late        Late               `json:"late_ms"`
+	MemoryKB    []int              `json:"relay_memory_kb"`
+	Untried     Untried            `json:"untried_at_restart"`
+	Door        int                `json:"door"` // requests that met a connection refused, reset, or closed unread
+	Seconds     []Second           `json:"seconds"`
+	Faults      []Fault            `json:"faults"`
+	Runs        []float64          `json:"runs"` // service of each run, where it was played several times
 }
 
 // Service counts messages and their worth.
@@ -82,8 +82,8 @@
 	Dest      int    `json:"dest"`
 	Endpoints int    `json:"endpoints"`
 	Service
-	Calls  stage.Calls `json:"calls"`
-	Wasted int         `json:"wasted"` // calls that were not delivered
+	Calls  runner.Calls `json:"calls"`
+	Wasted int          `json:"wasted"` // calls that were not delivered
 }
 
 // Untried says what became of the messages that restarts found taken on and
@@ -157,20 +157,20 @@
 	Void   = "void"
 )
 
-func (s *Service) add(r *load.Result, asked, earned float64) {
+func (s *Service) add(r *loadgen.Result, asked, earned float64) {
 	s.Messages++
 	s.Asked += asked
 	s.Earned += earned
 	s.Refusals += r.Refusals
 	s.HandIns += r.HandIns
 	switch r.End {
-	case load.Delivered:
+	case loadgen.Delivered:
 		s.Delivered++
-	case load.Refused:
+	case loadgen.Refused:
 		s.Refused++
-	case load.Failed:
+	case loadgen.Failed:
 		s.Failed++
-	case load.Unheard:
+	case loadgen.Unheard:
 		s.Unheard++
 	default:
 		s.Pending++
@@ -187,7 +187,7 @@
 }
 
 // New makes the report of a rehearsal.
-func New(o *stage.Outcome, env recording.Environment) *Report {
+func New(o *runner.Outcome, env replay.Environment) *Report {
 	p, s := o.Plan, o.Plan.Scenario
 	r := &Report{Format: format, Version: Version, Scenario: s.Name, About: s.About, Seed: p.Seed, Environment: env, Floor: s.Floor,
 		Reasons: []string{}, Crashes: append([]string{}, o.Crashes...), Answers: quantiles(o.Answers), Delivery: quantiles(o.Delivery),
@@ -213,7 +213,7 @@
 	for i := range o.Results {
 		a, x := &p.Arrivals[i], &o.Results[i]
 		class := &s.Classes[a.Class]
-		got := load.Worth(class, x)
+		got := loadgen.Worth(class, x)
 		for _, to := range []*Service{&r.Service, &r.Classes[a.Class].Service, &r.Portals[a.Portal].Service, &r.Partners[a.Dest-1].Service} {
 			to.add(x, class.Worth, got)
 		}
@@ -249,7 +249,7 @@
 	return r
 }
 
-func ms(t trace.Time) float64 { return float64(t) / 1000 }
+func ms(t event.Time) float64 { return float64(t) / 1000 }
 
 func quantiles(h *hdrhistogram.Histogram) Quantiles {
 	if h == nil {
@@ -274,7 +274,7 @@
 	return w
 }
 
-func (r *Report) faults(o *stage.Outcome) {
+func (r *Report) faults(o *runner.Outcome) {
 	r.Faults = []Fault{}
 	for _, f := range o.Plan.Faults {
 		x := Fault{Kind: f.Kind, FromS: float64(f.At) / 1e6, UntilS: float64(f.Until) / 1e6, Partners: []int{}, Relays: []int{}}
@@ -290,8 +290,8 @@
 	}
 }
 
-func (r *Report) rules(found []referee.Violation) {
-	for _, rule := range referee.Rules() {
+func (r *Report) rules(found []checker.Violation) {
+	for _, rule := range checker.Rules() {
 		x := Rule{Rule: string(rule), Broken: []Broken{}}
 		for _, v := range found {
 			if v.Rule == rule {
@@ -304,7 +304,7 @@
 
 // judge says whether it passed. A kit that was late itself, or that could not
 // do what the plan says, proves nothing of the relays.
-func (r *Report) judge(o *stage.Outcome) {
+func (r *Report) judge(o *runner.Outcome) {
 	r.Verdict = Passed
 	if n := r.Broken(); n > 0 {
 		r.fail("%d broken rules", n)
--- a/internal/rehearse/report/report_test.go
+++ b/internal/rehearsal/report/report_test.go
@@ -12,11 +12,11 @@
 
 	"github.com/HdrHistogram/hdrhistogram-go"
 
-	"troutusher/internal/rehearse/load"
-	"troutusher/internal/rehearse/recording"
-	"troutusher/internal/rehearse/referee"
-	"troutusher/internal/rehearse/scenario"
-	"troutusher/internal/rehearse/stage"
+	"troutusher/internal/rehearsal/checker"
+	"troutusher/internal/rehearsal/loadgen"
+	"troutusher/internal/rehearsal/replay"
+	"troutusher/internal/rehearsal/runner"
+	"troutusher/internal/rehearsal/scenario"
 )
 
 const text = `version = 1
@@ -56,7 +56,7 @@
 
 // outcome is a rehearsal of five messages in its first seconds and one in its
 // last.
-func outcome(t testing.TB) *stage.Outcome {
+func outcome(t testing.TB) *runner.Outcome {
 	t.Helper()
 	s, err := scenario.Parse("x", []byte(text))
 	if err != nil {
@@ -66,13 +66,13 @@
 	p.Arrivals = []scenario.Arrival{{At: 0, Dest: 1}, {At: 1e6, Dest: 1}, {At: 2e6, Dest: 2, Class: 1}, {At: 3e6, Dest: 2}, {At: 3e6, Dest: 1}, {At: 19e6, Dest: 2}}
 	h := hdrhistogram.New(1, 1e9, 3)
 	h.RecordValue(1500)
-	return &stage.Outcome{Plan: p, Calls: make([]stage.Calls, 2), Answers: h, Delivery: h, LateDriver: 2000, LateWorld: 1000, MemoryKB: []int{10240},
-		Results: []load.Result{{End: load.Delivered, At: 500_000, HandIns: 1}, {End: load.Delivered, At: 2e6, HandIns: 2, Refusals: 1},
-			{End: load.Delivered, At: 1e6, HandIns: 1}, {End: load.Refused, HandIns: 3, Refusals: 3}, {End: load.Failed, HandIns: 1},
-			{End: load.Delivered, At: 1e6, HandIns: 1}}}
+	return &runner.Outcome{Plan: p, Calls: make([]runner.Calls, 2), Answers: h, Delivery: h, LateDriver: 2000, LateWorld: 1000, MemoryKB: []int{10240},
+		Results: []loadgen.Result{{End: loadgen.Delivered, At: 500_000, HandIns: 1}, {End: loadgen.Delivered, At: 2e6, HandIns: 2, Refusals: 1},
+			{End: loadgen.Delivered, At: 1e6, HandIns: 1}, {End: loadgen.Refused, HandIns: 3, Refusals: 3}, {End: loadgen.Failed, HandIns: 1},
+			{End: loadgen.Delivered, At: 1e6, HandIns: 1}}}
 }
 
-var env = recording.Environment{Release: "r", Go: "go", System: "s", Cores: 2}
+var env = replay.Environment{Release: "r", Go: "go", System: "s", Cores: 2}
 
 func near(t *testing.T, what string, got, want float64) {
 	t.Helper()
@@ -105,19 +105,19 @@
 func TestVerdicts(t *testing.T) {
 	for _, c := range []struct {
 		name   string
-		change func(*stage.Outcome)
+		change func(*runner.Outcome)
 		want   string
 		why    string
 	}{
-		{"a broken rule", func(o *stage.Outcome) {
-			o.Violations = []referee.Violation{{Rule: referee.Once, At: 7e6, ID: "m", Message: 2, Evidence: "why"}}
+		{"a broken rule", func(o *runner.Outcome) {
+			o.Violations = []checker.Violation{{Rule: checker.Once, At: 7e6, ID: "m", Message: 2, Evidence: "why"}}
 		}, Failed, "1 broken rules"},
-		{"a crash", func(o *stage.Outcome) { o.Crashes = []string{"relay 1 ended by itself"} }, Failed, "ended by itself"},
-		{"under the floor", func(o *stage.Outcome) { o.Results[2].End = load.Failed }, Failed, "under the floor"},
-		{"a driver that was late", func(o *stage.Outcome) { o.LateDriver = 41_000 }, Void, "load driver was 41.0 ms late"},
-		{"stand-ins that were late", func(o *stage.Outcome) { o.LateWorld = 41_000 }, Void, "stand-ins were 41.0 ms late"},
-		{"trouble in the kit", func(o *stage.Outcome) { o.Trouble = []string{"a port"} }, Void, "a port"},
-		{"void comes before failed", func(o *stage.Outcome) { o.LateDriver, o.Crashes = 41_000, []string{"x"} }, Void, "late"},
+		{"a crash", func(o *runner.Outcome) { o.Crashes = []string{"relay 1 ended by itself"} }, Failed, "ended by itself"},
+		{"under the floor", func(o *runner.Outcome) { o.Results[2].End = loadgen.Failed }, Failed, "under the floor"},
+		{"a driver that was late", func(o *runner.Outcome) { o.LateDriver = 41_000 }, Void, "load driver was 41.0 ms late"},
+		{"stand-ins that were late", func(o *runner.Outcome) { o.LateWorld = 41_000 }, Void, "stand-ins were 41.0 ms late"},
+		{"trouble in the kit", func(o *runner.Outcome) { o.Trouble = []string{"a port"} }, Void, "a port"},
+		{"void comes before failed", func(o *runner.Outcome) { o.LateDriver, o.Crashes = 41_000, []string{"x"} }, Void, "late"},
 	} {
 		o := outcome(t)
 		c.change(o)
@@ -134,7 +134,7 @@
 
 func TestJSONThereAndBack(t *testing.T) {
 	o := outcome(t)
-	o.Violations = []referee.Violation{{Rule: referee.Waits, At: 1e6, ID: "m", Message: 1, Evidence: "why"}}
+	o.Violations = []checker.Violation{{Rule: checker.Waits, At: 1e6, ID: "m", Message: 1, Evidence: "why"}}
 	r := New(o, env)
 	var b bytes.Buffer
 	if err := r.WriteJSON(&b); err != nil {
@@ -164,7 +164,7 @@
 
 func TestHTMLStandsAlone(t *testing.T) {
 	o := outcome(t)
-	o.Violations = []referee.Violation{{Rule: referee.Waits, At: 1e6, ID: "<m>", Message: 1, Evidence: "a < b & c"}}
+	o.Violations = []checker.Violation{{Rule: checker.Waits, At: 1e6, ID: "<m>", Message: 1, Evidence: "a < b & c"}}
 	var b bytes.Buffer
 	if err := New(o, env).WriteHTML(&b); err != nil {
 		t.Fatal(err)
--- a/internal/rehearse/stage/bind_linux.go
+++ b/internal/rehearsal/runner/bind_linux.go
@@ -1,4 +1,4 @@
-package stage
+package runner
 
 import (
 	"os/exec"
--- a/internal/rehearse/stage/double_test.go
+++ b/internal/rehearsal/runner/double_test.go
@@ -1,4 +1,4 @@
-package stage
+package runner
 
 import (
 	"bufio"
@@ -16,9 +16,9 @@
 	"testing"
 	"time"
 
-	"troutusher/internal/rehearse/scenario"
-	"troutusher/internal/standin/loopback"
-	"troutusher/internal/standin/registry"
+	"troutusher/internal/emulator/loopback"
+	"troutusher/internal/emulator/registry"
+	"troutusher/internal/rehearsal/scenario"
 )
 
 // breach is one way in which a double breaks a rule.
--- a/internal/rehearse/stage/hold.go
+++ b/internal/rehearsal/runner/hold.go
@@ -1,4 +1,4 @@
-package stage
+package runner
 
 import (
 	"context"
@@ -8,12 +8,12 @@
 	"sync"
 	"time"
 
-	"troutusher/internal/rehearse/scenario"
-	"troutusher/internal/rehearse/trace"
-	"troutusher/internal/standin/loopback"
-	"troutusher/internal/standin/partner"
-	"troutusher/internal/standin/partner/h1"
-	"troutusher/internal/standin/registry"
+	"troutusher/internal/emulator/endpoint"
+	"troutusher/internal/emulator/endpoint/h1"
+	"troutusher/internal/emulator/loopback"
+	"troutusher/internal/emulator/registry"
+	"troutusher/internal/rehearsal/event"
+	"troutusher/internal/rehearsal/scenario"
 )
 
 // Held is what a relay that is started by hand needs.
@@ -25,25 +25,25 @@
 // Hold keeps a plan's partners and discovery up for relays that somebody else
 // starts, until ctx ends. Any message is one that was handed in. ready is told
 // where things are; say is shown what happens.
-func Hold(ctx context.Context, p *scenario.Plan, dir string, ready func(Held), say func(*trace.Event)) error {
+func Hold(ctx context.Context, p *scenario.Plan, dir string, ready func(Held), say func(*event.Event)) error {
 	began := time.Now()
-	now := func() trace.Time { return time.Since(began).Microseconds() }
+	now := func() event.Time { return time.Since(began).Microseconds() }
 	var mu sync.Mutex
-	emit := func(e trace.Event) {
+	emit := func(e event.Event) {
 		mu.Lock()
 		defer mu.Unlock()
 		say(&e)
 	}
 	seen := map[string]int{} // under the model's lock
-	world, err := partner.New(p.Specs, partner.Rules{Relays: 1, Slots: p.Slots(), MaxAttempts: p.Scenario.Relays.MaxAttempts}, p.Work(),
-		func(id string) (partner.Message, bool) {
+	world, err := endpoint.New(p.Specs, endpoint.Rules{Relays: 1, Slots: p.Slots(), MaxAttempts: p.Scenario.Relays.MaxAttempts}, p.Work(),
+		func(id string) (endpoint.Message, bool) {
 			if _, ok := seen[id]; !ok {
 				if len(seen) >= 1<<16 { // somebody holds it for days
 					clear(seen)
 				}
 				seen[id] = len(seen)
 			}
-			return partner.Message{Num: seen[id]}, true
+			return endpoint.Message{Num: seen[id]}, true
 		}, emit)
 	if err != nil {
 		return err
--- a/internal/rehearse/stage/holiday_test.go
+++ b/internal/rehearsal/runner/holiday_test.go
@@ -1,10 +1,10 @@
-package stage
+package runner
 
 import (
 	"fmt"
 	"testing"
 
-	"troutusher/internal/rehearse/load"
+	"troutusher/internal/rehearsal/loadgen"
 )
 
 // The short form of `troutusher rehearse holiday`: of two thousand destinations
@@ -31,7 +31,7 @@
 	done := map[bool]int{}
 	for i, r := range o.Results {
 		if p.Arrivals[i].Dest > 2 { // a shop's
-			done[r.End == load.Delivered]++
+			done[r.End == loadgen.Delivered]++
 		}
 	}
 	if done[true] < 100 || done[false] > 20 {
--- a/internal/rehearse/stage/hub.go
+++ b/internal/rehearsal/runner/hub.go
@@ -1,10 +1,10 @@
-package stage
+package runner
 
 import (
 	"sync"
 
-	"troutusher/internal/rehearse/referee"
-	"troutusher/internal/rehearse/trace"
+	"troutusher/internal/rehearsal/checker"
+	"troutusher/internal/rehearsal/event"
 )
 
 // Calls counts the calls that came to a partner's endpoints.
@@ -20,36 +20,36 @@
 // hub is where everything that happens comes together, in one order.
 type hub struct {
 	mu     sync.Mutex
-	judge  *referee.Referee
-	last   trace.Time
+	judge  *checker.Referee
+	last   event.Time
 	calls  []Calls // by partner
 	of     []int   // the partner of an endpoint
 	strays int
-	tell   func(*trace.Event) // of deliveries and notices
-	watch  func(*trace.Event) // of everything; may be nil
+	tell   func(*event.Event) // of deliveries and notices
+	watch  func(*event.Event) // of everything; may be nil
 }
 
 // emit takes an event. Sources stamp them with one clock, but a stand-in's
 // agenda may be some hundred microseconds behind; the record's moments never
 // go back.
-func (h *hub) emit(e trace.Event) {
+func (h *hub) emit(e event.Event) {
 	h.mu.Lock()
 	e.At = max(e.At, h.last)
 	h.last = e.At
 	h.judge.Step(e)
 	if c := h.partner(e.Endpoint); c != nil {
 		switch e.Kind {
-		case trace.CallBegan:
+		case event.CallBegan:
 			c.Began++
-		case trace.Ran:
+		case event.Ran:
 			c.Ran++
-		case trace.Probed:
+		case event.Probed:
 			c.Probes++
-		case trace.CallEnded:
+		case event.CallEnded:
 			switch {
-			case e.Status == trace.StatusDelivered:
+			case e.Status == event.StatusDelivered:
 				c.Delivered++
-			case trace.NeverRan(e.Status):
+			case event.NeverRan(e.Status):
 				c.Refused++
 			default:
 				c.Failed++
@@ -58,7 +58,7 @@
 	}
 	watch := h.watch
 	h.mu.Unlock()
-	if e.Kind == trace.CallEnded && e.Status == trace.StatusDelivered || e.Kind == trace.Noticed {
+	if e.Kind == event.CallEnded && e.Status == event.StatusDelivered || e.Kind == event.Noticed {
 		h.tell(&e)
 	}
 	if watch != nil {
--- a/internal/rehearse/stage/recall_test.go
+++ b/internal/rehearsal/runner/recall_test.go
@@ -1,4 +1,4 @@
-package stage
+package runner
 
 import (
 	"os"
@@ -6,7 +6,7 @@
 	"sync"
 	"testing"
 
-	"troutusher/internal/rehearse/trace"
+	"troutusher/internal/rehearsal/event"
 )
 
 // recovery plays an outage of a partner with one relay and returns the calls that
@@ -31,16 +31,16 @@
 		opt.Env = append(opt.Env, "TROUTUSHER_OPERATOR="+file)
 	}
 	var mu sync.Mutex
-	var backAt trace.Time
-	opt.Watch = func(e *trace.Event) {
+	var backAt event.Time
+	opt.Watch = func(e *event.Event) {
 		mu.Lock()
 		defer mu.Unlock()
 		switch {
-		case e.Kind == trace.Back && p.Endpoints[e.Endpoint].Partner == 0:
+		case e.Kind == event.Back && p.Endpoints[e.Endpoint].Partner == 0:
 			backAt = max(backAt, e.At)
-		case e.Kind == trace.Fell:
+		case e.Kind == event.Fell:
 			pushed++
-		case e.Kind == trace.CallBegan && backAt > 0 && p.Endpoints[e.Endpoint].Partner == 0:
+		case e.Kind == event.CallBegan && backAt > 0 && p.Endpoints[e.Endpoint].Partner == 0:
 			if s := int((e.At - backAt) / 1e6); s < len(per) {
 				per[s]++
 			}
--- a/internal/rehearse/stage/relay.go
+++ b/internal/rehearsal/runner/relay.go
@@ -1,4 +1,4 @@
-package stage
+package runner
 
 import (
 	"bufio"
@@ -18,10 +18,10 @@
 	"syscall"
 	"time"
 
-	"troutusher/internal/draw"
-	"troutusher/internal/rehearse/scenario"
-	"troutusher/internal/standin/loopback"
-	"troutusher/internal/standin/registry"
+	"troutusher/internal/emulator/loopback"
+	"troutusher/internal/emulator/registry"
+	"troutusher/internal/rehearsal/scenario"
+	"troutusher/internal/seededrand"
 )
 
 const (
@@ -106,7 +106,7 @@
 // configure writes the configuration's file, whole or not at all.
 func (r *relay) configure() error {
 	c := ConfigOf(r.plan, r.num, r.listen, r.reg.Addr(r.num), filepath.Join(r.dir, "state"), r.reg.Known(r.num),
-		draw.Hash(r.plan.Seed, 500, uint64(r.num), r.starts))
+		seededrand.Hash(r.plan.Seed, 500, uint64(r.num), r.starts))
 	text, err := c.Text()
 	if err != nil {
 		return err
--- a/internal/rehearse/stage/secure.go
+++ b/internal/rehearsal/runner/secure.go
@@ -1,4 +1,4 @@
-package stage
+package runner
 
 import (
 	"bytes"
@@ -8,10 +8,10 @@
 	"sync"
 	"time"
 
-	"troutusher/internal/devca"
-	"troutusher/internal/operator"
-	"troutusher/internal/rehearse/scenario"
-	"troutusher/internal/standin/partner/h1"
+	"troutusher/internal/emulator/endpoint/h1"
+	"troutusher/internal/operatorconfig"
+	"troutusher/internal/rehearsal/scenario"
+	"troutusher/internal/testca"
 	"troutusher/internal/tlspolicy"
 )
 
@@ -37,20 +37,20 @@
 	}
 	var text bytes.Buffer
 	var err error
-	must := func(m *devca.Issued, e error) *devca.Issued {
+	must := func(m *testca.Issued, e error) *testca.Issued {
 		if e != nil && err == nil {
 			err = e
 		}
 		return m
 	}
-	year := devca.WithValidity(time.Now().Add(-time.Hour), time.Now().Add(24*365*time.Hour))
-	root := must(devca.Issue(nil, "rehearsal", nil, devca.AsAuthority, year))
-	stranger := must(devca.Issue(nil, "stranger", nil, devca.AsAuthority, year))
+	year := testca.WithValidity(time.Now().Add(-time.Hour), time.Now().Add(24*365*time.Hour))
+	root := must(testca.Issue(nil, "rehearsal", nil, testca.AsAuthority, year))
+	stranger := must(testca.Issue(nil, "stranger", nil, testca.AsAuthority, year))
 	if err != nil {
 		return nil, err
 	}
-	mid, other := must(devca.Issue(root, "one", nil, devca.AsAuthority, year)), must(devca.Issue(root, "two", nil, devca.AsAuthority, year))
-	ours := must(devca.Issue(root, "relay.example.org", nil, year))
+	mid, other := must(testca.Issue(root, "one", nil, testca.AsAuthority, year)), must(testca.Issue(root, "two", nil, testca.AsAuthority, year))
+	ours := must(testca.Issue(root, "relay.example.org", nil, year))
 	if err != nil {
 		return nil, err
 	}
@@ -73,24 +73,24 @@
 		seen[e.Partner], any = true, true
 		share = max(share, x.Share)
 		name := p.Specs[e.Partner].Name + ".example.org"
-		made := func(up *devca.Issued, name string, changes ...func(*devca.Template)) *devca.Issued {
-			k, e := devca.NewKey(devca.KeyKind(x.Key))
+		made := func(up *testca.Issued, name string, changes ...func(*testca.Template)) *testca.Issued {
+			k, e := testca.NewKey(testca.KeyKind(x.Key))
 			if e != nil && err == nil {
 				err = e
 				return nil
 			}
-			return must(devca.Issue(up, name, k, append([]func(*devca.Template){year}, changes...)...))
+			return must(testca.Issue(up, name, k, append([]func(*testca.Template){year}, changes...)...))
 		}
 		good, next := made(mid, name), made(other, name)
-		bad := map[string]*devca.Issued{
-			scenario.TLSExpired:   made(mid, name, devca.WithValidity(time.Now().Add(-2*time.Hour), time.Now().Add(-time.Hour))),
+		bad := map[string]*testca.Issued{
+			scenario.TLSExpired:   made(mid, name, testca.WithValidity(time.Now().Add(-2*time.Hour), time.Now().Add(-time.Hour))),
 			scenario.TLSWrongName: made(mid, "other.example.org"),
 			scenario.TLSWrongRoot: made(stranger, name),
 		}
 		if err != nil {
 			return nil, err
 		}
-		show := func(m *devca.Issued, trusted bool) *h1.Show {
+		show := func(m *testca.Issued, trusted bool) *h1.Show {
 			cfg := &tls.Config{Certificates: []tls.Certificate{m.TLSCertificate()}, SessionTicketsDisabled: x.NoSessions}
 			switch x.Version {
 			case "1.2":
@@ -136,7 +136,7 @@
 	if share > 0 {
 		fmt.Fprintf(&text, "[handshakes]\nshare = %v\n", share)
 	}
-	return s, devca.ReplaceFile(s.file, text.Bytes(), 0o600)
+	return s, testca.ReplaceFile(s.file, text.Bytes(), 0o600)
 }
 
 // show is what an endpoint shows now.
@@ -166,4 +166,4 @@
 }
 
 // env is what relays are started with.
-func (s *secrets) env() string { return operator.EnvVar + "=" + s.file }
+func (s *secrets) env() string { return operatorconfig.EnvVar + "=" + s.file }
--- a/internal/rehearse/stage/secure_test.go
+++ b/internal/rehearsal/runner/secure_test.go
@@ -1,10 +1,10 @@
-package stage
+package runner
 
 import (
 	"fmt"
 	"testing"
 
-	"troutusher/internal/rehearse/load"
+	"troutusher/internal/rehearsal/loadgen"
 )
 
 const overTLS = `
@@ -38,7 +38,7 @@
 				t.Errorf("%+v", v)
 			}
 			for i, r := range o.Results {
-				if r.End != load.Delivered {
+				if r.End != loadgen.Delivered {
 					t.Errorf("message %d: %v", i, r.End)
 				}
 			}
--- a/internal/rehearse/stage/settings.go
+++ b/internal/rehearsal/runner/settings.go
@@ -1,4 +1,4 @@
-package stage
+package runner
 
 import (
 	"encoding/json"
@@ -6,10 +6,10 @@
 	"hash/fnv"
 	"net"
 
-	"troutusher/internal/rehearse/scenario"
-	"troutusher/internal/standin/loopback"
-	"troutusher/internal/standin/partner"
-	"troutusher/internal/standin/registry"
+	"troutusher/internal/emulator/endpoint"
+	"troutusher/internal/emulator/loopback"
+	"troutusher/internal/emulator/registry"
+	"troutusher/internal/rehearsal/scenario"
 )
 
 type object = map[string]any
@@ -96,7 +96,7 @@
 		if !spec.Apart {
 			rate *= float64(spec.Endpoints)
 		}
-		if spec.Limit.Kind != partner.NoLimit {
+		if spec.Limit.Kind != endpoint.NoLimit {
 			rate = min(rate, spec.Limit.PerSecond)
 		}
 		h := fnv.New32a()
--- a/internal/rehearse/stage/stage.go
+++ b/internal/rehearsal/runner/stage.go
@@ -1,8 +1,8 @@
-// Package stage plays a plan: it starts relay processes, stand-in partners,
+// Package runner plays a plan: it starts relay processes, stand-in partners,
 // the stand-in registry and the load driver on loopback, has faults begin and
 // end at their moments, and brings everything that happens to the referee. It
 // must never decide how a rehearsal went; it hands over what it saw.
-package stage
+package runner
 
 import (
 	"context"
@@ -17,14 +17,14 @@
 
 	"github.com/HdrHistogram/hdrhistogram-go"
 
-	"troutusher/internal/draw"
-	"troutusher/internal/rehearse/load"
-	"troutusher/internal/rehearse/referee"
-	"troutusher/internal/rehearse/scenario"
-	"troutusher/internal/rehearse/trace"
-	"troutusher/internal/standin/partner"
-	"troutusher/internal/standin/partner/h1"
-	"troutusher/internal/standin/registry"
+	"troutusher/internal/emulator/endpoint"
+	"troutusher/internal/emulator/endpoint/h1"
+	"troutusher/internal/emulator/registry"
+	"troutusher/internal/rehearsal/checker"
+	"troutusher/internal/rehearsal/event"
+	"troutusher/internal/rehearsal/loadgen"
+	"troutusher/internal/rehearsal/scenario"
+	"troutusher/internal/seededrand"
 )
 
 // Options say how a plan is played.
@@ -33,7 +33,7 @@
 	Env      []string                   // more of a relay's environment
 	Dir      string                     // for configurations, state and logs; a new one each time
 	Progress func(Progress)             // called now and then; may be nil
-	Watch    func(*trace.Event)         // is shown everything that happens; may be nil
+	Watch    func(*event.Event)         // is shown everything that happens; may be nil
 	Ready    func(*Stage) error         // called once all relays are ready; may be nil
 	Relays   func(i int, a Agent) Agent // puts doubles in the place of relays; nil for none
 }
@@ -58,17 +58,17 @@
 // Outcome is what was seen.
 type Outcome struct {
 	Plan       *scenario.Plan
-	Start      trace.Time // moment of the plan's beginning in the record
-	End        trace.Time
-	Results    []load.Result
-	Violations []referee.Violation
-	Starts     referee.Starts // what restarts found untried
+	Start      event.Time // moment of the plan's beginning in the record
+	End        event.Time
+	Results    []loadgen.Result
+	Violations []checker.Violation
+	Starts     checker.Starts // what restarts found untried
 	Crashes    []string       // relays that ended by themselves, and what else makes the relays fail
 	Trouble    []string       // what went wrong in the kit itself: the run is void
 	Calls      []Calls        // by partner
 	Door       int            // requests that met a connection refused, reset or closed unread
-	LateDriver trace.Time
-	LateWorld  trace.Time // of the stand-ins
+	LateDriver event.Time
+	LateWorld  event.Time // of the stand-ins
 	Answers    *hdrhistogram.Histogram
 	Delivery   *hdrhistogram.Histogram
 	MemoryKB   []int // of each relay: the most resident memory
@@ -86,7 +86,7 @@
 	relays  []*relay
 	agents  []Agent
 	spawn   *spawner
-	driver  *load.Driver
+	driver  *loadgen.Driver
 	start   atomic.Int64 // moment of the plan's beginning
 
 	mu      sync.Mutex
@@ -96,12 +96,12 @@
 	jobs    sync.WaitGroup
 }
 
-func (s *Stage) now() trace.Time { return time.Since(s.began).Microseconds() }
+func (s *Stage) now() event.Time { return time.Since(s.began).Microseconds() }
 
 // Open starts stand-ins and relays.
 func Open(ctx context.Context, p *scenario.Plan, opt Options) (*Stage, error) {
 	s := &Stage{plan: p, opt: opt, began: time.Now(), holding: map[string]int{}, spawn: newSpawner()}
-	s.hub = &hub{judge: referee.New(p.Figures()), calls: make([]Calls, len(p.Specs)), watch: opt.Watch, tell: func(*trace.Event) {}}
+	s.hub = &hub{judge: checker.New(p.Figures()), calls: make([]Calls, len(p.Specs)), watch: opt.Watch, tell: func(*event.Event) {}}
 	for _, e := range p.Endpoints {
 		s.hub.of = append(s.hub.of, e.Partner)
 	}
@@ -115,8 +115,8 @@
 func (s *Stage) open(ctx context.Context) error {
 	p := s.plan
 	n := p.Scenario.Relays.Count
-	world, err := partner.New(p.Specs, partner.Rules{Relays: n, Slots: p.Slots(), MaxAttempts: p.Scenario.Relays.MaxAttempts}, p.Work(),
-		func(id string) (partner.Message, bool) { return s.driver.Lookup(id) }, s.hub.emit)
+	world, err := endpoint.New(p.Specs, endpoint.Rules{Relays: n, Slots: p.Slots(), MaxAttempts: p.Scenario.Relays.MaxAttempts}, p.Work(),
+		func(id string) (endpoint.Message, bool) { return s.driver.Lookup(id) }, s.hub.emit)
 	if err != nil {
 		return err
 	}
@@ -155,7 +155,7 @@
 		s.agents = append(s.agents, a)
 		addrs = append(addrs, a.Listen)
 	}
-	s.driver = load.New(load.Config{Plan: p, Relays: addrs, Emit: s.hub.emit, Clock: s.now, Start: 0})
+	s.driver = loadgen.New(loadgen.Config{Plan: p, Relays: addrs, Emit: s.hub.emit, Clock: s.now, Start: 0})
 	s.hub.tell = s.driver.Happened
 	errs := make([]error, n)
 	var wg sync.WaitGroup
@@ -169,7 +169,7 @@
 			r.mu.Lock()
 			defer r.mu.Unlock()
 			if errs[i] = r.start(ctx); errs[i] == nil {
-				s.hub.emit(trace.Event{At: s.now(), Kind: trace.Ready, Relay: i})
+				s.hub.emit(event.Event{At: s.now(), Kind: event.Ready, Relay: i})
 			}
 		}()
 	}
@@ -184,7 +184,7 @@
 	s.mu.Lock()
 	s.crashes = append(s.crashes, fmt.Sprintf("relay %d ended by itself at %.1f s: %v", i+1, float64(s.now()-s.start.Load())/1e6, err))
 	s.mu.Unlock()
-	s.hub.emit(trace.Event{At: s.now(), Kind: trace.Killed, Relay: i})
+	s.hub.emit(event.Event{At: s.now(), Kind: event.Killed, Relay: i})
 	s.driver.Down(i, scenario.Micros(s.plan.Scenario.Clients.FrontNoticeMS))
 }
 
@@ -265,7 +265,7 @@
 
 // moment is something that happens in the course of a rehearsal.
 type moment struct {
-	at trace.Time
+	at event.Time
 	do func()
 }
 
@@ -342,7 +342,7 @@
 	case scenario.RelayKill:
 		return process(func(r *relay) {
 			s.driver.Down(r.num, scenario.Micros(s.plan.Scenario.Clients.FrontNoticeMS))
-			s.hub.emit(trace.Event{At: s.now(), Kind: trace.Killed, Relay: r.num})
+			s.hub.emit(event.Event{At: s.now(), Kind: event.Killed, Relay: r.num})
 			r.kill()
 			s.pause(ctx, time.Duration(f.Until-f.At)*time.Microsecond)
 			s.again(ctx, r)
@@ -351,11 +351,11 @@
 		return process(func(r *relay) {
 			// New connections go on coming for a while.
 			s.driver.Down(r.num, 300_000)
-			s.hub.emit(trace.Event{At: s.now(), Kind: trace.Stopping, Relay: r.num})
+			s.hub.emit(event.Event{At: s.now(), Kind: event.Stopping, Relay: r.num})
 			if r.stop() {
 				s.say(&s.trouble, "relay %d was still there %v after SIGTERM and was killed", r.num+1, stopWait)
 			}
-			s.hub.emit(trace.Event{At: s.now(), Kind: trace.Killed, Relay: r.num})
+			s.hub.emit(event.Event{At: s.now(), Kind: event.Killed, Relay: r.num})
 			s.again(ctx, r)
 		})
 	case scenario.Upgrade:
@@ -397,28 +397,28 @@
 			r.hup()
 		})
 	}
-	if kind := load.FloodKind(f.Kind); strings.HasPrefix(f.Kind, "flood_") {
+	if kind := loadgen.FloodKind(f.Kind); strings.HasPrefix(f.Kind, "flood_") {
 		flood, over := context.WithCancel(ctx)
 		return span(relays(func(i int) {
 			s.jobs.Add(1)
 			go func() {
 				defer s.jobs.Done()
-				load.Flood(flood, kind, s.agents[i].Listen, int(f.Size))
+				loadgen.Flood(flood, kind, s.agents[i].Listen, int(f.Size))
 			}()
 		}), over)
 	}
 	if strings.HasPrefix(f.Kind, "tls_") {
 		return span(s.secrets.fault(f.Kind, f.Endpoints))
 	}
-	fault := &partner.Fault{Kind: partner.FaultKind(f.Kind), Size: f.Size, Share: f.Share, Class: f.Class, Form: partner.Form(f.Form)}
+	fault := &endpoint.Fault{Kind: endpoint.FaultKind(f.Kind), Size: f.Size, Share: f.Share, Class: f.Class, Form: endpoint.Form(f.Form)}
 	return span(func() {
-		s.world.Do(func(w *partner.World, now partner.Time) {
+		s.world.Do(func(w *endpoint.World, now endpoint.Time) {
 			for _, ep := range f.Endpoints {
 				w.Begin(now, ep, fault)
 			}
 		})
 	}, func() {
-		s.world.Do(func(w *partner.World, now partner.Time) {
+		s.world.Do(func(w *endpoint.World, now endpoint.Time) {
 			for _, ep := range f.Endpoints {
 				w.End(now, ep, fault)
 			}
@@ -435,7 +435,7 @@
 	}
 	sc := s.plan.Scenario
 	shut := f.At + scenario.Micros(sc.Discovery.DelayMS+sc.Discovery.SpreadMS+sc.Rules.DrainGraceMS+sc.Rules.SlackMS)
-	gone := &partner.Fault{Kind: partner.Gone}
+	gone := &endpoint.Fault{Kind: endpoint.Gone}
 	set := func(phase string) {
 		for _, ep := range f.Endpoints {
 			s.reg.Set(ep, phase)
@@ -443,7 +443,7 @@
 	}
 	world := func(on bool) func() {
 		return func() {
-			s.world.Do(func(w *partner.World, now partner.Time) {
+			s.world.Do(func(w *endpoint.World, now endpoint.Time) {
 				for _, ep := range f.Endpoints {
 					switch {
 					case f.Kind == scenario.Drain:
@@ -482,17 +482,17 @@
 		}
 		return
 	}
-	after := time.Duration(draw.Hash(s.plan.Seed, 900, uint64(f.At), uint64(r.num)) % uint64(upgradeCutMost))
-	s.hub.emit(trace.Event{At: s.now(), Kind: trace.Killed, Relay: r.num}) // calls that are out may be cut from here on
+	after := time.Duration(seededrand.Hash(s.plan.Seed, 900, uint64(f.At), uint64(r.num)) % uint64(upgradeCutMost))
+	s.hub.emit(event.Event{At: s.now(), Kind: event.Killed, Relay: r.num}) // calls that are out may be cut from here on
 	alive, err := r.upgradeCut(ctx, after, f.Form == scenario.KillOld)
 	switch {
 	case err != nil && ctx.Err() == nil:
 		s.say(&s.crashes, "upgrade, %s after %v: %v", f.Form, after, err)
 	case alive:
-		s.hub.emit(trace.Event{At: s.now(), Kind: trace.Ready, Relay: r.num})
+		s.hub.emit(event.Event{At: s.now(), Kind: event.Ready, Relay: r.num})
 	default:
 		s.driver.Down(r.num, scenario.Micros(s.plan.Scenario.Clients.FrontNoticeMS))
-		s.hub.emit(trace.Event{At: s.now(), Kind: trace.Killed, Relay: r.num})
+		s.hub.emit(event.Event{At: s.now(), Kind: event.Killed, Relay: r.num})
 		s.again(ctx, r)
 	}
 }
@@ -509,7 +509,7 @@
 		}
 		return
 	}
-	s.hub.emit(trace.Event{At: s.now(), Kind: trace.Ready, Relay: r.num})
+	s.hub.emit(event.Event{At: s.now(), Kind: event.Ready, Relay: r.num})
 	s.driver.Up(r.num)
 }
 
--- a/internal/rehearse/stage/stage_test.go
+++ b/internal/rehearsal/runner/stage_test.go
@@ -1,4 +1,4 @@
-package stage
+package runner
 
 import (
 	"context"
@@ -18,11 +18,11 @@
 	"testing"
 	"time"
 
-	"troutusher/internal/rehearse/load"
-	"troutusher/internal/rehearse/recording"
-	"troutusher/internal/rehearse/referee"
-	"troutusher/internal/rehearse/scenario"
-	"troutusher/internal/rehearse/trace"
+	"troutusher/internal/rehearsal/checker"
+	"troutusher/internal/rehearsal/event"
+	"troutusher/internal/rehearsal/loadgen"
+	"troutusher/internal/rehearsal/replay"
+	"troutusher/internal/rehearsal/scenario"
 	daemon "troutusher/internal/relay"
 )
 
@@ -147,28 +147,28 @@
 	for _, c := range []struct {
 		name   string
 		breach breach
-		rule   referee.Rule
+		rule   checker.Rule
 		rate   float64
 		faults string
 		change func(*scenario.Plan)
 		says   string
 	}{
-		{"a message is forgotten", losesSome, referee.Missing, 20, "", nil, "neither delivered nor ended"},
-		{"an unsafe message is sent again after an error", resendsUnsafe, referee.Once, 20,
+		{"a message is forgotten", losesSome, checker.Missing, 20, "", nil, "neither delivered nor ended"},
+		{"an unsafe message is sent again after an error", resendsUnsafe, checker.Once, 20,
 			"[[fault]]\nkind = \"errors\"\npartner = \"p\"\nat_s = 0.2\nlength_s = 2\nshare = 0.4\n", nil, "sent to"},
-		{"an unsafe message is sent again while its partner still works", resendsLate, referee.Once, 8,
+		{"an unsafe message is sent again while its partner still works", resendsLate, checker.Once, 8,
 			"[[fault]]\nkind = \"slow\"\npartner = \"p\"\nat_s = 0.2\nlength_s = 2\nsize = 8\n", nil, "took effect"},
-		{"two copies at a time", sendsCopies, referee.Once, 10, "", nil, "a second copy"},
-		{"a refusal of what may have run", refusesWhatRan, referee.Once, 20,
+		{"two copies at a time", sendsCopies, checker.Once, 10, "", nil, "a second copy"},
+		{"a refusal of what may have run", refusesWhatRan, checker.Once, 20,
 			"[[fault]]\nkind = \"reset\"\npartner = \"p\"\nat_s = 0.2\nlength_s = 2\nshare = 0.5\n", nil, "handed back"},
-		{"drains are ignored", ignoresDrains, referee.Drains, 20,
+		{"drains are ignored", ignoresDrains, checker.Drains, 20,
 			"[[fault]]\nkind = \"drain\"\npartner = \"p\"\npart = 0.5\nat_s = 0.3\nlength_s = 2.5\n", nil, "drains or is gone"},
-		{"a cold destination is pushed over", storms, referee.Returning, 2,
+		{"a cold destination is pushed over", storms, checker.Returning, 2,
 			"[[fault]]\nkind = \"full\"\npartner = \"p\"\nat_s = 0.2\nlength_s = 0.5\n", nil, "pushed over"},
-		{"a wait is ignored", ignoresWaits, referee.Waits, 20,
+		{"a wait is ignored", ignoresWaits, checker.Waits, 20,
 			"[[fault]]\nkind = \"full_wait\"\npartner = \"p\"\nat_s = 0.3\nlength_s = 1.5\nsize = 0.7\n", nil, "into a wait"},
-		{"messages in order overtake", overtakes, referee.Order, 20, "", order, "of its thread"},
-		{"calls to another destination", strays, referee.Strays, 5, "", nil, "serves destination"},
+		{"messages in order overtake", overtakes, checker.Order, 20, "", order, "of its thread"},
+		{"calls to another destination", strays, checker.Strays, 5, "", nil, "serves destination"},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
@@ -196,7 +196,7 @@
 						if v.Rule != c.rule {
 							continue
 						}
-						if v.At < 0 || v.At > 8e6 || v.Message < 0 && c.rule != referee.Returning {
+						if v.At < 0 || v.At > 8e6 || v.Message < 0 && c.rule != checker.Returning {
 							t.Errorf("without message or moment: %+v", v)
 						}
 						said = said || strings.Contains(v.Evidence, c.says)
@@ -246,30 +246,30 @@
 	}
 	var mu sync.Mutex
 	crossed := map[string]bool{} // taken on by relay 1 and not over when it was killed
-	var down, up []trace.Time
+	var down, up []event.Time
 	opt := self(t)
 	open := map[string]bool{}
-	opt.Watch = func(e *trace.Event) {
+	opt.Watch = func(e *event.Event) {
 		mu.Lock()
 		defer mu.Unlock()
 		switch e.Kind {
-		case trace.HandIn:
+		case event.HandIn:
 			if e.Relay == 0 {
 				open[e.ID] = false
 			}
-		case trace.Accepted:
+		case event.Accepted:
 			if _, ok := open[e.ID]; ok {
 				open[e.ID] = true
 			}
-		case trace.CallEnded:
-			if e.Status == trace.StatusDelivered {
+		case event.CallEnded:
+			if e.Status == event.StatusDelivered {
 				delete(open, e.ID)
 				delete(crossed, e.ID)
 			}
-		case trace.Noticed:
+		case event.Noticed:
 			delete(open, e.ID)
 			delete(crossed, e.ID)
-		case trace.Killed:
+		case event.Killed:
 			down = append(down, e.At)
 			if e.Relay == 0 {
 				for id, taken := range open {
@@ -281,7 +281,7 @@
 					t.Error("nothing was out when the relay was killed")
 				}
 			}
-		case trace.Ready:
+		case event.Ready:
 			up = append(up, e.At)
 		}
 	}
@@ -296,7 +296,7 @@
 		t.Errorf("%d messages crossed the kill and had no end", len(crossed))
 	}
 	for i, r := range o.Results {
-		if r.End == load.Pending {
+		if r.End == loadgen.Pending {
 			t.Errorf("message %d has no end", i)
 		}
 	}
@@ -320,7 +320,7 @@
 				got, asked := 0.0, 0.0
 				for i := range o.Results {
 					c := &p.Scenario.Classes[p.Arrivals[i].Class]
-					got, asked = got+load.Worth(c, &o.Results[i]), asked+c.Worth
+					got, asked = got+loadgen.Worth(c, &o.Results[i]), asked+c.Worth
 				}
 				b.ReportMetric(got/asked, "service")
 				b.ReportMetric(float64(len(o.Violations)), "broken-rules")
@@ -368,10 +368,10 @@
 			var mu sync.Mutex
 			first := make([]string, len(p.Arrivals))
 			opt := self(t)
-			opt.Watch = func(e *trace.Event) {
+			opt.Watch = func(e *event.Event) {
 				mu.Lock()
 				defer mu.Unlock()
-				if e.Kind == trace.HandIn && first[e.Message] == "" {
+				if e.Kind == event.HandIn && first[e.Message] == "" {
 					first[e.Message] = e.ID
 				}
 			}
@@ -391,17 +391,17 @@
 // in unchanged by this one.
 func TestTheGoldenRecordingIsReplayed(t *testing.T) {
 	t.Parallel()
-	p, _, err := recording.Load(filepath.Join("..", "recording", "testdata", "v1.rehearsal"))
+	p, _, err := replay.Load(filepath.Join("..", "recording", "testdata", "v1.rehearsal"))
 	if err != nil {
 		t.Fatal(err)
 	}
 	var mu sync.Mutex
 	first := make([]string, len(p.Arrivals))
 	opt := self(t)
-	opt.Watch = func(e *trace.Event) {
+	opt.Watch = func(e *event.Event) {
 		mu.Lock()
 		defer mu.Unlock()
-		if e.Kind == trace.HandIn && first[e.Message] == "" {
+		if e.Kind == event.HandIn && first[e.Message] == "" {
 			first[e.Message] = e.ID
 		}
 	}
@@ -413,7 +413,7 @@
 		t.Errorf("handed in as %s, want %s", got, goldenHandIns)
 	}
 	for i, r := range o.Results {
-		if r.End == load.Pending {
+		if r.End == loadgen.Pending {
 			t.Errorf("message %d has no end", i)
 		}
 	}
--- a/internal/rehearse/stage/upgrade_test.go
+++ b/internal/rehearsal/runner/upgrade_test.go
@@ -1,11 +1,11 @@
-package stage
+package runner
 
 import (
 	"fmt"
 	"strings"
 	"testing"
 
-	"troutusher/internal/rehearse/load"
+	"troutusher/internal/rehearsal/loadgen"
 )
 
 // The short form of `troutusher rehearse upgrade-loop`: one upgrade after
@@ -40,7 +40,7 @@
 				t.Errorf("%d requests met a closed connection", o.Door)
 			}
 			for i, r := range o.Results {
-				if r.End != load.Delivered {
+				if r.End != loadgen.Delivered {
 					t.Errorf("message %d: %v", i, r.End)
 				}
 			}
--- a/internal/rehearse/scenario/plan.go
+++ b/internal/rehearsal/scenario/plan.go
@@ -5,17 +5,17 @@
 	"math"
 	"slices"
 
-	"troutusher/internal/draw"
-	"troutusher/internal/rehearse/referee"
-	"troutusher/internal/rehearse/trace"
-	"troutusher/internal/standin/partner"
+	"troutusher/internal/emulator/endpoint"
+	"troutusher/internal/rehearsal/checker"
+	"troutusher/internal/rehearsal/event"
+	"troutusher/internal/seededrand"
 )
 
 // Plan is what is played: everything that was drawn from a scenario and a seed.
 type Plan struct {
 	Scenario  *Scenario
 	Seed      uint64
-	Specs     []partner.Spec
+	Specs     []endpoint.Spec
 	Endpoints []Endpoint
 	Arrivals  []Arrival
 	Faults    []PlannedFault
@@ -32,7 +32,7 @@
 
 // Arrival is one message that a client is going to hand in.
 type Arrival struct {
-	At     trace.Time `json:"at_us"`
+	At     event.Time `json:"at_us"`
 	Class  int        `json:"class"`
 	Portal int        `json:"portal"`
 	Dest   int        `json:"dest"`
@@ -43,8 +43,8 @@
 // PlannedFault is a fault with the endpoints or relays that it strikes.
 type PlannedFault struct {
 	Kind      string     `json:"kind"`
-	At        trace.Time `json:"at_us"`
-	Until     trace.Time `json:"until_us"`
+	At        event.Time `json:"at_us"`
+	Until     event.Time `json:"until_us"`
 	Endpoints []int      `json:"endpoints,omitempty"`
 	Relays    []int      `json:"relays,omitempty"` // from 0
 	Size      float64    `json:"size,omitempty"`
@@ -64,7 +64,7 @@
 )
 
 // Micros turns milliseconds into the plan's unit.
-func Micros(ms float64) trace.Time { return trace.Time(math.Round(ms * 1000)) }
+func Micros(ms float64) event.Time { return event.Time(math.Round(ms * 1000)) }
 
 // World lays out partners and endpoints.
 func (s *Scenario) World(seed uint64) *Plan {
@@ -77,19 +77,19 @@
 			if x.Count > 1 {
 				name = fmt.Sprintf("%s-%d", x.Name, n+1)
 			}
-			spec := partner.Spec{Name: name, Dest: len(p.Specs) + 1, Endpoints: x.Endpoints, Apart: x.Routes == "apart",
+			spec := endpoint.Spec{Name: name, Dest: len(p.Specs) + 1, Endpoints: x.Endpoints, Apart: x.Routes == "apart",
 				Capacity: x.Capacity, Queue: x.Queue, Mix: mix[i], Conns: x.Connections, Idle: Micros(x.IdleMS),
 				Handshake: Micros(x.HandshakeMS), OneWay: Micros(x.OneWayMS), ColdShare: x.ColdShare, ColdRamp: Micros(x.ColdMS),
 				FallMultiple: s.Rules.FallMultiple, FallTime: Micros(s.Rules.FallMS), KeyMemory: Micros(x.KeyMemoryMS),
-				Errors: x.Errors, Cancel: partner.Cancel(x.Cancel),
-				Limit: partner.Limit{Kind: partner.LimitKind(x.Limit), PerSecond: x.LimitPerS, Depth: x.LimitDepth,
+				Errors: x.Errors, Cancel: endpoint.Cancel(x.Cancel),
+				Limit: endpoint.Limit{Kind: endpoint.LimitKind(x.Limit), PerSecond: x.LimitPerS, Depth: x.LimitDepth,
 					Window: Micros(x.WindowMS), RefusedSpend: x.RefusedSpend, Wait: Micros(x.WaitMS)}}
 			if x.TLS != nil {
 				spec.Full, spec.Resumed = x.TLS.Full, x.TLS.Resumed
 			}
 			for _, c := range s.Classes {
 				ms, _ := x.service(c.Name)
-				spec.Service = append(spec.Service, partner.Service{Mean: Micros(ms), Dist: draw.Distribution(x.Dist), CV: x.CV})
+				spec.Service = append(spec.Service, endpoint.Service{Mean: Micros(ms), Dist: seededrand.Distribution(x.Dist), CV: x.CV})
 			}
 			for e := range x.Endpoints {
 				p.Endpoints = append(p.Endpoints, Endpoint{Name: fmt.Sprintf("%s/%d", name, e+1), Partner: len(p.Specs), TLS: x.TLS,
@@ -136,7 +136,7 @@
 }
 
 // Work is the seed of the stand-ins' service times.
-func (p *Plan) Work() uint64 { return draw.Hash(p.Seed, forWork) }
+func (p *Plan) Work() uint64 { return seededrand.Hash(p.Seed, forWork) }
 
 func (p *Plan) arrivals() {
 	s := p.Scenario
@@ -160,8 +160,8 @@
 			of = append(of, i)
 		}
 	}
-	add := func(at float64, class, part int, st *draw.Stream) {
-		a := Arrival{At: trace.Time(at * 1e6), Class: class, Dest: p.Specs[part].Dest, Portal: st.WeightedIndex(portals)}
+	add := func(at float64, class, part int, st *seededrand.Stream) {
+		a := Arrival{At: event.Time(at * 1e6), Class: class, Dest: p.Specs[part].Dest, Portal: st.WeightedIndex(portals)}
 		if name := s.Partners[of[part]].Portal; name != "" {
 			a.Portal = byName[name]
 		}
@@ -169,7 +169,7 @@
 	}
 	top := max(s.Traffic.From, s.Traffic.To, 1+s.Traffic.Swing)
 	single := s.Traffic.RatePerS * (1 - s.Traffic.ClumpShare)
-	st := draw.NewStream(p.Seed, forArrivals)
+	st := seededrand.NewStream(p.Seed, forArrivals)
 	if single > 0 {
 		for at := st.ExpFloat64() / (single * top); at < s.LengthS; at += st.ExpFloat64() / (single * top) {
 			if st.Float64()*top < s.factor(at) { // thinning (Lewis and Shedler, 1979)
@@ -179,7 +179,7 @@
 		}
 	}
 	if rate := s.Traffic.RatePerS * s.Traffic.ClumpShare / float64(s.Traffic.ClumpSize); rate > 0 {
-		st := draw.NewStream(p.Seed, forClumps)
+		st := seededrand.NewStream(p.Seed, forClumps)
 		for at := st.ExpFloat64() / (rate * top); at < s.LengthS; at += st.ExpFloat64() / (rate * top) {
 			if st.Float64()*top >= s.factor(at) {
 				continue
@@ -192,7 +192,7 @@
 			}
 		}
 	}
-	returns := draw.NewStream(p.Seed, forReturns)
+	returns := seededrand.NewStream(p.Seed, forReturns)
 	for part := range p.Specs {
 		x := &s.Partners[of[part]]
 		for range x.ReturnBurst {
@@ -202,7 +202,7 @@
 	slices.SortStableFunc(p.Arrivals, func(a, b Arrival) int { return int(a.At - b.At) })
 	for i := range p.Arrivals {
 		if s.Classes[p.Arrivals[i].Class].Repeat == "keyed" {
-			p.Arrivals[i].Key = fmt.Sprintf("%016x", draw.Hash(p.Seed, forKeys, uint64(i)))
+			p.Arrivals[i].Key = fmt.Sprintf("%016x", seededrand.Hash(p.Seed, forKeys, uint64(i)))
 		}
 	}
 }
@@ -258,7 +258,7 @@
 func (p *Plan) struck(n int, f *Fault) []int {
 	var all []int
 	first := 0
-	st := draw.NewStream(p.Seed, forFaults, uint64(n))
+	st := seededrand.NewStream(p.Seed, forFaults, uint64(n))
 	for i := range p.Specs {
 		x := &p.Specs[i]
 		if p.hit(f, i) {
@@ -344,21 +344,21 @@
 }
 
 // Figures are the plan's figures of the rules.
-func (p *Plan) Figures() referee.Figures {
+func (p *Plan) Figures() checker.Figures {
 	s, r := p.Scenario, &p.Scenario.Rules
-	f := referee.Figures{Relays: s.Relays.Count, Slack: Micros(r.SlackMS), EndSlack: Micros(r.EndSlackMS),
+	f := checker.Figures{Relays: s.Relays.Count, Slack: Micros(r.SlackMS), EndSlack: Micros(r.EndSlackMS),
 		RestartGrace: Micros(r.RestartGraceMS), DrainGrace: Micros(r.DrainGraceMS), WaitPass: Micros(r.WaitPassMS), Guilty: 2.0 / 3,
 		EndedUntried: 0.5, UntriedLeast: 10}
-	repeats := map[string]referee.Repeat{"safe": referee.Safe, "keyed": referee.Keyed, "unsafe": referee.Unsafe}
+	repeats := map[string]checker.Repeat{"safe": checker.Safe, "keyed": checker.Keyed, "unsafe": checker.Unsafe}
 	for _, c := range s.Classes {
-		f.Classes = append(f.Classes, referee.Class{Repeat: repeats[c.Repeat], Window: Micros(c.KeyWindowMS), InOrder: c.InOrder, Rest: Micros(c.RestMS)})
+		f.Classes = append(f.Classes, checker.Class{Repeat: repeats[c.Repeat], Window: Micros(c.KeyWindowMS), InOrder: c.InOrder, Rest: Micros(c.RestMS)})
 	}
 	for _, a := range p.Arrivals {
-		f.Messages = append(f.Messages, referee.Message{Class: a.Class, Dest: a.Dest, Thread: a.Thread})
+		f.Messages = append(f.Messages, checker.Message{Class: a.Class, Dest: a.Dest, Thread: a.Thread})
 	}
 	for _, e := range p.Endpoints {
 		spec := &p.Specs[e.Partner]
-		f.Endpoints = append(f.Endpoints, referee.Endpoint{Name: e.Name, Dest: spec.Dest, Apart: spec.Apart})
+		f.Endpoints = append(f.Endpoints, checker.Endpoint{Name: e.Name, Dest: spec.Dest, Apart: spec.Apart})
 	}
 	return f
 }
--- a/internal/rehearse/scenario/scenario.go
+++ b/internal/rehearsal/scenario/scenario.go
@@ -12,9 +12,9 @@
 
 	"github.com/pelletier/go-toml/v2"
 
-	"troutusher/internal/devca"
-	"troutusher/internal/draw"
-	"troutusher/internal/standin/partner"
+	"troutusher/internal/emulator/endpoint"
+	"troutusher/internal/seededrand"
+	"troutusher/internal/testca"
 	"troutusher/internal/tomlfile"
 )
 
@@ -232,38 +232,38 @@
 }
 
 var faultShapes = map[string]faultShape{
-	string(partner.Vanish):   {partner: true, length: true},
-	string(partner.Crash):    {partner: true, length: true},
-	string(partner.Hang):     {partner: true, length: true},
-	string(partner.Full):     {partner: true, length: true},
-	string(partner.FullWait): {partner: true, length: true, size: true, sizeMin: 0.001},
-	string(partner.Errors):   {partner: true, length: true, share: true},
-	string(partner.Reset):    {partner: true, length: true, share: true},
-	string(partner.Spoilt):   {partner: true, length: true, share: true, form: true},
-	string(partner.Late):     {partner: true, length: true, share: true, size: true},
-	string(partner.Slow):     {partner: true, length: true, size: true, sizeMin: 1},
-	string(partner.Tail):     {partner: true, length: true, share: true, size: true, sizeMin: 1, class: true},
-	Drain:                    {partner: true, length: true},
-	Remove:                   {partner: true, length: true},
-	TLSRotate:                {partner: true, length: true},
-	TLSExpired:               {partner: true, length: true},
-	TLSWrongName:             {partner: true, length: true},
-	TLSWrongRoot:             {partner: true, length: true},
-	TLSReset:                 {partner: true, length: true},
-	TLSForget:                {partner: true, length: true},
-	ListLate:                 {length: true, size: true, sizeMin: 0.001},
-	ListStale:                {length: true},
-	ListSilent:               {length: true},
-	RelayKill:                {length: true},
-	RelayRestart:             {},
-	Upgrade:                  {form: true},
-	DrainRelay:               {length: true},
-	Reload:                   {},
-	FloodSilent:              {length: true, size: true, sizeMin: 1},
-	FloodReturning:           {length: true, size: true, sizeMin: 1},
-	FloodPing:                {length: true, size: true, sizeMin: 1},
-	FloodDrip:                {length: true, size: true, sizeMin: 1},
-	FloodFaulty:              {length: true, size: true, sizeMin: 1},
+	string(endpoint.Vanish):   {partner: true, length: true},
+	string(endpoint.Crash):    {partner: true, length: true},
+	string(endpoint.Hang):     {partner: true, length: true},
+	string(endpoint.Full):     {partner: true, length: true},
+	string(endpoint.FullWait): {partner: true, length: true, size: true, sizeMin: 0.001},
+	string(endpoint.Errors):   {partner: true, length: true, share: true},
+	string(endpoint.Reset):    {partner: true, length: true, share: true},
+	string(endpoint.Spoilt):   {partner: true, length: true, share: true, form: true},
+	string(endpoint.Late):     {partner: true, length: true, share: true, size: true},
+	string(endpoint.Slow):     {partner: true, length: true, size: true, sizeMin: 1},
+	string(endpoint.Tail):     {partner: true, length: true, share: true, size: true, sizeMin: 1, class: true},
+	Drain:                     {partner: true, length: true},
+	Remove:                    {partner: true, length: true},
+	TLSRotate:                 {partner: true, length: true},
+	TLSExpired:                {partner: true, length: true},
+	TLSWrongName:              {partner: true, length: true},
+	TLSWrongRoot:              {partner: true, length: true},
+	TLSReset:                  {partner: true, length: true},
+	TLSForget:                 {partner: true, length: true},
+	ListLate:                  {length: true, size: true, sizeMin: 0.001},
+	ListStale:                 {length: true},
+	ListSilent:                {length: true},
+	RelayKill:                 {length: true},
+	RelayRestart:              {},
+	Upgrade:                   {form: true},
+	DrainRelay:                {length: true},
+	Reload:                    {},
+	FloodSilent:               {length: true, size: true, sizeMin: 1},
+	FloodReturning:            {length: true, size: true, sizeMin: 1},
+	FloodPing:                 {length: true, size: true, sizeMin: 1},
+	FloodDrip:                 {length: true, size: true, sizeMin: 1},
+	FloodFaulty:               {length: true, size: true, sizeMin: 1},
 }
 
 // FaultKinds lists the kinds of fault in order.
@@ -296,7 +296,7 @@
 	if err != nil {
 		return nil, err
 	}
-	c := &checker{check}
+	c := &validator{check}
 	s.fill()
 	c.scenario(s)
 	if err := c.Err(); err != nil {
@@ -367,8 +367,8 @@
 		if faultShapes[f.Kind].share {
 			put(&f.Share, 1)
 		}
-		if f.Kind == string(partner.Spoilt) && f.Form == "" {
-			f.Form = string(partner.Noise)
+		if f.Kind == string(endpoint.Spoilt) && f.Form == "" {
+			f.Form = string(endpoint.Noise)
 		}
 	}
 	put(&s.Traffic.PeriodS, max(s.LengthS, 1))
@@ -382,13 +382,13 @@
 	}
 }
 
-// checker collects what is wrong, each with its key and line.
-type checker struct{ *tomlfile.Checker }
+// validator collects what is wrong, each with its key and line.
+type validator struct{ *tomlfile.Checker }
 
-func (c *checker) wrong(key, format string, a ...any) { c.Errorf(key, format, a...) }
+func (c *validator) wrong(key, format string, a ...any) { c.Errorf(key, format, a...) }
 
 // between checks a figure; NaN and infinities are out of every range.
-func (c *checker) between(key string, v, least, most float64) {
+func (c *validator) between(key string, v, least, most float64) {
 	if !(v >= least && v <= most) {
 		if most == math.MaxFloat64 {
 			c.wrong(key, "%v, want at least %v", v, least)
@@ -398,13 +398,13 @@
 	}
 }
 
-func (c *checker) word(key, v string, among ...string) {
+func (c *validator) word(key, v string, among ...string) {
 	if !slices.Contains(among, v) {
 		c.wrong(key, "%q, want one of %s", v, strings.Join(among, ", "))
 	}
 }
 
-func (c *checker) name(key, v string, seen map[string]bool) {
+func (c *validator) name(key, v string, seen map[string]bool) {
 	switch {
 	case v == "" || len(v) > 64 || strings.ContainsFunc(v, func(r rune) bool { return r <= ' ' || r > '~' || r == ',' || r == '=' }):
 		c.wrong(key, "%q, want a name of 1 to 64 plain characters with no comma and no equals sign", v)
@@ -421,7 +421,7 @@
 	quietMost    = 20_000 // of a list of 4 MB
 )
 
-func (c *checker) scenario(s *Scenario) {
+func (c *validator) scenario(s *Scenario) {
 	switch {
 	case s.Version == 0:
 		c.wrong("version", "missing; this program reads version %d", Version)
@@ -469,7 +469,7 @@
 	c.faults(s, classes, names)
 }
 
-func (c *checker) relays(s *Scenario) {
+func (c *validator) relays(s *Scenario) {
 	r := &s.Relays
 	for _, x := range []struct {
 		key      string
@@ -490,7 +490,7 @@
 	}
 }
 
-func (c *checker) classes(s *Scenario) map[string]bool {
+func (c *validator) classes(s *Scenario) map[string]bool {
 	seen := map[string]bool{}
 	if len(s.Classes) == 0 || len(s.Classes) > 64 {
 		c.wrong("class", "%d classes, want 1 to 64", len(s.Classes))
@@ -513,7 +513,7 @@
 	return seen
 }
 
-func (c *checker) partners(s *Scenario, classes, portals map[string]bool) map[string]bool {
+func (c *validator) partners(s *Scenario, classes, portals map[string]bool) map[string]bool {
 	names, shapes, ends := map[string]bool{}, map[string]bool{}, 0
 	if len(s.Partners) == 0 {
 		c.wrong("partner", "no partners")
@@ -552,23 +552,23 @@
 			c.between(key+"."+x.key, x.v, x.min, x.max)
 		}
 		c.word(key+".routes", p.Routes, "shared", "apart")
-		c.word(key+".dist", p.Dist, string(draw.Constant), string(draw.Exponential), string(draw.LogNormal))
-		c.word(key+".limit", p.Limit, string(partner.NoLimit), string(partner.RateLimit), string(partner.WindowLimit))
-		c.word(key+".cancel", p.Cancel, string(partner.CancelNone), string(partner.CancelQueued), string(partner.CancelAll))
+		c.word(key+".dist", p.Dist, string(seededrand.Constant), string(seededrand.Exponential), string(seededrand.LogNormal))
+		c.word(key+".limit", p.Limit, string(endpoint.NoLimit), string(endpoint.RateLimit), string(endpoint.WindowLimit))
+		c.word(key+".cancel", p.Cancel, string(endpoint.CancelNone), string(endpoint.CancelQueued), string(endpoint.CancelAll))
 		if x := p.TLS; x != nil {
 			c.word(key+".tls.version", x.Version, "", "1.2", "1.3")
-			c.word(key+".tls.key", x.Key, "", string(devca.P256), string(devca.RSA2048), string(devca.Ed25519))
+			c.word(key+".tls.key", x.Key, "", string(testca.P256), string(testca.RSA2048), string(testca.Ed25519))
 			c.between(key+".tls.delay_ms", x.DelayMS, 0, 10_000)
 			c.between(key+".tls.full_weight", x.Full, 0, 100)
 			c.between(key+".tls.resumed", x.Resumed, 0, 100)
 			c.between(key+".tls.told_weight", x.Told, 0, 100)
 			c.between(key+".tls.share", x.Share, 0, 1)
 		}
-		if p.Limit != string(partner.NoLimit) {
+		if p.Limit != string(endpoint.NoLimit) {
 			c.between(key+".limit_per_s", p.LimitPerS, 0.01, 1e6)
 			c.between(key+".limit_depth", p.LimitDepth, 0, 1e6)
 			c.between(key+".window_ms", p.WindowMS, 1, 3600_000)
-			if p.Limit == string(partner.WindowLimit) && p.LimitPerS*p.WindowMS < 1000 {
+			if p.Limit == string(endpoint.WindowLimit) && p.LimitPerS*p.WindowMS < 1000 {
 				c.wrong(key+".window_ms", "%v calls a second are less than one in %v ms: it would take nothing", p.LimitPerS, p.WindowMS)
 			}
 		} else if p.LimitPerS != 0 {
@@ -604,7 +604,7 @@
 	return len(p.Classes) == 0 || slices.Contains(p.Classes, class)
 }
 
-func (c *checker) faults(s *Scenario, classes, names map[string]bool) {
+func (c *validator) faults(s *Scenario, classes, names map[string]bool) {
 	if len(s.Faults) > 10_000 {
 		c.wrong("fault", "%d faults, 10000 at most", len(s.Faults))
 		return
@@ -665,7 +665,7 @@
 				c.word(key+".form", f.Form, KillOld, KillNew)
 			}
 		} else if shape.form {
-			c.word(key+".form", f.Form, string(partner.Noise), string(partner.Head), string(partner.Length), string(partner.Copy))
+			c.word(key+".form", f.Form, string(endpoint.Noise), string(endpoint.Head), string(endpoint.Length), string(endpoint.Copy))
 		} else if f.Form != "" {
 			c.wrong(key+".form", "%s has no form", f.Kind)
 		}
--- a/internal/relay/clients.go
+++ b/internal/relay/clients.go
@@ -8,10 +8,10 @@
 	"strings"
 	"time"
 
+	"troutusher/internal/connlimit"
 	"troutusher/internal/core"
-	"troutusher/internal/front"
-	"troutusher/internal/places"
 	"troutusher/internal/resp"
+	"troutusher/internal/respserver"
 )
 
 // What clients say: the meaning of commands. Their connections are the
@@ -40,9 +40,9 @@
 	replyDraining = "-DRAINING no new connections here for now\r\n"
 )
 
-func busyReply(ms int64) string { return front.BusyReply(ms) }
+func busyReply(ms int64) string { return respserver.BusyReply(ms) }
 
-func errorReply(err error) string { return front.ErrorReply(err) }
+func errorReply(err error) string { return respserver.ErrorReply(err) }
 
 // parsePut reads a handed-in message; what is wrong is named, and nothing is
 // taken.
@@ -125,7 +125,7 @@
 // clientServer makes requests of what clients send.
 type clientServer struct {
 	cfg         *Config
-	server      *front.Server
+	server      *respserver.Server
 	submit      func(*request) // hands it to the loop, which answers
 	lifecycle   *processLifecycle
 	countShed   func(class int)           // a request was refused before the loop saw it
@@ -133,44 +133,44 @@
 }
 
 // newClientServer opens the front that serves clients.
-func newClientServer(cfg *Config, opt front.Options, put func(*request), said func(*request, bool), addrs ...string) (*clientServer, error) {
+func newClientServer(cfg *Config, opt respserver.Options, put func(*request), said func(*request, bool), addrs ...string) (*clientServer, error) {
 	c := &clientServer{cfg: cfg, submit: put, onReplyDone: said}
 	opt.Handler = c.handleCommand
 	var err error
-	c.server, err = front.New(opt, addrs...)
+	c.server, err = respserver.New(opt, addrs...)
 	return c, err
 }
 
 // handleCommand is the front's handler.
-func (c *clientServer) handleCommand(a *front.Command) front.Reply {
+func (c *clientServer) handleCommand(a *respserver.Command) respserver.Reply {
 	switch name := string(bytes.ToUpper(a.Args[0])); name {
 	case "PING":
 		if c.lifecycle != nil && !c.lifecycle.acceptsClients.Load() {
-			return front.Reply{Text: replyDraining, Kind: places.CommandControl}
+			return respserver.Reply{Text: replyDraining, Kind: connlimit.CommandControl}
 		}
 		if len(a.Args) > 1 {
 			p := a.Args[1]
-			return front.Reply{Text: "$" + strconv.Itoa(len(p)) + "\r\n" + string(p) + "\r\n", Kind: places.CommandControl}
+			return respserver.Reply{Text: "$" + strconv.Itoa(len(p)) + "\r\n" + string(p) + "\r\n", Kind: connlimit.CommandControl}
 		}
-		return front.Reply{Text: "+PONG\r\n", Kind: places.CommandControl}
+		return respserver.Reply{Text: "+PONG\r\n", Kind: connlimit.CommandControl}
 	case "MSG.PUT":
 		q, err := c.cfg.parsePut(a.Args, a.ReceivedAt)
 		if err != nil {
-			return front.Reply{Text: errorReply(err)}
+			return respserver.Reply{Text: errorReply(err)}
 		}
 		if a.Shed {
 			if c.countShed != nil {
 				c.countShed(q.Class)
 			}
-			return front.Reply{Text: busyReply(max(a.RetryAfter.Milliseconds(), 1)), Kind: places.CommandRequest}
+			return respserver.Reply{Text: busyReply(max(a.RetryAfter.Milliseconds(), 1)), Kind: connlimit.CommandRequest}
 		}
 		q.Queued = a.QueueDelay.Microseconds()
 		t := a.ID
 		q.sendReply = func(s string) { c.server.SendReply(t, s) }
 		q.onReplyDone = c.onReplyDone
 		c.submit(q)
-		return front.Reply{Kind: places.CommandRequest, Pending: q, PendingBytes: len(q.Record.Body)}
+		return respserver.Reply{Kind: connlimit.CommandRequest, Pending: q, PendingBytes: len(q.Record.Body)}
 	default:
-		return front.Reply{Text: errorReply(fmt.Errorf("unknown command %.32q", name))}
+		return respserver.Reply{Text: errorReply(fmt.Errorf("unknown command %.32q", name))}
 	}
 }
--- a/internal/relay/clients_test.go
+++ b/internal/relay/clients_test.go
@@ -9,13 +9,13 @@
 	"testing"
 	"time"
 
-	"troutusher/decide"
-	"troutusher/internal/places"
+	"troutusher/internal/connlimit"
 	"troutusher/internal/resp"
+	"troutusher/policy"
 )
 
 // serveClients runs the client side alone; put stands for the loop.
-func serveClients(t *testing.T, put func(*request), change ...func(*places.Limits)) (*clientServer, string, chan bool) {
+func serveClients(t *testing.T, put func(*request), change ...func(*connlimit.Limits)) (*clientServer, string, chan bool) {
 	t.Helper()
 	cfg := testConfigParsed(t)
 	opt := cfg.ServerOptions()
@@ -40,13 +40,13 @@
 }
 
 // inspectLimiter is a figure of the account of places.
-func (c *clientServer) inspectLimiter(f func(*places.Limiter) int) (n int) {
-	c.server.Inspect(func(b *places.Limiter) { n = f(b) })
+func (c *clientServer) inspectLimiter(f func(*connlimit.Limiter) int) (n int) {
+	c.server.Inspect(func(b *connlimit.Limiter) { n = f(b) })
 	return n
 }
 
-func connsBetweenRequests(b *places.Limiter) int {
-	return b.Count(places.StateReadingCommand) + b.Count(places.StateAwaitingReply) + b.Count(places.StateReplyingInvalid)
+func connsBetweenRequests(b *connlimit.Limiter) int {
+	return b.Count(connlimit.StateReadingCommand) + b.Count(connlimit.StateAwaitingReply) + b.Count(connlimit.StateReplyingInvalid)
 }
 
 func acceptRequest(q *request) { q.answer(replyOK) }
@@ -194,7 +194,7 @@
 // Guards the limit on descriptors: past it the connection that was idle for
 // longest makes room, and the new one is served.
 func TestConnectionsBounded(t *testing.T) {
-	c, addr, _ := serveClients(t, acceptRequest, func(l *places.Limits) { l.MaxConns = 2 })
+	c, addr, _ := serveClients(t, acceptRequest, func(l *connlimit.Limits) { l.MaxConns = 2 })
 	var all []*testClient
 	for i := range 3 {
 		cl := dialClient(t, addr)
@@ -218,7 +218,9 @@
 // for its answer is left alone.
 func TestPartialCommand(t *testing.T) {
 	got := make(chan *request, 1)
-	c, addr, _ := serveClients(t, func(q *request) { got <- q }, func(l *places.Limits) { l.FirstCommandTimeout, l.CommandTimeout, l.IdleTimeout = 300e3, 300e3, 400e3 })
+	c, addr, _ := serveClients(t, func(q *request) { got <- q }, func(l *connlimit.Limits) {
+		l.FirstCommandTimeout, l.CommandTimeout, l.IdleTimeout = 300e3, 300e3, 400e3
+	})
 	waits, half, silent := dialClient(t, addr), dialClient(t, addr), dialClient(t, addr)
 	later, quiet := dialClient(t, addr), dialClient(t, addr)
 	io.WriteString(waits, encodePut("m", putFields("plain", 8000, 1), nil))
@@ -245,7 +247,7 @@
 	if s := waits.readLine(); s != "+OK" {
 		t.Errorf("answer %q", s)
 	}
-	waitFor(t, "places", func() bool { return c.inspectLimiter((*places.Limiter).InUse) <= 1 })
+	waitFor(t, "places", func() bool { return c.inspectLimiter((*connlimit.Limiter).InUse) <= 1 })
 }
 
 // Guards the places of those that have sent a command against hundreds that
@@ -253,13 +255,13 @@
 // one waits a while and is then closed.
 func TestSilentConnectionFlood(t *testing.T) {
 	hold := make(chan *request, 8)
-	c, addr, _ := serveClients(t, func(q *request) { hold <- q }, func(l *places.Limits) { l.MaxConns, l.MaxUnvalidated, l.FirstCommandTimeout = 8, 4, 300e3 })
+	c, addr, _ := serveClients(t, func(q *request) { hold <- q }, func(l *connlimit.Limits) { l.MaxConns, l.MaxUnvalidated, l.FirstCommandTimeout = 8, 4, 300e3 })
 	usual := dialClient(t, addr)
 	io.WriteString(usual, "*1\r\n$4\r\nPING\r\n")
 	usual.readLine()
 	for range 200 {
 		dialClient(t, addr)
-		if n := c.inspectLimiter((*places.Limiter).InUse); n > 8 {
+		if n := c.inspectLimiter((*connlimit.Limiter).InUse); n > 8 {
 			t.Errorf("%d connections, 8 allowed", n)
 		}
 	}
@@ -267,14 +269,14 @@
 	if s := usual.readLine(); s != "+PONG" {
 		t.Fatalf("the usual client: %q", s)
 	}
-	waitFor(t, "the crowd's end", func() bool { return c.inspectLimiter((*places.Limiter).InUse) <= 1 })
+	waitFor(t, "the crowd's end", func() bool { return c.inspectLimiter((*connlimit.Limiter).InUse) <= 1 })
 	for i := range 8 { // the last takes the place of the usual one, where that is still there
 		cl := dialClient(t, addr)
 		io.WriteString(cl, encodePut("m"+strconv.Itoa(i), putFields("plain", 8000, 1), nil))
 		q := <-hold
 		defer q.answer(replyOK)
 	}
-	if n := c.inspectLimiter((*places.Limiter).InUse); n != 8 {
+	if n := c.inspectLimiter((*connlimit.Limiter).InUse); n != 8 {
 		t.Errorf("%d connections", n)
 	}
 	over := dialClient(t, addr)
@@ -294,7 +296,7 @@
 			return
 		}
 		acceptRequest(q)
-	}, func(l *places.Limits) {
+	}, func(l *connlimit.Limits) {
 		l.SingleUseEvictionThreshold, l.IdleTimeout, l.FirstCommandTimeout = 4, 3600e6, 3600e6
 	}) // nobody is let go for being idle
 	out := 0 // requests that are held
@@ -361,8 +363,8 @@
 	f.Add([]byte(encodePut("m", "c=plain", []byte("b"))))
 	f.Add([]byte(encodePut("m", putFields("keyed", 8000, 1), []byte("b"))))
 	f.Add([]byte(encodePut("m", "c=plain,t=,d=1e400,dest=1,k=", nil)))
-	cfg := &Config{Classes: map[string]int{"plain": 0, "keyed": 1}, Tenants: map[string]int{}, Policy: decide.Settings{
-		Classes: []decide.Class{{Deadline: 8e6}, {Deadline: 8e6, Idempotency: decide.IdempotentByKey}}}}
+	cfg := &Config{Classes: map[string]int{"plain": 0, "keyed": 1}, Tenants: map[string]int{}, Policy: policy.Settings{
+		Classes: []policy.Class{{Deadline: 8e6}, {Deadline: 8e6, Idempotency: policy.IdempotentByKey}}}}
 	f.Fuzz(func(t *testing.T, b []byte) {
 		var r resp.Reader
 		if _, whole, err := r.Feed(b); !whole || err != nil {
--- a/internal/relay/config.go
+++ b/internal/relay/config.go
@@ -11,13 +11,13 @@
 	"syscall"
 	"time"
 
-	"troutusher/decide"
-	"troutusher/internal/dormant"
-	"troutusher/internal/front"
-	"troutusher/internal/operator"
-	"troutusher/internal/places"
+	"troutusher/internal/connlimit"
+	"troutusher/internal/idlestore"
+	"troutusher/internal/operatorconfig"
+	"troutusher/internal/respserver"
 	"troutusher/internal/settings"
 	"troutusher/internal/wire"
+	"troutusher/policy"
 )
 
 // Limits are those of the relay's machine.
@@ -38,15 +38,15 @@
 	Seed              uint64
 	Limits            Limits
 	KnownList         *EndpointList // the list as this relay last had it, maybe old
-	Policy            decide.Settings
-	ClientSettings    operator.Clients   // what the operator's file says; zero where there is none
-	PolicyStatePeriod time.Duration      // between two writes of what was learned; 0 for none
-	Passivation       dormant.Limits     // which destinations are put away
-	MaxListBytes      int                // bytes of discovery's list
-	Etcd              *operator.Etcd     // nil where none is followed
-	TracesPerSecond   int                // messages a second that the log tells of from their hand-in on
-	TLSRules          []operator.TLSRule // likewise
-	Handshakes        operator.Handshakes
+	Policy            policy.Settings
+	ClientSettings    operatorconfig.Clients   // what the operator's file says; zero where there is none
+	PolicyStatePeriod time.Duration            // between two writes of what was learned; 0 for none
+	Passivation       idlestore.Limits         // which destinations are put away
+	MaxListBytes      int                      // bytes of discovery's list
+	Etcd              *operatorconfig.Etcd     // nil where none is followed
+	TracesPerSecond   int                      // messages a second that the log tells of from their hand-in on
+	TLSRules          []operatorconfig.TLSRule // likewise
+	Handshakes        operatorconfig.Handshakes
 	Zones             map[string]int
 	DestinationKinds  map[string]int
 	Classes           map[string]int
@@ -79,11 +79,11 @@
 	if err != nil {
 		return nil, err
 	}
-	own, err := operator.Load(getenv)
+	own, err := operatorconfig.Load(getenv)
 	if err != nil {
-		return nil, fmt.Errorf("%s: %w", operator.EnvVar, err)
+		return nil, fmt.Errorf("%s: %w", operatorconfig.EnvVar, err)
 	}
-	stories, learned, rest, disc := operator.Traces{}, operator.PolicyState{}, operator.Passivation{}, operator.Discovery{}
+	stories, learned, rest, disc := operatorconfig.Traces{}, operatorconfig.PolicyState{}, operatorconfig.Passivation{}, operatorconfig.Discovery{}
 	if own != nil {
 		stories, learned, rest, disc = own.Traces, own.PolicyState, own.Passivation, own.Discovery
 		c.TLSRules, c.Handshakes = own.TLSRules, own.Handshakes
@@ -91,7 +91,7 @@
 			c.Etcd = &own.Etcd
 		}
 		if err := c.applyClientSettings(&own.Clients); err != nil {
-			return nil, fmt.Errorf("%s: %w", operator.EnvVar, err)
+			return nil, fmt.Errorf("%s: %w", operatorconfig.EnvVar, err)
 		}
 	}
 	c.TracesPerSecond = stories.MaxPerSecond()
@@ -101,7 +101,7 @@
 }
 
 // applyClientSettings takes over the operator's file.
-func (c *Config) applyClientSettings(o *operator.Clients) error {
+func (c *Config) applyClientSettings(o *operatorconfig.Clients) error {
 	c.ClientSettings = *o
 	if o.Descriptors > 0 {
 		var limit syscall.Rlimit
@@ -117,9 +117,9 @@
 }
 
 // ServerOptions are those of this relay's machine and operator.
-func (c *Config) ServerOptions() front.Options {
+func (c *Config) ServerOptions() respserver.Options {
 	most, _ := c.DescriptorBudget()
-	l, o := places.DefaultLimits(most, c.Limits.Sockets), &c.ClientSettings
+	l, o := connlimit.DefaultLimits(most, c.Limits.Sockets), &c.ClientSettings
 	if o.MaxUnvalidated > 0 {
 		l.MaxUnvalidated = min(o.MaxUnvalidated, most)
 	}
@@ -133,7 +133,7 @@
 	if o.MemoryMB > 0 {
 		memory = o.MemoryMB << 20
 	}
-	return front.Options{Limits: l, MemoryLimit: memory}
+	return respserver.Options{Limits: l, MemoryLimit: memory}
 }
 
 const clientMemoryDivisor = 8 // clients' commands hold one byte of memory in so many at most
@@ -302,5 +302,5 @@
 }
 
 func (c *Config) NeedsIdempotencyKey(class int) bool {
-	return c.Policy.Classes[class].Idempotency == decide.IdempotentByKey
+	return c.Policy.Classes[class].Idempotency == policy.IdempotentByKey
 }
--- a/internal/relay/config_format_test.go
+++ b/internal/relay/config_format_test.go
@@ -10,7 +10,7 @@
 	"strings"
 	"testing"
 
-	"troutusher/decide"
+	"troutusher/policy"
 )
 
 // environment gives the variables that a process is started with.
@@ -35,18 +35,18 @@
 	if want := `{"revision":12,"complete":true,"members":[{"id":"s-1","host_port":"10.0.0.1:80","locality":"a","flavor":"k","cell":4,"phase":"up","size":40}]}`; err != nil || string(known) != want {
 		t.Errorf("known %s (%v), want %s", known, err, want)
 	}
-	want := decide.Settings{
+	want := policy.Settings{
 		Relays: 3, Zone: 1, MaxConcurrentCalls: 16, MaxPending: 100, MaxAttempts: 8, ExponentialDecay: true, OverQuotaWeight: 0.5, WeightByCost: true,
 		ListHasRates: true, HealthChecks: true, Cancellation: true, SendRetryAfter: true, MaxRetryAfter: 2000000, PollList: true,
 		PollInterval: 250000, ConnectTimeout: 1500000, IdleTimeout: 10000000, StreamsPerConnection: 1, TickInterval: 5000, ReplyGrace: 20000,
 		DrainGrace: 2100000, InitialCapacity: 0.26, RampDuration: 13000000, OverloadFactor: 1.5, OverloadDuration: 2200000, OrderedKeyBackoff: 2300000,
-		Classes: []decide.Class{
-			{Name: "plain", LatencyObjective: 1500000, Deadline: 20000000, Weight: 1, LateWeight: 0.1, Idempotency: decide.Idempotent, DedupWindow: 5000000, Ordered: true},
-			{Name: "keyed", LatencyObjective: 3000000, Deadline: 21000000, Weight: 2, LateWeight: 0.3, Idempotency: decide.IdempotentByKey, DedupWindow: 22000000, DedupPerZone: true},
-			{Name: "once", LatencyObjective: 3500000, Deadline: 23000000, Weight: 3, LateWeight: 0.4, Idempotency: decide.NonIdempotent, DedupWindow: 6000000},
+		Classes: []policy.Class{
+			{Name: "plain", LatencyObjective: 1500000, Deadline: 20000000, Weight: 1, LateWeight: 0.1, Idempotency: policy.Idempotent, DedupWindow: 5000000, Ordered: true},
+			{Name: "keyed", LatencyObjective: 3000000, Deadline: 21000000, Weight: 2, LateWeight: 0.3, Idempotency: policy.IdempotentByKey, DedupWindow: 22000000, DedupPerZone: true},
+			{Name: "once", LatencyObjective: 3500000, Deadline: 23000000, Weight: 3, LateWeight: 0.4, Idempotency: policy.NonIdempotent, DedupWindow: 6000000},
 		},
-		Tenants:          []decide.Tenant{{Name: "acme", Quota: 1000}, {Name: "zeta", Quota: 10}},
-		DestinationKinds: []decide.DestinationKind{{BatchSize: 1}, {BatchSize: 1, IndependentRoutes: true}},
+		Tenants:          []policy.Tenant{{Name: "acme", Quota: 1000}, {Name: "zeta", Quota: 10}},
+		DestinationKinds: []policy.DestinationKind{{BatchSize: 1}, {BatchSize: 1, IndependentRoutes: true}},
 	}
 	if !reflect.DeepEqual(c.Policy, want) {
 		t.Errorf("policy\n%+v\nwant\n%+v", c.Policy, want)
--- a/internal/relay/config_test.go
+++ b/internal/relay/config_test.go
@@ -8,7 +8,7 @@
 	"strings"
 	"testing"
 
-	"troutusher/internal/operator"
+	"troutusher/internal/operatorconfig"
 )
 
 // A bad value stops the start, and the error names its key.
@@ -60,7 +60,7 @@
 func TestOperatorFileOverrides(t *testing.T) {
 	c := testConfigParsed(t)
 	before := c.ServerOptions()
-	if err := c.applyClientSettings(&operator.Clients{Descriptors: 900, MaxConns: 700, MaxUnvalidated: 650, SingleUseEvictionThreshold: 690, IdleTimeoutS: 60, MemoryMB: 3}); err != nil {
+	if err := c.applyClientSettings(&operatorconfig.Clients{Descriptors: 900, MaxConns: 700, MaxUnvalidated: 650, SingleUseEvictionThreshold: 690, IdleTimeoutS: 60, MemoryMB: 3}); err != nil {
 		t.Fatal(err)
 	}
 	o := c.ServerOptions()
@@ -72,8 +72,8 @@
 	if clients != 700 || clients+endpoints+ReservedDescriptors != 900 || endpoints < c.Policy.MaxConcurrentCalls {
 		t.Errorf("budget %d and %d of 900", clients, endpoints)
 	}
-	for key, bad := range map[string]operator.Clients{"clients.places": {Descriptors: 900, MaxConns: 900 - ReservedDescriptors - c.Policy.MaxConcurrentCalls},
-		"clients.descriptors": {Descriptors: operator.MaxDescriptors}} {
+	for key, bad := range map[string]operatorconfig.Clients{"clients.places": {Descriptors: 900, MaxConns: 900 - ReservedDescriptors - c.Policy.MaxConcurrentCalls},
+		"clients.descriptors": {Descriptors: operatorconfig.MaxDescriptors}} {
 		if err := testConfigParsed(t).applyClientSettings(&bad); err == nil || !strings.Contains(err.Error(), key) {
 			t.Errorf("%s: %v", key, err)
 		}
@@ -91,7 +91,7 @@
 	second := ln.Addr().String()
 	ln.Close()
 	path := filepath.Join(t.TempDir(), "operator.toml")
-	env[operator.EnvVar] = path
+	env[operatorconfig.EnvVar] = path
 	if err := os.WriteFile(path, []byte("[clients]\nlisten = [\""+second+"\"]\n"), 0o600); err != nil {
 		t.Fatal(err)
 	}
--- a/internal/relay/console.go
+++ b/internal/relay/console.go
@@ -9,8 +9,8 @@
 	"time"
 
 	"troutusher/internal/console"
-	"troutusher/internal/duty"
-	"troutusher/internal/front"
+	"troutusher/internal/lifecycle"
+	"troutusher/internal/respserver"
 )
 
 // What operators call and see. Nothing here waits for the loop: a drain goes
@@ -23,42 +23,42 @@
 // processLifecycle is the duty of this process, for several goroutines.
 type processLifecycle struct {
 	mu             sync.Mutex
-	machine        duty.Machine
-	server         *front.Server
+	machine        lifecycle.Machine
+	server         *respserver.Server
 	acceptsClients atomic.Bool // new clients are wanted
 }
 
 // transition makes one move and carries out what it asks for.
-func (d *processLifecycle) transition(f func(m *duty.Machine) (duty.Answer, duty.Action)) (bool, string) {
+func (d *processLifecycle) transition(f func(m *lifecycle.Machine) (lifecycle.Answer, lifecycle.Action)) (bool, string) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	a, do := f(&d.machine)
 	d.acceptsClients.Store(d.machine.AcceptsClients())
 	switch {
 	case d.server == nil:
-	case do == duty.CloseClients:
+	case do == lifecycle.CloseClients:
 		d.server.CloseIdleConns()
-	case do == duty.KeepClients:
+	case do == lifecycle.KeepClients:
 		d.server.KeepIdleConns()
 	}
 	return a.OK, a.Reason
 }
 
 // startServing is told when clients can be served.
-func (d *processLifecycle) startServing(f *front.Server) {
-	d.transition(func(m *duty.Machine) (duty.Answer, duty.Action) {
+func (d *processLifecycle) startServing(f *respserver.Server) {
+	d.transition(func(m *lifecycle.Machine) (lifecycle.Answer, lifecycle.Action) {
 		d.server = f
-		return duty.Answer{}, m.StartServing()
+		return lifecycle.Answer{}, m.StartServing()
 	})
 }
 
 func (d *processLifecycle) stop() {
-	d.transition(func(m *duty.Machine) (duty.Answer, duty.Action) { return duty.Answer{}, m.Stop() })
+	d.transition(func(m *lifecycle.Machine) (lifecycle.Answer, lifecycle.Action) { return lifecycle.Answer{}, m.Stop() })
 }
 
 // consoleCalls are what the console may call.
 func (r *Relay) consoleCalls() console.Handlers {
-	told := func(what string, f func(m *duty.Machine) (duty.Answer, duty.Action)) func() (bool, string) {
+	told := func(what string, f func(m *lifecycle.Machine) (lifecycle.Answer, lifecycle.Action)) func() (bool, string) {
 		return func() (bool, string) {
 			yes, why := r.lifecycle.transition(f)
 			r.log.Log(r.ctx, slog.LevelInfo, "console", "call", what, "yes", yes, "why", why)
@@ -67,10 +67,10 @@
 	}
 	return console.Handlers{
 		Ready: func() (bool, string) {
-			return r.lifecycle.transition(func(m *duty.Machine) (duty.Answer, duty.Action) { return m.Ready(), duty.NoAction })
+			return r.lifecycle.transition(func(m *lifecycle.Machine) (lifecycle.Answer, lifecycle.Action) { return m.Ready(), lifecycle.NoAction })
 		},
-		Drain:   told("drain", (*duty.Machine).StartDrain),
-		Undrain: told("undrain", (*duty.Machine).EndDrain),
+		Drain:   told("drain", (*lifecycle.Machine).StartDrain),
+		Undrain: told("undrain", (*lifecycle.Machine).EndDrain),
 		Stats:   r.appendStats,
 	}
 }
--- a/internal/relay/discovery_fixtures_test.go
+++ b/internal/relay/discovery_fixtures_test.go
@@ -18,7 +18,7 @@
 
 	"troutusher/internal/core"
 	"troutusher/internal/membership"
-	"troutusher/internal/operator"
+	"troutusher/internal/operatorconfig"
 	"troutusher/internal/source/registry"
 )
 
@@ -149,7 +149,7 @@
 	var events []core.Event
 	begun := func(dir string) *memberMerger {
 		events = nil
-		m, err := newMemberMerger(&operator.Etcd{}, dir, quietLog(), func(e core.Event) { events = append(events, e) }, func() {})
+		m, err := newMemberMerger(&operatorconfig.Etcd{}, dir, quietLog(), func(e core.Event) { events = append(events, e) }, func() {})
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/internal/relay/endpoints.go
+++ b/internal/relay/endpoints.go
@@ -14,10 +14,10 @@
 	"syscall"
 	"time"
 
-	"troutusher/decide"
 	"troutusher/internal/core"
-	"troutusher/internal/gate"
-	"troutusher/internal/secure"
+	"troutusher/internal/sendgate"
+	"troutusher/internal/tlsdial"
+	"troutusher/policy"
 )
 
 const (
@@ -37,7 +37,7 @@
 
 // Call is one call out.
 type Call struct {
-	SendBy        decide.Time // its last byte goes out by then or never; 0 for any time
+	SendBy        policy.Time // its last byte goes out by then or never; 0 for any time
 	OnSent        func()      // told once its last byte is written; may be nil
 	ctx           context.Context
 	cancel        context.CancelCauseFunc
@@ -52,13 +52,13 @@
 
 // Result is what became of a call or a probe.
 type Result struct {
-	Outcome           decide.Outcome
-	RetryAfter        decide.Time
+	Outcome           policy.Outcome
+	RetryAfter        policy.Time
 	SlotsExhausted    bool // not sent, since all slots were taken
 	ConnectionsOpened int  // connections over TLS that were opened for it
 	Final             bool // the message is over
-	Elapsed           decide.Time
-	Load              decide.LoadReport
+	Elapsed           policy.Time
+	Load              policy.LoadReport
 	Status            int
 	Malformed         bool // an answer came and cannot be believed
 	Err               error
@@ -95,27 +95,27 @@
 	began := time.Now()
 	ctx, cancel := context.WithTimeoutCause(c.ctx, limit, context.DeadlineExceeded)
 	defer cancel()
-	end := func(what decide.Outcome, err error) {
+	end := func(what policy.Outcome, err error) {
 		tell(Result{Outcome: what, Err: err, Elapsed: time.Since(began).Microseconds()})
 	}
 	req, err := newCallRequest(h.addr, rec.ID, rec.Key, rec.Body, limit)
 	if err != nil {
-		end(decide.NotSent, err)
+		end(policy.NotSent, err)
 		return
 	}
 	var text bytes.Buffer
 	if err := req.Write(&text); err != nil {
-		end(decide.NotSent, err)
+		end(policy.NotSent, err)
 		return
 	}
 	conn, what, err := c.send(ctx, h, text.Bytes())
 	if err != nil {
 		if errors.Is(context.Cause(c.ctx), errHandedOver) {
-			what = decide.NotSent
+			what = policy.NotSent
 		}
-		wait := decide.Time(0) // after which it may be tried again
+		wait := policy.Time(0) // after which it may be tried again
 		var turn handshakeBudgetError
-		var held gate.RetryAfterError
+		var held sendgate.RetryAfterError
 		switch {
 		case errors.As(err, &turn):
 			wait = turn.retryAfter.Microseconds()
@@ -145,13 +145,13 @@
 	keep := readResponse(conn, req, loads, func(o Result) {
 		told, o.ConnectionsOpened = true, c.connRequest.opened
 		o.Elapsed = time.Since(began).Microseconds()
-		if o.Outcome == decide.ConnectionReset {
+		if o.Outcome == policy.ConnectionReset {
 			o.Outcome = c.outcomeWithoutResponse(ctx)
 		}
 		if conn.tls != nil && o.Err != nil { // its word that it does not accept us may come late: the next call is spared
 			conn.tls.Endpoint().RecordAlert(o.Err)
 		}
-		if o.Outcome != decide.Delivered && (o.Err != nil || o.Malformed) {
+		if o.Outcome != policy.Delivered && (o.Err != nil || o.Malformed) {
 			// What is told now may go out again at once, and the endpoint counts two
 			// copies for as long as this connection is open.
 			conn.discard()
@@ -175,20 +175,20 @@
 // send gets a connection and writes the call to it. With an error, its last
 // byte was not written. A connection that turns out to be of no use before
 // then is replaced: nothing of the call counts so far.
-func (c *Call) send(ctx context.Context, h *Endpoint, text []byte) (*poolConn, decide.Outcome, error) {
+func (c *Call) send(ctx context.Context, h *Endpoint, text []byte) (*poolConn, policy.Outcome, error) {
 	pass, err := h.gate.Acquire(h.pool.now(), c.cancel)
 	if err != nil {
-		return nil, decide.NotSent, err
+		return nil, policy.NotSent, err
 	}
 	defer pass.Release()
 	pass.SendBy = c.SendBy
 	for left := maxConnAttempts - 1; ; left-- {
 		conn, err := h.acquire(ctx, &c.connRequest)
 		if why := pass.StopReason(); err != nil && (why != nil || notAttempted(err)) {
-			return nil, decide.NotSent, cmp.Or(why, err)
+			return nil, policy.NotSent, cmp.Or(why, err)
 		}
 		if err != nil {
-			return nil, decide.ConnectFailed, err
+			return nil, policy.ConnectFailed, err
 		}
 		conn.remaining = maxResponseBytes
 		stop := context.AfterFunc(ctx, func() { conn.SetDeadline(pastDeadline) })
@@ -202,16 +202,16 @@
 		} else {
 			conn.discard()
 		}
-		if gate.IsRefusal(err) {
-			return nil, decide.NotSent, err
+		if sendgate.IsRefusal(err) {
+			return nil, policy.NotSent, err
 		}
 		if conn.tls != nil {
 			if out, refused := conn.tls.Endpoint().RecordAlert(err); refused { // it has closed on who we are: nothing ran
-				return nil, decide.NotSent, out
+				return nil, policy.NotSent, out
 			}
 		}
 		if left == 0 || ctx.Err() != nil {
-			return nil, decide.ConnectFailed, err
+			return nil, policy.ConnectFailed, err
 		}
 		pass.Restart()
 	}
@@ -220,20 +220,20 @@
 // notAttempted reports whether there is no connection for a reason that is not the
 // endpoint's health.
 func notAttempted(err error) bool {
-	var out *secure.RejectedError
+	var out *tlsdial.RejectedError
 	var turn handshakeBudgetError
-	return err == errPoolFull || gate.IsRefusal(err) || err == errConnectNotAllowed || errors.As(err, &out) || errors.As(err, &turn)
+	return err == errPoolFull || sendgate.IsRefusal(err) || err == errConnectNotAllowed || errors.As(err, &out) || errors.As(err, &turn)
 }
 
 // outcomeWithoutResponse maps a call that was written and has no answer.
-func (c *Call) outcomeWithoutResponse(ctx context.Context) decide.Outcome {
+func (c *Call) outcomeWithoutResponse(ctx context.Context) policy.Outcome {
 	switch {
 	case errors.Is(context.Cause(ctx), ErrCancelled):
-		return decide.Cancelled
+		return policy.Cancelled
 	case ctx.Err() != nil:
-		return decide.TimedOut
+		return policy.TimedOut
 	}
-	return decide.ConnectionReset
+	return policy.ConnectionReset
 }
 
 // readResponse reads an answer and tells its outcome: a first line with 200 is
@@ -258,9 +258,9 @@
 			err = errors.New("too many answers ahead of the last")
 		}
 		if err != nil {
-			o := Result{Outcome: decide.ConnectionReset, Err: err}
+			o := Result{Outcome: policy.ConnectionReset, Err: err}
 			if begun && !errors.Is(err, io.EOF) && !errors.Is(err, syscall.ECONNRESET) {
-				o.Outcome, o.Malformed = decide.Failed, true
+				o.Outcome, o.Malformed = policy.Failed, true
 			}
 			tell(o)
 			return false
@@ -270,16 +270,16 @@
 		}
 		// The answer itself may come much later than what is ahead of it.
 		if err := skipHead(conn.reader); err != nil || !stop() {
-			tell(Result{Outcome: decide.Failed, Malformed: true, Err: err})
+			tell(Result{Outcome: policy.Failed, Malformed: true, Err: err})
 			return false
 		}
 		begun = false
 	}
 	if status == http.StatusOK {
-		tell(Result{Outcome: decide.Delivered, Final: true, Status: status})
+		tell(Result{Outcome: policy.Delivered, Final: true, Status: status})
 	}
 	resp, err := http.ReadResponse(conn.reader, req)
-	told := decide.Time(0)
+	told := policy.Time(0)
 	if err == nil {
 		if status == http.StatusTooManyRequests {
 			// It binds from here on, whatever becomes of the rest of the answer.
@@ -305,7 +305,7 @@
 		o.Err = o.readHead(resp.Header)
 	}
 	if o.Err != nil {
-		o.Outcome, o.Malformed, o.RetryAfter, o.SlotsExhausted, o.Final = decide.Failed, true, told, false, false
+		o.Outcome, o.Malformed, o.RetryAfter, o.SlotsExhausted, o.Final = policy.Failed, true, told, false, false
 	}
 	tell(o)
 	return o.Err == nil && !resp.Close
@@ -326,23 +326,23 @@
 		if err != nil {
 			return err
 		}
-		o.Outcome, o.RetryAfter = decide.Rejected, wait
+		o.Outcome, o.RetryAfter = policy.Rejected, wait
 	case http.StatusServiceUnavailable:
-		if o.Outcome = decide.Rejected; head.Get("Slots-Taken") == "1" {
-			o.Outcome, o.SlotsExhausted = decide.NotSent, true
+		if o.Outcome = policy.Rejected; head.Get("Slots-Taken") == "1" {
+			o.Outcome, o.SlotsExhausted = policy.NotSent, true
 		}
 	case http.StatusGatewayTimeout: // has had all its attempts
-		o.Outcome = decide.NotSent
+		o.Outcome = policy.NotSent
 	case http.StatusGone:
-		o.Outcome, o.Final = decide.NotSent, true
+		o.Outcome, o.Final = policy.NotSent, true
 	default: // 500, and what no page names: it may have run
-		o.Outcome = decide.Failed
+		o.Outcome = policy.Failed
 	}
 	return nil
 }
 
 // parseRetryAfter reads seconds with decimals. None told is no wait.
-func parseRetryAfter(s string) (decide.Time, error) {
+func parseRetryAfter(s string) (policy.Time, error) {
 	if s = strings.TrimSpace(s); s == "" {
 		return 0, nil
 	}
@@ -350,11 +350,11 @@
 	if err != nil || !(v >= 0 && v <= maxRetryAfter.Seconds()) {
 		return 0, fmt.Errorf("Retry-After: %.40q", s)
 	}
-	return decide.Time(v * 1e6), nil
+	return policy.Time(v * 1e6), nil
 }
 
 // parseLoad reads a report such as x0=0.4,x1=25.
-func parseLoad(s string, fields []string) (l decide.LoadReport) {
+func parseLoad(s string, fields []string) (l policy.LoadReport) {
 	if len(fields) == 0 {
 		return l
 	}
@@ -379,7 +379,7 @@
 	began := time.Now()
 	ctx, cancel := context.WithTimeout(ctx, healthCheckTimeout)
 	defer cancel()
-	o := Result{Outcome: decide.NotSent}
+	o := Result{Outcome: policy.NotSent}
 	if o.Err = func() error {
 		req, err := http.NewRequest(http.MethodGet, "http://"+h.addr+healthPath, nil)
 		if err != nil {
@@ -398,7 +398,7 @@
 		if why := pass.StopReason(); err != nil && (why != nil || notAttempted(err)) {
 			return cmp.Or(why, err)
 		}
-		if o.Outcome = decide.ConnectFailed; err != nil {
+		if o.Outcome = policy.ConnectFailed; err != nil {
 			return err
 		}
 		conn.remaining = maxResponseBytes
@@ -406,8 +406,8 @@
 		keep := false
 		if _, err = conn.writeRequest(ctx, pass, text.Bytes()); err == nil {
 			keep = readResponse(conn, req, nil, func(x Result) { o.Outcome, o.Status, err = x.Outcome, x.Status, x.Err })
-		} else if gate.IsRefusal(err) {
-			o.Outcome = decide.NotSent
+		} else if sendgate.IsRefusal(err) {
+			o.Outcome = policy.NotSent
 		}
 		if !unwatch() || !keep {
 			conn.discard()
@@ -415,8 +415,8 @@
 			conn.release()
 		}
 		return err
-	}(); ctx.Err() != nil && o.Status == 0 && !gate.IsRefusal(o.Err) {
-		o.Outcome = decide.TimedOut
+	}(); ctx.Err() != nil && o.Status == 0 && !sendgate.IsRefusal(o.Err) {
+		o.Outcome = policy.TimedOut
 	}
 	o.Elapsed = time.Since(began).Microseconds()
 	return o
--- a/internal/relay/endpoints_test.go
+++ b/internal/relay/endpoints_test.go
@@ -11,7 +11,7 @@
 	"testing"
 	"time"
 
-	"troutusher/decide"
+	"troutusher/policy"
 )
 
 func testConfigParsed(t *testing.T) *Config {
@@ -113,25 +113,25 @@
 	}
 	for name, x := range map[string]struct {
 		serve   func(net.Conn)
-		what    decide.Outcome
-		wait    decide.Time
+		what    policy.Outcome
+		wait    policy.Time
 		slots   bool
 		settled bool
 	}{
-		"delivered":          {serve: say("HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok"), what: decide.Delivered, settled: true},
-		"delivered, cut":     {serve: say("HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nok"), what: decide.Delivered, settled: true},
-		"error":              {serve: say("HTTP/1.1 500 E\r\nContent-Length: 0\r\n\r\n"), what: decide.Failed},
-		"told to wait":       {serve: say("HTTP/1.1 429 W\r\nRetry-After: 0.75\r\nContent-Length: 0\r\n\r\n"), what: decide.Rejected, wait: 750000},
-		"full":               {serve: say("HTTP/1.1 503 F\r\nContent-Length: 0\r\n\r\n"), what: decide.Rejected},
-		"slots taken":        {serve: say("HTTP/1.1 503 F\r\nSlots-Taken: 1\r\nContent-Length: 0\r\n\r\n"), what: decide.NotSent, slots: true},
-		"attempts used up":   {serve: say("HTTP/1.1 504 A\r\nContent-Length: 0\r\n\r\n"), what: decide.NotSent},
-		"over":               {serve: say("HTTP/1.1 410 G\r\nContent-Length: 0\r\n\r\n"), what: decide.NotSent, settled: true},
-		"no page names it":   {serve: say("HTTP/1.1 418 T\r\nContent-Length: 0\r\n\r\n"), what: decide.Failed},
-		"no redirect":        {serve: say("HTTP/1.1 307 R\r\nLocation: /x\r\nContent-Length: 0\r\n\r\n"), what: decide.Failed},
-		"broken after":       {serve: say(""), what: decide.ConnectionReset},
-		"nonsense":           {serve: say("what?\r\n\r\n"), what: decide.Failed},
-		"half an answer":     {serve: say("HTTP/1.1 20"), what: decide.ConnectionReset},
-		"first a hint, then": {serve: say("HTTP/1.1 100 C\r\n\r\nHTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n"), what: decide.Delivered, settled: true},
+		"delivered":          {serve: say("HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok"), what: policy.Delivered, settled: true},
+		"delivered, cut":     {serve: say("HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nok"), what: policy.Delivered, settled: true},
+		"error":              {serve: say("HTTP/1.1 500 E\r\nContent-Length: 0\r\n\r\n"), what: policy.Failed},
+		"told to wait":       {serve: say("HTTP/1.1 429 W\r\nRetry-After: 0.75\r\nContent-Length: 0\r\n\r\n"), what: policy.Rejected, wait: 750000},
+		"full":               {serve: say("HTTP/1.1 503 F\r\nContent-Length: 0\r\n\r\n"), what: policy.Rejected},
+		"slots taken":        {serve: say("HTTP/1.1 503 F\r\nSlots-Taken: 1\r\nContent-Length: 0\r\n\r\n"), what: policy.NotSent, slots: true},
+		"attempts used up":   {serve: say("HTTP/1.1 504 A\r\nContent-Length: 0\r\n\r\n"), what: policy.NotSent},
+		"over":               {serve: say("HTTP/1.1 410 G\r\nContent-Length: 0\r\n\r\n"), what: policy.NotSent, settled: true},
+		"no page names it":   {serve: say("HTTP/1.1 418 T\r\nContent-Length: 0\r\n\r\n"), what: policy.Failed},
+		"no redirect":        {serve: say("HTTP/1.1 307 R\r\nLocation: /x\r\nContent-Length: 0\r\n\r\n"), what: policy.Failed},
+		"broken after":       {serve: say(""), what: policy.ConnectionReset},
+		"nonsense":           {serve: say("what?\r\n\r\n"), what: policy.Failed},
+		"half an answer":     {serve: say("HTTP/1.1 20"), what: policy.ConnectionReset},
+		"first a hint, then": {serve: say("HTTP/1.1 100 C\r\n\r\nHTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n"), what: policy.Delivered, settled: true},
 	} {
 		t.Run(name, func(t *testing.T) {
 			h := w.endpoint(testPool(t), w.serve(t, x.serve))
@@ -155,7 +155,7 @@
 	}
 	refused := ln.Addr().String()
 	ln.Close()
-	if o := newTestCall().complete(t, w.endpoint(p, refused), &record{ID: "m"}, testLimit); o.Outcome != decide.ConnectFailed {
+	if o := newTestCall().complete(t, w.endpoint(p, refused), &record{ID: "m"}, testLimit); o.Outcome != policy.ConnectFailed {
 		t.Errorf("refused: %+v", o)
 	}
 	gone := make(chan struct{}, 2)
@@ -167,14 +167,14 @@
 		in.ReadByte() // until the caller closes
 		gone <- struct{}{}
 	})
-	if o := newTestCall().complete(t, w.endpoint(p, silent), &record{ID: "m"}, 50*time.Millisecond); o.Outcome != decide.TimedOut {
+	if o := newTestCall().complete(t, w.endpoint(p, silent), &record{ID: "m"}, 50*time.Millisecond); o.Outcome != policy.TimedOut {
 		t.Errorf("silent: %+v", o)
 	}
 	<-entered
 	<-gone // giving up closes the connection
 	c := newTestCall()
 	go func() { <-entered; c.cancel(ErrCancelled) }()
-	if o := c.complete(t, w.endpoint(p, silent), &record{ID: "m"}, testLimit); o.Outcome != decide.Cancelled {
+	if o := c.complete(t, w.endpoint(p, silent), &record{ID: "m"}, testLimit); o.Outcome != policy.Cancelled {
 		t.Errorf("cancelled: %+v", o)
 	}
 	<-gone
@@ -199,11 +199,11 @@
 			})
 			h := w.endpoint(testPool(t), addr)
 			rec := &record{ID: "m", Key: "k", Body: body}
-			if o := newTestCall().complete(t, h, rec, testLimit); o.Outcome != decide.Delivered {
+			if o := newTestCall().complete(t, h, rec, testLimit); o.Outcome != policy.Delivered {
 				t.Fatalf("first: %+v", o)
 			}
 			waitReusable(h)
-			if o := newTestCall().complete(t, h, rec, testLimit); o.Outcome != decide.ConnectionReset {
+			if o := newTestCall().complete(t, h, rec, testLimit); o.Outcome != policy.ConnectionReset {
 				t.Errorf("second: %+v", o)
 			}
 			if n := calls.Load(); n != 2 {
@@ -231,7 +231,7 @@
 	}
 	c := newTestCall()
 	go func() { <-dialing; h.Close(); close(release) }()
-	if o := c.complete(t, h, &record{ID: "m"}, testLimit); o.Outcome != decide.NotSent {
+	if o := c.complete(t, h, &record{ID: "m"}, testLimit); o.Outcome != policy.NotSent {
 		t.Errorf("got %+v", o)
 	}
 	if n := ep.count("m"); n != 0 {
@@ -240,7 +240,7 @@
 	// The word may also come just as the connection does.
 	h = p.newEndpoint(ep.addr())
 	h.Close()
-	if o := newTestCall().complete(t, h, &record{ID: "late"}, testLimit); o.Outcome != decide.NotSent || ep.count("late") != 0 {
+	if o := newTestCall().complete(t, h, &record{ID: "late"}, testLimit); o.Outcome != policy.NotSent || ep.count("late") != 0 {
 		t.Errorf("got %+v, and %d calls", o, ep.count("late"))
 	}
 }
@@ -274,7 +274,7 @@
 			}()
 		}
 		for range burst {
-			if o := <-done; o.Outcome != decide.Delivered {
+			if o := <-done; o.Outcome != policy.Delivered {
 				t.Fatalf("round %d: %+v", round, o)
 			}
 			<-ended
@@ -290,7 +290,7 @@
 }
 
 func TestParseRetryAfter(t *testing.T) {
-	for s, want := range map[string]decide.Time{"1.5": 1500000, " 2 ": 2000000, "": 0, "0": 0, "soon": -1, "-1": -1, "NaN": -1, "Inf": -1, "1e99": -1} {
+	for s, want := range map[string]policy.Time{"1.5": 1500000, " 2 ": 2000000, "": 0, "0": 0, "soon": -1, "-1": -1, "NaN": -1, "Inf": -1, "1e99": -1} {
 		got, err := parseRetryAfter(s)
 		if (err != nil) != (want < 0) || err == nil && got != want {
 			t.Errorf("%q: %d, %v, want %d", s, got, err, want)
@@ -300,18 +300,18 @@
 
 func TestParseLoad(t *testing.T) {
 	fields := []string{"x0", "x1"}
-	for s, want := range map[string]decide.LoadReport{"x0=0.4,x1=25": {Remaining: 0.4, Limit: 25}, "x1=3": {Limit: 3}, "": {}, "x0=?,x1=-2": {}, "x1=NaN": {}, "x1=Inf,x0=+Inf": {}, "x1=1e300": {}} {
+	for s, want := range map[string]policy.LoadReport{"x0=0.4,x1=25": {Remaining: 0.4, Limit: 25}, "x1=3": {Limit: 3}, "": {}, "x0=?,x1=-2": {}, "x1=NaN": {}, "x1=Inf,x0=+Inf": {}, "x1=1e300": {}} {
 		if got := parseLoad(s, fields); got != want {
 			t.Errorf("%q: %+v", s, got)
 		}
 	}
-	if got := parseLoad("x0=1", nil); got != (decide.LoadReport{}) {
+	if got := parseLoad("x0=1", nil); got != (policy.LoadReport{}) {
 		t.Errorf("a report where none is due: %+v", got)
 	}
 }
 
 func TestCheckHealth(t *testing.T) {
-	for code, want := range map[int]decide.Outcome{200: decide.Delivered, 503: decide.Rejected, 404: decide.Failed} {
+	for code, want := range map[int]policy.Outcome{200: policy.Delivered, 503: policy.Rejected, 404: policy.Failed} {
 		ep := newFakeEndpoint(t, respondStatus(code))
 		if o := checkHealth(context.Background(), testPool(t).newEndpoint(ep.addr())); o.Outcome != want {
 			t.Errorf("%d: %+v", code, o)
--- a/internal/relay/golden_calls_test.go
+++ b/internal/relay/golden_calls_test.go
@@ -13,8 +13,8 @@
 	"testing"
 	"time"
 
-	"troutusher/decide"
-	"troutusher/internal/gate"
+	"troutusher/internal/sendgate"
+	"troutusher/policy"
 )
 
 // The forms that endpoints see and send, as files recorded from an earlier build
@@ -120,8 +120,8 @@
 	Reusable   bool    `json:"reusable"` // the connection
 }
 
-var outcomeNames = map[decide.Outcome]string{decide.Delivered: "delivered", decide.Failed: "failed", decide.Rejected: "rejected",
-	decide.TimedOut: "timed out", decide.ConnectFailed: "connect failed", decide.ConnectionReset: "reset", decide.Cancelled: "cancelled", decide.NotSent: "not sent"}
+var outcomeNames = map[policy.Outcome]string{policy.Delivered: "delivered", policy.Failed: "failed", policy.Rejected: "rejected",
+	policy.TimedOut: "timed out", policy.ConnectFailed: "connect failed", policy.ConnectionReset: "reset", policy.Cancelled: "cancelled", policy.NotSent: "not sent"}
 
 // answered has a recorded answer read as that to a call.
 func answered(t *testing.T, answer string) recordedAnswer {
@@ -132,7 +132,7 @@
 		there.Close()
 	}()
 	p := testPool(t)
-	p.now = func() decide.Time { return 1000 }
+	p.now = func() policy.Time { return 1000 }
 	h := p.newEndpoint("endpoint.example.org:8080")
 	p.open++
 	conn := &poolConn{Conn: here, endpoint: h, remaining: maxResponseBytes}
@@ -176,10 +176,10 @@
 // TestGoldenErrorTexts compares the texts of errors that go into message traces.
 func TestGoldenErrorTexts(t *testing.T) {
 	got := []string{}
-	for _, err := range []error{gate.ErrEndpointDraining, gate.RetryAfterError{Remaining: 1234567}, gate.ErrDedupWindowExpired, errPoolFull, errResponseTooLarge, errStaleConn, ErrCancelled, errConnectNotAllowed,
+	for _, err := range []error{sendgate.ErrEndpointDraining, sendgate.RetryAfterError{Remaining: 1234567}, sendgate.ErrDedupWindowExpired, errPoolFull, errResponseTooLarge, errStaleConn, ErrCancelled, errConnectNotAllowed,
 		handshakeBudgetError{1234567 * time.Microsecond}} {
 		got = append(got, err.Error())
-		if refusal := gate.IsRefusal(err); refusal != (len(got) <= 3) {
+		if refusal := sendgate.IsRefusal(err); refusal != (len(got) <= 3) {
 			t.Errorf("%v is a refusal of the send gate: %v", err, refusal)
 		}
 	}
--- a/internal/relay/handover.go
+++ b/internal/relay/handover.go
@@ -13,12 +13,12 @@
 
 	"golang.org/x/sys/unix"
 
-	"troutusher/decide"
 	"troutusher/internal/core"
-	"troutusher/internal/duty"
-	"troutusher/internal/front"
-	"troutusher/internal/takeover"
-	"troutusher/internal/takeover/link"
+	"troutusher/internal/handover"
+	"troutusher/internal/handover/link"
+	"troutusher/internal/lifecycle"
+	"troutusher/internal/respserver"
+	"troutusher/policy"
 )
 
 // The hand-over to a process that is started beside this one, and the taking
@@ -84,7 +84,7 @@
 type inheritedState struct {
 	handoverState
 	listeners []int
-	clients   []front.ConnSnapshot
+	clients   []respserver.ConnSnapshot
 	calls     map[string]int // a descriptor for each message whose call is out
 	lock      *os.File       // as the giver has it: one lock, held by both
 	conn      *link.Conn
@@ -170,25 +170,25 @@
 // for it.
 func (r *Relay) acquireState(ready func()) (*inheritedState, error) {
 	end := time.Now().Add(acquireTimeout)
-	var t takeover.Incoming
+	var t handover.Incoming
 	h := &inheritedState{}
-	look := func() takeover.IncomingAction {
+	look := func() handover.IncomingAction {
 		if r.lock.tryAcquire() {
-			return t.Step(takeover.LockAcquired)
+			return t.Step(handover.LockAcquired)
 		}
-		return t.Step(takeover.LockHeld)
+		return t.Step(handover.LockHeld)
 	}
 	var why error
-	gone := func(err error) takeover.IncomingAction {
+	gone := func(err error) handover.IncomingAction {
 		why = err
-		return t.Step(takeover.PredecessorLost)
+		return t.Step(handover.PredecessorLost)
 	}
 	for do := look(); ; {
 		switch do {
-		case takeover.StartFromLog:
+		case handover.StartFromLog:
 			h.close()
 			return nil, nil
-		case takeover.Connect:
+		case handover.Connect:
 			l, err := connectToOwner(r.cfg.State, end)
 			if err != nil {
 				do = gone(err)
@@ -196,36 +196,36 @@
 			}
 			h.conn = l
 			hitFailpoint(failpointIncomingConnected)
-			do = t.Step(takeover.Connected)
-		case takeover.RequestState:
+			do = t.Step(handover.Connected)
+		case handover.RequestState:
 			ready()
 			hitFailpoint(failpointIncomingListReceived)
-			if err := h.receive(end, func() { t.Step(takeover.FirstPacketReceived) }); err != nil {
+			if err := h.receive(end, func() { t.Step(handover.FirstPacketReceived) }); err != nil {
 				do = gone(err)
 				break
 			}
 			hitFailpoint(failpointIncomingAllReceived)
-			do = t.Step(takeover.AllReceived)
-		case takeover.AdoptLock:
+			do = t.Step(handover.AllReceived)
+		case handover.AdoptLock:
 			if h.lock == nil {
-				do = t.Step(takeover.TimedOut)
+				do = t.Step(handover.TimedOut)
 				break
 			}
 			r.lock.adopt(h.lock)
 			h.lock = nil
 			hitFailpoint(failpointIncomingLockAdopted)
-			do = t.Step(takeover.LockAdopted)
-		case takeover.SendClaim:
+			do = t.Step(handover.LockAdopted)
+		case handover.SendClaim:
 			if err := h.conn.Send(packetClaim, nil, time.Now().Add(packetTimeout)); err != nil {
 				do = gone(err)
 				break
 			}
 			hitFailpoint(failpointIncomingClaimSent)
-			do = t.Step(takeover.ClaimSent)
-		case takeover.TakeOver:
+			do = t.Step(handover.ClaimSent)
+		case handover.TakeOver:
 			r.incoming = t
 			return h, nil
-		case takeover.RetryLock:
+		case handover.RetryLock:
 			h.close()
 			if err := r.lock.release(); err != nil {
 				return nil, err
@@ -319,7 +319,7 @@
 	case packetListeners:
 		h.listeners = append(h.listeners, fds...)
 	case packetClients:
-		var conns []front.ConnSnapshot
+		var conns []respserver.ConnSnapshot
 		if err := json.Unmarshal(body, &conns); err != nil || len(conns) != len(fds) {
 			return wrong(err)
 		}
@@ -412,31 +412,31 @@
 	defer t.close()
 	began := time.Now()
 	hitFailpoint(failpointOutgoingRequested)
-	var g takeover.Outgoing
+	var g handover.Outgoing
 	if !r.lifecycle.startHandover() {
 		t.conn.Send(packetReject, nil, time.Now().Add(packetTimeout))
 		return nil
 	}
-	for do := g.Step(takeover.HandoverRequested); ; {
+	for do := g.Step(handover.HandoverRequested); ; {
 		switch do {
-		case takeover.Quiesce:
+		case handover.Quiesce:
 			if err := r.quiesce(cl); err != nil {
 				r.log.Warn("hand-over: not at rest", "err", err)
 				t.conn.Send(packetReject, nil, time.Now().Add(packetTimeout))
-				do = g.Step(takeover.QuiesceTimedOut)
+				do = g.Step(handover.QuiesceTimedOut)
 				break
 			}
-			do = g.Step(takeover.Quiesced)
-		case takeover.SendState:
+			do = g.Step(handover.Quiesced)
+		case handover.SendState:
 			if err := r.sendState(t.conn, cl); err != nil {
 				r.log.Warn("hand-over: broken", "err", err)
-				do = g.Step(takeover.SuccessorLost)
+				do = g.Step(handover.SuccessorLost)
 				break
 			}
 			hitFailpoint(failpointOutgoingAllSent)
-			g.Step(takeover.StateSent)
-			do = r.awaitPacket(t.conn, &g, takeover.OwnershipClaimed, packetClaim, claimTimeout)
-		case takeover.ReleaseResources:
+			g.Step(handover.StateSent)
+			do = r.awaitPacket(t.conn, &g, handover.OwnershipClaimed, packetClaim, claimTimeout)
+		case handover.ReleaseResources:
 			r.log.Info("hand-over: it is the other's", "took_ms", time.Since(began).Milliseconds(), "held", r.core.HeldMessages())
 			hitFailpoint(failpointOutgoingClaimed)
 			r.releaseResources(cl)
@@ -444,23 +444,23 @@
 				return err
 			}
 			hitFailpoint(failpointOutgoingReleased)
-			do = r.awaitPacket(t.conn, &g, takeover.SuccessorServing, packetServing, servingTimeout)
-		case takeover.TryLock:
+			do = r.awaitPacket(t.conn, &g, handover.SuccessorServing, packetServing, servingTimeout)
+		case handover.TryLock:
 			switch {
 			case r.lock.tryAcquire():
-				do = g.Step(takeover.LockRegained)
+				do = g.Step(handover.LockRegained)
 			case r.stopRequested():
 				return errHandoverComplete
 			default:
 				time.Sleep(lockRetryInterval)
-				do = g.Step(takeover.LockUnavailable)
+				do = g.Step(handover.LockUnavailable)
 			}
-		case takeover.ResumeServing:
+		case handover.ResumeServing:
 			r.resumeServing(cl)
 			return nil
-		case takeover.RestartFromLog:
+		case handover.RestartFromLog:
 			return errRestartFromLog // which lets the lock go
-		case takeover.Exit:
+		case handover.Exit:
 			r.forwardReload(t)
 			return errHandoverComplete
 		default:
@@ -473,18 +473,18 @@
 
 // awaitPacket waits for a word. Where it does not come, nothing more can be said by
 // the other side, and what it had said by then is heard.
-func (r *Relay) awaitPacket(l *link.Conn, g *takeover.Outgoing, event takeover.OutgoingEvent, kind byte, wait time.Duration) takeover.OutgoingAction {
+func (r *Relay) awaitPacket(l *link.Conn, g *handover.Outgoing, event handover.OutgoingEvent, kind byte, wait time.Duration) handover.OutgoingAction {
 	p, err := l.Receive(time.Now().Add(wait))
 	if err != nil {
 		l.CloseRead()
 		if p, err = l.Receive(time.Now().Add(wait)); err != nil {
 			r.log.Warn("hand-over: the other process is gone", "err", err)
-			return g.Step(takeover.SuccessorLost)
+			return g.Step(handover.SuccessorLost)
 		}
 	}
 	if p.Kind != kind {
 		l.CloseRead()
-		return g.Step(takeover.SuccessorLost)
+		return g.Step(handover.SuccessorLost)
 	}
 	return g.Step(event)
 }
@@ -680,21 +680,23 @@
 // duties during a hand-over.
 
 func (d *processLifecycle) startHandover() (ok bool) {
-	d.transition(func(m *duty.Machine) (duty.Answer, duty.Action) {
+	d.transition(func(m *lifecycle.Machine) (lifecycle.Answer, lifecycle.Action) {
 		ok = m.StartHandover()
-		return duty.Answer{}, duty.NoAction
+		return lifecycle.Answer{}, lifecycle.NoAction
 	})
 	return ok
 }
 
 func (d *processLifecycle) resumeServing() {
-	d.transition(func(m *duty.Machine) (duty.Answer, duty.Action) { return duty.Answer{}, m.StartServing() })
+	d.transition(func(m *lifecycle.Machine) (lifecycle.Answer, lifecycle.Action) {
+		return lifecycle.Answer{}, m.StartServing()
+	})
 }
 
 func (d *processLifecycle) completeHandover() {
-	d.transition(func(m *duty.Machine) (duty.Answer, duty.Action) {
+	d.transition(func(m *lifecycle.Machine) (lifecycle.Answer, lifecycle.Action) {
 		m.CompleteHandover()
-		return duty.Answer{}, duty.NoAction
+		return lifecycle.Answer{}, lifecycle.NoAction
 	})
 }
 
@@ -707,7 +709,7 @@
 	fd, ok := r.inheritedCalls[out.Record.ID]
 	if !ok {
 		stop(nil)
-		tell(Result{Outcome: decide.ConnectionReset, Err: errors.New("its connection was not handed over")})
+		tell(Result{Outcome: policy.ConnectionReset, Err: errors.New("its connection was not handed over")})
 		return
 	}
 	delete(r.inheritedCalls, out.Record.ID)
@@ -722,7 +724,7 @@
 		defer stop(nil)
 		defer r.inFlight.Remove(out)
 		if err := c.Adopt(h, fd, out.Record, limit, r.cfg.LoadReportFields, tell); err != nil {
-			tell(Result{Outcome: decide.ConnectionReset, Err: err})
+			tell(Result{Outcome: policy.ConnectionReset, Err: err})
 		}
 	}()
 }
--- a/internal/relay/handover_packets_test.go
+++ b/internal/relay/handover_packets_test.go
@@ -14,10 +14,10 @@
 	"testing"
 	"time"
 
+	"troutusher/internal/connlimit"
 	"troutusher/internal/core"
-	"troutusher/internal/front"
-	"troutusher/internal/places"
-	"troutusher/internal/takeover/link"
+	"troutusher/internal/handover/link"
+	"troutusher/internal/respserver"
 )
 
 const (
@@ -181,7 +181,7 @@
 // partialCommandIndex is which of the clients is in the midst of a command.
 func partialCommandIndex(t *testing.T, conns []byte) int {
 	t.Helper()
-	var all []front.ConnSnapshot
+	var all []respserver.ConnSnapshot
 	if err := json.Unmarshal(conns, &all); err != nil {
 		t.Fatal(err)
 	}
@@ -311,7 +311,7 @@
 		case packetState:
 			v = &handoverState{}
 		case packetClients:
-			v = &[]front.ConnSnapshot{}
+			v = &[]respserver.ConnSnapshot{}
 		case packetCalls:
 			v = &[]string{}
 		default:
@@ -336,8 +336,8 @@
 		`{"core":{"members":null,"named":null,"calls":null,"worth":null,"policy":null},"mono":-5,"frozen":6,"agent":"a:1","again":true}`: handoverState{
 			Core: &core.HandoverState{}, ClockOrigin: -5, ClientsPausedAt: 6, DiscoveryAddr: "a:1", ReloadRequested: true},
 		`{"core":null,"mono":0}`: handoverState{},
-		`[{"ahead":"aGFsZg==","out":"b3V0","place":{"Known":true,"Spoke":true,"Asked":3,"Left":-4}},{"place":{"Known":false,"Spoke":false,"Asked":0,"Left":0}}]`: []front.ConnSnapshot{
-			{FD: 9, Unprocessed: []byte("half"), Unwritten: []byte("out"), Slot: places.Snapshot{Known: true, Spoke: true, Asked: 3, Left: -4}}, {}},
+		`[{"ahead":"aGFsZg==","out":"b3V0","place":{"Known":true,"Spoke":true,"Asked":3,"Left":-4}},{"place":{"Known":false,"Spoke":false,"Asked":0,"Left":0}}]`: []respserver.ConnSnapshot{
+			{FD: 9, Unprocessed: []byte("half"), Unwritten: []byte("out"), Slot: connlimit.Snapshot{Known: true, Spoke: true, Asked: 3, Left: -4}}, {}},
 	} {
 		if got, err := json.Marshal(v); err != nil || string(got) != want {
 			t.Errorf("%v\n got %s\nwant %s", err, got, want)
--- a/internal/relay/handover_test.go
+++ b/internal/relay/handover_test.go
@@ -18,7 +18,7 @@
 	"time"
 
 	"troutusher/internal/core"
-	"troutusher/internal/takeover/link"
+	"troutusher/internal/handover/link"
 )
 
 // unreachableMember names a destination that nobody serves for now.
