--- a/internal/relay/loop.go
+++ b/internal/relay/loop.go
@@ -15,20 +15,20 @@
 	"syscall"
 	"time"
 
-	"troutusher/decide"
 	"troutusher/internal/console"
 	"troutusher/internal/core"
-	"troutusher/internal/front"
+	"troutusher/internal/handover"
+	"troutusher/internal/handover/link"
 	"troutusher/internal/membership"
-	"troutusher/internal/secure"
+	"troutusher/internal/metrics"
+	"troutusher/internal/msgtrace"
+	"troutusher/internal/respserver"
 	"troutusher/internal/source/registry"
-	"troutusher/internal/story"
-	"troutusher/internal/takeover"
-	"troutusher/internal/takeover/link"
-	"troutusher/internal/tally"
+	"troutusher/internal/tlsdial"
+	"troutusher/policy"
 )
 
-const coreClockOrigin = decide.Time(3600e6) // of the core's clock: sends of an earlier process lie before it
+const coreClockOrigin = policy.Time(3600e6) // of the core's clock: sends of an earlier process lie before it
 
 // firstListTimeout is how long the first calls wait for discovery; clients wait for
 // nothing. Tests alone change it.
@@ -56,16 +56,16 @@
 	endpointStatsAt   time.Time // when the endpoints avoided were last counted
 	startedAt         time.Time
 	longestStep       time.Duration // of the steps since the last tally
-	endpoints         map[decide.EndpointID]*Endpoint
+	endpoints         map[policy.EndpointID]*Endpoint
 	events            []core.Event
 	effects           []core.Effect
 	pool              *Pool
-	tlsPeers          *secure.Dialer                // nil without TLS
-	consoleTLSPeers   atomic.Pointer[secure.Dialer] // the same, for the console
+	tlsPeers          *tlsdial.Dialer                // nil without TLS
+	consoleTLSPeers   atomic.Pointer[tlsdial.Dialer] // the same, for the console
 	inFlight          InFlight
 	received          []loopInput
 	pendingHandover   *handoverRequest
-	incoming          takeover.Incoming
+	incoming          handover.Incoming
 	lock              *stateLock
 	stateSaver        *stateSaver   // nil where nothing is kept
 	members           *memberMerger // nil where discovery alone says who is there
@@ -80,7 +80,7 @@
 	ctx               context.Context
 }
 
-func (r *Relay) now() decide.Time { return coreClockOrigin + time.Since(r.startedAt).Microseconds() }
+func (r *Relay) now() policy.Time { return coreClockOrigin + time.Since(r.startedAt).Microseconds() }
 
 // Run serves until stop is closed and the end is made, until another process has
 // taken the work over, or something fails that a relay cannot go on without.
@@ -108,7 +108,7 @@
 func run(cfg *Config, log *slog.Logger, stop <-chan struct{}, re ReloadRequests) (asked bool, err error) {
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
-	r := &Relay{cfg: cfg, log: log, inbox: newMailbox[loopInput](), startedAt: time.Now(), ctx: ctx, stop: stop, reload: re, endpoints: map[decide.EndpointID]*Endpoint{},
+	r := &Relay{cfg: cfg, log: log, inbox: newMailbox[loopInput](), startedAt: time.Now(), ctx: ctx, stop: stop, reload: re, endpoints: map[policy.EndpointID]*Endpoint{},
 		lifecycle: &processLifecycle{}, board: console.NewStats(classNames(cfg))}
 	defer func() { asked = r.reloadsRequested.Load() > 0 }()
 	if cfg.Console != "" { // it answers from the first moment on
@@ -122,7 +122,7 @@
 	set := core.Settings{Policy: cfg.Policy, Seed: cfg.Seed, Epoch: r.startedAt.UnixMicro() - coreClockOrigin,
 		TracesPerSecond: cfg.TracesPerSecond, Passivation: cfg.Passivation, Zones: cfg.Zones, Kinds: cfg.DestinationKinds, Classes: cfg.Classes, Tenants: cfg.Tenants}
 	if len(cfg.TLSRules) > 0 {
-		r.tlsPeers, err = secure.New(secure.Options{Rules: cfg.TLSRules, Handshakes: cfg.Handshakes, Log: log, Seed: cfg.Seed, StateDir: cfg.State, OnRejected: r.identityRejected})
+		r.tlsPeers, err = tlsdial.New(tlsdial.Options{Rules: cfg.TLSRules, Handshakes: cfg.Handshakes, Log: log, Seed: cfg.Seed, StateDir: cfg.State, OnRejected: r.identityRejected})
 		if err != nil {
 			return false, err
 		}
@@ -143,7 +143,7 @@
 	r.pool.now = r.now
 	go r.pool.Run(ctx)
 	r.notices = newNoticeSender(cfg.Discovery, log, func(id string) {
-		log.Info(story.NoticeDelivered, "message", id)
+		log.Info(msgtrace.NoticeDelivered, "message", id)
 		r.wal.Submit(&record{Kind: core.RecordDone, ID: id}, nil)
 	})
 	watch, unwatch := context.WithCancel(ctx)
@@ -185,7 +185,7 @@
 	}
 	defer inherited.close()
 	for i, fd := range inherited.listeners {
-		ln, err := front.ListenerFromFD(fd)
+		ln, err := respserver.ListenerFromFD(fd)
 		if err != nil {
 			return false, fmt.Errorf("listen: handed over: %w", err)
 		}
@@ -236,9 +236,9 @@
 			r.observe(r.configuredList())
 		}
 		if newer {
-			kind := decide.ListCached
+			kind := policy.ListCached
 			if known.Partial {
-				kind = decide.ListDelta
+				kind = policy.ListDelta
 			}
 			r.observe([]core.Event{{Kind: core.EndpointListUpdated, List: known.EndpointList(), News: kind}})
 		}
@@ -282,7 +282,7 @@
 	}()
 	r.lifecycle.startServing(cl.server)
 	if inherited.conn != nil {
-		r.incoming.Step(takeover.ReadyToServe)
+		r.incoming.Step(handover.ReadyToServe)
 		hitFailpoint(failpointIncomingServing)
 		if err := inherited.conn.Send(packetServing, nil, time.Now().Add(packetTimeout)); err != nil {
 			log.Warn("hand-over: the process before did not hear that it may end", "err", err)
@@ -297,7 +297,7 @@
 		defer ln.Close()
 		go r.acceptHandovers(ln)
 	}
-	log.Info(story.Ready, "name", cfg.Name, "listen", cl.server.Addr().String(), "endpoints", r.core.EndpointCount(), "owed", len(owed), "log", wal.Found,
+	log.Info(msgtrace.Ready, "name", cfg.Name, "listen", cl.server.Addr().String(), "endpoints", r.core.EndpointCount(), "owed", len(owed), "log", wal.Found,
 		"handed_over", inherited.Core != nil, "clients", kept)
 	err = r.eventLoop(cl, failed)
 	if err == errHandoverComplete {
@@ -310,9 +310,9 @@
 }
 
 func listEvent(l *EndpointList) core.Event {
-	kind := decide.ListDelta
+	kind := policy.ListDelta
 	if l.Complete {
-		kind = decide.ListFull
+		kind = policy.ListFull
 	}
 	return core.Event{Kind: core.EndpointListUpdated, List: l, News: kind}
 }
@@ -327,7 +327,7 @@
 // configuredList is the list in the configuration.
 func (r *Relay) configuredList() (lists []core.Event) {
 	if r.cfg.KnownList != nil {
-		lists = append(lists, core.Event{Kind: core.EndpointListUpdated, List: r.cfg.KnownList, News: decide.ListCached})
+		lists = append(lists, core.Event{Kind: core.EndpointListUpdated, List: r.cfg.KnownList, News: policy.ListCached})
 	}
 	return lists
 }
@@ -488,7 +488,7 @@
 		}
 		if idle || gone >= core.AbandonCallsAfter {
 			hitFailpoint(failpointProcessEnd)
-			r.log.Info(story.Stopped, "held", r.core.HeldMessages(), "calls", r.core.OpenCalls())
+			r.log.Info(msgtrace.Stopped, "held", r.core.HeldMessages(), "calls", r.core.OpenCalls())
 			return nil
 		}
 	}
@@ -639,8 +639,8 @@
 	case core.PassivateDestination:
 		r.pool.ForgetDestination(e.Dest)
 	case core.Log:
-		if e.Text == tally.LogText {
-			e.Args = append(e.Args, tally.LongestStepKey, r.longestStep.Microseconds())
+		if e.Text == metrics.LogText {
+			e.Args = append(e.Args, metrics.LongestStepKey, r.longestStep.Microseconds())
 			r.longestStep = 0
 		}
 		r.log.Log(r.ctx, e.Level, e.Text, e.Args...)
@@ -664,7 +664,7 @@
 
 // identityRejected is told by the handshakes that an endpoint gets nothing for a time.
 func (r *Relay) identityRejected(endpoint uint64, wait time.Duration) {
-	r.post(core.Event{Kind: core.IdentityRejected, Endpoint: decide.EndpointID(endpoint), Wait: wait.Microseconds()})
+	r.post(core.Event{Kind: core.IdentityRejected, Endpoint: policy.EndpointID(endpoint), Wait: wait.Microseconds()})
 }
 
 // startCall logs an attempt and then makes it.
--- a/internal/relay/members.go
+++ b/internal/relay/members.go
@@ -15,10 +15,10 @@
 
 	"github.com/google/renameio/v2"
 
-	"troutusher/decide"
 	"troutusher/internal/core"
 	"troutusher/internal/membership"
-	"troutusher/internal/operator"
+	"troutusher/internal/operatorconfig"
+	"troutusher/policy"
 )
 
 // Where etcd is followed beside discovery, both hand their words to one view, and
@@ -81,7 +81,7 @@
 	lastSaved        time.Time
 }
 
-func newMemberMerger(e *operator.Etcd, state string, log *slog.Logger, tell func(core.Event), again func()) (*memberMerger, error) {
+func newMemberMerger(e *operatorconfig.Etcd, state string, log *slog.Logger, tell func(core.Event), again func()) (*memberMerger, error) {
 	m := &memberMerger{log: log, queue: newMailbox[sourceEvent](), emitEvent: tell, resyncRegistry: again, etcdResync: make(chan struct{}, 1), startedAt: time.Now(),
 		path: filepath.Join(state, membersFile), registry: 1, resyncRequested: make([]bool, 2)}
 	sources := []membership.Source{{Name: "etcd", StaleAfter: etcdStaleAfter}, {Name: "registry", StaleAfter: registryStaleAfter}}
@@ -145,7 +145,7 @@
 
 func (m *memberMerger) emit(all []core.Member) {
 	if len(all) > 0 {
-		m.emitEvent(core.Event{Kind: core.EndpointListUpdated, List: &EndpointList{Revision: m.registryRevision, Members: all}, News: decide.ListDelta})
+		m.emitEvent(core.Event{Kind: core.EndpointListUpdated, List: &EndpointList{Revision: m.registryRevision, Members: all}, News: policy.ListDelta})
 	}
 }
 
--- a/internal/relay/members_test.go
+++ b/internal/relay/members_test.go
@@ -20,11 +20,11 @@
 	"time"
 
 	"troutusher/internal/core"
+	standin "troutusher/internal/emulator/etcd"
 	"troutusher/internal/membership"
-	"troutusher/internal/operator"
+	"troutusher/internal/operatorconfig"
 	"troutusher/internal/source/etcd"
 	"troutusher/internal/source/etcd/follow"
-	standin "troutusher/internal/standin/etcd"
 )
 
 // helperEnv makes the test's own program the helper that follows etcd; the file that
@@ -42,7 +42,7 @@
 // helperMain is its main.
 func helperMain() int {
 	os.WriteFile(os.Getenv(helperEnv), []byte(strconv.Itoa(os.Getpid())), 0o600)
-	file, err := operator.Load(os.Getenv)
+	file, err := operatorconfig.Load(os.Getenv)
 	if err != nil {
 		return 2
 	}
@@ -173,7 +173,7 @@
 		"endpoints = [\"h:1\"]\nprefix = \"/t\"\nserver_name = \"a.example.org\"": "etcd.roots",
 		"endpoints = [\"h:1\"]\nprefix = \"/t\"":                                  "",
 	} {
-		_, err := operator.Parse("f", []byte("[etcd]\n"+text+"\n"))
+		_, err := operatorconfig.Parse("f", []byte("[etcd]\n"+text+"\n"))
 		if want == "" && err != nil || want != "" && (err == nil || !strings.Contains(err.Error(), want)) {
 			t.Errorf("%q: %v, want %s", text, err, want)
 		}
@@ -290,7 +290,7 @@
 func TestMembersFileWrites(t *testing.T) {
 	dir := t.TempDir()
 	told := 0
-	m, err := newMemberMerger(&operator.Etcd{}, dir, quietLog(), func(core.Event) { told++ }, func() {})
+	m, err := newMemberMerger(&operatorconfig.Etcd{}, dir, quietLog(), func(core.Event) { told++ }, func() {})
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/relay/pool.go
+++ b/internal/relay/pool.go
@@ -12,9 +12,9 @@
 	"syscall"
 	"time"
 
-	"troutusher/decide"
-	"troutusher/internal/gate"
-	"troutusher/internal/secure"
+	"troutusher/internal/sendgate"
+	"troutusher/internal/tlsdial"
+	"troutusher/policy"
 )
 
 // The connections to endpoints. They are our own, and not net/http's, for what
@@ -41,13 +41,13 @@
 	maxConns        int
 	staleCheckDelay time.Duration // before a call's last byte
 
-	now func() decide.Time // the relay's clock
+	now func() policy.Time // the relay's clock
 
 	mu   sync.Mutex
 	open int         // dialled, in use or idle
 	idle []*poolConn // the one idle for longest first
 
-	scopes map[scopeKey]*gate.Scope // the loop's
+	scopes map[scopeKey]*sendgate.Scope // the loop's
 }
 
 // IdleMargin is how much of an endpoint's keep-alive is left unused. The endpoint
@@ -62,15 +62,15 @@
 // routes apart.
 type scopeKey struct {
 	dest  int
-	route decide.EndpointID // 0 for a destination
+	route policy.EndpointID // 0 for a destination
 }
 
 // scope gives the gates' of a destination or a route. It outlasts the homes
 // there, since a wait does.
-func (p *Pool) scope(at scopeKey) *gate.Scope {
+func (p *Pool) scope(at scopeKey) *sendgate.Scope {
 	s := p.scopes[at]
 	if s == nil {
-		s = &gate.Scope{}
+		s = &sendgate.Scope{}
 		p.scopes[at] = s
 	}
 	return s
@@ -78,7 +78,7 @@
 
 // ForgetRoute lets go of a route for good. A destination's scope stays, like all else
 // that is known of one.
-func (p *Pool) ForgetRoute(route decide.EndpointID) { delete(p.scopes, scopeKey{route: route}) }
+func (p *Pool) ForgetRoute(route policy.EndpointID) { delete(p.scopes, scopeKey{route: route}) }
 
 // ForgetDestination lets go of a destination's scope: nothing is at its endpoints, and what
 // binds them is told anew as it wakes.
@@ -87,11 +87,11 @@
 // Endpoint is one endpoint's part of the pool.
 type Endpoint struct {
 	pool   *Pool
-	gate   *gate.Gate
+	gate   *sendgate.Gate
 	addr   string
 	dial   func(ctx context.Context, addr string) (net.Conn, error)
-	peer   *secure.Endpoint // nil where it is reached without TLS
-	closed bool             // under the pool's lock: nothing is kept any more
+	peer   *tlsdial.Endpoint // nil where it is reached without TLS
+	closed bool              // under the pool's lock: nothing is kept any more
 	// Of one that is reached over TLS, under the pool's lock: closed where who
 	// waits for a connection should look again; how many wait, and how many are
 	// being opened.
@@ -102,7 +102,7 @@
 // poolConn is one connection, held by one call or idle.
 type poolConn struct {
 	net.Conn
-	tls       *secure.Conn // the same, where it is one
+	tls       *tlsdial.Conn // the same, where it is one
 	endpoint  *Endpoint
 	reader    *bufio.Reader
 	remaining int64 // bytes that may still be read for the answer
@@ -122,14 +122,14 @@
 
 func NewPool(connect, keep time.Duration, most int) *Pool {
 	began := time.Now()
-	return &Pool{connectTimeout: connect, idleTimeout: keep, maxConns: most, staleCheckDelay: defaultStaleCheckDelay, scopes: map[scopeKey]*gate.Scope{},
-		now: func() decide.Time { return time.Since(began).Microseconds() }}
+	return &Pool{connectTimeout: connect, idleTimeout: keep, maxConns: most, staleCheckDelay: defaultStaleCheckDelay, scopes: map[scopeKey]*sendgate.Scope{},
+		now: func() policy.Time { return time.Since(began).Microseconds() }}
 }
 
 // newEndpoint makes one with a gate of its own.
 func (p *Pool) newEndpoint(addr string) *Endpoint {
 	d := &net.Dialer{Timeout: p.connectTimeout, KeepAlive: -1}
-	return &Endpoint{pool: p, gate: new(gate.Scope).Gate(), addr: addr, dial: func(ctx context.Context, addr string) (net.Conn, error) {
+	return &Endpoint{pool: p, gate: new(sendgate.Scope).Gate(), addr: addr, dial: func(ctx context.Context, addr string) (net.Conn, error) {
 		return d.DialContext(ctx, "tcp", addr)
 	}}
 }
@@ -346,7 +346,7 @@
 // There is a moment before that byte: a connection that its endpoint has
 // dropped in silence, or drops now, is reset as soon as anything reaches it,
 // and shows so while it is still certain that the call has not run.
-func (c *poolConn) writeRequest(ctx context.Context, pass *gate.Permit, text []byte) (clean bool, err error) {
+func (c *poolConn) writeRequest(ctx context.Context, pass *sendgate.Permit, text []byte) (clean bool, err error) {
 	last := len(text) - 1
 	if err := pass.AllowFirstByte(c.endpoint.pool.now()); err != nil {
 		return true, err
--- a/internal/relay/pool_test.go
+++ b/internal/relay/pool_test.go
@@ -11,7 +11,7 @@
 	"testing"
 	"time"
 
-	"troutusher/decide"
+	"troutusher/policy"
 )
 
 const okResponse = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok"
@@ -26,33 +26,33 @@
 	for name, x := range map[string]struct {
 		answer  string
 		goes    bool // the endpoint goes on sending
-		what    decide.Outcome
+		what    policy.Outcome
 		settled bool
 		keeps   bool
 	}{
-		"refusal with a short body":     {answer: "HTTP/1.1 503 F\r\nContent-Length: 9\r\n\r\nno", what: decide.Failed},
-		"told to wait with a bad time":  {answer: "HTTP/1.1 429 W\r\nRetry-After: -3\r\nContent-Length: 0\r\n\r\n", what: decide.Failed},
-		"over, head without end":        {answer: "HTTP/1.1 410 G\r\nContent-Le", what: decide.Failed},
-		"not sent, two lengths":         {answer: "HTTP/1.1 504 A\r\nContent-Length: 0\r\nContent-Length: 5\r\n\r\n", what: decide.Failed},
-		"refusal, length no number":     {answer: "HTTP/1.1 503 F\r\nContent-Length: many\r\n\r\n", what: decide.Failed},
-		"refusal, negative length":      {answer: "HTTP/1.1 503 F\r\nContent-Length: -1\r\n\r\n", what: decide.Failed},
-		"refusal of 3 GB":               {answer: "HTTP/1.1 503 F\r\nContent-Length: 3221225472\r\n\r\n", goes: true, what: decide.Failed},
-		"refusal, endless head":         {answer: "HTTP/1.1 503 F\r\n", goes: true, what: decide.Failed},
-		"refusal, chunks cut":           {answer: "HTTP/1.1 503 F\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nab", what: decide.Failed},
-		"noise":                         {answer: "\x00\xff\x13noise\x00", what: decide.Failed},
-		"noise with a line":             {answer: "\x00\xffnoise\r\nHTTP/1.1 503 F\r\n\r\n", what: decide.Failed},
-		"endless line":                  {answer: "HTTP/1.1 503 " + long, goes: true, what: decide.Failed},
-		"not quite a code":              {answer: "HTTP/1.1 2000 OK\r\nContent-Length: 0\r\n\r\n", what: decide.Failed},
-		"another protocol":              {answer: "HTTP/2.0 200 OK\r\nContent-Length: 0\r\n\r\n", what: decide.Failed},
-		"delivered, 3 GB":               {answer: "HTTP/1.1 200 OK\r\nContent-Length: 3221225472\r\n\r\n", goes: true, what: decide.Delivered, settled: true},
-		"delivered, head without end":   {answer: "HTTP/1.1 200 OK\r\nX-", what: decide.Delivered, settled: true},
-		"delivered, noise for a head":   {answer: "HTTP/1.1 200 OK\r\n\x00\x01\xff", what: decide.Delivered, settled: true},
-		"delivered, bad length":         {answer: "HTTP/1.1 200 OK\r\nContent-Length: -7\r\n\r\n", what: decide.Delivered, settled: true},
-		"several hints":                 {answer: "HTTP/1.1 100 C\r\n\r\nHTTP/1.1 103 E\r\nLink: x\r\n\r\nHTTP/1.1 102 P\r\n\r\n" + okResponse, what: decide.Delivered, settled: true, keeps: true},
-		"hints without end":             {answer: strings.Repeat("HTTP/1.1 100 C\r\n\r\n", 500), what: decide.Failed},
-		"a hint, then nothing":          {answer: "HTTP/1.1 103 E\r\n", what: decide.Failed},
-		"refusal, then a copy behind":   {answer: "HTTP/1.1 503 F\r\nContent-Length: 0\r\n\r\nHTTP/1.1 503 F\r\nContent-Length: 0\r\n\r\n", what: decide.Rejected},
-		"delivered, then a copy behind": {answer: okResponse + okResponse, what: decide.Delivered, settled: true},
+		"refusal with a short body":     {answer: "HTTP/1.1 503 F\r\nContent-Length: 9\r\n\r\nno", what: policy.Failed},
+		"told to wait with a bad time":  {answer: "HTTP/1.1 429 W\r\nRetry-After: -3\r\nContent-Length: 0\r\n\r\n", what: policy.Failed},
+		"over, head without end":        {answer: "HTTP/1.1 410 G\r\nContent-Le", what: policy.Failed},
+		"not sent, two lengths":         {answer: "HTTP/1.1 504 A\r\nContent-Length: 0\r\nContent-Length: 5\r\n\r\n", what: policy.Failed},
+		"refusal, length no number":     {answer: "HTTP/1.1 503 F\r\nContent-Length: many\r\n\r\n", what: policy.Failed},
+		"refusal, negative length":      {answer: "HTTP/1.1 503 F\r\nContent-Length: -1\r\n\r\n", what: policy.Failed},
+		"refusal of 3 GB":               {answer: "HTTP/1.1 503 F\r\nContent-Length: 3221225472\r\n\r\n", goes: true, what: policy.Failed},
+		"refusal, endless head":         {answer: "HTTP/1.1 503 F\r\n", goes: true, what: policy.Failed},
+		"refusal, chunks cut":           {answer: "HTTP/1.1 503 F\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nab", what: policy.Failed},
+		"noise":                         {answer: "\x00\xff\x13noise\x00", what: policy.Failed},
+		"noise with a line":             {answer: "\x00\xffnoise\r\nHTTP/1.1 503 F\r\n\r\n", what: policy.Failed},
+		"endless line":                  {answer: "HTTP/1.1 503 " + long, goes: true, what: policy.Failed},
+		"not quite a code":              {answer: "HTTP/1.1 2000 OK\r\nContent-Length: 0\r\n\r\n", what: policy.Failed},
+		"another protocol":              {answer: "HTTP/2.0 200 OK\r\nContent-Length: 0\r\n\r\n", what: policy.Failed},
+		"delivered, 3 GB":               {answer: "HTTP/1.1 200 OK\r\nContent-Length: 3221225472\r\n\r\n", goes: true, what: policy.Delivered, settled: true},
+		"delivered, head without end":   {answer: "HTTP/1.1 200 OK\r\nX-", what: policy.Delivered, settled: true},
+		"delivered, noise for a head":   {answer: "HTTP/1.1 200 OK\r\n\x00\x01\xff", what: policy.Delivered, settled: true},
+		"delivered, bad length":         {answer: "HTTP/1.1 200 OK\r\nContent-Length: -7\r\n\r\n", what: policy.Delivered, settled: true},
+		"several hints":                 {answer: "HTTP/1.1 100 C\r\n\r\nHTTP/1.1 103 E\r\nLink: x\r\n\r\nHTTP/1.1 102 P\r\n\r\n" + okResponse, what: policy.Delivered, settled: true, keeps: true},
+		"hints without end":             {answer: strings.Repeat("HTTP/1.1 100 C\r\n\r\n", 500), what: policy.Failed},
+		"a hint, then nothing":          {answer: "HTTP/1.1 103 E\r\n", what: policy.Failed},
+		"refusal, then a copy behind":   {answer: "HTTP/1.1 503 F\r\nContent-Length: 0\r\n\r\nHTTP/1.1 503 F\r\nContent-Length: 0\r\n\r\n", what: policy.Rejected},
+		"delivered, then a copy behind": {answer: okResponse + okResponse, what: policy.Delivered, settled: true},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
@@ -108,7 +108,7 @@
 		defer close(over)
 		newTestCall().Do(h, &record{ID: "m"}, testLimit, nil, func(o Result) { told <- o })
 	}()
-	if o := <-told; o.Outcome != decide.Delivered {
+	if o := <-told; o.Outcome != policy.Delivered {
 		t.Errorf("got %+v", o)
 	}
 	select {
@@ -144,7 +144,7 @@
 	case <-time.After(2 * responseReadTimeout):
 	}
 	close(release)
-	if o := <-told; o.Outcome != decide.Delivered {
+	if o := <-told; o.Outcome != policy.Delivered {
 		t.Errorf("got %+v", o)
 	}
 	<-over
@@ -180,7 +180,7 @@
 					}
 				}
 			}))
-			if o := newTestCall().complete(t, h, &record{ID: "a"}, testLimit); o.Outcome != decide.Delivered {
+			if o := newTestCall().complete(t, h, &record{ID: "a"}, testLimit); o.Outcome != policy.Delivered {
 				t.Fatalf("first: %+v", o)
 			}
 			if _, idle := h.pool.counts(); idle != 1 {
@@ -194,7 +194,7 @@
 				defer h.pool.mu.Unlock()
 				return len(h.pool.idle) == 0 || !h.pool.idle[0].reusable()
 			})
-			if o := newTestCall().complete(t, h, &record{ID: "b"}, testLimit); o.Outcome != decide.Rejected {
+			if o := newTestCall().complete(t, h, &record{ID: "b"}, testLimit); o.Outcome != policy.Rejected {
 				t.Errorf("second: %+v", o)
 			}
 			if conns.Load() != 2 || calls.Load() != 2 {
@@ -221,7 +221,7 @@
 				got <- strings.Count(string(rest), "tail of the body")
 			}
 		}))
-		if o := newTestCall().complete(t, h, &record{ID: "a"}, testLimit); o.Outcome != decide.Delivered {
+		if o := newTestCall().complete(t, h, &record{ID: "a"}, testLimit); o.Outcome != policy.Delivered {
 			t.Fatalf("first: %+v", o)
 		}
 		waitReusable(h)
@@ -229,7 +229,7 @@
 		c := h.pool.idle[0]
 		c.Conn = &closeReadOnWriteConn{TCPConn: c.Conn.(*net.TCPConn)}
 		h.pool.mu.Unlock()
-		if o := newTestCall().complete(t, h, &record{ID: "b", Body: []byte("the tail of the body")}, testLimit); o.Outcome != decide.Rejected {
+		if o := newTestCall().complete(t, h, &record{ID: "b", Body: []byte("the tail of the body")}, testLimit); o.Outcome != policy.Rejected {
 			t.Errorf("second: %+v", o)
 		}
 		if n := <-got; n != 0 || conns.Load() != 2 {
@@ -275,7 +275,7 @@
 		}
 	}))
 	p.staleCheckDelay = time.Millisecond
-	if o := newTestCall().complete(t, h, &record{ID: "a"}, testLimit); o.Outcome != decide.Delivered {
+	if o := newTestCall().complete(t, h, &record{ID: "a"}, testLimit); o.Outcome != policy.Delivered {
 		t.Fatalf("first: %+v", o)
 	}
 	waitReusable(h)
@@ -285,7 +285,7 @@
 		return dial(ctx, addr)
 	}
 	p.staleCheckDelay = testLimit // the reset ends it
-	if o := newTestCall().complete(t, h, &record{ID: "b"}, testLimit); o.Outcome != decide.Delivered {
+	if o := newTestCall().complete(t, h, &record{ID: "b"}, testLimit); o.Outcome != policy.Delivered {
 		t.Errorf("second: %+v", o)
 	}
 	if conns.Load() != 2 || calls.Load() != 2 {
@@ -302,7 +302,7 @@
 		c, err := dial(ctx, addr)
 		return &failSecondWriteConn{TCPConn: c.(*net.TCPConn)}, err
 	}
-	if o := newTestCall().complete(t, h, &record{ID: "m", Body: []byte("b")}, testLimit); o.Outcome != decide.ConnectFailed {
+	if o := newTestCall().complete(t, h, &record{ID: "m", Body: []byte("b")}, testLimit); o.Outcome != policy.ConnectFailed {
 		t.Errorf("got %+v", o)
 	}
 }
@@ -333,7 +333,7 @@
 	p := testPool(t)
 	p.maxConns = 3
 	for i := range 10 {
-		if o := newTestCall().complete(t, w.endpoint(p, w.serve(t, serve)), &record{ID: "m"}, testLimit); o.Outcome != decide.Delivered {
+		if o := newTestCall().complete(t, w.endpoint(p, w.serve(t, serve)), &record{ID: "m"}, testLimit); o.Outcome != policy.Delivered {
 			t.Fatalf("endpoint %d: %+v", i, o)
 		}
 		if open, _ := p.counts(); open > 3 {
@@ -355,7 +355,7 @@
 		go func() { c.Do(stuck, &record{ID: "m"}, testLimit, nil, func(o Result) { over <- o }) }()
 		<-entered
 	}
-	if o := newTestCall().complete(t, stuck, &record{ID: "m"}, testLimit); o.Outcome != decide.NotSent {
+	if o := newTestCall().complete(t, stuck, &record{ID: "m"}, testLimit); o.Outcome != policy.NotSent {
 		t.Errorf("a fourth: %+v", o)
 	}
 	for _, c := range calls {
@@ -364,7 +364,7 @@
 	}
 	waitFor(t, "places", func() bool { open, _ := p.counts(); return open == 0 })
 	refused := w.endpoint(p, "127.0.0.1:1")
-	if o := newTestCall().complete(t, refused, &record{ID: "m"}, testLimit); o.Outcome != decide.ConnectFailed {
+	if o := newTestCall().complete(t, refused, &record{ID: "m"}, testLimit); o.Outcome != policy.ConnectFailed {
 		t.Errorf("refused: %+v", o)
 	}
 	if open, _ := p.counts(); open != 0 {
--- a/internal/relay/securepool.go
+++ b/internal/relay/securepool.go
@@ -8,8 +8,8 @@
 	"os"
 	"time"
 
-	"troutusher/internal/gate"
-	"troutusher/internal/secure"
+	"troutusher/internal/sendgate"
+	"troutusher/internal/tlsdial"
 )
 
 // Connections over TLS. A handshake belongs to its endpoint and not to a
@@ -43,7 +43,7 @@
 
 // OpenEndpoint is a home that is reached over TLS where the operator's file says
 // so.
-func (p *Pool) OpenEndpoint(addr string, peers *secure.Dialer, endpoint uint64, dest int, flavor string) *Endpoint {
+func (p *Pool) OpenEndpoint(addr string, peers *tlsdial.Dialer, endpoint uint64, dest int, flavor string) *Endpoint {
 	h := p.newEndpoint(addr)
 	h.peer = peers.Endpoint(endpoint, dest, flavor, func() bool {
 		p.mu.Lock()
@@ -80,7 +80,7 @@
 		now := time.Now()
 		if h.closed {
 			p.mu.Unlock()
-			return nil, gate.ErrEndpointDraining
+			return nil, sendgate.ErrEndpointDraining
 		}
 		c, again, bad := h.takeIdle(now)
 		if c != nil { // counted out at once: nobody opens one for it any more
@@ -197,7 +197,7 @@
 	return done, time.Time{}, nil
 }
 
-func (h *Endpoint) handshake(ctx context.Context, turn *secure.Permit) (*secure.Conn, error) {
+func (h *Endpoint) handshake(ctx context.Context, turn *tlsdial.Permit) (*tlsdial.Conn, error) {
 	raw, err := h.dial(ctx, h.addr)
 	if err != nil {
 		turn.Release()
--- a/internal/relay/shutdown_test.go
+++ b/internal/relay/shutdown_test.go
@@ -15,8 +15,8 @@
 	"testing"
 	"time"
 
-	"troutusher/decide"
 	"troutusher/internal/source/registry"
+	"troutusher/policy"
 )
 
 // inProcessRelay is a relay in the test's own process, so that its seam can be held.
@@ -354,7 +354,7 @@
 // up late: a repeat that was in time as it was begun is not written after it, in
 // either order of the two, and it never ran. The connection stays good for others.
 func TestRetryInsideDedupWindow(t *testing.T) {
-	for name, up := range map[string]decide.Time{"in time": 999, "late": 1001} {
+	for name, up := range map[string]policy.Time{"in time": 999, "late": 1001} {
 		for _, at := range []string{"before the first byte", "before the last byte"} {
 			ep := newFakeEndpoint(t, nil)
 			p := testPool(t)
@@ -378,9 +378,9 @@
 				}
 			}
 			o := c.complete(t, h, &record{ID: "m", Key: "k"}, testLimit)
-			want, calls := decide.Delivered, 1
+			want, calls := policy.Delivered, 1
 			if name == "late" {
-				want, calls = decide.NotSent, 0
+				want, calls = policy.NotSent, 0
 			}
 			if o.Outcome != want || ep.count("m") != calls {
 				t.Errorf("%s, %s: outcome %d (%v), %d calls at the endpoint", name, at, o.Outcome, o.Err, ep.count("m"))
@@ -440,14 +440,14 @@
 		more   string // again and again
 		limit  time.Duration
 		cancel bool
-		want   decide.Outcome
+		want   policy.Outcome
 	}{
-		{"timed out", "", "", 50 * time.Millisecond, false, decide.TimedOut},
-		{"called off", "", "", testLimit, true, decide.Cancelled},
-		{"stops in the middle", head, "", testLimit, false, decide.Failed},
-		{"never ends", "HTTP/1.1 500 E\r\nTransfer-Encoding: chunked\r\n\r\n", "1\r\nx\r\n", testLimit, false, decide.Failed},
-		{"nonsense", "what is this?\r\n", "", testLimit, false, decide.Failed},
-		{"a wait that cannot be read", "HTTP/1.1 429 W\r\nRetry-After: soon\r\nContent-Length: 0\r\n\r\n", "", testLimit, false, decide.Failed},
+		{"timed out", "", "", 50 * time.Millisecond, false, policy.TimedOut},
+		{"called off", "", "", testLimit, true, policy.Cancelled},
+		{"stops in the middle", head, "", testLimit, false, policy.Failed},
+		{"never ends", "HTTP/1.1 500 E\r\nTransfer-Encoding: chunked\r\n\r\n", "1\r\nx\r\n", testLimit, false, policy.Failed},
+		{"nonsense", "what is this?\r\n", "", testLimit, false, policy.Failed},
+		{"a wait that cannot be read", "HTTP/1.1 429 W\r\nRetry-After: soon\r\nContent-Length: 0\r\n\r\n", "", testLimit, false, policy.Failed},
 	} {
 		t.Run(x.name, func(t *testing.T) {
 			came, over := make(chan struct{}), make(chan struct{})
--- a/internal/relay/statesaver.go
+++ b/internal/relay/statesaver.go
@@ -6,17 +6,17 @@
 	"strings"
 	"time"
 
-	"troutusher/decide"
 	"troutusher/internal/core"
-	"troutusher/internal/learned"
+	"troutusher/internal/policystate"
+	"troutusher/policy"
 )
 
 // stateSaver has what was learned written to its file, beside the loop: a slow disk
 // makes nobody wait, and while one write is under way none is begun.
 type stateSaver struct {
 	relay         *Relay
-	store         *learned.Store
-	schedule      *learned.WriteSchedule
+	store         *policystate.Store
+	schedule      *policystate.WriteSchedule
 	bootID        string
 	writing       bool      // a write is under way
 	written       chan int  // its bytes; -1 where it failed
@@ -32,7 +32,7 @@
 		return nil
 	}
 	boot, _ := os.ReadFile(bootIDPath) // where there is none, the wall clock has to do
-	return &stateSaver{relay: r, store: learned.NewStore(r.cfg.State, r.cfg.Name, int64(r.cfg.Limits.DiskMB)<<20), schedule: learned.NewWriteSchedule(r.cfg.PolicyStatePeriod.Microseconds()),
+	return &stateSaver{relay: r, store: policystate.NewStore(r.cfg.State, r.cfg.Name, int64(r.cfg.Limits.DiskMB)<<20), schedule: policystate.NewWriteSchedule(r.cfg.PolicyStatePeriod.Microseconds()),
 		bootID: strings.TrimSpace(string(boot)), written: make(chan int, 1)}
 }
 
@@ -41,11 +41,11 @@
 	if k == nil {
 		return 0
 	}
-	return learned.MaxCopies * learned.MaxFileBytes(disk)
+	return policystate.MaxCopies * policystate.MaxFileBytes(disk)
 }
 
 // load is what an earlier process has left, and by how much its moments are off.
-func (k *stateSaver) load() (l *core.StateSnapshot, shift decide.Time) {
+func (k *stateSaver) load() (l *core.StateSnapshot, shift policy.Time) {
 	if k == nil {
 		return nil, 0
 	}
@@ -65,7 +65,7 @@
 }
 
 // saveIfDue writes what is due, and tells when to look again; 0 for not.
-func (k *stateSaver) saveIfDue(now decide.Time) decide.Time {
+func (k *stateSaver) saveIfDue(now policy.Time) policy.Time {
 	if k == nil || k.paused {
 		return 0
 	}
@@ -88,15 +88,15 @@
 	return now + 50e3
 }
 
-func (k *stateSaver) snapshotFile(now decide.Time, clean bool) *learned.File {
+func (k *stateSaver) snapshotFile(now policy.Time, clean bool) *policystate.File {
 	k.savedVersions = [2]uint64{k.relay.core.StateVersion(), k.relay.core.CompletedCalls()}
 	m := monotonicMicros()
-	return &learned.File{WrittenAt: time.Now().UnixMicro(), WrittenAtMonotonic: m, ClockZero: m - k.relay.now(), BootID: k.bootID, CleanShutdown: clean, State: k.relay.core.SnapshotState(now)}
+	return &policystate.File{WrittenAt: time.Now().UnixMicro(), WrittenAtMonotonic: m, ClockZero: m - k.relay.now(), BootID: k.bootID, CleanShutdown: clean, State: k.relay.core.SnapshotState(now)}
 }
 
-func (k *stateSaver) write(f *learned.File) int {
+func (k *stateSaver) write(f *policystate.File) int {
 	n, err := k.store.Write(f)
-	if errors.Is(err, learned.ErrTooLarge) {
+	if errors.Is(err, policystate.ErrTooLarge) {
 		f.State.DropRecentCounts()
 		n, err = k.store.Write(f)
 	}
--- a/internal/relay/statesaver_test.go
+++ b/internal/relay/statesaver_test.go
@@ -8,7 +8,7 @@
 	"testing"
 	"time"
 
-	"troutusher/internal/learned"
+	"troutusher/internal/policystate"
 )
 
 // A wait that was told holds across a kill, to its end: what was learned lies in
@@ -37,13 +37,13 @@
 	if s := dialClient(t, env["ROUTER_LISTEN"]).put("m", putFields("plain", 20000, 1), nil); s != "+OK" {
 		t.Fatal(s)
 	}
-	path := filepath.Join(env["ROUTER_STATE"], learned.FileName)
+	path := filepath.Join(env["ROUTER_STATE"], policystate.FileName)
 	waitFor(t, "the wait in the file", func() bool {
 		b, err := os.ReadFile(path)
 		if err != nil {
 			return false
 		}
-		f, err := learned.Decode(b)
+		f, err := policystate.Decode(b)
 		return err == nil && len(f.State.RetryAfters) == 1
 	})
 	c.kill()
@@ -59,7 +59,7 @@
 	mu.Unlock()
 
 	c.kill()
-	b, err := learned.Encode(&learned.File{Relay: "other", State: nil})
+	b, err := policystate.Encode(&policystate.File{Relay: "other", State: nil})
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/relay/tls_bench_test.go
+++ b/internal/relay/tls_bench_test.go
@@ -10,8 +10,8 @@
 	"testing"
 	"time"
 
-	"troutusher/decide"
-	"troutusher/internal/operator"
+	"troutusher/internal/operatorconfig"
+	"troutusher/policy"
 )
 
 // BenchmarkCalls is calls on kept connections, 64 at a time: a second, and
@@ -22,7 +22,7 @@
 	for name, w := range map[string]*transport{"plain": {}, "tls 1.3": nil} {
 		b.Run(name, func(b *testing.B) {
 			if w == nil {
-				s := newTLSSite(b, func(_ *tlsSite, h *operator.Handshakes) { h.CPUShare, h.BurstMS, h.MaxParallel = 1, 1000, 64 })
+				s := newTLSSite(b, func(_ *tlsSite, h *operatorconfig.Handshakes) { h.CPUShare, h.BurstMS, h.MaxParallel = 1, 1000, 64 })
 				w = &transport{site: s, cfg: &tls.Config{Certificates: []tls.Certificate{s.own.TLSCertificate()}}}
 			}
 			var addr string
@@ -40,7 +40,7 @@
 			h := w.endpoint(p, addr)
 			call := func() {
 				newTestCall().Do(h, &record{ID: "m", Body: body}, testLimit, nil, func(o Result) {
-					if o.Outcome != decide.Delivered {
+					if o.Outcome != policy.Delivered {
 						b.Errorf("got %+v", o)
 					}
 				})
--- a/internal/relay/tls_relay_test.go
+++ b/internal/relay/tls_relay_test.go
@@ -11,11 +11,11 @@
 	"testing"
 	"time"
 
-	"troutusher/internal/devca"
+	"troutusher/internal/testca"
 )
 
 // newTLSEndpoint is a partner's endpoint over TLS that shows what own says.
-func newTLSEndpoint(t *testing.T, own func() *devca.Issued, answer func(w http.ResponseWriter, r *http.Request, n int)) *fakeEndpoint {
+func newTLSEndpoint(t *testing.T, own func() *testca.Issued, answer func(w http.ResponseWriter, r *http.Request, n int)) *fakeEndpoint {
 	e := newFakeEndpoint(t, answer)
 	handler := e.Config.Handler
 	e.CloseClientConnections()
@@ -47,7 +47,7 @@
 // for the partner to be found sound again. The others serve on.
 func TestRelayThroughARotation(t *testing.T) {
 	s := newTLSSite(t, nil)
-	var shown atomic.Pointer[devca.Issued]
+	var shown atomic.Pointer[testca.Issued]
 	shown.Store(s.own)
 	ep := newTLSEndpoint(t, shown.Load, nil)
 	other := newFakeEndpoint(t, nil)
@@ -99,7 +99,7 @@
 func TestUpgradeWithCallsOverTLS(t *testing.T) {
 	s := newTLSSite(t, nil)
 	entered, release := make(chan struct{}, 8), make(chan struct{})
-	ep := newTLSEndpoint(t, func() *devca.Issued { return s.own }, func(w http.ResponseWriter, r *http.Request, n int) {
+	ep := newTLSEndpoint(t, func() *testca.Issued { return s.own }, func(w http.ResponseWriter, r *http.Request, n int) {
 		if n == 1 {
 			entered <- struct{}{}
 			<-release
@@ -136,7 +136,7 @@
 func TestCallsThatCannotRestAreOverFirst(t *testing.T) {
 	s := newTLSSite(t, nil)
 	entered, over := make(chan struct{}, 8), make(chan struct{})
-	ep := newTLSEndpoint(t, func() *devca.Issued { return s.own }, func(_ http.ResponseWriter, r *http.Request, n int) {
+	ep := newTLSEndpoint(t, func() *testca.Issued { return s.own }, func(_ http.ResponseWriter, r *http.Request, n int) {
 		if n == 1 {
 			entered <- struct{}{}
 			<-r.Context().Done()
--- a/internal/relay/tls_test.go
+++ b/internal/relay/tls_test.go
@@ -24,11 +24,11 @@
 
 	"golang.org/x/crypto/chacha20poly1305"
 
-	"troutusher/decide"
-	"troutusher/internal/devca"
-	"troutusher/internal/operator"
-	"troutusher/internal/secure"
+	"troutusher/internal/operatorconfig"
+	"troutusher/internal/testca"
+	"troutusher/internal/tlsdial"
 	"troutusher/internal/tlspolicy"
+	"troutusher/policy"
 )
 
 // recordSealer writes records of TLS 1.3 that crypto/tls does not let a server write,
@@ -131,7 +131,7 @@
 				c.Read(make([]byte, 4096))
 			})
 			o := newTestCall().complete(t, s.endpoint(testPool(t), inHandshake), &record{ID: "m"}, testLimit)
-			if !o.Outcome.NeverRan() || (o.Outcome == decide.NotSent) != identity && code != 0 {
+			if !o.Outcome.NeverRan() || (o.Outcome == policy.NotSent) != identity && code != 0 {
 				t.Errorf("alert %d in the handshake: %+v", code, o)
 			}
 			if n := conns.Load(); n > 1 {
@@ -155,10 +155,10 @@
 					p.staleCheckDelay = testLimit // the alert ends it, however late it is
 				}
 				o := newTestCall().complete(t, s.endpoint(p, addr), &record{ID: "m", Body: []byte("b")}, testLimit)
-				if whole && o.Outcome != decide.ConnectionReset || !whole && !o.Outcome.NeverRan() {
+				if whole && o.Outcome != policy.ConnectionReset || !whole && !o.Outcome.NeverRan() {
 					t.Errorf("alert %d, whole %v: %+v", code, whole, o)
 				}
-				if !whole && (o.Outcome == decide.NotSent) != identity {
+				if !whole && (o.Outcome == policy.NotSent) != identity {
 					t.Errorf("alert %d: %+v", code, o)
 				}
 				if n := conns.Load(); (whole || identity) && n != 1 || n > 2*maxConnAttempts {
@@ -178,40 +178,40 @@
 func TestTruncatedRecords(t *testing.T) {
 	for name, x := range map[string]struct {
 		say  func(raw net.Conn, seal *recordSealer)
-		what decide.Outcome
+		what policy.Outcome
 	}{
 		"a byte a record": {func(raw net.Conn, seal *recordSealer) {
 			for i := range len(okResponse) {
 				raw.Write(seal.seal(recordData, []byte{okResponse[i]}))
 			}
-		}, decide.Delivered},
+		}, policy.Delivered},
 		"empty records between": {func(raw net.Conn, seal *recordSealer) {
 			for i := range 10 {
 				raw.Write(seal.seal(recordData, nil))
 				raw.Write(seal.seal(recordData, []byte{okResponse[i]}))
 			}
 			raw.Write(seal.seal(recordData, []byte(okResponse[10:])))
-		}, decide.Delivered},
+		}, policy.Delivered},
 		"the first line, then cut without a farewell": {func(raw net.Conn, seal *recordSealer) {
 			raw.Write(seal.seal(recordData, []byte("HTTP/1.1 200 OK\r\nContent-Length: 9\r\n")))
-		}, decide.Delivered},
+		}, policy.Delivered},
 		"half of the first line's record": {func(raw net.Conn, seal *recordSealer) {
 			r := seal.seal(recordData, []byte(okResponse))
 			raw.Write(r[:len(r)/2])
-		}, decide.ConnectionReset},
+		}, policy.ConnectionReset},
 		"a refusal without its end": {func(raw net.Conn, seal *recordSealer) {
 			raw.Write(seal.seal(recordData, []byte("HTTP/1.1 503 F\r\nContent-Le")))
-		}, decide.Failed},
+		}, policy.Failed},
 		"a record that was tampered with": {func(raw net.Conn, seal *recordSealer) {
 			r := seal.seal(recordData, []byte(okResponse))
 			r[len(r)-1] ^= 1
 			raw.Write(r)
 			io.Copy(io.Discard, raw)
-		}, decide.ConnectionReset},
+		}, policy.ConnectionReset},
 		"keys updated once, then the answer": {func(raw net.Conn, seal *recordSealer) {
 			raw.Write(seal.keyUpdate())
 			raw.Write(seal.seal(recordData, []byte(okResponse)))
-		}, decide.Delivered},
+		}, policy.Delivered},
 		"keys updated without end": {func(raw net.Conn, seal *recordSealer) {
 			for range 1000 {
 				if _, err := raw.Write(seal.keyUpdate()); err != nil {
@@ -219,7 +219,7 @@
 				}
 			}
 			io.Copy(io.Discard, raw)
-		}, decide.ConnectionReset},
+		}, policy.ConnectionReset},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
@@ -294,7 +294,7 @@
 	close(release)
 	select {
 	case o := <-over:
-		if o.Outcome != decide.Delivered {
+		if o.Outcome != policy.Delivered {
 			t.Errorf("got %+v", o)
 		}
 	case <-time.After(testLimit):
@@ -345,45 +345,45 @@
 func TestRejectedPeersGetNothing(t *testing.T) {
 	now := time.Now()
 	type c = x509.Certificate
-	other := issueCert(t, nil, "other", devca.AsAuthority)
+	other := issueCert(t, nil, "other", testca.AsAuthority)
 	for _, version := range []uint16{tls.VersionTLS12, tls.VersionTLS13} {
 		for name, x := range map[string]struct {
 			change func(s *tlsSite) // of the site, before its rule is read
-			show   func(s *tlsSite) *devca.Issued
+			show   func(s *tlsSite) *testca.Issued
 			cause  tlspolicy.FailureCause
 		}{
-			"another name": {show: func(s *tlsSite) *devca.Issued { return issueCert(t, s.root, "shop.example.org") }, cause: tlspolicy.NameMismatch},
-			"no name":      {show: func(s *tlsSite) *devca.Issued { return issueCert(t, s.root, "x", devca.WithNames()) }, cause: tlspolicy.NameMismatch},
-			"its address": {show: func(s *tlsSite) *devca.Issued {
-				return issueCert(t, s.root, "x", devca.WithNames("127.0.0.1"))
+			"another name": {show: func(s *tlsSite) *testca.Issued { return issueCert(t, s.root, "shop.example.org") }, cause: tlspolicy.NameMismatch},
+			"no name":      {show: func(s *tlsSite) *testca.Issued { return issueCert(t, s.root, "x", testca.WithNames()) }, cause: tlspolicy.NameMismatch},
+			"its address": {show: func(s *tlsSite) *testca.Issued {
+				return issueCert(t, s.root, "x", testca.WithNames("127.0.0.1"))
 			}, cause: tlspolicy.NameMismatch},
-			"a wildcard too wide": {show: func(s *tlsSite) *devca.Issued { return issueCert(t, s.root, "*.org") }, cause: tlspolicy.NameMismatch},
-			"another root":        {show: func(*tlsSite) *devca.Issued { return issueCert(t, other, partnerName) }, cause: tlspolicy.UntrustedRoot},
-			"signed by itself":    {show: func(*tlsSite) *devca.Issued { return issueCert(t, nil, partnerName) }, cause: tlspolicy.UntrustedRoot},
-			"another root of the same name": {show: func(*tlsSite) *devca.Issued {
-				return issueCert(t, issueCert(t, nil, "root", devca.AsAuthority), partnerName)
+			"a wildcard too wide": {show: func(s *tlsSite) *testca.Issued { return issueCert(t, s.root, "*.org") }, cause: tlspolicy.NameMismatch},
+			"another root":        {show: func(*tlsSite) *testca.Issued { return issueCert(t, other, partnerName) }, cause: tlspolicy.UntrustedRoot},
+			"signed by itself":    {show: func(*tlsSite) *testca.Issued { return issueCert(t, nil, partnerName) }, cause: tlspolicy.UntrustedRoot},
+			"another root of the same name": {show: func(*tlsSite) *testca.Issued {
+				return issueCert(t, issueCert(t, nil, "root", testca.AsAuthority), partnerName)
 			}, cause: tlspolicy.UntrustedRoot},
-			"expired": {show: func(s *tlsSite) *devca.Issued {
-				return issueCert(t, s.root, partnerName, devca.WithValidity(now.Add(-2*time.Hour), now.Add(-time.Minute)))
+			"expired": {show: func(s *tlsSite) *testca.Issued {
+				return issueCert(t, s.root, partnerName, testca.WithValidity(now.Add(-2*time.Hour), now.Add(-time.Minute)))
 			}, cause: tlspolicy.Expired},
-			"not yet valid": {show: func(s *tlsSite) *devca.Issued {
-				return issueCert(t, s.root, partnerName, devca.WithValidity(now.Add(time.Minute), now.Add(time.Hour)))
+			"not yet valid": {show: func(s *tlsSite) *testca.Issued {
+				return issueCert(t, s.root, partnerName, testca.WithValidity(now.Add(time.Minute), now.Add(time.Hour)))
 			}, cause: tlspolicy.NotYetValid},
-			"expired above": {show: func(s *tlsSite) *devca.Issued {
-				return issueCert(t, issueCert(t, s.root, "mid", devca.AsAuthority, devca.WithValidity(now.Add(-2*time.Hour), now.Add(-time.Minute))), partnerName)
+			"expired above": {show: func(s *tlsSite) *testca.Issued {
+				return issueCert(t, issueCert(t, s.root, "mid", testca.AsAuthority, testca.WithValidity(now.Add(-2*time.Hour), now.Add(-time.Minute))), partnerName)
 			}, cause: tlspolicy.Expired},
-			"no authority above": {show: func(s *tlsSite) *devca.Issued {
-				return issueCert(t, issueCert(t, s.root, "mid", devca.AsAuthority, func(x *c) { x.IsCA = false }), partnerName)
+			"no authority above": {show: func(s *tlsSite) *testca.Issued {
+				return issueCert(t, issueCert(t, s.root, "mid", testca.AsAuthority, func(x *c) { x.IsCA = false }), partnerName)
 			}, cause: tlspolicy.UntrustedRoot},
-			"for clients": {show: func(s *tlsSite) *devca.Issued {
+			"for clients": {show: func(s *tlsSite) *testca.Issued {
 				return issueCert(t, s.root, partnerName, func(x *c) { x.ExtKeyUsage = []x509.ExtKeyUsage{x509.ExtKeyUsageClientAuth} })
 			}, cause: tlspolicy.InvalidChain},
-			"deeper than its authority may go": {show: func(s *tlsSite) *devca.Issued {
-				short := issueCert(t, s.root, "short", devca.AsAuthority, func(x *c) { x.MaxPathLen, x.MaxPathLenZero = 0, true })
-				return issueCert(t, issueCert(t, short, "deep", devca.AsAuthority), partnerName)
+			"deeper than its authority may go": {show: func(s *tlsSite) *testca.Issued {
+				short := issueCert(t, s.root, "short", testca.AsAuthority, func(x *c) { x.MaxPathLen, x.MaxPathLenZero = 0, true })
+				return issueCert(t, issueCert(t, short, "deep", testca.AsAuthority), partnerName)
 			}, cause: tlspolicy.InvalidChain},
-			"outside what its authority may name": {show: func(s *tlsSite) *devca.Issued {
-				return issueCert(t, issueCert(t, s.root, "narrow", devca.AsAuthority, func(x *c) {
+			"outside what its authority may name": {show: func(s *tlsSite) *testca.Issued {
+				return issueCert(t, issueCert(t, s.root, "narrow", testca.AsAuthority, func(x *c) {
 					x.PermittedDNSDomains, x.PermittedDNSDomainsCritical = []string{"shop.example.org"}, true
 				}), partnerName)
 			}, cause: tlspolicy.InvalidChain},
@@ -393,14 +393,14 @@
 			"revoked": {change: func(s *tlsSite) { s.revoke(t, s.own) }, cause: tlspolicy.CertificateRevoked},
 			"revocation unknown, and hard": {change: func(s *tlsSite) { s.rule.UnknownRevocation = "refuse" },
 				cause: tlspolicy.RevocationUnresolved},
-			"must staple and does not": {show: func(s *tlsSite) *devca.Issued {
-				return issueCert(t, s.root, partnerName, devca.WithMustStaple)
+			"must staple and does not": {show: func(s *tlsSite) *testca.Issued {
+				return issueCert(t, s.root, partnerName, testca.WithMustStaple)
 			}, cause: tlspolicy.RevocationUnresolved},
 			"wants a certificate that we lack": {cause: tlspolicy.ClientCertificateRejected},
 		} {
 			t.Run(name+" "+tls.VersionName(version), func(t *testing.T) {
 				t.Parallel()
-				s := newTLSSite(t, func(s *tlsSite, _ *operator.Handshakes) {
+				s := newTLSSite(t, func(s *tlsSite, _ *operatorconfig.Handshakes) {
 					if x.change != nil {
 						x.change(s)
 					}
@@ -414,8 +414,8 @@
 					cfg.ClientAuth, cfg.ClientCAs = tls.RequireAndVerifyClientCert, s.root.RootPool()
 				}
 				o, plaintext, conns := callRejectedPeer(t, s, cfg)
-				var out *secure.RejectedError
-				if o.Outcome != decide.NotSent || !errors.As(o.Err, &out) || out.Reason.Cause != x.cause {
+				var out *tlsdial.RejectedError
+				if o.Outcome != policy.NotSent || !errors.As(o.Err, &out) || out.Reason.Cause != x.cause {
 					t.Errorf("got %+v, want %s", o, x.cause)
 				}
 				if plaintext != 0 || conns != 1 {
@@ -430,7 +430,7 @@
 	t.Run("only an old version", func(t *testing.T) {
 		s := newTLSSite(t, nil)
 		o, plaintext, _ := callRejectedPeer(t, s, &tls.Config{Certificates: []tls.Certificate{s.own.TLSCertificate()}, MaxVersion: tls.VersionTLS11, MinVersion: tls.VersionTLS10})
-		var out *secure.RejectedError
+		var out *tlsdial.RejectedError
 		if !errors.As(o.Err, &out) || out.Reason.Cause != tlspolicy.NoCommonParameters || plaintext != 0 {
 			t.Errorf("got %+v, %d bytes", o, plaintext)
 		}
@@ -448,7 +448,7 @@
 		}))
 		o := newTestCall().complete(t, h, &record{ID: "m", Key: "secret-key"}, testLimit)
 		h.Close()
-		var out *secure.RejectedError
+		var out *tlsdial.RejectedError
 		if !errors.As(o.Err, &out) || out.Reason.Cause != tlspolicy.NoCommonParameters || got.Load() != 0 {
 			t.Errorf("got %+v", o)
 		}
@@ -459,7 +459,7 @@
 // with TLS 1.3 the handshake is over here by then, and the message would be whole
 // on its way.
 func TestOwnCertificateRejectedLate(t *testing.T) {
-	s := newTLSSite(t, func(s *tlsSite, _ *operator.Handshakes) {
+	s := newTLSSite(t, func(s *tlsSite, _ *operatorconfig.Handshakes) {
 		cert, key, err := issueCert(t, s.root, "relay").WriteFiles(s.dir, "own", true)
 		if err != nil {
 			t.Fatal(err)
@@ -471,8 +471,8 @@
 			time.Sleep(5 * defaultStaleCheckDelay) // longer than the moment before a call's last byte
 			return errors.New("not registered here")
 		}})
-	var out *secure.RejectedError
-	if o.Outcome != decide.NotSent || !errors.As(o.Err, &out) || out.Reason.Cause != tlspolicy.ClientCertificateRejected || plaintext != 0 || conns != 1 {
+	var out *tlsdial.RejectedError
+	if o.Outcome != policy.NotSent || !errors.As(o.Err, &out) || out.Reason.Cause != tlspolicy.ClientCertificateRejected || plaintext != 0 || conns != 1 {
 		t.Errorf("got %+v, %d bytes, %d connections", o, plaintext, conns)
 	}
 	if n := s.partners.Counts(); n.Full != 0 || n.Rejected != 1 {
@@ -481,14 +481,14 @@
 }
 
 // revoke puts a certificate on the site's revocation list.
-func (s *tlsSite) revoke(t testing.TB, m *devca.Issued) {
+func (s *tlsSite) revoke(t testing.TB, m *testca.Issued) {
 	t.Helper()
-	text, err := devca.RevocationListPEM(s.root, time.Now().Add(time.Hour), m)
+	text, err := testca.RevocationListPEM(s.root, time.Now().Add(time.Hour), m)
 	if err != nil {
 		t.Fatal(err)
 	}
 	s.rule.Revocations = filepath.Join(s.dir, "crl.pem")
-	if err := devca.ReplaceFile(s.rule.Revocations, text, 0o644); err != nil {
+	if err := testca.ReplaceFile(s.rule.Revocations, text, 0o644); err != nil {
 		t.Fatal(err)
 	}
 }
@@ -502,7 +502,7 @@
 
 func mustDeliver(t *testing.T, h *Endpoint) {
 	t.Helper()
-	if o := newTestCall().complete(t, h, &record{ID: "m", Body: []byte("b")}, testLimit); o.Outcome != decide.Delivered {
+	if o := newTestCall().complete(t, h, &record{ID: "m", Body: []byte("b")}, testLimit); o.Outcome != policy.Delivered {
 		t.Fatalf("got %+v", o)
 	}
 	waitReusable(h)
@@ -528,13 +528,13 @@
 	<-entered
 	s.clockSkew.Store(int64(2 * time.Hour)) // its certificate ended an hour ago
 	close(release)
-	if o := <-over; o.Outcome != decide.Delivered {
+	if o := <-over; o.Outcome != policy.Delivered {
 		t.Errorf("the call that was out: %+v", o)
 	}
 	waitFor(t, "the connection's end", func() bool { open, _ := h.pool.counts(); return open == 0 })
 	o := newTestCall().complete(t, h, &record{ID: "b"}, testLimit)
-	var out *secure.RejectedError
-	if !errors.As(o.Err, &out) || out.Reason.Cause != tlspolicy.Expired || o.Outcome != decide.NotSent || conns.Load() != 1 {
+	var out *tlsdial.RejectedError
+	if !errors.As(o.Err, &out) || out.Reason.Cause != tlspolicy.Expired || o.Outcome != policy.NotSent || conns.Load() != 1 {
 		t.Errorf("the next one: %+v, %d connections served", o, conns.Load())
 	}
 	h.Close()
@@ -550,12 +550,12 @@
 	if _, idle := h.pool.counts(); idle != 1 {
 		t.Fatalf("%d idle", idle)
 	}
-	other := issueCert(t, nil, "other", devca.AsAuthority)
+	other := issueCert(t, nil, "other", testca.AsAuthority)
 	if _, _, err := other.WriteFiles(s.dir, "roots", false); err != nil {
 		t.Fatal(err)
 	}
 	s.partners.ReloadFiles()
-	if o := newTestCall().complete(t, h, &record{ID: "b"}, testLimit); o.Outcome != decide.NotSent {
+	if o := newTestCall().complete(t, h, &record{ID: "b"}, testLimit); o.Outcome != policy.NotSent {
 		t.Fatalf("under roots that do not know the partner: %+v", o)
 	}
 	if b := <-s.rejections; b.wait == 0 {
@@ -591,7 +591,7 @@
 		}
 		return &wrong, nil
 	}}, serveOK))
-	if o := newTestCall().complete(t, h, &record{ID: "a"}, testLimit); o.Outcome != decide.NotSent {
+	if o := newTestCall().complete(t, h, &record{ID: "a"}, testLimit); o.Outcome != policy.NotSent {
 		t.Fatalf("got %+v", o)
 	}
 	good.Store(true)
@@ -629,7 +629,7 @@
 			}
 			// What a proof would not be accepted for any more, a session is not either.
 			s.clockSkew.Store(int64(3 * time.Hour))
-			if o := newTestCall().complete(t, h, &record{ID: "m"}, testLimit); o.Outcome != decide.NotSent {
+			if o := newTestCall().complete(t, h, &record{ID: "m"}, testLimit); o.Outcome != policy.NotSent {
 				t.Errorf("after the certificate's end a session serves: %+v", o)
 			}
 			h.Close()
@@ -660,7 +660,7 @@
 		}()
 	}
 	for range 30 {
-		if o := <-over; o.Outcome != decide.Delivered {
+		if o := <-over; o.Outcome != policy.Delivered {
 			t.Errorf("got %+v", o)
 		}
 	}
@@ -678,7 +678,7 @@
 // handshake weighs nothing it opens its own.
 func TestConnectNotAllowed(t *testing.T) {
 	for _, weight := range []float64{0, 1} {
-		s := newTLSSite(t, func(s *tlsSite, _ *operator.Handshakes) { s.rule.HandshakeWeight = &weight })
+		s := newTLSSite(t, func(s *tlsSite, _ *operatorconfig.Handshakes) { s.rule.HandshakeWeight = &weight })
 		h := s.endpoint(testPool(t), serveTLS(t, &tls.Config{Certificates: []tls.Certificate{s.own.TLSCertificate()}}, serveOK))
 		call := func(paid bool) Result {
 			c := newTestCall()
@@ -686,14 +686,14 @@
 			return c.complete(t, h, &record{ID: "m"}, testLimit)
 		}
 		o := call(false)
-		if weight == 0 && (o.Outcome != decide.Delivered || o.ConnectionsOpened != 1) || weight > 0 && (o.Outcome != decide.NotSent || o.ConnectionsOpened != 0 || s.partners.Counts().Full != 0) {
+		if weight == 0 && (o.Outcome != policy.Delivered || o.ConnectionsOpened != 1) || weight > 0 && (o.Outcome != policy.NotSent || o.ConnectionsOpened != 0 || s.partners.Counts().Full != 0) {
 			t.Errorf("weight %v, not paid: %+v", weight, o)
 		}
-		if o := call(true); o.Outcome != decide.Delivered || o.ConnectionsOpened != 1 && weight > 0 {
+		if o := call(true); o.Outcome != policy.Delivered || o.ConnectionsOpened != 1 && weight > 0 {
 			t.Errorf("weight %v, paid: %+v", weight, o)
 		}
 		waitReusable(h)
-		if o := call(false); o.Outcome != decide.Delivered || o.ConnectionsOpened != 0 {
+		if o := call(false); o.Outcome != policy.Delivered || o.ConnectionsOpened != 0 {
 			t.Errorf("weight %v, one is free: %+v", weight, o)
 		}
 	}
@@ -703,13 +703,13 @@
 // allows no handshake before the call's end, the call never ran, at once, with
 // the time to come back.
 func TestHandshakeBudgetExhausted(t *testing.T) {
-	s := newTLSSite(t, func(_ *tlsSite, h *operator.Handshakes) { h.CPUShare, h.BurstMS = 1e-6, 1 })
+	s := newTLSSite(t, func(_ *tlsSite, h *operatorconfig.Handshakes) { h.CPUShare, h.BurstMS = 1e-6, 1 })
 	h := s.endpoint(testPool(t), serveTLS(t, &tls.Config{Certificates: []tls.Certificate{s.own.TLSCertificate()}}, serveOK))
 	mustDeliver(t, h) // which takes all of the budget
 	h.CloseIdle()
 	o := newTestCall().complete(t, h, &record{ID: "m"}, time.Second)
 	var turn handshakeBudgetError
-	if o.Outcome != decide.NotSent || !errors.As(o.Err, &turn) || o.RetryAfter < 1e6 || o.Elapsed > 500e3 {
+	if o.Outcome != policy.NotSent || !errors.As(o.Err, &turn) || o.RetryAfter < 1e6 || o.Elapsed > 500e3 {
 		t.Errorf("got %+v", o)
 	}
 }
@@ -718,7 +718,7 @@
 // flight, certificate and key one after the other: no call is lost, the pair
 // that does not match is never shown, and from then on the new one is.
 func TestOwnCertificateReplaced(t *testing.T) {
-	s := newTLSSite(t, func(s *tlsSite, h *operator.Handshakes) {
+	s := newTLSSite(t, func(s *tlsSite, h *operatorconfig.Handshakes) {
 		h.MaxParallel, h.CPUShare, h.BurstMS = 50, 1, 1000
 		cert, key, err := issueCert(t, s.root, "relay one").WriteFiles(s.dir, "own", true)
 		if err != nil {
@@ -755,14 +755,14 @@
 		<-arrived
 	}
 	two := issueCert(t, s.root, "relay two")
-	if err := devca.ReplaceFile(s.rule.Certificate, two.CertPEM(), 0o644); err != nil {
+	if err := testca.ReplaceFile(s.rule.Certificate, two.CertPEM(), 0o644); err != nil {
 		t.Fatal(err)
 	}
 	s.partners.ReloadFiles() // the moment between: the old pair goes on
 	open.Store(true)
 	close(gate)
 	for range 50 {
-		if o := <-over; o.Outcome != decide.Delivered {
+		if o := <-over; o.Outcome != policy.Delivered {
 			t.Errorf("got %+v", o)
 		}
 	}
@@ -784,14 +784,14 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if err := devca.ReplaceFile(s.rule.Key, key, 0o600); err != nil {
+	if err := testca.ReplaceFile(s.rule.Key, key, 0o600); err != nil {
 		t.Fatal(err)
 	}
 	s.partners.ReloadFiles()
 	waitReusable(h)
 	send(20)
 	for range 20 {
-		if o := <-over; o.Outcome != decide.Delivered {
+		if o := <-over; o.Outcome != policy.Delivered {
 			t.Errorf("got %+v", o)
 		}
 	}
@@ -828,7 +828,7 @@
 			return &closeAtWriteConn{TCPConn: c.(*net.TCPConn), at: at}, nil
 		}
 		o := newTestCall().complete(t, h, &record{ID: "m", Body: []byte("b")}, testLimit)
-		if calls.Load() > 1 || o.Outcome == decide.Delivered && calls.Load() != 1 || o.Outcome != decide.Delivered && (!o.Outcome.NeverRan() || calls.Load() != 0) {
+		if calls.Load() > 1 || o.Outcome == policy.Delivered && calls.Load() != 1 || o.Outcome != policy.Delivered && (!o.Outcome.NeverRan() || calls.Load() != 0) {
 			t.Fatalf("broken at write %d: %+v, and %d calls", at, o, calls.Load())
 		}
 		h.Close()
--- a/internal/relay/waits_test.go
+++ b/internal/relay/waits_test.go
@@ -8,15 +8,15 @@
 	"testing"
 	"time"
 
-	"troutusher/decide"
 	"troutusher/internal/core"
-	"troutusher/internal/gate"
+	"troutusher/internal/sendgate"
+	"troutusher/policy"
 )
 
 // retryAfterLeft reports whether the gate keeps calls from going out, and for how long.
-func retryAfterLeft(h *Endpoint) decide.Time {
+func retryAfterLeft(h *Endpoint) policy.Time {
 	_, err := h.gate.Acquire(h.pool.now(), func(error) {})
-	if w, ok := err.(gate.RetryAfterError); ok {
+	if w, ok := err.(sendgate.RetryAfterError); ok {
 		return w.Remaining
 	}
 	return 0
@@ -26,7 +26,7 @@
 // when a sibling hears of a wait does not go out: it never ran, its endpoint was
 // not asked, and it says for how long it was kept.
 func TestRetryAfterStopsUnsentCalls(t *testing.T) {
-	const wait = decide.Time(5e6)
+	const wait = policy.Time(5e6)
 	for name, where := range map[string]func(h *Endpoint, tell func()){
 		"connecting": func(h *Endpoint, tell func()) {
 			dial := h.dial
@@ -58,11 +58,11 @@
 			ep := newFakeEndpoint(t, nil)
 			p := testPool(t)
 			h, sibling := p.newEndpoint(ep.addr()), p.newEndpoint(ep.addr())
-			shared := &gate.Scope{}
+			shared := &sendgate.Scope{}
 			h.gate, sibling.gate = shared.Gate(), shared.Gate()
 			where(h, func() { now := p.now(); sibling.gate.HoldUntil(now, now+wait) })
 			o := newTestCall().complete(t, h, &record{ID: "m", Body: []byte("b")}, testLimit)
-			if o.Outcome != decide.NotSent || o.RetryAfter <= 0 || o.RetryAfter > wait || !gate.IsRefusal(o.Err) {
+			if o.Outcome != policy.NotSent || o.RetryAfter <= 0 || o.RetryAfter > wait || !sendgate.IsRefusal(o.Err) {
 				t.Errorf("got %+v", o)
 			}
 			if n := ep.count("m"); n != 0 {
@@ -102,7 +102,7 @@
 	const head = "HTTP/1.1 429 W\r\nRetry-After: 7.5\r\nContent-Length: 9\r\n\r\n"
 	for name, x := range map[string]struct {
 		rest func(c net.Conn)
-		wait decide.Time
+		wait policy.Time
 		text string
 	}{
 		"cut":             {rest: func(c net.Conn) { io.WriteString(c, "half") }, wait: 7500e3, text: head},
@@ -131,7 +131,7 @@
 				read <- true
 			}
 			o := <-done
-			if (o.Outcome != decide.Failed && o.Outcome != decide.ConnectionReset) || o.RetryAfter != x.wait {
+			if (o.Outcome != policy.Failed && o.Outcome != policy.ConnectionReset) || o.RetryAfter != x.wait {
 				t.Errorf("got %+v, want a wait of %d ms", o, x.wait/1000)
 			}
 			if left := retryAfterLeft(h); (left > 0) != (x.wait > 0) || left > x.wait {
@@ -167,7 +167,7 @@
 			}
 			var got []Result
 			c.awaitResponse(ctx, conn, req, time.Now(), nil, func(o Result) { got = append(got, o) })
-			if len(got) != 1 || got[0].Outcome != decide.Rejected || got[0].RetryAfter != 2e6 || retryAfterLeft(h) == 0 {
+			if len(got) != 1 || got[0].Outcome != policy.Rejected || got[0].RetryAfter != 2e6 || retryAfterLeft(h) == 0 {
 				t.Errorf("got %+v, held for %d ms", got, retryAfterLeft(h)/1000)
 			}
 		})
@@ -177,9 +177,9 @@
 // A wait binds a destination's endpoints together, also one that opens later, and
 // of routes apart the one that told it; it outlasts the home that heard it.
 func TestRetryAfterScopes(t *testing.T) {
-	r := &Relay{endpoints: map[decide.EndpointID]*Endpoint{}, pool: testPool(t), startedAt: time.Now()}
+	r := &Relay{endpoints: map[policy.EndpointID]*Endpoint{}, pool: testPool(t), startedAt: time.Now()}
 	r.pool.now = r.now
-	open := func(n decide.EndpointID, dest int, apart bool) {
+	open := func(n policy.EndpointID, dest int, apart bool) {
 		r.executeEffect(&core.Effect{Kind: core.OpenEndpoint, Endpoint: n, Address: "127.0.0.1:1", Dest: dest, Apart: apart})
 	}
 	open(1, 1, false)
@@ -193,7 +193,7 @@
 	r.executeEffect(&core.Effect{Kind: core.CloseEndpoint, Endpoint: 3})
 	open(3, 2, true)
 	open(6, 1, false)
-	for n, want := range map[decide.EndpointID]bool{1: true, 2: true, 3: true, 4: false, 5: false, 6: true} {
+	for n, want := range map[policy.EndpointID]bool{1: true, 2: true, 3: true, 4: false, 5: false, 6: true} {
 		if got := retryAfterLeft(r.endpoints[n]) > 0; got != want {
 			t.Errorf("endpoint %d is held: %v", n, got)
 		}
@@ -202,7 +202,7 @@
 	if open(3, 2, true); retryAfterLeft(r.endpoints[3]) > 0 {
 		t.Error("a route that was forgotten is held")
 	}
-	for _, n := range []decide.EndpointID{1, 2, 6} {
+	for _, n := range []policy.EndpointID{1, 2, 6} {
 		r.executeEffect(&core.Effect{Kind: core.CloseEndpoint, Endpoint: n})
 		r.executeEffect(&core.Effect{Kind: core.ForgetEndpoint, Endpoint: n})
 	}
--- a/internal/relay/way_test.go
+++ b/internal/relay/way_test.go
@@ -9,9 +9,9 @@
 	"testing"
 	"time"
 
-	"troutusher/internal/devca"
-	"troutusher/internal/operator"
-	"troutusher/internal/secure"
+	"troutusher/internal/operatorconfig"
+	"troutusher/internal/testca"
+	"troutusher/internal/tlsdial"
 )
 
 // transport is how calls reach endpoints: one script of faults, over plain TCP and over
@@ -75,10 +75,10 @@
 // tlsSite is a site whose only rule is for the destinations of flavour k.
 type tlsSite struct {
 	dir          string
-	root         *devca.Issued
-	own          *devca.Issued // the partner's
-	rule         operator.TLSRule
-	partners     *secure.Dialer
+	root         *testca.Issued
+	own          *testca.Issued // the partner's
+	rule         operatorconfig.TLSRule
+	partners     *tlsdial.Dialer
 	rejections   chan identityRejection
 	clockSkew    atomic.Int64 // of its clock
 	lastEndpoint atomic.Uint64
@@ -86,30 +86,30 @@
 
 const partnerName = "pay.example.org"
 
-func issueCert(t testing.TB, up *devca.Issued, name string, changes ...func(*x509.Certificate)) *devca.Issued {
+func issueCert(t testing.TB, up *testca.Issued, name string, changes ...func(*x509.Certificate)) *testca.Issued {
 	t.Helper()
-	m, err := devca.Issue(up, name, nil, changes...)
+	m, err := testca.Issue(up, name, nil, changes...)
 	if err != nil {
 		t.Fatal(err)
 	}
 	return m
 }
 
-func newTLSSite(t testing.TB, change func(s *tlsSite, h *operator.Handshakes)) *tlsSite {
+func newTLSSite(t testing.TB, change func(s *tlsSite, h *operatorconfig.Handshakes)) *tlsSite {
 	t.Helper()
 	s := &tlsSite{dir: t.TempDir(), rejections: make(chan identityRejection, 1000)}
-	s.root = issueCert(t, nil, "root", devca.AsAuthority)
+	s.root = issueCert(t, nil, "root", testca.AsAuthority)
 	s.own = issueCert(t, s.root, partnerName)
 	roots, _, err := s.root.WriteFiles(s.dir, "roots", false)
 	if err != nil {
 		t.Fatal(err)
 	}
-	s.rule = operator.TLSRule{Name: "pay", Flavors: []string{"k"}, ServerName: partnerName, Roots: roots}
-	var h operator.Handshakes
+	s.rule = operatorconfig.TLSRule{Name: "pay", Flavors: []string{"k"}, ServerName: partnerName, Roots: roots}
+	var h operatorconfig.Handshakes
 	if change != nil {
 		change(s, &h)
 	}
-	s.partners, err = secure.New(secure.Options{Rules: []operator.TLSRule{s.rule}, Handshakes: h, Log: quietLog(), Seed: 1,
+	s.partners, err = tlsdial.New(tlsdial.Options{Rules: []operatorconfig.TLSRule{s.rule}, Handshakes: h, Log: quietLog(), Seed: 1,
 		Clock:      func() time.Time { return time.Now().Add(time.Duration(s.clockSkew.Load())) },
 		OnRejected: func(endpoint uint64, wait time.Duration) { s.rejections <- identityRejection{endpoint, wait} }})
 	if err != nil {
--- a/internal/front/fixture_test.go
+++ b/internal/respserver/fixture_test.go
@@ -1,4 +1,4 @@
-package front
+package respserver
 
 import (
 	"bufio"
@@ -14,7 +14,7 @@
 	"sync"
 	"testing"
 
-	"troutusher/internal/places"
+	"troutusher/internal/connlimit"
 )
 
 // testdata/replies.txt holds what a client sends ("<") and all that it hears
@@ -25,7 +25,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	f, _ := startServer(t, Options{}, places.DefaultLimits(100, 300))
+	f, _ := startServer(t, Options{}, connlimit.DefaultLimits(100, 300))
 	var inputs, replies []string
 	var wg sync.WaitGroup
 	for text := range strings.Lines(string(want)) {
@@ -69,7 +69,7 @@
 
 // What a client hears whose command ends too late, or finds no memory.
 func TestRepliesToLateCommands(t *testing.T) {
-	l := places.DefaultLimits(100, 300)
+	l := connlimit.DefaultLimits(100, 300)
 	l.FirstCommandTimeout = 200e3
 	f, _ := startServer(t, Options{}, l)
 	late := dial(t, f.Addr().String())
@@ -82,7 +82,7 @@
 	io.WriteString(holder, encodeCommand("PING"))
 	readLine(t, bufio.NewReader(holder))
 	io.WriteString(holder, "*1\r\n$4\r\nPI") // all of the memory
-	waitUntil(t, "the memory is in use", func() bool { m := 0; f.Inspect(func(*places.Limiter) { m = f.memoryUsed }); return m > 0 })
+	waitUntil(t, "the memory is in use", func() bool { m := 0; f.Inspect(func(*connlimit.Limiter) { m = f.memoryUsed }); return m > 0 })
 	starved := dial(t, f.Addr().String())
 	io.WriteString(starved, encodeCommand("PING"))
 	if heard, err := io.ReadAll(starved); string(heard) != "-BUSY 500\r\n" || err != nil {
@@ -112,9 +112,9 @@
 		t.Fatal(err)
 	}
 	conns := []ConnSnapshot{
-		{Slot: places.Snapshot{Left: 2600000}},
-		{Unprocessed: []byte("*1\r\n$4\r\nPI"), Slot: places.Snapshot{Known: true, Spoke: true, Asked: 7, Left: 4000000}},
-		{Unwritten: []byte("+OK\r\n"), Slot: places.Snapshot{Spoke: true, Left: 10000}},
+		{Slot: connlimit.Snapshot{Left: 2600000}},
+		{Unprocessed: []byte("*1\r\n$4\r\nPI"), Slot: connlimit.Snapshot{Known: true, Spoke: true, Asked: 7, Left: 4000000}},
+		{Unwritten: []byte("+OK\r\n"), Slot: connlimit.Snapshot{Spoke: true, Left: 10000}},
 	}
 	got, err := json.MarshalIndent(conns, "", " ")
 	if err != nil {
--- a/internal/front/handover.go
+++ b/internal/respserver/handover.go
@@ -1,4 +1,4 @@
-package front
+package respserver
 
 import (
 	"net"
@@ -6,7 +6,7 @@
 	"slices"
 	"syscall"
 
-	"troutusher/internal/places"
+	"troutusher/internal/connlimit"
 )
 
 // A front can be frozen: nothing is accepted, read or closed any more, and what
@@ -15,10 +15,10 @@
 
 // ConnSnapshot is a client's connection, between commands or in the middle of one.
 type ConnSnapshot struct {
-	FD          int             `json:"-"`
-	Unprocessed []byte          `json:"ahead,omitempty"` // read, and not answered
-	Unwritten   []byte          `json:"out,omitempty"`   // to be written first
-	Slot        places.Snapshot `json:"place"`
+	FD          int                `json:"-"`
+	Unprocessed []byte             `json:"ahead,omitempty"` // read, and not answered
+	Unwritten   []byte             `json:"out,omitempty"`   // to be written first
+	Slot        connlimit.Snapshot `json:"place"`
 }
 
 // Pause stops the front at the next command's end. quiet is called, in the
@@ -80,10 +80,10 @@
 		}
 		now := f.now()
 		f.forEachConn(func(slot uint32, c *conn) {
-			if c.mode != modeReading && c.mode != modeWriting || c.closeAfterWrite || c.peerClosed || f.limiter.State(places.SlotID(slot)) == places.StateDraining {
+			if c.mode != modeReading && c.mode != modeWriting || c.closeAfterWrite || c.peerClosed || f.limiter.State(connlimit.SlotID(slot)) == connlimit.StateDraining {
 				return
 			}
-			h := ConnSnapshot{FD: int(c.fd), Slot: f.limiter.Snapshot(places.SlotID(slot), now)}
+			h := ConnSnapshot{FD: int(c.fd), Slot: f.limiter.Snapshot(connlimit.SlotID(slot), now)}
 			if c.reader != nil {
 				text, ok := c.reader.Pending()
 				if !ok {
--- a/internal/front/handover_test.go
+++ b/internal/respserver/handover_test.go
@@ -1,4 +1,4 @@
-package front
+package respserver
 
 import (
 	"bufio"
@@ -11,7 +11,7 @@
 	"testing"
 	"time"
 
-	"troutusher/internal/places"
+	"troutusher/internal/connlimit"
 )
 
 // newSuccessor is a front that takes over what another one showed, as another process
@@ -19,7 +19,7 @@
 func newSuccessor(t *testing.T, listeners []int, conns []ConnSnapshot) *Server {
 	t.Helper()
 	e := &echoHandler{delivered: map[string]bool{}}
-	o := Options{Limits: places.DefaultLimits(64, 192), MemoryLimit: 8 << 20, Handler: e.handle, Logger: slog.New(slog.DiscardHandler)}
+	o := Options{Limits: connlimit.DefaultLimits(64, 192), MemoryLimit: 8 << 20, Handler: e.handle, Logger: slog.New(slog.DiscardHandler)}
 	var addrs []string
 	for _, fd := range listeners {
 		own, err := syscall.Dup(fd)
@@ -53,7 +53,7 @@
 // command cut at any byte, with several sent ahead; and one that waits in the
 // listen queue is accepted there.
 func TestHandover(t *testing.T) {
-	f, old := startServer(t, Options{}, places.DefaultLimits(64, 192))
+	f, old := startServer(t, Options{}, connlimit.DefaultLimits(64, 192))
 	dial := func() (net.Conn, *bufio.Reader) {
 		c, err := net.Dial("tcp", f.Addr().String())
 		if err != nil {
@@ -87,7 +87,7 @@
 	want(idleIn, "+PONG\r\n")
 	for { // until all are in, and what they sent is read
 		n := 0
-		f.Inspect(func(b *places.Limiter) { n = b.InUse() })
+		f.Inspect(func(b *connlimit.Limiter) { n = b.InUse() })
 		if n == len(halves)+1 {
 			break
 		}
@@ -110,7 +110,7 @@
 		t.Errorf("of three: %+v", few)
 	}
 	h := newSuccessor(t, listeners, conns)
-	f.Inspect(func(*places.Limiter) {}) // a turn more
+	f.Inspect(func(*connlimit.Limiter) {}) // a turn more
 	f.Close()
 	if old.received != nil {
 		t.Errorf("a frozen front read on: %q", old.received)
@@ -129,7 +129,7 @@
 
 // A front that is thawed goes on as if nothing had been.
 func TestResumeAfterPause(t *testing.T) {
-	f, _ := startServer(t, Options{}, places.DefaultLimits(64, 192))
+	f, _ := startServer(t, Options{}, connlimit.DefaultLimits(64, 192))
 	c, err := net.Dial("tcp", f.Addr().String())
 	if err != nil {
 		t.Fatal(err)
--- a/internal/front/poll_test.go
+++ b/internal/respserver/poll_test.go
@@ -1,4 +1,4 @@
-package front
+package respserver
 
 import (
 	"errors"
--- a/internal/front/receivetime_test.go
+++ b/internal/respserver/receivetime_test.go
@@ -1,4 +1,4 @@
-package front
+package respserver
 
 import (
 	"bufio"
@@ -10,15 +10,15 @@
 	"testing"
 	"time"
 
-	"troutusher/internal/places"
+	"troutusher/internal/connlimit"
 )
 
 // newStoppedServer makes a front that nobody runs: the test turns it by hand, and moves its
 // clock by moving its beginning. Each command that is read is shown to seen.
 func newStoppedServer(t *testing.T, o Options, seen func(*Command)) *Server {
 	t.Helper()
-	o.Limits, o.MemoryLimit, o.Logger = places.DefaultLimits(100, 300), 8<<20, slog.New(slog.NewTextHandler(io.Discard, nil))
-	o.Handler = func(a *Command) Reply { seen(a); return Reply{Text: "+OK\r\n", Kind: places.CommandRequest} }
+	o.Limits, o.MemoryLimit, o.Logger = connlimit.DefaultLimits(100, 300), 8<<20, slog.New(slog.NewTextHandler(io.Discard, nil))
+	o.Handler = func(a *Command) Reply { seen(a); return Reply{Text: "+OK\r\n", Kind: connlimit.CommandRequest} }
 	f, err := New(o, "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -173,10 +173,10 @@
 			}
 			ages := map[string]time.Duration{}
 			var f *Server
-			o.Limits, o.MemoryLimit, o.Logger = places.DefaultLimits(100, 300), 8<<20, slog.New(slog.NewTextHandler(io.Discard, nil))
+			o.Limits, o.MemoryLimit, o.Logger = connlimit.DefaultLimits(100, 300), 8<<20, slog.New(slog.NewTextHandler(io.Discard, nil))
 			o.Handler = func(a *Command) Reply {
 				ages[string(a.Args[1])] = time.Since(a.ReceivedAt)
-				return Reply{Text: "+OK\r\n", Kind: places.CommandRequest}
+				return Reply{Text: "+OK\r\n", Kind: connlimit.CommandRequest}
 			}
 			if f, err = New(o, ln.Addr().String()); err != nil {
 				t.Fatal(err)
@@ -184,7 +184,7 @@
 			t.Cleanup(f.teardown)
 			io.WriteString(client, encodeCommand("SAY", "kept"))
 			io.WriteString(queued, encodeCommand("SAY", "queued"))
-			if n := f.Import([]ConnSnapshot{{FD: fd, Slot: places.Snapshot{Known: true}}}); n != 1 {
+			if n := f.Import([]ConnSnapshot{{FD: fd, Slot: connlimit.Snapshot{Known: true}}}); n != 1 {
 				t.Fatal("not adopted")
 			}
 			for end := time.Now().Add(20 * time.Second); len(ages) < 2 && time.Now().Before(end); {
@@ -211,8 +211,8 @@
 		t.Fatal(err)
 	}
 	addr := ln.Addr().String()
-	o := Options{DeferListen: true, Limits: places.DefaultLimits(100, 300), MemoryLimit: 1 << 20, Logger: slog.New(slog.NewTextHandler(io.Discard, nil)),
-		Handler: func(*Command) Reply { return Reply{Text: "+PONG\r\n", Kind: places.CommandControl} }}
+	o := Options{DeferListen: true, Limits: connlimit.DefaultLimits(100, 300), MemoryLimit: 1 << 20, Logger: slog.New(slog.NewTextHandler(io.Discard, nil)),
+		Handler: func(*Command) Reply { return Reply{Text: "+PONG\r\n", Kind: connlimit.CommandControl} }}
 	if f, err := New(o, addr); err == nil {
 		f.teardown()
 		t.Error("an address that somebody serves on was taken")
@@ -251,7 +251,7 @@
 // Addresses of all kinds are taken and opened; what cannot be is an error that
 // names it, and nothing stays behind.
 func TestDeferredListenAddresses(t *testing.T) {
-	o := Options{DeferListen: true, Limits: places.DefaultLimits(100, 300), MemoryLimit: 1 << 20, Logger: slog.New(slog.NewTextHandler(io.Discard, nil))}
+	o := Options{DeferListen: true, Limits: connlimit.DefaultLimits(100, 300), MemoryLimit: 1 << 20, Logger: slog.New(slog.NewTextHandler(io.Discard, nil))}
 	for _, addr := range []string{":0", "0.0.0.0:0", "localhost:0", "127.0.0.9:0"} {
 		f, err := New(o, addr)
 		if err != nil {
--- a/internal/front/server.go
+++ b/internal/respserver/server.go
@@ -1,4 +1,4 @@
-// Package front serves clients that speak RESP2: it accepts, reads commands,
+// Package respserver serves clients that speak RESP2: it accepts, reads commands,
 // hands each to a handler and writes the answer, for any number of connections
 // in one goroutine. An idle connection costs its descriptor, its line in the
 // account of places and a small struct: no goroutine, no buffer, no timer.
@@ -7,7 +7,7 @@
 // places decides; what a command is, package resp; what it means and what is
 // answered, the handler. It must never close a connection whose request was
 // read and not answered, but where that request's client has left.
-package front
+package respserver
 
 import (
 	"context"
@@ -24,9 +24,9 @@
 	"syscall"
 	"time"
 
-	"troutusher/internal/places"
+	"troutusher/internal/connlimit"
 	"troutusher/internal/resp"
-	"troutusher/internal/wheel"
+	"troutusher/internal/timerwheel"
 )
 
 const (
@@ -92,14 +92,14 @@
 // request that is answered later. A text that begins with -ERR is a fault.
 type Reply struct {
 	Text         string
-	Kind         places.CommandKind
+	Kind         connlimit.CommandKind
 	Pending      Pending
 	PendingBytes int // bytes that Later keeps until it is answered
 }
 
 // Options are what a front needs.
 type Options struct {
-	Limits      places.Limits
+	Limits      connlimit.Limits
 	MemoryLimit int // bytes for commands that are being read or wait for their answer
 	Logger      *slog.Logger
 	// InheritedListeners are used where they have an address that is wanted; the others
@@ -164,9 +164,9 @@
 	options           Options
 	accept            func(listener int) (int, error)
 	startedAt         time.Time
-	limiter           *places.Limiter
+	limiter           *connlimit.Limiter
 	poller            *poller
-	timers            *wheel.Wheel // the front's own: pauses, writes, lingering
+	timers            *timerwheel.Wheel // the front's own: pauses, writes, lingering
 	expired           []uint32
 	connPages         []*[pageSize]conn
 	readyQueue        []uint32 // connections with something to do
@@ -228,10 +228,10 @@
 func New(o Options, addrs ...string) (*Server, error) {
 	f := &Server{options: o, accept: accept, startedAt: time.Now(), done: make(chan struct{})}
 	var err error
-	if f.limiter, err = places.New(o.Limits, 0); err != nil {
+	if f.limiter, err = connlimit.New(o.Limits, 0); err != nil {
 		return nil, err
 	}
-	f.timers = wheel.New(timerTick.Microseconds(), 0)
+	f.timers = timerwheel.New(timerTick.Microseconds(), 0)
 	if f.poller, err = newPoller(); err != nil {
 		return nil, fmt.Errorf("clients: %w", err)
 	}
@@ -476,7 +476,7 @@
 		open = open || l.mayHaveBacklog
 	}
 	f.forEachConn(func(slot uint32, c *conn) {
-		new := f.limiter.State(places.SlotID(slot)) == places.StateUnvalidated && now-c.readyAt < shutdownGrace.Microseconds()
+		new := f.limiter.State(connlimit.SlotID(slot)) == connlimit.StateUnvalidated && now-c.readyAt < shutdownGrace.Microseconds()
 		open = open || new || c.mode != modeReading || c.reader != nil
 	})
 	if !open {
@@ -494,7 +494,7 @@
 
 // Inspect shows the account of places to a function, in the front's goroutine,
 // and returns after it.
-func (f *Server) Inspect(fn func(*places.Limiter)) {
+func (f *Server) Inspect(fn func(*connlimit.Limiter)) {
 	seen := make(chan struct{})
 	f.runOnLoop(func() { fn(f.limiter); close(seen) })
 	select {
@@ -757,7 +757,7 @@
 func (f *Server) parse(slot uint32, c *conn, data []byte, own bool) {
 	now := f.now()
 	if c.reader == nil {
-		f.limiter.CommandStarted(places.SlotID(slot), now)
+		f.limiter.CommandStarted(connlimit.SlotID(slot), now)
 		c.reader = f.takeReader()
 	}
 	took, whole, err := c.reader.Feed(data)
@@ -773,10 +773,10 @@
 	}
 	switch {
 	case err == resp.ErrTooLong:
-		f.limiter.CommandRead(places.SlotID(slot), places.CommandInvalid, now)
+		f.limiter.CommandRead(connlimit.SlotID(slot), connlimit.CommandInvalid, now)
 		f.replyError(c, slot, err, false)
 	case err != nil:
-		f.limiter.CommandRead(places.SlotID(slot), places.CommandInvalid, now)
+		f.limiter.CommandRead(connlimit.SlotID(slot), connlimit.CommandInvalid, now)
 		f.replyError(c, slot, err, true)
 	default:
 		f.dispatch(slot, c, now)
@@ -808,7 +808,7 @@
 	back, refuse := f.options.Limits.ShedRequest(waited, len(f.readyQueue), int64(f.serviceTimeMicros))
 	asked.Shed, asked.RetryAfter = refuse, time.Duration(back)*time.Microsecond
 	reply := f.options.Handler(&asked)
-	f.limiter.CommandRead(places.SlotID(slot), reply.Kind, now)
+	f.limiter.CommandRead(connlimit.SlotID(slot), reply.Kind, now)
 	switch {
 	case reply.Pending != nil:
 		c.mode, c.requestMemory = modeAwaitingReply, int32(reply.PendingBytes)
@@ -884,7 +884,7 @@
 	}
 	c.mode, c.readyAt = modeReading, f.now() // what was sent ahead has waited for its turn only from here on
 	f.releaseBuffers(c)
-	f.limiter.ReplyWritten(places.SlotID(slot), c.readyAt)
+	f.limiter.ReplyWritten(connlimit.SlotID(slot), c.readyAt)
 	if c.buffers != nil || c.readable {
 		f.markReady(slot, c)
 	}
@@ -961,16 +961,16 @@
 		if len(orders) == 0 {
 			return
 		}
-		for _, o := range append([]places.CloseAction(nil), orders...) {
+		for _, o := range append([]connlimit.CloseAction(nil), orders...) {
 			slot := uint32(o.Slot)
 			c := f.connAt(slot)
 			if c.fd <= 0 {
 				continue
 			}
 			switch o.Reason {
-			case places.CloseEvictInvalid:
+			case connlimit.CloseEvictInvalid:
 				f.closeConn(slot, c)
-			case places.CloseCommandTimeout:
+			case connlimit.CloseCommandTimeout:
 				f.timeoutCommand(slot, c)
 			default:
 				f.closeUnlessReadable(slot, c)
@@ -1048,7 +1048,7 @@
 		open = c.buffers.pending
 	}
 	*c = conn{fd: -1, sequence: c.sequence, inReadyQueue: c.inReadyQueue, awaitingMemory: false}
-	f.limiter.Remove(places.SlotID(slot))
+	f.limiter.Remove(connlimit.SlotID(slot))
 	if open != nil {
 		open.ReplyDone(false)
 	}
@@ -1070,10 +1070,10 @@
 			}
 			verdict, until := f.limiter.Decide(now)
 			switch verdict {
-			case places.Evict:
+			case connlimit.Evict:
 				f.applyCloseActions()
 				continue
-			case places.Wait:
+			case connlimit.Wait:
 				f.acceptRetryAt = until
 				return
 			}
@@ -1095,7 +1095,7 @@
 				return
 			}
 			f.acceptFailing = false
-			if verdict == places.Reject {
+			if verdict == connlimit.Reject {
 				syscall.Close(fd) // cheaply: a flood must leave time for the others
 				continue
 			}
--- a/internal/front/server_test.go
+++ b/internal/respserver/server_test.go
@@ -1,4 +1,4 @@
-package front
+package respserver
 
 import (
 	"bufio"
@@ -15,7 +15,7 @@
 	"testing"
 	"time"
 
-	"troutusher/internal/places"
+	"troutusher/internal/connlimit"
 )
 
 // echoHandler is a handler whose requests (SAY x) are answered when the test says so,
@@ -45,12 +45,12 @@
 func (e *echoHandler) handle(a *Command) Reply {
 	switch string(a.Args[0]) {
 	case "PING":
-		return Reply{Text: "+PONG\r\n", Kind: places.CommandControl}
+		return Reply{Text: "+PONG\r\n", Kind: connlimit.CommandControl}
 	case "GIVE": // as many bytes as asked for
-		return Reply{Text: "$" + string(a.Args[1]) + "\r\n" + strings.Repeat("g", len(a.Args[2])*1000) + "\r\n", Kind: places.CommandControl}
+		return Reply{Text: "$" + string(a.Args[1]) + "\r\n" + strings.Repeat("g", len(a.Args[2])*1000) + "\r\n", Kind: connlimit.CommandControl}
 	case "SAY":
 		if a.Shed {
-			return Reply{Text: BusyReply(a.RetryAfter.Milliseconds()), Kind: places.CommandRequest}
+			return Reply{Text: BusyReply(a.RetryAfter.Milliseconds()), Kind: connlimit.CommandRequest}
 		}
 		arg := string(a.Args[1])
 		e.mu.Lock()
@@ -60,12 +60,12 @@
 		if e.deferReply == nil || !e.deferReply(&t, arg) {
 			go e.server.SendReply(t, "+OK\r\n")
 		}
-		return Reply{Kind: places.CommandRequest, Pending: &echoRequest{e, arg}, PendingBytes: len(a.Args[len(a.Args)-1])}
+		return Reply{Kind: connlimit.CommandRequest, Pending: &echoRequest{e, arg}, PendingBytes: len(a.Args[len(a.Args)-1])}
 	}
 	return Reply{Text: ErrorReply(errors.New("unknown command"))}
 }
 
-func startServer(t testing.TB, o Options, l places.Limits) (*Server, *echoHandler) {
+func startServer(t testing.TB, o Options, l connlimit.Limits) (*Server, *echoHandler) {
 	t.Helper()
 	e := &echoHandler{delivered: map[string]bool{}}
 	o.Limits, o.Handler, o.Logger = l, e.handle, slog.New(slog.NewTextHandler(io.Discard, nil))
@@ -127,13 +127,13 @@
 }
 
 func (f *Server) connsInUse() (n int) {
-	f.Inspect(func(b *places.Limiter) { n = b.InUse() })
+	f.Inspect(func(b *connlimit.Limiter) { n = b.InUse() })
 	return n
 }
 
 // Idle connections have no goroutine, no reader and nothing else of their own.
 func TestIdleConnectionsHoldNoMemory(t *testing.T) {
-	f, _ := startServer(t, Options{}, places.DefaultLimits(400, 4000))
+	f, _ := startServer(t, Options{}, connlimit.DefaultLimits(400, 4000))
 	before := runtime.NumGoroutine()
 	for range 300 {
 		c := dial(t, f.Addr().String())
@@ -146,9 +146,9 @@
 		t.Errorf("%d goroutines for 300 connections", extra)
 	}
 	held := 0
-	f.Inspect(func(b *places.Limiter) {
-		if b.Count(places.StateReadingCommand) != 300 {
-			t.Errorf("%d in the middle of a command", b.Count(places.StateReadingCommand))
+	f.Inspect(func(b *connlimit.Limiter) {
+		if b.Count(connlimit.StateReadingCommand) != 300 {
+			t.Errorf("%d in the middle of a command", b.Count(connlimit.StateReadingCommand))
 		}
 		for slot := range uint32(300) {
 			if c := f.connAt(slot); c.reader != nil {
@@ -159,13 +159,13 @@
 	if held != 300 {
 		t.Errorf("%d readers for 300 half commands", held)
 	}
-	f2, _ := startServer(t, Options{}, places.DefaultLimits(400, 4000))
+	f2, _ := startServer(t, Options{}, connlimit.DefaultLimits(400, 4000))
 	for range 300 {
 		c := dial(t, f2.Addr().String())
 		io.WriteString(c, encodeCommand("PING"))
 		readLine(t, bufio.NewReader(c))
 	}
-	f2.Inspect(func(*places.Limiter) {
+	f2.Inspect(func(*connlimit.Limiter) {
 		for slot := range uint32(300) {
 			if c := f2.connAt(slot); c.reader != nil || c.buffers != nil || c.memory != 0 {
 				t.Errorf("an idle connection holds %+v", c)
@@ -181,7 +181,7 @@
 // crosses: what was taken is answered or its client is known to have left, and
 // who was closed with no answer was never taken.
 func TestRequestsRacingWithClose(t *testing.T) {
-	l := places.DefaultLimits(500, 4000)
+	l := connlimit.DefaultLimits(500, 4000)
 	l.IdleTimeout, l.TimerTick = 15e3, 1e3
 	f, e := startServer(t, Options{}, l)
 	const n, rounds = 60, 12
@@ -243,7 +243,7 @@
 // under the ceiling, and each is answered.
 func TestCommandMemoryIsBounded(t *testing.T) {
 	const n, size, memory = 200, 60_000, 1 << 20
-	f, e := startServer(t, Options{MemoryLimit: memory}, places.DefaultLimits(300, 4000))
+	f, e := startServer(t, Options{MemoryLimit: memory}, connlimit.DefaultLimits(300, 4000))
 	var most atomic.Int64
 	e.deferReply = func(tk *RequestID, arg string) bool {
 		most.Store(max(most.Load(), int64(f.memoryUsed))) // in the front's goroutine
@@ -283,13 +283,13 @@
 	if ok.Load() == 0 {
 		t.Error("nobody was served")
 	}
-	waitUntil(t, "the memory back", func() bool { m := -1; f.Inspect(func(*places.Limiter) { m = f.memoryUsed }); return m == 0 })
+	waitUntil(t, "the memory back", func() bool { m := -1; f.Inspect(func(*connlimit.Limiter) { m = f.memoryUsed }); return m == 0 })
 }
 
 // Out of descriptors the front neither spins nor ends; who waits in the queue
 // is served once there are some.
 func TestOutOfDescriptors(t *testing.T) {
-	f, _ := startServer(t, Options{}, places.DefaultLimits(50, 400))
+	f, _ := startServer(t, Options{}, connlimit.DefaultLimits(50, 400))
 	var tries atomic.Int32
 	var out atomic.Bool
 	f.runOnLoop(func() {
@@ -322,7 +322,7 @@
 // One that does not read its answers is waited for a while and not for ever,
 // and holds up nobody; one that reads late gets all of it, in order.
 func TestSlowReadingClients(t *testing.T) {
-	f, e := startServer(t, Options{}, places.DefaultLimits(50, 400))
+	f, e := startServer(t, Options{}, connlimit.DefaultLimits(50, 400))
 	ask := encodeCommand("GIVE", "3000000", strings.Repeat("x", 3000))
 	late := dial(t, f.Addr().String())
 	for range 4 {
@@ -358,7 +358,7 @@
 
 // A client that leaves before its answer is known to have.
 func TestClientGoneBeforeReply(t *testing.T) {
-	f, e := startServer(t, Options{}, places.DefaultLimits(50, 400))
+	f, e := startServer(t, Options{}, connlimit.DefaultLimits(50, 400))
 	tickets := make(chan RequestID, 1)
 	e.deferReply = func(tk *RequestID, _ string) bool { tickets <- *tk; return true }
 	c := dial(t, f.Addr().String())
@@ -386,7 +386,7 @@
 // Both listeners serve; once they are closed nobody new is, and who is there
 // still gets answers.
 func TestListeners(t *testing.T) {
-	f, e := startServer(t, Options{}, places.DefaultLimits(50, 400))
+	f, e := startServer(t, Options{}, connlimit.DefaultLimits(50, 400))
 	tickets := make(chan RequestID, 1)
 	e.deferReply = func(tk *RequestID, _ string) bool { tickets <- *tk; return true }
 	var first net.Conn
@@ -420,7 +420,7 @@
 }
 
 func BenchmarkRequests(b *testing.B) {
-	f, _ := startServer(b, Options{}, places.DefaultLimits(50, 400))
+	f, _ := startServer(b, Options{}, connlimit.DefaultLimits(50, 400))
 	c := dial(b, f.Addr().String())
 	c.SetDeadline(time.Time{})
 	r := bufio.NewReader(c)
@@ -435,7 +435,7 @@
 // What waited for its turn for longer than its client waits for the answer is
 // refused with a time to come again, and not handed in.
 func TestLateRequestsAreShed(t *testing.T) {
-	f, e := startServer(t, Options{}, places.DefaultLimits(200, 2000))
+	f, e := startServer(t, Options{}, connlimit.DefaultLimits(200, 2000))
 	const n = 40
 	var conns []net.Conn
 	for range n {
@@ -480,7 +480,7 @@
 
 // Who lies in a listener's queue as it is closed is let in, and answered.
 func TestBacklogWhenListenersClose(t *testing.T) {
-	f, _ := startServer(t, Options{}, places.DefaultLimits(64, 256))
+	f, _ := startServer(t, Options{}, connlimit.DefaultLimits(64, 256))
 	var c net.Conn
 	seen := make(chan struct{})
 	f.runOnLoop(func() { // between two looks at the queue
@@ -499,7 +499,7 @@
 // whatever order the end and the request come, and reads nothing after that.
 func TestShutdownAndRequests(t *testing.T) {
 	for _, first := range []string{"request", "end"} {
-		f, e := startServer(t, Options{}, places.DefaultLimits(64, 256))
+		f, e := startServer(t, Options{}, connlimit.DefaultLimits(64, 256))
 		tickets := make(chan RequestID, 1)
 		e.deferReply = func(k *RequestID, arg string) bool { tickets <- *k; return true }
 		c, idle := dial(t, f.Addr().String()), dial(t, f.Addr().String())
@@ -523,7 +523,7 @@
 			}
 		})
 		ticket := <-tickets // read: from here on it is owed an answer
-		f.Inspect(func(*places.Limiter) {})
+		f.Inspect(func(*connlimit.Limiter) {})
 		select {
 		case <-done:
 			t.Fatalf("%s first: at its end with a request that it has read", first)
@@ -550,7 +550,7 @@
 		}
 		return v
 	}
-	f, err := New(Options{DeferListen: true, Limits: places.DefaultLimits(100, 300), MemoryLimit: 1 << 20, Logger: slog.New(slog.NewTextHandler(io.Discard, nil))}, "127.0.0.1:0")
+	f, err := New(Options{DeferListen: true, Limits: connlimit.DefaultLimits(100, 300), MemoryLimit: 1 << 20, Logger: slog.New(slog.NewTextHandler(io.Discard, nil))}, "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/draw/draw.go
+++ b/internal/seededrand/draw.go
@@ -1,7 +1,7 @@
-// Package draw makes random figures that depend on a seed and on what they are
+// Package seededrand makes random figures that depend on a seed and on what they are
 // for, and on nothing else: not on the order in which they are asked for, nor
 // on the Go release. A recording that is played years later draws the same.
-package draw
+package seededrand
 
 import "math"
 
--- a/internal/draw/draw_test.go
+++ b/internal/seededrand/draw_test.go
@@ -1,4 +1,4 @@
-package draw
+package seededrand
 
 import (
 	"math"
--- a/internal/gate/sendgate.go
+++ b/internal/sendgate/sendgate.go
@@ -1,4 +1,4 @@
-// Package gate has the last word on whether the bytes of a call may go out.
+// Package sendgate has the last word on whether the bytes of a call may go out.
 //
 // It owns, for each endpoint, whether anything may begin there at all, and for
 // each scope (a destination, or a route where routes are apart) until when the
@@ -10,7 +10,7 @@
 //
 // It must never do I/O, look at a clock, or decide what becomes of a message
 // that it has stopped.
-package gate
+package sendgate
 
 import (
 	"errors"
@@ -18,14 +18,14 @@
 	"slices"
 	"sync"
 
-	"troutusher/decide"
+	"troutusher/policy"
 )
 
 // ErrEndpointDraining is a call to an endpoint that drains or has left.
 var ErrEndpointDraining = errors.New("endpoint drained")
 
 // RetryAfterError is a call to a destination that has told this relay to wait.
-type RetryAfterError struct{ Remaining decide.Time }
+type RetryAfterError struct{ Remaining policy.Time }
 
 func (e RetryAfterError) Error() string {
 	return fmt.Sprintf("told to wait for %.3f s more", float64(e.Remaining)/1e6)
@@ -45,13 +45,13 @@
 // Scope is all that one wait binds. The zero value is ready.
 type Scope struct {
 	mu         sync.Mutex
-	retryAfter decide.Time
+	retryAfter policy.Time
 	permits    []*Permit // of calls whose last byte is not out
 }
 
 // HoldUntil has nothing go out before a moment. A wait never shortens: it ends when
 // the longest that was told ends.
-func (s *Scope) HoldUntil(now, until decide.Time) {
+func (s *Scope) HoldUntil(now, until policy.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.retryAfter = max(s.retryAfter, until)
@@ -81,7 +81,7 @@
 func (s *Scope) Gate() *Gate { return &Gate{scope: s} }
 
 // HoldUntil is the scope's.
-func (g *Gate) HoldUntil(now, until decide.Time) { g.scope.HoldUntil(now, until) }
+func (g *Gate) HoldUntil(now, until policy.Time) { g.scope.HoldUntil(now, until) }
 
 // Close lets nothing begin any more. What is under way already goes on.
 func (g *Gate) Close() {
@@ -98,13 +98,13 @@
 	started bool        // its first byte may be out
 	// SendBy is the last moment for its last byte; 0 for none. Its call sets it as it
 	// enters.
-	SendBy     decide.Time
+	SendBy     policy.Time
 	stopReason error // it was stopped before that
 }
 
 // Acquire is a call's that is about to get its connection. Where it could not go
 // out now, no connection is worth having. stop is called at most once.
-func (g *Gate) Acquire(now decide.Time, stop func(error)) (*Permit, error) {
+func (g *Gate) Acquire(now policy.Time, stop func(error)) (*Permit, error) {
 	s := g.scope
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -117,7 +117,7 @@
 }
 
 // check tells what keeps a call that has not begun. The caller holds the lock.
-func (p *Permit) check(now decide.Time) error {
+func (p *Permit) check(now policy.Time) error {
 	switch s := p.gate.scope; {
 	case p.stopReason != nil:
 		return p.stopReason
@@ -132,7 +132,7 @@
 }
 
 // AllowFirstByte asks before the first byte.
-func (p *Permit) AllowFirstByte(now decide.Time) error {
+func (p *Permit) AllowFirstByte(now policy.Time) error {
 	p.gate.scope.mu.Lock()
 	defer p.gate.scope.mu.Unlock()
 	err := p.check(now)
@@ -142,7 +142,7 @@
 
 // AllowLastByte asks before the last byte. A drain that came since the first is no
 // obstacle: the call had begun. A wait is one.
-func (p *Permit) AllowLastByte(now decide.Time) error {
+func (p *Permit) AllowLastByte(now policy.Time) error {
 	s := p.gate.scope
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/gate/sendgate_test.go
+++ b/internal/sendgate/sendgate_test.go
@@ -1,11 +1,11 @@
-package gate
+package sendgate
 
 import (
 	"errors"
 	"math/rand/v2"
 	"testing"
 
-	"troutusher/decide"
+	"troutusher/policy"
 )
 
 // modelCall is one call as the rules see it: how far it is, and how often it was
@@ -26,14 +26,14 @@
 		rng := rand.New(rand.NewPCG(seed, 1))
 		s := &Scope{}
 		gates, gone := []*Gate{s.Gate(), s.Gate(), s.Gate()}, make([]bool, 3)
-		until, now := decide.Time(0), decide.Time(1000)
+		until, now := policy.Time(0), policy.Time(1000)
 		var calls []*modelCall
 		may := func(c *modelCall) bool { return until <= now && !gone[c.gate] && c.stopped == 0 }
 		for range 300 {
-			now += decide.Time(rng.IntN(30))
+			now += policy.Time(rng.IntN(30))
 			switch k := rng.IntN(12); {
 			case k == 0:
-				told := now + decide.Time(rng.IntN(200)) - 50
+				told := now + policy.Time(rng.IntN(200)) - 50
 				s.HoldUntil(now, told)
 				until = max(until, told)
 			case k == 1 && rng.IntN(3) == 0:
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -5,16 +5,16 @@
 import (
 	"fmt"
 
-	"troutusher/decide"
 	"troutusher/internal/wire"
+	"troutusher/policy"
 )
 
-var idempotencyByName = map[string]decide.Idempotency{"retryable": decide.Idempotent, "dedup": decide.IdempotentByKey, "fragile": decide.NonIdempotent}
+var idempotencyByName = map[string]policy.Idempotency{"retryable": policy.Idempotent, "dedup": policy.IdempotentByKey, "fragile": policy.NonIdempotent}
 
 // ForPolicy maps the settings text to the interface's words.
-func ForPolicy(s *wire.Settings) (decide.Settings, error) {
+func ForPolicy(s *wire.Settings) (policy.Settings, error) {
 	l, f := &s.Limits, &s.Safety
-	d := decide.Settings{Relays: s.Balancers, Zone: s.Zone, MaxConcurrentCalls: s.Specifics.CallsOut, MaxPending: l.MostHeld,
+	d := policy.Settings{Relays: s.Balancers, Zone: s.Zone, MaxConcurrentCalls: s.Specifics.CallsOut, MaxPending: l.MostHeld,
 		MaxAttempts: l.MostTries, ExponentialDecay: s.Specifics.Late == "halving", OverQuotaWeight: s.OverShareWorth,
 		WeightByCost: s.ValueBy == "work", ListHasRates: s.Weights != "" && s.Weights != "none",
 		HealthChecks: l.Probing, Cancellation: l.MayCancel, SendRetryAfter: l.RetryAfter, MaxRetryAfter: l.MaxRetryAfter,
@@ -27,15 +27,15 @@
 		if !ok {
 			return d, fmt.Errorf("settings: classes[%d].repeat: unknown kind %q", i, c.Repeat)
 		}
-		d.Classes = append(d.Classes, decide.Class{Name: c.Name, LatencyObjective: c.Target, Deadline: c.Deadline,
+		d.Classes = append(d.Classes, policy.Class{Name: c.Name, LatencyObjective: c.Target, Deadline: c.Deadline,
 			Weight: c.Worth, LateWeight: c.LateWorth, Idempotency: rep, DedupWindow: c.Window,
 			DedupPerZone: c.Group != "all" && c.Group != "", Ordered: c.Sequential})
 	}
 	for _, a := range s.Accounts {
-		d.Tenants = append(d.Tenants, decide.Tenant{Name: a.Name, Quota: a.Quota})
+		d.Tenants = append(d.Tenants, policy.Tenant{Name: a.Name, Quota: a.Quota})
 	}
 	for i := range s.Kinds {
-		k := decide.DestinationKind{BatchSize: 1}
+		k := policy.DestinationKind{BatchSize: 1}
 		if i < len(s.Specifics.OwnLimits) {
 			k.IndependentRoutes = s.Specifics.OwnLimits[i]
 		}
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -6,8 +6,8 @@
 	"strings"
 	"testing"
 
-	"troutusher/decide"
 	"troutusher/internal/wire"
+	"troutusher/policy"
 )
 
 // readSettings parses the recorded settings text, in which every value differs.
@@ -30,21 +30,21 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	want := decide.Settings{
+	want := policy.Settings{
 		Relays: 7, Zone: 2, MaxConcurrentCalls: 23, MaxPending: 14, MaxAttempts: 15, ExponentialDecay: true, OverQuotaWeight: 0.6, WeightByCost: true,
 		ListHasRates: true, HealthChecks: true, Cancellation: true, SendRetryAfter: true, MaxRetryAfter: 13, PollList: true, PollInterval: 18,
 		ConnectTimeout: 11, IdleTimeout: 12, StreamsPerConnection: 16, TickInterval: 24, ReplyGrace: 17, DrainGrace: 19, InitialCapacity: 0.35,
 		RampDuration: 21, OverloadFactor: 2.25, OverloadDuration: 20, OrderedKeyBackoff: 22,
-		Classes: []decide.Class{
-			{Name: "plain", LatencyObjective: 2000002, Deadline: 20000001, Weight: 1.5, LateWeight: 0.1, Idempotency: decide.Idempotent, Ordered: true},
-			{Name: "keyed", LatencyObjective: 2000005, Deadline: 20000003, Weight: 2.5, LateWeight: 0.2, Idempotency: decide.IdempotentByKey,
+		Classes: []policy.Class{
+			{Name: "plain", LatencyObjective: 2000002, Deadline: 20000001, Weight: 1.5, LateWeight: 0.1, Idempotency: policy.Idempotent, Ordered: true},
+			{Name: "keyed", LatencyObjective: 2000005, Deadline: 20000003, Weight: 2.5, LateWeight: 0.2, Idempotency: policy.IdempotentByKey,
 				DedupWindow: 15000004, DedupPerZone: true},
-			{Name: "keyed everywhere", LatencyObjective: 2000008, Deadline: 20000006, Weight: 3.5, LateWeight: 0.3, Idempotency: decide.IdempotentByKey,
+			{Name: "keyed everywhere", LatencyObjective: 2000008, Deadline: 20000006, Weight: 3.5, LateWeight: 0.3, Idempotency: policy.IdempotentByKey,
 				DedupWindow: 15000007},
-			{Name: "once", LatencyObjective: 2000010, Deadline: 20000009, Weight: 4.5, LateWeight: 0.4, Idempotency: decide.NonIdempotent},
+			{Name: "once", LatencyObjective: 2000010, Deadline: 20000009, Weight: 4.5, LateWeight: 0.4, Idempotency: policy.NonIdempotent},
 		},
-		Tenants:          []decide.Tenant{{Name: "north", Quota: 12.5}, {Name: "south"}},
-		DestinationKinds: []decide.DestinationKind{{BatchSize: 3}, {IndependentRoutes: true, BatchSize: 1}, {BatchSize: 1}},
+		Tenants:          []policy.Tenant{{Name: "north", Quota: 12.5}, {Name: "south"}},
+		DestinationKinds: []policy.DestinationKind{{BatchSize: 3}, {IndependentRoutes: true, BatchSize: 1}, {BatchSize: 1}},
 	}
 	if !reflect.DeepEqual(got, want) {
 		t.Errorf("mapped to\n%+v, want\n%+v", got, want)
@@ -56,14 +56,14 @@
 	tests := []struct {
 		name   string
 		change func(*wire.Settings)
-		got    func(decide.Settings) bool
+		got    func(policy.Settings) bool
 		want   bool
 	}{
-		{"late by a line", func(s *wire.Settings) { s.Specifics.Late = "linear" }, func(d decide.Settings) bool { return d.ExponentialDecay }, false},
-		{"value by count", func(s *wire.Settings) { s.ValueBy = "count" }, func(d decide.Settings) bool { return d.WeightByCost }, false},
-		{"no weights", func(s *wire.Settings) { s.Weights = "none" }, func(d decide.Settings) bool { return d.ListHasRates }, false},
-		{"weights left out", func(s *wire.Settings) { s.Weights = "" }, func(d decide.Settings) bool { return d.ListHasRates }, false},
-		{"list pushed", func(s *wire.Settings) { s.Discovery = "push" }, func(d decide.Settings) bool { return d.PollList }, false},
+		{"late by a line", func(s *wire.Settings) { s.Specifics.Late = "linear" }, func(d policy.Settings) bool { return d.ExponentialDecay }, false},
+		{"value by count", func(s *wire.Settings) { s.ValueBy = "count" }, func(d policy.Settings) bool { return d.WeightByCost }, false},
+		{"no weights", func(s *wire.Settings) { s.Weights = "none" }, func(d policy.Settings) bool { return d.ListHasRates }, false},
+		{"weights left out", func(s *wire.Settings) { s.Weights = "" }, func(d policy.Settings) bool { return d.ListHasRates }, false},
+		{"list pushed", func(s *wire.Settings) { s.Discovery = "push" }, func(d policy.Settings) bool { return d.PollList }, false},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
--- a/internal/source/etcd/follow/follow_test.go
+++ b/internal/source/etcd/follow/follow_test.go
@@ -11,9 +11,9 @@
 	"testing"
 	"time"
 
+	standin "troutusher/internal/emulator/etcd"
 	"troutusher/internal/membership"
 	"troutusher/internal/source/etcd"
-	standin "troutusher/internal/standin/etcd"
 )
 
 var drainRounds = flag.Int("rounds", 4, "drains in each trouble; 40 for a measurement")
--- a/internal/source/etcd/follow/serve.go
+++ b/internal/source/etcd/follow/serve.go
@@ -15,7 +15,7 @@
 	"sync"
 
 	"troutusher/internal/membership"
-	"troutusher/internal/operator"
+	"troutusher/internal/operatorconfig"
 	"troutusher/internal/source/etcd"
 )
 
@@ -31,7 +31,7 @@
 const ResyncCommand = "anew"
 
 // FromOperator makes options of the operator's file.
-func FromOperator(e *operator.Etcd) (Options, error) {
+func FromOperator(e *operatorconfig.Etcd) (Options, error) {
 	o := Options{Settings: etcd.DefaultSettings(e.Prefix, len(e.Endpoints)), Endpoints: e.Endpoints, User: e.User}
 	if len(e.Endpoints) == 0 {
 		return o, errors.New("etcd.endpoints: none in the operator's file")
--- a/internal/source/etcd/follow/tls_test.go
+++ b/internal/source/etcd/follow/tls_test.go
@@ -13,23 +13,23 @@
 	"google.golang.org/grpc"
 	"google.golang.org/grpc/credentials"
 
-	"troutusher/internal/devca"
-	"troutusher/internal/operator"
-	standin "troutusher/internal/standin/etcd"
+	standin "troutusher/internal/emulator/etcd"
+	"troutusher/internal/operatorconfig"
+	"troutusher/internal/testca"
 )
 
 // Members are called over TLS where the operator's file names roots: a member must
 // prove its name by them, and be shown a certificate where it wants one. The helper
 // says what it hears line by line, and ends with its input.
 func TestServeOverTLS(t *testing.T) {
-	issue := func(up *devca.Issued, name string) *devca.Issued {
+	issue := func(up *testca.Issued, name string) *testca.Issued {
 		t.Helper()
-		var m *devca.Issued
+		var m *testca.Issued
 		var err error
 		if up == nil {
-			m, err = devca.Issue(nil, name, nil, devca.AsAuthority)
+			m, err = testca.Issue(nil, name, nil, testca.AsAuthority)
 		} else {
-			m, err = devca.Issue(up, name, nil)
+			m, err = testca.Issue(up, name, nil)
 		}
 		if err != nil {
 			t.Fatal(err)
@@ -47,7 +47,7 @@
 		t.Fatal(err)
 	}
 	dir := t.TempDir()
-	write := func(name string, m *devca.Issued) (cert, key string) {
+	write := func(name string, m *testca.Issued) (cert, key string) {
 		t.Helper()
 		cert, key, err := m.WriteFiles(dir, name, true)
 		if err != nil {
@@ -63,20 +63,20 @@
 		t.Fatal(err)
 	}
 	c.Auth("relay", "secret")
-	good := operator.Etcd{Endpoints: c.Addrs(), Prefix: "/t", User: "relay", PasswordFile: password, Roots: roots, Certificate: cert, Key: key, ServerName: "etcd.example.org"}
+	good := operatorconfig.Etcd{Endpoints: c.Addrs(), Prefix: "/t", User: "relay", PasswordFile: password, Roots: roots, Certificate: cert, Key: key, ServerName: "etcd.example.org"}
 	for name, x := range map[string]struct {
-		change func(*operator.Etcd)
+		change func(*operatorconfig.Etcd)
 		hears  bool
 		fails  string
 	}{
-		"all in order":      {func(*operator.Etcd) {}, true, ""},
-		"another root":      {func(e *operator.Etcd) { e.Roots = wrong }, false, ""},
-		"another name":      {func(e *operator.Etcd) { e.ServerName = "shop.example.org" }, false, ""},
-		"no certificate":    {func(e *operator.Etcd) { e.Certificate, e.Key = "", "" }, false, ""},
-		"no password":       {func(e *operator.Etcd) { e.PasswordFile = dir + "/none" }, false, "etcd.password_file"},
-		"no roots there":    {func(e *operator.Etcd) { e.Roots = dir + "/none" }, false, "etcd.roots"},
-		"roots hold no one": {func(e *operator.Etcd) { e.Roots = password }, false, "etcd.roots"},
-		"no key there":      {func(e *operator.Etcd) { e.Key = dir + "/none" }, false, "etcd.certificate"},
+		"all in order":      {func(*operatorconfig.Etcd) {}, true, ""},
+		"another root":      {func(e *operatorconfig.Etcd) { e.Roots = wrong }, false, ""},
+		"another name":      {func(e *operatorconfig.Etcd) { e.ServerName = "shop.example.org" }, false, ""},
+		"no certificate":    {func(e *operatorconfig.Etcd) { e.Certificate, e.Key = "", "" }, false, ""},
+		"no password":       {func(e *operatorconfig.Etcd) { e.PasswordFile = dir + "/none" }, false, "etcd.password_file"},
+		"no roots there":    {func(e *operatorconfig.Etcd) { e.Roots = dir + "/none" }, false, "etcd.roots"},
+		"roots hold no one": {func(e *operatorconfig.Etcd) { e.Roots = password }, false, "etcd.roots"},
+		"no key there":      {func(e *operatorconfig.Etcd) { e.Key = dir + "/none" }, false, "etcd.certificate"},
 	} {
 		t.Run(name, func(t *testing.T) {
 			e := good
--- a/internal/source/etcd/machine_test.go
+++ b/internal/source/etcd/machine_test.go
@@ -9,8 +9,8 @@
 	"strings"
 	"testing"
 
+	standin "troutusher/internal/emulator/etcd"
 	"troutusher/internal/membership"
-	standin "troutusher/internal/standin/etcd"
 )
 
 // worldCount is how many worlds are drawn; more are for a measurement.
--- a/internal/source/etcd/publish/publish_test.go
+++ b/internal/source/etcd/publish/publish_test.go
@@ -10,9 +10,9 @@
 	"go.etcd.io/etcd/api/v3/etcdserverpb"
 	"google.golang.org/grpc"
 
+	standin "troutusher/internal/emulator/etcd"
 	"troutusher/internal/source/etcd"
 	"troutusher/internal/source/etcd/follow"
-	standin "troutusher/internal/standin/etcd"
 )
 
 // interferingKV lets somebody else change something between what is read and what is
--- a/internal/devca/testca.go
+++ b/internal/testca/testca.go
@@ -1,10 +1,10 @@
-// Package devca makes throw-away certificate authorities and certificates, for
+// Package testca makes throw-away certificate authorities and certificates, for
 // rehearsals, tests and a first look at the settings.
 //
 // It owns how such certificates are made. It must never be used to vouch for
 // anybody: its keys lie beside its certificates, and no program of a site
 // loads it.
-package devca
+package testca
 
 import (
 	"bytes"
--- a/internal/devca/testca_test.go
+++ b/internal/testca/testca_test.go
@@ -1,4 +1,4 @@
-package devca
+package testca
 
 import (
 	"encoding/pem"
--- a/internal/wheel/wheel.go
+++ b/internal/timerwheel/wheel.go
@@ -1,4 +1,4 @@
-// Package wheel is a hierarchical timing wheel (Varghese and Lauck, 1987,
+// Package timerwheel is a hierarchical timing wheel (Varghese and Lauck, 1987,
 // scheme 7): one timer for each small number, set, moved and cancelled in
 // constant time with no memory beyond its 24 bytes.
 //
@@ -6,7 +6,7 @@
 // look at a clock: time is what Advance is told. A timer never comes early; it
 // comes late by a tick at most, and by the turns that the caller leaves
 // between two calls, since the work done in one call is bounded by the caller.
-package wheel
+package timerwheel
 
 const (
 	slotBits      = 6
--- a/internal/wheel/wheel_test.go
+++ b/internal/timerwheel/wheel_test.go
@@ -1,4 +1,4 @@
-package wheel
+package timerwheel
 
 import (
 	"math/rand/v2"
--- a/internal/secure/bench_test.go
+++ b/internal/tlsdial/bench_test.go
@@ -1,4 +1,4 @@
-package secure
+package tlsdial
 
 import (
 	"context"
@@ -12,8 +12,8 @@
 	"testing"
 	"time"
 
-	"troutusher/internal/devca"
-	"troutusher/internal/operator"
+	"troutusher/internal/operatorconfig"
+	"troutusher/internal/testca"
 )
 
 func processCPUTime() time.Duration {
@@ -26,16 +26,16 @@
 // (-cpu 1), ours and crypto/tls's own client on the same certificates, and what
 // one takes of our side's processor time by the budget's own meter.
 func BenchmarkHandshake(b *testing.B) {
-	for _, kind := range []devca.KeyKind{devca.P256, devca.RSA2048, devca.Ed25519} {
-		root, err := devca.Issue(nil, "root", nil, devca.AsAuthority)
+	for _, kind := range []testca.KeyKind{testca.P256, testca.RSA2048, testca.Ed25519} {
+		root, err := testca.Issue(nil, "root", nil, testca.AsAuthority)
 		if err != nil {
 			b.Fatal(err)
 		}
-		key, err := devca.NewKey(kind)
+		key, err := testca.NewKey(kind)
 		if err != nil {
 			b.Fatal(err)
 		}
-		own, err := devca.Issue(root, serverName, key)
+		own, err := testca.Issue(root, serverName, key)
 		if err != nil {
 			b.Fatal(err)
 		}
@@ -48,8 +48,8 @@
 				addr := startTLSServer(b, &tls.Config{Certificates: []tls.Certificate{own.TLSCertificate()}, MinVersion: version, MaxVersion: version, SessionTicketsDisabled: !resumed})
 				what := fmt.Sprintf("%s/%s/resumed=%v", kind, tls.VersionName(version), resumed)
 				b.Run(what+"/ours", func(b *testing.B) {
-					p, err := New(Options{Rules: []operator.TLSRule{{Name: "pay", Destinations: []int{1}, ServerName: serverName, Roots: roots}},
-						Handshakes: operator.Handshakes{CPUShare: 1, BurstMS: 1000}, Log: slog.New(slog.DiscardHandler), OnRejected: func(uint64, time.Duration) {}})
+					p, err := New(Options{Rules: []operatorconfig.TLSRule{{Name: "pay", Destinations: []int{1}, ServerName: serverName, Roots: roots}},
+						Handshakes: operatorconfig.Handshakes{CPUShare: 1, BurstMS: 1000}, Log: slog.New(slog.DiscardHandler), OnRejected: func(uint64, time.Duration) {}})
 					if err != nil {
 						b.Fatal(err)
 					}
--- a/internal/secure/dialer.go
+++ b/internal/tlsdial/dialer.go
@@ -1,4 +1,4 @@
-// Package secure makes connections to partners that have proved who they are
+// Package tlsdial makes connections to partners that have proved who they are
 // (TLS 1.2, RFC 5246; TLS 1.3, RFC 8446).
 //
 // It owns the sockets' side of handshakes: who is asked and when, what is
@@ -6,7 +6,7 @@
 // whose proof failed is asked again. Whom to trust, what a failure means and how
 // many handshakes there may be, package tlspolicy says. It must never send a byte
 // of a message, know a call, or send early data.
-package secure
+package tlsdial
 
 import (
 	"context"
@@ -22,8 +22,8 @@
 	"syscall"
 	"time"
 
-	"troutusher/internal/keys"
-	"troutusher/internal/operator"
+	"troutusher/internal/certstore"
+	"troutusher/internal/operatorconfig"
 	"troutusher/internal/tlspolicy"
 )
 
@@ -36,8 +36,8 @@
 
 // Options are what partners are reached by.
 type Options struct {
-	Rules      []operator.TLSRule
-	Handshakes operator.Handshakes
+	Rules      []operatorconfig.TLSRule
+	Handshakes operatorconfig.Handshakes
 	Log        *slog.Logger
 	Clock      func() time.Time // by which certificates are judged; nil for time.Now
 	Seed       uint64
@@ -66,9 +66,9 @@
 
 // rule is one of the operator's, with what its files hold now.
 type rule struct {
-	settings       *operator.TLSRule
+	settings       *operatorconfig.TLSRule
 	policy         tlspolicy.Rule // but for its roots
-	files          *keys.Store
+	files          *certstore.Store
 	generation     atomic.Uint64 // of what the files hold
 	earliestExpiry atomic.Int64  // Unix seconds at which the first proof under it ends; 0 for none yet
 }
@@ -86,7 +86,7 @@
 	if o.Clock == nil {
 		o.Clock = time.Now
 	}
-	f := operator.File{TLSRules: o.Rules}
+	f := operatorconfig.File{TLSRules: o.Rules}
 	p := &Dialer{options: o, handshakeTimeout: o.Handshakes.Timeout(), trust: tlspolicy.NewTrustTracker(o.Seed), endpoints: map[uint64]*Endpoint{}, lastWarnings: map[string]time.Time{},
 		sessions: tlspolicy.NewSessionCache[*tls.ClientSessionState](o.Handshakes.SessionCacheSize())}
 	var err error
@@ -101,7 +101,7 @@
 		if r.policy, err = r.settings.Rule(); err != nil {
 			return nil, fmt.Errorf("tls %s: %w", r.settings.Name, err)
 		}
-		if r.files, err = keys.Open(r.settings.Files(), o.Clock()); err != nil {
+		if r.files, err = certstore.Open(r.settings.Files(), o.Clock()); err != nil {
 			return nil, fmt.Errorf("tls %s: %w", r.settings.Name, err)
 		}
 		p.rules = append(p.rules, r)
--- a/internal/secure/handshake.go
+++ b/internal/tlsdial/handshake.go
@@ -1,4 +1,4 @@
-package secure
+package tlsdial
 
 import (
 	"context"
@@ -12,14 +12,14 @@
 
 	"golang.org/x/sys/unix"
 
-	"troutusher/internal/keys"
+	"troutusher/internal/certstore"
 	"troutusher/internal/tlspolicy"
 )
 
 // Permit is leave for one handshake. It is used once, by Shake or Abandon.
 type Permit struct {
 	endpoint     *Endpoint
-	credentials  *keys.Credentials
+	credentials  *certstore.Credentials
 	generation   uint64
 	identity     tlspolicy.SessionIdentity
 	reservation  tlspolicy.Reservation
--- a/internal/secure/sessionfile.go
+++ b/internal/tlsdial/sessionfile.go
@@ -1,4 +1,4 @@
-package secure
+package tlsdial
 
 import (
 	"crypto/cipher"
--- a/internal/secure/sessionfile_test.go
+++ b/internal/tlsdial/sessionfile_test.go
@@ -1,4 +1,4 @@
-package secure
+package tlsdial
 
 import (
 	"bytes"
@@ -13,27 +13,27 @@
 	"testing"
 	"time"
 
-	"troutusher/internal/devca"
-	"troutusher/internal/operator"
+	"troutusher/internal/operatorconfig"
+	"troutusher/internal/testca"
 )
 
 const serverName = "pay.example.org"
 
 type testSite struct {
 	stateDir, keyFile string
-	certificate       *devca.Issued
-	rule              operator.TLSRule
+	certificate       *testca.Issued
+	rule              operatorconfig.TLSRule
 	log               bytes.Buffer
 }
 
 func newTestSite(t testing.TB) *testSite {
 	t.Helper()
 	s := &testSite{stateDir: t.TempDir()}
-	root, err := devca.Issue(nil, "root", nil, devca.AsAuthority)
+	root, err := testca.Issue(nil, "root", nil, testca.AsAuthority)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if s.certificate, err = devca.Issue(root, serverName, nil); err != nil {
+	if s.certificate, err = testca.Issue(root, serverName, nil); err != nil {
 		t.Fatal(err)
 	}
 	roots, _, err := root.WriteFiles(s.stateDir, "roots", false)
@@ -44,13 +44,13 @@
 	if err := os.WriteFile(s.keyFile, bytes.Repeat([]byte("k"), 32), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	s.rule = operator.TLSRule{Name: "pay", Destinations: []int{1, 2}, ServerName: serverName, Roots: roots}
+	s.rule = operatorconfig.TLSRule{Name: "pay", Destinations: []int{1, 2}, ServerName: serverName, Roots: roots}
 	return s
 }
 
 func (s *testSite) newDialer(t testing.TB) *Dialer {
 	t.Helper()
-	p, err := New(Options{Rules: []operator.TLSRule{s.rule}, Handshakes: operator.Handshakes{SessionKey: s.keyFile, CPUShare: 1, BurstMS: 1000}, StateDir: s.stateDir,
+	p, err := New(Options{Rules: []operatorconfig.TLSRule{s.rule}, Handshakes: operatorconfig.Handshakes{SessionKey: s.keyFile, CPUShare: 1, BurstMS: 1000}, StateDir: s.stateDir,
 		Log: slog.New(slog.NewTextHandler(&s.log, nil)), OnRejected: func(uint64, time.Duration) {}})
 	if err != nil {
 		t.Fatal(err)
--- a/internal/secure/stored_test.go
+++ b/internal/tlsdial/stored_test.go
@@ -1,4 +1,4 @@
-package secure
+package tlsdial
 
 import (
 	"bytes"
@@ -12,7 +12,7 @@
 	"testing"
 	"time"
 
-	"troutusher/internal/operator"
+	"troutusher/internal/operatorconfig"
 	"troutusher/internal/tlspolicy"
 )
 
@@ -48,7 +48,7 @@
 		t.Fatal(err)
 	}
 	now := all[0].Until.Add(-time.Hour)
-	p, err := New(Options{Rules: []operator.TLSRule{s.rule}, Handshakes: operator.Handshakes{SessionKey: s.keyFile}, StateDir: s.stateDir,
+	p, err := New(Options{Rules: []operatorconfig.TLSRule{s.rule}, Handshakes: operatorconfig.Handshakes{SessionKey: s.keyFile}, StateDir: s.stateDir,
 		Clock: func() time.Time { return now }, Log: slog.New(slog.DiscardHandler), OnRejected: func(uint64, time.Duration) {}})
 	if err != nil {
 		t.Fatal(err)
@@ -84,7 +84,7 @@
 		return a
 	}
 	var log bytes.Buffer
-	p, err := New(Options{Rules: []operator.TLSRule{s.rule}, Clock: func() time.Time { return now },
+	p, err := New(Options{Rules: []operatorconfig.TLSRule{s.rule}, Clock: func() time.Time { return now },
 		Log: slog.New(slog.NewTextHandler(&log, &slog.HandlerOptions{ReplaceAttr: leave})), OnRejected: func(uint64, time.Duration) {}})
 	if err != nil {
 		t.Fatal(err)
--- a/internal/tlspolicy/identity_test.go
+++ b/internal/tlspolicy/identity_test.go
@@ -16,21 +16,21 @@
 
 	"golang.org/x/crypto/ocsp"
 
-	"troutusher/internal/devca"
+	"troutusher/internal/testca"
 )
 
 var noon = time.Date(2026, 6, 7, 12, 0, 0, 0, time.UTC)
 
-type issuedCert = devca.Issued
+type issuedCert = testca.Issued
 
 // issue makes a certificate that up signs; nil signs itself.
 func issue(t testing.TB, up *issuedCert, key crypto.Signer, change func(*x509.Certificate)) *issuedCert {
 	t.Helper()
-	changes := []func(*x509.Certificate){devca.WithNames("pay.example.org"), devca.WithValidity(noon.Add(-time.Hour), noon.Add(time.Hour))}
+	changes := []func(*x509.Certificate){testca.WithNames("pay.example.org"), testca.WithValidity(noon.Add(-time.Hour), noon.Add(time.Hour))}
 	if change != nil {
 		changes = append(changes, change)
 	}
-	m, err := devca.Issue(up, "c", key, changes...)
+	m, err := testca.Issue(up, "c", key, changes...)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -38,7 +38,7 @@
 }
 
 func authorityTemplate(c *x509.Certificate) {
-	devca.AsAuthority(c)
+	testca.AsAuthority(c)
 	c.NotBefore, c.NotAfter = noon.Add(-1000*time.Hour), noon.Add(1000*time.Hour)
 }
 
--- a/decide/avoid.go
+++ b/policy/avoid.go
@@ -1,4 +1,4 @@
-package decide
+package policy
 
 // Avoids reports whether an endpoint gets no ordinary call now: the list says
 // that it drains, it is held to be out and has not answered since, it rests
--- a/decide/decide.go
+++ b/policy/decide.go
@@ -1,8 +1,8 @@
-// Package decide makes every decision of a relay; its interface (settings, events, actions) is api.go.
+// Package policy makes every decision of a relay; its interface (settings, events, actions) is api.go.
 // The ordinary path is adaptive throttling for each destination (requests against accepts, a capped drop
 // chance) with a window on calls in flight; what departs from it names its condition at its place. What is
 // remembered is in state.go.
-package decide
+package policy
 
 import (
 	"cmp"
--- a/decide/identity_test.go
+++ b/policy/identity_test.go
@@ -1,4 +1,4 @@
-package decide
+package policy
 
 import "testing"
 
