--- a/internal/core/core_test.go
+++ b/internal/core/core_test.go
@@ -337,7 +337,7 @@
 			}
 		}
 	}
-	if _, err := os.Stat("../places/places.go"); err != nil {
+	if _, err := os.Stat("../connlimit/limiter.go"); err != nil {
 		t.Error(err)
 	}
 }
--- a/internal/rehearsal/runner/stage_test.go
+++ b/internal/rehearsal/runner/stage_test.go
@@ -391,7 +391,7 @@
 // in unchanged by this one.
 func TestTheGoldenRecordingIsReplayed(t *testing.T) {
 	t.Parallel()
-	p, _, err := replay.Load(filepath.Join("..", "recording", "testdata", "v1.rehearsal"))
+	p, _, err := replay.Load(filepath.Join("..", "replay", "testdata", "v1.rehearsal"))
 	if err != nil {
 		t.Fatal(err)
 	}
