--- a/cmd/troutusher-kit/kit_test.go
+++ b/cmd/troutusher-kit/kit_test.go
@@ -13,6 +13,7 @@
 	"testing"
 	"time"
 
+	"troutusher/internal/config"
 	"troutusher/internal/core"
 	"troutusher/internal/policystate"
 	"troutusher/internal/rehearsal/replay"
@@ -31,12 +32,12 @@
 	}
 	hup := make(chan os.Signal, 1)
 	signal.Notify(hup, syscall.SIGHUP)
-	cfg, err := relay.LoadConfig(os.Getenv)
+	cfg, err := config.Load(os.Getenv)
 	if err != nil {
 		os.Exit(2)
 	}
 	ctx, _ := signal.NotifyContext(context.Background(), syscall.SIGTERM)
-	re := relay.ReloadRequests{Signals: hup, Load: func() (*relay.Config, error) { return relay.ReloadConfig(os.Getenv) }}
+	re := relay.ReloadRequests{Signals: hup, Load: func() (*config.Config, error) { return config.Reload(os.Getenv) }}
 	if err := relay.Run(cfg, slog.New(slog.NewTextHandler(os.Stderr, nil)), ctx.Done(), re); err != nil {
 		os.Exit(1)
 	}
--- a/cmd/troutusher/main.go
+++ b/cmd/troutusher/main.go
@@ -13,6 +13,7 @@
 	"runtime/debug"
 	"syscall"
 
+	"troutusher/internal/config"
 	"troutusher/internal/relay"
 )
 
@@ -30,7 +31,7 @@
 	hup := make(chan os.Signal, 1)
 	signal.Notify(hup, syscall.SIGHUP)
 	log := slog.New(slog.NewTextHandler(os.Stderr, nil))
-	cfg, err := relay.LoadConfig(os.Getenv)
+	cfg, err := config.Load(os.Getenv)
 	if err != nil {
 		log.Error("cannot start", "err", err)
 		os.Exit(exitConfig)
@@ -39,7 +40,7 @@
 	debug.SetMemoryLimit(int64(cfg.Limits.MemoryMB) << 20 / 10 * 7) // the rest is for files and stacks
 	ctx, cancel := signal.NotifyContext(context.Background(), syscall.SIGTERM, syscall.SIGINT)
 	defer cancel()
-	re := relay.ReloadRequests{Signals: hup, Load: func() (*relay.Config, error) { return relay.ReloadConfig(os.Getenv) }}
+	re := relay.ReloadRequests{Signals: hup, Load: func() (*config.Config, error) { return config.Reload(os.Getenv) }}
 	err = relay.Run(cfg, log, ctx.Done(), re)
 	if err != nil {
 		log.Error("ended", "err", err)
--- a/internal/relay/config_test.go
+++ b/internal/config/config_test.go
@@ -1,20 +1,41 @@
-package relay
+package config
 
 import (
-	"io"
-	"net"
-	"os"
-	"path/filepath"
 	"strings"
 	"testing"
 
 	"troutusher/internal/operatorconfig"
 )
 
+const testSettings = `{"accounts":[{"name":"acme","quota_per_s":1000,"share":1}],"balancers":1,
+ "classes":[
+  {"deadline_us":20000000,"dedup_window_us":5000000,"group":"all","late_worth":0.1,"name":"plain","repeat":"retryable","target_us":1500000,"worth":1},
+  {"deadline_us":20000000,"dedup_window_us":20000000,"group":"all","late_worth":0.3,"name":"keyed","repeat":"dedup","target_us":3000000,"worth":1},
+  {"deadline_us":20000000,"dedup_window_us":5000000,"group":"all","late_worth":0.4,"name":"once","repeat":"fragile","target_us":3000000,"worth":3}],
+ "discovery":"pushed","kinds":["k"],"localities":["a","b"],
+ "limits":{"connect_timeout_us":1500000,"keepalive_us":10000000,"max_retry_after_us":2000000,"may_cancel":true,
+  "most_held":100,"most_tries":8,"probing":true,"retry_after":true,"streams_per_conn":8},
+ "safety":{"answer_slack_us":20000,"drain_grace_us":2000000,"fall_us":2000000,"overload_factor":1.5,"ramp_time_us":13000000,"start_capacity":0.26},
+ "specifics":{"calls_out":16,"kind_batch":[1],"late":"linear","own_limits":[false]},
+ "report":{"fields":[],"how":"none"},
+ "tick_us":5000,"value_by":"request","weights":"nominal","zone":0}`
+
+const goodConfig = `{"name":"n1","listen":"127.0.0.1:1","discovery":"127.0.0.1:2","state":"/x","seed":"1f",
+	"limits":{"cores":1,"memory_mb":64,"sockets":256,"disk_mb":2},"settings":` + testSettings + `}`
+
+// goodConfigParsed is the configuration of a relay with the default limits.
+func goodConfigParsed(t *testing.T) *Config {
+	t.Helper()
+	text := replacedOnce(t, goodConfig, `"limits":{"cores":1,"memory_mb":64,"sockets":256,"disk_mb":2},`, ``)
+	c, err := Parse([]byte(text), environment(nil))
+	if err != nil {
+		t.Fatal(err)
+	}
+	return c
+}
+
 // A bad value stops the start, and the error names its key.
 func TestBadConfig(t *testing.T) {
-	good := `{"name":"n1","listen":"127.0.0.1:1","discovery":"127.0.0.1:2","state":"/x","seed":"1f",
-		"limits":{"cores":1,"memory_mb":64,"sockets":256,"disk_mb":2},"settings":` + testSettings + `}`
 	for name, x := range map[string]struct{ old, new, key string }{
 		"no name":       {`"name":"n1",`, ``, "name"},
 		"no port":       {`"listen":"127.0.0.1:1"`, `"listen":"127.0.0.1"`, "listen"},
@@ -35,17 +56,17 @@
 		"negative time": {`"drain_grace_us":2000000`, `"drain_grace_us":-1`, "DrainGrace"},
 	} {
 		t.Run(name, func(t *testing.T) {
-			text := strings.Replace(good, x.old, x.new, 1)
-			if text == good {
+			text := strings.Replace(goodConfig, x.old, x.new, 1)
+			if text == goodConfig {
 				t.Fatal("nothing was changed")
 			}
-			_, err := parseConfig([]byte(text), func(string) string { return "" }, false)
+			_, err := Parse([]byte(text), environment(nil))
 			if err == nil || !strings.Contains(err.Error(), x.key) {
 				t.Errorf("error %v, want one that names %s", err, x.key)
 			}
 		})
 	}
-	c, err := parseConfig([]byte(good), func(k string) string { return map[string]string{"ROUTER_STATE": "/y"}[k] }, false)
+	c, err := Parse([]byte(goodConfig), environment(map[string]string{"ROUTER_STATE": "/y"}))
 	if err != nil || c.State != "/y" || c.Seed != 0x1f || c.Policy.MaxConcurrentCalls != 16 || c.Policy.StreamsPerConnection != 1 || c.Zones["b"] != 1 || c.Classes["once"] != 2 {
 		t.Errorf("got %+v, %v", c, err)
 	}
@@ -58,15 +79,14 @@
 // What the operator's file says comes before what follows from the limits, and
 // never leaves the calls out without descriptors.
 func TestOperatorFileOverrides(t *testing.T) {
-	c := testConfigParsed(t)
-	before := c.ServerOptions()
+	c := goodConfigParsed(t)
+	before := c.ConnLimits()
 	if err := c.applyClientSettings(&operatorconfig.Clients{Descriptors: 900, MaxConns: 700, MaxUnvalidated: 650, SingleUseEvictionThreshold: 690, IdleTimeoutS: 60, MemoryMB: 3}); err != nil {
 		t.Fatal(err)
 	}
-	o := c.ServerOptions()
-	l := o.Limits
-	if l.MaxConns != 700 || l.MaxUnvalidated != 650 || l.SingleUseEvictionThreshold != 690 || l.IdleTimeout != 60e6 || o.MemoryLimit != 3<<20 || l.FirstCommandTimeout != before.Limits.FirstCommandTimeout {
-		t.Errorf("%+v, %d", l, o.MemoryLimit)
+	l, memory := c.ConnLimits(), c.CommandMemory()
+	if l.MaxConns != 700 || l.MaxUnvalidated != 650 || l.SingleUseEvictionThreshold != 690 || l.IdleTimeout != 60e6 || memory != 3<<20 || l.FirstCommandTimeout != before.FirstCommandTimeout {
+		t.Errorf("%+v, %d", l, memory)
 	}
 	clients, endpoints := c.DescriptorBudget()
 	if clients != 700 || clients+endpoints+ReservedDescriptors != 900 || endpoints < c.Policy.MaxConcurrentCalls {
@@ -74,40 +94,8 @@
 	}
 	for key, bad := range map[string]operatorconfig.Clients{"clients.places": {Descriptors: 900, MaxConns: 900 - ReservedDescriptors - c.Policy.MaxConcurrentCalls},
 		"clients.descriptors": {Descriptors: operatorconfig.MaxDescriptors}} {
-		if err := testConfigParsed(t).applyClientSettings(&bad); err == nil || !strings.Contains(err.Error(), key) {
+		if err := goodConfigParsed(t).applyClientSettings(&bad); err == nil || !strings.Contains(err.Error(), key) {
 			t.Errorf("%s: %v", key, err)
 		}
 	}
 }
-
-// A relay that is started with the file listens on all of its addresses; one
-// with a wrong file does not start.
-func TestOperatorFileListeners(t *testing.T) {
-	env := testConfig(t, newFakeDiscovery(t), 3)
-	ln, err := net.Listen("tcp", "127.0.0.1:0")
-	if err != nil {
-		t.Fatal(err)
-	}
-	second := ln.Addr().String()
-	ln.Close()
-	path := filepath.Join(t.TempDir(), "operator.toml")
-	env[operatorconfig.EnvVar] = path
-	if err := os.WriteFile(path, []byte("[clients]\nlisten = [\""+second+"\"]\n"), 0o600); err != nil {
-		t.Fatal(err)
-	}
-	startChild(t, env)
-	for _, addr := range []string{env["ROUTER_LISTEN"], second} {
-		cl := dialClient(t, addr)
-		io.WriteString(cl, "*1\r\n$4\r\nPING\r\n")
-		if s := cl.readLine(); s != "+PONG" {
-			t.Errorf("%s: %q", addr, s)
-		}
-	}
-	if err := os.WriteFile(path, []byte("[clients]\nidle_s = 1\n"), 0o600); err != nil {
-		t.Fatal(err)
-	}
-	_, err = LoadConfig(func(k string) string { return env[k] })
-	if err == nil || !strings.Contains(err.Error(), ":2: clients.idle_s: 1, want 2 to 86400") {
-		t.Errorf("error %v", err)
-	}
-}
--- a/internal/relay/config_format_test.go
+++ b/internal/config/format_test.go
@@ -1,4 +1,4 @@
-package relay
+package config
 
 import (
 	"encoding/json"
@@ -20,7 +20,7 @@
 
 // Each key of the configuration arrives where it belongs.
 func TestConfigEveryKey(t *testing.T) {
-	c, err := LoadConfig(environment(map[string]string{"ROUTER_CONFIG": filepath.Join("testdata", "config", "every_key.json")}))
+	c, err := Load(environment(map[string]string{"ROUTER_CONFIG": filepath.Join("testdata", "every_key.json")}))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -69,12 +69,12 @@
 // What the environment says comes before the file; for a running relay the
 // file's discovery comes before the environment's.
 func TestConfigEnvironment(t *testing.T) {
-	vars := map[string]string{"ROUTER_CONFIG": filepath.Join("testdata", "config", "every_key.json"), "ROUTER_NAME": "n2",
+	vars := map[string]string{"ROUTER_CONFIG": filepath.Join("testdata", "every_key.json"), "ROUTER_NAME": "n2",
 		"ROUTER_LISTEN": "127.0.0.1:1", "ROUTER_DISCOVERY": "127.0.0.1:2", "ROUTER_CONSOLE": "127.0.0.1:3", "ROUTER_STATE": "/y"}
 	for _, x := range []struct {
 		read      func(func(string) string) (*Config, error)
 		discovery string
-	}{{LoadConfig, "127.0.0.1:2"}, {ReloadConfig, "127.0.0.1:7102"}} {
+	}{{Load, "127.0.0.1:2"}, {Reload, "127.0.0.1:7102"}} {
 		c, err := x.read(environment(vars))
 		if err != nil {
 			t.Fatal(err)
@@ -92,13 +92,13 @@
 		New   string `json:"new"`   // in its place
 		Error string `json:"error"` // what is said then
 	}
-	if err := json.Unmarshal(fixture(t, "config", "errors.json"), &cases); err != nil {
+	if err := json.Unmarshal(fixture(t, "errors.json"), &cases); err != nil {
 		t.Fatal(err)
 	}
-	good := string(fixture(t, "config", "every_key.json"))
+	good := string(fixture(t, "every_key.json"))
 	for _, c := range cases {
 		text := replacedOnce(t, good, c.Old, c.New)
-		if _, err := parseConfig([]byte(text), environment(nil), false); err == nil || err.Error() != c.Error {
+		if _, err := Parse([]byte(text), environment(nil)); err == nil || err.Error() != c.Error {
 			t.Errorf("%s: error\n%v\nwant\n%s", c.New, err, c.Error)
 		}
 	}
@@ -111,20 +111,29 @@
 		if err := os.WriteFile(path, []byte(operators), 0o600); err != nil {
 			t.Fatal(err)
 		}
-		_, err := LoadConfig(environment(map[string]string{"ROUTER_CONFIG": filepath.Join("testdata", "config", "every_key.json"), "TROUTUSHER_OPERATOR": path}))
+		_, err := Load(environment(map[string]string{"ROUTER_CONFIG": filepath.Join("testdata", "every_key.json"), "TROUTUSHER_OPERATOR": path}))
 		if err == nil || err.Error() != want {
 			t.Errorf("%q: error\n%v\nwant\n%s", operators, err, want)
 		}
 	}
-	if _, err := LoadConfig(environment(nil)); err == nil || err.Error() != "ROUTER_CONFIG: not set" {
+	if _, err := Load(environment(nil)); err == nil || err.Error() != "ROUTER_CONFIG: not set" {
 		t.Errorf("no file is named: %v", err)
 	}
-	if _, err := LoadConfig(environment(map[string]string{"ROUTER_CONFIG": "none.json"})); err == nil ||
+	if _, err := Load(environment(map[string]string{"ROUTER_CONFIG": "none.json"})); err == nil ||
 		err.Error() != "ROUTER_CONFIG: open none.json: no such file or directory" {
 		t.Errorf("there is no file: %v", err)
 	}
 }
 
+func fixture(t *testing.T, name string) []byte {
+	t.Helper()
+	text, err := os.ReadFile(filepath.Join("testdata", name))
+	if err != nil {
+		t.Fatal(err)
+	}
+	return text
+}
+
 func replacedOnce(t *testing.T, text, old, replacement string) string {
 	t.Helper()
 	before, after, ok := strings.Cut(text, old)
--- /dev/null
+++ b/internal/config/parse.go
@@ -0,0 +1,170 @@
+package config
+
+import (
+	"bytes"
+	"encoding/json"
+	"errors"
+	"fmt"
+	"net"
+	"strconv"
+
+	"troutusher/internal/core"
+	"troutusher/internal/settings"
+	"troutusher/internal/wire"
+)
+
+// Environment variables that come before a key of the file.
+const (
+	nameEnvVar      = "ROUTER_NAME"
+	listenEnvVar    = "ROUTER_LISTEN"
+	discoveryEnvVar = "ROUTER_DISCOVERY"
+	consoleEnvVar   = "ROUTER_CONSOLE"
+	stateEnvVar     = "ROUTER_STATE"
+)
+
+// file is the form of the configuration file.
+type file struct {
+	Name      string             `json:"name"`
+	Listen    string             `json:"listen"`
+	Discovery string             `json:"discovery"`
+	Console   string             `json:"console"`
+	State     string             `json:"state"`
+	Seed      json.RawMessage    `json:"seed"`
+	Limits    Limits             `json:"limits"`
+	Known     *core.EndpointList `json:"known"`
+	Settings  json.RawMessage    `json:"settings"`
+}
+
+// Parse reads the text of a configuration file as Load does, without the
+// operator's file.
+func Parse(text []byte, getenv func(string) string) (*Config, error) {
+	return parse(text, getenv, forStart)
+}
+
+func parse(text []byte, getenv func(string) string, why purpose) (*Config, error) {
+	var f file
+	if err := json.Unmarshal(text, &f); err != nil {
+		var wrongType *json.UnmarshalTypeError
+		if errors.As(err, &wrongType) {
+			return nil, fmt.Errorf("config: %s: wrong type %s", wrongType.Field, wrongType.Value)
+		}
+		return nil, fmt.Errorf("config: %w", err)
+	}
+	if err := f.applyEnvironment(getenv, why); err != nil {
+		return nil, err
+	}
+	if err := f.checkAddresses(); err != nil {
+		return nil, err
+	}
+	c := &Config{Name: f.Name, Listen: f.Listen, Discovery: f.Discovery, Console: f.Console, State: f.State, KnownList: f.Known}
+	var err error
+	if c.Seed, err = parseSeed(f.Seed); err != nil {
+		return nil, fmt.Errorf("config: seed: %w", err)
+	}
+	if c.Limits, err = f.Limits.withDefaults(); err != nil {
+		return nil, fmt.Errorf("config: limits.%w", err)
+	}
+	if len(f.Settings) == 0 {
+		return nil, errors.New("config: settings: missing")
+	}
+	if err := c.parseSettings(f.Settings); err != nil {
+		return nil, err
+	}
+	return c, nil
+}
+
+// applyEnvironment puts what the environment says in the place of what the file
+// says, and tells of a key that neither has.
+func (f *file) applyEnvironment(getenv func(string) string, why purpose) error {
+	for _, key := range []struct {
+		name, envVar string
+		value        *string
+		fileFirst    bool
+	}{
+		{"name", nameEnvVar, &f.Name, false},
+		{"listen", listenEnvVar, &f.Listen, false},
+		{"discovery", discoveryEnvVar, &f.Discovery, why == forReload},
+		{"state", stateEnvVar, &f.State, false},
+	} {
+		if fromEnv := getenv(key.envVar); fromEnv != "" && (*key.value == "" || !key.fileFirst) {
+			*key.value = fromEnv
+		}
+		if *key.value == "" {
+			return fmt.Errorf("config: %s: missing, and %s is not set", key.name, key.envVar)
+		}
+	}
+	if fromEnv := getenv(consoleEnvVar); fromEnv != "" {
+		f.Console = fromEnv
+	}
+	return nil
+}
+
+func (f *file) checkAddresses() error {
+	for _, key := range []struct{ name, address string }{
+		{"listen", f.Listen}, {"discovery", f.Discovery}, {"console", f.Console},
+	} {
+		if key.name == "console" && key.address == "" {
+			continue
+		}
+		if _, _, err := net.SplitHostPort(key.address); err != nil {
+			return fmt.Errorf("config: %s: %w", key.name, err)
+		}
+	}
+	return nil
+}
+
+// parseSeed takes 64 bits as a string in hexadecimal, or as a plain number.
+func parseSeed(raw json.RawMessage) (uint64, error) {
+	if len(raw) == 0 || bytes.Equal(raw, []byte("null")) {
+		return 0, errors.New("missing")
+	}
+	var hexadecimal string
+	if json.Unmarshal(raw, &hexadecimal) == nil {
+		return strconv.ParseUint(hexadecimal, 16, 64)
+	}
+	return strconv.ParseUint(string(raw), 10, 64)
+}
+
+// parseSettings maps the settings object and the names in it.
+func (c *Config) parseSettings(text []byte) error {
+	s, err := wire.ParseSettings(text)
+	if err != nil {
+		return fmt.Errorf("config: %w", err)
+	}
+	if c.Policy, err = settings.ForPolicy(s); err != nil {
+		return fmt.Errorf("config: %w", err)
+	}
+	if err := c.Policy.Validate(); err != nil {
+		return fmt.Errorf("config: settings: %w", err)
+	}
+	// On sockets a connection carries one call at a time, and a call carries one
+	// message, whatever the simulator's connections carry.
+	c.Policy.StreamsPerConnection = 1
+	for i := range c.Policy.DestinationKinds {
+		c.Policy.DestinationKinds[i].BatchSize = 1
+	}
+	var names struct { // without a name of its own, which the error would tell
+		Localities []string `json:"localities"`
+	}
+	if err := json.Unmarshal(text, &names); err != nil {
+		return fmt.Errorf("config: settings: localities: %w", err)
+	}
+	c.LoadReportFields = s.Report.Fields
+	c.Zones, c.DestinationKinds = indexByName(names.Localities), indexByName(s.Kinds)
+	c.Classes, c.Tenants = map[string]int{}, map[string]int{}
+	for i, class := range s.Classes {
+		c.Classes[class.Name] = i
+	}
+	for i, account := range s.Accounts {
+		c.Tenants[account.Name] = i
+	}
+	return nil
+}
+
+func indexByName(names []string) map[string]int {
+	indices := make(map[string]int, len(names))
+	for i, name := range names {
+		indices[name] = i
+	}
+	return indices
+}
--- a/internal/rehearsal/runner/stage_test.go
+++ b/internal/rehearsal/runner/stage_test.go
@@ -18,6 +18,7 @@
 	"testing"
 	"time"
 
+	"troutusher/internal/config"
 	"troutusher/internal/rehearsal/checker"
 	"troutusher/internal/rehearsal/event"
 	"troutusher/internal/rehearsal/loadgen"
@@ -47,14 +48,14 @@
 	hup := make(chan os.Signal, 1)
 	signal.Notify(hup, syscall.SIGHUP)
 	log := slog.New(slog.NewTextHandler(os.Stderr, nil))
-	cfg, err := daemon.LoadConfig(os.Getenv)
+	cfg, err := config.Load(os.Getenv)
 	if err != nil {
 		log.Error("relay", "err", err)
 		return 2
 	}
 	ctx, cancel := signal.NotifyContext(context.Background(), syscall.SIGTERM)
 	defer cancel()
-	re := daemon.ReloadRequests{Signals: hup, Load: func() (*daemon.Config, error) { return daemon.ReloadConfig(os.Getenv) }}
+	re := daemon.ReloadRequests{Signals: hup, Load: func() (*config.Config, error) { return config.Reload(os.Getenv) }}
 	err = daemon.Run(cfg, log, ctx.Done(), re)
 	if err != nil {
 		log.Error("relay", "err", err)
--- a/internal/relay/clients.go
+++ b/internal/relay/clients.go
@@ -8,10 +8,12 @@
 	"strings"
 	"time"
 
+	"troutusher/internal/config"
 	"troutusher/internal/connlimit"
 	"troutusher/internal/core"
 	"troutusher/internal/resp"
 	"troutusher/internal/respserver"
+	"troutusher/policy"
 )
 
 // What clients say: the meaning of commands. Their connections are the
@@ -46,7 +48,7 @@
 
 // parsePut reads a handed-in message; what is wrong is named, and nothing is
 // taken.
-func (c *Config) parsePut(args [][]byte, now time.Time) (*request, error) {
+func parsePut(c *config.Config, args [][]byte, now time.Time) (*request, error) {
 	if len(args) != 5 {
 		return nil, fmt.Errorf("MSG.PUT takes 4 arguments, %d came", len(args)-1)
 	}
@@ -93,12 +95,16 @@
 	if q.Record.Key = have["k"]; q.Record.Key != "" && !isToken(q.Record.Key) {
 		return nil, errors.New("k: too long or not plain")
 	}
-	if q.Record.Key == "" && c.NeedsIdempotencyKey(q.Class) {
+	if q.Record.Key == "" && needsIdempotencyKey(c, q.Class) {
 		return nil, errors.New("k: missing in a keyed class")
 	}
 	return q, nil
 }
 
+func needsIdempotencyKey(c *config.Config, class int) bool {
+	return c.Policy.Classes[class].Idempotency == policy.IdempotentByKey
+}
+
 // parseMilliseconds reads a time: digits, maybe with decimals. What a number may
 // look like elsewhere (a sign, an exponent, hexadecimal) is no time.
 func parseMilliseconds(s string) (float64, error) {
@@ -124,7 +130,7 @@
 
 // clientServer makes requests of what clients send.
 type clientServer struct {
-	cfg         *Config
+	cfg         *config.Config
 	server      *respserver.Server
 	submit      func(*request) // hands it to the loop, which answers
 	lifecycle   *processLifecycle
@@ -132,8 +138,13 @@
 	onReplyDone func(q *request, ok bool) // the answer was written, or its client is gone
 }
 
+// serverOptions are those of this relay's machine and operator.
+func serverOptions(cfg *config.Config) respserver.Options {
+	return respserver.Options{Limits: cfg.ConnLimits(), MemoryLimit: cfg.CommandMemory()}
+}
+
 // newClientServer opens the front that serves clients.
-func newClientServer(cfg *Config, opt respserver.Options, put func(*request), said func(*request, bool), addrs ...string) (*clientServer, error) {
+func newClientServer(cfg *config.Config, opt respserver.Options, put func(*request), said func(*request, bool), addrs ...string) (*clientServer, error) {
 	c := &clientServer{cfg: cfg, submit: put, onReplyDone: said}
 	opt.Handler = c.handleCommand
 	var err error
@@ -154,7 +165,7 @@
 		}
 		return respserver.Reply{Text: "+PONG\r\n", Kind: connlimit.CommandControl}
 	case "MSG.PUT":
-		q, err := c.cfg.parsePut(a.Args, a.ReceivedAt)
+		q, err := parsePut(c.cfg, a.Args, a.ReceivedAt)
 		if err != nil {
 			return respserver.Reply{Text: errorReply(err)}
 		}
--- a/internal/relay/clients_test.go
+++ b/internal/relay/clients_test.go
@@ -9,6 +9,7 @@
 	"testing"
 	"time"
 
+	"troutusher/internal/config"
 	"troutusher/internal/connlimit"
 	"troutusher/internal/resp"
 	"troutusher/policy"
@@ -18,7 +19,7 @@
 func serveClients(t *testing.T, put func(*request), change ...func(*connlimit.Limits)) (*clientServer, string, chan bool) {
 	t.Helper()
 	cfg := testConfigParsed(t)
-	opt := cfg.ServerOptions()
+	opt := serverOptions(cfg)
 	opt.Logger = quietLog()
 	for _, f := range change {
 		f(&opt.Limits)
@@ -121,7 +122,7 @@
 
 func TestParsePut(t *testing.T) {
 	now := time.UnixMicro(1e15)
-	q, err := testConfigParsed(t).parsePut([][]byte{[]byte("MSG.PUT"), nil, []byte("id1"),
+	q, err := parsePut(testConfigParsed(t), [][]byte{[]byte("MSG.PUT"), nil, []byte("id1"),
 		[]byte("c=keyed,t=acme,d=1500.5,k=k1,dest=12,r=1,again=1,new=x"), []byte("b")}, now)
 	if err != nil {
 		t.Fatal(err)
@@ -363,14 +364,14 @@
 	f.Add([]byte(encodePut("m", "c=plain", []byte("b"))))
 	f.Add([]byte(encodePut("m", putFields("keyed", 8000, 1), []byte("b"))))
 	f.Add([]byte(encodePut("m", "c=plain,t=,d=1e400,dest=1,k=", nil)))
-	cfg := &Config{Classes: map[string]int{"plain": 0, "keyed": 1}, Tenants: map[string]int{}, Policy: policy.Settings{
+	cfg := &config.Config{Classes: map[string]int{"plain": 0, "keyed": 1}, Tenants: map[string]int{}, Policy: policy.Settings{
 		Classes: []policy.Class{{Deadline: 8e6}, {Deadline: 8e6, Idempotency: policy.IdempotentByKey}}}}
 	f.Fuzz(func(t *testing.T, b []byte) {
 		var r resp.Reader
 		if _, whole, err := r.Feed(b); !whole || err != nil {
 			return
 		}
-		q, err := cfg.parsePut(r.Args(), time.Now())
+		q, err := parsePut(cfg, r.Args(), time.Now())
 		if err == nil && (!isToken(q.Record.ID) || q.timeLeft < 0 || q.timeLeft > 16*time.Second || q.Class == 1 && q.Record.Key == "") {
 			t.Fatalf("taken: %+v", q.Record)
 		}
--- a/internal/relay/console.go
+++ b/internal/relay/console.go
@@ -8,6 +8,7 @@
 	"sync/atomic"
 	"time"
 
+	"troutusher/internal/config"
 	"troutusher/internal/console"
 	"troutusher/internal/lifecycle"
 	"troutusher/internal/respserver"
@@ -109,7 +110,7 @@
 	}
 }
 
-func classNames(cfg *Config) []string {
+func classNames(cfg *config.Config) []string {
 	names := make([]string, len(cfg.Policy.Classes))
 	for name, i := range cfg.Classes {
 		names[i] = name
--- a/internal/relay/endpoints_test.go
+++ b/internal/relay/endpoints_test.go
@@ -11,13 +11,14 @@
 	"testing"
 	"time"
 
+	"troutusher/internal/config"
 	"troutusher/policy"
 )
 
-func testConfigParsed(t *testing.T) *Config {
+func testConfigParsed(t *testing.T) *config.Config {
 	t.Helper()
-	c, err := parseConfig([]byte(`{"name":"n1","listen":"127.0.0.1:0","discovery":"127.0.0.1:1","state":"x","seed":"1","settings":`+
-		testSettings+`}`), func(string) string { return "" }, false)
+	c, err := config.Parse([]byte(`{"name":"n1","listen":"127.0.0.1:0","discovery":"127.0.0.1:1","state":"x","seed":"1","settings":`+
+		testSettings+`}`), func(string) string { return "" })
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/relay/fake_test.go
+++ b/internal/relay/fake_test.go
@@ -20,6 +20,7 @@
 	"testing"
 	"time"
 
+	"troutusher/internal/config"
 	"troutusher/internal/core"
 )
 
@@ -78,7 +79,7 @@
 		firstListTimeout, watchSilenceTimeout = d, d
 	}
 	log := slog.New(slog.NewTextHandler(os.Stderr, nil))
-	cfg, err := LoadConfig(os.Getenv)
+	cfg, err := config.Load(os.Getenv)
 	if err != nil {
 		log.Error("child", "err", err)
 		os.Exit(2)
@@ -87,8 +88,8 @@
 	hup := make(chan os.Signal, 1)
 	signal.Notify(hup, syscall.SIGHUP)
 	read := make(chan struct{}, 16)
-	re := ReloadRequests{Signals: hup, Load: func() (*Config, error) {
-		cfg, err := ReloadConfig(os.Getenv)
+	re := ReloadRequests{Signals: hup, Load: func() (*config.Config, error) {
+		cfg, err := config.Reload(os.Getenv)
 		read <- struct{}{}
 		return cfg, err
 	}}
--- a/internal/relay/handover.go
+++ b/internal/relay/handover.go
@@ -13,6 +13,7 @@
 
 	"golang.org/x/sys/unix"
 
+	"troutusher/internal/config"
 	"troutusher/internal/core"
 	"troutusher/internal/handover"
 	"troutusher/internal/handover/link"
@@ -585,7 +586,7 @@
 	hitFailpoint(failpointOutgoingStateSent)
 	// Both processes have them for a moment: what is left of the descriptors
 	// bounds how many clients go over. The others were idle longest.
-	most := r.cfg.Limits.Sockets - 2*ReservedDescriptors - 2*len(fds)
+	most := r.cfg.Limits.Sockets - 2*config.ReservedDescriptors - 2*len(fds)
 	listeners, conns := cl.server.Export(most)
 	if err := l.Send(packetListeners, nil, by, listeners...); err != nil {
 		return err
--- a/internal/relay/loop.go
+++ b/internal/relay/loop.go
@@ -15,6 +15,7 @@
 	"syscall"
 	"time"
 
+	"troutusher/internal/config"
 	"troutusher/internal/console"
 	"troutusher/internal/core"
 	"troutusher/internal/handover"
@@ -37,13 +38,13 @@
 // loopInput is something that the loop is told.
 type loopInput struct {
 	core.Event
-	config   *Config          // a new one
+	config   *config.Config   // a new one
 	handover *handoverRequest // another process is ready to take over
 }
 
 // Relay is one running relay.
 type Relay struct {
-	cfg               *Config
+	cfg               *config.Config
 	log               *slog.Logger
 	core              *core.Core
 	inbox             *Mailbox[loopInput]
@@ -86,7 +87,7 @@
 // taken the work over, or something fails that a relay cannot go on without.
 // Where the process that took over died before it served, it starts anew from the
 // log, with the configuration that it was last told to read.
-func Run(cfg *Config, log *slog.Logger, stop <-chan struct{}, re ReloadRequests) error {
+func Run(cfg *config.Config, log *slog.Logger, stop <-chan struct{}, re ReloadRequests) error {
 	for {
 		asked, err := run(cfg, log, stop, re)
 		if !errors.Is(err, errRestartFromLog) {
@@ -105,7 +106,7 @@
 
 // run is one life of a relay; asked tells whether the configuration was read again
 // in it.
-func run(cfg *Config, log *slog.Logger, stop <-chan struct{}, re ReloadRequests) (asked bool, err error) {
+func run(cfg *config.Config, log *slog.Logger, stop <-chan struct{}, re ReloadRequests) (asked bool, err error) {
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	r := &Relay{cfg: cfg, log: log, inbox: newMailbox[loopInput](), startedAt: time.Now(), ctx: ctx, stop: stop, reload: re, endpoints: map[policy.EndpointID]*Endpoint{},
@@ -177,7 +178,7 @@
 	if err != nil {
 		return false, err
 	}
-	opt := cfg.ServerOptions()
+	opt := serverOptions(cfg)
 	opt.Logger = log
 	opt.DeferListen = true // until all is there that an answer takes
 	if inherited == nil {
--- a/internal/relay/reload.go
+++ b/internal/relay/reload.go
@@ -4,6 +4,8 @@
 	"context"
 	"os"
 	"reflect"
+
+	"troutusher/internal/config"
 )
 
 // A configuration is read again on SIGHUP. What a running relay takes over from
@@ -11,8 +13,8 @@
 
 // ReloadRequests tells a running relay of new configurations.
 type ReloadRequests struct {
-	Signals <-chan os.Signal        // one value for each time that it is to be read
-	Load    func() (*Config, error) // reads it
+	Signals <-chan os.Signal               // one value for each time that it is to be read
+	Load    func() (*config.Config, error) // reads it
 }
 
 // watchReloads reads the configuration whenever that is asked for. One that cannot
@@ -32,7 +34,7 @@
 }
 
 // loadNewConfig is the configuration as it is now; nil for one that is of no use.
-func (r *Relay) loadNewConfig() *Config {
+func (r *Relay) loadNewConfig() *config.Config {
 	cfg, err := r.reload.Load()
 	if err != nil {
 		r.log.Error("new configuration not taken over, the old one stays", "err", err)
@@ -52,7 +54,7 @@
 
 // reconfigure takes over what a running relay can: watch and notices move to
 // the new address, and what was not confirmed at the old one goes out there.
-func (r *Relay) reconfigure(cfg *Config) {
+func (r *Relay) reconfigure(cfg *config.Config) {
 	if !reflect.DeepEqual(cfg.Policy, r.cfg.Policy) || cfg.Limits != r.cfg.Limits || cfg.Listen != r.cfg.Listen {
 		r.log.Warn("new configuration: settings, limits and listen wait for the next start")
 	}
--- a/internal/relay/reload_test.go
+++ b/internal/relay/reload_test.go
@@ -8,6 +8,8 @@
 	"syscall"
 	"testing"
 	"time"
+
+	"troutusher/internal/config"
 )
 
 func (c *child) signal(t *testing.T, s syscall.Signal) {
@@ -141,16 +143,16 @@
 	env := testConfig(t, newFakeDiscovery(t), 3)
 	env["ROUTER_DISCOVERY"], env["ROUTER_NAME"] = "127.0.0.1:9", "other"
 	get := func(k string) string { return env[k] }
-	start, err := LoadConfig(get)
+	start, err := config.Load(get)
 	if err != nil || start.Discovery != "127.0.0.1:9" {
 		t.Fatalf("at the start %+v, %v", start, err)
 	}
-	again, err := ReloadConfig(get)
+	again, err := config.Reload(get)
 	if err != nil || again.Discovery == "127.0.0.1:9" || again.Name != "other" {
 		t.Fatalf("again %+v, %v", again, err)
 	}
 	rewriteConfig(t, env, func(s string) string { return strings.Replace(s, `"discovery"`, `"x"`, 1) })
-	if again, err = ReloadConfig(get); err != nil || again.Discovery != "127.0.0.1:9" {
+	if again, err = config.Reload(get); err != nil || again.Discovery != "127.0.0.1:9" {
 		t.Errorf("with none in the file %+v, %v", again, err)
 	}
 }
--- a/internal/relay/shutdown_test.go
+++ b/internal/relay/shutdown_test.go
@@ -15,6 +15,7 @@
 	"testing"
 	"time"
 
+	"troutusher/internal/config"
 	"troutusher/internal/source/registry"
 	"troutusher/policy"
 )
@@ -29,7 +30,7 @@
 // startInProcess starts one; at is called at each point of the seam.
 func startInProcess(t *testing.T, env map[string]string, at func(point string)) *inProcessRelay {
 	t.Helper()
-	cfg, err := LoadConfig(func(name string) string { return env[name] })
+	cfg, err := config.Load(func(name string) string { return env[name] })
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/relay/tls_relay_test.go
+++ b/internal/relay/tls_relay_test.go
@@ -11,6 +11,7 @@
 	"testing"
 	"time"
 
+	"troutusher/internal/config"
 	"troutusher/internal/testca"
 )
 
@@ -174,7 +175,7 @@
 	d := newFakeDiscovery(t)
 	env := testConfig(t, d, 3)
 	operatorFile(t, s, env, "")
-	cfg, err := LoadConfig(func(k string) string { return env[k] })
+	cfg, err := config.Load(func(k string) string { return env[k] })
 	if err != nil {
 		t.Fatal(err)
 	}
