--- /dev/null
+++ b/policy/history.go
@@ -0,0 +1,93 @@
+package policy
+
+// slidingCounter counts requests and accepts over a rolling window, in bins of equal width.
+type slidingCounter struct {
+	width    Time
+	bins     [][2]float64
+	at       Time // number of the newest bin
+	sum      [2]float64
+	started  Time
+	hasStart bool
+}
+
+// Places of the counts in a bin.
+const (
+	requestCount = iota
+	acceptCount
+)
+
+func newSlidingCounter(window Time, bins int) slidingCounter {
+	return slidingCounter{width: window / Time(bins), bins: make([][2]float64, bins)}
+}
+
+// roll drops what has left the window, and gives the newest bin.
+func (c *slidingCounter) roll(now Time) *[2]float64 {
+	newest := now / c.width
+	if !c.hasStart {
+		c.hasStart, c.started, c.at = true, now, newest
+	}
+	size := Time(len(c.bins))
+	for ; c.at < newest; c.at++ {
+		if newest-c.at > size {
+			c.at = newest - size
+		}
+		oldest := &c.bins[(c.at+1)%size]
+		c.sum[requestCount] -= oldest[requestCount]
+		c.sum[acceptCount] -= oldest[acceptCount]
+		*oldest = [2]float64{}
+	}
+	return &c.bins[c.at%size]
+}
+
+func (c *slidingCounter) add(now Time, count int) {
+	c.roll(now)[count]++
+	c.sum[count]++
+}
+
+func (c *slidingCounter) request(now Time) { c.add(now, requestCount) }
+func (c *slidingCounter) accept(now Time)  { c.add(now, acceptCount) }
+
+func (c *slidingCounter) totals(now Time) (requests, accepts float64) {
+	c.roll(now)
+	return c.sum[requestCount], c.sum[acceptCount]
+}
+
+// active reports whether anything is counted in the window.
+func (c *slidingCounter) active(now Time) bool {
+	if !c.hasStart {
+		return false
+	}
+	requests, accepts := c.totals(now)
+	return requests > 0 || accepts > 0
+}
+
+// acceptRate is accepts a second over the window, or since the start while that is shorter.
+func (c *slidingCounter) acceptRate(now Time) float64 {
+	c.roll(now)
+	span := min(now-c.started, c.width*Time(len(c.bins)))
+	return c.sum[acceptCount] * 1e6 / float64(max(span, c.width*2))
+}
+
+// snapshot gives the bins, the oldest first.
+func (c *slidingCounter) snapshot(now Time) [][2]float64 {
+	c.roll(now)
+	size := Time(len(c.bins))
+	bins := make([][2]float64, 0, size)
+	for i := range size {
+		bins = append(bins, c.bins[(c.at+1+i)%size])
+	}
+	return bins
+}
+
+// restore takes bins that were counted up to now, the oldest first.
+func (c *slidingCounter) restore(now Time, bins [][2]float64, started Time) {
+	*c = newSlidingCounter(c.width*Time(len(c.bins)), len(c.bins))
+	c.roll(now)
+	size := Time(len(bins))
+	for i, bin := range bins {
+		c.bins[(c.at+1+Time(i))%size] = bin
+		c.sum[requestCount] += bin[requestCount]
+		c.sum[acceptCount] += bin[acceptCount]
+	}
+	c.started = started
+}
--- /dev/null
+++ b/policy/outcome.go
@@ -0,0 +1,162 @@
+package policy
+
+// What the end of an attempt tells, of its message, its call, its endpoint and its limiter.
+
+const (
+	multiplierDecrease    = 0.75 // of the rate, after a rejection
+	multiplierIncrease    = 1.08 // of the rate, after a success of a call that the rate had kept waiting
+	minRateMultiplier     = 0.5
+	unhealthyRejectionRun = 2 // rejections in a row, half an overload duration apart: it is shut, not busy
+)
+
+// startReply: an answer has begun to flow, so no attempt follows.
+func (e *Engine) startReply(event *Event) {
+	if message := e.currentAttempt(event); message != nil {
+		e.finishMessage(message)
+	}
+}
+
+// endAttempt records the end of an attempt.
+func (e *Engine) endAttempt(event *Event) {
+	message := e.currentAttempt(event)
+	if message == nil || event.Outcome >= outcomeCount {
+		return
+	}
+	call := message.call
+	message.call = nil
+	if !message.finished {
+		e.messagesInFlight--
+	}
+	if call.openAttempts--; call.openAttempts == 0 {
+		e.uncountCall(call.endpoint)
+		e.callEnded(call.endpoint)
+	}
+	e.markDirty(call.endpoint.limiter.destination)
+	if !call.observed { // the messages of a call share one outcome, which counts once
+		call.observed = true
+		e.observeCall(call, event)
+	}
+	if event.RetryAfter > 0 && (event.Outcome == Rejected || event.Outcome == Failed) { // spoilt later, maybe
+		e.applyRetryAfter(call.endpoint, event.RetryAfter)
+	}
+	e.recordAttempt(message, call, event)
+	switch {
+	case message.finished:
+		e.forgetMessage(message)
+	case event.Outcome == Delivered || event.MessageFinished:
+		e.finishMessage(message)
+	default:
+		message.destination.queue = append(message.destination.queue, message)
+		e.timers.add(e.now, func() { e.reevaluate(message) })
+	}
+}
+
+// applyRetryAfter closes what an endpoint's limit binds until the wait is over.
+func (e *Engine) applyRetryAfter(answered *endpoint, wait Time) {
+	limiter := answered.limiter
+	known := e.endpoints[answered.id]
+	if known != nil && known.limiter.destination == limiter.destination {
+		limiter = known.limiter // it may have left and come back since
+	}
+	limiter.retryAfterUntil = max(limiter.retryAfterUntil, e.now+wait)
+	for _, endpoint := range limiter.endpoints { // what is saved up while it is closed would go at once
+		endpoint.recoveryBudget.tokens, endpoint.recoveryBudget.at = 0, limiter.retryAfterUntil
+	}
+	if known == nil { // it has left, and may come back before the wait is over
+		e.endpoints[answered.id] = answered
+		e.removeEndpoint(answered)
+	}
+}
+
+// recordAttempt notes for a message what its attempt may have done.
+func (e *Engine) recordAttempt(message *message, call *call, event *Event) {
+	outcome := event.Outcome
+	mayRunStill := outcome == TimedOut || outcome == ConnectionReset || outcome == Cancelled
+	if queue := e.orderedQueues[message.key]; queue != nil && message.class.Ordered && mayRunStill {
+		queue.backoffUntil = max(queue.backoffUntil, e.now+e.settings.OrderedKeyBackoff)
+	}
+	if !outcome.NeverRan() && outcome != Delivered && message.firstUncertainAt == 0 {
+		e.recordUncertainAttempt(message, call.sentAt, call.endpoint.zone)
+	}
+	if event.NotCounted && message.uncountedAttempts < e.settings.MaxAttempts { // bounded: the cause may last
+		message.uncountedAttempts++
+	} else {
+		message.lastFailedEndpoint = call.endpoint
+	}
+	message.recoveredUntried = message.recoveredUntried && event.NotCounted
+}
+
+// observeCall learns from how a call went.
+func (e *Engine) observeCall(call *call, event *Event) {
+	endpoint, limiter := call.endpoint, call.endpoint.limiter
+	if event.Load.Limit > 0 {
+		limiter.reportedRate = event.Load.Limit
+	}
+	e.trackConnectFailures(call, event.Outcome)
+	e.settleConnectCost(call, event)
+	switch event.Outcome {
+	case Delivered:
+		e.observeSuccess(call, event)
+	case Rejected:
+		e.observeRejection(call, event)
+	case Cancelled: // it tells something only where nothing sent since has come back
+		if endpoint.lastSuccessAt <= call.sentAt {
+			e.recordFailure(endpoint, call.sentAt, true)
+		}
+	case TimedOut:
+		limiter.window = max(limiter.window/2, 1)
+		e.recordFailure(endpoint, call.sentAt, true)
+	case ConnectFailed:
+		endpoint.connections = endpoint.callsInFlight
+		e.recordFailure(endpoint, call.sentAt, true)
+	case NotSent:
+		if event.RetryAfter > 0 { // no connection could be opened by then, for reasons of this relay
+			limiter.backoffUntil = max(limiter.backoffUntil, e.now+event.RetryAfter)
+		}
+	case Failed, ConnectionReset:
+		e.recordFailure(endpoint, call.sentAt, false)
+	}
+}
+
+func (e *Engine) observeSuccess(call *call, event *Event) {
+	endpoint, limiter := call.endpoint, call.endpoint.limiter
+	limiter.history.accept(e.now)
+	limiter.window = min(limiter.window+1, float64(e.settings.MaxConcurrentCalls))
+	limiter.rejectionRun = 0
+	limiter.latency.add(float64(event.Latency))
+	endpoint.latency.add(float64(event.Latency))
+	e.latency.add(float64(event.Latency))
+	if limiter.rateBound && event.ConnectionsOpened == 0 { // one that was waited for says nothing of the rate
+		limiter.rateMultiplier = min(limiter.rateMultiplier*multiplierIncrease, float64(e.settings.Relays))
+	}
+	e.recordSuccess(endpoint, call.sentAt)
+}
+
+func (e *Engine) observeRejection(call *call, event *Event) {
+	endpoint, limiter := call.endpoint, call.endpoint.limiter
+	limiter.window = max(limiter.window/2, 1)
+	e.reduceRate(limiter)
+	limiter.rateMultiplier = max(limiter.rateMultiplier*multiplierDecrease, minRateMultiplier)
+	if limiter.rejectionRun++; limiter.rejectionRun == 1 {
+		limiter.firstRejectionAt = e.now
+	}
+	if limiter.reportedRate == 0 && limiter.nominalRate == 0 {
+		limiter.nominalRate = max(limiter.history.acceptRate(e.now), 1) * float64(e.settings.Relays)
+	}
+	budgetRate, _, _ := e.recoveryBudgetRate(endpoint)
+	runLength := e.now - limiter.firstRejectionAt
+	objective := call.messages[0].class.LatencyObjective
+	turn := min(float64(e.settings.Relays)/e.capacity(limiter), seconds(objective))
+	gap := max(turn, 1/e.bucketDepth(limiter), min(1/budgetRate, e.backoffGrowth(limiter)*seconds(runLength)))
+	limiter.backoffUntil = e.now + Time(float64(second)*gap*(0.5+e.rng.Float64()))
+	if event.RetryAfter > 0 { // all who were told wake together: each comes at a moment of its own
+		jitter := Time(turn * float64(second) * e.rng.Float64())
+		limiter.backoffUntil = max(limiter.backoffUntil, e.now+event.RetryAfter+jitter)
+	}
+	overload := e.settings.OverloadDuration
+	longRun := limiter.rejectionRun >= unhealthyRejectionRun && runLength >= overload/2
+	if event.RetryAfter >= overload || longRun {
+		endpoint.failureScore = 1 // shut, however seldom it was called
+		e.recordFailure(endpoint, call.sentAt, false)
+	}
+}
--- a/policy/snapshot.go
+++ b/policy/snapshot.go
@@ -5,9 +5,9 @@
 	"slices"
 )
 
-// What a policy has learned of its destinations, in a form that another policy
-// takes over: plain values, no message among them. Times are moments of the
-// exporting policy's clock.
+// What an engine has learned of its destinations, in a form that another engine takes over: plain values, no
+// message among them. Times are moments of the clock of the engine that gave it. The keys stand in files and
+// in hand-over packets of other versions.
 
 // Snapshot is everything learned.
 type Snapshot struct {
@@ -74,131 +74,164 @@
 	return TokenBucketSnapshot{b.at, b.tokens, b.used}
 }
 
-func (m TokenBucketSnapshot) restore(shift Time) tokenBucket {
-	return tokenBucket{shiftTime(m.At, shift), m.Tokens, m.Used}
+func (s TokenBucketSnapshot) restore(shift Time) tokenBucket {
+	return tokenBucket{shiftTime(s.At, shift), s.Tokens, s.Used}
 }
 
 func (l latencyEstimate) snapshot() LatencySnapshot {
 	return LatencySnapshot{l.mean, l.deviation, l.count}
 }
-func (m LatencySnapshot) restore() latencyEstimate {
-	return latencyEstimate{m.Mean, m.Deviation, m.Count}
+
+func (s LatencySnapshot) restore() latencyEstimate {
+	return latencyEstimate{s.Mean, s.Deviation, s.Count}
 }
 
 // shiftTime takes a moment to another clock; none stays none.
-func shiftTime(t, shift Time) Time {
-	if t == 0 {
+func shiftTime(at, shift Time) Time {
+	if at == 0 {
 		return 0
 	}
-	return max(t+shift, 1)
+	return max(at+shift, 1)
 }
 
-// snapshot shows what is known of a lane by now.
+// snapshot gives what is known of a limiter and its endpoints by now.
 func (l *limiter) snapshot(now Time) LimiterSnapshot {
-	x := LimiterSnapshot{Destination: l.destination.id, Window: l.window, RetryAfterUntil: l.retryAfterUntil, BackoffUntil: l.backoffUntil, NominalRate: l.nominalRate,
-		ReportedRate: l.reportedRate, RateMultiplier: l.rateMultiplier, ReducedRate: l.reducedRate, ReducedAt: l.reducedAt, Tokens: l.tokens.snapshot(), RateBound: l.rateBound, RejectionRun: l.rejectionRun, FirstRejectionAt: l.firstRejectionAt, Latency: l.latency.snapshot()}
+	stored := LimiterSnapshot{
+		Destination:      l.destination.id,
+		Window:           l.window,
+		RetryAfterUntil:  l.retryAfterUntil,
+		BackoffUntil:     l.backoffUntil,
+		NominalRate:      l.nominalRate,
+		ReportedRate:     l.reportedRate,
+		RateMultiplier:   l.rateMultiplier,
+		ReducedRate:      l.reducedRate,
+		ReducedAt:        l.reducedAt,
+		Tokens:           l.tokens.snapshot(),
+		RateBound:        l.rateBound,
+		RejectionRun:     l.rejectionRun,
+		FirstRejectionAt: l.firstRejectionAt,
+		Latency:          l.latency.snapshot(),
+	}
 	if l.history.hasStart {
-		l.history.roll(now)
-		n := Time(len(l.history.bins))
-		for i := range n {
-			x.Bins = append(x.Bins, l.history.bins[(l.history.at+1+i)%n])
-		}
-		x.HistoryStart = l.history.started
+		stored.Bins = l.history.snapshot(now)
+		stored.HistoryStart = l.history.started
 	}
-	for _, ep := range l.endpoints {
-		x.Endpoints = append(x.Endpoints, EndpointSnapshot{ID: ep.id, BackoffUntil: ep.backoffUntil, FailureScore: ep.failureScore, Unhealthy: ep.unhealthy,
-			FirstFailureAt: ep.firstFailureAt, LastFailureAt: ep.lastFailureAt, RecoveredAt: ep.recoveredAt, RecoverySentAt: ep.recoverySentAt, LastSuccessAt: ep.lastSuccessAt,
-			RecoveryBudget: ep.recoveryBudget.snapshot(), RequiredTokens: ep.requiredTokens, LastFailureSilent: ep.lastFailureSilent, Latency: ep.latency.snapshot()})
+	for _, endpoint := range l.endpoints {
+		stored.Endpoints = append(stored.Endpoints, endpoint.snapshot())
 	}
-	return x
+	return stored
 }
 
-// Snapshot shows what the policy has learned by now.
-func (p *Engine) Snapshot(now Time) *Snapshot {
-	m := &Snapshot{Now: now, ConnectFailureRatios: slices.Clone(p.connectFailureRatios), Latency: p.latency.snapshot()}
-	for _, t := range p.tenantQuotas {
-		m.TenantQuotas = append(m.TenantQuotas, t.snapshot())
+// restore takes over what was known of a limiter at a moment of this engine's clock.
+func (l *limiter) restore(stored *LimiterSnapshot, storedAt, shift Time) {
+	l.window, l.rateMultiplier, l.rateBound = max(stored.Window, 1), stored.RateMultiplier, stored.RateBound
+	l.retryAfterUntil = shiftTime(stored.RetryAfterUntil, shift)
+	l.backoffUntil = shiftTime(stored.BackoffUntil, shift)
+	l.reducedRate, l.reducedAt = stored.ReducedRate, shiftTime(stored.ReducedAt, shift)
+	l.reportedRate, l.nominalRate = stored.ReportedRate, cmp.Or(l.nominalRate, stored.NominalRate)
+	l.tokens, l.latency = stored.Tokens.restore(shift), stored.Latency.restore()
+	l.rejectionRun, l.firstRejectionAt = stored.RejectionRun, shiftTime(stored.FirstRejectionAt, shift)
+	if len(stored.Bins) == len(l.history.bins) {
+		l.history.restore(storedAt, stored.Bins, shiftTime(stored.HistoryStart, shift))
 	}
-	for _, d := range p.destinations {
-		for _, l := range d.limiters {
-			m.Limiters = append(m.Limiters, l.snapshot(now))
-		}
+}
+
+func (ep *endpoint) snapshot() EndpointSnapshot {
+	return EndpointSnapshot{
+		ID:                ep.id,
+		BackoffUntil:      ep.backoffUntil,
+		FailureScore:      ep.failureScore,
+		Unhealthy:         ep.unhealthy,
+		FirstFailureAt:    ep.firstFailureAt,
+		LastFailureAt:     ep.lastFailureAt,
+		RecoveredAt:       ep.recoveredAt,
+		RecoverySentAt:    ep.recoverySentAt,
+		LastSuccessAt:     ep.lastSuccessAt,
+		RecoveryBudget:    ep.recoveryBudget.snapshot(),
+		RequiredTokens:    ep.requiredTokens,
+		LastFailureSilent: ep.lastFailureSilent,
+		Latency:           ep.latency.snapshot(),
 	}
-	return m
 }
 
-// LoadSnapshot takes over what another policy learned, of the endpoints that the list
-// has named to this one already. Its moments lie shift later on this policy's
-// clock. Nothing of it may be known here yet: what is, is replaced.
-func (p *Engine) LoadSnapshot(now Time, m *Snapshot, shift Time) {
-	p.now = max(now, p.now)
-	if p.latency = m.Latency.restore(); len(m.ConnectFailureRatios) == len(p.connectFailureRatios) {
-		copy(p.connectFailureRatios, m.ConnectFailureRatios)
+func (ep *endpoint) restore(stored *EndpointSnapshot, shift Time) {
+	ep.backoffUntil = shiftTime(stored.BackoffUntil, shift)
+	ep.failureScore = stored.FailureScore
+	ep.unhealthy = stored.Unhealthy
+	ep.firstFailureAt = shiftTime(stored.FirstFailureAt, shift)
+	ep.lastFailureAt = shiftTime(stored.LastFailureAt, shift)
+	ep.recoveredAt = shiftTime(stored.RecoveredAt, shift)
+	ep.recoverySentAt = shiftTime(stored.RecoverySentAt, shift)
+	ep.lastSuccessAt = shiftTime(stored.LastSuccessAt, shift)
+	ep.recoveryBudget = stored.RecoveryBudget.restore(shift)
+	ep.requiredTokens = stored.RequiredTokens
+	ep.lastFailureSilent = stored.LastFailureSilent
+	ep.latency = stored.Latency.restore()
+}
+
+// Snapshot gives what the engine has learned by now.
+func (e *Engine) Snapshot(now Time) *Snapshot {
+	snapshot := &Snapshot{
+		Now:                  now,
+		ConnectFailureRatios: slices.Clone(e.connectFailureRatios),
+		Latency:              e.latency.snapshot(),
 	}
-	if len(m.TenantQuotas) == len(p.tenantQuotas) {
-		for i, t := range m.TenantQuotas {
-			p.tenantQuotas[i] = t.restore(shift)
-		}
+	for _, quota := range e.tenantQuotas {
+		snapshot.TenantQuotas = append(snapshot.TenantQuotas, quota.snapshot())
 	}
-	p.loadLimiters(m, shift)
-}
-
-// loadLimiters takes over what binds destinations.
-func (p *Engine) loadLimiters(m *Snapshot, shift Time) {
-	for i := range m.Limiters {
-		x := &m.Limiters[i]
-		var l *limiter
-		for _, e := range x.Endpoints {
-			if ep := p.endpoints[e.ID]; ep != nil && ep.limiter.destination.id == x.Destination {
-				l = cmp.Or(l, ep.limiter)
-				ep.backoffUntil, ep.failureScore, ep.unhealthy = shiftTime(e.BackoffUntil, shift), e.FailureScore, e.Unhealthy
-				ep.firstFailureAt, ep.lastFailureAt, ep.lastSuccessAt = shiftTime(e.FirstFailureAt, shift), shiftTime(e.LastFailureAt, shift), shiftTime(e.LastSuccessAt, shift)
-				ep.recoveredAt, ep.recoverySentAt = shiftTime(e.RecoveredAt, shift), shiftTime(e.RecoverySentAt, shift)
-				ep.recoveryBudget, ep.requiredTokens, ep.lastFailureSilent, ep.latency = e.RecoveryBudget.restore(shift), e.RequiredTokens, e.LastFailureSilent, e.Latency.restore()
-			}
+	for _, destination := range e.destinations {
+		for _, limiter := range destination.limiters {
+			snapshot.Limiters = append(snapshot.Limiters, limiter.snapshot(now))
 		}
-		if l == nil { // all its endpoints are new: what binds the destination as a whole binds them too
-			at, ok := slices.BinarySearchFunc(p.destinations, x.Destination, func(d *destination, id int) int { return d.id - id })
-			if !ok || p.destinations[at].kind.IndependentRoutes || len(p.destinations[at].limiters) == 0 {
-				continue
-			}
-			l = p.destinations[at].limiters[0]
+	}
+	return snapshot
+}
+
+// LoadSnapshot takes over what another engine learned, of the endpoints that the list has named to this one
+// already. Its moments lie shift later on this engine's clock. Nothing of it may be known here yet: what is,
+// is replaced.
+func (e *Engine) LoadSnapshot(now Time, snapshot *Snapshot, shift Time) {
+	e.now = max(now, e.now)
+	e.latency = snapshot.Latency.restore()
+	if len(snapshot.ConnectFailureRatios) == len(e.connectFailureRatios) {
+		copy(e.connectFailureRatios, snapshot.ConnectFailureRatios)
+	}
+	if len(snapshot.TenantQuotas) == len(e.tenantQuotas) {
+		for i, quota := range snapshot.TenantQuotas {
+			e.tenantQuotas[i] = quota.restore(shift)
 		}
-		l.window, l.rateMultiplier, l.rateBound = max(x.Window, 1), x.RateMultiplier, x.RateBound
-		l.retryAfterUntil, l.backoffUntil = shiftTime(x.RetryAfterUntil, shift), shiftTime(x.BackoffUntil, shift)
-		l.reducedRate, l.reducedAt = x.ReducedRate, shiftTime(x.ReducedAt, shift)
-		l.reportedRate, l.nominalRate = x.ReportedRate, cmp.Or(l.nominalRate, x.NominalRate)
-		l.tokens, l.latency = x.Tokens.restore(shift), x.Latency.restore()
-		l.rejectionRun, l.firstRejectionAt = x.RejectionRun, shiftTime(x.FirstRejectionAt, shift)
-		if len(x.Bins) == len(l.history.bins) {
-			l.history = newSlidingCounter(historyWindow, historyBins)
-			l.history.roll(shiftTime(m.Now, shift))
-			n := Time(len(x.Bins))
-			for j, b := range x.Bins {
-				l.history.bins[(l.history.at+1+Time(j))%n] = b
-				l.history.sum[0] += b[0]
-				l.history.sum[1] += b[1]
-			}
-			l.history.started = shiftTime(x.HistoryStart, shift)
+	}
+	e.loadLimiters(snapshot, shift)
+}
+
+// loadLimiters takes over what binds destinations, and their endpoints.
+func (e *Engine) loadLimiters(snapshot *Snapshot, shift Time) {
+	for i := range snapshot.Limiters {
+		stored := &snapshot.Limiters[i]
+		if limiter := e.loadEndpoints(stored, shift); limiter != nil {
+			limiter.restore(stored, shiftTime(snapshot.Now, shift), shift)
+			e.markDirty(limiter.destination)
 		}
-		p.markDirty(l.destination)
 	}
 }
 
-// restoreAttempt books that an attempt of a message, made by the policy from which
-// this one took over, is still out: it holds its slot, and its outcome comes as
-// if it had been sent here.
-func (p *Engine) restoreAttempt(m *message, ep *endpoint, sent Time) {
-	m.destination.queue = slices.DeleteFunc(m.destination.queue, func(x *message) bool { return x == m })
-	c := &call{endpoint: ep, sentAt: sent, openAttempts: 1, messages: []*message{m}}
-	m.call = c
-	p.messagesInFlight++
-	p.callsInFlight++
-	m.destination.callsInFlight++
-	ep.limiter.callsInFlight++
-	ep.callsInFlight++
-	ep.connections = max(ep.connections, (ep.callsInFlight+p.settings.StreamsPerConnection-1)/p.settings.StreamsPerConnection)
-	if p.settings.Cancellation {
-		p.timers.add(p.now, func() { p.cancelOverdueCall(c) })
+// loadEndpoints takes over the endpoints of a limiter that are known here, and finds the limiter that they
+// have now. Where all are new, what binds the destination as a whole binds them too.
+func (e *Engine) loadEndpoints(stored *LimiterSnapshot, shift Time) *limiter {
+	var found *limiter
+	for i := range stored.Endpoints {
+		endpoint := e.endpoints[stored.Endpoints[i].ID]
+		if endpoint != nil && endpoint.limiter.destination.id == stored.Destination {
+			found = cmp.Or(found, endpoint.limiter)
+			endpoint.restore(&stored.Endpoints[i], shift)
+		}
+	}
+	if found != nil {
+		return found
+	}
+	destination := e.findDestination(stored.Destination)
+	if destination == nil || destination.kind.IndependentRoutes || len(destination.limiters) == 0 {
+		return nil
 	}
+	return destination.limiters[0]
 }
