--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -7,7 +7,7 @@
 // sent; each attempt is logged before its first byte. It must never begin a
 // goroutine, look at a clock, touch a socket or a file, draw a random number or
 // depend on the order of a map: the same events at the same times give the same
-// effects. It decides nothing that package decide can decide.
+// effects. It decides nothing that package decide can policy.
 package core
 
 import (
@@ -98,88 +98,6 @@
 // neverLeft reports whether an attempt never left the relay: nobody was asked.
 func (o *Result) neverLeft() bool { return o.Outcome == policy.NotSent && o.Status == 0 }
 
-// EventKind is what happened.
-type EventKind uint8
-
-// Kinds of event, and what comes with each.
-const (
-	Submitted           EventKind = iota + 1 // Request
-	ReplyDelivered                           // Request, OK: it was answered, or its client left before
-	LogWriteFailed                           // Request: the log could not take it
-	EndpointListUpdated                      // List, Kind
-	AttemptFinished                          // Call, Result
-	AttemptNotLogged                         // Call: its attempt could not be logged
-	HealthChecked                            // Endpoint, Result
-	IdentityRejected                         // Endpoint, Wait: its identity is not proved; 0 where it is again
-	ShutdownRequested                        // the relay is to end
-	Started                                  // ends Await: the list was heard, or waited for long enough
-)
-
-// Event is one thing that happened.
-type Event struct {
-	Kind     EventKind
-	Request  *Request
-	OK       bool
-	List     *EndpointList
-	News     policy.ListUpdateKind
-	Call     *Call
-	Endpoint policy.EndpointID
-	Wait     policy.Time
-	Result   *Result
-}
-
-// EffectKind is what is to be done.
-type EffectKind uint8
-
-// Kinds of effect, and what comes with each. Those that begin with Log write
-// the record; what they name besides follows once that is done, and never
-// before.
-const (
-	SendReply            EffectKind = iota + 1 // Request, Reply
-	AppendRecord                               // Record
-	AppendThenReply                            // Record, Request: the answer is OK, or Lost comes back
-	AppendThenSend                             // Record, Call: or Unsent comes back
-	ResumeCall                                 // Call: it is out already, whole; its end is waited for
-	AppendThenNotify                           // Record, Notice: which goes out even if it could not be logged
-	SendNotice                                 // Notice, which is logged already
-	CancelCall                                 // Call
-	CheckHealth                                // Endpoint
-	OpenEndpoint                               // Endpoint, Address, Dest, Flavor, Apart: calls may come there
-	CloseEndpoint                              // Endpoint: nothing is kept there, nothing new begun, though it is logged already
-	ApplyRetryAfter                            // Endpoint, Until: nothing goes there before, nor to what shares its wait
-	CloseIdleConnections                       // Endpoint: its idle connections are of no more use
-	ForgetEndpoint                             // Endpoint
-	PassivateDestination                       // Dest: nothing is kept of it; what binds it is told again as it wakes
-	Log                                        // Level, Text, Args: for the log of the process
-	StepAgain                                  // step again, also if nothing happens
-)
-
-// Reply is the answer to a request.
-type Reply struct {
-	OK           bool
-	Err          error // if not nil, what is wrong with it
-	RetryAfterMS int64 // else it is refused; ms after which to come again, 0 where not known
-}
-
-// Effect is one thing to be done.
-type Effect struct {
-	Kind     EffectKind
-	Request  *Request
-	Reply    Reply
-	Record   *Record
-	Call     *Call
-	Notice   Notice
-	Endpoint policy.EndpointID
-	Address  string
-	Dest     int
-	Flavor   string
-	Apart    bool // a wait of the endpoint binds it alone
-	Until    policy.Time
-	Level    slog.Level
-	Text     string
-	Args     []any
-}
-
 // message is what is known of a message from when it is handed in until it is
 // over and its last call is back.
 type message struct {
@@ -356,14 +274,14 @@
 func (r *Core) emit(e Effect) { r.effects = append(r.effects, e) }
 
 func (r *Core) log(level slog.Level, text string, args ...any) {
-	r.emit(Effect{Kind: Log, Level: level, Text: text, Args: args})
+	r.emit(Log{Level: level, Text: text, Args: args})
 }
 
 func (r *Core) reply(q *Request, reply Reply) {
-	r.emit(Effect{Kind: SendReply, Request: q, Reply: reply})
+	r.emit(SendReply{Request: q, Reply: reply})
 }
 
-func (r *Core) appendRecord(rec *Record) { r.emit(Effect{Kind: AppendRecord, Record: rec}) }
+func (r *Core) appendRecord(rec *Record) { r.emit(AppendRecord{Record: rec}) }
 
 // Observe takes what happened without letting the policy decide on it yet, and
 // appends what follows at once to fx.
@@ -372,10 +290,10 @@
 	later := r.deferredEvents
 	r.deferredEvents = nil
 	for i := range later {
-		r.handleEvent(&later[i])
+		r.handleEvent(later[i])
 	}
 	for i := range events {
-		r.handleEvent(&events[i])
+		r.handleEvent(events[i])
 	}
 	return r.takeEffects()
 }
@@ -391,7 +309,7 @@
 func (r *Core) Step(now policy.Time, events []Event, fx []Effect) []Effect {
 	r.effects = r.Observe(now, events, fx)
 	if r.listUpdate != nil && r.applyListBatch(r.listBatchSize) {
-		r.emit(Effect{Kind: StepAgain})
+		r.emit(StepAgain{})
 	}
 	if r.timers.due(r.now) {
 		r.policyEvents = append(r.policyEvents, policy.Event{Kind: policy.EvTimer})
@@ -423,7 +341,7 @@
 		if rec.Notice != "" {
 			m.finished = true
 			r.removeMessage(m)
-			r.emit(Effect{Kind: SendNotice, Notice: Notice{rec.ID, rec.Notice, rec.RetryMS}})
+			r.emit(SendNotice{Notice: Notice{rec.ID, rec.Notice, rec.RetryMS}})
 			continue
 		}
 		class, ok := r.settings.Classes[rec.Class]
@@ -486,21 +404,16 @@
 }
 
 // handleEvent books one event and says it in the policy's words.
-func (r *Core) handleEvent(e *Event) {
-	switch e.Kind {
+func (r *Core) handleEvent(e Event) {
+	switch e := e.(type) {
 	case Submitted:
 		r.submit(e.Request)
 	case ReplyDelivered:
 		r.replyDelivered(e.Request, e.OK)
 	case LogWriteFailed:
-		if m := r.unanswered[e.Request]; m != nil { // the log has no room: it is not taken on
-			delete(r.unanswered, e.Request)
-			r.withdraw(m)
-		}
-		r.countOutcome(e.Request.Record.Class, countDeferred)
-		r.reply(e.Request, Reply{})
+		r.rejectNotLogged(e.Request)
 	case EndpointListUpdated:
-		r.applyList(e.List, e.News)
+		r.applyList(e.List, e.Kind)
 	case AttemptFinished:
 		r.finishAttempt(e.Call, e.Result, true)
 	case AttemptNotLogged:
@@ -513,11 +426,27 @@
 	case Started:
 		r.start()
 	case ShutdownRequested:
-		if !r.shuttingDown {
-			r.shuttingDown, r.shutdownAt = true, r.now
-			r.log(slog.LevelInfo, msgtrace.Stopping, "held", r.heldMessages, "calls", r.openCalls)
-		}
+		r.beginShutdown()
+	}
+}
+
+// rejectNotLogged rejects a message that the log has no room for.
+func (r *Core) rejectNotLogged(q *Request) {
+	if m := r.unanswered[q]; m != nil {
+		delete(r.unanswered, q)
+		r.withdraw(m)
+	}
+	r.countOutcome(q.Record.Class, countDeferred)
+	r.reply(q, Reply{})
+}
+
+// beginShutdown begins the end of the relay, once.
+func (r *Core) beginShutdown() {
+	if r.shuttingDown {
+		return
 	}
+	r.shuttingDown, r.shutdownAt = true, r.now
+	r.log(slog.LevelInfo, msgtrace.Stopping, "held", r.heldMessages, "calls", r.openCalls)
 }
 
 var errNotLogged = errors.New("attempt not logged")
@@ -661,10 +590,10 @@
 	}
 	if x.Phase == Up && (!ep.open || ep.retired) {
 		ep.open = true
-		r.emit(Effect{Kind: OpenEndpoint, Endpoint: ep.number, Address: ep.hostPort, Dest: ep.dest, Flavor: x.Flavor, Apart: r.hasIndependentRoutes(x.Flavor)})
+		r.emit(OpenEndpoint{Endpoint: ep.number, Address: ep.hostPort, Dest: ep.dest, Flavor: x.Flavor, Apart: r.hasIndependentRoutes(x.Flavor)})
 	}
 	if until := r.retryAfterOf(ep); until > r.now { // also for one that joins a destination which has told it
-		r.emit(Effect{Kind: ApplyRetryAfter, Endpoint: ep.number, Until: until})
+		r.emit(ApplyRetryAfter{Endpoint: ep.number, Until: until})
 	}
 	if x.Phase != Removed {
 		r.knownDestinations[x.Dest] = true
@@ -697,7 +626,7 @@
 		ep.retired, ep.retiredAt = true, r.now
 	}
 	if ep.open {
-		r.emit(Effect{Kind: CloseEndpoint, Endpoint: ep.number})
+		r.emit(CloseEndpoint{Endpoint: ep.number})
 	}
 }
 
@@ -736,7 +665,7 @@
 			q := m.request
 			m.request, m.logged = nil, true
 			r.metrics.Add(m.record.Dest, metrics.Accepted, 1)
-			r.emit(Effect{Kind: AppendThenReply, Record: m.record, Request: q})
+			r.emit(AppendThenReply{Request: q})
 		}
 	}
 	for i := range r.actions {
@@ -787,7 +716,7 @@
 	if word == NoticeGivenUp {
 		ms = 0
 	}
-	r.emit(Effect{Kind: AppendThenNotify, Record: &Record{Kind: RecordEnding, ID: m.record.ID, Notice: word, RetryMS: ms}, Notice: Notice{m.record.ID, word, ms}})
+	r.emit(AppendThenNotify{Record: &Record{Kind: RecordEnding, ID: m.record.ID, Notice: word, RetryMS: ms}, Notice: Notice{m.record.ID, word, ms}})
 }
 
 // executeAction carries out what is no final answer.
@@ -809,7 +738,7 @@
 		if m := r.messages[a.Message]; m != nil && a.Attempt == m.attempts-1 {
 			switch {
 			case m.call != nil:
-				r.emit(Effect{Kind: CancelCall, Call: m.call})
+				r.emit(CancelCall{Call: m.call})
 			case m.pendingSend != nil:
 				ep := m.pendingSend.Endpoint
 				m.pendingSend = nil
@@ -826,7 +755,7 @@
 		}
 	case policy.ActCloseIdle:
 		if ep := r.endpointsByNumber[a.Endpoint]; ep != nil && ep.open {
-			r.emit(Effect{Kind: CloseIdleConnections, Endpoint: a.Endpoint})
+			r.emit(CloseIdleConnections{Endpoint: a.Endpoint})
 		}
 	case policy.ActLog:
 		r.stateVersion++ // a verdict, or the end of one
@@ -836,13 +765,13 @@
 
 func (r *Core) checkHealth(ep *endpoint) {
 	r.metrics.Add(ep.dest, metrics.HealthChecks, 1)
-	r.emit(Effect{Kind: CheckHealth, Endpoint: ep.number})
+	r.emit(CheckHealth{Endpoint: ep.number})
 }
 
 // reportNotSent tells the policy of an attempt that never left, in the next step.
 func (r *Core) reportNotSent(m *message, ep policy.EndpointID) {
-	r.deferredEvents = append(r.deferredEvents, Event{Kind: AttemptNotLogged, Call: &Call{Record: m.record, message: m, endpoint: r.endpointsByNumber[ep], attempt: m.attempts - 1}})
-	r.emit(Effect{Kind: StepAgain})
+	r.deferredEvents = append(r.deferredEvents, AttemptNotLogged{Call: &Call{Record: m.record, message: m, endpoint: r.endpointsByNumber[ep], attempt: m.attempts - 1}})
+	r.emit(StepAgain{})
 }
 
 // startAttempt logs an attempt, which is then made.
@@ -865,7 +794,7 @@
 		r.metrics.Add(m.record.Dest, metrics.FirstAttempts, 1)
 		r.metrics.Add(m.record.Dest, metrics.FirstAttemptDelayMS, (r.now-m.receivedAt)/1000)
 	}
-	r.emit(Effect{Kind: AppendThenSend, Record: &Record{Kind: RecordAttempt, ID: m.record.ID, At: r.wall(r.now), Zone: ep.zone}, Call: c})
+	r.emit(AppendThenSend{Record: &Record{Kind: RecordAttempt, ID: m.record.ID, At: r.wall(r.now), Zone: ep.zone}, Call: c})
 }
 
 // hasIndependentRoutes reports whether the endpoints of a flavour are routes of their own.
@@ -885,7 +814,7 @@
 		r.retryAfter[c.Record.Dest] = max(r.retryAfter[c.Record.Dest], until)
 	}
 	if c.endpoint.dest == c.Record.Dest && r.hasIndependentRoutes(c.endpoint.flavor) == c.independentRoute {
-		r.emit(Effect{Kind: ApplyRetryAfter, Endpoint: c.endpoint.number, Until: until})
+		r.emit(ApplyRetryAfter{Endpoint: c.endpoint.number, Until: until})
 	}
 }
 
@@ -925,7 +854,7 @@
 	r.metrics.Add(m.record.Dest, metrics.ConnectionsOpened, int64(o.ConnectionsOpened))
 	r.policyEvents = append(r.policyEvents, e)
 	if c.endpoint != nil && c.endpoint.open && c.endpoint.suspectsIdleConnections(o, r.now) {
-		r.emit(Effect{Kind: CloseIdleConnections, Endpoint: c.endpoint.number})
+		r.emit(CloseIdleConnections{Endpoint: c.endpoint.number})
 	}
 	if o.Outcome != policy.Delivered {
 		r.log(slog.LevelInfo, msgtrace.AttemptFailed, "message", m.record.ID, "dest", m.record.Dest, "class", m.record.Class, "endpoint", e.Endpoint,
--- a/internal/core/core_test.go
+++ b/internal/core/core_test.go
@@ -8,7 +8,6 @@
 	"io"
 	"io/fs"
 	"math/rand/v2"
-	"os"
 	"slices"
 	"strconv"
 	"strings"
@@ -43,7 +42,7 @@
 	passivated      int             // destinations that were put away
 	mayHaveRunOnce  map[string]bool // unsafe messages that may have run, where that is watched
 	handingOver     bool            // nothing may be begun
-	onEvent         func(*Event)    // where more is to be noted of what the core is told
+	onEvent         func(Event)     // where more is to be noted of what the core is told
 	golden          io.Writer       // receives every effect in a stable text form, if set
 }
 
@@ -61,12 +60,12 @@
 
 func (w *simulation) execute(fx []Effect) {
 	for i := range fx {
-		e := &fx[i]
+		e := fx[i]
 		if w.golden != nil {
 			fmt.Fprintf(w.golden, "%d %s\n", w.now, renderEffect(e))
 		}
-		fmt.Fprintf(&w.trace, "%d %d", w.now, e.Kind)
-		switch e.Kind {
+		fmt.Fprintf(&w.trace, "%d %T", w.now, e)
+		switch e := e.(type) {
 		case SendReply:
 			id := e.Request.Record.ID
 			fmt.Fprintf(&w.trace, " %s %+v", id, e.Reply)
@@ -77,13 +76,13 @@
 				w.rejected[id] = true
 			}
 		case AppendThenReply:
-			id := e.Record.ID
+			id := e.Request.Record.ID
 			fmt.Fprintf(&w.trace, " %s", id)
 			if w.rejected[id] || w.acknowledged[id] {
 				w.failf("%s is logged after its answer", id)
 			}
 			if w.rng.IntN(20) == 0 {
-				w.queue = append(w.queue, Event{Kind: LogWriteFailed, Request: e.Request})
+				w.queue = append(w.queue, LogWriteFailed{Request: e.Request})
 				break
 			}
 			w.accepted[id] = true
@@ -91,7 +90,7 @@
 			if ok {
 				w.acknowledged[id] = true
 			}
-			w.queue = append(w.queue, Event{Kind: ReplyDelivered, Request: e.Request, OK: ok})
+			w.queue = append(w.queue, ReplyDelivered{Request: e.Request, OK: ok})
 		case AppendThenSend:
 			c := e.Call
 			fmt.Fprintf(&w.trace, " %s to %d", c.Record.ID, c.Endpoint)
@@ -120,7 +119,7 @@
 				break
 			}
 			if w.rng.IntN(25) == 0 {
-				w.enqueue(c, Event{Kind: AttemptNotLogged, Call: c})
+				w.enqueue(c, AttemptNotLogged{Call: c})
 				break
 			}
 			o := &Result{Elapsed: policy.Time(w.rng.IntN(400e3)), Status: 200, Outcome: policy.Delivered, Final: true}
@@ -134,7 +133,7 @@
 			case 3:
 				o = &Result{Outcome: policy.Failed, Status: 500}
 			}
-			w.enqueue(c, Event{Kind: AttemptFinished, Call: c, Result: o})
+			w.enqueue(c, AttemptFinished{Call: c, Result: o})
 		case AppendThenNotify:
 			fmt.Fprintf(&w.trace, " %+v", e.Notice)
 			w.ended[e.Notice.Message]++
@@ -150,7 +149,7 @@
 			if w.closedEndpoints[e.Endpoint] {
 				w.failf("a probe of one that has left")
 			}
-			w.queue = append(w.queue, Event{Kind: HealthChecked, Endpoint: e.Endpoint, Result: &Result{Outcome: policy.Delivered, Elapsed: 1000}})
+			w.queue = append(w.queue, HealthChecked{Endpoint: e.Endpoint, Result: &Result{Outcome: policy.Delivered, Elapsed: 1000}})
 		case OpenEndpoint:
 			fmt.Fprintf(&w.trace, " %d %s", e.Endpoint, e.Address)
 			w.closedEndpoints[e.Endpoint], w.destOf[e.Endpoint] = false, w.byAddr[e.Address]
@@ -205,10 +204,10 @@
 			e := w.queue[k]
 			w.queue = slices.Delete(w.queue, k, k+1)
 			if w.onEvent != nil {
-				w.onEvent(&e)
-			} else if e.Call != nil {
-				w.openCallCount[e.Call.Record.ID]--
-				delete(w.openCalls, e.Call)
+				w.onEvent(e)
+			} else if c := callOf(e); c != nil {
+				w.openCallCount[c.Record.ID]--
+				delete(w.openCalls, c)
 			}
 			events = append(events, e)
 		}
@@ -219,7 +218,7 @@
 			if class == 1 {
 				rec.Key = rec.ID
 			}
-			events = append(events, Event{Kind: Submitted, Request: &Request{Record: rec, Class: class}})
+			events = append(events, Submitted{Request: &Request{Record: rec, Class: class}})
 		}
 		if w.rng.IntN(25) == 0 || i == 0 { // i is the step since the start
 			l := &EndpointList{}
@@ -240,7 +239,7 @@
 			if i == 0 || w.rng.IntN(4) == 0 {
 				kind = policy.ListFull
 			}
-			events = append(events, Event{Kind: EndpointListUpdated, List: l, News: kind})
+			events = append(events, EndpointListUpdated{List: l, Kind: kind})
 		}
 		if w.logModel != nil {
 			w.step(w.logModel, events)
@@ -257,7 +256,7 @@
 	sent := 0
 	for seed := range uint64(150) {
 		text := newSimulation(t, seed).play(400)
-		sent += strings.Count(text, fmt.Sprintf(" %d m", AppendThenSend))
+		sent += strings.Count(text, fmt.Sprintf(" %T m", AppendThenSend{}))
 	}
 	if sent < 5000 {
 		t.Errorf("only %d sends in all", sent)
@@ -302,6 +301,9 @@
 		if err != nil {
 			t.Fatal(err)
 		}
+		if len(pkgs) == 0 {
+			t.Errorf("%s holds no package", dir)
+		}
 		for _, p := range pkgs {
 			for name, f := range p.Files {
 				for _, i := range f.Imports {
@@ -337,7 +339,4 @@
 			}
 		}
 	}
-	if _, err := os.Stat("../connlimit/limiter.go"); err != nil {
-		t.Error(err)
-	}
 }
--- a/internal/core/crash_test.go
+++ b/internal/core/crash_test.go
@@ -183,7 +183,7 @@
 			known.Members[i].Phase = Up
 		}
 	}
-	if !h.execute(next.Observe(h.clock(), []Event{{Kind: EndpointListUpdated, List: known, News: policy.ListCached}}, nil)) {
+	if !h.execute(next.Observe(h.clock(), []Event{EndpointListUpdated{List: known, Kind: policy.ListCached}}, nil)) {
 		return
 	}
 	next.DeferSends()
@@ -214,10 +214,10 @@
 	h.downs[len(h.downs)-1][1] = h.now // it serves
 	switch h.rng.IntN(3) {
 	case 0: // silent, or refuses
-		h.scheduleInProcess(300e3, func() { h.events = append(h.events, Event{Kind: Started}) })
+		h.scheduleInProcess(300e3, func() { h.events = append(h.events, Started{}) })
 	default:
 		h.scheduleInProcess(int64(h.rng.IntN(300e3)), func() {
-			h.events = append(h.events, Event{Kind: EndpointListUpdated, List: h.list(), News: policy.ListFull}, Event{Kind: Started})
+			h.events = append(h.events, EndpointListUpdated{List: h.list(), Kind: policy.ListFull}, Started{})
 		})
 	}
 	if h.rng.IntN(5) > 0 {
@@ -258,24 +258,24 @@
 // execute carries effects out in their order, as the drivers do.
 func (h *crashSimulation) execute(fx []Effect) bool {
 	for i := range fx {
-		e := &fx[i]
-		if e.Kind == Log || e.Kind == StepAgain {
+		e := fx[i]
+		if is[Log](e) || is[StepAgain](e) {
 			continue
 		}
-		if e.Record != nil {
+		if r := recordOf(e); r != nil {
 			if !h.write() { // before the record
 				return false
 			}
-			if e.Kind == AppendThenReply && h.rng.IntN(60) == 0 { // no room
-				h.events = append(h.events, Event{Kind: LogWriteFailed, Request: e.Request})
+			if e, ok := e.(AppendThenReply); ok && h.rng.IntN(60) == 0 { // no room
+				h.events = append(h.events, LogWriteFailed{Request: e.Request})
 				continue
 			}
-			h.log.apply(e.Record)
+			h.log.apply(r)
 			if !h.write() { // after it
 				return false
 			}
 		}
-		switch e.Kind {
+		switch e := e.(type) {
 		case SendReply:
 			m := h.messages[e.Request.Record.ID]
 			if e.Reply.OK {
@@ -283,13 +283,17 @@
 			} else {
 				m.rejected = true
 			}
-		case OpenEndpoint, CloseEndpoint:
-			h.closedEndpoints[e.Endpoint] = e.Kind == CloseEndpoint
+		case OpenEndpoint:
+			h.closedEndpoints[e.Endpoint] = false
+		case CloseEndpoint:
+			h.closedEndpoints[e.Endpoint] = true
 		case AppendThenReply:
 			h.replied(h.messages[e.Request.Record.ID], e.Request)
 		case AppendThenSend:
 			h.call(e.Call)
-		case AppendThenNotify, SendNotice:
+		case AppendThenNotify:
+			h.notice(e.Notice)
+		case SendNotice:
 			h.notice(e.Notice)
 		}
 		if h.core == nil {
@@ -309,13 +313,13 @@
 	if at := h.now + wait; at-m.sent >= clientWait {
 		h.scheduleInProcess(max(m.sent+clientWait-h.now, 0), func() {
 			m.left = true
-			h.events = append(h.events, Event{Kind: ReplyDelivered, Request: q, OK: false})
+			h.events = append(h.events, ReplyDelivered{Request: q, OK: false})
 		})
 		return
 	}
 	tell := func() {
 		m.acknowledged, m.acknowledgedAt = true, h.now
-		h.events = append(h.events, Event{Kind: ReplyDelivered, Request: q, OK: true})
+		h.events = append(h.events, ReplyDelivered{Request: q, OK: true})
 	}
 	if wait == 0 {
 		tell()
@@ -337,7 +341,7 @@
 	if w := h.retryAfters[c.Record.Dest]; h.now < w.until { // what was decided before it came, the gate stops
 		if h.now <= w.at+200e3 || h.now-m.acknowledgedAt < 150e3 {
 			h.scheduleInProcess(0, func() {
-				h.events = append(h.events, Event{Kind: AttemptFinished, Call: c, Result: &Result{Outcome: policy.NotSent, RetryAfter: w.until - h.now}})
+				h.events = append(h.events, AttemptFinished{Call: c, Result: &Result{Outcome: policy.NotSent, RetryAfter: w.until - h.now}})
 			})
 			return
 		}
@@ -361,7 +365,7 @@
 	end := func(r *Result) {
 		h.scheduleInProcess(took, func() {
 			r.Elapsed = took
-			h.events = append(h.events, Event{Kind: AttemptFinished, Call: c, Result: r})
+			h.events = append(h.events, AttemptFinished{Call: c, Result: r})
 		})
 	}
 	switch k := h.rng.IntN(10); {
@@ -369,7 +373,7 @@
 		h.schedule(took/2, run)
 		h.scheduleInProcess(took, func() {
 			m.ended = append(m.ended, h.now)
-			h.events = append(h.events, Event{Kind: AttemptFinished, Call: c, Result: &Result{Outcome: policy.Delivered, Status: 200, Final: true, Elapsed: took}})
+			h.events = append(h.events, AttemptFinished{Call: c, Result: &Result{Outcome: policy.Delivered, Status: 200, Final: true, Elapsed: took}})
 		})
 	case k == 5:
 		wait := int64(h.rng.IntN(500e3))
@@ -380,7 +384,7 @@
 			if w := h.retryAfters[c.Record.Dest]; h.now+wait > w.until {
 				h.retryAfters[c.Record.Dest] = retryAfterPeriod{h.now, h.now + wait}
 			}
-			h.events = append(h.events, Event{Kind: AttemptFinished, Call: c, Result: &Result{Outcome: policy.Rejected, Status: 429, RetryAfter: wait, Elapsed: took}})
+			h.events = append(h.events, AttemptFinished{Call: c, Result: &Result{Outcome: policy.Rejected, Status: 429, RetryAfter: wait, Elapsed: took}})
 		})
 	case k == 6:
 		end(&Result{Outcome: policy.ConnectFailed})
@@ -435,7 +439,7 @@
 		if class == "keyed" {
 			rec.Key = "k" + id
 		}
-		h.events = append(h.events, Event{Kind: Submitted, Request: &Request{Record: rec, Queued: waited,
+		h.events = append(h.events, Submitted{Request: &Request{Record: rec, Queued: waited,
 			Class: map[string]int{"plain": 0, "keyed": 1, "once": 2}[class]}})
 	})
 }
@@ -470,7 +474,7 @@
 			x := &h.members[h.rng.IntN(len(h.members))]
 			x.Phase = []string{Up, Draining, Removed}[h.rng.IntN(3)]
 			if h.core != nil && h.downs[len(h.downs)-1][1] < 1<<62 && !h.core.sendsDeferred {
-				h.events = append(h.events, Event{Kind: EndpointListUpdated, News: policy.ListDelta, List: &EndpointList{Members: []Member{*x}}})
+				h.events = append(h.events, EndpointListUpdated{Kind: policy.ListDelta, List: &EndpointList{Members: []Member{*x}}})
 			}
 		})
 	}
@@ -555,7 +559,7 @@
 		t.Fatal(err)
 	}
 	now := policy.Time(3600e6)
-	r.Observe(now, []Event{{Kind: EndpointListUpdated, News: policy.ListCached, List: &EndpointList{Complete: true, Members: []Member{
+	r.Observe(now, []Event{EndpointListUpdated{Kind: policy.ListCached, List: &EndpointList{Complete: true, Members: []Member{
 		{ID: "s1", HostPort: "10.0.0.1:1", Locality: "a", Flavor: "k", Dest: 1, Phase: Draining, Rate: 40}}}}}, nil)
 	r.DeferSends()
 	var owed []*Record
@@ -569,12 +573,12 @@
 	ends := map[string]policy.Time{}
 	step := func(at policy.Time, fx []Effect) (count int) {
 		for i := range fx {
-			if fx[i].Kind == AppendThenNotify {
+			if e, ok := fx[i].(AppendThenNotify); ok {
 				count++
-				if _, twice := ends[fx[i].Notice.Message]; twice {
-					t.Fatalf("%s ends twice", fx[i].Notice.Message)
+				if _, twice := ends[e.Notice.Message]; twice {
+					t.Fatalf("%s ends twice", e.Notice.Message)
 				}
-				ends[fx[i].Notice.Message] = at
+				ends[e.Notice.Message] = at
 			}
 		}
 		return count
--- a/internal/core/defersends_test.go
+++ b/internal/core/defersends_test.go
@@ -18,19 +18,20 @@
 		w := newSimulation(t, seed)
 		w.core.DeferSends()
 		text := w.play(120)
-		for _, kind := range []EffectKind{AppendThenSend, CheckHealth, CancelCall} {
-			if strings.Contains(text, fmt.Sprintf(" %d m", kind)) || strings.Contains("\n"+text, fmt.Sprintf(" %d\n", kind)) && kind == CheckHealth {
-				w.failf("seed %d: effect %d while the list is waited for", seed, kind)
+		for _, kind := range []Effect{AppendThenSend{}, CheckHealth{}, CancelCall{}} {
+			if strings.Contains(text, fmt.Sprintf(" %T m", kind)) || strings.Contains("\n"+text, fmt.Sprintf(" %T\n", kind)) && is[CheckHealth](kind) {
+				w.failf("seed %d: effect %T while the list is waited for", seed, kind)
 			}
 		}
-		taken += strings.Count(text, fmt.Sprintf(" %d m", AppendThenReply))
-		ended += strings.Count(text, fmt.Sprintf(" %d {", AppendThenNotify))
+		taken += strings.Count(text, fmt.Sprintf(" %T m", AppendThenReply{}))
+		ended += strings.Count(text, fmt.Sprintf(" %T {", AppendThenNotify{}))
 		w.trace.Reset()
-		w.execute(w.core.Step(w.now, []Event{{Kind: Started}}, nil))
+		w.execute(w.core.Step(w.now, []Event{Started{}}, nil))
 		var order []int
 		for _, l := range strings.Split(w.trace.String(), "\n") {
-			var at, kind, n, to int
-			if k, _ := fmt.Sscanf(l, "%d %d m%d to %d", &at, &kind, &n, &to); k == 4 && kind == int(AppendThenSend) {
+			var at, n, to int
+			var kind string
+			if k, _ := fmt.Sscanf(l, "%d %s m%d to %d", &at, &kind, &n, &to); k == 4 && kind == fmt.Sprintf("%T", AppendThenSend{}) {
 				order = append(order, n)
 			}
 		}
@@ -50,41 +51,41 @@
 		return Member{ID: id, HostPort: "10.0.0.1:" + id[1:], Locality: "a", Flavor: "k", Dest: 1, Phase: phase, Rate: 1000}
 	}
 	now := policy.Time(3600e6)
-	r.Observe(now, []Event{{Kind: EndpointListUpdated, News: policy.ListCached, List: &EndpointList{Complete: true, Members: []Member{member("s1", Up), member("s2", Up)}}}}, nil)
+	r.Observe(now, []Event{EndpointListUpdated{Kind: policy.ListCached, List: &EndpointList{Complete: true, Members: []Member{member("s1", Up), member("s2", Up)}}}}, nil)
 	r.DeferSends()
 	r.Step(now, nil, nil)
 	var events []Event
 	for _, id := range []string{"a", "b", "c"} {
-		events = append(events, Event{Kind: Submitted, Request: &Request{Class: 0, Tenant: -1,
+		events = append(events, Submitted{Request: &Request{Class: 0, Tenant: -1,
 			Record: &Record{Kind: RecordAccepted, ID: id, Class: "plain", Dest: 1, Deadline: r.wall(now + 5e6)}}})
 	}
 	var said []Event
 	for _, e := range r.Step(now, events, nil) {
-		if e.Kind == AppendThenReply {
-			said = append(said, Event{Kind: ReplyDelivered, Request: e.Request, OK: true})
+		if e, ok := e.(AppendThenReply); ok {
+			said = append(said, ReplyDelivered{Request: e.Request, OK: true})
 		}
 	}
 	if len(said) != 3 {
 		t.Fatalf("%d of 3 answered at once", len(said))
 	}
 	for _, e := range r.Step(now+1000, said, nil) {
-		if e.Kind == AppendThenSend || e.Kind == CheckHealth {
+		if is[AppendThenSend](e) || is[CheckHealth](e) {
 			t.Errorf("%+v before the list", e)
 		}
 	}
 	var got []string
 	drained := &EndpointList{Members: []Member{member("s1", Draining)}}
-	events = []Event{{Kind: EndpointListUpdated, News: policy.ListDelta, List: drained}, {Kind: Started}}
+	events = []Event{EndpointListUpdated{Kind: policy.ListDelta, List: drained}, Started{}}
 	for at, n := now+100e3, 0; n < 100 && len(got) < 3; at, n = at+20e3, n+1 { // those that were meant for s1 are chosen anew
 		fx := r.Step(at, events, nil)
 		events = nil
 		for _, e := range fx {
-			if e.Kind == AppendThenSend {
+			if e, ok := e.(AppendThenSend); ok {
 				got = append(got, e.Call.Record.ID)
 				if r.endpointsByNumber[e.Call.Endpoint].id == "s1" {
 					t.Errorf("%s goes to who has drained", e.Call.Record.ID)
 				}
-				events = append(events, Event{Kind: AttemptFinished, Call: e.Call, Result: &Result{Outcome: policy.Delivered, Status: 200, Final: true}})
+				events = append(events, AttemptFinished{Call: e.Call, Result: &Result{Outcome: policy.Delivered, Status: 200, Final: true}})
 			}
 		}
 	}
@@ -101,7 +102,7 @@
 	member := func(id, phase string) Member {
 		return Member{ID: id, HostPort: "10.0.0.1:" + id[1:], Locality: "a", Flavor: "k", Dest: 1, Phase: phase, Rate: 1000}
 	}
-	r.Observe(now, []Event{{Kind: EndpointListUpdated, News: policy.ListCached, List: &EndpointList{Complete: true, Members: []Member{member("s1", Up), member("s2", Up)}}}}, nil)
+	r.Observe(now, []Event{EndpointListUpdated{Kind: policy.ListCached, List: &EndpointList{Complete: true, Members: []Member{member("s1", Up), member("s2", Up)}}}}, nil)
 	r.DeferSends()
 	for _, ep := range []policy.EndpointID{1, 2} {
 		r.executeAction(now, &policy.Action{Kind: policy.ActHealthCheck, Endpoint: ep})
@@ -112,8 +113,8 @@
 	drained := &EndpointList{Members: []Member{member("s1", Draining)}}
 	var probed []policy.EndpointID
 	for range 2 { // once
-		for _, e := range r.Observe(now, []Event{{Kind: EndpointListUpdated, News: policy.ListDelta, List: drained}, {Kind: Started}}, nil) {
-			if e.Kind == CheckHealth {
+		for _, e := range r.Observe(now, []Event{EndpointListUpdated{Kind: policy.ListDelta, List: drained}, Started{}}, nil) {
+			if e, ok := e.(CheckHealth); ok {
 				probed = append(probed, e.Endpoint)
 			}
 		}
--- a/internal/core/endpoint_test.go
+++ b/internal/core/endpoint_test.go
@@ -40,12 +40,12 @@
 		return Member{ID: fmt.Sprintf("s-%d", i), HostPort: fmt.Sprintf("127.0.0.1:%d", 7000+i%3), Dest: i % 3, Phase: Up, Rate: 5}
 	}
 	news := func(kind policy.ListUpdateKind, members ...Member) []Effect {
-		return r.Step(r.now, []Event{{Kind: EndpointListUpdated, News: kind, List: &EndpointList{Members: members}}}, nil)
+		return r.Step(r.now, []Event{EndpointListUpdated{Kind: kind, List: &EndpointList{Members: members}}}, nil)
 	}
 	homes := map[policy.EndpointID]string{} // as a driver has them
 	carry := func(fx []Effect) {
 		for _, e := range fx {
-			switch e.Kind {
+			switch e := e.(type) {
 			case OpenEndpoint:
 				homes[e.Endpoint] = e.Address
 			case CloseEndpoint:
@@ -89,8 +89,8 @@
 	r := testCore(t)
 	put := func(id string, dest int) string {
 		q := &Request{Record: &Record{ID: id, Class: "plain", Dest: dest, Deadline: r.wall(20e6)}}
-		for _, e := range r.Observe(r.now, []Event{{Kind: Submitted, Request: q}}, nil) {
-			if e.Kind == SendReply && e.Request == q {
+		for _, e := range r.Observe(r.now, []Event{Submitted{Request: q}}, nil) {
+			if e, ok := e.(SendReply); ok && e.Request == q {
 				return fmt.Sprint(e.Reply.Err)
 			}
 		}
--- a/internal/core/eventpairs_test.go
+++ b/internal/core/eventpairs_test.go
@@ -28,15 +28,15 @@
 }
 
 // take draws one of the events that are to be told.
-func (p *pairSimulation) take(kinds ...EventKind) (Event, bool) {
+func (p *pairSimulation) take(match func(Event) bool) (Event, bool) {
 	var at []int
 	for i, e := range p.queue {
-		if slices.Contains(kinds, e.Kind) {
+		if match(e) {
 			at = append(at, i)
 		}
 	}
 	if len(at) == 0 {
-		return Event{}, false
+		return nil, false
 	}
 	k := at[p.draw.IntN(len(at))]
 	e := p.queue[k]
@@ -44,13 +44,17 @@
 	return e, true
 }
 
+func isReplyEnd(e Event) bool { return is[ReplyDelivered](e) }
+
+func isAttemptEnd(e Event) bool { return callOf(e) != nil }
+
 // endAttempt draws a call that is out and has it end in a way.
 func (p *pairSimulation) endAttempt(o Result) (Event, bool) {
-	e, ok := p.take(AttemptFinished, AttemptNotLogged)
-	if ok {
-		e.Kind, e.Result = AttemptFinished, &o
+	e, ok := p.take(isAttemptEnd)
+	if !ok {
+		return nil, false
 	}
-	return e, ok
+	return AttemptFinished{Call: callOf(e), Result: &o}, true
 }
 
 // updateOneEndpoint is a list of one endpoint in a phase.
@@ -62,22 +66,22 @@
 		}
 		m := ep.member
 		m.Phase = phase
-		return Event{Kind: EndpointListUpdated, News: policy.ListDelta, List: &EndpointList{Members: []Member{m}}}, true
+		return EndpointListUpdated{Kind: policy.ListDelta, List: &EndpointList{Members: []Member{m}}}, true
 	}
-	return Event{}, false
+	return nil, false
 }
 
 // observe books what an event means for the world before the core hears it.
-func (p *pairSimulation) observe(e *Event) {
-	switch {
-	case e.Kind == ShutdownRequested:
+func (p *pairSimulation) observe(e Event) {
+	if is[ShutdownRequested](e) {
 		p.stopped = true
-	case e.Call != nil:
-		p.openCallCount[e.Call.Record.ID]--
-		delete(p.openCalls, e.Call)
-		if e.Kind == AttemptFinished && !e.Result.Outcome.NeverRan() && e.Result.Outcome != policy.Delivered {
-			p.noteMayHaveRun(e.Call.Record)
-		}
+	}
+	if c := callOf(e); c != nil {
+		p.openCallCount[c.Record.ID]--
+		delete(p.openCalls, c)
+	}
+	if e, ok := e.(AttemptFinished); ok && !e.Result.Outcome.NeverRan() && e.Result.Outcome != policy.Delivered {
+		p.noteMayHaveRun(e.Call.Record)
 	}
 }
 
@@ -93,9 +97,9 @@
 	for c := range p.openCalls {
 		p.noteMayHaveRun(c.Record)
 	}
-	for i := range p.queue {
-		if e := &p.queue[i]; e.Call != nil {
-			p.noteMayHaveRun(e.Call.Record)
+	for _, e := range p.queue {
+		if c := callOf(e); c != nil {
+			p.noteMayHaveRun(c.Record)
 		}
 	}
 	p.queue, p.openCalls, p.openCallCount, p.stopped = nil, map[*Call]bool{}, map[string]int{}, false
@@ -111,7 +115,7 @@
 	}
 	p.core = next
 	p.closedEndpoints, p.destOf = map[policy.EndpointID]bool{}, map[policy.EndpointID]int{}
-	p.execute(next.Observe(p.now, []Event{{Kind: EndpointListUpdated, List: list, News: policy.ListCached}}, nil))
+	p.execute(next.Observe(p.now, []Event{EndpointListUpdated{List: list, Kind: policy.ListCached}}, nil))
 	var owed []*Record
 	for _, id := range p.book.order {
 		if r := p.book.pending[id]; r != nil {
@@ -144,23 +148,24 @@
 			class := p.draw.IntN(3)
 			rec := &Record{Kind: RecordAccepted, ID: fmt.Sprint("pair", p.next), Class: []string{"plain", "keyed", "once"}[class], Key: "k", Dest: p.draw.IntN(3),
 				Deadline: p.core.wall(p.now + policy.Time(p.draw.IntN(3e6)))}
-			return Event{Kind: Submitted, Request: &Request{Record: rec, Class: class}}, true
+			return Submitted{Request: &Request{Record: rec, Class: class}}, true
 		}),
 		event("a client has its answer", func(p *pairSimulation) (Event, bool) {
-			e, ok := p.take(ReplyDelivered)
-			if ok && !e.OK { // it has left: the other case
+			e, ok := p.take(isReplyEnd)
+			if ok && !e.(ReplyDelivered).OK { // it has left: the other case
 				p.queue = append(p.queue, e)
-				return Event{}, false
+				return nil, false
 			}
 			return e, ok
 		}),
 		event("a client leaves before", func(p *pairSimulation) (Event, bool) {
-			e, ok := p.take(ReplyDelivered)
-			if ok {
-				e.OK = false
-				delete(p.acknowledged, e.Request.Record.ID)
+			e, ok := p.take(isReplyEnd)
+			if !ok {
+				return nil, false
 			}
-			return e, ok
+			q := e.(ReplyDelivered).Request
+			delete(p.acknowledged, q.Record.ID)
+			return ReplyDelivered{Request: q, OK: false}, true
 		}),
 		outcome("a call is delivered", Result{Outcome: policy.Delivered, Status: 200, Final: true, Elapsed: 1000}),
 		outcome("a call is told to wait", Result{Outcome: policy.Rejected, Status: 429, RetryAfter: 400e3}),
@@ -168,15 +173,17 @@
 		outcome("a call never leaves", Result{Outcome: policy.NotSent}),
 		outcome("a call is over there", Result{Outcome: policy.NotSent, Status: 410, Final: true}),
 		event("a call cannot be logged", func(p *pairSimulation) (Event, bool) {
-			e, ok := p.take(AttemptFinished, AttemptNotLogged)
-			e.Kind, e.Result = AttemptNotLogged, nil
-			return e, ok
+			e, ok := p.take(isAttemptEnd)
+			if !ok {
+				return nil, false
+			}
+			return AttemptNotLogged{Call: callOf(e)}, true
 		}),
 		event("an endpoint drains", func(p *pairSimulation) (Event, bool) { return p.updateOneEndpoint(Draining) }),
 		event("an endpoint is removed", func(p *pairSimulation) (Event, bool) { return p.updateOneEndpoint(Removed) }),
 		event("an endpoint is up", func(p *pairSimulation) (Event, bool) { return p.updateOneEndpoint(Up) }),
-		event("the process is to end", func(p *pairSimulation) (Event, bool) { return Event{Kind: ShutdownRequested}, true }),
-		event("the list has been waited for", func(p *pairSimulation) (Event, bool) { return Event{Kind: Started}, true }),
+		event("the process is to end", func(p *pairSimulation) (Event, bool) { return ShutdownRequested{}, true }),
+		event("the list has been waited for", func(p *pairSimulation) (Event, bool) { return Started{}, true }),
 		does("a list is waited for", func(p *pairSimulation) bool { p.core.DeferSends(); return true }),
 		does("a hand-over comes to nothing", func(p *pairSimulation) bool {
 			p.core.BeginHandover()
@@ -218,7 +225,7 @@
 	}
 	e, ok := x.event(p)
 	if ok {
-		p.observe(&e)
+		p.observe(e)
 		p.step(p.book, []Event{e})
 	}
 	return ok
@@ -237,7 +244,7 @@
 		ok bool
 	}{{a, okA}, {b, okB}} {
 		if e.ok {
-			p.observe(&e.Event)
+			p.observe(e.Event)
 			events = append(events, e.Event)
 		}
 	}
@@ -253,12 +260,12 @@
 			if p.stopped {
 				p.restart()
 			}
-			p.step(p.book, []Event{{Kind: Started}})
+			p.step(p.book, []Event{Started{}})
 		}
 		events := p.queue
 		p.queue = nil
 		for i := range events {
-			p.observe(&events[i])
+			p.observe(events[i])
 		}
 		p.step(p.book, events)
 	}
--- a/internal/core/fixtures_test.go
+++ b/internal/core/fixtures_test.go
@@ -188,19 +188,18 @@
 }
 
 // renderEffect writes an effect by a fixed name and what it carries.
-func renderEffect(e *Effect) string {
+func renderEffect(e Effect) string {
 	record := func() string {
-		text, err := json.Marshal(e.Record)
+		text, err := json.Marshal(recordOf(e))
 		if err != nil {
 			return err.Error()
 		}
 		return string(text)
 	}
-	call := func() string {
-		c := e.Call
+	call := func(c *Call) string {
 		return fmt.Sprint(c.Record.ID, " endpoint=", c.Endpoint, " timeout=", c.Timeout, " by=", c.SendBy, " warming=", c.WarmingUp, " connect=", c.MayConnect, " sent=", c.SentAt())
 	}
-	switch e.Kind {
+	switch e := e.(type) {
 	case SendReply:
 		return fmt.Sprint("reply ", e.Request.Record.ID, " ok=", e.Reply.OK, " err=", e.Reply.Err, " retry=", e.Reply.RetryAfterMS)
 	case AppendRecord:
@@ -208,15 +207,15 @@
 	case AppendThenReply:
 		return "append-reply " + e.Request.Record.ID + " " + record()
 	case AppendThenSend:
-		return "append-send " + record() + " " + call()
+		return "append-send " + record() + " " + call(e.Call)
 	case ResumeCall:
-		return "resume " + call()
+		return "resume " + call(e.Call)
 	case AppendThenNotify:
 		return fmt.Sprintf("append-notify %s %+v", record(), e.Notice)
 	case SendNotice:
 		return fmt.Sprintf("notify %+v", e.Notice)
 	case CancelCall:
-		return "cancel " + call()
+		return "cancel " + call(e.Call)
 	case CheckHealth:
 		return fmt.Sprint("probe ", e.Endpoint)
 	case OpenEndpoint:
@@ -257,9 +256,9 @@
 		w.golden = golden
 		w.core.DeferSends()
 		w.play(60)
-		w.execute(w.core.Step(w.now, []Event{{Kind: Started}}, nil))
+		w.execute(w.core.Step(w.now, []Event{Started{}}, nil))
 		w.playFrom(60, 100)
-		w.execute(w.core.Step(w.now, []Event{{Kind: ShutdownRequested}}, nil))
+		w.execute(w.core.Step(w.now, []Event{ShutdownRequested{}}, nil))
 		w.playFrom(160, 100)
 	}},
 	{"handover", func(t *testing.T, seed uint64, golden io.Writer) {
--- a/internal/core/handover.go
+++ b/internal/core/handover.go
@@ -185,7 +185,7 @@
 	r.translateMemory(p, c.Members, shift)
 	for _, ep := range r.endpoints {
 		if ep.retryAfter > 0 {
-			r.emit(Effect{Kind: ApplyRetryAfter, Endpoint: ep.number, Until: r.retryAfterOf(ep)})
+			r.emit(ApplyRetryAfter{Endpoint: ep.number, Until: r.retryAfterOf(ep)})
 		}
 	}
 	if c.Policy != nil {
@@ -214,6 +214,6 @@
 	ep.calls = append(ep.calls, c)
 	r.openCalls++
 	e.AttemptSentAt, e.AttemptEndpoint = max(sent, 1), ep.number
-	r.emit(Effect{Kind: ResumeCall, Call: c})
+	r.emit(ResumeCall{Call: c})
 	r.log(slog.LevelInfo, "call goes on", "message", m.record.ID, "endpoint", ep.number, "left_ms", c.Timeout/1000)
 }
--- a/internal/core/handover_test.go
+++ b/internal/core/handover_test.go
@@ -33,7 +33,10 @@
 // written books what effects have logged.
 func (b *logModel) written(fx []Effect, lost map[*Request]bool) {
 	for i := range fx {
-		if r := fx[i].Record; r != nil && !(fx[i].Kind == AppendThenReply && lost[fx[i].Request]) {
+		if e, ok := fx[i].(AppendThenReply); ok && lost[e.Request] {
+			continue
+		}
+		if r := recordOf(fx[i]); r != nil {
 			b.apply(r)
 		}
 	}
@@ -49,7 +52,7 @@
 		}
 		var events []Event
 		w.queue = slices.DeleteFunc(w.queue, func(e Event) bool {
-			if e.Call != nil {
+			if callOf(e) != nil {
 				return false
 			}
 			events = append(events, e)
@@ -92,43 +95,43 @@
 	fx := next.RecoverMessages(w.now, owed, c, shift, nil)
 	calls := map[string]*Call{}
 	for i := range fx {
-		if fx[i].Kind == ResumeCall {
-			calls[fx[i].Call.Record.ID] = fx[i].Call
+		if e, ok := fx[i].(ResumeCall); ok {
+			calls[e.Call.Record.ID] = e.Call
 		}
 	}
 	if len(calls) != len(c.Calls) {
 		w.failf("%d calls go on of %d", len(calls), len(c.Calls))
 	}
 	w.openCalls = map[*Call]bool{}
-	w.queue = slices.DeleteFunc(w.queue, func(e Event) bool { return e.Call == nil })
-	for i := range w.queue {
-		e := &w.queue[i]
-		id := e.Call.Record.ID
+	w.queue = slices.DeleteFunc(w.queue, func(e Event) bool { return callOf(e) == nil })
+	for i, e := range w.queue {
+		id := callOf(e).Record.ID
 		if k := calls[id]; k != nil { // its end comes here
-			if e.Kind == AttemptNotLogged {
-				e.Kind, e.Result = AttemptFinished, &Result{Outcome: policy.ConnectionReset}
+			end := AttemptFinished{Call: k, Result: &Result{Outcome: policy.ConnectionReset}}
+			if e, ok := e.(AttemptFinished); ok {
+				end.Result = e.Result
 			}
-			e.Call = k
+			w.queue[i] = end
 			w.openCalls[k] = true
 			goesOn++
 		} else { // its message is over: nobody waits for it
 			w.openCallCount[id]--
-			e.Call = nil
+			w.queue[i] = nil
 		}
 	}
-	w.queue = slices.DeleteFunc(w.queue, func(e Event) bool { return e.Call == nil })
+	w.queue = slices.DeleteFunc(w.queue, func(e Event) bool { return e == nil })
 	if w.driver != nil { // those that are out whole go on
 		for i := range fx {
-			if k := fx[i].Call; fx[i].Kind == ResumeCall {
-				w.openCalls[k] = true
-				w.driver.calls = append(w.driver.calls, &driverCall{call: k, step: 3})
+			if e, ok := fx[i].(ResumeCall); ok {
+				w.openCalls[e.Call] = true
+				w.driver.calls = append(w.driver.calls, &driverCall{call: e.Call, step: 3})
 				goesOn++
 			}
 		}
 	}
 	for i := range fx { // notices that were logged go out once more, harmlessly
-		if fx[i].Kind == SendNotice {
-			w.trace.WriteString("again " + fx[i].Notice.Message + "\n")
+		if e, ok := fx[i].(SendNotice); ok {
+			w.trace.WriteString("again " + e.Notice.Message + "\n")
 		}
 	}
 	b.written(fx, nil)
@@ -146,7 +149,7 @@
 	fx := w.core.Step(w.now, events, nil)
 	w.execute(fx)
 	for _, e := range w.queue {
-		if e.Kind == LogWriteFailed {
+		if e, ok := e.(LogWriteFailed); ok {
 			lost[e.Request] = true
 		}
 	}
@@ -190,7 +193,7 @@
 		t.Fatalf("while ceding: taken %v, sent %v", taken, sent)
 	}
 	fx := s.core.ResumeSends(s.now, nil)
-	if len(fx) != 1 || fx[0].Kind != AppendThenSend || fx[0].Call.Record.ID != "m" {
+	if len(fx) != 1 || !is[AppendThenSend](fx[0]) || fx[0].(AppendThenSend).Call.Record.ID != "m" {
 		t.Errorf("after it: %+v", fx)
 	}
 }
@@ -204,7 +207,7 @@
 	}
 	c := s.core.messagesByID["a"].call
 	s.now += 10e3
-	s.step(Event{Kind: AttemptFinished, Call: c, Result: &Result{Outcome: policy.Rejected, Status: 429, RetryAfter: 3e6}})
+	s.step(AttemptFinished{Call: c, Result: &Result{Outcome: policy.Rejected, Status: 429, RetryAfter: 3e6}})
 	w := &simulation{t: t, core: s.core, now: s.now}
 	const shift = policy.Time(-777e6)
 	carried := w.core.ExportHandover(w.now)
@@ -223,7 +226,7 @@
 		s.now += 10e3
 		fx := s.step()
 		for i := range fx {
-			if fx[i].Kind == AppendThenSend {
+			if is[AppendThenSend](fx[i]) {
 				sentAt = s.now
 			}
 		}
--- a/internal/core/idle_bench_test.go
+++ b/internal/core/idle_bench_test.go
@@ -45,7 +45,7 @@
 		b.Fatal(err)
 	}
 	for d := 0; d < dests; d += 1000 {
-		r.Step(3600e6, []Event{{Kind: EndpointListUpdated, News: policy.ListDelta, List: &EndpointList{Members: idleMembers(d, min(d+1000, dests), endpoints)}}}, nil)
+		r.Step(3600e6, []Event{EndpointListUpdated{Kind: policy.ListDelta, List: &EndpointList{Members: idleMembers(d, min(d+1000, dests), endpoints)}}}, nil)
 	}
 	return r
 }
@@ -94,7 +94,7 @@
 	for i := range n {
 		began := time.Now()
 		q := &Request{Tenant: -1, Record: &Record{Kind: RecordAccepted, ID: strconv.Itoa(int(now)) + "-" + strconv.Itoa(i), Class: "plain", Dest: dest(i), Deadline: r.wall(now + 20e6)}}
-		events, done := []Event{{Kind: Submitted, Request: q}}, false
+		events, done := []Event{Submitted{Request: q}}, false
 		for turn := 0; !done; turn++ {
 			if turn > 100 {
 				b.Fatalf("message %d is not sent", i)
@@ -102,11 +102,11 @@
 			fx = r.Step(now, events, fx[:0])
 			events = events[:0]
 			for k := range fx {
-				switch e := &fx[k]; e.Kind {
+				switch e := fx[k].(type) {
 				case AppendThenReply:
-					events = append(events, Event{Kind: ReplyDelivered, Request: e.Request, OK: true})
+					events = append(events, ReplyDelivered{Request: e.Request, OK: true})
 				case AppendThenSend:
-					events = append(events, Event{Kind: AttemptFinished, Call: e.Call, Result: deliveredResult})
+					events = append(events, AttemptFinished{Call: e.Call, Result: deliveredResult})
 				case AppendRecord:
 					done = done || e.Record.Kind == RecordDone
 				case SendReply:
@@ -153,14 +153,14 @@
 				runtime.GC()
 				runtime.ReadMemStats(&before)
 				now := policy.Time(4000e6 + i*1e6)
-				events := []Event{{Kind: EndpointListUpdated, News: policy.ListFull, List: l}}
+				events := []Event{EndpointListUpdated{Kind: policy.ListFull, List: l}}
 				for more := true; more; {
 					began := time.Now()
 					fx := r.Step(now, events, nil)
 					longest = max(longest, time.Since(began))
 					more, events = false, nil
 					for k := range fx {
-						more = more || fx[k].Kind == StepAgain
+						more = more || is[StepAgain](fx[k])
 					}
 				}
 				runtime.ReadMemStats(&after)
@@ -189,7 +189,7 @@
 				one += time.Since(began) / 100
 				var events []Event
 				for i := range 10_000 {
-					events = append(events, Event{Kind: Submitted, Request: &Request{Tenant: -1, Record: &Record{Kind: RecordAccepted, ID: fmt.Sprint(woken, i), Class: "plain",
+					events = append(events, Submitted{Request: &Request{Tenant: -1, Record: &Record{Kind: RecordAccepted, ID: fmt.Sprint(woken, i), Class: "plain",
 						Dest: woken, Deadline: r.wall(r.now + 20e6)}}})
 					woken++
 					if len(events) == 10 { // as many come in a step, of ten thousand in a second
--- a/internal/core/listupdate.go
+++ b/internal/core/listupdate.go
@@ -67,7 +67,7 @@
 		}
 		delete(r.endpointsByID, ep.id)
 		delete(r.endpointsByNumber, ep.number)
-		r.emit(Effect{Kind: ForgetEndpoint, Endpoint: ep.number})
+		r.emit(ForgetEndpoint{Endpoint: ep.number})
 		return true
 	})
 	r.applyListBatch(r.listBatchSize)
--- a/internal/core/passivation.go
+++ b/internal/core/passivation.go
@@ -191,9 +191,9 @@
 		going[ep.dest] = append(list, idlestore.Endpoint{ID: ep.id, HostPort: m.HostPort, Locality: m.Locality, Flavor: m.Flavor, Draining: m.Phase == Draining, Size: m.Rate})
 		marks[ep.number] = endpointHash(ep.id, ep.hostPort)
 		if ep.open {
-			r.emit(Effect{Kind: CloseEndpoint, Endpoint: ep.number})
+			r.emit(CloseEndpoint{Endpoint: ep.number})
 		}
-		r.emit(Effect{Kind: ForgetEndpoint, Endpoint: ep.number})
+		r.emit(ForgetEndpoint{Endpoint: ep.number})
 		delete(r.endpointsByID, ep.id)
 		delete(r.endpointsByNumber, ep.number)
 	}
@@ -219,7 +219,7 @@
 		if len(list) == 0 {
 			r.noteDeparture(dest)
 		}
-		r.emit(Effect{Kind: PassivateDestination, Dest: dest})
+		r.emit(PassivateDestination{Dest: dest})
 	}
 }
 
--- a/internal/core/passivation_test.go
+++ b/internal/core/passivation_test.go
@@ -97,23 +97,23 @@
 func deliverOne(t *testing.T, r *Core, from, until policy.Time, id string, dest int, o *Result) (at policy.Time, ep policy.EndpointID, fx []Effect) {
 	t.Helper()
 	rec := &Record{Kind: RecordAccepted, ID: id, Class: "plain", Dest: dest, Deadline: r.wall(until)}
-	events := []Event{{Kind: Submitted, Request: &Request{Class: 0, Tenant: -1, Record: rec}}}
+	events := []Event{Submitted{Request: &Request{Class: 0, Tenant: -1, Record: rec}}}
 	for now := from; now < until; now += 20e3 {
 		got := r.Step(now, events, nil)
 		fx, events = append(fx, got...), nil
 		for _, e := range got {
-			switch e.Kind {
+			switch e := e.(type) {
 			case SendReply:
 				if !e.Reply.OK {
 					return 0, 0, fx
 				}
 			case AppendThenReply:
-				events = append(events, Event{Kind: ReplyDelivered, Request: e.Request, OK: true})
+				events = append(events, ReplyDelivered{Request: e.Request, OK: true})
 			case AppendThenSend:
 				if at == 0 {
 					at, ep = now, e.Call.Endpoint
 				}
-				events = append(events, Event{Kind: AttemptFinished, Call: e.Call, Result: o})
+				events = append(events, AttemptFinished{Call: e.Call, Result: o})
 			}
 		}
 		if at > 0 && len(events) == 0 {
@@ -135,7 +135,7 @@
 	t.Helper()
 	r := passivatingCore(t, idlestore.Limits{MaxActive: 1, IdleTimeout: 20e6})
 	now := policy.Time(3600e6)
-	r.Step(now, []Event{{Kind: EndpointListUpdated, News: policy.ListFull, List: &EndpointList{Complete: true, Members: []Member{testMember(3, 3, "k"), testMember(1, 1, "k"), testMember(2, 2, "r")}}}}, nil)
+	r.Step(now, []Event{EndpointListUpdated{Kind: policy.ListFull, List: &EndpointList{Complete: true, Members: []Member{testMember(3, 3, "k"), testMember(1, 1, "k"), testMember(2, 2, "r")}}}}, nil)
 	if n, _ := r.PassiveDestinations(); n != 2 { // beyond the first, they begin asleep
 		t.Fatalf("%d rest from the start", n)
 	}
@@ -155,7 +155,7 @@
 // restarted or upgraded. Then it rests.
 func TestRetryAfterOutlastsPassivation(t *testing.T) {
 	list := func(l ...Member) []Event {
-		return []Event{{Kind: EndpointListUpdated, News: policy.ListFull, List: &EndpointList{Complete: true, Members: l}}}
+		return []Event{EndpointListUpdated{Kind: policy.ListFull, List: &EndpointList{Complete: true, Members: l}}}
 	}
 	for name, meanwhile := range map[string]func(r *Core, now policy.Time){
 		"nothing": func(*Core, policy.Time) {},
@@ -164,7 +164,7 @@
 			r.Step(now+1e6, list(testMember(2, 2, "r"), testMember(1, 1, "k"), testMember(3, 3, "k")), nil)
 		},
 		"one joins": func(r *Core, now policy.Time) {
-			r.Step(now, []Event{{Kind: EndpointListUpdated, News: policy.ListDelta, List: &EndpointList{Members: []Member{testMember(9, 1, "k")}}}}, nil)
+			r.Step(now, []Event{EndpointListUpdated{Kind: policy.ListDelta, List: &EndpointList{Members: []Member{testMember(9, 1, "k")}}}}, nil)
 		},
 		"a restart": func(r *Core, now policy.Time) {
 			l := &StateSnapshot{}
@@ -220,7 +220,7 @@
 func TestMovedEndpointInheritsNothing(t *testing.T) {
 	r := passivatingCore(t, idlestore.Limits{MaxActive: 1, IdleTimeout: 20e6})
 	now := policy.Time(3600e6)
-	r.Step(now, []Event{{Kind: EndpointListUpdated, News: policy.ListFull, List: &EndpointList{Complete: true, Members: []Member{testMember(9, 9, "k"), testMember(1, 1, "k"), testMember(2, 2, "k"), testMember(3, 3, "k")}}}}, nil)
+	r.Step(now, []Event{EndpointListUpdated{Kind: policy.ListFull, List: &EndpointList{Complete: true, Members: []Member{testMember(9, 9, "k"), testMember(1, 1, "k"), testMember(2, 2, "k"), testMember(3, 3, "k")}}}}, nil)
 	for i := range 3 {
 		at := now + policy.Time(i)*3e6
 		deliverOne(t, r, at, at+1e6, fmt.Sprint("a", i), 1+i, &Result{Outcome: policy.ConnectFailed})
@@ -239,7 +239,7 @@
 	l := &StateSnapshot{}
 	roundTrip(t, r.SnapshotState(now+60e6), l)
 	next := passivatingCore(t, idlestore.Limits{MaxActive: 1, IdleTimeout: 20e6})
-	next.Observe(now+60e6, []Event{{Kind: EndpointListUpdated, News: policy.ListFull, List: &EndpointList{Complete: true, Members: []Member{testMember(9, 9, "k"), testMember(1, 1, "k"), testMember(2, 2, "k"), testMember(3, 3, "k")}}}}, nil)
+	next.Observe(now+60e6, []Event{EndpointListUpdated{Kind: policy.ListFull, List: &EndpointList{Complete: true, Members: []Member{testMember(9, 9, "k"), testMember(1, 1, "k"), testMember(2, 2, "k"), testMember(3, 3, "k")}}}}, nil)
 	next.RestoreState(now+60e6, l, 0, nil)
 	if _, avoided := next.ListedEndpoints(); avoided != 3 {
 		t.Errorf("after a restart %d are avoided", avoided)
@@ -248,7 +248,7 @@
 	moved.HostPort, swapped.HostPort = "127.0.0.1:1", testMember(3, 3, "k").HostPort
 	gone := testMember(3, 3, "k")
 	gone.Phase = Removed
-	r.Step(now+60e6, []Event{{Kind: EndpointListUpdated, News: policy.ListDelta, List: &EndpointList{Members: []Member{moved, gone, swapped}}}}, nil)
+	r.Step(now+60e6, []Event{EndpointListUpdated{Kind: policy.ListDelta, List: &EndpointList{Members: []Member{moved, gone, swapped}}}}, nil)
 	for dest, want := range map[int]bool{1: true, 2: false, 3: false} {
 		r.activate(dest)
 		r.runPolicy()
@@ -265,19 +265,21 @@
 func TestPendingDestinationsStayActive(t *testing.T) {
 	r := passivatingCore(t, idlestore.Limits{MaxActive: 1, IdleTimeout: 20e6})
 	now := policy.Time(3600e6)
-	r.Observe(now, []Event{{Kind: EndpointListUpdated, News: policy.ListFull, List: &EndpointList{Complete: true, Members: []Member{testMember(1, 1, "k"), testMember(2, 2, "k")}}}}, nil)
+	r.Observe(now, []Event{EndpointListUpdated{Kind: policy.ListFull, List: &EndpointList{Complete: true, Members: []Member{testMember(1, 1, "k"), testMember(2, 2, "k")}}}}, nil)
 	r.RecoverMessages(now, []*Record{{Kind: RecordAccepted, ID: "owed", Class: "plain", Dest: 2, Deadline: r.wall(now + 20e6)}}, nil, 0, nil)
 	sent := false
 	for at := now; at < now+2e6; at += 20e3 {
 		for _, e := range r.Step(at, nil, nil) {
-			sent = sent || e.Kind == AppendThenSend && e.Call.Record.ID == "owed"
+			if e, ok := e.(AppendThenSend); ok {
+				sent = sent || e.Call.Record.ID == "owed"
+			}
 		}
 	}
 	if !sent {
 		t.Error("what is owed to one that rests is not sent")
 	}
 	r = passivatingCore(t, idlestore.Limits{MaxActive: 1, IdleTimeout: 20e6})
-	r.Step(now, []Event{{Kind: EndpointListUpdated, News: policy.ListFull, List: &EndpointList{Complete: true, Members: []Member{testMember(1, 1, "k")}}}}, nil)
+	r.Step(now, []Event{EndpointListUpdated{Kind: policy.ListFull, List: &EndpointList{Complete: true, Members: []Member{testMember(1, 1, "k")}}}}, nil)
 	r.retryAfter[1] = now + 100e6
 	deliverOne(t, r, now+1e6, now+2e6, "m", 2, deliveredResult) // nobody is there, and the other is the one that is awake
 	r.ensureActive(3)
@@ -335,7 +337,7 @@
 				}
 			}
 			now += policy.Time(rng.IntN(15e6))
-			r.Step(now, []Event{{Kind: EndpointListUpdated, News: kind, List: l}}, nil)
+			r.Step(now, []Event{EndpointListUpdated{Kind: kind, List: l}}, nil)
 			if rng.IntN(2) == 0 { // somebody wakes
 				deliverOne(t, r, now, now+1e6, fmt.Sprint("m", i), rng.IntN(30), deliveredResult)
 				now += 1e6
@@ -378,12 +380,12 @@
 	for i := range 60 {
 		all = append(all, testMember(i, i, "k"))
 	}
-	r.Step(now, []Event{{Kind: EndpointListUpdated, News: policy.ListFull, List: &EndpointList{Complete: true, Members: all}}}, nil)
+	r.Step(now, []Event{EndpointListUpdated{Kind: policy.ListFull, List: &EndpointList{Complete: true, Members: all}}}, nil)
 	r.listBatchSize = 1
 	gone, drains := all[0], all[1]
 	gone.Phase, drains.Phase = Removed, Draining
 	l := &EndpointList{Members: append(slices.Clone(all[2:]), gone, drains)}
-	r.Step(now, []Event{{Kind: EndpointListUpdated, News: policy.ListDelta, List: l}}, nil)
+	r.Step(now, []Event{EndpointListUpdated{Kind: policy.ListDelta, List: l}}, nil)
 	for _, id := range []string{"s-0", "s-1"} {
 		if ep := r.endpointsByID[id]; !ep.retired {
 			t.Errorf("%s is not gone after the first piece", id)
@@ -391,8 +393,8 @@
 	}
 	r.finishListUpdate()
 	l = &EndpointList{Complete: true, Members: slices.Clone(all[:50])} // 55 has left
-	fx := r.Step(now, []Event{{Kind: EndpointListUpdated, News: policy.ListFull, List: l}}, nil)
-	if r.listUpdate == nil || !slices.ContainsFunc(fx, func(e Effect) bool { return e.Kind == StepAgain }) {
+	fx := r.Step(now, []Event{EndpointListUpdated{Kind: policy.ListFull, List: l}}, nil)
+	if r.listUpdate == nil || !slices.ContainsFunc(fx, func(e Effect) bool { return is[StepAgain](e) }) {
 		t.Fatal("it is booked whole, or nobody steps for the rest")
 	}
 	r.activate(55)
@@ -422,12 +424,12 @@
 	for i := range 200 {
 		all = append(all, testMember(i, i, "k"))
 	}
-	r.Step(now, []Event{{Kind: EndpointListUpdated, News: policy.ListFull, List: &EndpointList{Complete: true, Members: all}}}, nil)
-	r.Step(now, []Event{{Kind: EndpointListUpdated, News: policy.ListFull, List: &EndpointList{Complete: true, Members: all[:2]}}}, nil)
+	r.Step(now, []Event{EndpointListUpdated{Kind: policy.ListFull, List: &EndpointList{Complete: true, Members: all}}}, nil)
+	r.Step(now, []Event{EndpointListUpdated{Kind: policy.ListFull, List: &EndpointList{Complete: true, Members: all[:2]}}}, nil)
 	taken := func(at policy.Time, id string, dest int) bool {
 		q := &Request{Tenant: -1, Record: &Record{ID: id, Class: "plain", Dest: dest, Deadline: r.wall(at + 20e6)}}
-		for _, e := range r.Step(at, []Event{{Kind: Submitted, Request: q}}, nil) {
-			if e.Kind == SendReply && e.Request == q {
+		for _, e := range r.Step(at, []Event{Submitted{Request: q}}, nil) {
+			if e, ok := e.(SendReply); ok && e.Request == q {
 				return false
 			}
 		}
@@ -437,7 +439,7 @@
 		t.Error("refused at once")
 	}
 	for at := now + 1e6; at < now+1900e6; at += 10e6 {
-		r.Step(at, []Event{{Kind: EndpointListUpdated, News: policy.ListDelta, List: &EndpointList{}}}, nil)
+		r.Step(at, []Event{EndpointListUpdated{Kind: policy.ListDelta, List: &EndpointList{}}}, nil)
 	}
 	if taken(now+1900e6, "late", 151) {
 		t.Error("known for good")
--- a/internal/core/recovered_test.go
+++ b/internal/core/recovered_test.go
@@ -12,8 +12,8 @@
 // addCounts adds up the tally lines of effects, by name.
 func addCounts(sum map[string]int64, fx []Effect) {
 	for i := range fx {
-		if fx[i].Kind == Log && fx[i].Text == metrics.LogText {
-			for _, a := range fx[i].Args {
+		if e, ok := fx[i].(Log); ok && e.Text == metrics.LogText {
+			for _, a := range e.Args {
 				group, ok := a.(interface{ String() string })
 				if !ok {
 					continue
@@ -56,7 +56,7 @@
 		&Record{Kind: RecordAccepted, ID: "full", Class: "plain", Dest: 2, Deadline: left(300e3)},
 		&Record{Kind: RecordAccepted, ID: "never", Class: "plain", Dest: 3, Deadline: left(300e3)},
 		&Record{Kind: RecordAccepted, ID: "ended", Class: "plain", Dest: 1, Deadline: left(10e6), Notice: NoticeHandedBack})
-	fx := r.Observe(now, []Event{{Kind: EndpointListUpdated, News: policy.ListCached, List: &EndpointList{Complete: true, Members: []Member{up, full, never}}}}, nil)
+	fx := r.Observe(now, []Event{EndpointListUpdated{Kind: policy.ListCached, List: &EndpointList{Complete: true, Members: []Member{up, full, never}}}}, nil)
 	fx = r.RecoverMessages(now, owed, nil, 0, fx)
 	sum := map[string]int64{}
 	called, ends := map[string]bool{}, map[string]string{}
@@ -66,7 +66,7 @@
 		addCounts(sum, fx)
 		events = nil
 		for i := range fx {
-			switch e := &fx[i]; e.Kind {
+			switch e := fx[i].(type) {
 			case AppendThenSend:
 				called[e.Call.Record.ID] = true
 				o := &Result{Outcome: policy.Delivered, Final: true, Status: 200, Elapsed: 1000}
@@ -76,7 +76,7 @@
 				case 3:
 					o = &Result{Outcome: policy.NotSent}
 				}
-				events = append(events, Event{Kind: AttemptFinished, Call: e.Call, Result: o})
+				events = append(events, AttemptFinished{Call: e.Call, Result: o})
 			case AppendThenNotify:
 				ends[e.Notice.Message] = e.Notice.Outcome
 				if step == 0 && strings.HasPrefix(e.Notice.Message, "m") {
@@ -124,24 +124,24 @@
 	}
 	now := policy.Time(3600e6)
 	up := Member{ID: "s-1", HostPort: "127.0.0.1:7001", Dest: 1, Phase: Up, Rate: 1000, Flavor: "k", Locality: "a"}
-	r.Observe(now, []Event{{Kind: EndpointListUpdated, News: policy.ListCached, List: &EndpointList{Complete: true, Members: []Member{up}}}}, nil)
+	r.Observe(now, []Event{EndpointListUpdated{Kind: policy.ListCached, List: &EndpointList{Complete: true, Members: []Member{up}}}}, nil)
 	r.DeferSends()
 	r.RecoverMessages(now, []*Record{{Kind: RecordAccepted, ID: "m", Class: "plain", Dest: 1, Deadline: set.Epoch + now + 5e6}}, nil, 0, nil)
 	sends := 0
 	events := []Event(nil)
 	for step := 0; step < 400; step++ {
 		if step == 60 { // long after what the attempt was given
-			events = append(events, Event{Kind: Started})
+			events = append(events, Started{})
 		}
 		fx := r.Step(now, events, nil)
 		events = nil
 		for i := range fx {
-			switch fx[i].Kind {
+			switch e := fx[i].(type) {
 			case AppendThenSend:
 				sends++
-				events = append(events, Event{Kind: AttemptFinished, Call: fx[i].Call, Result: &Result{Outcome: policy.Delivered, Final: true, Status: 200}})
+				events = append(events, AttemptFinished{Call: e.Call, Result: &Result{Outcome: policy.Delivered, Final: true, Status: 200}})
 			case AppendThenNotify:
-				t.Fatalf("ended at step %d: %+v", step, fx[i].Notice)
+				t.Fatalf("ended at step %d: %+v", step, e.Notice)
 			}
 		}
 		now += 5e3
--- a/internal/core/retryafter_test.go
+++ b/internal/core/retryafter_test.go
@@ -44,7 +44,7 @@
 	return &callDriver{w: w, scopes: map[string]*sendgate.Scope{}, endpoints: map[policy.EndpointID]*driverEndpoint{}, retryAfterOf: map[string]policy.Time{}, tellingScopes: map[string]bool{}}
 }
 
-func (d *callDriver) openEndpoint(e *Effect) {
+func (d *callDriver) openEndpoint(e OpenEndpoint) {
 	name := fmt.Sprintf("dest %d", e.Dest)
 	if e.Apart {
 		name = "route " + d.w.idOf(e.Endpoint)
@@ -95,7 +95,7 @@
 		c.pass = nil
 	}
 	d.calls = slices.DeleteFunc(d.calls, func(x *driverCall) bool { return x == c })
-	d.w.enqueue(c.call, Event{Kind: AttemptFinished, Call: c.call, Result: o})
+	d.w.enqueue(c.call, AttemptFinished{Call: c.call, Result: o})
 }
 
 func (d *callDriver) blockCall(c *driverCall, err error) {
@@ -222,7 +222,7 @@
 			owed = append(owed, &Record{Kind: RecordAccepted, ID: fmt.Sprint("m", i), Class: "plain", Dest: 1, Deadline: r.wall(3620e6)})
 		}
 		if carried == nil {
-			r.Observe(3600e6, []Event{{Kind: EndpointListUpdated, News: policy.ListFull, List: list}}, nil)
+			r.Observe(3600e6, []Event{EndpointListUpdated{Kind: policy.ListFull, List: list}}, nil)
 			r.RecoverMessages(3600e6, owed, nil, 0, nil)
 		} else {
 			carried.Members = []HandoverMember{{Member: list.Members[0], Number: 1}}
@@ -239,8 +239,8 @@
 			t.Fatalf("%s: %d calls begun", name, len(out))
 		}
 		sent := 0 // the window allows two then, and so does half a second of the usual pace
-		for _, e := range r.Step(3600e6+500e3, []Event{{Kind: AttemptFinished, Call: out[0], Result: &Result{Outcome: policy.Delivered, Final: true, Elapsed: 1000}}}, nil) {
-			if e.Kind == AppendThenSend {
+		for _, e := range r.Step(3600e6+500e3, []Event{AttemptFinished{Call: out[0], Result: &Result{Outcome: policy.Delivered, Final: true, Elapsed: 1000}}}, nil) {
+			if is[AppendThenSend](e) {
 				sent++
 			}
 		}
@@ -255,9 +255,9 @@
 	events := w.queue
 	w.queue = nil
 	for _, e := range events {
-		if e.Call != nil {
-			w.openCallCount[e.Call.Record.ID]--
-			delete(w.openCalls, e.Call)
+		if c := callOf(e); c != nil {
+			w.openCallCount[c.Record.ID]--
+			delete(w.openCalls, c)
 		}
 	}
 	w.step(w.logModel, events)
@@ -267,7 +267,7 @@
 // a sibling; and one that another process was told binds its siblings too.
 func TestLongestRetryAfterWins(t *testing.T) {
 	r := testCore(t)
-	r.Step(3600e6, []Event{{Kind: EndpointListUpdated, News: policy.ListFull, List: &EndpointList{Members: []Member{
+	r.Step(3600e6, []Event{EndpointListUpdated{Kind: policy.ListFull, List: &EndpointList{Members: []Member{
 		{ID: "a", HostPort: "127.0.0.1:1", Dest: 1, Phase: Up, Flavor: "k"}, {ID: "b", HostPort: "127.0.0.1:2", Dest: 1, Phase: Up, Flavor: "k"},
 		{ID: "c", HostPort: "127.0.0.1:3", Dest: 2, Phase: Up, Flavor: "r"}, {ID: "d", HostPort: "127.0.0.1:4", Dest: 2, Phase: Up, Flavor: "r"}}}}}, nil)
 	now := r.now
@@ -292,12 +292,12 @@
 		}
 		// One that joins a destination which has told a wait is bound as well, and
 		// one that joins a route's is not.
-		fx := c.Step(now, []Event{{Kind: EndpointListUpdated, News: policy.ListDelta, List: &EndpointList{Members: []Member{
+		fx := c.Step(now, []Event{EndpointListUpdated{Kind: policy.ListDelta, List: &EndpointList{Members: []Member{
 			{ID: "e", HostPort: "127.0.0.1:5", Dest: 1, Phase: Up, Flavor: "k"}, {ID: "f", HostPort: "127.0.0.1:6", Dest: 2, Phase: Up, Flavor: "r"}}}}}, nil)
 		held := map[policy.EndpointID]policy.Time{}
 		for i := range fx {
-			if fx[i].Kind == ApplyRetryAfter {
-				held[fx[i].Endpoint] = fx[i].Until - now
+			if e, ok := fx[i].(ApplyRetryAfter); ok {
+				held[e.Endpoint] = e.Until - now
 			}
 		}
 		if e, f := c.endpointsByID["e"], c.endpointsByID["f"]; held[e.number] != 5e6 || held[f.number] != 0 || c.retryAfterOf(f) != 0 {
--- a/internal/core/shutdown_test.go
+++ b/internal/core/shutdown_test.go
@@ -21,7 +21,7 @@
 	for k := range 16 {
 		l.Members = append(l.Members, Member{ID: fmt.Sprintf("s-%d", k), HostPort: fmt.Sprintf("127.0.0.1:%d", 7000+k), Dest: k, Phase: Up, Rate: 1000, Locality: "a", Flavor: "k"})
 	}
-	s.step(Event{Kind: EndpointListUpdated, News: policy.ListFull, List: l})
+	s.step(EndpointListUpdated{Kind: policy.ListFull, List: l})
 	return s
 }
 
@@ -32,16 +32,16 @@
 func (s *shutdownFixture) submit(id, class string, dest int) (taken, sent bool) {
 	s.t.Helper()
 	q := &Request{Class: s.core.settings.Classes[class], Record: &Record{Kind: RecordAccepted, ID: id, Class: class, Key: id, Dest: dest, Deadline: s.core.wall(s.now + 15e6)}}
-	fx := s.step(Event{Kind: Submitted, Request: q})
+	fx := s.step(Submitted{Request: q})
 	for i := range fx {
-		if fx[i].Kind == AppendThenReply {
+		if is[AppendThenReply](fx[i]) {
 			taken = true
 		}
 	}
 	if taken {
-		fx = s.step(Event{Kind: ReplyDelivered, Request: q, OK: true})
+		fx = s.step(ReplyDelivered{Request: q, OK: true})
 		for i := range fx {
-			sent = sent || fx[i].Kind == AppendThenSend
+			sent = sent || is[AppendThenSend](fx[i])
 		}
 	}
 	return taken, sent
@@ -61,7 +61,7 @@
 		{"plain", CloseClientsAfter, true, true, false}, {"keyed", stopAcceptingAfter - 1, true, true, false}, {"plain", stopAcceptingAfter, false, false, false},
 	} {
 		s := newShutdownFixture(t)
-		s.step(Event{Kind: ShutdownRequested})
+		s.step(ShutdownRequested{})
 		s.now += x.after
 		if got := s.core.KeepsClientConnections(s.now); got != x.keeps {
 			t.Errorf("%d ms after SIGTERM clients are kept: %v", x.after/1000, got)
@@ -84,13 +84,13 @@
 			if taken, sent = s.submit("m", x.class, 20); !taken || sent {
 				t.Fatalf("taken %v, sent %v", taken, sent)
 			}
-			s.step(Event{Kind: ShutdownRequested})
+			s.step(ShutdownRequested{})
 			s.now += after
 			l := &EndpointList{Members: []Member{{ID: "late", HostPort: "127.0.0.1:1", Dest: 20, Phase: Up, Rate: 1000, Locality: "a", Flavor: "k"}}}
 			sent = false
-			fx := s.step(Event{Kind: EndpointListUpdated, News: policy.ListDelta, List: l})
+			fx := s.step(EndpointListUpdated{Kind: policy.ListDelta, List: l})
 			for i := range fx {
-				sent = sent || fx[i].Kind == AppendThenSend
+				sent = sent || is[AppendThenSend](fx[i])
 			}
 			if want := after < x.last; sent != want {
 				t.Errorf("%s: a call is begun %d ms after SIGTERM: %v, want %v", x.class, after/1000, sent, want)
@@ -107,7 +107,7 @@
 	for i := range 8 {
 		s.submit(fmt.Sprintf("m%d", i), "plain", 20)
 	}
-	s.step(Event{Kind: ShutdownRequested})
+	s.step(ShutdownRequested{})
 	if s.core.KeepsClientConnections(s.now) {
 		t.Error("clients are kept with 8 messages waiting for 16 slots")
 	}
@@ -152,11 +152,11 @@
 		fx = append(fx, s.step()...)
 		got := "nothing"
 		for i := range fx {
-			switch fx[i].Kind {
+			switch e := fx[i].(type) {
 			case AppendThenSend:
 				got = "sent"
 			case AppendThenNotify:
-				got = fx[i].Notice.Outcome
+				got = e.Notice.Outcome
 			}
 		}
 		if got != x.want {
--- a/internal/core/snapshot.go
+++ b/internal/core/snapshot.go
@@ -67,7 +67,7 @@
 	}
 	for _, ep := range r.endpoints {
 		if until := r.retryAfterOf(ep); until > r.now {
-			r.emit(Effect{Kind: ApplyRetryAfter, Endpoint: ep.number, Until: until})
+			r.emit(ApplyRetryAfter{Endpoint: ep.number, Until: until})
 		}
 	}
 	return r.takeEffects()
--- a/internal/core/snapshot_test.go
+++ b/internal/core/snapshot_test.go
@@ -13,26 +13,26 @@
 	t.Helper()
 	r := testCore(t)
 	now := policy.Time(3600e6)
-	r.Observe(now, []Event{{Kind: EndpointListUpdated, News: policy.ListFull, List: &EndpointList{Complete: true, Revision: 7, Members: members}}}, nil)
+	r.Observe(now, []Event{EndpointListUpdated{Kind: policy.ListFull, List: &EndpointList{Complete: true, Revision: 7, Members: members}}}, nil)
 	var events []Event
 	for i := range 40 {
 		if i < 12 {
 			id := "m" + string(rune('a'+i))
-			events = append(events, Event{Kind: Submitted, Request: &Request{Class: 0, Tenant: -1,
+			events = append(events, Submitted{Request: &Request{Class: 0, Tenant: -1,
 				Record: &Record{Kind: RecordAccepted, ID: id, Class: "plain", Dest: 1 + i%2, Deadline: r.wall(now + 15e6)}}})
 		}
 		fx := r.Step(now, events, nil)
 		events = nil
 		for _, e := range fx {
-			switch e.Kind {
+			switch e := e.(type) {
 			case AppendThenReply:
-				events = append(events, Event{Kind: ReplyDelivered, Request: e.Request, OK: true})
+				events = append(events, ReplyDelivered{Request: e.Request, OK: true})
 			case AppendThenSend:
 				o := &Result{Outcome: policy.Rejected, Status: 429, RetryAfter: 8e6}
 				if e.Call.Record.Dest == 2 {
 					o = &Result{Outcome: policy.ConnectFailed}
 				}
-				events = append(events, Event{Kind: AttemptFinished, Call: e.Call, Result: o})
+				events = append(events, AttemptFinished{Call: e.Call, Result: o})
 			}
 		}
 		now += 20e3
@@ -81,11 +81,11 @@
 		}
 		r := testCore(t)
 		now := l.Now + shift + 700e3
-		r.Observe(now, []Event{{Kind: EndpointListUpdated, News: policy.ListCached, List: &EndpointList{Complete: true, Members: c.list}}}, nil)
+		r.Observe(now, []Event{EndpointListUpdated{Kind: policy.ListCached, List: &EndpointList{Complete: true, Members: c.list}}}, nil)
 		holds := 0
 		if c.learned {
 			for _, e := range r.RestoreState(now, l, shift, nil) {
-				if e.Kind == ApplyRetryAfter && r.endpointsByNumber[e.Endpoint].dest == 1 && e.Until > now+6e6 && e.Until <= now+8e6 {
+				if e, ok := e.(ApplyRetryAfter); ok && r.endpointsByNumber[e.Endpoint].dest == 1 && e.Until > now+6e6 && e.Until <= now+8e6 {
 					holds++
 				}
 			}
@@ -98,14 +98,14 @@
 		}
 		// Nothing goes to destination 1 before its wait is over.
 		rec := &Record{Kind: RecordAccepted, ID: "m", Class: "plain", Dest: 1, Deadline: r.wall(now + 20e6)}
-		events, first := []Event{{Kind: Submitted, Request: &Request{Class: 0, Tenant: -1, Record: rec}}}, policy.Time(0)
+		events, first := []Event{Submitted{Request: &Request{Class: 0, Tenant: -1, Record: rec}}}, policy.Time(0)
 		for at := now; at < now+10e6 && first == 0; at += 20e3 {
 			fx := r.Step(at, events, nil)
 			events = nil
 			for _, e := range fx {
-				switch e.Kind {
+				switch e := e.(type) {
 				case AppendThenReply:
-					events = append(events, Event{Kind: ReplyDelivered, Request: e.Request, OK: true})
+					events = append(events, ReplyDelivered{Request: e.Request, OK: true})
 				case AppendThenSend:
 					first = at
 				}
--- a/internal/core/trace_test.go
+++ b/internal/core/trace_test.go
@@ -26,7 +26,7 @@
 		fx := r.Step(now, events, nil)
 		events = nil
 		for i := range fx {
-			switch e := &fx[i]; e.Kind {
+			switch e := fx[i].(type) {
 			case Log:
 				if e.Text == "tally" {
 					for _, a := range e.Args {
@@ -43,20 +43,20 @@
 					lines[id] = append(lines[id], e.Text)
 				}
 			case AppendThenReply:
-				events = append(events, Event{Kind: ReplyDelivered, Request: e.Request, OK: e.Request.Record.ID != "leaves"})
+				events = append(events, ReplyDelivered{Request: e.Request, OK: e.Request.Record.ID != "leaves"})
 			case AppendThenSend:
-				events = append(events, Event{Kind: AttemptFinished, Call: e.Call, Result: &Result{Outcome: policy.Delivered, Status: 200, Final: true}})
+				events = append(events, AttemptFinished{Call: e.Call, Result: &Result{Outcome: policy.Delivered, Status: 200, Final: true}})
 			}
 		}
 		now += 10e3
 	}
 	put := func(id string, dest int, left policy.Time) {
-		events = append(events, Event{Kind: Submitted, Request: &Request{Class: 0, Tenant: -1, Queued: 7e3,
+		events = append(events, Submitted{Request: &Request{Class: 0, Tenant: -1, Queued: 7e3,
 			Record: &Record{Kind: RecordAccepted, ID: id, Class: "plain", Dest: dest, Deadline: r.wall(now + left)}}})
 	}
 	l := &EndpointList{Complete: true, Members: []Member{{ID: "s1", HostPort: "10.0.0.1:1", Locality: "a", Flavor: "k", Dest: 1, Phase: Up, Rate: 1000},
 		{ID: "s2", HostPort: "10.0.0.1:2", Locality: "a", Flavor: "k", Dest: 2, Phase: Draining, Rate: 1000}}}
-	r.Observe(now, []Event{{Kind: EndpointListUpdated, News: policy.ListFull, List: l}}, nil)
+	r.Observe(now, []Event{EndpointListUpdated{Kind: policy.ListFull, List: l}}, nil)
 	put("goes", 1, 5e6)
 	put("leaves", 1, 5e6)
 	put("waits", 2, 200e3)
--- a/internal/relay/discovery_fixtures_test.go
+++ b/internal/relay/discovery_fixtures_test.go
@@ -179,10 +179,14 @@
 	}
 	m = begun(dir)
 	m.start(&EndpointList{Revision: 4, Complete: true, Members: []core.Member{member("a", 1, core.Up), member("b", 2, core.Up)}})
-	if len(events) != 1 || events[0].Kind != core.EndpointListUpdated {
+	if len(events) != 1 {
 		t.Fatalf("told %+v", events)
 	}
-	if text, err = json.Marshal(events[0].List); err != nil {
+	told, ok := events[0].(core.EndpointListUpdated)
+	if !ok {
+		t.Fatalf("told %+v", events[0])
+	}
+	if text, err = json.Marshal(told.List); err != nil {
 		t.Fatal(err)
 	}
 	checkDiscoveryFixture(t, "members-told.json", text)
--- a/internal/relay/handover.go
+++ b/internal/relay/handover.go
@@ -706,7 +706,7 @@
 	ctx, stop := context.WithCancelCause(r.ctx)
 	c := &Call{ctx: ctx, cancel: stop, elapsedBefore: time.Duration(r.now()-out.SentAt()) * time.Microsecond}
 	out.Handle = c
-	tell := func(o Result) { r.post(core.Event{Kind: core.AttemptFinished, Call: out, Result: o.coreResult()}) }
+	tell := func(o Result) { r.post(core.AttemptFinished{Call: out, Result: o.coreResult()}) }
 	fd, ok := r.inheritedCalls[out.Record.ID]
 	if !ok {
 		stop(nil)
--- a/internal/relay/loop.go
+++ b/internal/relay/loop.go
@@ -37,7 +37,7 @@
 
 // loopInput is something that the loop is told.
 type loopInput struct {
-	core.Event
+	event    core.Event
 	config   *config.Config   // a new one
 	handover *handoverRequest // another process is ready to take over
 }
@@ -153,7 +153,7 @@
 	if cfg.KnownList != nil {
 		follow.SetRevision(cfg.KnownList.Revision)
 	}
-	r.discovery = newListWatcher(cfg.Discovery, log, follow, func(l *EndpointList) { r.inbox.Put(loopInput{Event: listEvent(l)}) })
+	r.discovery = newListWatcher(cfg.Discovery, log, follow, func(l *EndpointList) { r.inbox.Put(loopInput{event: listEvent(l)}) })
 	if cfg.Etcd != nil {
 		if err := r.mergeSources(); err != nil {
 			return false, err
@@ -171,7 +171,7 @@
 	defer r.lock.close()
 	list := sync.OnceValue(r.collectFirstLists)
 	if r.members != nil { // what discovery says goes through the view, once that has begun
-		list = func() []core.Event { return nil }
+		list = func() []core.EndpointListUpdated { return nil }
 	}
 	heard := false
 	inherited, err := r.acquireState(func() { list(); heard = true })
@@ -200,8 +200,8 @@
 	// Before the log is touched: who has the address may be a relay that knows
 	// of no lock.
 	listen := func() (*clientServer, error) {
-		return newClientServer(cfg, opt, func(q *request) { r.post(core.Event{Kind: core.Submitted, Request: &q.Request}) },
-			func(q *request, ok bool) { r.post(core.Event{Kind: core.ReplyDelivered, Request: &q.Request, OK: ok}) },
+		return newClientServer(cfg, opt, func(q *request) { r.post(core.Submitted{Request: &q.Request}) },
+			func(q *request, ok bool) { r.post(core.ReplyDelivered{Request: &q.Request, OK: ok}) },
 			append([]string{cfg.Listen}, cfg.ClientSettings.ListenAddresses...)...)
 	}
 	cl, err := listen()
@@ -241,7 +241,7 @@
 			if known.Partial {
 				kind = policy.ListDelta
 			}
-			r.observe([]core.Event{{Kind: core.EndpointListUpdated, List: known.EndpointList(), News: kind}})
+			r.observe([]core.EndpointListUpdated{{List: known.EndpointList(), Kind: kind}})
 		}
 		if heard || cfg.KnownList == nil && known == nil { // without any list there is nothing to serve on, and nobody is let in
 			r.observe(list())
@@ -279,7 +279,7 @@
 	defer cl.server.Close()
 	go func() {
 		<-stop
-		r.post(core.Event{Kind: core.ShutdownRequested})
+		r.post(core.ShutdownRequested{})
 	}()
 	r.lifecycle.startServing(cl.server)
 	if inherited.conn != nil {
@@ -310,25 +310,29 @@
 	return false, err
 }
 
-func listEvent(l *EndpointList) core.Event {
+func listEvent(l *EndpointList) core.EndpointListUpdated {
 	kind := policy.ListDelta
 	if l.Complete {
 		kind = policy.ListFull
 	}
-	return core.Event{Kind: core.EndpointListUpdated, List: l, News: kind}
+	return core.EndpointListUpdated{List: l, Kind: kind}
 }
 
-func (r *Relay) post(e core.Event) { r.inbox.Put(loopInput{Event: e}) }
+func (r *Relay) post(e core.Event) { r.inbox.Put(loopInput{event: e}) }
 
-// observe has the core take events in without a decision.
-func (r *Relay) observe(events []core.Event) {
+// observe has the core take lists in without a decision.
+func (r *Relay) observe(lists []core.EndpointListUpdated) {
+	events := make([]core.Event, 0, len(lists))
+	for _, l := range lists {
+		events = append(events, l)
+	}
 	r.execute(r.core.Observe(r.now(), events, r.effects[:0]))
 }
 
 // configuredList is the list in the configuration.
-func (r *Relay) configuredList() (lists []core.Event) {
+func (r *Relay) configuredList() (lists []core.EndpointListUpdated) {
 	if r.cfg.KnownList != nil {
-		lists = append(lists, core.Event{Kind: core.EndpointListUpdated, List: r.cfg.KnownList, News: policy.ListCached})
+		lists = append(lists, core.EndpointListUpdated{List: r.cfg.KnownList, Kind: policy.ListCached})
 	}
 	return lists
 }
@@ -349,10 +353,10 @@
 		return
 	}
 	if r.members != nil {
-		r.members.enqueueCallback(func() { r.post(core.Event{Kind: core.Started}) })
+		r.members.enqueueCallback(func() { r.post(core.Started{}) })
 		return
 	}
-	r.post(core.Event{Kind: core.Started})
+	r.post(core.Started{})
 }
 
 // mergeSources has discovery's words go through a view that etcd's go through as well.
@@ -373,7 +377,7 @@
 // dropStaleLists leaves out lists that the process before has heard later ones than, from
 // the same agent: what has drained since is not up again. What is left out is had
 // once more, whole, in case the registry has begun anew.
-func (r *Relay) dropStaleLists(lists []core.Event, before *inheritedState) []core.Event {
+func (r *Relay) dropStaleLists(lists []core.EndpointListUpdated, before *inheritedState) []core.EndpointListUpdated {
 	switch {
 	case before.DiscoveryAddr == r.discoveryAddr:
 	case before.ReloadRequested: // it had moved, and this one will
@@ -382,7 +386,7 @@
 		return lists // another's versions are its own
 	}
 	all := len(lists)
-	lists = slices.DeleteFunc(lists, func(e core.Event) bool { return e.List.Revision < r.core.ListRevision() })
+	lists = slices.DeleteFunc(lists, func(e core.EndpointListUpdated) bool { return e.List.Revision < r.core.ListRevision() })
 	if len(lists) < all {
 		r.discovery.addresses.Put(r.discoveryAddr)
 	}
@@ -392,7 +396,7 @@
 // collectFirstLists is the same for a process that is to take over from another one,
 // which serves meanwhile, or that has no list: it returns what was heard. The list
 // in the configuration is not among it, since the other's is newer.
-func (r *Relay) collectFirstLists() (lists []core.Event) {
+func (r *Relay) collectFirstLists() (lists []core.EndpointListUpdated) {
 	limit := time.NewTimer(firstListTimeout)
 	defer limit.Stop()
 	first := r.discovery.firstResponse
@@ -411,11 +415,10 @@
 		}
 		got = r.inbox.TakeAll(got)
 		for _, h := range got {
-			switch {
-			case h.config != nil:
+			if h.config != nil {
 				r.reconfigure(h.config)
-			case h.Kind == core.EndpointListUpdated:
-				lists = append(lists, h.Event)
+			} else if l, ok := h.event.(core.EndpointListUpdated); ok {
+				lists = append(lists, l)
 				heard = true
 			}
 		}
@@ -558,8 +561,8 @@
 			r.reconfigure(h.config)
 		case h.handover != nil:
 			r.pendingHandover = h.handover // there is one at a time
-		case h.Kind != 0:
-			r.events = append(r.events, h.Event)
+		case h.event != nil:
+			r.events = append(r.events, h.event)
 		}
 	}
 	r.step()
@@ -576,24 +579,24 @@
 
 // execute does what the core says, in its order.
 func (r *Relay) execute(fx []core.Effect) {
-	for i := range fx {
-		r.executeEffect(&fx[i])
+	for _, e := range fx {
+		r.executeEffect(e)
 	}
 	clear(fx)
 	r.effects = fx[:0]
 }
 
-func (r *Relay) executeEffect(e *core.Effect) {
-	switch e.Kind {
+func (r *Relay) executeEffect(e core.Effect) {
+	switch e := e.(type) {
 	case core.SendReply:
 		requestOf(e.Request).answer(replyText(e.Reply))
 	case core.AppendRecord:
 		r.wal.Submit(e.Record, nil)
 	case core.AppendThenReply:
 		q := e.Request
-		r.wal.Submit(e.Record, func(err error) {
+		r.wal.Submit(q.Record, func(err error) {
 			if err != nil {
-				r.post(core.Event{Kind: core.LogWriteFailed, Request: q})
+				r.post(core.LogWriteFailed{Request: q})
 				return
 			}
 			requestOf(q).answer(replyOK)
@@ -620,7 +623,7 @@
 		h, ep := r.endpoints[e.Endpoint], e.Endpoint
 		go func() {
 			o := checkHealth(r.ctx, h)
-			r.post(core.Event{Kind: core.HealthChecked, Endpoint: ep, Result: o.coreResult()})
+			r.post(core.HealthChecked{Endpoint: ep, Result: o.coreResult()})
 		}()
 	case core.OpenEndpoint:
 		at := scopeKey{dest: e.Dest}
@@ -665,7 +668,7 @@
 
 // identityRejected is told by the handshakes that an endpoint gets nothing for a time.
 func (r *Relay) identityRejected(endpoint uint64, wait time.Duration) {
-	r.post(core.Event{Kind: core.IdentityRejected, Endpoint: policy.EndpointID(endpoint), Wait: wait.Microseconds()})
+	r.post(core.IdentityRejected{Endpoint: policy.EndpointID(endpoint), Wait: wait.Microseconds()})
 }
 
 // startCall logs an attempt and then makes it.
@@ -677,7 +680,7 @@
 	r.wal.Submit(rec, func(err error) {
 		if err != nil {
 			stop(err)
-			r.post(core.Event{Kind: core.AttemptNotLogged, Call: out})
+			r.post(core.AttemptNotLogged{Call: out})
 			return
 		}
 		r.inFlight.Add(out, c)
@@ -685,7 +688,7 @@
 			defer stop(nil)
 			defer r.inFlight.Remove(out)
 			c.Do(h, out.Record, limit, r.cfg.LoadReportFields, func(o Result) {
-				r.post(core.Event{Kind: core.AttemptFinished, Call: out, Result: o.coreResult()})
+				r.post(core.AttemptFinished{Call: out, Result: o.coreResult()})
 			})
 		}()
 	})
--- a/internal/relay/members.go
+++ b/internal/relay/members.go
@@ -145,7 +145,7 @@
 
 func (m *memberMerger) emit(all []core.Member) {
 	if len(all) > 0 {
-		m.emitEvent(core.Event{Kind: core.EndpointListUpdated, List: &EndpointList{Revision: m.registryRevision, Members: all}, News: policy.ListDelta})
+		m.emitEvent(core.EndpointListUpdated{List: &EndpointList{Revision: m.registryRevision, Members: all}, Kind: policy.ListDelta})
 	}
 }
 
--- a/internal/relay/waits_test.go
+++ b/internal/relay/waits_test.go
@@ -180,7 +180,7 @@
 	r := &Relay{endpoints: map[policy.EndpointID]*Endpoint{}, pool: testPool(t), startedAt: time.Now()}
 	r.pool.now = r.now
 	open := func(n policy.EndpointID, dest int, apart bool) {
-		r.executeEffect(&core.Effect{Kind: core.OpenEndpoint, Endpoint: n, Address: "127.0.0.1:1", Dest: dest, Apart: apart})
+		r.executeEffect(core.OpenEndpoint{Endpoint: n, Address: "127.0.0.1:1", Dest: dest, Apart: apart})
 	}
 	open(1, 1, false)
 	open(2, 1, false)
@@ -188,9 +188,9 @@
 	open(4, 2, true)
 	open(5, 3, false)
 	until := r.now() + 60e6
-	r.executeEffect(&core.Effect{Kind: core.ApplyRetryAfter, Endpoint: 1, Until: until})
-	r.executeEffect(&core.Effect{Kind: core.ApplyRetryAfter, Endpoint: 3, Until: until})
-	r.executeEffect(&core.Effect{Kind: core.CloseEndpoint, Endpoint: 3})
+	r.executeEffect(core.ApplyRetryAfter{Endpoint: 1, Until: until})
+	r.executeEffect(core.ApplyRetryAfter{Endpoint: 3, Until: until})
+	r.executeEffect(core.CloseEndpoint{Endpoint: 3})
 	open(3, 2, true)
 	open(6, 1, false)
 	for n, want := range map[policy.EndpointID]bool{1: true, 2: true, 3: true, 4: false, 5: false, 6: true} {
@@ -198,15 +198,15 @@
 			t.Errorf("endpoint %d is held: %v", n, got)
 		}
 	}
-	r.executeEffect(&core.Effect{Kind: core.ForgetEndpoint, Endpoint: 3})
+	r.executeEffect(core.ForgetEndpoint{Endpoint: 3})
 	if open(3, 2, true); retryAfterLeft(r.endpoints[3]) > 0 {
 		t.Error("a route that was forgotten is held")
 	}
 	for _, n := range []policy.EndpointID{1, 2, 6} {
-		r.executeEffect(&core.Effect{Kind: core.CloseEndpoint, Endpoint: n})
-		r.executeEffect(&core.Effect{Kind: core.ForgetEndpoint, Endpoint: n})
+		r.executeEffect(core.CloseEndpoint{Endpoint: n})
+		r.executeEffect(core.ForgetEndpoint{Endpoint: n})
 	}
-	if r.executeEffect(&core.Effect{Kind: core.PassivateDestination, Dest: 1}); r.pool.scopes[scopeKey{dest: 1}] != nil {
+	if r.executeEffect(core.PassivateDestination{Dest: 1}); r.pool.scopes[scopeKey{dest: 1}] != nil {
 		t.Error("a destination that rests keeps its scope")
 	}
 }
