--- a/internal/core/core_test.go
+++ b/internal/core/core_test.go
@@ -214,7 +214,7 @@
 		if w.rng.IntN(3) > 0 {
 			class := w.rng.IntN(3)
 			rec := &Record{Kind: RecordAccepted, ID: "m" + strconv.Itoa(i), Class: []string{"plain", "keyed", "once"}[class], Dest: w.rng.IntN(3),
-				Deadline: w.core.wall(w.now + policy.Time(w.rng.IntN(3e6)))}
+				Deadline: w.core.wallTime(w.now + policy.Time(w.rng.IntN(3e6)))}
 			if class == 1 {
 				rec.Key = rec.ID
 			}
--- a/internal/core/crash_test.go
+++ b/internal/core/crash_test.go
@@ -331,8 +331,8 @@
 // call plays an endpoint, which goes on where the relay dies.
 func (h *crashSimulation) call(c *Call) {
 	m := h.messages[c.Record.ID]
-	ep := h.core.endpointsByNumber[c.Endpoint]
-	if !m.acknowledged && !m.recovered || h.core.sendsDeferred {
+	ep := h.core.endpoints.byNumber[c.Endpoint]
+	if !m.acknowledged && !m.recovered || h.core.deferral.awaitingList {
 		h.failf("%s is sent before its client heard, or before the list", c.Record.ID)
 	}
 	if h.closedEndpoints[c.Endpoint] || ep.dest != c.Record.Dest {
@@ -473,7 +473,7 @@
 			h.listRevision++
 			x := &h.members[h.rng.IntN(len(h.members))]
 			x.Phase = []string{Up, Draining, Removed}[h.rng.IntN(3)]
-			if h.core != nil && h.downs[len(h.downs)-1][1] < 1<<62 && !h.core.sendsDeferred {
+			if h.core != nil && h.downs[len(h.downs)-1][1] < 1<<62 && !h.core.deferral.awaitingList {
 				h.events = append(h.events, EndpointListUpdated{Kind: policy.ListDelta, List: &EndpointList{Members: []Member{*x}}})
 			}
 		})
@@ -521,7 +521,7 @@
 	if len(h.log.pending) > 0 {
 		h.failf("%d messages are left in the log", len(h.log.pending))
 	}
-	if c := h.core; c == nil || c.HeldMessages()+c.UnansweredRequests()+c.OpenCalls()+len(c.messages)+len(c.messagesByID) > 0 {
+	if c := h.core; c == nil || c.HeldMessages()+c.UnansweredRequests()+c.OpenCalls()+len(c.messages.byNumber)+len(c.messages.byID) > 0 {
 		h.failf("at the end of the day something is held: %d messages, %d requests, %d calls", c.HeldMessages(), c.UnansweredRequests(), c.OpenCalls())
 	}
 	return h, taken
@@ -568,7 +568,7 @@
 		if i%2 == 1 {
 			due = now + 2e6
 		}
-		owed = append(owed, &Record{Kind: RecordAccepted, ID: "m" + strconv.Itoa(i), Class: "plain", Dest: 1, Deadline: r.wall(due)})
+		owed = append(owed, &Record{Kind: RecordAccepted, ID: "m" + strconv.Itoa(i), Class: "plain", Dest: 1, Deadline: r.wallTime(due)})
 	}
 	ends := map[string]policy.Time{}
 	step := func(at policy.Time, fx []Effect) (count int) {
--- a/internal/core/defersends_test.go
+++ b/internal/core/defersends_test.go
@@ -57,7 +57,7 @@
 	var events []Event
 	for _, id := range []string{"a", "b", "c"} {
 		events = append(events, Submitted{Request: &Request{Class: 0, Tenant: -1,
-			Record: &Record{Kind: RecordAccepted, ID: id, Class: "plain", Dest: 1, Deadline: r.wall(now + 5e6)}}})
+			Record: &Record{Kind: RecordAccepted, ID: id, Class: "plain", Dest: 1, Deadline: r.wallTime(now + 5e6)}}})
 	}
 	var said []Event
 	for _, e := range r.Step(now, events, nil) {
@@ -82,7 +82,7 @@
 		for _, e := range fx {
 			if e, ok := e.(AppendThenSend); ok {
 				got = append(got, e.Call.Record.ID)
-				if r.endpointsByNumber[e.Call.Endpoint].id == "s1" {
+				if r.endpoints.byNumber[e.Call.Endpoint].id == "s1" {
 					t.Errorf("%s goes to who has drained", e.Call.Record.ID)
 				}
 				events = append(events, AttemptFinished{Call: e.Call, Result: &Result{Outcome: policy.Delivered, Status: 200, Final: true}})
@@ -105,7 +105,7 @@
 	r.Observe(now, []Event{EndpointListUpdated{Kind: policy.ListCached, List: &EndpointList{Complete: true, Members: []Member{member("s1", Up), member("s2", Up)}}}}, nil)
 	r.DeferSends()
 	for _, ep := range []policy.EndpointID{1, 2} {
-		r.executeAction(now, &policy.Action{Kind: policy.ActHealthCheck, Endpoint: ep})
+		r.executeAction(&policy.Action{Kind: policy.ActHealthCheck, Endpoint: ep})
 	}
 	if fx := r.takeEffects(); len(fx) > 0 {
 		t.Errorf("%+v while the list is waited for", fx)
--- a/internal/core/effect.go
+++ b/internal/core/effect.go
@@ -67,11 +67,11 @@
 
 // OpenEndpoint makes an endpoint known to the driver: calls may come there.
 type OpenEndpoint struct {
-	Endpoint policy.EndpointID
-	Address  string
-	Dest     int
-	Flavor   string
-	Apart    bool // a Retry-After of the endpoint binds it alone, not its destination
+	Endpoint         policy.EndpointID
+	Address          string
+	Dest             int
+	Flavor           string
+	IndependentRoute bool // a Retry-After of the endpoint binds it alone
 }
 
 // CloseEndpoint closes the connections to an endpoint and lets no call begin there, also
--- a/internal/core/endpoint_test.go
+++ b/internal/core/endpoint_test.go
@@ -56,28 +56,28 @@
 		}
 	}
 	carry(news(policy.ListFull, up(0), up(1), up(2)))
-	waits := r.endpointsByID["s-1"]
+	waits := r.endpoints.byID["s-1"]
 	waits.retryAfter = r.now + policy.Time(1800e6)
 	most := 0
 	for i := 3; i < 3000; i++ {
-		old := r.endpointsByID[up(i-3).ID]
+		old := r.endpoints.byID[up(i-3).ID]
 		leaves := up(i - 3)
 		leaves.Phase = Removed
 		carry(news(policy.ListDelta, leaves, up(i)))
-		fresh := r.endpointsByID[up(i).ID]
+		fresh := r.endpoints.byID[up(i).ID]
 		if fresh.number == old.number || homes[old.number] != "" || homes[fresh.number] != up(i).HostPort {
 			t.Fatalf("%s inherits from %s: %v", fresh.id, old.id, homes)
 		}
 		r.now += 1e6
-		most = max(most, len(r.endpoints), len(homes))
+		most = max(most, len(r.endpoints.all), len(homes))
 	}
-	if most > 20 || len(r.endpointsByNumber) != len(r.endpoints) || len(r.endpointsByID) != len(r.endpoints) {
-		t.Errorf("%d endpoints kept, %d by number", most, len(r.endpointsByNumber))
+	if most > 20 || len(r.endpoints.byNumber) != len(r.endpoints.all) || len(r.endpoints.byID) != len(r.endpoints.all) {
+		t.Errorf("%d endpoints kept, %d by number", most, len(r.endpoints.byNumber))
 	}
 	if len(r.knownDestinations) != 3 {
 		t.Errorf("%d destinations named", len(r.knownDestinations))
 	}
-	if r.endpointsByID["s-1"] != nil {
+	if r.endpoints.byID["s-1"] != nil {
 		t.Error("kept though its wait is over")
 	}
 }
@@ -88,7 +88,7 @@
 func TestUnknownDestinations(t *testing.T) {
 	r := testCore(t)
 	put := func(id string, dest int) string {
-		q := &Request{Record: &Record{ID: id, Class: "plain", Dest: dest, Deadline: r.wall(20e6)}}
+		q := &Request{Record: &Record{ID: id, Class: "plain", Dest: dest, Deadline: r.wallTime(20e6)}}
 		for _, e := range r.Observe(r.now, []Event{Submitted{Request: q}}, nil) {
 			if e, ok := e.(SendReply); ok && e.Request == q {
 				return fmt.Sprint(e.Reply.Err)
@@ -106,21 +106,21 @@
 	if s := put("known", 1); s != "held" {
 		t.Errorf("gone for now: %q", s)
 	}
-	held := r.heldMessages
+	held := r.messages.held
 	for i := range 1000 {
 		if s := put(fmt.Sprint("m", i), 2+i); !strings.HasPrefix(s, "dest: no list names") {
 			t.Fatalf("unknown: %q", s)
 		}
 	}
-	if r.heldMessages != held || len(r.messagesByID) != held {
-		t.Errorf("%d held, want %d", r.heldMessages, held)
+	if r.messages.held != held || len(r.messages.byID) != held {
+		t.Errorf("%d held, want %d", r.messages.held, held)
 	}
 }
 
 // Guards against connections that died in silence: after a machine was away,
 // what is idle to it is given up; one slow call among others is no reason.
 func TestSuspectsIdleConnections(t *testing.T) {
-	ep := &endpoint{}
+	ep := &endpointState{}
 	for i, x := range []struct {
 		o    Result
 		now  policy.Time
--- a/internal/core/event.go
+++ b/internal/core/event.go
@@ -40,10 +40,10 @@
 }
 
 // IdentityRejected tells that the identity of an endpoint is not proved, so that nothing is
-// sent there for Wait; a Wait of 0 says that it is proved again.
+// sent there for Duration; 0 says that it is proved again.
 type IdentityRejected struct {
 	Endpoint policy.EndpointID
-	Wait     policy.Time
+	Duration policy.Time
 }
 
 // ShutdownRequested tells that the relay is to end.
--- a/internal/core/eventpairs_test.go
+++ b/internal/core/eventpairs_test.go
@@ -60,7 +60,7 @@
 // updateOneEndpoint is a list of one endpoint in a phase.
 func (p *pairSimulation) updateOneEndpoint(phase string) (Event, bool) {
 	for _, k := range p.draw.Perm(6) {
-		ep := p.core.endpointsByID[fmt.Sprint("s", k)]
+		ep := p.core.endpoints.byID[fmt.Sprint("s", k)]
 		if ep == nil || !ep.listed {
 			continue
 		}
@@ -104,7 +104,7 @@
 	}
 	p.queue, p.openCalls, p.openCallCount, p.stopped = nil, map[*Call]bool{}, map[string]int{}, false
 	list := &EndpointList{Complete: true}
-	for _, ep := range p.core.endpoints {
+	for _, ep := range p.core.endpoints.all {
 		if ep.listed {
 			list.Members = append(list.Members, ep.member)
 		}
@@ -147,7 +147,7 @@
 			p.next++
 			class := p.draw.IntN(3)
 			rec := &Record{Kind: RecordAccepted, ID: fmt.Sprint("pair", p.next), Class: []string{"plain", "keyed", "once"}[class], Key: "k", Dest: p.draw.IntN(3),
-				Deadline: p.core.wall(p.now + policy.Time(p.draw.IntN(3e6)))}
+				Deadline: p.core.wallTime(p.now + policy.Time(p.draw.IntN(3e6)))}
 			return Submitted{Request: &Request{Record: rec, Class: class}}, true
 		}),
 		event("a client has its answer", func(p *pairSimulation) (Event, bool) {
@@ -207,8 +207,8 @@
 		}),
 		does("a message's time is up", func(p *pairSimulation) bool {
 			for _, id := range p.book.order {
-				if r := p.book.pending[id]; r != nil && r.Notice == "" && p.core.fromWall(r.Deadline) > p.now {
-					p.now = p.core.fromWall(r.Deadline)
+				if r := p.book.pending[id]; r != nil && r.Notice == "" && p.core.fromWallTime(r.Deadline) > p.now {
+					p.now = p.core.fromWallTime(r.Deadline)
 					return true
 				}
 			}
--- a/internal/core/fixtures_test.go
+++ b/internal/core/fixtures_test.go
@@ -219,7 +219,7 @@
 	case CheckHealth:
 		return fmt.Sprint("probe ", e.Endpoint)
 	case OpenEndpoint:
-		return fmt.Sprint("open ", e.Endpoint, " ", e.Address, " dest=", e.Dest, " flavor=", e.Flavor, " independent=", e.Apart)
+		return fmt.Sprint("open ", e.Endpoint, " ", e.Address, " dest=", e.Dest, " flavor=", e.Flavor, " independent=", e.IndependentRoute)
 	case CloseEndpoint:
 		return fmt.Sprint("close ", e.Endpoint)
 	case ApplyRetryAfter:
--- a/internal/core/handover_test.go
+++ b/internal/core/handover_test.go
@@ -205,7 +205,7 @@
 	if _, sent := s.submit("a", "plain", 1); !sent {
 		t.Fatal("not sent")
 	}
-	c := s.core.messagesByID["a"].call
+	c := s.core.messages.byID["a"].call
 	s.now += 10e3
 	s.step(AttemptFinished{Call: c, Result: &Result{Outcome: policy.Rejected, Status: 429, RetryAfter: 3e6}})
 	w := &simulation{t: t, core: s.core, now: s.now}
@@ -217,7 +217,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	rec := *s.core.messagesByID["a"].record
+	rec := *s.core.messages.byID["a"].record
 	rec.Attempts = 1
 	s.core, s.now = next, s.now+shift
 	next.RecoverMessages(s.now, []*Record{&rec}, carried, shift, nil)
--- a/internal/core/idle_bench_test.go
+++ b/internal/core/idle_bench_test.go
@@ -93,7 +93,7 @@
 	var fx []Effect
 	for i := range n {
 		began := time.Now()
-		q := &Request{Tenant: -1, Record: &Record{Kind: RecordAccepted, ID: strconv.Itoa(int(now)) + "-" + strconv.Itoa(i), Class: "plain", Dest: dest(i), Deadline: r.wall(now + 20e6)}}
+		q := &Request{Tenant: -1, Record: &Record{Kind: RecordAccepted, ID: strconv.Itoa(int(now)) + "-" + strconv.Itoa(i), Class: "plain", Dest: dest(i), Deadline: r.wallTime(now + 20e6)}}
 		events, done := []Event{Submitted{Request: q}}, false
 		for turn := 0; !done; turn++ {
 			if turn > 100 {
@@ -190,7 +190,7 @@
 				var events []Event
 				for i := range 10_000 {
 					events = append(events, Submitted{Request: &Request{Tenant: -1, Record: &Record{Kind: RecordAccepted, ID: fmt.Sprint(woken, i), Class: "plain",
-						Dest: woken, Deadline: r.wall(r.now + 20e6)}}})
+						Dest: woken, Deadline: r.wallTime(r.now + 20e6)}}})
 					woken++
 					if len(events) == 10 { // as many come in a step, of ten thousand in a second
 						began := time.Now()
--- a/internal/core/listupdate.go
+++ b/internal/core/listupdate.go
@@ -7,111 +7,148 @@
 	"troutusher/policy"
 )
 
-// defaultListBatchSize is how many members of a list are booked in one step, beside those
-// that concern who is awake: a list of a million must not keep clients waiting.
+// defaultListBatchSize is how many members of a list are applied in one step, beside
+// those of active destinations: a list of a million must not keep clients waiting.
 const defaultListBatchSize = 4096
 
-// listUpdate is a list under way: what concerns who is awake has been booked, since
-// a drain is obeyed at once; the rest follows in pieces.
+// listUpdate is an endpoint list that is being applied. What concerns active
+// destinations is applied at once, since a drain must be obeyed; the rest follows in
+// batches.
 type listUpdate struct {
 	list     *EndpointList
-	complete bool
+	complete bool   // it names every endpoint there is
 	applied  []bool // by member
-	next     int
-	// Endpoints that woke meanwhile and that a whole list has not named yet: if it
-	// does not, they have left.
+	next     int    // the first member of the next batch
+	// unnamed are endpoints that were activated meanwhile and that a complete list has
+	// not named yet: if it does not, they have left.
 	unnamed map[string]bool
 }
 
-// applyList books news of the list.
-func (r *Core) applyList(l *EndpointList, kind policy.ListUpdateKind) {
-	r.finishListUpdate() // the one before: the newer word must come last
-	r.listRevision = l.Revision
-	r.stateVersion++
-	b := &listUpdate{list: l, complete: kind != policy.ListDelta, applied: make([]bool, len(l.Members)), unnamed: map[string]bool{}}
-	r.listUpdate = b
-	e := policy.Event{Kind: policy.EvListUpdated, ListUpdate: kind}
-	for i := range l.Members {
-		b.applied[i] = r.endpointsByID[l.Members[i].ID] != nil
+func newListUpdate(list *EndpointList, kind policy.ListUpdateKind) *listUpdate {
+	return &listUpdate{
+		list: list, complete: kind != policy.ListDelta,
+		applied: make([]bool, len(list.Members)), unnamed: map[string]bool{},
 	}
-	if s := r.passivation.store; s != nil && b.complete {
-		s.BeginList()
+}
+
+// applyList begins to apply an endpoint list. One that is under way is finished first:
+// the newer one must have the last word.
+func (c *Core) applyList(list *EndpointList, kind policy.ListUpdateKind) {
+	c.finishListUpdate()
+	c.listRevision = list.Revision
+	c.stateVersion++
+	update := newListUpdate(list, kind)
+	c.listUpdate = update
+	if store := c.passivation.store; store != nil && update.complete {
+		store.BeginList()
 	}
-	seen := map[string]bool{}
-	for i := range l.Members {
-		x := &l.Members[i]
-		if !b.applied[i] && (x.Phase == Removed || !r.passivation.roster.Contains(x.Dest)) {
-			continue
+	named, updates := c.applyActiveMembers(update)
+	if update.complete {
+		for _, endpoint := range c.endpoints.all {
+			if !named[endpoint.id] {
+				endpoint.listed = false
+				c.retireEndpoint(endpoint)
+			}
 		}
-		b.applied[i] = true
-		if x.Check() != nil {
-			continue // in the configuration's list; discovery's is checked already
+	}
+	c.policyEvents = append(c.policyEvents, policy.Event{
+		Kind: policy.EvListUpdated, ListUpdate: kind, Updates: updates,
+	})
+	c.forgetRetired(named)
+	c.applyListBatch(c.listBatchSize)
+}
+
+// applyActiveMembers applies the members that concern active destinations. It returns
+// the endpoints that they named and what the policy is to be told of them.
+func (c *Core) applyActiveMembers(update *listUpdate) (named map[string]bool, updates []policy.EndpointUpdate) {
+	members := update.list.Members
+	for i := range members {
+		update.applied[i] = c.endpoints.byID[members[i].ID] != nil
+	}
+	named = map[string]bool{}
+	for i := range members {
+		member := &members[i]
+		if !update.applied[i] && (member.Phase == Removed || !c.passivation.active.Contains(member.Dest)) {
+			continue
 		}
-		if entry, awake := r.applyMember(x); awake {
-			seen[x.ID] = true
-			e.Updates = append(e.Updates, entry)
+		update.applied[i] = true
+		if member.Check() != nil {
+			continue // in the list of the configuration; that of discovery was checked
 		}
-	}
-	if b.complete {
-		for _, ep := range r.endpoints {
-			if !seen[ep.id] {
-				ep.listed = false
-				r.retireEndpoint(ep)
-			}
+		if endpoint, active := c.applyMember(member); active {
+			named[member.ID] = true
+			updates = append(updates, endpoint)
 		}
 	}
-	r.policyEvents = append(r.policyEvents, e)
-	r.endpoints = slices.DeleteFunc(r.endpoints, func(ep *endpoint) bool { // the list's comings and goings must not fill the memory
-		if !ep.retired || len(ep.calls) > 0 || r.now <= max(ep.retiredAt+forgetRetiredAfter, ep.retryAfter) || seen[ep.id] {
+	return named, updates
+}
+
+// forgetRetired forgets endpoints that have left for long, other than the named ones:
+// the changes of a long day must not fill the memory.
+func (c *Core) forgetRetired(named map[string]bool) {
+	c.endpoints.removeFunc(func(endpoint *endpointState) bool {
+		if named[endpoint.id] || !endpoint.mayBeForgotten(c.now) {
 			return false
 		}
-		delete(r.endpointsByID, ep.id)
-		delete(r.endpointsByNumber, ep.number)
-		r.emit(ForgetEndpoint{Endpoint: ep.number})
+		c.emit(ForgetEndpoint{Endpoint: endpoint.number})
 		return true
 	})
-	r.applyListBatch(r.listBatchSize)
 }
 
-// applyListBatch books so many more members, and reports whether any are left.
-func (r *Core) applyListBatch(most int) (more bool) {
-	b := r.listUpdate
-	e := policy.Event{Kind: policy.EvListUpdated, ListUpdate: policy.ListDelta}
-	for ; b.next < len(b.applied) && most > 0; b.next++ {
-		if b.applied[b.next] || b.list.Members[b.next].Check() != nil {
+// applyListBatch applies the next members of the list, limit at most, and reports
+// whether any are left.
+func (c *Core) applyListBatch(limit int) (more bool) {
+	update := c.listUpdate
+	var updates []policy.EndpointUpdate
+	for ; update.next < len(update.applied) && limit > 0; update.next++ {
+		member := &update.list.Members[update.next]
+		if update.applied[update.next] || member.Check() != nil {
 			continue
 		}
-		most--
-		if entry, awake := r.applyMember(&b.list.Members[b.next]); awake {
-			e.Updates = append(e.Updates, entry)
+		limit--
+		if endpoint, active := c.applyMember(member); active {
+			updates = append(updates, endpoint)
 		}
 	}
-	left := b.next < len(b.applied)
-	if !left {
-		for _, id := range slices.Sorted(maps.Keys(b.unnamed)) {
-			if ep := r.endpointsByID[id]; ep != nil {
-				e.Updates = append(e.Updates, r.updateEndpoint(&Member{ID: id, Dest: ep.dest, Phase: Removed}))
-			}
-		}
+	more = update.next < len(update.applied)
+	if !more {
+		updates = append(updates, c.removeUnnamed(update)...)
 	}
-	if len(e.Updates) > 0 {
-		r.policyEvents = append(r.policyEvents, e)
+	if len(updates) > 0 {
+		c.policyEvents = append(c.policyEvents, policy.Event{
+			Kind: policy.EvListUpdated, ListUpdate: policy.ListDelta, Updates: updates,
+		})
 	}
-	if left {
-		return true
+	if !more {
+		c.endListUpdate(update)
 	}
-	if s := r.passivation.store; s != nil && b.complete {
-		for _, dest := range s.EndList() {
-			r.noteDeparture(dest)
+	return more
+}
+
+// removeUnnamed removes the endpoints that a complete list should have named.
+func (c *Core) removeUnnamed(update *listUpdate) (updates []policy.EndpointUpdate) {
+	for _, id := range slices.Sorted(maps.Keys(update.unnamed)) {
+		if endpoint := c.endpoints.byID[id]; endpoint != nil {
+			updates = append(updates, c.updateEndpoint(&Member{ID: id, Dest: endpoint.dest, Phase: Removed}))
+		}
+	}
+	return updates
+}
+
+// endListUpdate ends a list whose members are all applied.
+func (c *Core) endListUpdate(update *listUpdate) {
+	if store := c.passivation.store; store != nil && update.complete {
+		for _, dest := range store.EndList() {
+			c.noteDeparture(dest)
 		}
 	}
-	r.listUpdate = nil
-	r.forgetDeparted()
-	return false
+	c.listUpdate = nil
+	c.forgetDeparted()
 }
 
-// finishListUpdate books what is left of a list.
-func (r *Core) finishListUpdate() {
-	for r.listUpdate != nil && r.applyListBatch(r.listBatchSize) {
+// finishListUpdate applies all that is left of a list.
+func (c *Core) finishListUpdate() {
+	for more := c.listUpdate != nil; more; {
+		more = c.applyListBatch(c.listBatchSize)
 	}
 }
--- a/internal/core/packedmemory.go
+++ b/internal/core/packedmemory.go
@@ -10,46 +10,47 @@
 	"troutusher/policy"
 )
 
-// What was learned of a destination that rests, as CBOR (RFC 8949) with numbers
-// for keys: about 40 bytes where only latencies are known. Moments count from
-// Now. No wait is among it: what was told one is awake until it is over.
+// packedMemory is what was learned of a passive destination, as CBOR (RFC 8949) with
+// integer keys: about 40 bytes where only latencies are known. Times are relative to
+// Now. It holds no Retry-After: a destination that has one is active until it is over.
 type packedMemory struct {
-	Now    int64         `cbor:"1,keyasint"`
-	Routes []packedRoute `cbor:"2,keyasint,omitempty"`
+	Now      int64           `cbor:"1,keyasint"`
+	Limiters []packedLimiter `cbor:"2,keyasint,omitempty"`
 }
 
-type packedRoute struct {
-	Endpoints     []packedEndpoint `cbor:"1,keyasint,omitempty"`
-	Nominal       float32          `cbor:"3,keyasint,omitempty"`
-	Limit         float32          `cbor:"4,keyasint,omitempty"`
-	ReducedRate   float32          `cbor:"5,keyasint,omitempty"`
-	RateReducedAt int64            `cbor:"6,keyasint,omitempty"`
-	Latency       *packedLatency   `cbor:"7,keyasint,omitempty"`
+type packedLimiter struct {
+	Endpoints    []packedEndpoint `cbor:"1,keyasint,omitempty"`
+	NominalRate  float32          `cbor:"3,keyasint,omitempty"`
+	ReportedRate float32          `cbor:"4,keyasint,omitempty"`
+	ReducedRate  float32          `cbor:"5,keyasint,omitempty"`
+	ReducedAt    int64            `cbor:"6,keyasint,omitempty"`
+	Latency      *packedLatency   `cbor:"7,keyasint,omitempty"`
 }
 
 type packedEndpoint struct {
-	ID                uint32         `cbor:"1,keyasint"` // of its id and its address: elsewhere it is another
-	Ejected           bool           `cbor:"2,keyasint,omitempty"`
+	Hash              uint32         `cbor:"1,keyasint"` // see endpointHash
+	Unhealthy         bool           `cbor:"2,keyasint,omitempty"`
 	LastFailureSilent bool           `cbor:"3,keyasint,omitempty"`
 	FirstFailureAt    int64          `cbor:"4,keyasint,omitempty"`
 	LastFailureAt     int64          `cbor:"5,keyasint,omitempty"`
 	RecoveredAt       int64          `cbor:"6,keyasint,omitempty"`
-	GoodSent          int64          `cbor:"7,keyasint,omitempty"`
+	RecoverySentAt    int64          `cbor:"7,keyasint,omitempty"`
 	LastSuccessAt     int64          `cbor:"8,keyasint,omitempty"`
-	EjectedUntil      int64          `cbor:"9,keyasint,omitempty"`
-	Score             float32        `cbor:"10,keyasint,omitempty"`
+	BackoffUntil      int64          `cbor:"9,keyasint,omitempty"`
+	FailureScore      float32        `cbor:"10,keyasint,omitempty"`
 	BudgetAt          int64          `cbor:"11,keyasint,omitempty"`
-	Budget            float32        `cbor:"12,keyasint,omitempty"`
-	Used              bool           `cbor:"13,keyasint,omitempty"`
+	BudgetTokens      float32        `cbor:"12,keyasint,omitempty"`
+	BudgetUsed        bool           `cbor:"13,keyasint,omitempty"`
 	RequiredTokens    float32        `cbor:"14,keyasint,omitempty"`
 	Latency           *packedLatency `cbor:"15,keyasint,omitempty"`
 }
 
+// packedLatency is an array in CBOR: the order of its fields is part of the format.
 type packedLatency struct {
-	_    struct{} `cbor:",toarray"`
-	Mean uint32   // µs
-	Dev  uint32
-	N    uint32
+	_         struct{} `cbor:",toarray"`
+	Mean      uint32   // µs
+	Deviation uint32   // µs
+	Count     uint32
 }
 
 var (
@@ -57,25 +58,27 @@
 	packedDecoding = must(cbor.DecOptions{MaxNestedLevels: 8, IndefLength: cbor.IndefLengthForbidden}.DecMode())
 )
 
-func must[T any](v T, err error) T {
+// must panics on an error, which says that the options above are wrong.
+func must[T any](value T, err error) T {
 	if err != nil {
-		panic(err) // the options above are wrong, at the first start of any test
+		panic(err)
 	}
-	return v
+	return value
 }
 
-// endpointHash stands for an endpoint at its address.
+// endpointHash stands for an endpoint at its address: at another it is another.
 func endpointHash(id, hostPort string) uint32 {
-	h := xxhash.New()
-	h.WriteString(id)
-	h.Write([]byte{0})
-	h.WriteString(hostPort)
-	sum := h.Sum64()
+	hash := xxhash.New()
+	_, _ = hash.WriteString(id) // a hash takes all that it is given
+	_, _ = hash.Write([]byte{0})
+	_, _ = hash.WriteString(hostPort)
+	sum := hash.Sum64()
 	return uint32(sum) ^ uint32(sum>>32)
 }
 
-// encodeMoment tells a moment by its distance; 0 stays none. A distance of 0 is a µs later.
-func encodeMoment(now, t policy.Time) int64 {
+// encodeTime is a time relative to now; 0 stays 0, which is for none. Now itself is
+// taken for a µs later.
+func encodeTime(now, t policy.Time) int64 {
 	switch t {
 	case 0:
 		return 0
@@ -85,82 +88,126 @@
 	return t - now
 }
 
-func decodeMoment(now policy.Time, d int64) policy.Time {
-	if d == 0 {
+// decodeTime is the reverse of encodeTime.
+func decodeTime(now policy.Time, relative int64) policy.Time {
+	if relative == 0 {
 		return 0
 	}
-	return max(now+d, 1)
+	return max(now+relative, 1)
 }
 
-func packLatency(l policy.LatencySnapshot) *packedLatency {
-	if l.Count == 0 {
+func packLatency(latency policy.LatencySnapshot) *packedLatency {
+	if latency.Count == 0 {
 		return nil
 	}
-	us := func(v float64) uint32 { return uint32(min(max(math.Round(v), 0), math.MaxUint32)) }
-	return &packedLatency{Mean: us(l.Mean), Dev: us(l.Deviation), N: uint32(min(l.Count, math.MaxInt32))}
+	micros := func(v float64) uint32 { return uint32(min(max(math.Round(v), 0), math.MaxUint32)) }
+	return &packedLatency{
+		Mean: micros(latency.Mean), Deviation: micros(latency.Deviation),
+		Count: uint32(min(latency.Count, math.MaxInt32)),
+	}
 }
 
-func (l *packedLatency) memory() (m policy.LatencySnapshot) {
-	if l != nil {
-		m = policy.LatencySnapshot{Mean: float64(l.Mean), Deviation: float64(l.Dev), Count: int(l.N)}
+// unpack is the reverse of packLatency.
+func (p *packedLatency) unpack() policy.LatencySnapshot {
+	if p == nil {
+		return policy.LatencySnapshot{}
 	}
-	return m
+	return policy.LatencySnapshot{Mean: float64(p.Mean), Deviation: float64(p.Deviation), Count: int(p.Count)}
 }
 
-// pack makes the bytes of a memory; none where nothing was learned. mark tells
-// what stands for an endpoint that has a number.
-func pack(m *policy.Snapshot, mark func(policy.EndpointID) (uint32, bool)) ([]byte, error) {
-	if len(m.Limiters) == 0 {
+// pack encodes a snapshot; to nothing where nothing was learned. hashOf is the hash of
+// an endpoint; one without a hash is left out.
+func pack(snapshot *policy.Snapshot, hashOf func(policy.EndpointID) (uint32, bool)) ([]byte, error) {
+	if len(snapshot.Limiters) == 0 {
 		return nil, nil
 	}
-	r := packedMemory{Now: m.Now}
-	for i := range m.Limiters {
-		l := &m.Limiters[i]
-		x := packedRoute{Nominal: float32(l.NominalRate), Limit: float32(l.ReportedRate), ReducedRate: float32(l.ReducedRate),
-			RateReducedAt: encodeMoment(m.Now, l.ReducedAt), Latency: packLatency(l.Latency)}
-		for j := range l.Endpoints {
-			e := &l.Endpoints[j]
-			id, ok := mark(e.ID)
-			if !ok {
-				continue
+	memory := packedMemory{Now: snapshot.Now}
+	for i := range snapshot.Limiters {
+		limiter := &snapshot.Limiters[i]
+		packed := packedLimiter{
+			NominalRate: float32(limiter.NominalRate), ReportedRate: float32(limiter.ReportedRate),
+			ReducedRate: float32(limiter.ReducedRate), ReducedAt: encodeTime(memory.Now, limiter.ReducedAt),
+			Latency: packLatency(limiter.Latency),
+		}
+		for j := range limiter.Endpoints {
+			endpoint := &limiter.Endpoints[j]
+			if hash, ok := hashOf(endpoint.ID); ok {
+				packed.Endpoints = append(packed.Endpoints, packEndpoint(memory.Now, hash, endpoint))
 			}
-			x.Endpoints = append(x.Endpoints, packedEndpoint{ID: id, Ejected: e.Unhealthy, LastFailureSilent: e.LastFailureSilent, FirstFailureAt: encodeMoment(m.Now, e.FirstFailureAt), LastFailureAt: encodeMoment(m.Now, e.LastFailureAt),
-				RecoveredAt: encodeMoment(m.Now, e.RecoveredAt), GoodSent: encodeMoment(m.Now, e.RecoverySentAt), LastSuccessAt: encodeMoment(m.Now, e.LastSuccessAt), EjectedUntil: encodeMoment(m.Now, e.BackoffUntil),
-				Score: float32(e.FailureScore), BudgetAt: encodeMoment(m.Now, e.RecoveryBudget.At), Budget: float32(e.RecoveryBudget.Tokens), Used: e.RecoveryBudget.Used,
-				RequiredTokens: float32(e.RequiredTokens), Latency: packLatency(e.Latency)})
 		}
-		r.Routes = append(r.Routes, x)
+		memory.Limiters = append(memory.Limiters, packed)
 	}
-	b, err := packedEncoding.Marshal(&r)
+	b, err := packedEncoding.Marshal(&memory)
 	if err != nil {
 		return nil, fmt.Errorf("rested: %w", err)
 	}
 	return b, nil
 }
 
-// unpack reads what pack made, of a destination. number tells the number of what
-// a mark stands for; 0 for nothing that is known.
-func unpack(b []byte, dest int, number func(uint32) policy.EndpointID) (*policy.Snapshot, error) {
-	if len(b) == 0 {
+func packEndpoint(now policy.Time, hash uint32, endpoint *policy.EndpointSnapshot) packedEndpoint {
+	return packedEndpoint{
+		Hash:              hash,
+		Unhealthy:         endpoint.Unhealthy,
+		LastFailureSilent: endpoint.LastFailureSilent,
+		FirstFailureAt:    encodeTime(now, endpoint.FirstFailureAt),
+		LastFailureAt:     encodeTime(now, endpoint.LastFailureAt),
+		RecoveredAt:       encodeTime(now, endpoint.RecoveredAt),
+		RecoverySentAt:    encodeTime(now, endpoint.RecoverySentAt),
+		LastSuccessAt:     encodeTime(now, endpoint.LastSuccessAt),
+		BackoffUntil:      encodeTime(now, endpoint.BackoffUntil),
+		FailureScore:      float32(endpoint.FailureScore),
+		BudgetAt:          encodeTime(now, endpoint.RecoveryBudget.At),
+		BudgetTokens:      float32(endpoint.RecoveryBudget.Tokens),
+		BudgetUsed:        endpoint.RecoveryBudget.Used,
+		RequiredTokens:    float32(endpoint.RequiredTokens),
+		Latency:           packLatency(endpoint.Latency),
+	}
+}
+
+// unpack decodes what pack encoded of a destination. numberOf is the number of the
+// endpoint with a hash; 0 for one that is not known.
+func unpack(packed []byte, dest int, numberOf func(uint32) policy.EndpointID) (*policy.Snapshot, error) {
+	if len(packed) == 0 {
 		return &policy.Snapshot{}, nil
 	}
-	var r packedMemory
-	if err := packedDecoding.Unmarshal(b, &r); err != nil {
+	var memory packedMemory
+	if err := packedDecoding.Unmarshal(packed, &memory); err != nil {
 		return &policy.Snapshot{}, fmt.Errorf("rested: %w", err)
 	}
-	m := &policy.Snapshot{Now: r.Now}
-	for i := range r.Routes {
-		x := &r.Routes[i]
-		l := policy.LimiterSnapshot{Destination: dest, Window: 1, RateMultiplier: 1, NominalRate: float64(x.Nominal),
-			ReportedRate: float64(x.Limit), ReducedRate: float64(x.ReducedRate), ReducedAt: decodeMoment(r.Now, x.RateReducedAt), Latency: x.Latency.memory()}
-		for j := range x.Endpoints {
-			e := &x.Endpoints[j]
-			l.Endpoints = append(l.Endpoints, policy.EndpointSnapshot{ID: number(e.ID), Unhealthy: e.Ejected, LastFailureSilent: e.LastFailureSilent, FirstFailureAt: decodeMoment(r.Now, e.FirstFailureAt),
-				LastFailureAt: decodeMoment(r.Now, e.LastFailureAt), RecoveredAt: decodeMoment(r.Now, e.RecoveredAt), RecoverySentAt: decodeMoment(r.Now, e.GoodSent), LastSuccessAt: decodeMoment(r.Now, e.LastSuccessAt),
-				BackoffUntil: decodeMoment(r.Now, e.EjectedUntil), FailureScore: float64(e.Score), RecoveryBudget: policy.TokenBucketSnapshot{At: decodeMoment(r.Now, e.BudgetAt), Tokens: float64(e.Budget), Used: e.Used},
-				RequiredTokens: float64(e.RequiredTokens), Latency: e.Latency.memory()})
+	snapshot := &policy.Snapshot{Now: memory.Now}
+	for i := range memory.Limiters {
+		packed := &memory.Limiters[i]
+		limiter := policy.LimiterSnapshot{
+			Destination: dest, Window: 1, RateMultiplier: 1, NominalRate: float64(packed.NominalRate),
+			ReportedRate: float64(packed.ReportedRate), ReducedRate: float64(packed.ReducedRate),
+			ReducedAt: decodeTime(memory.Now, packed.ReducedAt), Latency: packed.Latency.unpack(),
 		}
-		m.Limiters = append(m.Limiters, l)
+		for j := range packed.Endpoints {
+			endpoint := &packed.Endpoints[j]
+			limiter.Endpoints = append(limiter.Endpoints, endpoint.unpack(memory.Now, numberOf(endpoint.Hash)))
+		}
+		snapshot.Limiters = append(snapshot.Limiters, limiter)
+	}
+	return snapshot, nil
+}
+
+// unpack is the reverse of packEndpoint.
+func (p *packedEndpoint) unpack(now policy.Time, number policy.EndpointID) policy.EndpointSnapshot {
+	return policy.EndpointSnapshot{
+		ID:                number,
+		Unhealthy:         p.Unhealthy,
+		LastFailureSilent: p.LastFailureSilent,
+		FirstFailureAt:    decodeTime(now, p.FirstFailureAt),
+		LastFailureAt:     decodeTime(now, p.LastFailureAt),
+		RecoveredAt:       decodeTime(now, p.RecoveredAt),
+		RecoverySentAt:    decodeTime(now, p.RecoverySentAt),
+		LastSuccessAt:     decodeTime(now, p.LastSuccessAt),
+		BackoffUntil:      decodeTime(now, p.BackoffUntil),
+		FailureScore:      float64(p.FailureScore),
+		RecoveryBudget: policy.TokenBucketSnapshot{
+			At: decodeTime(now, p.BudgetAt), Tokens: float64(p.BudgetTokens), Used: p.BudgetUsed,
+		},
+		RequiredTokens: float64(p.RequiredTokens),
+		Latency:        p.Latency.unpack(),
 	}
-	return m, nil
 }
--- a/internal/core/passivation_test.go
+++ b/internal/core/passivation_test.go
@@ -65,7 +65,7 @@
 				t.Fatalf("seed %d differs", seed)
 			}
 		}
-		woken += int(w.core.lastEndpointNumber) - 6
+		woken += int(w.core.endpoints.lastNumber) - 6
 	}
 	if rested < 1500 || sent < 3000 || kept < 100 || woken < 1000 {
 		t.Errorf("too little was tried: %d put away, %d sent, %d kept back, %d endpoints anew", rested, sent, kept, woken)
@@ -96,7 +96,7 @@
 // a span; the call is answered by o.
 func deliverOne(t *testing.T, r *Core, from, until policy.Time, id string, dest int, o *Result) (at policy.Time, ep policy.EndpointID, fx []Effect) {
 	t.Helper()
-	rec := &Record{Kind: RecordAccepted, ID: id, Class: "plain", Dest: dest, Deadline: r.wall(until)}
+	rec := &Record{Kind: RecordAccepted, ID: id, Class: "plain", Dest: dest, Deadline: r.wallTime(until)}
 	events := []Event{Submitted{Request: &Request{Class: 0, Tenant: -1, Record: rec}}}
 	for now := from; now < until; now += 20e3 {
 		got := r.Step(now, events, nil)
@@ -197,7 +197,7 @@
 		for at := began + 130e6; at < began+200e6; at += 1e6 {
 			r.Step(at, nil, nil)
 		}
-		if n := r.passivation.roster.Len(); n != 1 || len(r.retryAfter) > 1 {
+		if n := r.passivation.active.Len(); n != 1 || len(r.retryAfter) > 1 {
 			t.Errorf("%s: in the end %d are awake, %d waits are kept", name, n, len(r.retryAfter))
 		}
 	}
@@ -252,7 +252,7 @@
 	for dest, want := range map[int]bool{1: true, 2: false, 3: false} {
 		r.activate(dest)
 		r.runPolicy()
-		for _, ep := range r.endpoints {
+		for _, ep := range r.endpoints.all {
 			if ep.dest == dest && ep.listed && r.policy.Avoids(ep.number, r.now) != want {
 				t.Errorf("destination %d: avoided %v, want %v", dest, !want, want)
 			}
@@ -266,7 +266,7 @@
 	r := passivatingCore(t, idlestore.Limits{MaxActive: 1, IdleTimeout: 20e6})
 	now := policy.Time(3600e6)
 	r.Observe(now, []Event{EndpointListUpdated{Kind: policy.ListFull, List: &EndpointList{Complete: true, Members: []Member{testMember(1, 1, "k"), testMember(2, 2, "k")}}}}, nil)
-	r.RecoverMessages(now, []*Record{{Kind: RecordAccepted, ID: "owed", Class: "plain", Dest: 2, Deadline: r.wall(now + 20e6)}}, nil, 0, nil)
+	r.RecoverMessages(now, []*Record{{Kind: RecordAccepted, ID: "owed", Class: "plain", Dest: 2, Deadline: r.wallTime(now + 20e6)}}, nil, 0, nil)
 	sent := false
 	for at := now; at < now+2e6; at += 20e3 {
 		for _, e := range r.Step(at, nil, nil) {
@@ -360,7 +360,7 @@
 				if up++; got[id] != m {
 					t.Fatalf("seed %d, list %d: %s is %+v, want %+v", seed, i, id, got[id], m)
 				}
-				if ep := r.endpointsByID[id]; ep != nil && r.isPassive(ep.dest) {
+				if ep := r.endpoints.byID[id]; ep != nil && r.isPassive(ep.dest) {
 					t.Fatalf("seed %d, list %d: %s is awake, and its destination %d rests %+v", seed, i, id, ep.dest, ep)
 				}
 			}
@@ -387,7 +387,7 @@
 	l := &EndpointList{Members: append(slices.Clone(all[2:]), gone, drains)}
 	r.Step(now, []Event{EndpointListUpdated{Kind: policy.ListDelta, List: l}}, nil)
 	for _, id := range []string{"s-0", "s-1"} {
-		if ep := r.endpointsByID[id]; !ep.retired {
+		if ep := r.endpoints.byID[id]; !ep.retired {
 			t.Errorf("%s is not gone after the first piece", id)
 		}
 	}
@@ -406,7 +406,7 @@
 	}
 	r.runPolicy()
 	for id, want := range map[string]bool{"s-55": false, "s-45": true} {
-		if ep := r.endpointsByID[id]; (ep != nil && ep.listed || ep == nil && r.isPassive(45)) != want {
+		if ep := r.endpoints.byID[id]; (ep != nil && ep.listed || ep == nil && r.isPassive(45)) != want {
 			t.Errorf("%s is listed: %v", id, !want)
 		}
 	}
@@ -427,7 +427,7 @@
 	r.Step(now, []Event{EndpointListUpdated{Kind: policy.ListFull, List: &EndpointList{Complete: true, Members: all}}}, nil)
 	r.Step(now, []Event{EndpointListUpdated{Kind: policy.ListFull, List: &EndpointList{Complete: true, Members: all[:2]}}}, nil)
 	taken := func(at policy.Time, id string, dest int) bool {
-		q := &Request{Tenant: -1, Record: &Record{ID: id, Class: "plain", Dest: dest, Deadline: r.wall(at + 20e6)}}
+		q := &Request{Tenant: -1, Record: &Record{ID: id, Class: "plain", Dest: dest, Deadline: r.wallTime(at + 20e6)}}
 		for _, e := range r.Step(at, []Event{Submitted{Request: q}}, nil) {
 			if e, ok := e.(SendReply); ok && e.Request == q {
 				return false
--- /dev/null
+++ b/internal/core/reply.go
@@ -0,0 +1,62 @@
+package core
+
+import (
+	"troutusher/internal/msgtrace"
+	"troutusher/policy"
+)
+
+func (c *Core) reply(request *Request, reply Reply) {
+	c.emit(SendReply{Request: request, Reply: reply})
+}
+
+// replyDelivered goes on with a message whose client has its reply, and withdraws one
+// whose client left before it (ok is false).
+func (c *Core) replyDelivered(request *Request, ok bool) {
+	m := c.messages.unanswered[request]
+	if m == nil {
+		return
+	}
+	delete(c.messages.unanswered, request)
+	waitedMS, replyMS := request.Queued/microsPerMilli, (c.now-m.receivedAt)/microsPerMilli
+	if !ok {
+		c.trace(m, msgtrace.Withdrawn, "waited_ms", waitedMS, "answer_ms", replyMS)
+		c.withdraw(m)
+		return
+	}
+	m.acknowledged = true
+	c.trace(m, msgtrace.Accepted, "left_ms", c.remainingMS(m), "waited_ms", waitedMS, "answer_ms", replyMS)
+	if send := m.pendingSend; send != nil && !c.mustDeferSend(m) {
+		m.pendingSend = nil
+		c.startAttempt(m, send)
+	}
+	if ending := m.pendingEnding; ending != nil {
+		m.pendingEnding = nil
+		c.appendEnding(m, ending.Notice, ending.RetryMS)
+	}
+}
+
+// rejectNotLogged rejects a message that the log has no room for.
+func (c *Core) rejectNotLogged(request *Request) {
+	if m := c.messages.unanswered[request]; m != nil {
+		delete(c.messages.unanswered, request)
+		c.withdraw(m)
+	}
+	c.countsOf(request.Record.Class).Deferred++
+	c.reply(request, Reply{})
+}
+
+// withdraw ends a message that no client was told to be accepted: nothing is owed.
+func (c *Core) withdraw(m *message) {
+	if m.logged {
+		c.appendRecord(&Record{Kind: RecordDone, ID: m.record.ID})
+	}
+	m.pendingEnding = nil
+	if !m.finished {
+		c.finish(m)
+		c.policyEvents = append(c.policyEvents, policy.Event{Kind: policy.EvMessageWithdrawn, Message: m.number})
+	}
+	if send := m.pendingSend; send != nil {
+		m.pendingSend = nil
+		c.reportNotSent(m, send.Endpoint)
+	}
+}
--- a/internal/core/retryafter_test.go
+++ b/internal/core/retryafter_test.go
@@ -46,7 +46,7 @@
 
 func (d *callDriver) openEndpoint(e OpenEndpoint) {
 	name := fmt.Sprintf("dest %d", e.Dest)
-	if e.Apart {
+	if e.IndependentRoute {
 		name = "route " + d.w.idOf(e.Endpoint)
 	}
 	if d.scopes[name] == nil {
@@ -56,7 +56,7 @@
 }
 
 func (w *simulation) idOf(n policy.EndpointID) string {
-	if ep := w.core.endpointsByNumber[n]; ep != nil {
+	if ep := w.core.endpoints.byNumber[n]; ep != nil {
 		return ep.id
 	}
 	return fmt.Sprint("forgotten ", n) // in the same step: its destination rests
@@ -219,7 +219,7 @@
 		list := &EndpointList{Members: []Member{{ID: "a", HostPort: "127.0.0.1:1", Dest: 1, Phase: Up, Flavor: "k", Rate: 100}}}
 		var owed []*Record
 		for i := range 20 {
-			owed = append(owed, &Record{Kind: RecordAccepted, ID: fmt.Sprint("m", i), Class: "plain", Dest: 1, Deadline: r.wall(3620e6)})
+			owed = append(owed, &Record{Kind: RecordAccepted, ID: fmt.Sprint("m", i), Class: "plain", Dest: 1, Deadline: r.wallTime(3620e6)})
 		}
 		if carried == nil {
 			r.Observe(3600e6, []Event{EndpointListUpdated{Kind: policy.ListFull, List: list}}, nil)
@@ -230,7 +230,7 @@
 		}
 		r.Step(3600e6, nil, nil)
 		var out []*Call
-		for _, m := range r.messages {
+		for _, m := range r.messages.byNumber {
 			if m.call != nil {
 				out = append(out, m.call)
 			}
@@ -275,7 +275,7 @@
 		id    string
 		until policy.Time
 	}{{"a", 5e6}, {"b", 1e6}, {"c", 4e6}, {"c", 2e6}} {
-		ep := r.endpointsByID[x.id]
+		ep := r.endpoints.byID[x.id]
 		r.recordRetryAfter(&Call{Record: &Record{Dest: ep.dest}, endpoint: ep, independentRoute: r.hasIndependentRoutes(ep.flavor)}, now+x.until)
 	}
 	r.takeEffects()
@@ -286,7 +286,7 @@
 		return next
 	}()} {
 		for id, want := range map[string]policy.Time{"a": 5e6, "b": 5e6, "c": 4e6, "d": 0} {
-			if got := max(c.retryAfterOf(c.endpointsByID[id])-now, 0); got != want {
+			if got := max(c.retryAfterOf(c.endpoints.byID[id])-now, 0); got != want {
 				t.Errorf("%s waits for %d ms, want %d", id, got/1000, want/1000)
 			}
 		}
@@ -300,7 +300,7 @@
 				held[e.Endpoint] = e.Until - now
 			}
 		}
-		if e, f := c.endpointsByID["e"], c.endpointsByID["f"]; held[e.number] != 5e6 || held[f.number] != 0 || c.retryAfterOf(f) != 0 {
+		if e, f := c.endpoints.byID["e"], c.endpoints.byID["f"]; held[e.number] != 5e6 || held[f.number] != 0 || c.retryAfterOf(f) != 0 {
 			t.Errorf("who joins is held for %v", held)
 		}
 	}
--- a/internal/core/shutdown_test.go
+++ b/internal/core/shutdown_test.go
@@ -31,7 +31,7 @@
 // on and whether its call was begun.
 func (s *shutdownFixture) submit(id, class string, dest int) (taken, sent bool) {
 	s.t.Helper()
-	q := &Request{Class: s.core.settings.Classes[class], Record: &Record{Kind: RecordAccepted, ID: id, Class: class, Key: id, Dest: dest, Deadline: s.core.wall(s.now + 15e6)}}
+	q := &Request{Class: s.core.settings.Classes[class], Record: &Record{Kind: RecordAccepted, ID: id, Class: class, Key: id, Dest: dest, Deadline: s.core.wallTime(s.now + 15e6)}}
 	fx := s.step(Submitted{Request: q})
 	for i := range fx {
 		if is[AppendThenReply](fx[i]) {
@@ -137,14 +137,14 @@
 		s := newShutdownFixture(t)
 		rec := x.rec
 		rec.Kind, rec.ID, rec.Dest = RecordAccepted, "m", 1
-		ago := func(us int64) int64 { return s.core.wall(s.now) - us }
+		ago := func(us int64) int64 { return s.core.wallTime(s.now) - us }
 		if rec.FirstUncertainAt > 0 {
 			rec.FirstUncertainAt = ago(rec.FirstUncertainAt)
 		}
 		if rec.OpenAttemptAt > 0 {
 			rec.OpenAttemptAt = ago(1e6)
 		}
-		rec.Deadline = s.core.wall(s.now + 15e6 + 16e6*rec.Deadline)
+		rec.Deadline = s.core.wallTime(s.now + 15e6 + 16e6*rec.Deadline)
 		rec.ResolveOpenAttempt()
 		fx := s.core.RecoverMessages(s.now, []*Record{&rec}, nil, 0, nil)
 		fx = append(fx, s.step()...)
--- a/internal/core/snapshot.go
+++ b/internal/core/snapshot.go
@@ -2,97 +2,98 @@
 
 import "troutusher/policy"
 
-// StateSnapshot is what a core knows of destinations that a later process of this
-// relay should know as well: no message is in it. Moments are those of the
-// core's clock.
+// StateSnapshot is what a core knows of destinations that a later process of this relay
+// should know as well; no message is in it. Times are those of the core's clock.
 type StateSnapshot struct {
-	Now         policy.Time          `json:"now"`
-	Revision    int64                `json:"revision"` // of the list that it goes by
-	Members     []HandoverMember     `json:"members"`
-	Partial     bool                 `json:"partial,omitempty"` // destinations that rest are left out, but for those that were out
+	Now      policy.Time      `json:"now"`
+	Revision int64            `json:"revision"` // of its endpoint list
+	Members  []HandoverMember `json:"members"`
+	// Partial says that passive destinations are left out, but for those with an
+	// unhealthy endpoint.
+	Partial     bool                 `json:"partial,omitempty"`
 	RetryAfters []HandoverRetryAfter `json:"waits,omitempty"`
 	Policy      *policy.Snapshot     `json:"policy"`
 }
 
-// SnapshotState shows what is known by now. It shares nothing with the core.
-func (r *Core) SnapshotState(now policy.Time) *StateSnapshot {
-	r.now = max(now, r.now)
-	l := &StateSnapshot{Now: r.now, Revision: r.listRevision, Members: r.handoverMembers(), RetryAfters: r.handoverRetryAfters(), Policy: r.policy.Snapshot(r.now), Partial: r.passivation.store != nil}
-	members, lanes := r.passiveState(false)
-	l.Members, l.Policy.Limiters = append(l.Members, members...), append(l.Policy.Limiters, lanes...)
-	return l
+// SnapshotState returns what is known by now. It shares nothing with the core.
+func (c *Core) SnapshotState(now policy.Time) *StateSnapshot {
+	c.now = max(now, c.now)
+	snapshot := &StateSnapshot{
+		Now: c.now, Revision: c.listRevision, Members: c.handoverMembers(), Partial: c.passivation.store != nil,
+		RetryAfters: c.handoverRetryAfters(), Policy: c.policy.Snapshot(c.now),
+	}
+	members, limiters := c.unhealthyPassiveState()
+	snapshot.Members = append(snapshot.Members, members...)
+	snapshot.Policy.Limiters = append(snapshot.Policy.Limiters, limiters...)
+	return snapshot
 }
 
-// StateVersion counts what a restart should not forget: calls that were not answered
-// well, waits, verdicts. Moved counts all that is learned.
-func (r *Core) StateVersion() uint64 { return r.stateVersion }
+// StateVersion counts the changes that a restart should not lose: calls that failed,
+// endpoint lists, endpoints that were judged to be down or up. CompletedCalls counts
+// all that is learned.
+func (c *Core) StateVersion() uint64 { return c.stateVersion }
 
-// CompletedCalls is counted with each call that ends.
-func (r *Core) CompletedCalls() uint64 { return r.completedCalls }
+// CompletedCalls counts the calls that have ended.
+func (c *Core) CompletedCalls() uint64 { return c.completedCalls }
 
 // EndpointList is the list as the core had it; nothing that had drained is up in it.
-func (l *StateSnapshot) EndpointList() *EndpointList {
-	x := &EndpointList{Revision: l.Revision, Complete: !l.Partial}
-	for i := range l.Members {
-		x.Members = append(x.Members, l.Members[i].Member)
-	}
-	return x
+func (s *StateSnapshot) EndpointList() *EndpointList {
+	return &EndpointList{Revision: s.Revision, Complete: !s.Partial, Members: membersOf(s.Members)}
 }
 
-// DropRecentCounts leaves out what is longest and soonest old: the counts of the last seconds.
-func (l *StateSnapshot) DropRecentCounts() {
-	for i := range l.Policy.Limiters {
-		l.Policy.Limiters[i].Bins = nil
+// DropRecentCounts leaves out what is longest and soonest old: the counts of the last
+// seconds.
+func (s *StateSnapshot) DropRecentCounts() {
+	for i := range s.Policy.Limiters {
+		s.Policy.Limiters[i].Bins = nil
 	}
 }
 
-// RestoreState takes over what an earlier process had learned. The list has been
-// booked; an endpoint that is not where it was, or another's place under a new
-// name, inherits nothing.
-func (r *Core) RestoreState(now policy.Time, l *StateSnapshot, shift policy.Time, fx []Effect) []Effect {
-	r.now, r.effects = max(now, r.now), fx
-	r.finishListUpdate()
-	if l.Policy != nil {
-		r.activateAll(l.Policy)
+// RestoreState takes over what an earlier process had learned. The endpoint list must
+// have been applied; an endpoint that is not where it was, or that has another's place
+// under a new id, inherits nothing.
+func (c *Core) RestoreState(now policy.Time, snapshot *StateSnapshot, shift policy.Time, effects []Effect) []Effect {
+	c.beginStep(now, effects)
+	c.finishListUpdate()
+	if snapshot.Policy != nil {
+		c.activateAll(snapshot.Policy)
 	}
-	r.runPolicy() // the policy knows the endpoints from here on
-	for _, w := range l.RetryAfters {
-		if r.knowsDestination(w.Dest) {
-			r.retryAfter[w.Dest] = max(r.retryAfter[w.Dest], w.Until+shift)
+	c.runPolicy() // the policy knows the endpoints from here on
+	for _, retryAfter := range snapshot.RetryAfters {
+		if c.knowsDestination(retryAfter.Dest) {
+			c.extendRetryAfter(retryAfter.Dest, retryAfter.Until+shift)
 		}
 	}
-	if l.Policy != nil {
-		r.translateMemory(l.Policy, l.Members, shift)
-		r.policy.RestoreAfterRestart(r.now, l.Policy, shift)
+	if snapshot.Policy != nil {
+		c.translateSnapshot(snapshot.Policy, snapshot.Members, shift)
+		c.policy.RestoreAfterRestart(c.now, snapshot.Policy, shift)
 	}
-	for _, ep := range r.endpoints {
-		if until := r.retryAfterOf(ep); until > r.now {
-			r.emit(ApplyRetryAfter{Endpoint: ep.number, Until: until})
-		}
+	for _, endpoint := range c.endpoints.all {
+		c.applyRetryAfter(endpoint)
 	}
-	return r.takeEffects()
+	return c.takeEffects()
 }
 
-// translateMemory puts this core's numbers into another's memory, and books the waits of
-// routes. Endpoints that are not known here, or are elsewhere now, get 0, which
-// none has.
-func (r *Core) translateMemory(p *policy.Snapshot, members []HandoverMember, shift policy.Time) {
-	number := map[policy.EndpointID]policy.EndpointID{}
+// translateSnapshot puts this core's endpoint numbers into another's policy snapshot,
+// and takes over the Retry-Afters of independent routes. Endpoints that are not known
+// here, or are elsewhere now, get 0, which is no endpoint's number.
+func (c *Core) translateSnapshot(snapshot *policy.Snapshot, members []HandoverMember, shift policy.Time) {
+	numbers := map[policy.EndpointID]policy.EndpointID{}
 	for i := range members {
-		m := &members[i]
-		ep := r.endpointsByID[m.ID]
-		if ep == nil || ep.hostPort != m.HostPort || ep.dest != m.Dest {
+		member := &members[i]
+		endpoint := c.endpoints.byID[member.ID]
+		if endpoint == nil || endpoint.hostPort != member.HostPort || endpoint.dest != member.Dest {
 			continue
 		}
-		number[m.Number] = ep.number
-		if m.RetryAfter > 0 {
-			ep.retryAfter = max(ep.retryAfter, m.RetryAfter+shift)
+		numbers[member.Number] = endpoint.number
+		if member.RetryAfter > 0 {
+			endpoint.retryAfter = max(endpoint.retryAfter, member.RetryAfter+shift)
 		}
 	}
-	for i := range p.Limiters {
-		eps := p.Limiters[i].Endpoints
-		for j := range eps {
-			eps[j].ID = number[eps[j].ID]
+	for i := range snapshot.Limiters {
+		endpoints := snapshot.Limiters[i].Endpoints
+		for j := range endpoints {
+			endpoints[j].ID = numbers[endpoints[j].ID]
 		}
 	}
 }
--- a/internal/core/snapshot_test.go
+++ b/internal/core/snapshot_test.go
@@ -19,7 +19,7 @@
 		if i < 12 {
 			id := "m" + string(rune('a'+i))
 			events = append(events, Submitted{Request: &Request{Class: 0, Tenant: -1,
-				Record: &Record{Kind: RecordAccepted, ID: id, Class: "plain", Dest: 1 + i%2, Deadline: r.wall(now + 15e6)}}})
+				Record: &Record{Kind: RecordAccepted, ID: id, Class: "plain", Dest: 1 + i%2, Deadline: r.wallTime(now + 15e6)}}})
 		}
 		fx := r.Step(now, events, nil)
 		events = nil
@@ -85,7 +85,7 @@
 		holds := 0
 		if c.learned {
 			for _, e := range r.RestoreState(now, l, shift, nil) {
-				if e, ok := e.(ApplyRetryAfter); ok && r.endpointsByNumber[e.Endpoint].dest == 1 && e.Until > now+6e6 && e.Until <= now+8e6 {
+				if e, ok := e.(ApplyRetryAfter); ok && r.endpoints.byNumber[e.Endpoint].dest == 1 && e.Until > now+6e6 && e.Until <= now+8e6 {
 					holds++
 				}
 			}
@@ -97,7 +97,7 @@
 			t.Errorf("%s: the wait holds %d endpoints", name, holds)
 		}
 		// Nothing goes to destination 1 before its wait is over.
-		rec := &Record{Kind: RecordAccepted, ID: "m", Class: "plain", Dest: 1, Deadline: r.wall(now + 20e6)}
+		rec := &Record{Kind: RecordAccepted, ID: "m", Class: "plain", Dest: 1, Deadline: r.wallTime(now + 20e6)}
 		events, first := []Event{Submitted{Request: &Request{Class: 0, Tenant: -1, Record: rec}}}, policy.Time(0)
 		for at := now; at < now+10e6 && first == 0; at += 20e3 {
 			fx := r.Step(at, events, nil)
--- a/internal/core/timers_test.go
+++ b/internal/core/timers_test.go
@@ -11,9 +11,11 @@
 // on it never got one where nothing else happened.
 func TestTimersKeepLaterDeadline(t *testing.T) {
 	r := &Core{}
-	r.executeAction(100, &policy.Action{Kind: policy.ActTimer, After: 50})
+	r.now = 100
+	r.executeAction(&policy.Action{Kind: policy.ActTimer, After: 50})
 	// A step at 160 asks for 300 before the loop has looked at 150.
-	r.executeAction(160, &policy.Action{Kind: policy.ActTimer, After: 140})
+	r.now = 160
+	r.executeAction(&policy.Action{Kind: policy.ActTimer, After: 140})
 	if !r.timers.due(161) {
 		t.Fatal("the earlier one did not come")
 	}
--- a/internal/core/trace_test.go
+++ b/internal/core/trace_test.go
@@ -52,7 +52,7 @@
 	}
 	put := func(id string, dest int, left policy.Time) {
 		events = append(events, Submitted{Request: &Request{Class: 0, Tenant: -1, Queued: 7e3,
-			Record: &Record{Kind: RecordAccepted, ID: id, Class: "plain", Dest: dest, Deadline: r.wall(now + left)}}})
+			Record: &Record{Kind: RecordAccepted, ID: id, Class: "plain", Dest: dest, Deadline: r.wallTime(now + left)}}})
 	}
 	l := &EndpointList{Complete: true, Members: []Member{{ID: "s1", HostPort: "10.0.0.1:1", Locality: "a", Flavor: "k", Dest: 1, Phase: Up, Rate: 1000},
 		{ID: "s2", HostPort: "10.0.0.1:2", Locality: "a", Flavor: "k", Dest: 2, Phase: Draining, Rate: 1000}}}
--- a/internal/relay/loop.go
+++ b/internal/relay/loop.go
@@ -627,7 +627,7 @@
 		}()
 	case core.OpenEndpoint:
 		at := scopeKey{dest: e.Dest}
-		if e.Apart {
+		if e.IndependentRoute {
 			at = scopeKey{route: e.Endpoint}
 		}
 		h := r.pool.OpenEndpoint(e.Address, r.tlsPeers, uint64(e.Endpoint), e.Dest, e.Flavor)
@@ -668,7 +668,7 @@
 
 // identityRejected is told by the handshakes that an endpoint gets nothing for a time.
 func (r *Relay) identityRejected(endpoint uint64, wait time.Duration) {
-	r.post(core.IdentityRejected{Endpoint: policy.EndpointID(endpoint), Wait: wait.Microseconds()})
+	r.post(core.IdentityRejected{Endpoint: policy.EndpointID(endpoint), Duration: wait.Microseconds()})
 }
 
 // startCall logs an attempt and then makes it.
--- a/internal/relay/waits_test.go
+++ b/internal/relay/waits_test.go
@@ -180,7 +180,7 @@
 	r := &Relay{endpoints: map[policy.EndpointID]*Endpoint{}, pool: testPool(t), startedAt: time.Now()}
 	r.pool.now = r.now
 	open := func(n policy.EndpointID, dest int, apart bool) {
-		r.executeEffect(core.OpenEndpoint{Endpoint: n, Address: "127.0.0.1:1", Dest: dest, Apart: apart})
+		r.executeEffect(core.OpenEndpoint{Endpoint: n, Address: "127.0.0.1:1", Dest: dest, IndependentRoute: apart})
 	}
 	open(1, 1, false)
 	open(2, 1, false)
