--- /dev/null
+++ b/internal/connlimit/closing.go
@@ -0,0 +1,56 @@
+package connlimit
+
+// closeSlot orders that a connection be closed. From then on it is draining and
+// counts toward no limit but MaxConns.
+func (l *Limiter) closeSlot(id SlotID, reason CloseReason, now Time) {
+	s := &l.slots[id]
+	if s.state != StateDraining {
+		l.stopCounting(s)
+		l.setState(id, StateDraining, now)
+	}
+	l.timers.Cancel(uint32(id))
+	l.closedByReason[reason]++
+	l.closeActions = append(l.closeActions, CloseAction{id, reason})
+}
+
+// Shutdown closes all connections that have no command in progress, and each of
+// the others after its reply, until CancelShutdown.
+func (l *Limiter) Shutdown(now Time) {
+	l.shuttingDown = true
+	for _, state := range []State{StateUnvalidated, StateIdleSingleUse, StateIdle} {
+		for l.byState[state].first >= 0 {
+			l.closeSlot(SlotID(l.byState[state].first), CloseShutdown, now)
+		}
+	}
+}
+
+// CancelShutdown keeps connections open again; those that were told to close
+// still do.
+func (l *Limiter) CancelShutdown() { l.shuttingDown = false }
+
+// Advance moves the clock to now and closes the connections whose timeout has
+// passed. It looks at maxTimers timers at most, and reports whether it has to be
+// called again.
+func (l *Limiter) Advance(now Time, maxTimers int) (more bool) {
+	l.expired, more = l.timers.Advance(now, maxTimers, l.expired[:0])
+	for _, timer := range l.expired {
+		id := SlotID(timer)
+		switch s := &l.slots[id]; s.state {
+		case StateUnvalidated:
+			if s.sentCommand {
+				l.closeSlot(id, CloseIdleTimeout, now)
+			} else {
+				l.closeSlot(id, CloseFirstCommandTimeout, now)
+			}
+		case StateIdleSingleUse, StateIdle:
+			l.closeSlot(id, CloseIdleTimeout, now)
+		case StateReadingCommand, StateDraining:
+			l.closeSlot(id, CloseCommandTimeout, now)
+		}
+	}
+	return more
+}
+
+// NextDeadline returns the time by which to call Advance; false when no timeout
+// is running.
+func (l *Limiter) NextDeadline() (Time, bool) { return l.timers.Next() }
--- a/internal/connlimit/limiter_test.go
+++ b/internal/connlimit/limiter_test.go
@@ -5,415 +5,263 @@
 	"testing"
 )
 
-func newTestLimiter(t testing.TB, l Limits) *Limiter {
+func newTestLimiter(t testing.TB, limits Limits) *Limiter {
 	t.Helper()
-	b, err := New(l, 0)
+	l, err := New(limits, 0)
 	if err != nil {
 		t.Fatal(err)
 	}
-	return b
+	return l
 }
 
 func smallLimits() Limits {
-	l := DefaultLimits(24, 96) // 12 strangers, 24 held
-	l.SingleUseEvictionThreshold = 15
-	return l
+	limits := DefaultLimits(24, 96) // 12 unvalidated
+	limits.SingleUseEvictionThreshold = 15
+	return limits
 }
 
-// modelConn is what a test knows of one connection, kept apart from the account.
+// modelConn is what the test knows of one connection, kept apart from the
+// limiter.
 type modelConn struct {
 	midCommand, awaitingReply, validated, draining bool
-	commandStartedAt, idleSince, connectedAt       Time // of a command, since when nothing is open, since when it is here
 	sentCommand                                    bool
-	slow                                           bool // does everything late
+	slow                                           bool // takes long for every step
 	requests                                       int
+
+	commandStartedAt Time
+	idleSince        Time // since when no command has been in progress
+	connectedAt      Time
 }
 
-// Whatever happens, in whatever order: never more places than told, never more
-// strangers let in than told, and nobody is closed against the protocol, before
-// its time, or with a command under way.
+// modelRun drives a limiter with random events and checks it against a model.
+type modelRun struct {
+	t       *testing.T
+	seed    uint64
+	rng     *rand.Rand
+	limits  Limits
+	limiter *Limiter
+	conns   map[SlotID]*modelConn
+	now     Time
+
+	shuttingDown  bool
+	allSlotsInUse bool
+}
+
+func newModelRun(t *testing.T, seed uint64) *modelRun {
+	t.Helper()
+	limits := smallLimits()
+	return &modelRun{
+		t: t, seed: seed, rng: rand.New(rand.NewPCG(seed, 7)),
+		limits: limits, limiter: newTestLimiter(t, limits), conns: map[SlotID]*modelConn{}, now: 1e6,
+	}
+}
+
+// Whatever happens, in whatever order: never more connections than the limits
+// allow, never more unvalidated ones, and none is closed against the protocol,
+// before its timeout, or with a command in progress.
 func TestCloseActionsFollowProtocol(t *testing.T) {
 	for seed := range uint64(400) {
-		rng := rand.New(rand.NewPCG(seed, 7))
-		l := smallLimits()
-		b := newTestLimiter(t, l)
-		conns := map[SlotID]*modelConn{}
-		now := Time(1e6)
-		gone := func(id SlotID) { b.Remove(id); delete(conns, id) }
-		stopping, full := false, false
-		check := func(knock bool) {
-			for _, o := range append([]CloseAction(nil), b.TakeCloseActions()...) {
-				c := conns[o.Slot]
-				if c == nil {
-					t.Fatalf("seed %d: an order for nobody: %v", seed, o.Reason)
-				}
-				idle := now - c.idleSince
-				first := now - c.connectedAt
-				switch {
-				case o.Reason == CloseCommandTimeout:
-					limit := l.CommandTimeout
-					since := c.commandStartedAt
-					if !c.sentCommand {
-						limit, since = l.FirstCommandTimeout, c.connectedAt
-						if c.draining {
-							since = c.commandStartedAt
-						}
-					} else if c.draining {
-						limit = l.FirstCommandTimeout
-					}
-					if !c.midCommand || c.awaitingReply || now-since < limit {
-						t.Fatalf("seed %d: a command that is in time is cut off after %d", seed, now-since)
-					}
-					gone(o.Slot)
-					continue
-				case o.Reason == CloseEvictInvalid:
-					if c.validated || !knock || !c.awaitingReply {
-						t.Fatalf("seed %d: closed as faulty: %+v", seed, c)
-					}
-					gone(o.Slot)
-					continue
-				case c.midCommand || c.awaitingReply:
-					t.Fatalf("seed %d: %v with a command under way: %+v", seed, o.Reason, c)
-				case o.Reason == CloseFirstCommandTimeout && (c.sentCommand || first < l.FirstCommandTimeout),
-					o.Reason == CloseIdleTimeout && (!c.sentCommand || idle < l.IdleTimeout),
-					o.Reason == CloseEvictUnvalidated && (c.validated || !knock || idle < l.EvictionGrace),
-					o.Reason == CloseEvictIdle && (!c.validated || !knock || !full),
-					o.Reason == CloseEvictSingleUse && (c.requests != 1 || knock),
-					o.Reason == CloseShutdown && !stopping && !c.draining:
-					t.Fatalf("seed %d: %v at %d: %+v", seed, o.Reason, now, c)
-				}
-				if rng.IntN(4) == 0 && !c.draining { // a command crossed
-					c.draining, c.midCommand, c.commandStartedAt = true, true, now
-					b.CommandStarted(o.Slot, now)
-				} else {
-					gone(o.Slot)
-				}
-			}
-			n, strangers, asked := 0, 0, 0
-			for _, c := range conns {
-				n++
-				if !c.draining && !c.validated {
-					strangers++
-				}
-				if !c.draining && c.requests > 0 {
-					asked++
-				}
-			}
-			if n != b.InUse() || n > l.MaxConns || strangers != b.Unvalidated() || strangers > l.MaxUnvalidated || asked != b.withRequests {
-				t.Fatalf("seed %d: %d places, %d strangers, %d that asked; the account has %d, %d, %d",
-					seed, n, strangers, asked, b.InUse(), b.Unvalidated(), b.withRequests)
-			}
-		}
+		run := newModelRun(t, seed)
 		for range 1500 {
-			now += Time(rng.IntN(30e3))
-			for more := true; more; {
-				more = b.Advance(now, 1+rng.IntN(5))
-				check(false)
-			}
-			full = b.InUse() >= l.MaxConns
-			if rng.IntN(3) > 0 {
-				v, until := b.Decide(now)
-				switch {
-				case v == Admit:
-					id := b.Add(now)
-					if conns[id] != nil {
-						t.Fatalf("seed %d: %d is given out twice", seed, id)
-					}
-					conns[id] = &modelConn{connectedAt: now, idleSince: now, slow: rng.IntN(4) == 0}
-				case v == Wait && until <= now:
-					t.Fatalf("seed %d: leave until %d, now %d", seed, until, now)
-				case v == Evict && len(b.closeActions) == 0:
-					t.Fatalf("seed %d: again, and nothing to do", seed)
-				case v == Reject && b.InUse() < l.MaxConns && b.Unvalidated() < l.MaxUnvalidated:
-					t.Fatalf("seed %d: turned away with %d places free", seed, l.MaxConns-b.InUse())
-				}
-				check(true)
-			}
-			for id, c := range conns { // order does not matter here
-				if rng.IntN(8) > 0 || c.slow && rng.IntN(40) > 0 {
-					continue
-				}
-				switch {
-				case c.awaitingReply:
-					c.awaitingReply, c.idleSince = false, now
-					b.ReplyWritten(id, now)
-				case c.midCommand:
-					what := CommandKind(rng.IntN(3))
-					c.midCommand, c.awaitingReply, c.sentCommand = false, true, true
-					if what != CommandInvalid {
-						c.validated = true
-					}
-					if what == CommandRequest {
-						c.requests++
-					}
-					b.CommandRead(id, what, now)
-				case rng.IntN(5) == 0:
-					gone(id)
-				default:
-					c.midCommand, c.commandStartedAt = true, now
-					b.CommandStarted(id, now)
-				}
-				check(false)
+			run.advance()
+			run.admit()
+			run.stepConns()
+			if run.rng.IntN(700) == 0 && !run.shuttingDown {
+				run.shutdown()
 			}
-			if rng.IntN(700) == 0 && !stopping {
-				stopping = true
-				b.Shutdown(now)
-				check(false)
-				if n := b.Count(StateUnvalidated) + b.Count(StateIdleSingleUse) + b.Count(StateIdle); n > 0 {
-					t.Fatalf("seed %d: %d stay though the relay ends", seed, n)
-				}
-			}
-			if rng.IntN(200) == 0 {
-				full = true
-				b.OutOfDescriptors(now)
-				check(true)
-				if v, until := b.Decide(now); v != Wait || until < now+l.EvictionWait {
-					t.Fatalf("seed %d: out of descriptors, and %v until %d", seed, v, until)
-				}
+			if run.rng.IntN(200) == 0 {
+				run.outOfDescriptors()
 			}
 		}
 	}
 }
 
-// floodBehavior is how one of a crowd behaves once it is let in: when it sends what.
-type floodBehavior struct {
-	ping   bool // one command that is understood
-	half   bool // a byte, and then no more in time
-	faulty bool // rubbish, again as soon as that was answered
-}
-
-// No crowd that comes back as soon as it is closed keeps a usual client, who
-// asks as soon as he is let in, from his place for longer than he waits for an
-// answer; nor makes the relay close one that is in use. One that leaves half
-// commands can: these may not be closed before 2 s. There the relay tells the
-// client at once to go elsewhere.
-func TestFloodsDoNotStarveClients(t *testing.T) {
-	for name, kind := range map[string]floodBehavior{"silent": {}, "ping": {ping: true}, "faulty": {faulty: true}, "half": {half: true}} {
-		t.Run(name, func(t *testing.T) {
-			l := DefaultLimits(168, 256)
-			b := newTestLimiter(t, l)
-			type caller struct {
-				usual   bool
-				knocked Time
-			}
-			var queue []caller
-			type held struct {
-				caller
-				next Time // when its next step is
-				step int
-			}
-			in := map[SlotID]*held{}
-			var order []SlotID // so that every run is the same
-			rng := rand.New(rand.NewPCG(1, 2))
-			for range 300 {
-				queue = append(queue, caller{knocked: 0})
-			}
-			served, away, worst := 0, 0, Time(0)
-			usualOpen := 0
-			close := func(id SlotID, now Time) {
-				h := in[id]
-				b.Remove(id)
-				delete(in, id)
-				for i := range order {
-					if order[i] == id {
-						order = append(order[:i], order[i+1:]...)
-						break
-					}
-				}
-				if h.usual {
-					usualOpen--
-				} else {
-					queue = append(queue, caller{knocked: now + 5e3})
-				}
-			}
-			carry := func(now Time) {
-				for orders := b.TakeCloseActions(); len(orders) > 0; orders = b.TakeCloseActions() {
-					for _, o := range append([]CloseAction(nil), orders...) {
-						if in[o.Slot] != nil {
-							close(o.Slot, now)
-						}
-					}
-				}
-			}
-			const tick = 1e3
-			for now := Time(0); now < 20e6; now += tick {
-				if rng.IntN(10) == 0 { // a hundred new clients a second
-					queue = append(queue, caller{usual: true, knocked: now})
-				}
-				for more := true; more; {
-					more = b.Advance(now, 64)
-					carry(now)
-				}
-				for _, id := range append([]SlotID(nil), order...) {
-					h := in[id]
-					if h == nil || now < h.next {
-						continue
-					}
-					h.step++
-					switch {
-					case h.usual && h.step == 1:
-						b.CommandStarted(id, now)
-						b.CommandRead(id, CommandRequest, now)
-						h.next = now + 3e3
-					case h.usual && h.step == 2:
-						b.ReplyWritten(id, now)
-						h.next = now + 500e3 // and then leaves
-					case h.usual:
-						close(id, now)
-					case kind.half:
-						b.CommandStarted(id, now)
-						h.next = 1 << 60
-					case kind.ping && h.step == 1:
-						b.CommandStarted(id, now)
-						b.CommandRead(id, CommandControl, now)
-						b.ReplyWritten(id, now)
-						h.next = 1 << 60
-					case kind.faulty && h.step%2 == 1:
-						b.CommandStarted(id, now)
-						b.CommandRead(id, CommandInvalid, now)
-						h.next = now + 100e3
-					case kind.faulty:
-						b.ReplyWritten(id, now)
-						h.next = now
-					}
-					carry(now)
-				}
-				for tries := 0; tries < 40 && len(queue) > 0 && queue[0].knocked <= now; tries++ {
-					v, _ := b.Decide(now)
-					carry(now)
-					if v == Wait {
-						break
-					}
-					if v == Evict {
-						continue
-					}
-					head := queue[0]
-					queue = queue[1:]
-					if v == Reject {
-						if head.usual {
-							away++
-							worst = max(worst, now-head.knocked)
-						} else {
-							queue = append(queue, caller{knocked: now + 5e3})
-						}
-						continue
-					}
-					id := b.Add(now)
-					in[id], order = &held{caller: head, next: now}, append(order, id)
-					if head.usual {
-						usualOpen++
-						served++
-						worst = max(worst, now-head.knocked)
-					}
-				}
-				if len(queue) == 0 {
-					b.QueueEmptied()
-				}
-			}
-			t.Logf("%d clients served, %d sent away, longest in the queue %d ms", served, away, worst/1000)
-			if worst > 400e3 {
-				t.Errorf("a client waited %d ms", worst/1000)
-			}
-			if !kind.half && (away > 0 || served < 1900) {
-				t.Errorf("%d served, %d sent away", served, away)
-			}
-		})
+func (r *modelRun) advance() {
+	r.now += Time(r.rng.IntN(30e3))
+	for more := true; more; {
+		more = r.limiter.Advance(r.now, 1+r.rng.IntN(5))
+		r.check(false)
 	}
+	r.allSlotsInUse = r.limiter.InUse() >= r.limits.MaxConns
 }
 
-// While all places are taken by commands under way the head of the queue waits
-// for one, but not for longer than its client would.
-func TestListenQueueWaitIsBounded(t *testing.T) {
-	l := smallLimits()
-	l.MaxUnvalidated = l.MaxConns
-	b := newTestLimiter(t, l)
-	for range l.MaxConns {
-		id := b.Add(0)
-		b.CommandStarted(id, 0)
-		b.CommandRead(id, CommandRequest, 0)
+// admit asks for a decision, most times, and follows it.
+func (r *modelRun) admit() {
+	r.t.Helper()
+	if r.rng.IntN(3) == 0 {
+		return
 	}
-	if v, until := b.Decide(1000); v != Wait || until > 1000+l.MaxQueueWait {
-		t.Fatalf("%v until %d", v, until)
+	decision, until := r.limiter.Decide(r.now)
+	hasRoom := r.limiter.InUse() < r.limits.MaxConns && r.limiter.Unvalidated() < r.limits.MaxUnvalidated
+	switch {
+	case decision == Admit:
+		id := r.limiter.Add(r.now)
+		if r.conns[id] != nil {
+			r.t.Fatalf("seed %d: slot %d is given out twice", r.seed, id)
+		}
+		r.conns[id] = &modelConn{connectedAt: r.now, idleSince: r.now, slow: r.rng.IntN(4) == 0}
+	case decision == Wait && until <= r.now:
+		r.t.Fatalf("seed %d: wait until %d, now %d", r.seed, until, r.now)
+	case decision == Evict && len(r.limiter.closeActions) == 0:
+		r.t.Fatalf("seed %d: evict, and no close action", r.seed)
+	case decision == Reject && hasRoom:
+		r.t.Fatalf("seed %d: rejected with %d slots free", r.seed, r.limits.MaxConns-r.limiter.InUse())
 	}
-	if v, _ := b.Decide(1000 + l.MaxQueueWait - 1); v != Wait {
-		t.Fatal(v)
+	r.check(true)
+}
+
+// stepConns has some connections do their next step.
+func (r *modelRun) stepConns() {
+	for id, c := range r.conns { // order does not matter here
+		if r.rng.IntN(8) > 0 || c.slow && r.rng.IntN(40) > 0 {
+			continue
+		}
+		r.step(id, c)
+		r.check(false)
 	}
-	if v, _ := b.Decide(1000 + l.MaxQueueWait); v != Reject {
-		t.Fatal(v)
+}
+
+func (r *modelRun) step(id SlotID, c *modelConn) {
+	switch {
+	case c.awaitingReply:
+		c.awaitingReply, c.idleSince = false, r.now
+		r.limiter.ReplyWritten(id, r.now)
+	case c.midCommand:
+		kind := CommandKind(r.rng.IntN(3))
+		c.midCommand, c.awaitingReply, c.sentCommand = false, true, true
+		if kind != CommandInvalid {
+			c.validated = true
+		}
+		if kind == CommandRequest {
+			c.requests++
+		}
+		r.limiter.CommandRead(id, kind, r.now)
+	case r.rng.IntN(5) == 0:
+		r.remove(id)
+	default:
+		c.midCommand, c.commandStartedAt = true, r.now
+		r.limiter.CommandStarted(id, r.now)
 	}
-	b.QueueEmptied()
-	if v, _ := b.Decide(1001 + l.MaxQueueWait); v != Wait {
-		t.Error("a new queue has no patience")
+}
+
+func (r *modelRun) remove(id SlotID) {
+	r.limiter.Remove(id)
+	delete(r.conns, id)
+}
+
+func (r *modelRun) shutdown() {
+	r.t.Helper()
+	r.shuttingDown = true
+	r.limiter.Shutdown(r.now)
+	r.check(false)
+	idle := r.limiter.Count(StateUnvalidated) + r.limiter.Count(StateIdleSingleUse) + r.limiter.Count(StateIdle)
+	if idle > 0 {
+		r.t.Fatalf("seed %d: %d idle connections are left after Shutdown", r.seed, idle)
 	}
-	b.Remove(3)
-	if v, _ := b.Decide(1002 + l.MaxQueueWait); v != Admit {
-		t.Error("a place is free")
+}
+
+func (r *modelRun) outOfDescriptors() {
+	r.t.Helper()
+	r.allSlotsInUse = true
+	r.limiter.OutOfDescriptors(r.now)
+	r.check(true)
+	if decision, until := r.limiter.Decide(r.now); decision != Wait || until < r.now+r.limits.EvictionWait {
+		r.t.Fatalf("seed %d: out of descriptors, and %v until %d", r.seed, decision, until)
 	}
 }
 
-// The one that goes for another has been idle for longest, whatever else it did.
-func TestLongestIdleIsEvicted(t *testing.T) {
-	for name, asks := range map[string][2]int{"asked once": {1, 2}, "asked more": {2, 1}} {
-		l := smallLimits()
-		l.MaxConns = 2
-		b := newTestLimiter(t, l)
-		for i, n := range asks {
-			id := b.Add(Time(i))
-			for range n {
-				b.CommandStarted(id, Time(10*i))
-				b.CommandRead(id, CommandRequest, Time(10*i))
-				b.ReplyWritten(id, Time(10*i))
-			}
-		}
-		if v, _ := b.Decide(100e3); v != Evict {
-			t.Fatal(v)
+// check applies the close actions, each of which must be allowed, and compares
+// the limiter's counts with the model's. admitting tells that a connection was
+// to be admitted, which alone allows evictions.
+func (r *modelRun) check(admitting bool) {
+	r.t.Helper()
+	for _, action := range append([]CloseAction(nil), r.limiter.TakeCloseActions()...) {
+		r.checkCloseAction(action, admitting)
+	}
+	inUse, unvalidated, withRequests := 0, 0, 0
+	for _, c := range r.conns {
+		inUse++
+		if !c.draining && !c.validated {
+			unvalidated++
 		}
-		if o := b.TakeCloseActions(); len(o) != 1 || o[0] != (CloseAction{0, CloseEvictIdle}) {
-			t.Errorf("%s, and idle for longest: %v", name, o)
+		if !c.draining && c.requests > 0 {
+			withRequests++
 		}
 	}
+	l := r.limiter
+	if inUse != l.InUse() || inUse > r.limits.MaxConns ||
+		unvalidated != l.Unvalidated() || unvalidated > r.limits.MaxUnvalidated || withRequests != l.withRequests {
+		r.t.Fatalf("seed %d: %d connections, %d unvalidated, %d with requests; the limiter has %d, %d, %d",
+			r.seed, inUse, unvalidated, withRequests, l.InUse(), l.Unvalidated(), l.withRequests)
+	}
 }
 
-func TestShedRequest(t *testing.T) {
-	l := DefaultLimits(100, 200)
-	for _, x := range []struct {
-		waited Time
-		queued int
-		each   Time
-		back   Time
-		refuse bool
-	}{{0, 1e6, 100, 0, false}, {l.MaxQueueWait - 1, 1e6, 100, 0, false}, {l.MaxQueueWait, 10, 20, 200e3, true}, {l.MaxQueueWait, 100_000, 40, 8e6, true}} {
-		if back, refuse := l.ShedRequest(x.waited, x.queued, x.each); back != x.back || refuse != x.refuse {
-			t.Errorf("%+v: %d, %v", x, back, refuse)
+func (r *modelRun) checkCloseAction(action CloseAction, admitting bool) {
+	r.t.Helper()
+	c := r.conns[action.Slot]
+	if c == nil {
+		r.t.Fatalf("seed %d: a close action for an empty slot: %v", r.seed, action.Reason)
+	}
+	idle, age := r.now-c.idleSince, r.now-c.connectedAt
+	switch {
+	case action.Reason == CloseCommandTimeout:
+		if elapsed, timeout := r.commandTime(c); !c.midCommand || c.awaitingReply || elapsed < timeout {
+			r.t.Fatalf("seed %d: a command that is in time is cut off after %d", r.seed, elapsed)
 		}
+		r.remove(action.Slot)
+		return
+	case action.Reason == CloseEvictInvalid:
+		if c.validated || !admitting || !c.awaitingReply {
+			r.t.Fatalf("seed %d: evicted for an invalid command: %+v", r.seed, c)
+		}
+		r.remove(action.Slot)
+		return
+	case c.midCommand || c.awaitingReply:
+		r.t.Fatalf("seed %d: %v with a command in progress: %+v", r.seed, action.Reason, c)
+	case action.Reason == CloseFirstCommandTimeout && (c.sentCommand || age < r.limits.FirstCommandTimeout),
+		action.Reason == CloseIdleTimeout && (!c.sentCommand || idle < r.limits.IdleTimeout),
+		action.Reason == CloseEvictUnvalidated && (c.validated || !admitting || idle < r.limits.EvictionGrace),
+		action.Reason == CloseEvictIdle && (!c.validated || !admitting || !r.allSlotsInUse),
+		action.Reason == CloseEvictSingleUse && (c.requests != 1 || admitting),
+		action.Reason == CloseShutdown && !r.shuttingDown && !c.draining:
+		r.t.Fatalf("seed %d: %v at %d: %+v", r.seed, action.Reason, r.now, c)
+	}
+	if r.rng.IntN(4) == 0 && !c.draining { // a command crossed
+		c.draining, c.midCommand, c.commandStartedAt = true, true, r.now
+		r.limiter.CommandStarted(action.Slot, r.now)
+	} else {
+		r.remove(action.Slot)
 	}
 }
 
-func TestLimitsValidate(t *testing.T) {
-	for name, spoil := range map[string]func(*Limits){"places": func(l *Limits) { l.MaxConns = 0 }, "held": func(l *Limits) { l.SingleUseEvictionThreshold = -1 },
-		"tick": func(l *Limits) { l.TimerTick = 0 }, "quiet": func(l *Limits) { l.IdleTimeout = 0 }} {
-		l := smallLimits()
-		spoil(&l)
-		if _, err := New(l, 0); err == nil {
-			t.Errorf("%s is not checked", name)
-		}
+// commandTime returns how long a connection's command has taken, and how long it
+// may take.
+func (r *modelRun) commandTime(c *modelConn) (elapsed, timeout Time) {
+	switch {
+	case c.draining:
+		return r.now - c.commandStartedAt, r.limits.FirstCommandTimeout
+	case c.sentCommand:
+		return r.now - c.commandStartedAt, r.limits.CommandTimeout
+	default:
+		return r.now - c.connectedAt, r.limits.FirstCommandTimeout
 	}
 }
 
 // What a connection costs here, and what its turn does.
 func BenchmarkCommandAndReply(b *testing.B) {
-	book := newTestLimiter(b, DefaultLimits(100_000, 200_000))
-	for range 50_000 {
-		book.Add(0)
+	const conns = 50_000
+	limiter := newTestLimiter(b, DefaultLimits(100_000, 200_000))
+	for range conns {
+		limiter.Add(0)
 	}
 	b.ReportAllocs()
 	now := Time(0)
 	for i := 0; b.Loop(); i++ {
 		now++
-		id := SlotID(i % 50_000)
-		book.CommandStarted(id, now)
-		book.CommandRead(id, CommandRequest, now)
-		book.ReplyWritten(id, now)
-		book.TakeCloseActions()
+		id := SlotID(i % conns)
+		limiter.CommandStarted(id, now)
+		limiter.CommandRead(id, CommandRequest, now)
+		limiter.ReplyWritten(id, now)
+		limiter.TakeCloseActions()
 	}
 }
--- /dev/null
+++ b/internal/connlimit/slots.go
@@ -0,0 +1,78 @@
+package connlimit
+
+// noSlot ends a slotList.
+const noSlot = -1
+
+// slot is the bookkeeping of one connection. It is part of the list of its
+// state.
+type slot struct {
+	next, prev  int32
+	stateSince  Time
+	requests    uint32
+	state       State
+	validated   bool
+	sentCommand bool // has sent a complete command, valid or not
+}
+
+// slotList links the slots of one state, the one that entered it first at the
+// head.
+type slotList struct {
+	first, last int32
+	length      int
+}
+
+// unlink takes a slot out of the list of its state.
+func (l *Limiter) unlink(id SlotID) {
+	s := &l.slots[id]
+	list := &l.byState[s.state]
+	if s.prev >= 0 {
+		l.slots[s.prev].next = s.next
+	} else {
+		list.first = s.next
+	}
+	if s.next >= 0 {
+		l.slots[s.next].prev = s.prev
+	} else {
+		list.last = s.prev
+	}
+	list.length--
+}
+
+// setState moves a connection to the end of a state's list, as of now.
+func (l *Limiter) setState(id SlotID, state State, now Time) {
+	if l.slots[id].state != StateFree {
+		l.unlink(id)
+	}
+	s := &l.slots[id]
+	s.state, s.stateSince = state, now
+	list := &l.byState[state]
+	s.next, s.prev = noSlot, list.last
+	if list.last >= 0 {
+		l.slots[list.last].next = int32(id)
+	} else {
+		list.first = int32(id)
+	}
+	list.last = int32(id)
+	list.length++
+}
+
+// oldestIn returns the connection that has been in a state for longest, if that
+// is at least age.
+func (l *Limiter) oldestIn(state State, now, age Time) (SlotID, bool) {
+	first := l.byState[state].first
+	if first < 0 || now-l.slots[first].stateSince < age {
+		return 0, false
+	}
+	return SlotID(first), true
+}
+
+// longestIdle returns the validated connection that has been idle for longest.
+func (l *Limiter) longestIdle() (best SlotID, found bool) {
+	for _, state := range []State{StateIdle, StateIdleSingleUse} {
+		first := l.byState[state].first
+		if first >= 0 && (!found || l.slots[first].stateSince < l.slots[best].stateSince) {
+			best, found = SlotID(first), true
+		}
+	}
+	return best, found
+}
--- a/internal/relay/handover_packets_test.go
+++ b/internal/relay/handover_packets_test.go
@@ -337,7 +337,7 @@
 			Core: &core.HandoverState{}, ClockOrigin: -5, ClientsPausedAt: 6, DiscoveryAddr: "a:1", ReloadRequested: true},
 		`{"core":null,"mono":0}`: handoverState{},
 		`[{"ahead":"aGFsZg==","out":"b3V0","place":{"Known":true,"Spoke":true,"Asked":3,"Left":-4}},{"place":{"Known":false,"Spoke":false,"Asked":0,"Left":0}}]`: []respserver.ConnSnapshot{
-			{FD: 9, Unprocessed: []byte("half"), Unwritten: []byte("out"), Slot: connlimit.Snapshot{Known: true, Spoke: true, Asked: 3, Left: -4}}, {}},
+			{FD: 9, Unprocessed: []byte("half"), Unwritten: []byte("out"), Slot: connlimit.Snapshot{Validated: true, SentCommand: true, Requests: 3, TimeLeft: -4}}, {}},
 	} {
 		if got, err := json.Marshal(v); err != nil || string(got) != want {
 			t.Errorf("%v\n got %s\nwant %s", err, got, want)
--- a/internal/respserver/fixture_test.go
+++ b/internal/respserver/fixture_test.go
@@ -112,9 +112,9 @@
 		t.Fatal(err)
 	}
 	conns := []ConnSnapshot{
-		{Slot: connlimit.Snapshot{Left: 2600000}},
-		{Unprocessed: []byte("*1\r\n$4\r\nPI"), Slot: connlimit.Snapshot{Known: true, Spoke: true, Asked: 7, Left: 4000000}},
-		{Unwritten: []byte("+OK\r\n"), Slot: connlimit.Snapshot{Spoke: true, Left: 10000}},
+		{Slot: connlimit.Snapshot{TimeLeft: 2600000}},
+		{Unprocessed: []byte("*1\r\n$4\r\nPI"), Slot: connlimit.Snapshot{Validated: true, SentCommand: true, Requests: 7, TimeLeft: 4000000}},
+		{Unwritten: []byte("+OK\r\n"), Slot: connlimit.Snapshot{SentCommand: true, TimeLeft: 10000}},
 	}
 	got, err := json.MarshalIndent(conns, "", " ")
 	if err != nil {
--- a/internal/respserver/handover.go
+++ b/internal/respserver/handover.go
@@ -113,9 +113,9 @@
 	switch {
 	case len(h.Unprocessed) > 0 || len(h.Unwritten) > 0:
 		return 0
-	case h.Slot.Asked > 0:
+	case h.Slot.Requests > 0:
 		return 1
-	case h.Slot.Known:
+	case h.Slot.Validated:
 		return 2
 	}
 	return 3
@@ -126,7 +126,7 @@
 func (f *Server) Import(conns []ConnSnapshot) (kept int) {
 	for i := range conns {
 		h := &conns[i]
-		if f.limiter.InUse() >= f.options.Limits.MaxConns || !h.Slot.Known && f.limiter.Unvalidated() >= f.options.Limits.MaxUnvalidated {
+		if f.limiter.InUse() >= f.options.Limits.MaxConns || !h.Slot.Validated && f.limiter.Unvalidated() >= f.options.Limits.MaxUnvalidated {
 			syscall.Close(h.FD)
 			continue
 		}
--- a/internal/respserver/receivetime_test.go
+++ b/internal/respserver/receivetime_test.go
@@ -184,7 +184,7 @@
 			t.Cleanup(f.teardown)
 			io.WriteString(client, encodeCommand("SAY", "kept"))
 			io.WriteString(queued, encodeCommand("SAY", "queued"))
-			if n := f.Import([]ConnSnapshot{{FD: fd, Slot: connlimit.Snapshot{Known: true}}}); n != 1 {
+			if n := f.Import([]ConnSnapshot{{FD: fd, Slot: connlimit.Snapshot{Validated: true}}}); n != 1 {
 				t.Fatal("not adopted")
 			}
 			for end := time.Now().Add(20 * time.Second); len(ages) < 2 && time.Now().Before(end); {
