--- a/internal/respserver/fixture_test.go
+++ b/internal/respserver/fixture_test.go
@@ -1,7 +1,6 @@
 package respserver
 
 import (
-	"bufio"
 	"bytes"
 	"encoding/json"
 	"errors"
@@ -25,32 +24,23 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	f, _ := startServer(t, Options{}, connlimit.DefaultLimits(100, 300))
-	var inputs, replies []string
-	var wg sync.WaitGroup
-	for text := range strings.Lines(string(want)) {
-		if row, ok := strings.CutPrefix(text, "< "); ok {
+	server, _ := startServer(t, testOptions())
+	var inputs []string
+	for line := range strings.Lines(string(want)) {
+		if row, ok := strings.CutPrefix(line, "< "); ok {
 			inputs = append(inputs, strings.TrimSpace(row))
 		}
 	}
-	replies = make([]string, len(inputs))
+	replies := make([]string, len(inputs))
+	var wg sync.WaitGroup
 	for i, row := range inputs {
-		input := ""
-		for part := range strings.SplitSeq(row, " + ") {
-			times, quoted, _ := strings.Cut(part, "*")
-			n, _ := strconv.Atoi(times)
-			text, err := strconv.Unquote(quoted)
-			if err != nil {
-				t.Fatalf("%s: %v", row, err)
-			}
-			input += strings.Repeat(text, n)
-		}
-		c := dial(t, f.Addr().String())
+		input := expandInput(t, row) + "end\r\n"
+		client := dial(t, server.Addr())
 		wg.Add(1)
 		go func() {
 			defer wg.Done()
-			io.WriteString(c, input+"end\r\n")
-			heard, err := io.ReadAll(c)
+			client.send(input)
+			heard, err := io.ReadAll(client)
 			if err != nil {
 				t.Errorf("%s: %v", row, err)
 			}
@@ -67,25 +57,45 @@
 	}
 }
 
+// expandInput reads a row of the fixture: N*"text" parts, joined by " + ".
+func expandInput(t *testing.T, row string) string {
+	t.Helper()
+	var input strings.Builder
+	for part := range strings.SplitSeq(row, " + ") {
+		times, quoted, _ := strings.Cut(part, "*")
+		n, err := strconv.Atoi(times)
+		if err != nil {
+			t.Fatalf("%s: %v", row, err)
+		}
+		text, err := strconv.Unquote(quoted)
+		if err != nil {
+			t.Fatalf("%s: %v", row, err)
+		}
+		input.WriteString(strings.Repeat(text, n))
+	}
+	return input.String()
+}
+
 // What a client hears whose command ends too late, or finds no memory.
 func TestRepliesToLateCommands(t *testing.T) {
-	l := connlimit.DefaultLimits(100, 300)
-	l.FirstCommandTimeout = 200e3
-	f, _ := startServer(t, Options{}, l)
-	late := dial(t, f.Addr().String())
-	io.WriteString(late, "*1\r\n$4\r\nPI")
+	options := testOptions()
+	options.Limits.FirstCommandTimeout = 200e3
+	server, _ := startServer(t, options)
+	late := dial(t, server.Addr())
+	late.send("*1\r\n$4\r\nPI")
 	if heard, err := io.ReadAll(late); string(heard) != "-ERR command not finished in time\r\n" || err != nil {
 		t.Errorf("half a command: %q, %v", heard, err)
 	}
-	f, _ = startServer(t, Options{MemoryLimit: 1}, l)
-	holder := dial(t, f.Addr().String())
-	io.WriteString(holder, encodeCommand("PING"))
-	readLine(t, bufio.NewReader(holder))
-	io.WriteString(holder, "*1\r\n$4\r\nPI") // all of the memory
-	waitUntil(t, "the memory is in use", func() bool { m := 0; f.Inspect(func(*connlimit.Limiter) { m = f.memoryUsed }); return m > 0 })
-	starved := dial(t, f.Addr().String())
-	io.WriteString(starved, encodeCommand("PING"))
-	if heard, err := io.ReadAll(starved); string(heard) != "-BUSY 500\r\n" || err != nil {
+
+	options.MemoryLimit = 1
+	server, _ = startServer(t, options)
+	holder := dial(t, server.Addr())
+	holder.ping()
+	holder.send("*1\r\n$4\r\nPI") // all of the memory
+	waitUntil(t, "the memory is in use", func() bool { return server.memoryInUse() > 0 })
+	waiting := dial(t, server.Addr())
+	waiting.sendCommand("PING")
+	if heard, err := io.ReadAll(waiting); string(heard) != "-BUSY 500\r\n" || err != nil {
 		t.Errorf("no memory: %q, %v", heard, err)
 	}
 }
@@ -96,8 +106,8 @@
 		"busy, no time":      {BusyReply(-1), "-BUSY\r\n"},
 		"busy, 1 ms":         {BusyReply(1), "-BUSY 1\r\n"},
 		"busy, 12 s":         {BusyReply(12000), "-BUSY 12000\r\n"},
-		"fault":              {ErrorReply(errors.New("k: missing")), "-ERR k: missing\r\n"},
-		"fault, not plain":   {ErrorReply(errors.New("a\r\nb\x00\x7fé~")), "-ERR a??b???~\r\n"},
+		"error":              {ErrorReply(errors.New("k: missing")), "-ERR k: missing\r\n"},
+		"error, not plain":   {ErrorReply(errors.New("a\r\nb\x00\x7fé~")), "-ERR a??b???~\r\n"},
 	} {
 		if c.got != c.want {
 			t.Errorf("%s: %q, want %q", name, c.got, c.want)
@@ -113,7 +123,10 @@
 	}
 	conns := []ConnSnapshot{
 		{Slot: connlimit.Snapshot{TimeLeft: 2600000}},
-		{Unprocessed: []byte("*1\r\n$4\r\nPI"), Slot: connlimit.Snapshot{Validated: true, SentCommand: true, Requests: 7, TimeLeft: 4000000}},
+		{
+			Unprocessed: []byte("*1\r\n$4\r\nPI"),
+			Slot:        connlimit.Snapshot{Validated: true, SentCommand: true, Requests: 7, TimeLeft: 4000000},
+		},
 		{Unwritten: []byte("+OK\r\n"), Slot: connlimit.Snapshot{SentCommand: true, TimeLeft: 10000}},
 	}
 	got, err := json.MarshalIndent(conns, "", " ")
@@ -123,8 +136,8 @@
 	if !bytes.Equal(got, bytes.TrimSpace(want)) {
 		t.Errorf("got:\n%s\nwant:\n%s", got, want)
 	}
-	var back []ConnSnapshot
-	if err := json.Unmarshal(want, &back); err != nil || !reflect.DeepEqual(back, conns) {
-		t.Errorf("%+v, %v", back, err)
+	var decoded []ConnSnapshot
+	if err := json.Unmarshal(want, &decoded); err != nil || !reflect.DeepEqual(decoded, conns) {
+		t.Errorf("%+v, %v", decoded, err)
 	}
 }
--- /dev/null
+++ b/internal/respserver/read.go
@@ -0,0 +1,181 @@
+package respserver
+
+import (
+	"errors"
+	"syscall"
+	"time"
+
+	"troutusher/internal/connlimit"
+	"troutusher/internal/resp"
+)
+
+const (
+	readBufferSize = 16 << 10 // bytes in one read
+	// maxCommandsPerTurn bounds the commands of one connection in a row.
+	maxCommandsPerTurn = 16
+	// batchTime is how long ready connections are served in a row; lateBatchTime,
+	// if the first of them has waited for too long already.
+	batchTime     = 5 * time.Millisecond
+	lateBatchTime = 20 * time.Millisecond
+	// connsPerClockRead is how many connections are served between two looks at
+	// the clock.
+	connsPerClockRead = 16
+	// serviceTimeWeight is the weight of one batch in the smoothed service time.
+	serviceTimeWeight = 1.0 / 8
+	// clientReplyTimeout is how long a client waits for a reply. A request that
+	// has been unread for longer is of no use to anybody.
+	clientReplyTimeout = 400 * time.Millisecond
+)
+
+// serveReady serves the connections in the ready queue, in order, for a while.
+// If the first of them have waited for too long already the while is longer:
+// shedding costs little, and their clients should hear it soon.
+func (s *Server) serveReady() {
+	if len(s.readyQueue) == 0 {
+		return
+	}
+	startedAt := s.now()
+	limit := batchTime
+	if startedAt-s.connAt(s.readyQueue[0]).readyAt > s.options.Limits.MaxQueueWait {
+		limit = lateBatchTime
+	}
+	served := 0
+	for served < len(s.readyQueue) && (served%connsPerClockRead != 0 || s.now()-startedAt < limit.Microseconds()) {
+		slot := s.readyQueue[served]
+		served++
+		c := s.connAt(slot)
+		c.inReadyQueue = false
+		if c.fd > 0 {
+			s.serveConn(slot, c)
+			s.applyCloseActions()
+		}
+	}
+	rest := copy(s.readyQueue, s.readyQueue[served:])
+	s.readyQueue = s.readyQueue[:rest]
+	if served >= connsPerClockRead { // including what the others took since: how fast the queue moves
+		serviceTime := float64(s.now()-s.lastBatchAt) / float64(served)
+		s.serviceTimeMicros += (serviceTime - s.serviceTimeMicros) * serviceTimeWeight
+	}
+	s.lastBatchAt = s.now()
+}
+
+// serveConn does what there is to do on a connection, for maxCommandsPerTurn
+// commands at most.
+func (s *Server) serveConn(slot uint32, c *conn) {
+	for range maxCommandsPerTurn {
+		switch c.mode {
+		case modeAwaitingReply:
+			if c.peerClosed { // before its reply
+				s.closeConn(slot, c)
+			}
+			return
+		case modeWriting:
+			if c.peerClosed {
+				s.closeConn(slot, c)
+			} else {
+				s.flush(slot, c)
+			}
+			if c.fd <= 0 || c.mode == modeWriting {
+				return
+			}
+		case modeDelayingError:
+			return
+		case modeLingering:
+			s.linger(slot, c)
+			return
+		default:
+			if !s.hasMemory(c) {
+				s.waitForMemory(slot, c)
+				return
+			}
+			if !s.readConn(slot, c) {
+				return
+			}
+		}
+	}
+	s.markReady(slot, c)
+}
+
+// readConn reads input up to the end of a command. It returns false if there is
+// none, or if the connection was closed.
+func (s *Server) readConn(slot uint32, c *conn) bool {
+	if c.hasUnprocessed() {
+		input := c.buffers.unprocessed
+		c.buffers.unprocessed = nil
+		s.parse(slot, c, input, true)
+		return c.fd > 0
+	}
+	if !c.readable {
+		return false
+	}
+	n, err := syscall.Read(int(c.fd), s.readBuffer[:])
+	for err == syscall.EINTR {
+		n, err = syscall.Read(int(c.fd), s.readBuffer[:])
+	}
+	switch {
+	case err == syscall.EAGAIN:
+		c.readable = false
+		return false
+	case err != nil || n == 0:
+		s.closeConn(slot, c)
+		return false
+	}
+	s.parse(slot, c, s.readBuffer[:n], false)
+	return c.fd > 0
+}
+
+// parse parses input up to the end of a command. What follows that is kept for
+// later; owned tells that input belongs to the connection already.
+func (s *Server) parse(slot uint32, c *conn, input []byte, owned bool) {
+	now := s.now()
+	if c.reader == nil {
+		s.limiter.CommandStarted(connlimit.SlotID(slot), now)
+		c.reader = s.takeReader()
+	}
+	n, complete, err := c.reader.Feed(input)
+	inSync := err == nil || errors.Is(err, resp.ErrTooLong)
+	if rest := input[n:]; len(rest) > 0 && inSync {
+		if !owned {
+			rest = append([]byte(nil), rest...)
+		}
+		c.ensureBuffers().unprocessed = rest
+	}
+	if !complete {
+		s.accountMemory(c, 0)
+		return
+	}
+	if err != nil {
+		s.limiter.CommandRead(connlimit.SlotID(slot), connlimit.CommandInvalid, now)
+		s.replyError(slot, c, err, !inSync)
+	} else {
+		s.dispatch(slot, c, now)
+	}
+	if c.fd > 0 && c.reader != nil {
+		s.releaseReader(c)
+	}
+}
+
+// dispatch passes the command that has been read to the handler.
+func (s *Server) dispatch(slot uint32, c *conn, now connlimit.Time) {
+	c.sequence++
+	receivedAt := max(c.receivedAt, now-clientReplyTimeout.Microseconds())
+	retryAfter, shed := s.options.Limits.ShedRequest(now-c.readyAt, len(s.readyQueue), int64(s.serviceTimeMicros))
+	reply := s.options.Handler(&Command{
+		Args:       c.reader.Args(),
+		ReceivedAt: s.timeOf(receivedAt),
+		QueueDelay: time.Duration(now-receivedAt) * time.Microsecond,
+		ID:         RequestID{slot, c.sequence},
+		Shed:       shed,
+		RetryAfter: time.Duration(retryAfter) * time.Microsecond,
+	})
+	s.limiter.CommandRead(connlimit.SlotID(slot), reply.Kind, now)
+	if reply.Pending == nil {
+		s.reply(slot, c, reply.Text)
+		return
+	}
+	c.mode, c.requestMemory = modeAwaitingReply, int32(reply.PendingBytes)
+	c.ensureBuffers().pending = reply.Pending
+	if c.peerClosed {
+		s.closeConn(slot, c)
+	}
+}
