--- a/internal/tlsdial/handshake.go
+++ b/internal/tlsdial/handshake.go
@@ -3,11 +3,8 @@
 import (
 	"context"
 	"crypto/tls"
-	"errors"
 	"net"
-	"os"
 	"runtime"
-	"sync"
 	"time"
 
 	"golang.org/x/sys/unix"
@@ -16,320 +13,208 @@
 	"troutusher/internal/tlspolicy"
 )
 
-// Permit is leave for one handshake. It is used once, by Shake or Abandon.
+// minVersionTLS13 is the value of a rule's min_version that excludes TLS 1.2.
+const minVersionTLS13 = "1.3"
+
+// Permit allows one handshake with an endpoint. It is used once, by Handshake or
+// Release.
 type Permit struct {
 	endpoint     *Endpoint
 	credentials  *certstore.Credentials
-	generation   uint64
+	generation   uint64 // of the rule's files
 	identity     tlspolicy.SessionIdentity
 	reservation  tlspolicy.Reservation
 	kind         tlspolicy.HandshakeKind
-	session      *tls.ClientSessionState
+	session      *tls.ClientSessionState // to resume; nil for a full handshake
 	sessionUntil time.Time
 }
 
 // Timeout is how long the handshake may take, connecting included.
-func (t *Permit) Timeout() time.Duration { return t.endpoint.dialer.handshakeTimeout }
-
-// Release gives a turn back: no connection came up.
-func (t *Permit) Release() {
-	p := t.endpoint.dialer
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	now := time.Now()
-	p.budget.Complete(t.reservation, 0, false, now)
-	p.recordInconclusive(t.endpoint)
-	if t.session != nil && t.generation == t.endpoint.rule.generation.Load() { // it was not shown to anybody
-		p.sessions.PutUntil(t.identity, t.session, p.options.Clock(), t.sessionUntil)
+func (p *Permit) Timeout() time.Duration { return p.endpoint.dialer.handshakeTimeout }
+
+// Release gives the permit back without a handshake: no connection was established.
+func (p *Permit) Release() {
+	d := p.endpoint.dialer
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	d.budget.Complete(p.reservation, 0, false, time.Now())
+	d.recordInconclusive(p.endpoint)
+	if p.session != nil && p.generation == p.endpoint.rule.generation.Load() { // nobody has seen its ticket
+		d.sessions.PutUntil(p.identity, p.session, d.options.Clock(), p.sessionUntil)
+	}
+}
+
+// Handshake makes the handshake over a connection. When it fails, the connection is
+// closed and nothing but the handshake was sent; the error is a *RejectedError where
+// an identity was rejected.
+func (p *Permit) Handshake(ctx context.Context, raw net.Conn) (*Conn, error) {
+	h := p.newHandshake(raw)
+	cpuTime, err := h.run(ctx)
+	if err == nil {
+		err = h.confirm()
 	}
-}
-
-// recordInconclusive books a handshake without a proof. The caller holds mu.
-func (p *Dialer) recordInconclusive(e *Endpoint) {
-	p.counts.Inconclusive++
-	p.trust.RecordInconclusive(e.trustKey())
-	if f, _ := p.trust.Rejection(e.trustKey()); f != nil { // the schedule goes on
-		p.scheduleRetry(e, time.Second)
+	if err != nil {
+		_ = raw.Close() // nothing was sent on it that its close could lose
+	}
+	return h.record(ctx, cpuTime, err)
+}
+
+// handshake is one handshake under way.
+type handshake struct {
+	permit               *Permit
+	conn                 *Conn
+	cache                *ticketCache
+	failure              *tlspolicy.IdentityError // of the endpoint's identity, by our verification
+	certificateRequested bool                     // the endpoint asked for our certificate
+	version              uint16
+}
+
+func (p *Permit) newHandshake(raw net.Conn) *handshake {
+	e := p.endpoint
+	h := &handshake{
+		permit: p,
+		conn: &Conn{
+			records:    &recordTracker{Conn: raw},
+			raw:        raw,
+			endpoint:   e,
+			generation: p.generation,
+		},
+		cache: &ticketCache{
+			dialer:     e.dialer,
+			identity:   p.identity,
+			generation: p.generation,
+			rule:       e.rule,
+			offer:      p.session,
+		},
 	}
+	h.conn.Conn = tls.Client(h.conn.records, h.config())
+	return h
 }
 
-// Handshake makes the handshake over a connection. With an error the connection is
-// closed and nothing but the handshake was sent: *Out where the proof was not
-// accepted.
-func (t *Permit) Handshake(ctx context.Context, raw net.Conn) (*Conn, error) {
-	e, p := t.endpoint, t.endpoint.dialer
-	c := &Conn{records: &recordTracker{Conn: raw}, raw: raw, endpoint: e, generation: t.generation}
-	var failure *tlspolicy.IdentityError
-	asked := false // for our certificate
-	verify := func(cs tls.ConnectionState) (*tlspolicy.Verification, *tlspolicy.IdentityError) {
-		set := e.rule.files.Current()
-		policy := e.rule.policy
-		policy.Roots = set.Roots
-		return policy.Verify(cs.PeerCertificates, p.options.Clock(), &tlspolicy.RevocationEvidence{Staple: cs.OCSPResponse, Lists: set.RevocationLists})
-	}
-	cache := &ticketCache{dialer: p, identity: t.identity, generation: t.generation, rule: e.rule, offer: t.session}
-	cfg := &tls.Config{ServerName: e.rule.policy.ServerName, MinVersion: tls.VersionTLS12, MaxVersion: tls.VersionTLS13, Time: p.options.Clock,
-		ClientSessionCache: cache,
+func (h *handshake) config() *tls.Config {
+	e := h.permit.endpoint
+	config := &tls.Config{
+		ServerName:         e.rule.policy.ServerName,
+		MinVersion:         tls.VersionTLS12,
+		MaxVersion:         tls.VersionTLS13,
+		Time:               e.dialer.options.Clock,
+		ClientSessionCache: h.cache,
 		// The library's own verification would use the system's clock and give no
 		// cause. VerifyConnection is called for resumed sessions, too.
-		InsecureSkipVerify: true,
-		VerifyConnection: func(cs tls.ConnectionState) error {
-			proof, f := verify(cs)
-			if f != nil {
-				failure = f
-				return f
-			}
-			c.validUntil = proof.ValidUntil
-			return nil
-		},
-		GetClientCertificate: func(*tls.CertificateRequestInfo) (*tls.Certificate, error) {
-			asked = true
-			if t.credentials.Certificate == nil {
-				return &tls.Certificate{}, nil
-			}
-			return t.credentials.Certificate, nil
-		}}
-	if e.rule.settings.MinVersion == "1.3" {
-		cfg.MinVersion = tls.VersionTLS13
+		InsecureSkipVerify:   true,
+		VerifyConnection:     h.verifyConnection,
+		GetClientCertificate: h.clientCertificate,
 	}
-	c.Conn = tls.Client(c.records, cfg)
-	// A thread of its own, for its processor time: that of the process would
-	// count the calls meanwhile.
-	runtime.LockOSThread()
-	began := threadCPUTime()
-	err := c.Conn.HandshakeContext(ctx)
-	took := threadCPUTime() - began
-	runtime.UnlockOSThread()
-	var cs tls.ConnectionState
-	if err == nil {
-		cs = c.Conn.ConnectionState()
-		c.Resumed = cs.DidResume
-		if asked && cs.Version == tls.VersionTLS13 {
-			err = c.awaitRejection(cache)
-		}
+	if e.rule.settings.MinVersion == minVersionTLS13 {
+		config.MinVersion = tls.VersionTLS13
 	}
-	if err == nil {
-		if e.rule.generation.Load() != t.generation { // trust changed meanwhile
-			if _, failure = verify(cs); failure != nil {
-				err = failure
-			}
-		}
-	}
-	if err != nil {
-		raw.Close()
-	}
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	p.budget.Complete(t.reservation, took, err == nil && c.Resumed == (t.kind == tlspolicy.ResumedHandshake), time.Now())
-	if err == nil {
-		p.recordVerified(e, c)
-		cache.commit(c.validUntil, c.Resumed && cs.Version == tls.VersionTLS12)
-		return c, nil
-	}
-	if failure == nil {
-		if cause, ok := causeOfError(err); ok {
-			if asked && cause == tlspolicy.NoCommonParameters {
-				cause = tlspolicy.ClientCertificateRejected // RFC 5246 section 7.4.6: its word for a certificate that is missing
-			}
-			failure = &tlspolicy.IdentityError{Cause: cause, Rule: e.rule.settings.Name, Err: err}
-		} else if !isTransient(ctx, err) {
-			failure = &tlspolicy.IdentityError{Cause: tlspolicy.NoCommonParameters, Rule: e.rule.settings.Name, Err: err}
-		}
-	}
-	if failure != nil {
-		return nil, p.recordRejection(e, failure)
-	}
-	p.recordInconclusive(e)
-	return nil, err
+	return config
 }
 
-// rejectionWait is how long a partner that asked for our certificate has to refuse
-// it before a call is trusted to the connection.
-const rejectionWait = 100 * time.Millisecond
-
-// awaitRejection gives a partner that asked for our certificate a moment to refuse it.
-// With TLS 1.3 the handshake is over here before it has looked at ours (RFC 8446
-// section 4.4.2.4); a new session is its word that it has.
-func (c *Conn) awaitRejection(cache *ticketCache) error {
-	c.SetReadDeadline(time.Now().Add(rejectionWait))
-	defer c.SetReadDeadline(time.Time{})
-	cache.onEarly = func() { c.SetReadDeadline(time.Unix(1, 0)) } // which ends the read below
-	defer func() { cache.onEarly = nil }()
-	for !cache.hasEarly() {
-		switch n, err := c.Read(make([]byte, 1)); {
-		case n > 0:
-			return errors.New("bytes before the first call")
-		case errors.Is(err, os.ErrDeadlineExceeded):
-			return nil
-		case err != nil:
-			return err
-		}
+// verifyConnection is called by crypto/tls with the endpoint's certificates.
+func (h *handshake) verifyConnection(state tls.ConnectionState) error {
+	verification, failure := h.verify(state)
+	if failure != nil {
+		h.failure = failure
+		return failure
 	}
+	h.conn.validUntil = verification.ValidUntil
 	return nil
 }
 
-// recordVerified books a proof. The caller holds mu.
-func (p *Dialer) recordVerified(e *Endpoint, c *Conn) {
-	if c.Resumed {
-		p.counts.Resumed++
-	} else {
-		p.counts.Full++
-	}
-	if e.closed {
-		return
-	}
-	was, _ := p.trust.Rejection(e.trustKey())
-	if said := p.trust.RecordVerified(e.trustKey(), &tlspolicy.Verification{ValidUntil: c.validUntil}); said != "" {
-		p.options.Log.Info("tls: "+string(said), "endpoint", e.number, "dest", e.dest, "rule", e.rule.settings.Name)
-	}
-	if was != nil {
-		e.stopRetry()
-		p.options.OnRejected(e.number, 0)
-	}
-	if old := e.rule.earliestExpiry.Load(); old == 0 || c.validUntil.Unix() < old || old < p.options.Clock().Unix() {
-		e.rule.earliestExpiry.Store(c.validUntil.Unix())
-	}
-	rule, until := e.rule, c.validUntil
-	if until.Sub(p.options.Clock()) <= rule.settings.ExpiryWarning() {
-		go p.warnExpiring(rule, "a partner's certificate", until)
-	}
-}
-
-// threadCPUTime is the processor time of the thread that calls.
-func threadCPUTime() time.Duration {
-	var ts unix.Timespec
-	if unix.ClockGettime(unix.CLOCK_THREAD_CPUTIME_ID, &ts) != nil {
-		return 0
+// clientCertificate is called by crypto/tls when the endpoint asks for our certificate.
+func (h *handshake) clientCertificate(*tls.CertificateRequestInfo) (*tls.Certificate, error) {
+	h.certificateRequested = true
+	if own := h.permit.credentials.Certificate; own != nil {
+		return own, nil
 	}
-	return time.Duration(ts.Nano())
-}
-
-// ticketCache is the session cache as one connection's crypto/tls sees it: it finds
-// the one session of its turn, once, and what it keeps goes under its own
-// identity.
-type ticketCache struct {
-	dialer     *Dialer
-	identity   tlspolicy.SessionIdentity
-	generation uint64
-	rule       *rule
-
-	mu         sync.Mutex
-	offer      *tls.ClientSessionState
-	offered    *tls.ClientSessionState
-	validUntil time.Time // of the proof; zero before it
-	early      *tls.ClientSessionState
-	onEarly    func() // told of a session that comes before the proof is booked
-}
-
-// Get gives the session of this turn.
-func (t *ticketCache) Get(string) (*tls.ClientSessionState, bool) {
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	s := t.offer
-	t.offer, t.offered = nil, s
-	return s, s != nil
+	return &tls.Certificate{}, nil
 }
 
-// hasEarly reports whether a session has come in this handshake.
-func (t *ticketCache) hasEarly() bool {
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	return t.early != nil
+// verify judges the endpoint's identity by the rule's current files.
+func (h *handshake) verify(state tls.ConnectionState) (*tlspolicy.Verification, *tlspolicy.IdentityError) {
+	e := h.permit.endpoint
+	credentials := e.rule.files.Current()
+	policy := e.rule.policy
+	policy.Roots = credentials.Roots
+	evidence := &tlspolicy.RevocationEvidence{Staple: state.OCSPResponse, Lists: credentials.RevocationLists}
+	return policy.Verify(state.PeerCertificates, e.dialer.options.Clock(), evidence)
 }
 
-// Put keeps a session that the partner gave.
-func (t *ticketCache) Put(_ string, s *tls.ClientSessionState) {
-	if s == nil {
-		return
-	}
-	t.mu.Lock()
-	early := t.validUntil.IsZero()
-	if early { // TLS 1.2 gives it before the end of the handshake
-		t.early = s
+// run makes the handshake and measures the processor time it takes on this side.
+func (h *handshake) run(ctx context.Context) (cpuTime time.Duration, err error) {
+	// It runs on a thread of its own, whose processor time is measured: the
+	// process's would count other goroutines' work.
+	runtime.LockOSThread()
+	defer runtime.UnlockOSThread()
+	start := threadCPUTime()
+	err = h.conn.HandshakeContext(ctx)
+	return threadCPUTime() - start, err
+}
+
+// confirm checks, once the handshake is over on this side, that the endpoint accepts
+// our certificate and that its identity still holds under the rule's files.
+func (h *handshake) confirm() error {
+	state := h.conn.ConnectionState()
+	h.conn.Resumed = state.DidResume
+	h.version = state.Version
+	if h.certificateRequested && state.Version == tls.VersionTLS13 {
+		if err := h.conn.awaitRejection(h.cache); err != nil {
+			return err
+		}
 	}
-	t.mu.Unlock()
-	if early && t.onEarly != nil { // by the goroutine that reads
-		t.onEarly()
+	if h.permit.endpoint.rule.generation.Load() == h.permit.generation {
+		return nil
 	}
-	if !early { // until does not change any more
-		t.dialer.mu.Lock()
-		defer t.dialer.mu.Unlock()
-		t.store(s)
+	if _, h.failure = h.verify(state); h.failure != nil { // the files have changed meanwhile
+		return h.failure
 	}
+	return nil
 }
 
-// commit: the handshake is over. The caller holds the partners' mu. A TLS 1.2
-// session that was resumed without a new one may be used again (RFC 5077 section
-// 3.3).
-func (t *ticketCache) commit(until time.Time, again bool) {
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	t.validUntil = until
-	switch {
-	case t.early != nil:
-		t.store(t.early)
-	case again && t.offered != nil:
-		t.store(t.offered)
+// record accounts for a handshake that has ended with err.
+func (h *handshake) record(ctx context.Context, cpuTime time.Duration, err error) (*Conn, error) {
+	e := h.permit.endpoint
+	d := e.dialer
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	asPlanned := err == nil && h.conn.Resumed == (h.permit.kind == tlspolicy.ResumedHandshake)
+	d.budget.Complete(h.permit.reservation, cpuTime, asPlanned, time.Now())
+	if err == nil {
+		d.recordVerified(e, h.conn)
+		h.cache.commit(h.conn.validUntil, h.conn.Resumed && h.version == tls.VersionTLS12)
+		return h.conn, nil
 	}
-	t.early, t.offered = nil, nil
-}
-
-func (t *ticketCache) store(s *tls.ClientSessionState) {
-	if t.generation == t.rule.generation.Load() {
-		t.dialer.sessions.Put(t.identity, s, t.dialer.options.Clock(), t.validUntil)
+	if failure := h.identityFailure(ctx, err); failure != nil {
+		return nil, d.recordRejection(e, failure)
 	}
+	d.recordInconclusive(e)
+	return nil, err
 }
 
-// Conn is a connection to a partner that has proved who it is.
-type Conn struct {
-	*tls.Conn
-	Resumed    bool
-	records    *recordTracker
-	raw        net.Conn
-	endpoint   *Endpoint
-	generation uint64
-	validUntil time.Time
-}
-
-// Endpoint is whose it is.
-func (c *Conn) Endpoint() *Endpoint { return c.endpoint }
-
-// Raw is the connection below.
-func (c *Conn) Raw() net.Conn { return c.raw }
-
-// IdentityCurrent reports whether a call may begin on it: the proof is not over, and what
-// it was judged by, and what was shown for it, is what holds now.
-func (c *Conn) IdentityCurrent() bool {
-	return c.generation == c.endpoint.rule.generation.Load() && c.endpoint.dialer.options.Clock().Before(c.validUntil)
-}
-
-// AtRecordBoundary reports whether no record is half read: what has come of one may be the
-// end of the connection.
-func (c *Conn) AtRecordBoundary() bool { return c.records.headerRead == 0 && c.records.bodyLeft == 0 }
-
-// recordTracker watches where records begin and end in what is read (RFC 8446 section
-// 5.1).
-type recordTracker struct {
-	net.Conn
-	header     [5]byte
-	headerRead int // bytes of the head
-	bodyLeft   int // bytes of the record
+// identityFailure returns why an identity was rejected in a handshake that failed with
+// err; nil where the error says nothing about identities.
+func (h *handshake) identityFailure(ctx context.Context, err error) *tlspolicy.IdentityError {
+	if h.failure != nil {
+		return h.failure
+	}
+	cause, ok := causeOfError(err)
+	switch {
+	case !ok && isTransient(ctx, err):
+		return nil
+	case !ok:
+		cause = tlspolicy.NoCommonParameters
+	case h.certificateRequested && cause == tlspolicy.NoCommonParameters:
+		cause = tlspolicy.ClientCertificateRejected // RFC 5246 section 7.4.6: the alert for a missing certificate
+	}
+	return &tlspolicy.IdentityError{Cause: cause, Rule: h.permit.endpoint.rule.settings.Name, Err: err}
 }
 
-// Read reads.
-func (e *recordTracker) Read(b []byte) (int, error) {
-	n, err := e.Conn.Read(b)
-	for b := b[:n]; len(b) > 0; {
-		if e.bodyLeft > 0 {
-			k := min(e.bodyLeft, len(b))
-			e.bodyLeft, b = e.bodyLeft-k, b[k:]
-			continue
-		}
-		k := copy(e.header[e.headerRead:], b)
-		e.headerRead, b = e.headerRead+k, b[k:]
-		if e.headerRead == len(e.header) {
-			e.headerRead, e.bodyLeft = 0, int(e.header[3])<<8|int(e.header[4])
-		}
+// threadCPUTime is the processor time of the calling thread.
+func threadCPUTime() time.Duration {
+	var ts unix.Timespec
+	if unix.ClockGettime(unix.CLOCK_THREAD_CPUTIME_ID, &ts) != nil {
+		return 0
 	}
-	return n, err
+	return time.Duration(ts.Nano())
 }
--- a/internal/tlsdial/sessionfile.go
+++ b/internal/tlsdial/sessionfile.go
@@ -1,6 +1,7 @@
 package tlsdial
 
 import (
+	"bytes"
 	"crypto/cipher"
 	"crypto/hkdf"
 	"crypto/rand"
@@ -20,27 +21,36 @@
 	"troutusher/internal/tlspolicy"
 )
 
-// Sessions that outlast the process: written when it ends as planned, read once
-// and removed at the next start, so that no two processes show the same ticket.
+// Sessions are stored when the process ends as planned, and read once and removed at
+// the next start, so that no two processes show the same ticket. The file:
 //
 //	magic and version   5 bytes   "TRSS" 1
 //	salt                32 bytes  of the key's derivation, HKDF-SHA-256 (RFC 5869)
 //	nonce               24 bytes
 //	XChaCha20-Poly1305  the rest, over JSON; all before it is authenticated
 //
-// A file that is damaged, of another version or under another key is an empty
+// A file that is damaged, of another version or under another key counts as an empty
 // cache: full handshakes, and nothing else, follow from that.
 
 const (
 	sessionsFile         = "sessions.sealed"
-	sessionsMagic        = "TRSS\x01"
+	sessionsMagic        = "TRSS"
+	sessionsVersion      = 1
+	prefixLen            = len(sessionsMagic) + 1 // magic and version
 	saltLen              = 32
+	headerLen            = prefixLen + saltLen + chacha20poly1305.NonceSizeX
 	maxSessionsFileBytes = 4 << 20
 	minSessionKeyBytes   = 32
 	maxSessionKeyBytes   = 4096
 	keyDerivationInfo    = "troutusher sessions 1"
+	temporarySuffix      = ".new"
+	ownerOnly            = 0o600
+	othersPermissions    = 0o077
 )
 
+// errNotDecryptable says that a file of sessions cannot be decrypted.
+var errNotDecryptable = errors.New("damaged, or sealed under another key")
+
 // storedSession is one session in the file.
 type storedSession struct {
 	Destination int       `json:"dest"`
@@ -51,179 +61,212 @@
 	State       []byte    `json:"state"`
 }
 
-// readSessionKey reads the operator's key: 32 bytes at least, its owner's alone.
+// readSessionKey reads the operator's key file: 32 bytes at least, accessible to its
+// owner alone.
 func readSessionKey(path string) ([]byte, error) {
 	f, err := os.Open(path)
 	if err != nil {
 		return nil, fmt.Errorf("session key: %w", err)
 	}
-	defer f.Close()
+	defer func() { _ = f.Close() }()
 	info, err := f.Stat()
 	switch {
 	case err != nil:
 		return nil, fmt.Errorf("session key: %w", err)
 	case !info.Mode().IsRegular():
 		return nil, fmt.Errorf("session key: %s: no regular file", path)
-	case info.Mode().Perm()&0o077 != 0:
-		return nil, fmt.Errorf("session key: %s: mode %04o: others than its owner may use it, want 0600", path, info.Mode().Perm())
+	case info.Mode().Perm()&othersPermissions != 0:
+		return nil, fmt.Errorf("session key: %s: mode %04o: others than its owner may use it, want 0600",
+			path, info.Mode().Perm())
 	}
 	key, err := io.ReadAll(io.LimitReader(f, maxSessionKeyBytes+1))
 	if err != nil {
 		return nil, fmt.Errorf("session key: %w", err)
 	}
 	if len(key) < minSessionKeyBytes || len(key) > maxSessionKeyBytes {
-		return nil, fmt.Errorf("session key: %s: %d bytes, want %d to %d", path, len(key), minSessionKeyBytes, maxSessionKeyBytes)
+		return nil, fmt.Errorf("session key: %s: %d bytes, want %d to %d",
+			path, len(key), minSessionKeyBytes, maxSessionKeyBytes)
 	}
 	return key, nil
 }
 
+// newAEAD returns the cipher of a file with a salt.
 func newAEAD(key, salt []byte) (cipher.AEAD, error) {
-	k, err := hkdf.Key(sha256.New, key, salt, keyDerivationInfo, chacha20poly1305.KeySize)
+	derived, err := hkdf.Key(sha256.New, key, salt, keyDerivationInfo, chacha20poly1305.KeySize)
 	if err != nil {
 		return nil, err
 	}
-	return chacha20poly1305.NewX(k)
+	return chacha20poly1305.NewX(derived)
 }
 
-// encryptSessions makes the file's text.
+// encryptSessions returns the content of a file.
 func encryptSessions(key []byte, sessions []storedSession) ([]byte, error) {
-	text, err := json.Marshal(sessions)
+	plaintext, err := json.Marshal(sessions)
 	if err != nil {
 		return nil, err
 	}
-	head := make([]byte, len(sessionsMagic)+saltLen+chacha20poly1305.NonceSizeX)
-	n := copy(head, sessionsMagic)
-	if _, err := rand.Read(head[n:]); err != nil {
+	header := make([]byte, headerLen)
+	copy(header, sessionsMagic)
+	header[len(sessionsMagic)] = sessionsVersion
+	if _, err := rand.Read(header[prefixLen:]); err != nil {
 		return nil, err
 	}
-	aead, err := newAEAD(key, head[n:n+saltLen])
+	aead, err := newAEAD(key, header[prefixLen:prefixLen+saltLen])
 	if err != nil {
 		return nil, err
 	}
-	return aead.Seal(head, head[n+saltLen:], text, append([]byte{}, head...)), nil
+	nonce := header[prefixLen+saltLen:]
+	return aead.Seal(header, nonce, plaintext, bytes.Clone(header)), nil
 }
 
-var errNotDecryptable = errors.New("damaged, or sealed under another key")
-
-// decryptSessions reads it.
-func decryptSessions(key, file []byte) ([]storedSession, error) {
-	const headLen = len(sessionsMagic) + saltLen + chacha20poly1305.NonceSizeX
-	switch {
-	case len(file) < headLen || string(file[:len(sessionsMagic)-1]) != sessionsMagic[:len(sessionsMagic)-1]:
+// decryptSessions reads the content of a file.
+func decryptSessions(key, content []byte) ([]storedSession, error) {
+	if len(content) < headerLen || string(content[:len(sessionsMagic)]) != sessionsMagic {
 		return nil, errNotDecryptable
-	case file[len(sessionsMagic)-1] != sessionsMagic[len(sessionsMagic)-1]:
-		return nil, fmt.Errorf("version %d is not known here", file[len(sessionsMagic)-1])
 	}
-	head := file[:headLen]
-	aead, err := newAEAD(key, head[len(sessionsMagic):len(sessionsMagic)+saltLen])
+	if version := content[len(sessionsMagic)]; version != sessionsVersion {
+		return nil, fmt.Errorf("version %d is not known here", version)
+	}
+	header := content[:headerLen]
+	aead, err := newAEAD(key, header[prefixLen:prefixLen+saltLen])
 	if err != nil {
 		return nil, err
 	}
-	text, err := aead.Open(nil, head[len(sessionsMagic)+saltLen:], file[headLen:], head)
+	plaintext, err := aead.Open(nil, header[prefixLen+saltLen:], content[headerLen:], header)
 	if err != nil {
 		return nil, errNotDecryptable
 	}
-	var all []storedSession
-	if err := json.Unmarshal(text, &all); err != nil {
+	var sessions []storedSession
+	if err := json.Unmarshal(plaintext, &sessions); err != nil {
 		return nil, errNotDecryptable
 	}
-	return all, nil
+	return sessions, nil
 }
 
-// SaveSessions keeps the sessions for the next process, where the operator has named a
-// key. Nothing else depends on it: an error is told, and no more.
-func (p *Dialer) SaveSessions(dir string) {
-	if p == nil || p.sessionKey == nil {
+// SaveSessions stores the sessions in a folder for the next process, where the operator
+// has named a key. Nothing else depends on it: an error is logged, and no more.
+func (d *Dialer) SaveSessions(dir string) {
+	if d == nil || d.sessionKey == nil {
 		return
 	}
-	var all []storedSession
-	p.mu.Lock()
-	p.sessions.Each(func(of tlspolicy.SessionIdentity, what *tls.ClientSessionState, until time.Time) {
-		ticket, state, err := what.ResumptionState()
+	if err := d.writeSessions(filepath.Join(dir, sessionsFile), d.exportSessions()); err != nil {
+		d.options.Log.Warn("tls: sessions are not kept for the next process", "err", err)
+	}
+}
+
+// exportSessions returns the cached sessions that can be stored, the oldest first.
+func (d *Dialer) exportSessions() (sessions []storedSession) {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	d.sessions.Each(func(id tlspolicy.SessionIdentity, session *tls.ClientSessionState, until time.Time) {
+		ticket, state, err := session.ResumptionState()
 		if err != nil || state == nil {
 			return
 		}
-		if text, err := state.Bytes(); err == nil {
-			all = append(all, storedSession{of.Destination, of.Rule, of.Sum[:], until, ticket, text})
+		encoded, err := state.Bytes()
+		if err != nil {
+			return
 		}
+		sessions = append(sessions, storedSession{
+			Destination: id.Destination,
+			Rule:        id.Rule,
+			IdentitySum: id.Sum[:],
+			Until:       until,
+			Ticket:      ticket,
+			State:       encoded,
+		})
 	})
-	p.mu.Unlock()
-	if err := p.writeSessions(filepath.Join(dir, sessionsFile), all); err != nil {
-		p.options.Log.Warn("tls: sessions are not kept for the next process", "err", err)
-	}
+	return sessions
 }
 
-func (p *Dialer) writeSessions(path string, all []storedSession) error {
-	text, err := encryptSessions(p.sessionKey, all)
+// writeSessions replaces the file, or leaves it as it is.
+func (d *Dialer) writeSessions(path string, sessions []storedSession) error {
+	content, err := encryptSessions(d.sessionKey, sessions)
 	if err != nil {
 		return err
 	}
-	if len(text) > maxSessionsFileBytes {
-		return fmt.Errorf("%d bytes, %d at most", len(text), maxSessionsFileBytes)
+	if len(content) > maxSessionsFileBytes {
+		return fmt.Errorf("%d bytes, %d at most", len(content), maxSessionsFileBytes)
 	}
-	f, err := os.OpenFile(path+".new", os.O_WRONLY|os.O_CREATE|os.O_TRUNC, 0o600)
+	temporary := path + temporarySuffix
+	f, err := os.OpenFile(temporary, os.O_WRONLY|os.O_CREATE|os.O_TRUNC, ownerOnly)
 	if err != nil {
 		return err
 	}
-	_, err = f.Write(text)
+	_, err = f.Write(content)
 	if err == nil {
 		err = f.Sync()
 	}
-	if cerr := f.Close(); err == nil {
-		err = cerr
+	if closeErr := f.Close(); err == nil {
+		err = closeErr
 	}
 	if err == nil {
-		err = os.Rename(path+".new", path)
+		err = os.Rename(temporary, path)
 	}
 	if err != nil {
-		os.Remove(path + ".new")
+		_ = os.Remove(temporary) // the first error says what went wrong
 	}
 	return err
 }
 
-// restoreSessions takes up what the process before kept, and removes it. A session whose
-// identity has changed since is never asked for, and ends by its time.
-func (p *Dialer) restoreSessions(dir string) {
+// restoreSessions takes over the sessions that the previous process stored, and removes
+// the file. A session whose identity has changed since is never looked up, and expires.
+func (d *Dialer) restoreSessions(dir string) {
 	path := filepath.Join(dir, sessionsFile)
 	f, err := os.Open(path)
 	if errors.Is(err, fs.ErrNotExist) {
 		return
 	}
 	if err != nil {
-		p.options.Log.Warn("tls: sessions of the process before are not used", "err", err)
+		d.options.Log.Warn("tls: sessions of the process before are not used", "err", err)
 		return
 	}
-	text, err := io.ReadAll(io.LimitReader(f, maxSessionsFileBytes+1))
-	f.Close()
-	if err == nil && len(text) > maxSessionsFileBytes {
+	sessions, err := d.readSessions(f)
+	if err != nil {
+		d.options.Log.Warn("tls: sessions of the process before are not used", "file", path, "err", err)
+		return
+	}
+	now := d.options.Clock()
+	for i := range sessions {
+		d.restoreSession(&sessions[i], now)
+	}
+	d.options.Log.Info("tls: sessions of the process before", "read", len(sessions), "kept", d.sessions.Len())
+}
+
+// readSessions reads a file of sessions, removes and closes it.
+func (d *Dialer) readSessions(f *os.File) ([]storedSession, error) {
+	content, err := io.ReadAll(io.LimitReader(f, maxSessionsFileBytes+1))
+	_ = f.Close() // it was only read
+	if err == nil && len(content) > maxSessionsFileBytes {
 		err = fmt.Errorf("over %d bytes", maxSessionsFileBytes)
 	}
-	// Gone before it is used: a ticket is shown once, also if this process dies.
-	if rerr := os.Remove(path); err == nil {
-		err = rerr
+	// It is removed before it is used: a ticket is shown once, also if this process dies.
+	if removeErr := os.Remove(f.Name()); err == nil {
+		err = removeErr
 	}
-	var all []storedSession
-	if err == nil {
-		all, err = decryptSessions(p.sessionKey, text)
+	if err != nil {
+		return nil, err
 	}
+	return decryptSessions(d.sessionKey, content)
+}
+
+// restoreSession caches one stored session; one that cannot be used is left out.
+func (d *Dialer) restoreSession(stored *storedSession, now time.Time) {
+	if len(stored.IdentitySum) != sha256.Size {
+		return
+	}
+	state, err := tls.ParseSessionState(stored.State)
+	if err != nil || state.EarlyData { // early data is never sent
+		return
+	}
+	session, err := tls.NewResumptionState(stored.Ticket, state)
 	if err != nil {
-		p.options.Log.Warn("tls: sessions of the process before are not used", "file", path, "err", err)
 		return
 	}
-	now := p.options.Clock()
-	for _, x := range all {
-		if len(x.IdentitySum) != sha256.Size {
-			continue
-		}
-		state, err := tls.ParseSessionState(x.State)
-		if err != nil || state.EarlyData { // which is never used: such a session is nothing to us
-			continue
-		}
-		s, err := tls.NewResumptionState(x.Ticket, state)
-		if err != nil {
-			continue
-		}
-		p.sessions.PutUntil(tlspolicy.SessionIdentity{Destination: x.Destination, Rule: x.Rule, Sum: [sha256.Size]byte(x.IdentitySum)}, s, now, x.Until)
+	identity := tlspolicy.SessionIdentity{
+		Destination: stored.Destination,
+		Rule:        stored.Rule,
+		Sum:         [sha256.Size]byte(stored.IdentitySum),
 	}
-	p.options.Log.Info("tls: sessions of the process before", "read", len(all), "kept", p.sessions.Len())
+	d.sessions.PutUntil(identity, session, now, stored.Until)
 }
--- a/internal/tlsdial/sessionfile_test.go
+++ b/internal/tlsdial/sessionfile_test.go
@@ -4,12 +4,14 @@
 	"bytes"
 	"context"
 	"crypto/tls"
+	"errors"
 	"io"
 	"log/slog"
 	"net"
 	"os"
 	"path/filepath"
 	"strings"
+	"sync"
 	"testing"
 	"time"
 
@@ -19,6 +21,7 @@
 
 const serverName = "pay.example.org"
 
+// testSite is the configuration of one site with a TLS rule, and its log.
 type testSite struct {
 	stateDir, keyFile string
 	certificate       *testca.Issued
@@ -50,75 +53,109 @@
 
 func (s *testSite) newDialer(t testing.TB) *Dialer {
 	t.Helper()
-	p, err := New(Options{Rules: []operatorconfig.TLSRule{s.rule}, Handshakes: operatorconfig.Handshakes{SessionKey: s.keyFile, CPUShare: 1, BurstMS: 1000}, StateDir: s.stateDir,
-		Log: slog.New(slog.NewTextHandler(&s.log, nil)), OnRejected: func(uint64, time.Duration) {}})
+	d, err := New(Options{
+		Rules:      []operatorconfig.TLSRule{s.rule},
+		Handshakes: operatorconfig.Handshakes{SessionKey: s.keyFile, CPUShare: 1, BurstMS: 1000},
+		StateDir:   s.stateDir,
+		Log:        slog.New(slog.NewTextHandler(&s.log, nil)),
+		OnRejected: func(uint64, time.Duration) {},
+	})
 	if err != nil {
 		t.Fatal(err)
 	}
-	return p
+	return d
 }
 
-// handshake makes a handshake with a server over a pipe of sockets and waits for the
-// session that comes behind it.
+// handshake makes a handshake with a server and waits for the session that follows it.
 func (s *testSite) handshake(t testing.TB, e *Endpoint, addr string) *Conn {
 	t.Helper()
-	turn, _, err := e.Acquire(false, false)
-	if err != nil || turn == nil {
-		t.Fatal("no turn: ", err)
+	permit, _, err := e.Acquire(false, false)
+	if err != nil || permit == nil {
+		t.Fatal("no permit: ", err)
 	}
 	raw, err := net.Dial("tcp", addr)
 	if err != nil {
 		t.Fatal(err)
 	}
-	c, err := turn.Handshake(context.Background(), raw)
+	c, err := permit.Handshake(context.Background(), raw)
 	if err != nil {
 		t.Fatal(err)
 	}
-	c.SetReadDeadline(time.Now().Add(30 * time.Second))
-	if _, err := c.Read(make([]byte, 1)); err != nil { // the server's one byte comes behind its sessions
+	if err := c.SetReadDeadline(time.Now().Add(30 * time.Second)); err != nil {
+		t.Fatal(err)
+	}
+	if _, err := c.Read(make([]byte, 1)); err != nil { // the server's one byte follows its sessions
 		t.Fatal(err)
 	}
 	return c
 }
 
+// startTLSServer accepts connections until the test ends. Each gets one byte, and what
+// it sends is read and dropped.
 func startTLSServer(t testing.TB, cfg *tls.Config) string {
 	t.Helper()
 	ln, err := tls.Listen("tcp", "127.0.0.1:0", cfg)
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { ln.Close() })
+	ctx, stop := context.WithCancel(context.Background())
+	var running sync.WaitGroup
+	t.Cleanup(func() {
+		stop()
+		_ = ln.Close()
+		running.Wait()
+	})
+	running.Add(1)
 	go func() {
+		defer running.Done()
 		for {
 			c, err := ln.Accept()
 			if err != nil {
 				return
 			}
-			go func() { defer c.Close(); c.Write([]byte("x")); io.Copy(io.Discard, c) }()
+			running.Add(1)
+			go func() {
+				defer running.Done()
+				serveOneByte(ctx, c)
+			}()
 		}
 	}()
 	return ln.Addr().String()
 }
 
-// Guards sessions over a restart: the next process resumes, each ticket once, and
-// the file holds nothing that can be read, is gone once read, and tells nothing
-// of itself when it cannot be used.
+// serveOneByte may fail at any point: the client decides how the handshake ends.
+func serveOneByte(ctx context.Context, c net.Conn) {
+	defer func() { _ = c.Close() }()
+	defer context.AfterFunc(ctx, func() { _ = c.Close() })()
+	if _, err := c.Write([]byte("x")); err != nil {
+		return
+	}
+	_, _ = io.Copy(io.Discard, c)
+}
+
+// The next process resumes stored sessions, each ticket once. The file is encrypted,
+// is removed once it is read, and is ignored when it cannot be used.
 func TestSessionsSurviveRestart(t *testing.T) {
 	s := newTestSite(t)
 	addr := startTLSServer(t, &tls.Config{Certificates: []tls.Certificate{s.certificate.TLSCertificate()}})
-	p := s.newDialer(t)
-	c := s.handshake(t, p.Endpoint(1, 1, "", nil), addr)
+	d := s.newDialer(t)
+	c := s.handshake(t, d.Endpoint(1, 1, "", nil), addr)
 	if c.Resumed {
 		t.Fatal("resumed from nothing")
 	}
-	c.Close()
-	p.SaveSessions(s.stateDir)
+	_ = c.Close()
+	d.SaveSessions(s.stateDir)
 	path := filepath.Join(s.stateDir, sessionsFile)
 	text, err := os.ReadFile(path)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if info, _ := os.Stat(path); info.Mode().Perm() != 0o600 || bytes.Contains(text, []byte("ticket")) || bytes.Contains(text, s.certificate.Raw[:40]) {
+	info, err := os.Stat(path)
+	if err != nil {
+		t.Fatal(err)
+	}
+	readable := bytes.Contains(text, []byte("ticket")) || bytes.Contains(text, s.certificate.Raw[:40])
+	if info.Mode().Perm() != 0o600 || readable {
 		t.Error("the file can be read")
 	}
 	next := s.newDialer(t)
@@ -156,8 +193,8 @@
 		t.Fatal(err)
 	}
 	s.log.Reset()
-	if p := s.newDialer(t); p.sessions.Len() != 0 || !strings.Contains(s.log.String(), "version 9") {
-		t.Errorf("another version: %d sessions, %s", p.sessions.Len(), s.log.String())
+	if d := s.newDialer(t); d.sessions.Len() != 0 || !strings.Contains(s.log.String(), "version 9") {
+		t.Errorf("another version: %d sessions, %s", d.sessions.Len(), s.log.String())
 	}
 	// A state folder that cannot be written loses the sessions and nothing else.
 	s.log.Reset()
@@ -169,20 +206,31 @@
 
 func TestSessionKeyFile(t *testing.T) {
 	s := newTestSite(t)
-	for want, set := range map[string]func() error{
-		"mode 0644":   func() error { return os.Chmod(s.keyFile, 0o644) },
-		"31 bytes":    func() error { os.Chmod(s.keyFile, 0o600); return os.WriteFile(s.keyFile, make([]byte, 31), 0o600) },
-		"no such":     func() error { return os.Remove(s.keyFile) },
-		"no regular ": func() error { os.Remove(s.keyFile); return os.Mkdir(s.keyFile, 0o700) },
+	for _, c := range []struct {
+		name, want string
+		prepare    func(path string) error
+	}{
+		{"readable by all", "mode 0644", func(path string) error { return os.Chmod(path, 0o644) }},
+		{"too short", "31 bytes", func(path string) error { return os.WriteFile(path, make([]byte, 31), 0o600) }},
+		{"missing", "no such", os.Remove},
+		{"a folder", "no regular ", func(path string) error {
+			return errors.Join(os.Remove(path), os.Mkdir(path, 0o700))
+		}},
 	} {
-		os.Remove(s.keyFile)
-		os.WriteFile(s.keyFile, make([]byte, 32), 0o600)
-		if err := set(); err != nil {
-			t.Fatal(err)
-		}
-		if _, err := readSessionKey(s.keyFile); err == nil || !strings.Contains(err.Error(), want) {
-			t.Errorf("%s: %v", want, err)
-		}
+		t.Run(c.name, func(t *testing.T) {
+			if err := os.RemoveAll(s.keyFile); err != nil {
+				t.Fatal(err)
+			}
+			if err := os.WriteFile(s.keyFile, make([]byte, 32), 0o600); err != nil {
+				t.Fatal(err)
+			}
+			if err := c.prepare(s.keyFile); err != nil {
+				t.Fatal(err)
+			}
+			if _, err := readSessionKey(s.keyFile); err == nil || !strings.Contains(err.Error(), c.want) {
+				t.Errorf("error %v, want %q", err, c.want)
+			}
+		})
 	}
 }
 
@@ -193,10 +241,10 @@
 		f.Fatal(err)
 	}
 	f.Add(good)
-	f.Add([]byte(sessionsMagic))
+	f.Add(append([]byte(sessionsMagic), sessionsVersion))
 	f.Fuzz(func(t *testing.T, text []byte) {
 		if all, err := decryptSessions(key, text); err == nil && !bytes.Equal(text, good) {
-			t.Errorf("%d sessions out of a file that nobody sealed", len(all))
+			t.Errorf("%d sessions out of a file that was not encrypted with the key", len(all))
 		}
 	})
 }
--- a/internal/tlsdial/stored_test.go
+++ b/internal/tlsdial/stored_test.go
@@ -48,19 +48,26 @@
 		t.Fatal(err)
 	}
 	now := all[0].Until.Add(-time.Hour)
-	p, err := New(Options{Rules: []operatorconfig.TLSRule{s.rule}, Handshakes: operatorconfig.Handshakes{SessionKey: s.keyFile}, StateDir: s.stateDir,
-		Clock: func() time.Time { return now }, Log: slog.New(slog.DiscardHandler), OnRejected: func(uint64, time.Duration) {}})
+	d, err := New(Options{
+		Rules:      []operatorconfig.TLSRule{s.rule},
+		Handshakes: operatorconfig.Handshakes{SessionKey: s.keyFile},
+		StateDir:   s.stateDir,
+		Clock:      func() time.Time { return now },
+		Log:        slog.New(slog.DiscardHandler),
+		OnRejected: func(uint64, time.Duration) {},
+	})
 	if err != nil {
 		t.Fatal(err)
 	}
-	r := p.rules[0]
+	r := d.rules[0]
 	for _, x := range all {
 		id := r.policy.SessionIdentity(x.Destination, r.files.Current().RootsSum, nil)
 		if !bytes.Equal(id.Sum[:], x.IdentitySum) || id.Rule != x.Rule {
-			t.Errorf("destination %d: identity %s %x, want %s %x", x.Destination, id.Rule, id.Sum, x.Rule, x.IdentitySum)
+			t.Errorf("destination %d: identity %s %x, want %s %x",
+				x.Destination, id.Rule, id.Sum, x.Rule, x.IdentitySum)
 		}
 		_, err := tls.ParseSessionState(x.State) // its form may change with the version of Go
-		if has := p.sessions.Has(id, now); has != (err == nil) {
+		if has := d.sessions.Has(id, now); has != (err == nil) {
 			t.Errorf("destination %d: restored %v, its state: %v", x.Destination, has, err)
 		}
 	}
@@ -75,42 +82,48 @@
 			t.Fatal(err)
 		}
 	}
-	s.rule.Roots, s.rule.Certificate, s.rule.Key = filepath.Join(dir, "roots.pem"), filepath.Join(dir, "own.pem"), filepath.Join(dir, "own.key")
+	s.rule.Roots = filepath.Join(dir, "roots.pem")
+	s.rule.Certificate = filepath.Join(dir, "own.pem")
+	s.rule.Key = filepath.Join(dir, "own.key")
 	now := time.Date(2125, 12, 25, 12, 0, 0, 0, time.UTC)
-	leave := func(_ []string, a slog.Attr) slog.Attr {
+	dropTime := func(_ []string, a slog.Attr) slog.Attr {
 		if a.Key == slog.TimeKey {
 			return slog.Attr{}
 		}
 		return a
 	}
 	var log bytes.Buffer
-	p, err := New(Options{Rules: []operatorconfig.TLSRule{s.rule}, Clock: func() time.Time { return now },
-		Log: slog.New(slog.NewTextHandler(&log, &slog.HandlerOptions{ReplaceAttr: leave})), OnRejected: func(uint64, time.Duration) {}})
+	d, err := New(Options{
+		Rules:      []operatorconfig.TLSRule{s.rule},
+		Clock:      func() time.Time { return now },
+		Log:        slog.New(slog.NewTextHandler(&log, &slog.HandlerOptions{ReplaceAttr: dropTime})),
+		OnRejected: func(uint64, time.Duration) {},
+	})
 	if err != nil {
 		t.Fatal(err)
 	}
-	e := p.Endpoint(9, 1, "", nil)
+	e := d.Endpoint(9, 1, "", nil)
 	failed := func(c tlspolicy.FailureCause) {
-		p.mu.Lock()
-		defer p.mu.Unlock()
-		p.recordRejection(e, &tlspolicy.IdentityError{Cause: c, Rule: "pay", Err: errors.New("test")})
+		d.mu.Lock()
+		defer d.mu.Unlock()
+		_ = d.recordRejection(e, &tlspolicy.IdentityError{Cause: c, Rule: "pay", Err: errors.New("test")})
 	}
 	failed(tlspolicy.Expired)
 	failed(tlspolicy.Expired)
 	failed(tlspolicy.NameMismatch)
-	p.mu.Lock()
-	p.recordVerified(e, &Conn{validUntil: now.Add(365 * 24 * time.Hour)})
-	p.mu.Unlock()
+	d.mu.Lock()
+	d.recordVerified(e, &Conn{validUntil: now.Add(365 * 24 * time.Hour)})
+	d.mu.Unlock()
 	if err := os.WriteFile(s.rule.Roots, []byte("nothing"), 0o644); err != nil {
 		t.Fatal(err)
 	}
-	p.ReloadFiles()
+	d.ReloadFiles()
 	if err := os.WriteFile(s.rule.Roots, append(readFixture(t, "roots.pem"), '\n'), 0o644); err != nil {
 		t.Fatal(err)
 	}
-	p.ReloadFiles()
-	p.sessionKey = bytes.Repeat([]byte("k"), 32)
-	p.SaveSessions(filepath.Join(dir, "none"))
+	d.ReloadFiles()
+	d.sessionKey = bytes.Repeat([]byte("k"), 32)
+	d.SaveSessions(filepath.Join(dir, "none"))
 	if got, want := strings.ReplaceAll(log.String(), dir, "DIR"), string(readFixture(t, "log.txt")); got != want {
 		t.Errorf("got\n%swant\n%s", got, want)
 	}
