--- a/internal/certstore/store_test.go
+++ b/internal/certstore/store_test.go
@@ -7,6 +7,7 @@
 	"encoding/pem"
 	"os"
 	"path/filepath"
+	"slices"
 	"strings"
 	"syscall"
 	"testing"
@@ -78,8 +79,14 @@
 		{name: "readable by all", cert: certPEM(own), key: keyPEM(t, own), keyMode: 0o644, want: "mode 0644"},
 		{name: "expired", cert: certPEM(old), key: keyPEM(t, old), want: "valid until"},
 		{name: "not yet valid", cert: certPEM(young), key: keyPEM(t, young), want: "valid from"},
-		{name: "chain in disorder", cert: append(append(certPEM(own), certPEM(root)...), certPEM(mid)...), key: keyPEM(t, own), want: "certificate 2"},
-		{name: "authority first", cert: append(certPEM(mid), certPEM(own)...), key: keyPEM(t, mid), want: "comes first"},
+		{
+			name: "chain in disorder", cert: slices.Concat(certPEM(own), certPEM(root), certPEM(mid)),
+			key: keyPEM(t, own), want: "certificate 2",
+		},
+		{
+			name: "authority first", cert: slices.Concat(certPEM(mid), certPEM(own)), key: keyPEM(t, mid),
+			want: "comes first",
+		},
 		{name: "no certificate", cert: []byte("nothing"), key: keyPEM(t, own), want: "no certificate"},
 		{name: "a key in the certificate's file", cert: keyPEM(t, own), key: keyPEM(t, own), want: "is no certificate"},
 		{name: "cut off", cert: certPEM(own)[:200], key: keyPEM(t, own), want: "no certificate"},
@@ -88,33 +95,35 @@
 		{name: "a root that is none", roots: certPEM(own), want: "no authority"},
 		{name: "too long", roots: bytes.Repeat([]byte{'\n'}, maxFileBytes+1), want: "bytes"},
 	} {
-		dir := t.TempDir()
-		f := Files{}
-		put := func(to *string, name string, text []byte, mode os.FileMode) {
-			if text != nil {
-				*to = filepath.Join(dir, name)
-				replaceFile(t, *to, mode, text)
+		t.Run(x.name, func(t *testing.T) {
+			dir := t.TempDir()
+			f := Files{}
+			write := func(path *string, name string, content []byte, mode os.FileMode) {
+				if content != nil {
+					*path = filepath.Join(dir, name)
+					replaceFile(t, *path, mode, content)
+				}
 			}
-		}
-		if x.keyMode == 0 {
-			x.keyMode = 0o600
-		}
-		put(&f.Certificate, "cert", x.cert, 0o644)
-		put(&f.Key, "key", x.key, x.keyMode)
-		put(&f.Roots, "roots", x.roots, 0o644)
-		set, err := Load(f, noon)
-		switch {
-		case (err == nil) != (set != nil):
-			t.Errorf("%s: %v, %v", x.name, set, err)
-		case x.want == "" && err != nil || x.want != "" && (err == nil || !strings.Contains(err.Error(), x.want)):
-			t.Errorf("%s: %v, want %q", x.name, err, x.want)
-		}
-		if err != nil && bytes.Contains(x.key, []byte("PRIVATE")) {
-			secret := strings.Split(string(x.key), "\n")[1]
-			if strings.Contains(err.Error(), secret[:16]) {
-				t.Errorf("%s: a secret in %v", x.name, err)
+			if x.keyMode == 0 {
+				x.keyMode = 0o600
 			}
-		}
+			write(&f.Certificate, "cert", x.cert, 0o644)
+			write(&f.Key, "key", x.key, x.keyMode)
+			write(&f.Roots, "roots", x.roots, 0o644)
+			credentials, err := Load(f, noon)
+			switch {
+			case (err == nil) != (credentials != nil):
+				t.Errorf("%v, %v", credentials, err)
+			case x.want == "" && err != nil || x.want != "" && (err == nil || !strings.Contains(err.Error(), x.want)):
+				t.Errorf("%v, want %q", err, x.want)
+			}
+			if err != nil && bytes.Contains(x.key, []byte("PRIVATE")) {
+				secret := strings.Split(string(x.key), "\n")[1]
+				if strings.Contains(err.Error(), secret[:16]) {
+					t.Errorf("a secret in %v", err)
+				}
+			}
+		})
 	}
 	pipe := filepath.Join(t.TempDir(), "pipe")
 	if err := syscall.Mkfifo(pipe, 0o600); err != nil {
@@ -125,9 +134,9 @@
 	}
 }
 
-// Certificate and key are replaced one after the other, with a moment between:
-// the old pair is used until the new one is whole, and nothing is told. One that
-// stays broken is told once; the last good one stays.
+// Certificate and key are replaced one after the other, with a moment between: the old
+// pair is used until the new one is complete, and there is no error. A pair that stays
+// mismatched is reported once; the last good one stays in use.
 func TestReloadReplacedFiles(t *testing.T) {
 	dir := t.TempDir()
 	f := Files{Certificate: filepath.Join(dir, "cert"), Key: filepath.Join(dir, "key")}
@@ -140,7 +149,9 @@
 	}
 	uses := func(m *issuedCert) {
 		t.Helper()
-		if set := s.Current(); !set.Certificate.Leaf.Equal(m.Certificate) || !m.Key.(*ecdsa.PrivateKey).PublicKey.Equal(set.Certificate.PrivateKey.(*ecdsa.PrivateKey).Public()) {
+		current := s.Current().Certificate
+		public := m.Key.(*ecdsa.PrivateKey).PublicKey
+		if !current.Leaf.Equal(m.Certificate) || !public.Equal(current.PrivateKey.(*ecdsa.PrivateKey).Public()) {
 			t.Error("another pair is in use, or half of it")
 		}
 	}
--- a/internal/certstore/stored_test.go
+++ b/internal/certstore/stored_test.go
@@ -20,7 +20,12 @@
 	if err := os.WriteFile(private, key, 0o600); err != nil {
 		t.Fatal(err)
 	}
-	set, err := Load(Files{Certificate: filepath.Join("testdata", "own.pem"), Key: private, Roots: filepath.Join("testdata", "roots.pem")}, noon)
+	files := Files{
+		Certificate: filepath.Join("testdata", "own.pem"),
+		Key:         private,
+		Roots:       filepath.Join("testdata", "roots.pem"),
+	}
+	credentials, err := Load(files, noon)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -28,11 +33,15 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	got := "own " + hex.EncodeToString(set.CertificateSum) + "\nroots " + hex.EncodeToString(set.RootsSum) + "\n"
+	got := "own " + hex.EncodeToString(
+		credentials.CertificateSum,
+	) + "\nroots " + hex.EncodeToString(
+		credentials.RootsSum,
+	) + "\n"
 	if got != string(want) {
 		t.Errorf("sums:\n%swant:\n%s", got, want)
 	}
-	if !strings.HasPrefix(set.NotAfter.String(), "2126-01-01") {
-		t.Errorf("own certificate until %s", set.NotAfter)
+	if !strings.HasPrefix(credentials.NotAfter.String(), "2126-01-01") {
+		t.Errorf("own certificate until %s", credentials.NotAfter)
 	}
 }
--- a/internal/testca/testca.go
+++ b/internal/testca/testca.go
@@ -1,9 +1,8 @@
-// Package testca makes throw-away certificate authorities and certificates, for
-// rehearsals, tests and a first look at the settings.
+// Package testca makes throw-away certificate authorities and certificates for
+// rehearsals and tests, and for trying out the settings.
 //
-// It owns how such certificates are made. It must never be used to vouch for
-// anybody: its keys lie beside its certificates, and no program of a site
-// loads it.
+// It must never issue certificates that anybody relies on: its keys lie beside its
+// certificates. The relay does not link it.
 package testca
 
 import (
@@ -27,24 +26,50 @@
 	"time"
 )
 
-// WithMustStaple is a change that has a certificate say that it never comes without
-// an OCSP response (RFC 7633).
+// Types of PEM blocks (RFC 7468).
+const (
+	pemCertificate    = "CERTIFICATE"
+	pemPrivateKey     = "PRIVATE KEY"
+	pemRevocationList = "X509 CRL"
+)
+
+// Modes of files.
+const (
+	publicMode = 0o644
+	secretMode = 0o600
+)
+
+const (
+	serialBits      = 126
+	defaultValidity = time.Hour // before and after the time of issue
+)
+
+// WithMustStaple makes a certificate say that an OCSP response always comes with it
+// (RFC 7633).
 func WithMustStaple(c *x509.Certificate) {
-	c.ExtraExtensions = append(c.ExtraExtensions, pkix.Extension{Id: asn1.ObjectIdentifier{1, 3, 6, 1, 5, 5, 7, 1, 24}, Value: []byte{0x30, 3, 2, 1, 5}})
+	c.ExtraExtensions = append(c.ExtraExtensions, pkix.Extension{
+		Id:    asn1.ObjectIdentifier{1, 3, 6, 1, 5, 5, 7, 1, 24},
+		Value: []byte{0x30, 3, 2, 1, 5}, // a sequence of the one integer 5, status_request
+	})
 }
 
-// RevocationListPEM is an authority's list in PEM, with the next one due at a
-// moment.
-func RevocationListPEM(up *Issued, next time.Time, revoked ...*Issued) ([]byte, error) {
-	l := &x509.RevocationList{Number: big.NewInt(time.Now().Unix()), ThisUpdate: time.Now().Add(-time.Hour), NextUpdate: next}
+// RevocationListPEM returns an authority's revocation list in PEM, with the time of the
+// next one.
+func RevocationListPEM(authority *Issued, next time.Time, revoked ...*Issued) ([]byte, error) {
+	list := &x509.RevocationList{
+		Number:     big.NewInt(time.Now().Unix()),
+		ThisUpdate: time.Now().Add(-time.Hour),
+		NextUpdate: next,
+	}
 	for _, m := range revoked {
-		l.RevokedCertificateEntries = append(l.RevokedCertificateEntries, x509.RevocationListEntry{SerialNumber: m.SerialNumber, RevocationTime: l.ThisUpdate})
+		entry := x509.RevocationListEntry{SerialNumber: m.SerialNumber, RevocationTime: list.ThisUpdate}
+		list.RevokedCertificateEntries = append(list.RevokedCertificateEntries, entry)
 	}
-	der, err := x509.CreateRevocationList(rand.Reader, l, up.Certificate, up.Key)
+	der, err := x509.CreateRevocationList(rand.Reader, list, authority.Certificate, authority.Key)
 	if err != nil {
 		return nil, err
 	}
-	return pem.EncodeToMemory(&pem.Block{Type: "X509 CRL", Bytes: der}), nil
+	return pem.EncodeToMemory(&pem.Block{Type: pemRevocationList, Bytes: der}), nil
 }
 
 // KeyKind is a kind of key.
@@ -57,7 +82,7 @@
 	Ed25519 KeyKind = "ed25519"
 )
 
-// NewKey makes a key.
+// NewKey generates a key.
 func NewKey(k KeyKind) (crypto.Signer, error) {
 	switch k {
 	case P256, "":
@@ -71,24 +96,23 @@
 	return nil, fmt.Errorf("key of kind %q: want p256, rsa2048 or ed25519", k)
 }
 
-// Template is what a certificate is made from.
+// Template is the certificate that the options of Issue change.
 type Template = x509.Certificate
 
-// Issued is a certificate with its key, and those above it.
+// Issued is a certificate with its key and its issuers.
 type Issued struct {
 	*x509.Certificate
 	Key    crypto.Signer
-	Parent *Issued // who signed it; nil for itself
+	Parent *Issued // its issuer; nil where it is self-signed
 }
 
-// AsAuthority is a change that makes a certificate one that may sign others.
+// AsAuthority makes a certificate one that may issue others.
 func AsAuthority(c *x509.Certificate) {
 	c.IsCA, c.DNSNames, c.IPAddresses, c.ExtKeyUsage = true, nil, nil, nil
 	c.KeyUsage = x509.KeyUsageCertSign | x509.KeyUsageCRLSign
 }
 
-// WithNames is a change of the names that a certificate is for: host names and
-// addresses.
+// WithNames sets the host names and addresses that a certificate is for.
 func WithNames(names ...string) func(*x509.Certificate) {
 	return func(c *x509.Certificate) {
 		c.DNSNames, c.IPAddresses = nil, nil
@@ -102,50 +126,57 @@
 	}
 }
 
-// WithValidity is a change of the time for which a certificate is good.
+// WithValidity sets the validity period of a certificate.
 func WithValidity(from, to time.Time) func(*x509.Certificate) {
 	return func(c *x509.Certificate) { c.NotBefore, c.NotAfter = from, to }
 }
 
-// Issue makes a certificate with a key of its own, or with key where that is not
-// nil. up signs it; where that is nil it signs itself. Unless changed it is for
-// servers and clients alike, and good for an hour each way.
-func Issue(up *Issued, name string, key crypto.Signer, changes ...func(*x509.Certificate)) (*Issued, error) {
+// Issue makes a certificate with a new key, or with key where that is not nil. parent
+// issues it; where that is nil it is self-signed. Unless changed it is for servers and
+// clients alike, and valid from an hour ago for two hours.
+func Issue(parent *Issued, name string, key crypto.Signer, changes ...func(*x509.Certificate)) (*Issued, error) {
 	if key == nil {
 		var err error
 		if key, err = NewKey(P256); err != nil {
 			return nil, err
 		}
 	}
-	serial, err := rand.Int(rand.Reader, new(big.Int).Lsh(big.NewInt(1), 126))
+	serial, err := rand.Int(rand.Reader, new(big.Int).Lsh(big.NewInt(1), serialBits))
 	if err != nil {
 		return nil, err
 	}
 	now := time.Now()
-	c := &x509.Certificate{SerialNumber: serial.Add(serial, big.NewInt(1)), Subject: pkix.Name{CommonName: name}, NotBefore: now.Add(-time.Hour),
-		NotAfter: now.Add(time.Hour), KeyUsage: x509.KeyUsageDigitalSignature, BasicConstraintsValid: true, DNSNames: []string{name},
-		ExtKeyUsage: []x509.ExtKeyUsage{x509.ExtKeyUsageServerAuth, x509.ExtKeyUsageClientAuth}}
+	c := &x509.Certificate{
+		SerialNumber:          serial.Add(serial, big.NewInt(1)),
+		Subject:               pkix.Name{CommonName: name},
+		NotBefore:             now.Add(-defaultValidity),
+		NotAfter:              now.Add(defaultValidity),
+		KeyUsage:              x509.KeyUsageDigitalSignature,
+		BasicConstraintsValid: true,
+		DNSNames:              []string{name},
+		ExtKeyUsage:           []x509.ExtKeyUsage{x509.ExtKeyUsageServerAuth, x509.ExtKeyUsageClientAuth},
+	}
 	for _, f := range changes {
 		f(c)
 	}
-	c.Subject.SerialNumber = c.SerialNumber.Text(36) // two authorities of one name stay apart
-	parent, signer := c, key
-	if up != nil {
-		parent, signer = up.Certificate, up.Key
+	c.Subject.SerialNumber = c.SerialNumber.Text(36) // tells two authorities of one name apart
+	issuer, signer := c, key
+	if parent != nil {
+		issuer, signer = parent.Certificate, parent.Key
 	}
-	der, err := x509.CreateCertificate(rand.Reader, c, parent, key.Public(), signer)
+	der, err := x509.CreateCertificate(rand.Reader, c, issuer, key.Public(), signer)
 	if err != nil {
 		return nil, err
 	}
-	got, err := x509.ParseCertificate(der)
+	certificate, err := x509.ParseCertificate(der)
 	if err != nil {
 		return nil, err
 	}
-	return &Issued{got, key, up}, nil
+	return &Issued{Certificate: certificate, Key: key, Parent: parent}, nil
 }
 
-// Chain is the certificate and those above it but for the root, as a server
-// shows them.
+// Chain returns the certificate and its issuers without the root, as a server shows
+// them.
 func (m *Issued) Chain() (der [][]byte) {
 	for ; m != nil && (m.Parent != nil || len(der) == 0); m = m.Parent {
 		der = append(der, m.Raw)
@@ -153,41 +184,41 @@
 	return der
 }
 
-// TLSCertificate is the certificate as crypto/tls wants it.
+// TLSCertificate returns the certificate in the form of crypto/tls.
 func (m *Issued) TLSCertificate() tls.Certificate {
 	return tls.Certificate{Certificate: m.Chain(), PrivateKey: m.Key, Leaf: m.Certificate}
 }
 
-// CertPEM is the chain in PEM.
+// CertPEM returns the chain in PEM.
 func (m *Issued) CertPEM() []byte {
 	var b bytes.Buffer
 	for _, der := range m.Chain() {
-		pem.Encode(&b, &pem.Block{Type: "CERTIFICATE", Bytes: der})
+		b.Write(pem.EncodeToMemory(&pem.Block{Type: pemCertificate, Bytes: der}))
 	}
 	return b.Bytes()
 }
 
-// KeyPEM is the private key in PEM (RFC 5958).
+// KeyPEM returns the private key in PEM (RFC 5958).
 func (m *Issued) KeyPEM() ([]byte, error) {
 	der, err := x509.MarshalPKCS8PrivateKey(m.Key)
 	if err != nil {
 		return nil, err
 	}
-	return pem.EncodeToMemory(&pem.Block{Type: "PRIVATE KEY", Bytes: der}), nil
+	return pem.EncodeToMemory(&pem.Block{Type: pemPrivateKey, Bytes: der}), nil
 }
 
-// RootPool is a set of roots with this one alone.
+// RootPool returns a pool of roots with this certificate alone.
 func (m *Issued) RootPool() *x509.CertPool {
 	p := x509.NewCertPool()
 	p.AddCert(m.Certificate)
 	return p
 }
 
-// WriteFiles puts NAME.pem and, with key, NAME.key into a folder, each in one move.
-// It returns their paths.
+// WriteFiles writes NAME.pem and, with key, NAME.key into a folder, each atomically, and
+// returns their paths.
 func (m *Issued) WriteFiles(dir, name string, key bool) (cert, keyPath string, err error) {
 	cert = filepath.Join(dir, name+".pem")
-	if err := ReplaceFile(cert, m.CertPEM(), 0o644); err != nil || !key {
+	if err := ReplaceFile(cert, m.CertPEM(), publicMode); err != nil || !key {
 		return cert, "", err
 	}
 	text, err := m.KeyPEM()
@@ -195,10 +226,10 @@
 		return "", "", err
 	}
 	keyPath = filepath.Join(dir, name+".key")
-	return cert, keyPath, ReplaceFile(keyPath, text, 0o600)
+	return cert, keyPath, ReplaceFile(keyPath, text, secretMode)
 }
 
-// ReplaceFile writes a file beside its place and moves it there.
+// ReplaceFile writes a file atomically: under another name first, which is then moved.
 func ReplaceFile(path string, text []byte, mode os.FileMode) error {
 	if err := os.WriteFile(path+".new", text, mode); err != nil {
 		return err
--- a/internal/tlspolicy/alerts.go
+++ b/internal/tlspolicy/alerts.go
@@ -1,24 +1,23 @@
 package tlspolicy
 
-// What an end of a connection proves of the call that was on it. The back side
-// knows three words: never ran, ran, may have run (docs/design/tls.md has the
-// table). An alert (RFC 8446 section 6) says why a partner gives a connection
-// up, and says it under the partner's own key once the handshake is over; it
-// still says nothing of what the partner has done by then, since a request that
-// came whole may be at work while its connection fails. So what decides is what
-// was sent, and never the alert's name.
+// What the end of a connection proves about the call that was on it
+// (docs/design/tls.md has the table). An alert (RFC 8446 section 6) says why an
+// endpoint gives a connection up, and is authenticated once the handshake is over. It
+// still says nothing about what the endpoint has done by then, since a request that
+// arrived completely may be executing while its connection fails. So what decides is
+// how much was sent, and never the alert.
 
-// SentStage is how much of a call had left when its connection ended.
+// SentStage is how much of a call had been sent when its connection ended.
 type SentStage uint8
 
 // Stages of a call on a connection.
 const (
-	HandshakeOnly SentStage = iota // nothing of the call can have left
-	PartlySent                     // all but its last byte at most: no partner acts on it
+	HandshakeOnly SentStage = iota // nothing of the call can have been sent
+	PartlySent                     // all but its last byte at most: no endpoint executes it
 	FullySent                      // its last record was handed to the socket
 )
 
-// Execution is what an end proves of a call.
+// Execution is what is proved about a call.
 type Execution uint8
 
 // What can be proved.
@@ -27,8 +26,9 @@
 	MayHaveRun
 )
 
-// ExecutionAfter is what the end of a connection proves of the call on it, whatever the
-// alert or the error. An answer whose first line came whole is no end.
+// ExecutionAfter is what the end of a connection proves about the call on it, whatever
+// the alert or the error. It is not for a call whose answer's first line arrived
+// completely.
 func ExecutionAfter(s SentStage) Execution {
 	if s == FullySent {
 		return MayHaveRun
@@ -36,8 +36,8 @@
 	return NeverRan
 }
 
-// Alerts that tell of who we are or of what both sides can speak (RFC 8446
-// section 6, RFC 5246 section 7.2). The next message cannot mend them.
+// Alerts about identities or about what both sides support (RFC 8446 section 6, RFC
+// 5246 section 7.2). Another attempt does not change their reason.
 const (
 	alertHandshakeFailure       = 40
 	alertBadCertificate         = 42
@@ -54,13 +54,15 @@
 	alertNoApplicationProtocol  = 120
 )
 
-// CauseOfAlert maps an alert that a partner sent to the cause for which its endpoint
-// is out; false where it is an accident of one connection.
+// CauseOfAlert returns the cause for which an endpoint that sent an alert is rejected;
+// false where the alert concerns one connection alone.
 func CauseOfAlert(alert uint8) (FailureCause, bool) {
 	switch alert {
-	case alertBadCertificate, alertUnsupportedCertificate, alertCertificateRevoked, alertCertificateExpired, alertCertificateUnknown, alertUnknownCA, alertAccessDenied, alertCertificateRequired:
+	case alertBadCertificate, alertUnsupportedCertificate, alertCertificateRevoked, alertCertificateExpired,
+		alertCertificateUnknown, alertUnknownCA, alertAccessDenied, alertCertificateRequired:
 		return ClientCertificateRejected, true
-	case alertHandshakeFailure, alertProtocolVersion, alertInsufficientSecurity, alertUnrecognizedName, alertNoApplicationProtocol:
+	case alertHandshakeFailure, alertProtocolVersion, alertInsufficientSecurity, alertUnrecognizedName,
+		alertNoApplicationProtocol:
 		return NoCommonParameters, true
 	}
 	return 0, false
--- a/internal/tlspolicy/budget.go
+++ b/internal/tlspolicy/budget.go
@@ -5,11 +5,10 @@
 	"time"
 )
 
-// The handshake budget: a handshake is work, at the partner and here. What it
-// takes there is in the decision module's books, out of the same allowance that
-// a cold partner has for messages (decide.Entry.Opening). Here it may take its
-// share of the core and no more, so that a storm to one partner does not delay
-// the messages to the others.
+// A handshake costs work at the endpoint and here. What it costs the endpoint is
+// charged by the decision module, to the allowance that an endpoint has for messages
+// while it warms up. The handshake budget bounds what it costs here to a share of the
+// core, so that many handshakes with one endpoint do not delay messages to others.
 
 // HandshakeKind is a kind of handshake.
 type HandshakeKind uint8
@@ -21,22 +20,29 @@
 	handshakeKinds
 )
 
-// HandshakeLimits are what the budget is told.
+// costSmoothing is the weight of what was known against one new measurement.
+const costSmoothing = 8
+
+// HandshakeLimits configure a HandshakeBudget.
 type HandshakeLimits struct {
 	Share       float64          // of one core, for handshakes
 	Burst       time.Duration    // of CPU time that may be spent at once
-	Cost        [2]time.Duration // of CPU time here, full and resumed, until it is learned
-	MaxParallel int              // under way to one destination at once
+	Cost        [2]time.Duration // of CPU time here, full and resumed, until it is measured
+	MaxParallel int              // handshakes in flight to one destination
 }
 
-// DefaultHandshakeLimits gives limits for a relay on one core. The costs are those of P-256 on
-// a slow core, learned anew within a few handshakes.
+// DefaultHandshakeLimits returns limits for a relay on one core. The costs are those of
+// P-256 on a slow core; a few handshakes correct them.
 func DefaultHandshakeLimits() HandshakeLimits {
-	return HandshakeLimits{Share: 0.25, Burst: 50 * time.Millisecond, Cost: [2]time.Duration{2 * time.Millisecond, 500 * time.Microsecond},
-		MaxParallel: 4}
+	return HandshakeLimits{
+		Share:       0.25,
+		Burst:       50 * time.Millisecond,
+		Cost:        [2]time.Duration{2 * time.Millisecond, 500 * time.Microsecond},
+		MaxParallel: 4,
+	}
 }
 
-// Validate tells of limits that cannot be.
+// Validate returns an error for limits that cannot be used.
 func (l *HandshakeLimits) Validate() error {
 	switch {
 	case !(l.Share > 0 && l.Share <= 1):
@@ -54,87 +60,87 @@
 	return nil
 }
 
-// HandshakeBudget says when handshakes may be begun. It is not safe for several
-// goroutines; times must not go back.
+// HandshakeBudget is a token bucket of CPU time that says when handshakes may begin. It
+// is not safe for concurrent use; times must not go back.
 type HandshakeBudget struct {
-	limits       HandshakeLimits
-	refilledAt   time.Time
-	available    time.Duration // of CPU time; under 0 where one took more than was thought
-	cost         [handshakeKinds]time.Duration
-	destinations map[int]*destinationHandshakes
-	inFlight     int
+	limits     HandshakeLimits
+	refilledAt time.Time
+	available  time.Duration // CPU time; below 0 where a handshake took more than expected
+	cost       [handshakeKinds]time.Duration
+	inFlightTo map[int]int // handshakes by destination; no entry for 0
+	inFlight   int
 }
 
-type destinationHandshakes struct{ inFlight int }
-
-// Reservation is a handshake under way; it is ended once.
+// Reservation is the CPU time set aside for a handshake in flight. It is completed
+// once.
 type Reservation struct {
 	destination int
 	kind        HandshakeKind
 	reserved    time.Duration
 }
 
-// NewHandshakeBudget makes a budget with all of its burst.
-func NewHandshakeBudget(l HandshakeLimits, now time.Time) (*HandshakeBudget, error) {
-	if err := l.Validate(); err != nil {
+// NewHandshakeBudget returns a budget with its whole burst available.
+func NewHandshakeBudget(limits HandshakeLimits, now time.Time) (*HandshakeBudget, error) {
+	if err := limits.Validate(); err != nil {
 		return nil, fmt.Errorf("handshakes: %w", err)
 	}
-	return &HandshakeBudget{limits: l, refilledAt: now, available: l.Burst, cost: l.Cost, destinations: map[int]*destinationHandshakes{}}, nil
+	return &HandshakeBudget{
+		limits:     limits,
+		refilledAt: now,
+		available:  limits.Burst,
+		cost:       limits.Cost,
+		inFlightTo: map[int]int{},
+	}, nil
 }
 
 func (b *HandshakeBudget) refill(now time.Time) {
-	if d := now.Sub(b.refilledAt); d > 0 {
-		b.available = min(b.available+time.Duration(float64(d)*b.limits.Share), b.limits.Burst)
+	if elapsed := now.Sub(b.refilledAt); elapsed > 0 {
+		b.available = min(b.available+time.Duration(float64(elapsed)*b.limits.Share), b.limits.Burst)
 		b.refilledAt = now
 	}
 }
 
-// Reserve asks to begin a handshake. A destination that is cold, by the decision
-// module's word, has one handshake under way at a time, so that what follows it
-// can be resumed, or shares its connection. Where it is not granted, at is when
-// to ask again; zero where only the end of another handshake to the destination
-// can change the answer.
-func (b *HandshakeBudget) Reserve(dest int, k HandshakeKind, cold bool, now time.Time) (s Reservation, ok bool, at time.Time) {
+// Reserve asks to begin a handshake. A cold destination, which the decision module
+// names, has one handshake in flight at a time, so that those after it can be resumed
+// or share its connection. Where it is not granted, retryAt is when to ask again; zero
+// where only the end of another handshake with the destination can change the answer.
+func (b *HandshakeBudget) Reserve(
+	dest int, kind HandshakeKind, cold bool, now time.Time,
+) (r Reservation, ok bool, retryAt time.Time) {
 	b.refill(now)
-	n := 0
-	if l := b.destinations[dest]; l != nil {
-		n = l.inFlight
+	inFlight := b.inFlightTo[dest]
+	if inFlight >= b.limits.MaxParallel || cold && inFlight > 0 {
+		return r, false, time.Time{}
 	}
-	if n >= b.limits.MaxParallel || cold && n > 0 {
-		return s, false, time.Time{}
+	// One that costs more than the burst would never be granted: it takes all of it.
+	cost := min(b.cost[kind], b.limits.Burst)
+	if b.available < cost {
+		return r, false, now.Add(time.Duration(float64(cost-b.available)/b.limits.Share) + 1)
 	}
-	// One that costs more than the burst would never come: it waits for all of it.
-	need := min(b.cost[k], b.limits.Burst)
-	if b.available < need {
-		return s, false, now.Add(time.Duration(float64(need-b.available)/b.limits.Share) + 1)
-	}
-	b.available -= need
-	if b.destinations[dest] == nil {
-		b.destinations[dest] = &destinationHandshakes{}
-	}
-	b.destinations[dest].inFlight++
+	b.available -= cost
+	b.inFlightTo[dest]++
 	b.inFlight++
-	return Reservation{dest, k, need}, true, time.Time{}
+	return Reservation{destination: dest, kind: kind, reserved: cost}, true, time.Time{}
 }
 
-// Complete books what a handshake took here. One that ended early is told with what
-// it took; nothing is learned from it.
-func (b *HandshakeBudget) Complete(s Reservation, took time.Duration, whole bool, now time.Time) {
+// Complete accounts for the CPU time that a handshake took here. The expected cost is
+// corrected by it only if the handshake was carried through as its kind.
+func (b *HandshakeBudget) Complete(r Reservation, took time.Duration, asPlanned bool, now time.Time) {
 	b.refill(now)
-	b.available += s.reserved - took
+	b.available += r.reserved - took
 	b.inFlight--
-	if l := b.destinations[s.destination]; l != nil {
-		if l.inFlight--; l.inFlight <= 0 {
-			delete(b.destinations, s.destination)
-		}
+	if b.inFlightTo[r.destination] > 1 {
+		b.inFlightTo[r.destination]--
+	} else {
+		delete(b.inFlightTo, r.destination)
 	}
-	if whole {
-		b.cost[s.kind] += (took - b.cost[s.kind]) / 8
+	if asPlanned {
+		b.cost[r.kind] += (took - b.cost[r.kind]) / costSmoothing
 	}
 }
 
-// Cost is what a handshake is thought to take here, in CPU time.
-func (b *HandshakeBudget) Cost(k HandshakeKind) time.Duration { return b.cost[k] }
+// Cost is the expected CPU time of a handshake here.
+func (b *HandshakeBudget) Cost(kind HandshakeKind) time.Duration { return b.cost[kind] }
 
-// InFlight is how many are under way.
+// InFlight is the number of handshakes in flight.
 func (b *HandshakeBudget) InFlight() int { return b.inFlight }
--- a/internal/tlspolicy/budget_test.go
+++ b/internal/tlspolicy/budget_test.go
@@ -15,9 +15,9 @@
 	return b
 }
 
-// Over any window, what handshakes were granted is the share of it and one
-// burst at most; to one destination never more at a time than told, to a cold
-// one one; and no allowance of a cold one is passed.
+// Over any window, the handshakes granted take the share of it and one burst at most;
+// one destination never has more in flight than the limit, a cold one never more than
+// one.
 func TestHandshakeBudgetIsNeverExceeded(t *testing.T) {
 	for seed := range uint64(200) {
 		rng := rand.New(rand.NewPCG(seed, 4))
@@ -29,24 +29,24 @@
 			cost time.Duration
 		}
 		var grants []grant
-		type flying struct {
+		type open struct {
 			s    Reservation
 			cold bool
 		}
-		var open []flying
+		var inFlight []open
 		now := noon
 		granted, refused := 0, 0
 		for range 600 {
 			now = now.Add(time.Duration(rng.IntN(4000)) * time.Microsecond)
-			if len(open) > 0 && rng.IntN(3) == 0 {
-				i := rng.IntN(len(open))
-				b.Complete(open[i].s, open[i].s.reserved, true, now) // it took what was thought
-				open = append(open[:i], open[i+1:]...)
+			if len(inFlight) > 0 && rng.IntN(3) == 0 {
+				i := rng.IntN(len(inFlight))
+				b.Complete(inFlight[i].s, inFlight[i].s.reserved, true, now) // it took what was expected
+				inFlight = append(inFlight[:i], inFlight[i+1:]...)
 			}
 			dest, kind, cold := rng.IntN(5), HandshakeKind(rng.IntN(2)), rng.IntN(2) == 0
 			s, ok, at := b.Reserve(dest, kind, cold, now)
 			n := 0
-			for _, f := range open {
+			for _, f := range inFlight {
 				if f.s.destination == dest {
 					n++
 				}
@@ -54,18 +54,18 @@
 			if !ok {
 				refused++
 				if !at.IsZero() && !at.After(now) {
-					t.Fatalf("seed %d: to ask again at once", seed)
+					t.Fatalf("seed %d: retried at once", seed)
 				}
 				continue
 			}
 			granted++
 			if n >= l.MaxParallel || cold && n > 0 {
-				t.Fatalf("seed %d: granted with %d under way, cold: %v", seed, n, cold)
+				t.Fatalf("seed %d: granted with %d in flight, cold: %v", seed, n, cold)
 			}
-			open = append(open, flying{s, cold})
+			inFlight = append(inFlight, open{s, cold})
 			grants = append(grants, grant{now, s.reserved})
-			if b.InFlight() != len(open) {
-				t.Fatalf("seed %d: %d under way, want %d", seed, b.InFlight(), len(open))
+			if b.InFlight() != len(inFlight) {
+				t.Fatalf("seed %d: %d in flight, want %d", seed, b.InFlight(), len(inFlight))
 			}
 		}
 		for i := range grants {
@@ -84,7 +84,7 @@
 	}
 }
 
-// Asked again when it is told to, a handshake is granted: nobody waits for ever.
+// Asked again at the time that it returned, the budget grants a handshake.
 func TestReserveRetryTime(t *testing.T) {
 	b := newBudget(t, DefaultHandshakeLimits())
 	now, n := noon, 0
@@ -96,7 +96,7 @@
 			continue
 		}
 		if at.IsZero() {
-			t.Fatal("nothing under way, and no time told")
+			t.Fatal("nothing in flight, and no time to ask again")
 		}
 		if now = at; now.Sub(noon) > 10*time.Second {
 			break
@@ -108,8 +108,8 @@
 	}
 }
 
-// What handshakes take is learned, and one that takes far more than was thought
-// is paid back before the next.
+// The expected cost follows what handshakes take, and one that takes far more than
+// expected is paid back before the next.
 func TestHandshakeCostIsLearned(t *testing.T) {
 	b := newBudget(t, DefaultHandshakeLimits())
 	now := noon
@@ -117,17 +117,17 @@
 		now = now.Add(time.Second)
 		s, ok, _ := b.Reserve(1, FullHandshake, false, now)
 		if !ok {
-			t.Fatal("refused though a second has passed")
+			t.Fatal("not granted though a second has passed")
 		}
 		b.Complete(s, 10*time.Millisecond, true, now)
 	}
 	if c := b.Cost(FullHandshake); c < 9*time.Millisecond || c > 11*time.Millisecond {
-		t.Errorf("a full one is thought to take %v, it takes 10 ms", c)
+		t.Errorf("a full one is expected to take %v, it takes 10 ms", c)
 	}
 	s, _, _ := b.Reserve(1, FullHandshake, false, now)
-	b.Complete(s, 400*time.Millisecond, false, now) // broken off, and dear
+	b.Complete(s, 400*time.Millisecond, false, now) // broken off, and expensive
 	if c := b.Cost(FullHandshake); c > 11*time.Millisecond {
-		t.Errorf("one that was broken off teaches %v", c)
+		t.Errorf("the cost after one that was broken off: %v", c)
 	}
 	_, ok, at := b.Reserve(2, FullHandshake, false, now)
 	if wait := at.Sub(now); ok || wait < time.Second {
@@ -136,12 +136,18 @@
 }
 
 func TestHandshakeLimitsValidate(t *testing.T) {
-	for name, change := range map[string]func(*HandshakeLimits){"no share": func(l *HandshakeLimits) { l.Share = 0 }, "more than a core": func(l *HandshakeLimits) { l.Share = 1.5 },
-		"no burst": func(l *HandshakeLimits) { l.Burst = 0 }, "none at a time": func(l *HandshakeLimits) { l.MaxParallel = 0 },
-		"dearer than the burst": func(l *HandshakeLimits) { l.Cost[FullHandshake] = time.Second }} {
-		l := DefaultHandshakeLimits()
-		if change(&l); l.Validate() == nil {
-			t.Errorf("%s: accepted", name)
-		}
+	for name, change := range map[string]func(*HandshakeLimits){
+		"no share":             func(l *HandshakeLimits) { l.Share = 0 },
+		"more than a core":     func(l *HandshakeLimits) { l.Share = 1.5 },
+		"no burst":             func(l *HandshakeLimits) { l.Burst = 0 },
+		"no parallel ones":     func(l *HandshakeLimits) { l.MaxParallel = 0 },
+		"cost above the burst": func(l *HandshakeLimits) { l.Cost[FullHandshake] = time.Second },
+	} {
+		t.Run(name, func(t *testing.T) {
+			limits := DefaultHandshakeLimits()
+			if change(&limits); limits.Validate() == nil {
+				t.Error("accepted")
+			}
+		})
 	}
 }
--- a/internal/tlspolicy/revocation_test.go
+++ b/internal/tlspolicy/revocation_test.go
@@ -14,7 +14,7 @@
 // an end, would acquit what it does not tell of.
 func TestNewRevocationListsRejects(t *testing.T) {
 	root := issue(t, nil, nil, authorityTemplate)
-	make := func(change func(*x509.RevocationList)) []byte {
+	encode := func(change func(*x509.RevocationList)) []byte {
 		l := &x509.RevocationList{Number: big.NewInt(1), ThisUpdate: noon, NextUpdate: noon.Add(time.Hour)}
 		change(l)
 		der, err := x509.CreateRevocationList(rand.Reader, l, root.Certificate, root.Key)
@@ -25,12 +25,14 @@
 	}
 	many := [][]byte{}
 	for range maxRevocationLists + 1 {
-		many = append(many, make(func(*x509.RevocationList) {}))
+		many = append(many, encode(func(*x509.RevocationList) {}))
 	}
 	for name, der := range map[string][][]byte{
 		"rubbish": {[]byte("rubbish")},
-		"a delta": {make(func(l *x509.RevocationList) {
-			l.ExtraExtensions = []pkix.Extension{{Id: asn1.ObjectIdentifier{2, 5, 29, 27}, Critical: true, Value: []byte{2, 1, 1}}}
+		"a delta": {encode(func(l *x509.RevocationList) {
+			l.ExtraExtensions = []pkix.Extension{
+				{Id: asn1.ObjectIdentifier{2, 5, 29, 27}, Critical: true, Value: []byte{2, 1, 1}},
+			}
 		})},
 		"too many": many,
 	} {
@@ -38,7 +40,7 @@
 			t.Errorf("%s: accepted", name)
 		}
 	}
-	l, err := NewRevocationLists(many[0], make(func(l *x509.RevocationList) { l.NextUpdate = noon.Add(time.Minute) }))
+	l, err := NewRevocationLists(many[0], encode(func(l *x509.RevocationList) { l.NextUpdate = noon.Add(time.Minute) }))
 	if err != nil || !l.NextUpdate().Equal(noon.Add(time.Minute)) || l.Len() != 2 {
 		t.Errorf("two lists end at %v, %v", l.NextUpdate(), err)
 	}
--- /dev/null
+++ b/internal/tlspolicy/rule.go
@@ -0,0 +1,224 @@
+// Package tlspolicy decides which identity an endpoint must prove over TLS, what a
+// failed proof means, and how many handshakes may begin.
+//
+// It owns the rules of identity, the state of trust and the handshake budget. It must
+// never touch a socket, a file or a clock, see a message, or hold a private key. What
+// an endpoint list says about names has no influence: names, roots and pins are the
+// operator's.
+package tlspolicy
+
+import (
+	"crypto/ecdsa"
+	"crypto/ed25519"
+	"crypto/rsa"
+	"crypto/sha256"
+	"crypto/x509"
+	"encoding/binary"
+	"errors"
+	"fmt"
+	"slices"
+	"time"
+)
+
+// Bounds of keys.
+const (
+	minRSABits   = 2048
+	minCurveBits = 256
+)
+
+// Rule is the identity that a destination's endpoints must prove.
+type Rule struct {
+	Name                    string         // of the rule in the operator's file
+	ServerName              string         // sent as SNI and verified
+	Roots                   *x509.CertPool // the operator's; never the system's
+	Pins                    []Pin          // none: the roots alone decide
+	RequireRevocationStatus bool           // an unknown revocation status counts as revoked
+}
+
+// SessionIdentity returns the identity under which sessions with a destination are
+// cached. rootsSum and certificateSum are sums over the files of the roots and of our
+// own certificate.
+func (r *Rule) SessionIdentity(dest int, rootsSum, certificateSum []byte) SessionIdentity {
+	h := sha256.New()
+	add := func(b []byte) { // with its length: different lists of parts never look alike
+		h.Write(binary.BigEndian.AppendUint64(nil, uint64(len(b))))
+		h.Write(b)
+	}
+	add([]byte(r.ServerName))
+	add(rootsSum)
+	add(certificateSum)
+	for _, p := range r.Pins {
+		add(p[:])
+	}
+	return SessionIdentity{Destination: dest, Rule: r.Name, Sum: [sha256.Size]byte(h.Sum(nil))}
+}
+
+// Validate returns an error for a rule that cannot be used.
+func (r *Rule) Validate() error {
+	switch {
+	case r.ServerName == "":
+		return errors.New("server_name: missing")
+	case r.Roots == nil:
+		return errors.New("roots: missing")
+	case len(r.Pins) == 1:
+		return errors.New("pins: one alone; a set needs a backup that is not in use, " +
+			"or a lost key locks the partner out (RFC 7469 section 2.5)")
+	}
+	seen := map[Pin]bool{}
+	for _, p := range r.Pins {
+		if seen[p] {
+			return fmt.Errorf("pins: %s is named twice", p)
+		}
+		seen[p] = true
+	}
+	return nil
+}
+
+// Verification is an identity that was verified.
+type Verification struct {
+	ValidUntil time.Time // the first expiry in the chain: no call begins on its connection from then on
+	Chain      []*x509.Certificate
+}
+
+// fail returns an identity that the rule rejects.
+func (r *Rule) fail(cause FailureCause, err error) *IdentityError {
+	return &IdentityError{Cause: cause, Rule: r.Name, Err: err}
+}
+
+// Verify judges the certificates that an endpoint showed, its own first. evidence is
+// what is known about revocation; nil for nothing.
+func (r *Rule) Verify(
+	shown []*x509.Certificate, now time.Time, evidence *RevocationEvidence,
+) (*Verification, *IdentityError) {
+	if len(shown) == 0 {
+		return nil, r.fail(NoCertificate, errors.New("none was shown"))
+	}
+	leaf := shown[0]
+	if err := checkKeyStrength(leaf); err != nil {
+		return nil, r.fail(WeakKey, err)
+	}
+	if cause, err := checkValidity(leaf, now); err != nil {
+		return nil, r.fail(cause, err)
+	}
+	if err := leaf.VerifyHostname(r.ServerName); err != nil {
+		return nil, r.fail(NameMismatch, err)
+	}
+	chains, failure := r.buildChains(shown, now)
+	if failure != nil {
+		return nil, failure
+	}
+	var furthest *IdentityError // of the chain that passed most checks
+	for _, chain := range chains {
+		failure := r.checkChain(chain, now, evidence)
+		if failure == nil {
+			return &Verification{ValidUntil: firstExpiry(chain), Chain: chain}, nil
+		}
+		if furthest == nil || failure.Cause > furthest.Cause {
+			furthest = failure
+		}
+	}
+	return nil, furthest
+}
+
+// buildChains returns the chains from the leaf to a root, at least one.
+func (r *Rule) buildChains(shown []*x509.Certificate, now time.Time) ([][]*x509.Certificate, *IdentityError) {
+	intermediates := x509.NewCertPool()
+	for _, c := range shown[1:] {
+		intermediates.AddCert(c)
+	}
+	chains, err := shown[0].Verify(x509.VerifyOptions{
+		Roots:         r.Roots,
+		Intermediates: intermediates,
+		CurrentTime:   now,
+		KeyUsages:     []x509.ExtKeyUsage{x509.ExtKeyUsageServerAuth},
+	})
+	if err == nil {
+		return chains, nil
+	}
+	var invalid x509.CertificateInvalidError
+	var unknown x509.UnknownAuthorityError
+	switch {
+	case errors.As(err, &invalid) && invalid.Reason == x509.Expired:
+		if cause, validityErr := checkValidity(invalid.Cert, now); validityErr != nil {
+			return nil, r.fail(cause, err)
+		}
+		return nil, r.fail(Expired, err)
+	case errors.As(err, &unknown):
+		// An intermediate outside its validity makes a chain that leads nowhere.
+		for _, c := range shown[1:] {
+			if cause, validityErr := checkValidity(c, now); validityErr != nil {
+				return nil, r.fail(cause, validityErr)
+			}
+		}
+		return nil, r.fail(UntrustedRoot, err)
+	}
+	return nil, r.fail(InvalidChain, err)
+}
+
+// checkChain checks what a chain must pass besides x509's rules.
+func (r *Rule) checkChain(chain []*x509.Certificate, now time.Time, evidence *RevocationEvidence) *IdentityError {
+	for _, c := range chain[1:] {
+		if err := checkKeyStrength(c); err != nil {
+			return r.fail(WeakKey, err)
+		}
+	}
+	pinned := func(c *x509.Certificate) bool { return slices.Contains(r.Pins, PinOf(c)) }
+	if len(r.Pins) > 0 && !slices.ContainsFunc(chain, pinned) {
+		return r.fail(PinMismatch, fmt.Errorf("none of the chain's %d keys is pinned; the leaf's is %s",
+			len(chain), PinOf(chain[0])))
+	}
+	for i, c := range chain[:len(chain)-1] { // a root is not revoked, it is removed
+		isLeaf, issuer := i == 0, chain[i+1]
+		status := evidence.status(c, issuer, isLeaf, now)
+		switch {
+		case status == StatusRevoked:
+			return r.fail(CertificateRevoked, fmt.Errorf("serial %x", c.SerialNumber))
+		case isLeaf && mustStaple(c) && !evidence.hasGoodStaple(c, issuer, now):
+			return r.fail(RevocationUnresolved, errors.New(
+				"its certificate says that a good OCSP response comes with it, and none did (RFC 7633)"))
+		case status == StatusUnknown && r.RequireRevocationStatus:
+			return r.fail(RevocationUnresolved, fmt.Errorf("serial %x", c.SerialNumber))
+		}
+	}
+	return nil
+}
+
+// firstExpiry is when the first certificate of a chain expires.
+func firstExpiry(chain []*x509.Certificate) time.Time {
+	first := chain[0].NotAfter
+	for _, c := range chain {
+		if c.NotAfter.Before(first) {
+			first = c.NotAfter
+		}
+	}
+	return first
+}
+
+// checkValidity returns an error where a certificate is outside its validity period.
+func checkValidity(c *x509.Certificate, now time.Time) (FailureCause, error) {
+	switch {
+	case now.Before(c.NotBefore):
+		return NotYetValid, fmt.Errorf("valid from %s on", c.NotBefore.UTC().Format(time.RFC3339))
+	case !now.Before(c.NotAfter):
+		return Expired, fmt.Errorf("valid until %s", c.NotAfter.UTC().Format(time.RFC3339))
+	}
+	return 0, nil
+}
+
+// checkKeyStrength returns an error for a key that is too short or of an obsolete kind.
+func checkKeyStrength(c *x509.Certificate) error {
+	switch k := c.PublicKey.(type) {
+	case *rsa.PublicKey:
+		if n := k.N.BitLen(); n < minRSABits {
+			return fmt.Errorf("RSA of %d bits, %d are wanted", n, minRSABits)
+		}
+	case *ecdsa.PublicKey:
+		if n := k.Curve.Params().BitSize; n < minCurveBits {
+			return fmt.Errorf("a curve of %d bits, %d are wanted", n, minCurveBits)
+		}
+	case ed25519.PublicKey:
+	default:
+		return fmt.Errorf("a key of kind %T", k)
+	}
+	return nil
+}
--- a/internal/tlspolicy/identity_test.go
+++ b/internal/tlspolicy/rule_test.go
@@ -26,7 +26,10 @@
 // issue makes a certificate that up signs; nil signs itself.
 func issue(t testing.TB, up *issuedCert, key crypto.Signer, change func(*x509.Certificate)) *issuedCert {
 	t.Helper()
-	changes := []func(*x509.Certificate){testca.WithNames("pay.example.org"), testca.WithValidity(noon.Add(-time.Hour), noon.Add(time.Hour))}
+	changes := []func(*x509.Certificate){
+		testca.WithNames("pay.example.org"),
+		testca.WithValidity(noon.Add(-time.Hour), noon.Add(time.Hour)),
+	}
 	if change != nil {
 		changes = append(changes, change)
 	}
@@ -53,9 +56,16 @@
 // revocationListDER is an authority's revocation list, with the next one due in some time.
 func revocationListDER(t testing.TB, up *issuedCert, next time.Duration, revoked ...*issuedCert) []byte {
 	t.Helper()
-	l := &x509.RevocationList{Number: big.NewInt(7), ThisUpdate: noon.Add(-10 * time.Minute), NextUpdate: noon.Add(next)}
+	l := &x509.RevocationList{
+		Number:     big.NewInt(7),
+		ThisUpdate: noon.Add(-10 * time.Minute),
+		NextUpdate: noon.Add(next),
+	}
 	for _, m := range revoked {
-		l.RevokedCertificateEntries = append(l.RevokedCertificateEntries, x509.RevocationListEntry{SerialNumber: m.SerialNumber, RevocationTime: noon.Add(-time.Hour)})
+		l.RevokedCertificateEntries = append(
+			l.RevokedCertificateEntries,
+			x509.RevocationListEntry{SerialNumber: m.SerialNumber, RevocationTime: noon.Add(-time.Hour)},
+		)
 	}
 	der, err := x509.CreateRevocationList(rand.Reader, l, up.Certificate, up.Key)
 	if err != nil {
@@ -76,8 +86,10 @@
 // ocspStaple is an OCSP response of up's about m.
 func ocspStaple(t testing.TB, up, m *issuedCert, status int, next time.Duration) []byte {
 	t.Helper()
-	der, err := ocsp.CreateResponse(up.Certificate, up.Certificate, ocsp.Response{Status: status, SerialNumber: m.SerialNumber,
-		ThisUpdate: noon.Add(-10 * time.Minute), NextUpdate: noon.Add(next), RevokedAt: noon.Add(-time.Hour)}, up.Key)
+	der, err := ocsp.CreateResponse(up.Certificate, up.Certificate, ocsp.Response{
+		Status: status, SerialNumber: m.SerialNumber,
+		ThisUpdate: noon.Add(-10 * time.Minute), NextUpdate: noon.Add(next), RevokedAt: noon.Add(-time.Hour),
+	}, up.Key)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -88,7 +100,7 @@
 	return &RevocationEvidence{staple, e.Lists}
 }
 
-// Each refusal has its cause, and nothing else is refused.
+// Each rejection has its cause, and nothing else is rejected.
 func TestVerify(t *testing.T) {
 	root, other := issue(t, nil, nil, authorityTemplate), issue(t, nil, nil, authorityTemplate)
 	mid := issue(t, root, nil, authorityTemplate)
@@ -125,7 +137,8 @@
 	narrow := issue(t, root, nil, combine(authorityTemplate, func(c *x509.Certificate) {
 		c.PermittedDNSDomains, c.PermittedDNSDomainsCritical = []string{"shop.example.org"}, true
 	}))
-	short := issue(t, root, nil, combine(authorityTemplate, func(c *x509.Certificate) { c.MaxPathLen, c.MaxPathLenZero = 0, true }))
+	noPath := func(c *x509.Certificate) { c.MaxPathLen, c.MaxPathLenZero = 0, true }
+	short := issue(t, root, nil, combine(authorityTemplate, noPath))
 	underShort := issue(t, short, nil, authorityTemplate)
 	chain := func(all ...*issuedCert) (c []*x509.Certificate) {
 		for _, m := range all {
@@ -160,8 +173,14 @@
 		{name: "sound, pinned", shown: chain(good, mid), pins: pins(good, backup)},
 		{name: "sound, one above it pinned", shown: chain(good, mid), pins: pins(mid, backup)},
 		{name: "sound, the root pinned", shown: chain(good, mid), pins: pins(backup, root)},
-		{name: "sound, known to be good", shown: chain(good, mid), hard: true, known: revocationEvidence(t, revocationListDER(t, mid, time.Hour), revocationListDER(t, root, time.Hour))},
-		{name: "sound, unknown and soft", shown: chain(good, mid), known: revocationEvidence(t, revocationListDER(t, root, time.Hour))},
+		{
+			name: "sound, known to be good", shown: chain(good, mid), hard: true,
+			known: revocationEvidence(t, revocationListDER(t, mid, time.Hour), revocationListDER(t, root, time.Hour)),
+		},
+		{
+			name: "sound, unknown and soft", shown: chain(good, mid),
+			known: revocationEvidence(t, revocationListDER(t, root, time.Hour)),
+		},
 		{name: "none", want: NoCertificate},
 		{name: "weak RSA", shown: chain(issue(t, mid, weakRSA, nil), mid), want: WeakKey},
 		{name: "weak curve", shown: chain(issue(t, mid, weakCurve, nil), mid), want: WeakKey},
@@ -173,65 +192,159 @@
 		{name: "not yet above", shown: chain(leaf(youngMid, nil), youngMid), want: NotYetValid},
 		{name: "another name", shown: chain(leaf(mid, names("shop.example.org")), mid), want: NameMismatch},
 		{name: "no name", shown: chain(leaf(mid, names()), mid), want: NameMismatch},
-		{name: "the name in the subject alone", shown: chain(leaf(mid, func(c *x509.Certificate) { c.DNSNames, c.Subject.CommonName = nil, "pay.example.org" }), mid), want: NameMismatch},
+		{
+			name: "the name in the subject alone",
+			shown: chain(
+				leaf(mid, func(c *x509.Certificate) { c.DNSNames, c.Subject.CommonName = nil, "pay.example.org" }), mid,
+			),
+			want: NameMismatch,
+		},
 		{name: "a wildcard too wide", shown: chain(leaf(mid, names("*.org")), mid), want: NameMismatch},
 		{name: "a wildcard one level up", shown: chain(leaf(mid, names("*.pay.example.org")), mid), want: NameMismatch},
-		{name: "its address, not its name", shown: chain(leaf(mid, func(c *x509.Certificate) { c.DNSNames, c.IPAddresses = nil, []net.IP{{127, 0, 0, 1}} }), mid), want: NameMismatch},
+		{
+			name: "its address, not its name",
+			shown: chain(
+				leaf(mid, func(c *x509.Certificate) { c.DNSNames, c.IPAddresses = nil, []net.IP{{127, 0, 0, 1}} }), mid,
+			),
+			want: NameMismatch,
+		},
 		{name: "another root", shown: chain(leaf(other, nil), other), want: UntrustedRoot},
 		{name: "signed by itself", shown: chain(issue(t, nil, nil, nil)), want: UntrustedRoot},
 		{name: "what is between is missing", shown: chain(good), want: UntrustedRoot},
 		{name: "what is between is another's", shown: chain(good, oldMid), want: Expired},
 		{name: "no authority above", shown: chain(leaf(noCA, nil), noCA), want: UntrustedRoot},
-		{name: "for clients", shown: chain(leaf(mid, func(c *x509.Certificate) { c.ExtKeyUsage = []x509.ExtKeyUsage{x509.ExtKeyUsageClientAuth} }), mid), want: InvalidChain},
+		{
+			name: "for clients",
+			shown: chain(
+				leaf(mid, func(c *x509.Certificate) { c.ExtKeyUsage = []x509.ExtKeyUsage{x509.ExtKeyUsageClientAuth} }),
+				mid,
+			),
+			want: InvalidChain,
+		},
 		{name: "outside what its authority may name", shown: chain(leaf(narrow, nil), narrow), want: InvalidChain},
-		{name: "deeper than its authority may go", shown: chain(leaf(underShort, nil), underShort, short), want: InvalidChain},
+		{
+			name: "deeper than its authority may go", shown: chain(leaf(underShort, nil), underShort, short),
+			want: InvalidChain,
+		},
 		{name: "not pinned", shown: chain(good, mid), pins: pins(other, backup), want: PinMismatch},
-		{name: "another's pin of the same name", shown: chain(leaf(mid, nil), mid), pins: pins(good, backup), want: PinMismatch},
-		{name: "revoked", shown: chain(good, mid), known: revocationEvidence(t, revocationListDER(t, mid, time.Hour, good)), want: CertificateRevoked},
-		{name: "revoked above", shown: chain(good, mid), known: revocationEvidence(t, revocationListDER(t, root, time.Hour, mid)), want: CertificateRevoked},
-		{name: "revoked by a list past its time", shown: chain(good, mid), known: revocationEvidence(t, revocationListDER(t, mid, -time.Minute, good)), want: CertificateRevoked},
-		{name: "acquitted by a list past its time, and hard", shown: chain(good, mid), hard: true, known: revocationEvidence(t, revocationListDER(t, mid, -time.Minute), revocationListDER(t, root, time.Hour)), want: RevocationUnresolved},
-		{name: "sound, another authority's list has its serial", shown: chain(good, mid), known: revocationEvidence(t, revocationListDER(t, other, time.Hour, good))},
-		{name: "sound, a forged list of its authority's name", shown: chain(good, mid), known: revocationEvidence(t, revocationListDER(t, &issuedCert{Certificate: mid.Certificate, Key: other.Key}, time.Hour, good))},
-		{name: "sound, a good staple and hard", shown: chain(good, mid), hard: true, known: withStaple(revocationEvidence(t, revocationListDER(t, root, time.Hour)), ocspStaple(t, mid, good, ocsp.Good, time.Hour))},
-		{name: "sound, must staple and does", shown: chain(must, mid), known: &RevocationEvidence{Staple: ocspStaple(t, mid, must, ocsp.Good, time.Hour)}},
-		{name: "must staple and does not", shown: chain(must, mid), known: revocationEvidence(t, revocationListDER(t, mid, time.Hour)), want: RevocationUnresolved},
-		{name: "must staple, an old one", shown: chain(must, mid), known: &RevocationEvidence{Staple: ocspStaple(t, mid, must, ocsp.Good, -time.Minute)}, want: RevocationUnresolved},
-		{name: "must staple, another's", shown: chain(must, mid), known: &RevocationEvidence{Staple: ocspStaple(t, mid, good, ocsp.Good, time.Hour)}, want: RevocationUnresolved},
-		{name: "must staple, rubbish", shown: chain(must, mid), known: &RevocationEvidence{Staple: []byte("\x30\x03\x0a\x01\x00")}, want: RevocationUnresolved},
-		{name: "a staple that says revoked", shown: chain(good, mid), known: &RevocationEvidence{Staple: ocspStaple(t, mid, good, ocsp.Revoked, time.Hour)}, want: CertificateRevoked},
-		{name: "a staple that says revoked, a list that does not", shown: chain(good, mid), known: withStaple(revocationEvidence(t, revocationListDER(t, mid, time.Hour)), ocspStaple(t, mid, good, ocsp.Revoked, time.Hour)), want: CertificateRevoked},
-		{name: "a staple signed by another, and hard", shown: chain(good, mid), hard: true, known: &RevocationEvidence{Staple: ocspStaple(t, other, good, ocsp.Good, time.Hour)}, want: RevocationUnresolved},
-		{name: "unknown and hard", shown: chain(good, mid), hard: true, known: revocationEvidence(t, revocationListDER(t, mid, time.Hour)), want: RevocationUnresolved},
+		{
+			name: "another's pin of the same name", shown: chain(leaf(mid, nil), mid), pins: pins(good, backup),
+			want: PinMismatch,
+		},
+		{
+			name: "revoked", shown: chain(good, mid),
+			known: revocationEvidence(t, revocationListDER(t, mid, time.Hour, good)), want: CertificateRevoked,
+		},
+		{
+			name: "revoked above", shown: chain(good, mid),
+			known: revocationEvidence(t, revocationListDER(t, root, time.Hour, mid)), want: CertificateRevoked,
+		},
+		{
+			name: "revoked by a list past its time", shown: chain(good, mid),
+			known: revocationEvidence(t, revocationListDER(t, mid, -time.Minute, good)), want: CertificateRevoked,
+		},
+		{
+			name: "acquitted by a list past its time, and hard", shown: chain(good, mid), hard: true,
+			known: revocationEvidence(
+				t, revocationListDER(t, mid, -time.Minute), revocationListDER(t, root, time.Hour),
+			),
+			want: RevocationUnresolved,
+		},
+		{
+			name: "sound, another authority's list has its serial", shown: chain(good, mid),
+			known: revocationEvidence(t, revocationListDER(t, other, time.Hour, good)),
+		},
+		{
+			name: "sound, a forged list of its authority's name", shown: chain(good, mid),
+			known: revocationEvidence(
+				t, revocationListDER(t, &issuedCert{Certificate: mid.Certificate, Key: other.Key}, time.Hour, good),
+			),
+		},
+		{
+			name: "sound, a good staple and hard", shown: chain(good, mid), hard: true,
+			known: withStaple(
+				revocationEvidence(t, revocationListDER(t, root, time.Hour)),
+				ocspStaple(t, mid, good, ocsp.Good, time.Hour),
+			),
+		},
+		{
+			name: "sound, must staple and does", shown: chain(must, mid),
+			known: &RevocationEvidence{Staple: ocspStaple(t, mid, must, ocsp.Good, time.Hour)},
+		},
+		{
+			name: "must staple and does not", shown: chain(must, mid),
+			known: revocationEvidence(t, revocationListDER(t, mid, time.Hour)), want: RevocationUnresolved,
+		},
+		{
+			name: "must staple, an old one", shown: chain(must, mid),
+			known: &RevocationEvidence{Staple: ocspStaple(t, mid, must, ocsp.Good, -time.Minute)},
+			want:  RevocationUnresolved,
+		},
+		{
+			name: "must staple, another's", shown: chain(must, mid),
+			known: &RevocationEvidence{Staple: ocspStaple(t, mid, good, ocsp.Good, time.Hour)},
+			want:  RevocationUnresolved,
+		},
+		{
+			name: "must staple, rubbish", shown: chain(must, mid),
+			known: &RevocationEvidence{Staple: []byte("\x30\x03\x0a\x01\x00")}, want: RevocationUnresolved,
+		},
+		{
+			name: "a staple that says revoked", shown: chain(good, mid),
+			known: &RevocationEvidence{Staple: ocspStaple(t, mid, good, ocsp.Revoked, time.Hour)},
+			want:  CertificateRevoked,
+		},
+		{
+			name: "a staple that says revoked, a list that does not", shown: chain(good, mid),
+			known: withStaple(
+				revocationEvidence(t, revocationListDER(t, mid, time.Hour)),
+				ocspStaple(t, mid, good, ocsp.Revoked, time.Hour),
+			),
+			want: CertificateRevoked,
+		},
+		{
+			name: "a staple signed by another, and hard", shown: chain(good, mid), hard: true,
+			known: &RevocationEvidence{Staple: ocspStaple(t, other, good, ocsp.Good, time.Hour)},
+			want:  RevocationUnresolved,
+		},
+		{
+			name: "unknown and hard", shown: chain(good, mid), hard: true,
+			known: revocationEvidence(t, revocationListDER(t, mid, time.Hour)), want: RevocationUnresolved,
+		},
 		{name: "nothing known and hard", shown: chain(good, mid), hard: true, want: RevocationUnresolved},
 	} {
-		roots := x509.NewCertPool()
-		roots.AddCert(root.Certificate)
-		r := &Rule{Name: "pay", ServerName: "pay.example.org", Roots: roots, Pins: x.pins, RequireRevocationStatus: x.hard}
-		if err := r.Validate(); err != nil {
-			t.Fatal(err)
-		}
-		proof, f := r.Verify(x.shown, noon, x.known)
-		switch {
-		case (proof == nil) == (f == nil):
-			t.Errorf("%s: proof %v, failure %v", x.name, proof, f)
-		case f == nil && x.want != 0:
-			t.Errorf("%s: accepted", x.name)
-		case f != nil && f.Cause != x.want:
-			t.Errorf("%s: %v, want %s", x.name, f, x.want)
-		case proof != nil && !proof.ValidUntil.After(noon):
-			t.Errorf("%s: a proof until %s", x.name, proof.ValidUntil)
-		}
+		t.Run(x.name, func(t *testing.T) {
+			r := &Rule{
+				Name:                    "pay",
+				ServerName:              "pay.example.org",
+				Roots:                   root.RootPool(),
+				Pins:                    x.pins,
+				RequireRevocationStatus: x.hard,
+			}
+			if err := r.Validate(); err != nil {
+				t.Fatal(err)
+			}
+			verification, failure := r.Verify(x.shown, noon, x.known)
+			switch {
+			case (verification == nil) == (failure == nil):
+				t.Errorf("verification %v, failure %v", verification, failure)
+			case failure == nil && x.want != 0:
+				t.Error("accepted")
+			case failure != nil && failure.Cause != x.want:
+				t.Errorf("%v, want %s", failure, x.want)
+			case verification != nil && !verification.ValidUntil.After(noon):
+				t.Errorf("valid until %s", verification.ValidUntil)
+			}
+		})
 	}
 }
 
-// A proof ends with the first certificate of its chain that does.
+// A verification ends with the first certificate of its chain that does.
 func TestVerificationEndsWithEarliestCertificate(t *testing.T) {
 	root := issue(t, nil, nil, authorityTemplate)
-	mid := issue(t, root, nil, combine(authorityTemplate, func(c *x509.Certificate) { c.NotAfter = noon.Add(time.Minute) }))
-	roots := x509.NewCertPool()
-	roots.AddCert(root.Certificate)
-	r := &Rule{Name: "pay", ServerName: "pay.example.org", Roots: roots}
+	endsSoon := func(c *x509.Certificate) { c.NotAfter = noon.Add(time.Minute) }
+	mid := issue(t, root, nil, combine(authorityTemplate, endsSoon))
+	r := &Rule{Name: "pay", ServerName: "pay.example.org", Roots: root.RootPool()}
 	p, f := r.Verify([]*x509.Certificate{issue(t, mid, nil, nil).Certificate, mid.Certificate}, noon, nil)
 	if f != nil || !p.ValidUntil.Equal(noon.Add(time.Minute)) {
 		t.Errorf("%v, %v", p, f)
@@ -240,11 +353,17 @@
 
 func TestRuleValidate(t *testing.T) {
 	pool := x509.NewCertPool()
-	for name, r := range map[string]*Rule{"no name": {Roots: pool}, "no roots": {ServerName: "a"},
-		"one pin": {ServerName: "a", Roots: pool, Pins: []Pin{{1}}}, "one pin twice": {ServerName: "a", Roots: pool, Pins: []Pin{{1}, {1}}}} {
-		if r.Validate() == nil {
-			t.Errorf("%s: accepted", name)
-		}
+	for name, r := range map[string]*Rule{
+		"no name":       {Roots: pool},
+		"no roots":      {ServerName: "a"},
+		"one pin":       {ServerName: "a", Roots: pool, Pins: []Pin{{1}}},
+		"one pin twice": {ServerName: "a", Roots: pool, Pins: []Pin{{1}, {1}}},
+	} {
+		t.Run(name, func(t *testing.T) {
+			if r.Validate() == nil {
+				t.Error("accepted")
+			}
+		})
 	}
 	if err := (&Rule{ServerName: "a", Roots: pool, Pins: []Pin{{1}, {2}}}).Validate(); err != nil {
 		t.Error(err)
--- a/internal/tlspolicy/selector.go
+++ b/internal/tlspolicy/selector.go
@@ -2,13 +2,13 @@
 
 import "fmt"
 
-// Whom a destination must prove to be is chosen by the operator's settings: a
-// destination that a rule names by number comes before one that a rule names by
-// its flavour. Nothing in the partners' list can turn a destination that has a
-// rule into one without: its flavour is the list's word, so a destination whose
-// proof matters is named by number.
+// The operator's settings choose the identity that a destination must prove. A rule
+// that names the destination's number precedes one that names its flavour. Nothing in
+// an endpoint list can turn a destination that has a rule into one without, but for
+// its flavour, which the list says: a destination whose identity matters is named by
+// number.
 
-// RuleTarget is whom one rule is for.
+// RuleTarget is what one rule applies to.
 type RuleTarget struct {
 	Rule         string
 	Destinations []int
@@ -17,12 +17,12 @@
 
 // RuleSelector finds the rule of a destination.
 type RuleSelector struct {
-	byDestination map[int]int
+	byDestination map[int]int // indexes of rules
 	byFlavor      map[string]int
 }
 
-// NewRuleSelector checks that no two rules name the same destination or flavour,
-// and that each names one.
+// NewRuleSelector returns an error where two rules name the same destination or flavour,
+// or one names neither.
 func NewRuleSelector(targets []RuleTarget) (*RuleSelector, error) {
 	s := &RuleSelector{byDestination: map[int]int{}, byFlavor: map[string]int{}}
 	for i, t := range targets {
@@ -45,8 +45,8 @@
 	return s, nil
 }
 
-// Find is the number of the rule for a destination, false where it is reached
-// without TLS.
+// Find returns the index of a destination's rule among the targets; false where it is
+// reached without TLS.
 func (s *RuleSelector) Find(dest int, flavor string) (int, bool) {
 	if s == nil {
 		return 0, false
--- a/internal/tlspolicy/sessions.go
+++ b/internal/tlspolicy/sessions.go
@@ -3,12 +3,13 @@
 import (
 	"container/list"
 	"crypto/sha256"
+	"slices"
 	"time"
 )
 
-// SessionIdentity is under whose eyes a session was made. A session is offered under
-// the same identity alone: another name, other roots or pins, or another
-// certificate of our own is another identity, even for the same destination.
+// SessionIdentity is what a session was verified by. A session is offered under the
+// same identity alone: another server name, other roots or pins, or another
+// certificate of our own makes another identity, even for the same destination.
 type SessionIdentity struct {
 	Destination int
 	Rule        string
@@ -17,20 +18,20 @@
 
 // Bounds of the cache.
 const (
-	// Kept of one identity: as many handshakes as may be under way at once each
-	// find one of their own (RFC 8446 appendix C.4: a ticket is used once).
+	// maxSessionsPerIdentity lets as many handshakes as may be in flight at once each
+	// use a session of their own (RFC 8446 appendix C.4: a ticket is used once).
 	maxSessionsPerIdentity = 8
-	// RFC 8446 section 4.6.1 allows seven days. What was proved should be proved
-	// again sooner.
+	// maxSessionLifetime is shorter than the seven days of RFC 8446 section 4.6.1, so
+	// that identities are verified again sooner.
 	maxSessionLifetime = 12 * time.Hour
 )
 
-// SessionCache is a bounded cache of sessions. What a session is, the driver knows.
-// It is not safe for several goroutines; times must not go back.
+// SessionCache is a bounded cache of sessions, whose type the caller knows. It is not
+// safe for concurrent use; times must not go back.
 type SessionCache[T any] struct {
 	capacity    int
 	byIdentity  map[SessionIdentity][]*list.Element // the newest last
-	oldestFirst *list.List                          // the oldest first
+	oldestFirst *list.List                          // of all sessions
 }
 
 type cachedSession[T any] struct {
@@ -39,93 +40,96 @@
 	session  T
 }
 
-// NewSessionCache makes a cache for most sessions in all; with 0 nothing is kept.
-func NewSessionCache[T any](most int) *SessionCache[T] {
-	return &SessionCache[T]{capacity: most, byIdentity: map[SessionIdentity][]*list.Element{}, oldestFirst: list.New()}
+// entryOf returns the session of a list element.
+func entryOf[T any](e *list.Element) *cachedSession[T] { return e.Value.(*cachedSession[T]) }
+
+// NewSessionCache returns a cache for capacity sessions in all; with 0 nothing is
+// cached.
+func NewSessionCache[T any](capacity int) *SessionCache[T] {
+	return &SessionCache[T]{
+		capacity:    capacity,
+		byIdentity:  map[SessionIdentity][]*list.Element{},
+		oldestFirst: list.New(),
+	}
 }
 
-// Put keeps a session. It ends with the proof by which it was made, and after
-// twelve hours at the latest.
-func (s *SessionCache[T]) Put(of SessionIdentity, what T, now, proof time.Time) {
+// Put caches a session until the verification by which it was made expires, and for
+// twelve hours at most.
+func (s *SessionCache[T]) Put(id SessionIdentity, session T, now, verifiedUntil time.Time) {
 	until := now.Add(maxSessionLifetime)
-	if proof.Before(until) {
-		until = proof
+	if verifiedUntil.Before(until) {
+		until = verifiedUntil
 	}
-	s.PutUntil(of, what, now, until)
+	s.PutUntil(id, session, now, until)
 }
 
-// PutUntil keeps a session that ends at a moment known already.
-func (s *SessionCache[T]) PutUntil(of SessionIdentity, what T, now, until time.Time) {
+// PutUntil caches a session whose expiry was computed before. One that has expired, or
+// that lasts longer than Put would let it, is left out.
+func (s *SessionCache[T]) PutUntil(id SessionIdentity, session T, now, until time.Time) {
 	if s.capacity <= 0 || !now.Before(until) || until.After(now.Add(maxSessionLifetime)) {
 		return
 	}
-	if have := s.byIdentity[of]; len(have) >= maxSessionsPerIdentity {
-		s.remove(have[0])
+	if cached := s.byIdentity[id]; len(cached) >= maxSessionsPerIdentity {
+		s.remove(cached[0])
 	}
 	if s.oldestFirst.Len() >= s.capacity {
 		s.remove(s.oldestFirst.Front())
 	}
-	s.byIdentity[of] = append(s.byIdentity[of], s.oldestFirst.PushBack(&cachedSession[T]{of, until, what}))
+	entry := &cachedSession[T]{identity: id, until: until, session: session}
+	s.byIdentity[id] = append(s.byIdentity[id], s.oldestFirst.PushBack(entry))
 }
 
-// Take gives the newest session of an identity away: it is used once.
-func (s *SessionCache[T]) Take(of SessionIdentity, now time.Time) (what T, until time.Time, ok bool) {
-	for have := s.byIdentity[of]; len(have) > 0; have = s.byIdentity[of] {
-		e := have[len(have)-1]
-		x := e.Value.(*cachedSession[T])
-		s.remove(e)
-		if now.Before(x.until) {
-			return x.session, x.until, true
+// Take removes and returns the newest session of an identity: a session is used once.
+func (s *SessionCache[T]) Take(id SessionIdentity, now time.Time) (session T, until time.Time, ok bool) {
+	for cached := s.byIdentity[id]; len(cached) > 0; cached = s.byIdentity[id] {
+		newest := cached[len(cached)-1]
+		s.remove(newest)
+		if entry := entryOf[T](newest); now.Before(entry.until) {
+			return entry.session, entry.until, true
 		}
 	}
-	return what, until, false
+	return session, until, false
 }
 
-// Has reports whether Take would give one.
-func (s *SessionCache[T]) Has(of SessionIdentity, now time.Time) bool {
-	for _, e := range s.byIdentity[of] {
-		if now.Before(e.Value.(*cachedSession[T]).until) {
-			return true
-		}
-	}
-	return false
+// Has reports whether Take would return a session.
+func (s *SessionCache[T]) Has(id SessionIdentity, now time.Time) bool {
+	return slices.ContainsFunc(s.byIdentity[id], func(e *list.Element) bool {
+		return now.Before(entryOf[T](e).until)
+	})
 }
 
-// DropRule gives up every session made under a rule: its trust has changed.
+// DropRule removes all sessions made under a rule, whose files have changed.
 func (s *SessionCache[T]) DropRule(rule string) {
 	for e := s.oldestFirst.Front(); e != nil; {
 		next := e.Next()
-		if e.Value.(*cachedSession[T]).identity.Rule == rule {
+		if entryOf[T](e).identity.Rule == rule {
 			s.remove(e)
 		}
 		e = next
 	}
 }
 
-// Each shows all sessions, the oldest first.
-func (s *SessionCache[T]) Each(f func(of SessionIdentity, what T, until time.Time)) {
+// Each calls f with all sessions, the oldest first.
+func (s *SessionCache[T]) Each(f func(id SessionIdentity, session T, until time.Time)) {
 	for e := s.oldestFirst.Front(); e != nil; e = e.Next() {
-		x := e.Value.(*cachedSession[T])
-		f(x.identity, x.session, x.until)
+		entry := entryOf[T](e)
+		f(entry.identity, entry.session, entry.until)
 	}
 }
 
-// Len is how many are kept.
+// Len is the number of cached sessions.
 func (s *SessionCache[T]) Len() int { return s.oldestFirst.Len() }
 
 func (s *SessionCache[T]) remove(e *list.Element) {
-	of := e.Value.(*cachedSession[T]).identity
-	have := s.byIdentity[of]
-	for i, x := range have {
-		if x == e {
-			have = append(have[:i], have[i+1:]...)
-			break
-		}
+	id := entryOf[T](e).identity
+	cached := s.byIdentity[id]
+	if i := slices.Index(cached, e); i >= 0 {
+		cached = slices.Delete(cached, i, i+1)
 	}
-	if len(have) == 0 {
-		delete(s.byIdentity, of)
+	if len(cached) == 0 {
+		delete(s.byIdentity, id)
 	} else {
-		s.byIdentity[of] = have
+		s.byIdentity[id] = cached
 	}
 	s.oldestFirst.Remove(e)
 }
--- a/internal/tlspolicy/sessions_test.go
+++ b/internal/tlspolicy/sessions_test.go
@@ -108,14 +108,22 @@
 	for name, id := range map[string]SessionIdentity{
 		"as it is":            rule(nil).SessionIdentity(1, []byte("roots"), []byte("own")),
 		"another destination": rule(nil).SessionIdentity(2, []byte("roots"), []byte("own")),
-		"another rule":        rule(func(r *Rule) { r.Name = "shop" }).SessionIdentity(1, []byte("roots"), []byte("own")),
-		"another name":        rule(func(r *Rule) { r.ServerName = "pay.example.com" }).SessionIdentity(1, []byte("roots"), []byte("own")),
-		"other roots":         rule(nil).SessionIdentity(1, []byte("root"), []byte("own")),
-		"another of our own":  rule(nil).SessionIdentity(1, []byte("roots"), []byte("ow")),
-		"none of our own":     rule(nil).SessionIdentity(1, []byte("roots"), nil),
-		"no pins":             rule(func(r *Rule) { r.Pins = nil }).SessionIdentity(1, []byte("roots"), []byte("own")),
-		"other pins":          rule(func(r *Rule) { r.Pins = []Pin{a, {2}} }).SessionIdentity(1, []byte("roots"), []byte("own")),
-		"a byte that moved":   rule(func(r *Rule) { r.ServerName = "pay.example.orgr" }).SessionIdentity(1, []byte("oots"), []byte("own")),
+		"another rule": rule(func(r *Rule) { r.Name = "shop" }).SessionIdentity(
+			1, []byte("roots"), []byte("own"),
+		),
+		"another name": rule(
+			func(r *Rule) { r.ServerName = "pay.example.com" },
+		).SessionIdentity(1, []byte("roots"), []byte("own")),
+		"other roots":        rule(nil).SessionIdentity(1, []byte("root"), []byte("own")),
+		"another of our own": rule(nil).SessionIdentity(1, []byte("roots"), []byte("ow")),
+		"none of our own":    rule(nil).SessionIdentity(1, []byte("roots"), nil),
+		"no pins":            rule(func(r *Rule) { r.Pins = nil }).SessionIdentity(1, []byte("roots"), []byte("own")),
+		"other pins": rule(
+			func(r *Rule) { r.Pins = []Pin{a, {2}} },
+		).SessionIdentity(1, []byte("roots"), []byte("own")),
+		"a byte that moved": rule(
+			func(r *Rule) { r.ServerName = "pay.example.orgr" },
+		).SessionIdentity(1, []byte("oots"), []byte("own")),
 	} {
 		if other, ok := seen[id]; ok {
 			t.Errorf("%s: the same identity as %s", name, other)
@@ -159,7 +167,8 @@
 // What was sent decides what may have run, and no alert's name does; those that
 // tell of who we are put an endpoint out, accidents do not.
 func TestAlerts(t *testing.T) {
-	if ExecutionAfter(HandshakeOnly) != NeverRan || ExecutionAfter(PartlySent) != NeverRan || ExecutionAfter(FullySent) != MayHaveRun {
+	if ExecutionAfter(HandshakeOnly) != NeverRan || ExecutionAfter(PartlySent) != NeverRan ||
+		ExecutionAfter(FullySent) != MayHaveRun {
 		t.Error("what an end proves")
 	}
 	refuses := map[uint8]bool{42: true, 43: true, 44: true, 45: true, 46: true, 48: true, 49: true, 116: true}
--- a/internal/tlspolicy/trust.go
+++ b/internal/tlspolicy/trust.go
@@ -5,111 +5,121 @@
 	"time"
 )
 
-// A destination whose proof failed is out, for a cause of its own. Messages do
-// not bring it back: it is asked again on a schedule, one handshake at a time.
+// An endpoint whose identity was rejected gets no calls. Messages do not bring it back:
+// it is tried again on a schedule, one handshake at a time.
 
-// Figures of the schedule.
 const (
-	initialBackoff      = time.Second     // after a first failure
-	maxBackoff          = 2 * time.Minute // doubled each time up to this
-	clockSuspicionCount = 3               // destinations out of time at once, and none sound: our own clock, rather
+	initialBackoff = time.Second     // after a first rejection
+	maxBackoff     = 2 * time.Minute // the backoff doubles up to it
+	// clockSuspicionCount is how many endpoints have to be outside their certificates'
+	// validity at once, with none verified, before the local clock is suspected.
+	clockSuspicionCount = 3
+	// randomStream separates this package's random numbers from those of other uses of
+	// the same seed.
+	randomStream = 0x715
 )
 
-// trustState is what is known of one destination's proofs.
+// trustState is what is known about one endpoint's identity.
 type trustState struct {
-	failure    *IdentityError
-	since      time.Time
+	failure    *IdentityError // nil unless rejected
+	since      time.Time      // of the first rejection in a row
 	retryAt    time.Time
 	backoff    time.Duration
-	retrying   bool
-	validUntil time.Time // of the last proof
+	retrying   bool      // a handshake of the schedule is in flight
+	validUntil time.Time // of the last verification
 }
 
-// TrustTracker keeps the trust in all destinations. It is not safe for several
-// goroutines; times must not go back.
+// TrustTracker knows which endpoints are verified and which rejected, by a key of the
+// caller's. It is not safe for concurrent use; times must not go back.
 type TrustTracker struct {
 	rng             *rand.Rand
 	states          map[int]*trustState
-	rejected        int // destinations that are out
-	outsideValidity int // of them, those out of time
-	verified        int
-	clockReported   bool // it was said that our own clock may be wrong
+	rejected        int // endpoints
+	outsideValidity int // rejected endpoints whose certificates are outside their validity
+	verified        int // endpoints
+	clockReported   bool
 }
 
-// NewTrustTracker makes a book that trusts nobody and distrusts nobody yet.
+// NewTrustTracker returns a tracker that knows no endpoint.
 func NewTrustTracker(seed uint64) *TrustTracker {
-	return &TrustTracker{rng: rand.New(rand.NewPCG(seed, 0x715)), states: map[int]*trustState{}}
+	return &TrustTracker{rng: rand.New(rand.NewPCG(seed, randomStream)), states: map[int]*trustState{}}
 }
 
-func (b *TrustTracker) state(dest int) *trustState {
-	t := b.states[dest]
-	if t == nil {
-		t = &trustState{}
-		b.states[dest] = t
+func (t *TrustTracker) state(key int) *trustState {
+	state := t.states[key]
+	if state == nil {
+		state = &trustState{}
+		t.states[key] = state
 	}
-	return t
+	return state
 }
 
-// Rejection is why a destination gets nothing, and since when; nil where it is not out.
-func (b *TrustTracker) Rejection(dest int) (*IdentityError, time.Time) {
-	if t := b.states[dest]; t != nil {
-		return t.failure, t.since
+// Rejection returns why an endpoint is rejected, and since when; nil where it is not.
+func (t *TrustTracker) Rejection(key int) (*IdentityError, time.Time) {
+	if state := t.states[key]; state != nil {
+		return state.failure, state.since
 	}
 	return nil, time.Time{}
 }
 
-// MayRetry reports whether a handshake may be begun, and else from when on. One
-// that is out is asked by one handshake at a time.
-func (b *TrustTracker) MayRetry(dest int, now time.Time) (bool, time.Time) {
-	t := b.states[dest]
-	if t == nil || t.failure == nil {
+// MayRetry reports whether a handshake may begin, and else when to ask again. A
+// rejected endpoint has one handshake in flight at a time.
+func (t *TrustTracker) MayRetry(key int, now time.Time) (bool, time.Time) {
+	state := t.states[key]
+	if state == nil || state.failure == nil {
 		return true, time.Time{}
 	}
-	if t.retrying {
+	if state.retrying {
 		return false, now.Add(initialBackoff)
 	}
-	return !now.Before(t.retryAt), t.retryAt
+	return !now.Before(state.retryAt), state.retryAt
 }
 
-// RetryStarted is told that a handshake began.
-func (b *TrustTracker) RetryStarted(dest int) { b.state(dest).retrying = true }
+// RetryStarted records that a handshake with a rejected endpoint has begun.
+func (t *TrustTracker) RetryStarted(key int) { t.state(key).retrying = true }
 
-// LogMessage is what a change of trust is worth telling; empty for nothing.
+// LogMessage is a change of trust that is worth logging; empty for none.
 type LogMessage string
 
-// RecordFailure is told of a proof that was not accepted.
-func (b *TrustTracker) RecordFailure(dest int, f *IdentityError, now time.Time) LogMessage {
-	t := b.state(dest)
-	t.retrying = false
-	said := LogMessage("")
-	if t.failure == nil {
-		b.rejected++
-		if !t.validUntil.IsZero() {
-			b.verified--
-		}
-		t.since, t.backoff = now, initialBackoff
-		said = LogMessage("out: " + f.Error())
-	} else {
-		b.outsideValidity -= validityFailures(t.failure)
-		t.backoff = min(2*t.backoff, maxBackoff)
-		if t.failure.Cause != f.Cause {
-			said = LogMessage("out for another cause: " + f.Error())
-		}
+// RecordFailure records that an identity was rejected, and schedules the next handshake.
+func (t *TrustTracker) RecordFailure(key int, failure *IdentityError, now time.Time) LogMessage {
+	state := t.state(key)
+	state.retrying = false
+	message := t.countFailure(state, failure, now)
+	state.failure, state.validUntil = failure, time.Time{}
+	// The jitter keeps relays that share nothing from retrying in step.
+	state.retryAt = now.Add(state.backoff/2 + time.Duration(t.rng.Int64N(int64(state.backoff))))
+	if t.clockReported { // the one message stands for all of them
+		return ""
 	}
-	t.failure, t.validUntil = f, time.Time{}
-	b.outsideValidity += validityFailures(f)
-	// Spread: relays that share nothing must not ask in step.
-	t.retryAt = now.Add(t.backoff/2 + time.Duration(b.rng.Int64N(int64(t.backoff))))
-	if !b.clockReported && b.outsideValidity >= clockSuspicionCount && b.verified == 0 {
-		b.clockReported = true
+	if t.outsideValidity >= clockSuspicionCount && t.verified == 0 {
+		t.clockReported = true
 		return "every partner's certificate is out of time: this machine's clock may be wrong"
 	}
-	if b.clockReported { // said once for all of them
-		return ""
+	return message
+}
+
+// countFailure updates counts and backoff for a failure that follows the state's.
+func (t *TrustTracker) countFailure(state *trustState, failure *IdentityError, now time.Time) (message LogMessage) {
+	if previous := state.failure; previous == nil {
+		t.rejected++
+		if !state.validUntil.IsZero() {
+			t.verified--
+		}
+		state.since, state.backoff = now, initialBackoff
+		message = LogMessage("out: " + failure.Error())
+	} else {
+		t.outsideValidity -= validityFailures(previous)
+		state.backoff = min(2*state.backoff, maxBackoff)
+		if previous.Cause != failure.Cause {
+			message = LogMessage("out for another cause: " + failure.Error())
+		}
 	}
-	return said
+	t.outsideValidity += validityFailures(failure)
+	return message
 }
 
+// validityFailures is 1 for a certificate outside its validity period, else 0.
 func validityFailures(f *IdentityError) int {
 	if f.Cause == Expired || f.Cause == NotYetValid {
 		return 1
@@ -117,52 +127,53 @@
 	return 0
 }
 
-// RecordVerified is told of a proof that was accepted.
-func (b *TrustTracker) RecordVerified(dest int, p *Verification) LogMessage {
-	t := b.state(dest)
-	t.retrying = false
-	was := t.failure
-	if was != nil {
-		b.rejected--
-		b.outsideValidity -= validityFailures(was)
+// RecordVerified records that an identity was verified.
+func (t *TrustTracker) RecordVerified(key int, v *Verification) LogMessage {
+	state := t.state(key)
+	state.retrying = false
+	previous := state.failure
+	if previous != nil {
+		t.rejected--
+		t.outsideValidity -= validityFailures(previous)
 	}
-	if was != nil || t.validUntil.IsZero() {
-		b.verified++
+	if previous != nil || state.validUntil.IsZero() {
+		t.verified++
 	}
-	b.clockReported = false
-	t.failure, t.validUntil, t.backoff = nil, p.ValidUntil, 0
-	if was != nil {
-		return LogMessage("back: proved again after " + was.Cause.String())
+	t.clockReported = false
+	state.failure, state.validUntil, state.backoff = nil, v.ValidUntil, 0
+	if previous != nil {
+		return LogMessage("back: proved again after " + previous.Cause.String())
 	}
 	return ""
 }
 
-// RecordInconclusive is told that a handshake ended with no proof, good or bad: a reset, a
-// time-out. Trust is as it was.
-func (b *TrustTracker) RecordInconclusive(dest int) { b.state(dest).retrying = false }
-
-// Remove drops a destination that has gone.
-func (b *TrustTracker) Remove(dest int) {
-	if t := b.states[dest]; t != nil {
-		if t.failure != nil {
-			b.rejected--
-			b.outsideValidity -= validityFailures(t.failure)
-		} else if !t.validUntil.IsZero() {
-			b.verified--
-		}
-		delete(b.states, dest)
+// RecordInconclusive records that a handshake ended without a verdict: a reset, a
+// timeout. Trust stays as it was.
+func (t *TrustTracker) RecordInconclusive(key int) { t.state(key).retrying = false }
+
+// Remove forgets an endpoint.
+func (t *TrustTracker) Remove(key int) {
+	state := t.states[key]
+	if state == nil {
+		return
+	}
+	if state.failure != nil {
+		t.rejected--
+		t.outsideValidity -= validityFailures(state.failure)
+	} else if !state.validUntil.IsZero() {
+		t.verified--
 	}
+	delete(t.states, key)
 }
 
-// ValidUntil is when the proof of a destination's last handshake ends; false where
-// there is none.
-func (b *TrustTracker) ValidUntil(dest int) (time.Time, bool) {
-	t := b.states[dest]
-	if t == nil || t.validUntil.IsZero() {
+// ValidUntil is when an endpoint's last verification expires; false where there is none.
+func (t *TrustTracker) ValidUntil(key int) (time.Time, bool) {
+	state := t.states[key]
+	if state == nil || state.validUntil.IsZero() {
 		return time.Time{}, false
 	}
-	return t.validUntil, true
+	return state.validUntil, true
 }
 
-// Counts is how many destinations are out, and how many have proved themselves.
-func (b *TrustTracker) Counts() (out, sound int) { return b.rejected, b.verified }
+// Counts returns how many endpoints are rejected, and how many are verified.
+func (t *TrustTracker) Counts() (rejected, verified int) { return t.rejected, t.verified }
