--- a/internal/relay/discovery.go
+++ b/internal/relay/discovery.go
@@ -16,6 +16,7 @@
 	"time"
 
 	"troutusher/internal/core"
+	"troutusher/internal/mailbox"
 	"troutusher/internal/source/registry"
 )
 
@@ -77,8 +78,8 @@
 // listWatcher keeps a watch on the list and hands on its news.
 type listWatcher struct {
 	addr              string
-	baseURL           string           // of the address that is watched now
-	addresses         *Mailbox[string] // further addresses, each in the place of the one before
+	baseURL           string                   // of the address that is watched now
+	addresses         *mailbox.Mailbox[string] // further addresses, each in the place of the one before
 	log               *slog.Logger
 	client            *http.Client
 	silenceTimeout    time.Duration
@@ -94,7 +95,7 @@
 }
 
 func newListWatcher(addr string, log *slog.Logger, follow *registry.Scheduler, news func(*EndpointList)) *listWatcher {
-	d := &listWatcher{addr: addr, addresses: newMailbox[string](), log: log, client: newPlainClient(4),
+	d := &listWatcher{addr: addr, addresses: mailbox.New[string](), log: log, client: newPlainClient(4),
 		silenceTimeout: watchSilenceTimeout, maxListBytes: defaultMaxListBytes, createdAt: time.Now().UnixNano(), onList: news, scheduler: follow, firstResponse: make(chan struct{})}
 	d.client.Transport.(*http.Transport).ResponseHeaderTimeout = 0 // each call has its own
 	return d
@@ -308,11 +309,11 @@
 // noticeSender sends notices until each has been taken. Repeats are harmless.
 type noticeSender struct {
 	addr        string
-	url         string           // at the address that is used now
-	addresses   *Mailbox[string] // further addresses, each in the place of the one before
+	url         string                   // at the address that is used now
+	addresses   *mailbox.Mailbox[string] // further addresses, each in the place of the one before
 	log         *slog.Logger
 	client      *http.Client
-	queue       *Mailbox[notice]
+	queue       *mailbox.Mailbox[notice]
 	unconfirmed []notice // not confirmed yet
 	onConfirmed func(id string)
 	startRun    func() (stop func()) // runs it; set by start
@@ -335,8 +336,8 @@
 func (n *noticeSender) resume() { n.stopRun = n.startRun() }
 
 func newNoticeSender(addr string, log *slog.Logger, taken func(string)) *noticeSender {
-	return &noticeSender{addr: addr, addresses: newMailbox[string](), log: log, client: newPlainClient(2),
-		queue: newMailbox[notice](), onConfirmed: taken}
+	return &noticeSender{addr: addr, addresses: mailbox.New[string](), log: log, client: newPlainClient(2),
+		queue: mailbox.New[notice](), onConfirmed: taken}
 }
 
 // run sends to one address after another until ctx ends.
@@ -355,7 +356,7 @@
 		if len(n.unconfirmed) == 0 {
 			select {
 			case <-ctx.Done():
-			case <-n.queue.ready:
+			case <-n.queue.Ready():
 			}
 			continue
 		}
--- a/internal/relay/handover.go
+++ b/internal/relay/handover.go
@@ -544,7 +544,7 @@
 			return false
 		}
 		select {
-		case <-r.inbox.ready:
+		case <-r.inbox.Ready():
 		case <-tick.C:
 		}
 		r.processInbox()
--- a/internal/relay/loop.go
+++ b/internal/relay/loop.go
@@ -20,6 +20,7 @@
 	"troutusher/internal/core"
 	"troutusher/internal/handover"
 	"troutusher/internal/handover/link"
+	"troutusher/internal/mailbox"
 	"troutusher/internal/membership"
 	"troutusher/internal/metrics"
 	"troutusher/internal/msgtrace"
@@ -47,7 +48,7 @@
 	cfg               *config.Config
 	log               *slog.Logger
 	core              *core.Core
-	inbox             *Mailbox[loopInput]
+	inbox             *mailbox.Mailbox[loopInput]
 	wal               *wal
 	notices           *noticeSender
 	discovery         *listWatcher
@@ -109,7 +110,7 @@
 func run(cfg *config.Config, log *slog.Logger, stop <-chan struct{}, re ReloadRequests) (asked bool, err error) {
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
-	r := &Relay{cfg: cfg, log: log, inbox: newMailbox[loopInput](), startedAt: time.Now(), ctx: ctx, stop: stop, reload: re, endpoints: map[policy.EndpointID]*Endpoint{},
+	r := &Relay{cfg: cfg, log: log, inbox: mailbox.New[loopInput](), startedAt: time.Now(), ctx: ctx, stop: stop, reload: re, endpoints: map[policy.EndpointID]*Endpoint{},
 		lifecycle: &processLifecycle{}, board: console.NewStats(classNames(cfg))}
 	defer func() { asked = r.reloadsRequested.Load() > 0 }()
 	if cfg.Console != "" { // it answers from the first moment on
@@ -406,7 +407,7 @@
 	var got []loopInput
 	for heard := false; ; {
 		select {
-		case <-r.inbox.ready:
+		case <-r.inbox.Ready():
 		case <-first: // what it said of the list came before
 			first, heard = nil, true
 		case <-limit.C:
@@ -451,7 +452,7 @@
 		}
 		timer.Reset(max(wait, 0))
 		select {
-		case <-r.inbox.ready:
+		case <-r.inbox.Ready():
 		case <-timer.C:
 		case err := <-failed:
 			return err
--- a/internal/relay/members.go
+++ b/internal/relay/members.go
@@ -16,6 +16,7 @@
 	"github.com/google/renameio/v2"
 
 	"troutusher/internal/core"
+	"troutusher/internal/mailbox"
 	"troutusher/internal/membership"
 	"troutusher/internal/operatorconfig"
 	"troutusher/policy"
@@ -64,7 +65,7 @@
 type memberMerger struct {
 	log            *slog.Logger
 	view           *membership.View
-	queue          *Mailbox[sourceEvent]
+	queue          *mailbox.Mailbox[sourceEvent]
 	emitEvent      func(core.Event) // in order
 	resyncRegistry func()           // has discovery's list read anew
 	etcdResync     chan struct{}    // has the helper read etcd's
@@ -82,7 +83,7 @@
 }
 
 func newMemberMerger(e *operatorconfig.Etcd, state string, log *slog.Logger, tell func(core.Event), again func()) (*memberMerger, error) {
-	m := &memberMerger{log: log, queue: newMailbox[sourceEvent](), emitEvent: tell, resyncRegistry: again, etcdResync: make(chan struct{}, 1), startedAt: time.Now(),
+	m := &memberMerger{log: log, queue: mailbox.New[sourceEvent](), emitEvent: tell, resyncRegistry: again, etcdResync: make(chan struct{}, 1), startedAt: time.Now(),
 		path: filepath.Join(state, membersFile), registry: 1, resyncRequested: make([]bool, 2)}
 	sources := []membership.Source{{Name: "etcd", StaleAfter: etcdStaleAfter}, {Name: "registry", StaleAfter: registryStaleAfter}}
 	if e.Precedence == "registry" {
@@ -158,7 +159,7 @@
 		timer.Reset(m.step())
 		select {
 		case <-ctx.Done():
-		case <-m.queue.ready:
+		case <-m.queue.Ready():
 		case <-timer.C:
 		}
 	}
--- a/internal/relay/reload.go
+++ b/internal/relay/reload.go
@@ -6,6 +6,7 @@
 	"reflect"
 
 	"troutusher/internal/config"
+	"troutusher/internal/mailbox"
 )
 
 // A configuration is read again on SIGHUP. What a running relay takes over from
@@ -72,7 +73,7 @@
 // runPerAddress runs work for one address after another, each until the next is
 // named. work must return when its context ends: nothing of an old address
 // overlaps with the new one.
-func runPerAddress(ctx context.Context, addr string, moves *Mailbox[string], work func(ctx context.Context, addr string)) {
+func runPerAddress(ctx context.Context, addr string, moves *mailbox.Mailbox[string], work func(ctx context.Context, addr string)) {
 	for ctx.Err() == nil {
 		here, leave := context.WithCancel(ctx)
 		done := make(chan struct{})
@@ -82,7 +83,7 @@
 		}()
 		select {
 		case <-ctx.Done():
-		case <-moves.ready:
+		case <-moves.Ready():
 		}
 		leave()
 		<-done
--- a/internal/relay/wal.go
+++ b/internal/relay/wal.go
@@ -14,6 +14,7 @@
 	"slices"
 
 	"troutusher/internal/core"
+	"troutusher/internal/mailbox"
 )
 
 // The write-ahead log. It holds what the relay owes: each message from the
@@ -99,7 +100,7 @@
 	pendingBytes int64  // bytes that the live records need
 	accepted     int    // messages so far, for their order
 	Found        string // what was there at the start
-	queue        *Mailbox[walRequest]
+	queue        *mailbox.Mailbox[walRequest]
 	done         chan struct{}
 	buffer       []byte
 }
@@ -114,7 +115,7 @@
 // names the messages whose attempt is known to be out still; may be nil.
 func openWAL(dir string, limit int64, out func(id string) bool, log *slog.Logger) (*wal, []*record, error) {
 	w := &wal{path: filepath.Join(dir, WALFileName), limit: limit, log: log, pending: map[string]*pendingRecord{},
-		queue: newMailbox[walRequest](), done: make(chan struct{})}
+		queue: mailbox.New[walRequest](), done: make(chan struct{})}
 	os.Remove(w.path + ".new") // a compaction that a kill cut short
 	text, err := os.ReadFile(w.path)
 	if err != nil && !errors.Is(err, os.ErrNotExist) {
@@ -275,7 +276,7 @@
 			return
 		}
 		select {
-		case <-w.queue.ready:
+		case <-w.queue.Ready():
 		case <-stop:
 			stopping = true
 		}
