--- a/internal/relay/console.go
+++ b/internal/relay/console.go
@@ -4,14 +4,11 @@
 	"fmt"
 	"log/slog"
 	"math"
-	"sync"
-	"sync/atomic"
 	"time"
 
 	"troutusher/internal/config"
 	"troutusher/internal/console"
 	"troutusher/internal/lifecycle"
-	"troutusher/internal/respserver"
 )
 
 // What operators call and see. Nothing here waits for the loop: a drain goes
@@ -21,42 +18,6 @@
 // with each step.
 const endpointStatsInterval = 200 * time.Millisecond
 
-// processLifecycle is the duty of this process, for several goroutines.
-type processLifecycle struct {
-	mu             sync.Mutex
-	machine        lifecycle.Machine
-	server         *respserver.Server
-	acceptsClients atomic.Bool // new clients are wanted
-}
-
-// transition makes one move and carries out what it asks for.
-func (d *processLifecycle) transition(f func(m *lifecycle.Machine) (lifecycle.Answer, lifecycle.Action)) (bool, string) {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	a, do := f(&d.machine)
-	d.acceptsClients.Store(d.machine.AcceptsClients())
-	switch {
-	case d.server == nil:
-	case do == lifecycle.CloseClients:
-		d.server.CloseIdleConns()
-	case do == lifecycle.KeepClients:
-		d.server.KeepIdleConns()
-	}
-	return a.OK, a.Reason
-}
-
-// startServing is told when clients can be served.
-func (d *processLifecycle) startServing(f *respserver.Server) {
-	d.transition(func(m *lifecycle.Machine) (lifecycle.Answer, lifecycle.Action) {
-		d.server = f
-		return lifecycle.Answer{}, m.StartServing()
-	})
-}
-
-func (d *processLifecycle) stop() {
-	d.transition(func(m *lifecycle.Machine) (lifecycle.Answer, lifecycle.Action) { return lifecycle.Answer{}, m.Stop() })
-}
-
 // consoleCalls are what the console may call.
 func (r *Relay) consoleCalls() console.Handlers {
 	told := func(what string, f func(m *lifecycle.Machine) (lifecycle.Answer, lifecycle.Action)) func() (bool, string) {
