--- /dev/null
+++ b/internal/membership/apply.go
@@ -0,0 +1,196 @@
+package membership
+
+import (
+	"math"
+	"slices"
+)
+
+// Apply books an update.
+func (v *View) Apply(now Time, u *Update) Verdict {
+	v.now = max(v.now, now)
+	t := &v.sources[u.Source]
+	if verdict := t.judge(u); verdict != Accepted {
+		return verdict
+	}
+	if t.known && u.Epoch != t.epoch {
+		v.warn(Warning{Source: u.Source, Text: "its revisions have begun anew: " + u.Epoch})
+		t.leaveEpoch()
+	}
+	t.epoch, t.revision, t.known = u.Epoch, u.Revision, true
+	t.updates++
+	becameFresh := !t.fresh
+	t.fresh, t.lastHeard = true, v.now
+
+	v.markUnreadable(u)
+	v.applyDrains(u)
+	held := v.applyRemovals(u, v.listMembers(u))
+	if becameFresh {
+		v.reevaluateSource(u.Source)
+	}
+	if held {
+		return RemovalsHeld
+	}
+	return Accepted
+}
+
+// judge compares an update's epoch and revision with what is known of its source.
+func (t *sourceTracker) judge(u *Update) Verdict {
+	sameEpoch := u.Epoch == t.epoch
+	switch {
+	case t.known && !sameEpoch && slices.Contains(t.formerEpochs, u.Epoch):
+		return Outdated
+	case !u.Complete && (!t.known || !sameEpoch):
+		return ResyncRequired
+	case t.known && sameEpoch && (u.Revision < t.revision || u.Revision == t.revision && !u.Complete):
+		return Outdated
+	}
+	return Accepted
+}
+
+// markUnreadable warns of entries that cannot be decoded, once for each that is known.
+func (v *View) markUnreadable(u *Update) {
+	for _, id := range u.UnreadableIDs {
+		e := v.sources[u.Source].entries[id]
+		if e != nil && e.unreadable {
+			continue
+		}
+		v.warn(Warning{Source: u.Source, Text: "cannot be read, and stays as it was", ID: id})
+		if e != nil {
+			e.unreadable = true
+		}
+	}
+}
+
+// applyDrains has entries drain of which the update states nothing else.
+func (v *View) applyDrains(u *Update) {
+	for _, id := range u.DrainedIDs {
+		e := v.sources[u.Source].entries[id]
+		if e == nil || e.Phase != Up {
+			continue
+		}
+		draining, unreadable := e.Member, e.unreadable
+		draining.Phase = Draining
+		v.listMember(u.Source, &draining)
+		e.unreadable = unreadable
+	}
+}
+
+// listMembers books the members that an update lists. It returns the ids of those that
+// the update removes: named as removed, or missing from a complete list.
+func (v *View) listMembers(u *Update) (removed []string) {
+	named := map[string]bool{}
+	if u.Complete {
+		for _, id := range u.UnreadableIDs {
+			named[id] = true
+		}
+	}
+	for i := range u.Members {
+		m := &u.Members[i]
+		if u.Complete {
+			named[m.ID] = true
+		}
+		if m.Phase == Removed {
+			removed = append(removed, m.ID)
+			continue
+		}
+		v.listMember(u.Source, m)
+	}
+	if !u.Complete {
+		return removed
+	}
+	entries := v.sources[u.Source].entries
+	for _, id := range sortedKeys(entries) {
+		if entries[id].listed() && !named[id] {
+			removed = append(removed, id)
+		}
+	}
+	return removed
+}
+
+// listMember books that a source lists an endpoint.
+func (v *View) listMember(source int, m *Member) {
+	t := &v.sources[source]
+	e := t.entries[m.ID]
+	switch {
+	case e == nil:
+		e = &entry{source: source}
+		t.entries[m.ID] = e
+		t.listedCount++
+	case !e.listed():
+		t.listedCount++
+	case e.Member == *m && !e.held && !e.unreadable:
+		return // stated before: this is no later update of it
+	}
+	e.revision, e.updateNumber = t.revision, t.updates
+	e.held, e.unreadable = false, false
+	v.updateEntry(e, *m)
+}
+
+// applyRemovals books what an update removes, and reports whether any of it is held.
+func (v *View) applyRemovals(u *Update, ids []string) (held bool) {
+	t := &v.sources[u.Source]
+	confirmed := u.Complete && u.Resync
+	var unannounced []*entry
+	for _, id := range ids {
+		e := t.entries[id]
+		switch {
+		case e == nil || !e.listed():
+		case e.held && !confirmed:
+			held = true
+		case e.Phase == Draining || confirmed:
+			v.removeEntry(e)
+		default:
+			unannounced = append(unannounced, e)
+		}
+	}
+	if confirmed {
+		t.resyncRequested = false
+		t.windowStart, t.windowRemovals = 0, 0
+	}
+	if v.now >= t.windowStart+v.settings.RemovalWindow || t.windowStart == 0 {
+		t.windowStart, t.windowBase, t.windowRemovals = max(v.now, 1), t.listedCount, 0
+	}
+	t.windowBase = max(t.windowBase, t.listedCount)
+	if len(unannounced) == 0 {
+		return held
+	}
+	if len(unannounced) <= v.removalsLeft(t) {
+		t.windowRemovals += len(unannounced)
+		for _, e := range unannounced {
+			v.removeEntry(e)
+		}
+		return held
+	}
+	v.holdRemovals(u.Source, unannounced)
+	return true
+}
+
+// removalsLeft is how many more unannounced removals of a source are believed in the
+// current window.
+func (v *View) removalsLeft(t *sourceTracker) int {
+	const rounding = 1e-9
+	share := int(math.Floor(v.settings.MaxRemovalShare*float64(t.windowBase) + rounding))
+	return max(v.settings.MinRemovalLimit, share) - t.windowRemovals
+}
+
+// holdRemovals keeps entries listed until the source's complete list is read again.
+func (v *View) holdRemovals(source int, entries []*entry) {
+	for _, e := range entries {
+		e.held = true
+	}
+	v.sources[source].resyncRequested = true
+	const text = "takes away more than may go unconfirmed: held until it is read anew"
+	v.warn(Warning{Source: source, Text: text, Count: len(entries)})
+}
+
+// removeEntry books that a source has removed an endpoint.
+func (v *View) removeEntry(e *entry) {
+	t := &v.sources[e.source]
+	t.listedCount--
+	e.revision, e.updateNumber, e.removedAt = t.revision, t.updates, v.now
+	e.held, e.unreadable = false, false
+	v.removals = append(v.removals, removal{e, v.now})
+	removed := e.Member
+	removed.Phase = Removed
+	v.updateEntry(e, removed)
+}
--- /dev/null
+++ b/internal/membership/timeouts.go
@@ -0,0 +1,67 @@
+package membership
+
+import "slices"
+
+// applyTimeouts books what time alone has changed.
+func (v *View) applyTimeouts() {
+	for i := range v.sources {
+		t := &v.sources[i]
+		if t.fresh && v.now > t.lastHeard+v.settings.Sources[i].StaleAfter {
+			t.fresh = false
+			v.warn(Warning{Source: i, Text: "silent: what it listed stays as last known"})
+			v.reevaluateSource(i)
+		}
+	}
+	expired := 0
+	for ; expired < len(v.removals) && v.removalExpires(expired); expired++ {
+		if r := v.removals[expired]; r.current() {
+			v.expireRemoval(r.entry)
+		}
+	}
+	v.removals = slices.Delete(v.removals, 0, expired)
+}
+
+// removalExpires reports whether a removal is too old, or one of too many.
+func (v *View) removalExpires(i int) bool {
+	return v.now >= v.removals[i].at+v.settings.RemovalRetention || len(v.removals)-i > maxRemovals
+}
+
+// expireRemoval forgets a removed entry: it no longer binds other sources.
+func (v *View) expireRemoval(e *entry) {
+	v.beginWalk()
+	v.collectConnected(e)
+	v.forgetFirstVisited()
+	delete(v.sources[e.source].entries, e.ID)
+	v.unindexAddress(e)
+	v.leaveGroup(e, e.viewID)
+	v.assignViewIDs()
+	v.reevaluate(e.viewID)
+	if p := v.published[e.viewID]; p != nil && !p.listed && !p.pending {
+		v.forgetPublished(e.viewID, p)
+	}
+}
+
+// NextDeadline is when to call Step though nothing was handed in; 0 for never. It is not
+// in the future where more is to be published already.
+func (v *View) NextDeadline() (deadline Time) {
+	if len(v.urgent) > 0 || len(v.pendingUps) > 0 {
+		return max(v.now, 1)
+	}
+	earliest := func(at Time) {
+		if deadline == 0 || at < deadline {
+			deadline = max(at, 1)
+		}
+	}
+	if len(v.delayedUps) > 0 {
+		earliest(v.delayedUps[0].at)
+	}
+	for i := range v.sources {
+		if t := &v.sources[i]; t.fresh {
+			earliest(t.lastHeard + v.settings.Sources[i].StaleAfter + 1)
+		}
+	}
+	if len(v.removals) > 0 {
+		earliest(v.removals[0].at + v.settings.RemovalRetention)
+	}
+	return deadline
+}
--- /dev/null
+++ b/internal/membership/view.go
@@ -0,0 +1,93 @@
+package membership
+
+// View is the one view of the endpoints. It is not safe for concurrent use.
+type View struct {
+	settings  Settings
+	sources   []sourceTracker             // as in Settings.Sources
+	byAddress map[addressKey][]*entry     // entries of all sources
+	byViewID  map[string][]*entry         // likewise
+	published map[string]*publishedMember // by the view's id
+
+	urgent     []string   // drains, removals, lowered rates: published in the next step
+	pendingUps []string   // endpoints that come up, in their order
+	delayedUps delayedUps // endpoints that went down too often
+	removals   []removal  // in their order
+	warnings   []Warning
+	now        Time
+
+	// The walk that assigns ids.
+	walkNumber uint64
+	connected  []*entry
+	changedIDs []string
+}
+
+// New makes an empty view.
+func New(s Settings) (*View, error) {
+	if err := s.Check(); err != nil {
+		return nil, err
+	}
+	v := &View{
+		settings:  s,
+		sources:   make([]sourceTracker, len(s.Sources)),
+		byAddress: map[addressKey][]*entry{},
+		byViewID:  map[string][]*entry{},
+		published: map[string]*publishedMember{},
+	}
+	for i := range v.sources {
+		v.sources[i].entries = map[string]*entry{}
+	}
+	return v, nil
+}
+
+// Heartbeat books that a source is alive and has nothing new to state.
+func (v *View) Heartbeat(now Time, source int) {
+	v.now = max(v.now, now)
+	t := &v.sources[source]
+	t.lastHeard = v.now
+	if !t.fresh && t.known {
+		t.fresh = true
+		v.reevaluateSource(source)
+	}
+}
+
+// reevaluateSource reevaluates every endpoint that a source names.
+func (v *View) reevaluateSource(source int) {
+	entries := v.sources[source].entries
+	for _, id := range sortedKeys(entries) {
+		v.reevaluate(entries[id].viewID)
+	}
+}
+
+// Members is the view as it was published, by id.
+func (v *View) Members() []Member {
+	var members []Member
+	for _, id := range sortedKeys(v.published) {
+		if p := v.published[id]; p.listed {
+			members = append(members, p.Member)
+		}
+	}
+	return members
+}
+
+// ResyncRequested reports whether a source's complete list is to be read again, to
+// confirm removals that are held.
+func (v *View) ResyncRequested(source int) bool { return v.sources[source].resyncRequested }
+
+// Position is the revision up to which a source is known, and its epoch; known is false
+// before the first complete list.
+func (v *View) Position(source int) (epoch string, revision int64, known bool) {
+	t := &v.sources[source]
+	return t.epoch, t.revision, t.known
+}
+
+// Fresh reports whether a source was heard within its StaleAfter.
+func (v *View) Fresh(source int) bool { return v.sources[source].fresh }
+
+func (v *View) warn(w Warning) { v.warnings = append(v.warnings, w) }
+
+// TakeWarnings returns the warnings since it was last called.
+func (v *View) TakeWarnings() []Warning {
+	warnings := v.warnings
+	v.warnings = nil
+	return warnings
+}
