--- a/internal/core/effect.go
+++ b/internal/core/effect.go
@@ -6,9 +6,9 @@
 	"troutusher/policy"
 )
 
-// Effect is one thing to be done. It is one of the types below; each says by its
-// fields what it carries. A driver carries effects out one by one, in their order,
-// which is an invariant of the core:
+// Effect is something to be done. It is one of the types below; each says by its fields
+// what it carries. A driver executes effects one by one, in their order, which is an
+// invariant of the core:
 //
 //   - a message's log record, then the reply to its client, then its first send;
 //   - an attempt's record, then the first byte of its call;
@@ -19,14 +19,14 @@
 // record is written and never before.
 type Effect interface{ effect() }
 
-// Reply is the answer to a request.
+// Reply is the reply to a request: OK, an error, or else a rejection.
 type Reply struct {
 	OK           bool
-	Err          error // if not nil, what is wrong with it
-	RetryAfterMS int64 // else it is rejected; ms after which to come again, 0 where not known
+	Err          error // what is wrong with the request, or nil
+	RetryAfterMS int64 // of a rejection: when to submit again, in ms; 0 where not known
 }
 
-// SendReply replies to a request of which nothing is logged by this effect.
+// SendReply replies to a request at once: nothing of it is to be logged before.
 type SendReply struct {
 	Request *Request
 	Reply   Reply
@@ -35,8 +35,8 @@
 // AppendRecord appends a record to the log.
 type AppendRecord struct{ Record *Record }
 
-// AppendThenReply appends the record of a request's message and then replies OK. If
-// the log cannot take it, the event LogWriteFailed comes back and there is no reply yet.
+// AppendThenReply appends the record of a request's message and then replies OK. If the
+// log cannot take it, the event LogWriteFailed comes back and there is no reply yet.
 type AppendThenReply struct{ Request *Request }
 
 // AppendThenSend appends the record of an attempt and then makes its call. If the log
@@ -65,7 +65,7 @@
 // CheckHealth checks the health of an endpoint; the event HealthChecked comes back.
 type CheckHealth struct{ Endpoint policy.EndpointID }
 
-// OpenEndpoint makes an endpoint known to the driver: calls may come there.
+// OpenEndpoint makes an endpoint known to the driver: calls may follow.
 type OpenEndpoint struct {
 	Endpoint         policy.EndpointID
 	Address          string
@@ -75,24 +75,25 @@
 }
 
 // CloseEndpoint closes the connections to an endpoint and lets no call begin there, also
-// where its attempt is logged already.
+// none whose attempt is logged already.
 type CloseEndpoint struct{ Endpoint policy.EndpointID }
 
-// ApplyRetryAfter lets nothing go to an endpoint before a moment, nor to those that share its
-// Retry-After.
+// ApplyRetryAfter lets nothing be sent to an endpoint before a time, nor to those that
+// share its Retry-After.
 type ApplyRetryAfter struct {
 	Endpoint policy.EndpointID
 	Until    policy.Time
 }
 
-// CloseIdleConnections closes the idle connections to an endpoint, which are not to be trusted.
+// CloseIdleConnections closes the idle connections to an endpoint, which are not to be
+// trusted.
 type CloseIdleConnections struct{ Endpoint policy.EndpointID }
 
 // ForgetEndpoint drops all that the driver knows of an endpoint.
 type ForgetEndpoint struct{ Endpoint policy.EndpointID }
 
-// PassivateDestination drops all that the driver knows of a destination. What binds the destination
-// is told again as it becomes active.
+// PassivateDestination drops all that the driver knows of a destination. What binds the
+// destination is told again as it becomes active.
 type PassivateDestination struct{ Dest int }
 
 // Log writes a line to the log of the process.
--- a/internal/core/event.go
+++ b/internal/core/event.go
@@ -2,20 +2,21 @@
 
 import "troutusher/policy"
 
-// Event is one thing that happened, told to a core in Observe or Step. It is one of
+// Event is something that happened, passed to a core by Observe or Step. It is one of
 // the types below; each says by its fields what it carries.
 type Event interface{ event() }
 
-// Submitted hands in a message.
+// Submitted submits a message.
 type Submitted struct{ Request *Request }
 
-// ReplyDelivered tells that a request was answered, or that its client left before (OK is false).
+// ReplyDelivered says that the reply to a request was delivered, or that its client left
+// before it (OK is false).
 type ReplyDelivered struct {
 	Request *Request
 	OK      bool
 }
 
-// LogWriteFailed tells that the log could not take the message of a request.
+// LogWriteFailed says that the log could not take the message of a request.
 type LogWriteFailed struct{ Request *Request }
 
 // EndpointListUpdated brings the endpoint list or a change of it.
@@ -24,29 +25,29 @@
 	Kind policy.ListUpdateKind
 }
 
-// AttemptFinished tells how a call ended.
+// AttemptFinished says how a call ended.
 type AttemptFinished struct {
 	Call   *Call
 	Result *Result
 }
 
-// AttemptNotLogged tells that the attempt of a call could not be logged: it was not made.
+// AttemptNotLogged says that the attempt of a call could not be logged: it was not made.
 type AttemptNotLogged struct{ Call *Call }
 
-// HealthChecked tells how a health check ended.
+// HealthChecked says how a health check ended.
 type HealthChecked struct {
 	Endpoint policy.EndpointID
 	Result   *Result
 }
 
-// IdentityRejected tells that the identity of an endpoint is not proved, so that nothing is
-// sent there for Duration; 0 says that it is proved again.
+// IdentityRejected says that the identity of an endpoint is not proved, so that nothing
+// is sent there for Duration; a Duration of 0 says that it is proved again.
 type IdentityRejected struct {
 	Endpoint policy.EndpointID
 	Duration policy.Time
 }
 
-// ShutdownRequested tells that the relay is to end.
+// ShutdownRequested says that the relay is to shut down.
 type ShutdownRequested struct{}
 
 // Started ends DeferSends: the endpoint list was heard, or waited for long enough.
--- a/internal/core/fixtures_test.go
+++ b/internal/core/fixtures_test.go
@@ -126,7 +126,7 @@
 }
 
 // What a record of each kind does to what is owed, by the keys of the log.
-func TestRecordsFoldAsRecorded(t *testing.T) {
+func TestRecordsApplyAsRecorded(t *testing.T) {
 	var got bytes.Buffer
 	state := &Record{Kind: RecordAccepted, ID: "m", Class: "keyed", Tenant: "acme", Key: "k", Dest: 7, Deadline: 9e15}
 	show := func() {
--- a/internal/core/list.go
+++ b/internal/core/list.go
@@ -2,19 +2,19 @@
 
 import "troutusher/internal/membership"
 
-// Phases of a member.
+// Phases of a member of the endpoint list.
 const (
 	Up       = membership.Up
 	Draining = membership.Draining
 	Removed  = membership.Removed
 )
 
-// Member is an endpoint in discovery's list.
+// Member is an endpoint in the endpoint list.
 type Member = membership.Member
 
-// EndpointList is discovery's list, or what changed in it.
+// EndpointList is the endpoint list of discovery, or a change of it.
 type EndpointList struct {
 	Revision int64    `json:"revision"`
-	Complete bool     `json:"complete"`
+	Complete bool     `json:"complete"` // it names every endpoint there is
 	Members  []Member `json:"members"`
 }
--- a/internal/core/record.go
+++ b/internal/core/record.go
@@ -5,61 +5,66 @@
 
 // Kinds of record.
 const (
-	RecordAccepted RecordKind = "taken"   // all of the message, and its state where the log was compacted
-	RecordAttempt  RecordKind = "attempt" // is about to go out
-	RecordOutcome  RecordKind = "outcome" // of the attempt that is out
-	RecordEnding   RecordKind = "ending"  // its notice is to be sent
+	RecordAccepted RecordKind = "taken"   // the whole message, and its state where the log was compacted
+	RecordAttempt  RecordKind = "attempt" // an attempt is about to be made
+	RecordOutcome  RecordKind = "outcome" // of the open attempt
+	RecordEnding   RecordKind = "ending"  // it has ended; its notice is to be sent
 	RecordDone     RecordKind = "end"     // nothing is owed any more
 )
 
 // Record is one entry of the log. Times are Unix microseconds.
 type Record struct {
-	Kind       RecordKind `json:"kind"`
-	ID         string     `json:"id"`
-	Class      string     `json:"class,omitempty"`
-	Tenant     string     `json:"tenant,omitempty"`
-	Key        string     `json:"key,omitempty"`
-	Dest       int        `json:"dest,omitempty"`
-	Deadline   int64      `json:"deadline,omitempty"`
-	At         int64      `json:"at,omitempty"`     // attempt: when it goes out
-	Zone       int        `json:"zone,omitempty"`   // attempt: of its endpoint
-	MayHaveRun bool       `json:"ran,omitempty"`    // outcome: it may have run
-	NotCounted bool       `json:"void,omitempty"`   // outcome: it never left, and uses up no attempt
-	Notice     string     `json:"notice,omitempty"` // ending: the word for it
-	RetryMS    int64      `json:"retry_ms,omitempty"`
-	// The state of a message, as earlier records left it.
+	Kind     RecordKind `json:"kind"`
+	ID       string     `json:"id"`
+	Class    string     `json:"class,omitempty"`
+	Tenant   string     `json:"tenant,omitempty"`
+	Key      string     `json:"key,omitempty"`
+	Dest     int        `json:"dest,omitempty"`
+	Deadline int64      `json:"deadline,omitempty"`
+	// Of an attempt: when it is made, and the zone of its endpoint.
+	At   int64 `json:"at,omitempty"`
+	Zone int   `json:"zone,omitempty"`
+	// Of an outcome: the attempt may have run; it never left and uses up no attempt.
+	MayHaveRun bool `json:"ran,omitempty"`
+	NotCounted bool `json:"void,omitempty"`
+	// Of an ending: what its notice says.
+	Notice  string `json:"notice,omitempty"`
+	RetryMS int64  `json:"retry_ms,omitempty"`
+	// The state of a message, as earlier records left it: its attempts, the first of
+	// them that may have run, and one that has no outcome yet.
 	Attempts           int   `json:"tries,omitempty"`
-	FirstUncertainAt   int64 `json:"doubt,omitempty"` // send of the first attempt that may have run
+	FirstUncertainAt   int64 `json:"doubt,omitempty"`
 	FirstUncertainZone int   `json:"doubt_in,omitempty"`
-	OpenAttemptAt      int64 `json:"out,omitempty"` // send of an attempt with no outcome yet
+	OpenAttemptAt      int64 `json:"out,omitempty"`
 	OpenAttemptZone    int   `json:"out_in,omitempty"`
 
 	Body []byte `json:"-"`
 }
 
-// Apply brings a taken record up to date with a later one.
-func (t *Record) Apply(r *Record) {
-	switch r.Kind {
+// Apply brings the record of an accepted message up to date with a later record of it.
+func (r *Record) Apply(later *Record) {
+	switch later.Kind {
 	case RecordAttempt:
-		t.Attempts++
-		t.OpenAttemptAt, t.OpenAttemptZone = r.At, r.Zone
+		r.Attempts++
+		r.OpenAttemptAt, r.OpenAttemptZone = later.At, later.Zone
 	case RecordOutcome:
-		if r.MayHaveRun && t.FirstUncertainAt == 0 {
-			t.FirstUncertainAt, t.FirstUncertainZone = t.OpenAttemptAt, t.OpenAttemptZone
+		if later.MayHaveRun && r.FirstUncertainAt == 0 {
+			r.FirstUncertainAt, r.FirstUncertainZone = r.OpenAttemptAt, r.OpenAttemptZone
 		}
-		if r.NotCounted {
-			t.Attempts = max(t.Attempts-1, 0)
+		if later.NotCounted {
+			r.Attempts = max(r.Attempts-1, 0)
 		}
-		t.OpenAttemptAt, t.OpenAttemptZone = 0, 0
+		r.OpenAttemptAt, r.OpenAttemptZone = 0, 0
 	case RecordEnding:
-		t.Notice, t.RetryMS = r.Notice, r.RetryMS
+		r.Notice, r.RetryMS = later.Notice, later.RetryMS
 	}
 }
 
-// ResolveOpenAttempt reads an attempt whose outcome nobody saw as one that may have run.
-func (t *Record) ResolveOpenAttempt() {
-	if t.OpenAttemptAt != 0 {
-		t.Apply(&Record{Kind: RecordOutcome, MayHaveRun: true})
+// ResolveOpenAttempt takes an attempt whose outcome is not known for one that may have
+// run.
+func (r *Record) ResolveOpenAttempt() {
+	if r.OpenAttemptAt != 0 {
+		r.Apply(&Record{Kind: RecordOutcome, MayHaveRun: true})
 	}
 }
 
@@ -70,7 +75,7 @@
 	RetryMS int64  `json:"retry_in_ms,omitempty"`
 }
 
-// Words for the end of a message that was not delivered.
+// Outcomes of messages that were not delivered, as notices and records name them.
 const (
 	NoticeGivenUp    = "given_up"
 	NoticeHandedBack = "handed_back"
--- a/internal/core/timers.go
+++ b/internal/core/timers.go
@@ -6,19 +6,19 @@
 	"troutusher/policy"
 )
 
-// timers are the moments at which the policy wants to be asked again, earliest
-// first. Each is kept until it has come: the policy counts on every one that
-// it asked for, and may have asked for a later one in a step that ran past an
-// earlier one before the loop saw that come.
+// timers are the times at which the policy wants to be asked again, earliest first.
+// Each is kept until it has come: the policy counts on every one that it asked for, and
+// may have asked for a later one in a step that ran past an earlier one before the
+// event loop saw that come.
 type timers []policy.Time
 
 func (t *timers) add(at policy.Time) {
-	if i, have := slices.BinarySearch(*t, at); !have {
+	if i, found := slices.BinarySearch(*t, at); !found {
 		*t = slices.Insert(*t, i, at)
 	}
 }
 
-// next is the earliest moment; 0 for none.
+// next is the earliest time; 0 for none.
 func (t timers) next() policy.Time {
 	if len(t) == 0 {
 		return 0
@@ -26,7 +26,7 @@
 	return t[0]
 }
 
-// due takes out what has come by now and reports whether anything had.
+// due removes the times that have come by now and reports whether there were any.
 func (t *timers) due(now policy.Time) bool {
 	n := 0
 	for n < len(*t) && (*t)[n] <= now {
--- a/internal/metrics/metrics.go
+++ b/internal/metrics/metrics.go
@@ -1,131 +1,130 @@
 // Package metrics counts what a relay does, by second and destination, in bounded
-// memory, for a log that can be added up over a fleet: what one relay does is
-// seldom wrong by itself.
+// memory. The counts go into the log, where they can be added up over a fleet: what one
+// relay does is seldom wrong by itself.
 //
-// It must never read a clock, or be asked anything by what decides.
+// It must never read a clock, and nothing that decides may read the counts.
 package metrics
 
 import (
-	"cmp"
 	"fmt"
 	"log/slog"
+	"maps"
 	"slices"
 	"strings"
 )
 
 const (
-	microsPerSecond = 1_000_000 // µs
-	maxDestinations = 256       // destinations counted apart in one second; the others are counted as one, numbered Rest
+	microsPerSecond = 1_000_000
+	// maxDestinations is how many destinations are counted separately in one second.
+	// The others are counted together, as OtherDestinations.
+	maxDestinations = 256
 )
 
 // OtherDestinations is the number under which destinations beyond the bound are counted.
 const OtherDestinations = -1
 
-// What is counted of a destination, by the names that the log has.
+// Names of the counts of a destination, as they stand in the log. The names of outcomes
+// count attempts that ended so.
 const (
-	Submitted           = "in"      // messages handed in
-	Accepted            = "taken"   // of them, taken on
-	Recovered           = "resumed" // taken up from an earlier process
-	Attempts            = "sent"    // attempts
+	Submitted           = "in"      // messages submitted
+	Accepted            = "taken"   // of them, accepted
+	Recovered           = "resumed" // messages recovered from an earlier process
+	Attempts            = "sent"
 	CrossZoneAttempts   = "crossed" // of them, to another zone
-	ConnectionsOpened   = "dialed"  // connections opened for them
+	ConnectionsOpened   = "dialed"  // for attempts
 	Delivered           = "ok"
-	Rejected            = "full" // turned away there
+	Rejected            = "full" // by the endpoint
 	Failed              = "errored"
 	TimedOut            = "timed_out"
 	ConnectFailed       = "no_connect"
 	ConnectionReset     = "reset"
 	Cancelled           = "cancelled"
 	NotSent             = "not_sent"
-	FirstAttempts       = "firsts"   // first attempts ...
-	FirstAttemptDelayMS = "first_ms" // ... and how long their messages had been held, in ms, added up
+	FirstAttempts       = "firsts"
+	FirstAttemptDelayMS = "first_ms" // how long the messages of first attempts had been held, in ms, added up
 	GivenUp             = "given_up"
 	HealthChecks        = "probed"
-	Untraced            = "untold" // messages shown to the policy, of which the log does not tell from their hand-in on
-	HandedBackPrefix    = "back_"  // handed back or refused, with the rule that decided it
+	Untraced            = "untold" // messages that are not traced from their submission on
+	HandedBackPrefix    = "back_"  // messages handed back or rejected; the reason follows
 
-	// Of those taken up, the ones of which no attempt was ever logged.
+	// Of recovered messages, those without any attempt in the log.
 	RecoveredUntried        = "untried"
-	UntriedExpired          = "untried_over"      // of them, their time was over as the process found them
-	UntriedUnroutable       = "untried_nowhere"   // of them, in time, and no list named an endpoint for them
-	UntriedAttempted        = "untried_tried"     // a call of it has gone out since
+	UntriedExpired          = "untried_over"      // of them, past their deadline when they were recovered
+	UntriedUnroutable       = "untried_nowhere"   // of them, in time, without an endpoint in the list
+	UntriedAttempted        = "untried_tried"     // attempted since
 	UntriedDelivered        = "untried_ok"        // of these, delivered
-	UntriedHandedBackPrefix = "untried_back_"     // handed back with no call, with the rule that decided it
-	UntriedGivenUpPrefix    = "untried_given_up_" // given up with no call, likewise
+	UntriedHandedBackPrefix = "untried_back_"     // handed back without a call; the reason follows
+	UntriedGivenUpPrefix    = "untried_given_up_" // given up without a call; the reason follows
 )
 
-// LogText is the text of a tally's line; Longest names a field that the driver adds,
-// the longest step of the loop since the line before, in µs.
 const (
-	LogText        = "tally"
+	// LogText is the text of the line that shows the counts of a second.
+	LogText = "tally"
+	// LongestStepKey names an attribute that the driver adds to the line: the longest
+	// step of the event loop since the line before, in µs.
 	LongestStepKey = "step_us"
 )
 
 // Recorder counts one second after another.
 type Recorder struct {
-	second        int64 // the second
 	started       bool
+	second        int64 // Unix time
 	byDestination map[int]map[string]int64
 }
 
-// NewRecorder makes an empty tally.
+// NewRecorder makes a recorder that has counted nothing.
 func NewRecorder() *Recorder { return &Recorder{byDestination: map[int]map[string]int64{}} }
 
-// Add counts n of what for a destination.
-func (t *Recorder) Add(dest int, what string, n int64) {
-	if n == 0 {
-		return
+// Add adds n to a count of a destination.
+func (r *Recorder) Add(dest int, name string, n int64) {
+	if n != 0 {
+		r.countsOf(dest)[name] += n
 	}
-	d := t.byDestination[dest]
-	if d == nil {
-		if len(t.byDestination) >= maxDestinations {
-			dest = OtherDestinations
-		}
-		if d = t.byDestination[dest]; d == nil {
-			d = map[string]int64{}
-			t.byDestination[dest] = d
-		}
+}
+
+// countsOf are the counts of a destination, or of all beyond the bound.
+func (r *Recorder) countsOf(dest int) map[string]int64 {
+	counts := r.byDestination[dest]
+	if counts == nil && len(r.byDestination) >= maxDestinations {
+		dest = OtherDestinations
+		counts = r.byDestination[dest]
 	}
-	d[what] += n
+	if counts == nil {
+		counts = map[string]int64{}
+		r.byDestination[dest] = counts
+	}
+	return counts
 }
 
-// Flush ends the second before now (µs of Unix time), if one has passed and
-// anything was counted in it, and shows it as attributes for a structured log:
-// the second, and a group for each destination, in order.
-func (t *Recorder) Flush(now int64) []any {
-	s := now / microsPerSecond
-	if !t.started || s == t.second {
-		t.started, t.second = true, s
+// Flush ends the second before now (Unix time in µs), if one has passed and anything
+// was counted in it, and returns it as attributes of a structured log: the second, and
+// a group for each destination, in order.
+func (r *Recorder) Flush(now int64) []any {
+	second := now / microsPerSecond
+	if !r.started || second == r.second {
+		r.started, r.second = true, second
 		return nil
 	}
-	was := t.second
-	t.second = s
-	if len(t.byDestination) == 0 {
+	ended := r.second
+	r.second = second
+	if len(r.byDestination) == 0 {
 		return nil
 	}
-	args := []any{"second", was}
-	for _, id := range sortedKeys(t.byDestination) {
-		d, attrs := t.byDestination[id], []any{}
-		for _, what := range sortedKeys(d) {
-			attrs = append(attrs, slog.Int64(what, d[what]))
+	args := []any{"second", ended}
+	for _, dest := range slices.Sorted(maps.Keys(r.byDestination)) {
+		counts, attrs := r.byDestination[dest], []any{}
+		for _, name := range slices.Sorted(maps.Keys(counts)) {
+			attrs = append(attrs, slog.Int64(name, counts[name]))
 		}
-		args = append(args, slog.Group(groupName(id), attrs...))
+		args = append(args, slog.Group(groupName(dest), attrs...))
 	}
-	clear(t.byDestination)
+	clear(r.byDestination)
 	return args
 }
 
-func sortedKeys[K cmp.Ordered, V any](m map[K]V) []K {
-	keys := make([]K, 0, len(m))
-	for k := range m {
-		keys = append(keys, k)
-	}
-	slices.Sort(keys)
-	return keys
-}
-
 const otherDestinationsName = "rest"
 
+// groupName is the name of a destination in the log.
 func groupName(dest int) string {
 	if dest == OtherDestinations {
 		return otherDestinationsName
@@ -133,18 +132,18 @@
 	return fmt.Sprintf("d%d", dest)
 }
 
-// ParseKey reads an attribute's name as the log writes it: the destination and what
-// was counted. ok is false for any other name.
-func ParseKey(name string) (dest int, what string, ok bool) {
-	id, what, found := strings.Cut(name, ".")
-	if !found || what == "" {
+// ParseKey parses the key of an attribute as the log has it: the destination and the
+// name of the count. ok is false for any other key.
+func ParseKey(key string) (dest int, name string, ok bool) {
+	group, name, found := strings.Cut(key, ".")
+	if !found || name == "" {
 		return 0, "", false
 	}
-	if id == otherDestinationsName {
-		return OtherDestinations, what, true
+	if group == otherDestinationsName {
+		return OtherDestinations, name, true
 	}
-	if n, err := fmt.Sscanf(id, "d%d", &dest); n != 1 || err != nil || groupName(dest) != id || dest < 0 {
+	if n, err := fmt.Sscanf(group, "d%d", &dest); n != 1 || err != nil || groupName(dest) != group || dest < 0 {
 		return 0, "", false
 	}
-	return dest, what, true
+	return dest, name, true
 }
