--- a/internal/relay/clients.go
+++ b/internal/relay/clients.go
@@ -24,6 +24,9 @@
 	maxBodySize       = resp.MaxBodyBytes
 )
 
+// record is an entry of the write-ahead log.
+type record = core.Record
+
 // request is a message that a client hands in; it is answered once.
 type request struct {
 	core.Request
--- a/internal/relay/handover_outgoing.go
+++ b/internal/relay/handover_outgoing.go
@@ -200,9 +200,7 @@
 
 // flushLog waits until all that was handed to the log is written.
 func (r *Relay) flushLog() {
-	written := make(chan struct{})
-	r.wal.queue.Put(walRequest{onWritten: func(error) { close(written) }})
-	<-written
+	r.wal.Flush()
 }
 
 // sendState sends what the other process needs.
--- a/internal/relay/handover_test.go
+++ b/internal/relay/handover_test.go
@@ -19,6 +19,7 @@
 
 	"troutusher/internal/core"
 	"troutusher/internal/handover/link"
+	"troutusher/internal/wal"
 )
 
 // unreachableMember names a destination that nobody serves for now.
@@ -516,7 +517,7 @@
 		t.Fatal(err)
 	}
 	defer ln.Close()
-	log := filepath.Join(env["ROUTER_STATE"], WALFileName)
+	log := filepath.Join(env["ROUTER_STATE"], wal.FileName)
 	if err := os.WriteFile(log, []byte("a log that is in use"), 0o600); err != nil {
 		t.Fatal(err)
 	}
--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -18,6 +18,7 @@
 	"troutusher/internal/handover"
 	"troutusher/internal/mailbox"
 	"troutusher/internal/tlsdial"
+	"troutusher/internal/wal"
 	"troutusher/policy"
 )
 
@@ -36,7 +37,7 @@
 	log               *slog.Logger
 	core              *core.Core
 	inbox             *mailbox.Mailbox[loopInput]
-	wal               *wal
+	wal               *wal.Log
 	notices           *noticeSender
 	discovery         *listWatcher
 	discoveryAddr     string // the address that both of them use
--- a/internal/relay/restart_test.go
+++ b/internal/relay/restart_test.go
@@ -11,6 +11,7 @@
 	"testing"
 
 	"troutusher/internal/core"
+	"troutusher/internal/wal"
 )
 
 // Id, key and body go on as they came, whatever bytes they hold.
@@ -56,7 +57,7 @@
 		return done.count("done") == 1 && stuck.count("stuck") == 1 && full.count("full") >= 1 && keyed.count("keyed") == 1
 	})
 	waitFor(t, "the outcomes in the log", func() bool {
-		text, _ := os.ReadFile(filepath.Join(env["ROUTER_STATE"], WALFileName))
+		text, _ := os.ReadFile(filepath.Join(env["ROUTER_STATE"], wal.FileName))
 		return strings.Contains(string(text), `"kind":"end","id":"done"`) && strings.Contains(string(text), `"kind":"outcome","id":"full"`)
 	})
 	c.kill()
@@ -93,7 +94,7 @@
 		}
 	}
 	waitFor(t, "an ending in the log", func() bool {
-		text, _ := os.ReadFile(filepath.Join(env["ROUTER_STATE"], WALFileName))
+		text, _ := os.ReadFile(filepath.Join(env["ROUTER_STATE"], wal.FileName))
 		return strings.Contains(string(text), `"kind":"ending","id":"short"`)
 	})
 	c.kill()
@@ -103,7 +104,7 @@
 		waitFor(t, "notice of "+id, func() bool { n, ok := disc.Notice(id); return ok && n.Outcome == core.NoticeHandedBack })
 	}
 	waitFor(t, "ends in the log", func() bool {
-		text, _ := os.ReadFile(filepath.Join(env["ROUTER_STATE"], WALFileName))
+		text, _ := os.ReadFile(filepath.Join(env["ROUTER_STATE"], wal.FileName))
 		return strings.Contains(string(text), `"kind":"end","id":"short"`) && strings.Contains(string(text), `"kind":"end","id":"later"`)
 	})
 }
@@ -277,7 +278,7 @@
 		defer disc.mu.Unlock()
 		return refused+len(disc.Notices) >= 50
 	})
-	text, err := os.ReadFile(filepath.Join(env["ROUTER_STATE"], WALFileName))
+	text, err := os.ReadFile(filepath.Join(env["ROUTER_STATE"], wal.FileName))
 	if err != nil || strings.Contains(string(text), `"id":"late"`) {
 		t.Errorf("logged: %v", err)
 	}
--- a/internal/relay/startup.go
+++ b/internal/relay/startup.go
@@ -20,6 +20,7 @@
 	"troutusher/internal/respserver"
 	"troutusher/internal/source/registry"
 	"troutusher/internal/tlsdial"
+	"troutusher/internal/wal"
 	"troutusher/policy"
 )
 
@@ -137,14 +138,20 @@
 	r.inheritedCalls = inherited.calls
 	r.stateSaver = newStateSaver(r)
 	disk := int64(cfg.Limits.DiskMB) << 20
-	wal, owed, err := openWAL(cfg.State, disk-r.stateSaver.diskReserve(disk), func(id string) bool { _, ok := inherited.calls[id]; return ok }, log)
+	ownLog, owed, err := wal.Open(wal.Options{
+		Dir: cfg.State, MaxBytes: disk - r.stateSaver.diskReserve(disk), Logger: log,
+		InFlight: func(id string) bool { _, ok := inherited.calls[id]; return ok },
+	})
 	if err != nil {
 		return false, err
 	}
-	r.wal = wal
-	walStop := make(chan struct{})
-	go wal.Run(walStop)
-	r.closeLog = sync.OnceFunc(func() { close(walStop); <-wal.done })
+	r.wal = ownLog
+	go ownLog.Run()
+	r.closeLog = sync.OnceFunc(func() {
+		if err := ownLog.Close(); err != nil {
+			log.Warn("log: not closed", "err", err)
+		}
+	})
 	defer r.closeLog()
 	r.notices.start(ctx)
 	defer func() { r.notices.stopRun() }()
@@ -217,7 +224,7 @@
 		defer ln.Close()
 		go r.acceptHandovers(ln)
 	}
-	log.Info(msgtrace.Ready, "name", cfg.Name, "listen", cl.server.Addr().String(), "endpoints", r.core.EndpointCount(), "owed", len(owed), "log", wal.Found,
+	log.Info(msgtrace.Ready, "name", cfg.Name, "listen", cl.server.Addr().String(), "endpoints", r.core.EndpointCount(), "owed", len(owed), "log", string(ownLog.Origin()),
 		"handed_over", inherited.Core != nil, "clients", kept)
 	err = r.eventLoop(cl, failed)
 	if err == errHandoverComplete {
--- /dev/null
+++ b/internal/wal/compaction.go
@@ -0,0 +1,51 @@
+package wal
+
+import (
+	"errors"
+	"fmt"
+	"os"
+
+	"troutusher/internal/core"
+)
+
+// compact writes what is pending to a new file and puts it in the log's place.
+// Where it fails the log is as it was.
+func (l *Log) compact() error {
+	var text []byte
+	for _, r := range l.pending.copies() {
+		r.Kind = core.RecordAccepted
+		var err error
+		if text, err = appendRecord(text, r); err != nil {
+			return err
+		}
+	}
+	if l.size+int64(len(text)) > l.maxBytes-roundingReserve/2 {
+		return ErrFull
+	}
+	compacted, err := l.replaceWith(text)
+	if err != nil {
+		return fmt.Errorf("log: %w", err)
+	}
+	if l.file != nil {
+		// The file that was replaced holds nothing that counts any more.
+		_ = l.file.Close()
+	}
+	l.file, l.size = compacted, int64(len(text))
+	return nil
+}
+
+// replaceWith writes a file and renames it to the log's.
+func (l *Log) replaceWith(text []byte) (*os.File, error) {
+	path := l.path + compactedSuffix
+	f, err := os.OpenFile(path, os.O_RDWR|os.O_CREATE|os.O_TRUNC, 0o600)
+	if err != nil {
+		return nil, err
+	}
+	if _, err = f.Write(text); err == nil {
+		err = os.Rename(path, l.path)
+	}
+	if err != nil {
+		return nil, errors.Join(err, f.Close(), os.Remove(path))
+	}
+	return f, nil
+}
--- /dev/null
+++ b/internal/wal/encoding.go
@@ -0,0 +1,68 @@
+package wal
+
+import (
+	"bytes"
+	"encoding/binary"
+	"encoding/json"
+	"fmt"
+	"hash/crc32"
+	"slices"
+
+	"troutusher/internal/core"
+)
+
+// The form of a record: the magic, the payload's length and CRC-32 (IEEE), both
+// big-endian in four bytes, then the payload: the record as a line of JSON, and the
+// message's body.
+const (
+	magic          = "\xf7TRW"
+	lengthOffset   = 4
+	checksumOffset = 8
+	headerSize     = 12
+	maxPayload     = 128 << 10 // longer than any record
+)
+
+// appendRecord appends the bytes of a record.
+func appendRecord(to []byte, r *core.Record) ([]byte, error) {
+	line, err := json.Marshal(r)
+	if err != nil {
+		return to, fmt.Errorf("log: %w", err)
+	}
+	length := len(line) + 1 + len(r.Body)
+	if length > maxPayload {
+		return to, fmt.Errorf("log: a record of %d bytes", length)
+	}
+	start := len(to)
+	to = append(to, magic...)
+	to = binary.BigEndian.AppendUint32(to, uint32(length))
+	to = append(to, 0, 0, 0, 0) // the checksum, once the payload stands
+	to = append(to, line...)
+	to = append(to, '\n')
+	to = append(to, r.Body...)
+	checksum := crc32.ChecksumIEEE(to[start+headerSize:])
+	binary.BigEndian.PutUint32(to[start+checksumOffset:], checksum)
+	return to, nil
+}
+
+// decodeRecord reads the record at the start of text. size is 0 where no sound one
+// begins.
+func decodeRecord(text []byte) (r *core.Record, size int) {
+	if len(text) < headerSize || string(text[:len(magic)]) != magic {
+		return nil, 0
+	}
+	length := int(binary.BigEndian.Uint32(text[lengthOffset:]))
+	if length > maxPayload || headerSize+length > len(text) {
+		return nil, 0
+	}
+	payload := text[headerSize : headerSize+length]
+	if crc32.ChecksumIEEE(payload) != binary.BigEndian.Uint32(text[checksumOffset:]) {
+		return nil, 0
+	}
+	line, body, ok := bytes.Cut(payload, []byte{'\n'})
+	r = &core.Record{}
+	if !ok || json.Unmarshal(line, r) != nil || r.ID == "" {
+		return nil, 0
+	}
+	r.Body = slices.Clone(body)
+	return r, headerSize + length
+}
--- a/internal/relay/wal_format_test.go
+++ b/internal/wal/format_test.go
@@ -1,4 +1,4 @@
-package relay
+package wal
 
 import (
 	"bytes"
@@ -11,10 +11,10 @@
 	"troutusher/internal/core"
 )
 
-// recordsOfEachKind is the content of testdata/wal/every_kind.wal: each kind of
+// recordsOfEachKind is the content of testdata/every_kind.wal: each kind of
 // record, and each field of one.
-func recordsOfEachKind() []*record {
-	return []*record{
+func recordsOfEachKind() []*core.Record {
+	return []*core.Record{
 		{Kind: core.RecordAccepted, ID: "m-1", Class: "keyed", Tenant: "acme", Key: "key-1", Dest: 7, Deadline: 1764384020000000, Body: []byte("one\n\x00\xf7TRW")},
 		{Kind: core.RecordAccepted, ID: "m-2", Class: "plain", Dest: -3, Deadline: 1764384030000000},
 		{Kind: core.RecordAccepted, ID: "m-3", Class: "once", Deadline: 1764384040000000, Body: []byte("three")},
@@ -33,9 +33,9 @@
 	}
 }
 
-func fixture(t *testing.T, parts ...string) []byte {
+func fixture(t *testing.T, name string) []byte {
 	t.Helper()
-	b, err := os.ReadFile(filepath.Join(append([]string{"testdata"}, parts...)...))
+	b, err := os.ReadFile(filepath.Join("testdata", name))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -43,11 +43,11 @@
 }
 
 // owedJSON shows what is owed under the keys of the stored form.
-func owedJSON(t *testing.T, owed []*record) []byte {
+func owedJSON(t *testing.T, owed []*core.Record) []byte {
 	t.Helper()
 	type shown struct {
-		Record *record `json:"record"`
-		Body   []byte  `json:"body"`
+		Record *core.Record `json:"record"`
+		Body   []byte       `json:"body"`
 	}
 	var list []shown
 	for _, r := range owed {
@@ -69,7 +69,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if want := fixture(t, "wal", "every_kind.wal"); !bytes.Equal(got, want) {
+	if want := fixture(t, "every_kind.wal"); !bytes.Equal(got, want) {
 		t.Errorf("got\n%q\nwant\n%q", got, want)
 	}
 }
@@ -89,22 +89,23 @@
 		t.Run(c.name, func(t *testing.T) {
 			dir := t.TempDir()
 			path := filepath.Join(dir, "relay.wal")
-			if err := os.WriteFile(path, fixture(t, "wal", c.log), 0o600); err != nil {
+			if err := os.WriteFile(path, fixture(t, c.log), 0o600); err != nil {
 				t.Fatal(err)
 			}
-			w, owed, err := openWAL(dir, 1<<20, func(id string) bool { return slices.Contains(c.out, id) }, quietLog())
+			w, owed, err := Open(Options{Dir: dir, MaxBytes: 1 << 20, Logger: discardLogger(),
+				InFlight: func(id string) bool { return slices.Contains(c.out, id) }})
 			if err != nil {
 				t.Fatal(err)
 			}
-			defer w.file.Close()
-			if got, want := owedJSON(t, owed), fixture(t, "wal", c.owed); !bytes.Equal(got, want) {
+			t.Cleanup(func() { _ = w.file.Close() })
+			if got, want := owedJSON(t, owed), fixture(t, c.owed); !bytes.Equal(got, want) {
 				t.Errorf("owed\n%s\nwant\n%s", got, want)
 			}
 			got, err := os.ReadFile(path)
 			if err != nil {
 				t.Fatal(err)
 			}
-			if want := fixture(t, "wal", c.compacted); !bytes.Equal(got, want) {
+			if want := fixture(t, c.compacted); !bytes.Equal(got, want) {
 				t.Errorf("compacted\n%q\nwant\n%q", got, want)
 			}
 		})
--- a/internal/relay/wal_test.go
+++ b/internal/wal/log_test.go
@@ -1,7 +1,8 @@
-package relay
+package wal
 
 import (
 	"errors"
+	"log/slog"
 	"os"
 	"path/filepath"
 	"slices"
@@ -10,19 +11,22 @@
 	"testing"
 
 	"troutusher/internal/core"
+	"troutusher/internal/resp"
 )
 
-func openTestWAL(t *testing.T, dir string, limit int64) (*wal, []*record) {
+func discardLogger() *slog.Logger { return slog.New(slog.DiscardHandler) }
+
+func openTestWAL(t *testing.T, dir string, limit int64) (*Log, []*core.Record) {
 	t.Helper()
-	w, owed, err := openWAL(dir, limit, nil, quietLog())
+	w, owed, err := Open(Options{Dir: dir, MaxBytes: limit, Logger: discardLogger()})
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { w.file.Close() })
+	t.Cleanup(func() { _ = w.file.Close() })
 	return w, owed
 }
 
-func mustAppend(t *testing.T, w *wal, recs ...*record) {
+func mustAppend(t *testing.T, w *Log, recs ...*core.Record) {
 	t.Helper()
 	for _, r := range recs {
 		if err := w.append(r); err != nil {
@@ -31,8 +35,8 @@
 	}
 }
 
-func taken(id string, body string) *record {
-	return &record{Kind: core.RecordAccepted, ID: id, Class: "keyed", Tenant: "acme", Key: "k", Dest: 7, Deadline: 1e15, Body: []byte(body)}
+func taken(id string, body string) *core.Record {
+	return &core.Record{Kind: core.RecordAccepted, ID: id, Class: "keyed", Tenant: "acme", Key: "k", Dest: 7, Deadline: 1e15, Body: []byte(body)}
 }
 
 // What is owed comes back with its state, in order, also after a second start,
@@ -41,14 +45,14 @@
 	dir := t.TempDir()
 	w, _ := openTestWAL(t, dir, 1<<20)
 	mustAppend(t, w, taken("a", "A\n\x00"), taken("b", ""), taken("c", "C"), taken("d", "D"), taken("e", "E"),
-		&record{Kind: core.RecordAttempt, ID: "a", At: 100, Zone: 1},
-		&record{Kind: core.RecordOutcome, ID: "a", MayHaveRun: false},
-		&record{Kind: core.RecordAttempt, ID: "b", At: 200, Zone: 1},
-		&record{Kind: core.RecordOutcome, ID: "b", MayHaveRun: true},
-		&record{Kind: core.RecordAttempt, ID: "b", At: 300, Zone: 0},
-		&record{Kind: core.RecordAttempt, ID: "c", At: 400, Zone: 1}, // no outcome: it may have run
-		&record{Kind: core.RecordDone, ID: "d"},
-		&record{Kind: core.RecordEnding, ID: "e", Notice: core.NoticeHandedBack, RetryMS: 20})
+		&core.Record{Kind: core.RecordAttempt, ID: "a", At: 100, Zone: 1},
+		&core.Record{Kind: core.RecordOutcome, ID: "a", MayHaveRun: false},
+		&core.Record{Kind: core.RecordAttempt, ID: "b", At: 200, Zone: 1},
+		&core.Record{Kind: core.RecordOutcome, ID: "b", MayHaveRun: true},
+		&core.Record{Kind: core.RecordAttempt, ID: "b", At: 300, Zone: 0},
+		&core.Record{Kind: core.RecordAttempt, ID: "c", At: 400, Zone: 1}, // no outcome: it may have run
+		&core.Record{Kind: core.RecordDone, ID: "d"},
+		&core.Record{Kind: core.RecordEnding, ID: "e", Notice: core.NoticeHandedBack, RetryMS: 20})
 	for range 2 {
 		_, owed := openTestWAL(t, dir, 1<<20)
 		var got []string
@@ -73,12 +77,12 @@
 		w, _ := openTestWAL(t, dir, 1<<20)
 		sizes = sizes[:0]
 		for _, id := range []string{"a", "b", "c"} {
-			mustAppend(t, w, taken(id, "body "+walMagic+" of "+id))
+			mustAppend(t, w, taken(id, "body "+magic+" of "+id))
 			sizes = append(sizes, int(w.size))
 		}
-		return filepath.Join(dir, WALFileName)
+		return filepath.Join(dir, FileName)
 	}
-	ids := func(owed []*record) (s string) {
+	ids := func(owed []*core.Record) (s string) {
 		for _, r := range owed {
 			s += r.ID
 		}
@@ -94,7 +98,7 @@
 		"length damaged": {func(b []byte) []byte { b[sizes[0]+4] ^= 0x7f; return b }, "ac"},
 		"mark damaged":   {func(b []byte) []byte { b[0] ^= 1; return b }, "bc"},
 		"noise before":   {func(b []byte) []byte { return append([]byte("noise"), b...) }, "abc"},
-		"nothing but it": {func([]byte) []byte { return []byte(walMagic + "noise") }, ""},
+		"nothing but it": {func([]byte) []byte { return []byte(magic + "noise") }, ""},
 		"empty":          {func([]byte) []byte { return nil }, ""},
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -125,7 +129,7 @@
 	const limit = 1 << 20
 	dir := t.TempDir()
 	w, _ := openTestWAL(t, dir, limit)
-	body := strings.Repeat("b", maxBodySize)
+	body := strings.Repeat("b", resp.MaxBodyBytes)
 	n := 0
 	for ; ; n++ {
 		if err := w.append(taken(strconv.Itoa(n), body)); err != nil {
@@ -140,19 +144,19 @@
 	}
 	for round := range 3000 { // far more than fits without compaction
 		id := strconv.Itoa(round % n)
-		mustAppend(t, w, &record{Kind: core.RecordAttempt, ID: id, At: int64(round) + 1}, &record{Kind: core.RecordOutcome, ID: id, MayHaveRun: true})
-		if w.size+w.pendingBytes > limit {
-			t.Fatalf("round %d: log %d, compaction would add %d", round, w.size, w.pendingBytes)
+		mustAppend(t, w, &core.Record{Kind: core.RecordAttempt, ID: id, At: int64(round) + 1}, &core.Record{Kind: core.RecordOutcome, ID: id, MayHaveRun: true})
+		if w.size+w.pending.bytes > limit {
+			t.Fatalf("round %d: log %d, compaction would add %d", round, w.size, w.pending.bytes)
 		}
 	}
 	if info, err := os.Stat(w.path); err != nil || info.Size() != w.size {
 		t.Fatalf("size on disk %v, held to be %d, %v", info, w.size, err)
 	}
 	for i := range n {
-		mustAppend(t, w, &record{Kind: core.RecordDone, ID: strconv.Itoa(i)})
+		mustAppend(t, w, &core.Record{Kind: core.RecordDone, ID: strconv.Itoa(i)})
 	}
-	if w.pendingBytes != 0 {
-		t.Errorf("%d bytes owed by nobody", w.pendingBytes)
+	if w.pending.bytes != 0 {
+		t.Errorf("%d bytes owed by nobody", w.pending.bytes)
 	}
 	mustAppend(t, w, taken("next", body))
 }
@@ -162,7 +166,7 @@
 func TestReservedSizeCoversState(t *testing.T) {
 	r := taken("9b1f03aa5c7e2d41", "body")
 	r.Attempts, r.FirstUncertainAt, r.FirstUncertainZone, r.OpenAttemptAt, r.OpenAttemptZone, r.Notice, r.RetryMS = 255, 1764384000000000, 9, 1764384000000000, 9, core.NoticeHandedBack, 2000
-	text, err := encodeRecord(r, nil)
+	text, err := appendRecord(nil, r)
 	if err != nil || int64(len(text)) > reservedSize(r) {
 		t.Errorf("%d bytes, booked %d, %v", len(text), reservedSize(r), err)
 	}
@@ -174,14 +178,16 @@
 	dir := t.TempDir()
 	w, _ := openTestWAL(t, dir, 1<<20)
 	mustAppend(t, w, taken("a", "A"))
-	w.file.Close()
+	if err := w.file.Close(); err != nil {
+		t.Fatal(err)
+	}
 	if w.append(taken("b", "B")) == nil {
 		t.Fatal("written to a closed file")
 	}
-	if w.pending["b"] != nil {
+	if w.pending.contains("b") {
 		t.Error("held to be owed")
 	}
-	if err := w.append(&record{Kind: core.RecordAttempt, ID: "b"}); !errors.Is(err, ErrNotPending) {
+	if err := w.append(&core.Record{Kind: core.RecordAttempt, ID: "b"}); !errors.Is(err, ErrNotPending) {
 		t.Errorf("an attempt of what was refused: %v", err)
 	}
 	if _, owed := openTestWAL(t, dir, 1<<20); len(owed) != 1 {
@@ -190,16 +196,16 @@
 }
 
 func FuzzReplay(f *testing.F) {
-	good, err := encodeRecord(taken("a", "A"), nil)
+	good, err := appendRecord(nil, taken("a", "A"))
 	if err != nil {
 		f.Fatal(err)
 	}
 	f.Add(good)
-	f.Add([]byte(walMagic + "\x00\x00\x00\x02"))
+	f.Add([]byte(magic + "\x00\x00\x00\x02"))
 	f.Fuzz(func(t *testing.T, b []byte) {
-		w := &wal{pending: map[string]*pendingRecord{}, log: quietLog()}
+		w := &Log{pending: newPendingSet(), logger: discardLogger()}
 		w.replay(append(b, good...))
-		if w.pending["a"] == nil && !strings.Contains(string(b), walMagic) {
+		if !w.pending.contains("a") && !strings.Contains(string(b), magic) {
 			t.Fatal("the sound record is lost")
 		}
 	})
--- /dev/null
+++ b/internal/wal/recovery.go
@@ -0,0 +1,38 @@
+package wal
+
+import "bytes"
+
+// replay applies the records in the text of a log. A damaged one is passed over:
+// reading goes on at the next magic that starts a sound one.
+func (l *Log) replay(text []byte) {
+	for offset := 0; offset < len(text); {
+		r, size := decodeRecord(text[offset:])
+		if size > 0 {
+			l.pending.apply(r)
+			offset += size
+			continue
+		}
+		next := nextRecord(text, offset+1)
+		if next < 0 {
+			l.logger.Warn("log: torn tail dropped", "at", offset, "bytes", len(text)-offset)
+			return
+		}
+		l.logger.Error("log: damaged record passed over", "at", offset, "bytes", next-offset)
+		offset = next
+	}
+}
+
+// nextRecord finds the first sound record from an offset on; -1 for none.
+func nextRecord(text []byte, from int) int {
+	for from < len(text) {
+		i := bytes.Index(text[from:], []byte(magic))
+		if i < 0 {
+			return -1
+		}
+		if _, size := decodeRecord(text[from+i:]); size > 0 {
+			return from + i
+		}
+		from += i + 1
+	}
+	return -1
+}
