--- a/internal/config/format_test.go
+++ b/internal/config/format_test.go
@@ -24,26 +24,75 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if c.Name != "n1" || c.Listen != "127.0.0.1:7101" || c.Discovery != "127.0.0.1:7102" || c.Console != "127.0.0.1:7103" ||
-		c.State != "/var/lib/n1" || c.Seed != 0x1f {
+	if c.Name != "n1" || c.Listen != "127.0.0.1:7101" || c.Discovery != "127.0.0.1:7102" ||
+		c.Console != "127.0.0.1:7103" || c.State != "/var/lib/n1" || c.Seed != 0x1f {
 		t.Errorf("addresses, names and seed: %+v", c)
 	}
 	if want := (Limits{Cores: 1.5, MemoryMB: 96, Sockets: 512, DiskMB: 4}); c.Limits != want {
 		t.Errorf("limits %+v, want %+v", c.Limits, want)
 	}
 	known, err := json.Marshal(c.KnownList)
-	if want := `{"revision":12,"complete":true,"members":[{"id":"s-1","host_port":"10.0.0.1:80","locality":"a","flavor":"k","cell":4,"phase":"up","size":40}]}`; err != nil || string(known) != want {
+	if want := `{"revision":12,"complete":true,"members":[{"id":"s-1","host_port":"10.0.0.1:80",` +
+		`"locality":"a","flavor":"k","cell":4,"phase":"up","size":40}]}`; err != nil || string(known) != want {
 		t.Errorf("known %s (%v), want %s", known, err, want)
 	}
 	want := policy.Settings{
-		Relays: 3, Zone: 1, MaxConcurrentCalls: 16, MaxPending: 100, MaxAttempts: 8, ExponentialDecay: true, OverQuotaWeight: 0.5, WeightByCost: true,
-		ListHasRates: true, HealthChecks: true, Cancellation: true, SendRetryAfter: true, MaxRetryAfter: 2000000, PollList: true,
-		PollInterval: 250000, ConnectTimeout: 1500000, IdleTimeout: 10000000, StreamsPerConnection: 1, TickInterval: 5000, ReplyGrace: 20000,
-		DrainGrace: 2100000, InitialCapacity: 0.26, RampDuration: 13000000, OverloadFactor: 1.5, OverloadDuration: 2200000, OrderedKeyBackoff: 2300000,
+		Relays:               3,
+		Zone:                 1,
+		MaxConcurrentCalls:   16,
+		MaxPending:           100,
+		MaxAttempts:          8,
+		ExponentialDecay:     true,
+		OverQuotaWeight:      0.5,
+		WeightByCost:         true,
+		ListHasRates:         true,
+		HealthChecks:         true,
+		Cancellation:         true,
+		SendRetryAfter:       true,
+		MaxRetryAfter:        2000000,
+		PollList:             true,
+		PollInterval:         250000,
+		ConnectTimeout:       1500000,
+		IdleTimeout:          10000000,
+		StreamsPerConnection: 1,
+		TickInterval:         5000,
+		ReplyGrace:           20000,
+		DrainGrace:           2100000,
+		InitialCapacity:      0.26,
+		RampDuration:         13000000,
+		OverloadFactor:       1.5,
+		OverloadDuration:     2200000,
+		OrderedKeyBackoff:    2300000,
 		Classes: []policy.Class{
-			{Name: "plain", LatencyObjective: 1500000, Deadline: 20000000, Weight: 1, LateWeight: 0.1, Idempotency: policy.Idempotent, DedupWindow: 5000000, Ordered: true},
-			{Name: "keyed", LatencyObjective: 3000000, Deadline: 21000000, Weight: 2, LateWeight: 0.3, Idempotency: policy.IdempotentByKey, DedupWindow: 22000000, DedupPerZone: true},
-			{Name: "once", LatencyObjective: 3500000, Deadline: 23000000, Weight: 3, LateWeight: 0.4, Idempotency: policy.NonIdempotent, DedupWindow: 6000000},
+			{
+				Name:             "plain",
+				LatencyObjective: 1500000,
+				Deadline:         20000000,
+				Weight:           1,
+				LateWeight:       0.1,
+				Idempotency:      policy.Idempotent,
+				DedupWindow:      5000000,
+				Ordered:          true,
+			},
+			{
+				Name:             "keyed",
+				LatencyObjective: 3000000,
+				Deadline:         21000000,
+				Weight:           2,
+				LateWeight:       0.3,
+				Idempotency:      policy.IdempotentByKey,
+				DedupWindow:      22000000,
+				DedupPerZone:     true,
+			},
+			{
+				Name:             "once",
+				LatencyObjective: 3500000,
+				Deadline:         23000000,
+				Weight:           3,
+				LateWeight:       0.4,
+				Idempotency:      policy.NonIdempotent,
+				DedupWindow:      6000000,
+			},
 		},
 		Tenants:          []policy.Tenant{{Name: "acme", Quota: 1000}, {Name: "zeta", Quota: 10}},
 		DestinationKinds: []policy.DestinationKind{{BatchSize: 1}, {BatchSize: 1, IndependentRoutes: true}},
@@ -69,8 +118,14 @@
 // What the environment says comes before the file; for a running relay the
 // file's discovery comes before the environment's.
 func TestConfigEnvironment(t *testing.T) {
-	vars := map[string]string{"ROUTER_CONFIG": filepath.Join("testdata", "every_key.json"), "ROUTER_NAME": "n2",
-		"ROUTER_LISTEN": "127.0.0.1:1", "ROUTER_DISCOVERY": "127.0.0.1:2", "ROUTER_CONSOLE": "127.0.0.1:3", "ROUTER_STATE": "/y"}
+	vars := map[string]string{
+		"ROUTER_CONFIG":    filepath.Join("testdata", "every_key.json"),
+		"ROUTER_NAME":      "n2",
+		"ROUTER_LISTEN":    "127.0.0.1:1",
+		"ROUTER_DISCOVERY": "127.0.0.1:2",
+		"ROUTER_CONSOLE":   "127.0.0.1:3",
+		"ROUTER_STATE":     "/y",
+	}
 	for _, x := range []struct {
 		read      func(func(string) string) (*Config, error)
 		discovery string
@@ -79,7 +134,8 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		if c.Name != "n2" || c.Listen != "127.0.0.1:1" || c.Console != "127.0.0.1:3" || c.State != "/y" || c.Discovery != x.discovery {
+		if c.Name != "n2" || c.Listen != "127.0.0.1:1" || c.Console != "127.0.0.1:3" || c.State != "/y" ||
+			c.Discovery != x.discovery {
 			t.Errorf("got %+v", c)
 		}
 	}
@@ -104,14 +160,19 @@
 	}
 	path := filepath.Join(t.TempDir(), "operator.toml")
 	for operators, want := range map[string]string{
-		"[clients]\nplaces = 600\n":          "TROUTUSHER_OPERATOR: clients.places: 600, and beside 16 calls out there are descriptors for 456",
-		"[clients]\nidle_s = 1\n":            "TROUTUSHER_OPERATOR: " + path + ":2: clients.idle_s: 1, want 2 to 86400",
-		"[clients]\ndescriptors = 1048577\n": "TROUTUSHER_OPERATOR: " + path + ":2: clients.descriptors: 1048577, want 64 to 1048576",
+		"places = 600":          "clients.places: 600, and beside 16 calls out there are descriptors for 456",
+		"idle_s = 1":            path + ":2: clients.idle_s: 1, want 2 to 86400",
+		"descriptors = 1048577": path + ":2: clients.descriptors: 1048577, want 64 to 1048576",
 	} {
+		operators, want = "[clients]\n"+operators+"\n", "TROUTUSHER_OPERATOR: "+want
 		if err := os.WriteFile(path, []byte(operators), 0o600); err != nil {
 			t.Fatal(err)
 		}
-		_, err := Load(environment(map[string]string{"ROUTER_CONFIG": filepath.Join("testdata", "every_key.json"), "TROUTUSHER_OPERATOR": path}))
+		vars := map[string]string{
+			"ROUTER_CONFIG":       filepath.Join("testdata", "every_key.json"),
+			"TROUTUSHER_OPERATOR": path,
+		}
+		_, err := Load(environment(vars))
 		if err == nil || err.Error() != want {
 			t.Errorf("%q: error\n%v\nwant\n%s", operators, err, want)
 		}
--- a/internal/config/limits.go
+++ b/internal/config/limits.go
@@ -76,7 +76,8 @@
 	}
 	calls := c.Policy.MaxConcurrentCalls
 	if most := c.Limits.Sockets - ReservedDescriptors - calls - spareEndpointConns; clients.MaxConns > most {
-		return fmt.Errorf("clients.places: %d, and beside %d calls out there are descriptors for %d", clients.MaxConns, calls, most)
+		return fmt.Errorf("clients.places: %d, and beside %d calls out there are descriptors for %d",
+			clients.MaxConns, calls, most)
 	}
 	return nil
 }
--- a/internal/config/parse.go
+++ b/internal/config/parse.go
@@ -56,7 +56,14 @@
 	if err := f.checkAddresses(); err != nil {
 		return nil, err
 	}
-	c := &Config{Name: f.Name, Listen: f.Listen, Discovery: f.Discovery, Console: f.Console, State: f.State, KnownList: f.Known}
+	c := &Config{
+		Name:      f.Name,
+		Listen:    f.Listen,
+		Discovery: f.Discovery,
+		Console:   f.Console,
+		State:     f.State,
+		KnownList: f.Known,
+	}
 	var err error
 	if c.Seed, err = parseSeed(f.Seed); err != nil {
 		return nil, fmt.Errorf("config: seed: %w", err)
--- a/internal/wal/format_test.go
+++ b/internal/wal/format_test.go
@@ -15,11 +15,34 @@
 // record, and each field of one.
 func recordsOfEachKind() []*core.Record {
 	return []*core.Record{
-		{Kind: core.RecordAccepted, ID: "m-1", Class: "keyed", Tenant: "acme", Key: "key-1", Dest: 7, Deadline: 1764384020000000, Body: []byte("one\n\x00\xf7TRW")},
+		{
+			Kind:     core.RecordAccepted,
+			ID:       "m-1",
+			Class:    "keyed",
+			Tenant:   "acme",
+			Key:      "key-1",
+			Dest:     7,
+			Deadline: 1764384020000000,
+			Body:     []byte("one\n\x00\xf7TRW"),
+		},
 		{Kind: core.RecordAccepted, ID: "m-2", Class: "plain", Dest: -3, Deadline: 1764384030000000},
 		{Kind: core.RecordAccepted, ID: "m-3", Class: "once", Deadline: 1764384040000000, Body: []byte("three")},
-		{Kind: core.RecordAccepted, ID: "m-4", Class: "plain", Dest: 4, Deadline: 1764384050000000, Body: []byte("four <&>")},
-		{Kind: core.RecordAccepted, ID: "m-5", Class: "plain", Dest: 5, Deadline: 1764384060000000, Body: []byte("five")},
+		{
+			Kind:     core.RecordAccepted,
+			ID:       "m-4",
+			Class:    "plain",
+			Dest:     4,
+			Deadline: 1764384050000000,
+			Body:     []byte("four <&>"),
+		},
+		{
+			Kind:     core.RecordAccepted,
+			ID:       "m-5",
+			Class:    "plain",
+			Dest:     5,
+			Deadline: 1764384060000000,
+			Body:     []byte("five"),
+		},
 		{Kind: core.RecordAttempt, ID: "m-1", At: 1764384001000000, Zone: 1},
 		{Kind: core.RecordOutcome, ID: "m-1", MayHaveRun: true},
 		{Kind: core.RecordAttempt, ID: "m-1", At: 1764384002000000},
@@ -28,7 +51,14 @@
 		{Kind: core.RecordAttempt, ID: "m-3", At: 1764384004000000, Zone: 1},
 		{Kind: core.RecordEnding, ID: "m-4", Notice: core.NoticeGivenUp},
 		{Kind: core.RecordEnding, ID: "m-5", Notice: core.NoticeHandedBack, RetryMS: 1500},
-		{Kind: core.RecordAccepted, ID: "m-6", Class: "plain", Dest: 6, Deadline: 1764384070000000, Body: []byte("six")},
+		{
+			Kind:     core.RecordAccepted,
+			ID:       "m-6",
+			Class:    "plain",
+			Dest:     6,
+			Deadline: 1764384070000000,
+			Body:     []byte("six"),
+		},
 		{Kind: core.RecordDone, ID: "m-5"},
 	}
 }
@@ -61,9 +91,9 @@
 }
 
 // The bytes of each record are those that earlier processes wrote.
-func TestWALBytesOfEachKind(t *testing.T) {
+func TestBytesOfEachKind(t *testing.T) {
 	dir := t.TempDir()
-	w, _ := openTestWAL(t, dir, 1<<20)
+	w, _ := openTestLog(t, dir, 1<<20)
 	mustAppend(t, w, recordsOfEachKind()...)
 	got, err := os.ReadFile(filepath.Join(dir, "relay.wal"))
 	if err != nil {
@@ -76,13 +106,16 @@
 
 // What is owed after a start with a stored log, and the compacted log that the
 // start leaves.
-func TestWALStoredForms(t *testing.T) {
+func TestStoredForms(t *testing.T) {
 	for _, c := range []struct {
 		name, log, owed, compacted string
 		out                        []string // attempts that are known to be out still
 	}{
 		{"every kind", "every_kind.wal", "every_kind_owed.json", "every_kind_compacted.wal", nil},
-		{"attempts known to be out", "every_kind.wal", "call_out_owed.json", "call_out_compacted.wal", []string{"m-1", "m-3"}},
+		{
+			"attempts known to be out", "every_kind.wal", "call_out_owed.json", "call_out_compacted.wal",
+			[]string{"m-1", "m-3"},
+		},
 		{"compacted", "every_kind_compacted.wal", "every_kind_owed.json", "every_kind_compacted.wal", nil},
 		{"torn", "torn.wal", "torn_owed.json", "torn_compacted.wal", nil},
 	} {
@@ -92,8 +125,10 @@
 			if err := os.WriteFile(path, fixture(t, c.log), 0o600); err != nil {
 				t.Fatal(err)
 			}
-			w, owed, err := Open(Options{Dir: dir, MaxBytes: 1 << 20, Logger: discardLogger(),
-				InFlight: func(id string) bool { return slices.Contains(c.out, id) }})
+			w, owed, err := Open(Options{
+				Dir: dir, MaxBytes: 1 << 20, Logger: discardLogger(),
+				InFlight: func(id string) bool { return slices.Contains(c.out, id) },
+			})
 			if err != nil {
 				t.Fatal(err)
 			}
--- a/internal/wal/log_test.go
+++ b/internal/wal/log_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"errors"
+	"fmt"
 	"log/slog"
 	"os"
 	"path/filepath"
@@ -16,7 +17,7 @@
 
 func discardLogger() *slog.Logger { return slog.New(slog.DiscardHandler) }
 
-func openTestWAL(t *testing.T, dir string, limit int64) (*Log, []*core.Record) {
+func openTestLog(t *testing.T, dir string, limit int64) (*Log, []*core.Record) {
 	t.Helper()
 	w, owed, err := Open(Options{Dir: dir, MaxBytes: limit, Logger: discardLogger()})
 	if err != nil {
@@ -35,16 +36,32 @@
 	}
 }
 
-func taken(id string, body string) *core.Record {
-	return &core.Record{Kind: core.RecordAccepted, ID: id, Class: "keyed", Tenant: "acme", Key: "k", Dest: 7, Deadline: 1e15, Body: []byte(body)}
+func accepted(id string, body string) *core.Record {
+	return &core.Record{
+		Kind:     core.RecordAccepted,
+		ID:       id,
+		Class:    "keyed",
+		Tenant:   "acme",
+		Key:      "k",
+		Dest:     7,
+		Deadline: 1e15,
+		Body:     []byte(body),
+	}
 }
 
 // What is owed comes back with its state, in order, also after a second start,
 // which reads the compacted form.
-func TestWALRecovers(t *testing.T) {
+func TestRecovery(t *testing.T) {
 	dir := t.TempDir()
-	w, _ := openTestWAL(t, dir, 1<<20)
-	mustAppend(t, w, taken("a", "A\n\x00"), taken("b", ""), taken("c", "C"), taken("d", "D"), taken("e", "E"),
+	w, _ := openTestLog(t, dir, 1<<20)
+	mustAppend(
+		t,
+		w,
+		accepted("a", "A\n\x00"),
+		accepted("b", ""),
+		accepted("c", "C"),
+		accepted("d", "D"),
+		accepted("e", "E"),
 		&core.Record{Kind: core.RecordAttempt, ID: "a", At: 100, Zone: 1},
 		&core.Record{Kind: core.RecordOutcome, ID: "a", MayHaveRun: false},
 		&core.Record{Kind: core.RecordAttempt, ID: "b", At: 200, Zone: 1},
@@ -52,18 +69,20 @@
 		&core.Record{Kind: core.RecordAttempt, ID: "b", At: 300, Zone: 0},
 		&core.Record{Kind: core.RecordAttempt, ID: "c", At: 400, Zone: 1}, // no outcome: it may have run
 		&core.Record{Kind: core.RecordDone, ID: "d"},
-		&core.Record{Kind: core.RecordEnding, ID: "e", Notice: core.NoticeHandedBack, RetryMS: 20})
+		&core.Record{Kind: core.RecordEnding, ID: "e", Notice: core.NoticeHandedBack, RetryMS: 20},
+	)
 	for range 2 {
-		_, owed := openTestWAL(t, dir, 1<<20)
+		_, owed := openTestLog(t, dir, 1<<20)
 		var got []string
 		for _, r := range owed {
-			got = append(got, r.ID+" "+string(r.Body)+" "+strconv.Itoa(r.Attempts)+" "+strconv.FormatInt(r.FirstUncertainAt, 10)+" "+r.Notice)
+			got = append(got, fmt.Sprintf("%s %s %d %d %s", r.ID, r.Body, r.Attempts, r.FirstUncertainAt, r.Notice))
 		}
 		want := []string{"a A\n\x00 1 0 ", "b  2 200 ", "c C 1 400 ", "e E 0 0 " + core.NoticeHandedBack}
 		if !slices.Equal(got, want) {
 			t.Fatalf("got %q", got)
 		}
-		if r := owed[1]; r.Key != "k" || r.Class != "keyed" || r.Tenant != "acme" || r.Dest != 7 || r.Deadline != 1e15 || r.FirstUncertainZone != 1 {
+		if r := owed[1]; r.Key != "k" || r.Class != "keyed" || r.Tenant != "acme" || r.Dest != 7 ||
+			r.Deadline != 1e15 || r.FirstUncertainZone != 1 {
 			t.Errorf("got %+v", r)
 		}
 	}
@@ -71,13 +90,13 @@
 
 // Guards against a kill in the middle of a write, and against damage: the rest
 // of the log is recovered, and what is written next can be read.
-func TestWALDamage(t *testing.T) {
+func TestDamagedLog(t *testing.T) {
 	sizes := []int{}
 	whole := func(dir string) string {
-		w, _ := openTestWAL(t, dir, 1<<20)
+		w, _ := openTestLog(t, dir, 1<<20)
 		sizes = sizes[:0]
 		for _, id := range []string{"a", "b", "c"} {
-			mustAppend(t, w, taken(id, "body "+magic+" of "+id))
+			mustAppend(t, w, accepted(id, "body "+magic+" of "+id))
 			sizes = append(sizes, int(w.size))
 		}
 		return filepath.Join(dir, FileName)
@@ -88,7 +107,7 @@
 		}
 		return s
 	}
-	for name, x := range map[string]struct {
+	for name, test := range map[string]struct {
 		spoil func(b []byte) []byte
 		want  string
 	}{
@@ -108,15 +127,15 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			if err := os.WriteFile(path, x.spoil(text), 0o600); err != nil {
+			if err := os.WriteFile(path, test.spoil(text), 0o600); err != nil {
 				t.Fatal(err)
 			}
-			w, owed := openTestWAL(t, dir, 1<<20)
-			if got := ids(owed); got != x.want {
-				t.Fatalf("recovered %q, want %q", got, x.want)
+			w, owed := openTestLog(t, dir, 1<<20)
+			if got := ids(owed); got != test.want {
+				t.Fatalf("recovered %q, want %q", got, test.want)
 			}
-			mustAppend(t, w, taken("z", "Z"))
-			if _, owed = openTestWAL(t, dir, 1<<20); ids(owed) != x.want+"z" {
+			mustAppend(t, w, accepted("z", "Z"))
+			if _, owed = openTestLog(t, dir, 1<<20); ids(owed) != test.want+"z" {
 				t.Errorf("then %q", ids(owed))
 			}
 		})
@@ -125,14 +144,14 @@
 
 // Guards the disk: old and new log together stay under the limit at every
 // moment, and what was taken on can be ended even when nothing more fits.
-func TestWALBounded(t *testing.T) {
+func TestBoundedSize(t *testing.T) {
 	const limit = 1 << 20
 	dir := t.TempDir()
-	w, _ := openTestWAL(t, dir, limit)
+	w, _ := openTestLog(t, dir, limit)
 	body := strings.Repeat("b", resp.MaxBodyBytes)
 	n := 0
 	for ; ; n++ {
-		if err := w.append(taken(strconv.Itoa(n), body)); err != nil {
+		if err := w.append(accepted(strconv.Itoa(n), body)); err != nil {
 			if !errors.Is(err, ErrFull) {
 				t.Fatal(err)
 			}
@@ -144,7 +163,9 @@
 	}
 	for round := range 3000 { // far more than fits without compaction
 		id := strconv.Itoa(round % n)
-		mustAppend(t, w, &core.Record{Kind: core.RecordAttempt, ID: id, At: int64(round) + 1}, &core.Record{Kind: core.RecordOutcome, ID: id, MayHaveRun: true})
+		mustAppend(t, w,
+			&core.Record{Kind: core.RecordAttempt, ID: id, At: int64(round) + 1},
+			&core.Record{Kind: core.RecordOutcome, ID: id, MayHaveRun: true})
 		if w.size+w.pending.bytes > limit {
 			t.Fatalf("round %d: log %d, compaction would add %d", round, w.size, w.pending.bytes)
 		}
@@ -158,14 +179,17 @@
 	if w.pending.bytes != 0 {
 		t.Errorf("%d bytes owed by nobody", w.pending.bytes)
 	}
-	mustAppend(t, w, taken("next", body))
+	mustAppend(t, w, accepted("next", body))
 }
 
 // A record may grow by its state in a compaction; the room for that is booked
 // when the message is taken on.
 func TestReservedSizeCoversState(t *testing.T) {
-	r := taken("9b1f03aa5c7e2d41", "body")
-	r.Attempts, r.FirstUncertainAt, r.FirstUncertainZone, r.OpenAttemptAt, r.OpenAttemptZone, r.Notice, r.RetryMS = 255, 1764384000000000, 9, 1764384000000000, 9, core.NoticeHandedBack, 2000
+	r := accepted("9b1f03aa5c7e2d41", "body")
+	r.Attempts = 255
+	r.FirstUncertainAt, r.FirstUncertainZone = 1764384000000000, 9
+	r.OpenAttemptAt, r.OpenAttemptZone = 1764384000000000, 9
+	r.Notice, r.RetryMS = core.NoticeHandedBack, 2000
 	text, err := appendRecord(nil, r)
 	if err != nil || int64(len(text)) > reservedSize(r) {
 		t.Errorf("%d bytes, booked %d, %v", len(text), reservedSize(r), err)
@@ -174,14 +198,14 @@
 
 // Guards against a disk that fails: the record is refused, nobody crashes, and
 // what is held stays readable.
-func TestWALWriteFails(t *testing.T) {
+func TestWriteFails(t *testing.T) {
 	dir := t.TempDir()
-	w, _ := openTestWAL(t, dir, 1<<20)
-	mustAppend(t, w, taken("a", "A"))
+	w, _ := openTestLog(t, dir, 1<<20)
+	mustAppend(t, w, accepted("a", "A"))
 	if err := w.file.Close(); err != nil {
 		t.Fatal(err)
 	}
-	if w.append(taken("b", "B")) == nil {
+	if w.append(accepted("b", "B")) == nil {
 		t.Fatal("written to a closed file")
 	}
 	if w.pending.contains("b") {
@@ -190,13 +214,13 @@
 	if err := w.append(&core.Record{Kind: core.RecordAttempt, ID: "b"}); !errors.Is(err, ErrNotPending) {
 		t.Errorf("an attempt of what was refused: %v", err)
 	}
-	if _, owed := openTestWAL(t, dir, 1<<20); len(owed) != 1 {
+	if _, owed := openTestLog(t, dir, 1<<20); len(owed) != 1 {
 		t.Errorf("%d owed", len(owed))
 	}
 }
 
 func FuzzReplay(f *testing.F) {
-	good, err := appendRecord(nil, taken("a", "A"))
+	good, err := appendRecord(nil, accepted("a", "A"))
 	if err != nil {
 		f.Fatal(err)
 	}
