--- a/internal/resp/fixture_test.go
+++ b/internal/resp/fixture_test.go
@@ -1,6 +1,7 @@
 package resp
 
 import (
+	"errors"
 	"fmt"
 	"os"
 	"strconv"
@@ -29,6 +30,7 @@
 	}
 }
 
+// expand reads an input of the fixture.
 func expand(t *testing.T, row string) []byte {
 	t.Helper()
 	var input strings.Builder
@@ -52,21 +54,22 @@
 	return []byte(input.String())
 }
 
-// describe feeds input to one reader, as far as it goes.
+// describe feeds input to one reader, as far as that goes, and writes down what
+// comes of it.
 func describe(t *testing.T, input []byte) string {
 	t.Helper()
 	var r Reader
 	var out strings.Builder
 	for len(input) > 0 {
-		took, whole, err := r.Feed(input)
-		input = input[took:]
+		n, complete, err := r.Feed(input)
+		input = input[n:]
 		switch {
 		case err != nil:
 			fmt.Fprintf(&out, "! %q\n", err.Error())
-			if err != ErrTooLong {
+			if !errors.Is(err, ErrTooLong) {
 				return out.String()
 			}
-		case whole:
+		case complete:
 			out.WriteString(">")
 			for _, arg := range r.Args() {
 				if len(arg) > 64 {
--- /dev/null
+++ b/internal/resp/reader_test.go
@@ -0,0 +1,238 @@
+package resp
+
+import (
+	"bytes"
+	"errors"
+	"fmt"
+	"strconv"
+	"strings"
+	"testing"
+)
+
+// feedInPieces feeds a reader input in pieces, of the sizes that the function
+// says.
+func feedInPieces(t testing.TB, input []byte, pieceSize func(at int) int) (results []result) {
+	t.Helper()
+	var r Reader
+	for at := 0; at < len(input); {
+		piece := input[at:min(at+pieceSize(at), len(input))]
+		at += len(piece)
+		for len(piece) > 0 {
+			n, complete, err := r.Feed(piece)
+			piece = piece[n:]
+			checkReader(t, &r, complete, len(piece))
+			if !complete {
+				continue
+			}
+			var args [][]byte // there are none after an error
+			if err == nil {
+				args = r.Args()
+			}
+			results = append(results, commandResult(args, err))
+			if err != nil && !errors.Is(err, ErrTooLong) {
+				checkStaysBroken(t, &r, err)
+				return results
+			}
+		}
+	}
+	return results
+}
+
+// checkReader checks what holds after each call of Feed.
+func checkReader(t testing.TB, r *Reader, complete bool, unread int) {
+	t.Helper()
+	if r.BufferBytes() > 2*(MaxArgBytes*MaxArgs+MaxBodyBytes) {
+		t.Fatalf("%d bytes held", r.BufferBytes())
+	}
+	if complete && r.Incomplete() {
+		t.Fatal("incomplete behind a command")
+	}
+	if !complete && unread > 0 {
+		t.Fatalf("%d bytes left unread in the middle of a command", unread)
+	}
+}
+
+// checkStaysBroken checks that a reader reads no more after an error.
+func checkStaysBroken(t testing.TB, r *Reader, want error) {
+	t.Helper()
+	n, complete, err := r.Feed([]byte("*1\r\n$4\r\nPING\r\n"))
+	if n != 0 || complete || !errors.Is(err, want) || err.Error() != want.Error() {
+		t.Fatalf("goes on after %v: %d %v %v", want, n, complete, err)
+	}
+}
+
+func sameResults(a, b []result) bool { return fmt.Sprintf("%q", a) == fmt.Sprintf("%q", b) }
+
+// checkEveryCut compares a reader with the model, whatever pieces input comes in.
+func checkEveryCut(t testing.TB, input []byte) {
+	t.Helper()
+	want := model(input)
+	check := func(how string, pieceSize func(at int) int) {
+		t.Helper()
+		if got := feedInPieces(t, input, pieceSize); !sameResults(got, want) {
+			t.Fatalf("%s: %.300q, want %.300q", how, got, want)
+		}
+	}
+	check("in one piece", func(int) int { return len(input) })
+	check("byte by byte", func(int) int { return 1 })
+	step := max(1, len(input)/300) // every boundary of a short input
+	for cut := 0; cut < len(input); cut += step {
+		check("cut at "+strconv.Itoa(cut), func(at int) int {
+			if at == 0 && cut > 0 {
+				return cut
+			}
+			return len(input)
+		})
+	}
+	random := uint32(len(input))
+	for range 4 {
+		check("in pieces of many sizes", func(int) int {
+			random = random*1664525 + 1013904223
+			return int(random>>24)%17 + 1
+		})
+	}
+}
+
+func encodeCommand(args ...string) string {
+	var text strings.Builder
+	fmt.Fprintf(&text, "*%d\r\n", len(args))
+	for _, arg := range args {
+		fmt.Fprintf(&text, "$%d\r\n%s\r\n", len(arg), arg)
+	}
+	return text.String()
+}
+
+var inputs = []string{
+	encodeCommand("PING"),
+	encodeCommand("PING") + encodeCommand("ping", "hi"),
+	encodeCommand("MSG.PUT", "0000000000000000", "id", "c=plain,d=1,dest=2", "body\r\n\x00") + encodeCommand("PING"),
+	encodeCommand("a", ""),
+	encodeCommand("", ""),
+	"*1\r\n$0\r\n\r\n",
+	encodeCommand("MSG.PUT", "0", "i", "c", strings.Repeat("b", MaxBodyBytes)) + encodeCommand("PING"),
+	encodeCommand("MSG.PUT", "0", "i", "c", strings.Repeat("b", MaxBodyBytes+1)) + encodeCommand("PING"),
+	encodeCommand("MSG.PUT", strings.Repeat("k", MaxArgBytes+1), "i", "c", "b") + encodeCommand("PING"),
+	encodeCommand("MSG.PUT", strings.Repeat("k", MaxArgBytes), "i", "c", "b") + encodeCommand("PING"),
+	encodeCommand(strings.Split(strings.Repeat("a,", 15)+"a", ",")...),
+	"PING\r\n", "\n", "\r\n",
+	"*x\r\n", "*0\r\n", "*-1\r\n", "*17\r\n", "*1\n", "*\r\n", "*+1\r\n$4\r\nPING\r\n",
+	"*1\r\n$999999999\r\n", "*1\r\n$-1\r\n", "*1\r\n:4\r\n",
+	"*1\r\n$4\r\nPINGxx", "*1\r\n$4\r\nPING\rx", "*1\r\n$4\r\nPINGx",
+	"*" + strings.Repeat("1", 99) + "\r\n",
+	"*1\r\n$" + strings.Repeat("0", 40),
+	"*2\r\n$1\r\na\r\n*1\r\n",
+	"*1\r\n$99999999999999999999\r\n",
+	"*2\r\n$1048576\r\n" + strings.Repeat("q", 1048576) + "\r\n$1\r\nz\r\n" + encodeCommand("PING"),
+}
+
+func TestSameCommandsAtEveryCut(t *testing.T) {
+	for i, input := range inputs {
+		t.Run(strconv.Itoa(i), func(t *testing.T) {
+			t.Parallel()
+			checkEveryCut(t, []byte(input))
+		})
+	}
+}
+
+// feedPart feeds a reader part of a command.
+func feedPart(t testing.TB, r *Reader, input string) {
+	t.Helper()
+	if _, complete, err := r.Feed([]byte(input)); complete || err != nil {
+		t.Fatalf("%.80q: complete %v, err %v", input, complete, err)
+	}
+}
+
+// Memory is spent as bytes come, not when they are announced, and a reader that
+// is done keeps little of it.
+func TestBufferGrowsWithInput(t *testing.T) {
+	var r Reader
+	feedPart(t, &r, "*2\r\n$7\r\nMSG.PUT\r\n$65536\r\nabc")
+	if r.BufferBytes() > 1024 {
+		t.Errorf("%d bytes held for 10 that came", r.BufferBytes())
+	}
+	feedPart(t, &r, strings.Repeat("x", 65533))
+	if _, complete, err := r.Feed([]byte("\r\n")); !complete || err != nil || len(r.Args()[1]) != 65536 {
+		t.Fatalf("complete %v, err %v", complete, err)
+	}
+	if r.BufferBytes() > 2*MaxBodyBytes {
+		t.Errorf("%d bytes held for a body of %d", r.BufferBytes(), MaxBodyBytes)
+	}
+	r.Reset()
+	if r.BufferBytes() > maxKeptBuffer {
+		t.Errorf("%d bytes kept", r.BufferBytes())
+	}
+	// What is skipped is not held at all.
+	feedPart(t, &r, "*2\r\n$100000\r\n"+strings.Repeat("x", 100000)+"\r\n$60000\r\n"+strings.Repeat("y", 60000))
+	if r.BufferBytes() != 0 {
+		t.Errorf("%d bytes held of a command that will not be used", r.BufferBytes())
+	}
+	if !r.Incomplete() {
+		t.Error("not incomplete")
+	}
+}
+
+func FuzzSplitInput(f *testing.F) {
+	for _, input := range inputs {
+		if len(input) < 2000 {
+			f.Add([]byte(input))
+		}
+	}
+	f.Fuzz(func(t *testing.T, input []byte) {
+		if len(input) > 4096 {
+			input = input[:4096]
+		}
+		checkEveryCut(t, input)
+	})
+}
+
+// A reader brought to where another one stopped goes on as that one would have,
+// wherever that was.
+func TestPending(t *testing.T) {
+	for _, text := range []string{
+		"*1\r\n$4\r\nPING\r\n",
+		"*5\r\n$7\r\nMSG.PUT\r\n$0\r\n\r\n$2\r\n\r\n\r\n$3\r\nabc\r\n$12\r\nbody of it\r\n\r\n",
+		"*2\r\n$1\r\na\r\n$0\r\n\r\n",
+	} {
+		want := model([]byte(text))
+		for cut := range len(text) {
+			t.Run(fmt.Sprintf("%.8q/%d", text, cut), func(t *testing.T) {
+				first, second := &Reader{}, &Reader{}
+				feedPart(t, first, text[:cut])
+				pending, ok := first.Pending()
+				if !ok || string(pending) != text[:cut] {
+					t.Fatalf("%q, %v", pending, ok)
+				}
+				feedPart(t, second, string(pending))
+				if _, complete, err := second.Feed([]byte(text[cut:])); !complete || err != nil {
+					t.Fatalf("then %v %v", complete, err)
+				}
+				for i, arg := range second.Args() {
+					if string(arg) != want[0].args[i] {
+						t.Errorf("argument %d is %q", i, arg)
+					}
+				}
+			})
+		}
+	}
+	skipping := &Reader{}
+	feedPart(t, skipping, "*2\r\n$4\r\nPING\r\n$70000\r\nabc")
+	if _, ok := skipping.Pending(); ok {
+		t.Error("a skipped command is kept")
+	}
+}
+
+func BenchmarkFeed(b *testing.B) {
+	args := []string{"MSG.PUT", "7f3a9c21e0b4d655", "9b1f03aa5c7e2d41", "c=notice,t=acme,d=8000,dest=7"}
+	input := []byte(encodeCommand(append(args, strings.Repeat("b", 200))...))
+	var r Reader
+	b.ReportAllocs()
+	b.SetBytes(int64(len(input)))
+	for b.Loop() {
+		if _, complete, err := r.Feed(input); !complete || err != nil {
+			b.Fatal(err)
+		}
+		if args := r.Args(); !bytes.Equal(args[0], []byte("MSG.PUT")) {
+			b.Fatal(args)
+		}
+	}
+}
