--- /dev/null
+++ b/internal/console/command.go
@@ -0,0 +1,59 @@
+package console
+
+import (
+	"bytes"
+	"errors"
+	"fmt"
+	"strings"
+)
+
+// MaxLineBytes is the size of a command's line at most, with its end.
+const MaxLineBytes = 256
+
+// ErrLineTooLong is the error of a line that is longer than MaxLineBytes.
+var ErrLineTooLong = errors.New("call too long")
+
+const lineTooLongReply = "NO call too long\n"
+
+// Handlers handle the commands. Each must return at once.
+type Handlers struct {
+	Ready   func() (ok bool, reason string)
+	Drain   func() (ok bool, reason string)
+	Undrain func() (ok bool, reason string)
+	Stats   func(buffer []byte) []byte // appends the metrics, a line each
+}
+
+// Execute runs the command of a line and returns the whole reply.
+func (h *Handlers) Execute(line []byte) []byte {
+	command := strings.ToUpper(string(bytes.TrimSpace(line)))
+	var handler func() (bool, string)
+	switch command {
+	case "READY":
+		handler = h.Ready
+	case "DRAIN":
+		handler = h.Drain
+	case "UNDRAIN":
+		handler = h.Undrain
+	case "STATS":
+		return append(h.Stats(nil), "END\n"...)
+	default:
+		return fmt.Appendf(nil, "NO unknown call %.32q, known are READY, STATS, DRAIN, UNDRAIN\n", command)
+	}
+	ok, reason := handler()
+	if ok {
+		return []byte("YES " + reason + "\n")
+	}
+	return []byte("NO " + reason + "\n")
+}
+
+// FirstLine returns the first line of the input without its end; complete is
+// false if that has not come yet. ErrLineTooLong means that it never will.
+func FirstLine(input []byte) (line []byte, complete bool, err error) {
+	if i := bytes.IndexByte(input[:min(len(input), MaxLineBytes)], '\n'); i >= 0 {
+		return bytes.TrimSuffix(input[:i], []byte{'\r'}), true, nil
+	}
+	if len(input) >= MaxLineBytes {
+		return nil, false, ErrLineTooLong
+	}
+	return nil, false, nil
+}
--- a/internal/console/server.go
+++ b/internal/console/server.go
@@ -1,186 +1,162 @@
-// Package console serves the operators' calls: a line on a connection, and an
-// answer.
+// Package console serves the operators' commands: a line on a connection, and a
+// reply.
 //
-// It owns the console's sockets, the bounds on what callers may send, hold and
-// leave half said, and the form of figures. It must never wait for the relay's
-// loop: what it is told to answer must be had at once. It counts nothing.
+// It owns the console's sockets, the limits on what its clients may send and hold
+// open, and the form of the metrics. It must never wait for the relay's event
+// loop: each reply must be at hand at once. It counts nothing.
 package console
 
 import (
-	"bytes"
 	"context"
 	"errors"
 	"fmt"
 	"log/slog"
 	"net"
 	"slices"
-	"strings"
 	"sync"
 	"time"
 )
 
-// Bounds.
 const (
-	MaxLineBytes = 256              // bytes of a call, with its end
-	MaxConns     = 12               // callers at once; the one that has said nothing for longest makes room
-	readTimeout  = 15 * time.Second // for a call's end
-	writeTimeout = 2 * time.Second  // for a caller to read
-)
-
-// Handlers are what may be called. Each must return at once.
-type Handlers struct {
-	Ready   func() (yes bool, why string)
-	Drain   func() (yes bool, why string)
-	Undrain func() (yes bool, why string)
-	Stats   func(to []byte) []byte // appends the figures, a line each
-}
-
-// Execute is what a call is answered, whole.
-func (c *Handlers) Execute(line []byte) []byte {
-	word := strings.ToUpper(string(bytes.TrimSpace(line)))
-	var do func() (bool, string)
-	switch word {
-	case "READY":
-		do = c.Ready
-	case "DRAIN":
-		do = c.Drain
-	case "UNDRAIN":
-		do = c.Undrain
-	case "STATS":
-		return append(c.Stats(nil), "END\n"...)
-	default:
-		return fmt.Appendf(nil, "NO unknown call %.32q, known are READY, STATS, DRAIN, UNDRAIN\n", word)
-	}
-	yes, why := do()
-	if yes {
-		return []byte("YES " + why + "\n")
-	}
-	return []byte("NO " + why + "\n")
-}
-
-// ErrLineTooLong is a call that cannot be read.
-var ErrLineTooLong = errors.New("call too long")
+	// MaxConns is how many connections may be open at once. The one that has
+	// waited for longest without a command makes room.
+	MaxConns = 12
 
-// FirstLine finds the first whole line of what has come. An error is for good.
-func FirstLine(got []byte) (line []byte, whole bool, err error) {
-	if i := bytes.IndexByte(got[:min(len(got), MaxLineBytes)], '\n'); i >= 0 {
-		return bytes.TrimSuffix(got[:i], []byte{'\r'}), true, nil
-	}
-	if len(got) >= MaxLineBytes {
-		return nil, false, ErrLineTooLong
-	}
-	return nil, false, nil
-}
+	readTimeout    = 15 * time.Second // until a command's end
+	writeTimeout   = 2 * time.Second
+	acceptInterval = 50 * time.Millisecond // after an accept that failed
+)
 
-// Server is one listener for operators.
+// Server listens for operators.
 type Server struct {
 	listener net.Listener
 	handlers Handlers
 	logger   *slog.Logger
+	conns    sync.WaitGroup // the goroutines of the connections
+
 	mu       sync.Mutex
-	waiting  []net.Conn // still without a whole call, the oldest first
-	replying int        // being answered
+	waiting  []net.Conn // without a complete command, the oldest first
+	replying int        // connections with a reply under way
 }
 
-// Listen opens a console; Serve serves it.
-func Listen(addr string, calls Handlers, log *slog.Logger) (*Server, error) {
-	ln, err := (&net.ListenConfig{KeepAlive: -1}).Listen(context.Background(), "tcp", addr)
+// Listen opens the console; Serve serves it.
+func Listen(addr string, handlers Handlers, logger *slog.Logger) (*Server, error) {
+	config := net.ListenConfig{KeepAlive: -1}
+	listener, err := config.Listen(context.Background(), "tcp", addr)
 	if err != nil {
 		return nil, fmt.Errorf("console: %w", err)
 	}
-	return &Server{listener: ln, handlers: calls, logger: log}, nil
+	return &Server{listener: listener, handlers: handlers, logger: logger}, nil
 }
 
-// Addr is where it listens.
-func (c *Server) Addr() net.Addr { return c.listener.Addr() }
+// Addr returns the address that the console listens on.
+func (s *Server) Addr() net.Addr { return s.listener.Addr() }
 
-// Serve answers callers until Close.
-func (c *Server) Serve() {
+// Serve accepts connections until Close. It returns once all of them have ended.
+func (s *Server) Serve() {
+	defer s.conns.Wait()
 	for {
-		conn, err := c.listener.Accept()
+		conn, err := s.listener.Accept()
 		if errors.Is(err, net.ErrClosed) {
 			return
 		}
 		if err != nil { // out of descriptors, mostly
-			c.logger.Warn("console: accept", "err", err)
-			time.Sleep(50 * time.Millisecond)
+			s.logger.Warn("console: accept", "err", err)
+			time.Sleep(acceptInterval)
 			continue
 		}
-		if !c.admit(conn) {
-			conn.Close()
+		if !s.admit(conn) {
+			_ = conn.Close() // rejected
 			continue
 		}
-		go c.serve(conn)
+		s.conns.Add(1)
+		go s.serve(conn)
 	}
 }
 
-// Close ends the console and all its connections.
-func (c *Server) Close() {
-	c.listener.Close()
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	for _, conn := range c.waiting {
-		conn.Close()
+// Close closes the console, and the connections that have no command yet; the
+// others end with their reply.
+func (s *Server) Close() {
+	_ = s.listener.Close() // it is closed in any case
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	for _, conn := range s.waiting {
+		_ = conn.Close() // its goroutine sees that
 	}
 }
 
-// admit lets a caller in. Those that have said nothing make room; where all are
-// being answered, nobody does.
-func (c *Server) admit(conn net.Conn) bool {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	if len(c.waiting)+c.replying >= MaxConns {
-		if len(c.waiting) == 0 {
+// admit adds a connection, if need be in place of the one that has waited for
+// longest. It returns false if all of them have a reply under way.
+func (s *Server) admit(conn net.Conn) bool {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if len(s.waiting)+s.replying >= MaxConns {
+		if len(s.waiting) == 0 {
 			return false
 		}
-		c.waiting[0].Close() // its goroutine sees that
-		c.waiting = slices.Delete(c.waiting, 0, 1)
+		_ = s.waiting[0].Close() // its goroutine sees that
+		s.waiting = slices.Delete(s.waiting, 0, 1)
 	}
-	c.waiting = append(c.waiting, conn)
+	s.waiting = append(s.waiting, conn)
 	return true
 }
 
-// stopWaiting takes a caller from those without a call; false where it was closed.
-func (c *Server) stopWaiting(conn net.Conn, answered bool) bool {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	i := slices.Index(c.waiting, conn)
+// stopWaiting takes a connection out of those that wait for a command; it returns
+// false if it was closed to make room. replying tells that its reply follows.
+func (s *Server) stopWaiting(conn net.Conn, replying bool) bool {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	i := slices.Index(s.waiting, conn)
 	if i < 0 {
 		return false
 	}
-	c.waiting = slices.Delete(c.waiting, i, i+1)
-	if answered {
-		c.replying++
+	s.waiting = slices.Delete(s.waiting, i, i+1)
+	if replying {
+		s.replying++
 	}
 	return true
 }
 
-func (c *Server) serve(conn net.Conn) {
-	defer conn.Close()
-	conn.SetReadDeadline(time.Now().Add(readTimeout))
-	var buf [MaxLineBytes]byte
-	for n := 0; ; {
-		m, err := conn.Read(buf[n:])
-		n += m
-		line, whole, bad := FirstLine(buf[:n])
-		if !whole && bad == nil && err == nil {
-			continue
-		}
-		if !c.stopWaiting(conn, whole || bad != nil) {
-			return
-		}
-		if !whole && bad == nil {
-			return // it left, or took too long
+func (s *Server) replyDone() {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.replying--
+}
+
+// serve reads one command and writes its reply.
+func (s *Server) serve(conn net.Conn) {
+	defer s.conns.Done()
+	defer func() { _ = conn.Close() }() // after the reply nothing is left to lose
+	var buffer [MaxLineBytes]byte
+	line, complete, err := readLine(conn, buffer[:])
+	replying := complete || errors.Is(err, ErrLineTooLong)
+	if !s.stopWaiting(conn, replying) || !replying {
+		return // it made room, has left, or took too long
+	}
+	defer s.replyDone()
+	reply := []byte(lineTooLongReply)
+	if complete {
+		reply = s.handlers.Execute(line)
+	}
+	_ = conn.SetWriteDeadline(time.Now().Add(writeTimeout)) // it fails on a broken connection, as the write does
+	_, _ = conn.Write(reply)                                // a client that has left gets no reply
+}
+
+// readLine reads up to the end of the first line. Without one, err tells whether
+// it is too long, or that no more can be read.
+func readLine(conn net.Conn, buffer []byte) (line []byte, complete bool, err error) {
+	if err := conn.SetReadDeadline(time.Now().Add(readTimeout)); err != nil {
+		return nil, false, err
+	}
+	for size := 0; ; {
+		n, readErr := conn.Read(buffer[size:])
+		size += n
+		line, complete, err := FirstLine(buffer[:size])
+		if complete || err != nil {
+			return line, complete, err
 		}
-		answer := []byte("NO call too long\n")
-		if bad == nil {
-			answer = c.handlers.Execute(line)
+		if readErr != nil {
+			return nil, false, readErr
 		}
-		conn.SetWriteDeadline(time.Now().Add(writeTimeout))
-		conn.Write(answer)
-		c.mu.Lock()
-		c.replying--
-		c.mu.Unlock()
-		return
 	}
 }
--- a/internal/console/stats.go
+++ b/internal/console/stats.go
@@ -5,59 +5,89 @@
 	"sync/atomic"
 )
 
-// MetricPrefix of every figure's name.
+// MetricPrefix begins the name of each metric.
 const MetricPrefix = "edge_router."
 
-// Outcomes are how many messages of a class ended in each way.
+// Kinds of metrics, as statsd writes them.
+const (
+	counter = "|c\n"
+	gauge   = "|g\n"
+)
+
+// Outcomes counts the messages of a class by how they ended.
 type Outcomes struct{ Delivered, Deferred, Failed int64 }
 
-// Stats shows figures that are counted elsewhere: the loop writes them as it
-// counts, callers read them without it. Each is right by itself; two read
+// Stats holds metrics that are counted elsewhere: the event loop writes them as
+// it counts, the console reads them without it. Each is right by itself; two read
 // together may be a moment apart.
 type Stats struct {
-	classes            []string
-	outcomes           [][3]atomic.Int64
-	Sends              atomic.Int64 // messages written whole to endpoints
-	Pending            atomic.Int64 // messages taken and not ended
-	Endpoints          atomic.Int64 // endpoints that the list holds
-	UnhealthyEndpoints atomic.Int64 // of them, those that get nothing new now
-	shed               []atomic.Int64
+	classes []classStats
+
+	Sends              atomic.Int64 // messages written to endpoints to their end
+	Pending            atomic.Int64 // messages accepted and not finished
+	Endpoints          atomic.Int64 // endpoints in the list
+	UnhealthyEndpoints atomic.Int64 // of them, those that get no new message at present
 }
 
-// NewStats makes the board for the classes, in the settings' order.
+// classStats are the metrics of one class.
+type classStats struct {
+	name                        string
+	delivered, deferred, failed atomic.Int64
+	shed                        atomic.Int64 // shown as deferred
+}
+
+// NewStats returns the metrics of the classes, which are numbered in this order.
 func NewStats(classes []string) *Stats {
-	return &Stats{classes: classes, outcomes: make([][3]atomic.Int64, len(classes)), shed: make([]atomic.Int64, len(classes))}
+	s := &Stats{classes: make([]classStats, len(classes))}
+	for i, name := range classes {
+		s.classes[i].name = name
+	}
+	return s
 }
 
-// SetOutcomes puts up how messages of a class have ended so far.
-func (b *Stats) SetOutcomes(class int, e Outcomes) {
-	b.outcomes[class][0].Store(e.Delivered)
-	b.outcomes[class][1].Store(e.Deferred)
-	b.outcomes[class][2].Store(e.Failed)
+// SetOutcomes sets how the messages of a class have ended so far.
+func (s *Stats) SetOutcomes(class int, outcomes Outcomes) {
+	c := &s.classes[class]
+	c.delivered.Store(outcomes.Delivered)
+	c.deferred.Store(outcomes.Deferred)
+	c.failed.Store(outcomes.Failed)
 }
 
-// AddShed counts a message that was refused before the loop saw it.
-func (b *Stats) AddShed(class int) { b.shed[class].Add(1) }
+// AddShed counts a message that was shed before the event loop saw it.
+func (s *Stats) AddShed(class int) { s.classes[class].shed.Add(1) }
 
-// AppendTo writes all figures, a line each, in the form of statsd: counters of
-// this process since its start (c) and gauges (g).
-func (b *Stats) AppendTo(to []byte) []byte {
-	line := func(name, class string, v int64, kind string) {
-		to = append(append(to, MetricPrefix...), name...)
-		if class != "" {
-			to = append(append(to, '.'), class...)
-		}
-		to = append(strconv.AppendInt(append(to, ':'), v, 10), kind...)
-	}
-	for i, c := range b.classes {
-		e := &b.outcomes[i]
-		line("answered", c, e[0].Load(), "|c\n")
-		line("deferred", c, e[1].Load()+b.shed[i].Load(), "|c\n")
-		line("errored", c, e[2].Load(), "|c\n")
+// AppendTo appends all metrics to buffer, a line each, in the form of statsd:
+// counters since the start of the process (c) and gauges (g).
+func (s *Stats) AppendTo(buffer []byte) []byte {
+	for i := range s.classes {
+		c := &s.classes[i]
+		buffer = appendClassMetric(buffer, "answered", c.name, c.delivered.Load())
+		buffer = appendClassMetric(buffer, "deferred", c.name, c.deferred.Load()+c.shed.Load())
+		buffer = appendClassMetric(buffer, "errored", c.name, c.failed.Load())
 	}
-	line("sends", "", b.Sends.Load(), "|c\n")
-	line("current", "", b.Pending.Load(), "|g\n")
-	line("cluster_size", "", b.Endpoints.Load(), "|g\n")
-	line("cluster_unhealthy", "", b.UnhealthyEndpoints.Load(), "|g\n")
-	return to
+	buffer = appendMetric(buffer, "sends", s.Sends.Load(), counter)
+	buffer = appendMetric(buffer, "current", s.Pending.Load(), gauge)
+	buffer = appendMetric(buffer, "cluster_size", s.Endpoints.Load(), gauge)
+	return appendMetric(buffer, "cluster_unhealthy", s.UnhealthyEndpoints.Load(), gauge)
+}
+
+// appendClassMetric appends a counter of one class.
+func appendClassMetric(buffer []byte, name, class string, value int64) []byte {
+	buffer = append(buffer, MetricPrefix...)
+	buffer = append(buffer, name...)
+	buffer = append(buffer, '.')
+	buffer = append(buffer, class...)
+	return appendValue(buffer, value, counter)
+}
+
+func appendMetric(buffer []byte, name string, value int64, kind string) []byte {
+	buffer = append(buffer, MetricPrefix...)
+	buffer = append(buffer, name...)
+	return appendValue(buffer, value, kind)
+}
+
+func appendValue(buffer []byte, value int64, kind string) []byte {
+	buffer = append(buffer, ':')
+	buffer = strconv.AppendInt(buffer, value, 10)
+	return append(buffer, kind...)
 }
