--- a/internal/relay/eventloop.go
+++ b/internal/relay/eventloop.go
@@ -3,10 +3,28 @@
 import (
 	"time"
 
+	"troutusher/internal/config"
 	"troutusher/internal/core"
-	"troutusher/internal/msgtrace"
+	"troutusher/policy"
 )
 
+// loopInput is what other goroutines tell the event loop. An empty one has it take
+// another step.
+type loopInput struct {
+	event    core.Event
+	config   *config.Config   // a new configuration
+	handover *handoverRequest // another process is ready to take over
+}
+
+const (
+	// maxLoopWait bounds the wait for an input where no timer is due.
+	maxLoopWait = time.Hour
+	// shutdownPollInterval is how often a relay that shuts down looks whether it
+	// is done.
+	shutdownPollInterval = 20 * time.Millisecond
+)
+
+// post tells the event loop of an event, from any goroutine.
 func (r *Relay) post(e core.Event) { r.inbox.Put(loopInput{event: e}) }
 
 // observe has the core take lists in without a decision.
@@ -18,102 +36,76 @@
 	r.execute(r.core.Observe(r.now(), events, r.effects[:0]))
 }
 
-// eventLoop is the one goroutine that the core belongs to: it hands over what has
-// happened and carries out what is to be done.
-func (r *Relay) eventLoop(cl *clientServer, failed <-chan error) error {
-	timer := time.NewTimer(time.Hour)
+// eventLoop serves until the shutdown is done (nil), the work is another process's
+// (errHandoverComplete), or the relay cannot go on. Its goroutine alone uses the
+// core: it hands events in and executes the effects.
+func (r *Relay) eventLoop() error {
+	timer := time.NewTimer(maxLoopWait)
 	defer timer.Stop()
-	listening, told := true, false
-	var quiet chan struct{} // closed once nothing that clients sent is without its answer; nil until they are let go for good
+	shutdown := &shutdown{relay: r}
 	for {
-		wait := time.Hour
-		if at := r.core.NextWakeup(); at > 0 {
-			wait = time.Duration(at-r.now()+1) * time.Microsecond
-		}
-		if _, stopping := r.core.ShuttingDown(0); stopping {
-			wait = min(wait, 20*time.Millisecond)
-		}
-		if r.cfg.Console != "" {
-			wait = min(wait, endpointStatsInterval)
-		}
-		if at := r.stateSaver.saveIfDue(r.now()); at > 0 {
-			wait = min(wait, time.Duration(at-r.now()+1)*time.Microsecond)
-		}
-		timer.Reset(max(wait, 0))
+		timer.Reset(r.untilNextStep())
 		select {
 		case <-r.inbox.Ready():
 		case <-timer.C:
-		case err := <-failed:
+		case err := <-r.serverFailed:
 			return err
 		}
 		r.processInbox()
-		if t := r.pendingHandover; t != nil {
-			r.pendingHandover = nil
-			if err := r.handOver(t, cl); err != nil {
-				return err
-			}
-		}
-		gone, stopping := r.core.ShuttingDown(r.now())
-		if !stopping {
-			continue
-		}
-		if !told && !r.core.KeepsClientConnections(r.now()) {
-			told = true
-			hitFailpoint(failpointClientsReleased)
-			r.lifecycle.stop()
-		}
-		if listening && gone >= core.CloseListenerAfter {
-			listening = false
-			hitFailpoint(failpointListenersClosing)
-			cl.server.CloseListeners()
-		}
-		if told && !listening && quiet == nil {
-			// The front reads on until it has nothing open: a request that it had read
-			// as this process ended would have no answer.
-			done := make(chan struct{})
-			quiet = done
-			cl.server.Shutdown(func() { close(done); r.inbox.Put(loopInput{}) })
-		}
-		idle := isClosed(quiet) && r.core.UnansweredRequests() == 0 && r.core.OpenCalls() == 0 && (r.core.HeldMessages() == 0 || gone >= core.StopSendsAfter)
-		if !idle && gone >= core.AbandonCallsAfter && !isClosed(quiet) { // half a command, maybe
-			done := make(chan struct{})
-			cl.server.Pause(func() { close(done) })
-			r.processUntil(func() bool { return isClosed(done) && r.core.UnansweredRequests() == 0 }, lastReplyTimeout)
+		if err := r.servePendingHandover(); err != nil {
+			return err
 		}
-		if idle || gone >= core.AbandonCallsAfter {
-			hitFailpoint(failpointProcessEnd)
-			r.log.Info(msgtrace.Stopped, "held", r.core.HeldMessages(), "calls", r.core.OpenCalls())
+		if shutdown.advance() {
 			return nil
 		}
 	}
 }
 
-// lastReplyTimeout is how long requests that were read have for their answers, once a
-// process is out of time.
-const lastReplyTimeout = 200 * time.Millisecond
+// untilNextStep is how long the event loop may wait for an input.
+func (r *Relay) untilNextStep() time.Duration {
+	wait := maxLoopWait
+	if at := r.core.NextWakeup(); at > 0 {
+		wait = r.until(at)
+	}
+	if _, shuttingDown := r.core.ShuttingDown(0); shuttingDown {
+		wait = min(wait, shutdownPollInterval)
+	}
+	if r.cfg.Console != "" {
+		wait = min(wait, endpointStatsInterval)
+	}
+	if at := r.stateSaver.saveIfDue(r.now()); at > 0 {
+		wait = min(wait, r.until(at))
+	}
+	return max(wait, 0)
+}
+
+// until is the time until the core's clock has passed a moment.
+func (r *Relay) until(at policy.Time) time.Duration {
+	return time.Duration(at-r.now()+1) * time.Microsecond
+}
 
-// isClosed reports whether a channel is closed on which nothing is sent.
-func isClosed(c chan struct{}) bool {
-	select {
-	case <-c:
-		return true
-	default:
-		return false
+// servePendingHandover hands the work over where another process has asked for it.
+func (r *Relay) servePendingHandover() error {
+	request := r.pendingHandover
+	if request == nil {
+		return nil
 	}
+	r.pendingHandover = nil
+	return r.handOver(request)
 }
 
-// processInbox hands over what has happened so far.
+// processInbox has the core take in what has happened so far, and decide.
 func (r *Relay) processInbox() {
 	r.received = r.inbox.TakeAll(r.received)
 	r.events = r.events[:0]
 	for i := range r.received {
-		switch h := &r.received[i]; {
-		case h.config != nil:
-			r.reconfigure(h.config)
-		case h.handover != nil:
-			r.pendingHandover = h.handover // there is one at a time
-		case h.event != nil:
-			r.events = append(r.events, h.event)
+		switch input := &r.received[i]; {
+		case input.config != nil:
+			r.reconfigure(input.config)
+		case input.handover != nil:
+			r.pendingHandover = input.handover // there is one at a time
+		case input.event != nil:
+			r.events = append(r.events, input.event)
 		}
 	}
 	r.step()
--- a/internal/relay/handover_outgoing.go
+++ b/internal/relay/handover_outgoing.go
@@ -82,7 +82,7 @@
 // handOver hands the work over. The loop stands still meanwhile. It returns nil
 // where this process goes on as before, and errGiven where nothing is left to
 // do.
-func (r *Relay) handOver(t *handoverRequest, cl *clientServer) error {
+func (r *Relay) handOver(t *handoverRequest) error {
 	defer t.close()
 	began := time.Now()
 	hitFailpoint(failpointOutgoingRequested)
@@ -94,7 +94,7 @@
 	for do := g.Step(handover.HandoverRequested); ; {
 		switch do {
 		case handover.Quiesce:
-			if err := r.quiesce(cl); err != nil {
+			if err := r.quiesce(); err != nil {
 				r.log.Warn("hand-over: not at rest", "err", err)
 				t.conn.Send(packetReject, nil, time.Now().Add(packetTimeout))
 				do = g.Step(handover.QuiesceTimedOut)
@@ -102,7 +102,7 @@
 			}
 			do = g.Step(handover.Quiesced)
 		case handover.SendState:
-			if err := r.sendState(t.conn, cl); err != nil {
+			if err := r.sendState(t.conn); err != nil {
 				r.log.Warn("hand-over: broken", "err", err)
 				do = g.Step(handover.SuccessorLost)
 				break
@@ -113,7 +113,7 @@
 		case handover.ReleaseResources:
 			r.log.Info("hand-over: it is the other's", "took_ms", time.Since(began).Milliseconds(), "held", r.core.HeldMessages())
 			hitFailpoint(failpointOutgoingClaimed)
-			r.releaseResources(cl)
+			r.releaseResources()
 			if err := r.lock.release(); err != nil {
 				return err
 			}
@@ -130,7 +130,7 @@
 				do = g.Step(handover.LockUnavailable)
 			}
 		case handover.ResumeServing:
-			r.resumeServing(cl)
+			r.resumeServing()
 			return nil
 		case handover.RestartFromLog:
 			return errRestartFromLog // which lets the lock go
@@ -163,11 +163,11 @@
 
 // quiesce brings everything to rest: what clients handed in is answered, no call
 // is on its way to its endpoint, and the log is written.
-func (r *Relay) quiesce(cl *clientServer) error {
+func (r *Relay) quiesce() error {
 	quiet := make(chan struct{})
 	r.stateSaver.pause() // the file is the other's from here on
 	r.clientsPausedAt = monotonicMicros()
-	cl.server.Pause(func() { close(quiet) })
+	r.clients.server.Pause(func() { close(quiet) })
 	isQuiet := func() bool {
 		select {
 		case <-quiet:
@@ -204,7 +204,7 @@
 }
 
 // sendState sends what the other process needs.
-func (r *Relay) sendState(l *link.Conn, cl *clientServer) error {
+func (r *Relay) sendState(l *link.Conn) error {
 	by := time.Now().Add(packetTimeout)
 	r.pool.closeIdleIf(func(*poolConn) bool { return true })
 	carried := r.core.ExportHandover(r.now())
@@ -238,7 +238,7 @@
 	// Both processes have them for a moment: what is left of the descriptors
 	// bounds how many clients go over. The others were idle longest.
 	most := r.cfg.Limits.Sockets - 2*config.ReservedDescriptors - 2*len(fds)
-	listeners, conns := cl.server.Export(most)
+	listeners, conns := r.clients.server.Export(most)
 	if err := l.Send(packetListeners, nil, by, listeners...); err != nil {
 		return err
 	}
@@ -277,22 +277,22 @@
 }
 
 // resumeServing ends the rest.
-func (r *Relay) resumeServing(cl *clientServer) {
+func (r *Relay) resumeServing() {
 	r.log.Warn("hand-over: came to nothing, this process serves on")
 	r.notices.resume()
 	r.stateSaver.resume()
 	r.inFlight.Resume(true)
 	r.execute(r.core.ResumeSends(r.now(), r.effects[:0]))
-	cl.server.Resume()
+	r.clients.server.Resume()
 	r.lifecycle.resumeServing()
 }
 
 // releaseResources closes what the other process has now.
-func (r *Relay) releaseResources(cl *clientServer) {
+func (r *Relay) releaseResources() {
 	r.lifecycle.completeHandover()
 	r.inFlight.Resume(false)
 	r.discovery.stop()
-	cl.server.Close()
+	r.clients.server.Close()
 	r.closeLog()
 }
 
--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -1,6 +1,10 @@
-// Package relay drives package core on real sockets, files and clocks: clients
-// and endpoints, discovery and the log. It decides nothing, and must never do
-// anything of a message that the core has not said.
+// Package relay runs a relay: it wires the core to real sockets, files and
+// clocks, and executes its effects in one event loop.
+//
+// The core owns every message and decides about it; package relay owns the
+// process: what is opened, locked and closed in which order, and the hand-over
+// to another process. It decides nothing, and must never do anything with a
+// message that the core has not asked for.
 package relay
 
 import (
@@ -22,82 +26,144 @@
 	"troutusher/policy"
 )
 
-const coreClockOrigin = policy.Time(3600e6) // of the core's clock: sends of an earlier process lie before it
+// coreClockOrigin is what the core's clock reads as a process starts. Calls of an
+// earlier process lie before it, at positive times.
+const coreClockOrigin = policy.Time(3600e6)
 
-// loopInput is something that the loop is told.
-type loopInput struct {
-	event    core.Event
-	config   *config.Config   // a new one
-	handover *handoverRequest // another process is ready to take over
-}
-
-// Relay is one running relay.
+// Relay is one life of a relay: from its start to its shutdown, or until another
+// process has taken its work over.
+//
+// The goroutine that called Run owns all fields without a comment on who else
+// reads them.
 type Relay struct {
-	cfg               *config.Config
-	log               *slog.Logger
-	core              *core.Core
-	inbox             *mailbox.Mailbox[loopInput]
-	wal               *wal.Log
-	notices           *noticeSender
-	discovery         *listWatcher
-	discoveryAddr     string // the address that both of them use
-	lifecycle         *processLifecycle
-	board             *console.Stats
-	endpointStatsAt   time.Time // when the endpoints avoided were last counted
-	startedAt         time.Time
-	longestStep       time.Duration // of the steps since the last tally
-	endpoints         map[policy.EndpointID]*Endpoint
-	events            []core.Event
-	effects           []core.Effect
-	pool              *Pool
-	tlsPeers          *tlsdial.Dialer                // nil without TLS
-	consoleTLSPeers   atomic.Pointer[tlsdial.Dialer] // the same, for the console
-	inFlight          InFlight
-	received          []loopInput
-	pendingHandover   *handoverRequest
-	incoming          handover.Incoming
+	cfg    *config.Config
+	log    *slog.Logger
+	ctx    context.Context // ends after everything else is cleaned up
+	stop   <-chan struct{} // closed once the process is to end
+	reload ReloadRequests
+
+	core      *core.Core
+	startedAt time.Time
+	inbox     *mailbox.Mailbox[loopInput] // what other goroutines tell the event loop
+	received  []loopInput                 // of the inbox; its storage is used again
+	events    []core.Event                // of one step; its storage is used again
+	effects   []core.Effect               // of one step; its storage is used again
+
+	clients      *clientServer
+	serverFailed chan error        // the RESP server's end
+	lifecycle    *processLifecycle // also used by the console and the RESP server
+	wal          *wal.Log
+	closeLog     func() // waits until the log is written; may be called again
+	notices      *noticeSender
+	stateSaver   *stateSaver // nil where no policy state is saved
+
+	discovery     *listWatcher
+	discoveryAddr string        // of the list watcher and the notice sender
+	members       *memberMerger // nil where discovery is the only source of endpoints
+	watchedAddr   atomic.Value  // a string: discoveryAddr, for the memberMerger's goroutine
+
+	pool      *Pool
+	endpoints map[policy.EndpointID]*Endpoint
+	inFlight  InFlight        // the calls that are out
+	tlsPeers  *tlsdial.Dialer // nil without TLS
+
+	board           *console.Stats                 // read by the console
+	consoleTLSPeers atomic.Pointer[tlsdial.Dialer] // tlsPeers, for the console
+	endpointStatsAt time.Time                      // when endpoints were last counted for the board
+	longestStep     time.Duration                  // since it was last logged
+
 	lock              *stateLock
-	stateSaver        *stateSaver   // nil where nothing is kept
-	members           *memberMerger // nil where discovery alone says who is there
-	watchedAddr       atomic.Value  // the address of discovery, a string, for it
-	clientsPausedAt   int64         // when the clients were last read, on the system's monotonic clock
-	reloadsRequested  atomic.Int64  // how often the configuration was to be read again
-	reloadsHandedOver int64         // of them, as another process was told of
-	reload            ReloadRequests
-	inheritedCalls    map[string]int // calls that the process before had out, by message
-	closeLog          func()
-	stop              <-chan struct{}
-	ctx               context.Context
-}
+	incoming          handover.Incoming
+	inheritedCalls    map[string]int   // by message: descriptors of the predecessor's open calls
+	pendingHandover   *handoverRequest // to be served after this step; nil for none
+	clientsPausedAt   int64            // when clients were last read, by monotonicMicros
+	reloadsRequested  atomic.Int64     // counted by the goroutine that reloads
+	reloadsHandedOver int64            // of them, those that the successor was told of
 
-func (r *Relay) now() policy.Time { return coreClockOrigin + time.Since(r.startedAt).Microseconds() }
+	exits []func() // what cleanUp calls, the last one first
+}
 
-// monotonicMicros is the system's monotonic clock in µs, the same in every process.
-func monotonicMicros() int64 {
-	var t unix.Timespec
-	if err := unix.ClockGettime(unix.CLOCK_MONOTONIC, &t); err != nil {
-		return 0
+func newRelay(ctx context.Context, cfg *config.Config, log *slog.Logger, stop <-chan struct{}, reload ReloadRequests) *Relay {
+	return &Relay{
+		cfg:          cfg,
+		log:          log,
+		ctx:          ctx,
+		stop:         stop,
+		reload:       reload,
+		startedAt:    time.Now(),
+		inbox:        mailbox.New[loopInput](),
+		serverFailed: make(chan error, 1),
+		lifecycle:    &processLifecycle{},
+		board:        console.NewStats(classNames(cfg)),
+		endpoints:    map[policy.EndpointID]*Endpoint{},
 	}
-	return t.Nano() / 1000
 }
 
-// Run serves until stop is closed and the end is made, until another process has
-// taken the work over, or something fails that a relay cannot go on without.
-// Where the process that took over died before it served, it starts anew from the
-// log, with the configuration that it was last told to read.
-func Run(cfg *config.Config, log *slog.Logger, stop <-chan struct{}, re ReloadRequests) error {
+// Run serves until stop is closed and the shutdown is done, until another process
+// has taken the work over, or something fails that a relay cannot go on without.
+// Where the process that took over died before it served, Run starts again from
+// the log, with the configuration that it was last asked to load.
+func Run(cfg *config.Config, log *slog.Logger, stop <-chan struct{}, reload ReloadRequests) error {
 	for {
-		asked, err := run(cfg, log, stop, re)
+		reloaded, err := run(cfg, log, stop, reload)
 		if !errors.Is(err, errRestartFromLog) {
 			return err
 		}
 		log.Warn("hand-over: the process that took over is gone, starting from the log")
-		if asked {
-			if fresh, err := re.Load(); err != nil {
-				log.Error("new configuration not taken over, the old one stays", "err", err)
-			} else {
-				cfg = fresh
-			}
+		if !reloaded {
+			continue
+		}
+		if fresh, err := reload.Load(); err != nil {
+			log.Error("new configuration not taken over, the old one stays", "err", err)
+		} else {
+			cfg = fresh
 		}
 	}
 }
+
+// run is one life of a relay: it starts, serves and shuts down. reloaded reports
+// whether a reload of the configuration was requested meanwhile.
+func run(cfg *config.Config, log *slog.Logger, stop <-chan struct{}, reload ReloadRequests) (reloaded bool, err error) {
+	ctx, cancel := context.WithCancel(context.Background())
+	defer cancel()
+	r := newRelay(ctx, cfg, log, stop, reload)
+	defer func() { reloaded = r.reloadsRequested.Load() > 0 }()
+	defer r.cleanUp()
+	if err := r.start(); err != nil {
+		return false, err
+	}
+	switch err := r.eventLoop(); {
+	case errors.Is(err, errHandoverComplete):
+		return false, nil
+	case err != nil:
+		return false, err
+	}
+	r.stateSaver.saveFinal()
+	return false, nil
+}
+
+// atExit has cleanUp call a function. Those that were added last are called first.
+func (r *Relay) atExit(f func()) { r.exits = append(r.exits, f) }
+
+// cleanUp closes what start has opened, also where that failed half-way.
+func (r *Relay) cleanUp() {
+	for len(r.exits) > 0 {
+		last := len(r.exits) - 1
+		f := r.exits[last]
+		r.exits = r.exits[:last]
+		f()
+	}
+}
+
+// now is the time on the core's clock.
+func (r *Relay) now() policy.Time { return coreClockOrigin + time.Since(r.startedAt).Microseconds() }
+
+// monotonicMicros is the system's monotonic clock in microseconds, which reads
+// the same in every process; 0 where it cannot be read.
+func monotonicMicros() int64 {
+	var t unix.Timespec
+	if err := unix.ClockGettime(unix.CLOCK_MONOTONIC, &t); err != nil {
+		return 0
+	}
+	return t.Nano() / 1000
+}
--- a/internal/relay/startup.go
+++ b/internal/relay/startup.go
@@ -5,17 +5,14 @@
 	"context"
 	"errors"
 	"fmt"
-	"log/slog"
 	"sync"
 	"syscall"
 	"time"
 
-	"troutusher/internal/config"
 	"troutusher/internal/console"
 	"troutusher/internal/core"
 	"troutusher/internal/handover"
 	"troutusher/internal/handover/link"
-	"troutusher/internal/mailbox"
 	"troutusher/internal/msgtrace"
 	"troutusher/internal/respserver"
 	"troutusher/internal/source/registry"
@@ -24,214 +21,377 @@
 	"troutusher/policy"
 )
 
-// run is one life of a relay; asked tells whether the configuration was read again
-// in it.
-func run(cfg *config.Config, log *slog.Logger, stop <-chan struct{}, re ReloadRequests) (asked bool, err error) {
-	ctx, cancel := context.WithCancel(context.Background())
-	defer cancel()
-	r := &Relay{cfg: cfg, log: log, inbox: mailbox.New[loopInput](), startedAt: time.Now(), ctx: ctx, stop: stop, reload: re, endpoints: map[policy.EndpointID]*Endpoint{},
-		lifecycle: &processLifecycle{}, board: console.NewStats(classNames(cfg))}
-	defer func() { asked = r.reloadsRequested.Load() > 0 }()
-	if cfg.Console != "" { // it answers from the first moment on
-		con, err := console.Listen(cfg.Console, r.consoleCalls(), log)
-		if err != nil {
-			return false, err
+// startup brings a relay up. Its fields are what one step leaves to a later one.
+type startup struct {
+	*Relay
+	watchCtx context.Context // of the endpoint list's sources; ends before ctx
+
+	// firstLists waits for the first endpoint lists, once, and returns them.
+	// firstListsRead reports whether they were waited for before the state was
+	// acquired.
+	firstLists     func() []core.EndpointListUpdated
+	firstListsRead bool
+
+	inherited *inheritedState // empty where no process handed over
+	takenOver bool            // a process did
+	owed      []*record       // messages in the log
+	imported  int             // client connections taken over
+}
+
+// start brings the relay up in an order that is part of its behaviour: the
+// console answers first, the log is not touched before the client addresses are
+// bound, and nobody is let in before all is there that an answer takes. An error
+// leaves what was opened to cleanUp.
+func (r *Relay) start() error {
+	s := &startup{Relay: r}
+	for _, step := range []func() error{
+		s.openConsole,
+		s.createCore,
+		s.startPool,
+		s.startDiscovery,
+		s.lockState,
+		s.takeOver,
+		s.bindClientAddresses,
+		s.openLog,
+		s.recoverState,
+		s.startMembers,
+		s.serveClients,
+		s.confirmHandover,
+		s.offerHandover,
+	} {
+		if err := step(); err != nil {
+			return err
 		}
-		defer con.Close()
-		go con.Serve()
 	}
-	set := core.Settings{Policy: cfg.Policy, Seed: cfg.Seed, Epoch: r.startedAt.UnixMicro() - coreClockOrigin,
-		TracesPerSecond: cfg.TracesPerSecond, Passivation: cfg.Passivation, Zones: cfg.Zones, Kinds: cfg.DestinationKinds, Classes: cfg.Classes, Tenants: cfg.Tenants}
-	if len(cfg.TLSRules) > 0 {
-		r.tlsPeers, err = tlsdial.New(tlsdial.Options{Rules: cfg.TLSRules, Handshakes: cfg.Handshakes, Log: log, Seed: cfg.Seed, StateDir: cfg.State, OnRejected: r.identityRejected})
-		if err != nil {
-			return false, err
+	r.log.Info(msgtrace.Ready, "name", r.cfg.Name, "listen", r.clients.server.Addr().String(),
+		"endpoints", r.core.EndpointCount(), "owed", len(s.owed), "log", string(r.wal.Origin()),
+		"handed_over", s.takenOver, "clients", s.imported)
+	return nil
+}
+
+// openConsole has the console answer from the first moment on.
+func (s *startup) openConsole() error {
+	if s.cfg.Console == "" {
+		return nil
+	}
+	con, err := console.Listen(s.cfg.Console, s.consoleCalls(), s.log)
+	if err != nil {
+		return err
+	}
+	s.atExit(con.Close)
+	go con.Serve()
+	return nil
+}
+
+// createCore makes the core and, where there are rules for it, what dials over
+// TLS.
+func (s *startup) createCore() error {
+	settings := core.Settings{
+		Policy:          s.cfg.Policy,
+		Seed:            s.cfg.Seed,
+		Epoch:           s.startedAt.UnixMicro() - coreClockOrigin,
+		TracesPerSecond: s.cfg.TracesPerSecond,
+		Passivation:     s.cfg.Passivation,
+		Zones:           s.cfg.Zones,
+		Kinds:           s.cfg.DestinationKinds,
+		Classes:         s.cfg.Classes,
+		Tenants:         s.cfg.Tenants,
+	}
+	if len(s.cfg.TLSRules) > 0 {
+		if err := s.createTLSDialer(); err != nil {
+			return err
 		}
-		set.ConnectionCost = r.tlsPeers.HandshakeWeight
-		r.consoleTLSPeers.Store(r.tlsPeers)
-		defer r.tlsPeers.SaveSessions(cfg.State)
-		go r.tlsPeers.Run(ctx)
+		settings.ConnectionCost = s.tlsPeers.HandshakeWeight
+	}
+	var err error
+	if s.core, err = core.New(settings); err != nil {
+		return fmt.Errorf("config: settings: %w", err)
 	}
-	r.core, err = core.New(set)
+	return nil
+}
+
+func (s *startup) createTLSDialer() error {
+	dialer, err := tlsdial.New(tlsdial.Options{
+		Rules:      s.cfg.TLSRules,
+		Handshakes: s.cfg.Handshakes,
+		Log:        s.log,
+		Seed:       s.cfg.Seed,
+		StateDir:   s.cfg.State,
+		OnRejected: s.identityRejected,
+	})
 	if err != nil {
-		return false, fmt.Errorf("config: settings: %w", err)
-	}
-	_, conns := cfg.DescriptorBudget()
-	keep := time.Duration(cfg.Policy.IdleTimeout) * time.Microsecond
-	// A request written to a connection that the endpoint is closing ends as a
-	// reset: ours close first.
-	r.pool = NewPool(time.Duration(cfg.Policy.ConnectTimeout)*time.Microsecond, keep-IdleMargin(keep), conns)
-	r.pool.now = r.now
-	go r.pool.Run(ctx)
-	r.notices = newNoticeSender(cfg.Discovery, log, func(id string) {
-		log.Info(msgtrace.NoticeDelivered, "message", id)
-		r.wal.Submit(&record{Kind: core.RecordDone, ID: id}, nil)
+		return err
+	}
+	s.tlsPeers = dialer
+	s.consoleTLSPeers.Store(dialer)
+	s.atExit(func() { dialer.SaveSessions(s.cfg.State) })
+	go dialer.Run(s.ctx)
+	return nil
+}
+
+// startPool makes the pool of connections to endpoints. They close before the
+// endpoint closes them: a request written to a connection that the other side is
+// closing ends as a reset.
+func (s *startup) startPool() error {
+	_, maxConns := s.cfg.DescriptorBudget()
+	keepAlive := time.Duration(s.cfg.Policy.IdleTimeout) * time.Microsecond
+	connectTimeout := time.Duration(s.cfg.Policy.ConnectTimeout) * time.Microsecond
+	s.pool = NewPool(connectTimeout, keepAlive-IdleMargin(keepAlive), maxConns)
+	s.pool.now = s.now
+	go s.pool.Run(s.ctx)
+	return nil
+}
+
+// startDiscovery makes the sender of notices, and begins to watch the endpoint
+// list and requests to reload the configuration.
+func (s *startup) startDiscovery() error {
+	s.notices = newNoticeSender(s.cfg.Discovery, s.log, func(id string) {
+		s.log.Info(msgtrace.NoticeDelivered, "message", id)
+		s.wal.Submit(&record{Kind: core.RecordDone, ID: id}, nil)
 	})
-	watch, unwatch := context.WithCancel(ctx)
-	defer unwatch()
-	follow := registry.New(cfg.Policy.Relays, cfg.Seed)
-	if cfg.KnownList != nil {
-		follow.SetRevision(cfg.KnownList.Revision)
-	}
-	r.discovery = newListWatcher(cfg.Discovery, log, follow, func(l *EndpointList) { r.inbox.Put(loopInput{event: listEvent(l)}) })
-	if cfg.Etcd != nil {
-		if err := r.mergeSources(); err != nil {
-			return false, err
+	watchCtx, stopWatch := context.WithCancel(s.ctx)
+	s.watchCtx = watchCtx
+	s.atExit(stopWatch)
+	scheduler := registry.New(s.cfg.Policy.Relays, s.cfg.Seed)
+	if s.cfg.KnownList != nil {
+		scheduler.SetRevision(s.cfg.KnownList.Revision)
+	}
+	s.discovery = newListWatcher(s.cfg.Discovery, s.log, scheduler, func(l *EndpointList) { s.post(listEvent(l)) })
+	if s.cfg.Etcd != nil {
+		if err := s.mergeSources(); err != nil {
+			return err
 		}
 	}
-	r.discovery.cancel = unwatch
-	r.discovery.maxListBytes = cmp.Or(cfg.MaxListBytes, defaultMaxListBytes)
-	go r.discovery.run(watch)
-	r.discoveryAddr = cfg.Discovery
-	go r.watchReloads(ctx, re)
+	s.discovery.cancel = stopWatch
+	s.discovery.maxListBytes = cmp.Or(s.cfg.MaxListBytes, defaultMaxListBytes)
+	go s.discovery.run(watchCtx)
+	s.discoveryAddr = s.cfg.Discovery
+	go s.watchReloads(s.ctx, s.reload)
+	return nil
+}
 
-	if r.lock, err = openLock(cfg.State); err != nil {
-		return false, err
+// lockState opens the lock on the state folder, without taking it.
+func (s *startup) lockState() error {
+	var err error
+	if s.lock, err = openLock(s.cfg.State); err != nil {
+		return err
 	}
-	defer r.lock.close()
-	list := sync.OnceValue(r.collectFirstLists)
-	if r.members != nil { // what discovery says goes through the view, once that has begun
-		list = func() []core.EndpointListUpdated { return nil }
+	s.atExit(s.lock.close)
+	return nil
+}
+
+// takeOver makes this process the owner of the state folder, with what another
+// one hands over. The first lists are waited for while that one still serves.
+func (s *startup) takeOver() error {
+	s.firstLists = sync.OnceValue(s.collectFirstLists)
+	if s.members != nil { // lists go through the merged view, once that has begun
+		s.firstLists = func() []core.EndpointListUpdated { return nil }
 	}
-	heard := false
-	inherited, err := r.acquireState(func() { list(); heard = true })
+	inherited, err := s.acquireState(func() {
+		s.firstLists()
+		s.firstListsRead = true
+	})
 	if err != nil {
-		return false, err
+		return err
 	}
-	opt := serverOptions(cfg)
-	opt.Logger = log
-	opt.DeferListen = true // until all is there that an answer takes
 	if inherited == nil {
 		inherited = &inheritedState{}
 	}
-	defer inherited.close()
-	for i, fd := range inherited.listeners {
-		ln, err := respserver.ListenerFromFD(fd)
-		if err != nil {
-			return false, fmt.Errorf("listen: handed over: %w", err)
-		}
-		inherited.listeners[i] = -1
-		opt.InheritedListeners = append(opt.InheritedListeners, ln)
-	}
-	inherited.listeners = nil
-	if inherited.ClientsPausedAt > 0 {
-		opt.UnreadSince = time.Now().Add(-time.Duration(max(monotonicMicros()-inherited.ClientsPausedAt, 0)) * time.Microsecond)
+	s.inherited, s.takenOver = inherited, inherited.Core != nil
+	s.atExit(inherited.close)
+	s.inheritedCalls = inherited.calls
+	return nil
+}
+
+// bindClientAddresses opens the RESP server, which lets nobody in yet. It comes
+// before the log is touched: the address may be held by a relay that knows of no
+// lock.
+func (s *startup) bindClientAddresses() error {
+	options, err := s.inheritingOptions()
+	if err != nil {
+		return err
 	}
-	// Before the log is touched: who has the address may be a relay that knows
-	// of no lock.
-	listen := func() (*clientServer, error) {
-		return newClientServer(cfg, opt, func(q *request) { r.post(core.Submitted{Request: &q.Request}) },
-			func(q *request, ok bool) { r.post(core.ReplyDelivered{Request: &q.Request, OK: ok}) },
-			append([]string{cfg.Listen}, cfg.ClientSettings.ListenAddresses...)...)
+	listen := func() error {
+		s.clients, err = newClientServer(s.cfg, options,
+			func(q *request) { s.post(core.Submitted{Request: &q.Request}) },
+			func(q *request, ok bool) {
+				s.post(core.ReplyDelivered{Request: &q.Request, OK: ok})
+			},
+			append([]string{s.cfg.Listen}, s.cfg.ClientSettings.ListenAddresses...)...)
+		return err
 	}
-	cl, err := listen()
+	err = listen()
 	// The system takes lock, link and address from a process that dies one after
-	// the other: who has heard of its end by the first may find the last still held.
-	for end := time.Now().Add(addressInUseTimeout); errors.Is(err, syscall.EADDRINUSE) && len(opt.InheritedListeners) == 0 && time.Now().Before(end); cl, err = listen() {
+	// the other: who has the first may find the last still held.
+	end := time.Now().Add(addressInUseTimeout)
+	for errors.Is(err, syscall.EADDRINUSE) && len(options.InheritedListeners) == 0 && time.Now().Before(end) {
 		hitFailpoint(failpointAddressInUse)
 		time.Sleep(lockRetryInterval)
+		err = listen()
 	}
 	if err != nil {
-		return false, err
-	}
-	cl.lifecycle, cl.countShed = r.lifecycle, r.board.AddShed
-	r.inheritedCalls = inherited.calls
-	r.stateSaver = newStateSaver(r)
-	disk := int64(cfg.Limits.DiskMB) << 20
-	ownLog, owed, err := wal.Open(wal.Options{
-		Dir: cfg.State, MaxBytes: disk - r.stateSaver.diskReserve(disk), Logger: log,
-		InFlight: func(id string) bool { _, ok := inherited.calls[id]; return ok },
+		return err
+	}
+	s.clients.lifecycle, s.clients.countShed = s.lifecycle, s.board.AddShed
+	return nil
+}
+
+// inheritingOptions are the RESP server's, with the listeners that were handed over.
+func (s *startup) inheritingOptions() (respserver.Options, error) {
+	options := serverOptions(s.cfg)
+	options.Logger = s.log
+	options.DeferListen = true
+	for i, fd := range s.inherited.listeners {
+		ln, err := respserver.ListenerFromFD(fd)
+		if err != nil {
+			return options, fmt.Errorf("listen: handed over: %w", err)
+		}
+		s.inherited.listeners[i] = -1
+		options.InheritedListeners = append(options.InheritedListeners, ln)
+	}
+	s.inherited.listeners = nil
+	if s.inherited.ClientsPausedAt > 0 {
+		pause := time.Duration(max(monotonicMicros()-s.inherited.ClientsPausedAt, 0)) * time.Microsecond
+		options.UnreadSince = time.Now().Add(-pause)
+	}
+	return options, nil
+}
+
+// openLog reads the write-ahead log, and starts its writer and the sender of
+// notices, which logs what is confirmed.
+func (s *startup) openLog() error {
+	s.stateSaver = newStateSaver(s.Relay)
+	diskLimit := int64(s.cfg.Limits.DiskMB) << 20
+	log, owed, err := wal.Open(wal.Options{
+		Dir:      s.cfg.State,
+		MaxBytes: diskLimit - s.stateSaver.diskReserve(diskLimit),
+		Logger:   s.log,
+		InFlight: func(id string) bool {
+			_, ok := s.inheritedCalls[id]
+			return ok
+		},
 	})
 	if err != nil {
-		return false, err
+		return err
 	}
-	r.wal = ownLog
-	go ownLog.Run()
-	r.closeLog = sync.OnceFunc(func() {
-		if err := ownLog.Close(); err != nil {
-			log.Warn("log: not closed", "err", err)
+	s.wal, s.owed = log, owed
+	go log.Run()
+	s.closeLog = sync.OnceFunc(func() {
+		if err := log.Close(); err != nil {
+			s.log.Warn("log: not closed", "err", err)
 		}
 	})
-	defer r.closeLog()
-	r.notices.start(ctx)
-	defer func() { r.notices.stopRun() }()
-
-	if inherited.Core == nil {
-		known, shift := r.stateSaver.load()
-		newer := known != nil && (cfg.KnownList == nil || known.Revision > cfg.KnownList.Revision) // it has heard more
-		if !newer || known.Partial {
-			r.observe(r.configuredList())
-		}
-		if newer {
-			kind := policy.ListCached
-			if known.Partial {
-				kind = policy.ListDelta
-			}
-			r.observe([]core.EndpointListUpdated{{List: known.EndpointList(), Kind: kind}})
-		}
-		if heard || cfg.KnownList == nil && known == nil { // without any list there is nothing to serve on, and nobody is let in
-			r.observe(list())
-		} else {
-			r.core.DeferSends()
-			go r.awaitFirstList()
-		}
-		if known != nil {
-			r.execute(r.core.RestoreState(r.now(), known, shift, r.effects[:0]))
-		}
-		r.execute(r.core.RecoverMessages(r.now(), owed, nil, 0, r.effects[:0]))
+	s.atExit(s.closeLog)
+	s.notices.start(s.ctx)
+	s.atExit(func() { s.notices.stopRun() })
+	return nil
+}
+
+// recoverState tells the core what is known of endpoints, and what is owed.
+func (s *startup) recoverState() error {
+	if s.takenOver {
+		s.recoverHandover()
 	} else {
-		r.execute(r.core.RecoverMessages(r.now(), owed, inherited.Core, inherited.ClockOrigin-(monotonicMicros()-r.now()), r.effects[:0]))
-		heard := list()
-		r.observe(r.dropStaleLists(heard, inherited))
-		if inherited.ReloadRequested {
-			r.reloadNow()
-		}
+		s.recoverFiles()
 	}
 	hitFailpoint(failpointIncomingRecovered)
-	if r.members != nil {
-		r.members.start(r.core.SnapshotState(r.now()).EndpointList())
-		go r.members.run(watch)
-		go r.members.superviseHelper(watch)
-	}
-	r.step()
-	kept := cl.server.Import(inherited.clients)
-	inherited.clients = nil
-	hitFailpoint(failpointIncomingClientsAdopted)
-	if err := cl.server.Listen(); err != nil {
-		return false, err
+	return nil
+}
+
+// recoverHandover recovers from the log and what another process handed over.
+func (s *startup) recoverHandover() {
+	clockShift := s.inherited.ClockOrigin - (monotonicMicros() - s.now())
+	s.execute(s.core.RecoverMessages(s.now(), s.owed, s.inherited.Core, clockShift, s.effects[:0]))
+	lists := s.firstLists()
+	s.observe(s.dropStaleLists(lists, s.inherited))
+	if s.inherited.ReloadRequested {
+		s.reloadNow()
 	}
-	failed := make(chan error, 1)
-	go func() { failed <- cl.server.Run() }()
-	defer cl.server.Close()
-	go func() {
-		<-stop
-		r.post(core.ShutdownRequested{})
-	}()
-	r.lifecycle.startServing(cl.server)
-	if inherited.conn != nil {
-		r.incoming.Step(handover.ReadyToServe)
-		hitFailpoint(failpointIncomingServing)
-		if err := inherited.conn.Send(packetServing, nil, time.Now().Add(packetTimeout)); err != nil {
-			log.Warn("hand-over: the process before did not hear that it may end", "err", err)
+}
+
+// recoverFiles recovers from the log, the saved policy state and the list in the
+// configuration. Where one of them names endpoints, clients are served at once
+// and calls alone wait for discovery.
+func (s *startup) recoverFiles() {
+	saved, clockShift := s.stateSaver.load()
+	newer := saved != nil && (s.cfg.KnownList == nil || saved.Revision > s.cfg.KnownList.Revision)
+	if !newer || saved.Partial {
+		s.observe(s.configuredList())
+	}
+	if newer {
+		kind := policy.ListCached
+		if saved.Partial {
+			kind = policy.ListDelta
 		}
-		inherited.conn.Close()
-		inherited.conn = nil
+		s.observe([]core.EndpointListUpdated{{List: saved.EndpointList(), Kind: kind}})
 	}
-	ln, err := link.Listen(cfg.State)
-	if err != nil { // it serves; only an upgrade will not work
-		log.Error("hand-over: cannot be offered", "err", err)
+	if s.firstListsRead || s.cfg.KnownList == nil && saved == nil {
+		s.observe(s.firstLists())
 	} else {
-		defer ln.Close()
-		go r.acceptHandovers(ln)
+		s.core.DeferSends()
+		go s.awaitFirstList()
+	}
+	if saved != nil {
+		s.execute(s.core.RestoreState(s.now(), saved, clockShift, s.effects[:0]))
+	}
+	s.execute(s.core.RecoverMessages(s.now(), s.owed, nil, 0, s.effects[:0]))
+}
+
+// startMembers begins to merge endpoint lists, where there are several sources.
+func (s *startup) startMembers() error {
+	if s.members == nil {
+		return nil
 	}
-	log.Info(msgtrace.Ready, "name", cfg.Name, "listen", cl.server.Addr().String(), "endpoints", r.core.EndpointCount(), "owed", len(owed), "log", string(ownLog.Origin()),
-		"handed_over", inherited.Core != nil, "clients", kept)
-	err = r.eventLoop(cl, failed)
-	if err == errHandoverComplete {
-		return false, nil
+	s.members.start(s.core.SnapshotState(s.now()).EndpointList())
+	go s.members.run(s.watchCtx)
+	go s.members.superviseHelper(s.watchCtx)
+	return nil
+}
+
+// serveClients takes client connections over and lets new ones in.
+func (s *startup) serveClients() error {
+	s.step()
+	server := s.clients.server
+	s.imported = server.Import(s.inherited.clients)
+	s.inherited.clients = nil
+	hitFailpoint(failpointIncomingClientsAdopted)
+	if err := server.Listen(); err != nil {
+		return err
 	}
-	if err == nil {
-		r.stateSaver.saveFinal()
+	go func() { s.serverFailed <- server.Run() }()
+	s.atExit(server.Close)
+	go func() {
+		<-s.stop
+		s.post(core.ShutdownRequested{})
+	}()
+	s.lifecycle.startServing(server)
+	return nil
+}
+
+// confirmHandover tells the process that handed over that it may end.
+func (s *startup) confirmHandover() error {
+	if s.inherited.conn == nil {
+		return nil
+	}
+	s.incoming.Step(handover.ReadyToServe)
+	hitFailpoint(failpointIncomingServing)
+	if err := s.inherited.conn.Send(packetServing, nil, time.Now().Add(packetTimeout)); err != nil {
+		s.log.Warn("hand-over: the process before did not hear that it may end", "err", err)
+	}
+	s.inherited.conn.Close()
+	s.inherited.conn = nil
+	return nil
+}
+
+// offerHandover listens for a process that wants to take over. Without it the
+// relay serves all the same; an upgrade alone will not work.
+func (s *startup) offerHandover() error {
+	ln, err := link.Listen(s.cfg.State)
+	if err != nil {
+		s.log.Error("hand-over: cannot be offered", "err", err)
+		return nil
 	}
-	return false, err
+	s.atExit(func() { ln.Close() })
+	go s.acceptHandovers(ln)
+	return nil
 }
