--- a/policy/admission.go
+++ b/policy/admission.go
@@ -43,8 +43,7 @@
 	e.rejectIfUnprovable(message)
 }
 
-// weightOf is the weight of a new message. Beyond its tenant's quota it is less; the quota is judged by this
-// relay's even share of it alone.
+// weightOf is the weight of a new message: less beyond its tenant's quota, of which each relay has a part.
 func (e *Engine) weightOf(event *Event, class *Class) float64 {
 	weight := class.Weight
 	if e.settings.WeightByCost && event.EstimatedCost > 0 {
@@ -59,9 +58,8 @@
 	return cmp.Or(event.Weight, weight)
 }
 
-// limitRecovered holds a destination to an even share as messages come that waited in a process that ended,
-// perhaps since they were rejected: after a release whole fleets have such, and would send them in the same
-// second.
+// limitRecovered holds a destination to an even share as messages come that waited in a process that ended:
+// after a release whole fleets have such, and would send them in the same second.
 func (e *Engine) limitRecovered(destination *destination) {
 	for _, limiter := range destination.limiters {
 		if limiter.reducedAt == 0 && e.exceedsEvenShare(limiter) {
--- a/policy/aging.go
+++ b/policy/aging.go
@@ -10,22 +10,19 @@
 	activationRate = 10 // a second may become active by chance; where more do, so do they at other relays
 )
 
-// RestoreAfterRestart takes over what an earlier process of this relay had stored before it ended, maybe
-// without a word. Its moments lie shift later on this engine's clock. What was spent since is not known: so
-// no budget has grown since then either.
+// RestoreAfterRestart takes over what an earlier process of this relay stored. Its moments lie shift later on
+// this engine's clock. What was spent since is not known: so no budget has grown since then either.
 func (e *Engine) RestoreAfterRestart(now Time, stored *Snapshot, shift Time) {
 	now = max(now, e.now)
 	old := now-shiftTime(stored.Now, shift) > historyWindow
-	restored := *stored
-	restored.TenantQuotas = slices.Clone(stored.TenantQuotas)
+	restored := stored.clone()
 	for i := range restored.TenantQuotas {
 		restored.TenantQuotas[i].At = now - shift
 	}
-	restored.Limiters = slices.Clone(stored.Limiters)
 	for i := range restored.Limiters {
 		ageLimiter(&restored.Limiters[i], now-shift, old)
 	}
-	e.LoadSnapshot(now, &restored, shift)
+	e.LoadSnapshot(now, restored, shift)
 }
 
 // ageLimiter ages a limiter at a moment of the clock that it was stored with.
@@ -37,7 +34,6 @@
 	if old { // counts and rates of another time of day; the history ages by itself
 		limiter.Window, limiter.RateMultiplier, limiter.RejectionRun = 1, 1, 0
 	}
-	limiter.Endpoints = slices.Clone(limiter.Endpoints)
 	for i := range limiter.Endpoints {
 		endpoint := &limiter.Endpoints[i]
 		if endpoint.Unhealthy && endpoint.RecoveredAt == 0 && shut && !endpoint.LastFailureSilent {
@@ -75,8 +71,7 @@
 }
 
 // Passivate forgets a destination, and returns what should be known of it as it comes back with an
-// EvListUpdated; there are no limiters in it where nothing was learned. What a gap as long as the history
-// makes of it is made of it here.
+// EvListUpdated: aged by a gap as long as the history, and without limiters where nothing was learned.
 func (e *Engine) Passivate(now Time, id int) *Snapshot {
 	e.now = max(now, e.now)
 	kept := &Snapshot{Now: e.now}
@@ -92,18 +87,14 @@
 		if e.settings.ListHasRates {
 			stored.NominalRate = 0 // the list has it
 		}
-		rated := stored.NominalRate > 0 || stored.ReportedRate > 0 || stored.ReducedRate > 0
-		learned := rated || stored.Latency.Count > 0
 		for i := range stored.Endpoints {
 			endpoint := &stored.Endpoints[i]
 			if !endpoint.Unhealthy {
 				endpoint.FailureScore, endpoint.BackoffUntil = 0, 0
 				endpoint.RecoveryBudget, endpoint.RequiredTokens = TokenBucketSnapshot{}, 0
 			}
-			called := endpoint.LastSuccessAt > 0 || endpoint.LastFailureAt > 0
-			learned = learned || endpoint.Unhealthy || called
 		}
-		if learned {
+		if stored.learned() {
 			kept.Limiters = append(kept.Limiters, stored)
 		}
 	}
@@ -111,11 +102,10 @@
 	return kept
 }
 
-// activate takes back what Passivate gave of destinations whose endpoints have just joined. Nothing is saved
-// up for them: what they get in their first moment goes one by one. One of which nobody has heard for long,
-// or ever, may have been down and come back: it is on a ramp from now, and gets what it bears cold, over all
-// its routes. The first call there goes at once, unless many wake together: then as many relays may have one
-// as messages come, and each waits for a random amount of budget.
+// activate takes back what Passivate gave of destinations whose endpoints have just joined. What they get in
+// their first moment goes one by one. One of which nobody heard for long may have been down and come back:
+// it is on a ramp from now. The first call there goes at once, unless many are activated together: then as
+// many relays may have one as messages come, and each waits for a random amount of budget.
 func (e *Engine) activate(event *Event) {
 	e.loadLimiters(event.Snapshot, 0)
 	alone := e.activations.take(e.now, 1, activationRate, activationRate)
--- a/policy/connection.go
+++ b/policy/connection.go
@@ -22,8 +22,7 @@
 	return 0
 }
 
-// settleConnectCost pays for the connections that were opened for a call and not expected, and gives back
-// what was paid for none.
+// settleConnectCost pays for connections that were opened and not expected, and gives back what bought none.
 func (e *Engine) settleConnectCost(call *call, event *Event) {
 	endpoint := call.endpoint
 	if endpoint.connectCost == 0 {
--- a/policy/destinations.go
+++ b/policy/destinations.go
@@ -59,37 +59,21 @@
 		destination.kind, destination.kindIndex = e.settings.DestinationKinds[update.Kind], update.Kind
 	}
 	destination.kind.BatchSize = max(destination.kind.BatchSize, 1)
-	independent := destination.kind.IndependentRoutes
-	if len(destination.limiters) == 0 || independent {
+	if len(destination.limiters) == 0 || destination.kind.IndependentRoutes {
 		destination.limiters = append(destination.limiters, newLimiter(destination))
 	}
 	limiter := destination.limiters[len(destination.limiters)-1]
-	if old := e.endpoints[update.Endpoint]; old != nil && independent {
-		limiter.retryAfterUntil = old.limiter.retryAfterUntil
-	}
 	added := &endpoint{id: update.Endpoint, limiter: limiter}
 	limiter.endpoints = append(limiter.endpoints, added)
 	e.endpoints[added.id] = added
 	return added
 }
 
-// removeEndpoint lets go of an endpoint; calls in flight there still count. A route with a Retry-After in
-// force stays known until it is over, so that it binds the route if it comes back.
-func (e *Engine) removeEndpoint(removed *endpoint) {
-	removed.state = Gone
-	limiter := removed.limiter
-	independent := limiter.destination.kind.IndependentRoutes
-	if known := e.endpoints[removed.id] == removed; known && independent && limiter.retryAfterUntil > e.now {
-		e.timers.add(limiter.retryAfterUntil, func() {
-			if e.endpoints[removed.id] == removed && removed.state == Gone {
-				e.removeEndpoint(removed)
-			}
-		})
-	} else if known {
-		delete(e.endpoints, removed.id)
-	}
-	limiter.endpoints = without(limiter.endpoints, removed)
-	if independent {
+// detach takes an endpoint out of its limiter, and the limiter of an independent route out of its destination.
+func (ep *endpoint) detach() {
+	limiter := ep.limiter
+	limiter.endpoints = without(limiter.endpoints, ep)
+	if limiter.destination.kind.IndependentRoutes {
 		limiter.destination.limiters = without(limiter.destination.limiters, limiter)
 	}
 }
@@ -111,15 +95,3 @@
 	endpoint.limiter.callsInFlight--
 	endpoint.limiter.destination.callsInFlight--
 }
-
-// usualLatency is the mean of a destination's answers, else of all; a part of an objective where there are
-// none.
-func (e *Engine) usualLatency(destination *destination) Time {
-	if limiters := destination.limiters; len(limiters) > 0 && limiters[0].latency.count > 0 {
-		return Time(limiters[0].latency.mean)
-	}
-	if e.latency.count > 0 {
-		return Time(e.latency.mean)
-	}
-	return e.settings.Classes[0].LatencyObjective / 4
-}
--- a/policy/dispatch.go
+++ b/policy/dispatch.go
@@ -43,8 +43,7 @@
 	}
 }
 
-// chooseEndpoint picks the endpoint for a message: healthy before recovering before ejected, then the soonest
-// answer.
+// chooseEndpoint picks an endpoint: healthy before recovering before ejected, then the soonest answer.
 func (e *Engine) chooseEndpoint(message *message) *endpoint {
 	var best *endpoint
 	lowest := math.Inf(1)
@@ -105,8 +104,7 @@
 	if retryByKey && class.DedupPerZone && endpoint.zone != message.firstUncertainZone {
 		return false
 	}
-	// A non-idempotent message has one attempt that may run: not where calls fail, but for one that is late
-	// already.
+	// A non-idempotent message has one attempt that may run: not where calls fail, unless it is late already.
 	return class.Idempotency != NonIdempotent || !endpoint.ejected() || e.now > message.objectiveAt
 }
 
--- a/policy/endpoints.go
+++ b/policy/endpoints.go
@@ -40,7 +40,11 @@
 		return
 	}
 	if endpoint == nil || endpoint.state == Gone { // the second is kept for its Retry-After
+		kept := e.endpoints[update.Endpoint]
 		endpoint = e.addEndpoint(update)
+		if kept != nil && endpoint.limiter.destination.kind.IndependentRoutes {
+			endpoint.limiter.retryAfterUntil = kept.limiter.retryAfterUntil
+		}
 	}
 	limiter := endpoint.limiter
 	endpoint.state, endpoint.zone, endpoint.connectCost = update.State, update.Zone, update.ConnectCost
@@ -53,6 +57,24 @@
 	e.markDirty(limiter.destination)
 }
 
+// removeEndpoint lets go of an endpoint; calls in flight there still count. A route with a Retry-After in
+// force stays known until it is over, so that it binds the route if it comes back.
+func (e *Engine) removeEndpoint(removed *endpoint) {
+	removed.state = Gone
+	limiter := removed.limiter
+	bound := limiter.destination.kind.IndependentRoutes && limiter.retryAfterUntil > e.now
+	if known := e.endpoints[removed.id] == removed; known && bound {
+		e.timers.add(limiter.retryAfterUntil, func() {
+			if e.endpoints[removed.id] == removed && removed.state == Gone {
+				e.removeEndpoint(removed)
+			}
+		})
+	} else if known {
+		delete(e.endpoints, removed.id)
+	}
+	removed.detach()
+}
+
 // rejectIdentity notes that an endpoint's identity is not proved, or is again. No message is spent on asking:
 // what cannot wait for the next proof is ended now, with the time to come back.
 func (e *Engine) rejectIdentity(event *Event) {
--- a/policy/latency.go
+++ b/policy/latency.go
@@ -19,3 +19,8 @@
 	l.deviation += (math.Abs(value-l.mean) - l.deviation) / latencyGain
 	l.mean += (value - l.mean) / latencyGain
 }
+
+// upperBound is so many times the mean and the deviation; 0 where nothing has been added.
+func (l *latencyEstimate) upperBound(multiple float64) float64 {
+	return multiple*l.mean + multiple*l.deviation
+}
--- a/policy/message.go
+++ b/policy/message.go
@@ -120,14 +120,6 @@
 	}
 }
 
-// recordUncertainAttempt keeps the first attempt of a message that may have run; the message is looked at
-// when its window ends.
-func (e *Engine) recordUncertainAttempt(message *message, sentAt Time, zone int) {
-	message.firstUncertainAt, message.firstUncertainZone = sentAt, zone
-	windowEnd := sentAt + message.class.DedupWindow - 2*e.settings.TickInterval + 1
-	e.timers.add(max(windowEnd, e.now+1), func() { e.reevaluate(message) })
-}
-
 // Weight is the weight that a pending message has in time; 0 for one that is not pending.
 func (e *Engine) Weight(id uint32) float64 {
 	if message := e.messages[id]; message != nil {
--- a/policy/ordering.go
+++ b/policy/ordering.go
@@ -41,6 +41,17 @@
 	return Time(min(wait, maxDrainSeconds)*1e6) + e.usualLatency(destination)
 }
 
+// usualLatency is the mean of a destination's answers, else of all, else a part of an objective.
+func (e *Engine) usualLatency(destination *destination) Time {
+	if limiters := destination.limiters; len(limiters) > 0 && limiters[0].latency.count > 0 {
+		return Time(limiters[0].latency.mean)
+	}
+	if e.latency.count > 0 {
+		return Time(e.latency.mean)
+	}
+	return e.settings.Classes[0].LatencyObjective / 4
+}
+
 // orderQueue puts first what loses most if it waits as long as the queue takes.
 func (e *Engine) orderQueue(destination *destination) {
 	soon := e.now + e.usualLatency(destination)
@@ -67,9 +78,8 @@
 	return accepts
 }
 
-// chooseNext finds the message of a destination that loses most if it waits as long as the queue takes; among
-// those that lose nothing, the one nearest to its objective. Where none may go, it looks again as soon as
-// time allows one.
+// chooseNext finds the message of a destination that loses most if it waits as long as the queue takes, and
+// its endpoint. Where none may go, it looks again as soon as time allows one.
 func (e *Engine) chooseNext(destination *destination) {
 	destination.nextMessage = nil
 	if len(destination.queue) == 0 {
--- a/policy/ratelimit.go
+++ b/policy/ratelimit.go
@@ -76,9 +76,8 @@
 	limiter.reducedAt = e.now
 }
 
-// bucketDepth is how many calls a limiter may save up: as much as chance alone moves a second of what all
-// relays send there together, which the destination must stand anyway. Once it has rejected some, what waits
-// goes one by one.
+// bucketDepth is how many calls a limiter may save up: as many as chance alone moves a second of what all
+// relays send there together. Once it has rejected some, what waits goes one by one.
 func (e *Engine) bucketDepth(limiter *limiter) float64 {
 	if limiter.reducedAt > 0 {
 		return 1
@@ -86,8 +85,7 @@
 	return max(1, math.Sqrt(e.capacity(limiter)))
 }
 
-// drawDrop draws by the formula. A drop is counted and spends the limiter's token; the message stays pending
-// for a later draw.
+// drawDrop draws by the formula. A drop counts and spends a token; the message is pending for a later draw.
 func (e *Engine) drawDrop(limiter *limiter) bool {
 	requests, accepts := limiter.history.totals(e.now)
 	limiter.history.request(e.now)
@@ -104,27 +102,21 @@
 // hasConcurrency: the window and the destination's part of the slots let one more call go.
 func (e *Engine) hasConcurrency(limiter *limiter) bool {
 	share := maxSlotShare
-	if e.failing(limiter) {
+	if slices.ContainsFunc(limiter.endpoints, (*endpoint).failing) {
 		share = maxSlotShareFailing
 	}
 	limit := max(1, int(share*float64(e.settings.MaxConcurrentCalls)))
 	return limiter.destination.callsInFlight < limit && limiter.callsInFlight < max(1, int(limiter.window))
 }
 
-func (e *Engine) failing(limiter *limiter) bool {
-	return slices.ContainsFunc(limiter.endpoints, func(endpoint *endpoint) bool {
-		return endpoint.unhealthy || endpoint.failureScore >= 1-failureScoreDecay
-	})
-}
+func (ep *endpoint) failing() bool { return ep.unhealthy || ep.failureScore >= 1-failureScoreDecay }
 
 // hasToken: the limiter has a token, and no rejection or drop holds it back.
 func (e *Engine) hasToken(limiter *limiter) bool {
 	if limiter.backoffUntil > e.now {
 		return false
 	}
-	if limiter.tokens.level(e.now, e.rateLimit(limiter), e.bucketDepth(limiter)) < 1 {
-		limiter.rateBound = true
-		return false
-	}
-	return true
+	hasToken := limiter.tokens.level(e.now, e.rateLimit(limiter), e.bucketDepth(limiter)) >= 1
+	limiter.rateBound = limiter.rateBound || !hasToken
+	return hasToken
 }
--- a/policy/recovery.go
+++ b/policy/recovery.go
@@ -77,11 +77,8 @@
 		return false
 	}
 	budget := e.nextCallBudget(endpoint) // and the end of its ramp makes it healthy
-	if !endpoint.unhealthy {
-		return true
-	}
-	if endpoint.ejected() && endpoint.lastFailureSilent && endpoint.callsInFlight > 0 {
-		return false // what does not answer would pin a slot for each trial
+	if !endpoint.unhealthy || endpoint.ejected() && endpoint.lastFailureSilent && endpoint.callsInFlight > 0 {
+		return !endpoint.unhealthy // what does not answer would pin a slot for each trial
 	}
 	return endpoint.recoveryBudget.level(e.now, budget.rate, budget.depth) >= budget.cost
 }
@@ -107,17 +104,12 @@
 // is shared by the relays that may have something for the destination since the outage began: all of them
 // where they are few, else about as many as messages have come since. fractional: it is less than one call.
 func (e *Engine) recoveryBudgetRate(endpoint *endpoint) (rate, depth float64, fractional bool) {
-	siblings := 0
-	for _, sibling := range endpoint.limiter.endpoints {
-		if sibling.state != Gone {
-			siblings++
-		}
-	}
 	span := seconds(max(e.settings.OverloadDuration, second))
 	capacity := e.capacity(endpoint.limiter)
 	outage := seconds(e.now-endpoint.firstFailureAt) + span
 	sharers := min(float64(e.settings.Relays), max(1, sharersPerMessage*capacity*outage))
-	full := recoveryBudgetShare * e.settings.OverloadFactor * capacity / float64(max(siblings, 1))
+	siblings := max(len(endpoint.limiter.endpoints), 1)
+	full := recoveryBudgetShare * e.settings.OverloadFactor * capacity / float64(siblings)
 	full = full * span / sharers
 	budget := full * e.rampedCapacity(endpoint)
 	if depth = budget / 4; endpoint.connectCost > 0 { // a connection and its call come at once
@@ -128,8 +120,7 @@
 	}
 	rate = (budget - depth) / span
 	if endpoint.recoveredAt > 0 {
-		// On a ramp it bears what an overload duration allows on average, not what it can do by its end: so
-		// less may be saved up, by a relay that was restarted or had nothing to send.
+		// On a ramp it bears what the span allows on average, not what it can do by its end: save less.
 		rise := (1 - e.settings.InitialCapacity) * span * 1e6 / float64(max(e.settings.RampDuration, 1))
 		depth = max(depth-full*rise/2, 1+endpoint.connectCost)
 	}
--- a/policy/retry.go
+++ b/policy/retry.go
@@ -34,31 +34,33 @@
 	return message.firstUncertainAt + window - transit
 }
 
+// recordUncertainAttempt notes the first attempt of a message that may have run, and the end of its window.
+func (e *Engine) recordUncertainAttempt(message *message, sentAt Time, zone int) {
+	message.firstUncertainAt, message.firstUncertainZone = sentAt, zone
+	windowEnd := sentAt + message.class.DedupWindow - 2*e.settings.TickInterval + 1
+	e.timers.add(max(windowEnd, e.now+1), func() { e.reevaluate(message) })
+}
+
 // attemptTimeout is when an attempt times out.
 func (e *Engine) attemptTimeout(message *message, endpoint *endpoint) Time {
 	last := message.deadline - 2*e.deadlineMargin()
 	if message.class.Idempotency == NonIdempotent {
 		return last // it cannot be tried again
 	}
-	timeout := float64(message.class.LatencyObjective)
-	if latency := &endpoint.limiter.latency; latency.count > 0 {
-		timeout = max(overdueLatencyMultiple*latency.mean+overdueLatencyMultiple*latency.deviation, timeout)
-	}
-	return min(last, e.now+Time(timeout))
+	usual := endpoint.limiter.latency.upperBound(overdueLatencyMultiple)
+	return min(last, e.now+Time(max(usual, float64(message.class.LatencyObjective))))
 }
 
 // overdueAfter is how long a call to an endpoint usually takes at most.
 func (e *Engine) overdueAfter(endpoint *endpoint) Time {
-	latency := &endpoint.latency
-	if latency.count == 0 {
+	if endpoint.latency.count == 0 {
 		return overdueLatencyMultiple * e.usualLatency(endpoint.limiter.destination)
 	}
-	return Time(overdueLatencyMultiple*latency.mean + overdueLatencyMultiple*latency.deviation)
+	return Time(endpoint.latency.upperBound(overdueLatencyMultiple))
 }
 
 // cancelOverdueCall cancels a call that has been out for long while every slot was taken and messages waited
-// for as long. It guards against calls that hang here and there where others are answered. Harm: work nearly
-// done is done again. A non-idempotent message, which has no retry, is given longer.
+// for as long. Harm: work nearly done is done again. A non-idempotent message, without a retry, has longer.
 func (e *Engine) cancelOverdueCall(call *call) {
 	patience := e.overdueAfter(call.endpoint) + 1
 	if call.messages[0].class.Idempotency == NonIdempotent {
--- a/policy/schedule.go
+++ b/policy/schedule.go
@@ -27,8 +27,10 @@
 	return h[i].at < h[j].at || h[i].at == h[j].at && h[i].seq < h[j].seq
 }
 
+// Push is for the package heap alone.
 func (h *scheduleHeap[T]) Push(item any) { *h = append(*h, item.(scheduledItem[T])) }
 
+// Pop is for the package heap alone.
 func (h *scheduleHeap[T]) Pop() any {
 	last := len(*h) - 1
 	item := (*h)[last]
--- a/policy/snapshot.go
+++ b/policy/snapshot.go
@@ -70,6 +70,27 @@
 	Count     int     `json:"n,omitempty"`
 }
 
+// clone copies all that may be changed.
+func (s *Snapshot) clone() *Snapshot {
+	cloned := *s
+	cloned.TenantQuotas = slices.Clone(s.TenantQuotas)
+	cloned.Limiters = slices.Clone(s.Limiters)
+	for i := range cloned.Limiters {
+		cloned.Limiters[i].Endpoints = slices.Clone(s.Limiters[i].Endpoints)
+	}
+	return &cloned
+}
+
+// learned reports whether a limiter or one of its endpoints differs from a new one.
+func (s *LimiterSnapshot) learned() bool {
+	if s.NominalRate > 0 || s.ReportedRate > 0 || s.ReducedRate > 0 || s.Latency.Count > 0 {
+		return true
+	}
+	return slices.ContainsFunc(s.Endpoints, func(endpoint EndpointSnapshot) bool {
+		return endpoint.Unhealthy || endpoint.LastSuccessAt > 0 || endpoint.LastFailureAt > 0
+	})
+}
+
 func (b tokenBucket) snapshot() TokenBucketSnapshot {
 	return TokenBucketSnapshot{b.at, b.tokens, b.used}
 }
