--- /dev/null
+++ b/policy/dispatch_test.go
@@ -0,0 +1,95 @@
+package policy
+
+import (
+	"fmt"
+	"testing"
+)
+
+// TestBatchSharesOneCall: what waits for one endpoint shares a call and a slot, and the call counts once.
+func TestBatchSharesOneCall(t *testing.T) {
+	settings := singleClassSettings()
+	settings.DestinationKinds[0].BatchSize = 3
+	h := newHarness(t, settings, readyEndpoint(1, 10))
+	h.step(h.message(0, 0), h.message(0, 0), h.message(0, 0))
+	if len(h.sends) != 3 || h.engine.callsInFlight != 1 {
+		t.Fatalf("%d sends in %d calls, want 3 in 1", len(h.sends), h.engine.callsInFlight)
+	}
+	h.now += second / 5
+	h.step(endOf(h.sends[0], Delivered))
+	if h.engine.callsInFlight != 1 {
+		t.Fatal("the slot was freed before the call's last outcome")
+	}
+}
+
+// TestQueueOrderedByWeight: what loses most by waiting goes first; what is over its tenant's share goes last.
+func TestQueueOrderedByWeight(t *testing.T) {
+	settings := singleClassSettings()
+	settings.Classes = append(
+		settings.Classes,
+		Class{Name: "dear", LatencyObjective: 2 * second, Deadline: 20 * second, Weight: 3, LateWeight: 0.3},
+	)
+	settings.Tenants = []Tenant{{Name: "a", Quota: 2}, {Name: "b", Quota: 100}}
+	h := newHarness(t, settings, readyEndpoint(1, 2))
+	h.step(h.message(0, 0)) // takes the window of one
+	var events []Event
+	for i := range 6 {
+		event := h.message(i%2, 0)
+		event.Tenant = 1
+		if i >= 4 {
+			event.Tenant = 0
+		}
+		events = append(events, event)
+	}
+	h.step(events...)
+	h.engine.orderQueue(h.engine.destinations[0])
+	q := h.engine.destinations[0].queue
+	if len(q) != 6 || q[0].class.Name != "dear" || q[5].weight > 0.5 && q[4].weight > 0.5 {
+		t.Fatalf("queue of %d, first %s, last worth %v", len(q), q[0].class.Name, q[5].weight)
+	}
+}
+
+// TestMessageWithoutEndpoint: a message without a usable endpoint is held, then answered in time by its class.
+func TestMessageWithoutEndpoint(t *testing.T) {
+	h := newHarness(t, singleClassSettings())
+	h.step(h.message(0, 7))
+	if count(h.actions, ActTimer) != 1 || count(h.actions, ActReject) != 0 {
+		t.Fatalf("actions %+v", h.actions)
+	}
+	h.now += 20*second - 5000
+	if h.step(); count(h.actions, ActReject) != 1 {
+		t.Fatalf("no answer before the deadline: %+v", h.actions)
+	}
+}
+
+// BenchmarkStep shows what a message and its answer cost by the size of the fleet; nothing asserts a time.
+func BenchmarkStep(b *testing.B) {
+	for _, n := range []int{20, 700} {
+		b.Run(fmt.Sprint(n, " endpoints"), func(b *testing.B) {
+			engine, _ := New(singleClassSettings(), 1)
+			var list []EndpointUpdate
+			for i := range n {
+				list = append(
+					list,
+					EndpointUpdate{Endpoint: EndpointID(i + 1), State: Ready, Destination: i, Rate: 1e6},
+				)
+			}
+			now := second
+			engine.Step(now, []Event{{Kind: EvListUpdated, ListUpdate: ListCached, Updates: list}}, nil)
+			var actions []Action
+			for i := range b.N {
+				now += 5000
+				id := uint32(i + 1)
+				actions = engine.Step(
+					now,
+					[]Event{{Kind: EvMessageSubmitted, Message: id, Destination: i % n, TimeLeft: 20 * second}},
+					actions[:0],
+				)
+				actions = engine.Step(
+					now,
+					[]Event{{Kind: EvAttemptEnded, Message: id, MessageFinished: true, Latency: 1000}},
+					actions[:0],
+				)
+			}
+		})
+	}
+}
--- a/policy/example_test.go
+++ b/policy/example_test.go
@@ -6,34 +6,40 @@
 	"troutusher/policy"
 )
 
-// A relay asks its policy what to do with a message, and tells it how the call went.
+// A relay asks its engine what to do with a message, and tells it how the call went.
 func Example() {
 	const second = policy.Time(1e6)
-	p, err := policy.New(policy.Settings{
+	engine, err := policy.New(policy.Settings{
 		Relays: 2, MaxConcurrentCalls: 8, MaxAttempts: 6, TickInterval: 5000, ListHasRates: true,
 		InitialCapacity: 0.2, RampDuration: 10 * second, OverloadFactor: 2, OverloadDuration: 3 * second,
 		DestinationKinds: []policy.DestinationKind{{BatchSize: 1}},
-		Classes: []policy.Class{{Name: "order", LatencyObjective: 2 * second, Deadline: 20 * second, Weight: 1, LateWeight: 0.3,
-			Idempotency: policy.IdempotentByKey, DedupWindow: 15 * second}},
+		Classes: []policy.Class{{
+			Name: "order", LatencyObjective: 2 * second, Deadline: 20 * second, Weight: 1, LateWeight: 0.3,
+			Idempotency: policy.IdempotentByKey, DedupWindow: 15 * second,
+		}},
 	}, 42)
 	if err != nil {
 		fmt.Println(err)
 		return
 	}
-	now := 100 * second // the host's own clock, never the module's
-	actions := p.Step(now, []policy.Event{
-		{Kind: policy.EvListUpdated, ListUpdate: policy.ListFull,
-			Updates: []policy.EndpointUpdate{{Endpoint: 7, Destination: 1, State: policy.Ready, Rate: 20}}},
+	now := 100 * second // the host's own clock, never the engine's
+	actions := engine.Step(now, []policy.Event{
+		{
+			Kind: policy.EvListUpdated, ListUpdate: policy.ListFull,
+			Updates: []policy.EndpointUpdate{{Endpoint: 7, Destination: 1, State: policy.Ready, Rate: 20}},
+		},
 		{Kind: policy.EvMessageSubmitted, Message: 1, Class: 0, Destination: 1, TimeLeft: 20 * second},
 	}, nil)
-	for _, a := range actions {
-		if a.Kind == policy.ActSend {
-			fmt.Println("send message", a.Message, "to endpoint", a.Endpoint)
+	for _, action := range actions {
+		if action.Kind == policy.ActSend {
+			fmt.Println("send message", action.Message, "to endpoint", action.Endpoint)
 		}
 	}
 	now += second / 5
-	actions = p.Step(now, []policy.Event{{Kind: policy.EvAttemptEnded, Message: 1, Attempt: 0, Endpoint: 7,
-		Outcome: policy.Delivered, MessageFinished: true, Latency: second / 5}}, actions[:0])
+	actions = engine.Step(now, []policy.Event{{
+		Kind: policy.EvAttemptEnded, Message: 1, Attempt: 0, Endpoint: 7,
+		Outcome: policy.Delivered, MessageFinished: true, Latency: second / 5,
+	}}, actions[:0])
 	fmt.Println("still to do:", len(actions))
 	// Output:
 	// send message 1 to endpoint 7
--- a/policy/guards_test.go
+++ b/policy/guards_test.go
@@ -59,15 +59,17 @@
 	}
 }
 
-// guard is a condition of the engine: its text, what stands in its place in a mutant, and the test that must fail
-// for that.
+// guard is a condition of the engine: its text, what stands in its place in a mutant, and the test that must fail for
+// that.
 type guard struct{ name, text, replacement, test string }
 
 var guards = []guard{
 	{"drain", "ep.state != Ready || ep.identityRejectedUntil", "ep.identityRejectedUntil", "TestRules"},
 	{"identity", "ep.identityRejectedUntil > now || ep.limiter", "ep.limiter", "TestIdentityRejected"},
 	{
-		"cost of a connection", "endpoint.requiredTokens * (1 + e.nextConnectCost(endpoint))", "endpoint.requiredTokens",
+		"cost of a connection",
+		"endpoint.requiredTokens * (1 + e.nextConnectCost(endpoint))",
+		"endpoint.requiredTokens",
 		"TestConnectCostIsPaid",
 	},
 	{"recovering", "Recovering: call.endpoint.unhealthy", "Recovering: false", "TestSendTellsOfRecovery"},
@@ -99,11 +101,15 @@
 	{"answer in time", "inTime && (message.call", "(message.call", "TestRules"},
 	{"attempts", "limit > 0 && counted >= limit", "limit > 0 && counted < 0", "TestRules"},
 	{
-		"attempts not sent", "if event.NotCounted && message.uncountedAttempts < e.settings.MaxAttempts {", "if false {",
+		"attempts not sent",
+		"if event.NotCounted && message.uncountedAttempts < e.settings.MaxAttempts {",
+		"if false {",
 		"TestUnsentAttemptsNotCounted",
 	},
 	{
-		"attempts never sent", "event.NotCounted && message.uncountedAttempts < e.settings.MaxAttempts", "event.NotCounted",
+		"attempts never sent",
+		"event.NotCounted && message.uncountedAttempts < e.settings.MaxAttempts",
+		"event.NotCounted",
 		"TestUnsentAttemptsNotCounted",
 	},
 	{
@@ -224,49 +230,3 @@
 	out, err := cmd.CombinedOutput()
 	return string(out), err
 }
-
-// A keyed message that may have run goes out again only as long as its endpoint
-// knows the key for certain as it arrives, and each repeat says until when; one
-// whose time for that is over is ended, and never sent.
-func TestRetriesStayInDedupWindow(t *testing.T) {
-	for _, window := range []Time{1 * second, 6 * second, 20 * second} {
-		s := singleClassSettings()
-		s.Classes = []Class{{Name: "k", LatencyObjective: second / 2, Deadline: 30 * second, Weight: 1, LateWeight: 0.5, Idempotency: IdempotentByKey, DedupWindow: window}}
-		p, err := New(s, 7)
-		if err != nil {
-			t.Fatal(err)
-		}
-		now := Time(100 * second)
-		list := Event{Kind: EvListUpdated, ListUpdate: ListFull, Updates: []EndpointUpdate{{Endpoint: 1, Destination: 1, State: Ready, Rate: 1000}, {Endpoint: 2, Destination: 1, State: Ready, Rate: 1000}}}
-		events := []Event{list, {Kind: EvMessageSubmitted, Message: 1, Destination: 1, TimeLeft: 30 * second}}
-		var first Time
-		sends, ended := 0, false
-		for range 20000 {
-			acts := p.Step(now, events, nil)
-			events = nil
-			for _, a := range acts {
-				switch a.Kind {
-				case ActSend:
-					if sends++; sends == 1 {
-						if first = now; a.LastByteBy != 0 {
-							t.Errorf("window %d: a first attempt has until %d", window, a.LastByteBy-now)
-						}
-					} else if most := first + window - window/20; a.LastByteBy <= now || a.LastByteBy > max(most, first+window-dedupTransitTime) {
-						t.Errorf("window %d: a repeat %d after the first has until %d", window, now-first, a.LastByteBy-first)
-					}
-					events = append(events, Event{Kind: EvAttemptEnded, Message: 1, Attempt: a.Attempt, Endpoint: a.Endpoint, Outcome: Failed, Latency: 1000})
-					events[len(events)-1].Attempt = sends - 1
-				case ActReject, ActFail:
-					ended = true
-				}
-			}
-			if ended {
-				break
-			}
-			now += 5e3
-		}
-		if sends < 2 || !ended || now-first > window {
-			t.Errorf("window %d: %d sends, ended %v after %d", window, sends, ended, now-first)
-		}
-	}
-}
