--- a/internal/connlimit/closing.go
+++ b/internal/connlimit/closing.go
@@ -9,7 +9,6 @@
 		l.setState(id, StateDraining, now)
 	}
 	l.timers.Cancel(uint32(id))
-	l.closedByReason[reason]++
 	l.closeActions = append(l.closeActions, CloseAction{id, reason})
 }
 
--- a/internal/connlimit/limiter.go
+++ b/internal/connlimit/limiter.go
@@ -30,10 +30,9 @@
 	queueBlockedSince Time // 0 when the listen queue is not blocked
 	admitAfter        Time
 
-	timers         *timerwheel.Wheel
-	expired        []uint32 // kept for its memory
-	closeActions   []CloseAction
-	closedByReason [closeReasonCount]uint64
+	timers       *timerwheel.Wheel
+	expired      []uint32 // kept for its memory
+	closeActions []CloseAction
 }
 
 // New makes a limiter without connections, or returns the error of its limits.
@@ -58,9 +57,6 @@
 // not draining.
 func (l *Limiter) Unvalidated() int { return l.unvalidated }
 
-// ClosedBy returns how many connections were told to close for a reason.
-func (l *Limiter) ClosedBy(reason CloseReason) uint64 { return l.closedByReason[reason] }
-
 // State returns what a connection is doing.
 func (l *Limiter) State(id SlotID) State { return l.slots[id].state }
 
--- a/internal/console/command.go
+++ b/internal/console/command.go
@@ -7,11 +7,11 @@
 	"strings"
 )
 
-// MaxLineBytes is the size of a command's line at most, with its end.
-const MaxLineBytes = 256
+// maxLineBytes is the size of a command's line at most, with its end.
+const maxLineBytes = 256
 
-// ErrLineTooLong is the error of a line that is longer than MaxLineBytes.
-var ErrLineTooLong = errors.New("call too long")
+// errLineTooLong is the error of a line that is longer than maxLineBytes.
+var errLineTooLong = errors.New("call too long")
 
 const lineTooLongReply = "NO call too long\n"
 
@@ -46,14 +46,14 @@
 	return []byte("NO " + reason + "\n")
 }
 
-// FirstLine returns the first line of the input without its end; complete is
-// false if that has not come yet. ErrLineTooLong means that it never will.
-func FirstLine(input []byte) (line []byte, complete bool, err error) {
-	if i := bytes.IndexByte(input[:min(len(input), MaxLineBytes)], '\n'); i >= 0 {
+// firstLine returns the first line of the input without its end; complete is
+// false if that has not come yet. errLineTooLong means that it never will.
+func firstLine(input []byte) (line []byte, complete bool, err error) {
+	if i := bytes.IndexByte(input[:min(len(input), maxLineBytes)], '\n'); i >= 0 {
 		return bytes.TrimSuffix(input[:i], []byte{'\r'}), true, nil
 	}
-	if len(input) >= MaxLineBytes {
-		return nil, false, ErrLineTooLong
+	if len(input) >= maxLineBytes {
+		return nil, false, errLineTooLong
 	}
 	return nil, false, nil
 }
--- a/internal/console/command_test.go
+++ b/internal/console/command_test.go
@@ -10,15 +10,15 @@
 func FuzzFirstLine(f *testing.F) {
 	for _, input := range []string{
 		"READY\n", "\r\n", "STATS\r\nDRAIN\n", "\x00\xff\n",
-		strings.Repeat("a", MaxLineBytes), strings.Repeat("b", MaxLineBytes-1) + "\n",
+		strings.Repeat("a", maxLineBytes), strings.Repeat("b", maxLineBytes-1) + "\n",
 	} {
 		f.Add([]byte(input))
 	}
 	handlers := testHandlers()
 	f.Fuzz(func(t *testing.T, input []byte) {
-		want, complete, err := FirstLine(input)
+		want, complete, err := firstLine(input)
 		for n := range input {
-			line, c, e := FirstLine(input[:n])
+			line, c, e := firstLine(input[:n])
 			if e != nil && err == nil || c && (!complete || !bytes.Equal(line, want)) {
 				t.Fatalf("%d bytes: %q %v %v; all: %q %v %v", n, line, c, e, want, complete, err)
 			}
@@ -26,7 +26,7 @@
 		if !complete {
 			return
 		}
-		if len(want) >= MaxLineBytes || bytes.IndexByte(want, '\n') >= 0 {
+		if len(want) >= maxLineBytes || bytes.IndexByte(want, '\n') >= 0 {
 			t.Fatalf("line %q", want)
 		}
 		reply := string(handlers.Execute(want))
--- a/internal/console/server.go
+++ b/internal/console/server.go
@@ -18,9 +18,9 @@
 )
 
 const (
-	// MaxConns is how many connections may be open at once. The one that has
+	// maxConns is how many connections may be open at once. The one that has
 	// waited for longest without a command makes room.
-	MaxConns = 12
+	maxConns = 12
 
 	readTimeout    = 15 * time.Second // until a command's end
 	writeTimeout   = 2 * time.Second
@@ -90,7 +90,7 @@
 func (s *Server) admit(conn net.Conn) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if len(s.waiting)+s.replying >= MaxConns {
+	if len(s.waiting)+s.replying >= maxConns {
 		if len(s.waiting) == 0 {
 			return false
 		}
@@ -127,9 +127,9 @@
 func (s *Server) serve(conn net.Conn) {
 	defer s.conns.Done()
 	defer func() { _ = conn.Close() }() // after the reply nothing is left to lose
-	var buffer [MaxLineBytes]byte
+	var buffer [maxLineBytes]byte
 	line, complete, err := readLine(conn, buffer[:])
-	replying := complete || errors.Is(err, ErrLineTooLong)
+	replying := complete || errors.Is(err, errLineTooLong)
 	if !s.stopWaiting(conn, replying) || !replying {
 		return // it made room, has left, or took too long
 	}
@@ -151,7 +151,7 @@
 	for size := 0; ; {
 		n, readErr := conn.Read(buffer[size:])
 		size += n
-		line, complete, err := FirstLine(buffer[:size])
+		line, complete, err := firstLine(buffer[:size])
 		if complete || err != nil {
 			return line, complete, err
 		}
--- a/internal/console/server_test.go
+++ b/internal/console/server_test.go
@@ -100,7 +100,7 @@
 		"DISABLE\n":                       "NO unknown call \"DISABLE\", known are READY, STATS, DRAIN, UNDRAIN\n",
 		"\n":                              "NO unknown call \"\", known are READY, STATS, DRAIN, UNDRAIN\n",
 		"READY\nSTATS\n":                  "NO starting\n", // one command a connection
-		strings.Repeat("x", MaxLineBytes): "NO call too long\n",
+		strings.Repeat("x", maxLineBytes): "NO call too long\n",
 	} {
 		conn := dial(t, server)
 		send(t, conn, input)
@@ -122,7 +122,7 @@
 // the one that has been silent for longest makes room.
 func TestSilentClientsAreEvicted(t *testing.T) {
 	server := startServer(t)
-	silent := make([]net.Conn, 3*MaxConns)
+	silent := make([]net.Conn, 3*maxConns)
 	for i := range silent {
 		silent[i] = dial(t, server)
 		if i%2 == 0 {
