--- a/internal/idlestore/bench_test.go
+++ b/internal/idlestore/bench_test.go
@@ -8,35 +8,35 @@
 	"testing"
 )
 
-// What an index of a million ids takes, and how long one look takes: figures of
+// What an index of a million ids takes, and how long one look-up takes: figures of
 // docs/measurements/idle.md.
 //
-//	go test -run '^$' -bench Structures -benchtime 1000000x ./internal/dormant
+//	go test -run '^$' -bench Structures -benchtime 1000000x ./internal/idlestore
 
-// index finds the place of a hash.
+// index finds the position of a hash.
 type index interface {
-	add(hash uint64, place uint32)
-	has(hash uint64, place uint32) bool
+	add(hash uint64, at position)
+	has(hash uint64, at position) bool
 }
 
 type tableIndex struct{ table }
 
-func (t *tableIndex) has(hash uint64, place uint32) bool {
-	_, ok := t.find(hash, place)
+func (t *tableIndex) has(hash uint64, at position) bool {
+	_, ok := t.find(hash, at)
 	return ok
 }
 
-type mapIndex map[uint64]uint32
+type mapIndex map[uint64]position
 
-func (m mapIndex) add(hash uint64, place uint32)      { m[hash] = place }
-func (m mapIndex) has(hash uint64, place uint32) bool { return m[hash] == place }
+func (m mapIndex) add(hash uint64, at position)      { m[hash] = at }
+func (m mapIndex) has(hash uint64, at position) bool { return m[hash] == at }
 
 // blockIndex is sorted slots in blocks, each cut in two as it fills.
 type blockIndex struct{ blocks [][]uint64 }
 
 const maxBlockSlots = 512
 
-func slotKey(hash uint64, place uint32) uint64 { return hash>>32<<32 | uint64(place) }
+func slotKey(hash uint64, at position) uint64 { return hash>>32<<32 | uint64(at) }
 
 func (b *blockIndex) block(k uint64) int {
 	at, ok := slices.BinarySearchFunc(b.blocks, k, func(s []uint64, k uint64) int {
@@ -54,24 +54,24 @@
 	return max(at, 0)
 }
 
-func (b *blockIndex) add(hash uint64, place uint32) {
-	k := slotKey(hash, place)
+func (b *blockIndex) add(hash uint64, at position) {
+	k := slotKey(hash, at)
 	if len(b.blocks) == 0 {
 		b.blocks = [][]uint64{{k}}
 		return
 	}
-	at := b.block(k)
-	s := b.blocks[at]
+	number := b.block(k)
+	s := b.blocks[number]
 	i, _ := slices.BinarySearch(s, k)
 	s = slices.Insert(s, i, k)
-	if b.blocks[at] = s; len(s) == maxBlockSlots {
-		b.blocks[at] = slices.Clone(s[:maxBlockSlots/2])
-		b.blocks = slices.Insert(b.blocks, at+1, slices.Clone(s[maxBlockSlots/2:]))
+	if b.blocks[number] = s; len(s) == maxBlockSlots {
+		b.blocks[number] = slices.Clone(s[:maxBlockSlots/2])
+		b.blocks = slices.Insert(b.blocks, number+1, slices.Clone(s[maxBlockSlots/2:]))
 	}
 }
 
-func (b *blockIndex) has(hash uint64, place uint32) bool {
-	_, ok := slices.BinarySearch(b.blocks[b.block(slotKey(hash, place))], slotKey(hash, place))
+func (b *blockIndex) has(hash uint64, at position) bool {
+	_, ok := slices.BinarySearch(b.blocks[b.block(slotKey(hash, at))], slotKey(hash, at))
 	return ok
 }
 
@@ -89,19 +89,21 @@
 	for i := range hashes {
 		hashes[i] = rng.Uint64()
 	}
-	for name, make := range map[string]func() index{"table": func() index { return &tableIndex{} }, "map": func() index { return mapIndex{} },
-		"blocks": func() index { return &blockIndex{} }} {
+	for name, make := range map[string]func() index{
+		"table": func() index { return &tableIndex{} }, "map": func() index { return mapIndex{} },
+		"blocks": func() index { return &blockIndex{} },
+	} {
 		b.Run(name, func(b *testing.B) {
 			before := heapBytes()
 			x := make()
 			for i, h := range hashes {
-				x.add(h, uint32(i))
+				x.add(h, position(i))
 			}
 			held := heapBytes() - before
 			b.ResetTimer()
 			for i := range b.N {
 				k := i * 7919 % n
-				if !x.has(hashes[k], uint32(k)) {
+				if !x.has(hashes[k], position(k)) {
 					b.Fatal("not found")
 				}
 			}
@@ -114,7 +116,13 @@
 func BenchmarkStoreOrMaps(b *testing.B) {
 	const n = 1_000_000
 	one := func(i int) Endpoint {
-		return Endpoint{ID: fmt.Sprintf("shop-%07d-0", i), HostPort: fmt.Sprintf("10.%d.%d.%d:8080", i>>16&255, i>>8&255, i&255), Locality: "a", Flavor: "k", Size: 40}
+		return Endpoint{
+			ID:       fmt.Sprintf("shop-%07d-0", i),
+			HostPort: fmt.Sprintf("10.%d.%d.%d:8080", i>>16&255, i>>8&255, i&255),
+			Locality: "a",
+			Flavor:   "k",
+			Size:     40,
+		}
 	}
 	b.Run("store", func(b *testing.B) {
 		before := heapBytes()
@@ -134,14 +142,14 @@
 	})
 	b.Run("maps", func(b *testing.B) {
 		type dest struct {
-			learned   []byte
+			state     []byte
 			endpoints []Endpoint
 		}
 		before := heapBytes()
 		dests, ids := map[int]*dest{}, map[string]int{}
 		for i := range n {
 			e := one(i)
-			dests[i] = &dest{endpoints: []Endpoint{e}}
+			dests[i] = &dest{state: nil, endpoints: []Endpoint{e}}
 			ids[e.ID] = i
 		}
 		held := heapBytes() - before
