--- a/internal/policystate/kill_test.go
+++ b/internal/policystate/kill_test.go
@@ -2,10 +2,12 @@
 
 import (
 	"bufio"
+	"errors"
 	"fmt"
 	"math/rand/v2"
 	"os"
 	"os/exec"
+	"runtime"
 	"strconv"
 	"strings"
 	"testing"
@@ -38,6 +40,13 @@
 	}
 }
 
+// spin waits for a time that is shorter than a sleep can be.
+func spin(d time.Duration) {
+	for end := time.Now().Add(d); time.Now().Before(end); {
+		runtime.Gosched()
+	}
+}
+
 // A process that is killed by force while it writes, wherever it is: the version
 // that it last told of is read, or the one after it, whole; and the folder holds
 // nothing else after.
@@ -55,7 +64,7 @@
 		if err := cmd.Start(); err != nil {
 			t.Fatal(err)
 		}
-		kill := 1 + rng.Int64N(12)
+		kill, killed := 1+rng.Int64N(12), make(chan error, 1)
 		lines := bufio.NewScanner(out)
 		last := int64(0)
 		for lines.Scan() {
@@ -64,17 +73,24 @@
 				t.Fatalf("round %d: %s", round, lines.Text())
 			}
 			if last = n; n == kill { // and it writes on until it is dead: what it says meanwhile counts
+				wait := time.Duration(rng.Int64N(800)) * time.Microsecond
 				go func() {
-					for end := time.Now().Add(time.Duration(rng.Int64N(800)) * time.Microsecond); time.Now().Before(end); {
-					}
-					cmd.Process.Kill()
+					spin(wait)
+					killed <- cmd.Process.Kill()
 				}()
 			}
 		}
-		cmd.Wait()
+		if err := <-killed; err != nil {
+			t.Fatalf("round %d: not killed: %v", round, err)
+		}
+		var exit *exec.ExitError
+		if err := cmd.Wait(); !errors.As(err, &exit) {
+			t.Fatalf("round %d: ended with %v", round, err)
+		}
 		s := NewStore(dir, "n1", 3<<20)
 		f, err := s.Read()
-		if err != nil || f == nil || f.State.Revision < last || f.State.Revision > last+1 || len(f.State.Policy.Limiters) != 1+int(f.State.Revision%50) {
+		if err != nil || f == nil || f.State.Revision < last || f.State.Revision > last+1 ||
+			len(f.State.Policy.Limiters) != 1+int(f.State.Revision%50) {
 			t.Fatalf("round %d: killed after version %d: %+v, %v", round, last, f, err)
 		}
 		if f.State.Revision > last {
