--- a/internal/relay/answers_test.go
+++ b/internal/relay/answers_test.go
@@ -9,6 +9,7 @@
 
 	"troutusher/internal/console"
 	"troutusher/internal/core"
+	"troutusher/internal/upstream/upstreamtest"
 )
 
 // Guards the words in which clients are answered where nothing is wrong with a
@@ -61,7 +62,7 @@
 		fmt.Fprintf(&got, "%s: %q\n", call, said)
 	}
 	r := &Relay{board: console.NewStats(classNames(testConfigParsed(t)))}
-	r.consoleTLSPeers.Store(newTLSSite(t, nil).partners)
+	r.consoleTLSPeers.Store(upstreamtest.NewTLSSite(t, nil).Dialer)
 	for _, stats := range []string{mustCall(t, env["ROUTER_CONSOLE"], "STATS"), string(r.appendStats(nil))} {
 		for line := range strings.Lines(stats) {
 			name, rest, _ := strings.Cut(strings.TrimSpace(line), ":")
--- /dev/null
+++ b/internal/relay/callrequest.go
@@ -0,0 +1,56 @@
+package relay
+
+import (
+	"bytes"
+	"io"
+	"net/http"
+	"strconv"
+	"time"
+)
+
+const (
+	callPath   = "/v1/messages"
+	healthPath = "/health/live"
+)
+
+// Request is what a [Call] sends, and for how long it waits.
+type Request struct {
+	ID             string
+	IdempotencyKey string // empty for none
+	Body           []byte
+	Timeout        time.Duration // from the begin of the call to its response
+	LoadFields     []string      // of the load reports in responses; none for no reports
+}
+
+// newCallRequest returns the HTTP request of a call. Its GetBody stays nil, so that
+// nothing can send it again.
+func newCallRequest(address string, request *Request) (*http.Request, error) {
+	req, err := http.NewRequest(http.MethodPost, "http://"+address+callPath, nil)
+	if err != nil {
+		return nil, err
+	}
+	if req.ContentLength = int64(len(request.Body)); len(request.Body) > 0 {
+		req.Body = io.NopCloser(bytes.NewReader(request.Body))
+	}
+	req.Header.Set("X-Request-ID", request.ID)
+	if request.IdempotencyKey != "" {
+		req.Header.Set("Idempotency-Key", request.IdempotencyKey)
+	}
+	req.Header.Set("X-Timeout-Ms", strconv.FormatInt(max(request.Timeout.Milliseconds(), 1), 10))
+	req.Header["User-Agent"] = nil
+	return req, nil
+}
+
+// newHealthRequest returns the HTTP request of a health check.
+func newHealthRequest(address string) (*http.Request, error) {
+	return http.NewRequest(http.MethodGet, "http://"+address+healthPath, nil)
+}
+
+// encodeRequest returns the bytes of a request.
+func encodeRequest(req *http.Request) ([]byte, error) {
+	var text bytes.Buffer
+	if err := req.Write(&text); err != nil {
+		return nil, err
+	}
+	return text.Bytes(), nil
+}
--- /dev/null
+++ b/internal/relay/callresult.go
@@ -0,0 +1,55 @@
+package relay
+
+import (
+	"errors"
+	"time"
+
+	"troutusher/internal/sendgate"
+	"troutusher/internal/tlsdial"
+	"troutusher/policy"
+)
+
+var (
+	// ErrCancelled is the cause of a call that was cancelled by [Call.Cancel].
+	ErrCancelled = errors.New("cancelled")
+
+	errPoolFull         = errors.New("no descriptor for another connection")
+	errResponseTooLarge = errors.New("more bytes than an answer may have")
+	errStaleConn        = errors.New("connection ended or brought bytes before the call was written")
+	errHandedOver       = errors.New("the relay's work goes to another process")
+)
+
+// pastDeadline ends reads and writes at once.
+var pastDeadline = time.Unix(1, 0)
+
+// Result is the end of a call or of a health check.
+type Result struct {
+	Outcome policy.Outcome
+	// RetryAfter is the time for which the endpoint, or the reason for which the
+	// call was not sent, asked not to be tried again; 0 for none.
+	RetryAfter policy.Time
+	// SlotsExhausted reports that the endpoint ran nothing since all its slots were
+	// taken.
+	SlotsExhausted bool
+	// ConnectionsOpened is the number of connections over TLS that were opened for
+	// the call.
+	ConnectionsOpened int
+	Final             bool // the message is at its end
+	Elapsed           policy.Time
+	Load              policy.LoadReport
+	Status            int  // of the response; 0 without one
+	Malformed         bool // a response came and cannot be believed
+	Err               error
+}
+
+// notAttempted reports whether there is no connection for a reason that says
+// nothing about the health of the endpoint: it was not asked for one.
+func notAttempted(err error) bool {
+	var rejected *tlsdial.RejectedError
+	var budget handshakeBudgetError
+	return errors.Is(err, errPoolFull) || errors.Is(err, errConnectNotAllowed) || sendgate.IsRefusal(err) ||
+		errors.As(err, &rejected) || errors.As(err, &budget)
+}
+
+// elapsedSince returns the time since a moment in the unit of the policy.
+func elapsedSince(start time.Time) policy.Time { return time.Since(start).Microseconds() }
--- a/internal/relay/calls.go
+++ b/internal/relay/calls.go
@@ -1,73 +1,77 @@
 package relay
 
 import (
-	"bufio"
 	"context"
 	"errors"
 	"net"
 	"os"
 	"sync"
 	"time"
-
-	"troutusher/internal/core"
 )
 
-// The calls that are out, for the hand-over to another process: those whose
-// answer has not begun are parked and passed on; the others end by themselves.
-
-var errHandedOver = errors.New("the relay's work goes to another process")
+// Calls in flight are suspended for the hand-over to another process: one whose
+// response has not begun waits, and its connection can be passed on; the others end
+// by themselves.
 
-// InFlight is the set of calls that are out.
+// InFlight is the set of calls that are in flight. The zero value is empty and ready
+// to use.
 type InFlight struct {
 	mu    sync.Mutex
-	calls map[*core.Call]*Call
+	calls map[*Call]struct{}
 }
 
-func (o *InFlight) Add(k *core.Call, c *Call) {
-	o.mu.Lock()
-	defer o.mu.Unlock()
-	if o.calls == nil {
-		o.calls = map[*core.Call]*Call{}
+// Add adds a call.
+func (f *InFlight) Add(call *Call) {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	if f.calls == nil {
+		f.calls = map[*Call]struct{}{}
 	}
-	o.calls[k] = c
+	f.calls[call] = struct{}{}
 }
 
-func (o *InFlight) Remove(k *core.Call) {
-	o.mu.Lock()
-	defer o.mu.Unlock()
-	delete(o.calls, k)
+// Remove removes a call that has ended.
+func (f *InFlight) Remove(call *Call) {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	delete(f.calls, call)
 }
 
-func (o *InFlight) each(f func(*core.Call, *Call)) {
-	o.mu.Lock()
-	defer o.mu.Unlock()
-	for k, c := range o.calls {
-		f(k, c)
+func (f *InFlight) each(visit func(*Call)) {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	for call := range f.calls {
+		visit(call)
 	}
 }
 
-// Suspend asks every call to come to rest: not begun yet, it never is; written and
-// not answered, it waits. still tells whether all have.
-func (o *InFlight) Suspend() { o.each(func(_ *core.Call, c *Call) { c.suspend() }) }
+// Suspend asks every call to come to rest: one whose request is not written never is
+// and ends as not sent; one that is written and has no response yet waits.
+func (f *InFlight) Suspend() { f.each((*Call).suspend) }
 
-func (o *InFlight) AllSuspended() bool {
-	still := true
-	o.each(func(_ *core.Call, c *Call) { still = still && c.suspendedConn() != nil })
-	return still
+// AllSuspended reports whether every call is suspended.
+func (f *InFlight) AllSuspended() bool {
+	all := true
+	f.each(func(call *Call) { all = all && call.suspendedConn() != nil })
+	return all
 }
 
-// CancelUnsuspended calls off those that have not come to rest: what another process takes over
-// may go out there at once, while their connections would be open here.
-func (o *InFlight) CancelUnsuspended() {
-	o.each(func(_ *core.Call, c *Call) {
-		if c.suspendedConn() == nil {
-			c.cancel(ErrCancelled)
+// CancelUnsuspended cancels the calls that are not suspended: another process may
+// send their messages again at once, while their connections would be open here.
+func (f *InFlight) CancelUnsuspended() {
+	f.each(func(call *Call) {
+		if call.suspendedConn() == nil {
+			call.Cancel()
 		}
 	})
 }
 
-// Resume has the parked calls go on here, or leaves them to the other process.
-func (o *InFlight) Resume(here bool) { o.each(func(_ *core.Call, c *Call) { c.resume(here) }) }
+// Resume has the suspended calls go on in this process.
+func (f *InFlight) Resume() { f.each(func(call *Call) { call.resume(true) }) }
+
+// Abandon leaves the suspended calls to the process that has adopted them. Their
+// results are not reported here.
+func (f *InFlight) Abandon() { f.each(func(call *Call) { call.resume(false) }) }
 
 func (c *Call) suspend() {
 	c.mu.Lock()
@@ -75,16 +79,16 @@
 	if c.resumeHere != nil {
 		return
 	}
-	c.resumeHere = make(chan bool, 1)
 	switch {
 	case c.conn == nil:
+		c.resumeHere = make(chan bool, 1)
 		c.cancel(errHandedOver)
 	case c.conn.tls != nil:
-		// Its keys are in this process alone: it ends here, or is not waited for
-		// any more and may have run.
-		c.resumeHere = nil
+		// Its keys are in this process alone: it ends here, or is cancelled and may
+		// have run.
 	default:
-		c.conn.SetReadDeadline(pastDeadline)
+		c.resumeHere = make(chan bool, 1)
+		c.conn.expireReadsAt(pastDeadline)
 	}
 }
 
@@ -97,7 +101,7 @@
 	}
 }
 
-// suspendedConn is the connection of a call that rests; nil for one that does not.
+// suspendedConn returns the connection of a suspended call; nil for one that is not.
 func (c *Call) suspendedConn() *poolConn {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -107,20 +111,34 @@
 	return c.conn
 }
 
-// markSent keeps the connection of a call whose last byte is out.
+// SuspendedFD returns the file descriptor of a suspended call's connection, to be
+// passed to another process; it stays the call's own. ok is false for a call that is
+// not suspended, or that cannot be passed on.
+func (c *Call) SuspendedFD() (fd int, ok bool) {
+	conn := c.suspendedConn()
+	if conn == nil {
+		return 0, false
+	}
+	fd, err := conn.descriptor()
+	return fd, err == nil
+}
+
+// markSent keeps the connection of a call whose last byte is written.
 func (c *Call) markSent(conn *poolConn) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.conn = conn
-	if c.resumeHere != nil && conn.tls != nil {
+	switch {
+	case c.resumeHere == nil:
+	case conn.tls != nil:
 		c.resumeHere = nil
-	} else if c.resumeHere != nil {
-		conn.SetReadDeadline(pastDeadline)
+	default:
+		conn.expireReadsAt(pastDeadline)
 	}
 }
 
-// awaitFirstByte waits until an answer begins, or nothing is to be waited for any more.
-// It is false where the call goes on in another process.
+// awaitFirstByte waits until a response begins, or until the call has ended without
+// one. It is false where the call goes on in another process.
 func (c *Call) awaitFirstByte(ctx context.Context, conn *poolConn) bool {
 	for {
 		_, err := conn.reader.Peek(1)
@@ -128,41 +146,50 @@
 			return true
 		}
 		c.mu.Lock()
-		ceding := c.resumeHere
-		c.suspended = ceding != nil
+		resumeHere := c.resumeHere
+		c.suspended = resumeHere != nil
 		c.mu.Unlock()
-		if ceding != nil && !<-ceding {
+		if resumeHere != nil && !<-resumeHere {
 			return false
 		}
-		conn.SetReadDeadline(time.Time{})
+		conn.expireReadsAt(time.Time{})
 		if ctx.Err() != nil { // its deadline may be the one just cleared
-			conn.SetDeadline(pastDeadline)
+			conn.expireAt(pastDeadline)
 		}
 	}
 }
 
-// Adopt waits for the answer to a call that another process has written.
-func (c *Call) Adopt(h *Endpoint, fd int, rec *record, limit time.Duration, loads []string, tell func(Result)) error {
-	file := os.NewFile(uintptr(fd), "call")
-	raw, err := net.FileConn(file)
-	file.Close()
+// Adopt waits for the response to a call that another process has written, on the
+// connection with a file descriptor, which it takes over. It reports the result once,
+// but with an error reports nothing.
+func (c *Call) Adopt(endpoint *Endpoint, fd int, request Request, report func(Result)) error {
+	conn, err := endpoint.adoptConn(fd)
 	if err != nil {
 		return err
 	}
-	p := h.pool
-	p.mu.Lock()
-	p.open++
-	p.mu.Unlock()
-	conn := &poolConn{Conn: raw, endpoint: h, remaining: maxResponseBytes}
-	conn.reader = bufio.NewReader(conn)
-	ctx, cancel := context.WithTimeoutCause(c.ctx, limit, context.DeadlineExceeded)
+	ctx, cancel := context.WithTimeoutCause(c.ctx, request.Timeout, context.DeadlineExceeded)
 	defer cancel()
-	req, err := newCallRequest(h.addr, rec.ID, rec.Key, rec.Body, limit)
+	req, err := newCallRequest(endpoint.address, &request)
 	if err != nil {
 		conn.discard()
 		return err
 	}
 	c.markSent(conn)
-	c.awaitResponse(ctx, conn, req, time.Now().Add(-c.elapsedBefore), loads, tell)
+	c.awaitResponse(ctx, conn, req, time.Now().Add(-c.elapsedBefore), request.LoadFields, report)
 	return nil
 }
+
+// adoptConn makes a connection of the pool of a file descriptor. It counts among the
+// open ones, also above their bound.
+func (e *Endpoint) adoptConn(fd int) (*poolConn, error) {
+	file := os.NewFile(uintptr(fd), "call")
+	raw, err := net.FileConn(file)
+	_ = file.Close() // the connection has a copy
+	if err != nil {
+		return nil, err
+	}
+	e.pool.mu.Lock()
+	e.pool.open++
+	e.pool.mu.Unlock()
+	return newPoolConn(e, raw), nil
+}
--- a/internal/relay/clients_test.go
+++ b/internal/relay/clients_test.go
@@ -377,3 +377,14 @@
 		}
 	})
 }
+
+// testConfigParsed returns a configuration with the settings of the tests.
+func testConfigParsed(t *testing.T) *config.Config {
+	t.Helper()
+	c, err := config.Parse([]byte(`{"name":"n1","listen":"127.0.0.1:0","discovery":"127.0.0.1:1","state":"x","seed":"1","settings":`+
+		testSettings+`}`), func(string) string { return "" })
+	if err != nil {
+		t.Fatal(err)
+	}
+	return c
+}
--- a/internal/relay/discovery_test.go
+++ b/internal/relay/discovery_test.go
@@ -14,6 +14,7 @@
 
 	"troutusher/internal/core"
 	"troutusher/internal/source/registry"
+	"troutusher/internal/upstream/upstreamtest"
 )
 
 // startListWatcher runs discovery and hands on what it hears.
@@ -50,7 +51,7 @@
 func TestWatch(t *testing.T) {
 	m := core.Member{ID: "s-1", HostPort: "127.0.0.1:1", Dest: 3, Phase: core.Up}
 	d := newFakeDiscovery(t, m)
-	news := startListWatcher(t, d, testLimit)
+	news := startListWatcher(t, d, 20*time.Second)
 	if l := nextList(t, news); !l.Complete || len(l.Members) != 1 {
 		t.Fatalf("first %+v", l)
 	}
@@ -200,9 +201,9 @@
 // has gone silent, a second try comes soon enough for the notice to be in time.
 func TestNoticeOnSilentConnection(t *testing.T) {
 	var tries atomic.Int32
-	addr := serveTCP(t, func(c net.Conn) {
+	addr := upstreamtest.ServeTCP(t, func(c net.Conn) {
 		in := bufio.NewReader(c)
-		for readRequest(in) {
+		for upstreamtest.ReadRequest(in) {
 			if tries.Add(1) != 2 {
 				io.WriteString(c, "HTTP/1.1 204 No Content\r\n\r\n")
 			}
--- a/internal/relay/effects.go
+++ b/internal/relay/effects.go
@@ -1,9 +1,7 @@
 package relay
 
 import (
-	"context"
 	"errors"
-	"syscall"
 	"time"
 
 	"troutusher/internal/core"
@@ -47,26 +45,25 @@
 		r.resumeCall(e.Call)
 	case core.CancelCall:
 		if c, ok := e.Call.Handle.(*Call); ok {
-			c.cancel(ErrCancelled)
+			c.Cancel()
 		}
 	case core.ApplyRetryAfter:
 		if h := r.endpoints[e.Endpoint]; h != nil {
-			h.gate.HoldUntil(r.now(), e.Until)
+			h.HoldUntil(e.Until)
 		}
 	case core.CheckHealth:
 		h, ep := r.endpoints[e.Endpoint], e.Endpoint
 		go func() {
-			o := checkHealth(r.ctx, h)
-			r.post(core.HealthChecked{Endpoint: ep, Result: o.coreResult()})
+			r.post(core.HealthChecked{Endpoint: ep, Result: coreResult(h.CheckHealth(r.ctx))})
 		}()
 	case core.OpenEndpoint:
-		at := scopeKey{dest: e.Dest}
-		if e.IndependentRoute {
-			at = scopeKey{route: e.Endpoint}
-		}
-		h := r.pool.OpenEndpoint(e.Address, r.tlsPeers, uint64(e.Endpoint), e.Dest, e.Flavor)
-		h.gate = r.pool.scope(at).Gate()
-		r.endpoints[e.Endpoint] = h
+		r.endpoints[e.Endpoint] = r.pool.OpenEndpoint(EndpointOptions{
+			ID:               e.Endpoint,
+			Address:          e.Address,
+			Dest:             e.Dest,
+			Flavor:           e.Flavor,
+			IndependentRoute: e.IndependentRoute,
+		})
 	case core.CloseEndpoint:
 		r.endpoints[e.Endpoint].Close()
 	case core.CloseIdleConnections:
@@ -107,22 +104,26 @@
 
 // startCall logs an attempt and then makes it.
 func (r *Relay) startCall(rec *record, out *core.Call) {
-	ctx, stop := context.WithCancelCause(r.ctx)
-	c := &Call{ctx: ctx, cancel: stop, connRequest: connRequest{warmingUp: out.WarmingUp, mayConnect: out.MayConnect}, SendBy: out.SendBy, OnSent: func() { r.board.Sends.Add(1) }}
+	c := NewCall(r.ctx, CallOptions{
+		SendBy:     out.SendBy,
+		WarmingUp:  out.WarmingUp,
+		MayConnect: out.MayConnect,
+		OnSent:     func() { r.board.Sends.Add(1) },
+	})
 	out.Handle = c
-	h, limit := r.endpoints[out.Endpoint], time.Duration(out.Timeout)*time.Microsecond
+	endpoint := r.endpoints[out.Endpoint]
 	r.wal.Submit(rec, func(err error) {
 		if err != nil {
-			stop(err)
+			c.Release()
 			r.post(core.AttemptNotLogged{Call: out})
 			return
 		}
-		r.inFlight.Add(out, c)
+		r.inFlight.Add(c)
 		go func() {
-			defer stop(nil)
-			defer r.inFlight.Remove(out)
-			c.Do(h, out.Record, limit, r.cfg.LoadReportFields, func(o Result) {
-				r.post(core.AttemptFinished{Call: out, Result: o.coreResult()})
+			defer c.Release()
+			defer r.inFlight.Remove(c)
+			c.Do(endpoint, callRequest(out, r.cfg.LoadReportFields), func(result Result) {
+				r.post(core.AttemptFinished{Call: out, Result: coreResult(result)})
 			})
 		}()
 	})
@@ -130,42 +131,28 @@
 
 // resumeCall has a call that the process before had out go on here.
 func (r *Relay) resumeCall(out *core.Call) {
-	ctx, stop := context.WithCancelCause(r.ctx)
-	c := &Call{ctx: ctx, cancel: stop, elapsedBefore: time.Duration(r.now()-out.SentAt()) * time.Microsecond}
+	c := NewCall(r.ctx, CallOptions{ElapsedBefore: time.Duration(r.now()-out.SentAt()) * time.Microsecond})
 	out.Handle = c
-	tell := func(o Result) { r.post(core.AttemptFinished{Call: out, Result: o.coreResult()}) }
+	report := func(result Result) {
+		r.post(core.AttemptFinished{Call: out, Result: coreResult(result)})
+	}
 	fd, ok := r.inheritedCalls[out.Record.ID]
 	if !ok {
-		stop(nil)
-		tell(Result{Outcome: policy.ConnectionReset, Err: errors.New("its connection was not handed over")})
+		c.Release()
+		report(Result{Outcome: policy.ConnectionReset, Err: errors.New("its connection was not handed over")})
 		return
 	}
 	delete(r.inheritedCalls, out.Record.ID)
-	h := r.endpoints[out.Endpoint]
-	if h == nil { // its endpoint has left
-		h = r.pool.newEndpoint("")
-		h.closed = true
+	endpoint := r.endpoints[out.Endpoint]
+	if endpoint == nil { // it has left
+		endpoint = r.pool.ClosedEndpoint()
 	}
-	limit := time.Duration(out.Timeout) * time.Microsecond
-	r.inFlight.Add(out, c)
+	r.inFlight.Add(c)
 	go func() {
-		defer stop(nil)
-		defer r.inFlight.Remove(out)
-		if err := c.Adopt(h, fd, out.Record, limit, r.cfg.LoadReportFields, tell); err != nil {
-			tell(Result{Outcome: policy.ConnectionReset, Err: err})
+		defer c.Release()
+		defer r.inFlight.Remove(c)
+		if err := c.Adopt(endpoint, fd, callRequest(out, r.cfg.LoadReportFields), report); err != nil {
+			report(Result{Outcome: policy.ConnectionReset, Err: err})
 		}
 	}()
 }
-
-// descriptor is the connection's descriptor, which stays its own.
-func (c *poolConn) descriptor() (fd int, err error) {
-	s, ok := c.Conn.(syscall.Conn)
-	if !ok {
-		return 0, errors.New("no socket")
-	}
-	raw, err := s.SyscallConn()
-	if err != nil {
-		return 0, err
-	}
-	return fd, raw.Control(func(n uintptr) { fd = int(n) })
-}
--- a/internal/relay/endpoints.go
+++ b/internal/relay/endpoints.go
@@ -1,423 +1,238 @@
 package relay
 
 import (
-	"bytes"
-	"cmp"
-	"context"
+	"bufio"
 	"errors"
 	"fmt"
 	"io"
 	"net/http"
 	"strconv"
 	"strings"
-	"sync"
 	"syscall"
 	"time"
 
-	"troutusher/internal/core"
-	"troutusher/internal/sendgate"
-	"troutusher/internal/tlsdial"
 	"troutusher/policy"
 )
 
 const (
-	callPath            = "/v1/messages"
-	healthPath          = "/health/live"
-	maxResponseBytes    = 192 << 10              // bytes of an answer that are read, with what comes ahead of it
-	responseReadTimeout = 300 * time.Millisecond // from an answer's first byte to its last: it is written at once
-	lateResponseGrace   = 10 * time.Millisecond  // for what has come of an answer by the time that it is given up
-	maxConnAttempts     = 4                      // connections on which one call is begun
-	maxInterimResponses = 8                      // 1xx answers ahead of the last
-	healthCheckTimeout  = 2 * time.Second        // a probe that takes longer has failed
+	maxResponseBytes    = 192 << 10              // read of a response, with what comes ahead of it
+	maxResponseBody     = 64 << 10               // by its Content-Length
+	maxInterimResponses = 8                      // 1xx ahead of the final response
+	responseReadTimeout = 300 * time.Millisecond // from a response's first byte to its last: it is written at once
 	maxRetryAfter       = 10 * time.Minute
 	maxLoad             = 1e6 // no figure of a load report is higher
 )
 
-var ErrCancelled = errors.New("cancelled")
+var errTooManyInterim = errors.New("too many answers ahead of the last")
 
-// Call is one call out.
-type Call struct {
-	SendBy        policy.Time // its last byte goes out by then or never; 0 for any time
-	OnSent        func()      // told once its last byte is written; may be nil
-	ctx           context.Context
-	cancel        context.CancelCauseFunc
-	elapsedBefore time.Duration // it was out for so long in another process
-	connRequest   connRequest   // of a connection over TLS
-
-	mu         sync.Mutex
-	conn       *poolConn // once its last byte is out
-	resumeHere chan bool // it is to come to rest; then: whether to go on here
-	suspended  bool
-}
-
-// Result is what became of a call or a probe.
-type Result struct {
-	Outcome           policy.Outcome
-	RetryAfter        policy.Time
-	SlotsExhausted    bool // not sent, since all slots were taken
-	ConnectionsOpened int  // connections over TLS that were opened for it
-	Final             bool // the message is over
-	Elapsed           policy.Time
-	Load              policy.LoadReport
-	Status            int
-	Malformed         bool // an answer came and cannot be believed
-	Err               error
-}
-
-// coreResult is the outcome in the core's words.
-func (o *Result) coreResult() *core.Result {
-	return &core.Result{Outcome: o.Outcome, RetryAfter: o.RetryAfter, SlotsExhausted: o.SlotsExhausted, Final: o.Final, ConnectionsOpened: o.ConnectionsOpened, Elapsed: o.Elapsed, Load: o.Load,
-		Status: o.Status, Malformed: o.Malformed, Err: o.Err}
-}
-
-// newCallRequest makes the request of a call. Its GetBody stays nil.
-func newCallRequest(hostPort, id, key string, body []byte, timeout time.Duration) (*http.Request, error) {
-	req, err := http.NewRequest(http.MethodPost, "http://"+hostPort+callPath, nil)
-	if err != nil {
-		return nil, err
+// readResponse reads a response and reports its result: a status line with 200 is
+// true whatever follows it; anything else is believed only once all of it has been
+// read and makes sense, since a malformed response is that of a call that may have
+// run. It reports whether the connection can carry another call.
+func readResponse(c *poolConn, req *http.Request, loadFields []string, report func(Result)) (keep bool) {
+	status, timer, failure := c.awaitFinalStatus()
+	if timer != nil {
+		defer timer.Stop()
 	}
-	if req.ContentLength = int64(len(body)); len(body) > 0 {
-		req.Body = io.NopCloser(bytes.NewReader(body))
+	if failure != nil {
+		report(*failure)
+		return false
 	}
-	req.Header.Set("X-Request-ID", id)
-	if key != "" {
-		req.Header.Set("Idempotency-Key", key)
-	}
-	req.Header.Set("X-Timeout-Ms", strconv.FormatInt(max(timeout.Milliseconds(), 1), 10))
-	req.Header["User-Agent"] = nil
-	return req, nil
-}
-
-// Do makes the call. It tells what became of it once, as soon as that is
-// certain, and returns when the call's connection carries nothing of it any
-// more.
-func (c *Call) Do(h *Endpoint, rec *record, limit time.Duration, loads []string, tell func(Result)) {
-	began := time.Now()
-	ctx, cancel := context.WithTimeoutCause(c.ctx, limit, context.DeadlineExceeded)
-	defer cancel()
-	end := func(what policy.Outcome, err error) {
-		tell(Result{Outcome: what, Err: err, Elapsed: time.Since(began).Microseconds()})
+	if status == http.StatusOK {
+		report(Result{Outcome: policy.Delivered, Final: true, Status: status})
 	}
-	req, err := newCallRequest(h.addr, rec.ID, rec.Key, rec.Body, limit)
-	if err != nil {
-		end(policy.NotSent, err)
-		return
+	var retryAfter policy.Time
+	resp, err := http.ReadResponse(c.reader, req)
+	if err == nil {
+		retryAfter = c.endpoint.applyRetryAfter(status, resp.Header)
+		err = drainBody(resp)
 	}
-	var text bytes.Buffer
-	if err := req.Write(&text); err != nil {
-		end(policy.NotSent, err)
-		return
+	if status == http.StatusOK {
+		return err == nil && !resp.Close
 	}
-	conn, what, err := c.send(ctx, h, text.Bytes())
-	if err != nil {
-		if errors.Is(context.Cause(c.ctx), errHandedOver) {
-			what = policy.NotSent
-		}
-		wait := policy.Time(0) // after which it may be tried again
-		var turn handshakeBudgetError
-		var held sendgate.RetryAfterError
-		switch {
-		case errors.As(err, &turn):
-			wait = turn.retryAfter.Microseconds()
-		case errors.As(err, &held):
-			wait = held.Remaining
-		}
-		tell(Result{Outcome: what, Err: err, RetryAfter: wait, ConnectionsOpened: c.connRequest.opened, Elapsed: time.Since(began).Microseconds()})
-		return
+	result := Result{Status: status, Err: err}
+	if err == nil {
+		result.Load = parseLoad(resp.Header.Get("X-Server-Load"), loadFields)
+		result.Err = result.readHead(resp.Header)
 	}
-	c.markSent(conn)
-	if c.OnSent != nil {
-		c.OnSent()
+	if result.Err != nil {
+		result.Outcome, result.Malformed, result.RetryAfter = policy.Failed, true, retryAfter
+		result.SlotsExhausted, result.Final = false, false
 	}
-	c.awaitResponse(ctx, conn, req, began, loads, tell)
+	report(result)
+	return result.Err == nil && !resp.Close
 }
 
-// awaitResponse waits for the answer to a call that is out.
-func (c *Call) awaitResponse(ctx context.Context, conn *poolConn, req *http.Request, began time.Time, loads []string, tell func(Result)) {
-	// What lies there already has come, and is heard: it may be a wait.
-	unwatch := context.AfterFunc(ctx, func() { conn.SetDeadline(time.Now().Add(lateResponseGrace)) })
-	if !c.awaitFirstByte(ctx, conn) {
-		unwatch()
-		conn.discard()
-		return
-	}
-	told, dropped := false, false
-	keep := readResponse(conn, req, loads, func(o Result) {
-		told, o.ConnectionsOpened = true, c.connRequest.opened
-		o.Elapsed = time.Since(began).Microseconds()
-		if o.Outcome == policy.ConnectionReset {
-			o.Outcome = c.outcomeWithoutResponse(ctx)
+// awaitFinalStatus waits for the status line of the final response, past interim
+// ones. It returns the status, or a failure; the timer, if there is one, bounds the
+// reading of the rest.
+func (c *poolConn) awaitFinalStatus() (status int, timer *time.Timer, failure *Result) {
+	for interim := 0; ; interim++ {
+		status, timer, err := c.awaitStatus()
+		if err == nil && status < http.StatusOK && interim >= maxInterimResponses {
+			err = errTooManyInterim
 		}
-		if conn.tls != nil && o.Err != nil { // its word that it does not accept us may come late: the next call is spared
-			conn.tls.Endpoint().RecordAlert(o.Err)
+		if err != nil {
+			return 0, timer, failedRead(timer != nil, err)
 		}
-		if o.Outcome != policy.Delivered && (o.Err != nil || o.Malformed) {
-			// What is told now may go out again at once, and the endpoint counts two
-			// copies for as long as this connection is open.
-			conn.discard()
-			dropped = true
+		if status >= http.StatusOK {
+			return status, timer, nil
+		}
+		// The final response may come much later than what is ahead of it.
+		if err := skipHead(c.reader); err != nil || !timer.Stop() {
+			return 0, timer, &Result{Outcome: policy.Failed, Malformed: true, Err: err}
 		}
-		// Nobody waits for the call any more; what is left of its answer has
-		// its own bound.
-		tell(o)
-	})
-	switch over := !unwatch(); {
-	case dropped:
-	case over || !told || !keep:
-		conn.discard()
-	default:
-		conn.release()
 	}
 }
 
-var pastDeadline = time.Unix(1, 0)
-
-// send gets a connection and writes the call to it. With an error, its last
-// byte was not written. A connection that turns out to be of no use before
-// then is replaced: nothing of the call counts so far.
-func (c *Call) send(ctx context.Context, h *Endpoint, text []byte) (*poolConn, policy.Outcome, error) {
-	pass, err := h.gate.Acquire(h.pool.now(), c.cancel)
-	if err != nil {
-		return nil, policy.NotSent, err
+// awaitStatus waits for a status line. The timer, if there is one, was started with
+// its first byte.
+func (c *poolConn) awaitStatus() (status int, timer *time.Timer, err error) {
+	if _, err = c.reader.Peek(1); err == nil {
+		timer = c.startReadTimeout(responseReadTimeout)
 	}
-	defer pass.Release()
-	pass.SendBy = c.SendBy
-	for left := maxConnAttempts - 1; ; left-- {
-		conn, err := h.acquire(ctx, &c.connRequest)
-		if why := pass.StopReason(); err != nil && (why != nil || notAttempted(err)) {
-			return nil, policy.NotSent, cmp.Or(why, err)
-		}
-		if err != nil {
-			return nil, policy.ConnectFailed, err
-		}
-		conn.remaining = maxResponseBytes
-		stop := context.AfterFunc(ctx, func() { conn.SetDeadline(pastDeadline) })
-		clean, err := conn.writeRequest(ctx, pass, text)
-		mine := stop() // else its deadline may be set at any moment
-		if err == nil {
-			return conn, 0, nil // the caller watches on
-		}
-		if clean && mine {
-			conn.release()
-		} else {
-			conn.discard()
-		}
-		if sendgate.IsRefusal(err) {
-			return nil, policy.NotSent, err
-		}
-		if conn.tls != nil {
-			if out, refused := conn.tls.Endpoint().RecordAlert(err); refused { // it has closed on who we are: nothing ran
-				return nil, policy.NotSent, out
-			}
-		}
-		if left == 0 || ctx.Err() != nil {
-			return nil, policy.ConnectFailed, err
-		}
-		pass.Restart()
+	line, err := peekStatusLine(c.reader)
+	if err != nil {
+		return 0, timer, err
 	}
+	status, err = parseStatus(line)
+	return status, timer, err
 }
 
-// notAttempted reports whether there is no connection for a reason that is not the
-// endpoint's health.
-func notAttempted(err error) bool {
-	var out *tlsdial.RejectedError
-	var turn handshakeBudgetError
-	return err == errPoolFull || sendgate.IsRefusal(err) || err == errConnectNotAllowed || errors.As(err, &out) || errors.As(err, &turn)
+// failedRead is the result of a call whose response has no status line that can be
+// believed; begun is whether any of it had come.
+func failedRead(begun bool, err error) *Result {
+	if begun && !errors.Is(err, io.EOF) && !errors.Is(err, syscall.ECONNRESET) {
+		return &Result{Outcome: policy.Failed, Malformed: true, Err: err}
+	}
+	return &Result{Outcome: policy.ConnectionReset, Err: err}
 }
 
-// outcomeWithoutResponse maps a call that was written and has no answer.
-func (c *Call) outcomeWithoutResponse(ctx context.Context) policy.Outcome {
-	switch {
-	case errors.Is(context.Cause(ctx), ErrCancelled):
-		return policy.Cancelled
-	case ctx.Err() != nil:
-		return policy.TimedOut
+// drainBody reads a response's body to its end.
+func drainBody(resp *http.Response) error {
+	defer func() { _ = resp.Body.Close() }() // the connection is kept or closed by what was read
+	if resp.ContentLength > maxResponseBody {
+		return errResponseTooLarge
 	}
-	return policy.ConnectionReset
+	_, err := io.Copy(io.Discard, resp.Body)
+	return err
 }
 
-// readResponse reads an answer and tells its outcome: a first line with 200 is
-// true whatever follows it; anything else is believed only once all of it has
-// been read and makes sense, since a spoilt answer is that of a call that may
-// have run. It reports whether the connection can carry another call.
-func readResponse(conn *poolConn, req *http.Request, loads []string, tell func(Result)) (keep bool) {
-	status, err := 0, error(nil)
-	stop := func() bool { return true }
-	defer func() { stop() }()
-	begun := false
-	for hints := 0; ; hints++ {
-		var line string
-		if _, err = conn.reader.Peek(1); err == nil {
-			begun = true
-			stop = conn.startReadTimeout(responseReadTimeout)
-		}
-		if line, err = peekStatusLine(conn.reader); err == nil {
-			status, err = parseStatus(line)
-		}
-		if err == nil && status < 200 && hints >= maxInterimResponses {
-			err = errors.New("too many answers ahead of the last")
-		}
-		if err != nil {
-			o := Result{Outcome: policy.ConnectionReset, Err: err}
-			if begun && !errors.Is(err, io.EOF) && !errors.Is(err, syscall.ECONNRESET) {
-				o.Outcome, o.Malformed = policy.Failed, true
-			}
-			tell(o)
-			return false
-		}
-		if status >= 200 {
-			break
-		}
-		// The answer itself may come much later than what is ahead of it.
-		if err := skipHead(conn.reader); err != nil || !stop() {
-			tell(Result{Outcome: policy.Failed, Malformed: true, Err: err})
-			return false
-		}
-		begun = false
+// applyRetryAfter holds calls back for the time that a response asks for; it binds
+// from here on, whatever becomes of the rest of the response. It returns that time.
+func (e *Endpoint) applyRetryAfter(status int, head http.Header) policy.Time {
+	if status != http.StatusTooManyRequests {
+		return 0
 	}
-	if status == http.StatusOK {
-		tell(Result{Outcome: policy.Delivered, Final: true, Status: status})
+	retryAfter, err := parseRetryAfter(head.Get("Retry-After"))
+	if err != nil || retryAfter <= 0 {
+		return 0
 	}
-	resp, err := http.ReadResponse(conn.reader, req)
-	told := policy.Time(0)
-	if err == nil {
-		if status == http.StatusTooManyRequests {
-			// It binds from here on, whatever becomes of the rest of the answer.
-			if wait, bad := parseRetryAfter(resp.Header.Get("Retry-After")); bad == nil && wait > 0 {
-				told = wait
-				now := conn.endpoint.pool.now()
-				conn.endpoint.gate.HoldUntil(now, now+wait)
-			}
-		}
-		if resp.ContentLength > maxBodySize {
-			err = errResponseTooLarge
-		} else {
-			_, err = io.Copy(io.Discard, resp.Body)
-		}
-		resp.Body.Close()
-	}
-	if status == http.StatusOK {
-		return err == nil && !resp.Close
-	}
-	o := Result{Status: status, Err: err}
-	if err == nil {
-		o.Load = parseLoad(resp.Header.Get("X-Server-Load"), loads)
-		o.Err = o.readHead(resp.Header)
-	}
-	if o.Err != nil {
-		o.Outcome, o.Malformed, o.RetryAfter, o.SlotsExhausted, o.Final = policy.Failed, true, told, false, false
-	}
-	tell(o)
-	return o.Err == nil && !resp.Close
+	now := e.pool.now()
+	e.gate.HoldUntil(now, now+retryAfter)
+	return retryAfter
 }
 
-// startReadTimeout gives what is left of an answer some time. The call's own limit stays.
-func (c *poolConn) startReadTimeout(d time.Duration) (stop func() bool) {
-	t := time.AfterFunc(d, func() { c.SetReadDeadline(pastDeadline) })
-	return t.Stop
-}
-
-// readHead maps the head of an answer other than 200 to an outcome. An error means
+// readHead maps the head of a response other than 200 to an outcome. An error means
 // that the head cannot be believed.
-func (o *Result) readHead(head http.Header) error {
-	switch o.Status {
+func (r *Result) readHead(head http.Header) error {
+	switch r.Status {
 	case http.StatusTooManyRequests:
-		wait, err := parseRetryAfter(head.Get("Retry-After"))
+		retryAfter, err := parseRetryAfter(head.Get("Retry-After"))
 		if err != nil {
 			return err
 		}
-		o.Outcome, o.RetryAfter = policy.Rejected, wait
+		r.Outcome, r.RetryAfter = policy.Rejected, retryAfter
 	case http.StatusServiceUnavailable:
-		if o.Outcome = policy.Rejected; head.Get("Slots-Taken") == "1" {
-			o.Outcome, o.SlotsExhausted = policy.NotSent, true
+		if r.Outcome = policy.Rejected; head.Get("Slots-Taken") == "1" {
+			r.Outcome, r.SlotsExhausted = policy.NotSent, true
 		}
 	case http.StatusGatewayTimeout: // has had all its attempts
-		o.Outcome = policy.NotSent
+		r.Outcome = policy.NotSent
 	case http.StatusGone:
-		o.Outcome, o.Final = policy.NotSent, true
-	default: // 500, and what no page names: it may have run
-		o.Outcome = policy.Failed
+		r.Outcome, r.Final = policy.NotSent, true
+	default: // 500, and any status without a meaning of its own: it may have run
+		r.Outcome = policy.Failed
 	}
 	return nil
 }
 
-// parseRetryAfter reads seconds with decimals. None told is no wait.
-func parseRetryAfter(s string) (policy.Time, error) {
-	if s = strings.TrimSpace(s); s == "" {
+// parseRetryAfter parses seconds with decimals. An empty header is no wait.
+func parseRetryAfter(header string) (policy.Time, error) {
+	if header = strings.TrimSpace(header); header == "" {
 		return 0, nil
 	}
-	v, err := strconv.ParseFloat(s, 64)
-	if err != nil || !(v >= 0 && v <= maxRetryAfter.Seconds()) {
-		return 0, fmt.Errorf("Retry-After: %.40q", s)
+	seconds, err := strconv.ParseFloat(header, 64)
+	if err != nil || !(seconds >= 0 && seconds <= maxRetryAfter.Seconds()) {
+		return 0, fmt.Errorf("Retry-After: %.40q", header)
 	}
-	return policy.Time(v * 1e6), nil
+	return policy.Time(seconds * 1e6), nil
 }
 
-// parseLoad reads a report such as x0=0.4,x1=25.
-func parseLoad(s string, fields []string) (l policy.LoadReport) {
+// parseLoad parses a load report such as x0=0.4,x1=25.
+func parseLoad(header string, fields []string) (load policy.LoadReport) {
 	if len(fields) == 0 {
-		return l
+		return load
 	}
-	for part := range strings.SplitSeq(s, ",") {
+	for part := range strings.SplitSeq(header, ",") {
 		name, text, _ := strings.Cut(strings.TrimSpace(part), "=")
-		v, err := strconv.ParseFloat(text, 64)
-		if err != nil || !(v >= 0 && v <= maxLoad) {
+		value, err := strconv.ParseFloat(text, 64)
+		if err != nil || !(value >= 0 && value <= maxLoad) {
 			continue
 		}
 		switch name {
 		case "x0":
-			l.Remaining = v
+			load.Remaining = value
 		case "x1":
-			l.Limit = v
+			load.Limit = value
 		}
 	}
-	return l
+	return load
 }
 
-// checkHealth asks an endpoint whether it is alive.
-func checkHealth(ctx context.Context, h *Endpoint) Result {
-	began := time.Now()
-	ctx, cancel := context.WithTimeout(ctx, healthCheckTimeout)
-	defer cancel()
-	o := Result{Outcome: policy.NotSent}
-	if o.Err = func() error {
-		req, err := http.NewRequest(http.MethodGet, "http://"+h.addr+healthPath, nil)
-		if err != nil {
-			return err
-		}
-		var text bytes.Buffer
-		if err := req.Write(&text); err != nil {
-			return err
+// peekStatusLine waits for a response's status line and leaves it unread.
+func peekStatusLine(reader *bufio.Reader) (string, error) {
+	for n := 1; ; n = reader.Buffered() + 1 {
+		if _, err := reader.Peek(n); err != nil {
+			return "", err
 		}
-		pass, err := h.gate.Acquire(h.pool.now(), func(error) { cancel() })
-		if err != nil {
-			return err
+		buffered, _ := reader.Peek(reader.Buffered()) // which has no error
+		for i, b := range buffered {
+			if b == '\n' {
+				return string(buffered[:i]), nil
+			}
 		}
-		defer pass.Release()
-		conn, err := h.acquire(ctx, &connRequest{warmingUp: true, mayConnect: true})
-		if why := pass.StopReason(); err != nil && (why != nil || notAttempted(err)) {
-			return cmp.Or(why, err)
+	}
+}
+
+// parseStatus reads the status code in a status line.
+func parseStatus(line string) (int, error) {
+	if len(line) < 12 || line[:7] != "HTTP/1." || line[7] < '0' || line[7] > '1' || line[8] != ' ' ||
+		len(line) > 12 && line[12] != ' ' && line[12] != '\r' {
+		return 0, fmt.Errorf("first line %.40q", line)
+	}
+	code := 0
+	for _, digit := range []byte(line[9:12]) {
+		if digit < '0' || digit > '9' {
+			return 0, fmt.Errorf("first line %.40q", line)
 		}
-		if o.Outcome = policy.ConnectFailed; err != nil {
+		code = code*10 + int(digit-'0')
+	}
+	if code < http.StatusContinue {
+		return 0, fmt.Errorf("first line %.40q", line)
+	}
+	return code, nil
+}
+
+// skipHead reads past the head of an interim response.
+func skipHead(reader *bufio.Reader) error {
+	for {
+		line, err := reader.ReadSlice('\n')
+		if err != nil {
 			return err
 		}
-		conn.remaining = maxResponseBytes
-		unwatch := context.AfterFunc(ctx, func() { conn.SetDeadline(pastDeadline) })
-		keep := false
-		if _, err = conn.writeRequest(ctx, pass, text.Bytes()); err == nil {
-			keep = readResponse(conn, req, nil, func(x Result) { o.Outcome, o.Status, err = x.Outcome, x.Status, x.Err })
-		} else if sendgate.IsRefusal(err) {
-			o.Outcome = policy.NotSent
-		}
-		if !unwatch() || !keep {
-			conn.discard()
-		} else {
-			conn.release()
+		if len(line) <= 2 && (len(line) == 1 || line[0] == '\r') {
+			return nil
 		}
-		return err
-	}(); ctx.Err() != nil && o.Status == 0 && !sendgate.IsRefusal(o.Err) {
-		o.Outcome = policy.TimedOut
 	}
-	o.Elapsed = time.Since(began).Microseconds()
-	return o
 }
--- a/internal/relay/endpoints_test.go
+++ b/internal/relay/endpoints_test.go
@@ -11,133 +11,46 @@
 	"testing"
 	"time"
 
-	"troutusher/internal/config"
+	"troutusher/internal/upstream/upstreamtest"
 	"troutusher/policy"
 )
 
-func testConfigParsed(t *testing.T) *config.Config {
-	t.Helper()
-	c, err := config.Parse([]byte(`{"name":"n1","listen":"127.0.0.1:0","discovery":"127.0.0.1:1","state":"x","seed":"1","settings":`+
-		testSettings+`}`), func(string) string { return "" })
-	if err != nil {
-		t.Fatal(err)
-	}
-	return c
-}
-
-func newTestCall() *Call {
-	ctx, stop := context.WithCancelCause(context.Background())
-	return &Call{ctx: ctx, cancel: stop}
-}
-
-const testLimit = 20 * time.Second
-
-// testPool is a pool as a relay has it; what it holds open at the end is a leak.
-func testPool(t *testing.T) *Pool {
-	t.Helper()
-	p := NewPool(1500*time.Millisecond, 9*time.Second, 64)
-	t.Cleanup(func() {
-		p.closeIdleIf(func(*poolConn) bool { return true })
-		if open, _ := p.counts(); open != 0 {
-			t.Errorf("%d connections left open", open)
-		}
-	})
-	return p
-}
-
-// complete makes a call to its end and gives its one outcome.
-func (c *Call) complete(t *testing.T, h *Endpoint, rec *record, limit time.Duration) Result {
-	t.Helper()
-	told := make(chan Result, 4)
-	c.Do(h, rec, limit, nil, func(o Result) { told <- o })
-	if len(told) != 1 {
-		t.Fatalf("told %d outcomes, want 1", len(told))
-	}
-	return <-told
-}
-
-// waitReusable waits until a kept connection may be used again.
-func waitReusable(h *Endpoint) {
-	for {
-		h.pool.mu.Lock()
-		ready := true
-		for _, c := range h.pool.idle {
-			ready = ready && time.Since(c.idleSince) >= reuseDelay
-		}
-		h.pool.mu.Unlock()
-		if ready {
-			return
-		}
-		time.Sleep(time.Millisecond)
-	}
-}
-
-// serveTCP serves connections by hand, for what no HTTP server does.
-func serveTCP(t testing.TB, serve func(net.Conn)) string {
-	t.Helper()
-	ln, err := net.Listen("tcp", "127.0.0.1:0")
-	if err != nil {
-		t.Fatal(err)
-	}
-	t.Cleanup(func() { ln.Close() })
-	go func() {
-		for {
-			conn, err := ln.Accept()
-			if err != nil {
-				return
-			}
-			go func() { defer conn.Close(); serve(conn) }()
-		}
-	}()
-	return ln.Addr().String()
-}
-
-// readRequest reads one whole call off a connection.
-func readRequest(in *bufio.Reader) bool {
-	req, err := http.ReadRequest(in)
-	if err != nil {
-		return false
-	}
-	_, err = io.Copy(io.Discard, req.Body)
-	return err == nil
-}
-
 func TestOutcomeOfResponse(t *testing.T) { forEachTransport(t, testOutcomeOfResponse) }
 
 func testOutcomeOfResponse(t *testing.T, w *transport) {
 	say := func(text string) func(net.Conn) {
 		return func(c net.Conn) {
-			if readRequest(bufio.NewReader(c)) {
+			if upstreamtest.ReadRequest(bufio.NewReader(c)) {
 				io.WriteString(c, text)
 			}
 		}
 	}
 	for name, x := range map[string]struct {
-		serve   func(net.Conn)
-		what    policy.Outcome
-		wait    policy.Time
-		slots   bool
-		settled bool
+		serve      func(net.Conn)
+		outcome    policy.Outcome
+		retryAfter policy.Time
+		slots      bool
+		final      bool
 	}{
-		"delivered":          {serve: say("HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok"), what: policy.Delivered, settled: true},
-		"delivered, cut":     {serve: say("HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nok"), what: policy.Delivered, settled: true},
-		"error":              {serve: say("HTTP/1.1 500 E\r\nContent-Length: 0\r\n\r\n"), what: policy.Failed},
-		"told to wait":       {serve: say("HTTP/1.1 429 W\r\nRetry-After: 0.75\r\nContent-Length: 0\r\n\r\n"), what: policy.Rejected, wait: 750000},
-		"full":               {serve: say("HTTP/1.1 503 F\r\nContent-Length: 0\r\n\r\n"), what: policy.Rejected},
-		"slots taken":        {serve: say("HTTP/1.1 503 F\r\nSlots-Taken: 1\r\nContent-Length: 0\r\n\r\n"), what: policy.NotSent, slots: true},
-		"attempts used up":   {serve: say("HTTP/1.1 504 A\r\nContent-Length: 0\r\n\r\n"), what: policy.NotSent},
-		"over":               {serve: say("HTTP/1.1 410 G\r\nContent-Length: 0\r\n\r\n"), what: policy.NotSent, settled: true},
-		"no page names it":   {serve: say("HTTP/1.1 418 T\r\nContent-Length: 0\r\n\r\n"), what: policy.Failed},
-		"no redirect":        {serve: say("HTTP/1.1 307 R\r\nLocation: /x\r\nContent-Length: 0\r\n\r\n"), what: policy.Failed},
-		"broken after":       {serve: say(""), what: policy.ConnectionReset},
-		"nonsense":           {serve: say("what?\r\n\r\n"), what: policy.Failed},
-		"half an answer":     {serve: say("HTTP/1.1 20"), what: policy.ConnectionReset},
-		"first a hint, then": {serve: say("HTTP/1.1 100 C\r\n\r\nHTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n"), what: policy.Delivered, settled: true},
+		"delivered":          {serve: say("HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok"), outcome: policy.Delivered, final: true},
+		"delivered, cut":     {serve: say("HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nok"), outcome: policy.Delivered, final: true},
+		"error":              {serve: say("HTTP/1.1 500 E\r\nContent-Length: 0\r\n\r\n"), outcome: policy.Failed},
+		"told to wait":       {serve: say("HTTP/1.1 429 W\r\nRetry-After: 0.75\r\nContent-Length: 0\r\n\r\n"), outcome: policy.Rejected, retryAfter: 750000},
+		"full":               {serve: say("HTTP/1.1 503 F\r\nContent-Length: 0\r\n\r\n"), outcome: policy.Rejected},
+		"slots taken":        {serve: say("HTTP/1.1 503 F\r\nSlots-Taken: 1\r\nContent-Length: 0\r\n\r\n"), outcome: policy.NotSent, slots: true},
+		"attempts used up":   {serve: say("HTTP/1.1 504 A\r\nContent-Length: 0\r\n\r\n"), outcome: policy.NotSent},
+		"over":               {serve: say("HTTP/1.1 410 G\r\nContent-Length: 0\r\n\r\n"), outcome: policy.NotSent, final: true},
+		"no page names it":   {serve: say("HTTP/1.1 418 T\r\nContent-Length: 0\r\n\r\n"), outcome: policy.Failed},
+		"no redirect":        {serve: say("HTTP/1.1 307 R\r\nLocation: /x\r\nContent-Length: 0\r\n\r\n"), outcome: policy.Failed},
+		"broken after":       {serve: say(""), outcome: policy.ConnectionReset},
+		"nonsense":           {serve: say("what?\r\n\r\n"), outcome: policy.Failed},
+		"half an answer":     {serve: say("HTTP/1.1 20"), outcome: policy.ConnectionReset},
+		"first a hint, then": {serve: say("HTTP/1.1 100 C\r\n\r\nHTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n"), outcome: policy.Delivered, final: true},
 	} {
 		t.Run(name, func(t *testing.T) {
-			h := w.endpoint(testPool(t), w.serve(t, x.serve))
-			o := newTestCall().complete(t, h, &record{ID: "m", Key: "k", Body: []byte("b")}, testLimit)
-			if o.Outcome != x.what || o.RetryAfter != x.wait || o.SlotsExhausted != x.slots || o.Final != x.settled {
+			h := w.open(testPool(t), w.serve(t, x.serve))
+			o := complete(t, newTestCall(), h, Request{ID: "m", IdempotencyKey: "k", Body: []byte("b"), Timeout: testTimeout})
+			if o.Outcome != x.outcome || o.RetryAfter != x.retryAfter || o.SlotsExhausted != x.slots || o.Final != x.final {
 				t.Errorf("got %+v", o)
 			}
 		})
@@ -156,26 +69,26 @@
 	}
 	refused := ln.Addr().String()
 	ln.Close()
-	if o := newTestCall().complete(t, w.endpoint(p, refused), &record{ID: "m"}, testLimit); o.Outcome != policy.ConnectFailed {
+	if o := complete(t, newTestCall(), w.open(p, refused), Request{ID: "m", Timeout: testTimeout}); o.Outcome != policy.ConnectFailed {
 		t.Errorf("refused: %+v", o)
 	}
 	gone := make(chan struct{}, 2)
 	entered := make(chan struct{}, 2)
 	silent := w.serve(t, func(c net.Conn) {
 		in := bufio.NewReader(c)
-		readRequest(in)
+		upstreamtest.ReadRequest(in)
 		entered <- struct{}{}
 		in.ReadByte() // until the caller closes
 		gone <- struct{}{}
 	})
-	if o := newTestCall().complete(t, w.endpoint(p, silent), &record{ID: "m"}, 50*time.Millisecond); o.Outcome != policy.TimedOut {
+	if o := complete(t, newTestCall(), w.open(p, silent), Request{ID: "m", Timeout: 50 * time.Millisecond}); o.Outcome != policy.TimedOut {
 		t.Errorf("silent: %+v", o)
 	}
 	<-entered
 	<-gone // giving up closes the connection
 	c := newTestCall()
-	go func() { <-entered; c.cancel(ErrCancelled) }()
-	if o := c.complete(t, w.endpoint(p, silent), &record{ID: "m"}, testLimit); o.Outcome != policy.Cancelled {
+	go func() { <-entered; c.Cancel() }()
+	if o := complete(t, c, w.open(p, silent), Request{ID: "m", Timeout: testTimeout}); o.Outcome != policy.Cancelled {
 		t.Errorf("cancelled: %+v", o)
 	}
 	<-gone
@@ -191,20 +104,20 @@
 			var calls atomic.Int32
 			addr := w.serve(t, func(c net.Conn) {
 				in := bufio.NewReader(c)
-				for readRequest(in) {
+				for upstreamtest.ReadRequest(in) {
 					if calls.Add(1) == 2 {
 						return // the second call on a kept connection breaks
 					}
 					io.WriteString(c, "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n")
 				}
 			})
-			h := w.endpoint(testPool(t), addr)
-			rec := &record{ID: "m", Key: "k", Body: body}
-			if o := newTestCall().complete(t, h, rec, testLimit); o.Outcome != policy.Delivered {
+			h := w.open(testPool(t), addr)
+			request := Request{ID: "m", IdempotencyKey: "k", Body: body, Timeout: testTimeout}
+			if o := complete(t, newTestCall(), h, request); o.Outcome != policy.Delivered {
 				t.Fatalf("first: %+v", o)
 			}
 			waitReusable(h)
-			if o := newTestCall().complete(t, h, rec, testLimit); o.Outcome != policy.ConnectionReset {
+			if o := complete(t, newTestCall(), h, request); o.Outcome != policy.ConnectionReset {
 				t.Errorf("second: %+v", o)
 			}
 			if n := calls.Load(); n != 2 {
@@ -212,7 +125,7 @@
 			}
 		})
 	}
-	req, err := newCallRequest("127.0.0.1:1", "m", "k", []byte("b"), time.Second)
+	req, err := newCallRequest("127.0.0.1:1", &Request{ID: "m", IdempotencyKey: "k", Body: []byte("b"), Timeout: time.Second})
 	if err != nil || req.GetBody != nil {
 		t.Errorf("request can be rewound: GetBody %v, err %v", req.GetBody != nil, err)
 	}
@@ -221,10 +134,10 @@
 // Guards the drain grace: a call that waits for its connection when the word
 // of a drain comes must not begin when the connection is there at last.
 func TestDrainStopsWaitingCall(t *testing.T) {
-	ep := newFakeEndpoint(t, nil)
+	ep := newCountingEndpoint(t, http.StatusOK)
 	p := testPool(t)
 	dialing, release := make(chan struct{}), make(chan struct{})
-	h := p.newEndpoint(ep.addr())
+	h := openPlain(p, ep.address)
 	h.dial = func(ctx context.Context, addr string) (net.Conn, error) {
 		close(dialing)
 		<-release
@@ -232,16 +145,16 @@
 	}
 	c := newTestCall()
 	go func() { <-dialing; h.Close(); close(release) }()
-	if o := c.complete(t, h, &record{ID: "m"}, testLimit); o.Outcome != policy.NotSent {
+	if o := complete(t, c, h, Request{ID: "m", Timeout: testTimeout}); o.Outcome != policy.NotSent {
 		t.Errorf("got %+v", o)
 	}
 	if n := ep.count("m"); n != 0 {
 		t.Errorf("the call went out %d times", n)
 	}
 	// The word may also come just as the connection does.
-	h = p.newEndpoint(ep.addr())
+	h = openPlain(p, ep.address)
 	h.Close()
-	if o := newTestCall().complete(t, h, &record{ID: "late"}, testLimit); o.Outcome != policy.NotSent || ep.count("late") != 0 {
+	if o := complete(t, newTestCall(), h, Request{ID: "late", Timeout: testTimeout}); o.Outcome != policy.NotSent || ep.count("late") != 0 {
 		t.Errorf("got %+v, and %d calls", o, ep.count("late"))
 	}
 }
@@ -257,7 +170,7 @@
 	addr := w.serve(t, func(c net.Conn) {
 		conns.Add(1)
 		in := bufio.NewReader(c)
-		for readRequest(in) {
+		for upstreamtest.ReadRequest(in) {
 			together <- struct{}{}
 			for len(together) < burst { // all of a burst are out at once
 				time.Sleep(time.Millisecond)
@@ -265,12 +178,12 @@
 			io.Copy(c, bytes.NewReader(append([]byte("HTTP/1.1 200 OK\r\nContent-Length: 9000\r\n\r\n"), make([]byte, 9000)...)))
 		}
 	})
-	h := w.endpoint(testPool(t), addr)
+	h := w.open(testPool(t), addr)
 	for round := range 2 {
 		done, ended := make(chan Result, burst), make(chan bool, burst)
 		for range burst {
 			go func() {
-				newTestCall().Do(h, &record{ID: "m"}, testLimit, nil, func(o Result) { done <- o })
+				newTestCall().Do(h, Request{ID: "m", Timeout: testTimeout}, func(o Result) { done <- o })
 				ended <- true
 			}()
 		}
@@ -313,9 +226,146 @@
 
 func TestCheckHealth(t *testing.T) {
 	for code, want := range map[int]policy.Outcome{200: policy.Delivered, 503: policy.Rejected, 404: policy.Failed} {
-		ep := newFakeEndpoint(t, respondStatus(code))
-		if o := checkHealth(context.Background(), testPool(t).newEndpoint(ep.addr())); o.Outcome != want {
+		ep := newCountingEndpoint(t, code)
+		if o := openPlain(testPool(t), ep.address).CheckHealth(context.Background()); o.Outcome != want {
 			t.Errorf("%d: %+v", code, o)
 		}
 	}
 }
+
+// The end of the time in which an endpoint knows a key, and a connection that comes
+// up late: a repeat that was in time as it was begun is not written after it, in
+// either order of the two, and it never ran. The connection stays good for others.
+func TestRetryInsideDedupWindow(t *testing.T) {
+	for name, up := range map[string]policy.Time{"in time": 999, "late": 1001} {
+		for _, at := range []string{"before the first byte", "before the last byte"} {
+			ep := newCountingEndpoint(t, http.StatusOK)
+			p := testPool(t)
+			var now atomic.Int64
+			p.now = now.Load
+			h := openPlain(p, ep.address)
+			c := newTestCall()
+			c.sendBy = 1000
+			if at == "before the first byte" {
+				dial := h.dial
+				h.dial = func(ctx context.Context, addr string) (net.Conn, error) {
+					conn, err := dial(ctx, addr) // it comes up as the clock has gone on
+					now.Store(up)
+					return conn, err
+				}
+			} else {
+				dial := h.dial
+				h.dial = func(ctx context.Context, addr string) (net.Conn, error) {
+					conn, err := dial(ctx, addr)
+					return &firstWriteConn{conn.(*net.TCPConn), func() { now.Store(up) }}, err
+				}
+			}
+			o := complete(t, c, h, Request{ID: "m", IdempotencyKey: "k", Timeout: testTimeout})
+			want, calls := policy.Delivered, 1
+			if name == "late" {
+				want, calls = policy.NotSent, 0
+			}
+			if o.Outcome != want || ep.count("m") != calls {
+				t.Errorf("%s, %s: outcome %d (%v), %d calls at the endpoint", name, at, o.Outcome, o.Err, ep.count("m"))
+			}
+			if !o.Outcome.NeverRan() && calls == 0 {
+				t.Errorf("%s, %s: held to have run", name, at)
+			}
+		}
+	}
+}
+
+// firstWriteConn does something as the first bytes are out.
+type firstWriteConn struct {
+	*net.TCPConn
+	then func()
+}
+
+func (c *firstWriteConn) Write(b []byte) (int, error) {
+	n, err := c.TCPConn.Write(b)
+	if c.then != nil {
+		c.then()
+		c.then = nil
+	}
+	return n, err
+}
+
+// A connection is not taken when its endpoint, which counts from when it wrote its
+// A connection is not taken when its endpoint, which counts from when it wrote its
+// answer and closes by its own clock, may close it before the next call is there:
+// two ways of 60 ms and a late turn, also where it keeps connections for a second.
+func TestIdleTimeoutBeforeKeepAlive(t *testing.T) {
+	for _, keep := range []time.Duration{600 * time.Millisecond, time.Second, 2 * time.Second, 10 * time.Second} {
+		p := NewPool(PoolOptions{ConnectTimeout: time.Second, IdleTimeout: keep - IdleMargin(keep), MaxConns: 4})
+		now := time.Now()
+		c := &poolConn{idleSince: now}
+		if !p.expired(c, now.Add(keep-200*time.Millisecond)) {
+			t.Errorf("%v: taken 200 ms before its endpoint closes it", keep)
+		}
+		if p.expired(c, now.Add(keep/2)) {
+			t.Errorf("%v: not taken after half of its time", keep)
+		}
+	}
+}
+
+// What became of a call is told once its connection is over, since the message may
+// go out again in that very moment, and an endpoint counts a second copy for as long
+// as the first one's connection is open: a call that timed out or was called off, an
+// answer that never ends, one that cannot be read.
+func TestResultAfterConnectionClosed(t *testing.T) {
+	forEachTransport(t, testResultAfterConnectionClosed)
+}
+
+func testResultAfterConnectionClosed(t *testing.T, w *transport) {
+	const head = "HTTP/1.1 500 E\r\nContent-Length: 60000\r\n\r\n"
+	for _, x := range []struct {
+		name   string
+		says   string
+		more   string // again and again
+		limit  time.Duration
+		cancel bool
+		want   policy.Outcome
+	}{
+		{"timed out", "", "", 50 * time.Millisecond, false, policy.TimedOut},
+		{"called off", "", "", testTimeout, true, policy.Cancelled},
+		{"stops in the middle", head, "", testTimeout, false, policy.Failed},
+		{"never ends", "HTTP/1.1 500 E\r\nTransfer-Encoding: chunked\r\n\r\n", "1\r\nx\r\n", testTimeout, false, policy.Failed},
+		{"nonsense", "what is this?\r\n", "", testTimeout, false, policy.Failed},
+		{"a wait that cannot be read", "HTTP/1.1 429 W\r\nRetry-After: soon\r\nContent-Length: 0\r\n\r\n", "", testTimeout, false, policy.Failed},
+	} {
+		t.Run(x.name, func(t *testing.T) {
+			came, over := make(chan struct{}), make(chan struct{})
+			h := w.open(testPool(t), w.serve(t, func(c net.Conn) {
+				defer close(over)
+				in := bufio.NewReader(c)
+				if !upstreamtest.ReadRequest(in) {
+					return
+				}
+				close(came)
+				io.WriteString(c, x.says)
+				for x.more != "" {
+					if _, err := io.WriteString(c, x.more); err != nil {
+						return
+					}
+				}
+				io.Copy(io.Discard, in) // until it ends
+			}))
+			c := newTestCall()
+			if x.cancel {
+				go func() { <-came; c.Cancel() }()
+			}
+			told := make(chan Result, 1)
+			c.Do(h, Request{ID: "m", IdempotencyKey: "k", Timeout: x.limit}, func(o Result) {
+				select {
+				case <-over:
+				case <-time.After(2 * time.Second):
+					t.Error("told while its connection was open")
+				}
+				told <- o
+			})
+			if o := <-told; o.Outcome != x.want {
+				t.Errorf("outcome %d, want %d: %v", o.Outcome, x.want, o.Err)
+			}
+		})
+	}
+}
--- a/internal/relay/golden_calls_test.go
+++ b/internal/relay/golden_calls_test.go
@@ -14,6 +14,7 @@
 	"time"
 
 	"troutusher/internal/sendgate"
+	"troutusher/internal/upstream/upstreamtest"
 	"troutusher/policy"
 )
 
@@ -56,25 +57,25 @@
 	body := []byte("{\"amount\":12}\x00\xff\r\n")
 	callWith := func(id, key string, body []byte, limit time.Duration) func(h *Endpoint) {
 		return func(h *Endpoint) {
-			newTestCall().Do(h, &record{ID: id, Key: key, Body: body}, limit, nil, func(Result) {})
+			newTestCall().Do(h, Request{ID: id, IdempotencyKey: key, Body: body, Timeout: limit}, func(Result) {})
 		}
 	}
 	for name, send := range map[string]func(h *Endpoint){
 		"call-with-key.request":     callWith("m-0000017", "5c0f6e1a2b3d4c59", body, 1500*time.Millisecond),
 		"call-without-key.request":  callWith("m-0000018", "", body, 20*time.Second),
 		"call-without-body.request": callWith("m-0000019", "k", nil, 999500*time.Microsecond),
-		"health-check.request":      func(h *Endpoint) { checkHealth(context.Background(), h) },
+		"health-check.request":      func(h *Endpoint) { h.CheckHealth(context.Background()) },
 	} {
 		t.Run(name, func(t *testing.T) {
-			server := serveTCP(t, func(c net.Conn) {
-				if readRequest(bufio.NewReader(c)) {
-					io.WriteString(c, okResponse)
+			server := upstreamtest.ServeTCP(t, func(c net.Conn) {
+				if upstreamtest.ReadRequest(bufio.NewReader(c)) {
+					io.WriteString(c, upstreamtest.OKResponse)
 				}
 			})
 			var written bytes.Buffer
 			p := testPool(t)
 			p.staleCheckDelay = time.Microsecond
-			h := p.newEndpoint(address)
+			h := openPlain(p, address)
 			h.dial = func(_ context.Context, addr string) (net.Conn, error) {
 				if addr != address {
 					t.Errorf("dialled %q", addr)
@@ -90,7 +91,7 @@
 		})
 	}
 	t.Run("call-shortest-limit.request", func(t *testing.T) { // over before it could be written
-		req, err := newCallRequest(address, "m-0000020", "", body[:1], 990*time.Microsecond)
+		req, err := newCallRequest(address, &Request{ID: "m-0000020", Body: body[:1], Timeout: 990 * time.Microsecond})
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -133,12 +134,11 @@
 	}()
 	p := testPool(t)
 	p.now = func() policy.Time { return 1000 }
-	h := p.newEndpoint("endpoint.example.org:8080")
+	h := openPlain(p, "endpoint.example.org:8080")
 	p.open++
-	conn := &poolConn{Conn: here, endpoint: h, remaining: maxResponseBytes}
-	conn.reader = bufio.NewReader(conn)
+	conn := newPoolConn(h, here)
 	defer conn.discard()
-	req, err := newCallRequest(h.addr, "m", "k", nil, time.Second)
+	req, err := newCallRequest(h.address, &Request{ID: "m", IdempotencyKey: "k", Timeout: time.Second})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -149,7 +149,7 @@
 		got.Over, got.Malformed, got.Error = o.Final, o.Malformed, o.Err != nil
 		got.LoadLeft, got.LoadLimit = o.Load.Remaining, o.Load.Limit
 	})
-	got.Hold = retryAfterLeft(h)
+	got.Hold = h.RetryAfter()
 	return got
 }
 
--- a/internal/relay/handover_outgoing.go
+++ b/internal/relay/handover_outgoing.go
@@ -206,7 +206,7 @@
 // sendState sends what the other process needs.
 func (r *Relay) sendState(l *link.Conn) error {
 	by := time.Now().Add(packetTimeout)
-	r.pool.closeIdleIf(func(*poolConn) bool { return true })
+	r.pool.CloseIdle()
 	carried := r.core.ExportHandover(r.now())
 	ids, fds := []string{}, []int{}
 	carried.Calls = slices.DeleteFunc(carried.Calls, func(k core.HandoverCall) bool {
@@ -214,14 +214,10 @@
 		if !ok {
 			return true
 		}
-		conn := c.suspendedConn()
-		if conn == nil {
+		fd, ok := c.SuspendedFD()
+		if !ok {
 			return true // its answer goes on here, and is not waited for
 		}
-		fd, err := conn.descriptor()
-		if err != nil {
-			return true
-		}
 		ids, fds = append(ids, k.Message), append(fds, fd)
 		return false
 	})
@@ -281,7 +277,7 @@
 	r.log.Warn("hand-over: came to nothing, this process serves on")
 	r.notices.resume()
 	r.stateSaver.resume()
-	r.inFlight.Resume(true)
+	r.inFlight.Resume()
 	r.execute(r.core.ResumeSends(r.now(), r.effects[:0]))
 	r.clients.server.Resume()
 	r.lifecycle.resumeServing()
@@ -290,7 +286,7 @@
 // releaseResources closes what the other process has now.
 func (r *Relay) releaseResources() {
 	r.lifecycle.completeHandover()
-	r.inFlight.Resume(false)
+	r.inFlight.Abandon()
 	r.discovery.stop()
 	r.clients.server.Close()
 	r.closeLog()
--- a/internal/relay/pool_test.go
+++ b/internal/relay/pool_test.go
@@ -11,10 +11,11 @@
 	"testing"
 	"time"
 
+	"troutusher/internal/upstream/upstreamtest"
 	"troutusher/policy"
 )
 
-const okResponse = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok"
+const fine = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok"
 
 // Guards what is believed of an answer. A spoilt one is that of a call that
 // may have run, whatever its first line says, unless that says 200; and no
@@ -26,40 +27,40 @@
 	for name, x := range map[string]struct {
 		answer  string
 		goes    bool // the endpoint goes on sending
-		what    policy.Outcome
-		settled bool
+		outcome policy.Outcome
+		final   bool
 		keeps   bool
 	}{
-		"refusal with a short body":     {answer: "HTTP/1.1 503 F\r\nContent-Length: 9\r\n\r\nno", what: policy.Failed},
-		"told to wait with a bad time":  {answer: "HTTP/1.1 429 W\r\nRetry-After: -3\r\nContent-Length: 0\r\n\r\n", what: policy.Failed},
-		"over, head without end":        {answer: "HTTP/1.1 410 G\r\nContent-Le", what: policy.Failed},
-		"not sent, two lengths":         {answer: "HTTP/1.1 504 A\r\nContent-Length: 0\r\nContent-Length: 5\r\n\r\n", what: policy.Failed},
-		"refusal, length no number":     {answer: "HTTP/1.1 503 F\r\nContent-Length: many\r\n\r\n", what: policy.Failed},
-		"refusal, negative length":      {answer: "HTTP/1.1 503 F\r\nContent-Length: -1\r\n\r\n", what: policy.Failed},
-		"refusal of 3 GB":               {answer: "HTTP/1.1 503 F\r\nContent-Length: 3221225472\r\n\r\n", goes: true, what: policy.Failed},
-		"refusal, endless head":         {answer: "HTTP/1.1 503 F\r\n", goes: true, what: policy.Failed},
-		"refusal, chunks cut":           {answer: "HTTP/1.1 503 F\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nab", what: policy.Failed},
-		"noise":                         {answer: "\x00\xff\x13noise\x00", what: policy.Failed},
-		"noise with a line":             {answer: "\x00\xffnoise\r\nHTTP/1.1 503 F\r\n\r\n", what: policy.Failed},
-		"endless line":                  {answer: "HTTP/1.1 503 " + long, goes: true, what: policy.Failed},
-		"not quite a code":              {answer: "HTTP/1.1 2000 OK\r\nContent-Length: 0\r\n\r\n", what: policy.Failed},
-		"another protocol":              {answer: "HTTP/2.0 200 OK\r\nContent-Length: 0\r\n\r\n", what: policy.Failed},
-		"delivered, 3 GB":               {answer: "HTTP/1.1 200 OK\r\nContent-Length: 3221225472\r\n\r\n", goes: true, what: policy.Delivered, settled: true},
-		"delivered, head without end":   {answer: "HTTP/1.1 200 OK\r\nX-", what: policy.Delivered, settled: true},
-		"delivered, noise for a head":   {answer: "HTTP/1.1 200 OK\r\n\x00\x01\xff", what: policy.Delivered, settled: true},
-		"delivered, bad length":         {answer: "HTTP/1.1 200 OK\r\nContent-Length: -7\r\n\r\n", what: policy.Delivered, settled: true},
-		"several hints":                 {answer: "HTTP/1.1 100 C\r\n\r\nHTTP/1.1 103 E\r\nLink: x\r\n\r\nHTTP/1.1 102 P\r\n\r\n" + okResponse, what: policy.Delivered, settled: true, keeps: true},
-		"hints without end":             {answer: strings.Repeat("HTTP/1.1 100 C\r\n\r\n", 500), what: policy.Failed},
-		"a hint, then nothing":          {answer: "HTTP/1.1 103 E\r\n", what: policy.Failed},
-		"refusal, then a copy behind":   {answer: "HTTP/1.1 503 F\r\nContent-Length: 0\r\n\r\nHTTP/1.1 503 F\r\nContent-Length: 0\r\n\r\n", what: policy.Rejected},
-		"delivered, then a copy behind": {answer: okResponse + okResponse, what: policy.Delivered, settled: true},
+		"refusal with a short body":     {answer: "HTTP/1.1 503 F\r\nContent-Length: 9\r\n\r\nno", outcome: policy.Failed},
+		"told to wait with a bad time":  {answer: "HTTP/1.1 429 W\r\nRetry-After: -3\r\nContent-Length: 0\r\n\r\n", outcome: policy.Failed},
+		"over, head without end":        {answer: "HTTP/1.1 410 G\r\nContent-Le", outcome: policy.Failed},
+		"not sent, two lengths":         {answer: "HTTP/1.1 504 A\r\nContent-Length: 0\r\nContent-Length: 5\r\n\r\n", outcome: policy.Failed},
+		"refusal, length no number":     {answer: "HTTP/1.1 503 F\r\nContent-Length: many\r\n\r\n", outcome: policy.Failed},
+		"refusal, negative length":      {answer: "HTTP/1.1 503 F\r\nContent-Length: -1\r\n\r\n", outcome: policy.Failed},
+		"refusal of 3 GB":               {answer: "HTTP/1.1 503 F\r\nContent-Length: 3221225472\r\n\r\n", goes: true, outcome: policy.Failed},
+		"refusal, endless head":         {answer: "HTTP/1.1 503 F\r\n", goes: true, outcome: policy.Failed},
+		"refusal, chunks cut":           {answer: "HTTP/1.1 503 F\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nab", outcome: policy.Failed},
+		"noise":                         {answer: "\x00\xff\x13noise\x00", outcome: policy.Failed},
+		"noise with a line":             {answer: "\x00\xffnoise\r\nHTTP/1.1 503 F\r\n\r\n", outcome: policy.Failed},
+		"endless line":                  {answer: "HTTP/1.1 503 " + long, goes: true, outcome: policy.Failed},
+		"not quite a code":              {answer: "HTTP/1.1 2000 OK\r\nContent-Length: 0\r\n\r\n", outcome: policy.Failed},
+		"another protocol":              {answer: "HTTP/2.0 200 OK\r\nContent-Length: 0\r\n\r\n", outcome: policy.Failed},
+		"delivered, 3 GB":               {answer: "HTTP/1.1 200 OK\r\nContent-Length: 3221225472\r\n\r\n", goes: true, outcome: policy.Delivered, final: true},
+		"delivered, head without end":   {answer: "HTTP/1.1 200 OK\r\nX-", outcome: policy.Delivered, final: true},
+		"delivered, noise for a head":   {answer: "HTTP/1.1 200 OK\r\n\x00\x01\xff", outcome: policy.Delivered, final: true},
+		"delivered, bad length":         {answer: "HTTP/1.1 200 OK\r\nContent-Length: -7\r\n\r\n", outcome: policy.Delivered, final: true},
+		"several hints":                 {answer: "HTTP/1.1 100 C\r\n\r\nHTTP/1.1 103 E\r\nLink: x\r\n\r\nHTTP/1.1 102 P\r\n\r\n" + upstreamtest.OKResponse, outcome: policy.Delivered, final: true, keeps: true},
+		"hints without end":             {answer: strings.Repeat("HTTP/1.1 100 C\r\n\r\n", 500), outcome: policy.Failed},
+		"a hint, then nothing":          {answer: "HTTP/1.1 103 E\r\n", outcome: policy.Failed},
+		"refusal, then a copy behind":   {answer: "HTTP/1.1 503 F\r\nContent-Length: 0\r\n\r\nHTTP/1.1 503 F\r\nContent-Length: 0\r\n\r\n", outcome: policy.Rejected},
+		"delivered, then a copy behind": {answer: fine + upstreamtest.OKResponse, outcome: policy.Delivered, final: true},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			closed := make(chan int, 1)
-			h := w.endpoint(testPool(t), w.serve(t, func(c net.Conn) {
+			h := w.open(testPool(t), w.serve(t, func(c net.Conn) {
 				in := bufio.NewReader(c)
-				if !readRequest(in) {
+				if !upstreamtest.ReadRequest(in) {
 					return
 				}
 				io.WriteString(c, x.answer)
@@ -74,11 +75,11 @@
 				io.Copy(io.Discard, in) // the connection stays open from this side
 				closed <- n
 			}))
-			o := newTestCall().complete(t, h, &record{ID: "m", Body: []byte("b")}, testLimit)
-			if o.Outcome != x.what || o.Final != x.settled {
+			o := complete(t, newTestCall(), h, Request{ID: "m", Body: []byte("b"), Timeout: testTimeout})
+			if o.Outcome != x.outcome || o.Final != x.final {
 				t.Errorf("got %+v", o)
 			}
-			if o.Elapsed > (testLimit / 2).Microseconds() {
+			if o.Elapsed > (testTimeout / 2).Microseconds() {
 				t.Errorf("took %d us: it waited for what does not come", o.Elapsed)
 			}
 			if _, idle := h.pool.counts(); (idle != 0) != x.keeps {
@@ -97,8 +98,8 @@
 
 func testDeliveredAtStatusLine(t *testing.T, w *transport) {
 	release := make(chan struct{})
-	h := w.endpoint(testPool(t), w.serve(t, func(c net.Conn) {
-		if readRequest(bufio.NewReader(c)) {
+	h := w.open(testPool(t), w.serve(t, func(c net.Conn) {
+		if upstreamtest.ReadRequest(bufio.NewReader(c)) {
 			io.WriteString(c, "HTTP/1.1 200 OK\r\n")
 			<-release
 		}
@@ -106,7 +107,7 @@
 	told, over := make(chan Result, 1), make(chan struct{})
 	go func() {
 		defer close(over)
-		newTestCall().Do(h, &record{ID: "m"}, testLimit, nil, func(o Result) { told <- o })
+		newTestCall().Do(h, Request{ID: "m", Timeout: testTimeout}, func(o Result) { told <- o })
 	}()
 	if o := <-told; o.Outcome != policy.Delivered {
 		t.Errorf("got %+v", o)
@@ -126,17 +127,17 @@
 
 func testInterimLongBeforeResponse(t *testing.T, w *transport) {
 	release := make(chan struct{})
-	h := w.endpoint(testPool(t), w.serve(t, func(c net.Conn) {
-		if readRequest(bufio.NewReader(c)) {
+	h := w.open(testPool(t), w.serve(t, func(c net.Conn) {
+		if upstreamtest.ReadRequest(bufio.NewReader(c)) {
 			io.WriteString(c, "HTTP/1.1 102 P\r\n\r\n")
 			<-release
-			io.WriteString(c, okResponse)
+			io.WriteString(c, upstreamtest.OKResponse)
 		}
 	}))
 	told, over := make(chan Result, 1), make(chan struct{})
 	go func() {
 		defer close(over)
-		newTestCall().Do(h, &record{ID: "m"}, testLimit, nil, func(o Result) { told <- o })
+		newTestCall().Do(h, Request{ID: "m", Timeout: testTimeout}, func(o Result) { told <- o })
 	}()
 	select {
 	case o := <-told:
@@ -158,20 +159,20 @@
 func TestBytesAfterResponse(t *testing.T) { forEachTransport(t, testBytesAfterResponse) }
 
 func testBytesAfterResponse(t *testing.T, w *transport) {
-	for name, behind := range map[string]string{"copy": okResponse, "noise": "\x00\x01\x02", "end": ""} {
+	for name, behind := range map[string]string{"copy": upstreamtest.OKResponse, "noise": "\x00\x01\x02", "end": ""} {
 		t.Run("while idle, "+name, func(t *testing.T) {
 			var conns, calls atomic.Int32
 			said := make(chan struct{}, 8)
 			more := make(chan struct{})
-			h := w.endpoint(testPool(t), w.serve(t, func(c net.Conn) {
+			h := w.open(testPool(t), w.serve(t, func(c net.Conn) {
 				first := conns.Add(1) == 1
 				in := bufio.NewReader(c)
-				for readRequest(in) {
+				for upstreamtest.ReadRequest(in) {
 					if calls.Add(1); !first {
 						io.WriteString(c, "HTTP/1.1 503 F\r\nContent-Length: 0\r\n\r\n")
 						continue
 					}
-					io.WriteString(c, okResponse)
+					io.WriteString(c, upstreamtest.OKResponse)
 					<-more
 					io.WriteString(c, behind)
 					said <- struct{}{}
@@ -180,7 +181,7 @@
 					}
 				}
 			}))
-			if o := newTestCall().complete(t, h, &record{ID: "a"}, testLimit); o.Outcome != policy.Delivered {
+			if o := complete(t, newTestCall(), h, Request{ID: "a", Timeout: testTimeout}); o.Outcome != policy.Delivered {
 				t.Fatalf("first: %+v", o)
 			}
 			if _, idle := h.pool.counts(); idle != 1 {
@@ -194,7 +195,7 @@
 				defer h.pool.mu.Unlock()
 				return len(h.pool.idle) == 0 || !h.pool.idle[0].reusable()
 			})
-			if o := newTestCall().complete(t, h, &record{ID: "b"}, testLimit); o.Outcome != policy.Rejected {
+			if o := complete(t, newTestCall(), h, Request{ID: "b", Timeout: testTimeout}); o.Outcome != policy.Rejected {
 				t.Errorf("second: %+v", o)
 			}
 			if conns.Load() != 2 || calls.Load() != 2 {
@@ -208,20 +209,20 @@
 		}
 		var conns atomic.Int32
 		got := make(chan int, 4) // bytes of the second call on the first connection
-		h := w.endpoint(testPool(t), w.serve(t, func(c net.Conn) {
+		h := w.open(testPool(t), w.serve(t, func(c net.Conn) {
 			first := conns.Add(1) == 1
 			in := bufio.NewReader(c)
-			for n := 0; readRequest(in); n++ {
+			for n := 0; upstreamtest.ReadRequest(in); n++ {
 				if !first {
 					io.WriteString(c, "HTTP/1.1 503 F\r\nContent-Length: 0\r\n\r\n")
 					continue
 				}
-				io.WriteString(c, okResponse)
+				io.WriteString(c, upstreamtest.OKResponse)
 				rest, _ := io.ReadAll(in)
 				got <- strings.Count(string(rest), "tail of the body")
 			}
 		}))
-		if o := newTestCall().complete(t, h, &record{ID: "a"}, testLimit); o.Outcome != policy.Delivered {
+		if o := complete(t, newTestCall(), h, Request{ID: "a", Timeout: testTimeout}); o.Outcome != policy.Delivered {
 			t.Fatalf("first: %+v", o)
 		}
 		waitReusable(h)
@@ -229,7 +230,7 @@
 		c := h.pool.idle[0]
 		c.Conn = &closeReadOnWriteConn{TCPConn: c.Conn.(*net.TCPConn)}
 		h.pool.mu.Unlock()
-		if o := newTestCall().complete(t, h, &record{ID: "b", Body: []byte("the tail of the body")}, testLimit); o.Outcome != policy.Rejected {
+		if o := complete(t, newTestCall(), h, Request{ID: "b", Body: []byte("the tail of the body"), Timeout: testTimeout}); o.Outcome != policy.Rejected {
 			t.Errorf("second: %+v", o)
 		}
 		if n := <-got; n != 0 || conns.Load() != 2 {
@@ -261,21 +262,21 @@
 func testSilentlyDroppedConnection(t *testing.T, w *transport) {
 	var conns, calls atomic.Int32
 	p := testPool(t)
-	h := w.endpoint(p, w.serve(t, func(c net.Conn) {
+	h := w.open(p, w.serve(t, func(c net.Conn) {
 		first := conns.Add(1) == 1
 		in := bufio.NewReader(c)
-		if !readRequest(in) {
+		if !upstreamtest.ReadRequest(in) {
 			return
 		}
 		calls.Add(1)
-		io.WriteString(c, okResponse)
+		io.WriteString(c, upstreamtest.OKResponse)
 		if first {
 			in.ReadByte() // of the next call
 			tcpConnOf(c).SetLinger(0)
 		}
 	}))
 	p.staleCheckDelay = time.Millisecond
-	if o := newTestCall().complete(t, h, &record{ID: "a"}, testLimit); o.Outcome != policy.Delivered {
+	if o := complete(t, newTestCall(), h, Request{ID: "a", Timeout: testTimeout}); o.Outcome != policy.Delivered {
 		t.Fatalf("first: %+v", o)
 	}
 	waitReusable(h)
@@ -284,8 +285,8 @@
 		p.staleCheckDelay = time.Millisecond
 		return dial(ctx, addr)
 	}
-	p.staleCheckDelay = testLimit // the reset ends it
-	if o := newTestCall().complete(t, h, &record{ID: "b"}, testLimit); o.Outcome != policy.Delivered {
+	p.staleCheckDelay = testTimeout // the reset ends it
+	if o := complete(t, newTestCall(), h, Request{ID: "b", Timeout: testTimeout}); o.Outcome != policy.Delivered {
 		t.Errorf("second: %+v", o)
 	}
 	if conns.Load() != 2 || calls.Load() != 2 {
@@ -296,13 +297,13 @@
 // Guards what never ran: a connection that breaks before the call's last byte
 // is written.
 func TestBrokenBeforeLastByte(t *testing.T) {
-	h := testPool(t).newEndpoint(serveTCP(t, func(c net.Conn) { io.Copy(io.Discard, c) }))
+	h := openPlain(testPool(t), upstreamtest.ServeTCP(t, func(c net.Conn) { io.Copy(io.Discard, c) }))
 	dial := h.dial
 	h.dial = func(ctx context.Context, addr string) (net.Conn, error) {
 		c, err := dial(ctx, addr)
 		return &failSecondWriteConn{TCPConn: c.(*net.TCPConn)}, err
 	}
-	if o := newTestCall().complete(t, h, &record{ID: "m", Body: []byte("b")}, testLimit); o.Outcome != policy.ConnectFailed {
+	if o := complete(t, newTestCall(), h, Request{ID: "m", Body: []byte("b"), Timeout: testTimeout}); o.Outcome != policy.ConnectFailed {
 		t.Errorf("got %+v", o)
 	}
 }
@@ -326,14 +327,14 @@
 
 func testPoolBounded(t *testing.T, w *transport) {
 	serve := func(c net.Conn) {
-		for in := bufio.NewReader(c); readRequest(in); {
-			io.WriteString(c, okResponse)
+		for in := bufio.NewReader(c); upstreamtest.ReadRequest(in); {
+			io.WriteString(c, upstreamtest.OKResponse)
 		}
 	}
 	p := testPool(t)
 	p.maxConns = 3
 	for i := range 10 {
-		if o := newTestCall().complete(t, w.endpoint(p, w.serve(t, serve)), &record{ID: "m"}, testLimit); o.Outcome != policy.Delivered {
+		if o := complete(t, newTestCall(), w.open(p, w.serve(t, serve)), Request{ID: "m", Timeout: testTimeout}); o.Outcome != policy.Delivered {
 			t.Fatalf("endpoint %d: %+v", i, o)
 		}
 		if open, _ := p.counts(); open > 3 {
@@ -341,9 +342,9 @@
 		}
 	}
 	entered := make(chan struct{}, 3)
-	stuck := w.endpoint(p, w.serve(t, func(c net.Conn) {
+	stuck := w.open(p, w.serve(t, func(c net.Conn) {
 		in := bufio.NewReader(c)
-		readRequest(in)
+		upstreamtest.ReadRequest(in)
 		entered <- struct{}{}
 		in.ReadByte()
 	}))
@@ -352,19 +353,19 @@
 	for range 3 {
 		c := newTestCall()
 		calls = append(calls, c)
-		go func() { c.Do(stuck, &record{ID: "m"}, testLimit, nil, func(o Result) { over <- o }) }()
+		go func() { c.Do(stuck, Request{ID: "m", Timeout: testTimeout}, func(o Result) { over <- o }) }()
 		<-entered
 	}
-	if o := newTestCall().complete(t, stuck, &record{ID: "m"}, testLimit); o.Outcome != policy.NotSent {
+	if o := complete(t, newTestCall(), stuck, Request{ID: "m", Timeout: testTimeout}); o.Outcome != policy.NotSent {
 		t.Errorf("a fourth: %+v", o)
 	}
 	for _, c := range calls {
-		c.cancel(ErrCancelled)
+		c.Cancel()
 		<-over
 	}
 	waitFor(t, "places", func() bool { open, _ := p.counts(); return open == 0 })
-	refused := w.endpoint(p, "127.0.0.1:1")
-	if o := newTestCall().complete(t, refused, &record{ID: "m"}, testLimit); o.Outcome != policy.ConnectFailed {
+	refused := w.open(p, "127.0.0.1:1")
+	if o := complete(t, newTestCall(), refused, Request{ID: "m", Timeout: testTimeout}); o.Outcome != policy.ConnectFailed {
 		t.Errorf("refused: %+v", o)
 	}
 	if open, _ := p.counts(); open != 0 {
@@ -379,16 +380,16 @@
 func testPoolClosesDeadIdle(t *testing.T, w *transport) {
 	end := make(chan struct{})
 	p := testPool(t)
-	h := w.endpoint(p, w.serve(t, func(c net.Conn) {
-		if readRequest(bufio.NewReader(c)) {
-			io.WriteString(c, okResponse)
+	h := w.open(p, w.serve(t, func(c net.Conn) {
+		if upstreamtest.ReadRequest(bufio.NewReader(c)) {
+			io.WriteString(c, upstreamtest.OKResponse)
 			<-end
 		}
 	}))
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan struct{})
 	go func() { defer close(done); p.Run(ctx) }()
-	newTestCall().complete(t, h, &record{ID: "m"}, testLimit)
+	complete(t, newTestCall(), h, Request{ID: "m", Timeout: testTimeout})
 	if _, idle := p.counts(); idle != 1 {
 		t.Fatalf("%d idle", idle)
 	}
@@ -397,14 +398,14 @@
 	cancel()
 	<-done
 	// And one whose endpoint has left is not kept after its call.
-	gone := w.endpoint(p, w.serve(t, func(c net.Conn) {
-		if readRequest(bufio.NewReader(c)) {
-			io.WriteString(c, okResponse)
+	gone := w.open(p, w.serve(t, func(c net.Conn) {
+		if upstreamtest.ReadRequest(bufio.NewReader(c)) {
+			io.WriteString(c, upstreamtest.OKResponse)
 			time.Sleep(time.Millisecond)
 		}
 	}))
 	gone.Close()
-	newTestCall().complete(t, gone, &record{ID: "m"}, testLimit)
+	complete(t, newTestCall(), gone, Request{ID: "m", Timeout: testTimeout})
 	if open, _ := p.counts(); open != 0 {
 		t.Errorf("%d open at an endpoint that left", open)
 	}
--- a/internal/relay/shutdown_test.go
+++ b/internal/relay/shutdown_test.go
@@ -11,13 +11,11 @@
 	"runtime"
 	"strings"
 	"sync"
-	"sync/atomic"
 	"testing"
 	"time"
 
 	"troutusher/internal/config"
 	"troutusher/internal/source/registry"
-	"troutusher/policy"
 )
 
 // inProcessRelay is a relay in the test's own process, so that its seam can be held.
@@ -350,139 +348,3 @@
 		t.Errorf("asked for %q, then %q", a, b)
 	}
 }
-
-// The end of the time in which an endpoint knows a key, and a connection that comes
-// up late: a repeat that was in time as it was begun is not written after it, in
-// either order of the two, and it never ran. The connection stays good for others.
-func TestRetryInsideDedupWindow(t *testing.T) {
-	for name, up := range map[string]policy.Time{"in time": 999, "late": 1001} {
-		for _, at := range []string{"before the first byte", "before the last byte"} {
-			ep := newFakeEndpoint(t, nil)
-			p := testPool(t)
-			var now atomic.Int64
-			p.now = now.Load
-			h := p.newEndpoint(ep.addr())
-			c := newTestCall()
-			c.SendBy = 1000
-			if at == "before the first byte" {
-				dial := h.dial
-				h.dial = func(ctx context.Context, addr string) (net.Conn, error) {
-					conn, err := dial(ctx, addr) // it comes up as the clock has gone on
-					now.Store(up)
-					return conn, err
-				}
-			} else {
-				dial := h.dial
-				h.dial = func(ctx context.Context, addr string) (net.Conn, error) {
-					conn, err := dial(ctx, addr)
-					return &firstWriteConn{conn.(*net.TCPConn), func() { now.Store(up) }}, err
-				}
-			}
-			o := c.complete(t, h, &record{ID: "m", Key: "k"}, testLimit)
-			want, calls := policy.Delivered, 1
-			if name == "late" {
-				want, calls = policy.NotSent, 0
-			}
-			if o.Outcome != want || ep.count("m") != calls {
-				t.Errorf("%s, %s: outcome %d (%v), %d calls at the endpoint", name, at, o.Outcome, o.Err, ep.count("m"))
-			}
-			if !o.Outcome.NeverRan() && calls == 0 {
-				t.Errorf("%s, %s: held to have run", name, at)
-			}
-		}
-	}
-}
-
-// firstWriteConn does something as the first bytes are out.
-type firstWriteConn struct {
-	*net.TCPConn
-	then func()
-}
-
-func (c *firstWriteConn) Write(b []byte) (int, error) {
-	n, err := c.TCPConn.Write(b)
-	if c.then != nil {
-		c.then()
-		c.then = nil
-	}
-	return n, err
-}
-
-// A connection is not taken when its endpoint, which counts from when it wrote its
-// answer and closes by its own clock, may close it before the next call is there:
-// two ways of 60 ms and a late turn, also where it keeps connections for a second.
-func TestIdleTimeoutBeforeKeepAlive(t *testing.T) {
-	for _, keep := range []time.Duration{600 * time.Millisecond, time.Second, 2 * time.Second, 10 * time.Second} {
-		p := NewPool(time.Second, keep-IdleMargin(keep), 4)
-		now := time.Now()
-		c := &poolConn{idleSince: now}
-		if !p.expired(c, now.Add(keep-200*time.Millisecond)) {
-			t.Errorf("%v: taken 200 ms before its endpoint closes it", keep)
-		}
-		if p.expired(c, now.Add(keep/2)) {
-			t.Errorf("%v: not taken after half of its time", keep)
-		}
-	}
-}
-
-// What became of a call is told once its connection is over, since the message may
-// go out again in that very moment, and an endpoint counts a second copy for as long
-// as the first one's connection is open: a call that timed out or was called off, an
-// answer that never ends, one that cannot be read.
-func TestResultAfterConnectionClosed(t *testing.T) {
-	forEachTransport(t, testResultAfterConnectionClosed)
-}
-
-func testResultAfterConnectionClosed(t *testing.T, w *transport) {
-	const head = "HTTP/1.1 500 E\r\nContent-Length: 60000\r\n\r\n"
-	for _, x := range []struct {
-		name   string
-		says   string
-		more   string // again and again
-		limit  time.Duration
-		cancel bool
-		want   policy.Outcome
-	}{
-		{"timed out", "", "", 50 * time.Millisecond, false, policy.TimedOut},
-		{"called off", "", "", testLimit, true, policy.Cancelled},
-		{"stops in the middle", head, "", testLimit, false, policy.Failed},
-		{"never ends", "HTTP/1.1 500 E\r\nTransfer-Encoding: chunked\r\n\r\n", "1\r\nx\r\n", testLimit, false, policy.Failed},
-		{"nonsense", "what is this?\r\n", "", testLimit, false, policy.Failed},
-		{"a wait that cannot be read", "HTTP/1.1 429 W\r\nRetry-After: soon\r\nContent-Length: 0\r\n\r\n", "", testLimit, false, policy.Failed},
-	} {
-		t.Run(x.name, func(t *testing.T) {
-			came, over := make(chan struct{}), make(chan struct{})
-			h := w.endpoint(testPool(t), w.serve(t, func(c net.Conn) {
-				defer close(over)
-				in := bufio.NewReader(c)
-				if !readRequest(in) {
-					return
-				}
-				close(came)
-				io.WriteString(c, x.says)
-				for x.more != "" {
-					if _, err := io.WriteString(c, x.more); err != nil {
-						return
-					}
-				}
-				io.Copy(io.Discard, in) // until it ends
-			}))
-			c := newTestCall()
-			if x.cancel {
-				go func() { <-came; c.cancel(ErrCancelled) }()
-			}
-			told := make(chan Result, 1)
-			c.Do(h, &record{ID: "m", Key: "k"}, x.limit, nil, func(o Result) {
-				select {
-				case <-over:
-				case <-time.After(2 * time.Second):
-					t.Error("told while its connection was open")
-				}
-				told <- o
-			})
-			if o := <-told; o.Outcome != x.want {
-				t.Errorf("outcome %d, want %d: %v", o.Outcome, x.want, o.Err)
-			}
-		})
-	}
-}
--- a/internal/relay/startup.go
+++ b/internal/relay/startup.go
@@ -136,8 +136,13 @@
 	_, maxConns := s.cfg.DescriptorBudget()
 	keepAlive := time.Duration(s.cfg.Policy.IdleTimeout) * time.Microsecond
 	connectTimeout := time.Duration(s.cfg.Policy.ConnectTimeout) * time.Microsecond
-	s.pool = NewPool(connectTimeout, keepAlive-IdleMargin(keepAlive), maxConns)
-	s.pool.now = s.now
+	s.pool = NewPool(PoolOptions{
+		ConnectTimeout: connectTimeout,
+		IdleTimeout:    keepAlive - IdleMargin(keepAlive),
+		MaxConns:       maxConns,
+		Now:            s.now,
+		TLS:            s.tlsPeers,
+	})
 	go s.pool.Run(s.ctx)
 	return nil
 }
--- a/internal/relay/tls_bench_test.go
+++ b/internal/relay/tls_bench_test.go
@@ -2,7 +2,6 @@
 
 import (
 	"bufio"
-	"crypto/tls"
 	"io"
 	"net"
 	"sync"
@@ -11,6 +10,7 @@
 	"time"
 
 	"troutusher/internal/operatorconfig"
+	"troutusher/internal/upstream/upstreamtest"
 	"troutusher/policy"
 )
 
@@ -22,24 +22,26 @@
 	for name, w := range map[string]*transport{"plain": {}, "tls 1.3": nil} {
 		b.Run(name, func(b *testing.B) {
 			if w == nil {
-				s := newTLSSite(b, func(_ *tlsSite, h *operatorconfig.Handshakes) { h.CPUShare, h.BurstMS, h.MaxParallel = 1, 1000, 64 })
-				w = &transport{site: s, cfg: &tls.Config{Certificates: []tls.Certificate{s.own.TLSCertificate()}}}
+				s := upstreamtest.NewTLSSite(b, func(_ *upstreamtest.TLSSite, h *operatorconfig.Handshakes) {
+					h.CPUShare, h.BurstMS, h.MaxParallel = 1, 1000, 64
+				})
+				w = &transport{site: s, config: s.ServerConfig()}
 			}
 			var addr string
 			handle := func(c net.Conn) {
-				for in := bufio.NewReader(c); readRequest(in); {
-					io.WriteString(c, okResponse)
+				for in := bufio.NewReader(c); upstreamtest.ReadRequest(in); {
+					io.WriteString(c, upstreamtest.OKResponse)
 				}
 			}
 			if w.site == nil {
-				addr = serveTCP(b, handle)
+				addr = upstreamtest.ServeTCP(b, handle)
 			} else {
-				addr = serveTLS(b, w.cfg, handle)
+				addr = upstreamtest.ServeTLS(b, w.config, handle)
 			}
-			p := NewPool(1500*time.Millisecond, 9*time.Second, 200)
-			h := w.endpoint(p, addr)
+			p := newTestPool(200)
+			h := w.open(p, addr)
 			call := func() {
-				newTestCall().Do(h, &record{ID: "m", Body: body}, testLimit, nil, func(o Result) {
+				newTestCall().Do(h, Request{ID: "m", Body: body, Timeout: testTimeout}, func(o Result) {
 					if o.Outcome != policy.Delivered {
 						b.Errorf("got %+v", o)
 					}
--- a/internal/relay/tls_relay_test.go
+++ b/internal/relay/tls_relay_test.go
@@ -13,6 +13,7 @@
 
 	"troutusher/internal/config"
 	"troutusher/internal/testca"
+	"troutusher/internal/upstream/upstreamtest"
 )
 
 // newTLSEndpoint is a partner's endpoint over TLS that shows what own says.
@@ -33,10 +34,10 @@
 }
 
 // operatorFile has a relay read the site's rule.
-func operatorFile(t *testing.T, s *tlsSite, env map[string]string, more string) {
+func operatorFile(t *testing.T, s *upstreamtest.TLSSite, env map[string]string, more string) {
 	t.Helper()
-	path := filepath.Join(s.dir, "operator.toml")
-	if err := os.WriteFile(path, []byte(s.operatorFile()+more), 0o600); err != nil {
+	path := filepath.Join(s.Dir, "operator.toml")
+	if err := os.WriteFile(path, []byte(s.OperatorFile()+more), 0o600); err != nil {
 		t.Fatal(err)
 	}
 	env["TROUTUSHER_OPERATOR"] = path
@@ -47,9 +48,9 @@
 // cannot wait is refused with the time to come back, and no message is needed
 // for the partner to be found sound again. The others serve on.
 func TestRelayThroughARotation(t *testing.T) {
-	s := newTLSSite(t, nil)
+	s := upstreamtest.NewTLSSite(t, nil)
 	var shown atomic.Pointer[testca.Issued]
-	shown.Store(s.own)
+	shown.Store(s.PeerCert)
 	ep := newTLSEndpoint(t, shown.Load, nil)
 	other := newFakeEndpoint(t, nil)
 	plain := other.member("o", 2)
@@ -64,7 +65,7 @@
 		t.Fatal(got)
 	}
 	waitFor(t, "the first delivery", func() bool { return ep.count("a") == 1 })
-	shown.Store(issueCert(t, s.root, "shop.example.org"))
+	shown.Store(upstreamtest.IssueCert(t, s.Root, "shop.example.org"))
 	ep.CloseClientConnections()
 	if got := cl.put("b", putFields("once", 15000, 1), []byte("b")); got != "+OK" {
 		t.Fatal(got)
@@ -90,7 +91,7 @@
 		return strings.Contains(text, "edge_router.tls_out:1|g\n") && strings.Contains(text, "edge_router.tls_days.pay:0|g\n") &&
 			strings.Contains(text, "edge_router.cluster_unhealthy:1|g\n")
 	})
-	shown.Store(s.own)
+	shown.Store(s.PeerCert)
 	waitFor(t, "what was held", func() bool { return ep.count("b") == 1 })
 	r.kill()
 }
@@ -98,9 +99,9 @@
 // Guards an upgrade with calls over TLS: what is out ends in the old process,
 // none is made twice, and the new process serves the partner on.
 func TestUpgradeWithCallsOverTLS(t *testing.T) {
-	s := newTLSSite(t, nil)
+	s := upstreamtest.NewTLSSite(t, nil)
 	entered, release := make(chan struct{}, 8), make(chan struct{})
-	ep := newTLSEndpoint(t, func() *testca.Issued { return s.own }, func(w http.ResponseWriter, r *http.Request, n int) {
+	ep := newTLSEndpoint(t, func() *testca.Issued { return s.PeerCert }, func(w http.ResponseWriter, r *http.Request, n int) {
 		if n == 1 {
 			entered <- struct{}{}
 			<-release
@@ -135,9 +136,9 @@
 // A call that cannot rest, over TLS, is over before the other process has the work:
 // that one may send its message again at once, and two copies would be out.
 func TestCallsThatCannotRestAreOverFirst(t *testing.T) {
-	s := newTLSSite(t, nil)
+	s := upstreamtest.NewTLSSite(t, nil)
 	entered, over := make(chan struct{}, 8), make(chan struct{})
-	ep := newTLSEndpoint(t, func() *testca.Issued { return s.own }, func(_ http.ResponseWriter, r *http.Request, n int) {
+	ep := newTLSEndpoint(t, func() *testca.Issued { return s.PeerCert }, func(_ http.ResponseWriter, r *http.Request, n int) {
 		if n == 1 {
 			entered <- struct{}{}
 			<-r.Context().Done()
@@ -170,8 +171,8 @@
 
 // Guards the start: files that cannot be used end it, with the rule's name.
 func TestRelayWithBadKeys(t *testing.T) {
-	s := newTLSSite(t, nil)
-	s.rule.Roots = filepath.Join(s.dir, "none.pem")
+	s := upstreamtest.NewTLSSite(t, nil)
+	s.Rule.Roots = filepath.Join(s.Dir, "none.pem")
 	d := newFakeDiscovery(t)
 	env := testConfig(t, d, 3)
 	operatorFile(t, s, env, "")
--- a/internal/relay/tls_test.go
+++ b/internal/relay/tls_test.go
@@ -28,6 +28,7 @@
 	"troutusher/internal/testca"
 	"troutusher/internal/tlsdial"
 	"troutusher/internal/tlspolicy"
+	"troutusher/internal/upstream/upstreamtest"
 	"troutusher/policy"
 )
 
@@ -64,7 +65,7 @@
 	return out
 }
 
-// deriveKeys derives the keys of the secret in use.
+// keys derives the keys of the secret in use.
 func (s *recordSealer) deriveKeys(suite uint16) {
 	s.suite = suite
 	s.seq, s.iv = 0, hkdfExpandLabel(s.secret, "iv", 12)
@@ -94,12 +95,12 @@
 	recordData      = 23
 )
 
-// serveSealedTLS serves connections over TLS 1.3 whose records are made by hand
+// sealedEndpoint serves connections over TLS 1.3 whose records are made by hand
 // once the handshake is over.
-func serveSealedTLS(t testing.TB, s *tlsSite, serve func(c *tls.Conn, raw net.Conn, seal *recordSealer)) string {
-	return serveTCP(t, func(raw net.Conn) {
+func serveSealedTLS(t testing.TB, s *upstreamtest.TLSSite, serve func(c *tls.Conn, raw net.Conn, seal *recordSealer)) string {
+	return upstreamtest.ServeTCP(t, func(raw net.Conn) {
 		k := &recordSealer{}
-		c := tls.Server(raw, &tls.Config{Certificates: []tls.Certificate{s.own.TLSCertificate()}, MinVersion: tls.VersionTLS13, SessionTicketsDisabled: true, KeyLogWriter: k})
+		c := tls.Server(raw, &tls.Config{Certificates: []tls.Certificate{s.PeerCert.TLSCertificate()}, MinVersion: tls.VersionTLS13, SessionTicketsDisabled: true, KeyLogWriter: k})
 		if c.Handshake() != nil {
 			return
 		}
@@ -122,15 +123,15 @@
 		_, identity := tlspolicy.CauseOfAlert(code)
 		t.Run("", func(t *testing.T) {
 			t.Parallel()
-			s := newTLSSite(t, nil)
+			s := upstreamtest.NewTLSSite(t, nil)
 			var conns atomic.Int32
-			inHandshake := serveTCP(t, func(c net.Conn) {
+			inHandshake := upstreamtest.ServeTCP(t, func(c net.Conn) {
 				conns.Add(1)
 				c.Read(make([]byte, 4096)) // the client's hello
 				c.Write([]byte{recordAlert, 3, 3, 0, 2, 2, code})
 				c.Read(make([]byte, 4096))
 			})
-			o := newTestCall().complete(t, s.endpoint(testPool(t), inHandshake), &record{ID: "m"}, testLimit)
+			o := complete(t, newTestCall(), openTLS(testPool(t), s, inHandshake), Request{ID: "m", Timeout: testTimeout})
 			if !o.Outcome.NeverRan() || (o.Outcome == policy.NotSent) != identity && code != 0 {
 				t.Errorf("alert %d in the handshake: %+v", code, o)
 			}
@@ -138,11 +139,11 @@
 				t.Errorf("alert %d in the handshake: %d connections for one call", code, n)
 			}
 			for _, whole := range []bool{false, true} {
-				s := newTLSSite(t, nil)
+				s := upstreamtest.NewTLSSite(t, nil)
 				conns.Store(0)
 				addr := serveSealedTLS(t, s, func(c *tls.Conn, raw net.Conn, seal *recordSealer) {
 					conns.Add(1)
-					if whole && !readRequest(bufio.NewReader(c)) {
+					if whole && !upstreamtest.ReadRequest(bufio.NewReader(c)) {
 						return
 					}
 					raw.Write(seal.seal(recordAlert, []byte{2, code}))
@@ -152,9 +153,9 @@
 				})
 				p := testPool(t)
 				if !whole {
-					p.staleCheckDelay = testLimit // the alert ends it, however late it is
+					p.staleCheckDelay = testTimeout // the alert ends it, however late it is
 				}
-				o := newTestCall().complete(t, s.endpoint(p, addr), &record{ID: "m", Body: []byte("b")}, testLimit)
+				o := complete(t, newTestCall(), openTLS(p, s, addr), Request{ID: "m", Body: []byte("b"), Timeout: testTimeout})
 				if whole && o.Outcome != policy.ConnectionReset || !whole && !o.Outcome.NeverRan() {
 					t.Errorf("alert %d, whole %v: %+v", code, whole, o)
 				}
@@ -164,7 +165,7 @@
 				if n := conns.Load(); (whole || identity) && n != 1 || n > 2*maxConnAttempts {
 					t.Errorf("alert %d, whole %v: %d connections for one call", code, whole, n)
 				}
-				if out := s.partners.Counts().RejectedEndpoints; (out == 1) != identity {
+				if out := s.Dialer.Counts().RejectedEndpoints; (out == 1) != identity {
 					t.Errorf("alert %d, whole %v: %d endpoints out", code, whole, out)
 				}
 			}
@@ -177,40 +178,40 @@
 // record; and keys that are updated without end are no answer.
 func TestTruncatedRecords(t *testing.T) {
 	for name, x := range map[string]struct {
-		say  func(raw net.Conn, seal *recordSealer)
-		what policy.Outcome
+		say     func(raw net.Conn, seal *recordSealer)
+		outcome policy.Outcome
 	}{
 		"a byte a record": {func(raw net.Conn, seal *recordSealer) {
-			for i := range len(okResponse) {
-				raw.Write(seal.seal(recordData, []byte{okResponse[i]}))
+			for i := range len(upstreamtest.OKResponse) {
+				raw.Write(seal.seal(recordData, []byte{upstreamtest.OKResponse[i]}))
 			}
 		}, policy.Delivered},
 		"empty records between": {func(raw net.Conn, seal *recordSealer) {
 			for i := range 10 {
 				raw.Write(seal.seal(recordData, nil))
-				raw.Write(seal.seal(recordData, []byte{okResponse[i]}))
+				raw.Write(seal.seal(recordData, []byte{upstreamtest.OKResponse[i]}))
 			}
-			raw.Write(seal.seal(recordData, []byte(okResponse[10:])))
+			raw.Write(seal.seal(recordData, []byte(upstreamtest.OKResponse[10:])))
 		}, policy.Delivered},
 		"the first line, then cut without a farewell": {func(raw net.Conn, seal *recordSealer) {
 			raw.Write(seal.seal(recordData, []byte("HTTP/1.1 200 OK\r\nContent-Length: 9\r\n")))
 		}, policy.Delivered},
 		"half of the first line's record": {func(raw net.Conn, seal *recordSealer) {
-			r := seal.seal(recordData, []byte(okResponse))
+			r := seal.seal(recordData, []byte(upstreamtest.OKResponse))
 			raw.Write(r[:len(r)/2])
 		}, policy.ConnectionReset},
 		"a refusal without its end": {func(raw net.Conn, seal *recordSealer) {
 			raw.Write(seal.seal(recordData, []byte("HTTP/1.1 503 F\r\nContent-Le")))
 		}, policy.Failed},
 		"a record that was tampered with": {func(raw net.Conn, seal *recordSealer) {
-			r := seal.seal(recordData, []byte(okResponse))
+			r := seal.seal(recordData, []byte(upstreamtest.OKResponse))
 			r[len(r)-1] ^= 1
 			raw.Write(r)
 			io.Copy(io.Discard, raw)
 		}, policy.ConnectionReset},
 		"keys updated once, then the answer": {func(raw net.Conn, seal *recordSealer) {
 			raw.Write(seal.keyUpdate())
-			raw.Write(seal.seal(recordData, []byte(okResponse)))
+			raw.Write(seal.seal(recordData, []byte(upstreamtest.OKResponse)))
 		}, policy.Delivered},
 		"keys updated without end": {func(raw net.Conn, seal *recordSealer) {
 			for range 1000 {
@@ -223,14 +224,14 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			s := newTLSSite(t, nil)
+			s := upstreamtest.NewTLSSite(t, nil)
 			addr := serveSealedTLS(t, s, func(c *tls.Conn, raw net.Conn, seal *recordSealer) {
-				if readRequest(bufio.NewReader(c)) {
+				if upstreamtest.ReadRequest(bufio.NewReader(c)) {
 					x.say(raw, seal)
 				}
 			})
-			o := newTestCall().complete(t, s.endpoint(testPool(t), addr), &record{ID: "m", Body: []byte("b")}, testLimit)
-			if o.Outcome != x.what {
+			o := complete(t, newTestCall(), openTLS(testPool(t), s, addr), Request{ID: "m", Body: []byte("b"), Timeout: testTimeout})
+			if o.Outcome != x.outcome {
 				t.Errorf("got %+v", o)
 			}
 		})
@@ -240,14 +241,14 @@
 // Guards a call against a connection on which part of a record lies: that may be
 // its end, and the call would be written into it.
 func TestPartialRecordWhileIdle(t *testing.T) {
-	s := newTLSSite(t, nil)
+	s := upstreamtest.NewTLSSite(t, nil)
 	var conns, calls atomic.Int32
 	said := make(chan struct{}, 1)
 	addr := serveSealedTLS(t, s, func(c *tls.Conn, raw net.Conn, seal *recordSealer) {
 		first := conns.Add(1) == 1
-		for in := bufio.NewReader(c); readRequest(in); {
+		for in := bufio.NewReader(c); upstreamtest.ReadRequest(in); {
 			calls.Add(1)
-			raw.Write(seal.seal(recordData, []byte(okResponse)))
+			raw.Write(seal.seal(recordData, []byte(upstreamtest.OKResponse)))
 			if first {
 				raw.Write(seal.seal(recordAlert, []byte{1, 0})[:9])
 				said <- struct{}{}
@@ -256,7 +257,7 @@
 			}
 		}
 	})
-	h := s.endpoint(testPool(t), addr)
+	h := openTLS(testPool(t), s, addr)
 	mustDeliver(t, h)
 	<-said
 	waitFor(t, "the half record", func() bool {
@@ -273,18 +274,18 @@
 // Guards a hand-over: a call over TLS is not put to rest, since its keys are here
 // alone, and its answer is heard.
 func TestTLSCallIsNotSuspended(t *testing.T) {
-	s := newTLSSite(t, nil)
+	s := upstreamtest.NewTLSSite(t, nil)
 	entered, release := make(chan struct{}), make(chan struct{})
-	h := s.endpoint(testPool(t), serveTLS(t, &tls.Config{Certificates: []tls.Certificate{s.own.TLSCertificate()}}, func(c net.Conn) {
-		if readRequest(bufio.NewReader(c)) {
+	h := openTLS(testPool(t), s, upstreamtest.ServeTLS(t, s.ServerConfig(), func(c net.Conn) {
+		if upstreamtest.ReadRequest(bufio.NewReader(c)) {
 			close(entered)
 			<-release
-			io.WriteString(c, okResponse)
+			io.WriteString(c, upstreamtest.OKResponse)
 		}
 	}))
 	c := newTestCall()
 	over := make(chan Result, 1)
-	go c.Do(h, &record{ID: "m"}, testLimit, nil, func(o Result) { over <- o })
+	go c.Do(h, Request{ID: "m", Timeout: testTimeout}, func(o Result) { over <- o })
 	<-entered
 	waitFor(t, "the call to be out", func() bool { c.mu.Lock(); defer c.mu.Unlock(); return c.conn != nil })
 	c.suspend()
@@ -297,14 +298,14 @@
 		if o.Outcome != policy.Delivered {
 			t.Errorf("got %+v", o)
 		}
-	case <-time.After(testLimit):
+	case <-time.After(testTimeout):
 		t.Error("its answer is not heard")
 	}
 	c.resume(false)
 	waitFor(t, "rest", func() bool { open, idle := h.pool.counts(); return open == idle })
 }
 
-// keyUpdate is a change of the server's keys (RFC 8446 section 4.6.3).
+// update is a change of the server's keys (RFC 8446 section 4.6.3).
 func (s *recordSealer) keyUpdate() []byte {
 	r := s.seal(recordHandshake, []byte{24, 0, 0, 1, 0})
 	s.secret = hkdfExpandLabel(s.secret, "traffic upd", 32)
@@ -312,12 +313,12 @@
 	return r
 }
 
-// callRejectedPeer runs calls against a partner that shows what it should not, and
+// refusedBy runs calls against a partner that shows what it should not, and
 // tells how many bytes of plaintext the partner got.
-func callRejectedPeer(t *testing.T, s *tlsSite, cfg *tls.Config) (o Result, plaintext int64, conns int32) {
+func callRejectedPeer(t *testing.T, s *upstreamtest.TLSSite, cfg *tls.Config) (o Result, plaintext int64, conns int32) {
 	var got atomic.Int64
 	var n atomic.Int32
-	addr := serveTCP(t, func(raw net.Conn) {
+	addr := upstreamtest.ServeTCP(t, func(raw net.Conn) {
 		n.Add(1)
 		c := tls.Server(raw, cfg)
 		if c.Handshake() != nil {
@@ -331,9 +332,9 @@
 			}
 		}
 	})
-	h := s.endpoint(testPool(t), addr)
+	h := openTLS(testPool(t), s, addr)
 	for range 5 {
-		o = newTestCall().complete(t, h, &record{ID: "m", Key: "secret-key", Body: []byte("body")}, testLimit)
+		o = complete(t, newTestCall(), h, Request{ID: "m", IdempotencyKey: "secret-key", Body: []byte("body"), Timeout: testTimeout})
 	}
 	h.Close()
 	return o, got.Load(), n.Load()
@@ -345,73 +346,81 @@
 func TestRejectedPeersGetNothing(t *testing.T) {
 	now := time.Now()
 	type c = x509.Certificate
-	other := issueCert(t, nil, "other", testca.AsAuthority)
+	other := upstreamtest.IssueCert(t, nil, "other", testca.AsAuthority)
 	for _, version := range []uint16{tls.VersionTLS12, tls.VersionTLS13} {
 		for name, x := range map[string]struct {
-			change func(s *tlsSite) // of the site, before its rule is read
-			show   func(s *tlsSite) *testca.Issued
+			change func(s *upstreamtest.TLSSite) // of the site, before its rule is read
+			show   func(s *upstreamtest.TLSSite) *testca.Issued
 			cause  tlspolicy.FailureCause
 		}{
-			"another name": {show: func(s *tlsSite) *testca.Issued { return issueCert(t, s.root, "shop.example.org") }, cause: tlspolicy.NameMismatch},
-			"no name":      {show: func(s *tlsSite) *testca.Issued { return issueCert(t, s.root, "x", testca.WithNames()) }, cause: tlspolicy.NameMismatch},
-			"its address": {show: func(s *tlsSite) *testca.Issued {
-				return issueCert(t, s.root, "x", testca.WithNames("127.0.0.1"))
+			"another name": {show: func(s *upstreamtest.TLSSite) *testca.Issued {
+				return upstreamtest.IssueCert(t, s.Root, "shop.example.org")
 			}, cause: tlspolicy.NameMismatch},
-			"a wildcard too wide": {show: func(s *tlsSite) *testca.Issued { return issueCert(t, s.root, "*.org") }, cause: tlspolicy.NameMismatch},
-			"another root":        {show: func(*tlsSite) *testca.Issued { return issueCert(t, other, partnerName) }, cause: tlspolicy.UntrustedRoot},
-			"signed by itself":    {show: func(*tlsSite) *testca.Issued { return issueCert(t, nil, partnerName) }, cause: tlspolicy.UntrustedRoot},
-			"another root of the same name": {show: func(*tlsSite) *testca.Issued {
-				return issueCert(t, issueCert(t, nil, "root", testca.AsAuthority), partnerName)
+			"no name": {show: func(s *upstreamtest.TLSSite) *testca.Issued {
+				return upstreamtest.IssueCert(t, s.Root, "x", testca.WithNames())
+			}, cause: tlspolicy.NameMismatch},
+			"its address": {show: func(s *upstreamtest.TLSSite) *testca.Issued {
+				return upstreamtest.IssueCert(t, s.Root, "x", testca.WithNames("127.0.0.1"))
+			}, cause: tlspolicy.NameMismatch},
+			"a wildcard too wide": {show: func(s *upstreamtest.TLSSite) *testca.Issued { return upstreamtest.IssueCert(t, s.Root, "*.org") }, cause: tlspolicy.NameMismatch},
+			"another root": {show: func(*upstreamtest.TLSSite) *testca.Issued {
+				return upstreamtest.IssueCert(t, other, upstreamtest.PeerName)
+			}, cause: tlspolicy.UntrustedRoot},
+			"signed by itself": {show: func(*upstreamtest.TLSSite) *testca.Issued {
+				return upstreamtest.IssueCert(t, nil, upstreamtest.PeerName)
+			}, cause: tlspolicy.UntrustedRoot},
+			"another root of the same name": {show: func(*upstreamtest.TLSSite) *testca.Issued {
+				return upstreamtest.IssueCert(t, upstreamtest.IssueCert(t, nil, "root", testca.AsAuthority), upstreamtest.PeerName)
 			}, cause: tlspolicy.UntrustedRoot},
-			"expired": {show: func(s *tlsSite) *testca.Issued {
-				return issueCert(t, s.root, partnerName, testca.WithValidity(now.Add(-2*time.Hour), now.Add(-time.Minute)))
+			"expired": {show: func(s *upstreamtest.TLSSite) *testca.Issued {
+				return upstreamtest.IssueCert(t, s.Root, upstreamtest.PeerName, testca.WithValidity(now.Add(-2*time.Hour), now.Add(-time.Minute)))
 			}, cause: tlspolicy.Expired},
-			"not yet valid": {show: func(s *tlsSite) *testca.Issued {
-				return issueCert(t, s.root, partnerName, testca.WithValidity(now.Add(time.Minute), now.Add(time.Hour)))
+			"not yet valid": {show: func(s *upstreamtest.TLSSite) *testca.Issued {
+				return upstreamtest.IssueCert(t, s.Root, upstreamtest.PeerName, testca.WithValidity(now.Add(time.Minute), now.Add(time.Hour)))
 			}, cause: tlspolicy.NotYetValid},
-			"expired above": {show: func(s *tlsSite) *testca.Issued {
-				return issueCert(t, issueCert(t, s.root, "mid", testca.AsAuthority, testca.WithValidity(now.Add(-2*time.Hour), now.Add(-time.Minute))), partnerName)
+			"expired above": {show: func(s *upstreamtest.TLSSite) *testca.Issued {
+				return upstreamtest.IssueCert(t, upstreamtest.IssueCert(t, s.Root, "mid", testca.AsAuthority, testca.WithValidity(now.Add(-2*time.Hour), now.Add(-time.Minute))), upstreamtest.PeerName)
 			}, cause: tlspolicy.Expired},
-			"no authority above": {show: func(s *tlsSite) *testca.Issued {
-				return issueCert(t, issueCert(t, s.root, "mid", testca.AsAuthority, func(x *c) { x.IsCA = false }), partnerName)
+			"no authority above": {show: func(s *upstreamtest.TLSSite) *testca.Issued {
+				return upstreamtest.IssueCert(t, upstreamtest.IssueCert(t, s.Root, "mid", testca.AsAuthority, func(x *c) { x.IsCA = false }), upstreamtest.PeerName)
 			}, cause: tlspolicy.UntrustedRoot},
-			"for clients": {show: func(s *tlsSite) *testca.Issued {
-				return issueCert(t, s.root, partnerName, func(x *c) { x.ExtKeyUsage = []x509.ExtKeyUsage{x509.ExtKeyUsageClientAuth} })
+			"for clients": {show: func(s *upstreamtest.TLSSite) *testca.Issued {
+				return upstreamtest.IssueCert(t, s.Root, upstreamtest.PeerName, func(x *c) { x.ExtKeyUsage = []x509.ExtKeyUsage{x509.ExtKeyUsageClientAuth} })
 			}, cause: tlspolicy.InvalidChain},
-			"deeper than its authority may go": {show: func(s *tlsSite) *testca.Issued {
-				short := issueCert(t, s.root, "short", testca.AsAuthority, func(x *c) { x.MaxPathLen, x.MaxPathLenZero = 0, true })
-				return issueCert(t, issueCert(t, short, "deep", testca.AsAuthority), partnerName)
+			"deeper than its authority may go": {show: func(s *upstreamtest.TLSSite) *testca.Issued {
+				short := upstreamtest.IssueCert(t, s.Root, "short", testca.AsAuthority, func(x *c) { x.MaxPathLen, x.MaxPathLenZero = 0, true })
+				return upstreamtest.IssueCert(t, upstreamtest.IssueCert(t, short, "deep", testca.AsAuthority), upstreamtest.PeerName)
 			}, cause: tlspolicy.InvalidChain},
-			"outside what its authority may name": {show: func(s *tlsSite) *testca.Issued {
-				return issueCert(t, issueCert(t, s.root, "narrow", testca.AsAuthority, func(x *c) {
+			"outside what its authority may name": {show: func(s *upstreamtest.TLSSite) *testca.Issued {
+				return upstreamtest.IssueCert(t, upstreamtest.IssueCert(t, s.Root, "narrow", testca.AsAuthority, func(x *c) {
 					x.PermittedDNSDomains, x.PermittedDNSDomainsCritical = []string{"shop.example.org"}, true
-				}), partnerName)
+				}), upstreamtest.PeerName)
 			}, cause: tlspolicy.InvalidChain},
-			"not pinned": {change: func(s *tlsSite) {
-				s.rule.Pins = []string{tlspolicy.PinOf(other.Certificate).String(), tlspolicy.Pin{1}.String()}
+			"not pinned": {change: func(s *upstreamtest.TLSSite) {
+				s.Rule.Pins = []string{tlspolicy.PinOf(other.Certificate).String(), tlspolicy.Pin{1}.String()}
 			}, cause: tlspolicy.PinMismatch},
-			"revoked": {change: func(s *tlsSite) { s.revoke(t, s.own) }, cause: tlspolicy.CertificateRevoked},
-			"revocation unknown, and hard": {change: func(s *tlsSite) { s.rule.UnknownRevocation = "refuse" },
+			"revoked": {change: func(s *upstreamtest.TLSSite) { revoke(t, s, s.PeerCert) }, cause: tlspolicy.CertificateRevoked},
+			"revocation unknown, and hard": {change: func(s *upstreamtest.TLSSite) { s.Rule.UnknownRevocation = "refuse" },
 				cause: tlspolicy.RevocationUnresolved},
-			"must staple and does not": {show: func(s *tlsSite) *testca.Issued {
-				return issueCert(t, s.root, partnerName, testca.WithMustStaple)
+			"must staple and does not": {show: func(s *upstreamtest.TLSSite) *testca.Issued {
+				return upstreamtest.IssueCert(t, s.Root, upstreamtest.PeerName, testca.WithMustStaple)
 			}, cause: tlspolicy.RevocationUnresolved},
 			"wants a certificate that we lack": {cause: tlspolicy.ClientCertificateRejected},
 		} {
 			t.Run(name+" "+tls.VersionName(version), func(t *testing.T) {
 				t.Parallel()
-				s := newTLSSite(t, func(s *tlsSite, _ *operatorconfig.Handshakes) {
+				s := upstreamtest.NewTLSSite(t, func(s *upstreamtest.TLSSite, _ *operatorconfig.Handshakes) {
 					if x.change != nil {
 						x.change(s)
 					}
 				})
-				shown := s.own
+				shown := s.PeerCert
 				if x.show != nil {
 					shown = x.show(s)
 				}
 				cfg := &tls.Config{Certificates: []tls.Certificate{shown.TLSCertificate()}, MinVersion: version, MaxVersion: version}
 				if x.cause == tlspolicy.ClientCertificateRejected {
-					cfg.ClientAuth, cfg.ClientCAs = tls.RequireAndVerifyClientCert, s.root.RootPool()
+					cfg.ClientAuth, cfg.ClientCAs = tls.RequireAndVerifyClientCert, s.Root.RootPool()
 				}
 				o, plaintext, conns := callRejectedPeer(t, s, cfg)
 				var out *tlsdial.RejectedError
@@ -421,32 +430,32 @@
 				if plaintext != 0 || conns != 1 {
 					t.Errorf("%d bytes of plaintext at the partner in %d connections, want none in one", plaintext, conns)
 				}
-				if b := <-s.rejections; b.wait <= 0 {
+				if b := <-s.Rejections; b.Wait <= 0 {
 					t.Errorf("the decision module is told %v", b)
 				}
 			})
 		}
 	}
 	t.Run("only an old version", func(t *testing.T) {
-		s := newTLSSite(t, nil)
-		o, plaintext, _ := callRejectedPeer(t, s, &tls.Config{Certificates: []tls.Certificate{s.own.TLSCertificate()}, MaxVersion: tls.VersionTLS11, MinVersion: tls.VersionTLS10})
+		s := upstreamtest.NewTLSSite(t, nil)
+		o, plaintext, _ := callRejectedPeer(t, s, &tls.Config{Certificates: []tls.Certificate{s.PeerCert.TLSCertificate()}, MaxVersion: tls.VersionTLS11, MinVersion: tls.VersionTLS10})
 		var out *tlsdial.RejectedError
 		if !errors.As(o.Err, &out) || out.Reason.Cause != tlspolicy.NoCommonParameters || plaintext != 0 {
 			t.Errorf("got %+v, %d bytes", o, plaintext)
 		}
 	})
 	t.Run("no TLS at all", func(t *testing.T) {
-		s := newTLSSite(t, nil)
+		s := upstreamtest.NewTLSSite(t, nil)
 		var got atomic.Int64
-		h := s.endpoint(testPool(t), serveTCP(t, func(c net.Conn) {
+		h := openTLS(testPool(t), s, upstreamtest.ServeTCP(t, func(c net.Conn) {
 			b := make([]byte, 4096)
 			n, _ := c.Read(b)
 			if strings.Contains(string(b[:n]), "secret-key") {
 				got.Add(1)
 			}
-			io.WriteString(c, okResponse)
+			io.WriteString(c, upstreamtest.OKResponse)
 		}))
-		o := newTestCall().complete(t, h, &record{ID: "m", Key: "secret-key"}, testLimit)
+		o := complete(t, newTestCall(), h, Request{ID: "m", IdempotencyKey: "secret-key", Timeout: testTimeout})
 		h.Close()
 		var out *tlsdial.RejectedError
 		if !errors.As(o.Err, &out) || out.Reason.Cause != tlspolicy.NoCommonParameters || got.Load() != 0 {
@@ -459,14 +468,14 @@
 // with TLS 1.3 the handshake is over here by then, and the message would be whole
 // on its way.
 func TestOwnCertificateRejectedLate(t *testing.T) {
-	s := newTLSSite(t, func(s *tlsSite, _ *operatorconfig.Handshakes) {
-		cert, key, err := issueCert(t, s.root, "relay").WriteFiles(s.dir, "own", true)
+	s := upstreamtest.NewTLSSite(t, func(s *upstreamtest.TLSSite, _ *operatorconfig.Handshakes) {
+		cert, key, err := upstreamtest.IssueCert(t, s.Root, "relay").WriteFiles(s.Dir, "own", true)
 		if err != nil {
 			t.Fatal(err)
 		}
-		s.rule.Certificate, s.rule.Key = cert, key
+		s.Rule.Certificate, s.Rule.Key = cert, key
 	})
-	o, plaintext, conns := callRejectedPeer(t, s, &tls.Config{Certificates: []tls.Certificate{s.own.TLSCertificate()}, MinVersion: tls.VersionTLS13,
+	o, plaintext, conns := callRejectedPeer(t, s, &tls.Config{Certificates: []tls.Certificate{s.PeerCert.TLSCertificate()}, MinVersion: tls.VersionTLS13,
 		ClientAuth: tls.RequireAnyClientCert, VerifyPeerCertificate: func([][]byte, [][]*x509.Certificate) error {
 			time.Sleep(5 * defaultStaleCheckDelay) // longer than the moment before a call's last byte
 			return errors.New("not registered here")
@@ -475,34 +484,27 @@
 	if o.Outcome != policy.NotSent || !errors.As(o.Err, &out) || out.Reason.Cause != tlspolicy.ClientCertificateRejected || plaintext != 0 || conns != 1 {
 		t.Errorf("got %+v, %d bytes, %d connections", o, plaintext, conns)
 	}
-	if n := s.partners.Counts(); n.Full != 0 || n.Rejected != 1 {
+	if n := s.Dialer.Counts(); n.Full != 0 || n.Rejected != 1 {
 		t.Errorf("%+v: it passed for proved", n)
 	}
 }
 
 // revoke puts a certificate on the site's revocation list.
-func (s *tlsSite) revoke(t testing.TB, m *testca.Issued) {
+func revoke(t testing.TB, s *upstreamtest.TLSSite, m *testca.Issued) {
 	t.Helper()
-	text, err := testca.RevocationListPEM(s.root, time.Now().Add(time.Hour), m)
+	text, err := testca.RevocationListPEM(s.Root, time.Now().Add(time.Hour), m)
 	if err != nil {
 		t.Fatal(err)
 	}
-	s.rule.Revocations = filepath.Join(s.dir, "crl.pem")
-	if err := testca.ReplaceFile(s.rule.Revocations, text, 0o644); err != nil {
+	s.Rule.Revocations = filepath.Join(s.Dir, "crl.pem")
+	if err := testca.ReplaceFile(s.Rule.Revocations, text, 0o644); err != nil {
 		t.Fatal(err)
 	}
 }
 
-// serveOK serves calls one after the other, each with 200.
-func serveOK(c net.Conn) {
-	for in := bufio.NewReader(c); readRequest(in); {
-		io.WriteString(c, okResponse)
-	}
-}
-
 func mustDeliver(t *testing.T, h *Endpoint) {
 	t.Helper()
-	if o := newTestCall().complete(t, h, &record{ID: "m", Body: []byte("b")}, testLimit); o.Outcome != policy.Delivered {
+	if o := complete(t, newTestCall(), h, Request{ID: "m", Body: []byte("b"), Timeout: testTimeout}); o.Outcome != policy.Delivered {
 		t.Fatalf("got %+v", o)
 	}
 	waitReusable(h)
@@ -511,28 +513,28 @@
 // Guards a certificate that ends while its connection is open: the call that is
 // out on it ends well, and no other begins there.
 func TestCertificateExpiresOnOpenConnection(t *testing.T) {
-	s := newTLSSite(t, nil)
+	s := upstreamtest.NewTLSSite(t, nil)
 	var conns atomic.Int32
 	entered, release := make(chan struct{}), make(chan struct{})
-	addr := serveTLS(t, &tls.Config{Certificates: []tls.Certificate{s.own.TLSCertificate()}}, func(c net.Conn) {
+	addr := upstreamtest.ServeTLS(t, s.ServerConfig(), func(c net.Conn) {
 		conns.Add(1)
-		for in := bufio.NewReader(c); readRequest(in); {
+		for in := bufio.NewReader(c); upstreamtest.ReadRequest(in); {
 			entered <- struct{}{}
 			<-release
-			io.WriteString(c, okResponse)
+			io.WriteString(c, upstreamtest.OKResponse)
 		}
 	})
-	h := s.endpoint(testPool(t), addr)
+	h := openTLS(testPool(t), s, addr)
 	over := make(chan Result, 1)
-	go func() { newTestCall().Do(h, &record{ID: "a"}, testLimit, nil, func(o Result) { over <- o }) }()
+	go func() { newTestCall().Do(h, Request{ID: "a", Timeout: testTimeout}, func(o Result) { over <- o }) }()
 	<-entered
-	s.clockSkew.Store(int64(2 * time.Hour)) // its certificate ended an hour ago
+	s.ClockSkew.Store(int64(2 * time.Hour)) // its certificate ended an hour ago
 	close(release)
 	if o := <-over; o.Outcome != policy.Delivered {
 		t.Errorf("the call that was out: %+v", o)
 	}
 	waitFor(t, "the connection's end", func() bool { open, _ := h.pool.counts(); return open == 0 })
-	o := newTestCall().complete(t, h, &record{ID: "b"}, testLimit)
+	o := complete(t, newTestCall(), h, Request{ID: "b", Timeout: testTimeout})
 	var out *tlsdial.RejectedError
 	if !errors.As(o.Err, &out) || out.Reason.Cause != tlspolicy.Expired || o.Outcome != policy.NotSent || conns.Load() != 1 {
 		t.Errorf("the next one: %+v, %d connections served", o, conns.Load())
@@ -544,33 +546,33 @@
 // old roots carry no new call, and the endpoint is asked again by itself once
 // the operator has mended the file; no message is spent on that.
 func TestRootsReplaced(t *testing.T) {
-	s := newTLSSite(t, nil)
-	h := s.endpoint(testPool(t), serveTLS(t, &tls.Config{Certificates: []tls.Certificate{s.own.TLSCertificate()}}, serveOK))
+	s := upstreamtest.NewTLSSite(t, nil)
+	h := openTLS(testPool(t), s, upstreamtest.ServeTLS(t, s.ServerConfig(), upstreamtest.ServeOK))
 	mustDeliver(t, h)
 	if _, idle := h.pool.counts(); idle != 1 {
 		t.Fatalf("%d idle", idle)
 	}
-	other := issueCert(t, nil, "other", testca.AsAuthority)
-	if _, _, err := other.WriteFiles(s.dir, "roots", false); err != nil {
+	other := upstreamtest.IssueCert(t, nil, "other", testca.AsAuthority)
+	if _, _, err := other.WriteFiles(s.Dir, "roots", false); err != nil {
 		t.Fatal(err)
 	}
-	s.partners.ReloadFiles()
-	if o := newTestCall().complete(t, h, &record{ID: "b"}, testLimit); o.Outcome != policy.NotSent {
+	s.Dialer.ReloadFiles()
+	if o := complete(t, newTestCall(), h, Request{ID: "b", Timeout: testTimeout}); o.Outcome != policy.NotSent {
 		t.Fatalf("under roots that do not know the partner: %+v", o)
 	}
-	if b := <-s.rejections; b.wait == 0 {
+	if b := <-s.Rejections; b.Wait == 0 {
 		t.Fatal("not barred")
 	}
-	if _, _, err := s.root.WriteFiles(s.dir, "roots", false); err != nil {
+	if _, _, err := s.Root.WriteFiles(s.Dir, "roots", false); err != nil {
 		t.Fatal(err)
 	}
-	s.partners.ReloadFiles()
-	for b := range s.rejections {
-		if b.wait == 0 {
+	s.Dialer.ReloadFiles()
+	for b := range s.Rejections {
+		if b.Wait == 0 {
 			break // proved again, and no message was sent for it
 		}
 	}
-	if n := s.partners.Counts(); n.Full != 2 || n.Resumed != 0 {
+	if n := s.Dialer.Counts(); n.Full != 2 || n.Resumed != 0 {
 		t.Errorf("%+v: a session outlived the trust that it was made under", n)
 	}
 	waitReusable(h)
@@ -581,22 +583,22 @@
 // Guards the schedule: a partner that mends its certificate is found out without
 // a message.
 func TestPeerRecoversWithoutCall(t *testing.T) {
-	s := newTLSSite(t, nil)
+	s := upstreamtest.NewTLSSite(t, nil)
 	var good atomic.Bool
-	wrong := issueCert(t, s.root, "shop.example.org").TLSCertificate()
-	right := s.own.TLSCertificate()
-	h := s.endpoint(testPool(t), serveTLS(t, &tls.Config{GetCertificate: func(*tls.ClientHelloInfo) (*tls.Certificate, error) {
+	wrong := upstreamtest.IssueCert(t, s.Root, "shop.example.org").TLSCertificate()
+	right := s.PeerCert.TLSCertificate()
+	h := openTLS(testPool(t), s, upstreamtest.ServeTLS(t, &tls.Config{GetCertificate: func(*tls.ClientHelloInfo) (*tls.Certificate, error) {
 		if good.Load() {
 			return &right, nil
 		}
 		return &wrong, nil
-	}}, serveOK))
-	if o := newTestCall().complete(t, h, &record{ID: "a"}, testLimit); o.Outcome != policy.NotSent {
+	}}, upstreamtest.ServeOK))
+	if o := complete(t, newTestCall(), h, Request{ID: "a", Timeout: testTimeout}); o.Outcome != policy.NotSent {
 		t.Fatalf("got %+v", o)
 	}
 	good.Store(true)
-	for b := range s.rejections {
-		if b.wait == 0 {
+	for b := range s.Rejections {
+		if b.Wait == 0 {
 			break
 		}
 	}
@@ -609,27 +611,27 @@
 func TestSessionResumption(t *testing.T) {
 	for _, version := range []uint16{tls.VersionTLS12, tls.VersionTLS13} {
 		t.Run(tls.VersionName(version), func(t *testing.T) {
-			s := newTLSSite(t, nil)
+			s := upstreamtest.NewTLSSite(t, nil)
 			var conns, resumed atomic.Int32
-			cfg := &tls.Config{Certificates: []tls.Certificate{s.own.TLSCertificate()}, MinVersion: version, MaxVersion: version}
-			addr := serveTLS(t, cfg, func(c net.Conn) {
+			cfg := &tls.Config{Certificates: []tls.Certificate{s.PeerCert.TLSCertificate()}, MinVersion: version, MaxVersion: version}
+			addr := upstreamtest.ServeTLS(t, cfg, func(c net.Conn) {
 				conns.Add(1)
 				if c.(*tls.Conn).ConnectionState().DidResume {
 					resumed.Add(1)
 				}
-				serveOK(c)
+				upstreamtest.ServeOK(c)
 			})
-			h := s.endpoint(testPool(t), addr)
+			h := openTLS(testPool(t), s, addr)
 			for range 4 {
 				mustDeliver(t, h)
 				h.CloseIdle()
 			}
-			if n := s.partners.Counts(); n.Full != 1 || n.Resumed != 3 || conns.Load() != 4 || resumed.Load() != 3 {
+			if n := s.Dialer.Counts(); n.Full != 1 || n.Resumed != 3 || conns.Load() != 4 || resumed.Load() != 3 {
 				t.Errorf("%+v; the partner saw %d, of them %d resumed", n, conns.Load(), resumed.Load())
 			}
 			// What a proof would not be accepted for any more, a session is not either.
-			s.clockSkew.Store(int64(3 * time.Hour))
-			if o := newTestCall().complete(t, h, &record{ID: "m"}, testLimit); o.Outcome != policy.NotSent {
+			s.ClockSkew.Store(int64(3 * time.Hour))
+			if o := complete(t, newTestCall(), h, Request{ID: "m", Timeout: testTimeout}); o.Outcome != policy.NotSent {
 				t.Errorf("after the certificate's end a session serves: %+v", o)
 			}
 			h.Close()
@@ -640,23 +642,22 @@
 // Guards a cold partner: thirty calls at once make one handshake at a time, and
 // take their turns on what there is.
 func TestWarmingUpConnectsOneAtATime(t *testing.T) {
-	s := newTLSSite(t, nil)
+	s := upstreamtest.NewTLSSite(t, nil)
 	var under, most atomic.Int32
 	cfg := &tls.Config{GetCertificate: func(*tls.ClientHelloInfo) (*tls.Certificate, error) {
 		if n := under.Add(1); n > most.Load() {
 			most.Store(n)
 		}
 		time.Sleep(2 * time.Millisecond) // a handshake is slow there
-		own := s.own.TLSCertificate()
+		own := s.PeerCert.TLSCertificate()
 		return &own, nil
 	}, SessionTicketsDisabled: true, VerifyConnection: func(tls.ConnectionState) error { under.Add(-1); return nil }}
-	h := s.endpoint(testPool(t), serveTLS(t, cfg, serveOK))
+	h := openTLS(testPool(t), s, upstreamtest.ServeTLS(t, cfg, upstreamtest.ServeOK))
 	over := make(chan Result, 30)
 	for range 30 {
 		go func() {
-			c := newTestCall()
-			c.connRequest = connRequest{warmingUp: true, mayConnect: true}
-			c.Do(h, &record{ID: "m"}, testLimit, nil, func(o Result) { over <- o })
+			c := NewCall(context.Background(), CallOptions{WarmingUp: true, MayConnect: true})
+			c.Do(h, Request{ID: "m", Timeout: testTimeout}, func(o Result) { over <- o })
 		}()
 	}
 	for range 30 {
@@ -667,7 +668,7 @@
 	if n := most.Load(); n != 1 {
 		t.Errorf("%d handshakes at once", n)
 	}
-	if n := s.partners.Counts().Full; n > 20 {
+	if n := s.Dialer.Counts().Full; n > 20 {
 		t.Errorf("%d handshakes for 30 calls that could share", n)
 	}
 	waitFor(t, "rest", func() bool { open, idle := h.pool.counts(); return open == idle })
@@ -678,15 +679,14 @@
 // handshake weighs nothing it opens its own.
 func TestConnectNotAllowed(t *testing.T) {
 	for _, weight := range []float64{0, 1} {
-		s := newTLSSite(t, func(s *tlsSite, _ *operatorconfig.Handshakes) { s.rule.HandshakeWeight = &weight })
-		h := s.endpoint(testPool(t), serveTLS(t, &tls.Config{Certificates: []tls.Certificate{s.own.TLSCertificate()}}, serveOK))
-		call := func(paid bool) Result {
-			c := newTestCall()
-			c.connRequest = connRequest{warmingUp: true, mayConnect: paid}
-			return c.complete(t, h, &record{ID: "m"}, testLimit)
+		s := upstreamtest.NewTLSSite(t, func(s *upstreamtest.TLSSite, _ *operatorconfig.Handshakes) { s.Rule.HandshakeWeight = &weight })
+		h := openTLS(testPool(t), s, upstreamtest.ServeTLS(t, s.ServerConfig(), upstreamtest.ServeOK))
+		call := func(mayConnect bool) Result {
+			c := NewCall(context.Background(), CallOptions{WarmingUp: true, MayConnect: mayConnect})
+			return complete(t, c, h, Request{ID: "m", Timeout: testTimeout})
 		}
 		o := call(false)
-		if weight == 0 && (o.Outcome != policy.Delivered || o.ConnectionsOpened != 1) || weight > 0 && (o.Outcome != policy.NotSent || o.ConnectionsOpened != 0 || s.partners.Counts().Full != 0) {
+		if weight == 0 && (o.Outcome != policy.Delivered || o.ConnectionsOpened != 1) || weight > 0 && (o.Outcome != policy.NotSent || o.ConnectionsOpened != 0 || s.Dialer.Counts().Full != 0) {
 			t.Errorf("weight %v, not paid: %+v", weight, o)
 		}
 		if o := call(true); o.Outcome != policy.Delivered || o.ConnectionsOpened != 1 && weight > 0 {
@@ -703,11 +703,11 @@
 // allows no handshake before the call's end, the call never ran, at once, with
 // the time to come back.
 func TestHandshakeBudgetExhausted(t *testing.T) {
-	s := newTLSSite(t, func(_ *tlsSite, h *operatorconfig.Handshakes) { h.CPUShare, h.BurstMS = 1e-6, 1 })
-	h := s.endpoint(testPool(t), serveTLS(t, &tls.Config{Certificates: []tls.Certificate{s.own.TLSCertificate()}}, serveOK))
+	s := upstreamtest.NewTLSSite(t, func(_ *upstreamtest.TLSSite, h *operatorconfig.Handshakes) { h.CPUShare, h.BurstMS = 1e-6, 1 })
+	h := openTLS(testPool(t), s, upstreamtest.ServeTLS(t, s.ServerConfig(), upstreamtest.ServeOK))
 	mustDeliver(t, h) // which takes all of the budget
 	h.CloseIdle()
-	o := newTestCall().complete(t, h, &record{ID: "m"}, time.Second)
+	o := complete(t, newTestCall(), h, Request{ID: "m", Timeout: time.Second})
 	var turn handshakeBudgetError
 	if o.Outcome != policy.NotSent || !errors.As(o.Err, &turn) || o.RetryAfter < 1e6 || o.Elapsed > 500e3 {
 		t.Errorf("got %+v", o)
@@ -718,47 +718,47 @@
 // flight, certificate and key one after the other: no call is lost, the pair
 // that does not match is never shown, and from then on the new one is.
 func TestOwnCertificateReplaced(t *testing.T) {
-	s := newTLSSite(t, func(s *tlsSite, h *operatorconfig.Handshakes) {
+	s := upstreamtest.NewTLSSite(t, func(s *upstreamtest.TLSSite, h *operatorconfig.Handshakes) {
 		h.MaxParallel, h.CPUShare, h.BurstMS = 50, 1, 1000
-		cert, key, err := issueCert(t, s.root, "relay one").WriteFiles(s.dir, "own", true)
+		cert, key, err := upstreamtest.IssueCert(t, s.Root, "relay one").WriteFiles(s.Dir, "own", true)
 		if err != nil {
 			t.Fatal(err)
 		}
-		s.rule.Certificate, s.rule.Key = cert, key
+		s.Rule.Certificate, s.Rule.Key = cert, key
 	})
 	var mu sync.Mutex
 	shown := map[string]int{}
 	arrived, gate := make(chan struct{}, 200), make(chan struct{})
 	var open atomic.Bool
-	h := s.endpoint(testPool(t), serveTLS(t, &tls.Config{ClientAuth: tls.RequireAndVerifyClientCert, ClientCAs: s.root.RootPool(),
+	h := openTLS(testPool(t), s, upstreamtest.ServeTLS(t, &tls.Config{ClientAuth: tls.RequireAndVerifyClientCert, ClientCAs: s.Root.RootPool(),
 		GetCertificate: func(*tls.ClientHelloInfo) (*tls.Certificate, error) {
 			if !open.Load() {
 				arrived <- struct{}{}
 				<-gate
 			}
-			own := s.own.TLSCertificate()
+			own := s.PeerCert.TLSCertificate()
 			return &own, nil
 		}}, func(c net.Conn) {
 		mu.Lock()
 		shown[c.(*tls.Conn).ConnectionState().PeerCertificates[0].Subject.CommonName]++
 		mu.Unlock()
-		serveOK(c)
+		upstreamtest.ServeOK(c)
 	}))
 	over := make(chan Result, 100)
 	send := func(n int) {
 		for range n {
-			go func() { newTestCall().Do(h, &record{ID: "m"}, testLimit, nil, func(o Result) { over <- o }) }()
+			go func() { newTestCall().Do(h, Request{ID: "m", Timeout: testTimeout}, func(o Result) { over <- o }) }()
 		}
 	}
 	send(50)
 	for range 50 {
 		<-arrived
 	}
-	two := issueCert(t, s.root, "relay two")
-	if err := testca.ReplaceFile(s.rule.Certificate, two.CertPEM(), 0o644); err != nil {
+	two := upstreamtest.IssueCert(t, s.Root, "relay two")
+	if err := testca.ReplaceFile(s.Rule.Certificate, two.CertPEM(), 0o644); err != nil {
 		t.Fatal(err)
 	}
-	s.partners.ReloadFiles() // the moment between: the old pair goes on
+	s.Dialer.ReloadFiles() // the moment between: the old pair goes on
 	open.Store(true)
 	close(gate)
 	for range 50 {
@@ -768,11 +768,11 @@
 	}
 	waitFor(t, "all handshakes", func() bool {
 		h.pool.mu.Lock()
-		opening := h.connecting
+		connecting := h.connecting
 		h.pool.mu.Unlock()
 		mu.Lock()
 		defer mu.Unlock()
-		return opening == 0 && int64(shown["relay one"]) == s.partners.Counts().Full
+		return connecting == 0 && int64(shown["relay one"]) == s.Dialer.Counts().Full
 	})
 	mu.Lock()
 	if len(shown) != 1 {
@@ -784,10 +784,10 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if err := testca.ReplaceFile(s.rule.Key, key, 0o600); err != nil {
+	if err := testca.ReplaceFile(s.Rule.Key, key, 0o600); err != nil {
 		t.Fatal(err)
 	}
-	s.partners.ReloadFiles()
+	s.Dialer.ReloadFiles()
 	waitReusable(h)
 	send(20)
 	for range 20 {
@@ -808,13 +808,13 @@
 // write that carries it.
 func TestBrokenAtEachTLSWrite(t *testing.T) {
 	for at := 1; ; at++ {
-		s := newTLSSite(t, nil)
+		s := upstreamtest.NewTLSSite(t, nil)
 		var calls atomic.Int32
 		p := testPool(t)
-		h := s.endpoint(p, serveTLS(t, &tls.Config{Certificates: []tls.Certificate{s.own.TLSCertificate()}}, func(c net.Conn) {
-			if readRequest(bufio.NewReader(c)) {
+		h := openTLS(p, s, upstreamtest.ServeTLS(t, s.ServerConfig(), func(c net.Conn) {
+			if upstreamtest.ReadRequest(bufio.NewReader(c)) {
 				calls.Add(1)
-				io.WriteString(c, okResponse)
+				io.WriteString(c, upstreamtest.OKResponse)
 			}
 		}))
 		dial := h.dial
@@ -827,7 +827,7 @@
 			broke = true
 			return &closeAtWriteConn{TCPConn: c.(*net.TCPConn), at: at}, nil
 		}
-		o := newTestCall().complete(t, h, &record{ID: "m", Body: []byte("b")}, testLimit)
+		o := complete(t, newTestCall(), h, Request{ID: "m", Body: []byte("b"), Timeout: testTimeout})
 		if calls.Load() > 1 || o.Outcome == policy.Delivered && calls.Load() != 1 || o.Outcome != policy.Delivered && (!o.Outcome.NeverRan() || calls.Load() != 0) {
 			t.Fatalf("broken at write %d: %+v, and %d calls", at, o, calls.Load())
 		}
--- a/internal/relay/waits_test.go
+++ b/internal/relay/waits_test.go
@@ -5,23 +5,15 @@
 	"context"
 	"io"
 	"net"
+	"net/http"
 	"testing"
 	"time"
 
-	"troutusher/internal/core"
 	"troutusher/internal/sendgate"
+	"troutusher/internal/upstream/upstreamtest"
 	"troutusher/policy"
 )
 
-// retryAfterLeft reports whether the gate keeps calls from going out, and for how long.
-func retryAfterLeft(h *Endpoint) policy.Time {
-	_, err := h.gate.Acquire(h.pool.now(), func(error) {})
-	if w, ok := err.(sendgate.RetryAfterError); ok {
-		return w.Remaining
-	}
-	return 0
-}
-
 // A call that waits for its connection, or has written all but its last byte,
 // when a sibling hears of a wait does not go out: it never ran, its endpoint was
 // not asked, and it says for how long it was kept.
@@ -50,18 +42,18 @@
 			dial := h.dial
 			h.dial = func(ctx context.Context, addr string) (net.Conn, error) {
 				conn, err := dial(ctx, addr)
-				return &callbackConn{TCPConn: conn.(*net.TCPConn), callback: tell}, err
+				return &callbackConn{TCPConn: conn.(*net.TCPConn), tell: tell}, err
 			}
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
-			ep := newFakeEndpoint(t, nil)
+			ep := newCountingEndpoint(t, http.StatusOK)
 			p := testPool(t)
-			h, sibling := p.newEndpoint(ep.addr()), p.newEndpoint(ep.addr())
+			h, sibling := openPlain(p, ep.address), openPlain(p, ep.address)
 			shared := &sendgate.Scope{}
 			h.gate, sibling.gate = shared.Gate(), shared.Gate()
 			where(h, func() { now := p.now(); sibling.gate.HoldUntil(now, now+wait) })
-			o := newTestCall().complete(t, h, &record{ID: "m", Body: []byte("b")}, testLimit)
+			o := complete(t, newTestCall(), h, Request{ID: "m", Body: []byte("b"), Timeout: testTimeout})
 			if o.Outcome != policy.NotSent || o.RetryAfter <= 0 || o.RetryAfter > wait || !sendgate.IsRefusal(o.Err) {
 				t.Errorf("got %+v", o)
 			}
@@ -69,7 +61,7 @@
 				t.Errorf("the call went out %d times", n)
 			}
 			shared.HoldUntil(0, 0)
-			if left := retryAfterLeft(h); left <= 0 {
+			if left := h.RetryAfter(); left <= 0 {
 				t.Error("the wait is forgotten")
 			}
 		})
@@ -79,15 +71,15 @@
 // callbackConn has the word come once the first bytes of a call are out.
 type callbackConn struct {
 	*net.TCPConn
-	callback func()
-	called   bool
+	tell func()
+	told bool
 }
 
 func (c *callbackConn) Write(b []byte) (int, error) {
 	n, err := c.TCPConn.Write(b)
-	if !c.called {
-		c.called = true
-		c.callback()
+	if !c.told {
+		c.told = true
+		c.tell()
 	}
 	return n, err
 }
@@ -115,8 +107,8 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			read := make(chan bool, 1)
-			h := w.endpoint(testPool(t), w.serve(t, func(c net.Conn) {
-				if readRequest(bufio.NewReader(c)) {
+			h := w.open(testPool(t), w.serve(t, func(c net.Conn) {
+				if upstreamtest.ReadRequest(bufio.NewReader(c)) {
 					io.WriteString(c, x.text)
 					if name == "too late" || name == "reset" {
 						<-read // the head, before anything else
@@ -125,16 +117,18 @@
 				}
 			}))
 			done := make(chan Result, 1)
-			go func() { done <- newTestCall().complete(t, h, &record{ID: "m", Body: []byte("b")}, testLimit) }()
+			go func() {
+				done <- complete(t, newTestCall(), h, Request{ID: "m", Body: []byte("b"), Timeout: testTimeout})
+			}()
 			if name == "too late" || name == "reset" {
-				waitFor(t, "the word of the wait", func() bool { return retryAfterLeft(h) > 0 })
+				waitFor(t, "the word of the wait", func() bool { return h.RetryAfter() > 0 })
 				read <- true
 			}
 			o := <-done
 			if (o.Outcome != policy.Failed && o.Outcome != policy.ConnectionReset) || o.RetryAfter != x.wait {
 				t.Errorf("got %+v, want a wait of %d ms", o, x.wait/1000)
 			}
-			if left := retryAfterLeft(h); (left > 0) != (x.wait > 0) || left > x.wait {
+			if left := h.RetryAfter(); (left > 0) != (x.wait > 0) || left > x.wait {
 				t.Errorf("held for %d ms, told %d", left/1000, x.wait/1000)
 			}
 		})
@@ -148,65 +142,47 @@
 			here, there := net.Pipe()
 			defer there.Close()
 			p := testPool(t)
-			h := p.newEndpoint("")
+			h := openPlain(p, "")
 			p.open++
-			conn := &poolConn{Conn: here, endpoint: h, remaining: maxResponseBytes}
-			conn.reader = bufio.NewReader(conn)
+			conn := newPoolConn(h, here)
 			go io.WriteString(there, "HTTP/1.1 429 W\r\nRetry-After: 2\r\nContent-Length: 0\r\n\r\n")
-			ctx, cancel := context.WithTimeoutCause(c.ctx, testLimit, context.DeadlineExceeded)
+			ctx, cancel := context.WithTimeoutCause(c.ctx, testTimeout, context.DeadlineExceeded)
 			defer cancel()
 			if name == "called off" {
-				c.cancel(ErrCancelled)
+				c.Cancel()
 			} else {
 				ctx, cancel = context.WithDeadlineCause(c.ctx, time.Now().Add(-time.Second), context.DeadlineExceeded)
 				defer cancel()
 			}
-			req, err := newCallRequest("127.0.0.1:1", "m", "", nil, time.Second)
+			req, err := newCallRequest("127.0.0.1:1", &Request{ID: "m", Timeout: time.Second})
 			if err != nil {
 				t.Fatal(err)
 			}
 			var got []Result
 			c.awaitResponse(ctx, conn, req, time.Now(), nil, func(o Result) { got = append(got, o) })
-			if len(got) != 1 || got[0].Outcome != policy.Rejected || got[0].RetryAfter != 2e6 || retryAfterLeft(h) == 0 {
-				t.Errorf("got %+v, held for %d ms", got, retryAfterLeft(h)/1000)
+			if len(got) != 1 || got[0].Outcome != policy.Rejected || got[0].RetryAfter != 2e6 || h.RetryAfter() == 0 {
+				t.Errorf("got %+v, held for %d ms", got, h.RetryAfter()/1000)
 			}
 		})
 	}
 }
 
-// A wait binds a destination's endpoints together, also one that opens later, and
-// of routes apart the one that told it; it outlasts the home that heard it.
-func TestRetryAfterScopes(t *testing.T) {
-	r := &Relay{endpoints: map[policy.EndpointID]*Endpoint{}, pool: testPool(t), startedAt: time.Now()}
-	r.pool.now = r.now
-	open := func(n policy.EndpointID, dest int, apart bool) {
-		r.executeEffect(core.OpenEndpoint{Endpoint: n, Address: "127.0.0.1:1", Dest: dest, IndependentRoute: apart})
+// TestForgetScopes: a scope ends with what it is kept for, and not before.
+func TestForgetScopes(t *testing.T) {
+	p := testPool(t)
+	for id, independent := range map[policy.EndpointID]bool{1: false, 2: false, 3: true} {
+		p.OpenEndpoint(EndpointOptions{ID: id, Dest: 7, IndependentRoute: independent}).Close()
 	}
-	open(1, 1, false)
-	open(2, 1, false)
-	open(3, 2, true)
-	open(4, 2, true)
-	open(5, 3, false)
-	until := r.now() + 60e6
-	r.executeEffect(core.ApplyRetryAfter{Endpoint: 1, Until: until})
-	r.executeEffect(core.ApplyRetryAfter{Endpoint: 3, Until: until})
-	r.executeEffect(core.CloseEndpoint{Endpoint: 3})
-	open(3, 2, true)
-	open(6, 1, false)
-	for n, want := range map[policy.EndpointID]bool{1: true, 2: true, 3: true, 4: false, 5: false, 6: true} {
-		if got := retryAfterLeft(r.endpoints[n]) > 0; got != want {
-			t.Errorf("endpoint %d is held: %v", n, got)
-		}
+	if len(p.scopes) != 2 {
+		t.Fatalf("%d scopes, want that of the destination and that of the route", len(p.scopes))
 	}
-	r.executeEffect(core.ForgetEndpoint{Endpoint: 3})
-	if open(3, 2, true); retryAfterLeft(r.endpoints[3]) > 0 {
-		t.Error("a route that was forgotten is held")
+	if p.ForgetRoute(1); len(p.scopes) != 2 {
+		t.Error("forgotten with an endpoint that is no route")
 	}
-	for _, n := range []policy.EndpointID{1, 2, 6} {
-		r.executeEffect(core.CloseEndpoint{Endpoint: n})
-		r.executeEffect(core.ForgetEndpoint{Endpoint: n})
+	if p.ForgetRoute(3); p.scopes[scopeKey{route: 3}] != nil {
+		t.Error("the scope of a forgotten route is kept")
 	}
-	if r.executeEffect(core.PassivateDestination{Dest: 1}); r.pool.scopes[scopeKey{dest: 1}] != nil {
-		t.Error("a destination that rests keeps its scope")
+	if p.ForgetDestination(7); len(p.scopes) != 0 {
+		t.Error("the scope of a passivated destination is kept")
 	}
 }
--- a/internal/relay/way_test.go
+++ b/internal/relay/way_test.go
@@ -1,54 +1,120 @@
 package relay
 
 import (
+	"context"
 	"crypto/tls"
-	"crypto/x509"
-	"fmt"
+	"io"
 	"net"
-	"sync/atomic"
+	"net/http"
+	"net/http/httptest"
+	"sync"
 	"testing"
 	"time"
 
-	"troutusher/internal/operatorconfig"
-	"troutusher/internal/testca"
-	"troutusher/internal/tlsdial"
+	"troutusher/internal/sendgate"
+	"troutusher/internal/upstream/upstreamtest"
+	"troutusher/policy"
 )
 
-// transport is how calls reach endpoints: one script of faults, over plain TCP and over
-// TLS, has the same verdicts.
+const testTimeout = 20 * time.Second
+
+func newTestCall() *Call { return NewCall(context.Background(), CallOptions{}) }
+
+func newTestPool(maxConns int) *Pool {
+	start := time.Now()
+	return NewPool(PoolOptions{ConnectTimeout: 1500 * time.Millisecond, IdleTimeout: 9 * time.Second, MaxConns: maxConns,
+		Now: func() policy.Time { return elapsedSince(start) }})
+}
+
+// testPool returns a pool; what it holds open at the end of the test is a leak.
+func testPool(t *testing.T) *Pool {
+	t.Helper()
+	p := newTestPool(64)
+	t.Cleanup(func() {
+		p.CloseIdle()
+		if open, _ := p.counts(); open != 0 {
+			t.Errorf("%d connections left open", open)
+		}
+	})
+	return p
+}
+
+// openPlain opens an endpoint without TLS, with a scope of its own.
+func openPlain(p *Pool, address string) *Endpoint {
+	return p.newEndpoint(address, new(sendgate.Scope).Gate())
+}
+
+// openTLS opens an endpoint that is reached by the rule of a site.
+func openTLS(p *Pool, site *upstreamtest.TLSSite, address string) *Endpoint {
+	p.tls = site.Dialer
+	return p.OpenEndpoint(EndpointOptions{ID: policy.EndpointID(site.NextEndpoint()), Address: address, Dest: 1, Flavor: "k",
+		IndependentRoute: true})
+}
+
+// complete makes a call to its end and returns its one result.
+func complete(t *testing.T, c *Call, h *Endpoint, request Request) Result {
+	t.Helper()
+	reported := make(chan Result, 4)
+	c.Do(h, request, func(result Result) { reported <- result })
+	if len(reported) != 1 {
+		t.Fatalf("%d results reported, want 1", len(reported))
+	}
+	return <-reported
+}
+
+// waitReusable waits until every idle connection has rested for long enough.
+func waitReusable(h *Endpoint) {
+	for {
+		h.pool.mu.Lock()
+		ready := true
+		for _, c := range h.pool.idle {
+			ready = ready && time.Since(c.idleSince) >= reuseDelay
+		}
+		h.pool.mu.Unlock()
+		if ready {
+			return
+		}
+		time.Sleep(time.Millisecond)
+	}
+}
+
+// transport is how calls reach endpoints: one script of faults, over plain TCP and
+// over TLS, has the same verdicts.
 type transport struct {
-	site *tlsSite // nil for plain TCP
-	cfg  *tls.Config
+	site   *upstreamtest.TLSSite // nil for plain TCP
+	config *tls.Config
 }
 
-// forEachTransport runs a test over every way.
-func forEachTransport(t *testing.T, f func(t *testing.T, w *transport)) {
-	t.Run("plain", func(t *testing.T) { f(t, &transport{}) })
+// forEachTransport runs a test over every transport.
+func forEachTransport(t *testing.T, test func(t *testing.T, w *transport)) {
+	t.Run("plain", func(t *testing.T) { test(t, &transport{}) })
 	for name, version := range map[string]uint16{"tls 1.2": tls.VersionTLS12, "tls 1.3": tls.VersionTLS13} {
 		t.Run(name, func(t *testing.T) {
-			s := newTLSSite(t, nil)
-			f(t, &transport{site: s, cfg: &tls.Config{Certificates: []tls.Certificate{s.own.TLSCertificate()}, MinVersion: version, MaxVersion: version}})
+			site := upstreamtest.NewTLSSite(t, nil)
+			config := site.ServerConfig()
+			config.MinVersion, config.MaxVersion = version, version
+			test(t, &transport{site: site, config: config})
 		})
 	}
 }
 
 // serve serves connections by hand.
-func (w *transport) serve(t *testing.T, serve func(net.Conn)) string {
+func (w *transport) serve(t testing.TB, serve func(net.Conn)) string {
 	t.Helper()
 	if w.site == nil {
-		return serveTCP(t, serve)
+		return upstreamtest.ServeTCP(t, serve)
 	}
-	return serveTLS(t, w.cfg, serve)
+	return upstreamtest.ServeTLS(t, w.config, serve)
 }
 
-func (w *transport) endpoint(p *Pool, addr string) *Endpoint {
+func (w *transport) open(p *Pool, address string) *Endpoint {
 	if w.site == nil {
-		return p.newEndpoint(addr)
+		return openPlain(p, address)
 	}
-	return w.site.endpoint(p, addr)
+	return openTLS(p, w.site, address)
 }
 
-// tcpConnOf is the TCP connection below one that an endpoint serves.
+// tcpConnOf returns the TCP connection below one that an endpoint serves.
 func tcpConnOf(c net.Conn) *net.TCPConn {
 	if s, ok := c.(*tls.Conn); ok {
 		return s.NetConn().(*net.TCPConn)
@@ -56,77 +122,32 @@
 	return c.(*net.TCPConn)
 }
 
-// serveTLS serves connections over TLS; one whose handshake fails is closed.
-func serveTLS(t testing.TB, cfg *tls.Config, serve func(net.Conn)) string {
-	t.Helper()
-	return serveTCP(t, func(raw net.Conn) {
-		if c := tls.Server(raw, cfg); c.Handshake() == nil {
-			serve(c)
-		}
-	})
-}
-
-// identityRejection is a word that an endpoint gets nothing for a time.
-type identityRejection struct {
-	endpoint uint64
-	wait     time.Duration
-}
-
-// tlsSite is a site whose only rule is for the destinations of flavour k.
-type tlsSite struct {
-	dir          string
-	root         *testca.Issued
-	own          *testca.Issued // the partner's
-	rule         operatorconfig.TLSRule
-	partners     *tlsdial.Dialer
-	rejections   chan identityRejection
-	clockSkew    atomic.Int64 // of its clock
-	lastEndpoint atomic.Uint64
-}
-
-const partnerName = "pay.example.org"
-
-func issueCert(t testing.TB, up *testca.Issued, name string, changes ...func(*x509.Certificate)) *testca.Issued {
-	t.Helper()
-	m, err := testca.Issue(up, name, nil, changes...)
-	if err != nil {
-		t.Fatal(err)
-	}
-	return m
+// countingEndpoint answers requests with a status and counts them by message.
+type countingEndpoint struct {
+	address string
+	mu      sync.Mutex
+	calls   map[string]int
 }
 
-func newTLSSite(t testing.TB, change func(s *tlsSite, h *operatorconfig.Handshakes)) *tlsSite {
+func newCountingEndpoint(t *testing.T, status int) *countingEndpoint {
 	t.Helper()
-	s := &tlsSite{dir: t.TempDir(), rejections: make(chan identityRejection, 1000)}
-	s.root = issueCert(t, nil, "root", testca.AsAuthority)
-	s.own = issueCert(t, s.root, partnerName)
-	roots, _, err := s.root.WriteFiles(s.dir, "roots", false)
-	if err != nil {
-		t.Fatal(err)
-	}
-	s.rule = operatorconfig.TLSRule{Name: "pay", Flavors: []string{"k"}, ServerName: partnerName, Roots: roots}
-	var h operatorconfig.Handshakes
-	if change != nil {
-		change(s, &h)
-	}
-	s.partners, err = tlsdial.New(tlsdial.Options{Rules: []operatorconfig.TLSRule{s.rule}, Handshakes: h, Log: quietLog(), Seed: 1,
-		Clock:      func() time.Time { return time.Now().Add(time.Duration(s.clockSkew.Load())) },
-		OnRejected: func(endpoint uint64, wait time.Duration) { s.rejections <- identityRejection{endpoint, wait} }})
-	if err != nil {
-		t.Fatal(err)
-	}
-	return s
-}
-
-func (s *tlsSite) endpoint(p *Pool, addr string) *Endpoint {
-	return p.OpenEndpoint(addr, s.partners, s.lastEndpoint.Add(1), 1, "k")
+	e := &countingEndpoint{calls: map[string]int{}}
+	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+		if _, err := io.Copy(io.Discard, r.Body); err != nil {
+			return
+		}
+		e.mu.Lock()
+		e.calls[r.Header.Get("X-Request-ID")]++
+		e.mu.Unlock()
+		w.WriteHeader(status)
+	}))
+	t.Cleanup(func() { server.CloseClientConnections(); server.Close() })
+	e.address = server.Listener.Addr().String()
+	return e
 }
 
-// operatorFile is the text of an operator's file with the site's rule.
-func (s *tlsSite) operatorFile() string {
-	text := fmt.Sprintf("[[tls]]\nname = %q\nflavors = [\"k\"]\nserver_name = %q\nroots = %q\n", s.rule.Name, s.rule.ServerName, s.rule.Roots)
-	if s.rule.Certificate != "" {
-		text += fmt.Sprintf("certificate = %q\nkey = %q\n", s.rule.Certificate, s.rule.Key)
-	}
-	return text
+func (e *countingEndpoint) count(id string) int {
+	e.mu.Lock()
+	defer e.mu.Unlock()
+	return e.calls[id]
 }
