--- a/internal/relay/attempts.go
+++ b/internal/relay/attempts.go
@@ -4,11 +4,12 @@
 	"time"
 
 	"troutusher/internal/core"
+	"troutusher/internal/upstream"
 )
 
 // callRequest returns what an attempt of the core sends.
-func callRequest(call *core.Call, loadFields []string) Request {
-	return Request{
+func callRequest(call *core.Call, loadFields []string) upstream.Request {
+	return upstream.Request{
 		ID:             call.Record.ID,
 		IdempotencyKey: call.Record.Key,
 		Body:           call.Record.Body,
@@ -18,7 +19,7 @@
 }
 
 // coreResult returns the result of a call or a health check as the core takes it.
-func coreResult(result Result) *core.Result {
+func coreResult(result upstream.Result) *core.Result {
 	return &core.Result{
 		Outcome:           result.Outcome,
 		RetryAfter:        result.RetryAfter,
--- a/internal/relay/attempts_test.go
+++ b/internal/relay/attempts_test.go
@@ -5,6 +5,7 @@
 	"time"
 
 	"troutusher/internal/core"
+	"troutusher/internal/upstream"
 	"troutusher/policy"
 )
 
@@ -12,8 +13,8 @@
 // together, also one that opens later, and of independent routes the one that told
 // it; it outlasts the endpoint that told it.
 func TestRetryAfterScopes(t *testing.T) {
-	r := &Relay{endpoints: map[policy.EndpointID]*Endpoint{}, startedAt: time.Now()}
-	r.pool = NewPool(PoolOptions{Now: r.now})
+	r := &Relay{endpoints: map[policy.EndpointID]*upstream.Endpoint{}, startedAt: time.Now()}
+	r.pool = upstream.NewPool(upstream.PoolOptions{Now: r.now})
 	open := func(id policy.EndpointID, dest int, independent bool) {
 		r.executeEffect(core.OpenEndpoint{Endpoint: id, Address: "127.0.0.1:1", Dest: dest, IndependentRoute: independent})
 	}
--- a/internal/relay/effects.go
+++ b/internal/relay/effects.go
@@ -6,6 +6,7 @@
 
 	"troutusher/internal/core"
 	"troutusher/internal/metrics"
+	"troutusher/internal/upstream"
 	"troutusher/policy"
 )
 
@@ -44,7 +45,7 @@
 	case core.ResumeCall:
 		r.resumeCall(e.Call)
 	case core.CancelCall:
-		if c, ok := e.Call.Handle.(*Call); ok {
+		if c, ok := e.Call.Handle.(*upstream.Call); ok {
 			c.Cancel()
 		}
 	case core.ApplyRetryAfter:
@@ -57,7 +58,7 @@
 			r.post(core.HealthChecked{Endpoint: ep, Result: coreResult(h.CheckHealth(r.ctx))})
 		}()
 	case core.OpenEndpoint:
-		r.endpoints[e.Endpoint] = r.pool.OpenEndpoint(EndpointOptions{
+		r.endpoints[e.Endpoint] = r.pool.OpenEndpoint(upstream.EndpointOptions{
 			ID:               e.Endpoint,
 			Address:          e.Address,
 			Dest:             e.Dest,
@@ -104,7 +105,7 @@
 
 // startCall logs an attempt and then makes it.
 func (r *Relay) startCall(rec *record, out *core.Call) {
-	c := NewCall(r.ctx, CallOptions{
+	c := upstream.NewCall(r.ctx, upstream.CallOptions{
 		SendBy:     out.SendBy,
 		WarmingUp:  out.WarmingUp,
 		MayConnect: out.MayConnect,
@@ -122,7 +123,7 @@
 		go func() {
 			defer c.Release()
 			defer r.inFlight.Remove(c)
-			c.Do(endpoint, callRequest(out, r.cfg.LoadReportFields), func(result Result) {
+			c.Do(endpoint, callRequest(out, r.cfg.LoadReportFields), func(result upstream.Result) {
 				r.post(core.AttemptFinished{Call: out, Result: coreResult(result)})
 			})
 		}()
@@ -131,15 +132,15 @@
 
 // resumeCall has a call that the process before had out go on here.
 func (r *Relay) resumeCall(out *core.Call) {
-	c := NewCall(r.ctx, CallOptions{ElapsedBefore: time.Duration(r.now()-out.SentAt()) * time.Microsecond})
+	c := upstream.NewCall(r.ctx, upstream.CallOptions{ElapsedBefore: time.Duration(r.now()-out.SentAt()) * time.Microsecond})
 	out.Handle = c
-	report := func(result Result) {
+	report := func(result upstream.Result) {
 		r.post(core.AttemptFinished{Call: out, Result: coreResult(result)})
 	}
 	fd, ok := r.inheritedCalls[out.Record.ID]
 	if !ok {
 		c.Release()
-		report(Result{Outcome: policy.ConnectionReset, Err: errors.New("its connection was not handed over")})
+		report(upstream.Result{Outcome: policy.ConnectionReset, Err: errors.New("its connection was not handed over")})
 		return
 	}
 	delete(r.inheritedCalls, out.Record.ID)
@@ -152,7 +153,7 @@
 		defer c.Release()
 		defer r.inFlight.Remove(c)
 		if err := c.Adopt(endpoint, fd, callRequest(out, r.cfg.LoadReportFields), report); err != nil {
-			report(Result{Outcome: policy.ConnectionReset, Err: err})
+			report(upstream.Result{Outcome: policy.ConnectionReset, Err: err})
 		}
 	}()
 }
--- a/internal/relay/handover_outgoing.go
+++ b/internal/relay/handover_outgoing.go
@@ -13,6 +13,7 @@
 	"troutusher/internal/core"
 	"troutusher/internal/handover"
 	"troutusher/internal/handover/link"
+	"troutusher/internal/upstream"
 )
 
 // ---- the side that serves
@@ -210,7 +211,7 @@
 	carried := r.core.ExportHandover(r.now())
 	ids, fds := []string{}, []int{}
 	carried.Calls = slices.DeleteFunc(carried.Calls, func(k core.HandoverCall) bool {
-		c, ok := k.Call().Handle.(*Call)
+		c, ok := k.Call().Handle.(*upstream.Call)
 		if !ok {
 			return true
 		}
--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -22,6 +22,7 @@
 	"troutusher/internal/handover"
 	"troutusher/internal/mailbox"
 	"troutusher/internal/tlsdial"
+	"troutusher/internal/upstream"
 	"troutusher/internal/wal"
 	"troutusher/policy"
 )
@@ -62,10 +63,10 @@
 	members       *memberMerger // nil where discovery is the only source of endpoints
 	watchedAddr   atomic.Value  // a string: discoveryAddr, for the memberMerger's goroutine
 
-	pool      *Pool
-	endpoints map[policy.EndpointID]*Endpoint
-	inFlight  InFlight        // the calls that are out
-	tlsPeers  *tlsdial.Dialer // nil without TLS
+	pool      *upstream.Pool
+	endpoints map[policy.EndpointID]*upstream.Endpoint
+	inFlight  upstream.InFlight // the calls that are out
+	tlsPeers  *tlsdial.Dialer   // nil without TLS
 
 	board           *console.Stats                 // read by the console
 	consoleTLSPeers atomic.Pointer[tlsdial.Dialer] // tlsPeers, for the console
@@ -95,7 +96,7 @@
 		serverFailed: make(chan error, 1),
 		lifecycle:    &processLifecycle{},
 		board:        console.NewStats(classNames(cfg)),
-		endpoints:    map[policy.EndpointID]*Endpoint{},
+		endpoints:    map[policy.EndpointID]*upstream.Endpoint{},
 	}
 }
 
--- a/internal/relay/startup.go
+++ b/internal/relay/startup.go
@@ -17,6 +17,7 @@
 	"troutusher/internal/respserver"
 	"troutusher/internal/source/registry"
 	"troutusher/internal/tlsdial"
+	"troutusher/internal/upstream"
 	"troutusher/internal/wal"
 	"troutusher/policy"
 )
@@ -136,9 +137,9 @@
 	_, maxConns := s.cfg.DescriptorBudget()
 	keepAlive := time.Duration(s.cfg.Policy.IdleTimeout) * time.Microsecond
 	connectTimeout := time.Duration(s.cfg.Policy.ConnectTimeout) * time.Microsecond
-	s.pool = NewPool(PoolOptions{
+	s.pool = upstream.NewPool(upstream.PoolOptions{
 		ConnectTimeout: connectTimeout,
-		IdleTimeout:    keepAlive - IdleMargin(keepAlive),
+		IdleTimeout:    keepAlive - upstream.IdleMargin(keepAlive),
 		MaxConns:       maxConns,
 		Now:            s.now,
 		TLS:            s.tlsPeers,
--- a/internal/relay/tls_bench_test.go
+++ b/internal/upstream/call_bench_test.go
@@ -1,4 +1,4 @@
-package relay
+package upstream
 
 import (
 	"bufio"
--- a/internal/relay/way_test.go
+++ b/internal/upstream/helpers_test.go
@@ -1,4 +1,4 @@
-package relay
+package upstream
 
 import (
 	"context"
@@ -78,6 +78,17 @@
 	}
 }
 
+// waitFor waits for a condition, never for a time.
+func waitFor(t testing.TB, what string, condition func() bool) {
+	t.Helper()
+	for end := time.Now().Add(30 * time.Second); time.Now().Before(end); time.Sleep(2 * time.Millisecond) {
+		if condition() {
+			return
+		}
+	}
+	t.Fatalf("never came: %s", what)
+}
+
 // transport is how calls reach endpoints: one script of faults, over plain TCP and
 // over TLS, has the same verdicts.
 type transport struct {
--- a/internal/relay/callresult.go
+++ b/internal/upstream/upstream.go
@@ -1,4 +1,25 @@
-package relay
+// Package upstream makes the HTTP/1.1 calls to endpoints.
+//
+// It owns the connections to endpoints, plain and over TLS, in one [Pool] of
+// bounded size, and every [Call] that is in flight. Of each call it reports one
+// [Result], which says what is proved: that the call never ran, that it ran, or
+// that it may have run. To know that, it keeps its own connections in place of
+// those of net/http: it has to know whether the last byte of a request was
+// written, that the response read is the response to this request, and that
+// nothing of a call goes on once its result is reported.
+//
+// Before the first and the last byte of a request it asks package sendgate
+// whether the call may still go out. Calls without TLS can be suspended and
+// handed to another process ([InFlight]).
+//
+// It must never retry a call whose last byte was written, choose an endpoint, or
+// know clients and messages.
+//
+// Locks: [InFlight] calls into a [Call] with its own lock held. The lock of a
+// Call, that of the Pool and that of a sendgate scope are never held together,
+// with one exception: the send gate cancels a call's context with the scope's lock
+// held.
+package upstream
 
 import (
 	"errors"
