--- a/cmd/benchlink/host.go
+++ b/cmd/benchlink/host.go
@@ -10,20 +10,21 @@
 	"troutusher/policy"
 )
 
-// instance is one hosted instance.
+const listCount = 16 // lists of endpoints that frames can name
+
+// instance is one relay of those that the process hosts.
 type instance struct {
-	engine               *policy.Engine
-	remainingAt, limitAt int // places of the load values in a report; -1 when absent
-	kinds                int
-	events               []policy.Event
-	queued               bool
+	engine *policy.Engine
+	report reportLayout
+	events []policy.Event // of the frame that is handled
+	queued bool           // it has events in this frame
 }
 
-// host keeps the instances of one process apart and the lists they share.
+// host keeps the instances of one process apart, and the lists of endpoints that they share.
 type host struct {
 	instances  map[uint16]*instance
-	lists      [16][]policy.EndpointUpdate
-	order      []uint16 // relays with events in this turn, by first event
+	lists      [listCount][]policy.EndpointUpdate
+	order      []uint16 // instances with events in this frame, by their first event
 	actions    []policy.Action
 	reply      []wire.Action
 	replyFrame []byte
@@ -31,7 +32,7 @@
 
 func newHost() *host { return &host{instances: map[uint16]*instance{}} }
 
-// handleFrame reads one frame and returns its reply.
+// handleFrame reads one frame and returns its reply, which is good until the next one.
 func (h *host) handleFrame(in io.Reader) ([]byte, error) {
 	clock, events, err := wire.ReadBatch(in)
 	if err != nil {
@@ -40,177 +41,83 @@
 	if clock > math.MaxInt64 {
 		return nil, fmt.Errorf("batch header: clock %d is out of range", clock)
 	}
-	now := policy.Time(clock)
 	h.reply, h.order = h.reply[:0], h.order[:0]
 	for i := range events {
-		if err := h.handleRecord(now, &events[i]); err != nil {
-			return nil, fmt.Errorf("record %d: %w", i, err)
-		}
+		h.handleRecord(&events[i])
 	}
 	for _, id := range h.order {
-		if r := h.instances[id]; r != nil && r.queued {
-			h.stepInstance(now, id, r)
+		if instance := h.instances[id]; instance != nil && instance.queued {
+			h.step(policy.Time(clock), id, instance)
 		}
 	}
 	h.replyFrame, err = wire.AppendReply(h.replyFrame[:0], h.reply)
 	return h.replyFrame, err
 }
 
-func (h *host) stepInstance(now policy.Time, id uint16, r *instance) {
-	h.actions = r.engine.Step(now, r.events, h.actions[:0])
-	r.events, r.queued = r.events[:0], false
+// step gives an instance its events of the frame.
+func (h *host) step(now policy.Time, id uint16, instance *instance) {
+	h.actions = instance.engine.Step(now, instance.events, h.actions[:0])
+	instance.events, instance.queued = instance.events[:0], false
 	for i := range h.actions {
 		h.reply = append(h.reply, wireAction(id, &h.actions[i]))
 	}
 }
 
-// handleRecord hands an event to its instance, or changes the host's own tables.
-func (h *host) handleRecord(now policy.Time, e *wire.Event) error {
-	switch e.Code {
+// handleRecord keeps a record for its instance, or changes the host's own tables.
+func (h *host) handleRecord(record *wire.Event) {
+	switch record.Code {
 	case wire.EvTable:
-		list := make([]policy.EndpointUpdate, len(e.Entries))
-		for i, x := range e.Entries {
-			list[i] = policy.EndpointUpdate{Endpoint: policy.EndpointID(x.Endpoint), Zone: int(x.Zone), Kind: int(x.Kind),
-				Destination: int(x.Dest), State: policy.Readiness(x.State), Rate: float64(x.Nominal)}
-		}
-		h.lists[e.Sheet] = list
-		return nil
+		h.lists[record.Sheet] = endpointUpdates(record.Entries)
 	case wire.EvUp:
-		r, err := newInstance(e)
-		if err != nil {
-			h.reply = append(h.reply, wire.Action{Code: wire.ActBug, Relay: e.Relay, Text: err.Error()})
-			delete(h.instances, e.Relay)
-			return nil
-		}
-		h.instances[e.Relay] = r
-		return nil
+		h.start(record)
 	case wire.EvPowerOff:
-		delete(h.instances, e.Relay)
-		return nil
-	}
-	r := h.instances[e.Relay]
-	if r == nil {
-		return nil // an event for a life that is over
-	}
-	ev, ok := h.policyEvent(r, e)
-	if !ok {
-		return nil
-	}
-	r.events = append(r.events, ev)
-	if !r.queued {
-		r.queued = true
-		h.order = append(h.order, e.Relay)
-	}
-	return nil
-}
-
-var outcomeByStatus = map[uint8]policy.Outcome{wire.StatusOK: policy.Delivered, wire.StatusError: policy.Failed,
-	wire.StatusFull: policy.Rejected, wire.StatusLate: policy.TimedOut, wire.StatusNoConn: policy.ConnectFailed,
-	wire.StatusReset: policy.ConnectionReset, wire.StatusCancel: policy.Cancelled, wire.StatusMoot: policy.NotSent}
-
-var updateKindBySync = map[uint8]policy.ListUpdateKind{wire.SyncDelta: policy.ListDelta, wire.SyncFull: policy.ListFull,
-	wire.SyncCached: policy.ListCached, wire.SyncFailed: policy.ListFailed}
-
-// policyEvent maps a record to the interface's words.
-func (h *host) policyEvent(r *instance, e *wire.Event) (policy.Event, bool) {
-	ev := policy.Event{Message: e.Ticket, Endpoint: policy.EndpointID(e.Endpoint), Attempt: int(e.Attempt),
-		Latency: policy.Time(e.Took), Outcome: outcomeByStatus[e.Status]}
-	if e.Reports > 0 {
-		ev.Load = policy.LoadReport{Remaining: reportValue(e, r.remainingAt), Limit: reportValue(e, r.limitAt)}
-	}
-	switch e.Code {
-	case wire.EvSync:
-		ev.Kind, ev.ListUpdate = policy.EvListUpdated, updateKindBySync[e.Kind]
-		if ev.ListUpdate != policy.ListFailed {
-			ev.Updates = h.lists[e.Sheet]
-		}
-	case wire.EvCall:
-		ev.Kind, ev.Key, ev.TimeLeft, ev.Class = policy.EvMessageSubmitted, e.Subject, policy.Time(e.Grace), int(e.Class)
-		ev.Destination, ev.Tenant = int(e.Dest), int(e.Tenant)
-		if e.Flags&1 != 0 {
-			ev.EstimatedCost = policy.Time(e.Estimate)
-		}
-	case wire.EvBegun:
-		ev.Kind = policy.EvReplyStarted
-	case wire.EvResolved:
-		ev.Kind, ev.MessageFinished = policy.EvAttemptEnded, e.Settled
-		switch ev.Outcome {
-		case policy.Rejected:
-			ev.RetryAfter = policy.Time(e.Note) * 1000
-		case policy.NotSent:
-			ev.NoFreeSlot = e.Note == 1
-		}
-	case wire.EvLapsed:
-		ev.Kind = policy.EvMessageWithdrawn
-	case wire.EvAlarm:
-		ev.Kind, ev.Token = policy.EvTimer, e.Token
-	case wire.EvHealth:
-		ev.Kind = policy.EvHealthChecked
+		delete(h.instances, record.Relay)
 	default:
-		return ev, false
+		h.queue(record)
 	}
-	return ev, true
 }
 
-func reportValue(e *wire.Event, at int) float64 {
-	if at < 0 || at >= e.Reports {
-		return 0
+// start replaces an instance by a new one; one that cannot be made is reported.
+func (h *host) start(record *wire.Event) {
+	instance, err := newInstance(record)
+	if err != nil {
+		h.reply = append(h.reply, wire.Action{Code: wire.ActBug, Relay: record.Relay, Text: err.Error()})
+		delete(h.instances, record.Relay)
+		return
 	}
-	return float64(e.Report[at])
+	h.instances[record.Relay] = instance
 }
 
-// wireAction maps the interface's words to a record.
-func wireAction(id uint16, a *policy.Action) wire.Action {
-	w := wire.Action{Relay: id, Ticket: a.Message, Endpoint: uint64(a.Endpoint), Attempt: uint8(a.Attempt),
-		At: uint64(a.TimeoutAt), Token: a.Token, Text: a.Text}
-	w.After = uint32(min(max(a.After, 0), math.MaxUint32))
-	switch a.Kind {
-	case policy.ActSend:
-		w.Code = wire.ActDeliver
-	case policy.ActReject:
-		w.Code = wire.ActRefuse
-	case policy.ActFail:
-		w.Code = wire.ActLose
-	case policy.ActCancel:
-		w.Code = wire.ActCancel
-	case policy.ActTimer:
-		w.Code = wire.ActRemind
-	case policy.ActHealthCheck:
-		w.Code = wire.ActProbe
-	case policy.ActCloseIdle:
-		w.Code = wire.ActClose
-	case policy.ActWatch:
-		w.Code, w.On = wire.ActListen, true
-	case policy.ActFetch:
-		w.Code = wire.ActRead
-	case policy.ActLog:
-		w.Code = wire.ActLog
+// queue keeps a record for its instance; one for an instance that has ended is dropped.
+func (h *host) queue(record *wire.Event) {
+	instance := h.instances[record.Relay]
+	if instance == nil {
+		return
+	}
+	event, ok := h.policyEvent(instance, record)
+	if !ok {
+		return
+	}
+	instance.events = append(instance.events, event)
+	if !instance.queued {
+		instance.queued = true
+		h.order = append(h.order, record.Relay)
 	}
-	return w
 }
 
 // newInstance makes an instance from its settings text.
-func newInstance(e *wire.Event) (*instance, error) {
-	s, err := wire.ParseSettings(e.Text)
+func newInstance(record *wire.Event) (*instance, error) {
+	text, err := wire.ParseSettings(record.Text)
 	if err != nil {
 		return nil, err
 	}
-	set, err := settings.ForPolicy(s)
+	mapped, err := settings.ForPolicy(text)
 	if err != nil {
 		return nil, err
 	}
-	p, err := policy.New(set, e.Token)
+	engine, err := policy.New(mapped, record.Token)
 	if err != nil {
 		return nil, fmt.Errorf("settings: %w", err)
 	}
-	r := &instance{engine: p, remainingAt: -1, limitAt: -1}
-	for i, f := range s.Report.Fields {
-		switch f {
-		case "x0":
-			r.remainingAt = i
-		case "x1":
-			r.limitAt = i
-		}
-	}
-	return r, nil
+	return &instance{engine: engine, report: newReportLayout(text.Report.Fields)}, nil
 }
--- a/cmd/benchlink/host_test.go
+++ b/cmd/benchlink/host_test.go
@@ -100,8 +100,13 @@
 func TestListNumberReusedInOneFrame(t *testing.T) {
 	tail := append(append([]byte(settingsText), tableEntry(1)...), tableEntry(2)...)
 	n := len(settingsText)
-	out, err := run(t, frame(1e6, tail, startRecord(0, 1, settingsText, 0), startRecord(1, 2, settingsText, 0), tableRecord(3, n, 1), syncRecord(0, 3),
-		tableRecord(3, n+24, 1), syncRecord(1, 3), callRecord(0, 10), callRecord(1, 11)))
+	out, err := run(t, frame(
+		1e6, tail,
+		startRecord(0, 1, settingsText, 0), startRecord(1, 2, settingsText, 0),
+		tableRecord(3, n, 1), syncRecord(0, 3),
+		tableRecord(3, n+24, 1), syncRecord(1, 3),
+		callRecord(0, 10), callRecord(1, 11),
+	))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -110,12 +115,15 @@
 	}
 }
 
-// TestRestartInOneFrame: the second life knows nothing of the first, not even its messages.
+// TestRestartInOneFrame: the second instance knows nothing of the first, not even its messages.
 func TestRestartInOneFrame(t *testing.T) {
 	tail := append([]byte(settingsText), tableEntry(1)...)
 	n := len(settingsText)
-	out, err := run(t, frame(1e6, tail, startRecord(0, 1, settingsText, 0), tableRecord(0, n, 1), syncRecord(0, 0), callRecord(0, 10),
-		record(100, 0), startRecord(0, 2, settingsText, 0), syncRecord(0, 0), callRecord(0, 12)))
+	out, err := run(t, frame(
+		1e6, tail,
+		startRecord(0, 1, settingsText, 0), tableRecord(0, n, 1), syncRecord(0, 0), callRecord(0, 10), record(100, 0),
+		startRecord(0, 2, settingsText, 0), syncRecord(0, 0), callRecord(0, 12),
+	))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -124,11 +132,14 @@
 	}
 }
 
-// TestStoppedStaysSilent: no action for a relay that died in the batch.
+// TestStoppedStaysSilent: no action for a relay that ended in the frame.
 func TestStoppedStaysSilent(t *testing.T) {
 	tail := append([]byte(settingsText), tableEntry(1)...)
-	out, err := run(t, frame(1e6, tail, startRecord(0, 1, settingsText, 0), tableRecord(0, len(settingsText), 1), syncRecord(0, 0), callRecord(0, 10),
-		record(100, 0)))
+	out, err := run(t, frame(
+		1e6, tail,
+		startRecord(0, 1, settingsText, 0), tableRecord(0, len(settingsText), 1), syncRecord(0, 0), callRecord(0, 10),
+		record(100, 0),
+	))
 	if err != nil || !bytes.Equal(out, make([]byte, 8)) {
 		t.Fatalf("reply %x, error %v", out, err)
 	}
@@ -141,7 +152,12 @@
 		tail := append(append([]byte(settingsText), tableEntry(1)...), tableEntry(2)...)
 		var recs [][]byte
 		for i := range relays {
-			recs = append(recs, startRecord(uint16(i), uint64(i), settingsText, 0), tableRecord(0, len(settingsText), 2), syncRecord(uint16(i), 0))
+			recs = append(
+				recs,
+				startRecord(uint16(i), uint64(i), settingsText, 0),
+				tableRecord(0, len(settingsText), 2),
+				syncRecord(uint16(i), 0),
+			)
 		}
 		in := frame(1e6, tail, recs...)
 		for step := range 50 {
@@ -179,8 +195,10 @@
 
 // TestInvalidSettingsAreReported: the wire's own way of saying it, with the key.
 func TestInvalidSettingsAreReported(t *testing.T) {
-	for from, to := range map[string]string{`"calls_out":4`: `"calls_out":0`, `"retryable"`: `"sometimes"`,
-		`"fall_us":3000000`: `"fall_us":-1`} {
+	for from, to := range map[string]string{
+		`"calls_out":4`: `"calls_out":0`, `"retryable"`: `"sometimes"`,
+		`"fall_us":3000000`: `"fall_us":-1`,
+	} {
 		text := strings.Replace(settingsText, from, to, 1)
 		out, err := run(t, frame(1e6, []byte(text), startRecord(4, 1, text, 0)))
 		if err != nil || be.Uint32(out[4:]) != 1 || out[8] != 100 || be.Uint16(out[9:]) != 4 || len(out) <= 32 {
--- a/cmd/benchlink/main.go
+++ b/cmd/benchlink/main.go
@@ -1,9 +1,10 @@
-// Command benchlink hosts one policy for each relay and carries frames on
-// standard input and output to it and back. It decides nothing.
+// Command benchlink hosts one policy engine for each relay, and carries frames between them and standard input and
+// output. It decides nothing.
 package main
 
 import (
 	"bufio"
+	"errors"
 	"fmt"
 	"io"
 	"log"
@@ -22,10 +23,10 @@
 
 // serve answers frames until the input ends; a clean end gives nil.
 func serve(in io.Reader, out *bufio.Writer) error {
-	h := newHost()
+	hosted := newHost()
 	for n := 0; ; n++ {
-		reply, err := h.handleFrame(in)
-		if err == io.EOF {
+		reply, err := hosted.handleFrame(in)
+		if errors.Is(err, io.EOF) {
 			return nil
 		}
 		if err != nil {
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -1,5 +1,5 @@
-// Package settings maps the settings text, as the simulator and a deployment
-// both give it, to the words of package decide. It decides nothing.
+// Package settings maps the settings text, as the simulator and a deployment both give it, to the settings of package
+// policy. It decides nothing.
 package settings
 
 import (
@@ -9,40 +9,95 @@
 	"troutusher/policy"
 )
 
-var idempotencyByName = map[string]policy.Idempotency{"retryable": policy.Idempotent, "dedup": policy.IdempotentByKey, "fragile": policy.NonIdempotent}
+// The words of the settings text that a value is told by.
+const (
+	decayHalving  = "halving"    // specifics.late
+	valueByWork   = "work"       // value_by
+	weightsNone   = "none"       // weights
+	listOnRequest = "on_request" // discovery
+	groupAll      = "all"        // classes.group
+)
+
+var idempotencyByName = map[string]policy.Idempotency{
+	"retryable": policy.Idempotent,
+	"dedup":     policy.IdempotentByKey,
+	"fragile":   policy.NonIdempotent,
+}
 
-// ForPolicy maps the settings text to the interface's words.
-func ForPolicy(s *wire.Settings) (policy.Settings, error) {
-	l, f := &s.Limits, &s.Safety
-	d := policy.Settings{Relays: s.Balancers, Zone: s.Zone, MaxConcurrentCalls: s.Specifics.CallsOut, MaxPending: l.MostHeld,
-		MaxAttempts: l.MostTries, ExponentialDecay: s.Specifics.Late == "halving", OverQuotaWeight: s.OverShareWorth,
-		WeightByCost: s.ValueBy == "work", ListHasRates: s.Weights != "" && s.Weights != "none",
-		HealthChecks: l.Probing, Cancellation: l.MayCancel, SendRetryAfter: l.RetryAfter, MaxRetryAfter: l.MaxRetryAfter,
-		PollList: s.Discovery == "on_request", PollInterval: f.AskEvery, ConnectTimeout: l.ConnectTimeout,
-		IdleTimeout: l.KeepAlive, StreamsPerConnection: l.StreamsPerConn, TickInterval: s.Tick, ReplyGrace: f.AnswerSlack,
-		DrainGrace: f.DrainGrace, InitialCapacity: f.StartCapacity, RampDuration: f.RampTime,
-		OverloadFactor: f.OverloadFactor, OverloadDuration: f.FallTime, OrderedKeyBackoff: f.KeyRest}
-	for i, c := range s.Classes {
-		rep, ok := idempotencyByName[c.Repeat]
+// ForPolicy maps the settings text to the settings of the decision module.
+func ForPolicy(text *wire.Settings) (policy.Settings, error) {
+	limits, safety := &text.Limits, &text.Safety
+	mapped := policy.Settings{
+		Relays:               text.Balancers,
+		Zone:                 text.Zone,
+		Tenants:              tenants(text),
+		DestinationKinds:     destinationKinds(text),
+		MaxConcurrentCalls:   text.Specifics.CallsOut,
+		MaxPending:           limits.MostHeld,
+		MaxAttempts:          limits.MostTries,
+		ExponentialDecay:     text.Specifics.Late == decayHalving,
+		OverQuotaWeight:      text.OverShareWorth,
+		WeightByCost:         text.ValueBy == valueByWork,
+		ListHasRates:         text.Weights != "" && text.Weights != weightsNone,
+		HealthChecks:         limits.Probing,
+		Cancellation:         limits.MayCancel,
+		SendRetryAfter:       limits.RetryAfter,
+		MaxRetryAfter:        limits.MaxRetryAfter,
+		PollList:             text.Discovery == listOnRequest,
+		PollInterval:         safety.AskEvery,
+		ConnectTimeout:       limits.ConnectTimeout,
+		IdleTimeout:          limits.KeepAlive,
+		StreamsPerConnection: limits.StreamsPerConn,
+		TickInterval:         text.Tick,
+		ReplyGrace:           safety.AnswerSlack,
+		DrainGrace:           safety.DrainGrace,
+		InitialCapacity:      safety.StartCapacity,
+		RampDuration:         safety.RampTime,
+		OverloadFactor:       safety.OverloadFactor,
+		OverloadDuration:     safety.FallTime,
+		OrderedKeyBackoff:    safety.KeyRest,
+	}
+	for i, class := range text.Classes {
+		idempotency, ok := idempotencyByName[class.Repeat]
 		if !ok {
-			return d, fmt.Errorf("settings: classes[%d].repeat: unknown kind %q", i, c.Repeat)
+			return mapped, fmt.Errorf("settings: classes[%d].repeat: unknown kind %q", i, class.Repeat)
 		}
-		d.Classes = append(d.Classes, policy.Class{Name: c.Name, LatencyObjective: c.Target, Deadline: c.Deadline,
-			Weight: c.Worth, LateWeight: c.LateWorth, Idempotency: rep, DedupWindow: c.Window,
-			DedupPerZone: c.Group != "all" && c.Group != "", Ordered: c.Sequential})
+		mapped.Classes = append(mapped.Classes, policy.Class{
+			Name:             class.Name,
+			LatencyObjective: class.Target,
+			Deadline:         class.Deadline,
+			Weight:           class.Worth,
+			LateWeight:       class.LateWorth,
+			Idempotency:      idempotency,
+			DedupWindow:      class.Window,
+			DedupPerZone:     class.Group != groupAll && class.Group != "",
+			Ordered:          class.Sequential,
+		})
 	}
-	for _, a := range s.Accounts {
-		d.Tenants = append(d.Tenants, policy.Tenant{Name: a.Name, Quota: a.Quota})
+	return mapped, nil
+}
+
+func tenants(text *wire.Settings) []policy.Tenant {
+	var mapped []policy.Tenant
+	for _, account := range text.Accounts {
+		mapped = append(mapped, policy.Tenant{Name: account.Name, Quota: account.Quota})
 	}
-	for i := range s.Kinds {
-		k := policy.DestinationKind{BatchSize: 1}
-		if i < len(s.Specifics.OwnLimits) {
-			k.IndependentRoutes = s.Specifics.OwnLimits[i]
+	return mapped
+}
+
+// destinationKinds maps the kinds; one that the specifics leave out has one limit for all its endpoints, and calls of
+// one message.
+func destinationKinds(text *wire.Settings) []policy.DestinationKind {
+	var mapped []policy.DestinationKind
+	for i := range text.Kinds {
+		kind := policy.DestinationKind{BatchSize: 1}
+		if i < len(text.Specifics.OwnLimits) {
+			kind.IndependentRoutes = text.Specifics.OwnLimits[i]
 		}
-		if i < len(s.Specifics.KindBatch) {
-			k.BatchSize = s.Specifics.KindBatch[i]
+		if i < len(text.Specifics.KindBatch) {
+			kind.BatchSize = text.Specifics.KindBatch[i]
 		}
-		d.DestinationKinds = append(d.DestinationKinds, k)
+		mapped = append(mapped, kind)
 	}
-	return d, nil
+	return mapped
 }
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -3,6 +3,7 @@
 import (
 	"bytes"
 	"encoding/hex"
+	"errors"
 	"io"
 	"math"
 	"strings"
@@ -69,8 +70,14 @@
 }
 
 func TestKnownOutcome(t *testing.T) {
-	_, ev, err := ReadBatch(bytes.NewReader(frame(1, nil,
-		padRecord(t, "32 0003 5d3a91c4 0a124a07 1f43 07 00000019 00004844 fe 01 02 3ecccccd 3fa00000 00000000 00000000"))))
+	_, ev, err := ReadBatch(bytes.NewReader(frame(
+		1,
+		nil,
+		padRecord(
+			t,
+			"32 0003 5d3a91c4 0a124a07 1f43 07 00000019 00004844 fe 01 02 3ecccccd 3fa00000 00000000 00000000",
+		),
+	)))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -86,7 +93,8 @@
 	got, err := AppendReply(nil, []Action{
 		{Code: ActDeliver, Relay: 3, Ticket: 0x5d3a91c4, Endpoint: 0x0a124a071f43, At: 0x8194da},
 		{Code: ActRemind, Relay: 3, After: 500000, Token: 0x4d},
-		{Code: ActLog, Relay: 5, Text: "two servers known"}})
+		{Code: ActLog, Relay: 5, Text: "two servers known"},
+	})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -133,32 +141,39 @@
 	be.PutUint32(long[12:], 2)
 	huge := frame(1, nil)
 	be.PutUint32(huge[8:], math.MaxUint32)
-	for name, c := range map[string]struct {
+	unready := make([]byte, entrySize)
+	unready[11] = 9
+	const attempt = "32 0003 00000001 00000000 0000 00 00000000 00000000"
+	one := func(record string) []byte { return frame(1, nil, padRecord(t, record)) }
+	tests := []struct {
+		name string
 		in   []byte
 		want string
 	}{
-		"short header":     {make([]byte, 7), "header"},
-		"short body":       {frame(1, nil, call)[:40], "body"},
-		"too many records": {long, "records"},
-		"huge":             {huge, "length"},
-		"unknown code":     {frame(1, nil, padRecord(t, "07")), "code 7"},
-		"list number":      {frame(1, nil, padRecord(t, "6e 10")), "list number 16"},
-		"sync list number": {frame(1, nil, padRecord(t, "14 0003 04 0000000000000001 10")), "list number 16"},
-		"sync kind":        {frame(1, nil, padRecord(t, "14 0003 02")), "kind 2"},
-		"entries outside":  {frame(1, make([]byte, 30), padRecord(t, "6e 00 00000000 00000002")), "outside the tail"},
-		"offset outside":   {frame(1, nil, padRecord(t, "0a 0003 0000000000000001 ffffffff ffffffff")), "outside the tail"},
-		"readiness":        {frame(1, append(make([]byte, 11), append([]byte{9}, make([]byte, 12)...)...), padRecord(t, "6e 00 00000000 00000001")), "readiness 9"},
-		"status":           {frame(1, nil, padRecord(t, "32 0003 00000001 00000000 0000 00 00000000 00000000 10")), "status 16"},
-		"report":           {frame(1, nil, padRecord(t, "32 0003 00000001 00000000 0000 00 00000000 00000000 00 00 05")), "report of 5"},
-		"destination":      {frame(1, nil, nan), "destination"},
-	} {
-		if _, _, err := ReadBatch(bytes.NewReader(c.in)); err == nil || !strings.Contains(err.Error(), c.want) {
-			t.Errorf("%s: error %v, want one that says %q", name, err, c.want)
+		{"short header", make([]byte, 7), "header"},
+		{"short body", frame(1, nil, call)[:40], "body"},
+		{"too many records", long, "records"},
+		{"huge", huge, "length"},
+		{"unknown code", one("07"), "code 7"},
+		{"list number", one("6e 10"), "list number 16"},
+		{"sync list number", one("14 0003 04 0000000000000001 10"), "list number 16"},
+		{"sync kind", one("14 0003 02"), "kind 2"},
+		{"entries outside", frame(1, make([]byte, 30), padRecord(t, "6e 00 00000000 00000002")), "outside the tail"},
+		{"offset outside", one("0a 0003 0000000000000001 ffffffff ffffffff"), "outside the tail"},
+		{"readiness", frame(1, unready, padRecord(t, "6e 00 00000000 00000001")), "readiness 9"},
+		{"status", one(attempt + " 10"), "status 16"},
+		{"report", one(attempt + " 00 00 05"), "report of 5"},
+		{"destination", frame(1, nil, nan), "destination"},
+	}
+	for _, tt := range tests {
+		_, _, err := ReadBatch(bytes.NewReader(tt.in))
+		if err == nil || !strings.Contains(err.Error(), tt.want) {
+			t.Errorf("%s: error %v, want one that says %q", tt.name, err, tt.want)
 		} else if strings.Contains(err.Error(), "\n") {
-			t.Errorf("%s: more than one line: %v", name, err)
+			t.Errorf("%s: more than one line: %v", tt.name, err)
 		}
 	}
-	if _, _, err := ReadBatch(bytes.NewReader(nil)); err != io.EOF {
+	if _, _, err := ReadBatch(bytes.NewReader(nil)); !errors.Is(err, io.EOF) {
 		t.Errorf("clean end: %v", err)
 	}
 }
@@ -166,9 +181,12 @@
 func TestSettings(t *testing.T) {
 	s, err := ParseSettings([]byte(`{"balancers":2,"unknown":[1],"classes":[{"repeat":"dedup","dedup_window_us":5}],
 		"limits":{"most_held":7},"specifics":{"calls_out":9,"own_limits":[true]},"safety":{"fall_us":3}}`))
-	if err != nil || s.Balancers != 2 || s.Classes[0].Window != 5 || s.Limits.MostHeld != 7 || s.Specifics.CallsOut != 9 ||
+	if err != nil {
+		t.Fatal(err)
+	}
+	if s.Balancers != 2 || s.Classes[0].Window != 5 || s.Limits.MostHeld != 7 || s.Specifics.CallsOut != 9 ||
 		!s.Specifics.OwnLimits[0] || s.Safety.FallTime != 3 || s.OverShareWorth != 1 {
-		t.Errorf("settings %+v, error %v", s, err)
+		t.Errorf("settings %+v", s)
 	}
 	for _, bad := range []string{"", "[]", `{"balancers":"two"}`, "{"} {
 		if _, err := ParseSettings([]byte(bad)); err == nil {
@@ -180,7 +198,14 @@
 // FuzzReadBatch: no input makes the decoder panic, and what it takes it takes in whole.
 func FuzzReadBatch(f *testing.F) {
 	f.Add(frame(1, nil, padRecord(f, "1e 0003 5d3a91c4"), padRecord(f, "3c 0005 0e6f2b19")))
-	f.Add(frame(1, make([]byte, 24), padRecord(f, "6e 0f 00000000 00000001"), padRecord(f, "0a 0001 0000000000000001 00000000 00000002")))
+	f.Add(
+		frame(
+			1,
+			make([]byte, 24),
+			padRecord(f, "6e 0f 00000000 00000001"),
+			padRecord(f, "0a 0001 0000000000000001 00000000 00000002"),
+		),
+	)
 	f.Add(frame(9, nil, padRecord(f, "32 0003 00000001 00000000 0000 00 00000000 00000000 fe 00 02")))
 	f.Add([]byte{1, 2, 3})
 	f.Fuzz(func(t *testing.T, in []byte) {
