--- a/internal/core/attempt.go
+++ b/internal/core/attempt.go
@@ -59,7 +59,9 @@
 		c.reportNotSent(m, send.Endpoint)
 		return
 	}
-	call := &Call{Timeout: timeout, SendBy: send.LastByteBy, WarmingUp: send.Recovering, MayConnect: send.OpensConnection}
+	call := &Call{
+		Timeout: timeout, SendBy: send.LastByteBy, WarmingUp: send.Recovering, MayConnect: send.OpensConnection,
+	}
 	c.openCall(call, m, endpoint, c.now)
 	c.countAttempt(m, endpoint)
 	record := &Record{Kind: RecordAttempt, ID: m.record.ID, At: c.wallTime(c.now), Zone: endpoint.zone}
--- /dev/null
+++ b/internal/core/effects_test.go
@@ -0,0 +1,149 @@
+package core
+
+import (
+	"bytes"
+	"crypto/sha256"
+	"encoding/json"
+	"fmt"
+	"io"
+	"runtime"
+	"testing"
+
+	"troutusher/internal/idlestore"
+	"troutusher/policy"
+)
+
+// renderRecord writes the record that an effect appends, as the log has it.
+func renderRecord(effect Effect) string {
+	text, err := json.Marshal(recordOf(effect))
+	if err != nil {
+		return err.Error()
+	}
+	return string(text)
+}
+
+func renderCall(call *Call) string {
+	return fmt.Sprint(call.Record.ID, " endpoint=", call.Endpoint, " timeout=", call.Timeout, " by=", call.SendBy,
+		" warming=", call.WarmingUp, " connect=", call.MayConnect, " sent=", call.SentAt())
+}
+
+// renderEffect writes an effect by a fixed name and what it carries.
+func renderEffect(effect Effect) string {
+	switch e := effect.(type) {
+	case SendReply:
+		return fmt.Sprint("reply ", e.Request.Record.ID, " ok=", e.Reply.OK, " err=", e.Reply.Err,
+			" retry=", e.Reply.RetryAfterMS)
+	case AppendRecord:
+		return "append " + renderRecord(e)
+	case AppendThenReply:
+		return "append-reply " + e.Request.Record.ID + " " + renderRecord(e)
+	case AppendThenSend:
+		return "append-send " + renderRecord(e) + " " + renderCall(e.Call)
+	case ResumeCall:
+		return "resume " + renderCall(e.Call)
+	case AppendThenNotify:
+		return fmt.Sprintf("append-notify %s %+v", renderRecord(e), e.Notice)
+	case SendNotice:
+		return fmt.Sprintf("notify %+v", e.Notice)
+	case CancelCall:
+		return "cancel " + renderCall(e.Call)
+	case CheckHealth:
+		return fmt.Sprint("probe ", e.Endpoint)
+	case OpenEndpoint:
+		return fmt.Sprint("open ", e.Endpoint, " ", e.Address, " dest=", e.Dest, " flavor=", e.Flavor,
+			" independent=", e.IndependentRoute)
+	case CloseEndpoint:
+		return fmt.Sprint("close ", e.Endpoint)
+	case ApplyRetryAfter:
+		return fmt.Sprint("retry-after ", e.Endpoint, " ", e.Until)
+	case CloseIdleConnections:
+		return fmt.Sprint("close-idle ", e.Endpoint)
+	case ForgetEndpoint:
+		return fmt.Sprint("forget ", e.Endpoint)
+	case PassivateDestination:
+		return fmt.Sprint("passivate ", e.Dest)
+	case Log:
+		if e.Text == "policy" {
+			return "log " + e.Level.String() + " policy" // its words are pinned where they are made
+		}
+		return fmt.Sprint("log ", e.Level, " ", e.Text, " ", e.Args)
+	case StepAgain:
+		return "again"
+	}
+	return "unknown"
+}
+
+// goldenRuns are simulated runs of which every effect is recorded.
+var goldenRuns = []struct {
+	name string
+	play func(t *testing.T, seed uint64, golden io.Writer)
+}{
+	{"plain", func(t *testing.T, seed uint64, golden io.Writer) {
+		sim := newSimulation(t, seed)
+		sim.golden = golden
+		sim.play(300)
+	}},
+	{"deferred", func(t *testing.T, seed uint64, golden io.Writer) {
+		sim := newSimulation(t, seed)
+		sim.golden = golden
+		sim.core.DeferSends()
+		sim.play(60)
+		sim.execute(sim.core.Step(sim.now, []Event{Started{}}, nil))
+		sim.playFrom(60, 100)
+		sim.execute(sim.core.Step(sim.now, []Event{ShutdownRequested{}}, nil))
+		sim.playFrom(160, 100)
+	}},
+	{"handover", func(t *testing.T, seed uint64, golden io.Writer) {
+		sim := newSimulation(t, seed)
+		sim.golden = golden
+		log := newLogModel()
+		sim.logModel = log
+		for turn := range 3 {
+			sim.playFrom(turn*60, 60)
+			sim.handOver(log, policy.Time(sim.rng.Int64N(2e9))-1e9)
+		}
+	}},
+	{"passive", func(t *testing.T, seed uint64, golden io.Writer) {
+		sim := newSimulation(t, seed)
+		sim.golden = golden
+		sim.core = passivatingCore(t, idlestore.Limits{MaxActive: 1, IdleTimeout: 10e6})
+		sim.flavors, sim.longStepOdds = []string{"k", "r"}, 12
+		sim.driver = newCallDriver(sim)
+		sim.driver.extraWait = 45e6
+		log := newLogModel()
+		sim.logModel = log
+		for turn := range 3 {
+			sim.playFrom(turn*100, 100)
+			sim.handOverWithDriver(log)
+		}
+	}},
+}
+
+// Effects, their order and all that they carry stay as recorded: whole for one short run,
+// by digest for the others.
+func TestEffectsAreUnchanged(t *testing.T) {
+	if runtime.GOARCH != "amd64" {
+		t.Skip("the recorded runs hold for amd64: other machines may fuse floating-point operations")
+	}
+	var digests, whole bytes.Buffer
+	sim := newSimulation(t, 1)
+	sim.golden = &whole
+	sim.play(50)
+	compareFixture(t, "effects.txt", whole.Bytes())
+	for _, run := range goldenRuns {
+		for seed := range uint64(12) {
+			digest, counter := sha256.New(), &lineCounter{}
+			run.play(t, seed, io.MultiWriter(digest, counter))
+			fmt.Fprintf(&digests, "%s %d %d %x\n", run.name, seed, counter.lines, digest.Sum(nil))
+		}
+	}
+	compareFixture(t, "effects.sha256", digests.Bytes())
+}
+
+// lineCounter counts the lines that are written to it.
+type lineCounter struct{ lines int }
+
+func (c *lineCounter) Write(b []byte) (int, error) {
+	c.lines += bytes.Count(b, []byte("\n"))
+	return len(b), nil
+}
--- a/internal/core/idle_bench_test.go
+++ b/internal/core/idle_bench_test.go
@@ -22,6 +22,7 @@
 
 // residentBytes is what the process holds in memory, in bytes.
 func residentBytes(b *testing.B) float64 {
+	b.Helper()
 	text, err := os.ReadFile("/proc/self/statm")
 	if err != nil {
 		b.Skip(err)
@@ -33,76 +34,80 @@
 	return pages * float64(os.Getpagesize())
 }
 
-// idleCore is a core that a list has told of so many destinations, of which at most
-// 1,024 are awake, or all.
-func idleCore(b *testing.B, dests, endpoints int, rest bool) *Core {
-	set := testSettings()
-	if rest {
-		set.Passivation = idlestore.Limits{MaxActive: 1024, IdleTimeout: 60e6}
-	}
-	r, err := New(set)
-	if err != nil {
-		b.Fatal(err)
+// idleCore is a core that a list has told of so many destinations, of which at most 1,024
+// are active, or all.
+func idleCore(b *testing.B, dests, endpoints int, passivate bool) *Core {
+	b.Helper()
+	settings := testSettings()
+	if passivate {
+		settings.Passivation = idlestore.Limits{MaxActive: 1024, IdleTimeout: 60e6}
 	}
+	c := newTestCore(b, settings)
 	for d := 0; d < dests; d += 1000 {
-		r.Step(3600e6, []Event{EndpointListUpdated{Kind: policy.ListDelta, List: &EndpointList{Members: idleMembers(d, min(d+1000, dests), endpoints)}}}, nil)
+		c.Step(3600e6, []Event{listEvent(policy.ListDelta, idleMembers(d, min(d+1000, dests), endpoints)...)}, nil)
 	}
-	return r
+	return c
 }
 
 // idleMembers are the members of destinations, as a list of 13-byte ids and addresses
 // has them.
 func idleMembers(from, to, endpoints int) []Member {
-	l := make([]Member, 0, (to-from)*endpoints)
+	members := make([]Member, 0, (to-from)*endpoints)
 	for d := from; d < to; d++ {
 		for e := range endpoints {
-			l = append(l, Member{ID: fmt.Sprintf("shop-%07d-%d", d, e), HostPort: fmt.Sprintf("10.%d.%d.%d:8080", d>>16&255, d>>8&255, d&255),
-				Locality: "a", Flavor: "k", Dest: d, Phase: Up, Rate: 40})
+			members = append(members, Member{
+				ID:       fmt.Sprintf("shop-%07d-%d", d, e),
+				HostPort: fmt.Sprintf("10.%d.%d.%d:8080", d>>16&255, d>>8&255, d&255),
+				Locality: "a", Flavor: "k", Dest: d, Phase: Up, Rate: 40,
+			})
 		}
 	}
-	return l
+	return members
 }
 
 func BenchmarkIdleMemory(b *testing.B) {
 	for _, endpoints := range []int{1, 3} {
 		for _, n := range []int{1000, 100_000, 1_000_000} {
-			for what, rest := range map[string]bool{"awake": false, "resting": true} {
+			for what, passivate := range map[string]bool{"active": false, "passive": true} {
 				b.Run(fmt.Sprintf("%d/%d/%s", endpoints, n, what), func(b *testing.B) {
 					var before, after runtime.MemStats
 					debug.FreeOSMemory()
 					held := residentBytes(b)
 					runtime.ReadMemStats(&before)
-					r := idleCore(b, n, endpoints, rest)
+					c := idleCore(b, n, endpoints, passivate)
 					debug.FreeOSMemory()
 					runtime.ReadMemStats(&after)
 					b.ReportMetric(float64(after.HeapAlloc-before.HeapAlloc)/float64(n), "heap-B/dest")
 					b.ReportMetric((residentBytes(b)-held)/float64(n), "resident-B/dest")
-					if _, bytes := r.PassiveDestinations(); bytes > 0 {
+					if _, bytes := c.PassiveDestinations(); bytes > 0 {
 						b.ReportMetric(float64(bytes)/float64(n-1024), "store-B/dest")
 					}
-					runtime.KeepAlive(r)
+					runtime.KeepAlive(c)
 				})
 			}
 		}
 	}
 }
 
-// measureDeliveries has messages go to destinations and be delivered, one after another,
-// and returns how long each took from hand-in to end, all steps together.
-func measureDeliveries(b *testing.B, r *Core, now policy.Time, n int, dest func(i int) int) (took []time.Duration) {
-	var fx []Effect
+// measureDeliveries delivers messages one after another, and returns how long each took
+// from submission to end, all steps together.
+func measureDeliveries(
+	b *testing.B, c *Core, now policy.Time, n int, dest func(i int) int,
+) (took []time.Duration) {
+	b.Helper()
+	var effects []Effect
 	for i := range n {
 		began := time.Now()
-		q := &Request{Tenant: -1, Record: &Record{Kind: RecordAccepted, ID: strconv.Itoa(int(now)) + "-" + strconv.Itoa(i), Class: "plain", Dest: dest(i), Deadline: r.wallTime(now + 20e6)}}
-		events, done := []Event{Submitted{Request: q}}, false
+		id := strconv.Itoa(int(now)) + "-" + strconv.Itoa(i)
+		events, done := []Event{submission(plainRecord(id, dest(i), c.wallTime(now+20e6)))}, false
 		for turn := 0; !done; turn++ {
 			if turn > 100 {
 				b.Fatalf("message %d is not sent", i)
 			}
-			fx = r.Step(now, events, fx[:0])
+			effects = c.Step(now, events, effects[:0])
 			events = events[:0]
-			for k := range fx {
-				switch e := fx[k].(type) {
+			for _, effect := range effects {
+				switch e := effect.(type) {
 				case AppendThenReply:
 					events = append(events, ReplyDelivered{Request: e.Request, OK: true})
 				case AppendThenSend:
@@ -125,12 +130,12 @@
 func BenchmarkIdleMessage(b *testing.B) {
 	for _, n := range []int{1000, 100_000, 1_000_000} {
 		b.Run(strconv.Itoa(n), func(b *testing.B) {
-			r := idleCore(b, n, 1, true)
-			measureDeliveries(b, r, 3700e6, 2000, func(i int) int { return i % 500 })
+			c := idleCore(b, n, 1, true)
+			measureDeliveries(b, c, 3700e6, 2000, func(i int) int { return i % 500 })
 			runtime.GC()
 			b.ResetTimer()
 			for range b.N {
-				measureDeliveries(b, r, r.now+1e6, 20_000, func(i int) int { return i % 500 })
+				measureDeliveries(b, c, c.now+1e6, 20_000, func(i int) int { return i % 500 })
 			}
 			b.ReportMetric(float64(b.Elapsed().Nanoseconds())/20_000/float64(b.N), "ns/message")
 		})
@@ -142,25 +147,25 @@
 func BenchmarkIdleList(b *testing.B) {
 	for _, n := range []int{1000, 100_000, 1_000_000} {
 		b.Run(strconv.Itoa(n), func(b *testing.B) {
-			r := idleCore(b, n, 1, true)
-			l := &EndpointList{Complete: true, Members: idleMembers(0, n, 1)}
+			c := idleCore(b, n, 1, true)
+			list := &EndpointList{Complete: true, Members: idleMembers(0, n, 1)}
 			var longest time.Duration
 			var before, after runtime.MemStats
 			for i := range b.N {
 				for k := i % 100; k < n; k += 100 {
-					l.Members[k].Rate++
+					list.Members[k].Rate++
 				}
 				runtime.GC()
 				runtime.ReadMemStats(&before)
 				now := policy.Time(4000e6 + i*1e6)
-				events := []Event{EndpointListUpdated{Kind: policy.ListFull, List: l}}
+				events := []Event{EndpointListUpdated{Kind: policy.ListFull, List: list}}
 				for more := true; more; {
 					began := time.Now()
-					fx := r.Step(now, events, nil)
+					effects := c.Step(now, events, nil)
 					longest = max(longest, time.Since(began))
 					more, events = false, nil
-					for k := range fx {
-						more = more || is[StepAgain](fx[k])
+					for k := range effects {
+						more = more || is[StepAgain](effects[k])
 					}
 				}
 				runtime.ReadMemStats(&after)
@@ -176,25 +181,25 @@
 func BenchmarkIdleActivate(b *testing.B) {
 	for _, n := range []int{100_000, 1_000_000} {
 		b.Run(strconv.Itoa(n), func(b *testing.B) {
-			r := idleCore(b, n, 1, true)
+			c := idleCore(b, n, 1, true)
 			var one, longest time.Duration
-			woken := 2000
+			activated := 2000
 			for range b.N {
 				began := time.Now()
 				for range 100 {
-					r.activate(woken)
-					r.runPolicy()
-					woken++
+					c.activate(activated)
+					c.runPolicy()
+					activated++
 				}
 				one += time.Since(began) / 100
 				var events []Event
 				for i := range 10_000 {
-					events = append(events, Submitted{Request: &Request{Tenant: -1, Record: &Record{Kind: RecordAccepted, ID: fmt.Sprint(woken, i), Class: "plain",
-						Dest: woken, Deadline: r.wallTime(r.now + 20e6)}}})
-					woken++
+					id, deadline := fmt.Sprint(activated, i), c.wallTime(c.now+20e6)
+					events = append(events, submission(plainRecord(id, activated, deadline)))
+					activated++
 					if len(events) == 10 { // as many come in a step, of ten thousand in a second
 						began := time.Now()
-						r.Step(r.now+1000, events, nil)
+						c.Step(c.now+1000, events, nil)
 						longest = max(longest, time.Since(began))
 						events = events[:0]
 					}
--- a/internal/core/message.go
+++ b/internal/core/message.go
@@ -34,7 +34,9 @@
 }
 
 func newMessageTable() messageTable {
-	return messageTable{byNumber: map[uint32]*message{}, byID: map[string]*message{}, unanswered: map[*Request]*message{}}
+	return messageTable{
+		byNumber: map[uint32]*message{}, byID: map[string]*message{}, unanswered: map[*Request]*message{},
+	}
 }
 
 // add holds a message under a number of its own.
--- a/internal/core/passivation.go
+++ b/internal/core/passivation.go
@@ -173,7 +173,8 @@
 		return hash, ok
 	})
 	if err != nil {
-		c.log(slog.LevelError, "what was learned of a destination cannot be kept while it rests", "dest", dest, "err", err)
+		c.log(slog.LevelError, "what was learned of a destination cannot be kept while it rests",
+			"dest", dest, "err", err)
 	}
 	c.passivation.store.Passivate(dest, packed, endpoints)
 	c.passivation.active.Remove(dest)
--- a/internal/core/shutdown_test.go
+++ b/internal/core/shutdown_test.go
@@ -2,13 +2,14 @@
 
 import (
 	"fmt"
+	"slices"
 	"testing"
 
 	"troutusher/policy"
 )
 
-// shutdownFixture is a core with 16 endpoints of destination 1, whose effects a test
-// looks at.
+// shutdownFixture is a core with 16 destinations of one endpoint each, whose effects a
+// test looks at.
 type shutdownFixture struct {
 	t    *testing.T
 	core *Core
@@ -16,91 +17,92 @@
 }
 
 func newShutdownFixture(t *testing.T) *shutdownFixture {
+	t.Helper()
 	s := &shutdownFixture{t: t, core: testCore(t), now: 3600e6}
-	l := &EndpointList{}
-	for k := range 16 {
-		l.Members = append(l.Members, Member{ID: fmt.Sprintf("s-%d", k), HostPort: fmt.Sprintf("127.0.0.1:%d", 7000+k), Dest: k, Phase: Up, Rate: 1000, Locality: "a", Flavor: "k"})
+	var members []Member
+	for i := range 16 {
+		member := testMember(i, i, "k")
+		member.Rate = 1000
+		members = append(members, member)
 	}
-	s.step(EndpointListUpdated{Kind: policy.ListFull, List: l})
+	s.step(listEvent(policy.ListFull, members...))
 	return s
 }
 
 func (s *shutdownFixture) step(events ...Event) []Effect { return s.core.Step(s.now, events, nil) }
 
-// submit hands a message in, has its client hear, and tells whether it was taken
-// on and whether its call was begun.
-func (s *shutdownFixture) submit(id, class string, dest int) (taken, sent bool) {
+// submit submits a message, has its reply delivered, and returns whether it was accepted
+// and whether its call was begun.
+func (s *shutdownFixture) submit(id, class string, dest int) (accepted, sent bool) {
 	s.t.Helper()
-	q := &Request{Class: s.core.settings.Classes[class], Record: &Record{Kind: RecordAccepted, ID: id, Class: class, Key: id, Dest: dest, Deadline: s.core.wallTime(s.now + 15e6)}}
-	fx := s.step(Submitted{Request: q})
-	for i := range fx {
-		if is[AppendThenReply](fx[i]) {
-			taken = true
-		}
-	}
-	if taken {
-		fx = s.step(ReplyDelivered{Request: q, OK: true})
-		for i := range fx {
-			sent = sent || is[AppendThenSend](fx[i])
-		}
+	record := plainRecord(id, dest, s.core.wallTime(s.now+15e6))
+	record.Class, record.Key = class, id
+	request := &Request{Class: s.core.settings.Classes[class], Record: record}
+	if !slices.ContainsFunc(s.step(Submitted{Request: request}), is[AppendThenReply, Effect]) {
+		return false, false
 	}
-	return taken, sent
+	return true, slices.ContainsFunc(s.step(ReplyDelivered{Request: request, OK: true}), isSend)
 }
 
-// What a planned stop promises, each moment by itself: what is taken on, and
-// which calls are begun, so long after SIGTERM.
+// The schedule of a shutdown, each time by itself: which messages are accepted and which
+// calls are begun, so long after SIGTERM.
 func TestShutdownSchedule(t *testing.T) {
-	for _, x := range []struct {
-		class       string
-		after       policy.Time
-		taken, sent bool
-		keeps       bool
+	for _, test := range []struct {
+		class          string
+		after          policy.Time
+		accepted, sent bool
+		keeps          bool
 	}{
-		{"plain", 0, true, true, true}, {"once", 0, true, true, true},
-		{"once", CloseClientsAfter - 1, true, true, true}, {"once", CloseClientsAfter, false, false, false},
-		{"plain", CloseClientsAfter, true, true, false}, {"keyed", stopAcceptingAfter - 1, true, true, false}, {"plain", stopAcceptingAfter, false, false, false},
+		{"plain", 0, true, true, true},
+		{"once", 0, true, true, true},
+		{"once", CloseClientsAfter - 1, true, true, true},
+		{"once", CloseClientsAfter, false, false, false},
+		{"plain", CloseClientsAfter, true, true, false},
+		{"keyed", stopAcceptingAfter - 1, true, true, false},
+		{"plain", stopAcceptingAfter, false, false, false},
 	} {
 		s := newShutdownFixture(t)
 		s.step(ShutdownRequested{})
-		s.now += x.after
-		if got := s.core.KeepsClientConnections(s.now); got != x.keeps {
-			t.Errorf("%d ms after SIGTERM clients are kept: %v", x.after/1000, got)
+		s.now += test.after
+		if got := s.core.KeepsClientConnections(s.now); got != test.keeps {
+			t.Errorf("%d ms after SIGTERM client connections are kept: %v", test.after/1000, got)
 		}
-		if taken, sent := s.submit("m", x.class, 1); taken != x.taken || sent != x.sent {
-			t.Errorf("%s, %d ms after SIGTERM: taken %v, sent %v; want %v, %v", x.class, x.after/1000, taken, sent, x.taken, x.sent)
+		if accepted, sent := s.submit("m", test.class, 1); accepted != test.accepted || sent != test.sent {
+			t.Errorf("%s, %d ms after SIGTERM: accepted %v, sent %v; want %v, %v",
+				test.class, test.after/1000, accepted, sent, test.accepted, test.sent)
 		}
 	}
-	// A message that was held before: when its call may be begun at the latest.
-	for _, x := range []struct {
+}
+
+// When the call of a message that was held before may be begun at the latest.
+func TestShutdownStopsSends(t *testing.T) {
+	for _, test := range []struct {
 		class string
 		last  policy.Time
 	}{{"plain", StopSendsAfter}, {"keyed", StopSendsAfter}, {"once", stopNonIdempotentSendsAfter}} {
-		for _, after := range []policy.Time{x.last - 20e3, x.last} {
+		for _, after := range []policy.Time{test.last - 20e3, test.last} {
 			s := newShutdownFixture(t)
-			taken, sent := s.submit("m", x.class, 20) // no list names an endpoint of it
-			if s.core.knownDestinations[20] = true; taken || sent {
-				t.Fatal("taken for a destination that nobody named")
+			if accepted, sent := s.submit("m", test.class, 20); accepted || sent {
+				t.Fatal("accepted for a destination that no list named")
 			}
-			if taken, sent = s.submit("m", x.class, 20); !taken || sent {
-				t.Fatalf("taken %v, sent %v", taken, sent)
+			s.core.knownDestinations[20] = true
+			if accepted, sent := s.submit("m", test.class, 20); !accepted || sent {
+				t.Fatalf("accepted %v, sent %v", accepted, sent)
 			}
 			s.step(ShutdownRequested{})
 			s.now += after
-			l := &EndpointList{Members: []Member{{ID: "late", HostPort: "127.0.0.1:1", Dest: 20, Phase: Up, Rate: 1000, Locality: "a", Flavor: "k"}}}
-			sent = false
-			fx := s.step(EndpointListUpdated{Kind: policy.ListDelta, List: l})
-			for i := range fx {
-				sent = sent || is[AppendThenSend](fx[i])
-			}
-			if want := after < x.last; sent != want {
-				t.Errorf("%s: a call is begun %d ms after SIGTERM: %v, want %v", x.class, after/1000, sent, want)
+			late := testMember(99, 20, "k")
+			late.Rate = 1000
+			sent := slices.ContainsFunc(s.step(listEvent(policy.ListDelta, late)), isSend)
+			if want := after < test.last; sent != want {
+				t.Errorf("%s: a call is begun %d ms after SIGTERM: %v, want %v", test.class, after/1000, sent, want)
 			}
 		}
 	}
 }
 
-// Where more waits than the slots can take soon, nothing more is taken on, and
-// clients are let go at once.
+// Where more messages wait than the slots take soon, no more are accepted, and client
+// connections are closed at once.
 func TestShutdownWithBacklog(t *testing.T) {
 	s := newShutdownFixture(t)
 	s.core.knownDestinations[20] = true
@@ -109,58 +111,58 @@
 	}
 	s.step(ShutdownRequested{})
 	if s.core.KeepsClientConnections(s.now) {
-		t.Error("clients are kept with 8 messages waiting for 16 slots")
+		t.Error("client connections are kept with 8 messages waiting for 16 slots")
 	}
-	if taken, _ := s.submit("late", "plain", 1); taken {
-		t.Error("more is taken on")
+	if accepted, _ := s.submit("late", "plain", 1); accepted {
+		t.Error("more is accepted")
 	}
 }
 
-// What a restart promises: attempts that were made count, one whose outcome
-// nobody saw may have run, and the time that is left goes on.
+// After a restart attempts that were made count, one whose outcome is not known may have
+// run, and the time that is left goes on.
 func TestRecoveredHistory(t *testing.T) {
-	for _, x := range []struct {
-		name string
-		rec  Record
-		want string // how it goes on: sent, failed, or refused
+	for _, test := range []struct {
+		name   string
+		record Record
+		want   string // how it goes on: sent, given up, or handed back
 	}{
 		{"fresh", Record{Class: "plain"}, "sent"},
 		{"seven of eight attempts", Record{Class: "plain", Attempts: 7}, "sent"},
 		{"all eight attempts", Record{Class: "plain", Attempts: 8}, NoticeHandedBack},
-		{"unsafe, never ran", Record{Class: "once", Attempts: 2}, "sent"},
-		{"unsafe, out", Record{Class: "once", Attempts: 1, OpenAttemptAt: 1}, NoticeGivenUp},
-		{"safe, out", Record{Class: "plain", Attempts: 1, OpenAttemptAt: 1}, "sent"},
+		{"must not run twice, never ran", Record{Class: "once", Attempts: 2}, "sent"},
+		{"must not run twice, open", Record{Class: "once", Attempts: 1, OpenAttemptAt: 1}, NoticeGivenUp},
+		{"idempotent, open", Record{Class: "plain", Attempts: 1, OpenAttemptAt: 1}, "sent"},
 		{"keyed, in its window", Record{Class: "keyed", Attempts: 1, FirstUncertainAt: 15e6}, "sent"},
 		{"keyed, past its window", Record{Class: "keyed", Attempts: 1, FirstUncertainAt: 25e6}, NoticeGivenUp},
-		{"its time over", Record{Class: "plain", Deadline: -1}, NoticeHandedBack},
+		{"past its deadline", Record{Class: "plain", Deadline: -1}, NoticeHandedBack},
 	} {
 		s := newShutdownFixture(t)
-		rec := x.rec
-		rec.Kind, rec.ID, rec.Dest = RecordAccepted, "m", 1
+		record := test.record
+		record.Kind, record.ID, record.Dest = RecordAccepted, "m", 1
 		ago := func(us int64) int64 { return s.core.wallTime(s.now) - us }
-		if rec.FirstUncertainAt > 0 {
-			rec.FirstUncertainAt = ago(rec.FirstUncertainAt)
+		if record.FirstUncertainAt > 0 {
+			record.FirstUncertainAt = ago(record.FirstUncertainAt)
 		}
-		if rec.OpenAttemptAt > 0 {
-			rec.OpenAttemptAt = ago(1e6)
+		if record.OpenAttemptAt > 0 {
+			record.OpenAttemptAt = ago(1e6)
 		}
-		rec.Deadline = s.core.wallTime(s.now + 15e6 + 16e6*rec.Deadline)
-		rec.ResolveOpenAttempt()
-		fx := s.core.RecoverMessages(s.now, []*Record{&rec}, nil, 0, nil)
-		fx = append(fx, s.step()...)
+		record.Deadline = s.core.wallTime(s.now + 15e6 + 16e6*record.Deadline)
+		record.ResolveOpenAttempt()
+		effects := s.core.RecoverMessages(s.now, []*Record{&record}, nil, 0, nil)
+		effects = append(effects, s.step()...)
 		s.now += 10e3
-		fx = append(fx, s.step()...)
+		effects = append(effects, s.step()...)
 		got := "nothing"
-		for i := range fx {
-			switch e := fx[i].(type) {
+		for _, effect := range effects {
+			switch e := effect.(type) {
 			case AppendThenSend:
 				got = "sent"
 			case AppendThenNotify:
 				got = e.Notice.Outcome
 			}
 		}
-		if got != x.want {
-			t.Errorf("%s: %s, want %s", x.name, got, x.want)
+		if got != test.want {
+			t.Errorf("%s: %s, want %s", test.name, got, test.want)
 		}
 	}
 }
