--- a/internal/relay/firstlist.go
+++ b/internal/relay/firstlist.go
@@ -5,6 +5,7 @@
 	"time"
 
 	"troutusher/internal/core"
+	"troutusher/internal/handover/transfer"
 	"troutusher/internal/membership"
 	"troutusher/policy"
 )
@@ -69,7 +70,7 @@
 // dropStaleLists leaves out lists that the process before has heard later ones than, from
 // the same agent: what has drained since is not up again. What is left out is had
 // once more, whole, in case the registry has begun anew.
-func (r *Relay) dropStaleLists(lists []core.EndpointListUpdated, before *inheritedState) []core.EndpointListUpdated {
+func (r *Relay) dropStaleLists(lists []core.EndpointListUpdated, before *transfer.Inherited) []core.EndpointListUpdated {
 	switch {
 	case before.DiscoveryAddr == r.discoveryAddr:
 	case before.ReloadRequested: // it had moved, and this one will
--- a/internal/relay/handover_incoming.go
+++ b/internal/relay/handover_incoming.go
@@ -1,198 +1,150 @@
 package relay
 
 import (
-	"encoding/json"
-	"errors"
 	"fmt"
-	"os"
-	"syscall"
 	"time"
 
 	"troutusher/internal/handover"
-	"troutusher/internal/handover/link"
-	"troutusher/internal/respserver"
+	"troutusher/internal/handover/transfer"
 )
 
-// ---- the side that starts
+const (
+	// acquireTimeout is how long a process that starts tries to become the owner of
+	// the state folder.
+	acquireTimeout = transfer.RequestTimeout
+	// acquireRetryInterval is the pause after a predecessor was lost.
+	acquireRetryInterval = 50 * time.Millisecond
+)
 
-// acquireState makes this process the owner of the state folder: alone, or with what
-// the process that owned it hands over. ready is called before that is asked
-// for it.
-func (r *Relay) acquireState(ready func()) (*inheritedState, error) {
-	end := time.Now().Add(acquireTimeout)
-	var t handover.Incoming
-	h := &inheritedState{}
-	look := func() handover.IncomingAction {
-		if r.lock.tryAcquire() {
-			return t.Step(handover.LockAcquired)
-		}
-		return t.Step(handover.LockHeld)
-	}
-	var why error
-	gone := func(err error) handover.IncomingAction {
-		why = err
-		return t.Step(handover.PredecessorLost)
-	}
-	for do := look(); ; {
-		switch do {
+// incomingHandover makes a process that starts the owner of the state folder:
+// alone, or with what its predecessor hands over. Package handover says when
+// ownership moves; here is what is done at each step.
+type incomingHandover struct {
+	relay   *Relay
+	machine handover.Incoming
+	end     time.Time
+	// prepare is called before the predecessor is asked for its state, and while
+	// it still serves.
+	prepare func()
+
+	inherited   transfer.Inherited
+	predecessor *transfer.Predecessor // nil for none
+	lostErr     error                 // why the last predecessor was lost
+}
+
+// run returns nil once this process is the owner.
+func (h *incomingHandover) run() error {
+	for action := h.tryLock(); ; {
+		switch action {
 		case handover.StartFromLog:
-			h.close()
-			return nil, nil
+			h.discard()
+			return nil
 		case handover.Connect:
-			l, err := connectToOwner(r.cfg.State, end)
-			if err != nil {
-				do = gone(err)
-				break
-			}
-			h.conn = l
-			hitFailpoint(failpointIncomingConnected)
-			do = t.Step(handover.Connected)
+			action = h.connect()
 		case handover.RequestState:
-			ready()
-			hitFailpoint(failpointIncomingListReceived)
-			if err := h.receive(end, func() { t.Step(handover.FirstPacketReceived) }); err != nil {
-				do = gone(err)
-				break
-			}
-			hitFailpoint(failpointIncomingAllReceived)
-			do = t.Step(handover.AllReceived)
+			action = h.requestState()
 		case handover.AdoptLock:
-			if h.lock == nil {
-				do = t.Step(handover.TimedOut)
-				break
-			}
-			r.lock.adopt(h.lock)
-			h.lock = nil
-			hitFailpoint(failpointIncomingLockAdopted)
-			do = t.Step(handover.LockAdopted)
+			action = h.adoptLock()
 		case handover.SendClaim:
-			if err := h.conn.Send(packetClaim, nil, time.Now().Add(packetTimeout)); err != nil {
-				do = gone(err)
-				break
-			}
-			hitFailpoint(failpointIncomingClaimSent)
-			do = t.Step(handover.ClaimSent)
+			action = h.claim()
 		case handover.TakeOver:
-			r.incoming = t
-			return h, nil
+			return nil
 		case handover.RetryLock:
-			h.close()
-			if err := r.lock.release(); err != nil {
-				return nil, err
-			}
-			if !time.Now().Before(end) {
-				return nil, fmt.Errorf("%s: another process owns it and does not hand over: %w", r.cfg.State, why)
+			if err := h.awaitRetry(); err != nil {
+				return err
 			}
-			time.Sleep(acquireRetryInterval)
-			do = look()
+			action = h.tryLock()
 		default:
-			h.close()
-			return nil, fmt.Errorf("%s: the process that owns it did not let go in time", r.cfg.State)
+			h.discard()
+			return fmt.Errorf("%s: the process that owns it did not let go in time", h.relay.cfg.State)
 		}
 	}
 }
 
-// connectToOwner links to the process that owns a folder.
-func connectToOwner(dir string, end time.Time) (*link.Conn, error) {
-	l, err := link.Dial(dir)
-	if err != nil {
-		return nil, err
+func (h *incomingHandover) tryLock() handover.IncomingAction {
+	if h.relay.lock.TryAcquire() {
+		return h.machine.Step(handover.LockAcquired)
 	}
-	by := time.Now().Add(packetTimeout)
-	text, _ := json.Marshal(helloBody{handoverVersion, os.Getpid()})
-	if err := l.Send(packetHello, text, by); err != nil {
-		l.Close()
-		return nil, err
+	return h.machine.Step(handover.LockHeld)
+}
+
+func (h *incomingHandover) connect() handover.IncomingAction {
+	predecessor, err := transfer.Dial(h.relay.cfg.State, h.end)
+	if err != nil {
+		return h.lost(err)
 	}
-	p, err := l.Receive(earlier(by, end))
-	var hello helloBody
-	if err == nil && (p.Kind != packetHello || json.Unmarshal(p.Body, &hello) != nil || hello.Version != handoverVersion) {
-		err = fmt.Errorf("link: it speaks another form (%d, here %d)", hello.Version, handoverVersion)
+	h.predecessor = predecessor
+	hitFailpoint(failpointIncomingConnected)
+	return h.machine.Step(handover.Connected)
+}
+
+func (h *incomingHandover) requestState() handover.IncomingAction {
+	h.prepare()
+	hitFailpoint(failpointIncomingListReceived)
+	onPacket := func() { h.machine.Step(handover.FirstPacketReceived) }
+	if err := h.predecessor.Receive(&h.inherited, h.end, onPacket); err != nil {
+		return h.lost(err)
 	}
-	if err != nil {
-		l.Close()
-		return nil, err
+	hitFailpoint(failpointIncomingAllReceived)
+	return h.machine.Step(handover.AllReceived)
+}
+
+func (h *incomingHandover) adoptLock() handover.IncomingAction {
+	if h.inherited.Lock == nil {
+		return h.machine.Step(handover.TimedOut)
 	}
-	return l, nil
+	h.relay.lock.Adopt(h.inherited.Lock)
+	h.inherited.Lock = nil
+	hitFailpoint(failpointIncomingLockAdopted)
+	return h.machine.Step(handover.LockAdopted)
 }
 
-func earlier(a, b time.Time) time.Time {
-	if a.Before(b) {
-		return a
+func (h *incomingHandover) claim() handover.IncomingAction {
+	if err := h.predecessor.SendClaim(); err != nil {
+		return h.lost(err)
 	}
-	return b
+	hitFailpoint(failpointIncomingClaimSent)
+	return h.machine.Step(handover.ClaimSent)
+}
+
+// lost is told that the predecessor is gone.
+func (h *incomingHandover) lost(err error) handover.IncomingAction {
+	h.lostErr = err
+	return h.machine.Step(handover.PredecessorLost)
 }
 
-// receive asks for everything and takes it in.
-func (h *inheritedState) receive(end time.Time, began func()) error {
-	if err := h.conn.Send(packetRequest, nil, end); err != nil {
+// awaitRetry gives up what a predecessor that is gone has sent, and pauses.
+func (h *incomingHandover) awaitRetry() error {
+	h.discard()
+	if err := h.relay.lock.Release(); err != nil {
 		return err
 	}
-	h.calls = map[string]int{}
-	var body []byte
-	for {
-		p, err := h.conn.Receive(end)
-		if err != nil {
-			return err
-		}
-		began()
-		body = append(body, p.Body...)
-		if p.Kind == packetPart {
-			continue
-		}
-		if err := h.addPacket(p.Kind, body, p.FDs); err != nil {
-			for _, fd := range p.FDs {
-				syscall.Close(fd)
-			}
-			return err
-		}
-		if p.Kind == packetEnd {
-			return nil
-		}
-		body = body[:0]
+	if !time.Now().Before(h.end) {
+		return fmt.Errorf("%s: another process owns it and does not hand over: %w", h.relay.cfg.State, h.lostErr)
 	}
+	time.Sleep(acquireRetryInterval)
+	return nil
 }
 
-// addPacket takes one packet in; with an error, none of its descriptors.
-func (h *inheritedState) addPacket(kind byte, body []byte, fds []int) error {
-	wrong := func(err error) error { return fmt.Errorf("link: packet %q: %v", kind, err) }
-	switch kind {
-	case packetState:
-		if err := json.Unmarshal(body, &h.handoverState); err != nil || h.Core == nil {
-			return wrong(err)
-		}
-	case packetLock:
-		if len(fds) != 1 || h.lock != nil {
-			return wrong(fmt.Errorf("%d descriptors", len(fds)))
-		}
-		h.lock = os.NewFile(uintptr(fds[0]), lockFileName)
-	case packetListeners:
-		h.listeners = append(h.listeners, fds...)
-	case packetClients:
-		var conns []respserver.ConnSnapshot
-		if err := json.Unmarshal(body, &conns); err != nil || len(conns) != len(fds) {
-			return wrong(err)
-		}
-		for i := range conns {
-			conns[i].FD = fds[i]
-		}
-		h.clients = append(h.clients, conns...)
-	case packetCalls:
-		var ids []string
-		if err := json.Unmarshal(body, &ids); err != nil || len(ids) != len(fds) {
-			return wrong(err)
-		}
-		for i, id := range ids {
-			h.calls[id] = fds[i]
-		}
-	case packetEnd:
-		if h.Core == nil {
-			return errors.New("link: ended without a state")
-		}
-	case packetReject:
-		return errors.New("it is handing over already, or ends")
-	default:
-		return wrong(errors.New("unknown"))
+// confirm tells the predecessor that this process serves, so that it may end.
+func (h *incomingHandover) confirm() {
+	if h.predecessor == nil {
+		return
+	}
+	h.machine.Step(handover.ReadyToServe)
+	hitFailpoint(failpointIncomingServing)
+	if err := h.predecessor.SendServing(); err != nil {
+		h.relay.log.Warn("hand-over: the process before did not hear that it may end", "err", err)
+	}
+	h.predecessor.Close()
+	h.predecessor = nil
+}
+
+// discard closes what came and was not used, and the connection.
+func (h *incomingHandover) discard() {
+	h.inherited.Close()
+	if h.predecessor != nil {
+		h.predecessor.Close()
+		h.predecessor = nil
 	}
-	return nil
 }
--- a/internal/relay/handover_packets_test.go
+++ b/internal/relay/handover_packets_test.go
@@ -14,15 +14,15 @@
 	"testing"
 	"time"
 
-	"troutusher/internal/connlimit"
-	"troutusher/internal/core"
 	"troutusher/internal/handover/link"
+	"troutusher/internal/handover/statelock"
+	"troutusher/internal/handover/transfer"
 	"troutusher/internal/respserver"
 )
 
 const (
-	outgoingFixture = "handover/giver.txt" // a packet a line: kind, descriptors, body
-	incomingFixture = "handover/taker.txt"
+	outgoingFixture = "../../handover/transfer/testdata/predecessor.txt" // a packet a line: kind, descriptors, body
+	incomingFixture = "../../handover/transfer/testdata/successor.txt"
 )
 
 // recordedPacket is one that went over a link, its descriptors owned by who has it.
@@ -139,7 +139,7 @@
 	t.Helper()
 	k = newTestSuccessor(t, s.env["ROUTER_STATE"])
 	by := time.Now().Add(10 * time.Second)
-	if err := k.conn.Send(packetRequest, nil, by); err != nil {
+	if err := k.conn.Send(transfer.PacketRequest, nil, by); err != nil {
 		t.Fatal(err)
 	}
 	for {
@@ -149,7 +149,7 @@
 		}
 		k.fds = append(k.fds, p.FDs...)
 		all = append(all, recordedPacket{p.Kind, p.FDs, []byte(s.names.Replace(string(p.Body)))})
-		if p.Kind == packetEnd {
+		if p.Kind == transfer.PacketEnd {
 			return k, all
 		}
 	}
@@ -218,19 +218,19 @@
 		}
 		was[i].fds = sent[i].fds
 		switch was[i].kind {
-		case packetState:
+		case transfer.PacketState:
 			was[i].body = s.rebaseClocks(t, was[i].body)
-		case packetClients:
+		case transfer.PacketClients:
 			if a, b := partialCommandIndex(t, was[i].body), partialCommandIndex(t, sent[i].body); a != b {
 				was[i].fds[a], was[i].fds[b] = was[i].fds[b], was[i].fds[a]
 			}
-		case packetLock:
-			k.lock.adopt(os.NewFile(uintptr(sent[i].fds[0]), lockFileName))
+		case transfer.PacketLock:
+			k.lock.Adopt(os.NewFile(uintptr(sent[i].fds[0]), statelock.FileName))
 			k.fds = k.fds[:len(k.fds)-1]
 		}
 	}
 	by := time.Now().Add(20 * time.Second)
-	if err := k.conn.Send(packetClaim, nil, by); err != nil {
+	if err := k.conn.Send(transfer.PacketClaim, nil, by); err != nil {
 		t.Fatal(err)
 	}
 
@@ -254,7 +254,7 @@
 		fmt.Fprintf(&heard, "%c %d %s\n", p.Kind, len(p.FDs), regexp.MustCompile(`"pid":\d+`).ReplaceAll(p.Body, []byte(`"pid":1`)))
 	}
 	hear()
-	if err := l.Send(packetHello, []byte(`{"form":2,"pid":1}`), by); err != nil {
+	if err := l.Send(transfer.PacketHello, []byte(`{"form":2,"pid":1}`), by); err != nil {
 		t.Fatal(err)
 	}
 	hear()
@@ -268,10 +268,10 @@
 		syscall.Close(fd)
 	}
 	k.fds = nil
-	k.lock.close()
+	k.lock.Close()
 	hear()
 	compareWithFixture(t, incomingFixture, heard.String())
-	if err := k.conn.Send(packetServing, nil, by); err != nil {
+	if err := k.conn.Send(transfer.PacketServing, nil, by); err != nil {
 		t.Fatal(err)
 	}
 	if err := <-s.old.exited; err != nil {
@@ -300,54 +300,3 @@
 		t.Errorf("the call that was out went out %d times; figures %v", n, got)
 	}
 }
-
-// What is read from recorded packets and written again is the same to the byte.
-func TestRecordedPacketsRoundTrip(t *testing.T) {
-	for _, p := range packetLines(t, readFixture(t, outgoingFixture)+readFixture(t, incomingFixture)) {
-		var v any
-		switch p.kind {
-		case packetHello:
-			v = &helloBody{}
-		case packetState:
-			v = &handoverState{}
-		case packetClients:
-			v = &[]respserver.ConnSnapshot{}
-		case packetCalls:
-			v = &[]string{}
-		default:
-			if len(p.body) > 0 {
-				t.Errorf("%c has a body: %s", p.kind, p.body)
-			}
-			continue
-		}
-		if err := json.Unmarshal(p.body, v); err != nil {
-			t.Errorf("%c: %v", p.kind, err)
-		}
-		if got, err := json.Marshal(v); err != nil || string(got) != string(p.body) {
-			t.Errorf("%c: %v\n got %s\nwant %s", p.kind, err, got, p.body)
-		}
-	}
-}
-
-// Fields that the recorded hand-over left empty, and the kinds of packet.
-func TestPacketEncoding(t *testing.T) {
-	for want, v := range map[string]any{
-		`{"form":2,"pid":7}`: helloBody{Version: handoverVersion, PID: 7},
-		`{"core":{"members":null,"named":null,"calls":null,"worth":null,"policy":null},"mono":-5,"frozen":6,"agent":"a:1","again":true}`: handoverState{
-			Core: &core.HandoverState{}, ClockOrigin: -5, ClientsPausedAt: 6, DiscoveryAddr: "a:1", ReloadRequested: true},
-		`{"core":null,"mono":0}`: handoverState{},
-		`[{"ahead":"aGFsZg==","out":"b3V0","place":{"Known":true,"Spoke":true,"Asked":3,"Left":-4}},{"place":{"Known":false,"Spoke":false,"Asked":0,"Left":0}}]`: []respserver.ConnSnapshot{
-			{FD: 9, Unprocessed: []byte("half"), Unwritten: []byte("out"), Slot: connlimit.Snapshot{Validated: true, SentCommand: true, Requests: 3, TimeLeft: -4}}, {}},
-	} {
-		if got, err := json.Marshal(v); err != nil || string(got) != want {
-			t.Errorf("%v\n got %s\nwant %s", err, got, want)
-		}
-	}
-	kinds := string([]byte{packetHello, packetRequest, packetReject, packetPart, packetState, packetListeners, packetClients, packetLock, packetCalls, packetEnd, packetClaim, packetServing})
-	if kinds != "HTNpSLCFKEMR" {
-		t.Errorf("kinds of packet: %s", kinds)
-	}
-	if lockFileName != "relay.lock" || link.SocketName != "relay.sock" || link.MaxBodySize != 32<<10 || link.MaxDescriptors != 64 {
-		t.Errorf("lock %s, link %s, %d bytes and %d descriptors a packet", lockFileName, link.SocketName, link.MaxBodySize, link.MaxDescriptors)
-	}
-}
--- a/internal/relay/handover_test.go
+++ b/internal/relay/handover_test.go
@@ -19,6 +19,8 @@
 
 	"troutusher/internal/core"
 	"troutusher/internal/handover/link"
+	"troutusher/internal/handover/statelock"
+	"troutusher/internal/handover/transfer"
 	"troutusher/internal/wal"
 )
 
@@ -241,30 +243,44 @@
 type testSuccessor struct {
 	t     *testing.T
 	conn  *link.Conn
-	lock  *stateLock
-	state handoverState
+	lock  *statelock.Lock
+	state transfer.State
 	fds   []int
 }
 
 func newTestSuccessor(t *testing.T, dir string) *testSuccessor {
 	t.Helper()
-	l, err := connectToOwner(dir, time.Now().Add(10*time.Second))
+	conn, err := link.Dial(dir)
 	if err != nil {
 		t.Fatal(err)
 	}
-	k := &testSuccessor{t: t, conn: l}
-	if k.lock, err = openLock(dir); err != nil {
+	k := &testSuccessor{t: t, conn: conn}
+	k.greet()
+	if k.lock, err = statelock.Open(dir); err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(k.close)
 	return k
 }
 
+// greet exchanges hellos.
+func (k *testSuccessor) greet() {
+	k.t.Helper()
+	by := time.Now().Add(10 * time.Second)
+	if err := k.conn.Send(transfer.PacketHello, fmt.Appendf(nil, `{"form":2,"pid":%d}`, os.Getpid()), by); err != nil {
+		k.t.Fatal(err)
+	}
+	packet, err := k.conn.Receive(by)
+	if err != nil || packet.Kind != transfer.PacketHello {
+		k.t.Fatalf("no hello: %q, %v", packet.Kind, err)
+	}
+}
+
 // receive takes everything, or so many packets.
 func (k *testSuccessor) receive(most int) {
 	k.t.Helper()
 	by := time.Now().Add(10 * time.Second)
-	if err := k.conn.Send(packetRequest, nil, by); err != nil {
+	if err := k.conn.Send(transfer.PacketRequest, nil, by); err != nil {
 		k.t.Fatal(err)
 	}
 	var body []byte
@@ -276,16 +292,16 @@
 		k.fds = append(k.fds, p.FDs...)
 		body = append(body, p.Body...)
 		switch p.Kind {
-		case packetPart:
+		case transfer.PacketPart:
 			continue
-		case packetLock: // held by both from here on
+		case transfer.PacketLock: // held by both from here on
 			k.fds = k.fds[:len(k.fds)-1]
-			k.lock.adopt(os.NewFile(uintptr(p.FDs[0]), lockFileName))
-		case packetState:
+			k.lock.Adopt(os.NewFile(uintptr(p.FDs[0]), statelock.FileName))
+		case transfer.PacketState:
 			if err := json.Unmarshal(body, &k.state); err != nil {
 				k.t.Fatal(err)
 			}
-		case packetEnd:
+		case transfer.PacketEnd:
 			return
 		}
 		body = body[:0]
@@ -299,7 +315,7 @@
 	}
 	k.fds = nil
 	k.conn.Close()
-	k.lock.close()
+	k.lock.Close()
 }
 
 // The new process dies before it says that the work is its own, at each point:
@@ -307,7 +323,7 @@
 func TestSuccessorDiesBeforeClaim(t *testing.T) {
 	for name, far := range map[string]func(k *testSuccessor){
 		"greeted":                func(k *testSuccessor) {},
-		"asked":                  func(k *testSuccessor) { k.conn.Send(packetRequest, nil, time.Now().Add(time.Second)) },
+		"asked":                  func(k *testSuccessor) { k.conn.Send(transfer.PacketRequest, nil, time.Now().Add(time.Second)) },
 		"in the middle":          func(k *testSuccessor) { k.receive(1) },
 		"with all, and the lock": func(k *testSuccessor) { k.receive(1000) },
 	} {
@@ -366,10 +382,10 @@
 	if len(k.state.Core.Calls) != 1 || k.state.Core.Calls[0].Message != "out" {
 		t.Errorf("calls: %+v", k.state.Core.Calls)
 	}
-	if !k.lock.held {
+	if !k.lock.Held() {
 		t.Error("the lock did not come")
 	}
-	if err := k.conn.Send(packetClaim, nil, time.Now().Add(time.Second)); err != nil {
+	if err := k.conn.Send(transfer.PacketClaim, nil, time.Now().Add(time.Second)); err != nil {
 		t.Fatal(err)
 	}
 	k.close()
@@ -400,7 +416,7 @@
 	}
 	old.cmd.Process.Kill()
 	waitFor(t, "yes", fresh.isReady)
-	if _, err := os.Stat(filepath.Join(env["ROUTER_STATE"], lockFileName)); err != nil {
+	if _, err := os.Stat(filepath.Join(env["ROUTER_STATE"], statelock.FileName)); err != nil {
 		t.Error(err)
 	}
 	waitFor(t, "the end of what may have run", func() bool { n, ok := disc.Notice("out"); return ok && n.Outcome == "given_up" })
@@ -530,26 +546,6 @@
 	}
 }
 
-// A packet that makes no sense is refused and leaves no descriptor open.
-func FuzzHandoverPacket(f *testing.F) {
-	for _, s := range []string{`S{"core":{"members":[]}}`, `C[{"place":{}}]`, `K["a"]`, "L", "E", "N", "x", `S{"core":null}`, `K{}`} {
-		f.Add([]byte(s))
-	}
-	f.Fuzz(func(t *testing.T, in []byte) {
-		if len(in) == 0 {
-			return
-		}
-		h := &inheritedState{calls: map[string]int{}}
-		err := h.addPacket(in[0], in[1:], nil)
-		if err == nil && in[0] == packetEnd && h.Core == nil {
-			t.Fatal("an end without a state is believed")
-		}
-		if len(h.clients)+len(h.calls)+len(h.listeners) > 0 {
-			t.Fatalf("descriptors out of nothing: %+v", h)
-		}
-	})
-}
-
 // The list in the configuration may be older than what the process before has
 // heard: an endpoint that drained is not sent to because that one names it.
 func TestUpgradeKeepsDrain(t *testing.T) {
--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -19,7 +19,7 @@
 	"troutusher/internal/config"
 	"troutusher/internal/console"
 	"troutusher/internal/core"
-	"troutusher/internal/handover"
+	"troutusher/internal/handover/statelock"
 	"troutusher/internal/mailbox"
 	"troutusher/internal/tlsdial"
 	"troutusher/internal/upstream"
@@ -73,8 +73,7 @@
 	endpointStatsAt time.Time                      // when endpoints were last counted for the board
 	longestStep     time.Duration                  // since it was last logged
 
-	lock              *stateLock
-	incoming          handover.Incoming
+	lock              *statelock.Lock
 	inheritedCalls    map[string]int   // by message: descriptors of the predecessor's open calls
 	pendingHandover   *handoverRequest // to be served after this step; nil for none
 	clientsPausedAt   int64            // when clients were last read, by monotonicMicros
--- a/internal/relay/startup.go
+++ b/internal/relay/startup.go
@@ -11,8 +11,9 @@
 
 	"troutusher/internal/console"
 	"troutusher/internal/core"
-	"troutusher/internal/handover"
 	"troutusher/internal/handover/link"
+	"troutusher/internal/handover/statelock"
+	"troutusher/internal/handover/transfer"
 	"troutusher/internal/msgtrace"
 	"troutusher/internal/respserver"
 	"troutusher/internal/source/registry"
@@ -22,6 +23,10 @@
 	"troutusher/policy"
 )
 
+// addressInUseTimeout is how long the addresses of clients may still be those of a
+// process that has let go of the lock.
+const addressInUseTimeout = time.Second
+
 // startup brings a relay up. Its fields are what one step leaves to a later one.
 type startup struct {
 	*Relay
@@ -33,10 +38,11 @@
 	firstLists     func() []core.EndpointListUpdated
 	firstListsRead bool
 
-	inherited *inheritedState // empty where no process handed over
-	takenOver bool            // a process did
-	owed      []*record       // messages in the log
-	imported  int             // client connections taken over
+	incoming  *incomingHandover
+	inherited *transfer.Inherited // its; empty where no process handed over
+	takenOver bool                // a process did
+	owed      []*record           // messages in the log
+	imported  int                 // client connections taken over
 }
 
 // start brings the relay up in an order that is part of its behaviour: the
@@ -51,7 +57,7 @@
 		s.startPool,
 		s.startDiscovery,
 		s.lockState,
-		s.takeOver,
+		s.acquireState,
 		s.bindClientAddresses,
 		s.openLog,
 		s.recoverState,
@@ -178,34 +184,33 @@
 
 // lockState opens the lock on the state folder, without taking it.
 func (s *startup) lockState() error {
-	var err error
-	if s.lock, err = openLock(s.cfg.State); err != nil {
+	lock, err := statelock.Open(s.cfg.State)
+	if err != nil {
 		return err
 	}
-	s.atExit(s.lock.close)
+	s.lock = lock
+	s.atExit(lock.Close)
 	return nil
 }
 
-// takeOver makes this process the owner of the state folder, with what another
+// acquireState makes this process the owner of the state folder, with what another
 // one hands over. The first lists are waited for while that one still serves.
-func (s *startup) takeOver() error {
+func (s *startup) acquireState() error {
 	s.firstLists = sync.OnceValue(s.collectFirstLists)
 	if s.members != nil { // lists go through the merged view, once that has begun
 		s.firstLists = func() []core.EndpointListUpdated { return nil }
 	}
-	inherited, err := s.acquireState(func() {
+	s.incoming = &incomingHandover{relay: s.Relay, end: time.Now().Add(acquireTimeout), prepare: func() {
 		s.firstLists()
 		s.firstListsRead = true
-	})
-	if err != nil {
+	}}
+	if err := s.incoming.run(); err != nil {
 		return err
 	}
-	if inherited == nil {
-		inherited = &inheritedState{}
-	}
-	s.inherited, s.takenOver = inherited, inherited.Core != nil
-	s.atExit(inherited.close)
-	s.inheritedCalls = inherited.calls
+	s.atExit(s.incoming.discard)
+	s.inherited = &s.incoming.inherited
+	s.takenOver = s.inherited.Core != nil
+	s.inheritedCalls = s.inherited.Calls
 	return nil
 }
 
@@ -247,15 +252,15 @@
 	options := serverOptions(s.cfg)
 	options.Logger = s.log
 	options.DeferListen = true
-	for i, fd := range s.inherited.listeners {
+	for i, fd := range s.inherited.Listeners {
 		ln, err := respserver.ListenerFromFD(fd)
 		if err != nil {
 			return options, fmt.Errorf("listen: handed over: %w", err)
 		}
-		s.inherited.listeners[i] = -1
+		s.inherited.Listeners[i] = -1
 		options.InheritedListeners = append(options.InheritedListeners, ln)
 	}
-	s.inherited.listeners = nil
+	s.inherited.Listeners = nil
 	if s.inherited.ClientsPausedAt > 0 {
 		pause := time.Duration(max(monotonicMicros()-s.inherited.ClientsPausedAt, 0)) * time.Microsecond
 		options.UnreadSince = time.Now().Add(-pause)
@@ -358,8 +363,8 @@
 func (s *startup) serveClients() error {
 	s.step()
 	server := s.clients.server
-	s.imported = server.Import(s.inherited.clients)
-	s.inherited.clients = nil
+	s.imported = server.Import(s.inherited.Clients)
+	s.inherited.Clients = nil
 	hitFailpoint(failpointIncomingClientsAdopted)
 	if err := server.Listen(); err != nil {
 		return err
@@ -376,16 +381,7 @@
 
 // confirmHandover tells the process that handed over that it may end.
 func (s *startup) confirmHandover() error {
-	if s.inherited.conn == nil {
-		return nil
-	}
-	s.incoming.Step(handover.ReadyToServe)
-	hitFailpoint(failpointIncomingServing)
-	if err := s.inherited.conn.Send(packetServing, nil, time.Now().Add(packetTimeout)); err != nil {
-		s.log.Warn("hand-over: the process before did not hear that it may end", "err", err)
-	}
-	s.inherited.conn.Close()
-	s.inherited.conn = nil
+	s.incoming.confirm()
 	return nil
 }
 
