--- /dev/null
+++ b/internal/operatorconfig/clients.go
@@ -0,0 +1,99 @@
+package operatorconfig
+
+import (
+	"net"
+	"strconv"
+	"time"
+
+	"troutusher/internal/tomlfile"
+)
+
+// Bounds of Clients.Descriptors.
+const (
+	MinDescriptors = 64
+	MaxDescriptors = 1 << 20
+)
+
+const (
+	maxListenAddresses = 64
+	minClientIdleS     = 2 // no connection without a request is closed sooner
+	maxClientIdleS     = 86400
+	maxMemoryMB        = 1 << 20
+)
+
+// Clients is what concerns the connections of clients.
+type Clients struct {
+	// ListenAddresses are addresses beside the configuration's, as host:port.
+	ListenAddresses []string `toml:"listen"`
+	// Descriptors that the process may hold, in place of limits.sockets.
+	Descriptors int `toml:"descriptors"`
+	// MaxConns is how many connections of clients may be open at once.
+	MaxConns int `toml:"places"`
+	// MaxUnvalidated is how many of them may have sent no valid command yet.
+	MaxUnvalidated int `toml:"strangers"`
+	// SingleUseEvictionThreshold is how many may have sent a request before those
+	// that sent one and are idle are evicted.
+	SingleUseEvictionThreshold int `toml:"asked_most"`
+	// IdleTimeoutS is how long a connection may be idle, in seconds.
+	IdleTimeoutS float64 `toml:"idle_s"`
+	// MemoryMB is how much memory commands may hold that are being read or wait for
+	// their reply, in units of 2^20 bytes.
+	MemoryMB int `toml:"memory_mb"`
+}
+
+// IdleTimeout is IdleTimeoutS as a span of time.
+func (c *Clients) IdleTimeout() time.Duration { return seconds(c.IdleTimeoutS) }
+
+func (c *Clients) validate(check *tomlfile.Checker) {
+	for _, number := range []struct {
+		key                string
+		value, least, most int
+	}{
+		{"clients.descriptors", c.Descriptors, MinDescriptors, MaxDescriptors},
+		{"clients.places", c.MaxConns, 1, MaxDescriptors},
+		{"clients.strangers", c.MaxUnvalidated, 1, MaxDescriptors},
+		{"clients.asked_most", c.SingleUseEvictionThreshold, 1, MaxDescriptors},
+		{"clients.memory_mb", c.MemoryMB, 1, maxMemoryMB},
+	} {
+		if number.value != 0 && (number.value < number.least || number.value > number.most) {
+			check.Errorf(number.key, "%d, want %d to %d", number.value, number.least, number.most)
+		}
+	}
+	if c.MaxConns > 0 && c.MaxUnvalidated > c.MaxConns {
+		check.Errorf("clients.strangers", "%d of %d places", c.MaxUnvalidated, c.MaxConns)
+	}
+	if c.Descriptors > 0 && c.MaxConns >= c.Descriptors {
+		check.Errorf("clients.places", "%d with %d descriptors", c.MaxConns, c.Descriptors)
+	}
+	if s := c.IdleTimeoutS; s != 0 && !within(s, minClientIdleS, maxClientIdleS) {
+		check.Errorf("clients.idle_s", "%v, want %d to %d", s, minClientIdleS, maxClientIdleS)
+	}
+	c.validateListenAddresses(check)
+}
+
+func (c *Clients) validateListenAddresses(check *tomlfile.Checker) {
+	const key = "clients.listen"
+	if len(c.ListenAddresses) > maxListenAddresses {
+		check.Errorf(key, "%d addresses, want %d at most", len(c.ListenAddresses), maxListenAddresses)
+	}
+	seen := map[string]bool{}
+	for _, address := range c.ListenAddresses {
+		host, port, err := net.SplitHostPort(address)
+		switch {
+		case err != nil:
+			check.Errorf(key, "%v", err)
+		case net.ParseIP(host) == nil:
+			check.Errorf(key, "%s: the host must be an address", address)
+		case !isPort(port):
+			check.Errorf(key, "%s: the port must be a number from 1 to 65535", address)
+		case seen[address]:
+			check.Errorf(key, "%s: named twice", address)
+		}
+		seen[address] = true
+	}
+}
+
+func isPort(s string) bool {
+	n, err := strconv.ParseUint(s, 10, 16)
+	return err == nil && n > 0
+}
--- /dev/null
+++ b/internal/operatorconfig/etcd.go
@@ -0,0 +1,66 @@
+package operatorconfig
+
+import (
+	"net"
+	"strings"
+
+	"troutusher/internal/tomlfile"
+)
+
+const (
+	maxEtcdEndpoints    = 64
+	maxEtcdPrefixLength = 256
+)
+
+// Etcd is a prefix of an etcd cluster that is followed beside discovery.
+type Etcd struct {
+	// Endpoints of the cluster's members, as host:port; none for no etcd.
+	Endpoints []string `toml:"endpoints"`
+	// Prefix of the keys, a path.
+	Prefix string `toml:"prefix"`
+	// User, and a file with its password, where the cluster asks for them.
+	User         string `toml:"user"`
+	PasswordFile string `toml:"password_file"`
+	// Roots is a PEM file with the authorities that may sign a member's certificate;
+	// with it members are called over TLS. Certificate and Key are presented to them.
+	Roots       string `toml:"roots"`
+	Certificate string `toml:"certificate"`
+	Key         string `toml:"key"`
+	ServerName  string `toml:"server_name"`
+	// Precedence is "etcd" or "registry": whose address and rate count where they
+	// differ.
+	Precedence string `toml:"first"`
+}
+
+func (e *Etcd) validate(check *tomlfile.Checker) {
+	if len(e.Endpoints) == 0 {
+		if e.Prefix != "" || e.User != "" {
+			check.Errorf("etcd.endpoints", "missing")
+		}
+		return
+	}
+	if len(e.Endpoints) > maxEtcdEndpoints {
+		check.Errorf("etcd.endpoints", "%d, want %d at most", len(e.Endpoints), maxEtcdEndpoints)
+	}
+	for _, address := range e.Endpoints {
+		if host, port, err := net.SplitHostPort(address); err != nil || host == "" || !isPort(port) {
+			check.Errorf("etcd.endpoints", "%.80q, want host:port", address)
+		}
+	}
+	isPath := strings.HasPrefix(e.Prefix, "/") && strings.Trim(e.Prefix, "/") != ""
+	if !isPath || len(e.Prefix) > maxEtcdPrefixLength {
+		check.Errorf("etcd.prefix", "%.80q, want a path that begins with a slash", e.Prefix)
+	}
+	if !bothOrNeither(e.User, e.PasswordFile) {
+		check.Errorf("etcd.user", "user and password_file are named together or not at all")
+	}
+	if !bothOrNeither(e.Certificate, e.Key) {
+		check.Errorf("etcd.certificate", "certificate and key are named together or not at all")
+	}
+	if e.Roots == "" && (e.Certificate != "" || e.ServerName != "") {
+		check.Errorf("etcd.roots", "missing, with a certificate or a server_name")
+	}
+	if !oneOf(e.Precedence, "etcd", "registry") {
+		check.Errorf("etcd.first", "%.40q, want etcd or registry", e.Precedence)
+	}
+}
--- /dev/null
+++ b/internal/operatorconfig/handshakes.go
@@ -0,0 +1,76 @@
+package operatorconfig
+
+import (
+	"cmp"
+	"time"
+
+	"troutusher/internal/tlspolicy"
+	"troutusher/internal/tomlfile"
+)
+
+const (
+	maxBurstMS              = 1000
+	maxParallelHandshakes   = 64
+	defaultHandshakeTimeout = 3 * time.Second
+	minHandshakeTimeoutS    = 0.1
+	maxHandshakeTimeoutS    = 30
+	defaultSessionCacheSize = 256
+	maxSessionCacheSize     = 1 << 16
+)
+
+// Handshakes is what TLS handshakes may take, of all endpoints together.
+type Handshakes struct {
+	// CPUShare of one core, above 0 and 1 at most.
+	CPUShare float64 `toml:"share"`
+	// BurstMS is how much processor time they may take at once, in ms.
+	BurstMS float64 `toml:"burst_ms"`
+	// MaxParallel is how many to one endpoint may be in flight.
+	MaxParallel int `toml:"parallel"`
+	// TimeoutS is how long one may take, in seconds.
+	TimeoutS float64 `toml:"timeout_s"`
+	// MaxSessions is how many sessions are cached for resumption; -1 for none.
+	MaxSessions int `toml:"sessions"`
+	// SessionKey is a file with 32 bytes or more. Under a key that is derived from
+	// them, sessions outlast the process in its state folder; empty for not.
+	SessionKey string `toml:"session_key"`
+}
+
+// Limits are those of the handshake budget.
+func (h *Handshakes) Limits() tlspolicy.HandshakeLimits {
+	limits := tlspolicy.DefaultHandshakeLimits()
+	limits.Share = cmp.Or(h.CPUShare, limits.Share)
+	limits.Burst = cmp.Or(time.Duration(h.BurstMS*float64(time.Millisecond)), limits.Burst)
+	limits.MaxParallel = cmp.Or(h.MaxParallel, limits.MaxParallel)
+	for kind := range limits.Cost {
+		limits.Cost[kind] = min(limits.Cost[kind], limits.Burst)
+	}
+	return limits
+}
+
+// Timeout is how long a handshake may take.
+func (h *Handshakes) Timeout() time.Duration {
+	return cmp.Or(seconds(h.TimeoutS), defaultHandshakeTimeout)
+}
+
+// SessionCacheSize is how many sessions are cached.
+func (h *Handshakes) SessionCacheSize() int {
+	return max(cmp.Or(h.MaxSessions, defaultSessionCacheSize), 0)
+}
+
+func (h *Handshakes) validate(check *tomlfile.Checker) {
+	if !within(h.CPUShare, 0, 1) {
+		check.Errorf("handshakes.share", "%v, want above 0 and 1 at most", h.CPUShare)
+	}
+	if ms := h.BurstMS; ms != 0 && !within(ms, 1, maxBurstMS) {
+		check.Errorf("handshakes.burst_ms", "%v, want 1 to %d", ms, maxBurstMS)
+	}
+	if n := h.MaxParallel; n < 0 || n > maxParallelHandshakes {
+		check.Errorf("handshakes.parallel", "%d, want 1 to %d", n, maxParallelHandshakes)
+	}
+	if s := h.TimeoutS; s != 0 && !within(s, minHandshakeTimeoutS, maxHandshakeTimeoutS) {
+		check.Errorf("handshakes.timeout_s", "%v, want %v to %d", s, minHandshakeTimeoutS, maxHandshakeTimeoutS)
+	}
+	if n := h.MaxSessions; n < -1 || n > maxSessionCacheSize {
+		check.Errorf("handshakes.sessions", "%d, want -1 to %d", n, maxSessionCacheSize)
+	}
+}
