--- /dev/null
+++ b/internal/tomlfile/lines.go
@@ -0,0 +1,85 @@
+package tomlfile
+
+import (
+	"fmt"
+	"strings"
+
+	"github.com/pelletier/go-toml/v2/unstable"
+)
+
+// keyLines finds the line of each key in a text. Tables of an array are numbered, as
+// in fault[2].at_s.
+func keyLines(text []byte) map[string]int {
+	f := &lineFinder{lines: map[string]int{}, arraySizes: map[string]int{}}
+	f.parser.Reset(text)
+	for f.parser.NextExpression() {
+		switch node := f.parser.Expression(); node.Kind {
+		case unstable.Table:
+			f.addTable(node)
+		case unstable.ArrayTable:
+			f.addArrayTable(node)
+		case unstable.KeyValue:
+			f.addKeyValue(f.table, node)
+		}
+	}
+	return f.lines
+}
+
+type lineFinder struct {
+	parser     unstable.Parser
+	lines      map[string]int // by whole key
+	arraySizes map[string]int // tables so far, by the name of their array
+	table      string         // that the expressions are in
+}
+
+func (f *lineFinder) addTable(node *unstable.Node) {
+	f.table = dottedKey(node)
+	if array, rest, ok := strings.Cut(f.table, "."); ok && f.arraySizes[array] > 0 {
+		f.table = arrayKey(array, f.arraySizes[array]-1) + "." + rest
+	}
+	f.lines[f.table] = f.line(node)
+}
+
+func (f *lineFinder) addArrayTable(node *unstable.Node) {
+	array := dottedKey(node)
+	if f.arraySizes[array] == 0 {
+		f.lines[array] = f.line(node)
+	}
+	f.table = arrayKey(array, f.arraySizes[array])
+	f.arraySizes[array]++
+	f.lines[f.table] = f.line(node)
+}
+
+// addKeyValue adds a key, and those in its value if that is a table.
+func (f *lineFinder) addKeyValue(prefix string, node *unstable.Node) {
+	key := dottedKey(node)
+	if prefix != "" {
+		key = prefix + "." + key
+	}
+	f.lines[key] = f.line(node)
+	if value := node.Value(); value.Kind == unstable.InlineTable {
+		for child := value.Children(); child.Next(); {
+			f.addKeyValue(key, child.Node())
+		}
+	}
+}
+
+// line is the line that the key of a node stands on.
+func (f *lineFinder) line(node *unstable.Node) int {
+	key := node.Key()
+	if !key.Next() {
+		return 0
+	}
+	return f.parser.Shape(f.parser.Range(key.Node().Data)).Start.Line
+}
+
+// dottedKey is the key of a node, its parts joined by dots.
+func dottedKey(node *unstable.Node) string {
+	var parts []string
+	for key := node.Key(); key.Next(); {
+		parts = append(parts, string(key.Node().Data))
+	}
+	return strings.Join(parts, ".")
+}
+
+func arrayKey(array string, index int) string { return fmt.Sprintf("%s[%d]", array, index) }
--- a/internal/tomlfile/tomlfile.go
+++ b/internal/tomlfile/tomlfile.go
@@ -14,40 +14,18 @@
 	"strings"
 
 	"github.com/pelletier/go-toml/v2"
-	"github.com/pelletier/go-toml/v2/unstable"
 )
 
 // MaxFileBytes is how many bytes a file may have.
 const MaxFileBytes = 1 << 20
 
-const maxErrors = 50 // told of one file
-
-// Error is one thing that is wrong with a file.
-type Error struct {
-	File string
-	Line int // 0 where it has none
-	Key  string
-	Text string
-}
-
-func (e *Error) Error() string {
-	s := e.File
-	if e.Line > 0 {
-		s += fmt.Sprintf(":%d", e.Line)
-	}
-	if e.Key != "" {
-		s += ": " + e.Key
-	}
-	return s + ": " + e.Text
-}
-
-// Read reads a file of at most Most bytes.
+// Read reads a file of at most MaxFileBytes.
 func Read(path string) ([]byte, error) {
 	f, err := os.Open(path)
 	if err != nil {
 		return nil, err
 	}
-	defer f.Close()
+	defer func() { _ = f.Close() }()
 	text, err := io.ReadAll(io.LimitReader(f, MaxFileBytes+1))
 	if err != nil {
 		return nil, err
@@ -62,119 +40,37 @@
 	return nil
 }
 
-// Decode reads a text into a struct; keys that it does not have are errors.
-// The error joins one Error for each thing that is wrong.
+// Decode reads a text into a struct; keys that it does not have are errors. The
+// error joins one Error for each thing that is wrong. file is the name for errors.
 func Decode(file string, text []byte, into any) (*Checker, error) {
 	if err := checkSize(file, text); err != nil {
 		return nil, err
 	}
-	dec := toml.NewDecoder(bytes.NewReader(text)).DisallowUnknownFields()
-	if err := dec.Decode(into); err != nil {
-		var unknown *toml.StrictMissingError
-		var one *toml.DecodeError
-		var all []error
-		switch {
-		case errors.As(err, &unknown):
-			for i := range unknown.Errors {
-				line, _ := unknown.Errors[i].Position()
-				all = append(all, &Error{file, line, strings.Join(unknown.Errors[i].Key(), "."), "unknown key"})
-			}
-		case errors.As(err, &one):
-			line, _ := one.Position()
-			all = append(all, &Error{file, line, strings.Join(one.Key(), "."), strings.TrimPrefix(one.Error(), "toml: ")})
-		default:
-			all = append(all, &Error{File: file, Text: err.Error()})
-		}
-		return nil, errors.Join(all...)
+	decoder := toml.NewDecoder(bytes.NewReader(text)).DisallowUnknownFields()
+	if err := decoder.Decode(into); err != nil {
+		return nil, decodeErrors(file, err)
 	}
 	return &Checker{file: file, lines: keyLines(text)}, nil
 }
 
-// Checker collects what is wrong with the values of a file.
-type Checker struct {
-	file  string
-	lines map[string]int
-	errs  []error
-}
-
-// Err joins what was wrong; nil for nothing.
-func (c *Checker) Err() error { return errors.Join(c.errs...) }
-
-// Errorf tells of a key, as a.b or a[1].b. One that was left out has the line of
-// its table.
-func (c *Checker) Errorf(key, format string, a ...any) {
-	if len(c.errs) >= maxErrors {
-		return
-	}
-	line := 0
-	for k := key; ; {
-		if n, ok := c.lines[k]; ok {
-			line = n
-			break
-		}
-		i := strings.LastIndexByte(k, '.')
-		if i < 0 {
-			break
+// decodeErrors makes an Error of each that the decoder found.
+func decodeErrors(file string, err error) error {
+	var unknownKeys *toml.StrictMissingError
+	var invalid *toml.DecodeError
+	switch {
+	case errors.As(err, &unknownKeys):
+		var all []error
+		for i := range unknownKeys.Errors {
+			all = append(all, decodeError(file, &unknownKeys.Errors[i], "unknown key"))
 		}
-		k = k[:i]
+		return errors.Join(all...)
+	case errors.As(err, &invalid):
+		return errors.Join(decodeError(file, invalid, strings.TrimPrefix(invalid.Error(), "toml: ")))
 	}
-	c.errs = append(c.errs, &Error{c.file, line, key, fmt.Sprintf(format, a...)})
+	return errors.Join(&Error{File: file, Text: err.Error()})
 }
 
-// keyLines finds the line of each key, with tables that come many times numbered
-// as in fault[2].at_s.
-func keyLines(text []byte) map[string]int {
-	at := map[string]int{}
-	count := map[string]int{}
-	var p unstable.Parser
-	p.Reset(text)
-	table := ""
-	full := func(it unstable.Iterator) string {
-		var parts []string
-		for it.Next() {
-			parts = append(parts, string(it.Node().Data))
-		}
-		return strings.Join(parts, ".")
-	}
-	line := func(n *unstable.Node) int {
-		it := n.Key()
-		for it.Next() {
-			return p.Shape(p.Range(it.Node().Data)).Start.Line
-		}
-		return 0
-	}
-	var keyValue func(prefix string, n *unstable.Node)
-	keyValue = func(prefix string, n *unstable.Node) {
-		key := full(n.Key())
-		if prefix != "" {
-			key = prefix + "." + key
-		}
-		at[key] = line(n)
-		if v := n.Value(); v.Kind == unstable.InlineTable {
-			for it := v.Children(); it.Next(); {
-				keyValue(key, it.Node())
-			}
-		}
-	}
-	for p.NextExpression() {
-		switch n := p.Expression(); n.Kind {
-		case unstable.Table:
-			table = full(n.Key())
-			if head, rest, ok := strings.Cut(table, "."); ok && count[head] > 0 {
-				table = fmt.Sprintf("%s[%d].%s", head, count[head]-1, rest)
-			}
-			at[table] = line(n)
-		case unstable.ArrayTable:
-			name := full(n.Key())
-			table = fmt.Sprintf("%s[%d]", name, count[name])
-			if count[name] == 0 {
-				at[name] = line(n)
-			}
-			count[name]++
-			at[table] = line(n)
-		case unstable.KeyValue:
-			keyValue(table, n)
-		}
-	}
-	return at
+func decodeError(file string, err *toml.DecodeError, text string) *Error {
+	line, _ := err.Position()
+	return &Error{File: file, Line: line, Key: strings.Join(err.Key(), "."), Text: text}
 }
