--- a/policy/admission_test.go
+++ b/policy/admission_test.go
@@ -12,8 +12,7 @@
 	}
 }
 
-// TestLoadSheddingOrder: with the room nearly full the message that opens latest is handed back, not the next
-// arrival.
+// TestLoadSheddingOrder: with MaxPending near, the message that can be sent latest is rejected, not the next one.
 func TestLoadSheddingOrder(t *testing.T) {
 	settings := singleClassSettings()
 	settings.MaxPending = 16
@@ -33,23 +32,22 @@
 		events = append(events, event)
 	}
 	h.step(events...)
-	refused := 0
+	rejected := 0
 	for _, action := range h.actions {
 		if action.Kind == ActReject {
-			refused++
+			rejected++
 			if dest[action.Message] != 0 {
 				t.Errorf("message %d of the destination that opens soon was shed", action.Message)
 			}
 		}
 	}
-	if refused != 1 {
-		t.Fatalf("%d refused, want 1", refused)
+	if rejected != 1 {
+		t.Fatalf("%d rejected, want 1", rejected)
 	}
 }
 
-// TestManyPendingMessagesAreCheap guards the core in a crowd: where all the room is taken, making some for the next
-// message asked for each one held when its destination opens, which took a relay's whole share of a core at four
-// times the usual traffic; notices then came too late.
+// TestManyPendingMessagesAreCheap guards against load shedding that looks up each pending message's destination: at
+// four times the usual traffic that took a relay's whole share of a core, and notices came too late.
 func TestManyPendingMessagesAreCheap(t *testing.T) {
 	const dests = 5
 	settings := singleClassSettings()
@@ -69,6 +67,6 @@
 		}
 	}
 	if len(h.engine.pending) < 300 {
-		t.Fatalf("%d held: no crowd", len(h.engine.pending))
+		t.Fatalf("%d pending: too few", len(h.engine.pending))
 	}
 }
--- a/policy/connection_test.go
+++ b/policy/connection_test.go
@@ -2,8 +2,7 @@
 
 import "testing"
 
-// TestIdleConnectionsClosed: where connections run out, idle ones are given back, the sooner the more relays there
-// are.
+// TestIdleConnectionsClosed: where connections run out, idle ones are closed, the sooner the more relays there are.
 func TestIdleConnectionsClosed(t *testing.T) {
 	for _, tight := range []float64{0, 1} {
 		settings := singleClassSettings()
@@ -19,7 +18,7 @@
 			closes += count(h.step(), ActCloseIdle)
 		}
 		if closes != int(tight) {
-			t.Errorf("share without connection %v: %d times given back", tight, closes)
+			t.Errorf("share without connection %v: %d times closed", tight, closes)
 		}
 	}
 }
@@ -29,34 +28,34 @@
 func TestScarceConnections(t *testing.T) {
 	for _, c := range []struct {
 		name   string
-		ends   []Outcome // of two calls that are out together, in this order
+		ends   []Outcome // of two calls that are in flight together, in this order
 		scarce bool
 	}{
 		{"down", []Outcome{ConnectFailed, ConnectFailed}, false},
 		{"down, then cut off", []Outcome{ConnectFailed, ConnectionReset}, false},
 		{"another was answered", []Outcome{ConnectFailed, Delivered}, true},
 		{"another had been answered", []Outcome{Delivered, ConnectFailed}, true},
-		{"another was turned away", []Outcome{ConnectFailed, Rejected}, true},
+		{"another was rejected", []Outcome{ConnectFailed, Rejected}, true},
 		{"both were answered", []Outcome{Delivered, Delivered}, false},
 	} {
 		h := newHarness(t, singleClassSettings(), readyEndpoint(1, 100))
 		h.engine.destinationFor(0).limiters[0].window = 4
 		h.step(h.message(0, 0), h.message(0, 0))
 		if len(h.sends) != 2 {
-			t.Fatalf("%s: %d calls out", c.name, len(h.sends))
+			t.Fatalf("%s: %d calls in flight", c.name, len(h.sends))
 		}
 		for i, action := range h.sends {
 			h.now += second / 10
 			h.step(endOf(action, c.ends[i]))
 		}
 		if got := h.engine.connectFailureRatios[0] > 0; got != c.scarce {
-			t.Errorf("%s: held to run out: %v", c.name, got)
+			t.Errorf("%s: taken to run out: %v", c.name, got)
 		}
 	}
 }
 
-// TestConnectCostIsPaid: a connection that must be opened is paid for like calls, at the pace of a sound endpoint and
-// out of the budget of a cold one; one that is there costs nothing more.
+// TestConnectCostIsPaid: a connection that must be opened is paid for like calls, at the rate of a healthy endpoint
+// and out of the budget of a recovering one; one that is there costs nothing more.
 func TestConnectCostIsPaid(t *testing.T) {
 	entry := readyEndpoint(1, 100)
 	entry.ConnectCost = 5
@@ -73,7 +72,7 @@
 	before := level()
 	h.step(h.message(0, 0))
 	if len(h.sends) != 1 || before-level() != 6 {
-		t.Fatalf("a call and its connection took %v of the pace, want 6", before-level())
+		t.Fatalf("a call and its connection took %v of the rate, want 6", before-level())
 	}
 	h.step(endOf(h.sends[0], Delivered))
 	before = level()
@@ -87,27 +86,27 @@
 	endpoint.unhealthy, endpoint.recoveredAt, endpoint.requiredTokens = true, h.now, 1
 	full := func(tokens float64) { endpoint.recoveryBudget = tokenBucket{h.now, tokens, true} }
 	if full(5.9); engine.mayCall(endpoint) {
-		t.Error("cold: a connection is opened though the budget does not hold it")
+		t.Error("recovering: a connection is opened though the budget does not hold it")
 	}
 	full(6)
 	if !engine.mayCall(endpoint) {
-		t.Error("cold: not opened though the budget holds it")
+		t.Error("recovering: not opened though the budget holds it")
 	}
 	if engine.spendRecoveryBudget(endpoint); endpoint.recoveryBudget.tokens != 0 {
-		t.Errorf("cold: %v of 6 left", endpoint.recoveryBudget.tokens)
+		t.Errorf("recovering: %v of 6 left", endpoint.recoveryBudget.tokens)
 	}
 	endpoint.connections, endpoint.requiredTokens = endpoint.callsInFlight+1, 1
 	if full(1); !engine.mayCall(endpoint) {
-		t.Error("cold: a connection that is there costs as much as a new one")
+		t.Error("recovering: a connection that is there costs as much as a new one")
 	}
 	// One more than the budget ever saves up is waited for, not given up.
 	endpoint.connections, endpoint.connectCost = 0, 1000
 	if full(0); engine.nextSendTime(endpoint.limiter.destination) <= h.now {
-		t.Error("cold: a dear connection is told to be possible now")
+		t.Error("recovering: a costly connection is said to be possible now")
 	}
 }
 
-// TestConnectCostIsSettled: a connection that was opened and not thought of is paid for after, and one that was paid
+// TestConnectCostIsSettled: a connection that was opened and not expected is paid for after, and one that was paid
 // for and not opened is given back.
 func TestConnectCostIsSettled(t *testing.T) {
 	entry := readyEndpoint(1, 100)
@@ -120,14 +119,14 @@
 	h.step(h.message(0, 0))
 	before := level()
 	if !h.sends[0].OpensConnection {
-		t.Fatal("the first call is not told to open a connection")
+		t.Fatal("the first call is not to open a connection")
 	}
 	if h.step(endOf(h.sends[0], Delivered)); level()-before != 5 {
 		t.Errorf("none was opened, and %v of 5 came back", level()-before)
 	}
 	h.step(h.message(0, 0))
 	if h.sends[0].OpensConnection {
-		t.Fatal("the second call is told to open one")
+		t.Fatal("the second call is to open one")
 	}
 	before = level()
 	event := endOf(h.sends[0], Delivered)
--- a/policy/dispatch_test.go
+++ b/policy/dispatch_test.go
@@ -21,12 +21,12 @@
 	}
 }
 
-// TestQueueOrderedByWeight: what loses most by waiting goes first; what is over its tenant's share goes last.
+// TestQueueOrderedByWeight: what loses most by waiting goes first; what is over its tenant's quota goes last.
 func TestQueueOrderedByWeight(t *testing.T) {
 	settings := singleClassSettings()
 	settings.Classes = append(
 		settings.Classes,
-		Class{Name: "dear", LatencyObjective: 2 * second, Deadline: 20 * second, Weight: 3, LateWeight: 0.3},
+		Class{Name: "heavy", LatencyObjective: 2 * second, Deadline: 20 * second, Weight: 3, LateWeight: 0.3},
 	)
 	settings.Tenants = []Tenant{{Name: "a", Quota: 2}, {Name: "b", Quota: 100}}
 	h := newHarness(t, settings, readyEndpoint(1, 2))
@@ -43,12 +43,12 @@
 	h.step(events...)
 	h.engine.orderQueue(h.engine.destinations[0])
 	q := h.engine.destinations[0].queue
-	if len(q) != 6 || q[0].class.Name != "dear" || q[5].weight > 0.5 && q[4].weight > 0.5 {
-		t.Fatalf("queue of %d, first %s, last worth %v", len(q), q[0].class.Name, q[5].weight)
+	if len(q) != 6 || q[0].class.Name != "heavy" || q[5].weight > 0.5 && q[4].weight > 0.5 {
+		t.Fatalf("queue of %d, first %s, last weight %v", len(q), q[0].class.Name, q[5].weight)
 	}
 }
 
-// TestMessageWithoutEndpoint: a message without a usable endpoint is held, then answered in time by its class.
+// TestMessageWithoutEndpoint: a message without a usable endpoint is pending, then answered in time by its class.
 func TestMessageWithoutEndpoint(t *testing.T) {
 	h := newHarness(t, singleClassSettings())
 	h.step(h.message(0, 7))
@@ -74,7 +74,7 @@
 				)
 			}
 			now := second
-			engine.Step(now, []Event{{Kind: EvListUpdated, ListUpdate: ListCached, Updates: list}}, nil)
+			engine.Step(now, []Event{listUpdate(ListCached, list...)}, nil)
 			var actions []Action
 			for i := range b.N {
 				now += 5000
--- a/policy/endpoints_test.go
+++ b/policy/endpoints_test.go
@@ -8,11 +8,11 @@
 	h.engine.recordFailure(h.engine.endpoints[1], h.now, true)
 	h.engine.endpoints[1].unhealthy = true
 	h.step(
-		Event{
-			Kind:       EvListUpdated,
-			ListUpdate: ListDelta,
-			Updates:    []EndpointUpdate{{Endpoint: 1, State: Gone}, {Endpoint: 2, State: Ready, Destination: 5}},
-		},
+		listUpdate(
+			ListDelta,
+			EndpointUpdate{Endpoint: 1, State: Gone},
+			EndpointUpdate{Endpoint: 2, State: Ready, Destination: 5},
+		),
 	)
 	if len(h.engine.endpoints) != 1 || len(h.engine.destinationFor(0).limiters[0].endpoints) != 0 {
 		t.Fatalf(
--- a/policy/fleet_test.go
+++ b/policy/fleet_test.go
@@ -6,7 +6,7 @@
 	"testing"
 )
 
-// fleet is many policies that share nothing, before one destination whose limit refused calls use up as well: a
+// fleet is many policies that share nothing, before one destination whose limit rejected calls use up as well: a
 // bucket that may fall into debt.
 type fleet struct {
 	engines     []*Engine
@@ -25,7 +25,7 @@
 	incarnation []int       // of relays that were started again: answers to the one before are lost; may be nil
 	passivated  []*Snapshot // of the destination, at relays that have put it away; may be nil
 
-	downAt, upAt Time   // in between it takes no connection, and then it returns cold; 0 for never
+	downAt, upAt Time   // in between it takes no connection, and then it returns, recovering; 0 for never
 	received     []Time // what was sent to it since then
 }
 
@@ -55,7 +55,7 @@
 			t.Fatal(err)
 		}
 		fleet.engines = append(fleet.engines, engine)
-		fleet.step(1000*second, i, Event{Kind: EvListUpdated, ListUpdate: ListFull, Updates: fleet.endpoints()})
+		fleet.step(1000*second, i, listUpdate(ListFull, fleet.endpoints()...))
 	}
 	fleet.at = 1000 * second
 	return fleet
@@ -135,6 +135,22 @@
 	}
 }
 
+// overloads counts the windows of an overload duration in which more came than the destination bears.
+func (f *fleet) overloads() (count int) {
+	settings := &f.engines[0].settings
+	span := float64(settings.OverloadDuration) / 1e6
+	for last, at := range f.received {
+		received := 0
+		for i := last; i >= 0 && f.received[i] > at-settings.OverloadDuration; i-- {
+			received++
+		}
+		if float64(received) > settings.OverloadFactor*f.capacityAt(at)*span+3 {
+			count++
+		}
+	}
+	return count
+}
+
 // play has messages come at so many a second to relays of unlike traffic.
 func (f *fleet) play(from, length Time, load float64) {
 	var at []Time
@@ -157,7 +173,7 @@
 }
 
 // TestFleetStaysNearLimit: relays that share nothing, each of which sees little, together keep near a limit that
-// refusals use up, whatever their number; and nobody is shut out.
+// rejections use up, whatever their number; and nobody is shut out.
 func TestFleetStaysNearLimit(t *testing.T) {
 	for n, used := range map[int]float64{3: 0.7, 20: 0.8, 300: 0.65} {
 		t.Run(fmt.Sprint(n), func(t *testing.T) {
@@ -174,7 +190,7 @@
 			}
 			room := rate * float64(length) / 1e6
 			if over := float64(sent) / room; over > 1.05 {
-				t.Errorf("sent %.2f times the limit, %d refused", over, fleet.rejected)
+				t.Errorf("sent %.2f times the limit, %d rejected", over, fleet.rejected)
 			}
 			if part := float64(taken) / room; part < used {
 				t.Errorf("only %.2f of the limit is used", part)
@@ -183,7 +199,7 @@
 				t.Errorf("%d of %d relays had something to send and nothing taken", none, n)
 			}
 			t.Logf(
-				"sent %.3f, taken %.3f of the limit; refused %d; %d relays with nothing",
+				"sent %.3f, taken %.3f of the limit; rejected %d; %d relays with nothing",
 				float64(sent)/room,
 				float64(taken)/room,
 				fleet.rejected,
@@ -193,8 +209,9 @@
 	}
 }
 
-// TestFleetRecoveryRamp: a destination that returns cold to a fleet with full queues is sent no more than it bears in
-// any fall time, and gets a good part of it: relays that count the ramp from their own first success leave it idle.
+// TestFleetRecoveryRamp: a destination that returns to a fleet with full queues is sent no more than it bears in any
+// overload duration, and gets a good part of it: relays that count the ramp from their own first success leave it
+// idle.
 func TestFleetRecoveryRamp(t *testing.T) {
 	for n, least := range map[int]float64{80: 0.93, 300: 0.77} {
 		mean := 0.0
@@ -224,7 +241,7 @@
 			}
 			mean += used / able / 3
 			if worst > 1 {
-				t.Errorf("%d relays, seed %d: %.2f times what it bears in a fall time", n, seed, worst)
+				t.Errorf("%d relays, seed %d: %.2f times what it bears in an overload duration", n, seed, worst)
 			}
 		}
 		if mean < least {
@@ -233,7 +250,7 @@
 	}
 }
 
-// TestRateReductionAfterRejection: a refusal holds a relay to less than it has sent itself, at least to half of an
+// TestRateReductionAfterRejection: a rejection holds a relay to less than it has sent itself, at least to half of an
 // even share, with nothing saved up; and time gives it back.
 func TestRateReductionAfterRejection(t *testing.T) {
 	settings := singleClassSettings()
@@ -252,7 +269,7 @@
 	h.step(h.message(0, 0))
 	h.step(endOf(h.sends[0], Rejected))
 	if limiter.reducedRate < 0.9 || limiter.reducedRate > 1.1 || before < 5 {
-		t.Errorf("%.2f a second after a refusal at 2 a second, %.2f before", limiter.reducedRate, before)
+		t.Errorf("%.2f a second after a rejection at 2 a second, %.2f before", limiter.reducedRate, before)
 	}
 	h.now += 10 * second
 	h.step(h.message(0, 0), h.message(0, 0), h.message(0, 0))
@@ -261,10 +278,10 @@
 		t.Errorf("%.2f a second after 10 s, want %.2f", got, want)
 	}
 	if len(h.sends) != 1 {
-		t.Fatalf("%d go at once after a refusal", len(h.sends))
+		t.Fatalf("%d go at once after a rejection", len(h.sends))
 	}
 	again := h.sends[0]
-	if again.Message == 21 { // what was refused goes first
+	if again.Message == 21 { // what was rejected goes first
 		again.Attempt = 1
 	}
 	h.now += 11 * second
@@ -275,7 +292,7 @@
 }
 
 // TestFleetStart: what comes to most relays of a large fleet as they start again must not go out in one burst, as a
-// lane's savings allow to each of a few.
+// limiter's bucket allows to each of a few.
 func TestFleetStart(t *testing.T) {
 	for n, most := range map[int]int{2: 8, 80: 1, 300: 1} {
 		settings := singleClassSettings()
@@ -293,7 +310,7 @@
 }
 
 // TestLoweredLimit: a limit that falls to a fifth for 9 s, with the list still telling the old one, is found by
-// relays that are refused once in seconds; what is over it falls, and the limit is used again soon after.
+// relays that are rejected once in seconds; what is over it falls, and the limit is used again soon after.
 func TestLoweredLimit(t *testing.T) {
 	for n, most := range map[int]float64{80: 2, 300: 3} {
 		const rate, start = 90.0, 1000 * second
--- a/policy/harness_test.go
+++ b/policy/harness_test.go
@@ -50,7 +50,7 @@
 		t.Fatal(err)
 	}
 	h := &harness{t: t, engine: engine, now: 1000 * second, nextMessage: 1}
-	h.step(Event{Kind: EvListUpdated, ListUpdate: ListCached, Updates: entries})
+	h.step(listUpdate(ListCached, entries...))
 	return h
 }
 
@@ -87,6 +87,11 @@
 	return n
 }
 
+// listUpdate is an update of the endpoint list.
+func listUpdate(kind ListUpdateKind, updates ...EndpointUpdate) Event {
+	return Event{Kind: EvListUpdated, ListUpdate: kind, Updates: updates}
+}
+
 func readyEndpoint(id EndpointID, rate float64) EndpointUpdate {
 	return EndpointUpdate{Endpoint: id, State: Ready, Rate: rate}
 }
--- a/policy/outcome_test.go
+++ b/policy/outcome_test.go
@@ -2,8 +2,8 @@
 
 import "testing"
 
-// TestBackoffAfterRejection: the first rest after an untold refusal is this relay's turn at the limit, but no longer
-// than a message has to its aim.
+// TestBackoffAfterRejection: the first backoff after a rejection without a Retry-After is this relay's turn at the
+// limit, but no longer than a message has to its objective.
 func TestBackoffAfterRejection(t *testing.T) {
 	for _, n := range []int{2, 7, 400} {
 		settings := singleClassSettings()
@@ -19,34 +19,34 @@
 			&Event{Kind: EvAttemptEnded, Outcome: Rejected},
 		)
 		turn := min(Time(n)*second/4, 2*second)
-		if rest := limiter.backoffUntil - h.now; rest < turn/2 || rest > turn*3/2 {
-			t.Errorf("%d relays: a rest of %d ms at 4 calls a second", n, rest/1000)
+		if backoff := limiter.backoffUntil - h.now; backoff < turn/2 || backoff > turn*3/2 {
+			t.Errorf("%d relays: a backoff of %d ms at 4 calls a second", n, backoff/1000)
 		}
 	}
 }
 
-// TestRetryAfterOfRemovedRoute: a wait that is told after its route has left the list binds it when it comes back,
-// whichever is first.
+// TestRetryAfterOfRemovedRoute: a Retry-After that comes after its route has left the list binds it when it comes
+// back, whichever is first.
 func TestRetryAfterOfRemovedRoute(t *testing.T) {
-	for _, order := range []string{"told, back", "back, told"} {
+	for _, order := range []string{"Retry-After, return", "return, Retry-After"} {
 		settings := singleClassSettings()
 		settings.DestinationKinds[0].IndependentRoutes = true
 		h := newHarness(t, settings, readyEndpoint(1, 100))
 		h.step(h.message(0, 0))
 		action := h.sends[0]
-		told := endOf(action, Rejected)
-		told.RetryAfter = 2 * second
+		rejection := endOf(action, Rejected)
+		rejection.RetryAfter = 2 * second
 		gone, back := readyEndpoint(1, 100), readyEndpoint(1, 100)
 		gone.State = Gone
-		h.step(Event{Kind: EvListUpdated, ListUpdate: ListDelta, Updates: []EndpointUpdate{gone}})
-		end := h.now + told.RetryAfter
-		if order == "told, back" {
-			h.step(told)
+		h.step(listUpdate(ListDelta, gone))
+		end := h.now + rejection.RetryAfter
+		if order == "Retry-After, return" {
+			h.step(rejection)
 			h.now += second / 2
-			h.step(Event{Kind: EvListUpdated, ListUpdate: ListDelta, Updates: []EndpointUpdate{back}})
+			h.step(listUpdate(ListDelta, back))
 		} else {
-			h.step(Event{Kind: EvListUpdated, ListUpdate: ListDelta, Updates: []EndpointUpdate{back}})
-			h.step(told)
+			h.step(listUpdate(ListDelta, back))
+			h.step(rejection)
 		}
 		for h.now < end-second/10 {
 			if len(h.sends) > 0 {
@@ -67,19 +67,19 @@
 	}
 }
 
-// TestRemovedRouteIsForgotten: one that was told a wait after it left, and does not come back, is kept for that wait
-// and no longer.
+// TestRemovedRouteIsForgotten: one with a Retry-After that came after it left, and that does not come back, is kept
+// for that time and no longer.
 func TestRemovedRouteIsForgotten(t *testing.T) {
 	settings := singleClassSettings()
 	settings.DestinationKinds[0].IndependentRoutes = true
 	h := newHarness(t, settings, readyEndpoint(1, 100))
 	h.step(h.message(0, 0))
-	told := endOf(h.sends[0], Rejected)
-	told.RetryAfter = 2 * second
+	rejection := endOf(h.sends[0], Rejected)
+	rejection.RetryAfter = 2 * second
 	gone := readyEndpoint(1, 100)
 	gone.State = Gone
-	h.step(Event{Kind: EvListUpdated, ListUpdate: ListDelta, Updates: []EndpointUpdate{gone}})
-	if h.step(told); len(h.engine.endpoints) != 1 {
+	h.step(listUpdate(ListDelta, gone))
+	if h.step(rejection); len(h.engine.endpoints) != 1 {
 		t.Error("forgotten within its wait")
 	}
 	h.now += 3 * second
@@ -88,7 +88,8 @@
 	}
 }
 
-// TestRetryAfterOfUnsentCall: where the relay itself could open nothing, the destination rests, and is not blamed.
+// TestRetryAfterOfUnsentCall: where the relay itself could open nothing, it backs off, and does not blame the
+// destination.
 func TestRetryAfterOfUnsentCall(t *testing.T) {
 	h := newHarness(t, singleClassSettings(), readyEndpoint(1, 1000))
 	h.step(h.message(0, 0))
--- a/policy/ratelimit_test.go
+++ b/policy/ratelimit_test.go
@@ -137,7 +137,7 @@
 			}
 		}
 		entry := readyEndpoint(EndpointID(i+2), 5)
-		h.step(Event{Kind: EvListUpdated, Updates: []EndpointUpdate{{Endpoint: EndpointID(i + 1), State: Gone}, entry}})
+		h.step(listUpdate(ListDelta, EndpointUpdate{Endpoint: EndpointID(i + 1), State: Gone}, entry))
 		h.now += second
 		h.step()
 		if i == 300 {
--- a/policy/recovery_test.go
+++ b/policy/recovery_test.go
@@ -5,8 +5,8 @@
 	"testing"
 )
 
-// TestRecoveryBudget: after an outage seen, this relay's part of the budget holds in any window of the fall time,
-// from the return on, with the capacity at its slowest ramp.
+// TestRecoveryBudget: after an outage seen, this relay's part of the budget holds in any window of the overload
+// duration, from the return on, with the capacity at its slowest ramp.
 func TestRecoveryBudget(t *testing.T) {
 	for _, outcome := range []Outcome{Failed, TimedOut, ConnectFailed, ConnectionReset, Rejected} {
 		settings := singleClassSettings()
@@ -90,11 +90,11 @@
 	}
 }
 
-// TestTrialCallsUsePendingMessages: a trial call is a message that waits; an unsafe one only once it is late.
+// TestTrialCallsUsePendingMessages: a trial call is a message that waits; a non-idempotent one only once it is late.
 func TestTrialCallsUsePendingMessages(t *testing.T) {
-	for _, unsafe := range []bool{false, true} {
+	for _, nonIdempotent := range []bool{false, true} {
 		settings := singleClassSettings()
-		if unsafe {
+		if nonIdempotent {
 			settings.Classes[0].Idempotency = NonIdempotent
 		}
 		h := newHarness(t, settings, readyEndpoint(1, 10))
@@ -107,8 +107,8 @@
 			h.now += second / 20
 			h.step()
 		}
-		if len(h.sends) != 1 || unsafe && h.now <= start+settings.Classes[0].LatencyObjective {
-			t.Errorf("unsafe %v: %d sends after %d ms", unsafe, len(h.sends), (h.now-start)/1000)
+		if len(h.sends) != 1 || nonIdempotent && h.now <= start+settings.Classes[0].LatencyObjective {
+			t.Errorf("non-idempotent %v: %d sends after %d ms", nonIdempotent, len(h.sends), (h.now-start)/1000)
 		}
 	}
 }
@@ -142,7 +142,7 @@
 }
 
 // TestRecoveryBudgetOfFleet: after an outage that every relay has seen, all relays together stay inside the budget of
-// a cold destination, for two relays and for hundreds.
+// a recovering destination, for two relays and for hundreds.
 func TestRecoveryBudgetOfFleet(t *testing.T) {
 	for _, n := range []int{2, 50, 400} {
 		settings := singleClassSettings()
@@ -156,9 +156,7 @@
 				t.Fatal(err)
 			}
 			now := 1000*second + Time(k)*1000
-			events := []Event{
-				{Kind: EvListUpdated, ListUpdate: ListCached, Updates: []EndpointUpdate{readyEndpoint(1, rate)}},
-			}
+			events := []Event{listUpdate(ListCached, readyEndpoint(1, rate))}
 			for i := range max(1, 240/n) { // twelve seconds of traffic, spread over the relays
 				events = append(events, Event{Kind: EvMessageSubmitted, Message: uint32(i + 1), TimeLeft: 30 * second})
 			}
@@ -202,17 +200,18 @@
 		endpoint := h.engine.endpoints[1]
 		h.engine.recordFailure(endpoint, h.now, false)
 		if endpoint.backoffUntil > h.now {
-			t.Fatalf("%d relays: a rest after the first failure", n)
+			t.Fatalf("%d relays: a backoff after the first failure", n)
 		}
 		h.engine.now += second / 2
 		h.engine.recordFailure(endpoint, h.engine.now, false)
-		if rest := endpoint.backoffUntil - h.engine.now; n == 400 && rest < second || n == 2 && rest > second/4 {
-			t.Errorf("%d relays: a rest of %d ms half a second after the first failure", n, rest/1000)
+		if backoff := endpoint.backoffUntil - h.engine.now; n == 400 && backoff < second ||
+			n == 2 && backoff > second/4 {
+			t.Errorf("%d relays: a backoff of %d ms half a second after the first failure", n, backoff/1000)
 		}
 	}
 }
 
-// TestRampStart: a relay that asks seldom hears of a return long after it. The ramp is held to have begun in the
+// TestRampStart: a relay that calls seldom hears of a return long after it. The ramp is taken to have begun in the
 // middle between its last failure and the call that was answered, and for all endpoints that went with it.
 func TestRampStart(t *testing.T) {
 	h := newHarness(t, singleClassSettings(), readyEndpoint(1, 100), readyEndpoint(2, 100))
@@ -231,7 +230,7 @@
 		)
 	}
 	if got, want := h.engine.rampedCapacity(b), 0.2+0.8*0.25; math.Abs(got-want) > 0.001 {
-		t.Errorf("held to have %.3f of its capacity, want %.3f", got, want)
+		t.Errorf("taken to have %.3f of its capacity, want %.3f", got, want)
 	}
 	h.engine.recordFailure(b, h.now-second/2, false) // it has not returned after all
 	if b.recoveredAt != 0 || a.recoveredAt == 0 {
@@ -244,12 +243,12 @@
 	h.engine.recordFailure(h.engine.endpoints[2], h.now, false)
 	h.engine.recordSuccess(h.engine.endpoints[1], h.now-second/2)
 	if h.engine.endpoints[2].recoveredAt != 0 {
-		t.Error("one that failed after the call was sent is held to be back")
+		t.Error("one that failed after the call was sent is taken to be back")
 	}
 }
 
-// TestRecoveryBudgetWithConnections: with connections that weigh as much as four calls, this relay's part of a cold
-// destination's budget holds in any window of the fall time, whatever became of the connections before.
+// TestRecoveryBudgetWithConnections: with connections that weigh as much as four calls, this relay's part of a
+// destination's budget holds in any window of the overload duration, whatever became of the connections before.
 func TestRecoveryBudgetWithConnections(t *testing.T) {
 	const weight = 4.0
 	settings := singleClassSettings()
@@ -262,7 +261,7 @@
 			t.Fatal(err)
 		}
 		h := &harness{t: t, engine: engine, now: 1000 * second, nextMessage: 1}
-		h.step(Event{Kind: EvListUpdated, ListUpdate: ListCached, Updates: []EndpointUpdate{entry}})
+		h.step(listUpdate(ListCached, entry))
 		start := h.now
 		back := start + 8*second
 		type spent struct {
@@ -343,13 +342,13 @@
 func TestSendTellsOfRecovery(t *testing.T) {
 	h := newHarness(t, singleClassSettings(), readyEndpoint(1, 1000))
 	if h.step(h.message(0, 0)); len(h.sends) != 1 || h.sends[0].Recovering {
-		t.Fatalf("a sound endpoint: %v", h.actions)
+		t.Fatalf("a healthy endpoint: %v", h.actions)
 	}
 	h.step(endOf(h.sends[0], Delivered))
 	endpoint := h.engine.endpoints[1]
 	endpoint.unhealthy, endpoint.recoveredAt, endpoint.requiredTokens = true, h.now, 1
 	endpoint.recoveryBudget = tokenBucket{h.now, 1, true}
 	if h.step(h.message(0, 0)); len(h.sends) != 1 || !h.sends[0].Recovering {
-		t.Fatalf("a cold one: %v", h.actions)
+		t.Fatalf("a recovering one: %v", h.actions)
 	}
 }
--- a/policy/restart_test.go
+++ b/policy/restart_test.go
@@ -11,165 +11,153 @@
 	"testing"
 )
 
-// restart puts a new policy in the place of one, with what that one held and, where it is given, what was written of
-// it before.
-func (f *fleet) restart(now Time, i int, text []byte) {
-	old := f.engines[i]
-	q, err := New(old.settings, uint64(now)+uint64(i))
+// restart puts a new engine in the place of one, with its pending messages and, where it is given, a stored snapshot.
+func (f *fleet) restart(t *testing.T, now Time, relay int, stored []byte) {
+	t.Helper()
+	old := f.engines[relay]
+	engine, err := New(old.settings, uint64(now)+uint64(relay))
 	if err != nil {
-		panic(err)
+		t.Fatal(err)
 	}
-	f.engines[i] = q
-	f.incarnation[i]++
-	f.step(
-		now,
-		i,
-		Event{
-			Kind:       EvListUpdated,
-			ListUpdate: ListCached,
-			Updates:    []EndpointUpdate{readyEndpoint(1, f.rate), readyEndpoint(2, f.rate)},
-		},
-	)
-	if text != nil {
-		m := &Snapshot{}
-		if err := json.Unmarshal(text, m); err != nil {
-			panic(err)
+	f.engines[relay] = engine
+	f.incarnation[relay]++
+	f.step(now, relay, listUpdate(ListCached, f.endpoints()...))
+	if stored != nil {
+		snapshot := &Snapshot{}
+		if err := json.Unmarshal(stored, snapshot); err != nil {
+			t.Fatal(err)
 		}
-		q.RestoreAfterRestart(now, m, 0)
+		engine.RestoreAfterRestart(now, snapshot, 0)
 	}
-	var held []Event
-	for _, m := range old.pending {
-		held = append(
-			held,
-			Event{
-				Kind:      EvMessageSubmitted,
-				Message:   m.id,
-				TimeLeft:  m.deadline - now,
-				Attempts:  m.attempts,
-				Recovered: true,
-			},
-		)
+	var pending []Event
+	for _, message := range old.pending {
+		pending = append(pending, Event{
+			Kind:      EvMessageSubmitted,
+			Message:   message.id,
+			TimeLeft:  message.deadline - now,
+			Attempts:  message.attempts,
+			Recovered: true,
+		})
 	}
-	slices.SortFunc(held, func(a, b Event) int { return int(a.Message) - int(b.Message) })
-	f.step(now, i, held...)
+	slices.SortFunc(pending, func(a, b Event) int { return int(a.Message) - int(b.Message) })
+	f.step(now, relay, pending...)
 }
 
+// restartDay is what reached the destination on a day with an outage.
 type restartDay struct {
-	came   []int // by second since the destination's return
-	pushed int   // windows of 2 s in which more came than it bears
-	taken  int
+	received  []int // by second since the destination's return
+	overloads int   // windows of an overload duration in which more came than it bears
+	accepted  int
 }
 
-// outageWithRestart plays an outage of 6 s. All relays are restarted in it, or shortly after it, knowing what was
-// written up to 0.25 s before, or nothing.
-func outageWithRestart(t *testing.T, n int, seed uint64, at Time, restart, know bool) (d restartDay) {
-	const rate, begin = 60.0, 1000 * second
+func (d *restartDay) add(other restartDay) {
+	if d.received == nil {
+		d.received = make([]int, len(other.received))
+	}
+	for i := range other.received {
+		d.received[i] += other.received[i]
+	}
+	d.overloads += other.overloads
+	d.accepted += other.accepted
+}
+
+func (d *restartDay) String() string {
+	return fmt.Sprintf("%v overloads %d accepted %d", d.received, d.overloads, d.accepted)
+}
+
+// outageWithRestart plays an outage of 6 s. All relays are restarted in it, or shortly after it, with a snapshot that
+// was stored 0.25 s before, or without one.
+func outageWithRestart(t *testing.T, n int, seed uint64, at Time, restart, stored bool) (day restartDay) {
+	t.Helper()
+	const rate, begin, age = 60.0, 1000 * second, Time(250e3)
 	fleet := newFleet(t, n, rate, seed)
 	fleet.incarnation = make([]int, n)
 	fleet.downAt, fleet.upAt = begin+6*second, begin+12*second
-	fleet.play(begin, at-250e3, 0.8*rate)
-	texts := make([][]byte, n)
+	fleet.play(begin, at-age, 0.8*rate)
+	snapshots := make([][]byte, n)
 	for i, engine := range fleet.engines {
-		text, err := json.Marshal(engine.Snapshot(begin + at - 250e3))
+		text, err := json.Marshal(engine.Snapshot(begin + at - age))
 		if err != nil {
 			t.Fatal(err)
 		}
-		texts[i] = text
+		if stored {
+			snapshots[i] = text
+		}
 	}
-	fleet.play(begin+at-250e3, 250e3, 0.8*rate)
+	fleet.play(begin+at-age, age, 0.8*rate)
 	if restart {
 		for i := range fleet.engines {
-			text := texts[i]
-			if !know {
-				text = nil
-			}
-			fleet.restart(begin+at, i, text)
+			fleet.restart(t, begin+at, i, snapshots[i])
 		}
 	}
 	fleet.play(begin+at, 32*second-at, 0.8*rate)
-	d.came = make([]int, 20)
-	settings := &fleet.engines[0].settings
-	for k, x := range fleet.received {
-		if sec := int((x - fleet.upAt) / second); sec >= 0 && sec < len(d.came) {
-			d.came[sec]++
-		}
-		n := 0
-		for j := k; j >= 0 && fleet.received[j] > x-settings.OverloadDuration; j-- {
-			n++
-		}
-		if float64(n) > settings.OverloadFactor*fleet.capacityAt(x)*float64(settings.OverloadDuration)/1e6+3 {
-			d.pushed++
+	day.received = make([]int, 20)
+	for _, at := range fleet.received {
+		if sec := int((at - fleet.upAt) / second); sec >= 0 && sec < len(day.received) {
+			day.received[sec]++
 		}
 	}
-	for _, x := range fleet.accepted {
-		d.taken += x
+	day.overloads = fleet.overloads()
+	for _, accepted := range fleet.accepted {
+		day.accepted += accepted
 	}
-	return d
+	return day
 }
 
-// A relay that was restarted in an outage, or on the ramp after it, goes on as one that never was; one that has
-// forgotten does not.
+// TestRestartKeepsDecisions: a relay that was restarted in an outage, or on the ramp after it, goes on as one that
+// never was; one without its snapshot does not.
 func TestRestartKeepsDecisions(t *testing.T) {
-	const seeds = 12
 	for _, n := range []int{3, 40} {
-		for what, at := range map[string]Time{"in the outage": 9 * second, "on the ramp": 15 * second} {
-			t.Run(fmt.Sprintf("%d relays, %s", n, what), func(t *testing.T) {
-				var never, knows, forgot restartDay
-				add := func(sum *restartDay, d restartDay) {
-					if sum.came == nil {
-						sum.came = make([]int, len(d.came))
-					}
-					for k := range d.came {
-						sum.came[k] += d.came[k]
-					}
-					sum.pushed += d.pushed
-					sum.taken += d.taken
-				}
-				for seed := range uint64(seeds) {
-					add(&never, outageWithRestart(t, n, seed, at, false, false))
-					add(&knows, outageWithRestart(t, n, seed, at, true, true))
-					add(&forgot, outageWithRestart(t, n, seed, at, true, false))
-				}
-				t.Logf("never  %v pushed %d taken %d", never.came, never.pushed, never.taken)
-				t.Logf("knows  %v pushed %d taken %d", knows.came, knows.pushed, knows.taken)
-				t.Logf("forgot %v pushed %d taken %d", forgot.came, forgot.pushed, forgot.taken)
-				sum, sumNever := 0, 0
-				for sec := range never.came {
-					sum, sumNever = sum+knows.came[sec], sumNever+never.came[sec]
-					restored, running := float64(knows.came[sec]), float64(never.came[sec])
-					if sec < 10 && restored > 1.25*running+10 { // until the ramp is over
-						t.Errorf("second %d: %v sent, %v by relays that were never restarted", sec, restored, running)
-					}
-				}
-				if r := float64(sum) / float64(sumNever); r < 0.9 || r > 1.1 {
-					t.Errorf("%.2f times what is sent without a restart", r)
-				}
-				if knows.pushed > never.pushed {
-					t.Errorf("pushed over %d times", knows.pushed)
-				}
-				if at == 15*second && n == 40 { // so that this can fail
-					if a, b := float64(forgot.came[3]), float64(never.came[3]); a < 1.4*b {
-						t.Errorf(
-							"relays that forgot sent %v in the second of their start, others %v: no difference",
-							a,
-							b,
-						)
-					}
-				}
+		for name, at := range map[string]Time{"in the outage": 9 * second, "on the ramp": 15 * second} {
+			t.Run(fmt.Sprintf("%d relays, %s", n, name), func(t *testing.T) {
+				testRestartKeepsDecisions(t, n, at)
 			})
 		}
 	}
 }
 
-// Over many seeds, with the restart at any moment of the outage and the recovery, a returning destination is pushed
-// over by relays that remember no more often than by relays that were never restarted. RESTART_SEEDS asks for more
-// seeds.
+func testRestartKeepsDecisions(t *testing.T, n int, at Time) {
+	t.Helper()
+	const seeds = 12
+	var never, restored, forgot restartDay
+	for seed := range uint64(seeds) {
+		never.add(outageWithRestart(t, n, seed, at, false, false))
+		restored.add(outageWithRestart(t, n, seed, at, true, true))
+		forgot.add(outageWithRestart(t, n, seed, at, true, false))
+	}
+	t.Logf("never restarted  %v", &never)
+	t.Logf("with a snapshot  %v", &restored)
+	t.Logf("without a snapshot %v", &forgot)
+	sum, sumNever := 0, 0
+	for sec := range never.received {
+		sum, sumNever = sum+restored.received[sec], sumNever+never.received[sec]
+		got, want := float64(restored.received[sec]), float64(never.received[sec])
+		if sec < 10 && got > 1.25*want+10 { // until the ramp is over
+			t.Errorf("second %d: %v sent, %v by relays that were never restarted", sec, got, want)
+		}
+	}
+	if ratio := float64(sum) / float64(sumNever); ratio < 0.9 || ratio > 1.1 {
+		t.Errorf("%.2f times what is sent without a restart", ratio)
+	}
+	if restored.overloads > never.overloads {
+		t.Errorf("overloaded %d times", restored.overloads)
+	}
+	if at == 15*second && n == 40 { // so that this can fail
+		if got, want := float64(forgot.received[3]), float64(never.received[3]); got < 1.4*want {
+			t.Errorf("without a snapshot %v sent in the second after the start, else %v: no difference", got, want)
+		}
+	}
+}
+
+// TestRestartsOverloadNothing: over many seeds, with the restart at any moment of the outage and the recovery, relays
+// with a snapshot overload a returning destination no more often than relays that were never restarted. RESTART_SEEDS
+// asks for more seeds.
 func TestRestartsOverloadNothing(t *testing.T) {
 	seeds := uint64(40)
 	if n, err := strconv.ParseUint(os.Getenv("RESTART_SEEDS"), 10, 32); err == nil {
 		seeds = n
 	}
-	pushed := make([]int, seeds)
+	overloads := make([]int, seeds)
 	var all sync.WaitGroup
 	next := make(chan uint64)
 	for range runtime.GOMAXPROCS(0) {
@@ -178,7 +166,7 @@
 			defer all.Done()
 			for seed := range next {
 				at := 6*second + Time(seed*7919%16000)*1000
-				pushed[seed] = outageWithRestart(t, 3, 1000+seed, at, true, true).pushed
+				overloads[seed] = outageWithRestart(t, 3, 1000+seed, at, true, true).overloads
 			}
 		}()
 	}
@@ -188,26 +176,26 @@
 	close(next)
 	all.Wait()
 	bad := 0
-	for seed, n := range pushed {
+	for seed, n := range overloads {
 		if n > 0 {
 			bad++
 			t.Logf("seed %d: %d windows over", seed, n)
 		}
 	}
 	if bad > 0 {
-		t.Errorf("pushed over on %d of %d seeds", bad, seeds)
+		t.Errorf("overloaded on %d of %d seeds", bad, seeds)
 	}
 }
 
-// A verdict that rests on refusals in a row alone is a ramp after the gap: the destination answered. One that rests
-// on silence, or is on its ramp, stays.
+// TestRestoreAfterRejections: an ejection for rejections in a row alone is a ramp after the gap, since the
+// destination answered. One for silence, or one that is on its ramp, stays.
 func TestRestoreAfterRejections(t *testing.T) {
 	const then, bad = 1000 * second, 996 * second
 	for name, c := range map[string]struct {
-		run    int
-		mute   bool
-		goodAt Time
-		want   Time
+		rejections  int
+		silent      bool
+		recoveredAt Time
+		want        Time
 	}{
 		"rejections in a row":        {2, false, 0, bad + 3*second},
 		"a silence":                  {2, true, 0, 0},
@@ -219,39 +207,30 @@
 			t.Fatal(err)
 		}
 		now := then + 2*second
-		engine.Step(
-			now,
-			[]Event{{Kind: EvListUpdated, ListUpdate: ListCached, Updates: []EndpointUpdate{readyEndpoint(1, 50)}}},
-			nil,
-		)
+		engine.Step(now, []Event{listUpdate(ListCached, readyEndpoint(1, 50))}, nil)
 		engine.RestoreAfterRestart(now, &Snapshot{Now: then, Limiters: []LimiterSnapshot{
 			{
 				Window:         1,
 				RateMultiplier: 1,
-				RejectionRun:   c.run,
+				RejectionRun:   c.rejections,
 				Endpoints: []EndpointSnapshot{
 					{
 						ID:                1,
 						Unhealthy:         true,
 						FailureScore:      1,
-						LastFailureSilent: c.mute,
+						LastFailureSilent: c.silent,
 						LastFailureAt:     bad,
 						FirstFailureAt:    bad,
-						RecoveredAt:       c.goodAt,
-						RecoverySentAt:    c.goodAt,
+						RecoveredAt:       c.recoveredAt,
+						RecoverySentAt:    c.recoveredAt,
 					},
 				},
 			},
 		}}, 0)
 		endpoint := engine.endpoints[1]
 		if endpoint.recoveredAt != c.want || endpoint.recoverySentAt != c.want || !endpoint.unhealthy {
-			t.Errorf(
-				"%s: its ramp begins at %d, want %d; held to have been out: %v",
-				name,
-				endpoint.recoveredAt,
-				c.want,
-				endpoint.unhealthy,
-			)
+			t.Errorf("%s: its ramp begins at %d, want %d; unhealthy %v", name, endpoint.recoveredAt, c.want,
+				endpoint.unhealthy)
 		}
 		if got := endpoint.failureScore < 1; got != (name == "rejections in a row") {
 			t.Errorf("%s: score %v", name, endpoint.failureScore)
@@ -259,11 +238,11 @@
 	}
 }
 
-// Each field ages by its rule: waits and pauses keep their moments, budgets do not grow in the gap, nothing is saved
-// up; what is merely old is the default again, and what was out stays out.
+// TestRestoreAgesState: each field ages by its rule: a Retry-After and a backoff keep their moments, budgets do not
+// grow in the gap, nothing is saved up; what is merely old is the default again, and what was ejected stays so.
 func TestRestoreAgesState(t *testing.T) {
 	const then = 1000 * second
-	memory := func() *Snapshot {
+	stored := func() *Snapshot {
 		return &Snapshot{Now: then, TenantQuotas: []TokenBucketSnapshot{{then, 3, true}}, Limiters: []LimiterSnapshot{
 			{
 				Window:           7,
@@ -301,21 +280,12 @@
 				t.Fatal(err)
 			}
 			now := then + shift + gap
-			engine.Step(
-				now,
-				[]Event{
-					{
-						Kind:       EvListUpdated,
-						ListUpdate: ListCached,
-						Updates:    []EndpointUpdate{readyEndpoint(1, 50), readyEndpoint(2, 50)},
-					},
-				},
-				nil,
-			)
-			m := memory()
-			engine.RestoreAfterRestart(now, m, shift)
-			if m.Limiters[0].Tokens.Tokens != 5 || m.Limiters[0].Endpoints[0].RecoveryBudget.At != then-2*second {
-				t.Fatal("the memory that was given is changed")
+			engine.Step(now, []Event{listUpdate(ListCached, readyEndpoint(1, 50), readyEndpoint(2, 50))}, nil)
+			snapshot := stored()
+			engine.RestoreAfterRestart(now, snapshot, shift)
+			if snapshot.Limiters[0].Tokens.Tokens != 5 ||
+				snapshot.Limiters[0].Endpoints[0].RecoveryBudget.At != then-2*second {
+				t.Fatal("the snapshot that was given is changed")
 			}
 			limiter, a, b := engine.endpoints[1].limiter, engine.endpoints[1], engine.endpoints[2]
 			if limiter.retryAfterUntil != then+shift+30*second || limiter.backoffUntil != then+shift+second {
@@ -353,7 +323,7 @@
 				float64(limiter.rejectionRun),
 				b.failureScore,
 			}; got != want {
-				t.Errorf("gap %d: window, boost, refusals, score %v, want %v", gap, got, want)
+				t.Errorf("gap %d: window, multiplier, rejections, score %v, want %v", gap, got, want)
 			}
 		}
 	}
--- a/policy/retry_test.go
+++ b/policy/retry_test.go
@@ -83,14 +83,11 @@
 			t.Fatal(err)
 		}
 		now := Time(100 * second)
-		list := Event{
-			Kind:       EvListUpdated,
-			ListUpdate: ListFull,
-			Updates: []EndpointUpdate{
-				{Endpoint: 1, Destination: 1, State: Ready, Rate: 1000},
-				{Endpoint: 2, Destination: 1, State: Ready, Rate: 1000},
-			},
-		}
+		list := listUpdate(
+			ListFull,
+			EndpointUpdate{Endpoint: 1, Destination: 1, State: Ready, Rate: 1000},
+			EndpointUpdate{Endpoint: 2, Destination: 1, State: Ready, Rate: 1000},
+		)
 		events := []Event{list, {Kind: EvMessageSubmitted, Message: 1, Destination: 1, TimeLeft: 30 * second}}
 		var first Time
 		sends, ended := 0, false
--- a/policy/snapshot_test.go
+++ b/policy/snapshot_test.go
@@ -27,7 +27,7 @@
 	if !bytes.Equal(append(got, '\n'), text) {
 		t.Errorf("read and written again:\n%s\nwant\n%s", got, text)
 	}
-	lane, endpoint := m.Limiters[0], m.Limiters[0].Endpoints[0]
+	limiter, endpoint := m.Limiters[0], m.Limiters[0].Endpoints[0]
 	for _, value := range []struct {
 		key       string
 		got, want float64
@@ -39,15 +39,15 @@
 		{"good_sent", float64(endpoint.RecoverySentAt), 109},
 		{"ok_at", float64(endpoint.LastSuccessAt), 110},
 		{"need", endpoint.RequiredTokens, 1.13},
-		{"wait_until", float64(lane.RetryAfterUntil), 124},
-		{"pause_until", float64(lane.BackoffUntil), 125},
-		{"nominal", lane.NominalRate, 1.26},
-		{"limit", lane.ReportedRate, 1.27},
-		{"boost", lane.RateMultiplier, 1.28},
-		{"cut", lane.ReducedRate, 1.29},
-		{"cut_at", float64(lane.ReducedAt), 130},
-		{"full_run", float64(lane.RejectionRun), 133},
-		{"full_at", float64(lane.FirstRejectionAt), 134},
+		{"wait_until", float64(limiter.RetryAfterUntil), 124},
+		{"pause_until", float64(limiter.BackoffUntil), 125},
+		{"nominal", limiter.NominalRate, 1.26},
+		{"limit", limiter.ReportedRate, 1.27},
+		{"boost", limiter.RateMultiplier, 1.28},
+		{"cut", limiter.ReducedRate, 1.29},
+		{"cut_at", float64(limiter.ReducedAt), 130},
+		{"full_run", float64(limiter.RejectionRun), 133},
+		{"full_at", float64(limiter.FirstRejectionAt), 134},
 	} {
 		if value.got != value.want {
 			t.Errorf("%s: %v, want %v", value.key, value.got, value.want)
