--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -1,9 +1,9 @@
-// Package config reads what a relay is told before it starts: the configuration
-// file that the platform writes, the environment, and the operator's own file.
+// Package config reads the configuration of a relay: the file that the platform
+// writes, the environment, and the operator's own file.
 //
-// It owns the keys, their defaults and errors, which source comes before which,
-// and how the limits of the machine are divided. It must never open a socket or
-// write a file, nor decide what the policy does with its settings.
+// It owns the keys, their defaults and errors, the precedence of the sources, and
+// how the limits of the machine are divided. It must never open a socket or write a
+// file, nor decide what the policy does with its settings.
 package config
 
 import (
@@ -21,51 +21,51 @@
 // FileEnvVar names the environment variable that names the configuration file.
 const FileEnvVar = "ROUTER_CONFIG"
 
-// Config is everything that a relay is told before it starts.
+// Config is the configuration of a relay.
 type Config struct {
 	Name      string
 	Listen    string // host:port for clients
 	Discovery string // host:port of the discovery agent
 	Console   string // host:port for operators; empty for none
-	State     string // the folder that outlasts the process
+	State     string // the state directory, which outlasts the process
 	Seed      uint64
 	Limits    Limits
-	KnownList *core.EndpointList // the endpoint list as this relay last had it, perhaps outdated; may be nil
+	KnownList *core.EndpointList // the last known endpoint list, maybe outdated; may be nil
 
 	Policy         policy.Settings
 	ClientSettings operatorconfig.Clients // zero where the operator has no file
 
-	PolicyStatePeriod time.Duration        // between two writes of the policy's state; 0 for none
+	PolicyStatePeriod time.Duration        // between two writes of the policy's state; 0 to write none
 	Passivation       idlestore.Limits     // which destinations are passivated
 	MaxListBytes      int                  // of one endpoint list
-	Etcd              *operatorconfig.Etcd // nil where none is followed
-	TracesPerSecond   int                  // messages that are traced from their acceptance on
+	Etcd              *operatorconfig.Etcd // nil if no etcd is followed
+	TracesPerSecond   int                  // messages traced from their acceptance on
 	TLSRules          []operatorconfig.TLSRule
 	Handshakes        operatorconfig.Handshakes
 
-	// The numbers that the policy knows these names by: their place in the settings.
+	// Indices by name, as the settings list them. The policy knows only the indices.
 	Zones            map[string]int
 	DestinationKinds map[string]int
 	Classes          map[string]int
 	Tenants          map[string]int
 
-	LoadReportFields []string // fields of a load report, in their order
+	LoadReportFields []string // names of the fields of a load report, in order
 }
 
-// Load reads the configuration of a process that starts. What the environment
-// says of name, addresses and state folder comes before the file.
+// Load reads the configuration of a starting process. For name, addresses and state
+// directory the environment takes precedence over the file.
 func Load(getenv func(string) string) (*Config, error) {
 	return load(getenv, forStart)
 }
 
-// Reload reads the configuration for a relay that runs. The file's address of
-// discovery then comes before the environment's, which still says what held at
+// Reload reads the configuration again in a running process. There the file takes
+// precedence for the address of discovery, since the environment is still the one of
 // the start.
 func Reload(getenv func(string) string) (*Config, error) {
 	return load(getenv, forReload)
 }
 
-// purpose is what a configuration is read for.
+// purpose says whether a configuration is read at the start or again.
 type purpose int
 
 const (
@@ -91,7 +91,7 @@
 		return nil, fmt.Errorf("%s: %w", operatorconfig.EnvVar, err)
 	}
 	if file == nil {
-		file = &operatorconfig.File{} // its zero values stand for the defaults
+		file = &operatorconfig.File{} // the zero value selects the defaults
 	}
 	if err := c.applyOperatorFile(file); err != nil {
 		return nil, fmt.Errorf("%s: %w", operatorconfig.EnvVar, err)
@@ -99,7 +99,7 @@
 	return c, nil
 }
 
-// applyOperatorFile takes over what the operator's file says.
+// applyOperatorFile applies the operator's file.
 func (c *Config) applyOperatorFile(file *operatorconfig.File) error {
 	c.TLSRules, c.Handshakes = file.TLSRules, file.Handshakes
 	if len(file.Etcd.Endpoints) > 0 {
--- a/internal/config/limits.go
+++ b/internal/config/limits.go
@@ -8,7 +8,7 @@
 	"troutusher/internal/operatorconfig"
 )
 
-// Limits are those of the relay's machine.
+// Limits are the limits of the relay's machine.
 type Limits struct {
 	Cores    float64 `json:"cores"`
 	MemoryMB int     `json:"memory_mb"` // in units of 2^20 bytes
@@ -16,7 +16,7 @@
 	DiskMB   int     `json:"disk_mb"`   // of the state folder, in units of 2^20 bytes
 }
 
-// What holds where the configuration says nothing.
+// Defaults of Limits.
 const (
 	defaultCores    = 1
 	defaultMemoryMB = 192
@@ -25,18 +25,19 @@
 )
 
 const (
-	// ReservedDescriptors is how many descriptors the runtime, the log, the
-	// listeners and discovery hold.
+	// ReservedDescriptors is the number of descriptors for the runtime, the log, the
+	// listeners and discovery.
 	ReservedDescriptors = 32
 
-	minDescriptors     = 64 // the fewest that a relay can work with
+	minDescriptors     = 64 // a relay cannot work with fewer
 	spareEndpointConns = 8  // connections to endpoints beside those in use
 
-	// Commands of clients may hold one byte of memory in so many.
+	// The commands of clients may use this part of the memory.
 	commandMemoryDivisor = 8
 )
 
-// withDefaults puts in what is left out, and tells of limits that cannot be.
+// withDefaults returns the limits with defaults in place of zeros, or an error for
+// invalid ones.
 func (l Limits) withDefaults() (Limits, error) {
 	switch {
 	case l.Cores < 0:
@@ -63,8 +64,8 @@
 	return l, nil
 }
 
-// applyClientSettings takes over what the operator says of clients' connections,
-// where the descriptors allow it.
+// applyClientSettings applies the operator's settings for client connections. It
+// returns an error if there are not enough descriptors for them.
 func (c *Config) applyClientSettings(clients *operatorconfig.Clients) error {
 	c.ClientSettings = *clients
 	if want := clients.Descriptors; want > 0 {
@@ -82,11 +83,13 @@
 	return nil
 }
 
-// DescriptorBudget divides the descriptors between clients and endpoints. A call
-// in flight needs one each, so the endpoints' part never lies under the number of
-// concurrent calls as long as the clients keep half. Twice that number, where
-// there are as many, leaves some idle connections to each endpoint: with fewer,
-// each call closes another endpoint's and opens its own.
+// DescriptorBudget divides the descriptors between connections of clients and those
+// to endpoints.
+//
+// Each call in flight needs a connection, so the endpoints get at least as many as
+// there are concurrent calls, as long as half is left to the clients. They get twice
+// as many if possible, which leaves some idle connections to each endpoint: with
+// fewer, each call would have to close the connection to another endpoint.
 func (c *Config) DescriptorBudget() (clients, endpoints int) {
 	free := c.Limits.Sockets - ReservedDescriptors
 	if most := c.ClientSettings.MaxConns; most > 0 {
@@ -98,7 +101,7 @@
 	return free - endpoints, endpoints
 }
 
-// ConnLimits says which connections of clients are admitted and evicted.
+// ConnLimits returns the limits for admitting and evicting connections of clients.
 func (c *Config) ConnLimits() connlimit.Limits {
 	most, _ := c.DescriptorBudget()
 	limits := connlimit.DefaultLimits(most, c.Limits.Sockets)
@@ -115,8 +118,8 @@
 	return limits
 }
 
-// CommandMemory is how many bytes the commands of clients may hold that are being
-// read or wait for their reply.
+// CommandMemory returns how many bytes of memory the commands of clients may use that
+// are being read or wait for their reply.
 func (c *Config) CommandMemory() int {
 	if c.ClientSettings.MemoryMB > 0 {
 		return c.ClientSettings.MemoryMB << 20
--- a/internal/config/parse.go
+++ b/internal/config/parse.go
@@ -13,7 +13,7 @@
 	"troutusher/internal/wire"
 )
 
-// Environment variables that come before a key of the file.
+// Environment variables that take precedence over a key of the file.
 const (
 	nameEnvVar      = "ROUTER_NAME"
 	listenEnvVar    = "ROUTER_LISTEN"
@@ -22,7 +22,7 @@
 	stateEnvVar     = "ROUTER_STATE"
 )
 
-// file is the form of the configuration file.
+// file is the JSON form of the configuration file.
 type file struct {
 	Name      string             `json:"name"`
 	Listen    string             `json:"listen"`
@@ -35,7 +35,7 @@
 	Settings  json.RawMessage    `json:"settings"`
 }
 
-// Parse reads the text of a configuration file as Load does, without the
+// Parse parses the text of a configuration file as Load does, but without the
 // operator's file.
 func Parse(text []byte, getenv func(string) string) (*Config, error) {
 	return parse(text, getenv, forStart)
@@ -80,8 +80,8 @@
 	return c, nil
 }
 
-// applyEnvironment puts what the environment says in the place of what the file
-// says, and tells of a key that neither has.
+// applyEnvironment replaces keys by variables of the environment. It returns an error
+// for a required key that is set in neither.
 func (f *file) applyEnvironment(getenv func(string) string, why purpose) error {
 	for _, key := range []struct {
 		name, envVar string
@@ -120,7 +120,7 @@
 	return nil
 }
 
-// parseSeed takes 64 bits as a string in hexadecimal, or as a plain number.
+// parseSeed parses a seed of 64 bits: a string in hexadecimal, or a number.
 func parseSeed(raw json.RawMessage) (uint64, error) {
 	if len(raw) == 0 || bytes.Equal(raw, []byte("null")) {
 		return 0, errors.New("missing")
@@ -132,7 +132,7 @@
 	return strconv.ParseUint(string(raw), 10, 64)
 }
 
-// parseSettings maps the settings object and the names in it.
+// parseSettings parses the settings object and indexes the names in it.
 func (c *Config) parseSettings(text []byte) error {
 	s, err := wire.ParseSettings(text)
 	if err != nil {
@@ -144,13 +144,13 @@
 	if err := c.Policy.Validate(); err != nil {
 		return fmt.Errorf("config: settings: %w", err)
 	}
-	// On sockets a connection carries one call at a time, and a call carries one
-	// message, whatever the simulator's connections carry.
+	// Unlike in the simulator, a connection carries one call at a time, and a call
+	// carries one message.
 	c.Policy.StreamsPerConnection = 1
 	for i := range c.Policy.DestinationKinds {
 		c.Policy.DestinationKinds[i].BatchSize = 1
 	}
-	var names struct { // without a name of its own, which the error would tell
+	var names struct { // not a named type, since errors would contain its name
 		Localities []string `json:"localities"`
 	}
 	if err := json.Unmarshal(text, &names); err != nil {
--- a/internal/core/passivestore.go
+++ b/internal/core/passivestore.go
@@ -124,7 +124,7 @@
 func storedEndpoint(member *Member) idlestore.Endpoint {
 	return idlestore.Endpoint{
 		ID: member.ID, HostPort: member.HostPort, Locality: member.Locality, Flavor: member.Flavor,
-		Draining: member.Phase == Draining, Size: member.Rate,
+		Draining: member.Phase == Draining, Rate: member.Rate,
 	}
 }
 
@@ -132,7 +132,7 @@
 func memberFromStore(dest int, stored *idlestore.Endpoint) Member {
 	member := Member{
 		ID: stored.ID, HostPort: stored.HostPort, Locality: stored.Locality, Flavor: stored.Flavor,
-		Dest: dest, Phase: Up, Rate: stored.Size,
+		Dest: dest, Phase: Up, Rate: stored.Rate,
 	}
 	if stored.Draining {
 		member.Phase = Draining
--- a/internal/idlestore/activeset.go
+++ b/internal/idlestore/activeset.go
@@ -6,19 +6,20 @@
 	"troutusher/policy"
 )
 
-// Limits say when a destination that nobody sends to is passivated.
+// Limits are the conditions for passivating a destination.
 type Limits struct {
-	// MaxActive is how many destinations may be active for any time; 0 for all.
+	// MaxActive is the number of destinations that stay active however long they are
+	// idle; 0 for all.
 	MaxActive int
-	// IdleTimeout is for how long one beyond MaxActive has been idle when it is
-	// passivated.
+	// IdleTimeout is the time after which an idle destination beyond MaxActive is
+	// passivated, in µs.
 	IdleTimeout policy.Time
 }
 
-// ActiveSet is the destinations that are active, the longest idle first.
+// ActiveSet is the set of active destinations, ordered by their last use.
 type ActiveSet struct {
 	limits  Limits
-	entries *list.List // of *activeEntry
+	entries *list.List // of *activeEntry, the least recently used first
 	byDest  map[int]*list.Element
 }
 
@@ -27,25 +28,26 @@
 	lastUsed policy.Time
 }
 
-// NewActiveSet makes an empty one.
+// NewActiveSet returns an empty set.
 func NewActiveSet(l Limits) *ActiveSet {
 	return &ActiveSet{limits: l, entries: list.New(), byDest: map[int]*list.Element{}}
 }
 
-// Len is how many destinations are active.
+// Len returns the number of active destinations.
 func (s *ActiveSet) Len() int { return s.entries.Len() }
 
 // Contains reports whether a destination is active.
 func (s *ActiveSet) Contains(dest int) bool { return s.byDest[dest] != nil }
 
-// OverLimit reports whether more are active than may be for any time.
+// OverLimit reports whether more than MaxActive destinations are active.
 func (s *ActiveSet) OverLimit() bool { return s.excess() > 0 }
 
-// Full reports whether one more would be too many: a destination that the list
-// names for the first time is then passive from the start.
+// Full reports whether at least MaxActive destinations are active. A destination that
+// the list names for the first time is then passive from the start.
 func (s *ActiveSet) Full() bool { return s.limits.MaxActive > 0 && s.Len() >= s.limits.MaxActive }
 
-// excess is how many are active beyond the limit; none where it is 0 or less.
+// excess returns the number of active destinations beyond the limit; it may be
+// negative.
 func (s *ActiveSet) excess() int {
 	if s.limits.MaxActive <= 0 {
 		return 0
@@ -53,8 +55,7 @@
 	return s.Len() - s.limits.MaxActive
 }
 
-// Touch takes down that something was done for a destination, which is active from
-// then on.
+// Touch records a use of a destination, and adds it if it is not active.
 func (s *ActiveSet) Touch(dest int, now policy.Time) {
 	if e := s.byDest[dest]; e != nil {
 		e.Value.(*activeEntry).lastUsed = now
@@ -64,7 +65,7 @@
 	s.byDest[dest] = s.entries.PushBack(&activeEntry{dest, now})
 }
 
-// Remove takes a destination out, if it is active.
+// Remove removes a destination, if it is active.
 func (s *ActiveSet) Remove(dest int) {
 	if e := s.byDest[dest]; e != nil {
 		s.entries.Remove(e)
@@ -72,16 +73,17 @@
 	}
 }
 
-// Idle appends up to most destinations that are to be passivated, the longest idle
-// first, and says when to ask again; 0 where there is nothing to wait for.
-func (s *ActiveSet) Idle(now policy.Time, most int, to []int) (idle []int, again policy.Time) {
+// Idle appends the destinations to passivate now to a slice until that has limit
+// elements, the least recently used first. It returns when to call it again, or 0 if
+// no destination is beyond the limits.
+func (s *ActiveSet) Idle(now policy.Time, limit int, to []int) (idle []int, again policy.Time) {
 	excess := s.excess()
 	for e := s.entries.Front(); e != nil && excess > 0; e = e.Next() {
 		entry := e.Value.(*activeEntry)
 		if at := entry.lastUsed + s.limits.IdleTimeout; at > now {
 			return to, at
 		}
-		if len(to) == most {
+		if len(to) == limit {
 			return to, now
 		}
 		to = append(to, entry.dest)
--- a/internal/idlestore/bench_test.go
+++ b/internal/idlestore/bench_test.go
@@ -121,7 +121,7 @@
 			HostPort: fmt.Sprintf("10.%d.%d.%d:8080", i>>16&255, i>>8&255, i&255),
 			Locality: "a",
 			Flavor:   "k",
-			Size:     40,
+			Rate:     40,
 		}
 	}
 	b.Run("store", func(b *testing.B) {
--- a/internal/idlestore/chunk.go
+++ b/internal/idlestore/chunk.go
@@ -11,14 +11,13 @@
 	maxChunks = 1 << (32 - chunkBits) // a position has 32 bits
 )
 
-// chunk holds records one behind the other. One with a record that is larger than
-// chunkSize holds this one alone.
+// chunk is a buffer of records. A record larger than chunkSize has a chunk of its own.
 type chunk struct {
 	data      []byte
-	deadBytes int // of records that have moved or gone
+	deadBytes int // of records that were moved or removed
 }
 
-// position is where a record begins: the number of its chunk, and the offset there.
+// position is the position of a record: the number of its chunk and the offset in it.
 type position uint32
 
 func positionOf(chunk, offset int) position { return position(chunk)<<chunkBits | position(offset) }
@@ -28,12 +27,12 @@
 
 func (s *Store) bytesAt(at position) []byte { return s.chunks[at.chunk()].data[at.offset():] }
 
-// HasRoom reports whether more can be kept: a position has 32 bits, which is 4 GB of
+// HasRoom reports whether more can be stored. Positions of 32 bits allow for 4 GB of
 // records.
 func (s *Store) HasRoom() bool { return len(s.chunks)-len(s.freeChunks) < maxChunks-2 }
 
-// chunkFor is the number of the chunk to which a record of so many bytes can be
-// appended; it may be one of its own.
+// chunkFor returns the number of the chunk for a record of this size, and makes it the
+// current one.
 func (s *Store) chunkFor(size int) int {
 	c := &s.chunks[s.current]
 	if len(c.data)+size <= max(chunkSize, cap(c.data)) && len(c.data) < chunkSize {
@@ -51,8 +50,8 @@
 	return s.current
 }
 
-// growChunk makes room in a chunk: it grows as it fills, to at most its size, since
-// a relay with few passive destinations should not pay for many.
+// growChunk makes room for more bytes in a chunk. Its capacity doubles, up to chunkSize,
+// so that few passive destinations take little memory.
 func growChunk(data []byte, more int) []byte {
 	if len(data)+more <= cap(data) {
 		return data
@@ -60,7 +59,8 @@
 	return slices.Grow(data, max(more, min(len(data), chunkSize-len(data))))[:len(data)]
 }
 
-// markDead marks a record as dead, and empties its chunk if half of it is.
+// markDead marks a record as dead, and evacuates its chunk if more than half of that
+// is dead.
 func (s *Store) markDead(r record) {
 	number := r.at.chunk()
 	c := &s.chunks[number]
@@ -83,7 +83,7 @@
 	}
 }
 
-// evacuateChunk moves the live records of a chunk, and releases it.
+// evacuateChunk moves the live records of a chunk to the current one and releases it.
 func (s *Store) evacuateChunk(number int) {
 	for offset := 0; offset < len(s.chunks[number].data); {
 		r := s.readRecord(positionOf(number, offset))
--- a/internal/idlestore/endpoint.go
+++ b/internal/idlestore/endpoint.go
@@ -6,35 +6,36 @@
 	"net/netip"
 )
 
-// packedEndpoint is the bytes of one endpoint in a record: its flags, its id, its
-// address, the number of its tag, and its size. Texts follow their length (uvarint).
+// packedEndpoint is an encoded endpoint in a record: its flags (one byte), its id, its
+// address, the number of its tag (uvarint), and its rate. The id and an address that is
+// not packed are preceded by their length (uvarint).
 type packedEndpoint []byte
 
 // Flags of a packed endpoint.
 const (
 	flagDraining    = 1 << 0
-	flagConfirmed   = 1 << 1 // which of two complete lists it was in last
-	flagPackedAddr  = 1 << 2 // the address is four bytes and a port
-	flagIntegerSize = 1 << 3 // the size is a uvarint, else a float64
+	flagConfirmed   = 1 << 1 // compared with Store.confirmedFlag
+	flagPackedAddr  = 1 << 2 // the address is an IPv4 address and a port, in six bytes
+	flagIntegerRate = 1 << 3 // the rate is a uvarint, else a float64
 )
 
 const (
-	packedAddrSize = 6
-	floatSize      = 8
+	packedAddrBytes = 6
+	floatBytes      = 8
 )
 
-// tag is what is the same for many endpoints.
+// tag is the data that many endpoints share. It is stored once.
 type tag struct{ locality, flavor string }
 
 func (p packedEndpoint) flags() byte { return p[0] }
 
-// id is the endpoint's id, in the bytes of the record.
+// id returns the endpoint's id, which aliases the record.
 func (p packedEndpoint) id() []byte {
 	id, _ := cutText(p[1:])
 	return id
 }
 
-// packedEndpoints yields the endpoints in their packed bytes.
+// packedEndpoints returns an iterator over packed endpoints.
 func packedEndpoints(b []byte) func(yield func(packedEndpoint) bool) {
 	return func(yield func(packedEndpoint) bool) {
 		for len(b) > 0 {
@@ -47,20 +48,20 @@
 	}
 }
 
-// endpointSize is how many bytes the first of some packed endpoints takes.
+// endpointSize returns the length of the first of some packed endpoints.
 func endpointSize(b []byte) int {
 	flags := b[0]
 	_, rest := cutText(b[1:])
 	if flags&flagPackedAddr != 0 {
-		rest = rest[packedAddrSize:]
+		rest = rest[packedAddrBytes:]
 	} else {
 		_, rest = cutText(rest)
 	}
 	_, rest = cutUvarint(rest) // the tag
-	if flags&flagIntegerSize != 0 {
+	if flags&flagIntegerRate != 0 {
 		_, rest = cutUvarint(rest)
 	} else {
-		rest = rest[floatSize:]
+		rest = rest[floatBytes:]
 	}
 	return len(b) - len(rest)
 }
@@ -80,7 +81,7 @@
 	return append(b, text...)
 }
 
-// decodeEndpoints unpacks all endpoints of a record.
+// decodeEndpoints decodes packed endpoints.
 func (s *Store) decodeEndpoints(b []byte) []Endpoint {
 	var list []Endpoint
 	for e := range packedEndpoints(b) {
@@ -100,7 +101,7 @@
 	if flags&flagPackedAddr != 0 {
 		addr, port := netip.AddrFrom4([4]byte(rest[:4])), binary.BigEndian.Uint16(rest[4:])
 		e.HostPort = netip.AddrPortFrom(addr, port).String()
-		rest = rest[packedAddrSize:]
+		rest = rest[packedAddrBytes:]
 	} else {
 		var hostPort []byte
 		hostPort, rest = cutText(rest)
@@ -108,29 +109,29 @@
 	}
 	number, rest := cutUvarint(rest)
 	e.Locality, e.Flavor = s.tags[number].locality, s.tags[number].flavor
-	if flags&flagIntegerSize != 0 {
-		size, _ := cutUvarint(rest)
-		e.Size = float64(size)
+	if flags&flagIntegerRate != 0 {
+		rate, _ := cutUvarint(rest)
+		e.Rate = float64(rate)
 	} else {
-		e.Size = math.Float64frombits(binary.BigEndian.Uint64(rest))
+		e.Rate = math.Float64frombits(binary.BigEndian.Uint64(rest))
 	}
 	return e
 }
 
-// appendEndpoint packs an endpoint that the list names.
+// appendEndpoint appends an encoded, confirmed endpoint to a buffer.
 func (s *Store) appendEndpoint(b []byte, e *Endpoint) []byte {
 	flags := s.confirmedFlag
 	if e.Draining {
 		flags |= flagDraining
 	}
-	// Only an address that is read back as it was written is packed.
+	// An address is packed only if decoding gives the same text.
 	addr, err := netip.ParseAddrPort(e.HostPort)
 	var text [len("255.255.255.255:65535")]byte
 	if err == nil && addr.Addr().Is4() && string(addr.AppendTo(text[:0])) == e.HostPort {
 		flags |= flagPackedAddr
 	}
-	if isUint32(e.Size) {
-		flags |= flagIntegerSize
+	if isUint32(e.Rate) {
+		flags |= flagIntegerRate
 	}
 	b = append(b, flags)
 	b = appendText(b, e.ID)
@@ -142,18 +143,19 @@
 		b = appendText(b, e.HostPort)
 	}
 	b = binary.AppendUvarint(b, uint64(s.tagNumber(tag{e.Locality, e.Flavor})))
-	if flags&flagIntegerSize != 0 {
-		return binary.AppendUvarint(b, uint64(e.Size))
+	if flags&flagIntegerRate != 0 {
+		return binary.AppendUvarint(b, uint64(e.Rate))
 	}
-	return binary.BigEndian.AppendUint64(b, math.Float64bits(e.Size))
+	return binary.BigEndian.AppendUint64(b, math.Float64bits(e.Rate))
 }
 
-// isUint32 reports whether a number is read back the same from 32 bits.
+// isUint32 reports whether a number can be converted to 32 bits and back without a
+// change.
 func isUint32(x float64) bool {
 	return x >= 0 && x < 1<<32 && x == math.Trunc(x) && !math.Signbit(x)
 }
 
-// tagNumber is the number of a tag, which it gets when it comes first.
+// tagNumber returns the number of a tag, and adds the tag if it is new.
 func (s *Store) tagNumber(t tag) int {
 	number, ok := s.tagNumbers[t]
 	if !ok {
@@ -164,7 +166,7 @@
 	return number
 }
 
-// withoutEndpoint copies packed endpoints, but for one.
+// withoutEndpoint returns a copy of packed endpoints that omits one.
 func withoutEndpoint(b []byte, id string) []byte {
 	var left []byte
 	for e := range packedEndpoints(b) {
--- a/internal/idlestore/list.go
+++ b/internal/idlestore/list.go
@@ -1,14 +1,14 @@
 package idlestore
 
-// BeginList begins a complete endpoint list: what is not put or confirmed until
-// EndList is not in it.
+// BeginList begins a complete endpoint list. All endpoints become unconfirmed;
+// PutEndpoint and ConfirmUnchanged confirm them again.
 func (s *Store) BeginList() {
 	s.confirmedFlag ^= flagConfirmed
 	s.confirmed = s.endpoints - s.confirmed
 }
 
-// EndList takes out what the list did not name, and returns the destinations that
-// have lost an endpoint, in the order of their records.
+// EndList ends the list and removes the unconfirmed endpoints. It returns the
+// destinations of these, in the order of their records.
 func (s *Store) EndList() (lost []int) {
 	if s.confirmed == s.endpoints {
 		return nil
--- a/internal/idlestore/record.go
+++ b/internal/idlestore/record.go
@@ -6,15 +6,15 @@
 	"slices"
 )
 
-// The form of a record: the length of what follows (uvarint), a byte that is 0
-// while the record is live, the destination (varint), the length of the policy's
-// state (uvarint) and the state, and the packed endpoints.
+// The format of a record: the length of the rest (uvarint), a byte that says whether
+// the record is live, the destination (varint), the length of the policy's state
+// (uvarint), the state, and the packed endpoints.
 const (
 	liveRecord = 0
 	deadRecord = 1
 )
 
-// record is one that was read. Its slices are those of the chunk.
+// record is a decoded record. Its slices alias the chunk.
 type record struct {
 	at        position
 	dead      bool
@@ -24,7 +24,7 @@
 	size      int // in the chunk
 }
 
-// readRecord reads the record at a position, which writeRecord has written.
+// readRecord decodes the record at a position.
 func (s *Store) readRecord(at position) record {
 	b := s.bytesAt(at)
 	length, n := binary.Uvarint(b)
@@ -40,8 +40,8 @@
 	return r
 }
 
-// writeRecord writes a record and returns its position. Its bytes may come from the
-// store.
+// writeRecord appends a record to the current chunk and returns its position. state and
+// endpoints may alias a chunk.
 func (s *Store) writeRecord(dest int, state, endpoints []byte) position {
 	b := append(s.scratch[:0], liveRecord)
 	b = binary.AppendVarint(b, int64(dest))
@@ -63,13 +63,13 @@
 	return at
 }
 
-// replaceRecord writes a record anew with other contents, and returns it where it is
-// then. Endpoints that it had are found there.
+// replaceRecord replaces the contents of a record, which moves it, and returns the new
+// one. The tables find the endpoints of the old record at the new position.
 func (s *Store) replaceRecord(r record, state, endpoints []byte) record {
 	current, offset := &s.chunks[s.current], r.at.offset()
 	if r.at.chunk() == s.current && offset+r.size == len(current.data) {
-		// It is the last one and is overwritten: a list that names the endpoints of a
-		// destination one behind the other leaves nothing dead.
+		// The last record is overwritten, so that a list which names the endpoints of a
+		// destination one after the other leaves no dead records.
 		r.endpoints = slices.Clone(r.endpoints)
 		current.data = current.data[:offset]
 		return s.relocate(r, state, endpoints)
@@ -77,12 +77,13 @@
 	replaced := s.relocate(r, state, endpoints)
 	s.markDead(r)
 	if moved, ok := s.findDest(r.dest); ok {
-		return moved // to drop the old one may have moved it once more
+		return moved // markDead may have evacuated the chunk of the new record
 	}
 	return replaced
 }
 
-// relocate writes a record anew, at the end, and has the tables find it there.
+// relocate appends a record with these contents, and updates the tables to the new
+// position. It does not mark the old record as dead.
 func (s *Store) relocate(r record, state, endpoints []byte) record {
 	at := s.writeRecord(r.dest, state, endpoints)
 	s.destIndex.replace(s.destHash(r.dest), r.at, at)
@@ -92,7 +93,7 @@
 	return s.readRecord(at)
 }
 
-// removeRecord takes a record out.
+// removeRecord removes a record and its endpoints from the tables and the counts.
 func (s *Store) removeRecord(r record) {
 	s.destIndex.remove(s.destHash(r.dest), r.at)
 	for e := range packedEndpoints(r.endpoints) {
@@ -102,7 +103,7 @@
 	s.markDead(r)
 }
 
-// findDest finds the record of a destination.
+// findDest returns the record of a destination.
 func (s *Store) findDest(dest int) (r record, ok bool) {
 	s.destIndex.forEach(s.destHash(dest), func(at position) bool {
 		r = s.readRecord(at)
@@ -112,7 +113,7 @@
 	return r, ok
 }
 
-// findEndpoint finds the record that has an endpoint, and the endpoint in it.
+// findEndpoint returns an endpoint and the record that contains it.
 func (s *Store) findEndpoint(id string) (r record, packed packedEndpoint, ok bool) {
 	s.idIndex.forEach(s.idStringHash(id), func(at position) bool {
 		r = s.readRecord(at)
@@ -127,8 +128,8 @@
 	return r, packed, ok
 }
 
-// eachRecord shows each live record, in the order of the chunks. f must not change
-// the store.
+// eachRecord calls f for each live record, in the order of the chunks. f must not
+// change the store.
 func (s *Store) eachRecord(f func(r record)) {
 	for number := range s.chunks {
 		for offset := 0; offset < len(s.chunks[number].data); {
--- a/internal/idlestore/store.go
+++ b/internal/idlestore/store.go
@@ -1,15 +1,15 @@
-// Package idlestore keeps what a relay knows of destinations that nobody sends to:
-// their endpoints and the policy's state, packed into a few bytes each. It also
-// says which destination has been idle for long enough to be passivated.
+// Package idlestore is a compact store of idle destinations: their endpoints and the
+// policy's state, packed into a few bytes each. It also decides which destinations
+// have been idle for long enough to be passivated, which means to be moved here.
 //
 // A record holds one destination: its number, the policy's state, its endpoints.
-// Records lie one behind the other in chunks; one that changes is written anew
-// at the end, and a chunk of which half is dead is moved into the newest. Two
-// hash tables with open addressing find a record, by destination and by the id of
-// an endpoint. Nothing in it is a pointer but the chunks themselves, so a million
-// records are no work for the garbage collector.
+// Records are appended to chunks. A record that changes is appended again, and the
+// live records of a chunk of which more than half is dead are moved to the current
+// chunk. Two hash tables with open addressing find a record by its destination and by
+// the id of an endpoint. Only the chunks are pointers, so the garbage collector has no
+// work with a million records.
 //
-// It must never do I/O, look at a clock, or know what the policy's state means.
+// The package must never do I/O, read a clock, or interpret the policy's state.
 package idlestore
 
 import (
@@ -17,52 +17,54 @@
 	"slices"
 )
 
-// Endpoint is one endpoint of a destination.
+// Endpoint is an endpoint of a destination.
 type Endpoint struct {
 	ID       string
 	HostPort string
 	Locality string
 	Flavor   string
 	Draining bool
-	Size     float64 // the rate that the destination takes, in calls a second
-	// Unconfirmed is set by the store: since BeginList the list has not named it.
+	Rate     float64 // that the destination accepts, in calls per second; 0 if unknown
+	// Unconfirmed is set by the store if the list has not named the endpoint since
+	// BeginList.
 	Unconfirmed bool
 }
 
-// Store is what is kept. The zero value is not ready: New makes one.
+// Store is a store of idle destinations, made by New. It is not safe for concurrent
+// use.
 type Store struct {
 	seed       maphash.Seed
-	chunks     []chunk // an empty one may be filled anew
-	freeChunks []int   // the empty ones
-	current    int     // the one that is being filled
-	destIndex  table
-	idIndex    table
-	tags       []tag // few, and the same for many endpoints
+	chunks     []chunk // numbered by their index
+	freeChunks []int   // numbers of empty chunks
+	current    int     // number of the chunk that records are appended to
+	destIndex  table   // positions of records by destination
+	idIndex    table   // positions of records by the id of an endpoint
+	tags       []tag   // few, and shared by many endpoints
 	tagNumbers map[tag]int
 
 	endpoints     int
-	draining      int  // of them
-	confirmed     int  // of them, named by the newest complete list
-	confirmedFlag byte // flagConfirmed or 0: what an endpoint has that this list names
+	draining      int  // of the endpoints
+	confirmed     int  // of the endpoints, named since BeginList
+	confirmedFlag byte // the value of flagConfirmed in a confirmed endpoint
 
-	scratch []byte // for a record or an endpoint that is being written
+	scratch []byte // reused for a record or an endpoint that is being encoded
 }
 
-// New makes a store that holds nothing.
+// New returns an empty store.
 func New() *Store {
 	return &Store{seed: maphash.MakeSeed(), chunks: []chunk{{}}, tagNumbers: map[tag]int{}}
 }
 
-// Len is how many destinations there are.
+// Len returns the number of destinations.
 func (s *Store) Len() int { return s.destIndex.count }
 
-// Endpoints is how many endpoints they have.
+// Endpoints returns the number of endpoints of all destinations.
 func (s *Store) Endpoints() int { return s.endpoints }
 
-// Draining is how many of the endpoints are draining.
+// Draining returns the number of endpoints that are draining.
 func (s *Store) Draining() int { return s.draining }
 
-// Bytes is how much memory the records and the tables take.
+// Bytes returns the memory of the records and of the tables.
 func (s *Store) Bytes() int {
 	total := s.destIndex.memory() + s.idIndex.memory()
 	for i := range s.chunks {
@@ -71,20 +73,20 @@
 	return total
 }
 
-// Has reports whether a destination is here.
+// Has reports whether a destination is in the store.
 func (s *Store) Has(dest int) bool {
 	_, ok := s.findDest(dest)
 	return ok
 }
 
-// DestinationOf is the destination that an endpoint belongs to.
+// DestinationOf returns the destination that an endpoint belongs to.
 func (s *Store) DestinationOf(id string) (dest int, ok bool) {
 	r, _, ok := s.findEndpoint(id)
 	return r.dest, ok
 }
 
-// Passivate puts a destination here, in the place of what was here of it. None of
-// its endpoints may be here under another destination.
+// Passivate adds a destination, and replaces it if it is in the store. None of its
+// endpoints may be in the store under another destination.
 func (s *Store) Passivate(dest int, state []byte, endpoints []Endpoint) {
 	if r, ok := s.findDest(dest); ok {
 		s.removeRecord(r)
@@ -102,7 +104,7 @@
 	}
 }
 
-// Activate takes a destination out.
+// Activate removes a destination and returns it.
 func (s *Store) Activate(dest int) (state []byte, endpoints []Endpoint, ok bool) {
 	r, ok := s.findDest(dest)
 	if !ok {
@@ -113,7 +115,7 @@
 	return state, endpoints, true
 }
 
-// Peek shows a destination and leaves it here.
+// Peek returns a destination without removing it.
 func (s *Store) Peek(dest int) (state []byte, endpoints []Endpoint, ok bool) {
 	r, ok := s.findDest(dest)
 	if !ok {
@@ -122,16 +124,16 @@
 	return slices.Clone(r.state), s.decodeEndpoints(r.endpoints), true
 }
 
-// SetState replaces the policy's state of a destination that is here.
+// SetState replaces the policy's state of a destination, if it is in the store.
 func (s *Store) SetState(dest int, state []byte) {
 	if r, ok := s.findDest(dest); ok {
 		s.replaceRecord(r, state, slices.Clone(r.endpoints))
 	}
 }
 
-// PutEndpoint takes an endpoint in, or what has changed of it, at a destination
-// that is here or comes here; it is at no other one from then on. The policy's
-// state of the destination stays.
+// PutEndpoint adds or updates an endpoint of a destination, which is added if it is
+// not in the store. If the endpoint belonged to another destination, it is removed
+// there. The policy's state of the destination stays.
 func (s *Store) PutEndpoint(dest int, e *Endpoint) {
 	r, packed, known := s.findEndpoint(e.ID)
 	switch {
@@ -145,7 +147,7 @@
 	}
 }
 
-// addEndpoint takes in an endpoint that is nowhere here.
+// addEndpoint adds an endpoint that is not in the store.
 func (s *Store) addEndpoint(dest int, e *Endpoint) {
 	r, ok := s.findDest(dest)
 	if !ok {
@@ -164,15 +166,15 @@
 	s.adjustCounts(packed.flags(), -1)
 	s.adjustCounts(fresh.flags(), 1)
 	if string(fresh[1:]) == string(packed[1:]) {
-		packed[0] = fresh[0] // nothing but its flags: no new record
+		packed[0] = fresh[0] // only flags differ, so the record is updated in place
 		return
 	}
 	s.replaceRecord(r, r.state, append(withoutEndpoint(r.endpoints, e.ID), fresh...))
 }
 
-// ConfirmUnchanged reports whether an endpoint is here as it is given, draining or
-// not. If so it takes over whether it drains, and that the list names it: most of a
-// complete list is so.
+// ConfirmUnchanged reports whether the store has this endpoint with the same data,
+// draining or not. If so, it confirms the endpoint and updates whether it is draining.
+// This is the fast path for a complete list, which mostly repeats the last one.
 func (s *Store) ConfirmUnchanged(dest int, e *Endpoint) bool {
 	r, packed, ok := s.findEndpoint(e.ID)
 	if !ok || r.dest != dest {
@@ -190,8 +192,8 @@
 	return true
 }
 
-// RemoveEndpoint takes an endpoint out. Its destination stays, with the policy's
-// state, until RemoveEmpty.
+// RemoveEndpoint removes an endpoint and returns its destination. The destination and
+// its state stay until RemoveEmpty.
 func (s *Store) RemoveEndpoint(id string) (dest int, ok bool) {
 	r, packed, ok := s.findEndpoint(id)
 	if !ok {
@@ -203,8 +205,7 @@
 	return r.dest, true
 }
 
-// RemoveEmpty takes a destination out that has no endpoint, and reports whether it
-// was one.
+// RemoveEmpty removes a destination if it has no endpoints, and reports whether it did.
 func (s *Store) RemoveEmpty(dest int) bool {
 	r, ok := s.findDest(dest)
 	if !ok || len(r.endpoints) > 0 {
@@ -214,14 +215,14 @@
 	return true
 }
 
-// ForEach shows each destination. f must not change the store.
+// ForEach calls f for each destination. f must not change the store.
 func (s *Store) ForEach(f func(dest int, state []byte, endpoints []Endpoint)) {
 	s.eachRecord(func(r record) {
 		f(r.dest, r.state, s.decodeEndpoints(r.endpoints))
 	})
 }
 
-// adjustCounts adds n endpoints with such flags, or takes them off.
+// adjustCounts adds n to the counts of endpoints with these flags.
 func (s *Store) adjustCounts(flags byte, n int) {
 	s.endpoints += n
 	if flags&flagDraining != 0 {
--- a/internal/idlestore/store_test.go
+++ b/internal/idlestore/store_test.go
@@ -107,15 +107,15 @@
 		Flavor:   []string{"", "k", "r"}[m.rng.IntN(3)],
 		Locality: "z",
 		Draining: m.rng.IntN(4) == 0,
-		Size:     float64(m.rng.IntN(300)),
+		Rate:     float64(m.rng.IntN(300)),
 	}
 	switch m.rng.IntN(8) {
 	case 0:
 		e.HostPort = "partner.example.org:443"
 	case 1:
-		e.HostPort, e.Size = "127.0.0.01:80", 0.25 // not as it would be written
+		e.HostPort, e.Rate = "127.0.0.01:80", 0.25 // not as it would be written
 	case 2:
-		e.HostPort, e.Size = "[::1]:80", 1e12
+		e.HostPort, e.Rate = "[::1]:80", 1e12
 	}
 	return e
 }
@@ -278,8 +278,8 @@
 	}
 }
 
-// Who has been quiet for longest goes first, beyond the limit alone, and not
-// before its time.
+// Idle destinations are passivated in the order of their last use, only beyond the
+// limit, and not before their timeout.
 func TestActiveSet(t *testing.T) {
 	r := NewActiveSet(Limits{MaxActive: 2, IdleTimeout: 60})
 	for i := range 6 {
--- a/internal/idlestore/table.go
+++ b/internal/idlestore/table.go
@@ -1,29 +1,32 @@
 package idlestore
 
-// table finds positions by the hash of a key. Several positions may have one hash,
-// and one position several: the caller looks at the record there. It is divided into
-// parts by the hash's upper bits, each of which grows by itself, a quarter at a time:
-// so no insertion moves more than a small part, and little of it is ever empty.
+// table is a hash table of positions, with open addressing and linear probing. Several
+// positions may have the same hash, and a position several hashes: the caller compares
+// the record at a position with its key.
+//
+// The table is divided into parts by the upper bits of the hash. Each part grows by
+// itself, by a quarter at a time, so that an insertion moves a small part at most, and
+// few slots are empty.
 type table struct {
 	parts [partCount][]slot
-	used  [partCount]int32
-	count int
+	used  [partCount]int32 // slots by part
+	count int              // slots of all parts
 }
 
-// slot is a mark, which is the lower half of a hash, and a position. 0 is an empty
-// one, since no mark is 0.
+// slot is a mark, which is the lower half of a hash, and a position. An empty slot is
+// 0, since no mark is 0.
 type slot uint64
 
 const (
 	partBits     = 8
 	partCount    = 1 << partBits
-	maxLoad      = 0.85 // of a part, before it grows
+	maxLoad      = 0.85 // used slots of a part before it grows
 	growthFactor = 1.25
 	minPartSize  = 4
 	slotSize     = 8 // bytes
 )
 
-// partOf is the part that a hash belongs to, and its mark there.
+// partOf returns the part that a hash belongs to, and its mark in that part.
 func partOf(hash uint64) (part int, mark uint32) {
 	return int(hash >> (64 - partBits)), max(uint32(hash), 1)
 }
@@ -33,10 +36,10 @@
 func (x slot) mark() uint32       { return uint32(x >> 32) }
 func (x slot) position() position { return position(x) }
 
-// homeSlot is where a mark belongs among so many slots.
+// homeSlot returns the slot at which probing for a mark begins, in a part of this size.
 func homeSlot(mark uint32, size int) int { return int(uint64(mark) * uint64(size) >> 32) }
 
-// memory is how many bytes the slots take.
+// memory returns the size of the slots in bytes.
 func (t *table) memory() int {
 	slots := 0
 	for i := range t.parts {
@@ -45,8 +48,8 @@
 	return slotSize * slots
 }
 
-// forEach shows the positions with a hash until f returns false. f must not change
-// the table.
+// forEach calls f for the positions with a hash, until f returns false. f must not
+// change the table.
 func (t *table) forEach(hash uint64, f func(at position) bool) {
 	part, mark := partOf(hash)
 	s := t.parts[part]
@@ -60,7 +63,7 @@
 	}
 }
 
-// find is the index in its part of a position with a hash.
+// find returns the index, in its part, of the slot with a hash and a position.
 func (t *table) find(hash uint64, at position) (int, bool) {
 	part, mark := partOf(hash)
 	s := t.parts[part]
@@ -77,6 +80,7 @@
 	return 0, false
 }
 
+// add adds a position under a hash.
 func (t *table) add(hash uint64, at position) {
 	part, mark := partOf(hash)
 	if float64(t.used[part]+1) > maxLoad*float64(len(t.parts[part])) {
@@ -101,7 +105,7 @@
 	s[i] = x
 }
 
-// replace has a hash lead to another position.
+// replace replaces a position under a hash.
 func (t *table) replace(hash uint64, from, to position) {
 	if i, ok := t.find(hash, from); ok {
 		part, mark := partOf(hash)
@@ -109,8 +113,8 @@
 	}
 }
 
-// remove takes a position out, and closes the gap, so that what was pushed on by it
-// is found without a mark for what was here.
+// remove removes a position under a hash. It moves the slots that follow into the gap,
+// so that no tombstone is needed.
 func (t *table) remove(hash uint64, at position) {
 	i, ok := t.find(hash, at)
 	if !ok {
@@ -120,7 +124,7 @@
 	s := t.parts[part]
 	for j := (i + 1) % len(s); s[j] != 0; j = (j + 1) % len(s) {
 		h := homeSlot(s[j].mark(), len(s))
-		if (j-h+len(s))%len(s) >= (j-i+len(s))%len(s) { // its home is not behind the gap
+		if (j-h+len(s))%len(s) >= (j-i+len(s))%len(s) { // its home slot is not behind the gap
 			s[i] = s[j]
 			i = j
 		}
--- a/internal/operatorconfig/clients.go
+++ b/internal/operatorconfig/clients.go
@@ -21,27 +21,29 @@
 	maxMemoryMB        = 1 << 20
 )
 
-// Clients is what concerns the connections of clients.
+// Clients are the settings for connections of clients.
 type Clients struct {
-	// ListenAddresses are addresses beside the configuration's, as host:port.
+	// ListenAddresses are additional addresses to listen on, as host:port.
 	ListenAddresses []string `toml:"listen"`
-	// Descriptors that the process may hold, in place of limits.sockets.
+	// Descriptors is the maximum number of file descriptors of the process. It
+	// overrides limits.sockets of the configuration.
 	Descriptors int `toml:"descriptors"`
-	// MaxConns is how many connections of clients may be open at once.
+	// MaxConns is the maximum number of open connections of clients.
 	MaxConns int `toml:"places"`
-	// MaxUnvalidated is how many of them may have sent no valid command yet.
+	// MaxUnvalidated is the maximum number of connections that have not sent a valid
+	// command yet.
 	MaxUnvalidated int `toml:"strangers"`
-	// SingleUseEvictionThreshold is how many may have sent a request before those
-	// that sent one and are idle are evicted.
+	// SingleUseEvictionThreshold is the number of connections that have sent a request
+	// above which idle connections with a single request are evicted.
 	SingleUseEvictionThreshold int `toml:"asked_most"`
-	// IdleTimeoutS is how long a connection may be idle, in seconds.
+	// IdleTimeoutS is the time after which an idle connection is closed, in seconds.
 	IdleTimeoutS float64 `toml:"idle_s"`
-	// MemoryMB is how much memory commands may hold that are being read or wait for
-	// their reply, in units of 2^20 bytes.
+	// MemoryMB is the maximum memory of commands that are being read or wait for their
+	// reply, in units of 2^20 bytes.
 	MemoryMB int `toml:"memory_mb"`
 }
 
-// IdleTimeout is IdleTimeoutS as a span of time.
+// IdleTimeout returns IdleTimeoutS as a duration.
 func (c *Clients) IdleTimeout() time.Duration { return seconds(c.IdleTimeoutS) }
 
 func (c *Clients) validate(check *tomlfile.Checker) {
--- a/internal/operatorconfig/etcd.go
+++ b/internal/operatorconfig/etcd.go
@@ -12,23 +12,26 @@
 	maxEtcdPrefixLength = 256
 )
 
-// Etcd is a prefix of an etcd cluster that is followed beside discovery.
+// Etcd are the settings for an etcd cluster that is followed beside discovery.
 type Etcd struct {
-	// Endpoints of the cluster's members, as host:port; none for no etcd.
+	// Endpoints are the addresses of the cluster's members, as host:port. If there are
+	// none, etcd is not used.
 	Endpoints []string `toml:"endpoints"`
-	// Prefix of the keys, a path.
+	// Prefix is the prefix of the keys, a path.
 	Prefix string `toml:"prefix"`
-	// User, and a file with its password, where the cluster asks for them.
+	// User and PasswordFile are the credentials; the file contains the password.
 	User         string `toml:"user"`
 	PasswordFile string `toml:"password_file"`
-	// Roots is a PEM file with the authorities that may sign a member's certificate;
-	// with it members are called over TLS. Certificate and Key are presented to them.
-	Roots       string `toml:"roots"`
+	// Roots is a PEM file with the trusted authorities. If it is set, members are
+	// called over TLS.
+	Roots string `toml:"roots"`
+	// Certificate and Key are PEM files with the client certificate.
 	Certificate string `toml:"certificate"`
 	Key         string `toml:"key"`
-	ServerName  string `toml:"server_name"`
-	// Precedence is "etcd" or "registry": whose address and rate count where they
-	// differ.
+	// ServerName is the name that a member's certificate must contain.
+	ServerName string `toml:"server_name"`
+	// Precedence is "etcd" or "registry": the source whose address and rate apply if
+	// the sources differ.
 	Precedence string `toml:"first"`
 }
 
--- a/internal/operatorconfig/file.go
+++ b/internal/operatorconfig/file.go
@@ -1,9 +1,8 @@
-// Package operatorconfig reads the operator's own file: what a site may change that
-// the platform does not tell a relay. Where no file is named, everything is as the
-// platform wants it.
+// Package operatorconfig reads the operator's file: settings of a site that are not
+// part of the platform's configuration. Without a file the defaults apply.
 //
 // It owns the keys, their bounds and their errors. It must never decide what a
-// setting does, nor read what the files hold that it names.
+// setting does, nor read the files that the settings name.
 package operatorconfig
 
 import (
@@ -16,7 +15,7 @@
 // EnvVar names the environment variable that names the file.
 const EnvVar = "TROUTUSHER_OPERATOR"
 
-// File is the whole file. Zero values stand for what was left out.
+// File is the content of the file. A zero value selects the default.
 type File struct {
 	Clients     Clients     `toml:"clients"`
 	TLSRules    []TLSRule   `toml:"tls"`
@@ -28,7 +27,7 @@
 	Etcd        Etcd        `toml:"etcd"`
 }
 
-// Load reads the file that the environment names; nil where it names none.
+// Load reads the file that the environment names. It returns nil if it names none.
 func Load(getenv func(string) string) (*File, error) {
 	path := getenv(EnvVar)
 	if path == "" {
@@ -41,7 +40,8 @@
 	return Parse(path, text)
 }
 
-// Parse reads and checks the text of a file, whose name is for the errors.
+// Parse parses and validates the text of a file. The errors contain its name. Each
+// error is a *tomlfile.Error, and all are joined.
 func Parse(name string, text []byte) (*File, error) {
 	f := &File{}
 	check, err := tomlfile.Decode(name, text, f)
@@ -58,16 +58,16 @@
 	return f, check.Err()
 }
 
-// seconds is a number of seconds as a span of time.
+// seconds converts a number of seconds to a duration.
 func seconds(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
 
-// within reports whether a number lies within bounds, which NaN never does.
+// within reports whether a number lies within bounds. It is false for NaN.
 func within(x, least, most float64) bool { return x >= least && x <= most }
 
-// bothOrNeither reports whether two texts are set, or none.
+// bothOrNeither reports whether both texts are empty or neither is.
 func bothOrNeither(a, b string) bool { return (a == "") == (b == "") }
 
-// oneOf reports whether a text is one of some, or left out.
+// oneOf reports whether a text is empty or one of the allowed ones.
 func oneOf(text string, allowed ...string) bool {
 	return text == "" || slices.Contains(allowed, text)
 }
--- a/internal/operatorconfig/handshakes.go
+++ b/internal/operatorconfig/handshakes.go
@@ -18,24 +18,25 @@
 	maxSessionCacheSize     = 1 << 16
 )
 
-// Handshakes is what TLS handshakes may take, of all endpoints together.
+// Handshakes are the settings for TLS handshakes with all endpoints together.
 type Handshakes struct {
-	// CPUShare of one core, above 0 and 1 at most.
+	// CPUShare is the part of one core that handshakes may use, above 0 and at most 1.
 	CPUShare float64 `toml:"share"`
-	// BurstMS is how much processor time they may take at once, in ms.
+	// BurstMS is the processor time that they may use at once, in ms.
 	BurstMS float64 `toml:"burst_ms"`
-	// MaxParallel is how many to one endpoint may be in flight.
+	// MaxParallel is the maximum number of handshakes in flight with one endpoint.
 	MaxParallel int `toml:"parallel"`
-	// TimeoutS is how long one may take, in seconds.
+	// TimeoutS is the timeout of a handshake, in seconds.
 	TimeoutS float64 `toml:"timeout_s"`
-	// MaxSessions is how many sessions are cached for resumption; -1 for none.
+	// MaxSessions is the number of sessions cached for resumption; -1 for none.
 	MaxSessions int `toml:"sessions"`
-	// SessionKey is a file with 32 bytes or more. Under a key that is derived from
-	// them, sessions outlast the process in its state folder; empty for not.
+	// SessionKey is a file with at least 32 bytes, from which the key is derived that
+	// encrypts the sessions stored in the state directory. If it is empty, sessions are
+	// not stored.
 	SessionKey string `toml:"session_key"`
 }
 
-// Limits are those of the handshake budget.
+// Limits returns the limits of the handshake budget.
 func (h *Handshakes) Limits() tlspolicy.HandshakeLimits {
 	limits := tlspolicy.DefaultHandshakeLimits()
 	limits.Share = cmp.Or(h.CPUShare, limits.Share)
@@ -47,12 +48,12 @@
 	return limits
 }
 
-// Timeout is how long a handshake may take.
+// Timeout returns the timeout of a handshake.
 func (h *Handshakes) Timeout() time.Duration {
 	return cmp.Or(seconds(h.TimeoutS), defaultHandshakeTimeout)
 }
 
-// SessionCacheSize is how many sessions are cached.
+// SessionCacheSize returns the number of sessions to cache.
 func (h *Handshakes) SessionCacheSize() int {
 	return max(cmp.Or(h.MaxSessions, defaultSessionCacheSize), 0)
 }
--- a/internal/operatorconfig/tls.go
+++ b/internal/operatorconfig/tls.go
@@ -25,37 +25,40 @@
 	refuseUnknownRevocation = "refuse"
 )
 
-// TLSRule is a rule for endpoints that are called over TLS.
+// TLSRule are the settings for destinations whose endpoints are called over TLS.
 type TLSRule struct {
-	// Name stands in logs and figures.
+	// Name identifies the rule in logs and metrics.
 	Name string `toml:"name"`
-	// Destinations by number, and Flavors of destinations, that the rule is for.
+	// Destinations and Flavors select the destinations: by number, and by the flavor
+	// that the endpoint list gives.
 	Destinations []int    `toml:"destinations"`
 	Flavors      []string `toml:"flavors"`
-	// ServerName is sent as SNI, and what a certificate must name (RFC 6125).
+	// ServerName is sent as SNI, and is the name that a certificate must contain
+	// (RFC 6125).
 	ServerName string `toml:"server_name"`
-	// Roots is a PEM file with the authorities that are trusted; no other is.
+	// Roots is a PEM file with the trusted authorities. The system's are not used.
 	Roots string `toml:"roots"`
-	// Pins are SHA-256 sums of public keys in base64 (RFC 7469 section 2.4), one
-	// of which must be in the chain; two at least, or none.
+	// Pins are SHA-256 hashes of public keys in base64 (RFC 7469 section 2.4), one of
+	// which must be in the chain. There are none or at least two.
 	Pins []string `toml:"pins"`
-	// Certificate and Key are PEM files with what is presented to the endpoint.
+	// Certificate and Key are PEM files with the client certificate.
 	Certificate string `toml:"certificate"`
 	Key         string `toml:"key"`
 	// Revocations is a file with revocation lists (RFC 5280 section 5).
 	Revocations string `toml:"revocations"`
-	// UnknownRevocation is "accept" or "refuse": what holds where neither a staple
-	// nor a list tells of a certificate.
+	// UnknownRevocation is "accept" or "refuse": what to do with a certificate whose
+	// revocation status is known neither from a staple nor from a list.
 	UnknownRevocation string `toml:"unknown_revocation"`
 	// MinVersion is "1.2" or "1.3".
 	MinVersion string `toml:"min_version"`
-	// HandshakeWeight is what a handshake costs the endpoint, in calls.
+	// HandshakeWeight is the cost of a handshake for the endpoint, in calls.
 	HandshakeWeight *float64 `toml:"handshake_weight"`
-	// ExpiryWarningDays is how long before its expiry a certificate is warned of.
+	// ExpiryWarningDays is the number of days before its expiry at which a certificate
+	// is warned of.
 	ExpiryWarningDays int `toml:"warn_days"`
 }
 
-// Rule is the rule without what its files hold.
+// Rule returns the rule without the contents of its files.
 func (r *TLSRule) Rule() (tlspolicy.Rule, error) {
 	rule := tlspolicy.Rule{
 		Name: r.Name, ServerName: r.ServerName,
@@ -71,13 +74,12 @@
 	return rule, nil
 }
 
-// Files are the rule's files.
+// Files returns the rule's files.
 func (r *TLSRule) Files() certstore.Files {
 	return certstore.Files{Certificate: r.Certificate, Key: r.Key, Roots: r.Roots, RevocationLists: r.Revocations}
 }
 
-// ConnectionCost is what opening a connection under the rule costs the endpoint, in
-// calls.
+// ConnectionCost returns the cost of opening a connection for the endpoint, in calls.
 func (r *TLSRule) ConnectionCost() float64 {
 	if r.HandshakeWeight == nil {
 		return defaultHandshakeWeight
@@ -85,7 +87,7 @@
 	return *r.HandshakeWeight
 }
 
-// ExpiryWarning is how long before its expiry a certificate is warned of.
+// ExpiryWarning returns the time before its expiry at which a certificate is warned of.
 func (r *TLSRule) ExpiryWarning() time.Duration {
 	return time.Duration(cmp.Or(r.ExpiryWarningDays, defaultExpiryWarningDays)) * 24 * time.Hour
 }
@@ -94,7 +96,7 @@
 	return tlspolicy.RuleTarget{Rule: r.Name, Destinations: r.Destinations, Flavors: r.Flavors}
 }
 
-// Targets are the destinations that the rules are for.
+// Targets returns the destinations of each rule.
 func (f *File) Targets() []tlspolicy.RuleTarget {
 	var targets []tlspolicy.RuleTarget
 	for i := range f.TLSRules {
@@ -103,7 +105,7 @@
 	return targets
 }
 
-// validateTLS checks the rules, each and together, and the limits of handshakes.
+// validateTLS validates the rules, alone and together, and the handshake settings.
 func (f *File) validateTLS(check *tomlfile.Checker) {
 	if len(f.TLSRules) > maxTLSRules {
 		check.Errorf("tls", "%d rules, want %d at most", len(f.TLSRules), maxTLSRules)
@@ -134,8 +136,8 @@
 	}
 }
 
-// validate checks one rule but for its name. key makes the whole key of one of its
-// keys.
+// validate validates the rule except for its name. key returns the full key of one of
+// the rule's keys.
 func (r *TLSRule) validate(check *tomlfile.Checker, key func(name string) string) {
 	rule, err := r.Rule()
 	if err != nil {
--- a/internal/operatorconfig/tuning.go
+++ b/internal/operatorconfig/tuning.go
@@ -9,16 +9,16 @@
 	"troutusher/internal/tomlfile"
 )
 
-// Traces is what the log tells of single messages.
+// Traces are the settings for message traces in the log.
 type Traces struct {
-	// PerSecond is how many messages a second are traced from their acceptance on;
-	// -1 for none.
+	// PerSecond is the number of messages per second that are traced from their
+	// acceptance on; -1 for none.
 	PerSecond int `toml:"per_second"`
 }
 
 const maxTracesPerSecond = 1 << 20
 
-// MaxPerSecond is PerSecond as a number of messages.
+// MaxPerSecond returns the number of messages per second to trace.
 func (t *Traces) MaxPerSecond() int { return max(cmp.Or(t.PerSecond, msgtrace.DefaultPerSecond), 0) }
 
 func (t *Traces) validate(check *tomlfile.Checker) {
@@ -27,10 +27,10 @@
 	}
 }
 
-// PolicyState is the file of what the policy has learned.
+// PolicyState are the settings for the stored state of the policy.
 type PolicyState struct {
-	// WritePeriodS is how often it is written while anything is learned, in seconds;
-	// -1 for never, and then none is read.
+	// WritePeriodS is the period of its writes while it changes, in seconds. With -1
+	// it is neither written nor read.
 	WritePeriodS float64 `toml:"period_s"`
 }
 
@@ -40,7 +40,7 @@
 	maxWritePeriodS     = 60
 )
 
-// WritePeriod is WritePeriodS as a span of time; 0 for never.
+// WritePeriod returns the period of writes, or 0 if the state is not stored.
 func (s *PolicyState) WritePeriod() time.Duration {
 	return seconds(max(cmp.Or(s.WritePeriodS, defaultWritePeriodS), 0))
 }
@@ -51,12 +51,13 @@
 	}
 }
 
-// Passivation says which destinations are passivated.
+// Passivation are the settings for passivating idle destinations.
 type Passivation struct {
-	// MaxActive is how many destinations may be active for any time; -1 for all.
+	// MaxActive is the number of destinations that stay active however long they are
+	// idle; -1 for all.
 	MaxActive int `toml:"awake"`
-	// IdleTimeoutS is after how long without a message one beyond them is
-	// passivated, in seconds.
+	// IdleTimeoutS is the time without a message after which a destination beyond
+	// MaxActive is passivated, in seconds.
 	IdleTimeoutS float64 `toml:"quiet_s"`
 }
 
@@ -64,11 +65,11 @@
 	defaultMaxActive    = 1024
 	maxMaxActive        = 1 << 20
 	defaultIdleTimeoutS = 60.0
-	minPassivationIdleS = 10 // what is counted of a destination has aged out by then
+	minPassivationIdleS = 10 // the policy's counts of a destination have expired by then
 	maxPassivationIdleS = 86400
 )
 
-// Limits are the core's.
+// Limits returns the limits for the core.
 func (p *Passivation) Limits() idlestore.Limits {
 	return idlestore.Limits{
 		MaxActive:   max(cmp.Or(p.MaxActive, defaultMaxActive), 0),
@@ -85,9 +86,9 @@
 	}
 }
 
-// Discovery is what concerns the endpoint list.
+// Discovery are the settings for the endpoint list.
 type Discovery struct {
-	// MaxListMB is how long a list may be, in units of 2^20 bytes.
+	// MaxListMB is the maximum size of a list, in units of 2^20 bytes.
 	MaxListMB int `toml:"list_mb"`
 }
 
@@ -96,7 +97,7 @@
 	maxListMB     = 1024
 )
 
-// MaxListBytes is MaxListMB in bytes.
+// MaxListBytes returns the maximum size of a list in bytes.
 func (d *Discovery) MaxListBytes() int { return cmp.Or(d.MaxListMB, defaultListMB) << 20 }
 
 func (d *Discovery) validate(check *tomlfile.Checker) {
--- a/internal/policystate/format.go
+++ b/internal/policystate/format.go
@@ -1,8 +1,10 @@
-// Package policystate keeps what a relay has learned of its destinations in a file
-// that outlasts the process: versioned, checksummed, replaced as a whole.
+// Package policystate stores what the policy has learned of its destinations in a
+// file, so that a restarted relay does not begin from nothing. The file is versioned,
+// has a checksum and is replaced atomically.
 //
-// It owns the file's form, when it is due and how much of the disk it may take.
-// It must never decide what a field means or how it ages: that is the policy's.
+// The package owns the file's format, the schedule of its writes, and its limit of
+// disk space. It must never interpret the state: its meaning and its aging belong to
+// the policy.
 package policystate
 
 import (
@@ -16,8 +18,9 @@
 	"troutusher/internal/core"
 )
 
-// The form of the file: the magic, the version, the payload's length and its
-// xxHash64 (seed 0), all big-endian, then the payload: File as JSON.
+// The format of the file: the magic, the version (four bytes), the length of the
+// payload (four bytes), its xxHash64 with seed 0 (eight bytes), all in big-endian
+// order, and the payload, which is a File as JSON.
 const (
 	magic          = "\xf7TRL"
 	version        = 1
@@ -27,29 +30,31 @@
 	headerSize     = 20
 )
 
-// Reasons for which a file that is there cannot be used.
+// Errors for a file that exists but cannot be used.
 var (
 	ErrDamaged      = errors.New("damaged")
 	ErrNewerVersion = errors.New("of a newer version")
 	ErrOtherRelay   = errors.New("of another relay")
 )
 
-// File is what it holds.
+// File is the content of the file.
 type File struct {
-	Relay string `json:"relay"` // the name of the relay that wrote it
-	// When it was written: in Unix µs, and in µs of the machine's monotonic clock in
-	// the boot that BootID names. ClockZero is moment 0 of the core's clock on the
-	// latter.
-	WrittenAt          int64  `json:"wall"`
+	// Relay is the name of the relay that wrote the file.
+	Relay string `json:"relay"`
+	// WrittenAt is the time of writing, in µs since the Unix epoch.
+	WrittenAt int64 `json:"wall"`
+	// WrittenAtMonotonic is the time of writing on the machine's monotonic clock, in
+	// µs, and ClockZero the time 0 of the core's clock on it. Both are valid within
+	// the boot of BootID.
 	WrittenAtMonotonic int64  `json:"mono"`
 	ClockZero          int64  `json:"zero"`
 	BootID             string `json:"boot,omitempty"`
-	// CleanShutdown says that nothing was learned after it was written.
+	// CleanShutdown says that nothing was learned after the write.
 	CleanShutdown bool                `json:"clean"`
 	State         *core.StateSnapshot `json:"state"`
 }
 
-// Encode makes the bytes of a file.
+// Encode returns the encoded file.
 func Encode(f *File) ([]byte, error) {
 	payload, err := json.Marshal(f)
 	if err != nil {
@@ -63,7 +68,7 @@
 	return append(b, payload...), nil
 }
 
-// Decode reads the bytes of a file. Its errors wrap ErrDamaged or ErrNewerVersion.
+// Decode decodes a file. Its errors wrap ErrDamaged or ErrNewerVersion.
 func Decode(b []byte) (*File, error) {
 	payload, err := checkedPayload(b)
 	if err != nil {
@@ -79,7 +84,7 @@
 	return f, nil
 }
 
-// checkedPayload is what follows the header of a file, if that holds for it.
+// checkedPayload verifies the header of an encoded file and returns its payload.
 func checkedPayload(b []byte) ([]byte, error) {
 	if len(b) < headerSize || string(b[:len(magic)]) != magic {
 		return nil, fmt.Errorf("%w: no head", ErrDamaged)
@@ -100,14 +105,14 @@
 	return payload, nil
 }
 
-// ClockShift is what is to be added to the moments of a file, to have them on the
-// clock of the process that reads it. zero is moment 0 of that clock on the
-// machine's monotonic one, monotonic and wall are now, all in µs, and bootID names
-// the boot.
+// ClockShift returns the duration, in µs, that converts times of the file to the
+// core's clock in this process. zero is the time 0 of that clock on the machine's
+// monotonic clock, monotonic and wall are the present time on both, in µs, and
+// bootID is the present boot.
 //
-// Within a boot the monotonic clock tells how long ago the file was written, else
-// the wall clock. One that went back tells nothing: then no time has passed, so
-// that no wait is shorter for it.
+// The age of the file is known from the monotonic clock in the same boot, and else
+// from the wall clock. If that clock was set back, the age counts as zero, so that no
+// Retry-After gets shorter.
 func (f *File) ClockShift(zero, monotonic, wall int64, bootID string) int64 {
 	if f.BootID != "" && f.BootID == bootID && monotonic >= f.WrittenAtMonotonic {
 		return f.ClockZero - zero
--- a/internal/policystate/schedule.go
+++ b/internal/policystate/schedule.go
@@ -1,29 +1,30 @@
 package policystate
 
-// WriteSchedule says when the file is due. Times and spans are in µs.
+// WriteSchedule decides when the file is written. A token bucket bounds the bytes per
+// second. Times and durations are in µs.
 //
-// What was learned has two versions: one that counts all changes, and one that
-// counts those that a restart should not forget.
+// The state has two version numbers: one counts all changes, the urgent one only
+// those that a restart must not lose.
 type WriteSchedule struct {
-	minInterval    int64 // between two writes after a change of the urgent version
-	interval       int64 // between two writes after any other
+	minInterval    int64 // between two writes after an urgent change
+	interval       int64 // between two writes after another change
 	bytesPerSecond float64
-	tokens         float64 // bytes that could be written at the last write; below 0 where that was done ahead
+	tokens         float64 // bytes in the bucket at lastWrite; negative after a large write
 	lastWrite      int64
 	started        bool
-	urgentVersion  uint64 // as of the last write
-	version        uint64 // likewise
+	urgentVersion  uint64 // of the last write
+	version        uint64 // of the last write
 }
 
 const (
-	minWriteInterval  = 250e3                 // µs, whatever has changed
-	maxBytesPerSecond = 8 << 10               // over time
-	maxBurstBytes     = 8 * maxBytesPerSecond // that may be written ahead of it
+	minWriteInterval  = 250e3                 // µs between two writes
+	maxBytesPerSecond = 8 << 10               // on average
+	maxBurstBytes     = 8 * maxBytesPerSecond // size of the token bucket
 	microsPerSecond   = 1e6
 )
 
-// NewWriteSchedule makes a schedule on which the file is written at such an interval
-// while anything is learned, and sooner after what a restart should not forget.
+// NewWriteSchedule returns a schedule that writes at this interval while the state
+// changes, and sooner after urgent changes.
 func NewWriteSchedule(interval int64) *WriteSchedule {
 	return &WriteSchedule{
 		minInterval: min(minWriteInterval, interval), interval: interval,
@@ -31,8 +32,8 @@
 	}
 }
 
-// Due reports whether the file is to be written now, and else when to ask again
-// though nothing changes; 0 for not at all.
+// Due reports whether the file should be written now. If not, it returns when to call
+// it again even if the versions stay the same, or 0 for never.
 func (s *WriteSchedule) Due(now int64, urgentVersion, version uint64) (due bool, again int64) {
 	if !s.started {
 		s.started, s.lastWrite = true, now
@@ -50,13 +51,13 @@
 	return now >= at, at
 }
 
-// available is how many bytes may be written; below 0 where that was done ahead.
+// available returns the bytes in the token bucket.
 func (s *WriteSchedule) available(now int64) float64 {
 	earned := float64(now-s.lastWrite) / microsPerSecond * s.bytesPerSecond
 	return min(s.tokens+earned, maxBurstBytes)
 }
 
-// RecordWrite takes down a write of these versions.
+// RecordWrite records that these versions were written with so many bytes.
 func (s *WriteSchedule) RecordWrite(now int64, bytes int, urgentVersion, version uint64) {
 	s.tokens = s.available(now) - float64(bytes)
 	s.lastWrite, s.started = now, true
--- a/internal/policystate/store.go
+++ b/internal/policystate/store.go
@@ -13,46 +13,47 @@
 )
 
 const (
-	// FileName is the file in the state folder.
+	// FileName is the name of the file in the state directory.
 	FileName = "learned"
 
 	rejectedName = FileName + ".bad" // the last file that could not be used
-	tempPrefix   = "." + FileName    // of a file that is being written
+	tempPrefix   = "." + FileName    // of files that are being written
 	fileMode     = 0o600
 )
 
-// MaxCopies is how often MaxFileBytes may be taken at one time: by the file, by the
-// one that replaces it, and by one that was set aside.
+// MaxCopies is the number of files of up to MaxFileBytes that can exist at a time: the
+// file, the one that is to replace it, and one that was set aside.
 const MaxCopies = 3
 
 const (
-	maxDiskFraction  = 64      // the file may take one byte in so many
-	maxBytesAnywhere = 1 << 20 // however large the disk is
+	diskDivisor     = 64      // the file may take this part of the disk
+	maxBytesOverall = 1 << 20 // however large the disk is
 )
 
-// MaxFileBytes is how many bytes the file may have in a folder of diskBytes.
-func MaxFileBytes(diskBytes int64) int64 { return min(diskBytes/maxDiskFraction, maxBytesAnywhere) }
+// MaxFileBytes returns the maximum size of the file for a disk limit of diskBytes.
+func MaxFileBytes(diskBytes int64) int64 { return min(diskBytes/diskDivisor, maxBytesOverall) }
 
-// ErrTooLarge says that more is known than the file may hold.
+// ErrTooLarge is returned when the encoded state exceeds MaxFileBytes.
 var ErrTooLarge = errors.New("learned: more than its share of the disk")
 
-// Store is the file in its folder.
+// Store reads and writes the file in a state directory.
 type Store struct {
 	dir      string
 	relay    string
 	maxBytes int64
 }
 
-// NewStore makes the store of a relay in a folder that may hold so many bytes.
+// NewStore returns the store of a relay in a directory with a limit of diskBytes.
 func NewStore(dir, relay string, diskBytes int64) *Store {
 	return &Store{dir, relay, MaxFileBytes(diskBytes)}
 }
 
-// Path is where the file lies.
+// Path returns the path of the file.
 func (s *Store) Path() string { return filepath.Join(s.dir, FileName) }
 
-// Read reads the file; nil without an error where there is none. One that cannot
-// be used is set aside, in the place of one set aside before; the error says why.
+// Read reads the file. It returns nil and no error if there is none. A file that
+// cannot be used is renamed, which replaces one that was renamed before, and the error
+// wraps ErrDamaged, ErrNewerVersion or ErrOtherRelay.
 func (s *Store) Read() (*File, error) {
 	s.removeTempFiles()
 	f, err := s.read()
@@ -80,8 +81,8 @@
 	return f, nil
 }
 
-// readLimited reads no more than the file may have. What is longer is not a file of
-// this store, and is not kept either.
+// readLimited reads the file if it has at most the maximum size. A longer one was not
+// written by a Store and is truncated.
 func (s *Store) readLimited() ([]byte, error) {
 	f, err := os.Open(s.Path())
 	if err != nil {
@@ -99,7 +100,7 @@
 	return b, nil
 }
 
-// setAside keeps the file under another name, or removes it where that fails.
+// setAside renames the file, or removes it if that fails.
 func (s *Store) setAside() error {
 	err := os.Rename(s.Path(), filepath.Join(s.dir, rejectedName))
 	if err == nil {
@@ -108,22 +109,22 @@
 	return errors.Join(err, os.Remove(s.Path()))
 }
 
-// removeTempFiles removes what a write left that a kill cut short.
+// removeTempFiles removes the files that killed processes were writing.
 func (s *Store) removeTempFiles() {
 	entries, err := os.ReadDir(s.dir)
 	if err != nil {
-		return // the read that follows tells
+		return // the read that follows reports the error
 	}
 	for _, e := range entries {
 		if strings.HasPrefix(e.Name(), tempPrefix) {
-			// One that stays takes a little of the disk, and is tried again at the next start.
+			// A file that cannot be removed is tried again at the next start.
 			_ = os.Remove(filepath.Join(s.dir, e.Name()))
 		}
 	}
 }
 
-// Write replaces the file, and returns how many bytes it wrote. Where it fails the
-// old file stays.
+// Write replaces the file atomically and returns its size in bytes. If it fails, the
+// old file is unchanged. It sets f.Relay.
 func (s *Store) Write(f *File) (int, error) {
 	f.Relay = s.relay
 	b, err := Encode(f)
--- a/internal/tomlfile/checker.go
+++ b/internal/tomlfile/checker.go
@@ -6,13 +6,13 @@
 	"strings"
 )
 
-const maxErrors = 50 // that are told of one file
+const maxErrors = 50 // reported for one file
 
-// Error is one thing that is wrong with a file.
+// Error is one error in a file.
 type Error struct {
 	File string
-	Line int // 0 where it has none
-	Key  string
+	Line int    // 0 if unknown
+	Key  string // empty if the error concerns the file as a whole
 	Text string
 }
 
@@ -27,17 +27,17 @@
 	return s + ": " + e.Text
 }
 
-// Checker collects what is wrong with the values of a file.
+// Checker collects the errors in the values of a file.
 type Checker struct {
 	file  string
-	lines map[string]int // by key
+	lines map[string]int // line numbers by full key
 	errs  []error
 }
 
-// Err joins what was wrong, each an Error; nil for nothing.
+// Err returns the join of the collected *Error values, or nil if there are none.
 func (c *Checker) Err() error { return errors.Join(c.errs...) }
 
-// Errorf adds what is wrong with a key, which is given as a.b or a[1].b.
+// Errorf adds an error in the value of a key, which has the form a.b or a[1].b.
 func (c *Checker) Errorf(key, format string, a ...any) {
 	if len(c.errs) >= maxErrors {
 		return
@@ -45,8 +45,8 @@
 	c.errs = append(c.errs, &Error{c.file, c.line(key), key, fmt.Sprintf(format, a...)})
 }
 
-// line is the line of a key, or of its table where the key was left out; 0 where
-// that was as well.
+// line returns the line of a key. If the key is missing, it returns that of its
+// table, and 0 if that is missing as well.
 func (c *Checker) line(key string) int {
 	for {
 		if line, ok := c.lines[key]; ok {
--- a/internal/tomlfile/lines.go
+++ b/internal/tomlfile/lines.go
@@ -7,8 +7,8 @@
 	"github.com/pelletier/go-toml/v2/unstable"
 )
 
-// keyLines finds the line of each key in a text. Tables of an array are numbered, as
-// in fault[2].at_s.
+// keyLines returns the line numbers of the keys in a TOML text. Tables of an array
+// have indices, as in fault[2].at_s.
 func keyLines(text []byte) map[string]int {
 	f := &lineFinder{lines: map[string]int{}, arraySizes: map[string]int{}}
 	f.parser.Reset(text)
@@ -27,9 +27,9 @@
 
 type lineFinder struct {
 	parser     unstable.Parser
-	lines      map[string]int // by whole key
-	arraySizes map[string]int // tables so far, by the name of their array
-	table      string         // that the expressions are in
+	lines      map[string]int // by full key
+	arraySizes map[string]int // number of tables so far, by the name of their array
+	table      string         // the full key of the current table
 }
 
 func (f *lineFinder) addTable(node *unstable.Node) {
@@ -50,7 +50,7 @@
 	f.lines[f.table] = f.line(node)
 }
 
-// addKeyValue adds a key, and those in its value if that is a table.
+// addKeyValue adds a key, and the keys in its value if that is an inline table.
 func (f *lineFinder) addKeyValue(prefix string, node *unstable.Node) {
 	key := dottedKey(node)
 	if prefix != "" {
@@ -64,7 +64,7 @@
 	}
 }
 
-// line is the line that the key of a node stands on.
+// line returns the line of a node's key.
 func (f *lineFinder) line(node *unstable.Node) int {
 	key := node.Key()
 	if !key.Next() {
@@ -73,7 +73,7 @@
 	return f.parser.Shape(f.parser.Range(key.Node().Data)).Start.Line
 }
 
-// dottedKey is the key of a node, its parts joined by dots.
+// dottedKey returns the key of a node with its parts joined by dots.
 func dottedKey(node *unstable.Node) string {
 	var parts []string
 	for key := node.Key(); key.Next(); {
--- a/internal/tomlfile/tomlfile.go
+++ b/internal/tomlfile/tomlfile.go
@@ -1,8 +1,8 @@
-// Package tomlfile reads the TOML files that an operator writes, and tells of
-// each thing that is wrong in one with file, line and key.
+// Package tomlfile reads TOML files that operators write, and reports each error in
+// one with file, line and key.
 //
-// It owns the form of these errors and the bound on a file's size. What values
-// are right, the caller says.
+// It owns the format of these errors and the limit of a file's size. Which values are
+// valid is up to the caller.
 package tomlfile
 
 import (
@@ -16,7 +16,7 @@
 	"github.com/pelletier/go-toml/v2"
 )
 
-// MaxFileBytes is how many bytes a file may have.
+// MaxFileBytes is the maximum size of a file.
 const MaxFileBytes = 1 << 20
 
 // Read reads a file of at most MaxFileBytes.
@@ -40,8 +40,8 @@
 	return nil
 }
 
-// Decode reads a text into a struct; keys that it does not have are errors. The
-// error joins one Error for each thing that is wrong. file is the name for errors.
+// Decode decodes a TOML text into a struct. Keys that the struct does not have are
+// errors. The returned error joins an *Error for each finding, with file as its name.
 func Decode(file string, text []byte, into any) (*Checker, error) {
 	if err := checkSize(file, text); err != nil {
 		return nil, err
@@ -53,7 +53,7 @@
 	return &Checker{file: file, lines: keyLines(text)}, nil
 }
 
-// decodeErrors makes an Error of each that the decoder found.
+// decodeErrors converts the decoder's error to a join of *Error values.
 func decodeErrors(file string, err error) error {
 	var unknownKeys *toml.StrictMissingError
 	var invalid *toml.DecodeError
--- a/internal/wal/append.go
+++ b/internal/wal/append.go
@@ -7,18 +7,18 @@
 	"troutusher/internal/core"
 )
 
-// How the disk is shared. At every moment the log and a compaction of it fit
-// together under the limit.
+// Division of Options.MaxBytes. At any time the log and its compaction fit into it
+// together.
 const (
-	roundingReserve = 16 << 10 // never used: file sizes are rounded up
-	// pendingReserve is kept for further records of messages that were accepted
-	// already: nothing new is accepted from it.
+	roundingReserve = 16 << 10 // stays unused, since file systems round file sizes up
+	// pendingReserve is left to further records of accepted messages: no message is
+	// accepted into it.
 	pendingReserve = 64 << 10
-	minCompactSize = 1 << 20 // a log this short is not worth compacting
-	compactFactor  = 4       // a log is compacted once it is so many times what is pending
+	minCompactSize = 1 << 20 // a shorter log is compacted only for lack of room
+	compactFactor  = 4       // a log is compacted once it has so many times the size of the pending records
 )
 
-// append writes one record, if there is room for it and for a compaction.
+// append writes one record, if there is room for it and for a later compaction.
 func (l *Log) append(r *core.Record) error {
 	if r.Kind != core.RecordAccepted && !l.pending.contains(r.ID) {
 		return ErrNotPending
@@ -31,7 +31,7 @@
 		return err
 	}
 	if _, err := l.file.WriteAt(l.buffer, l.size); err != nil {
-		// A part that was written would hide what follows it.
+		// Remove what was written of the record: it would hide the records after it.
 		return fmt.Errorf("log: %w", errors.Join(err, l.file.Truncate(l.size)))
 	}
 	l.size += int64(len(l.buffer))
@@ -39,14 +39,14 @@
 	return nil
 }
 
-// makeRoom compacts the log where a record of so many bytes needs it, and tells of
-// one for which there is no room even so.
+// makeRoom compacts the log if that is due or needed to append a record of this
+// encoded size. It returns ErrFull if the record does not fit anyway.
 func (l *Log) makeRoom(r *core.Record, size int64) error {
 	pending, free := l.pending.bytes, l.maxBytes-roundingReserve
 	if r.Kind == core.RecordAccepted {
 		pending += reservedSize(r)
 		free -= pendingReserve
-		if 2*pending > free { // compaction would not help, so it is not tried for each
+		if 2*pending > free { // compaction cannot help, so do not try it for every message
 			return ErrFull
 		}
 	}
--- a/internal/wal/compaction.go
+++ b/internal/wal/compaction.go
@@ -8,8 +8,8 @@
 	"troutusher/internal/core"
 )
 
-// compact writes what is pending to a new file and puts it in the log's place.
-// Where it fails the log is as it was.
+// compact replaces the log by one that holds only the pending messages. If it fails,
+// the log is unchanged.
 func (l *Log) compact() error {
 	var text []byte
 	for _, r := range l.pending.copies() {
@@ -27,14 +27,14 @@
 		return fmt.Errorf("log: %w", err)
 	}
 	if l.file != nil {
-		// The file that was replaced holds nothing that counts any more.
+		// Nothing reads the replaced file any more, so its close error does not matter.
 		_ = l.file.Close()
 	}
 	l.file, l.size = compacted, int64(len(text))
 	return nil
 }
 
-// replaceWith writes a file and renames it to the log's.
+// replaceWith writes a new file, renames it to the log's path and returns it open.
 func (l *Log) replaceWith(text []byte) (*os.File, error) {
 	path := l.path + compactedSuffix
 	f, err := os.OpenFile(path, os.O_RDWR|os.O_CREATE|os.O_TRUNC, 0o600)
--- a/internal/wal/encoding.go
+++ b/internal/wal/encoding.go
@@ -11,18 +11,18 @@
 	"troutusher/internal/core"
 )
 
-// The form of a record: the magic, the payload's length and CRC-32 (IEEE), both
-// big-endian in four bytes, then the payload: the record as a line of JSON, and the
-// message's body.
+// The format of a record: the magic, the length and the CRC-32 (IEEE) of the payload,
+// both as four bytes in big-endian order, and the payload, which is the record as one
+// line of JSON followed by the message's body.
 const (
 	magic          = "\xf7TRW"
 	lengthOffset   = 4
 	checksumOffset = 8
 	headerSize     = 12
-	maxPayload     = 128 << 10 // longer than any record
+	maxPayload     = 128 << 10 // more than any record needs
 )
 
-// appendRecord appends the bytes of a record.
+// appendRecord appends the encoded record to a buffer and returns the buffer.
 func appendRecord(to []byte, r *core.Record) ([]byte, error) {
 	line, err := json.Marshal(r)
 	if err != nil {
@@ -35,7 +35,7 @@
 	start := len(to)
 	to = append(to, magic...)
 	to = binary.BigEndian.AppendUint32(to, uint32(length))
-	to = append(to, 0, 0, 0, 0) // the checksum, once the payload stands
+	to = append(to, 0, 0, 0, 0) // the checksum, set below
 	to = append(to, line...)
 	to = append(to, '\n')
 	to = append(to, r.Body...)
@@ -44,8 +44,8 @@
 	return to, nil
 }
 
-// decodeRecord reads the record at the start of text. size is 0 where no sound one
-// begins.
+// decodeRecord decodes the record at the start of text and returns its encoded size,
+// which is 0 if no intact record starts there.
 func decodeRecord(text []byte) (r *core.Record, size int) {
 	if len(text) < headerSize || string(text[:len(magic)]) != magic {
 		return nil, 0
--- a/internal/wal/log.go
+++ b/internal/wal/log.go
@@ -1,11 +1,11 @@
-// Package wal is the write-ahead log. It holds what the relay owes: each message
-// from the moment it is accepted until its end is certain.
+// Package wal is the write-ahead log. It holds the pending messages: each from the
+// moment it is accepted until its final outcome is certain.
 //
-// The operating system keeps what was written when a process is killed, so nothing
-// is synced: the log outlasts the process, not the machine.
+// The operating system keeps what was written when a process is killed, so the log
+// is never synced: it survives the death of the process, not that of the machine.
 //
-// It owns the log's form on disk, its recovery and compaction, and how much of the
-// disk it may take. It must never decide what becomes of a message.
+// The package owns the log's format on disk, its recovery and compaction, and how
+// much of the disk it uses. It must never decide what becomes of a message.
 package wal
 
 import (
@@ -21,41 +21,48 @@
 	"troutusher/internal/mailbox"
 )
 
-// FileName is the log's file in the state folder.
+// FileName is the name of the log's file in the state directory.
 const FileName = "relay.wal"
 
-// compactedSuffix marks a compaction that has not replaced the log yet.
+// compactedSuffix is added to the log's path for a compacted log that has not
+// replaced it yet.
 const compactedSuffix = ".new"
 
-// Reasons for which a record is not written.
+// Errors of records that are not written.
 var (
-	ErrFull       = errors.New("log: no room")
+	// ErrFull is returned when the record does not fit within Options.MaxBytes.
+	ErrFull = errors.New("log: no room")
+	// ErrNotPending is returned for a record of a message that was never accepted,
+	// or that is done.
 	ErrNotPending = errors.New("log: message is not owed")
 )
 
-// Origin says what Open found, in the words of the log line on readiness.
+// Origin is where the content of a log came from. Its values are shown in the log
+// line on readiness.
 type Origin string
 
-// Origins of a log.
+// The origins of a log.
 const (
-	Created   Origin = "none"  // there was no file
-	Recovered Origin = "found" // there was one
+	Created   Origin = "none"  // Open found no file
+	Recovered Origin = "found" // Open found a file
 )
 
-// Options say where a log lies and how large it may grow.
+// Options are the parameters of Open.
 type Options struct {
+	// Dir is the state directory.
 	Dir string
-	// MaxBytes is what the log may take of the disk, a compaction beside it included.
+	// MaxBytes bounds the disk space of the log and of its compaction together.
 	MaxBytes int64
-	// InFlight reports whether the attempt of a message is known to be in flight
-	// still: its outcome will come. It may be nil, for none.
+	// InFlight reports whether a message has an attempt in flight whose outcome will
+	// still be submitted. If it is nil, there is none.
 	InFlight func(id string) bool
 	Logger   *slog.Logger
 }
 
-// Log is an open write-ahead log.
+// Log is an open write-ahead log. Submit, Flush, Close and Origin may be called from
+// any goroutine.
 //
-// The goroutine of Run alone touches the file and the pending records from Open on.
+// After Open, only the goroutine of Run uses the file and the pending records.
 type Log struct {
 	path     string
 	maxBytes int64
@@ -65,22 +72,23 @@
 	file    *os.File
 	size    int64
 	pending pendingSet
-	buffer  []byte // of the record that is being written
+	buffer  []byte // reused for the record that is being written
 
 	queue    *mailbox.Mailbox[request]
 	stop     chan struct{}
 	stopOnce sync.Once
 	done     chan struct{}
-	closeErr error // read after done
+	closeErr error // of the file; set before done is closed
 }
 
-// request is a record to write, and whom to tell once that is done or has failed.
+// request is a submission: a record to write, and the callback for its result.
 type request struct {
-	record    *core.Record // nil where only the order counts
+	record    *core.Record // nil for Flush, which writes nothing
 	onWritten func(error)  // may be nil
 }
 
-// Open recovers the log, compacts it, and returns what is pending, oldest first.
+// Open recovers the log in a directory, compacts it, and returns the pending
+// messages in the order of their acceptance, each folded into one record.
 func Open(o Options) (*Log, []*core.Record, error) {
 	l := &Log{
 		path:     filepath.Join(o.Dir, FileName),
@@ -92,8 +100,8 @@
 		stop:     make(chan struct{}),
 		done:     make(chan struct{}),
 	}
-	// What a kill left of a compaction. If it cannot be removed, the next one
-	// overwrites it.
+	// A kill may have left an unfinished compaction. If it cannot be removed, the next
+	// compaction overwrites it.
 	_ = os.Remove(l.path + compactedSuffix)
 	text, err := os.ReadFile(l.path)
 	switch {
@@ -106,7 +114,7 @@
 	l.pending.resolveOpenAttempts(o.InFlight)
 	l.size = int64(len(text))
 	if err := l.compact(); err != nil {
-		// What is pending still counts; the old log is used as it is.
+		// The log that was recovered is complete, so it is used as it is.
 		l.logger.Error("log: not compacted", "err", err)
 		if l.file, err = os.OpenFile(l.path, os.O_RDWR|os.O_CREATE, 0o600); err != nil {
 			return nil, nil, fmt.Errorf("log: %w", err)
@@ -115,25 +123,26 @@
 	return l, l.pending.copies(), nil
 }
 
-// Origin says what Open found.
+// Origin returns where the content of the log came from.
 func (l *Log) Origin() Origin { return l.origin }
 
-// Submit hands a record over to be written. It never waits. onWritten, which may
-// be nil, is called by the goroutine of Run, in the order of the submissions, and
-// must not wait.
+// Submit queues a record for writing and returns at once. The goroutine of Run calls
+// onWritten, which may be nil, with the result. It calls the callbacks in the order
+// of the submissions; they must not block.
 func (l *Log) Submit(record *core.Record, onWritten func(error)) {
 	l.queue.Put(request{record, onWritten})
 }
 
-// Flush waits until all that was submitted before is written. Run must be running.
+// Flush blocks until everything that was submitted before it is written. Run must be
+// running.
 func (l *Log) Flush() {
 	written := make(chan struct{})
 	l.queue.Put(request{onWritten: func(error) { close(written) }})
 	<-written
 }
 
-// Run writes what is submitted, until Close is called and everything submitted
-// before is written.
+// Run writes the submitted records. It returns after Close was called, once
+// everything that was submitted is written.
 func (l *Log) Run() {
 	defer close(l.done)
 	var batch []request
@@ -157,6 +166,7 @@
 	}
 }
 
+// serve writes the record of a request and reports the result.
 func (l *Log) serve(r request) {
 	var err error
 	if r.record != nil {
@@ -170,8 +180,8 @@
 	}
 }
 
-// Close ends Run, which must have been started, and waits for its end. It returns
-// the error of closing the file.
+// Close makes Run return and waits for that; Run must have been started. It returns
+// the error of closing the file. Calls after the first return the same.
 func (l *Log) Close() error {
 	l.stopOnce.Do(func() { close(l.stop) })
 	<-l.done
--- a/internal/wal/pending.go
+++ b/internal/wal/pending.go
@@ -7,28 +7,28 @@
 )
 
 const (
-	maxStateGrowth = 160 // bytes by which a message's record may grow later
-	jsonOverhead   = 160 // bytes of the keys and numbers in a record's line
+	maxStateGrowth = 160 // bytes by which later state can lengthen a record
+	jsonOverhead   = 160 // bytes of keys and numbers in the JSON of a record
 )
 
-// pendingSet is the messages that are owed something, each folded into one record.
+// pendingSet holds the pending messages, each folded into one record.
 type pendingSet struct {
 	byID     map[string]*pendingRecord
-	bytes    int64 // that a compaction may need for them
-	accepted int   // messages so far, for their order
+	bytes    int64 // upper bound of the size of a compacted log
+	accepted int   // number of messages added so far
 }
 
 type pendingRecord struct {
 	record   *core.Record
-	sequence int
-	reserved int64
+	sequence int   // by acceptance
+	reserved int64 // its part of pendingSet.bytes
 }
 
 func newPendingSet() pendingSet { return pendingSet{byID: map[string]*pendingRecord{}} }
 
 func (s *pendingSet) contains(id string) bool { return s.byID[id] != nil }
 
-// apply takes a written record into account.
+// apply updates the set by a record of the log.
 func (s *pendingSet) apply(r *core.Record) {
 	p := s.byID[r.ID]
 	switch {
@@ -36,7 +36,7 @@
 		if p == nil {
 			s.add(r)
 		}
-	case p == nil: // finished, or its first record was damaged
+	case p == nil: // the message is done, or its first record was damaged
 	case r.Kind == core.RecordDone:
 		s.bytes -= p.reserved
 		delete(s.byID, r.ID)
@@ -52,15 +52,15 @@
 	s.bytes += p.reserved
 }
 
-// reservedSize is what an accepted message may need in a compaction, whatever
-// state it has by then.
+// reservedSize returns the most that an accepted message can need in a compacted log,
+// whatever its state is by then.
 func reservedSize(r *core.Record) int64 {
 	text := len(r.Body) + len(r.ID) + len(r.Key) + len(r.Class) + len(r.Tenant)
 	return int64(headerSize + text + jsonOverhead + maxStateGrowth)
 }
 
-// resolveOpenAttempts reads attempts whose outcome is not logged, and will not
-// come, as ones that may have run.
+// resolveOpenAttempts marks the attempts without an outcome as possibly executed,
+// except for those of messages in flight. inFlight may be nil.
 func (s *pendingSet) resolveOpenAttempts(inFlight func(id string) bool) {
 	for id, p := range s.byID {
 		if inFlight == nil || !inFlight(id) {
@@ -69,7 +69,8 @@
 	}
 }
 
-// copies returns a copy of each record, the message that was accepted first first.
+// copies returns copies of the records in the order in which the messages were
+// accepted.
 func (s *pendingSet) copies() []*core.Record {
 	all := make([]*pendingRecord, 0, len(s.byID))
 	for _, p := range s.byID {
--- a/internal/wal/recovery.go
+++ b/internal/wal/recovery.go
@@ -2,8 +2,8 @@
 
 import "bytes"
 
-// replay applies the records in the text of a log. A damaged one is passed over:
-// reading goes on at the next magic that starts a sound one.
+// replay applies the records of an encoded log to the pending set. It skips damaged
+// records: decoding continues at the next magic that starts an intact one.
 func (l *Log) replay(text []byte) {
 	for offset := 0; offset < len(text); {
 		r, size := decodeRecord(text[offset:])
@@ -22,7 +22,7 @@
 	}
 }
 
-// nextRecord finds the first sound record from an offset on; -1 for none.
+// nextRecord returns the offset of the first intact record at or after from, or -1.
 func nextRecord(text []byte, from int) int {
 	for from < len(text) {
 		i := bytes.Index(text[from:], []byte(magic))
