--- a/internal/operatorconfig/tls.go
+++ b/internal/operatorconfig/tls.go
@@ -3,6 +3,7 @@
 import (
 	"cmp"
 	"crypto/x509"
+	"errors"
 	"fmt"
 	"strings"
 	"time"
@@ -144,9 +145,9 @@
 		check.Errorf(key("pins"), "%v", err)
 	}
 	rule.Roots = x509.NewCertPool() // the files are read later
-	if err := rule.Validate(); err != nil {
-		name, text, _ := strings.Cut(err.Error(), ": ")
-		check.Errorf(key(name), "%s", text)
+	var invalid *tlspolicy.SettingError
+	if errors.As(rule.Validate(), &invalid) {
+		check.Errorf(key(invalid.Key), "%s", invalid.Problem)
 	}
 	if r.Roots == "" {
 		check.Errorf(key("roots"), "missing")
--- a/internal/tlspolicy/rule.go
+++ b/internal/tlspolicy/rule.go
@@ -53,21 +53,29 @@
 	return SessionIdentity{Destination: dest, Rule: r.Name, Sum: [sha256.Size]byte(h.Sum(nil))}
 }
 
-// Validate returns an error for a rule that cannot be used.
+// SettingError is an invalid setting of a rule.
+type SettingError struct {
+	Key     string // in the operator's file
+	Problem string
+}
+
+func (e *SettingError) Error() string { return e.Key + ": " + e.Problem }
+
+// Validate returns a *SettingError for a rule that cannot be used.
 func (r *Rule) Validate() error {
 	switch {
 	case r.ServerName == "":
-		return errors.New("server_name: missing")
+		return &SettingError{"server_name", "missing"}
 	case r.Roots == nil:
-		return errors.New("roots: missing")
+		return &SettingError{"roots", "missing"}
 	case len(r.Pins) == 1:
-		return errors.New("pins: one alone; a set needs a backup that is not in use, " +
-			"or a lost key locks the partner out (RFC 7469 section 2.5)")
+		return &SettingError{"pins", "one alone; a set needs a backup that is not in use, " +
+			"or a lost key locks the partner out (RFC 7469 section 2.5)"}
 	}
 	seen := map[Pin]bool{}
 	for _, p := range r.Pins {
 		if seen[p] {
-			return fmt.Errorf("pins: %s is named twice", p)
+			return &SettingError{"pins", fmt.Sprintf("%s is named twice", p)}
 		}
 		seen[p] = true
 	}
