--- a/internal/wal/format_test.go
+++ b/internal/wal/format_test.go
@@ -72,15 +72,15 @@
 	return b
 }
 
-// owedJSON shows what is owed under the keys of the stored form.
-func owedJSON(t *testing.T, owed []*core.Record) []byte {
+// pendingJSON shows what is pending under the keys of the stored form.
+func pendingJSON(t *testing.T, pending []*core.Record) []byte {
 	t.Helper()
 	type shown struct {
 		Record *core.Record `json:"record"`
 		Body   []byte       `json:"body"`
 	}
 	var list []shown
-	for _, r := range owed {
+	for _, r := range pending {
 		list = append(list, shown{r, r.Body})
 	}
 	b, err := json.MarshalIndent(list, "", " ")
@@ -104,20 +104,20 @@
 	}
 }
 
-// What is owed after a start with a stored log, and the compacted log that the
+// What is pending after a start with a stored log, and the compacted log that the
 // start leaves.
 func TestStoredForms(t *testing.T) {
 	for _, c := range []struct {
-		name, log, owed, compacted string
-		out                        []string // attempts that are known to be out still
+		name, log, pending, compacted string
+		out                           []string // attempts that are known to be out still
 	}{
-		{"every kind", "every_kind.wal", "every_kind_owed.json", "every_kind_compacted.wal", nil},
+		{"every kind", "every_kind.wal", "every_kind_pending.json", "every_kind_compacted.wal", nil},
 		{
-			"attempts known to be out", "every_kind.wal", "call_out_owed.json", "call_out_compacted.wal",
+			"attempts known to be out", "every_kind.wal", "call_out_pending.json", "call_out_compacted.wal",
 			[]string{"m-1", "m-3"},
 		},
-		{"compacted", "every_kind_compacted.wal", "every_kind_owed.json", "every_kind_compacted.wal", nil},
-		{"torn", "torn.wal", "torn_owed.json", "torn_compacted.wal", nil},
+		{"compacted", "every_kind_compacted.wal", "every_kind_pending.json", "every_kind_compacted.wal", nil},
+		{"torn", "torn.wal", "torn_pending.json", "torn_compacted.wal", nil},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			dir := t.TempDir()
@@ -125,7 +125,7 @@
 			if err := os.WriteFile(path, fixture(t, c.log), 0o600); err != nil {
 				t.Fatal(err)
 			}
-			w, owed, err := Open(Options{
+			w, pending, err := Open(Options{
 				Dir: dir, MaxBytes: 1 << 20, Logger: discardLogger(),
 				InFlight: func(id string) bool { return slices.Contains(c.out, id) },
 			})
@@ -133,8 +133,8 @@
 				t.Fatal(err)
 			}
 			t.Cleanup(func() { _ = w.file.Close() })
-			if got, want := owedJSON(t, owed), fixture(t, c.owed); !bytes.Equal(got, want) {
-				t.Errorf("owed\n%s\nwant\n%s", got, want)
+			if got, want := pendingJSON(t, pending), fixture(t, c.pending); !bytes.Equal(got, want) {
+				t.Errorf("pending\n%s\nwant\n%s", got, want)
 			}
 			got, err := os.ReadFile(path)
 			if err != nil {
--- a/internal/wal/log_test.go
+++ b/internal/wal/log_test.go
@@ -19,12 +19,12 @@
 
 func openTestLog(t *testing.T, dir string, limit int64) (*Log, []*core.Record) {
 	t.Helper()
-	w, owed, err := Open(Options{Dir: dir, MaxBytes: limit, Logger: discardLogger()})
+	w, pending, err := Open(Options{Dir: dir, MaxBytes: limit, Logger: discardLogger()})
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { _ = w.file.Close() })
-	return w, owed
+	return w, pending
 }
 
 func mustAppend(t *testing.T, w *Log, recs ...*core.Record) {
@@ -49,7 +49,7 @@
 	}
 }
 
-// What is owed comes back with its state, in order, also after a second start,
+// Pending messages are recovered with their state, in order, also by a second start,
 // which reads the compacted form.
 func TestRecovery(t *testing.T) {
 	dir := t.TempDir()
@@ -72,16 +72,16 @@
 		&core.Record{Kind: core.RecordEnding, ID: "e", Notice: core.NoticeHandedBack, RetryMS: 20},
 	)
 	for range 2 {
-		_, owed := openTestLog(t, dir, 1<<20)
+		_, pending := openTestLog(t, dir, 1<<20)
 		var got []string
-		for _, r := range owed {
+		for _, r := range pending {
 			got = append(got, fmt.Sprintf("%s %s %d %d %s", r.ID, r.Body, r.Attempts, r.FirstUncertainAt, r.Notice))
 		}
 		want := []string{"a A\n\x00 1 0 ", "b  2 200 ", "c C 1 400 ", "e E 0 0 " + core.NoticeHandedBack}
 		if !slices.Equal(got, want) {
 			t.Fatalf("got %q", got)
 		}
-		if r := owed[1]; r.Key != "k" || r.Class != "keyed" || r.Tenant != "acme" || r.Dest != 7 ||
+		if r := pending[1]; r.Key != "k" || r.Class != "keyed" || r.Tenant != "acme" || r.Dest != 7 ||
 			r.Deadline != 1e15 || r.FirstUncertainZone != 1 {
 			t.Errorf("got %+v", r)
 		}
@@ -92,7 +92,7 @@
 // of the log is recovered, and what is written next can be read.
 func TestDamagedLog(t *testing.T) {
 	sizes := []int{}
-	whole := func(dir string) string {
+	writeThree := func(dir string) string {
 		w, _ := openTestLog(t, dir, 1<<20)
 		sizes = sizes[:0]
 		for _, id := range []string{"a", "b", "c"} {
@@ -101,8 +101,8 @@
 		}
 		return filepath.Join(dir, FileName)
 	}
-	ids := func(owed []*core.Record) (s string) {
-		for _, r := range owed {
+	ids := func(pending []*core.Record) (s string) {
+		for _, r := range pending {
 			s += r.ID
 		}
 		return s
@@ -122,7 +122,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			dir := t.TempDir()
-			path := whole(dir)
+			path := writeThree(dir)
 			text, err := os.ReadFile(path)
 			if err != nil {
 				t.Fatal(err)
@@ -130,20 +130,20 @@
 			if err := os.WriteFile(path, test.spoil(text), 0o600); err != nil {
 				t.Fatal(err)
 			}
-			w, owed := openTestLog(t, dir, 1<<20)
-			if got := ids(owed); got != test.want {
+			w, pending := openTestLog(t, dir, 1<<20)
+			if got := ids(pending); got != test.want {
 				t.Fatalf("recovered %q, want %q", got, test.want)
 			}
 			mustAppend(t, w, accepted("z", "Z"))
-			if _, owed = openTestLog(t, dir, 1<<20); ids(owed) != test.want+"z" {
-				t.Errorf("then %q", ids(owed))
+			if _, pending = openTestLog(t, dir, 1<<20); ids(pending) != test.want+"z" {
+				t.Errorf("then %q", ids(pending))
 			}
 		})
 	}
 }
 
 // Guards the disk: old and new log together stay under the limit at every
-// moment, and what was taken on can be ended even when nothing more fits.
+// moment, and accepted messages can be finished even when nothing more fits.
 func TestBoundedSize(t *testing.T) {
 	const limit = 1 << 20
 	dir := t.TempDir()
@@ -177,13 +177,13 @@
 		mustAppend(t, w, &core.Record{Kind: core.RecordDone, ID: strconv.Itoa(i)})
 	}
 	if w.pending.bytes != 0 {
-		t.Errorf("%d bytes owed by nobody", w.pending.bytes)
+		t.Errorf("%d bytes reserved for no message", w.pending.bytes)
 	}
 	mustAppend(t, w, accepted("next", body))
 }
 
 // A record may grow by its state in a compaction; the room for that is booked
-// when the message is taken on.
+// when the message is accepted.
 func TestReservedSizeCoversState(t *testing.T) {
 	r := accepted("9b1f03aa5c7e2d41", "body")
 	r.Attempts = 255
@@ -209,13 +209,13 @@
 		t.Fatal("written to a closed file")
 	}
 	if w.pending.contains("b") {
-		t.Error("held to be owed")
+		t.Error("the failed record is pending")
 	}
 	if err := w.append(&core.Record{Kind: core.RecordAttempt, ID: "b"}); !errors.Is(err, ErrNotPending) {
 		t.Errorf("an attempt of what was refused: %v", err)
 	}
-	if _, owed := openTestLog(t, dir, 1<<20); len(owed) != 1 {
-		t.Errorf("%d owed", len(owed))
+	if _, pending := openTestLog(t, dir, 1<<20); len(pending) != 1 {
+		t.Errorf("%d pending", len(pending))
 	}
 }
 
