--- a/internal/sendgate/sendgate_test.go
+++ b/internal/sendgate/sendgate_test.go
@@ -12,143 +12,223 @@
 // stopped.
 type modelCall struct {
 	permit  *Permit
-	gate    int
+	gate    int // of model.gates; closedGate for one that has been replaced
 	started bool
 	stopped int
 }
 
-// Whatever comes in whatever order: no last byte inside a wait, no first byte
-// there or at an endpoint that has left, nothing stopped twice or once it has
+const (
+	openGates  = 3
+	closedGate = openGates // stands for all gates that are closed and replaced
+)
+
+// model compares a scope with the rules.
+type model struct {
+	t      *testing.T
+	seed   uint64
+	rng    *rand.Rand
+	scope  *Scope
+	gates  []*Gate
+	closed [openGates + 1]bool
+	until  policy.Time
+	now    policy.Time
+	calls  []*modelCall
+	tried  *trials
+}
+
+// trials counts what the model has tried.
+type trials struct{ firstBytes, lastBytes, refused, stopped int }
+
+func newModel(t *testing.T, seed uint64, tried *trials) *model {
+	scope := &Scope{}
+	m := &model{t: t, seed: seed, rng: rand.New(rand.NewPCG(seed, 1)), scope: scope, now: 1000, tried: tried}
+	for range openGates {
+		m.gates = append(m.gates, scope.Gate())
+	}
+	m.closed[closedGate] = true
+	return m
+}
+
+// mayStart reports whether a call that has not begun may begin by the rules.
+func (m *model) mayStart(call *modelCall) bool {
+	return m.until <= m.now && !m.closed[call.gate] && call.stopped == 0
+}
+
+// hold applies a Retry-After time, which may be over already.
+func (m *model) hold() {
+	until := m.now + policy.Time(m.rng.IntN(200)) - 50
+	m.scope.HoldUntil(m.now, until)
+	m.until = max(m.until, until)
+}
+
+func (m *model) closeGate() {
+	i := m.rng.IntN(openGates)
+	m.gates[i].Close()
+	m.closed[i] = true
+}
+
+// reopenGate has an endpoint come back, as a new gate; calls of the old one stay with
+// that.
+func (m *model) reopenGate() {
+	i := m.rng.IntN(openGates)
+	if !m.closed[i] {
+		return
+	}
+	m.gates[i], m.closed[i] = m.scope.Gate(), false
+	for _, call := range m.calls {
+		if call.gate == i {
+			call.gate = closedGate
+		}
+	}
+}
+
+func (m *model) acquire() {
+	call := &modelCall{gate: m.rng.IntN(openGates)}
+	permit, err := m.gates[call.gate].Acquire(m.now, func(error) {
+		call.stopped++
+		m.tried.stopped++
+	})
+	if (err == nil) != m.mayStart(call) {
+		m.t.Fatalf("seed %d: acquires at %d: %v; held until %d, closed %v", m.seed, m.now, err, m.until, m.closed)
+	}
+	if call.permit = permit; err == nil {
+		m.calls = append(m.calls, call)
+	}
+}
+
+// advance has one call try its next step.
+func (m *model) advance() {
+	i := m.rng.IntN(len(m.calls))
+	call := m.calls[i]
+	var err error
+	switch {
+	case !call.started:
+		err = m.firstByte(call)
+	case m.rng.IntN(4) == 0:
+		call.permit.Restart()
+		call.started = false
+		return
+	default:
+		err = m.lastByte(call)
+	}
+	if err != nil {
+		m.tried.refused++
+		if !IsRefusal(err) {
+			m.t.Fatalf("%v is not known as a refusal", err)
+		}
+	}
+	if err != nil || call.started && m.rng.IntN(2) == 0 {
+		call.permit.Release()
+		m.calls = append(m.calls[:i], m.calls[i+1:]...)
+	}
+}
+
+func (m *model) firstByte(call *modelCall) error {
+	err := call.permit.AllowFirstByte(m.now)
+	if (err == nil) != m.mayStart(call) {
+		m.t.Fatalf("seed %d: first byte at %d: %v; held until %d, closed %v", m.seed, m.now, err, m.until, m.closed)
+	}
+	if call.started = err == nil; call.started {
+		m.tried.firstBytes++
+	}
+	return err
+}
+
+func (m *model) lastByte(call *modelCall) error {
+	err := call.permit.AllowLastByte(m.now)
+	if (err == nil) != (m.until <= m.now) {
+		m.t.Fatalf("seed %d: last byte at %d: %v; held until %d", m.seed, m.now, err, m.until)
+	}
+	if err == nil {
+		m.tried.lastBytes++
+	}
+	return err
+}
+
+// step does one thing drawn at random, and checks all calls after it.
+func (m *model) step() {
+	m.now += policy.Time(m.rng.IntN(30))
+	switch k := m.rng.IntN(12); {
+	case k == 0:
+		m.hold()
+	case k == 1 && m.rng.IntN(3) == 0:
+		m.closeGate()
+	case k == 2:
+		m.reopenGate()
+	case k < 6:
+		m.acquire()
+	case len(m.calls) > 0:
+		m.advance()
+	}
+	for _, call := range m.calls {
+		if call.stopped > 1 || (call.permit.StopReason() != nil) != (call.stopped == 1) {
+			m.t.Fatalf("seed %d: stopped %d times, says %v", m.seed, call.stopped, call.permit.StopReason())
+		}
+	}
+}
+
+// Whatever comes in whatever order: no last byte before a Retry-After time, no first
+// byte then or at an endpoint that has left, nothing stopped twice or once it has
 // begun, and whatever could not go out any more is stopped at once.
 func TestNothingSentAgainstTheRules(t *testing.T) {
-	first, last, refused, stops := 0, 0, 0, 0
+	var tried trials
 	for seed := range uint64(400) {
-		rng := rand.New(rand.NewPCG(seed, 1))
-		s := &Scope{}
-		gates, gone := []*Gate{s.Gate(), s.Gate(), s.Gate()}, make([]bool, 3)
-		until, now := policy.Time(0), policy.Time(1000)
-		var calls []*modelCall
-		may := func(c *modelCall) bool { return until <= now && !gone[c.gate] && c.stopped == 0 }
+		m := newModel(t, seed, &tried)
 		for range 300 {
-			now += policy.Time(rng.IntN(30))
-			switch k := rng.IntN(12); {
-			case k == 0:
-				told := now + policy.Time(rng.IntN(200)) - 50
-				s.HoldUntil(now, told)
-				until = max(until, told)
-			case k == 1 && rng.IntN(3) == 0:
-				i := rng.IntN(3)
-				gates[i].Close()
-				gone[i] = true
-			case k == 2: // it comes back, as a new gate
-				i := rng.IntN(3)
-				if gone[i] {
-					gates[i], gone[i] = s.Gate(), false
-					for _, c := range calls { // those of the old one stay with it
-						if c.gate == i {
-							c.gate = 3
-						}
-					}
-					gone = append(gone[:3], true)
-				}
-			case k < 6:
-				c := &modelCall{gate: rng.IntN(3)}
-				pass, err := gates[c.gate].Acquire(now, func(error) { c.stopped++; stops++ })
-				if (err == nil) != may(c) {
-					t.Fatalf("seed %d: enters at %d: %v; told to wait until %d, gone %v", seed, now, err, until, gone)
-				}
-				if c.permit = pass; err == nil {
-					calls = append(calls, c)
-				}
-			case len(calls) > 0:
-				i := rng.IntN(len(calls))
-				c := calls[i]
-				var err error
-				if !c.started {
-					if err = c.permit.AllowFirstByte(now); (err == nil) != may(c) {
-						t.Fatalf("seed %d: first byte at %d: %v; until %d, gone %v", seed, now, err, until, gone)
-					}
-					if c.started = err == nil; c.started {
-						first++
-					}
-				} else if rng.IntN(4) == 0 {
-					c.permit.Restart()
-					c.started = false
-					break
-				} else {
-					if err = c.permit.AllowLastByte(now); (err == nil) != (until <= now) {
-						t.Fatalf("seed %d: last byte at %d: %v; until %d", seed, now, err, until)
-					}
-					if err == nil {
-						last++
-					}
-				}
-				if err != nil {
-					refused++
-					if !IsRefusal(err) {
-						t.Fatalf("%v is not known as a refusal", err)
-					}
-				}
-				if err != nil || c.started && rng.IntN(2) == 0 {
-					c.permit.Release()
-					calls = append(calls[:i], calls[i+1:]...)
-				}
-			}
-			for _, c := range calls {
-				if c.stopped > 1 || (c.permit.StopReason() != nil) != (c.stopped == 1) {
-					t.Fatalf("seed %d: stopped %d times, says %v", seed, c.stopped, c.permit.StopReason())
-				}
-			}
+			m.step()
 		}
-		for _, c := range calls {
-			c.permit.Release()
+		for _, call := range m.calls {
+			call.permit.Release()
 		}
-		if len(s.permits) > 0 {
-			t.Fatalf("seed %d: %d calls are kept that have left", seed, len(s.permits))
+		if len(m.scope.permits) > 0 {
+			t.Fatalf("seed %d: %d permits are kept that were released", seed, len(m.scope.permits))
 		}
 	}
-	if first < 5000 || last < 2000 || refused < 1000 || stops < 300 {
-		t.Errorf("too little was tried: %d first bytes, %d last ones, %d refused, %d stopped", first, last, refused, stops)
+	if tried.firstBytes < 5000 || tried.lastBytes < 2000 || tried.refused < 1000 || tried.stopped < 300 {
+		t.Errorf("too little was tried: %+v", tried)
 	}
 }
 
-// Calls that wait for a connection are stopped as the word comes; one under way
-// is not, but is kept from its last byte by a wait, and by a drain it is not.
+// Calls that wait for a connection are stopped by a drain and by a Retry-After time; one
+// on its way is not, but its last byte is refused by the latter.
 func TestStopsCallsWaitingForConnection(t *testing.T) {
-	var s Scope
-	a, b := s.Gate(), s.Gate()
-	why := map[string]error{}
-	enter := func(g *Gate, name string) *Permit {
-		p, err := g.Acquire(0, func(err error) { why[name] = err })
+	var scope Scope
+	draining, sibling := scope.Gate(), scope.Gate()
+	stopped := map[string]error{}
+	acquire := func(gate *Gate, name string) *Permit {
+		t.Helper()
+		permit, err := gate.Acquire(0, func(reason error) { stopped[name] = reason })
 		if err != nil {
 			t.Fatal(err)
 		}
-		return p
+		return permit
 	}
-	begun, waits, other := enter(a, "begun"), enter(a, "waits"), enter(b, "other")
-	if err := begun.AllowFirstByte(0); err != nil {
+	started, waiting := acquire(draining, "started"), acquire(draining, "waiting")
+	other := acquire(sibling, "other")
+	if err := started.AllowFirstByte(0); err != nil {
 		t.Fatal(err)
 	}
-	a.Close()
-	if len(why) != 1 || why["waits"] != ErrEndpointDraining || waits.AllowFirstByte(1) != ErrEndpointDraining {
-		t.Errorf("at a drain stopped %v", why)
+	draining.Close()
+	if len(stopped) != 1 || !errors.Is(stopped["waiting"], ErrEndpointDraining) ||
+		!errors.Is(waiting.AllowFirstByte(1), ErrEndpointDraining) {
+		t.Errorf("at a drain stopped %v", stopped)
 	}
-	if err := begun.AllowLastByte(1); err != nil {
+	if err := started.AllowLastByte(1); err != nil {
 		t.Errorf("a call that had begun before a drain: %v", err)
 	}
-	b.HoldUntil(1, 100)
-	var wait RetryAfterError
-	if len(why) != 2 || !errors.As(why["other"], &wait) || wait.Remaining != 99 {
-		t.Errorf("at a wait stopped %v", why)
+	sibling.HoldUntil(1, 100)
+	var held RetryAfterError
+	if len(stopped) != 2 || !errors.As(stopped["other"], &held) || held.Remaining != 99 {
+		t.Errorf("at a wait stopped %v", stopped)
 	}
-	if err := begun.AllowLastByte(99); !errors.As(err, &wait) || wait.Remaining != 1 {
+	if err := started.AllowLastByte(99); !errors.As(err, &held) || held.Remaining != 1 {
 		t.Errorf("a last byte inside the wait: %v", err)
 	}
-	b.HoldUntil(2, 50) // a shorter one that is told later changes nothing
-	if _, err := b.Acquire(99, nil); !errors.As(err, &wait) {
-		t.Errorf("enters inside the longer wait: %v", err)
+	sibling.HoldUntil(2, 50) // a shorter one that is told later changes nothing
+	if _, err := sibling.Acquire(99, nil); !errors.As(err, &held) {
+		t.Errorf("acquires inside the longer wait: %v", err)
 	}
-	if err := begun.AllowLastByte(100); err != nil {
+	if err := started.AllowLastByte(100); err != nil {
 		t.Errorf("at the end of the wait: %v", err)
 	}
 	if other.StopReason() == nil || IsRefusal(errors.New("x")) {
--- a/internal/upstream/call.go
+++ b/internal/upstream/call.go
@@ -144,10 +144,8 @@
 		if sendgate.IsRefusal(err) {
 			return nil, policy.NotSent, err
 		}
-		if conn.tls != nil { // an alert that our identity is rejected: nothing ran
-			if rejected, ok := conn.tls.Endpoint().RecordAlert(err); ok {
-				return nil, policy.NotSent, rejected
-			}
+		if rejected := conn.recordAlert(err); rejected != nil { // nothing ran
+			return nil, policy.NotSent, rejected
 		}
 		if attemptsLeft == 0 || ctx.Err() != nil {
 			return nil, policy.ConnectFailed, err
@@ -162,10 +160,10 @@
 	c.remaining = maxResponseBytes
 	unwatch := context.AfterFunc(ctx, func() { c.expireAt(pastDeadline) })
 	untouched, err := c.writeRequest(ctx, permit, request)
-	quiet := unwatch() // else its deadline may be set at any moment
+	unwatched := unwatch() // else its deadline may be set at any moment
 	switch {
 	case err == nil:
-	case untouched && quiet:
+	case untouched && unwatched:
 		c.release()
 	default:
 		c.discard()
@@ -174,7 +172,12 @@
 }
 
 // awaitResponse waits for the response to a request that is written.
-func (c *Call) awaitResponse(ctx context.Context, conn *poolConn, req *http.Request, start time.Time, loadFields []string,
+func (c *Call) awaitResponse(
+	ctx context.Context,
+	conn *poolConn,
+	req *http.Request,
+	start time.Time,
+	loadFields []string,
 	report func(Result),
 ) {
 	// What has come already is read all the same: it may be a Retry-After time.
@@ -192,9 +195,7 @@
 		if result.Outcome == policy.ConnectionReset {
 			result.Outcome = outcomeWithoutResponse(ctx)
 		}
-		if conn.tls != nil && result.Err != nil { // an alert that our identity is rejected may come late: it spares the next call
-			conn.tls.Endpoint().RecordAlert(result.Err)
-		}
+		_ = conn.recordAlert(result.Err) // the result stays as it is
 		if result.Outcome != policy.Delivered && (result.Err != nil || result.Malformed) {
 			// The message may be sent again as soon as the result is reported, and the
 			// endpoint counts two copies for as long as this connection is open.
--- a/internal/upstream/call_bench_test.go
+++ b/internal/upstream/call_bench_test.go
@@ -1,9 +1,6 @@
 package upstream
 
 import (
-	"bufio"
-	"io"
-	"net"
 	"sync"
 	"syscall"
 	"testing"
@@ -14,36 +11,27 @@
 	"troutusher/policy"
 )
 
-// BenchmarkCalls is calls on kept connections, 64 at a time: a second, and
-// processor time of both sides. The moment before a call's last byte is there as
-// in service.
+// BenchmarkCalls makes calls on kept connections, 64 at a time. It reports calls a
+// second, and processor time of both sides. The stale check before a call's last byte
+// is as in service.
 func BenchmarkCalls(b *testing.B) {
 	body := make([]byte, 200)
-	for name, w := range map[string]*transport{"plain": {}, "tls 1.3": nil} {
+	for name, tr := range map[string]*transport{"plain": {}, "tls 1.3": nil} {
 		b.Run(name, func(b *testing.B) {
-			if w == nil {
-				s := upstreamtest.NewTLSSite(b, func(_ *upstreamtest.TLSSite, h *operatorconfig.Handshakes) {
-					h.CPUShare, h.BurstMS, h.MaxParallel = 1, 1000, 64
-				})
-				w = &transport{site: s, config: s.ServerConfig()}
-			}
-			var addr string
-			handle := func(c net.Conn) {
-				for in := bufio.NewReader(c); upstreamtest.ReadRequest(in); {
-					io.WriteString(c, upstreamtest.OKResponse)
-				}
+			if tr == nil {
+				site := upstreamtest.NewTLSSite(
+					b,
+					func(_ *upstreamtest.TLSSite, handshakes *operatorconfig.Handshakes) {
+						handshakes.CPUShare, handshakes.BurstMS, handshakes.MaxParallel = 1, 1000, 64
+					},
+				)
+				tr = &transport{site: site, config: site.ServerConfig()}
 			}
-			if w.site == nil {
-				addr = upstreamtest.ServeTCP(b, handle)
-			} else {
-				addr = upstreamtest.ServeTLS(b, w.config, handle)
-			}
-			p := newTestPool(200)
-			h := w.open(p, addr)
+			endpoint := tr.open(newTestPool(200), tr.serve(b, upstreamtest.ServeOK))
 			call := func() {
-				newTestCall().Do(h, Request{ID: "m", Body: body, Timeout: testTimeout}, func(o Result) {
-					if o.Outcome != policy.Delivered {
-						b.Errorf("got %+v", o)
+				newTestCall().Do(endpoint, Request{ID: "m", Body: body, Timeout: testTimeout}, func(result Result) {
+					if result.Outcome != policy.Delivered {
+						b.Errorf("got %+v", result)
 					}
 				})
 			}
@@ -67,17 +55,19 @@
 			}
 			run(256) // connections
 			cpu := func() time.Duration {
-				var u syscall.Rusage
-				syscall.Getrusage(syscall.RUSAGE_SELF, &u)
-				return time.Duration(u.Utime.Nano() + u.Stime.Nano())
+				var usage syscall.Rusage
+				if err := syscall.Getrusage(syscall.RUSAGE_SELF, &usage); err != nil {
+					b.Fatal(err)
+				}
+				return time.Duration(usage.Utime.Nano() + usage.Stime.Nano())
 			}
-			began := cpu()
+			start := cpu()
 			b.ResetTimer()
 			run(b.N)
 			b.StopTimer()
-			b.ReportMetric(float64(cpu()-began)/float64(b.N)/1e3, "cpu-us/call")
+			b.ReportMetric(float64(cpu()-start)/float64(b.N)/1e3, "cpu-us/call")
 			b.ReportMetric(float64(b.N)/b.Elapsed().Seconds(), "calls/s")
-			h.Close()
+			endpoint.Close()
 		})
 	}
 }
--- a/internal/upstream/call_test.go
+++ b/internal/upstream/call_test.go
@@ -2,11 +2,11 @@
 
 import (
 	"bufio"
-	"bytes"
 	"context"
 	"io"
 	"net"
 	"net/http"
+	"strings"
 	"sync/atomic"
 	"testing"
 	"time"
@@ -17,41 +17,60 @@
 
 func TestOutcomeOfResponse(t *testing.T) { forEachTransport(t, testOutcomeOfResponse) }
 
-func testOutcomeOfResponse(t *testing.T, w *transport) {
-	say := func(text string) func(net.Conn) {
-		return func(c net.Conn) {
-			if upstreamtest.ReadRequest(bufio.NewReader(c)) {
-				io.WriteString(c, text)
-			}
-		}
-	}
-	for name, x := range map[string]struct {
-		serve      func(net.Conn)
+func testOutcomeOfResponse(t *testing.T, tr *transport) {
+	for name, test := range map[string]struct {
+		response   string
 		outcome    policy.Outcome
 		retryAfter policy.Time
 		slots      bool
 		final      bool
 	}{
-		"delivered":          {serve: say("HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok"), outcome: policy.Delivered, final: true},
-		"delivered, cut":     {serve: say("HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nok"), outcome: policy.Delivered, final: true},
-		"error":              {serve: say("HTTP/1.1 500 E\r\nContent-Length: 0\r\n\r\n"), outcome: policy.Failed},
-		"told to wait":       {serve: say("HTTP/1.1 429 W\r\nRetry-After: 0.75\r\nContent-Length: 0\r\n\r\n"), outcome: policy.Rejected, retryAfter: 750000},
-		"full":               {serve: say("HTTP/1.1 503 F\r\nContent-Length: 0\r\n\r\n"), outcome: policy.Rejected},
-		"slots taken":        {serve: say("HTTP/1.1 503 F\r\nSlots-Taken: 1\r\nContent-Length: 0\r\n\r\n"), outcome: policy.NotSent, slots: true},
-		"attempts used up":   {serve: say("HTTP/1.1 504 A\r\nContent-Length: 0\r\n\r\n"), outcome: policy.NotSent},
-		"over":               {serve: say("HTTP/1.1 410 G\r\nContent-Length: 0\r\n\r\n"), outcome: policy.NotSent, final: true},
-		"no page names it":   {serve: say("HTTP/1.1 418 T\r\nContent-Length: 0\r\n\r\n"), outcome: policy.Failed},
-		"no redirect":        {serve: say("HTTP/1.1 307 R\r\nLocation: /x\r\nContent-Length: 0\r\n\r\n"), outcome: policy.Failed},
-		"broken after":       {serve: say(""), outcome: policy.ConnectionReset},
-		"nonsense":           {serve: say("what?\r\n\r\n"), outcome: policy.Failed},
-		"half an answer":     {serve: say("HTTP/1.1 20"), outcome: policy.ConnectionReset},
-		"first a hint, then": {serve: say("HTTP/1.1 100 C\r\n\r\nHTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n"), outcome: policy.Delivered, final: true},
+		"delivered": {
+			response: "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok",
+			outcome:  policy.Delivered, final: true,
+		},
+		"delivered, cut": {
+			response: "HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nok",
+			outcome:  policy.Delivered, final: true,
+		},
+		"error": {response: "HTTP/1.1 500 E\r\nContent-Length: 0\r\n\r\n", outcome: policy.Failed},
+		"told to wait": {
+			response: "HTTP/1.1 429 W\r\nRetry-After: 0.75\r\nContent-Length: 0\r\n\r\n",
+			outcome:  policy.Rejected, retryAfter: 750000,
+		},
+		"full": {response: "HTTP/1.1 503 F\r\nContent-Length: 0\r\n\r\n", outcome: policy.Rejected},
+		"slots taken": {
+			response: "HTTP/1.1 503 F\r\nSlots-Taken: 1\r\nContent-Length: 0\r\n\r\n",
+			outcome:  policy.NotSent, slots: true,
+		},
+		"attempts used up": {response: "HTTP/1.1 504 A\r\nContent-Length: 0\r\n\r\n", outcome: policy.NotSent},
+		"over": {
+			response: "HTTP/1.1 410 G\r\nContent-Length: 0\r\n\r\n",
+			outcome:  policy.NotSent, final: true,
+		},
+		"no status of ours": {response: "HTTP/1.1 418 T\r\nContent-Length: 0\r\n\r\n", outcome: policy.Failed},
+		"no redirect": {
+			response: "HTTP/1.1 307 R\r\nLocation: /x\r\nContent-Length: 0\r\n\r\n",
+			outcome:  policy.Failed,
+		},
+		"broken after":   {response: "", outcome: policy.ConnectionReset},
+		"nonsense":       {response: "what?\r\n\r\n", outcome: policy.Failed},
+		"half an answer": {response: "HTTP/1.1 20", outcome: policy.ConnectionReset},
+		"first a hint, then": {
+			response: "HTTP/1.1 100 C\r\n\r\nHTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n",
+			outcome:  policy.Delivered, final: true,
+		},
 	} {
 		t.Run(name, func(t *testing.T) {
-			h := w.open(testPool(t), w.serve(t, x.serve))
-			o := complete(t, newTestCall(), h, Request{ID: "m", IdempotencyKey: "k", Body: []byte("b"), Timeout: testTimeout})
-			if o.Outcome != x.outcome || o.RetryAfter != x.retryAfter || o.SlotsExhausted != x.slots || o.Final != x.final {
-				t.Errorf("got %+v", o)
+			endpoint := tr.open(testPool(t), tr.serve(t, func(conn net.Conn) {
+				if upstreamtest.ReadRequest(bufio.NewReader(conn)) {
+					respond(conn, test.response)
+				}
+			}))
+			result := callOnce(t, endpoint, Request{ID: "m", IdempotencyKey: "k", Body: []byte("b")})
+			if result.Outcome != test.outcome || result.RetryAfter != test.retryAfter ||
+				result.SlotsExhausted != test.slots || result.Final != test.final {
+				t.Errorf("got %+v", result)
 			}
 		})
 	}
@@ -61,35 +80,39 @@
 // connection never ran, silence after the last byte may have.
 func TestOutcomeWithoutResponse(t *testing.T) { forEachTransport(t, testOutcomeWithoutResponse) }
 
-func testOutcomeWithoutResponse(t *testing.T, w *transport) {
-	p := testPool(t)
-	ln, err := net.Listen("tcp", "127.0.0.1:0")
+func testOutcomeWithoutResponse(t *testing.T, tr *transport) {
+	pool := testPool(t)
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	refused := ln.Addr().String()
-	ln.Close()
-	if o := complete(t, newTestCall(), w.open(p, refused), Request{ID: "m", Timeout: testTimeout}); o.Outcome != policy.ConnectFailed {
-		t.Errorf("refused: %+v", o)
+	refused := listener.Addr().String()
+	_ = listener.Close()
+	if result := callOnce(t, tr.open(pool, refused), Request{ID: "m"}); result.Outcome != policy.ConnectFailed {
+		t.Errorf("refused: %+v", result)
 	}
 	gone := make(chan struct{}, 2)
 	entered := make(chan struct{}, 2)
-	silent := w.serve(t, func(c net.Conn) {
-		in := bufio.NewReader(c)
-		upstreamtest.ReadRequest(in)
+	silent := tr.serve(t, func(conn net.Conn) {
+		reader := bufio.NewReader(conn)
+		upstreamtest.ReadRequest(reader)
 		entered <- struct{}{}
-		in.ReadByte() // until the caller closes
+		awaitByte(reader) // until the caller closes
 		gone <- struct{}{}
 	})
-	if o := complete(t, newTestCall(), w.open(p, silent), Request{ID: "m", Timeout: 50 * time.Millisecond}); o.Outcome != policy.TimedOut {
-		t.Errorf("silent: %+v", o)
+	if result := callOnce(
+		t,
+		tr.open(pool, silent),
+		Request{ID: "m", Timeout: 50 * time.Millisecond},
+	); result.Outcome != policy.TimedOut {
+		t.Errorf("silent: %+v", result)
 	}
 	<-entered
 	<-gone // giving up closes the connection
-	c := newTestCall()
-	go func() { <-entered; c.Cancel() }()
-	if o := complete(t, c, w.open(p, silent), Request{ID: "m", Timeout: testTimeout}); o.Outcome != policy.Cancelled {
-		t.Errorf("cancelled: %+v", o)
+	call := newTestCall()
+	go func() { <-entered; call.Cancel() }()
+	if result := complete(t, call, tr.open(pool, silent), Request{ID: "m"}); result.Outcome != policy.Cancelled {
+		t.Errorf("cancelled: %+v", result)
 	}
 	<-gone
 }
@@ -98,34 +121,37 @@
 // connection breaks under it.
 func TestNoAutomaticRetry(t *testing.T) { forEachTransport(t, testNoAutomaticRetry) }
 
-func testNoAutomaticRetry(t *testing.T, w *transport) {
+func testNoAutomaticRetry(t *testing.T, tr *transport) {
 	for name, body := range map[string][]byte{"body": []byte("b"), "empty body": nil} {
 		t.Run(name, func(t *testing.T) {
 			var calls atomic.Int32
-			addr := w.serve(t, func(c net.Conn) {
-				in := bufio.NewReader(c)
-				for upstreamtest.ReadRequest(in) {
+			addr := tr.serve(t, func(conn net.Conn) {
+				reader := bufio.NewReader(conn)
+				for upstreamtest.ReadRequest(reader) {
 					if calls.Add(1) == 2 {
 						return // the second call on a kept connection breaks
 					}
-					io.WriteString(c, "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n")
+					respond(conn, "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n")
 				}
 			})
-			h := w.open(testPool(t), addr)
+			endpoint := tr.open(testPool(t), addr)
 			request := Request{ID: "m", IdempotencyKey: "k", Body: body, Timeout: testTimeout}
-			if o := complete(t, newTestCall(), h, request); o.Outcome != policy.Delivered {
-				t.Fatalf("first: %+v", o)
+			if result := callOnce(t, endpoint, request); result.Outcome != policy.Delivered {
+				t.Fatalf("first: %+v", result)
 			}
-			waitReusable(h)
-			if o := complete(t, newTestCall(), h, request); o.Outcome != policy.ConnectionReset {
-				t.Errorf("second: %+v", o)
+			waitReusable(endpoint)
+			if result := callOnce(t, endpoint, request); result.Outcome != policy.ConnectionReset {
+				t.Errorf("second: %+v", result)
 			}
 			if n := calls.Load(); n != 2 {
 				t.Errorf("the endpoint saw %d calls, want 2", n)
 			}
 		})
 	}
-	req, err := newCallRequest("127.0.0.1:1", &Request{ID: "m", IdempotencyKey: "k", Body: []byte("b"), Timeout: time.Second})
+	req, err := newCallRequest(
+		"127.0.0.1:1",
+		&Request{ID: "m", IdempotencyKey: "k", Body: []byte("b"), Timeout: time.Second},
+	)
 	if err != nil || req.GetBody != nil {
 		t.Errorf("request can be rewound: GetBody %v, err %v", req.GetBody != nil, err)
 	}
@@ -134,28 +160,29 @@
 // Guards the drain grace: a call that waits for its connection when the word
 // of a drain comes must not begin when the connection is there at last.
 func TestDrainStopsWaitingCall(t *testing.T) {
-	ep := newCountingEndpoint(t, http.StatusOK)
-	p := testPool(t)
+	server := newCountingEndpoint(t, http.StatusOK)
+	pool := testPool(t)
 	dialing, release := make(chan struct{}), make(chan struct{})
-	h := openPlain(p, ep.address)
-	h.dial = func(ctx context.Context, addr string) (net.Conn, error) {
+	endpoint := openPlain(pool, server.address)
+	endpoint.dial = func(ctx context.Context, addr string) (net.Conn, error) {
 		close(dialing)
 		<-release
 		return net.Dial("tcp", addr)
 	}
-	c := newTestCall()
-	go func() { <-dialing; h.Close(); close(release) }()
-	if o := complete(t, c, h, Request{ID: "m", Timeout: testTimeout}); o.Outcome != policy.NotSent {
-		t.Errorf("got %+v", o)
+	call := newTestCall()
+	go func() { <-dialing; endpoint.Close(); close(release) }()
+	if result := complete(t, call, endpoint, Request{ID: "m"}); result.Outcome != policy.NotSent {
+		t.Errorf("got %+v", result)
 	}
-	if n := ep.count("m"); n != 0 {
+	if n := server.count("m"); n != 0 {
 		t.Errorf("the call went out %d times", n)
 	}
 	// The word may also come just as the connection does.
-	h = openPlain(p, ep.address)
-	h.Close()
-	if o := complete(t, newTestCall(), h, Request{ID: "late", Timeout: testTimeout}); o.Outcome != policy.NotSent || ep.count("late") != 0 {
-		t.Errorf("got %+v, and %d calls", o, ep.count("late"))
+	endpoint = openPlain(pool, server.address)
+	endpoint.Close()
+	result := callOnce(t, endpoint, Request{ID: "late"})
+	if result.Outcome != policy.NotSent || server.count("late") != 0 {
+		t.Errorf("got %+v, and %d calls", result, server.count("late"))
 	}
 }
 
@@ -163,37 +190,37 @@
 // their end and more than two connections are kept after a burst.
 func TestConnectionReuse(t *testing.T) { forEachTransport(t, testConnectionReuse) }
 
-func testConnectionReuse(t *testing.T, w *transport) {
+func testConnectionReuse(t *testing.T, tr *transport) {
 	var conns atomic.Int32
 	const burst = 6
 	together := make(chan struct{}, burst)
-	addr := w.serve(t, func(c net.Conn) {
+	addr := tr.serve(t, func(conn net.Conn) {
 		conns.Add(1)
-		in := bufio.NewReader(c)
-		for upstreamtest.ReadRequest(in) {
+		reader := bufio.NewReader(conn)
+		for upstreamtest.ReadRequest(reader) {
 			together <- struct{}{}
 			for len(together) < burst { // all of a burst are out at once
 				time.Sleep(time.Millisecond)
 			}
-			io.Copy(c, bytes.NewReader(append([]byte("HTTP/1.1 200 OK\r\nContent-Length: 9000\r\n\r\n"), make([]byte, 9000)...)))
+			respond(conn, "HTTP/1.1 200 OK\r\nContent-Length: 9000\r\n\r\n"+strings.Repeat("\x00", 9000))
 		}
 	})
-	h := w.open(testPool(t), addr)
+	endpoint := tr.open(testPool(t), addr)
 	for round := range 2 {
 		done, ended := make(chan Result, burst), make(chan bool, burst)
 		for range burst {
 			go func() {
-				newTestCall().Do(h, Request{ID: "m", Timeout: testTimeout}, func(o Result) { done <- o })
+				start(endpoint, Request{ID: "m"}, done)
 				ended <- true
 			}()
 		}
 		for range burst {
-			if o := <-done; o.Outcome != policy.Delivered {
-				t.Fatalf("round %d: %+v", round, o)
+			if result := <-done; result.Outcome != policy.Delivered {
+				t.Fatalf("round %d: %+v", round, result)
 			}
 			<-ended
 		}
-		waitReusable(h)
+		waitReusable(endpoint)
 		for len(together) > 0 {
 			<-together
 		}
@@ -204,7 +231,10 @@
 }
 
 func TestParseRetryAfter(t *testing.T) {
-	for s, want := range map[string]policy.Time{"1.5": 1500000, " 2 ": 2000000, "": 0, "0": 0, "soon": -1, "-1": -1, "NaN": -1, "Inf": -1, "1e99": -1} {
+	for s, want := range map[string]policy.Time{
+		"1.5": 1500000, " 2 ": 2000000, "": 0, "0": 0,
+		"soon": -1, "-1": -1, "NaN": -1, "Inf": -1, "1e99": -1,
+	} {
 		got, err := parseRetryAfter(s)
 		if (err != nil) != (want < 0) || err == nil && got != want {
 			t.Errorf("%q: %d, %v, want %d", s, got, err, want)
@@ -214,7 +244,10 @@
 
 func TestParseLoad(t *testing.T) {
 	fields := []string{"x0", "x1"}
-	for s, want := range map[string]policy.LoadReport{"x0=0.4,x1=25": {Remaining: 0.4, Limit: 25}, "x1=3": {Limit: 3}, "": {}, "x0=?,x1=-2": {}, "x1=NaN": {}, "x1=Inf,x0=+Inf": {}, "x1=1e300": {}} {
+	for s, want := range map[string]policy.LoadReport{
+		"x0=0.4,x1=25": {Remaining: 0.4, Limit: 25}, "x1=3": {Limit: 3}, "": {},
+		"x0=?,x1=-2": {}, "x1=NaN": {}, "x1=Inf,x0=+Inf": {}, "x1=1e300": {},
+	} {
 		if got := parseLoad(s, fields); got != want {
 			t.Errorf("%q: %+v", s, got)
 		}
@@ -226,9 +259,9 @@
 
 func TestCheckHealth(t *testing.T) {
 	for code, want := range map[int]policy.Outcome{200: policy.Delivered, 503: policy.Rejected, 404: policy.Failed} {
-		ep := newCountingEndpoint(t, code)
-		if o := openPlain(testPool(t), ep.address).CheckHealth(context.Background()); o.Outcome != want {
-			t.Errorf("%d: %+v", code, o)
+		server := newCountingEndpoint(t, code)
+		if result := openPlain(testPool(t), server.address).CheckHealth(context.Background()); result.Outcome != want {
+			t.Errorf("%d: %+v", code, result)
 		}
 	}
 }
@@ -239,36 +272,35 @@
 func TestRetryInsideDedupWindow(t *testing.T) {
 	for name, up := range map[string]policy.Time{"in time": 999, "late": 1001} {
 		for _, at := range []string{"before the first byte", "before the last byte"} {
-			ep := newCountingEndpoint(t, http.StatusOK)
-			p := testPool(t)
+			server := newCountingEndpoint(t, http.StatusOK)
+			pool := testPool(t)
 			var now atomic.Int64
-			p.now = now.Load
-			h := openPlain(p, ep.address)
-			c := newTestCall()
-			c.sendBy = 1000
+			pool.now = now.Load
+			endpoint := openPlain(pool, server.address)
+			call := NewCall(context.Background(), CallOptions{SendBy: 1000})
+			dial := endpoint.dial
 			if at == "before the first byte" {
-				dial := h.dial
-				h.dial = func(ctx context.Context, addr string) (net.Conn, error) {
+				endpoint.dial = func(ctx context.Context, addr string) (net.Conn, error) {
 					conn, err := dial(ctx, addr) // it comes up as the clock has gone on
 					now.Store(up)
 					return conn, err
 				}
 			} else {
-				dial := h.dial
-				h.dial = func(ctx context.Context, addr string) (net.Conn, error) {
+				endpoint.dial = func(ctx context.Context, addr string) (net.Conn, error) {
 					conn, err := dial(ctx, addr)
 					return &firstWriteConn{conn.(*net.TCPConn), func() { now.Store(up) }}, err
 				}
 			}
-			o := complete(t, c, h, Request{ID: "m", IdempotencyKey: "k", Timeout: testTimeout})
+			result := complete(t, call, endpoint, Request{ID: "m", IdempotencyKey: "k"})
 			want, calls := policy.Delivered, 1
 			if name == "late" {
 				want, calls = policy.NotSent, 0
 			}
-			if o.Outcome != want || ep.count("m") != calls {
-				t.Errorf("%s, %s: outcome %d (%v), %d calls at the endpoint", name, at, o.Outcome, o.Err, ep.count("m"))
+			if result.Outcome != want || server.count("m") != calls {
+				t.Errorf("%s, %s: outcome %d (%v), %d calls at the endpoint",
+					name, at, result.Outcome, result.Err, server.count("m"))
 			}
-			if !o.Outcome.NeverRan() && calls == 0 {
+			if !result.Outcome.NeverRan() && calls == 0 {
 				t.Errorf("%s, %s: held to have run", name, at)
 			}
 		}
@@ -290,19 +322,18 @@
 	return n, err
 }
 
-// A connection is not taken when its endpoint, which counts from when it wrote its
 // A connection is not taken when its endpoint, which counts from when it wrote its
 // answer and closes by its own clock, may close it before the next call is there:
 // two ways of 60 ms and a late turn, also where it keeps connections for a second.
 func TestIdleTimeoutBeforeKeepAlive(t *testing.T) {
 	for _, keep := range []time.Duration{600 * time.Millisecond, time.Second, 2 * time.Second, 10 * time.Second} {
-		p := NewPool(PoolOptions{ConnectTimeout: time.Second, IdleTimeout: keep - IdleMargin(keep), MaxConns: 4})
+		pool := NewPool(PoolOptions{ConnectTimeout: time.Second, IdleTimeout: keep - IdleMargin(keep), MaxConns: 4})
 		now := time.Now()
 		c := &poolConn{idleSince: now}
-		if !p.expired(c, now.Add(keep-200*time.Millisecond)) {
+		if !pool.expired(c, now.Add(keep-200*time.Millisecond)) {
 			t.Errorf("%v: taken 200 ms before its endpoint closes it", keep)
 		}
-		if p.expired(c, now.Add(keep/2)) {
+		if pool.expired(c, now.Add(keep/2)) {
 			t.Errorf("%v: not taken after half of its time", keep)
 		}
 	}
@@ -316,9 +347,13 @@
 	forEachTransport(t, testResultAfterConnectionClosed)
 }
 
-func testResultAfterConnectionClosed(t *testing.T, w *transport) {
-	const head = "HTTP/1.1 500 E\r\nContent-Length: 60000\r\n\r\n"
-	for _, x := range []struct {
+func testResultAfterConnectionClosed(t *testing.T, tr *transport) {
+	const (
+		head       = "HTTP/1.1 500 E\r\nContent-Length: 60000\r\n\r\n"
+		chunked    = "HTTP/1.1 500 E\r\nTransfer-Encoding: chunked\r\n\r\n"
+		unreadable = "HTTP/1.1 429 W\r\nRetry-After: soon\r\nContent-Length: 0\r\n\r\n"
+	)
+	for _, test := range []struct {
 		name   string
 		says   string
 		more   string // again and again
@@ -329,42 +364,42 @@
 		{"timed out", "", "", 50 * time.Millisecond, false, policy.TimedOut},
 		{"called off", "", "", testTimeout, true, policy.Cancelled},
 		{"stops in the middle", head, "", testTimeout, false, policy.Failed},
-		{"never ends", "HTTP/1.1 500 E\r\nTransfer-Encoding: chunked\r\n\r\n", "1\r\nx\r\n", testTimeout, false, policy.Failed},
+		{"never ends", chunked, "1\r\nx\r\n", testTimeout, false, policy.Failed},
 		{"nonsense", "what is this?\r\n", "", testTimeout, false, policy.Failed},
-		{"a wait that cannot be read", "HTTP/1.1 429 W\r\nRetry-After: soon\r\nContent-Length: 0\r\n\r\n", "", testTimeout, false, policy.Failed},
+		{"a wait that cannot be read", unreadable, "", testTimeout, false, policy.Failed},
 	} {
-		t.Run(x.name, func(t *testing.T) {
+		t.Run(test.name, func(t *testing.T) {
 			came, over := make(chan struct{}), make(chan struct{})
-			h := w.open(testPool(t), w.serve(t, func(c net.Conn) {
+			endpoint := tr.open(testPool(t), tr.serve(t, func(conn net.Conn) {
 				defer close(over)
-				in := bufio.NewReader(c)
-				if !upstreamtest.ReadRequest(in) {
+				reader := bufio.NewReader(conn)
+				if !upstreamtest.ReadRequest(reader) {
 					return
 				}
 				close(came)
-				io.WriteString(c, x.says)
-				for x.more != "" {
-					if _, err := io.WriteString(c, x.more); err != nil {
+				respond(conn, test.says)
+				for test.more != "" {
+					if _, err := io.WriteString(conn, test.more); err != nil {
 						return
 					}
 				}
-				io.Copy(io.Discard, in) // until it ends
+				waitClosed(reader) // until it ends
 			}))
-			c := newTestCall()
-			if x.cancel {
-				go func() { <-came; c.Cancel() }()
+			call := newTestCall()
+			if test.cancel {
+				go func() { <-came; call.Cancel() }()
 			}
-			told := make(chan Result, 1)
-			c.Do(h, Request{ID: "m", IdempotencyKey: "k", Timeout: x.limit}, func(o Result) {
+			results := make(chan Result, 1)
+			call.Do(endpoint, Request{ID: "m", IdempotencyKey: "k", Timeout: test.limit}, func(result Result) {
 				select {
 				case <-over:
 				case <-time.After(2 * time.Second):
 					t.Error("told while its connection was open")
 				}
-				told <- o
+				results <- result
 			})
-			if o := <-told; o.Outcome != x.want {
-				t.Errorf("outcome %d, want %d: %v", o.Outcome, x.want, o.Err)
+			if result := <-results; result.Outcome != test.want {
+				t.Errorf("outcome %d, want %d: %v", result.Outcome, test.want, result.Err)
 			}
 		})
 	}
--- a/internal/upstream/conn.go
+++ b/internal/upstream/conn.go
@@ -137,13 +137,17 @@
 // There is a delay before the last byte: a connection that its endpoint has dropped
 // in silence, or drops now, is reset as soon as anything reaches it, and shows so
 // while it is still certain that the call has not run.
-func (c *poolConn) writeRequest(ctx context.Context, permit *sendgate.Permit, request []byte) (untouched bool, err error) {
+func (c *poolConn) writeRequest(
+	ctx context.Context,
+	permit *sendgate.Permit,
+	request []byte,
+) (untouched bool, err error) {
 	pool := c.endpoint.pool
 	last := len(request) - 1
 	if err := permit.AllowFirstByte(pool.now()); err != nil {
 		return true, err
 	}
-	if _, err := c.Conn.Write(request[:last]); err != nil {
+	if _, err := c.Write(request[:last]); err != nil {
 		return false, err
 	}
 	if err := c.awaitNothing(ctx, pool.staleCheckDelay); err != nil {
@@ -153,7 +157,7 @@
 	if err := cmp.Or(ctx.Err(), permit.AllowLastByte(pool.now())); err != nil {
 		return false, err
 	}
-	_, err = c.Conn.Write(request[last:])
+	_, err = c.Write(request[last:])
 	return false, err
 }
 
--- a/internal/upstream/golden_test.go
+++ b/internal/upstream/golden_test.go
@@ -5,7 +5,6 @@
 	"bytes"
 	"context"
 	"encoding/json"
-	"io"
 	"net"
 	"os"
 	"path/filepath"
@@ -55,28 +54,28 @@
 func TestGoldenRequestBytes(t *testing.T) {
 	const address = "endpoint.example.org:8080" // the Host header is part of the file
 	body := []byte("{\"amount\":12}\x00\xff\r\n")
-	callWith := func(id, key string, body []byte, limit time.Duration) func(h *Endpoint) {
-		return func(h *Endpoint) {
-			newTestCall().Do(h, Request{ID: id, IdempotencyKey: key, Body: body, Timeout: limit}, func(Result) {})
+	callWith := func(id, key string, body []byte, limit time.Duration) func(endpoint *Endpoint) {
+		return func(endpoint *Endpoint) {
+			callOnce(t, endpoint, Request{ID: id, IdempotencyKey: key, Body: body, Timeout: limit})
 		}
 	}
-	for name, send := range map[string]func(h *Endpoint){
+	for name, send := range map[string]func(endpoint *Endpoint){
 		"call-with-key.request":     callWith("m-0000017", "5c0f6e1a2b3d4c59", body, 1500*time.Millisecond),
 		"call-without-key.request":  callWith("m-0000018", "", body, 20*time.Second),
 		"call-without-body.request": callWith("m-0000019", "k", nil, 999500*time.Microsecond),
-		"health-check.request":      func(h *Endpoint) { h.CheckHealth(context.Background()) },
+		"health-check.request":      func(endpoint *Endpoint) { endpoint.CheckHealth(context.Background()) },
 	} {
 		t.Run(name, func(t *testing.T) {
-			server := upstreamtest.ServeTCP(t, func(c net.Conn) {
-				if upstreamtest.ReadRequest(bufio.NewReader(c)) {
-					io.WriteString(c, upstreamtest.OKResponse)
+			server := upstreamtest.ServeTCP(t, func(peer net.Conn) {
+				if upstreamtest.ReadRequest(bufio.NewReader(peer)) {
+					respond(peer, upstreamtest.OKResponse)
 				}
 			})
 			var written bytes.Buffer
-			p := testPool(t)
-			p.staleCheckDelay = time.Microsecond
-			h := openPlain(p, address)
-			h.dial = func(_ context.Context, addr string) (net.Conn, error) {
+			pool := testPool(t)
+			pool.staleCheckDelay = time.Microsecond
+			endpoint := openPlain(pool, address)
+			endpoint.dial = func(_ context.Context, addr string) (net.Conn, error) {
 				if addr != address {
 					t.Errorf("dialled %q", addr)
 				}
@@ -86,7 +85,7 @@
 				}
 				return &recordingConn{TCPConn: conn.(*net.TCPConn), written: &written}, nil
 			}
-			send(h)
+			send(endpoint)
 			compare(t, name, written.Bytes())
 		})
 	}
@@ -121,35 +120,44 @@
 	Reusable   bool    `json:"reusable"` // the connection
 }
 
-var outcomeNames = map[policy.Outcome]string{policy.Delivered: "delivered", policy.Failed: "failed", policy.Rejected: "rejected",
-	policy.TimedOut: "timed out", policy.ConnectFailed: "connect failed", policy.ConnectionReset: "reset", policy.Cancelled: "cancelled", policy.NotSent: "not sent"}
+var outcomeNames = map[policy.Outcome]string{
+	policy.Delivered:       "delivered",
+	policy.Failed:          "failed",
+	policy.Rejected:        "rejected",
+	policy.TimedOut:        "timed out",
+	policy.ConnectFailed:   "connect failed",
+	policy.ConnectionReset: "reset",
+	policy.Cancelled:       "cancelled",
+	policy.NotSent:         "not sent",
+}
 
 // answered has a recorded answer read as that to a call.
 func answered(t *testing.T, answer string) recordedAnswer {
 	t.Helper()
 	here, there := net.Pipe()
 	go func() {
-		io.WriteString(there, answer)
-		there.Close()
+		respond(there, answer)
+		_ = there.Close()
 	}()
-	p := testPool(t)
-	p.now = func() policy.Time { return 1000 }
-	h := openPlain(p, "endpoint.example.org:8080")
-	p.open++
-	conn := newPoolConn(h, here)
+	pool := testPool(t)
+	pool.now = func() policy.Time { return 1000 }
+	endpoint := openPlain(pool, "endpoint.example.org:8080")
+	pool.open++
+	conn := newPoolConn(endpoint, here)
 	defer conn.discard()
-	req, err := newCallRequest(h.address, &Request{ID: "m", IdempotencyKey: "k", Timeout: time.Second})
+	req, err := newCallRequest(endpoint.address, &Request{ID: "m", IdempotencyKey: "k", Timeout: time.Second})
 	if err != nil {
 		t.Fatal(err)
 	}
 	got := recordedAnswer{Answer: answer}
-	got.Reusable = readResponse(conn, req, []string{"x0", "x1"}, func(o Result) {
+	got.Reusable = readResponse(conn, req, []string{"x0", "x1"}, func(result Result) {
 		got.Outcomes++
-		got.Outcome, got.Status, got.RetryAfter, got.Slots = outcomeNames[o.Outcome], o.Status, o.RetryAfter, o.SlotsExhausted
-		got.Over, got.Malformed, got.Error = o.Final, o.Malformed, o.Err != nil
-		got.LoadLeft, got.LoadLimit = o.Load.Remaining, o.Load.Limit
+		got.Outcome, got.Status = outcomeNames[result.Outcome], result.Status
+		got.RetryAfter, got.Slots = result.RetryAfter, result.SlotsExhausted
+		got.Over, got.Malformed, got.Error = result.Final, result.Malformed, result.Err != nil
+		got.LoadLeft, got.LoadLimit = result.Load.Remaining, result.Load.Limit
 	})
-	got.Hold = h.RetryAfter()
+	got.Hold = endpoint.RetryAfter()
 	return got
 }
 
@@ -176,8 +184,17 @@
 // TestGoldenErrorTexts compares the texts of errors that go into message traces.
 func TestGoldenErrorTexts(t *testing.T) {
 	got := []string{}
-	for _, err := range []error{sendgate.ErrEndpointDraining, sendgate.RetryAfterError{Remaining: 1234567}, sendgate.ErrDedupWindowExpired, errPoolFull, errResponseTooLarge, errStaleConn, ErrCancelled, errConnectNotAllowed,
-		handshakeBudgetError{1234567 * time.Microsecond}} {
+	for _, err := range []error{
+		sendgate.ErrEndpointDraining,
+		sendgate.RetryAfterError{Remaining: 1234567},
+		sendgate.ErrDedupWindowExpired,
+		errPoolFull,
+		errResponseTooLarge,
+		errStaleConn,
+		ErrCancelled,
+		errConnectNotAllowed,
+		handshakeBudgetError{1234567 * time.Microsecond},
+	} {
 		got = append(got, err.Error())
 		if refusal := sendgate.IsRefusal(err); refusal != (len(got) <= 3) {
 			t.Errorf("%v is a refusal of the send gate: %v", err, refusal)
--- a/internal/upstream/helpers_test.go
+++ b/internal/upstream/helpers_test.go
@@ -22,55 +22,80 @@
 
 func newTestPool(maxConns int) *Pool {
 	start := time.Now()
-	return NewPool(PoolOptions{ConnectTimeout: 1500 * time.Millisecond, IdleTimeout: 9 * time.Second, MaxConns: maxConns,
-		Now: func() policy.Time { return elapsedSince(start) }})
+	return NewPool(PoolOptions{
+		ConnectTimeout: 1500 * time.Millisecond,
+		IdleTimeout:    9 * time.Second,
+		MaxConns:       maxConns,
+		Now:            func() policy.Time { return elapsedSince(start) },
+	})
 }
 
 // testPool returns a pool; what it holds open at the end of the test is a leak.
 func testPool(t *testing.T) *Pool {
 	t.Helper()
-	p := newTestPool(64)
+	pool := newTestPool(64)
 	t.Cleanup(func() {
-		p.CloseIdle()
-		if open, _ := p.counts(); open != 0 {
+		pool.CloseIdle()
+		if open, _ := pool.counts(); open != 0 {
 			t.Errorf("%d connections left open", open)
 		}
 	})
-	return p
+	return pool
 }
 
 // openPlain opens an endpoint without TLS, with a scope of its own.
-func openPlain(p *Pool, address string) *Endpoint {
-	return p.newEndpoint(address, new(sendgate.Scope).Gate())
+func openPlain(pool *Pool, address string) *Endpoint {
+	return pool.newEndpoint(address, new(sendgate.Scope).Gate())
 }
 
 // openTLS opens an endpoint that is reached by the rule of a site.
-func openTLS(p *Pool, site *upstreamtest.TLSSite, address string) *Endpoint {
-	p.tls = site.Dialer
-	return p.OpenEndpoint(EndpointOptions{ID: policy.EndpointID(site.NextEndpoint()), Address: address, Dest: 1, Flavor: "k",
-		IndependentRoute: true})
+func openTLS(pool *Pool, site *upstreamtest.TLSSite, address string) *Endpoint {
+	pool.tls = site.Dialer
+	return pool.OpenEndpoint(EndpointOptions{
+		ID:               policy.EndpointID(site.NextEndpoint()),
+		Address:          address,
+		Dest:             1,
+		Flavor:           "k",
+		IndependentRoute: true,
+	})
 }
 
-// complete makes a call to its end and returns its one result.
-func complete(t *testing.T, c *Call, h *Endpoint, request Request) Result {
+// complete makes a call to its end and returns its one result. A request without a
+// timeout has the tests' own.
+func complete(t *testing.T, call *Call, endpoint *Endpoint, request Request) Result {
 	t.Helper()
+	if request.Timeout == 0 {
+		request.Timeout = testTimeout
+	}
 	reported := make(chan Result, 4)
-	c.Do(h, request, func(result Result) { reported <- result })
+	call.Do(endpoint, request, func(result Result) { reported <- result })
 	if len(reported) != 1 {
 		t.Fatalf("%d results reported, want 1", len(reported))
 	}
 	return <-reported
 }
 
+// callOnce makes a new call to its end and returns its one result.
+func callOnce(t *testing.T, endpoint *Endpoint, request Request) Result {
+	t.Helper()
+	return complete(t, newTestCall(), endpoint, request)
+}
+
+// start makes a new call and sends its result to a channel.
+func start(endpoint *Endpoint, request Request, results chan<- Result) {
+	request.Timeout = testTimeout
+	newTestCall().Do(endpoint, request, func(result Result) { results <- result })
+}
+
 // waitReusable waits until every idle connection has rested for long enough.
-func waitReusable(h *Endpoint) {
+func waitReusable(endpoint *Endpoint) {
 	for {
-		h.pool.mu.Lock()
+		endpoint.pool.mu.Lock()
 		ready := true
-		for _, c := range h.pool.idle {
+		for _, c := range endpoint.pool.idle {
 			ready = ready && time.Since(c.idleSince) >= reuseDelay
 		}
-		h.pool.mu.Unlock()
+		endpoint.pool.mu.Unlock()
 		if ready {
 			return
 		}
@@ -97,7 +122,7 @@
 }
 
 // forEachTransport runs a test over every transport.
-func forEachTransport(t *testing.T, test func(t *testing.T, w *transport)) {
+func forEachTransport(t *testing.T, test func(t *testing.T, tr *transport)) {
 	t.Run("plain", func(t *testing.T) { test(t, &transport{}) })
 	for name, version := range map[string]uint16{"tls 1.2": tls.VersionTLS12, "tls 1.3": tls.VersionTLS13} {
 		t.Run(name, func(t *testing.T) {
@@ -110,27 +135,27 @@
 }
 
 // serve serves connections by hand.
-func (w *transport) serve(t testing.TB, serve func(net.Conn)) string {
+func (tr *transport) serve(t testing.TB, serve func(net.Conn)) string {
 	t.Helper()
-	if w.site == nil {
+	if tr.site == nil {
 		return upstreamtest.ServeTCP(t, serve)
 	}
-	return upstreamtest.ServeTLS(t, w.config, serve)
+	return upstreamtest.ServeTLS(t, tr.config, serve)
 }
 
-func (w *transport) open(p *Pool, address string) *Endpoint {
-	if w.site == nil {
-		return openPlain(p, address)
+func (tr *transport) open(pool *Pool, address string) *Endpoint {
+	if tr.site == nil {
+		return openPlain(pool, address)
 	}
-	return openTLS(p, w.site, address)
+	return openTLS(pool, tr.site, address)
 }
 
 // tcpConnOf returns the TCP connection below one that an endpoint serves.
-func tcpConnOf(c net.Conn) *net.TCPConn {
-	if s, ok := c.(*tls.Conn); ok {
-		return s.NetConn().(*net.TCPConn)
+func tcpConnOf(conn net.Conn) *net.TCPConn {
+	if secured, ok := conn.(*tls.Conn); ok {
+		return secured.NetConn().(*net.TCPConn)
 	}
-	return c.(*net.TCPConn)
+	return conn.(*net.TCPConn)
 }
 
 // countingEndpoint answers requests with a status and counts them by message.
@@ -162,3 +187,24 @@
 	defer e.mu.Unlock()
 	return e.calls[id]
 }
+
+// What an endpoint of a test sends may come too late for a call that has ended. So
+// the helpers below have no error: what arrives shows in the call's result.
+
+// send writes bytes.
+func send(conn net.Conn, text []byte) { _, _ = conn.Write(text) }
+
+// respond writes a response, or a part of one.
+func respond(conn net.Conn, text string) { send(conn, []byte(text)) }
+
+// receive reads once what has come.
+func receive(conn net.Conn) { _, _ = conn.Read(make([]byte, 4096)) }
+
+// awaitByte waits for a byte, or the end of the connection.
+func awaitByte(reader io.ByteReader) { _, _ = reader.ReadByte() }
+
+// waitClosed reads on until the connection ends.
+func waitClosed(reader io.Reader) { _, _ = io.Copy(io.Discard, reader) }
+
+// resetOnClose has the close of an endpoint's connection reset it.
+func resetOnClose(conn net.Conn) { _ = tcpConnOf(conn).SetLinger(0) }
--- a/internal/upstream/pool.go
+++ b/internal/upstream/pool.go
@@ -127,7 +127,7 @@
 
 // closeLocked closes a connection and frees its place. The caller holds the lock.
 func (p *Pool) closeLocked(c *poolConn) {
-	_ = c.Conn.Close() // whatever it says, the connection is given up
+	_ = c.Close() // whatever it says, the connection is given up
 	p.open--
 	c.endpoint.notifyWaiters()
 }
@@ -194,9 +194,14 @@
 
 func (p *Pool) newEndpoint(address string, gate *sendgate.Gate) *Endpoint {
 	dialer := &net.Dialer{Timeout: p.connectTimeout, KeepAlive: -1}
-	return &Endpoint{pool: p, gate: gate, address: address, dial: func(ctx context.Context, address string) (net.Conn, error) {
-		return dialer.DialContext(ctx, "tcp", address)
-	}}
+	return &Endpoint{
+		pool:    p,
+		gate:    gate,
+		address: address,
+		dial: func(ctx context.Context, address string) (net.Conn, error) {
+			return dialer.DialContext(ctx, "tcp", address)
+		},
+	}
 }
 
 // scope returns the send gate's scope of a destination or a route. It outlasts the
--- a/internal/upstream/pool_test.go
+++ b/internal/upstream/pool_test.go
@@ -15,77 +15,124 @@
 	"troutusher/policy"
 )
 
-const fine = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok"
-
 // Guards what is believed of an answer. A spoilt one is that of a call that
 // may have run, whatever its first line says, unless that says 200; and no
 // answer is read for longer than it may be or take.
 func TestMalformedResponses(t *testing.T) { forEachTransport(t, testMalformedResponses) }
 
-func testMalformedResponses(t *testing.T, w *transport) {
+func testMalformedResponses(t *testing.T, tr *transport) {
+	const interim = "HTTP/1.1 100 C\r\n\r\nHTTP/1.1 103 E\r\nLink: x\r\n\r\nHTTP/1.1 102 P\r\n\r\n"
 	long := strings.Repeat("x", 8000)
-	for name, x := range map[string]struct {
+	for name, test := range map[string]struct {
 		answer  string
 		goes    bool // the endpoint goes on sending
 		outcome policy.Outcome
 		final   bool
 		keeps   bool
 	}{
-		"refusal with a short body":     {answer: "HTTP/1.1 503 F\r\nContent-Length: 9\r\n\r\nno", outcome: policy.Failed},
-		"told to wait with a bad time":  {answer: "HTTP/1.1 429 W\r\nRetry-After: -3\r\nContent-Length: 0\r\n\r\n", outcome: policy.Failed},
-		"over, head without end":        {answer: "HTTP/1.1 410 G\r\nContent-Le", outcome: policy.Failed},
-		"not sent, two lengths":         {answer: "HTTP/1.1 504 A\r\nContent-Length: 0\r\nContent-Length: 5\r\n\r\n", outcome: policy.Failed},
-		"refusal, length no number":     {answer: "HTTP/1.1 503 F\r\nContent-Length: many\r\n\r\n", outcome: policy.Failed},
-		"refusal, negative length":      {answer: "HTTP/1.1 503 F\r\nContent-Length: -1\r\n\r\n", outcome: policy.Failed},
-		"refusal of 3 GB":               {answer: "HTTP/1.1 503 F\r\nContent-Length: 3221225472\r\n\r\n", goes: true, outcome: policy.Failed},
-		"refusal, endless head":         {answer: "HTTP/1.1 503 F\r\n", goes: true, outcome: policy.Failed},
-		"refusal, chunks cut":           {answer: "HTTP/1.1 503 F\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nab", outcome: policy.Failed},
-		"noise":                         {answer: "\x00\xff\x13noise\x00", outcome: policy.Failed},
-		"noise with a line":             {answer: "\x00\xffnoise\r\nHTTP/1.1 503 F\r\n\r\n", outcome: policy.Failed},
-		"endless line":                  {answer: "HTTP/1.1 503 " + long, goes: true, outcome: policy.Failed},
-		"not quite a code":              {answer: "HTTP/1.1 2000 OK\r\nContent-Length: 0\r\n\r\n", outcome: policy.Failed},
-		"another protocol":              {answer: "HTTP/2.0 200 OK\r\nContent-Length: 0\r\n\r\n", outcome: policy.Failed},
-		"delivered, 3 GB":               {answer: "HTTP/1.1 200 OK\r\nContent-Length: 3221225472\r\n\r\n", goes: true, outcome: policy.Delivered, final: true},
-		"delivered, head without end":   {answer: "HTTP/1.1 200 OK\r\nX-", outcome: policy.Delivered, final: true},
-		"delivered, noise for a head":   {answer: "HTTP/1.1 200 OK\r\n\x00\x01\xff", outcome: policy.Delivered, final: true},
-		"delivered, bad length":         {answer: "HTTP/1.1 200 OK\r\nContent-Length: -7\r\n\r\n", outcome: policy.Delivered, final: true},
-		"several hints":                 {answer: "HTTP/1.1 100 C\r\n\r\nHTTP/1.1 103 E\r\nLink: x\r\n\r\nHTTP/1.1 102 P\r\n\r\n" + upstreamtest.OKResponse, outcome: policy.Delivered, final: true, keeps: true},
-		"hints without end":             {answer: strings.Repeat("HTTP/1.1 100 C\r\n\r\n", 500), outcome: policy.Failed},
-		"a hint, then nothing":          {answer: "HTTP/1.1 103 E\r\n", outcome: policy.Failed},
-		"refusal, then a copy behind":   {answer: "HTTP/1.1 503 F\r\nContent-Length: 0\r\n\r\nHTTP/1.1 503 F\r\nContent-Length: 0\r\n\r\n", outcome: policy.Rejected},
-		"delivered, then a copy behind": {answer: fine + upstreamtest.OKResponse, outcome: policy.Delivered, final: true},
+		"refusal with a short body": {
+			answer:  "HTTP/1.1 503 F\r\nContent-Length: 9\r\n\r\nno",
+			outcome: policy.Failed,
+		},
+		"told to wait with a bad time": {
+			answer:  "HTTP/1.1 429 W\r\nRetry-After: -3\r\nContent-Length: 0\r\n\r\n",
+			outcome: policy.Failed,
+		},
+		"over, head without end": {answer: "HTTP/1.1 410 G\r\nContent-Le", outcome: policy.Failed},
+		"not sent, two lengths": {
+			answer:  "HTTP/1.1 504 A\r\nContent-Length: 0\r\nContent-Length: 5\r\n\r\n",
+			outcome: policy.Failed,
+		},
+		"refusal, length no number": {
+			answer:  "HTTP/1.1 503 F\r\nContent-Length: many\r\n\r\n",
+			outcome: policy.Failed,
+		},
+		"refusal, negative length": {
+			answer:  "HTTP/1.1 503 F\r\nContent-Length: -1\r\n\r\n",
+			outcome: policy.Failed,
+		},
+		"refusal of 3 GB": {
+			answer: "HTTP/1.1 503 F\r\nContent-Length: 3221225472\r\n\r\n",
+			goes:   true, outcome: policy.Failed,
+		},
+		"refusal, endless head": {answer: "HTTP/1.1 503 F\r\n", goes: true, outcome: policy.Failed},
+		"refusal, chunks cut": {
+			answer:  "HTTP/1.1 503 F\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nab",
+			outcome: policy.Failed,
+		},
+		"noise":             {answer: "\x00\xff\x13noise\x00", outcome: policy.Failed},
+		"noise with a line": {answer: "\x00\xffnoise\r\nHTTP/1.1 503 F\r\n\r\n", outcome: policy.Failed},
+		"endless line":      {answer: "HTTP/1.1 503 " + long, goes: true, outcome: policy.Failed},
+		"not quite a code": {
+			answer:  "HTTP/1.1 2000 OK\r\nContent-Length: 0\r\n\r\n",
+			outcome: policy.Failed,
+		},
+		"another protocol": {
+			answer:  "HTTP/2.0 200 OK\r\nContent-Length: 0\r\n\r\n",
+			outcome: policy.Failed,
+		},
+		"delivered, 3 GB": {
+			answer: "HTTP/1.1 200 OK\r\nContent-Length: 3221225472\r\n\r\n",
+			goes:   true, outcome: policy.Delivered, final: true,
+		},
+		"delivered, head without end": {answer: "HTTP/1.1 200 OK\r\nX-", outcome: policy.Delivered, final: true},
+		"delivered, noise for a head": {
+			answer:  "HTTP/1.1 200 OK\r\n\x00\x01\xff",
+			outcome: policy.Delivered, final: true,
+		},
+		"delivered, bad length": {
+			answer:  "HTTP/1.1 200 OK\r\nContent-Length: -7\r\n\r\n",
+			outcome: policy.Delivered, final: true,
+		},
+		"several hints": {
+			answer:  interim + upstreamtest.OKResponse,
+			outcome: policy.Delivered, final: true, keeps: true,
+		},
+		"hints without end": {
+			answer:  strings.Repeat("HTTP/1.1 100 C\r\n\r\n", 500),
+			outcome: policy.Failed,
+		},
+		"a hint, then nothing": {answer: "HTTP/1.1 103 E\r\n", outcome: policy.Failed},
+		"refusal, then a copy behind": {
+			answer:  "HTTP/1.1 503 F\r\nContent-Length: 0\r\n\r\nHTTP/1.1 503 F\r\nContent-Length: 0\r\n\r\n",
+			outcome: policy.Rejected,
+		},
+		"delivered, then a copy behind": {
+			answer:  upstreamtest.OKResponse + upstreamtest.OKResponse,
+			outcome: policy.Delivered, final: true,
+		},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			closed := make(chan int, 1)
-			h := w.open(testPool(t), w.serve(t, func(c net.Conn) {
-				in := bufio.NewReader(c)
-				if !upstreamtest.ReadRequest(in) {
+			endpoint := tr.open(testPool(t), tr.serve(t, func(conn net.Conn) {
+				reader := bufio.NewReader(conn)
+				if !upstreamtest.ReadRequest(reader) {
 					return
 				}
-				io.WriteString(c, x.answer)
+				respond(conn, test.answer)
 				n := 0
-				for x.goes {
-					m, err := c.Write([]byte(long))
+				for test.goes {
+					m, err := conn.Write([]byte(long))
 					if n += m; err != nil {
 						closed <- n
 						return
 					}
 				}
-				io.Copy(io.Discard, in) // the connection stays open from this side
+				waitClosed(reader) // the connection stays open from this side
 				closed <- n
 			}))
-			o := complete(t, newTestCall(), h, Request{ID: "m", Body: []byte("b"), Timeout: testTimeout})
-			if o.Outcome != x.outcome || o.Final != x.final {
-				t.Errorf("got %+v", o)
+			result := callOnce(t, endpoint, Request{ID: "m", Body: []byte("b")})
+			if result.Outcome != test.outcome || result.Final != test.final {
+				t.Errorf("got %+v", result)
 			}
-			if o.Elapsed > (testTimeout / 2).Microseconds() {
-				t.Errorf("took %d us: it waited for what does not come", o.Elapsed)
+			if result.Elapsed > (testTimeout / 2).Microseconds() {
+				t.Errorf("took %d us: it waited for what does not come", result.Elapsed)
 			}
-			if _, idle := h.pool.counts(); (idle != 0) != x.keeps {
+			if _, idle := endpoint.pool.counts(); (idle != 0) != test.keeps {
 				t.Errorf("%d connections kept", idle)
 			}
-			h.CloseIdle()
+			endpoint.CloseIdle()
 			if n := <-closed; n > 64<<20 {
 				t.Errorf("%d bytes were sent before the close", n)
 			}
@@ -96,21 +143,21 @@
 // Guards the moment at which a delivery is known: with its first line.
 func TestDeliveredAtStatusLine(t *testing.T) { forEachTransport(t, testDeliveredAtStatusLine) }
 
-func testDeliveredAtStatusLine(t *testing.T, w *transport) {
+func testDeliveredAtStatusLine(t *testing.T, tr *transport) {
 	release := make(chan struct{})
-	h := w.open(testPool(t), w.serve(t, func(c net.Conn) {
-		if upstreamtest.ReadRequest(bufio.NewReader(c)) {
-			io.WriteString(c, "HTTP/1.1 200 OK\r\n")
+	endpoint := tr.open(testPool(t), tr.serve(t, func(conn net.Conn) {
+		if upstreamtest.ReadRequest(bufio.NewReader(conn)) {
+			respond(conn, "HTTP/1.1 200 OK\r\n")
 			<-release
 		}
 	}))
-	told, over := make(chan Result, 1), make(chan struct{})
+	results, over := make(chan Result, 1), make(chan struct{})
 	go func() {
 		defer close(over)
-		newTestCall().Do(h, Request{ID: "m", Timeout: testTimeout}, func(o Result) { told <- o })
+		start(endpoint, Request{ID: "m"}, results)
 	}()
-	if o := <-told; o.Outcome != policy.Delivered {
-		t.Errorf("got %+v", o)
+	if result := <-results; result.Outcome != policy.Delivered {
+		t.Errorf("got %+v", result)
 	}
 	select {
 	case <-over:
@@ -125,28 +172,28 @@
 // what has begun must come quickly.
 func TestInterimLongBeforeResponse(t *testing.T) { forEachTransport(t, testInterimLongBeforeResponse) }
 
-func testInterimLongBeforeResponse(t *testing.T, w *transport) {
+func testInterimLongBeforeResponse(t *testing.T, tr *transport) {
 	release := make(chan struct{})
-	h := w.open(testPool(t), w.serve(t, func(c net.Conn) {
-		if upstreamtest.ReadRequest(bufio.NewReader(c)) {
-			io.WriteString(c, "HTTP/1.1 102 P\r\n\r\n")
+	endpoint := tr.open(testPool(t), tr.serve(t, func(conn net.Conn) {
+		if upstreamtest.ReadRequest(bufio.NewReader(conn)) {
+			respond(conn, "HTTP/1.1 102 P\r\n\r\n")
 			<-release
-			io.WriteString(c, upstreamtest.OKResponse)
+			respond(conn, upstreamtest.OKResponse)
 		}
 	}))
-	told, over := make(chan Result, 1), make(chan struct{})
+	results, over := make(chan Result, 1), make(chan struct{})
 	go func() {
 		defer close(over)
-		newTestCall().Do(h, Request{ID: "m", Timeout: testTimeout}, func(o Result) { told <- o })
+		start(endpoint, Request{ID: "m"}, results)
 	}()
 	select {
-	case o := <-told:
-		t.Fatalf("before the answer: %+v", o)
+	case result := <-results:
+		t.Fatalf("before the answer: %+v", result)
 	case <-time.After(2 * responseReadTimeout):
 	}
 	close(release)
-	if o := <-told; o.Outcome != policy.Delivered {
-		t.Errorf("got %+v", o)
+	if result := <-results; result.Outcome != policy.Delivered {
+		t.Errorf("got %+v", result)
 	}
 	<-over
 }
@@ -158,45 +205,45 @@
 // goes out on another connection, once.
 func TestBytesAfterResponse(t *testing.T) { forEachTransport(t, testBytesAfterResponse) }
 
-func testBytesAfterResponse(t *testing.T, w *transport) {
+func testBytesAfterResponse(t *testing.T, tr *transport) {
 	for name, behind := range map[string]string{"copy": upstreamtest.OKResponse, "noise": "\x00\x01\x02", "end": ""} {
 		t.Run("while idle, "+name, func(t *testing.T) {
 			var conns, calls atomic.Int32
 			said := make(chan struct{}, 8)
 			more := make(chan struct{})
-			h := w.open(testPool(t), w.serve(t, func(c net.Conn) {
+			endpoint := tr.open(testPool(t), tr.serve(t, func(conn net.Conn) {
 				first := conns.Add(1) == 1
-				in := bufio.NewReader(c)
-				for upstreamtest.ReadRequest(in) {
+				reader := bufio.NewReader(conn)
+				for upstreamtest.ReadRequest(reader) {
 					if calls.Add(1); !first {
-						io.WriteString(c, "HTTP/1.1 503 F\r\nContent-Length: 0\r\n\r\n")
+						respond(conn, "HTTP/1.1 503 F\r\nContent-Length: 0\r\n\r\n")
 						continue
 					}
-					io.WriteString(c, upstreamtest.OKResponse)
+					respond(conn, upstreamtest.OKResponse)
 					<-more
-					io.WriteString(c, behind)
+					respond(conn, behind)
 					said <- struct{}{}
 					if behind == "" {
 						return
 					}
 				}
 			}))
-			if o := complete(t, newTestCall(), h, Request{ID: "a", Timeout: testTimeout}); o.Outcome != policy.Delivered {
-				t.Fatalf("first: %+v", o)
+			if result := callOnce(t, endpoint, Request{ID: "a"}); result.Outcome != policy.Delivered {
+				t.Fatalf("first: %+v", result)
 			}
-			if _, idle := h.pool.counts(); idle != 1 {
+			if _, idle := endpoint.pool.counts(); idle != 1 {
 				t.Fatalf("%d idle connections, want 1", idle)
 			}
 			close(more)
 			<-said
-			waitReusable(h)
+			waitReusable(endpoint)
 			waitFor(t, "the bytes", func() bool {
-				h.pool.mu.Lock()
-				defer h.pool.mu.Unlock()
-				return len(h.pool.idle) == 0 || !h.pool.idle[0].reusable()
+				endpoint.pool.mu.Lock()
+				defer endpoint.pool.mu.Unlock()
+				return len(endpoint.pool.idle) == 0 || !endpoint.pool.idle[0].reusable()
 			})
-			if o := complete(t, newTestCall(), h, Request{ID: "b", Timeout: testTimeout}); o.Outcome != policy.Rejected {
-				t.Errorf("second: %+v", o)
+			if result := callOnce(t, endpoint, Request{ID: "b"}); result.Outcome != policy.Rejected {
+				t.Errorf("second: %+v", result)
 			}
 			if conns.Load() != 2 || calls.Load() != 2 {
 				t.Errorf("%d connections, %d calls, want 2 and 2", conns.Load(), calls.Load())
@@ -204,34 +251,35 @@
 		})
 	}
 	t.Run("while the call is written", func(t *testing.T) {
-		if w.site != nil {
-			t.Skip("a test of its own has it") // TestAlertsBeforeTheLastByte
+		if tr.site != nil {
+			t.Skip("a test of its own has it") // TestAlertOutcomes
 		}
 		var conns atomic.Int32
 		got := make(chan int, 4) // bytes of the second call on the first connection
-		h := w.open(testPool(t), w.serve(t, func(c net.Conn) {
+		endpoint := tr.open(testPool(t), tr.serve(t, func(conn net.Conn) {
 			first := conns.Add(1) == 1
-			in := bufio.NewReader(c)
-			for n := 0; upstreamtest.ReadRequest(in); n++ {
+			reader := bufio.NewReader(conn)
+			for n := 0; upstreamtest.ReadRequest(reader); n++ {
 				if !first {
-					io.WriteString(c, "HTTP/1.1 503 F\r\nContent-Length: 0\r\n\r\n")
+					respond(conn, "HTTP/1.1 503 F\r\nContent-Length: 0\r\n\r\n")
 					continue
 				}
-				io.WriteString(c, upstreamtest.OKResponse)
-				rest, _ := io.ReadAll(in)
+				respond(conn, upstreamtest.OKResponse)
+				rest, _ := io.ReadAll(reader)
 				got <- strings.Count(string(rest), "tail of the body")
 			}
 		}))
-		if o := complete(t, newTestCall(), h, Request{ID: "a", Timeout: testTimeout}); o.Outcome != policy.Delivered {
-			t.Fatalf("first: %+v", o)
+		if result := callOnce(t, endpoint, Request{ID: "a"}); result.Outcome != policy.Delivered {
+			t.Fatalf("first: %+v", result)
 		}
-		waitReusable(h)
-		h.pool.mu.Lock()
-		c := h.pool.idle[0]
+		waitReusable(endpoint)
+		endpoint.pool.mu.Lock()
+		c := endpoint.pool.idle[0]
 		c.Conn = &closeReadOnWriteConn{TCPConn: c.Conn.(*net.TCPConn)}
-		h.pool.mu.Unlock()
-		if o := complete(t, newTestCall(), h, Request{ID: "b", Body: []byte("the tail of the body"), Timeout: testTimeout}); o.Outcome != policy.Rejected {
-			t.Errorf("second: %+v", o)
+		endpoint.pool.mu.Unlock()
+		result := callOnce(t, endpoint, Request{ID: "b", Body: []byte("the tail of the body")})
+		if result.Outcome != policy.Rejected {
+			t.Errorf("second: %+v", result)
 		}
 		if n := <-got; n != 0 || conns.Load() != 2 {
 			t.Errorf("the call went out whole on the first connection (%d), %d connections", n, conns.Load())
@@ -242,14 +290,14 @@
 // closeReadOnWriteConn brings bytes just as a call begins to be written.
 type closeReadOnWriteConn struct {
 	*net.TCPConn
-	begun bool
+	written bool
 }
 
-func (r *closeReadOnWriteConn) Write(b []byte) (int, error) {
-	n, err := r.TCPConn.Write(b)
-	if !r.begun {
-		r.begun = true
-		r.TCPConn.CloseRead() // an end is as good as a byte: something is there to be read
+func (c *closeReadOnWriteConn) Write(b []byte) (int, error) {
+	n, err := c.TCPConn.Write(b)
+	if !c.written {
+		c.written = true
+		err = errors.Join(err, c.CloseRead()) // an end is as good as a byte: something is there to be read
 	}
 	return n, err
 }
@@ -259,35 +307,35 @@
 // out on another connection and counts once.
 func TestSilentlyDroppedConnection(t *testing.T) { forEachTransport(t, testSilentlyDroppedConnection) }
 
-func testSilentlyDroppedConnection(t *testing.T, w *transport) {
+func testSilentlyDroppedConnection(t *testing.T, tr *transport) {
 	var conns, calls atomic.Int32
-	p := testPool(t)
-	h := w.open(p, w.serve(t, func(c net.Conn) {
+	pool := testPool(t)
+	endpoint := tr.open(pool, tr.serve(t, func(conn net.Conn) {
 		first := conns.Add(1) == 1
-		in := bufio.NewReader(c)
-		if !upstreamtest.ReadRequest(in) {
+		reader := bufio.NewReader(conn)
+		if !upstreamtest.ReadRequest(reader) {
 			return
 		}
 		calls.Add(1)
-		io.WriteString(c, upstreamtest.OKResponse)
+		respond(conn, upstreamtest.OKResponse)
 		if first {
-			in.ReadByte() // of the next call
-			tcpConnOf(c).SetLinger(0)
+			awaitByte(reader) // of the next call
+			resetOnClose(conn)
 		}
 	}))
-	p.staleCheckDelay = time.Millisecond
-	if o := complete(t, newTestCall(), h, Request{ID: "a", Timeout: testTimeout}); o.Outcome != policy.Delivered {
-		t.Fatalf("first: %+v", o)
+	pool.staleCheckDelay = time.Millisecond
+	if result := callOnce(t, endpoint, Request{ID: "a"}); result.Outcome != policy.Delivered {
+		t.Fatalf("first: %+v", result)
 	}
-	waitReusable(h)
-	dial := h.dial
-	h.dial = func(ctx context.Context, addr string) (net.Conn, error) {
-		p.staleCheckDelay = time.Millisecond
+	waitReusable(endpoint)
+	dial := endpoint.dial
+	endpoint.dial = func(ctx context.Context, addr string) (net.Conn, error) {
+		pool.staleCheckDelay = time.Millisecond
 		return dial(ctx, addr)
 	}
-	p.staleCheckDelay = testTimeout // the reset ends it
-	if o := complete(t, newTestCall(), h, Request{ID: "b", Timeout: testTimeout}); o.Outcome != policy.Delivered {
-		t.Errorf("second: %+v", o)
+	pool.staleCheckDelay = testTimeout // the reset ends it
+	if result := callOnce(t, endpoint, Request{ID: "b"}); result.Outcome != policy.Delivered {
+		t.Errorf("second: %+v", result)
 	}
 	if conns.Load() != 2 || calls.Load() != 2 {
 		t.Errorf("%d connections, %d calls, want 2 and 2", conns.Load(), calls.Load())
@@ -297,14 +345,14 @@
 // Guards what never ran: a connection that breaks before the call's last byte
 // is written.
 func TestBrokenBeforeLastByte(t *testing.T) {
-	h := openPlain(testPool(t), upstreamtest.ServeTCP(t, func(c net.Conn) { io.Copy(io.Discard, c) }))
-	dial := h.dial
-	h.dial = func(ctx context.Context, addr string) (net.Conn, error) {
-		c, err := dial(ctx, addr)
-		return &failSecondWriteConn{TCPConn: c.(*net.TCPConn)}, err
+	endpoint := openPlain(testPool(t), upstreamtest.ServeTCP(t, func(conn net.Conn) { waitClosed(conn) }))
+	dial := endpoint.dial
+	endpoint.dial = func(ctx context.Context, addr string) (net.Conn, error) {
+		conn, err := dial(ctx, addr)
+		return &failSecondWriteConn{TCPConn: conn.(*net.TCPConn)}, err
 	}
-	if o := complete(t, newTestCall(), h, Request{ID: "m", Body: []byte("b"), Timeout: testTimeout}); o.Outcome != policy.ConnectFailed {
-		t.Errorf("got %+v", o)
+	if result := callOnce(t, endpoint, Request{ID: "m", Body: []byte("b")}); result.Outcome != policy.ConnectFailed {
+		t.Errorf("got %+v", result)
 	}
 }
 
@@ -313,11 +361,11 @@
 	writes int
 }
 
-func (b *failSecondWriteConn) Write(p []byte) (int, error) {
-	if b.writes++; b.writes == 2 {
+func (c *failSecondWriteConn) Write(b []byte) (int, error) {
+	if c.writes++; c.writes == 2 {
 		return 0, errors.New("broken")
 	}
-	return b.TCPConn.Write(p)
+	return c.TCPConn.Write(b)
 }
 
 // Guards the descriptors: the number open is bounded over all endpoints, and
@@ -325,50 +373,48 @@
 // its place.
 func TestPoolBounded(t *testing.T) { forEachTransport(t, testPoolBounded) }
 
-func testPoolBounded(t *testing.T, w *transport) {
-	serve := func(c net.Conn) {
-		for in := bufio.NewReader(c); upstreamtest.ReadRequest(in); {
-			io.WriteString(c, upstreamtest.OKResponse)
-		}
-	}
-	p := testPool(t)
-	p.maxConns = 3
+func testPoolBounded(t *testing.T, tr *transport) {
+	pool := testPool(t)
+	pool.maxConns = 3
 	for i := range 10 {
-		if o := complete(t, newTestCall(), w.open(p, w.serve(t, serve)), Request{ID: "m", Timeout: testTimeout}); o.Outcome != policy.Delivered {
-			t.Fatalf("endpoint %d: %+v", i, o)
+		endpoint := tr.open(pool, tr.serve(t, upstreamtest.ServeOK))
+		if result := callOnce(t, endpoint, Request{ID: "m"}); result.Outcome != policy.Delivered {
+			t.Fatalf("endpoint %d: %+v", i, result)
 		}
-		if open, _ := p.counts(); open > 3 {
+		if open, _ := pool.counts(); open > 3 {
 			t.Fatalf("%d connections open, 3 allowed", open)
 		}
 	}
 	entered := make(chan struct{}, 3)
-	stuck := w.open(p, w.serve(t, func(c net.Conn) {
-		in := bufio.NewReader(c)
-		upstreamtest.ReadRequest(in)
+	stuck := tr.open(pool, tr.serve(t, func(conn net.Conn) {
+		reader := bufio.NewReader(conn)
+		upstreamtest.ReadRequest(reader)
 		entered <- struct{}{}
-		in.ReadByte()
+		awaitByte(reader)
 	}))
 	var calls []*Call
-	over := make(chan Result, 3)
+	results := make(chan Result, 3)
 	for range 3 {
-		c := newTestCall()
-		calls = append(calls, c)
-		go func() { c.Do(stuck, Request{ID: "m", Timeout: testTimeout}, func(o Result) { over <- o }) }()
+		call := newTestCall()
+		calls = append(calls, call)
+		go func() {
+			call.Do(stuck, Request{ID: "m", Timeout: testTimeout}, func(result Result) { results <- result })
+		}()
 		<-entered
 	}
-	if o := complete(t, newTestCall(), stuck, Request{ID: "m", Timeout: testTimeout}); o.Outcome != policy.NotSent {
-		t.Errorf("a fourth: %+v", o)
+	if result := callOnce(t, stuck, Request{ID: "m"}); result.Outcome != policy.NotSent {
+		t.Errorf("a fourth: %+v", result)
 	}
-	for _, c := range calls {
-		c.Cancel()
-		<-over
+	for _, call := range calls {
+		call.Cancel()
+		<-results
 	}
-	waitFor(t, "places", func() bool { open, _ := p.counts(); return open == 0 })
-	refused := w.open(p, "127.0.0.1:1")
-	if o := complete(t, newTestCall(), refused, Request{ID: "m", Timeout: testTimeout}); o.Outcome != policy.ConnectFailed {
-		t.Errorf("refused: %+v", o)
+	waitFor(t, "places", func() bool { open, _ := pool.counts(); return open == 0 })
+	refused := tr.open(pool, "127.0.0.1:1")
+	if result := callOnce(t, refused, Request{ID: "m"}); result.Outcome != policy.ConnectFailed {
+		t.Errorf("refused: %+v", result)
 	}
-	if open, _ := p.counts(); open != 0 {
+	if open, _ := pool.counts(); open != 0 {
 		t.Errorf("%d open after a refused dial", open)
 	}
 }
@@ -377,36 +423,36 @@
 // must not hold a descriptor until its next use.
 func TestPoolClosesDeadIdle(t *testing.T) { forEachTransport(t, testPoolClosesDeadIdle) }
 
-func testPoolClosesDeadIdle(t *testing.T, w *transport) {
+func testPoolClosesDeadIdle(t *testing.T, tr *transport) {
 	end := make(chan struct{})
-	p := testPool(t)
-	h := w.open(p, w.serve(t, func(c net.Conn) {
-		if upstreamtest.ReadRequest(bufio.NewReader(c)) {
-			io.WriteString(c, upstreamtest.OKResponse)
+	pool := testPool(t)
+	endpoint := tr.open(pool, tr.serve(t, func(conn net.Conn) {
+		if upstreamtest.ReadRequest(bufio.NewReader(conn)) {
+			respond(conn, upstreamtest.OKResponse)
 			<-end
 		}
 	}))
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan struct{})
-	go func() { defer close(done); p.Run(ctx) }()
-	complete(t, newTestCall(), h, Request{ID: "m", Timeout: testTimeout})
-	if _, idle := p.counts(); idle != 1 {
+	go func() { defer close(done); pool.Run(ctx) }()
+	callOnce(t, endpoint, Request{ID: "m"})
+	if _, idle := pool.counts(); idle != 1 {
 		t.Fatalf("%d idle", idle)
 	}
 	close(end)
-	waitFor(t, "the sweep", func() bool { open, _ := p.counts(); return open == 0 })
+	waitFor(t, "the sweep", func() bool { open, _ := pool.counts(); return open == 0 })
 	cancel()
 	<-done
 	// And one whose endpoint has left is not kept after its call.
-	gone := w.open(p, w.serve(t, func(c net.Conn) {
-		if upstreamtest.ReadRequest(bufio.NewReader(c)) {
-			io.WriteString(c, upstreamtest.OKResponse)
+	gone := tr.open(pool, tr.serve(t, func(conn net.Conn) {
+		if upstreamtest.ReadRequest(bufio.NewReader(conn)) {
+			respond(conn, upstreamtest.OKResponse)
 			time.Sleep(time.Millisecond)
 		}
 	}))
 	gone.Close()
-	complete(t, newTestCall(), gone, Request{ID: "m", Timeout: testTimeout})
-	if open, _ := p.counts(); open != 0 {
+	callOnce(t, gone, Request{ID: "m"})
+	if open, _ := pool.counts(); open != 0 {
 		t.Errorf("%d open at an endpoint that left", open)
 	}
 }
--- a/internal/upstream/response.go
+++ b/internal/upstream/response.go
@@ -55,7 +55,7 @@
 		result.Load = parseLoad(resp.Header.Get("X-Server-Load"), loadFields)
 		result.Err = result.readHead(resp.Header)
 	}
-	if result.Err != nil {
+	if result.Err != nil { // it may have run, whatever its status says
 		result.Outcome, result.Malformed, result.RetryAfter = policy.Failed, true, retryAfter
 		result.SlotsExhausted, result.Final = false, false
 	}
@@ -64,9 +64,9 @@
 }
 
 // awaitFinalStatus waits for the status line of the final response, past interim
-// ones. It returns the status, or a failure; the timer, if there is one, bounds the
-// reading of the rest.
-func (c *poolConn) awaitFinalStatus() (status int, timer *time.Timer, failure *Result) {
+// ones. It returns the status, or a failure in its place; the timer, if there is one,
+// bounds the reading of the rest, and is the caller's to stop.
+func (c *poolConn) awaitFinalStatus() (int, *time.Timer, *Result) {
 	for interim := 0; ; interim++ {
 		status, timer, err := c.awaitStatus()
 		if err == nil && status < http.StatusOK && interim >= maxInterimResponses {
@@ -87,15 +87,16 @@
 
 // awaitStatus waits for a status line. The timer, if there is one, was started with
 // its first byte.
-func (c *poolConn) awaitStatus() (status int, timer *time.Timer, err error) {
-	if _, err = c.reader.Peek(1); err == nil {
+func (c *poolConn) awaitStatus() (int, *time.Timer, error) {
+	var timer *time.Timer
+	if _, err := c.reader.Peek(1); err == nil { // else the next read has an error as well
 		timer = c.startReadTimeout(responseReadTimeout)
 	}
 	line, err := peekStatusLine(c.reader)
 	if err != nil {
 		return 0, timer, err
 	}
-	status, err = parseStatus(line)
+	status, err := parseStatus(line)
 	return status, timer, err
 }
 
--- a/internal/upstream/tls_test.go
+++ b/internal/upstream/tls_test.go
@@ -12,7 +12,7 @@
 	"encoding/binary"
 	"encoding/hex"
 	"errors"
-	"io"
+	"maps"
 	"net"
 	"os"
 	"path/filepath"
@@ -44,16 +44,19 @@
 }
 
 // Write takes lines of the key log.
-func (s *recordSealer) Write(line []byte) (int, error) {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	f := strings.Fields(string(line))
-	if len(f) == 3 && f[0] == "SERVER_TRAFFIC_SECRET_0" {
-		s.secret, _ = hex.DecodeString(f[2])
-	}
-	return len(line), nil
+func (r *recordSealer) Write(line []byte) (int, error) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	fields := strings.Fields(string(line))
+	if len(fields) != 3 || fields[0] != "SERVER_TRAFFIC_SECRET_0" {
+		return len(line), nil
+	}
+	secret, err := hex.DecodeString(fields[2])
+	r.secret = secret
+	return len(line), err
 }
 
+// hkdfExpandLabel is HKDF-Expand-Label of RFC 8446 section 7.1.
 func hkdfExpandLabel(secret []byte, label string, n int) []byte {
 	info := binary.BigEndian.AppendUint16(nil, uint16(n))
 	info = append(info, byte(len("tls13 ")+len(label)))
@@ -65,107 +68,145 @@
 	return out
 }
 
-// keys derives the keys of the secret in use.
-func (s *recordSealer) deriveKeys(suite uint16) {
-	s.suite = suite
-	s.seq, s.iv = 0, hkdfExpandLabel(s.secret, "iv", 12)
+// deriveKeys derives the keys of the secret in use.
+func (r *recordSealer) deriveKeys(suite uint16) {
+	r.suite = suite
+	r.seq, r.iv = 0, hkdfExpandLabel(r.secret, "iv", 12)
+	aead, err := newAEAD(suite, r.secret)
+	if err != nil {
+		panic(err)
+	}
+	r.aead = aead
+}
+
+func newAEAD(suite uint16, secret []byte) (cipher.AEAD, error) {
 	if suite == tls.TLS_CHACHA20_POLY1305_SHA256 {
-		s.aead, _ = chacha20poly1305.New(hkdfExpandLabel(s.secret, "key", 32))
-		return
+		return chacha20poly1305.New(hkdfExpandLabel(secret, "key", 32))
 	}
-	block, _ := aes.NewCipher(hkdfExpandLabel(s.secret, "key", 16))
-	s.aead, _ = cipher.NewGCM(block)
+	block, err := aes.NewCipher(hkdfExpandLabel(secret, "key", 16))
+	if err != nil {
+		return nil, err
+	}
+	return cipher.NewGCM(block)
 }
 
 // seal makes a record of a kind of content.
-func (s *recordSealer) seal(kind byte, text []byte) []byte {
-	nonce := append([]byte{}, s.iv...)
+func (r *recordSealer) seal(kind byte, text []byte) []byte {
+	nonce := append([]byte{}, r.iv...)
 	for i := range 8 {
-		nonce[11-i] ^= byte(s.seq >> (8 * i))
+		nonce[11-i] ^= byte(r.seq >> (8 * i))
 	}
-	s.seq++
-	n := len(text) + 1 + s.aead.Overhead()
+	r.seq++
+	n := len(text) + 1 + r.aead.Overhead()
 	head := []byte{23, 3, 3, byte(n >> 8), byte(n)}
-	return s.aead.Seal(head, nonce, append(append([]byte{}, text...), kind), head)
+	return r.aead.Seal(head, nonce, append(append([]byte{}, text...), kind), head)
+}
+
+// keyUpdate makes a record that changes the server's keys (RFC 8446 section 4.6.3).
+func (r *recordSealer) keyUpdate() []byte {
+	record := r.seal(recordHandshake, []byte{24, 0, 0, 1, 0})
+	r.secret = hkdfExpandLabel(r.secret, "traffic upd", 32)
+	r.deriveKeys(r.suite)
+	return record
 }
 
+// Kinds of content of a record (RFC 8446 section 5.1).
 const (
 	recordAlert     = 21
 	recordHandshake = 22
 	recordData      = 23
 )
 
-// sealedEndpoint serves connections over TLS 1.3 whose records are made by hand
+// sealedConn is a server's connection over TLS 1.3 whose records are made by hand
 // once the handshake is over.
-func serveSealedTLS(t testing.TB, s *upstreamtest.TLSSite, serve func(c *tls.Conn, raw net.Conn, seal *recordSealer)) string {
+type sealedConn struct {
+	conn   *tls.Conn // to read from
+	raw    net.Conn  // to write records to
+	sealer *recordSealer
+}
+
+// serveSealedTLS serves such connections.
+func serveSealedTLS(t testing.TB, site *upstreamtest.TLSSite, serve func(sealed sealedConn)) string {
+	t.Helper()
 	return upstreamtest.ServeTCP(t, func(raw net.Conn) {
-		k := &recordSealer{}
-		c := tls.Server(raw, &tls.Config{Certificates: []tls.Certificate{s.PeerCert.TLSCertificate()}, MinVersion: tls.VersionTLS13, SessionTicketsDisabled: true, KeyLogWriter: k})
-		if c.Handshake() != nil {
+		sealer := &recordSealer{}
+		config := site.ServerConfig()
+		config.MinVersion, config.SessionTicketsDisabled, config.KeyLogWriter = tls.VersionTLS13, true, sealer
+		conn := tls.Server(raw, config)
+		if conn.Handshake() != nil {
 			return
 		}
-		k.deriveKeys(c.ConnectionState().CipherSuite)
-		serve(c, raw, k)
+		sealer.deriveKeys(conn.ConnectionState().CipherSuite)
+		serve(sealedConn{conn: conn, raw: raw, sealer: sealer})
 	})
 }
 
+// send writes a record of a kind of content.
+func (c sealedConn) send(kind byte, text []byte) { send(c.raw, c.sealer.seal(kind, text)) }
+
+// sendText writes a record with a part of a response.
+func (c sealedConn) sendText(text string) { c.send(recordData, []byte(text)) }
+
 // alerts are those of RFC 8446 section 6 and RFC 5246 section 7.2, and some that
 // nobody has named.
-var alerts = []uint8{0, 10, 20, 21, 22, 30, 40, 41, 42, 43, 44, 45, 46, 47, 48, 49, 50, 51, 60, 70, 71, 80, 86, 90, 100, 109, 110, 111, 112, 113, 114, 115, 116, 120, 7, 200, 255}
+var alerts = []uint8{
+	0, 10, 20, 21, 22, 30, 40, 41, 42, 43, 44, 45, 46, 47, 48, 49, 50, 51, 60, 70, 71, 80, 86, 90, 100,
+	109, 110, 111, 112, 113, 114, 115, 116, 120, 7, 200, 255,
+}
 
 const userCanceled = 90
 
 // Guards the table of what ran: each alert in the handshake and before a call's
 // last byte says that it never ran; behind the last byte it may have, whatever
-// the alert is called. Those about who we are put the endpoint out.
+// the alert is called. Those about our identity have the endpoint rejected.
 func TestAlertOutcomes(t *testing.T) {
 	for _, code := range alerts {
 		_, identity := tlspolicy.CauseOfAlert(code)
 		t.Run("", func(t *testing.T) {
 			t.Parallel()
-			s := upstreamtest.NewTLSSite(t, nil)
+			site := upstreamtest.NewTLSSite(t, nil)
 			var conns atomic.Int32
-			inHandshake := upstreamtest.ServeTCP(t, func(c net.Conn) {
+			inHandshake := upstreamtest.ServeTCP(t, func(conn net.Conn) {
 				conns.Add(1)
-				c.Read(make([]byte, 4096)) // the client's hello
-				c.Write([]byte{recordAlert, 3, 3, 0, 2, 2, code})
-				c.Read(make([]byte, 4096))
+				receive(conn) // the client's hello
+				send(conn, []byte{recordAlert, 3, 3, 0, 2, 2, code})
+				receive(conn)
 			})
-			o := complete(t, newTestCall(), openTLS(testPool(t), s, inHandshake), Request{ID: "m", Timeout: testTimeout})
-			if !o.Outcome.NeverRan() || (o.Outcome == policy.NotSent) != identity && code != 0 {
-				t.Errorf("alert %d in the handshake: %+v", code, o)
+			result := callOnce(t, openTLS(testPool(t), site, inHandshake), Request{ID: "m"})
+			if !result.Outcome.NeverRan() || (result.Outcome == policy.NotSent) != identity && code != 0 {
+				t.Errorf("alert %d in the handshake: %+v", code, result)
 			}
 			if n := conns.Load(); n > 1 {
 				t.Errorf("alert %d in the handshake: %d connections for one call", code, n)
 			}
 			for _, whole := range []bool{false, true} {
-				s := upstreamtest.NewTLSSite(t, nil)
+				site := upstreamtest.NewTLSSite(t, nil)
 				conns.Store(0)
-				addr := serveSealedTLS(t, s, func(c *tls.Conn, raw net.Conn, seal *recordSealer) {
+				addr := serveSealedTLS(t, site, func(sealed sealedConn) {
 					conns.Add(1)
-					if whole && !upstreamtest.ReadRequest(bufio.NewReader(c)) {
+					if whole && !upstreamtest.ReadRequest(bufio.NewReader(sealed.conn)) {
 						return
 					}
-					raw.Write(seal.seal(recordAlert, []byte{2, code}))
+					sealed.send(recordAlert, []byte{2, code})
 					if code != userCanceled { // no end by itself (RFC 8446 section 6.1)
-						io.Copy(io.Discard, raw)
+						waitClosed(sealed.raw)
 					}
 				})
-				p := testPool(t)
+				pool := testPool(t)
 				if !whole {
-					p.staleCheckDelay = testTimeout // the alert ends it, however late it is
+					pool.staleCheckDelay = testTimeout // the alert ends it, however late it is
 				}
-				o := complete(t, newTestCall(), openTLS(p, s, addr), Request{ID: "m", Body: []byte("b"), Timeout: testTimeout})
-				if whole && o.Outcome != policy.ConnectionReset || !whole && !o.Outcome.NeverRan() {
-					t.Errorf("alert %d, whole %v: %+v", code, whole, o)
+				result := callOnce(t, openTLS(pool, site, addr), Request{ID: "m", Body: []byte("b")})
+				if whole && result.Outcome != policy.ConnectionReset || !whole && !result.Outcome.NeverRan() {
+					t.Errorf("alert %d, whole %v: %+v", code, whole, result)
 				}
-				if !whole && (o.Outcome == policy.NotSent) != identity {
-					t.Errorf("alert %d: %+v", code, o)
+				if !whole && (result.Outcome == policy.NotSent) != identity {
+					t.Errorf("alert %d: %+v", code, result)
 				}
 				if n := conns.Load(); (whole || identity) && n != 1 || n > 2*maxConnAttempts {
 					t.Errorf("alert %d, whole %v: %d connections for one call", code, whole, n)
 				}
-				if out := s.Dialer.Counts().RejectedEndpoints; (out == 1) != identity {
+				if out := site.Dialer.Counts().RejectedEndpoints; (out == 1) != identity {
 					t.Errorf("alert %d, whole %v: %d endpoints out", code, whole, out)
 				}
 			}
@@ -177,62 +218,62 @@
 // whole is true though the rest is cut off without a farewell, or comes a byte a
 // record; and keys that are updated without end are no answer.
 func TestTruncatedRecords(t *testing.T) {
-	for name, x := range map[string]struct {
-		say     func(raw net.Conn, seal *recordSealer)
+	for name, test := range map[string]struct {
+		respond func(sealed sealedConn)
 		outcome policy.Outcome
 	}{
-		"a byte a record": {func(raw net.Conn, seal *recordSealer) {
+		"a byte a record": {func(sealed sealedConn) {
 			for i := range len(upstreamtest.OKResponse) {
-				raw.Write(seal.seal(recordData, []byte{upstreamtest.OKResponse[i]}))
+				sealed.send(recordData, []byte{upstreamtest.OKResponse[i]})
 			}
 		}, policy.Delivered},
-		"empty records between": {func(raw net.Conn, seal *recordSealer) {
+		"empty records between": {func(sealed sealedConn) {
 			for i := range 10 {
-				raw.Write(seal.seal(recordData, nil))
-				raw.Write(seal.seal(recordData, []byte{upstreamtest.OKResponse[i]}))
+				sealed.send(recordData, nil)
+				sealed.send(recordData, []byte{upstreamtest.OKResponse[i]})
 			}
-			raw.Write(seal.seal(recordData, []byte(upstreamtest.OKResponse[10:])))
+			sealed.sendText(upstreamtest.OKResponse[10:])
 		}, policy.Delivered},
-		"the first line, then cut without a farewell": {func(raw net.Conn, seal *recordSealer) {
-			raw.Write(seal.seal(recordData, []byte("HTTP/1.1 200 OK\r\nContent-Length: 9\r\n")))
+		"the first line, then cut without a farewell": {func(sealed sealedConn) {
+			sealed.sendText("HTTP/1.1 200 OK\r\nContent-Length: 9\r\n")
 		}, policy.Delivered},
-		"half of the first line's record": {func(raw net.Conn, seal *recordSealer) {
-			r := seal.seal(recordData, []byte(upstreamtest.OKResponse))
-			raw.Write(r[:len(r)/2])
+		"half of the first line's record": {func(sealed sealedConn) {
+			record := sealed.sealer.seal(recordData, []byte(upstreamtest.OKResponse))
+			send(sealed.raw, record[:len(record)/2])
 		}, policy.ConnectionReset},
-		"a refusal without its end": {func(raw net.Conn, seal *recordSealer) {
-			raw.Write(seal.seal(recordData, []byte("HTTP/1.1 503 F\r\nContent-Le")))
+		"a refusal without its end": {func(sealed sealedConn) {
+			sealed.sendText("HTTP/1.1 503 F\r\nContent-Le")
 		}, policy.Failed},
-		"a record that was tampered with": {func(raw net.Conn, seal *recordSealer) {
-			r := seal.seal(recordData, []byte(upstreamtest.OKResponse))
-			r[len(r)-1] ^= 1
-			raw.Write(r)
-			io.Copy(io.Discard, raw)
+		"a record that was tampered with": {func(sealed sealedConn) {
+			record := sealed.sealer.seal(recordData, []byte(upstreamtest.OKResponse))
+			record[len(record)-1] ^= 1
+			send(sealed.raw, record)
+			waitClosed(sealed.raw)
 		}, policy.ConnectionReset},
-		"keys updated once, then the answer": {func(raw net.Conn, seal *recordSealer) {
-			raw.Write(seal.keyUpdate())
-			raw.Write(seal.seal(recordData, []byte(upstreamtest.OKResponse)))
+		"keys updated once, then the answer": {func(sealed sealedConn) {
+			send(sealed.raw, sealed.sealer.keyUpdate())
+			sealed.sendText(upstreamtest.OKResponse)
 		}, policy.Delivered},
-		"keys updated without end": {func(raw net.Conn, seal *recordSealer) {
+		"keys updated without end": {func(sealed sealedConn) {
 			for range 1000 {
-				if _, err := raw.Write(seal.keyUpdate()); err != nil {
+				if _, err := sealed.raw.Write(sealed.sealer.keyUpdate()); err != nil {
 					return
 				}
 			}
-			io.Copy(io.Discard, raw)
+			waitClosed(sealed.raw)
 		}, policy.ConnectionReset},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			s := upstreamtest.NewTLSSite(t, nil)
-			addr := serveSealedTLS(t, s, func(c *tls.Conn, raw net.Conn, seal *recordSealer) {
-				if upstreamtest.ReadRequest(bufio.NewReader(c)) {
-					x.say(raw, seal)
+			site := upstreamtest.NewTLSSite(t, nil)
+			addr := serveSealedTLS(t, site, func(sealed sealedConn) {
+				if upstreamtest.ReadRequest(bufio.NewReader(sealed.conn)) {
+					test.respond(sealed)
 				}
 			})
-			o := complete(t, newTestCall(), openTLS(testPool(t), s, addr), Request{ID: "m", Body: []byte("b"), Timeout: testTimeout})
-			if o.Outcome != x.outcome {
-				t.Errorf("got %+v", o)
+			result := callOnce(t, openTLS(testPool(t), site, addr), Request{ID: "m", Body: []byte("b")})
+			if result.Outcome != test.outcome {
+				t.Errorf("got %+v", result)
 			}
 		})
 	}
@@ -241,31 +282,31 @@
 // Guards a call against a connection on which part of a record lies: that may be
 // its end, and the call would be written into it.
 func TestPartialRecordWhileIdle(t *testing.T) {
-	s := upstreamtest.NewTLSSite(t, nil)
+	site := upstreamtest.NewTLSSite(t, nil)
 	var conns, calls atomic.Int32
 	said := make(chan struct{}, 1)
-	addr := serveSealedTLS(t, s, func(c *tls.Conn, raw net.Conn, seal *recordSealer) {
+	addr := serveSealedTLS(t, site, func(sealed sealedConn) {
 		first := conns.Add(1) == 1
-		for in := bufio.NewReader(c); upstreamtest.ReadRequest(in); {
+		for reader := bufio.NewReader(sealed.conn); upstreamtest.ReadRequest(reader); {
 			calls.Add(1)
-			raw.Write(seal.seal(recordData, []byte(upstreamtest.OKResponse)))
+			sealed.sendText(upstreamtest.OKResponse)
 			if first {
-				raw.Write(seal.seal(recordAlert, []byte{1, 0})[:9])
+				send(sealed.raw, sealed.sealer.seal(recordAlert, []byte{1, 0})[:9])
 				said <- struct{}{}
-				io.Copy(io.Discard, raw)
+				waitClosed(sealed.raw)
 				return
 			}
 		}
 	})
-	h := openTLS(testPool(t), s, addr)
-	mustDeliver(t, h)
+	endpoint := openTLS(testPool(t), site, addr)
+	mustDeliver(t, endpoint)
 	<-said
 	waitFor(t, "the half record", func() bool {
-		h.pool.mu.Lock()
-		defer h.pool.mu.Unlock()
-		return len(h.pool.idle) == 0 || !h.pool.idle[0].reusable()
+		endpoint.pool.mu.Lock()
+		defer endpoint.pool.mu.Unlock()
+		return len(endpoint.pool.idle) == 0 || !endpoint.pool.idle[0].reusable()
 	})
-	mustDeliver(t, h)
+	mustDeliver(t, endpoint)
 	if conns.Load() != 2 || calls.Load() != 2 {
 		t.Errorf("%d connections, %d calls, want 2 and 2", conns.Load(), calls.Load())
 	}
@@ -274,192 +315,239 @@
 // Guards a hand-over: a call over TLS is not put to rest, since its keys are here
 // alone, and its answer is heard.
 func TestTLSCallIsNotSuspended(t *testing.T) {
-	s := upstreamtest.NewTLSSite(t, nil)
+	site := upstreamtest.NewTLSSite(t, nil)
 	entered, release := make(chan struct{}), make(chan struct{})
-	h := openTLS(testPool(t), s, upstreamtest.ServeTLS(t, s.ServerConfig(), func(c net.Conn) {
-		if upstreamtest.ReadRequest(bufio.NewReader(c)) {
+	endpoint := openTLS(testPool(t), site, upstreamtest.ServeTLS(t, site.ServerConfig(), func(conn net.Conn) {
+		if upstreamtest.ReadRequest(bufio.NewReader(conn)) {
 			close(entered)
 			<-release
-			io.WriteString(c, upstreamtest.OKResponse)
+			respond(conn, upstreamtest.OKResponse)
 		}
 	}))
-	c := newTestCall()
-	over := make(chan Result, 1)
-	go c.Do(h, Request{ID: "m", Timeout: testTimeout}, func(o Result) { over <- o })
+	call := newTestCall()
+	results := make(chan Result, 1)
+	go call.Do(endpoint, Request{ID: "m", Timeout: testTimeout}, func(result Result) { results <- result })
 	<-entered
-	waitFor(t, "the call to be out", func() bool { c.mu.Lock(); defer c.mu.Unlock(); return c.conn != nil })
-	c.suspend()
-	if c.suspendedConn() != nil {
+	waitFor(t, "the call to be out", func() bool {
+		call.mu.Lock()
+		defer call.mu.Unlock()
+		return call.conn != nil
+	})
+	call.suspend()
+	if call.suspendedConn() != nil {
 		t.Error("it rests")
 	}
 	close(release)
 	select {
-	case o := <-over:
-		if o.Outcome != policy.Delivered {
-			t.Errorf("got %+v", o)
+	case result := <-results:
+		if result.Outcome != policy.Delivered {
+			t.Errorf("got %+v", result)
 		}
 	case <-time.After(testTimeout):
 		t.Error("its answer is not heard")
 	}
-	c.resume(false)
-	waitFor(t, "rest", func() bool { open, idle := h.pool.counts(); return open == idle })
+	call.resume(false)
+	waitFor(t, "rest", func() bool { open, idle := endpoint.pool.counts(); return open == idle })
 }
 
-// update is a change of the server's keys (RFC 8446 section 4.6.3).
-func (s *recordSealer) keyUpdate() []byte {
-	r := s.seal(recordHandshake, []byte{24, 0, 0, 1, 0})
-	s.secret = hkdfExpandLabel(s.secret, "traffic upd", 32)
-	s.deriveKeys(s.suite)
-	return r
-}
-
-// refusedBy runs calls against a partner that shows what it should not, and
-// tells how many bytes of plaintext the partner got.
-func callRejectedPeer(t *testing.T, s *upstreamtest.TLSSite, cfg *tls.Config) (o Result, plaintext int64, conns int32) {
+// callRejectedPeer makes calls to a peer that shows what it should not. It returns
+// how many bytes of plaintext the peer got, and in how many connections.
+func callRejectedPeer(t *testing.T, site *upstreamtest.TLSSite, config *tls.Config) (
+	result Result, plaintext int64, conns int32,
+) {
+	t.Helper()
 	var got atomic.Int64
 	var n atomic.Int32
 	addr := upstreamtest.ServeTCP(t, func(raw net.Conn) {
 		n.Add(1)
-		c := tls.Server(raw, cfg)
-		if c.Handshake() != nil {
+		conn := tls.Server(raw, config)
+		if conn.Handshake() != nil {
 			return
 		}
 		b := make([]byte, 100)
 		for {
-			k, err := c.Read(b)
+			k, err := conn.Read(b)
 			if got.Add(int64(k)); err != nil {
 				return
 			}
 		}
 	})
-	h := openTLS(testPool(t), s, addr)
+	endpoint := openTLS(testPool(t), site, addr)
 	for range 5 {
-		o = complete(t, newTestCall(), h, Request{ID: "m", IdempotencyKey: "secret-key", Body: []byte("body"), Timeout: testTimeout})
+		result = callOnce(t, endpoint, Request{ID: "m", IdempotencyKey: secretKey, Body: []byte("body")})
 	}
-	h.Close()
-	return o, got.Load(), n.Load()
+	endpoint.Close()
+	return result, got.Load(), n.Load()
 }
 
-// Guards messages against partners whose proof is not accepted, over both
-// versions: nothing is sent, the message never ran, the endpoint is out for its
-// own cause, and five messages make one handshake.
-func TestRejectedPeersGetNothing(t *testing.T) {
+const secretKey = "secret-key"
+
+// rejectedPeerCase is a peer whose identity is not accepted.
+type rejectedPeerCase struct {
+	configure func(site *upstreamtest.TLSSite)                // before its rule is read
+	show      func(site *upstreamtest.TLSSite) *testca.Issued // in place of the site's own certificate
+	cause     tlspolicy.FailureCause
+}
+
+// wrongNameCases are certificates that name somebody else.
+func wrongNameCases(t *testing.T) map[string]rejectedPeerCase {
+	byRoot := func(name string, changes ...func(*x509.Certificate)) func(site *upstreamtest.TLSSite) *testca.Issued {
+		return func(site *upstreamtest.TLSSite) *testca.Issued {
+			return upstreamtest.IssueCert(t, site.Root, name, changes...)
+		}
+	}
+	return map[string]rejectedPeerCase{
+		"another name":        {show: byRoot("shop.example.org"), cause: tlspolicy.NameMismatch},
+		"no name":             {show: byRoot("x", testca.WithNames()), cause: tlspolicy.NameMismatch},
+		"its address":         {show: byRoot("x", testca.WithNames("127.0.0.1")), cause: tlspolicy.NameMismatch},
+		"a wildcard too wide": {show: byRoot("*.org"), cause: tlspolicy.NameMismatch},
+	}
+}
+
+// wrongChainCases are certificates under a name that is right.
+func wrongChainCases(t *testing.T, other *testca.Issued) map[string]rejectedPeerCase {
 	now := time.Now()
-	type c = x509.Certificate
+	expired := testca.WithValidity(now.Add(-2*time.Hour), now.Add(-time.Minute))
+	issue := func(issuer *testca.Issued, name string, changes ...func(*x509.Certificate)) *testca.Issued {
+		return upstreamtest.IssueCert(t, issuer, name, changes...)
+	}
+	byRoot := func(changes ...func(*x509.Certificate)) func(site *upstreamtest.TLSSite) *testca.Issued {
+		return func(site *upstreamtest.TLSSite) *testca.Issued {
+			return issue(site.Root, upstreamtest.PeerName, changes...)
+		}
+	}
+	byAuthority := func(changes ...func(*x509.Certificate)) func(site *upstreamtest.TLSSite) *testca.Issued {
+		return func(site *upstreamtest.TLSSite) *testca.Issued {
+			authority := issue(
+				site.Root,
+				"authority",
+				append([]func(*x509.Certificate){testca.AsAuthority}, changes...)...)
+			return issue(authority, upstreamtest.PeerName)
+		}
+	}
+	return map[string]rejectedPeerCase{
+		"another root": {show: func(*upstreamtest.TLSSite) *testca.Issued {
+			return issue(other, upstreamtest.PeerName)
+		}, cause: tlspolicy.UntrustedRoot},
+		"signed by itself": {show: func(*upstreamtest.TLSSite) *testca.Issued {
+			return issue(nil, upstreamtest.PeerName)
+		}, cause: tlspolicy.UntrustedRoot},
+		"another root of the same name": {show: func(*upstreamtest.TLSSite) *testca.Issued {
+			return issue(issue(nil, "root", testca.AsAuthority), upstreamtest.PeerName)
+		}, cause: tlspolicy.UntrustedRoot},
+		"expired": {show: byRoot(expired), cause: tlspolicy.Expired},
+		"not yet valid": {
+			show:  byRoot(testca.WithValidity(now.Add(time.Minute), now.Add(time.Hour))),
+			cause: tlspolicy.NotYetValid,
+		},
+		"expired above": {show: byAuthority(expired), cause: tlspolicy.Expired},
+		"no authority above": {
+			show:  byAuthority(func(cert *x509.Certificate) { cert.IsCA = false }),
+			cause: tlspolicy.UntrustedRoot,
+		},
+		"for clients": {show: byRoot(func(cert *x509.Certificate) {
+			cert.ExtKeyUsage = []x509.ExtKeyUsage{x509.ExtKeyUsageClientAuth}
+		}), cause: tlspolicy.InvalidChain},
+		"deeper than its authority may go": {show: func(site *upstreamtest.TLSSite) *testca.Issued {
+			short := issue(site.Root, "short", testca.AsAuthority, func(cert *x509.Certificate) {
+				cert.MaxPathLen, cert.MaxPathLenZero = 0, true
+			})
+			return issue(issue(short, "deep", testca.AsAuthority), upstreamtest.PeerName)
+		}, cause: tlspolicy.InvalidChain},
+		"outside what its authority may name": {show: byAuthority(func(cert *x509.Certificate) {
+			cert.PermittedDNSDomains, cert.PermittedDNSDomainsCritical = []string{"shop.example.org"}, true
+		}), cause: tlspolicy.InvalidChain},
+		"must staple and does not": {show: byRoot(testca.WithMustStaple), cause: tlspolicy.RevocationUnresolved},
+	}
+}
+
+// wrongRuleCases are certificates that only the site's rule does not accept.
+func wrongRuleCases(t *testing.T, other *testca.Issued) map[string]rejectedPeerCase {
+	return map[string]rejectedPeerCase{
+		"not pinned": {configure: func(site *upstreamtest.TLSSite) {
+			site.Rule.Pins = []string{tlspolicy.PinOf(other.Certificate).String(), tlspolicy.Pin{1}.String()}
+		}, cause: tlspolicy.PinMismatch},
+		"revoked": {configure: func(site *upstreamtest.TLSSite) {
+			revoke(t, site, site.PeerCert)
+		}, cause: tlspolicy.CertificateRevoked},
+		"revocation unknown, and hard": {configure: func(site *upstreamtest.TLSSite) {
+			site.Rule.UnknownRevocation = "refuse"
+		}, cause: tlspolicy.RevocationUnresolved},
+		"wants a certificate that we lack": {cause: tlspolicy.ClientCertificateRejected},
+	}
+}
+
+// Guards messages against peers whose proof is not accepted, over both versions:
+// nothing is sent, the message never ran, the endpoint is out for its own cause, and
+// five messages make one handshake.
+func TestRejectedPeersGetNothing(t *testing.T) {
 	other := upstreamtest.IssueCert(t, nil, "other", testca.AsAuthority)
+	cases := wrongNameCases(t)
+	maps.Copy(cases, wrongChainCases(t, other))
+	maps.Copy(cases, wrongRuleCases(t, other))
 	for _, version := range []uint16{tls.VersionTLS12, tls.VersionTLS13} {
-		for name, x := range map[string]struct {
-			change func(s *upstreamtest.TLSSite) // of the site, before its rule is read
-			show   func(s *upstreamtest.TLSSite) *testca.Issued
-			cause  tlspolicy.FailureCause
-		}{
-			"another name": {show: func(s *upstreamtest.TLSSite) *testca.Issued {
-				return upstreamtest.IssueCert(t, s.Root, "shop.example.org")
-			}, cause: tlspolicy.NameMismatch},
-			"no name": {show: func(s *upstreamtest.TLSSite) *testca.Issued {
-				return upstreamtest.IssueCert(t, s.Root, "x", testca.WithNames())
-			}, cause: tlspolicy.NameMismatch},
-			"its address": {show: func(s *upstreamtest.TLSSite) *testca.Issued {
-				return upstreamtest.IssueCert(t, s.Root, "x", testca.WithNames("127.0.0.1"))
-			}, cause: tlspolicy.NameMismatch},
-			"a wildcard too wide": {show: func(s *upstreamtest.TLSSite) *testca.Issued { return upstreamtest.IssueCert(t, s.Root, "*.org") }, cause: tlspolicy.NameMismatch},
-			"another root": {show: func(*upstreamtest.TLSSite) *testca.Issued {
-				return upstreamtest.IssueCert(t, other, upstreamtest.PeerName)
-			}, cause: tlspolicy.UntrustedRoot},
-			"signed by itself": {show: func(*upstreamtest.TLSSite) *testca.Issued {
-				return upstreamtest.IssueCert(t, nil, upstreamtest.PeerName)
-			}, cause: tlspolicy.UntrustedRoot},
-			"another root of the same name": {show: func(*upstreamtest.TLSSite) *testca.Issued {
-				return upstreamtest.IssueCert(t, upstreamtest.IssueCert(t, nil, "root", testca.AsAuthority), upstreamtest.PeerName)
-			}, cause: tlspolicy.UntrustedRoot},
-			"expired": {show: func(s *upstreamtest.TLSSite) *testca.Issued {
-				return upstreamtest.IssueCert(t, s.Root, upstreamtest.PeerName, testca.WithValidity(now.Add(-2*time.Hour), now.Add(-time.Minute)))
-			}, cause: tlspolicy.Expired},
-			"not yet valid": {show: func(s *upstreamtest.TLSSite) *testca.Issued {
-				return upstreamtest.IssueCert(t, s.Root, upstreamtest.PeerName, testca.WithValidity(now.Add(time.Minute), now.Add(time.Hour)))
-			}, cause: tlspolicy.NotYetValid},
-			"expired above": {show: func(s *upstreamtest.TLSSite) *testca.Issued {
-				return upstreamtest.IssueCert(t, upstreamtest.IssueCert(t, s.Root, "mid", testca.AsAuthority, testca.WithValidity(now.Add(-2*time.Hour), now.Add(-time.Minute))), upstreamtest.PeerName)
-			}, cause: tlspolicy.Expired},
-			"no authority above": {show: func(s *upstreamtest.TLSSite) *testca.Issued {
-				return upstreamtest.IssueCert(t, upstreamtest.IssueCert(t, s.Root, "mid", testca.AsAuthority, func(x *c) { x.IsCA = false }), upstreamtest.PeerName)
-			}, cause: tlspolicy.UntrustedRoot},
-			"for clients": {show: func(s *upstreamtest.TLSSite) *testca.Issued {
-				return upstreamtest.IssueCert(t, s.Root, upstreamtest.PeerName, func(x *c) { x.ExtKeyUsage = []x509.ExtKeyUsage{x509.ExtKeyUsageClientAuth} })
-			}, cause: tlspolicy.InvalidChain},
-			"deeper than its authority may go": {show: func(s *upstreamtest.TLSSite) *testca.Issued {
-				short := upstreamtest.IssueCert(t, s.Root, "short", testca.AsAuthority, func(x *c) { x.MaxPathLen, x.MaxPathLenZero = 0, true })
-				return upstreamtest.IssueCert(t, upstreamtest.IssueCert(t, short, "deep", testca.AsAuthority), upstreamtest.PeerName)
-			}, cause: tlspolicy.InvalidChain},
-			"outside what its authority may name": {show: func(s *upstreamtest.TLSSite) *testca.Issued {
-				return upstreamtest.IssueCert(t, upstreamtest.IssueCert(t, s.Root, "narrow", testca.AsAuthority, func(x *c) {
-					x.PermittedDNSDomains, x.PermittedDNSDomainsCritical = []string{"shop.example.org"}, true
-				}), upstreamtest.PeerName)
-			}, cause: tlspolicy.InvalidChain},
-			"not pinned": {change: func(s *upstreamtest.TLSSite) {
-				s.Rule.Pins = []string{tlspolicy.PinOf(other.Certificate).String(), tlspolicy.Pin{1}.String()}
-			}, cause: tlspolicy.PinMismatch},
-			"revoked": {change: func(s *upstreamtest.TLSSite) { revoke(t, s, s.PeerCert) }, cause: tlspolicy.CertificateRevoked},
-			"revocation unknown, and hard": {change: func(s *upstreamtest.TLSSite) { s.Rule.UnknownRevocation = "refuse" },
-				cause: tlspolicy.RevocationUnresolved},
-			"must staple and does not": {show: func(s *upstreamtest.TLSSite) *testca.Issued {
-				return upstreamtest.IssueCert(t, s.Root, upstreamtest.PeerName, testca.WithMustStaple)
-			}, cause: tlspolicy.RevocationUnresolved},
-			"wants a certificate that we lack": {cause: tlspolicy.ClientCertificateRejected},
-		} {
+		for name, test := range cases {
 			t.Run(name+" "+tls.VersionName(version), func(t *testing.T) {
 				t.Parallel()
-				s := upstreamtest.NewTLSSite(t, func(s *upstreamtest.TLSSite, _ *operatorconfig.Handshakes) {
-					if x.change != nil {
-						x.change(s)
+				site := upstreamtest.NewTLSSite(t, func(site *upstreamtest.TLSSite, _ *operatorconfig.Handshakes) {
+					if test.configure != nil {
+						test.configure(site)
 					}
 				})
-				shown := s.PeerCert
-				if x.show != nil {
-					shown = x.show(s)
+				shown := site.PeerCert
+				if test.show != nil {
+					shown = test.show(site)
+				}
+				config := &tls.Config{
+					Certificates: []tls.Certificate{shown.TLSCertificate()},
+					MinVersion:   version, MaxVersion: version,
 				}
-				cfg := &tls.Config{Certificates: []tls.Certificate{shown.TLSCertificate()}, MinVersion: version, MaxVersion: version}
-				if x.cause == tlspolicy.ClientCertificateRejected {
-					cfg.ClientAuth, cfg.ClientCAs = tls.RequireAndVerifyClientCert, s.Root.RootPool()
+				if test.cause == tlspolicy.ClientCertificateRejected {
+					config.ClientAuth, config.ClientCAs = tls.RequireAndVerifyClientCert, site.Root.RootPool()
 				}
-				o, plaintext, conns := callRejectedPeer(t, s, cfg)
-				var out *tlsdial.RejectedError
-				if o.Outcome != policy.NotSent || !errors.As(o.Err, &out) || out.Reason.Cause != x.cause {
-					t.Errorf("got %+v, want %s", o, x.cause)
+				result, plaintext, conns := callRejectedPeer(t, site, config)
+				var rejected *tlsdial.RejectedError
+				if result.Outcome != policy.NotSent || !errors.As(result.Err, &rejected) ||
+					rejected.Reason.Cause != test.cause {
+					t.Errorf("got %+v, want %s", result, test.cause)
 				}
 				if plaintext != 0 || conns != 1 {
-					t.Errorf("%d bytes of plaintext at the partner in %d connections, want none in one", plaintext, conns)
+					t.Errorf("%d bytes of plaintext at the peer in %d connections, want none in one", plaintext, conns)
 				}
-				if b := <-s.Rejections; b.Wait <= 0 {
-					t.Errorf("the decision module is told %v", b)
+				if rejection := <-site.Rejections; rejection.Wait <= 0 {
+					t.Errorf("the decision module is told %v", rejection)
 				}
 			})
 		}
 	}
 	t.Run("only an old version", func(t *testing.T) {
-		s := upstreamtest.NewTLSSite(t, nil)
-		o, plaintext, _ := callRejectedPeer(t, s, &tls.Config{Certificates: []tls.Certificate{s.PeerCert.TLSCertificate()}, MaxVersion: tls.VersionTLS11, MinVersion: tls.VersionTLS10})
-		var out *tlsdial.RejectedError
-		if !errors.As(o.Err, &out) || out.Reason.Cause != tlspolicy.NoCommonParameters || plaintext != 0 {
-			t.Errorf("got %+v, %d bytes", o, plaintext)
+		site := upstreamtest.NewTLSSite(t, nil)
+		config := site.ServerConfig()
+		config.MinVersion, config.MaxVersion = tls.VersionTLS10, tls.VersionTLS11
+		result, plaintext, _ := callRejectedPeer(t, site, config)
+		var rejected *tlsdial.RejectedError
+		if !errors.As(result.Err, &rejected) || rejected.Reason.Cause != tlspolicy.NoCommonParameters ||
+			plaintext != 0 {
+			t.Errorf("got %+v, %d bytes", result, plaintext)
 		}
 	})
 	t.Run("no TLS at all", func(t *testing.T) {
-		s := upstreamtest.NewTLSSite(t, nil)
+		site := upstreamtest.NewTLSSite(t, nil)
 		var got atomic.Int64
-		h := openTLS(testPool(t), s, upstreamtest.ServeTCP(t, func(c net.Conn) {
+		endpoint := openTLS(testPool(t), site, upstreamtest.ServeTCP(t, func(conn net.Conn) {
 			b := make([]byte, 4096)
-			n, _ := c.Read(b)
-			if strings.Contains(string(b[:n]), "secret-key") {
+			n, _ := conn.Read(b) // whatever comes
+			if strings.Contains(string(b[:n]), secretKey) {
 				got.Add(1)
 			}
-			io.WriteString(c, upstreamtest.OKResponse)
+			respond(conn, upstreamtest.OKResponse)
 		}))
-		o := complete(t, newTestCall(), h, Request{ID: "m", IdempotencyKey: "secret-key", Timeout: testTimeout})
-		h.Close()
-		var out *tlsdial.RejectedError
-		if !errors.As(o.Err, &out) || out.Reason.Cause != tlspolicy.NoCommonParameters || got.Load() != 0 {
-			t.Errorf("got %+v", o)
+		result := callOnce(t, endpoint, Request{ID: "m", IdempotencyKey: secretKey})
+		endpoint.Close()
+		var rejected *tlsdial.RejectedError
+		if !errors.As(result.Err, &rejected) || rejected.Reason.Cause != tlspolicy.NoCommonParameters ||
+			got.Load() != 0 {
+			t.Errorf("got %+v", result)
 		}
 	})
 }
@@ -468,142 +556,149 @@
 // with TLS 1.3 the handshake is over here by then, and the message would be whole
 // on its way.
 func TestOwnCertificateRejectedLate(t *testing.T) {
-	s := upstreamtest.NewTLSSite(t, func(s *upstreamtest.TLSSite, _ *operatorconfig.Handshakes) {
-		cert, key, err := upstreamtest.IssueCert(t, s.Root, "relay").WriteFiles(s.Dir, "own", true)
+	site := upstreamtest.NewTLSSite(t, func(site *upstreamtest.TLSSite, _ *operatorconfig.Handshakes) {
+		cert, key, err := upstreamtest.IssueCert(t, site.Root, "relay").WriteFiles(site.Dir, "own", true)
 		if err != nil {
 			t.Fatal(err)
 		}
-		s.Rule.Certificate, s.Rule.Key = cert, key
+		site.Rule.Certificate, site.Rule.Key = cert, key
 	})
-	o, plaintext, conns := callRejectedPeer(t, s, &tls.Config{Certificates: []tls.Certificate{s.PeerCert.TLSCertificate()}, MinVersion: tls.VersionTLS13,
-		ClientAuth: tls.RequireAnyClientCert, VerifyPeerCertificate: func([][]byte, [][]*x509.Certificate) error {
-			time.Sleep(5 * defaultStaleCheckDelay) // longer than the moment before a call's last byte
-			return errors.New("not registered here")
-		}})
-	var out *tlsdial.RejectedError
-	if o.Outcome != policy.NotSent || !errors.As(o.Err, &out) || out.Reason.Cause != tlspolicy.ClientCertificateRejected || plaintext != 0 || conns != 1 {
-		t.Errorf("got %+v, %d bytes, %d connections", o, plaintext, conns)
-	}
-	if n := s.Dialer.Counts(); n.Full != 0 || n.Rejected != 1 {
+	config := site.ServerConfig()
+	config.MinVersion, config.ClientAuth = tls.VersionTLS13, tls.RequireAnyClientCert
+	config.VerifyPeerCertificate = func([][]byte, [][]*x509.Certificate) error {
+		time.Sleep(5 * defaultStaleCheckDelay) // longer than the delay before a call's last byte
+		return errors.New("not registered here")
+	}
+	result, plaintext, conns := callRejectedPeer(t, site, config)
+	var rejected *tlsdial.RejectedError
+	if result.Outcome != policy.NotSent || !errors.As(result.Err, &rejected) ||
+		rejected.Reason.Cause != tlspolicy.ClientCertificateRejected || plaintext != 0 || conns != 1 {
+		t.Errorf("got %+v, %d bytes, %d connections", result, plaintext, conns)
+	}
+	if n := site.Dialer.Counts(); n.Full != 0 || n.Rejected != 1 {
 		t.Errorf("%+v: it passed for proved", n)
 	}
 }
 
 // revoke puts a certificate on the site's revocation list.
-func revoke(t testing.TB, s *upstreamtest.TLSSite, m *testca.Issued) {
+func revoke(t testing.TB, site *upstreamtest.TLSSite, issued *testca.Issued) {
 	t.Helper()
-	text, err := testca.RevocationListPEM(s.Root, time.Now().Add(time.Hour), m)
+	text, err := testca.RevocationListPEM(site.Root, time.Now().Add(time.Hour), issued)
 	if err != nil {
 		t.Fatal(err)
 	}
-	s.Rule.Revocations = filepath.Join(s.Dir, "crl.pem")
-	if err := testca.ReplaceFile(s.Rule.Revocations, text, 0o644); err != nil {
+	site.Rule.Revocations = filepath.Join(site.Dir, "crl.pem")
+	if err := testca.ReplaceFile(site.Rule.Revocations, text, 0o644); err != nil {
 		t.Fatal(err)
 	}
 }
 
-func mustDeliver(t *testing.T, h *Endpoint) {
+// mustDeliver makes a call that is delivered, and waits until its connection may be used
+// again.
+func mustDeliver(t *testing.T, endpoint *Endpoint) {
 	t.Helper()
-	if o := complete(t, newTestCall(), h, Request{ID: "m", Body: []byte("b"), Timeout: testTimeout}); o.Outcome != policy.Delivered {
-		t.Fatalf("got %+v", o)
+	if result := callOnce(t, endpoint, Request{ID: "m", Body: []byte("b")}); result.Outcome != policy.Delivered {
+		t.Fatalf("got %+v", result)
 	}
-	waitReusable(h)
+	waitReusable(endpoint)
 }
 
 // Guards a certificate that ends while its connection is open: the call that is
 // out on it ends well, and no other begins there.
 func TestCertificateExpiresOnOpenConnection(t *testing.T) {
-	s := upstreamtest.NewTLSSite(t, nil)
+	site := upstreamtest.NewTLSSite(t, nil)
 	var conns atomic.Int32
 	entered, release := make(chan struct{}), make(chan struct{})
-	addr := upstreamtest.ServeTLS(t, s.ServerConfig(), func(c net.Conn) {
+	addr := upstreamtest.ServeTLS(t, site.ServerConfig(), func(conn net.Conn) {
 		conns.Add(1)
-		for in := bufio.NewReader(c); upstreamtest.ReadRequest(in); {
+		for reader := bufio.NewReader(conn); upstreamtest.ReadRequest(reader); {
 			entered <- struct{}{}
 			<-release
-			io.WriteString(c, upstreamtest.OKResponse)
+			respond(conn, upstreamtest.OKResponse)
 		}
 	})
-	h := openTLS(testPool(t), s, addr)
-	over := make(chan Result, 1)
-	go func() { newTestCall().Do(h, Request{ID: "a", Timeout: testTimeout}, func(o Result) { over <- o }) }()
+	endpoint := openTLS(testPool(t), site, addr)
+	results := make(chan Result, 1)
+	go start(endpoint, Request{ID: "a"}, results)
 	<-entered
-	s.ClockSkew.Store(int64(2 * time.Hour)) // its certificate ended an hour ago
+	site.ClockSkew.Store(int64(2 * time.Hour)) // its certificate ended an hour ago
 	close(release)
-	if o := <-over; o.Outcome != policy.Delivered {
-		t.Errorf("the call that was out: %+v", o)
+	if result := <-results; result.Outcome != policy.Delivered {
+		t.Errorf("the call that was out: %+v", result)
 	}
-	waitFor(t, "the connection's end", func() bool { open, _ := h.pool.counts(); return open == 0 })
-	o := complete(t, newTestCall(), h, Request{ID: "b", Timeout: testTimeout})
-	var out *tlsdial.RejectedError
-	if !errors.As(o.Err, &out) || out.Reason.Cause != tlspolicy.Expired || o.Outcome != policy.NotSent || conns.Load() != 1 {
-		t.Errorf("the next one: %+v, %d connections served", o, conns.Load())
+	waitFor(t, "the connection's end", func() bool { open, _ := endpoint.pool.counts(); return open == 0 })
+	result := callOnce(t, endpoint, Request{ID: "b"})
+	var rejected *tlsdial.RejectedError
+	if !errors.As(result.Err, &rejected) || rejected.Reason.Cause != tlspolicy.Expired ||
+		result.Outcome != policy.NotSent || conns.Load() != 1 {
+		t.Errorf("the next one: %+v, %d connections served", result, conns.Load())
 	}
-	h.Close()
+	endpoint.Close()
 }
 
 // Guards trust that changes: connections and sessions that were made under the
 // old roots carry no new call, and the endpoint is asked again by itself once
 // the operator has mended the file; no message is spent on that.
 func TestRootsReplaced(t *testing.T) {
-	s := upstreamtest.NewTLSSite(t, nil)
-	h := openTLS(testPool(t), s, upstreamtest.ServeTLS(t, s.ServerConfig(), upstreamtest.ServeOK))
-	mustDeliver(t, h)
-	if _, idle := h.pool.counts(); idle != 1 {
+	site := upstreamtest.NewTLSSite(t, nil)
+	endpoint := openTLS(testPool(t), site, upstreamtest.ServeTLS(t, site.ServerConfig(), upstreamtest.ServeOK))
+	mustDeliver(t, endpoint)
+	if _, idle := endpoint.pool.counts(); idle != 1 {
 		t.Fatalf("%d idle", idle)
 	}
 	other := upstreamtest.IssueCert(t, nil, "other", testca.AsAuthority)
-	if _, _, err := other.WriteFiles(s.Dir, "roots", false); err != nil {
+	if _, _, err := other.WriteFiles(site.Dir, "roots", false); err != nil {
 		t.Fatal(err)
 	}
-	s.Dialer.ReloadFiles()
-	if o := complete(t, newTestCall(), h, Request{ID: "b", Timeout: testTimeout}); o.Outcome != policy.NotSent {
-		t.Fatalf("under roots that do not know the partner: %+v", o)
+	site.Dialer.ReloadFiles()
+	if result := callOnce(t, endpoint, Request{ID: "b"}); result.Outcome != policy.NotSent {
+		t.Fatalf("under roots that do not know the partner: %+v", result)
 	}
-	if b := <-s.Rejections; b.Wait == 0 {
+	if rejection := <-site.Rejections; rejection.Wait == 0 {
 		t.Fatal("not barred")
 	}
-	if _, _, err := s.Root.WriteFiles(s.Dir, "roots", false); err != nil {
+	if _, _, err := site.Root.WriteFiles(site.Dir, "roots", false); err != nil {
 		t.Fatal(err)
 	}
-	s.Dialer.ReloadFiles()
-	for b := range s.Rejections {
-		if b.Wait == 0 {
+	site.Dialer.ReloadFiles()
+	for rejection := range site.Rejections {
+		if rejection.Wait == 0 {
 			break // proved again, and no message was sent for it
 		}
 	}
-	if n := s.Dialer.Counts(); n.Full != 2 || n.Resumed != 0 {
+	if n := site.Dialer.Counts(); n.Full != 2 || n.Resumed != 0 {
 		t.Errorf("%+v: a session outlived the trust that it was made under", n)
 	}
-	waitReusable(h)
-	mustDeliver(t, h)
-	h.Close()
+	waitReusable(endpoint)
+	mustDeliver(t, endpoint)
+	endpoint.Close()
 }
 
 // Guards the schedule: a partner that mends its certificate is found out without
 // a message.
 func TestPeerRecoversWithoutCall(t *testing.T) {
-	s := upstreamtest.NewTLSSite(t, nil)
+	site := upstreamtest.NewTLSSite(t, nil)
 	var good atomic.Bool
-	wrong := upstreamtest.IssueCert(t, s.Root, "shop.example.org").TLSCertificate()
-	right := s.PeerCert.TLSCertificate()
-	h := openTLS(testPool(t), s, upstreamtest.ServeTLS(t, &tls.Config{GetCertificate: func(*tls.ClientHelloInfo) (*tls.Certificate, error) {
+	wrong := upstreamtest.IssueCert(t, site.Root, "shop.example.org").TLSCertificate()
+	right := site.PeerCert.TLSCertificate()
+	config := &tls.Config{GetCertificate: func(*tls.ClientHelloInfo) (*tls.Certificate, error) {
 		if good.Load() {
 			return &right, nil
 		}
 		return &wrong, nil
-	}}, upstreamtest.ServeOK))
-	if o := complete(t, newTestCall(), h, Request{ID: "a", Timeout: testTimeout}); o.Outcome != policy.NotSent {
-		t.Fatalf("got %+v", o)
+	}}
+	endpoint := openTLS(testPool(t), site, upstreamtest.ServeTLS(t, config, upstreamtest.ServeOK))
+	if result := callOnce(t, endpoint, Request{ID: "a"}); result.Outcome != policy.NotSent {
+		t.Fatalf("got %+v", result)
 	}
 	good.Store(true)
-	for b := range s.Rejections {
-		if b.Wait == 0 {
+	for rejection := range site.Rejections {
+		if rejection.Wait == 0 {
 			break
 		}
 	}
-	mustDeliver(t, h)
-	h.Close()
+	mustDeliver(t, endpoint)
+	endpoint.Close()
 }
 
 // Guards sessions: the second connection is resumed with both versions, a
@@ -611,30 +706,31 @@
 func TestSessionResumption(t *testing.T) {
 	for _, version := range []uint16{tls.VersionTLS12, tls.VersionTLS13} {
 		t.Run(tls.VersionName(version), func(t *testing.T) {
-			s := upstreamtest.NewTLSSite(t, nil)
+			site := upstreamtest.NewTLSSite(t, nil)
 			var conns, resumed atomic.Int32
-			cfg := &tls.Config{Certificates: []tls.Certificate{s.PeerCert.TLSCertificate()}, MinVersion: version, MaxVersion: version}
-			addr := upstreamtest.ServeTLS(t, cfg, func(c net.Conn) {
+			config := site.ServerConfig()
+			config.MinVersion, config.MaxVersion = version, version
+			addr := upstreamtest.ServeTLS(t, config, func(conn net.Conn) {
 				conns.Add(1)
-				if c.(*tls.Conn).ConnectionState().DidResume {
+				if conn.(*tls.Conn).ConnectionState().DidResume {
 					resumed.Add(1)
 				}
-				upstreamtest.ServeOK(c)
+				upstreamtest.ServeOK(conn)
 			})
-			h := openTLS(testPool(t), s, addr)
+			endpoint := openTLS(testPool(t), site, addr)
 			for range 4 {
-				mustDeliver(t, h)
-				h.CloseIdle()
+				mustDeliver(t, endpoint)
+				endpoint.CloseIdle()
 			}
-			if n := s.Dialer.Counts(); n.Full != 1 || n.Resumed != 3 || conns.Load() != 4 || resumed.Load() != 3 {
+			if n := site.Dialer.Counts(); n.Full != 1 || n.Resumed != 3 || conns.Load() != 4 || resumed.Load() != 3 {
 				t.Errorf("%+v; the partner saw %d, of them %d resumed", n, conns.Load(), resumed.Load())
 			}
 			// What a proof would not be accepted for any more, a session is not either.
-			s.ClockSkew.Store(int64(3 * time.Hour))
-			if o := complete(t, newTestCall(), h, Request{ID: "m", Timeout: testTimeout}); o.Outcome != policy.NotSent {
-				t.Errorf("after the certificate's end a session serves: %+v", o)
+			site.ClockSkew.Store(int64(3 * time.Hour))
+			if result := callOnce(t, endpoint, Request{ID: "m"}); result.Outcome != policy.NotSent {
+				t.Errorf("after the certificate's end a session serves: %+v", result)
 			}
-			h.Close()
+			endpoint.Close()
 		})
 	}
 }
@@ -642,36 +738,43 @@
 // Guards a cold partner: thirty calls at once make one handshake at a time, and
 // take their turns on what there is.
 func TestWarmingUpConnectsOneAtATime(t *testing.T) {
-	s := upstreamtest.NewTLSSite(t, nil)
+	site := upstreamtest.NewTLSSite(t, nil)
 	var under, most atomic.Int32
-	cfg := &tls.Config{GetCertificate: func(*tls.ClientHelloInfo) (*tls.Certificate, error) {
-		if n := under.Add(1); n > most.Load() {
-			most.Store(n)
-		}
-		time.Sleep(2 * time.Millisecond) // a handshake is slow there
-		own := s.PeerCert.TLSCertificate()
-		return &own, nil
-	}, SessionTicketsDisabled: true, VerifyConnection: func(tls.ConnectionState) error { under.Add(-1); return nil }}
-	h := openTLS(testPool(t), s, upstreamtest.ServeTLS(t, cfg, upstreamtest.ServeOK))
-	over := make(chan Result, 30)
+	config := &tls.Config{
+		SessionTicketsDisabled: true,
+		GetCertificate: func(*tls.ClientHelloInfo) (*tls.Certificate, error) {
+			if n := under.Add(1); n > most.Load() {
+				most.Store(n)
+			}
+			time.Sleep(2 * time.Millisecond) // a handshake is slow there
+			own := site.PeerCert.TLSCertificate()
+			return &own, nil
+		},
+		VerifyConnection: func(tls.ConnectionState) error {
+			under.Add(-1)
+			return nil
+		},
+	}
+	endpoint := openTLS(testPool(t), site, upstreamtest.ServeTLS(t, config, upstreamtest.ServeOK))
+	results := make(chan Result, 30)
 	for range 30 {
 		go func() {
-			c := NewCall(context.Background(), CallOptions{WarmingUp: true, MayConnect: true})
-			c.Do(h, Request{ID: "m", Timeout: testTimeout}, func(o Result) { over <- o })
+			call := NewCall(context.Background(), CallOptions{WarmingUp: true, MayConnect: true})
+			call.Do(endpoint, Request{ID: "m", Timeout: testTimeout}, func(result Result) { results <- result })
 		}()
 	}
 	for range 30 {
-		if o := <-over; o.Outcome != policy.Delivered {
-			t.Errorf("got %+v", o)
+		if result := <-results; result.Outcome != policy.Delivered {
+			t.Errorf("got %+v", result)
 		}
 	}
 	if n := most.Load(); n != 1 {
 		t.Errorf("%d handshakes at once", n)
 	}
-	if n := s.Dialer.Counts().Full; n > 20 {
+	if n := site.Dialer.Counts().Full; n > 20 {
 		t.Errorf("%d handshakes for 30 calls that could share", n)
 	}
-	waitFor(t, "rest", func() bool { open, idle := h.pool.counts(); return open == idle })
+	waitFor(t, "rest", func() bool { open, idle := endpoint.pool.counts(); return open == idle })
 }
 
 // Guards the one budget for calls and connections: at a cold endpoint a call for
@@ -679,22 +782,28 @@
 // handshake weighs nothing it opens its own.
 func TestConnectNotAllowed(t *testing.T) {
 	for _, weight := range []float64{0, 1} {
-		s := upstreamtest.NewTLSSite(t, func(s *upstreamtest.TLSSite, _ *operatorconfig.Handshakes) { s.Rule.HandshakeWeight = &weight })
-		h := openTLS(testPool(t), s, upstreamtest.ServeTLS(t, s.ServerConfig(), upstreamtest.ServeOK))
+		site := upstreamtest.NewTLSSite(t, func(site *upstreamtest.TLSSite, _ *operatorconfig.Handshakes) {
+			site.Rule.HandshakeWeight = &weight
+		})
+		endpoint := openTLS(testPool(t), site, upstreamtest.ServeTLS(t, site.ServerConfig(), upstreamtest.ServeOK))
 		call := func(mayConnect bool) Result {
 			c := NewCall(context.Background(), CallOptions{WarmingUp: true, MayConnect: mayConnect})
-			return complete(t, c, h, Request{ID: "m", Timeout: testTimeout})
+			return complete(t, c, endpoint, Request{ID: "m"})
+		}
+		result := call(false)
+		if weight == 0 && (result.Outcome != policy.Delivered || result.ConnectionsOpened != 1) {
+			t.Errorf("not paid, where nothing is charged: %+v", result)
 		}
-		o := call(false)
-		if weight == 0 && (o.Outcome != policy.Delivered || o.ConnectionsOpened != 1) || weight > 0 && (o.Outcome != policy.NotSent || o.ConnectionsOpened != 0 || s.Dialer.Counts().Full != 0) {
-			t.Errorf("weight %v, not paid: %+v", weight, o)
+		if weight > 0 &&
+			(result.Outcome != policy.NotSent || result.ConnectionsOpened != 0 || site.Dialer.Counts().Full != 0) {
+			t.Errorf("weight %v, not paid: %+v", weight, result)
 		}
-		if o := call(true); o.Outcome != policy.Delivered || o.ConnectionsOpened != 1 && weight > 0 {
-			t.Errorf("weight %v, paid: %+v", weight, o)
+		if result := call(true); result.Outcome != policy.Delivered || result.ConnectionsOpened != 1 && weight > 0 {
+			t.Errorf("weight %v, paid: %+v", weight, result)
 		}
-		waitReusable(h)
-		if o := call(false); o.Outcome != policy.Delivered || o.ConnectionsOpened != 0 {
-			t.Errorf("weight %v, one is free: %+v", weight, o)
+		waitReusable(endpoint)
+		if result := call(false); result.Outcome != policy.Delivered || result.ConnectionsOpened != 0 {
+			t.Errorf("weight %v, one is free: %+v", weight, result)
 		}
 	}
 }
@@ -703,14 +812,17 @@
 // allows no handshake before the call's end, the call never ran, at once, with
 // the time to come back.
 func TestHandshakeBudgetExhausted(t *testing.T) {
-	s := upstreamtest.NewTLSSite(t, func(_ *upstreamtest.TLSSite, h *operatorconfig.Handshakes) { h.CPUShare, h.BurstMS = 1e-6, 1 })
-	h := openTLS(testPool(t), s, upstreamtest.ServeTLS(t, s.ServerConfig(), upstreamtest.ServeOK))
-	mustDeliver(t, h) // which takes all of the budget
-	h.CloseIdle()
-	o := complete(t, newTestCall(), h, Request{ID: "m", Timeout: time.Second})
-	var turn handshakeBudgetError
-	if o.Outcome != policy.NotSent || !errors.As(o.Err, &turn) || o.RetryAfter < 1e6 || o.Elapsed > 500e3 {
-		t.Errorf("got %+v", o)
+	site := upstreamtest.NewTLSSite(t, func(_ *upstreamtest.TLSSite, handshakes *operatorconfig.Handshakes) {
+		handshakes.CPUShare, handshakes.BurstMS = 1e-6, 1
+	})
+	endpoint := openTLS(testPool(t), site, upstreamtest.ServeTLS(t, site.ServerConfig(), upstreamtest.ServeOK))
+	mustDeliver(t, endpoint) // which takes all of the budget
+	endpoint.CloseIdle()
+	result := callOnce(t, endpoint, Request{ID: "m", Timeout: time.Second})
+	var budget handshakeBudgetError
+	if result.Outcome != policy.NotSent || !errors.As(result.Err, &budget) || result.RetryAfter < 1e6 ||
+		result.Elapsed > 500e3 {
+		t.Errorf("got %+v", result)
 	}
 }
 
@@ -718,61 +830,65 @@
 // flight, certificate and key one after the other: no call is lost, the pair
 // that does not match is never shown, and from then on the new one is.
 func TestOwnCertificateReplaced(t *testing.T) {
-	s := upstreamtest.NewTLSSite(t, func(s *upstreamtest.TLSSite, h *operatorconfig.Handshakes) {
-		h.MaxParallel, h.CPUShare, h.BurstMS = 50, 1, 1000
-		cert, key, err := upstreamtest.IssueCert(t, s.Root, "relay one").WriteFiles(s.Dir, "own", true)
+	site := upstreamtest.NewTLSSite(t, func(site *upstreamtest.TLSSite, handshakes *operatorconfig.Handshakes) {
+		handshakes.MaxParallel, handshakes.CPUShare, handshakes.BurstMS = 50, 1, 1000
+		cert, key, err := upstreamtest.IssueCert(t, site.Root, "relay one").WriteFiles(site.Dir, "own", true)
 		if err != nil {
 			t.Fatal(err)
 		}
-		s.Rule.Certificate, s.Rule.Key = cert, key
+		site.Rule.Certificate, site.Rule.Key = cert, key
 	})
 	var mu sync.Mutex
 	shown := map[string]int{}
 	arrived, gate := make(chan struct{}, 200), make(chan struct{})
 	var open atomic.Bool
-	h := openTLS(testPool(t), s, upstreamtest.ServeTLS(t, &tls.Config{ClientAuth: tls.RequireAndVerifyClientCert, ClientCAs: s.Root.RootPool(),
+	config := &tls.Config{
+		ClientAuth: tls.RequireAndVerifyClientCert,
+		ClientCAs:  site.Root.RootPool(),
 		GetCertificate: func(*tls.ClientHelloInfo) (*tls.Certificate, error) {
 			if !open.Load() {
 				arrived <- struct{}{}
 				<-gate
 			}
-			own := s.PeerCert.TLSCertificate()
+			own := site.PeerCert.TLSCertificate()
 			return &own, nil
-		}}, func(c net.Conn) {
+		},
+	}
+	endpoint := openTLS(testPool(t), site, upstreamtest.ServeTLS(t, config, func(conn net.Conn) {
 		mu.Lock()
-		shown[c.(*tls.Conn).ConnectionState().PeerCertificates[0].Subject.CommonName]++
+		shown[conn.(*tls.Conn).ConnectionState().PeerCertificates[0].Subject.CommonName]++
 		mu.Unlock()
-		upstreamtest.ServeOK(c)
+		upstreamtest.ServeOK(conn)
 	}))
-	over := make(chan Result, 100)
-	send := func(n int) {
+	results := make(chan Result, 100)
+	startCalls := func(n int) {
 		for range n {
-			go func() { newTestCall().Do(h, Request{ID: "m", Timeout: testTimeout}, func(o Result) { over <- o }) }()
+			go start(endpoint, Request{ID: "m"}, results)
 		}
 	}
-	send(50)
+	startCalls(50)
 	for range 50 {
 		<-arrived
 	}
-	two := upstreamtest.IssueCert(t, s.Root, "relay two")
-	if err := testca.ReplaceFile(s.Rule.Certificate, two.CertPEM(), 0o644); err != nil {
+	two := upstreamtest.IssueCert(t, site.Root, "relay two")
+	if err := testca.ReplaceFile(site.Rule.Certificate, two.CertPEM(), 0o644); err != nil {
 		t.Fatal(err)
 	}
-	s.Dialer.ReloadFiles() // the moment between: the old pair goes on
+	site.Dialer.ReloadFiles() // the moment between: the old pair goes on
 	open.Store(true)
 	close(gate)
 	for range 50 {
-		if o := <-over; o.Outcome != policy.Delivered {
-			t.Errorf("got %+v", o)
+		if result := <-results; result.Outcome != policy.Delivered {
+			t.Errorf("got %+v", result)
 		}
 	}
 	waitFor(t, "all handshakes", func() bool {
-		h.pool.mu.Lock()
-		connecting := h.connecting
-		h.pool.mu.Unlock()
+		endpoint.pool.mu.Lock()
+		connecting := endpoint.connecting
+		endpoint.pool.mu.Unlock()
 		mu.Lock()
 		defer mu.Unlock()
-		return connecting == 0 && int64(shown["relay one"]) == s.Dialer.Counts().Full
+		return connecting == 0 && int64(shown["relay one"]) == site.Dialer.Counts().Full
 	})
 	mu.Lock()
 	if len(shown) != 1 {
@@ -784,15 +900,15 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if err := testca.ReplaceFile(s.Rule.Key, key, 0o600); err != nil {
+	if err := testca.ReplaceFile(site.Rule.Key, key, 0o600); err != nil {
 		t.Fatal(err)
 	}
-	s.Dialer.ReloadFiles()
-	waitReusable(h)
-	send(20)
+	site.Dialer.ReloadFiles()
+	waitReusable(endpoint)
+	startCalls(20)
 	for range 20 {
-		if o := <-over; o.Outcome != policy.Delivered {
-			t.Errorf("got %+v", o)
+		if result := <-results; result.Outcome != policy.Delivered {
+			t.Errorf("got %+v", result)
 		}
 	}
 	mu.Lock()
@@ -800,38 +916,42 @@
 	if len(shown) != 1 || shown["relay two"] == 0 {
 		t.Errorf("shown after the change: %v", shown)
 	}
-	h.Close()
-	waitFor(t, "rest", func() bool { open, _ := h.pool.counts(); return open == 0 })
+	endpoint.Close()
+	waitFor(t, "rest", func() bool { open, _ := endpoint.pool.counts(); return open == 0 })
 }
 
 // Guards what never ran: a reset at each write before the last byte, and the
 // write that carries it.
 func TestBrokenAtEachTLSWrite(t *testing.T) {
 	for at := 1; ; at++ {
-		s := upstreamtest.NewTLSSite(t, nil)
+		site := upstreamtest.NewTLSSite(t, nil)
 		var calls atomic.Int32
-		p := testPool(t)
-		h := openTLS(p, s, upstreamtest.ServeTLS(t, s.ServerConfig(), func(c net.Conn) {
-			if upstreamtest.ReadRequest(bufio.NewReader(c)) {
+		pool := testPool(t)
+		endpoint := openTLS(pool, site, upstreamtest.ServeTLS(t, site.ServerConfig(), func(conn net.Conn) {
+			if upstreamtest.ReadRequest(bufio.NewReader(conn)) {
 				calls.Add(1)
-				io.WriteString(c, upstreamtest.OKResponse)
+				respond(conn, upstreamtest.OKResponse)
 			}
 		}))
-		dial := h.dial
+		dial := endpoint.dial
 		broke := false
-		h.dial = func(ctx context.Context, addr string) (net.Conn, error) {
-			c, err := dial(ctx, addr)
+		endpoint.dial = func(ctx context.Context, addr string) (net.Conn, error) {
+			conn, err := dial(ctx, addr)
 			if err != nil || broke {
-				return c, err
+				return conn, err
 			}
 			broke = true
-			return &closeAtWriteConn{TCPConn: c.(*net.TCPConn), at: at}, nil
+			return &closeAtWriteConn{TCPConn: conn.(*net.TCPConn), at: at}, nil
+		}
+		result := callOnce(t, endpoint, Request{ID: "m", Body: []byte("b")})
+		want := int32(0)
+		if result.Outcome == policy.Delivered {
+			want = 1
 		}
-		o := complete(t, newTestCall(), h, Request{ID: "m", Body: []byte("b"), Timeout: testTimeout})
-		if calls.Load() > 1 || o.Outcome == policy.Delivered && calls.Load() != 1 || o.Outcome != policy.Delivered && (!o.Outcome.NeverRan() || calls.Load() != 0) {
-			t.Fatalf("broken at write %d: %+v, and %d calls", at, o, calls.Load())
+		if calls.Load() != want || want == 0 && !result.Outcome.NeverRan() {
+			t.Fatalf("broken at write %d: %+v, and %d calls", at, result, calls.Load())
 		}
-		h.Close()
+		endpoint.Close()
 		if at > 8 {
 			return
 		}
@@ -843,10 +963,9 @@
 	at, writes int
 }
 
-func (b *closeAtWriteConn) Write(p []byte) (int, error) {
-	if b.writes++; b.writes == b.at {
-		b.TCPConn.Close()
-		return 0, os.ErrClosed
+func (c *closeAtWriteConn) Write(b []byte) (int, error) {
+	if c.writes++; c.writes == c.at {
+		return 0, errors.Join(os.ErrClosed, c.Close())
 	}
-	return b.TCPConn.Write(p)
+	return c.TCPConn.Write(b)
 }
--- a/internal/upstream/tlsconn.go
+++ b/internal/upstream/tlsconn.go
@@ -318,8 +318,21 @@
 	if errors.Is(err, os.ErrDeadlineExceeded) {
 		return false
 	}
-	if err != nil {
-		c.tls.Endpoint().RecordAlert(err)
-	}
+	_ = c.recordAlert(err) // the connection is of no use either way
 	return true
 }
+
+// recordAlert has the dialer look at an error on the connection: it may be an alert
+// that the peer rejects this side's identity, which with TLS 1.3 comes after the
+// handshake and spares the endpoint the next calls. It returns the rejection, nil for
+// any other error, and without TLS.
+func (c *poolConn) recordAlert(err error) error {
+	if c.tls == nil || err == nil {
+		return nil
+	}
+	rejected, ok := c.tls.Endpoint().RecordAlert(err)
+	if !ok {
+		return nil
+	}
+	return rejected
+}
--- a/internal/upstream/upstream.go
+++ b/internal/upstream/upstream.go
@@ -15,10 +15,10 @@
 // It must never retry a call whose last byte was written, choose an endpoint, or
 // know clients and messages.
 //
-// Locks: [InFlight] calls into a [Call] with its own lock held. The lock of a
-// Call, that of the Pool and that of a sendgate scope are never held together,
-// with one exception: the send gate cancels a call's context with the scope's lock
-// held.
+// Locks are taken in this order, and never the other way round: [InFlight] before
+// [Call]; [Pool] before the TLS dialer, whose reports of a rejected identity may thus
+// come with the pool's lock held. The lock of a sendgate scope is held alone; under it
+// a call's context is cancelled.
 package upstream
 
 import (
