--- /dev/null
+++ b/internal/discovery/discoverytest/agent.go
@@ -0,0 +1,188 @@
+// Package discoverytest is a discovery agent for tests.
+package discoverytest
+
+import (
+	"encoding/json"
+	"io"
+	"net/http"
+	"net/http/httptest"
+	"sync"
+	"testing"
+	"time"
+
+	"troutusher/internal/core"
+)
+
+// Agent is a discovery agent. Its fields are read and changed by Update and Check alone.
+type Agent struct {
+	*httptest.Server
+	mu       sync.Mutex
+	released chan struct{} // closed as the test ends
+
+	List              core.EndpointList
+	Watches           []chan string // lines to send on each watch; closing one ends its watch
+	WatchedFrom       []string      // the revision that each watch asked for
+	Fetches           int           // of the complete list
+	Notices           map[string]core.Notice
+	NoticeStatus      int      // status that notices are answered with
+	Silent            bool     // calls are not answered
+	WithoutEmptyLines bool     // watches open, and no heartbeat comes
+	CallsToReject     int      // calls that are still to be rejected
+	RejectedQueries   []string // the queries of those that were
+	UnansweredCalls   int      // calls that came while silent
+}
+
+// New starts an agent whose list has revision 1. It ends with the test.
+func New(t testing.TB, members ...core.Member) *Agent {
+	t.Helper()
+	a := &Agent{
+		List:         core.EndpointList{Revision: 1, Complete: true, Members: members},
+		Notices:      map[string]core.Notice{},
+		NoticeStatus: http.StatusNoContent,
+		released:     make(chan struct{}),
+	}
+	mux := http.NewServeMux()
+	mux.HandleFunc("GET /registry/instances", a.serveList)
+	mux.HandleFunc("POST /reports", a.serveNotices)
+	a.Server = httptest.NewServer(mux)
+	t.Cleanup(func() { close(a.released); a.CloseClientConnections(); a.Close() })
+	return a
+}
+
+func (a *Agent) serveList(w http.ResponseWriter, r *http.Request) {
+	a.mu.Lock()
+	switch {
+	case a.Silent:
+		a.UnansweredCalls++
+		a.mu.Unlock()
+		select {
+		case <-r.Context().Done():
+		case <-a.released:
+		}
+	case a.CallsToReject > 0:
+		a.CallsToReject--
+		a.RejectedQueries = append(a.RejectedQueries, r.URL.RawQuery)
+		a.mu.Unlock()
+		w.WriteHeader(http.StatusServiceUnavailable)
+	case r.URL.Query().Get("watch") == "":
+		a.Fetches++
+		_ = json.NewEncoder(w).Encode(a.List) // its client may have gone
+		a.mu.Unlock()
+	default:
+		lines := make(chan string, 16)
+		a.Watches = append(a.Watches, lines)
+		a.WatchedFrom = append(a.WatchedFrom, r.URL.Query().Get("from"))
+		a.mu.Unlock()
+		a.serveWatch(w, r, lines)
+	}
+}
+
+// serveWatch sends lines, and an empty one after each second without, until the watch
+// ends. A client that has gone ends the request's context: failed writes are ignored.
+func (a *Agent) serveWatch(w http.ResponseWriter, r *http.Request, lines <-chan string) {
+	send := func(line string) {
+		_, _ = io.WriteString(w, line+"\n")
+		w.(http.Flusher).Flush()
+	}
+	w.WriteHeader(http.StatusOK)
+	w.(http.Flusher).Flush()
+	for {
+		select {
+		case line, ok := <-lines:
+			if !ok {
+				return
+			}
+			send(line)
+		case <-r.Context().Done():
+			return
+		case <-a.released:
+			return
+		case <-time.After(time.Second):
+			if a.Check(func() bool { return !a.Silent && !a.WithoutEmptyLines }) {
+				send("")
+			}
+		}
+	}
+}
+
+func (a *Agent) serveNotices(w http.ResponseWriter, r *http.Request) {
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	if a.NoticeStatus == http.StatusNoContent {
+		for dec := json.NewDecoder(r.Body); dec.More(); {
+			var n core.Notice
+			if dec.Decode(&n) != nil {
+				break
+			}
+			a.Notices[n.Message] = n
+		}
+	}
+	w.WriteHeader(a.NoticeStatus)
+}
+
+// Addr is its address, host:port.
+func (a *Agent) Addr() string { return a.Listener.Addr().String() }
+
+// Notice is the last notice of a message; false for none.
+func (a *Agent) Notice(id string) (core.Notice, bool) {
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	n, ok := a.Notices[id]
+	return n, ok
+}
+
+// Update calls a function that may read and change the agent's fields.
+func (a *Agent) Update(f func(*Agent)) {
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	f(a)
+}
+
+// Check calls a condition that may read the agent's fields.
+func (a *Agent) Check(cond func() bool) bool {
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	return cond()
+}
+
+// SendLine sends a line on the newest watch.
+func (a *Agent) SendLine(t testing.TB, line string) {
+	t.Helper()
+	WaitFor(t, "a watch", func() bool { return a.Check(func() bool { return len(a.Watches) > 0 }) })
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	a.Watches[len(a.Watches)-1] <- line
+}
+
+// SendLineToAll sends a line on every watch that has room for it, also of processes that
+// have ended.
+func (a *Agent) SendLineToAll(line string) {
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	for _, w := range a.Watches {
+		select {
+		case w <- line:
+		default:
+		}
+	}
+}
+
+// ChangeText is a line that says how one member has changed.
+func ChangeText(revision int64, m core.Member) string {
+	text, err := json.Marshal(core.EndpointList{Revision: revision, Members: []core.Member{m}})
+	if err != nil {
+		panic(err) // a list can always be encoded
+	}
+	return string(text)
+}
+
+// WaitFor waits for a condition, and fails the test where it never holds.
+func WaitFor(t testing.TB, what string, cond func() bool) {
+	t.Helper()
+	for end := time.Now().Add(30 * time.Second); time.Now().Before(end); time.Sleep(2 * time.Millisecond) {
+		if cond() {
+			return
+		}
+	}
+	t.Fatalf("never came: %s", what)
+}
--- /dev/null
+++ b/internal/membersource/fixtures_test.go
@@ -0,0 +1,118 @@
+package membersource
+
+import (
+	"bytes"
+	"encoding/json"
+	"fmt"
+	"os"
+	"path/filepath"
+	"testing"
+	"time"
+
+	"troutusher/internal/core"
+	"troutusher/internal/membership"
+)
+
+// checkFixture compares bytes with a recorded file. UPDATE_FIXTURES=1 records
+// it.
+func checkFixture(t *testing.T, name string, got []byte) {
+	t.Helper()
+	path := filepath.Join("testdata", name)
+	if os.Getenv("UPDATE_FIXTURES") != "" {
+		if err := os.WriteFile(path, got, 0o644); err != nil {
+			t.Fatal(err)
+		}
+	}
+	want, err := os.ReadFile(path)
+	if err != nil {
+		t.Fatal(err)
+	}
+	if !bytes.Equal(got, want) {
+		t.Errorf("%s:\ngot  %s\nwant %s", path, got, want)
+	}
+}
+
+// The lines of the helper that follows etcd, as package follow writes them.
+func TestHelperLineFixture(t *testing.T) {
+	text, err := os.ReadFile(filepath.Join("..", "source", "etcd", "follow", "testdata", "lines.jsonl"))
+	if err != nil {
+		t.Fatal(err)
+	}
+	for line := range bytes.Lines(text) {
+		var got helperMessage
+		dec := json.NewDecoder(bytes.NewReader(line))
+		dec.DisallowUnknownFields()
+		if err := dec.Decode(&got); err != nil {
+			t.Fatalf("%s: %v", line, err)
+		}
+		want := `{"alive":true}` + "\n"
+		if got.Update != nil {
+			word, err := json.Marshal(got.Update)
+			if err != nil {
+				t.Fatal(err)
+			}
+			want = fmt.Sprintf("{\"word\":%s}\n", word)
+		}
+		if string(line) != want || got.Heartbeat != (got.Update == nil) {
+			t.Errorf("%s is read as %+v", line, got)
+		}
+	}
+}
+
+// The members file as a relay writes it, and what one that begins with it tells on.
+func TestMembersFileFixture(t *testing.T) {
+	var published []*core.EndpointList
+	begun := func(dir string) *Merger {
+		published = nil
+		return newTestMerger(t, dir, func(l *core.EndpointList) { published = append(published, l) })
+	}
+	member := func(id string, k int, phase string) core.Member {
+		return core.Member{
+			ID: id, HostPort: fmt.Sprint("127.0.0.1:", 7000+k), Locality: "a", Flavor: "k",
+			Dest: 3, Phase: phase, Rate: float64(k),
+		}
+	}
+	dir := t.TempDir()
+	m := begun(dir)
+	registryList := &core.EndpointList{
+		Revision: 4, Complete: true, Members: []core.Member{member("a", 1, core.Up), member("b", 2, core.Up)},
+	}
+	m.RegistryList("http://127.0.0.1:9#1@7", registryList)
+	m.put(m.etcd, &membership.Update{
+		Epoch: "000000000000004d.0", Revision: 8, Complete: true,
+		Members: []core.Member{member("a", 0, core.Up), member("c", 3, core.Up)},
+	})
+	m.put(m.etcd, &membership.Update{
+		Epoch: "000000000000004d.0", Revision: 9, Members: []core.Member{member("a", 0, core.Draining)},
+	})
+	m.step()
+	text, err := os.ReadFile(filepath.Join(dir, FileName))
+	if err != nil {
+		t.Fatal(err)
+	}
+	checkFixture(t, "members.json", text)
+	recorded, err := os.ReadFile(filepath.Join("testdata", "members.json"))
+	if err != nil {
+		t.Fatal(err)
+	}
+	dir = t.TempDir()
+	if err := os.WriteFile(filepath.Join(dir, "members"), recorded, 0o600); err != nil {
+		t.Fatal(err)
+	}
+	m = begun(dir)
+	m.Restore(registryList)
+	if len(published) != 1 {
+		t.Fatalf("published %+v", published)
+	}
+	if text, err = json.Marshal(published[0]); err != nil {
+		t.Fatal(err)
+	}
+	checkFixture(t, "members-told.json", text)
+	m.lastSaved = time.Time{}
+	m.unsaved = true
+	m.step()
+	if text, err = os.ReadFile(filepath.Join(dir, FileName)); err != nil {
+		t.Fatal(err)
+	}
+	checkFixture(t, "members.json", text)
+}
--- a/internal/relay/effects.go
+++ b/internal/relay/effects.go
@@ -39,9 +39,9 @@
 	case core.AppendThenNotify:
 		n := e.Notice
 		// The notice goes out whether or not it could be logged.
-		r.wal.Submit(e.Record, func(error) { r.notices.queue.Put(n) })
+		r.wal.Submit(e.Record, func(error) { r.notices.Send(n) })
 	case core.SendNotice:
-		r.notices.queue.Put(e.Notice)
+		r.notices.Send(e.Notice)
 	case core.ResumeCall:
 		r.resumeCall(e.Call)
 	case core.CancelCall:
--- a/internal/relay/fake_test.go
+++ b/internal/relay/fake_test.go
@@ -22,6 +22,7 @@
 
 	"troutusher/internal/config"
 	"troutusher/internal/core"
+	"troutusher/internal/discovery/discoverytest"
 )
 
 // childProcessEnv makes the test's own program a relay, so that a test can kill one.
@@ -131,138 +132,11 @@
 func quietLog() *slog.Logger { return slog.New(slog.NewTextHandler(io.Discard, nil)) }
 
 // fakeDiscovery is the agent on a relay's machine.
-type fakeDiscovery struct {
-	*httptest.Server
-	mu                sync.Mutex
-	List              EndpointList
-	Watches           []chan string // of the watches that are open
-	WatchedFrom       []string      // what watches asked for
-	Fetches           int
-	Notices           map[string]notice
-	NoticeStatus      int // status of notices
-	Silent            bool
-	WithoutEmptyLines bool     // a watch opens, and no empty line comes
-	CallsToReject     int      // calls that are still to be turned away
-	RejectedQueries   []string // what they asked for
-	UnansweredCalls   int      // requests that came while silent
-	released          chan struct{}
-}
+type fakeDiscovery = discoverytest.Agent
 
 func newFakeDiscovery(t testing.TB, members ...core.Member) *fakeDiscovery {
-	d := &fakeDiscovery{List: EndpointList{Revision: 1, Complete: true, Members: members}, Notices: map[string]notice{},
-		NoticeStatus: http.StatusNoContent, released: make(chan struct{})}
-	mux := http.NewServeMux()
-	mux.HandleFunc("GET "+listPath, d.serveList)
-	mux.HandleFunc("POST "+noticesPath, d.serveNotices)
-	d.Server = httptest.NewServer(mux)
-	t.Cleanup(func() { close(d.released); d.CloseClientConnections(); d.Close() })
-	return d
-}
-
-func (d *fakeDiscovery) serveList(w http.ResponseWriter, r *http.Request) {
-	d.mu.Lock()
-	if d.Silent {
-		d.UnansweredCalls++
-		d.mu.Unlock()
-		select {
-		case <-r.Context().Done():
-		case <-d.released:
-		}
-		return
-	}
-	if d.CallsToReject > 0 {
-		d.CallsToReject--
-		d.RejectedQueries = append(d.RejectedQueries, r.URL.RawQuery)
-		d.mu.Unlock()
-		w.WriteHeader(http.StatusServiceUnavailable)
-		return
-	}
-	if r.URL.Query().Get("watch") == "" {
-		d.Fetches++
-		json.NewEncoder(w).Encode(d.List)
-		d.mu.Unlock()
-		return
-	}
-	lines := make(chan string, 16)
-	d.Watches = append(d.Watches, lines)
-	d.WatchedFrom = append(d.WatchedFrom, r.URL.Query().Get("from"))
-	d.mu.Unlock()
-	w.WriteHeader(http.StatusOK)
-	w.(http.Flusher).Flush()
-	for {
-		select {
-		case s, ok := <-lines:
-			if !ok {
-				return
-			}
-			io.WriteString(w, s+"\n")
-			w.(http.Flusher).Flush()
-		case <-r.Context().Done():
-			return
-		case <-d.released:
-			return
-		case <-time.After(time.Second):
-			d.mu.Lock()
-			silent := d.Silent || d.WithoutEmptyLines
-			d.mu.Unlock()
-			if !silent {
-				io.WriteString(w, "\n")
-				w.(http.Flusher).Flush()
-			}
-		}
-	}
-}
-
-func (d *fakeDiscovery) serveNotices(w http.ResponseWriter, r *http.Request) {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	if d.NoticeStatus == http.StatusNoContent {
-		for dec := json.NewDecoder(r.Body); dec.More(); {
-			var n notice
-			if dec.Decode(&n) != nil {
-				break
-			}
-			d.Notices[n.Message] = n
-		}
-	}
-	w.WriteHeader(d.NoticeStatus)
-}
-
-func (d *fakeDiscovery) Addr() string { return d.Listener.Addr().String() }
-
-func (d *fakeDiscovery) Notice(id string) (notice, bool) {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	n, ok := d.Notices[id]
-	return n, ok
-}
-
-func (d *fakeDiscovery) Update(f func(*fakeDiscovery)) {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	f(d)
-}
-
-// SendLine sends a line on the newest watch.
-func (d *fakeDiscovery) SendLine(t testing.TB, line string) {
 	t.Helper()
-	waitFor(t, "a watch", func() bool { d.mu.Lock(); defer d.mu.Unlock(); return len(d.Watches) > 0 })
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	d.Watches[len(d.Watches)-1] <- line
-}
-
-// SendLineToAll sends a line on every watch that has room for it, also of processes that
-// have ended.
-func (d *fakeDiscovery) SendLineToAll(line string) {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	for _, w := range d.Watches {
-		select {
-		case w <- line:
-		default:
-		}
-	}
+	return discoverytest.New(t, members...)
 }
 
 // fakeEndpoint answers calls by a function and keeps what came.
@@ -339,7 +213,7 @@
 	path := filepath.Join(dir, "config.json")
 	list := ""
 	if len(known) > 0 {
-		text, err := json.Marshal(EndpointList{Revision: 1, Complete: true, Members: known})
+		text, err := json.Marshal(core.EndpointList{Revision: 1, Complete: true, Members: known})
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/internal/relay/firstlist.go
+++ b/internal/relay/firstlist.go
@@ -1,12 +1,16 @@
 package relay
 
 import (
+	"context"
+	"os/exec"
 	"slices"
 	"time"
 
 	"troutusher/internal/core"
+	"troutusher/internal/discovery"
 	"troutusher/internal/handover/transfer"
-	"troutusher/internal/membership"
+	"troutusher/internal/membersource"
+	"troutusher/internal/source/registry"
 	"troutusher/policy"
 )
 
@@ -14,7 +18,14 @@
 // nothing. Tests alone change it.
 var firstListTimeout = 300 * time.Millisecond
 
-func listEvent(l *EndpointList) core.EndpointListUpdated {
+// Tests alone set these; 0 and nil are for what packages discovery and membersource do by
+// themselves.
+var (
+	watchSilenceTimeout time.Duration
+	helperCommand       func() (*exec.Cmd, error)
+)
+
+func listEvent(l *core.EndpointList) core.EndpointListUpdated {
 	kind := policy.ListDelta
 	if l.Complete {
 		kind = policy.ListFull
@@ -39,31 +50,53 @@
 	limit := time.NewTimer(firstListTimeout)
 	defer limit.Stop()
 	select {
-	case <-r.discovery.firstResponse: // what it said of the list came before
+	case <-r.discovery.FirstResponse(): // what it said of the list came before
 	case <-limit.C:
 		r.log.Warn("discovery is silent: the list that is known is used")
 	case <-r.ctx.Done():
 		return
 	}
 	if r.members != nil {
-		r.members.enqueueCallback(func() { r.post(core.Started{}) })
+		r.members.AfterQueued(func() { r.post(core.Started{}) })
 		return
 	}
 	r.post(core.Started{})
 }
 
-// mergeSources has discovery's words go through a view that etcd's go through as well.
-func (r *Relay) mergeSources() (err error) {
-	d := r.discovery
-	r.members, err = newMemberMerger(r.cfg.Etcd, r.cfg.State, r.log, r.post, func() { d.addresses.Put(r.watchedAddr.Load().(string)) })
-	if err != nil {
-		return err
+// startListSources begins to watch discovery's endpoint list and, where etcd is followed
+// as well, makes the merger that the lists of both go through.
+func (r *Relay) startListSources(ctx context.Context) error {
+	scheduler := registry.New(r.cfg.Policy.Relays, r.cfg.Seed)
+	if r.cfg.KnownList != nil {
+		scheduler.SetRevision(r.cfg.KnownList.Revision)
 	}
-	d.onList = func(l *EndpointList) {
-		r.members.enqueue(r.members.registry, &membership.Update{Epoch: d.epoch(), Revision: l.Revision, Complete: l.Complete, Members: l.Members})
+	options := discovery.WatcherOptions{
+		Address:        r.cfg.Discovery,
+		Scheduler:      scheduler,
+		Log:            r.log,
+		OnList:         func(_ string, l *core.EndpointList) { r.post(listEvent(l)) },
+		MaxListBytes:   r.cfg.MaxListBytes,
+		SilenceTimeout: watchSilenceTimeout,
+	}
+	if r.cfg.Etcd != nil {
+		merger, err := membersource.New(membersource.Options{
+			RegistryFirst:  r.cfg.Etcd.Precedence == "registry",
+			StateDir:       r.cfg.State,
+			Log:            r.log,
+			OnChange:       func(l *core.EndpointList) { r.post(listEvent(l)) },
+			ResyncRegistry: func() { r.discovery.Resync() },
+			HelperCommand:  helperCommand,
+		})
+		if err != nil {
+			return err
+		}
+		r.members = merger
+		options.OnList = merger.RegistryList
+		options.OnHeartbeat = merger.RegistryHeartbeat
 	}
-	d.onHeartbeat = func() { r.members.enqueue(r.members.registry, nil) }
-	r.watchedAddr.Store(r.cfg.Discovery)
+	r.discovery = discovery.NewWatcher(options)
+	r.discoveryAddr = r.cfg.Discovery
+	go r.discovery.Run(ctx)
 	return nil
 }
 
@@ -81,7 +114,7 @@
 	all := len(lists)
 	lists = slices.DeleteFunc(lists, func(e core.EndpointListUpdated) bool { return e.List.Revision < r.core.ListRevision() })
 	if len(lists) < all {
-		r.discovery.addresses.Put(r.discoveryAddr)
+		r.discovery.Resync()
 	}
 	return lists
 }
@@ -92,7 +125,7 @@
 func (r *Relay) collectFirstLists() (lists []core.EndpointListUpdated) {
 	limit := time.NewTimer(firstListTimeout)
 	defer limit.Stop()
-	first := r.discovery.firstResponse
+	first := r.discovery.FirstResponse()
 	if r.cfg.KnownList == nil {
 		first = nil // without any list there is nothing to serve on
 	}
--- a/internal/relay/handover_failpoints_test.go
+++ b/internal/relay/handover_failpoints_test.go
@@ -11,6 +11,7 @@
 	"testing"
 
 	"troutusher/internal/core"
+	"troutusher/internal/discovery/discoverytest"
 )
 
 // Points of a hand-over, in their order.
@@ -80,7 +81,7 @@
 	}
 	waitFor(t, "yes", left.isReady)
 	close(release)
-	line := changeText(7, quick.member("s-5", 5))
+	line := discoverytest.ChangeText(7, quick.member("s-5", 5))
 	waitFor(t, "what was held", func() bool { disc.SendLineToAll(line); return quick.count("held") == 1 })
 	late := dialClient(t, env["ROUTER_LISTEN"])
 	if s := late.put("after", putFields("once", 8000, 2), nil); s != "+OK" {
@@ -185,17 +186,16 @@
 	disc := newFakeDiscovery(t, gone.member("s-1", 1), stays.member("s-2", 1))
 	env := testConfig(t, disc, 3)
 	old := startAndWait(t, env)
-	waitFor(t, "a watch", func() bool { disc.mu.Lock(); defer disc.mu.Unlock(); return len(disc.Watches) > 0 })
-	disc.mu.Lock()
-	watch := disc.Watches[0]
-	disc.mu.Unlock()
+	waitFor(t, "a watch", func() bool { return disc.Check(func() bool { return len(disc.Watches) > 0 }) })
+	var watch chan string
+	disc.Update(func(d *fakeDiscovery) { watch = d.Watches[0] })
 	file := filepath.Join(t.TempDir(), "go")
 	fresh := startPeer(t, withFailpoint(env, failpointIncomingListReceived+"=WAIT:"+file))
 	waitFor(t, "the new one's list", func() bool { _, err := os.Stat(file + ".at"); return err == nil })
 	disc.Update(func(d *fakeDiscovery) { d.Silent = true }) // the old one alone hears what follows
 	drains := gone.member("s-1", 1)
 	drains.Phase = core.Draining
-	line, err := json.Marshal(EndpointList{Revision: 9, Members: []core.Member{drains}})
+	line, err := json.Marshal(core.EndpointList{Revision: 9, Members: []core.Member{drains}})
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/relay/handover_packets_test.go
+++ b/internal/relay/handover_packets_test.go
@@ -14,6 +14,7 @@
 	"testing"
 	"time"
 
+	"troutusher/internal/discovery/discoverytest"
 	"troutusher/internal/handover/link"
 	"troutusher/internal/handover/statelock"
 	"troutusher/internal/handover/transfer"
@@ -292,7 +293,7 @@
 		t.Errorf("half a command: %s", got)
 	}
 	close(s.release)
-	line := changeText(7, s.quick.member("s-5", 5))
+	line := discoverytest.ChangeText(7, s.quick.member("s-5", 5))
 	waitFor(t, "what was held", func() bool { s.disc.SendLineToAll(line); return s.quick.count("held") == 1 })
 	waitFor(t, "all to end", func() bool { return readStats(t, fresh.console())["current"] == 0 })
 	got := readStats(t, fresh.console())
--- a/internal/relay/handover_test.go
+++ b/internal/relay/handover_test.go
@@ -18,6 +18,7 @@
 	"time"
 
 	"troutusher/internal/core"
+	"troutusher/internal/discovery/discoverytest"
 	"troutusher/internal/handover/link"
 	"troutusher/internal/handover/statelock"
 	"troutusher/internal/handover/transfer"
@@ -160,7 +161,7 @@
 	close(release)
 	other := newFakeEndpoint(t, nil)
 	m := other.member("s-5", 5)
-	disc.SendLine(t, changeText(7, m))
+	disc.SendLine(t, discoverytest.ChangeText(7, m))
 	waitFor(t, "the held one", func() bool { return other.count("held") == 1 })
 	waitFor(t, "all to end", func() bool { return readStats(t, fresh.console())["current"] == 0 })
 	got := readStats(t, fresh.console())
@@ -391,7 +392,7 @@
 	k.close()
 	waitFor(t, "it to serve anew", old.isReady)
 	waitFor(t, "the end of what may have run", func() bool { n, ok := disc.Notice("out"); return ok && n.Outcome == "given_up" })
-	disc.SendLine(t, changeText(7, quick.member("s-5", 5)))
+	disc.SendLine(t, discoverytest.ChangeText(7, quick.member("s-5", 5)))
 	waitFor(t, "what never ran", func() bool { return quick.count("held") == 1 })
 	if n := slow.count("out"); n != 1 {
 		t.Errorf("an unsafe message went out %d times", n)
@@ -420,7 +421,7 @@
 		t.Error(err)
 	}
 	waitFor(t, "the end of what may have run", func() bool { n, ok := disc.Notice("out"); return ok && n.Outcome == "given_up" })
-	disc.SendLine(t, changeText(7, quick.member("s-5", 5)))
+	disc.SendLine(t, discoverytest.ChangeText(7, quick.member("s-5", 5)))
 	waitFor(t, "what never ran", func() bool { return quick.count("held") == 1 })
 	if n := slow.count("out"); n != 1 {
 		t.Errorf("an unsafe message went out %d times", n)
@@ -556,7 +557,7 @@
 	env := testConfig(t, d, 3, drains, stays.member("s-2", 1))
 	now := startAndWait(t, env)
 	drains.Phase = core.Draining
-	line, err := json.Marshal(EndpointList{Revision: 9, Members: []core.Member{drains}})
+	line, err := json.Marshal(core.EndpointList{Revision: 9, Members: []core.Member{drains}})
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/relay/idle_bench_test.go
+++ b/internal/relay/idle_bench_test.go
@@ -16,6 +16,7 @@
 	"time"
 
 	"troutusher/internal/core"
+	"troutusher/internal/discovery"
 )
 
 // BenchmarkEndpointList starts a relay with one core whose list names so many
@@ -36,7 +37,7 @@
 
 func benchmarkEndpointList(b *testing.B, n int, awake string) {
 	ep := newFakeEndpoint(b, nil)
-	l := EndpointList{Revision: 1, Complete: true}
+	l := core.EndpointList{Revision: 1, Complete: true}
 	for i := range n {
 		m := core.Member{ID: fmt.Sprintf("shop-%07d-0", i), HostPort: fmt.Sprintf("10.%d.%d.%d:8080", i>>16&255, i>>8&255, i&255), Locality: "a", Flavor: "k",
 			Dest: i, Phase: core.Up, Rate: 40}
@@ -52,7 +53,7 @@
 	l.Members = nil
 	more, done := make(chan bool), make(chan bool)
 	d := &fakeDiscovery{Server: httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		if r.URL.Path == noticesPath {
+		if r.URL.Path == discovery.NoticesPath {
 			w.WriteHeader(http.StatusNoContent)
 			return
 		}
--- a/internal/relay/members_test.go
+++ b/internal/relay/members_test.go
@@ -20,8 +20,9 @@
 	"time"
 
 	"troutusher/internal/core"
+	"troutusher/internal/discovery/discoverytest"
 	standin "troutusher/internal/emulator/etcd"
-	"troutusher/internal/membership"
+	"troutusher/internal/membersource"
 	"troutusher/internal/operatorconfig"
 	"troutusher/internal/source/etcd"
 	"troutusher/internal/source/etcd/follow"
@@ -133,9 +134,9 @@
 	waitFor(t, "the drain", func() bool { return avoided() == 1 })
 	send("drained")
 	up := gone.member("s-1", 1)
-	disc.SendLine(t, changeText(5, up))
+	disc.SendLine(t, discoverytest.ChangeText(5, up))
 	late := stays.member("s-9", 1)
-	disc.SendLine(t, changeText(6, late)) // once this is known, so is what came before
+	disc.SendLine(t, discoverytest.ChangeText(6, late)) // once this is known, so is what came before
 	waitFor(t, "discovery's word", func() bool { return listed() == 4 })
 	if send("discovery says up"); avoided() != 1 {
 		t.Error("discovery has taken the drain back")
@@ -147,7 +148,7 @@
 	c.Stop(0)
 	c.Stop(1)
 	waitFor(t, "what is known to be kept", func() bool {
-		text, _ := os.ReadFile(filepath.Join(env["ROUTER_STATE"], membersFile))
+		text, _ := os.ReadFile(filepath.Join(env["ROUTER_STATE"], membersource.FileName))
 		return strings.Contains(string(text), core.Draining)
 	})
 	r.kill()
@@ -277,44 +278,10 @@
 	env["ROUTER_CONSOLE"] = freeAddr(t)
 	configureEtcd(t, env, c)
 	startChild(t, env)
-	line, err := json.Marshal(EndpointList{Revision: 9, Members: []core.Member{drains}})
+	line, err := json.Marshal(core.EndpointList{Revision: 9, Members: []core.Member{drains}})
 	if err != nil {
 		t.Fatal(err)
 	}
 	disc.SendLine(t, string(line))
 	waitFor(t, "the drain", func() bool { return readStats(t, env["ROUTER_CONSOLE"])["cluster_unhealthy"] == 1 })
 }
-
-// A drain is kept in the turn that tells it; what comes up is, in its time; and a
-// process that has given its work away writes no more.
-func TestMembersFileWrites(t *testing.T) {
-	dir := t.TempDir()
-	told := 0
-	m, err := newMemberMerger(&operatorconfig.Etcd{}, dir, quietLog(), func(core.Event) { told++ }, func() {})
-	if err != nil {
-		t.Fatal(err)
-	}
-	kept := func(what string) bool {
-		text, _ := os.ReadFile(filepath.Join(dir, membersFile))
-		return strings.Contains(string(text), what)
-	}
-	m.lastSaved = time.Now()
-	word := func(rev int64, id, phase string) {
-		m.enqueue(m.etcd, &membership.Update{Epoch: "c", Revision: rev, Complete: rev == 1, Members: []core.Member{{ID: id, HostPort: "127.0.0.1:7001", Phase: phase}}})
-	}
-	word(1, "a", core.Up)
-	if wait := m.step(); told != 1 || kept("a") || wait > membersSaveInterval {
-		t.Errorf("one that comes up: told %d times, kept %v, next turn in %v", told, kept("a"), wait)
-	}
-	word(2, "a", core.Draining)
-	if m.step(); told != 2 || !kept(core.Draining) {
-		t.Errorf("a drain: told %d times, kept %v", told, kept(core.Draining))
-	}
-	word(3, "b", core.Up)
-	m.step()
-	ctx, cancel := context.WithCancel(t.Context())
-	cancel()
-	if m.run(ctx); kept(`"b"`) {
-		t.Error("written by a process that is over")
-	}
-}
--- a/internal/relay/passivation_test.go
+++ b/internal/relay/passivation_test.go
@@ -7,6 +7,7 @@
 	"testing"
 
 	"troutusher/internal/core"
+	"troutusher/internal/discovery/discoverytest"
 )
 
 // Guards a whole relay with destinations that rest from the start: a message wakes
@@ -35,7 +36,7 @@
 	waitFor(t, "the figures", func() bool { n, _ := listed(); return n == 6 })
 	drained := members[4]
 	drained.Phase = core.Draining
-	d.SendLine(t, changeText(2, drained)) // of destination 3, which rests
+	d.SendLine(t, discoverytest.ChangeText(2, drained)) // of destination 3, which rests
 	waitFor(t, "the drain", func() bool { _, n := listed(); return n == 1 })
 	cl := dialClient(t, env["ROUTER_LISTEN"])
 	for round := range 2 {
--- a/internal/relay/quiesce.go
+++ b/internal/relay/quiesce.go
@@ -37,7 +37,7 @@
 	if !r.suspendCalls() {
 		return errCallsNotSuspended
 	}
-	r.notices.pause()
+	r.notices.Pause()
 	r.processInbox()
 	r.wal.Flush()
 	return nil
@@ -97,7 +97,7 @@
 // resumeServing undoes quiesce after a hand-over that came to nothing.
 func (r *Relay) resumeServing() {
 	r.log.Warn("hand-over: came to nothing, this process serves on")
-	r.notices.resume()
+	r.notices.Resume()
 	r.stateSaver.resume()
 	r.inFlight.Resume()
 	r.execute(r.core.ResumeSends(r.now(), r.effects[:0]))
@@ -109,7 +109,7 @@
 func (r *Relay) releaseResources() {
 	r.lifecycle.completeHandover()
 	r.inFlight.Abandon()
-	r.discovery.stop()
+	r.stopListSources()
 	r.clients.server.Close()
 	r.closeLog()
 }
--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -19,8 +19,10 @@
 	"troutusher/internal/config"
 	"troutusher/internal/console"
 	"troutusher/internal/core"
+	"troutusher/internal/discovery"
 	"troutusher/internal/handover/statelock"
 	"troutusher/internal/mailbox"
+	"troutusher/internal/membersource"
 	"troutusher/internal/tlsdial"
 	"troutusher/internal/upstream"
 	"troutusher/internal/wal"
@@ -55,13 +57,13 @@
 	lifecycle    *processLifecycle // also used by the console and the RESP server
 	wal          *wal.Log
 	closeLog     func() // waits until the log is written; may be called again
-	notices      *noticeSender
+	notices      *discovery.NoticeSender
 	stateSaver   *stateSaver // nil where no policy state is saved
 
-	discovery     *listWatcher
-	discoveryAddr string        // of the list watcher and the notice sender
-	members       *memberMerger // nil where discovery is the only source of endpoints
-	watchedAddr   atomic.Value  // a string: discoveryAddr, for the memberMerger's goroutine
+	discovery       *discovery.Watcher
+	discoveryAddr   string               // of the list watcher and the notice sender
+	members         *membersource.Merger // nil where discovery is the only source of endpoints
+	stopListSources context.CancelFunc   // ends what feeds and merges endpoint lists
 
 	pool      *upstream.Pool
 	endpoints map[policy.EndpointID]*upstream.Endpoint
--- a/internal/relay/reload.go
+++ b/internal/relay/reload.go
@@ -6,7 +6,6 @@
 	"reflect"
 
 	"troutusher/internal/config"
-	"troutusher/internal/mailbox"
 )
 
 // A configuration is read again on SIGHUP. What a running relay takes over from
@@ -65,30 +64,6 @@
 	}
 	r.log.Info("new configuration: discovery moves", "from", r.discoveryAddr, "to", cfg.Discovery)
 	r.discoveryAddr = cfg.Discovery
-	r.watchedAddr.Store(r.discoveryAddr)
-	r.discovery.addresses.Put(r.discoveryAddr)
-	r.notices.addresses.Put(r.discoveryAddr)
-}
-
-// runPerAddress runs work for one address after another, each until the next is
-// named. work must return when its context ends: nothing of an old address
-// overlaps with the new one.
-func runPerAddress(ctx context.Context, addr string, moves *mailbox.Mailbox[string], work func(ctx context.Context, addr string)) {
-	for ctx.Err() == nil {
-		here, leave := context.WithCancel(ctx)
-		done := make(chan struct{})
-		go func() {
-			defer close(done)
-			work(here, addr)
-		}()
-		select {
-		case <-ctx.Done():
-		case <-moves.Ready():
-		}
-		leave()
-		<-done
-		if named := moves.TakeAll(nil); len(named) > 0 {
-			addr = named[len(named)-1]
-		}
-	}
+	r.discovery.SetAddress(r.discoveryAddr)
+	r.notices.SetAddress(r.discoveryAddr)
 }
--- a/internal/relay/reload_test.go
+++ b/internal/relay/reload_test.go
@@ -91,9 +91,9 @@
 	rewriteConfig(t, env, replaceDiscovery(second, first.Addr()))
 	c.signal(t, syscall.SIGHUP)
 	waitFor(t, "a watch at the second address", func() bool {
-		second.mu.Lock()
-		defer second.mu.Unlock()
-		return second.Fetches == 1 && len(second.WatchedFrom) == 1 && second.WatchedFrom[0] == "0"
+		return second.Check(func() bool {
+			return second.Fetches == 1 && len(second.WatchedFrom) == 1 && second.WatchedFrom[0] == "0"
+		})
 	})
 	waitFor(t, "a notice at the second address", func() bool { _, ok := second.Notice("unheard"); return ok })
 	waitFor(t, "a message at the second list's endpoint", func() bool {
@@ -128,9 +128,11 @@
 	})
 	close(stop)
 	<-done
-	if fetched := func() int { second.mu.Lock(); defer second.mu.Unlock(); return second.Fetches }(); fetched != 1 {
-		t.Errorf("the second address was asked %d times for the list", fetched)
-	}
+	second.Update(func(d *fakeDiscovery) {
+		if d.Fetches != 1 {
+			t.Errorf("the second address was asked %d times for the list", d.Fetches)
+		}
+	})
 	c.signal(t, syscall.SIGTERM)
 	if err := c.cmd.Wait(); err != nil {
 		t.Errorf("exit: %v", err)
--- a/internal/relay/restart_test.go
+++ b/internal/relay/restart_test.go
@@ -11,6 +11,7 @@
 	"testing"
 
 	"troutusher/internal/core"
+	"troutusher/internal/discovery/discoverytest"
 	"troutusher/internal/wal"
 )
 
@@ -214,7 +215,7 @@
 	put("old", 1)
 	waitFor(t, "old", func() bool { return before.count("old") == 1 })
 	m.HostPort = after.addr()
-	disc.SendLine(t, changeText(2, m))
+	disc.SendLine(t, discoverytest.ChangeText(2, m))
 	// The change and the message come by different ways: what is sent before
 	// the change may still go to the old place, so wait for the new one.
 	waitFor(t, "the new address", func() bool {
@@ -224,15 +225,15 @@
 		return len(after.calls) > 0
 	})
 	moved := after.member("s-1", 2)
-	disc.SendLine(t, changeText(3, moved))
+	disc.SendLine(t, discoverytest.ChangeText(3, moved))
 	// Refused until the list that names it is there.
 	waitFor(t, "the new name", func() bool { return cl.put("two", putFields("once", 20000, 2), nil) == "+OK" })
 	waitFor(t, "the new destination", func() bool { return after.count("two") == 1 })
 	put("one", 1) // nobody serves it any more
 	moved.Phase = core.Draining
-	disc.SendLine(t, changeText(4, moved))
+	disc.SendLine(t, discoverytest.ChangeText(4, moved))
 	fresh := before.member("s-2", 2)
-	disc.SendLine(t, changeText(5, fresh))
+	disc.SendLine(t, discoverytest.ChangeText(5, fresh))
 	put("marker", 2)
 	waitFor(t, "the marker", func() bool { return before.count("marker")+after.count("marker") == 1 })
 	waitFor(t, "the drain", func() bool {
@@ -274,9 +275,7 @@
 	}
 	// What makes room among those that were taken on ends by a notice.
 	waitFor(t, "the ends of what is too much", func() bool {
-		disc.mu.Lock()
-		defer disc.mu.Unlock()
-		return refused+len(disc.Notices) >= 50
+		return disc.Check(func() bool { return refused+len(disc.Notices) >= 50 })
 	})
 	text, err := os.ReadFile(filepath.Join(env["ROUTER_STATE"], wal.FileName))
 	if err != nil || strings.Contains(string(text), `"id":"late"`) {
--- a/internal/relay/startup.go
+++ b/internal/relay/startup.go
@@ -1,7 +1,6 @@
 package relay
 
 import (
-	"cmp"
 	"context"
 	"errors"
 	"fmt"
@@ -11,12 +10,12 @@
 
 	"troutusher/internal/console"
 	"troutusher/internal/core"
+	"troutusher/internal/discovery"
 	"troutusher/internal/handover/link"
 	"troutusher/internal/handover/statelock"
 	"troutusher/internal/handover/transfer"
 	"troutusher/internal/msgtrace"
 	"troutusher/internal/respserver"
-	"troutusher/internal/source/registry"
 	"troutusher/internal/tlsdial"
 	"troutusher/internal/upstream"
 	"troutusher/internal/wal"
@@ -157,27 +156,15 @@
 // startDiscovery makes the sender of notices, and begins to watch the endpoint
 // list and requests to reload the configuration.
 func (s *startup) startDiscovery() error {
-	s.notices = newNoticeSender(s.cfg.Discovery, s.log, func(id string) {
+	s.notices = discovery.NewNoticeSender(s.cfg.Discovery, s.log, func(id string) {
 		s.log.Info(msgtrace.NoticeDelivered, "message", id)
 		s.wal.Submit(&record{Kind: core.RecordDone, ID: id}, nil)
 	})
-	watchCtx, stopWatch := context.WithCancel(s.ctx)
-	s.watchCtx = watchCtx
-	s.atExit(stopWatch)
-	scheduler := registry.New(s.cfg.Policy.Relays, s.cfg.Seed)
-	if s.cfg.KnownList != nil {
-		scheduler.SetRevision(s.cfg.KnownList.Revision)
-	}
-	s.discovery = newListWatcher(s.cfg.Discovery, s.log, scheduler, func(l *EndpointList) { s.post(listEvent(l)) })
-	if s.cfg.Etcd != nil {
-		if err := s.mergeSources(); err != nil {
-			return err
-		}
+	s.watchCtx, s.stopListSources = context.WithCancel(s.ctx)
+	s.atExit(s.stopListSources)
+	if err := s.startListSources(s.watchCtx); err != nil {
+		return err
 	}
-	s.discovery.cancel = stopWatch
-	s.discovery.maxListBytes = cmp.Or(s.cfg.MaxListBytes, defaultMaxListBytes)
-	go s.discovery.run(watchCtx)
-	s.discoveryAddr = s.cfg.Discovery
 	go s.watchReloads(s.ctx, s.reload)
 	return nil
 }
@@ -293,8 +280,8 @@
 		}
 	})
 	s.atExit(s.closeLog)
-	s.notices.start(s.ctx)
-	s.atExit(func() { s.notices.stopRun() })
+	s.notices.Start(s.ctx)
+	s.atExit(s.notices.Pause)
 	return nil
 }
 
@@ -353,9 +340,9 @@
 	if s.members == nil {
 		return nil
 	}
-	s.members.start(s.core.SnapshotState(s.now()).EndpointList())
-	go s.members.run(s.watchCtx)
-	go s.members.superviseHelper(s.watchCtx)
+	s.members.Restore(s.core.SnapshotState(s.now()).EndpointList())
+	go s.members.Run(s.watchCtx)
+	go s.members.RunHelper(s.watchCtx)
 	return nil
 }
 
