--- a/internal/core/effect.go
+++ b/internal/core/effect.go
@@ -93,7 +93,7 @@
 type ForgetEndpoint struct{ Endpoint policy.EndpointID }
 
 // PassivateDestination drops all that the driver knows of a destination. What binds the
-// destination is told again as it becomes active.
+// destination is applied again as it becomes active.
 type PassivateDestination struct{ Dest int }
 
 // Log writes a line to the log of the process.
--- a/internal/core/effects_test.go
+++ b/internal/core/effects_test.go
@@ -9,7 +9,6 @@
 	"runtime"
 	"testing"
 
-	"troutusher/internal/idlestore"
 	"troutusher/policy"
 )
 
@@ -104,17 +103,11 @@
 		}
 	}},
 	{"passive", func(t *testing.T, seed uint64, golden io.Writer) {
-		sim := newSimulation(t, seed)
+		sim := newPassiveSimulation(t, seed)
 		sim.golden = golden
-		sim.core = passivatingCore(t, idlestore.Limits{MaxActive: 1, IdleTimeout: 10e6})
-		sim.flavors, sim.longStepOdds = []string{"k", "r"}, 12
-		sim.driver = newCallDriver(sim)
-		sim.driver.extraWait = 45e6
-		log := newLogModel()
-		sim.logModel = log
 		for turn := range 3 {
 			sim.playFrom(turn*100, 100)
-			sim.handOverWithDriver(log)
+			sim.handOverWithDriver(sim.logModel)
 		}
 	}},
 }
--- a/internal/core/endpoint.go
+++ b/internal/core/endpoint.go
@@ -112,7 +112,7 @@
 }
 
 // updateEndpoint applies a member of the list to its endpoint, and returns what the
-// policy is to be told of it.
+// policy is to know of it.
 func (c *Core) updateEndpoint(member *Member) policy.EndpointUpdate {
 	endpoint := c.endpoints.getOrAdd(member.ID)
 	removed := member.Phase == Removed
@@ -154,7 +154,7 @@
 	endpoint.hostPort, endpoint.dest, endpoint.flavor = member.HostPort, member.Dest, member.Flavor
 }
 
-// endpointUpdate is a member of the list as the policy is told of it.
+// endpointUpdate is a member of the list as it is reported to the policy.
 func (c *Core) endpointUpdate(endpoint *endpointState, member *Member) policy.EndpointUpdate {
 	update := policy.EndpointUpdate{
 		Endpoint: endpoint.number, Zone: indexOf(c.settings.Zones, member.Locality),
--- a/internal/core/listupdate.go
+++ b/internal/core/listupdate.go
@@ -59,7 +59,7 @@
 }
 
 // applyActiveMembers applies the members that concern active destinations. It returns
-// the endpoints that they named and what the policy is to be told of them.
+// the endpoints that they named and what the policy is to know of them.
 func (c *Core) applyActiveMembers(update *listUpdate) (named map[string]bool, updates []policy.EndpointUpdate) {
 	members := update.list.Members
 	for i := range members {
--- a/internal/core/outcome.go
+++ b/internal/core/outcome.go
@@ -80,7 +80,7 @@
 	}
 }
 
-// attemptEndedEvent is the end of an attempt as the policy is told it.
+// attemptEndedEvent is the end of an attempt as it is reported to the policy.
 func attemptEndedEvent(call *Call, result *Result) policy.Event {
 	event := policy.Event{
 		Kind: policy.EvAttemptEnded, Message: call.message.number, Attempt: call.attempt, Outcome: result.Outcome,
--- a/internal/core/packedmemory.go
+++ b/internal/core/packedmemory.go
@@ -139,7 +139,7 @@
 	}
 	b, err := packedEncoding.Marshal(&memory)
 	if err != nil {
-		return nil, fmt.Errorf("rested: %w", err)
+		return nil, fmt.Errorf("packed memory: %w", err)
 	}
 	return b, nil
 }
@@ -172,7 +172,7 @@
 	}
 	var memory packedMemory
 	if err := packedDecoding.Unmarshal(packed, &memory); err != nil {
-		return &policy.Snapshot{}, fmt.Errorf("rested: %w", err)
+		return &policy.Snapshot{}, fmt.Errorf("packed memory: %w", err)
 	}
 	snapshot := &policy.Snapshot{Now: memory.Now}
 	for i := range memory.Limiters {
--- a/internal/core/passivation.go
+++ b/internal/core/passivation.go
@@ -65,7 +65,7 @@
 }
 
 // activate activates a passive destination: its endpoints are known again, and the
-// policy hears of them before all that it is told from here on.
+// policy hears of them before all that is reported to it from here on.
 func (c *Core) activate(dest int) {
 	if !c.isPassive(dest) {
 		return
--- a/internal/core/passivation_test.go
+++ b/internal/core/passivation_test.go
@@ -18,6 +18,27 @@
 	return newTestCore(t, settings)
 }
 
+// newPassiveSimulation is a simulation whose destinations are passivated as soon as they
+// may be, with Retry-Afters that last longer than that.
+func newPassiveSimulation(t *testing.T, seed uint64) *simulation {
+	t.Helper()
+	sim := newSimulation(t, seed)
+	sim.core = passivatingCore(t, idlestore.Limits{MaxActive: 1, IdleTimeout: 10e6})
+	sim.flavors, sim.longStepOdds = []string{"k", "r"}, 12
+	sim.driver = newCallDriver(sim)
+	sim.driver.extraWait = 45e6
+	sim.logModel = newLogModel()
+	return sim
+}
+
+// testMembers are one endpoint each of so many destinations.
+func testMembers(count int) (members []Member) {
+	for i := range count {
+		members = append(members, testMember(i, i, "k"))
+	}
+	return members
+}
+
 // With destinations that are passive between any two of their messages: log, reply, send
 // as ever; no byte before a Retry-After that was told before, to an endpoint that has left
 // meanwhile, or to another destination; the same effects for the same events; and the
@@ -26,13 +47,7 @@
 	passivated, sent, blocked, activated := 0, 0, 0, 0
 	for seed := range uint64(150) {
 		play := func() *simulation {
-			sim := newSimulation(t, seed)
-			sim.core = passivatingCore(t, idlestore.Limits{MaxActive: 1, IdleTimeout: 10e6})
-			sim.flavors, sim.longStepOdds = []string{"k", "r"}, 12
-			sim.driver = newCallDriver(sim)
-			sim.driver.extraWait = 45e6
-			log := newLogModel()
-			sim.logModel = log
+			sim := newPassiveSimulation(t, seed)
 			for turn := range 3 {
 				sim.playFrom(turn*150, 150)
 				if turn == 2 {
@@ -42,7 +57,7 @@
 				for dest := range before {
 					before[dest] = sim.core.knowsDestination(dest)
 				}
-				sim.handOverWithDriver(log)
+				sim.handOverWithDriver(sim.logModel)
 				for dest := range before {
 					if sim.core.knowsDestination(dest) != before[dest] {
 						sim.failf("destination %d was known: %v", dest, before[dest])
@@ -341,24 +356,19 @@
 func TestLongListInBatches(t *testing.T) {
 	c := passivatingCore(t, idlestore.Limits{MaxActive: 2, IdleTimeout: 10e6})
 	now := policy.Time(3600e6)
-	var all []Member
-	for i := range 60 {
-		all = append(all, testMember(i, i, "k"))
-	}
+	all := testMembers(60)
 	c.Step(now, []Event{listEvent(policy.ListFull, all...)}, nil)
 	c.listBatchSize = 1
 	gone, drains := all[0], all[1]
 	gone.Phase, drains.Phase = Removed, Draining
-	list := &EndpointList{Members: append(slices.Clone(all[2:]), gone, drains)}
-	c.Step(now, []Event{EndpointListUpdated{Kind: policy.ListDelta, List: list}}, nil)
+	c.Step(now, []Event{listEvent(policy.ListDelta, append(slices.Clone(all[2:]), gone, drains)...)}, nil)
 	for _, id := range []string{"s-0", "s-1"} {
 		if endpoint := c.endpoints.byID[id]; !endpoint.retired {
 			t.Errorf("%s is not retired after the first batch", id)
 		}
 	}
 	c.finishListUpdate()
-	list = &EndpointList{Complete: true, Members: slices.Clone(all[:50])} // 55 has left
-	effects := c.Step(now, []Event{EndpointListUpdated{Kind: policy.ListFull, List: list}}, nil)
+	effects := c.Step(now, []Event{listEvent(policy.ListFull, all[:50]...)}, nil) // 55 has left
 	if c.listUpdate == nil || !slices.ContainsFunc(effects, is[StepAgain, Effect]) {
 		t.Fatal("it is applied whole, or no step is asked for the rest")
 	}
@@ -386,10 +396,7 @@
 func TestForgetsDepartedDestinations(t *testing.T) {
 	c := passivatingCore(t, idlestore.Limits{MaxActive: 1, IdleTimeout: 20e6})
 	now := policy.Time(3600e6)
-	var all []Member
-	for i := range 200 {
-		all = append(all, testMember(i, i, "k"))
-	}
+	all := testMembers(200)
 	c.Step(now, []Event{listEvent(policy.ListFull, all...)}, nil)
 	c.Step(now, []Event{listEvent(policy.ListFull, all[:2]...)}, nil)
 	accepted := func(at policy.Time, id string, dest int) bool {
--- a/internal/core/recovery.go
+++ b/internal/core/recovery.go
@@ -59,7 +59,7 @@
 		"may_have_run", record.FirstUncertainAt != 0, "left_ms", event.TimeLeft/microsPerMilli)
 }
 
-// recoveredEvent is a recovered message as the policy is told of it.
+// recoveredEvent is a recovered message as it is reported to the policy.
 func (c *Core) recoveredEvent(m *message, class int, imported *importedHandover) policy.Event {
 	record := m.record
 	event := policy.Event{
--- a/internal/core/reply.go
+++ b/internal/core/reply.go
@@ -45,7 +45,7 @@
 	c.reply(request, Reply{})
 }
 
-// withdraw ends a message that no client was told to be accepted: nothing is owed.
+// withdraw ends a message that was not acknowledged to its client: nothing is owed.
 func (c *Core) withdraw(m *message) {
 	if m.logged {
 		c.appendRecord(&Record{Kind: RecordDone, ID: m.record.ID})
--- a/internal/core/retryafter.go
+++ b/internal/core/retryafter.go
@@ -41,7 +41,7 @@
 	return c.retryAfter[endpoint.dest]
 }
 
-// applyRetryAfter tells the driver of a Retry-After that binds an endpoint now.
+// applyRetryAfter applies a Retry-After that binds an endpoint now.
 func (c *Core) applyRetryAfter(endpoint *endpointState) {
 	if until := c.retryAfterOf(endpoint); until > c.now {
 		c.emit(ApplyRetryAfter{Endpoint: endpoint.number, Until: until})
--- a/internal/core/snapshot_test.go
+++ b/internal/core/snapshot_test.go
@@ -91,20 +91,7 @@
 			t.Errorf("%s: the Retry-After binds %d endpoints", name, holds)
 		}
 		// Nothing is sent to destination 1 before its Retry-After.
-		record := plainRecord("m", 1, c.wallTime(now+20e6))
-		events, first := []Event{submission(record)}, policy.Time(0)
-		for at := now; at < now+10e6 && first == 0; at += 20e3 {
-			effects := c.Step(at, events, nil)
-			events = nil
-			for _, e := range effects {
-				switch e := e.(type) {
-				case AppendThenReply:
-					events = append(events, ReplyDelivered{Request: e.Request, OK: true})
-				case AppendThenSend:
-					first = at
-				}
-			}
-		}
+		first, _, _ := deliverOne(t, c, now, now+20e6, "m", 1, delivered(0))
 		until := snapshot.RetryAfters[0].Until + shift
 		if test.held && (first < until || first > until+1e6) || !test.held && first > now+1e6 {
 			t.Errorf("%s: sent at %d, Retry-After until %d", name, first-now, until-now)
