--- a/internal/handover/handover_test.go
+++ b/internal/handover/handover_test.go
@@ -7,205 +7,220 @@
 	"testing"
 )
 
-// simulation is two processes, a lock and a link, as a model.
+// simulation is a predecessor, a successor, a lock and a connection, as a model.
 type simulation struct {
-	g           Outgoing
-	t           Incoming
-	gLive       bool
-	tLive       bool
-	lockG       bool // each holds its part; the lock is free once nobody does
-	lockT       bool // also while it is on its way
-	toT         []IncomingEvent
-	toG         []OutgoingEvent
-	linkUp      bool
-	gDo         []OutgoingAction
-	tDo         []IncomingAction
-	tBegan      bool // the taker has written or sent something
-	gMemory     bool // the giver's memory is still true
-	startedAnew bool
-	mine        bool // the taker has said so, or found itself alone
+	outgoing      Outgoing
+	incoming      Incoming
+	outgoingLives bool
+	incomingLives bool
+	outgoingLock  bool // each holds its part; the lock is free once nobody does
+	incomingLock  bool // also while it is on its way
+	toIncoming    []IncomingEvent
+	toOutgoing    []OutgoingEvent
+	connected     bool
+	outgoingTodo  []OutgoingAction
+	incomingTodo  []IncomingAction
+	memoryValid   bool // what the predecessor has in memory is still true
+	restarted     bool // the predecessor has recovered from the log
+	claimed       bool // the successor has said so, or found itself alone
 }
 
-func (w *simulation) stepOutgoingWith(e OutgoingEvent) {
-	if do := w.g.Step(e); do != OutgoingNoAction {
-		w.gDo = append(w.gDo, do)
+func (s *simulation) tellOutgoing(e OutgoingEvent) {
+	if action := s.outgoing.Step(e); action != OutgoingNoAction {
+		s.outgoingTodo = append(s.outgoingTodo, action)
 	}
 }
 
-func (w *simulation) stepIncomingWith(e IncomingEvent) {
-	if do := w.t.Step(e); do != IncomingNoAction {
-		w.tDo = append(w.tDo, do)
+func (s *simulation) tellIncoming(e IncomingEvent) {
+	if action := s.incoming.Step(e); action != IncomingNoAction {
+		s.incomingTodo = append(s.incomingTodo, action)
 	}
 }
 
-func (w *simulation) breakLink() {
-	if w.linkUp {
-		w.linkUp = false
+// outgoingOwns reports whether the predecessor lives and owns the work.
+func (s *simulation) outgoingOwns() bool { return s.outgoingLives && s.outgoing.IsOwner() }
+
+// incomingOwns reports whether the successor lives and owns the work.
+func (s *simulation) incomingOwns() bool { return s.incomingLives && s.incoming.IsOwner() }
+
+func (s *simulation) disconnect() {
+	if s.connected {
+		s.connected = false
 		// What was said before the end is still heard.
-		w.toG = append(w.toG, SuccessorLost)
-		w.toT = append(w.toT, PredecessorLost)
+		s.toOutgoing = append(s.toOutgoing, SuccessorLost)
+		s.toIncoming = append(s.toIncoming, PredecessorLost)
 	}
 }
 
-func (w *simulation) killIncoming() {
-	w.tLive, w.lockT = false, false
-	w.breakLink()
+func (s *simulation) killIncoming() {
+	s.incomingLives, s.incomingLock = false, false
+	s.disconnect()
 }
 
-func (w *simulation) killOutgoing() {
-	w.gLive, w.lockG = false, false
-	w.breakLink()
+func (s *simulation) killOutgoing() {
+	s.outgoingLives, s.outgoingLock = false, false
+	s.disconnect()
 }
 
-func (w *simulation) stepOutgoing() {
-	if len(w.gDo) > 0 {
-		do := w.gDo[0]
-		w.gDo = w.gDo[1:]
-		switch do {
+func (s *simulation) stepOutgoing() {
+	if len(s.outgoingTodo) > 0 {
+		action := s.outgoingTodo[0]
+		s.outgoingTodo = s.outgoingTodo[1:]
+		switch action {
 		case Quiesce:
-			w.stepOutgoingWith(Quiesced)
+			s.tellOutgoing(Quiesced)
 		case SendState:
-			if w.linkUp {
-				w.toT = append(w.toT, FirstPacketReceived, AllReceived)
-				w.lockT = true
+			if s.connected {
+				s.toIncoming = append(s.toIncoming, FirstPacketReceived, AllReceived)
+				s.incomingLock = true
 			}
-			w.stepOutgoingWith(StateSent)
+			s.tellOutgoing(StateSent)
 		case ReleaseResources:
-			w.lockG = false
+			s.outgoingLock = false
 		case TryLock:
-			if w.lockG || !w.lockT {
-				w.lockG = true
-				w.stepOutgoingWith(LockRegained)
+			if s.outgoingLock || !s.incomingLock {
+				s.outgoingLock = true
+				s.tellOutgoing(LockRegained)
 			} else {
-				w.gDo = append(w.gDo, TryLock) // later
+				s.outgoingTodo = append(s.outgoingTodo, TryLock) // later
 			}
 		case ResumeServing:
-			if !w.gMemory {
-				panic("the giver goes on with what is no longer true")
+			if !s.memoryValid {
+				panic("the predecessor goes on with what is no longer true")
 			}
 		case RestartFromLog:
-			w.startedAnew, w.gMemory = true, true
+			s.restarted, s.memoryValid = true, true
 		}
 		return
 	}
-	if len(w.toG) > 0 {
-		e := w.toG[0]
-		w.toG = w.toG[1:]
-		w.stepOutgoingWith(e)
+	if len(s.toOutgoing) > 0 {
+		e := s.toOutgoing[0]
+		s.toOutgoing = s.toOutgoing[1:]
+		s.tellOutgoing(e)
 	}
 }
 
-func (w *simulation) stepIncoming() {
-	if len(w.tDo) > 0 {
-		do := w.tDo[0]
-		w.tDo = w.tDo[1:]
-		switch do {
+func (s *simulation) stepIncoming() {
+	if len(s.incomingTodo) > 0 {
+		action := s.incomingTodo[0]
+		s.incomingTodo = s.incomingTodo[1:]
+		switch action {
 		case Connect:
-			if w.gLive && !w.linkUp && w.g.IsOwner() {
-				w.linkUp, w.toT, w.toG = true, nil, nil
-				w.stepIncomingWith(Connected)
+			if s.outgoingLives && !s.connected && s.outgoing.IsOwner() {
+				s.connected, s.toIncoming, s.toOutgoing = true, nil, nil
+				s.tellIncoming(Connected)
 			} else {
-				w.stepIncomingWith(PredecessorLost)
+				s.tellIncoming(PredecessorLost)
 			}
 		case RequestState:
-			if w.linkUp {
-				w.toG = append(w.toG, HandoverRequested)
+			if s.connected {
+				s.toOutgoing = append(s.toOutgoing, HandoverRequested)
 			}
 		case AdoptLock:
-			if !w.lockT {
+			if !s.incomingLock {
 				panic("all has come, and the lock has not")
 			}
-			w.stepIncomingWith(LockAdopted)
+			s.tellIncoming(LockAdopted)
 		case SendClaim:
-			if w.linkUp {
-				w.toG = append(w.toG, OwnershipClaimed)
-				w.mine = true
-				w.stepIncomingWith(ClaimSent)
+			if s.connected {
+				s.toOutgoing = append(s.toOutgoing, OwnershipClaimed)
+				s.claimed = true
+				s.tellIncoming(ClaimSent)
 			} else {
-				w.stepIncomingWith(PredecessorLost)
+				s.tellIncoming(PredecessorLost)
 			}
 		case RetryLock:
-			w.lockT = false
-			w.tDo, w.toT = nil, nil
-			w.checkOwnership()
+			s.incomingLock = false
+			s.incomingTodo, s.toIncoming = nil, nil
+			s.tryLock()
 		case TakeOver, StartFromLog:
-			w.tBegan, w.gMemory, w.mine = true, false, true
-			w.stepIncomingWith(ReadyToServe)
+			s.memoryValid, s.claimed = false, true
+			s.tellIncoming(ReadyToServe)
 		case SendServing:
-			if w.linkUp {
-				w.toG = append(w.toG, SuccessorServing)
+			if s.connected {
+				s.toOutgoing = append(s.toOutgoing, SuccessorServing)
 			}
 		case Abort:
-			w.killIncoming()
+			s.killIncoming()
 		}
 		return
 	}
-	if len(w.toT) > 0 {
-		e := w.toT[0]
-		w.toT = w.toT[1:]
-		w.stepIncomingWith(e)
+	if len(s.toIncoming) > 0 {
+		e := s.toIncoming[0]
+		s.toIncoming = s.toIncoming[1:]
+		s.tellIncoming(e)
 	}
 }
 
-func (w *simulation) checkOwnership() {
-	if !w.lockG && !w.lockT {
-		w.lockT = true
-		w.stepIncomingWith(LockAcquired)
+func (s *simulation) tryLock() {
+	if !s.outgoingLock && !s.incomingLock {
+		s.incomingLock = true
+		s.tellIncoming(LockAcquired)
 	} else {
-		w.stepIncomingWith(LockHeld)
+		s.tellIncoming(LockHeld)
 	}
 }
 
-// Whoever is killed, whenever, or whose link breaks: never do both own the
-// work, a giver never goes on with what is no longer true, and in the end one
-// of those that live owns it.
+// Whichever process is killed, whenever, or whose connection breaks: never do both
+// own the work, a predecessor never goes on with what is no longer true, and in the
+// end one of those that live owns it.
 func TestExactlyOneOwner(t *testing.T) {
 	outcomes := map[string]int{}
 	for seed := range uint64(60000) {
 		rng := rand.New(rand.NewPCG(seed, 3))
-		w := &simulation{gLive: true, tLive: true, lockG: true, gMemory: true}
-		w.checkOwnership()
-		kill, what := rng.IntN(30), rng.IntN(4)
+		s := &simulation{outgoingLives: true, incomingLives: true, outgoingLock: true, memoryValid: true}
+		s.tryLock()
+		faultAt, fault := rng.IntN(30), rng.IntN(4)
 		for n := range 400 {
-			if n == kill {
-				switch what {
+			if n == faultAt {
+				switch fault {
 				case 0:
-					w.killOutgoing()
+					s.killOutgoing()
 				case 1:
-					w.killIncoming()
+					s.killIncoming()
 				case 2:
-					w.breakLink()
+					s.disconnect()
 				}
 			}
 			if rng.IntN(2) == 0 {
-				if w.gLive {
-					w.stepOutgoing()
+				if s.outgoingLives {
+					s.stepOutgoing()
 				}
-			} else if w.tLive {
-				w.stepIncoming()
+			} else if s.incomingLives {
+				s.stepIncoming()
 			}
-			if what == 3 && !w.lockG && !w.lockT {
+			if fault == 3 && !s.outgoingLock && !s.incomingLock {
 				t.Fatalf("seed %d, step %d: a third process could take the lock", seed, n)
 			}
-			if w.gLive && w.tLive && w.g.IsOwner() && w.t.IsOwner() {
-				t.Fatalf("seed %d, step %d: both own it: giver %d, taker %d", seed, n, w.g.state, w.t.state)
+			if s.outgoingOwns() && s.incomingOwns() {
+				t.Fatalf("seed %d, step %d: both own it: predecessor %d, successor %d",
+					seed, n, s.outgoing.state, s.incoming.state)
 			}
-			if w.tLive && w.t.IsOwner() && !w.mine && !slices.Contains(w.tDo, StartFromLog) {
-				t.Fatalf("seed %d, step %d: the taker owns it and has not said so", seed, n)
+			if s.incomingOwns() && !s.claimed && !slices.Contains(s.incomingTodo, StartFromLog) {
+				t.Fatalf("seed %d, step %d: the successor owns it and has not said so", seed, n)
 			}
-			if w.tLive && w.t.IsOwner() && !w.lockT || w.gLive && w.g.IsOwner() && !w.lockG {
-				t.Fatalf("seed %d, step %d: the owner has no lock: giver %d, taker %d", seed, n, w.g.state, w.t.state)
+			if s.incomingOwns() && !s.incomingLock || s.outgoingOwns() && !s.outgoingLock {
+				t.Fatalf("seed %d, step %d: the owner has no lock: predecessor %d, successor %d",
+					seed, n, s.outgoing.state, s.incoming.state)
 			}
 		}
-		if w.gLive && !w.g.Finished() || w.tLive { // after the last word a death is no longer an upgrade's matter
-			if !(w.gLive && w.g.IsOwner()) && !(w.tLive && w.t.IsOwner()) {
-				t.Fatalf("seed %d: nobody owns it: kill %d at %d, giver %v %d, taker %v %d", seed, what, kill, w.gLive, w.g.state, w.tLive, w.t.state)
+		// After the last packet a death is no longer the hand-over's matter.
+		if s.outgoingLives && !s.outgoing.Finished() || s.incomingLives {
+			if !s.outgoingOwns() && !s.incomingOwns() {
+				t.Fatalf("seed %d: nobody owns it: fault %d at %d, predecessor %v %d, successor %v %d",
+					seed, fault, faultAt, s.outgoingLives, s.outgoing.state, s.incomingLives, s.incoming.state)
 			}
 		}
-		outcomes[fmt.Sprintf("kind %d giver %v taker %v anew %v", what, w.gLive && w.g.IsOwner(), w.tLive && w.t.IsOwner(), w.startedAnew)]++
+		outcome := fmt.Sprintf("fault %d predecessor %v successor %v restarted %v",
+			fault, s.outgoingOwns(), s.incomingOwns(), s.restarted)
+		outcomes[outcome]++
 	}
-	for _, want := range []string{"kind 0 giver false taker true anew false", "kind 1 giver true taker false anew false",
-		"kind 1 giver true taker false anew true", "kind 3 giver false taker true anew false"} {
+	for _, want := range []string{
+		"fault 0 predecessor false successor true restarted false",
+		"fault 1 predecessor true successor false restarted false",
+		"fault 1 predecessor true successor false restarted true",
+		"fault 3 predecessor false successor true restarted false",
+	} {
 		if outcomes[want] == 0 {
 			t.Errorf("never came up: %s; %v", want, outcomes)
 		}
--- a/internal/handover/link/link_test.go
+++ b/internal/handover/link/link_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"bytes"
+	"errors"
 	"io"
 	"math/rand/v2"
 	"os"
@@ -30,10 +31,21 @@
 		t.Fatal(err)
 	}
 	b = <-got
-	t.Cleanup(func() { a.Close(); b.Close(); ln.Close() })
+	t.Cleanup(func() {
+		for _, c := range []io.Closer{a, b, ln} {
+			_ = c.Close() // the test may have closed it
+		}
+	})
 	return a, b
 }
 
+func mustClose(t *testing.T, c io.Closer) {
+	t.Helper()
+	if err := c.Close(); err != nil {
+		t.Fatal(err)
+	}
+}
+
 func testDeadline() time.Time { return time.Now().Add(10 * time.Second) }
 
 // Texts of any length arrive whole and in order, and descriptors with them, as
@@ -70,18 +82,20 @@
 					t.Fatalf("%d descriptors", len(p.FDs))
 				}
 				f := os.NewFile(uintptr(p.FDs[0]), "passed")
-				io.WriteString(f, "here")
-				f.Close()
+				_, err = io.WriteString(f, "here")
+				if err := errors.Join(err, f.Close()); err != nil {
+					t.Fatal(err)
+				}
 				break
 			}
 			if err := <-sent; err != nil || !bytes.Equal(got, text) {
 				t.Fatalf("%d bytes became %d, %v", size, len(got), err)
 			}
-			w.Close()
+			mustClose(t, w)
 			if said, err := io.ReadAll(r); string(said) != "here" || err != nil {
 				t.Errorf("through the passed descriptor: %q, %v", said, err)
 			}
-			r.Close()
+			mustClose(t, r)
 		}
 		if err := a.Send('x', make([]byte, MaxBodySize+1), testDeadline()); err == nil {
 			t.Error("a packet over the bound is sent")
@@ -89,25 +103,29 @@
 	}
 }
 
-// What was said before an end is heard; after Shut nothing more can be said.
-func TestTheLastWord(t *testing.T) {
+// What was sent before an end is received; after CloseRead nothing more can be sent.
+func TestLastPackets(t *testing.T) {
 	a, b := connectedPair(t, t.TempDir())
 	if err := a.Send('M', nil, testDeadline()); err != nil {
 		t.Fatal(err)
 	}
-	b.CloseRead()
+	if err := b.CloseRead(); err != nil {
+		t.Fatal(err)
+	}
 	if err := a.Send('R', nil, testDeadline()); err == nil {
-		t.Error("a word goes out that nobody will hear")
+		t.Error("a packet goes out that nobody will receive")
 	}
 	if p, err := b.Receive(testDeadline()); err != nil || p.Kind != 'M' {
-		t.Errorf("the word before: %q, %v", p.Kind, err)
+		t.Errorf("the packet before: %q, %v", p.Kind, err)
 	}
 	if _, err := b.Receive(testDeadline()); err == nil {
 		t.Error("something comes after the end")
 	}
 	c, d := connectedPair(t, t.TempDir())
-	c.Send('M', nil, testDeadline())
-	c.Close()
+	if err := c.Send('M', nil, testDeadline()); err != nil {
+		t.Fatal(err)
+	}
+	mustClose(t, c)
 	if p, err := d.Receive(testDeadline()); err != nil || p.Kind != 'M' {
 		t.Errorf("before the other's end: %q, %v", p.Kind, err)
 	}
@@ -116,17 +134,16 @@
 	}
 }
 
-// A socket that a dead process left is nobody's, and a new listener takes its
-// place.
-func TestLeftSocket(t *testing.T) {
+// A socket that a dead process left has no listener, and a new one takes its place.
+func TestStaleSocket(t *testing.T) {
 	dir := t.TempDir()
 	ln, err := Listen(dir)
 	if err != nil {
 		t.Fatal(err)
 	}
-	ln.Close()
+	mustClose(t, ln)
 	if _, err := Dial(dir); err == nil {
-		t.Error("linked to nobody")
+		t.Error("connected to nobody")
 	}
 	if a, b := connectedPair(t, dir); a == nil || b == nil {
 		t.Error("not taken over")
--- a/internal/handover/transfer/packet_test.go
+++ b/internal/handover/transfer/packet_test.go
@@ -69,7 +69,8 @@
 		`{"form":2,"pid":7}`: hello{Version: version, PID: 7},
 		`{"core":{"members":null,"named":null,"calls":null,"worth":null,"policy":null},` +
 			`"mono":-5,"frozen":6,"agent":"a:1","again":true}`: State{
-			Core: &core.HandoverState{}, ClockOrigin: -5, ClientsPausedAt: 6, DiscoveryAddr: "a:1", ReloadRequested: true,
+			Core: &core.HandoverState{}, ClockOrigin: -5, ClientsPausedAt: 6,
+			DiscoveryAddr: "a:1", ReloadRequested: true,
 		},
 		`{"core":null,"mono":0}`: State{},
 		`[{"ahead":"aGFsZg==","out":"b3V0","place":{"Known":true,"Spoke":true,"Asked":3,"Left":-4}},` +
--- a/internal/handover/transfer/transfer_test.go
+++ b/internal/handover/transfer/transfer_test.go
@@ -138,7 +138,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			s := connect(t, func(p *Predecessor) {
-				if err := errors.Join(p.conn.Send(PacketRequest, nil, time.Now().Add(time.Second)), test.say(p)); err != nil {
+				if err := errors.Join(p.send(PacketRequest), test.say(p)); err != nil {
 					t.Error(err)
 				}
 			})
--- a/internal/lifecycle/lifecycle_test.go
+++ b/internal/lifecycle/lifecycle_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-// Each call in each state has one stated result.
+// Each call in each state has one result.
 func TestTransitions(t *testing.T) {
 	reach := map[State]func(*Machine){
 		Starting:    func(*Machine) {},
@@ -16,62 +16,77 @@
 		Stopping:    func(m *Machine) { m.StartServing(); m.Stop() },
 	}
 	cases := []struct {
-		in    State
-		call  string
-		yes   bool
-		do    Action
-		after State
+		in     State
+		call   string
+		ok     bool
+		action Action
+		after  State
 	}{
-		{Starting, "drain", true, NoAction, Starting}, {Starting, "undrain", true, NoAction, Starting}, {Starting, "ready", false, NoAction, Starting},
-		{Serving, "drain", true, CloseClients, Draining}, {Serving, "undrain", true, NoAction, Serving}, {Serving, "ready", true, NoAction, Serving},
-		{Draining, "drain", true, NoAction, Draining}, {Draining, "undrain", true, KeepClients, Serving}, {Draining, "ready", true, NoAction, Draining},
-		{HandingOver, "drain", true, NoAction, HandingOver}, {HandingOver, "undrain", true, NoAction, HandingOver}, {HandingOver, "ready", false, NoAction, HandingOver},
-		{HandedOver, "drain", false, NoAction, HandedOver}, {HandedOver, "undrain", false, NoAction, HandedOver}, {HandedOver, "ready", false, NoAction, HandedOver},
-		{Stopping, "drain", false, NoAction, Stopping}, {Stopping, "undrain", false, NoAction, Stopping}, {Stopping, "ready", false, NoAction, Stopping},
-		{Serving, "stop", true, CloseClients, Stopping}, {Draining, "stop", true, CloseClients, Stopping}, {HandedOver, "stop", true, NoAction, HandedOver},
+		{Starting, "drain", true, NoAction, Starting},
+		{Starting, "undrain", true, NoAction, Starting},
+		{Starting, "ready", false, NoAction, Starting},
+		{Serving, "drain", true, CloseClients, Draining},
+		{Serving, "undrain", true, NoAction, Serving},
+		{Serving, "ready", true, NoAction, Serving},
+		{Draining, "drain", true, NoAction, Draining},
+		{Draining, "undrain", true, KeepClients, Serving},
+		{Draining, "ready", true, NoAction, Draining},
+		{HandingOver, "drain", true, NoAction, HandingOver},
+		{HandingOver, "undrain", true, NoAction, HandingOver},
+		{HandingOver, "ready", false, NoAction, HandingOver},
+		{HandedOver, "drain", false, NoAction, HandedOver},
+		{HandedOver, "undrain", false, NoAction, HandedOver},
+		{HandedOver, "ready", false, NoAction, HandedOver},
+		{Stopping, "drain", false, NoAction, Stopping},
+		{Stopping, "undrain", false, NoAction, Stopping},
+		{Stopping, "ready", false, NoAction, Stopping},
+		{Serving, "stop", true, CloseClients, Stopping},
+		{Draining, "stop", true, CloseClients, Stopping},
+		{HandedOver, "stop", true, NoAction, HandedOver},
 	}
 	for _, c := range cases {
 		m := &Machine{}
 		reach[c.in](m)
 		var a Answer
-		var do Action
+		var action Action
 		switch c.call {
 		case "drain":
-			a, do = m.StartDrain()
+			a, action = m.StartDrain()
 		case "undrain":
-			a, do = m.EndDrain()
+			a, action = m.EndDrain()
 		case "ready":
 			a = m.Ready()
 		case "stop":
-			a.OK, do = true, m.Stop()
+			a.OK, action = true, m.Stop()
 		}
-		if a.OK != c.yes || do != c.do || m.State() != c.after {
-			t.Errorf("%s while %s: %v, do %d, then %s; want %v, %d, %s", c.call, c.in, a, do, m.State(), c.yes, c.do, c.after)
+		if a.OK != c.ok || action != c.action || m.State() != c.after {
+			t.Errorf("%s while %s: %v, action %d, then %s; want %v, %d, %s",
+				c.call, c.in, a, action, m.State(), c.ok, c.action, c.after)
 		}
 	}
 }
 
-// A drain asked for before the process serves holds once it does, also over a
-// take-over that comes to nothing.
+// A drain that was asked for before the process serves holds once it does, also after
+// a hand-over that failed.
 func TestDrainOutlastsStartAndFailedHandover(t *testing.T) {
 	m := &Machine{}
 	m.StartDrain()
-	if do := m.StartServing(); do != CloseClients || m.State() != Draining || m.AcceptsClients() {
-		t.Errorf("after the start: %v, do %d", m.State(), do)
+	if action := m.StartServing(); action != CloseClients || m.State() != Draining || m.AcceptsClients() {
+		t.Errorf("after the start: %v, action %d", m.State(), action)
 	}
 	m.StartHandover()
-	if do := m.StartServing(); do != CloseClients || m.State() != Draining {
-		t.Errorf("after a take-over that failed: %v, do %d", m.State(), do)
+	if action := m.StartServing(); action != CloseClients || m.State() != Draining {
+		t.Errorf("after a hand-over that failed: %v, action %d", m.State(), action)
 	}
 	m.EndDrain()
 	m.StartHandover()
-	if do := m.StartServing(); do != NoAction || m.State() != Serving || !m.AcceptsClients() {
-		t.Errorf("undrained, after a take-over that failed: %v, do %d", m.State(), do)
+	if action := m.StartServing(); action != NoAction || m.State() != Serving || !m.AcceptsClients() {
+		t.Errorf("undrained, after a hand-over that failed: %v, action %d", m.State(), action)
 	}
 }
 
-// Whatever is called, clients are let go exactly when they are not wanted, and
-// the last of DRAIN and UNDRAIN that was told yes holds.
+// Whatever is called, client connections are closed exactly when new clients are not
+// accepted, and the last of DRAIN and UNDRAIN that was answered with yes holds.
 func TestRandomTransitions(t *testing.T) {
 	for seed := range uint64(2000) {
 		rng := rand.New(rand.NewPCG(seed, 1))
@@ -79,30 +94,30 @@
 		kept, want := true, false
 		for range 40 {
 			var a Answer
-			do := NoAction
+			action := NoAction
 			switch rng.IntN(7) {
 			case 0, 1:
-				if a, do = m.StartDrain(); a.OK {
+				if a, action = m.StartDrain(); a.OK {
 					want = true
 				}
 			case 2, 3:
-				if a, do = m.EndDrain(); a.OK {
+				if a, action = m.EndDrain(); a.OK {
 					want = false
 				}
 			case 4:
-				do = m.StartServing()
+				action = m.StartServing()
 			case 5:
 				m.StartHandover()
 			case 6:
 				if rng.IntN(10) == 0 {
-					do = m.Stop()
+					action = m.Stop()
 				}
 			}
-			kept = do == KeepClients || kept && do != CloseClients
+			kept = action == KeepClients || kept && action != CloseClients
 			switch m.State() {
 			case Serving:
-				// A take-over that failed under a drain that was ended meanwhile
-				// keeps connections as they come; nothing is let go anew.
+				// A hand-over that failed under a drain that was ended meanwhile
+				// keeps connections as they come; none is closed anew.
 				if want || !m.AcceptsClients() {
 					t.Fatalf("seed %d: serving, drain wanted %v", seed, want)
 				}
@@ -131,7 +146,8 @@
 		ready, drain, undrain := &Machine{state: c.state}, &Machine{state: c.state}, &Machine{state: c.state}
 		d, _ := drain.StartDrain()
 		u, _ := undrain.EndDrain()
-		if r := ready.Ready(); r.Reason != c.ready || d.Reason != c.drain || u.Reason != c.undrain || c.state.String() != c.ready {
+		r := ready.Ready()
+		if r.Reason != c.ready || d.Reason != c.drain || u.Reason != c.undrain || c.state.String() != c.ready {
 			t.Errorf("%s: ready %q, drain %q, undrain %q", c.state, r.Reason, d.Reason, u.Reason)
 		}
 	}
