--- a/internal/handover/outgoing.go
+++ b/internal/handover/outgoing.go
@@ -128,6 +128,3 @@
 
 // Finished reports whether this process has nothing left to do.
 func (o *Outgoing) Finished() bool { return o.state == outgoingFinished }
-
-// Transferred reports whether the successor has claimed the work.
-func (o *Outgoing) Transferred() bool { return o.state >= outgoingTransferred }
--- a/internal/relay/console.go
+++ b/internal/relay/console.go
@@ -11,70 +11,77 @@
 	"troutusher/internal/lifecycle"
 )
 
-// What operators call and see. Nothing here waits for the loop: a drain goes
-// straight to the front, and figures are read where the loop put them.
-
-// endpointStatsInterval is how old the figures of endpoints may be. The others are put up
-// with each step.
+// endpointStatsInterval is how old the counts of endpoints on the board may be. All
+// else there is updated with each step.
 const endpointStatsInterval = 200 * time.Millisecond
 
-// consoleCalls are what the console may call.
+// consoleCalls are what operators may call. None of them waits for the event loop: a
+// drain goes straight to the RESP server, and figures are read from the board.
 func (r *Relay) consoleCalls() console.Handlers {
-	told := func(what string, f func(m *lifecycle.Machine) (lifecycle.Answer, lifecycle.Action)) func() (bool, string) {
+	logged := func(call string, change transition) func() (bool, string) {
 		return func() (bool, string) {
-			yes, why := r.lifecycle.transition(f)
-			r.log.Log(r.ctx, slog.LevelInfo, "console", "call", what, "yes", yes, "why", why)
-			return yes, why
+			answer := r.lifecycle.apply(change)
+			r.log.Log(r.ctx, slog.LevelInfo, "console", "call", call, "yes", answer.OK, "why", answer.Reason)
+			return answer.OK, answer.Reason
 		}
 	}
 	return console.Handlers{
 		Ready: func() (bool, string) {
-			return r.lifecycle.transition(func(m *lifecycle.Machine) (lifecycle.Answer, lifecycle.Action) { return m.Ready(), lifecycle.NoAction })
+			answer := r.lifecycle.apply(func(m *lifecycle.Machine) (lifecycle.Answer, lifecycle.Action) {
+				return m.Ready(), lifecycle.NoAction
+			})
+			return answer.OK, answer.Reason
 		},
-		Drain:   told("drain", (*lifecycle.Machine).StartDrain),
-		Undrain: told("undrain", (*lifecycle.Machine).EndDrain),
+		Drain:   logged("drain", (*lifecycle.Machine).StartDrain),
+		Undrain: logged("undrain", (*lifecycle.Machine).EndDrain),
 		Stats:   r.appendStats,
 	}
 }
 
-// appendStats writes all figures; those of TLS where there is a rule for it.
+// appendStats appends all figures, those of TLS where there is a rule for it.
 func (r *Relay) appendStats(to []byte) []byte {
 	to = r.board.AppendTo(to)
-	p := r.consoleTLSPeers.Load()
-	if p == nil {
+	dialer := r.consoleTLSPeers.Load()
+	if dialer == nil {
 		return to
 	}
-	line := func(name string, v int64, kind string) {
-		to = fmt.Appendf(to, "%stls_%s:%d|%s\n", console.MetricPrefix, name, v, kind)
+	const counter, gauge = "c", "g"
+	appendFigure := func(name string, value int64, unit string) {
+		to = fmt.Appendf(to, "%stls_%s:%d|%s\n", console.MetricPrefix, name, value, unit)
 	}
-	c := p.Counts()
-	line("full", c.Full, "c")
-	line("resumed", c.Resumed, "c")
-	line("refused", c.Rejected, "c")
-	line("broken", c.Inconclusive, "c")
-	line("out", int64(c.RejectedEndpoints), "g")
-	p.DaysLeft(func(name string, days float64) { line("days."+name, int64(math.Floor(days)), "g") })
+	counts := dialer.Counts()
+	appendFigure("full", counts.Full, counter)
+	appendFigure("resumed", counts.Resumed, counter)
+	appendFigure("refused", counts.Rejected, counter)
+	appendFigure("broken", counts.Inconclusive, counter)
+	appendFigure("out", int64(counts.RejectedEndpoints), gauge)
+	dialer.DaysLeft(func(name string, days float64) {
+		appendFigure("days."+name, int64(math.Floor(days)), gauge)
+	})
 	return to
 }
 
-// updateBoard puts up what the core has counted.
+// updateBoard shows what the core has counted.
 func (r *Relay) updateBoard() {
-	for i, e := range r.core.CountsByClass() {
-		r.board.SetOutcomes(i, console.Outcomes(e))
+	for class, counts := range r.core.CountsByClass() {
+		r.board.SetOutcomes(class, console.Outcomes(counts))
 	}
 	r.board.Pending.Store(int64(r.core.HeldMessages()))
-	if now := time.Now(); now.Sub(r.endpointStatsAt) >= endpointStatsInterval {
-		r.endpointStatsAt = now
-		listed, avoided := r.core.ListedEndpoints()
-		r.board.Endpoints.Store(int64(listed))
-		r.board.UnhealthyEndpoints.Store(int64(avoided))
+	now := time.Now()
+	if now.Sub(r.endpointStatsAt) < endpointStatsInterval {
+		return
 	}
+	r.endpointStatsAt = now
+	listed, unhealthy := r.core.ListedEndpoints()
+	r.board.Endpoints.Store(int64(listed))
+	r.board.UnhealthyEndpoints.Store(int64(unhealthy))
 }
 
+// classNames are the classes of messages, by their numbers.
 func classNames(cfg *config.Config) []string {
 	names := make([]string, len(cfg.Policy.Classes))
-	for name, i := range cfg.Classes {
-		names[i] = name
+	for name, class := range cfg.Classes {
+		names[class] = name
 	}
 	return names
 }
--- a/internal/relay/effects.go
+++ b/internal/relay/effects.go
@@ -10,61 +10,47 @@
 	"troutusher/policy"
 )
 
-// execute does what the core says, in its order.
-func (r *Relay) execute(fx []core.Effect) {
-	for _, e := range fx {
-		r.executeEffect(e)
+// errCallNotHandedOver: the predecessor had a call out and did not pass its connection.
+var errCallNotHandedOver = errors.New("its connection was not handed over")
+
+// execute does what the core asks for, in its order.
+func (r *Relay) execute(effects []core.Effect) {
+	for _, effect := range effects {
+		r.executeEffect(effect)
 	}
-	clear(fx)
-	r.effects = fx[:0]
+	clear(effects)
+	r.effects = effects[:0]
 }
 
-func (r *Relay) executeEffect(e core.Effect) {
-	switch e := e.(type) {
+func (r *Relay) executeEffect(effect core.Effect) {
+	switch e := effect.(type) {
 	case core.SendReply:
 		requestOf(e.Request).answer(replyText(e.Reply))
 	case core.AppendRecord:
 		r.wal.Submit(e.Record, nil)
 	case core.AppendThenReply:
-		q := e.Request
-		r.wal.Submit(q.Record, func(err error) {
-			if err != nil {
-				r.post(core.LogWriteFailed{Request: q})
-				return
-			}
-			requestOf(q).answer(replyOK)
-		})
+		r.appendThenReply(e.Request)
 	case core.AppendThenSend:
 		r.startCall(e.Record, e.Call)
 	case core.AppendThenNotify:
-		n := e.Notice
 		// The notice goes out whether or not it could be logged.
-		r.wal.Submit(e.Record, func(error) { r.notices.Send(n) })
+		r.wal.Submit(e.Record, func(error) { r.notices.Send(e.Notice) })
 	case core.SendNotice:
 		r.notices.Send(e.Notice)
 	case core.ResumeCall:
 		r.resumeCall(e.Call)
 	case core.CancelCall:
-		if c, ok := e.Call.Handle.(*upstream.Call); ok {
-			c.Cancel()
+		if call, ok := e.Call.Handle.(*upstream.Call); ok {
+			call.Cancel()
 		}
 	case core.ApplyRetryAfter:
-		if h := r.endpoints[e.Endpoint]; h != nil {
-			h.HoldUntil(e.Until)
+		if endpoint := r.endpoints[e.Endpoint]; endpoint != nil {
+			endpoint.HoldUntil(e.Until)
 		}
 	case core.CheckHealth:
-		h, ep := r.endpoints[e.Endpoint], e.Endpoint
-		go func() {
-			r.post(core.HealthChecked{Endpoint: ep, Result: coreResult(h.CheckHealth(r.ctx))})
-		}()
+		r.checkHealth(e.Endpoint)
 	case core.OpenEndpoint:
-		r.endpoints[e.Endpoint] = r.pool.OpenEndpoint(upstream.EndpointOptions{
-			ID:               e.Endpoint,
-			Address:          e.Address,
-			Dest:             e.Dest,
-			Flavor:           e.Flavor,
-			IndependentRoute: e.IndependentRoute,
-		})
+		r.openEndpoint(e)
 	case core.CloseEndpoint:
 		r.endpoints[e.Endpoint].Close()
 	case core.CloseIdleConnections:
@@ -75,84 +61,122 @@
 	case core.PassivateDestination:
 		r.pool.ForgetDestination(e.Dest)
 	case core.Log:
-		if e.Text == metrics.LogText {
-			e.Args = append(e.Args, metrics.LongestStepKey, r.longestStep.Microseconds())
-			r.longestStep = 0
-		}
-		r.log.Log(r.ctx, e.Level, e.Text, e.Args...)
+		r.writeLog(e)
 	case core.StepAgain:
 		r.inbox.Put(loopInput{})
 	}
 }
 
+// appendThenReply logs an accepted message and then answers its client.
+func (r *Relay) appendThenReply(accepted *core.Request) {
+	r.wal.Submit(accepted.Record, func(err error) {
+		if err != nil {
+			r.post(core.LogWriteFailed{Request: accepted})
+			return
+		}
+		requestOf(accepted).answer(replyOK)
+	})
+}
+
+// checkHealth has an endpoint checked, and the result posted.
+func (r *Relay) checkHealth(id policy.EndpointID) {
+	endpoint := r.endpoints[id]
+	go func() {
+		r.post(core.HealthChecked{Endpoint: id, Result: coreResult(endpoint.CheckHealth(r.ctx))})
+	}()
+}
+
+func (r *Relay) openEndpoint(e core.OpenEndpoint) {
+	r.endpoints[e.Endpoint] = r.pool.OpenEndpoint(upstream.EndpointOptions{
+		ID:               e.Endpoint,
+		Address:          e.Address,
+		Dest:             e.Dest,
+		Flavor:           e.Flavor,
+		IndependentRoute: e.IndependentRoute,
+	})
+}
+
+// writeLog logs a line of the core's. That of the metrics tells of the longest step,
+// too.
+func (r *Relay) writeLog(e core.Log) {
+	args := e.Args
+	if e.Text == metrics.LogText {
+		args = append(args, metrics.LongestStepKey, r.longestStep.Microseconds())
+		r.longestStep = 0
+	}
+	r.log.Log(r.ctx, e.Level, e.Text, args...)
+}
+
 func requestOf(q *core.Request) *request { return q.Handle.(*request) }
 
-// replyText is an answer in RESP2.
-func replyText(a core.Reply) string {
+// replyText is a reply in RESP2.
+func replyText(reply core.Reply) string {
 	switch {
-	case a.OK:
+	case reply.OK:
 		return replyOK
-	case a.Err != nil:
-		return errorReply(a.Err)
+	case reply.Err != nil:
+		return errorReply(reply.Err)
 	}
-	return busyReply(a.RetryAfterMS)
+	return busyReply(reply.RetryAfterMS)
 }
 
-// identityRejected is told by the handshakes that an endpoint gets nothing for a time.
+// identityRejected is called where an endpoint's identity was rejected: it gets
+// nothing for a time.
 func (r *Relay) identityRejected(endpoint uint64, wait time.Duration) {
 	r.post(core.IdentityRejected{Endpoint: policy.EndpointID(endpoint), Duration: wait.Microseconds()})
 }
 
 // startCall logs an attempt and then makes it.
-func (r *Relay) startCall(rec *record, out *core.Call) {
-	c := upstream.NewCall(r.ctx, upstream.CallOptions{
-		SendBy:     out.SendBy,
-		WarmingUp:  out.WarmingUp,
-		MayConnect: out.MayConnect,
+func (r *Relay) startCall(record *core.Record, attempt *core.Call) {
+	call := upstream.NewCall(r.ctx, upstream.CallOptions{
+		SendBy:     attempt.SendBy,
+		WarmingUp:  attempt.WarmingUp,
+		MayConnect: attempt.MayConnect,
 		OnSent:     func() { r.board.Sends.Add(1) },
 	})
-	out.Handle = c
-	endpoint := r.endpoints[out.Endpoint]
-	r.wal.Submit(rec, func(err error) {
+	attempt.Handle = call
+	endpoint := r.endpoints[attempt.Endpoint]
+	r.wal.Submit(record, func(err error) {
 		if err != nil {
-			c.Release()
-			r.post(core.AttemptNotLogged{Call: out})
+			call.Release()
+			r.post(core.AttemptNotLogged{Call: attempt})
 			return
 		}
-		r.inFlight.Add(c)
+		r.inFlight.Add(call)
 		go func() {
-			defer c.Release()
-			defer r.inFlight.Remove(c)
-			c.Do(endpoint, callRequest(out, r.cfg.LoadReportFields), func(result upstream.Result) {
-				r.post(core.AttemptFinished{Call: out, Result: coreResult(result)})
+			defer call.Release()
+			defer r.inFlight.Remove(call)
+			call.Do(endpoint, callRequest(attempt, r.cfg.LoadReportFields), func(result upstream.Result) {
+				r.post(core.AttemptFinished{Call: attempt, Result: coreResult(result)})
 			})
 		}()
 	})
 }
 
-// resumeCall has a call that the process before had out go on here.
-func (r *Relay) resumeCall(out *core.Call) {
-	c := upstream.NewCall(r.ctx, upstream.CallOptions{ElapsedBefore: time.Duration(r.now()-out.SentAt()) * time.Microsecond})
-	out.Handle = c
+// resumeCall waits here for the response to a call of the predecessor.
+func (r *Relay) resumeCall(attempt *core.Call) {
+	elapsed := time.Duration(r.now()-attempt.SentAt()) * time.Microsecond
+	call := upstream.NewCall(r.ctx, upstream.CallOptions{ElapsedBefore: elapsed})
+	attempt.Handle = call
 	report := func(result upstream.Result) {
-		r.post(core.AttemptFinished{Call: out, Result: coreResult(result)})
+		r.post(core.AttemptFinished{Call: attempt, Result: coreResult(result)})
 	}
-	fd, ok := r.inheritedCalls[out.Record.ID]
+	fd, ok := r.inheritedCalls[attempt.Record.ID]
 	if !ok {
-		c.Release()
-		report(upstream.Result{Outcome: policy.ConnectionReset, Err: errors.New("its connection was not handed over")})
+		call.Release()
+		report(upstream.Result{Outcome: policy.ConnectionReset, Err: errCallNotHandedOver})
 		return
 	}
-	delete(r.inheritedCalls, out.Record.ID)
-	endpoint := r.endpoints[out.Endpoint]
+	delete(r.inheritedCalls, attempt.Record.ID)
+	endpoint := r.endpoints[attempt.Endpoint]
 	if endpoint == nil { // it has left
 		endpoint = r.pool.ClosedEndpoint()
 	}
-	r.inFlight.Add(c)
+	r.inFlight.Add(call)
 	go func() {
-		defer c.Release()
-		defer r.inFlight.Remove(c)
-		if err := c.Adopt(endpoint, fd, callRequest(out, r.cfg.LoadReportFields), report); err != nil {
+		defer call.Release()
+		defer r.inFlight.Remove(call)
+		if err := call.Adopt(endpoint, fd, callRequest(attempt, r.cfg.LoadReportFields), report); err != nil {
 			report(upstream.Result{Outcome: policy.ConnectionReset, Err: err})
 		}
 	}()
--- a/internal/relay/failpoint.go
+++ b/internal/relay/failpoint.go
@@ -1,36 +1,37 @@
 package relay
 
-// Points between two steps at which something else may happen.
+// Points between two steps of a start, a shutdown or a hand-over at which something
+// else may happen: a signal, a kill, a change of the configuration.
 const (
-	failpointClientsReleased  = "clients are let go"
-	failpointListenersClosing = "nobody new is let in"
-	failpointProcessEnd       = "the process ends"
-	failpointAddressInUse     = "the address is in use"
+	failpointClientsReleased  = "shutdown: clients are released"
+	failpointListenersClosing = "shutdown: listeners close"
+	failpointProcessEnd       = "shutdown: the process ends"
+	failpointAddressInUse     = "start: the address is in use"
 
-	// Of a hand-over, the side that serves.
-	failpointOutgoingRequested        = "give: asked"
-	failpointOutgoingRequestsAnswered = "give: requests are answered"
-	failpointOutgoingQuiesced         = "give: all is at rest"
-	failpointOutgoingStateSent        = "give: the state is sent"
-	failpointOutgoingListenersSent    = "give: the listeners are sent"
-	failpointOutgoingClientsSent      = "give: the clients are sent"
-	failpointOutgoingCallsSent        = "give: the calls are sent"
-	failpointOutgoingLockSent         = "give: the lock is sent"
-	failpointOutgoingAllSent          = "give: all is sent"
-	failpointOutgoingClaimed          = "give: it is the other's"
-	failpointOutgoingReleased         = "give: let go"
-	// And the side that starts.
-	failpointIncomingConnected      = "take: linked"
-	failpointIncomingListReceived   = "take: the list is heard"
-	failpointIncomingAllReceived    = "take: all has come"
-	failpointIncomingLockAdopted    = "take: the lock is held"
-	failpointIncomingClaimSent      = "take: said mine"
-	failpointIncomingRecovered      = "take: taken up"
-	failpointIncomingClientsAdopted = "take: clients are adopted"
-	failpointIncomingServing        = "take: serves"
+	// In the process that hands over.
+	failpointOutgoingRequested        = "outgoing: requested"
+	failpointOutgoingRequestsAnswered = "outgoing: requests are answered"
+	failpointOutgoingQuiesced         = "outgoing: quiesced"
+	failpointOutgoingStateSent        = "outgoing: the state is sent"
+	failpointOutgoingListenersSent    = "outgoing: the listeners are sent"
+	failpointOutgoingClientsSent      = "outgoing: the clients are sent"
+	failpointOutgoingCallsSent        = "outgoing: the calls are sent"
+	failpointOutgoingLockSent         = "outgoing: the lock is sent"
+	failpointOutgoingAllSent          = "outgoing: all is sent"
+	failpointOutgoingClaimed          = "outgoing: claimed"
+	failpointOutgoingReleased         = "outgoing: released"
+	// In the process that takes over.
+	failpointIncomingConnected      = "incoming: connected"
+	failpointIncomingListReceived   = "incoming: the list is received"
+	failpointIncomingAllReceived    = "incoming: all is received"
+	failpointIncomingLockAdopted    = "incoming: the lock is adopted"
+	failpointIncomingClaimSent      = "incoming: the claim is sent"
+	failpointIncomingRecovered      = "incoming: recovered"
+	failpointIncomingClientsAdopted = "incoming: clients are adopted"
+	failpointIncomingServing        = "incoming: serving"
 )
 
-// failpoint is called at such a point. Tests alone set it, before a relay runs.
+// failpoint is called at each of the points. Tests alone set it, before a relay runs.
 var failpoint func(point string)
 
 func hitFailpoint(point string) {
--- a/internal/relay/firstlist.go
+++ b/internal/relay/firstlist.go
@@ -14,8 +14,8 @@
 	"troutusher/policy"
 )
 
-// firstListTimeout is how long the first calls wait for discovery; clients wait for
-// nothing. Tests alone change it.
+// firstListTimeout is how long the first calls wait for discovery. Tests alone change
+// it.
 var firstListTimeout = 300 * time.Millisecond
 
 // Tests alone set these; 0 and nil are for what packages discovery and membersource do by
@@ -25,15 +25,16 @@
 	helperCommand       func() (*exec.Cmd, error)
 )
 
-func listEvent(l *core.EndpointList) core.EndpointListUpdated {
+// listEvent is the event of a list that discovery sent: all endpoints, or a change.
+func listEvent(list *core.EndpointList) core.EndpointListUpdated {
 	kind := policy.ListDelta
-	if l.Complete {
+	if list.Complete {
 		kind = policy.ListFull
 	}
-	return core.EndpointListUpdated{List: l, Kind: kind}
+	return core.EndpointListUpdated{List: list, Kind: kind}
 }
 
-// configuredList is the list in the configuration.
+// configuredList is the list in the configuration, if there is one.
 func (r *Relay) configuredList() (lists []core.EndpointListUpdated) {
 	if r.cfg.KnownList != nil {
 		lists = append(lists, core.EndpointListUpdated{List: r.cfg.KnownList, Kind: policy.ListCached})
@@ -41,17 +42,17 @@
 	return lists
 }
 
-// awaitFirstList waits a while for discovery's first word: the list in the
-// configuration may be old, and an endpoint that drained since must not be sent
-// to. Where discovery is silent, or turns the relay away, the old one has to do.
-// Calls alone wait for it. Clients are served meanwhile: they give up after
-// 0.4 s, and count their messages' time from when they sent them.
+// awaitFirstList has calls begin once discovery has answered, or after a while: the
+// list that is known may be old, and an endpoint that drained since must not be sent
+// to. Where discovery is silent, or rejects the relay, the old one has to do. Calls
+// alone wait. Clients are served meanwhile: they give up after 0.4 s, and count their
+// messages' time from when they sent them.
 func (r *Relay) awaitFirstList() {
-	limit := time.NewTimer(firstListTimeout)
-	defer limit.Stop()
+	timeout := time.NewTimer(firstListTimeout)
+	defer timeout.Stop()
 	select {
-	case <-r.discovery.FirstResponse(): // what it said of the list came before
-	case <-limit.C:
+	case <-r.discovery.FirstResponse(): // its list was posted before
+	case <-timeout.C:
 		r.log.Warn("discovery is silent: the list that is known is used")
 	case <-r.ctx.Done():
 		return
@@ -100,56 +101,60 @@
 	return nil
 }
 
-// dropStaleLists leaves out lists that the process before has heard later ones than, from
-// the same agent: what has drained since is not up again. What is left out is had
-// once more, whole, in case the registry has begun anew.
-func (r *Relay) dropStaleLists(lists []core.EndpointListUpdated, before *transfer.Inherited) []core.EndpointListUpdated {
-	switch {
-	case before.DiscoveryAddr == r.discoveryAddr:
-	case before.ReloadRequested: // it had moved, and this one will
-		return nil
-	default:
-		return lists // another's versions are its own
+// dropStaleLists leaves out lists from the predecessor's address of discovery that are
+// older than the one it went by: what has drained since is not up again. Where some
+// were left out, the whole list is fetched once more, in case the registry has begun
+// anew.
+func (r *Relay) dropStaleLists(
+	lists []core.EndpointListUpdated,
+	inherited *transfer.Inherited,
+) []core.EndpointListUpdated {
+	if inherited.DiscoveryAddr != r.discoveryAddr {
+		if inherited.ReloadRequested { // the predecessor had moved, and this process will
+			return nil
+		}
+		return lists // revisions of different addresses cannot be compared
 	}
 	all := len(lists)
-	lists = slices.DeleteFunc(lists, func(e core.EndpointListUpdated) bool { return e.List.Revision < r.core.ListRevision() })
+	lists = slices.DeleteFunc(lists, func(update core.EndpointListUpdated) bool {
+		return update.List.Revision < r.core.ListRevision()
+	})
 	if len(lists) < all {
 		r.discovery.Resync()
 	}
 	return lists
 }
 
-// collectFirstLists is the same for a process that is to take over from another one,
-// which serves meanwhile, or that has no list: it returns what was heard. The list
-// in the configuration is not among it, since the other's is newer.
+// collectFirstLists waits for the first lists of discovery while the event loop does
+// not run yet: in a process that is about to take over, while its predecessor serves,
+// or in one that knows no list. The list in the configuration is not among them, since
+// the predecessor's is newer.
 func (r *Relay) collectFirstLists() (lists []core.EndpointListUpdated) {
-	limit := time.NewTimer(firstListTimeout)
-	defer limit.Stop()
-	first := r.discovery.FirstResponse()
+	timeout := time.NewTimer(firstListTimeout)
+	defer timeout.Stop()
+	firstResponse := r.discovery.FirstResponse()
 	if r.cfg.KnownList == nil {
-		first = nil // without any list there is nothing to serve on
+		firstResponse = nil // without a list there is nothing to serve on: an answer alone does not do
 	}
-	var got []loopInput
-	for heard := false; ; {
+	var inputs []loopInput
+	for done := false; !done; {
 		select {
 		case <-r.inbox.Ready():
-		case <-first: // what it said of the list came before
-			first, heard = nil, true
-		case <-limit.C:
+		case <-firstResponse: // its list was posted before
+			firstResponse, done = nil, true
+		case <-timeout.C:
 			r.log.Warn("discovery is silent: the list that is known is used")
 			return lists
 		}
-		got = r.inbox.TakeAll(got)
-		for _, h := range got {
-			if h.config != nil {
-				r.reconfigure(h.config)
-			} else if l, ok := h.event.(core.EndpointListUpdated); ok {
-				lists = append(lists, l)
-				heard = true
+		inputs = r.inbox.TakeAll(inputs)
+		for _, input := range inputs {
+			if input.config != nil {
+				r.reconfigure(input.config)
+			} else if update, ok := input.event.(core.EndpointListUpdated); ok {
+				lists = append(lists, update)
+				done = true
 			}
 		}
-		if heard {
-			return lists
-		}
 	}
+	return lists
 }
--- a/internal/relay/lifecycle.go
+++ b/internal/relay/lifecycle.go
@@ -8,60 +8,68 @@
 	"troutusher/internal/respserver"
 )
 
-// processLifecycle is the duty of this process, for several goroutines.
+// processLifecycle is the life cycle of this process, for several goroutines: the
+// event loop, the console and the RESP server.
 type processLifecycle struct {
 	mu             sync.Mutex
 	machine        lifecycle.Machine
-	server         *respserver.Server
-	acceptsClients atomic.Bool // new clients are wanted
+	server         *respserver.Server // nil until clients can be served
+	acceptsClients atomic.Bool        // read without the lock
 }
 
-// transition makes one move and carries out what it asks for.
-func (d *processLifecycle) transition(f func(m *lifecycle.Machine) (lifecycle.Answer, lifecycle.Action)) (bool, string) {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	a, do := f(&d.machine)
-	d.acceptsClients.Store(d.machine.AcceptsClients())
+// transition is one of the machine's.
+type transition func(m *lifecycle.Machine) (lifecycle.Answer, lifecycle.Action)
+
+// apply makes a transition, and does with client connections what it asks for.
+func (p *processLifecycle) apply(change transition) lifecycle.Answer {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	answer, action := change(&p.machine)
+	p.acceptsClients.Store(p.machine.AcceptsClients())
 	switch {
-	case d.server == nil:
-	case do == lifecycle.CloseClients:
-		d.server.CloseIdleConns()
-	case do == lifecycle.KeepClients:
-		d.server.KeepIdleConns()
+	case p.server == nil:
+	case action == lifecycle.CloseClients:
+		p.server.CloseIdleConns()
+	case action == lifecycle.KeepClients:
+		p.server.KeepIdleConns()
 	}
-	return a.OK, a.Reason
+	return answer
 }
 
-// startServing is told when clients can be served.
-func (d *processLifecycle) startServing(f *respserver.Server) {
-	d.transition(func(m *lifecycle.Machine) (lifecycle.Answer, lifecycle.Action) {
-		d.server = f
+// startServing is called once clients can be served.
+func (p *processLifecycle) startServing(server *respserver.Server) {
+	p.apply(func(m *lifecycle.Machine) (lifecycle.Answer, lifecycle.Action) {
+		p.server = server
 		return lifecycle.Answer{}, m.StartServing()
 	})
 }
 
-func (d *processLifecycle) stop() {
-	d.transition(func(m *lifecycle.Machine) (lifecycle.Answer, lifecycle.Action) { return lifecycle.Answer{}, m.Stop() })
+// stop is called as the process ends.
+func (p *processLifecycle) stop() {
+	p.apply(func(m *lifecycle.Machine) (lifecycle.Answer, lifecycle.Action) {
+		return lifecycle.Answer{}, m.Stop()
+	})
 }
 
-// duties during a hand-over.
-
-func (d *processLifecycle) startHandover() (ok bool) {
-	d.transition(func(m *lifecycle.Machine) (lifecycle.Answer, lifecycle.Action) {
+// startHandover reports whether the work may be handed to another process.
+func (p *processLifecycle) startHandover() (ok bool) {
+	p.apply(func(m *lifecycle.Machine) (lifecycle.Answer, lifecycle.Action) {
 		ok = m.StartHandover()
 		return lifecycle.Answer{}, lifecycle.NoAction
 	})
 	return ok
 }
 
-func (d *processLifecycle) resumeServing() {
-	d.transition(func(m *lifecycle.Machine) (lifecycle.Answer, lifecycle.Action) {
+// resumeServing is called where a hand-over failed.
+func (p *processLifecycle) resumeServing() {
+	p.apply(func(m *lifecycle.Machine) (lifecycle.Answer, lifecycle.Action) {
 		return lifecycle.Answer{}, m.StartServing()
 	})
 }
 
-func (d *processLifecycle) completeHandover() {
-	d.transition(func(m *lifecycle.Machine) (lifecycle.Answer, lifecycle.Action) {
+// completeHandover is called once the other process has the work.
+func (p *processLifecycle) completeHandover() {
+	p.apply(func(m *lifecycle.Machine) (lifecycle.Answer, lifecycle.Action) {
 		m.CompleteHandover()
 		return lifecycle.Answer{}, lifecycle.NoAction
 	})
--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -85,7 +85,13 @@
 	exits []func() // what cleanUp calls, the last one first
 }
 
-func newRelay(ctx context.Context, cfg *config.Config, log *slog.Logger, stop <-chan struct{}, reload ReloadRequests) *Relay {
+func newRelay(
+	ctx context.Context,
+	cfg *config.Config,
+	log *slog.Logger,
+	stop <-chan struct{},
+	reload ReloadRequests,
+) *Relay {
 	return &Relay{
 		cfg:          cfg,
 		log:          log,
--- a/internal/relay/startup.go
+++ b/internal/relay/startup.go
@@ -380,7 +380,7 @@
 		s.log.Error("hand-over: cannot be offered", "err", err)
 		return nil
 	}
-	s.atExit(func() { ln.Close() })
+	s.atExit(func() { _ = ln.Close() }) // the next process replaces the socket
 	go s.acceptHandovers(ln)
 	return nil
 }
--- a/internal/relay/statesaver.go
+++ b/internal/relay/statesaver.go
@@ -11,129 +11,159 @@
 	"troutusher/policy"
 )
 
-// stateSaver has what was learned written to its file, beside the loop: a slow disk
-// makes nobody wait, and while one write is under way none is begun.
+// bootIDPath names the boot of the machine: the monotonic clock goes on within one.
+const bootIDPath = "/proc/sys/kernel/random/boot_id"
+
+// savePollInterval is how often the end of a write is looked for.
+const savePollInterval = policy.Time(50e3)
+
+// stateSaver has the policy state written to its file beside the event loop: a slow
+// disk makes nobody wait. While one write is under way none is begun. All methods
+// are the event loop's, and do nothing where the receiver is nil.
 type stateSaver struct {
 	relay         *Relay
 	store         *policystate.Store
 	schedule      *policystate.WriteSchedule
-	bootID        string
-	writing       bool      // a write is under way
-	written       chan int  // its bytes; -1 where it failed
-	writeFailed   bool      // that was told
-	savedVersions [2]uint64 // what it has
+	bootID        string // empty where it cannot be read
 	paused        bool
+	writing       bool
+	written       chan int      // once a write has ended: its bytes; -1 where it failed
+	writeFailed   bool          // the last write failed, which was logged
+	savedVersions stateVersions // of the last write that was begun
 }
 
-const bootIDPath = "/proc/sys/kernel/random/boot_id"
+// stateVersions tell whether there is anything to be written.
+type stateVersions struct{ state, completedCalls uint64 }
 
+// newStateSaver returns nil where the configuration wants nothing saved.
 func newStateSaver(r *Relay) *stateSaver {
 	if r.cfg.PolicyStatePeriod <= 0 {
 		return nil
 	}
-	boot, _ := os.ReadFile(bootIDPath) // where there is none, the wall clock has to do
-	return &stateSaver{relay: r, store: policystate.NewStore(r.cfg.State, r.cfg.Name, int64(r.cfg.Limits.DiskMB)<<20), schedule: policystate.NewWriteSchedule(r.cfg.PolicyStatePeriod.Microseconds()),
-		bootID: strings.TrimSpace(string(boot)), written: make(chan int, 1)}
+	bootID, _ := os.ReadFile(bootIDPath) // without it the wall clock has to do
+	return &stateSaver{
+		relay:    r,
+		store:    policystate.NewStore(r.cfg.State, r.cfg.Name, int64(r.cfg.Limits.DiskMB)<<20),
+		schedule: policystate.NewWriteSchedule(r.cfg.PolicyStatePeriod.Microseconds()),
+		bootID:   strings.TrimSpace(string(bootID)),
+		written:  make(chan int, 1),
+	}
 }
 
-// diskReserve is what is kept free on the disk for it.
-func (k *stateSaver) diskReserve(disk int64) int64 {
-	if k == nil {
+// diskReserve is how many of the disk's bytes the file may take.
+func (s *stateSaver) diskReserve(disk int64) int64 {
+	if s == nil {
 		return 0
 	}
 	return policystate.MaxCopies * policystate.MaxFileBytes(disk)
 }
 
-// load is what an earlier process has left, and by how much its moments are off.
-func (k *stateSaver) load() (l *core.StateSnapshot, shift policy.Time) {
-	if k == nil {
+// load reads what an earlier process has saved (nil for nothing), and how far the
+// clock of its times has to be shifted.
+func (s *stateSaver) load() (saved *core.StateSnapshot, clockShift policy.Time) {
+	if s == nil {
 		return nil, 0
 	}
-	f, err := k.store.Read()
+	file, err := s.store.Read()
 	switch {
 	case err != nil:
-		k.relay.log.Warn("learned: set aside, nothing is remembered", "err", err)
+		s.relay.log.Warn("learned: set aside, nothing is remembered", "err", err)
 		return nil, 0
-	case f == nil:
+	case file == nil:
 		return nil, 0
 	}
-	now := k.relay.now()
-	shift = f.ClockShift(monotonicMicros()-now, monotonicMicros(), time.Now().UnixMicro(), k.bootID)
-	k.relay.log.Info("learned: remembered", "destinations", len(f.State.Policy.Limiters), "revision", f.State.Revision,
-		"ago_ms", (now-f.State.Now-shift)/1000, "clean", f.CleanShutdown)
-	return f.State, shift
+	now := s.relay.now()
+	clockShift = file.ClockShift(monotonicMicros()-now, monotonicMicros(), time.Now().UnixMicro(), s.bootID)
+	s.relay.log.Info("learned: remembered",
+		"destinations", len(file.State.Policy.Limiters), "revision", file.State.Revision,
+		"ago_ms", (now-file.State.Now-clockShift)/1000, "clean", file.CleanShutdown)
+	return file.State, clockShift
 }
 
-// saveIfDue writes what is due, and tells when to look again; 0 for not.
-func (k *stateSaver) saveIfDue(now policy.Time) policy.Time {
-	if k == nil || k.paused {
+// saveIfDue begins a write if one is due, and returns when to call it again; 0 for
+// when something has changed.
+func (s *stateSaver) saveIfDue(now policy.Time) policy.Time {
+	if s == nil || s.paused {
 		return 0
 	}
 	select {
-	case n := <-k.written:
-		k.writing = false
-		k.schedule.RecordWrite(now, max(n, 0), k.savedVersions[0], k.savedVersions[1]) // where it failed, the next change tries again, not the next step
+	case size := <-s.written:
+		s.writing = false
+		// After a write that failed the next change tries again, not the next step.
+		s.schedule.RecordWrite(now, max(size, 0), s.savedVersions.state, s.savedVersions.completedCalls)
 	default:
 	}
-	if k.writing {
-		return now + 50e3
+	if s.writing {
+		return now + savePollInterval
 	}
-	due, again := k.schedule.Due(now, k.relay.core.StateVersion(), k.relay.core.CompletedCalls())
+	due, again := s.schedule.Due(now, s.relay.core.StateVersion(), s.relay.core.CompletedCalls())
 	if !due {
 		return again
 	}
-	f := k.snapshotFile(now, false)
-	k.writing = true
-	go func() { k.written <- k.write(f) }()
-	return now + 50e3
+	file := s.snapshotFile(now, false)
+	s.writing = true
+	go func() { s.written <- s.write(file) }()
+	return now + savePollInterval
 }
 
-func (k *stateSaver) snapshotFile(now policy.Time, clean bool) *policystate.File {
-	k.savedVersions = [2]uint64{k.relay.core.StateVersion(), k.relay.core.CompletedCalls()}
-	m := monotonicMicros()
-	return &policystate.File{WrittenAt: time.Now().UnixMicro(), WrittenAtMonotonic: m, ClockZero: m - k.relay.now(), BootID: k.bootID, CleanShutdown: clean, State: k.relay.core.SnapshotState(now)}
+// snapshotFile is the file of what is known now.
+func (s *stateSaver) snapshotFile(now policy.Time, cleanShutdown bool) *policystate.File {
+	c := s.relay.core
+	s.savedVersions = stateVersions{state: c.StateVersion(), completedCalls: c.CompletedCalls()}
+	monotonic := monotonicMicros()
+	return &policystate.File{
+		WrittenAt:          time.Now().UnixMicro(),
+		WrittenAtMonotonic: monotonic,
+		ClockZero:          monotonic - s.relay.now(),
+		BootID:             s.bootID,
+		CleanShutdown:      cleanShutdown,
+		State:              c.SnapshotState(now),
+	}
 }
 
-func (k *stateSaver) write(f *policystate.File) int {
-	n, err := k.store.Write(f)
+// write returns the bytes written, or -1. One that is too large goes without the
+// counts of the last seconds.
+func (s *stateSaver) write(file *policystate.File) (size int) {
+	size, err := s.store.Write(file)
 	if errors.Is(err, policystate.ErrTooLarge) {
-		f.State.DropRecentCounts()
-		n, err = k.store.Write(f)
+		file.State.DropRecentCounts()
+		size, err = s.store.Write(file)
 	}
 	if err != nil {
-		if !k.writeFailed {
-			k.relay.log.Warn("learned: not written", "err", err)
+		if !s.writeFailed {
+			s.relay.log.Warn("learned: not written", "err", err)
 		}
-		k.writeFailed = true
+		s.writeFailed = true
 		return -1
 	}
-	k.writeFailed = false
-	return n
+	s.writeFailed = false
+	return size
 }
 
-// pause ends the writing, and waits for the one that is under way; resume goes on.
-func (k *stateSaver) pause() {
-	if k == nil {
+// pause begins no further write, and waits for the one that is under way.
+func (s *stateSaver) pause() {
+	if s == nil {
 		return
 	}
-	k.paused = true
-	if k.writing {
-		<-k.written
-		k.writing = false
+	s.paused = true
+	if s.writing {
+		<-s.written
+		s.writing = false
 	}
 }
 
-func (k *stateSaver) resume() {
-	if k != nil {
-		k.paused = false
+// resume ends pause.
+func (s *stateSaver) resume() {
+	if s != nil {
+		s.paused = false
 	}
 }
 
-// saveFinal writes what is known as a process ends that knows that it does.
-func (k *stateSaver) saveFinal() {
-	if k == nil {
+// saveFinal writes what is known as the process ends after a shutdown.
+func (s *stateSaver) saveFinal() {
+	if s == nil {
 		return
 	}
-	k.pause()
-	k.write(k.snapshotFile(k.relay.now(), true))
+	s.pause()
+	s.write(s.snapshotFile(s.relay.now(), true))
 }
