--- a/internal/upstream/golden_test.go
+++ b/internal/upstream/golden_test.go
@@ -89,7 +89,7 @@
 			compare(t, name, written.Bytes())
 		})
 	}
-	t.Run("call-shortest-limit.request", func(t *testing.T) { // over before it could be written
+	t.Run("call-shortest-limit.request", func(t *testing.T) { // it would time out before it is written
 		req, err := newCallRequest(address, &Request{ID: "m-0000020", Body: body[:1], Timeout: 990 * time.Microsecond})
 		if err != nil {
 			t.Fatal(err)
@@ -102,11 +102,11 @@
 	})
 }
 
-// recordedAnswer is one recorded answer of an endpoint and what it means.
-type recordedAnswer struct {
+// recordedResponse is one recorded response of an endpoint and what it means.
+type recordedResponse struct {
 	Name       string  `json:"name"`
-	Answer     string  `json:"answer"`
-	Outcomes   int     `json:"outcomes"` // how often one was told
+	Response   string  `json:"answer"`
+	Outcomes   int     `json:"outcomes"` // how often one was reported
 	Outcome    string  `json:"outcome"`
 	Status     int     `json:"status"`
 	RetryAfter int64   `json:"retry_after_us"`
@@ -131,12 +131,12 @@
 	policy.NotSent:         "not sent",
 }
 
-// answered has a recorded answer read as that to a call.
-func answered(t *testing.T, answer string) recordedAnswer {
+// readRecorded reads a recorded response as that to a call.
+func readRecorded(t *testing.T, response string) recordedResponse {
 	t.Helper()
 	here, there := net.Pipe()
 	go func() {
-		respond(there, answer)
+		respond(there, response)
 		_ = there.Close()
 	}()
 	pool := testPool(t)
@@ -149,7 +149,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	got := recordedAnswer{Answer: answer}
+	got := recordedResponse{Response: response}
 	got.Reusable = readResponse(conn, req, []string{"x0", "x1"}, func(result Result) {
 		got.Outcomes++
 		got.Outcome, got.Status = outcomeNames[result.Outcome], result.Status
@@ -161,18 +161,18 @@
 	return got
 }
 
-// TestGoldenAnswers reads recorded answers and compares what they are taken for.
-func TestGoldenAnswers(t *testing.T) {
-	var recorded []recordedAnswer
+// TestGoldenResponses reads recorded responses and compares their results.
+func TestGoldenResponses(t *testing.T) {
+	var recorded []recordedResponse
 	if err := json.Unmarshal(readGolden(t, "answers.json"), &recorded); err != nil {
 		t.Fatal(err)
 	}
 	if len(recorded) < 30 {
-		t.Fatalf("%d answers recorded", len(recorded))
+		t.Fatalf("%d responses recorded", len(recorded))
 	}
 	for _, want := range recorded {
 		t.Run(want.Name, func(t *testing.T) {
-			got := answered(t, want.Answer)
+			got := readRecorded(t, want.Response)
 			got.Name = want.Name
 			if got != want {
 				t.Errorf("got  %+v\nwant %+v", got, want)
--- a/internal/upstream/helpers_test.go
+++ b/internal/upstream/helpers_test.go
@@ -87,6 +87,17 @@
 	newTestCall().Do(endpoint, request, func(result Result) { results <- result })
 }
 
+// startAndWatch begins a new call. It returns a channel for its result, and one that is
+// closed once its connection carries nothing of it any more.
+func startAndWatch(endpoint *Endpoint, request Request) (<-chan Result, <-chan struct{}) {
+	results, ended := make(chan Result, 1), make(chan struct{})
+	go func() {
+		defer close(ended)
+		start(endpoint, request, results)
+	}()
+	return results, ended
+}
+
 // waitReusable waits until every idle connection has rested for long enough.
 func waitReusable(endpoint *Endpoint) {
 	for {
--- a/internal/upstream/retryafter_test.go
+++ b/internal/upstream/retryafter_test.go
@@ -13,9 +13,9 @@
 	"troutusher/policy"
 )
 
-// A call that waits for its connection, or has written all but its last byte,
-// when a sibling hears of a wait does not go out: it never ran, its endpoint was
-// not asked, and it says for how long it was kept.
+// A call that waits for its connection, or has written all but its last byte, when a
+// sibling receives a Retry-After time does not go out: it never ran, and its result says
+// for how long it is held back.
 func TestRetryAfterStopsUnsentCalls(t *testing.T) {
 	const wait = policy.Time(5e6)
 	for name, where := range map[string]func(endpoint *Endpoint, notify func()){
@@ -29,7 +29,7 @@
 				return dial(context.Background(), addr)
 			}
 		},
-		"connected as the word comes": func(endpoint *Endpoint, notify func()) {
+		"connected at that moment": func(endpoint *Endpoint, notify func()) {
 			dial := endpoint.dial
 			endpoint.dial = func(ctx context.Context, addr string) (net.Conn, error) {
 				conn, err := dial(ctx, addr)
@@ -62,13 +62,13 @@
 			}
 			shared.HoldUntil(0, 0)
 			if left := endpoint.RetryAfter(); left <= 0 {
-				t.Error("the wait is forgotten")
+				t.Error("the Retry-After time is forgotten")
 			}
 		})
 	}
 }
 
-// callbackConn has the word come once the first bytes of a call are out.
+// callbackConn calls a function once the first bytes of a call are written.
 type callbackConn struct {
 	*net.TCPConn
 	onWrite func()
@@ -84,8 +84,8 @@
 	return n, err
 }
 
-// A wait binds from when its head is read, whatever becomes of the rest of the
-// answer; the call itself may have run if that cannot be believed.
+// A Retry-After time binds from when its head is read, whatever becomes of the rest of
+// the response; the call itself may have run if that cannot be believed.
 func TestRetryAfterOfMalformedResponse(t *testing.T) {
 	forEachTransport(t, testRetryAfterOfMalformedResponse)
 }
@@ -109,7 +109,7 @@
 			rest: func(conn net.Conn) { respond(conn, "123456789") },
 			text: "HTTP/1.1 429 W\r\nRetry-After: soon\r\nContent-Length: 9\r\n\r\n",
 		},
-		"another's words": {
+		"not of a 429": {
 			rest: func(conn net.Conn) { respond(conn, "half") },
 			text: "HTTP/1.1 500 E\r\nRetry-After: 7.5\r\nContent-Length: 9\r\n\r\n",
 		},
@@ -130,7 +130,7 @@
 				done <- callOnce(t, endpoint, Request{ID: "m", Body: []byte("b")})
 			}()
 			if name == "too late" || name == "reset" {
-				waitFor(t, "the word of the wait", func() bool { return endpoint.RetryAfter() > 0 })
+				waitFor(t, "the Retry-After time", func() bool { return endpoint.RetryAfter() > 0 })
 				read <- true
 			}
 			result := <-done
@@ -139,15 +139,15 @@
 				t.Errorf("got %+v, want a wait of %d ms", result, test.wait/1000)
 			}
 			if left := endpoint.RetryAfter(); (left > 0) != (test.wait > 0) || left > test.wait {
-				t.Errorf("held for %d ms, told %d", left/1000, test.wait/1000)
+				t.Errorf("held back for %d ms, asked for %d", left/1000, test.wait/1000)
 			}
 		})
 	}
 }
 
-// An answer that has come by the time that its call is given up is heard.
+// A response that has come by the time that its call is given up is read.
 func TestResponseAlreadyThereAtTimeout(t *testing.T) {
-	for name, call := range map[string]*Call{"timed out": newTestCall(), "called off": newTestCall()} {
+	for name, call := range map[string]*Call{"timed out": newTestCall(), "cancelled": newTestCall()} {
 		t.Run(name, func(t *testing.T) {
 			here, there := net.Pipe()
 			defer func() { _ = there.Close() }()
@@ -158,7 +158,7 @@
 			go respond(there, "HTTP/1.1 429 W\r\nRetry-After: 2\r\nContent-Length: 0\r\n\r\n")
 			ctx, cancel := context.WithTimeoutCause(call.ctx, testTimeout, context.DeadlineExceeded)
 			defer cancel()
-			if name == "called off" {
+			if name == "cancelled" {
 				call.Cancel()
 			} else {
 				ctx, cancel = context.WithDeadlineCause(
@@ -176,7 +176,7 @@
 			call.awaitResponse(ctx, conn, req, time.Now(), nil, func(result Result) { got = append(got, result) })
 			if len(got) != 1 || got[0].Outcome != policy.Rejected || got[0].RetryAfter != 2e6 ||
 				endpoint.RetryAfter() == 0 {
-				t.Errorf("got %+v, held for %d ms", got, endpoint.RetryAfter()/1000)
+				t.Errorf("got %+v, held back for %d ms", got, endpoint.RetryAfter()/1000)
 			}
 		})
 	}
