--- a/internal/discovery/decoder_test.go
+++ b/internal/discovery/decoder_test.go
@@ -24,18 +24,18 @@
 }
 
 // Lists come in whatever lines: indented, two on one, in pieces, with empty lines
-// within. An empty line between two is a sign of life and one within a list is not.
+// within. An empty line between two is a heartbeat and one within a list is not.
 // One that its connection's end cuts off is no error of the registry's, and what is
-// none is told at its first wrong byte.
+// none is found at its first wrong byte.
 func TestListsOfAWatch(t *testing.T) {
 	list := func(rev int) string {
 		return fmt.Sprintf("{\n  \"revision\": %d,\n\n  \"complete\": false,\n  \"members\": [\n  ]\n}", rev)
 	}
 	for name, c := range map[string]struct {
-		chunks []string
-		revs   []int64
-		alive  int
-		bad    bool
+		chunks     []string
+		revs       []int64
+		heartbeats int
+		bad        bool
 	}{
 		"indented":        {[]string{list(1) + "\n", "\n", list(2) + "\n"}, []int64{1, 2}, 1, false},
 		"byte by byte":    {strings.Split(list(3)+"\n\n"+list(4), ""), []int64{3, 4}, 2, false},
@@ -48,15 +48,16 @@
 		"other":           {[]string{"[1]\n"}, nil, 0, true},
 		"no members":      {[]string{`{"revision":1}`}, nil, 0, true},
 	} {
-		alive := 0
-		in := newListDecoder(feed(c.chunks...), 4096, func() { alive++ })
+		heartbeats := 0
+		in := newListDecoder(feed(c.chunks...), 4096, func() { heartbeats++ })
 		var revs []int64
 		l, err := in.next()
 		for ; err == nil; l, err = in.next() {
 			revs = append(revs, l.Revision)
 		}
-		if fmt.Sprint(revs) != fmt.Sprint(c.revs) || errors.Is(err, errMalformed) != c.bad || alive != c.alive {
-			t.Errorf("%s: revisions %v, %d signs of life, %v", name, revs, alive, err)
+		if fmt.Sprint(revs) != fmt.Sprint(c.revs) || errors.Is(err, errMalformed) != c.bad ||
+			heartbeats != c.heartbeats {
+			t.Errorf("%s: revisions %v, %d heartbeats, %v", name, revs, heartbeats, err)
 		}
 	}
 }
@@ -83,21 +84,22 @@
 // at that length: in one string, in white space, in member after member. What a long
 // one took is not kept.
 func TestLengthOfALists(t *testing.T) {
-	const most = 1 << 20
+	const maxBytes = 1 << 20
 	for _, bytes := range []string{"x", " \n", `{"id":"a","phase":"removed"},`} {
 		body := &trickle{bytes: bytes}
 		if bytes == "x" {
 			body.bytes = `{"id":"`
 		}
-		alive := 0
-		if _, err := newListDecoder(body, most, func() { alive++ }).next(); !errors.Is(err, errMalformed) || alive > 0 {
-			t.Errorf("%q for ever: %v, %d signs of life", bytes, err, alive)
+		heartbeats := 0
+		_, err := newListDecoder(body, maxBytes, func() { heartbeats++ }).next()
+		if !errors.Is(err, errMalformed) || heartbeats > 0 {
+			t.Errorf("%q for ever: %v, %d heartbeats", bytes, err, heartbeats)
 		}
 	}
-	for _, n := range []int{0, 1, 1000, 4095, 4096, maxKeptBuffer, most / 2, most - 100} {
+	for _, n := range []int{0, 1, 1000, 4095, 4096, maxKeptBuffer, maxBytes / 2, maxBytes - 100} {
 		long := `{"revision":1,"members":[],"x":"` + strings.Repeat("b", n) + `"}`
 		text := long + "\n" + long + "\n" + `{"revision":2,"members":[]}`
-		in := newListDecoder(io.MultiReader(strings.NewReader(text)), most, func() {})
+		in := newListDecoder(io.MultiReader(strings.NewReader(text)), maxBytes, func() {})
 		for i := range 3 {
 			if l, err := in.next(); err != nil || (l.Revision == 2) != (i == 2) {
 				t.Fatalf("%d bytes, list %d: %+v, %v", n, i, l, err)
@@ -107,9 +109,9 @@
 	// Made as it is read: what held it for a reader would be counted as kept.
 	in := newListDecoder(io.MultiReader(
 		strings.NewReader(`{"revision":1,"members":[],"x":"`),
-		io.LimitReader(letters{}, most-100),
+		io.LimitReader(letters{}, maxBytes-100),
 		strings.NewReader(`"}`+"\n"+`{"revision":2,"members":[]}`),
-	), most, func() {})
+	), maxBytes, func() {})
 	for range 2 {
 		if _, err := in.next(); err != nil {
 			t.Fatal(err)
--- a/internal/discovery/fixtures_test.go
+++ b/internal/discovery/fixtures_test.go
@@ -9,41 +9,18 @@
 	"maps"
 	"net/http"
 	"net/http/httptest"
-	"os"
-	"path/filepath"
 	"slices"
 	"testing"
 
 	"troutusher/internal/core"
+	"troutusher/internal/fixturetest"
 	"troutusher/internal/source/registry"
 )
 
-// checkFixture compares bytes with a recorded file. UPDATE_FIXTURES=1 records
-// it.
-func checkFixture(t *testing.T, name string, got []byte) {
-	t.Helper()
-	path := filepath.Join("testdata", name)
-	if os.Getenv("UPDATE_FIXTURES") != "" {
-		if err := os.WriteFile(path, got, 0o644); err != nil {
-			t.Fatal(err)
-		}
-	}
-	want, err := os.ReadFile(path)
-	if err != nil {
-		t.Fatal(err)
-	}
-	if !bytes.Equal(got, want) {
-		t.Errorf("%s:\ngot  %s\nwant %s", path, got, want)
-	}
-}
-
-// Lists as a watch tells them: whole ones and changes, in one line and over several,
+// Lists as a watch sends them: complete ones and changes, in one line and over several,
 // with empty lines between and within them.
 func TestListFixture(t *testing.T) {
-	text, err := os.ReadFile(filepath.Join("testdata", "watch.txt"))
-	if err != nil {
-		t.Fatal(err)
-	}
+	text := fixturetest.Read(t, "watch.txt")
 	var got bytes.Buffer
 	enc := json.NewEncoder(&got)
 	for in := newListDecoder(bytes.NewReader(text), DefaultMaxListBytes, func() {}); ; {
@@ -58,7 +35,7 @@
 			t.Fatal(err)
 		}
 	}
-	checkFixture(t, "lists.jsonl", got.Bytes())
+	fixturetest.Check(t, "lists.jsonl", got.Bytes())
 }
 
 // requestText is a request with all its headers, but for the address.
@@ -100,5 +77,5 @@
 	s.Send(core.Notice{Message: "m-2", Outcome: core.NoticeHandedBack, RetryMS: 500})
 	startNoticeSender(t, s)
 	text += <-requests
-	checkFixture(t, "requests.txt", []byte(text))
+	fixturetest.Check(t, "requests.txt", []byte(text))
 }
--- a/internal/discovery/watcher_test.go
+++ b/internal/discovery/watcher_test.go
@@ -46,13 +46,13 @@
 	return lists
 }
 
-func nextList(t *testing.T, news chan *core.EndpointList) *core.EndpointList {
+func nextList(t *testing.T, lists chan *core.EndpointList) *core.EndpointList {
 	t.Helper()
 	select {
-	case l := <-news:
+	case l := <-lists:
 		return l
 	case <-time.After(30 * time.Second):
-		t.Fatal("no news")
+		t.Fatal("no list")
 		return nil
 	}
 }
@@ -78,13 +78,13 @@
 func TestWatch(t *testing.T) {
 	m := core.Member{ID: "s-1", HostPort: "127.0.0.1:1", Dest: 3, Phase: core.Up}
 	d := discoverytest.New(t, m)
-	news := startWatcher(t, d, testTimeout)
-	if l := nextList(t, news); !l.Complete || len(l.Members) != 1 {
+	lists := startWatcher(t, d, testTimeout)
+	if l := nextList(t, lists); !l.Complete || len(l.Members) != 1 {
 		t.Fatalf("first %+v", l)
 	}
 	m.Phase = core.Draining
 	d.SendLine(t, discoverytest.ChangeText(2, m))
-	if l := nextList(t, news); l.Revision != 2 || l.Complete || l.Members[0].Phase != core.Draining {
+	if l := nextList(t, lists); l.Revision != 2 || l.Complete || l.Members[0].Phase != core.Draining {
 		t.Fatalf("then %+v", l)
 	}
 	d.Update(func(d *discoverytest.Agent) { close(d.Watches[0]) }) // the connection ends
@@ -102,19 +102,19 @@
 		`{"revision":3,"members":[{"id":"s-1","phase":"up","host_port":"nowhere"}]}`,
 	} {
 		d.SendLine(t, bad)
-		if l := nextList(t, news); !l.Complete {
+		if l := nextList(t, lists); !l.Complete {
 			t.Fatalf("after line %d: %+v", i, l)
 		}
 		waitForWatches(t, d, 3+i)
 	}
 }
 
-// Guards against a watch that is open and dead: one that says nothing, not
+// Guards against a watch that is open and dead: one that sends nothing, not
 // even an empty line, is given up.
 func TestSilentWatch(t *testing.T) {
 	d := discoverytest.New(t, core.Member{ID: "s-1", HostPort: "127.0.0.1:1", Phase: core.Up})
-	news := startWatcher(t, d, 100*time.Millisecond)
-	nextList(t, news)
+	lists := startWatcher(t, d, 100*time.Millisecond)
+	nextList(t, lists)
 	discoverytest.WaitFor(t, "a second watch", func() bool {
 		return d.Check(func() bool { return len(d.WatchedFrom) >= 2 })
 	})
@@ -126,38 +126,38 @@
 	m := core.Member{ID: "s-1", HostPort: "127.0.0.1:1", Dest: 3, Phase: core.Up}
 	d := discoverytest.New(t, m)
 	d.Update(func(d *discoverytest.Agent) { d.CallsToReject = 3 })
-	news := make(chan *core.EndpointList, 64)
+	lists := make(chan *core.EndpointList, 64)
 	scheduler := registry.New(3, 1)
 	scheduler.SetRevision(7)
-	w := runWatcher(t, WatcherOptions{Address: d.Addr(), Scheduler: scheduler}, news)
+	w := runWatcher(t, WatcherOptions{Address: d.Addr(), Scheduler: scheduler}, lists)
 	<-w.FirstResponse() // turned away is an answer: the start does not wait for more
 	d.SendLine(t, discoverytest.ChangeText(8, m))
-	if l := nextList(t, news); l.Revision != 8 {
-		t.Errorf("heard %+v", l)
+	if l := nextList(t, lists); l.Revision != 8 {
+		t.Errorf("got %+v", l)
 	}
 	d.SendLine(t, discoverytest.ChangeText(6, m)) // older: not believed
 	d.SendLine(t, discoverytest.ChangeText(9, m))
-	if l := nextList(t, news); l.Revision != 9 {
-		t.Errorf("heard %+v", l)
+	if l := nextList(t, lists); l.Revision != 9 {
+		t.Errorf("got %+v", l)
 	}
 	d.Update(func(d *discoverytest.Agent) {
 		want := []string{"watch=1&from=7", "watch=1&from=7", "watch=1&from=7"}
 		if !slices.Equal(d.RejectedQueries, want) || d.WatchedFrom[0] != "7" || d.Fetches != 0 {
-			t.Errorf("asked %v, then from %v, %d fetches", d.RejectedQueries, d.WatchedFrom, d.Fetches)
+			t.Errorf("rejected %v, then from %v, %d fetches", d.RejectedQueries, d.WatchedFrom, d.Fetches)
 		}
 	})
 }
 
 // A watch that falls silent in the middle of a list is dead like any other, and
-// what it did not say is had from its successor, by the version that is known.
+// what it did not send comes from its successor, by the revision that is known.
 func TestWatchSilentWithinAList(t *testing.T) {
-	asked := make(chan string, 16)
+	queries := make(chan string, 16)
 	release := make(chan struct{})
 	mux := http.NewServeMux()
 	n := 0
 	mux.HandleFunc("GET "+ListPath, func(w http.ResponseWriter, r *http.Request) {
 		n++
-		asked <- r.URL.RawQuery
+		queries <- r.URL.RawQuery
 		switch n {
 		case 1:
 			write(t, w, "{\"revision\":5,\"complete\":true,\"members\":[]}\n{\n\"revision\":6,\n")
@@ -189,10 +189,10 @@
 	}, lists)
 	for _, want := range []int64{5, 6} {
 		if got := nextList(t, lists).Revision; got != want {
-			t.Fatalf("heard %d, want %d", got, want)
+			t.Fatalf("got %d, want %d", got, want)
 		}
 	}
-	if a, b := <-asked, <-asked; a != "watch=1&from=4" || b != "watch=1&from=5" {
-		t.Errorf("asked for %q, then %q", a, b)
+	if a, b := <-queries, <-queries; a != "watch=1&from=4" || b != "watch=1&from=5" {
+		t.Errorf("watched %q, then %q", a, b)
 	}
 }
--- a/internal/membership/membership_test.go
+++ b/internal/membership/membership_test.go
@@ -15,7 +15,7 @@
 
 const second Time = 1e6
 
-// The properties are tried on the same words in each run; -rapid.seed 0 draws others.
+// The properties are tried on the same updates in each run; -rapid.seed 0 draws others.
 func TestMain(m *testing.M) {
 	flag.Parse()
 	for name, value := range map[string]string{"rapid.seed": "26", "rapid.checks": "400", "rapid.nofailfile": "true"} {
@@ -94,9 +94,9 @@
 	return ""
 }
 
-func (v *View) mustApply(t testing.TB, now Time, w *Update, want Verdict) []Change {
+func (v *View) mustApply(t testing.TB, now Time, u *Update, want Verdict) []Change {
 	t.Helper()
-	if got := v.Apply(now, w); got != want {
+	if got := v.Apply(now, u); got != want {
 		t.Fatalf("verdict %v, want %v", got, want)
 	}
 	return v.Step(now)
@@ -121,25 +121,25 @@
 	}
 }
 
-// Discovery says up, etcd says draining and is lost then: it stays draining, until
-// etcd itself says up again.
+// The registry lists an endpoint as up; etcd lists it as draining and is lost then: it
+// stays draining until etcd itself lists it as up.
 func TestDrainOutlastsSilentSource(t *testing.T) {
 	v := newView(t)
 	v.mustApply(t, second, completeUpdate(registrySource, 5, upMembers(4)...), Accepted)
 	v.mustApply(t, second, completeUpdate(etcdSource, 100, upMembers(4)...), Accepted)
 	got := v.mustApply(t, 2*second, changeUpdate(etcdSource, 101, drainingMember("e00001", 1)), Accepted)
 	if len(got) != 1 || got[0].ID != "e00001" || got[0].Phase != Draining || got[0].DecidedBy != etcdSource {
-		t.Fatalf("told %+v", got)
+		t.Fatalf("changes %+v", got)
 	}
-	for at := 3 * second; at < 200*second; at += second { // etcd is silent, discovery goes on to say up
+	for at := 3 * second; at < 200*second; at += second { // etcd is silent, the registry goes on to list it as up
 		v.mustApply(t, at, completeUpdate(registrySource, 5+at/second, upMembers(4)...), Accepted)
 	}
 	if v.Fresh(etcdSource) || v.publishedPhase("e00001") != Draining {
-		t.Errorf("etcd heard of late: %v; the endpoint is %q", v.Fresh(etcdSource), v.publishedPhase("e00001"))
+		t.Errorf("etcd is fresh: %v; the endpoint is %q", v.Fresh(etcdSource), v.publishedPhase("e00001"))
 	}
 	got = v.mustApply(t, 201*second, changeUpdate(etcdSource, 102, upMember("e00001", 1)), Accepted)
 	if len(got) != 1 || got[0].Phase != Up {
-		t.Errorf("etcd is back and says up: %+v", got)
+		t.Errorf("etcd is back and lists it as up: %+v", got)
 	}
 }
 
@@ -150,7 +150,7 @@
 	v.mustApply(t, second, completeUpdate(registrySource, 1, upMembers(4)...), Accepted)
 	got := v.mustApply(t, 2*second, changeUpdate(registrySource, 2, removedMember("e00002", 2)), Accepted)
 	if len(got) != 1 || got[0].Phase != Removed || got[0].DecidedBy != registrySource {
-		t.Fatalf("told %+v", got)
+		t.Fatalf("changes %+v", got)
 	}
 	v.mustApply(t, 3*second, changeUpdate(etcdSource, 2, upMember("e00002", 2)), Accepted)
 	if v.publishedPhase("e00002") != "" {
@@ -188,7 +188,7 @@
 	}
 }
 
-// Who comes first has the address and the rate, while it is heard.
+// The first source that is fresh has the address and the rate.
 func TestPrecedence(t *testing.T) {
 	v := newView(t)
 	a, b := upMember("x", 1), upMember("x", 1)
@@ -198,7 +198,7 @@
 	v.mustApply(t, second, completeUpdate(registrySource, 1, b), Accepted)
 	m := v.Members()[0]
 	if m.HostPort != a.HostPort || m.Locality != "a" || m.Rate != 4 {
-		t.Errorf("both heard: %+v", m)
+		t.Errorf("both fresh: %+v", m)
 	}
 	v.Heartbeat(19*second, registrySource)
 	v.Step(19 * second)
@@ -208,36 +208,36 @@
 	v.Heartbeat(20*second, etcdSource)
 	v.Step(20 * second)
 	if m := v.Members()[0]; m.HostPort != a.HostPort {
-		t.Errorf("it is heard again: %+v", m)
+		t.Errorf("it is fresh again: %+v", m)
 	}
 }
 
-// A source that suddenly loses most of what it listed is asked once more; what it
+// A source that suddenly loses most of what it listed is read once more; what it
 // drains meanwhile drains.
 func TestMassRemovalNeedsResync(t *testing.T) {
 	for _, x := range []struct {
-		name string
-		left int // once a list that was not read anew has said most of it again
-		word func(rev int64) *Update
+		name   string
+		left   int // members, once a list that is no resync has removed most of them again
+		update func(rev int64) *Update
 	}{
 		{"an empty list", 10, func(rev int64) *Update { return completeUpdate(etcdSource, rev) }},
 		{"empty after a restore", 10, func(int64) *Update {
 			return &Update{Source: etcdSource, Epoch: "2", Revision: 1, Complete: true}
 		}},
 		{"in one change", 8, func(rev int64) *Update {
-			w := changeUpdate(etcdSource, rev)
+			u := changeUpdate(etcdSource, rev)
 			for _, m := range upMembers(8) {
-				w.Members = append(w.Members, withPhase(Removed, m))
+				u.Members = append(u.Members, withPhase(Removed, m))
 			}
-			return w
+			return u
 		}},
 	} {
 		t.Run(x.name, func(t *testing.T) {
 			v := newView(t)
 			v.mustApply(t, second, completeUpdate(etcdSource, 50, upMembers(10)...), Accepted)
-			got := v.mustApply(t, 2*second, x.word(51), RemovalsHeld)
+			got := v.mustApply(t, 2*second, x.update(51), RemovalsHeld)
 			if len(got) > 0 || len(v.Members()) != 10 || !v.ResyncRequested(etcdSource) {
-				t.Fatalf("told %+v, %d left, asks %v", got, len(v.Members()), v.ResyncRequested(etcdSource))
+				t.Fatalf("changes %+v, %d left, resync %v", got, len(v.Members()), v.ResyncRequested(etcdSource))
 			}
 			epoch, rev, _ := v.Position(etcdSource)
 			drain := changeUpdate(etcdSource, rev+1, drainingMember("e00003", 3))
@@ -248,11 +248,11 @@
 			same := completeUpdate(etcdSource, rev+2, upMembers(4)...)
 			same.Epoch = epoch
 			if v.mustApply(t, 4*second, same, RemovalsHeld); len(v.Members()) != x.left {
-				t.Error("a list that was not read anew is believed")
+				t.Error("a list that is no resync is believed")
 			}
 			same.Resync = true
 			if v.mustApply(t, 5*second, same, Accepted); len(v.Members()) != 4 || v.ResyncRequested(etcdSource) {
-				t.Errorf("read anew: %d left, asks %v", len(v.Members()), v.ResyncRequested(etcdSource))
+				t.Errorf("%d left, resync %v", len(v.Members()), v.ResyncRequested(etcdSource))
 			}
 		})
 	}
@@ -288,7 +288,7 @@
 }
 
 // One that flaps a hundred times a second goes down at once each time and comes up
-// no more than so often; the others are told as ever.
+// no more than so often; the others are published as ever.
 func TestFlapping(t *testing.T) {
 	v := newView(t)
 	v.mustApply(t, second, completeUpdate(etcdSource, 1, upMembers(3)...), Accepted)
@@ -312,7 +312,7 @@
 		}
 	}
 	if ups > v.settings.MaxFlaps || downs != ups+1 {
-		t.Errorf("told %d ups and %d downs", ups, downs)
+		t.Errorf("%d ups and %d downs", ups, downs)
 	}
 	for n := 0; v.publishedPhase("e00001") != Up && n < 10; n++ {
 		next := v.NextDeadline()
@@ -333,14 +333,14 @@
 	v := newView(t)
 	v.Apply(second, completeUpdate(etcdSource, 1, upMembers(50000)...))
 	if got := v.Step(second); len(got) != v.settings.MaxUpsPerStep || v.NextDeadline() > second {
-		t.Fatalf("%d told, next at %d", len(got), v.NextDeadline())
+		t.Fatalf("%d changes, next at %d", len(got), v.NextDeadline())
 	}
 	slow := upMember("e00002", 2)
 	slow.Rate = 1
 	v.Apply(second, changeUpdate(etcdSource, 2, drainingMember("e00001", 1), slow, drainingMember("e49999", 49999)))
 	got := v.Step(second)
 	if len(got) != v.settings.MaxUpsPerStep+3 || got[0].ID != "e00001" || got[1].Rate != 1 || got[2].Phase != Draining {
-		t.Errorf("%d told, first %+v", len(got), got[:3])
+		t.Errorf("%d changes, first %+v", len(got), got[:3])
 	}
 	steps := 2
 	for ; v.NextDeadline() <= second; steps++ {
@@ -350,7 +350,7 @@
 		t.Errorf("%d steps, %d members", steps, len(v.Members()))
 	}
 	if v.publishedPhase("e49999") != Draining {
-		t.Error("one that drained before it was told came up")
+		t.Error("one that drained before it was published came up")
 	}
 }
 
@@ -359,10 +359,10 @@
 	v := newView(t)
 	v.mustApply(t, second, completeUpdate(etcdSource, 1, upMembers(3)...), Accepted)
 	for rev := int64(2); rev < 6; rev++ {
-		w := completeUpdate(etcdSource, rev, upMembers(2)...)
-		w.UnreadableIDs = []string{"e00002", "never"}
-		if got := v.mustApply(t, second, w, Accepted); len(got) > 0 {
-			t.Fatalf("told %+v", got)
+		u := completeUpdate(etcdSource, rev, upMembers(2)...)
+		u.UnreadableIDs = []string{"e00002", "never"}
+		if got := v.mustApply(t, second, u, Accepted); len(got) > 0 {
+			t.Fatalf("changes %+v", got)
 		}
 	}
 	known := 0
@@ -374,9 +374,9 @@
 	if known != 1 || v.publishedPhase("e00002") != Up {
 		t.Errorf("noted %d times; %q", known, v.publishedPhase("e00002"))
 	}
-	w := changeUpdate(etcdSource, 7)
-	w.UnreadableIDs, w.DrainedIDs = []string{"e00002"}, []string{"e00002", "never"}
-	if v.mustApply(t, second, w, Accepted); v.publishedPhase("e00002") != Draining || v.publishedPhase("never") != "" {
+	u := changeUpdate(etcdSource, 7)
+	u.UnreadableIDs, u.DrainedIDs = []string{"e00002"}, []string{"e00002", "never"}
+	if v.mustApply(t, second, u, Accepted); v.publishedPhase("e00002") != Draining || v.publishedPhase("never") != "" {
 		t.Error("a drain of one that cannot be read")
 	}
 	v.mustApply(t, second, changeUpdate(etcdSource, 8, upMember("e00002", 2)), Accepted)
@@ -398,10 +398,10 @@
 	if v.publishedPhase("a1") != Draining {
 		t.Error("a drain under its other name")
 	}
-	// It is replaced: both say so, one after the other.
+	// It is replaced: both sources update it, one after the other.
 	got := v.mustApply(t, second, changeUpdate(etcdSource, 2, removedMember("a1", 1), upMember("a2", 1)), Accepted)
 	if v.publishedPhase("a1") != "" || v.publishedPhase("a2") != Draining {
-		t.Errorf("told %+v; a1 %q, a2 %q", got, v.publishedPhase("a1"), v.publishedPhase("a2"))
+		t.Errorf("changes %+v; a1 %q, a2 %q", got, v.publishedPhase("a1"), v.publishedPhase("a2"))
 	}
 	v.mustApply(t, second, changeUpdate(registrySource, 3, removedMember("b1", 1), upMember("b0", 1)), Accepted)
 	if v.publishedPhase("a2") != Up || v.publishedPhase("b0") != "" || len(v.Members()) != 2 {
@@ -423,36 +423,36 @@
 	v.mustApply(t, second, completeUpdate(etcdSource, 5, upMembers(3)...), Accepted)
 	v.mustApply(t, second, changeUpdate(etcdSource, 4, drainingMember("e00001", 1)), Outdated)
 	v.mustApply(t, second, completeUpdate(etcdSource, 4), Outdated)
-	w := changeUpdate(etcdSource, 6, drainingMember("e00001", 1))
-	w.Epoch = "2"
-	v.mustApply(t, second, w, ResyncRequired)
-	w = completeUpdate(etcdSource, 2, upMembers(3)...)
-	w.Epoch = "2"
-	v.mustApply(t, second, w, Accepted)
+	u := changeUpdate(etcdSource, 6, drainingMember("e00001", 1))
+	u.Epoch = "2"
+	v.mustApply(t, second, u, ResyncRequired)
+	u = completeUpdate(etcdSource, 2, upMembers(3)...)
+	u.Epoch = "2"
+	v.mustApply(t, second, u, Accepted)
 	v.mustApply(t, second, completeUpdate(etcdSource, 900, upMembers(1)...), Outdated)
 	if len(v.Members()) != 3 || v.publishedPhase("e00001") != Up {
 		t.Errorf("%+v", v.Members())
 	}
 }
 
-// drawUpdates draws what three sources say.
+// drawUpdates draws the updates of three sources.
 func drawUpdates(t *rapid.T) [][]*Update {
 	ids := rapid.SampledFrom([]string{"a", "b", "c", "d", "e"})
 	plan := make([][]*Update, 3)
 	for i := range plan {
 		rev, epoch := int64(0), 1
-		for n := rapid.IntRange(0, 8).Draw(t, "words"); n > 0; n-- {
-			w := &Update{Source: i, Complete: len(plan[i]) == 0 || rapid.IntRange(0, 3).Draw(t, "whole") == 0}
-			if w.Complete && rapid.IntRange(0, 5).Draw(t, "epoch") == 0 {
+		for n := rapid.IntRange(0, 8).Draw(t, "updates"); n > 0; n-- {
+			u := &Update{Source: i, Complete: len(plan[i]) == 0 || rapid.IntRange(0, 3).Draw(t, "whole") == 0}
+			if u.Complete && rapid.IntRange(0, 5).Draw(t, "epoch") == 0 {
 				epoch++
 				rev = 0
 			}
-			w.Epoch = fmt.Sprint(epoch)
+			u.Epoch = fmt.Sprint(epoch)
 			if rapid.IntRange(0, 5).Draw(t, "old") == 0 && rev > 0 {
-				w.Revision = rev - int64(rapid.IntRange(1, 3).Draw(t, "back"))
+				u.Revision = rev - int64(rapid.IntRange(1, 3).Draw(t, "back"))
 			} else {
 				rev += int64(rapid.IntRange(1, 3).Draw(t, "step"))
-				w.Revision, w.Resync = rev, w.Complete && rapid.Bool().Draw(t, "anew")
+				u.Revision, u.Resync = rev, u.Complete && rapid.Bool().Draw(t, "resync")
 			}
 			for _, id := range rapid.SliceOfNDistinct(ids, 0, 5, rapid.ID).Draw(t, "ids") {
 				m := Member{
@@ -462,22 +462,22 @@
 					Phase:    rapid.SampledFrom([]string{Up, Up, Draining, Removed}).Draw(t, "phase"),
 					Rate:     float64(rapid.IntRange(0, 2).Draw(t, "rate")),
 				}
-				if w.Complete && m.Phase == Removed {
+				if u.Complete && m.Phase == Removed {
 					m.Phase = Up
 				}
-				if rapid.IntRange(0, 9).Draw(t, "spoilt") == 0 {
-					w.UnreadableIDs = append(w.UnreadableIDs, id)
+				if rapid.IntRange(0, 9).Draw(t, "unreadable") == 0 {
+					u.UnreadableIDs = append(u.UnreadableIDs, id)
 				} else {
-					w.Members = append(w.Members, m)
+					u.Members = append(u.Members, m)
 				}
 			}
-			plan[i] = append(plan[i], w)
+			plan[i] = append(plan[i], u)
 		}
 	}
 	return plan
 }
 
-// drawOrder draws an order of what sources say, each in its own.
+// drawOrder draws an order of updates that keeps each source's own.
 func drawOrder(t *rapid.T, plan [][]*Update) (order []*Update) {
 	at := make([]int, len(plan))
 	for {
@@ -496,7 +496,7 @@
 	}
 }
 
-// publishedList is a relay's list, made of what it was told.
+// publishedList is a relay's list, made of the changes that were published.
 type publishedList map[string]Member
 
 func (l publishedList) apply(changes []Change) {
@@ -509,7 +509,7 @@
 	}
 }
 
-// stepUntilDone steps until all is told, and shows the view.
+// stepUntilDone steps until all is published, and returns the view.
 func (v *View) stepUntilDone(l publishedList, now Time) []Member {
 	for range 100 {
 		l.apply(v.Step(now))
@@ -526,16 +526,16 @@
 	x.HoldDown, x.MaxUpsPerStep = 0, 2
 }
 
-// The view does not depend on which source was heard first; words that are said
-// again change nothing; what was told adds up to it; and another process that takes
+// The view does not depend on which source was heard first; updates that come
+// again change nothing; what was published adds up to it; and another process that takes
 // over what was known has the same.
 func TestArrivalOrderIsIrrelevant(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		plan := drawUpdates(rt)
 		play := func(order []*Update) (*View, publishedList) {
 			v, l := newView(t, withoutDelays), publishedList{}
-			for _, w := range order {
-				v.Apply(noon, w)
+			for _, u := range order {
+				v.Apply(noon, u)
 				l.apply(v.Step(noon))
 			}
 			v.stepUntilDone(l, noon)
@@ -549,15 +549,15 @@
 		}
 		for id, x := range a.published {
 			if m, ok := la[id]; ok != x.listed || ok && m != x.Member {
-				rt.Fatalf("%s was told as %+v, and is %+v", id, m, x)
+				rt.Fatalf("%s was published as %+v, and is %+v", id, m, x)
 			}
 		}
 		before := a.Members()
-		for _, w := range first[:rapid.IntRange(0, len(first)).Draw(rt, "again")] {
-			a.Apply(noon, w)
+		for _, u := range first[:rapid.IntRange(0, len(first)).Draw(rt, "again")] {
+			a.Apply(noon, u)
 		}
 		if a.stepUntilDone(la, noon); !reflect.DeepEqual(before, a.Members()) {
-			rt.Fatalf("said again:\n%+v\n%+v", before, a.Members())
+			rt.Fatalf("applied again:\n%+v\n%+v", before, a.Members())
 		}
 		c := newView(t, withoutDelays)
 		c.Import(noon, b.Export(noon))
@@ -567,34 +567,34 @@
 	})
 }
 
-// A drain, and an end that is believed, hold until the same source says otherwise,
-// whatever the others say, from the next step on.
+// A drain, and an end that is believed, hold until the same source states otherwise,
+// whatever the others state, from the next step on.
 func TestDrainsAreMonotone(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		v := newView(t, withoutDelays)
 		l := publishedList{}
-		last := make([]map[string]string, 3) // the phase that each source last told, by id
+		last := make([]map[string]string, 3) // the phase that each source last stated, by id
 		for i := range last {
 			last[i] = map[string]string{}
 		}
-		for _, w := range drawOrder(rt, drawUpdates(rt)) {
-			verdict := v.Apply(noon, w)
+		for _, u := range drawOrder(rt, drawUpdates(rt)) {
+			verdict := v.Apply(noon, u)
 			if verdict == Accepted || verdict == RemovalsHeld {
 				listed := map[string]bool{}
-				for _, m := range w.Members {
+				for _, m := range u.Members {
 					listed[m.ID] = true
 					if m.Phase != Removed {
-						last[w.Source][m.ID] = m.Phase
-					} else if verdict == Accepted && last[w.Source][m.ID] != "" {
-						last[w.Source][m.ID] = Removed
-					} else if last[w.Source][m.ID] != Draining && last[w.Source][m.ID] != Removed {
-						delete(last[w.Source], m.ID)
+						last[u.Source][m.ID] = m.Phase
+					} else if verdict == Accepted && last[u.Source][m.ID] != "" {
+						last[u.Source][m.ID] = Removed
+					} else if last[u.Source][m.ID] != Draining && last[u.Source][m.ID] != Removed {
+						delete(last[u.Source], m.ID)
 					}
 				}
-				if w.Complete && verdict == Accepted {
-					for id := range last[w.Source] {
-						if !listed[id] && !slices.Contains(w.UnreadableIDs, id) {
-							last[w.Source][id] = Removed
+				if u.Complete && verdict == Accepted {
+					for id := range last[u.Source] {
+						if !listed[id] && !slices.Contains(u.UnreadableIDs, id) {
+							last[u.Source][id] = Removed
 						}
 					}
 				}
@@ -603,7 +603,7 @@
 			for i := range last {
 				for id, phase := range last[i] {
 					if m, ok := l[id]; ok && phase != Up && m.Phase == Up {
-						rt.Fatalf("%s is up, and source %d says %s: %+v %v", id, i, phase, *w, v.Explain(noon))
+						rt.Fatalf("%s is up, and source %d states %s: %+v %v", id, i, phase, *u, v.Explain(noon))
 					}
 				}
 			}
--- a/internal/membersource/fixtures_test.go
+++ b/internal/membersource/fixtures_test.go
@@ -10,28 +10,10 @@
 	"time"
 
 	"troutusher/internal/core"
+	"troutusher/internal/fixturetest"
 	"troutusher/internal/membership"
 )
 
-// checkFixture compares bytes with a recorded file. UPDATE_FIXTURES=1 records
-// it.
-func checkFixture(t *testing.T, name string, got []byte) {
-	t.Helper()
-	path := filepath.Join("testdata", name)
-	if os.Getenv("UPDATE_FIXTURES") != "" {
-		if err := os.WriteFile(path, got, 0o644); err != nil {
-			t.Fatal(err)
-		}
-	}
-	want, err := os.ReadFile(path)
-	if err != nil {
-		t.Fatal(err)
-	}
-	if !bytes.Equal(got, want) {
-		t.Errorf("%s:\ngot  %s\nwant %s", path, got, want)
-	}
-}
-
 // The lines of the helper that follows etcd, as package follow writes them.
 func TestHelperLineFixture(t *testing.T) {
 	text, err := os.ReadFile(filepath.Join("..", "source", "etcd", "follow", "testdata", "lines.jsonl"))
@@ -47,11 +29,11 @@
 		}
 		want := `{"alive":true}` + "\n"
 		if got.Update != nil {
-			word, err := json.Marshal(got.Update)
+			update, err := json.Marshal(got.Update)
 			if err != nil {
 				t.Fatal(err)
 			}
-			want = fmt.Sprintf("{\"word\":%s}\n", word)
+			want = fmt.Sprintf("{\"word\":%s}\n", update)
 		}
 		if string(line) != want || got.Heartbeat != (got.Update == nil) {
 			t.Errorf("%s is read as %+v", line, got)
@@ -59,7 +41,7 @@
 	}
 }
 
-// The members file as a relay writes it, and what one that begins with it tells on.
+// The members file as a relay writes it, and what one that begins with it publishes.
 func TestMembersFileFixture(t *testing.T) {
 	var published []*core.EndpointList
 	begun := func(dir string) *Merger {
@@ -90,11 +72,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	checkFixture(t, "members.json", text)
-	recorded, err := os.ReadFile(filepath.Join("testdata", "members.json"))
-	if err != nil {
-		t.Fatal(err)
-	}
+	fixturetest.Check(t, "members.json", text)
+	recorded := fixturetest.Read(t, "members.json")
 	dir = t.TempDir()
 	if err := os.WriteFile(filepath.Join(dir, "members"), recorded, 0o600); err != nil {
 		t.Fatal(err)
@@ -107,12 +86,12 @@
 	if text, err = json.Marshal(published[0]); err != nil {
 		t.Fatal(err)
 	}
-	checkFixture(t, "members-told.json", text)
+	fixturetest.Check(t, "members-published.json", text)
 	m.lastSaved = time.Time{}
 	m.unsaved = true
 	m.step()
 	if text, err = os.ReadFile(filepath.Join(dir, FileName)); err != nil {
 		t.Fatal(err)
 	}
-	checkFixture(t, "members.json", text)
+	fixturetest.Check(t, "members.json", text)
 }
--- a/internal/membersource/merger_test.go
+++ b/internal/membersource/merger_test.go
@@ -24,36 +24,36 @@
 	return m
 }
 
-// A drain is kept in the turn that tells it; what comes up is, in its time; and a
-// process that has given its work away writes no more.
+// A drain is saved in the step that publishes it, an endpoint that comes up later; and a
+// process that has handed over writes no more.
 func TestMembersFileWrites(t *testing.T) {
 	dir := t.TempDir()
-	told := 0
-	m := newTestMerger(t, dir, func(*core.EndpointList) { told++ })
-	kept := func(what string) bool {
+	published := 0
+	m := newTestMerger(t, dir, func(*core.EndpointList) { published++ })
+	saved := func(what string) bool {
 		text, _ := os.ReadFile(filepath.Join(dir, FileName))
 		return strings.Contains(string(text), what)
 	}
 	m.lastSaved = time.Now()
-	word := func(rev int64, id, phase string) {
+	update := func(rev int64, id, phase string) {
 		m.put(m.etcd, &membership.Update{
 			Epoch: "c", Revision: rev, Complete: rev == 1,
 			Members: []core.Member{{ID: id, HostPort: "127.0.0.1:7001", Phase: phase}},
 		})
 	}
-	word(1, "a", core.Up)
-	if wait := m.step(); told != 1 || kept("a") || wait > saveInterval {
-		t.Errorf("one that comes up: told %d times, kept %v, next turn in %v", told, kept("a"), wait)
+	update(1, "a", core.Up)
+	if wait := m.step(); published != 1 || saved("a") || wait > saveInterval {
+		t.Errorf("one that comes up: published %d times, saved %v, next step in %v", published, saved("a"), wait)
 	}
-	word(2, "a", core.Draining)
-	if m.step(); told != 2 || !kept(core.Draining) {
-		t.Errorf("a drain: told %d times, kept %v", told, kept(core.Draining))
+	update(2, "a", core.Draining)
+	if m.step(); published != 2 || !saved(core.Draining) {
+		t.Errorf("a drain: published %d times, saved %v", published, saved(core.Draining))
 	}
-	word(3, "b", core.Up)
+	update(3, "b", core.Up)
 	m.step()
 	ctx, cancel := context.WithCancel(t.Context())
 	cancel()
-	if m.Run(ctx); kept(`"b"`) {
+	if m.Run(ctx); saved(`"b"`) {
 		t.Error("written by a process that is over")
 	}
 }
--- a/internal/source/etcd/fixtures_test.go
+++ b/internal/source/etcd/fixtures_test.go
@@ -4,36 +4,15 @@
 	"bytes"
 	"encoding/json"
 	"fmt"
-	"os"
-	"path/filepath"
 	"testing"
-)
 
-// checkFixture compares bytes with a recorded file. UPDATE_FIXTURES=1 records it.
-func checkFixture(t *testing.T, name string, got []byte) {
-	t.Helper()
-	path := filepath.Join("testdata", name)
-	if os.Getenv("UPDATE_FIXTURES") != "" {
-		if err := os.WriteFile(path, got, 0o644); err != nil {
-			t.Fatal(err)
-		}
-	}
-	want, err := os.ReadFile(path)
-	if err != nil {
-		t.Fatal(err)
-	}
-	if !bytes.Equal(got, want) {
-		t.Errorf("%s:\ngot  %s\nwant %s", path, got, want)
-	}
-}
+	"troutusher/internal/fixturetest"
+)
 
 // fixtureKeys are recorded keys and values of the layout.
 func fixtureKeys(t *testing.T) (all []KV) {
 	t.Helper()
-	text, err := os.ReadFile(filepath.Join("testdata", "layout.jsonl"))
-	if err != nil {
-		t.Fatal(err)
-	}
+	text := fixturetest.Read(t, "layout.jsonl")
 	for dec := json.NewDecoder(bytes.NewReader(text)); dec.More(); {
 		var line struct{ Key, Value string }
 		if err := dec.Decode(&line); err != nil {
@@ -44,7 +23,7 @@
 	return all
 }
 
-// What the recorded keys and values say to the view: as a whole, and after one of each
+// The updates that recorded keys and values make: the complete list, and after one of each
 // kind was deleted.
 func TestLayoutFixture(t *testing.T) {
 	s := newScriptedMachine(t, 1)
@@ -63,7 +42,7 @@
 		{Key: "/t/partners/3", Deleted: true},
 		{Key: "/t/endpoints/c", Deleted: true},
 	}})
-	checkFixture(t, "words.jsonl", text.Bytes())
+	fixturetest.Check(t, "words.jsonl", text.Bytes())
 }
 
 // Values that can be read are written as the same bytes.
@@ -105,5 +84,5 @@
 		}
 	}
 	fmt.Fprintf(&text, "%q %q\n", RangeEnd("/t"), RangeEnd("\xff"))
-	checkFixture(t, "keys.txt", text.Bytes())
+	fixturetest.Check(t, "keys.txt", text.Bytes())
 }
--- a/internal/source/etcd/follow/follow_test.go
+++ b/internal/source/etcd/follow/follow_test.go
@@ -19,7 +19,7 @@
 var drainRounds = flag.Int("rounds", 4, "drains in each trouble; 40 for a measurement")
 
 // testFollower is one on real sockets, with the view that it feeds and a registry that
-// says up whatever happens.
+// lists all as up whatever happens.
 type testFollower struct {
 	t         *testing.T
 	cluster   *standin.Cluster
@@ -134,7 +134,7 @@
 }
 
 // A drain is heard within 2 s of its put with all well, and whatever of these goes
-// wrong as it is put; a registry that says up takes none back.
+// wrong as it is put; a registry that lists all as up revokes none.
 func TestDrainLatency(t *testing.T) {
 	for _, trouble := range []struct {
 		name string
@@ -179,10 +179,10 @@
 			t.Parallel()
 			x := startFollower(t, 3, "")
 			var ops []standin.Op
-			var said []membership.Member
+			var listed []membership.Member
 			for k := range 8 {
 				ops = append(ops, standin.Op{Key: etcd.Key("/t", "endpoints", fmt.Sprint("e", k)), Value: value(k)})
-				said = append(said, membership.Member{
+				listed = append(listed, membership.Member{
 					ID: fmt.Sprint("e", k), HostPort: fmt.Sprintf("127.0.0.1:%d", 7000+k), Dest: k % 3,
 					Phase: membership.Up,
 				})
@@ -198,7 +198,7 @@
 				took = append(took, x.waitFor("the drain", draining))
 				x.mu.Lock()
 				x.view.Apply(x.view.NextDeadline(), &membership.Update{
-					Source: 1, Epoch: "r", Revision: int64(n + 1), Complete: true, Members: said,
+					Source: 1, Epoch: "r", Revision: int64(n + 1), Complete: true, Members: listed,
 				})
 				for _, ch := range x.view.Step(0) {
 					if ch.ID == id && ch.Phase == membership.Up {
@@ -223,9 +223,9 @@
 	}
 }
 
-// A long list comes in pages and fragments; tokens that end are had anew; a lease
+// A long list comes in pages and fragments; tokens that end are renewed; a lease
 // that runs out takes its endpoint away; most of the list gone at once, as after a
-// restore, is believed once it has been read anew.
+// restore, is believed once it has been read again.
 func TestPagesTokensLeasesAndRestore(t *testing.T) {
 	x := startFollower(t, 2, "relay")
 	var ops []standin.Op
--- a/internal/source/etcd/follow/tls_test.go
+++ b/internal/source/etcd/follow/tls_test.go
@@ -20,7 +20,7 @@
 
 // Members are called over TLS where the operator's file names roots: a member must
 // prove its name by them, and be shown a certificate where it wants one. The helper
-// says what it hears line by line, and ends with its input.
+// writes its updates line by line, and ends with its input.
 func TestServeOverTLS(t *testing.T) {
 	issue := func(up *testca.Issued, name string) *testca.Issued {
 		t.Helper()
@@ -73,7 +73,7 @@
 	}
 	for name, x := range map[string]struct {
 		change func(*operatorconfig.Etcd)
-		hears  bool
+		works  bool
 		fails  string
 	}{
 		"all in order":   {func(*operatorconfig.Etcd) {}, true, ""},
@@ -100,7 +100,7 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			if !x.hears { // one call tells as much as a follower that never hears
+			if !x.works { // one call shows as much as a follower that gets nothing
 				if conn, _, err := Dial(t.Context(), o); err == nil {
 					_ = conn.Close()
 					t.Error("it was answered")
@@ -132,7 +132,7 @@
 					_ = inEnd.Close() // a pipe's end: it cannot fail
 					continue
 				}
-				go func() { // what a relay asks
+				go func() { // what a relay requests
 					if _, err := io.WriteString(inEnd, ResyncCommand+"\n"); err != nil {
 						t.Error(err)
 					}
--- a/internal/source/etcd/machine_test.go
+++ b/internal/source/etcd/machine_test.go
@@ -45,7 +45,7 @@
 	drains         map[string]Time // since when an endpoint has been marked, with all well
 	drainDelays    []Time          // from a put to the change
 	longestDelay   Time
-	unhealthyUntil Time // until when no member was well, or the world was put back
+	unhealthyUntil Time // until when no member was well, or the world was restored
 	updates        int
 	lastRevisions  map[string]int64
 }
@@ -259,7 +259,7 @@
 	}
 	w := &watcher{call: a.Call, member: a.Member, next: a.FromRevision, key: a.Key, end: a.RangeEnd}
 	c.watches[a.Call] = w
-	// Events of one watch are told in order: they go by one queue.
+	// Events of one watch come in order: they go by one queue.
 	c.sendOnWatch(w, &WatchOpened{Call: a.Call, Cluster: c.id, Revision: c.visible(a.Member)})
 	w.open = true
 	c.flush(w)
@@ -277,7 +277,7 @@
 	})
 }
 
-// flush tells what a watch has not been told.
+// flush reports what a watch has not reported.
 func (c *simulatedCluster) flush(w *watcher) {
 	if !w.open || w.silent || !c.healthy(w.member) || c.watches[w.call] != w {
 		return
@@ -312,7 +312,7 @@
 	c.sendOnWatch(w, &Progress{Call: w.call, Cluster: c.id, Revision: rev})
 }
 
-// flushAll has all watches told, each when its member knows.
+// flushAll has all watches report, each when its member knows.
 func (c *simulatedCluster) flushAll() {
 	for _, w := range c.openWatches() {
 		c.after(c.networkDelay(), func() { c.flush(w) })
@@ -416,9 +416,9 @@
 		c.backup = c.store.Copy()
 	case 5:
 		if c.backup != nil && c.rng.IntN(2) == 0 {
-			c.note("put back to %d from %d", c.backup.Revision(), c.store.Revision())
+			c.note("restored to %d from %d", c.backup.Revision(), c.store.Revision())
 			c.store, c.backup = c.backup, nil
-			c.unhealthyUntil = c.now + 25*second // under its old id it may not be told before the next refresh
+			c.unhealthyUntil = c.now + 25*second // under its old id it may not be noticed before the next resync
 			if c.rng.IntN(2) == 0 {
 				c.id++
 				c.unhealthyUntil = c.now + 3*second
@@ -504,7 +504,7 @@
 	for i := range c.members {
 		c.members[i] = memberState{}
 	}
-	for k := range 8 { // what could not be read is written anew
+	for k := range 8 { // what could not be decoded is written again
 		if id := fmt.Sprintf("e%d", k); c.published[id].ID != "" || c.rng.IntN(2) == 0 {
 			c.do(standin.Op{Key: Key("/t", EndpointsFolder, id), Value: endpointValue(k, 1)})
 		} else {
@@ -520,25 +520,25 @@
 	}
 }
 
-// Whatever a cluster does (members that die, fall silent or lag, watches that say
-// nothing, compaction, fragments, progress that lies behind, a backup that is put
+// Whatever a cluster does (members that die, fall silent or lag, watches that
+// fall silent, compaction, fragments, progress that lies behind, a backup that is put
 // back, another cluster, tokens that end), the view is what it holds in the end,
-// nothing is told out of order, and a drain is heard within 2 s while a member is
+// nothing is published out of order, and a drain is heard within 2 s while a member is
 // well.
 func TestFollowingACluster(t *testing.T) {
 	var worst Time
-	drains, words := 0, 0
+	drains, updates := 0, 0
 	for seed := *firstWorld; seed < *firstWorld+*worldCount; seed++ {
 		c := newCluster(t, seed)
 		c.play()
 		worst = max(worst, c.longestDelay)
 		drains += len(c.drainDelays)
-		words += c.updates
+		updates += c.updates
 	}
-	if drains < int(*worldCount) || words < 20*int(*worldCount) {
-		t.Errorf("too little was tried: %d drains, %d words", drains, words)
+	if drains < int(*worldCount) || updates < 20*int(*worldCount) {
+		t.Errorf("too little was tried: %d drains, %d updates", drains, updates)
 	}
-	t.Logf("%d drains, the slowest heard after %d ms; %d words", drains, worst/1000, words)
+	t.Logf("%d drains, the slowest heard after %d ms; %d updates", drains, worst/1000, updates)
 }
 
 func TestSettings(t *testing.T) {
@@ -602,7 +602,7 @@
 		table := newKeyTable("/t")
 		for _, kv := range []KV{{k1, v1, false}, {k2, v2, false}, {k1, v2, false}, {k2, "", true}} {
 			ids := idSet{}
-			_ = table.apply(kv, ids) // whatever it says of them
+			_ = table.apply(kv, ids) // whatever it makes of them
 			table.addMembers(ids, &membership.Update{})
 		}
 		w := &membership.Update{}
@@ -615,7 +615,7 @@
 	})
 }
 
-// scriptedMachine tells a machine one thing after another.
+// scriptedMachine steps a machine by one event after another.
 type scriptedMachine struct {
 	t       *testing.T
 	machine *Machine
@@ -692,7 +692,7 @@
 }
 
 // A watch that is of another cluster, or behind what is known, has all read once
-// more; one that lags is let be after that, and one that was put back has a new
+// more; one that lags is let be after that, and one that was restored has a new
 // epoch.
 func TestReplacedCluster(t *testing.T) {
 	s := watchingMachine(t, 1)
@@ -717,7 +717,7 @@
 	}
 }
 
-// A partner's rate is told for each of its endpoints that has none of its own; what
+// A partner's rate is published for each of its endpoints that has none of its own; what
 // comes of a call that is over counts for nothing; keys between two pages are read.
 func TestRatesStaleEventsAndPages(t *testing.T) {
 	s := watchingMachine(t, 1)
--- a/internal/source/etcd/publish/publish_test.go
+++ b/internal/source/etcd/publish/publish_test.go
@@ -71,13 +71,13 @@
 		t.Fatalf("%v: %+v", err, d)
 	}
 	if d, err = p.Publish(ctx, exampleList(250), false); err != nil || d.Revision != 0 || len(d.Put) > 0 {
-		t.Errorf("said again: %v, %+v", err, d)
+		t.Errorf("published again: %v, %+v", err, d)
 	}
 	if _, err = p.Publish(ctx, exampleList(100), false); !errors.Is(err, ErrTooManyRemovals) {
 		t.Errorf("most of it taken away: %v", err)
 	}
 	if d, err = p.Publish(ctx, exampleList(100), true); err != nil || len(d.Deleted) != 150 {
-		t.Errorf("with a word of its own: %v, %+v", err, d)
+		t.Errorf("with most allowed: %v, %+v", err, d)
 	}
 	if d, err = p.Drain(ctx, false, "e1", "e2", "e1"); err != nil || len(d.Put) != 2 {
 		t.Errorf("drained: %v, %+v", err, d)
@@ -136,13 +136,13 @@
 	}
 	m.before = other(standin.Op{Key: key, Value: `{"v":1}`})
 	if _, err := p.Drain(ctx, true, "e1"); !errors.Is(err, ErrConflict) {
-		t.Errorf("a drain that was said anew is undone: %v", err)
+		t.Errorf("a drain that was made again is undone: %v", err)
 	}
 	const elsewhere = "127.0.0.1:9"
 	const value = `{"v":1,"host_port":"` + elsewhere + `","dest":2}`
 	m.before = other(standin.Op{Key: etcd.Key("/t", etcd.EndpointsFolder, "e3"), Value: value})
 	if _, err := p.Remove(ctx, "e3"); !errors.Is(err, ErrConflict) {
-		t.Errorf("one that was published anew is removed: %v", err)
+		t.Errorf("one that was published again is removed: %v", err)
 	}
 	m.before = other(standin.Op{Key: etcd.Key("/t", etcd.EndpointsFolder, "e9"), Value: value})
 	l := exampleList(4)
--- a/internal/source/registry/scheduler_test.go
+++ b/internal/source/registry/scheduler_test.go
@@ -99,11 +99,11 @@
 	inStep := func(*Scheduler) time.Duration { return 200 * time.Millisecond }
 	_, half, q := playFleet(80, 80.0/8, 1, 30*time.Second, inStep)
 	if half < 30*time.Second || q.rejected < 2000 {
-		t.Errorf("in step: half served after %v, %d refused; the model can't tell", half, q.rejected)
+		t.Errorf("in step: half served after %v, %d rejected; the model can't tell", half, q.rejected)
 	}
 }
 
-// Few relays ask again nearly at once: nothing is gained by waiting.
+// Few relays call again nearly at once: nothing is gained by waiting.
 func TestSmallFleetPollsSoon(t *testing.T) {
 	for n, most := range map[int]time.Duration{
 		0: 200 * time.Millisecond, 1: 200 * time.Millisecond, 3: 400 * time.Millisecond,
@@ -122,7 +122,7 @@
 	}
 }
 
-// The first call is made at once. What is known is asked for by its version;
+// The first call is made at once. What is known is asked for by its revision;
 // what cannot be read, or builds on nothing, makes the whole list be had.
 func TestNextCall(t *testing.T) {
 	f := New(80, 1)
@@ -163,7 +163,7 @@
 }
 
 // Against any order of lists: what is believed never grows older, but for a
-// registry that says the same thrice; changes are never believed on nothing.
+// registry that repeats the same list thrice; changes are never believed on nothing.
 func TestJudgeRevisions(t *testing.T) {
 	for seed := range uint64(2000) {
 		rng := rand.New(rand.NewPCG(seed, 1))
@@ -215,7 +215,7 @@
 	}
 }
 
-// A watch that falls silent is replaced before what it missed counts as told, in a
+// A watch that falls silent is replaced before what it missed counts as notified, in a
 // fleet of any size and whatever came before, and a silent watch is no busy
 // registry: the span does not grow. A watch that its registry closes is.
 func TestSilentWatchIsReplacedInTime(t *testing.T) {
@@ -244,8 +244,8 @@
 	}
 }
 
-// A registry that is not heard is asked again in less than the grace of a drain,
-// since what it tells at its return counts at once; one that turns calls away is not.
+// A registry that does not answer is called again in less than the grace of a drain,
+// since what it reports at its return counts at once; one that rejects calls is not.
 func TestUnheardIsAskedAgainSoon(t *testing.T) {
 	for _, n := range []int{3, 300} {
 		f := New(n, 1)
@@ -264,6 +264,6 @@
 		most = max(most, f.NextCall().Delay)
 	}
 	if most < 3*time.Second {
-		t.Errorf("turned away 20 times, and asks again within %v", most)
+		t.Errorf("rejected 20 times, and calls again within %v", most)
 	}
 }
