--- a/internal/upstream/connect_test.go
+++ b/internal/upstream/connect_test.go
@@ -48,9 +48,13 @@
 	pool := testPool(t)
 	pool.connectTimeout = 200 * time.Millisecond
 	endpoint := openPlain(pool, fullListener(t).Addr().String())
+	start := time.Now()
 	if result := callOnce(t, endpoint, Request{ID: "m"}); result.Outcome != policy.ConnectFailed {
 		t.Errorf("got %+v", result)
 	}
+	if took := time.Since(start); took > testTimeout/2 {
+		t.Errorf("given up after %v", took)
+	}
 	if open, _ := pool.counts(); open != 0 {
 		t.Errorf("%d connections are open", open)
 	}
