--- a/internal/upstream/call.go
+++ b/internal/upstream/call.go
@@ -69,7 +69,7 @@
 }
 
 // Cancel gives the call up. Its result says whether it may have run.
-func (c *Call) Cancel() { c.cancel(ErrCancelled) }
+func (c *Call) Cancel() { c.cancel(errCancelled) }
 
 // Release frees what the call holds. It ends one that is in flight.
 func (c *Call) Release() { c.cancel(nil) }
@@ -219,7 +219,7 @@
 // response.
 func outcomeWithoutResponse(ctx context.Context) policy.Outcome {
 	switch {
-	case errors.Is(context.Cause(ctx), ErrCancelled):
+	case errors.Is(context.Cause(ctx), errCancelled):
 		return policy.Cancelled
 	case ctx.Err() != nil:
 		return policy.TimedOut
--- a/internal/upstream/golden_test.go
+++ b/internal/upstream/golden_test.go
@@ -191,7 +191,7 @@
 		errPoolFull,
 		errResponseTooLarge,
 		errStaleConn,
-		ErrCancelled,
+		errCancelled,
 		errConnectNotAllowed,
 		handshakeBudgetError{1234567 * time.Microsecond},
 	} {
--- a/internal/upstream/upstream.go
+++ b/internal/upstream/upstream.go
@@ -6,7 +6,7 @@
 // that it may have run. To know that, it keeps its own connections in place of
 // those of net/http: it has to know whether the last byte of a request was
 // written, that the response read is the response to this request, and that
-// nothing of a call goes on once its result is reported.
+// nothing of a call that may be retried goes on once its result is reported.
 //
 // Before the first and the last byte of a request it asks package sendgate
 // whether the call may still go out. Calls without TLS can be suspended and
@@ -31,19 +31,19 @@
 )
 
 var (
-	// ErrCancelled is the cause of a call that was cancelled by [Call.Cancel].
-	ErrCancelled = errors.New("cancelled")
-
 	errPoolFull         = errors.New("no descriptor for another connection")
 	errResponseTooLarge = errors.New("more bytes than an answer may have")
 	errStaleConn        = errors.New("connection ended or brought bytes before the call was written")
-	errHandedOver       = errors.New("the relay's work goes to another process")
+
+	// Causes of calls that end early.
+	errCancelled  = errors.New("cancelled") // by [Call.Cancel]
+	errHandedOver = errors.New("the relay's work goes to another process")
 )
 
 // pastDeadline ends reads and writes at once.
 var pastDeadline = time.Unix(1, 0)
 
-// Result is the end of a call or of a health check.
+// Result is the end of a call or of a health check. Its times are in microseconds.
 type Result struct {
 	Outcome policy.Outcome
 	// RetryAfter is the time for which the endpoint, or the reason for which the
