--- a/internal/metrics/metrics.go
+++ b/internal/metrics/metrics.go
@@ -6,6 +6,7 @@
 package metrics
 
 import (
+	"cmp"
 	"fmt"
 	"log/slog"
 	"maps"
@@ -111,9 +112,9 @@
 		return nil
 	}
 	args := []any{"second", ended}
-	for _, dest := range slices.Sorted(maps.Keys(r.byDestination)) {
+	for _, dest := range sortedKeys(r.byDestination) {
 		counts, attrs := r.byDestination[dest], []any{}
-		for _, name := range slices.Sorted(maps.Keys(counts)) {
+		for _, name := range sortedKeys(counts) {
 			attrs = append(attrs, slog.Int64(name, counts[name]))
 		}
 		args = append(args, slog.Group(groupName(dest), attrs...))
@@ -122,6 +123,13 @@
 	return args
 }
 
+// sortedKeys are the keys of a map, in order; they take one allocation.
+func sortedKeys[K cmp.Ordered, V any](m map[K]V) []K {
+	keys := slices.AppendSeq(make([]K, 0, len(m)), maps.Keys(m))
+	slices.Sort(keys)
+	return keys
+}
+
 const otherDestinationsName = "rest"
 
 // groupName is the name of a destination in the log.
