--- a/policy/aging.go
+++ b/policy/aging.go
@@ -38,7 +38,7 @@
 		endpoint := &limiter.Endpoints[i]
 		if endpoint.Unhealthy && endpoint.RecoveredAt == 0 && shut && !endpoint.LastFailureSilent {
 			// Rejections alone: it answers, and is over its limit or shut. By now it may be neither, so it is
-			// held to be on its ramp, as after a first answer: it gets what it bears cold, and is ejected at
+			// taken to be on its ramp, as after a first answer: it gets the first of it, and is ejected at
 			// the next rejections.
 			endpoint.RecoveredAt = endpoint.LastFailureAt + (now-endpoint.LastFailureAt)/2
 			endpoint.RecoverySentAt = endpoint.RecoveredAt
--- a/policy/api.go
+++ b/policy/api.go
@@ -90,7 +90,7 @@
 // LoadReport is a load report of an endpoint.
 type LoadReport struct {
 	Remaining float64 // share of the allowance left
-	Limit     float64 // calls a second that the limit allows; 0 where none is told
+	Limit     float64 // calls a second that the limit allows; 0 where none is given
 }
 
 // Event is something that the relay tells its engine. Kind says which of the other fields are used.
@@ -112,7 +112,7 @@
 	Token             uint64
 	TimeLeft          Time // how long the message may still be delivered
 	EstimatedCost     Time // a guess of the message's cost; 0 for none
-	RetryAfter        Time // how long to wait; 0 when none is told
+	RetryAfter        Time // how long to wait; 0 when none is given
 	Latency           Time
 	Load              LoadReport
 	Updates           []EndpointUpdate
@@ -132,7 +132,7 @@
 	AttemptSentAt   Time
 	AttemptEndpoint EndpointID
 
-	// Recovered: the process that held the message before told nothing of what it had learned.
+	// Recovered: the process that held the message before handed over nothing of what it had learned.
 	Recovered bool
 }
 
--- a/policy/connection.go
+++ b/policy/connection.go
@@ -4,7 +4,7 @@
 
 const (
 	scarceConnectFailureRatio = 0.05 // of calls: above it connections are taken to run out
-	connectFailureSpan        = 20   // calls over which that ratio is told
+	connectFailureSpan        = 20   // calls over which that ratio is smoothed
 	scarceIdleConnections     = 2    // that all relays together keep at an endpoint where they run out
 )
 
--- a/policy/connection_test.go
+++ b/policy/connection_test.go
@@ -4,11 +4,11 @@
 
 // TestIdleConnectionsClosed: where connections run out, idle ones are closed, the sooner the more relays there are.
 func TestIdleConnectionsClosed(t *testing.T) {
-	for _, tight := range []float64{0, 1} {
+	for _, ratio := range []float64{0, 1} {
 		settings := singleClassSettings()
 		settings.Relays = 50
 		h := newHarness(t, settings, readyEndpoint(1, 1000))
-		h.engine.connectFailureRatios[0] = tight
+		h.engine.connectFailureRatios[0] = ratio
 		h.step(h.message(0, 0))
 		h.now += second / 10
 		closes := 0
@@ -17,8 +17,8 @@
 			h.now += second / 20
 			closes += count(h.step(), ActCloseIdle)
 		}
-		if closes != int(tight) {
-			t.Errorf("share without connection %v: %d times closed", tight, closes)
+		if closes != int(ratio) {
+			t.Errorf("share without connection %v: %d times closed", ratio, closes)
 		}
 	}
 }
--- a/policy/dispatch.go
+++ b/policy/dispatch.go
@@ -8,7 +8,7 @@
 
 // Which message goes next, to which endpoint, and what guards a send.
 
-const otherZoneFactor = 3.0 // a call to another zone is held to cost so many times as much
+const otherZoneFactor = 3.0 // a call to another zone counts as so many times as long
 
 // dispatch sends what loses most by waiting, over the destinations that an event or the time has marked and
 // those that wait for nothing but a slot.
--- a/policy/ordering.go
+++ b/policy/ordering.go
@@ -9,7 +9,7 @@
 // The order of what waits: what a message is worth by when, and when a destination can be sent to.
 
 const (
-	minDrainRate    = 0.1 // calls a second that a destination is held to take at least
+	minDrainRate    = 0.1 // calls a second that a destination is taken to accept at least
 	maxDrainSeconds = 60
 	weightTieBreak  = 1000 // among those that lose nothing by waiting, a part of the weight decides
 )
--- a/policy/outcome.go
+++ b/policy/outcome.go
@@ -149,7 +149,7 @@
 	turn := min(float64(e.settings.Relays)/e.capacity(limiter), seconds(objective))
 	gap := max(turn, 1/e.bucketDepth(limiter), min(1/budgetRate, e.backoffGrowth(limiter)*seconds(runLength)))
 	limiter.backoffUntil = e.now + Time(float64(second)*gap*(0.5+e.rng.Float64()))
-	if event.RetryAfter > 0 { // all who were told wake together: each comes at a moment of its own
+	if event.RetryAfter > 0 { // relays that got the same wait would come together: each adds a jitter
 		jitter := Time(turn * float64(second) * e.rng.Float64())
 		limiter.backoffUntil = max(limiter.backoffUntil, e.now+event.RetryAfter+jitter)
 	}
--- a/policy/recovery.go
+++ b/policy/recovery.go
@@ -56,7 +56,7 @@
 	e.logf("dest %d: seen failing, trial calls", failed.limiter.destination.id)
 }
 
-// ejected: it is held to be down, and has not answered since.
+// ejected: calls failed there, and none has been answered since.
 func (ep *endpoint) ejected() bool { return ep.unhealthy && ep.recoveredAt == 0 }
 
 // excluded: no call goes there, whatever the budget. Its backoff binds it until the verdict is in.
--- a/policy/retry_test.go
+++ b/policy/retry_test.go
@@ -12,7 +12,7 @@
 	h.step(event)
 	h.step(h.message(0, 0))
 	if len(h.sends) != 1 || h.sends[0].TimeoutAt-h.now < 2*second {
-		t.Fatalf("sends %+v at %d: time-out under the aim", h.sends, h.now)
+		t.Fatalf("sends %+v at %d: timeout under the objective", h.sends, h.now)
 	}
 }
 
--- a/policy/settings.go
+++ b/policy/settings.go
@@ -37,7 +37,7 @@
 	BatchSize         int  // messages that may travel in one call; 0 means 1
 }
 
-// Settings is what a relay is told at start.
+// Settings is what an engine is made with.
 type Settings struct {
 	Relays               int // relays that share the destinations, this one included
 	Zone                 int
@@ -53,7 +53,7 @@
 	ListHasRates         bool    // list entries carry the calls a second that a destination takes
 	HealthChecks         bool    // health checks are allowed
 	Cancellation         bool    // attempts may be cancelled
-	SendRetryAfter       bool    // clients are told when to come back with a rejection
+	SendRetryAfter       bool    // a rejection says when to come back
 	MaxRetryAfter        Time    // the longest such wait that clients heed
 	PollList             bool    // list updates come only when asked for
 	PollInterval         Time    // with PollList: the longest a list counts as fresh without asking
