--- a/cmd/troutusher-kit/rehearse.go
+++ b/cmd/troutusher-kit/rehearse.go
@@ -3,6 +3,7 @@
 import (
 	"context"
 	"errors"
+	"flag"
 	"fmt"
 	"io"
 	"os"
@@ -37,10 +38,8 @@
 	repeat                                     int
 }
 
-// rehearse plays a scenario or a recording.
-func rehearse(args []string, out, errs io.Writer) int {
-	var x rehearsal
-	f := flags("rehearse", "[flags] [SCENARIO]", aboutRehearse, out, errs)
+// define defines the flags.
+func (x *rehearsal) define(f *flag.FlagSet) {
 	f.BoolVar(&x.list, "list", false, "name the scenarios that ship with the program")
 	f.StringVar(&x.show, "show", "", "print the file of the `scenario`, to begin one's own from")
 	f.Uint64Var(&x.seed, "seed", 0, "draw arrivals and faults from this `seed` instead of the scenario's")
@@ -50,15 +49,19 @@
 	f.StringVar(&x.asJSON, "json", "", "write the report to the `file` as JSON")
 	f.StringVar(&x.asHTML, "html", "", "write the report to the `file` as one page that opens offline")
 	f.StringVar(&x.diff, "compare", "", "set the report beside an earlier one, a JSON `file`")
-	f.StringVar(
-		&x.relay, "relay", "",
-		"the relay `program` to rehearse with, such as another release's; the one beside this where it is left out",
-	)
+	f.StringVar(&x.relay, "relay", "",
+		"the relay `program` to rehearse with, such as another release's; the one beside this where it is left out")
 	f.StringVar(&x.keep, "keep", "", "keep configurations, state and logs of the relays in the `folder`")
-	f.BoolVar(
-		&x.hold, "hold", false, "keep partners and discovery up for a relay that is started by hand, until interrupted",
-	)
+	f.BoolVar(&x.hold, "hold", false,
+		"keep partners and discovery up for a relay that is started by hand, until interrupted")
 	f.BoolVar(&x.quiet, "quiet", false, "no progress, also on a terminal")
+}
+
+// rehearse plays a scenario or a recording.
+func rehearse(args []string, out, errs io.Writer) int {
+	var x rehearsal
+	f := flags("rehearse", "[flags] [SCENARIO]", aboutRehearse, out, errs)
+	x.define(f)
 	rest, code, done := parse(f, args, 1)
 	if done {
 		return code
@@ -66,12 +69,8 @@
 	bad := func(err error) int { return fail(errs, "rehearse", err, exitConfig) }
 	switch {
 	case x.list:
-		for _, name := range scenario.Names() {
-			s, err := scenario.Builtin(name)
-			if err != nil {
-				return bad(err)
-			}
-			printf(out, "%-10s %s\n", name, s.About)
+		if err := listScenarios(out); err != nil {
+			return bad(err)
 		}
 		return 0
 	case x.show != "":
@@ -81,37 +80,58 @@
 		}
 		printf(out, "%s", text)
 		return 0
-	case x.repeat < 1 || x.repeat > 1000:
-		return bad(fmt.Errorf("--repeat %d, want 1 to 1000", x.repeat))
-	case x.replay != "" && (len(rest) > 0 || x.seed != 0 || x.record != ""):
-		return bad(errors.New("--replay plays a recording as it is: no scenario, --seed or --record beside it"))
 	}
-	plan, err := x.plan(rest)
+	plan, before, err := x.prepare(rest)
 	if err != nil {
 		return bad(err)
 	}
-	var before *report.Report
+	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
+	defer stop()
+	if x.hold {
+		return x.holdUp(ctx, plan, out, errs)
+	}
+	return x.play(ctx, plan, before, out, errs)
+}
+
+func listScenarios(out io.Writer) error {
+	for _, name := range scenario.Names() {
+		s, err := scenario.Builtin(name)
+		if err != nil {
+			return err
+		}
+		printf(out, "%-10s %s\n", name, s.About)
+	}
+	return nil
+}
+
+// prepare checks the flags and returns what is played, and the earlier report that it is
+// compared with, nil for none.
+func (x *rehearsal) prepare(rest []string) (plan *scenario.Plan, before *report.Report, err error) {
+	switch {
+	case x.repeat < 1 || x.repeat > 1000:
+		return nil, nil, fmt.Errorf("--repeat %d, want 1 to 1000", x.repeat)
+	case x.replay != "" && (len(rest) > 0 || x.seed != 0 || x.record != ""):
+		return nil, nil, errors.New("--replay plays a recording as it is: no scenario, --seed or --record beside it")
+	}
+	if plan, err = x.plan(rest); err != nil {
+		return nil, nil, err
+	}
 	if x.diff != "" {
 		if before, err = report.Load(x.diff); err != nil {
-			return bad(fmt.Errorf("%s: %w", x.diff, err))
+			return nil, nil, fmt.Errorf("%s: %w", x.diff, err)
 		}
 	}
 	if x.relay == "" {
 		if x.relay, err = daemon(); err != nil {
-			return bad(err)
+			return nil, nil, err
 		}
 	}
 	if x.record != "" {
 		if err := replay.Save(x.record, plan, environment()); err != nil {
-			return bad(err)
+			return nil, nil, err
 		}
 	}
-	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
-	defer stop()
-	if x.hold {
-		return x.holdUp(ctx, plan, out, errs)
-	}
-	return x.play(ctx, plan, before, out, errs)
+	return plan, before, nil
 }
 
 // daemon is the relay's program, beside this one.
--- a/internal/emulator/endpoint/h1/server_test.go
+++ b/internal/emulator/endpoint/h1/server_test.go
@@ -130,9 +130,7 @@
 	}{
 		{nil, 200, ""},
 		{&endpoint.Fault{Kind: endpoint.Full}, 503, ""},
-		{
-			&endpoint.Fault{Kind: endpoint.FullWait, Size: 0.4}, 429, "0.400",
-		},
+		{&endpoint.Fault{Kind: endpoint.FullWait, Size: 0.4}, 429, "0.400"},
 		{&endpoint.Fault{Kind: endpoint.Errors, Share: 1}, 500, ""},
 		{nil, 200, ""},
 	} {
--- a/internal/emulator/etcd/watch.go
+++ b/internal/emulator/etcd/watch.go
@@ -1,6 +1,8 @@
 package etcd
 
 import (
+	"slices"
+
 	"go.etcd.io/etcd/api/v3/etcdserverpb"
 	"go.etcd.io/etcd/api/v3/mvccpb"
 	"google.golang.org/grpc/codes"
@@ -15,46 +17,27 @@
 	fragment bool
 }
 
+// watchStream is one stream of watches.
+type watchStream struct {
+	*Member
+	etcdserverpb.Watch_WatchServer
+	number  int // of the streams of this member
+	watches []*watched
+	nextID  int64
+}
+
 // Watch serves one stream.
 func (m *Member) Watch(stream etcdserverpb.Watch_WatchServer) error {
 	if err := m.enter(stream.Context()); err != nil {
 		return err
 	}
 	m.streams++
-	no := m.streams
+	w := &watchStream{Member: m, Watch_WatchServer: stream, number: m.streams}
 	m.c.mu.Unlock()
-	requests := make(chan *etcdserverpb.WatchRequest)
-	go func() {
-		defer close(requests)
-		for {
-			r, err := stream.Recv()
-			if err != nil {
-				return
-			}
-			select {
-			case requests <- r:
-			case <-stream.Context().Done():
-				return
-			}
-		}
-	}()
-	var all []*watched
-	ids := int64(0)
+	requests := w.receive()
 	for {
-		m.c.mu.Lock()
-		if m.noLeader {
-			m.c.mu.Unlock()
-			return errNoLeader
-		}
-		if !m.allowed(stream.Context()) {
-			m.c.mu.Unlock()
-			return status.Error(codes.Unauthenticated, "etcdserver: invalid auth token")
-		}
-		wake := m.c.wake
-		out := m.news(&all)
-		still := no <= m.still
-		m.c.mu.Unlock()
-		if err := send(stream, still, out); err != nil {
+		wake, err := w.sendNews()
+		if err != nil {
 			return err
 		}
 		select {
@@ -65,45 +48,85 @@
 			if !ok {
 				return nil
 			}
-			m.c.mu.Lock()
-			out := []*etcdserverpb.WatchResponse{}
-			switch {
-			case r.GetCreateRequest() != nil:
-				q := r.GetCreateRequest()
-				w := &watched{
-					id: ids, key: string(q.Key), end: string(q.RangeEnd), next: q.StartRevision, fragment: q.Fragment,
-				}
-				ids++
-				if w.next == 0 {
-					w.next = m.c.store.Revision() + 1
-				}
-				all = append(all, w)
-				out = append(out, &etcdserverpb.WatchResponse{Header: m.header(), WatchId: w.id, Created: true})
-			case r.GetProgressRequest() != nil: // everything up to it has been told
-				out = append(m.news(&all), &etcdserverpb.WatchResponse{Header: m.header(), WatchId: -1})
-			case r.GetCancelRequest() != nil:
-				for i, w := range all {
-					if w.id == r.GetCancelRequest().WatchId {
-						all = append(all[:i], all[i+1:]...)
-						break
-					}
-				}
-				out = append(
-					out,
-					&etcdserverpb.WatchResponse{
-						Header: m.header(), WatchId: r.GetCancelRequest().WatchId, Canceled: true,
-					},
-				)
-			}
-			still := no <= m.still
-			m.c.mu.Unlock()
-			if err := send(stream, still, out); err != nil {
+			if err := w.answer(r); err != nil {
 				return err
 			}
 		}
 	}
 }
 
+// receive reads requests until the stream ends.
+func (w *watchStream) receive() <-chan *etcdserverpb.WatchRequest {
+	requests := make(chan *etcdserverpb.WatchRequest)
+	go func() {
+		defer close(requests)
+		for {
+			r, err := w.Recv()
+			if err != nil {
+				return
+			}
+			select {
+			case requests <- r:
+			case <-w.Context().Done():
+				return
+			}
+		}
+	}()
+	return requests
+}
+
+// sendNews sends what the watches have not been told, and returns what wakes them next.
+func (w *watchStream) sendNews() (wake <-chan struct{}, err error) {
+	w.c.mu.Lock()
+	if w.noLeader {
+		w.c.mu.Unlock()
+		return nil, errNoLeader
+	}
+	if !w.allowed(w.Context()) {
+		w.c.mu.Unlock()
+		return nil, status.Error(codes.Unauthenticated, "etcdserver: invalid auth token")
+	}
+	wake = w.c.wake
+	out := w.news(&w.watches)
+	silent := w.number <= w.still
+	w.c.mu.Unlock()
+	return wake, send(w, silent, out)
+}
+
+// answer answers one request.
+func (w *watchStream) answer(r *etcdserverpb.WatchRequest) error {
+	w.c.mu.Lock()
+	out := []*etcdserverpb.WatchResponse{}
+	switch {
+	case r.GetCreateRequest() != nil:
+		out = append(out, w.create(r.GetCreateRequest()))
+	case r.GetProgressRequest() != nil: // everything up to it has been told
+		out = append(w.news(&w.watches), &etcdserverpb.WatchResponse{Header: w.header(), WatchId: -1})
+	case r.GetCancelRequest() != nil:
+		id := r.GetCancelRequest().WatchId
+		if i := slices.IndexFunc(w.watches, func(x *watched) bool { return x.id == id }); i >= 0 {
+			w.watches = slices.Delete(w.watches, i, i+1)
+		}
+		out = append(out, &etcdserverpb.WatchResponse{Header: w.header(), WatchId: id, Canceled: true})
+	}
+	silent := w.number <= w.still
+	w.c.mu.Unlock()
+	return send(w, silent, out)
+}
+
+// create begins a watch. The caller holds mu.
+func (w *watchStream) create(q *etcdserverpb.WatchCreateRequest) *etcdserverpb.WatchResponse {
+	x := &watched{
+		id: w.nextID, key: string(q.Key), end: string(q.RangeEnd), next: q.StartRevision, fragment: q.Fragment,
+	}
+	w.nextID++
+	if x.next == 0 {
+		x.next = w.c.store.Revision() + 1
+	}
+	w.watches = append(w.watches, x)
+	return &etcdserverpb.WatchResponse{Header: w.header(), WatchId: x.id, Created: true}
+}
+
 func send(stream etcdserverpb.Watch_WatchServer, still bool, all []*etcdserverpb.WatchResponse) error {
 	for _, r := range all {
 		if still {
--- a/internal/logstats/ends.go
+++ b/internal/logstats/ends.go
@@ -115,6 +115,7 @@
 	return e, nil
 }
 
+// take adds up what one line says.
 func (e *Ends) take(relay string, x *entry) {
 	p := e.relays[relay]
 	if p == nil {
@@ -127,42 +128,49 @@
 	switch x.text {
 	case msgtrace.Ready:
 		p.starts = append(p.starts, start{x.when, x.fields["log"] == "none"})
-		return
 	case metrics.LogText:
-		for _, k := range x.order {
-			if n, err := strconv.ParseInt(x.fields[k], 10, 64); err == nil && n > 0 && n < countMost &&
-				strings.HasSuffix(k, ".untold") {
-				e.Untold += n
-			}
+		e.takeCounts(x)
+	case msgtrace.Accepted, msgtrace.Withdrawn, msgtrace.Delivered, msgtrace.EndpointFinished,
+		msgtrace.AttemptFailed, msgtrace.Ended, msgtrace.NoticeDelivered, msgtrace.Recovered:
+		if l := e.life(x); l != nil {
+			l.relay = relay
+			e.takeMessage(l, x)
+		}
+	} // rejected ones were never taken on
+}
+
+// takeCounts adds up the messages that were sampled and not told of.
+func (e *Ends) takeCounts(x *entry) {
+	for _, k := range x.order {
+		if !strings.HasSuffix(k, ".untold") {
+			continue
+		}
+		if n, err := strconv.ParseInt(x.fields[k], 10, 64); err == nil && n > 0 && n < countMost {
+			e.Untold += n
 		}
-		return
 	}
+}
+
+// life returns the message that a line is about; nil where it is not followed.
+func (e *Ends) life(x *entry) *life {
 	id := x.fields["message"]
 	if id == "" {
-		return
-	}
-	switch x.text {
-	case msgtrace.Accepted,
-		msgtrace.Withdrawn,
-		msgtrace.Delivered,
-		msgtrace.EndpointFinished,
-		msgtrace.AttemptFailed,
-		msgtrace.Ended,
-		msgtrace.NoticeDelivered,
-		msgtrace.Recovered:
-	default:
-		return // refused ones were never taken on
+		return nil
 	}
 	l := e.lives[id]
 	if l == nil {
 		if len(e.lives) >= e.followed {
 			e.Unknown++
-			return
+			return nil
 		}
 		l = &life{begun: x.when}
 		e.lives[id] = l
 	}
-	l.relay = relay
+	return l
+}
+
+// takeMessage adds what a line says about its message.
+func (e *Ends) takeMessage(l *life, x *entry) {
 	if rest, ok := x.ms("left_ms"); ok && (x.text == msgtrace.Accepted || x.text == msgtrace.Recovered || !l.seen) {
 		l.due = x.when.Add(rest)
 	}
--- a/internal/logstats/report.go
+++ b/internal/logstats/report.go
@@ -56,13 +56,9 @@
 	{"refused", func(c Counts) string { return fmt.Sprint(c.Handed()) }},
 	plain("given-up", metrics.GivenUp),
 	plain("dials", metrics.ConnectionsOpened),
-	{
-		"msg/conn", func(c Counts) string { return per(c[metrics.Attempts], c[metrics.ConnectionsOpened], 1) },
-	},
+	{"msg/conn", func(c Counts) string { return per(c[metrics.Attempts], c[metrics.ConnectionsOpened], 1) }},
 	plain("probes", metrics.HealthChecks),
-	{
-		"crossed", func(c Counts) string { return per(c[metrics.CrossZoneAttempts], c[metrics.Attempts], 2) },
-	},
+	{"crossed", func(c Counts) string { return per(c[metrics.CrossZoneAttempts], c[metrics.Attempts], 2) }},
 	{"held-ms", func(c Counts) string { return per(c[metrics.FirstAttemptDelayMS], c[metrics.FirstAttempts], 0) }},
 }
 
--- a/internal/rehearsal/checker/checker.go
+++ b/internal/rehearsal/checker/checker.go
@@ -164,12 +164,8 @@
 func (r *Referee) Step(e event.Event) {
 	r.overdue(e.At)
 	r.now = max(r.now, e.At)
-	switch e.Kind {
-	case event.HandIn, event.CallFirst, event.CallBegan, event.Probed, event.ProbeDone, event.Told, event.Stopping,
-		event.Killed, event.Ready, event.Noticed:
-		if !r.known(e.Relay) {
-			return
-		}
+	if ofRelay(e.Kind) && !r.known(e.Relay) {
+		return
 	}
 	switch e.Kind {
 	case event.HandIn:
@@ -193,19 +189,9 @@
 	case event.Noticed:
 		r.noticed(&e)
 	case event.Told:
-		if gone := r.relays[e.Relay].gone; e.Status == event.ToldUp {
-			delete(gone, e.Endpoint)
-		} else if _, ok := gone[e.Endpoint]; !ok {
-			gone[e.Endpoint] = r.now
-		}
+		r.told(&e)
 	case event.Outage:
-		p := r.place(e.Endpoint)
-		if len(p.out) == 0 {
-			clear(p.seen)
-			p.hidden = 0
-		}
-		p.out[e.Endpoint] = true
-		p.hidden += e.Status
+		r.outage(&e)
 	case event.Back:
 		delete(r.place(e.Endpoint).out, e.Endpoint)
 	case event.Fell:
@@ -216,20 +202,61 @@
 		r.relays[e.Relay].down = true
 		r.forget(e.Relay)
 	case event.Ready:
-		x := &r.relays[e.Relay]
-		if x.down {
-			r.restarted(e.Relay)
-		}
-		x.down, x.grace = false, r.now+r.f.RestartGrace
+		r.ready(e.Relay)
 	case event.Stray:
-		r.found = append(r.found, Violation{
-			Rule: Strays, At: r.now, Message: -1, ID: e.ID, Relay: e.Relay, Endpoint: e.Endpoint,
-			Evidence: fmt.Sprintf("relay %d called %s for a message that nobody handed in", e.Relay,
-				r.end(e.Endpoint).Name),
-		})
+		r.stray(&e)
 	}
 }
 
+// ofRelay reports whether events of a kind name a relay.
+func ofRelay(kind event.Kind) bool {
+	switch kind {
+	case event.HandIn, event.CallFirst, event.CallBegan, event.Probed, event.ProbeDone, event.Told, event.Stopping,
+		event.Killed, event.Ready, event.Noticed:
+		return true
+	}
+	return false
+}
+
+// told: a relay's list says where an endpoint stands.
+func (r *Referee) told(e *event.Event) {
+	gone := r.relays[e.Relay].gone
+	if e.Status == event.ToldUp {
+		delete(gone, e.Endpoint)
+	} else if _, ok := gone[e.Endpoint]; !ok {
+		gone[e.Endpoint] = r.now
+	}
+}
+
+// outage: an endpoint fails.
+func (r *Referee) outage(e *event.Event) {
+	p := r.place(e.Endpoint)
+	if len(p.out) == 0 {
+		clear(p.seen)
+		p.hidden = 0
+	}
+	p.out[e.Endpoint] = true
+	p.hidden += e.Status
+}
+
+// ready: a relay serves, for the first time or again.
+func (r *Referee) ready(relay int) {
+	x := &r.relays[relay]
+	if x.down {
+		r.restarted(relay)
+	}
+	x.down, x.grace = false, r.now+r.f.RestartGrace
+}
+
+// stray: a call for a message that there is not.
+func (r *Referee) stray(e *event.Event) {
+	r.found = append(r.found, Violation{
+		Rule: Strays, At: r.now, Message: -1, ID: e.ID, Relay: e.Relay, Endpoint: e.Endpoint,
+		Evidence: fmt.Sprintf("relay %d called %s for a message that nobody handed in", e.Relay,
+			r.end(e.Endpoint).Name),
+	})
+}
+
 // Finish judges what is open at the end of the record.
 func (r *Referee) Finish(at Time) {
 	for i := range r.relays {
--- a/internal/rehearsal/idlebench/relay.go
+++ b/internal/rehearsal/idlebench/relay.go
@@ -28,6 +28,7 @@
 	partner *partner
 }
 
+// start starts a relay and waits until it answers.
 func start(ctx context.Context, o *Options, discovery string) (*relay, error) {
 	ln, err := loopback.Listen(0)
 	if err != nil {
@@ -35,6 +36,30 @@
 	}
 	r := &relay{addr: ln.Addr().String(), done: make(chan error, 1), log: filepath.Join(o.Dir, "log")}
 	_ = ln.Close()
+	env, err := r.configure(o, discovery)
+	if err != nil {
+		return nil, err
+	}
+	log, err := os.Create(r.log)
+	if err != nil {
+		return nil, err
+	}
+	defer func() { _ = log.Close() }() // the process writes by its own descriptor
+	r.cmd = exec.Command(o.Command[0], o.Command[1:]...)
+	r.cmd.Env, r.cmd.Stdout, r.cmd.Stderr = append(env, o.Env...), log, log
+	r.cmd.SysProcAttr = &syscall.SysProcAttr{Setpgid: true}
+	if err := r.cmd.Start(); err != nil {
+		return nil, err
+	}
+	go func() { r.done <- r.cmd.Wait() }()
+	if err := r.awaitReady(ctx); err != nil {
+		return nil, err
+	}
+	return r, nil
+}
+
+// configure writes the relay's files and returns its environment.
+func (r *relay) configure(o *Options, discovery string) ([]string, error) {
 	state := filepath.Join(o.Dir, "state")
 	if err := os.MkdirAll(state, 0o700); err != nil {
 		return nil, err
@@ -50,35 +75,28 @@
 	}
 	env := append(os.Environ(), "ROUTER_CONFIG="+path, "ROUTER_STATE="+state, "ROUTER_NAME=", "ROUTER_LISTEN=",
 		"ROUTER_DISCOVERY=")
-	if o.Operator {
-		own := filepath.Join(o.Dir, "operator.toml")
-		places := o.Idle + o.Active + 200
-		text := fmt.Sprintf("[clients]\ndescriptors = %d\nplaces = %d\nstrangers = %d\nasked_most = %d\n"+
-			"idle_s = 3600\n",
-			descriptors, places, places, places)
-		if err := os.WriteFile(own, []byte(text), 0o600); err != nil {
-			return nil, err
-		}
-		env = append(env, "TROUTUSHER_OPERATOR="+own)
-	}
-	log, err := os.Create(r.log)
-	if err != nil {
-		return nil, err
+	if !o.Operator {
+		return env, nil
 	}
-	defer func() { _ = log.Close() }() // the process writes by its own descriptor
-	r.cmd = exec.Command(o.Command[0], o.Command[1:]...)
-	r.cmd.Env, r.cmd.Stdout, r.cmd.Stderr = append(env, o.Env...), log, log
-	r.cmd.SysProcAttr = &syscall.SysProcAttr{Setpgid: true}
-	if err := r.cmd.Start(); err != nil {
+	own := filepath.Join(o.Dir, "operator.toml")
+	places := o.Idle + o.Active + 200
+	operator := fmt.Sprintf("[clients]\ndescriptors = %d\nplaces = %d\nstrangers = %d\nasked_most = %d\n"+
+		"idle_s = 3600\n",
+		descriptors, places, places, places)
+	if err := os.WriteFile(own, []byte(operator), 0o600); err != nil {
 		return nil, err
 	}
-	go func() { r.done <- r.cmd.Wait() }()
+	return append(env, "TROUTUSHER_OPERATOR="+own), nil
+}
+
+// awaitReady waits until the relay answers, or its process ends.
+func (r *relay) awaitReady(ctx context.Context) error {
 	for {
 		if c, err := net.DialTimeout("tcp4", r.addr, time.Second); err == nil {
 			_, err = ask(c, bufio.NewReader(c), ping, time.Second)
 			_ = c.Close()
 			if err == nil {
-				return r, nil
+				return nil
 			}
 		}
 		select {
@@ -87,11 +105,11 @@
 			if err == nil {
 				err = errExitZero
 			}
-			return nil, fmt.Errorf("crowd: the relay ended before it was ready: %w: %s", err,
+			return fmt.Errorf("crowd: the relay ended before it was ready: %w: %s", err,
 				strings.TrimSpace(string(text)))
 		case <-ctx.Done():
 			r.close()
-			return nil, ctx.Err()
+			return ctx.Err()
 		case <-time.After(10 * time.Millisecond):
 		}
 	}
--- a/internal/rehearsal/replay/recording.go
+++ b/internal/rehearsal/replay/recording.go
@@ -192,71 +192,96 @@
 	r := &reader{in: bufio.NewScanner(in), sum: sha256.New()}
 	r.in.Buffer(make([]byte, 0, 64<<10), lineMost)
 	r.in.Split(wholeLines)
-	text, err := r.line()
+	h, s, err := r.head()
 	if err != nil {
 		return nil, Environment{}, err
 	}
+	p := s.World(h.Seed)
+	for {
+		done, err := r.readNext(p)
+		if err != nil {
+			return nil, h.Environment, err
+		}
+		if done != nil {
+			return p, h.Environment, r.finish(p, done)
+		}
+	}
+}
+
+// head reads the first line and the scenario in it.
+func (r *reader) head() (h head, s *scenario.Scenario, err error) {
+	text, err := r.line()
+	if err != nil {
+		return h, nil, err
+	}
 	// The version first: what else a newer head holds is not for this release.
 	var v struct {
 		Format  string `json:"format"`
 		Version int    `json:"version"`
 	}
 	if err := decode(text, &v, false); err != nil {
-		return nil, Environment{}, r.wrong(err)
+		return h, nil, r.wrong(err)
 	}
 	switch {
 	case v.Format != format:
-		return nil, Environment{}, r.wrong(fmt.Errorf("not a recording: format %.40q, want %q", v.Format, format))
+		return h, nil, r.wrong(fmt.Errorf("not a recording: format %.40q, want %q", v.Format, format))
 	case v.Version > Version:
-		return nil, Environment{}, r.wrong(
-			fmt.Errorf("version %d, this release reads up to %d: %w", v.Version, Version, ErrNewer),
-		)
+		return h, nil, r.wrong(fmt.Errorf("version %d, this release reads up to %d: %w", v.Version, Version, ErrNewer))
 	case v.Version < 1:
-		return nil, Environment{}, r.wrong(fmt.Errorf("version %d, want 1 to %d", v.Version, Version))
+		return h, nil, r.wrong(fmt.Errorf("version %d, want 1 to %d", v.Version, Version))
 	}
-	var h head
 	if err := decode(text, &h, true); err != nil {
-		return nil, Environment{}, r.wrong(err)
+		return h, nil, r.wrong(err)
 	}
-	s, err := scenario.Parse("scenario", []byte(h.Scenario))
-	if err != nil {
-		return nil, Environment{}, r.wrong(err)
+	if s, err = scenario.Parse("scenario", []byte(h.Scenario)); err != nil {
+		return h, nil, r.wrong(err)
 	}
 	r.sum.Write(text)
-	p := s.World(h.Seed)
-	for {
-		if text, err = r.line(); err != nil {
-			return nil, h.Environment, err
-		}
-		var x line
-		if err := decode(text, &x, true); err != nil {
-			return nil, h.Environment, r.wrong(err)
-		}
-		switch {
-		case x.End != nil:
-			return p, h.Environment, r.finish(p, x.End)
-		case x.Arrival != nil:
-			if n := len(p.Arrivals); n > 0 && x.Arrival.At < p.Arrivals[n-1].At {
-				err = fmt.Errorf("at_us: %d, and the arrival before it is at %d", x.Arrival.At, p.Arrivals[n-1].At)
-			} else {
-				err = x.Arrival.Check(p)
-			}
-			p.Arrivals = append(p.Arrivals, *x.Arrival)
-		case x.Fault != nil:
-			if err = x.Fault.Check(p); err == nil {
-				p.Faults = append(p.Faults, *x.Fault)
-			}
-		default:
-			err = errors.New("neither arrival, fault nor end")
-		}
-		if err == nil && r.n > linesMost {
-			err = fmt.Errorf("more than %d lines", linesMost)
-		}
-		if err != nil {
-			return nil, h.Environment, r.wrong(err)
+	return h, s, nil
+}
+
+// readNext reads one more line into the plan, or returns the recording's end.
+func (r *reader) readNext(p *scenario.Plan) (*end, error) {
+	text, err := r.line()
+	if err != nil {
+		return nil, err
+	}
+	var x line
+	if err := decode(text, &x, true); err != nil {
+		return nil, r.wrong(err)
+	}
+	switch {
+	case x.End != nil:
+		return x.End, nil
+	case x.Arrival != nil:
+		err = addArrival(p, x.Arrival)
+	case x.Fault != nil:
+		if err = x.Fault.Check(p); err == nil {
+			p.Faults = append(p.Faults, *x.Fault)
 		}
-		r.sum.Write(text)
+	default:
+		err = errors.New("neither arrival, fault nor end")
 	}
+	if err == nil && r.n > linesMost {
+		err = fmt.Errorf("more than %d lines", linesMost)
+	}
+	if err != nil {
+		return nil, r.wrong(err)
+	}
+	r.sum.Write(text)
+	return nil, nil
+}
+
+// addArrival checks an arrival and adds it to the plan.
+func addArrival(p *scenario.Plan, a *scenario.Arrival) error {
+	if n := len(p.Arrivals); n > 0 && a.At < p.Arrivals[n-1].At {
+		return fmt.Errorf("at_us: %d, and the arrival before it is at %d", a.At, p.Arrivals[n-1].At)
+	}
+	if err := a.Check(p); err != nil {
+		return err
+	}
+	p.Arrivals = append(p.Arrivals, *a)
+	return nil
 }
 
 // finish judges the last line.
--- a/internal/rehearsal/report/html.go
+++ b/internal/rehearsal/report/html.go
@@ -5,6 +5,7 @@
 	"html"
 	"io"
 	"math"
+	"slices"
 	"strings"
 )
 
@@ -78,83 +79,119 @@
 
 // timeline draws worth and faults over time: a row for each partner.
 func (r *Report) timeline(b *strings.Builder) {
-	seconds := float64(max(len(r.Seconds), 1))
-	wide := pageWide - nameWide - sideWide
-	x := func(s float64) float64 { return nameWide + wide*min(max(s/seconds, 0), 1) }
-	relays := 0
-	for _, f := range r.Faults {
-		if len(f.Relays) > 0 {
-			relays = 1
-		}
+	c := &chart{Report: r, Builder: b, seconds: float64(max(len(r.Seconds), 1))}
+	relayRow := slices.ContainsFunc(r.Faults, func(f Fault) bool { return len(f.Relays) > 0 })
+	rows := len(r.Partners)
+	if relayRow {
+		rows++
 	}
-	top := areaHigh + 40
-	high := top + rowHigh*float64(len(r.Partners)+relays) + 30
+	high := chartTop + rowHigh*float64(rows) + 30
 	fmt.Fprintf(b, "<svg viewBox=\"0 0 %.0f %.0f\" role=\"img\" aria-label=\"Service and faults over time\">\n",
 		pageWide, high)
-	// Worth asked for and delivered, by second of arrival.
+	c.worth()
+	c.axis()
+	for i := range r.Partners {
+		c.partner(i)
+	}
+	if relayRow {
+		c.relays()
+	}
+	c.brokenRules(high - 20)
+	fmt.Fprintf(b, "<text x=\"%.1f\" y=\"%.1f\">rows: service by second of arrival, from red (none) to green "+
+		"(all); black bars: faults; dashed red: broken rules</text></svg>\n",
+		nameWide, high-6)
+}
+
+const (
+	chartWide = pageWide - nameWide - sideWide
+	chartTop  = areaHigh + 40
+)
+
+// chart draws a timeline as SVG.
+type chart struct {
+	*Report
+	*strings.Builder
+	seconds float64
+}
+
+// x is where a second is drawn.
+func (c *chart) x(s float64) float64 { return nameWide + chartWide*min(max(s/c.seconds, 0), 1) }
+
+// worth draws what was asked for and delivered, by second of arrival.
+func (c *chart) worth() {
 	most := 1e-9
-	for _, s := range r.Seconds {
+	for _, s := range c.Seconds {
 		most = max(most, s.Asked)
 	}
-	b.WriteString(`<text x="0" y="16">worth a second</text>` +
+	c.WriteString(`<text x="0" y="16">worth a second</text>` +
 		`<text x="0" y="34" style="fill:#8a94a6">grey: asked for</text>` +
 		`<text x="0" y="52" style="fill:#2563a8">blue: delivered</text>`)
-	fmt.Fprintf(b, "<text x=\"%.1f\" y=\"12\" text-anchor=\"end\">%.0f</text>", nameWide-6, most)
-	for i, s := range r.Seconds {
+	fmt.Fprintf(c.Builder, "<text x=\"%.1f\" y=\"12\" text-anchor=\"end\">%.0f</text>", nameWide-6, most)
+	for i, s := range c.Seconds {
 		for _, bar := range []struct {
 			v     float64
 			color string
 		}{{s.Asked, "#c9d0da"}, {s.Earned, "#2563a8"}} {
 			h := areaHigh * bar.v / most
-			fmt.Fprintf(b, "<rect x=\"%.1f\" y=\"%.1f\" width=\"%.1f\" height=\"%.1f\" fill=\"%s\"/>", x(float64(i)),
-				areaHigh-h, max(wide/seconds-1, 0.5), h, bar.color)
+			fmt.Fprintf(c.Builder, "<rect x=\"%.1f\" y=\"%.1f\" width=\"%.1f\" height=\"%.1f\" fill=\"%s\"/>",
+				c.x(float64(i)), areaHigh-h, max(chartWide/c.seconds-1, 0.5), h, bar.color)
 		}
 	}
-	step := math.Max(1, math.Ceil(seconds/12))
-	for s := 0.0; s <= seconds; s += step {
-		fmt.Fprintf(b, "<text x=\"%.1f\" y=\"%.1f\" text-anchor=\"middle\">%.0f s</text>", x(s), areaHigh+18, s)
-	}
-	fmt.Fprintln(b)
-	for i, p := range r.Partners {
-		y := top + rowHigh*float64(i)
-		fmt.Fprintf(b, "<text x=\"0\" y=\"%.1f\">%s %.2f</text>", y+16, html.EscapeString(p.Name), p.Service.Service)
-		for s := range r.Seconds {
-			if i >= len(r.Seconds[s].Partners) {
-				continue
-			}
-			v := r.Seconds[s].Partners[i]
-			fmt.Fprintf(b, "<rect x=\"%.1f\" y=\"%.1f\" width=\"%.1f\" height=\"16\" fill=\"%s\"><title>%s, "+
-				"second %d: %s</title></rect>",
-				x(float64(s)), y+6, max(wide/seconds-0.5, 0.5), heat(v), html.EscapeString(p.Name), s, served(v))
+}
+
+func (c *chart) axis() {
+	step := math.Max(1, math.Ceil(c.seconds/12))
+	for s := 0.0; s <= c.seconds; s += step {
+		fmt.Fprintf(c.Builder, "<text x=\"%.1f\" y=\"%.1f\" text-anchor=\"middle\">%.0f s</text>",
+			c.x(s), areaHigh+18, s)
+	}
+	c.WriteString("\n")
+}
+
+// partner draws a partner's row: its service by second, and its faults.
+func (c *chart) partner(i int) {
+	p := &c.Partners[i]
+	y := chartTop + rowHigh*float64(i)
+	name := html.EscapeString(p.Name)
+	fmt.Fprintf(c.Builder, "<text x=\"0\" y=\"%.1f\">%s %.2f</text>", y+16, name, p.Service.Service)
+	for s := range c.Seconds {
+		if i >= len(c.Seconds[s].Partners) {
+			continue
 		}
-		for _, f := range r.Faults {
-			for _, hit := range f.Partners {
-				if hit == i {
-					bar(b, &f, x, y+2)
-				}
+		v := c.Seconds[s].Partners[i]
+		fmt.Fprintf(c.Builder, "<rect x=\"%.1f\" y=\"%.1f\" width=\"%.1f\" height=\"16\" fill=\"%s\">"+
+			"<title>%s, second %d: %s</title></rect>",
+			c.x(float64(s)), y+6, max(chartWide/c.seconds-0.5, 0.5), heat(v), name, s, served(v))
+	}
+	for _, f := range c.Faults {
+		for _, hit := range f.Partners {
+			if hit == i {
+				bar(c.Builder, &f, c.x, y+2)
 			}
 		}
-		fmt.Fprintln(b)
-	}
-	if relays > 0 {
-		y := top + rowHigh*float64(len(r.Partners))
-		fmt.Fprintf(b, "<text x=\"0\" y=\"%.1f\">relays, list</text>", y+16)
-		for _, f := range r.Faults {
-			if len(f.Relays) > 0 {
-				bar(b, &f, x, y+10)
-			}
+	}
+	c.WriteString("\n")
+}
+
+// relays draws the row of faults of relays and lists.
+func (c *chart) relays() {
+	y := chartTop + rowHigh*float64(len(c.Partners))
+	fmt.Fprintf(c.Builder, "<text x=\"0\" y=\"%.1f\">relays, list</text>", y+16)
+	for _, f := range c.Faults {
+		if len(f.Relays) > 0 {
+			bar(c.Builder, &f, c.x, y+10)
 		}
 	}
-	for _, rule := range r.Rules {
+}
+
+func (c *chart) brokenRules(bottom float64) {
+	for _, rule := range c.Rules {
 		for _, v := range rule.Broken {
-			fmt.Fprintf(b, "<line x1=\"%.1f\" x2=\"%.1f\" y1=\"0\" y2=\"%.1f\" stroke=\"#b3261e\" "+
+			fmt.Fprintf(c.Builder, "<line x1=\"%.1f\" x2=\"%.1f\" y1=\"0\" y2=\"%.1f\" stroke=\"#b3261e\" "+
 				"stroke-dasharray=\"3 3\"><title>%s: %s</title></line>",
-				x(v.AtS), x(v.AtS), high-20, html.EscapeString(rule.Rule), html.EscapeString(v.Evidence))
+				c.x(v.AtS), c.x(v.AtS), bottom, html.EscapeString(rule.Rule), html.EscapeString(v.Evidence))
 		}
 	}
-	fmt.Fprintf(b, "<text x=\"%.1f\" y=\"%.1f\">rows: service by second of arrival, from red (none) to green "+
-		"(all); black bars: faults; dashed red: broken rules</text></svg>\n",
-		nameWide, high-6)
 }
 
 // bar draws a fault over a row.
--- a/internal/rehearsal/report/report.go
+++ b/internal/rehearsal/report/report.go
@@ -206,6 +206,21 @@
 		Door:        o.Door,
 		Untried:     Untried{o.Starts.Untried, o.Starts.Tried, o.Starts.Ended},
 	}
+	r.groups(o)
+	asked, earned := r.addResults(o)
+	r.finish()
+	r.seconds(asked, earned)
+	r.Worst10S = worst(r.Seconds, 10)
+	r.faults(o)
+	r.rules(o.Violations)
+	r.judge(o)
+	r.Runs = []float64{r.Service.Service}
+	return r
+}
+
+// groups names what results are added up by.
+func (r *Report) groups(o *runner.Outcome) {
+	p, s := o.Plan, o.Plan.Scenario
 	for _, c := range s.Classes {
 		r.Classes = append(r.Classes, Group{Name: c.Name})
 	}
@@ -219,9 +234,15 @@
 			Wasted: o.Calls[i].Began - o.Calls[i].Delivered,
 		})
 	}
+}
+
+// addResults adds up the results, and returns the worth asked for and earned, by second
+// and partner.
+func (r *Report) addResults(o *runner.Outcome) (asked, earned [][]float64) {
+	p, s := o.Plan, o.Plan.Scenario
 	seconds := int(math.Ceil(s.LengthS))
-	asked := make([][]float64, seconds)
-	earned := make([][]float64, seconds)
+	asked = make([][]float64, seconds)
+	earned = make([][]float64, seconds)
 	for i := range asked {
 		asked[i], earned[i] = make([]float64, len(p.Specs)), make([]float64, len(p.Specs))
 	}
@@ -238,6 +259,10 @@
 		asked[sec][a.Dest-1] += class.Worth
 		earned[sec][a.Dest-1] += got
 	}
+	return asked, earned
+}
+
+func (r *Report) finish() {
 	r.Service.finish()
 	for i := range r.Classes {
 		r.Classes[i].finish()
@@ -248,8 +273,12 @@
 	for i := range r.Partners {
 		r.Partners[i].finish()
 	}
+}
+
+// seconds sets the service of each second; -1 where a partner was asked for nothing.
+func (r *Report) seconds(asked, earned [][]float64) {
 	for i := range asked {
-		x := Second{Partners: make([]float64, len(p.Specs))}
+		x := Second{Partners: make([]float64, len(asked[i]))}
 		for j := range asked[i] {
 			x.Asked, x.Earned, x.Partners[j] = x.Asked+asked[i][j], x.Earned+earned[i][j], -1
 			if asked[i][j] > 0 {
@@ -258,12 +287,6 @@
 		}
 		r.Seconds = append(r.Seconds, x)
 	}
-	r.Worst10S = worst(r.Seconds, 10)
-	r.faults(o)
-	r.rules(o.Violations)
-	r.judge(o)
-	r.Runs = []float64{r.Service.Service}
-	return r
 }
 
 func ms(t event.Time) float64 { return float64(t) / 1000 }
--- a/internal/rehearsal/report/report_test.go
+++ b/internal/rehearsal/report/report_test.go
@@ -85,13 +85,9 @@
 		MemoryKB:   []int{10240},
 		Results: []loadgen.Result{
 			{End: loadgen.Delivered, At: 500_000, HandIns: 1},
-			{
-				End: loadgen.Delivered, At: 2e6, HandIns: 2, Refusals: 1,
-			},
+			{End: loadgen.Delivered, At: 2e6, HandIns: 2, Refusals: 1},
 			{End: loadgen.Delivered, At: 1e6, HandIns: 1},
-			{
-				End: loadgen.Refused, HandIns: 3, Refusals: 3,
-			},
+			{End: loadgen.Refused, HandIns: 3, Refusals: 3},
 			{End: loadgen.Failed, HandIns: 1},
 			{End: loadgen.Delivered, At: 1e6, HandIns: 1},
 		},
--- a/internal/rehearsal/report/text.go
+++ b/internal/rehearsal/report/text.go
@@ -15,75 +15,100 @@
 func (r *Report) WriteText(w io.Writer) error {
 	b := &strings.Builder{}
 	fmt.Fprintf(b, "%s (seed %d): %s\n\n", r.Scenario, r.Seed, r.About)
+	r.textService(b)
+	b.WriteString("\n")
+	r.textGroups(b)
+	b.WriteString("\n")
+	r.textPartners(b)
+	b.WriteString("\n")
+	r.textLatencies(b)
+	r.textCounts(b)
+	b.WriteString("\n")
+	r.textRules(b)
+	fmt.Fprintf(b, "\n%s", r.Verdict)
+	for i, why := range r.Reasons {
+		fmt.Fprintf(b, "%s%s", map[bool]string{true: ": ", false: "; "}[i == 0], why)
+	}
+	b.WriteString("\n")
+	_, err := io.WriteString(w, b.String())
+	return err
+}
+
+func (r *Report) textService(b *strings.Builder) {
 	s := &r.Service
-	fmt.Fprintf(b, "service %.3f: worth %.1f delivered of %.1f asked for; worst 10 s %.3f, from %d s on\n", s.Service,
-		s.Earned, s.Asked, r.Worst10S.Service, r.Worst10S.FromS)
+	fmt.Fprintf(b, "service %.3f: worth %.1f delivered of %.1f asked for; worst 10 s %.3f, from %d s on\n",
+		s.Service, s.Earned, s.Asked, r.Worst10S.Service, r.Worst10S.FromS)
 	if mean, dev, n := r.Noise(); n > 1 {
 		fmt.Fprintf(b, "%d runs: mean %.4f, standard deviation %.4f; the figures are those of the run in the middle\n",
 			n, mean, dev)
 	}
-	fmt.Fprintf(b, "%d messages, %d hand-ins: %d delivered, %d refused for good, %d failed, %d unheard", s.Messages,
-		s.HandIns, s.Delivered, s.Refused, s.Failed, s.Unheard)
+	fmt.Fprintf(b, "%d messages, %d hand-ins: %d delivered, %d refused for good, %d failed, %d unheard",
+		s.Messages, s.HandIns, s.Delivered, s.Refused, s.Failed, s.Unheard)
 	if s.Pending > 0 {
 		fmt.Fprintf(b, ", %d with no end", s.Pending)
 	}
-	fmt.Fprintf(b, "; %d refusals in all\n\n", s.Refusals)
+	fmt.Fprintf(b, "; %d refusals in all\n", s.Refusals)
+}
 
+func (r *Report) textGroups(b *strings.Builder) {
 	t := texttable.NewAlignedRight()
-	t.Rowf("class\tmessages\tservice\tdelivered\trefused\tfailed\t")
-	for _, g := range r.Classes {
-		t.Rowf("%s\t%d\t%.3f\t%d\t%d\t%d\t", g.Name, g.Messages, g.Service.Service, g.Delivered, g.Refused, g.Failed)
+	rows := func(groups []Group) {
+		for _, g := range groups {
+			t.Rowf("%s\t%d\t%.3f\t%d\t%d\t%d\t",
+				g.Name, g.Messages, g.Service.Service, g.Delivered, g.Refused, g.Failed)
+		}
 	}
+	t.Rowf("class\tmessages\tservice\tdelivered\trefused\tfailed\t")
+	rows(r.Classes)
 	t.Rowf("\t\t\t\t\t\t\nportal\tmessages\tservice\tdelivered\trefused\tfailed\t")
-	for _, g := range r.Portals {
-		t.Rowf("%s\t%d\t%.3f\t%d\t%d\t%d\t", g.Name, g.Messages, g.Service.Service, g.Delivered, g.Refused, g.Failed)
-	}
+	rows(r.Portals)
 	b.WriteString(t.String())
-	fmt.Fprintln(b)
-	t = texttable.NewAlignedRight()
+}
+
+func (r *Report) textPartners(b *strings.Builder) {
+	t := texttable.NewAlignedRight()
 	t.Rowf("partner\tendpoints\tmessages\tservice\tcalls\tturned away\tfailed\twasted\tprobes\t")
 	for _, p := range r.Partners {
 		t.Rowf("%s\t%d\t%d\t%.3f\t%d\t%d\t%d\t%d\t%d\t",
-			p.Name,
-			p.Endpoints,
-			p.Messages,
-			p.Service.Service,
-			p.Calls.Began,
-			p.Calls.Refused,
-			p.Calls.Failed,
-			p.Wasted,
-			p.Calls.Probes,
-		)
+			p.Name, p.Endpoints, p.Messages, p.Service.Service, p.Calls.Began, p.Calls.Refused, p.Calls.Failed,
+			p.Wasted, p.Calls.Probes)
 	}
 	b.WriteString(t.String())
-	fmt.Fprintln(b)
-	t = texttable.NewAlignedRight()
+}
+
+func (r *Report) textLatencies(b *strings.Builder) {
+	t := texttable.NewAlignedRight()
 	t.Rowf("ms from the planned moment\tcount\tp50\tp90\tp99\tp99.9\tmost\t")
-	for _, q := range []struct {
+	for _, x := range []struct {
 		name string
 		q    Quantiles
 	}{{"to the first answer", r.Answers}, {"to the delivery", r.Delivery}} {
-		t.Rowf("%s\t%d\t%.1f\t%.1f\t%.1f\t%.1f\t%.1f\t", q.name, q.q.Count, q.q.P50, q.q.P90, q.q.P99, q.q.P999,
-			q.q.Max,
-		)
+		t.Rowf("%s\t%d\t%.1f\t%.1f\t%.1f\t%.1f\t%.1f\t",
+			x.name, x.q.Count, x.q.P50, x.q.P90, x.q.P99, x.q.P999, x.q.Max)
 	}
 	b.WriteString(t.String())
-	fmt.Fprintf(b, "the kit was late by (p99): driver %.1f ms, stand-ins %.1f ms; %.0f at most\n", r.Late.Driver,
-		r.Late.StandIn, r.Late.Most)
+	fmt.Fprintf(b, "the kit was late by (p99): driver %.1f ms, stand-ins %.1f ms; %.0f at most\n",
+		r.Late.Driver, r.Late.StandIn, r.Late.Most)
+}
+
+func (r *Report) textCounts(b *strings.Builder) {
 	fmt.Fprintf(b, "requests that met a connection refused, reset or closed unread: %d\n", r.Door)
 	if u := r.Untried; u.Found > 0 {
-		fmt.Fprintf(b, "untried at a restart, with half of their time left: %d, of them %d called and %d ended "+
-			"with no call\n",
+		fmt.Fprintf(b, "untried at a restart, with half of their time left: "+
+			"%d, of them %d called and %d ended with no call\n",
 			u.Found, u.Tried, u.Ended)
 	}
-	if len(r.MemoryKB) > 0 {
-		fmt.Fprint(b, "most resident memory of the relays:")
-		for _, kb := range r.MemoryKB {
-			fmt.Fprintf(b, " %.1f", float64(kb)/1024)
-		}
-		fmt.Fprintln(b, " MB")
+	if len(r.MemoryKB) == 0 {
+		return
+	}
+	b.WriteString("most resident memory of the relays:")
+	for _, kb := range r.MemoryKB {
+		fmt.Fprintf(b, " %.1f", float64(kb)/1024)
 	}
-	fmt.Fprintln(b)
+	b.WriteString(" MB\n")
+}
+
+func (r *Report) textRules(b *strings.Builder) {
 	for _, x := range r.Rules {
 		if len(x.Broken) == 0 {
 			fmt.Fprintf(b, "kept    %s\n", x.Rule)
@@ -102,13 +127,6 @@
 			fmt.Fprintf(b, ": %s\n", v.Evidence)
 		}
 	}
-	fmt.Fprintf(b, "\n%s", r.Verdict)
-	for i, why := range r.Reasons {
-		fmt.Fprintf(b, "%s%s", map[bool]string{true: ": ", false: "; "}[i == 0], why)
-	}
-	fmt.Fprintln(b)
-	_, err := io.WriteString(w, b.String())
-	return err
 }
 
 // Compare sets a report beside an earlier one. A difference within the noise
@@ -120,6 +138,15 @@
 	if before.Scenario != after.Scenario || before.Seed != after.Seed {
 		fmt.Fprintln(b, "these are not the same rehearsal: the difference is not the relays' alone")
 	}
+	compareService(b, before, after)
+	b.WriteString(compareFigures(before, after))
+	_, err := io.WriteString(w, b.String())
+	return err
+}
+
+// compareService compares the services, whose noise is known where each was played more
+// than once.
+func compareService(b *strings.Builder, before, after *Report) {
 	mb, db, nb := before.Noise()
 	ma, da, na := after.Noise()
 	if nb > 1 && na > 1 {
@@ -137,6 +164,10 @@
 			"(--repeat N)\n",
 			mb, ma, ma-mb)
 	}
+}
+
+// compareFigures returns a table of the figures of both.
+func compareFigures(before, after *Report) string {
 	t := texttable.NewAlignedRight()
 	t.Rowf("\tbefore\tafter\tdifference\t")
 	row := func(name string, x, y float64, format string) {
@@ -173,7 +204,5 @@
 	row("ms to the delivery, p50", before.Delivery.P50, after.Delivery.P50, "%.1f")
 	row("ms to the delivery, p99", before.Delivery.P99, after.Delivery.P99, "%.1f")
 	row("broken rules", float64(before.Broken()), float64(after.Broken()), "%.0f")
-	b.WriteString(t.String())
-	_, err := io.WriteString(w, b.String())
-	return err
+	return t.String()
 }
--- a/internal/rehearsal/runner/faults.go
+++ b/internal/rehearsal/runner/faults.go
@@ -50,140 +50,188 @@
 	}
 }
 
+// plannedFault is one fault of the plan as it is played.
+type plannedFault struct {
+	*Stage
+	*scenario.PlannedFault
+	ctx  context.Context
+	name string // for those who watch
+}
+
+// moments returns what a fault does, and when.
 func (s *Stage) moments(ctx context.Context, f *scenario.PlannedFault) []moment {
 	name := f.Kind
 	if len(f.Endpoints) > 0 {
 		name += " " + s.plan.Specs[s.plan.Endpoints[f.Endpoints[0]].Partner].Name
 	}
-	span := func(begin, end func()) []moment {
-		return []moment{{f.At, func() { s.holds(name, 1); begin() }}, {f.Until, func() { end(); s.holds(name, -1) }}}
-	}
-	relays := func(do func(relay int)) func() {
-		return func() {
-			for _, r := range f.Relays {
-				do(r)
-			}
-		}
-	}
-	process := func(do func(r *relay)) []moment {
-		return []moment{{f.At, relays(func(i int) {
-			s.jobs.Add(1)
-			go func() {
-				defer s.jobs.Done()
-				s.holds(fmt.Sprintf("%s %d", f.Kind, i+1), 1)
-				defer s.holds(fmt.Sprintf("%s %d", f.Kind, i+1), -1)
-				r := s.relays[i]
-				r.mu.Lock()
-				defer r.mu.Unlock()
-				if s.agents[i].Process {
-					do(r)
-				}
-			}()
-		})}}
-	}
+	x := &plannedFault{Stage: s, PlannedFault: f, ctx: ctx, name: name}
 	switch f.Kind {
 	case scenario.Drain, scenario.Remove:
 		return s.leaving(f, name)
-	case scenario.ListLate:
-		more := time.Duration(f.Size * float64(time.Second))
-		return span(
-			relays(func(i int) { s.reg.Late(i, more, true) }), relays(func(i int) { s.reg.Late(i, more, false) }),
-		)
-	case scenario.ListStale:
-		return span(relays(func(i int) { s.reg.Stale(i, true) }), relays(func(i int) { s.reg.Stale(i, false) }))
-	case scenario.ListSilent:
-		return span(relays(func(i int) { s.reg.Silence(i, true) }), relays(func(i int) { s.reg.Silence(i, false) }))
+	case scenario.ListLate, scenario.ListStale, scenario.ListSilent:
+		return x.discovery()
 	case scenario.RelayKill:
-		return process(func(r *relay) {
-			s.driver.Down(r.num, scenario.Micros(s.plan.Scenario.Clients.FrontNoticeMS))
-			s.hub.emit(event.Event{At: s.now(), Kind: event.Killed, Relay: r.num})
-			r.kill()
-			s.pause(ctx, time.Duration(f.Until-f.At)*time.Microsecond)
-			s.again(ctx, r)
-		})
+		return x.process(x.killRelay)
 	case scenario.RelayRestart:
-		return process(func(r *relay) {
-			// New connections go on coming for a while.
-			s.driver.Down(r.num, 300_000)
-			s.hub.emit(event.Event{At: s.now(), Kind: event.Stopping, Relay: r.num})
-			if r.stop() {
-				s.say(&s.trouble, "relay %d was still there %v after SIGTERM and was killed", r.num+1, stopWait)
-			}
-			s.hub.emit(event.Event{At: s.now(), Kind: event.Killed, Relay: r.num})
-			s.again(ctx, r)
-		})
+		return x.process(x.restartRelay)
 	case scenario.Upgrade:
-		return process(func(r *relay) { s.upgrade(ctx, r, f) })
+		return x.process(func(r *relay) { s.upgrade(ctx, r, f) })
 	case scenario.DrainRelay:
-		drain := func(on bool) func() {
-			what := "UNDRAIN"
-			if on {
-				what = "DRAIN"
-			}
-			return relays(func(i int) {
-				r := s.relays[i]
-				r.mu.Lock()
-				defer r.mu.Unlock()
-				if !s.agents[i].Process {
-					return
-				}
-				if !call(r.now.console, what) {
-					s.say(&s.crashes, "relay %d: its console said no to %s", i+1, what)
-				}
-				if on { // the front sees that it says no to PING
-					s.driver.Down(i, 200_000)
-				} else {
-					s.driver.Up(i)
-				}
-			})
-		}
-		return span(drain(true), drain(false))
+		return x.span(x.drainRelay(true), x.drainRelay(false))
 	case scenario.Reload:
-		return process(func(r *relay) {
-			if _, err := s.reg.Move(r.num); err != nil {
-				s.say(&s.trouble, "%v", err)
-				return
+		return x.process(x.reload)
+	}
+	switch {
+	case strings.HasPrefix(f.Kind, "flood_"):
+		return x.flood()
+	case strings.HasPrefix(f.Kind, "tls_"):
+		return x.span(s.secrets.fault(f.Kind, f.Endpoints))
+	}
+	return x.endpoints()
+}
+
+// span is a fault that lasts.
+func (f *plannedFault) span(begin, end func()) []moment {
+	return []moment{
+		{f.At, func() { f.holds(f.name, 1); begin() }},
+		{f.Until, func() { end(); f.holds(f.name, -1) }},
+	}
+}
+
+// relays does something to each relay that the fault is about.
+func (f *plannedFault) relays(do func(relay int)) func() {
+	return func() {
+		for _, r := range f.Relays {
+			do(r)
+		}
+	}
+}
+
+// process does something to the processes of relays, beside all else that happens.
+func (f *plannedFault) process(do func(r *relay)) []moment {
+	return []moment{{f.At, f.relays(func(i int) {
+		f.jobs.Add(1)
+		go func() {
+			defer f.jobs.Done()
+			f.holds(fmt.Sprintf("%s %d", f.Kind, i+1), 1)
+			defer f.holds(fmt.Sprintf("%s %d", f.Kind, i+1), -1)
+			r := f.Stage.relays[i]
+			r.mu.Lock()
+			defer r.mu.Unlock()
+			if f.agents[i].Process {
+				do(r)
 			}
-			if err := r.configure(); err != nil {
-				s.say(&s.trouble, "%v", err)
-				return
+		}()
+	})}}
+}
+
+// discovery has lists come late, stay old, or not come.
+func (f *plannedFault) discovery() []moment {
+	more := time.Duration(f.Size * float64(time.Second))
+	set := func(on bool) func() {
+		return f.relays(func(i int) {
+			switch f.Kind {
+			case scenario.ListLate:
+				f.reg.Late(i, more, on)
+			case scenario.ListStale:
+				f.reg.Stale(i, on)
+			case scenario.ListSilent:
+				f.reg.Silence(i, on)
 			}
-			r.hup()
 		})
 	}
-	if kind := loadgen.FloodKind(f.Kind); strings.HasPrefix(f.Kind, "flood_") {
-		flood, over := context.WithCancel(ctx)
-		return span(relays(func(i int) {
-			s.jobs.Add(1)
-			go func() {
-				defer s.jobs.Done()
-				loadgen.Flood(flood, kind, s.agents[i].Listen, int(f.Size))
-			}()
-		}), over)
+	return f.span(set(true), set(false))
+}
+
+func (f *plannedFault) killRelay(r *relay) {
+	f.driver.Down(r.num, scenario.Micros(f.plan.Scenario.Clients.FrontNoticeMS))
+	f.hub.emit(event.Event{At: f.now(), Kind: event.Killed, Relay: r.num})
+	r.kill()
+	f.pause(f.ctx, time.Duration(f.Until-f.At)*time.Microsecond)
+	f.again(f.ctx, r)
+}
+
+func (f *plannedFault) restartRelay(r *relay) {
+	// New connections go on coming for a while.
+	f.driver.Down(r.num, 300_000)
+	f.hub.emit(event.Event{At: f.now(), Kind: event.Stopping, Relay: r.num})
+	if r.stop() {
+		f.say(&f.trouble, "relay %d was still there %v after SIGTERM and was killed", r.num+1, stopWait)
 	}
-	if strings.HasPrefix(f.Kind, "tls_") {
-		return span(s.secrets.fault(f.Kind, f.Endpoints))
+	f.hub.emit(event.Event{At: f.now(), Kind: event.Killed, Relay: r.num})
+	f.again(f.ctx, r)
+}
+
+// drainRelay calls the consoles of relays.
+func (f *plannedFault) drainRelay(on bool) func() {
+	command := "UNDRAIN"
+	if on {
+		command = "DRAIN"
+	}
+	return f.relays(func(i int) {
+		r := f.Stage.relays[i]
+		r.mu.Lock()
+		defer r.mu.Unlock()
+		if !f.agents[i].Process {
+			return
+		}
+		if !call(r.now.console, command) {
+			f.say(&f.crashes, "relay %d: its console said no to %s", i+1, command)
+		}
+		if on { // the front sees that it says no to PING
+			f.driver.Down(i, 200_000)
+		} else {
+			f.driver.Up(i)
+		}
+	})
+}
+
+// reload moves a relay's discovery and has it read its configuration again.
+func (f *plannedFault) reload(r *relay) {
+	if _, err := f.reg.Move(r.num); err != nil {
+		f.say(&f.trouble, "%v", err)
+		return
+	}
+	if err := r.configure(); err != nil {
+		f.say(&f.trouble, "%v", err)
+		return
 	}
+	r.hup()
+}
+
+// flood has bad clients come to relays.
+func (f *plannedFault) flood() []moment {
+	ctx, end := context.WithCancel(f.ctx)
+	begin := f.relays(func(i int) {
+		f.jobs.Add(1)
+		go func() {
+			defer f.jobs.Done()
+			loadgen.Flood(ctx, loadgen.FloodKind(f.Kind), f.agents[i].Listen, int(f.Size))
+		}()
+	})
+	return f.span(begin, end)
+}
+
+// endpoints has a fault of the model's begin and end.
+func (f *plannedFault) endpoints() []moment {
 	fault := &endpoint.Fault{
 		Kind: endpoint.FaultKind(f.Kind), Size: f.Size, Share: f.Share, Class: f.Class, Form: endpoint.Form(f.Form),
 	}
-	return span(func() {
-		s.world.Do(func(w *endpoint.World, now endpoint.Time) {
-			for _, ep := range f.Endpoints {
-				w.Begin(now, ep, fault)
-			}
-		})
-	}, func() {
-		s.world.Do(func(w *endpoint.World, now endpoint.Time) {
-			for _, ep := range f.Endpoints {
-				w.End(now, ep, fault)
-			}
-		})
-	})
+	each := func(do func(w *endpoint.World, now endpoint.Time, ep int)) func() {
+		return func() {
+			f.world.Do(func(w *endpoint.World, now endpoint.Time) {
+				for _, ep := range f.Endpoints {
+					do(w, now, ep)
+				}
+			})
+		}
+	}
+	return f.span(
+		each(func(w *endpoint.World, now endpoint.Time, ep int) { w.Begin(now, ep, fault) }),
+		each(func(w *endpoint.World, now endpoint.Time, ep int) { w.End(now, ep, fault) }),
+	)
 }
 
-// leaving has endpoints drain or go: the list says so first, and only once
-// every relay was told in time and has had its grace do they refuse work.
 func (s *Stage) leaving(f *scenario.PlannedFault, name string) []moment {
 	phase := registry.Draining
 	if f.Kind == scenario.Remove {
--- a/internal/rehearsal/runner/runner.go
+++ b/internal/rehearsal/runner/runner.go
@@ -113,13 +113,29 @@
 	return s, nil
 }
 
+// open starts stand-ins, the load driver and relays.
 func (s *Stage) open(ctx context.Context) error {
+	if err := s.openEndpoints(); err != nil {
+		return err
+	}
+	if err := s.openRegistry(); err != nil {
+		return err
+	}
+	addrs, err := s.newRelays()
+	if err != nil {
+		return err
+	}
+	s.driver = loadgen.New(loadgen.Config{Plan: s.plan, Relays: addrs, Emit: s.hub.emit, Clock: s.now, Start: 0})
+	s.hub.tell = s.driver.Happened
+	return s.startRelays(ctx)
+}
+
+func (s *Stage) openEndpoints() error {
 	p := s.plan
 	n := p.Scenario.Relays.Count
-	world, err := endpoint.New(p.Specs, endpoint.Rules{
-		Relays: n, Slots: p.Slots(), MaxAttempts: p.Scenario.Relays.MaxAttempts,
-	}, p.Work(),
-		func(id string) (endpoint.Message, bool) { return s.driver.Lookup(id) }, s.hub.emit)
+	rules := endpoint.Rules{Relays: n, Slots: p.Slots(), MaxAttempts: p.Scenario.Relays.MaxAttempts}
+	lookup := func(id string) (endpoint.Message, bool) { return s.driver.Lookup(id) }
+	world, err := endpoint.New(p.Specs, rules, p.Work(), lookup, s.hub.emit)
 	if err != nil {
 		return err
 	}
@@ -129,27 +145,35 @@
 	if s.secrets, err = newSecrets(p, s.opt.Dir); err != nil {
 		return err
 	}
-	env := s.opt.Env
 	if s.secrets != nil {
 		s.world.Secure(s.secrets.show)
-		env = append(slices.Clone(env), s.secrets.env())
 	}
+	return nil
+}
+
+func (s *Stage) openRegistry() (err error) {
+	p := s.plan
 	d := &p.Scenario.Discovery
 	s.reg, err = registry.New(registry.Config{
-		Relays: n, Seed: p.Seed, Clock: s.now, Emit: s.hub.emit,
+		Relays: p.Scenario.Relays.Count, Seed: p.Seed, Clock: s.now, Emit: s.hub.emit,
 		Delay: millis(d.DelayMS), Spread: millis(d.SpreadMS), Quiet: quiet(p),
 		Members: func(relay int) []registry.Member {
 			return members(p, func(ep int) string { return s.world.Addr(ep, relay) })
 		},
 	})
-	if err != nil {
-		return err
+	return err
+}
+
+// newRelays prepares the relays and returns the addresses where they listen.
+func (s *Stage) newRelays() (addrs []string, err error) {
+	env := s.opt.Env
+	if s.secrets != nil {
+		env = append(slices.Clone(env), s.secrets.env())
 	}
-	var addrs []string
-	for i := range n {
-		r, err := newRelay(i, p, s.reg, s.spawn, s.opt.Command, s.opt.Dir)
+	for i := range s.plan.Scenario.Relays.Count {
+		r, err := newRelay(i, s.plan, s.reg, s.spawn, s.opt.Command, s.opt.Dir)
 		if err != nil {
-			return err
+			return nil, err
 		}
 		r.env, r.crashed = env, s.crashed
 		s.relays = append(s.relays, r)
@@ -160,9 +184,12 @@
 		s.agents = append(s.agents, a)
 		addrs = append(addrs, a.Listen)
 	}
-	s.driver = loadgen.New(loadgen.Config{Plan: p, Relays: addrs, Emit: s.hub.emit, Clock: s.now, Start: 0})
-	s.hub.tell = s.driver.Happened
-	errs := make([]error, n)
+	return addrs, nil
+}
+
+// startRelays starts all relays at once and waits until they serve.
+func (s *Stage) startRelays(ctx context.Context) error {
+	errs := make([]error, len(s.relays))
 	var wg sync.WaitGroup
 	for i, r := range s.relays {
 		if !s.agents[i].Process {
--- a/internal/rehearsal/runner/secure.go
+++ b/internal/rehearsal/runner/secure.go
@@ -27,130 +27,174 @@
 	by    map[string][]*h1.Show // by fault and endpoint
 }
 
+// operatorFileMode keeps the operator's file to its owner.
+const operatorFileMode = 0o600
+
+// secretsMaker makes certificates and the operator's file that names them.
+type secretsMaker struct {
+	plan      *scenario.Plan
+	secrets   *secrets
+	validity  func(*testca.Template)
+	root      *testca.Issued // that relays trust
+	untrusted *testca.Issued // a root that they do not trust
+	first     *testca.Issued // two authorities under root
+	second    *testca.Issued
+	roots     string // paths of files for relays
+	cert, key string
+	operator  bytes.Buffer // the text of the operator's file
+}
+
 // newSecrets makes them in a folder; nil where no partner is reached over TLS and
 // the relays are told nothing else.
 func newSecrets(p *scenario.Plan, dir string) (*secrets, error) {
-	s := &secrets{
+	m := &secretsMaker{plan: p, secrets: &secrets{
 		file: filepath.Join(dir, "operator.toml"), shows: make([]*h1.Show, len(p.Endpoints)),
 		by: map[string][]*h1.Show{},
-	}
+	}}
 	kinds := []string{
 		scenario.TLSRotate, scenario.TLSExpired, scenario.TLSWrongName, scenario.TLSWrongRoot, scenario.TLSReset,
 		scenario.TLSForget,
 	}
 	for _, k := range kinds {
-		s.by[k] = make([]*h1.Show, len(p.Endpoints))
-	}
-	var text bytes.Buffer
-	var err error
-	must := func(m *testca.Issued, e error) *testca.Issued {
-		if e != nil && err == nil {
-			err = e
-		}
-		return m
-	}
-	year := testca.WithValidity(time.Now().Add(-time.Hour), time.Now().Add(24*365*time.Hour))
-	root := must(testca.Issue(nil, "rehearsal", nil, testca.AsAuthority, year))
-	stranger := must(testca.Issue(nil, "stranger", nil, testca.AsAuthority, year))
-	if err != nil {
-		return nil, err
-	}
-	mid, other := must(testca.Issue(root, "one", nil, testca.AsAuthority, year)), must(
-		testca.Issue(root, "two", nil, testca.AsAuthority, year),
-	)
-	ours := must(testca.Issue(root, "relay.example.org", nil, year))
-	if err != nil {
-		return nil, err
-	}
-	roots, _, err := root.WriteFiles(dir, "roots", false)
-	if err != nil {
-		return nil, err
+		m.secrets.by[k] = make([]*h1.Show, len(p.Endpoints))
 	}
-	cert, key, err := ours.WriteFiles(dir, "relay", true)
-	if err != nil {
+	if err := m.authorities(dir); err != nil {
 		return nil, err
 	}
 	found, share := false, 0.0
 	seen := map[int]bool{}
 	for ep := range p.Endpoints {
 		e := &p.Endpoints[ep]
-		x := e.TLS
-		if x == nil || seen[e.Partner] {
+		if e.TLS == nil || seen[e.Partner] {
 			continue
 		}
 		seen[e.Partner], found = true, true
-		share = max(share, x.Share)
-		name := p.Specs[e.Partner].Name + ".example.org"
-		made := func(up *testca.Issued, name string, changes ...func(*testca.Template)) *testca.Issued {
-			k, e := testca.NewKey(testca.KeyKind(x.Key))
-			if e != nil && err == nil {
-				err = e
-				return nil
-			}
-			return must(testca.Issue(up, name, k, append([]func(*testca.Template){year}, changes...)...))
-		}
-		good, next := made(mid, name), made(other, name)
-		bad := map[string]*testca.Issued{
-			scenario.TLSExpired: made(
-				mid, name, testca.WithValidity(time.Now().Add(-2*time.Hour), time.Now().Add(-time.Hour)),
-			),
-			scenario.TLSWrongName: made(mid, "other.example.org"),
-			scenario.TLSWrongRoot: made(stranger, name),
-		}
-		if err != nil {
+		share = max(share, e.TLS.Share)
+		if err := m.partner(e.Partner, e.TLS); err != nil {
 			return nil, err
 		}
-		show := func(m *testca.Issued, trusted bool) *h1.Show {
-			cfg := &tls.Config{
-				Certificates: []tls.Certificate{m.TLSCertificate()}, SessionTicketsDisabled: x.NoSessions,
-			}
-			switch x.Version {
-			case "1.2":
-				cfg.MaxVersion = tls.VersionTLS12
-			case "1.3":
-				cfg.MinVersion = tls.VersionTLS13
-			}
-			if x.WantsOurs {
-				cfg.ClientAuth, cfg.ClientCAs = tls.RequireAndVerifyClientCert, root.RootPool()
-			}
-			// Keys of its own for sessions: what one certificate was shown for is
-			// not resumed under another.
-			cfg.SetSessionTicketKeys([][32]byte{tlspolicy.PinOf(m.Certificate)})
-			return &h1.Show{Config: cfg, Delay: millis(x.DelayMS), Trusted: trusted}
-		}
-		usual, rotated := show(good, true), show(next, true)
-		forgot := show(good, true)
-		forgot.Config.SetSessionTicketKeys([][32]byte{{1}})
-		for i := range p.Endpoints {
-			if p.Endpoints[i].Partner != e.Partner {
-				continue
-			}
-			s.shows[i] = usual
-			s.by[scenario.TLSRotate][i], s.by[scenario.TLSForget][i] = rotated, forgot
-			s.by[scenario.TLSReset][i] = &h1.Show{Reset: true}
-			for k, m := range bad {
-				s.by[k][i] = show(m, false)
-			}
-		}
-		fmt.Fprintf(&text, "[[tls]]\nname = \"p%d\"\ndestinations = [%d]\nserver_name = %q\nroots = %q\n"+
-			"pins = [%q, %q]\nhandshake_weight = %v\n",
-			e.Partner, p.Specs[e.Partner].Dest, name, roots, tlspolicy.PinOf(good.Certificate),
-			tlspolicy.PinOf(next.Certificate), x.Told)
-		if x.WantsOurs {
-			fmt.Fprintf(&text, "certificate = %q\nkey = %q\n", cert, key)
-		}
 	}
 	if n := p.Scenario.Relays.Awake; n > 0 {
 		found = true
-		fmt.Fprintf(&text, "[rest]\nawake = %d\nquiet_s = 10\n", n)
+		fmt.Fprintf(&m.operator, "[rest]\nawake = %d\nquiet_s = 10\n", n)
 	}
 	if !found {
 		return nil, nil
 	}
 	if share > 0 {
-		fmt.Fprintf(&text, "[handshakes]\nshare = %v\n", share)
+		fmt.Fprintf(&m.operator, "[handshakes]\nshare = %v\n", share)
+	}
+	return m.secrets, testca.ReplaceFile(m.secrets.file, m.operator.Bytes(), operatorFileMode)
+}
+
+// authorities makes the authorities, and the relays' roots, certificate and key.
+func (m *secretsMaker) authorities(dir string) (err error) {
+	m.validity = testca.WithValidity(time.Now().Add(-time.Hour), time.Now().Add(24*365*time.Hour))
+	if m.root, err = testca.Issue(nil, "rehearsal", nil, testca.AsAuthority, m.validity); err != nil {
+		return err
+	}
+	if m.untrusted, err = testca.Issue(nil, "stranger", nil, testca.AsAuthority, m.validity); err != nil {
+		return err
+	}
+	if m.first, err = testca.Issue(m.root, "one", nil, testca.AsAuthority, m.validity); err != nil {
+		return err
+	}
+	if m.second, err = testca.Issue(m.root, "two", nil, testca.AsAuthority, m.validity); err != nil {
+		return err
+	}
+	relay, err := testca.Issue(m.root, "relay.example.org", nil, m.validity)
+	if err != nil {
+		return err
+	}
+	if m.roots, _, err = m.root.WriteFiles(dir, "roots", false); err != nil {
+		return err
+	}
+	m.cert, m.key, err = relay.WriteFiles(dir, "relay", true)
+	return err
+}
+
+// partnerCertificates are what one partner shows: good ones, and one for each fault.
+type partnerCertificates struct {
+	good, next *testca.Issued
+	bad        map[string]*testca.Issued
+}
+
+func (m *secretsMaker) certificates(name string, x *scenario.TLS) (c partnerCertificates, err error) {
+	issue := func(
+		parent *testca.Issued, name string, changes ...func(*testca.Template),
+	) (made *testca.Issued) {
+		if err != nil {
+			return nil
+		}
+		key, keyErr := testca.NewKey(testca.KeyKind(x.Key))
+		if keyErr != nil {
+			err = keyErr
+			return nil
+		}
+		made, err = testca.Issue(parent, name, key, append([]func(*testca.Template){m.validity}, changes...)...)
+		return made
+	}
+	expired := testca.WithValidity(time.Now().Add(-2*time.Hour), time.Now().Add(-time.Hour))
+	c.good, c.next = issue(m.first, name), issue(m.second, name)
+	c.bad = map[string]*testca.Issued{
+		scenario.TLSExpired:   issue(m.first, name, expired),
+		scenario.TLSWrongName: issue(m.first, "other.example.org"),
+		scenario.TLSWrongRoot: issue(m.untrusted, name),
+	}
+	return c, err
+}
+
+// partner makes what a partner's endpoints show, and the rule that relays reach it by.
+func (m *secretsMaker) partner(partner int, x *scenario.TLS) error {
+	p, s := m.plan, m.secrets
+	name := p.Specs[partner].Name + ".example.org"
+	c, err := m.certificates(name, x)
+	if err != nil {
+		return err
+	}
+	usual, rotated := m.show(c.good, x, true), m.show(c.next, x, true)
+	forgot := m.show(c.good, x, true)
+	forgot.Config.SetSessionTicketKeys([][32]byte{{1}})
+	for i := range p.Endpoints {
+		if p.Endpoints[i].Partner != partner {
+			continue
+		}
+		s.shows[i] = usual
+		s.by[scenario.TLSRotate][i], s.by[scenario.TLSForget][i] = rotated, forgot
+		s.by[scenario.TLSReset][i] = &h1.Show{Reset: true}
+		for kind, certificate := range c.bad {
+			s.by[kind][i] = m.show(certificate, x, false)
+		}
+	}
+	fmt.Fprintf(&m.operator, "[[tls]]\nname = \"p%d\"\ndestinations = [%d]\nserver_name = %q\nroots = %q\n"+
+		"pins = [%q, %q]\nhandshake_weight = %v\n",
+		partner, p.Specs[partner].Dest, name, m.roots, tlspolicy.PinOf(c.good.Certificate),
+		tlspolicy.PinOf(c.next.Certificate), x.Told)
+	if x.WantsOurs {
+		fmt.Fprintf(&m.operator, "certificate = %q\nkey = %q\n", m.cert, m.key)
+	}
+	return nil
+}
+
+// show is how an endpoint shows a certificate.
+func (m *secretsMaker) show(certificate *testca.Issued, x *scenario.TLS, trusted bool) *h1.Show {
+	cfg := &tls.Config{
+		Certificates:           []tls.Certificate{certificate.TLSCertificate()},
+		SessionTicketsDisabled: x.NoSessions,
+	}
+	switch x.Version {
+	case "1.2":
+		cfg.MaxVersion = tls.VersionTLS12
+	case "1.3":
+		cfg.MinVersion = tls.VersionTLS13
+	}
+	if x.WantsOurs {
+		cfg.ClientAuth, cfg.ClientCAs = tls.RequireAndVerifyClientCert, m.root.RootPool()
 	}
-	return s, testca.ReplaceFile(s.file, text.Bytes(), 0o600)
+	// Session keys of its own: what one certificate was shown for is not resumed under
+	// another.
+	cfg.SetSessionTicketKeys([][32]byte{tlspolicy.PinOf(certificate.Certificate)})
+	return &h1.Show{Config: cfg, Delay: millis(x.DelayMS), Trusted: trusted}
 }
 
 // show is what an endpoint shows now.
--- a/internal/rehearsal/scenario/plan.go
+++ b/internal/rehearsal/scenario/plan.go
@@ -158,73 +158,108 @@
 // Work is the seed of the stand-ins' service times.
 func (p *Plan) Work() uint64 { return seededrand.Hash(p.Seed, forWork) }
 
-func (p *Plan) arrivals() {
+// arrivalPlanner draws the arrivals of a plan.
+type arrivalPlanner struct {
+	*Plan
+	weights    []float64      // by class and partner
+	portals    []float64      // by portal
+	portalOf   map[string]int // by name
+	tables     []int          // the partner table of a partner
+	peakFactor float64        // that the rate is never above
+}
+
+func (p *Plan) newArrivalPlanner() *arrivalPlanner {
 	s := p.Scenario
-	var weights []float64 // by class and partner
+	x := &arrivalPlanner{
+		Plan: p, portals: make([]float64, len(s.Portals)), portalOf: map[string]int{},
+		peakFactor: max(s.Traffic.From, s.Traffic.To, 1+s.Traffic.Swing),
+	}
 	for c := range s.Classes {
 		for i := range p.Specs {
-			weights = append(weights, p.Specs[i].Mix[c])
+			x.weights = append(x.weights, p.Specs[i].Mix[c])
 		}
 	}
-	portals := make([]float64, len(s.Portals))
-	for i, x := range s.Portals {
-		portals[i] = x.Share
-	}
-	byName := map[string]int{}
-	for i, x := range s.Portals {
-		byName[x.Name] = i
+	for i, portal := range s.Portals {
+		x.portals[i] = portal.Share
+		x.portalOf[portal.Name] = i
 	}
-	var of []int // the partner table of a partner
 	for i := range s.Partners {
 		for range s.Partners[i].Count {
-			of = append(of, i)
+			x.tables = append(x.tables, i)
 		}
 	}
-	add := func(at float64, class, part int, st *seededrand.Stream) {
-		a := Arrival{
-			At: event.Time(at * 1e6), Class: class, Dest: p.Specs[part].Dest, Portal: st.WeightedIndex(portals),
-		}
-		if name := s.Partners[of[part]].Portal; name != "" {
-			a.Portal = byName[name]
-		}
-		p.Arrivals = append(p.Arrivals, a)
-	}
-	top := max(s.Traffic.From, s.Traffic.To, 1+s.Traffic.Swing)
-	single := s.Traffic.RatePerS * (1 - s.Traffic.ClumpShare)
-	st := seededrand.NewStream(p.Seed, forArrivals)
-	if single > 0 {
-		for at := st.ExpFloat64() / (single * top); at < s.LengthS; at += st.ExpFloat64() / (single * top) {
-			if st.Float64()*top < s.factor(at) { // thinning (Lewis and Shedler, 1979)
-				i := st.WeightedIndex(weights)
-				add(at, i/len(p.Specs), i%len(p.Specs), st)
-			}
+	return x
+}
+
+func (p *Plan) arrivals() {
+	planner := p.newArrivalPlanner()
+	planner.single()
+	planner.clumps()
+	planner.returns()
+	slices.SortStableFunc(p.Arrivals, func(a, b Arrival) int { return int(a.At - b.At) })
+	for i := range p.Arrivals {
+		if p.Scenario.Classes[p.Arrivals[i].Class].Repeat == "keyed" {
+			p.Arrivals[i].Key = fmt.Sprintf("%016x", seededrand.Hash(p.Seed, forKeys, uint64(i)))
 		}
 	}
-	if rate := s.Traffic.RatePerS * s.Traffic.ClumpShare / float64(s.Traffic.ClumpSize); rate > 0 {
-		st := seededrand.NewStream(p.Seed, forClumps)
-		for at := st.ExpFloat64() / (rate * top); at < s.LengthS; at += st.ExpFloat64() / (rate * top) {
-			if st.Float64()*top >= s.factor(at) {
-				continue
-			}
-			part := st.WeightedIndex(weights) % len(p.Specs)
-			for range s.Traffic.ClumpSize {
-				if t := at + st.Float64()*0.1; t < s.LengthS {
-					add(t, st.WeightedIndex(p.Specs[part].Mix), part, st)
-				}
-			}
+}
+
+// add adds one arrival; st draws its portal.
+func (x *arrivalPlanner) add(at float64, class, part int, st *seededrand.Stream) {
+	a := Arrival{
+		At: event.Time(at * 1e6), Class: class, Dest: x.Specs[part].Dest, Portal: st.WeightedIndex(x.portals),
+	}
+	if name := x.Scenario.Partners[x.tables[part]].Portal; name != "" {
+		a.Portal = x.portalOf[name]
+	}
+	x.Arrivals = append(x.Arrivals, a)
+}
+
+// single draws arrivals that come one by one.
+func (x *arrivalPlanner) single() {
+	s := x.Scenario
+	peak := s.Traffic.RatePerS * (1 - s.Traffic.ClumpShare) * x.peakFactor
+	if s.Traffic.RatePerS*(1-s.Traffic.ClumpShare) <= 0 {
+		return
+	}
+	st := seededrand.NewStream(x.Seed, forArrivals)
+	for at := st.ExpFloat64() / peak; at < s.LengthS; at += st.ExpFloat64() / peak {
+		if st.Float64()*x.peakFactor < s.factor(at) { // thinning (Lewis and Shedler, 1979)
+			i := st.WeightedIndex(x.weights)
+			x.add(at, i/len(x.Specs), i%len(x.Specs), st)
 		}
 	}
-	returns := seededrand.NewStream(p.Seed, forReturns)
-	for part := range p.Specs {
-		x := &s.Partners[of[part]]
-		for range x.ReturnBurst {
-			add(x.ReturnS+returns.Float64(), returns.WeightedIndex(p.Specs[part].Mix), part, returns)
+}
+
+// clumps draws arrivals that come many at once for one partner.
+func (x *arrivalPlanner) clumps() {
+	s := x.Scenario
+	rate := s.Traffic.RatePerS * s.Traffic.ClumpShare / float64(s.Traffic.ClumpSize)
+	if rate <= 0 {
+		return
+	}
+	peak := rate * x.peakFactor
+	st := seededrand.NewStream(x.Seed, forClumps)
+	for at := st.ExpFloat64() / peak; at < s.LengthS; at += st.ExpFloat64() / peak {
+		if st.Float64()*x.peakFactor >= s.factor(at) {
+			continue
+		}
+		part := st.WeightedIndex(x.weights) % len(x.Specs)
+		for range s.Traffic.ClumpSize {
+			if t := at + st.Float64()*0.1; t < s.LengthS {
+				x.add(t, st.WeightedIndex(x.Specs[part].Mix), part, st)
+			}
 		}
 	}
-	slices.SortStableFunc(p.Arrivals, func(a, b Arrival) int { return int(a.At - b.At) })
-	for i := range p.Arrivals {
-		if s.Classes[p.Arrivals[i].Class].Repeat == "keyed" {
-			p.Arrivals[i].Key = fmt.Sprintf("%016x", seededrand.Hash(p.Seed, forKeys, uint64(i)))
+}
+
+// returns draws the bursts of partners that nobody has sent to for a while.
+func (x *arrivalPlanner) returns() {
+	st := seededrand.NewStream(x.Seed, forReturns)
+	for part := range x.Specs {
+		table := &x.Scenario.Partners[x.tables[part]]
+		for range table.ReturnBurst {
+			x.add(table.ReturnS+st.Float64(), st.WeightedIndex(x.Specs[part].Mix), part, st)
 		}
 	}
 }
