--- a/internal/rehearsal/report/report.go
+++ b/internal/rehearsal/report/report.go
@@ -5,12 +5,8 @@
 package report
 
 import (
-	"encoding/json"
-	"errors"
 	"fmt"
-	"io"
 	"math"
-	"os"
 	"slices"
 
 	"github.com/HdrHistogram/hdrhistogram-go"
@@ -443,59 +439,3 @@
 	}
 	return mean, deviation, len(r.Runs)
 }
-
-// WriteJSON writes the report's JSON form.
-func (r *Report) WriteJSON(w io.Writer) error {
-	enc := json.NewEncoder(w)
-	enc.SetIndent("", " ")
-	return enc.Encode(r)
-}
-
-const fileMost = 64 << 20
-
-// ReadJSON reads a report; the error names the byte.
-func ReadJSON(in io.Reader) (*Report, error) {
-	text, err := io.ReadAll(io.LimitReader(in, fileMost+1))
-	if err != nil {
-		return nil, fmt.Errorf("report: %w", err)
-	}
-	if len(text) > fileMost {
-		return nil, fmt.Errorf("report: more than %d bytes", fileMost)
-	}
-	r := &Report{}
-	if err := json.Unmarshal(text, r); err != nil {
-		var syntax *json.SyntaxError
-		var typed *json.UnmarshalTypeError
-		switch {
-		case errors.As(err, &syntax):
-			return nil, fmt.Errorf("report: byte %d: %w", syntax.Offset, err)
-		case errors.As(err, &typed):
-			return nil, fmt.Errorf("report: byte %d: %s: %w", typed.Offset, typed.Field, err)
-		}
-		return nil, fmt.Errorf("report: %w", err)
-	}
-	switch {
-	case r.Format != format:
-		return nil, fmt.Errorf("report: not a report: format %.40q, want %q", r.Format, format)
-	case r.Version > Version:
-		return nil, fmt.Errorf("report: version %d, this release reads up to %d", r.Version, Version)
-	case r.Version < 1:
-		return nil, fmt.Errorf("report: version %d, want 1 to %d", r.Version, Version)
-	}
-	for _, v := range append(slices.Clone(r.Runs), r.Service.Service, r.Worst10S.Service) {
-		if !(v >= 0 && v <= 1+1e-9) {
-			return nil, fmt.Errorf("report: a service of %v, want 0 to 1", v)
-		}
-	}
-	return r, nil
-}
-
-// Load reads a report's file.
-func Load(path string) (*Report, error) {
-	f, err := os.Open(path)
-	if err != nil {
-		return nil, err
-	}
-	defer func() { _ = f.Close() }()
-	return ReadJSON(f)
-}
