--- a/internal/core/fixtures_test.go
+++ b/internal/core/fixtures_test.go
@@ -15,9 +15,11 @@
 	"troutusher/policy"
 )
 
-// The fixtures under testdata hold forms that other processes read: records of
-// the log, the state that is handed over, the state file and the packed memory of
-// a passive destination; and the effects of simulated runs, in their order.
+// The fixtures under testdata hold formats that other processes read: records of the log,
+// the state that is handed over, the state file and the packed memory of a passive
+// destination; and the effects of simulated runs, in their order. A fixture of a format
+// never changes, since other releases read it. After an intended change of behavior the
+// effects are recorded anew with -update-fixtures, and the difference is read.
 
 var updateFixtures = flag.Bool("update-fixtures", false, "write the fixtures of this package anew")
 
@@ -80,8 +82,8 @@
 	}
 }
 
-// Every stored or transferred type, with every field set and with none, encodes to
-// the recorded JSON, and the recorded JSON decodes to a value that encodes alike.
+// Every stored or transferred type, with every field set and with none, encodes to the
+// recorded JSON, and the recorded JSON decodes to a value that encodes alike.
 func TestStoredFormsAreUnchanged(t *testing.T) {
 	for name, empty := range map[string]func() any{
 		"record.json":   func() any { return &Record{} },
