--- a/internal/source/etcd/follow/calls.go
+++ b/internal/source/etcd/follow/calls.go
@@ -38,7 +38,11 @@
 	ctx, cancel := context.WithCancel(ctx)
 	c := &call{cancel: cancel}
 	f.calls[id] = c
-	go run(ctx, c)
+	f.running.Add(1)
+	go func() {
+		defer f.running.Done()
+		run(ctx, c)
+	}()
 }
 
 func (f *Follower) cancelCall(id etcd.CallID) {
--- a/internal/source/etcd/follow/follow.go
+++ b/internal/source/etcd/follow/follow.go
@@ -35,6 +35,7 @@
 	conns   []*grpc.ClientConn // by member
 	started time.Time
 	calls   map[etcd.CallID]*call // of Run's goroutine
+	running sync.WaitGroup        // calls, also those that are cancelled
 	wake    chan struct{}         // holds a value while there is something below
 
 	mu     sync.Mutex
@@ -102,8 +103,9 @@
 	f.wakeUp()
 }
 
-// Run follows until ctx ends.
+// Run follows until ctx ends, and returns once all its calls have ended.
 func (f *Follower) Run(ctx context.Context) error {
+	defer f.running.Wait()
 	defer f.close()
 	timer := time.NewTimer(0)
 	defer timer.Stop()
--- a/internal/source/registry/scheduler_test.go
+++ b/internal/source/registry/scheduler_test.go
@@ -30,20 +30,20 @@
 // one again, or the time is up. It returns when the last one had, and when half
 // of them had.
 func playFleet(
-	n int, rate float64, seed uint64, most time.Duration, reach func(*Scheduler) time.Duration,
+	n int, rate float64, seed uint64, most time.Duration, delayOf func(*Scheduler) time.Duration,
 ) (last, half time.Duration, q *registryModel) {
 	q = &registryModel{callsPerSecond: rate}
-	fs, at, call := make([]*Scheduler, n), make([]time.Duration, n), make([]Call, n)
+	schedulers, at, call := make([]*Scheduler, n), make([]time.Duration, n), make([]Call, n)
 	var done []time.Duration
-	for i := range fs {
-		fs[i] = New(n, seed*1000+uint64(i))
-		fs[i].SetRevision(4)
-		c := fs[i].NextCall()
-		fs[i].Judge(4, false)
-		fs[i].CallEnded(c, Served, time.Hour)
-		call[i] = fs[i].NextCall()
-		if at[i] = call[i].Delay; reach != nil {
-			at[i] = reach(fs[i])
+	for i := range schedulers {
+		schedulers[i] = New(n, seed*1000+uint64(i))
+		schedulers[i].SetRevision(4)
+		c := schedulers[i].NextCall()
+		schedulers[i].Judge(4, false)
+		schedulers[i].CallEnded(c, Served, time.Hour)
+		call[i] = schedulers[i].NextCall()
+		if at[i] = call[i].Delay; delayOf != nil {
+			at[i] = delayOf(schedulers[i])
 		}
 	}
 	for len(done) < n {
@@ -63,10 +63,10 @@
 			at[i] = time.Hour
 			continue
 		}
-		fs[i].CallEnded(call[i], end, took)
-		call[i] = fs[i].NextCall()
-		if at[i] = now + took + call[i].Delay; reach != nil {
-			at[i] = now + took + reach(fs[i])
+		schedulers[i].CallEnded(call[i], end, took)
+		call[i] = schedulers[i].NextCall()
+		if at[i] = now + took + call[i].Delay; delayOf != nil {
+			at[i] = now + took + delayOf(schedulers[i])
 		}
 	}
 	if len(done) < n {
@@ -109,15 +109,15 @@
 		0: 200 * time.Millisecond, 1: 200 * time.Millisecond, 3: 400 * time.Millisecond,
 		1 << 40: maxBaseSpread + minDelay,
 	} {
-		f := New(n, 7)
-		f.SetRevision(1)
+		s := New(n, 7)
+		s.SetRevision(1)
 		for range 200 {
-			c := f.NextCall()
+			c := s.NextCall()
 			if c.Delay > most {
 				t.Fatalf("%d relays: %v", n, c.Delay)
 			}
-			f.Judge(1, false)
-			f.CallEnded(c, Served, time.Minute)
+			s.Judge(1, false)
+			s.CallEnded(c, Served, time.Minute)
 		}
 	}
 }
@@ -125,30 +125,30 @@
 // The first call is made at once. What is known is asked for by its revision;
 // what cannot be read, or builds on nothing, makes the whole list be had.
 func TestNextCall(t *testing.T) {
-	f := New(80, 1)
-	if c := f.NextCall(); !c.Complete || c.Delay != 0 {
+	s := New(80, 1)
+	if c := s.NextCall(); !c.Complete || c.Delay != 0 {
 		t.Fatalf("first %+v", c)
-	} else if f.Judge(7, true) != Accept {
+	} else if s.Judge(7, true) != Accept {
 		t.Fatal("a first list is not believed")
 	} else {
-		f.CallEnded(c, Served, 0)
+		s.CallEnded(c, Served, 0)
 	}
-	c := f.NextCall()
+	c := s.NextCall()
 	if c.Complete || c.FromRevision != 7 || c.Delay != 0 {
 		t.Fatalf("the watch does not follow its list at once: %+v", c)
 	}
-	f.CallEnded(c, Rejected, 0)
-	if c = f.NextCall(); c.Complete || c.FromRevision != 7 || c.Delay < minDelay || c.Timeout != longTimeout {
+	s.CallEnded(c, Rejected, 0)
+	if c = s.NextCall(); c.Complete || c.FromRevision != 7 || c.Delay < minDelay || c.Timeout != longTimeout {
 		t.Fatalf("a refusal forgets the version, or its pause: %+v", c)
 	}
-	f.CallEnded(c, Malformed, 0)
-	if c = f.NextCall(); !c.Complete {
+	s.CallEnded(c, Malformed, 0)
+	if c = s.NextCall(); !c.Complete {
 		t.Fatalf("after what cannot be read: %+v", c)
 	}
-	f.Judge(8, true)
-	f.CallEnded(c, Served, 0)
-	f.ChangeAddress()
-	if c = f.NextCall(); !c.Complete || c.Delay != 0 {
+	s.Judge(8, true)
+	s.CallEnded(c, Served, 0)
+	s.ChangeAddress()
+	if c = s.NextCall(); !c.Complete || c.Delay != 0 {
 		t.Fatalf("at another address: %+v", c)
 	}
 	g := New(80, 1)
@@ -167,15 +167,15 @@
 func TestJudgeRevisions(t *testing.T) {
 	for seed := range uint64(2000) {
 		rng := rand.New(rand.NewPCG(seed, 1))
-		f := New(80, seed)
+		s := New(80, seed)
 		at, known, older := int64(-1), false, 0
 		if rng.IntN(2) == 0 {
-			f.SetRevision(5)
+			s.SetRevision(5)
 			known = true
 		}
 		for range 30 {
 			rev, whole := rng.Int64N(10), rng.IntN(3) == 0
-			v := f.Judge(rev, whole)
+			v := s.Judge(rev, whole)
 			switch {
 			case whole && rev < at:
 				if older++; (v == Accept) != (older >= maxOlderLists) {
@@ -193,8 +193,8 @@
 			if v == Accept {
 				at, known, older = rev, true, 0
 			}
-			if f.HasRevision() != known {
-				t.Fatalf("seed %d: known %v, want %v", seed, f.HasRevision(), known)
+			if s.HasRevision() != known {
+				t.Fatalf("seed %d: known %v, want %v", seed, s.HasRevision(), known)
 			}
 		}
 	}
@@ -202,13 +202,13 @@
 
 // A watch that breaks as soon as it stands is as bad as none: calls back off.
 func TestShortWatchesBackOff(t *testing.T) {
-	f, now, calls := New(80, 3), time.Duration(0), 0
-	f.SetRevision(1)
+	s, now, calls := New(80, 3), time.Duration(0), 0
+	s.SetRevision(1)
 	for ; now < time.Minute; calls++ {
-		c := f.NextCall()
+		c := s.NextCall()
 		now += c.Delay + time.Millisecond
-		f.Judge(1, false)
-		f.CallEnded(c, Served, time.Millisecond)
+		s.Judge(1, false)
+		s.CallEnded(c, Served, time.Millisecond)
 	}
 	if calls > 14 {
 		t.Errorf("%d calls in a minute", calls)
@@ -222,16 +222,16 @@
 	for _, n := range []int{1, 3, 60, 300, 1 << 20} {
 		worst := time.Duration(0)
 		for seed := range uint64(300) {
-			f := New(n, seed)
-			f.SetRevision(1)
+			s := New(n, seed)
+			s.SetRevision(1)
 			if seed%3 == 1 {
-				f.CallEnded(f.NextCall(), Rejected, 0)
+				s.CallEnded(s.NextCall(), Rejected, 0)
 			}
 			for range 1 + seed%5 { // again and again, each sooner than the span
-				c := f.NextCall()
-				f.Judge(1, false)
-				f.CallEnded(c, Silent, SilenceTimeout)
-				next := f.NextCall()
+				c := s.NextCall()
+				s.Judge(1, false)
+				s.CallEnded(c, Silent, SilenceTimeout)
+				next := s.NextCall()
 				worst = max(worst, SilenceTimeout+next.Delay+next.Timeout)
 				if next.Complete || next.FromRevision != 1 {
 					t.Fatalf("%d relays: %+v", n, next)
@@ -248,20 +248,20 @@
 // since what it reports at its return counts at once; one that rejects calls is not.
 func TestUnheardIsAskedAgainSoon(t *testing.T) {
 	for _, n := range []int{3, 300} {
-		f := New(n, 1)
-		f.SetRevision(1)
+		s := New(n, 1)
+		s.SetRevision(1)
 		for range 20 {
-			f.CallEnded(f.NextCall(), Unanswered, shortTimeout)
-			if c := f.NextCall(); c.Delay > minDelay+maxUnansweredSpread {
+			s.CallEnded(s.NextCall(), Unanswered, shortTimeout)
+			if c := s.NextCall(); c.Delay > minDelay+maxUnansweredSpread {
 				t.Errorf("%d relays: %+v", n, c)
 			}
 		}
 	}
-	f, most := New(300, 1), time.Duration(0)
-	f.SetRevision(1)
+	s, most := New(300, 1), time.Duration(0)
+	s.SetRevision(1)
 	for range 20 {
-		f.CallEnded(f.NextCall(), Rejected, 0)
-		most = max(most, f.NextCall().Delay)
+		s.CallEnded(s.NextCall(), Rejected, 0)
+		most = max(most, s.NextCall().Delay)
 	}
 	if most < 3*time.Second {
 		t.Errorf("rejected 20 times, and calls again within %v", most)
