--- a/internal/emulator/registry/registry.go
+++ b/internal/emulator/registry/registry.go
@@ -401,29 +401,7 @@
 	quiet := time.NewTicker(quietLine)
 	defer quiet.Stop()
 	for first := true; ; first = false {
-		a.mu.Lock()
-		var l List
-		var eps []int
-		var phases []string
-		if a.silent == 0 {
-			if oldest := a.oldest(); first && (from < oldest || from > a.rev) {
-				l = a.whole()
-				eps, phases = a.everything()
-			} else if from < a.rev {
-				l = List{Revision: a.rev, Members: []Member{}}
-				seen := map[int]bool{}
-				for _, c := range a.log {
-					if c.rev > from && !seen[c.ep] {
-						seen[c.ep] = true
-						l.Members = append(l.Members, a.members[c.ep])
-						eps, phases = append(eps, c.ep), append(phases, a.members[c.ep].Phase)
-					}
-				}
-			}
-			from = a.rev
-		}
-		news := a.news
-		a.mu.Unlock()
+		l, eps, phases, news := a.changes(&from, first)
 		if l.Members != nil {
 			text, err := json.Marshal(l)
 			if err != nil {
@@ -453,6 +431,32 @@
 	}
 }
 
+// changes returns what a watch that has heard everything up to from has to be told, with
+// nil members for nothing, and what is closed at the next change. It moves from along.
+func (a *agent) changes(from *int64, first bool) (l List, eps []int, phases []string, news <-chan struct{}) {
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	if a.silent != 0 {
+		return l, nil, nil, a.news
+	}
+	if oldest := a.oldest(); first && (*from < oldest || *from > a.rev) {
+		l = a.whole()
+		eps, phases = a.everything()
+	} else if *from < a.rev {
+		l = List{Revision: a.rev, Members: []Member{}}
+		seen := map[int]bool{}
+		for _, c := range a.log {
+			if c.rev > *from && !seen[c.ep] {
+				seen[c.ep] = true
+				l.Members = append(l.Members, a.members[c.ep])
+				eps, phases = append(eps, c.ep), append(phases, a.members[c.ep].Phase)
+			}
+		}
+	}
+	*from = a.rev
+	return l, eps, phases, a.news
+}
+
 // oldest is the version from which on changes are still known.
 func (a *agent) oldest() int64 {
 	if len(a.log) == 0 {
--- a/internal/rehearsal/checker/rules.go
+++ b/internal/rehearsal/checker/rules.go
@@ -89,6 +89,7 @@
 	Evidence string
 }
 
+// String is the violation in one line.
 func (v *Violation) String() string {
 	s := fmt.Sprintf("%.3f s: %s: ", float64(v.At)/1e6, v.Rule)
 	if v.ID != "" {
--- a/internal/rehearsal/event/trace.go
+++ b/internal/rehearsal/event/event.go
@@ -63,6 +63,7 @@
 	"stray call",
 }
 
+// String is the kind's name in a record.
 func (k Kind) String() string {
 	if int(k) < len(names) {
 		return names[k]
--- a/internal/rehearsal/loadgen/load.go
+++ b/internal/rehearsal/loadgen/load.go
@@ -33,6 +33,7 @@
 
 var endNames = [...]string{"pending", "delivered", "refused", "failed", "unheard"}
 
+// String is the ending's name.
 func (e End) String() string { return endNames[e] }
 
 // Result is what became of a message.
--- a/internal/rehearsal/replay/recording.go
+++ b/internal/rehearsal/replay/recording.go
@@ -70,10 +70,12 @@
 	Err    error
 }
 
+// Error names the line and the byte.
 func (e *Error) Error() string {
 	return fmt.Sprintf("recording: line %d, byte %d: %v", e.Line, e.Offset, e.Err)
 }
 
+// Unwrap returns what is wrong there.
 func (e *Error) Unwrap() error { return e.Err }
 
 // Errors that a caller may tell apart.
--- a/internal/rehearsal/scenario/scenario.go
+++ b/internal/rehearsal/scenario/scenario.go
@@ -234,68 +234,69 @@
 
 // fill puts in what may be left out of tables that come many times.
 func (s *Scenario) fill() {
-	put := func(to *float64, v float64) {
-		if *to == 0 {
-			*to = v
-		}
-	}
 	for i := range s.Classes {
-		put(&s.Classes[i].Share, 1)
-		put(&s.Classes[i].Worth, 1)
+		setDefault(&s.Classes[i].Share, 1)
+		setDefault(&s.Classes[i].Worth, 1)
 	}
 	for i := range s.Portals {
-		put(&s.Portals[i].Share, 1)
+		setDefault(&s.Portals[i].Share, 1)
 	}
 	for i := range s.Partners {
-		p := &s.Partners[i]
-		put(&p.Share, 1)
-		put(&p.ColdShare, s.Rules.ColdShare)
-		put(&p.ColdMS, s.Rules.ColdMS)
-		put(&p.WindowMS, 1000)
-		put(&p.CV, 0.5)
-		if p.Count == 0 {
-			p.Count = 1
-		}
-		if p.Endpoints == 0 {
-			p.Endpoints = 1
-		}
-		for to, v := range map[*string]string{
-			&p.Kind: "partner", &p.Routes: "shared", &p.Dist: "lognormal", &p.Limit: "none", &p.Cancel: "none",
-		} {
-			if *to == "" {
-				*to = v
-			}
-		}
-		if p.KeyMemoryMS == 0 {
-			for _, c := range s.Classes {
-				p.KeyMemoryMS = max(p.KeyMemoryMS, c.KeyWindowMS)
-			}
-		}
+		s.fillPartner(&s.Partners[i])
 	}
 	for i := range s.Faults {
-		f := &s.Faults[i]
-		put(&f.Part, 1)
-		if f.Kind == RelayKill {
-			put(&f.LengthS, 0.6)
-		}
-		if faultShapes[f.Kind].share {
-			put(&f.Share, 1)
-		}
-		if f.Kind == string(endpoint.Spoilt) && f.Form == "" {
-			f.Form = string(endpoint.Noise)
-		}
-	}
-	put(&s.Traffic.PeriodS, max(s.LengthS, 1))
-	put(&s.Traffic.From, 1)
-	put(&s.Traffic.To, 1)
-	if s.Traffic.ClumpSize == 0 {
-		s.Traffic.ClumpSize = 10
+		s.Faults[i].fill()
 	}
+	setDefault(&s.Traffic.PeriodS, max(s.LengthS, 1))
+	setDefault(&s.Traffic.From, 1)
+	setDefault(&s.Traffic.To, 1)
+	setDefault(&s.Traffic.ClumpSize, 10)
 	if len(s.Portals) == 0 {
 		s.Portals = []Portal{{Name: "portal", Share: 1}}
 	}
 }
 
+// setDefault sets a value that the file leaves out.
+func setDefault[T comparable](to *T, v T) {
+	var missing T
+	if *to == missing {
+		*to = v
+	}
+}
+
+func (s *Scenario) fillPartner(p *Partner) {
+	setDefault(&p.Share, 1)
+	setDefault(&p.ColdShare, s.Rules.ColdShare)
+	setDefault(&p.ColdMS, s.Rules.ColdMS)
+	setDefault(&p.WindowMS, 1000)
+	setDefault(&p.CV, 0.5)
+	setDefault(&p.Count, 1)
+	setDefault(&p.Endpoints, 1)
+	setDefault(&p.Kind, "partner")
+	setDefault(&p.Routes, "shared")
+	setDefault(&p.Dist, "lognormal")
+	setDefault(&p.Limit, "none")
+	setDefault(&p.Cancel, "none")
+	if p.KeyMemoryMS == 0 {
+		for _, c := range s.Classes {
+			p.KeyMemoryMS = max(p.KeyMemoryMS, c.KeyWindowMS)
+		}
+	}
+}
+
+func (f *Fault) fill() {
+	setDefault(&f.Part, 1)
+	if f.Kind == RelayKill {
+		setDefault(&f.LengthS, 0.6)
+	}
+	if faultShapes[f.Kind].share {
+		setDefault(&f.Share, 1)
+	}
+	if f.Kind == string(endpoint.Spoilt) {
+		setDefault(&f.Form, string(endpoint.Noise))
+	}
+}
+
 func (p *Partner) service(class string) (float64, bool) {
 	if v, ok := p.Service[class]; ok {
 		return v, true
--- a/internal/tlspolicy/rule.go
+++ b/internal/tlspolicy/rule.go
@@ -59,6 +59,7 @@
 	Problem string
 }
 
+// Error names the key and the problem.
 func (e *SettingError) Error() string { return e.Key + ": " + e.Problem }
 
 // Validate returns a *SettingError for a rule that cannot be used.
