--- a/internal/rehearsal/runner/bind_other.go
+++ b/internal/rehearsal/runner/bind_other.go
@@ -1,6 +1,6 @@
 //go:build !linux
 
-package stage
+package runner
 
 import (
 	"os/exec"
