--- a/internal/relay/answers_test.go
+++ b/internal/relay/answers_test.go
@@ -41,8 +41,8 @@
 // Guards the console's words and the names and units of its figures, through a
 // drain and back, and what clients hear meanwhile.
 func TestConsoleAnswers(t *testing.T) {
-	ep := newFakeEndpoint(t, nil)
-	env := testConfig(t, newFakeDiscovery(t, ep.member("s-1", 1)), 3)
+	endpoint := newFakeEndpoint(t, nil)
+	env := testConfig(t, newFakeDiscovery(t, endpoint.member("s-1", 1)), 3)
 	env["ROUTER_CONSOLE"] = freeAddr(t)
 	startChild(t, env)
 	var got strings.Builder
--- a/internal/relay/clients_test.go
+++ b/internal/relay/clients_test.go
@@ -145,7 +145,7 @@
 	}
 }
 
-// Guards a client's give-up: one that leaves before its answer has not heard
+// Guards a client's give-up: one that leaves before its reply does not know
 // that its message was taken on, and may hand it in elsewhere.
 func TestClientGoneBeforeAnswer(t *testing.T) {
 	got := make(chan *request, 1)
@@ -157,7 +157,7 @@
 		t.Fatal(err)
 	}
 	if <-said {
-		t.Error("held to be heard")
+		t.Error("taken for delivered")
 	}
 	q.answer(replyOK) // comes too late and blocks nobody
 }
@@ -182,7 +182,7 @@
 	}
 	for range 2 {
 		if !<-said {
-			t.Error("not held to be heard")
+			t.Error("not taken for delivered")
 		}
 	}
 }
--- a/internal/relay/console_test.go
+++ b/internal/relay/console_test.go
@@ -14,8 +14,8 @@
 // on those that are open, lets them go, and serves again once the drain ends;
 // any number of times.
 func TestDrainAndUndrain(t *testing.T) {
-	ep := newFakeEndpoint(t, respondStatus(http.StatusOK))
-	d := newFakeDiscovery(t, ep.member("e1", 1))
+	endpoint := newFakeEndpoint(t, respondStatus(http.StatusOK))
+	d := newFakeDiscovery(t, endpoint.member("e1", 1))
 	env := testConfig(t, d, 3)
 	env["ROUTER_CONSOLE"] = freeAddr(t)
 	startChild(t, env)
@@ -71,10 +71,10 @@
 }
 
 // Thousands of messages with every kind of end: the figures agree with what
-// clients heard, what the platform was told and what came to the endpoints,
+// clients were answered, what the platform was notified of and what came to the endpoints,
 // also while the traffic lasts.
 func TestStatsMatchObservedCounts(t *testing.T) {
-	ep := newFakeEndpoint(t, func(w http.ResponseWriter, r *http.Request, n int) {
+	endpoint := newFakeEndpoint(t, func(w http.ResponseWriter, r *http.Request, n int) {
 		id := r.Header.Get("X-Request-ID")
 		switch n, _ := strconv.Atoi(id[strings.LastIndexByte(id, '-')+1:]); {
 		case n%7 == 3:
@@ -85,20 +85,20 @@
 			w.WriteHeader(http.StatusOK)
 		}
 	})
-	draining := ep.member("e2", 2)
+	draining := endpoint.member("e2", 2)
 	draining.Phase = "draining"
-	d := newFakeDiscovery(t, ep.member("e1", 1), draining)
+	d := newFakeDiscovery(t, endpoint.member("e1", 1), draining)
 	env := testConfig(t, d, 3)
 	env["ROUTER_CONSOLE"] = freeAddr(t)
 	startChild(t, env)
 	console := env["ROUTER_CONSOLE"]
 	const clients, each = 8, 250
-	type told struct{ ok, busy, wrong int }
-	counts := make(chan map[string]*told, clients)
+	type outcomes struct{ ok, busy, wrong int }
+	counts := make(chan map[string]*outcomes, clients)
 	for c := range clients {
 		conn := dialClient(t, env["ROUTER_LISTEN"])
 		go func() {
-			got := map[string]*told{"plain": {}, "keyed": {}, "once": {}}
+			got := map[string]*outcomes{"plain": {}, "keyed": {}, "once": {}}
 			defer func() { counts <- got }()
 			for i := range each {
 				class, dest := []string{"plain", "keyed", "once"}[i%3], 1
@@ -127,7 +127,7 @@
 			}
 		}()
 	}
-	sum := map[string]*told{"plain": {}, "keyed": {}, "once": {}}
+	sum := map[string]*outcomes{"plain": {}, "keyed": {}, "once": {}}
 	last := readStats(t, console)
 	for left := clients; left > 0; {
 		select {
@@ -189,17 +189,14 @@
 	if total != clients*each {
 		t.Errorf("%d answers to %d messages", total, clients*each)
 	}
-	ep.mu.Lock()
-	calls := len(ep.calls)
-	ep.mu.Unlock()
+	endpoint.mu.Lock()
+	calls := len(endpoint.calls)
+	endpoint.mu.Unlock()
 	if got["sends"] != int64(calls) {
 		t.Errorf("sends: %d, and %d calls came", got["sends"], calls)
 	}
 	if got["cluster_size"] != 2 || got["cluster_unhealthy"] < 1 {
-		t.Errorf(
-			"cluster_size %d, cluster_unhealthy %d; want 2 with the draining one avoided",
-			got["cluster_size"],
-			got["cluster_unhealthy"],
-		)
+		t.Errorf("cluster_size %d, cluster_unhealthy %d; want 2 with the draining one avoided",
+			got["cluster_size"], got["cluster_unhealthy"])
 	}
 }
--- a/internal/relay/fake_test.go
+++ b/internal/relay/fake_test.go
@@ -11,7 +11,7 @@
 	"troutusher/internal/discovery/discoverytest"
 )
 
-// fakeDiscovery is the agent on a relay's machine.
+// fakeDiscovery is discovery's agent on a relay's machine.
 type fakeDiscovery = discoverytest.Agent
 
 func newFakeDiscovery(t testing.TB, members ...core.Member) *fakeDiscovery {
--- a/internal/relay/handover_failpoints_test.go
+++ b/internal/relay/handover_failpoints_test.go
@@ -41,10 +41,11 @@
 	}
 )
 
-// testHandoverWithFailpoint plays a hand-over in which something happens to one side at a point: an
-// unsafe message's call is out, another is held. In the end one relay serves, the
-// call has been made once and has one end, and what was held is delivered once.
-func testHandoverWithFailpoint(t *testing.T, give bool, cross string) {
+// testHandoverWithFailpoint plays a hand-over in which something happens to one side
+// at a failpoint: the call of a non-idempotent message is open, another message is
+// held. In the end one relay serves, the call was made once and has one end, and what
+// was held is delivered once.
+func testHandoverWithFailpoint(t *testing.T, outgoing bool, failpoint string) {
 	t.Parallel()
 	release := make(chan struct{})
 	slow := newFakeEndpoint(t, func(w http.ResponseWriter, r *http.Request, _ int) {
@@ -57,23 +58,23 @@
 	disc := newFakeDiscovery(t, slow.member("s-1", 1), quick.member("s-2", 2), unreachableMember("s-0", 5))
 	env := testConfig(t, disc, 3)
 	plain := env
-	if give {
-		env = withFailpoint(env, cross)
+	if outgoing {
+		env = withFailpoint(env, failpoint)
 	}
 	old := startAndWait(t, env)
 	cl := dialClient(t, env["ROUTER_LISTEN"])
 	mustSubmitOnce(t, cl, map[string]int{"out": 1, "held": 5})
 	waitFor(t, "the call", func() bool { return slow.count("out") == 1 })
 	env = plain
-	if !give {
-		env = withFailpoint(env, cross)
+	if !outgoing {
+		env = withFailpoint(env, failpoint)
 	}
 	fresh := startPeer(t, env)
 	left, ends := fresh, old
-	switch kill := strings.HasSuffix(cross, "=KILL"); {
-	case kill && !give:
+	switch kill := strings.HasSuffix(failpoint, "=KILL"); {
+	case kill && !outgoing:
 		left, ends = old, fresh
-	case !kill && !give: // it takes over, and ends
+	case !kill && !outgoing: // it takes over, and ends
 		left = nil
 		waitFor(t, "the end of the new process", fresh.hasExited)
 	}
@@ -92,10 +93,10 @@
 	waitFor(t, "the message after it", func() bool { return quick.count("after") == 1 })
 	waitFor(t, "all to end", func() bool { return readStats(t, left.console())["current"] == 0 })
 	if n := slow.count("out"); n != 1 {
-		t.Errorf("an unsafe message went out %d times", n)
+		t.Errorf("a non-idempotent message was sent %d times", n)
 	}
 	if n := quick.count("held"); n != 1 {
-		t.Errorf("what was held went out %d times", n)
+		t.Errorf("what was held was sent %d times", n)
 	}
 }
 
@@ -121,7 +122,7 @@
 // serves in the end follows discovery at its new address, and so does a process
 // that is started from the log.
 func TestReloadDuringHandover(t *testing.T) {
-	moves := func(t *testing.T, give bool, point, then string) {
+	moves := func(t *testing.T, outgoing bool, point, then string) {
 		t.Parallel()
 		quick := newFakeEndpoint(t, nil)
 		before, after := newFakeDiscovery(t, unreachableMember("s-0", 5)), newFakeDiscovery(t, quick.member("s-5", 5))
@@ -138,7 +139,7 @@
 		}
 		hup := withFailpoint(env, point+"=HUP:"+next)
 		first, second := env, hup
-		if give {
+		if outgoing {
 			first, second = hup, env
 		}
 		if then != "" {
@@ -155,7 +156,7 @@
 			waitFor(t, "the end of the old process", old.hasExited)
 			waitFor(t, "yes", fresh.isReady)
 		}
-		waitFor(t, "what the new address alone tells of", func() bool { return quick.count("held") == 1 })
+		waitFor(t, "what the new address alone lists", func() bool { return quick.count("held") == 1 })
 	}
 	for _, p := range outgoingFailpoints {
 		t.Run(p, func(t *testing.T) { moves(t, true, p, "") })
@@ -163,13 +164,12 @@
 	for _, p := range incomingFailpoints {
 		t.Run(p, func(t *testing.T) { moves(t, false, p, "") })
 	}
-	t.Run(
-		"and the new process dies",
-		func(t *testing.T) { moves(t, true, failpointOutgoingQuiesced, failpointIncomingRecovered+"=KILL") },
-	)
+	t.Run("and the new process dies", func(t *testing.T) {
+		moves(t, true, failpointOutgoingQuiesced, failpointIncomingRecovered+"=KILL")
+	})
 }
 
-// checkDrainKept hands in messages for destination 1, of which one endpoint has drained.
+// checkDrainKept submits messages for destination 1, of which one endpoint has drained.
 func checkDrainKept(t *testing.T, env map[string]string, gone, stays *fakeEndpoint) {
 	t.Helper()
 	cl := dialClient(t, env["ROUTER_LISTEN"])
@@ -218,19 +218,18 @@
 // A process that dies lets go of its lock before its address: who starts on the
 // first waits for the second, and does not end.
 func TestAddressReleasedAfterLock(t *testing.T) {
-	ep := newFakeEndpoint(t, nil)
-	env := testConfig(t, newFakeDiscovery(t, ep.member("s-1", 1)), 3)
+	endpoint := newFakeEndpoint(t, nil)
+	env := testConfig(t, newFakeDiscovery(t, endpoint.member("s-1", 1)), 3)
 	ln, err := net.Listen("tcp", env["ROUTER_LISTEN"])
 	if err != nil {
 		t.Fatal(err)
 	}
 	file := filepath.Join(t.TempDir(), "go")
 	c := startPeer(t, withFailpoint(env, failpointAddressInUse+"=WAIT:"+file))
-	waitFor(
-		t,
-		"it to find the address in use",
-		func() bool { _, err := os.Stat(file + ".at"); return err == nil || c.hasExited() },
-	)
+	waitFor(t, "it to find the address in use", func() bool {
+		_, err := os.Stat(file + ".at")
+		return err == nil || c.hasExited()
+	})
 	if err := ln.Close(); err != nil {
 		t.Fatal(err)
 	}
--- a/internal/relay/handover_outgoing.go
+++ b/internal/relay/handover_outgoing.go
@@ -142,7 +142,7 @@
 	}
 	hitFailpoint(failpointOutgoingAllSent)
 	h.machine.Step(handover.StateSent)
-	return h.heard(handover.OwnershipClaimed, h.successor.AwaitClaim(claimTimeout))
+	return h.awaited(handover.OwnershipClaimed, h.successor.AwaitClaim(claimTimeout))
 }
 
 // sendPackets sends what the successor needs, the lock last.
@@ -195,11 +195,11 @@
 }
 
 func (h *outgoingHandover) awaitServing() handover.OutgoingAction {
-	return h.heard(handover.SuccessorServing, h.successor.AwaitServing(servingTimeout))
+	return h.awaited(handover.SuccessorServing, h.successor.AwaitServing(servingTimeout))
 }
 
-// heard takes in what the successor said, or that it was lost.
-func (h *outgoingHandover) heard(event handover.OutgoingEvent, err error) handover.OutgoingAction {
+// awaited takes in the packet that was awaited, or that the successor was lost.
+func (h *outgoingHandover) awaited(event handover.OutgoingEvent, err error) handover.OutgoingAction {
 	if err == nil {
 		return h.machine.Step(event)
 	}
--- a/internal/relay/handover_packets_test.go
+++ b/internal/relay/handover_packets_test.go
@@ -157,6 +157,7 @@
 
 var (
 	monoText   = regexp.MustCompile(`"mono":-?\d+`)
+	pidText    = regexp.MustCompile(`"pid":\d+`)
 	frozenText = regexp.MustCompile(`"frozen":\d+`)
 )
 
@@ -245,31 +246,26 @@
 		t.Fatal(err)
 	}
 	defer func() { _ = l.Close() }()
-	var heard strings.Builder
-	hear := func() {
+	var received strings.Builder
+	receive := func() {
 		p, err := l.Receive(by)
 		if err != nil {
 			t.Fatal(err)
 		}
-		fmt.Fprintf(
-			&heard,
-			"%c %d %s\n",
-			p.Kind,
-			len(p.FDs),
-			regexp.MustCompile(`"pid":\d+`).ReplaceAll(p.Body, []byte(`"pid":1`)),
-		)
+		body := pidText.ReplaceAll(p.Body, []byte(`"pid":1`))
+		fmt.Fprintf(&received, "%c %d %s\n", p.Kind, len(p.FDs), body)
 	}
-	hear()
+	receive()
 	if err := l.Send(transfer.PacketHello, []byte(`{"form":2,"pid":1}`), by); err != nil {
 		t.Fatal(err)
 	}
-	hear()
+	receive()
 	for _, p := range was {
 		if err := l.Send(p.kind, p.body, by, p.fds...); err != nil {
 			t.Fatal(err)
 		}
 	}
-	hear()
+	receive()
 	for _, fd := range k.fds {
 		if err := syscall.Close(fd); err != nil {
 			t.Error(err)
@@ -277,8 +273,8 @@
 	}
 	k.fds = nil
 	k.lock.Close()
-	hear()
-	compareWithFixture(t, incomingFixture, heard.String())
+	receive()
+	compareWithFixture(t, incomingFixture, received.String())
 	if err := k.conn.Send(transfer.PacketServing, nil, by); err != nil {
 		t.Fatal(err)
 	}
@@ -293,7 +289,7 @@
 	t.Helper()
 	waitFor(t, "yes", fresh.isReady)
 	if got := s.cl.put("after", putFields("once", 8000, 2), nil); got != "+OK" {
-		t.Errorf("on a kept connection: %s", got)
+		t.Errorf("on an open connection: %s", got)
 	}
 	s.half.send(s.rest)
 	if got := s.half.readLine(); got != "+OK" {
--- a/internal/relay/handover_test.go
+++ b/internal/relay/handover_test.go
@@ -21,9 +21,9 @@
 	"troutusher/internal/wal"
 )
 
-// An upgrade under load: a kept connection, half a command on another, a call
-// of an unsafe message that is out, what is held, and a wait that the old
-// process was told. Nothing is lost, nothing goes out twice, no connection ends.
+// An upgrade under load: an idle client connection, half a command on another, an
+// open call of a non-idempotent message, a held message, and a Retry-After that the
+// old process received. Nothing is lost, nothing is sent twice, no connection ends.
 func TestUpgrade(t *testing.T) { upgradeUnderLoad(t, os.Args[0], os.Args[0]) }
 
 // upgradeUnderLoad has the work move from a process of one program to one of another.
@@ -44,24 +44,18 @@
 			w.WriteHeader(http.StatusServiceUnavailable)
 		}
 	})
-	var told atomic.Int64 // when the wait was told
+	var retryAfterAt atomic.Int64 // when Retry-After was sent
 	waits := newFakeEndpoint(t, func(w http.ResponseWriter, r *http.Request, n int) {
 		if n == 1 {
-			told.Store(time.Now().UnixMicro())
+			retryAfterAt.Store(time.Now().UnixMicro())
 			w.Header().Set("Retry-After", "1.5")
 			w.WriteHeader(http.StatusTooManyRequests)
 		}
 	})
 	quick := newFakeEndpoint(t, nil)
 	gone := unreachableMember("s-0", 5)
-	disc := newFakeDiscovery(
-		t,
-		slow.member("s-1", 1),
-		quick.member("s-2", 2),
-		waits.member("s-3", 3),
-		busy.member("s-4", 4),
-		gone,
-	)
+	disc := newFakeDiscovery(t,
+		slow.member("s-1", 1), quick.member("s-2", 2), waits.member("s-3", 3), busy.member("s-4", 4), gone)
 	env := testConfig(t, disc, 3)
 	env[programEnv] = from
 	old := startAndWait(t, env)
@@ -70,7 +64,9 @@
 	if s := cl.put("held", putFields("plain", 20000, 5), []byte("body")); s != "+OK" { // nobody serves 5 yet
 		t.Fatal(s)
 	}
-	waitFor(t, "the calls", func() bool { return slow.count("out") == 1 && busy.count("busy") == 1 && told.Load() > 0 })
+	waitFor(t, "the calls", func() bool {
+		return slow.count("out") == 1 && busy.count("busy") == 1 && retryAfterAt.Load() > 0
+	})
 	text := encodePut("half", putFields("keyed", 20000, 2), []byte("two\r\nlines"))
 	half.send(text[:len(text)-9])
 	waitFor(t, "the wait's answer", func() bool { return readStats(t, old.console())["current"] == 4 })
@@ -78,7 +74,7 @@
 	old.env[programEnv] = to
 	fresh := upgrade(t, old)
 	if s := cl.put("after", putFields("plain", 8000, 2), nil); s != "+OK" {
-		t.Errorf("on a kept connection: %s", s)
+		t.Errorf("on an open connection: %s", s)
 	}
 	half.send(text[len(text)-9:])
 	if s := half.readLine(); s != "+OK" {
@@ -93,8 +89,8 @@
 	}
 	quick.mu.Unlock()
 	waitFor(t, "the one that waits", func() bool { return waits.count("wait") == 2 })
-	if waited := time.Now().UnixMicro() - told.Load(); waited < 1.4e6 {
-		t.Errorf("sent %d ms after it was told to wait 1,500", waited/1000)
+	if waited := time.Now().UnixMicro() - retryAfterAt.Load(); waited < 1.4e6 {
+		t.Errorf("sent %d ms after a Retry-After of 1,500", waited/1000)
 	}
 	close(release)
 	other := newFakeEndpoint(t, nil)
@@ -119,8 +115,8 @@
 // Again and again, also during a drain and with discovery silent: each process
 // takes over from the one before, and the clients' connection lasts.
 func TestConsecutiveUpgrades(t *testing.T) {
-	ep := newFakeEndpoint(t, nil)
-	disc := newFakeDiscovery(t, ep.member("s-1", 1))
+	endpoint := newFakeEndpoint(t, nil)
+	disc := newFakeDiscovery(t, endpoint.member("s-1", 1))
 	env := testConfig(t, disc, 3)
 	now := startAndWait(t, env)
 	cl := dialClient(t, env["ROUTER_LISTEN"])
@@ -159,20 +155,19 @@
 	waitFor(t, "all to end", func() bool { return readStats(t, now.console())["current"] == 0 })
 	for i := range n { // each has one end; at this speed some are handed back
 		id := fmt.Sprintf("m%d", i)
-		calls := ep.count(id)
+		calls := endpoint.count(id)
 		if calls == 1 {
 			continue
 		}
-		waitFor(
-			t,
-			"the notice of "+id,
-			func() bool { x, ok := disc.Notice(id); return ok && x.Outcome == "handed_back" },
-		)
+		waitFor(t, "the notice of "+id, func() bool {
+			x, ok := disc.Notice(id)
+			return ok && x.Outcome == "handed_back"
+		})
 		if calls > 1 {
 			t.Errorf("%s went out %d times", id, calls)
 		}
 	}
-	// A drain is of the process that was told: the next one serves.
+	// A drain is of the process that was asked for it: the next one serves.
 	mustCall(t, now.console(), "DRAIN")
 	now = upgrade(t, now)
 	c := dialClient(t, env["ROUTER_LISTEN"])
@@ -212,7 +207,7 @@
 			k.close()
 			waitFor(t, "it to serve on", old.isReady)
 			if s := cl.put("after", putFields("once", 8000, 2), nil); s != "+OK" {
-				t.Errorf("on the kept connection: %s", s)
+				t.Errorf("on the open connection: %s", s)
 			}
 			waitFor(t, "the message after it", func() bool { return quick.count("after") == 1 })
 			close(release)
@@ -252,15 +247,14 @@
 	}
 	k.close()
 	waitFor(t, "it to serve anew", old.isReady)
-	waitFor(
-		t,
-		"the end of what may have run",
-		func() bool { n, ok := disc.Notice("out"); return ok && n.Outcome == "given_up" },
-	)
+	waitFor(t, "the end of what may have run", func() bool {
+		n, ok := disc.Notice("out")
+		return ok && n.Outcome == "given_up"
+	})
 	disc.SendLine(t, discoverytest.ChangeText(7, quick.member("s-5", 5)))
 	waitFor(t, "what never ran", func() bool { return quick.count("held") == 1 })
 	if n := slow.count("out"); n != 1 {
-		t.Errorf("an unsafe message went out %d times", n)
+		t.Errorf("a non-idempotent message was sent %d times", n)
 	}
 }
 
@@ -285,15 +279,14 @@
 	if _, err := os.Stat(filepath.Join(env["ROUTER_STATE"], statelock.FileName)); err != nil {
 		t.Error(err)
 	}
-	waitFor(
-		t,
-		"the end of what may have run",
-		func() bool { n, ok := disc.Notice("out"); return ok && n.Outcome == "given_up" },
-	)
+	waitFor(t, "the end of what may have run", func() bool {
+		n, ok := disc.Notice("out")
+		return ok && n.Outcome == "given_up"
+	})
 	disc.SendLine(t, discoverytest.ChangeText(7, quick.member("s-5", 5)))
 	waitFor(t, "what never ran", func() bool { return quick.count("held") == 1 })
 	if n := slow.count("out"); n != 1 {
-		t.Errorf("an unsafe message went out %d times", n)
+		t.Errorf("a non-idempotent message was sent %d times", n)
 	}
 }
 
@@ -356,8 +349,8 @@
 // Two new processes at once: one takes over, the other takes over from it, and
 // in the end one serves.
 func TestTwoSuccessorsAtOnce(t *testing.T) {
-	ep := newFakeEndpoint(t, nil)
-	env := testConfig(t, newFakeDiscovery(t, ep.member("s-1", 1)), 3)
+	endpoint := newFakeEndpoint(t, nil)
+	env := testConfig(t, newFakeDiscovery(t, endpoint.member("s-1", 1)), 3)
 	old := startAndWait(t, env)
 	cl := dialClient(t, env["ROUTER_LISTEN"])
 	a, b := startPeer(t, env), startPeer(t, env)
@@ -379,9 +372,9 @@
 	}
 	waitFor(t, "yes", left.isReady)
 	if s := cl.put("m", putFields("once", 8000, 1), nil); s != "+OK" {
-		t.Errorf("on the kept connection: %s", s)
+		t.Errorf("on the open connection: %s", s)
 	}
-	waitFor(t, "the message", func() bool { return ep.count("m") == 1 })
+	waitFor(t, "the message", func() bool { return endpoint.count("m") == 1 })
 }
 
 // Where an older program serves, which knows nothing of the lock, a new one
--- a/internal/relay/idle_bench_test.go
+++ b/internal/relay/idle_bench_test.go
@@ -36,7 +36,7 @@
 }
 
 func benchmarkEndpointList(b *testing.B, n int, awake string) {
-	ep := newFakeEndpoint(b, nil)
+	endpoint := newFakeEndpoint(b, nil)
 	l := core.EndpointList{Revision: 1, Complete: true}
 	for i := range n {
 		m := core.Member{
@@ -52,7 +52,7 @@
 			Rate:     40,
 		}
 		if i < 20 {
-			m.HostPort = ep.addr()
+			m.HostPort = endpoint.addr()
 		}
 		l.Members = append(l.Members, m)
 	}
--- a/internal/relay/main_test.go
+++ b/internal/relay/main_test.go
@@ -22,7 +22,7 @@
 
 // failpointEnv has something happen to a child at a failpoint: POINT=WHAT. WHAT
 // is KILL, TERM or HUP (the child has that signal, and goes on once it has been
-// heard), HUP:FILE (likewise, with the file in the configuration's place), or
+// received), HUP:FILE (likewise, with the file in the configuration's place), or
 // WAIT:FILE (it stops until there is such a file, and makes FILE.at as it does).
 const failpointEnv = "TROUTUSHER_TEST_CROSS"
 
@@ -63,7 +63,7 @@
 }
 
 // setFailpoint has what failpointEnv says happen, once. terminated ends as SIGTERM has
-// been heard, and reloaded has a value each time that the configuration was read.
+// been received, and reloaded has a value each time that the configuration was read.
 func setFailpoint(terminated context.Context, reloaded <-chan struct{}, text string) {
 	point, what, _ := strings.Cut(text, "=")
 	what, file, _ := strings.Cut(what, ":")
--- a/internal/relay/passivation_test.go
+++ b/internal/relay/passivation_test.go
@@ -15,11 +15,11 @@
 // what has drained; figures count them; and a kill and a restart change nothing of
 // that.
 func TestPassiveDestinationsAreServed(t *testing.T) {
-	var eps []*fakeEndpoint
+	var endpoints []*fakeEndpoint
 	var members []core.Member
 	for i := range 6 { // two for each of three destinations
-		eps = append(eps, newFakeEndpoint(t, nil))
-		members = append(members, eps[i].member(fmt.Sprintf("s-%d", i), 1+i/2))
+		endpoints = append(endpoints, newFakeEndpoint(t, nil))
+		members = append(members, endpoints[i].member(fmt.Sprintf("s-%d", i), 1+i/2))
 	}
 	d := newFakeDiscovery(t, members...)
 	env := testConfig(t, d, 3)
@@ -44,8 +44,8 @@
 			id := fmt.Sprintf("m-%d-%d", round, i)
 			dest := 1 + i%3
 			cl.mustPut(id, putFields("once", 20000, dest), nil)
-			waitFor(t, id, func() bool { return eps[2*dest-2].count(id)+eps[2*dest-1].count(id) == 1 })
-			if eps[4].count(id) != 0 {
+			waitFor(t, id, func() bool { return endpoints[2*dest-2].count(id)+endpoints[2*dest-1].count(id) == 1 })
+			if endpoints[4].count(id) != 0 {
 				t.Errorf("%s went to an endpoint that had drained", id)
 			}
 		}
--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -80,7 +80,7 @@
 	pendingHandover   *handoverRequest // to be served after this step; nil for none
 	clientsPausedAt   int64            // when clients were last read, by monotonicMicros
 	reloadsRequested  atomic.Int64     // counted by the goroutine that reloads
-	reloadsHandedOver int64            // of them, those that the successor was told of
+	reloadsHandedOver int64            // of them, those that the successor knows of
 
 	exits []func() // what cleanUp calls, the last one first
 }
--- a/internal/relay/restart_test.go
+++ b/internal/relay/restart_test.go
@@ -17,8 +17,8 @@
 
 // Id, key and body go on as they came, whatever bytes they hold.
 func TestDeliver(t *testing.T) {
-	ep := newFakeEndpoint(t, nil)
-	c := startChild(t, testConfig(t, newFakeDiscovery(t, ep.member("s-1", 7)), 3))
+	endpoint := newFakeEndpoint(t, nil)
+	c := startChild(t, testConfig(t, newFakeDiscovery(t, endpoint.member("s-1", 7)), 3))
 	cl := dialClient(t, c.env["ROUTER_LISTEN"])
 	bodies := [][]byte{nil, []byte("\r\n\x00\xff*5\r\n"), []byte(strings.Repeat("x", maxBodySize))}
 	for i, body := range bodies {
@@ -26,10 +26,10 @@
 		if s := cl.put(id, putFields("keyed", 8000, 7), body); s != "+OK" {
 			t.Fatalf("body %d: %s", i, s)
 		}
-		waitFor(t, "the call", func() bool { return ep.count(id) == 1 })
-		ep.mu.Lock()
-		got := ep.calls[len(ep.calls)-1]
-		ep.mu.Unlock()
+		waitFor(t, "the call", func() bool { return endpoint.count(id) == 1 })
+		endpoint.mu.Lock()
+		got := endpoint.calls[len(endpoint.calls)-1]
+		endpoint.mu.Unlock()
 		if got.key != "5c0f6e1a2b3d4c59" || string(got.body) != string(body) || got.timeout == "" {
 			t.Errorf("body %d: arrived as key %q, timeout %q, %d bytes", i, got.key, got.timeout, len(got.body))
 		}
@@ -74,14 +74,13 @@
 		e.setHandler(nil)
 	}
 	startChild(t, env)
-	waitFor(
-		t,
-		"notice of the unsafe one",
-		func() bool { n, ok := disc.Notice("stuck"); return ok && n.Outcome == core.NoticeGivenUp },
-	)
+	waitFor(t, "notice of the unsafe one", func() bool {
+		n, ok := disc.Notice("stuck")
+		return ok && n.Outcome == core.NoticeGivenUp
+	})
 	waitFor(t, "the others", func() bool { return full.count("full") >= 2 && keyed.count("keyed") == 2 })
 	if n := stuck.count("stuck"); n != 1 {
-		t.Errorf("the unsafe message went out %d times", n)
+		t.Errorf("the non-idempotent message was sent %d times", n)
 	}
 	if n := done.count("done"); n != 1 {
 		t.Errorf("the delivered message went out %d times", n)
@@ -112,11 +111,10 @@
 	disc.Update(func(d *fakeDiscovery) { d.NoticeStatus = http.StatusNoContent })
 	startChild(t, env)
 	for _, id := range []string{"short", "later"} {
-		waitFor(
-			t,
-			"notice of "+id,
-			func() bool { n, ok := disc.Notice(id); return ok && n.Outcome == core.NoticeHandedBack },
-		)
+		waitFor(t, "notice of "+id, func() bool {
+			n, ok := disc.Notice(id)
+			return ok && n.Outcome == core.NoticeHandedBack
+		})
 	}
 	waitFor(t, "ends in the log", func() bool {
 		text, _ := os.ReadFile(filepath.Join(env["ROUTER_STATE"], wal.FileName))
@@ -300,23 +298,23 @@
 // Guards against handing in twice: an id that is held is not taken on again.
 func TestDuplicateID(t *testing.T) {
 	release := make(chan struct{})
-	ep := newFakeEndpoint(t, func(_ http.ResponseWriter, r *http.Request, _ int) {
+	endpoint := newFakeEndpoint(t, func(_ http.ResponseWriter, r *http.Request, _ int) {
 		select {
 		case <-release:
 		case <-r.Context().Done():
 		}
 	})
-	env := testConfig(t, newFakeDiscovery(t, ep.member("s-1", 1)), 3)
+	env := testConfig(t, newFakeDiscovery(t, endpoint.member("s-1", 1)), 3)
 	startChild(t, env)
 	cl := dialClient(t, env["ROUTER_LISTEN"])
 	for range 2 {
 		cl.mustPut("m", putFields("once", 20000, 1), nil)
-		waitFor(t, "the call", func() bool { return ep.count("m") == 1 })
+		waitFor(t, "the call", func() bool { return endpoint.count("m") == 1 })
 	}
 	close(release)
 	cl.mustPut("other", putFields("once", 20000, 1), nil)
-	waitFor(t, "the next", func() bool { return ep.count("other") == 1 })
-	if n := ep.count("m"); n != 1 {
+	waitFor(t, "the next", func() bool { return endpoint.count("other") == 1 })
+	if n := endpoint.count("m"); n != 1 {
 		t.Errorf("went out %d times", n)
 	}
 }
--- a/internal/relay/shutdown_test.go
+++ b/internal/relay/shutdown_test.go
@@ -12,14 +12,14 @@
 	"troutusher/internal/config"
 )
 
-// inProcessRelay is a relay in the test's own process, so that its seam can be held.
+// inProcessRelay is a relay in the test's own process, so that it can be stopped at a failpoint.
 type inProcessRelay struct {
 	env  map[string]string
 	stop chan struct{}
 	done chan error
 }
 
-// startInProcess starts one; at is called at each point of the seam.
+// startInProcess starts one; at is called at each failpoint.
 func startInProcess(t *testing.T, env map[string]string, at func(point string)) *inProcessRelay {
 	t.Helper()
 	cfg, err := config.Load(func(name string) string { return env[name] })
@@ -64,11 +64,11 @@
 
 // A request that comes in the moment in which a relay that ends lets its clients go
 // has its answer, and so has one on a connection that lay in the listener's queue as
-// that was closed. Without the front's own word that nothing is open the process
+// that was closed. Without the RESP server's own report that nothing is open the process
 // ended under the first; without letting in who waits the second was reset.
 func TestRequestsDuringShutdown(t *testing.T) {
-	ep := newFakeEndpoint(t, nil)
-	env := testConfig(t, newFakeDiscovery(t, ep.member("s-1", 1)), 3)
+	endpoint := newFakeEndpoint(t, nil)
+	env := testConfig(t, newFakeDiscovery(t, endpoint.member("s-1", 1)), 3)
 	var mu sync.Mutex
 	got := map[string]net.Conn{}
 	send := func(id string, c net.Conn) {
@@ -124,8 +124,8 @@
 
 // A command that is half read as its relay ends has its answer once it is whole.
 func TestPartialRequestDuringShutdown(t *testing.T) {
-	ep := newFakeEndpoint(t, nil)
-	env := testConfig(t, newFakeDiscovery(t, ep.member("s-1", 1)), 3)
+	endpoint := newFakeEndpoint(t, nil)
+	env := testConfig(t, newFakeDiscovery(t, endpoint.member("s-1", 1)), 3)
 	text := encodePut("half", putFields("plain", 8000, 1), []byte("body"))
 	let := make(chan struct{})
 	var once sync.Once
--- a/internal/relay/statesaver_test.go
+++ b/internal/relay/statesaver_test.go
@@ -11,18 +11,18 @@
 	"troutusher/internal/policystate"
 )
 
-// A wait that was told holds across a kill, to its end: what was learned lies in
+// A Retry-After holds across a kill, to its end: the policy state lies in
 // the state folder beside the log. A file of another relay is set aside, and the
 // relay starts.
 func TestRetryAfterSurvivesKill(t *testing.T) {
 	const wait = 3 * time.Second
 	var mu sync.Mutex
-	var told, next time.Time
-	ep := newFakeEndpoint(t, func(w http.ResponseWriter, _ *http.Request, n int) {
+	var retryAfterAt, next time.Time
+	endpoint := newFakeEndpoint(t, func(w http.ResponseWriter, _ *http.Request, n int) {
 		mu.Lock()
 		defer mu.Unlock()
 		if n == 1 {
-			told = time.Now()
+			retryAfterAt = time.Now()
 			w.Header().Set("Retry-After", "3")
 			w.WriteHeader(http.StatusTooManyRequests)
 			return
@@ -31,8 +31,8 @@
 			next = time.Now()
 		}
 	})
-	d := newFakeDiscovery(t, ep.member("s-1", 1))
-	env := testConfig(t, d, 3, ep.member("s-1", 1))
+	d := newFakeDiscovery(t, endpoint.member("s-1", 1))
+	env := testConfig(t, d, 3, endpoint.member("s-1", 1))
 	c := startChild(t, env)
 	dialClient(t, env["ROUTER_LISTEN"]).mustPut("m", putFields("plain", 20000, 1), nil)
 	path := filepath.Join(env["ROUTER_STATE"], policystate.FileName)
@@ -47,10 +47,10 @@
 	c.kill()
 	c = startChild(t, env)
 	dialClient(t, env["ROUTER_LISTEN"]).mustPut("m2", putFields("plain", 20000, 1), nil)
-	waitFor(t, "both to be delivered", func() bool { return ep.count("m") == 2 && ep.count("m2") == 1 })
+	waitFor(t, "both to be delivered", func() bool { return endpoint.count("m") == 2 && endpoint.count("m2") == 1 })
 	mu.Lock()
-	if gap := next.Sub(told); gap < wait-100*time.Millisecond {
-		t.Errorf("sent %v after a wait of %v was told", gap, wait)
+	if gap := next.Sub(retryAfterAt); gap < wait-100*time.Millisecond {
+		t.Errorf("sent %v after a Retry-After of %v", gap, wait)
 	}
 	mu.Unlock()
 
@@ -64,7 +64,7 @@
 	}
 	startChild(t, env)
 	dialClient(t, env["ROUTER_LISTEN"]).mustPut("m3", putFields("plain", 20000, 1), nil)
-	waitFor(t, "the third", func() bool { return ep.count("m3") == 1 })
+	waitFor(t, "the third", func() bool { return endpoint.count("m3") == 1 })
 	if _, err := os.Stat(path + ".bad"); err != nil {
 		t.Errorf("not set aside: %v", err)
 	}
--- a/internal/relay/testclient_test.go
+++ b/internal/relay/testclient_test.go
@@ -82,7 +82,7 @@
 	return strings.TrimSuffix(s, "\r\n")
 }
 
-// mustSubmitOnce hands in unsafe messages for destinations, which must be taken on.
+// mustSubmitOnce submits non-idempotent messages for destinations, which must be accepted.
 func mustSubmitOnce(t *testing.T, cl *testClient, dests map[string]int) {
 	t.Helper()
 	for id, dest := range dests {
