--- a/cmd/troutusher-kit/rehearse.go
+++ b/cmd/troutusher-kit/rehearse.go
@@ -15,7 +15,7 @@
 	"syscall"
 	"time"
 
-	"troutusher/internal/rehearsal/event"
+	"troutusher/internal/event"
 	"troutusher/internal/rehearsal/replay"
 	"troutusher/internal/rehearsal/report"
 	"troutusher/internal/rehearsal/runner"
--- a/internal/emulator/endpoint/calls.go
+++ b/internal/emulator/endpoint/calls.go
@@ -1,7 +1,7 @@
 package endpoint
 
 import (
-	"troutusher/internal/rehearsal/event"
+	"troutusher/internal/event"
 )
 
 type call struct {
--- a/internal/emulator/endpoint/faults.go
+++ b/internal/emulator/endpoint/faults.go
@@ -4,7 +4,7 @@
 	"container/heap"
 	"fmt"
 
-	"troutusher/internal/rehearsal/event"
+	"troutusher/internal/event"
 )
 
 // Begin has a fault hold at an endpoint. The same value ends it.
--- a/internal/emulator/endpoint/h1/secure_test.go
+++ b/internal/emulator/endpoint/h1/secure_test.go
@@ -7,7 +7,7 @@
 	"time"
 
 	"troutusher/internal/emulator/endpoint"
-	"troutusher/internal/rehearsal/event"
+	"troutusher/internal/event"
 	"troutusher/internal/testca"
 )
 
--- a/internal/emulator/endpoint/service.go
+++ b/internal/emulator/endpoint/service.go
@@ -4,7 +4,7 @@
 	"container/heap"
 	"math"
 
-	"troutusher/internal/rehearsal/event"
+	"troutusher/internal/event"
 	"troutusher/internal/seededrand"
 )
 
--- a/internal/emulator/endpoint/spec.go
+++ b/internal/emulator/endpoint/spec.go
@@ -8,7 +8,7 @@
 import (
 	"fmt"
 
-	"troutusher/internal/rehearsal/event"
+	"troutusher/internal/event"
 	"troutusher/internal/seededrand"
 )
 
--- a/internal/emulator/endpoint/world.go
+++ b/internal/emulator/endpoint/world.go
@@ -3,7 +3,7 @@
 import (
 	"container/heap"
 
-	"troutusher/internal/rehearsal/event"
+	"troutusher/internal/event"
 )
 
 // Message is what a stand-in knows of a message that calls may bring.
--- a/internal/emulator/endpoint/world_test.go
+++ b/internal/emulator/endpoint/world_test.go
@@ -5,7 +5,7 @@
 	"math"
 	"testing"
 
-	"troutusher/internal/rehearsal/event"
+	"troutusher/internal/event"
 	"troutusher/internal/seededrand"
 )
 
--- a/internal/emulator/registry/registry.go
+++ b/internal/emulator/registry/registry.go
@@ -17,7 +17,7 @@
 	"time"
 
 	"troutusher/internal/emulator/loopback"
-	"troutusher/internal/rehearsal/event"
+	"troutusher/internal/event"
 	"troutusher/internal/seededrand"
 )
 
--- a/internal/emulator/registry/registry_test.go
+++ b/internal/emulator/registry/registry_test.go
@@ -12,7 +12,7 @@
 	"testing"
 	"time"
 
-	"troutusher/internal/rehearsal/event"
+	"troutusher/internal/event"
 )
 
 type rig struct {
--- a/internal/rehearsal/event/event.go
+++ b/internal/event/event.go
@@ -1,6 +1,8 @@
-// Package event is the vocabulary of a rehearsal: what was handed in, sent,
-// answered, told and noticed, in one order. It owns the words and nothing else.
-// No word may belong to one front or protocol, and moments are microseconds
+// Package event defines the events that a rehearsal records: submissions, calls
+// and their ends, health checks, notices, outages. Emulators and the load
+// generator emit them; the runner orders them, the checker and the reports read
+// them. It holds the types and nothing else, below all of these packages. No
+// event is bound to one client front end or protocol, and times are microseconds
 // since the rehearsal began, whichever clock they came from.
 package event
 
--- a/internal/rehearsal/checker/calls.go
+++ b/internal/rehearsal/checker/calls.go
@@ -4,7 +4,7 @@
 	"fmt"
 	"slices"
 
-	"troutusher/internal/rehearsal/event"
+	"troutusher/internal/event"
 )
 
 // doubt reports whether the call may have run.
--- a/internal/rehearsal/checker/checker.go
+++ b/internal/rehearsal/checker/checker.go
@@ -10,7 +10,7 @@
 	"fmt"
 	"slices"
 
-	"troutusher/internal/rehearsal/event"
+	"troutusher/internal/event"
 )
 
 type state uint8
--- a/internal/rehearsal/checker/checker_test.go
+++ b/internal/rehearsal/checker/checker_test.go
@@ -4,7 +4,7 @@
 	"strings"
 	"testing"
 
-	"troutusher/internal/rehearsal/event"
+	"troutusher/internal/event"
 )
 
 const ms, s Time = 1000, 1_000_000
--- a/internal/rehearsal/checker/endings.go
+++ b/internal/rehearsal/checker/endings.go
@@ -3,7 +3,7 @@
 import (
 	"container/heap"
 
-	"troutusher/internal/rehearsal/event"
+	"troutusher/internal/event"
 )
 
 func (r *Referee) noticed(e *event.Event) {
--- a/internal/rehearsal/checker/rules.go
+++ b/internal/rehearsal/checker/rules.go
@@ -3,7 +3,7 @@
 import (
 	"fmt"
 
-	"troutusher/internal/rehearsal/event"
+	"troutusher/internal/event"
 )
 
 // Time is a moment or a span in microseconds.
--- a/internal/rehearsal/idlebench/idlebench.go
+++ b/internal/rehearsal/idlebench/idlebench.go
@@ -17,7 +17,7 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 
 	"troutusher/internal/emulator/registry"
-	"troutusher/internal/rehearsal/event"
+	"troutusher/internal/event"
 )
 
 // Options say what is measured.
--- a/internal/rehearsal/loadgen/load.go
+++ b/internal/rehearsal/loadgen/load.go
@@ -15,7 +15,7 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 
 	"troutusher/internal/emulator/endpoint"
-	"troutusher/internal/rehearsal/event"
+	"troutusher/internal/event"
 	"troutusher/internal/rehearsal/scenario"
 )
 
--- a/internal/rehearsal/loadgen/load_test.go
+++ b/internal/rehearsal/loadgen/load_test.go
@@ -17,8 +17,8 @@
 
 	"troutusher/internal/emulator/endpoint"
 	"troutusher/internal/emulator/endpoint/h1"
+	"troutusher/internal/event"
 	"troutusher/internal/rehearsal/checker"
-	"troutusher/internal/rehearsal/event"
 	"troutusher/internal/rehearsal/scenario"
 )
 
--- a/internal/rehearsal/loadgen/messages.go
+++ b/internal/rehearsal/loadgen/messages.go
@@ -8,7 +8,7 @@
 	"strings"
 	"time"
 
-	"troutusher/internal/rehearsal/event"
+	"troutusher/internal/event"
 	"troutusher/internal/rehearsal/scenario"
 	"troutusher/internal/seededrand"
 )
--- a/internal/rehearsal/report/report.go
+++ b/internal/rehearsal/report/report.go
@@ -11,8 +11,8 @@
 
 	"github.com/HdrHistogram/hdrhistogram-go"
 
+	"troutusher/internal/event"
 	"troutusher/internal/rehearsal/checker"
-	"troutusher/internal/rehearsal/event"
 	"troutusher/internal/rehearsal/loadgen"
 	"troutusher/internal/rehearsal/replay"
 	"troutusher/internal/rehearsal/runner"
--- a/internal/rehearsal/runner/faults.go
+++ b/internal/rehearsal/runner/faults.go
@@ -9,7 +9,7 @@
 
 	"troutusher/internal/emulator/endpoint"
 	"troutusher/internal/emulator/registry"
-	"troutusher/internal/rehearsal/event"
+	"troutusher/internal/event"
 	"troutusher/internal/rehearsal/loadgen"
 	"troutusher/internal/rehearsal/scenario"
 	"troutusher/internal/seededrand"
--- a/internal/rehearsal/runner/hold.go
+++ b/internal/rehearsal/runner/hold.go
@@ -12,7 +12,7 @@
 	"troutusher/internal/emulator/endpoint/h1"
 	"troutusher/internal/emulator/loopback"
 	"troutusher/internal/emulator/registry"
-	"troutusher/internal/rehearsal/event"
+	"troutusher/internal/event"
 	"troutusher/internal/rehearsal/scenario"
 )
 
--- a/internal/rehearsal/runner/hub.go
+++ b/internal/rehearsal/runner/hub.go
@@ -3,8 +3,8 @@
 import (
 	"sync"
 
+	"troutusher/internal/event"
 	"troutusher/internal/rehearsal/checker"
-	"troutusher/internal/rehearsal/event"
 )
 
 // Calls counts the calls that came to a partner's endpoints.
--- a/internal/rehearsal/runner/recall_test.go
+++ b/internal/rehearsal/runner/recall_test.go
@@ -6,7 +6,7 @@
 	"sync"
 	"testing"
 
-	"troutusher/internal/rehearsal/event"
+	"troutusher/internal/event"
 )
 
 // recovery plays an outage of a partner with one relay and returns the calls that
--- a/internal/rehearsal/runner/runner.go
+++ b/internal/rehearsal/runner/runner.go
@@ -19,8 +19,8 @@
 	"troutusher/internal/emulator/endpoint"
 	"troutusher/internal/emulator/endpoint/h1"
 	"troutusher/internal/emulator/registry"
+	"troutusher/internal/event"
 	"troutusher/internal/rehearsal/checker"
-	"troutusher/internal/rehearsal/event"
 	"troutusher/internal/rehearsal/loadgen"
 	"troutusher/internal/rehearsal/scenario"
 )
--- a/internal/rehearsal/runner/runner_test.go
+++ b/internal/rehearsal/runner/runner_test.go
@@ -19,8 +19,8 @@
 	"time"
 
 	"troutusher/internal/config"
+	"troutusher/internal/event"
 	"troutusher/internal/rehearsal/checker"
-	"troutusher/internal/rehearsal/event"
 	"troutusher/internal/rehearsal/loadgen"
 	"troutusher/internal/rehearsal/replay"
 	"troutusher/internal/rehearsal/scenario"
--- a/internal/rehearsal/scenario/plan.go
+++ b/internal/rehearsal/scenario/plan.go
@@ -6,8 +6,8 @@
 	"slices"
 
 	"troutusher/internal/emulator/endpoint"
+	"troutusher/internal/event"
 	"troutusher/internal/rehearsal/checker"
-	"troutusher/internal/rehearsal/event"
 	"troutusher/internal/seededrand"
 )
 
