--- a/internal/membership/entry.go
+++ b/internal/membership/entry.go
@@ -63,7 +63,7 @@
 	updates      int64 // accepted ones
 	known        bool
 	lastHeard    Time // its last update or heartbeat
-	fresh        bool
+	fresh        bool // it was heard within its StaleAfter
 	listedCount  int
 	entries      map[string]*entry // by the source's own id
 
--- a/internal/membership/membership_test.go
+++ b/internal/membership/membership_test.go
@@ -134,8 +134,8 @@
 	for at := 3 * second; at < 200*second; at += second { // etcd is silent, the registry goes on to list it as up
 		v.mustApply(t, at, completeUpdate(registrySource, 5+at/second, upMembers(4)...), Accepted)
 	}
-	if v.Fresh(etcdSource) || v.publishedPhase("e00001") != Draining {
-		t.Errorf("etcd is fresh: %v; the endpoint is %q", v.Fresh(etcdSource), v.publishedPhase("e00001"))
+	if v.sources[etcdSource].fresh || v.publishedPhase("e00001") != Draining {
+		t.Errorf("etcd is fresh: %v; the endpoint is %q", v.sources[etcdSource].fresh, v.publishedPhase("e00001"))
 	}
 	got = v.mustApply(t, 201*second, changeUpdate(etcdSource, 102, upMember("e00001", 1)), Accepted)
 	if len(got) != 1 || got[0].Phase != Up {
@@ -180,7 +180,7 @@
 			t.Fatalf("at %d s: %+v", at/second, got)
 		}
 	}
-	if len(v.Members()) != 9 || v.Fresh(etcdSource) || v.Fresh(registrySource) {
+	if len(v.Members()) != 9 || v.sources[etcdSource].fresh || v.sources[registrySource].fresh {
 		t.Errorf("%d left", len(v.Members()))
 	}
 	if n := v.TakeWarnings(); len(n) != 2 {
--- a/internal/membership/view.go
+++ b/internal/membership/view.go
@@ -80,9 +80,6 @@
 	return t.epoch, t.revision, t.known
 }
 
-// Fresh reports whether a source was heard within its StaleAfter.
-func (v *View) Fresh(source int) bool { return v.sources[source].fresh }
-
 func (v *View) warn(w Warning) { v.warnings = append(v.warnings, w) }
 
 // TakeWarnings returns the warnings since it was last called.
--- a/internal/relay/reload.go
+++ b/internal/relay/reload.go
@@ -8,23 +8,23 @@
 	"troutusher/internal/config"
 )
 
-// A configuration is read again on SIGHUP. What a running relay takes over from
-// it is the address of discovery; everything else binds until the next start.
+// The configuration is read again on SIGHUP. What a running relay applies of it is the
+// address of discovery; everything else waits for the next start.
 
-// ReloadRequests tells a running relay of new configurations.
+// ReloadRequests is how a running relay learns of a new configuration.
 type ReloadRequests struct {
-	Signals <-chan os.Signal               // one value for each time that it is to be read
+	Signals <-chan os.Signal               // a value for each time that it is to be read
 	Load    func() (*config.Config, error) // reads it
 }
 
-// watchReloads reads the configuration whenever that is asked for. One that cannot
-// be read or is wrong changes nothing.
-func (r *Relay) watchReloads(ctx context.Context, re ReloadRequests) {
+// watchReloads reads the configuration at each request until ctx ends. One that cannot
+// be read or is invalid changes nothing.
+func (r *Relay) watchReloads(ctx context.Context, requests ReloadRequests) {
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case <-re.Signals:
+		case <-requests.Signals:
 			r.reloadsRequested.Add(1)
 		}
 		if cfg := r.loadNewConfig(); cfg != nil {
@@ -33,7 +33,8 @@
 	}
 }
 
-// loadNewConfig is the configuration as it is now; nil for one that is of no use.
+// loadNewConfig is the configuration as it is now; nil where it cannot be read or is
+// invalid.
 func (r *Relay) loadNewConfig() *config.Config {
 	cfg, err := r.reload.Load()
 	if err != nil {
@@ -43,8 +44,8 @@
 	return cfg
 }
 
-// reloadNow is for a process that took over from one that was told to: it began
-// with what the environment says, which the file has been put before since.
+// reloadNow is for a process that took over from one that was requested to reload: it
+// began with what the environment says, and in a reload the file takes precedence.
 func (r *Relay) reloadNow() {
 	r.reloadsRequested.Add(1)
 	if cfg := r.loadNewConfig(); cfg != nil {
@@ -52,8 +53,8 @@
 	}
 }
 
-// reconfigure takes over what a running relay can: watch and notices move to
-// the new address, and what was not confirmed at the old one goes out there.
+// reconfigure applies what a running relay can: watch and notices move to the new
+// address, and notices that were not confirmed at the old one are sent there.
 func (r *Relay) reconfigure(cfg *config.Config) {
 	if !reflect.DeepEqual(cfg.Policy, r.cfg.Policy) || cfg.Limits != r.cfg.Limits || cfg.Listen != r.cfg.Listen {
 		r.log.Warn("new configuration: settings, limits and listen wait for the next start")
--- a/internal/source/etcd/machine.go
+++ b/internal/source/etcd/machine.go
@@ -76,10 +76,6 @@
 // NextDeadline is when to call Step though nothing has happened.
 func (m *Machine) NextDeadline() Time { return max(m.deadline, 1) }
 
-// Revision is the revision up to which all is known; known is false before the first
-// complete list.
-func (m *Machine) Revision() (revision int64, known bool) { return m.revision, m.hasRevision }
-
 // Step takes what has happened by now, and returns what is to be done.
 func (m *Machine) Step(now Time, events []Event) []Action {
 	m.beginStep(now)
--- a/internal/source/registry/scheduler.go
+++ b/internal/source/registry/scheduler.go
@@ -99,9 +99,6 @@
 // SetRevision sets the revision of the list that the relay was given at its start.
 func (s *Scheduler) SetRevision(revision int64) { s.revision, s.hasRevision = revision, true }
 
-// HasRevision reports whether the list is known up to a revision.
-func (s *Scheduler) HasRevision() bool { return s.hasRevision }
-
 // ChangeAddress begins at another address, whose revisions may be its own.
 func (s *Scheduler) ChangeAddress() {
 	s.delayNext, s.failures, s.rejections = false, 0, 0
--- a/internal/source/registry/scheduler_test.go
+++ b/internal/source/registry/scheduler_test.go
@@ -193,8 +193,8 @@
 			if v == Accept {
 				at, known, older = rev, true, 0
 			}
-			if s.HasRevision() != known {
-				t.Fatalf("seed %d: known %v, want %v", seed, s.HasRevision(), known)
+			if s.hasRevision != known {
+				t.Fatalf("seed %d: known %v, want %v", seed, s.hasRevision, known)
 			}
 		}
 	}
