--- a/internal/relay/attempts_test.go
+++ b/internal/relay/attempts_test.go
@@ -16,7 +16,9 @@
 	r := &Relay{endpoints: map[policy.EndpointID]*upstream.Endpoint{}, startedAt: time.Now()}
 	r.pool = upstream.NewPool(upstream.PoolOptions{Now: r.now})
 	open := func(id policy.EndpointID, dest int, independent bool) {
-		r.executeEffect(core.OpenEndpoint{Endpoint: id, Address: "127.0.0.1:1", Dest: dest, IndependentRoute: independent})
+		r.executeEffect(
+			core.OpenEndpoint{Endpoint: id, Address: "127.0.0.1:1", Dest: dest, IndependentRoute: independent},
+		)
 	}
 	open(1, 1, false)
 	open(2, 1, false)
--- a/internal/relay/fake_test.go
+++ b/internal/relay/fake_test.go
@@ -56,6 +56,16 @@
 	return e
 }
 
+// blockUntil answers a call once a channel is closed, or its caller is gone.
+func blockUntil(release <-chan struct{}) func(http.ResponseWriter, *http.Request, int) {
+	return func(_ http.ResponseWriter, r *http.Request, _ int) {
+		select {
+		case <-release:
+		case <-r.Context().Done():
+		}
+	}
+}
+
 // hang holds a call until its caller is gone.
 func hang(_ http.ResponseWriter, r *http.Request, _ int) { <-r.Context().Done() }
 
--- a/internal/relay/handover_failpoints_test.go
+++ b/internal/relay/handover_failpoints_test.go
@@ -3,7 +3,6 @@
 import (
 	"encoding/json"
 	"net"
-	"net/http"
 	"os"
 	"path/filepath"
 	"strings"
@@ -48,12 +47,7 @@
 func testHandoverWithFailpoint(t *testing.T, outgoing bool, failpoint string) {
 	t.Parallel()
 	release := make(chan struct{})
-	slow := newFakeEndpoint(t, func(w http.ResponseWriter, r *http.Request, _ int) {
-		select {
-		case <-release:
-		case <-r.Context().Done():
-		}
-	})
+	slow := newFakeEndpoint(t, blockUntil(release))
 	quick := newFakeEndpoint(t, nil)
 	disc := newFakeDiscovery(t, slow.member("s-1", 1), quick.member("s-2", 2), unreachableMember("s-0", 5))
 	env := testConfig(t, disc, 3)
--- a/internal/relay/handover_packets_test.go
+++ b/internal/relay/handover_packets_test.go
@@ -4,7 +4,6 @@
 	"bytes"
 	"encoding/json"
 	"fmt"
-	"net/http"
 	"os"
 	"regexp"
 	"strconv"
@@ -110,12 +109,7 @@
 func newHandoverScenario(t *testing.T) *handoverScenario {
 	t.Helper()
 	s := &handoverScenario{release: make(chan struct{})}
-	s.slow = newFakeEndpoint(t, func(w http.ResponseWriter, r *http.Request, _ int) {
-		select {
-		case <-s.release:
-		case <-r.Context().Done():
-		}
-	})
+	s.slow = newFakeEndpoint(t, blockUntil(s.release))
 	s.quick = newFakeEndpoint(t, nil)
 	s.disc = newFakeDiscovery(t, s.slow.member("s-1", 1), s.quick.member("s-2", 2), unreachableMember("s-0", 5))
 	s.env = testConfig(t, s.disc, 3)
--- a/internal/relay/handover_test.go
+++ b/internal/relay/handover_test.go
@@ -18,6 +18,7 @@
 	"troutusher/internal/discovery/discoverytest"
 	"troutusher/internal/handover/statelock"
 	"troutusher/internal/handover/transfer"
+	"troutusher/internal/resp"
 	"troutusher/internal/wal"
 )
 
@@ -29,12 +30,7 @@
 // upgradeUnderLoad has the work move from a process of one program to one of another.
 func upgradeUnderLoad(t *testing.T, from, to string) {
 	release := make(chan struct{})
-	slow := newFakeEndpoint(t, func(w http.ResponseWriter, r *http.Request, _ int) {
-		select {
-		case <-release:
-		case <-r.Context().Done():
-		}
-	})
+	slow := newFakeEndpoint(t, blockUntil(release))
 	busy := newFakeEndpoint(t, func(w http.ResponseWriter, r *http.Request, n int) {
 		if n == 1 { // it never ran, and that is known in the other process only
 			select {
@@ -189,12 +185,7 @@
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			release := make(chan struct{})
-			slow := newFakeEndpoint(t, func(w http.ResponseWriter, r *http.Request, _ int) {
-				select {
-				case <-release:
-				case <-r.Context().Done():
-				}
-			})
+			slow := newFakeEndpoint(t, blockUntil(release))
 			quick := newFakeEndpoint(t, nil)
 			disc := newFakeDiscovery(t, slow.member("s-1", 1), quick.member("s-2", 2))
 			env := testConfig(t, disc, 3)
@@ -247,6 +238,14 @@
 	}
 	k.close()
 	waitFor(t, "it to serve anew", old.isReady)
+	checkRecoveredFromLog(t, disc, slow, quick)
+}
+
+// checkRecoveredFromLog checks that a process has recovered from the log: of two
+// non-idempotent messages the call of one ("out") may have run and is given up, the
+// other one ("held") never ran and is delivered.
+func checkRecoveredFromLog(t *testing.T, disc *fakeDiscovery, slow, quick *fakeEndpoint) {
+	t.Helper()
 	waitFor(t, "the end of what may have run", func() bool {
 		n, ok := disc.Notice("out")
 		return ok && n.Outcome == "given_up"
@@ -279,15 +278,7 @@
 	if _, err := os.Stat(filepath.Join(env["ROUTER_STATE"], statelock.FileName)); err != nil {
 		t.Error(err)
 	}
-	waitFor(t, "the end of what may have run", func() bool {
-		n, ok := disc.Notice("out")
-		return ok && n.Outcome == "given_up"
-	})
-	disc.SendLine(t, discoverytest.ChangeText(7, quick.member("s-5", 5)))
-	waitFor(t, "what never ran", func() bool { return quick.count("held") == 1 })
-	if n := slow.count("out"); n != 1 {
-		t.Errorf("a non-idempotent message was sent %d times", n)
-	}
+	checkRecoveredFromLog(t, disc, slow, quick)
 }
 
 // The disk is nearly full when another process takes over: all that is owed
@@ -297,13 +288,10 @@
 	env := testConfig(t, disc, 1)
 	old := startAndWait(t, env)
 	cl := dialClient(t, env["ROUTER_LISTEN"])
+	body := []byte(strings.Repeat("b", resp.MaxBodyBytes))
 	taken := int64(0)
 	for i := range 40 {
-		if s := cl.put(
-			fmt.Sprintf("m%d", i),
-			putFields("plain", 20000, 5),
-			[]byte(strings.Repeat("b", maxBodySize)),
-		); s == "+OK" {
+		if s := cl.put(fmt.Sprintf("m%d", i), putFields("plain", 20000, 5), body); s == "+OK" {
 			taken++
 		}
 	}
@@ -325,12 +313,7 @@
 // new one takes over what it holds and has out.
 func TestUpgradeDuringShutdown(t *testing.T) {
 	release := make(chan struct{})
-	slow := newFakeEndpoint(t, func(w http.ResponseWriter, r *http.Request, _ int) {
-		select {
-		case <-release:
-		case <-r.Context().Done():
-		}
-	})
+	slow := newFakeEndpoint(t, blockUntil(release))
 	disc := newFakeDiscovery(t, slow.member("s-1", 1), unreachableMember("s-0", 5))
 	env := testConfig(t, disc, 3)
 	old := startAndWait(t, env)
--- a/internal/relay/operator_file_test.go
+++ b/internal/relay/operator_file_test.go
@@ -1,7 +1,6 @@
 package relay
 
 import (
-	"io"
 	"net"
 	"os"
 	"path/filepath"
@@ -21,7 +20,9 @@
 		t.Fatal(err)
 	}
 	second := ln.Addr().String()
-	ln.Close()
+	if err := ln.Close(); err != nil {
+		t.Fatal(err)
+	}
 	path := filepath.Join(t.TempDir(), "operator.toml")
 	env[operatorconfig.EnvVar] = path
 	if err := os.WriteFile(path, []byte("[clients]\nlisten = [\""+second+"\"]\n"), 0o600); err != nil {
@@ -30,7 +31,7 @@
 	startChild(t, env)
 	for _, addr := range []string{env["ROUTER_LISTEN"], second} {
 		cl := dialClient(t, addr)
-		io.WriteString(cl, "*1\r\n$4\r\nPING\r\n")
+		cl.send(pingText)
 		if s := cl.readLine(); s != "+PONG" {
 			t.Errorf("%s: %q", addr, s)
 		}
--- a/internal/relay/put.go
+++ b/internal/relay/put.go
@@ -10,15 +10,12 @@
 
 	"troutusher/internal/config"
 	"troutusher/internal/core"
-	"troutusher/internal/resp"
 	"troutusher/policy"
 )
 
 const (
 	// maxDeadlineFactor bounds a message's time, as a multiple of its class's.
 	maxDeadlineFactor = 2
-	// maxBodySize bounds a message's body, in bytes.
-	maxBodySize = resp.MaxBodyBytes
 	// maxTokenLength bounds an id and an idempotency key, in bytes.
 	maxTokenLength = 256
 	// maxTimeLength bounds the text of a time, in bytes.
--- a/internal/relay/restart_test.go
+++ b/internal/relay/restart_test.go
@@ -12,6 +12,7 @@
 
 	"troutusher/internal/core"
 	"troutusher/internal/discovery/discoverytest"
+	"troutusher/internal/resp"
 	"troutusher/internal/wal"
 )
 
@@ -20,7 +21,7 @@
 	endpoint := newFakeEndpoint(t, nil)
 	c := startChild(t, testConfig(t, newFakeDiscovery(t, endpoint.member("s-1", 7)), 3))
 	cl := dialClient(t, c.env["ROUTER_LISTEN"])
-	bodies := [][]byte{nil, []byte("\r\n\x00\xff*5\r\n"), []byte(strings.Repeat("x", maxBodySize))}
+	bodies := [][]byte{nil, []byte("\r\n\x00\xff*5\r\n"), []byte(strings.Repeat("x", resp.MaxBodyBytes))}
 	for i, body := range bodies {
 		id := fmt.Sprintf("m%d", i)
 		if s := cl.put(id, putFields("keyed", 8000, 7), body); s != "+OK" {
@@ -177,7 +178,7 @@
 	env := testConfig(t, newFakeDiscovery(t), 1)
 	c := startChild(t, env)
 	cl := dialClient(t, env["ROUTER_LISTEN"])
-	body := []byte(strings.Repeat("b", maxBodySize))
+	body := []byte(strings.Repeat("b", resp.MaxBodyBytes))
 	taken, refused := 0, 0
 	for i := range 40 {
 		switch s := cl.put(fmt.Sprintf("m%d", i), putFields("plain", 20000, 9), body); {
--- a/internal/relay/startup.go
+++ b/internal/relay/startup.go
@@ -84,8 +84,12 @@
 	if err != nil {
 		return err
 	}
-	s.atExit(con.Close)
-	go con.Serve()
+	ended := make(chan struct{})
+	s.atExit(func() { con.Close(); <-ended })
+	go func() {
+		defer close(ended)
+		con.Serve()
+	}()
 	return nil
 }
 
--- a/internal/relay/tls_relay_test.go
+++ b/internal/relay/tls_relay_test.go
@@ -17,17 +17,24 @@
 )
 
 // newTLSEndpoint is a partner's endpoint over TLS that shows what own says.
-func newTLSEndpoint(t *testing.T, own func() *testca.Issued, answer func(w http.ResponseWriter, r *http.Request, n int)) *fakeEndpoint {
+func newTLSEndpoint(
+	t *testing.T,
+	own func() *testca.Issued,
+	answer func(w http.ResponseWriter, r *http.Request, n int),
+) *fakeEndpoint {
 	e := newFakeEndpoint(t, answer)
 	handler := e.Config.Handler
 	e.CloseClientConnections()
 	e.Close()
 	e.Server = httptest.NewUnstartedServer(handler)
 	// A session would go on under the proof that it was made by.
-	e.TLS = &tls.Config{SessionTicketsDisabled: true, GetCertificate: func(*tls.ClientHelloInfo) (*tls.Certificate, error) {
-		c := own().TLSCertificate()
-		return &c, nil
-	}}
+	e.TLS = &tls.Config{
+		SessionTicketsDisabled: true,
+		GetCertificate: func(*tls.ClientHelloInfo) (*tls.Certificate, error) {
+			c := own().TLSCertificate()
+			return &c, nil
+		},
+	}
 	e.StartTLS()
 	t.Cleanup(func() { e.CloseClientConnections(); e.Close() })
 	return e
@@ -88,7 +95,8 @@
 	}
 	waitFor(t, "figures of one that is out", func() bool {
 		text := mustCall(t, env["ROUTER_CONSOLE"], "STATS")
-		return strings.Contains(text, "edge_router.tls_out:1|g\n") && strings.Contains(text, "edge_router.tls_days.pay:0|g\n") &&
+		return strings.Contains(text, "edge_router.tls_out:1|g\n") &&
+			strings.Contains(text, "edge_router.tls_days.pay:0|g\n") &&
 			strings.Contains(text, "edge_router.cluster_unhealthy:1|g\n")
 	})
 	shown.Store(s.PeerCert)
@@ -101,12 +109,16 @@
 func TestUpgradeWithCallsOverTLS(t *testing.T) {
 	s := upstreamtest.NewTLSSite(t, nil)
 	entered, release := make(chan struct{}, 8), make(chan struct{})
-	ep := newTLSEndpoint(t, func() *testca.Issued { return s.PeerCert }, func(w http.ResponseWriter, r *http.Request, n int) {
-		if n == 1 {
-			entered <- struct{}{}
-			<-release
-		}
-	})
+	ep := newTLSEndpoint(
+		t,
+		func() *testca.Issued { return s.PeerCert },
+		func(w http.ResponseWriter, r *http.Request, n int) {
+			if n == 1 {
+				entered <- struct{}{}
+				<-release
+			}
+		},
+	)
 	d := newFakeDiscovery(t, ep.member("e", 1))
 	env := testConfig(t, d, 3)
 	env["ROUTER_CONSOLE"] = freeAddr(t)
@@ -138,13 +150,17 @@
 func TestCallsThatCannotRestAreOverFirst(t *testing.T) {
 	s := upstreamtest.NewTLSSite(t, nil)
 	entered, over := make(chan struct{}, 8), make(chan struct{})
-	ep := newTLSEndpoint(t, func() *testca.Issued { return s.PeerCert }, func(_ http.ResponseWriter, r *http.Request, n int) {
-		if n == 1 {
-			entered <- struct{}{}
-			<-r.Context().Done()
-			close(over)
-		}
-	})
+	ep := newTLSEndpoint(
+		t,
+		func() *testca.Issued { return s.PeerCert },
+		func(_ http.ResponseWriter, r *http.Request, n int) {
+			if n == 1 {
+				entered <- struct{}{}
+				<-r.Context().Done()
+				close(over)
+			}
+		},
+	)
 	d := newFakeDiscovery(t, ep.member("e", 1))
 	env := testConfig(t, d, 3)
 	env["ROUTER_CONSOLE"] = freeAddr(t)
@@ -181,8 +197,8 @@
 		t.Fatal(err)
 	}
 	stop := make(chan struct{})
-	if err := Run(cfg, quietLog(), stop, ReloadRequests{}); err == nil || !strings.Contains(err.Error(), "tls pay") || !strings.Contains(err.Error(), "none.pem") {
+	err = Run(cfg, quietLog(), stop, ReloadRequests{})
+	if err == nil || !strings.Contains(err.Error(), "tls pay") || !strings.Contains(err.Error(), "none.pem") {
 		t.Errorf("got %v", err)
 	}
-
 }
