--- a/internal/relay/startup.go
+++ b/internal/relay/startup.go
@@ -84,12 +84,10 @@
 	if err != nil {
 		return err
 	}
-	ended := make(chan struct{})
-	s.atExit(func() { con.Close(); <-ended })
-	go func() {
-		defer close(ended)
-		con.Serve()
-	}()
+	// Serve's end is not waited for: an operator who reads slowly must not hold up the
+	// end of the process.
+	s.atExit(con.Close)
+	go con.Serve()
 	return nil
 }
 
