--- a/internal/source/etcd/cluster_test.go
+++ b/internal/source/etcd/cluster_test.go
@@ -231,12 +231,18 @@
 	return false
 }
 
+// accepts reports whether a member serves a call. Where it is down or the token is not
+// valid it says so; where it is silent it does not.
+func (c *simulatedCluster) accepts(member int, call CallID) bool {
+	if c.members[member].down {
+		c.sendEvent(&CallFailed{Call: call, Reason: ReasonUnavailable})
+		return false
+	}
+	return !c.members[member].silent && !c.denied(call)
+}
+
 func (c *simulatedCluster) readPage(a *ReadPage) {
-	switch {
-	case c.members[a.Member].down:
-		c.sendEvent(&CallFailed{Call: a.Call, Reason: ReasonUnavailable})
-		return
-	case c.members[a.Member].silent || c.denied(a.Call):
+	if !c.accepts(a.Member, a.Call) {
 		return
 	}
 	all, count, err := c.store.Range(a.Key, a.RangeEnd, a.Revision, a.Limit)
@@ -250,11 +256,7 @@
 }
 
 func (c *simulatedCluster) openWatch(a *OpenWatch) {
-	switch {
-	case c.members[a.Member].down:
-		c.sendEvent(&CallFailed{Call: a.Call, Reason: ReasonUnavailable})
-		return
-	case c.members[a.Member].silent || c.denied(a.Call):
+	if !c.accepts(a.Member, a.Call) {
 		return
 	}
 	w := &watcher{call: a.Call, member: a.Member, next: a.FromRevision, key: a.Key, end: a.RangeEnd}
--- a/internal/source/etcd/publish/publish.go
+++ b/internal/source/etcd/publish/publish.go
@@ -74,11 +74,7 @@
 
 // Remove takes endpoints away, with their drains.
 func (p *Publisher) Remove(ctx context.Context, ids ...string) (*Result, error) {
-	endpoints, err := p.read(ctx, etcd.EndpointsFolder)
-	if err != nil {
-		return nil, err
-	}
-	drains, err := p.read(ctx, etcd.DrainsFolder)
+	endpoints, drains, err := p.readEndpointsAndDrains(ctx)
 	if err != nil {
 		return nil, err
 	}
--- a/internal/source/etcd/publish/show.go
+++ b/internal/source/etcd/publish/show.go
@@ -21,11 +21,7 @@
 
 // Show lists what is published, by id.
 func (p *Publisher) Show(ctx context.Context) ([]PublishedEndpoint, error) {
-	endpoints, err := p.read(ctx, etcd.EndpointsFolder)
-	if err != nil {
-		return nil, err
-	}
-	drains, err := p.read(ctx, etcd.DrainsFolder)
+	endpoints, drains, err := p.readEndpointsAndDrains(ctx)
 	if err != nil {
 		return nil, err
 	}
--- a/internal/source/etcd/publish/transaction.go
+++ b/internal/source/etcd/publish/transaction.go
@@ -44,6 +44,15 @@
 	}
 }
 
+// readEndpointsAndDrains reads both folders, one after the other.
+func (p *Publisher) readEndpointsAndDrains(ctx context.Context) (endpoints, drains map[string]value, err error) {
+	if endpoints, err = p.read(ctx, etcd.EndpointsFolder); err != nil {
+		return nil, nil, err
+	}
+	drains, err = p.read(ctx, etcd.DrainsFolder)
+	return endpoints, drains, err
+}
+
 // change is one key that is to be put, or deleted where text is empty, if its last change
 // is still the one that was read.
 type change struct {
