--- a/cmd/troutusher-kit/publish_test.go
+++ b/cmd/troutusher-kit/publish_test.go
@@ -20,7 +20,7 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(c.Close)
-	c.Stop(0) // the second member answers
+	c.StopMember(0) // the second member answers
 	dir := t.TempDir()
 	write := func(name, text string) string {
 		path := filepath.Join(dir, name)
@@ -40,7 +40,7 @@
 		operatorconfig.EnvVar,
 		write(
 			"operator.toml",
-			fmt.Sprintf("[etcd]\nendpoints = [\"%s\"]\nprefix = \"/t\"\n", strings.Join(c.Addrs(), `", "`)),
+			fmt.Sprintf("[etcd]\nendpoints = [\"%s\"]\nprefix = \"/t\"\n", strings.Join(c.Addresses(), `", "`)),
 		),
 	)
 	for _, x := range []struct {
--- a/internal/emulator/endpoint/bucket.go
+++ b/internal/emulator/endpoint/bucket.go
@@ -4,64 +4,68 @@
 	"math"
 )
 
-// bucket counts what a partner takes.
-type bucket struct {
-	Limit
-	level float64 // RateLimit: calls that may come now
-	at    Time
-	span  int64 // WindowLimit: number of the span
-	used  float64
+// rateLimiter counts what a partner takes.
+type rateLimiter struct {
+	RateLimit
+	tokens       float64 // RateLimit: calls that may come now
+	refilledAt   Time
+	window       int64 // WindowLimit: number of the span
+	usedInWindow float64
 }
 
-func newBucket(l Limit) *bucket { return &bucket{Limit: l, level: max(l.Depth, 1)} }
+func newRateLimiter(l RateLimit) *rateLimiter {
+	return &rateLimiter{RateLimit: l, tokens: max(l.Burst, 1)}
+}
 
-func (b *bucket) fill(now Time) {
+func (b *rateLimiter) refill(now Time) {
 	switch b.Kind {
-	case RateLimit:
-		b.level = min(b.level+float64(now-b.at)*b.PerSecond/1e6, max(b.Depth, 1))
-		b.at = now
-	case WindowLimit:
-		if span := now / b.Window; span != b.span {
-			b.span, b.used = span, 0
+	case TokenBucket:
+		b.tokens = min(b.tokens+float64(now-b.refilledAt)*b.PerSecond/1e6, max(b.Burst, 1))
+		b.refilledAt = now
+	case FixedWindow:
+		if span := now / b.Window; span != b.window {
+			b.window, b.usedInWindow = span, 0
 		}
 	}
 }
 
-// most is the count that a span takes, a whole number.
-func (b *bucket) most() float64 { return math.Floor(b.PerSecond*float64(b.Window)/1e6 + 1e-9) }
+// windowQuota is the count that a span takes, a whole number.
+func (b *rateLimiter) windowQuota() float64 {
+	return math.Floor(b.PerSecond*float64(b.Window)/1e6 + 1e-9)
+}
 
-// take reports whether the limit has room, and uses it up.
-func (b *bucket) take(now Time, n float64) bool {
-	b.fill(now)
+// allow reports whether the limit has room, and uses it up.
+func (b *rateLimiter) allow(now Time, n float64) bool {
+	b.refill(now)
 	switch b.Kind {
-	case RateLimit:
-		if b.level < n {
+	case TokenBucket:
+		if b.tokens < n {
 			return false
 		}
-		b.level -= n
-	case WindowLimit:
-		if b.used+n > b.most() {
+		b.tokens -= n
+	case FixedWindow:
+		if b.usedInWindow+n > b.windowQuota() {
 			return false
 		}
-		b.used += n
+		b.usedInWindow += n
 	}
 	return true
 }
 
-// refused: at some partners a refused call uses the limit up too.
-func (b *bucket) refused(now Time) {
-	if b.RefusedSpend {
-		b.fill(now)
-		b.level = max(b.level-1, 0)
-		b.used++
+// countRejected: at some partners a refused call uses the limit up too.
+func (b *rateLimiter) countRejected(now Time) {
+	if b.RejectedCount {
+		b.refill(now)
+		b.tokens = max(b.tokens-1, 0)
+		b.usedInWindow++
 	}
 }
 
-// giveBack: the call was turned away for another reason.
-func (b *bucket) giveBack(now Time) {
-	if b.RefusedSpend {
+// refund: the call was turned away for another reason.
+func (b *rateLimiter) refund(now Time) {
+	if b.RejectedCount {
 		return
 	}
-	b.level = min(b.level+1, max(b.Depth, 1))
-	b.used = max(b.used-1, 0)
+	b.tokens = min(b.tokens+1, max(b.Burst, 1))
+	b.usedInWindow = max(b.usedInWindow-1, 0)
 }
--- a/internal/emulator/endpoint/faults.go
+++ b/internal/emulator/endpoint/faults.go
@@ -7,170 +7,178 @@
 	"troutusher/internal/event"
 )
 
-// Begin has a fault hold at an endpoint. The same value ends it.
-func (w *World) Begin(now Time, ep int, f *Fault) {
+// InjectFault has a fault hold at an endpoint. The same value ends it.
+func (w *Model) InjectFault(now Time, ep int, f *Fault) {
 	w.Advance(now)
-	e := w.ends[ep]
-	e.advance(w.now)
+	e := w.endpoints[ep]
+	e.advanceWork(w.now)
 	e.faults = append(e.faults, f)
-	if f.outage() {
-		e.outages++
-		e.cold = false
+	if f.causesOutage() {
+		e.activeOutages++
+		e.warmingUp = false
 		hidden := 0
-		if f.Kind == Crash || f.Kind == Vanish {
+		if f.Kind == Crash || f.Kind == Blackhole {
 			hidden = 1
 		}
-		w.say(event.Event{Kind: event.Outage, Endpoint: ep, Status: hidden, Text: string(f.Kind)})
+		w.record(event.Event{Kind: event.Outage, Endpoint: ep, Status: hidden, Text: string(f.Kind)})
 	}
 	switch f.Kind {
-	case Crash, Gone:
-		w.die(e, true)
-	case Vanish:
-		w.die(e, false)
+	case Crash, PlannedStop:
+		w.stopEndpoint(e, true)
+	case Blackhole:
+		w.stopEndpoint(e, false)
 	}
-	w.changed(e)
+	w.applyFaults(e)
 }
 
-// End ends a fault.
-func (w *World) End(now Time, ep int, f *Fault) {
+// ClearFault ends a fault.
+func (w *Model) ClearFault(now Time, ep int, f *Fault) {
 	w.Advance(now)
-	e := w.ends[ep]
-	e.advance(w.now)
+	e := w.endpoints[ep]
+	e.advanceWork(w.now)
 	for i, x := range e.faults {
 		if x == f {
 			e.faults = append(e.faults[:i:i], e.faults[i+1:]...)
 			break
 		}
 	}
-	if f.Kind == Vanish && e.has(Vanish) == nil {
-		w.die(e, true) // the machine is back and knows none of its connections
+	if f.Kind == Blackhole && e.activeFault(Blackhole) == nil {
+		w.stopEndpoint(e, true) // the machine is back and knows none of its connections
 	}
-	if f.Kind == Hang && e.has(Hang) == nil {
-		for len(e.queue) > e.part.Queue { // it kept more than it ever takes on
+	if f.Kind == Hang && e.activeFault(Hang) == nil {
+		for len(e.queue) > e.destination.QueueLimit { // it kept more than it ever takes on
 			x := e.queue[len(e.queue)-1]
 			e.queue = e.queue[:len(e.queue)-1]
-			w.answer(x, event.StatusFull, 0)
+			w.respond(x, event.StatusFull, 0)
 		}
 	}
-	if f.outage() {
-		e.outages--
+	if f.causesOutage() {
+		e.activeOutages--
 	}
-	if (f.outage() || f.Kind == Gone) && e.outages == 0 && !e.fell && e.has(Gone) == nil {
-		if f.outage() {
-			w.say(event.Event{Kind: event.Back, Endpoint: ep})
+	if (f.causesOutage() || f.Kind == PlannedStop) && e.activeOutages == 0 && !e.collapsed &&
+		e.activeFault(PlannedStop) == nil {
+		if f.causesOutage() {
+			w.record(event.Event{Kind: event.Back, Endpoint: ep})
 		}
-		e.backAt, e.yard.backAt, e.yard.recent = w.now, w.now, nil
-		if e.part.ColdShare < 1 {
-			e.cold = true
-			w.warm(e)
+		e.recoveredAt, e.group.recoveredAt, e.group.recentArrivals = w.now, w.now, nil
+		if e.destination.WarmUpShare < 1 {
+			e.warmingUp = true
+			w.warmUp(e)
 		}
 	}
-	w.changed(e)
+	w.applyFaults(e)
 }
 
-// Drain has an endpoint take nothing new.
-func (w *World) Drain(now Time, ep int, on bool) {
+// SetDraining has an endpoint take nothing new.
+func (w *Model) SetDraining(now Time, ep int, on bool) {
 	w.Advance(now)
-	w.ends[ep].draining = on
+	w.endpoints[ep].draining = on
 }
 
-// die ends what an endpoint had begun: none of it takes effect any more.
-func (w *World) die(e *endpoint, reset bool) {
+// stopEndpoint ends what an endpoint had begun: none of it takes effect any more.
+func (w *Model) stopEndpoint(e *endpoint, reset bool) {
 	calls := append([]*call(nil), e.queue...)
 	e.queue = nil
-	for len(e.serving) > 0 {
-		calls = append(calls, heap.Pop(&e.serving).(*call))
+	for len(e.inService) > 0 {
+		calls = append(calls, heap.Pop(&e.inService).(*call))
 	}
 	for _, x := range calls {
-		w.over(x)
+		w.markFinal(x)
 	}
 	if !reset {
 		return
 	}
-	for _, id := range e.order {
+	for _, id := range e.connOrder {
 		c := e.conns[id]
 		if c == nil {
 			continue
 		}
-		if c.call != nil {
-			w.over(c.call)
+		if c.current != nil {
+			w.markFinal(c.current)
 		}
-		w.drop(c)
-		w.effects = append(w.effects, Effect{Kind: DoReset, Conn: id})
+		w.dropConn(c)
+		w.effects = append(w.effects, Effect{Kind: ResetConn, Conn: id})
 	}
-	e.order = nil
+	e.connOrder = nil
 }
 
-// changed brings speed and listener in line with the faults.
-func (w *World) changed(e *endpoint) {
-	e.advance(w.now)
-	e.speed = e.pacing(w.now)
+// applyFaults brings speed and listener in line with the faults.
+func (w *Model) applyFaults(e *endpoint) {
+	e.advanceWork(w.now)
+	e.speed = e.serviceSpeed(w.now)
 	to := Accepting
 	switch {
-	case e.has(Vanish) != nil:
-		to = Silent
-	case e.has(Crash) != nil || e.has(Gone) != nil || e.fell:
+	case e.activeFault(Blackhole) != nil:
+		to = Unresponsive
+	case e.activeFault(Crash) != nil || e.activeFault(PlannedStop) != nil || e.collapsed:
 		to = Refusing
 	}
-	if to != e.listen {
-		e.listen = to
-		w.effects = append(w.effects, Effect{Kind: DoListen, Endpoint: e.num, Listen: to})
+	if to != e.listener {
+		e.listener = to
+		w.effects = append(w.effects, Effect{Kind: SetListener, Endpoint: e.index, Listener: to})
 	}
-	w.pull(e)
-	w.plan(e)
+	w.startQueued(e)
+	w.scheduleCompletion(e)
 }
 
-// warmStep is how finely a cold endpoint gets faster.
-const warmStep Time = 50_000
+// warmUpStep is how finely a cold endpoint gets faster.
+const warmUpStep Time = 50_000
 
-func (w *World) warm(e *endpoint) {
-	if !e.cold || w.now-e.backAt >= e.part.ColdRamp+e.part.FallTime {
-		e.cold = false
+func (w *Model) warmUp(e *endpoint) {
+	if !e.warmingUp || w.now-e.recoveredAt >= e.destination.WarmUpTime+e.destination.OverloadWindow {
+		e.warmingUp = false
 		return
 	}
-	w.changed(e)
-	w.after(warmStep, func() { w.warm(e) })
+	w.applyFaults(e)
+	w.schedule(warmUpStep, func() { w.warmUp(e) })
 }
 
-// crowd books an arrival at a destination that came back cold and pushes it
+// recordArrival books an arrival at a destination that came back cold and pushes it
 // over where there were too many: all of it, since its endpoints are one place
 // unless they are routes apart. It reports whether it fell.
-func (w *World) crowd(e *endpoint, relay int) bool {
-	p, y := e.part, e.yard
-	if p.FallTime <= 0 || !y.cold() {
+func (w *Model) recordArrival(e *endpoint, relay int) bool {
+	p, y := e.destination, e.group
+	if p.OverloadWindow <= 0 || !y.warmingUp() {
 		return false
 	}
-	y.recent = append(y.recent, arrival{w.now, relay})
-	for len(y.recent) > 0 && y.recent[0].at <= w.now-p.FallTime {
-		y.recent = y.recent[1:]
+	y.recentArrivals = append(y.recentArrivals, arrival{w.now, relay})
+	for len(y.recentArrivals) > 0 && y.recentArrivals[0].at <= w.now-p.OverloadWindow {
+		y.recentArrivals = y.recentArrivals[1:]
 	}
-	if w.now-y.backAt < p.FallTime {
+	if w.now-y.recoveredAt < p.OverloadWindow {
 		return false
 	}
 	could := 0.0 // calls that it could do in that span
-	for _, x := range y.ends {
-		could += p.Capacity * x.warmed(w.now-p.FallTime, w.now) / 1e6
+	for _, x := range y.endpoints {
+		could += p.Capacity * x.capacityShareIntegral(w.now-p.OverloadWindow, w.now) / 1e6
 	}
-	if float64(len(y.recent)) <= p.FallMultiple*could {
+	if float64(len(y.recentArrivals)) <= p.OverloadFactor*could {
 		return false
 	}
 	by := make([]int, w.rules.Relays)
-	for _, a := range y.recent {
+	for _, a := range y.recentArrivals {
 		by[a.relay]++
 	}
-	w.say(event.Event{
-		Kind: event.Fell, Endpoint: e.num, Calls: by,
-		Text: fmt.Sprintf("%d calls in %.1f s, when it could do %.1f", len(y.recent), float64(p.FallTime)/1e6, could),
+	w.record(event.Event{
+		Kind:     event.Fell,
+		Endpoint: e.index,
+		Calls:    by,
+		Text: fmt.Sprintf(
+			"%d calls in %.1f s, when it could do %.1f",
+			len(y.recentArrivals),
+			float64(p.OverloadWindow)/1e6,
+			could,
+		),
 	})
-	for _, x := range y.ends {
-		x.fell, x.cold = true, false
-		w.die(x, true)
-		w.changed(x)
+	for _, x := range y.endpoints {
+		x.collapsed, x.warmingUp = true, false
+		w.stopEndpoint(x, true)
+		w.applyFaults(x)
 	}
 	return true
 }
 
-func (e *endpoint) has(k FaultKind) *Fault {
+func (e *endpoint) activeFault(k FaultKind) *Fault {
 	for _, f := range e.faults {
 		if f.Kind == k {
 			return f
@@ -179,49 +187,50 @@
 	return nil
 }
 
-// dead reports whether there is nobody to read a call.
-func (e *endpoint) dead() bool {
-	return e.fell || e.has(Vanish) != nil || e.has(Crash) != nil || e.has(Gone) != nil
+// isDown reports whether there is nobody to read a call.
+func (e *endpoint) isDown() bool {
+	return e.collapsed || e.activeFault(Blackhole) != nil || e.activeFault(Crash) != nil ||
+		e.activeFault(PlannedStop) != nil
 }
 
-// worst is the fault that decides on calls as a whole.
-func (e *endpoint) worst() *Fault {
-	for _, k := range [...]FaultKind{Vanish, Crash, Gone, Hang, Full, FullWait} {
-		if f := e.has(k); f != nil {
+// dominantFault is the fault that decides on calls as a whole.
+func (e *endpoint) dominantFault() *Fault {
+	for _, k := range [...]FaultKind{Blackhole, Crash, PlannedStop, Hang, RejectAll, RejectWithRetryAfter} {
+		if f := e.activeFault(k); f != nil {
 			return f
 		}
 	}
 	return nil
 }
 
-func (e *endpoint) shut() bool {
-	f := e.worst()
-	return e.draining || f != nil && (f.Kind == Full || f.Kind == FullWait)
+func (e *endpoint) rejectsCalls() bool {
+	f := e.dominantFault()
+	return e.draining || f != nil && (f.Kind == RejectAll || f.Kind == RejectWithRetryAfter)
 }
 
 // errorShare is the share of calls that fail at once.
 func (e *endpoint) errorShare() float64 {
-	pass := 1 - e.part.Errors
+	pass := 1 - e.destination.ErrorShare
 	for _, f := range e.faults {
-		if f.Kind == Errors {
+		if f.Kind == ErrorResponses {
 			pass *= 1 - f.Share
 		}
 	}
 	return 1 - pass
 }
 
-// remove takes a call out of service or queue.
-func (e *endpoint) remove(w *World, x *call) {
+// removeCall takes a call out of service or queue.
+func (e *endpoint) removeCall(w *Model, x *call) {
 	for i, q := range e.queue {
 		if q == x {
 			e.queue = append(e.queue[:i:i], e.queue[i+1:]...)
 			return
 		}
 	}
-	if x.place >= 0 {
-		e.advance(w.now)
-		heap.Remove(&e.serving, x.place)
-		w.pull(e)
-		w.plan(e)
+	if x.heapIndex >= 0 {
+		e.advanceWork(w.now)
+		heap.Remove(&e.inService, x.heapIndex)
+		w.startQueued(e)
+		w.scheduleCompletion(e)
 	}
 }
--- a/internal/emulator/endpoint/h1/secure_test.go
+++ b/internal/emulator/endpoint/h1/secure_test.go
@@ -11,22 +11,22 @@
 	"troutusher/internal/testca"
 )
 
-func shown(t *testing.T, trusted bool) *Show {
+func newIdentity(t *testing.T, trusted bool) *TLSIdentity {
 	t.Helper()
 	m, err := testca.Issue(nil, "p.example.org", nil)
 	if err != nil {
 		t.Fatal(err)
 	}
-	return &Show{
+	return &TLSIdentity{
 		Config:  &tls.Config{Certificates: []tls.Certificate{m.TLSCertificate()}, SessionTicketsDisabled: true},
 		Trusted: trusted,
 	}
 }
 
-func dialTLS(t *testing.T, r *rig) net.Conn {
+func dialTLS(t *testing.T, r *harness) net.Conn {
 	t.Helper()
 	c, err := tls.DialWithDialer(
-		&net.Dialer{Timeout: 20 * time.Second}, "tcp", r.s.Addr(0, 0), &tls.Config{InsecureSkipVerify: true},
+		&net.Dialer{Timeout: 20 * time.Second}, "tcp", r.server.Addr(0, 0), &tls.Config{InsecureSkipVerify: true},
 	)
 	if err != nil {
 		t.Fatal(err)
@@ -35,24 +35,24 @@
 	return c
 }
 
-const callText = "POST /v1/messages HTTP/1.1\r\nHost: x\r\nX-Request-ID: m1\r\nX-Timeout-Ms: 1000\r\n" +
+const callRequest = "POST /v1/messages HTTP/1.1\r\nHost: x\r\nX-Request-ID: m1\r\nX-Timeout-Ms: 1000\r\n" +
 	"Content-Length: 0\r\n\r\n"
 
 // A call over a connection whose proof must not be believed is a stray, and does
 // nothing; over one that may be believed it runs.
-func TestCallsToWhomMustNotBeBelieved(t *testing.T) {
+func TestCallsOverUntrustedConnectionsHaveNoEffect(t *testing.T) {
 	for _, trusted := range []bool{true, false} {
-		r := start(t, spec())
-		x := shown(t, trusted)
-		r.s.Secure(func(int) *Show { return x })
+		r := newHarness(t, plainSpec())
+		x := newIdentity(t, trusted)
+		r.server.EnableTLS(func(int) *TLSIdentity { return x })
 		c := dialTLS(t, r)
-		_, _ = c.Write([]byte(callText))
+		_, _ = c.Write([]byte(callRequest))
 		want := event.Ran
 		if !trusted {
 			want = event.Stray
 		}
-		r.wait("its end", func() bool {
-			for _, e := range r.seen {
+		r.waitFor("its end", func() bool {
+			for _, e := range r.events {
 				if e.Kind == want {
 					return true
 				}
@@ -60,7 +60,7 @@
 			return false
 		})
 		r.mu.Lock()
-		if n := r.ran["m1"]; (n == 1) != trusted {
+		if n := r.effectsOf["m1"]; (n == 1) != trusted {
 			t.Errorf("believed %v: it ran %d times", trusted, n)
 		}
 		r.mu.Unlock()
@@ -68,20 +68,22 @@
 }
 
 // Handshakes alone push a cold endpoint over, where each weighs as much as calls.
-func TestHandshakesWeigh(t *testing.T) {
+func TestHandshakesCountAsLoad(t *testing.T) {
 	for _, weight := range []float64{0, 4} {
-		s := spec()
-		s.Capacity, s.Full, s.ColdShare, s.ColdRamp, s.FallMultiple, s.FallTime = 20, weight, 0.3, 10*sec, 1.5, 300*ms
-		r := start(t, s)
-		x := shown(t, true)
-		r.s.Secure(func(int) *Show { return x })
+		s := plainSpec()
+		s.Capacity, s.FullHandshakeCost = 20, weight
+		s.WarmUpShare, s.WarmUpTime = 0.3, 10*sec
+		s.OverloadFactor, s.OverloadWindow = 1.5, 300*ms
+		r := newHarness(t, s)
+		x := newIdentity(t, true)
+		r.server.EnableTLS(func(int) *TLSIdentity { return x })
 		f := &endpoint.Fault{Kind: endpoint.Crash}
-		r.fault(f)
-		r.over(f)
+		r.injectFault(f)
+		r.clearFault(f)
 		fell := func() bool {
 			r.mu.Lock()
 			defer r.mu.Unlock()
-			for _, e := range r.seen {
+			for _, e := range r.events {
 				if e.Kind == event.Fell {
 					return true
 				}
@@ -90,7 +92,7 @@
 		}
 		for end := r.began.Add(900 * time.Millisecond); time.Now().Before(end) && !fell(); {
 			c, err := tls.DialWithDialer(
-				&net.Dialer{Timeout: time.Second}, "tcp", r.s.Addr(0, 0), &tls.Config{InsecureSkipVerify: true},
+				&net.Dialer{Timeout: time.Second}, "tcp", r.server.Addr(0, 0), &tls.Config{InsecureSkipVerify: true},
 			)
 			if err == nil {
 				_ = c.Close()
--- a/internal/emulator/endpoint/h1/server.go
+++ b/internal/emulator/endpoint/h1/server.go
@@ -24,15 +24,15 @@
 )
 
 const (
-	callPath    = "/v1/messages"
-	probePath   = "/health/live"
-	headMost    = 16 << 10
-	bodyMost    = 64 << 10
-	requestWait = 10 * time.Second // from a request's first byte to its last
-	answerWait  = 20 * time.Millisecond
-	rebindWait  = 2 * time.Second // for a port that was closed
-	fillWait    = 150 * time.Millisecond
-	spoiltMost  = 128 << 10 // bytes of a head that does not end
+	callPath           = "/v1/messages"
+	healthCheckPath    = "/health/live"
+	maxHeaderBytes     = 16 << 10
+	maxBodyBytes       = 64 << 10
+	requestTimeout     = 10 * time.Second // from a request's first byte to its last
+	writeTimeout       = 20 * time.Millisecond
+	reopenTimeout      = 2 * time.Second // for a port that was closed
+	backlogDialTimeout = 150 * time.Millisecond
+	endlessHeaderBytes = 128 << 10 // bytes of a head that does not end
 )
 
 // Server is the stand-ins' driver.
@@ -43,26 +43,26 @@
 	quit  context.Context
 	stop  context.CancelFunc
 
-	mu    sync.Mutex // guards all below, and the model
-	world *endpoint.World
-	armed endpoint.Time // when the agenda's goroutine wakes; 0 for not before it is woken
-	conns map[endpoint.Conn]*line
-	show  func(ep int) *Show // nil without TLS
-	doors [][]*door          // by endpoint and relay
-	fx    []endpoint.Effect
-	late  *hdrhistogram.Histogram // of the agenda, in µs
-	err   error
+	mu        sync.Mutex // guards all below, and the model
+	model     *endpoint.Model
+	nextWake  endpoint.Time // when the agenda's goroutine wakes; 0 for not before it is woken
+	conns     map[endpoint.Conn]*connection
+	identity  func(ep int) *TLSIdentity // nil without TLS
+	listeners [][]*relayListener        // by endpoint and relay
+	effects   []endpoint.Effect
+	timerLag  *hdrhistogram.Histogram // of the agenda, in µs
+	err       error
 }
 
-// line is one connection: what is spoken on it, and the socket below.
-type line struct {
+// connection is one connection: what is spoken on it, and the socket below.
+type connection struct {
 	net.Conn
-	tcp     *net.TCPConn
-	doubted bool // over TLS, with a proof that must not be accepted
+	tcp       *net.TCPConn
+	untrusted bool // over TLS, with a proof that must not be accepted
 }
 
 // CloseWrite says that nothing more comes.
-func (l *line) CloseWrite() error {
+func (l *connection) CloseWrite() error {
 	if c, ok := l.Conn.(interface{ CloseWrite() error }); ok {
 		return c.CloseWrite()
 	}
@@ -71,61 +71,66 @@
 
 // New opens the doors of a model's endpoints, one for each relay. The caller
 // must not touch the model any more but through Do.
-func New(world *endpoint.World, relays int, clock func() endpoint.Time) (*Server, error) {
+func New(world *endpoint.Model, relays int, clock func() endpoint.Time) (*Server, error) {
 	s := &Server{
-		clock: clock, wake: make(chan struct{}, 1), world: world, conns: map[endpoint.Conn]*line{},
-		late: hdrhistogram.New(1, 60_000_000, 2),
+		clock: clock, wake: make(chan struct{}, 1), model: world, conns: map[endpoint.Conn]*connection{},
+		timerLag: hdrhistogram.New(1, 60_000_000, 2),
 	}
 	s.quit, s.stop = context.WithCancel(context.Background())
 	for ep := range world.Endpoints() {
-		var row []*door
+		var row []*relayListener
 		for relay := range relays {
 			ln, err := loopback.Listen(0)
 			if err != nil {
 				s.Close()
 				return nil, fmt.Errorf("stand-in endpoint: %w", err)
 			}
-			d := &door{
-				s: s, ep: ep, relay: relay, ln: ln, port: ln.Addr().(*net.TCPAddr).Port, cond: sync.NewCond(&s.mu),
+			d := &relayListener{
+				server:   s,
+				endpoint: ep,
+				relay:    relay,
+				listener: ln,
+				port:     ln.Addr().(*net.TCPAddr).Port,
+				cond:     sync.NewCond(&s.mu),
 			}
 			row = append(row, d)
 		}
-		s.doors = append(s.doors, row)
+		s.listeners = append(s.listeners, row)
 	}
-	for _, row := range s.doors {
+	for _, row := range s.listeners {
 		for _, d := range row {
 			s.wg.Add(1)
-			go d.accept(d.ln)
+			go d.acceptLoop(d.listener)
 		}
 	}
 	s.wg.Add(1)
-	go s.run()
+	go s.runTimers()
 	return s, nil
 }
 
 // Addr is where a relay reaches an endpoint.
 func (s *Server) Addr(ep, relay int) string {
-	return net.JoinHostPort(loopback.Host(), strconv.Itoa(s.doors[ep][relay].port))
+	return net.JoinHostPort(loopback.Host(), strconv.Itoa(s.listeners[ep][relay].port))
 }
 
-// Do runs a change of the model, such as a fault that begins.
-func (s *Server) Do(change func(w *endpoint.World, now endpoint.Time)) {
+// Update runs a change of the model, such as a fault that begins.
+func (s *Server) Update(change func(w *endpoint.Model, now endpoint.Time)) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	change(s.world, s.clock())
-	s.settle()
+	change(s.model, s.clock())
+	s.applyEffects()
 }
 
-// Late is how late the agenda was carried out, in µs, at a quantile from 0 to
+// TimerLag is how late the agenda was carried out, in µs, at a quantile from 0 to
 // 100; and the error of a port that could not be opened again, if any.
-func (s *Server) Late(quantile float64) (endpoint.Time, error) {
+func (s *Server) TimerLag(quantile float64) (endpoint.Time, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.late.ValueAtQuantile(quantile), s.err
+	return s.timerLag.ValueAtQuantile(quantile), s.err
 }
 
-// Conns is the number of connections that are open.
-func (s *Server) Conns() int {
+// ConnCount is the number of connections that are open.
+func (s *Server) ConnCount() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return len(s.conns)
@@ -135,13 +140,13 @@
 func (s *Server) Close() {
 	s.stop()
 	s.mu.Lock()
-	for _, row := range s.doors {
+	for _, row := range s.listeners {
 		for _, d := range row {
-			d.gen++
-			if d.ln != nil {
-				_ = d.ln.Close()
+			d.generation++
+			if d.listener != nil {
+				_ = d.listener.Close()
 			}
-			for _, c := range append(d.fill, d.held...) {
+			for _, c := range append(d.backlogConns, d.heldConns...) {
 				_ = c.Close()
 			}
 			d.cond.Broadcast()
@@ -154,8 +159,8 @@
 	s.wg.Wait()
 }
 
-// run steps the model whenever its agenda says so.
-func (s *Server) run() {
+// runTimers steps the model whenever its agenda says so.
+func (s *Server) runTimers() {
 	defer s.wg.Done()
 	timer := time.NewTimer(time.Hour)
 	defer timer.Stop()
@@ -163,18 +168,18 @@
 		s.mu.Lock()
 		now := s.clock()
 		for {
-			next, ok := s.world.Next()
+			next, ok := s.model.NextTimer()
 			if !ok || next > now {
 				break
 			}
-			_ = s.late.RecordValue(max(now-next, 1)) // over a minute is out of range and left out
-			s.world.Advance(next)
+			_ = s.timerLag.RecordValue(max(now-next, 1)) // over a minute is out of range and left out
+			s.model.Advance(next)
 		}
-		s.settle()
+		s.applyEffects()
 		wait := time.Hour
-		if s.armed = 0; true {
-			if next, ok := s.world.Next(); ok {
-				s.armed = next
+		if s.nextWake = 0; true {
+			if next, ok := s.model.NextTimer(); ok {
+				s.nextWake = next
 				wait = time.Duration(max(next-s.clock(), 0)) * time.Microsecond
 			}
 		}
@@ -189,14 +194,14 @@
 	}
 }
 
-// settle carries out what the model asks for. The caller holds mu: effects
+// applyEffects carries out what the model asks for. The caller holds mu: effects
 // happen in the order in which they were asked for.
-func (s *Server) settle() {
-	s.fx = s.world.Take(s.fx[:0])
-	for i := range s.fx {
-		s.do(&s.fx[i])
+func (s *Server) applyEffects() {
+	s.effects = s.model.TakeEffects(s.effects[:0])
+	for i := range s.effects {
+		s.applyEffect(&s.effects[i])
 	}
-	if next, ok := s.world.Next(); ok && (s.armed == 0 || next < s.armed) {
+	if next, ok := s.model.NextTimer(); ok && (s.nextWake == 0 || next < s.nextWake) {
 		select {
 		case s.wake <- struct{}{}:
 		default:
@@ -204,10 +209,10 @@
 	}
 }
 
-func (s *Server) do(e *endpoint.Effect) {
-	if e.Kind == endpoint.DoListen {
-		for _, d := range s.doors[e.Endpoint] {
-			d.to(e.Listen)
+func (s *Server) applyEffect(e *endpoint.Effect) {
+	if e.Kind == endpoint.SetListener {
+		for _, d := range s.listeners[e.Endpoint] {
+			d.setState(e.Listener)
 		}
 		return
 	}
@@ -216,67 +221,67 @@
 		return
 	}
 	switch e.Kind {
-	case endpoint.DoAnswer:
-		if e.Form == endpoint.Head && e.Status != 200 {
+	case endpoint.WriteResponse:
+		if e.Defect == endpoint.EndlessHeader && e.Status != 200 {
 			s.wg.Add(1)
-			go func() { defer s.wg.Done(); endlessHead(c) }()
+			go func() { defer s.wg.Done(); writeEndlessHeader(c) }()
 			return
 		}
 		// A few hundred bytes fit the socket's buffer; of a peer that never
 		// reads, no more is wanted. Its connection may have gone meanwhile.
-		_ = c.SetWriteDeadline(time.Now().Add(answerWait))
-		_, _ = io.WriteString(c, answer(e))
+		_ = c.SetWriteDeadline(time.Now().Add(writeTimeout))
+		_, _ = io.WriteString(c, responseText(e))
 		if e.Close {
 			_ = c.CloseWrite()
 		}
-	case endpoint.DoReset:
+	case endpoint.ResetConn:
 		_ = c.tcp.SetLinger(0)
 		_ = c.tcp.Close()
-	case endpoint.DoClose:
+	case endpoint.ShutConn:
 		_ = c.tcp.Close()
 	}
 }
 
 // serve reads requests from a connection until it ends.
-func (s *Server) serve(id endpoint.Conn, ep int, c *line) {
+func (s *Server) serve(id endpoint.Conn, ep int, c *connection) {
 	defer s.wg.Done()
-	if s.secure(id, ep, c) {
-		s.read(id, c)
+	if s.handshake(id, ep, c) {
+		s.readRequests(id, c)
 	}
 	s.mu.Lock()
 	delete(s.conns, id)
 	if s.quit.Err() == nil {
-		s.world.Gone(s.clock(), id)
-		s.settle()
+		s.model.CloseConn(s.clock(), id)
+		s.applyEffects()
 	}
 	s.mu.Unlock()
 	_ = c.tcp.Close()
 }
 
-func (s *Server) read(id endpoint.Conn, c *line) {
+func (s *Server) readRequests(id endpoint.Conn, c *connection) {
 	limit := &io.LimitedReader{R: c}
 	in := bufio.NewReaderSize(limit, 1024)
 	for {
-		limit.N = headMost
+		limit.N = maxHeaderBytes
 		if _, err := in.Peek(1); err != nil {
 			return
 		}
 		// A whole request mostly lies in the buffer already.
-		_ = c.SetReadDeadline(time.Now().Add(requestWait)) // fails with the reads below
-		s.Do(func(w *endpoint.World, now endpoint.Time) { w.First(now, id) })
+		_ = c.SetReadDeadline(time.Now().Add(requestTimeout)) // fails with the reads below
+		s.Update(func(w *endpoint.Model, now endpoint.Time) { w.ReceiveFirstByte(now, id) })
 		req, err := http.ReadRequest(in)
 		if err != nil {
 			var netErr net.Error
 			if !errors.Is(err, io.EOF) && !errors.As(err, &netErr) {
-				_, _ = io.WriteString(c, badRequest) // the connection is closed, whatever comes of it
+				_, _ = io.WriteString(c, badRequestResponse) // the connection is closed, whatever comes of it
 			}
 			return
 		}
-		if req.ContentLength < 0 || req.ContentLength > bodyMost {
-			_, _ = io.WriteString(c, badRequest)
+		if req.ContentLength < 0 || req.ContentLength > maxBodyBytes {
+			_, _ = io.WriteString(c, badRequestResponse)
 			return
 		}
-		limit.N = bodyMost
+		limit.N = maxBodyBytes
 		if _, err := io.Copy(io.Discard, req.Body); err != nil {
 			return
 		}
@@ -288,13 +293,13 @@
 				ms = 0
 			}
 			message, key := req.Header.Get("X-Request-ID"), req.Header.Get("Idempotency-Key")
-			if c.doubted {
-				s.Do(func(w *endpoint.World, now endpoint.Time) { w.Untrusted(now, id, message) })
+			if c.untrusted {
+				s.Update(func(w *endpoint.Model, now endpoint.Time) { w.ReceiveUntrustedCall(now, id, message) })
 				return
 			}
-			s.Do(func(w *endpoint.World, now endpoint.Time) { w.Call(now, id, message, key, ms*1000) })
-		case req.Method == http.MethodGet && req.URL.Path == probePath:
-			s.Do(func(w *endpoint.World, now endpoint.Time) { w.Probe(now, id) })
+			s.Update(func(w *endpoint.Model, now endpoint.Time) { w.ReceiveCall(now, id, message, key, ms*1000) })
+		case req.Method == http.MethodGet && req.URL.Path == healthCheckPath:
+			s.Update(func(w *endpoint.Model, now endpoint.Time) { w.ReceiveHealthCheck(now, id) })
 		default:
 			// A write that fails ends the connection at its next read.
 			_, _ = io.WriteString(c, "HTTP/1.1 404 Not Found\r\nContent-Length: 0\r\n\r\n")
--- a/internal/emulator/endpoint/h1/server_test.go
+++ b/internal/emulator/endpoint/h1/server_test.go
@@ -24,50 +24,50 @@
 
 const ms, sec endpoint.Time = 1000, 1_000_000
 
-type rig struct {
-	t     testing.TB
-	s     *Server
-	began time.Time
-	mu    sync.Mutex
-	ran   map[string]int
-	seen  []event.Event
-	dest  int
+type harness struct {
+	t           testing.TB
+	server      *Server
+	began       time.Time
+	mu          sync.Mutex
+	effectsOf   map[string]int
+	events      []event.Event
+	destination int
 }
 
-// start opens stand-ins for the specs; messages named m... are known.
-func start(t testing.TB, specs ...endpoint.Spec) *rig {
+// newHarness opens stand-ins for the specs; messages named m... are known.
+func newHarness(t testing.TB, specs ...endpoint.Spec) *harness {
 	t.Helper()
-	r := &rig{t: t, began: time.Now(), ran: map[string]int{}, dest: 1}
+	r := &harness{t: t, began: time.Now(), effectsOf: map[string]int{}, destination: 1}
 	var num atomic.Int64
 	w, err := endpoint.New(specs, endpoint.Rules{Relays: 2}, 5, func(id string) (endpoint.Message, bool) {
-		return endpoint.Message{Num: int(num.Add(1)), Dest: r.dest}, strings.HasPrefix(id, "m")
+		return endpoint.Message{Number: int(num.Add(1)), Destination: r.destination}, strings.HasPrefix(id, "m")
 	}, func(e event.Event) {
 		r.mu.Lock()
 		defer r.mu.Unlock()
 		if e.Kind == event.Ran {
-			r.ran[e.ID]++
+			r.effectsOf[e.ID]++
 		}
-		r.seen = append(r.seen, e)
+		r.events = append(r.events, e)
 	})
 	if err != nil {
 		t.Fatal(err)
 	}
-	if r.s, err = New(w, 2, func() endpoint.Time { return time.Since(r.began).Microseconds() }); err != nil {
+	if r.server, err = New(w, 2, func() endpoint.Time { return time.Since(r.began).Microseconds() }); err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(r.s.Close)
+	t.Cleanup(r.server.Close)
 	return r
 }
 
-func (r *rig) fault(f *endpoint.Fault) {
-	r.s.Do(func(w *endpoint.World, now endpoint.Time) { w.Begin(now, 0, f) })
+func (r *harness) injectFault(f *endpoint.Fault) {
+	r.server.Update(func(w *endpoint.Model, now endpoint.Time) { w.InjectFault(now, 0, f) })
 }
 
-func (r *rig) over(f *endpoint.Fault) {
-	r.s.Do(func(w *endpoint.World, now endpoint.Time) { w.End(now, 0, f) })
+func (r *harness) clearFault(f *endpoint.Fault) {
+	r.server.Update(func(w *endpoint.Model, now endpoint.Time) { w.ClearFault(now, 0, f) })
 }
 
-func (r *rig) wait(what string, cond func() bool) {
+func (r *harness) waitFor(what string, cond func() bool) {
 	r.t.Helper()
 	for end := time.Now().Add(20 * time.Second); time.Now().Before(end); time.Sleep(time.Millisecond) {
 		r.mu.Lock()
@@ -80,23 +80,33 @@
 	r.t.Fatalf("never came: %s", what)
 }
 
-func spec() endpoint.Spec {
+func plainSpec() endpoint.Spec {
 	return endpoint.Spec{
-		Name: "p", Dest: 1, Endpoints: 1, Capacity: 1000, Queue: 100, Service: []endpoint.Service{
-			{Mean: 5 * ms, Dist: seededrand.Constant},
+		Name:        "p",
+		Destination: 1,
+		Endpoints:   1,
+		Capacity:    1000,
+		QueueLimit:  100,
+		ServiceTimes: []endpoint.ServiceTime{
+			{Mean: 5 * ms, Distribution: seededrand.Constant},
 		},
-		Mix: []float64{1}, Limit: endpoint.Limit{Kind: endpoint.NoLimit}, ColdShare: 1, Cancel: endpoint.CancelNone,
+		ClassMix: []float64{
+			1,
+		},
+		RateLimit:   endpoint.RateLimit{Kind: endpoint.NoLimit},
+		WarmUpShare: 1,
+		Cancel:      endpoint.CancelNone,
 	}
 }
 
 type conn struct {
 	net.Conn
-	in *bufio.Reader
+	reader *bufio.Reader
 }
 
-func (r *rig) dial() *conn {
+func (r *harness) dial() *conn {
 	r.t.Helper()
-	c, err := net.Dial("tcp", r.s.Addr(0, 0))
+	c, err := net.Dial("tcp", r.server.Addr(0, 0))
 	if err != nil {
 		r.t.Fatal(err)
 	}
@@ -104,24 +114,24 @@
 	return &conn{c, bufio.NewReader(c)}
 }
 
-func (c *conn) send(id string) {
+func (c *conn) sendCall(id string) {
 	_, _ = fmt.Fprintf(c, "POST /v1/messages HTTP/1.1\r\nX-Request-ID: %s\r\nX-Timeout-Ms: 100\r\n"+
 		"Content-Length: 4\r\n"+
 		"\r\nbody",
 		id)
 }
 
-func (c *conn) answer(wait time.Duration) (*http.Response, error) {
+func (c *conn) readResponse(wait time.Duration) (*http.Response, error) {
 	_ = c.SetReadDeadline(time.Now().Add(wait))
-	resp, err := http.ReadResponse(c.in, nil)
+	resp, err := http.ReadResponse(c.reader, nil)
 	if err == nil {
 		_, err = io.Copy(io.Discard, resp.Body)
 	}
 	return resp, err
 }
 
-func TestAnswers(t *testing.T) {
-	r := start(t, spec())
+func TestResponses(t *testing.T) {
+	r := newHarness(t, plainSpec())
 	c := r.dial()
 	for _, x := range []struct {
 		fault  *endpoint.Fault
@@ -129,106 +139,106 @@
 		wait   string
 	}{
 		{nil, 200, ""},
-		{&endpoint.Fault{Kind: endpoint.Full}, 503, ""},
-		{&endpoint.Fault{Kind: endpoint.FullWait, Size: 0.4}, 429, "0.400"},
-		{&endpoint.Fault{Kind: endpoint.Errors, Share: 1}, 500, ""},
+		{&endpoint.Fault{Kind: endpoint.RejectAll}, 503, ""},
+		{&endpoint.Fault{Kind: endpoint.RejectWithRetryAfter, Magnitude: 0.4}, 429, "0.400"},
+		{&endpoint.Fault{Kind: endpoint.ErrorResponses, Share: 1}, 500, ""},
 		{nil, 200, ""},
 	} {
 		if x.fault != nil {
-			r.fault(x.fault)
+			r.injectFault(x.fault)
 		}
-		c.send("m1")
-		resp, err := c.answer(5 * time.Second)
+		c.sendCall("m1")
+		resp, err := c.readResponse(5 * time.Second)
 		if err != nil || resp.StatusCode != x.status || resp.Header.Get("Retry-After") != x.wait {
 			t.Fatalf("%+v: %v, %v", x.fault, resp, err)
 		}
 		if x.fault != nil {
-			r.over(x.fault)
+			r.clearFault(x.fault)
 		}
 	}
-	c.send("unknown")
-	if resp, err := c.answer(5 * time.Second); err != nil || resp.StatusCode != 400 {
+	c.sendCall("unknown")
+	if resp, err := c.readResponse(5 * time.Second); err != nil || resp.StatusCode != 400 {
 		t.Errorf("a message that nobody handed in: %v, %v", resp, err)
 	}
 	_, _ = io.WriteString(c, "GET /health/live HTTP/1.1\r\n\r\n")
-	if resp, err := c.answer(5 * time.Second); err != nil || resp.StatusCode != 200 {
+	if resp, err := c.readResponse(5 * time.Second); err != nil || resp.StatusCode != 200 {
 		t.Errorf("probe: %v, %v", resp, err)
 	}
 	_, _ = io.WriteString(c, "GET /stats HTTP/1.1\r\n\r\n")
-	if resp, err := c.answer(5 * time.Second); err != nil || resp.StatusCode != 404 {
+	if resp, err := c.readResponse(5 * time.Second); err != nil || resp.StatusCode != 404 {
 		t.Errorf("a path that there is not: %v, %v", resp, err)
 	}
 }
 
 func TestCrashRefusesAndComesBackAtItsAddress(t *testing.T) {
-	r := start(t, spec())
+	r := newHarness(t, plainSpec())
 	c := r.dial()
 	f := &endpoint.Fault{Kind: endpoint.Crash}
 	for range 3 {
-		r.fault(f)
-		if _, err := c.answer(5 * time.Second); !errors.Is(err, syscall.ECONNRESET) {
+		r.injectFault(f)
+		if _, err := c.readResponse(5 * time.Second); !errors.Is(err, syscall.ECONNRESET) {
 			t.Fatalf("an open connection: %v", err)
 		}
-		if _, err := net.Dial("tcp", r.s.Addr(0, 0)); !errors.Is(err, syscall.ECONNREFUSED) {
+		if _, err := net.Dial("tcp", r.server.Addr(0, 0)); !errors.Is(err, syscall.ECONNREFUSED) {
 			t.Fatalf("a new connection: %v", err)
 		}
-		r.over(f)
+		r.clearFault(f)
 		c = r.dial()
-		c.send("m1")
-		if resp, err := c.answer(5 * time.Second); err != nil || resp.StatusCode != 200 {
+		c.sendCall("m1")
+		if resp, err := c.readResponse(5 * time.Second); err != nil || resp.StatusCode != 200 {
 			t.Fatalf("once it is back: %v, %v", resp, err)
 		}
 	}
 }
 
-func TestVanishedMachineSaysNothing(t *testing.T) {
-	r := start(t, spec())
+func TestBlackholedMachineIsUnresponsive(t *testing.T) {
+	r := newHarness(t, plainSpec())
 	c := r.dial()
-	c.send("m1")
-	_, _ = c.answer(5 * time.Second)
-	f := &endpoint.Fault{Kind: endpoint.Vanish}
-	r.fault(f)
-	r.s.Silenced(0)
-	c.send("m2")
-	if _, err := c.answer(200 * time.Millisecond); !errors.Is(err, os.ErrDeadlineExceeded) {
+	c.sendCall("m1")
+	_, _ = c.readResponse(5 * time.Second)
+	f := &endpoint.Fault{Kind: endpoint.Blackhole}
+	r.injectFault(f)
+	r.server.AwaitUnresponsive(0)
+	c.sendCall("m2")
+	if _, err := c.readResponse(200 * time.Millisecond); !errors.Is(err, os.ErrDeadlineExceeded) {
 		t.Fatalf("an open connection: %v", err)
 	}
-	if x, err := net.DialTimeout("tcp", r.s.Addr(0, 0), 200*time.Millisecond); err == nil {
+	if x, err := net.DialTimeout("tcp", r.server.Addr(0, 0), 200*time.Millisecond); err == nil {
 		_ = x.Close()
 		t.Error("a new connection came up")
 	}
-	r.over(f)
-	if _, err := c.answer(5 * time.Second); !errors.Is(err, syscall.ECONNRESET) {
+	r.clearFault(f)
+	if _, err := c.readResponse(5 * time.Second); !errors.Is(err, syscall.ECONNRESET) {
 		t.Errorf("once it is back: %v", err)
 	}
 	c = r.dial()
-	c.send("m3")
-	if resp, err := c.answer(5 * time.Second); err != nil || resp.StatusCode != 200 {
+	c.sendCall("m3")
+	if resp, err := c.readResponse(5 * time.Second); err != nil || resp.StatusCode != 200 {
 		t.Errorf("a new one then: %v, %v", resp, err)
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if r.ran["m2"] != 0 || r.ran["m3"] != 1 {
-		t.Errorf("ran: %v", r.ran)
+	if r.effectsOf["m2"] != 0 || r.effectsOf["m3"] != 1 {
+		t.Errorf("ran: %v", r.effectsOf)
 	}
 }
 
-func TestWorksOnAfterItsCallerLeft(t *testing.T) {
-	s := spec()
-	s.Capacity, s.Service[0].Mean = 10, 100*ms
-	r := start(t, s)
+func TestCallRunsOnAfterItsCallerLeft(t *testing.T) {
+	s := plainSpec()
+	s.Capacity, s.ServiceTimes[0].Mean = 10, 100*ms
+	r := newHarness(t, s)
 	c := r.dial()
-	c.send("m1")
-	r.wait("the call", func() bool { return len(r.seen) > 1 })
+	c.sendCall("m1")
+	r.waitFor("the call", func() bool { return len(r.events) > 1 })
 	_ = c.Close()
-	r.wait(
+	r.waitFor(
 		"its effect and its end",
-		func() bool { return r.ran["m1"] == 1 && r.seen[len(r.seen)-1].Kind == event.CallOver },
+		func() bool { return r.effectsOf["m1"] == 1 && r.events[len(r.events)-1].Kind == event.CallOver },
 	)
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	order := ""
-	for _, e := range r.seen {
+	for _, e := range r.events {
 		order += e.Kind.String() + "; "
 	}
 	if want := "call's first byte; call; call's end; ran; call over; "; order != want {
@@ -237,54 +247,56 @@
 }
 
 func TestResetAfterTheLastByteRunsOn(t *testing.T) {
-	r := start(t, spec())
-	r.fault(&endpoint.Fault{Kind: endpoint.Reset, Share: 1})
+	r := newHarness(t, plainSpec())
+	r.injectFault(&endpoint.Fault{Kind: endpoint.ConnectionReset, Share: 1})
 	c := r.dial()
-	c.send("m1")
-	if _, err := c.answer(5 * time.Second); !errors.Is(err, syscall.ECONNRESET) {
+	c.sendCall("m1")
+	if _, err := c.readResponse(5 * time.Second); !errors.Is(err, syscall.ECONNRESET) {
 		t.Errorf("read: %v", err)
 	}
-	r.wait("its effect", func() bool { return r.ran["m1"] == 1 })
+	r.waitFor("its effect", func() bool { return r.effectsOf["m1"] == 1 })
 }
 
-func TestLateAnswerComesAfterTheCallersLimit(t *testing.T) {
-	r := start(t, spec())
-	r.fault(&endpoint.Fault{Kind: endpoint.Late, Share: 1, Size: 0.05})
+func TestLateResponseComesAfterTheCallersTimeout(t *testing.T) {
+	r := newHarness(t, plainSpec())
+	r.injectFault(&endpoint.Fault{Kind: endpoint.LateResponse, Share: 1, Magnitude: 0.05})
 	c := r.dial()
 	at := time.Now()
-	c.send("m1")
-	resp, err := c.answer(5 * time.Second)
+	c.sendCall("m1")
+	resp, err := c.readResponse(5 * time.Second)
 	if took := time.Since(at); err != nil || resp.StatusCode != 200 || took < 150*time.Millisecond {
 		t.Errorf("%v, %v after %v; the limit is 100 ms and 50 are on top", resp, err, took)
 	}
 }
 
-func TestSpoiltAnswers(t *testing.T) {
-	r := start(t, spec())
-	for _, form := range []endpoint.Form{endpoint.Noise, endpoint.Head, endpoint.Length, endpoint.Copy} {
-		f := &endpoint.Fault{Kind: endpoint.Spoilt, Share: 1, Form: form}
-		r.fault(f)
+func TestMalformedResponses(t *testing.T) {
+	r := newHarness(t, plainSpec())
+	for _, form := range []endpoint.ResponseDefect{
+		endpoint.GarbageBytes, endpoint.EndlessHeader, endpoint.WrongLength, endpoint.DuplicateResponse,
+	} {
+		f := &endpoint.Fault{Kind: endpoint.MalformedResponse, Share: 1, Defect: form}
+		r.injectFault(f)
 		c := r.dial()
-		c.send("m-" + string(form))
-		resp, err := c.answer(300 * time.Millisecond)
-		if form == endpoint.Copy {
+		c.sendCall("m-" + string(form))
+		resp, err := c.readResponse(300 * time.Millisecond)
+		if form == endpoint.DuplicateResponse {
 			if err != nil || resp.StatusCode != 200 {
 				t.Errorf("%s: %v, %v", form, resp, err)
 			}
-			if again, err := c.answer(5 * time.Second); err != nil || again.StatusCode != 200 {
+			if again, err := c.readResponse(5 * time.Second); err != nil || again.StatusCode != 200 {
 				t.Errorf("%s: the second: %v, %v", form, again, err)
 			}
 		} else if err == nil {
 			t.Errorf("%s: read as %v", form, resp)
 		}
-		r.over(f)
-		r.wait("its effect", func() bool { return r.ran["m-"+string(form)] == 1 })
+		r.clearFault(f)
+		r.waitFor("its effect", func() bool { return r.effectsOf["m-"+string(form)] == 1 })
 		_ = c.Close()
 	}
 }
 
-func TestRubbishEndsAConnectionAndNothingElse(t *testing.T) {
-	r := start(t, spec())
+func TestInvalidRequestsEndAConnectionAndNothingElse(t *testing.T) {
+	r := newHarness(t, plainSpec())
 	for _, text := range []string{
 		"\x00\xff\x00\r\n\r\n", "POST /v1/messages HTTP/1.1\r\nContent-Length: 999999999\r\n\r\n",
 		"POST /v1/messages HTTP/1.1\r\nContent-Length: -4\r\n\r\n", "POST /v1/messages HTTP/1.1\r\n" +
@@ -294,30 +306,30 @@
 		c := r.dial()
 		_, _ = io.WriteString(c, text)
 		c.CloseWrite()
-		if resp, err := c.answer(5 * time.Second); err == nil && resp.StatusCode != 400 {
+		if resp, err := c.readResponse(5 * time.Second); err == nil && resp.StatusCode != 400 {
 			t.Errorf("%.40q: %v", text, resp)
 		}
 	}
 	c := r.dial()
-	c.send("m1")
-	c.send("m2") // before the first is answered
-	if _, err := c.answer(5 * time.Second); err == nil {
-		if _, err = c.answer(5 * time.Second); err == nil {
+	c.sendCall("m1")
+	c.sendCall("m2") // before the first is answered
+	if _, err := c.readResponse(5 * time.Second); err == nil {
+		if _, err = c.readResponse(5 * time.Second); err == nil {
 			t.Error("two calls at a time on one connection")
 		}
 	}
 	c = r.dial()
-	c.send("m3")
-	if resp, err := c.answer(5 * time.Second); err != nil || resp.StatusCode != 200 {
+	c.sendCall("m3")
+	if resp, err := c.readResponse(5 * time.Second); err != nil || resp.StatusCode != 200 {
 		t.Errorf("afterwards: %v, %v", resp, err)
 	}
 }
 
 func (c *conn) CloseWrite() { _ = c.Conn.(*net.TCPConn).CloseWrite() }
 
-// load keeps a number of calls out at once for a span from an instant on, and
+// measureLoad keeps a number of calls out at once for a span from an instant on, and
 // returns how many were delivered each second.
-func (r *rig) load(ctx context.Context, ep, callers int, began time.Time, span time.Duration) []float64 {
+func (r *harness) measureLoad(ctx context.Context, ep, callers int, began time.Time, span time.Duration) []float64 {
 	var mu sync.Mutex
 	per := make([]float64, int(span/time.Second)+2)
 	var wg sync.WaitGroup
@@ -325,7 +337,7 @@
 		wg.Add(1)
 		go func() {
 			defer wg.Done()
-			c, err := net.Dial("tcp", r.s.Addr(ep, 0))
+			c, err := net.Dial("tcp", r.server.Addr(ep, 0))
 			if err != nil {
 				return
 			}
@@ -333,8 +345,8 @@
 			x := &conn{c, bufio.NewReader(c)}
 			<-time.After(time.Until(began))
 			for n := 0; time.Since(began) < span && ctx.Err() == nil; n++ {
-				x.send(fmt.Sprintf("m%d-%d", i, n))
-				resp, err := x.answer(10 * time.Second)
+				x.sendCall(fmt.Sprintf("m%d-%d", i, n))
+				resp, err := x.readResponse(10 * time.Second)
 				if err != nil {
 					return
 				}
@@ -356,24 +368,28 @@
 	return per
 }
 
-// TestTruth measures the stand-ins' figures over sockets, with no relay: each
+// TestMeasuredRatesOverSockets measures the stand-ins' figures over sockets, with no relay: each
 // within 3%.
-func TestTruth(t *testing.T) {
+func TestMeasuredRatesOverSockets(t *testing.T) {
 	if testing.Short() {
 		t.Skip("takes seconds")
 	}
-	capacity := spec()
+	capacity := plainSpec()
 	capacity.Capacity = 400
-	rate := spec()
-	rate.Dest, rate.Limit = 2, endpoint.Limit{Kind: endpoint.RateLimit, PerSecond: 150, Depth: 8}
-	window := spec()
-	window.Dest, window.Limit = 3, endpoint.Limit{Kind: endpoint.WindowLimit, PerSecond: 120, Window: sec / 2}
-	cold := spec()
-	cold.Dest, cold.Capacity, cold.ColdShare, cold.ColdRamp = 4, 400, 0.25, 4*sec
-	cold.FallTime, cold.FallMultiple = 2*sec, 1e6
-	r := start(t, capacity, rate, window, cold)
-	f := &endpoint.Fault{Kind: endpoint.Full}
-	r.s.Do(func(w *endpoint.World, now endpoint.Time) { w.Begin(now, 3, f) })
+	rate := plainSpec()
+	rate.Destination, rate.RateLimit = 2, endpoint.RateLimit{Kind: endpoint.TokenBucket, PerSecond: 150, Burst: 8}
+	window := plainSpec()
+	window.Destination, window.RateLimit = 3, endpoint.RateLimit{
+		Kind:      endpoint.FixedWindow,
+		PerSecond: 120,
+		Window:    sec / 2,
+	}
+	cold := plainSpec()
+	cold.Destination, cold.Capacity, cold.WarmUpShare, cold.WarmUpTime = 4, 400, 0.25, 4*sec
+	cold.OverloadWindow, cold.OverloadFactor = 2*sec, 1e6
+	r := newHarness(t, capacity, rate, window, cold)
+	f := &endpoint.Fault{Kind: endpoint.RejectAll}
+	r.server.Update(func(w *endpoint.Model, now endpoint.Time) { w.InjectFault(now, 3, f) })
 	const span = 5 * time.Second
 	// The windows of a limit are counted on the stand-ins' clock, so the span
 	// begins and ends with one: else it holds a part of an eleventh, as large as
@@ -394,7 +410,7 @@
 		wg.Add(1)
 		go func() {
 			defer wg.Done()
-			got := r.load(t.Context(), ep, callers[ep], began, span)
+			got := r.measureLoad(t.Context(), ep, callers[ep], began, span)
 			all, wanted := 0.0, 0.0
 			for i := range want {
 				all, wanted = all+got[i], wanted+want[i]
@@ -404,9 +420,9 @@
 		}()
 	}
 	<-time.After(time.Until(began))
-	r.s.Do(func(w *endpoint.World, now endpoint.Time) { w.End(now, 3, f) })
+	r.server.Update(func(w *endpoint.Model, now endpoint.Time) { w.ClearFault(now, 3, f) })
 	wg.Wait()
-	late, err := r.s.Late(99)
+	late, err := r.server.TimerLag(99)
 	if err != nil {
 		t.Error(err)
 	}
--- a/internal/emulator/endpoint/service.go
+++ b/internal/emulator/endpoint/service.go
@@ -9,36 +9,36 @@
 )
 
 type endpoint struct {
-	num      int
-	part     *part
-	slots    int
-	pace     float64
-	faults   []*Fault
-	draining bool
-	listen   Listen
-	conns    map[Conn]*conn
-	order    []Conn // of conns, by age
-	serving  servingHeap
-	queue    []*call
-	v        float64 // work done by each call in service since the beginning, in µs of usual pace
-	at       Time    // moment of v
-	speed    float64
-	ver      int // of the agenda's next completion
-	outages  int
-	cold     bool
-	backAt   Time
-	fell     bool
-	yard     *yard
-	limit    *bucket
-	shaken   float64 // of handshakes, not yet a whole call
+	index             int
+	destination       *destination
+	concurrency       int
+	serviceTimeScale  float64
+	faults            []*Fault
+	draining          bool
+	listener          ListenerState
+	conns             map[Conn]*conn
+	connOrder         []Conn // of conns, by age
+	inService         completionHeap
+	queue             []*call
+	workDone          float64 // work done by each call in service since the beginning, in µs of usual pace
+	workDoneAt        Time    // moment of v
+	speed             float64
+	completionVersion int // of the agenda's next completion
+	activeOutages     int
+	warmingUp         bool
+	recoveredAt       Time
+	collapsed         bool
+	group             *warmUpGroup
+	limiter           *rateLimiter
+	handshakeCost     float64 // of handshakes, not yet a whole call
 }
 
-// yard is what falls over as a whole: a destination, or one route of it where
+// warmUpGroup is what falls over as a whole: a destination, or one route of it where
 // they are apart.
-type yard struct {
-	ends   []*endpoint
-	backAt Time // when one of them last came back
-	recent []arrival
+type warmUpGroup struct {
+	endpoints      []*endpoint
+	recoveredAt    Time // when one of them last came back
+	recentArrivals []arrival
 }
 
 type arrival struct {
@@ -46,265 +46,272 @@
 	relay int
 }
 
-type part struct {
+type destination struct {
 	Spec
-	limit *bucket
-	keys  map[string]Time // until when a repeat is dropped
+	limiter    *rateLimiter
+	dedupUntil map[string]Time // until when a repeat is dropped
 }
 
 // arrive: the call has reached its endpoint.
-func (w *World) arrive(x *call) {
-	e, p := x.ep, x.ep.part
+func (w *Model) arrive(x *call) {
+	e, p := x.endpoint, x.endpoint.destination
 	switch {
-	case x.over:
+	case x.final:
 		return // its endpoint died while it was under way
-	case e.dead(), x.conn == nil && p.Cancel != CancelNone:
-		w.over(x)
+	case e.isDown(), x.conn == nil && p.Cancel != CancelNone:
+		w.markFinal(x)
 		return
 	}
-	if w.crowd(e, x.relay) {
-		w.over(x)
+	if w.recordArrival(e, x.relay) {
+		w.markFinal(x)
 		return // it fell over, and this call with it
 	}
-	f := e.worst()
+	f := e.dominantFault()
 	if f != nil && f.Kind == Hang {
-		w.begin(x)
+		w.startCall(x)
 		return
 	}
 	switch {
-	case f != nil && f.Kind == Full, e.draining, x.conn != nil && x.conn.over:
-		w.refuse(x, 0)
+	case f != nil && f.Kind == RejectAll, e.draining, x.conn != nil && x.conn.overLimit:
+		w.reject(x, 0)
 		return
-	case f != nil && f.Kind == FullWait:
-		w.refuse(x, Time(f.Size*1e6))
+	case f != nil && f.Kind == RejectWithRetryAfter:
+		w.reject(x, Time(f.Magnitude*1e6))
 		return
-	case !e.limit.take(w.now, 1):
-		e.limit.refused(w.now)
-		w.refuse(x, p.Limit.Wait)
+	case !e.limiter.allow(w.now, 1):
+		e.limiter.countRejected(w.now)
+		w.reject(x, p.RateLimit.RetryAfter)
 		return
-	case len(e.serving) >= e.slots && len(e.queue) >= p.Queue:
-		e.limit.giveBack(w.now)
-		w.refuse(x, 0)
+	case len(e.inService) >= e.concurrency && len(e.queue) >= p.QueueLimit:
+		e.limiter.refund(w.now)
+		w.reject(x, 0)
 		return
 	}
-	if share := e.errorShare(); w.unit(x, 1) < share {
-		if w.unit(x, 2) < 0.5 {
-			w.ran(x)
+	if share := e.errorShare(); w.drawUnit(x, 1) < share {
+		if w.drawUnit(x, 2) < 0.5 {
+			w.takeEffect(x)
 		}
-		w.after(2000, func() { w.answer(x, event.StatusError, 0); w.over(x) })
+		w.schedule(2000, func() { w.respond(x, event.StatusError, 0); w.markFinal(x) })
 		return
 	}
-	if f := e.has(Reset); f != nil && w.unit(x, 3) < f.Share && x.conn != nil {
+	if f := e.activeFault(ConnectionReset); f != nil && w.drawUnit(x, 3) < f.Share && x.conn != nil {
 		c := x.conn
-		w.unanswered(x)
+		w.endWithoutResponse(x)
 		delete(w.conns, c.id)
 		delete(e.conns, c.id)
-		w.effects = append(w.effects, Effect{Kind: DoReset, Conn: c.id})
-	} else if f := e.has(Spoilt); f != nil && w.unit(x, 4) < f.Share {
-		x.form = f.Form
-	} else if f := e.has(Late); f != nil && w.unit(x, 5) < f.Share {
-		x.late = x.began + x.limit + Time(f.Size*1e6)
+		w.effects = append(w.effects, Effect{Kind: ResetConn, Conn: c.id})
+	} else if f := e.activeFault(MalformedResponse); f != nil && w.drawUnit(x, 4) < f.Share {
+		x.defect = f.Defect
+	} else if f := e.activeFault(LateResponse); f != nil && w.drawUnit(x, 5) < f.Share {
+		x.respondAt = x.receivedAt + x.timeout + Time(f.Magnitude*1e6)
 	}
-	w.begin(x)
+	w.startCall(x)
 }
 
-// refuse turns a call away.
-func (w *World) refuse(x *call, wait Time) {
+// reject turns a call away.
+func (w *Model) reject(x *call, wait Time) {
 	status := event.StatusFull
 	if wait > 0 {
 		status = event.StatusWait
 	}
-	w.answer(x, status, wait)
+	w.respond(x, status, wait)
 }
 
-// unit is a figure in (0, 1) of a call, the same in each run of a plan.
-func (w *World) unit(x *call, of uint64) float64 {
-	return seededrand.Float64(w.seed, uint64(x.msg.Num), uint64(x.try), of)
+// drawUnit is a figure in (0, 1) of a call, the same in each run of a plan.
+func (w *Model) drawUnit(x *call, of uint64) float64 {
+	return seededrand.Float64(w.seed, uint64(x.message.Number), uint64(x.attempt), of)
 }
 
-// work is how long a call keeps a slot at usual pace.
-func (w *World) work(x *call) float64 {
-	s := x.ep.part.Service[x.msg.Class]
-	d := float64(s.Mean) * s.Dist.ServiceTime(s.CV, w.unit(x, 10), w.unit(x, 11)) * x.ep.pace
-	for _, f := range x.ep.faults {
-		if f.Kind == Tail && f.Class == x.msg.Class && seededrand.Float64(w.seed, uint64(x.msg.Num), 20) < f.Share {
-			d *= f.Size
+// drawWork is how long a call keeps a slot at usual pace.
+func (w *Model) drawWork(x *call) float64 {
+	s := x.endpoint.destination.ServiceTimes[x.message.Class]
+	d := float64(
+		s.Mean,
+	) * s.Distribution.ServiceTime(
+		s.CV,
+		w.drawUnit(x, 10),
+		w.drawUnit(x, 11),
+	) * x.endpoint.serviceTimeScale
+	for _, f := range x.endpoint.faults {
+		if f.Kind == TailLatency && f.Class == x.message.Class &&
+			seededrand.Float64(w.seed, uint64(x.message.Number), 20) < f.Share {
+			d *= f.Magnitude
 		}
 	}
 	return max(d, 1)
 }
 
-// begin puts a call into service, or in the queue before it.
-func (w *World) begin(x *call) {
-	e := x.ep
-	if len(e.serving) >= e.slots {
+// startCall puts a call into service, or in the queue before it.
+func (w *Model) startCall(x *call) {
+	e := x.endpoint
+	if len(e.inService) >= e.concurrency {
 		x.queued = true
 		e.queue = append(e.queue, x)
 		return
 	}
 	x.queued = false
-	e.advance(w.now)
-	x.vend = e.v + w.work(x)
-	heap.Push(&e.serving, x)
-	w.plan(e)
+	e.advanceWork(w.now)
+	x.finishAt = e.workDone + w.drawWork(x)
+	heap.Push(&e.inService, x)
+	w.scheduleCompletion(e)
 }
 
-// plan puts the next completion on the agenda.
-func (w *World) plan(e *endpoint) {
-	e.ver++
-	if len(e.serving) == 0 || e.speed <= 0 {
+// scheduleCompletion puts the next completion on the agenda.
+func (w *Model) scheduleCompletion(e *endpoint) {
+	e.completionVersion++
+	if len(e.inService) == 0 || e.speed <= 0 {
 		return
 	}
-	ver := e.ver
-	w.after(Time(math.Ceil((e.serving[0].vend-e.v)/e.speed)), func() {
-		if e.ver == ver {
-			w.complete(e)
+	ver := e.completionVersion
+	w.schedule(Time(math.Ceil((e.inService[0].finishAt-e.workDone)/e.speed)), func() {
+		if e.completionVersion == ver {
+			w.completeDue(e)
 		}
 	})
 }
 
-func (w *World) complete(e *endpoint) {
-	e.advance(w.now)
-	for len(e.serving) > 0 && e.serving[0].vend <= e.v+0.5 {
-		x := heap.Pop(&e.serving).(*call)
-		w.finish(x)
-		w.pull(e)
+func (w *Model) completeDue(e *endpoint) {
+	e.advanceWork(w.now)
+	for len(e.inService) > 0 && e.inService[0].finishAt <= e.workDone+0.5 {
+		x := heap.Pop(&e.inService).(*call)
+		w.finishCall(x)
+		w.startQueued(e)
 	}
-	w.plan(e)
+	w.scheduleCompletion(e)
 }
 
-// pull begins what waits in the queue.
-func (w *World) pull(e *endpoint) {
-	for len(e.queue) > 0 && len(e.serving) < e.slots {
+// startQueued begins what waits in the queue.
+func (w *Model) startQueued(e *endpoint) {
+	for len(e.queue) > 0 && len(e.inService) < e.concurrency {
 		x := e.queue[0]
 		e.queue = e.queue[1:]
-		w.begin(x)
+		w.startCall(x)
 	}
 }
 
-// finish: the call has been worked on. It takes effect, unless its key did.
-func (w *World) finish(x *call) {
-	w.ran(x)
-	w.over(x)
-	if d := x.late - w.now; d > 0 {
-		w.after(d, func() { w.answer(x, event.StatusDelivered, 0) })
+// finishCall: the call has been worked on. It takes effect, unless its key did.
+func (w *Model) finishCall(x *call) {
+	w.takeEffect(x)
+	w.markFinal(x)
+	if d := x.respondAt - w.now; d > 0 {
+		w.schedule(d, func() { w.respond(x, event.StatusDelivered, 0) })
 		return
 	}
-	w.answer(x, event.StatusDelivered, 0)
+	w.respond(x, event.StatusDelivered, 0)
 }
 
-func (w *World) ran(x *call) {
-	p := x.ep.part
-	if x.key != "" && p.KeyMemory > 0 {
-		if until, ok := p.keys[x.key]; ok && w.now < until {
+func (w *Model) takeEffect(x *call) {
+	p := x.endpoint.destination
+	if x.idempotencyKey != "" && p.DedupWindow > 0 {
+		if until, ok := p.dedupUntil[x.idempotencyKey]; ok && w.now < until {
 			return // a repeat, dropped
 		}
-		p.keys[x.key] = w.now + p.KeyMemory
-		if w.now >= w.keySweep {
-			w.keySweep = w.now + p.KeyMemory
-			for _, p := range w.parts {
-				for k, until := range p.keys {
+		p.dedupUntil[x.idempotencyKey] = w.now + p.DedupWindow
+		if w.now >= w.nextKeySweep {
+			w.nextKeySweep = w.now + p.DedupWindow
+			for _, p := range w.destinations {
+				for k, until := range p.dedupUntil {
 					if until <= w.now {
-						delete(p.keys, k)
+						delete(p.dedupUntil, k)
 					}
 				}
 			}
 		}
 	}
-	w.say(event.Event{Kind: event.Ran, Call: x.no, ID: x.id, Relay: x.relay, Endpoint: x.ep.num})
+	w.record(event.Event{Kind: event.Ran, Call: x.number, ID: x.id, Relay: x.relay, Endpoint: x.endpoint.index})
 }
 
-func (y *yard) cold() bool {
-	for _, e := range y.ends {
-		if e.cold {
+func (y *warmUpGroup) warmingUp() bool {
+	for _, e := range y.endpoints {
+		if e.warmingUp {
 			return true
 		}
 	}
-	y.recent = nil
+	y.recentArrivals = nil
 	return false
 }
 
-// warmth is the share of its capacity that an endpoint has.
-func (e *endpoint) warmth(now Time) float64 {
-	if e.fell || e.dead() {
+// capacityShare is the share of its capacity that an endpoint has.
+func (e *endpoint) capacityShare(now Time) float64 {
+	if e.collapsed || e.isDown() {
 		return 0
 	}
-	t := now - e.backAt
-	if !e.cold || t >= e.part.ColdRamp {
+	t := now - e.recoveredAt
+	if !e.warmingUp || t >= e.destination.WarmUpTime {
 		return 1
 	}
-	return e.part.ColdShare + (1-e.part.ColdShare)*float64(t)/float64(e.part.ColdRamp)
+	return e.destination.WarmUpShare + (1-e.destination.WarmUpShare)*float64(t)/float64(e.destination.WarmUpTime)
 }
 
-// warmed is the integral of warmth over a span that ends now, in µs.
-func (e *endpoint) warmed(from, to Time) float64 {
+// capacityShareIntegral is the integral of warmth over a span that ends now, in µs.
+func (e *endpoint) capacityShareIntegral(from, to Time) float64 {
 	switch {
-	case e.fell || e.dead():
+	case e.collapsed || e.isDown():
 		return 0
-	case !e.cold:
+	case !e.warmingUp:
 		return float64(to - from)
 	}
-	return e.sinceBack(to-e.backAt) - e.sinceBack(from-e.backAt)
+	return e.integralSinceRecovery(to-e.recoveredAt) - e.integralSinceRecovery(from-e.recoveredAt)
 }
 
-// sinceBack is the integral from its return on.
-func (e *endpoint) sinceBack(t Time) float64 {
-	r, s, x := float64(e.part.ColdRamp), e.part.ColdShare, max(float64(t), 0)
+// integralSinceRecovery is the integral from its return on.
+func (e *endpoint) integralSinceRecovery(t Time) float64 {
+	r, s, x := float64(e.destination.WarmUpTime), e.destination.WarmUpShare, max(float64(t), 0)
 	if x >= r {
 		return s*r + (1-s)*r/2 + x - r
 	}
 	return s*x + (1-s)*x*x/(2*r)
 }
 
-// pacing is the speed of each call in service.
-func (e *endpoint) pacing(now Time) float64 {
-	if e.has(Hang) != nil || e.dead() {
+// serviceSpeed is the speed of each call in service.
+func (e *endpoint) serviceSpeed(now Time) float64 {
+	if e.activeFault(Hang) != nil || e.isDown() {
 		return 0
 	}
 	speed := 1.0
-	if e.cold {
-		speed = e.warmth(now + warmStep/2) // the middle of the step that begins
+	if e.warmingUp {
+		speed = e.capacityShare(now + warmUpStep/2) // the middle of the step that begins
 	}
 	for _, f := range e.faults {
-		if f.Kind == Slow {
-			speed /= f.Size
+		if f.Kind == SlowService {
+			speed /= f.Magnitude
 		}
 	}
 	return speed
 }
 
-func (e *endpoint) advance(now Time) {
-	if now > e.at {
-		e.v += float64(now-e.at) * e.speed
-		e.at = now
+func (e *endpoint) advanceWork(now Time) {
+	if now > e.workDoneAt {
+		e.workDone += float64(now-e.workDoneAt) * e.speed
+		e.workDoneAt = now
 	}
 }
 
-type servingHeap []*call
+type completionHeap []*call
 
-func (h servingHeap) Len() int { return len(h) }
+func (h completionHeap) Len() int { return len(h) }
 
-func (h servingHeap) Less(i, j int) bool {
-	return h[i].vend < h[j].vend || h[i].vend == h[j].vend && h[i].no < h[j].no
+func (h completionHeap) Less(i, j int) bool {
+	return h[i].finishAt < h[j].finishAt || h[i].finishAt == h[j].finishAt && h[i].number < h[j].number
 }
 
-func (h servingHeap) Swap(i, j int) {
+func (h completionHeap) Swap(i, j int) {
 	h[i], h[j] = h[j], h[i]
-	h[i].place, h[j].place = i, j
+	h[i].heapIndex, h[j].heapIndex = i, j
 }
 
 // Push implements heap.Interface.
-func (h *servingHeap) Push(x any) {
+func (h *completionHeap) Push(x any) {
 	c := x.(*call)
-	c.place = len(*h)
+	c.heapIndex = len(*h)
 	*h = append(*h, c)
 }
 
 // Pop implements heap.Interface.
-func (h *servingHeap) Pop() any {
+func (h *completionHeap) Pop() any {
 	old := *h
 	c := old[len(old)-1]
 	old[len(old)-1] = nil
-	*h, c.place = old[:len(old)-1], -1
+	*h, c.heapIndex = old[:len(old)-1], -1
 	return c
 }
--- a/internal/emulator/etcd/server.go
+++ b/internal/emulator/etcd/server.go
@@ -19,63 +19,68 @@
 	etcdserverpb.UnimplementedWatchServer
 	etcdserverpb.UnimplementedLeaseServer
 	etcdserverpb.UnimplementedAuthServer
-	c        *Cluster
-	id       uint64
-	addr     string
-	srv      *grpc.Server
-	silent   bool
-	noLeader bool
-	still    int // streams opened so far that say nothing any more
-	streams  int
+	cluster         *Cluster
+	id              uint64
+	address         string
+	server          *grpc.Server
+	silent          bool
+	noLeader        bool
+	silencedStreams int // streams opened so far that say nothing any more
+	streamsOpened   int
 }
 
-// enter is what every call passes: the member's faults, its leader, the token. It
+// beginCall is what every call passes: the member's faults, its leader, the token. It
 // returns with mu held, where it returns no error.
-func (m *Member) enter(ctx context.Context) error {
-	m.c.mu.Lock()
+func (m *Member) beginCall(ctx context.Context) error {
+	m.cluster.mu.Lock()
 	switch {
 	case m.silent:
-		m.c.mu.Unlock()
+		m.cluster.mu.Unlock()
 		<-ctx.Done()
 		return status.FromContextError(ctx.Err()).Err()
 	case m.noLeader:
-		m.c.mu.Unlock()
+		m.cluster.mu.Unlock()
 		return errNoLeader
-	case !m.allowed(ctx):
-		m.c.mu.Unlock()
+	case !m.authorized(ctx):
+		m.cluster.mu.Unlock()
 		return status.Error(codes.Unauthenticated, "etcdserver: invalid auth token")
 	}
 	return nil
 }
 
-func (m *Member) allowed(ctx context.Context) bool {
-	if m.c.user == "" {
+func (m *Member) authorized(ctx context.Context) bool {
+	if m.cluster.username == "" {
 		return true
 	}
 	md, _ := metadata.FromIncomingContext(ctx)
 	t := md.Get("token")
-	return len(t) == 1 && t[0] == m.c.token
+	return len(t) == 1 && t[0] == m.cluster.token
 }
 
 func (m *Member) header() *etcdserverpb.ResponseHeader {
-	return &etcdserverpb.ResponseHeader{ClusterId: m.c.id, MemberId: m.id, Revision: m.c.store.Revision(), RaftTerm: 1}
+	return &etcdserverpb.ResponseHeader{
+		ClusterId: m.cluster.id,
+		MemberId:  m.id,
+		Revision:  m.cluster.store.Revision(),
+		RaftTerm:  1,
+	}
 }
 
-func fault(err error) error {
+func statusError(err error) error {
 	switch {
 	case err == nil:
 		return nil
-	case errors.Is(err, ErrCompacted), errors.Is(err, ErrFuture):
+	case errors.Is(err, ErrCompacted), errors.Is(err, ErrFutureRevision):
 		return status.Error(codes.OutOfRange, err.Error())
-	case errors.Is(err, ErrNoLease):
+	case errors.Is(err, ErrLeaseNotFound):
 		return status.Error(codes.NotFound, err.Error())
 	}
 	return status.Error(codes.FailedPrecondition, err.Error())
 }
 
-func kv(v Version) *mvccpb.KeyValue {
+func keyValue(v Version) *mvccpb.KeyValue {
 	return &mvccpb.KeyValue{
-		Key: []byte(v.Key), Value: []byte(v.Value), CreateRevision: v.Created, ModRevision: v.Modified,
+		Key: []byte(v.Key), Value: []byte(v.Value), CreateRevision: v.CreateRevision, ModRevision: v.ModRevision,
 		Version: v.Version, Lease: v.Lease,
 	}
 }
@@ -84,58 +89,58 @@
 func (m *Member) Authenticate(
 	ctx context.Context, r *etcdserverpb.AuthenticateRequest,
 ) (*etcdserverpb.AuthenticateResponse, error) {
-	m.c.mu.Lock()
-	defer m.c.mu.Unlock()
+	m.cluster.mu.Lock()
+	defer m.cluster.mu.Unlock()
 	switch {
 	case m.silent:
-		m.c.mu.Unlock()
+		m.cluster.mu.Unlock()
 		<-ctx.Done()
-		m.c.mu.Lock()
+		m.cluster.mu.Lock()
 		return nil, status.FromContextError(ctx.Err()).Err()
-	case m.c.user == "":
+	case m.cluster.username == "":
 		return nil, status.Error(codes.FailedPrecondition, "etcdserver: authentication is not enabled")
-	case r.Name != m.c.user || r.Password != m.c.pass:
+	case r.Name != m.cluster.username || r.Password != m.cluster.password:
 		return nil, status.Error(codes.InvalidArgument, "etcdserver: authentication failed, invalid user ID or "+
 			"password")
 	}
-	if m.c.token == "none yet" {
-		m.c.tokens++
-		m.c.token = "token-" + time.Duration(m.c.tokens).String()
+	if m.cluster.token == "none yet" {
+		m.cluster.tokensIssued++
+		m.cluster.token = "token-" + time.Duration(m.cluster.tokensIssued).String()
 	}
-	return &etcdserverpb.AuthenticateResponse{Header: m.header(), Token: m.c.token}, nil
+	return &etcdserverpb.AuthenticateResponse{Header: m.header(), Token: m.cluster.token}, nil
 }
 
 // Range reads.
 func (m *Member) Range(ctx context.Context, r *etcdserverpb.RangeRequest) (*etcdserverpb.RangeResponse, error) {
-	if err := m.enter(ctx); err != nil {
+	if err := m.beginCall(ctx); err != nil {
 		return nil, err
 	}
-	defer m.c.mu.Unlock()
-	return m.ranged(r)
+	defer m.cluster.mu.Unlock()
+	return m.readRange(r)
 }
 
-func (m *Member) ranged(r *etcdserverpb.RangeRequest) (*etcdserverpb.RangeResponse, error) {
-	all, count, err := m.c.store.Range(string(r.Key), string(r.RangeEnd), r.Revision, r.Limit)
+func (m *Member) readRange(r *etcdserverpb.RangeRequest) (*etcdserverpb.RangeResponse, error) {
+	all, count, err := m.cluster.store.Range(string(r.Key), string(r.RangeEnd), r.Revision, r.Limit)
 	if err != nil {
-		return nil, fault(err)
+		return nil, statusError(err)
 	}
 	out := &etcdserverpb.RangeResponse{Header: m.header(), Count: count, More: count > int64(len(all))}
 	for _, v := range all {
-		out.Kvs = append(out.Kvs, kv(v))
+		out.Kvs = append(out.Kvs, keyValue(v))
 	}
 	return out, nil
 }
 
 // Put writes one key.
 func (m *Member) Put(ctx context.Context, r *etcdserverpb.PutRequest) (*etcdserverpb.PutResponse, error) {
-	if err := m.enter(ctx); err != nil {
+	if err := m.beginCall(ctx); err != nil {
 		return nil, err
 	}
-	defer m.c.mu.Unlock()
-	if _, err := m.c.store.Do(Op{Key: string(r.Key), Value: string(r.Value), Lease: r.Lease}); err != nil {
-		return nil, fault(err)
+	defer m.cluster.mu.Unlock()
+	if _, err := m.cluster.store.Apply(Op{Key: string(r.Key), Value: string(r.Value), Lease: r.Lease}); err != nil {
+		return nil, statusError(err)
 	}
-	m.c.changed()
+	m.cluster.notifyChange()
 	return &etcdserverpb.PutResponse{Header: m.header()}, nil
 }
 
@@ -143,27 +148,27 @@
 func (m *Member) DeleteRange(
 	ctx context.Context, r *etcdserverpb.DeleteRangeRequest,
 ) (*etcdserverpb.DeleteRangeResponse, error) {
-	if err := m.enter(ctx); err != nil {
+	if err := m.beginCall(ctx); err != nil {
 		return nil, err
 	}
-	defer m.c.mu.Unlock()
-	n, err := m.c.store.Do(Op{Key: string(r.Key), End: string(r.RangeEnd), Delete: true})
+	defer m.cluster.mu.Unlock()
+	n, err := m.cluster.store.Apply(Op{Key: string(r.Key), End: string(r.RangeEnd), Delete: true})
 	if err != nil {
-		return nil, fault(err)
+		return nil, statusError(err)
 	}
-	m.c.changed()
+	m.cluster.notifyChange()
 	return &etcdserverpb.DeleteRangeResponse{Header: m.header(), Deleted: n}, nil
 }
 
 // Txn compares, and then does one thing or the other, at one revision.
 func (m *Member) Txn(ctx context.Context, r *etcdserverpb.TxnRequest) (*etcdserverpb.TxnResponse, error) {
-	if err := m.enter(ctx); err != nil {
+	if err := m.beginCall(ctx); err != nil {
 		return nil, err
 	}
-	defer m.c.mu.Unlock()
+	defer m.cluster.mu.Unlock()
 	holds := true
 	for _, x := range r.Compare {
-		holds = holds && m.compare(x)
+		holds = holds && m.evaluateCompare(x)
 	}
 	ops := r.Success
 	if !holds {
@@ -194,7 +199,7 @@
 				},
 			)
 		case op.GetRequestRange() != nil:
-			x, err := m.ranged(op.GetRequestRange())
+			x, err := m.readRange(op.GetRequestRange())
 			if err != nil {
 				return nil, err
 			}
@@ -205,17 +210,17 @@
 		}
 	}
 	if len(changes) > 0 {
-		if _, err := m.c.store.Do(changes...); err != nil {
-			return nil, fault(err)
+		if _, err := m.cluster.store.Apply(changes...); err != nil {
+			return nil, statusError(err)
 		}
-		m.c.changed()
+		m.cluster.notifyChange()
 	}
 	out.Header = m.header()
 	return out, nil
 }
 
-func (m *Member) compare(x *etcdserverpb.Compare) bool {
-	v, _ := m.c.store.get(string(x.Key), m.c.store.Revision())
+func (m *Member) evaluateCompare(x *etcdserverpb.Compare) bool {
+	v, _ := m.cluster.store.getAt(string(x.Key), m.cluster.store.Revision())
 	order := func(a, b int64) int {
 		switch {
 		case a < b:
@@ -230,9 +235,9 @@
 	case etcdserverpb.Compare_VERSION:
 		n = order(v.Version, x.GetVersion())
 	case etcdserverpb.Compare_CREATE:
-		n = order(v.Created, x.GetCreateRevision())
+		n = order(v.CreateRevision, x.GetCreateRevision())
 	case etcdserverpb.Compare_MOD:
-		n = order(v.Modified, x.GetModRevision())
+		n = order(v.ModRevision, x.GetModRevision())
 	case etcdserverpb.Compare_VALUE:
 		if n = 1; v.Value == string(x.GetValue()) {
 			n = 0
@@ -255,12 +260,12 @@
 func (m *Member) Compact(
 	ctx context.Context, r *etcdserverpb.CompactionRequest,
 ) (*etcdserverpb.CompactionResponse, error) {
-	if err := m.enter(ctx); err != nil {
+	if err := m.beginCall(ctx); err != nil {
 		return nil, err
 	}
-	defer m.c.mu.Unlock()
-	if err := m.c.store.Compact(r.Revision); err != nil {
-		return nil, fault(err)
+	defer m.cluster.mu.Unlock()
+	if err := m.cluster.store.Compact(r.Revision); err != nil {
+		return nil, statusError(err)
 	}
 	return &etcdserverpb.CompactionResponse{Header: m.header()}, nil
 }
@@ -269,13 +274,13 @@
 func (m *Member) LeaseGrant(
 	ctx context.Context, r *etcdserverpb.LeaseGrantRequest,
 ) (*etcdserverpb.LeaseGrantResponse, error) {
-	if err := m.enter(ctx); err != nil {
+	if err := m.beginCall(ctx); err != nil {
 		return nil, err
 	}
-	defer m.c.mu.Unlock()
-	l, err := m.c.store.Grant(r.ID, r.TTL, time.Now().UnixMicro())
+	defer m.cluster.mu.Unlock()
+	l, err := m.cluster.store.GrantLease(r.ID, r.TTL, time.Now().UnixMicro())
 	if err != nil {
-		return nil, fault(err)
+		return nil, statusError(err)
 	}
 	return &etcdserverpb.LeaseGrantResponse{Header: m.header(), ID: l.ID, TTL: l.TTL}, nil
 }
@@ -284,13 +289,13 @@
 func (m *Member) LeaseRevoke(
 	ctx context.Context, r *etcdserverpb.LeaseRevokeRequest,
 ) (*etcdserverpb.LeaseRevokeResponse, error) {
-	if err := m.enter(ctx); err != nil {
+	if err := m.beginCall(ctx); err != nil {
 		return nil, err
 	}
-	defer m.c.mu.Unlock()
-	if err := m.c.store.Revoke(r.ID); err != nil {
-		return nil, fault(err)
+	defer m.cluster.mu.Unlock()
+	if err := m.cluster.store.RevokeLease(r.ID); err != nil {
+		return nil, statusError(err)
 	}
-	m.c.changed()
+	m.cluster.notifyChange()
 	return &etcdserverpb.LeaseRevokeResponse{Header: m.header()}, nil
 }
--- a/internal/emulator/registry/registry.go
+++ b/internal/emulator/registry/registry.go
@@ -35,9 +35,9 @@
 
 // Phases of a member.
 const (
-	Up       = "up"
-	Draining = "draining"
-	Removed  = "removed"
+	PhaseUp       = "up"
+	PhaseDraining = "draining"
+	PhaseRemoved  = "removed"
 )
 
 // List is the whole list, or what changed in it.
@@ -48,21 +48,21 @@
 }
 
 const (
-	quietLine  = 2 * time.Second         // an empty line comes on a quiet watch
-	closeAfter = 1500 * time.Millisecond // an old address closes its connections
-	noticeMost = 1 << 20
-	historyMax = 4096
+	keepaliveInterval = 2 * time.Second         // an empty line comes on a quiet watch
+	oldAddressLinger  = 1500 * time.Millisecond // an old address closes its connections
+	maxNoticeBytes    = 1 << 20
+	maxHistory        = 4096
 )
 
 // Config is what a registry is made of.
 type Config struct {
-	Relays        int
-	Members       func(relay int) []Member // endpoint i of the plan at index i
-	Quiet         []Member                 // named by each whole list beside them; they never change
-	Delay, Spread time.Duration            // changes arrive so much later, and up to so much more
-	Seed          uint64
-	Clock         func() event.Time
-	Emit          func(event.Event) // takes Told and Noticed
+	Relays             int
+	Members            func(relay int) []Member // endpoint i of the plan at index i
+	StaticMembers      []Member                 // named by each whole list beside them; they never change
+	Delay, DelaySpread time.Duration            // changes arrive so much later, and up to so much more
+	Seed               uint64
+	Clock              func() event.Time
+	Emit               func(event.Event) // takes Told and Noticed
 }
 
 // Registry is the agents of all relays.
@@ -71,9 +71,9 @@
 	agents []*agent
 }
 
-type change struct {
-	rev int64
-	ep  int
+type revisionChange struct {
+	revision int64
+	endpoint int
 }
 
 // agent is what one relay talks to.
@@ -81,29 +81,29 @@
 	cfg   *Config
 	relay int
 
-	mu      sync.Mutex
-	members []Member // as it has them
-	rev     int64
-	log     []change
-	silent  int
-	stale   int
-	late    []time.Duration
-	queue   []arrival // on their way to it
-	held    []arrival // arrived while it was stale
-	lastDue time.Time
-	news    chan struct{} // closed whenever something changed
-	servers []server
-	addr    string
-	drawn   uint64
-	timers  map[*time.Timer]bool
-	closed  bool
-	done    chan struct{}
-	wg      sync.WaitGroup
-}
-
-type arrival struct {
-	ep    int
-	phase string
+	mu          sync.Mutex
+	members     []Member // as it has them
+	revision    int64
+	history     []revisionChange
+	silenced    int
+	stale       int
+	extraDelays []time.Duration
+	inTransit   []phaseChange // on their way to it
+	withheld    []phaseChange // arrived while it was stale
+	lastDueAt   time.Time
+	changed     chan struct{} // closed whenever something changed
+	servers     []server
+	address     string
+	draws       uint64
+	timers      map[*time.Timer]bool
+	closed      bool
+	done        chan struct{}
+	wg          sync.WaitGroup
+}
+
+type phaseChange struct {
+	endpoint int
+	phase    string
 }
 
 // New starts the agents.
@@ -111,13 +111,13 @@
 	r := &Registry{cfg: cfg}
 	for relay := range cfg.Relays {
 		a := &agent{
-			cfg:     &r.cfg,
-			relay:   relay,
-			members: cfg.Members(relay),
-			rev:     1,
-			news:    make(chan struct{}),
-			timers:  map[*time.Timer]bool{},
-			done:    make(chan struct{}),
+			cfg:      &r.cfg,
+			relay:    relay,
+			members:  cfg.Members(relay),
+			revision: 1,
+			changed:  make(chan struct{}),
+			timers:   map[*time.Timer]bool{},
+			done:     make(chan struct{}),
 		}
 		r.agents = append(r.agents, a)
 		if _, err := a.listen(0); err != nil {
@@ -133,40 +133,42 @@
 	a := r.agents[relay]
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	return a.addr
+	return a.address
 }
 
-// Known is the list as an agent has it.
-func (r *Registry) Known(relay int) List {
+// ListOf is the list as an agent has it.
+func (r *Registry) ListOf(relay int) List {
 	a := r.agents[relay]
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	return a.whole()
+	return a.fullList()
 }
 
-// Set changes an endpoint's phase; each agent hears of it in its own time, and
+// SetPhase changes an endpoint's phase; each agent hears of it in its own time, and
 // of one change after the other.
-func (r *Registry) Set(ep int, phase string) {
+func (r *Registry) SetPhase(ep int, phase string) {
 	for _, a := range r.agents {
 		a.mu.Lock()
-		a.drawn++
-		d := a.cfg.Delay + time.Duration(float64(a.cfg.Spread)*seededrand.Float64(a.cfg.Seed, uint64(a.relay), a.drawn))
-		for _, more := range a.late {
+		a.draws++
+		d := a.cfg.Delay + time.Duration(
+			float64(a.cfg.DelaySpread)*seededrand.Float64(a.cfg.Seed, uint64(a.relay), a.draws),
+		)
+		for _, more := range a.extraDelays {
 			d += more
 		}
 		due := time.Now().Add(d)
-		if due.Before(a.lastDue) {
-			due = a.lastDue
+		if due.Before(a.lastDueAt) {
+			due = a.lastDueAt
 		}
-		a.lastDue = due
-		a.queue = append(a.queue, arrival{ep, phase})
-		a.after(time.Until(due), a.arrived)
+		a.lastDueAt = due
+		a.inTransit = append(a.inTransit, phaseChange{ep, phase})
+		a.schedule(time.Until(due), a.receiveNext)
 		a.mu.Unlock()
 	}
 }
 
-// after runs f later, unless the agent is closed by then. The caller holds mu.
-func (a *agent) after(d time.Duration, f func()) {
+// schedule runs f later, unless the agent is closed by then. The caller holds mu.
+func (a *agent) schedule(d time.Duration, f func()) {
 	var t *time.Timer
 	t = time.AfterFunc(d, func() {
 		a.mu.Lock()
@@ -179,62 +181,62 @@
 	a.timers[t] = true
 }
 
-// arrived takes the oldest change that is on its way. The caller holds mu.
-func (a *agent) arrived() {
-	x := a.queue[0]
-	a.queue = a.queue[1:]
+// receiveNext takes the oldest change that is on its way. The caller holds mu.
+func (a *agent) receiveNext() {
+	x := a.inTransit[0]
+	a.inTransit = a.inTransit[1:]
 	if a.stale > 0 {
-		a.held = append(a.held, x)
+		a.withheld = append(a.withheld, x)
 		return
 	}
 	a.apply(x)
-	a.wake()
+	a.wakeWatches()
 }
 
-func (a *agent) apply(x arrival) {
-	if a.members[x.ep].Phase == x.phase {
+func (a *agent) apply(x phaseChange) {
+	if a.members[x.endpoint].Phase == x.phase {
 		return
 	}
-	a.members[x.ep].Phase = x.phase
-	a.rev++
-	a.log = append(a.log, change{a.rev, x.ep})
-	if len(a.log) > historyMax {
-		a.log = append([]change(nil), a.log[historyMax/2:]...)
+	a.members[x.endpoint].Phase = x.phase
+	a.revision++
+	a.history = append(a.history, revisionChange{a.revision, x.endpoint})
+	if len(a.history) > maxHistory {
+		a.history = append([]revisionChange(nil), a.history[maxHistory/2:]...)
 	}
 }
 
-func (a *agent) wake() {
-	close(a.news)
-	a.news = make(chan struct{})
+func (a *agent) wakeWatches() {
+	close(a.changed)
+	a.changed = make(chan struct{})
 }
 
-// Silence has a relay's discovery say nothing, or speak again.
-func (r *Registry) Silence(relay int, on bool) {
-	r.agents[relay].fault(func(a *agent, n int) { a.silent += n }, on)
+// SetSilent has a relay's discovery say nothing, or speak again.
+func (r *Registry) SetSilent(relay int, on bool) {
+	r.agents[relay].adjust(func(a *agent, n int) { a.silenced += n }, on)
 }
 
-// Stale has a relay's discovery hold back changes, or hand them over.
-func (r *Registry) Stale(relay int, on bool) {
-	r.agents[relay].fault(func(a *agent, n int) { a.stale += n }, on)
+// SetStale has a relay's discovery hold back changes, or hand them over.
+func (r *Registry) SetStale(relay int, on bool) {
+	r.agents[relay].adjust(func(a *agent, n int) { a.stale += n }, on)
 }
 
-// Late has changes take so much longer, or no longer.
-func (r *Registry) Late(relay int, more time.Duration, on bool) {
-	r.agents[relay].fault(func(a *agent, n int) {
+// SetExtraDelay has changes take so much longer, or no longer.
+func (r *Registry) SetExtraDelay(relay int, more time.Duration, on bool) {
+	r.agents[relay].adjust(func(a *agent, n int) {
 		if n > 0 {
-			a.late = append(a.late, more)
+			a.extraDelays = append(a.extraDelays, more)
 			return
 		}
-		for i, x := range a.late {
+		for i, x := range a.extraDelays {
 			if x == more {
-				a.late = append(a.late[:i], a.late[i+1:]...)
+				a.extraDelays = append(a.extraDelays[:i], a.extraDelays[i+1:]...)
 				return
 			}
 		}
 	}, on)
 }
 
-func (a *agent) fault(f func(a *agent, n int), on bool) {
+func (a *agent) adjust(f func(a *agent, n int), on bool) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	n := -1
@@ -243,17 +245,17 @@
 	}
 	f(a, n)
 	if a.stale == 0 {
-		for _, x := range a.held {
+		for _, x := range a.withheld {
 			a.apply(x)
 		}
-		a.held = nil
+		a.withheld = nil
 	}
-	a.wake()
+	a.wakeWatches()
 }
 
-// Move has a relay's discovery answer at a new address. The old one takes no
+// ChangeAddress has a relay's discovery answer at a new address. The old one takes no
 // new connection and closes the open ones after a while.
-func (r *Registry) Move(relay int) (string, error) {
+func (r *Registry) ChangeAddress(relay int) (string, error) {
 	a := r.agents[relay]
 	a.mu.Lock()
 	old := a.servers[len(a.servers)-1]
@@ -264,8 +266,8 @@
 	}
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	_ = old.ln.Close()
-	a.after(closeAfter, func() { go func() { _ = old.Close() }() })
+	_ = old.listener.Close()
+	a.schedule(oldAddressLinger, func() { go func() { _ = old.Close() }() })
 	return addr, nil
 }
 
@@ -273,7 +275,7 @@
 // only together with the connections.
 type server struct {
 	*http.Server
-	ln net.Listener
+	listener net.Listener
 }
 
 func (a *agent) listen(port int) (string, error) {
@@ -282,11 +284,11 @@
 		return "", fmt.Errorf("stand-in registry: %w", err)
 	}
 	mux := http.NewServeMux()
-	mux.HandleFunc("GET /registry/instances", a.list)
-	mux.HandleFunc("POST /reports", a.reports)
+	mux.HandleFunc("GET /registry/instances", a.serveList)
+	mux.HandleFunc("POST /reports", a.serveNotices)
 	srv := server{&http.Server{Handler: mux, ReadHeaderTimeout: 10 * time.Second, MaxHeaderBytes: 16 << 10}, ln}
 	a.mu.Lock()
-	a.addr = ln.Addr().String()
+	a.address = ln.Addr().String()
 	a.servers = append(a.servers, srv)
 	a.mu.Unlock()
 	a.wg.Add(1)
@@ -319,62 +321,66 @@
 	}
 }
 
-// whole is the list without those that were removed. The caller holds mu.
-func (a *agent) whole() List {
-	l := List{Revision: a.rev, Complete: true, Members: []Member{}}
+// fullList is the list without those that were removed. The caller holds mu.
+func (a *agent) fullList() List {
+	l := List{Revision: a.revision, Complete: true, Members: []Member{}}
 	for _, m := range a.members {
-		if m.Phase != Removed {
+		if m.Phase != PhaseRemoved {
 			l.Members = append(l.Members, m)
 		}
 	}
-	l.Members = append(l.Members, a.cfg.Quiet...)
+	l.Members = append(l.Members, a.cfg.StaticMembers...)
 	return l
 }
 
-var toldWords = map[string]int{Up: event.ToldUp, Draining: event.ToldDraining, Removed: event.ToldRemoved}
+var phaseStatus = map[string]int{
+	PhaseUp:       event.ToldUp,
+	PhaseDraining: event.ToldDraining,
+	PhaseRemoved:  event.ToldRemoved,
+}
 
-// told says what was written to the relay.
-func (a *agent) told(eps []int, phases []string) {
+// emitUpdates says what was written to the relay.
+func (a *agent) emitUpdates(eps []int, phases []string) {
 	for i, ep := range eps {
 		a.cfg.Emit(
 			event.Event{
-				At: a.cfg.Clock(), Kind: event.Told, Relay: a.relay, Endpoint: ep, Status: toldWords[phases[i]],
+				At: a.cfg.Clock(), Kind: event.Told, Relay: a.relay, Endpoint: ep, Status: phaseStatus[phases[i]],
 			},
 		)
 	}
 }
 
-// everything names all endpoints, for a whole list. The caller holds mu.
-func (a *agent) everything() (eps []int, phases []string) {
+// allPhases names all endpoints, for a whole list. The caller holds mu.
+func (a *agent) allPhases() (eps []int, phases []string) {
 	for i, m := range a.members {
 		eps, phases = append(eps, i), append(phases, m.Phase)
 	}
 	return eps, phases
 }
 
-func (a *agent) list(w http.ResponseWriter, r *http.Request) {
-	if !a.speak(r) {
+func (a *agent) serveList(w http.ResponseWriter, r *http.Request) {
+	if !a.waitWhileSilenced(r) {
 		return
 	}
 	if r.URL.Query().Get("watch") != "" {
-		a.watch(w, r)
+		a.serveWatch(w, r)
 		return
 	}
 	a.mu.Lock()
-	l := a.whole()
-	eps, phases := a.everything()
+	l := a.fullList()
+	eps, phases := a.allPhases()
 	a.mu.Unlock()
 	w.Header().Set("Content-Type", "application/json")
 	if json.NewEncoder(w).Encode(l) == nil {
-		a.told(eps, phases)
+		a.emitUpdates(eps, phases)
 	}
 }
 
-// speak waits while the agent is silent; false once its caller has gone.
-func (a *agent) speak(r *http.Request) bool {
+// waitWhileSilenced waits while the agent is silent; false once its caller has gone.
+func (a *agent) waitWhileSilenced(r *http.Request) bool {
 	for {
 		a.mu.Lock()
-		silent, news := a.silent > 0, a.news
+		silent, news := a.silenced > 0, a.changed
 		a.mu.Unlock()
 		if !silent {
 			return true
@@ -389,7 +395,7 @@
 	}
 }
 
-func (a *agent) watch(w http.ResponseWriter, r *http.Request) {
+func (a *agent) serveWatch(w http.ResponseWriter, r *http.Request) {
 	from, err := strconv.ParseInt(r.URL.Query().Get("from"), 10, 64)
 	if err != nil {
 		http.Error(w, "from: no number", http.StatusBadRequest)
@@ -398,10 +404,10 @@
 	flush := http.NewResponseController(w)
 	w.WriteHeader(http.StatusOK)
 	_ = flush.Flush() // a client that has gone ends the watch below
-	quiet := time.NewTicker(quietLine)
+	quiet := time.NewTicker(keepaliveInterval)
 	defer quiet.Stop()
 	for first := true; ; first = false {
-		l, eps, phases, news := a.changes(&from, first)
+		l, eps, phases, news := a.nextUpdate(&from, first)
 		if l.Members != nil {
 			text, err := json.Marshal(l)
 			if err != nil {
@@ -410,13 +416,13 @@
 			if _, err := w.Write(append(text, '\n')); err != nil || flush.Flush() != nil {
 				return
 			}
-			a.told(eps, phases)
+			a.emitUpdates(eps, phases)
 		}
 		select {
 		case <-news:
 		case <-quiet.C:
 			a.mu.Lock()
-			silent := a.silent > 0
+			silent := a.silenced > 0
 			a.mu.Unlock()
 			if !silent {
 				if _, err := io.WriteString(w, "\n"); err != nil || flush.Flush() != nil {
@@ -431,45 +437,45 @@
 	}
 }
 
-// changes returns what a watch that has heard everything up to from has to be told, with
+// nextUpdate returns what a watch that has heard everything up to from has to be told, with
 // nil members for nothing, and what is closed at the next change. It moves from along.
-func (a *agent) changes(from *int64, first bool) (l List, eps []int, phases []string, news <-chan struct{}) {
+func (a *agent) nextUpdate(from *int64, first bool) (l List, eps []int, phases []string, news <-chan struct{}) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	if a.silent != 0 {
-		return l, nil, nil, a.news
+	if a.silenced != 0 {
+		return l, nil, nil, a.changed
 	}
-	if oldest := a.oldest(); first && (*from < oldest || *from > a.rev) {
-		l = a.whole()
-		eps, phases = a.everything()
-	} else if *from < a.rev {
-		l = List{Revision: a.rev, Members: []Member{}}
+	if oldest := a.oldestRevision(); first && (*from < oldest || *from > a.revision) {
+		l = a.fullList()
+		eps, phases = a.allPhases()
+	} else if *from < a.revision {
+		l = List{Revision: a.revision, Members: []Member{}}
 		seen := map[int]bool{}
-		for _, c := range a.log {
-			if c.rev > *from && !seen[c.ep] {
-				seen[c.ep] = true
-				l.Members = append(l.Members, a.members[c.ep])
-				eps, phases = append(eps, c.ep), append(phases, a.members[c.ep].Phase)
+		for _, c := range a.history {
+			if c.revision > *from && !seen[c.endpoint] {
+				seen[c.endpoint] = true
+				l.Members = append(l.Members, a.members[c.endpoint])
+				eps, phases = append(eps, c.endpoint), append(phases, a.members[c.endpoint].Phase)
 			}
 		}
 	}
-	*from = a.rev
-	return l, eps, phases, a.news
+	*from = a.revision
+	return l, eps, phases, a.changed
 }
 
-// oldest is the version from which on changes are still known.
-func (a *agent) oldest() int64 {
-	if len(a.log) == 0 {
-		return a.rev
+// oldestRevision is the version from which on changes are still known.
+func (a *agent) oldestRevision() int64 {
+	if len(a.history) == 0 {
+		return a.revision
 	}
-	return a.log[0].rev - 1
+	return a.history[0].revision - 1
 }
 
-var outcomes = map[string]int{"given_up": event.NoticeGivenUp, "handed_back": event.NoticeHandedBack}
+var noticeStatus = map[string]int{"given_up": event.NoticeGivenUp, "handed_back": event.NoticeHandedBack}
 
-// reports takes notices, one JSON object a line; all of them or none.
-func (a *agent) reports(w http.ResponseWriter, r *http.Request) {
-	text, err := io.ReadAll(http.MaxBytesReader(w, r.Body, noticeMost))
+// serveNotices takes notices, one JSON object a line; all of them or none.
+func (a *agent) serveNotices(w http.ResponseWriter, r *http.Request) {
+	text, err := io.ReadAll(http.MaxBytesReader(w, r.Body, maxNoticeBytes))
 	if err != nil {
 		http.Error(w, "too long, or cut off", http.StatusBadRequest)
 		return
@@ -486,7 +492,7 @@
 		}
 		outcome, ok := 0, false
 		if err := json.Unmarshal(in.Bytes(), &n); err == nil {
-			outcome, ok = outcomes[n.Outcome]
+			outcome, ok = noticeStatus[n.Outcome]
 		}
 		if !ok || n.Message == "" {
 			http.Error(w, "not a notice", http.StatusBadRequest)
--- a/internal/emulator/registry/registry_test.go
+++ b/internal/emulator/registry/registry_test.go
@@ -15,44 +15,50 @@
 	"troutusher/internal/event"
 )
 
-type rig struct {
-	t    *testing.T
-	r    *Registry
-	mu   sync.Mutex
-	said []event.Event
+type harness struct {
+	t        *testing.T
+	registry *Registry
+	mu       sync.Mutex
+	events   []event.Event
 }
 
-func start(t *testing.T, delay, spread time.Duration) *rig {
+func newHarness(t *testing.T, delay, spread time.Duration) *harness {
 	t.Helper()
-	x := &rig{t: t}
+	x := &harness{t: t}
 	began := time.Now()
 	r, err := New(Config{
-		Relays: 2, Delay: delay, Spread: spread, Seed: 3,
+		Relays: 2, Delay: delay, DelaySpread: spread, Seed: 3,
 		Members: func(relay int) []Member {
 			var m []Member
 			for i := range 3 {
 				m = append(
 					m,
 					Member{
-						ID: fmt.Sprint("s-", i), HostPort: fmt.Sprintf("127.0.0.1:%d", 100*relay+i), Cell: 1, Phase: Up,
+						ID: fmt.Sprint(
+							"s-",
+							i,
+						),
+						HostPort: fmt.Sprintf("127.0.0.1:%d", 100*relay+i),
+						Cell:     1,
+						Phase:    PhaseUp,
 					},
 				)
 			}
 			return m
 		},
 		Clock: func() event.Time { return time.Since(began).Microseconds() },
-		Emit:  func(e event.Event) { x.mu.Lock(); defer x.mu.Unlock(); x.said = append(x.said, e) },
+		Emit:  func(e event.Event) { x.mu.Lock(); defer x.mu.Unlock(); x.events = append(x.events, e) },
 	})
 	if err != nil {
 		t.Fatal(err)
 	}
-	x.r = r
+	x.registry = r
 	t.Cleanup(r.Close)
 	return x
 }
 
 // watch opens a watch and returns its lines.
-func (x *rig) watch(addr string, from int64) chan List {
+func (x *harness) watch(addr string, from int64) chan List {
 	x.t.Helper()
 	resp, err := http.Get(fmt.Sprintf("http://%s/registry/instances?watch=1&from=%d", addr, from))
 	if err != nil {
@@ -72,7 +78,7 @@
 	return lines
 }
 
-func (x *rig) next(lines chan List) List {
+func (x *harness) nextLine(lines chan List) List {
 	x.t.Helper()
 	select {
 	case l, ok := <-lines:
@@ -86,7 +92,7 @@
 	return List{}
 }
 
-func (x *rig) fetch(addr string) List {
+func (x *harness) fetchList(addr string) List {
 	x.t.Helper()
 	resp, err := http.Get("http://" + addr + "/registry/instances")
 	if err != nil {
@@ -100,10 +106,10 @@
 	return l
 }
 
-func (x *rig) told(relay, ep, what int) bool {
+func (x *harness) sawUpdate(relay, ep, what int) bool {
 	x.mu.Lock()
 	defer x.mu.Unlock()
-	for _, e := range x.said {
+	for _, e := range x.events {
 		if e.Kind == event.Told && e.Relay == relay && e.Endpoint == ep && e.Status == what {
 			return true
 		}
@@ -111,7 +117,7 @@
 	return false
 }
 
-func (x *rig) wait(what string, cond func() bool) {
+func (x *harness) waitFor(what string, cond func() bool) {
 	x.t.Helper()
 	for end := time.Now().Add(20 * time.Second); time.Now().Before(end); time.Sleep(time.Millisecond) {
 		if cond() {
@@ -122,50 +128,50 @@
 }
 
 func TestListAndWatch(t *testing.T) {
-	x := start(t, 0, 0)
-	if l := x.fetch(x.r.Addr(0)); !l.Complete || len(l.Members) != 3 || l.Revision != 1 {
+	x := newHarness(t, 0, 0)
+	if l := x.fetchList(x.registry.Addr(0)); !l.Complete || len(l.Members) != 3 || l.Revision != 1 {
 		t.Fatalf("list: %+v", l)
 	}
-	lines := x.watch(x.r.Addr(0), 1)
-	x.r.Set(1, Draining)
-	if l := x.next(lines); l.Complete || len(l.Members) != 1 || l.Members[0].ID != "s-1" ||
-		l.Members[0].Phase != Draining {
+	lines := x.watch(x.registry.Addr(0), 1)
+	x.registry.SetPhase(1, PhaseDraining)
+	if l := x.nextLine(lines); l.Complete || len(l.Members) != 1 || l.Members[0].ID != "s-1" ||
+		l.Members[0].Phase != PhaseDraining {
 		t.Errorf("change: %+v", l)
 	}
-	x.wait("told", func() bool { return x.told(0, 1, event.ToldDraining) })
-	if x.told(1, 1, event.ToldDraining) {
+	x.waitFor("told", func() bool { return x.sawUpdate(0, 1, event.ToldDraining) })
+	if x.sawUpdate(1, 1, event.ToldDraining) {
 		t.Error("the other relay was told, which asked for nothing")
 	}
-	x.r.Set(2, Removed)
-	if l := x.next(lines); len(l.Members) != 1 || l.Members[0].Phase != Removed {
+	x.registry.SetPhase(2, PhaseRemoved)
+	if l := x.nextLine(lines); len(l.Members) != 1 || l.Members[0].Phase != PhaseRemoved {
 		t.Errorf("removal: %+v", l)
 	}
-	if l := x.fetch(x.r.Addr(0)); len(l.Members) != 2 {
+	if l := x.fetchList(x.registry.Addr(0)); len(l.Members) != 2 {
 		t.Errorf("list: %+v", l)
 	}
-	if l := x.next(x.watch(x.r.Addr(0), 1)); len(l.Members) != 2 || l.Complete {
+	if l := x.nextLine(x.watch(x.registry.Addr(0), 1)); len(l.Members) != 2 || l.Complete {
 		t.Errorf("what changed after 1: %+v", l)
 	}
-	if l := x.next(x.watch(x.r.Addr(0), 0)); !l.Complete {
+	if l := x.nextLine(x.watch(x.registry.Addr(0), 0)); !l.Complete {
 		t.Errorf("from before the beginning: %+v", l)
 	}
-	if l := x.next(x.watch(x.r.Addr(0), 99)); !l.Complete {
+	if l := x.nextLine(x.watch(x.registry.Addr(0), 99)); !l.Complete {
 		t.Errorf("from a version of another: %+v", l)
 	}
 }
 
 func TestChangesArriveInOrderThoughDelaysDiffer(t *testing.T) {
-	x := start(t, 0, 30*time.Millisecond)
-	lines := x.watch(x.r.Addr(1), 1)
+	x := newHarness(t, 0, 30*time.Millisecond)
+	lines := x.watch(x.registry.Addr(1), 1)
 	var want []string
 	for i := range 10 {
-		phase := []string{Draining, Up}[i%2]
-		x.r.Set(0, phase)
+		phase := []string{PhaseDraining, PhaseUp}[i%2]
+		x.registry.SetPhase(0, phase)
 		want = append(want, phase)
 	}
 	var got []string
 	for len(got) < 10 {
-		l := x.next(lines)
+		l := x.nextLine(lines)
 		if l.Revision-1 > int64(len(got)) { // several may come in one line, the last of them told
 			for len(got) < int(l.Revision-1) {
 				got = append(got, want[len(got)])
@@ -177,19 +183,22 @@
 	}
 }
 
-func TestSilentStaleAndLate(t *testing.T) {
-	x := start(t, 0, 0)
-	x.r.Silence(0, true)
-	x.r.Stale(1, true)
+func TestSilentStaleAndDelayedAgents(t *testing.T) {
+	x := newHarness(t, 0, 0)
+	x.registry.SetSilent(0, true)
+	x.registry.SetStale(1, true)
 	asked := make(chan List, 1)
-	go func() { asked <- x.fetch(x.r.Addr(0)) }()
-	x.r.Set(0, Draining)
-	x.wait("held back", func() bool { a := x.r.agents[1]; a.mu.Lock(); defer a.mu.Unlock(); return len(a.held) == 1 })
-	if l := x.fetch(x.r.Addr(1)); l.Members[0].Phase != Up {
+	go func() { asked <- x.fetchList(x.registry.Addr(0)) }()
+	x.registry.SetPhase(0, PhaseDraining)
+	x.waitFor(
+		"held back",
+		func() bool { a := x.registry.agents[1]; a.mu.Lock(); defer a.mu.Unlock(); return len(a.withheld) == 1 },
+	)
+	if l := x.fetchList(x.registry.Addr(1)); l.Members[0].Phase != PhaseUp {
 		t.Errorf("stale: %+v", l)
 	}
-	x.r.Stale(1, false)
-	if l := x.fetch(x.r.Addr(1)); l.Members[0].Phase != Draining {
+	x.registry.SetStale(1, false)
+	if l := x.fetchList(x.registry.Addr(1)); l.Members[0].Phase != PhaseDraining {
 		t.Errorf("no longer stale: %+v", l)
 	}
 	select {
@@ -197,54 +206,54 @@
 		t.Error("a silent agent spoke")
 	default:
 	}
-	x.r.Silence(0, false)
+	x.registry.SetSilent(0, false)
 	if l := <-asked; len(l.Members) != 3 {
 		t.Errorf("once it speaks: %+v", l)
 	}
-	x.r.Late(0, 80*time.Millisecond, true)
+	x.registry.SetExtraDelay(0, 80*time.Millisecond, true)
 	at := time.Now()
-	lines := x.watch(x.r.Addr(0), 2)
-	x.r.Set(1, Draining)
-	x.next(lines)
+	lines := x.watch(x.registry.Addr(0), 2)
+	x.registry.SetPhase(1, PhaseDraining)
+	x.nextLine(lines)
 	if d := time.Since(at); d < 80*time.Millisecond {
 		t.Errorf("late by %v", d)
 	}
-	x.r.Late(0, 80*time.Millisecond, false)
-	if n := len(x.r.agents[0].late); n != 0 {
+	x.registry.SetExtraDelay(0, 80*time.Millisecond, false)
+	if n := len(x.registry.agents[0].extraDelays); n != 0 {
 		t.Errorf("%d delays left", n)
 	}
 }
 
 // A change that is late holds up the one after it, though that is not.
-func TestALateChangeHoldsUpTheNext(t *testing.T) {
-	x := start(t, 0, 0)
-	lines := x.watch(x.r.Addr(0), 1)
-	x.r.Late(0, 120*time.Millisecond, true)
+func TestDelayedChangeHoldsUpTheNext(t *testing.T) {
+	x := newHarness(t, 0, 0)
+	lines := x.watch(x.registry.Addr(0), 1)
+	x.registry.SetExtraDelay(0, 120*time.Millisecond, true)
 	at := time.Now()
-	x.r.Set(0, Draining)
-	x.r.Late(0, 120*time.Millisecond, false)
-	x.r.Set(1, Draining)
+	x.registry.SetPhase(0, PhaseDraining)
+	x.registry.SetExtraDelay(0, 120*time.Millisecond, false)
+	x.registry.SetPhase(1, PhaseDraining)
 	for n := 0; n < 2; {
-		l := x.next(lines)
+		l := x.nextLine(lines)
 		if n += len(l.Members); time.Since(at) < 120*time.Millisecond {
 			t.Fatalf("%+v after %v", l, time.Since(at))
 		}
 	}
 }
 
-func TestMove(t *testing.T) {
-	x := start(t, 0, 0)
-	old := x.r.Addr(0)
+func TestChangeOfAddress(t *testing.T) {
+	x := newHarness(t, 0, 0)
+	old := x.registry.Addr(0)
 	lines := x.watch(old, 1)
-	addr, err := x.r.Move(0)
-	if err != nil || addr == old || x.r.Addr(0) != addr {
+	addr, err := x.registry.ChangeAddress(0)
+	if err != nil || addr == old || x.registry.Addr(0) != addr {
 		t.Fatalf("moved to %s, %v", addr, err)
 	}
 	fresh := &http.Client{Transport: &http.Transport{DisableKeepAlives: true}}
 	if _, err := fresh.Get("http://" + old + "/registry/instances"); err == nil {
 		t.Error("the old address took a connection")
 	}
-	if l := x.fetch(addr); len(l.Members) != 3 {
+	if l := x.fetchList(addr); len(l.Members) != 3 {
 		t.Errorf("at the new one: %+v", l)
 	}
 	for range lines { // ends when the old address closes it
@@ -252,9 +261,9 @@
 }
 
 func TestNotices(t *testing.T) {
-	x := start(t, 0, 0)
+	x := newHarness(t, 0, 0)
 	post := func(body string) int {
-		resp, err := http.Post("http://"+x.r.Addr(1)+"/reports", "", strings.NewReader(body))
+		resp, err := http.Post("http://"+x.registry.Addr(1)+"/reports", "", strings.NewReader(body))
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -262,27 +271,27 @@
 		_ = resp.Body.Close()
 		return resp.StatusCode
 	}
-	x.r.Silence(1, true) // notices are taken all the same
+	x.registry.SetSilent(1, true) // notices are taken all the same
 	if n := post(
 		"{\"message\":\"a\",\"outcome\":\"given_up\"}\n\n{\"message\":\"b\",\"outcome\":\"handed_back\"," +
 			"\"retry_in_ms\":500}\n",
 	); n != 204 {
 		t.Errorf("status %d", n)
 	}
-	if len(x.said) != 2 || x.said[1].ID != "b" || x.said[1].Status != event.NoticeHandedBack ||
-		x.said[1].Wait != 500_000 || x.said[1].Relay != 1 {
-		t.Errorf("said %+v", x.said)
+	if len(x.events) != 2 || x.events[1].ID != "b" || x.events[1].Status != event.NoticeHandedBack ||
+		x.events[1].Wait != 500_000 || x.events[1].Relay != 1 {
+		t.Errorf("said %+v", x.events)
 	}
 	for _, bad := range []string{
 		"{", "{\"message\":\"a\",\"outcome\":\"lost\"}", "{\"outcome\":\"given_up\"}",
-		"{\"message\":\"c\",\"outcome\":\"given_up\"}\nrubbish", strings.Repeat("x", noticeMost+1),
+		"{\"message\":\"c\",\"outcome\":\"given_up\"}\nrubbish", strings.Repeat("x", maxNoticeBytes+1),
 	} {
 		if n := post(bad); n != 400 {
 			t.Errorf("%.40q: status %d", bad, n)
 		}
 	}
-	if len(x.said) != 2 {
-		t.Errorf("part of a bad one was taken: %+v", x.said)
+	if len(x.events) != 2 {
+		t.Errorf("part of a bad one was taken: %+v", x.events)
 	}
 }
 
@@ -294,7 +303,7 @@
 		said := 0
 		a := &agent{cfg: &Config{Clock: func() event.Time { return 0 }, Emit: func(event.Event) { said++ }}}
 		w := httptest.NewRecorder()
-		a.reports(w, httptest.NewRequest(http.MethodPost, "/reports", strings.NewReader(body)))
+		a.serveNotices(w, httptest.NewRequest(http.MethodPost, "/reports", strings.NewReader(body)))
 		if w.Code != 204 && (w.Code != 400 || said > 0) {
 			t.Fatalf("status %d, %d taken", w.Code, said)
 		}
--- a/internal/rehearsal/idlebench/idlebench.go
+++ b/internal/rehearsal/idlebench/idlebench.go
@@ -94,8 +94,13 @@
 		Members: func(int) []registry.Member {
 			return []registry.Member{
 				{
-					ID: "s-1", HostPort: p.ln.Addr().String(), Locality: "a", Flavor: "k", Cell: 1, Phase: registry.Up,
-					Size: 100_000,
+					ID:       "s-1",
+					HostPort: p.ln.Addr().String(),
+					Locality: "a",
+					Flavor:   "k",
+					Cell:     1,
+					Phase:    registry.PhaseUp,
+					Size:     100_000,
 				},
 			}
 		},
--- a/internal/rehearsal/loadgen/load.go
+++ b/internal/rehearsal/loadgen/load.go
@@ -209,7 +209,7 @@
 		return endpoint.Message{}, false
 	}
 	a := &d.cfg.Plan.Arrivals[h.num]
-	return endpoint.Message{Num: h.num, Class: a.Class, Dest: a.Dest, Over: h.over}, true
+	return endpoint.Message{Number: h.num, Class: a.Class, Destination: a.Dest, Finished: h.over}, true
 }
 
 // Down tells the front that a relay has ended or is ending; it notices later.
--- a/internal/rehearsal/loadgen/load_test.go
+++ b/internal/rehearsal/loadgen/load_test.go
@@ -347,7 +347,7 @@
 		took := time.Since(at).Seconds()
 		_ = syscall.Getrusage(syscall.RUSAGE_SELF, &after)
 		cpu := float64(after.Utime.Nano()+after.Stime.Nano()-before.Utime.Nano()-before.Stime.Nano()) / 1e9
-		late, _ := srv.Late(99)
+		late, _ := srv.TimerLag(99)
 		b.ReportMetric(float64(r.ends()[Delivered])/took, "delivered/s")
 		b.ReportMetric(100*cpu/took, "%core")
 		b.ReportMetric(float64(r.d.Late(99))/1000, "driver-late-ms")
--- a/internal/rehearsal/report/report.go
+++ b/internal/rehearsal/report/report.go
@@ -226,7 +226,7 @@
 	for i := range p.Specs {
 		x := &p.Specs[i]
 		r.Partners = append(r.Partners, Partner{
-			Name: x.Name, Dest: x.Dest, Endpoints: x.Endpoints, Calls: o.Calls[i],
+			Name: x.Name, Dest: x.Destination, Endpoints: x.Endpoints, Calls: o.Calls[i],
 			Wasted: o.Calls[i].Began - o.Calls[i].Delivered,
 		})
 	}
--- a/internal/rehearsal/runner/double_test.go
+++ b/internal/rehearsal/runner/double_test.go
@@ -130,7 +130,7 @@
 			d.mu.Lock()
 			for _, m := range l.Members {
 				if d.breach == ignoresDrains {
-					m.Phase = registry.Up
+					m.Phase = registry.PhaseUp
 				}
 				d.list[m.ID] = m
 			}
@@ -224,7 +224,7 @@
 	var up []registry.Member
 	for i := range d.plan.Endpoints { // in the plan's order
 		for _, m := range d.list {
-			if m.Phase == registry.Up && members(d.plan, func(int) string { return "" })[i].ID == m.ID &&
+			if m.Phase == registry.PhaseUp && members(d.plan, func(int) string { return "" })[i].ID == m.ID &&
 				(m.Cell == dest) != (d.breach == strays) {
 				up = append(up, m)
 			}
--- a/internal/rehearsal/runner/faults.go
+++ b/internal/rehearsal/runner/faults.go
@@ -132,11 +132,11 @@
 		return f.relays(func(i int) {
 			switch f.Kind {
 			case scenario.ListLate:
-				f.reg.Late(i, more, on)
+				f.reg.SetExtraDelay(i, more, on)
 			case scenario.ListStale:
-				f.reg.Stale(i, on)
+				f.reg.SetStale(i, on)
 			case scenario.ListSilent:
-				f.reg.Silence(i, on)
+				f.reg.SetSilent(i, on)
 			}
 		})
 	}
@@ -188,7 +188,7 @@
 
 // reload moves a relay's discovery and has it read its configuration again.
 func (f *plannedFault) reload(r *relay) {
-	if _, err := f.reg.Move(r.num); err != nil {
+	if _, err := f.reg.ChangeAddress(r.num); err != nil {
 		f.say(&f.trouble, "%v", err)
 		return
 	}
@@ -215,11 +215,17 @@
 // endpoints has a fault of the model's begin and end.
 func (f *plannedFault) endpoints() []moment {
 	fault := &endpoint.Fault{
-		Kind: endpoint.FaultKind(f.Kind), Size: f.Size, Share: f.Share, Class: f.Class, Form: endpoint.Form(f.Form),
+		Kind: endpoint.FaultKind(
+			f.Kind,
+		),
+		Magnitude: f.Size,
+		Share:     f.Share,
+		Class:     f.Class,
+		Defect:    endpoint.ResponseDefect(f.Form),
 	}
-	each := func(do func(w *endpoint.World, now endpoint.Time, ep int)) func() {
+	each := func(do func(w *endpoint.Model, now endpoint.Time, ep int)) func() {
 		return func() {
-			f.world.Do(func(w *endpoint.World, now endpoint.Time) {
+			f.world.Update(func(w *endpoint.Model, now endpoint.Time) {
 				for _, ep := range f.Endpoints {
 					do(w, now, ep)
 				}
@@ -227,35 +233,35 @@
 		}
 	}
 	return f.span(
-		each(func(w *endpoint.World, now endpoint.Time, ep int) { w.Begin(now, ep, fault) }),
-		each(func(w *endpoint.World, now endpoint.Time, ep int) { w.End(now, ep, fault) }),
+		each(func(w *endpoint.Model, now endpoint.Time, ep int) { w.InjectFault(now, ep, fault) }),
+		each(func(w *endpoint.Model, now endpoint.Time, ep int) { w.ClearFault(now, ep, fault) }),
 	)
 }
 
 func (s *Stage) leaving(f *scenario.PlannedFault, name string) []moment {
-	phase := registry.Draining
+	phase := registry.PhaseDraining
 	if f.Kind == scenario.Remove {
-		phase = registry.Removed
+		phase = registry.PhaseRemoved
 	}
 	sc := s.plan.Scenario
 	shut := f.At + scenario.Micros(sc.Discovery.DelayMS+sc.Discovery.SpreadMS+sc.Rules.DrainGraceMS+sc.Rules.SlackMS)
-	gone := &endpoint.Fault{Kind: endpoint.Gone}
+	gone := &endpoint.Fault{Kind: endpoint.PlannedStop}
 	set := func(phase string) {
 		for _, ep := range f.Endpoints {
-			s.reg.Set(ep, phase)
+			s.reg.SetPhase(ep, phase)
 		}
 	}
 	world := func(on bool) func() {
 		return func() {
-			s.world.Do(func(w *endpoint.World, now endpoint.Time) {
+			s.world.Update(func(w *endpoint.Model, now endpoint.Time) {
 				for _, ep := range f.Endpoints {
 					switch {
 					case f.Kind == scenario.Drain:
-						w.Drain(now, ep, on)
+						w.SetDraining(now, ep, on)
 					case on:
-						w.Begin(now, ep, gone)
+						w.InjectFault(now, ep, gone)
 					default:
-						w.End(now, ep, gone)
+						w.ClearFault(now, ep, gone)
 					}
 				}
 			})
@@ -265,7 +271,7 @@
 	if shut < f.Until {
 		all = append(all, moment{shut, world(true)}, moment{f.Until, world(false)})
 	}
-	return append(all, moment{f.Until, func() { set(registry.Up); s.holds(name, -1) }})
+	return append(all, moment{f.Until, func() { set(registry.PhaseUp); s.holds(name, -1) }})
 }
 
 func (s *Stage) pause(ctx context.Context, d time.Duration) {
--- a/internal/rehearsal/runner/hold.go
+++ b/internal/rehearsal/runner/hold.go
@@ -36,7 +36,7 @@
 	}
 	seen := map[string]int{} // under the model's lock
 	world, err := endpoint.New(p.Specs, endpoint.Rules{
-		Relays: 1, Slots: p.Slots(), MaxAttempts: p.Scenario.Relays.MaxAttempts,
+		Relays: 1, MaxInFlight: p.Slots(), MaxAttempts: p.Scenario.Relays.MaxAttempts,
 	}, p.Work(),
 		func(id string) (endpoint.Message, bool) {
 			if _, ok := seen[id]; !ok {
@@ -45,7 +45,7 @@
 				}
 				seen[id] = len(seen)
 			}
-			return endpoint.Message{Num: seen[id]}, true
+			return endpoint.Message{Number: seen[id]}, true
 		}, emit)
 	if err != nil {
 		return err
@@ -73,7 +73,7 @@
 	if err := os.MkdirAll(state, 0o700); err != nil {
 		return err
 	}
-	text, err := ConfigOf(p, 0, listen, reg.Addr(0), state, reg.Known(0), p.Seed).Text()
+	text, err := ConfigOf(p, 0, listen, reg.Addr(0), state, reg.ListOf(0), p.Seed).Text()
 	if err != nil {
 		return err
 	}
--- a/internal/rehearsal/runner/relay.go
+++ b/internal/rehearsal/runner/relay.go
@@ -111,7 +111,7 @@
 
 // configure writes the configuration's file, whole or not at all.
 func (r *relay) configure() error {
-	c := ConfigOf(r.plan, r.num, r.listen, r.reg.Addr(r.num), filepath.Join(r.dir, "state"), r.reg.Known(r.num),
+	c := ConfigOf(r.plan, r.num, r.listen, r.reg.Addr(r.num), filepath.Join(r.dir, "state"), r.reg.ListOf(r.num),
 		seededrand.Hash(r.plan.Seed, 500, uint64(r.num), r.starts))
 	text, err := c.Text()
 	if err != nil {
--- a/internal/rehearsal/runner/runner.go
+++ b/internal/rehearsal/runner/runner.go
@@ -133,7 +133,7 @@
 func (s *Stage) openEndpoints() error {
 	p := s.plan
 	n := p.Scenario.Relays.Count
-	rules := endpoint.Rules{Relays: n, Slots: p.Slots(), MaxAttempts: p.Scenario.Relays.MaxAttempts}
+	rules := endpoint.Rules{Relays: n, MaxInFlight: p.Slots(), MaxAttempts: p.Scenario.Relays.MaxAttempts}
 	lookup := func(id string) (endpoint.Message, bool) { return s.driver.Lookup(id) }
 	world, err := endpoint.New(p.Specs, rules, p.Work(), lookup, s.hub.emit)
 	if err != nil {
@@ -146,7 +146,7 @@
 		return err
 	}
 	if s.secrets != nil {
-		s.world.Secure(s.secrets.show)
+		s.world.EnableTLS(s.secrets.show)
 	}
 	return nil
 }
@@ -156,7 +156,7 @@
 	d := &p.Scenario.Discovery
 	s.reg, err = registry.New(registry.Config{
 		Relays: p.Scenario.Relays.Count, Seed: p.Seed, Clock: s.now, Emit: s.hub.emit,
-		Delay: millis(d.DelayMS), Spread: millis(d.SpreadMS), Quiet: quiet(p),
+		Delay: millis(d.DelayMS), DelaySpread: millis(d.SpreadMS), StaticMembers: quiet(p),
 		Members: func(relay int) []registry.Member {
 			return members(p, func(ep int) string { return s.world.Addr(ep, relay) })
 		},
@@ -322,7 +322,7 @@
 }
 
 func (s *Stage) outcome() *Outcome {
-	late, err := s.world.Late(99)
+	late, err := s.world.TimerLag(99)
 	o := &Outcome{
 		Plan: s.plan, Start: s.start.Load(), End: s.now(), Results: s.driver.Results(), Door: s.driver.Door(),
 		LateDriver: s.driver.Late(99), LateWorld: late,
--- a/internal/rehearsal/runner/secure.go
+++ b/internal/rehearsal/runner/secure.go
@@ -23,8 +23,8 @@
 	file string // the operator's
 
 	mu    sync.Mutex
-	shows []*h1.Show            // by endpoint, nil where it has no TLS
-	by    map[string][]*h1.Show // by fault and endpoint
+	shows []*h1.TLSIdentity            // by endpoint, nil where it has no TLS
+	by    map[string][]*h1.TLSIdentity // by fault and endpoint
 }
 
 // operatorFileMode keeps the operator's file to its owner.
@@ -48,15 +48,15 @@
 // the relays are told nothing else.
 func newSecrets(p *scenario.Plan, dir string) (*secrets, error) {
 	m := &secretsMaker{plan: p, secrets: &secrets{
-		file: filepath.Join(dir, "operator.toml"), shows: make([]*h1.Show, len(p.Endpoints)),
-		by: map[string][]*h1.Show{},
+		file: filepath.Join(dir, "operator.toml"), shows: make([]*h1.TLSIdentity, len(p.Endpoints)),
+		by: map[string][]*h1.TLSIdentity{},
 	}}
 	kinds := []string{
 		scenario.TLSRotate, scenario.TLSExpired, scenario.TLSWrongName, scenario.TLSWrongRoot, scenario.TLSReset,
 		scenario.TLSForget,
 	}
 	for _, k := range kinds {
-		m.secrets.by[k] = make([]*h1.Show, len(p.Endpoints))
+		m.secrets.by[k] = make([]*h1.TLSIdentity, len(p.Endpoints))
 	}
 	if err := m.authorities(dir); err != nil {
 		return nil, err
@@ -161,14 +161,14 @@
 		}
 		s.shows[i] = usual
 		s.by[scenario.TLSRotate][i], s.by[scenario.TLSForget][i] = rotated, forgot
-		s.by[scenario.TLSReset][i] = &h1.Show{Reset: true}
+		s.by[scenario.TLSReset][i] = &h1.TLSIdentity{ResetHandshake: true}
 		for kind, certificate := range c.bad {
 			s.by[kind][i] = m.show(certificate, x, false)
 		}
 	}
 	fmt.Fprintf(&m.operator, "[[tls]]\nname = \"p%d\"\ndestinations = [%d]\nserver_name = %q\nroots = %q\n"+
 		"pins = [%q, %q]\nhandshake_weight = %v\n",
-		partner, p.Specs[partner].Dest, name, m.roots, tlspolicy.PinOf(c.good.Certificate),
+		partner, p.Specs[partner].Destination, name, m.roots, tlspolicy.PinOf(c.good.Certificate),
 		tlspolicy.PinOf(c.next.Certificate), x.Told)
 	if x.WantsOurs {
 		fmt.Fprintf(&m.operator, "certificate = %q\nkey = %q\n", m.cert, m.key)
@@ -177,7 +177,7 @@
 }
 
 // show is how an endpoint shows a certificate.
-func (m *secretsMaker) show(certificate *testca.Issued, x *scenario.TLS, trusted bool) *h1.Show {
+func (m *secretsMaker) show(certificate *testca.Issued, x *scenario.TLS, trusted bool) *h1.TLSIdentity {
 	cfg := &tls.Config{
 		Certificates:           []tls.Certificate{certificate.TLSCertificate()},
 		SessionTicketsDisabled: x.NoSessions,
@@ -194,11 +194,11 @@
 	// Session keys of its own: what one certificate was shown for is not resumed under
 	// another.
 	cfg.SetSessionTicketKeys([][32]byte{tlspolicy.PinOf(certificate.Certificate)})
-	return &h1.Show{Config: cfg, Delay: millis(x.DelayMS), Trusted: trusted}
+	return &h1.TLSIdentity{Config: cfg, HandshakeDelay: millis(x.DelayMS), Trusted: trusted}
 }
 
 // show is what an endpoint shows now.
-func (s *secrets) show(ep int) *h1.Show {
+func (s *secrets) show(ep int) *h1.TLSIdentity {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.shows[ep]
@@ -207,7 +207,7 @@
 // fault has endpoints show what a fault of theirs has them show, and returns how
 // to end it.
 func (s *secrets) fault(kind string, endpoints []int) (begin, end func()) {
-	was := map[int]*h1.Show{}
+	was := map[int]*h1.TLSIdentity{}
 	return func() {
 			s.mu.Lock()
 			defer s.mu.Unlock()
--- a/internal/rehearsal/runner/settings.go
+++ b/internal/rehearsal/runner/settings.go
@@ -80,7 +80,7 @@
 		if name := kindOf(p, i); !seen[name] {
 			seen[name] = true
 			kinds = append(kinds, name)
-			apart = append(apart, p.Specs[p.Endpoints[i].Partner].Apart)
+			apart = append(apart, p.Specs[p.Endpoints[i].Partner].IndependentRoutes)
 			batch = append(batch, 1)
 		}
 	}
@@ -89,7 +89,7 @@
 
 func kindOf(p *scenario.Plan, ep int) string {
 	e := &p.Endpoints[ep]
-	if p.Specs[e.Partner].Apart {
+	if p.Specs[e.Partner].IndependentRoutes {
 		return e.Kind + "+apart"
 	}
 	return e.Kind
@@ -100,7 +100,7 @@
 func keepAlive(p *scenario.Plan) int64 {
 	least := scenario.Micros(60_000)
 	for i := range p.Specs {
-		if d := p.Specs[i].Idle; d > 0 {
+		if d := p.Specs[i].IdleTimeout; d > 0 {
 			least = min(least, d)
 		}
 	}
@@ -114,17 +114,17 @@
 		e := &p.Endpoints[i]
 		spec := &p.Specs[e.Partner]
 		rate := spec.Capacity
-		if !spec.Apart {
+		if !spec.IndependentRoutes {
 			rate *= float64(spec.Endpoints)
 		}
-		if spec.Limit.Kind != endpoint.NoLimit {
-			rate = min(rate, spec.Limit.PerSecond)
+		if spec.RateLimit.Kind != endpoint.NoLimit {
+			rate = min(rate, spec.RateLimit.PerSecond)
 		}
 		h := fnv.New32a()
 		_, _ = io.WriteString(h, e.Name) // a hash does not fail
 		all = append(all, registry.Member{
 			ID: fmt.Sprintf("s-%08x", h.Sum32()), HostPort: addr(i), Locality: e.Hall, Flavor: kindOf(p, i),
-			Cell: spec.Dest, Phase: registry.Up, Size: rate,
+			Cell: spec.Destination, Phase: registry.PhaseUp, Size: rate,
 		})
 	}
 	return all
@@ -139,7 +139,7 @@
 			ID: fmt.Sprintf("q-%05d", i), HostPort: net.JoinHostPort(
 				loopback.Host(), "9",
 			), Locality: halls[i%len(halls)],
-			Flavor: kindOf(p, 0), Cell: len(p.Specs) + 1 + i, Phase: registry.Up, Size: 1,
+			Flavor: kindOf(p, 0), Cell: len(p.Specs) + 1 + i, Phase: registry.PhaseUp, Size: 1,
 		})
 	}
 	return all
--- a/internal/rehearsal/scenario/plan.go
+++ b/internal/rehearsal/scenario/plan.go
@@ -78,36 +78,36 @@
 				name = fmt.Sprintf("%s-%d", x.Name, n+1)
 			}
 			spec := endpoint.Spec{
-				Name:         name,
-				Dest:         len(p.Specs) + 1,
-				Endpoints:    x.Endpoints,
-				Apart:        x.Routes == "apart",
-				Capacity:     x.Capacity,
-				Queue:        x.Queue,
-				Mix:          mix[i],
-				Conns:        x.Connections,
-				Idle:         Micros(x.IdleMS),
-				Handshake:    Micros(x.HandshakeMS),
-				OneWay:       Micros(x.OneWayMS),
-				ColdShare:    x.ColdShare,
-				ColdRamp:     Micros(x.ColdMS),
-				FallMultiple: s.Rules.FallMultiple,
-				FallTime:     Micros(s.Rules.FallMS),
-				KeyMemory:    Micros(x.KeyMemoryMS),
-				Errors:       x.Errors,
-				Cancel:       endpoint.Cancel(x.Cancel),
-				Limit: endpoint.Limit{
-					Kind: endpoint.LimitKind(x.Limit), PerSecond: x.LimitPerS, Depth: x.LimitDepth,
-					Window: Micros(x.WindowMS), RefusedSpend: x.RefusedSpend, Wait: Micros(x.WaitMS),
+				Name:              name,
+				Destination:       len(p.Specs) + 1,
+				Endpoints:         x.Endpoints,
+				IndependentRoutes: x.Routes == "apart",
+				Capacity:          x.Capacity,
+				QueueLimit:        x.Queue,
+				ClassMix:          mix[i],
+				MaxConns:          x.Connections,
+				IdleTimeout:       Micros(x.IdleMS),
+				HandshakeTime:     Micros(x.HandshakeMS),
+				OneWayDelay:       Micros(x.OneWayMS),
+				WarmUpShare:       x.ColdShare,
+				WarmUpTime:        Micros(x.ColdMS),
+				OverloadFactor:    s.Rules.FallMultiple,
+				OverloadWindow:    Micros(s.Rules.FallMS),
+				DedupWindow:       Micros(x.KeyMemoryMS),
+				ErrorShare:        x.Errors,
+				Cancel:            endpoint.CancelPolicy(x.Cancel),
+				RateLimit: endpoint.RateLimit{
+					Kind: endpoint.LimitKind(x.Limit), PerSecond: x.LimitPerS, Burst: x.LimitDepth,
+					Window: Micros(x.WindowMS), RejectedCount: x.RefusedSpend, RetryAfter: Micros(x.WaitMS),
 				},
 			}
 			if x.TLS != nil {
-				spec.Full, spec.Resumed = x.TLS.Full, x.TLS.Resumed
+				spec.FullHandshakeCost, spec.ResumedHandshakeCost = x.TLS.Full, x.TLS.Resumed
 			}
 			for _, c := range s.Classes {
 				ms, _ := x.service(c.Name)
-				spec.Service = append(spec.Service,
-					endpoint.Service{Mean: Micros(ms), Dist: seededrand.Distribution(x.Dist), CV: x.CV})
+				spec.ServiceTimes = append(spec.ServiceTimes,
+					endpoint.ServiceTime{Mean: Micros(ms), Distribution: seededrand.Distribution(x.Dist), CV: x.CV})
 			}
 			for e := range x.Endpoints {
 				p.Endpoints = append(p.Endpoints, Endpoint{
@@ -176,7 +176,7 @@
 	}
 	for c := range s.Classes {
 		for i := range p.Specs {
-			x.weights = append(x.weights, p.Specs[i].Mix[c])
+			x.weights = append(x.weights, p.Specs[i].ClassMix[c])
 		}
 	}
 	for i, portal := range s.Portals {
@@ -207,7 +207,7 @@
 // add adds one arrival; st draws its portal.
 func (x *arrivalPlanner) add(at float64, class, part int, st *seededrand.Stream) {
 	a := Arrival{
-		At: event.Time(at * 1e6), Class: class, Dest: x.Specs[part].Dest, Portal: st.WeightedIndex(x.portals),
+		At: event.Time(at * 1e6), Class: class, Dest: x.Specs[part].Destination, Portal: st.WeightedIndex(x.portals),
 	}
 	if name := x.Scenario.Partners[x.tables[part]].Portal; name != "" {
 		a.Portal = x.portalOf[name]
@@ -247,7 +247,7 @@
 		part := st.WeightedIndex(x.weights) % len(x.Specs)
 		for range s.Traffic.ClumpSize {
 			if t := at + st.Float64()*0.1; t < s.LengthS {
-				x.add(t, st.WeightedIndex(x.Specs[part].Mix), part, st)
+				x.add(t, st.WeightedIndex(x.Specs[part].ClassMix), part, st)
 			}
 		}
 	}
@@ -259,7 +259,7 @@
 	for part := range x.Specs {
 		table := &x.Scenario.Partners[x.tables[part]]
 		for range table.ReturnBurst {
-			x.add(table.ReturnS+st.Float64(), st.WeightedIndex(x.Specs[part].Mix), part, st)
+			x.add(table.ReturnS+st.Float64(), st.WeightedIndex(x.Specs[part].ClassMix), part, st)
 		}
 	}
 }
@@ -366,7 +366,7 @@
 		return fmt.Errorf("portal: %d, there are %d", a.Portal, len(p.Scenario.Portals))
 	case a.Dest < 1 || a.Dest > len(p.Specs):
 		return fmt.Errorf("dest: %d, want 1 to %d", a.Dest, len(p.Specs))
-	case p.Specs[a.Dest-1].Service[a.Class].Mean <= 0:
+	case p.Specs[a.Dest-1].ServiceTimes[a.Class].Mean <= 0:
 		return fmt.Errorf("class: partner %s has no service time for %d", p.Specs[a.Dest-1].Name, a.Class)
 	case len(a.Key) > 64:
 		return fmt.Errorf("key: %d bytes, 64 at most", len(a.Key))
@@ -432,7 +432,10 @@
 	}
 	for _, e := range p.Endpoints {
 		spec := &p.Specs[e.Partner]
-		f.Endpoints = append(f.Endpoints, checker.Endpoint{Name: e.Name, Dest: spec.Dest, Apart: spec.Apart})
+		f.Endpoints = append(
+			f.Endpoints,
+			checker.Endpoint{Name: e.Name, Dest: spec.Destination, Apart: spec.IndependentRoutes},
+		)
 	}
 	return f
 }
@@ -446,8 +449,8 @@
 	busy := 0.0
 	for i := range p.Specs {
 		x := &p.Specs[i]
-		for c, m := range x.Mix {
-			busy += m * s.Traffic.RatePerS * float64(x.Service[c].Mean+2*x.OneWay) / 1e6
+		for c, m := range x.ClassMix {
+			busy += m * s.Traffic.RatePerS * float64(x.ServiceTimes[c].Mean+2*x.OneWayDelay) / 1e6
 		}
 	}
 	return max(3, int(math.Ceil(2*busy/float64(s.Relays.Count))))
--- a/internal/rehearsal/scenario/scenario.go
+++ b/internal/rehearsal/scenario/scenario.go
@@ -292,8 +292,8 @@
 	if faultShapes[f.Kind].share {
 		setDefault(&f.Share, 1)
 	}
-	if f.Kind == string(endpoint.Spoilt) {
-		setDefault(&f.Form, string(endpoint.Noise))
+	if f.Kind == string(endpoint.MalformedResponse) {
+		setDefault(&f.Form, string(endpoint.GarbageBytes))
 	}
 }
 
--- a/internal/rehearsal/scenario/validate.go
+++ b/internal/rehearsal/scenario/validate.go
@@ -212,7 +212,7 @@
 	c.word(key+".dist", p.Dist,
 		string(seededrand.Constant), string(seededrand.Exponential), string(seededrand.LogNormal))
 	c.word(key+".limit", p.Limit,
-		string(endpoint.NoLimit), string(endpoint.RateLimit), string(endpoint.WindowLimit))
+		string(endpoint.NoLimit), string(endpoint.TokenBucket), string(endpoint.FixedWindow))
 	c.word(key+".cancel", p.Cancel,
 		string(endpoint.CancelNone), string(endpoint.CancelQueued), string(endpoint.CancelAll))
 	if p.TLS != nil {
@@ -280,7 +280,7 @@
 	c.between(key+".limit_per_s", p.LimitPerS, 0.01, 1e6)
 	c.between(key+".limit_depth", p.LimitDepth, 0, 1e6)
 	c.between(key+".window_ms", p.WindowMS, 1, 3600_000)
-	if p.Limit == string(endpoint.WindowLimit) && p.LimitPerS*p.WindowMS < 1000 {
+	if p.Limit == string(endpoint.FixedWindow) && p.LimitPerS*p.WindowMS < 1000 {
 		c.wrong(key+".window_ms", "%v calls a second are less than one in %v ms: it would take nothing",
 			p.LimitPerS, p.WindowMS)
 	}
@@ -370,8 +370,14 @@
 		c.word(key+".form", f.Form, KillOld, KillNew)
 	case f.Kind == Upgrade:
 	case hasForm:
-		c.word(key+".form", f.Form, string(endpoint.Noise), string(endpoint.Head), string(endpoint.Length),
-			string(endpoint.Copy))
+		c.word(
+			key+".form",
+			f.Form,
+			string(endpoint.GarbageBytes),
+			string(endpoint.EndlessHeader),
+			string(endpoint.WrongLength),
+			string(endpoint.DuplicateResponse),
+		)
 	case f.Form != "":
 		c.wrong(key+".form", "%s has no form", f.Kind)
 	}
--- a/internal/relay/members_test.go
+++ b/internal/relay/members_test.go
@@ -72,7 +72,7 @@
 func configureEtcd(t *testing.T, env map[string]string, c *standin.Cluster) {
 	t.Helper()
 	path := filepath.Join(t.TempDir(), "operator.toml")
-	text := fmt.Sprintf("[etcd]\nendpoints = [\"%s\"]\nprefix = \"/t\"\n", strings.Join(c.Addrs(), `", "`))
+	text := fmt.Sprintf("[etcd]\nendpoints = [\"%s\"]\nprefix = \"/t\"\n", strings.Join(c.Addresses(), `", "`))
 	if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
 		t.Fatal(err)
 	}
@@ -91,7 +91,7 @@
 // startMember starts a member of a cluster that was stopped.
 func startMember(t *testing.T, c *standin.Cluster, member int) {
 	t.Helper()
-	if err := c.Start(member); err != nil {
+	if err := c.StartMember(member); err != nil {
 		t.Fatal(err)
 	}
 }
@@ -108,7 +108,7 @@
 	t.Cleanup(c.Close)
 	do := func(ops ...standin.Op) {
 		t.Helper()
-		if _, err := c.Do(ops...); err != nil {
+		if _, err := c.Apply(ops...); err != nil {
 			t.Fatal(err)
 		}
 	}
@@ -157,8 +157,8 @@
 	}
 	second := helperPID(t, env, first)
 	send("the helper was killed")
-	c.Stop(0)
-	c.Stop(1)
+	c.StopMember(0)
+	c.StopMember(1)
 	waitFor(t, "what is known to be saved", func() bool {
 		text, _ := os.ReadFile(filepath.Join(env["ROUTER_STATE"], membersource.FileName))
 		return strings.Contains(string(text), core.Draining)
@@ -188,7 +188,7 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(c.Close)
-	if _, err := c.Do(endpointOp(gone, "s-1", 1), endpointOp(stays, "s-2", 1)); err != nil {
+	if _, err := c.Apply(endpointOp(gone, "s-1", 1), endpointOp(stays, "s-2", 1)); err != nil {
 		t.Fatal(err)
 	}
 	disc := newFakeDiscovery(t, gone.member("s-1", 1), stays.member("s-2", 1))
@@ -234,7 +234,7 @@
 		{"all well", func(int) {}, func(int) {}, 150 * time.Millisecond},
 		{"silent watches", func(int) { c.SilenceWatches() }, func(int) {}, 1200 * time.Millisecond},
 		{
-			"a member stopped", func(n int) { c.Stop(n % 3) }, func(n int) { startMember(t, c, n%3) },
+			"a member stopped", func(n int) { c.StopMember(n % 3) }, func(n int) { startMember(t, c, n%3) },
 			600 * time.Millisecond,
 		},
 	} {
@@ -244,13 +244,13 @@
 			waitFor(t, "calls there", func() bool { return last.Load() > seen })
 			x.do(n)
 			put := time.Now()
-			if _, err := c.Do(drainOp("s-1", false)); err != nil {
+			if _, err := c.Apply(drainOp("s-1", false)); err != nil {
 				t.Fatal(err)
 			}
 			time.Sleep(x.look)
 			took = append(took, max(time.Duration(last.Load()-put.UnixMicro())*time.Microsecond, 0))
 			x.undo(n)
-			if _, err := c.Do(drainOp("s-1", true)); err != nil {
+			if _, err := c.Apply(drainOp("s-1", true)); err != nil {
 				t.Fatal(err)
 			}
 		}
--- a/internal/source/etcd/cluster_test.go
+++ b/internal/source/etcd/cluster_test.go
@@ -169,7 +169,7 @@
 
 func kvs(all []standin.Version) (out []KV) {
 	for _, v := range all {
-		out = append(out, KV{v.Key, v.Value, v.Gone})
+		out = append(out, KV{v.Key, v.Value, v.Deleted})
 	}
 	return out
 }
@@ -285,7 +285,7 @@
 		return
 	}
 	to := c.visible(w.member)
-	all, err := c.store.Since(w.key, w.end, w.next, to)
+	all, err := c.store.Changes(w.key, w.end, w.next, to)
 	if err != nil {
 		c.sendOnWatch(w, &CallFailed{Call: w.call, Reason: ReasonCompacted, Revision: c.store.Compacted()})
 		w.open = false
@@ -298,11 +298,11 @@
 	e := &Changed{Call: w.call, Cluster: c.id, Revision: to}
 	for len(all) > 1 && c.rng.IntN(3) == 0 { // in fragments
 		fragment := *e
-		fragment.KVs, fragment.LastRevision, fragment.Fragment = kvs(all[:1]), all[0].Modified, true
+		fragment.KVs, fragment.LastRevision, fragment.Fragment = kvs(all[:1]), all[0].ModRevision, true
 		all = all[1:]
 		c.sendOnWatch(w, &fragment)
 	}
-	e.KVs, e.LastRevision = kvs(all), all[len(all)-1].Modified
+	e.KVs, e.LastRevision = kvs(all), all[len(all)-1].ModRevision
 	c.sendOnWatch(w, e)
 }
 
@@ -331,7 +331,7 @@
 }
 
 func (c *simulatedCluster) do(ops ...standin.Op) {
-	if _, err := c.store.Do(ops...); err != nil {
+	if _, err := c.store.Apply(ops...); err != nil {
 		c.failf("%v", err)
 	}
 	c.flushAll()
@@ -415,7 +415,7 @@
 			}
 		}
 	case 4:
-		c.backup = c.store.Copy()
+		c.backup = c.store.Clone()
 	case 5:
 		if c.backup != nil && c.rng.IntN(2) == 0 {
 			c.note("restored to %d from %d", c.backup.Revision(), c.store.Revision())
--- a/internal/source/etcd/follow/follow_test.go
+++ b/internal/source/etcd/follow/follow_test.go
@@ -38,7 +38,7 @@
 	}
 	t.Cleanup(c.Close)
 	if user != "" {
-		c.Auth(user, "secret")
+		c.EnableAuth(user, "secret")
 	}
 	x := &testFollower{t: t, cluster: c, published: map[string]membership.Member{}}
 	x.cond = sync.NewCond(&x.mu)
@@ -54,7 +54,7 @@
 	now := func() membership.Time { return 1 + time.Since(began).Microseconds() }
 	opt := Options{
 		Settings:  etcd.DefaultSettings("/t", members),
-		Endpoints: c.Addrs(),
+		Endpoints: c.Addresses(),
 		User:      user,
 		Password:  "secret",
 		Seed:      7,
@@ -117,7 +117,7 @@
 
 func (x *testFollower) do(ops ...standin.Op) {
 	x.t.Helper()
-	if _, err := x.cluster.Do(ops...); err != nil {
+	if _, err := x.cluster.Apply(ops...); err != nil {
 		x.t.Fatal(err)
 	}
 }
@@ -128,7 +128,7 @@
 
 func (x *testFollower) start(member int) {
 	x.t.Helper()
-	if err := x.cluster.Start(member); err != nil {
+	if err := x.cluster.StartMember(member); err != nil {
 		x.t.Error(err)
 	}
 }
@@ -144,8 +144,8 @@
 	}{
 		{"all well", func(*testFollower, int) {}, nil, 500 * time.Millisecond},
 		{"watches broken", func(x *testFollower, n int) {
-			x.cluster.Stop(n % 3)
-			x.cluster.Stop((n + 1) % 3)
+			x.cluster.StopMember(n % 3)
+			x.cluster.StopMember((n + 1) % 3)
 		}, func(x *testFollower, n int) {
 			x.start(n % 3)
 			x.start((n + 1) % 3)
@@ -154,7 +154,7 @@
 			x.cluster.SilenceWatches()
 			x.do(standin.Op{Key: "/t/other", Value: "a"}, standin.Op{Key: "/t/other", Delete: true})
 			x.do(standin.Op{Key: "/t/other", Value: "b"})
-			x.cluster.With(func(s *standin.Store) {
+			x.cluster.WithStore(func(s *standin.Store) {
 				if err := s.Compact(s.Revision()); err != nil {
 					x.t.Error(err)
 				}
@@ -163,16 +163,16 @@
 		{"silent watches", func(x *testFollower, _ int) { x.cluster.SilenceWatches() }, nil, 2 * time.Second},
 		{"a silent member, and silent watches", func(x *testFollower, n int) {
 			x.cluster.SilenceWatches()
-			x.cluster.Silence(n%3, true)
+			x.cluster.SetSilent(n%3, true)
 		}, func(x *testFollower, n int) {
-			x.cluster.Silence(n%3, false)
+			x.cluster.SetSilent(n%3, false)
 		}, 2 * time.Second},
 		{"no leader", func(x *testFollower, n int) {
-			x.cluster.NoLeader(n%3, true)
-			x.cluster.NoLeader((n+1)%3, true)
+			x.cluster.SetNoLeader(n%3, true)
+			x.cluster.SetNoLeader((n+1)%3, true)
 		}, func(x *testFollower, n int) {
-			x.cluster.NoLeader(n%3, false)
-			x.cluster.NoLeader((n+1)%3, false)
+			x.cluster.SetNoLeader(n%3, false)
+			x.cluster.SetNoLeader((n+1)%3, false)
 		}, 2 * time.Second},
 	} {
 		t.Run(trouble.name, func(t *testing.T) {
@@ -234,22 +234,22 @@
 	}
 	x.do(ops...)
 	x.waitFor("2,500", func() bool { return len(x.published) == 2500 })
-	x.cluster.EndTokens()
+	x.cluster.RevokeTokens()
 	x.do(drain("e7", false))
 	draining := func() bool { return x.published["e7"].Phase == membership.Draining }
 	x.waitFor("a drain after the tokens have ended", draining)
 	var lease *standin.Lease
-	x.cluster.With(func(s *standin.Store) { lease, _ = s.Grant(0, 1, time.Now().UnixMicro()) })
+	x.cluster.WithStore(func(s *standin.Store) { lease, _ = s.GrantLease(0, 1, time.Now().UnixMicro()) })
 	x.do(standin.Op{Key: etcd.Key("/t", "endpoints", "leased"), Value: value(3000), Lease: lease.ID})
 	x.waitFor("the leased one", func() bool { return x.published["leased"].ID != "" })
 	x.waitFor("its end", func() bool { return x.published["leased"].ID == "" })
 	var backup *standin.Store
-	x.cluster.With(func(s *standin.Store) { backup = s.Copy() })
+	x.cluster.WithStore(func(s *standin.Store) { backup = s.Clone() })
 	for i := range ops {
 		ops[i].Delete = true
 	}
 	x.do(ops[100:]...)
 	x.waitFor("most of them gone", func() bool { return len(x.published) == 100 })
-	x.cluster.PutBack(backup, 0xc0b1)
+	x.cluster.Restore(backup, 0xc0b1)
 	x.waitFor("all of them back", func() bool { return len(x.published) == 2500 })
 }
--- a/internal/source/etcd/follow/tls_test.go
+++ b/internal/source/etcd/follow/tls_test.go
@@ -47,7 +47,7 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(c.Close)
-	if _, err := c.Do(standin.Op{Key: "/t/endpoints/a", Value: value(1)}); err != nil {
+	if _, err := c.Apply(standin.Op{Key: "/t/endpoints/a", Value: value(1)}); err != nil {
 		t.Fatal(err)
 	}
 	dir := t.TempDir()
@@ -66,9 +66,9 @@
 	if err := os.WriteFile(password, []byte("secret\n"), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	c.Auth("relay", "secret")
+	c.EnableAuth("relay", "secret")
 	good := operatorconfig.Etcd{
-		Endpoints: c.Addrs(), Prefix: "/t", User: "relay", PasswordFile: password,
+		Endpoints: c.Addresses(), Prefix: "/t", User: "relay", PasswordFile: password,
 		Roots: roots, Certificate: cert, Key: key, ServerName: "etcd.example.org",
 	}
 	for name, x := range map[string]struct {
--- a/internal/source/etcd/publish/publish_test.go
+++ b/internal/source/etcd/publish/publish_test.go
@@ -38,11 +38,11 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(c.Close)
-	c.Auth("ops", "secret")
+	c.EnableAuth("ops", "secret")
 	ctx, cancel := context.WithTimeout(t.Context(), 20*time.Second)
 	t.Cleanup(cancel)
 	conn, ctx, err := follow.Dial(ctx, follow.Options{
-		Settings: etcd.DefaultSettings("/t", 1), Endpoints: c.Addrs(), User: "ops", Password: "secret",
+		Settings: etcd.DefaultSettings("/t", 1), Endpoints: c.Addresses(), User: "ops", Password: "secret",
 	})
 	if err != nil {
 		t.Fatal(err)
@@ -124,7 +124,7 @@
 	other := func(op standin.Op) func() {
 		return func() {
 			m.before = nil
-			if _, err := c.Do(op); err != nil {
+			if _, err := c.Apply(op); err != nil {
 				t.Error(err)
 			}
 		}
