--- /dev/null
+++ b/internal/emulator/endpoint/connections.go
@@ -0,0 +1,134 @@
+package endpoint
+
+import "troutusher/internal/event"
+
+// connection is an open connection of a relay to an endpoint.
+type connection struct {
+	id          ConnID
+	relay       int
+	endpoint    *endpoint
+	used        bool // a request has come
+	overLimit   bool // beyond the number of connections that the endpoint accepts
+	current     *call
+	receiving   uint64 // number of the call whose first byte has come
+	idleVersion int    // of the idle timer
+}
+
+// Connection lists longer than this are compacted once most of their entries are closed.
+const connOrderCompactLength = 32
+
+// OpenConn is called when a relay has opened a connection to an endpoint.
+func (m *Model) OpenConn(now Time, endpoint, relay int) ConnID {
+	m.Advance(now)
+	e := m.endpoints[endpoint]
+	m.lastConn++
+	conn := &connection{id: m.lastConn, relay: relay, endpoint: e}
+	conn.overLimit = e.destination.MaxConns > 0 && len(e.conns) >= e.destination.MaxConns
+	e.conns[conn.id], m.conns[conn.id] = conn, conn
+	e.connOrder = append(e.connOrder, conn.id)
+	m.startIdleTimeout(conn)
+	return conn.id
+}
+
+// CompleteHandshake is called when a connection has made a TLS handshake, or has
+// failed to. A handshake costs as much as some calls, which counts while the
+// endpoint warms up.
+func (m *Model) CompleteHandshake(now Time, id ConnID, resumed bool) {
+	m.Advance(now)
+	conn := m.conns[id]
+	if conn == nil {
+		return
+	}
+	e := conn.endpoint
+	if e.handshakeCost += e.destination.FullHandshakeCost; resumed {
+		e.handshakeCost += e.destination.ResumedHandshakeCost - e.destination.FullHandshakeCost
+	}
+	for ; e.handshakeCost >= 1; e.handshakeCost-- {
+		if m.recordArrival(e, conn.relay) {
+			e.handshakeCost = 0
+			return
+		}
+	}
+}
+
+// CloseConn is called when the peer has ended a connection.
+func (m *Model) CloseConn(now Time, id ConnID) {
+	m.Advance(now)
+	if conn := m.conns[id]; conn != nil {
+		m.dropConn(conn)
+	}
+}
+
+// dropConn forgets a connection. Its call gets no response, and is cancelled where
+// the destination's policy says so.
+func (m *Model) dropConn(conn *connection) {
+	delete(m.conns, conn.id)
+	delete(conn.endpoint.conns, conn.id)
+	conn.endpoint.compactConnOrder()
+	c := conn.current
+	if c == nil {
+		return
+	}
+	m.endWithoutResponse(c)
+	policy := c.endpoint.destination.Cancel
+	cancelled := policy == CancelAll || policy == CancelQueued && c.queued
+	if !c.final && cancelled {
+		m.removeCall(c)
+		m.markFinal(c)
+	}
+}
+
+// compactConnOrder drops closed connections from connOrder once they are most of it.
+func (e *endpoint) compactConnOrder() {
+	if len(e.connOrder) <= connOrderCompactLength || len(e.connOrder) <= 2*len(e.conns) {
+		return
+	}
+	open := e.connOrder[:0]
+	for _, id := range e.connOrder {
+		if e.conns[id] != nil {
+			open = append(open, id)
+		}
+	}
+	e.connOrder = open
+}
+
+// startIdleTimeout has a connection closed if it stays unused from now on.
+func (m *Model) startIdleTimeout(conn *connection) {
+	conn.idleVersion++
+	version, timeout := conn.idleVersion, conn.endpoint.destination.IdleTimeout
+	if timeout <= 0 {
+		return
+	}
+	m.schedule(timeout, func() {
+		idle := conn.idleVersion == version && conn.current == nil && m.conns[conn.id] == conn
+		if idle && !conn.endpoint.isDown() {
+			m.dropConn(conn)
+			m.addEffect(Effect{Kind: ShutConn, Conn: conn.id})
+		}
+	})
+}
+
+// ReceiveHealthCheck is called when a health check has come.
+func (m *Model) ReceiveHealthCheck(now Time, id ConnID) {
+	m.Advance(now)
+	conn := m.conns[id]
+	if conn == nil {
+		return
+	}
+	conn.used = true
+	e := conn.endpoint
+	m.record(event.Event{Kind: event.Probed, Relay: conn.relay, Endpoint: e.index})
+	if fault := e.dominantFault(); fault != nil && (fault.Kind == Blackhole || fault.Kind == Hang) {
+		return
+	}
+	status := event.StatusDelivered
+	if e.rejectsCalls() || !e.limiter.allow(m.now) || m.recordArrival(e, conn.relay) {
+		status = event.StatusFull
+	}
+	if m.conns[id] == nil { // the endpoint collapsed
+		return
+	}
+	m.record(event.Event{Kind: event.ProbeDone, Relay: conn.relay, Endpoint: e.index, Status: status})
+	m.addEffect(Effect{Kind: WriteResponse, Conn: id, Status: status})
+	m.startIdleTimeout(conn)
+}
--- a/internal/emulator/endpoint/faults.go
+++ b/internal/emulator/endpoint/faults.go
@@ -2,235 +2,183 @@
 
 import (
 	"container/heap"
-	"fmt"
 
 	"troutusher/internal/event"
 )
 
-// InjectFault has a fault hold at an endpoint. The same value ends it.
-func (w *Model) InjectFault(now Time, ep int, f *Fault) {
-	w.Advance(now)
-	e := w.endpoints[ep]
-	e.advanceWork(w.now)
-	e.faults = append(e.faults, f)
-	if f.causesOutage() {
+// InjectFault makes a fault active at an endpoint. ClearFault takes the same value.
+func (m *Model) InjectFault(now Time, endpoint int, fault *Fault) {
+	m.Advance(now)
+	e := m.endpoints[endpoint]
+	e.advanceWork(m.now)
+	e.faults = append(e.faults, fault)
+	if fault.causesOutage() {
 		e.activeOutages++
 		e.warmingUp = false
-		hidden := 0
-		if f.Kind == Crash || f.Kind == Blackhole {
-			hidden = 1
+		unreachable := 0
+		if fault.Kind == Crash || fault.Kind == Blackhole {
+			unreachable = 1
 		}
-		w.record(event.Event{Kind: event.Outage, Endpoint: ep, Status: hidden, Text: string(f.Kind)})
+		m.record(event.Event{Kind: event.Outage, Endpoint: endpoint, Status: unreachable, Text: string(fault.Kind)})
 	}
-	switch f.Kind {
+	switch fault.Kind {
 	case Crash, PlannedStop:
-		w.stopEndpoint(e, true)
+		m.stopEndpoint(e, true)
 	case Blackhole:
-		w.stopEndpoint(e, false)
+		m.stopEndpoint(e, false)
 	}
-	w.applyFaults(e)
+	m.applyFaults(e)
 }
 
 // ClearFault ends a fault.
-func (w *Model) ClearFault(now Time, ep int, f *Fault) {
-	w.Advance(now)
-	e := w.endpoints[ep]
-	e.advanceWork(w.now)
-	for i, x := range e.faults {
-		if x == f {
+func (m *Model) ClearFault(now Time, endpoint int, fault *Fault) {
+	m.Advance(now)
+	e := m.endpoints[endpoint]
+	e.advanceWork(m.now)
+	for i, active := range e.faults {
+		if active == fault {
 			e.faults = append(e.faults[:i:i], e.faults[i+1:]...)
 			break
 		}
 	}
-	if f.Kind == Blackhole && e.activeFault(Blackhole) == nil {
-		w.stopEndpoint(e, true) // the machine is back and knows none of its connections
+	if fault.Kind == Blackhole && e.activeFault(Blackhole) == nil {
+		m.stopEndpoint(e, true) // the machine has restarted and knows none of its connections
 	}
-	if f.Kind == Hang && e.activeFault(Hang) == nil {
-		for len(e.queue) > e.destination.QueueLimit { // it kept more than it ever takes on
-			x := e.queue[len(e.queue)-1]
-			e.queue = e.queue[:len(e.queue)-1]
-			w.respond(x, event.StatusFull, 0)
-		}
+	if fault.Kind == Hang && e.activeFault(Hang) == nil {
+		m.rejectBeyondQueueLimit(e)
+	}
+	m.recoverFrom(e, fault)
+	m.applyFaults(e)
+}
+
+// rejectBeyondQueueLimit rejects the newest calls that came while an endpoint hung,
+// when every call was queued.
+func (m *Model) rejectBeyondQueueLimit(e *endpoint) {
+	for len(e.queue) > e.destination.QueueLimit {
+		c := e.queue[len(e.queue)-1]
+		e.queue = e.queue[:len(e.queue)-1]
+		m.respond(c, event.StatusFull, 0)
 	}
-	if f.causesOutage() {
+}
+
+// recoverFrom ends an outage, or a planned stop, whose last fault has been cleared:
+// the endpoint warms up.
+func (m *Model) recoverFrom(e *endpoint, fault *Fault) {
+	if fault.causesOutage() {
 		e.activeOutages--
 	}
-	if (f.causesOutage() || f.Kind == PlannedStop) && e.activeOutages == 0 && !e.collapsed &&
-		e.activeFault(PlannedStop) == nil {
-		if f.causesOutage() {
-			w.record(event.Event{Kind: event.Back, Endpoint: ep})
-		}
-		e.recoveredAt, e.group.recoveredAt, e.group.recentArrivals = w.now, w.now, nil
-		if e.destination.WarmUpShare < 1 {
-			e.warmingUp = true
-			w.warmUp(e)
-		}
+	if !fault.causesOutage() && fault.Kind != PlannedStop {
+		return
+	}
+	if e.activeOutages > 0 || e.collapsed || e.activeFault(PlannedStop) != nil {
+		return
+	}
+	if fault.causesOutage() {
+		m.record(event.Event{Kind: event.Back, Endpoint: e.index})
+	}
+	e.recoveredAt, e.group.recoveredAt, e.group.recentArrivals = m.now, m.now, nil
+	if e.destination.WarmUpShare < 1 {
+		e.warmingUp = true
+		m.warmUp(e)
 	}
-	w.applyFaults(e)
 }
 
-// SetDraining has an endpoint take nothing new.
-func (w *Model) SetDraining(now Time, ep int, on bool) {
-	w.Advance(now)
-	w.endpoints[ep].draining = on
+// SetDraining has an endpoint take no new calls, or take them again.
+func (m *Model) SetDraining(now Time, endpoint int, draining bool) {
+	m.Advance(now)
+	m.endpoints[endpoint].draining = draining
 }
 
-// stopEndpoint ends what an endpoint had begun: none of it takes effect any more.
-func (w *Model) stopEndpoint(e *endpoint, reset bool) {
+// stopEndpoint ends the calls of an endpoint: none of them takes effect any more.
+// With reset, its connections are reset too.
+func (m *Model) stopEndpoint(e *endpoint, reset bool) {
 	calls := append([]*call(nil), e.queue...)
 	e.queue = nil
 	for len(e.inService) > 0 {
 		calls = append(calls, heap.Pop(&e.inService).(*call))
 	}
-	for _, x := range calls {
-		w.markFinal(x)
+	for _, c := range calls {
+		m.markFinal(c)
 	}
-	if !reset {
-		return
+	if reset {
+		m.resetConnections(e)
 	}
+}
+
+// resetConnections resets the connections of an endpoint, the oldest first.
+func (m *Model) resetConnections(e *endpoint) {
 	for _, id := range e.connOrder {
-		c := e.conns[id]
-		if c == nil {
+		conn := e.conns[id]
+		if conn == nil {
 			continue
 		}
-		if c.current != nil {
-			w.markFinal(c.current)
+		if conn.current != nil {
+			m.markFinal(conn.current)
 		}
-		w.dropConn(c)
-		w.effects = append(w.effects, Effect{Kind: ResetConn, Conn: id})
+		m.dropConn(conn)
+		m.addEffect(Effect{Kind: ResetConn, Conn: id})
 	}
 	e.connOrder = nil
 }
 
-// applyFaults brings speed and listener in line with the faults.
-func (w *Model) applyFaults(e *endpoint) {
-	e.advanceWork(w.now)
-	e.speed = e.serviceSpeed(w.now)
-	to := Accepting
+// applyFaults brings speed and listener in line with the active faults.
+func (m *Model) applyFaults(e *endpoint) {
+	e.advanceWork(m.now)
+	e.speed = e.serviceSpeed(m.now)
+	state := Accepting
 	switch {
 	case e.activeFault(Blackhole) != nil:
-		to = Unresponsive
+		state = Unresponsive
 	case e.activeFault(Crash) != nil || e.activeFault(PlannedStop) != nil || e.collapsed:
-		to = Refusing
-	}
-	if to != e.listener {
-		e.listener = to
-		w.effects = append(w.effects, Effect{Kind: SetListener, Endpoint: e.index, Listener: to})
+		state = Refusing
 	}
-	w.startQueued(e)
-	w.scheduleCompletion(e)
-}
-
-// warmUpStep is how finely a cold endpoint gets faster.
-const warmUpStep Time = 50_000
-
-func (w *Model) warmUp(e *endpoint) {
-	if !e.warmingUp || w.now-e.recoveredAt >= e.destination.WarmUpTime+e.destination.OverloadWindow {
-		e.warmingUp = false
-		return
+	if state != e.listener {
+		e.listener = state
+		m.addEffect(Effect{Kind: SetListener, Endpoint: e.index, Listener: state})
 	}
-	w.applyFaults(e)
-	w.schedule(warmUpStep, func() { w.warmUp(e) })
+	m.startQueued(e)
+	m.scheduleCompletion(e)
 }
 
-// recordArrival books an arrival at a destination that came back cold and pushes it
-// over where there were too many: all of it, since its endpoints are one place
-// unless they are routes apart. It reports whether it fell.
-func (w *Model) recordArrival(e *endpoint, relay int) bool {
-	p, y := e.destination, e.group
-	if p.OverloadWindow <= 0 || !y.warmingUp() {
-		return false
-	}
-	y.recentArrivals = append(y.recentArrivals, arrival{w.now, relay})
-	for len(y.recentArrivals) > 0 && y.recentArrivals[0].at <= w.now-p.OverloadWindow {
-		y.recentArrivals = y.recentArrivals[1:]
-	}
-	if w.now-y.recoveredAt < p.OverloadWindow {
-		return false
-	}
-	could := 0.0 // calls that it could do in that span
-	for _, x := range y.endpoints {
-		could += p.Capacity * x.capacityShareIntegral(w.now-p.OverloadWindow, w.now) / 1e6
-	}
-	if float64(len(y.recentArrivals)) <= p.OverloadFactor*could {
-		return false
-	}
-	by := make([]int, w.rules.Relays)
-	for _, a := range y.recentArrivals {
-		by[a.relay]++
-	}
-	w.record(event.Event{
-		Kind:     event.Fell,
-		Endpoint: e.index,
-		Calls:    by,
-		Text: fmt.Sprintf(
-			"%d calls in %.1f s, when it could do %.1f",
-			len(y.recentArrivals),
-			float64(p.OverloadWindow)/1e6,
-			could,
-		),
-	})
-	for _, x := range y.endpoints {
-		x.collapsed, x.warmingUp = true, false
-		w.stopEndpoint(x, true)
-		w.applyFaults(x)
-	}
-	return true
-}
-
-func (e *endpoint) activeFault(k FaultKind) *Fault {
-	for _, f := range e.faults {
-		if f.Kind == k {
-			return f
+// activeFault is the first active fault of a kind, or nil.
+func (e *endpoint) activeFault(kind FaultKind) *Fault {
+	for _, fault := range e.faults {
+		if fault.Kind == kind {
+			return fault
 		}
 	}
 	return nil
 }
 
-// isDown reports whether there is nobody to read a call.
+// isDown reports whether nobody is there to read a call.
 func (e *endpoint) isDown() bool {
 	return e.collapsed || e.activeFault(Blackhole) != nil || e.activeFault(Crash) != nil ||
 		e.activeFault(PlannedStop) != nil
 }
 
-// dominantFault is the fault that decides on calls as a whole.
+// dominantFault is the fault that decides what becomes of all calls, or nil.
 func (e *endpoint) dominantFault() *Fault {
-	for _, k := range [...]FaultKind{Blackhole, Crash, PlannedStop, Hang, RejectAll, RejectWithRetryAfter} {
-		if f := e.activeFault(k); f != nil {
-			return f
+	for _, kind := range [...]FaultKind{Blackhole, Crash, PlannedStop, Hang, RejectAll, RejectWithRetryAfter} {
+		if fault := e.activeFault(kind); fault != nil {
+			return fault
 		}
 	}
 	return nil
 }
 
+// rejectsCalls reports whether every call is rejected.
 func (e *endpoint) rejectsCalls() bool {
-	f := e.dominantFault()
-	return e.draining || f != nil && (f.Kind == RejectAll || f.Kind == RejectWithRetryAfter)
+	fault := e.dominantFault()
+	return e.draining || fault != nil && (fault.Kind == RejectAll || fault.Kind == RejectWithRetryAfter)
 }
 
-// errorShare is the share of calls that fail at once.
+// errorShare is the share of calls that fail quickly.
 func (e *endpoint) errorShare() float64 {
-	pass := 1 - e.destination.ErrorShare
-	for _, f := range e.faults {
-		if f.Kind == ErrorResponses {
-			pass *= 1 - f.Share
+	passing := 1 - e.destination.ErrorShare
+	for _, fault := range e.faults {
+		if fault.Kind == ErrorResponses {
+			passing *= 1 - fault.Share
 		}
 	}
-	return 1 - pass
-}
-
-// removeCall takes a call out of service or queue.
-func (e *endpoint) removeCall(w *Model, x *call) {
-	for i, q := range e.queue {
-		if q == x {
-			e.queue = append(e.queue[:i:i], e.queue[i+1:]...)
-			return
-		}
-	}
-	if x.heapIndex >= 0 {
-		e.advanceWork(w.now)
-		heap.Remove(&e.inService, x.heapIndex)
-		w.startQueued(e)
-		w.scheduleCompletion(e)
-	}
+	return 1 - passing
 }
--- a/internal/emulator/endpoint/h1/server.go
+++ b/internal/emulator/endpoint/h1/server.go
@@ -46,7 +46,7 @@
 	mu        sync.Mutex // guards all below, and the model
 	model     *endpoint.Model
 	nextWake  endpoint.Time // when the agenda's goroutine wakes; 0 for not before it is woken
-	conns     map[endpoint.Conn]*connection
+	conns     map[endpoint.ConnID]*connection
 	identity  func(ep int) *TLSIdentity // nil without TLS
 	listeners [][]*relayListener        // by endpoint and relay
 	effects   []endpoint.Effect
@@ -73,7 +73,7 @@
 // must not touch the model any more but through Do.
 func New(world *endpoint.Model, relays int, clock func() endpoint.Time) (*Server, error) {
 	s := &Server{
-		clock: clock, wake: make(chan struct{}, 1), model: world, conns: map[endpoint.Conn]*connection{},
+		clock: clock, wake: make(chan struct{}, 1), model: world, conns: map[endpoint.ConnID]*connection{},
 		timerLag: hdrhistogram.New(1, 60_000_000, 2),
 	}
 	s.quit, s.stop = context.WithCancel(context.Background())
@@ -243,7 +243,7 @@
 }
 
 // serve reads requests from a connection until it ends.
-func (s *Server) serve(id endpoint.Conn, ep int, c *connection) {
+func (s *Server) serve(id endpoint.ConnID, ep int, c *connection) {
 	defer s.wg.Done()
 	if s.handshake(id, ep, c) {
 		s.readRequests(id, c)
@@ -258,7 +258,7 @@
 	_ = c.tcp.Close()
 }
 
-func (s *Server) readRequests(id endpoint.Conn, c *connection) {
+func (s *Server) readRequests(id endpoint.ConnID, c *connection) {
 	limit := &io.LimitedReader{R: c}
 	in := bufio.NewReaderSize(limit, 1024)
 	for {
--- a/internal/emulator/endpoint/h1/tls.go
+++ b/internal/emulator/endpoint/h1/tls.go
@@ -22,7 +22,7 @@
 const handshakeTimeout = 10 * time.Second
 
 // handshake makes the handshake of a connection; false where none came about.
-func (s *Server) handshake(id endpoint.Conn, ep int, l *connection) bool {
+func (s *Server) handshake(id endpoint.ConnID, ep int, l *connection) bool {
 	if s.identity == nil {
 		return true
 	}
--- a/internal/emulator/endpoint/sequence_test.go
+++ b/internal/emulator/endpoint/sequence_test.go
@@ -25,11 +25,11 @@
 			ServiceTimes: service,
 			ClassMix:     []float64{0.7, 0.3},
 			RateLimit: RateLimit{
-				Kind:          TokenBucket,
-				PerSecond:     25,
-				Burst:         4,
-				RetryAfter:    300 * ms,
-				RejectedCount: true,
+				Kind:           TokenBucket,
+				PerSecond:      25,
+				Burst:          4,
+				RetryAfter:     300 * ms,
+				CountsRejected: true,
 			},
 			MaxConns:             6,
 			IdleTimeout:          sec,
@@ -104,13 +104,16 @@
 type sequence struct {
 	*harness
 	text       bytes.Buffer
-	conns      []Conn
+	conns      []ConnID
 	messageIDs []string
 }
 
-func (s *sequence) draw(step int, of uint64) float64 { return seededrand.Float64(7, uint64(step), of) }
+// draw is a random number for one choice of a step.
+func (s *sequence) draw(step int, choice uint64) float64 {
+	return seededrand.Float64(7, uint64(step), choice)
+}
 
-// record appends what came since the last call.
+// record appends the events and effects since the last call.
 func (s *sequence) record() {
 	for _, e := range s.events {
 		fmt.Fprintf(&s.text, "%d %s: relay %d endpoint %d message %d call %d status %d wait %d left %d %s %q %v\n",
@@ -145,7 +148,7 @@
 	if s.draw(step, 4) < 0.5 {
 		key = "k-" + id
 	}
-	conn := Conn(0)
+	conn := ConnID(0)
 	if s.draw(step, 5) < 0.3 && len(s.conns) > 0 {
 		conn = s.conns[int(s.draw(step, 6)*float64(len(s.conns)))]
 	} else {
--- a/internal/emulator/endpoint/service.go
+++ b/internal/emulator/endpoint/service.go
@@ -8,262 +8,235 @@
 	"troutusher/internal/seededrand"
 )
 
-type endpoint struct {
-	index             int
-	destination       *destination
-	concurrency       int
-	serviceTimeScale  float64
-	faults            []*Fault
-	draining          bool
-	listener          ListenerState
-	conns             map[Conn]*conn
-	connOrder         []Conn // of conns, by age
-	inService         completionHeap
-	queue             []*call
-	workDone          float64 // work done by each call in service since the beginning, in µs of usual pace
-	workDoneAt        Time    // moment of v
-	speed             float64
-	completionVersion int // of the agenda's next completion
-	activeOutages     int
-	warmingUp         bool
-	recoveredAt       Time
-	collapsed         bool
-	group             *warmUpGroup
-	limiter           *rateLimiter
-	handshakeCost     float64 // of handshakes, not yet a whole call
-}
-
-// warmUpGroup is what falls over as a whole: a destination, or one route of it where
-// they are apart.
-type warmUpGroup struct {
-	endpoints      []*endpoint
-	recoveredAt    Time // when one of them last came back
-	recentArrivals []arrival
-}
+// Random draws for a call or a message, by what they decide. Recorded rehearsals
+// depend on the numbers.
+const (
+	drawError             = 1
+	drawErrorTakesEffect  = 2
+	drawConnectionReset   = 3
+	drawMalformed         = 4
+	drawLate              = 5
+	drawServiceTime       = 10
+	drawServiceTimeSecond = 11 // some distributions need two
+	drawTail              = 20
+)
 
-type arrival struct {
-	at    Time
-	relay int
-}
+// errorDelay is how long a call takes that fails quickly.
+const errorDelay Time = 2000
 
-type destination struct {
-	Spec
-	limiter    *rateLimiter
-	dedupUntil map[string]Time // until when a repeat is dropped
+// draw is a random number in (0, 1) for a call, the same in each run of a plan.
+func (m *Model) draw(c *call, purpose uint64) float64 {
+	return seededrand.Float64(m.seed, uint64(c.message.Number), uint64(c.attempt), purpose)
 }
 
-// arrive: the call has reached its endpoint.
-func (w *Model) arrive(x *call) {
-	e, p := x.endpoint, x.endpoint.destination
-	switch {
-	case x.final:
-		return // its endpoint died while it was under way
-	case e.isDown(), x.conn == nil && p.Cancel != CancelNone:
-		w.markFinal(x)
-		return
-	}
-	if w.recordArrival(e, x.relay) {
-		w.markFinal(x)
-		return // it fell over, and this call with it
+// arrive is called when a call has reached its endpoint.
+func (m *Model) arrive(c *call) {
+	e := c.endpoint
+	if c.final {
+		return // the endpoint stopped while the call was on its way
 	}
-	f := e.dominantFault()
-	if f != nil && f.Kind == Hang {
-		w.startCall(x)
+	cancelled := c.conn == nil && e.destination.Cancel != CancelNone
+	if e.isDown() || cancelled {
+		m.markFinal(c)
 		return
 	}
-	switch {
-	case f != nil && f.Kind == RejectAll, e.draining, x.conn != nil && x.conn.overLimit:
-		w.reject(x, 0)
-		return
-	case f != nil && f.Kind == RejectWithRetryAfter:
-		w.reject(x, Time(f.Magnitude*1e6))
-		return
-	case !e.limiter.allow(w.now, 1):
-		e.limiter.countRejected(w.now)
-		w.reject(x, p.RateLimit.RetryAfter)
-		return
-	case len(e.inService) >= e.concurrency && len(e.queue) >= p.QueueLimit:
-		e.limiter.refund(w.now)
-		w.reject(x, 0)
+	if m.recordArrival(e, c.relay) {
+		m.markFinal(c)
+		return // the endpoint collapsed under this call
+	}
+	fault := e.dominantFault()
+	if fault != nil && fault.Kind == Hang {
+		m.startCall(c)
 		return
 	}
-	if share := e.errorShare(); w.drawUnit(x, 1) < share {
-		if w.drawUnit(x, 2) < 0.5 {
-			w.takeEffect(x)
-		}
-		w.schedule(2000, func() { w.respond(x, event.StatusError, 0); w.markFinal(x) })
+	if m.rejectedOnArrival(c, fault) || m.failedQuickly(c) {
 		return
 	}
-	if f := e.activeFault(ConnectionReset); f != nil && w.drawUnit(x, 3) < f.Share && x.conn != nil {
-		c := x.conn
-		w.endWithoutResponse(x)
-		delete(w.conns, c.id)
-		delete(e.conns, c.id)
-		w.effects = append(w.effects, Effect{Kind: ResetConn, Conn: c.id})
-	} else if f := e.activeFault(MalformedResponse); f != nil && w.drawUnit(x, 4) < f.Share {
-		x.defect = f.Defect
-	} else if f := e.activeFault(LateResponse); f != nil && w.drawUnit(x, 5) < f.Share {
-		x.respondAt = x.receivedAt + x.timeout + Time(f.Magnitude*1e6)
+	m.applyResponseFaults(c)
+	m.startCall(c)
+}
+
+// rejectedOnArrival rejects a call that its endpoint does not take.
+func (m *Model) rejectedOnArrival(c *call, fault *Fault) bool {
+	e := c.endpoint
+	switch {
+	case fault != nil && fault.Kind == RejectAll, e.draining, c.conn != nil && c.conn.overLimit:
+		m.reject(c, 0)
+	case fault != nil && fault.Kind == RejectWithRetryAfter:
+		m.reject(c, Time(fault.Magnitude*1e6))
+	case !e.limiter.allow(m.now):
+		e.limiter.countRejected(m.now)
+		m.reject(c, e.destination.RateLimit.RetryAfter)
+	case len(e.inService) >= e.concurrency && len(e.queue) >= e.destination.QueueLimit:
+		e.limiter.refund()
+		m.reject(c, 0)
+	default:
+		return false
 	}
-	w.startCall(x)
+	return true
 }
 
-// reject turns a call away.
-func (w *Model) reject(x *call, wait Time) {
-	status := event.StatusFull
-	if wait > 0 {
-		status = event.StatusWait
+// failedQuickly gives an error response to the share of calls that get one. Half of
+// them take effect.
+func (m *Model) failedQuickly(c *call) bool {
+	if m.draw(c, drawError) >= c.endpoint.errorShare() {
+		return false
 	}
-	w.respond(x, status, wait)
+	if m.draw(c, drawErrorTakesEffect) < 0.5 {
+		m.takeEffect(c)
+	}
+	m.schedule(errorDelay, func() {
+		m.respond(c, event.StatusError, 0)
+		m.markFinal(c)
+	})
+	return true
 }
 
-// drawUnit is a figure in (0, 1) of a call, the same in each run of a plan.
-func (w *Model) drawUnit(x *call, of uint64) float64 {
-	return seededrand.Float64(w.seed, uint64(x.message.Number), uint64(x.attempt), of)
+// applyResponseFaults applies one fault at most that spoils the response of a call
+// which is served.
+func (m *Model) applyResponseFaults(c *call) {
+	e := c.endpoint
+	hit := func(kind FaultKind, purpose uint64) *Fault {
+		if fault := e.activeFault(kind); fault != nil && m.draw(c, purpose) < fault.Share {
+			return fault
+		}
+		return nil
+	}
+	if hit(ConnectionReset, drawConnectionReset) != nil && c.conn != nil {
+		conn := c.conn
+		m.endWithoutResponse(c)
+		delete(m.conns, conn.id)
+		delete(e.conns, conn.id)
+		m.addEffect(Effect{Kind: ResetConn, Conn: conn.id})
+	} else if fault := hit(MalformedResponse, drawMalformed); fault != nil {
+		c.defect = fault.Defect
+	} else if fault := hit(LateResponse, drawLate); fault != nil {
+		c.respondAt = c.receivedAt + c.timeout + Time(fault.Magnitude*1e6)
+	}
 }
 
-// drawWork is how long a call keeps a slot at usual pace.
-func (w *Model) drawWork(x *call) float64 {
-	s := x.endpoint.destination.ServiceTimes[x.message.Class]
-	d := float64(
-		s.Mean,
-	) * s.Distribution.ServiceTime(
-		s.CV,
-		w.drawUnit(x, 10),
-		w.drawUnit(x, 11),
-	) * x.endpoint.serviceTimeScale
-	for _, f := range x.endpoint.faults {
-		if f.Kind == TailLatency && f.Class == x.message.Class &&
-			seededrand.Float64(w.seed, uint64(x.message.Number), 20) < f.Share {
-			d *= f.Magnitude
+// serviceTime is how long a call is in service at full speed.
+func (m *Model) serviceTime(c *call) float64 {
+	e := c.endpoint
+	class := e.destination.ServiceTimes[c.message.Class]
+	factor := class.Distribution.ServiceTime(class.CV, m.draw(c, drawServiceTime), m.draw(c, drawServiceTimeSecond))
+	duration := float64(class.Mean) * factor * e.serviceTimeScale
+	for _, fault := range e.faults {
+		if fault.Kind == TailLatency && fault.Class == c.message.Class &&
+			seededrand.Float64(m.seed, uint64(c.message.Number), drawTail) < fault.Share {
+			duration *= fault.Magnitude
 		}
 	}
-	return max(d, 1)
+	return max(duration, 1)
 }
 
-// startCall puts a call into service, or in the queue before it.
-func (w *Model) startCall(x *call) {
-	e := x.endpoint
+// startCall puts a call into service, or into the queue.
+func (m *Model) startCall(c *call) {
+	e := c.endpoint
 	if len(e.inService) >= e.concurrency {
-		x.queued = true
-		e.queue = append(e.queue, x)
+		c.queued = true
+		e.queue = append(e.queue, c)
 		return
 	}
-	x.queued = false
-	e.advanceWork(w.now)
-	x.finishAt = e.workDone + w.drawWork(x)
-	heap.Push(&e.inService, x)
-	w.scheduleCompletion(e)
+	c.queued = false
+	e.advanceWork(m.now)
+	c.finishAt = e.workDone + m.serviceTime(c)
+	heap.Push(&e.inService, c)
+	m.scheduleCompletion(e)
 }
 
-// scheduleCompletion puts the next completion on the agenda.
-func (w *Model) scheduleCompletion(e *endpoint) {
+// startQueued puts calls of the queue into service while there is room.
+func (m *Model) startQueued(e *endpoint) {
+	for len(e.queue) > 0 && len(e.inService) < e.concurrency {
+		c := e.queue[0]
+		e.queue = e.queue[1:]
+		m.startCall(c)
+	}
+}
+
+// scheduleCompletion sets the timer of an endpoint's next completion, in place of
+// the one before.
+func (m *Model) scheduleCompletion(e *endpoint) {
 	e.completionVersion++
 	if len(e.inService) == 0 || e.speed <= 0 {
 		return
 	}
-	ver := e.completionVersion
-	w.schedule(Time(math.Ceil((e.inService[0].finishAt-e.workDone)/e.speed)), func() {
-		if e.completionVersion == ver {
-			w.completeDue(e)
+	version := e.completionVersion
+	remaining := (e.inService[0].finishAt - e.workDone) / e.speed
+	m.schedule(Time(math.Ceil(remaining)), func() {
+		if e.completionVersion == version {
+			m.completeDue(e)
 		}
 	})
 }
 
-func (w *Model) completeDue(e *endpoint) {
-	e.advanceWork(w.now)
-	for len(e.inService) > 0 && e.inService[0].finishAt <= e.workDone+0.5 {
-		x := heap.Pop(&e.inService).(*call)
-		w.finishCall(x)
-		w.startQueued(e)
+// completeDue completes the calls whose service is done.
+func (m *Model) completeDue(e *endpoint) {
+	const roundingError = 0.5 // µs
+	e.advanceWork(m.now)
+	for len(e.inService) > 0 && e.inService[0].finishAt <= e.workDone+roundingError {
+		m.completeCall(heap.Pop(&e.inService).(*call))
+		m.startQueued(e)
 	}
-	w.scheduleCompletion(e)
+	m.scheduleCompletion(e)
 }
 
-// startQueued begins what waits in the queue.
-func (w *Model) startQueued(e *endpoint) {
-	for len(e.queue) > 0 && len(e.inService) < e.concurrency {
-		x := e.queue[0]
-		e.queue = e.queue[1:]
-		w.startCall(x)
-	}
-}
-
-// finishCall: the call has been worked on. It takes effect, unless its key did.
-func (w *Model) finishCall(x *call) {
-	w.takeEffect(x)
-	w.markFinal(x)
-	if d := x.respondAt - w.now; d > 0 {
-		w.schedule(d, func() { w.respond(x, event.StatusDelivered, 0) })
+// completeCall has a call take effect and get its response.
+func (m *Model) completeCall(c *call) {
+	m.takeEffect(c)
+	m.markFinal(c)
+	if delay := c.respondAt - m.now; delay > 0 {
+		m.schedule(delay, func() { m.respond(c, event.StatusDelivered, 0) })
 		return
 	}
-	w.respond(x, event.StatusDelivered, 0)
+	m.respond(c, event.StatusDelivered, 0)
 }
 
-func (w *Model) takeEffect(x *call) {
-	p := x.endpoint.destination
-	if x.idempotencyKey != "" && p.DedupWindow > 0 {
-		if until, ok := p.dedupUntil[x.idempotencyKey]; ok && w.now < until {
-			return // a repeat, dropped
+// takeEffect records that a call takes effect, unless its idempotency key is known.
+func (m *Model) takeEffect(c *call) {
+	d := c.endpoint.destination
+	if c.idempotencyKey != "" && d.DedupWindow > 0 {
+		if until, known := d.dedupUntil[c.idempotencyKey]; known && m.now < until {
+			return
 		}
-		p.dedupUntil[x.idempotencyKey] = w.now + p.DedupWindow
-		if w.now >= w.nextKeySweep {
-			w.nextKeySweep = w.now + p.DedupWindow
-			for _, p := range w.destinations {
-				for k, until := range p.dedupUntil {
-					if until <= w.now {
-						delete(p.dedupUntil, k)
-					}
-				}
-			}
+		d.dedupUntil[c.idempotencyKey] = m.now + d.DedupWindow
+		if m.now >= m.nextKeySweep {
+			m.nextKeySweep = m.now + d.DedupWindow
+			m.sweepKeys()
 		}
 	}
-	w.record(event.Event{Kind: event.Ran, Call: x.number, ID: x.id, Relay: x.relay, Endpoint: x.endpoint.index})
+	m.record(c.newEvent(event.Ran))
 }
 
-func (y *warmUpGroup) warmingUp() bool {
-	for _, e := range y.endpoints {
-		if e.warmingUp {
-			return true
+// sweepKeys deletes idempotency keys whose window is over.
+func (m *Model) sweepKeys() {
+	for _, d := range m.destinations {
+		for key, until := range d.dedupUntil {
+			if until <= m.now {
+				delete(d.dedupUntil, key)
+			}
 		}
 	}
-	y.recentArrivals = nil
-	return false
-}
-
-// capacityShare is the share of its capacity that an endpoint has.
-func (e *endpoint) capacityShare(now Time) float64 {
-	if e.collapsed || e.isDown() {
-		return 0
-	}
-	t := now - e.recoveredAt
-	if !e.warmingUp || t >= e.destination.WarmUpTime {
-		return 1
-	}
-	return e.destination.WarmUpShare + (1-e.destination.WarmUpShare)*float64(t)/float64(e.destination.WarmUpTime)
 }
 
-// capacityShareIntegral is the integral of warmth over a span that ends now, in µs.
-func (e *endpoint) capacityShareIntegral(from, to Time) float64 {
-	switch {
-	case e.collapsed || e.isDown():
-		return 0
-	case !e.warmingUp:
-		return float64(to - from)
+// removeCall takes a call out of its endpoint's queue or service.
+func (m *Model) removeCall(c *call) {
+	e := c.endpoint
+	for i, queued := range e.queue {
+		if queued == c {
+			e.queue = append(e.queue[:i:i], e.queue[i+1:]...)
+			return
+		}
 	}
-	return e.integralSinceRecovery(to-e.recoveredAt) - e.integralSinceRecovery(from-e.recoveredAt)
-}
-
-// integralSinceRecovery is the integral from its return on.
-func (e *endpoint) integralSinceRecovery(t Time) float64 {
-	r, s, x := float64(e.destination.WarmUpTime), e.destination.WarmUpShare, max(float64(t), 0)
-	if x >= r {
-		return s*r + (1-s)*r/2 + x - r
+	if c.heapIndex >= 0 {
+		e.advanceWork(m.now)
+		heap.Remove(&e.inService, c.heapIndex)
+		m.startQueued(e)
+		m.scheduleCompletion(e)
 	}
-	return s*x + (1-s)*x*x/(2*r)
 }
 
-// serviceSpeed is the speed of each call in service.
+// serviceSpeed is the work that each call in service gets per µs.
 func (e *endpoint) serviceSpeed(now Time) float64 {
 	if e.activeFault(Hang) != nil || e.isDown() {
 		return 0
@@ -272,14 +245,15 @@
 	if e.warmingUp {
 		speed = e.capacityShare(now + warmUpStep/2) // the middle of the step that begins
 	}
-	for _, f := range e.faults {
-		if f.Kind == SlowService {
-			speed /= f.Magnitude
+	for _, fault := range e.faults {
+		if fault.Kind == SlowService {
+			speed /= fault.Magnitude
 		}
 	}
 	return speed
 }
 
+// advanceWork brings workDone up to date.
 func (e *endpoint) advanceWork(now Time) {
 	if now > e.workDoneAt {
 		e.workDone += float64(now-e.workDoneAt) * e.speed
@@ -287,22 +261,26 @@
 	}
 }
 
+// completionHeap orders the calls in service by when they complete.
 type completionHeap []*call
 
+// Len implements heap.Interface.
 func (h completionHeap) Len() int { return len(h) }
 
+// Less implements heap.Interface.
 func (h completionHeap) Less(i, j int) bool {
 	return h[i].finishAt < h[j].finishAt || h[i].finishAt == h[j].finishAt && h[i].number < h[j].number
 }
 
+// Swap implements heap.Interface.
 func (h completionHeap) Swap(i, j int) {
 	h[i], h[j] = h[j], h[i]
 	h[i].heapIndex, h[j].heapIndex = i, j
 }
 
 // Push implements heap.Interface.
-func (h *completionHeap) Push(x any) {
-	c := x.(*call)
+func (h *completionHeap) Push(element any) {
+	c := element.(*call)
 	c.heapIndex = len(*h)
 	*h = append(*h, c)
 }
--- a/internal/emulator/endpoint/spec.go
+++ b/internal/emulator/endpoint/spec.go
@@ -1,8 +1,9 @@
-// Package endpoint is a model of outside partners: what they take, how long
-// they work, how they refuse, fail, go cold and fall over. It is stepped with
-// moments and requests and says what to answer. It must never touch a socket,
-// a clock or a file, start a goroutine, or know a protocol's bytes; the folders
-// below it connect it to those.
+// Package endpoint emulates the endpoints of outside partners in virtual time: rate
+// limits, queues, service times, injected faults, warm-up after an outage and
+// collapse under overload. Its driver advances the model, reports connections and
+// requests, and carries out the effects that it returns, such as responses. The
+// package must never use a socket, the clock, a file or a goroutine, nor know a
+// protocol; the packages below it connect it to those.
 package endpoint
 
 import (
@@ -12,87 +13,92 @@
 	"troutusher/internal/seededrand"
 )
 
-// Time is a moment or a span in microseconds since the rehearsal began.
+// Time is a time, in microseconds since the rehearsal began, or a duration.
 type Time = event.Time
 
-// LimitKind says how a partner counts what it takes.
+// LimitKind says how a rate limit counts calls.
 type LimitKind string
 
-// Kinds of limit.
+// Kinds of rate limit.
 const (
 	NoLimit     LimitKind = "none"
-	TokenBucket LimitKind = "rate"   // so many calls a second, with a depth
-	FixedWindow LimitKind = "window" // a count in each fixed span
+	TokenBucket LimitKind = "rate"   // PerSecond calls a second, with bursts of Burst
+	FixedWindow LimitKind = "window" // a number of calls in each window
 )
 
-// RateLimit is what a partner takes from all relays together.
+// RateLimit is what a destination, or an independent route, admits from all relays
+// together.
 type RateLimit struct {
-	Kind          LimitKind
-	PerSecond     float64 // calls a second
-	Burst         float64 // RateLimit: calls that may come at once
-	Window        Time    // WindowLimit: the span; it takes PerSecond times its length
-	RejectedCount bool    // refused calls use it up too
-	RetryAfter    Time    // told with a refusal; 0 for none
+	Kind           LimitKind
+	PerSecond      float64 // calls a second
+	Burst          float64 // TokenBucket: calls that may come at once
+	Window         Time    // FixedWindow: its length; it admits PerSecond times that
+	CountsRejected bool    // rejected calls count too
+	RetryAfter     Time    // sent with a rejection; 0 for none
 }
 
-// ServiceTime is how long a call works at an endpoint of usual pace.
+// ServiceTime is the distribution of how long calls are in service.
 type ServiceTime struct {
 	Mean         Time
 	Distribution seededrand.Distribution
-	CV           float64
+	CV           float64 // coefficient of variation
 }
 
-// CancelPolicy says what becomes of a call whose caller has gone.
+// CancelPolicy says what becomes of a call whose caller has closed the connection.
 type CancelPolicy string
 
-// What becomes of a call whose caller has gone.
+// Cancel policies.
 const (
 	CancelNone   CancelPolicy = "none"   // it runs on
-	CancelQueued CancelPolicy = "queued" // it is dropped unless it has begun
+	CancelQueued CancelPolicy = "queued" // it is dropped unless it is in service
 	CancelAll    CancelPolicy = "all"    // it is dropped
 )
 
-// Spec describes a partner.
+// Spec describes a destination and its endpoints.
 type Spec struct {
-	Name                 string
-	Destination          int
-	Endpoints            int
-	IndependentRoutes    bool          // endpoints are separate routes, each with its own limit
-	Capacity             float64       // calls a second of one warm endpoint, at the usual mix
-	QueueLimit           int           // calls of one endpoint that wait for their turn
-	ServiceTimes         []ServiceTime // by class
-	ClassMix             []float64     // share of each class in its traffic; what its capacity is told for
-	RateLimit            RateLimit
+	Name              string
+	Destination       int
+	Endpoints         int
+	IndependentRoutes bool // each endpoint has a rate limit of its own, and collapses alone
+
+	Capacity     float64 // calls a second that one warmed-up endpoint serves, at ClassMix
+	QueueLimit   int     // calls of one endpoint that wait for service
+	ServiceTimes []ServiceTime
+	ClassMix     []float64 // share of each class in the calls
+	RateLimit    RateLimit
+	Cancel       CancelPolicy
+	DedupWindow  Time    // how long repeats of an idempotency key are dropped
+	ErrorShare   float64 // share of calls that fail at any time
+
 	MaxConns             int     // connections of one endpoint, idle ones counted; 0 for any number
-	IdleTimeout          Time    // it closes a connection idle for so long; 0 for never
+	IdleTimeout          Time    // idle connections are closed after it; 0 for never
 	HandshakeTime        Time    // what the first request on a connection takes longer
-	OneWayDelay          Time    // travel time, once before a call begins and once before its answer is heard
-	WarmUpShare          float64 // share of its capacity after an outage; 1 for all
-	WarmUpTime           Time    // until it has all of it again
-	OverloadFactor       float64 // sent more than so many times what it can do ...
-	OverloadWindow       Time    // ... for so long, a cold endpoint falls over; 0 for never
-	DedupWindow          Time    // how long it drops repeats of a key
-	ErrorShare           float64 // share of calls that fail at any time
-	Cancel               CancelPolicy
-	FullHandshakeCost    float64 // calls that a full TLS handshake weighs
-	ResumedHandshakeCost float64 // likewise, a resumed one
+	OneWayDelay          Time    // travel time of a call, and of its response
+	FullHandshakeCost    float64 // cost of a full TLS handshake, in calls
+	ResumedHandshakeCost float64 // likewise, of a resumed one
+
+	WarmUpShare    float64 // share of the capacity right after an outage; 1 for no warm-up
+	WarmUpTime     Time    // until the whole capacity is back
+	OverloadFactor float64 // more arrivals than so many times what it can serve ...
+	OverloadWindow Time    // ... for so long make it collapse while it warms up; 0 for never
 }
 
-// concurrency and pace turn the capacity into calls served at once, and a factor on
-// service times that makes their product exactly the capacity.
-func (s *Spec) concurrency() (slots int, pace float64) {
-	mean, sum := 0.0, 0.0
-	for i, m := range s.ClassMix {
-		mean, sum = mean+m*float64(s.ServiceTimes[i].Mean), sum+m
+// concurrency turns the capacity into a number of calls in service at once and a
+// factor on service times, with which the rate served is exactly the capacity.
+func (s *Spec) concurrency() (inService int, serviceTimeScale float64) {
+	mean, total := 0.0, 0.0
+	for class, share := range s.ClassMix {
+		mean, total = mean+share*float64(s.ServiceTimes[class].Mean), total+share
 	}
-	if sum > 0 {
-		mean /= sum
+	if total > 0 {
+		mean /= total
 	}
 	busy := s.Capacity * mean / 1e6
-	slots = max(1, int(busy+0.5))
-	return slots, float64(slots) / busy
+	inService = max(1, int(busy+0.5))
+	return inService, float64(inService) / busy
 }
 
+// validate reports what is wrong with the specification.
 func (s *Spec) validate() error {
 	switch {
 	case s.Endpoints < 1:
@@ -108,9 +114,9 @@
 	case s.RateLimit.Kind == FixedWindow && s.RateLimit.Window <= 0:
 		return fmt.Errorf("partner %s: limit window: %d, want above 0", s.Name, s.RateLimit.Window)
 	}
-	for i, x := range s.ServiceTimes {
-		if s.ClassMix[i] > 0 && x.Mean <= 0 {
-			return fmt.Errorf("partner %s: service of class %d: %d, want above 0", s.Name, i, x.Mean)
+	for class, service := range s.ServiceTimes {
+		if s.ClassMix[class] > 0 && service.Mean <= 0 {
+			return fmt.Errorf("partner %s: service of class %d: %d, want above 0", s.Name, class, service.Mean)
 		}
 	}
 	return nil
@@ -155,18 +161,19 @@
 	TailLatency FaultKind = "tail"
 )
 
-// ResponseDefect is a form of a spoilt answer.
+// ResponseDefect is what is wrong with a malformed response.
 type ResponseDefect string
 
-// Forms of spoilt answers.
+// Defects of responses.
 const (
-	GarbageBytes      ResponseDefect = "noise"  // bytes that are no answer
-	EndlessHeader     ResponseDefect = "head"   // a head that does not end
-	WrongLength       ResponseDefect = "length" // a length that does not fit what follows
-	DuplicateResponse ResponseDefect = "copy"   // a good answer, and a second copy behind it
+	GarbageBytes      ResponseDefect = "noise"  // bytes that are no response
+	EndlessHeader     ResponseDefect = "head"   // a header that does not end
+	WrongLength       ResponseDefect = "length" // a length that does not fit the body
+	DuplicateResponse ResponseDefect = "copy"   // a valid response, and a copy of it
 )
 
-// Fault is one fault of one endpoint.
+// Fault is one fault of one endpoint. What Magnitude, Share, Class and Defect mean
+// depends on the kind.
 type Fault struct {
 	Kind      FaultKind
 	Magnitude float64
@@ -175,8 +182,8 @@
 	Defect    ResponseDefect
 }
 
-// causesOutage reports whether an endpoint that has the fault is out, so that it
-// comes back cold.
+// causesOutage reports whether the endpoint is out of service while the fault is
+// active, so that it warms up afterwards.
 func (f *Fault) causesOutage() bool {
 	switch f.Kind {
 	case Blackhole, Crash, Hang, RejectAll, RejectWithRetryAfter:
--- /dev/null
+++ b/internal/emulator/endpoint/warmup.go
@@ -0,0 +1,123 @@
+package endpoint
+
+import (
+	"fmt"
+
+	"troutusher/internal/event"
+)
+
+// warmUpStep is how often the speed of an endpoint that warms up is brought up to date.
+const warmUpStep Time = 50_000
+
+// warmUpGroup is the set of endpoints that collapses as a whole: those of a
+// destination, or one independent route.
+type warmUpGroup struct {
+	endpoints      []*endpoint
+	recoveredAt    Time // when one of them last recovered
+	recentArrivals []arrival
+}
+
+type arrival struct {
+	at    Time
+	relay int
+}
+
+// warmingUp reports whether one of the endpoints warms up.
+func (g *warmUpGroup) warmingUp() bool {
+	for _, e := range g.endpoints {
+		if e.warmingUp {
+			return true
+		}
+	}
+	g.recentArrivals = nil
+	return false
+}
+
+// warmUp raises the speed of an endpoint step by step until it has warmed up.
+func (m *Model) warmUp(e *endpoint) {
+	if !e.warmingUp || m.now-e.recoveredAt >= e.destination.WarmUpTime+e.destination.OverloadWindow {
+		e.warmingUp = false
+		return
+	}
+	m.applyFaults(e)
+	m.schedule(warmUpStep, func() { m.warmUp(e) })
+}
+
+// recordArrival counts an arrival while a group warms up, and has all of the group
+// collapse under overload: when more than OverloadFactor times what it could serve
+// arrived within OverloadWindow. It reports whether it collapsed.
+func (m *Model) recordArrival(e *endpoint, relay int) bool {
+	d, group := e.destination, e.group
+	if d.OverloadWindow <= 0 || !group.warmingUp() {
+		return false
+	}
+	begin := m.now - d.OverloadWindow
+	group.recentArrivals = append(group.recentArrivals, arrival{m.now, relay})
+	for len(group.recentArrivals) > 0 && group.recentArrivals[0].at <= begin {
+		group.recentArrivals = group.recentArrivals[1:]
+	}
+	if m.now-group.recoveredAt < d.OverloadWindow {
+		return false
+	}
+	servable := 0.0 // calls that the group could serve in the window
+	for _, member := range group.endpoints {
+		servable += d.Capacity * member.capacityShareIntegral(begin, m.now) / 1e6
+	}
+	if float64(len(group.recentArrivals)) <= d.OverloadFactor*servable {
+		return false
+	}
+	m.collapse(e, servable)
+	return true
+}
+
+// collapse ends service at all endpoints of a group for good.
+func (m *Model) collapse(e *endpoint, servable float64) {
+	group := e.group
+	callsByRelay := make([]int, m.rules.Relays)
+	for _, a := range group.recentArrivals {
+		callsByRelay[a.relay]++
+	}
+	window := float64(e.destination.OverloadWindow) / 1e6
+	m.record(event.Event{
+		Kind: event.Fell, Endpoint: e.index, Calls: callsByRelay,
+		Text: fmt.Sprintf("%d calls in %.1f s, when it could do %.1f", len(group.recentArrivals), window, servable),
+	})
+	for _, member := range group.endpoints {
+		member.collapsed, member.warmingUp = true, false
+		m.stopEndpoint(member, true)
+		m.applyFaults(member)
+	}
+}
+
+// capacityShare is the share of its capacity that an endpoint has.
+func (e *endpoint) capacityShare(now Time) float64 {
+	if e.isDown() {
+		return 0
+	}
+	sinceRecovery := now - e.recoveredAt
+	if !e.warmingUp || sinceRecovery >= e.destination.WarmUpTime {
+		return 1
+	}
+	share := e.destination.WarmUpShare
+	return share + (1-share)*float64(sinceRecovery)/float64(e.destination.WarmUpTime)
+}
+
+// capacityShareIntegral is the integral of capacityShare over a span that ends now, in µs.
+func (e *endpoint) capacityShareIntegral(from, to Time) float64 {
+	switch {
+	case e.isDown():
+		return 0
+	case !e.warmingUp:
+		return float64(to - from)
+	}
+	return e.integralSinceRecovery(to-e.recoveredAt) - e.integralSinceRecovery(from-e.recoveredAt)
+}
+
+// integralSinceRecovery is the integral of the growing share from the recovery on.
+func (e *endpoint) integralSinceRecovery(span Time) float64 {
+	share, warmUpTime, t := e.destination.WarmUpShare, float64(e.destination.WarmUpTime), max(float64(span), 0)
+	if t >= warmUpTime {
+		return share*warmUpTime + (1-share)*warmUpTime/2 + t - warmUpTime
+	}
+	return share*t + (1-share)*t*t/(2*warmUpTime)
+}
--- a/internal/rehearsal/scenario/plan.go
+++ b/internal/rehearsal/scenario/plan.go
@@ -98,7 +98,7 @@
 				Cancel:            endpoint.CancelPolicy(x.Cancel),
 				RateLimit: endpoint.RateLimit{
 					Kind: endpoint.LimitKind(x.Limit), PerSecond: x.LimitPerS, Burst: x.LimitDepth,
-					Window: Micros(x.WindowMS), RejectedCount: x.RefusedSpend, RetryAfter: Micros(x.WaitMS),
+					Window: Micros(x.WindowMS), CountsRejected: x.RefusedSpend, RetryAfter: Micros(x.WaitMS),
 				},
 			}
 			if x.TLS != nil {
