--- a/internal/logstats/logstats.go
+++ b/internal/logstats/logstats.go
@@ -1,12 +1,10 @@
 // Package logstats adds up the logs of the relays of one fleet: what each of
-// them counted by second and destination, when it learned of a list, how its
-// calls to discovery ended, and when it was ready. It reads the relay's own log
-// lines and guesses nothing that they do not say.
+// them counted by second and destination, when it learned of an endpoint list,
+// how its calls to discovery ended, and when it was ready. It reads nothing but
+// the relays' own log lines, and assumes nothing that they do not say.
 package logstats
 
 import (
-	"bufio"
-	"bytes"
 	"errors"
 	"io/fs"
 	"maps"
@@ -16,230 +14,244 @@
 	"time"
 
 	"troutusher/internal/metrics"
+	"troutusher/internal/msgtrace"
 )
 
 const (
-	lineMost   = 1 << 20 // bytes of a line; the rest of a longer one is left out
-	countMost  = 1 << 40 // of one name in one second
-	secondsMax = 1 << 17 // seconds that a day may span: a wrong clock must not fill the memory
+	maxCount          = 1 << 40 // of one name in one second; more is damage
+	maxSecondSpan     = 1 << 17 // seconds that a report may span: a wrong clock must not fill the memory
+	maxPolicyMessages = 1000    // different messages of the policies that are kept
 )
 
+// Texts and keys of log lines that no other package defines.
+const (
+	discoveryCallText = "discovery: call over"
+	listText          = "list"
+	policyText        = "policy"
+)
+
+// errNoLogs: a folder without a log that can be read.
+var errNoLogs = errors.New("no readable log")
+
 // Counts are sums by name.
 type Counts map[string]int64
 
-func (c Counts) add(o Counts) {
-	for k, n := range o {
-		c[k] += n
+func (c Counts) addAll(other Counts) {
+	for name, n := range other {
+		c[name] += n
+	}
+}
+
+// HandedBack is how many messages were handed back or rejected by the policy,
+// whatever its reason.
+func (c Counts) HandedBack() (sum int64) {
+	for name, n := range c {
+		if strings.HasPrefix(name, metrics.HandedBackPrefix) {
+			sum += n
+		}
 	}
+	return sum
 }
 
-// List is news of the list, with the moments at which relays heard of it.
-type List struct {
-	Revision    int64
-	First, Last time.Time
-	Relays      int
+// ListRevision is a revision of the endpoint list, with the times at which
+// relays received it.
+type ListRevision struct {
+	Revision            int64
+	FirstSeen, LastSeen time.Time
+	Relays              int
 }
 
-// Day is what a fleet's logs say together.
-type Day struct {
-	Relays    []string // with lines that could be read
-	Empty     []string // files with none
-	Foreign   int      // lines that are no lines of a relay's log
-	Torn      int      // last lines that end in the middle
-	Strange   int      // lines of a tally that name a second far from all others, or count what cannot be
-	From, To  int64    // seconds of Unix time, of what was counted; To is the last one
-	Starts    []time.Time
-	Dests     []int // in order
-	Discovery Counts
-	Lists     []List
-	Longest   time.Duration  // the longest step of any relay's loop ...
-	LongestAt string         // ... and whose, and in which second
-	Says      map[string]int // the policies' own words, by how many relays
-
-	origin int64                    // the first second that was read
-	cells  map[int64]map[int]Counts // by second and destination
-	own    map[string]map[int]Counts
+// Report is what the logs of a fleet add up to.
+type Report struct {
+	Relays                  []string // with lines that could be read
+	EmptyFiles              []string // without one
+	ForeignLines            int      // that are not of a relay's log
+	TruncatedLines          int      // last lines without an end
+	InvalidCounts           int      // of a second far from all others, or out of range
+	FirstSecond, LastSecond int64    // of what was counted, in Unix time
+	Starts                  []time.Time
+	Destinations            []int // in order
+	DiscoveryCalls          Counts
+	ListRevisions           []ListRevision
+	LongestStep             time.Duration  // of any relay's event loop
+	LongestStepAt           string         // the relay and the second of it
+	PolicyMessages          map[string]int // number of relays by what their policies logged
+
+	baseSecond int64 // the first second that was read
+	bySecond   map[int64]map[int]Counts
+	byRelay    map[string]map[int]Counts
 }
 
-// At is what all relays together counted in one second, for one destination.
-func (d *Day) At(second int64, dest int) Counts { return d.cells[second][dest] }
+// CountsAt is what all relays together counted in one second, for one destination.
+func (r *Report) CountsAt(second int64, dest int) Counts { return r.bySecond[second][dest] }
 
-// Second is the same for all destinations.
-func (d *Day) Second(second int64) Counts {
+// SecondTotals is what all relays together counted in one second.
+func (r *Report) SecondTotals(second int64) Counts {
 	sum := Counts{}
-	for _, c := range d.cells[second] {
-		sum.add(c)
+	for _, counts := range r.bySecond[second] {
+		sum.addAll(counts)
 	}
 	return sum
 }
 
-// Dest is the same for all seconds.
-func (d *Day) Dest(dest int) Counts {
+// DestinationTotals is what all relays together counted for one destination.
+func (r *Report) DestinationTotals(dest int) Counts {
 	sum := Counts{}
-	for _, dests := range d.cells {
-		sum.add(dests[dest])
+	for _, byDestination := range r.bySecond {
+		sum.addAll(byDestination[dest])
 	}
 	return sum
 }
 
-// Spread is how a count of a destination lies over the relays: what the relay
-// in the middle has, and the one with most.
-func (d *Day) Spread(dest int, what string) (median, most int64) {
-	all := make([]int64, 0, len(d.Relays))
-	for _, r := range d.Relays {
-		all = append(all, d.own[r][dest][what])
+// MedianAndMaxPerRelay tells how a count of a destination is spread over the relays.
+func (r *Report) MedianAndMaxPerRelay(dest int, name string) (median, most int64) {
+	counts := make([]int64, 0, len(r.Relays))
+	for _, relay := range r.Relays {
+		counts = append(counts, r.byRelay[relay][dest][name])
 	}
-	if len(all) == 0 {
+	if len(counts) == 0 {
 		return 0, 0
 	}
-	slices.Sort(all)
-	return all[len(all)/2], all[len(all)-1]
+	slices.Sort(counts)
+	return counts[len(counts)/2], counts[len(counts)-1]
 }
 
-// Handed is how many messages were handed back or refused by the rules that
-// the names end in.
-func (c Counts) Handed() (sum int64) {
-	for k, n := range c {
-		if strings.HasPrefix(k, metrics.HandedBackPrefix) {
-			sum += n
-		}
+// ReadReport adds up the files *.log of a folder, one for each relay; name is what
+// errors call the folder.
+func ReadReport(dir fs.FS, name string) (*Report, error) {
+	reader := reportReader{
+		report: &Report{
+			DiscoveryCalls: Counts{}, PolicyMessages: map[string]int{},
+			bySecond: map[int64]map[int]Counts{}, byRelay: map[string]map[int]Counts{},
+		},
+		lists: map[int64]*ListRevision{},
 	}
-	return sum
+	input, err := forEachLine(dir, name, reader.add)
+	if err != nil {
+		return nil, err
+	}
+	return reader.finish(input), nil
 }
 
-// errNothing: a folder without a log that can be read.
-var errNothing = errors.New("no readable log")
+// reportReader builds a report line by line.
+type reportReader struct {
+	report *Report
+	lists  map[int64]*ListRevision // by revision
 
-// Read adds up the files *.log of a folder, one for each relay; name is what
-// errors call the folder.
-func Read(dir fs.FS, name string) (*Day, error) {
-	d := &Day{
-		Discovery: Counts{}, Says: map[string]int{}, cells: map[int64]map[int]Counts{},
-		own: map[string]map[int]Counts{},
-	}
-	lists := map[int64]*List{}
-	var now string // the relay whose lines these are
-	var said map[string]bool
-	var heard map[int64]bool
-	l, err := each(dir, name, func(relay string, e *entry) {
-		if said == nil || relay != now {
-			now, said, heard = relay, map[string]bool{}, map[int64]bool{}
+	relay         string          // whose lines are being read
+	relayMessages map[string]bool // logged by its policy
+	relayLists    map[int64]bool  // revisions that it has received
+}
+
+// add adds a line of a relay. All lines of one relay come in a row.
+func (rr *reportReader) add(relay string, line *logLine) {
+	if rr.relayMessages == nil || relay != rr.relay {
+		rr.relay, rr.relayMessages, rr.relayLists = relay, map[string]bool{}, map[int64]bool{}
+	}
+	r := rr.report
+	switch line.text {
+	case metrics.LogText:
+		r.addStep(relay, line)
+		r.addCounts(relay, line)
+	case msgtrace.Ready:
+		r.Starts = append(r.Starts, line.time)
+	case discoveryCallText:
+		r.DiscoveryCalls["calls"]++
+		r.DiscoveryCalls[line.fields["end"]]++
+	case listText:
+		rr.addList(line)
+	case policyText:
+		message := line.fields["says"]
+		if !rr.relayMessages[message] && len(r.PolicyMessages) < maxPolicyMessages {
+			rr.relayMessages[message] = true
+			r.PolicyMessages[message]++
 		}
-		d.take(relay, e, lists, said, heard)
-	})
-	if err != nil {
-		return nil, err
 	}
-	d.Relays, d.Empty, d.Foreign, d.Torn = l.relays, l.empty, l.foreign, l.torn
-	for _, rev := range slices.Sorted(maps.Keys(lists)) {
-		d.Lists = append(d.Lists, *lists[rev])
+}
+
+// addList notes that a relay has received a revision of the list.
+func (rr *reportReader) addList(line *logLine) {
+	revision, err := strconv.ParseInt(line.fields["revision"], 10, 64)
+	if err != nil || rr.relayLists[revision] {
+		return
+	}
+	rr.relayLists[revision] = true
+	list := rr.lists[revision]
+	if list == nil {
+		list = &ListRevision{Revision: revision, FirstSeen: line.time, LastSeen: line.time}
+		rr.lists[revision] = list
+	}
+	list.Relays++
+	if line.time.Before(list.FirstSeen) {
+		list.FirstSeen = line.time
+	}
+	if line.time.After(list.LastSeen) {
+		list.LastSeen = line.time
 	}
-	d.finish()
-	return d, nil
 }
 
-// line reads one line; whole is false for one that is too long or has no end.
-func line(in *bufio.Reader) (text []byte, whole bool, err error) {
-	long := false
-	for {
-		part, err := in.ReadSlice('\n')
-		if len(text)+len(part) > lineMost {
-			long = true
-		} else {
-			text = append(text, part...)
-		}
-		if errors.Is(err, bufio.ErrBufferFull) {
-			continue
+// finish completes the report, once all lines are added.
+func (rr *reportReader) finish(input *inputSummary) *Report {
+	r := rr.report
+	r.Relays, r.EmptyFiles = input.relays, input.emptyFiles
+	r.ForeignLines, r.TruncatedLines = input.foreignLines, input.truncatedLines
+	for _, revision := range slices.Sorted(maps.Keys(rr.lists)) {
+		r.ListRevisions = append(r.ListRevisions, *rr.lists[revision])
+	}
+	destinations := map[int]bool{}
+	for _, byDestination := range r.bySecond {
+		for dest := range byDestination {
+			destinations[dest] = true
 		}
-		whole = !long && err == nil
-		return bytes.TrimRight(text, "\r\n"), whole, err
 	}
+	r.Destinations = slices.Sorted(maps.Keys(destinations))
+	slices.SortFunc(r.Starts, time.Time.Compare)
+	return r
 }
 
-// take adds up what one line says.
-func (d *Day) take(relay string, e *entry, lists map[int64]*List, said map[string]bool, heard map[int64]bool) {
-	when, fields, order := e.when, e.fields, e.order
-	switch fields["msg"] {
-	case metrics.LogText:
-		if us, err := strconv.ParseInt(fields[metrics.LongestStepKey], 10, 64); err == nil && us < countMost {
-			if step := time.Duration(us) * time.Microsecond; step > d.Longest {
-				d.Longest, d.LongestAt = step, relay+" in second "+fields["second"]
-			}
-		}
-		d.count(relay, fields, order)
-	case "ready":
-		d.Starts = append(d.Starts, when)
-	case "discovery: call over":
-		d.Discovery["calls"]++
-		d.Discovery[fields["end"]]++
-	case "list":
-		rev, err := strconv.ParseInt(fields["revision"], 10, 64)
-		if err != nil || heard[rev] {
-			break
-		}
-		heard[rev] = true
-		l := lists[rev]
-		if l == nil {
-			l = &List{Revision: rev, First: when, Last: when}
-			lists[rev] = l
-		}
-		l.Relays++
-		if when.Before(l.First) {
-			l.First = when
-		}
-		if when.After(l.Last) {
-			l.Last = when
-		}
-	case "policy":
-		if s := fields["says"]; !said[s] && len(d.Says) < 1000 {
-			said[s] = true
-			d.Says[s]++
-		}
+// addStep takes the longest step of a relay's event loop in a second.
+func (r *Report) addStep(relay string, line *logLine) {
+	micros, err := strconv.ParseInt(line.fields[metrics.LongestStepKey], 10, 64)
+	if err != nil || micros >= maxCount {
+		return
+	}
+	if step := time.Duration(micros) * time.Microsecond; step > r.LongestStep {
+		r.LongestStep, r.LongestStepAt = step, relay+" in second "+line.fields["second"]
 	}
 }
 
-func (d *Day) count(relay string, fields map[string]string, order []string) {
-	second, err := strconv.ParseInt(fields["second"], 10, 64)
-	if len(d.cells) == 0 && err == nil {
-		d.origin, d.From, d.To = second, second, second
+// addCounts adds the counts of a relay in a second.
+func (r *Report) addCounts(relay string, line *logLine) {
+	second, err := strconv.ParseInt(line.fields["second"], 10, 64)
+	if len(r.bySecond) == 0 && err == nil {
+		r.baseSecond, r.FirstSecond, r.LastSecond = second, second, second
 	}
-	if err != nil || second < 0 || second < d.origin-secondsMax || second > d.origin+secondsMax {
-		d.Strange++
+	if err != nil || second < 0 || second < r.baseSecond-maxSecondSpan || second > r.baseSecond+maxSecondSpan {
+		r.InvalidCounts++
 		return
 	}
-	d.From, d.To = min(d.From, second), max(d.To, second)
-	if d.cells[second] == nil {
-		d.cells[second] = map[int]Counts{}
+	r.FirstSecond, r.LastSecond = min(r.FirstSecond, second), max(r.LastSecond, second)
+	if r.bySecond[second] == nil {
+		r.bySecond[second] = map[int]Counts{}
 	}
-	if d.own[relay] == nil {
-		d.own[relay] = map[int]Counts{}
+	if r.byRelay[relay] == nil {
+		r.byRelay[relay] = map[int]Counts{}
 	}
-	for _, k := range order {
-		dest, what, ok := metrics.ParseKey(k)
+	for _, key := range line.keys {
+		dest, name, ok := metrics.ParseKey(key)
 		if !ok {
 			continue
 		}
-		n, err := strconv.ParseInt(fields[k], 10, 64)
-		if err != nil || n < 0 || n > countMost {
-			d.Strange++
+		n, err := strconv.ParseInt(line.fields[key], 10, 64)
+		if err != nil || n < 0 || n > maxCount {
+			r.InvalidCounts++
 			continue
 		}
-		for _, m := range []map[int]Counts{d.cells[second], d.own[relay]} {
-			if m[dest] == nil {
-				m[dest] = Counts{}
+		for _, byDestination := range []map[int]Counts{r.bySecond[second], r.byRelay[relay]} {
+			if byDestination[dest] == nil {
+				byDestination[dest] = Counts{}
 			}
-			m[dest][what] += n
-		}
-	}
-}
-
-func (d *Day) finish() {
-	dests := map[int]bool{}
-	for _, m := range d.cells {
-		for id := range m {
-			dests[id] = true
+			byDestination[dest][name] += n
 		}
 	}
-	d.Dests = slices.Sorted(maps.Keys(dests))
-	slices.SortFunc(d.Starts, time.Time.Compare)
 }
--- /dev/null
+++ b/internal/logstats/messagetrace_test.go
@@ -0,0 +1,87 @@
+package logstats
+
+import (
+	"bytes"
+	"errors"
+	"strings"
+	"testing"
+	"testing/fstest"
+
+	"troutusher/internal/metrics"
+	"troutusher/internal/msgtrace"
+)
+
+// A trace is in order of time over all relays, with the starts and stops near it
+// and nothing else of them.
+func TestMessageTrace(t *testing.T) {
+	trace, err := ReadMessageTrace(logFolder(map[string]string{
+		"n1.log": "14.1 " + messageLine(100, msgtrace.Accepted, "m", "class=c left_ms=900") +
+			logLineAt(0, msgtrace.Ready, "log=none") + logLineAt(9000, msgtrace.Ready, "log=none") +
+			messageLine(200, msgtrace.Accepted, "other", "left_ms=1") +
+			messageLine(300, msgtrace.AttemptFailed, "m", `status=503 err="dial tcp: refused"`),
+		"n2.log": messageLine(250, msgtrace.Accepted, "m", "left_ms=700") +
+			logLineAt(50, msgtrace.Stopping, "held=3") + "garbage\n" + logLineAt(1, msgtrace.Ready, "")[:20],
+		"n3.log": logLineAt(150, msgtrace.Ready, "log=none"),
+	}), "logs", "m")
+	if err != nil {
+		t.Fatal(err)
+	}
+	var got []string
+	for _, event := range trace.Events {
+		got = append(got, event.Relay+" "+event.Text)
+	}
+	if want := "n1 ready, n2 stopping, n1 taken, n2 taken, n1 attempt"; strings.Join(got, ", ") != want {
+		t.Errorf("%v, want %s", got, want)
+	}
+	var text bytes.Buffer
+	if err := trace.WriteText(&text); err != nil {
+		t.Fatal(err)
+	}
+	for _, want := range []string{
+		"3 relays", "1 foreign lines, 1 torn ones", "+0.200 s  n1  attempt", `err="dial tcp: refused"`,
+		"-0.050 s  n2  (stopping)  held=3",
+	} {
+		if !strings.Contains(text.String(), want) {
+			t.Errorf("no %q in\n%s", want, text.String())
+		}
+	}
+}
+
+// Unknown ids and folders without a log are errors that name them; damage is
+// counted and reported.
+func TestDamagedLogs(t *testing.T) {
+	good := logLineAt(0, msgtrace.Ready, "log=none") + messageLine(100, msgtrace.Accepted, "m", "left_ms=900")
+	_, err := ReadMessageTrace(logFolder(map[string]string{"n.log": good}), "logs", "x")
+	if !errors.Is(err, errUnknownMessage) || !strings.Contains(err.Error(), "x") {
+		t.Errorf("unknown id: %v", err)
+	}
+	for _, dir := range []fstest.MapFS{
+		logFolder(nil),
+		logFolder(map[string]string{"n.log": "no line of ours\n"}),
+		logFolder(map[string]string{"n.txt": good}),
+	} {
+		if _, err := ReadOutcomes(dir, "here"); !errors.Is(err, errNoLogs) || !strings.HasPrefix(err.Error(), "here") {
+			t.Errorf("nothing to read: %v", err)
+		}
+		if _, err := ReadMessageTrace(dir, "here", "m"); !errors.Is(err, errNoLogs) {
+			t.Errorf("nothing to read: %v", err)
+		}
+	}
+	outcomes := readOutcomes(t, map[string]string{
+		"n1.log": good + "x\n" + logLineAt(5000, metrics.LogText, "second=5 d1.in=9 d1.untold=4 d2.untold=2") +
+			logLineAt(100, msgtrace.Accepted, "")[:40],
+		"n2.log": "",
+	})
+	var text bytes.Buffer
+	if err := outcomes.WriteText(&text); err != nil {
+		t.Fatal(err)
+	}
+	for _, want := range []string{
+		"1 relays", "1 without a readable line: [n2.log]", "1 foreign lines, 1 torn ones", "1 messages taken on",
+		"6 more are not told", "1         !  " + string(Unfinished),
+	} {
+		if !strings.Contains(text.String(), want) {
+			t.Errorf("no %q in\n%s", want, text.String())
+		}
+	}
+}
--- /dev/null
+++ b/internal/logstats/outcomes.go
@@ -0,0 +1,345 @@
+package logstats
+
+import (
+	"fmt"
+	"io"
+	"io/fs"
+	"maps"
+	"slices"
+	"strconv"
+	"strings"
+	"time"
+
+	"troutusher/internal/metrics"
+	"troutusher/internal/msgtrace"
+	"troutusher/internal/texttable"
+)
+
+const (
+	maxTrackedMessages = 4 << 20 // lines on other messages are counted only
+	maxExamples        = 5       // ids that are shown for each outcome
+
+	// noticeGrace is how long after a message's deadline its notice is in time.
+	noticeGrace = 300 * time.Millisecond
+	// restartNoticeGrace is how long after a start a notice may still be delivered
+	// whose message's deadline was before it. noticeGrace comes on top.
+	restartNoticeGrace = 1500*time.Millisecond - noticeGrace
+)
+
+// Outcome is what became of a message that a relay accepted.
+type Outcome string
+
+// Outcomes. The first four are as they should be, the next three cannot be decided
+// from the logs, and the others are faults.
+const (
+	DeliveredInTime    Outcome = "delivered within its time"
+	FinishedAtEndpoint Outcome = "over at its endpoint, which had heard so (410)"
+	NoticeInTime       Outcome = "ended by a notice in time"
+	ClientWithdrew     Outcome = "its client left before it was told"
+	PendingAtEnd       Outcome = "held at the end of the logs, with time left"
+	LogEndsEarly       Outcome = "its relay's log ends before its time was over"
+	StateLost          Outcome = "its relay started again with no log: the machine was lost"
+	DeliveredLate      Outcome = "delivered after its time"
+	NoticeLate         Outcome = "its notice was taken more than 300 ms after its time"
+	NoticeMissing      Outcome = "ended, and no notice was taken"
+	NotRecovered       Outcome = "its relay started again and did not take it up"
+	Unfinished         Outcome = "no end, though its relay went on past its time"
+	EndedTwice         Outcome = "ended more than once"
+)
+
+// outcomeOrder is the order of the report; faults are last.
+var outcomeOrder = []Outcome{
+	DeliveredInTime, FinishedAtEndpoint, NoticeInTime, ClientWithdrew,
+	PendingAtEnd, LogEndsEarly, StateLost,
+	DeliveredLate, NoticeLate, NoticeMissing, NotRecovered, Unfinished, EndedTwice,
+}
+
+// IsFault reports whether a message was owed something that it did not get.
+func (o Outcome) IsFault() bool {
+	return slices.Index(outcomeOrder, o) >= slices.Index(outcomeOrder, DeliveredLate)
+}
+
+// messageHistory is what the logs tell of one message.
+type messageHistory struct {
+	relay               string // that logged about it last
+	firstSeen, deadline time.Time
+	deliveredAt         time.Time // the last time
+	noticedAt           time.Time // the first time
+	recoveredAt         time.Time // the last time
+	deliveries, endings int
+	withdrawn           bool
+	finishedAtEndpoint  bool
+	traced              bool // from its submission or a recovery on
+}
+
+// hasEnd reports whether the logs tell how the message ended.
+func (h *messageHistory) hasEnd() bool {
+	return h.withdrawn || h.finishedAtEndpoint || h.endings > 0 || h.deliveries > 0
+}
+
+// relayHistory is what a log tells of a relay's processes.
+type relayHistory struct {
+	starts   []processStart
+	lastLine time.Time
+}
+
+// processStart is a start of a relay's process.
+type processStart struct {
+	at         time.Time
+	withoutLog bool // it found no log of messages
+}
+
+// Outcomes says what became of every message that logs tell of.
+type Outcomes struct {
+	Count          map[Outcome]int
+	Examples       map[Outcome][]string // ids of some messages, in order of their submission
+	Accepted       int                  // traced messages that were accepted
+	Untraced       int64                // messages that are not traced from their submission on
+	UntrackedLines int                  // lines on messages beyond the number that is tracked
+	LatestNotice   time.Duration        // the longest time from a message's deadline to its notice
+	LongestUnread  time.Duration        // the longest that a request may have waited to be read
+
+	input      *inputSummary
+	messages   map[string]*messageHistory
+	relays     map[string]*relayHistory
+	maxTracked int
+}
+
+// ReadOutcomes reads the files *.log of a folder, one for each relay, and decides the
+// outcome of each message. name is what errors call the folder.
+func ReadOutcomes(dir fs.FS, name string) (*Outcomes, error) {
+	o := &Outcomes{
+		Count: map[Outcome]int{}, Examples: map[Outcome][]string{},
+		messages: map[string]*messageHistory{}, relays: map[string]*relayHistory{},
+		maxTracked: maxTrackedMessages,
+	}
+	var err error
+	if o.input, err = forEachLine(dir, name, o.addLine); err != nil {
+		return nil, err
+	}
+	for _, id := range o.idsBySubmission() {
+		message := o.messages[id]
+		if !message.traced && !message.hasEnd() {
+			continue // its attempts alone were logged
+		}
+		outcome := o.outcomeOf(message)
+		if outcome != ClientWithdrew {
+			o.Accepted++
+		}
+		o.Count[outcome]++
+		if len(o.Examples[outcome]) < maxExamples {
+			o.Examples[outcome] = append(o.Examples[outcome], id)
+		}
+	}
+	return o, nil
+}
+
+// idsBySubmission returns the messages' ids in the order of their first lines.
+func (o *Outcomes) idsBySubmission() []string {
+	return slices.SortedFunc(maps.Keys(o.messages), func(a, b string) int {
+		if order := o.messages[a].firstSeen.Compare(o.messages[b].firstSeen); order != 0 {
+			return order
+		}
+		return strings.Compare(a, b)
+	})
+}
+
+// addLine adds what one line tells.
+func (o *Outcomes) addLine(relay string, line *logLine) {
+	process := o.relays[relay]
+	if process == nil {
+		process = &relayHistory{}
+		o.relays[relay] = process
+	}
+	if line.time.After(process.lastLine) {
+		process.lastLine = line.time
+	}
+	switch line.text {
+	case msgtrace.Ready:
+		process.starts = append(process.starts, processStart{line.time, line.fields["log"] == "none"})
+	case metrics.LogText:
+		o.addUntraced(line)
+	case msgtrace.Accepted, msgtrace.Withdrawn, msgtrace.Delivered, msgtrace.EndpointFinished,
+		msgtrace.AttemptFailed, msgtrace.Ended, msgtrace.NoticeDelivered, msgtrace.Recovered:
+		if message := o.history(line); message != nil {
+			message.relay = relay
+			o.addToHistory(message, line)
+		}
+	} // rejected messages were never accepted
+}
+
+// addUntraced adds the number of messages that were not sampled for tracing.
+func (o *Outcomes) addUntraced(line *logLine) {
+	for _, key := range line.keys {
+		if !strings.HasSuffix(key, "."+metrics.Untraced) {
+			continue
+		}
+		if n, err := strconv.ParseInt(line.fields[key], 10, 64); err == nil && n > 0 && n < maxCount {
+			o.Untraced += n
+		}
+	}
+}
+
+// history returns the history of the message that a line is about, nil where it is not
+// tracked.
+func (o *Outcomes) history(line *logLine) *messageHistory {
+	id := line.fields["message"]
+	if id == "" {
+		return nil
+	}
+	message := o.messages[id]
+	if message == nil {
+		if len(o.messages) >= o.maxTracked {
+			o.UntrackedLines++
+			return nil
+		}
+		message = &messageHistory{firstSeen: line.time}
+		o.messages[id] = message
+	}
+	return message
+}
+
+// addToHistory adds what a line tells of its message.
+func (o *Outcomes) addToHistory(message *messageHistory, line *logLine) {
+	left, ok := line.milliseconds("left_ms")
+	setsDeadline := line.text == msgtrace.Accepted || line.text == msgtrace.Recovered || !message.traced
+	if ok && setsDeadline {
+		message.deadline = line.time.Add(left)
+	}
+	if waited, ok := line.milliseconds("waited_ms"); ok {
+		o.LongestUnread = max(o.LongestUnread, waited)
+	}
+	switch line.text {
+	case msgtrace.Accepted:
+		message.traced = true
+	case msgtrace.Withdrawn:
+		message.withdrawn = true
+	case msgtrace.Recovered:
+		message.traced, message.recoveredAt = true, line.time
+	case msgtrace.Delivered:
+		message.deliveries++
+		message.deliveredAt = line.time
+	case msgtrace.EndpointFinished:
+		message.finishedAtEndpoint = true
+	case msgtrace.Ended:
+		message.endings++
+	case msgtrace.NoticeDelivered:
+		if message.noticedAt.IsZero() {
+			message.noticedAt = line.time
+		}
+	}
+}
+
+// outcomeOf decides the outcome of one message.
+func (o *Outcomes) outcomeOf(message *messageHistory) Outcome {
+	process := o.relays[message.relay]
+	switch {
+	case message.deliveries+message.endings > 1 && message.recoveredAt.IsZero():
+		return EndedTwice // after a recovery an end that was not logged may come again
+	case message.deliveries > 0 && process.delay(message, message.deliveredAt) > 0:
+		return DeliveredLate
+	case message.deliveries > 0:
+		return DeliveredInTime
+	case message.finishedAtEndpoint:
+		return FinishedAtEndpoint
+	case message.withdrawn:
+		return ClientWithdrew
+	case !message.noticedAt.IsZero():
+		delay := process.delay(message, message.noticedAt)
+		o.LatestNotice = max(o.LatestNotice, delay)
+		if delay > noticeGrace {
+			return NoticeLate
+		}
+		return NoticeInTime
+	}
+	return o.outcomeWithoutNotice(message, process)
+}
+
+// outcomeWithoutNotice decides the outcome of a message of which the logs tell neither a
+// delivery nor a notice.
+func (o *Outcomes) outcomeWithoutNotice(message *messageHistory, process *relayHistory) Outcome {
+	for _, start := range process.starts {
+		if start.at.After(message.firstSeen) && message.recoveredAt.Before(start.at) {
+			if start.withoutLog {
+				return StateLost
+			}
+			return NotRecovered
+		}
+	}
+	noticeDue := message.deadline.Add(noticeGrace)
+	logEndsBefore := process.lastLine.Before(noticeDue)
+	switch {
+	case message.deadline.IsZero(),
+		logEndsBefore && process.lastLine.Before(o.endOfLogs().Add(-relayEventWindow)):
+		return LogEndsEarly
+	case logEndsBefore:
+		return PendingAtEnd
+	case message.endings > 0:
+		return NoticeMissing
+	}
+	return Unfinished
+}
+
+// delay is how long after its deadline something happened to a message, below zero where
+// it was before. A restart takes time in which no notice can be delivered: the deadline of a
+// message that a start found is not before the end of restartNoticeGrace.
+func (h *relayHistory) delay(message *messageHistory, at time.Time) time.Duration {
+	due := message.deadline
+	for _, start := range h.starts {
+		graceEnd := start.at.Add(restartNoticeGrace)
+		if start.at.After(message.firstSeen) && !start.at.After(at) && graceEnd.After(due) {
+			due = graceEnd
+		}
+	}
+	return at.Sub(due)
+}
+
+// endOfLogs is the time of the last line of all logs.
+func (o *Outcomes) endOfLogs() (last time.Time) {
+	for _, process := range o.relays {
+		if process.lastLine.After(last) {
+			last = process.lastLine
+		}
+	}
+	return last
+}
+
+// WriteText writes the sums, with some ids for each outcome.
+func (o *Outcomes) WriteText(out io.Writer) error {
+	b := &strings.Builder{}
+	writeLines(b, o.input.lines())
+	fmt.Fprintf(b, "%d messages taken on, as far as they are told of", o.Accepted)
+	if o.Untraced > 0 {
+		fmt.Fprintf(b, "; %d more are not told of from their hand-in on", o.Untraced)
+	}
+	if o.UntrackedLines > 0 {
+		fmt.Fprintf(b, "; %d lines on messages beyond %d", o.UntrackedLines, o.maxTracked)
+	}
+	fmt.Fprintf(b, "\nlatest notice: %d ms after its message's time; longest that a request stood unread: %d ms\n\n",
+		o.LatestNotice.Milliseconds(), o.LongestUnread.Milliseconds())
+	b.WriteString(o.table())
+	_, err := io.WriteString(out, b.String())
+	return err
+}
+
+// table returns the number of messages by outcome, faults marked.
+func (o *Outcomes) table() string {
+	table := texttable.New()
+	faults, total := 0, 0
+	table.Rowf("messages\t\twhat became of them\tsome of them")
+	for _, outcome := range outcomeOrder {
+		n := o.Count[outcome]
+		if n == 0 {
+			continue
+		}
+		mark := ""
+		if outcome.IsFault() {
+			mark = "!"
+			faults += n
+		}
+		total += n
+		table.Rowf("%d\t%s\t%s\t%s", n, mark, outcome, strings.Join(o.Examples[outcome], " "))
+	}
+	table.Rowf("%d\t\tin all, %d of them faults\t", total, faults)
+	return table.String()
+}
--- a/internal/logstats/previousrelease_test.go
+++ b/internal/logstats/previousrelease_test.go
@@ -28,11 +28,11 @@
 		"destination-2.txt":       func(w io.Writer) error { dest := 2; return writeReport(dir, w, &dest) },
 		"page-without-plots.html": func(w io.Writer) error { return writePageWithoutPlots(dir, w) },
 		"ends.txt": func(w io.Writer) error {
-			ends, err := ReadEnds(dir, ".")
+			outcomes, err := ReadOutcomes(dir, ".")
 			if err != nil {
 				return err
 			}
-			return ends.WriteText(w)
+			return outcomes.WriteText(w)
 		},
 		"restarts.txt": func(w io.Writer) error {
 			restarts, err := ReadRestarts(dir, ".")
@@ -42,7 +42,7 @@
 			return restarts.WriteText(w)
 		},
 		"message.txt": func(w io.Writer) error {
-			trace, err := Follow(dir, ".", "bce4c8cbcf73ab5f")
+			trace, err := ReadMessageTrace(dir, ".", "bce4c8cbcf73ab5f")
 			if err != nil {
 				return err
 			}
@@ -67,20 +67,20 @@
 }
 
 func writeReport(dir fs.FS, w io.Writer, dest *int) error {
-	day, err := Read(dir, ".")
+	report, err := ReadReport(dir, ".")
 	if err != nil {
 		return err
 	}
-	return day.WriteText(w, dest)
+	return report.WriteText(w, dest)
 }
 
 func writePageWithoutPlots(dir fs.FS, w io.Writer) error {
-	day, err := Read(dir, ".")
+	report, err := ReadReport(dir, ".")
 	if err != nil {
 		return err
 	}
 	var page bytes.Buffer
-	if err := day.WriteHTML(&page); err != nil {
+	if err := report.WriteHTML(&page); err != nil {
 		return err
 	}
 	_, err = w.Write(plots.ReplaceAll(page.Bytes(), []byte("<svg>")))
@@ -98,15 +98,15 @@
 		}
 		files[name] = &fstest.MapFile{Data: text}
 	}
-	day, err := Read(files, ".")
+	report, err := ReadReport(files, ".")
 	if err != nil {
 		t.Fatal(err)
 	}
-	if len(day.Relays) != 4 || len(day.Starts) != 6 {
-		t.Errorf("relays %v, starts %v", day.Relays, day.Starts)
+	if len(report.Relays) != 4 || len(report.Starts) != 6 {
+		t.Errorf("relays %v, starts %v", report.Relays, report.Starts)
 	}
 	// 17 messages in the report of the release before, and 3 of this one's relay.
-	if got := day.Second(sharedSecond)[metrics.Submitted]; got != 17+3 {
+	if got := report.SecondTotals(sharedSecond)[metrics.Submitted]; got != 17+3 {
 		t.Errorf("%d submitted, want 20", got)
 	}
 }
--- a/internal/logstats/restarts.go
+++ b/internal/logstats/restarts.go
@@ -14,36 +14,33 @@
 	"troutusher/internal/texttable"
 )
 
-// Restarts says what became of the messages that starts found taken on: sums
-// over all relays and starts. A message that two starts find counts for both.
+// Restarts says what became of the messages that starts of relays recovered: sums
+// over all relays and starts. A message that two starts recover counts for both.
 type Restarts struct {
-	Starts    int   // of processes
-	Found     int64 // messages taken up
-	Untried   int64 // of them, those of which no attempt was ever logged
-	Over      int64 // of these, those whose time was over as they were found
-	Nowhere   int64 // and those in time of a destination without an endpoint in the list
-	Tried     int64 // called since
-	Delivered int64 // of these
-	Back      Counts
-	GivenUp   Counts // with no call, by rule
-	left      *left
+	Starts     int    // of processes
+	Recovered  int64  // messages
+	Untried    int64  // of them, those of which no attempt was logged
+	Expired    int64  // of the untried, those past their deadline when they were recovered
+	Unroutable int64  // of the untried, those in time without an endpoint in the list
+	Attempted  int64  // of the untried, those attempted since
+	Delivered  int64  // of the attempted
+	HandedBack Counts // of the untried, without a call, by reason
+	GivenUp    Counts // of the untried, without a call, by reason
+
+	input *inputSummary
 }
 
-// ReadRestarts adds up the tallies of all relays' logs.
+// ReadRestarts reads the files *.log of a folder, one for each relay, and adds up their
+// metrics of recovered messages. name is what errors call the folder.
 func ReadRestarts(dir fs.FS, name string) (*Restarts, error) {
-	r := &Restarts{Back: Counts{}, GivenUp: Counts{}}
+	r := &Restarts{HandedBack: Counts{}, GivenUp: Counts{}}
 	var err error
-	r.left, err = each(dir, name, func(_ string, e *entry) {
-		switch e.text {
+	r.input, err = forEachLine(dir, name, func(_ string, line *logLine) {
+		switch line.text {
 		case msgtrace.Ready:
 			r.Starts++
 		case metrics.LogText:
-			for _, k := range e.order {
-				n, err := strconv.ParseInt(e.fields[k], 10, 64)
-				if _, what, ok := metrics.ParseKey(k); ok && err == nil && n > 0 && n < countMost {
-					r.add(what, n)
-				}
-			}
+			r.addCounts(line)
 		}
 	})
 	if err != nil {
@@ -52,41 +49,53 @@
 	return r, nil
 }
 
-func (r *Restarts) add(what string, n int64) {
-	for name, sum := range map[string]*int64{
-		metrics.Recovered:         &r.Found,
-		metrics.RecoveredUntried:  &r.Untried,
-		metrics.UntriedExpired:    &r.Over,
-		metrics.UntriedUnroutable: &r.Nowhere,
-		metrics.UntriedAttempted:  &r.Tried,
-		metrics.UntriedDelivered:  &r.Delivered,
-	} {
-		if what == name {
-			*sum += n
-			return
+// addCounts adds the counts of one relay in one second.
+func (r *Restarts) addCounts(line *logLine) {
+	for _, key := range line.keys {
+		n, err := strconv.ParseInt(line.fields[key], 10, 64)
+		if _, name, ok := metrics.ParseKey(key); ok && err == nil && n > 0 && n < maxCount {
+			r.add(name, n)
 		}
 	}
-	if why, ok := strings.CutPrefix(what, metrics.UntriedHandedBackPrefix); ok {
-		r.Back[why] += n
-	} else if why, ok := strings.CutPrefix(what, metrics.UntriedGivenUpPrefix); ok {
-		r.GivenUp[why] += n
+}
+
+func (r *Restarts) add(name string, n int64) {
+	switch name {
+	case metrics.Recovered:
+		r.Recovered += n
+	case metrics.RecoveredUntried:
+		r.Untried += n
+	case metrics.UntriedExpired:
+		r.Expired += n
+	case metrics.UntriedUnroutable:
+		r.Unroutable += n
+	case metrics.UntriedAttempted:
+		r.Attempted += n
+	case metrics.UntriedDelivered:
+		r.Delivered += n
+	default:
+		if reason, ok := strings.CutPrefix(name, metrics.UntriedHandedBackPrefix); ok {
+			r.HandedBack[reason] += n
+		} else if reason, ok := strings.CutPrefix(name, metrics.UntriedGivenUpPrefix); ok {
+			r.GivenUp[reason] += n
+		}
 	}
 }
 
-// Ended is how many were ended with no call.
-func (r *Restarts) Ended() (n int64) {
-	for _, by := range []Counts{r.Back, r.GivenUp} {
-		for _, k := range by {
-			n += k
+// EndedWithoutCall is how many untried messages were ended without a call.
+func (r *Restarts) EndedWithoutCall() (sum int64) {
+	for _, byReason := range []Counts{r.HandedBack, r.GivenUp} {
+		for _, n := range byReason {
+			sum += n
 		}
 	}
-	return n
+	return sum
 }
 
-// Broken tells what is wrong: over half of what was found untried was ended with
-// no call; nil where it was not.
-func (r *Restarts) Broken() error {
-	if n := r.Ended(); 2*n > r.Untried {
+// Check returns an error where over half of the untried messages were ended without a
+// call.
+func (r *Restarts) Check() error {
+	if n := r.EndedWithoutCall(); 2*n > r.Untried {
 		return fmt.Errorf("of %d messages that starts found untried %d were ended with no call", r.Untried, n)
 	}
 	return nil
@@ -95,31 +104,35 @@
 // WriteText writes the sums.
 func (r *Restarts) WriteText(out io.Writer) error {
 	b := &strings.Builder{}
-	writeLines(b, r.left.notes())
+	writeLines(b, r.input.lines())
+	b.WriteString(r.table())
+	if err := r.Check(); err != nil {
+		fmt.Fprintln(b, "BROKEN:", err)
+	}
+	_, err := io.WriteString(out, b.String())
+	return err
+}
+
+// table returns the sums, a line each.
+func (r *Restarts) table() string {
 	table := texttable.New()
 	row := func(n int64, text string) { table.Rowf("%d\t%s", n, text) }
+	rowsByReason := func(counts Counts, text string) {
+		for _, reason := range slices.Sorted(maps.Keys(counts)) {
+			row(counts[reason], text+reason)
+		}
+	}
 	row(int64(r.Starts), "starts")
-	row(r.Found, "messages found taken on, with no end")
+	row(r.Recovered, "messages found taken on, with no end")
 	row(r.Untried, "of them untried")
-	row(r.Over, "  their time was over by then")
-	row(r.Nowhere, "  in time, with no endpoint in the list that was known")
-	callable := r.Untried - r.Over - r.Nowhere
-	row(r.Tried, fmt.Sprintf("  called since: %s of the untried, %s of those with time and an endpoint",
-		per(r.Tried, r.Untried, 3), per(r.Tried, callable, 3)))
+	row(r.Expired, "  their time was over by then")
+	row(r.Unroutable, "  in time, with no endpoint in the list that was known")
+	callable := r.Untried - r.Expired - r.Unroutable
+	row(r.Attempted, fmt.Sprintf("  called since: %s of the untried, %s of those with time and an endpoint",
+		ratio(r.Attempted, r.Untried, 3), ratio(r.Attempted, callable, 3)))
 	row(r.Delivered, "    of these delivered")
-	for _, by := range []struct {
-		counts Counts
-		text   string
-	}{{r.Back, "  handed back with no call: "}, {r.GivenUp, "  given up with no call: "}} {
-		for _, why := range slices.Sorted(maps.Keys(by.counts)) {
-			row(by.counts[why], by.text+why)
-		}
-	}
-	row(r.Untried-r.Tried-r.Ended(), "  neither by the end of the logs, or of their process")
-	b.WriteString(table.String())
-	if err := r.Broken(); err != nil {
-		fmt.Fprintln(b, "BROKEN:", err)
-	}
-	_, err := io.WriteString(out, b.String())
-	return err
+	rowsByReason(r.HandedBack, "  handed back with no call: ")
+	rowsByReason(r.GivenUp, "  given up with no call: ")
+	row(r.Untried-r.Attempted-r.EndedWithoutCall(), "  neither by the end of the logs, or of their process")
+	return table.String()
 }
