--- a/cmd/troutusher-kit/crowd.go
+++ b/cmd/troutusher-kit/crowd.go
@@ -3,11 +3,11 @@
 import (
 	"context"
 	"errors"
+	"flag"
 	"fmt"
 	"io"
 	"os"
 	"os/signal"
-	"path/filepath"
 	"strconv"
 	"strings"
 	"syscall"
@@ -16,50 +16,66 @@
 	"troutusher/internal/rehearsal/idlebench"
 )
 
-const aboutCrowd = `Starts a relay for each number of idle connections, and tells what they cost it
+const crowdAbout = `Starts a relay for each number of idle connections, and tells what they cost it
 in memory and CPU, how many messages a second it carries beside them, and what
 happens when all of them ask within one second. Needs as many descriptors in
 each of two processes. Nothing else should run on the machine meanwhile.`
 
-// crowdFlags is what the flags of "troutusher crowd" say.
-type crowdFlags struct {
-	idle, program  string
-	length         time.Duration
-	active, memory int
-	old            bool
+// answerPatience is how long a client waits for an answer before it is late.
+const answerPatience = 400 * time.Millisecond
+
+// Limits of the flags.
+const (
+	maxIdleConnections = 1 << 20
+	maxBenchLength     = time.Hour
+	maxActiveClients   = 10_000
+	minMemoryMB        = 16
+)
+
+// idleBenchFlags is what the flags of "troutusher crowd" say.
+type idleBenchFlags struct {
+	idleCounts          string
+	relayProgram        string
+	length              time.Duration
+	activeClients       int
+	memoryMB            int
+	withoutOperatorFile bool
 }
 
-// measureCrowd measures idle connections.
-func measureCrowd(args []string, out, errs io.Writer) int {
-	var x crowdFlags
-	f := flags("crowd", "[flags]", aboutCrowd, out, errs)
-	f.StringVar(&x.idle, "idle", "0,1000,10000",
+// register defines the flags in a set.
+func (b *idleBenchFlags) register(set *flag.FlagSet) {
+	set.StringVar(&b.idleCounts, "idle", "0,1000,10000",
 		"`numbers` of idle connections, each measured with a relay of its own")
-	f.DurationVar(&x.length, "length", 5*time.Second, "how long each part lasts")
-	f.IntVar(&x.active, "clients", 32, "`number` of clients that ask one message after another")
-	f.IntVar(&x.memory, "memory", 192, "the relay's memory limit in `MB`")
-	f.StringVar(&x.program, "relay", "", "the relay `program`; the one beside this where it is left out")
-	f.BoolVar(&x.old, "old", false,
+	set.DurationVar(&b.length, "length", 5*time.Second, "how long each part lasts")
+	set.IntVar(&b.activeClients, "clients", 32, "`number` of clients that ask one message after another")
+	set.IntVar(&b.memoryMB, "memory", 192, "the relay's memory limit in `MB`")
+	set.StringVar(&b.relayProgram, "relay", "", "the relay `program`; the one beside this where it is left out")
+	set.BoolVar(&b.withoutOperatorFile, "old", false,
 		"the program reads no operator's file: measure memory and messages only, within its 4 s")
-	_, code, done := parse(f, args, 0)
+}
+
+// runCrowd runs "troutusher crowd": it measures idle connections.
+func runCrowd(args []string, out, errs io.Writer) int {
+	var b idleBenchFlags
+	set := newFlagSet("crowd", "[flags]", crowdAbout, out, errs)
+	b.register(set)
+	_, code, done := parseFlags(set, args, 0)
 	if done {
 		return code
 	}
-	counts, err := x.counts()
+	counts, err := b.parseIdleCounts()
 	if err != nil {
 		return fail(errs, "crowd", err, exitConfig)
 	}
-	if x.program == "" {
-		self, err := os.Executable()
-		if err != nil {
+	if b.relayProgram == "" {
+		if b.relayProgram, err = relayBeside(); err != nil {
 			return fail(errs, "crowd", err, exitFailed)
 		}
-		x.program = filepath.Join(filepath.Dir(self), "troutusher")
 	}
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGINT, syscall.SIGTERM)
 	defer stop()
-	for i, n := range counts {
-		r, err := x.measure(ctx, n)
+	for i, idle := range counts {
+		result, err := b.measure(ctx, idle)
 		if err != nil {
 			return fail(errs, "crowd", err, exitFailed)
 		}
@@ -67,51 +83,54 @@
 			printLine(out, "   idle  resident  bytes each  idle CPU  messages/s  delivered/s  p50 ms  p99 ms  "+
 				"past 400 ms  relay's cores")
 		}
-		writeCrowd(out, r)
+		writeIdleBench(out, result)
 	}
 	return 0
 }
 
-// counts checks the flags and returns the numbers of idle connections.
-func (x *crowdFlags) counts() ([]int, error) {
+// parseIdleCounts checks the flags and returns the numbers of idle connections.
+func (b *idleBenchFlags) parseIdleCounts() ([]int, error) {
 	var counts []int
-	for s := range strings.SplitSeq(x.idle, ",") {
-		n, err := strconv.Atoi(strings.TrimSpace(s))
-		if err != nil || n < 0 || n > 1<<20 {
-			return nil, fmt.Errorf("--idle: %q is no number of connections", s)
+	for text := range strings.SplitSeq(b.idleCounts, ",") {
+		n, err := strconv.Atoi(strings.TrimSpace(text))
+		if err != nil || n < 0 || n > maxIdleConnections {
+			return nil, fmt.Errorf("--idle: %q is no number of connections", text)
 		}
 		counts = append(counts, n)
 	}
-	if x.length <= 0 || x.length > time.Hour || x.active < 1 || x.active > 10_000 || x.memory < 16 {
+	if b.length <= 0 || b.length > maxBenchLength || b.activeClients < 1 || b.activeClients > maxActiveClients ||
+		b.memoryMB < minMemoryMB {
 		return nil, errors.New("--length, --clients or --memory: out of range")
 	}
 	return counts, nil
 }
 
 // measure measures a relay with a number of idle connections.
-func (x *crowdFlags) measure(ctx context.Context, idle int) (*idlebench.Result, error) {
+func (b *idleBenchFlags) measure(ctx context.Context, idle int) (*idlebench.Result, error) {
 	dir, err := os.MkdirTemp("", "crowd")
 	if err != nil {
 		return nil, err
 	}
 	defer func() { _ = os.RemoveAll(dir) }() // the measurement does not depend on it
 	return idlebench.Measure(ctx, idlebench.Options{
-		Command: []string{x.program}, Dir: dir, Idle: idle, Length: x.length, Active: x.active,
-		Patience: 400 * time.Millisecond, MemoryMB: x.memory, Operator: !x.old,
+		Command: []string{b.relayProgram}, Dir: dir, Idle: idle, Length: b.length, Active: b.activeClients,
+		Patience: answerPatience, MemoryMB: b.memoryMB, Operator: !b.withoutOperatorFile,
 	})
 }
 
-func writeCrowd(out io.Writer, r *idlebench.Result) {
+func writeIdleBench(out io.Writer, r *idlebench.Result) {
 	printf(out, "%7d  %5.1f MB  %10.0f  %7.2f%%  %10.0f  %11.0f  %6.2f  %6.2f  %10.3f%%  %13.2f\n",
 		r.Idle, float64(r.IdleKB)/1024, r.BytesEach, 100*r.IdleCPU, r.PerSecond, r.Delivered,
-		ms(r.Answers.ValueAtQuantile(50)), ms(r.Answers.ValueAtQuantile(99)), 100*r.LateShare, r.CPU)
+		milliseconds(r.Answers.ValueAtQuantile(50)), milliseconds(r.Answers.ValueAtQuantile(99)),
+		100*r.LateShare, r.CPU)
 	if w := r.Wake; w != nil {
 		printf(out, "         all ask in 1 s: %d taken on, %d refused (%d with a time), %d closed with "+
 			"no answer; p50 %.0f p99 %.0f most %.0f ms, %d past 400 ms; over after %.2f s; peak %.1f MB\n",
-			w.Taken, w.Refused, w.WithTime, w.Closed, ms(w.Answers.ValueAtQuantile(50)),
-			ms(w.Answers.ValueAtQuantile(99)), ms(w.Answers.Max()), w.Late, w.Took.Seconds(),
+			w.Taken, w.Refused, w.WithTime, w.Closed, milliseconds(w.Answers.ValueAtQuantile(50)),
+			milliseconds(w.Answers.ValueAtQuantile(99)), milliseconds(w.Answers.Max()), w.Late, w.Took.Seconds(),
 			float64(w.PeakKB)/1024)
 	}
 }
 
-func ms(us int64) float64 { return float64(us) / 1000 }
+// milliseconds turns microseconds into milliseconds.
+func milliseconds(micros int64) float64 { return float64(micros) / 1000 }
--- a/cmd/troutusher-kit/fleet.go
+++ b/cmd/troutusher-kit/fleet.go
@@ -5,12 +5,10 @@
 	"io"
 	"os"
 
-	"github.com/alecthomas/kong"
-
 	"troutusher/internal/logstats"
 )
 
-// fleetCommand is "troutusher fleet": what many relays do together.
+// fleetCommand is "troutusher fleet": reports on the logs of many relays.
 //
 //nolint:lll // a struct tag cannot be broken
 type fleetCommand struct {
@@ -29,65 +27,59 @@
 	HTML     string `name:"html" placeholder:"FILE" help:"Write a page with plots as well. It needs nothing else to be looked at."`
 }
 
+// Run prints one of the reports.
 func (c *fleetReport) Run(out io.Writer) error {
-	switch dir := os.DirFS(c.Dir); {
+	switch {
 	case c.Message != "":
-		s, err := logstats.Follow(dir, c.Dir, c.Message)
-		if err != nil {
-			return err
-		}
-		return s.WriteText(out)
+		return c.printMessage(out)
 	case c.Ends:
-		e, err := logstats.ReadEnds(dir, c.Dir)
-		if err != nil {
-			return err
-		}
-		return e.WriteText(out)
+		return c.printOutcomes(out)
+	case c.Restarts:
+		return c.printRestarts(out)
 	}
-	if c.Restarts {
-		r, err := logstats.ReadRestarts(os.DirFS(c.Dir), c.Dir)
-		if err != nil {
-			return err
-		}
-		return errors.Join(r.WriteText(out), r.Broken())
-	}
-	day, err := logstats.Read(os.DirFS(c.Dir), c.Dir)
+	return c.printTotals(out)
+}
+
+func (c *fleetReport) printMessage(out io.Writer) error {
+	trace, err := logstats.ReadMessageTrace(os.DirFS(c.Dir), c.Dir, c.Message)
 	if err != nil {
 		return err
 	}
-	if c.HTML != "" {
-		f, err := os.Create(c.HTML)
-		if err != nil {
-			return err
-		}
-		if err := errors.Join(day.WriteHTML(f), f.Close()); err != nil {
-			return err
-		}
-	}
-	return day.WriteText(out, c.Dest)
+	return trace.WriteText(out)
 }
 
-func runFleet(args []string, out, errs io.Writer) int {
-	return runKong("fleet", "What many relays do together, from their logs.", &fleetCommand{}, args, out, errs)
+func (c *fleetReport) printOutcomes(out io.Writer) error {
+	outcomes, err := logstats.ReadOutcomes(os.DirFS(c.Dir), c.Dir)
+	if err != nil {
+		return err
+	}
+	return outcomes.WriteText(out)
 }
 
-// runKong parses arguments with kong and runs the command that they name.
-func runKong(name, about string, cli any, args []string, out, errs io.Writer) int {
-	code, done := 0, false
-	k, err := kong.New(cli, kong.Name("troutusher "+name), kong.Description(about), kong.Writers(out, errs),
-		kong.Exit(func(c int) { code, done = c, true }), kong.BindTo(out, (*io.Writer)(nil)))
+func (c *fleetReport) printRestarts(out io.Writer) error {
+	restarts, err := logstats.ReadRestarts(os.DirFS(c.Dir), c.Dir)
 	if err != nil {
-		return fail(errs, name, err, exitFailed)
-	}
-	ctx, err := k.Parse(args)
-	if done {
-		return code
+		return err
 	}
+	return errors.Join(restarts.WriteText(out), restarts.Check())
+}
+
+// printTotals prints the sums by second and destination, and writes the page where one is
+// asked for.
+func (c *fleetReport) printTotals(out io.Writer) error {
+	report, err := logstats.ReadReport(os.DirFS(c.Dir), c.Dir)
 	if err != nil {
-		return fail(errs, name, err, exitConfig)
+		return err
 	}
-	if err := ctx.Run(); err != nil {
-		return fail(errs, name, err, exitFailed)
+	if c.HTML != "" {
+		if err := writeFile(c.HTML, report.WriteHTML); err != nil {
+			return err
+		}
 	}
-	return 0
+	return report.WriteText(out, c.Dest)
+}
+
+// runFleet runs "troutusher fleet".
+func runFleet(args []string, out, errs io.Writer) int {
+	return runKong("fleet", "What many relays do together, from their logs.", &fleetCommand{}, args, out, errs)
 }
--- a/cmd/troutusher-kit/follow.go
+++ b/cmd/troutusher-kit/follow.go
@@ -15,26 +15,34 @@
 table [etcd]) and writes what it says, one JSON object a line. A relay starts this
 by itself; by hand it shows what a relay would hear. It ends with its input.`
 
-// runFollow is the helper that a relay starts where etcd is configured.
+// runFollow runs "troutusher follow", the helper process that a relay starts where etcd is
+// configured.
 func runFollow(args []string, out, errs io.Writer) int {
-	f := flags("follow", "", followAbout, out, errs)
-	if _, code, done := parse(f, args, 0); done {
+	set := newFlagSet("follow", "", followAbout, out, errs)
+	if _, code, done := parseFlags(set, args, 0); done {
 		return code
 	}
-	file, err := operatorconfig.Load(os.Getenv)
-	if err == nil && file == nil {
-		err = fmt.Errorf("%s: not set", operatorconfig.EnvVar)
-	}
-	var o follow.Options
-	if err == nil {
-		o, err = follow.FromOperator(&file.Etcd)
-	}
+	_, options, err := etcdOptions()
 	if err != nil {
 		return fail(errs, "follow", err, exitConfig)
 	}
-	o.Seed = maphash.Bytes(maphash.MakeSeed(), nil) // relays do not ask in step
-	if err := follow.Serve(context.Background(), o, os.Stdin, out); err != nil {
+	options.Seed = maphash.Bytes(maphash.MakeSeed(), nil) // so that relays do not poll in step
+	if err := follow.Serve(context.Background(), options, os.Stdin, out); err != nil {
 		return fail(errs, "follow", err, exitFailed)
 	}
 	return 0
 }
+
+// etcdOptions reads the operator's file that the environment names, and returns its table
+// for etcd and what it says of the cluster.
+func etcdOptions() (*operatorconfig.Etcd, follow.Options, error) {
+	file, err := operatorconfig.Load(os.Getenv)
+	if err == nil && file == nil {
+		err = fmt.Errorf("%s: not set", operatorconfig.EnvVar)
+	}
+	if err != nil {
+		return nil, follow.Options{}, err
+	}
+	options, err := follow.FromOperator(&file.Etcd)
+	return &file.Etcd, options, err
+}
--- a/cmd/troutusher-kit/kit_test.go
+++ b/cmd/troutusher-kit/kit_test.go
@@ -44,7 +44,7 @@
 	os.Exit(0)
 }
 
-const brief = `version = 1
+const briefScenario = `version = 1
 name = "brief"
 length_s = 1
 floor = %s
@@ -62,7 +62,7 @@
 service_ms = { all = 10 }
 `
 
-func write(t *testing.T, name, text string) string {
+func writeTempFile(t *testing.T, name, text string) string {
 	t.Helper()
 	path := filepath.Join(t.TempDir(), name)
 	if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
@@ -78,8 +78,8 @@
 }
 
 func TestUsage(t *testing.T) {
-	good := write(t, "s.toml", strings.ReplaceAll(brief, "%s", "0"))
-	bad := write(t, "s.toml", strings.ReplaceAll(brief, "%s", "7"))
+	good := writeTempFile(t, "s.toml", strings.ReplaceAll(briefScenario, "%s", "0"))
+	bad := writeTempFile(t, "s.toml", strings.ReplaceAll(briefScenario, "%s", "7"))
 	rec := filepath.Join(t.TempDir(), "r")
 	s, err := scenario.Load(good)
 	if err != nil {
@@ -92,9 +92,9 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	cut := write(t, "cut", string(text[:len(text)/2]))
-	newer := write(t, "newer", strings.Replace(string(text), `"version":1`, `"version":7`, 1))
-	logs := filepath.Dir(write(t, "n1.log", "time=2026-05-01T18:00:00Z level=INFO msg=ready log=none\n"+
+	cut := writeTempFile(t, "cut", string(text[:len(text)/2]))
+	newer := writeTempFile(t, "newer", strings.Replace(string(text), `"version":1`, `"version":7`, 1))
+	logs := filepath.Dir(writeTempFile(t, "n1.log", "time=2026-05-01T18:00:00Z level=INFO msg=ready log=none\n"+
 		"time=2026-05-01T18:00:01Z level=INFO msg=taken message=m1 left_ms=900\n"+
 		"time=2026-05-01T18:00:09Z level=INFO msg=tally second=9\n"))
 	state := t.TempDir()
@@ -175,7 +175,7 @@
 	}
 	dir := t.TempDir()
 	in := func(name string) string { return filepath.Join(dir, name) }
-	file := write(t, "s.toml", strings.ReplaceAll(brief, "%s", "0.5"))
+	file := writeTempFile(t, "s.toml", strings.ReplaceAll(briefScenario, "%s", "0.5"))
 	code, out, errs := run(
 		"rehearse", file, "--relay", self, "--record", in("rec"), "--json", in("a.json"), "--html", in("a.html"),
 		"--keep", in("kept"),
@@ -204,11 +204,11 @@
 	if code != 1 {
 		t.Errorf("a relay that does not start: exit %d\n%s", code, out)
 	}
-	harsh := write(
+	harsh := writeTempFile(
 		t,
 		"s.toml",
 		strings.ReplaceAll(
-			brief,
+			briefScenario,
 			"%s",
 			"1",
 		)+"[[fault]]\nkind = \"crash\"\npartner = \"p\"\nat_s = 0.2\nlength_s = 60\n",
@@ -219,25 +219,25 @@
 	}
 }
 
-// buffer can be read while it is written.
-type buffer struct {
+// syncBuffer can be read while it is written.
+type syncBuffer struct {
 	mu sync.Mutex
 	b  bytes.Buffer
 }
 
-func (b *buffer) Write(p []byte) (int, error) {
+func (b *syncBuffer) Write(p []byte) (int, error) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.b.Write(p)
 }
 
-func (b *buffer) has(s string) bool {
+func (b *syncBuffer) contains(s string) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return strings.Contains(b.b.String(), s)
 }
 
-func (b *buffer) line(prefix string) string {
+func (b *syncBuffer) lineAfter(prefix string) string {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	for line := range strings.Lines(b.b.String()) {
@@ -250,17 +250,17 @@
 
 // TestHoldAndPut starts a relay by hand, as the printed lines say.
 func TestHoldAndPut(t *testing.T) {
-	x := rehearsal{relay: "RELAY"}
+	x := rehearseFlags{relayProgram: "RELAY"}
 	s, err := scenario.Load(filepath.Join("..", "..", "deploy", "example.toml"))
 	if err != nil {
 		t.Fatal(err)
 	}
 	ctx, cancel := context.WithCancel(t.Context())
-	var out buffer
+	var out syncBuffer
 	done := make(chan int)
-	go func() { done <- x.holdUp(ctx, s.Plan(s.Seed), &out, &out) }()
-	wait(t, "the lines", func() bool { return out.has("Interrupt to end.") })
-	config, _, _ := strings.Cut(out.line("ROUTER_CONFIG="), " ")
+	go func() { done <- x.serveUntilInterrupted(ctx, s.Plan(s.Seed), &out, &out) }()
+	waitUntil(t, "the lines", func() bool { return out.contains("Interrupt to end.") })
+	config, _, _ := strings.Cut(out.lineAfter("ROUTER_CONFIG="), " ")
 	self, err := os.Executable()
 	if err != nil {
 		t.Fatal(err)
@@ -275,16 +275,16 @@
 		t.Fatal(err)
 	}
 	defer func() { _ = p.Kill(); _, _ = p.Wait() }()
-	args := strings.Fields(out.line("RELAY "))
+	args := strings.Fields(out.lineAfter("RELAY "))
 	var code int
 	var said string
-	wait(t, "the relay", func() bool { code, said, _ = run(args...); return code == 0 })
+	waitUntil(t, "the relay", func() bool { code, said, _ = run(args...); return code == 0 })
 	id, answer, _ := strings.Cut(strings.TrimSpace(said), " ")
 	if answer != "+OK" {
 		t.Errorf("answer %q", said)
 	}
-	wait(t, "the effect", func() bool { return out.has("message " + id + ": took effect at ") })
-	wait(t, "the answer", func() bool { return out.has("answered 200") })
+	waitUntil(t, "the effect", func() bool { return out.contains("message " + id + ": took effect at ") })
+	waitUntil(t, "the answer", func() bool { return out.contains("answered 200") })
 	code, said, _ = run(append(args, "--dest", "99")...)
 	if code != 1 || !strings.Contains(said, "-ERR") {
 		t.Errorf("to a destination that there is not: exit %d, %s", code, said)
@@ -298,7 +298,7 @@
 	}
 }
 
-func wait(t *testing.T, what string, cond func() bool) {
+func waitUntil(t *testing.T, what string, cond func() bool) {
 	t.Helper()
 	for end := time.Now().Add(30 * time.Second); time.Now().Before(end); time.Sleep(2 * time.Millisecond) {
 		if cond() {
--- a/cmd/troutusher-kit/learned.go
+++ b/cmd/troutusher-kit/learned.go
@@ -8,98 +8,124 @@
 	"strings"
 	"time"
 
+	"troutusher/internal/core"
 	"troutusher/internal/policystate"
 	"troutusher/internal/texttable"
 	"troutusher/policy"
 )
 
-// learnedCommand is "troutusher learned": what a relay keeps of its destinations.
+// learnedCommand is "troutusher learned": the policy state that a relay keeps on disk.
 type learnedCommand struct {
 	Inspect learnedInspect `cmd:"" help:"Print what a relay's file of learned state holds. The file is not changed."`
 }
 
+// learnedInspect is "troutusher learned inspect".
 type learnedInspect struct {
 	Path string `arg:"" help:"The file, or the state folder that it lies in."`
 }
 
+// Run prints the file.
 func (c *learnedInspect) Run(out io.Writer) error {
-	path := c.Path
-	if st, err := os.Stat(path); err == nil && st.IsDir() {
-		path = filepath.Join(path, policystate.FileName)
-	}
-	b, err := os.ReadFile(path)
+	path := fileInFolder(c.Path, policystate.FileName)
+	content, err := os.ReadFile(path)
 	if err != nil {
 		return err
 	}
-	f, err := policystate.Decode(b)
+	file, err := policystate.Decode(content)
 	if err != nil {
 		return fmt.Errorf("%s: %w", path, err)
 	}
-	return writeLearned(out, f, len(b))
+	return writeLearned(out, file, len(content))
 }
 
-func writeLearned(out io.Writer, f *policystate.File, size int) error {
-	s := f.State
-	how := "while it ran"
-	if f.CleanShutdown {
-		how = "as it ended"
-	}
-	printf(out, "relay %s, written %s %s, %d bytes; list %d\n\n", f.Relay,
-		time.UnixMicro(f.WrittenAt).UTC().Format(time.RFC3339), how, size, s.Revision)
-	name := map[policy.EndpointID]string{}
-	for i := range s.Members {
-		m := &s.Members[i]
-		name[m.Number] = m.ID
-		if m.Phase != "up" {
-			name[m.Number] += " (" + m.Phase + ")"
-		}
+// fileInFolder returns the path of the named file where path is a folder, and path itself
+// otherwise.
+func fileInFolder(path, name string) string {
+	if info, err := os.Stat(path); err == nil && info.IsDir() {
+		return filepath.Join(path, name)
 	}
-	left := func(t policy.Time) string {
-		if t <= s.Now {
-			return "-"
-		}
-		return fmt.Sprintf("%.1f s", float64(t-s.Now)/1e6)
+	return path
+}
+
+// writeLearned writes what a file of size bytes holds, with a row for each limiter.
+func writeLearned(out io.Writer, file *policystate.File, size int) error {
+	state := file.State
+	when := "while it ran"
+	if file.CleanShutdown {
+		when = "as it ended"
 	}
-	waits := map[int]policy.Time{}
-	for _, w := range s.RetryAfters {
-		waits[w.Dest] = w.Until
+	printf(out, "relay %s, written %s %s, %d bytes; list %d\n\n", file.Relay,
+		time.UnixMicro(file.WrittenAt).UTC().Format(time.RFC3339), when, size, state.Revision)
+	names := endpointNames(state)
+	retryAfters := map[int]policy.Time{} // by destination
+	for _, retryAfter := range state.RetryAfters {
+		retryAfters[retryAfter.Dest] = retryAfter.Until
 	}
 	table := texttable.New()
 	table.Rowf("dest\twaits for\trequests\taccepts\twindow\tpace\t" +
 		"cut to a second\trefused in a row\tout\tendpoints")
-	for i := range s.Policy.Limiters {
-		l := &s.Policy.Limiters[i]
-		var n [2]float64
-		for _, b := range l.Bins {
-			n[0], n[1] = n[0]+b[0], n[1]+b[1]
-		}
-		var all []string
-		out := 0
-		for _, e := range l.Endpoints {
-			text := name[e.ID]
-			if e.Unhealthy {
-				out++
-				text += fmt.Sprintf(" out for %.1f s", float64(s.Now-e.FirstFailureAt)/1e6)
-			} else if e.RecoveredAt > 0 {
-				text += fmt.Sprintf(" back for %.1f s", float64(s.Now-e.RecoveredAt)/1e6)
-			}
-			all = append(all, text)
-		}
-		cut := "-"
-		if l.ReducedRate > 0 {
-			cut = fmt.Sprintf("%.2f", l.ReducedRate)
-		}
-		waitsFor := left(max(l.RetryAfterUntil, waits[l.Destination]))
-		table.Rowf("%d\t%s\t%.0f\t%.0f\t%.1f\t%.2f\t%s\t%d\t%d of %d\t%s",
-			l.Destination, waitsFor, n[0], n[1], l.Window, l.RateMultiplier, cut,
-			l.RejectionRun, out, len(l.Endpoints), strings.Join(all, ", "))
+	for i := range state.Policy.Limiters {
+		limiter := &state.Policy.Limiters[i]
+		retryAfterUntil := max(limiter.RetryAfterUntil, retryAfters[limiter.Destination])
+		table.Rowf("%s", limiterRow(limiter, state.Now, retryAfterUntil, names))
 	}
 	_, err := io.WriteString(out, table.String())
 	return err
 }
 
+// endpointNames returns the endpoints' names, with the phase of those that are not up.
+func endpointNames(state *core.StateSnapshot) map[policy.EndpointID]string {
+	names := map[policy.EndpointID]string{}
+	for i := range state.Members {
+		member := &state.Members[i]
+		names[member.Number] = member.ID
+		if member.Phase != core.Up {
+			names[member.Number] += " (" + member.Phase + ")"
+		}
+	}
+	return names
+}
+
+// limiterRow returns the cells of a limiter, tabs between them.
+func limiterRow(
+	limiter *policy.LimiterSnapshot, now, retryAfterUntil policy.Time, names map[policy.EndpointID]string,
+) string {
+	var requests, accepts float64
+	for _, bin := range limiter.Bins {
+		requests, accepts = requests+bin[0], accepts+bin[1]
+	}
+	var endpoints []string
+	unhealthy := 0
+	for _, endpoint := range limiter.Endpoints {
+		text := names[endpoint.ID]
+		switch {
+		case endpoint.Unhealthy:
+			unhealthy++
+			text += " out for " + secondsBetween(endpoint.FirstFailureAt, now)
+		case endpoint.RecoveredAt > 0:
+			text += " back for " + secondsBetween(endpoint.RecoveredAt, now)
+		}
+		endpoints = append(endpoints, text)
+	}
+	wait := "-"
+	if retryAfterUntil > now {
+		wait = secondsBetween(now, retryAfterUntil)
+	}
+	reducedRate := "-"
+	if limiter.ReducedRate > 0 {
+		reducedRate = fmt.Sprintf("%.2f", limiter.ReducedRate)
+	}
+	return fmt.Sprintf("%d\t%s\t%.0f\t%.0f\t%.1f\t%.2f\t%s\t%d\t%d of %d\t%s",
+		limiter.Destination, wait, requests, accepts, limiter.Window, limiter.RateMultiplier, reducedRate,
+		limiter.RejectionRun, unhealthy, len(limiter.Endpoints), strings.Join(endpoints, ", "))
+}
+
+func secondsBetween(from, to policy.Time) string {
+	return fmt.Sprintf("%.1f s", float64(to-from)/1e6)
+}
+
+// runLearned runs "troutusher learned".
 func runLearned(args []string, out, errs io.Writer) int {
-	return runKong(
-		"learned", "What a relay keeps of its destinations across restarts.", &learnedCommand{}, args, out, errs,
-	)
+	const about = "What a relay keeps of its destinations across restarts."
+	return runKong("learned", about, &learnedCommand{}, args, out, errs)
 }
--- a/cmd/troutusher-kit/publish.go
+++ b/cmd/troutusher-kit/publish.go
@@ -12,13 +12,12 @@
 
 	"go.etcd.io/etcd/api/v3/etcdserverpb"
 
-	"troutusher/internal/operatorconfig"
 	"troutusher/internal/source/etcd/follow"
 	"troutusher/internal/source/etcd/publish"
 	"troutusher/internal/texttable"
 )
 
-// publishCommand is "troutusher publish": what operators say in etcd.
+// publishCommand is "troutusher publish": what operators tell relays through etcd.
 type publishCommand struct {
 	List    publishList    `cmd:"" help:"Make endpoints and rates what a file says. Drains stay as they are."`
 	Drain   publishDrain   `cmd:"" help:"Have endpoints drain, whatever else is said of them."`
@@ -35,104 +34,122 @@
 	All  bool   `help:"Also where it takes away over half of the endpoints."`
 }
 
+// publishDrain is "troutusher publish drain".
 type publishDrain struct {
 	IDs []string `arg:"" name:"id" help:"Endpoints."`
 }
 
+// publishUndrain is "troutusher publish undrain".
 type publishUndrain struct {
 	IDs []string `arg:"" name:"id" help:"Endpoints."`
 }
 
+// publishRemove is "troutusher publish remove".
 type publishRemove struct {
 	IDs []string `arg:"" name:"id" help:"Endpoints."`
 }
 
+// publishShow is "troutusher publish show".
 type publishShow struct{}
 
-const publishWait = 10 * time.Second
+// publishTimeout is how long a command may take, with all of its calls.
+const publishTimeout = 10 * time.Second
 
-// published connects to the cluster of the operator's file.
-func published(do func(context.Context, *publish.Publisher) error) error {
-	file, err := operatorconfig.Load(os.Getenv)
-	if err == nil && file == nil {
-		err = fmt.Errorf("%s: not set", operatorconfig.EnvVar)
-	}
-	if err != nil {
-		return err
-	}
-	o, err := follow.FromOperator(&file.Etcd)
+// withPublisher calls use with a publisher of the cluster that the operator's file names.
+func withPublisher(use func(context.Context, *publish.Publisher) error) error {
+	etcd, options, err := etcdOptions()
 	if err != nil {
 		return err
 	}
-	ctx, cancel := context.WithTimeout(context.Background(), publishWait)
+	ctx, cancel := context.WithTimeout(context.Background(), publishTimeout)
 	defer cancel()
-	conn, ctx, err := follow.Dial(ctx, o)
+	conn, ctx, err := follow.Dial(ctx, options)
 	if err != nil {
 		return err
 	}
 	defer func() { _ = conn.Close() }() // its calls have been answered
-	return do(ctx, &publish.Publisher{KV: etcdserverpb.NewKVClient(conn), Prefix: file.Etcd.Prefix})
+	return use(ctx, &publish.Publisher{KV: etcdserverpb.NewKVClient(conn), Prefix: etcd.Prefix})
 }
 
-func told(out io.Writer, d *publish.Result, err error) error {
-	if err != nil {
-		return err
-	}
-	for _, k := range d.Put {
-		printLine(out, "put    ", k)
+// publishChange carries out a change and prints the keys that it wrote.
+func publishChange(
+	out io.Writer, change func(context.Context, *publish.Publisher) (*publish.Result, error),
+) error {
+	return withPublisher(func(ctx context.Context, publisher *publish.Publisher) error {
+		result, err := change(ctx, publisher)
+		if err != nil {
+			return err
+		}
+		writeChanges(out, result)
+		return nil
+	})
+}
+
+func writeChanges(out io.Writer, result *publish.Result) {
+	for _, key := range result.Put {
+		printLine(out, "put    ", key)
 	}
-	for _, k := range d.Deleted {
-		printLine(out, "deleted", k)
+	for _, key := range result.Deleted {
+		printLine(out, "deleted", key)
 	}
-	if d.Revision == 0 {
+	if result.Revision == 0 {
 		printLine(out, "nothing to change")
-		return nil
+		return
 	}
-	printLine(out, "revision", d.Revision)
-	return nil
+	printLine(out, "revision", result.Revision)
 }
 
+// Run publishes what the file says.
 func (c *publishList) Run(out io.Writer) error {
-	text, err := os.ReadFile(c.File)
+	list, err := c.read()
 	if err != nil {
 		return err
 	}
-	l := &publish.List{}
-	dec := json.NewDecoder(bytes.NewReader(text))
-	dec.DisallowUnknownFields()
-	if err := dec.Decode(l); err != nil {
-		return fmt.Errorf("%s: %w", c.File, err)
-	}
-	return published(func(ctx context.Context, p *publish.Publisher) error {
-		d, err := p.Publish(ctx, l, c.All)
-		return told(out, d, err)
+	return publishChange(out, func(ctx context.Context, publisher *publish.Publisher) (*publish.Result, error) {
+		return publisher.Publish(ctx, list, c.All)
 	})
 }
 
+// read reads the file. A key that it should not have is an error.
+func (c *publishList) read() (*publish.List, error) {
+	text, err := os.ReadFile(c.File)
+	if err != nil {
+		return nil, err
+	}
+	list := &publish.List{}
+	decoder := json.NewDecoder(bytes.NewReader(text))
+	decoder.DisallowUnknownFields()
+	if err := decoder.Decode(list); err != nil {
+		return nil, fmt.Errorf("%s: %w", c.File, err)
+	}
+	return list, nil
+}
+
+// Run has the endpoints drain.
 func (c *publishDrain) Run(out io.Writer) error {
-	return published(func(ctx context.Context, p *publish.Publisher) error {
-		d, err := p.Drain(ctx, false, c.IDs...)
-		return told(out, d, err)
+	return publishChange(out, func(ctx context.Context, publisher *publish.Publisher) (*publish.Result, error) {
+		return publisher.Drain(ctx, false, c.IDs...)
 	})
 }
 
+// Run ends the endpoints' drain.
 func (c *publishUndrain) Run(out io.Writer) error {
-	return published(func(ctx context.Context, p *publish.Publisher) error {
-		d, err := p.Drain(ctx, true, c.IDs...)
-		return told(out, d, err)
+	return publishChange(out, func(ctx context.Context, publisher *publish.Publisher) (*publish.Result, error) {
+		return publisher.Drain(ctx, true, c.IDs...)
 	})
 }
 
+// Run takes the endpoints away.
 func (c *publishRemove) Run(out io.Writer) error {
-	return published(func(ctx context.Context, p *publish.Publisher) error {
-		d, err := p.Remove(ctx, c.IDs...)
-		return told(out, d, err)
+	return publishChange(out, func(ctx context.Context, publisher *publish.Publisher) (*publish.Result, error) {
+		return publisher.Remove(ctx, c.IDs...)
 	})
 }
 
+// Run lists what is published.
 func (c *publishShow) Run(out io.Writer) error {
-	return published(func(ctx context.Context, p *publish.Publisher) error {
-		lines, err := p.Show(ctx)
+	return withPublisher(func(ctx context.Context, publisher *publish.Publisher) error {
+		lines, err := publisher.Show(ctx)
 		if err != nil {
 			return err
 		}
@@ -145,6 +162,7 @@
 	})
 }
 
+// runPublish runs "troutusher publish".
 func runPublish(args []string, out, errs io.Writer) int {
 	const about = "Endpoints, rates and drains in etcd, " +
 		"where the operator's file ($TROUTUSHER_OPERATOR, table [etcd]) says."
--- a/cmd/troutusher-kit/rehearse.go
+++ b/cmd/troutusher-kit/rehearse.go
@@ -13,86 +13,106 @@
 	"runtime/debug"
 	"strings"
 	"syscall"
-	"time"
 
-	"troutusher/internal/event"
 	"troutusher/internal/rehearsal/replay"
 	"troutusher/internal/rehearsal/report"
 	"troutusher/internal/rehearsal/runner"
 	"troutusher/internal/rehearsal/scenario"
 )
 
-const aboutRehearse = `Starts relays, stand-in partners, a stand-in for discovery and a load driver
+const rehearseAbout = `Starts relays, stand-in partners, a stand-in for discovery and a load driver
 on this machine's loopback addresses, plays a scenario, judges the six rules as
 it goes and prints a report. SCENARIO is a name from --list or a TOML file; rush
 where it is left out. Exit code 1 when a rule broke, a relay crashed, service
 fell under the scenario's floor or the run is void; 2 for bad usage or a file
 that cannot be used.`
 
-// rehearsal is what the flags say.
-type rehearsal struct {
-	list, hold, quiet                          bool
-	show, record, replay, asJSON, asHTML, diff string
-	relay, keep                                string
-	seed                                       uint64
-	repeat                                     int
+const (
+	defaultScenario  = "rush"
+	maxRepeat        = 1000
+	revisionDigits   = 12         // of a commit's name
+	maxProgressWidth = 118        // bytes, so that it stays on one line
+	clearLine        = "\r\x1b[K" // of a terminal
+)
+
+// rehearseFlags is what the flags of "troutusher rehearse" say.
+type rehearseFlags struct {
+	// Each of these does something else than to play and judge.
+	list     bool
+	hold     bool
+	showName string
+
+	// What is played, how often and with which relays.
+	seed         uint64
+	replayPath   string
+	repeat       int
+	relayProgram string
+
+	// What is written.
+	quiet       bool
+	recordPath  string
+	jsonPath    string
+	htmlPath    string
+	comparePath string
+	keepDir     string
 }
 
-// define defines the flags.
-func (x *rehearsal) define(f *flag.FlagSet) {
-	f.BoolVar(&x.list, "list", false, "name the scenarios that ship with the program")
-	f.StringVar(&x.show, "show", "", "print the file of the `scenario`, to begin one's own from")
-	f.Uint64Var(&x.seed, "seed", 0, "draw arrivals and faults from this `seed` instead of the scenario's")
-	f.IntVar(&x.repeat, "repeat", 1, "play it `n` times and tell the noise")
-	f.StringVar(&x.record, "record", "", "keep arrivals and faults in the `file`, to be played again")
-	f.StringVar(&x.replay, "replay", "", "play the recording in the `file` unchanged")
-	f.StringVar(&x.asJSON, "json", "", "write the report to the `file` as JSON")
-	f.StringVar(&x.asHTML, "html", "", "write the report to the `file` as one page that opens offline")
-	f.StringVar(&x.diff, "compare", "", "set the report beside an earlier one, a JSON `file`")
-	f.StringVar(&x.relay, "relay", "",
+// register defines the flags.
+func (r *rehearseFlags) register(set *flag.FlagSet) {
+	set.BoolVar(&r.list, "list", false, "name the scenarios that ship with the program")
+	set.StringVar(&r.showName, "show", "", "print the file of the `scenario`, to begin one's own from")
+	set.Uint64Var(&r.seed, "seed", 0, "draw arrivals and faults from this `seed` instead of the scenario's")
+	set.IntVar(&r.repeat, "repeat", 1, "play it `n` times and tell the noise")
+	set.StringVar(&r.recordPath, "record", "", "keep arrivals and faults in the `file`, to be played again")
+	set.StringVar(&r.replayPath, "replay", "", "play the recording in the `file` unchanged")
+	set.StringVar(&r.jsonPath, "json", "", "write the report to the `file` as JSON")
+	set.StringVar(&r.htmlPath, "html", "", "write the report to the `file` as one page that opens offline")
+	set.StringVar(&r.comparePath, "compare", "", "set the report beside an earlier one, a JSON `file`")
+	set.StringVar(&r.relayProgram, "relay", "",
 		"the relay `program` to rehearse with, such as another release's; the one beside this where it is left out")
-	f.StringVar(&x.keep, "keep", "", "keep configurations, state and logs of the relays in the `folder`")
-	f.BoolVar(&x.hold, "hold", false,
+	set.StringVar(&r.keepDir, "keep", "", "keep configurations, state and logs of the relays in the `folder`")
+	set.BoolVar(&r.hold, "hold", false,
 		"keep partners and discovery up for a relay that is started by hand, until interrupted")
-	f.BoolVar(&x.quiet, "quiet", false, "no progress, also on a terminal")
+	set.BoolVar(&r.quiet, "quiet", false, "no progress, also on a terminal")
 }
 
-// rehearse plays a scenario or a recording.
-func rehearse(args []string, out, errs io.Writer) int {
-	var x rehearsal
-	f := flags("rehearse", "[flags] [SCENARIO]", aboutRehearse, out, errs)
-	x.define(f)
-	rest, code, done := parse(f, args, 1)
+// runRehearse runs "troutusher rehearse": it plays a scenario or a recording.
+func runRehearse(args []string, out, errs io.Writer) int {
+	var r rehearseFlags
+	set := newFlagSet("rehearse", "[flags] [SCENARIO]", rehearseAbout, out, errs)
+	r.register(set)
+	rest, code, done := parseFlags(set, args, 1)
 	if done {
 		return code
 	}
-	bad := func(err error) int { return fail(errs, "rehearse", err, exitConfig) }
+	usageFailed := func(err error) int { return fail(errs, "rehearse", err, exitConfig) }
 	switch {
-	case x.list:
+	case r.list:
 		if err := listScenarios(out); err != nil {
-			return bad(err)
+			return usageFailed(err)
 		}
 		return 0
-	case x.show != "":
-		text, err := scenario.BuiltinText(x.show)
+	case r.showName != "":
+		text, err := scenario.BuiltinText(r.showName)
 		if err != nil {
-			return bad(err)
+			return usageFailed(err)
 		}
 		printf(out, "%s", text)
 		return 0
 	}
-	plan, before, err := x.prepare(rest)
+	plan, earlier, err := r.prepare(rest)
 	if err != nil {
-		return bad(err)
+		return usageFailed(err)
 	}
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
 	defer stop()
-	if x.hold {
-		return x.holdUp(ctx, plan, out, errs)
+	if r.hold {
+		return r.serveUntilInterrupted(ctx, plan, out, errs)
 	}
-	return x.play(ctx, plan, before, out, errs)
+	return r.play(ctx, plan, earlier, out, errs)
 }
 
+// listScenarios prints the scenarios that ship with the program.
 func listScenarios(out io.Writer) error {
 	for _, name := range scenario.Names() {
 		s, err := scenario.Builtin(name)
@@ -106,77 +126,85 @@
 
 // prepare checks the flags and returns what is played, and the earlier report that it is
 // compared with, nil for none.
-func (x *rehearsal) prepare(rest []string) (plan *scenario.Plan, before *report.Report, err error) {
+func (r *rehearseFlags) prepare(rest []string) (plan *scenario.Plan, earlier *report.Report, err error) {
 	switch {
-	case x.repeat < 1 || x.repeat > 1000:
-		return nil, nil, fmt.Errorf("--repeat %d, want 1 to 1000", x.repeat)
-	case x.replay != "" && (len(rest) > 0 || x.seed != 0 || x.record != ""):
+	case r.repeat < 1 || r.repeat > maxRepeat:
+		return nil, nil, fmt.Errorf("--repeat %d, want 1 to %d", r.repeat, maxRepeat)
+	case r.replayPath != "" && (len(rest) > 0 || r.seed != 0 || r.recordPath != ""):
 		return nil, nil, errors.New("--replay plays a recording as it is: no scenario, --seed or --record beside it")
 	}
-	if plan, err = x.plan(rest); err != nil {
+	if plan, err = r.loadPlan(rest); err != nil {
 		return nil, nil, err
 	}
-	if x.diff != "" {
-		if before, err = report.Load(x.diff); err != nil {
-			return nil, nil, fmt.Errorf("%s: %w", x.diff, err)
+	if r.comparePath != "" {
+		if earlier, err = report.Load(r.comparePath); err != nil {
+			return nil, nil, fmt.Errorf("%s: %w", r.comparePath, err)
 		}
 	}
-	if x.relay == "" {
-		if x.relay, err = daemon(); err != nil {
+	if r.relayProgram == "" {
+		if r.relayProgram, err = existingRelay(); err != nil {
 			return nil, nil, err
 		}
 	}
-	if x.record != "" {
-		if err := replay.Save(x.record, plan, environment()); err != nil {
+	if r.recordPath != "" {
+		if err := replay.Save(r.recordPath, plan, environment()); err != nil {
 			return nil, nil, err
 		}
 	}
-	return plan, before, nil
+	return plan, earlier, nil
 }
 
-// daemon is the relay's program, beside this one.
-func daemon() (string, error) {
+// relayBeside returns the path of the relay's program beside this one.
+func relayBeside() (string, error) {
 	self, err := os.Executable()
 	if err != nil {
 		return "", err
 	}
-	path := filepath.Join(filepath.Dir(self), "troutusher")
+	return filepath.Join(filepath.Dir(self), "troutusher"), nil
+}
+
+// existingRelay is relayBeside, and an error where there is no such program.
+func existingRelay() (string, error) {
+	path, err := relayBeside()
+	if err != nil {
+		return "", err
+	}
 	if _, err := os.Stat(path); err != nil {
 		return "", fmt.Errorf("no relay to rehearse with (--relay): %w", err)
 	}
 	return path, nil
 }
 
-// plan finds what is to be played.
-func (x *rehearsal) plan(rest []string) (*scenario.Plan, error) {
-	if x.replay != "" {
-		p, _, err := replay.Load(x.replay)
+// loadPlan returns what is to be played: a recording, a file's scenario, or one that ships
+// with the program.
+func (r *rehearseFlags) loadPlan(rest []string) (*scenario.Plan, error) {
+	if r.replayPath != "" {
+		plan, _, err := replay.Load(r.replayPath)
 		if err != nil {
-			return nil, fmt.Errorf("%s: %w", x.replay, err)
+			return nil, fmt.Errorf("%s: %w", r.replayPath, err)
 		}
-		return p, nil
+		return plan, nil
 	}
-	name := "rush"
+	name := defaultScenario
 	if len(rest) > 0 {
 		name = rest[0]
 	}
-	var s *scenario.Scenario
-	var err error
+	load := scenario.Builtin
 	if strings.HasSuffix(name, ".toml") || strings.ContainsRune(name, os.PathSeparator) {
-		s, err = scenario.Load(name)
-	} else {
-		s, err = scenario.Builtin(name)
+		load = scenario.Load
 	}
+	s, err := load(name)
 	if err != nil {
 		return nil, err
 	}
 	seed := s.Seed
-	if x.seed != 0 {
-		seed = x.seed
+	if r.seed != 0 {
+		seed = r.seed
 	}
 	return s.Plan(seed), nil
 }
 
+// environment is what reports and recordings tell of the program and its machine.
 func environment() replay.Environment {
 	return replay.Environment{
 		Release: release(), Go: runtime.Version(), System: runtime.GOOS + "/" + runtime.GOARCH, Cores: runtime.NumCPU(),
@@ -189,73 +217,82 @@
 	if !ok {
 		return "unknown"
 	}
-	v := info.Main.Version
-	if v == "" || v == "(devel)" {
-		v = "unreleased"
-		for _, s := range info.Settings {
-			if s.Key == "vcs.revision" && len(s.Value) >= 12 {
-				v = s.Value[:12]
-			}
+	if version := info.Main.Version; version != "" && version != "(devel)" {
+		return version
+	}
+	version := "unreleased"
+	for _, setting := range info.Settings {
+		if setting.Key == "vcs.revision" && len(setting.Value) >= revisionDigits {
+			version = setting.Value[:revisionDigits]
 		}
 	}
-	return v
+	return version
 }
 
-// dir is the folder for the relays' files.
-func (x *rehearsal) dir() (string, func(), error) {
-	if x.keep == "" {
+// createDir creates the folder for the relays' files. remove deletes it, unless the flags
+// say that it is kept.
+func (r *rehearseFlags) createDir() (dir string, remove func(), err error) {
+	if r.keepDir == "" {
 		return runner.Dir()
 	}
-	dir, err := filepath.Abs(x.keep)
+	dir, err = filepath.Abs(r.keepDir)
 	if err == nil {
 		err = os.MkdirAll(dir, 0o755)
 	}
 	return dir, func() {}, err
 }
 
-func (x *rehearsal) play(ctx context.Context, plan *scenario.Plan, before *report.Report, out, errs io.Writer) int {
-	failed := func(err error) int { return fail(errs, "rehearse", err, exitFailed) }
-	var all []*report.Report
-	for run := range x.repeat {
-		dir, remove, err := x.dir()
+// play plays as often as the flags say, and reports on all runs together. It returns the
+// exit code.
+func (r *rehearseFlags) play(
+	ctx context.Context, plan *scenario.Plan, earlier *report.Report, out, errs io.Writer,
+) int {
+	var reports []*report.Report
+	for run := range r.repeat {
+		result, err := r.playOnce(ctx, plan, run, errs)
 		if err != nil {
-			return failed(err)
-		}
-		opt := runner.Options{Command: []string{x.relay}, Dir: dir}
-		if x.keep != "" && x.repeat > 1 {
-			opt.Dir = filepath.Join(dir, fmt.Sprintf("run-%d", run+1))
+			return fail(errs, "rehearse", err, exitFailed)
 		}
-		live := !x.quiet && terminal(errs)
-		if live {
-			opt.Progress = func(p runner.Progress) { progress(errs, run, x.repeat, p) }
-		}
-		o, err := runner.Play(ctx, plan, opt)
-		remove()
-		if live {
-			printf(errs, "\r\x1b[K")
-		}
-		if err != nil {
-			return failed(err)
-		}
-		all = append(all, report.New(o, environment()))
+		reports = append(reports, report.New(result, environment()))
 	}
-	r := report.Join(all)
-	if err := x.write(r, out); err != nil {
-		return failed(err)
+	joined := report.Join(reports)
+	if err := r.writeReports(joined, out); err != nil {
+		return fail(errs, "rehearse", err, exitFailed)
 	}
-	if before != nil {
+	if earlier != nil {
 		printLine(out)
-		if err := report.Compare(out, before, r); err != nil {
-			return failed(err)
+		if err := report.Compare(out, earlier, joined); err != nil {
+			return fail(errs, "rehearse", err, exitFailed)
 		}
 	}
-	if r.Verdict != report.Passed {
+	if joined.Verdict != report.Passed {
 		return exitFailed
 	}
 	return 0
 }
 
-func progress(w io.Writer, run, runs int, p runner.Progress) {
+// playOnce plays one run, from 0, and shows its progress on a terminal.
+func (r *rehearseFlags) playOnce(
+	ctx context.Context, plan *scenario.Plan, run int, errs io.Writer,
+) (*runner.Outcome, error) {
+	dir, remove, err := r.createDir()
+	if err != nil {
+		return nil, err
+	}
+	defer remove()
+	options := runner.Options{Command: []string{r.relayProgram}, Dir: dir}
+	if r.keepDir != "" && r.repeat > 1 {
+		options.Dir = filepath.Join(dir, fmt.Sprintf("run-%d", run+1))
+	}
+	if !r.quiet && isTerminal(errs) {
+		options.Progress = func(p runner.Progress) { writeProgress(errs, run, r.repeat, p) }
+		defer printf(errs, clearLine)
+	}
+	return runner.Play(ctx, plan, options)
+}
+
+// writeProgress shows on one line of a terminal how far a run is.
+func writeProgress(w io.Writer, run, runs int, p runner.Progress) {
 	line := fmt.Sprintf("%5.1f of %.0f s, %d messages, %d open", p.At.Seconds(), p.Of.Seconds(), p.Begun, p.Open)
 	if runs > 1 {
 		line = fmt.Sprintf("run %d of %d: %s", run+1, runs, line)
@@ -266,71 +303,28 @@
 	if len(p.Faults) > 0 {
 		line += "; " + strings.Join(p.Faults, ", ")
 	}
-	if len(line) > 118 {
-		line = line[:115] + "..."
+	const ellipsis = "..."
+	if len(line) > maxProgressWidth {
+		line = line[:maxProgressWidth-len(ellipsis)] + ellipsis
 	}
-	printf(w, "\r\x1b[K%s", line)
+	printf(w, clearLine+"%s", line)
 }
 
-// write puts the report where the flags say.
-func (x *rehearsal) write(r *report.Report, out io.Writer) error {
-	if err := r.WriteText(out); err != nil {
+// writeReports writes a report to standard output and to the files that the flags name.
+func (r *rehearseFlags) writeReports(joined *report.Report, out io.Writer) error {
+	if err := joined.WriteText(out); err != nil {
 		return err
 	}
-	for path, write := range map[string]func(io.Writer) error{x.asJSON: r.WriteJSON, x.asHTML: r.WriteHTML} {
-		if path == "" {
+	for _, file := range []struct {
+		path  string
+		write func(io.Writer) error
+	}{{r.jsonPath, joined.WriteJSON}, {r.htmlPath, joined.WriteHTML}} {
+		if file.path == "" {
 			continue
 		}
-		f, err := os.Create(path)
-		if err != nil {
-			return err
-		}
-		if err := errors.Join(write(f), f.Close()); err != nil {
+		if err := writeFile(file.path, file.write); err != nil {
 			return err
 		}
 	}
 	return nil
 }
-
-// holdUp keeps the stand-ins up and shows what comes to them.
-func (x *rehearsal) holdUp(ctx context.Context, plan *scenario.Plan, out, errs io.Writer) int {
-	dir, remove, err := x.dir()
-	if err != nil {
-		return fail(errs, "rehearse", err, exitFailed)
-	}
-	defer remove()
-	ready := func(h runner.Held) {
-		s := plan.Scenario
-		printf(out, "%d partners with %d endpoints are up. Start a relay:\n\n    ROUTER_CONFIG=%s %s\n\n"+
-			"Hand it a message:\n\n    %s put --to %s --class %s --portal %s --dest 1 hello\n\nInterrupt to end.\n",
-			len(plan.Specs), len(plan.Endpoints), h.Config, x.relay, x.relay, h.Listen,
-			s.Classes[0].Name+keyFlag(&s.Classes[0]), s.Portals[0].Name)
-	}
-	began := time.Now()
-	say := func(e *event.Event) {
-		at := time.Since(began).Seconds()
-		name := func() string { return plan.Endpoints[e.Endpoint].Name }
-		switch e.Kind {
-		case event.CallBegan:
-			printf(out, "%8.3f s  message %s: call to %s\n", at, e.ID, name())
-		case event.Ran:
-			printf(out, "%8.3f s  message %s: took effect at %s\n", at, e.ID, name())
-		case event.CallEnded:
-			printf(out, "%8.3f s  message %s: %s answered %d\n", at, e.ID, name(), e.Status)
-		case event.Noticed:
-			printf(out, "%8.3f s  message %s: notice, %s\n", at, e.ID,
-				map[int]string{event.NoticeGivenUp: "given up", event.NoticeHandedBack: "handed back"}[e.Status])
-		}
-	}
-	if err := runner.Hold(ctx, plan, dir, ready, say); err != nil {
-		return fail(errs, "rehearse", err, exitFailed)
-	}
-	return 0
-}
-
-func keyFlag(c *scenario.Class) string {
-	if c.Repeat == "keyed" {
-		return " --key k1"
-	}
-	return ""
-}
--- a/cmd/troutusher-kit/tls.go
+++ b/cmd/troutusher-kit/tls.go
@@ -14,8 +14,6 @@
 	"strings"
 	"time"
 
-	"github.com/alecthomas/kong"
-
 	"troutusher/internal/certstore"
 	"troutusher/internal/operatorconfig"
 	"troutusher/internal/testca"
@@ -23,8 +21,8 @@
 	"troutusher/internal/tlspolicy"
 )
 
-// tlsCommand is "troutusher tls": what an operator asks of keys and partners
-// beside a relay that serves.
+// tlsCommand is "troutusher tls": tools for keys, and for partners that are called over
+// TLS. None needs a relay.
 type tlsCommand struct {
 	Check   tlsCheck   `cmd:"" help:"Check an operator's file and all files that its rules name."`
 	Inspect tlsInspect `cmd:"" help:"Show certificates, days left and pins of each rule."`
@@ -32,131 +30,96 @@
 	DevCA   tlsDevCA   `cmd:"" name:"dev-ca" help:"Make a throw-away authority and certificates for rehearsals."`
 }
 
-// errBad is bad usage or a bad configuration.
-type errBad struct{ error }
-
-// printer is where a command writes.
-type printer struct{ io.Writer }
-
-func (p printer) line(format string, a ...any) { printf(p, format+"\n", a...) }
-
-// runTLS runs one of them.
-func runTLS(args []string, out, errs io.Writer) (code int) {
-	var cli tlsCommand
-	left := -1
-	k, err := kong.New(
-		&cli,
-		kong.Name("troutusher tls"),
-		kong.Writers(out, errs),
-		kong.Exit(func(code int) { left = code }),
-		kong.UsageOnError(),
-		kong.Description(
-			"Keys and partners that are called over TLS. Exit codes: 0, 1 (failed), 2 (bad usage or configuration).",
-		),
-	)
-	if err != nil {
-		return fail(errs, "tls", err, exitFailed)
-	}
-	ctx, err := k.Parse(args)
-	if left >= 0 { // -h
-		return left
-	}
-	if err != nil {
-		return fail(errs, "tls", err, exitConfig)
-	}
-	err = ctx.Run(printer{out})
-	var bad errBad
-	switch {
-	case err == nil:
-		return 0
-	case errors.As(err, &bad):
-		printf(errs, "%v\n", bad.error)
-		return exitConfig
-	}
-	return fail(errs, "tls", err, exitFailed)
+// runTLS runs "troutusher tls".
+func runTLS(args []string, out, errs io.Writer) int {
+	const about = "Keys and partners that are called over TLS. " +
+		"Exit codes: 0, 1 (failed), 2 (bad usage or configuration)."
+	return runKong("tls", about, &tlsCommand{}, args, out, errs)
 }
 
-func readOperator(path string) (*operatorconfig.File, error) {
+// readOperatorFile reads an operator's file. What is wrong with it is a usage error.
+func readOperatorFile(path string) (*operatorconfig.File, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
-		return nil, errBad{err}
+		return nil, usageError{err}
 	}
-	f, err := operatorconfig.Parse(path, text)
+	file, err := operatorconfig.Parse(path, text)
 	if err != nil {
-		return nil, errBad{err}
+		return nil, usageError{err}
 	}
-	return f, nil
+	return file, nil
 }
 
+// tlsCheck is "troutusher tls check".
 type tlsCheck struct {
 	File string `arg:"" help:"The operator's file." type:"path"`
 }
 
-// Run checks the file, and then what its rules name; each error on a line.
-func (c *tlsCheck) Run(out printer) error {
-	f, err := readOperator(c.File)
+// Run checks the file, and then the files that its rules name; each error on a line.
+func (c *tlsCheck) Run(out io.Writer) error {
+	file, err := readOperatorFile(c.File)
 	if err != nil {
 		return err
 	}
-	var all []error
-	for i := range f.TLSRules {
-		if _, err := certstore.Load(f.TLSRules[i].Files(), time.Now()); err != nil {
-			all = append(all, fmt.Errorf("%s: rule %s: %w", c.File, f.TLSRules[i].Name, err))
+	var failures []error
+	for i := range file.TLSRules {
+		rule := &file.TLSRules[i]
+		if _, err := certstore.Load(rule.Files(), time.Now()); err != nil {
+			failures = append(failures, fmt.Errorf("%s: rule %s: %w", c.File, rule.Name, err))
 		}
 	}
-	if len(all) > 0 {
-		return errBad{errors.Join(all...)}
+	if len(failures) > 0 {
+		return usageError{errors.Join(failures...)}
 	}
-	out.line("%s: %d rules, all files can be used", c.File, len(f.TLSRules))
+	printf(out, "%s: %d rules, all files can be used\n", c.File, len(file.TLSRules))
 	return nil
 }
 
+// tlsInspect is "troutusher tls inspect".
 type tlsInspect struct {
 	File string `arg:"" help:"The operator's file." type:"path"`
 }
 
-// Run shows what the rules' files hold. No secret is among it.
-func (c *tlsInspect) Run(out printer) error {
-	f, err := readOperator(c.File)
+// Run shows what the rules' files hold, but for secrets.
+func (c *tlsInspect) Run(out io.Writer) error {
+	file, err := readOperatorFile(c.File)
 	if err != nil {
 		return err
 	}
 	now := time.Now()
-	for i := range f.TLSRules {
-		x := &f.TLSRules[i]
-		set, err := certstore.Load(x.Files(), now)
+	for i := range file.TLSRules {
+		rule := &file.TLSRules[i]
+		files, err := certstore.Load(rule.Files(), now)
 		if err != nil {
-			return errBad{fmt.Errorf("%s: rule %s: %w", c.File, x.Name, err)}
+			return usageError{fmt.Errorf("%s: rule %s: %w", c.File, rule.Name, err)}
 		}
-		out.line(
-			"rule %s: destinations %v, flavours %q, server name %s", x.Name, x.Destinations, x.Flavors, x.ServerName,
-		)
-		for _, p := range x.Pins {
-			out.line("  pinned        %s", p)
+		printf(out, "rule %s: destinations %v, flavours %q, server name %s\n",
+			rule.Name, rule.Destinations, rule.Flavors, rule.ServerName)
+		for _, pin := range rule.Pins {
+			printf(out, "  pinned        %s\n", pin)
 		}
-		if set.Certificate != nil {
-			showCertificate(out, "our own", set.Certificate.Leaf, now)
+		if files.Certificate != nil {
+			writeCertificate(out, "our own", files.Certificate.Leaf, now)
 		}
-		for _, r := range set.RootCertificates {
-			showCertificate(out, "trusted", r, now)
+		for _, root := range files.RootCertificates {
+			writeCertificate(out, "trusted", root, now)
 		}
-		if n := set.RevocationLists.Len(); n > 0 {
-			out.line(
-				"  revocations   %d lists, the next one due %s", n,
-				set.RevocationLists.NextUpdate().UTC().Format(time.RFC3339),
-			)
+		if n := files.RevocationLists.Len(); n > 0 {
+			printf(out, "  revocations   %d lists, the next one due %s\n",
+				n, files.RevocationLists.NextUpdate().UTC().Format(time.RFC3339))
 		}
 	}
 	return nil
 }
 
-func showCertificate(out printer, what string, c *x509.Certificate, now time.Time) {
-	out.line(
-		"  %-13s %s, %.1f days left (%s), pin %s", what, c.Subject, c.NotAfter.Sub(now).Hours()/24,
-		c.NotAfter.UTC().Format(time.RFC3339), tlspolicy.PinOf(c),
-	)
+// writeCertificate shows a certificate on a line; role is what it is there for.
+func writeCertificate(out io.Writer, role string, certificate *x509.Certificate, now time.Time) {
+	daysLeft := certificate.NotAfter.Sub(now).Hours() / 24
+	printf(out, "  %-13s %s, %.1f days left (%s), pin %s\n", role, certificate.Subject, daysLeft,
+		certificate.NotAfter.UTC().Format(time.RFC3339), tlspolicy.PinOf(certificate))
 }
 
+// tlsProbe is "troutusher tls probe".
 type tlsProbe struct {
 	File    string        `arg:"" help:"The operator's file." type:"path"`
 	Dest    int           `arg:"" help:"The destination's number."`
@@ -165,51 +128,67 @@
 	Timeout time.Duration `help:"For each handshake." default:"5s"`
 }
 
-// Run makes two handshakes: the second shows whether the partner resumes.
-func (c *tlsProbe) Run(out printer) error {
-	f, err := readOperator(c.File)
+// sessionTicketWait is how long a connection is read from after its handshake, since TLS
+// 1.3 sends session tickets only then.
+const sessionTicketWait = 200 * time.Millisecond
+
+// Run makes two handshakes: the second shows whether the partner resumes sessions.
+func (c *tlsProbe) Run(out io.Writer) error {
+	endpoint, err := c.endpoint()
 	if err != nil {
 		return err
 	}
-	if _, _, err := net.SplitHostPort(c.Addr); err != nil {
-		return errBad{fmt.Errorf("address: %w", err)}
+	defer endpoint.Close()
+	for _, ordinal := range []string{"first", "second"} {
+		if err := c.handshake(out, endpoint, ordinal); err != nil {
+			return err
+		}
 	}
-	f.Handshakes = operatorconfig.Handshakes{
-		CPUShare: 1, BurstMS: 1000, TimeoutS: min(max(c.Timeout.Seconds(), 0.1), 30),
+	return nil
+}
+
+// endpoint returns the endpoint that the arguments name, with the rule that is for it.
+func (c *tlsProbe) endpoint() (*tlsdial.Endpoint, error) {
+	file, err := readOperatorFile(c.File)
+	if err != nil {
+		return nil, err
 	}
-	p, err := tlsdial.New(
-		tlsdial.Options{
-			Rules: f.TLSRules, Handshakes: f.Handshakes, Log: slog.New(slog.DiscardHandler),
-			OnRejected: func(uint64, time.Duration) {},
+	if _, _, err := net.SplitHostPort(c.Addr); err != nil {
+		return nil, usageError{fmt.Errorf("address: %w", err)}
+	}
+	dialer, err := tlsdial.New(tlsdial.Options{
+		Rules: file.TLSRules,
+		Handshakes: operatorconfig.Handshakes{
+			CPUShare: 1, BurstMS: 1000, TimeoutS: min(max(c.Timeout.Seconds(), 0.1), 30),
 		},
-	)
+		Log:        slog.New(slog.DiscardHandler),
+		OnRejected: func(uint64, time.Duration) {},
+	})
 	if err != nil {
-		return errBad{err}
-	}
-	peer := p.Endpoint(1, c.Dest, c.Flavor, nil)
-	if peer == nil {
-		return errBad{fmt.Errorf("%s: no rule is for destination %d of flavour %q", c.File, c.Dest, c.Flavor)}
+		return nil, usageError{err}
 	}
-	defer peer.Close()
-	for _, what := range []string{"first", "second"} {
-		if err := c.shake(out, peer, what); err != nil {
-			return err
+	endpoint := dialer.Endpoint(1, c.Dest, c.Flavor, nil)
+	if endpoint == nil {
+		return nil, usageError{
+			fmt.Errorf("%s: no rule is for destination %d of flavour %q", c.File, c.Dest, c.Flavor),
 		}
 	}
-	return nil
+	return endpoint, nil
 }
 
-func (c *tlsProbe) shake(out printer, peer *tlsdial.Endpoint, what string) error {
+// handshake opens a connection, shows what its handshake agreed on and how long that took,
+// with the connection's own opening, and closes it.
+func (c *tlsProbe) handshake(out io.Writer, endpoint *tlsdial.Endpoint, ordinal string) error {
 	ctx, cancel := context.WithTimeout(context.Background(), c.Timeout)
 	defer cancel()
-	permit, _, err := peer.Acquire(false, false)
+	permit, _, err := endpoint.Acquire(false, false)
 	if err != nil {
 		return err
 	}
 	if permit == nil {
 		return errors.New("the handshake's own budget is used up")
 	}
-	began := time.Now()
+	start := time.Now()
 	raw, err := (&net.Dialer{}).DialContext(ctx, "tcp", c.Addr)
 	if err != nil {
 		permit.Release()
@@ -219,26 +198,24 @@
 	if err != nil {
 		return err
 	}
-	took := time.Since(began)
-	// A session of TLS 1.3 follows the handshake.
-	if err := conn.SetReadDeadline(time.Now().Add(200 * time.Millisecond)); err != nil {
+	took := time.Since(start)
+	if err := conn.SetReadDeadline(time.Now().Add(sessionTicketWait)); err != nil {
 		return err
 	}
-	_, _ = conn.Read(make([]byte, 1)) // there may be none
-	s := conn.ConnectionState()
-	out.line(
-		"%s handshake: %s, %s, resumed %v, %v", what, tls.VersionName(s.Version), tls.CipherSuiteName(s.CipherSuite),
-		s.DidResume, took.Round(10*time.Microsecond),
-	)
-	if what == "first" {
-		for i, x := range s.PeerCertificates {
-			showCertificate(out, fmt.Sprintf("shown %d", i+1), x, time.Now())
+	_, _ = conn.Read(make([]byte, 1)) // a partner need not send a ticket
+	state := conn.ConnectionState()
+	printf(out, "%s handshake: %s, %s, resumed %v, %v\n", ordinal, tls.VersionName(state.Version),
+		tls.CipherSuiteName(state.CipherSuite), state.DidResume, took.Round(10*time.Microsecond))
+	if ordinal == "first" {
+		for i, certificate := range state.PeerCertificates {
+			writeCertificate(out, fmt.Sprintf("shown %d", i+1), certificate, time.Now())
 		}
-		out.line("  staple        %d bytes", len(s.OCSPResponse))
+		printf(out, "  staple        %d bytes\n", len(state.OCSPResponse))
 	}
 	return conn.Close()
 }
 
+// tlsDevCA is "troutusher tls dev-ca".
 type tlsDevCA struct {
 	Dir   string   `arg:"" help:"A folder, which must not hold an authority yet." type:"path"`
 	Names []string `arg:"" optional:"" help:"Names of certificates to make, host names or addresses."`
@@ -246,50 +223,62 @@
 	Days  int      `help:"How long they are good for." default:"7"`
 }
 
+// authorityName is the name of the files of the authority itself.
+const authorityName = "root"
+
 // Run writes root.pem, and NAME.pem and NAME.key for each name.
-func (c *tlsDevCA) Run(out printer) error {
-	if c.Days < 1 || c.Days > 365 {
-		return errBad{fmt.Errorf("--days: %d, want 1 to 365", c.Days)}
-	}
-	for _, n := range c.Names {
-		if n == "" || strings.ContainsAny(n, "/\\\x00") || n == "root" || strings.HasPrefix(n, ".") {
-			return errBad{fmt.Errorf("name %q: want a host name or an address", n)}
-		}
+func (c *tlsDevCA) Run(out io.Writer) error {
+	if err := c.validate(); err != nil {
+		return usageError{err}
 	}
 	if err := os.MkdirAll(c.Dir, 0o700); err != nil {
 		return err
 	}
-	if _, err := os.Stat(filepath.Join(c.Dir, "root.pem")); err == nil {
-		return errBad{fmt.Errorf("%s: an authority is there already", c.Dir)}
+	if _, err := os.Stat(filepath.Join(c.Dir, authorityName+".pem")); err == nil {
+		return usageError{fmt.Errorf("%s: an authority is there already", c.Dir)}
 	}
-	valid := testca.WithValidity(time.Now().Add(-time.Hour), time.Now().Add(time.Duration(c.Days)*24*time.Hour))
+	validity := testca.WithValidity(time.Now().Add(-time.Hour), time.Now().Add(time.Duration(c.Days)*24*time.Hour))
 	key, err := testca.NewKey(testca.KeyKind(c.Key))
 	if err != nil {
-		return errBad{err}
+		return usageError{err}
 	}
-	root, err := testca.Issue(nil, "troutusher dev-ca", key, testca.AsAuthority, valid)
+	authority, err := testca.Issue(nil, "troutusher dev-ca", key, testca.AsAuthority, validity)
 	if err != nil {
 		return err
 	}
-	path, _, err := root.WriteFiles(c.Dir, "root", false)
+	path, _, err := authority.WriteFiles(c.Dir, authorityName, false)
 	if err != nil {
 		return err
 	}
-	out.line("%s: pin %s; its private key is not kept", path, tlspolicy.PinOf(root.Certificate))
+	printf(out, "%s: pin %s; its private key is not kept\n", path, tlspolicy.PinOf(authority.Certificate))
 	for _, name := range c.Names {
 		key, err := testca.NewKey(testca.KeyKind(c.Key))
 		if err != nil {
 			return err
 		}
-		m, err := testca.Issue(root, name, key, testca.WithNames(name), valid)
+		issued, err := testca.Issue(authority, name, key, testca.WithNames(name), validity)
 		if err != nil {
 			return err
 		}
-		cert, keyPath, err := m.WriteFiles(c.Dir, name, true)
+		certPath, keyPath, err := issued.WriteFiles(c.Dir, name, true)
 		if err != nil {
 			return err
 		}
-		out.line("%s, %s: pin %s", cert, keyPath, tlspolicy.PinOf(m.Certificate))
+		printf(out, "%s, %s: pin %s\n", certPath, keyPath, tlspolicy.PinOf(issued.Certificate))
+	}
+	return nil
+}
+
+// validate checks the arguments.
+func (c *tlsDevCA) validate() error {
+	if c.Days < 1 || c.Days > 365 {
+		return fmt.Errorf("--days: %d, want 1 to 365", c.Days)
+	}
+	for _, name := range c.Names {
+		if name == "" || strings.ContainsAny(name, "/\\\x00") || name == authorityName ||
+			strings.HasPrefix(name, ".") {
+			return fmt.Errorf("name %q: want a host name or an address", name)
+		}
 	}
 	return nil
 }
--- a/cmd/troutusher/main.go
+++ b/cmd/troutusher/main.go
@@ -25,7 +25,7 @@
 
 func main() {
 	if len(os.Args) > 1 {
-		os.Exit(handOver(os.Args[1:]))
+		os.Exit(execKit(os.Args[1:]))
 	}
 	// Caught from the start on: SIGHUP would end the process.
 	hup := make(chan os.Signal, 1)
