--- a/cmd/troutusher-kit/kit_test.go
+++ b/cmd/troutusher-kit/kit_test.go
@@ -77,22 +77,23 @@
 	return code, o.String(), e.String()
 }
 
+// Each subcommand ends with the exit code and the words that belong to its arguments.
 func TestUsage(t *testing.T) {
 	good := writeTempFile(t, "s.toml", strings.ReplaceAll(briefScenario, "%s", "0"))
 	bad := writeTempFile(t, "s.toml", strings.ReplaceAll(briefScenario, "%s", "7"))
-	rec := filepath.Join(t.TempDir(), "r")
-	s, err := scenario.Load(good)
+	recording := filepath.Join(t.TempDir(), "r")
+	played, err := scenario.Load(good)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if err := replay.Save(rec, s.Plan(1), replay.Environment{}); err != nil {
+	if err := replay.Save(recording, played.Plan(1), replay.Environment{}); err != nil {
 		t.Fatal(err)
 	}
-	text, err := os.ReadFile(rec)
+	text, err := os.ReadFile(recording)
 	if err != nil {
 		t.Fatal(err)
 	}
-	cut := writeTempFile(t, "cut", string(text[:len(text)/2]))
+	truncated := writeTempFile(t, "cut", string(text[:len(text)/2]))
 	newer := writeTempFile(t, "newer", strings.Replace(string(text), `"version":1`, `"version":7`, 1))
 	logs := filepath.Dir(writeTempFile(t, "n1.log", "time=2026-05-01T18:00:00Z level=INFO msg=ready log=none\n"+
 		"time=2026-05-01T18:00:01Z level=INFO msg=taken message=m1 left_ms=900\n"+
@@ -116,10 +117,10 @@
 		}}); err != nil {
 		t.Fatal(err)
 	}
-	for _, c := range []struct {
-		args []string
-		code int
-		says string
+	for _, test := range []struct {
+		args   []string
+		code   int
+		output string
 	}{
 		{[]string{"learned", "inspect", state}, 0, "relay n7, written 2026-05-01T18:00:00Z while it ran"},
 		{[]string{"learned", "inspect", filepath.Join(state, "learned")}, 0, "1 of 1  s-1 out for 2.0 s"},
@@ -150,23 +151,24 @@
 		{[]string{"rehearse", "calm", "--repeat", "0"}, 2, "--repeat 0, want 1 to 1000"},
 		{[]string{"rehearse", bad}, 2, "s.toml:4: floor: 7, want 0 to 1"},
 		{[]string{"rehearse", bad + ".toml"}, 2, "no such file"},
-		{[]string{"rehearse", "--replay", rec, "calm"}, 2, "as it is"},
-		{[]string{"rehearse", "--replay", cut}, 2, "cut: recording: line "},
+		{[]string{"rehearse", "--replay", recording, "calm"}, 2, "as it is"},
+		{[]string{"rehearse", "--replay", truncated}, 2, "cut: recording: line "},
 		{[]string{"rehearse", "--replay", newer}, 2, "newer release"},
-		{[]string{"rehearse", "--compare", rec, good}, 2, "report: "},
-		{[]string{"rehearse", "--record", filepath.Join(rec, "x"), good, "--relay", "x"}, 2, "recording: "},
-		{[]string{"rehearse", "--relay", filepath.Join(rec, "none"), good}, 1, "not a directory"},
+		{[]string{"rehearse", "--compare", recording, good}, 2, "report: "},
+		{[]string{"rehearse", "--record", filepath.Join(recording, "x"), good, "--relay", "x"}, 2, "recording: "},
+		{[]string{"rehearse", "--relay", filepath.Join(recording, "none"), good}, 1, "not a directory"},
 		{[]string{"put"}, 2, "is missing"},
 		{[]string{"put", "--to", "127.0.0.1:1", "--class", "a"}, 1, "refused"},
 	} {
-		code, out, errs := run(c.args...)
-		if code != c.code || !strings.Contains(out+errs, c.says) {
-			t.Errorf("%v: exit %d, want %d and %q:\n%s%s", c.args, code, c.code, c.says, out, errs)
+		code, out, errs := run(test.args...)
+		if code != test.code || !strings.Contains(out+errs, test.output) {
+			t.Errorf("%v: exit %d, want %d and %q:\n%s%s", test.args, code, test.code, test.output, out, errs)
 		}
 	}
 }
 
-// TestRehearseRecordReplayCompare goes the whole way with real relays.
+// A scenario is played with real relays and recorded, and the recording is replayed and
+// compared with the first report.
 func TestRehearseRecordReplayCompare(t *testing.T) {
 	t.Setenv(relayEnv, "1")
 	self, err := os.Executable()
@@ -248,9 +250,10 @@
 	return ""
 }
 
-// TestHoldAndPut starts a relay by hand, as the printed lines say.
+// A relay that is started by hand, as the printed lines say, serves a message that is handed
+// in as they say.
 func TestHoldAndPut(t *testing.T) {
-	x := rehearseFlags{relayProgram: "RELAY"}
+	flags := rehearseFlags{relayProgram: "RELAY"}
 	s, err := scenario.Load(filepath.Join("..", "..", "deploy", "example.toml"))
 	if err != nil {
 		t.Fatal(err)
@@ -258,36 +261,37 @@
 	ctx, cancel := context.WithCancel(t.Context())
 	var out syncBuffer
 	done := make(chan int)
-	go func() { done <- x.serveUntilInterrupted(ctx, s.Plan(s.Seed), &out, &out) }()
+	go func() { done <- flags.serveUntilInterrupted(ctx, s.Plan(s.Seed), &out, &out) }()
 	waitUntil(t, "the lines", func() bool { return out.contains("Interrupt to end.") })
 	config, _, _ := strings.Cut(out.lineAfter("ROUTER_CONFIG="), " ")
 	self, err := os.Executable()
 	if err != nil {
 		t.Fatal(err)
 	}
-	p, err := os.StartProcess(
-		self, []string{self},
-		&os.ProcAttr{
-			Env: append(os.Environ(), relayEnv+"=1", "ROUTER_CONFIG="+config), Files: []*os.File{nil, nil, os.Stderr},
-		},
-	)
+	relayProcess, err := os.StartProcess(self, []string{self}, &os.ProcAttr{
+		Env:   append(os.Environ(), relayEnv+"=1", "ROUTER_CONFIG="+config),
+		Files: []*os.File{nil, nil, os.Stderr},
+	})
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer func() { _ = p.Kill(); _, _ = p.Wait() }()
+	defer func() {
+		_ = relayProcess.Kill()
+		_, _ = relayProcess.Wait()
+	}()
 	args := strings.Fields(out.lineAfter("RELAY "))
 	var code int
-	var said string
-	waitUntil(t, "the relay", func() bool { code, said, _ = run(args...); return code == 0 })
-	id, answer, _ := strings.Cut(strings.TrimSpace(said), " ")
+	var output string
+	waitUntil(t, "the relay", func() bool { code, output, _ = run(args...); return code == 0 })
+	id, answer, _ := strings.Cut(strings.TrimSpace(output), " ")
 	if answer != "+OK" {
-		t.Errorf("answer %q", said)
+		t.Errorf("answer %q", output)
 	}
 	waitUntil(t, "the effect", func() bool { return out.contains("message " + id + ": took effect at ") })
 	waitUntil(t, "the answer", func() bool { return out.contains("answered 200") })
-	code, said, _ = run(append(args, "--dest", "99")...)
-	if code != 1 || !strings.Contains(said, "-ERR") {
-		t.Errorf("to a destination that there is not: exit %d, %s", code, said)
+	code, output, _ = run(append(args, "--dest", "99")...)
+	if code != 1 || !strings.Contains(output, "-ERR") {
+		t.Errorf("to an unknown destination: exit %d, %s", code, output)
 	}
 	cancel()
 	if code := <-done; code != 0 {
@@ -298,6 +302,7 @@
 	}
 }
 
+// waitUntil waits for a condition of another process.
 func waitUntil(t *testing.T, what string, cond func() bool) {
 	t.Helper()
 	for end := time.Now().Add(30 * time.Second); time.Now().Before(end); time.Sleep(2 * time.Millisecond) {
@@ -309,7 +314,7 @@
 }
 
 // The measurement of idle connections runs through on a real relay; its figures
-// are no matter here.
+// are not checked here.
 func TestCrowd(t *testing.T) {
 	t.Setenv(relayEnv, "1")
 	code, out, errs := run("crowd", "--idle", "0, 40", "--length", "300ms", "--clients", "2", "--relay", os.Args[0])
--- a/cmd/troutusher-kit/main.go
+++ b/cmd/troutusher-kit/main.go
@@ -1,6 +1,6 @@
-// Command troutusher-kit holds the tools that ship with the relay and must not
-// weigh on it: the relay's program hands its subcommands over to this one, which
-// lies beside it. Nothing of it is in the daemon.
+// Command troutusher-kit holds the tools that ship with the relay. The relay's program
+// replaces itself by this one, in the same folder, when it is started with arguments, so
+// that nothing of the tools is linked into the daemon.
 package main
 
 import (
--- a/cmd/troutusher-kit/members_test.go
+++ b/cmd/troutusher-kit/members_test.go
@@ -1,7 +1,6 @@
 package main
 
 import (
-	"bytes"
 	"encoding/json"
 	"os"
 	"path/filepath"
@@ -11,10 +10,10 @@
 	"troutusher/internal/membership"
 )
 
-// What a relay keeps is shown with who said what, under which name; a file that makes
-// no sense is an error.
+// What a relay keeps is shown with what each source says, under which id; a file that
+// cannot be read is an error.
 func TestMembersCommand(t *testing.T) {
-	v, err := membership.New(
+	view, err := membership.New(
 		membership.DefaultSettings(
 			membership.Source{Name: "etcd", StaleAfter: 1e6}, membership.Source{Name: "registry", StaleAfter: 1e6},
 		),
@@ -22,15 +21,15 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	at := func(id, phase string) []membership.Member {
+	members := func(id, phase string) []membership.Member {
 		return []membership.Member{{ID: id, HostPort: "127.0.0.1:7001", Dest: 3, Phase: phase}}
 	}
-	v.Apply(
+	view.Apply(
 		1,
-		&membership.Update{Source: 0, Epoch: "c.0", Revision: 9, Complete: true, Members: at("a", membership.Draining)},
+		&membership.Update{Source: 0, Epoch: "c.0", Revision: 9, Complete: true, Members: members("a", membership.Draining)},
 	)
-	v.Apply(1, &membership.Update{Source: 1, Epoch: "r", Revision: 41, Complete: true, Members: at("b", membership.Up)})
-	text, err := json.Marshal(v.Export(2))
+	view.Apply(1, &membership.Update{Source: 1, Epoch: "r", Revision: 41, Complete: true, Members: members("b", membership.Up)})
+	text, err := json.Marshal(view.Export(2))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -42,10 +41,10 @@
 	if err := os.WriteFile(broken, text[:len(text)/2], 0o600); err != nil {
 		t.Fatal(err)
 	}
-	for _, x := range []struct {
-		args []string
-		code int
-		says string
+	for _, test := range []struct {
+		args   []string
+		code   int
+		output string
 	}{
 		{[]string{"members", dir}, 0, "a   127.0.0.1:7001  3     draining  etcd  etcd draining@9, registry up@41 as b"},
 		{[]string{"members", "--json", filepath.Join(dir, "members")}, 0, `"by":"etcd"`},
@@ -53,10 +52,9 @@
 		{[]string{"members", dir + "/none"}, 1, "none"},
 		{[]string{"members"}, 2, "state"},
 	} {
-		var out, errs bytes.Buffer
-		if code := dispatch(x.args, &out, &errs); code != x.code ||
-			!strings.Contains(out.String()+errs.String(), x.says) {
-			t.Errorf("%v: exit %d, want %d: %s%s", x.args, code, x.code, out.String(), errs.String())
+		code, out, errs := run(test.args...)
+		if code != test.code || !strings.Contains(out+errs, test.output) {
+			t.Errorf("%v: exit %d, want %d: %s%s", test.args, code, test.code, out, errs)
 		}
 	}
 }
--- a/cmd/troutusher-kit/publish_test.go
+++ b/cmd/troutusher-kit/publish_test.go
@@ -1,26 +1,25 @@
 package main
 
 import (
-	"bytes"
 	"fmt"
 	"os"
 	"path/filepath"
 	"strings"
 	"testing"
 
-	standin "troutusher/internal/emulator/etcd"
+	"troutusher/internal/emulator/etcd"
 	"troutusher/internal/operatorconfig"
 )
 
-// An operator publishes a list, drains one endpoint and looks; what cannot be is an
-// exit code of its own.
+// An operator publishes a list, drains one endpoint and shows what is published; each kind
+// of failure has its exit code.
 func TestPublishCommand(t *testing.T) {
-	c, err := standin.NewCluster(2)
+	cluster, err := etcd.NewCluster(2)
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(c.Close)
-	c.StopMember(0) // the second member answers
+	t.Cleanup(cluster.Close)
+	cluster.StopMember(0) // the second member answers
 	dir := t.TempDir()
 	write := func(name, text string) string {
 		path := filepath.Join(dir, name)
@@ -40,13 +39,13 @@
 		operatorconfig.EnvVar,
 		write(
 			"operator.toml",
-			fmt.Sprintf("[etcd]\nendpoints = [\"%s\"]\nprefix = \"/t\"\n", strings.Join(c.Addresses(), `", "`)),
+			fmt.Sprintf("[etcd]\nendpoints = [\"%s\"]\nprefix = \"/t\"\n", strings.Join(cluster.Addresses(), `", "`)),
 		),
 	)
-	for _, x := range []struct {
-		args string
-		code int
-		says string
+	for _, test := range []struct {
+		args   string
+		code   int
+		output string
 	}{
 		{"publish list " + file, 0, "put     endpoints/a"},
 		{"publish list " + file, 0, "nothing to change"},
@@ -64,18 +63,16 @@
 		{"follow -h", 0, "prefix"},
 		{"follow --what", 2, "what"},
 	} {
-		var out, errs bytes.Buffer
-		code := dispatch(strings.Fields(x.args), &out, &errs)
-		if text := out.String() + errs.String(); code != x.code || !strings.Contains(text, x.says) {
-			t.Errorf("%s: exit %d, want %d: %s", x.args, code, x.code, text)
+		code, out, errs := run(strings.Fields(test.args)...)
+		if code != test.code || !strings.Contains(out+errs, test.output) {
+			t.Errorf("%s: exit %d, want %d: %s%s", test.args, code, test.code, out, errs)
 		}
 	}
 	t.Setenv(operatorconfig.EnvVar, "")
 	for _, args := range []string{"follow", "publish show"} {
-		var out, errs bytes.Buffer
-		if code := dispatch(strings.Fields(args), &out, &errs); code == 0 ||
-			!strings.Contains(errs.String(), operatorconfig.EnvVar) {
-			t.Errorf("%s without an operator's file: exit %d: %s", args, code, errs.String())
+		code, _, errs := run(strings.Fields(args)...)
+		if code == 0 || !strings.Contains(errs, operatorconfig.EnvVar) {
+			t.Errorf("%s without an operator's file: exit %d: %s", args, code, errs)
 		}
 	}
 }
--- a/cmd/troutusher/kit.go
+++ b/cmd/troutusher/kit.go
@@ -9,12 +9,12 @@
 	"syscall"
 )
 
-// kitProgram is the program with the tools. It lies beside this one: what the tools
-// are made of would weigh on every relay's memory otherwise.
+// kitProgram is the program with the tools, in the same folder as this one. They are not
+// part of this program, since their packages would take memory in every relay.
 const kitProgram = "troutusher-kit"
 
-// execKit has the kit carry out a subcommand in this process's place. It
-// returns an exit code only where that fails.
+// execKit replaces this process by the kit, which runs a subcommand. It returns, with an
+// exit code, only where that fails.
 func execKit(args []string) int {
 	self, err := os.Executable()
 	if err == nil {
--- a/cmd/troutusher/main.go
+++ b/cmd/troutusher/main.go
@@ -1,6 +1,7 @@
-// Command troutusher is a relay: it takes messages from clients and owes each
-// of them its end. What it is told stands in the environment and in the file
-// that ROUTER_CONFIG names. With an argument it is one of its tools instead.
+// Command troutusher is a relay: it accepts messages from clients and calls the
+// endpoints of their destinations until each is delivered or its sender is told
+// that it was not. Its settings are in the environment and in the file that
+// ROUTER_CONFIG names. With arguments it runs one of the tools of troutusher-kit.
 package main
 
 import (
@@ -27,7 +28,7 @@
 	if len(os.Args) > 1 {
 		os.Exit(execKit(os.Args[1:]))
 	}
-	// Caught from the start on: SIGHUP would end the process.
+	// SIGHUP is caught first of all, since it would end the process.
 	hup := make(chan os.Signal, 1)
 	signal.Notify(hup, syscall.SIGHUP)
 	log := slog.New(slog.NewTextHandler(os.Stderr, nil))
@@ -37,13 +38,19 @@
 		os.Exit(exitConfig)
 	}
 	runtime.GOMAXPROCS(max(1, int(math.Ceil(cfg.Limits.Cores))))
-	debug.SetMemoryLimit(int64(cfg.Limits.MemoryMB) << 20 / 10 * 7) // the rest is for files and stacks
+	debug.SetMemoryLimit(heapLimit(cfg.Limits.MemoryMB))
 	ctx, cancel := signal.NotifyContext(context.Background(), syscall.SIGTERM, syscall.SIGINT)
 	defer cancel()
-	re := relay.ReloadRequests{Signals: hup, Load: func() (*config.Config, error) { return config.Reload(os.Getenv) }}
-	err = relay.Run(cfg, log, ctx.Done(), re)
-	if err != nil {
+	reloads := relay.ReloadRequests{
+		Signals: hup,
+		Load:    func() (*config.Config, error) { return config.Reload(os.Getenv) },
+	}
+	if err := relay.Run(cfg, log, ctx.Done(), reloads); err != nil {
 		log.Error("ended", "err", err)
 		os.Exit(exitFailed)
 	}
 }
+
+// heapLimit is the part of a process's memory, in bytes, that the Go runtime may use. The
+// rest is for files and stacks.
+func heapLimit(memoryMB int) int64 { return int64(memoryMB) << 20 / 10 * 7 }
