--- a/cmd/troutusher-kit/members_test.go
+++ b/cmd/troutusher-kit/members_test.go
@@ -24,11 +24,12 @@
 	members := func(id, phase string) []membership.Member {
 		return []membership.Member{{ID: id, HostPort: "127.0.0.1:7001", Dest: 3, Phase: phase}}
 	}
-	view.Apply(
-		1,
-		&membership.Update{Source: 0, Epoch: "c.0", Revision: 9, Complete: true, Members: members("a", membership.Draining)},
-	)
-	view.Apply(1, &membership.Update{Source: 1, Epoch: "r", Revision: 41, Complete: true, Members: members("b", membership.Up)})
+	for _, update := range []*membership.Update{
+		{Source: 0, Epoch: "c.0", Revision: 9, Complete: true, Members: members("a", membership.Draining)},
+		{Source: 1, Epoch: "r", Revision: 41, Complete: true, Members: members("b", membership.Up)},
+	} {
+		view.Apply(1, update)
+	}
 	text, err := json.Marshal(view.Export(2))
 	if err != nil {
 		t.Fatal(err)
