--- a/internal/emulator/endpoint/h1/listener.go
+++ b/internal/emulator/endpoint/h1/listener.go
@@ -12,169 +12,216 @@
 	"troutusher/internal/emulator/loopback"
 )
 
-// relayListener is where one relay reaches one endpoint.
+const (
+	acceptRetryDelay   = 5 * time.Millisecond
+	reopenTimeout      = 2 * time.Second // for a port that was closed
+	reopenRetryDelay   = 2 * time.Millisecond
+	backlogDialTimeout = 150 * time.Millisecond
+	acceptingBacklog   = 128
+)
+
+// relayListener is where one relay reaches one endpoint. The server's mu guards it.
 type relayListener struct {
-	server          *Server
-	endpoint, relay int
-	port            int
-	listener        *net.TCPListener
-	state           endpoint.ListenerState
-	cond            *sync.Cond    // of s.mu: state changed
-	backlogConns    []net.Conn    // what keeps a silent listener's queue full
-	heldConns       []net.Conn    // accepted while silent
-	generation      int           // of state
-	backlogFull     chan struct{} // closed once the queue is full
+	server        *Server
+	endpointIndex int
+	relay         int
+	port          int
+	listener      *net.TCPListener // nil while it refuses connections
+	state         endpoint.ListenerState
+	stateChanged  *sync.Cond    // on the server's mu
+	generation    int           // counts changes of state
+	backlogConns  []net.Conn    // fill the backlog of an unresponsive listener
+	heldConns     []net.Conn    // accepted while unresponsive
+	backlogFull   chan struct{} // closed once the backlog is full
+}
+
+func newRelayListener(s *Server, endpointIndex, relay int) (*relayListener, error) {
+	listener, err := loopback.Listen(0)
+	if err != nil {
+		return nil, err
+	}
+	return &relayListener{
+		server:        s,
+		endpointIndex: endpointIndex,
+		relay:         relay,
+		port:          listener.Addr().(*net.TCPAddr).Port,
+		listener:      listener,
+		stateChanged:  sync.NewCond(&s.mu),
+	}, nil
 }
 
-// acceptLoop takes connections in until the listener is closed.
-func (d *relayListener) acceptLoop(ln *net.TCPListener) {
-	defer d.server.wg.Done()
+// close closes the listener for good. The caller holds mu.
+func (l *relayListener) close() {
+	l.generation++
+	if l.listener != nil {
+		_ = l.listener.Close()
+	}
+	for _, conn := range append(l.backlogConns, l.heldConns...) {
+		_ = conn.Close()
+	}
+	l.stateChanged.Broadcast()
+}
+
+// acceptLoop accepts connections until the listener is closed.
+func (l *relayListener) acceptLoop(listener *net.TCPListener) {
+	defer l.server.wg.Done()
 	for {
-		c, err := ln.AcceptTCP()
-		if err != nil {
-			if errors.Is(err, net.ErrClosed) || d.server.quit.Err() != nil {
-				return
-			}
-			select { // out of descriptors, or gone already
-			case <-time.After(5 * time.Millisecond):
-			case <-d.server.quit.Done():
-				return
-			}
+		conn, err := listener.AcceptTCP()
+		if err == nil {
+			l.handleConn(conn)
 			continue
 		}
-		d.server.mu.Lock()
-		if d.state == endpoint.Unresponsive {
-			d.heldConns = append(d.heldConns, c)
-			for d.state == endpoint.Unresponsive && d.server.quit.Err() == nil {
-				d.cond.Wait()
-			}
-			d.server.mu.Unlock()
-			continue
+		if errors.Is(err, net.ErrClosed) || l.server.quit.Err() != nil {
+			return
 		}
-		if d.state != endpoint.Accepting || d.server.quit.Err() != nil {
-			_ = c.SetLinger(0)
-			_ = c.Close()
-			d.server.mu.Unlock()
-			continue
+		select { // out of descriptors, or the connection has ended already
+		case <-time.After(acceptRetryDelay):
+		case <-l.server.quit.Done():
+			return
 		}
-		id := d.server.model.OpenConn(d.server.clock(), d.endpoint, d.relay)
-		l := &connection{Conn: c, tcp: c}
-		d.server.conns[id] = l
-		d.server.applyEffects()
-		d.server.mu.Unlock()
-		d.server.wg.Add(1)
-		go d.server.serve(id, d.endpoint, l)
 	}
 }
 
-// setState changes how a door meets new connections. The caller holds mu.
-func (d *relayListener) setState(state endpoint.ListenerState) {
-	was := d.state
-	d.state = state
-	d.generation++
-	if was == endpoint.Unresponsive {
-		for _, c := range d.backlogConns {
-			_ = c.Close()
+// handleConn serves an accepted connection, or treats it as the listener's state says.
+// While the listener is unresponsive it does not return.
+func (l *relayListener) handleConn(tcp *net.TCPConn) {
+	s := l.server
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if l.state == endpoint.Unresponsive {
+		l.heldConns = append(l.heldConns, tcp)
+		for l.state == endpoint.Unresponsive && s.quit.Err() == nil {
+			l.stateChanged.Wait()
 		}
-		for _, c := range d.heldConns {
-			_ = c.(*net.TCPConn).SetLinger(0)
-			_ = c.Close()
-		}
-		d.backlogConns, d.heldConns = nil, nil
-		d.setBacklog(128)
-		d.cond.Broadcast()
+		return
+	}
+	if l.state != endpoint.Accepting || s.quit.Err() != nil {
+		_ = tcp.SetLinger(0)
+		_ = tcp.Close()
+		return
+	}
+	id := s.model.OpenConn(s.clock(), l.endpointIndex, l.relay)
+	conn := &connection{Conn: tcp, tcp: tcp}
+	s.conns[id] = conn
+	s.applyEffects()
+	s.wg.Add(1)
+	go s.serve(id, l.endpointIndex, conn)
+}
+
+// setState changes how new connections are treated. The caller holds mu.
+func (l *relayListener) setState(state endpoint.ListenerState) {
+	previous := l.state
+	l.state = state
+	l.generation++
+	if previous == endpoint.Unresponsive {
+		l.endUnresponsive()
 	}
 	switch state {
 	case endpoint.Refusing:
-		if d.listener != nil {
-			_ = d.listener.Close()
-			d.listener = nil
+		if l.listener != nil {
+			_ = l.listener.Close()
+			l.listener = nil
 		}
 	case endpoint.Accepting, endpoint.Unresponsive:
-		if d.listener == nil {
-			d.reopen()
+		if l.listener == nil {
+			l.reopen()
 		}
-		if state == endpoint.Unresponsive && d.listener != nil {
-			d.setBacklog(0)
-			d.backlogFull = make(chan struct{})
-			d.server.wg.Add(1)
-			go d.fillBacklog(d.generation, d.listener.Addr().String(), d.backlogFull)
+		if state == endpoint.Unresponsive && l.listener != nil {
+			l.setBacklog(0)
+			l.backlogFull = make(chan struct{})
+			l.server.wg.Add(1)
+			go l.fillBacklog(l.generation, l.listener.Addr().String(), l.backlogFull)
 		}
 	}
 }
 
-// reopen opens a door again. The caller holds mu.
-func (d *relayListener) reopen() {
-	end := time.Now().Add(reopenTimeout)
+// endUnresponsive drops the connections that came while the listener was
+// unresponsive, and has it accept again. The caller holds mu.
+func (l *relayListener) endUnresponsive() {
+	for _, conn := range l.backlogConns {
+		_ = conn.Close()
+	}
+	for _, conn := range l.heldConns {
+		_ = conn.(*net.TCPConn).SetLinger(0)
+		_ = conn.Close()
+	}
+	l.backlogConns, l.heldConns = nil, nil
+	l.setBacklog(acceptingBacklog)
+	l.stateChanged.Broadcast()
+}
+
+// reopen listens at the same port again. The caller holds mu.
+func (l *relayListener) reopen() {
+	deadline := time.Now().Add(reopenTimeout)
 	for {
-		ln, err := loopback.Listen(d.port)
+		listener, err := loopback.Listen(l.port)
 		if err == nil {
-			d.listener = ln
-			d.server.wg.Add(1)
-			go d.acceptLoop(ln)
+			l.listener = listener
+			l.server.wg.Add(1)
+			go l.acceptLoop(listener)
 			return
 		}
-		if time.Now().After(end) {
-			d.server.err = errors.Join(
-				d.server.err,
-				fmt.Errorf("stand-in endpoint %d: open again: %w", d.endpoint, err),
-			)
+		if time.Now().After(deadline) {
+			err = fmt.Errorf("stand-in endpoint %d: open again: %w", l.endpointIndex, err)
+			l.server.err = errors.Join(l.server.err, err)
 			return
 		}
-		time.Sleep(2 * time.Millisecond)
+		time.Sleep(reopenRetryDelay)
 	}
 }
 
-// setBacklog sets how many connections may come up before they are accepted.
-func (d *relayListener) setBacklog(n int) {
-	if d.listener == nil {
+// setBacklog sets how many connections may wait to be accepted. The caller holds mu.
+func (l *relayListener) setBacklog(length int) {
+	if l.listener == nil {
 		return
 	}
-	if raw, err := d.listener.SyscallConn(); err == nil {
+	if raw, err := l.listener.SyscallConn(); err == nil {
 		// It fails on a closed listener alone, which has no backlog.
-		_ = raw.Control(func(fd uintptr) { err = syscall.Listen(int(fd), n) })
-		d.server.err = errors.Join(d.server.err, err)
+		_ = raw.Control(func(descriptor uintptr) { err = syscall.Listen(int(descriptor), length) })
+		l.server.err = errors.Join(l.server.err, err)
 	}
 }
 
-// fillBacklog fills the queue of a silent listener, so that further connections
-// never come up, as at a machine that has vanished.
-func (d *relayListener) fillBacklog(gen int, addr string, filled chan struct{}) {
-	defer d.server.wg.Done()
-	defer close(filled)
-	dial := net.Dialer{Timeout: backlogDialTimeout}
-	for d.server.quit.Err() == nil {
-		// The goroutine that accepts takes one more: what was dialled before
-		// that says nothing of the queue.
-		d.server.mu.Lock()
-		settled := len(d.heldConns) > 0
-		d.server.mu.Unlock()
-		c, err := dial.DialContext(d.server.quit, "tcp4", addr)
-		if err != nil && settled {
+// fillBacklog fills the backlog of an unresponsive listener, so that further
+// connections are never established, as at a machine that cannot be reached.
+func (l *relayListener) fillBacklog(generation int, addr string, full chan struct{}) {
+	s := l.server
+	defer s.wg.Done()
+	defer close(full)
+	dialer := net.Dialer{Timeout: backlogDialTimeout}
+	for s.quit.Err() == nil {
+		// The accept loop takes one connection more: what was dialled before that
+		// says nothing of the backlog.
+		s.mu.Lock()
+		acceptLoopWaits := len(l.heldConns) > 0
+		s.mu.Unlock()
+		conn, err := dialer.DialContext(s.quit, "tcp4", addr)
+		if err != nil && acceptLoopWaits {
 			return
 		}
 		if err != nil {
 			continue
 		}
-		d.server.mu.Lock()
-		if d.generation != gen {
-			d.server.mu.Unlock()
-			_ = c.Close()
+		s.mu.Lock()
+		if l.generation != generation {
+			s.mu.Unlock()
+			_ = conn.Close()
 			return
 		}
-		d.backlogConns = append(d.backlogConns, c)
-		d.server.mu.Unlock()
+		l.backlogConns = append(l.backlogConns, conn)
+		s.mu.Unlock()
 	}
 }
 
-// AwaitUnresponsive waits until no new connection comes up at a silent endpoint.
-func (s *Server) AwaitUnresponsive(ep int) {
-	for _, d := range s.listeners[ep] {
+// AwaitUnresponsive waits until no new connection is established at an unresponsive
+// endpoint.
+func (s *Server) AwaitUnresponsive(endpointIndex int) {
+	for _, l := range s.listeners[endpointIndex] {
 		s.mu.Lock()
-		filled := d.backlogFull
+		full := l.backlogFull
 		s.mu.Unlock()
-		if filled != nil {
-			<-filled
+		if full != nil {
+			<-full
 		}
 	}
 }
--- a/internal/emulator/endpoint/h1/server_test.go
+++ b/internal/emulator/endpoint/h1/server_test.go
@@ -2,11 +2,9 @@
 
 import (
 	"bufio"
-	"context"
 	"errors"
 	"fmt"
 	"io"
-	"math"
 	"net"
 	"net/http"
 	"os"
@@ -24,60 +22,65 @@
 
 const ms, sec endpoint.Time = 1000, 1_000_000
 
+// harness runs a server and keeps the events of its model.
 type harness struct {
-	t           testing.TB
-	server      *Server
-	began       time.Time
-	mu          sync.Mutex
-	effectsOf   map[string]int
-	events      []event.Event
-	destination int
+	t         testing.TB
+	server    *Server
+	began     time.Time
+	mu        sync.Mutex
+	effectsOf map[string]int // by message
+	events    []event.Event
 }
 
-// newHarness opens stand-ins for the specs; messages named m... are known.
+// newHarness serves endpoints for the specifications. Messages with IDs that begin
+// with m are known.
 func newHarness(t testing.TB, specs ...endpoint.Spec) *harness {
 	t.Helper()
-	r := &harness{t: t, began: time.Now(), effectsOf: map[string]int{}, destination: 1}
-	var num atomic.Int64
-	w, err := endpoint.New(specs, endpoint.Rules{Relays: 2}, 5, func(id string) (endpoint.Message, bool) {
-		return endpoint.Message{Number: int(num.Add(1)), Destination: r.destination}, strings.HasPrefix(id, "m")
-	}, func(e event.Event) {
-		r.mu.Lock()
-		defer r.mu.Unlock()
-		if e.Kind == event.Ran {
-			r.effectsOf[e.ID]++
-		}
-		r.events = append(r.events, e)
-	})
+	h := &harness{t: t, began: time.Now(), effectsOf: map[string]int{}}
+	var lastNumber atomic.Int64
+	lookup := func(id string) (endpoint.Message, bool) {
+		return endpoint.Message{Number: int(lastNumber.Add(1)), Destination: 1}, strings.HasPrefix(id, "m")
+	}
+	model, err := endpoint.New(specs, endpoint.Rules{Relays: 2}, 5, lookup, h.record)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if r.server, err = New(w, 2, func() endpoint.Time { return time.Since(r.began).Microseconds() }); err != nil {
+	clock := func() endpoint.Time { return time.Since(h.began).Microseconds() }
+	if h.server, err = New(model, 2, clock); err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(r.server.Close)
-	return r
+	t.Cleanup(h.server.Close)
+	return h
+}
+
+func (h *harness) record(e event.Event) {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	if e.Kind == event.Ran {
+		h.effectsOf[e.ID]++
+	}
+	h.events = append(h.events, e)
 }
 
-func (r *harness) injectFault(f *endpoint.Fault) {
-	r.server.Update(func(w *endpoint.Model, now endpoint.Time) { w.InjectFault(now, 0, f) })
+func (h *harness) injectFault(f *endpoint.Fault) {
+	h.server.Update(func(m *endpoint.Model, now endpoint.Time) { m.InjectFault(now, 0, f) })
 }
 
-func (r *harness) clearFault(f *endpoint.Fault) {
-	r.server.Update(func(w *endpoint.Model, now endpoint.Time) { w.ClearFault(now, 0, f) })
+func (h *harness) clearFault(f *endpoint.Fault) {
+	h.server.Update(func(m *endpoint.Model, now endpoint.Time) { m.ClearFault(now, 0, f) })
 }
 
-func (r *harness) waitFor(what string, cond func() bool) {
-	r.t.Helper()
+func (h *harness) waitFor(what string, cond func() bool) {
+	h.t.Helper()
 	for end := time.Now().Add(20 * time.Second); time.Now().Before(end); time.Sleep(time.Millisecond) {
-		r.mu.Lock()
+		h.mu.Lock()
 		ok := cond()
-		r.mu.Unlock()
+		h.mu.Unlock()
 		if ok {
 			return
 		}
 	}
-	r.t.Fatalf("never came: %s", what)
+	h.t.Fatalf("never came: %s", what)
 }
 
 func plainSpec() endpoint.Spec {
@@ -90,38 +93,35 @@
 		ServiceTimes: []endpoint.ServiceTime{
 			{Mean: 5 * ms, Distribution: seededrand.Constant},
 		},
-		ClassMix: []float64{
-			1,
-		},
+		ClassMix:    []float64{1},
 		RateLimit:   endpoint.RateLimit{Kind: endpoint.NoLimit},
 		WarmUpShare: 1,
 		Cancel:      endpoint.CancelNone,
 	}
 }
 
-type conn struct {
+// client is a relay's connection.
+type client struct {
 	net.Conn
 	reader *bufio.Reader
 }
 
-func (r *harness) dial() *conn {
-	r.t.Helper()
-	c, err := net.Dial("tcp", r.server.Addr(0, 0))
+func (h *harness) dial() *client {
+	h.t.Helper()
+	conn, err := net.Dial("tcp", h.server.Addr(0, 0))
 	if err != nil {
-		r.t.Fatal(err)
+		h.t.Fatal(err)
 	}
-	r.t.Cleanup(func() { _ = c.Close() })
-	return &conn{c, bufio.NewReader(c)}
+	h.t.Cleanup(func() { _ = conn.Close() })
+	return &client{conn, bufio.NewReader(conn)}
 }
 
-func (c *conn) sendCall(id string) {
+func (c *client) sendCall(id string) {
 	_, _ = fmt.Fprintf(c, "POST /v1/messages HTTP/1.1\r\nX-Request-ID: %s\r\nX-Timeout-Ms: 100\r\n"+
-		"Content-Length: 4\r\n"+
-		"\r\nbody",
-		id)
+		"Content-Length: 4\r\n\r\nbody", id)
 }
 
-func (c *conn) readResponse(wait time.Duration) (*http.Response, error) {
+func (c *client) readResponse(wait time.Duration) (*http.Response, error) {
 	_ = c.SetReadDeadline(time.Now().Add(wait))
 	resp, err := http.ReadResponse(c.reader, nil)
 	if err == nil {
@@ -130,13 +130,22 @@
 	return resp, err
 }
 
+// expectStatus reads a response and fails the test where its status is another one.
+func (h *harness) expectStatus(c *client, what string, want int) {
+	h.t.Helper()
+	resp, err := c.readResponse(5 * time.Second)
+	if err != nil || resp.StatusCode != want {
+		h.t.Fatalf("%s: %v, %v, want status %d", what, resp, err, want)
+	}
+}
+
 func TestResponses(t *testing.T) {
-	r := newHarness(t, plainSpec())
-	c := r.dial()
-	for _, x := range []struct {
-		fault  *endpoint.Fault
-		status int
-		wait   string
+	h := newHarness(t, plainSpec())
+	c := h.dial()
+	for _, test := range []struct {
+		fault      *endpoint.Fault
+		status     int
+		retryAfter string
 	}{
 		{nil, 200, ""},
 		{&endpoint.Fault{Kind: endpoint.RejectAll}, 503, ""},
@@ -144,101 +153,91 @@
 		{&endpoint.Fault{Kind: endpoint.ErrorResponses, Share: 1}, 500, ""},
 		{nil, 200, ""},
 	} {
-		if x.fault != nil {
-			r.injectFault(x.fault)
+		if test.fault != nil {
+			h.injectFault(test.fault)
 		}
 		c.sendCall("m1")
 		resp, err := c.readResponse(5 * time.Second)
-		if err != nil || resp.StatusCode != x.status || resp.Header.Get("Retry-After") != x.wait {
-			t.Fatalf("%+v: %v, %v", x.fault, resp, err)
+		if err != nil || resp.StatusCode != test.status || resp.Header.Get("Retry-After") != test.retryAfter {
+			t.Fatalf("%+v: %v, %v", test.fault, resp, err)
 		}
-		if x.fault != nil {
-			r.clearFault(x.fault)
+		if test.fault != nil {
+			h.clearFault(test.fault)
 		}
 	}
 	c.sendCall("unknown")
-	if resp, err := c.readResponse(5 * time.Second); err != nil || resp.StatusCode != 400 {
-		t.Errorf("a message that nobody handed in: %v, %v", resp, err)
-	}
+	h.expectStatus(c, "an unknown message", 400)
 	_, _ = io.WriteString(c, "GET /health/live HTTP/1.1\r\n\r\n")
-	if resp, err := c.readResponse(5 * time.Second); err != nil || resp.StatusCode != 200 {
-		t.Errorf("probe: %v, %v", resp, err)
-	}
+	h.expectStatus(c, "health check", 200)
 	_, _ = io.WriteString(c, "GET /stats HTTP/1.1\r\n\r\n")
-	if resp, err := c.readResponse(5 * time.Second); err != nil || resp.StatusCode != 404 {
-		t.Errorf("a path that there is not: %v, %v", resp, err)
-	}
+	h.expectStatus(c, "an unknown path", 404)
 }
 
 func TestCrashRefusesAndComesBackAtItsAddress(t *testing.T) {
-	r := newHarness(t, plainSpec())
-	c := r.dial()
+	h := newHarness(t, plainSpec())
+	c := h.dial()
 	f := &endpoint.Fault{Kind: endpoint.Crash}
 	for range 3 {
-		r.injectFault(f)
+		h.injectFault(f)
 		if _, err := c.readResponse(5 * time.Second); !errors.Is(err, syscall.ECONNRESET) {
 			t.Fatalf("an open connection: %v", err)
 		}
-		if _, err := net.Dial("tcp", r.server.Addr(0, 0)); !errors.Is(err, syscall.ECONNREFUSED) {
+		if _, err := net.Dial("tcp", h.server.Addr(0, 0)); !errors.Is(err, syscall.ECONNREFUSED) {
 			t.Fatalf("a new connection: %v", err)
 		}
-		r.clearFault(f)
-		c = r.dial()
+		h.clearFault(f)
+		c = h.dial()
 		c.sendCall("m1")
-		if resp, err := c.readResponse(5 * time.Second); err != nil || resp.StatusCode != 200 {
-			t.Fatalf("once it is back: %v, %v", resp, err)
-		}
+		h.expectStatus(c, "after the recovery", 200)
 	}
 }
 
 func TestBlackholedMachineIsUnresponsive(t *testing.T) {
-	r := newHarness(t, plainSpec())
-	c := r.dial()
+	h := newHarness(t, plainSpec())
+	c := h.dial()
 	c.sendCall("m1")
 	_, _ = c.readResponse(5 * time.Second)
 	f := &endpoint.Fault{Kind: endpoint.Blackhole}
-	r.injectFault(f)
-	r.server.AwaitUnresponsive(0)
+	h.injectFault(f)
+	h.server.AwaitUnresponsive(0)
 	c.sendCall("m2")
 	if _, err := c.readResponse(200 * time.Millisecond); !errors.Is(err, os.ErrDeadlineExceeded) {
 		t.Fatalf("an open connection: %v", err)
 	}
-	if x, err := net.DialTimeout("tcp", r.server.Addr(0, 0), 200*time.Millisecond); err == nil {
-		_ = x.Close()
-		t.Error("a new connection came up")
+	if conn, err := net.DialTimeout("tcp", h.server.Addr(0, 0), 200*time.Millisecond); err == nil {
+		_ = conn.Close()
+		t.Error("a new connection was established")
 	}
-	r.clearFault(f)
+	h.clearFault(f)
 	if _, err := c.readResponse(5 * time.Second); !errors.Is(err, syscall.ECONNRESET) {
-		t.Errorf("once it is back: %v", err)
+		t.Errorf("after the recovery: %v", err)
 	}
-	c = r.dial()
+	c = h.dial()
 	c.sendCall("m3")
-	if resp, err := c.readResponse(5 * time.Second); err != nil || resp.StatusCode != 200 {
-		t.Errorf("a new one then: %v, %v", resp, err)
-	}
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	if r.effectsOf["m2"] != 0 || r.effectsOf["m3"] != 1 {
-		t.Errorf("ran: %v", r.effectsOf)
+	h.expectStatus(c, "a new connection then", 200)
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	if h.effectsOf["m2"] != 0 || h.effectsOf["m3"] != 1 {
+		t.Errorf("effects: %v", h.effectsOf)
 	}
 }
 
 func TestCallRunsOnAfterItsCallerLeft(t *testing.T) {
 	s := plainSpec()
 	s.Capacity, s.ServiceTimes[0].Mean = 10, 100*ms
-	r := newHarness(t, s)
-	c := r.dial()
+	h := newHarness(t, s)
+	c := h.dial()
 	c.sendCall("m1")
-	r.waitFor("the call", func() bool { return len(r.events) > 1 })
+	h.waitFor("the call", func() bool { return len(h.events) > 1 })
 	_ = c.Close()
-	r.waitFor(
+	h.waitFor(
 		"its effect and its end",
-		func() bool { return r.effectsOf["m1"] == 1 && r.events[len(r.events)-1].Kind == event.CallOver },
+		func() bool { return h.effectsOf["m1"] == 1 && h.events[len(h.events)-1].Kind == event.CallOver },
 	)
-	r.mu.Lock()
-	defer r.mu.Unlock()
+	h.mu.Lock()
+	defer h.mu.Unlock()
 	order := ""
-	for _, e := range r.events {
+	for _, e := range h.events {
 		order += e.Kind.String() + "; "
 	}
 	if want := "call's first byte; call; call's end; ran; call over; "; order != want {
@@ -247,192 +246,80 @@
 }
 
 func TestResetAfterTheLastByteRunsOn(t *testing.T) {
-	r := newHarness(t, plainSpec())
-	r.injectFault(&endpoint.Fault{Kind: endpoint.ConnectionReset, Share: 1})
-	c := r.dial()
+	h := newHarness(t, plainSpec())
+	h.injectFault(&endpoint.Fault{Kind: endpoint.ConnectionReset, Share: 1})
+	c := h.dial()
 	c.sendCall("m1")
 	if _, err := c.readResponse(5 * time.Second); !errors.Is(err, syscall.ECONNRESET) {
 		t.Errorf("read: %v", err)
 	}
-	r.waitFor("its effect", func() bool { return r.effectsOf["m1"] == 1 })
+	h.waitFor("its effect", func() bool { return h.effectsOf["m1"] == 1 })
 }
 
 func TestLateResponseComesAfterTheCallersTimeout(t *testing.T) {
-	r := newHarness(t, plainSpec())
-	r.injectFault(&endpoint.Fault{Kind: endpoint.LateResponse, Share: 1, Magnitude: 0.05})
-	c := r.dial()
+	h := newHarness(t, plainSpec())
+	h.injectFault(&endpoint.Fault{Kind: endpoint.LateResponse, Share: 1, Magnitude: 0.05})
+	c := h.dial()
 	at := time.Now()
 	c.sendCall("m1")
 	resp, err := c.readResponse(5 * time.Second)
 	if took := time.Since(at); err != nil || resp.StatusCode != 200 || took < 150*time.Millisecond {
-		t.Errorf("%v, %v after %v; the limit is 100 ms and 50 are on top", resp, err, took)
+		t.Errorf("%v, %v after %v; the timeout is 100 ms and 50 come on top", resp, err, took)
 	}
 }
 
 func TestMalformedResponses(t *testing.T) {
-	r := newHarness(t, plainSpec())
-	for _, form := range []endpoint.ResponseDefect{
+	h := newHarness(t, plainSpec())
+	for _, defect := range []endpoint.ResponseDefect{
 		endpoint.GarbageBytes, endpoint.EndlessHeader, endpoint.WrongLength, endpoint.DuplicateResponse,
 	} {
-		f := &endpoint.Fault{Kind: endpoint.MalformedResponse, Share: 1, Defect: form}
-		r.injectFault(f)
-		c := r.dial()
-		c.sendCall("m-" + string(form))
+		f := &endpoint.Fault{Kind: endpoint.MalformedResponse, Share: 1, Defect: defect}
+		h.injectFault(f)
+		c := h.dial()
+		c.sendCall("m-" + string(defect))
 		resp, err := c.readResponse(300 * time.Millisecond)
-		if form == endpoint.DuplicateResponse {
+		if defect == endpoint.DuplicateResponse {
 			if err != nil || resp.StatusCode != 200 {
-				t.Errorf("%s: %v, %v", form, resp, err)
+				t.Errorf("%s: %v, %v", defect, resp, err)
 			}
 			if again, err := c.readResponse(5 * time.Second); err != nil || again.StatusCode != 200 {
-				t.Errorf("%s: the second: %v, %v", form, again, err)
+				t.Errorf("%s: the second: %v, %v", defect, again, err)
 			}
 		} else if err == nil {
-			t.Errorf("%s: read as %v", form, resp)
+			t.Errorf("%s: read as %v", defect, resp)
 		}
-		r.clearFault(f)
-		r.waitFor("its effect", func() bool { return r.effectsOf["m-"+string(form)] == 1 })
+		h.clearFault(f)
+		h.waitFor("its effect", func() bool { return h.effectsOf["m-"+string(defect)] == 1 })
 		_ = c.Close()
 	}
 }
 
 func TestInvalidRequestsEndAConnectionAndNothingElse(t *testing.T) {
-	r := newHarness(t, plainSpec())
+	h := newHarness(t, plainSpec())
 	for _, text := range []string{
 		"\x00\xff\x00\r\n\r\n", "POST /v1/messages HTTP/1.1\r\nContent-Length: 999999999\r\n\r\n",
 		"POST /v1/messages HTTP/1.1\r\nContent-Length: -4\r\n\r\n", "POST /v1/messages HTTP/1.1\r\n" +
 			"Transfer-Encoding: chunked\r\n\r\n",
 		"GET / HTTP/1.1\r\nX: " + strings.Repeat("x", 64<<10),
 	} {
-		c := r.dial()
+		c := h.dial()
 		_, _ = io.WriteString(c, text)
 		c.CloseWrite()
 		if resp, err := c.readResponse(5 * time.Second); err == nil && resp.StatusCode != 400 {
 			t.Errorf("%.40q: %v", text, resp)
 		}
 	}
-	c := r.dial()
+	c := h.dial()
 	c.sendCall("m1")
 	c.sendCall("m2") // before the first is answered
 	if _, err := c.readResponse(5 * time.Second); err == nil {
 		if _, err = c.readResponse(5 * time.Second); err == nil {
-			t.Error("two calls at a time on one connection")
+			t.Error("two calls at once on one connection")
 		}
 	}
-	c = r.dial()
+	c = h.dial()
 	c.sendCall("m3")
-	if resp, err := c.readResponse(5 * time.Second); err != nil || resp.StatusCode != 200 {
-		t.Errorf("afterwards: %v, %v", resp, err)
-	}
+	h.expectStatus(c, "afterwards", 200)
 }
 
-func (c *conn) CloseWrite() { _ = c.Conn.(*net.TCPConn).CloseWrite() }
-
-// measureLoad keeps a number of calls out at once for a span from an instant on, and
-// returns how many were delivered each second.
-func (r *harness) measureLoad(ctx context.Context, ep, callers int, began time.Time, span time.Duration) []float64 {
-	var mu sync.Mutex
-	per := make([]float64, int(span/time.Second)+2)
-	var wg sync.WaitGroup
-	for i := range callers {
-		wg.Add(1)
-		go func() {
-			defer wg.Done()
-			c, err := net.Dial("tcp", r.server.Addr(ep, 0))
-			if err != nil {
-				return
-			}
-			defer func() { _ = c.Close() }()
-			x := &conn{c, bufio.NewReader(c)}
-			<-time.After(time.Until(began))
-			for n := 0; time.Since(began) < span && ctx.Err() == nil; n++ {
-				x.sendCall(fmt.Sprintf("m%d-%d", i, n))
-				resp, err := x.readResponse(10 * time.Second)
-				if err != nil {
-					return
-				}
-				at := time.Since(began)
-				if resp.StatusCode == 200 && at < span {
-					mu.Lock()
-					per[int(at/time.Second)]++
-					mu.Unlock()
-				} else if resp.StatusCode != 200 {
-					select { // a caller that is turned away comes again soon
-					case <-time.After(2 * time.Millisecond):
-					case <-ctx.Done():
-					}
-				}
-			}
-		}()
-	}
-	wg.Wait()
-	return per
-}
-
-// TestMeasuredRatesOverSockets measures the stand-ins' figures over sockets, with no relay: each
-// within 3%.
-func TestMeasuredRatesOverSockets(t *testing.T) {
-	if testing.Short() {
-		t.Skip("takes seconds")
-	}
-	capacity := plainSpec()
-	capacity.Capacity = 400
-	rate := plainSpec()
-	rate.Destination, rate.RateLimit = 2, endpoint.RateLimit{Kind: endpoint.TokenBucket, PerSecond: 150, Burst: 8}
-	window := plainSpec()
-	window.Destination, window.RateLimit = 3, endpoint.RateLimit{
-		Kind:      endpoint.FixedWindow,
-		PerSecond: 120,
-		Window:    sec / 2,
-	}
-	cold := plainSpec()
-	cold.Destination, cold.Capacity, cold.WarmUpShare, cold.WarmUpTime = 4, 400, 0.25, 4*sec
-	cold.OverloadWindow, cold.OverloadFactor = 2*sec, 1e6
-	r := newHarness(t, capacity, rate, window, cold)
-	f := &endpoint.Fault{Kind: endpoint.RejectAll}
-	r.server.Update(func(w *endpoint.Model, now endpoint.Time) { w.InjectFault(now, 3, f) })
-	const span = 5 * time.Second
-	// The windows of a limit are counted on the stand-ins' clock, so the span
-	// begins and ends with one: else it holds a part of an eleventh, as large as
-	// the callers came late.
-	began := r.began.Add((time.Since(r.began)/time.Second + 1) * time.Second)
-	// Enough wait in the queues of those that are measured by what they can do
-	// to bridge a moment in which this machine does other things.
-	callers := []int{60, 6, 6, 60}
-	type figure struct{ all, wanted float64 }
-	figures := make([]figure, len(callers))
-	var wg sync.WaitGroup
-	for ep, want := range [][]float64{
-		{400, 400, 400, 400, 400},
-		{150, 150, 150, 150, 150},
-		{120, 120, 120, 120, 120},
-		{400 * 0.34375, 400 * 0.53125, 400 * 0.71875, 400 * 0.90625, 400},
-	} {
-		wg.Add(1)
-		go func() {
-			defer wg.Done()
-			got := r.measureLoad(t.Context(), ep, callers[ep], began, span)
-			all, wanted := 0.0, 0.0
-			for i := range want {
-				all, wanted = all+got[i], wanted+want[i]
-			}
-			t.Logf("endpoint %d: %.0f a second, %.0f in all, want %.0f", ep, got[:len(want)], all, wanted)
-			figures[ep] = figure{all, wanted}
-		}()
-	}
-	<-time.After(time.Until(began))
-	r.server.Update(func(w *endpoint.Model, now endpoint.Time) { w.ClearFault(now, 3, f) })
-	wg.Wait()
-	late, err := r.server.TimerLag(99)
-	if err != nil {
-		t.Error(err)
-	}
-	t.Logf("the agenda was %d µs late at the 99th percentile", late)
-	if late > 50*ms { // as a rehearsal would be
-		t.Skip("void: this machine is too busy to measure on; the model's own tests hold in virtual time")
-	}
-	for ep, x := range figures {
-		if math.Abs(x.all/x.wanted-1) > 0.03 {
-			t.Errorf("endpoint %d: %.0f calls, want %.0f within 3%%", ep, x.all, x.wanted)
-		}
-	}
-}
+func (c *client) CloseWrite() { _ = c.Conn.(*net.TCPConn).CloseWrite() }
--- a/internal/emulator/endpoint/h1/tls.go
+++ b/internal/emulator/endpoint/h1/tls.go
@@ -7,54 +7,61 @@
 	"troutusher/internal/emulator/endpoint"
 )
 
-// TLSIdentity is what an endpoint shows of itself over TLS, from a moment on.
+const handshakeTimeout = 10 * time.Second
+
+// TLSIdentity is how an endpoint presents itself over TLS.
 type TLSIdentity struct {
 	Config         *tls.Config
 	HandshakeDelay time.Duration // what a handshake takes longer
 	ResetHandshake bool          // connections are reset in the middle of the handshake
-	Trusted        bool          // its proof is one to accept
+	Trusted        bool          // a relay is to accept it
 }
 
-// EnableTLS has endpoints speak TLS where show gives something to show. It is called
+// EnableTLS has endpoints speak TLS where identity returns one. It must be called
 // before the first connection.
-func (s *Server) EnableTLS(show func(ep int) *TLSIdentity) { s.identity = show }
-
-const handshakeTimeout = 10 * time.Second
+func (s *Server) EnableTLS(identity func(endpointIndex int) *TLSIdentity) { s.identity = identity }
 
-// handshake makes the handshake of a connection; false where none came about.
-func (s *Server) handshake(id endpoint.ConnID, ep int, l *connection) bool {
+// handshake does the TLS handshake of a connection, where its endpoint speaks TLS. It
+// reports whether requests can be read.
+func (s *Server) handshake(id endpoint.ConnID, endpointIndex int, conn *connection) bool {
 	if s.identity == nil {
 		return true
 	}
-	x := s.identity(ep)
-	if x == nil {
+	identity := s.identity(endpointIndex)
+	if identity == nil {
 		return true
 	}
-	if x.ResetHandshake {
+	if identity.ResetHandshake {
 		// A deadline cannot be set on a closed connection alone, which ends the read too.
-		_ = l.tcp.SetDeadline(time.Now().Add(handshakeTimeout))
-		_, _ = l.tcp.Read(make([]byte, 1)) // of the client's first flight
-		_ = l.tcp.SetLinger(0)
+		_ = conn.tcp.SetDeadline(time.Now().Add(handshakeTimeout))
+		_, _ = conn.tcp.Read(make([]byte, 1)) // of the client's first flight
+		_ = conn.tcp.SetLinger(0)
 		return false
 	}
-	cfg := x.Config.Clone()
-	if x.HandshakeDelay > 0 {
-		certs := cfg.Certificates
-		cfg.GetCertificate = func(*tls.ClientHelloInfo) (*tls.Certificate, error) {
-			select {
-			case <-time.After(x.HandshakeDelay):
-			case <-s.quit.Done():
-			}
-			return &certs[0], nil
-		}
-	}
-	c := tls.Server(l.tcp, cfg)
-	_ = l.tcp.SetDeadline(time.Now().Add(handshakeTimeout)) // fails with the handshake
-	err := c.HandshakeContext(s.quit)
-	_ = l.tcp.SetDeadline(time.Time{})
-	s.Update(func(w *endpoint.Model, now endpoint.Time) {
-		l.Conn, l.untrusted = c, !x.Trusted // read under the lock
-		w.CompleteHandshake(now, id, err == nil && c.ConnectionState().DidResume)
+	secured := tls.Server(conn.tcp, s.handshakeConfig(identity))
+	_ = conn.tcp.SetDeadline(time.Now().Add(handshakeTimeout)) // fails with the handshake
+	err := secured.HandshakeContext(s.quit)
+	_ = conn.tcp.SetDeadline(time.Time{})
+	s.Update(func(m *endpoint.Model, now endpoint.Time) {
+		conn.Conn, conn.untrusted = secured, !identity.Trusted // read under the lock
+		m.CompleteHandshake(now, id, err == nil && secured.ConnectionState().DidResume)
 	})
 	return err == nil
 }
+
+// handshakeConfig is the configuration of one handshake, with its delay.
+func (s *Server) handshakeConfig(identity *TLSIdentity) *tls.Config {
+	config := identity.Config.Clone()
+	if identity.HandshakeDelay <= 0 {
+		return config
+	}
+	certificates := config.Certificates
+	config.GetCertificate = func(*tls.ClientHelloInfo) (*tls.Certificate, error) {
+		select {
+		case <-time.After(identity.HandshakeDelay):
+		case <-s.quit.Done():
+		}
+		return &certificates[0], nil
+	}
+	return config
+}
