--- a/cmd/troutusher-kit/crowd.go
+++ b/cmd/troutusher-kit/crowd.go
@@ -113,22 +113,44 @@
 	}
 	defer func() { _ = os.RemoveAll(dir) }() // the measurement does not depend on it
 	return idlebench.Measure(ctx, idlebench.Options{
-		Command: []string{b.relayProgram}, Dir: dir, Idle: idle, Length: b.length, Active: b.activeClients,
-		Patience: answerPatience, MemoryMB: b.memoryMB, Operator: !b.withoutOperatorFile,
+		Command: []string{b.relayProgram}, Dir: dir, Idle: idle, Length: b.length, ActiveClients: b.activeClients,
+		Patience: answerPatience, MemoryMB: b.memoryMB, WithOperatorFile: !b.withoutOperatorFile,
 	})
 }
 
 func writeIdleBench(out io.Writer, r *idlebench.Result) {
-	printf(out, "%7d  %5.1f MB  %10.0f  %7.2f%%  %10.0f  %11.0f  %6.2f  %6.2f  %10.3f%%  %13.2f\n",
-		r.Idle, float64(r.IdleKB)/1024, r.BytesEach, 100*r.IdleCPU, r.PerSecond, r.Delivered,
-		milliseconds(r.Answers.ValueAtQuantile(50)), milliseconds(r.Answers.ValueAtQuantile(99)),
-		100*r.LateShare, r.CPU)
-	if w := r.Wake; w != nil {
-		printf(out, "         all ask in 1 s: %d taken on, %d refused (%d with a time), %d closed with "+
-			"no answer; p50 %.0f p99 %.0f most %.0f ms, %d past 400 ms; over after %.2f s; peak %.1f MB\n",
-			w.Taken, w.Refused, w.WithTime, w.Closed, milliseconds(w.Answers.ValueAtQuantile(50)),
-			milliseconds(w.Answers.ValueAtQuantile(99)), milliseconds(w.Answers.Max()), w.Late, w.Took.Seconds(),
-			float64(w.PeakKB)/1024)
+	printf(
+		out,
+		"%7d  %5.1f MB  %10.0f  %7.2f%%  %10.0f  %11.0f  %6.2f  %6.2f  %10.3f%%  %13.2f\n",
+		r.Idle,
+		float64(r.IdleKB)/1024,
+		r.BytesPerConnection,
+		100*r.IdleCores,
+		r.AcceptedPerSecond,
+		r.DeliveredPerSecond,
+		milliseconds(r.ReplyLatency.ValueAtQuantile(50)),
+		milliseconds(r.ReplyLatency.ValueAtQuantile(99)),
+		100*r.LateShare,
+		r.RelayCores,
+	)
+	if w := r.Burst; w != nil {
+		printf(
+			out,
+			"         all ask in 1 s: %d taken on, %d refused (%d with a time), %d closed with "+
+				"no answer; p50 %.0f p99 %.0f most %.0f ms, %d past 400 ms; over after %.2f s; peak %.1f MB\n",
+			w.Accepted,
+			w.Rejected,
+			w.RejectedWithTime,
+			w.Closed,
+			milliseconds(w.ReplyLatency.ValueAtQuantile(50)),
+			milliseconds(
+				w.ReplyLatency.ValueAtQuantile(99),
+			),
+			milliseconds(w.ReplyLatency.Max()),
+			w.Late,
+			w.Duration.Seconds(),
+			float64(w.PeakKB)/1024,
+		)
 	}
 }
 
--- a/cmd/troutusher-kit/hold.go
+++ b/cmd/troutusher-kit/hold.go
@@ -23,16 +23,16 @@
 		return fail(errs, "rehearse", err, exitFailed)
 	}
 	defer remove()
-	ready := func(held runner.Held) {
+	ready := func(held runner.ManualRelay) {
 		s := plan.Scenario
 		printf(out, "%d partners with %d endpoints are up. Start a relay:\n\n    ROUTER_CONFIG=%s %s\n\n"+
 			"Hand it a message:\n\n    %s put --to %s --class %s --portal %s --dest 1 hello\n\nInterrupt to end.\n",
-			len(plan.Specs), len(plan.Endpoints), held.Config, r.relayProgram, r.relayProgram, held.Listen,
+			len(plan.Specs), len(plan.Endpoints), held.ConfigPath, r.relayProgram, r.relayProgram, held.Listen,
 			s.Classes[0].Name+keyFlag(&s.Classes[0]), s.Portals[0].Name)
 	}
 	start := time.Now()
 	show := func(e *event.Event) { writeEvent(out, time.Since(start).Seconds(), plan, e) }
-	if err := runner.Hold(ctx, plan, dir, ready, show); err != nil {
+	if err := runner.ServeEmulators(ctx, plan, dir, ready, show); err != nil {
 		return fail(errs, "rehearse", err, exitFailed)
 	}
 	return 0
--- a/cmd/troutusher-kit/rehearse.go
+++ b/cmd/troutusher-kit/rehearse.go
@@ -233,7 +233,7 @@
 // say that it is kept.
 func (r *rehearseFlags) createDir() (dir string, remove func(), err error) {
 	if r.keepDir == "" {
-		return runner.Dir()
+		return runner.TempDir()
 	}
 	dir, err = filepath.Abs(r.keepDir)
 	if err == nil {
@@ -285,7 +285,7 @@
 		options.Dir = filepath.Join(dir, fmt.Sprintf("run-%d", run+1))
 	}
 	if !r.quiet && isTerminal(errs) {
-		options.Progress = func(p runner.Progress) { writeProgress(errs, run, r.repeat, p) }
+		options.OnProgress = func(p runner.Progress) { writeProgress(errs, run, r.repeat, p) }
 		defer printf(errs, clearLine)
 	}
 	return runner.Play(ctx, plan, options)
@@ -293,15 +293,21 @@
 
 // writeProgress shows on one line of a terminal how far a run is.
 func writeProgress(w io.Writer, run, runs int, p runner.Progress) {
-	line := fmt.Sprintf("%5.1f of %.0f s, %d messages, %d open", p.At.Seconds(), p.Of.Seconds(), p.Begun, p.Open)
+	line := fmt.Sprintf(
+		"%5.1f of %.0f s, %d messages, %d open",
+		p.Elapsed.Seconds(),
+		p.Total.Seconds(),
+		p.Submitted,
+		p.Pending,
+	)
 	if runs > 1 {
 		line = fmt.Sprintf("run %d of %d: %s", run+1, runs, line)
 	}
 	if p.Violations > 0 {
 		line += fmt.Sprintf(", %d BROKEN RULES", p.Violations)
 	}
-	if len(p.Faults) > 0 {
-		line += "; " + strings.Join(p.Faults, ", ")
+	if len(p.ActiveFaults) > 0 {
+		line += "; " + strings.Join(p.ActiveFaults, ", ")
 	}
 	const ellipsis = "..."
 	if len(line) > maxProgressWidth {
--- a/internal/rehearsal/idlebench/clients.go
+++ b/internal/rehearsal/idlebench/clients.go
@@ -16,12 +16,12 @@
 	"troutusher/internal/emulator/loopback"
 )
 
-// open opens connections that ask one PING each.
-func (r *relay) open(n int) (all []net.Conn, failed error) {
+// openIdle opens connections that ask one PING each.
+func (r *relay) openIdle(n int) (all []net.Conn, failed error) {
 	var mu sync.Mutex
 	var wg sync.WaitGroup
 	var next atomic.Int64
-	for range openers {
+	for range openConcurrency {
 		wg.Add(1)
 		go func() {
 			defer wg.Done()
@@ -32,7 +32,7 @@
 				}
 				c, err := r.dial(i)
 				if err == nil {
-					if _, err = ask(c, bufio.NewReaderSize(c, 16), ping, 5*time.Second); err != nil {
+					if _, err = roundTrip(c, bufio.NewReaderSize(c, 16), pingCommand, 5*time.Second); err != nil {
 						_ = c.Close()
 					}
 				}
@@ -56,7 +56,7 @@
 // dial connects from the address that the number's turn it is.
 func (r *relay) dial(i int) (net.Conn, error) {
 	from := net.ParseIP(loopback.Host()).To4()
-	from = net.IPv4(from[0], from[1]^1, from[2], byte(1+i/perSource))
+	from = net.IPv4(from[0], from[1]^1, from[2], byte(1+i/maxConnectionsPerSource))
 	d := net.Dialer{LocalAddr: &net.TCPAddr{IP: from}, Timeout: 5 * time.Second}
 	c, err := d.Dial("tcp4", r.addr)
 	if err != nil && !errors.Is(err, syscall.ECONNREFUSED) {
@@ -66,19 +66,19 @@
 	return c, err
 }
 
-// load has clients ask one message after another.
-func (r *relay) load(ctx context.Context, o *Options, x *Result) {
-	x.Answers = histogram()
+// runClients has clients ask one message after another.
+func (r *relay) runClients(ctx context.Context, o *Options, x *Result) {
+	x.ReplyLatency = newHistogram()
 	var mu sync.Mutex
 	var wg sync.WaitGroup
 	taken, late := 0, 0
-	cpu, calls, begun := r.cpu(), r.partner.calls.Load(), time.Now()
+	cpu, calls, begun := r.cpuTime(), r.endpoint.calls.Load(), time.Now()
 	end := begun.Add(o.Length)
-	for i := range o.Active {
+	for i := range o.ActiveClients {
 		wg.Add(1)
 		go func() {
 			defer wg.Done()
-			own := histogram()
+			own := newHistogram()
 			ok, busy, tooLate := 0, 0, 0
 			var c net.Conn
 			var in *bufio.Reader
@@ -92,7 +92,7 @@
 					in = bufio.NewReader(c)
 				}
 				at := time.Now()
-				s, err := ask(c, in, put(fmt.Sprintf("l%d-%d", i, n)), 5*time.Second)
+				s, err := roundTrip(c, in, submitCommand(fmt.Sprintf("l%d-%d", i, n)), 5*time.Second)
 				if err != nil {
 					_ = c.Close()
 					c = nil
@@ -114,23 +114,23 @@
 			}
 			mu.Lock()
 			defer mu.Unlock()
-			x.Answers.Merge(own)
-			taken, late, x.Refused = taken+ok, late+tooLate, x.Refused+busy
+			x.ReplyLatency.Merge(own)
+			taken, late, x.Rejected = taken+ok, late+tooLate, x.Rejected+busy
 		}()
 	}
 	wg.Wait()
 	took := time.Since(begun)
-	x.PerSecond = float64(taken) / took.Seconds()
-	x.Delivered = float64(r.partner.calls.Load()-calls) / took.Seconds()
-	x.CPU = (r.cpu() - cpu).Seconds() / took.Seconds()
-	if n := x.Answers.TotalCount(); n > 0 {
+	x.AcceptedPerSecond = float64(taken) / took.Seconds()
+	x.DeliveredPerSecond = float64(r.endpoint.calls.Load()-calls) / took.Seconds()
+	x.RelayCores = (r.cpuTime() - cpu).Seconds() / took.Seconds()
+	if n := x.ReplyLatency.TotalCount(); n > 0 {
 		x.LateShare = float64(late) / float64(n)
 	}
 }
 
-// wake has every idle connection ask within one second.
-func (r *relay) wake(ctx context.Context, o *Options, idle []net.Conn) *Wake {
-	w := &Wake{Asked: len(idle), Answers: histogram()}
+// runBurst has every idle connection ask within one second.
+func (r *relay) runBurst(ctx context.Context, o *Options, idle []net.Conn) *BurstResult {
+	w := &BurstResult{Sent: len(idle), ReplyLatency: newHistogram()}
 	var mu sync.Mutex
 	var wg sync.WaitGroup
 	begun := time.Now().Add(200 * time.Millisecond)
@@ -141,7 +141,7 @@
 			defer wg.Done()
 			time.Sleep(time.Until(begun.Add(time.Second * time.Duration(i) / time.Duration(len(idle)))))
 			at := time.Now()
-			s, err := ask(c, bufio.NewReaderSize(c, 64), put(fmt.Sprintf("w%d", i)), 20*time.Second)
+			s, err := roundTrip(c, bufio.NewReaderSize(c, 64), submitCommand(fmt.Sprintf("w%d", i)), 20*time.Second)
 			took := time.Since(at)
 			mu.Lock()
 			defer mu.Unlock()
@@ -149,22 +149,22 @@
 				w.Closed++
 				return
 			}
-			_ = w.Answers.RecordValue(took.Microseconds()) // beyond the range it is left out
+			_ = w.ReplyLatency.RecordValue(took.Microseconds()) // beyond the range it is left out
 			if took > o.Patience {
 				w.Late++
 			}
 			switch {
 			case s == "+OK":
-				w.Taken++
+				w.Accepted++
 			case strings.HasPrefix(s, "-BUSY"):
-				w.Refused++
+				w.Rejected++
 				if len(s) > len("-BUSY ") {
-					w.WithTime++
+					w.RejectedWithTime++
 				}
 			}
 		}()
 	}
 	wg.Wait()
-	w.Took = time.Since(begun)
+	w.Duration = time.Since(begun)
 	return w
 }
--- a/internal/rehearsal/idlebench/idlebench.go
+++ b/internal/rehearsal/idlebench/idlebench.go
@@ -22,66 +22,83 @@
 
 // Options say what is measured.
 type Options struct {
-	Command  []string      // starts the relay
-	Env      []string      // more of its environment
-	Dir      string        // for its files; a new one each time
-	Idle     int           // connections
-	Length   time.Duration // of each part
-	Active   int           // clients that ask one message after another
-	Patience time.Duration // how long a client waits for an answer
-	MemoryMB int           // the relay's limit
-	Operator bool          // the relay reads an operator's file: an older one does not, and closes idle ones after 4 s
-	Progress func(string)
+	Command       []string      // starts the relay
+	Env           []string      // more of its environment
+	Dir           string        // for its files; a new one each time
+	Idle          int           // connections
+	Length        time.Duration // of each part
+	ActiveClients int           // each sends one message after another
+	Patience      time.Duration // how long a client waits for a reply
+	MemoryMB      int           // the relay's limit
+
+	// WithOperatorFile says that the relay reads an operator's file. One of an early
+	// release does not, and closes idle connections after 4 s.
+	WithOperatorFile bool
+
+	// OnProgress, if set, is called with what comes next.
+	OnProgress func(string)
 }
 
-// Result is what was seen.
+// Result is what was measured.
 type Result struct {
-	Idle      int     // connections that were open at the end
-	BaseKB    int     // resident before them
-	IdleKB    int     // resident with them
-	BytesEach float64 // of resident memory
-	IdleCPU   float64 // cores, while nothing happens
-	Opened    time.Duration
-	PerSecond float64 // messages taken on, with Active clients asking
-	Refused   int
-	Delivered float64                 // calls a second that the partner answered meanwhile
-	Answers   *hdrhistogram.Histogram // µs, of those
-	CPU       float64                 // cores of the relay meanwhile
-	LateShare float64                 // answers past Patience
-	Wake      *Wake
-	PeakKB    int
+	Idle               int // connections that were open at the end
+	BaseKB             int // resident memory before them
+	IdleKB             int // resident memory with them
+	PeakKB             int // most resident memory
+	BytesPerConnection float64
+	OpenDuration       time.Duration // of opening all connections
+	IdleCores          float64       // CPU of the relay while nothing happens
+
+	// What follows is of the part in which the clients were active.
+	AcceptedPerSecond  float64 // messages
+	DeliveredPerSecond float64 // messages
+	Rejected           int
+	ReplyLatency       *hdrhistogram.Histogram // µs
+	LateShare          float64                 // replies after Patience
+	RelayCores         float64                 // CPU of the relay
+
+	Burst *BurstResult // nil where it was not measured
 }
 
-// Wake is what came of all asking within one second.
-type Wake struct {
-	Asked, Taken, Refused, WithTime, Late, Closed int
-	Answers                                       *hdrhistogram.Histogram // µs
-	Took                                          time.Duration           // from the first question to the last answer
-	PeakKB                                        int
+// BurstResult is what came of a message from each idle connection within one second.
+type BurstResult struct {
+	Sent             int
+	Accepted         int
+	Rejected         int
+	RejectedWithTime int                     // of Rejected, those told when to come again
+	Late             int                     // replies after Patience
+	Closed           int                     // connections that were closed without a reply
+	ReplyLatency     *hdrhistogram.Histogram // µs
+	Duration         time.Duration           // from the first message to the last reply
+	PeakKB           int                     // most resident memory
 }
 
 const (
-	answerMost = 60 * int64(time.Second/time.Microsecond)
-	openers    = 64
-	settleMost = 5 * time.Second
-	perSource  = 10_000 // connections from one address: the ports of one do not reach far
+	maxLatencyMicros        = 60 * int64(time.Second/time.Microsecond)
+	openConcurrency         = 64
+	settleTimeout           = 5 * time.Second
+	maxConnectionsPerSource = 10_000 // connections from one address: the ports of one do not reach far
 )
 
 // errExitZero is the end of a process that should still run.
 var errExitZero = errors.New("exit status 0")
 
-func histogram() *hdrhistogram.Histogram { return hdrhistogram.New(1, answerMost, 3) }
+func newHistogram() *hdrhistogram.Histogram { return hdrhistogram.New(1, maxLatencyMicros, 3) }
 
 // Measure starts a relay and measures it.
 func Measure(ctx context.Context, o Options) (*Result, error) {
-	if o.Progress == nil {
-		o.Progress = func(string) {}
+	if o.OnProgress == nil {
+		o.OnProgress = func(string) {}
 	}
 	var limit syscall.Rlimit
-	if err := syscall.Getrlimit(syscall.RLIMIT_NOFILE, &limit); err == nil && uint64(o.Idle+o.Active+400) > limit.Cur {
+	if err := syscall.Getrlimit(
+		syscall.RLIMIT_NOFILE,
+		&limit,
+	); err == nil &&
+		uint64(o.Idle+o.ActiveClients+400) > limit.Cur {
 		return nil, fmt.Errorf("crowd: %d connections, and a process may have %d descriptors here", o.Idle, limit.Cur)
 	}
-	p, err := newPartner()
+	p, err := startEndpoint()
 	if err != nil {
 		return nil, err
 	}
@@ -95,7 +112,7 @@
 			return []registry.Member{
 				{
 					ID:       "s-1",
-					HostPort: p.ln.Addr().String(),
+					HostPort: p.listener.Addr().String(),
 					Locality: "a",
 					Flavor:   "k",
 					Cell:     1,
@@ -109,64 +126,64 @@
 		return nil, err
 	}
 	defer reg.Close()
-	r, err := start(ctx, &o, reg.Addr(0))
+	r, err := startRelay(ctx, &o, reg.Addr(0))
 	if err != nil {
 		return nil, err
 	}
 	defer r.close()
-	r.partner = p
+	r.endpoint = p
 	return r.measure(ctx, &o)
 }
 
 // measure goes through the parts.
 func (r *relay) measure(ctx context.Context, o *Options) (*Result, error) {
 	x := &Result{}
-	r.settle(ctx)
-	x.BaseKB = r.status("VmRSS:")
+	r.waitIdle(ctx)
+	x.BaseKB = r.memoryKB("VmRSS:")
 	begun := time.Now()
-	idle, failed := r.open(o.Idle)
+	idle, failed := r.openIdle(o.Idle)
 	defer func() {
 		for _, c := range idle {
 			_ = c.Close()
 		}
 	}()
-	x.Opened = time.Since(begun)
+	x.OpenDuration = time.Since(begun)
 	if len(idle) < o.Idle {
 		return nil, fmt.Errorf("crowd: only %d of %d connections could be opened: %w", len(idle), o.Idle, failed)
 	}
-	x.IdleKB = r.status("VmRSS:")
-	o.Progress(fmt.Sprintf("%d connections open", len(idle)))
-	if o.Operator {
-		r.settle(ctx)
-		x.IdleKB = r.status("VmRSS:")
-		cpu, at := r.cpu(), time.Now()
-		if err := pause(ctx, o.Length); err != nil {
+	x.IdleKB = r.memoryKB("VmRSS:")
+	o.OnProgress(fmt.Sprintf("%d connections open", len(idle)))
+	if o.WithOperatorFile {
+		r.waitIdle(ctx)
+		x.IdleKB = r.memoryKB("VmRSS:")
+		cpu, at := r.cpuTime(), time.Now()
+		if err := sleep(ctx, o.Length); err != nil {
 			return nil, err
 		}
-		x.IdleCPU = (r.cpu() - cpu).Seconds() / time.Since(at).Seconds()
+		x.IdleCores = (r.cpuTime() - cpu).Seconds() / time.Since(at).Seconds()
 	}
 	if o.Idle > 0 {
-		x.BytesEach = float64(x.IdleKB-x.BaseKB) * 1024 / float64(o.Idle)
+		x.BytesPerConnection = float64(x.IdleKB-x.BaseKB) * 1024 / float64(o.Idle)
 	}
-	o.Progress("clients ask")
-	r.load(ctx, o, x)
-	if o.Idle > 0 && o.Operator {
-		o.Progress("all ask within a second")
-		x.Wake = r.wake(ctx, o, idle)
-		x.Wake.PeakKB = r.status("VmHWM:")
+	o.OnProgress("clients ask")
+	r.runClients(ctx, o, x)
+	if o.Idle > 0 && o.WithOperatorFile {
+		o.OnProgress("all ask within a second")
+		x.Burst = r.runBurst(ctx, o, idle)
+		x.Burst.PeakKB = r.memoryKB("VmHWM:")
 	}
 	x.Idle = len(idle)
-	x.PeakKB = r.status("VmHWM:")
+	x.PeakKB = r.memoryKB("VmHWM:")
 	select {
-	case err := <-r.done:
-		r.done <- err
-		return nil, fmt.Errorf("crowd: the relay ended: %w", errors.Join(err, errors.New(r.log)))
+	case err := <-r.exited:
+		r.exited <- err
+		return nil, fmt.Errorf("crowd: the relay ended: %w", errors.Join(err, errors.New(r.logPath)))
 	default:
 	}
 	return x, ctx.Err()
 }
 
-func pause(ctx context.Context, d time.Duration) error {
+func sleep(ctx context.Context, d time.Duration) error {
 	select {
 	case <-ctx.Done():
 		return ctx.Err()
--- a/internal/rehearsal/idlebench/partner.go
+++ b/internal/rehearsal/idlebench/partner.go
@@ -11,22 +11,22 @@
 	"troutusher/internal/emulator/loopback"
 )
 
-// partner answers every call at once.
-type partner struct {
-	ln net.Listener
-	wg sync.WaitGroup
-	mu sync.Mutex
-	on map[net.Conn]bool
+// endpoint answers every call at once.
+type endpoint struct {
+	listener net.Listener
+	wg       sync.WaitGroup
+	mu       sync.Mutex
+	conns    map[net.Conn]bool
 
 	calls atomic.Int64
 }
 
-func newPartner() (*partner, error) {
+func startEndpoint() (*endpoint, error) {
 	ln, err := loopback.Listen(0)
 	if err != nil {
 		return nil, err
 	}
-	p := &partner{ln: ln, on: map[net.Conn]bool{}}
+	p := &endpoint{listener: ln, conns: map[net.Conn]bool{}}
 	p.wg.Add(1)
 	go func() {
 		defer p.wg.Done()
@@ -36,7 +36,7 @@
 				return
 			}
 			p.mu.Lock()
-			p.on[c] = true
+			p.conns[c] = true
 			p.mu.Unlock()
 			p.wg.Add(1)
 			go func() {
@@ -44,7 +44,7 @@
 				p.serve(c)
 				_ = c.Close()
 				p.mu.Lock()
-				delete(p.on, c)
+				delete(p.conns, c)
 				p.mu.Unlock()
 			}()
 		}
@@ -52,7 +52,7 @@
 	return p, nil
 }
 
-func (p *partner) serve(c net.Conn) {
+func (p *endpoint) serve(c net.Conn) {
 	in := bufio.NewReader(c)
 	for {
 		req, err := http.ReadRequest(in)
@@ -69,10 +69,10 @@
 	}
 }
 
-func (p *partner) close() {
-	_ = p.ln.Close()
+func (p *endpoint) close() {
+	_ = p.listener.Close()
 	p.mu.Lock()
-	for c := range p.on {
+	for c := range p.conns {
 		_ = c.Close()
 	}
 	p.mu.Unlock()
--- a/internal/rehearsal/idlebench/relay.go
+++ b/internal/rehearsal/idlebench/relay.go
@@ -20,27 +20,27 @@
 
 // relay is the process.
 type relay struct {
-	addr string
-	cmd  *exec.Cmd
-	done chan error
-	log  string
+	addr    string
+	cmd     *exec.Cmd
+	exited  chan error
+	logPath string
 
-	partner *partner
+	endpoint *endpoint
 }
 
-// start starts a relay and waits until it answers.
-func start(ctx context.Context, o *Options, discovery string) (*relay, error) {
+// startRelay starts a relay and waits until it answers.
+func startRelay(ctx context.Context, o *Options, discovery string) (*relay, error) {
 	ln, err := loopback.Listen(0)
 	if err != nil {
 		return nil, err
 	}
-	r := &relay{addr: ln.Addr().String(), done: make(chan error, 1), log: filepath.Join(o.Dir, "log")}
+	r := &relay{addr: ln.Addr().String(), exited: make(chan error, 1), logPath: filepath.Join(o.Dir, "log")}
 	_ = ln.Close()
-	env, err := r.configure(o, discovery)
+	env, err := r.writeConfig(o, discovery)
 	if err != nil {
 		return nil, err
 	}
-	log, err := os.Create(r.log)
+	log, err := os.Create(r.logPath)
 	if err != nil {
 		return nil, err
 	}
@@ -51,21 +51,21 @@
 	if err := r.cmd.Start(); err != nil {
 		return nil, err
 	}
-	go func() { r.done <- r.cmd.Wait() }()
-	if err := r.awaitReady(ctx); err != nil {
+	go func() { r.exited <- r.cmd.Wait() }()
+	if err := r.waitReady(ctx); err != nil {
 		return nil, err
 	}
 	return r, nil
 }
 
-// configure writes the relay's files and returns its environment.
-func (r *relay) configure(o *Options, discovery string) ([]string, error) {
+// writeConfig writes the relay's files and returns its environment.
+func (r *relay) writeConfig(o *Options, discovery string) ([]string, error) {
 	state := filepath.Join(o.Dir, "state")
 	if err := os.MkdirAll(state, 0o700); err != nil {
 		return nil, err
 	}
-	descriptors := o.Idle + o.Active + 500
-	text, err := json.Marshal(config(r.addr, discovery, state, o.MemoryMB, descriptors))
+	descriptors := o.Idle + o.ActiveClients + 500
+	text, err := json.Marshal(relayConfig(r.addr, discovery, state, o.MemoryMB, descriptors))
 	if err != nil {
 		return nil, err
 	}
@@ -75,11 +75,11 @@
 	}
 	env := append(os.Environ(), "ROUTER_CONFIG="+path, "ROUTER_STATE="+state, "ROUTER_NAME=", "ROUTER_LISTEN=",
 		"ROUTER_DISCOVERY=")
-	if !o.Operator {
+	if !o.WithOperatorFile {
 		return env, nil
 	}
 	own := filepath.Join(o.Dir, "operator.toml")
-	places := o.Idle + o.Active + 200
+	places := o.Idle + o.ActiveClients + 200
 	operator := fmt.Sprintf("[clients]\ndescriptors = %d\nplaces = %d\nstrangers = %d\nasked_most = %d\n"+
 		"idle_s = 3600\n",
 		descriptors, places, places, places)
@@ -89,19 +89,19 @@
 	return append(env, "TROUTUSHER_OPERATOR="+own), nil
 }
 
-// awaitReady waits until the relay answers, or its process ends.
-func (r *relay) awaitReady(ctx context.Context) error {
+// waitReady waits until the relay answers, or its process ends.
+func (r *relay) waitReady(ctx context.Context) error {
 	for {
 		if c, err := net.DialTimeout("tcp4", r.addr, time.Second); err == nil {
-			_, err = ask(c, bufio.NewReader(c), ping, time.Second)
+			_, err = roundTrip(c, bufio.NewReader(c), pingCommand, time.Second)
 			_ = c.Close()
 			if err == nil {
 				return nil
 			}
 		}
 		select {
-		case err := <-r.done:
-			text, _ := os.ReadFile(r.log)
+		case err := <-r.exited:
+			text, _ := os.ReadFile(r.logPath)
 			if err == nil {
 				err = errExitZero
 			}
@@ -118,12 +118,12 @@
 func (r *relay) close() {
 	_ = r.cmd.Process.Kill() // it may have ended by itself
 	select {
-	case <-r.done: //nolint:errcheck // it was killed
+	case <-r.exited: //nolint:errcheck // it was killed
 	case <-time.After(10 * time.Second):
 	}
 }
 
-func config(listen, discovery, state string, memory, descriptors int) any {
+func relayConfig(listen, discovery, state string, memory, descriptors int) any {
 	type object = map[string]any
 	return object{
 		"name": "n1", "listen": listen, "discovery": discovery, "state": state, "seed": "0000000000000001",
@@ -171,16 +171,16 @@
 	}
 }
 
-const ping = "*1\r\n$4\r\nPING\r\n"
+const pingCommand = "*1\r\n$4\r\nPING\r\n"
 
-func put(id string) string {
+func submitCommand(id string) string {
 	fields := "c=plain,t=p,d=8000,dest=1"
 	return fmt.Sprintf("*5\r\n$7\r\nMSG.PUT\r\n$16\r\n0000000000000000\r\n$%d\r\n%s\r\n$%d\r\n%s\r\n$200\r\n%s\r\n",
 		len(id), id, len(fields), fields, strings.Repeat("b", 200))
 }
 
-// ask sends a command and reads the line that answers it.
-func ask(c net.Conn, r *bufio.Reader, text string, wait time.Duration) (string, error) {
+// roundTrip sends a command and reads the line that answers it.
+func roundTrip(c net.Conn, r *bufio.Reader, text string, wait time.Duration) (string, error) {
 	_ = c.SetDeadline(time.Now().Add(wait)) // fails with the write below
 	if _, err := io.WriteString(c, text); err != nil {
 		return "", err
@@ -189,11 +189,11 @@
 	return strings.TrimSuffix(s, "\r\n"), err
 }
 
-// settle waits until the relay uses no CPU, or for so long.
-func (r *relay) settle(ctx context.Context) {
-	end := time.Now().Add(settleMost)
-	for last, n := r.cpu(), 0; n < 3 && time.Now().Before(end) && pause(ctx, 200*time.Millisecond) == nil; {
-		if now := r.cpu(); now-last <= 10*time.Millisecond {
+// waitIdle waits until the relay uses no CPU, or for so long.
+func (r *relay) waitIdle(ctx context.Context) {
+	end := time.Now().Add(settleTimeout)
+	for last, n := r.cpuTime(), 0; n < 3 && time.Now().Before(end) && sleep(ctx, 200*time.Millisecond) == nil; {
+		if now := r.cpuTime(); now-last <= 10*time.Millisecond {
 			n++
 			last = now
 		} else {
@@ -202,8 +202,8 @@
 	}
 }
 
-// status is a figure in kB of proc(5).
-func (r *relay) status(name string) int {
+// memoryKB is a figure in kB of proc(5).
+func (r *relay) memoryKB(name string) int {
 	text, _ := os.ReadFile(fmt.Sprintf("/proc/%d/status", r.cmd.Process.Pid))
 	for line := range strings.Lines(string(text)) {
 		if v, ok := strings.CutPrefix(line, name); ok {
@@ -214,8 +214,8 @@
 	return 0
 }
 
-// cpu is what the process has used, user and system, from proc(5).
-func (r *relay) cpu() time.Duration {
+// cpuTime is what the process has used, user and system, from proc(5).
+func (r *relay) cpuTime() time.Duration {
 	text, _ := os.ReadFile(fmt.Sprintf("/proc/%d/stat", r.cmd.Process.Pid))
 	_, rest, _ := strings.Cut(string(text), ") ")
 	f := strings.Fields(rest)
--- a/internal/rehearsal/loadgen/flood.go
+++ b/internal/rehearsal/loadgen/flood.go
@@ -23,12 +23,12 @@
 )
 
 const (
-	floodPause = 5 * time.Millisecond // before one comes back: a dial refused at once must not spin
-	dripEvery  = time.Second
+	reconnectDelay = 5 * time.Millisecond // before one comes back: a dial refused at once must not spin
+	dripInterval   = time.Second
 )
 
-// rubbish is what a faulty one sends in turn.
-var rubbish = []string{
+// faultyInputs is what a faulty one sends in turn.
+var faultyInputs = []string{
 	"GET / HTTP/1.1\r\n\r\n",
 	"*1\r\n$-9\r\n",
 	"*999999999\r\n",
@@ -57,14 +57,14 @@
 					opened++
 					mu.Unlock()
 					stop := context.AfterFunc(ctx, func() { _ = c.Close() })
-					disturb(ctx, kind, c, turn)
+					playFlood(ctx, kind, c, turn)
 					stop()
 					_ = c.Close()
 					if kind == FloodSilent {
 						return
 					}
 				}
-				pause(ctx, floodPause)
+				sleep(ctx, reconnectDelay)
 			}
 		}()
 	}
@@ -72,7 +72,7 @@
 	return opened
 }
 
-func pause(ctx context.Context, d time.Duration) {
+func sleep(ctx context.Context, d time.Duration) {
 	timer := time.NewTimer(d)
 	defer timer.Stop()
 	select {
@@ -81,8 +81,8 @@
 	}
 }
 
-// disturb does what one of a kind does on a connection until that ends.
-func disturb(ctx context.Context, kind FloodKind, c net.Conn, turn int) {
+// playFlood does what one of a kind does on a connection until that ends.
+func playFlood(ctx context.Context, kind FloodKind, c net.Conn, turn int) {
 	switch kind {
 	case FloodPing:
 		_, _ = io.WriteString(c, "*1\r\n$4\r\nPING\r\n") // the relay may have closed it
@@ -98,7 +98,7 @@
 				return
 			case <-ctx.Done():
 				return
-			case <-time.After(dripEvery):
+			case <-time.After(dripInterval):
 			}
 		}
 		<-gone
@@ -106,7 +106,7 @@
 	case FloodFaulty:
 		go func() {
 			for i := turn; ; i++ {
-				if _, err := io.WriteString(c, rubbish[i%len(rubbish)]); err != nil {
+				if _, err := io.WriteString(c, faultyInputs[i%len(faultyInputs)]); err != nil {
 					return
 				}
 			}
--- a/internal/rehearsal/loadgen/load.go
+++ b/internal/rehearsal/loadgen/load.go
@@ -19,29 +19,29 @@
 	"troutusher/internal/rehearsal/scenario"
 )
 
-// End is how a message ended for its client.
-type End uint8
+// Outcome is how a message ended for its client.
+type Outcome uint8
 
 // Ends of a message.
 const (
-	Pending   End = iota
-	Delivered     // a 200 was written to the relay
-	Refused       // its last refusal; nobody tries again
-	Failed        // its relay gave it up
-	Unheard       // its clients heard nothing, and do not try again
+	Pending    Outcome = iota
+	Delivered          // a 200 was written to the relay
+	Rejected           // its last refusal; nobody tries again
+	Failed             // its relay gave it up
+	Unanswered         // its clients heard nothing, and do not try again
 )
 
-var endNames = [...]string{"pending", "delivered", "refused", "failed", "unheard"}
+var outcomeNames = [...]string{"pending", "delivered", "refused", "failed", "unheard"}
 
 // String is the ending's name.
-func (e End) String() string { return endNames[e] }
+func (e Outcome) String() string { return outcomeNames[e] }
 
 // Result is what became of a message.
 type Result struct {
-	End      End
-	At       event.Time // of its end, from its planned moment on
-	HandIns  int
-	Refusals int
+	Outcome     Outcome
+	Elapsed     event.Time // of its end, from its planned moment on
+	Submissions int
+	Rejections  int
 }
 
 // Config is what a driver is made of.
@@ -55,24 +55,24 @@
 
 // Driver plays a plan's arrivals.
 type Driver struct {
-	cfg   Config
-	conns []*pool
-	body  string
-	door  atomic.Int64 // requests that met a connection refused, reset, or closed unread
+	config   Config
+	pools    []*pool
+	body     string
+	unserved atomic.Int64 // requests that met a connection refused, reset, or closed unread
 
-	mu       sync.Mutex
-	ids      map[string]*hand
-	messages []message
-	open     int // messages without an end
-	done     chan struct{}
-	front    []seat
-	turn     int
-	late     *hdrhistogram.Histogram // of the driver itself, µs
-	answers  *hdrhistogram.Histogram // from a message's planned moment to the answer to its first hand-in, µs
-	delivery *hdrhistogram.Histogram // from its planned moment to its delivery, µs
-	waits    sync.WaitGroup
-	quit     context.Context
-	stop     context.CancelFunc
+	mu              sync.Mutex
+	submissions     map[string]*submission
+	messages        []message
+	pending         int // messages without an end
+	done            chan struct{}
+	relayStates     []relayState
+	lastRelay       int
+	lateness        *hdrhistogram.Histogram // of the driver itself, µs
+	replyLatency    *hdrhistogram.Histogram // from a message's planned moment to the answer to its first hand-in, µs
+	deliveryLatency *hdrhistogram.Histogram // from its planned moment to its delivery, µs
+	background      sync.WaitGroup
+	ctx             context.Context
+	cancel          context.CancelFunc
 }
 
 type message struct {
@@ -80,44 +80,49 @@
 	class *scenario.Class
 }
 
-// hand is one hand-in.
-type hand struct {
+// submission is one hand-in.
+type submission struct {
 	id        string
-	num       int
+	message   int
 	relay     int
-	try       int
-	heard     bool // taken on
+	attempt   int
+	accepted  bool // taken on
 	delivered bool // perhaps before its client heard
-	over      bool // nothing more comes of it
+	finished  bool // nothing more comes of it
 }
 
-// seat is what the front knows of a relay.
-type seat struct {
-	down  bool
-	until event.Time // it goes on dealing connections to it until then
+// relayState is what the front knows of a relay.
+type relayState struct {
+	down      bool
+	noticedAt event.Time // it goes on dealing connections to it until then
 }
 
 // New makes a driver.
 func New(cfg Config) *Driver {
 	d := &Driver{
-		cfg: cfg, ids: map[string]*hand{}, done: make(chan struct{}), front: make([]seat, len(cfg.Relays)),
-		body: strings.Repeat("b", cfg.Plan.Scenario.Clients.Bodies), late: hdrhistogram.New(1, 60_000_000, 3),
-		answers: hdrhistogram.New(1, 600_000_000, 3), delivery: hdrhistogram.New(1, 600_000_000, 3),
+		config:          cfg,
+		submissions:     map[string]*submission{},
+		done:            make(chan struct{}),
+		relayStates:     make([]relayState, len(cfg.Relays)),
+		body:            strings.Repeat("b", cfg.Plan.Scenario.Clients.Bodies),
+		lateness:        hdrhistogram.New(1, 60_000_000, 3),
+		replyLatency:    hdrhistogram.New(1, 600_000_000, 3),
+		deliveryLatency: hdrhistogram.New(1, 600_000_000, 3),
 	}
 	most := max(8, cfg.Plan.Scenario.Relays.Sockets/3)
 	for _, addr := range cfg.Relays {
-		d.conns = append(d.conns, &pool{addr: addr, free: make(chan struct{}, most), back: make(chan *conn)})
+		d.pools = append(d.pools, &pool{addr: addr, slots: make(chan struct{}, most), returned: make(chan *conn)})
 	}
 	for _, a := range cfg.Plan.Arrivals {
 		d.messages = append(d.messages, message{class: &cfg.Plan.Scenario.Classes[a.Class]})
 	}
-	d.open = len(d.messages)
-	d.quit, d.stop = context.WithCancel(context.Background())
+	d.pending = len(d.messages)
+	d.ctx, d.cancel = context.WithCancel(context.Background())
 	return d
 }
 
-// Begin sets the moment of the plan's beginning, before Run.
-func (d *Driver) Begin(at event.Time) { d.cfg.Start = at }
+// SetStart sets the moment of the plan's beginning, before Run.
+func (d *Driver) SetStart(at event.Time) { d.config.Start = at }
 
 // Run plays the arrivals and returns once every message has its end, or ctx
 // ends.
@@ -125,8 +130,8 @@
 	defer d.Close()
 	timer := time.NewTimer(time.Hour)
 	defer timer.Stop()
-	for i, a := range d.cfg.Plan.Arrivals {
-		if wait := d.cfg.Start + a.At - d.cfg.Clock(); wait > 0 {
+	for i, a := range d.config.Plan.Arrivals {
+		if wait := d.config.Start + a.At - d.config.Clock(); wait > 0 {
 			timer.Reset(time.Duration(wait) * time.Microsecond)
 			select {
 			case <-timer.C:
@@ -134,10 +139,10 @@
 				return
 			}
 		}
-		d.waits.Add(1)
-		go d.begin(i)
+		d.background.Add(1)
+		go d.submitFirst(i)
 	}
-	if len(d.cfg.Plan.Arrivals) == 0 {
+	if len(d.config.Plan.Arrivals) == 0 {
 		return
 	}
 	select {
@@ -148,33 +153,33 @@
 
 // Close ends what is under way.
 func (d *Driver) Close() {
-	d.stop()
-	for _, p := range d.conns {
+	d.cancel()
+	for _, p := range d.pools {
 		p.close()
 	}
-	d.waits.Wait()
+	d.background.Wait()
 }
 
-func (d *Driver) begin(num int) {
-	defer d.waits.Done()
-	late := d.cfg.Clock() - d.cfg.Start - d.cfg.Plan.Arrivals[num].At
+func (d *Driver) submitFirst(num int) {
+	defer d.background.Done()
+	late := d.config.Clock() - d.config.Start - d.config.Plan.Arrivals[num].At
 	d.mu.Lock()
-	_ = d.late.RecordValue(max(late, 1)) // beyond the range it is left out
+	_ = d.lateness.RecordValue(max(late, 1)) // beyond the range it is left out
 	d.mu.Unlock()
-	d.handIn(num, 0, "")
+	d.submit(num, 0, "")
 }
 
-// Late is how late the driver began its messages, in µs, at a quantile from 0
+// Lateness is how late the driver began its messages, in µs, at a quantile from 0
 // to 100.
-func (d *Driver) Late(quantile float64) event.Time {
+func (d *Driver) Lateness(quantile float64) event.Time {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return d.late.ValueAtQuantile(quantile)
+	return d.lateness.ValueAtQuantile(quantile)
 }
 
 // Latencies are the histograms of first answers and of deliveries, in µs.
 func (d *Driver) Latencies() (answers, delivery *hdrhistogram.Histogram) {
-	return d.answers, d.delivery
+	return d.replyLatency, d.deliveryLatency
 }
 
 // Results tells what became of each message of the plan.
@@ -188,55 +193,55 @@
 	return r
 }
 
-// Open is the number of messages that have begun, and of those without an end.
-func (d *Driver) Open() (begun, open int) {
+// Progress is the number of messages that have begun, and of those without an end.
+func (d *Driver) Progress() (begun, open int) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	for i := range d.messages {
-		if d.messages[i].HandIns > 0 {
+		if d.messages[i].Submissions > 0 {
 			begun++
 		}
 	}
-	return begun, d.open - (len(d.messages) - begun)
+	return begun, d.pending - (len(d.messages) - begun)
 }
 
 // Lookup tells the stand-ins of a hand-in.
 func (d *Driver) Lookup(id string) (endpoint.Message, bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	h := d.ids[id]
+	h := d.submissions[id]
 	if h == nil {
 		return endpoint.Message{}, false
 	}
-	a := &d.cfg.Plan.Arrivals[h.num]
-	return endpoint.Message{Number: h.num, Class: a.Class, Destination: a.Dest, Finished: h.over}, true
+	a := &d.config.Plan.Arrivals[h.message]
+	return endpoint.Message{Number: h.message, Class: a.Class, Destination: a.Dest, Finished: h.finished}, true
 }
 
-// Down tells the front that a relay has ended or is ending; it notices later.
-func (d *Driver) Down(relay int, notice event.Time) {
+// RelayDown tells the front that a relay has ended or is ending; it notices later.
+func (d *Driver) RelayDown(relay int, notice event.Time) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if !d.front[relay].down {
-		d.front[relay] = seat{true, d.cfg.Clock() + notice}
+	if !d.relayStates[relay].down {
+		d.relayStates[relay] = relayState{true, d.config.Clock() + notice}
 	}
 }
 
-// Up tells the front that a relay is ready.
-func (d *Driver) Up(relay int) {
+// RelayUp tells the front that a relay is ready.
+func (d *Driver) RelayUp(relay int) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.front[relay] = seat{}
+	d.relayStates[relay] = relayState{}
 }
 
-// deal picks the relay of a hand-in; -1 where the front has none.
-func (d *Driver) deal(not int) int {
+// pickRelay picks the relay of a hand-in; -1 where the front has none.
+func (d *Driver) pickRelay(not int) int {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	now := d.cfg.Clock()
-	for range len(d.front) {
-		d.turn++
-		i := d.turn % len(d.front)
-		if s := d.front[i]; (!s.down || now < s.until) && (i != not || len(d.front) == 1) {
+	now := d.config.Clock()
+	for range len(d.relayStates) {
+		d.lastRelay++
+		i := d.lastRelay % len(d.relayStates)
+		if s := d.relayStates[i]; (!s.down || now < s.noticedAt) && (i != not || len(d.relayStates) == 1) {
 			return i
 		}
 	}
@@ -244,28 +249,30 @@
 }
 
 const (
-	dialWait  = time.Second
-	frontWait = 50 * time.Millisecond // before another relay is tried
-	linesMost = 512                   // bytes of an answer
+	dialTimeout     = time.Second
+	relayRetryDelay = 50 * time.Millisecond // before another relay is tried
+	maxReplyBytes   = 512                   // bytes of an answer
 )
 
-// Door is how many requests met a connection that was refused, reset, or closed
+// UnservedRequests is how many requests met a connection that was refused, reset, or closed
 // with the request unread.
-func (d *Driver) Door() int { return int(d.door.Load()) }
+func (d *Driver) UnservedRequests() int { return int(d.unserved.Load()) }
 
-// left is how long a message may still be delivered.
-func (d *Driver) left(num int) event.Time {
-	return d.cfg.Start + d.cfg.Plan.Arrivals[num].At + scenario.Micros(d.messages[num].class.DeadlineMS) - d.cfg.Clock()
+// timeLeft is how long a message may still be delivered.
+func (d *Driver) timeLeft(num int) event.Time {
+	return d.config.Start + d.config.Plan.Arrivals[num].At + scenario.Micros(
+		d.messages[num].class.DeadlineMS,
+	) - d.config.Clock()
 }
 
-// Worth is what a message earned: all of its worth within its aim, then less
+// EarnedWeight is what a message earned: all of its worth within its aim, then less
 // in a straight line down to what is left of it at the deadline.
-func Worth(c *scenario.Class, r *Result) float64 {
-	if r.End != Delivered {
+func EarnedWeight(c *scenario.Class, r *Result) float64 {
+	if r.Outcome != Delivered {
 		return 0
 	}
 	aim, deadline := float64(scenario.Micros(c.AimMS)), float64(scenario.Micros(c.DeadlineMS))
-	switch at := float64(r.At); {
+	switch at := float64(r.Elapsed); {
 	case at <= aim:
 		return c.Worth
 	case at > deadline:
--- a/internal/rehearsal/loadgen/load_test.go
+++ b/internal/rehearsal/loadgen/load_test.go
@@ -93,10 +93,10 @@
 	return r
 }
 
-func (r *rig) ends() map[End]int {
-	n := map[End]int{}
+func (r *rig) ends() map[Outcome]int {
+	n := map[Outcome]int{}
 	for _, x := range r.d.Results() {
-		n[x.End]++
+		n[x.Outcome]++
 	}
 	return n
 }
@@ -104,7 +104,7 @@
 // deliver ends each message that was taken on.
 func (r *rig) deliver(e *event.Event) {
 	if e.Kind == event.Accepted {
-		r.d.Happened(&event.Event{Kind: event.CallEnded, Status: 200, ID: e.ID})
+		r.d.HandleEvent(&event.Event{Kind: event.CallEnded, Status: 200, ID: e.ID})
 	}
 }
 
@@ -153,7 +153,7 @@
 	for _, c := range []struct {
 		name  string
 		reply func(id string, n int) string
-		end   End
+		end   Outcome
 		puts  int
 		mark  string // of the last
 		event event.Kind
@@ -161,7 +161,7 @@
 		{"taken at the second try", func(_ string, n int) string {
 			return map[bool]string{true: "-BUSY 30\r\n", false: "+OK\r\n"}[n == 1]
 		}, Delivered, 2, "r=1", event.Refused},
-		{"refused to the last", func(string, int) string { return "-BUSY\r\n" }, Refused, 3, "r=1", event.Refused},
+		{"refused to the last", func(string, int) string { return "-BUSY\r\n" }, Rejected, 3, "r=1", event.Refused},
 		{"failed", func(string, int) string { return "-ERR given up\r\n" }, Failed, 1, "dest=1", event.Failed},
 		{
 			"any bulk string is a yes", func(string, int) string { return "$4\r\nfine\r\n" }, Delivered, 1, "dest=1",
@@ -176,7 +176,7 @@
 			Delivered, 2, "again=1", event.CutOff,
 		},
 		{
-			"rubbish", func(string, int) string { return "-" + strings.Repeat("x", 600) + "\r\n" }, Unheard, 4,
+			"rubbish", func(string, int) string { return "-" + strings.Repeat("x", 600) + "\r\n" }, Unanswered, 4,
 			"again=1", event.CutOff,
 		},
 	} {
@@ -188,7 +188,7 @@
 			r := start(p, s.ln.Addr().String())
 			r.hook = r.deliver
 			r.d.Run(t.Context())
-			if got := r.d.Results()[0]; got.End != c.end || got.HandIns != c.puts {
+			if got := r.d.Results()[0]; got.Outcome != c.end || got.Submissions != c.puts {
 				t.Errorf("%+v, want %s after %d hand-ins", got, c.end, c.puts)
 			}
 			if len(s.got) != c.puts || !strings.HasSuffix(s.got[len(s.got)-1], c.mark) {
@@ -202,18 +202,18 @@
 }
 
 func TestNoticesEndMessages(t *testing.T) {
-	for status, want := range map[int]End{event.NoticeGivenUp: Failed, event.NoticeHandedBack: Refused} {
+	for status, want := range map[int]Outcome{event.NoticeGivenUp: Failed, event.NoticeHandedBack: Rejected} {
 		p := plan(t, 1, 50, 4000)
 		p.Arrivals = p.Arrivals[:1]
 		s := newSink(t, nil)
 		r := start(p, s.ln.Addr().String())
 		r.hook = func(e *event.Event) {
 			if e.Kind == event.Accepted {
-				go r.d.Happened(&event.Event{Kind: event.Noticed, Status: status, ID: e.ID, Wait: 1000})
+				go r.d.HandleEvent(&event.Event{Kind: event.Noticed, Status: status, ID: e.ID, Wait: 1000})
 			}
 		}
 		r.d.Run(t.Context())
-		if got := r.d.Results()[0]; got.End != want {
+		if got := r.d.Results()[0]; got.Outcome != want {
 			t.Errorf("%+v, want %s", got, want)
 		}
 	}
@@ -225,7 +225,7 @@
 	_ = a.ln.Close() // connections are refused
 	r := start(p, a.ln.Addr().String(), b.ln.Addr().String())
 	r.hook = r.deliver
-	r.d.Down(0, 200_000) // the front goes on dealing to it for a while
+	r.d.RelayDown(0, 200_000) // the front goes on dealing to it for a while
 	r.d.Run(t.Context())
 	if got := r.ends(); got[Delivered] != len(p.Arrivals) || len(b.got) != len(p.Arrivals) {
 		t.Errorf("ends %v, %d came", got, len(b.got))
@@ -254,7 +254,7 @@
 func TestWorth(t *testing.T) {
 	c := &scenario.Class{AimMS: 1000, DeadlineMS: 3000, Worth: 3, LateWorth: 0.5}
 	for _, x := range []struct {
-		end  End
+		end  Outcome
 		at   event.Time
 		want float64
 	}{
@@ -265,7 +265,7 @@
 		{Delivered, 3e6 + 1, 0},
 		{Failed, 0, 0},
 	} {
-		if got := Worth(c, &Result{End: x.end, At: x.at}); math.Abs(got-x.want) > 1e-9 {
+		if got := EarnedWeight(c, &Result{Outcome: x.end, Elapsed: x.at}); math.Abs(got-x.want) > 1e-9 {
 			t.Errorf("%s at %d: %v, want %v", x.end, x.at, got, x.want)
 		}
 	}
@@ -286,10 +286,10 @@
 			_, _ = there.Write(text)
 			_ = there.Close()
 		}()
-		c := &conn{Conn: here, in: bufio.NewReaderSize(here, 512), text: []byte("PING")}
-		written, reply, err := c.ask(time.Now().Add(5 * time.Second))
+		c := &conn{Conn: here, reader: bufio.NewReaderSize(here, 512), request: []byte("PING")}
+		written, reply, err := c.roundTrip(time.Now().Add(5 * time.Second))
 		_ = here.Close()
-		if !written || err == nil && len(reply) > linesMost {
+		if !written || err == nil && len(reply) > maxReplyBytes {
 			t.Fatalf("%v, %d bytes, %v", written, len(reply), err)
 		}
 		if err == nil {
@@ -301,7 +301,7 @@
 					Clock: func() event.Time { return 0 },
 				},
 			)
-			d.heard(&hand{try: 99}, reply, 0)
+			d.handleReply(&submission{attempt: 99}, reply, 0)
 			d.Close()
 		}
 	})
@@ -325,7 +325,7 @@
 			judge.Step(e)
 			mu.Unlock()
 		}
-		delivered := func(e event.Event) { seen(e); r.d.Happened(&e) }
+		delivered := func(e event.Event) { seen(e); r.d.HandleEvent(&e) }
 		w, err := endpoint.New(
 			p.Specs, endpoint.Rules{Relays: 1}, p.Work(),
 			func(id string) (endpoint.Message, bool) { return r.d.Lookup(id) }, delivered,
@@ -350,7 +350,7 @@
 		late, _ := srv.TimerLag(99)
 		b.ReportMetric(float64(r.ends()[Delivered])/took, "delivered/s")
 		b.ReportMetric(100*cpu/took, "%core")
-		b.ReportMetric(float64(r.d.Late(99))/1000, "driver-late-ms")
+		b.ReportMetric(float64(r.d.Lateness(99))/1000, "driver-late-ms")
 		b.ReportMetric(float64(late)/1000, "standin-late-ms")
 		if v := judge.Violations(); len(v) > 0 {
 			b.Errorf("%d violations, the first: %s", len(v), v[0].String())
--- a/internal/rehearsal/loadgen/messages.go
+++ b/internal/rehearsal/loadgen/messages.go
@@ -13,32 +13,32 @@
 	"troutusher/internal/seededrand"
 )
 
-// handIn hands a message in, once, and books what its client heard.
-func (d *Driver) handIn(num, try int, mark string) {
+// submit hands a message in, once, and books what its client heard.
+func (d *Driver) submit(num, try int, mark string) {
 	avoid := -1
 	for {
-		left := d.left(num)
-		if left <= 0 || d.quit.Err() != nil {
-			d.end(num, Unheard)
+		left := d.timeLeft(num)
+		if left <= 0 || d.ctx.Err() != nil {
+			d.finish(num, Unanswered)
 			return
 		}
-		relay := d.deal(avoid)
+		relay := d.pickRelay(avoid)
 		if relay < 0 {
-			if !d.sleep(frontWait) {
+			if !d.sleep(relayRetryDelay) {
 				return
 			}
 			continue
 		}
-		c, kept, err := d.conns[relay].get(d.quit, min(dialWait, time.Duration(left)*time.Microsecond))
+		c, kept, err := d.pools[relay].acquire(d.ctx, min(dialTimeout, time.Duration(left)*time.Microsecond))
 		if err != nil { // nobody is there: the front deals another
-			d.door.Add(1)
+			d.unserved.Add(1)
 			avoid = relay
-			if !d.sleep(frontWait) {
+			if !d.sleep(relayRetryDelay) {
 				return
 			}
 			continue
 		}
-		d.talk(num, try, relay, mark, c, kept)
+		d.sendSubmission(num, try, relay, mark, c, kept)
 		return
 	}
 }
@@ -49,82 +49,84 @@
 	select {
 	case <-timer.C:
 		return true
-	case <-d.quit.Done():
+	case <-d.ctx.Done():
 		return false
 	}
 }
 
-// talk hands a message in over a connection.
-func (d *Driver) talk(num, try, relay int, mark string, c *conn, kept bool) {
-	a := &d.cfg.Plan.Arrivals[num]
-	h := &hand{
-		id: fmt.Sprintf("%016x", seededrand.Hash(d.cfg.Plan.Seed, 77, uint64(num), uint64(try))), num: num,
-		relay: relay, try: try,
+// sendSubmission hands a message in over a connection.
+func (d *Driver) sendSubmission(num, try, relay int, mark string, c *conn, kept bool) {
+	a := &d.config.Plan.Arrivals[num]
+	h := &submission{
+		id: fmt.Sprintf("%016x", seededrand.Hash(d.config.Plan.Seed, 77, uint64(num), uint64(try))), message: num,
+		relay: relay, attempt: try,
 	}
 	d.mu.Lock()
-	d.ids[h.id] = h
-	d.messages[num].HandIns++
+	d.submissions[h.id] = h
+	d.messages[num].Submissions++
 	d.mu.Unlock()
-	left := d.left(num)
-	c.text = put(c.text[:0], d.cfg.Plan, a, h.id, left, mark, d.body)
-	d.cfg.Emit(event.Event{At: d.cfg.Clock(), Kind: event.HandIn, ID: h.id, Message: num, Relay: relay, Left: left})
-	wait := time.Duration(scenario.Micros(d.cfg.Plan.Scenario.Clients.AnswerMS)) * time.Microsecond
+	left := d.timeLeft(num)
+	c.request = appendSubmission(c.request[:0], d.config.Plan, a, h.id, left, mark, d.body)
+	d.config.Emit(
+		event.Event{At: d.config.Clock(), Kind: event.HandIn, ID: h.id, Message: num, Relay: relay, Left: left},
+	)
+	wait := time.Duration(scenario.Micros(d.config.Plan.Scenario.Clients.AnswerMS)) * time.Microsecond
 	limit := time.Now().Add(wait)
-	written, reply, err := c.ask(limit)
+	written, reply, err := c.roundTrip(limit)
 	if err != nil && kept && !errors.Is(err, errTimeout) {
 		// The relay closed it between two requests; it is sent once more.
-		d.door.Add(1)
-		d.conns[relay].drop(c)
-		fresh, _, derr := d.conns[relay].dial(d.quit, time.Until(limit))
+		d.unserved.Add(1)
+		d.pools[relay].discard(c)
+		fresh, _, derr := d.pools[relay].acquireNew(d.ctx, time.Until(limit))
 		if derr == nil {
-			fresh.text = append(fresh.text[:0], c.text...)
+			fresh.request = append(fresh.request[:0], c.request...)
 			c = fresh
-			written, reply, err = c.ask(limit)
+			written, reply, err = c.roundTrip(limit)
 		} else {
 			c, written = nil, false
 		}
 	}
-	now := d.cfg.Clock()
+	now := d.config.Clock()
 	if try == 0 {
 		d.mu.Lock()
-		_ = d.answers.RecordValue(max(now-d.cfg.Start-a.At, 1)) // as above
+		_ = d.replyLatency.RecordValue(max(now-d.config.Start-a.At, 1)) // as above
 		d.mu.Unlock()
 	}
 	if err != nil {
 		if c != nil {
-			d.conns[relay].drop(c)
+			d.pools[relay].discard(c)
 		}
 		what := event.Event{At: now, Kind: event.GivenUp, ID: h.id, Text: err.Error()}
 		if written && !errors.Is(err, errTimeout) {
 			what.Kind = event.CutOff
-			d.door.Add(1)
-			if !c.used {
+			d.unserved.Add(1)
+			if !c.answered {
 				what.Status = 1
 			}
 		}
 		d.mu.Lock()
-		h.over = true
+		h.finished = true
 		d.mu.Unlock()
-		d.cfg.Emit(what)
-		d.again(num, try, "again=1", 0)
+		d.config.Emit(what)
+		d.resubmit(num, try, "again=1", 0)
 		return
 	}
-	c.used = true
-	d.conns[relay].put(c)
-	d.heard(h, reply, now)
+	c.answered = true
+	d.pools[relay].release(c)
+	d.handleReply(h, reply, now)
 }
 
-// heard books an answer.
-func (d *Driver) heard(h *hand, reply string, now event.Time) {
+// handleReply books an answer.
+func (d *Driver) handleReply(h *submission, reply string, now event.Time) {
 	switch ms, busy := strings.CutPrefix(reply, "-BUSY"); {
 	case reply != "" && reply[0] != '-':
-		d.cfg.Emit(event.Event{At: now, Kind: event.Accepted, ID: h.id})
+		d.config.Emit(event.Event{At: now, Kind: event.Accepted, ID: h.id})
 		d.mu.Lock()
-		h.heard = true
+		h.accepted = true
 		delivered := h.delivered
 		d.mu.Unlock()
 		if delivered {
-			d.end(h.num, Delivered)
+			d.finish(h.message, Delivered)
 		}
 	case busy:
 		wait, err := strconv.ParseInt(strings.TrimSpace(ms), 10, 64)
@@ -132,104 +134,111 @@
 			wait = 0
 		}
 		d.mu.Lock()
-		h.over = true
+		h.finished = true
 		d.mu.Unlock()
-		d.cfg.Emit(event.Event{At: now, Kind: event.Refused, ID: h.id, Wait: wait * 1000})
-		d.refused(h.num, h.try, wait*1000)
+		d.config.Emit(event.Event{At: now, Kind: event.Refused, ID: h.id, Wait: wait * 1000})
+		d.handleRejection(h.message, h.attempt, wait*1000)
 	default:
 		d.mu.Lock()
-		h.over = true
+		h.finished = true
 		d.mu.Unlock()
-		d.cfg.Emit(event.Event{At: now, Kind: event.Failed, ID: h.id, Text: reply})
-		d.end(h.num, Failed)
+		d.config.Emit(event.Event{At: now, Kind: event.Failed, ID: h.id, Text: reply})
+		d.finish(h.message, Failed)
 	}
 }
 
-// refused: the client comes again after a while, if it does.
-func (d *Driver) refused(num, try int, advice event.Time) {
+// handleRejection: the client comes again after a while, if it does.
+func (d *Driver) handleRejection(num, try int, advice event.Time) {
 	d.mu.Lock()
-	d.messages[num].Refusals++
+	d.messages[num].Rejections++
 	d.mu.Unlock()
-	cl := &d.cfg.Plan.Scenario.Clients
+	cl := &d.config.Plan.Scenario.Clients
 	wait := scenario.Micros(cl.BackoffMS * math.Pow(2, float64(min(try, 10))))
-	if advice > 0 && seededrand.Float64(d.cfg.Plan.Seed, 78, uint64(num), uint64(try)) < cl.Honour {
+	if advice > 0 && seededrand.Float64(d.config.Plan.Seed, 78, uint64(num), uint64(try)) < cl.Honour {
 		wait = advice
 	}
 	// Spread, so that those who were refused together do not come together.
-	wait += event.Time(float64(wait) * 0.2 * seededrand.Float64(d.cfg.Plan.Seed, 79, uint64(num), uint64(try)))
-	if try >= cl.Retries || wait >= d.left(num) {
-		d.end(num, Refused)
+	wait += event.Time(float64(wait) * 0.2 * seededrand.Float64(d.config.Plan.Seed, 79, uint64(num), uint64(try)))
+	if try >= cl.Retries || wait >= d.timeLeft(num) {
+		d.finish(num, Rejected)
 		return
 	}
-	d.again(num, try, "r=1", wait)
+	d.resubmit(num, try, "r=1", wait)
 }
 
-// again hands a message in anew after a while.
-func (d *Driver) again(num, try int, mark string, wait event.Time) {
-	if try >= d.cfg.Plan.Scenario.Clients.Retries+1 {
-		d.end(num, Unheard)
+// resubmit hands a message in anew after a while.
+func (d *Driver) resubmit(num, try int, mark string, wait event.Time) {
+	if try >= d.config.Plan.Scenario.Clients.Retries+1 {
+		d.finish(num, Unanswered)
 		return
 	}
-	d.waits.Add(1)
+	d.background.Add(1)
 	go func() {
-		defer d.waits.Done()
+		defer d.background.Done()
 		if d.sleep(time.Duration(wait) * time.Microsecond) {
-			d.handIn(num, try+1, mark)
+			d.submit(num, try+1, mark)
 		}
 	}()
 }
 
-// Happened takes deliveries and notices from the rest of the rehearsal.
-func (d *Driver) Happened(e *event.Event) {
+// HandleEvent takes deliveries and notices from the rest of the rehearsal.
+func (d *Driver) HandleEvent(e *event.Event) {
 	d.mu.Lock()
-	h := d.ids[e.ID]
-	if h == nil || h.over {
+	h := d.submissions[e.ID]
+	if h == nil || h.finished {
 		d.mu.Unlock()
 		return
 	}
 	switch {
 	case e.Kind == event.CallEnded && e.Status == event.StatusDelivered:
-		h.delivered, h.over = true, true
-		heard := h.heard
+		h.delivered, h.finished = true, true
+		heard := h.accepted
 		d.mu.Unlock()
 		if heard {
-			d.end(h.num, Delivered)
+			d.finish(h.message, Delivered)
 		}
 		return
 	case e.Kind == event.Noticed:
-		h.over = true
+		h.finished = true
 		d.mu.Unlock()
 		if e.Status == event.NoticeHandedBack {
-			d.refused(h.num, h.try, e.Wait)
+			d.handleRejection(h.message, h.attempt, e.Wait)
 		} else {
-			d.end(h.num, Failed)
+			d.finish(h.message, Failed)
 		}
 		return
 	}
 	d.mu.Unlock()
 }
 
-// end books a message's end.
-func (d *Driver) end(num int, how End) {
+// finish books a message's end.
+func (d *Driver) finish(num int, how Outcome) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	m := &d.messages[num]
-	if m.End != Pending {
+	if m.Outcome != Pending {
 		return
 	}
-	m.End, m.At = how, d.cfg.Clock()-d.cfg.Start-d.cfg.Plan.Arrivals[num].At
+	m.Outcome, m.Elapsed = how, d.config.Clock()-d.config.Start-d.config.Plan.Arrivals[num].At
 	if how == Delivered {
-		_ = d.delivery.RecordValue(max(m.At, 1)) // as above
+		_ = d.deliveryLatency.RecordValue(max(m.Elapsed, 1)) // as above
 	}
-	if d.open--; d.open == 0 {
+	if d.pending--; d.pending == 0 {
 		close(d.done)
 	}
 }
 
-// put writes a hand-in in RESP2.
-func put(b []byte, p *scenario.Plan, a *scenario.Arrival, id string, left event.Time, mark, body string) []byte {
+// appendSubmission writes a hand-in in RESP2.
+func appendSubmission(
+	b []byte,
+	p *scenario.Plan,
+	a *scenario.Arrival,
+	id string,
+	left event.Time,
+	mark, body string,
+) []byte {
 	b = append(b, "*5\r\n$7\r\nMSG.PUT\r\n$16\r\n0000000000000000\r\n"...)
-	b = bulk(b, id)
+	b = appendBulkString(b, id)
 	fields := make([]byte, 0, 160)
 	fields = append(fields, "c="...)
 	fields = append(fields, p.Scenario.Classes[a.Class].Name...)
@@ -245,11 +254,11 @@
 	if mark != "" {
 		fields = append(append(fields, ','), mark...)
 	}
-	b = bulk(b, string(fields))
-	return bulk(b, body)
+	b = appendBulkString(b, string(fields))
+	return appendBulkString(b, body)
 }
 
-func bulk(b []byte, s string) []byte {
+func appendBulkString(b []byte, s string) []byte {
 	b = append(b, '$')
 	b = strconv.AppendInt(b, int64(len(s)), 10)
 	b = append(b, "\r\n"...)
--- a/internal/rehearsal/loadgen/pool.go
+++ b/internal/rehearsal/loadgen/pool.go
@@ -19,38 +19,38 @@
 // conn is a kept connection to a relay.
 type conn struct {
 	net.Conn
-	in   *bufio.Reader
-	text []byte
-	used bool // it has carried an answer
+	reader   *bufio.Reader
+	request  []byte
+	answered bool // it has carried an answer
 }
 
-// ask writes the connection's text and reads one answer line.
-func (c *conn) ask(limit time.Time) (written bool, reply string, err error) {
+// roundTrip writes the connection's text and reads one answer line.
+func (c *conn) roundTrip(limit time.Time) (written bool, reply string, err error) {
 	_ = c.SetDeadline(limit) // fails with the write below
-	if _, err := c.Write(c.text); err != nil {
-		return false, "", timeout(err)
+	if _, err := c.Write(c.request); err != nil {
+		return false, "", asTimeout(err)
 	}
-	line, err := c.in.ReadSlice('\n')
+	line, err := c.reader.ReadSlice('\n')
 	if err != nil {
-		return true, "", timeout(err)
+		return true, "", asTimeout(err)
 	}
-	if len(line) > linesMost {
+	if len(line) > maxReplyBytes {
 		return true, "", fmt.Errorf("answer of %d bytes", len(line))
 	}
 	reply = strings.TrimRight(string(line), "\r\n")
 	if reply != "" && reply[0] == '$' { // a bulk string
 		n, err := strconv.Atoi(reply[1:])
-		if err != nil || n < 0 || n > linesMost {
+		if err != nil || n < 0 || n > maxReplyBytes {
 			return true, "", fmt.Errorf("answer %.40q", reply)
 		}
-		if _, err := io.CopyN(io.Discard, c.in, int64(n)+2); err != nil {
-			return true, "", timeout(err)
+		if _, err := io.CopyN(io.Discard, c.reader, int64(n)+2); err != nil {
+			return true, "", asTimeout(err)
 		}
 	}
 	return true, reply, nil
 }
 
-func timeout(err error) error {
+func asTimeout(err error) error {
 	var t net.Error
 	if errors.As(err, &t) && t.Timeout() {
 		return errTimeout
@@ -60,18 +60,18 @@
 
 // pool keeps the connections to one relay.
 type pool struct {
-	addr string
-	free chan struct{} // a place for each connection that may be open
-	back chan *conn    // to those who wait for one
+	addr     string
+	slots    chan struct{} // a place for each connection that may be open
+	returned chan *conn    // to those who wait for one
 
 	mu     sync.Mutex
 	idle   []*conn
-	all    []*conn
+	open   []*conn
 	closed bool
 }
 
-// get takes a kept connection, or opens one.
-func (p *pool) get(ctx context.Context, wait time.Duration) (c *conn, kept bool, err error) {
+// acquire takes a kept connection, or opens one.
+func (p *pool) acquire(ctx context.Context, wait time.Duration) (c *conn, kept bool, err error) {
 	p.mu.Lock()
 	if n := len(p.idle); n > 0 {
 		c := p.idle[n-1]
@@ -81,17 +81,17 @@
 	}
 	p.mu.Unlock()
 	select {
-	case p.free <- struct{}{}:
-		return p.open(ctx, wait)
+	case p.slots <- struct{}{}:
+		return p.dial(ctx, wait)
 	default:
 	}
 	timer := time.NewTimer(wait)
 	defer timer.Stop()
 	select {
-	case c := <-p.back:
+	case c := <-p.returned:
 		return c, true, nil
-	case p.free <- struct{}{}:
-		return p.open(ctx, wait)
+	case p.slots <- struct{}{}:
+		return p.dial(ctx, wait)
 	case <-timer.C:
 		return nil, false, errTimeout
 	case <-ctx.Done():
@@ -99,13 +99,13 @@
 	}
 }
 
-// dial opens a connection whatever is kept.
-func (p *pool) dial(ctx context.Context, wait time.Duration) (*conn, bool, error) {
+// acquireNew opens a connection whatever is kept.
+func (p *pool) acquireNew(ctx context.Context, wait time.Duration) (*conn, bool, error) {
 	timer := time.NewTimer(wait)
 	defer timer.Stop()
 	select {
-	case p.free <- struct{}{}:
-		return p.open(ctx, wait)
+	case p.slots <- struct{}{}:
+		return p.dial(ctx, wait)
 	case <-timer.C:
 		return nil, false, errTimeout
 	case <-ctx.Done():
@@ -113,29 +113,29 @@
 	}
 }
 
-// open opens a connection in a place that is taken already.
-func (p *pool) open(ctx context.Context, wait time.Duration) (*conn, bool, error) {
+// dial opens a connection in a place that is taken already.
+func (p *pool) dial(ctx context.Context, wait time.Duration) (*conn, bool, error) {
 	dialer := net.Dialer{Timeout: wait}
 	n, err := dialer.DialContext(ctx, "tcp4", p.addr)
 	if err != nil {
-		<-p.free
+		<-p.slots
 		return nil, false, err
 	}
-	c := &conn{Conn: n, in: bufio.NewReaderSize(n, 512)}
+	c := &conn{Conn: n, reader: bufio.NewReaderSize(n, 512)}
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.closed {
 		_ = n.Close()
-		<-p.free
+		<-p.slots
 		return nil, false, net.ErrClosed
 	}
-	p.all = append(p.all, c)
+	p.open = append(p.open, c)
 	return c, false, nil
 }
 
-func (p *pool) put(c *conn) {
+func (p *pool) release(c *conn) {
 	select {
-	case p.back <- c:
+	case p.returned <- c:
 		return
 	default:
 	}
@@ -144,13 +144,13 @@
 	p.idle = append(p.idle, c)
 }
 
-func (p *pool) drop(c *conn) {
+func (p *pool) discard(c *conn) {
 	_ = c.Close()
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if i := slices.Index(p.all, c); i >= 0 {
-		p.all = slices.Delete(p.all, i, i+1)
-		<-p.free
+	if i := slices.Index(p.open, c); i >= 0 {
+		p.open = slices.Delete(p.open, i, i+1)
+		<-p.slots
 	}
 }
 
@@ -158,7 +158,7 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.closed = true
-	for _, c := range p.all {
+	for _, c := range p.open {
 		_ = c.Close()
 	}
 }
--- a/internal/rehearsal/report/html.go
+++ b/internal/rehearsal/report/html.go
@@ -232,8 +232,8 @@
 		"away<th>failed<th>wasted<th>took effect<th>probes</tr>")
 	for _, p := range r.Partners {
 		fmt.Fprintf(b, "<tr><td>%s<td>%d<td>%d<td>%.3f<td>%d<td>%d<td>%d<td>%d<td>%d<td>%d</tr>", e(p.Name),
-			p.Endpoints, p.Messages, p.Service.Service, p.Calls.Began, p.Calls.Refused, p.Calls.Failed, p.Wasted,
-			p.Calls.Ran, p.Calls.Probes)
+			p.Endpoints, p.Messages, p.Service.Service, p.Calls.Started, p.Calls.Rejected, p.Calls.Failed, p.Wasted,
+			p.Calls.Executed, p.Calls.HealthChecks)
 	}
 	fmt.Fprint(b, "</table>\n<table><tr><th>ms from the planned "+
 		"moment<th>count<th>p50<th>p90<th>p99<th>p99.9<th>most</tr>")
--- a/internal/rehearsal/report/report.go
+++ b/internal/rehearsal/report/report.go
@@ -78,8 +78,8 @@
 	Dest      int    `json:"dest"`
 	Endpoints int    `json:"endpoints"`
 	Service
-	Calls  runner.Calls `json:"calls"`
-	Wasted int          `json:"wasted"` // calls that were not delivered
+	Calls  runner.CallCounts `json:"calls"`
+	Wasted int               `json:"wasted"` // calls that were not delivered
 }
 
 // Untried says what became of the messages that restarts found taken on and
@@ -157,16 +157,16 @@
 	s.Messages++
 	s.Asked += asked
 	s.Earned += earned
-	s.Refusals += r.Refusals
-	s.HandIns += r.HandIns
-	switch r.End {
+	s.Refusals += r.Rejections
+	s.HandIns += r.Submissions
+	switch r.Outcome {
 	case loadgen.Delivered:
 		s.Delivered++
-	case loadgen.Refused:
+	case loadgen.Rejected:
 		s.Refused++
 	case loadgen.Failed:
 		s.Failed++
-	case loadgen.Unheard:
+	case loadgen.Unanswered:
 		s.Unheard++
 	default:
 		s.Pending++
@@ -194,13 +194,13 @@
 		Environment: env,
 		Floor:       s.Floor,
 		Reasons:     []string{},
-		Crashes:     append([]string{}, o.Crashes...),
-		Answers:     quantiles(o.Answers),
-		Delivery:    quantiles(o.Delivery),
-		Late:        Late{ms(o.LateDriver), ms(o.LateWorld), s.LateMS},
+		Crashes:     append([]string{}, o.RelayFailures...),
+		Answers:     quantiles(o.ReplyLatency),
+		Delivery:    quantiles(o.DeliveryLatency),
+		Late:        Late{ms(o.DriverLateness), ms(o.EmulatorLateness), s.LateMS},
 		MemoryKB:    append([]int{}, o.MemoryKB...),
-		Door:        o.Door,
-		Untried:     Untried{o.Starts.Untried, o.Starts.Tried, o.Starts.Ended},
+		Door:        o.UnservedRequests,
+		Untried:     Untried{o.Restarts.Untried, o.Restarts.Tried, o.Restarts.Ended},
 	}
 	r.groups(o)
 	asked, earned := r.addResults(o)
@@ -227,7 +227,7 @@
 		x := &p.Specs[i]
 		r.Partners = append(r.Partners, Partner{
 			Name: x.Name, Dest: x.Destination, Endpoints: x.Endpoints, Calls: o.Calls[i],
-			Wasted: o.Calls[i].Began - o.Calls[i].Delivered,
+			Wasted: o.Calls[i].Started - o.Calls[i].Delivered,
 		})
 	}
 }
@@ -245,7 +245,7 @@
 	for i := range o.Results {
 		a, x := &p.Arrivals[i], &o.Results[i]
 		class := &s.Classes[a.Class]
-		got := loadgen.Worth(class, x)
+		got := loadgen.EarnedWeight(class, x)
 		for _, to := range []*Service{
 			&r.Service, &r.Classes[a.Class].Service, &r.Portals[a.Portal].Service, &r.Partners[a.Dest-1].Service,
 		} {
@@ -348,7 +348,7 @@
 	if n := r.Broken(); n > 0 {
 		r.fail("%d broken rules", n)
 	}
-	for _, c := range o.Crashes {
+	for _, c := range o.RelayFailures {
 		r.fail("%s", c)
 	}
 	if r.Service.Service < r.Floor {
@@ -364,7 +364,7 @@
 	if r.Late.StandIn > r.Late.Most {
 		void("the stand-ins were %.1f ms late at the 99th percentile, %.0f ms at most", r.Late.StandIn, r.Late.Most)
 	}
-	for _, t := range o.Trouble {
+	for _, t := range o.KitErrors {
 		void("%s", t)
 	}
 }
--- a/internal/rehearsal/report/report_test.go
+++ b/internal/rehearsal/report/report_test.go
@@ -76,20 +76,20 @@
 		t.Fatal(err)
 	}
 	return &runner.Outcome{
-		Plan:       p,
-		Calls:      make([]runner.Calls, 2),
-		Answers:    h,
-		Delivery:   h,
-		LateDriver: 2000,
-		LateWorld:  1000,
-		MemoryKB:   []int{10240},
+		Plan:             p,
+		Calls:            make([]runner.CallCounts, 2),
+		ReplyLatency:     h,
+		DeliveryLatency:  h,
+		DriverLateness:   2000,
+		EmulatorLateness: 1000,
+		MemoryKB:         []int{10240},
 		Results: []loadgen.Result{
-			{End: loadgen.Delivered, At: 500_000, HandIns: 1},
-			{End: loadgen.Delivered, At: 2e6, HandIns: 2, Refusals: 1},
-			{End: loadgen.Delivered, At: 1e6, HandIns: 1},
-			{End: loadgen.Refused, HandIns: 3, Refusals: 3},
-			{End: loadgen.Failed, HandIns: 1},
-			{End: loadgen.Delivered, At: 1e6, HandIns: 1},
+			{Outcome: loadgen.Delivered, Elapsed: 500_000, Submissions: 1},
+			{Outcome: loadgen.Delivered, Elapsed: 2e6, Submissions: 2, Rejections: 1},
+			{Outcome: loadgen.Delivered, Elapsed: 1e6, Submissions: 1},
+			{Outcome: loadgen.Rejected, Submissions: 3, Rejections: 3},
+			{Outcome: loadgen.Failed, Submissions: 1},
+			{Outcome: loadgen.Delivered, Elapsed: 1e6, Submissions: 1},
 		},
 	}
 }
@@ -135,21 +135,25 @@
 			o.Violations = []checker.Violation{{Rule: checker.Once, At: 7e6, ID: "m", Message: 2, Evidence: "why"}}
 		}, Failed, "1 broken rules"},
 		{
-			"a crash", func(o *runner.Outcome) { o.Crashes = []string{"relay 1 ended by itself"} }, Failed,
+			"a crash", func(o *runner.Outcome) { o.RelayFailures = []string{"relay 1 ended by itself"} }, Failed,
 			"ended by itself",
 		},
-		{"under the floor", func(o *runner.Outcome) { o.Results[2].End = loadgen.Failed }, Failed, "under the floor"},
 		{
-			"a driver that was late", func(o *runner.Outcome) { o.LateDriver = 41_000 }, Void,
+			"under the floor", func(o *runner.Outcome) { o.Results[2].Outcome = loadgen.Failed }, Failed,
+			"under the floor",
+		},
+		{
+			"a driver that was late", func(o *runner.Outcome) { o.DriverLateness = 41_000 }, Void,
 			"load driver was 41.0 ms late",
 		},
 		{
-			"stand-ins that were late", func(o *runner.Outcome) { o.LateWorld = 41_000 }, Void,
+			"stand-ins that were late", func(o *runner.Outcome) { o.EmulatorLateness = 41_000 }, Void,
 			"stand-ins were 41.0 ms late",
 		},
-		{"trouble in the kit", func(o *runner.Outcome) { o.Trouble = []string{"a port"} }, Void, "a port"},
+		{"trouble in the kit", func(o *runner.Outcome) { o.KitErrors = []string{"a port"} }, Void, "a port"},
 		{
-			"void comes before failed", func(o *runner.Outcome) { o.LateDriver, o.Crashes = 41_000, []string{"x"} },
+			"void comes before failed",
+			func(o *runner.Outcome) { o.DriverLateness, o.RelayFailures = 41_000, []string{"x"} },
 			Void, "late",
 		},
 	} {
--- a/internal/rehearsal/report/text.go
+++ b/internal/rehearsal/report/text.go
@@ -70,8 +70,8 @@
 	t.Rowf("partner\tendpoints\tmessages\tservice\tcalls\tturned away\tfailed\twasted\tprobes\t")
 	for _, p := range r.Partners {
 		t.Rowf("%s\t%d\t%d\t%.3f\t%d\t%d\t%d\t%d\t%d\t",
-			p.Name, p.Endpoints, p.Messages, p.Service.Service, p.Calls.Began, p.Calls.Refused, p.Calls.Failed,
-			p.Wasted, p.Calls.Probes)
+			p.Name, p.Endpoints, p.Messages, p.Service.Service, p.Calls.Started, p.Calls.Rejected, p.Calls.Failed,
+			p.Wasted, p.Calls.HealthChecks)
 	}
 	b.WriteString(t.String())
 }
--- a/internal/rehearsal/runner/double_test.go
+++ b/internal/rehearsal/runner/double_test.go
@@ -224,7 +224,7 @@
 	var up []registry.Member
 	for i := range d.plan.Endpoints { // in the plan's order
 		for _, m := range d.list {
-			if m.Phase == registry.PhaseUp && members(d.plan, func(int) string { return "" })[i].ID == m.ID &&
+			if m.Phase == registry.PhaseUp && listMembers(d.plan, func(int) string { return "" })[i].ID == m.ID &&
 				(m.Cell == dest) != (d.breach == strays) {
 				up = append(up, m)
 			}
--- a/internal/rehearsal/runner/faults.go
+++ b/internal/rehearsal/runner/faults.go
@@ -15,91 +15,91 @@
 	"troutusher/internal/seededrand"
 )
 
-// moment is something that happens in the course of a rehearsal.
-type moment struct {
-	at event.Time
-	do func()
+// action is something that happens in the course of a rehearsal.
+type action struct {
+	at  event.Time
+	run func()
 }
 
-// faults has them begin and end.
-func (s *Stage) faults(ctx context.Context) {
-	var all []moment
+// playFaults has them begin and end.
+func (s *Rehearsal) playFaults(ctx context.Context) {
+	var all []action
 	for i := range s.plan.Faults {
-		all = append(all, s.moments(ctx, &s.plan.Faults[i])...)
+		all = append(all, s.faultActions(ctx, &s.plan.Faults[i])...)
 	}
-	slices.SortStableFunc(all, func(a, b moment) int { return int(a.at - b.at) })
+	slices.SortStableFunc(all, func(a, b action) int { return int(a.at - b.at) })
 	timer := time.NewTimer(time.Hour)
 	defer timer.Stop()
 	for _, m := range all {
-		timer.Reset(time.Duration(s.start.Load()+m.at-s.now()) * time.Microsecond)
+		timer.Reset(time.Duration(s.planStart.Load()+m.at-s.now()) * time.Microsecond)
 		select {
 		case <-timer.C:
-			m.do()
+			m.run()
 		case <-ctx.Done():
 			return
 		}
 	}
 }
 
-// holds counts what holds now, for those who watch.
-func (s *Stage) holds(what string, n int) {
+// addActiveFault counts what holds now, for those who watch.
+func (s *Rehearsal) addActiveFault(what string, n int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.holding[what] += n; s.holding[what] <= 0 {
-		delete(s.holding, what)
+	if s.activeFaults[what] += n; s.activeFaults[what] <= 0 {
+		delete(s.activeFaults, what)
 	}
 }
 
 // plannedFault is one fault of the plan as it is played.
 type plannedFault struct {
-	*Stage
+	*Rehearsal
 	*scenario.PlannedFault
 	ctx  context.Context
 	name string // for those who watch
 }
 
-// moments returns what a fault does, and when.
-func (s *Stage) moments(ctx context.Context, f *scenario.PlannedFault) []moment {
+// faultActions returns what a fault does, and when.
+func (s *Rehearsal) faultActions(ctx context.Context, f *scenario.PlannedFault) []action {
 	name := f.Kind
 	if len(f.Endpoints) > 0 {
 		name += " " + s.plan.Specs[s.plan.Endpoints[f.Endpoints[0]].Partner].Name
 	}
-	x := &plannedFault{Stage: s, PlannedFault: f, ctx: ctx, name: name}
+	x := &plannedFault{Rehearsal: s, PlannedFault: f, ctx: ctx, name: name}
 	switch f.Kind {
 	case scenario.Drain, scenario.Remove:
-		return s.leaving(f, name)
+		return s.listPhaseActions(f, name)
 	case scenario.ListLate, scenario.ListStale, scenario.ListSilent:
-		return x.discovery()
+		return x.listActions()
 	case scenario.RelayKill:
-		return x.process(x.killRelay)
+		return x.onProcesses(x.killRelay)
 	case scenario.RelayRestart:
-		return x.process(x.restartRelay)
+		return x.onProcesses(x.restartRelay)
 	case scenario.Upgrade:
-		return x.process(func(r *relay) { s.upgrade(ctx, r, f) })
+		return x.onProcesses(func(r *relay) { s.upgrade(ctx, r, f) })
 	case scenario.DrainRelay:
-		return x.span(x.drainRelay(true), x.drainRelay(false))
+		return x.lasting(x.drainRelay(true), x.drainRelay(false))
 	case scenario.Reload:
-		return x.process(x.reload)
+		return x.onProcesses(x.reload)
 	}
 	switch {
 	case strings.HasPrefix(f.Kind, "flood_"):
-		return x.flood()
+		return x.floodActions()
 	case strings.HasPrefix(f.Kind, "tls_"):
-		return x.span(s.secrets.fault(f.Kind, f.Endpoints))
+		return x.lasting(s.identities.replacement(f.Kind, f.Endpoints))
 	}
-	return x.endpoints()
+	return x.endpointActions()
 }
 
-// span is a fault that lasts.
-func (f *plannedFault) span(begin, end func()) []moment {
-	return []moment{
-		{f.At, func() { f.holds(f.name, 1); begin() }},
-		{f.Until, func() { end(); f.holds(f.name, -1) }},
+// lasting is a fault that lasts.
+func (f *plannedFault) lasting(begin, end func()) []action {
+	return []action{
+		{f.At, func() { f.addActiveFault(f.name, 1); begin() }},
+		{f.Until, func() { end(); f.addActiveFault(f.name, -1) }},
 	}
 }
 
-// relays does something to each relay that the fault is about.
-func (f *plannedFault) relays(do func(relay int)) func() {
+// forEachRelay does something to each relay that the fault is about.
+func (f *plannedFault) forEachRelay(do func(relay int)) func() {
 	return func() {
 		for _, r := range f.Relays {
 			do(r)
@@ -107,59 +107,64 @@
 	}
 }
 
-// process does something to the processes of relays, beside all else that happens.
-func (f *plannedFault) process(do func(r *relay)) []moment {
-	return []moment{{f.At, f.relays(func(i int) {
-		f.jobs.Add(1)
+// onProcesses does something to the processes of relays, beside all else that happens.
+func (f *plannedFault) onProcesses(do func(r *relay)) []action {
+	return []action{{f.At, f.forEachRelay(func(i int) {
+		f.background.Add(1)
 		go func() {
-			defer f.jobs.Done()
-			f.holds(fmt.Sprintf("%s %d", f.Kind, i+1), 1)
-			defer f.holds(fmt.Sprintf("%s %d", f.Kind, i+1), -1)
-			r := f.Stage.relays[i]
+			defer f.background.Done()
+			f.addActiveFault(fmt.Sprintf("%s %d", f.Kind, i+1), 1)
+			defer f.addActiveFault(fmt.Sprintf("%s %d", f.Kind, i+1), -1)
+			r := f.relays[i]
 			r.mu.Lock()
 			defer r.mu.Unlock()
-			if f.agents[i].Process {
+			if f.targets[i].StartProcess {
 				do(r)
 			}
 		}()
 	})}}
 }
 
-// discovery has lists come late, stay old, or not come.
-func (f *plannedFault) discovery() []moment {
+// listActions has lists come late, stay old, or not come.
+func (f *plannedFault) listActions() []action {
 	more := time.Duration(f.Size * float64(time.Second))
 	set := func(on bool) func() {
-		return f.relays(func(i int) {
+		return f.forEachRelay(func(i int) {
 			switch f.Kind {
 			case scenario.ListLate:
-				f.reg.SetExtraDelay(i, more, on)
+				f.registry.SetExtraDelay(i, more, on)
 			case scenario.ListStale:
-				f.reg.SetStale(i, on)
+				f.registry.SetStale(i, on)
 			case scenario.ListSilent:
-				f.reg.SetSilent(i, on)
+				f.registry.SetSilent(i, on)
 			}
 		})
 	}
-	return f.span(set(true), set(false))
+	return f.lasting(set(true), set(false))
 }
 
 func (f *plannedFault) killRelay(r *relay) {
-	f.driver.Down(r.num, scenario.Micros(f.plan.Scenario.Clients.FrontNoticeMS))
-	f.hub.emit(event.Event{At: f.now(), Kind: event.Killed, Relay: r.num})
+	f.driver.RelayDown(r.index, scenario.Micros(f.plan.Scenario.Clients.FrontNoticeMS))
+	f.events.emit(event.Event{At: f.now(), Kind: event.Killed, Relay: r.index})
 	r.kill()
-	f.pause(f.ctx, time.Duration(f.Until-f.At)*time.Microsecond)
-	f.again(f.ctx, r)
+	f.sleep(f.ctx, time.Duration(f.Until-f.At)*time.Microsecond)
+	f.startAgain(f.ctx, r)
 }
 
 func (f *plannedFault) restartRelay(r *relay) {
 	// New connections go on coming for a while.
-	f.driver.Down(r.num, 300_000)
-	f.hub.emit(event.Event{At: f.now(), Kind: event.Stopping, Relay: r.num})
+	f.driver.RelayDown(r.index, 300_000)
+	f.events.emit(event.Event{At: f.now(), Kind: event.Stopping, Relay: r.index})
 	if r.stop() {
-		f.say(&f.trouble, "relay %d was still there %v after SIGTERM and was killed", r.num+1, stopWait)
+		f.appendFailure(
+			&f.kitErrors,
+			"relay %d was still there %v after SIGTERM and was killed",
+			r.index+1,
+			stopTimeout,
+		)
 	}
-	f.hub.emit(event.Event{At: f.now(), Kind: event.Killed, Relay: r.num})
-	f.again(f.ctx, r)
+	f.events.emit(event.Event{At: f.now(), Kind: event.Killed, Relay: r.index})
+	f.startAgain(f.ctx, r)
 }
 
 // drainRelay calls the consoles of relays.
@@ -168,52 +173,52 @@
 	if on {
 		command = "DRAIN"
 	}
-	return f.relays(func(i int) {
-		r := f.Stage.relays[i]
+	return f.forEachRelay(func(i int) {
+		r := f.relays[i]
 		r.mu.Lock()
 		defer r.mu.Unlock()
-		if !f.agents[i].Process {
+		if !f.targets[i].StartProcess {
 			return
 		}
-		if !call(r.now.console, command) {
-			f.say(&f.crashes, "relay %d: its console said no to %s", i+1, command)
+		if !callConsole(r.current.consoleAddr, command) {
+			f.appendFailure(&f.relayFailures, "relay %d: its console said no to %s", i+1, command)
 		}
 		if on { // the front sees that it says no to PING
-			f.driver.Down(i, 200_000)
+			f.driver.RelayDown(i, 200_000)
 		} else {
-			f.driver.Up(i)
+			f.driver.RelayUp(i)
 		}
 	})
 }
 
 // reload moves a relay's discovery and has it read its configuration again.
 func (f *plannedFault) reload(r *relay) {
-	if _, err := f.reg.ChangeAddress(r.num); err != nil {
-		f.say(&f.trouble, "%v", err)
+	if _, err := f.registry.ChangeAddress(r.index); err != nil {
+		f.appendFailure(&f.kitErrors, "%v", err)
 		return
 	}
-	if err := r.configure(); err != nil {
-		f.say(&f.trouble, "%v", err)
+	if err := r.writeConfig(); err != nil {
+		f.appendFailure(&f.kitErrors, "%v", err)
 		return
 	}
-	r.hup()
+	r.reload()
 }
 
-// flood has bad clients come to relays.
-func (f *plannedFault) flood() []moment {
+// floodActions has bad clients come to relays.
+func (f *plannedFault) floodActions() []action {
 	ctx, end := context.WithCancel(f.ctx)
-	begin := f.relays(func(i int) {
-		f.jobs.Add(1)
+	begin := f.forEachRelay(func(i int) {
+		f.background.Add(1)
 		go func() {
-			defer f.jobs.Done()
-			loadgen.Flood(ctx, loadgen.FloodKind(f.Kind), f.agents[i].Listen, int(f.Size))
+			defer f.background.Done()
+			loadgen.Flood(ctx, loadgen.FloodKind(f.Kind), f.targets[i].Listen, int(f.Size))
 		}()
 	})
-	return f.span(begin, end)
+	return f.lasting(begin, end)
 }
 
-// endpoints has a fault of the model's begin and end.
-func (f *plannedFault) endpoints() []moment {
+// endpointActions has a fault of the model's begin and end.
+func (f *plannedFault) endpointActions() []action {
 	fault := &endpoint.Fault{
 		Kind: endpoint.FaultKind(
 			f.Kind,
@@ -225,20 +230,20 @@
 	}
 	each := func(do func(w *endpoint.Model, now endpoint.Time, ep int)) func() {
 		return func() {
-			f.world.Update(func(w *endpoint.Model, now endpoint.Time) {
+			f.endpointServer.Update(func(w *endpoint.Model, now endpoint.Time) {
 				for _, ep := range f.Endpoints {
 					do(w, now, ep)
 				}
 			})
 		}
 	}
-	return f.span(
+	return f.lasting(
 		each(func(w *endpoint.Model, now endpoint.Time, ep int) { w.InjectFault(now, ep, fault) }),
 		each(func(w *endpoint.Model, now endpoint.Time, ep int) { w.ClearFault(now, ep, fault) }),
 	)
 }
 
-func (s *Stage) leaving(f *scenario.PlannedFault, name string) []moment {
+func (s *Rehearsal) listPhaseActions(f *scenario.PlannedFault, name string) []action {
 	phase := registry.PhaseDraining
 	if f.Kind == scenario.Remove {
 		phase = registry.PhaseRemoved
@@ -248,12 +253,12 @@
 	gone := &endpoint.Fault{Kind: endpoint.PlannedStop}
 	set := func(phase string) {
 		for _, ep := range f.Endpoints {
-			s.reg.SetPhase(ep, phase)
+			s.registry.SetPhase(ep, phase)
 		}
 	}
 	world := func(on bool) func() {
 		return func() {
-			s.world.Update(func(w *endpoint.Model, now endpoint.Time) {
+			s.endpointServer.Update(func(w *endpoint.Model, now endpoint.Time) {
 				for _, ep := range f.Endpoints {
 					switch {
 					case f.Kind == scenario.Drain:
@@ -267,14 +272,14 @@
 			})
 		}
 	}
-	all := []moment{{f.At, func() { s.holds(name, 1); set(phase) }}}
+	all := []action{{f.At, func() { s.addActiveFault(name, 1); set(phase) }}}
 	if shut < f.Until {
-		all = append(all, moment{shut, world(true)}, moment{f.Until, world(false)})
+		all = append(all, action{shut, world(true)}, action{f.Until, world(false)})
 	}
-	return append(all, moment{f.Until, func() { set(registry.PhaseUp); s.holds(name, -1) }})
+	return append(all, action{f.Until, func() { set(registry.PhaseUp); s.addActiveFault(name, -1) }})
 }
 
-func (s *Stage) pause(ctx context.Context, d time.Duration) {
+func (s *Rehearsal) sleep(ctx context.Context, d time.Duration) {
 	timer := time.NewTimer(d)
 	defer timer.Stop()
 	select {
@@ -285,58 +290,62 @@
 
 // again starts a relay once more. The caller holds its lock.
 // upgrade plays one upgrade of a relay.
-func (s *Stage) upgrade(ctx context.Context, r *relay, f *scenario.PlannedFault) {
+func (s *Rehearsal) upgrade(ctx context.Context, r *relay, f *scenario.PlannedFault) {
 	if f.Form == "" {
 		if err := r.upgrade(ctx); err != nil && ctx.Err() == nil {
-			s.say(&s.crashes, "upgrade: %v", err)
+			s.appendFailure(&s.relayFailures, "upgrade: %v", err)
 		}
 		return
 	}
-	after := time.Duration(seededrand.Hash(s.plan.Seed, 900, uint64(f.At), uint64(r.num)) % uint64(upgradeCutMost))
-	s.hub.emit(event.Event{At: s.now(), Kind: event.Killed, Relay: r.num}) // calls that are out may be cut from here on
-	alive, err := r.upgradeCut(ctx, after, f.Form == scenario.KillOld)
+	after := time.Duration(
+		seededrand.Hash(s.plan.Seed, 900, uint64(f.At), uint64(r.index)) % uint64(maxUpgradeKillDelay),
+	)
+	s.events.emit(
+		event.Event{At: s.now(), Kind: event.Killed, Relay: r.index},
+	) // calls that are out may be cut from here on
+	alive, err := r.upgradeWithKill(ctx, after, f.Form == scenario.KillOld)
 	switch {
 	case err != nil && ctx.Err() == nil:
-		s.say(&s.crashes, "upgrade, %s after %v: %v", f.Form, after, err)
+		s.appendFailure(&s.relayFailures, "upgrade, %s after %v: %v", f.Form, after, err)
 	case alive:
-		s.hub.emit(event.Event{At: s.now(), Kind: event.Ready, Relay: r.num})
+		s.events.emit(event.Event{At: s.now(), Kind: event.Ready, Relay: r.index})
 	default:
-		s.driver.Down(r.num, scenario.Micros(s.plan.Scenario.Clients.FrontNoticeMS))
-		s.hub.emit(event.Event{At: s.now(), Kind: event.Killed, Relay: r.num})
-		s.again(ctx, r)
+		s.driver.RelayDown(r.index, scenario.Micros(s.plan.Scenario.Clients.FrontNoticeMS))
+		s.events.emit(event.Event{At: s.now(), Kind: event.Killed, Relay: r.index})
+		s.startAgain(ctx, r)
 	}
 }
 
-const upgradeCutMost = 80 * time.Millisecond // by then a new process has taken over
+const maxUpgradeKillDelay = 80 * time.Millisecond // by then a new process has taken over
 
-func (s *Stage) again(ctx context.Context, r *relay) {
+func (s *Rehearsal) startAgain(ctx context.Context, r *relay) {
 	if ctx.Err() != nil {
 		return
 	}
 	if err := r.start(ctx); err != nil {
 		if ctx.Err() == nil {
-			s.say(&s.crashes, "%v", err)
+			s.appendFailure(&s.relayFailures, "%v", err)
 		}
 		return
 	}
-	s.hub.emit(event.Event{At: s.now(), Kind: event.Ready, Relay: r.num})
-	s.driver.Up(r.num)
+	s.events.emit(event.Event{At: s.now(), Kind: event.Ready, Relay: r.index})
+	s.driver.RelayUp(r.index)
 }
 
-func (s *Stage) far() Progress {
+func (s *Rehearsal) currentProgress() Progress {
 	x := Progress{
-		At: time.Duration(s.now()-s.start.Load()) * time.Microsecond,
-		Of: time.Duration(s.plan.Scenario.LengthS * float64(time.Second)),
+		Elapsed: time.Duration(s.now()-s.planStart.Load()) * time.Microsecond,
+		Total:   time.Duration(s.plan.Scenario.LengthS * float64(time.Second)),
 	}
-	x.Begun, x.Open = s.driver.Open()
-	s.hub.mu.Lock()
-	x.Violations = len(s.hub.judge.Violations())
-	s.hub.mu.Unlock()
+	x.Submitted, x.Pending = s.driver.Progress()
+	s.events.mu.Lock()
+	x.Violations = len(s.events.checker.Violations())
+	s.events.mu.Unlock()
 	s.mu.Lock()
-	for name := range s.holding {
-		x.Faults = append(x.Faults, name)
+	for name := range s.activeFaults {
+		x.ActiveFaults = append(x.ActiveFaults, name)
 	}
 	s.mu.Unlock()
-	slices.Sort(x.Faults)
+	slices.Sort(x.ActiveFaults)
 	return x
 }
--- a/internal/rehearsal/runner/hold.go
+++ b/internal/rehearsal/runner/hold.go
@@ -16,16 +16,22 @@
 	"troutusher/internal/rehearsal/scenario"
 )
 
-// Held is what a relay that is started by hand needs.
-type Held struct {
-	Config string // the file for ROUTER_CONFIG
-	Listen string // where it will listen
+// ManualRelay is what a relay that is started by hand needs.
+type ManualRelay struct {
+	ConfigPath string // the file for ROUTER_CONFIG
+	Listen     string // where it will listen
 }
 
-// Hold keeps a plan's partners and discovery up for relays that somebody else
+// ServeEmulators keeps a plan's partners and discovery up for relays that somebody else
 // starts, until ctx ends. Any message is one that was handed in. ready is told
 // where things are; say is shown what happens.
-func Hold(ctx context.Context, p *scenario.Plan, dir string, ready func(Held), say func(*event.Event)) error {
+func ServeEmulators(
+	ctx context.Context,
+	p *scenario.Plan,
+	dir string,
+	ready func(ManualRelay),
+	say func(*event.Event),
+) error {
 	began := time.Now()
 	now := func() event.Time { return time.Since(began).Microseconds() }
 	var mu sync.Mutex
@@ -57,7 +63,7 @@
 	defer srv.Close()
 	reg, err := registry.New(registry.Config{
 		Relays: 1, Seed: p.Seed, Clock: now, Emit: emit,
-		Members: func(int) []registry.Member { return members(p, func(ep int) string { return srv.Addr(ep, 0) }) },
+		Members: func(int) []registry.Member { return listMembers(p, func(ep int) string { return srv.Addr(ep, 0) }) },
 	})
 	if err != nil {
 		return err
@@ -73,12 +79,12 @@
 	if err := os.MkdirAll(state, 0o700); err != nil {
 		return err
 	}
-	text, err := ConfigOf(p, 0, listen, reg.Addr(0), state, reg.ListOf(0), p.Seed).Text()
+	text, err := NewRelayConfig(p, 0, listen, reg.Addr(0), state, reg.ListOf(0), p.Seed).Text()
 	if err != nil {
 		return err
 	}
-	h := Held{Config: filepath.Join(dir, "config.json"), Listen: listen}
-	if err := os.WriteFile(h.Config, text, 0o600); err != nil {
+	h := ManualRelay{ConfigPath: filepath.Join(dir, "config.json"), Listen: listen}
+	if err := os.WriteFile(h.ConfigPath, text, 0o600); err != nil {
 		return fmt.Errorf("hold: %w", err)
 	}
 	ready(h)
--- a/internal/rehearsal/runner/holiday_test.go
+++ b/internal/rehearsal/runner/holiday_test.go
@@ -35,13 +35,13 @@
 	for _, v := range o.Violations {
 		t.Errorf("%+v", v)
 	}
-	for _, c := range o.Crashes {
+	for _, c := range o.RelayFailures {
 		t.Error(c)
 	}
 	done := map[bool]int{}
 	for i, r := range o.Results {
 		if p.Arrivals[i].Dest > 2 { // a shop's
-			done[r.End == loadgen.Delivered]++
+			done[r.Outcome == loadgen.Delivered]++
 		}
 	}
 	if done[true] < 100 || done[false] > 20 {
--- a/internal/rehearsal/runner/recall_test.go
+++ b/internal/rehearsal/runner/recall_test.go
@@ -33,7 +33,7 @@
 	}
 	var mu sync.Mutex
 	var backAt event.Time
-	opt.Watch = func(e *event.Event) {
+	opt.OnEvent = func(e *event.Event) {
 		mu.Lock()
 		defer mu.Unlock()
 		switch {
--- a/internal/rehearsal/runner/relay.go
+++ b/internal/rehearsal/runner/relay.go
@@ -25,9 +25,9 @@
 )
 
 const (
-	readyWait   = 30 * time.Second
-	upgradeWait = 6 * time.Second         // from a start beside the old process to the new one's yes
-	stopWait    = 3700 * time.Millisecond // from SIGTERM to SIGKILL
+	readyTimeout   = 30 * time.Second
+	upgradeTimeout = 6 * time.Second         // from a start beside the old process to the new one's yes
+	stopTimeout    = 3700 * time.Millisecond // from SIGTERM to SIGKILL
 )
 
 // spawner starts processes from one thread that lives as long as the stage, so
@@ -65,28 +65,28 @@
 
 // relay is one relay, through all its processes.
 type relay struct {
-	num     int
-	command []string
-	env     []string
-	dir     string
-	listen  string
-	plan    *scenario.Plan
-	reg     *registry.Registry
-	spawn   *spawner
-	crashed func(relay int, err error)
+	index    int
+	command  []string
+	env      []string
+	dir      string
+	listen   string
+	plan     *scenario.Plan
+	registry *registry.Registry
+	spawner  *spawner
+	onCrash  func(relay int, err error)
 
-	mu     sync.Mutex // held while it is being stopped or started
-	now    *process   // nil before the first
-	starts uint64
-	peakKB int // most resident memory that any of its processes was seen with
+	mu      sync.Mutex // held while it is being stopped or started
+	current *process   // nil before the first
+	starts  uint64
+	peakKB  int // most resident memory that any of its processes was seen with
 }
 
 // process is one process of a relay.
 type process struct {
-	cmd     *exec.Cmd
-	exited  chan struct{}
-	console string
-	wanted  atomic.Bool // that it is there
+	cmd         *exec.Cmd
+	exited      chan struct{}
+	consoleAddr string
+	expectedUp  atomic.Bool // that it is there
 }
 
 func newRelay(
@@ -97,22 +97,29 @@
 		return nil, fmt.Errorf("relay %d: %w", num+1, err)
 	}
 	r := &relay{
-		num: num, command: command, dir: filepath.Join(
+		index: num, command: command, dir: filepath.Join(
 			dir, fmt.Sprintf("n%d", num+1),
 		), listen: ln.Addr().String(), plan: p,
-		reg: reg, spawn: spawn,
+		registry: reg, spawner: spawn,
 	}
 	_ = ln.Close()
 	if err := os.MkdirAll(filepath.Join(r.dir, "state"), 0o700); err != nil {
 		return nil, err
 	}
-	return r, r.configure()
+	return r, r.writeConfig()
 }
 
-// configure writes the configuration's file, whole or not at all.
-func (r *relay) configure() error {
-	c := ConfigOf(r.plan, r.num, r.listen, r.reg.Addr(r.num), filepath.Join(r.dir, "state"), r.reg.ListOf(r.num),
-		seededrand.Hash(r.plan.Seed, 500, uint64(r.num), r.starts))
+// writeConfig writes the configuration's file, whole or not at all.
+func (r *relay) writeConfig() error {
+	c := NewRelayConfig(
+		r.plan,
+		r.index,
+		r.listen,
+		r.registry.Addr(r.index),
+		filepath.Join(r.dir, "state"),
+		r.registry.ListOf(r.index),
+		seededrand.Hash(r.plan.Seed, 500, uint64(r.index), r.starts),
+	)
 	text, err := c.Text()
 	if err != nil {
 		return err
@@ -130,14 +137,14 @@
 	if err != nil {
 		return err
 	}
-	r.now = p
-	return r.await(ctx, p, readyWait, func() bool { return ping(r.listen) })
+	r.current = p
+	return r.waitReady(ctx, p, readyTimeout, func() bool { return ping(r.listen) })
 }
 
 // launch starts a process, beside those that are there.
 func (r *relay) launch() (*process, error) {
 	r.starts++
-	if err := r.configure(); err != nil {
+	if err := r.writeConfig(); err != nil {
 		return nil, err
 	}
 	log, err := os.OpenFile(filepath.Join(r.dir, "log"), os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
@@ -150,34 +157,34 @@
 		return nil, err
 	}
 	p := &process{
-		cmd: exec.Command(r.command[0], r.command[1:]...), exited: make(chan struct{}), console: ln.Addr().String(),
+		cmd: exec.Command(r.command[0], r.command[1:]...), exited: make(chan struct{}), consoleAddr: ln.Addr().String(),
 	}
 	_ = ln.Close()
 	p.cmd.Env = append(append(
 		os.Environ(), r.env...,
 	), "ROUTER_CONFIG="+filepath.Join(r.dir, "config.json"), "ROUTER_STATE="+filepath.Join(r.dir, "state"),
-		"ROUTER_NAME=", "ROUTER_LISTEN=", "ROUTER_DISCOVERY=", "ROUTER_CONSOLE="+p.console)
+		"ROUTER_NAME=", "ROUTER_LISTEN=", "ROUTER_DISCOVERY=", "ROUTER_CONSOLE="+p.consoleAddr)
 	p.cmd.Stdout, p.cmd.Stderr = log, log
-	bind(p.cmd)
-	if err := r.spawn.start(p.cmd); err != nil {
-		return nil, fmt.Errorf("relay %d: %w", r.num+1, err)
+	setProcessAttributes(p.cmd)
+	if err := r.spawner.start(p.cmd); err != nil {
+		return nil, fmt.Errorf("relay %d: %w", r.index+1, err)
 	}
-	p.wanted.Store(true)
+	p.expectedUp.Store(true)
 	go func() {
 		err := p.cmd.Wait()
 		close(p.exited)
-		if p.wanted.Load() {
+		if p.expectedUp.Load() {
 			if err == nil {
 				err = errors.New("exit status 0")
 			}
-			r.crashed(r.num, err)
+			r.onCrash(r.index, err)
 		}
 	}()
 	return p, nil
 }
 
-// await waits until a process is ready.
-func (r *relay) await(ctx context.Context, p *process, limit time.Duration, ready func() bool) error {
+// waitReady waits until a process is ready.
+func (r *relay) waitReady(ctx context.Context, p *process, limit time.Duration, ready func() bool) error {
 	ctx, cancel := context.WithTimeout(ctx, limit)
 	defer cancel()
 	for {
@@ -187,9 +194,9 @@
 		select {
 		case <-time.After(10 * time.Millisecond):
 		case <-p.exited:
-			return fmt.Errorf("relay %d ended before it was ready: %s", r.num+1, r.lastWords())
+			return fmt.Errorf("relay %d ended before it was ready: %s", r.index+1, r.logTail())
 		case <-ctx.Done():
-			return fmt.Errorf("relay %d was not ready: %w: %s", r.num+1, ctx.Err(), r.lastWords())
+			return fmt.Errorf("relay %d was not ready: %w: %s", r.index+1, ctx.Err(), r.logTail())
 		}
 	}
 }
@@ -197,31 +204,36 @@
 // upgrade starts a process beside the one that serves, and ends that one once
 // the new one has taken over. The caller holds mu.
 func (r *relay) upgrade(ctx context.Context) error {
-	old := r.now
+	old := r.current
 	p, err := r.launch()
 	if err != nil {
 		return err
 	}
-	old.wanted.Store(false) // it may end as soon as it owes nothing
-	if err := r.await(ctx, p, upgradeWait, func() bool { return call(p.console, "READY") }); err != nil {
+	old.expectedUp.Store(false) // it may end as soon as it owes nothing
+	if err := r.waitReady(
+		ctx,
+		p,
+		upgradeTimeout,
+		func() bool { return callConsole(p.consoleAddr, "READY") },
+	); err != nil {
 		return err
 	}
-	r.weigh()
-	r.now = p
-	r.end(old)
+	r.recordPeakMemory()
+	r.current = p
+	r.terminate(old)
 	return nil
 }
 
-// upgradeCut begins an upgrade and kills one of the two processes at a moment
+// upgradeWithKill begins an upgrade and kills one of the two processes at a moment
 // of its course. It reports whether one is left that goes on.
-func (r *relay) upgradeCut(ctx context.Context, after time.Duration, killOld bool) (alive bool, err error) {
-	old := r.now
+func (r *relay) upgradeWithKill(ctx context.Context, after time.Duration, killOld bool) (alive bool, err error) {
+	old := r.current
 	p, err := r.launch()
 	if err != nil {
 		return false, err
 	}
-	old.wanted.Store(false)
-	p.wanted.Store(false)
+	old.expectedUp.Store(false)
+	p.expectedUp.Store(false)
 	time.Sleep(after)
 	victim, left := p, old
 	if killOld {
@@ -229,12 +241,12 @@
 	}
 	_ = victim.cmd.Process.Kill() // it may have ended by itself: that is seen below
 	<-victim.exited
-	r.now = left
-	err = r.await(ctx, left, upgradeWait, func() bool { return call(left.console, "READY") })
-	if left.wanted.Store(true); err == nil {
+	r.current = left
+	err = r.waitReady(ctx, left, upgradeTimeout, func() bool { return callConsole(left.consoleAddr, "READY") })
+	if left.expectedUp.Store(true); err == nil {
 		return true, nil
 	}
-	left.wanted.Store(false)
+	left.expectedUp.Store(false)
 	select {
 	case <-left.exited: // it had handed over already, and the heir is dead: a kill as any other
 		return false, nil
@@ -243,8 +255,8 @@
 	}
 }
 
-// lastWords is the end of its log.
-func (r *relay) lastWords() string {
+// logTail is the end of its log.
+func (r *relay) logTail() string {
 	text, err := os.ReadFile(filepath.Join(r.dir, "log"))
 	if err != nil {
 		return err.Error()
@@ -269,9 +281,9 @@
 
 // kill ends the process by force. The caller holds mu.
 func (r *relay) kill() {
-	r.weigh()
-	if p := r.now; p != nil {
-		p.wanted.Store(false)
+	r.recordPeakMemory()
+	if p := r.current; p != nil {
+		p.expectedUp.Store(false)
 		_ = p.cmd.Process.Kill() // as above
 		<-p.exited
 	}
@@ -280,14 +292,14 @@
 // stop asks the process to end, and ends it by force if it does not. The
 // caller holds mu.
 func (r *relay) stop() (forced bool) {
-	r.weigh()
-	return r.now != nil && r.end(r.now)
+	r.recordPeakMemory()
+	return r.current != nil && r.terminate(r.current)
 }
 
-func (r *relay) end(p *process) (forced bool) {
-	p.wanted.Store(false)
+func (r *relay) terminate(p *process) (forced bool) {
+	p.expectedUp.Store(false)
 	_ = p.cmd.Process.Signal(syscall.SIGTERM) // as above
-	timer := time.NewTimer(stopWait)
+	timer := time.NewTimer(stopTimeout)
 	defer timer.Stop()
 	select {
 	case <-p.exited:
@@ -299,15 +311,15 @@
 	}
 }
 
-// hup has the process read its configuration again. The caller holds mu.
-func (r *relay) hup() {
-	if p := r.now; p != nil && p.wanted.Load() {
+// reload has the process read its configuration again. The caller holds mu.
+func (r *relay) reload() {
+	if p := r.current; p != nil && p.expectedUp.Load() {
 		_ = p.cmd.Process.Signal(syscall.SIGHUP) // its end is an event of its own
 	}
 }
 
-// call makes a call at a console and reports whether the answer is yes.
-func call(addr, what string) bool {
+// callConsole makes a call at a console and reports whether the answer is yes.
+func callConsole(addr, what string) bool {
 	c, err := net.DialTimeout("tcp4", addr, time.Second)
 	if err != nil {
 		return false
@@ -321,13 +333,13 @@
 	return err == nil && strings.HasPrefix(line, "YES")
 }
 
-// weigh books the most resident memory that the process has had, where the
+// recordPeakMemory books the most resident memory that the process has had, where the
 // system tells (proc(5), VmHWM). The caller holds mu.
-func (r *relay) weigh() {
-	if r.now == nil {
+func (r *relay) recordPeakMemory() {
+	if r.current == nil {
 		return
 	}
-	text, err := os.ReadFile(fmt.Sprintf("/proc/%d/status", r.now.cmd.Process.Pid))
+	text, err := os.ReadFile(fmt.Sprintf("/proc/%d/status", r.current.cmd.Process.Pid))
 	if err != nil {
 		return
 	}
--- a/internal/rehearsal/runner/runner.go
+++ b/internal/rehearsal/runner/runner.go
@@ -27,84 +27,90 @@
 
 // Options say how a plan is played.
 type Options struct {
-	Command  []string                   // starts a relay; its configuration is named in the environment
-	Env      []string                   // more of a relay's environment
-	Dir      string                     // for configurations, state and logs; a new one each time
-	Progress func(Progress)             // called now and then; may be nil
-	Watch    func(*event.Event)         // is shown everything that happens; may be nil
-	Ready    func(*Stage) error         // called once all relays are ready; may be nil
-	Relays   func(i int, a Agent) Agent // puts doubles in the place of relays; nil for none
+	Command      []string                               // starts a relay; its configuration is named in the environment
+	Env          []string                               // more of a relay's environment
+	Dir          string                                 // for configurations, state and logs; a new one each time
+	OnProgress   func(Progress)                         // called now and then; may be nil
+	OnEvent      func(*event.Event)                     // is shown everything that happens; may be nil
+	OnReady      func(*Rehearsal) error                 // called once all relays are ready; may be nil
+	ReplaceRelay func(i int, a RelayTarget) RelayTarget // puts doubles in the place of relays; nil for none
 }
 
-// Agent is where the driver reaches a relay. Tests put a double there.
-type Agent struct {
-	Listen    string
-	Discovery string
-	Process   bool // a relay process is started for it
+// RelayTarget is where the driver reaches a relay. Tests put a double there.
+type RelayTarget struct {
+	Listen       string
+	Discovery    string
+	StartProcess bool // a relay process is started for it
 }
 
 // Progress is how far a rehearsal is.
 type Progress struct {
-	At         time.Duration // since its beginning
-	Of         time.Duration
-	Begun      int
-	Open       int
-	Violations int
-	Faults     []string // that hold now
+	Elapsed      time.Duration // since its beginning
+	Total        time.Duration
+	Submitted    int
+	Pending      int
+	Violations   int
+	ActiveFaults []string // that hold now
 }
 
 // Outcome is what was seen.
 type Outcome struct {
-	Plan       *scenario.Plan
-	Start      event.Time // moment of the plan's beginning in the record
-	End        event.Time
-	Results    []loadgen.Result
-	Violations []checker.Violation
-	Starts     checker.Starts // what restarts found untried
-	Crashes    []string       // relays that ended by themselves, and what else makes the relays fail
-	Trouble    []string       // what went wrong in the kit itself: the run is void
-	Calls      []Calls        // by partner
-	Door       int            // requests that met a connection refused, reset or closed unread
-	LateDriver event.Time
-	LateWorld  event.Time // of the stand-ins
-	Answers    *hdrhistogram.Histogram
-	Delivery   *hdrhistogram.Histogram
-	MemoryKB   []int // of each relay: the most resident memory
+	Plan             *scenario.Plan
+	Start            event.Time // moment of the plan's beginning in the record
+	End              event.Time
+	Results          []loadgen.Result
+	Violations       []checker.Violation
+	Restarts         checker.Starts // what restarts found untried
+	RelayFailures    []string       // relays that ended by themselves, and what else makes the relays fail
+	KitErrors        []string       // what went wrong in the kit itself: the run is void
+	Calls            []CallCounts   // by partner
+	UnservedRequests int            // requests that met a connection refused, reset or closed unread
+	DriverLateness   event.Time
+	EmulatorLateness event.Time // of the stand-ins
+	ReplyLatency     *hdrhistogram.Histogram
+	DeliveryLatency  *hdrhistogram.Histogram
+	MemoryKB         []int // of each relay: the most resident memory
 }
 
-// Stage is one rehearsal.
-type Stage struct {
-	plan    *scenario.Plan
-	opt     Options
-	began   time.Time
-	hub     *hub
-	secrets *secrets // nil without TLS
-	world   *h1.Server
-	reg     *registry.Registry
-	relays  []*relay
-	agents  []Agent
-	spawn   *spawner
-	driver  *loadgen.Driver
-	start   atomic.Int64 // moment of the plan's beginning
+// Rehearsal is one rehearsal.
+type Rehearsal struct {
+	plan           *scenario.Plan
+	options        Options
+	clockStart     time.Time
+	events         *eventCollector
+	identities     *tlsIdentities // nil without TLS
+	endpointServer *h1.Server
+	registry       *registry.Registry
+	relays         []*relay
+	targets        []RelayTarget
+	spawner        *spawner
+	driver         *loadgen.Driver
+	planStart      atomic.Int64 // moment of the plan's beginning
 
-	mu      sync.Mutex
-	crashes []string
-	trouble []string
-	holding map[string]int // faults that hold now
-	jobs    sync.WaitGroup
+	mu            sync.Mutex
+	relayFailures []string
+	kitErrors     []string
+	activeFaults  map[string]int // faults that hold now
+	background    sync.WaitGroup
 }
 
-func (s *Stage) now() event.Time { return time.Since(s.began).Microseconds() }
+func (s *Rehearsal) now() event.Time { return time.Since(s.clockStart).Microseconds() }
 
 // Open starts stand-ins and relays.
-func Open(ctx context.Context, p *scenario.Plan, opt Options) (*Stage, error) {
-	s := &Stage{plan: p, opt: opt, began: time.Now(), holding: map[string]int{}, spawn: newSpawner()}
-	s.hub = &hub{
-		judge: checker.New(p.Figures()), calls: make([]Calls, len(p.Specs)), watch: opt.Watch,
-		tell: func(*event.Event) {},
+func Open(ctx context.Context, p *scenario.Plan, opt Options) (*Rehearsal, error) {
+	s := &Rehearsal{
+		plan:         p,
+		options:      opt,
+		clockStart:   time.Now(),
+		activeFaults: map[string]int{},
+		spawner:      newSpawner(),
+	}
+	s.events = &eventCollector{
+		checker: checker.New(p.Figures()), calls: make([]CallCounts, len(p.Specs)), onEvent: opt.OnEvent,
+		onEnd: func(*event.Event) {},
 	}
 	for _, e := range p.Endpoints {
-		s.hub.of = append(s.hub.of, e.Partner)
+		s.events.partnerOf = append(s.events.partnerOf, e.Partner)
 	}
 	if err := s.open(ctx); err != nil {
 		s.Close()
@@ -114,85 +120,85 @@
 }
 
 // open starts stand-ins, the load driver and relays.
-func (s *Stage) open(ctx context.Context) error {
-	if err := s.openEndpoints(); err != nil {
+func (s *Rehearsal) open(ctx context.Context) error {
+	if err := s.startEndpoints(); err != nil {
 		return err
 	}
-	if err := s.openRegistry(); err != nil {
+	if err := s.startRegistry(); err != nil {
 		return err
 	}
-	addrs, err := s.newRelays()
+	addrs, err := s.prepareRelays()
 	if err != nil {
 		return err
 	}
-	s.driver = loadgen.New(loadgen.Config{Plan: s.plan, Relays: addrs, Emit: s.hub.emit, Clock: s.now, Start: 0})
-	s.hub.tell = s.driver.Happened
+	s.driver = loadgen.New(loadgen.Config{Plan: s.plan, Relays: addrs, Emit: s.events.emit, Clock: s.now, Start: 0})
+	s.events.onEnd = s.driver.HandleEvent
 	return s.startRelays(ctx)
 }
 
-func (s *Stage) openEndpoints() error {
+func (s *Rehearsal) startEndpoints() error {
 	p := s.plan
 	n := p.Scenario.Relays.Count
 	rules := endpoint.Rules{Relays: n, MaxInFlight: p.Slots(), MaxAttempts: p.Scenario.Relays.MaxAttempts}
 	lookup := func(id string) (endpoint.Message, bool) { return s.driver.Lookup(id) }
-	world, err := endpoint.New(p.Specs, rules, p.Work(), lookup, s.hub.emit)
+	world, err := endpoint.New(p.Specs, rules, p.Work(), lookup, s.events.emit)
 	if err != nil {
 		return err
 	}
-	if s.world, err = h1.New(world, n, s.now); err != nil {
+	if s.endpointServer, err = h1.New(world, n, s.now); err != nil {
 		return err
 	}
-	if s.secrets, err = newSecrets(p, s.opt.Dir); err != nil {
+	if s.identities, err = newTLSIdentities(p, s.options.Dir); err != nil {
 		return err
 	}
-	if s.secrets != nil {
-		s.world.EnableTLS(s.secrets.show)
+	if s.identities != nil {
+		s.endpointServer.EnableTLS(s.identities.identity)
 	}
 	return nil
 }
 
-func (s *Stage) openRegistry() (err error) {
+func (s *Rehearsal) startRegistry() (err error) {
 	p := s.plan
 	d := &p.Scenario.Discovery
-	s.reg, err = registry.New(registry.Config{
-		Relays: p.Scenario.Relays.Count, Seed: p.Seed, Clock: s.now, Emit: s.hub.emit,
-		Delay: millis(d.DelayMS), DelaySpread: millis(d.SpreadMS), StaticMembers: quiet(p),
+	s.registry, err = registry.New(registry.Config{
+		Relays: p.Scenario.Relays.Count, Seed: p.Seed, Clock: s.now, Emit: s.events.emit,
+		Delay: milliseconds(d.DelayMS), DelaySpread: milliseconds(d.SpreadMS), StaticMembers: unusedDestinations(p),
 		Members: func(relay int) []registry.Member {
-			return members(p, func(ep int) string { return s.world.Addr(ep, relay) })
+			return listMembers(p, func(ep int) string { return s.endpointServer.Addr(ep, relay) })
 		},
 	})
 	return err
 }
 
-// newRelays prepares the relays and returns the addresses where they listen.
-func (s *Stage) newRelays() (addrs []string, err error) {
-	env := s.opt.Env
-	if s.secrets != nil {
-		env = append(slices.Clone(env), s.secrets.env())
+// prepareRelays prepares the relays and returns the addresses where they listen.
+func (s *Rehearsal) prepareRelays() (addrs []string, err error) {
+	env := s.options.Env
+	if s.identities != nil {
+		env = append(slices.Clone(env), s.identities.env())
 	}
 	for i := range s.plan.Scenario.Relays.Count {
-		r, err := newRelay(i, s.plan, s.reg, s.spawn, s.opt.Command, s.opt.Dir)
+		r, err := newRelay(i, s.plan, s.registry, s.spawner, s.options.Command, s.options.Dir)
 		if err != nil {
 			return nil, err
 		}
-		r.env, r.crashed = env, s.crashed
+		r.env, r.onCrash = env, s.relayCrashed
 		s.relays = append(s.relays, r)
-		a := Agent{Listen: r.listen, Discovery: s.reg.Addr(i), Process: true}
-		if s.opt.Relays != nil {
-			a = s.opt.Relays(i, a)
+		a := RelayTarget{Listen: r.listen, Discovery: s.registry.Addr(i), StartProcess: true}
+		if s.options.ReplaceRelay != nil {
+			a = s.options.ReplaceRelay(i, a)
 		}
-		s.agents = append(s.agents, a)
+		s.targets = append(s.targets, a)
 		addrs = append(addrs, a.Listen)
 	}
 	return addrs, nil
 }
 
 // startRelays starts all relays at once and waits until they serve.
-func (s *Stage) startRelays(ctx context.Context) error {
+func (s *Rehearsal) startRelays(ctx context.Context) error {
 	errs := make([]error, len(s.relays))
 	var wg sync.WaitGroup
 	for i, r := range s.relays {
-		if !s.agents[i].Process {
+		if !s.targets[i].StartProcess {
 			continue
 		}
 		wg.Add(1)
@@ -201,7 +207,7 @@
 			r.mu.Lock()
 			defer r.mu.Unlock()
 			if errs[i] = r.start(ctx); errs[i] == nil {
-				s.hub.emit(event.Event{At: s.now(), Kind: event.Ready, Relay: i})
+				s.events.emit(event.Event{At: s.now(), Kind: event.Ready, Relay: i})
 			}
 		}()
 	}
@@ -209,36 +215,36 @@
 	return errors.Join(errs...)
 }
 
-func millis(ms float64) time.Duration { return time.Duration(ms * float64(time.Millisecond)) }
+func milliseconds(ms float64) time.Duration { return time.Duration(ms * float64(time.Millisecond)) }
 
-// crashed: a relay's process has ended and nobody asked it to.
-func (s *Stage) crashed(i int, err error) {
+// relayCrashed: a relay's process has ended and nobody asked it to.
+func (s *Rehearsal) relayCrashed(i int, err error) {
 	s.mu.Lock()
-	s.crashes = append(s.crashes,
-		fmt.Sprintf("relay %d ended by itself at %.1f s: %v", i+1, float64(s.now()-s.start.Load())/1e6, err))
+	s.relayFailures = append(s.relayFailures,
+		fmt.Sprintf("relay %d ended by itself at %.1f s: %v", i+1, float64(s.now()-s.planStart.Load())/1e6, err))
 	s.mu.Unlock()
-	s.hub.emit(event.Event{At: s.now(), Kind: event.Killed, Relay: i})
-	s.driver.Down(i, scenario.Micros(s.plan.Scenario.Clients.FrontNoticeMS))
+	s.events.emit(event.Event{At: s.now(), Kind: event.Killed, Relay: i})
+	s.driver.RelayDown(i, scenario.Micros(s.plan.Scenario.Clients.FrontNoticeMS))
 }
 
 // Close ends everything that was started.
-func (s *Stage) Close() {
+func (s *Rehearsal) Close() {
 	if s.driver != nil {
 		s.driver.Close()
 	}
-	s.jobs.Wait()
+	s.background.Wait()
 	for _, r := range s.relays {
 		r.mu.Lock()
 		r.kill()
 		r.mu.Unlock()
 	}
-	if s.reg != nil {
-		s.reg.Close()
+	if s.registry != nil {
+		s.registry.Close()
 	}
-	if s.world != nil {
-		s.world.Close()
+	if s.endpointServer != nil {
+		s.endpointServer.Close()
 	}
-	close(s.spawn.done)
+	close(s.spawner.done)
 }
 
 // Play plays a plan from beginning to end.
@@ -253,13 +259,13 @@
 			s.Close()
 		}
 	}()
-	if opt.Ready != nil {
-		if err := opt.Ready(s); err != nil {
+	if opt.OnReady != nil {
+		if err := opt.OnReady(s); err != nil {
 			return nil, err
 		}
 	}
 	s.run(ctx)
-	o := s.outcome()
+	o := s.collectOutcome()
 	if err := ctx.Err(); err != nil {
 		return nil, fmt.Errorf("the rehearsal was broken off: %w", err)
 	}
@@ -273,15 +279,15 @@
 
 const leadIn = 200 * time.Millisecond
 
-func (s *Stage) run(ctx context.Context) {
-	s.start.Store(s.now() + leadIn.Microseconds())
-	s.driver.Begin(s.start.Load())
+func (s *Rehearsal) run(ctx context.Context) {
+	s.planStart.Store(s.now() + leadIn.Microseconds())
+	s.driver.SetStart(s.planStart.Load())
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	var wg sync.WaitGroup
 	wg.Add(2)
-	go func() { defer wg.Done(); s.faults(ctx) }()
-	go func() { defer wg.Done(); s.progress(ctx) }()
+	go func() { defer wg.Done(); s.playFaults(ctx) }()
+	go func() { defer wg.Done(); s.reportProgress(ctx) }()
 	// The last message's time is up by then, and its end is in.
 	longest := 0.0
 	for _, c := range s.plan.Scenario.Classes {
@@ -295,18 +301,18 @@
 	s.driver.Run(play)
 	cancel()
 	wg.Wait()
-	s.jobs.Wait()
+	s.background.Wait()
 }
 
-func (s *Stage) say(to *[]string, format string, a ...any) {
+func (s *Rehearsal) appendFailure(to *[]string, format string, a ...any) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	*to = append(*to, fmt.Sprintf(format, a...))
 }
 
-// progress tells now and then how far the rehearsal is.
-func (s *Stage) progress(ctx context.Context) {
-	if s.opt.Progress == nil {
+// reportProgress tells now and then how far the rehearsal is.
+func (s *Rehearsal) reportProgress(ctx context.Context) {
+	if s.options.OnProgress == nil {
 		return
 	}
 	tick := time.NewTicker(250 * time.Millisecond)
@@ -316,38 +322,43 @@
 		case <-ctx.Done():
 			return
 		case <-tick.C:
-			s.opt.Progress(s.far())
+			s.options.OnProgress(s.currentProgress())
 		}
 	}
 }
 
-func (s *Stage) outcome() *Outcome {
-	late, err := s.world.TimerLag(99)
+func (s *Rehearsal) collectOutcome() *Outcome {
+	late, err := s.endpointServer.TimerLag(99)
 	o := &Outcome{
-		Plan: s.plan, Start: s.start.Load(), End: s.now(), Results: s.driver.Results(), Door: s.driver.Door(),
-		LateDriver: s.driver.Late(99), LateWorld: late,
+		Plan:             s.plan,
+		Start:            s.planStart.Load(),
+		End:              s.now(),
+		Results:          s.driver.Results(),
+		UnservedRequests: s.driver.UnservedRequests(),
+		DriverLateness:   s.driver.Lateness(99),
+		EmulatorLateness: late,
 	}
 	if err != nil {
-		s.say(&s.trouble, "%v", err)
+		s.appendFailure(&s.kitErrors, "%v", err)
 	}
-	o.Answers, o.Delivery = s.driver.Latencies()
-	s.hub.mu.Lock()
-	s.hub.judge.Finish(s.now())
-	o.Violations, o.Starts = s.hub.judge.Violations(), s.hub.judge.Starts()
-	o.Calls = slices.Clone(s.hub.calls)
-	s.hub.mu.Unlock()
+	o.ReplyLatency, o.DeliveryLatency = s.driver.Latencies()
+	s.events.mu.Lock()
+	s.events.checker.Finish(s.now())
+	o.Violations, o.Restarts = s.events.checker.Violations(), s.events.checker.Starts()
+	o.Calls = slices.Clone(s.events.calls)
+	s.events.mu.Unlock()
 	for i := range o.Violations {
-		o.Violations[i].At -= s.start.Load()
+		o.Violations[i].At -= s.planStart.Load()
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	o.Crashes, o.Trouble = slices.Clone(s.crashes), slices.Clone(s.trouble)
+	o.RelayFailures, o.KitErrors = slices.Clone(s.relayFailures), slices.Clone(s.kitErrors)
 	return o
 }
 
-// Dir is the folder that rehearsals keep their files in: a new one under the
+// TempDir is the folder that rehearsals keep their files in: a new one under the
 // system's folder for such things, and what removes it.
-func Dir() (string, func(), error) {
+func TempDir() (string, func(), error) {
 	dir, err := os.MkdirTemp("", "troutusher-rehearsal-")
 	if err != nil {
 		return "", nil, err
--- a/internal/rehearsal/runner/runner_test.go
+++ b/internal/rehearsal/runner/runner_test.go
@@ -130,8 +130,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if len(o.Trouble) > 0 {
-		t.Errorf("trouble: %v", o.Trouble)
+	if len(o.KitErrors) > 0 {
+		t.Errorf("trouble: %v", o.KitErrors)
 	}
 	return o
 }
@@ -194,8 +194,8 @@
 					if c.change != nil {
 						c.change(p)
 					}
-					o := play(t, p, Options{Dir: t.TempDir(), Relays: func(_ int, a Agent) Agent {
-						return Agent{Listen: newDouble(t, p, b, a.Discovery).ln.Addr().String()}
+					o := play(t, p, Options{Dir: t.TempDir(), ReplaceRelay: func(_ int, a RelayTarget) RelayTarget {
+						return RelayTarget{Listen: newDouble(t, p, b, a.Discovery).ln.Addr().String()}
 					}})
 					if b == honest {
 						for _, v := range o.Violations {
@@ -264,7 +264,7 @@
 	var down, up []event.Time
 	opt := self(t)
 	open := map[string]bool{}
-	opt.Watch = func(e *event.Event) {
+	opt.OnEvent = func(e *event.Event) {
 		mu.Lock()
 		defer mu.Unlock()
 		switch e.Kind {
@@ -304,14 +304,14 @@
 	for _, v := range o.Violations {
 		t.Errorf("convicted: %s", v.String())
 	}
-	if len(o.Crashes) > 0 || len(down) != 2 || len(up) != 4 {
-		t.Errorf("crashes %v, %d ends, %d starts", o.Crashes, len(down), len(up))
+	if len(o.RelayFailures) > 0 || len(down) != 2 || len(up) != 4 {
+		t.Errorf("crashes %v, %d ends, %d starts", o.RelayFailures, len(down), len(up))
 	}
 	if len(crossed) > 0 {
 		t.Errorf("%d messages crossed the kill and had no end", len(crossed))
 	}
 	for i, r := range o.Results {
-		if r.End == loadgen.Pending {
+		if r.Outcome == loadgen.Pending {
 			t.Errorf("message %d has no end", i)
 		}
 	}
@@ -335,7 +335,7 @@
 				got, asked := 0.0, 0.0
 				for i := range o.Results {
 					c := &p.Scenario.Classes[p.Arrivals[i].Class]
-					got, asked = got+loadgen.Worth(c, &o.Results[i]), asked+c.Worth
+					got, asked = got+loadgen.EarnedWeight(c, &o.Results[i]), asked+c.Worth
 				}
 				b.ReportMetric(got/asked, "service")
 				b.ReportMetric(float64(len(o.Violations)), "broken-rules")
@@ -348,12 +348,12 @@
 	t.Parallel()
 	p := plan(t, 2, 10, "")
 	opt := self(t)
-	opt.Ready = func(s *Stage) error { // as a fault of its own would
-		return s.relays[0].now.cmd.Process.Signal(syscall.SIGKILL)
+	opt.OnReady = func(s *Rehearsal) error { // as a fault of its own would
+		return s.relays[0].current.cmd.Process.Signal(syscall.SIGKILL)
 	}
 	o := play(t, p, opt)
-	if len(o.Crashes) != 1 || !strings.Contains(o.Crashes[0], "relay 1 ended by itself") {
-		t.Errorf("crashes: %v", o.Crashes)
+	if len(o.RelayFailures) != 1 || !strings.Contains(o.RelayFailures[0], "relay 1 ended by itself") {
+		t.Errorf("crashes: %v", o.RelayFailures)
 	}
 }
 
@@ -384,7 +384,7 @@
 			var mu sync.Mutex
 			first := make([]string, len(p.Arrivals))
 			opt := self(t)
-			opt.Watch = func(e *event.Event) {
+			opt.OnEvent = func(e *event.Event) {
 				mu.Lock()
 				defer mu.Unlock()
 				if e.Kind == event.HandIn && first[e.Message] == "" {
@@ -414,7 +414,7 @@
 	var mu sync.Mutex
 	first := make([]string, len(p.Arrivals))
 	opt := self(t)
-	opt.Watch = func(e *event.Event) {
+	opt.OnEvent = func(e *event.Event) {
 		mu.Lock()
 		defer mu.Unlock()
 		if e.Kind == event.HandIn && first[e.Message] == "" {
@@ -429,7 +429,7 @@
 		t.Errorf("handed in as %s, want %s", got, goldenHandIns)
 	}
 	for i, r := range o.Results {
-		if r.End == loadgen.Pending {
+		if r.Outcome == loadgen.Pending {
 			t.Errorf("message %d has no end", i)
 		}
 	}
@@ -454,10 +454,10 @@
 	dir := os.Getenv(kitEnv)
 	opt := Options{Command: []string{exe}, Env: []string{
 		relayEnv + "=1", kitEnv + "=",
-	}, Dir: dir, Ready: func(s *Stage) error {
+	}, Dir: dir, OnReady: func(s *Rehearsal) error {
 		var b strings.Builder
 		for _, r := range s.relays {
-			fmt.Fprintf(&b, "%d %s\n", r.now.cmd.Process.Pid, r.listen)
+			fmt.Fprintf(&b, "%d %s\n", r.current.cmd.Process.Pid, r.listen)
 		}
 		if err := os.WriteFile(filepath.Join(dir, "pids.new"), []byte(b.String()), 0o600); err != nil {
 			return err
@@ -532,7 +532,7 @@
 	ctx, cancel := context.WithCancel(t.Context())
 	opt := self(t)
 	var pid int
-	opt.Ready = func(s *Stage) error { pid = s.relays[0].now.cmd.Process.Pid; cancel(); return nil }
+	opt.OnReady = func(s *Rehearsal) error { pid = s.relays[0].current.cmd.Process.Pid; cancel(); return nil }
 	if _, err := Play(ctx, plan(t, 30, 10, ""), opt); !errors.Is(err, context.Canceled) {
 		t.Errorf("error: %v", err)
 	}
--- a/internal/rehearsal/runner/secure.go
+++ b/internal/rehearsal/runner/secure.go
@@ -18,47 +18,47 @@
 // The certificates of partners that are reached over TLS, made for one
 // rehearsal, and the operator's file that has the relays believe them.
 
-// secrets are what endpoints show.
-type secrets struct {
-	file string // the operator's
+// tlsIdentities are what endpoints show.
+type tlsIdentities struct {
+	operatorFile string // the operator's
 
-	mu    sync.Mutex
-	shows []*h1.TLSIdentity            // by endpoint, nil where it has no TLS
-	by    map[string][]*h1.TLSIdentity // by fault and endpoint
+	mu      sync.Mutex
+	current []*h1.TLSIdentity            // by endpoint, nil where it has no TLS
+	byFault map[string][]*h1.TLSIdentity // by fault and endpoint
 }
 
 // operatorFileMode keeps the operator's file to its owner.
 const operatorFileMode = 0o600
 
-// secretsMaker makes certificates and the operator's file that names them.
-type secretsMaker struct {
-	plan      *scenario.Plan
-	secrets   *secrets
-	validity  func(*testca.Template)
-	root      *testca.Issued // that relays trust
-	untrusted *testca.Issued // a root that they do not trust
-	first     *testca.Issued // two authorities under root
-	second    *testca.Issued
-	roots     string // paths of files for relays
-	cert, key string
-	operator  bytes.Buffer // the text of the operator's file
+// identityMaker makes certificates and the operator's file that names them.
+type identityMaker struct {
+	plan              *scenario.Plan
+	identities        *tlsIdentities
+	validity          func(*testca.Template)
+	root              *testca.Issued // that relays trust
+	untrusted         *testca.Issued // a root that they do not trust
+	firstAuthority    *testca.Issued // two authorities under root
+	secondAuthority   *testca.Issued
+	rootsPath         string // paths of files for relays
+	certPath, keyPath string
+	operatorText      bytes.Buffer // the text of the operator's file
 }
 
-// newSecrets makes them in a folder; nil where no partner is reached over TLS and
+// newTLSIdentities makes them in a folder; nil where no partner is reached over TLS and
 // the relays are told nothing else.
-func newSecrets(p *scenario.Plan, dir string) (*secrets, error) {
-	m := &secretsMaker{plan: p, secrets: &secrets{
-		file: filepath.Join(dir, "operator.toml"), shows: make([]*h1.TLSIdentity, len(p.Endpoints)),
-		by: map[string][]*h1.TLSIdentity{},
+func newTLSIdentities(p *scenario.Plan, dir string) (*tlsIdentities, error) {
+	m := &identityMaker{plan: p, identities: &tlsIdentities{
+		operatorFile: filepath.Join(dir, "operator.toml"), current: make([]*h1.TLSIdentity, len(p.Endpoints)),
+		byFault: map[string][]*h1.TLSIdentity{},
 	}}
 	kinds := []string{
 		scenario.TLSRotate, scenario.TLSExpired, scenario.TLSWrongName, scenario.TLSWrongRoot, scenario.TLSReset,
 		scenario.TLSForget,
 	}
 	for _, k := range kinds {
-		m.secrets.by[k] = make([]*h1.TLSIdentity, len(p.Endpoints))
+		m.identities.byFault[k] = make([]*h1.TLSIdentity, len(p.Endpoints))
 	}
-	if err := m.authorities(dir); err != nil {
+	if err := m.issueAuthorities(dir); err != nil {
 		return nil, err
 	}
 	found, share := false, 0.0
@@ -70,25 +70,25 @@
 		}
 		seen[e.Partner], found = true, true
 		share = max(share, e.TLS.Share)
-		if err := m.partner(e.Partner, e.TLS); err != nil {
+		if err := m.addPartner(e.Partner, e.TLS); err != nil {
 			return nil, err
 		}
 	}
 	if n := p.Scenario.Relays.Awake; n > 0 {
 		found = true
-		fmt.Fprintf(&m.operator, "[rest]\nawake = %d\nquiet_s = 10\n", n)
+		fmt.Fprintf(&m.operatorText, "[rest]\nawake = %d\nquiet_s = 10\n", n)
 	}
 	if !found {
 		return nil, nil
 	}
 	if share > 0 {
-		fmt.Fprintf(&m.operator, "[handshakes]\nshare = %v\n", share)
+		fmt.Fprintf(&m.operatorText, "[handshakes]\nshare = %v\n", share)
 	}
-	return m.secrets, testca.ReplaceFile(m.secrets.file, m.operator.Bytes(), operatorFileMode)
+	return m.identities, testca.ReplaceFile(m.identities.operatorFile, m.operatorText.Bytes(), operatorFileMode)
 }
 
-// authorities makes the authorities, and the relays' roots, certificate and key.
-func (m *secretsMaker) authorities(dir string) (err error) {
+// issueAuthorities makes the authorities, and the relays' roots, certificate and key.
+func (m *identityMaker) issueAuthorities(dir string) (err error) {
 	m.validity = testca.WithValidity(time.Now().Add(-time.Hour), time.Now().Add(24*365*time.Hour))
 	if m.root, err = testca.Issue(nil, "rehearsal", nil, testca.AsAuthority, m.validity); err != nil {
 		return err
@@ -96,30 +96,30 @@
 	if m.untrusted, err = testca.Issue(nil, "stranger", nil, testca.AsAuthority, m.validity); err != nil {
 		return err
 	}
-	if m.first, err = testca.Issue(m.root, "one", nil, testca.AsAuthority, m.validity); err != nil {
+	if m.firstAuthority, err = testca.Issue(m.root, "one", nil, testca.AsAuthority, m.validity); err != nil {
 		return err
 	}
-	if m.second, err = testca.Issue(m.root, "two", nil, testca.AsAuthority, m.validity); err != nil {
+	if m.secondAuthority, err = testca.Issue(m.root, "two", nil, testca.AsAuthority, m.validity); err != nil {
 		return err
 	}
 	relay, err := testca.Issue(m.root, "relay.example.org", nil, m.validity)
 	if err != nil {
 		return err
 	}
-	if m.roots, _, err = m.root.WriteFiles(dir, "roots", false); err != nil {
+	if m.rootsPath, _, err = m.root.WriteFiles(dir, "roots", false); err != nil {
 		return err
 	}
-	m.cert, m.key, err = relay.WriteFiles(dir, "relay", true)
+	m.certPath, m.keyPath, err = relay.WriteFiles(dir, "relay", true)
 	return err
 }
 
 // partnerCertificates are what one partner shows: good ones, and one for each fault.
 type partnerCertificates struct {
-	good, next *testca.Issued
-	bad        map[string]*testca.Issued
+	current, next *testca.Issued
+	faulty        map[string]*testca.Issued
 }
 
-func (m *secretsMaker) certificates(name string, x *scenario.TLS) (c partnerCertificates, err error) {
+func (m *identityMaker) issueFor(name string, x *scenario.TLS) (c partnerCertificates, err error) {
 	issue := func(
 		parent *testca.Issued, name string, changes ...func(*testca.Template),
 	) (made *testca.Issued) {
@@ -135,49 +135,49 @@
 		return made
 	}
 	expired := testca.WithValidity(time.Now().Add(-2*time.Hour), time.Now().Add(-time.Hour))
-	c.good, c.next = issue(m.first, name), issue(m.second, name)
-	c.bad = map[string]*testca.Issued{
-		scenario.TLSExpired:   issue(m.first, name, expired),
-		scenario.TLSWrongName: issue(m.first, "other.example.org"),
+	c.current, c.next = issue(m.firstAuthority, name), issue(m.secondAuthority, name)
+	c.faulty = map[string]*testca.Issued{
+		scenario.TLSExpired:   issue(m.firstAuthority, name, expired),
+		scenario.TLSWrongName: issue(m.firstAuthority, "other.example.org"),
 		scenario.TLSWrongRoot: issue(m.untrusted, name),
 	}
 	return c, err
 }
 
-// partner makes what a partner's endpoints show, and the rule that relays reach it by.
-func (m *secretsMaker) partner(partner int, x *scenario.TLS) error {
-	p, s := m.plan, m.secrets
+// addPartner makes what a partner's endpoints show, and the rule that relays reach it by.
+func (m *identityMaker) addPartner(partner int, x *scenario.TLS) error {
+	p, s := m.plan, m.identities
 	name := p.Specs[partner].Name + ".example.org"
-	c, err := m.certificates(name, x)
+	c, err := m.issueFor(name, x)
 	if err != nil {
 		return err
 	}
-	usual, rotated := m.show(c.good, x, true), m.show(c.next, x, true)
-	forgot := m.show(c.good, x, true)
+	usual, rotated := m.identityWith(c.current, x, true), m.identityWith(c.next, x, true)
+	forgot := m.identityWith(c.current, x, true)
 	forgot.Config.SetSessionTicketKeys([][32]byte{{1}})
 	for i := range p.Endpoints {
 		if p.Endpoints[i].Partner != partner {
 			continue
 		}
-		s.shows[i] = usual
-		s.by[scenario.TLSRotate][i], s.by[scenario.TLSForget][i] = rotated, forgot
-		s.by[scenario.TLSReset][i] = &h1.TLSIdentity{ResetHandshake: true}
-		for kind, certificate := range c.bad {
-			s.by[kind][i] = m.show(certificate, x, false)
+		s.current[i] = usual
+		s.byFault[scenario.TLSRotate][i], s.byFault[scenario.TLSForget][i] = rotated, forgot
+		s.byFault[scenario.TLSReset][i] = &h1.TLSIdentity{ResetHandshake: true}
+		for kind, certificate := range c.faulty {
+			s.byFault[kind][i] = m.identityWith(certificate, x, false)
 		}
 	}
-	fmt.Fprintf(&m.operator, "[[tls]]\nname = \"p%d\"\ndestinations = [%d]\nserver_name = %q\nroots = %q\n"+
+	fmt.Fprintf(&m.operatorText, "[[tls]]\nname = \"p%d\"\ndestinations = [%d]\nserver_name = %q\nroots = %q\n"+
 		"pins = [%q, %q]\nhandshake_weight = %v\n",
-		partner, p.Specs[partner].Destination, name, m.roots, tlspolicy.PinOf(c.good.Certificate),
+		partner, p.Specs[partner].Destination, name, m.rootsPath, tlspolicy.PinOf(c.current.Certificate),
 		tlspolicy.PinOf(c.next.Certificate), x.Told)
 	if x.WantsOurs {
-		fmt.Fprintf(&m.operator, "certificate = %q\nkey = %q\n", m.cert, m.key)
+		fmt.Fprintf(&m.operatorText, "certificate = %q\nkey = %q\n", m.certPath, m.keyPath)
 	}
 	return nil
 }
 
-// show is how an endpoint shows a certificate.
-func (m *secretsMaker) show(certificate *testca.Issued, x *scenario.TLS, trusted bool) *h1.TLSIdentity {
+// identityWith is how an endpoint shows a certificate.
+func (m *identityMaker) identityWith(certificate *testca.Issued, x *scenario.TLS, trusted bool) *h1.TLSIdentity {
 	cfg := &tls.Config{
 		Certificates:           []tls.Certificate{certificate.TLSCertificate()},
 		SessionTicketsDisabled: x.NoSessions,
@@ -194,34 +194,34 @@
 	// Session keys of its own: what one certificate was shown for is not resumed under
 	// another.
 	cfg.SetSessionTicketKeys([][32]byte{tlspolicy.PinOf(certificate.Certificate)})
-	return &h1.TLSIdentity{Config: cfg, HandshakeDelay: millis(x.DelayMS), Trusted: trusted}
+	return &h1.TLSIdentity{Config: cfg, HandshakeDelay: milliseconds(x.DelayMS), Trusted: trusted}
 }
 
-// show is what an endpoint shows now.
-func (s *secrets) show(ep int) *h1.TLSIdentity {
+// identity is what an endpoint shows now.
+func (s *tlsIdentities) identity(ep int) *h1.TLSIdentity {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.shows[ep]
+	return s.current[ep]
 }
 
-// fault has endpoints show what a fault of theirs has them show, and returns how
+// replacement has endpoints show what a fault of theirs has them show, and returns how
 // to end it.
-func (s *secrets) fault(kind string, endpoints []int) (begin, end func()) {
+func (s *tlsIdentities) replacement(kind string, endpoints []int) (begin, end func()) {
 	was := map[int]*h1.TLSIdentity{}
 	return func() {
 			s.mu.Lock()
 			defer s.mu.Unlock()
 			for _, ep := range endpoints {
-				was[ep], s.shows[ep] = s.shows[ep], s.by[kind][ep]
+				was[ep], s.current[ep] = s.current[ep], s.byFault[kind][ep]
 			}
 		}, func() {
 			s.mu.Lock()
 			defer s.mu.Unlock()
 			for _, ep := range endpoints {
-				s.shows[ep] = was[ep]
+				s.current[ep] = was[ep]
 			}
 		}
 }
 
 // env is what relays are started with.
-func (s *secrets) env() string { return operatorconfig.EnvVar + "=" + s.file }
+func (s *tlsIdentities) env() string { return operatorconfig.EnvVar + "=" + s.operatorFile }
--- a/internal/rehearsal/runner/secure_test.go
+++ b/internal/rehearsal/runner/secure_test.go
@@ -41,8 +41,8 @@
 				t.Errorf("%+v", v)
 			}
 			for i, r := range o.Results {
-				if r.End != loadgen.Delivered {
-					t.Errorf("message %d: %v", i, r.End)
+				if r.Outcome != loadgen.Delivered {
+					t.Errorf("message %d: %v", i, r.Outcome)
 				}
 			}
 		})
--- a/internal/rehearsal/runner/settings.go
+++ b/internal/rehearsal/runner/settings.go
@@ -13,15 +13,15 @@
 	"troutusher/internal/rehearsal/scenario"
 )
 
-type object = map[string]any
+type jsonObject = map[string]any
 
-// settings is the object that a relay finds in its configuration.
-func settings(p *scenario.Plan, relay int) object {
+// relaySettings is the object that a relay finds in its configuration.
+func relaySettings(p *scenario.Plan, relay int) jsonObject {
 	s := p.Scenario
 	repeats := map[string]string{"safe": "retryable", "keyed": "dedup", "unsafe": "fragile"}
-	var classes, accounts []object
+	var classes, accounts []jsonObject
 	for _, c := range s.Classes {
-		classes = append(classes, object{
+		classes = append(classes, jsonObject{
 			"name":            c.Name,
 			"target_us":       scenario.Micros(c.AimMS),
 			"deadline_us":     scenario.Micros(c.DeadlineMS),
@@ -41,15 +41,15 @@
 		if quota == 0 {
 			quota = 1.5 * s.Traffic.RatePerS * x.Share / shares
 		}
-		accounts = append(accounts, object{"name": x.Name, "share": x.Share / shares, "quota_per_s": quota})
+		accounts = append(accounts, jsonObject{"name": x.Name, "share": x.Share / shares, "quota_per_s": quota})
 	}
-	kinds, apart, batch := kindsOf(p)
-	return object{
+	kinds, apart, batch := partnerKinds(p)
+	return jsonObject{
 		"accounts": accounts, "balancers": s.Relays.Count, "classes": classes, "discovery": "pushed",
 		"kinds": kinds, "localities": s.Relays.Halls,
-		"limits": object{
+		"limits": jsonObject{
 			"connect_timeout_us": scenario.Micros(s.Relays.ConnectMS),
-			"keepalive_us":       keepAlive(p),
+			"keepalive_us":       shortestIdleTimeout(p),
 			"max_retry_after_us": scenario.Micros(s.Relays.MaxRetryMS),
 			"may_cancel":         true,
 			"most_held":          p.Held(),
@@ -59,25 +59,25 @@
 			"streams_per_conn":   1,
 		},
 		"over_share_worth": 0.2,
-		"report":           object{"fields": []string{}, "how": "none"},
-		"safety": object{
+		"report":           jsonObject{"fields": []string{}, "how": "none"},
+		"safety": jsonObject{
 			"answer_slack_us": scenario.Micros(s.Rules.SlackMS), "drain_grace_us": scenario.Micros(
 				s.Rules.DrainGraceMS,
 			),
 			"fall_us": scenario.Micros(s.Rules.FallMS), "overload_factor": s.Rules.FallMultiple,
 			"ramp_time_us": scenario.Micros(s.Rules.ColdMS), "start_capacity": s.Rules.ColdShare,
 		},
-		"specifics": object{"calls_out": p.Slots(), "kind_batch": batch, "late": "linear", "own_limits": apart},
+		"specifics": jsonObject{"calls_out": p.Slots(), "kind_batch": batch, "late": "linear", "own_limits": apart},
 		"tick_us":   5000, "value_by": "request", "weights": "nominal", "zone": relay % len(s.Relays.Halls),
 	}
 }
 
-// kindsOf names the kinds of partner. A kind is either of routes apart or not,
+// partnerKinds names the kinds of partner. A kind is either of routes apart or not,
 // so a name that serves for both is split.
-func kindsOf(p *scenario.Plan) (kinds []string, apart []bool, batch []int) {
+func partnerKinds(p *scenario.Plan) (kinds []string, apart []bool, batch []int) {
 	seen := map[string]bool{}
 	for i := range p.Endpoints {
-		if name := kindOf(p, i); !seen[name] {
+		if name := kindName(p, i); !seen[name] {
 			seen[name] = true
 			kinds = append(kinds, name)
 			apart = append(apart, p.Specs[p.Endpoints[i].Partner].IndependentRoutes)
@@ -87,7 +87,7 @@
 	return kinds, apart, batch
 }
 
-func kindOf(p *scenario.Plan, ep int) string {
+func kindName(p *scenario.Plan, ep int) string {
 	e := &p.Endpoints[ep]
 	if p.Specs[e.Partner].IndependentRoutes {
 		return e.Kind + "+apart"
@@ -95,9 +95,9 @@
 	return e.Kind
 }
 
-// keepAlive is the shortest time after which a partner closes an idle
+// shortestIdleTimeout is the shortest time after which a partner closes an idle
 // connection; relays must not use one that long.
-func keepAlive(p *scenario.Plan) int64 {
+func shortestIdleTimeout(p *scenario.Plan) int64 {
 	least := scenario.Micros(60_000)
 	for i := range p.Specs {
 		if d := p.Specs[i].IdleTimeout; d > 0 {
@@ -107,8 +107,8 @@
 	return least
 }
 
-// members is the list as a relay's discovery has it: endpoint i at index i.
-func members(p *scenario.Plan, addr func(ep int) string) []registry.Member {
+// listMembers is the list as a relay's discovery has it: endpoint i at index i.
+func listMembers(p *scenario.Plan, addr func(ep int) string) []registry.Member {
 	var all []registry.Member
 	for i := range p.Endpoints {
 		e := &p.Endpoints[i]
@@ -123,54 +123,60 @@
 		h := fnv.New32a()
 		_, _ = io.WriteString(h, e.Name) // a hash does not fail
 		all = append(all, registry.Member{
-			ID: fmt.Sprintf("s-%08x", h.Sum32()), HostPort: addr(i), Locality: e.Hall, Flavor: kindOf(p, i),
+			ID: fmt.Sprintf("s-%08x", h.Sum32()), HostPort: addr(i), Locality: e.Hall, Flavor: kindName(p, i),
 			Cell: spec.Destination, Phase: registry.PhaseUp, Size: rate,
 		})
 	}
 	return all
 }
 
-// quiet are the destinations that the list names beside the partners, and that no
+// unusedDestinations are the destinations that the list names beside the partners, and that no
 // client asks for: nobody is there.
-func quiet(p *scenario.Plan) (all []registry.Member) {
+func unusedDestinations(p *scenario.Plan) (all []registry.Member) {
 	halls := p.Scenario.Relays.Halls
 	for i := range p.Scenario.Discovery.Quiet {
 		all = append(all, registry.Member{
 			ID: fmt.Sprintf("q-%05d", i), HostPort: net.JoinHostPort(
 				loopback.Host(), "9",
 			), Locality: halls[i%len(halls)],
-			Flavor: kindOf(p, 0), Cell: len(p.Specs) + 1 + i, Phase: registry.PhaseUp, Size: 1,
+			Flavor: kindName(p, 0), Cell: len(p.Specs) + 1 + i, Phase: registry.PhaseUp, Size: 1,
 		})
 	}
 	return all
 }
 
-// Config is what a relay finds in the file that ROUTER_CONFIG names.
-type Config struct {
+// RelayConfig is what a relay finds in the file that ROUTER_CONFIG names.
+type RelayConfig struct {
 	Name      string        `json:"name"`
 	Listen    string        `json:"listen"`
 	Discovery string        `json:"discovery"`
 	State     string        `json:"state,omitempty"`
 	Seed      string        `json:"seed"`
-	Limits    object        `json:"limits"`
+	Limits    jsonObject    `json:"limits"`
 	Known     registry.List `json:"known"`
-	Settings  object        `json:"settings"`
+	Settings  jsonObject    `json:"settings"`
 }
 
-// ConfigOf is the configuration of a relay of a plan.
-func ConfigOf(p *scenario.Plan, relay int, listen, discovery, state string, known registry.List, seed uint64) Config {
+// NewRelayConfig is the configuration of a relay of a plan.
+func NewRelayConfig(
+	p *scenario.Plan,
+	relay int,
+	listen, discovery, state string,
+	known registry.List,
+	seed uint64,
+) RelayConfig {
 	r := &p.Scenario.Relays
-	return Config{
+	return RelayConfig{
 		Name:      fmt.Sprintf("n%d", relay+1),
 		Listen:    listen,
 		Discovery: discovery,
 		State:     state,
 		Seed:      fmt.Sprintf("%016x", seed),
-		Limits:    object{"cores": 1.0, "memory_mb": r.MemoryMB, "sockets": r.Sockets, "disk_mb": r.DiskMB},
+		Limits:    jsonObject{"cores": 1.0, "memory_mb": r.MemoryMB, "sockets": r.Sockets, "disk_mb": r.DiskMB},
 		Known:     known,
-		Settings:  settings(p, relay),
+		Settings:  relaySettings(p, relay),
 	}
 }
 
 // Text is the file.
-func (c Config) Text() ([]byte, error) { return json.MarshalIndent(c, "", " ") }
+func (c RelayConfig) Text() ([]byte, error) { return json.MarshalIndent(c, "", " ") }
--- a/internal/rehearsal/runner/settings_test.go
+++ b/internal/rehearsal/runner/settings_test.go
@@ -18,7 +18,7 @@
 	}
 	plan := s.Plan(7)
 	known := registry.List{Revision: 3}
-	got, err := ConfigOf(plan, 1, "127.0.0.1:1", "127.0.0.1:2", "/state", known, 9).Text()
+	got, err := NewRelayConfig(plan, 1, "127.0.0.1:1", "127.0.0.1:2", "/state", known, 9).Text()
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/rehearsal/runner/upgrade_test.go
+++ b/internal/rehearsal/runner/upgrade_test.go
@@ -32,18 +32,18 @@
 			for _, v := range o.Violations {
 				t.Errorf("%+v", v)
 			}
-			for _, c := range o.Crashes {
+			for _, c := range o.RelayFailures {
 				t.Error(c)
 			}
 			if name != "nobody killed" {
 				return
 			}
-			if o.Door > 2*len(forms) {
-				t.Errorf("%d requests met a closed connection", o.Door)
+			if o.UnservedRequests > 2*len(forms) {
+				t.Errorf("%d requests met a closed connection", o.UnservedRequests)
 			}
 			for i, r := range o.Results {
-				if r.End != loadgen.Delivered {
-					t.Errorf("message %d: %v", i, r.End)
+				if r.Outcome != loadgen.Delivered {
+					t.Errorf("message %d: %v", i, r.Outcome)
 				}
 			}
 		})
