--- a/internal/emulator/endpoint/h1/tls.go
+++ b/internal/emulator/endpoint/h1/tls.go
@@ -17,17 +17,29 @@
 	Trusted        bool          // a relay is to accept it
 }
 
-// EnableTLS has endpoints speak TLS where identity returns one. It must be called
-// before the first connection.
-func (s *Server) EnableTLS(identity func(endpointIndex int) *TLSIdentity) { s.identity = identity }
+// EnableTLS has endpoints speak TLS where identity returns one, on connections from
+// now on.
+func (s *Server) EnableTLS(identity func(endpointIndex int) *TLSIdentity) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.identity = identity
+}
+
+// tlsIdentity is the identity of an endpoint, or nil where it does not speak TLS.
+func (s *Server) tlsIdentity(endpointIndex int) *TLSIdentity {
+	s.mu.Lock()
+	identity := s.identity
+	s.mu.Unlock()
+	if identity == nil {
+		return nil
+	}
+	return identity(endpointIndex)
+}
 
 // handshake does the TLS handshake of a connection, where its endpoint speaks TLS. It
 // reports whether requests can be read.
 func (s *Server) handshake(id endpoint.ConnID, endpointIndex int, conn *connection) bool {
-	if s.identity == nil {
-		return true
-	}
-	identity := s.identity(endpointIndex)
+	identity := s.tlsIdentity(endpointIndex)
 	if identity == nil {
 		return true
 	}
