--- a/internal/relay/clients_test.go
+++ b/internal/relay/clients_test.go
@@ -146,7 +146,7 @@
 }
 
 // Guards a client's give-up: one that leaves before its reply does not know
-// that its message was taken on, and may hand it in elsewhere.
+// that its message was accepted, and may submit it elsewhere.
 func TestClientGoneBeforeAnswer(t *testing.T) {
 	got := make(chan *request, 1)
 	_, addr, said := serveClients(t, func(q *request) { got <- q })
@@ -319,7 +319,7 @@
 		acceptRequest(q)
 	}, func(l *connlimit.Limits) {
 		l.SingleUseEvictionThreshold, l.IdleTimeout, l.FirstCommandTimeout = 4, 3600e6, 3600e6
-	}) // nobody is let go for being idle
+	}) // no connection is closed for being idle
 	out := 0 // requests that are held
 	ask := func(cl *testClient, id string) {
 		t.Helper()
--- a/internal/relay/handover_failpoints_test.go
+++ b/internal/relay/handover_failpoints_test.go
@@ -237,8 +237,8 @@
 }
 
 // A process that takes over was started with an address of discovery that the one
-// before has left since on SIGHUP: what is said there counts for nothing, also
-// where the new address says nothing for now.
+// before has left since on SIGHUP: lists from there are ignored, also where the new
+// address is silent for now.
 func TestListFromFormerDiscoveryAddress(t *testing.T) {
 	gone, stays := newFakeEndpoint(t, nil), newFakeEndpoint(t, nil)
 	drains := gone.member("s-1", 1)
--- a/internal/relay/handover_test.go
+++ b/internal/relay/handover_test.go
@@ -215,8 +215,8 @@
 	}
 }
 
-// The new process dies after it said that the work is its own, and before it
-// serves: the old one starts anew from the log, as after a kill.
+// The new process dies after it has claimed the work, and before it serves: the old
+// one recovers from the log, as after a kill.
 func TestSuccessorDiesAfterClaim(t *testing.T) {
 	quick, slow := newFakeEndpoint(t, nil), newFakeEndpoint(t, hang)
 	disc := newFakeDiscovery(t, slow.member("s-1", 1), unreachableMember("s-0", 5))
--- a/internal/relay/idle_bench_test.go
+++ b/internal/relay/idle_bench_test.go
@@ -20,10 +20,10 @@
 )
 
 // BenchmarkEndpointList starts a relay with one core whose list names so many
-// destinations, hands in messages to a few of them, and has the whole list come
+// destinations, submits messages to a few of them, and has the whole list sent
 // once more meanwhile. Figures of docs/measurements/idle.md:
 //
-//	go test -run '^$' -bench Listed -benchtime 1x -timeout 20m ./internal/relay
+//	go test -run '^$' -bench EndpointList -benchtime 1x -timeout 20m ./internal/relay
 func BenchmarkEndpointList(b *testing.B) {
 	for _, n := range []int{1000, 100_000, 1_000_000} {
 		for _, awake := range []string{"1024", "-1"} {
--- a/internal/relay/restart_test.go
+++ b/internal/relay/restart_test.go
@@ -37,9 +37,10 @@
 	}
 }
 
-// Guards what was taken on against SIGKILL: an unsafe attempt with no outcome
-// may have run and fails by notice, a keyed one goes out again in its window,
-// one that was only turned away goes on, and what was delivered stays so.
+// Guards accepted messages against SIGKILL: a non-idempotent attempt without an
+// outcome may have run and is given up by a notice, one with an idempotency key is
+// sent again in its window, one that was only rejected is retried, and what was
+// delivered stays so.
 func TestRecoveryAfterKill(t *testing.T) {
 	done := newFakeEndpoint(t, nil)
 	stuck := newFakeEndpoint(t, hang)
@@ -124,8 +125,8 @@
 	})
 }
 
-// Guards a planned end: calls that are out finish, what can go out at once is
-// still taken on and delivered, clients are let go, what is held waits in the
+// Guards a graceful shutdown: open calls finish, what can be sent at once is still
+// accepted and delivered, client connections are closed, held messages stay in the
 // log, and the exit code is 0.
 func TestGracefulShutdown(t *testing.T) {
 	release, entered := make(chan struct{}), atomic.Int32{}
@@ -283,7 +284,7 @@
 			refused++
 		}
 	}
-	// What makes room among those that were taken on ends by a notice.
+	// An accepted message that makes room for another ends by a notice.
 	waitFor(t, "the ends of what is too much", func() bool {
 		return disc.Check(func() bool { return refused+len(disc.Notices) >= 50 })
 	})
@@ -292,11 +293,11 @@
 		t.Errorf("logged: %v", err)
 	}
 	if _, ok := disc.Notice("late"); ok {
-		t.Error("a notice for what was never taken on")
+		t.Error("a notice for what was never accepted")
 	}
 }
 
-// Guards against handing in twice: an id that is held is not taken on again.
+// Guards against submitting twice: an id that is held is not accepted again.
 func TestDuplicateID(t *testing.T) {
 	release := make(chan struct{})
 	endpoint := newFakeEndpoint(t, func(_ http.ResponseWriter, r *http.Request, _ int) {
