--- a/internal/rehearsal/checker/calls.go
+++ b/internal/rehearsal/checker/calls.go
@@ -7,211 +7,198 @@
 	"troutusher/internal/event"
 )
 
-// doubt reports whether the call may have run.
-func (c *call) doubt() bool { return c.ended == 0 || !event.NeverRan(c.status) }
+// call is one attempt as an endpoint saw it.
+type call struct {
+	relay       int
+	endpoint    int
+	firstByteAt Time
+	receivedAt  Time // moment of its last byte
+	endedAt     Time // 0 while it is in flight
+	status      int
+	submission  *submission
+	// drainViolation is the evidence where its first byte came after the drain grace.
+	drainViolation string
+}
+
+func (c *call) inFlight() bool { return c.endedAt == 0 }
+
+// mayHaveRun reports whether the call may have taken effect.
+func (c *call) mayHaveRun() bool { return c.inFlight() || !event.NeverRan(c.status) }
 
-func (c *call) how() string {
+// uncertain reports whether it is not known if the call took effect.
+func (c *call) uncertain() bool { return c.mayHaveRun() && c.status != event.StatusDelivered }
+
+// outcome says how the call ended, for evidence.
+func (c *call) outcome() string {
 	switch {
-	case c.ended == 0:
+	case c.inFlight():
 		return "it is still out"
-	case c.status == 0:
+	case c.status == event.StatusNone:
 		return "it ended with no answer"
 	}
 	return fmt.Sprintf("status %d", c.status)
 }
 
-func (r *Referee) callFirst(e *event.Event) {
-	c := &call{no: e.Call, relay: e.Relay, endpoint: e.Endpoint, first: r.now}
-	r.calls[e.Call] = c
-	if told, ok := r.relays[e.Relay].gone[e.Endpoint]; ok && r.now > told+r.f.DrainGrace+r.f.Slack {
-		c.late = fmt.Sprintf("relay %d began a call to %s %.3f s after it was told that it drains or is gone", e.Relay,
-			r.end(e.Endpoint).Name, sec(r.now-told))
+// handleFirstByte takes the first byte of a call; the message is not known yet.
+func (c *Checker) handleFirstByte(e *event.Event) {
+	call := c.newCall(e)
+	drainedAt, drained := c.relays[e.Relay].drainedAt[e.Endpoint]
+	if drained && c.now > drainedAt+c.config.DrainGrace+c.config.Slack {
+		call.drainViolation = fmt.Sprintf(
+			"relay %d began a call to %s %.3f s after it was told that it drains or is gone", e.Relay,
+			c.endpointName(e.Endpoint), seconds(c.now-drainedAt),
+		)
 	}
 }
 
-func (r *Referee) callBegan(e *event.Event) {
-	c := r.calls[e.Call]
-	if c == nil {
-		c = &call{no: e.Call, relay: e.Relay, endpoint: e.Endpoint, first: r.now}
-		r.calls[e.Call] = c
-	}
-	h := r.ids[e.ID]
-	if h == nil {
-		r.convict(
-			Strays, nil, e.Relay, e.Endpoint, "relay %d called %s for %q, which nobody handed in", e.Relay,
-			r.end(e.Endpoint).Name, e.ID,
+func (c *Checker) newCall(e *event.Event) *call {
+	created := &call{relay: e.Relay, endpoint: e.Endpoint, firstByteAt: c.now}
+	c.calls[e.Call] = created
+	return created
+}
+
+// handleCall takes a whole call and judges it by all rules that it may break.
+func (c *Checker) handleCall(e *event.Event) {
+	received := c.calls[e.Call]
+	if received == nil {
+		received = c.newCall(e)
+	}
+	s := c.submissions[e.ID]
+	if s == nil {
+		c.addViolation(
+			RuleRouting, nil, e.Relay, e.Endpoint, "relay %d called %s for %q, which nobody handed in", e.Relay,
+			c.endpointName(e.Endpoint), e.ID,
 		)
 		return
 	}
-	c.h, c.began = h, r.now
-	m := r.f.Messages[h.num]
-	if r.end(c.endpoint).Dest != m.Dest {
-		r.convict(
-			Strays, h, c.relay, c.endpoint, "relay %d called %s, which serves destination %d and not %d", c.relay,
-			r.end(c.endpoint).Name, r.end(c.endpoint).Dest, m.Dest,
-		)
+	received.submission, received.receivedAt = s, c.now
+	c.checkDestination(s, received)
+	if received.drainViolation != "" {
+		c.addViolation(RuleDrain, s, received.relay, received.endpoint, "%s", received.drainViolation)
 	}
-	if c.late != "" {
-		r.convict(Drains, h, c.relay, c.endpoint, "%s", c.late)
+	c.checkRetryAfter(s, received.relay, received.endpoint, "a call")
+	if s.state != abandoned {
+		c.checkAtMostOnce(s, received)
+		c.checkOrdering(s, received)
 	}
-	r.waited(h, c.relay, c.endpoint, "a call")
-	if h.state != void {
-		r.again(h, c)
-		r.inOrder(h, c)
+	s.calls = append(s.calls, received)
+	if s.recoveredUnattempted {
+		s.recoveredUnattempted = false
+		c.restartCounts.Attempted++
 	}
-	h.calls = append(h.calls, c)
-	if h.untried {
-		h.untried = false
-		r.starts.Tried++
+}
+
+// checkDestination judges where a call goes.
+func (c *Checker) checkDestination(s *submission, received *call) {
+	endpoint, want := c.endpoint(received.endpoint), c.messageOf(s).Destination
+	if endpoint.Destination != want {
+		c.addViolation(
+			RuleRouting, s, received.relay, received.endpoint,
+			"relay %d called %s, which serves destination %d and not %d", received.relay, endpoint.Name,
+			endpoint.Destination, want,
+		)
 	}
 }
 
-// again judges a call of a message that had calls before, under this id or an
+// checkAtMostOnce judges a call of a message that had calls before, under this id or an
 // earlier one whose client heard an answer.
-func (r *Referee) again(h *handIn, c *call) {
-	class := r.f.Classes[r.f.Messages[h.num].Class]
-	var doubt *call
-	for _, x := range h.calls {
-		if x.ended == 0 {
-			r.convict(
-				Once, h, c.relay, c.endpoint, "a second copy: its call to %s of %.3f s is still out while %s is called",
-				r.end(x.endpoint).Name, sec(x.began), r.end(c.endpoint).Name,
+func (c *Checker) checkAtMostOnce(s *submission, received *call) {
+	for _, earlier := range s.calls {
+		if earlier.inFlight() {
+			c.addViolation(
+				RuleAtMostOnce, s, received.relay, received.endpoint,
+				"a second copy: its call to %s of %.3f s is still out while %s is called",
+				c.endpointName(earlier.endpoint), seconds(earlier.receivedAt), c.endpointName(received.endpoint),
 			)
 		}
 	}
-	for _, x := range r.byNum[h.num] {
-		if x.state == void {
-			continue
-		}
-		for _, y := range x.calls {
-			if y.doubt() && (doubt == nil || y.first < doubt.first) {
-				doubt = y
-			}
-		}
+	first := c.firstThatMayHaveRun(s.message)
+	if first == nil {
+		return
 	}
+	class := c.classOf(s)
+	sinceFirst := received.firstByteAt - first.firstByteAt
 	switch {
-	case doubt == nil:
-	case class.Repeat == Unsafe:
-		r.convict(
-			Once, h, c.relay, c.endpoint,
-			"an unsafe message is sent to %s again: its call to %s at %.3f s may have run (%s)", r.end(c.endpoint).Name,
-			r.end(doubt.endpoint).Name, sec(doubt.began), doubt.how(),
+	case class.Idempotency == NonIdempotent:
+		c.addViolation(
+			RuleAtMostOnce, s, received.relay, received.endpoint,
+			"an unsafe message is sent to %s again: its call to %s at %.3f s may have run (%s)",
+			c.endpointName(received.endpoint), c.endpointName(first.endpoint), seconds(first.receivedAt),
+			first.outcome(),
 		)
-	case class.Repeat == Keyed && c.first > doubt.first+class.Window+r.f.Slack:
-		r.convict(
-			Once,
-			h,
-			c.relay,
-			c.endpoint,
+	case class.Idempotency == IdempotentByKey && sinceFirst > class.DedupWindow+c.config.Slack:
+		c.addViolation(
+			RuleAtMostOnce, s, received.relay, received.endpoint,
 			"a keyed message is sent to %s again %.3f s after the call that may have run; its key is remembered for "+
-				"%.3f s",
-			r.end(c.endpoint).Name,
-			sec(c.first-doubt.first),
-			sec(class.Window),
+				"%.3f s", c.endpointName(received.endpoint), seconds(sinceFirst), seconds(class.DedupWindow),
 		)
 	}
 }
 
-// inOrder judges a call of a message of a thread.
-func (r *Referee) inOrder(h *handIn, c *call) {
-	m := r.f.Messages[h.num]
-	class := r.f.Classes[m.Class]
-	if !class.InOrder || m.Thread == 0 {
-		return
-	}
-	t := thread{h.relay, m.Thread}
-	kept := r.threads[t][:0]
-	for _, x := range r.threads[t] {
-		settled := x.finished()
-		for _, y := range x.calls {
-			if y.ended == 0 || y.doubt() && y.status != event.StatusDelivered && r.now < y.ended+class.Rest-r.f.Slack {
-				settled = false
-				if x != h || y.ended != 0 {
-					r.convict(
-						Order, h, c.relay, c.endpoint,
-						"it goes out while %s of its thread has a call whose end is not sure (%s, at %.3f s)", x.id,
-						y.how(), sec(y.began),
-					)
-				}
-			}
-		}
-		if x != h && !x.finished() && x.heardAt < h.at {
-			r.convict(Order, h, c.relay, c.endpoint, "it goes out while %s, taken on earlier, is not finished", x.id)
-		}
-		if !settled || x == h {
-			kept = append(kept, x)
-		}
-	}
-	r.threads[t] = kept
-}
-
-// waited judges a call or a probe against the waits that its relay was told.
-func (r *Referee) waited(h *handIn, relay, endpoint int, what string) {
-	p := r.place(endpoint)
-	kept := p.waits[relay][:0]
-	told := false
-	for _, w := range p.waits[relay] {
-		if r.now >= w.until {
+// firstThatMayHaveRun returns the earliest call of a message that may have run, or nil.
+func (c *Checker) firstThatMayHaveRun(message int) *call {
+	var first *call
+	for _, s := range c.submissionsByMessage[message] {
+		if s.state == abandoned {
 			continue
 		}
-		kept = append(kept, w)
-		if r.now > w.from+r.f.WaitPass+r.f.Slack && !told {
-			told = true
-			r.convict(
-				Waits, h, relay, endpoint, "relay %d sent %s to %s %.3f s into a wait of %.3f s", relay, what,
-				r.end(endpoint).Name, sec(r.now-w.from), sec(w.until-w.from),
-			)
+		for _, call := range s.calls {
+			if call.mayHaveRun() && (first == nil || call.firstByteAt < first.firstByteAt) {
+				first = call
+			}
 		}
 	}
-	p.waits[relay] = kept
+	return first
 }
 
-func (r *Referee) callEnded(e *event.Event) {
-	c := r.calls[e.Call]
-	if c == nil || c.ended != 0 {
+// handleCallEnd takes the end of a call; only its first one counts.
+func (c *Checker) handleCallEnd(e *event.Event) {
+	ended := c.calls[e.Call]
+	if ended == nil {
 		return
 	}
-	c.ended, c.status = max(r.now, 1), e.Status
-	delete(r.calls, e.Call)
+	delete(c.calls, e.Call)
+	ended.endedAt, ended.status = max(c.now, 1), e.Status
 	if e.Status == event.StatusDelivered {
-		if c.h != nil && c.h.state != void {
-			c.h.delivered = true // counts once its client has heard that it is taken on
+		if s := ended.submission; s != nil && s.state != abandoned {
+			s.delivered = true // it counts once its client has heard that the message is accepted
 		}
 		return
 	}
-	p := r.place(c.endpoint)
-	if len(p.out) > 0 {
-		r.saw(c.relay, c.endpoint)
-	}
+	c.observeFailure(ended.relay, ended.endpoint)
 	if e.Status == event.StatusWait && e.Wait > 0 {
-		p.waits[c.relay] = append(p.waits[c.relay], wait{r.now, r.now + e.Wait})
+		route := c.route(ended.endpoint)
+		route.retryAfters[ended.relay] = append(route.retryAfters[ended.relay], retryAfter{c.now, c.now + e.Wait})
 	}
 }
 
-// saw: a relay has seen a call or a probe go wrong during an outage.
-func (r *Referee) saw(relay, endpoint int) {
-	if p := r.place(endpoint); len(p.out) > 0 && r.known(relay) && p.seen[relay] == 0 {
-		p.seen[relay] = 1 + r.now
-	}
+// effect is one time that a message took effect.
+type effect struct {
+	submission *submission
+	endpoint   int
+	at         Time
 }
 
-// effect books that a call took effect. Calls may do so long after their end.
-func (r *Referee) effect(e *event.Event) {
-	h := r.ids[e.ID]
-	if h == nil || h.state == void {
+// handleEffect takes that a call took effect, which may come long after the call's end.
+func (c *Checker) handleEffect(e *event.Event) {
+	s := c.submissions[e.ID]
+	if s == nil || s.state == abandoned || c.classOf(s).Idempotency == Idempotent {
 		return
 	}
-	class := r.f.Classes[r.f.Messages[h.num].Class]
-	if class.Repeat == Safe {
-		return
-	}
-	c := &call{no: e.Call, endpoint: e.Endpoint, began: r.now, h: h}
-	had := slices.DeleteFunc(r.ran[h.num], func(x *call) bool { return x.h.state == void })
-	if len(had) > 0 {
-		r.convict(
-			Once, h, e.Relay, e.Endpoint, "it took effect at %s, as it had at %s at %.3f s", r.end(e.Endpoint).Name,
-			r.end(had[0].endpoint).Name, sec(had[0].began),
+	earlier := slices.DeleteFunc(c.effects[s.message], func(f effect) bool { return f.submission.state == abandoned })
+	if len(earlier) > 0 {
+		first := earlier[0]
+		c.addViolation(
+			RuleAtMostOnce, s, e.Relay, e.Endpoint, "it took effect at %s, as it had at %s at %.3f s",
+			c.endpointName(e.Endpoint), c.endpointName(first.endpoint), seconds(first.at),
 		)
 	}
-	r.ran[h.num] = append(had, c)
+	c.effects[s.message] = append(earlier, effect{submission: s, endpoint: e.Endpoint, at: c.now})
+}
+
+// handleUnknownMessage takes a call for a message that does not exist.
+func (c *Checker) handleUnknownMessage(e *event.Event) {
+	c.addViolation(RuleRouting, nil, e.Relay, e.Endpoint, "relay %d called %s for a message that nobody handed in",
+		e.Relay, c.endpointName(e.Endpoint))
+	c.violations[len(c.violations)-1].ID = e.ID
 }
--- a/internal/rehearsal/checker/checker_test.go
+++ b/internal/rehearsal/checker/checker_test.go
@@ -12,10 +12,15 @@
 // Messages 0 and 1 are safe, 2 keyed, 3 unsafe, 4 and 5 of one thread in
 // order. Endpoints a and b serve destination 1, c serves 2, d and e are routes
 // apart of 3.
-func figures() Figures {
-	return Figures{
-		Relays:  3,
-		Classes: []Class{{}, {Repeat: Keyed, Window: 20 * s}, {Repeat: Unsafe}, {InOrder: true, Rest: s}},
+func testConfig() Config {
+	return Config{
+		Relays: 3,
+		Classes: []Class{
+			{},
+			{Idempotency: IdempotentByKey, DedupWindow: 20 * s},
+			{Idempotency: NonIdempotent},
+			{Ordered: true, OrderedKeyBackoff: s},
+		},
 		Messages: []Message{
 			{0, 1, 0},
 			{0, 1, 0},
@@ -25,61 +30,71 @@
 			{3, 1, 9},
 			{0, 3, 0},
 		},
-		Endpoints:    []Endpoint{{"a", 1, false}, {"b", 1, false}, {"c", 2, false}, {"d", 3, true}, {"e", 3, true}},
-		Slack:        50 * ms,
-		EndSlack:     300 * ms,
-		RestartGrace: 1500 * ms,
-		DrainGrace:   2 * s,
-		WaitPass:     100 * ms,
-		Guilty:       2.0 / 3,
+		Endpoints: []Endpoint{
+			{"a", 1, false},
+			{"b", 1, false},
+			{"c", 2, false},
+			{"d", 3, true},
+			{"e", 3, true},
+		},
+		Slack:              50 * ms,
+		DeadlineSlack:      300 * ms,
+		RestartGrace:       1500 * ms,
+		DrainGrace:         2 * s,
+		RetryAfterGrace:    100 * ms,
+		InformedShareLimit: 2.0 / 3,
 	}
 }
 
-type script struct {
+type scriptedRecord struct {
 	t Time
-	r *Referee
+	r *Checker
 }
 
-func (x *script) at(t Time) *script { x.t = t; return x }
+func (record *scriptedRecord) at(t Time) *scriptedRecord { record.t = t; return record }
 
-func (x *script) say(e event.Event) *script { e.At = x.t; x.r.Step(e); return x }
+func (record *scriptedRecord) say(e event.Event) *scriptedRecord {
+	e.At = record.t
+	record.r.Step(e)
+	return record
+}
 
-func (x *script) put(id string, msg, relay int) *script {
-	return x.say(event.Event{Kind: event.HandIn, ID: id, Message: msg, Relay: relay, Left: 8 * s}).
+func (record *scriptedRecord) put(id string, msg, relay int) *scriptedRecord {
+	return record.say(event.Event{Kind: event.HandIn, ID: id, Message: msg, Relay: relay, Left: 8 * s}).
 		say(event.Event{Kind: event.Accepted, ID: id})
 }
 
-func (x *script) call(no uint64, id string, relay, ep int) *script {
-	return x.say(event.Event{Kind: event.CallFirst, Call: no, Relay: relay, Endpoint: ep}).
+func (record *scriptedRecord) call(no uint64, id string, relay, ep int) *scriptedRecord {
+	return record.say(event.Event{Kind: event.CallFirst, Call: no, Relay: relay, Endpoint: ep}).
 		say(event.Event{Kind: event.CallBegan, Call: no, ID: id, Relay: relay, Endpoint: ep})
 }
 
-func (x *script) ended(no uint64, status int) *script {
-	return x.say(event.Event{Kind: event.CallEnded, Call: no, Status: status})
+func (record *scriptedRecord) ended(no uint64, status int) *scriptedRecord {
+	return record.say(event.Event{Kind: event.CallEnded, Call: no, Status: status})
 }
 
-func (x *script) told(relay, ep, what int) *script {
-	return x.say(event.Event{Kind: event.Told, Relay: relay, Endpoint: ep, Status: what})
+func (record *scriptedRecord) told(relay, ep, what int) *scriptedRecord {
+	return record.say(event.Event{Kind: event.Told, Relay: relay, Endpoint: ep, Status: what})
 }
 
-func (x *script) ran(no uint64, id string, ep int) *script {
-	return x.say(event.Event{Kind: event.Ran, Call: no, ID: id, Endpoint: ep})
+func (record *scriptedRecord) ran(no uint64, id string, ep int) *scriptedRecord {
+	return record.say(event.Event{Kind: event.Ran, Call: no, ID: id, Endpoint: ep})
 }
 
-func (x *script) kind(k event.Kind, relay int) *script {
-	return x.say(event.Event{Kind: k, Relay: relay})
+func (record *scriptedRecord) kind(k event.Kind, relay int) *scriptedRecord {
+	return record.say(event.Event{Kind: k, Relay: relay})
 }
 
-func (x *script) notice(id string, what int) *script {
-	return x.say(event.Event{Kind: event.Noticed, ID: id, Status: what})
+func (record *scriptedRecord) notice(id string, what int) *scriptedRecord {
+	return record.say(event.Event{Kind: event.Noticed, ID: id, Status: what})
 }
 
-func (x *script) outage(ep, hidden int) *script {
-	return x.say(event.Event{Kind: event.Outage, Endpoint: ep, Status: hidden})
+func (record *scriptedRecord) outage(ep, hidden int) *scriptedRecord {
+	return record.say(event.Event{Kind: event.Outage, Endpoint: ep, Status: hidden})
 }
 
-func (x *script) fell(ep int, by ...int) *script {
-	return x.say(event.Event{Kind: event.Back, Endpoint: ep}).say(
+func (record *scriptedRecord) fell(ep int, by ...int) *scriptedRecord {
+	return record.say(event.Event{Kind: event.Back, Endpoint: ep}).say(
 		event.Event{Kind: event.Fell, Endpoint: ep, Calls: by},
 	)
 }
@@ -87,98 +102,99 @@
 func TestRules(t *testing.T) {
 	for _, c := range []struct {
 		name string
-		play func(*script)
+		play func(*scriptedRecord)
 		rule Rule // "" where nothing is broken
 		id   string
 		at   Time
 	}{
 		// Nothing goes missing.
-		{"delivered", func(x *script) { x.put("m", 0, 0).call(1, "m", 0, 0).at(s).ended(1, 200) }, "", "", 0},
-		{
-			"given up in time", func(x *script) { x.put("m", 0, 0).at(8200*ms).notice("m", event.NoticeGivenUp) }, "",
-			"", 0,
-		},
-		{"no end", func(x *script) { x.put("m", 0, 0) }, Missing, "m", 8350 * ms},
-		{
-			"end too late", func(x *script) { x.put("m", 0, 0).at(9*s).notice("m", event.NoticeGivenUp) }, Missing, "m",
-			8350 * ms,
-		},
-		{
-			"200 to a call that was not awaited any more",
-			func(x *script) { x.put("m", 0, 0).call(1, "m", 0, 0).at(s).ended(1, 0).ended(1, 200) }, Missing, "m",
-			8350 * ms,
-		},
-		{"refused needs no end", func(x *script) {
-			x.say(event.Event{Kind: event.HandIn, ID: "m", Left: s}).say(event.Event{Kind: event.Refused, ID: "m"})
+		{"delivered", func(record *scriptedRecord) {
+			record.put("m", 0, 0).call(1, "m", 0, 0).at(s).ended(1, 200)
+		}, "", "", 0},
+		{"given up in time", func(record *scriptedRecord) {
+			record.put("m", 0, 0).at(8200*ms).notice("m", event.NoticeGivenUp)
 		}, "", "", 0},
-		{"two ends", func(x *script) {
-			x.put("m", 0, 0).at(s).notice("m", event.NoticeHandedBack).at(2*s).notice("m", event.NoticeGivenUp)
-		}, Missing, "m", 2 * s},
-		{"one end twice", func(x *script) {
-			x.put("m", 0, 0).at(s).notice("m", event.NoticeGivenUp).at(2*s).notice("m", event.NoticeGivenUp)
+		{"no end", func(record *scriptedRecord) {
+			record.put("m", 0, 0)
+		}, RuleNoLoss, "m", 8350 * ms},
+		{"end too late", func(record *scriptedRecord) {
+			record.put("m", 0, 0).at(9*s).notice("m", event.NoticeGivenUp)
+		}, RuleNoLoss, "m", 8350 * ms},
+		{"200 to a call that was not awaited any more", func(record *scriptedRecord) {
+			record.put("m", 0, 0).call(1, "m", 0, 0).at(s).ended(1, 0).ended(1, 200)
+		}, RuleNoLoss, "m", 8350 * ms},
+		{"refused needs no end", func(record *scriptedRecord) {
+			record.say(event.Event{Kind: event.HandIn, ID: "m", Left: s}).say(event.Event{Kind: event.Refused, ID: "m"})
 		}, "", "", 0},
-		{"a notice after the delivery", func(x *script) {
-			x.put("m", 0, 0).call(1, "m", 0, 0).at(s).ended(1, 200).at(2*s).notice("m", event.NoticeGivenUp)
+		{"two ends", func(record *scriptedRecord) {
+			record.put("m", 0, 0).at(s).notice("m", event.NoticeHandedBack).at(2*s).notice("m", event.NoticeGivenUp)
+		}, RuleNoLoss, "m", 2 * s},
+		{"one end twice", func(record *scriptedRecord) {
+			record.put("m", 0, 0).at(s).notice("m", event.NoticeGivenUp).at(2*s).notice("m", event.NoticeGivenUp)
 		}, "", "", 0},
-		{"due while its relay is down", func(x *script) {
-			x.put("m", 0, 0).at(7*s).kind(event.Killed, 0).at(9*s).kind(event.Ready, 0).at(10400*ms).notice(
+		{"a notice after the delivery", func(record *scriptedRecord) {
+			record.put("m", 0, 0).call(1, "m", 0, 0).at(s).ended(1, 200).at(2*s).notice("m", event.NoticeGivenUp)
+		}, "", "", 0},
+		{"due while its relay is down", func(record *scriptedRecord) {
+			record.put("m", 0, 0).at(7*s).kind(event.Killed, 0).at(9*s).kind(event.Ready, 0).at(10400*ms).notice(
 				"m", event.NoticeGivenUp,
 			)
 		}, "", "", 0},
-		{"and never ended once it is back", func(x *script) {
-			x.put("m", 0, 0).at(7*s).kind(event.Killed, 0).at(9*s).kind(event.Ready, 0)
-		}, Missing, "m", 10550 * ms},
-		{"cut off", func(x *script) {
-			x.say(
+		{"and never ended once it is back", func(record *scriptedRecord) {
+			record.put("m", 0, 0).at(7*s).kind(event.Killed, 0).at(9*s).kind(event.Ready, 0)
+		}, RuleNoLoss, "m", 10550 * ms},
+		{"cut off", func(record *scriptedRecord) {
+			record.say(
 				event.Event{Kind: event.HandIn, ID: "m", Left: s},
 			).at(100 * ms).say(event.Event{Kind: event.CutOff, ID: "m"})
-		}, Missing, "m", 100 * ms},
-		{"cut off at a connection's first request", func(x *script) {
-			x.say(event.Event{Kind: event.HandIn, ID: "m", Left: s}).at(100 * ms).say(
+		}, RuleNoLoss, "m", 100 * ms},
+		{"cut off at a connection's first request", func(record *scriptedRecord) {
+			record.say(event.Event{Kind: event.HandIn, ID: "m", Left: s}).at(100 * ms).say(
 				event.Event{Kind: event.CutOff, ID: "m", Status: 1},
 			)
 		}, "", "", 0},
-		{"cut off by a kill", func(x *script) {
-			x.say(
+		{"cut off by a kill", func(record *scriptedRecord) {
+			record.say(
 				event.Event{Kind: event.HandIn, ID: "m", Left: s},
 			).kind(event.Killed, 0).at(100 * ms).say(event.Event{Kind: event.CutOff, ID: "m"})
 		}, "", "", 0},
 
 		// Every effect at most once.
-		{"unsafe again after full", func(x *script) {
-			x.put("m", 3, 0).call(1, "m", 0, 0).at(s).ended(1, 503).call(2, "m", 0, 1).at(2*s).ended(2, 200)
+		{"unsafe again after full", func(record *scriptedRecord) {
+			record.put("m", 3, 0).call(1, "m", 0, 0).at(s).ended(1, 503).call(2, "m", 0, 1).at(2*s).ended(2, 200)
 		}, "", "", 0},
-		{"unsafe again after no answer", func(x *script) {
-			x.put("m", 3, 0).call(1, "m", 0, 0).at(s).ended(1, 0).at(2*s).call(2, "m", 0, 1).at(3*s).ended(2, 200)
-		}, Once, "m", 2 * s},
-		{"unsafe again after an error", func(x *script) {
-			x.put("m", 3, 0).call(1, "m", 0, 0).at(s).ended(1, 500).at(2*s).call(2, "m", 0, 1).at(3*s).ended(2, 200)
-		}, Once, "m", 2 * s},
-		{"safe again after no answer", func(x *script) {
-			x.put("m", 0, 0).call(1, "m", 0, 0).at(s).ended(1, 0).at(2*s).call(2, "m", 0, 1).at(3*s).ended(2, 200)
+		{"unsafe again after no answer", func(record *scriptedRecord) {
+			record.put("m", 3, 0).call(1, "m", 0, 0).at(s).ended(1, 0).at(2*s).call(2, "m", 0, 1).at(3*s).ended(2, 200)
+		}, RuleAtMostOnce, "m", 2 * s},
+		{"unsafe again after an error", func(record *scriptedRecord) {
+			record.put("m", 3, 0).call(1, "m", 0, 0).at(s).ended(1, 500).
+				at(2*s).call(2, "m", 0, 1).at(3*s).ended(2, 200)
+		}, RuleAtMostOnce, "m", 2 * s},
+		{"safe again after no answer", func(record *scriptedRecord) {
+			record.put("m", 0, 0).call(1, "m", 0, 0).at(s).ended(1, 0).at(2*s).call(2, "m", 0, 1).at(3*s).ended(2, 200)
 		}, "", "", 0},
-		{"a second copy at the same time", func(x *script) {
-			x.put("m", 2, 0).call(1, "m", 0, 0).at(s).call(2, "m", 0, 1).ended(1, 0).ended(2, 200)
-		}, Once, "m", s},
-		{"keyed again in its window", func(x *script) {
-			x.put("m", 2, 0).call(1, "m", 0, 0).at(s).ended(1, 0).at(7*s).call(2, "m", 0, 1).ended(2, 200)
+		{"a second copy at the same time", func(record *scriptedRecord) {
+			record.put("m", 2, 0).call(1, "m", 0, 0).at(s).call(2, "m", 0, 1).ended(1, 0).ended(2, 200)
+		}, RuleAtMostOnce, "m", s},
+		{"keyed again in its window", func(record *scriptedRecord) {
+			record.put("m", 2, 0).call(1, "m", 0, 0).at(s).ended(1, 0).at(7*s).call(2, "m", 0, 1).ended(2, 200)
 		}, "", "", 0},
-		{"keyed again after its window", func(x *script) {
-			x.put("m", 2, 0).call(1, "m", 0, 0).at(s).ended(1, 0).notice("m", event.NoticeHandedBack).at(25*s).
+		{"keyed again after its window", func(record *scriptedRecord) {
+			record.put("m", 2, 0).call(1, "m", 0, 0).at(s).ended(1, 0).notice("m", event.NoticeHandedBack).at(25*s).
 				put("n", 2, 1).call(2, "n", 1, 1).ended(2, 200)
-		}, Once, "n", 25 * s},
-		{"unsafe handed back though it may have run", func(x *script) {
-			x.put("m", 3, 0).call(1, "m", 0, 0).at(s).ended(1, 0).at(2*s).notice("m", event.NoticeHandedBack)
-		}, Once, "m", 2 * s},
-		{"unsafe given up though it may have run", func(x *script) {
-			x.put("m", 3, 0).call(1, "m", 0, 0).at(s).ended(1, 0).at(2*s).notice("m", event.NoticeGivenUp)
+		}, RuleAtMostOnce, "n", 25 * s},
+		{"unsafe handed back though it may have run", func(record *scriptedRecord) {
+			record.put("m", 3, 0).call(1, "m", 0, 0).at(s).ended(1, 0).at(2*s).notice("m", event.NoticeHandedBack)
+		}, RuleAtMostOnce, "m", 2 * s},
+		{"unsafe given up though it may have run", func(record *scriptedRecord) {
+			record.put("m", 3, 0).call(1, "m", 0, 0).at(s).ended(1, 0).at(2*s).notice("m", event.NoticeGivenUp)
 		}, "", "", 0},
-		{"an effect twice", func(x *script) {
-			x.put("m", 2, 0).call(1, "m", 0, 0).at(s).ran(1, "m", 0).ended(1, 0).call(2, "m", 0, 1).
+		{"an effect twice", func(record *scriptedRecord) {
+			record.put("m", 2, 0).call(1, "m", 0, 0).at(s).ran(1, "m", 0).ended(1, 0).call(2, "m", 0, 1).
 				at(3*s).ran(2, "m", 1).ended(2, 200)
-		}, Once, "m", 3 * s},
-		{"an effect under an id whose client heard nothing", func(x *script) {
-			x.say(
+		}, RuleAtMostOnce, "m", 3 * s},
+		{"an effect under an id whose client heard nothing", func(record *scriptedRecord) {
+			record.say(
 				event.Event{Kind: event.HandIn, ID: "m", Message: 3, Left: s},
 			).call(1, "m", 0, 0).ran(1, "m", 0).at(400*ms).
 				say(
@@ -187,118 +203,119 @@
 		}, "", "", 0},
 
 		// Drains.
-		{"within the grace", func(x *script) {
-			x.told(0, 0, event.ToldDraining).at(2*s).put("m", 0, 0).call(1, "m", 0, 0).ended(1, 200)
+		{"within the grace", func(record *scriptedRecord) {
+			record.told(0, 0, event.ToldDraining).at(2*s).put("m", 0, 0).call(1, "m", 0, 0).ended(1, 200)
 		}, "", "", 0},
-		{"after the grace", func(x *script) {
-			x.told(0, 0, event.ToldDraining).at(2100*ms).put("m", 0, 0).call(1, "m", 0, 0).ended(1, 200)
-		}, Drains, "m", 2100 * ms},
-		{"told again does not begin it anew", func(x *script) {
-			x.told(
+		{"after the grace", func(record *scriptedRecord) {
+			record.told(0, 0, event.ToldDraining).at(2100*ms).put("m", 0, 0).call(1, "m", 0, 0).ended(1, 200)
+		}, RuleDrain, "m", 2100 * ms},
+		{"told again does not begin it anew", func(record *scriptedRecord) {
+			record.told(
 				0, 0, event.ToldDraining,
 			).at(s).told(0, 0, event.ToldRemoved).at(2100*ms).put("m", 0, 0).call(1, "m", 0, 0).ended(1, 200)
-		}, Drains, "m", 2100 * ms},
-		{"another relay, not told", func(x *script) {
-			x.told(0, 0, event.ToldRemoved).at(3*s).put("m", 0, 1).call(1, "m", 1, 0).ended(1, 200)
+		}, RuleDrain, "m", 2100 * ms},
+		{"another relay, not told", func(record *scriptedRecord) {
+			record.told(0, 0, event.ToldRemoved).at(3*s).put("m", 0, 1).call(1, "m", 1, 0).ended(1, 200)
 		}, "", "", 0},
-		{"back in the list", func(x *script) {
-			x.told(
+		{"back in the list", func(record *scriptedRecord) {
+			record.told(
 				0, 0, event.ToldRemoved,
 			).at(s).told(0, 0, event.ToldUp).at(4*s).put("m", 0, 0).call(1, "m", 0, 0).ended(1, 200)
 		}, "", "", 0},
 
 		// Returning destinations.
-		{"pushed by those who knew", func(x *script) {
-			x.put("m", 0, 0).call(1, "m", 0, 0).at(s).outage(0, 0).ended(1, 0).at(9*s).
+		{"pushed by those who knew", func(record *scriptedRecord) {
+			record.put("m", 0, 0).call(1, "m", 0, 0).at(s).outage(0, 0).ended(1, 0).at(9*s).
 				notice("m", event.NoticeGivenUp).fell(0, 9, 3, 0)
-		}, Missing, "m", 8350 * ms}, // and see below: both rules
-		{"pushed by those who did not", func(x *script) {
-			x.outage(0, 0).put("m", 0, 0).call(1, "m", 0, 0).ended(1, 503).notice("m", 1).at(s).fell(0, 3, 9, 9)
+		}, RuleNoLoss, "m", 8350 * ms}, // and see below: both rules
+		{"pushed by those who did not", func(record *scriptedRecord) {
+			record.outage(0, 0).put("m", 0, 0).call(1, "m", 0, 0).ended(1, 503).notice("m", 1).at(s).fell(0, 3, 9, 9)
 		}, "", "", 0},
-		{"seen at another endpoint of the destination", func(x *script) {
-			x.outage(0, 0).outage(1, 0).put("m", 0, 0).call(1, "m", 0, 1).ended(1, 503).
+		{"seen at another endpoint of the destination", func(record *scriptedRecord) {
+			record.outage(0, 0).outage(1, 0).put("m", 0, 0).call(1, "m", 0, 1).ended(1, 503).
 				notice("m", 1).at(s).fell(0, 9, 1, 1)
-		}, Returning, "", s},
-		{"a route apart is not its neighbour", func(x *script) {
-			x.outage(3, 0).outage(4, 0).put("m", 6, 0).call(1, "m", 0, 4).ended(1, 503).
+		}, RuleRecovery, "", s},
+		{"a route apart is not its neighbour", func(record *scriptedRecord) {
+			record.outage(3, 0).outage(4, 0).put("m", 6, 0).call(1, "m", 0, 4).ended(1, 503).
 				notice("m", 1).at(s).fell(3, 9, 1, 1)
 		}, "", "", 0},
-		{"seen by a probe", func(x *script) {
-			x.outage(0, 0).say(event.Event{Kind: event.ProbeDone, Relay: 2, Status: 503}).at(s).fell(0, 0, 1, 9)
-		}, Returning, "", s},
-		{"one of two dead: the calls may have gone to the other", func(x *script) {
-			x.outage(0, 1).put("m", 0, 1).notice("m", 1).at(s).fell(0, 0, 9, 0)
+		{"seen by a probe", func(record *scriptedRecord) {
+			record.outage(0, 0).say(event.Event{Kind: event.ProbeDone, Relay: 2, Status: 503}).at(s).fell(0, 0, 1, 9)
+		}, RuleRecovery, "", s},
+		{"one of two dead: the calls may have gone to the other", func(record *scriptedRecord) {
+			record.outage(0, 1).put("m", 0, 1).notice("m", 1).at(s).fell(0, 0, 9, 0)
 		}, "", "", 0},
-		{"refused connections leave no trace", func(x *script) {
-			x.outage(0, 1).outage(1, 1).put("m", 0, 1).notice("m", 1).at(s).fell(0, 0, 9, 0)
-		}, Returning, "", s},
-		{"seen in an earlier outage", func(x *script) {
-			x.outage(0, 0).put("m", 0, 0).call(1, "m", 0, 0).ended(1, 503).notice("m", 1).at(s).
+		{"refused connections leave no trace", func(record *scriptedRecord) {
+			record.outage(0, 1).outage(1, 1).put("m", 0, 1).notice("m", 1).at(s).fell(0, 0, 9, 0)
+		}, RuleRecovery, "", s},
+		{"seen in an earlier outage", func(record *scriptedRecord) {
+			record.outage(0, 0).put("m", 0, 0).call(1, "m", 0, 0).ended(1, 503).notice("m", 1).at(s).
 				say(event.Event{Kind: event.Back}).at(2*s).outage(0, 0).at(3*s).fell(0, 9, 0, 0)
 		}, "", "", 0},
 
 		// Order.
-		{"in turn", func(x *script) {
-			x.put("m", 4, 0).put("n", 5, 0).call(1, "m", 0, 0).at(s).ended(1, 200).
+		{"in turn", func(record *scriptedRecord) {
+			record.put("m", 4, 0).put("n", 5, 0).call(1, "m", 0, 0).at(s).ended(1, 200).
 				call(2, "n", 0, 0).at(2*s).ended(2, 200)
 		}, "", "", 0},
-		{"overtaken", func(x *script) {
-			x.put("m", 4, 0).at(s).put("n", 5, 0).call(2, "n", 0, 0).at(2*s).ended(2, 200).
+		{"overtaken", func(record *scriptedRecord) {
+			record.put("m", 4, 0).at(s).put("n", 5, 0).call(2, "n", 0, 0).at(2*s).ended(2, 200).
 				call(1, "m", 0, 0).ended(1, 200)
-		}, Order, "n", s},
-		{"while the end of one is not sure", func(x *script) {
-			x.put("m", 4, 0).put("n", 5, 0).call(1, "m", 0, 0).at(s).ended(1, 0).notice(
+		}, RuleOrdering, "n", s},
+		{"while the end of one is not sure", func(record *scriptedRecord) {
+			record.put("m", 4, 0).put("n", 5, 0).call(1, "m", 0, 0).at(s).ended(1, 0).notice(
 				"m", event.NoticeGivenUp,
 			).at(1500*ms).call(2, "n", 0, 0).ended(2, 200)
-		}, Order, "n", 1500 * ms},
-		{"after its rest", func(x *script) {
-			x.put("m", 4, 0).put("n", 5, 0).call(1, "m", 0, 0).at(s).ended(1, 0).notice(
+		}, RuleOrdering, "n", 1500 * ms},
+		{"after its rest", func(record *scriptedRecord) {
+			record.put("m", 4, 0).put("n", 5, 0).call(1, "m", 0, 0).at(s).ended(1, 0).notice(
 				"m", event.NoticeGivenUp,
 			).at(2*s).call(2, "n", 0, 0).ended(2, 200)
 		}, "", "", 0},
 
 		// Waits.
-		{"let through", func(x *script) {
-			x.put("m", 0, 0).put("n", 1, 0).call(1, "m", 0, 0).say(
+		{"let through", func(record *scriptedRecord) {
+			record.put("m", 0, 0).put("n", 1, 0).call(1, "m", 0, 0).say(
 				event.Event{Kind: event.CallEnded, Call: 1, Status: 429, Wait: s},
 			).
 				at(140*ms).call(2, "n", 0, 1).ended(2, 200).at(s).call(3, "m", 0, 0).ended(3, 200)
 		}, "", "", 0},
-		{"into a wait", func(x *script) {
-			x.put("m", 0, 0).put("n", 1, 0).call(1, "m", 0, 0).say(
+		{"into a wait", func(record *scriptedRecord) {
+			record.put("m", 0, 0).put("n", 1, 0).call(1, "m", 0, 0).say(
 				event.Event{Kind: event.CallEnded, Call: 1, Status: 429, Wait: s},
 			).
 				at(990*ms).call(2, "n", 0, 1).ended(2, 200).at(s).call(3, "m", 0, 0).ended(3, 200)
-		}, Waits, "n", 990 * ms},
-		{"a probe into a wait", func(x *script) {
-			x.put("m", 0, 0).call(1, "m", 0, 0).say(
+		}, RuleRetryAfter, "n", 990 * ms},
+		{"a probe into a wait", func(record *scriptedRecord) {
+			record.put("m", 0, 0).call(1, "m", 0, 0).say(
 				event.Event{Kind: event.CallEnded, Call: 1, Status: 429, Wait: s},
 			).notice("m", 1).
 				at(500 * ms).say(event.Event{Kind: event.Probed, Relay: 0, Endpoint: 1})
-		}, Waits, "", 500 * ms},
-		{"another relay was not told", func(x *script) {
-			x.put("m", 0, 0).put("n", 1, 1).call(1, "m", 0, 0).say(
+		}, RuleRetryAfter, "", 500 * ms},
+		{"another relay was not told", func(record *scriptedRecord) {
+			record.put("m", 0, 0).put("n", 1, 1).call(1, "m", 0, 0).say(
 				event.Event{Kind: event.CallEnded, Call: 1, Status: 429, Wait: s},
 			).notice("m", 1).
 				at(500*ms).call(2, "n", 1, 1).ended(2, 200)
 		}, "", "", 0},
-		{"a restart ends it", func(x *script) {
-			x.put("m", 0, 0).call(1, "m", 0, 0).say(
+		{"a restart ends it", func(record *scriptedRecord) {
+			record.put("m", 0, 0).call(1, "m", 0, 0).say(
 				event.Event{Kind: event.CallEnded, Call: 1, Status: 429, Wait: 5 * s},
 			).at(s).
 				kind(event.Killed, 0).at(2*s).kind(event.Ready, 0).call(2, "m", 0, 1).ended(2, 200)
 		}, "", "", 0},
 
 		// Strays.
-		{
-			"to another destination", func(x *script) { x.put("m", 0, 0).call(1, "m", 0, 2).ended(1, 200) }, Strays,
-			"m", 0,
-		},
-		{"for nobody", func(x *script) { x.say(event.Event{Kind: event.Stray, ID: "q"}) }, Strays, "q", 0},
+		{"to another destination", func(record *scriptedRecord) {
+			record.put("m", 0, 0).call(1, "m", 0, 2).ended(1, 200)
+		}, RuleRouting, "m", 0},
+		{"for nobody", func(record *scriptedRecord) {
+			record.say(event.Event{Kind: event.Stray, ID: "q"})
+		}, RuleRouting, "q", 0},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			r := New(figures())
-			c.play(&script{r: r})
+			r := New(testConfig())
+			c.play(&scriptedRecord{r: r})
 			r.Finish(60 * s)
 			found := r.Violations()
 			if c.rule == "" {
@@ -319,14 +336,14 @@
 }
 
 func TestSeveralRulesInOneRun(t *testing.T) {
-	r := New(figures())
-	x := &script{r: r}
-	x.put("m", 0, 0).call(1, "m", 0, 0).at(s).outage(0, 0).ended(1, 0).at(9*s).notice(
+	r := New(testConfig())
+	record := &scriptedRecord{r: r}
+	record.put("m", 0, 0).call(1, "m", 0, 0).at(s).outage(0, 0).ended(1, 0).at(9*s).notice(
 		"m", event.NoticeGivenUp,
 	).fell(0, 9, 3, 0)
 	r.Finish(20 * s)
 	found := r.Violations()
-	if len(found) != 2 || found[0].Rule != Missing || found[1].Rule != Returning {
+	if len(found) != 2 || found[0].Rule != RuleNoLoss || found[1].Rule != RuleRecovery {
 		t.Errorf("found %v", found)
 	}
 }
@@ -336,7 +353,7 @@
 	f.Add([]byte{0, 0, 0, 0, 1, 0, 0, 0, 6, 0, 0, 0, 7, 0, 0, 0, 8, 0, 200, 1})
 	f.Add([]byte{15, 0, 3, 1, 17, 0, 3, 9})
 	f.Fuzz(func(t *testing.T, text []byte) {
-		r := New(figures())
+		r := New(testConfig())
 		at := Time(0)
 		for ; len(text) >= 4; text = text[4:] {
 			at += Time(text[3]) * 20 * ms
@@ -370,48 +387,48 @@
 		least       int
 		called      bool // before the start
 		never       bool // the relay is never down
-		want        Starts
+		want        RestartCounts
 		broken      bool
 	}{
-		{"half of them", 5, 5, s, 10, false, false, Starts{10, 5, 5}, false},
-		{"more than half", 4, 6, s, 10, false, false, Starts{10, 4, 6}, true},
-		{"few of them", 0, 9, s, 11, false, false, Starts{10, 0, 9}, false},
-		{"under half of their time left", 0, 10, 5 * s, 10, false, false, Starts{}, false},
-		{"called before", 0, 10, s, 10, true, false, Starts{}, false},
-		{"no start", 0, 10, s, 10, false, true, Starts{}, false},
+		{"half of them", 5, 5, s, 10, false, false, RestartCounts{10, 5, 5}, false},
+		{"more than half", 4, 6, s, 10, false, false, RestartCounts{10, 4, 6}, true},
+		{"few of them", 0, 9, s, 11, false, false, RestartCounts{10, 0, 9}, false},
+		{"under half of their time left", 0, 10, 5 * s, 10, false, false, RestartCounts{}, false},
+		{"called before", 0, 10, s, 10, true, false, RestartCounts{}, false},
+		{"no start", 0, 10, s, 10, false, true, RestartCounts{}, false},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			f := figures()
-			f.EndedUntried, f.UntriedLeast = 0.5, c.least
-			x := &script{r: New(f)}
+			f := testConfig()
+			f.MaxEndedUnattempted, f.MinUnattempted = 0.5, c.least
+			record := &scriptedRecord{r: New(f)}
 			ids := make([]string, 10)
 			for i := range ids {
 				ids[i] = string(rune('a' + i))
-				if x.put(ids[i], 0, 0); c.called {
-					x.call(uint64(i+1), ids[i], 0, 0).ended(uint64(i+1), 503)
+				if record.put(ids[i], 0, 0); c.called {
+					record.call(uint64(i+1), ids[i], 0, 0).ended(uint64(i+1), 503)
 				}
 			}
-			x.put("other", 0, 1) // another relay's
-			if x.at(c.downFrom); !c.never {
-				x.kind(event.Killed, 0)
+			record.put("other", 0, 1) // another relay's
+			if record.at(c.downFrom); !c.never {
+				record.kind(event.Killed, 0)
 			}
-			x.at(c.downFrom+s).kind(event.Ready, 0)
-			x.at(c.downFrom + s + 100*ms)
+			record.at(c.downFrom+s).kind(event.Ready, 0)
+			record.at(c.downFrom + s + 100*ms)
 			for i := range c.tried {
-				x.call(uint64(100+i), ids[i], 0, 0).ended(uint64(100+i), 503)
+				record.call(uint64(100+i), ids[i], 0, 0).ended(uint64(100+i), 503)
 			}
 			for i := range 10 { // what was called may be handed back as well
 				if i < c.tried || i < c.tried+c.back {
-					x.notice(ids[i], event.NoticeHandedBack)
+					record.notice(ids[i], event.NoticeHandedBack)
 				}
 			}
-			x.notice("other", event.NoticeHandedBack)
-			x.r.Finish(7 * s)
-			if got := x.r.Starts(); got != c.want {
+			record.notice("other", event.NoticeHandedBack)
+			record.r.Finish(7 * s)
+			if got := record.r.RestartCounts(); got != c.want {
 				t.Errorf("%+v, want %+v", got, c.want)
 			}
-			found := x.r.Violations()
-			if broken := len(found) == 1 && found[0].Rule == Untried; broken != c.broken || len(found) > 1 {
+			found := record.r.Violations()
+			if broken := len(found) == 1 && found[0].Rule == RuleRestart; broken != c.broken || len(found) > 1 {
 				t.Errorf("violations: %v", found)
 			}
 		})
--- /dev/null
+++ b/internal/rehearsal/checker/routes.go
@@ -0,0 +1,130 @@
+package checker
+
+import "troutusher/internal/event"
+
+// routeKey names a route: an endpoint with an independent route, or all other endpoints
+// of a destination together.
+type routeKey struct {
+	destination int
+	endpoint    int // none for the endpoints that share their destination's route
+}
+
+// route is what Retry-After times and outages apply to.
+type route struct {
+	destination int
+	endpoints   int
+	retryAfters [][]retryAfter // by relay
+	failing     map[int]bool   // endpoints whose outage is on
+	// untracedOutages counts the outages since all endpoints were up in which calls leave no trace here.
+	untracedOutages int
+	// failureSeen says of each relay whether it saw a failure in the outage that is on or was last.
+	failureSeen []bool
+}
+
+// retryAfter is a time within which a relay was asked to send nothing.
+type retryAfter struct{ from, until Time }
+
+// route returns the route of an endpoint.
+func (c *Checker) route(number int) *route {
+	endpoint := c.endpoint(number)
+	key := routeKey{endpoint.Destination, none}
+	if endpoint.IndependentRoute {
+		key.endpoint = number
+	}
+	found := c.routes[key]
+	if found == nil {
+		found = c.newRoute(endpoint)
+		c.routes[key] = found
+	}
+	return found
+}
+
+func (c *Checker) newRoute(of *Endpoint) *route {
+	created := &route{
+		destination: of.Destination,
+		retryAfters: make([][]retryAfter, c.config.Relays),
+		failing:     map[int]bool{},
+		failureSeen: make([]bool, c.config.Relays),
+	}
+	if of.IndependentRoute {
+		created.endpoints = 1
+		return created
+	}
+	for _, endpoint := range c.config.Endpoints {
+		if endpoint.Destination == of.Destination && !endpoint.IndependentRoute {
+			created.endpoints++
+		}
+	}
+	return created
+}
+
+// checkRetryAfter judges a call or a health check against the Retry-After times that its
+// relay was given, and drops those that have passed.
+func (c *Checker) checkRetryAfter(s *submission, relay, endpoint int, what string) {
+	route := c.route(endpoint)
+	remaining := route.retryAfters[relay][:0]
+	violated := false
+	for _, wait := range route.retryAfters[relay] {
+		if c.now >= wait.until {
+			continue
+		}
+		remaining = append(remaining, wait)
+		if violated || c.now <= wait.from+c.config.RetryAfterGrace+c.config.Slack {
+			continue
+		}
+		violated = true
+		c.addViolation(
+			RuleRetryAfter, s, relay, endpoint, "relay %d sent %s to %s %.3f s into a wait of %.3f s", relay, what,
+			c.endpointName(endpoint), seconds(c.now-wait.from), seconds(wait.until-wait.from),
+		)
+	}
+	route.retryAfters[relay] = remaining
+}
+
+// handleOutage takes that an endpoint begins to fail.
+func (c *Checker) handleOutage(e *event.Event) {
+	route := c.route(e.Endpoint)
+	if len(route.failing) == 0 {
+		clear(route.failureSeen)
+		route.untracedOutages = 0
+	}
+	route.failing[e.Endpoint] = true
+	route.untracedOutages += e.Status
+}
+
+// observeFailure notes that a relay has seen a call or a health check fail during an outage.
+func (c *Checker) observeFailure(relay, endpoint int) {
+	if route := c.route(endpoint); len(route.failing) > 0 && c.hasRelay(relay) {
+		route.failureSeen[relay] = true
+	}
+}
+
+// assumeFailureObserved notes that a relay which is given a message for a destination has
+// seen that the destination fails, where calls to it leave no trace and all of its
+// endpoints fail.
+func (c *Checker) assumeFailureObserved(relay, destination int) {
+	for _, route := range c.routes {
+		if route.destination == destination && route.untracedOutages > 0 && len(route.failing) == route.endpoints {
+			route.failureSeen[relay] = true
+		}
+	}
+}
+
+// handleOverload judges who overloaded an endpoint that was recovering.
+func (c *Checker) handleOverload(e *event.Event) {
+	route := c.route(e.Endpoint)
+	calls, informed := 0, 0
+	for relay, n := range e.Calls {
+		calls += n
+		if c.hasRelay(relay) && route.failureSeen[relay] {
+			informed += n
+		}
+	}
+	if calls > 0 && float64(informed) >= c.config.InformedShareLimit*float64(calls) {
+		c.addViolation(
+			RuleRecovery, nil, none, e.Endpoint,
+			"%s came back cold and was pushed over (%s): %d of the %d calls came from relays that had seen it fail "+
+				"(calls by relay %v)", c.endpointName(e.Endpoint), e.Text, informed, calls, e.Calls,
+		)
+	}
+}
--- a/internal/rehearsal/loadgen/load_test.go
+++ b/internal/rehearsal/loadgen/load_test.go
@@ -318,7 +318,7 @@
 		r := &rig{}
 		began := time.Now()
 		clock := func() event.Time { return time.Since(began).Microseconds() }
-		judge := checker.New(p.Figures())
+		judge := checker.New(p.CheckerConfig())
 		var mu sync.Mutex
 		seen := func(e event.Event) {
 			mu.Lock()
--- a/internal/rehearsal/report/report.go
+++ b/internal/rehearsal/report/report.go
@@ -200,7 +200,7 @@
 		Late:        Late{ms(o.DriverLateness), ms(o.EmulatorLateness), s.LateMS},
 		MemoryKB:    append([]int{}, o.MemoryKB...),
 		Door:        o.UnservedRequests,
-		Untried:     Untried{o.Restarts.Untried, o.Restarts.Tried, o.Restarts.Ended},
+		Untried:     Untried{o.Restarts.Unattempted, o.Restarts.Attempted, o.Restarts.Ended},
 	}
 	r.groups(o)
 	asked, earned := r.addResults(o)
--- a/internal/rehearsal/report/report_test.go
+++ b/internal/rehearsal/report/report_test.go
@@ -132,7 +132,9 @@
 		why    string
 	}{
 		{"a broken rule", func(o *runner.Outcome) {
-			o.Violations = []checker.Violation{{Rule: checker.Once, At: 7e6, ID: "m", Message: 2, Evidence: "why"}}
+			o.Violations = []checker.Violation{
+				{Rule: checker.RuleAtMostOnce, At: 7e6, ID: "m", Message: 2, Evidence: "why"},
+			}
 		}, Failed, "1 broken rules"},
 		{
 			"a crash", func(o *runner.Outcome) { o.RelayFailures = []string{"relay 1 ended by itself"} }, Failed,
@@ -172,7 +174,7 @@
 
 func TestJSONThereAndBack(t *testing.T) {
 	o := outcome(t)
-	o.Violations = []checker.Violation{{Rule: checker.Waits, At: 1e6, ID: "m", Message: 1, Evidence: "why"}}
+	o.Violations = []checker.Violation{{Rule: checker.RuleRetryAfter, At: 1e6, ID: "m", Message: 1, Evidence: "why"}}
 	r := New(o, env)
 	var b bytes.Buffer
 	if err := r.WriteJSON(&b); err != nil {
@@ -202,7 +204,9 @@
 
 func TestHTMLStandsAlone(t *testing.T) {
 	o := outcome(t)
-	o.Violations = []checker.Violation{{Rule: checker.Waits, At: 1e6, ID: "<m>", Message: 1, Evidence: "a < b & c"}}
+	o.Violations = []checker.Violation{
+		{Rule: checker.RuleRetryAfter, At: 1e6, ID: "<m>", Message: 1, Evidence: "a < b & c"},
+	}
 	var b bytes.Buffer
 	if err := New(o, env).WriteHTML(&b); err != nil {
 		t.Fatal(err)
--- /dev/null
+++ b/internal/rehearsal/report/stored_test.go
@@ -0,0 +1,87 @@
+package report
+
+import (
+	"bytes"
+	"flag"
+	"io"
+	"os"
+	"path/filepath"
+	"testing"
+
+	"troutusher/internal/rehearsal/checker"
+	"troutusher/internal/rehearsal/runner"
+)
+
+var updateFixtures = flag.Bool("update-fixtures", false, "write the stored reports anew")
+
+// TestStoredReports: the text, JSON and HTML of a failed rehearsal and of a comparison
+// stay what they were, to the byte.
+func TestStoredReports(t *testing.T) {
+	o := outcome(t)
+	o.Restarts = checker.RestartCounts{Unattempted: 12, Attempted: 9, Ended: 3}
+	o.RelayFailures = []string{"relay 1 ended by itself"}
+	o.UnservedRequests = 4
+	o.Calls[1] = runner.CallCounts{Started: 9, Delivered: 5, Rejected: 3, Failed: 1, Executed: 6, HealthChecks: 2}
+	for i := range brokenShown + 2 {
+		o.Violations = append(o.Violations, checker.Violation{
+			Rule:     checker.RuleAtMostOnce,
+			At:       int64(i) * 1_500_000,
+			Message:  i,
+			ID:       "<m>",
+			Relay:    0,
+			Endpoint: 1,
+			Evidence: "a < b",
+		})
+	}
+	o.Violations = append(o.Violations, checker.Violation{
+		Rule: checker.RuleRecovery, At: 9e6, Message: -1, Relay: -1, Endpoint: 2, Evidence: "pushed over",
+	})
+	failed, passed := New(o, env), New(outcome(t), env)
+	o.KitErrors = []string{"a port"}
+	void := New(o, env)
+	joined := Join([]*Report{passed, failed, passed})
+	for name, write := range map[string]func(io.Writer) error{
+		"failed.txt":  failed.WriteText,
+		"failed.json": failed.WriteJSON,
+		"failed.html": failed.WriteHTML,
+		"void.txt":    void.WriteText,
+		"joined.txt":  joined.WriteText,
+		"joined.html": joined.WriteHTML,
+		"compare.txt": func(w io.Writer) error { return Compare(w, passed, failed) },
+		"compare-joined.txt": func(w io.Writer) error {
+			return Compare(w, joined, Join([]*Report{failed, passed}))
+		},
+	} {
+		var got bytes.Buffer
+		if err := write(&got); err != nil {
+			t.Fatal(err)
+		}
+		path := filepath.Join("testdata", name)
+		if *updateFixtures {
+			if err := os.WriteFile(path, got.Bytes(), 0o644); err != nil {
+				t.Fatal(err)
+			}
+		}
+		want, err := os.ReadFile(path)
+		if err != nil {
+			t.Fatal(err)
+		}
+		if !bytes.Equal(got.Bytes(), want) {
+			t.Errorf("%s is written as\n%s\nwant\n%s", name, got.Bytes(), want)
+		}
+	}
+	stored, err := Load(filepath.Join("testdata", "failed.json"))
+	if err != nil {
+		t.Fatal(err)
+	}
+	var again bytes.Buffer
+	if err := stored.WriteJSON(&again); err != nil {
+		t.Fatal(err)
+	}
+	if want, err := os.ReadFile(
+		filepath.Join("testdata", "failed.json"),
+	); err != nil ||
+		!bytes.Equal(again.Bytes(), want) {
+		t.Errorf("read and written again it is\n%s\n%v", again.Bytes(), err)
+	}
+}
--- a/internal/rehearsal/runner/hub.go
+++ b/internal/rehearsal/runner/hub.go
@@ -20,7 +20,7 @@
 // eventCollector is where everything that happens comes together, in one order.
 type eventCollector struct {
 	mu        sync.Mutex
-	checker   *checker.Referee
+	checker   *checker.Checker
 	lastTime  event.Time
 	calls     []CallCounts       // by partner
 	partnerOf []int              // the partner of an endpoint
--- a/internal/rehearsal/runner/runner.go
+++ b/internal/rehearsal/runner/runner.go
@@ -60,11 +60,11 @@
 	End              event.Time
 	Results          []loadgen.Result
 	Violations       []checker.Violation
-	Restarts         checker.Starts // what restarts found untried
-	RelayFailures    []string       // relays that ended by themselves, and what else makes the relays fail
-	KitErrors        []string       // what went wrong in the kit itself: the run is void
-	Calls            []CallCounts   // by partner
-	UnservedRequests int            // requests that met a connection refused, reset or closed unread
+	Restarts         checker.RestartCounts // what restarts found untried
+	RelayFailures    []string              // relays that ended by themselves, and what else makes the relays fail
+	KitErrors        []string              // what went wrong in the kit itself: the run is void
+	Calls            []CallCounts          // by partner
+	UnservedRequests int                   // requests that met a connection refused, reset or closed unread
 	DriverLateness   event.Time
 	EmulatorLateness event.Time // of the stand-ins
 	ReplyLatency     *hdrhistogram.Histogram
@@ -106,7 +106,7 @@
 		spawner:      newSpawner(),
 	}
 	s.events = &eventCollector{
-		checker: checker.New(p.Figures()), calls: make([]CallCounts, len(p.Specs)), onEvent: opt.OnEvent,
+		checker: checker.New(p.CheckerConfig()), calls: make([]CallCounts, len(p.Specs)), onEvent: opt.OnEvent,
 		onEnd: func(*event.Event) {},
 	}
 	for _, e := range p.Endpoints {
@@ -344,7 +344,7 @@
 	o.ReplyLatency, o.DeliveryLatency = s.driver.Latencies()
 	s.events.mu.Lock()
 	s.events.checker.Finish(s.now())
-	o.Violations, o.Restarts = s.events.checker.Violations(), s.events.checker.Starts()
+	o.Violations, o.Restarts = s.events.checker.Violations(), s.events.checker.RestartCounts()
 	o.Calls = slices.Clone(s.events.calls)
 	s.events.mu.Unlock()
 	for i := range o.Violations {
--- a/internal/rehearsal/runner/runner_test.go
+++ b/internal/rehearsal/runner/runner_test.go
@@ -154,36 +154,36 @@
 		change func(*scenario.Plan)
 		says   string
 	}{
-		{"a message is forgotten", losesSome, checker.Missing, 20, "", nil, "neither delivered nor ended"},
+		{"a message is forgotten", losesSome, checker.RuleNoLoss, 20, "", nil, "neither delivered nor ended"},
 		{
-			"an unsafe message is sent again after an error", resendsUnsafe, checker.Once, 20,
+			"an unsafe message is sent again after an error", resendsUnsafe, checker.RuleAtMostOnce, 20,
 			"[[fault]]\nkind = \"errors\"\npartner = \"p\"\nat_s = 0.2\nlength_s = 2\nshare = 0.4\n", nil, "sent to",
 		},
 		{
-			"an unsafe message is sent again while its partner still works", resendsLate, checker.Once, 8,
+			"an unsafe message is sent again while its partner still works", resendsLate, checker.RuleAtMostOnce, 8,
 			"[[fault]]\nkind = \"slow\"\npartner = \"p\"\nat_s = 0.2\nlength_s = 2\nsize = 8\n", nil, "took effect",
 		},
-		{"two copies at a time", sendsCopies, checker.Once, 10, "", nil, "a second copy"},
+		{"two copies at a time", sendsCopies, checker.RuleAtMostOnce, 10, "", nil, "a second copy"},
 		{
-			"a refusal of what may have run", refusesWhatRan, checker.Once, 20,
+			"a refusal of what may have run", refusesWhatRan, checker.RuleAtMostOnce, 20,
 			"[[fault]]\nkind = \"reset\"\npartner = \"p\"\nat_s = 0.2\nlength_s = 2\nshare = 0.5\n", nil, "handed back",
 		},
 		{
-			"drains are ignored", ignoresDrains, checker.Drains, 20,
+			"drains are ignored", ignoresDrains, checker.RuleDrain, 20,
 			"[[fault]]\nkind = \"drain\"\npartner = \"p\"\npart = 0.5\nat_s = 0.3\nlength_s = 2.5\n",
 			nil, "drains or is gone",
 		},
 		{
-			"a cold destination is pushed over", storms, checker.Returning, 2,
+			"a cold destination is pushed over", storms, checker.RuleRecovery, 2,
 			"[[fault]]\nkind = \"full\"\npartner = \"p\"\nat_s = 0.2\nlength_s = 0.5\n", nil, "pushed over",
 		},
 		{
-			"a wait is ignored", ignoresWaits, checker.Waits, 20,
+			"a wait is ignored", ignoresWaits, checker.RuleRetryAfter, 20,
 			"[[fault]]\nkind = \"full_wait\"\npartner = \"p\"\nat_s = 0.3\nlength_s = 1.5\nsize = 0.7\n",
 			nil, "into a wait",
 		},
-		{"messages in order overtake", overtakes, checker.Order, 20, "", order, "of its thread"},
-		{"calls to another destination", strays, checker.Strays, 5, "", nil, "serves destination"},
+		{"messages in order overtake", overtakes, checker.RuleOrdering, 20, "", order, "of its thread"},
+		{"calls to another destination", strays, checker.RuleRouting, 5, "", nil, "serves destination"},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
@@ -211,7 +211,7 @@
 						if v.Rule != c.rule {
 							continue
 						}
-						if v.At < 0 || v.At > 8e6 || v.Message < 0 && c.rule != checker.Returning {
+						if v.At < 0 || v.At > 8e6 || v.Message < 0 && c.rule != checker.RuleRecovery {
 							t.Errorf("without message or moment: %+v", v)
 						}
 						said = said || strings.Contains(v.Evidence, c.says)
--- /dev/null
+++ b/internal/rehearsal/scenario/checkerconfig.go
@@ -0,0 +1,58 @@
+package scenario
+
+import "troutusher/internal/rehearsal/checker"
+
+// Limits of the rules that a scenario cannot set.
+const (
+	informedShareLimit  = 2.0 / 3
+	maxEndedUnattempted = 0.5
+	minUnattempted      = 10
+)
+
+// CheckerConfig returns what a rehearsal of the plan is judged by.
+func (p *Plan) CheckerConfig() checker.Config {
+	rules := &p.Scenario.Rules
+	config := checker.Config{
+		Relays:              p.Scenario.Relays.Count,
+		Slack:               Micros(rules.SlackMS),
+		DeadlineSlack:       Micros(rules.EndSlackMS),
+		RestartGrace:        Micros(rules.RestartGraceMS),
+		DrainGrace:          Micros(rules.DrainGraceMS),
+		RetryAfterGrace:     Micros(rules.WaitPassMS),
+		InformedShareLimit:  informedShareLimit,
+		MaxEndedUnattempted: maxEndedUnattempted,
+		MinUnattempted:      minUnattempted,
+	}
+	for i := range p.Scenario.Classes {
+		class := &p.Scenario.Classes[i]
+		config.Classes = append(config.Classes, checker.Class{
+			Idempotency:       class.idempotency(),
+			DedupWindow:       Micros(class.KeyWindowMS),
+			Ordered:           class.InOrder,
+			OrderedKeyBackoff: Micros(class.RestMS),
+		})
+	}
+	for _, arrival := range p.Arrivals {
+		config.Messages = append(config.Messages, checker.Message{
+			Class: arrival.Class, Destination: arrival.Dest, OrderingKey: arrival.Thread,
+		})
+	}
+	for _, endpoint := range p.Endpoints {
+		spec := &p.Specs[endpoint.Partner]
+		config.Endpoints = append(config.Endpoints, checker.Endpoint{
+			Name: endpoint.Name, Destination: spec.Destination, IndependentRoute: spec.IndependentRoutes,
+		})
+	}
+	return config
+}
+
+// idempotency returns what the rules make of the class's key repeat.
+func (c *Class) idempotency() checker.Idempotency {
+	switch c.Repeat {
+	case "keyed":
+		return checker.IdempotentByKey
+	case "unsafe":
+		return checker.NonIdempotent
+	}
+	return checker.Idempotent
+}
--- a/internal/rehearsal/scenario/plan.go
+++ b/internal/rehearsal/scenario/plan.go
@@ -7,7 +7,6 @@
 
 	"troutusher/internal/emulator/endpoint"
 	"troutusher/internal/event"
-	"troutusher/internal/rehearsal/checker"
 	"troutusher/internal/seededrand"
 )
 
@@ -404,42 +403,6 @@
 	return nil
 }
 
-// Figures are the plan's figures of the rules.
-func (p *Plan) Figures() checker.Figures {
-	s, r := p.Scenario, &p.Scenario.Rules
-	f := checker.Figures{
-		Relays:       s.Relays.Count,
-		Slack:        Micros(r.SlackMS),
-		EndSlack:     Micros(r.EndSlackMS),
-		RestartGrace: Micros(r.RestartGraceMS),
-		DrainGrace:   Micros(r.DrainGraceMS),
-		WaitPass:     Micros(r.WaitPassMS),
-		Guilty:       2.0 / 3,
-		EndedUntried: 0.5,
-		UntriedLeast: 10,
-	}
-	repeats := map[string]checker.Repeat{"safe": checker.Safe, "keyed": checker.Keyed, "unsafe": checker.Unsafe}
-	for _, c := range s.Classes {
-		f.Classes = append(
-			f.Classes,
-			checker.Class{
-				Repeat: repeats[c.Repeat], Window: Micros(c.KeyWindowMS), InOrder: c.InOrder, Rest: Micros(c.RestMS),
-			},
-		)
-	}
-	for _, a := range p.Arrivals {
-		f.Messages = append(f.Messages, checker.Message{Class: a.Class, Dest: a.Dest, Thread: a.Thread})
-	}
-	for _, e := range p.Endpoints {
-		spec := &p.Specs[e.Partner]
-		f.Endpoints = append(
-			f.Endpoints,
-			checker.Endpoint{Name: e.Name, Dest: spec.Destination, Apart: spec.IndependentRoutes},
-		)
-	}
-	return f
-}
-
 // Slots is the number of calls that a relay may have out at once.
 func (p *Plan) Slots() int {
 	s := p.Scenario
