--- /dev/null
+++ b/internal/emulator/registry/agent.go
@@ -0,0 +1,237 @@
+package registry
+
+import (
+	"fmt"
+	"net"
+	"net/http"
+	"sync"
+	"time"
+
+	"troutusher/internal/emulator/loopback"
+	"troutusher/internal/seededrand"
+)
+
+const (
+	oldAddressLinger  = 1500 * time.Millisecond // until an old address closes its connections
+	readHeaderTimeout = 10 * time.Second
+	maxHeaderBytes    = 16 << 10
+	maxHistory        = 4096
+)
+
+// agent is the registry as one relay sees it.
+type agent struct {
+	config *Config
+	relay  int
+
+	mu          sync.Mutex
+	members     []Member
+	revision    int64
+	history     []revisionChange // changes that a watch can start from, the oldest first
+	silenced    int              // how many faults silence it
+	stale       int              // how many faults make it withhold updates
+	extraDelays []time.Duration
+	inTransit   []phaseChange // updates on their way to it
+	withheld    []phaseChange // updates that arrived while it was stale
+	lastDueAt   time.Time     // of inTransit
+	changed     chan struct{} // closed at each change, and then replaced
+	servers     []server
+	address     string
+	draws       uint64 // random draws so far
+	timers      map[*time.Timer]bool
+	closed      bool
+	done        chan struct{}
+	wg          sync.WaitGroup
+}
+
+// revisionChange says that an endpoint changed at a revision.
+type revisionChange struct {
+	revision int64
+	endpoint int
+}
+
+// phaseChange is an endpoint with its new phase.
+type phaseChange struct {
+	endpoint int
+	phase    Phase
+}
+
+// server is an agent's server at one address. http.Server closes its listener only
+// together with the connections.
+type server struct {
+	*http.Server
+	listener net.Listener
+}
+
+func newAgent(config *Config, relay int) *agent {
+	return &agent{
+		config:   config,
+		relay:    relay,
+		members:  config.Members(relay),
+		revision: 1,
+		changed:  make(chan struct{}),
+		timers:   map[*time.Timer]bool{},
+		done:     make(chan struct{}),
+	}
+}
+
+// listen starts a server at a free port and returns its address.
+func (a *agent) listen() (string, error) {
+	listener, err := loopback.Listen(0)
+	if err != nil {
+		return "", fmt.Errorf("stand-in registry: %w", err)
+	}
+	mux := http.NewServeMux()
+	mux.HandleFunc("GET /registry/instances", a.serveList)
+	mux.HandleFunc("POST /reports", a.serveNotices)
+	started := server{
+		Server:   &http.Server{Handler: mux, ReadHeaderTimeout: readHeaderTimeout, MaxHeaderBytes: maxHeaderBytes},
+		listener: listener,
+	}
+	address := listener.Addr().String()
+	a.mu.Lock()
+	a.address = address
+	a.servers = append(a.servers, started)
+	a.mu.Unlock()
+	a.wg.Add(1)
+	go func() {
+		defer a.wg.Done()
+		_ = started.Serve(listener) // until it is closed
+	}()
+	return address, nil
+}
+
+func (a *agent) changeAddress() (string, error) {
+	a.mu.Lock()
+	old := a.servers[len(a.servers)-1]
+	a.mu.Unlock()
+	address, err := a.listen()
+	if err != nil {
+		return "", err
+	}
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	_ = old.listener.Close()
+	a.schedule(oldAddressLinger, func() { go func() { _ = old.Close() }() })
+	return address, nil
+}
+
+// close stops timers and servers, and waits for the servers' goroutines.
+func (a *agent) close() {
+	a.mu.Lock()
+	if a.closed {
+		a.mu.Unlock()
+		return
+	}
+	a.closed = true
+	for timer := range a.timers {
+		timer.Stop()
+	}
+	close(a.done)
+	servers := a.servers
+	a.mu.Unlock()
+	for _, s := range servers {
+		_ = s.Close()
+	}
+	a.wg.Wait()
+}
+
+// schedule runs a function after a delay, unless the agent is closed by then. The
+// caller holds mu, and the function is called with it.
+func (a *agent) schedule(delay time.Duration, run func()) {
+	var timer *time.Timer
+	timer = time.AfterFunc(delay, func() {
+		a.mu.Lock()
+		defer a.mu.Unlock()
+		delete(a.timers, timer)
+		if !a.closed {
+			run()
+		}
+	})
+	a.timers[timer] = true
+}
+
+// sendUpdate has an update reach the agent after its delay, and after all before it.
+func (a *agent) sendUpdate(update phaseChange) {
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	a.draws++
+	random := seededrand.Float64(a.config.Seed, uint64(a.relay), a.draws)
+	delay := a.config.Delay + time.Duration(float64(a.config.DelaySpread)*random)
+	for _, extra := range a.extraDelays {
+		delay += extra
+	}
+	due := time.Now().Add(delay)
+	if due.Before(a.lastDueAt) {
+		due = a.lastDueAt
+	}
+	a.lastDueAt = due
+	a.inTransit = append(a.inTransit, update)
+	a.schedule(time.Until(due), a.receiveNext)
+}
+
+// receiveNext takes the oldest update that is in transit. The caller holds mu.
+func (a *agent) receiveNext() {
+	update := a.inTransit[0]
+	a.inTransit = a.inTransit[1:]
+	if a.stale > 0 {
+		a.withheld = append(a.withheld, update)
+		return
+	}
+	a.apply(update)
+	a.wakeWatches()
+}
+
+// apply changes the list. The caller holds mu.
+func (a *agent) apply(update phaseChange) {
+	member := &a.members[update.endpoint]
+	if member.Phase == update.phase {
+		return
+	}
+	member.Phase = update.phase
+	a.revision++
+	a.history = append(a.history, revisionChange{a.revision, update.endpoint})
+	if len(a.history) > maxHistory {
+		a.history = append([]revisionChange(nil), a.history[maxHistory/2:]...)
+	}
+}
+
+// adjust changes the agent's faults, and applies withheld updates once it is not stale.
+func (a *agent) adjust(change func(a *agent)) {
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	change(a)
+	if a.stale == 0 {
+		for _, update := range a.withheld {
+			a.apply(update)
+		}
+		a.withheld = nil
+	}
+	a.wakeWatches()
+}
+
+// wakeWatches wakes everyone who waits for a change. The caller holds mu.
+func (a *agent) wakeWatches() {
+	close(a.changed)
+	a.changed = make(chan struct{})
+}
+
+// fullList is the list without removed members. The caller holds mu.
+func (a *agent) fullList() List {
+	list := List{Revision: a.revision, Complete: true, Members: []Member{}}
+	for _, member := range a.members {
+		if member.Phase != PhaseRemoved {
+			list.Members = append(list.Members, member)
+		}
+	}
+	list.Members = append(list.Members, a.config.StaticMembers...)
+	return list
+}
+
+// allPhases are the phases of all endpoints. The caller holds mu.
+func (a *agent) allPhases() []phaseChange {
+	var phases []phaseChange
+	for endpoint, member := range a.members {
+		phases = append(phases, phaseChange{endpoint, member.Phase})
+	}
+	return phases
+}
--- /dev/null
+++ b/internal/emulator/registry/notices.go
@@ -0,0 +1,66 @@
+package registry
+
+import (
+	"bufio"
+	"bytes"
+	"encoding/json"
+	"errors"
+	"io"
+	"net/http"
+
+	"troutusher/internal/event"
+)
+
+const maxNoticeBytes = 1 << 20
+
+var noticeStatus = map[string]int{"given_up": event.NoticeGivenUp, "handed_back": event.NoticeHandedBack}
+
+var errInvalidNotice = errors.New("not a notice")
+
+// notice says how a message ended that was not delivered.
+type notice struct {
+	Message string `json:"message"`
+	Outcome string `json:"outcome"`
+	RetryMS int64  `json:"retry_in_ms"`
+}
+
+// serveNotices takes notices, one JSON object a line: all of them, or none.
+func (a *agent) serveNotices(w http.ResponseWriter, r *http.Request) {
+	body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, maxNoticeBytes))
+	if err != nil {
+		http.Error(w, "too long, or cut off", http.StatusBadRequest)
+		return
+	}
+	var received []event.Event
+	for lines := bufio.NewScanner(bytes.NewReader(body)); lines.Scan(); {
+		if len(bytes.TrimSpace(lines.Bytes())) == 0 {
+			continue
+		}
+		e, err := a.parseNotice(lines.Bytes())
+		if err != nil {
+			http.Error(w, err.Error(), http.StatusBadRequest)
+			return
+		}
+		received = append(received, e)
+	}
+	for _, e := range received {
+		e.At = a.config.Clock()
+		a.config.Emit(e)
+	}
+	w.WriteHeader(http.StatusNoContent)
+}
+
+// parseNotice turns a line into an event.
+func (a *agent) parseNotice(line []byte) (event.Event, error) {
+	var n notice
+	if err := json.Unmarshal(line, &n); err != nil {
+		return event.Event{}, errInvalidNotice
+	}
+	status, known := noticeStatus[n.Outcome]
+	if !known || n.Message == "" {
+		return event.Event{}, errInvalidNotice
+	}
+	return event.Event{
+		Kind: event.Noticed, ID: n.Message, Relay: a.relay, Status: status, Wait: n.RetryMS * 1000,
+	}, nil
+}
--- a/internal/emulator/registry/registry_test.go
+++ b/internal/emulator/registry/registry_test.go
@@ -15,6 +15,7 @@
 	"troutusher/internal/event"
 )
 
+// harness runs a registry for two relays with three endpoints, and keeps its events.
 type harness struct {
 	t        *testing.T
 	registry *Registry
@@ -24,246 +25,246 @@
 
 func newHarness(t *testing.T, delay, spread time.Duration) *harness {
 	t.Helper()
-	x := &harness{t: t}
+	h := &harness{t: t}
 	began := time.Now()
 	r, err := New(Config{
 		Relays: 2, Delay: delay, DelaySpread: spread, Seed: 3,
-		Members: func(relay int) []Member {
-			var m []Member
-			for i := range 3 {
-				m = append(
-					m,
-					Member{
-						ID: fmt.Sprint(
-							"s-",
-							i,
-						),
-						HostPort: fmt.Sprintf("127.0.0.1:%d", 100*relay+i),
-						Cell:     1,
-						Phase:    PhaseUp,
-					},
-				)
-			}
-			return m
+		Members: threeMembers,
+		Clock:   func() event.Time { return time.Since(began).Microseconds() },
+		Emit: func(e event.Event) {
+			h.mu.Lock()
+			defer h.mu.Unlock()
+			h.events = append(h.events, e)
 		},
-		Clock: func() event.Time { return time.Since(began).Microseconds() },
-		Emit:  func(e event.Event) { x.mu.Lock(); defer x.mu.Unlock(); x.events = append(x.events, e) },
 	})
 	if err != nil {
 		t.Fatal(err)
 	}
-	x.registry = r
+	h.registry = r
 	t.Cleanup(r.Close)
-	return x
+	return h
+}
+
+func threeMembers(relay int) []Member {
+	var members []Member
+	for i := range 3 {
+		members = append(members, Member{
+			ID: fmt.Sprint("s-", i), HostPort: fmt.Sprintf("127.0.0.1:%d", 100*relay+i), Cell: 1, Phase: PhaseUp,
+		})
+	}
+	return members
 }
 
-// watch opens a watch and returns its lines.
-func (x *harness) watch(addr string, from int64) chan List {
-	x.t.Helper()
+// watch opens a watch and returns its updates.
+func (h *harness) watch(addr string, from int64) chan List {
+	h.t.Helper()
 	resp, err := http.Get(fmt.Sprintf("http://%s/registry/instances?watch=1&from=%d", addr, from))
 	if err != nil {
-		x.t.Fatal(err)
+		h.t.Fatal(err)
 	}
-	x.t.Cleanup(func() { _ = resp.Body.Close() })
+	h.t.Cleanup(func() { _ = resp.Body.Close() })
 	lines := make(chan List, 16)
 	go func() {
 		defer close(lines)
-		for in := bufio.NewScanner(resp.Body); in.Scan(); {
-			var l List
-			if len(in.Bytes()) > 0 && json.Unmarshal(in.Bytes(), &l) == nil {
-				lines <- l
+		for scanner := bufio.NewScanner(resp.Body); scanner.Scan(); {
+			var list List
+			if len(scanner.Bytes()) > 0 && json.Unmarshal(scanner.Bytes(), &list) == nil {
+				lines <- list
 			}
 		}
 	}()
 	return lines
 }
 
-func (x *harness) nextLine(lines chan List) List {
-	x.t.Helper()
+func (h *harness) nextLine(lines chan List) List {
+	h.t.Helper()
 	select {
-	case l, ok := <-lines:
+	case list, ok := <-lines:
 		if !ok {
-			x.t.Fatal("the watch is over")
+			h.t.Fatal("the watch has ended")
 		}
-		return l
+		return list
 	case <-time.After(20 * time.Second):
-		x.t.Fatal("no line came")
+		h.t.Fatal("no line came")
 	}
 	return List{}
 }
 
-func (x *harness) fetchList(addr string) List {
-	x.t.Helper()
+func (h *harness) fetchList(addr string) List {
+	h.t.Helper()
 	resp, err := http.Get("http://" + addr + "/registry/instances")
 	if err != nil {
-		x.t.Fatal(err)
+		h.t.Fatal(err)
 	}
 	defer func() { _ = resp.Body.Close() }()
-	var l List
-	if err := json.NewDecoder(resp.Body).Decode(&l); err != nil {
-		x.t.Fatal(err)
+	var list List
+	if err := json.NewDecoder(resp.Body).Decode(&list); err != nil {
+		h.t.Fatal(err)
 	}
-	return l
+	return list
 }
 
-func (x *harness) sawUpdate(relay, ep, what int) bool {
-	x.mu.Lock()
-	defer x.mu.Unlock()
-	for _, e := range x.events {
-		if e.Kind == event.Told && e.Relay == relay && e.Endpoint == ep && e.Status == what {
+// sawUpdate reports whether an update of an endpoint was sent to a relay.
+func (h *harness) sawUpdate(relay, endpoint, status int) bool {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	for _, e := range h.events {
+		if e.Kind == event.Told && e.Relay == relay && e.Endpoint == endpoint && e.Status == status {
 			return true
 		}
 	}
 	return false
 }
 
-func (x *harness) waitFor(what string, cond func() bool) {
-	x.t.Helper()
+func (h *harness) waitFor(what string, cond func() bool) {
+	h.t.Helper()
 	for end := time.Now().Add(20 * time.Second); time.Now().Before(end); time.Sleep(time.Millisecond) {
 		if cond() {
 			return
 		}
 	}
-	x.t.Fatalf("never came: %s", what)
+	h.t.Fatalf("never came: %s", what)
 }
 
 func TestListAndWatch(t *testing.T) {
-	x := newHarness(t, 0, 0)
-	if l := x.fetchList(x.registry.Addr(0)); !l.Complete || len(l.Members) != 3 || l.Revision != 1 {
-		t.Fatalf("list: %+v", l)
+	h := newHarness(t, 0, 0)
+	if list := h.fetchList(h.registry.Addr(0)); !list.Complete || len(list.Members) != 3 || list.Revision != 1 {
+		t.Fatalf("list: %+v", list)
 	}
-	lines := x.watch(x.registry.Addr(0), 1)
-	x.registry.SetPhase(1, PhaseDraining)
-	if l := x.nextLine(lines); l.Complete || len(l.Members) != 1 || l.Members[0].ID != "s-1" ||
-		l.Members[0].Phase != PhaseDraining {
-		t.Errorf("change: %+v", l)
+	lines := h.watch(h.registry.Addr(0), 1)
+	h.registry.SetPhase(1, PhaseDraining)
+	if list := h.nextLine(lines); list.Complete || len(list.Members) != 1 || list.Members[0].ID != "s-1" ||
+		list.Members[0].Phase != PhaseDraining {
+		t.Errorf("change: %+v", list)
 	}
-	x.waitFor("told", func() bool { return x.sawUpdate(0, 1, event.ToldDraining) })
-	if x.sawUpdate(1, 1, event.ToldDraining) {
-		t.Error("the other relay was told, which asked for nothing")
+	h.waitFor("the update", func() bool { return h.sawUpdate(0, 1, event.ToldDraining) })
+	if h.sawUpdate(1, 1, event.ToldDraining) {
+		t.Error("an update was sent to the other relay, which asked for nothing")
 	}
-	x.registry.SetPhase(2, PhaseRemoved)
-	if l := x.nextLine(lines); len(l.Members) != 1 || l.Members[0].Phase != PhaseRemoved {
-		t.Errorf("removal: %+v", l)
+	h.registry.SetPhase(2, PhaseRemoved)
+	if list := h.nextLine(lines); len(list.Members) != 1 || list.Members[0].Phase != PhaseRemoved {
+		t.Errorf("removal: %+v", list)
 	}
-	if l := x.fetchList(x.registry.Addr(0)); len(l.Members) != 2 {
-		t.Errorf("list: %+v", l)
+	if list := h.fetchList(h.registry.Addr(0)); len(list.Members) != 2 {
+		t.Errorf("list: %+v", list)
 	}
-	if l := x.nextLine(x.watch(x.registry.Addr(0), 1)); len(l.Members) != 2 || l.Complete {
-		t.Errorf("what changed after 1: %+v", l)
+	if list := h.nextLine(h.watch(h.registry.Addr(0), 1)); len(list.Members) != 2 || list.Complete {
+		t.Errorf("what changed after 1: %+v", list)
 	}
-	if l := x.nextLine(x.watch(x.registry.Addr(0), 0)); !l.Complete {
-		t.Errorf("from before the beginning: %+v", l)
+	if list := h.nextLine(h.watch(h.registry.Addr(0), 0)); !list.Complete {
+		t.Errorf("from before the first revision: %+v", list)
 	}
-	if l := x.nextLine(x.watch(x.registry.Addr(0), 99)); !l.Complete {
-		t.Errorf("from a version of another: %+v", l)
+	if list := h.nextLine(h.watch(h.registry.Addr(0), 99)); !list.Complete {
+		t.Errorf("from a revision that is not known: %+v", list)
 	}
 }
 
 func TestChangesArriveInOrderThoughDelaysDiffer(t *testing.T) {
-	x := newHarness(t, 0, 30*time.Millisecond)
-	lines := x.watch(x.registry.Addr(1), 1)
-	var want []string
+	h := newHarness(t, 0, 30*time.Millisecond)
+	lines := h.watch(h.registry.Addr(1), 1)
+	var want []Phase
 	for i := range 10 {
-		phase := []string{PhaseDraining, PhaseUp}[i%2]
-		x.registry.SetPhase(0, phase)
+		phase := []Phase{PhaseDraining, PhaseUp}[i%2]
+		h.registry.SetPhase(0, phase)
 		want = append(want, phase)
 	}
-	var got []string
+	var got []Phase
 	for len(got) < 10 {
-		l := x.nextLine(lines)
-		if l.Revision-1 > int64(len(got)) { // several may come in one line, the last of them told
-			for len(got) < int(l.Revision-1) {
+		list := h.nextLine(lines)
+		if list.Revision-1 > int64(len(got)) { // several may come in one line, with the last phase
+			for len(got) < int(list.Revision-1) {
 				got = append(got, want[len(got)])
 			}
 		}
-		if l.Members[0].Phase != got[len(got)-1] {
-			t.Fatalf("revision %d says %s", l.Revision, l.Members[0].Phase)
+		if list.Members[0].Phase != got[len(got)-1] {
+			t.Fatalf("revision %d says %s", list.Revision, list.Members[0].Phase)
 		}
 	}
 }
 
 func TestSilentStaleAndDelayedAgents(t *testing.T) {
-	x := newHarness(t, 0, 0)
-	x.registry.SetSilent(0, true)
-	x.registry.SetStale(1, true)
-	asked := make(chan List, 1)
-	go func() { asked <- x.fetchList(x.registry.Addr(0)) }()
-	x.registry.SetPhase(0, PhaseDraining)
-	x.waitFor(
-		"held back",
-		func() bool { a := x.registry.agents[1]; a.mu.Lock(); defer a.mu.Unlock(); return len(a.withheld) == 1 },
-	)
-	if l := x.fetchList(x.registry.Addr(1)); l.Members[0].Phase != PhaseUp {
-		t.Errorf("stale: %+v", l)
-	}
-	x.registry.SetStale(1, false)
-	if l := x.fetchList(x.registry.Addr(1)); l.Members[0].Phase != PhaseDraining {
-		t.Errorf("no longer stale: %+v", l)
+	h := newHarness(t, 0, 0)
+	h.registry.SetSilent(0, true)
+	h.registry.SetStale(1, true)
+	fetched := make(chan List, 1)
+	go func() { fetched <- h.fetchList(h.registry.Addr(0)) }()
+	h.registry.SetPhase(0, PhaseDraining)
+	h.waitFor("the withheld update", func() bool {
+		a := h.registry.agents[1]
+		a.mu.Lock()
+		defer a.mu.Unlock()
+		return len(a.withheld) == 1
+	})
+	if list := h.fetchList(h.registry.Addr(1)); list.Members[0].Phase != PhaseUp {
+		t.Errorf("stale: %+v", list)
+	}
+	h.registry.SetStale(1, false)
+	if list := h.fetchList(h.registry.Addr(1)); list.Members[0].Phase != PhaseDraining {
+		t.Errorf("no longer stale: %+v", list)
 	}
 	select {
-	case <-asked:
-		t.Error("a silent agent spoke")
+	case <-fetched:
+		t.Error("a silenced agent answered")
 	default:
 	}
-	x.registry.SetSilent(0, false)
-	if l := <-asked; len(l.Members) != 3 {
-		t.Errorf("once it speaks: %+v", l)
+	h.registry.SetSilent(0, false)
+	if list := <-fetched; len(list.Members) != 3 {
+		t.Errorf("once it answers: %+v", list)
 	}
-	x.registry.SetExtraDelay(0, 80*time.Millisecond, true)
+	h.registry.SetExtraDelay(0, 80*time.Millisecond, true)
 	at := time.Now()
-	lines := x.watch(x.registry.Addr(0), 2)
-	x.registry.SetPhase(1, PhaseDraining)
-	x.nextLine(lines)
+	lines := h.watch(h.registry.Addr(0), 2)
+	h.registry.SetPhase(1, PhaseDraining)
+	h.nextLine(lines)
 	if d := time.Since(at); d < 80*time.Millisecond {
-		t.Errorf("late by %v", d)
+		t.Errorf("after %v", d)
 	}
-	x.registry.SetExtraDelay(0, 80*time.Millisecond, false)
-	if n := len(x.registry.agents[0].extraDelays); n != 0 {
+	h.registry.SetExtraDelay(0, 80*time.Millisecond, false)
+	if n := len(h.registry.agents[0].extraDelays); n != 0 {
 		t.Errorf("%d delays left", n)
 	}
 }
 
-// A change that is late holds up the one after it, though that is not.
+// An update that is delayed delays the one after it, though that is not.
 func TestDelayedChangeHoldsUpTheNext(t *testing.T) {
-	x := newHarness(t, 0, 0)
-	lines := x.watch(x.registry.Addr(0), 1)
-	x.registry.SetExtraDelay(0, 120*time.Millisecond, true)
+	h := newHarness(t, 0, 0)
+	lines := h.watch(h.registry.Addr(0), 1)
+	h.registry.SetExtraDelay(0, 120*time.Millisecond, true)
 	at := time.Now()
-	x.registry.SetPhase(0, PhaseDraining)
-	x.registry.SetExtraDelay(0, 120*time.Millisecond, false)
-	x.registry.SetPhase(1, PhaseDraining)
+	h.registry.SetPhase(0, PhaseDraining)
+	h.registry.SetExtraDelay(0, 120*time.Millisecond, false)
+	h.registry.SetPhase(1, PhaseDraining)
 	for n := 0; n < 2; {
-		l := x.nextLine(lines)
-		if n += len(l.Members); time.Since(at) < 120*time.Millisecond {
-			t.Fatalf("%+v after %v", l, time.Since(at))
+		list := h.nextLine(lines)
+		if n += len(list.Members); time.Since(at) < 120*time.Millisecond {
+			t.Fatalf("%+v after %v", list, time.Since(at))
 		}
 	}
 }
 
 func TestChangeOfAddress(t *testing.T) {
-	x := newHarness(t, 0, 0)
-	old := x.registry.Addr(0)
-	lines := x.watch(old, 1)
-	addr, err := x.registry.ChangeAddress(0)
-	if err != nil || addr == old || x.registry.Addr(0) != addr {
-		t.Fatalf("moved to %s, %v", addr, err)
+	h := newHarness(t, 0, 0)
+	old := h.registry.Addr(0)
+	lines := h.watch(old, 1)
+	addr, err := h.registry.ChangeAddress(0)
+	if err != nil || addr == old || h.registry.Addr(0) != addr {
+		t.Fatalf("new address %s, %v", addr, err)
 	}
 	fresh := &http.Client{Transport: &http.Transport{DisableKeepAlives: true}}
 	if _, err := fresh.Get("http://" + old + "/registry/instances"); err == nil {
-		t.Error("the old address took a connection")
+		t.Error("the old address accepted a connection")
 	}
-	if l := x.fetchList(addr); len(l.Members) != 3 {
-		t.Errorf("at the new one: %+v", l)
+	if list := h.fetchList(addr); len(list.Members) != 3 {
+		t.Errorf("at the new one: %+v", list)
 	}
 	for range lines { // ends when the old address closes it
 	}
 }
 
 func TestNotices(t *testing.T) {
-	x := newHarness(t, 0, 0)
+	h := newHarness(t, 0, 0)
 	post := func(body string) int {
-		resp, err := http.Post("http://"+x.registry.Addr(1)+"/reports", "", strings.NewReader(body))
+		resp, err := http.Post("http://"+h.registry.Addr(1)+"/reports", "", strings.NewReader(body))
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -271,41 +272,42 @@
 		_ = resp.Body.Close()
 		return resp.StatusCode
 	}
-	x.registry.SetSilent(1, true) // notices are taken all the same
+	h.registry.SetSilent(1, true) // notices are received all the same
 	if n := post(
 		"{\"message\":\"a\",\"outcome\":\"given_up\"}\n\n{\"message\":\"b\",\"outcome\":\"handed_back\"," +
 			"\"retry_in_ms\":500}\n",
 	); n != 204 {
 		t.Errorf("status %d", n)
 	}
-	if len(x.events) != 2 || x.events[1].ID != "b" || x.events[1].Status != event.NoticeHandedBack ||
-		x.events[1].Wait != 500_000 || x.events[1].Relay != 1 {
-		t.Errorf("said %+v", x.events)
+	if len(h.events) != 2 || h.events[1].ID != "b" || h.events[1].Status != event.NoticeHandedBack ||
+		h.events[1].Wait != 500_000 || h.events[1].Relay != 1 {
+		t.Errorf("events %+v", h.events)
 	}
-	for _, bad := range []string{
+	for _, invalid := range []string{
 		"{", "{\"message\":\"a\",\"outcome\":\"lost\"}", "{\"outcome\":\"given_up\"}",
 		"{\"message\":\"c\",\"outcome\":\"given_up\"}\nrubbish", strings.Repeat("x", maxNoticeBytes+1),
 	} {
-		if n := post(bad); n != 400 {
-			t.Errorf("%.40q: status %d", bad, n)
+		if n := post(invalid); n != 400 {
+			t.Errorf("%.40q: status %d", invalid, n)
 		}
 	}
-	if len(x.events) != 2 {
-		t.Errorf("part of a bad one was taken: %+v", x.events)
+	if len(h.events) != 2 {
+		t.Errorf("part of an invalid body was taken: %+v", h.events)
 	}
 }
 
-// FuzzReports: no notice, however odd, does more than be refused whole.
-func FuzzReports(f *testing.F) {
+// FuzzNotices checks that a body is taken or rejected as a whole.
+func FuzzNotices(f *testing.F) {
 	f.Add("{\"message\":\"a\",\"outcome\":\"given_up\"}\n")
 	f.Add("{\"message\":\"a\",\"outcome\":\"handed_back\",\"retry_in_ms\":-5}\n{}")
 	f.Fuzz(func(t *testing.T, body string) {
-		said := 0
-		a := &agent{cfg: &Config{Clock: func() event.Time { return 0 }, Emit: func(event.Event) { said++ }}}
-		w := httptest.NewRecorder()
-		a.serveNotices(w, httptest.NewRequest(http.MethodPost, "/reports", strings.NewReader(body)))
-		if w.Code != 204 && (w.Code != 400 || said > 0) {
-			t.Fatalf("status %d, %d taken", w.Code, said)
+		emitted := 0
+		config := &Config{Clock: func() event.Time { return 0 }, Emit: func(event.Event) { emitted++ }}
+		a := &agent{config: config}
+		response := httptest.NewRecorder()
+		a.serveNotices(response, httptest.NewRequest(http.MethodPost, "/reports", strings.NewReader(body)))
+		if response.Code != 204 && (response.Code != 400 || emitted > 0) {
+			t.Fatalf("status %d, %d taken", response.Code, emitted)
 		}
 	})
 }
--- a/internal/rehearsal/runner/faults.go
+++ b/internal/rehearsal/runner/faults.go
@@ -251,7 +251,7 @@
 	sc := s.plan.Scenario
 	shut := f.At + scenario.Micros(sc.Discovery.DelayMS+sc.Discovery.SpreadMS+sc.Rules.DrainGraceMS+sc.Rules.SlackMS)
 	gone := &endpoint.Fault{Kind: endpoint.PlannedStop}
-	set := func(phase string) {
+	set := func(phase registry.Phase) {
 		for _, ep := range f.Endpoints {
 			s.registry.SetPhase(ep, phase)
 		}
