--- a/cmd/troutusher-kit/hold.go
+++ b/cmd/troutusher-kit/hold.go
@@ -55,7 +55,7 @@
 
 // keyFlag is the flag that a message of a class needs, after a blank; empty for none.
 func keyFlag(class *scenario.Class) string {
-	if class.Repeat == "keyed" {
+	if class.Idempotency == "keyed" {
 		return " --key k1"
 	}
 	return ""
--- a/cmd/troutusher-kit/rehearse.go
+++ b/cmd/troutusher-kit/rehearse.go
@@ -114,7 +114,7 @@
 
 // listScenarios prints the scenarios that ship with the program.
 func listScenarios(out io.Writer) error {
-	for _, name := range scenario.Names() {
+	for _, name := range scenario.BuiltinNames() {
 		s, err := scenario.Builtin(name)
 		if err != nil {
 			return err
--- a/internal/rehearsal/checker/checker_test.go
+++ b/internal/rehearsal/checker/checker_test.go
@@ -201,11 +201,32 @@
 					event.Event{Kind: event.GivenUp, ID: "m"},
 				).put("n", 3, 1).call(2, "n", 1, 1).at(s).ran(2, "n", 1).ended(2, 200)
 		}, "", "", 0},
+		{"keyed again within the window of a later attempt alone", func(record *scriptedRecord) {
+			record.put("m", 2, 0).call(1, "m", 0, 0).ended(1, 0).notice("m", event.NoticeHandedBack).
+				at(15*s).put("n", 2, 0).call(2, "n", 0, 0).ended(2, 0).notice("n", event.NoticeHandedBack).
+				at(25*s).put("o", 2, 0).call(3, "o", 0, 0).ended(3, 200)
+		}, RuleAtMostOnce, "o", 25 * s},
+		{"two calls under an id whose client heard nothing", func(record *scriptedRecord) {
+			record.say(event.Event{Kind: event.HandIn, ID: "m", Message: 3, Left: s}).
+				say(event.Event{Kind: event.GivenUp, ID: "m"}).
+				call(1, "m", 0, 0).at(s).call(2, "m", 0, 1)
+		}, "", "", 0},
+		{"unsafe refused though it may have run", func(record *scriptedRecord) {
+			record.say(event.Event{Kind: event.HandIn, ID: "m", Message: 3, Left: s}).
+				call(1, "m", 0, 0).ended(1, 500).at(s).say(event.Event{Kind: event.Refused, ID: "m"})
+		}, RuleAtMostOnce, "m", s},
 
 		// Drains.
 		{"within the grace", func(record *scriptedRecord) {
 			record.told(0, 0, event.ToldDraining).at(2*s).put("m", 0, 0).call(1, "m", 0, 0).ended(1, 200)
 		}, "", "", 0},
+		{"within the grace and the slack", func(record *scriptedRecord) {
+			record.told(0, 0, event.ToldDraining).at(2050*ms).put("m", 0, 0).call(1, "m", 0, 0).ended(1, 200)
+		}, "", "", 0},
+		{"told before a restart", func(record *scriptedRecord) {
+			record.told(0, 0, event.ToldDraining).kind(event.Killed, 0).at(s).kind(event.Ready, 0).
+				at(3*s).put("m", 0, 0).call(1, "m", 0, 0).ended(1, 200)
+		}, "", "", 0},
 		{"after the grace", func(record *scriptedRecord) {
 			record.told(0, 0, event.ToldDraining).at(2100*ms).put("m", 0, 0).call(1, "m", 0, 0).ended(1, 200)
 		}, RuleDrain, "m", 2100 * ms},
@@ -228,6 +249,9 @@
 			record.put("m", 0, 0).call(1, "m", 0, 0).at(s).outage(0, 0).ended(1, 0).at(9*s).
 				notice("m", event.NoticeGivenUp).fell(0, 9, 3, 0)
 		}, RuleNoLoss, "m", 8350 * ms}, // and see below: both rules
+		{"pushed in just so large a part by those who knew", func(record *scriptedRecord) {
+			record.outage(0, 0).say(event.Event{Kind: event.ProbeDone, Status: 503}).at(s).fell(0, 6, 3, 0)
+		}, RuleRecovery, "", s},
 		{"pushed by those who did not", func(record *scriptedRecord) {
 			record.outage(0, 0).put("m", 0, 0).call(1, "m", 0, 0).ended(1, 503).notice("m", 1).at(s).fell(0, 3, 9, 9)
 		}, "", "", 0},
@@ -262,6 +286,10 @@
 			record.put("m", 4, 0).at(s).put("n", 5, 0).call(2, "n", 0, 0).at(2*s).ended(2, 200).
 				call(1, "m", 0, 0).ended(1, 200)
 		}, RuleOrdering, "n", s},
+		{"one that is not finished holds a later one back", func(record *scriptedRecord) {
+			record.put("m", 4, 0).put("n", 5, 0).call(1, "n", 0, 0).ended(1, 200).
+				at(s).put("o", 4, 0).call(2, "o", 0, 0).ended(2, 200).call(3, "m", 0, 0).ended(3, 200)
+		}, RuleOrdering, "o", s},
 		{"while the end of one is not sure", func(record *scriptedRecord) {
 			record.put("m", 4, 0).put("n", 5, 0).call(1, "m", 0, 0).at(s).ended(1, 0).notice(
 				"m", event.NoticeGivenUp,
--- a/internal/rehearsal/loadgen/load.go
+++ b/internal/rehearsal/loadgen/load.go
@@ -104,7 +104,7 @@
 		submissions:     map[string]*submission{},
 		done:            make(chan struct{}),
 		relayStates:     make([]relayState, len(cfg.Relays)),
-		body:            strings.Repeat("b", cfg.Plan.Scenario.Clients.Bodies),
+		body:            strings.Repeat("b", cfg.Plan.Scenario.Clients.BodyBytes),
 		lateness:        hdrhistogram.New(1, 60_000_000, 3),
 		replyLatency:    hdrhistogram.New(1, 600_000_000, 3),
 		deliveryLatency: hdrhistogram.New(1, 600_000_000, 3),
@@ -214,7 +214,7 @@
 		return endpoint.Message{}, false
 	}
 	a := &d.config.Plan.Arrivals[h.message]
-	return endpoint.Message{Number: h.message, Class: a.Class, Destination: a.Dest, Finished: h.finished}, true
+	return endpoint.Message{Number: h.message, Class: a.Class, Destination: a.Destination, Finished: h.finished}, true
 }
 
 // RelayDown tells the front that a relay has ended or is ending; it notices later.
@@ -260,7 +260,7 @@
 
 // timeLeft is how long a message may still be delivered.
 func (d *Driver) timeLeft(num int) event.Time {
-	return d.config.Start + d.config.Plan.Arrivals[num].At + scenario.Micros(
+	return d.config.Start + d.config.Plan.Arrivals[num].At + scenario.Microseconds(
 		d.messages[num].class.DeadlineMS,
 	) - d.config.Clock()
 }
@@ -271,13 +271,13 @@
 	if r.Outcome != Delivered {
 		return 0
 	}
-	aim, deadline := float64(scenario.Micros(c.AimMS)), float64(scenario.Micros(c.DeadlineMS))
+	aim, deadline := float64(scenario.Microseconds(c.LatencyObjectiveMS)), float64(scenario.Microseconds(c.DeadlineMS))
 	switch at := float64(r.Elapsed); {
 	case at <= aim:
-		return c.Worth
+		return c.Weight
 	case at > deadline:
 		return 0
 	default:
-		return c.Worth * (1 - (1-c.LateWorth)*(at-aim)/max(deadline-aim, 1))
+		return c.Weight * (1 - (1-c.LateWeight)*(at-aim)/max(deadline-aim, 1))
 	}
 }
--- a/internal/rehearsal/loadgen/load_test.go
+++ b/internal/rehearsal/loadgen/load_test.go
@@ -252,7 +252,7 @@
 }
 
 func TestWorth(t *testing.T) {
-	c := &scenario.Class{AimMS: 1000, DeadlineMS: 3000, Worth: 3, LateWorth: 0.5}
+	c := &scenario.Class{LatencyObjectiveMS: 1000, DeadlineMS: 3000, Weight: 3, LateWeight: 0.5}
 	for _, x := range []struct {
 		end  Outcome
 		at   event.Time
@@ -294,7 +294,7 @@
 		}
 		if err == nil {
 			p := plan(t, 0.5, 10, 1000)
-			p.Arrivals = []scenario.Arrival{{Dest: 1}}
+			p.Arrivals = []scenario.Arrival{{Destination: 1}}
 			d := New(
 				Config{
 					Plan: p, Relays: []string{"127.0.0.1:1"}, Emit: func(event.Event) {},
@@ -327,7 +327,7 @@
 		}
 		delivered := func(e event.Event) { seen(e); r.d.HandleEvent(&e) }
 		w, err := endpoint.New(
-			p.Specs, endpoint.Rules{Relays: 1}, p.Work(),
+			p.Specs, endpoint.Rules{Relays: 1}, p.ServiceTimeSeed(),
 			func(id string) (endpoint.Message, bool) { return r.d.Lookup(id) }, delivered,
 		)
 		if err != nil {
--- a/internal/rehearsal/loadgen/messages.go
+++ b/internal/rehearsal/loadgen/messages.go
@@ -70,7 +70,7 @@
 	d.config.Emit(
 		event.Event{At: d.config.Clock(), Kind: event.HandIn, ID: h.id, Message: num, Relay: relay, Left: left},
 	)
-	wait := time.Duration(scenario.Micros(d.config.Plan.Scenario.Clients.AnswerMS)) * time.Microsecond
+	wait := time.Duration(scenario.Microseconds(d.config.Plan.Scenario.Clients.ReplyTimeoutMS)) * time.Microsecond
 	limit := time.Now().Add(wait)
 	written, reply, err := c.roundTrip(limit)
 	if err != nil && kept && !errors.Is(err, errTimeout) {
@@ -153,8 +153,8 @@
 	d.messages[num].Rejections++
 	d.mu.Unlock()
 	cl := &d.config.Plan.Scenario.Clients
-	wait := scenario.Micros(cl.BackoffMS * math.Pow(2, float64(min(try, 10))))
-	if advice > 0 && seededrand.Float64(d.config.Plan.Seed, 78, uint64(num), uint64(try)) < cl.Honour {
+	wait := scenario.Microseconds(cl.BackoffMS * math.Pow(2, float64(min(try, 10))))
+	if advice > 0 && seededrand.Float64(d.config.Plan.Seed, 78, uint64(num), uint64(try)) < cl.RetryAfterShare {
 		wait = advice
 	}
 	// Spread, so that those who were refused together do not come together.
@@ -250,7 +250,7 @@
 		fields = append(append(fields, ",k="...), a.Key...)
 	}
 	fields = append(fields, ",dest="...)
-	fields = strconv.AppendInt(fields, int64(a.Dest), 10)
+	fields = strconv.AppendInt(fields, int64(a.Destination), 10)
 	if mark != "" {
 		fields = append(append(fields, ','), mark...)
 	}
--- a/internal/rehearsal/replay/recording.go
+++ b/internal/rehearsal/replay/recording.go
@@ -198,7 +198,7 @@
 	if err != nil {
 		return nil, Environment{}, err
 	}
-	p := s.World(h.Seed)
+	p := s.EmptyPlan(h.Seed)
 	for {
 		done, err := r.readNext(p)
 		if err != nil {
@@ -258,7 +258,7 @@
 	case x.Arrival != nil:
 		err = addArrival(p, x.Arrival)
 	case x.Fault != nil:
-		if err = x.Fault.Check(p); err == nil {
+		if err = x.Fault.Validate(p); err == nil {
 			p.Faults = append(p.Faults, *x.Fault)
 		}
 	default:
@@ -279,7 +279,7 @@
 	if n := len(p.Arrivals); n > 0 && a.At < p.Arrivals[n-1].At {
 		return fmt.Errorf("at_us: %d, and the arrival before it is at %d", a.At, p.Arrivals[n-1].At)
 	}
-	if err := a.Check(p); err != nil {
+	if err := a.Validate(p); err != nil {
 		return err
 	}
 	p.Arrivals = append(p.Arrivals, *a)
--- a/internal/rehearsal/replay/recording_test.go
+++ b/internal/rehearsal/replay/recording_test.go
@@ -35,14 +35,15 @@
 }
 
 func same(a, b *scenario.Plan) bool {
-	return a.Seed == b.Seed && a.Work() == b.Work() && reflect.DeepEqual(a.Arrivals, b.Arrivals) &&
+	return a.Seed == b.Seed && a.ServiceTimeSeed() == b.ServiceTimeSeed() && reflect.DeepEqual(a.Arrivals, b.Arrivals) &&
 		reflect.DeepEqual(a.Faults, b.Faults) &&
-		reflect.DeepEqual(a.Specs, b.Specs) && reflect.DeepEqual(a.Endpoints, b.Endpoints) &&
+		reflect.DeepEqual(a.Specs, b.Specs) &&
+		reflect.DeepEqual(a.Endpoints, b.Endpoints) &&
 		a.Scenario.Rules == b.Scenario.Rules
 }
 
 func TestWhatIsWrittenIsRead(t *testing.T) {
-	for _, name := range scenario.Names() {
+	for _, name := range scenario.BuiltinNames() {
 		p := plan(t, name)
 		text := written(t, p)
 		q, env, err := Read(bytes.NewReader(text))
@@ -159,7 +160,7 @@
 	}
 	first, last := p.Arrivals[0], p.Arrivals[len(p.Arrivals)-1]
 	if got := fmt.Sprintf(
-		"%d %d %d %v %v %s %#x", p.Seed, len(p.Arrivals), len(p.Faults), first, last, env.System, p.Work(),
+		"%d %d %d %v %v %s %#x", p.Seed, len(p.Arrivals), len(p.Faults), first, last, env.System, p.ServiceTimeSeed(),
 	); got != goldenV1 {
 		t.Errorf("read as\n%s, want\n%s", got, goldenV1)
 	}
--- a/internal/rehearsal/report/report.go
+++ b/internal/rehearsal/report/report.go
@@ -192,12 +192,12 @@
 		About:       s.About,
 		Seed:        p.Seed,
 		Environment: env,
-		Floor:       s.Floor,
+		Floor:       s.MinService,
 		Reasons:     []string{},
 		Crashes:     append([]string{}, o.RelayFailures...),
 		Answers:     quantiles(o.ReplyLatency),
 		Delivery:    quantiles(o.DeliveryLatency),
-		Late:        Late{ms(o.DriverLateness), ms(o.EmulatorLateness), s.LateMS},
+		Late:        Late{ms(o.DriverLateness), ms(o.EmulatorLateness), s.MaxLatenessMS},
 		MemoryKB:    append([]int{}, o.MemoryKB...),
 		Door:        o.UnservedRequests,
 		Untried:     Untried{o.Restarts.Unattempted, o.Restarts.Attempted, o.Restarts.Ended},
@@ -247,13 +247,13 @@
 		class := &s.Classes[a.Class]
 		got := loadgen.EarnedWeight(class, x)
 		for _, to := range []*Service{
-			&r.Service, &r.Classes[a.Class].Service, &r.Portals[a.Portal].Service, &r.Partners[a.Dest-1].Service,
+			&r.Service, &r.Classes[a.Class].Service, &r.Portals[a.Portal].Service, &r.Partners[a.Destination-1].Service,
 		} {
-			to.add(x, class.Worth, got)
+			to.add(x, class.Weight, got)
 		}
 		sec := min(int(a.At/1e6), seconds-1)
-		asked[sec][a.Dest-1] += class.Worth
-		earned[sec][a.Dest-1] += got
+		asked[sec][a.Destination-1] += class.Weight
+		earned[sec][a.Destination-1] += got
 	}
 	return asked, earned
 }
--- a/internal/rehearsal/report/report_test.go
+++ b/internal/rehearsal/report/report_test.go
@@ -64,12 +64,12 @@
 	}
 	p := s.Plan(1)
 	p.Arrivals = []scenario.Arrival{
-		{At: 0, Dest: 1},
-		{At: 1e6, Dest: 1},
-		{At: 2e6, Dest: 2, Class: 1},
-		{At: 3e6, Dest: 2},
-		{At: 3e6, Dest: 1},
-		{At: 19e6, Dest: 2},
+		{At: 0, Destination: 1},
+		{At: 1e6, Destination: 1},
+		{At: 2e6, Destination: 2, Class: 1},
+		{At: 3e6, Destination: 2},
+		{At: 3e6, Destination: 1},
+		{At: 19e6, Destination: 2},
 	}
 	h := hdrhistogram.New(1, 1e9, 3)
 	if err := h.RecordValue(1500); err != nil {
--- a/internal/rehearsal/runner/faults.go
+++ b/internal/rehearsal/runner/faults.go
@@ -66,19 +66,19 @@
 	}
 	x := &plannedFault{Rehearsal: s, PlannedFault: f, ctx: ctx, name: name}
 	switch f.Kind {
-	case scenario.Drain, scenario.Remove:
+	case scenario.EndpointDrain, scenario.EndpointRemoval:
 		return s.listPhaseActions(f, name)
-	case scenario.ListLate, scenario.ListStale, scenario.ListSilent:
+	case scenario.ListDelayed, scenario.ListStale, scenario.ListSilent:
 		return x.listActions()
 	case scenario.RelayKill:
 		return x.onProcesses(x.killRelay)
 	case scenario.RelayRestart:
 		return x.onProcesses(x.restartRelay)
-	case scenario.Upgrade:
+	case scenario.RelayUpgrade:
 		return x.onProcesses(func(r *relay) { s.upgrade(ctx, r, f) })
-	case scenario.DrainRelay:
+	case scenario.RelayDrain:
 		return x.lasting(x.drainRelay(true), x.drainRelay(false))
-	case scenario.Reload:
+	case scenario.RelayReload:
 		return x.onProcesses(x.reload)
 	}
 	switch {
@@ -127,11 +127,11 @@
 
 // listActions has lists come late, stay old, or not come.
 func (f *plannedFault) listActions() []action {
-	more := time.Duration(f.Size * float64(time.Second))
+	more := time.Duration(f.Magnitude * float64(time.Second))
 	set := func(on bool) func() {
 		return f.forEachRelay(func(i int) {
 			switch f.Kind {
-			case scenario.ListLate:
+			case scenario.ListDelayed:
 				f.registry.SetExtraDelay(i, more, on)
 			case scenario.ListStale:
 				f.registry.SetStale(i, on)
@@ -144,7 +144,7 @@
 }
 
 func (f *plannedFault) killRelay(r *relay) {
-	f.driver.RelayDown(r.index, scenario.Micros(f.plan.Scenario.Clients.FrontNoticeMS))
+	f.driver.RelayDown(r.index, scenario.Microseconds(f.plan.Scenario.Clients.FailoverDelayMS))
 	f.events.emit(event.Event{At: f.now(), Kind: event.Killed, Relay: r.index})
 	r.kill()
 	f.sleep(f.ctx, time.Duration(f.Until-f.At)*time.Microsecond)
@@ -211,7 +211,7 @@
 		f.background.Add(1)
 		go func() {
 			defer f.background.Done()
-			loadgen.Flood(ctx, loadgen.FloodKind(f.Kind), f.targets[i].Listen, int(f.Size))
+			loadgen.Flood(ctx, loadgen.FloodKind(f.Kind), f.targets[i].Listen, int(f.Magnitude))
 		}()
 	})
 	return f.lasting(begin, end)
@@ -223,10 +223,10 @@
 		Kind: endpoint.FaultKind(
 			f.Kind,
 		),
-		Magnitude: f.Size,
+		Magnitude: f.Magnitude,
 		Share:     f.Share,
 		Class:     f.Class,
-		Defect:    endpoint.ResponseDefect(f.Form),
+		Defect:    endpoint.ResponseDefect(f.Variant),
 	}
 	each := func(do func(w *endpoint.Model, now endpoint.Time, ep int)) func() {
 		return func() {
@@ -245,11 +245,13 @@
 
 func (s *Rehearsal) listPhaseActions(f *scenario.PlannedFault, name string) []action {
 	phase := registry.PhaseDraining
-	if f.Kind == scenario.Remove {
+	if f.Kind == scenario.EndpointRemoval {
 		phase = registry.PhaseRemoved
 	}
 	sc := s.plan.Scenario
-	shut := f.At + scenario.Micros(sc.Discovery.DelayMS+sc.Discovery.SpreadMS+sc.Rules.DrainGraceMS+sc.Rules.SlackMS)
+	shut := f.At + scenario.Microseconds(
+		sc.Discovery.DelayMS+sc.Discovery.SpreadMS+sc.Rules.DrainGraceMS+sc.Rules.SlackMS,
+	)
 	gone := &endpoint.Fault{Kind: endpoint.PlannedStop}
 	set := func(phase registry.Phase) {
 		for _, ep := range f.Endpoints {
@@ -261,7 +263,7 @@
 			s.endpointServer.Update(func(w *endpoint.Model, now endpoint.Time) {
 				for _, ep := range f.Endpoints {
 					switch {
-					case f.Kind == scenario.Drain:
+					case f.Kind == scenario.EndpointDrain:
 						w.SetDraining(now, ep, on)
 					case on:
 						w.InjectFault(now, ep, gone)
@@ -291,7 +293,7 @@
 // again starts a relay once more. The caller holds its lock.
 // upgrade plays one upgrade of a relay.
 func (s *Rehearsal) upgrade(ctx context.Context, r *relay, f *scenario.PlannedFault) {
-	if f.Form == "" {
+	if f.Variant == "" {
 		if err := r.upgrade(ctx); err != nil && ctx.Err() == nil {
 			s.appendFailure(&s.relayFailures, "upgrade: %v", err)
 		}
@@ -303,14 +305,14 @@
 	s.events.emit(
 		event.Event{At: s.now(), Kind: event.Killed, Relay: r.index},
 	) // calls that are out may be cut from here on
-	alive, err := r.upgradeWithKill(ctx, after, f.Form == scenario.KillOld)
+	alive, err := r.upgradeWithKill(ctx, after, f.Variant == scenario.KillPredecessor)
 	switch {
 	case err != nil && ctx.Err() == nil:
-		s.appendFailure(&s.relayFailures, "upgrade, %s after %v: %v", f.Form, after, err)
+		s.appendFailure(&s.relayFailures, "upgrade, %s after %v: %v", f.Variant, after, err)
 	case alive:
 		s.events.emit(event.Event{At: s.now(), Kind: event.Ready, Relay: r.index})
 	default:
-		s.driver.RelayDown(r.index, scenario.Micros(s.plan.Scenario.Clients.FrontNoticeMS))
+		s.driver.RelayDown(r.index, scenario.Microseconds(s.plan.Scenario.Clients.FailoverDelayMS))
 		s.events.emit(event.Event{At: s.now(), Kind: event.Killed, Relay: r.index})
 		s.startAgain(ctx, r)
 	}
--- a/internal/rehearsal/runner/hold.go
+++ b/internal/rehearsal/runner/hold.go
@@ -42,8 +42,8 @@
 	}
 	seen := map[string]int{} // under the model's lock
 	world, err := endpoint.New(p.Specs, endpoint.Rules{
-		Relays: 1, MaxInFlight: p.Slots(), MaxAttempts: p.Scenario.Relays.MaxAttempts,
-	}, p.Work(),
+		Relays: 1, MaxInFlight: p.MaxInFlight(), MaxAttempts: p.Scenario.Relays.MaxAttempts,
+	}, p.ServiceTimeSeed(),
 		func(id string) (endpoint.Message, bool) {
 			if _, ok := seen[id]; !ok {
 				if len(seen) >= 1<<16 { // somebody holds it for days
--- a/internal/rehearsal/runner/holiday_test.go
+++ b/internal/rehearsal/runner/holiday_test.go
@@ -30,7 +30,7 @@
 			"[[fault]]\nkind = \"drain\"\npartner = \"shop\"\npart = 0.5\nat_s = 1\nlength_s = 3\n"+
 			"[[fault]]\nkind = \"relay_kill\"\nrelay = 1\nat_s = 0.8\nlength_s = 0.3\n",
 	)
-	p.Scenario.Discovery.Quiet = 2000
+	p.Scenario.Discovery.IdleDestinations = 2000
 	o := play(t, p, self(t))
 	for _, v := range o.Violations {
 		t.Errorf("%+v", v)
@@ -40,7 +40,7 @@
 	}
 	done := map[bool]int{}
 	for i, r := range o.Results {
-		if p.Arrivals[i].Dest > 2 { // a shop's
+		if p.Arrivals[i].Destination > 2 { // a shop's
 			done[r.Outcome == loadgen.Delivered]++
 		}
 	}
--- a/internal/rehearsal/runner/runner.go
+++ b/internal/rehearsal/runner/runner.go
@@ -139,9 +139,9 @@
 func (s *Rehearsal) startEndpoints() error {
 	p := s.plan
 	n := p.Scenario.Relays.Count
-	rules := endpoint.Rules{Relays: n, MaxInFlight: p.Slots(), MaxAttempts: p.Scenario.Relays.MaxAttempts}
+	rules := endpoint.Rules{Relays: n, MaxInFlight: p.MaxInFlight(), MaxAttempts: p.Scenario.Relays.MaxAttempts}
 	lookup := func(id string) (endpoint.Message, bool) { return s.driver.Lookup(id) }
-	world, err := endpoint.New(p.Specs, rules, p.Work(), lookup, s.events.emit)
+	world, err := endpoint.New(p.Specs, rules, p.ServiceTimeSeed(), lookup, s.events.emit)
 	if err != nil {
 		return err
 	}
@@ -224,7 +224,7 @@
 		fmt.Sprintf("relay %d ended by itself at %.1f s: %v", i+1, float64(s.now()-s.planStart.Load())/1e6, err))
 	s.mu.Unlock()
 	s.events.emit(event.Event{At: s.now(), Kind: event.Killed, Relay: i})
-	s.driver.RelayDown(i, scenario.Micros(s.plan.Scenario.Clients.FrontNoticeMS))
+	s.driver.RelayDown(i, scenario.Microseconds(s.plan.Scenario.Clients.FailoverDelayMS))
 }
 
 // Close ends everything that was started.
@@ -294,7 +294,7 @@
 		longest = max(longest, c.DeadlineMS)
 	}
 	limit := time.Duration(
-		s.plan.Scenario.LengthS*1000+longest+s.plan.Scenario.Rules.EndSlackMS+s.plan.Scenario.Rules.RestartGraceMS+3000,
+		s.plan.Scenario.LengthS*1000+longest+s.plan.Scenario.Rules.DeadlineSlackMS+s.plan.Scenario.Rules.RestartGraceMS+3000,
 	)*time.Millisecond + leadIn
 	play, stop := context.WithTimeout(ctx, limit)
 	defer stop()
--- a/internal/rehearsal/runner/runner_test.go
+++ b/internal/rehearsal/runner/runner_test.go
@@ -140,9 +140,9 @@
 // run with an honest one.
 func TestTheRefereeConvicts(t *testing.T) {
 	order := func(p *scenario.Plan) {
-		p.Scenario.Classes[0].Name, p.Scenario.Classes[0].InOrder, p.Scenario.Classes[0].RestMS = "ordered", true, 100
+		p.Scenario.Classes[0].Name, p.Scenario.Classes[0].Ordered, p.Scenario.Classes[0].OrderedKeyBackoffMS = "ordered", true, 100
 		for i := range p.Arrivals {
-			p.Arrivals[i].Thread = uint64(p.Arrivals[i].Dest)
+			p.Arrivals[i].OrderingKey = uint64(p.Arrivals[i].Destination)
 		}
 	}
 	for _, c := range []struct {
@@ -335,7 +335,7 @@
 				got, asked := 0.0, 0.0
 				for i := range o.Results {
 					c := &p.Scenario.Classes[p.Arrivals[i].Class]
-					got, asked = got+loadgen.EarnedWeight(c, &o.Results[i]), asked+c.Worth
+					got, asked = got+loadgen.EarnedWeight(c, &o.Results[i]), asked+c.Weight
 				}
 				b.ReportMetric(got/asked, "service")
 				b.ReportMetric(float64(len(o.Violations)), "broken-rules")
--- a/internal/rehearsal/runner/secure.go
+++ b/internal/rehearsal/runner/secure.go
@@ -52,8 +52,12 @@
 		byFault: map[string][]*h1.TLSIdentity{},
 	}}
 	kinds := []string{
-		scenario.TLSRotate, scenario.TLSExpired, scenario.TLSWrongName, scenario.TLSWrongRoot, scenario.TLSReset,
-		scenario.TLSForget,
+		scenario.TLSRotate,
+		scenario.TLSExpired,
+		scenario.TLSWrongName,
+		scenario.TLSWrongRoot,
+		scenario.TLSHandshakeReset,
+		scenario.TLSSessionsLost,
 	}
 	for _, k := range kinds {
 		m.identities.byFault[k] = make([]*h1.TLSIdentity, len(p.Endpoints))
@@ -69,12 +73,12 @@
 			continue
 		}
 		seen[e.Partner], found = true, true
-		share = max(share, e.TLS.Share)
+		share = max(share, e.TLS.HandshakeCPUShare)
 		if err := m.addPartner(e.Partner, e.TLS); err != nil {
 			return nil, err
 		}
 	}
-	if n := p.Scenario.Relays.Awake; n > 0 {
+	if n := p.Scenario.Relays.MaxActiveDestinations; n > 0 {
 		found = true
 		fmt.Fprintf(&m.operatorText, "[rest]\nawake = %d\nquiet_s = 10\n", n)
 	}
@@ -160,8 +164,8 @@
 			continue
 		}
 		s.current[i] = usual
-		s.byFault[scenario.TLSRotate][i], s.byFault[scenario.TLSForget][i] = rotated, forgot
-		s.byFault[scenario.TLSReset][i] = &h1.TLSIdentity{ResetHandshake: true}
+		s.byFault[scenario.TLSRotate][i], s.byFault[scenario.TLSSessionsLost][i] = rotated, forgot
+		s.byFault[scenario.TLSHandshakeReset][i] = &h1.TLSIdentity{ResetHandshake: true}
 		for kind, certificate := range c.faulty {
 			s.byFault[kind][i] = m.identityWith(certificate, x, false)
 		}
@@ -169,8 +173,8 @@
 	fmt.Fprintf(&m.operatorText, "[[tls]]\nname = \"p%d\"\ndestinations = [%d]\nserver_name = %q\nroots = %q\n"+
 		"pins = [%q, %q]\nhandshake_weight = %v\n",
 		partner, p.Specs[partner].Destination, name, m.rootsPath, tlspolicy.PinOf(c.current.Certificate),
-		tlspolicy.PinOf(c.next.Certificate), x.Told)
-	if x.WantsOurs {
+		tlspolicy.PinOf(c.next.Certificate), x.DeclaredHandshakeCost)
+	if x.RequireClientCert {
 		fmt.Fprintf(&m.operatorText, "certificate = %q\nkey = %q\n", m.certPath, m.keyPath)
 	}
 	return nil
@@ -180,7 +184,7 @@
 func (m *identityMaker) identityWith(certificate *testca.Issued, x *scenario.TLS, trusted bool) *h1.TLSIdentity {
 	cfg := &tls.Config{
 		Certificates:           []tls.Certificate{certificate.TLSCertificate()},
-		SessionTicketsDisabled: x.NoSessions,
+		SessionTicketsDisabled: x.DisableResumption,
 	}
 	switch x.Version {
 	case "1.2":
@@ -188,13 +192,13 @@
 	case "1.3":
 		cfg.MinVersion = tls.VersionTLS13
 	}
-	if x.WantsOurs {
+	if x.RequireClientCert {
 		cfg.ClientAuth, cfg.ClientCAs = tls.RequireAndVerifyClientCert, m.root.RootPool()
 	}
 	// Session keys of its own: what one certificate was shown for is not resumed under
 	// another.
 	cfg.SetSessionTicketKeys([][32]byte{tlspolicy.PinOf(certificate.Certificate)})
-	return &h1.TLSIdentity{Config: cfg, HandshakeDelay: milliseconds(x.DelayMS), Trusted: trusted}
+	return &h1.TLSIdentity{Config: cfg, HandshakeDelay: milliseconds(x.HandshakeDelayMS), Trusted: trusted}
 }
 
 // identity is what an endpoint shows now.
--- a/internal/rehearsal/runner/settings.go
+++ b/internal/rehearsal/runner/settings.go
@@ -23,12 +23,12 @@
 	for _, c := range s.Classes {
 		classes = append(classes, jsonObject{
 			"name":            c.Name,
-			"target_us":       scenario.Micros(c.AimMS),
-			"deadline_us":     scenario.Micros(c.DeadlineMS),
-			"worth":           c.Worth,
-			"late_worth":      c.LateWorth,
-			"repeat":          repeats[c.Repeat],
-			"dedup_window_us": scenario.Micros(c.KeyWindowMS),
+			"target_us":       scenario.Microseconds(c.LatencyObjectiveMS),
+			"deadline_us":     scenario.Microseconds(c.DeadlineMS),
+			"worth":           c.Weight,
+			"late_worth":      c.LateWeight,
+			"repeat":          repeats[c.Idempotency],
+			"dedup_window_us": scenario.Microseconds(c.DedupWindowMS),
 			"group":           "all",
 		})
 	}
@@ -37,7 +37,7 @@
 		shares += x.Share
 	}
 	for _, x := range s.Portals {
-		quota := x.Quota
+		quota := x.QuotaPerS
 		if quota == 0 {
 			quota = 1.5 * s.Traffic.RatePerS * x.Share / shares
 		}
@@ -45,30 +45,42 @@
 	}
 	kinds, apart, batch := partnerKinds(p)
 	return jsonObject{
-		"accounts": accounts, "balancers": s.Relays.Count, "classes": classes, "discovery": "pushed",
-		"kinds": kinds, "localities": s.Relays.Halls,
+		"accounts":   accounts,
+		"balancers":  s.Relays.Count,
+		"classes":    classes,
+		"discovery":  "pushed",
+		"kinds":      kinds,
+		"localities": s.Relays.Zones,
 		"limits": jsonObject{
-			"connect_timeout_us": scenario.Micros(s.Relays.ConnectMS),
+			"connect_timeout_us": scenario.Microseconds(s.Relays.ConnectTimeoutMS),
 			"keepalive_us":       shortestIdleTimeout(p),
-			"max_retry_after_us": scenario.Micros(s.Relays.MaxRetryMS),
+			"max_retry_after_us": scenario.Microseconds(s.Relays.MaxRetryAfterMS),
 			"may_cancel":         true,
-			"most_held":          p.Held(),
+			"most_held":          p.MaxPending(),
 			"most_tries":         s.Relays.MaxAttempts,
-			"probing":            s.Relays.Probes,
+			"probing":            s.Relays.HealthChecks,
 			"retry_after":        s.Relays.RetryAfter,
 			"streams_per_conn":   1,
 		},
 		"over_share_worth": 0.2,
 		"report":           jsonObject{"fields": []string{}, "how": "none"},
 		"safety": jsonObject{
-			"answer_slack_us": scenario.Micros(s.Rules.SlackMS), "drain_grace_us": scenario.Micros(
+			"answer_slack_us": scenario.Microseconds(s.Rules.SlackMS), "drain_grace_us": scenario.Microseconds(
 				s.Rules.DrainGraceMS,
 			),
-			"fall_us": scenario.Micros(s.Rules.FallMS), "overload_factor": s.Rules.FallMultiple,
-			"ramp_time_us": scenario.Micros(s.Rules.ColdMS), "start_capacity": s.Rules.ColdShare,
+			"fall_us": scenario.Microseconds(s.Rules.OverloadWindowMS), "overload_factor": s.Rules.OverloadFactor,
+			"ramp_time_us": scenario.Microseconds(s.Rules.WarmUpMS), "start_capacity": s.Rules.WarmUpShare,
 		},
-		"specifics": jsonObject{"calls_out": p.Slots(), "kind_batch": batch, "late": "linear", "own_limits": apart},
-		"tick_us":   5000, "value_by": "request", "weights": "nominal", "zone": relay % len(s.Relays.Halls),
+		"specifics": jsonObject{
+			"calls_out":  p.MaxInFlight(),
+			"kind_batch": batch,
+			"late":       "linear",
+			"own_limits": apart,
+		},
+		"tick_us":  5000,
+		"value_by": "request",
+		"weights":  "nominal",
+		"zone":     relay % len(s.Relays.Zones),
 	}
 }
 
@@ -98,7 +110,7 @@
 // shortestIdleTimeout is the shortest time after which a partner closes an idle
 // connection; relays must not use one that long.
 func shortestIdleTimeout(p *scenario.Plan) int64 {
-	least := scenario.Micros(60_000)
+	least := scenario.Microseconds(60_000)
 	for i := range p.Specs {
 		if d := p.Specs[i].IdleTimeout; d > 0 {
 			least = min(least, d)
@@ -123,7 +135,7 @@
 		h := fnv.New32a()
 		_, _ = io.WriteString(h, e.Name) // a hash does not fail
 		all = append(all, registry.Member{
-			ID: fmt.Sprintf("s-%08x", h.Sum32()), HostPort: addr(i), Locality: e.Hall, Flavor: kindName(p, i),
+			ID: fmt.Sprintf("s-%08x", h.Sum32()), HostPort: addr(i), Locality: e.Zone, Flavor: kindName(p, i),
 			Cell: spec.Destination, Phase: registry.PhaseUp, Size: rate,
 		})
 	}
@@ -133,8 +145,8 @@
 // unusedDestinations are the destinations that the list names beside the partners, and that no
 // client asks for: nobody is there.
 func unusedDestinations(p *scenario.Plan) (all []registry.Member) {
-	halls := p.Scenario.Relays.Halls
-	for i := range p.Scenario.Discovery.Quiet {
+	halls := p.Scenario.Relays.Zones
+	for i := range p.Scenario.Discovery.IdleDestinations {
 		all = append(all, registry.Member{
 			ID: fmt.Sprintf("q-%05d", i), HostPort: net.JoinHostPort(
 				loopback.Host(), "9",
--- a/internal/rehearsal/scenario/builtin.go
+++ b/internal/rehearsal/scenario/builtin.go
@@ -8,11 +8,11 @@
 )
 
 //go:embed builtin/*.toml
-var files embed.FS
+var builtinFiles embed.FS
 
-// Names lists the scenarios that ship with the program.
-func Names() []string {
-	entries, err := files.ReadDir("builtin")
+// BuiltinNames lists the scenarios that ship with the program.
+func BuiltinNames() []string {
+	entries, err := builtinFiles.ReadDir("builtin")
 	if err != nil {
 		return nil
 	}
@@ -34,9 +34,9 @@
 
 // BuiltinText is its file, to begin one's own from.
 func BuiltinText(name string) ([]byte, error) {
-	text, err := files.ReadFile(path.Join("builtin", name+".toml"))
+	text, err := builtinFiles.ReadFile(path.Join("builtin", name+".toml"))
 	if err != nil {
-		return nil, fmt.Errorf("no scenario %q; there are %s", name, strings.Join(Names(), ", "))
+		return nil, fmt.Errorf("no scenario %q; there are %s", name, strings.Join(BuiltinNames(), ", "))
 	}
 	return text, nil
 }
--- a/internal/rehearsal/scenario/checkerconfig.go
+++ b/internal/rehearsal/scenario/checkerconfig.go
@@ -14,11 +14,11 @@
 	rules := &p.Scenario.Rules
 	config := checker.Config{
 		Relays:              p.Scenario.Relays.Count,
-		Slack:               Micros(rules.SlackMS),
-		DeadlineSlack:       Micros(rules.EndSlackMS),
-		RestartGrace:        Micros(rules.RestartGraceMS),
-		DrainGrace:          Micros(rules.DrainGraceMS),
-		RetryAfterGrace:     Micros(rules.WaitPassMS),
+		Slack:               Microseconds(rules.SlackMS),
+		DeadlineSlack:       Microseconds(rules.DeadlineSlackMS),
+		RestartGrace:        Microseconds(rules.RestartGraceMS),
+		DrainGrace:          Microseconds(rules.DrainGraceMS),
+		RetryAfterGrace:     Microseconds(rules.RetryAfterGraceMS),
 		InformedShareLimit:  informedShareLimit,
 		MaxEndedUnattempted: maxEndedUnattempted,
 		MinUnattempted:      minUnattempted,
@@ -26,15 +26,15 @@
 	for i := range p.Scenario.Classes {
 		class := &p.Scenario.Classes[i]
 		config.Classes = append(config.Classes, checker.Class{
-			Idempotency:       class.idempotency(),
-			DedupWindow:       Micros(class.KeyWindowMS),
-			Ordered:           class.InOrder,
-			OrderedKeyBackoff: Micros(class.RestMS),
+			Idempotency:       class.checkerIdempotency(),
+			DedupWindow:       Microseconds(class.DedupWindowMS),
+			Ordered:           class.Ordered,
+			OrderedKeyBackoff: Microseconds(class.OrderedKeyBackoffMS),
 		})
 	}
 	for _, arrival := range p.Arrivals {
 		config.Messages = append(config.Messages, checker.Message{
-			Class: arrival.Class, Destination: arrival.Dest, OrderingKey: arrival.Thread,
+			Class: arrival.Class, Destination: arrival.Destination, OrderingKey: arrival.OrderingKey,
 		})
 	}
 	for _, endpoint := range p.Endpoints {
@@ -46,9 +46,9 @@
 	return config
 }
 
-// idempotency returns what the rules make of the class's key repeat.
-func (c *Class) idempotency() checker.Idempotency {
-	switch c.Repeat {
+// checkerIdempotency returns what the rules make of the class's key repeat.
+func (c *Class) checkerIdempotency() checker.Idempotency {
+	switch c.Idempotency {
 	case "keyed":
 		return checker.IdempotentByKey
 	case "unsafe":
--- a/internal/rehearsal/scenario/scenario_test.go
+++ b/internal/rehearsal/scenario/scenario_test.go
@@ -9,7 +9,7 @@
 	"troutusher/internal/tomlfile"
 )
 
-const least = `version = 1
+const minimalScenario = `version = 1
 name = "x"
 length_s = 10
 [traffic]
@@ -45,7 +45,7 @@
 `
 
 func TestBuiltins(t *testing.T) {
-	names := Names()
+	names := BuiltinNames()
 	if len(names) < 4 {
 		t.Fatalf("only %v", names)
 	}
@@ -113,8 +113,8 @@
 		{"[traffic]", "[traffic", "f.toml:4"},
 		{"version = 1", "version = 1\nversion = 1", "f.toml:2"},
 	} {
-		text := strings.Replace(least, c.old, c.new, 1)
-		if text == least {
+		text := strings.Replace(minimalScenario, c.old, c.new, 1)
+		if text == minimalScenario {
 			t.Fatalf("%q is not there", c.old)
 		}
 		if _, err := Parse("f.toml", []byte(text)); err == nil || !strings.Contains(err.Error(), c.want) {
@@ -129,7 +129,7 @@
 func TestEveryErrorIsTold(t *testing.T) {
 	text := strings.NewReplacer(
 		"length_s = 10", "length_s = -1", "repeat = \"safe\"", "repeat = \"x\"", "at_s = 1", "at_s = -1",
-	).Replace(least)
+	).Replace(minimalScenario)
 	_, err := Parse("f.toml", []byte(text))
 	if n := strings.Count(err.Error(), "f.toml:"); n != 3 {
 		t.Errorf("%d errors: %v", n, err)
@@ -137,7 +137,7 @@
 }
 
 func TestTextReadsAsTheSame(t *testing.T) {
-	for _, name := range Names() {
+	for _, name := range BuiltinNames() {
 		s, err := Builtin(name)
 		if err != nil {
 			t.Fatal(err)
@@ -160,7 +160,7 @@
 }
 
 func TestPlan(t *testing.T) {
-	s, err := Parse("f", []byte(least))
+	s, err := Parse("f", []byte(minimalScenario))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -172,12 +172,12 @@
 	classes, dests, keys := map[int]float64{}, map[int]float64{}, map[string]bool{}
 	for i, a := range p.Arrivals {
 		classes[a.Class]++
-		dests[a.Dest]++
-		if (a.Class == 1) != (a.Key != "") || keys[a.Key] && a.Key != "" || a.Class == 1 && a.Dest == 4 {
+		dests[a.Destination]++
+		if (a.Class == 1) != (a.Key != "") || keys[a.Key] && a.Key != "" || a.Class == 1 && a.Destination == 4 {
 			t.Fatalf("arrival %d: %+v", i, a)
 		}
 		keys[a.Key] = true
-		if err := a.Check(p); err != nil {
+		if err := a.Validate(p); err != nil {
 			t.Fatal(err)
 		}
 		if i > 0 && a.At < p.Arrivals[i-1].At {
@@ -202,13 +202,13 @@
 	if f := p.Faults[0]; !reflect.DeepEqual(f.Endpoints, []int{2, 3}) || f.At != 1e6 || f.Until != 3e6 {
 		t.Errorf("fault: %+v", f)
 	}
-	if err := p.Faults[0].Check(p); err != nil {
+	if err := p.Faults[0].Validate(p); err != nil {
 		t.Error(err)
 	}
 }
 
 func TestShapesOfTraffic(t *testing.T) {
-	s, _ := Parse("f", []byte(least))
+	s, _ := Parse("f", []byte(minimalScenario))
 	s.LengthS, s.Traffic.RatePerS = 400, 50
 	for _, c := range []struct {
 		set    func(*Traffic)
@@ -217,8 +217,8 @@
 		{func(t *Traffic) {}, [4]float64{1, 1, 1, 1}},
 		{func(t *Traffic) { t.Shape, t.From, t.To = "ramp", 0, 2 }, [4]float64{0.25, 0.75, 1.25, 1.75}},
 		{func(t *Traffic) { t.Shape, t.From, t.To = "rush", 1, 3 }, [4]float64{1, 2, 3, 2}},
-		{func(t *Traffic) { t.Shape, t.Swing, t.PeriodS = "wave", 0.5, 400 }, [4]float64{1.318, 1.318, 0.682, 0.682}},
-		{func(t *Traffic) { t.ClumpShare, t.ClumpSize = 0.3, 5 }, [4]float64{1, 1, 1, 1}},
+		{func(t *Traffic) { t.Shape, t.Amplitude, t.PeriodS = "wave", 0.5, 400 }, [4]float64{1.318, 1.318, 0.682, 0.682}},
+		{func(t *Traffic) { t.BurstShare, t.BurstSize = 0.3, 5 }, [4]float64{1, 1, 1, 1}},
 	} {
 		x := *s
 		c.set(&x.Traffic)
@@ -239,7 +239,7 @@
 		"f",
 		[]byte(
 			strings.Replace(
-				strings.Replace(least, "endpoints = 2", "endpoints = 10", 1), "partner = \"p-2\"",
+				strings.Replace(minimalScenario, "endpoints = 2", "endpoints = 10", 1), "partner = \"p-2\"",
 				"partners = [\"p\", \"q\"]\npart = 0.3", 1,
 			),
 		),
@@ -252,8 +252,8 @@
 
 // FuzzParse: no file, however odd, does more than return an error.
 func FuzzParse(f *testing.F) {
-	f.Add([]byte(least))
-	for _, name := range Names() {
+	f.Add([]byte(minimalScenario))
+	for _, name := range BuiltinNames() {
 		text, _ := BuiltinText(name)
 		f.Add(text)
 	}
@@ -268,12 +268,12 @@
 		}
 		p := s.Plan(1)
 		for i := range p.Arrivals {
-			if err := p.Arrivals[i].Check(p); err != nil {
+			if err := p.Arrivals[i].Validate(p); err != nil {
 				t.Fatal(err)
 			}
 		}
 		for i := range p.Faults {
-			if err := p.Faults[i].Check(p); err != nil {
+			if err := p.Faults[i].Validate(p); err != nil {
 				t.Fatal(err)
 			}
 		}
--- a/internal/rehearsal/scenario/text_test.go
+++ b/internal/rehearsal/scenario/text_test.go
@@ -30,8 +30,8 @@
 	}
 	plan := example.Plan(example.Seed)
 	drawn, err := json.MarshalIndent(map[string]any{
-		"arrivals": plan.Arrivals, "faults": plan.Faults, "service_seed": plan.Work(),
-		"slots": plan.Slots(), "held": plan.Held(),
+		"arrivals": plan.Arrivals, "faults": plan.Faults, "service_seed": plan.ServiceTimeSeed(),
+		"slots": plan.MaxInFlight(), "held": plan.MaxPending(),
 	}, "", " ")
 	if err != nil {
 		t.Fatal(err)
