--- a/internal/rehearsal/scenario/builtin.go
+++ b/internal/rehearsal/scenario/builtin.go
@@ -17,13 +17,13 @@
 		return nil
 	}
 	var names []string
-	for _, e := range entries {
-		names = append(names, strings.TrimSuffix(e.Name(), ".toml"))
+	for _, entry := range entries {
+		names = append(names, strings.TrimSuffix(entry.Name(), ".toml"))
 	}
 	return names
 }
 
-// Builtin is a scenario that ships with the program.
+// Builtin returns a scenario that ships with the program.
 func Builtin(name string) (*Scenario, error) {
 	text, err := BuiltinText(name)
 	if err != nil {
@@ -32,7 +32,7 @@
 	return Parse(name+".toml", text)
 }
 
-// BuiltinText is its file, to begin one's own from.
+// BuiltinText returns the file of such a scenario, to begin another one from.
 func BuiltinText(name string) ([]byte, error) {
 	text, err := builtinFiles.ReadFile(path.Join("builtin", name+".toml"))
 	if err != nil {
--- a/internal/rehearsal/scenario/fault.go
+++ b/internal/rehearsal/scenario/fault.go
@@ -1,6 +1,7 @@
 package scenario
 
 import (
+	"maps"
 	"slices"
 	"strings"
 
@@ -22,38 +23,40 @@
 	Variant       string   `toml:"form"`
 }
 
-// Kinds of fault beside those of package partner.
+// Kinds of fault beside those of the endpoint emulator.
 const (
 	EndpointDrain   = "drain"         // the list says that endpoints drain; they take nothing new
 	EndpointRemoval = "remove"        // the list lets them go, after which they refuse connections
-	ListDelayed     = "list_late"     // changes of the list take Size seconds more
-	ListStale       = "list_stale"    // no change of the list arrives until it is over
-	ListSilent      = "list_silent"   // discovery says nothing at all
-	RelayKill       = "relay_kill"    // SIGKILL; it is started again after LengthS
+	ListDelayed     = "list_late"     // changes of the list take Magnitude seconds more
+	ListStale       = "list_stale"    // no change of the list arrives while it lasts
+	ListSilent      = "list_silent"   // the registry says nothing at all
+	RelayKill       = "relay_kill"    // SIGKILL; it is started again after DurationS
 	RelayRestart    = "relay_restart" // SIGTERM, and a new start once it has ended
-	RelayUpgrade    = "upgrade"       // a process beside it takes over; with Form one of the two is killed
-	RelayDrain      = "drain_relay"   // DRAIN at its console, and UNDRAIN when it is over
-	RelayReload     = "reload"        // SIGHUP with a new address of discovery
+	RelayUpgrade    = "upgrade"       // a process beside it takes over; with a Variant one of the two is killed
+	RelayDrain      = "drain_relay"   // DRAIN at its console, and UNDRAIN at its end
+	RelayReload     = "reload"        // SIGHUP with a new address of the registry
 
-	// Crowds of Size connections to each relay that are no clients.
+	// Magnitude connections to each relay that are no clients.
 	FloodSilent       = "flood_silent"    // they connect and say nothing
-	FloodReconnecting = "flood_returning" // the same, and come back at once when closed
+	FloodReconnecting = "flood_returning" // the same, and reconnect at once when closed
 	FloodPing         = "flood_ping"      // they ask one PING each and stay
 	FloodSlowWrites   = "flood_drip"      // they write a byte a second
 	FloodMalformed    = "flood_faulty"    // they send what cannot be read
 )
 
-// Forms of an upgrade: which of the processes is killed in its course.
+// Variants of an upgrade: which of the processes is killed in its course.
 const (
 	KillPredecessor = "kill_old"
 	KillSuccessor   = "kill_new"
 )
 
+// faultFields says which fields a kind of fault takes.
 type faultFields struct {
-	partner, duration, magnitude, share, class, variant bool // what it takes
+	partner, duration, magnitude, share, class, variant bool
 	minMagnitude                                        float64
 }
 
+// fieldsByFault has all kinds of fault.
 var fieldsByFault = map[string]faultFields{
 	string(endpoint.Blackhole):            {partner: true, duration: true},
 	string(endpoint.Crash):                {partner: true, duration: true},
@@ -66,12 +69,7 @@
 	string(endpoint.LateResponse):         {partner: true, duration: true, share: true, magnitude: true},
 	string(endpoint.SlowService):          {partner: true, duration: true, magnitude: true, minMagnitude: 1},
 	string(endpoint.TailLatency): {
-		partner:      true,
-		duration:     true,
-		share:        true,
-		magnitude:    true,
-		minMagnitude: 1,
-		class:        true,
+		partner: true, duration: true, share: true, magnitude: true, minMagnitude: 1, class: true,
 	},
 	EndpointDrain:     {partner: true, duration: true},
 	EndpointRemoval:   {partner: true, duration: true},
@@ -97,25 +95,16 @@
 }
 
 // FaultKinds lists the kinds of fault in order.
-func FaultKinds() []string {
-	var all []string
-	for k := range fieldsByFault {
-		all = append(all, k)
-	}
-	slices.Sort(all)
-	return all
-}
+func FaultKinds() []string { return slices.Sorted(maps.Keys(fieldsByFault)) }
 
 // matchesTable reports whether a fault is about a partner of a table.
-func (f *Fault) matchesTable(name string, count int) bool {
-	for _, x := range f.partnerNames() {
-		if x == "*" || x == name || count > 1 && strings.HasPrefix(x, name+"-") {
-			return true
-		}
-	}
-	return false
+func (f *Fault) matchesTable(table string, count int) bool {
+	return slices.ContainsFunc(f.partnerNames(), func(name string) bool {
+		return name == "*" || name == table || count > 1 && strings.HasPrefix(name, table+"-")
+	})
 }
 
+// partnerNames returns the partners and tables that a fault names.
 func (f *Fault) partnerNames() []string {
 	if f.Partner != "" {
 		return append([]string{f.Partner}, f.Partners...)
--- a/internal/rehearsal/scenario/plan.go
+++ b/internal/rehearsal/scenario/plan.go
@@ -1,26 +1,26 @@
 package scenario
 
 import (
+	"errors"
 	"fmt"
 	"math"
-	"slices"
 
 	"troutusher/internal/emulator/endpoint"
 	"troutusher/internal/event"
 	"troutusher/internal/seededrand"
 )
 
-// Plan is what is played: everything that was drawn from a scenario and a seed.
+// Plan is what is played: all that is drawn from a scenario and a seed.
 type Plan struct {
 	Scenario  *Scenario
 	Seed      uint64
-	Specs     []endpoint.Spec
+	Specs     []endpoint.Spec // of the partners, by their number
 	Endpoints []Endpoint
 	Arrivals  []Arrival
 	Faults    []PlannedFault
 }
 
-// Endpoint is an endpoint of the plan, numbered as the stand-ins number it.
+// Endpoint is an endpoint of the plan, numbered as the endpoint emulator numbers it.
 type Endpoint struct {
 	Name    string
 	Partner int // index in Specs
@@ -29,17 +29,17 @@
 	TLS     *TLS // nil where it is reached without
 }
 
-// Arrival is one message that a client is going to hand in.
+// Arrival is one message that a client is going to submit.
 type Arrival struct {
 	At          event.Time `json:"at_us"`
 	Class       int        `json:"class"`
 	Portal      int        `json:"portal"`
 	Destination int        `json:"dest"`
 	Key         string     `json:"key,omitempty"`
-	OrderingKey uint64     `json:"-"` // of a class in order; no front carries one yet
+	OrderingKey uint64     `json:"-"` // of an ordered class; no protocol carries one yet
 }
 
-// PlannedFault is a fault with the endpoints or relays that it strikes.
+// PlannedFault is a fault with the endpoints or relays that it affects.
 type PlannedFault struct {
 	Kind      string     `json:"kind"`
 	At        event.Time `json:"at_us"`
@@ -52,7 +52,7 @@
 	Variant   string     `json:"form,omitempty"`
 }
 
-// Streams of the seed.
+// Streams of random numbers that a seed is split into.
 const (
 	arrivalStream = 1 + iota
 	burstStream
@@ -62,102 +62,14 @@
 	returnStream
 )
 
+const (
+	maxKeyBytes  = 64
+	maxMagnitude = 1000.0
+)
+
 // Microseconds turns milliseconds into the plan's unit.
 func Microseconds(ms float64) event.Time { return event.Time(math.Round(ms * 1000)) }
 
-// EmptyPlan lays out partners and endpoints.
-func (s *Scenario) EmptyPlan(seed uint64) *Plan {
-	p := &Plan{Scenario: s, Seed: seed}
-	mix := s.classMix()
-	for i := range s.Partners {
-		x := &s.Partners[i]
-		for n := range x.Count {
-			name := x.Name
-			if x.Count > 1 {
-				name = fmt.Sprintf("%s-%d", x.Name, n+1)
-			}
-			spec := endpoint.Spec{
-				Name:              name,
-				Destination:       len(p.Specs) + 1,
-				Endpoints:         x.Endpoints,
-				IndependentRoutes: x.Routes == "apart",
-				Capacity:          x.CapacityPerS,
-				QueueLimit:        x.QueueLimit,
-				ClassMix:          mix[i],
-				MaxConns:          x.MaxConns,
-				IdleTimeout:       Microseconds(x.IdleTimeoutMS),
-				HandshakeTime:     Microseconds(x.HandshakeMS),
-				OneWayDelay:       Microseconds(x.OneWayDelayMS),
-				WarmUpShare:       x.WarmUpShare,
-				WarmUpTime:        Microseconds(x.WarmUpMS),
-				OverloadFactor:    s.Rules.OverloadFactor,
-				OverloadWindow:    Microseconds(s.Rules.OverloadWindowMS),
-				DedupWindow:       Microseconds(x.DedupWindowMS),
-				ErrorShare:        x.ErrorShare,
-				Cancel:            endpoint.CancelPolicy(x.Cancel),
-				RateLimit: endpoint.RateLimit{
-					Kind:      endpoint.LimitKind(x.Limit),
-					PerSecond: x.LimitPerS,
-					Burst:     x.LimitBurst,
-					Window: Microseconds(
-						x.WindowMS,
-					),
-					CountsRejected: x.CountsRejected,
-					RetryAfter:     Microseconds(x.RetryAfterMS),
-				},
-			}
-			if x.TLS != nil {
-				spec.FullHandshakeCost, spec.ResumedHandshakeCost = x.TLS.FullHandshakeCost, x.TLS.ResumedHandshakeCost
-			}
-			for _, c := range s.Classes {
-				ms, _ := x.serviceTimeMS(c.Name)
-				spec.ServiceTimes = append(
-					spec.ServiceTimes,
-					endpoint.ServiceTime{
-						Mean:         Microseconds(ms),
-						Distribution: seededrand.Distribution(x.Distribution),
-						CV:           x.CV,
-					},
-				)
-			}
-			for e := range x.Endpoints {
-				p.Endpoints = append(p.Endpoints, Endpoint{
-					Name: fmt.Sprintf("%s/%d", name, e+1), Partner: len(p.Specs), TLS: x.TLS,
-					Zone: s.Relays.Zones[len(p.Endpoints)%len(s.Relays.Zones)], Kind: x.Kind,
-				})
-			}
-			p.Specs = append(p.Specs, spec)
-		}
-	}
-	return p
-}
-
-// classMix is the part of all messages that each partner table gets, by class.
-func (s *Scenario) classMix() [][]float64 {
-	all := 0.0
-	for _, c := range s.Classes {
-		all += c.Share
-	}
-	m := make([][]float64, len(s.Partners))
-	for i := range m {
-		m[i] = make([]float64, len(s.Classes))
-	}
-	for c, class := range s.Classes {
-		takers := 0.0
-		for i := range s.Partners {
-			if s.Partners[i].acceptsClass(class.Name) {
-				takers += s.Partners[i].Share
-			}
-		}
-		for i := range s.Partners {
-			if p := &s.Partners[i]; p.acceptsClass(class.Name) {
-				m[i][c] = class.Share / all * p.Share / takers / float64(p.Count)
-			}
-		}
-	}
-	return m
-}
-
 // Plan draws what is played.
 func (s *Scenario) Plan(seed uint64) *Plan {
 	p := s.EmptyPlan(seed)
@@ -166,212 +78,114 @@
 	return p
 }
 
-// ServiceTimeSeed is the seed of the stand-ins' service times.
-func (p *Plan) ServiceTimeSeed() uint64 { return seededrand.Hash(p.Seed, serviceTimeStream) }
-
-// arrivalPlanner draws the arrivals of a plan.
-type arrivalPlanner struct {
-	*Plan
-	weights       []float64      // by class and partner
-	portalWeights []float64      // by portal
-	portalIndex   map[string]int // by name
-	tableOf       []int          // the partner table of a partner
-	peakFactor    float64        // that the rate is never above
-}
-
-func (p *Plan) newArrivalPlanner() *arrivalPlanner {
-	s := p.Scenario
-	x := &arrivalPlanner{
-		Plan: p, portalWeights: make([]float64, len(s.Portals)), portalIndex: map[string]int{},
-		peakFactor: max(s.Traffic.From, s.Traffic.To, 1+s.Traffic.Amplitude),
-	}
-	for c := range s.Classes {
-		for i := range p.Specs {
-			x.weights = append(x.weights, p.Specs[i].ClassMix[c])
-		}
-	}
-	for i, portal := range s.Portals {
-		x.portalWeights[i] = portal.Share
-		x.portalIndex[portal.Name] = i
-	}
+// EmptyPlan returns a plan of the scenario's partners and endpoints that has no arrivals
+// and no faults yet.
+func (s *Scenario) EmptyPlan(seed uint64) *Plan {
+	p := &Plan{Scenario: s, Seed: seed}
+	mix := s.classMix()
 	for i := range s.Partners {
-		for range s.Partners[i].Count {
-			x.tableOf = append(x.tableOf, i)
-		}
-	}
-	return x
-}
-
-func (p *Plan) drawArrivals() {
-	planner := p.newArrivalPlanner()
-	planner.addSingleArrivals()
-	planner.addBursts()
-	planner.addReturnBursts()
-	slices.SortStableFunc(p.Arrivals, func(a, b Arrival) int { return int(a.At - b.At) })
-	for i := range p.Arrivals {
-		if p.Scenario.Classes[p.Arrivals[i].Class].Idempotency == "keyed" {
-			p.Arrivals[i].Key = fmt.Sprintf("%016x", seededrand.Hash(p.Seed, keyStream, uint64(i)))
+		for n := range s.Partners[i].Count {
+			p.addPartner(&s.Partners[i], n, mix[i])
 		}
 	}
+	return p
 }
 
-// addArrival adds one arrival; st draws its portal.
-func (x *arrivalPlanner) addArrival(at float64, class, part int, st *seededrand.Stream) {
-	a := Arrival{
-		At: event.Time(
-			at * 1e6,
-		),
-		Class:       class,
-		Destination: x.Specs[part].Destination,
-		Portal:      st.WeightedIndex(x.portalWeights),
+// addPartner adds the n-th partner of a table, and its endpoints.
+func (p *Plan) addPartner(table *Partner, n int, classMix []float64) {
+	spec := p.Scenario.endpointSpec(table, classMix)
+	spec.Name = table.Name
+	if table.Count > 1 {
+		spec.Name = fmt.Sprintf("%s-%d", table.Name, n+1)
 	}
-	if name := x.Scenario.Partners[x.tableOf[part]].Portal; name != "" {
-		a.Portal = x.portalIndex[name]
+	spec.Destination = len(p.Specs) + 1
+	zones := p.Scenario.Relays.Zones
+	for i := range table.Endpoints {
+		p.Endpoints = append(p.Endpoints, Endpoint{
+			Name:    fmt.Sprintf("%s/%d", spec.Name, i+1),
+			Partner: len(p.Specs),
+			Zone:    zones[len(p.Endpoints)%len(zones)],
+			Kind:    table.Kind,
+			TLS:     table.TLS,
+		})
 	}
-	x.Arrivals = append(x.Arrivals, a)
+	p.Specs = append(p.Specs, spec)
 }
 
-// addSingleArrivals draws arrivals that come one by one.
-func (x *arrivalPlanner) addSingleArrivals() {
-	s := x.Scenario
-	peak := s.Traffic.RatePerS * (1 - s.Traffic.BurstShare) * x.peakFactor
-	if s.Traffic.RatePerS*(1-s.Traffic.BurstShare) <= 0 {
-		return
+// endpointSpec returns the emulator's settings for a partner of a table, without its
+// name and destination.
+func (s *Scenario) endpointSpec(table *Partner, classMix []float64) endpoint.Spec {
+	spec := endpoint.Spec{
+		Endpoints:         table.Endpoints,
+		IndependentRoutes: table.Routes == "apart",
+		Capacity:          table.CapacityPerS,
+		QueueLimit:        table.QueueLimit,
+		ClassMix:          classMix,
+		MaxConns:          table.MaxConns,
+		IdleTimeout:       Microseconds(table.IdleTimeoutMS),
+		HandshakeTime:     Microseconds(table.HandshakeMS),
+		OneWayDelay:       Microseconds(table.OneWayDelayMS),
+		WarmUpShare:       table.WarmUpShare,
+		WarmUpTime:        Microseconds(table.WarmUpMS),
+		OverloadFactor:    s.Rules.OverloadFactor,
+		OverloadWindow:    Microseconds(s.Rules.OverloadWindowMS),
+		DedupWindow:       Microseconds(table.DedupWindowMS),
+		ErrorShare:        table.ErrorShare,
+		Cancel:            endpoint.CancelPolicy(table.Cancel),
+		RateLimit: endpoint.RateLimit{
+			Kind:           endpoint.LimitKind(table.Limit),
+			PerSecond:      table.LimitPerS,
+			Burst:          table.LimitBurst,
+			Window:         Microseconds(table.WindowMS),
+			CountsRejected: table.CountsRejected,
+			RetryAfter:     Microseconds(table.RetryAfterMS),
+		},
 	}
-	st := seededrand.NewStream(x.Seed, arrivalStream)
-	for at := st.ExpFloat64() / peak; at < s.LengthS; at += st.ExpFloat64() / peak {
-		if st.Float64()*x.peakFactor < s.rateFactor(at) { // thinning (Lewis and Shedler, 1979)
-			i := st.WeightedIndex(x.weights)
-			x.addArrival(at, i/len(x.Specs), i%len(x.Specs), st)
-		}
-	}
-}
-
-// addBursts draws arrivals that come many at once for one partner.
-func (x *arrivalPlanner) addBursts() {
-	s := x.Scenario
-	rate := s.Traffic.RatePerS * s.Traffic.BurstShare / float64(s.Traffic.BurstSize)
-	if rate <= 0 {
-		return
+	if tls := table.TLS; tls != nil {
+		spec.FullHandshakeCost, spec.ResumedHandshakeCost = tls.FullHandshakeCost, tls.ResumedHandshakeCost
 	}
-	peak := rate * x.peakFactor
-	st := seededrand.NewStream(x.Seed, burstStream)
-	for at := st.ExpFloat64() / peak; at < s.LengthS; at += st.ExpFloat64() / peak {
-		if st.Float64()*x.peakFactor >= s.rateFactor(at) {
-			continue
-		}
-		part := st.WeightedIndex(x.weights) % len(x.Specs)
-		for range s.Traffic.BurstSize {
-			if t := at + st.Float64()*0.1; t < s.LengthS {
-				x.addArrival(t, st.WeightedIndex(x.Specs[part].ClassMix), part, st)
-			}
-		}
+	for i := range s.Classes {
+		mean, _ := table.serviceTimeMS(s.Classes[i].Name)
+		spec.ServiceTimes = append(spec.ServiceTimes, endpoint.ServiceTime{
+			Mean:         Microseconds(mean),
+			Distribution: seededrand.Distribution(table.Distribution),
+			CV:           table.CV,
+		})
 	}
+	return spec
 }
 
-// addReturnBursts draws the bursts of partners that nobody has sent to for a while.
-func (x *arrivalPlanner) addReturnBursts() {
-	st := seededrand.NewStream(x.Seed, returnStream)
-	for part := range x.Specs {
-		table := &x.Scenario.Partners[x.tableOf[part]]
-		for range table.ReturnBurst {
-			x.addArrival(table.ReturnS+st.Float64(), st.WeightedIndex(x.Specs[part].ClassMix), part, st)
-		}
+// classMix returns the part of all messages that one partner of each table gets, by
+// table and class.
+func (s *Scenario) classMix() [][]float64 {
+	classShares := 0.0
+	for _, class := range s.Classes {
+		classShares += class.Share
 	}
-}
-
-// rateFactor is the traffic's shape: what its rate is multiplied by at a moment.
-func (s *Scenario) rateFactor(at float64) float64 {
-	t, x := &s.Traffic, at/s.LengthS
-	switch t.Shape {
-	case "ramp":
-		return t.From + (t.To-t.From)*x
-	case "wave":
-		return 1 + t.Amplitude*math.Sin(2*math.Pi*at/t.PeriodS)
-	case "rush": // climbs in the second quarter, stays in the third, falls in the last
-		switch {
-		case x < 0.25:
-			return 1
-		case x < 0.5:
-			return 1 + (t.To-1)*(x-0.25)*4
-		case x < 0.75:
-			return t.To
-		}
-		return t.To + (1-t.To)*(x-0.75)*4
+	mix := make([][]float64, len(s.Partners))
+	for i := range mix {
+		mix[i] = make([]float64, len(s.Classes))
 	}
-	return 1
-}
-
-func (p *Plan) drawFaults() {
-	s := p.Scenario
-	for i := range s.Faults {
-		f := &s.Faults[i]
-		x := PlannedFault{
-			Kind: f.Kind, At: Microseconds(f.StartS * 1000), Until: Microseconds(
-				(f.StartS + f.DurationS) * 1000,
-			), Magnitude: f.Magnitude, Share: f.Share,
-			Variant: f.Variant,
-		}
-		for c := range s.Classes {
-			if s.Classes[c].Name == f.Class {
-				x.Class = c
-			}
-		}
-		if fieldsByFault[f.Kind].partner {
-			x.Endpoints = p.drawEndpoints(i, f)
-		} else {
-			for r := range s.Relays.Count {
-				if f.Relay == 0 || f.Relay == r+1 {
-					x.Relays = append(x.Relays, r)
-				}
+	for c, class := range s.Classes {
+		partnerShares := 0.0
+		for i := range s.Partners {
+			if s.Partners[i].acceptsClass(class.Name) {
+				partnerShares += s.Partners[i].Share
 			}
 		}
-		p.Faults = append(p.Faults, x)
-	}
-	slices.SortStableFunc(p.Faults, func(a, b PlannedFault) int { return int(a.At - b.At) })
-}
-
-// drawEndpoints draws the endpoints that a fault strikes.
-func (p *Plan) drawEndpoints(n int, f *Fault) []int {
-	var all []int
-	first := 0
-	st := seededrand.NewStream(p.Seed, faultStream, uint64(n))
-	for i := range p.Specs {
-		x := &p.Specs[i]
-		if p.faultNamesPartner(f, i) {
-			k := max(1, int(math.Round(f.EndpointShare*float64(x.Endpoints))))
-			ends := make([]int, x.Endpoints)
-			for e := range ends {
-				ends[e] = first + e
-			}
-			for e := range k { // the first k of a shuffle
-				o := e + int(st.Float64()*float64(len(ends)-e))
-				ends[e], ends[o] = ends[o], ends[e]
+		for i := range s.Partners {
+			if table := &s.Partners[i]; table.acceptsClass(class.Name) {
+				mix[i][c] = class.Share / classShares * table.Share / partnerShares / float64(table.Count)
 			}
-			ends = ends[:k]
-			slices.Sort(ends)
-			all = append(all, ends...)
 		}
-		first += x.Endpoints
 	}
-	return all
+	return mix
 }
 
-// faultNamesPartner reports whether a fault names a partner, by its own name or its table's.
-func (p *Plan) faultNamesPartner(f *Fault, i int) bool {
-	table := 0
-	for n := i; n >= p.Scenario.Partners[table].Count; table++ {
-		n -= p.Scenario.Partners[table].Count
-	}
-	for _, name := range f.partnerNames() {
-		if name == "*" || name == p.Specs[i].Name || name == p.Scenario.Partners[table].Name {
-			return true
-		}
-	}
-	return false
-}
+// ServiceTimeSeed is the seed of the endpoint emulator's service times.
+func (p *Plan) ServiceTimeSeed() uint64 { return seededrand.Hash(p.Seed, serviceTimeStream) }
 
-// Validate tells whether a plan from elsewhere fits its scenario.
+// Validate reports what of a recorded arrival does not fit the plan.
 func (a *Arrival) Validate(p *Plan) error {
 	switch {
 	case a.At < 0 || a.At > Microseconds(p.Scenario.LengthS*1000):
@@ -384,59 +198,61 @@
 		return fmt.Errorf("dest: %d, want 1 to %d", a.Destination, len(p.Specs))
 	case p.Specs[a.Destination-1].ServiceTimes[a.Class].Mean <= 0:
 		return fmt.Errorf("class: partner %s has no service time for %d", p.Specs[a.Destination-1].Name, a.Class)
-	case len(a.Key) > 64:
-		return fmt.Errorf("key: %d bytes, 64 at most", len(a.Key))
+	case len(a.Key) > maxKeyBytes:
+		return fmt.Errorf("key: %d bytes, %d at most", len(a.Key), maxKeyBytes)
 	}
 	return nil
 }
 
-// Validate tells whether a fault from elsewhere fits its plan.
+// Validate reports what of a recorded fault does not fit the plan.
 func (f *PlannedFault) Validate(p *Plan) error {
-	shape, ok := fieldsByFault[f.Kind]
+	fields, known := fieldsByFault[f.Kind]
 	switch {
-	case !ok:
+	case !known:
 		return fmt.Errorf("kind: unknown fault %q", f.Kind)
 	case f.At < 0 || f.Until < f.At:
 		return fmt.Errorf("at_us, until_us: from %d to %d", f.At, f.Until)
-	case shape.magnitude && !(f.Magnitude >= shape.minMagnitude && f.Magnitude <= 1000):
+	case fields.magnitude && !(f.Magnitude >= fields.minMagnitude && f.Magnitude <= maxMagnitude):
 		return fmt.Errorf("size: %v", f.Magnitude)
-	case shape.share && !(f.Share > 0 && f.Share <= 1):
+	case fields.share && !(f.Share > 0 && f.Share <= 1):
 		return fmt.Errorf("share: %v", f.Share)
-	case shape.class && (f.Class < 0 || f.Class >= len(p.Scenario.Classes)):
+	case fields.class && (f.Class < 0 || f.Class >= len(p.Scenario.Classes)):
 		return fmt.Errorf("class: %d", f.Class)
-	case shape.partner && len(f.Endpoints) == 0, !shape.partner && len(f.Relays) == 0:
-		return fmt.Errorf("it strikes nothing")
+	case fields.partner && len(f.Endpoints) == 0, !fields.partner && len(f.Relays) == 0:
+		return errors.New("it strikes nothing")
 	}
-	for _, e := range f.Endpoints {
-		if e < 0 || e >= len(p.Endpoints) {
-			return fmt.Errorf("endpoints: %d, there are %d", e, len(p.Endpoints))
+	for _, endpoint := range f.Endpoints {
+		if endpoint < 0 || endpoint >= len(p.Endpoints) {
+			return fmt.Errorf("endpoints: %d, there are %d", endpoint, len(p.Endpoints))
 		}
 	}
-	for _, r := range f.Relays {
-		if r < 0 || r >= p.Scenario.Relays.Count {
-			return fmt.Errorf("relays: %d, there are %d", r, p.Scenario.Relays.Count)
+	for _, relay := range f.Relays {
+		if relay < 0 || relay >= p.Scenario.Relays.Count {
+			return fmt.Errorf("relays: %d, there are %d", relay, p.Scenario.Relays.Count)
 		}
 	}
 	return nil
 }
 
-// MaxInFlight is the number of calls that a relay may have out at once.
+// MaxInFlight is the number of calls that a relay may have in flight: twice what the
+// traffic keeps busy, unless the scenario sets it.
 func (p *Plan) MaxInFlight() int {
-	s := p.Scenario
-	if s.Relays.MaxInFlight > 0 {
-		return s.Relays.MaxInFlight
+	if n := p.Scenario.Relays.MaxInFlight; n > 0 {
+		return n
 	}
 	busy := 0.0
 	for i := range p.Specs {
-		x := &p.Specs[i]
-		for c, m := range x.ClassMix {
-			busy += m * s.Traffic.RatePerS * float64(x.ServiceTimes[c].Mean+2*x.OneWayDelay) / 1e6
+		spec := &p.Specs[i]
+		for class, part := range spec.ClassMix {
+			callTime := float64(spec.ServiceTimes[class].Mean + 2*spec.OneWayDelay)
+			busy += part * p.Scenario.Traffic.RatePerS * callTime / 1e6
 		}
 	}
-	return max(3, int(math.Ceil(2*busy/float64(s.Relays.Count))))
+	return max(3, int(math.Ceil(2*busy/float64(p.Scenario.Relays.Count))))
 }
 
-// MaxPending is the number of messages that a relay may hold.
+// MaxPending is the number of messages that a relay may hold: ten seconds of the
+// traffic, unless the scenario sets it.
 func (p *Plan) MaxPending() int {
 	if n := p.Scenario.Relays.MaxPending; n > 0 {
 		return n
