--- a/internal/rehearsal/replay/recording_test.go
+++ b/internal/rehearsal/replay/recording_test.go
@@ -35,7 +35,8 @@
 }
 
 func same(a, b *scenario.Plan) bool {
-	return a.Seed == b.Seed && a.ServiceTimeSeed() == b.ServiceTimeSeed() && reflect.DeepEqual(a.Arrivals, b.Arrivals) &&
+	return a.Seed == b.Seed && a.ServiceTimeSeed() == b.ServiceTimeSeed() &&
+		reflect.DeepEqual(a.Arrivals, b.Arrivals) &&
 		reflect.DeepEqual(a.Faults, b.Faults) &&
 		reflect.DeepEqual(a.Specs, b.Specs) &&
 		reflect.DeepEqual(a.Endpoints, b.Endpoints) &&
--- a/internal/rehearsal/scenario/scenario_test.go
+++ b/internal/rehearsal/scenario/scenario_test.go
@@ -73,7 +73,7 @@
 	}
 }
 
-// TestErrorsNameFileLineAndKey spoils the least scenario in one place a time.
+// TestErrorsNameFileLineAndKey breaks the minimal scenario in one place at a time.
 func TestErrorsNameFileLineAndKey(t *testing.T) {
 	for _, c := range []struct{ old, new, want string }{
 		{"version = 1\n", "", "f.toml: version: missing"},
@@ -186,7 +186,7 @@
 	}
 	n := float64(len(p.Arrivals))
 	// Class a is a quarter, half of it for q; the rest is for the three p.
-	for _, x := range []struct {
+	for _, share := range []struct {
 		what      string
 		got, want float64
 	}{
@@ -195,8 +195,8 @@
 		{"q", dests[4] / n, 0.125},
 		{"p-1", dests[1] / n, 0.875 / 3},
 	} {
-		if math.Abs(x.got/x.want-1) > 0.04 {
-			t.Errorf("%s: %v, want %v", x.what, x.got, x.want)
+		if math.Abs(share.got/share.want-1) > 0.04 {
+			t.Errorf("%s: %v, want %v", share.what, share.got, share.want)
 		}
 	}
 	if f := p.Faults[0]; !reflect.DeepEqual(f.Endpoints, []int{2, 3}) || f.At != 1e6 || f.Until != 3e6 {
@@ -217,18 +217,27 @@
 		{func(t *Traffic) {}, [4]float64{1, 1, 1, 1}},
 		{func(t *Traffic) { t.Shape, t.From, t.To = "ramp", 0, 2 }, [4]float64{0.25, 0.75, 1.25, 1.75}},
 		{func(t *Traffic) { t.Shape, t.From, t.To = "rush", 1, 3 }, [4]float64{1, 2, 3, 2}},
-		{func(t *Traffic) { t.Shape, t.Amplitude, t.PeriodS = "wave", 0.5, 400 }, [4]float64{1.318, 1.318, 0.682, 0.682}},
+		{
+			func(t *Traffic) { t.Shape, t.Amplitude, t.PeriodS = "wave", 0.5, 400 },
+			[4]float64{1.318, 1.318, 0.682, 0.682},
+		},
 		{func(t *Traffic) { t.BurstShare, t.BurstSize = 0.3, 5 }, [4]float64{1, 1, 1, 1}},
 	} {
-		x := *s
-		c.set(&x.Traffic)
+		shaped := *s
+		c.set(&shaped.Traffic)
 		var got [4]float64
-		for _, a := range x.Plan(9).Arrivals {
+		for _, a := range shaped.Plan(9).Arrivals {
 			got[a.At/100_000_000]++
 		}
 		for i := range got {
 			if math.Abs(got[i]/5000-c.shares[i]) > 0.08 {
-				t.Errorf("%s: quarter %d has %.2f of the rate, want %.2f", x.Traffic.Shape, i, got[i]/5000, c.shares[i])
+				t.Errorf(
+					"%s: quarter %d has %.2f of the rate, want %.2f",
+					shaped.Traffic.Shape,
+					i,
+					got[i]/5000,
+					c.shares[i],
+				)
 			}
 		}
 	}
--- a/internal/rehearsal/scenario/validate.go
+++ b/internal/rehearsal/scenario/validate.go
@@ -15,80 +15,96 @@
 // validator collects what is wrong, each with its key and line.
 type validator struct{ *tomlfile.Checker }
 
-func (c *validator) errorf(key, format string, a ...any) { c.Errorf(key, format, a...) }
+// errorf adds an error at a key.
+func (v *validator) errorf(key, format string, args ...any) { v.Errorf(key, format, args...) }
 
-// checkRange checks a figure; NaN and infinities are out of every range.
-func (c *validator) checkRange(key string, v, least, most float64) {
-	if !(v >= least && v <= most) {
-		if most == math.MaxFloat64 {
-			c.errorf(key, "%v, want at least %v", v, least)
-		} else {
-			c.errorf(key, "%v, want %v to %v", v, least, most)
-		}
+// checkRange checks a number; NaN and infinities are out of every range.
+func (v *validator) checkRange(key string, number, least, most float64) {
+	switch {
+	case number >= least && number <= most:
+	case most == math.MaxFloat64:
+		v.errorf(key, "%v, want at least %v", number, least)
+	default:
+		v.errorf(key, "%v, want %v to %v", number, least, most)
+	}
+}
+
+// numberBounds are the bounds of the number at a key.
+type numberBounds struct {
+	key             string
+	value, min, max float64
+}
+
+// checkBounds checks numbers whose keys begin with a prefix.
+func (v *validator) checkBounds(prefix string, numbers []numberBounds) {
+	for _, number := range numbers {
+		v.checkRange(prefix+number.key, number.value, number.min, number.max)
 	}
 }
 
-func (c *validator) checkOneOf(key, v string, among ...string) {
-	if !slices.Contains(among, v) {
-		c.errorf(key, "%q, want one of %s", v, strings.Join(among, ", "))
+// checkOneOf checks a word that must be one of a few.
+func (v *validator) checkOneOf(key, word string, allowed ...string) {
+	if !slices.Contains(allowed, word) {
+		v.errorf(key, "%q, want one of %s", word, strings.Join(allowed, ", "))
 	}
 }
 
-func (c *validator) checkName(key, v string, seen map[string]bool) {
+// checkName checks a name and that it is not among those seen, and adds it to them.
+func (v *validator) checkName(key, name string, seen map[string]bool) {
 	switch {
-	case v == "" || len(v) > 64 ||
-		strings.ContainsFunc(v, func(r rune) bool { return r <= ' ' || r > '~' || r == ',' || r == '=' }):
-		c.errorf(key, "%q, want a name of 1 to 64 plain characters with no comma and no equals sign", v)
-	case seen[v]:
-		c.errorf(key, "%q is there twice", v)
+	case name == "" || len(name) > maxNameBytes || strings.ContainsFunc(name, forbiddenInName):
+		v.errorf(key, "%q, want a name of 1 to 64 plain characters with no comma and no equals sign", name)
+	case seen[name]:
+		v.errorf(key, "%q is there twice", name)
 	}
-	seen[v] = true
+	seen[name] = true
 }
 
+func forbiddenInName(r rune) bool { return r <= ' ' || r > '~' || r == ',' || r == '=' }
+
 const (
 	dayMS               = 24 * 3600 * 1000
+	maxNameBytes        = 64
 	maxMessages         = 2_000_000
 	maxEndpoints        = 2000
-	maxIdleDestinations = 20_000 // of a list of 4 MB
+	maxIdleDestinations = 20_000 // as many as an endpoint list of 4 MB holds
 )
 
-func (c *validator) checkScenario(s *Scenario) {
+// checkScenario checks all of a scenario, or its version alone where it is not understood.
+func (v *validator) checkScenario(s *Scenario) {
 	switch {
 	case s.Version == 0:
-		c.errorf("version", "missing; this program reads version %d", Version)
+		v.errorf("version", "missing; this program reads version %d", Version)
 	case s.Version != Version:
-		c.errorf("version", "%d; this program reads version %d", s.Version, Version)
+		v.errorf("version", "%d; this program reads version %d", s.Version, Version)
 		return
 	}
-	c.checkName("name", s.Name, map[string]bool{})
-	c.checkRange("length_s", s.LengthS, 0.1, 24*3600)
-	c.checkRange("floor", s.MinService, 0, 1)
-	c.checkRange("late_ms", s.MaxLatenessMS, 1, 10_000)
-	c.checkRelays(s)
-	c.checkNumbers(s)
-	c.checkOneOf("traffic.shape", s.Traffic.Shape, "steady", "ramp", "wave", "rush")
+	v.checkName("name", s.Name, map[string]bool{})
+	v.checkRange("length_s", s.LengthS, 0.1, 24*3600)
+	v.checkRange("floor", s.MinService, 0, 1)
+	v.checkRange("late_ms", s.MaxLatenessMS, 1, 10_000)
+	v.checkRelays(s)
+	v.checkNumbers(s)
+	v.checkOneOf("traffic.shape", s.Traffic.Shape, "steady", "ramp", "wave", "rush")
 	if n := s.Traffic.RatePerS * s.LengthS * max(s.Traffic.From, s.Traffic.To, 1); n > maxMessages {
-		c.errorf("traffic.rate_per_s", "about %.0f messages, %d at most", n, maxMessages)
+		v.errorf("traffic.rate_per_s", "about %.0f messages, %d at most", n, maxMessages)
 	}
-	classes := c.checkClasses(s)
+	classes := v.checkClasses(s)
 	portals := map[string]bool{}
 	for i, p := range s.Portals {
 		key := fmt.Sprintf("portal[%d]", i)
-		c.checkName(key+".name", p.Name, portals)
-		c.checkRange(key+".share", p.Share, 1e-6, 1e6)
-		c.checkRange(key+".quota_per_s", p.QuotaPerS, 0, 1e6)
+		v.checkName(key+".name", p.Name, portals)
+		v.checkRange(key+".share", p.Share, 1e-6, 1e6)
+		v.checkRange(key+".quota_per_s", p.QuotaPerS, 0, 1e6)
 	}
-	names := c.checkPartners(s, classes, portals)
-	c.checkFaults(s, classes, names)
+	names := v.checkPartners(s, classes, portals)
+	v.checkFaults(s, classes, names)
 }
 
 // checkNumbers checks the bounds of plain numbers.
-func (c *validator) checkNumbers(s *Scenario) {
+func (v *validator) checkNumbers(s *Scenario) {
 	r := &s.Rules
-	for _, x := range []struct {
-		key         string
-		v, min, max float64
-	}{
+	v.checkBounds("", []numberBounds{
 		{"clients.answer_ms", s.Clients.ReplyTimeoutMS, 10, 60_000},
 		{"clients.retries", float64(s.Clients.Retries), 0, 10},
 		{"clients.backoff_ms", s.Clients.BackoffMS, 1, 60_000},
@@ -115,130 +131,121 @@
 		{"traffic.to", s.Traffic.To, 0, 100},
 		{"traffic.clump_share", s.Traffic.BurstShare, 0, 1},
 		{"traffic.clump_size", float64(s.Traffic.BurstSize), 1, 10_000},
-	} {
-		c.checkRange(x.key, x.v, x.min, x.max)
-	}
+	})
 }
 
-func (c *validator) checkRelays(s *Scenario) {
+// checkRelays checks the relays and their zones.
+func (v *validator) checkRelays(s *Scenario) {
 	r := &s.Relays
-	for _, x := range []struct {
-		key      string
-		v        int
-		min, max float64
-	}{
-		{"count", r.Count, 1, 16},
-		{"slots", r.MaxInFlight, 0, 100_000},
-		{"held", r.MaxPending, 0, 1e6},
-		{"max_attempts", r.MaxAttempts, 1, 100},
-		{"memory_mb", r.MemoryMB, 8, 65536},
-		{"sockets", r.Sockets, 64, 100_000},
-		{"disk_mb", r.DiskMB, 1, 65536},
-	} {
-		c.checkRange("relays."+x.key, float64(x.v), x.min, x.max)
-	}
-	c.checkRange("relays.max_retry_after_ms", r.MaxRetryAfterMS, 0, 60_000)
-	c.checkRange("relays.connect_timeout_ms", r.ConnectTimeoutMS, 10, 60_000)
+	v.checkBounds("relays.", []numberBounds{
+		{"count", float64(r.Count), 1, 16},
+		{"slots", float64(r.MaxInFlight), 0, 100_000},
+		{"held", float64(r.MaxPending), 0, 1e6},
+		{"max_attempts", float64(r.MaxAttempts), 1, 100},
+		{"memory_mb", float64(r.MemoryMB), 8, 65536},
+		{"sockets", float64(r.Sockets), 64, 100_000},
+		{"disk_mb", float64(r.DiskMB), 1, 65536},
+	})
+	v.checkRange("relays.max_retry_after_ms", r.MaxRetryAfterMS, 0, 60_000)
+	v.checkRange("relays.connect_timeout_ms", r.ConnectTimeoutMS, 10, 60_000)
 	if len(r.Zones) == 0 || len(r.Zones) > 64 {
-		c.errorf("relays.halls", "%d halls, want 1 to 64", len(r.Zones))
+		v.errorf("relays.halls", "%d halls, want 1 to 64", len(r.Zones))
 	}
 	seen := map[string]bool{}
 	for _, h := range r.Zones {
-		c.checkName("relays.halls", h, seen)
+		v.checkName("relays.halls", h, seen)
 	}
 }
 
-func (c *validator) checkClasses(s *Scenario) map[string]bool {
+// checkClasses checks the classes of message and returns their names.
+func (v *validator) checkClasses(s *Scenario) map[string]bool {
 	seen := map[string]bool{}
 	if len(s.Classes) == 0 || len(s.Classes) > 64 {
-		c.errorf("class", "%d classes, want 1 to 64", len(s.Classes))
+		v.errorf("class", "%d classes, want 1 to 64", len(s.Classes))
 	}
-	for i, x := range s.Classes {
+	for i, class := range s.Classes {
 		key := fmt.Sprintf("class[%d]", i)
-		c.checkName(key+".name", x.Name, seen)
-		c.checkRange(key+".share", x.Share, 1e-6, 1e6)
-		c.checkRange(key+".aim_ms", x.LatencyObjectiveMS, 1, dayMS)
-		c.checkRange(key+".deadline_ms", x.DeadlineMS, max(x.LatencyObjectiveMS, 1), 600_000)
-		c.checkRange(key+".worth", x.Weight, 0, 1e6)
-		c.checkRange(key+".late_worth", x.LateWeight, 0, 1)
-		c.checkOneOf(key+".repeat", x.Idempotency, "safe", "keyed", "unsafe")
-		if x.Idempotency == "keyed" {
-			c.checkRange(key+".key_window_ms", x.DedupWindowMS, 1, 600_000)
-		} else if x.DedupWindowMS != 0 {
-			c.errorf(key+".key_window_ms", "only keyed classes have one")
+		v.checkName(key+".name", class.Name, seen)
+		v.checkRange(key+".share", class.Share, 1e-6, 1e6)
+		v.checkRange(key+".aim_ms", class.LatencyObjectiveMS, 1, dayMS)
+		v.checkRange(key+".deadline_ms", class.DeadlineMS, max(class.LatencyObjectiveMS, 1), 600_000)
+		v.checkRange(key+".worth", class.Weight, 0, 1e6)
+		v.checkRange(key+".late_worth", class.LateWeight, 0, 1)
+		v.checkOneOf(key+".repeat", class.Idempotency, "safe", "keyed", "unsafe")
+		if class.Idempotency == "keyed" {
+			v.checkRange(key+".key_window_ms", class.DedupWindowMS, 1, 600_000)
+		} else if class.DedupWindowMS != 0 {
+			v.errorf(key+".key_window_ms", "only keyed classes have one")
 		}
 	}
 	return seen
 }
 
 // checkPartners checks the partners and returns the names that a fault may use.
-func (c *validator) checkPartners(s *Scenario, classes, portals map[string]bool) map[string]bool {
+func (v *validator) checkPartners(s *Scenario, classes, portals map[string]bool) map[string]bool {
 	names, tables, ends := map[string]bool{}, map[string]bool{}, 0
 	if len(s.Partners) == 0 {
-		c.errorf("partner", "no partners")
+		v.errorf("partner", "no partners")
 	}
 	for i := range s.Partners {
 		p := &s.Partners[i]
 		key := fmt.Sprintf("partner[%d]", i)
-		c.checkName(key+".name", p.Name, tables)
+		v.checkName(key+".name", p.Name, tables)
 		names[p.Name] = true
 		if p.Count < 1 || p.Count > maxEndpoints {
-			c.errorf(key+".count", "%d, want 1 to %d", p.Count, maxEndpoints)
+			v.errorf(key+".count", "%d, want 1 to %d", p.Count, maxEndpoints)
 			continue
 		}
 		for n := 1; n <= p.Count && p.Count > 1; n++ {
 			names[fmt.Sprintf("%s-%d", p.Name, n)] = true
 		}
 		ends += p.Count * max(p.Endpoints, 0)
-		c.checkPartner(key, p, s, classes, portals)
+		v.checkPartner(key, p, s, classes, portals)
 	}
 	if ends > maxEndpoints {
-		c.errorf("partner", "%d endpoints, %d at most", ends, maxEndpoints)
+		v.errorf("partner", "%d endpoints, %d at most", ends, maxEndpoints)
 	}
 	return names
 }
 
-func (c *validator) checkPartner(key string, p *Partner, s *Scenario, classes, portals map[string]bool) {
+// checkPartner checks a table of partners.
+func (v *validator) checkPartner(key string, p *Partner, s *Scenario, classes, portals map[string]bool) {
 	if p.Portal != "" && !portals[p.Portal] {
-		c.errorf(key+".portal", "no portal %q", p.Portal)
+		v.errorf(key+".portal", "no portal %q", p.Portal)
 	}
 	for _, name := range p.Classes {
 		if !classes[name] {
-			c.errorf(key+".classes", "no class %q", name)
+			v.errorf(key+".classes", "no class %q", name)
 		}
 	}
-	c.checkPartnerNumbers(key, p, s.LengthS)
-	c.checkOneOf(key+".routes", p.Routes, "shared", "apart")
-	c.checkOneOf(key+".dist", p.Distribution,
+	v.checkPartnerNumbers(key, p, s.LengthS)
+	v.checkOneOf(key+".routes", p.Routes, "shared", "apart")
+	v.checkOneOf(key+".dist", p.Distribution,
 		string(seededrand.Constant), string(seededrand.Exponential), string(seededrand.LogNormal))
-	c.checkOneOf(key+".limit", p.Limit,
+	v.checkOneOf(key+".limit", p.Limit,
 		string(endpoint.NoLimit), string(endpoint.TokenBucket), string(endpoint.FixedWindow))
-	c.checkOneOf(key+".cancel", p.Cancel,
+	v.checkOneOf(key+".cancel", p.Cancel,
 		string(endpoint.CancelNone), string(endpoint.CancelQueued), string(endpoint.CancelAll))
 	if p.TLS != nil {
-		c.checkPartnerTLS(key+".tls", p.TLS)
+		v.checkPartnerTLS(key+".tls", p.TLS)
 	}
-	c.checkPartnerLimit(key, p)
-	for name, v := range p.ServiceMS {
+	v.checkPartnerLimit(key, p)
+	for name, mean := range p.ServiceMS {
 		if name != "all" && !classes[name] {
-			c.errorf(key+".service_ms."+name, "no class %q", name)
+			v.errorf(key+".service_ms."+name, "no class %q", name)
 		}
-		c.checkRange(key+".service_ms."+name, v, 0.1, 600_000)
+		v.checkRange(key+".service_ms."+name, mean, 0.1, 600_000)
 	}
-	for _, x := range s.Classes {
-		if _, ok := p.serviceTimeMS(x.Name); !ok && p.acceptsClass(x.Name) {
-			c.errorf(key+".service_ms", "no time for class %q, and none for all", x.Name)
+	for _, class := range s.Classes {
+		if _, ok := p.serviceTimeMS(class.Name); !ok && p.acceptsClass(class.Name) {
+			v.errorf(key+".service_ms", "no time for class %q, and none for all", class.Name)
 		}
 	}
 }
 
 // checkPartnerNumbers checks the bounds of a partner's plain numbers.
-func (c *validator) checkPartnerNumbers(key string, p *Partner, lengthS float64) {
-	for _, x := range []struct {
-		key      string
-		v        float64
-		min, max float64
-	}{
+func (v *validator) checkPartnerNumbers(key string, p *Partner, lengthS float64) {
+	v.checkBounds(key+".", []numberBounds{
 		{"share", p.Share, 1e-6, 1e6},
 		{"endpoints", float64(p.Endpoints), 1, maxEndpoints},
 		{"capacity_per_s", p.CapacityPerS, 0.01, 1e5},
@@ -255,122 +262,127 @@
 		{"errors", p.ErrorShare, 0, 1},
 		{"return_s", p.ReturnS, 0, max(lengthS-1, 0)},
 		{"return_burst", float64(p.ReturnBurst), 0, 1000},
-	} {
-		c.checkRange(key+"."+x.key, x.v, x.min, x.max)
-	}
+	})
 }
 
-func (c *validator) checkPartnerTLS(key string, x *TLS) {
-	c.checkOneOf(key+".version", x.Version, "", "1.2", "1.3")
-	c.checkOneOf(key+".key", x.Key, "", string(testca.P256), string(testca.RSA2048), string(testca.Ed25519))
-	c.checkRange(key+".delay_ms", x.HandshakeDelayMS, 0, 10_000)
-	c.checkRange(key+".full_weight", x.FullHandshakeCost, 0, 100)
-	c.checkRange(key+".resumed", x.ResumedHandshakeCost, 0, 100)
-	c.checkRange(key+".told_weight", x.DeclaredHandshakeCost, 0, 100)
-	c.checkRange(key+".share", x.HandshakeCPUShare, 0, 1)
+// checkPartnerTLS checks how partners are reached over TLS.
+func (v *validator) checkPartnerTLS(key string, tls *TLS) {
+	v.checkOneOf(key+".version", tls.Version, "", "1.2", "1.3")
+	v.checkOneOf(key+".key", tls.Key, "", string(testca.P256), string(testca.RSA2048), string(testca.Ed25519))
+	v.checkRange(key+".delay_ms", tls.HandshakeDelayMS, 0, 10_000)
+	v.checkRange(key+".full_weight", tls.FullHandshakeCost, 0, 100)
+	v.checkRange(key+".resumed", tls.ResumedHandshakeCost, 0, 100)
+	v.checkRange(key+".told_weight", tls.DeclaredHandshakeCost, 0, 100)
+	v.checkRange(key+".share", tls.HandshakeCPUShare, 0, 1)
 }
 
-func (c *validator) checkPartnerLimit(key string, p *Partner) {
+// checkPartnerLimit checks the rate limit of partners.
+func (v *validator) checkPartnerLimit(key string, p *Partner) {
 	if p.Limit == string(endpoint.NoLimit) {
 		if p.LimitPerS != 0 {
-			c.errorf(key+".limit_per_s", "the partner has no limit")
+			v.errorf(key+".limit_per_s", "the partner has no limit")
 		}
 		return
 	}
-	c.checkRange(key+".limit_per_s", p.LimitPerS, 0.01, 1e6)
-	c.checkRange(key+".limit_depth", p.LimitBurst, 0, 1e6)
-	c.checkRange(key+".window_ms", p.WindowMS, 1, 3600_000)
+	v.checkRange(key+".limit_per_s", p.LimitPerS, 0.01, 1e6)
+	v.checkRange(key+".limit_depth", p.LimitBurst, 0, 1e6)
+	v.checkRange(key+".window_ms", p.WindowMS, 1, 3600_000)
 	if p.Limit == string(endpoint.FixedWindow) && p.LimitPerS*p.WindowMS < 1000 {
-		c.errorf(key+".window_ms", "%v calls a second are less than one in %v ms: it would take nothing",
+		v.errorf(key+".window_ms", "%v calls a second are less than one in %v ms: it would take nothing",
 			p.LimitPerS, p.WindowMS)
 	}
 }
 
-func (c *validator) checkFaults(s *Scenario, classes, names map[string]bool) {
+// checkFaults checks the faults.
+func (v *validator) checkFaults(s *Scenario, classes, names map[string]bool) {
 	if len(s.Faults) > 10_000 {
-		c.errorf("fault", "%d faults, 10000 at most", len(s.Faults))
+		v.errorf("fault", "%d faults, 10000 at most", len(s.Faults))
 		return
 	}
 	for i := range s.Faults {
 		f := &s.Faults[i]
 		key := fmt.Sprintf("fault[%d]", i)
-		shape, ok := fieldsByFault[f.Kind]
-		if !ok {
-			c.errorf(key+".kind", "%q, want one of %s", f.Kind, strings.Join(FaultKinds(), ", "))
+		fields, known := fieldsByFault[f.Kind]
+		if !known {
+			v.errorf(key+".kind", "%q, want one of %s", f.Kind, strings.Join(FaultKinds(), ", "))
 			continue
 		}
-		c.checkRange(key+".at_s", f.StartS, 0, s.LengthS)
-		if shape.duration {
-			c.checkRange(key+".length_s", f.DurationS, 0.01, 24*3600)
+		v.checkRange(key+".at_s", f.StartS, 0, s.LengthS)
+		if fields.duration {
+			v.checkRange(key+".length_s", f.DurationS, 0.01, 24*3600)
 		} else if f.DurationS != 0 {
-			c.errorf(key+".length_s", "%s has no length", f.Kind)
+			v.errorf(key+".length_s", "%s has no length", f.Kind)
 		}
-		c.checkFaultTargets(key, f, shape.partner, s, names)
-		c.checkFaultNumbers(key, f, &shape)
-		c.checkFaultClass(key, f, shape.class, classes)
-		c.checkFaultVariant(key, f, shape.variant)
+		v.checkFaultTargets(key, f, fields.partner, s, names)
+		v.checkFaultNumbers(key, f, &fields)
+		v.checkFaultClass(key, f, fields.class, classes)
+		v.checkFaultVariant(key, f, fields.variant)
 	}
 }
 
 // checkFaultTargets checks which partners and relays a fault is about.
-func (c *validator) checkFaultTargets(key string, f *Fault, aboutPartner bool, s *Scenario, names map[string]bool) {
+func (v *validator) checkFaultTargets(key string, f *Fault, aboutPartner bool, s *Scenario, names map[string]bool) {
 	if aboutPartner {
-		c.checkFaultPartners(key, f, s, names)
+		v.checkFaultPartners(key, f, s, names)
 	} else if len(f.partnerNames()) > 0 {
-		c.errorf(key+".partner", "%s is not about a partner", f.Kind)
+		v.errorf(key+".partner", "%s is not about a partner", f.Kind)
 	}
 	if f.Relay < 0 || f.Relay > s.Relays.Count {
-		c.errorf(key+".relay", "%d; the relays are 1 to %d, and 0 for all", f.Relay, s.Relays.Count)
+		v.errorf(key+".relay", "%d; the relays are 1 to %d, and 0 for all", f.Relay, s.Relays.Count)
 	} else if f.Relay != 0 && aboutPartner {
-		c.errorf(key+".relay", "%s is not about a relay", f.Kind)
+		v.errorf(key+".relay", "%s is not about a relay", f.Kind)
 	}
 }
 
-func (c *validator) checkFaultPartners(key string, f *Fault, s *Scenario, names map[string]bool) {
+// checkFaultPartners checks the partners that a fault names.
+func (v *validator) checkFaultPartners(key string, f *Fault, s *Scenario, names map[string]bool) {
 	named := f.partnerNames()
 	if len(named) == 0 {
-		c.errorf(key+".partner", "%s needs a partner", f.Kind)
+		v.errorf(key+".partner", "%s needs a partner", f.Kind)
 	}
 	for _, name := range named {
 		if name != "*" && !names[name] {
-			c.errorf(key+".partner", "no partner %q", name)
+			v.errorf(key+".partner", "no partner %q", name)
 		}
 	}
 	withoutTLS := func(p Partner) bool { return p.TLS == nil && f.matchesTable(p.Name, p.Count) }
 	if strings.HasPrefix(f.Kind, "tls_") && slices.ContainsFunc(s.Partners, withoutTLS) {
-		c.errorf(key+".partner", "%s is about partners with tls", f.Kind)
+		v.errorf(key+".partner", "%s is about partners with tls", f.Kind)
 	}
-	c.checkRange(key+".part", f.EndpointShare, 1e-6, 1)
+	v.checkRange(key+".part", f.EndpointShare, 1e-6, 1)
 }
 
-func (c *validator) checkFaultNumbers(key string, f *Fault, shape *faultFields) {
-	if shape.magnitude {
-		c.checkRange(key+".size", f.Magnitude, shape.minMagnitude, 1000)
+// checkFaultNumbers checks a fault's magnitude and share.
+func (v *validator) checkFaultNumbers(key string, f *Fault, fields *faultFields) {
+	if fields.magnitude {
+		v.checkRange(key+".size", f.Magnitude, fields.minMagnitude, 1000)
 	} else if f.Magnitude != 0 {
-		c.errorf(key+".size", "%s has no size", f.Kind)
+		v.errorf(key+".size", "%s has no size", f.Kind)
 	}
-	if shape.share {
-		c.checkRange(key+".share", f.Share, 1e-6, 1)
+	if fields.share {
+		v.checkRange(key+".share", f.Share, 1e-6, 1)
 	} else if f.Share != 0 {
-		c.errorf(key+".share", "%s has no share", f.Kind)
+		v.errorf(key+".share", "%s has no share", f.Kind)
 	}
 }
 
-func (c *validator) checkFaultClass(key string, f *Fault, aboutClass bool, classes map[string]bool) {
+// checkFaultClass checks the class that a fault names.
+func (v *validator) checkFaultClass(key string, f *Fault, aboutClass bool, classes map[string]bool) {
 	if aboutClass && !classes[f.Class] {
-		c.errorf(key+".class", "no class %q", f.Class)
+		v.errorf(key+".class", "no class %q", f.Class)
 	} else if !aboutClass && f.Class != "" {
-		c.errorf(key+".class", "%s is not about a class", f.Kind)
+		v.errorf(key+".class", "%s is not about a class", f.Kind)
 	}
 }
 
-func (c *validator) checkFaultVariant(key string, f *Fault, hasForm bool) {
+// checkFaultVariant checks the variant of a fault that has some.
+func (v *validator) checkFaultVariant(key string, f *Fault, hasVariant bool) {
 	switch {
 	case f.Kind == RelayUpgrade && f.Variant != "":
-		c.checkOneOf(key+".form", f.Variant, KillPredecessor, KillSuccessor)
+		v.checkOneOf(key+".form", f.Variant, KillPredecessor, KillSuccessor)
 	case f.Kind == RelayUpgrade:
-	case hasForm:
-		c.checkOneOf(
+	case hasVariant:
+		v.checkOneOf(
 			key+".form",
 			f.Variant,
 			string(endpoint.GarbageBytes),
@@ -379,6 +391,6 @@
 			string(endpoint.DuplicateResponse),
 		)
 	case f.Variant != "":
-		c.errorf(key+".form", "%s has no form", f.Kind)
+		v.errorf(key+".form", "%s has no form", f.Kind)
 	}
 }
