--- /dev/null
+++ b/internal/rehearsal/runner/manualrelay.go
@@ -0,0 +1,108 @@
+package runner
+
+import (
+	"context"
+	"fmt"
+	"os"
+	"path/filepath"
+	"sync"
+	"time"
+
+	"troutusher/internal/emulator/endpoint"
+	"troutusher/internal/emulator/endpoint/h1"
+	"troutusher/internal/emulator/registry"
+	"troutusher/internal/event"
+	"troutusher/internal/rehearsal/scenario"
+)
+
+// maxManualMessages is how many messages ServeEmulators remembers.
+const maxManualMessages = 1 << 16
+
+// ManualRelay is what a relay that is started by hand needs.
+type ManualRelay struct {
+	ConfigPath string // of the file for ROUTER_CONFIG
+	Listen     string // where it will listen
+}
+
+// ServeEmulators keeps a plan's partners and discovery up for a relay that is started by
+// hand, until ctx ends. Every message that the relay sends is taken for one that a client
+// submitted. ready is called once all is up; show is called with every event.
+func ServeEmulators(
+	ctx context.Context, plan *scenario.Plan, dir string, ready func(ManualRelay), show func(*event.Event),
+) error {
+	start := time.Now()
+	clock := func() event.Time { return time.Since(start).Microseconds() }
+	var mu sync.Mutex // one event at a time
+	emit := func(e event.Event) {
+		mu.Lock()
+		defer mu.Unlock()
+		show(&e)
+	}
+	rules := endpoint.Rules{
+		Relays: 1, MaxInFlight: plan.MaxInFlight(), MaxAttempts: plan.Scenario.Relays.MaxAttempts,
+	}
+	model, err := endpoint.New(plan.Specs, rules, plan.ServiceTimeSeed(), numberMessages(), emit)
+	if err != nil {
+		return err
+	}
+	server, err := h1.New(model, 1, clock)
+	if err != nil {
+		return err
+	}
+	defer server.Close()
+	discovery, err := registry.New(registry.Config{
+		Relays: 1, Seed: plan.Seed, Clock: clock, Emit: emit,
+		Members: func(int) []registry.Member {
+			return listMembers(plan, func(endpoint int) string { return server.Addr(endpoint, 0) })
+		},
+	})
+	if err != nil {
+		return err
+	}
+	defer discovery.Close()
+	relay, err := configureManualRelay(plan, dir, discovery)
+	if err != nil {
+		return err
+	}
+	ready(relay)
+	<-ctx.Done()
+	return nil
+}
+
+// numberMessages returns a lookup that knows every message, and numbers them. It is called
+// under the model's lock. Once it knows very many it forgets them all.
+func numberMessages() func(id string) (endpoint.Message, bool) {
+	numbers := map[string]int{}
+	return func(id string) (endpoint.Message, bool) {
+		if _, known := numbers[id]; !known {
+			if len(numbers) >= maxManualMessages {
+				clear(numbers)
+			}
+			numbers[id] = len(numbers)
+		}
+		return endpoint.Message{Number: numbers[id]}, true
+	}
+}
+
+// configureManualRelay chooses the relay's address and writes its configuration.
+func configureManualRelay(
+	plan *scenario.Plan, dir string, discovery *registry.Registry,
+) (relay ManualRelay, err error) {
+	relay.ConfigPath = filepath.Join(dir, "config.json")
+	if relay.Listen, err = freeAddress(); err != nil {
+		return relay, err
+	}
+	state := filepath.Join(dir, "state")
+	if err := os.MkdirAll(state, 0o700); err != nil {
+		return relay, err
+	}
+	config := NewRelayConfig(plan, 0, relay.Listen, discovery.Addr(0), state, discovery.ListOf(0), plan.Seed)
+	text, err := config.Text()
+	if err != nil {
+		return relay, err
+	}
+	if err := os.WriteFile(relay.ConfigPath, text, 0o600); err != nil {
+		return relay, fmt.Errorf("hold: %w", err)
+	}
+	return relay, nil
+}
--- a/internal/rehearsal/runner/relay.go
+++ b/internal/rehearsal/runner/relay.go
@@ -1,21 +1,13 @@
 package runner
 
 import (
-	"bufio"
 	"context"
-	"errors"
 	"fmt"
-	"io"
-	"net"
 	"os"
 	"os/exec"
 	"path/filepath"
-	"runtime"
-	"strconv"
 	"strings"
 	"sync"
-	"sync/atomic"
-	"syscall"
 	"time"
 
 	"troutusher/internal/emulator/loopback"
@@ -26,45 +18,16 @@
 
 const (
 	readyTimeout   = 30 * time.Second
-	upgradeTimeout = 6 * time.Second         // from a start beside the old process to the new one's yes
-	stopTimeout    = 3700 * time.Millisecond // from SIGTERM to SIGKILL
-)
-
-// spawner starts processes from one thread that lives as long as the stage, so
-// that the system ends them when the kit itself is killed.
-type spawner struct {
-	work chan func()
-	done chan struct{}
-}
-
-func newSpawner() *spawner {
-	s := &spawner{work: make(chan func()), done: make(chan struct{})}
-	go func() {
-		runtime.LockOSThread()
-		for {
-			select {
-			case f := <-s.work:
-				f()
-			case <-s.done:
-				return
-			}
-		}
-	}()
-	return s
-}
+	upgradeTimeout = 6 * time.Second       // from a start beside the old process until the new one serves
+	readyInterval  = 10 * time.Millisecond // between two questions whether a process is ready
+	maxLogTail     = 400                   // bytes of the log that an error shows
 
-func (s *spawner) start(cmd *exec.Cmd) error {
-	err := make(chan error, 1)
-	select {
-	case s.work <- func() { err <- cmd.Start() }:
-		return <-err
-	case <-s.done:
-		return errors.New("the stage is closed")
-	}
-}
+	// relaySeedStream is the stream of draws for the seeds of relays.
+	relaySeedStream = 500
+)
 
-// relay is one relay, through all its processes.
-type relay struct {
+// managedRelay is one relay, through all its processes.
+type managedRelay struct {
 	index    int
 	command  []string
 	env      []string
@@ -73,118 +36,107 @@
 	plan     *scenario.Plan
 	registry *registry.Registry
 	spawner  *spawner
-	onCrash  func(relay int, err error)
+	onCrash  func(relay int, err error) // called when a process ends that should still run
 
-	mu      sync.Mutex // held while it is being stopped or started
-	current *process   // nil before the first
+	mu      sync.Mutex    // held while a process is started or stopped
+	current *relayProcess // nil before the first
 	starts  uint64
 	peakKB  int // most resident memory that any of its processes was seen with
 }
 
-// process is one process of a relay.
-type process struct {
-	cmd         *exec.Cmd
-	exited      chan struct{}
-	consoleAddr string
-	expectedUp  atomic.Bool // that it is there
-}
-
+// newRelay chooses an address for a relay and writes its configuration.
 func newRelay(
-	num int, p *scenario.Plan, reg *registry.Registry, spawn *spawner, command []string, dir string,
-) (*relay, error) {
-	ln, err := loopback.Listen(0) // a free port of this process's own address
+	index int, plan *scenario.Plan, discovery *registry.Registry, spawner *spawner, command []string, dir string,
+) (*managedRelay, error) {
+	addr, err := freeAddress()
 	if err != nil {
-		return nil, fmt.Errorf("relay %d: %w", num+1, err)
+		return nil, fmt.Errorf("relay %d: %w", index+1, err)
 	}
-	r := &relay{
-		index: num, command: command, dir: filepath.Join(
-			dir, fmt.Sprintf("n%d", num+1),
-		), listen: ln.Addr().String(), plan: p,
-		registry: reg, spawner: spawn,
+	r := &managedRelay{
+		index: index, command: command, dir: filepath.Join(dir, fmt.Sprintf("n%d", index+1)), listen: addr,
+		plan: plan, registry: discovery, spawner: spawner,
 	}
-	_ = ln.Close()
-	if err := os.MkdirAll(filepath.Join(r.dir, "state"), 0o700); err != nil {
+	if err := os.MkdirAll(r.stateDir(), 0o700); err != nil {
 		return nil, err
 	}
 	return r, r.writeConfig()
 }
 
-// writeConfig writes the configuration's file, whole or not at all.
-func (r *relay) writeConfig() error {
-	c := NewRelayConfig(
-		r.plan,
-		r.index,
-		r.listen,
-		r.registry.Addr(r.index),
-		filepath.Join(r.dir, "state"),
-		r.registry.ListOf(r.index),
-		seededrand.Hash(r.plan.Seed, 500, uint64(r.index), r.starts),
-	)
-	text, err := c.Text()
+// freeAddress returns one of this process's own addresses, with a port that nobody uses now.
+func freeAddress() (string, error) {
+	listener, err := loopback.Listen(0)
+	if err != nil {
+		return "", err
+	}
+	defer func() { _ = listener.Close() }() // it has accepted nothing
+	return listener.Addr().String(), nil
+}
+
+func (r *managedRelay) stateDir() string   { return filepath.Join(r.dir, "state") }
+func (r *managedRelay) configPath() string { return filepath.Join(r.dir, "config.json") }
+func (r *managedRelay) logPath() string    { return filepath.Join(r.dir, "log") }
+
+// writeConfig replaces the configuration's file in one step.
+func (r *managedRelay) writeConfig() error {
+	seed := seededrand.Hash(r.plan.Seed, relaySeedStream, uint64(r.index), r.starts)
+	config := NewRelayConfig(r.plan, r.index, r.listen, r.registry.Addr(r.index), r.stateDir(),
+		r.registry.ListOf(r.index), seed)
+	text, err := config.Text()
 	if err != nil {
 		return err
 	}
-	path := filepath.Join(r.dir, "config.json")
-	if err := os.WriteFile(path+".new", text, 0o600); err != nil {
+	temporary := r.configPath() + ".new"
+	if err := os.WriteFile(temporary, text, 0o600); err != nil {
 		return err
 	}
-	return os.Rename(path+".new", path)
+	return os.Rename(temporary, r.configPath())
 }
 
 // start starts a process and waits until it is ready. The caller holds mu.
-func (r *relay) start(ctx context.Context) error {
-	p, err := r.launch()
+func (r *managedRelay) start(ctx context.Context) error {
+	process, err := r.launch()
 	if err != nil {
 		return err
 	}
-	r.current = p
-	return r.waitReady(ctx, p, readyTimeout, func() bool { return ping(r.listen) })
+	r.current = process
+	return r.waitReady(ctx, process, readyTimeout, func() bool { return ping(r.listen) })
 }
 
-// launch starts a process, beside those that are there.
-func (r *relay) launch() (*process, error) {
+// launch starts a process, beside the current one if there is one.
+func (r *managedRelay) launch() (*relayProcess, error) {
 	r.starts++
 	if err := r.writeConfig(); err != nil {
 		return nil, err
 	}
-	log, err := os.OpenFile(filepath.Join(r.dir, "log"), os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
+	log, err := os.OpenFile(r.logPath(), os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
 	if err != nil {
 		return nil, err
 	}
-	defer func() { _ = log.Close() }() // the process writes by its own descriptor
-	ln, err := loopback.Listen(0)      // a free port for its console
+	defer func() { _ = log.Close() }() // the process writes by a descriptor of its own
+	consoleAddr, err := freeAddress()
 	if err != nil {
 		return nil, err
 	}
-	p := &process{
-		cmd: exec.Command(r.command[0], r.command[1:]...), exited: make(chan struct{}), consoleAddr: ln.Addr().String(),
+	process := &relayProcess{
+		cmd: exec.Command(r.command[0], r.command[1:]...), exited: make(chan struct{}), consoleAddr: consoleAddr,
 	}
-	_ = ln.Close()
-	p.cmd.Env = append(append(
-		os.Environ(), r.env...,
-	), "ROUTER_CONFIG="+filepath.Join(r.dir, "config.json"), "ROUTER_STATE="+filepath.Join(r.dir, "state"),
-		"ROUTER_NAME=", "ROUTER_LISTEN=", "ROUTER_DISCOVERY=", "ROUTER_CONSOLE="+p.consoleAddr)
-	p.cmd.Stdout, p.cmd.Stderr = log, log
-	setProcessAttributes(p.cmd)
-	if err := r.spawner.start(p.cmd); err != nil {
+	process.cmd.Env = append(append(os.Environ(), r.env...),
+		"ROUTER_CONFIG="+r.configPath(), "ROUTER_STATE="+r.stateDir(),
+		"ROUTER_NAME=", "ROUTER_LISTEN=", "ROUTER_DISCOVERY=", "ROUTER_CONSOLE="+consoleAddr)
+	process.cmd.Stdout, process.cmd.Stderr = log, log
+	setProcessAttributes(process.cmd)
+	if err := r.spawner.start(process.cmd); err != nil {
 		return nil, fmt.Errorf("relay %d: %w", r.index+1, err)
 	}
-	p.expectedUp.Store(true)
-	go func() {
-		err := p.cmd.Wait()
-		close(p.exited)
-		if p.expectedUp.Load() {
-			if err == nil {
-				err = errors.New("exit status 0")
-			}
-			r.onCrash(r.index, err)
-		}
-	}()
-	return p, nil
+	process.expectedUp.Store(true)
+	go process.watch(func(err error) { r.onCrash(r.index, err) })
+	return process, nil
 }
 
 // waitReady waits until a process is ready.
-func (r *relay) waitReady(ctx context.Context, p *process, limit time.Duration, ready func() bool) error {
+func (r *managedRelay) waitReady(
+	ctx context.Context, process *relayProcess, limit time.Duration, ready func() bool,
+) error {
 	ctx, cancel := context.WithTimeout(ctx, limit)
 	defer cancel()
 	for {
@@ -192,8 +144,8 @@
 			return nil
 		}
 		select {
-		case <-time.After(10 * time.Millisecond):
-		case <-p.exited:
+		case <-time.After(readyInterval):
+		case <-process.exited:
 			return fmt.Errorf("relay %d ended before it was ready: %s", r.index+1, r.logTail())
 		case <-ctx.Done():
 			return fmt.Errorf("relay %d was not ready: %w: %s", r.index+1, ctx.Err(), r.logTail())
@@ -201,153 +153,92 @@
 	}
 }
 
-// upgrade starts a process beside the one that serves, and ends that one once
-// the new one has taken over. The caller holds mu.
-func (r *relay) upgrade(ctx context.Context) error {
-	old := r.current
-	p, err := r.launch()
+// upgrade starts a process beside the current one, and ends that one once the new one has
+// taken over. The caller holds mu.
+func (r *managedRelay) upgrade(ctx context.Context) error {
+	predecessor := r.current
+	successor, err := r.launch()
 	if err != nil {
 		return err
 	}
-	old.expectedUp.Store(false) // it may end as soon as it owes nothing
-	if err := r.waitReady(
-		ctx,
-		p,
-		upgradeTimeout,
-		func() bool { return callConsole(p.consoleAddr, "READY") },
-	); err != nil {
+	predecessor.expectedUp.Store(false) // it may end as soon as it owes nothing
+	if err := r.waitReady(ctx, successor, upgradeTimeout, successor.ready); err != nil {
 		return err
 	}
 	r.recordPeakMemory()
-	r.current = p
-	r.terminate(old)
+	r.current = successor
+	predecessor.terminate()
 	return nil
 }
 
-// upgradeWithKill begins an upgrade and kills one of the two processes at a moment
-// of its course. It reports whether one is left that goes on.
-func (r *relay) upgradeWithKill(ctx context.Context, after time.Duration, killOld bool) (alive bool, err error) {
-	old := r.current
-	p, err := r.launch()
+// upgradeWithKill begins an upgrade, and kills one of the two processes after a time. It
+// reports whether the other one serves. The caller holds mu.
+func (r *managedRelay) upgradeWithKill(
+	ctx context.Context, after time.Duration, killPredecessor bool,
+) (alive bool, err error) {
+	predecessor := r.current
+	successor, err := r.launch()
 	if err != nil {
 		return false, err
 	}
-	old.expectedUp.Store(false)
-	p.expectedUp.Store(false)
+	predecessor.expectedUp.Store(false)
+	successor.expectedUp.Store(false)
 	time.Sleep(after)
-	victim, left := p, old
-	if killOld {
-		victim, left = old, p
-	}
-	_ = victim.cmd.Process.Kill() // it may have ended by itself: that is seen below
-	<-victim.exited
-	r.current = left
-	err = r.waitReady(ctx, left, upgradeTimeout, func() bool { return callConsole(left.consoleAddr, "READY") })
-	if left.expectedUp.Store(true); err == nil {
+	victim, survivor := successor, predecessor
+	if killPredecessor {
+		victim, survivor = predecessor, successor
+	}
+	victim.kill()
+	r.current = survivor
+	err = r.waitReady(ctx, survivor, upgradeTimeout, survivor.ready)
+	if survivor.expectedUp.Store(true); err == nil {
 		return true, nil
 	}
-	left.expectedUp.Store(false)
+	survivor.expectedUp.Store(false)
 	select {
-	case <-left.exited: // it had handed over already, and the heir is dead: a kill as any other
+	case <-survivor.exited: // it had handed over to the killed one already: the relay is down
 		return false, nil
 	default:
 		return false, err
 	}
 }
 
-// logTail is the end of its log.
-func (r *relay) logTail() string {
-	text, err := os.ReadFile(filepath.Join(r.dir, "log"))
+// logTail is the end of the relay's log.
+func (r *managedRelay) logTail() string {
+	text, err := os.ReadFile(r.logPath())
 	if err != nil {
 		return err.Error()
 	}
-	text = text[max(0, len(text)-400):]
+	text = text[max(0, len(text)-maxLogTail):]
 	return strings.TrimSpace(string(text))
 }
 
-func ping(addr string) bool {
-	c, err := net.DialTimeout("tcp4", addr, time.Second)
-	if err != nil {
-		return false
-	}
-	defer func() { _ = c.Close() }()
-	_ = c.SetDeadline(time.Now().Add(time.Second)) // fails with the write below
-	if _, err := io.WriteString(c, "*1\r\n$4\r\nPING\r\n"); err != nil {
-		return false
-	}
-	line, err := bufio.NewReader(c).ReadString('\n')
-	return err == nil && line == "+PONG\r\n"
-}
-
 // kill ends the process by force. The caller holds mu.
-func (r *relay) kill() {
+func (r *managedRelay) kill() {
 	r.recordPeakMemory()
-	if p := r.current; p != nil {
-		p.expectedUp.Store(false)
-		_ = p.cmd.Process.Kill() // as above
-		<-p.exited
+	if r.current != nil {
+		r.current.expectedUp.Store(false)
+		r.current.kill()
 	}
 }
 
-// stop asks the process to end, and ends it by force if it does not. The
-// caller holds mu.
-func (r *relay) stop() (forced bool) {
+// stop asks the process to end, and ends it by force if it does not. The caller holds mu.
+func (r *managedRelay) stop() (forced bool) {
 	r.recordPeakMemory()
-	return r.current != nil && r.terminate(r.current)
-}
-
-func (r *relay) terminate(p *process) (forced bool) {
-	p.expectedUp.Store(false)
-	_ = p.cmd.Process.Signal(syscall.SIGTERM) // as above
-	timer := time.NewTimer(stopTimeout)
-	defer timer.Stop()
-	select {
-	case <-p.exited:
-		return false
-	case <-timer.C:
-		_ = p.cmd.Process.Kill() // as above
-		<-p.exited
-		return true
-	}
+	return r.current != nil && r.current.terminate()
 }
 
 // reload has the process read its configuration again. The caller holds mu.
-func (r *relay) reload() {
-	if p := r.current; p != nil && p.expectedUp.Load() {
-		_ = p.cmd.Process.Signal(syscall.SIGHUP) // its end is an event of its own
+func (r *managedRelay) reload() {
+	if r.current != nil && r.current.expectedUp.Load() {
+		r.current.reload()
 	}
 }
 
-// callConsole makes a call at a console and reports whether the answer is yes.
-func callConsole(addr, what string) bool {
-	c, err := net.DialTimeout("tcp4", addr, time.Second)
-	if err != nil {
-		return false
-	}
-	defer func() { _ = c.Close() }()
-	_ = c.SetDeadline(time.Now().Add(time.Second)) // fails with the write below
-	if _, err := io.WriteString(c, what+"\n"); err != nil {
-		return false
-	}
-	line, err := bufio.NewReader(c).ReadString('\n')
-	return err == nil && strings.HasPrefix(line, "YES")
-}
-
-// recordPeakMemory books the most resident memory that the process has had, where the
-// system tells (proc(5), VmHWM). The caller holds mu.
-func (r *relay) recordPeakMemory() {
-	if r.current == nil {
-		return
-	}
-	text, err := os.ReadFile(fmt.Sprintf("/proc/%d/status", r.current.cmd.Process.Pid))
-	if err != nil {
-		return
-	}
-	for line := range strings.Lines(string(text)) {
-		if v, ok := strings.CutPrefix(line, "VmHWM:"); ok {
-			if kb, err := strconv.Atoi(strings.TrimSuffix(strings.TrimSpace(v), " kB")); err == nil {
-				r.peakKB = max(r.peakKB, kb)
-			}
-		}
+// recordPeakMemory notes the most resident memory of the current process. The caller holds
+// mu.
+func (r *managedRelay) recordPeakMemory() {
+	if r.current != nil {
+		r.peakKB = max(r.peakKB, r.current.peakMemoryKB())
 	}
 }
--- a/internal/rehearsal/runner/runner.go
+++ b/internal/rehearsal/runner/runner.go
@@ -1,7 +1,7 @@
-// Package runner plays a plan: it starts relay processes, stand-in partners,
-// the stand-in registry and the load driver on loopback, has faults begin and
-// end at their moments, and brings everything that happens to the referee. It
-// must never decide how a rehearsal went; it hands over what it saw.
+// Package runner plays a plan: it starts relay processes, emulated partners, an
+// emulated registry and the load generator on loopback addresses, begins and ends
+// faults at their times, and passes every event to the checker of the rules. It
+// reports what it saw and does not decide whether a rehearsal passed.
 package runner
 
 import (
@@ -27,52 +27,51 @@
 
 // Options say how a plan is played.
 type Options struct {
-	Command      []string                               // starts a relay; its configuration is named in the environment
-	Env          []string                               // more of a relay's environment
-	Dir          string                                 // for configurations, state and logs; a new one each time
-	OnProgress   func(Progress)                         // called now and then; may be nil
-	OnEvent      func(*event.Event)                     // is shown everything that happens; may be nil
-	OnReady      func(*Rehearsal) error                 // called once all relays are ready; may be nil
-	ReplaceRelay func(i int, a RelayTarget) RelayTarget // puts doubles in the place of relays; nil for none
+	Command []string // starts a relay; its configuration is named in the environment
+	Env     []string // more of a relay's environment
+	Dir     string   // for configurations, state and logs; a new one each time
+
+	// OnProgress, if set, is called at regular intervals.
+	OnProgress func(Progress)
+	// OnEvent, if set, is called with every event.
+	OnEvent func(*event.Event)
+	// OnReady, if set, is called once all relays are ready.
+	OnReady func(*Rehearsal) error
+	// ReplaceRelay, if set, returns what the load generator calls in the place of a relay.
+	// Tests have it return doubles.
+	ReplaceRelay func(relay int, target RelayTarget) RelayTarget
 }
 
-// RelayTarget is where the driver reaches a relay. Tests put a double there.
+// RelayTarget is where a relay is reached, and where it reaches discovery.
 type RelayTarget struct {
 	Listen       string
 	Discovery    string
 	StartProcess bool // a relay process is started for it
 }
 
-// Progress is how far a rehearsal is.
-type Progress struct {
-	Elapsed      time.Duration // since its beginning
-	Total        time.Duration
-	Submitted    int
-	Pending      int
-	Violations   int
-	ActiveFaults []string // that hold now
-}
-
-// Outcome is what was seen.
+// Outcome is what was seen of a rehearsal.
 type Outcome struct {
 	Plan             *scenario.Plan
-	Start            event.Time // moment of the plan's beginning in the record
+	Start            event.Time // of the plan
 	End              event.Time
-	Results          []loadgen.Result
+	Results          []loadgen.Result // by message of the plan
 	Violations       []checker.Violation
-	Restarts         checker.RestartCounts // what restarts found untried
-	RelayFailures    []string              // relays that ended by themselves, and what else makes the relays fail
-	KitErrors        []string              // what went wrong in the kit itself: the run is void
+	Restarts         checker.RestartCounts // what restarted relays did with messages they found
+	RelayFailures    []string              // unexpected ends of relays, and what else counts as their failure
+	KitErrors        []string              // failures of the kit itself, which make the run void
 	Calls            []CallCounts          // by partner
 	UnservedRequests int                   // requests that met a connection refused, reset or closed unread
-	DriverLateness   event.Time
-	EmulatorLateness event.Time // of the stand-ins
+	DriverLateness   event.Time            // 99th percentile of the load generator
+	EmulatorLateness event.Time            // 99th percentile of the emulated endpoints
 	ReplyLatency     *hdrhistogram.Histogram
 	DeliveryLatency  *hdrhistogram.Histogram
-	MemoryKB         []int // of each relay: the most resident memory
+	MemoryKB         []int // the most resident memory of each relay
 }
 
-// Rehearsal is one rehearsal.
+// latenessQuantile is the quantile of lateness that outcomes tell, in percent.
+const latenessQuantile = 99
+
+// Rehearsal is a plan that is being played.
 type Rehearsal struct {
 	plan           *scenario.Plan
 	options        Options
@@ -81,285 +80,278 @@
 	identities     *tlsIdentities // nil without TLS
 	endpointServer *h1.Server
 	registry       *registry.Registry
-	relays         []*relay
-	targets        []RelayTarget
+	relays         []*managedRelay
+	targets        []RelayTarget // by relay
 	spawner        *spawner
 	driver         *loadgen.Driver
-	planStart      atomic.Int64 // moment of the plan's beginning
+	planStart      atomic.Int64 // on the rehearsal's clock
 
 	mu            sync.Mutex
 	relayFailures []string
 	kitErrors     []string
-	activeFaults  map[string]int // faults that hold now
-	background    sync.WaitGroup
+	activeFaults  map[string]int // number by name
+	background    sync.WaitGroup // goroutines of faults
 }
 
-func (s *Rehearsal) now() event.Time { return time.Since(s.clockStart).Microseconds() }
+// now is the rehearsal's clock.
+func (r *Rehearsal) now() event.Time { return time.Since(r.clockStart).Microseconds() }
 
-// Open starts stand-ins and relays.
-func Open(ctx context.Context, p *scenario.Plan, opt Options) (*Rehearsal, error) {
-	s := &Rehearsal{
-		plan:         p,
-		options:      opt,
-		clockStart:   time.Now(),
-		activeFaults: map[string]int{},
-		spawner:      newSpawner(),
+// Open starts emulators, the load generator and relays. It returns once all relays are
+// ready.
+func Open(ctx context.Context, plan *scenario.Plan, options Options) (*Rehearsal, error) {
+	r := &Rehearsal{
+		plan: plan, options: options, clockStart: time.Now(), activeFaults: map[string]int{}, spawner: newSpawner(),
 	}
-	s.events = &eventCollector{
-		checker: checker.New(p.CheckerConfig()), calls: make([]CallCounts, len(p.Specs)), onEvent: opt.OnEvent,
-		onEnd: func(*event.Event) {},
+	r.events = &eventCollector{
+		checker: checker.New(plan.CheckerConfig()), calls: make([]CallCounts, len(plan.Specs)),
+		onEvent: options.OnEvent, onEnd: func(*event.Event) {},
 	}
-	for _, e := range p.Endpoints {
-		s.events.partnerOf = append(s.events.partnerOf, e.Partner)
+	for _, endpoint := range plan.Endpoints {
+		r.events.partnerOf = append(r.events.partnerOf, endpoint.Partner)
 	}
-	if err := s.open(ctx); err != nil {
-		s.Close()
+	if err := r.open(ctx); err != nil {
+		r.Close()
 		return nil, err
 	}
-	return s, nil
+	return r, nil
 }
 
-// open starts stand-ins, the load driver and relays.
-func (s *Rehearsal) open(ctx context.Context) error {
-	if err := s.startEndpoints(); err != nil {
+// open starts what Open says; Close ends what an error leaves started.
+func (r *Rehearsal) open(ctx context.Context) error {
+	if err := r.startEndpoints(); err != nil {
 		return err
 	}
-	if err := s.startRegistry(); err != nil {
+	if err := r.startRegistry(); err != nil {
 		return err
 	}
-	addrs, err := s.prepareRelays()
+	addrs, err := r.prepareRelays()
 	if err != nil {
 		return err
 	}
-	s.driver = loadgen.New(loadgen.Config{Plan: s.plan, Relays: addrs, Emit: s.events.emit, Clock: s.now, Start: 0})
-	s.events.onEnd = s.driver.HandleEvent
-	return s.startRelays(ctx)
+	r.driver = loadgen.New(loadgen.Config{Plan: r.plan, Relays: addrs, Emit: r.events.emit, Clock: r.now, Start: 0})
+	r.events.onEnd = r.driver.HandleEvent
+	return r.startRelays(ctx)
 }
 
-func (s *Rehearsal) startEndpoints() error {
-	p := s.plan
-	n := p.Scenario.Relays.Count
-	rules := endpoint.Rules{Relays: n, MaxInFlight: p.MaxInFlight(), MaxAttempts: p.Scenario.Relays.MaxAttempts}
-	lookup := func(id string) (endpoint.Message, bool) { return s.driver.Lookup(id) }
-	world, err := endpoint.New(p.Specs, rules, p.ServiceTimeSeed(), lookup, s.events.emit)
+// startEndpoints starts the partners' endpoints, and prepares their certificates.
+func (r *Rehearsal) startEndpoints() error {
+	plan := r.plan
+	relays := plan.Scenario.Relays.Count
+	rules := endpoint.Rules{
+		Relays: relays, MaxInFlight: plan.MaxInFlight(), MaxAttempts: plan.Scenario.Relays.MaxAttempts,
+	}
+	lookup := func(id string) (endpoint.Message, bool) { return r.driver.Lookup(id) } // the driver is made later
+	model, err := endpoint.New(plan.Specs, rules, plan.ServiceTimeSeed(), lookup, r.events.emit)
 	if err != nil {
 		return err
 	}
-	if s.endpointServer, err = h1.New(world, n, s.now); err != nil {
+	if r.endpointServer, err = h1.New(model, relays, r.now); err != nil {
 		return err
 	}
-	if s.identities, err = newTLSIdentities(p, s.options.Dir); err != nil {
+	if r.identities, err = newTLSIdentities(plan, r.options.Dir); err != nil {
 		return err
 	}
-	if s.identities != nil {
-		s.endpointServer.EnableTLS(s.identities.identity)
+	if r.identities != nil {
+		r.endpointServer.EnableTLS(r.identities.identity)
 	}
 	return nil
 }
 
-func (s *Rehearsal) startRegistry() (err error) {
-	p := s.plan
-	d := &p.Scenario.Discovery
-	s.registry, err = registry.New(registry.Config{
-		Relays: p.Scenario.Relays.Count, Seed: p.Seed, Clock: s.now, Emit: s.events.emit,
-		Delay: milliseconds(d.DelayMS), DelaySpread: milliseconds(d.SpreadMS), StaticMembers: unusedDestinations(p),
+// startRegistry starts the registry, with an address for each relay.
+func (r *Rehearsal) startRegistry() (err error) {
+	plan := r.plan
+	discovery := &plan.Scenario.Discovery
+	r.registry, err = registry.New(registry.Config{
+		Relays: plan.Scenario.Relays.Count, Seed: plan.Seed, Clock: r.now, Emit: r.events.emit,
+		Delay: milliseconds(discovery.DelayMS), DelaySpread: milliseconds(discovery.SpreadMS),
+		StaticMembers: unusedDestinations(plan),
 		Members: func(relay int) []registry.Member {
-			return listMembers(p, func(ep int) string { return s.endpointServer.Addr(ep, relay) })
+			return listMembers(plan, func(endpoint int) string { return r.endpointServer.Addr(endpoint, relay) })
 		},
 	})
 	return err
 }
 
-// prepareRelays prepares the relays and returns the addresses where they listen.
-func (s *Rehearsal) prepareRelays() (addrs []string, err error) {
-	env := s.options.Env
-	if s.identities != nil {
-		env = append(slices.Clone(env), s.identities.env())
+// prepareRelays writes the relays' files and returns the addresses where they will listen.
+func (r *Rehearsal) prepareRelays() (addrs []string, err error) {
+	env := r.options.Env
+	if r.identities != nil {
+		env = append(slices.Clone(env), r.identities.env())
 	}
-	for i := range s.plan.Scenario.Relays.Count {
-		r, err := newRelay(i, s.plan, s.registry, s.spawner, s.options.Command, s.options.Dir)
+	for i := range r.plan.Scenario.Relays.Count {
+		relay, err := newRelay(i, r.plan, r.registry, r.spawner, r.options.Command, r.options.Dir)
 		if err != nil {
 			return nil, err
 		}
-		r.env, r.onCrash = env, s.relayCrashed
-		s.relays = append(s.relays, r)
-		a := RelayTarget{Listen: r.listen, Discovery: s.registry.Addr(i), StartProcess: true}
-		if s.options.ReplaceRelay != nil {
-			a = s.options.ReplaceRelay(i, a)
+		relay.env, relay.onCrash = env, r.relayCrashed
+		r.relays = append(r.relays, relay)
+		target := RelayTarget{Listen: relay.listen, Discovery: r.registry.Addr(i), StartProcess: true}
+		if r.options.ReplaceRelay != nil {
+			target = r.options.ReplaceRelay(i, target)
 		}
-		s.targets = append(s.targets, a)
-		addrs = append(addrs, a.Listen)
+		r.targets = append(r.targets, target)
+		addrs = append(addrs, target.Listen)
 	}
 	return addrs, nil
 }
 
 // startRelays starts all relays at once and waits until they serve.
-func (s *Rehearsal) startRelays(ctx context.Context) error {
-	errs := make([]error, len(s.relays))
-	var wg sync.WaitGroup
-	for i, r := range s.relays {
-		if !s.targets[i].StartProcess {
+func (r *Rehearsal) startRelays(ctx context.Context) error {
+	errs := make([]error, len(r.relays))
+	var starting sync.WaitGroup
+	for i, relay := range r.relays {
+		if !r.targets[i].StartProcess {
 			continue
 		}
-		wg.Add(1)
+		starting.Add(1)
 		go func() {
-			defer wg.Done()
-			r.mu.Lock()
-			defer r.mu.Unlock()
-			if errs[i] = r.start(ctx); errs[i] == nil {
-				s.events.emit(event.Event{At: s.now(), Kind: event.Ready, Relay: i})
+			defer starting.Done()
+			relay.mu.Lock()
+			defer relay.mu.Unlock()
+			if errs[i] = relay.start(ctx); errs[i] == nil {
+				r.events.emit(event.Event{At: r.now(), Kind: event.Ready, Relay: i})
 			}
 		}()
 	}
-	wg.Wait()
+	starting.Wait()
 	return errors.Join(errs...)
 }
 
 func milliseconds(ms float64) time.Duration { return time.Duration(ms * float64(time.Millisecond)) }
 
-// relayCrashed: a relay's process has ended and nobody asked it to.
-func (s *Rehearsal) relayCrashed(i int, err error) {
-	s.mu.Lock()
-	s.relayFailures = append(s.relayFailures,
-		fmt.Sprintf("relay %d ended by itself at %.1f s: %v", i+1, float64(s.now()-s.planStart.Load())/1e6, err))
-	s.mu.Unlock()
-	s.events.emit(event.Event{At: s.now(), Kind: event.Killed, Relay: i})
-	s.driver.RelayDown(i, scenario.Microseconds(s.plan.Scenario.Clients.FailoverDelayMS))
+// relayCrashed notes that a relay's process has ended without having been asked to.
+func (r *Rehearsal) relayCrashed(relay int, err error) {
+	r.appendFailure(&r.relayFailures, "relay %d ended by itself at %.1f s: %v",
+		relay+1, float64(r.now()-r.planStart.Load())/1e6, err)
+	r.events.emit(event.Event{At: r.now(), Kind: event.Killed, Relay: relay})
+	r.driver.RelayDown(relay, r.frontNotice())
+}
+
+// frontNotice is how long the clients' front goes on using a relay that has ended.
+func (r *Rehearsal) frontNotice() event.Time {
+	return scenario.Microseconds(r.plan.Scenario.Clients.FailoverDelayMS)
 }
 
 // Close ends everything that was started.
-func (s *Rehearsal) Close() {
-	if s.driver != nil {
-		s.driver.Close()
+func (r *Rehearsal) Close() {
+	if r.driver != nil {
+		r.driver.Close()
 	}
-	s.background.Wait()
-	for _, r := range s.relays {
-		r.mu.Lock()
-		r.kill()
-		r.mu.Unlock()
+	r.background.Wait()
+	for _, relay := range r.relays {
+		relay.mu.Lock()
+		relay.kill()
+		relay.mu.Unlock()
 	}
-	if s.registry != nil {
-		s.registry.Close()
+	if r.registry != nil {
+		r.registry.Close()
 	}
-	if s.endpointServer != nil {
-		s.endpointServer.Close()
+	if r.endpointServer != nil {
+		r.endpointServer.Close()
 	}
-	close(s.spawner.done)
+	close(r.spawner.done)
 }
 
 // Play plays a plan from beginning to end.
-func Play(ctx context.Context, p *scenario.Plan, opt Options) (*Outcome, error) {
-	s, err := Open(ctx, p, opt)
+func Play(ctx context.Context, plan *scenario.Plan, options Options) (*Outcome, error) {
+	r, err := Open(ctx, plan, options)
 	if err != nil {
 		return nil, err
 	}
 	closed := false
 	defer func() {
 		if !closed {
-			s.Close()
+			r.Close()
 		}
 	}()
-	if opt.OnReady != nil {
-		if err := opt.OnReady(s); err != nil {
+	if options.OnReady != nil {
+		if err := options.OnReady(r); err != nil {
 			return nil, err
 		}
 	}
-	s.run(ctx)
-	o := s.collectOutcome()
+	r.run(ctx)
+	outcome := r.collectOutcome()
 	if err := ctx.Err(); err != nil {
 		return nil, fmt.Errorf("the rehearsal was broken off: %w", err)
 	}
-	s.Close()
+	r.Close()
 	closed = true
-	for _, r := range s.relays {
-		o.MemoryKB = append(o.MemoryKB, r.peakKB)
+	for _, relay := range r.relays {
+		outcome.MemoryKB = append(outcome.MemoryKB, relay.peakKB)
 	}
-	return o, nil
+	return outcome, nil
 }
 
-const leadIn = 200 * time.Millisecond
+const (
+	leadIn     = 200 * time.Millisecond // before the plan starts, once all is ready
+	finishTime = 3 * time.Second        // beyond the time by which all messages should have ended
+)
 
-func (s *Rehearsal) run(ctx context.Context) {
-	s.planStart.Store(s.now() + leadIn.Microseconds())
-	s.driver.SetStart(s.planStart.Load())
+// run plays arrivals and faults, and returns once every message has ended, or cannot end
+// in time any more.
+func (r *Rehearsal) run(ctx context.Context) {
+	r.planStart.Store(r.now() + leadIn.Microseconds())
+	r.driver.SetStart(r.planStart.Load())
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	var wg sync.WaitGroup
-	wg.Add(2)
-	go func() { defer wg.Done(); s.playFaults(ctx) }()
-	go func() { defer wg.Done(); s.reportProgress(ctx) }()
-	// The last message's time is up by then, and its end is in.
-	longest := 0.0
-	for _, c := range s.plan.Scenario.Classes {
-		longest = max(longest, c.DeadlineMS)
-	}
-	limit := time.Duration(
-		s.plan.Scenario.LengthS*1000+longest+s.plan.Scenario.Rules.DeadlineSlackMS+s.plan.Scenario.Rules.RestartGraceMS+3000,
-	)*time.Millisecond + leadIn
-	play, stop := context.WithTimeout(ctx, limit)
+	var helpers sync.WaitGroup
+	helpers.Add(2)
+	go func() { defer helpers.Done(); r.playFaults(ctx) }()
+	go func() { defer helpers.Done(); r.reportProgress(ctx) }()
+	arrivals, stop := context.WithTimeout(ctx, leadIn+r.maxDuration())
 	defer stop()
-	s.driver.Run(play)
+	r.driver.Run(arrivals)
 	cancel()
-	wg.Wait()
-	s.background.Wait()
+	helpers.Wait()
+	r.background.Wait()
 }
 
-func (s *Rehearsal) appendFailure(to *[]string, format string, a ...any) {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	*to = append(*to, fmt.Sprintf(format, a...))
+// maxDuration is how long after the plan's start all messages have ended, if the relays do
+// what they should.
+func (r *Rehearsal) maxDuration() time.Duration {
+	s := r.plan.Scenario
+	longestDeadline := 0.0
+	for _, class := range s.Classes {
+		longestDeadline = max(longestDeadline, class.DeadlineMS)
+	}
+	ms := s.LengthS*1000 + longestDeadline + s.Rules.DeadlineSlackMS + s.Rules.RestartGraceMS
+	return time.Duration(ms)*time.Millisecond + finishTime
 }
 
-// reportProgress tells now and then how far the rehearsal is.
-func (s *Rehearsal) reportProgress(ctx context.Context) {
-	if s.options.OnProgress == nil {
-		return
-	}
-	tick := time.NewTicker(250 * time.Millisecond)
-	defer tick.Stop()
-	for {
-		select {
-		case <-ctx.Done():
-			return
-		case <-tick.C:
-			s.options.OnProgress(s.currentProgress())
-		}
-	}
+// appendFailure adds a text to the relays' failures or to the kit's errors.
+func (r *Rehearsal) appendFailure(to *[]string, format string, args ...any) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	*to = append(*to, fmt.Sprintf(format, args...))
 }
 
-func (s *Rehearsal) collectOutcome() *Outcome {
-	late, err := s.endpointServer.TimerLag(99)
-	o := &Outcome{
-		Plan:             s.plan,
-		Start:            s.planStart.Load(),
-		End:              s.now(),
-		Results:          s.driver.Results(),
-		UnservedRequests: s.driver.UnservedRequests(),
-		DriverLateness:   s.driver.Lateness(99),
-		EmulatorLateness: late,
-	}
+// collectOutcome ends the checker's judgement and returns what was seen.
+func (r *Rehearsal) collectOutcome() *Outcome {
+	emulatorLateness, err := r.endpointServer.TimerLag(latenessQuantile)
 	if err != nil {
-		s.appendFailure(&s.kitErrors, "%v", err)
+		r.appendFailure(&r.kitErrors, "%v", err)
+	}
+	outcome := &Outcome{
+		Plan: r.plan, Start: r.planStart.Load(), End: r.now(), Results: r.driver.Results(),
+		UnservedRequests: r.driver.UnservedRequests(),
+		DriverLateness:   r.driver.Lateness(latenessQuantile),
+		EmulatorLateness: emulatorLateness,
 	}
-	o.ReplyLatency, o.DeliveryLatency = s.driver.Latencies()
-	s.events.mu.Lock()
-	s.events.checker.Finish(s.now())
-	o.Violations, o.Restarts = s.events.checker.Violations(), s.events.checker.RestartCounts()
-	o.Calls = slices.Clone(s.events.calls)
-	s.events.mu.Unlock()
-	for i := range o.Violations {
-		o.Violations[i].At -= s.planStart.Load()
+	outcome.ReplyLatency, outcome.DeliveryLatency = r.driver.Latencies()
+	outcome.Violations, outcome.Restarts, outcome.Calls = r.events.finish(r.now())
+	for i := range outcome.Violations {
+		outcome.Violations[i].At -= r.planStart.Load()
 	}
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	o.RelayFailures, o.KitErrors = slices.Clone(s.relayFailures), slices.Clone(s.kitErrors)
-	return o
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	outcome.RelayFailures, outcome.KitErrors = slices.Clone(r.relayFailures), slices.Clone(r.kitErrors)
+	return outcome
 }
 
-// TempDir is the folder that rehearsals keep their files in: a new one under the
-// system's folder for such things, and what removes it.
-func TempDir() (string, func(), error) {
-	dir, err := os.MkdirTemp("", "troutusher-rehearsal-")
+// TempDir makes a new folder for the files of a rehearsal under the system's folder for
+// temporary files. remove deletes it.
+func TempDir() (dir string, remove func(), err error) {
+	dir, err = os.MkdirTemp("", "troutusher-rehearsal-")
 	if err != nil {
 		return "", nil, err
 	}
--- a/internal/rehearsal/runner/runner_test.go
+++ b/internal/rehearsal/runner/runner_test.go
@@ -140,7 +140,8 @@
 // run with an honest one.
 func TestTheRefereeConvicts(t *testing.T) {
 	order := func(p *scenario.Plan) {
-		p.Scenario.Classes[0].Name, p.Scenario.Classes[0].Ordered, p.Scenario.Classes[0].OrderedKeyBackoffMS = "ordered", true, 100
+		class := &p.Scenario.Classes[0]
+		class.Name, class.Ordered, class.OrderedKeyBackoffMS = "ordered", true, 100
 		for i := range p.Arrivals {
 			p.Arrivals[i].OrderingKey = uint64(p.Arrivals[i].Destination)
 		}
