--- a/internal/emulator/etcd/cluster.go
+++ b/internal/emulator/etcd/cluster.go
@@ -1,7 +1,9 @@
 package etcd
 
 import (
+	"fmt"
 	"net"
+	"strconv"
 	"sync"
 	"time"
 
@@ -9,37 +11,46 @@
 	"google.golang.org/grpc"
 	"google.golang.org/grpc/codes"
 	"google.golang.org/grpc/status"
+
+	"troutusher/internal/emulator/loopback"
+)
+
+const (
+	firstClusterID     = 0x7e57
+	leaseCheckInterval = 20 * time.Millisecond
+	noToken            = "none yet" // the token while none has been issued
 )
 
 // Cluster is a store with members that serve it on loopback.
 type Cluster struct {
-	mu            sync.Mutex
-	id            uint64
-	store         *Store
 	members       []*Member
-	changed       chan struct{} // closed at each change
-	username      string        // where a token is asked for
-	password      string
-	token         string
-	tokensIssued  int
-	stop          chan struct{}
 	serverOptions []grpc.ServerOption
+	stop          chan struct{}
+
+	mu           sync.Mutex // guards all below, the store, and the members' faults
+	id           uint64
+	store        *Store
+	changed      chan struct{} // closed at each change, and then replaced
+	username     string        // empty where no token is asked for
+	password     string
+	token        string
+	tokensIssued int
 }
 
 var errNoLeader = status.Error(codes.Unavailable, "etcdserver: no leader")
 
-// NewCluster starts one with so many members, on addresses of their own. Options are
-// their servers': TLS, maybe.
+// NewCluster starts a cluster, each member at an address of its own. Options are for
+// the members' servers, such as TLS.
 func NewCluster(members int, options ...grpc.ServerOption) (*Cluster, error) {
 	c := &Cluster{
-		id:            0x7e57,
+		id:            firstClusterID,
 		store:         NewStore(),
 		changed:       make(chan struct{}),
 		stop:          make(chan struct{}),
 		serverOptions: options,
 	}
 	for i := range members {
-		m := &Member{cluster: c, id: uint64(i + 1), address: "127.0.0.1:0"}
+		m := &Member{cluster: c, id: uint64(i + 1)}
 		c.members = append(c.members, m)
 		if err := m.start(); err != nil {
 			c.Close()
@@ -50,30 +61,32 @@
 	return c, nil
 }
 
+// start has a member serve, at the port that it had before, if any.
 func (m *Member) start() error {
-	ln, err := net.Listen("tcp", m.address)
+	listener, err := loopback.Listen(m.port)
 	if err != nil {
-		return err
+		return fmt.Errorf("etcd emulator: member %d: %w", m.id, err)
 	}
-	m.address = ln.Addr().String()
-	m.server = grpc.NewServer(m.cluster.serverOptions...)
-	etcdserverpb.RegisterKVServer(m.server, m)
-	etcdserverpb.RegisterWatchServer(m.server, m)
-	etcdserverpb.RegisterLeaseServer(m.server, m)
-	etcdserverpb.RegisterAuthServer(m.server, m)
-	go func() { _ = m.server.Serve(ln) }() // until Stop
+	m.port = listener.Addr().(*net.TCPAddr).Port
+	server := grpc.NewServer(m.cluster.serverOptions...)
+	etcdserverpb.RegisterKVServer(server, m)
+	etcdserverpb.RegisterWatchServer(server, m)
+	etcdserverpb.RegisterLeaseServer(server, m)
+	etcdserverpb.RegisterAuthServer(server, m)
+	m.server = server
+	go func() { _ = server.Serve(listener) }() // until Stop
 	return nil
 }
 
-// expireLeases ends leases whose time is up.
+// expireLeases ends leases when they expire, until Close.
 func (c *Cluster) expireLeases() {
-	tick := time.NewTicker(20 * time.Millisecond)
-	defer tick.Stop()
+	ticker := time.NewTicker(leaseCheckInterval)
+	defer ticker.Stop()
 	for {
 		select {
 		case <-c.stop:
 			return
-		case now := <-tick.C:
+		case now := <-ticker.C:
 			c.WithStore(func(s *Store) { s.ExpireLeases(now.UnixMicro()) })
 		}
 	}
@@ -90,65 +103,69 @@
 }
 
 // Addresses are the members' addresses.
-func (c *Cluster) Addresses() (all []string) {
+func (c *Cluster) Addresses() (addresses []string) {
 	for _, m := range c.members {
-		all = append(all, m.address)
+		addresses = append(addresses, net.JoinHostPort(loopback.Host(), strconv.Itoa(m.port)))
 	}
-	return all
+	return addresses
 }
 
-// WithStore has the store looked at or changed, and watches told.
-func (c *Cluster) WithStore(f func(*Store)) {
+// WithStore calls a function with the store, and wakes watches where it was changed.
+func (c *Cluster) WithStore(use func(*Store)) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	rev := c.store.Revision()
-	if f(c.store); c.store.Revision() != rev {
+	before := c.store.Revision()
+	use(c.store)
+	if c.store.Revision() != before {
 		c.notifyChange()
 	}
 }
 
-// notifyChange wakes who waits. The caller holds mu.
+// notifyChange wakes everyone who waits for a change. The caller holds mu.
 func (c *Cluster) notifyChange() {
 	close(c.changed)
 	c.changed = make(chan struct{})
 }
 
 // Apply makes changes at one revision.
-func (c *Cluster) Apply(ops ...Op) (rev int64, err error) {
-	c.WithStore(func(s *Store) { _, err = s.Apply(ops...); rev = s.Revision() })
-	return rev, err
+func (c *Cluster) Apply(ops ...Op) (revision int64, err error) {
+	c.WithStore(func(s *Store) {
+		_, err = s.Apply(ops...)
+		revision = s.Revision()
+	})
+	return revision, err
 }
 
-// Restore has the cluster go on from a copy, under its id or another; open watches
-// end.
+// Restore replaces the store by a copy, under the same cluster ID or another. Open
+// watches end.
 func (c *Cluster) Restore(backup *Store, id uint64) {
 	c.mu.Lock()
 	c.store, c.id = backup, id
 	c.mu.Unlock()
-	for i := range c.members {
-		c.StopMember(i)
-		_ = c.StartMember(i) // its port may be taken meanwhile: then the member stays down
+	for member := range c.members {
+		c.StopMember(member)
+		_ = c.StartMember(member) // where its port is in use by now, the member stays down
 	}
 }
 
-// StopMember ends a member; Start has it serve again where it did.
-func (c *Cluster) StopMember(i int) { c.members[i].server.Stop() }
+// StopMember stops a member. StartMember has it serve again at the same address.
+func (c *Cluster) StopMember(member int) { c.members[member].server.Stop() }
 
 // StartMember has a member serve again.
-func (c *Cluster) StartMember(i int) error { return c.members[i].start() }
+func (c *Cluster) StartMember(member int) error { return c.members[member].start() }
 
-// SetSilent has a member answer nothing, or answer again. What it held back it never
-// says.
-func (c *Cluster) SetSilent(i int, on bool) {
+// SetSilent has a member answer nothing, or answer again. Watches that were open send
+// nothing any more.
+func (c *Cluster) SetSilent(member int, silent bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	m := c.members[i]
-	if m.silent = on; on {
+	m := c.members[member]
+	if m.silent = silent; silent {
 		m.silencedStreams = m.streamsOpened
 	}
 }
 
-// SilenceWatches has every watch that is open now say nothing any more.
+// SilenceWatches has every watch that is open now send nothing any more.
 func (c *Cluster) SilenceWatches() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -157,26 +174,26 @@
 	}
 }
 
-// SetNoLeader has a member without a leader, or with one.
-func (c *Cluster) SetNoLeader(i int, on bool) {
+// SetNoLeader has a member lose its leader, or find it again.
+func (c *Cluster) SetNoLeader(member int, noLeader bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.members[i].noLeader = on
+	c.members[member].noLeader = noLeader
 	c.notifyChange()
 }
 
-// EnableAuth asks for a token from here on; EndTokens has those that were given be known
-// no more.
-func (c *Cluster) EnableAuth(user, pass string) {
+// EnableAuth has members ask for a token from now on, which they issue for a name and
+// password.
+func (c *Cluster) EnableAuth(username, password string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.username, c.password, c.token = user, pass, "none yet"
+	c.username, c.password, c.token = username, password, noToken
 }
 
-// RevokeTokens has no token be good that was given before.
+// RevokeTokens invalidates the tokens that were issued.
 func (c *Cluster) RevokeTokens() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.token = "none yet"
+	c.token = noToken
 	c.notifyChange()
 }
--- a/internal/emulator/etcd/store.go
+++ b/internal/emulator/etcd/store.go
@@ -1,17 +1,18 @@
-// Package etcd stands in for an etcd cluster, in rehearsals and tests: a store of
-// revisions with leases, transactions and compaction, and its members' gRPC services
-// as the published v3 API defines them, with faults on demand.
+// Package etcd emulates an etcd cluster for rehearsals and tests: a store of revisions
+// with leases, transactions and compaction, and members that serve it with the gRPC
+// services of the v3 API, with faults on demand.
 //
-// It must never be linked into the daemon's serving path, and keeps nothing.
+// It must never be linked into the daemon, and keeps nothing on disk.
 package etcd
 
 import (
 	"errors"
+	"maps"
 	"slices"
 	"sort"
 )
 
-// Errors in the words of the API.
+// Errors, with the texts of the API.
 var (
 	ErrCompacted      = errors.New("etcdserver: mvcc: required revision has been compacted")
 	ErrFutureRevision = errors.New("etcdserver: mvcc: required revision is a future revision")
@@ -19,17 +20,17 @@
 	ErrLeaseExists    = errors.New("etcdserver: lease already exists")
 )
 
-// Version is a key as of a revision.
+// Version is a key at a revision.
 type Version struct {
 	Key, Value     string
 	Deleted        bool
-	CreateRevision int64 // revision of its creation
+	CreateRevision int64
 	ModRevision    int64
 	Version        int64
 	Lease          int64
 }
 
-// Lease is one that was granted.
+// Lease is a lease that was granted.
 type Lease struct {
 	ID        int64
 	TTL       int64 // seconds
@@ -37,44 +38,49 @@
 	keys      map[string]bool
 }
 
-// Store is the cluster's state: what a majority has agreed on. It is not safe for
-// use by several goroutines.
+// Store is the state that a majority of the cluster has agreed on. It is not safe for
+// concurrent use.
 type Store struct {
 	revision   int64
 	compacted  int64 // nothing before it can be read or watched
 	sortedKeys []string
-	versions   map[string][]Version
-	history    []Version // by revision, from compacted on
+	versions   map[string][]Version // of each key, by revision
+	history    []Version            // all changes from compacted on, by revision
 	leases     map[int64]*Lease
 }
 
-// NewStore is an empty one, at revision 1 as a new cluster is.
+// NewStore makes an empty store, at revision 1 as a new cluster is.
 func NewStore() *Store {
 	return &Store{revision: 1, versions: map[string][]Version{}, leases: map[int64]*Lease{}}
 }
 
-// Revision is that of the last change.
+// Revision is the revision of the last change.
 func (s *Store) Revision() int64 { return s.revision }
 
 // Compacted is the oldest revision that can be read.
 func (s *Store) Compacted() int64 { return s.compacted }
 
-// getAt is a key as of a revision.
-func (s *Store) getAt(key string, rev int64) (Version, bool) {
-	all := s.versions[key]
-	i := sort.Search(len(all), func(i int) bool { return all[i].ModRevision > rev })
-	if i == 0 || all[i-1].Deleted {
+// getAt is a key at a revision; false where it does not exist there.
+func (s *Store) getAt(key string, revision int64) (Version, bool) {
+	versions := s.versions[key]
+	after := versionsUpTo(versions, revision)
+	if after == 0 || versions[after-1].Deleted {
 		return Version{}, false
 	}
-	return all[i-1], true
+	return versions[after-1], true
 }
 
-// keysInRange are the keys of a range: one where end is empty, all from key on where it is
-// "\x00".
+// versionsUpTo counts the versions of a revision or before it.
+func versionsUpTo(versions []Version, revision int64) int {
+	return sort.Search(len(versions), func(i int) bool { return versions[i].ModRevision > revision })
+}
+
+// keysInRange are the keys of a range: the key alone where end is empty, all from it on
+// where end is "\x00".
 func (s *Store) keysInRange(key, end string) []string {
-	from, there := slices.BinarySearch(s.sortedKeys, key)
+	from, found := slices.BinarySearch(s.sortedKeys, key)
 	switch {
-	case end == "" && !there:
+	case end == "" && !found:
 		return nil
 	case end == "":
 		return s.sortedKeys[from : from+1]
@@ -85,134 +91,162 @@
 	return s.sortedKeys[from:max(from, to)]
 }
 
-// Range reads keys at a revision, 0 for the newest; count is how many there are.
-func (s *Store) Range(key, end string, rev, limit int64) (kvs []Version, count int64, err error) {
+// Range reads the keys of a range at a revision, 0 for the newest. It returns limit of
+// them at most, 0 for all, and how many there are.
+func (s *Store) Range(key, end string, revision, limit int64) (found []Version, count int64, err error) {
 	switch {
-	case rev > s.revision:
+	case revision > s.revision:
 		return nil, 0, ErrFutureRevision
-	case rev > 0 && rev < s.compacted:
+	case revision > 0 && revision < s.compacted:
 		return nil, 0, ErrCompacted
-	case rev <= 0:
-		rev = s.revision
+	case revision <= 0:
+		revision = s.revision
 	}
-	for _, k := range s.keysInRange(key, end) {
-		if v, ok := s.getAt(k, rev); ok {
-			if count++; limit <= 0 || count <= limit {
-				kvs = append(kvs, v)
-			}
+	for _, each := range s.keysInRange(key, end) {
+		version, exists := s.getAt(each, revision)
+		if !exists {
+			continue
+		}
+		count++
+		if limit <= 0 || count <= limit {
+			found = append(found, version)
 		}
 	}
-	return kvs, count, nil
+	return found, count, nil
 }
 
-// Op is one change of a transaction: a put, or a deletion of a range.
+// Op is one change: a put, or the deletion of a range.
 type Op struct {
 	Key, End, Value string
 	Delete          bool
 	Lease           int64
 }
 
-// Apply makes changes, all at one revision. Nothing is changed where one cannot be.
+// Apply makes changes, all at one revision. It changes nothing where a lease is unknown.
 func (s *Store) Apply(ops ...Op) (deleted int64, err error) {
 	for _, op := range ops {
 		if op.Lease != 0 && !op.Delete && s.leases[op.Lease] == nil {
 			return 0, ErrLeaseNotFound
 		}
 	}
-	rev := s.revision + 1
+	revision := s.revision + 1
 	for _, op := range ops {
-		if !op.Delete {
-			s.put(op, rev)
-			continue
-		}
-		for _, k := range slices.Clone(s.keysInRange(op.Key, op.End)) {
-			if v, ok := s.getAt(k, rev); ok {
-				s.detachLease(v)
-				s.appendVersion(Version{Key: k, Deleted: true, ModRevision: rev})
-				deleted++
-			}
+		if op.Delete {
+			deleted += s.deleteRange(op, revision)
+		} else {
+			s.put(op, revision)
 		}
 	}
 	return deleted, nil
 }
 
-func (s *Store) put(op Op, rev int64) {
-	v := Version{Key: op.Key, Value: op.Value, CreateRevision: rev, ModRevision: rev, Version: 1, Lease: op.Lease}
-	if old, ok := s.getAt(op.Key, rev); ok {
+func (s *Store) deleteRange(op Op, revision int64) (deleted int64) {
+	for _, key := range slices.Clone(s.keysInRange(op.Key, op.End)) {
+		if version, exists := s.getAt(key, revision); exists {
+			s.detachLease(version)
+			s.appendVersion(Version{Key: key, Deleted: true, ModRevision: revision})
+			deleted++
+		}
+	}
+	return deleted
+}
+
+func (s *Store) put(op Op, revision int64) {
+	version := Version{
+		Key: op.Key, Value: op.Value, CreateRevision: revision, ModRevision: revision, Version: 1, Lease: op.Lease,
+	}
+	if old, exists := s.getAt(op.Key, revision); exists {
 		s.detachLease(old)
-		v.CreateRevision, v.Version = old.CreateRevision, old.Version+1
+		version.CreateRevision, version.Version = old.CreateRevision, old.Version+1
 	}
-	if l := s.leases[op.Lease]; l != nil {
-		l.keys[op.Key] = true
+	if lease := s.leases[op.Lease]; lease != nil {
+		lease.keys[op.Key] = true
 	}
-	s.appendVersion(v)
+	s.appendVersion(version)
 }
 
-func (s *Store) detachLease(v Version) {
-	if l := s.leases[v.Lease]; l != nil {
-		delete(l.keys, v.Key)
+func (s *Store) detachLease(version Version) {
+	if lease := s.leases[version.Lease]; lease != nil {
+		delete(lease.keys, version.Key)
 	}
 }
 
-func (s *Store) appendVersion(v Version) {
-	s.revision = v.ModRevision
-	if s.versions[v.Key] == nil {
-		at, _ := slices.BinarySearch(s.sortedKeys, v.Key)
-		s.sortedKeys = slices.Insert(s.sortedKeys, at, v.Key)
+func (s *Store) appendVersion(version Version) {
+	s.revision = version.ModRevision
+	if s.versions[version.Key] == nil {
+		at, _ := slices.BinarySearch(s.sortedKeys, version.Key)
+		s.sortedKeys = slices.Insert(s.sortedKeys, at, version.Key)
 	}
-	s.versions[v.Key] = append(s.versions[v.Key], v)
-	s.history = append(s.history, v)
+	s.versions[version.Key] = append(s.versions[version.Key], version)
+	s.history = append(s.history, version)
 }
 
-// Compact drops what is older than a revision and needed by no later one.
-func (s *Store) Compact(rev int64) error {
+// Compact drops the versions before a revision that no later one needs.
+func (s *Store) Compact(revision int64) error {
 	switch {
-	case rev > s.revision:
+	case revision > s.revision:
 		return ErrFutureRevision
-	case rev <= s.compacted:
+	case revision <= s.compacted:
 		return ErrCompacted
 	}
-	s.compacted = rev
-	for _, k := range slices.Clone(s.sortedKeys) {
-		all := s.versions[k]
-		i := sort.Search(len(all), func(i int) bool { return all[i].ModRevision > rev })
-		if i > 0 && all[i-1].Deleted {
-			i++
-		}
-		if i > 1 {
-			all = slices.Clone(all[min(i-1, len(all)):])
-		}
-		if s.versions[k] = all; len(all) == 0 {
-			delete(s.versions, k)
-			at, _ := slices.BinarySearch(s.sortedKeys, k)
-			s.sortedKeys = slices.Delete(s.sortedKeys, at, at+1)
-		}
+	s.compacted = revision
+	for _, key := range slices.Clone(s.sortedKeys) {
+		s.compactKey(key, revision)
 	}
-	at := sort.Search(len(s.history), func(i int) bool { return s.history[i].ModRevision >= rev })
-	s.history = slices.Clone(s.history[at:])
+	first := sort.Search(len(s.history), func(i int) bool { return s.history[i].ModRevision >= revision })
+	s.history = slices.Clone(s.history[first:])
 	return nil
 }
 
-// Changes are the changes from a revision on up to another, of a range, in order;
-// what was compacted cannot be told.
+// compactKey drops versions of a key: all before the one at a revision, and that one
+// too where the key is deleted.
+func (s *Store) compactKey(key string, revision int64) {
+	versions := s.versions[key]
+	dropped := versionsUpTo(versions, revision) - 1
+	if dropped >= 0 && versions[dropped].Deleted {
+		dropped++
+	}
+	if dropped > 0 {
+		versions = slices.Clone(versions[dropped:])
+	}
+	s.versions[key] = versions
+	if len(versions) == 0 {
+		delete(s.versions, key)
+		at, _ := slices.BinarySearch(s.sortedKeys, key)
+		s.sortedKeys = slices.Delete(s.sortedKeys, at, at+1)
+	}
+}
+
+// Changes are the changes of a range from one revision up to another, in order.
 func (s *Store) Changes(key, end string, from, to int64) ([]Version, error) {
 	if from < s.compacted {
 		return nil, ErrCompacted
 	}
-	at := sort.Search(len(s.history), func(i int) bool { return s.history[i].ModRevision >= from })
-	var all []Version
-	for _, v := range s.history[at:] {
-		if v.ModRevision > to {
+	first := sort.Search(len(s.history), func(i int) bool { return s.history[i].ModRevision >= from })
+	var changes []Version
+	for _, version := range s.history[first:] {
+		if version.ModRevision > to {
 			break
 		}
-		if v.Key == key || end == "\x00" && v.Key >= key || end != "" && v.Key >= key && v.Key < end {
-			all = append(all, v)
+		if inRange(version.Key, key, end) {
+			changes = append(changes, version)
 		}
 	}
-	return all, nil
+	return changes, nil
 }
 
-// GrantLease makes a lease; with id 0 it has the next one that is free.
+// inRange reports whether a key lies in a range, see keysInRange.
+func inRange(key, first, end string) bool {
+	switch {
+	case key == first:
+		return true
+	case end == "\x00":
+		return key >= first
+	}
+	return key >= first && key < end // no key is before an empty end
+}
+
+// GrantLease makes a lease. With id 0 it gets a free ID.
 func (s *Store) GrantLease(id, ttl, now int64) (*Lease, error) {
 	if id == 0 {
 		id = s.revision<<8 + 1
@@ -223,37 +257,31 @@
 	if s.leases[id] != nil {
 		return nil, ErrLeaseExists
 	}
-	l := &Lease{ID: id, TTL: ttl, ExpiresAt: now + ttl*1e6, keys: map[string]bool{}}
-	s.leases[id] = l
-	return l, nil
+	lease := &Lease{ID: id, TTL: ttl, ExpiresAt: now + ttl*1e6, keys: map[string]bool{}}
+	s.leases[id] = lease
+	return lease, nil
 }
 
-// RenewLease has a lease last for its time from now on.
+// RenewLease has a lease last for its whole time from now on.
 func (s *Store) RenewLease(id, now int64) (*Lease, error) {
-	l := s.leases[id]
-	if l == nil {
+	lease := s.leases[id]
+	if lease == nil {
 		return nil, ErrLeaseNotFound
 	}
-	l.ExpiresAt = now + l.TTL*1e6
-	return l, nil
+	lease.ExpiresAt = now + lease.TTL*1e6
+	return lease, nil
 }
 
-// RevokeLease ends a lease, and deletes its keys.
+// RevokeLease ends a lease and deletes its keys.
 func (s *Store) RevokeLease(id int64) error {
-	l := s.leases[id]
-	if l == nil {
+	lease := s.leases[id]
+	if lease == nil {
 		return ErrLeaseNotFound
 	}
 	var ops []Op
-	for k := range l.keys {
-		ops = append(ops, Op{Key: k, Delete: true})
+	for _, key := range slices.Sorted(maps.Keys(lease.keys)) {
+		ops = append(ops, Op{Key: key, Delete: true})
 	}
-	slices.SortFunc(ops, func(a, b Op) int {
-		if a.Key < b.Key {
-			return -1
-		}
-		return 1
-	})
 	if len(ops) > 0 {
 		if _, err := s.Apply(ops...); err != nil {
 			return err
@@ -263,35 +291,27 @@
 	return nil
 }
 
-// ExpireLeases ends the leases whose time is up.
+// ExpireLeases ends the leases that have expired.
 func (s *Store) ExpireLeases(now int64) {
-	var ids []int64
-	for id, l := range s.leases {
-		if l.ExpiresAt <= now {
-			ids = append(ids, id)
+	for _, id := range slices.Sorted(maps.Keys(s.leases)) {
+		if s.leases[id].ExpiresAt <= now {
+			_ = s.RevokeLease(id) // it exists
 		}
 	}
-	slices.Sort(ids)
-	for _, id := range ids {
-		_ = s.RevokeLease(id) // they are the leases that there are
-	}
 }
 
-// Clone is a backup: what is there now, from which another cluster may be made.
+// Clone is a copy of the store, as a backup from which a cluster may be restored.
 func (s *Store) Clone() *Store {
 	c := NewStore()
 	c.revision, c.compacted = s.revision, s.compacted
 	c.sortedKeys, c.history = slices.Clone(s.sortedKeys), slices.Clone(s.history)
-	for k, all := range s.versions {
-		c.versions[k] = slices.Clone(all)
+	for key, versions := range s.versions {
+		c.versions[key] = slices.Clone(versions)
 	}
-	for id, l := range s.leases {
-		x := *l
-		x.keys = map[string]bool{}
-		for k := range l.keys {
-			x.keys[k] = true
-		}
-		c.leases[id] = &x
+	for id, lease := range s.leases {
+		copied := *lease
+		copied.keys = maps.Clone(lease.keys)
+		c.leases[id] = &copied
 	}
 	return c
 }
--- a/internal/emulator/etcd/watch.go
+++ b/internal/emulator/etcd/watch.go
@@ -9,24 +9,28 @@
 	"google.golang.org/grpc/status"
 )
 
+// maxFragmentEvents is how many events go into one response, where a client asked for
+// fragments.
+const maxFragmentEvents = 100
+
 // watch is one watch of a stream.
 type watch struct {
 	id           int64
 	key, end     string
-	nextRevision int64
+	nextRevision int64 // the first that has not been sent
 	fragment     bool
 }
 
-// watchStream is one stream of watches.
+// watchStream is a stream of watches.
 type watchStream struct {
 	*Member
 	etcdserverpb.Watch_WatchServer
-	number  int // of the streams of this member
+	number  int // of the streams of this member, from 1
 	watches []*watch
 	nextID  int64
 }
 
-// Watch serves one stream.
+// Watch serves a stream of watches.
 func (m *Member) Watch(stream etcdserverpb.Watch_WatchServer) error {
 	if err := m.beginCall(stream.Context()); err != nil {
 		return err
@@ -36,19 +40,19 @@
 	m.cluster.mu.Unlock()
 	requests := w.receive()
 	for {
-		wake, err := w.sendPending()
+		changed, err := w.sendPending()
 		if err != nil {
 			return err
 		}
 		select {
 		case <-stream.Context().Done():
 			return stream.Context().Err()
-		case <-wake:
-		case r, ok := <-requests:
+		case <-changed:
+		case request, ok := <-requests:
 			if !ok {
 				return nil
 			}
-			if err := w.handleRequest(r); err != nil {
+			if err := w.handleRequest(request); err != nil {
 				return err
 			}
 		}
@@ -61,12 +65,12 @@
 	go func() {
 		defer close(requests)
 		for {
-			r, err := w.Recv()
+			request, err := w.Recv()
 			if err != nil {
 				return
 			}
 			select {
-			case requests <- r:
+			case requests <- request:
 			case <-w.Context().Done():
 				return
 			}
@@ -75,8 +79,9 @@
 	return requests
 }
 
-// sendPending sends what the watches have not been told, and returns what wakes them next.
-func (w *watchStream) sendPending() (wake <-chan struct{}, err error) {
+// sendPending sends what the watches have not sent yet, and returns what is closed at
+// the next change.
+func (w *watchStream) sendPending() (changed <-chan struct{}, err error) {
 	w.cluster.mu.Lock()
 	if w.noLeader {
 		w.cluster.mu.Unlock()
@@ -86,97 +91,111 @@
 		w.cluster.mu.Unlock()
 		return nil, status.Error(codes.Unauthenticated, "etcdserver: invalid auth token")
 	}
-	wake = w.cluster.changed
-	out := w.pendingResponses(&w.watches)
-	silent := w.number <= w.silencedStreams
+	changed = w.cluster.changed
+	responses := w.pendingResponses()
+	silenced := w.number <= w.silencedStreams
 	w.cluster.mu.Unlock()
-	return wake, sendAll(w, silent, out)
+	return changed, w.sendAll(responses, silenced)
 }
 
-// handleRequest answers one request.
-func (w *watchStream) handleRequest(r *etcdserverpb.WatchRequest) error {
+// handleRequest creates or cancels a watch, or reports progress.
+func (w *watchStream) handleRequest(request *etcdserverpb.WatchRequest) error {
 	w.cluster.mu.Lock()
-	out := []*etcdserverpb.WatchResponse{}
+	var responses []*etcdserverpb.WatchResponse
 	switch {
-	case r.GetCreateRequest() != nil:
-		out = append(out, w.createWatch(r.GetCreateRequest()))
-	case r.GetProgressRequest() != nil: // everything up to it has been told
-		out = append(w.pendingResponses(&w.watches), &etcdserverpb.WatchResponse{Header: w.header(), WatchId: -1})
-	case r.GetCancelRequest() != nil:
-		id := r.GetCancelRequest().WatchId
-		if i := slices.IndexFunc(w.watches, func(x *watch) bool { return x.id == id }); i >= 0 {
-			w.watches = slices.Delete(w.watches, i, i+1)
-		}
-		out = append(out, &etcdserverpb.WatchResponse{Header: w.header(), WatchId: id, Canceled: true})
+	case request.GetCreateRequest() != nil:
+		responses = append(responses, w.createWatch(request.GetCreateRequest()))
+	case request.GetProgressRequest() != nil: // all changes up to the revision go before it
+		progress := &etcdserverpb.WatchResponse{Header: w.header(), WatchId: -1}
+		responses = append(w.pendingResponses(), progress)
+	case request.GetCancelRequest() != nil:
+		responses = append(responses, w.cancelWatch(request.GetCancelRequest().WatchId))
 	}
-	silent := w.number <= w.silencedStreams
+	silenced := w.number <= w.silencedStreams
 	w.cluster.mu.Unlock()
-	return sendAll(w, silent, out)
+	return w.sendAll(responses, silenced)
 }
 
-// createWatch begins a watch. The caller holds mu.
-func (w *watchStream) createWatch(q *etcdserverpb.WatchCreateRequest) *etcdserverpb.WatchResponse {
-	x := &watch{
-		id: w.nextID, key: string(q.Key), end: string(q.RangeEnd), nextRevision: q.StartRevision, fragment: q.Fragment,
+// createWatch adds a watch. The caller holds mu.
+func (w *watchStream) createWatch(request *etcdserverpb.WatchCreateRequest) *etcdserverpb.WatchResponse {
+	created := &watch{
+		id:           w.nextID,
+		key:          string(request.Key),
+		end:          string(request.RangeEnd),
+		nextRevision: request.StartRevision,
+		fragment:     request.Fragment,
 	}
 	w.nextID++
-	if x.nextRevision == 0 {
-		x.nextRevision = w.cluster.store.Revision() + 1
+	if created.nextRevision == 0 {
+		created.nextRevision = w.cluster.store.Revision() + 1
 	}
-	w.watches = append(w.watches, x)
-	return &etcdserverpb.WatchResponse{Header: w.header(), WatchId: x.id, Created: true}
+	w.watches = append(w.watches, created)
+	return &etcdserverpb.WatchResponse{Header: w.header(), WatchId: created.id, Created: true}
 }
 
-func sendAll(stream etcdserverpb.Watch_WatchServer, still bool, all []*etcdserverpb.WatchResponse) error {
-	for _, r := range all {
-		if still {
-			continue
-		}
-		if err := stream.Send(r); err != nil {
+// cancelWatch removes a watch, if it is there. The caller holds mu.
+func (w *watchStream) cancelWatch(id int64) *etcdserverpb.WatchResponse {
+	w.watches = slices.DeleteFunc(w.watches, func(open *watch) bool { return open.id == id })
+	return &etcdserverpb.WatchResponse{Header: w.header(), WatchId: id, Canceled: true}
+}
+
+// sendAll sends responses, unless the stream is silenced.
+func (w *watchStream) sendAll(responses []*etcdserverpb.WatchResponse, silenced bool) error {
+	if silenced {
+		return nil
+	}
+	for _, response := range responses {
+		if err := w.Send(response); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// pendingResponses is what the watches of a stream have not been told. The caller holds mu.
-func (m *Member) pendingResponses(all *[]*watch) (out []*etcdserverpb.WatchResponse) {
-	kept := (*all)[:0]
-	for _, w := range *all {
-		events, err := m.cluster.store.Changes(w.key, w.end, w.nextRevision, m.cluster.store.Revision())
+// pendingResponses are the changes that the watches have not sent yet. Watches whose
+// next revision is compacted are cancelled. The caller holds mu.
+func (w *watchStream) pendingResponses() (responses []*etcdserverpb.WatchResponse) {
+	store := w.cluster.store
+	open := w.watches[:0]
+	for _, each := range w.watches {
+		changes, err := store.Changes(each.key, each.end, each.nextRevision, store.Revision())
 		if err != nil {
-			out = append(
-				out,
-				&etcdserverpb.WatchResponse{
-					Header: m.header(), WatchId: w.id, Canceled: true, CompactRevision: m.cluster.store.Compacted(),
-					CancelReason: err.Error(),
-				},
-			)
+			responses = append(responses, &etcdserverpb.WatchResponse{
+				Header: w.header(), WatchId: each.id, Canceled: true, CompactRevision: store.Compacted(),
+				CancelReason: err.Error(),
+			})
 			continue
 		}
-		kept = append(kept, w)
-		w.nextRevision = m.cluster.store.Revision() + 1
-		r := &etcdserverpb.WatchResponse{Header: m.header(), WatchId: w.id}
-		for i, v := range events {
-			e := &mvccpb.Event{Type: mvccpb.PUT, Kv: keyValue(v)}
-			if v.Deleted {
-				e = &mvccpb.Event{
-					Type: mvccpb.DELETE, Kv: &mvccpb.KeyValue{Key: []byte(v.Key), ModRevision: v.ModRevision},
-				}
-			}
-			if r.Events = append(r.Events, e); w.fragment && len(r.Events) >= maxFragmentEvents && i < len(events)-1 {
-				r.Fragment = true
-				out = append(out, r)
-				r = &etcdserverpb.WatchResponse{Header: m.header(), WatchId: w.id}
-			}
-		}
-		if len(r.Events) > 0 {
-			out = append(out, r)
+		open = append(open, each)
+		each.nextRevision = store.Revision() + 1
+		responses = append(responses, w.changeResponses(each, changes)...)
+	}
+	w.watches = open
+	return responses
+}
+
+// changeResponses are a watch's responses for changes: one, or one for each fragment.
+func (w *watchStream) changeResponses(of *watch, changes []Version) (responses []*etcdserverpb.WatchResponse) {
+	length := max(len(changes), 1)
+	if of.fragment {
+		length = maxFragmentEvents
+	}
+	fragments := slices.Collect(slices.Chunk(changes, length))
+	for i, fragment := range fragments {
+		response := &etcdserverpb.WatchResponse{Header: w.header(), WatchId: of.id, Fragment: i < len(fragments)-1}
+		for _, version := range fragment {
+			response.Events = append(response.Events, watchEvent(version))
 		}
+		responses = append(responses, response)
 	}
-	*all = kept
-	return out
+	return responses
 }
 
-// maxFragmentEvents is how many events go into one answer, where fragments are asked for.
-const maxFragmentEvents = 100
+// watchEvent is the event of a change.
+func watchEvent(version Version) *mvccpb.Event {
+	if version.Deleted {
+		deleted := &mvccpb.KeyValue{Key: []byte(version.Key), ModRevision: version.ModRevision}
+		return &mvccpb.Event{Type: mvccpb.DELETE, Kv: deleted}
+	}
+	return &mvccpb.Event{Type: mvccpb.PUT, Kv: keyValue(version)}
+}
