--- a/internal/emulator/endpoint/timers.go
+++ b/internal/emulator/endpoint/timers.go
@@ -13,25 +13,25 @@
 type timerQueue []timer
 
 // Len implements heap.Interface.
-func (q timerQueue) Len() int { return len(q) }
+func (t timerQueue) Len() int { return len(t) }
 
 // Less implements heap.Interface.
-func (q timerQueue) Less(i, j int) bool {
-	return q[i].at < q[j].at || q[i].at == q[j].at && q[i].sequence < q[j].sequence
+func (t timerQueue) Less(i, j int) bool {
+	return t[i].at < t[j].at || t[i].at == t[j].at && t[i].sequence < t[j].sequence
 }
 
 // Swap implements heap.Interface.
-func (q timerQueue) Swap(i, j int) { q[i], q[j] = q[j], q[i] }
+func (t timerQueue) Swap(i, j int) { t[i], t[j] = t[j], t[i] }
 
 // Push implements heap.Interface.
-func (q *timerQueue) Push(element any) { *q = append(*q, element.(timer)) }
+func (t *timerQueue) Push(element any) { *t = append(*t, element.(timer)) }
 
 // Pop implements heap.Interface.
-func (q *timerQueue) Pop() any {
-	old := *q
+func (t *timerQueue) Pop() any {
+	old := *t
 	last := old[len(old)-1]
 	old[len(old)-1] = timer{}
-	*q = old[:len(old)-1]
+	*t = old[:len(old)-1]
 	return last
 }
 
--- a/internal/emulator/loopback/loopback.go
+++ b/internal/emulator/loopback/loopback.go
@@ -1,7 +1,7 @@
-// Package loopback gives stand-ins addresses of their own on this machine, so
-// that rehearsals and tests that run side by side never meet, and a port that
-// was closed for a while is still free when it is opened again. It never gives
-// an address that another machine can reach.
+// Package loopback gives each process that runs emulators a loopback address of its
+// own, so that rehearsals and tests that run at the same time do not meet, and a port
+// that was closed for a while is free when it is opened again. No other machine can
+// reach the addresses.
 package loopback
 
 import (
@@ -11,24 +11,25 @@
 	"sync"
 )
 
+// host derives the address from the process ID.
 var host = sync.OnceValue(func() string {
 	pid := os.Getpid()
 	own := net.IPv4(127, byte(64+pid>>16&63), byte(pid>>8), byte(pid)).String()
-	if ln, err := net.Listen("tcp4", net.JoinHostPort(own, "0")); err == nil {
-		_ = ln.Close()
+	if listener, err := net.Listen("tcp4", net.JoinHostPort(own, "0")); err == nil {
+		_ = listener.Close()
 		return own
 	}
-	return "127.0.0.1" // where the rest of 127.0.0.0/8 is not set up
+	return "127.0.0.1" // on systems that set up no other address of 127.0.0.0/8
 })
 
-// Host is this process's own loopback address (RFC 1122, section 3.2.1.3).
+// Host is the loopback address of this process (RFC 1122, section 3.2.1.3).
 func Host() string { return host() }
 
-// Listen listens on this process's own address; port 0 takes a free one.
+// Listen listens at Host. Port 0 takes a free port.
 func Listen(port int) (*net.TCPListener, error) {
-	ln, err := net.Listen("tcp4", net.JoinHostPort(Host(), strconv.Itoa(port)))
+	listener, err := net.Listen("tcp4", net.JoinHostPort(Host(), strconv.Itoa(port)))
 	if err != nil {
 		return nil, err
 	}
-	return ln.(*net.TCPListener), nil
+	return listener.(*net.TCPListener), nil
 }
--- a/internal/event/event.go
+++ b/internal/event/event.go
@@ -6,38 +6,38 @@
 // since the rehearsal began, whichever clock they came from.
 package event
 
-// Time is a moment or a span in microseconds.
+// Time is a time, in microseconds since the rehearsal began, or a duration.
 type Time = int64
 
-// Kind says what an event tells.
+// Kind is the kind of an event.
 type Kind uint8
 
-// Kinds of event, each with the fields that it uses beside At. A hand-in is
-// one try of a client to give a relay a message; its ID is new each time.
+// Kinds of event, each with the fields that it uses beside At. A submission is one
+// attempt of a client to submit a message to a relay. Each has a new ID.
 const (
-	HandIn   Kind = iota // a hand-in's last byte was written: ID, Message, Relay, Left
-	Accepted             // its client heard that it is taken on: ID
-	Refused              // its client heard a refusal: ID, Wait
-	Failed               // its client heard anything else: ID, Text
-	GivenUp              // its client waited as long as it waits, and closed: ID
-	// the relay ended the connection with no answer: ID, Status (1: on the connection's first request)
+	HandIn   Kind = iota // the last byte of a submission was written: ID, Message, Relay, Left
+	Accepted             // the client was told that the message is accepted: ID
+	Refused              // the client was told that it is rejected: ID, Wait
+	Failed               // the client got any other reply: ID, Text
+	GivenUp              // the client's timeout passed, and it closed the connection: ID
+	// the relay ended the connection without a reply: ID, Status (1: on the connection's first request)
 	CutOff
-	CallFirst // a call's first byte came: Call, Relay, Endpoint
+	CallFirst // the first byte of a call came: Call, Relay, Endpoint
 	CallBegan // its last byte came: Call, ID, Relay, Endpoint
-	CallEnded // its answer was written, or its connection ended: Call, Status (0: no answer), Wait
+	CallEnded // its response was written, or its connection ended: Call, Status (0: no response), Wait
 	CallOver  // it can take effect no more: Call
 	Ran       // it took effect: Call
-	Probed    // a probe came: Relay, Endpoint
-	ProbeDone // a probe was answered: Relay, Endpoint, Status
-	Noticed   // a relay told the platform how a message ended: ID, Relay, Status, Wait
-	Told      // a relay was told of an endpoint: Relay, Endpoint, Status (ToldUp ...)
-	Outage    // an endpoint's outage began: Endpoint, Status (1: where calls leave no trace)
+	Probed    // a health check came: Relay, Endpoint
+	ProbeDone // a health check was answered: Relay, Endpoint, Status
+	Noticed   // a relay's notice of how a message ended came: ID, Relay, Status, Wait
+	Told      // an endpoint's phase was sent to a relay: Relay, Endpoint, Status (ToldUp ...)
+	Outage    // an outage of an endpoint began: Endpoint, Status (1: where calls leave no trace)
 	Back      // it ended: Endpoint
-	Fell      // a cold endpoint was pushed over: Endpoint, Calls
-	Stopping  // a relay was asked to end: Relay
-	Killed    // a relay's process ended by force: Relay
+	Fell      // an endpoint collapsed under overload while it warmed up: Endpoint, Calls
+	Stopping  // a relay was asked to stop: Relay
+	Killed    // a relay's process was killed: Relay
 	Ready     // a relay is ready, at first or again: Relay
-	Stray     // a call for no message that was handed in: Relay, Endpoint, ID
+	Stray     // a call for no message that was submitted: Relay, Endpoint, ID
 )
 
 var names = [...]string{
@@ -86,20 +86,20 @@
 	NoticeHandedBack
 )
 
-// Outcomes of calls, by what they prove: the words of an answer's status.
+// Outcomes of calls, as the status of the response.
 const (
-	StatusNone      = 0   // no answer
+	StatusNone      = 0   // no response
 	StatusDelivered = 200 // delivered
 	StatusError     = 500 // may have run
-	StatusSpoilt    = 599 // answered with what cannot be read; may have run
-	StatusWait      = 429 // never ran; wait
+	StatusSpoilt    = 599 // a malformed response; may have run
+	StatusWait      = 429 // never ran; with Retry-After
 	StatusFull      = 503 // never ran
-	StatusSpent     = 504 // never ran: no attempts are left
-	StatusOver      = 410 // never ran: the message is over
-	StatusUnknown   = 400 // never ran: nobody handed it in
+	StatusSpent     = 504 // never ran: the attempts are exhausted
+	StatusOver      = 410 // never ran: the message is finished
+	StatusUnknown   = 400 // never ran: the message is unknown
 )
 
-// NeverRan reports whether an answer proves that the call had no effect.
+// NeverRan reports whether a response proves that the call had no effect.
 func NeverRan(status int) bool {
 	switch status {
 	case StatusWait, StatusFull, StatusSpent, StatusOver, StatusUnknown:
@@ -108,7 +108,7 @@
 	return false
 }
 
-// Event is one thing that happened.
+// Event is one event of a rehearsal.
 type Event struct {
 	At       Time
 	Kind     Kind
@@ -118,8 +118,8 @@
 	Call     uint64
 	Status   int
 	Wait     Time
-	Left     Time // HandIn: how long the message may still be delivered
+	Left     Time // HandIn: time left to deliver the message
 	ID       string
 	Text     string
-	Calls    []int // Fell: calls that pushed it over, by relay
+	Calls    []int // Fell: the calls of the overload, by relay
 }
