--- a/cmd/troutusher-kit/rehearse.go
+++ b/cmd/troutusher-kit/rehearse.go
@@ -265,7 +265,7 @@
 			return fail(errs, "rehearse", err, exitFailed)
 		}
 	}
-	if joined.Verdict != report.Passed {
+	if joined.Verdict != report.VerdictPassed {
 		return exitFailed
 	}
 	return 0
--- a/internal/rehearsal/replay/recording.go
+++ b/internal/rehearsal/replay/recording.go
@@ -28,8 +28,8 @@
 const Version = 1
 
 const (
-	lineMost  = 2 << 20
-	linesMost = 4_000_000
+	maxLineBytes = 2 << 20
+	maxLines     = 4_000_000
 )
 
 // Environment says where a rehearsal was recorded. Nothing of it is checked on
@@ -41,7 +41,7 @@
 	Cores   int    `json:"cores"`
 }
 
-type head struct {
+type header struct {
 	Format      string      `json:"format"`
 	Version     int         `json:"version"`
 	Seed        uint64      `json:"seed"`
@@ -49,15 +49,15 @@
 	Scenario    string      `json:"scenario"` // as a scenario file
 }
 
-const format = "troutusher-rehearsal"
+const formatName = "troutusher-rehearsal"
 
-type line struct {
+type record struct {
 	Arrival *scenario.Arrival      `json:"arrival,omitempty"`
 	Fault   *scenario.PlannedFault `json:"fault,omitempty"`
-	End     *end                   `json:"end,omitempty"`
+	End     *footer                `json:"end,omitempty"`
 }
 
-type end struct {
+type footer struct {
 	Arrivals int    `json:"arrivals"`
 	Faults   int    `json:"faults"`
 	SHA256   string `json:"sha256"`
@@ -80,9 +80,9 @@
 
 // Errors that a caller may tell apart.
 var (
-	ErrNewer     = errors.New("it was written by a newer release")
-	ErrTruncated = errors.New("it ends too early")
-	ErrDamaged   = errors.New("its checksum does not fit")
+	ErrNewerVersion = errors.New("it was written by a newer release")
+	ErrTruncated    = errors.New("it ends too early")
+	ErrDamaged      = errors.New("its checksum does not fit")
 )
 
 // Write writes a plan.
@@ -94,23 +94,23 @@
 	sum := sha256.New()
 	out := bufio.NewWriter(io.MultiWriter(w, sum))
 	enc := json.NewEncoder(out)
-	if err := enc.Encode(head{format, Version, p.Seed, env, string(text)}); err != nil {
+	if err := enc.Encode(header{formatName, Version, p.Seed, env, string(text)}); err != nil {
 		return fmt.Errorf("recording: %w", err)
 	}
 	for i := range p.Arrivals {
-		if err := enc.Encode(line{Arrival: &p.Arrivals[i]}); err != nil {
+		if err := enc.Encode(record{Arrival: &p.Arrivals[i]}); err != nil {
 			return fmt.Errorf("recording: %w", err)
 		}
 	}
 	for i := range p.Faults {
-		if err := enc.Encode(line{Fault: &p.Faults[i]}); err != nil {
+		if err := enc.Encode(record{Fault: &p.Faults[i]}); err != nil {
 			return fmt.Errorf("recording: %w", err)
 		}
 	}
 	if err := out.Flush(); err != nil {
 		return fmt.Errorf("recording: %w", err)
 	}
-	last, err := json.Marshal(line{End: &end{len(p.Arrivals), len(p.Faults), hex.EncodeToString(sum.Sum(nil))}})
+	last, err := json.Marshal(record{End: &footer{len(p.Arrivals), len(p.Faults), hex.EncodeToString(sum.Sum(nil))}})
 	if err != nil {
 		return fmt.Errorf("recording: %w", err)
 	}
@@ -149,27 +149,27 @@
 
 // reader reads lines and knows where it is.
 type reader struct {
-	in   *bufio.Scanner
-	n    int
-	at   int64
-	next int64
-	sum  hash.Hash
+	scanner    *bufio.Scanner
+	lineNumber int
+	lineOffset int64
+	nextOffset int64
+	checksum   hash.Hash
 }
 
-func (r *reader) line() ([]byte, error) {
-	if !r.in.Scan() {
-		r.n, r.at = r.n+1, r.next
-		if err := r.in.Err(); err != nil {
-			return nil, r.wrong(err)
+func (r *reader) readLine() ([]byte, error) {
+	if !r.scanner.Scan() {
+		r.lineNumber, r.lineOffset = r.lineNumber+1, r.nextOffset
+		if err := r.scanner.Err(); err != nil {
+			return nil, r.errorHere(err)
 		}
-		return nil, r.wrong(ErrTruncated)
+		return nil, r.errorHere(ErrTruncated)
 	}
-	text := r.in.Bytes()
-	r.n, r.at, r.next = r.n+1, r.next, r.next+int64(len(text))
+	text := r.scanner.Bytes()
+	r.lineNumber, r.lineOffset, r.nextOffset = r.lineNumber+1, r.nextOffset, r.nextOffset+int64(len(text))
 	return text, nil
 }
 
-func (r *reader) wrong(err error) error { return &Error{r.n, r.at, err} }
+func (r *reader) errorHere(err error) error { return &Error{r.lineNumber, r.lineOffset, err} }
 
 // decode reads one object and nothing else from a line.
 func decode(text []byte, to any, strict bool) error {
@@ -191,28 +191,28 @@
 
 // Read reads a plan and checks all of it. Errors in the file are of type *Error.
 func Read(in io.Reader) (*scenario.Plan, Environment, error) {
-	r := &reader{in: bufio.NewScanner(in), sum: sha256.New()}
-	r.in.Buffer(make([]byte, 0, 64<<10), lineMost)
-	r.in.Split(wholeLines)
-	h, s, err := r.head()
+	r := &reader{scanner: bufio.NewScanner(in), checksum: sha256.New()}
+	r.scanner.Buffer(make([]byte, 0, 64<<10), maxLineBytes)
+	r.scanner.Split(splitLines)
+	h, s, err := r.readHeader()
 	if err != nil {
 		return nil, Environment{}, err
 	}
 	p := s.EmptyPlan(h.Seed)
 	for {
-		done, err := r.readNext(p)
+		done, err := r.readRecord(p)
 		if err != nil {
 			return nil, h.Environment, err
 		}
 		if done != nil {
-			return p, h.Environment, r.finish(p, done)
+			return p, h.Environment, r.checkFooter(p, done)
 		}
 	}
 }
 
-// head reads the first line and the scenario in it.
-func (r *reader) head() (h head, s *scenario.Scenario, err error) {
-	text, err := r.line()
+// readHeader reads the first line and the scenario in it.
+func (r *reader) readHeader() (h header, s *scenario.Scenario, err error) {
+	text, err := r.readLine()
 	if err != nil {
 		return h, nil, err
 	}
@@ -222,35 +222,37 @@
 		Version int    `json:"version"`
 	}
 	if err := decode(text, &v, false); err != nil {
-		return h, nil, r.wrong(err)
+		return h, nil, r.errorHere(err)
 	}
 	switch {
-	case v.Format != format:
-		return h, nil, r.wrong(fmt.Errorf("not a recording: format %.40q, want %q", v.Format, format))
+	case v.Format != formatName:
+		return h, nil, r.errorHere(fmt.Errorf("not a recording: format %.40q, want %q", v.Format, formatName))
 	case v.Version > Version:
-		return h, nil, r.wrong(fmt.Errorf("version %d, this release reads up to %d: %w", v.Version, Version, ErrNewer))
+		return h, nil, r.errorHere(
+			fmt.Errorf("version %d, this release reads up to %d: %w", v.Version, Version, ErrNewerVersion),
+		)
 	case v.Version < 1:
-		return h, nil, r.wrong(fmt.Errorf("version %d, want 1 to %d", v.Version, Version))
+		return h, nil, r.errorHere(fmt.Errorf("version %d, want 1 to %d", v.Version, Version))
 	}
 	if err := decode(text, &h, true); err != nil {
-		return h, nil, r.wrong(err)
+		return h, nil, r.errorHere(err)
 	}
 	if s, err = scenario.Parse("scenario", []byte(h.Scenario)); err != nil {
-		return h, nil, r.wrong(err)
+		return h, nil, r.errorHere(err)
 	}
-	r.sum.Write(text)
+	r.checksum.Write(text)
 	return h, s, nil
 }
 
-// readNext reads one more line into the plan, or returns the recording's end.
-func (r *reader) readNext(p *scenario.Plan) (*end, error) {
-	text, err := r.line()
+// readRecord reads one more line into the plan, or returns the recording's end.
+func (r *reader) readRecord(p *scenario.Plan) (*footer, error) {
+	text, err := r.readLine()
 	if err != nil {
 		return nil, err
 	}
-	var x line
+	var x record
 	if err := decode(text, &x, true); err != nil {
-		return nil, r.wrong(err)
+		return nil, r.errorHere(err)
 	}
 	switch {
 	case x.End != nil:
@@ -264,13 +266,13 @@
 	default:
 		err = errors.New("neither arrival, fault nor end")
 	}
-	if err == nil && r.n > linesMost {
-		err = fmt.Errorf("more than %d lines", linesMost)
+	if err == nil && r.lineNumber > maxLines {
+		err = fmt.Errorf("more than %d lines", maxLines)
 	}
 	if err != nil {
-		return nil, r.wrong(err)
+		return nil, r.errorHere(err)
 	}
-	r.sum.Write(text)
+	r.checksum.Write(text)
 	return nil, nil
 }
 
@@ -286,26 +288,26 @@
 	return nil
 }
 
-// finish judges the last line.
-func (r *reader) finish(p *scenario.Plan, e *end) error {
+// checkFooter judges the last line.
+func (r *reader) checkFooter(p *scenario.Plan, e *footer) error {
 	switch {
 	case e.Arrivals != len(p.Arrivals) || e.Faults != len(p.Faults):
-		return r.wrong(
+		return r.errorHere(
 			fmt.Errorf("%d arrivals and %d faults were written, %d and %d are here", e.Arrivals, e.Faults,
 				len(p.Arrivals), len(p.Faults)),
 		)
-	case e.SHA256 != hex.EncodeToString(r.sum.Sum(nil)):
-		return r.wrong(ErrDamaged)
+	case e.SHA256 != hex.EncodeToString(r.checksum.Sum(nil)):
+		return r.errorHere(ErrDamaged)
 	}
-	if r.in.Scan() {
-		r.n, r.at = r.n+1, r.next
-		return r.wrong(errors.New("more after the end"))
+	if r.scanner.Scan() {
+		r.lineNumber, r.lineOffset = r.lineNumber+1, r.nextOffset
+		return r.errorHere(errors.New("more after the end"))
 	}
 	return nil
 }
 
-// wholeLines splits into lines with their ends; a last one without is kept.
-func wholeLines(data []byte, atEOF bool) (int, []byte, error) {
+// splitLines splits into lines with their ends; a last one without is kept.
+func splitLines(data []byte, atEOF bool) (int, []byte, error) {
 	if i := bytes.IndexByte(data, '\n'); i >= 0 {
 		return i + 1, data[:i+1], nil
 	}
--- a/internal/rehearsal/replay/recording_test.go
+++ b/internal/rehearsal/replay/recording_test.go
@@ -14,9 +14,9 @@
 	"troutusher/internal/rehearsal/scenario"
 )
 
-var golden = flag.Bool("golden", false, "write the golden recording; only ever for a new version")
+var updateGolden = flag.Bool("golden", false, "write the golden recording; only ever for a new version")
 
-func plan(t testing.TB, name string) *scenario.Plan {
+func builtinPlan(t testing.TB, name string) *scenario.Plan {
 	t.Helper()
 	s, err := scenario.Builtin(name)
 	if err != nil {
@@ -25,7 +25,7 @@
 	return s.Plan(s.Seed)
 }
 
-func written(t testing.TB, p *scenario.Plan) []byte {
+func encode(t testing.TB, p *scenario.Plan) []byte {
 	t.Helper()
 	var b bytes.Buffer
 	if err := Write(&b, p, Environment{"1", "go", "linux", 4}); err != nil {
@@ -34,7 +34,7 @@
 	return b.Bytes()
 }
 
-func same(a, b *scenario.Plan) bool {
+func samePlan(a, b *scenario.Plan) bool {
 	return a.Seed == b.Seed && a.ServiceTimeSeed() == b.ServiceTimeSeed() &&
 		reflect.DeepEqual(a.Arrivals, b.Arrivals) &&
 		reflect.DeepEqual(a.Faults, b.Faults) &&
@@ -45,16 +45,16 @@
 
 func TestWhatIsWrittenIsRead(t *testing.T) {
 	for _, name := range scenario.BuiltinNames() {
-		p := plan(t, name)
-		text := written(t, p)
+		p := builtinPlan(t, name)
+		text := encode(t, p)
 		q, env, err := Read(bytes.NewReader(text))
 		if err != nil {
 			t.Fatalf("%s: %v", name, err)
 		}
-		if !same(p, q) || env.Cores != 4 {
+		if !samePlan(p, q) || env.Cores != 4 {
 			t.Errorf("%s: read as another plan", name)
 		}
-		if again := written(t, q); !bytes.Equal(text, again) {
+		if again := encode(t, q); !bytes.Equal(text, again) {
 			t.Errorf("%s: written again it has other bytes", name)
 		}
 	}
@@ -62,7 +62,7 @@
 
 func TestSaveIsWholeOrNotAtAll(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "r")
-	if err := Save(path, plan(t, "calm"), Environment{}); err != nil {
+	if err := Save(path, builtinPlan(t, "calm"), Environment{}); err != nil {
 		t.Fatal(err)
 	}
 	if _, _, err := Load(path); err != nil {
@@ -71,13 +71,13 @@
 	if left, _ := os.ReadDir(filepath.Dir(path)); len(left) != 1 {
 		t.Errorf("left over: %v", left)
 	}
-	if err := Save(filepath.Join(t.TempDir(), "no", "r"), plan(t, "calm"), Environment{}); err == nil {
+	if err := Save(filepath.Join(t.TempDir(), "no", "r"), builtinPlan(t, "calm"), Environment{}); err == nil {
 		t.Error("saved in a folder that there is not")
 	}
 }
 
 func TestEveryCutIsNoticed(t *testing.T) {
-	text := written(t, plan(t, "calm"))
+	text := encode(t, builtinPlan(t, "calm"))
 	for cut := 0; cut < len(text)-1; cut += 1 + cut%97 {
 		_, _, err := Read(bytes.NewReader(text[:cut]))
 		if err == nil {
@@ -91,7 +91,7 @@
 }
 
 func TestDamageIsNoticed(t *testing.T) {
-	text := written(t, plan(t, "calm"))
+	text := encode(t, builtinPlan(t, "calm"))
 	for at := 0; at < len(text)-1; at += 1 + at%53 {
 		bad := bytes.Clone(text)
 		bad[at] ^= 4
@@ -102,15 +102,15 @@
 }
 
 func TestErrorsSayWhere(t *testing.T) {
-	p := plan(t, "calm")
-	lines := strings.SplitAfter(string(written(t, p)), "\n")
+	p := builtinPlan(t, "calm")
+	lines := strings.SplitAfter(string(encode(t, p)), "\n")
 	for _, c := range []struct {
 		line     int
 		old, new string
 		want     string
 		is       error
 	}{
-		{0, `"version":1`, `"version":2`, "line 1, byte 0: version 2, this release reads up to 1", ErrNewer},
+		{0, `"version":1`, `"version":2`, "line 1, byte 0: version 2, this release reads up to 1", ErrNewerVersion},
 		{0, `"version":1`, `"version":0`, "line 1, byte 0: version 0", nil},
 		{0, `troutusher-rehearsal`, `something`, "line 1, byte 0: not a recording", nil},
 		{0, `"seed"`, `"sead"`, "line 1, byte 0: json: unknown field", nil},
@@ -136,7 +136,7 @@
 	if _, _, err := Read(strings.NewReader(strings.Join(lines, "") + "{}\n")); err == nil {
 		t.Error("more after the end was read")
 	}
-	huge := fmt.Sprintf(`{"format":%q,"version":1,"scenario":"%s`, format, strings.Repeat("x", lineMost))
+	huge := fmt.Sprintf(`{"format":%q,"version":1,"scenario":"%s`, formatName, strings.Repeat("x", maxLineBytes))
 	if _, _, err := Read(strings.NewReader(huge)); err == nil {
 		t.Error("a huge line was read")
 	}
@@ -146,7 +146,7 @@
 // ones, as what it was.
 func TestGolden(t *testing.T) {
 	path := filepath.Join("testdata", "v1.rehearsal")
-	if *golden {
+	if *updateGolden {
 		s, err := scenario.Load(filepath.Join("testdata", "v1.toml"))
 		if err != nil {
 			t.Fatal(err)
@@ -176,7 +176,7 @@
 
 // FuzzRead: no file, however odd, does more than return an error.
 func FuzzRead(f *testing.F) {
-	f.Add(written(f, plan(f, "calm")))
+	f.Add(encode(f, builtinPlan(f, "calm")))
 	f.Add([]byte(`{"format":"troutusher-rehearsal","version":1,"seed":1,"scenario":""}`))
 	f.Fuzz(func(t *testing.T, text []byte) {
 		var e *Error
--- a/internal/rehearsal/report/json.go
+++ b/internal/rehearsal/report/json.go
@@ -18,12 +18,12 @@
 
 // ReadJSON reads a report; the error names the byte.
 func ReadJSON(in io.Reader) (*Report, error) {
-	text, err := io.ReadAll(io.LimitReader(in, fileMost+1))
+	text, err := io.ReadAll(io.LimitReader(in, maxFileBytes+1))
 	if err != nil {
 		return nil, fmt.Errorf("report: %w", err)
 	}
-	if len(text) > fileMost {
-		return nil, fmt.Errorf("report: more than %d bytes", fileMost)
+	if len(text) > maxFileBytes {
+		return nil, fmt.Errorf("report: more than %d bytes", maxFileBytes)
 	}
 	r := &Report{}
 	if err := json.Unmarshal(text, r); err != nil {
@@ -38,14 +38,14 @@
 		return nil, fmt.Errorf("report: %w", err)
 	}
 	switch {
-	case r.Format != format:
-		return nil, fmt.Errorf("report: not a report: format %.40q, want %q", r.Format, format)
+	case r.Format != formatName:
+		return nil, fmt.Errorf("report: not a report: format %.40q, want %q", r.Format, formatName)
 	case r.Version > Version:
 		return nil, fmt.Errorf("report: version %d, this release reads up to %d", r.Version, Version)
 	case r.Version < 1:
 		return nil, fmt.Errorf("report: version %d, want 1 to %d", r.Version, Version)
 	}
-	for _, v := range append(slices.Clone(r.Runs), r.Service.Service, r.Worst10S.Service) {
+	for _, v := range append(slices.Clone(r.Runs), r.Service.Ratio, r.WorstWindow.Ratio) {
 		if !(v >= 0 && v <= 1+1e-9) {
 			return nil, fmt.Errorf("report: a service of %v, want 0 to 1", v)
 		}
@@ -63,4 +63,4 @@
 	return ReadJSON(f)
 }
 
-const fileMost = 64 << 20
+const maxFileBytes = 64 << 20
--- a/internal/rehearsal/report/report.go
+++ b/internal/rehearsal/report/report.go
@@ -24,46 +24,46 @@
 // Report is what is told of a rehearsal. Times are in the units that the
 // fields' names end in; shares and services are from 0 to 1.
 type Report struct {
-	Format      string             `json:"format"`
-	Version     int                `json:"version"`
-	Scenario    string             `json:"scenario"`
-	About       string             `json:"about"`
-	Seed        uint64             `json:"seed"`
-	Environment replay.Environment `json:"environment"`
-	Verdict     string             `json:"verdict"` // passed, failed or void
-	Reasons     []string           `json:"reasons"` // why it is not passed
-	Floor       float64            `json:"floor"`
-	Service     Service            `json:"service"`
-	Worst10S    Window             `json:"worst_10_s"`
-	Classes     []Group            `json:"classes"`
-	Portals     []Group            `json:"portals"`
-	Partners    []Partner          `json:"partners"`
-	Rules       []Rule             `json:"rules"`
-	Crashes     []string           `json:"crashes"`
-	Answers     Quantiles          `json:"answers_ms"`  // from the planned moment to the first answer
-	Delivery    Quantiles          `json:"delivery_ms"` // from the planned moment to the delivery
-	Late        Late               `json:"late_ms"`
-	MemoryKB    []int              `json:"relay_memory_kb"`
-	Untried     Untried            `json:"untried_at_restart"`
-	Door        int                `json:"door"` // requests that met a connection refused, reset, or closed unread
-	Seconds     []Second           `json:"seconds"`
-	Faults      []Fault            `json:"faults"`
-	Runs        []float64          `json:"runs"` // service of each run, where it was played several times
+	Format           string             `json:"format"`
+	Version          int                `json:"version"`
+	Scenario         string             `json:"scenario"`
+	About            string             `json:"about"`
+	Seed             uint64             `json:"seed"`
+	Environment      replay.Environment `json:"environment"`
+	Verdict          string             `json:"verdict"` // passed, failed or void
+	Reasons          []string           `json:"reasons"` // why it is not passed
+	MinService       float64            `json:"floor"`
+	Service          Service            `json:"service"`
+	WorstWindow      Window             `json:"worst_10_s"`
+	Classes          []Group            `json:"classes"`
+	Portals          []Group            `json:"portals"`
+	Partners         []Partner          `json:"partners"`
+	Rules            []RuleResult       `json:"rules"`
+	RelayFailures    []string           `json:"crashes"`
+	ReplyLatency     Quantiles          `json:"answers_ms"`  // from the planned moment to the first answer
+	DeliveryLatency  Quantiles          `json:"delivery_ms"` // from the planned moment to the delivery
+	Lateness         Lateness           `json:"late_ms"`
+	MemoryKB         []int              `json:"relay_memory_kb"`
+	Restarts         RestartCounts      `json:"untried_at_restart"`
+	UnservedRequests int                `json:"door"` // requests that met a connection refused, reset, or closed unread
+	Seconds          []Second           `json:"seconds"`
+	Faults           []Fault            `json:"faults"`
+	Runs             []float64          `json:"runs"` // service of each run, where it was played several times
 }
 
 // Service counts messages and their worth.
 type Service struct {
-	Service   float64 `json:"service"`
-	Asked     float64 `json:"worth_asked"`
-	Earned    float64 `json:"worth_delivered"`
-	Messages  int     `json:"messages"`
-	Delivered int     `json:"delivered"`
-	Refused   int     `json:"refused"`
-	Failed    int     `json:"failed"`
-	Unheard   int     `json:"unheard"`
-	Pending   int     `json:"pending"`
-	Refusals  int     `json:"refusals"` // all of them, also those of messages that came again
-	HandIns   int     `json:"hand_ins"`
+	Ratio           float64 `json:"service"`
+	WeightAsked     float64 `json:"worth_asked"`
+	WeightDelivered float64 `json:"worth_delivered"`
+	Messages        int     `json:"messages"`
+	Delivered       int     `json:"delivered"`
+	Rejected        int     `json:"refused"`
+	Failed          int     `json:"failed"`
+	Unanswered      int     `json:"unheard"`
+	Pending         int     `json:"pending"`
+	Rejections      int     `json:"refusals"` // all of them, also those of messages that came again
+	Submissions     int     `json:"hand_ins"`
 }
 
 // Group is the service of a class or a portal.
@@ -82,28 +82,28 @@
 	Wasted int               `json:"wasted"` // calls that were not delivered
 }
 
-// Untried says what became of the messages that restarts found taken on and
+// RestartCounts says what became of the messages that restarts found taken on and
 // untried, with half of their time left.
-type Untried struct {
-	Found int `json:"found"`
-	Tried int `json:"tried"`
-	Ended int `json:"ended"` // with no call
+type RestartCounts struct {
+	Unattempted int `json:"found"`
+	Attempted   int `json:"tried"`
+	Ended       int `json:"ended"` // with no call
 }
 
 // Window is a span of the rehearsal.
 type Window struct {
-	FromS   int     `json:"from_s"`
-	Service float64 `json:"service"`
+	FromS int     `json:"from_s"`
+	Ratio float64 `json:"service"`
 }
 
-// Rule is how a rule was kept.
-type Rule struct {
-	Rule   string   `json:"rule"`
-	Broken []Broken `json:"broken"`
+// RuleResult is how a rule was kept.
+type RuleResult struct {
+	Rule       string      `json:"rule"`
+	Violations []Violation `json:"broken"`
 }
 
-// Broken is one time that a rule was broken.
-type Broken struct {
+// Violation is one time that a rule was broken.
+type Violation struct {
 	AtS      float64 `json:"at_s"`
 	Message  string  `json:"message,omitempty"`
 	Planned  int     `json:"planned"` // number in the plan; -1 for none
@@ -121,18 +121,18 @@
 	Max   float64 `json:"max"`
 }
 
-// Late is how late the kit itself was, at the 99th percentile.
-type Late struct {
-	Driver  float64 `json:"driver_p99"`
-	StandIn float64 `json:"stand_ins_p99"`
-	Most    float64 `json:"most"`
+// Lateness is how late the kit itself was, at the 99th percentile.
+type Lateness struct {
+	Driver    float64 `json:"driver_p99"`
+	Emulators float64 `json:"stand_ins_p99"`
+	Limit     float64 `json:"most"`
 }
 
 // Second is one second of arrivals: worth by the messages' planned moments.
 type Second struct {
-	Asked    float64   `json:"asked"`
-	Earned   float64   `json:"earned"`
-	Partners []float64 `json:"partners"` // service of each; -1 where nothing was asked
+	WeightAsked     float64   `json:"asked"`
+	WeightDelivered float64   `json:"earned"`
+	Partners        []float64 `json:"partners"` // service of each; -1 where nothing was asked
 }
 
 // Fault is a fault as it was played.
@@ -144,38 +144,38 @@
 	Relays   []int   `json:"relays"`   // from 1
 }
 
-const format = "troutusher-rehearsal-report"
+const formatName = "troutusher-rehearsal-report"
 
 // Verdicts.
 const (
-	Passed = "passed"
-	Failed = "failed"
-	Void   = "void"
+	VerdictPassed  = "passed"
+	VerdictFailed  = "failed"
+	VerdictInvalid = "void"
 )
 
 func (s *Service) add(r *loadgen.Result, asked, earned float64) {
 	s.Messages++
-	s.Asked += asked
-	s.Earned += earned
-	s.Refusals += r.Rejections
-	s.HandIns += r.Submissions
+	s.WeightAsked += asked
+	s.WeightDelivered += earned
+	s.Rejections += r.Rejections
+	s.Submissions += r.Submissions
 	switch r.Outcome {
 	case loadgen.Delivered:
 		s.Delivered++
 	case loadgen.Rejected:
-		s.Refused++
+		s.Rejected++
 	case loadgen.Failed:
 		s.Failed++
 	case loadgen.Unanswered:
-		s.Unheard++
+		s.Unanswered++
 	default:
 		s.Pending++
 	}
 }
 
-func (s *Service) finish() { s.Service = share(s.Earned, s.Asked) }
+func (s *Service) setRatio() { s.Ratio = ratio(s.WeightDelivered, s.WeightAsked) }
 
-func share(part, whole float64) float64 {
+func ratio(part, whole float64) float64 {
 	if whole <= 0 {
 		return 1
 	}
@@ -186,36 +186,36 @@
 func New(o *runner.Outcome, env replay.Environment) *Report {
 	p, s := o.Plan, o.Plan.Scenario
 	r := &Report{
-		Format:      format,
-		Version:     Version,
-		Scenario:    s.Name,
-		About:       s.About,
-		Seed:        p.Seed,
-		Environment: env,
-		Floor:       s.MinService,
-		Reasons:     []string{},
-		Crashes:     append([]string{}, o.RelayFailures...),
-		Answers:     quantiles(o.ReplyLatency),
-		Delivery:    quantiles(o.DeliveryLatency),
-		Late:        Late{ms(o.DriverLateness), ms(o.EmulatorLateness), s.MaxLatenessMS},
-		MemoryKB:    append([]int{}, o.MemoryKB...),
-		Door:        o.UnservedRequests,
-		Untried:     Untried{o.Restarts.Unattempted, o.Restarts.Attempted, o.Restarts.Ended},
+		Format:           formatName,
+		Version:          Version,
+		Scenario:         s.Name,
+		About:            s.About,
+		Seed:             p.Seed,
+		Environment:      env,
+		MinService:       s.MinService,
+		Reasons:          []string{},
+		RelayFailures:    append([]string{}, o.RelayFailures...),
+		ReplyLatency:     quantiles(o.ReplyLatency),
+		DeliveryLatency:  quantiles(o.DeliveryLatency),
+		Lateness:         Lateness{milliseconds(o.DriverLateness), milliseconds(o.EmulatorLateness), s.MaxLatenessMS},
+		MemoryKB:         append([]int{}, o.MemoryKB...),
+		UnservedRequests: o.UnservedRequests,
+		Restarts:         RestartCounts{o.Restarts.Unattempted, o.Restarts.Attempted, o.Restarts.Ended},
 	}
-	r.groups(o)
+	r.addGroups(o)
 	asked, earned := r.addResults(o)
-	r.finish()
-	r.seconds(asked, earned)
-	r.Worst10S = worst(r.Seconds, 10)
-	r.faults(o)
-	r.rules(o.Violations)
-	r.judge(o)
-	r.Runs = []float64{r.Service.Service}
+	r.setRatios()
+	r.addSeconds(asked, earned)
+	r.WorstWindow = worstWindow(r.Seconds, 10)
+	r.addFaults(o)
+	r.addRules(o.Violations)
+	r.setVerdict(o)
+	r.Runs = []float64{r.Service.Ratio}
 	return r
 }
 
-// groups names what results are added up by.
-func (r *Report) groups(o *runner.Outcome) {
+// addGroups names what results are added up by.
+func (r *Report) addGroups(o *runner.Outcome) {
 	p, s := o.Plan, o.Plan.Scenario
 	for _, c := range s.Classes {
 		r.Classes = append(r.Classes, Group{Name: c.Name})
@@ -258,25 +258,25 @@
 	return asked, earned
 }
 
-func (r *Report) finish() {
-	r.Service.finish()
+func (r *Report) setRatios() {
+	r.Service.setRatio()
 	for i := range r.Classes {
-		r.Classes[i].finish()
+		r.Classes[i].setRatio()
 	}
 	for i := range r.Portals {
-		r.Portals[i].finish()
+		r.Portals[i].setRatio()
 	}
 	for i := range r.Partners {
-		r.Partners[i].finish()
+		r.Partners[i].setRatio()
 	}
 }
 
-// seconds sets the service of each second; -1 where a partner was asked for nothing.
-func (r *Report) seconds(asked, earned [][]float64) {
+// addSeconds sets the service of each second; -1 where a partner was asked for nothing.
+func (r *Report) addSeconds(asked, earned [][]float64) {
 	for i := range asked {
 		x := Second{Partners: make([]float64, len(asked[i]))}
 		for j := range asked[i] {
-			x.Asked, x.Earned, x.Partners[j] = x.Asked+asked[i][j], x.Earned+earned[i][j], -1
+			x.WeightAsked, x.WeightDelivered, x.Partners[j] = x.WeightAsked+asked[i][j], x.WeightDelivered+earned[i][j], -1
 			if asked[i][j] > 0 {
 				x.Partners[j] = earned[i][j] / asked[i][j]
 			}
@@ -285,32 +285,32 @@
 	}
 }
 
-func ms(t event.Time) float64 { return float64(t) / 1000 }
+func milliseconds(t event.Time) float64 { return float64(t) / 1000 }
 
 func quantiles(h *hdrhistogram.Histogram) Quantiles {
 	if h == nil {
 		return Quantiles{}
 	}
-	at := func(q float64) float64 { return ms(h.ValueAtQuantile(q)) }
-	return Quantiles{h.TotalCount(), at(50), at(90), at(99), at(99.9), ms(h.Max())}
+	at := func(q float64) float64 { return milliseconds(h.ValueAtQuantile(q)) }
+	return Quantiles{h.TotalCount(), at(50), at(90), at(99), at(99.9), milliseconds(h.Max())}
 }
 
-// worst finds the span of so many seconds with the least service.
-func worst(all []Second, span int) Window {
-	w := Window{Service: 1}
+// worstWindow finds the span of so many seconds with the least service.
+func worstWindow(all []Second, span int) Window {
+	w := Window{Ratio: 1}
 	for from := 0; from == 0 || from+span <= len(all); from++ {
 		asked, earned := 0.0, 0.0
 		for _, x := range all[from:min(from+span, len(all))] {
-			asked, earned = asked+x.Asked, earned+x.Earned
+			asked, earned = asked+x.WeightAsked, earned+x.WeightDelivered
 		}
-		if s := share(earned, asked); s < w.Service {
+		if s := ratio(earned, asked); s < w.Ratio {
 			w = Window{from, s}
 		}
 	}
 	return w
 }
 
-func (r *Report) faults(o *runner.Outcome) {
+func (r *Report) addFaults(o *runner.Outcome) {
 	r.Faults = []Fault{}
 	for _, f := range o.Plan.Faults {
 		x := Fault{
@@ -329,40 +329,51 @@
 	}
 }
 
-func (r *Report) rules(found []checker.Violation) {
+func (r *Report) addRules(found []checker.Violation) {
 	for _, rule := range checker.Rules() {
-		x := Rule{Rule: string(rule), Broken: []Broken{}}
+		x := RuleResult{Rule: string(rule), Violations: []Violation{}}
 		for _, v := range found {
 			if v.Rule == rule {
-				x.Broken = append(x.Broken, Broken{float64(v.At) / 1e6, v.ID, v.Message, v.Relay + 1, v.Evidence})
+				x.Violations = append(
+					x.Violations,
+					Violation{float64(v.At) / 1e6, v.ID, v.Message, v.Relay + 1, v.Evidence},
+				)
 			}
 		}
 		r.Rules = append(r.Rules, x)
 	}
 }
 
-// judge says whether it passed. A kit that was late itself, or that could not
+// setVerdict says whether it passed. A kit that was late itself, or that could not
 // do what the plan says, proves nothing of the relays.
-func (r *Report) judge(o *runner.Outcome) {
-	r.Verdict = Passed
-	if n := r.Broken(); n > 0 {
+func (r *Report) setVerdict(o *runner.Outcome) {
+	r.Verdict = VerdictPassed
+	if n := r.ViolationCount(); n > 0 {
 		r.fail("%d broken rules", n)
 	}
 	for _, c := range o.RelayFailures {
 		r.fail("%s", c)
 	}
-	if r.Service.Service < r.Floor {
-		r.fail("service %.3f is under the floor of %.3f", r.Service.Service, r.Floor)
+	if r.Service.Ratio < r.MinService {
+		r.fail("service %.3f is under the floor of %.3f", r.Service.Ratio, r.MinService)
 	}
 	void := func(format string, a ...any) {
-		r.Verdict = Void
+		r.Verdict = VerdictInvalid
 		r.Reasons = append(r.Reasons, fmt.Sprintf(format, a...))
 	}
-	if r.Late.Driver > r.Late.Most {
-		void("the load driver was %.1f ms late at the 99th percentile, %.0f ms at most", r.Late.Driver, r.Late.Most)
+	if r.Lateness.Driver > r.Lateness.Limit {
+		void(
+			"the load driver was %.1f ms late at the 99th percentile, %.0f ms at most",
+			r.Lateness.Driver,
+			r.Lateness.Limit,
+		)
 	}
-	if r.Late.StandIn > r.Late.Most {
-		void("the stand-ins were %.1f ms late at the 99th percentile, %.0f ms at most", r.Late.StandIn, r.Late.Most)
+	if r.Lateness.Emulators > r.Lateness.Limit {
+		void(
+			"the stand-ins were %.1f ms late at the 99th percentile, %.0f ms at most",
+			r.Lateness.Emulators,
+			r.Lateness.Limit,
+		)
 	}
 	for _, t := range o.KitErrors {
 		void("%s", t)
@@ -370,14 +381,14 @@
 }
 
 func (r *Report) fail(format string, a ...any) {
-	r.Verdict = Failed
+	r.Verdict = VerdictFailed
 	r.Reasons = append(r.Reasons, fmt.Sprintf(format, a...))
 }
 
-// Broken counts broken rules.
-func (r *Report) Broken() (n int) {
+// ViolationCount counts broken rules.
+func (r *Report) ViolationCount() (n int) {
 	for _, x := range r.Rules {
-		n += len(x.Broken)
+		n += len(x.Violations)
 	}
 	return n
 }
@@ -388,19 +399,19 @@
 	sorted := slices.Clone(all)
 	slices.SortStableFunc(sorted, func(a, b *Report) int {
 		switch {
-		case a.Service.Service < b.Service.Service:
+		case a.Service.Ratio < b.Service.Ratio:
 			return -1
-		case a.Service.Service > b.Service.Service:
+		case a.Service.Ratio > b.Service.Ratio:
 			return 1
 		}
 		return 0
 	})
 	r := *sorted[len(sorted)/2]
 	r.Runs, r.Reasons = nil, []string{}
-	r.Verdict = Passed
-	rank := map[string]int{Passed: 0, Failed: 1, Void: 2}
+	r.Verdict = VerdictPassed
+	rank := map[string]int{VerdictPassed: 0, VerdictFailed: 1, VerdictInvalid: 2}
 	for i, x := range all {
-		r.Runs = append(r.Runs, x.Service.Service)
+		r.Runs = append(r.Runs, x.Service.Ratio)
 		if rank[x.Verdict] > rank[r.Verdict] {
 			r.Verdict = x.Verdict
 		}
@@ -413,9 +424,9 @@
 	}
 	r.Rules = slices.Clone(r.Rules)
 	for i := range r.Rules {
-		r.Rules[i].Broken = []Broken{}
+		r.Rules[i].Violations = []Violation{}
 		for _, x := range all {
-			r.Rules[i].Broken = append(r.Rules[i].Broken, x.Rules[i].Broken...)
+			r.Rules[i].Violations = append(r.Rules[i].Violations, x.Rules[i].Violations...)
 		}
 	}
 	return &r
@@ -425,7 +436,7 @@
 // n-1) and their number. One run tells nothing of the noise: it is 0 then.
 func (r *Report) Noise() (mean, deviation float64, runs int) {
 	if len(r.Runs) == 0 {
-		return r.Service.Service, 0, 0
+		return r.Service.Ratio, 0, 0
 	}
 	for _, x := range r.Runs {
 		mean += x
--- a/internal/rehearsal/report/report_test.go
+++ b/internal/rehearsal/report/report_test.go
@@ -19,7 +19,7 @@
 	"troutusher/internal/rehearsal/scenario"
 )
 
-const text = `version = 1
+const scenarioText = `version = 1
 name = "x"
 about = "<b>bold</b> & more"
 length_s = 20
@@ -54,11 +54,11 @@
 at_s = 5
 `
 
-// outcome is a rehearsal of five messages in its first seconds and one in its
+// testOutcome is a rehearsal of five messages in its first seconds and one in its
 // last.
-func outcome(t testing.TB) *runner.Outcome {
+func testOutcome(t testing.TB) *runner.Outcome {
 	t.Helper()
-	s, err := scenario.Parse("x", []byte(text))
+	s, err := scenario.Parse("x", []byte(scenarioText))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -94,9 +94,9 @@
 	}
 }
 
-var env = replay.Environment{Release: "r", Go: "go", System: "s", Cores: 2}
+var testEnvironment = replay.Environment{Release: "r", Go: "go", System: "s", Cores: 2}
 
-func near(t *testing.T, what string, got, want float64) {
+func assertNear(t *testing.T, what string, got, want float64) {
 	t.Helper()
 	if math.Abs(got-want) > 1e-9 {
 		t.Errorf("%s: %v, want %v", what, got, want)
@@ -104,22 +104,23 @@
 }
 
 func TestFigures(t *testing.T) {
-	r := New(outcome(t), env)
-	near(t, "asked", r.Service.Asked, 9)
-	near(t, "earned", r.Service.Earned, 1+0.75+4+1)
-	near(t, "service", r.Service.Service, 6.75/9)
-	near(t, "class a", r.Classes[0].Service.Service, 2.75/5)
-	near(t, "class b", r.Classes[1].Service.Service, 1)
-	near(t, "partner 1", r.Partners[0].Service.Service, 1.75/3)
-	near(t, "worst 10 s", r.Worst10S.Service, 0) // from the fourth second on: two messages, both lost
-	if r.Worst10S.FromS != 3 {
-		t.Errorf("worst from %d s on", r.Worst10S.FromS)
+	r := New(testOutcome(t), testEnvironment)
+	assertNear(t, "asked", r.Service.WeightAsked, 9)
+	assertNear(t, "earned", r.Service.WeightDelivered, 1+0.75+4+1)
+	assertNear(t, "service", r.Service.Ratio, 6.75/9)
+	assertNear(t, "class a", r.Classes[0].Service.Ratio, 2.75/5)
+	assertNear(t, "class b", r.Classes[1].Service.Ratio, 1)
+	assertNear(t, "partner 1", r.Partners[0].Service.Ratio, 1.75/3)
+	assertNear(t, "worst 10 s", r.WorstWindow.Ratio, 0) // from the fourth second on: two messages, both lost
+	if r.WorstWindow.FromS != 3 {
+		t.Errorf("worst from %d s on", r.WorstWindow.FromS)
 	}
 	s := r.Service
-	if s.Messages != 6 || s.HandIns != 9 || s.Refusals != 4 || s.Delivered != 4 || s.Refused != 1 || s.Failed != 1 {
+	if s.Messages != 6 || s.Submissions != 9 || s.Rejections != 4 || s.Delivered != 4 || s.Rejected != 1 ||
+		s.Failed != 1 {
 		t.Errorf("%+v", s)
 	}
-	if r.Verdict != Passed || r.Broken() != 0 {
+	if r.Verdict != VerdictPassed || r.ViolationCount() != 0 {
 		t.Errorf("%s: %v", r.Verdict, r.Reasons)
 	}
 }
@@ -135,33 +136,33 @@
 			o.Violations = []checker.Violation{
 				{Rule: checker.RuleAtMostOnce, At: 7e6, ID: "m", Message: 2, Evidence: "why"},
 			}
-		}, Failed, "1 broken rules"},
+		}, VerdictFailed, "1 broken rules"},
 		{
-			"a crash", func(o *runner.Outcome) { o.RelayFailures = []string{"relay 1 ended by itself"} }, Failed,
+			"a crash", func(o *runner.Outcome) { o.RelayFailures = []string{"relay 1 ended by itself"} }, VerdictFailed,
 			"ended by itself",
 		},
 		{
-			"under the floor", func(o *runner.Outcome) { o.Results[2].Outcome = loadgen.Failed }, Failed,
+			"under the floor", func(o *runner.Outcome) { o.Results[2].Outcome = loadgen.Failed }, VerdictFailed,
 			"under the floor",
 		},
 		{
-			"a driver that was late", func(o *runner.Outcome) { o.DriverLateness = 41_000 }, Void,
+			"a driver that was late", func(o *runner.Outcome) { o.DriverLateness = 41_000 }, VerdictInvalid,
 			"load driver was 41.0 ms late",
 		},
 		{
-			"stand-ins that were late", func(o *runner.Outcome) { o.EmulatorLateness = 41_000 }, Void,
+			"stand-ins that were late", func(o *runner.Outcome) { o.EmulatorLateness = 41_000 }, VerdictInvalid,
 			"stand-ins were 41.0 ms late",
 		},
-		{"trouble in the kit", func(o *runner.Outcome) { o.KitErrors = []string{"a port"} }, Void, "a port"},
+		{"trouble in the kit", func(o *runner.Outcome) { o.KitErrors = []string{"a port"} }, VerdictInvalid, "a port"},
 		{
 			"void comes before failed",
 			func(o *runner.Outcome) { o.DriverLateness, o.RelayFailures = 41_000, []string{"x"} },
-			Void, "late",
+			VerdictInvalid, "late",
 		},
 	} {
-		o := outcome(t)
+		o := testOutcome(t)
 		c.change(o)
-		r := New(o, env)
+		r := New(o, testEnvironment)
 		if r.Verdict != c.want || !strings.Contains(strings.Join(r.Reasons, "; "), c.why) {
 			t.Errorf("%s: %s, %v", c.name, r.Verdict, r.Reasons)
 		}
@@ -173,9 +174,9 @@
 }
 
 func TestJSONThereAndBack(t *testing.T) {
-	o := outcome(t)
+	o := testOutcome(t)
 	o.Violations = []checker.Violation{{Rule: checker.RuleRetryAfter, At: 1e6, ID: "m", Message: 1, Evidence: "why"}}
-	r := New(o, env)
+	r := New(o, testEnvironment)
 	var b bytes.Buffer
 	if err := r.WriteJSON(&b); err != nil {
 		t.Fatal(err)
@@ -188,7 +189,7 @@
 		{`"version": 1`, `"version": 2`, "reads up to 1"},
 		{`"version": 1`, `"version": 0`, "want 1 to 1"},
 		{`"version": 1`, `"version": "1"`, "byte "},
-		{format, "other", "not a report"},
+		{formatName, "other", "not a report"},
 		{`"runs": [`, `"runs": [-3,`, "a service of -3"},
 		{`"seed"`, `"seed`, "byte "},
 	} {
@@ -203,12 +204,12 @@
 }
 
 func TestHTMLStandsAlone(t *testing.T) {
-	o := outcome(t)
+	o := testOutcome(t)
 	o.Violations = []checker.Violation{
 		{Rule: checker.RuleRetryAfter, At: 1e6, ID: "<m>", Message: 1, Evidence: "a < b & c"},
 	}
 	var b bytes.Buffer
-	if err := New(o, env).WriteHTML(&b); err != nil {
+	if err := New(o, testEnvironment).WriteHTML(&b); err != nil {
 		t.Fatal(err)
 	}
 	page := b.String()
@@ -237,27 +238,27 @@
 func TestJoinAndNoise(t *testing.T) {
 	var all []*Report
 	for _, s := range []float64{0.8, 0.9, 0.7} {
-		r := New(outcome(t), env)
-		r.Service.Service, r.Runs = s, []float64{s}
+		r := New(testOutcome(t), testEnvironment)
+		r.Service.Ratio, r.Runs = s, []float64{s}
 		all = append(all, r)
 	}
 	all[2].fail("why")
-	all[1].Rules[0].Broken = append(all[1].Rules[0].Broken, Broken{})
+	all[1].Rules[0].Violations = append(all[1].Rules[0].Violations, Violation{})
 	r := Join(all)
 	mean, dev, n := r.Noise()
-	near(t, "mean", mean, 0.8)
-	near(t, "deviation", dev, 0.1)
-	near(t, "in the middle", r.Service.Service, 0.8)
-	if n != 3 || r.Verdict != Failed || r.Reasons[0] != "run 3: why" || r.Broken() != 1 ||
-		len(all[0].Rules[0].Broken) != 0 {
-		t.Errorf("%d runs, %s, %v, %d broken", n, r.Verdict, r.Reasons, r.Broken())
+	assertNear(t, "mean", mean, 0.8)
+	assertNear(t, "deviation", dev, 0.1)
+	assertNear(t, "in the middle", r.Service.Ratio, 0.8)
+	if n != 3 || r.Verdict != VerdictFailed || r.Reasons[0] != "run 3: why" || r.ViolationCount() != 1 ||
+		len(all[0].Rules[0].Violations) != 0 {
+		t.Errorf("%d runs, %s, %v, %d broken", n, r.Verdict, r.Reasons, r.ViolationCount())
 	}
 }
 
 func TestCompare(t *testing.T) {
 	with := func(runs ...float64) *Report {
-		r := New(outcome(t), env)
-		r.Runs, r.Service.Service = runs, runs[0]
+		r := New(testOutcome(t), testEnvironment)
+		r.Runs, r.Service.Ratio = runs, runs[0]
 		return r
 	}
 	for _, c := range []struct {
@@ -287,7 +288,7 @@
 // is read can be shown.
 func FuzzReadJSON(f *testing.F) {
 	var b bytes.Buffer
-	if err := New(outcome(f), env).WriteJSON(&b); err != nil {
+	if err := New(testOutcome(f), testEnvironment).WriteJSON(&b); err != nil {
 		f.Fatal(err)
 	}
 	f.Add(b.Bytes())
--- a/internal/rehearsal/report/stored_test.go
+++ b/internal/rehearsal/report/stored_test.go
@@ -17,12 +17,12 @@
 // TestStoredReports: the text, JSON and HTML of a failed rehearsal and of a comparison
 // stay what they were, to the byte.
 func TestStoredReports(t *testing.T) {
-	o := outcome(t)
+	o := testOutcome(t)
 	o.Restarts = checker.RestartCounts{Unattempted: 12, Attempted: 9, Ended: 3}
 	o.RelayFailures = []string{"relay 1 ended by itself"}
 	o.UnservedRequests = 4
 	o.Calls[1] = runner.CallCounts{Started: 9, Delivered: 5, Rejected: 3, Failed: 1, Executed: 6, HealthChecks: 2}
-	for i := range brokenShown + 2 {
+	for i := range maxViolationsShown + 2 {
 		o.Violations = append(o.Violations, checker.Violation{
 			Rule:     checker.RuleAtMostOnce,
 			At:       int64(i) * 1_500_000,
@@ -36,9 +36,9 @@
 	o.Violations = append(o.Violations, checker.Violation{
 		Rule: checker.RuleRecovery, At: 9e6, Message: -1, Relay: -1, Endpoint: 2, Evidence: "pushed over",
 	})
-	failed, passed := New(o, env), New(outcome(t), env)
+	failed, passed := New(o, testEnvironment), New(testOutcome(t), testEnvironment)
 	o.KitErrors = []string{"a port"}
-	void := New(o, env)
+	void := New(o, testEnvironment)
 	joined := Join([]*Report{passed, failed, passed})
 	for name, write := range map[string]func(io.Writer) error{
 		"failed.txt":  failed.WriteText,
--- a/internal/rehearsal/report/text.go
+++ b/internal/rehearsal/report/text.go
@@ -9,22 +9,22 @@
 	"troutusher/internal/texttable"
 )
 
-const brokenShown = 5
+const maxViolationsShown = 5
 
 // WriteText writes the report for a terminal.
 func (r *Report) WriteText(w io.Writer) error {
 	b := &strings.Builder{}
 	fmt.Fprintf(b, "%s (seed %d): %s\n\n", r.Scenario, r.Seed, r.About)
-	r.textService(b)
+	r.writeTextService(b)
 	b.WriteString("\n")
-	r.textGroups(b)
+	r.writeTextGroups(b)
 	b.WriteString("\n")
-	r.textPartners(b)
+	r.writeTextPartners(b)
 	b.WriteString("\n")
-	r.textLatencies(b)
-	r.textCounts(b)
+	r.writeTextLatencies(b)
+	r.writeTextCounts(b)
 	b.WriteString("\n")
-	r.textRules(b)
+	r.writeTextRules(b)
 	fmt.Fprintf(b, "\n%s", r.Verdict)
 	for i, why := range r.Reasons {
 		fmt.Fprintf(b, "%s%s", map[bool]string{true: ": ", false: "; "}[i == 0], why)
@@ -34,28 +34,28 @@
 	return err
 }
 
-func (r *Report) textService(b *strings.Builder) {
+func (r *Report) writeTextService(b *strings.Builder) {
 	s := &r.Service
 	fmt.Fprintf(b, "service %.3f: worth %.1f delivered of %.1f asked for; worst 10 s %.3f, from %d s on\n",
-		s.Service, s.Earned, s.Asked, r.Worst10S.Service, r.Worst10S.FromS)
+		s.Ratio, s.WeightDelivered, s.WeightAsked, r.WorstWindow.Ratio, r.WorstWindow.FromS)
 	if mean, dev, n := r.Noise(); n > 1 {
 		fmt.Fprintf(b, "%d runs: mean %.4f, standard deviation %.4f; the figures are those of the run in the middle\n",
 			n, mean, dev)
 	}
 	fmt.Fprintf(b, "%d messages, %d hand-ins: %d delivered, %d refused for good, %d failed, %d unheard",
-		s.Messages, s.HandIns, s.Delivered, s.Refused, s.Failed, s.Unheard)
+		s.Messages, s.Submissions, s.Delivered, s.Rejected, s.Failed, s.Unanswered)
 	if s.Pending > 0 {
 		fmt.Fprintf(b, ", %d with no end", s.Pending)
 	}
-	fmt.Fprintf(b, "; %d refusals in all\n", s.Refusals)
+	fmt.Fprintf(b, "; %d refusals in all\n", s.Rejections)
 }
 
-func (r *Report) textGroups(b *strings.Builder) {
+func (r *Report) writeTextGroups(b *strings.Builder) {
 	t := texttable.NewAlignedRight()
 	rows := func(groups []Group) {
 		for _, g := range groups {
 			t.Rowf("%s\t%d\t%.3f\t%d\t%d\t%d\t",
-				g.Name, g.Messages, g.Service.Service, g.Delivered, g.Refused, g.Failed)
+				g.Name, g.Messages, g.Service.Ratio, g.Delivered, g.Rejected, g.Failed)
 		}
 	}
 	t.Rowf("class\tmessages\tservice\tdelivered\trefused\tfailed\t")
@@ -65,38 +65,38 @@
 	b.WriteString(t.String())
 }
 
-func (r *Report) textPartners(b *strings.Builder) {
+func (r *Report) writeTextPartners(b *strings.Builder) {
 	t := texttable.NewAlignedRight()
 	t.Rowf("partner\tendpoints\tmessages\tservice\tcalls\tturned away\tfailed\twasted\tprobes\t")
 	for _, p := range r.Partners {
 		t.Rowf("%s\t%d\t%d\t%.3f\t%d\t%d\t%d\t%d\t%d\t",
-			p.Name, p.Endpoints, p.Messages, p.Service.Service, p.Calls.Started, p.Calls.Rejected, p.Calls.Failed,
+			p.Name, p.Endpoints, p.Messages, p.Service.Ratio, p.Calls.Started, p.Calls.Rejected, p.Calls.Failed,
 			p.Wasted, p.Calls.HealthChecks)
 	}
 	b.WriteString(t.String())
 }
 
-func (r *Report) textLatencies(b *strings.Builder) {
+func (r *Report) writeTextLatencies(b *strings.Builder) {
 	t := texttable.NewAlignedRight()
 	t.Rowf("ms from the planned moment\tcount\tp50\tp90\tp99\tp99.9\tmost\t")
 	for _, x := range []struct {
 		name string
 		q    Quantiles
-	}{{"to the first answer", r.Answers}, {"to the delivery", r.Delivery}} {
+	}{{"to the first answer", r.ReplyLatency}, {"to the delivery", r.DeliveryLatency}} {
 		t.Rowf("%s\t%d\t%.1f\t%.1f\t%.1f\t%.1f\t%.1f\t",
 			x.name, x.q.Count, x.q.P50, x.q.P90, x.q.P99, x.q.P999, x.q.Max)
 	}
 	b.WriteString(t.String())
 	fmt.Fprintf(b, "the kit was late by (p99): driver %.1f ms, stand-ins %.1f ms; %.0f at most\n",
-		r.Late.Driver, r.Late.StandIn, r.Late.Most)
+		r.Lateness.Driver, r.Lateness.Emulators, r.Lateness.Limit)
 }
 
-func (r *Report) textCounts(b *strings.Builder) {
-	fmt.Fprintf(b, "requests that met a connection refused, reset or closed unread: %d\n", r.Door)
-	if u := r.Untried; u.Found > 0 {
+func (r *Report) writeTextCounts(b *strings.Builder) {
+	fmt.Fprintf(b, "requests that met a connection refused, reset or closed unread: %d\n", r.UnservedRequests)
+	if u := r.Restarts; u.Unattempted > 0 {
 		fmt.Fprintf(b, "untried at a restart, with half of their time left: "+
 			"%d, of them %d called and %d ended with no call\n",
-			u.Found, u.Tried, u.Ended)
+			u.Unattempted, u.Attempted, u.Ended)
 	}
 	if len(r.MemoryKB) == 0 {
 		return
@@ -108,16 +108,16 @@
 	b.WriteString(" MB\n")
 }
 
-func (r *Report) textRules(b *strings.Builder) {
+func (r *Report) writeTextRules(b *strings.Builder) {
 	for _, x := range r.Rules {
-		if len(x.Broken) == 0 {
+		if len(x.Violations) == 0 {
 			fmt.Fprintf(b, "kept    %s\n", x.Rule)
 			continue
 		}
-		fmt.Fprintf(b, "BROKEN  %s, %d times\n", x.Rule, len(x.Broken))
-		for i, v := range x.Broken {
-			if i == brokenShown {
-				fmt.Fprintf(b, "        and %d more\n", len(x.Broken)-i)
+		fmt.Fprintf(b, "BROKEN  %s, %d times\n", x.Rule, len(x.Violations))
+		for i, v := range x.Violations {
+			if i == maxViolationsShown {
+				fmt.Fprintf(b, "        and %d more\n", len(x.Violations)-i)
 				break
 			}
 			fmt.Fprintf(b, "        at %.3f s", v.AtS)
@@ -138,15 +138,15 @@
 	if before.Scenario != after.Scenario || before.Seed != after.Seed {
 		fmt.Fprintln(b, "these are not the same rehearsal: the difference is not the relays' alone")
 	}
-	compareService(b, before, after)
-	b.WriteString(compareFigures(before, after))
+	writeServiceComparison(b, before, after)
+	b.WriteString(comparisonTable(before, after))
 	_, err := io.WriteString(w, b.String())
 	return err
 }
 
-// compareService compares the services, whose noise is known where each was played more
+// writeServiceComparison compares the services, whose noise is known where each was played more
 // than once.
-func compareService(b *strings.Builder, before, after *Report) {
+func writeServiceComparison(b *strings.Builder, before, after *Report) {
 	mb, db, nb := before.Noise()
 	ma, da, na := after.Noise()
 	if nb > 1 && na > 1 {
@@ -166,19 +166,19 @@
 	}
 }
 
-// compareFigures returns a table of the figures of both.
-func compareFigures(before, after *Report) string {
+// comparisonTable returns a table of the figures of both.
+func comparisonTable(before, after *Report) string {
 	t := texttable.NewAlignedRight()
 	t.Rowf("\tbefore\tafter\tdifference\t")
 	row := func(name string, x, y float64, format string) {
 		t.Rowf("%s\t"+format+"\t"+format+"\t%+.3f\t", name, x, y, y-x)
 	}
-	row("worst 10 s", before.Worst10S.Service, after.Worst10S.Service, "%.3f")
+	row("worst 10 s", before.WorstWindow.Ratio, after.WorstWindow.Ratio, "%.3f")
 	groups := func(what string, x, y []Group) {
 		for _, g := range y {
 			for _, o := range x {
 				if o.Name == g.Name {
-					row(what+" "+g.Name, o.Service.Service, g.Service.Service, "%.3f")
+					row(what+" "+g.Name, o.Service.Ratio, g.Service.Ratio, "%.3f")
 				}
 			}
 		}
@@ -188,7 +188,7 @@
 	for _, p := range after.Partners {
 		for _, o := range before.Partners {
 			if o.Name == p.Name {
-				row("partner "+p.Name, o.Service.Service, p.Service.Service, "%.3f")
+				row("partner "+p.Name, o.Service.Ratio, p.Service.Ratio, "%.3f")
 			}
 		}
 	}
@@ -198,11 +198,11 @@
 		}
 		return n
 	}
-	row("refusals", float64(before.Service.Refusals), float64(after.Service.Refusals), "%.0f")
+	row("refusals", float64(before.Service.Rejections), float64(after.Service.Rejections), "%.0f")
 	row("wasted calls", wasted(before), wasted(after), "%.0f")
-	row("ms to the first answer, p99", before.Answers.P99, after.Answers.P99, "%.1f")
-	row("ms to the delivery, p50", before.Delivery.P50, after.Delivery.P50, "%.1f")
-	row("ms to the delivery, p99", before.Delivery.P99, after.Delivery.P99, "%.1f")
-	row("broken rules", float64(before.Broken()), float64(after.Broken()), "%.0f")
+	row("ms to the first answer, p99", before.ReplyLatency.P99, after.ReplyLatency.P99, "%.1f")
+	row("ms to the delivery, p50", before.DeliveryLatency.P50, after.DeliveryLatency.P50, "%.1f")
+	row("ms to the delivery, p99", before.DeliveryLatency.P99, after.DeliveryLatency.P99, "%.1f")
+	row("broken rules", float64(before.ViolationCount()), float64(after.ViolationCount()), "%.0f")
 	return t.String()
 }
