--- a/internal/rehearsal/replay/recording_test.go
+++ b/internal/rehearsal/replay/recording_test.go
@@ -8,6 +8,7 @@
 	"os"
 	"path/filepath"
 	"reflect"
+	"slices"
 	"strings"
 	"testing"
 
@@ -43,24 +44,24 @@
 		a.Scenario.Rules == b.Scenario.Rules
 }
 
-func TestWhatIsWrittenIsRead(t *testing.T) {
+func TestRoundTrip(t *testing.T) {
 	for _, name := range scenario.BuiltinNames() {
 		p := builtinPlan(t, name)
 		text := encode(t, p)
-		q, env, err := Read(bytes.NewReader(text))
+		reread, env, err := Read(bytes.NewReader(text))
 		if err != nil {
 			t.Fatalf("%s: %v", name, err)
 		}
-		if !samePlan(p, q) || env.Cores != 4 {
+		if !samePlan(p, reread) || env.Cores != 4 {
 			t.Errorf("%s: read as another plan", name)
 		}
-		if again := encode(t, q); !bytes.Equal(text, again) {
+		if again := encode(t, reread); !bytes.Equal(text, again) {
 			t.Errorf("%s: written again it has other bytes", name)
 		}
 	}
 }
 
-func TestSaveIsWholeOrNotAtAll(t *testing.T) {
+func TestSaveIsAtomic(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "r")
 	if err := Save(path, builtinPlan(t, "calm"), Environment{}); err != nil {
 		t.Fatal(err)
@@ -76,7 +77,7 @@
 	}
 }
 
-func TestEveryCutIsNoticed(t *testing.T) {
+func TestTruncationIsDetected(t *testing.T) {
 	text := encode(t, builtinPlan(t, "calm"))
 	for cut := 0; cut < len(text)-1; cut += 1 + cut%97 {
 		_, _, err := Read(bytes.NewReader(text[:cut]))
@@ -90,7 +91,7 @@
 	}
 }
 
-func TestDamageIsNoticed(t *testing.T) {
+func TestDamageIsDetected(t *testing.T) {
 	text := encode(t, builtinPlan(t, "calm"))
 	for at := 0; at < len(text)-1; at += 1 + at%53 {
 		bad := bytes.Clone(text)
@@ -124,11 +125,11 @@
 		{4, "\n", "{}\n", "more than one value", nil},
 		{len(lines) - 2, `"arrivals":`, `"arrivals":1`, "arrivals and ", nil},
 	} {
-		x := append([]string(nil), lines...)
-		if x[c.line] = strings.Replace(x[c.line], c.old, c.new, 1); x[c.line] == lines[c.line] {
-			t.Fatalf("%q is not in line %d: %.200s", c.old, c.line, x[c.line])
+		damaged := slices.Clone(lines)
+		if damaged[c.line] = strings.Replace(lines[c.line], c.old, c.new, 1); damaged[c.line] == lines[c.line] {
+			t.Fatalf("%q is not in line %d: %.200s", c.old, c.line, lines[c.line])
 		}
-		_, _, err := Read(strings.NewReader(strings.Join(x, "")))
+		_, _, err := Read(strings.NewReader(strings.Join(damaged, "")))
 		if err == nil || !strings.Contains(err.Error(), c.want) || c.is != nil && !errors.Is(err, c.is) {
 			t.Errorf("%s -> %s: %v, want %s", c.old, c.new, err, c.want)
 		}
