--- a/internal/rehearsal/report/html.go
+++ b/internal/rehearsal/report/html.go
@@ -40,11 +40,11 @@
 		b,
 		"<p class=\"big\">Service <b>%.3f</b> (floor %.2f): worth %.1f of %.1f; worst 10 s <b>%.3f</b> from %d s on. "+
 			"%d messages: %d delivered, %d refused for good, %d failed, %d unheard.</p>\n",
-		r.Service.Ratio,
+		r.Service.ServiceRatio,
 		r.MinService,
 		r.Service.WeightDelivered,
 		r.Service.WeightAsked,
-		r.WorstWindow.Ratio,
+		r.WorstWindow.ServiceRatio,
 		r.WorstWindow.FromS,
 		r.Service.Messages,
 		r.Service.Delivered,
@@ -153,7 +153,7 @@
 	p := &c.Partners[i]
 	y := chartTop + rowHeight*float64(i)
 	name := html.EscapeString(p.Name)
-	fmt.Fprintf(c.Builder, "<text x=\"0\" y=\"%.1f\">%s %.2f</text>", y+16, name, p.Service.Ratio)
+	fmt.Fprintf(c.Builder, "<text x=\"0\" y=\"%.1f\">%s %.2f</text>", y+16, name, p.ServiceRatio)
 	for s := range c.Seconds {
 		if i >= len(c.Seconds[s].Partners) {
 			continue
@@ -221,7 +221,7 @@
 	group := func(what string, all []Group) {
 		fmt.Fprintf(b, "<table><tr><th>%s<th>messages<th>service<th>delivered<th>refused<th>failed</tr>", what)
 		for _, g := range all {
-			fmt.Fprintf(b, "<tr><td>%s<td>%d<td>%.3f<td>%d<td>%d<td>%d</tr>", e(g.Name), g.Messages, g.Service.Ratio,
+			fmt.Fprintf(b, "<tr><td>%s<td>%d<td>%.3f<td>%d<td>%d<td>%d</tr>", e(g.Name), g.Messages, g.ServiceRatio,
 				g.Delivered, g.Rejected, g.Failed)
 		}
 		fmt.Fprint(b, "</table>\n")
@@ -232,7 +232,7 @@
 		"away<th>failed<th>wasted<th>took effect<th>probes</tr>")
 	for _, p := range r.Partners {
 		fmt.Fprintf(b, "<tr><td>%s<td>%d<td>%d<td>%.3f<td>%d<td>%d<td>%d<td>%d<td>%d<td>%d</tr>", e(p.Name),
-			p.Endpoints, p.Messages, p.Service.Ratio, p.Calls.Started, p.Calls.Rejected, p.Calls.Failed, p.Wasted,
+			p.Endpoints, p.Messages, p.ServiceRatio, p.Calls.Started, p.Calls.Rejected, p.Calls.Failed, p.Wasted,
 			p.Calls.Executed, p.Calls.HealthChecks)
 	}
 	fmt.Fprint(b, "</table>\n<table><tr><th>ms from the planned "+
--- a/internal/rehearsal/report/json.go
+++ b/internal/rehearsal/report/json.go
@@ -45,7 +45,7 @@
 	case r.Version < 1:
 		return nil, fmt.Errorf("report: version %d, want 1 to %d", r.Version, Version)
 	}
-	for _, v := range append(slices.Clone(r.Runs), r.Service.Ratio, r.WorstWindow.Ratio) {
+	for _, v := range append(slices.Clone(r.Runs), r.Service.ServiceRatio, r.WorstWindow.ServiceRatio) {
 		if !(v >= 0 && v <= 1+1e-9) {
 			return nil, fmt.Errorf("report: a service of %v, want 0 to 1", v)
 		}
--- a/internal/rehearsal/report/report_test.go
+++ b/internal/rehearsal/report/report_test.go
@@ -107,11 +107,11 @@
 	r := New(testOutcome(t), testEnvironment)
 	assertNear(t, "asked", r.Service.WeightAsked, 9)
 	assertNear(t, "earned", r.Service.WeightDelivered, 1+0.75+4+1)
-	assertNear(t, "service", r.Service.Ratio, 6.75/9)
-	assertNear(t, "class a", r.Classes[0].Service.Ratio, 2.75/5)
-	assertNear(t, "class b", r.Classes[1].Service.Ratio, 1)
-	assertNear(t, "partner 1", r.Partners[0].Service.Ratio, 1.75/3)
-	assertNear(t, "worst 10 s", r.WorstWindow.Ratio, 0) // from the fourth second on: two messages, both lost
+	assertNear(t, "service", r.Service.ServiceRatio, 6.75/9)
+	assertNear(t, "class a", r.Classes[0].ServiceRatio, 2.75/5)
+	assertNear(t, "class b", r.Classes[1].ServiceRatio, 1)
+	assertNear(t, "partner 1", r.Partners[0].ServiceRatio, 1.75/3)
+	assertNear(t, "worst 10 s", r.WorstWindow.ServiceRatio, 0) // from the fourth second on: two messages, both lost
 	if r.WorstWindow.FromS != 3 {
 		t.Errorf("worst from %d s on", r.WorstWindow.FromS)
 	}
@@ -239,16 +239,16 @@
 	var all []*Report
 	for _, s := range []float64{0.8, 0.9, 0.7} {
 		r := New(testOutcome(t), testEnvironment)
-		r.Service.Ratio, r.Runs = s, []float64{s}
+		r.Service.ServiceRatio, r.Runs = s, []float64{s}
 		all = append(all, r)
 	}
-	all[2].fail("why")
+	all[2].addReason(VerdictFailed, "why")
 	all[1].Rules[0].Violations = append(all[1].Rules[0].Violations, Violation{})
 	r := Join(all)
 	mean, dev, n := r.Noise()
 	assertNear(t, "mean", mean, 0.8)
 	assertNear(t, "deviation", dev, 0.1)
-	assertNear(t, "in the middle", r.Service.Ratio, 0.8)
+	assertNear(t, "in the middle", r.Service.ServiceRatio, 0.8)
 	if n != 3 || r.Verdict != VerdictFailed || r.Reasons[0] != "run 3: why" || r.ViolationCount() != 1 ||
 		len(all[0].Rules[0].Violations) != 0 {
 		t.Errorf("%d runs, %s, %v, %d broken", n, r.Verdict, r.Reasons, r.ViolationCount())
@@ -258,7 +258,7 @@
 func TestCompare(t *testing.T) {
 	with := func(runs ...float64) *Report {
 		r := New(testOutcome(t), testEnvironment)
-		r.Runs, r.Service.Ratio = runs, runs[0]
+		r.Runs, r.Service.ServiceRatio = runs, runs[0]
 		return r
 	}
 	for _, c := range []struct {
--- a/internal/rehearsal/report/text.go
+++ b/internal/rehearsal/report/text.go
@@ -3,7 +3,6 @@
 import (
 	"fmt"
 	"io"
-	"math"
 	"strings"
 
 	"troutusher/internal/texttable"
@@ -37,7 +36,7 @@
 func (r *Report) writeTextService(b *strings.Builder) {
 	s := &r.Service
 	fmt.Fprintf(b, "service %.3f: worth %.1f delivered of %.1f asked for; worst 10 s %.3f, from %d s on\n",
-		s.Ratio, s.WeightDelivered, s.WeightAsked, r.WorstWindow.Ratio, r.WorstWindow.FromS)
+		s.ServiceRatio, s.WeightDelivered, s.WeightAsked, r.WorstWindow.ServiceRatio, r.WorstWindow.FromS)
 	if mean, dev, n := r.Noise(); n > 1 {
 		fmt.Fprintf(b, "%d runs: mean %.4f, standard deviation %.4f; the figures are those of the run in the middle\n",
 			n, mean, dev)
@@ -55,7 +54,7 @@
 	rows := func(groups []Group) {
 		for _, g := range groups {
 			t.Rowf("%s\t%d\t%.3f\t%d\t%d\t%d\t",
-				g.Name, g.Messages, g.Service.Ratio, g.Delivered, g.Rejected, g.Failed)
+				g.Name, g.Messages, g.ServiceRatio, g.Delivered, g.Rejected, g.Failed)
 		}
 	}
 	t.Rowf("class\tmessages\tservice\tdelivered\trefused\tfailed\t")
@@ -70,7 +69,7 @@
 	t.Rowf("partner\tendpoints\tmessages\tservice\tcalls\tturned away\tfailed\twasted\tprobes\t")
 	for _, p := range r.Partners {
 		t.Rowf("%s\t%d\t%d\t%.3f\t%d\t%d\t%d\t%d\t%d\t",
-			p.Name, p.Endpoints, p.Messages, p.Service.Ratio, p.Calls.Started, p.Calls.Rejected, p.Calls.Failed,
+			p.Name, p.Endpoints, p.Messages, p.ServiceRatio, p.Calls.Started, p.Calls.Rejected, p.Calls.Failed,
 			p.Wasted, p.Calls.HealthChecks)
 	}
 	b.WriteString(t.String())
@@ -128,81 +127,3 @@
 		}
 	}
 }
-
-// Compare sets a report beside an earlier one. A difference within the noise
-// of both is said to be none.
-func Compare(w io.Writer, before, after *Report) error {
-	b := &strings.Builder{}
-	fmt.Fprintf(b, "before: %s, seed %d, release %s; after: %s, seed %d, release %s\n", before.Scenario, before.Seed,
-		before.Environment.Release, after.Scenario, after.Seed, after.Environment.Release)
-	if before.Scenario != after.Scenario || before.Seed != after.Seed {
-		fmt.Fprintln(b, "these are not the same rehearsal: the difference is not the relays' alone")
-	}
-	writeServiceComparison(b, before, after)
-	b.WriteString(comparisonTable(before, after))
-	_, err := io.WriteString(w, b.String())
-	return err
-}
-
-// writeServiceComparison compares the services, whose noise is known where each was played more
-// than once.
-func writeServiceComparison(b *strings.Builder, before, after *Report) {
-	mb, db, nb := before.Noise()
-	ma, da, na := after.Noise()
-	if nb > 1 && na > 1 {
-		// Welch's standard error of the difference of two means.
-		se := math.Sqrt(db*db/float64(nb) + da*da/float64(na))
-		word := "within the noise"
-		if math.Abs(ma-mb) > 2*se && ma != mb {
-			word = "beyond the noise"
-		}
-		fmt.Fprintf(b, "service %.4f (deviation %.4f, %d runs) -> %.4f (%.4f, %d): %+.4f, %s (twice the standard "+
-			"error is %.4f)\n",
-			mb, db, nb, ma, da, na, ma-mb, word, 2*se)
-	} else {
-		fmt.Fprintf(b, "service %.4f -> %.4f: %+.4f; the noise is not known, since one side was played once "+
-			"(--repeat N)\n",
-			mb, ma, ma-mb)
-	}
-}
-
-// comparisonTable returns a table of the figures of both.
-func comparisonTable(before, after *Report) string {
-	t := texttable.NewAlignedRight()
-	t.Rowf("\tbefore\tafter\tdifference\t")
-	row := func(name string, x, y float64, format string) {
-		t.Rowf("%s\t"+format+"\t"+format+"\t%+.3f\t", name, x, y, y-x)
-	}
-	row("worst 10 s", before.WorstWindow.Ratio, after.WorstWindow.Ratio, "%.3f")
-	groups := func(what string, x, y []Group) {
-		for _, g := range y {
-			for _, o := range x {
-				if o.Name == g.Name {
-					row(what+" "+g.Name, o.Service.Ratio, g.Service.Ratio, "%.3f")
-				}
-			}
-		}
-	}
-	groups("class", before.Classes, after.Classes)
-	groups("portal", before.Portals, after.Portals)
-	for _, p := range after.Partners {
-		for _, o := range before.Partners {
-			if o.Name == p.Name {
-				row("partner "+p.Name, o.Service.Ratio, p.Service.Ratio, "%.3f")
-			}
-		}
-	}
-	wasted := func(r *Report) (n float64) {
-		for _, p := range r.Partners {
-			n += float64(p.Wasted)
-		}
-		return n
-	}
-	row("refusals", float64(before.Service.Rejections), float64(after.Service.Rejections), "%.0f")
-	row("wasted calls", wasted(before), wasted(after), "%.0f")
-	row("ms to the first answer, p99", before.ReplyLatency.P99, after.ReplyLatency.P99, "%.1f")
-	row("ms to the delivery, p50", before.DeliveryLatency.P50, after.DeliveryLatency.P50, "%.1f")
-	row("ms to the delivery, p99", before.DeliveryLatency.P99, after.DeliveryLatency.P99, "%.1f")
-	row("broken rules", float64(before.ViolationCount()), float64(after.ViolationCount()), "%.0f")
-	return t.String()
-}
