--- a/internal/rehearsal/report/report.go
+++ b/internal/rehearsal/report/report.go
@@ -152,3 +152,14 @@
 	}
 	return n
 }
+
+// latency is a latency with its name in texts.
+type latency struct {
+	name      string
+	quantiles Quantiles
+}
+
+// latencies returns the latencies of the report in the order of its tables.
+func (r *Report) latencies() []latency {
+	return []latency{{"to the first answer", r.ReplyLatency}, {"to the delivery", r.DeliveryLatency}}
+}
--- a/internal/rehearsal/report/text.go
+++ b/internal/rehearsal/report/text.go
@@ -25,8 +25,8 @@
 	b.WriteString("\n")
 	r.writeTextRules(b)
 	fmt.Fprintf(b, "\n%s", r.Verdict)
-	for i, why := range r.Reasons {
-		fmt.Fprintf(b, "%s%s", map[bool]string{true: ": ", false: "; "}[i == 0], why)
+	if len(r.Reasons) > 0 {
+		b.WriteString(": " + strings.Join(r.Reasons, "; "))
 	}
 	b.WriteString("\n")
 	_, err := io.WriteString(w, b.String())
@@ -37,9 +37,9 @@
 	s := &r.Service
 	fmt.Fprintf(b, "service %.3f: worth %.1f delivered of %.1f asked for; worst 10 s %.3f, from %d s on\n",
 		s.ServiceRatio, s.WeightDelivered, s.WeightAsked, r.WorstWindow.ServiceRatio, r.WorstWindow.FromS)
-	if mean, dev, n := r.Noise(); n > 1 {
+	if mean, deviation, runs := r.Noise(); runs > 1 {
 		fmt.Fprintf(b, "%d runs: mean %.4f, standard deviation %.4f; the figures are those of the run in the middle\n",
-			n, mean, dev)
+			runs, mean, deviation)
 	}
 	fmt.Fprintf(b, "%d messages, %d hand-ins: %d delivered, %d refused for good, %d failed, %d unheard",
 		s.Messages, s.Submissions, s.Delivered, s.Rejected, s.Failed, s.Unanswered)
@@ -52,9 +52,9 @@
 func (r *Report) writeTextGroups(b *strings.Builder) {
 	t := texttable.NewAlignedRight()
 	rows := func(groups []Group) {
-		for _, g := range groups {
+		for _, group := range groups {
 			t.Rowf("%s\t%d\t%.3f\t%d\t%d\t%d\t",
-				g.Name, g.Messages, g.ServiceRatio, g.Delivered, g.Rejected, g.Failed)
+				group.Name, group.Messages, group.ServiceRatio, group.Delivered, group.Rejected, group.Failed)
 		}
 	}
 	t.Rowf("class\tmessages\tservice\tdelivered\trefused\tfailed\t")
@@ -78,12 +78,10 @@
 func (r *Report) writeTextLatencies(b *strings.Builder) {
 	t := texttable.NewAlignedRight()
 	t.Rowf("ms from the planned moment\tcount\tp50\tp90\tp99\tp99.9\tmost\t")
-	for _, x := range []struct {
-		name string
-		q    Quantiles
-	}{{"to the first answer", r.ReplyLatency}, {"to the delivery", r.DeliveryLatency}} {
+	for _, latency := range r.latencies() {
+		q := &latency.quantiles
 		t.Rowf("%s\t%d\t%.1f\t%.1f\t%.1f\t%.1f\t%.1f\t",
-			x.name, x.q.Count, x.q.P50, x.q.P90, x.q.P99, x.q.P999, x.q.Max)
+			latency.name, q.Count, q.P50, q.P90, q.P99, q.P999, q.Max)
 	}
 	b.WriteString(t.String())
 	fmt.Fprintf(b, "the kit was late by (p99): driver %.1f ms, stand-ins %.1f ms; %.0f at most\n",
@@ -92,10 +90,10 @@
 
 func (r *Report) writeTextCounts(b *strings.Builder) {
 	fmt.Fprintf(b, "requests that met a connection refused, reset or closed unread: %d\n", r.UnservedRequests)
-	if u := r.Restarts; u.Unattempted > 0 {
+	if restarts := r.Restarts; restarts.Unattempted > 0 {
 		fmt.Fprintf(b, "untried at a restart, with half of their time left: "+
 			"%d, of them %d called and %d ended with no call\n",
-			u.Unattempted, u.Attempted, u.Ended)
+			restarts.Unattempted, restarts.Attempted, restarts.Ended)
 	}
 	if len(r.MemoryKB) == 0 {
 		return
@@ -108,15 +106,15 @@
 }
 
 func (r *Report) writeTextRules(b *strings.Builder) {
-	for _, x := range r.Rules {
-		if len(x.Violations) == 0 {
-			fmt.Fprintf(b, "kept    %s\n", x.Rule)
+	for _, rule := range r.Rules {
+		if len(rule.Violations) == 0 {
+			fmt.Fprintf(b, "kept    %s\n", rule.Rule)
 			continue
 		}
-		fmt.Fprintf(b, "BROKEN  %s, %d times\n", x.Rule, len(x.Violations))
-		for i, v := range x.Violations {
+		fmt.Fprintf(b, "BROKEN  %s, %d times\n", rule.Rule, len(rule.Violations))
+		for i, v := range rule.Violations {
 			if i == maxViolationsShown {
-				fmt.Fprintf(b, "        and %d more\n", len(x.Violations)-i)
+				fmt.Fprintf(b, "        and %d more\n", len(rule.Violations)-i)
 				break
 			}
 			fmt.Fprintf(b, "        at %.3f s", v.AtS)
