--- a/internal/rehearsal/checker/checker_test.go
+++ b/internal/rehearsal/checker/checker_test.go
@@ -47,54 +47,54 @@
 }
 
 type scriptedRecord struct {
-	t Time
-	r *Checker
+	now     Time
+	checker *Checker
 }
 
-func (record *scriptedRecord) at(t Time) *scriptedRecord { record.t = t; return record }
+func (record *scriptedRecord) at(t Time) *scriptedRecord { record.now = t; return record }
 
-func (record *scriptedRecord) say(e event.Event) *scriptedRecord {
-	e.At = record.t
-	record.r.Step(e)
+func (record *scriptedRecord) step(e event.Event) *scriptedRecord {
+	e.At = record.now
+	record.checker.Step(e)
 	return record
 }
 
-func (record *scriptedRecord) put(id string, msg, relay int) *scriptedRecord {
-	return record.say(event.Event{Kind: event.HandIn, ID: id, Message: msg, Relay: relay, Left: 8 * s}).
-		say(event.Event{Kind: event.Accepted, ID: id})
+func (record *scriptedRecord) submit(id string, msg, relay int) *scriptedRecord {
+	return record.step(event.Event{Kind: event.HandIn, ID: id, Message: msg, Relay: relay, Left: 8 * s}).
+		step(event.Event{Kind: event.Accepted, ID: id})
 }
 
 func (record *scriptedRecord) call(no uint64, id string, relay, ep int) *scriptedRecord {
-	return record.say(event.Event{Kind: event.CallFirst, Call: no, Relay: relay, Endpoint: ep}).
-		say(event.Event{Kind: event.CallBegan, Call: no, ID: id, Relay: relay, Endpoint: ep})
+	return record.step(event.Event{Kind: event.CallFirst, Call: no, Relay: relay, Endpoint: ep}).
+		step(event.Event{Kind: event.CallBegan, Call: no, ID: id, Relay: relay, Endpoint: ep})
 }
 
-func (record *scriptedRecord) ended(no uint64, status int) *scriptedRecord {
-	return record.say(event.Event{Kind: event.CallEnded, Call: no, Status: status})
+func (record *scriptedRecord) callEnded(no uint64, status int) *scriptedRecord {
+	return record.step(event.Event{Kind: event.CallEnded, Call: no, Status: status})
 }
 
-func (record *scriptedRecord) told(relay, ep, what int) *scriptedRecord {
-	return record.say(event.Event{Kind: event.Told, Relay: relay, Endpoint: ep, Status: what})
+func (record *scriptedRecord) endpointStatus(relay, ep, what int) *scriptedRecord {
+	return record.step(event.Event{Kind: event.Told, Relay: relay, Endpoint: ep, Status: what})
 }
 
-func (record *scriptedRecord) ran(no uint64, id string, ep int) *scriptedRecord {
-	return record.say(event.Event{Kind: event.Ran, Call: no, ID: id, Endpoint: ep})
+func (record *scriptedRecord) tookEffect(no uint64, id string, ep int) *scriptedRecord {
+	return record.step(event.Event{Kind: event.Ran, Call: no, ID: id, Endpoint: ep})
 }
 
 func (record *scriptedRecord) kind(k event.Kind, relay int) *scriptedRecord {
-	return record.say(event.Event{Kind: k, Relay: relay})
+	return record.step(event.Event{Kind: k, Relay: relay})
 }
 
 func (record *scriptedRecord) notice(id string, what int) *scriptedRecord {
-	return record.say(event.Event{Kind: event.Noticed, ID: id, Status: what})
+	return record.step(event.Event{Kind: event.Noticed, ID: id, Status: what})
 }
 
 func (record *scriptedRecord) outage(ep, hidden int) *scriptedRecord {
-	return record.say(event.Event{Kind: event.Outage, Endpoint: ep, Status: hidden})
+	return record.step(event.Event{Kind: event.Outage, Endpoint: ep, Status: hidden})
 }
 
-func (record *scriptedRecord) fell(ep int, by ...int) *scriptedRecord {
-	return record.say(event.Event{Kind: event.Back, Endpoint: ep}).say(
+func (record *scriptedRecord) overloaded(ep int, by ...int) *scriptedRecord {
+	return record.step(event.Event{Kind: event.Back, Endpoint: ep}).step(
 		event.Event{Kind: event.Fell, Endpoint: ep, Calls: by},
 	)
 }
@@ -109,241 +109,255 @@
 	}{
 		// Nothing goes missing.
 		{"delivered", func(record *scriptedRecord) {
-			record.put("m", 0, 0).call(1, "m", 0, 0).at(s).ended(1, 200)
+			record.submit("m", 0, 0).call(1, "m", 0, 0).at(s).callEnded(1, 200)
 		}, "", "", 0},
 		{"given up in time", func(record *scriptedRecord) {
-			record.put("m", 0, 0).at(8200*ms).notice("m", event.NoticeGivenUp)
+			record.submit("m", 0, 0).at(8200*ms).notice("m", event.NoticeGivenUp)
 		}, "", "", 0},
 		{"no end", func(record *scriptedRecord) {
-			record.put("m", 0, 0)
+			record.submit("m", 0, 0)
 		}, RuleNoLoss, "m", 8350 * ms},
 		{"end too late", func(record *scriptedRecord) {
-			record.put("m", 0, 0).at(9*s).notice("m", event.NoticeGivenUp)
+			record.submit("m", 0, 0).at(9*s).notice("m", event.NoticeGivenUp)
 		}, RuleNoLoss, "m", 8350 * ms},
 		{"200 to a call that was not awaited any more", func(record *scriptedRecord) {
-			record.put("m", 0, 0).call(1, "m", 0, 0).at(s).ended(1, 0).ended(1, 200)
+			record.submit("m", 0, 0).call(1, "m", 0, 0).at(s).callEnded(1, 0).callEnded(1, 200)
 		}, RuleNoLoss, "m", 8350 * ms},
 		{"refused needs no end", func(record *scriptedRecord) {
-			record.say(event.Event{Kind: event.HandIn, ID: "m", Left: s}).say(event.Event{Kind: event.Refused, ID: "m"})
+			record.step(event.Event{Kind: event.HandIn, ID: "m", Left: s}).
+				step(event.Event{Kind: event.Refused, ID: "m"})
 		}, "", "", 0},
 		{"two ends", func(record *scriptedRecord) {
-			record.put("m", 0, 0).at(s).notice("m", event.NoticeHandedBack).at(2*s).notice("m", event.NoticeGivenUp)
+			record.submit("m", 0, 0).at(s).notice("m", event.NoticeHandedBack).at(2*s).notice("m", event.NoticeGivenUp)
 		}, RuleNoLoss, "m", 2 * s},
 		{"one end twice", func(record *scriptedRecord) {
-			record.put("m", 0, 0).at(s).notice("m", event.NoticeGivenUp).at(2*s).notice("m", event.NoticeGivenUp)
+			record.submit("m", 0, 0).at(s).notice("m", event.NoticeGivenUp).at(2*s).notice("m", event.NoticeGivenUp)
 		}, "", "", 0},
 		{"a notice after the delivery", func(record *scriptedRecord) {
-			record.put("m", 0, 0).call(1, "m", 0, 0).at(s).ended(1, 200).at(2*s).notice("m", event.NoticeGivenUp)
+			record.submit("m", 0, 0).call(1, "m", 0, 0).at(s).callEnded(1, 200).at(2*s).notice("m", event.NoticeGivenUp)
 		}, "", "", 0},
 		{"due while its relay is down", func(record *scriptedRecord) {
-			record.put("m", 0, 0).at(7*s).kind(event.Killed, 0).at(9*s).kind(event.Ready, 0).at(10400*ms).notice(
+			record.submit("m", 0, 0).at(7*s).kind(event.Killed, 0).at(9*s).kind(event.Ready, 0).at(10400*ms).notice(
 				"m", event.NoticeGivenUp,
 			)
 		}, "", "", 0},
 		{"and never ended once it is back", func(record *scriptedRecord) {
-			record.put("m", 0, 0).at(7*s).kind(event.Killed, 0).at(9*s).kind(event.Ready, 0)
+			record.submit("m", 0, 0).at(7*s).kind(event.Killed, 0).at(9*s).kind(event.Ready, 0)
 		}, RuleNoLoss, "m", 10550 * ms},
 		{"cut off", func(record *scriptedRecord) {
-			record.say(
+			record.step(
 				event.Event{Kind: event.HandIn, ID: "m", Left: s},
-			).at(100 * ms).say(event.Event{Kind: event.CutOff, ID: "m"})
+			).at(100 * ms).step(event.Event{Kind: event.CutOff, ID: "m"})
 		}, RuleNoLoss, "m", 100 * ms},
 		{"cut off at a connection's first request", func(record *scriptedRecord) {
-			record.say(event.Event{Kind: event.HandIn, ID: "m", Left: s}).at(100 * ms).say(
+			record.step(event.Event{Kind: event.HandIn, ID: "m", Left: s}).at(100 * ms).step(
 				event.Event{Kind: event.CutOff, ID: "m", Status: 1},
 			)
 		}, "", "", 0},
 		{"cut off by a kill", func(record *scriptedRecord) {
-			record.say(
+			record.step(
 				event.Event{Kind: event.HandIn, ID: "m", Left: s},
-			).kind(event.Killed, 0).at(100 * ms).say(event.Event{Kind: event.CutOff, ID: "m"})
+			).kind(event.Killed, 0).at(100 * ms).step(event.Event{Kind: event.CutOff, ID: "m"})
 		}, "", "", 0},
 
 		// Every effect at most once.
 		{"unsafe again after full", func(record *scriptedRecord) {
-			record.put("m", 3, 0).call(1, "m", 0, 0).at(s).ended(1, 503).call(2, "m", 0, 1).at(2*s).ended(2, 200)
+			record.submit("m", 3, 0).call(1, "m", 0, 0).
+				at(s).callEnded(1, 503).call(2, "m", 0, 1).at(2*s).callEnded(2, 200)
 		}, "", "", 0},
 		{"unsafe again after no answer", func(record *scriptedRecord) {
-			record.put("m", 3, 0).call(1, "m", 0, 0).at(s).ended(1, 0).at(2*s).call(2, "m", 0, 1).at(3*s).ended(2, 200)
+			record.submit("m", 3, 0).call(1, "m", 0, 0).at(s).callEnded(1, 0).
+				at(2*s).call(2, "m", 0, 1).at(3*s).callEnded(2, 200)
 		}, RuleAtMostOnce, "m", 2 * s},
 		{"unsafe again after an error", func(record *scriptedRecord) {
-			record.put("m", 3, 0).call(1, "m", 0, 0).at(s).ended(1, 500).
-				at(2*s).call(2, "m", 0, 1).at(3*s).ended(2, 200)
+			record.submit("m", 3, 0).call(1, "m", 0, 0).at(s).callEnded(1, 500).
+				at(2*s).call(2, "m", 0, 1).at(3*s).callEnded(2, 200)
 		}, RuleAtMostOnce, "m", 2 * s},
 		{"safe again after no answer", func(record *scriptedRecord) {
-			record.put("m", 0, 0).call(1, "m", 0, 0).at(s).ended(1, 0).at(2*s).call(2, "m", 0, 1).at(3*s).ended(2, 200)
+			record.submit("m", 0, 0).call(1, "m", 0, 0).at(s).callEnded(1, 0).
+				at(2*s).call(2, "m", 0, 1).at(3*s).callEnded(2, 200)
 		}, "", "", 0},
 		{"a second copy at the same time", func(record *scriptedRecord) {
-			record.put("m", 2, 0).call(1, "m", 0, 0).at(s).call(2, "m", 0, 1).ended(1, 0).ended(2, 200)
+			record.submit("m", 2, 0).call(1, "m", 0, 0).at(s).call(2, "m", 0, 1).callEnded(1, 0).callEnded(2, 200)
 		}, RuleAtMostOnce, "m", s},
 		{"keyed again in its window", func(record *scriptedRecord) {
-			record.put("m", 2, 0).call(1, "m", 0, 0).at(s).ended(1, 0).at(7*s).call(2, "m", 0, 1).ended(2, 200)
+			record.submit("m", 2, 0).call(1, "m", 0, 0).at(s).callEnded(1, 0).
+				at(7*s).call(2, "m", 0, 1).callEnded(2, 200)
 		}, "", "", 0},
 		{"keyed again after its window", func(record *scriptedRecord) {
-			record.put("m", 2, 0).call(1, "m", 0, 0).at(s).ended(1, 0).notice("m", event.NoticeHandedBack).at(25*s).
-				put("n", 2, 1).call(2, "n", 1, 1).ended(2, 200)
+			record.submit("m", 2, 0).call(1, "m", 0, 0).
+				at(s).callEnded(1, 0).notice("m", event.NoticeHandedBack).at(25*s).
+				submit("n", 2, 1).call(2, "n", 1, 1).callEnded(2, 200)
 		}, RuleAtMostOnce, "n", 25 * s},
 		{"unsafe handed back though it may have run", func(record *scriptedRecord) {
-			record.put("m", 3, 0).call(1, "m", 0, 0).at(s).ended(1, 0).at(2*s).notice("m", event.NoticeHandedBack)
+			record.submit("m", 3, 0).call(1, "m", 0, 0).
+				at(s).callEnded(1, 0).at(2*s).notice("m", event.NoticeHandedBack)
 		}, RuleAtMostOnce, "m", 2 * s},
 		{"unsafe given up though it may have run", func(record *scriptedRecord) {
-			record.put("m", 3, 0).call(1, "m", 0, 0).at(s).ended(1, 0).at(2*s).notice("m", event.NoticeGivenUp)
+			record.submit("m", 3, 0).call(1, "m", 0, 0).at(s).callEnded(1, 0).at(2*s).notice("m", event.NoticeGivenUp)
 		}, "", "", 0},
 		{"an effect twice", func(record *scriptedRecord) {
-			record.put("m", 2, 0).call(1, "m", 0, 0).at(s).ran(1, "m", 0).ended(1, 0).call(2, "m", 0, 1).
-				at(3*s).ran(2, "m", 1).ended(2, 200)
+			record.submit("m", 2, 0).call(1, "m", 0, 0).at(s).tookEffect(1, "m", 0).callEnded(1, 0).call(2, "m", 0, 1).
+				at(3*s).tookEffect(2, "m", 1).callEnded(2, 200)
 		}, RuleAtMostOnce, "m", 3 * s},
 		{"an effect under an id whose client heard nothing", func(record *scriptedRecord) {
-			record.say(
+			record.step(
 				event.Event{Kind: event.HandIn, ID: "m", Message: 3, Left: s},
-			).call(1, "m", 0, 0).ran(1, "m", 0).at(400*ms).
-				say(
+			).call(1, "m", 0, 0).tookEffect(1, "m", 0).at(400*ms).
+				step(
 					event.Event{Kind: event.GivenUp, ID: "m"},
-				).put("n", 3, 1).call(2, "n", 1, 1).at(s).ran(2, "n", 1).ended(2, 200)
+				).submit("n", 3, 1).call(2, "n", 1, 1).at(s).tookEffect(2, "n", 1).callEnded(2, 200)
 		}, "", "", 0},
 		{"keyed again within the window of a later attempt alone", func(record *scriptedRecord) {
-			record.put("m", 2, 0).call(1, "m", 0, 0).ended(1, 0).notice("m", event.NoticeHandedBack).
-				at(15*s).put("n", 2, 0).call(2, "n", 0, 0).ended(2, 0).notice("n", event.NoticeHandedBack).
-				at(25*s).put("o", 2, 0).call(3, "o", 0, 0).ended(3, 200)
+			record.submit("m", 2, 0).call(1, "m", 0, 0).callEnded(1, 0).notice("m", event.NoticeHandedBack).
+				at(15*s).submit("n", 2, 0).call(2, "n", 0, 0).callEnded(2, 0).notice("n", event.NoticeHandedBack).
+				at(25*s).submit("o", 2, 0).call(3, "o", 0, 0).callEnded(3, 200)
 		}, RuleAtMostOnce, "o", 25 * s},
 		{"two calls under an id whose client heard nothing", func(record *scriptedRecord) {
-			record.say(event.Event{Kind: event.HandIn, ID: "m", Message: 3, Left: s}).
-				say(event.Event{Kind: event.GivenUp, ID: "m"}).
+			record.step(event.Event{Kind: event.HandIn, ID: "m", Message: 3, Left: s}).
+				step(event.Event{Kind: event.GivenUp, ID: "m"}).
 				call(1, "m", 0, 0).at(s).call(2, "m", 0, 1)
 		}, "", "", 0},
 		{"unsafe refused though it may have run", func(record *scriptedRecord) {
-			record.say(event.Event{Kind: event.HandIn, ID: "m", Message: 3, Left: s}).
-				call(1, "m", 0, 0).ended(1, 500).at(s).say(event.Event{Kind: event.Refused, ID: "m"})
+			record.step(event.Event{Kind: event.HandIn, ID: "m", Message: 3, Left: s}).
+				call(1, "m", 0, 0).callEnded(1, 500).at(s).step(event.Event{Kind: event.Refused, ID: "m"})
 		}, RuleAtMostOnce, "m", s},
 
 		// Drains.
 		{"within the grace", func(record *scriptedRecord) {
-			record.told(0, 0, event.ToldDraining).at(2*s).put("m", 0, 0).call(1, "m", 0, 0).ended(1, 200)
+			record.endpointStatus(0, 0, event.ToldDraining).
+				at(2*s).submit("m", 0, 0).call(1, "m", 0, 0).callEnded(1, 200)
 		}, "", "", 0},
 		{"within the grace and the slack", func(record *scriptedRecord) {
-			record.told(0, 0, event.ToldDraining).at(2050*ms).put("m", 0, 0).call(1, "m", 0, 0).ended(1, 200)
+			record.endpointStatus(0, 0, event.ToldDraining).
+				at(2050*ms).submit("m", 0, 0).call(1, "m", 0, 0).callEnded(1, 200)
 		}, "", "", 0},
 		{"told before a restart", func(record *scriptedRecord) {
-			record.told(0, 0, event.ToldDraining).kind(event.Killed, 0).at(s).kind(event.Ready, 0).
-				at(3*s).put("m", 0, 0).call(1, "m", 0, 0).ended(1, 200)
+			record.endpointStatus(0, 0, event.ToldDraining).kind(event.Killed, 0).at(s).kind(event.Ready, 0).
+				at(3*s).submit("m", 0, 0).call(1, "m", 0, 0).callEnded(1, 200)
 		}, "", "", 0},
 		{"after the grace", func(record *scriptedRecord) {
-			record.told(0, 0, event.ToldDraining).at(2100*ms).put("m", 0, 0).call(1, "m", 0, 0).ended(1, 200)
+			record.endpointStatus(0, 0, event.ToldDraining).
+				at(2100*ms).submit("m", 0, 0).call(1, "m", 0, 0).callEnded(1, 200)
 		}, RuleDrain, "m", 2100 * ms},
 		{"told again does not begin it anew", func(record *scriptedRecord) {
-			record.told(
+			record.endpointStatus(
 				0, 0, event.ToldDraining,
-			).at(s).told(0, 0, event.ToldRemoved).at(2100*ms).put("m", 0, 0).call(1, "m", 0, 0).ended(1, 200)
+			).at(s).endpointStatus(0, 0, event.ToldRemoved).
+				at(2100*ms).submit("m", 0, 0).call(1, "m", 0, 0).callEnded(1, 200)
 		}, RuleDrain, "m", 2100 * ms},
 		{"another relay, not told", func(record *scriptedRecord) {
-			record.told(0, 0, event.ToldRemoved).at(3*s).put("m", 0, 1).call(1, "m", 1, 0).ended(1, 200)
+			record.endpointStatus(0, 0, event.ToldRemoved).
+				at(3*s).submit("m", 0, 1).call(1, "m", 1, 0).callEnded(1, 200)
 		}, "", "", 0},
 		{"back in the list", func(record *scriptedRecord) {
-			record.told(
+			record.endpointStatus(
 				0, 0, event.ToldRemoved,
-			).at(s).told(0, 0, event.ToldUp).at(4*s).put("m", 0, 0).call(1, "m", 0, 0).ended(1, 200)
+			).at(s).endpointStatus(0, 0, event.ToldUp).at(4*s).submit("m", 0, 0).call(1, "m", 0, 0).callEnded(1, 200)
 		}, "", "", 0},
 
 		// Returning destinations.
 		{"pushed by those who knew", func(record *scriptedRecord) {
-			record.put("m", 0, 0).call(1, "m", 0, 0).at(s).outage(0, 0).ended(1, 0).at(9*s).
-				notice("m", event.NoticeGivenUp).fell(0, 9, 3, 0)
+			record.submit("m", 0, 0).call(1, "m", 0, 0).at(s).outage(0, 0).callEnded(1, 0).at(9*s).
+				notice("m", event.NoticeGivenUp).overloaded(0, 9, 3, 0)
 		}, RuleNoLoss, "m", 8350 * ms}, // and see below: both rules
 		{"pushed in just so large a part by those who knew", func(record *scriptedRecord) {
-			record.outage(0, 0).say(event.Event{Kind: event.ProbeDone, Status: 503}).at(s).fell(0, 6, 3, 0)
+			record.outage(0, 0).step(event.Event{Kind: event.ProbeDone, Status: 503}).at(s).overloaded(0, 6, 3, 0)
 		}, RuleRecovery, "", s},
 		{"pushed by those who did not", func(record *scriptedRecord) {
-			record.outage(0, 0).put("m", 0, 0).call(1, "m", 0, 0).ended(1, 503).notice("m", 1).at(s).fell(0, 3, 9, 9)
+			record.outage(0, 0).submit("m", 0, 0).call(1, "m", 0, 0).callEnded(1, 503).notice("m", 1).
+				at(s).overloaded(0, 3, 9, 9)
 		}, "", "", 0},
 		{"seen at another endpoint of the destination", func(record *scriptedRecord) {
-			record.outage(0, 0).outage(1, 0).put("m", 0, 0).call(1, "m", 0, 1).ended(1, 503).
-				notice("m", 1).at(s).fell(0, 9, 1, 1)
+			record.outage(0, 0).outage(1, 0).submit("m", 0, 0).call(1, "m", 0, 1).callEnded(1, 503).
+				notice("m", 1).at(s).overloaded(0, 9, 1, 1)
 		}, RuleRecovery, "", s},
 		{"a route apart is not its neighbour", func(record *scriptedRecord) {
-			record.outage(3, 0).outage(4, 0).put("m", 6, 0).call(1, "m", 0, 4).ended(1, 503).
-				notice("m", 1).at(s).fell(3, 9, 1, 1)
+			record.outage(3, 0).outage(4, 0).submit("m", 6, 0).call(1, "m", 0, 4).callEnded(1, 503).
+				notice("m", 1).at(s).overloaded(3, 9, 1, 1)
 		}, "", "", 0},
 		{"seen by a probe", func(record *scriptedRecord) {
-			record.outage(0, 0).say(event.Event{Kind: event.ProbeDone, Relay: 2, Status: 503}).at(s).fell(0, 0, 1, 9)
+			record.outage(0, 0).step(event.Event{Kind: event.ProbeDone, Relay: 2, Status: 503}).
+				at(s).overloaded(0, 0, 1, 9)
 		}, RuleRecovery, "", s},
 		{"one of two dead: the calls may have gone to the other", func(record *scriptedRecord) {
-			record.outage(0, 1).put("m", 0, 1).notice("m", 1).at(s).fell(0, 0, 9, 0)
+			record.outage(0, 1).submit("m", 0, 1).notice("m", 1).at(s).overloaded(0, 0, 9, 0)
 		}, "", "", 0},
 		{"refused connections leave no trace", func(record *scriptedRecord) {
-			record.outage(0, 1).outage(1, 1).put("m", 0, 1).notice("m", 1).at(s).fell(0, 0, 9, 0)
+			record.outage(0, 1).outage(1, 1).submit("m", 0, 1).notice("m", 1).at(s).overloaded(0, 0, 9, 0)
 		}, RuleRecovery, "", s},
 		{"seen in an earlier outage", func(record *scriptedRecord) {
-			record.outage(0, 0).put("m", 0, 0).call(1, "m", 0, 0).ended(1, 503).notice("m", 1).at(s).
-				say(event.Event{Kind: event.Back}).at(2*s).outage(0, 0).at(3*s).fell(0, 9, 0, 0)
+			record.outage(0, 0).submit("m", 0, 0).call(1, "m", 0, 0).callEnded(1, 503).notice("m", 1).at(s).
+				step(event.Event{Kind: event.Back}).at(2*s).outage(0, 0).at(3*s).overloaded(0, 9, 0, 0)
 		}, "", "", 0},
 
 		// Order.
 		{"in turn", func(record *scriptedRecord) {
-			record.put("m", 4, 0).put("n", 5, 0).call(1, "m", 0, 0).at(s).ended(1, 200).
-				call(2, "n", 0, 0).at(2*s).ended(2, 200)
+			record.submit("m", 4, 0).submit("n", 5, 0).call(1, "m", 0, 0).at(s).callEnded(1, 200).
+				call(2, "n", 0, 0).at(2*s).callEnded(2, 200)
 		}, "", "", 0},
 		{"overtaken", func(record *scriptedRecord) {
-			record.put("m", 4, 0).at(s).put("n", 5, 0).call(2, "n", 0, 0).at(2*s).ended(2, 200).
-				call(1, "m", 0, 0).ended(1, 200)
+			record.submit("m", 4, 0).at(s).submit("n", 5, 0).call(2, "n", 0, 0).at(2*s).callEnded(2, 200).
+				call(1, "m", 0, 0).callEnded(1, 200)
 		}, RuleOrdering, "n", s},
 		{"one that is not finished holds a later one back", func(record *scriptedRecord) {
-			record.put("m", 4, 0).put("n", 5, 0).call(1, "n", 0, 0).ended(1, 200).
-				at(s).put("o", 4, 0).call(2, "o", 0, 0).ended(2, 200).call(3, "m", 0, 0).ended(3, 200)
+			record.submit("m", 4, 0).submit("n", 5, 0).call(1, "n", 0, 0).callEnded(1, 200).
+				at(s).submit("o", 4, 0).call(2, "o", 0, 0).callEnded(2, 200).call(3, "m", 0, 0).callEnded(3, 200)
 		}, RuleOrdering, "o", s},
 		{"while the end of one is not sure", func(record *scriptedRecord) {
-			record.put("m", 4, 0).put("n", 5, 0).call(1, "m", 0, 0).at(s).ended(1, 0).notice(
+			record.submit("m", 4, 0).submit("n", 5, 0).call(1, "m", 0, 0).at(s).callEnded(1, 0).notice(
 				"m", event.NoticeGivenUp,
-			).at(1500*ms).call(2, "n", 0, 0).ended(2, 200)
+			).at(1500*ms).call(2, "n", 0, 0).callEnded(2, 200)
 		}, RuleOrdering, "n", 1500 * ms},
 		{"after its rest", func(record *scriptedRecord) {
-			record.put("m", 4, 0).put("n", 5, 0).call(1, "m", 0, 0).at(s).ended(1, 0).notice(
+			record.submit("m", 4, 0).submit("n", 5, 0).call(1, "m", 0, 0).at(s).callEnded(1, 0).notice(
 				"m", event.NoticeGivenUp,
-			).at(2*s).call(2, "n", 0, 0).ended(2, 200)
+			).at(2*s).call(2, "n", 0, 0).callEnded(2, 200)
 		}, "", "", 0},
 
 		// Waits.
 		{"let through", func(record *scriptedRecord) {
-			record.put("m", 0, 0).put("n", 1, 0).call(1, "m", 0, 0).say(
+			record.submit("m", 0, 0).submit("n", 1, 0).call(1, "m", 0, 0).step(
 				event.Event{Kind: event.CallEnded, Call: 1, Status: 429, Wait: s},
 			).
-				at(140*ms).call(2, "n", 0, 1).ended(2, 200).at(s).call(3, "m", 0, 0).ended(3, 200)
+				at(140*ms).call(2, "n", 0, 1).callEnded(2, 200).at(s).call(3, "m", 0, 0).callEnded(3, 200)
 		}, "", "", 0},
 		{"into a wait", func(record *scriptedRecord) {
-			record.put("m", 0, 0).put("n", 1, 0).call(1, "m", 0, 0).say(
+			record.submit("m", 0, 0).submit("n", 1, 0).call(1, "m", 0, 0).step(
 				event.Event{Kind: event.CallEnded, Call: 1, Status: 429, Wait: s},
 			).
-				at(990*ms).call(2, "n", 0, 1).ended(2, 200).at(s).call(3, "m", 0, 0).ended(3, 200)
+				at(990*ms).call(2, "n", 0, 1).callEnded(2, 200).at(s).call(3, "m", 0, 0).callEnded(3, 200)
 		}, RuleRetryAfter, "n", 990 * ms},
 		{"a probe into a wait", func(record *scriptedRecord) {
-			record.put("m", 0, 0).call(1, "m", 0, 0).say(
+			record.submit("m", 0, 0).call(1, "m", 0, 0).step(
 				event.Event{Kind: event.CallEnded, Call: 1, Status: 429, Wait: s},
 			).notice("m", 1).
-				at(500 * ms).say(event.Event{Kind: event.Probed, Relay: 0, Endpoint: 1})
+				at(500 * ms).step(event.Event{Kind: event.Probed, Relay: 0, Endpoint: 1})
 		}, RuleRetryAfter, "", 500 * ms},
 		{"another relay was not told", func(record *scriptedRecord) {
-			record.put("m", 0, 0).put("n", 1, 1).call(1, "m", 0, 0).say(
+			record.submit("m", 0, 0).submit("n", 1, 1).call(1, "m", 0, 0).step(
 				event.Event{Kind: event.CallEnded, Call: 1, Status: 429, Wait: s},
 			).notice("m", 1).
-				at(500*ms).call(2, "n", 1, 1).ended(2, 200)
+				at(500*ms).call(2, "n", 1, 1).callEnded(2, 200)
 		}, "", "", 0},
 		{"a restart ends it", func(record *scriptedRecord) {
-			record.put("m", 0, 0).call(1, "m", 0, 0).say(
+			record.submit("m", 0, 0).call(1, "m", 0, 0).step(
 				event.Event{Kind: event.CallEnded, Call: 1, Status: 429, Wait: 5 * s},
 			).at(s).
-				kind(event.Killed, 0).at(2*s).kind(event.Ready, 0).call(2, "m", 0, 1).ended(2, 200)
+				kind(event.Killed, 0).at(2*s).kind(event.Ready, 0).call(2, "m", 0, 1).callEnded(2, 200)
 		}, "", "", 0},
 
 		// Strays.
 		{"to another destination", func(record *scriptedRecord) {
-			record.put("m", 0, 0).call(1, "m", 0, 2).ended(1, 200)
+			record.submit("m", 0, 0).call(1, "m", 0, 2).callEnded(1, 200)
 		}, RuleRouting, "m", 0},
 		{"for nobody", func(record *scriptedRecord) {
-			record.say(event.Event{Kind: event.Stray, ID: "q"})
+			record.step(event.Event{Kind: event.Stray, ID: "q"})
 		}, RuleRouting, "q", 0},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			r := New(testConfig())
-			c.play(&scriptedRecord{r: r})
+			c.play(&scriptedRecord{checker: r})
 			r.Finish(60 * s)
 			found := r.Violations()
 			if c.rule == "" {
@@ -365,10 +379,10 @@
 
 func TestSeveralRulesInOneRun(t *testing.T) {
 	r := New(testConfig())
-	record := &scriptedRecord{r: r}
-	record.put("m", 0, 0).call(1, "m", 0, 0).at(s).outage(0, 0).ended(1, 0).at(9*s).notice(
+	record := &scriptedRecord{checker: r}
+	record.submit("m", 0, 0).call(1, "m", 0, 0).at(s).outage(0, 0).callEnded(1, 0).at(9*s).notice(
 		"m", event.NoticeGivenUp,
-	).fell(0, 9, 3, 0)
+	).overloaded(0, 9, 3, 0)
 	r.Finish(20 * s)
 	found := r.Violations()
 	if len(found) != 2 || found[0].Rule != RuleNoLoss || found[1].Rule != RuleRecovery {
@@ -376,7 +390,7 @@
 	}
 }
 
-// FuzzStep: no record, however odd, stops the referee.
+// FuzzStep: no record, however odd, stops the checker.
 func FuzzStep(f *testing.F) {
 	f.Add([]byte{0, 0, 0, 0, 1, 0, 0, 0, 6, 0, 0, 0, 7, 0, 0, 0, 8, 0, 200, 1})
 	f.Add([]byte{15, 0, 3, 1, 17, 0, 3, 9})
@@ -428,22 +442,22 @@
 		t.Run(c.name, func(t *testing.T) {
 			f := testConfig()
 			f.MaxEndedUnattempted, f.MinUnattempted = 0.5, c.least
-			record := &scriptedRecord{r: New(f)}
+			record := &scriptedRecord{checker: New(f)}
 			ids := make([]string, 10)
 			for i := range ids {
 				ids[i] = string(rune('a' + i))
-				if record.put(ids[i], 0, 0); c.called {
-					record.call(uint64(i+1), ids[i], 0, 0).ended(uint64(i+1), 503)
+				if record.submit(ids[i], 0, 0); c.called {
+					record.call(uint64(i+1), ids[i], 0, 0).callEnded(uint64(i+1), 503)
 				}
 			}
-			record.put("other", 0, 1) // another relay's
+			record.submit("other", 0, 1) // another relay's
 			if record.at(c.downFrom); !c.never {
 				record.kind(event.Killed, 0)
 			}
 			record.at(c.downFrom+s).kind(event.Ready, 0)
 			record.at(c.downFrom + s + 100*ms)
 			for i := range c.tried {
-				record.call(uint64(100+i), ids[i], 0, 0).ended(uint64(100+i), 503)
+				record.call(uint64(100+i), ids[i], 0, 0).callEnded(uint64(100+i), 503)
 			}
 			for i := range 10 { // what was called may be handed back as well
 				if i < c.tried || i < c.tried+c.back {
@@ -451,11 +465,11 @@
 				}
 			}
 			record.notice("other", event.NoticeHandedBack)
-			record.r.Finish(7 * s)
-			if got := record.r.RestartCounts(); got != c.want {
+			record.checker.Finish(7 * s)
+			if got := record.checker.RestartCounts(); got != c.want {
 				t.Errorf("%+v, want %+v", got, c.want)
 			}
-			found := record.r.Violations()
+			found := record.checker.Violations()
 			if broken := len(found) == 1 && found[0].Rule == RuleRestart; broken != c.broken || len(found) > 1 {
 				t.Errorf("violations: %v", found)
 			}
--- a/internal/rehearsal/checker/relays.go
+++ b/internal/rehearsal/checker/relays.go
@@ -26,7 +26,7 @@
 	}
 }
 
-// handleKill takes that a relay's process ended by force. What it was told ends with it.
+// handleKill takes that a relay's process ended by force, and with it what it knew of endpoints.
 func (c *Checker) handleKill(relay int) {
 	c.relays[relay].down = true
 	clear(c.relays[relay].drainedAt)
--- a/internal/rehearsal/checker/submissions.go
+++ b/internal/rehearsal/checker/submissions.go
@@ -6,7 +6,7 @@
 	"troutusher/internal/event"
 )
 
-// submissionState is what the client of a submission was answered.
+// submissionState is the reply to a submission.
 type submissionState uint8
 
 const (
@@ -55,7 +55,7 @@
 	c.assumeFailureObserved(s.relay, c.messageOf(s).Destination)
 }
 
-// handleReply takes a client's answer, or that it had none.
+// handleReply takes the reply that a client heard, or that it heard none.
 func (c *Checker) handleReply(e *event.Event) {
 	s := c.submissions[e.ID]
 	if s == nil || s.state != unanswered {
@@ -96,9 +96,9 @@
 	)
 }
 
-// checkSafeToResubmit judges an answer or a notice that tells the client that a message
+// checkSafeToResubmit judges a reply or a notice that tells the client that a message
 // may be submitted again.
-func (c *Checker) checkSafeToResubmit(s *submission, answer string) {
+func (c *Checker) checkSafeToResubmit(s *submission, reply string) {
 	if c.classOf(s).Idempotency != NonIdempotent {
 		return
 	}
@@ -110,7 +110,7 @@
 				s.relay,
 				call.endpoint,
 				"%s, though a call to %s at %.3f s may have run (%s)",
-				answer,
+				reply,
 				c.endpointName(call.endpoint),
 				seconds(call.receivedAt),
 				call.outcome(),
--- a/internal/rehearsal/report/html.go
+++ b/internal/rehearsal/report/html.go
@@ -112,9 +112,10 @@
 	b.WriteString("<table><tr><th>ms from the planned moment" +
 		"<th>count<th>p50<th>p90<th>p99<th>p99.9<th>most</tr>")
 	for _, latency := range r.latencies() {
-		q := &latency.quantiles
+		quantiles := &latency.quantiles
 		fmt.Fprintf(b, "<tr><td>%s<td>%d<td>%.1f<td>%.1f<td>%.1f<td>%.1f<td>%.1f</tr>",
-			latency.name, q.Count, q.P50, q.P90, q.P99, q.P999, q.Max)
+			latency.name, quantiles.Count, quantiles.P50, quantiles.P90, quantiles.P99, quantiles.P999,
+			quantiles.Max)
 	}
 	b.WriteString("</table>\n")
 }
--- a/internal/rehearsal/report/text.go
+++ b/internal/rehearsal/report/text.go
@@ -79,9 +79,10 @@
 	t := texttable.NewAlignedRight()
 	t.Rowf("ms from the planned moment\tcount\tp50\tp90\tp99\tp99.9\tmost\t")
 	for _, latency := range r.latencies() {
-		q := &latency.quantiles
+		quantiles := &latency.quantiles
 		t.Rowf("%s\t%d\t%.1f\t%.1f\t%.1f\t%.1f\t%.1f\t",
-			latency.name, q.Count, q.P50, q.P90, q.P99, q.P999, q.Max)
+			latency.name, quantiles.Count, quantiles.P50, quantiles.P90, quantiles.P99, quantiles.P999,
+			quantiles.Max)
 	}
 	b.WriteString(t.String())
 	fmt.Fprintf(b, "the kit was late by (p99): driver %.1f ms, stand-ins %.1f ms; %.0f at most\n",
