--- a/internal/rehearsal/loadgen/flood.go
+++ b/internal/rehearsal/loadgen/flood.go
@@ -9,25 +9,27 @@
 	"time"
 )
 
-// FloodKind names a crowd of connections that are no clients.
+// FloodKind is a kind of connections that are no clients.
 type FloodKind string
 
-// Kinds of flood. Each keeps a number of connections to a relay open or coming
-// back until it is over.
+// Kinds of flood. Each keeps a number of connections to a relay open, or coming back, until
+// it ends.
 const (
-	FloodSilent    FloodKind = "flood_silent"    // connect, say nothing, and do not come back
+	FloodSilent    FloodKind = "flood_silent"    // send nothing, and do not come back
 	FloodReturning FloodKind = "flood_returning" // the same, and come back at once when they are closed
-	FloodPing      FloodKind = "flood_ping"      // ask one PING, stay, and come back when they are closed
-	FloodDrip      FloodKind = "flood_drip"      // write a message byte by byte, one a second, and come back
-	FloodFaulty    FloodKind = "flood_faulty"    // send what cannot be read, as fast as it is taken, and come back
+	FloodPing      FloodKind = "flood_ping"      // send one PING, stay, and come back when they are closed
+	FloodDrip      FloodKind = "flood_drip"      // send a command byte by byte, one a second, and come back
+	FloodFaulty    FloodKind = "flood_faulty"    // send what cannot be parsed, as fast as it is read, and come back
 )
 
 const (
-	reconnectDelay = 5 * time.Millisecond // before one comes back: a dial refused at once must not spin
-	dripInterval   = time.Second
+	reconnectDelay   = 5 * time.Millisecond // a dial that is refused at once must not spin
+	dripInterval     = time.Second
+	floodDialTimeout = time.Second
+	pingCommand      = "*1\r\n$4\r\nPING\r\n"
 )
 
-// faultyInputs is what a faulty one sends in turn.
+// faultyInputs are what a faulty connection sends in turn.
 var faultyInputs = []string{
 	"GET / HTTP/1.1\r\n\r\n",
 	"*1\r\n$-9\r\n",
@@ -38,42 +40,53 @@
 	"*1\r\n$70000000\r\n" + strings.Repeat("z", 4000),
 }
 
-// Flood keeps n connections of a kind going against a relay until ctx ends,
-// and returns once they are closed. It counts those that it opened.
+// Flood keeps n connections of a kind to a relay until ctx ends, and returns the number that
+// it opened once all are closed.
 func Flood(ctx context.Context, kind FloodKind, addr string, n int) (opened int) {
 	var mu sync.Mutex
-	var wg sync.WaitGroup
+	var running sync.WaitGroup
 	for i := range n {
-		wg.Add(1)
+		running.Add(1)
 		go func() {
-			defer wg.Done()
-			for turn := i; ctx.Err() == nil; turn++ {
-				var d net.Dialer
-				dial, cancel := context.WithTimeout(ctx, time.Second)
-				c, err := d.DialContext(dial, "tcp4", addr)
-				cancel()
-				if err == nil {
-					mu.Lock()
-					opened++
-					mu.Unlock()
-					stop := context.AfterFunc(ctx, func() { _ = c.Close() })
-					playFlood(ctx, kind, c, turn)
-					stop()
-					_ = c.Close()
-					if kind == FloodSilent {
-						return
-					}
-				}
-				sleep(ctx, reconnectDelay)
-			}
+			defer running.Done()
+			count := keepConnecting(ctx, kind, addr, i)
+			mu.Lock()
+			defer mu.Unlock()
+			opened += count
 		}()
 	}
-	wg.Wait()
+	running.Wait()
+	return opened
+}
+
+// keepConnecting keeps one connection, and returns how often it was opened. firstInput is
+// where a faulty one begins among its inputs.
+func keepConnecting(ctx context.Context, kind FloodKind, addr string, firstInput int) (opened int) {
+	for input := firstInput; ctx.Err() == nil; input++ {
+		if conn, err := floodDial(ctx, addr); err == nil {
+			opened++
+			stop := context.AfterFunc(ctx, func() { _ = conn.Close() })
+			playFlood(ctx, kind, conn, input)
+			stop()
+			_ = conn.Close()
+			if kind == FloodSilent {
+				return opened
+			}
+		}
+		sleep(ctx, reconnectDelay)
+	}
 	return opened
 }
 
-func sleep(ctx context.Context, d time.Duration) {
-	timer := time.NewTimer(d)
+func floodDial(ctx context.Context, addr string) (net.Conn, error) {
+	ctx, cancel := context.WithTimeout(ctx, floodDialTimeout)
+	defer cancel()
+	return (&net.Dialer{}).DialContext(ctx, "tcp4", addr)
+}
+
+// sleep returns after wait, or when ctx ends.
+func sleep(ctx context.Context, wait time.Duration) {
+	timer := time.NewTimer(wait)
 	defer timer.Stop()
 	select {
 	case <-timer.C:
@@ -81,36 +94,44 @@
 	}
 }
 
-// playFlood does what one of a kind does on a connection until that ends.
-func playFlood(ctx context.Context, kind FloodKind, c net.Conn, turn int) {
+// playFlood does what a kind of flood does on one connection, until that is closed.
+func playFlood(ctx context.Context, kind FloodKind, conn net.Conn, input int) {
 	switch kind {
 	case FloodPing:
-		_, _ = io.WriteString(c, "*1\r\n$4\r\nPING\r\n") // the relay may have closed it
+		_, _ = io.WriteString(conn, pingCommand) // the relay may have closed it
 	case FloodDrip:
-		gone := make(chan struct{})
-		go func() { defer close(gone); _, _ = io.Copy(io.Discard, c) }()
-		for _, b := range []byte("*5\r\n$7\r\nMSG.PUT\r\n$16\r\n0000000000000000\r\n") {
-			if _, err := c.Write([]byte{b}); err != nil {
-				break
-			}
-			select {
-			case <-gone:
-				return
-			case <-ctx.Done():
-				return
-			case <-time.After(dripInterval):
-			}
-		}
-		<-gone
+		drip(ctx, conn)
 		return
 	case FloodFaulty:
-		go func() {
-			for i := turn; ; i++ {
-				if _, err := io.WriteString(c, faultyInputs[i%len(faultyInputs)]); err != nil {
-					return
-				}
-			}
-		}()
+		go sendFaultyInputs(conn, input)
+	}
+	_, _ = io.Copy(io.Discard, conn) // until it is closed
+}
+
+// drip sends a command byte by byte, and returns once the connection is closed.
+func drip(ctx context.Context, conn net.Conn) {
+	closed := make(chan struct{})
+	go func() { defer close(closed); _, _ = io.Copy(io.Discard, conn) }()
+	for _, b := range []byte(putPrefix) {
+		if _, err := conn.Write([]byte{b}); err != nil {
+			break
+		}
+		select {
+		case <-closed:
+			return
+		case <-ctx.Done():
+			return
+		case <-time.After(dripInterval):
+		}
+	}
+	<-closed
+}
+
+// sendFaultyInputs ends with its connection.
+func sendFaultyInputs(conn net.Conn, first int) {
+	for i := first; ; i++ {
+		if _, err := io.WriteString(conn, faultyInputs[i%len(faultyInputs)]); err != nil {
+			return
+		}
 	}
-	_, _ = io.Copy(io.Discard, c) // until it is closed
 }
--- a/internal/rehearsal/loadgen/load_test.go
+++ b/internal/rehearsal/loadgen/loadgen_test.go
@@ -22,7 +22,7 @@
 	"troutusher/internal/rehearsal/scenario"
 )
 
-const small = `version = 1
+const smallScenario = `version = 1
 name = "x"
 length_s = %v
 [clients]
@@ -46,23 +46,23 @@
 service_ms = { all = 5 }
 `
 
-func plan(t testing.TB, length, rate, deadline float64) *scenario.Plan {
+func loadPlan(t testing.TB, length, rate, deadline float64) *scenario.Plan {
 	t.Helper()
-	s, err := scenario.Parse("x", fmt.Appendf(nil, small, length, rate, deadline))
+	s, err := scenario.Parse("x", fmt.Appendf(nil, smallScenario, length, rate, deadline))
 	if err != nil {
 		t.Fatal(err)
 	}
 	return s.Plan(s.Seed)
 }
 
-type rig struct {
+type testDriver struct {
 	d    *Driver
 	mu   sync.Mutex
 	said []event.Event
 	hook func(*event.Event)
 }
 
-func (r *rig) emit(e event.Event) {
+func (r *testDriver) emit(e event.Event) {
 	r.mu.Lock()
 	r.said = append(r.said, e)
 	r.mu.Unlock()
@@ -71,7 +71,7 @@
 	}
 }
 
-func (r *rig) count(k event.Kind) (n int) {
+func (r *testDriver) count(k event.Kind) (n int) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for _, e := range r.said {
@@ -82,8 +82,8 @@
 	return n
 }
 
-func start(p *scenario.Plan, relays ...string) *rig {
-	r := &rig{}
+func startDriver(p *scenario.Plan, relays ...string) *testDriver {
+	r := &testDriver{}
 	began := time.Now()
 	r.d = New(
 		Config{
@@ -93,7 +93,7 @@
 	return r
 }
 
-func (r *rig) ends() map[Outcome]int {
+func (r *testDriver) outcomes() map[Outcome]int {
 	n := map[Outcome]int{}
 	for _, x := range r.d.Results() {
 		n[x.Outcome]++
@@ -102,20 +102,20 @@
 }
 
 // deliver ends each message that was taken on.
-func (r *rig) deliver(e *event.Event) {
+func (r *testDriver) deliver(e *event.Event) {
 	if e.Kind == event.Accepted {
 		r.d.HandleEvent(&event.Event{Kind: event.CallEnded, Status: 200, ID: e.ID})
 	}
 }
 
-func TestEachArrivalIsHandedInOnceAtItsMoment(t *testing.T) {
-	p := plan(t, 1, 200, 3000)
-	a, b := newSink(t, nil), newSink(t, nil)
-	r := start(p, a.ln.Addr().String(), b.ln.Addr().String())
+func TestEachArrivalIsSubmittedOnceInTime(t *testing.T) {
+	p := loadPlan(t, 1, 200, 3000)
+	a, b := newRelayDouble(t, nil), newRelayDouble(t, nil)
+	r := startDriver(p, a.ln.Addr().String(), b.ln.Addr().String())
 	r.hook = r.deliver
 	r.d.Run(t.Context())
 	n := len(p.Arrivals)
-	if got := r.ends(); got[Delivered] != n || r.count(event.HandIn) != n || len(a.got)+len(b.got) != n {
+	if got := r.outcomes(); got[Delivered] != n || r.count(event.HandIn) != n || len(a.got)+len(b.got) != n {
 		t.Fatalf("%d messages: ends %v, %d hand-ins, %d and %d came", n, got, r.count(event.HandIn), len(a.got),
 			len(b.got))
 	}
@@ -149,7 +149,7 @@
 	}
 }
 
-func TestRetriesAndMarks(t *testing.T) {
+func TestRetriesAreMarked(t *testing.T) {
 	for _, c := range []struct {
 		name  string
 		reply func(id string, n int) string
@@ -181,11 +181,11 @@
 		},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			p := plan(t, 1, 50, 4000)
+			p := loadPlan(t, 1, 50, 4000)
 			p.Arrivals = p.Arrivals[:1]
-			s := newSink(t, nil)
+			s := newRelayDouble(t, nil)
 			s.says = c.reply
-			r := start(p, s.ln.Addr().String())
+			r := startDriver(p, s.ln.Addr().String())
 			r.hook = r.deliver
 			r.d.Run(t.Context())
 			if got := r.d.Results()[0]; got.Outcome != c.end || got.Submissions != c.puts {
@@ -203,10 +203,10 @@
 
 func TestNoticesEndMessages(t *testing.T) {
 	for status, want := range map[int]Outcome{event.NoticeGivenUp: Failed, event.NoticeHandedBack: Rejected} {
-		p := plan(t, 1, 50, 4000)
+		p := loadPlan(t, 1, 50, 4000)
 		p.Arrivals = p.Arrivals[:1]
-		s := newSink(t, nil)
-		r := start(p, s.ln.Addr().String())
+		s := newRelayDouble(t, nil)
+		r := startDriver(p, s.ln.Addr().String())
 		r.hook = func(e *event.Event) {
 			if e.Kind == event.Accepted {
 				go r.d.HandleEvent(&event.Event{Kind: event.Noticed, Status: status, ID: e.ID, Wait: 1000})
@@ -219,25 +219,25 @@
 	}
 }
 
-func TestADeadRelaysMessagesGoToAnother(t *testing.T) {
-	p := plan(t, 1, 100, 4000)
-	a, b := newSink(t, nil), newSink(t, nil)
+func TestMessagesOfAStoppedRelayGoToAnother(t *testing.T) {
+	p := loadPlan(t, 1, 100, 4000)
+	a, b := newRelayDouble(t, nil), newRelayDouble(t, nil)
 	_ = a.ln.Close() // connections are refused
-	r := start(p, a.ln.Addr().String(), b.ln.Addr().String())
+	r := startDriver(p, a.ln.Addr().String(), b.ln.Addr().String())
 	r.hook = r.deliver
 	r.d.RelayDown(0, 200_000) // the front goes on dealing to it for a while
 	r.d.Run(t.Context())
-	if got := r.ends(); got[Delivered] != len(p.Arrivals) || len(b.got) != len(p.Arrivals) {
+	if got := r.outcomes(); got[Delivered] != len(p.Arrivals) || len(b.got) != len(p.Arrivals) {
 		t.Errorf("ends %v, %d came", got, len(b.got))
 	}
 }
 
-func TestAnIdleConnectionThatWasClosedIsReplaced(t *testing.T) {
-	p := plan(t, 1, 50, 4000)
+func TestClosedIdleConnectionIsReplaced(t *testing.T) {
+	p := loadPlan(t, 1, 50, 4000)
 	p.Arrivals = p.Arrivals[:2]
 	p.Arrivals[1].At = p.Arrivals[0].At + 200_000
-	s := newSink(t, nil)
-	r := start(p, s.ln.Addr().String())
+	s := newRelayDouble(t, nil)
+	r := startDriver(p, s.ln.Addr().String())
 	r.hook = func(e *event.Event) {
 		if r.deliver(e); e.Kind == event.Accepted {
 			s.mu.Lock()
@@ -246,12 +246,12 @@
 		}
 	}
 	r.d.Run(t.Context())
-	if got := r.ends(); got[Delivered] != 2 || r.count(event.CutOff) != 0 || r.count(event.HandIn) != 2 {
+	if got := r.outcomes(); got[Delivered] != 2 || r.count(event.CutOff) != 0 || r.count(event.HandIn) != 2 {
 		t.Errorf("ends %v, events %v", got, r.said)
 	}
 }
 
-func TestWorth(t *testing.T) {
+func TestEarnedWeight(t *testing.T) {
 	c := &scenario.Class{LatencyObjectiveMS: 1000, DeadlineMS: 3000, Weight: 3, LateWeight: 0.5}
 	for _, x := range []struct {
 		end  Outcome
@@ -271,8 +271,8 @@
 	}
 }
 
-// FuzzAnswer: no answer, however odd, does more than end a hand-in.
-func FuzzAnswer(f *testing.F) {
+// FuzzReply: no answer, however odd, does more than end a hand-in.
+func FuzzReply(f *testing.F) {
 	for _, s := range []string{
 		"+OK\r\n", "-BUSY 30\r\n", "$2\r\nok\r\n", "$-1\r\n", "$99999999999999999999\r\n", "", "\n",
 		"-BUSY 9999999999999\r\n",
@@ -293,7 +293,7 @@
 			t.Fatalf("%v, %d bytes, %v", written, len(reply), err)
 		}
 		if err == nil {
-			p := plan(t, 0.5, 10, 1000)
+			p := loadPlan(t, 0.5, 10, 1000)
 			p.Arrivals = []scenario.Arrival{{Destination: 1}}
 			d := New(
 				Config{
@@ -307,15 +307,15 @@
 	})
 }
 
-// BenchmarkKit has stand-ins and driver play 5,000 messages a second on one
+// BenchmarkDriver has stand-ins and driver play 5,000 messages a second on one
 // core, judged as they go, against a relay that only passes on and shares that
 // core.
-func BenchmarkKit(b *testing.B) {
+func BenchmarkDriver(b *testing.B) {
 	defer runtime.GOMAXPROCS(runtime.GOMAXPROCS(1))
 	const rate, seconds = 5000.0, 4.0
 	for b.Loop() {
-		p := plan(b, seconds, rate, 5000)
-		r := &rig{}
+		p := loadPlan(b, seconds, rate, 5000)
+		r := &testDriver{}
 		began := time.Now()
 		clock := func() event.Time { return time.Since(began).Microseconds() }
 		judge := checker.New(p.CheckerConfig())
@@ -338,7 +338,7 @@
 			b.Fatal(err)
 		}
 		var turn atomic.Int64
-		s := newSink(b, func(int) string { return srv.Addr(int(turn.Add(1)%4), 0) })
+		s := newRelayDouble(b, func(int) string { return srv.Addr(int(turn.Add(1)%4), 0) })
 		r.d = New(Config{Plan: p, Relays: []string{s.ln.Addr().String()}, Emit: seen, Clock: clock, Start: clock()})
 		var before, after syscall.Rusage
 		_ = syscall.Getrusage(syscall.RUSAGE_SELF, &before)
@@ -348,7 +348,7 @@
 		_ = syscall.Getrusage(syscall.RUSAGE_SELF, &after)
 		cpu := float64(after.Utime.Nano()+after.Stime.Nano()-before.Utime.Nano()-before.Stime.Nano()) / 1e9
 		late, _ := srv.TimerLag(99)
-		b.ReportMetric(float64(r.ends()[Delivered])/took, "delivered/s")
+		b.ReportMetric(float64(r.outcomes()[Delivered])/took, "delivered/s")
 		b.ReportMetric(100*cpu/took, "%core")
 		b.ReportMetric(float64(r.d.Lateness(99))/1000, "driver-late-ms")
 		b.ReportMetric(float64(late)/1000, "standin-late-ms")
--- a/internal/rehearsal/loadgen/pool.go
+++ b/internal/rehearsal/loadgen/pool.go
@@ -14,19 +14,25 @@
 	"time"
 )
 
+const (
+	maxReplyBytes   = 512
+	replyBufferSize = 512
+)
+
 var errTimeout = errors.New("no answer in time")
 
-// conn is a kept connection to a relay.
+// conn is a connection to a relay.
 type conn struct {
 	net.Conn
 	reader   *bufio.Reader
-	request  []byte
-	answered bool // it has carried an answer
+	request  []byte // kept, so that the next one needs no new memory
+	answered bool   // it has carried a reply
 }
 
-// roundTrip writes the connection's text and reads one answer line.
-func (c *conn) roundTrip(limit time.Time) (written bool, reply string, err error) {
-	_ = c.SetDeadline(limit) // fails with the write below
+// roundTrip writes the connection's request and reads one reply. written says that the request
+// was sent, also where the reply failed.
+func (c *conn) roundTrip(deadline time.Time) (written bool, reply string, err error) {
+	_ = c.SetDeadline(deadline) // fails with the write below
 	if _, err := c.Write(c.request); err != nil {
 		return false, "", asTimeout(err)
 	}
@@ -50,9 +56,10 @@
 	return true, reply, nil
 }
 
+// asTimeout returns errTimeout for a timeout of a connection, and err otherwise.
 func asTimeout(err error) error {
-	var t net.Error
-	if errors.As(err, &t) && t.Timeout() {
+	var netErr net.Error
+	if errors.As(err, &netErr) && netErr.Timeout() {
 		return errTimeout
 	}
 	return err
@@ -61,8 +68,8 @@
 // pool keeps the connections to one relay.
 type pool struct {
 	addr     string
-	slots    chan struct{} // a place for each connection that may be open
-	returned chan *conn    // to those who wait for one
+	slots    chan struct{} // holds one value for each connection that is open
+	returned chan *conn    // to those who wait for a connection
 
 	mu     sync.Mutex
 	idle   []*conn
@@ -70,8 +77,12 @@
 	closed bool
 }
 
-// acquire takes a kept connection, or opens one.
-func (p *pool) acquire(ctx context.Context, wait time.Duration) (c *conn, kept bool, err error) {
+func newPool(addr string, maxConnections int) *pool {
+	return &pool{addr: addr, slots: make(chan struct{}, maxConnections), returned: make(chan *conn)}
+}
+
+// acquire takes an idle connection, or opens one. It waits where too many are open.
+func (p *pool) acquire(ctx context.Context, wait time.Duration) (c *conn, reused bool, err error) {
 	p.mu.Lock()
 	if n := len(p.idle); n > 0 {
 		c := p.idle[n-1]
@@ -99,7 +110,7 @@
 	}
 }
 
-// acquireNew opens a connection whatever is kept.
+// acquireNew opens a connection, also where one is idle.
 func (p *pool) acquireNew(ctx context.Context, wait time.Duration) (*conn, bool, error) {
 	timer := time.NewTimer(wait)
 	defer timer.Stop()
@@ -113,19 +124,19 @@
 	}
 }
 
-// dial opens a connection in a place that is taken already.
+// dial opens a connection, for which the caller has taken a slot.
 func (p *pool) dial(ctx context.Context, wait time.Duration) (*conn, bool, error) {
 	dialer := net.Dialer{Timeout: wait}
-	n, err := dialer.DialContext(ctx, "tcp4", p.addr)
+	netConn, err := dialer.DialContext(ctx, "tcp4", p.addr)
 	if err != nil {
 		<-p.slots
 		return nil, false, err
 	}
-	c := &conn{Conn: n, reader: bufio.NewReaderSize(n, 512)}
+	c := &conn{Conn: netConn, reader: bufio.NewReaderSize(netConn, replyBufferSize)}
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.closed {
-		_ = n.Close()
+		_ = netConn.Close()
 		<-p.slots
 		return nil, false, net.ErrClosed
 	}
@@ -133,6 +144,7 @@
 	return c, false, nil
 }
 
+// release gives a connection back, to one who waits for it or to the idle ones.
 func (p *pool) release(c *conn) {
 	select {
 	case p.returned <- c:
@@ -144,6 +156,7 @@
 	p.idle = append(p.idle, c)
 }
 
+// discard closes a connection and frees its slot.
 func (p *pool) discard(c *conn) {
 	_ = c.Close()
 	p.mu.Lock()
@@ -154,6 +167,7 @@
 	}
 }
 
+// close closes all connections. No other is opened any more.
 func (p *pool) close() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/rehearsal/loadgen/sink_test.go
+++ b/internal/rehearsal/loadgen/relaydouble_test.go
@@ -14,30 +14,30 @@
 	"troutusher/internal/emulator/loopback"
 )
 
-// sink is a relay that does nothing but pass on: each message is taken on and
+// relayDouble is a relay that does nothing but pass on: each message is taken on and
 // called out at once. What it costs is the least that any relay would.
-type sink struct {
+type relayDouble struct {
 	ln   *net.TCPListener
 	addr func(dest int) string // of an endpoint of a destination; "" for none
 	says func(id string, n int) string
 	mu   sync.Mutex
-	idle map[string][]*sinkConn
+	idle map[string][]*doubleConn
 	got  []string
 	all  []net.Conn
 }
 
-type sinkConn struct {
+type doubleConn struct {
 	net.Conn
 	in *bufio.Reader
 }
 
-func newSink(t testing.TB, addr func(dest int) string) *sink {
+func newRelayDouble(t testing.TB, addr func(dest int) string) *relayDouble {
 	t.Helper()
 	ln, err := loopback.Listen(0)
 	if err != nil {
 		t.Fatal(err)
 	}
-	s := &sink{ln: ln, addr: addr, idle: map[string][]*sinkConn{}}
+	s := &relayDouble{ln: ln, addr: addr, idle: map[string][]*doubleConn{}}
 	t.Cleanup(func() {
 		_ = ln.Close()
 		s.mu.Lock()
@@ -61,7 +61,7 @@
 	return s
 }
 
-func (s *sink) serve(c net.Conn) {
+func (s *relayDouble) serve(c net.Conn) {
 	defer func() { _ = c.Close() }()
 	in := bufio.NewReaderSize(c, 1024)
 	for {
@@ -114,9 +114,9 @@
 	}
 }
 
-func (s *sink) call(to, id string, body []byte) {
+func (s *relayDouble) call(to, id string, body []byte) {
 	s.mu.Lock()
-	var c *sinkConn
+	var c *doubleConn
 	if n := len(s.idle[to]); n > 0 {
 		c, s.idle[to] = s.idle[to][n-1], s.idle[to][:n-1]
 	}
@@ -126,7 +126,7 @@
 		if err != nil {
 			return
 		}
-		c = &sinkConn{n, bufio.NewReaderSize(n, 512)}
+		c = &doubleConn{n, bufio.NewReaderSize(n, 512)}
 		s.mu.Lock()
 		s.all = append(s.all, n)
 		s.mu.Unlock()
--- a/internal/rehearsal/runner/holiday_test.go
+++ b/internal/rehearsal/runner/holiday_test.go
@@ -21,7 +21,7 @@
 			count,
 		)
 	}
-	p := plan(
+	p := loadPlan(
 		t,
 		4.5,
 		10,
@@ -31,7 +31,7 @@
 			"[[fault]]\nkind = \"relay_kill\"\nrelay = 1\nat_s = 0.8\nlength_s = 0.3\n",
 	)
 	p.Scenario.Discovery.IdleDestinations = 2000
-	o := play(t, p, self(t))
+	o := play(t, p, ownRelayOptions(t))
 	for _, v := range o.Violations {
 		t.Errorf("%+v", v)
 	}
--- a/internal/rehearsal/runner/recovery_test.go
+++ b/internal/rehearsal/runner/recovery_test.go
@@ -20,10 +20,10 @@
 	if kill {
 		faults += "[[fault]]\nkind = \"relay_kill\"\nat_s = 5.4\nlength_s = 0.1\n"
 	}
-	p := plan(t, back+float64(len(per)), 44, faults)
+	p := loadPlan(t, back+float64(len(per)), 44, faults)
 	p.Scenario.Seed = seed
 	p = p.Scenario.Plan(seed)
-	opt := self(t)
+	opt := ownRelayOptions(t)
 	if forget {
 		file := filepath.Join(t.TempDir(), "operator.toml")
 		if err := os.WriteFile(file, []byte("[learned]\nperiod_s = -1\n"), 0o600); err != nil {
@@ -59,7 +59,7 @@
 // Figures of docs/measurements/learned-state.md, on sockets; run by hand:
 //
 //	RECALL=1 go test -run TestRecallOnSockets -v ./internal/rehearse/stage
-func TestRecallOnSockets(t *testing.T) {
+func TestRecoveryOnSockets(t *testing.T) {
 	if os.Getenv("RECALL") == "" {
 		t.Skip("a measurement of minutes: RECALL=1 asks for it")
 	}
--- a/internal/rehearsal/runner/relaydouble_test.go
+++ b/internal/rehearsal/runner/relaydouble_test.go
@@ -21,11 +21,11 @@
 	"troutusher/internal/rehearsal/scenario"
 )
 
-// breach is one way in which a double breaks a rule.
-type breach int
+// violation is one way in which a double breaks a rule.
+type violation int
 
 const (
-	honest breach = iota
+	honest violation = iota
 	losesSome
 	resendsUnsafe // after an error that may hide an effect
 	resendsLate   // after its own time-out, while the partner still works
@@ -38,11 +38,11 @@
 	strays
 )
 
-// double is a small relay in this process. Honest, it keeps the rules at
+// relayDouble is a small relay in this process. Honest, it keeps the rules at
 // little traffic; it is no model of the real one and decides by plain waits.
-type double struct {
+type relayDouble struct {
 	plan   *scenario.Plan
-	breach breach
+	breach violation
 	ln     *net.TCPListener
 	agent  string
 	client *http.Client
@@ -59,13 +59,13 @@
 	taken  int
 }
 
-func newDouble(t *testing.T, p *scenario.Plan, b breach, agent string) *double {
+func newRelayDouble(t *testing.T, p *scenario.Plan, b violation, agent string) *relayDouble {
 	t.Helper()
 	ln, err := loopback.Listen(0)
 	if err != nil {
 		t.Fatal(err)
 	}
-	d := &double{
+	d := &relayDouble{
 		plan:   p,
 		breach: b,
 		ln:     ln,
@@ -87,16 +87,16 @@
 		d.wg.Wait()
 	})
 	d.wg.Add(2)
-	go d.watch()
+	go d.watchList()
 	go d.accept()
 	if b == storms {
 		d.wg.Add(1)
-		go d.storm()
+		go d.sendBurst()
 	}
 	return d
 }
 
-func (d *double) accept() {
+func (d *relayDouble) accept() {
 	defer d.wg.Done()
 	for {
 		c, err := d.ln.Accept()
@@ -107,11 +107,11 @@
 		d.conns = append(d.conns, c)
 		d.mu.Unlock()
 		d.wg.Add(1)
-		go d.talk(c)
+		go d.serveClient(c)
 	}
 }
 
-func (d *double) watch() {
+func (d *relayDouble) watchList() {
 	defer d.wg.Done()
 	for from := int64(0); d.ctx.Err() == nil; {
 		req, _ := http.NewRequestWithContext(
@@ -140,8 +140,8 @@
 	}
 }
 
-// storm probes every endpoint without mercy.
-func (d *double) storm() {
+// sendBurst probes every endpoint without mercy.
+func (d *relayDouble) sendBurst() {
 	defer d.wg.Done()
 	tick := time.NewTicker(10 * time.Millisecond)
 	defer tick.Stop()
@@ -168,12 +168,12 @@
 	}
 }
 
-func (d *double) talk(c net.Conn) {
+func (d *relayDouble) serveClient(c net.Conn) {
 	defer d.wg.Done()
 	defer func() { _ = c.Close() }()
 	in := bufio.NewReader(c)
 	for {
-		args, err := command(in)
+		args, err := readCommand(in)
 		if err != nil {
 			return
 		}
@@ -187,7 +187,7 @@
 	}
 }
 
-func command(in *bufio.Reader) ([][]byte, error) {
+func readCommand(in *bufio.Reader) ([][]byte, error) {
 	number := func() (int, error) {
 		line, err := in.ReadString('\n')
 		if err != nil {
@@ -214,8 +214,8 @@
 	return args, nil
 }
 
-// pick finds an endpoint of a destination and marks the wait that binds.
-func (d *double) pick(dest int) (addr string, wait time.Duration) {
+// pickEndpoint finds an endpoint of a destination and marks the wait that binds.
+func (d *relayDouble) pickEndpoint(dest int) (addr string, wait time.Duration) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if w := time.Until(d.waits[dest]); w > 0 && d.breach != ignoresWaits {
@@ -244,7 +244,7 @@
 )
 
 // call makes one attempt.
-func (d *double) call(addr, id, key string, dest int, body []byte, limit time.Duration) int {
+func (d *relayDouble) call(addr, id, key string, dest int, body []byte, limit time.Duration) int {
 	ctx, cancel := context.WithTimeout(d.ctx, limit)
 	defer cancel()
 	req, _ := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+addr+"/v1/messages", bytes.NewReader(body))
@@ -277,7 +277,7 @@
 	return mayHaveRun
 }
 
-func (d *double) sleep(t time.Duration) {
+func (d *relayDouble) sleep(t time.Duration) {
 	timer := time.NewTimer(t)
 	defer timer.Stop()
 	select {
@@ -287,7 +287,7 @@
 }
 
 // deliver carries a message to its end.
-func (d *double) deliver(id, fields string, body []byte) {
+func (d *relayDouble) deliver(id, fields string, body []byte) {
 	defer d.wg.Done()
 	have := map[string]string{}
 	for part := range strings.SplitSeq(fields, ",") {
@@ -323,7 +323,7 @@
 	}
 	doubt := false
 	for d.ctx.Err() == nil && time.Now().Before(end.Add(-50*time.Millisecond)) {
-		addr, wait := d.pick(dest)
+		addr, wait := d.pickEndpoint(dest)
 		if addr == "" {
 			d.sleep(wait)
 			continue
@@ -357,7 +357,7 @@
 	}
 }
 
-func (d *double) notice(id, outcome string) {
+func (d *relayDouble) notice(id, outcome string) {
 	body, _ := json.Marshal(map[string]any{"message": id, "outcome": outcome})
 	for d.ctx.Err() == nil {
 		resp, err := d.client.Post("http://"+d.agent+"/reports", "application/json", bytes.NewReader(body))
--- a/internal/rehearsal/runner/runner_test.go
+++ b/internal/rehearsal/runner/runner_test.go
@@ -64,7 +64,7 @@
 	return 0
 }
 
-const head = `version = 1
+const scenarioHead = `version = 1
 name = "x"
 length_s = %v
 [clients]
@@ -105,17 +105,17 @@
 service_ms = { all = 40 }
 `
 
-func plan(t testing.TB, length, rate float64, faults string) *scenario.Plan {
+func loadPlan(t testing.TB, length, rate float64, faults string) *scenario.Plan {
 	t.Helper()
-	s, err := scenario.Parse("x", fmt.Appendf(nil, head+faults, length, rate))
+	s, err := scenario.Parse("x", fmt.Appendf(nil, scenarioHead+faults, length, rate))
 	if err != nil {
 		t.Fatal(err)
 	}
 	return s.Plan(s.Seed)
 }
 
-// self is this program as a relay.
-func self(t testing.TB) Options {
+// ownRelayOptions is this program as a relay.
+func ownRelayOptions(t testing.TB) Options {
 	t.Helper()
 	exe, err := os.Executable()
 	if err != nil {
@@ -136,9 +136,9 @@
 	return o
 }
 
-// TestTheRefereeConvicts plays each rule's breach by a double, and the same
+// TestCheckerFindsViolations plays each rule's breach by a double, and the same
 // run with an honest one.
-func TestTheRefereeConvicts(t *testing.T) {
+func TestCheckerFindsViolations(t *testing.T) {
 	order := func(p *scenario.Plan) {
 		class := &p.Scenario.Classes[0]
 		class.Name, class.Ordered, class.OrderedKeyBackoffMS = "ordered", true, 100
@@ -148,7 +148,7 @@
 	}
 	for _, c := range []struct {
 		name   string
-		breach breach
+		breach violation
 		rule   checker.Rule
 		rate   float64
 		faults string
@@ -188,15 +188,15 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
-			for _, b := range []breach{honest, c.breach} {
+			for _, b := range []violation{honest, c.breach} {
 				t.Run(map[bool]string{true: "honest", false: "broken"}[b == honest], func(t *testing.T) {
 					t.Parallel()
-					p := plan(t, 2.5, c.rate, c.faults)
+					p := loadPlan(t, 2.5, c.rate, c.faults)
 					if c.change != nil {
 						c.change(p)
 					}
 					o := play(t, p, Options{Dir: t.TempDir(), ReplaceRelay: func(_ int, a RelayTarget) RelayTarget {
-						return RelayTarget{Listen: newDouble(t, p, b, a.Discovery).ln.Addr().String()}
+						return RelayTarget{Listen: newRelayDouble(t, p, b, a.Discovery).ln.Addr().String()}
 					}})
 					if b == honest {
 						for _, v := range o.Violations {
@@ -226,11 +226,11 @@
 	}
 }
 
-// TestRealRelaysThroughAKillARestartAndAReload: what was taken on crosses all
+// TestRelaysThroughKillRestartReload: what was taken on crosses all
 // of them, and nothing is broken.
-func TestRealRelaysThroughAKillARestartAndAReload(t *testing.T) {
+func TestRelaysThroughKillRestartReload(t *testing.T) {
 	t.Parallel()
-	p := plan(t, 6, 30, `
+	p := loadPlan(t, 6, 30, `
 [[fault]]
 kind = "hang"
 partner = "p"
@@ -263,7 +263,7 @@
 	var mu sync.Mutex
 	crossed := map[string]bool{} // taken on by relay 1 and not over when it was killed
 	var down, up []event.Time
-	opt := self(t)
+	opt := ownRelayOptions(t)
 	open := map[string]bool{}
 	opt.OnEvent = func(e *event.Event) {
 		mu.Lock()
@@ -328,8 +328,8 @@
 				if kind != "" {
 					faults += fmt.Sprintf("[[fault]]\nkind = %q\nat_s = 0.5\nlength_s = 3\nsize = 300\n", kind)
 				}
-				p := plan(b, 4, 30, faults)
-				o, err := Play(b.Context(), p, self(b))
+				p := loadPlan(b, 4, 30, faults)
+				o, err := Play(b.Context(), p, ownRelayOptions(b))
 				if err != nil {
 					b.Fatal(err)
 				}
@@ -345,10 +345,10 @@
 	}
 }
 
-func TestARelayThatEndsByItselfIsACrash(t *testing.T) {
+func TestUnexpectedEndIsACrash(t *testing.T) {
 	t.Parallel()
-	p := plan(t, 2, 10, "")
-	opt := self(t)
+	p := loadPlan(t, 2, 10, "")
+	opt := ownRelayOptions(t)
 	opt.OnReady = func(s *Rehearsal) error { // as a fault of its own would
 		return s.relays[0].current.cmd.Process.Signal(syscall.SIGKILL)
 	}
@@ -358,22 +358,22 @@
 	}
 }
 
-func TestARelayThatDoesNotStart(t *testing.T) {
+func TestRelayThatDoesNotStart(t *testing.T) {
 	t.Parallel()
-	opt := self(t)
+	opt := ownRelayOptions(t)
 	opt.Command = []string{"/bin/false"}
-	if _, err := Play(t.Context(), plan(t, 1, 10, ""), opt); err == nil ||
+	if _, err := Play(t.Context(), loadPlan(t, 1, 10, ""), opt); err == nil ||
 		!strings.Contains(err.Error(), "relay 1 ended before it was ready") {
 		t.Errorf("error: %v", err)
 	}
 	opt.Command = []string{filepath.Join(t.TempDir(), "none")}
-	if _, err := Play(t.Context(), plan(t, 1, 10, ""), opt); !errors.Is(err, os.ErrNotExist) {
+	if _, err := Play(t.Context(), loadPlan(t, 1, 10, ""), opt); !errors.Is(err, os.ErrNotExist) {
 		t.Errorf("error: %v", err)
 	}
 }
 
-// TestTheSamePlanIsHandedInTheSame: ids, order of first hand-ins and faults.
-func TestTheSamePlanIsHandedInTheSame(t *testing.T) {
+// TestSamePlanHasSameSubmissions: ids, order of first hand-ins and faults.
+func TestSamePlanHasSameSubmissions(t *testing.T) {
 	t.Parallel()
 	var runs [2]string
 	var wg sync.WaitGroup
@@ -381,10 +381,10 @@
 		wg.Add(1)
 		go func() {
 			defer wg.Done()
-			p := plan(t, 2, 40, "[[fault]]\nkind = \"full\"\npartner = \"p\"\nat_s = 0.5\nlength_s = 1\n")
+			p := loadPlan(t, 2, 40, "[[fault]]\nkind = \"full\"\npartner = \"p\"\nat_s = 0.5\nlength_s = 1\n")
 			var mu sync.Mutex
 			first := make([]string, len(p.Arrivals))
-			opt := self(t)
+			opt := ownRelayOptions(t)
 			opt.OnEvent = func(e *event.Event) {
 				mu.Lock()
 				defer mu.Unlock()
@@ -404,9 +404,9 @@
 	}
 }
 
-// TestTheGoldenRecordingIsReplayed: what the first release recorded is handed
+// TestGoldenRecordingIsReplayed: what the first release recorded is handed
 // in unchanged by this one.
-func TestTheGoldenRecordingIsReplayed(t *testing.T) {
+func TestGoldenRecordingIsReplayed(t *testing.T) {
 	t.Parallel()
 	p, _, err := replay.Load(filepath.Join("..", "replay", "testdata", "v1.rehearsal"))
 	if err != nil {
@@ -414,7 +414,7 @@
 	}
 	var mu sync.Mutex
 	first := make([]string, len(p.Arrivals))
-	opt := self(t)
+	opt := ownRelayOptions(t)
 	opt.OnEvent = func(e *event.Event) {
 		mu.Lock()
 		defer mu.Unlock()
@@ -426,8 +426,8 @@
 	for _, v := range o.Violations {
 		t.Errorf("convicted: %s", v.String())
 	}
-	if got := fmt.Sprintf("%x", sha256.Sum256([]byte(strings.Join(first, "\n")))); got != goldenHandIns {
-		t.Errorf("handed in as %s, want %s", got, goldenHandIns)
+	if got := fmt.Sprintf("%x", sha256.Sum256([]byte(strings.Join(first, "\n")))); got != goldenSubmissions {
+		t.Errorf("handed in as %s, want %s", got, goldenSubmissions)
 	}
 	for i, r := range o.Results {
 		if r.Outcome == loadgen.Pending {
@@ -436,14 +436,14 @@
 	}
 }
 
-// goldenHandIns is the sum over the ids of the first hand-ins, in the plan's
+// goldenSubmissions is the sum over the ids of the first hand-ins, in the plan's
 // order.
-const goldenHandIns = "9b80d363e7618a66d381f1325202bc0710a8288da834a373dcad4cc3d8fa6414"
+const goldenSubmissions = "9b80d363e7618a66d381f1325202bc0710a8288da834a373dcad4cc3d8fa6414"
 
 // kitMain is a kit that plays until it is killed; it prints where its relays
 // are.
 func kitMain() int {
-	s, err := scenario.Parse("x", fmt.Appendf(nil, head+"[relays]\ncount = 2\n", 60.0, 20.0))
+	s, err := scenario.Parse("x", fmt.Appendf(nil, scenarioHead+"[relays]\ncount = 2\n", 60.0, 20.0))
 	if err != nil {
 		fmt.Println(err)
 		return 2
@@ -471,9 +471,9 @@
 	return 0
 }
 
-// TestAKitThatIsKilledLeavesNothing: its relays end with it and their ports
+// TestKilledKitLeavesNothing: its relays end with it and their ports
 // are free.
-func TestAKitThatIsKilledLeavesNothing(t *testing.T) {
+func TestKilledKitLeavesNothing(t *testing.T) {
 	t.Parallel()
 	exe, err := os.Executable()
 	if err != nil {
@@ -488,7 +488,7 @@
 	defer func() { _ = kit.Wait() }()
 	defer func() { _ = kit.Process.Kill() }()
 	var text []byte
-	wait(t, "the relays", func() bool { text, err = os.ReadFile(filepath.Join(dir, "pids")); return err == nil })
+	waitUntil(t, "the relays", func() bool { text, err = os.ReadFile(filepath.Join(dir, "pids")); return err == nil })
 	_ = kit.Process.Kill()
 	_ = kit.Wait()
 	for line := range strings.Lines(string(text)) {
@@ -497,8 +497,8 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		wait(t, "the end of process "+pid, func() bool { return gone(n) })
-		wait(t, "the port of "+addr, func() bool {
+		waitUntil(t, "the end of process "+pid, func() bool { return processGone(n) })
+		waitUntil(t, "the port of "+addr, func() bool {
 			ln, err := net.Listen("tcp4", addr)
 			if err == nil {
 				_ = ln.Close()
@@ -508,9 +508,9 @@
 	}
 }
 
-// gone reports whether a process has ended, also where nobody has waited for
+// processGone reports whether a process has ended, also where nobody has waited for
 // it yet.
-func gone(pid int) bool {
+func processGone(pid int) bool {
 	if syscall.Kill(pid, 0) != nil {
 		return true
 	}
@@ -518,7 +518,7 @@
 	return err != nil || strings.Contains(string(text), ") Z ")
 }
 
-func wait(t *testing.T, what string, cond func() bool) {
+func waitUntil(t *testing.T, what string, cond func() bool) {
 	t.Helper()
 	for end := time.Now().Add(30 * time.Second); time.Now().Before(end); time.Sleep(2 * time.Millisecond) {
 		if cond() {
@@ -528,16 +528,16 @@
 	t.Fatalf("never came: %s", what)
 }
 
-func TestBrokenOffLeavesNothing(t *testing.T) {
+func TestCancelledPlayLeavesNothing(t *testing.T) {
 	t.Parallel()
 	ctx, cancel := context.WithCancel(t.Context())
-	opt := self(t)
+	opt := ownRelayOptions(t)
 	var pid int
 	opt.OnReady = func(s *Rehearsal) error { pid = s.relays[0].current.cmd.Process.Pid; cancel(); return nil }
-	if _, err := Play(ctx, plan(t, 30, 10, ""), opt); !errors.Is(err, context.Canceled) {
+	if _, err := Play(ctx, loadPlan(t, 30, 10, ""), opt); !errors.Is(err, context.Canceled) {
 		t.Errorf("error: %v", err)
 	}
-	if !gone(pid) {
+	if !processGone(pid) {
 		t.Error("the relay is still there")
 	}
 }
--- a/internal/rehearsal/runner/tls_test.go
+++ b/internal/rehearsal/runner/tls_test.go
@@ -7,7 +7,7 @@
 	"troutusher/internal/rehearsal/loadgen"
 )
 
-const overTLS = `
+const tlsPartner = `
 [[partner]]
 name = "banka"
 endpoints = 2
@@ -17,7 +17,7 @@
 tls = { full_weight = 1, told_weight = 1, wants_ours = true }
 `
 
-func show(kind string, part, at, length float64) string {
+func tlsFault(kind string, part, at, length float64) string {
 	return fmt.Sprintf("[[fault]]\nkind = %q\npartner = \"banka\"\npart = %v\nat_s = %v\nlength_s = %v\n", kind, part,
 		at, length)
 }
@@ -25,18 +25,18 @@
 // A partner over TLS whose endpoints rotate, show what must not be believed and
 // reset handshakes, one after the other: no rule is broken and no message lost,
 // with real relays and without a fault alike.
-func TestRealRelaysThroughRotations(t *testing.T) {
+func TestRelaysThroughTLSRotations(t *testing.T) {
 	for name, faults := range map[string]string{
-		"rotated and forgotten": show("tls_rotate", 1, 0.5, 2) + show("tls_forget", 0.5, 1, 0.5),
-		"not to be believed": show("tls_expired", 0.5, 0.5, 1) + show("crash", 0.5, 0.6, 0.1) + show(
+		"rotated and forgotten": tlsFault("tls_rotate", 1, 0.5, 2) + tlsFault("tls_forget", 0.5, 1, 0.5),
+		"not to be believed": tlsFault("tls_expired", 0.5, 0.5, 1) + tlsFault("crash", 0.5, 0.6, 0.1) + tlsFault(
 			"tls_wrong_name", 0.5, 1.8, 0.6,
 		) +
-			show("tls_wrong_root", 0.5, 2.6, 0.4),
-		"reset": show("tls_reset", 0.5, 0.5, 1) + show("crash", 0.5, 0.6, 0.1),
+			tlsFault("tls_wrong_root", 0.5, 2.6, 0.4),
+		"reset": tlsFault("tls_reset", 0.5, 0.5, 1) + tlsFault("crash", 0.5, 0.6, 0.1),
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			o := play(t, plan(t, 3, 30, overTLS+faults), self(t))
+			o := play(t, loadPlan(t, 3, 30, tlsPartner+faults), ownRelayOptions(t))
 			for _, v := range o.Violations {
 				t.Errorf("%+v", v)
 			}
--- a/internal/rehearsal/runner/upgrade_test.go
+++ b/internal/rehearsal/runner/upgrade_test.go
@@ -26,9 +26,9 @@
 					fmt.Fprintf(&faults, "form = %q\n", form)
 				}
 			}
-			p := plan(t, each*float64(len(forms))+0.4, 25, faults.String())
+			p := loadPlan(t, each*float64(len(forms))+0.4, 25, faults.String())
 			t.Logf("seed %d", p.Seed)
-			o := play(t, p, self(t))
+			o := play(t, p, ownRelayOptions(t))
 			for _, v := range o.Violations {
 				t.Errorf("%+v", v)
 			}
