--- a/internal/rehearsal/idlebench/clients.go
+++ b/internal/rehearsal/idlebench/clients.go
@@ -13,158 +13,204 @@
 	"syscall"
 	"time"
 
+	"github.com/HdrHistogram/hdrhistogram-go"
+
 	"troutusher/internal/emulator/loopback"
 )
 
-// openIdle opens connections that ask one PING each.
-func (r *relay) openIdle(n int) (all []net.Conn, failed error) {
+const (
+	openConcurrency         = 64
+	maxConnectionsPerSource = 10_000 // from one address, which has few more ports
+	openTimeout             = 5 * time.Second
+	replyTimeout            = 5 * time.Second
+	redialDelay             = 5 * time.Millisecond
+
+	burstLength       = time.Second
+	burstLeadIn       = 200 * time.Millisecond // in which the goroutines of a burst start
+	burstReplyTimeout = 20 * time.Second
+
+	idleBufferSize  = 16 // of a connection that reads a PONG
+	burstBufferSize = 64
+
+	replyOK   = "+OK"
+	replyBusy = "-BUSY"
+)
+
+// openIdle opens connections, each of which sends one PING. It returns those that could be
+// opened, and the last error.
+func (r *relay) openIdle(n int) (conns []net.Conn, lastErr error) {
 	var mu sync.Mutex
-	var wg sync.WaitGroup
+	var openers sync.WaitGroup
 	var next atomic.Int64
 	for range openConcurrency {
-		wg.Add(1)
+		openers.Add(1)
 		go func() {
-			defer wg.Done()
-			for {
-				i := int(next.Add(1)) - 1
-				if i >= n {
-					return
-				}
-				c, err := r.dial(i)
-				if err == nil {
-					if _, err = roundTrip(c, bufio.NewReaderSize(c, 16), pingCommand, 5*time.Second); err != nil {
-						_ = c.Close()
-					}
-				}
+			defer openers.Done()
+			for i := int(next.Add(1)) - 1; i < n; i = int(next.Add(1)) - 1 {
+				conn, err := r.openOne(i)
+				mu.Lock()
 				if err != nil {
-					mu.Lock()
-					failed = err
-					mu.Unlock()
-					continue
+					lastErr = err
+				} else {
+					conns = append(conns, conn)
 				}
-				_ = c.SetDeadline(time.Time{}) // a closed one is counted when it is asked
-				mu.Lock()
-				all = append(all, c)
 				mu.Unlock()
 			}
 		}()
 	}
-	wg.Wait()
-	return all, failed
+	openers.Wait()
+	return conns, lastErr
 }
 
-// dial connects from the address that the number's turn it is.
-func (r *relay) dial(i int) (net.Conn, error) {
-	from := net.ParseIP(loopback.Host()).To4()
-	from = net.IPv4(from[0], from[1]^1, from[2], byte(1+i/maxConnectionsPerSource))
-	d := net.Dialer{LocalAddr: &net.TCPAddr{IP: from}, Timeout: 5 * time.Second}
-	c, err := d.Dial("tcp4", r.addr)
+// openOne opens a connection that sends one PING.
+func (r *relay) openOne(index int) (net.Conn, error) {
+	conn, err := r.dial(index)
+	if err != nil {
+		return nil, err
+	}
+	if _, err := roundTrip(conn, bufio.NewReaderSize(conn, idleBufferSize), pingCommand, openTimeout); err != nil {
+		_ = conn.Close()
+		return nil, err
+	}
+	_ = conn.SetDeadline(time.Time{}) // a connection that is closed is counted in the burst
+	return conn, nil
+}
+
+// dial connects from an address that is shared by maxConnectionsPerSource connections.
+func (r *relay) dial(index int) (net.Conn, error) {
+	host := net.ParseIP(loopback.Host()).To4()
+	source := net.IPv4(host[0], host[1]^1, host[2], byte(1+index/maxConnectionsPerSource))
+	dialer := net.Dialer{LocalAddr: &net.TCPAddr{IP: source}, Timeout: openTimeout}
+	conn, err := dialer.Dial("tcp4", r.addr)
 	if err != nil && !errors.Is(err, syscall.ECONNREFUSED) {
-		d.LocalAddr = nil // where the rest of 127.0.0.0/8 is not set up
-		c, err = d.Dial("tcp4", r.addr)
+		dialer.LocalAddr = nil // the rest of 127.0.0.0/8 may not be set up
+		conn, err = dialer.Dial("tcp4", r.addr)
 	}
-	return c, err
+	return conn, err
+}
+
+// clientCounts is what active clients saw.
+type clientCounts struct {
+	accepted, rejected, late int
+	latency                  *hdrhistogram.Histogram // µs
+}
+
+func (c *clientCounts) add(other *clientCounts) {
+	c.accepted += other.accepted
+	c.rejected += other.rejected
+	c.late += other.late
+	c.latency.Merge(other.latency)
 }
 
-// runClients has clients ask one message after another.
-func (r *relay) runClients(ctx context.Context, o *Options, x *Result) {
-	x.ReplyLatency = newHistogram()
+// runClients has the active clients send one message after another.
+func (r *relay) runClients(ctx context.Context, options *Options, result *Result) {
+	total := clientCounts{latency: newHistogram()}
 	var mu sync.Mutex
-	var wg sync.WaitGroup
-	taken, late := 0, 0
-	cpu, calls, begun := r.cpuTime(), r.endpoint.calls.Load(), time.Now()
-	end := begun.Add(o.Length)
-	for i := range o.ActiveClients {
-		wg.Add(1)
+	var clients sync.WaitGroup
+	cpu, calls, start := r.cpuTime(), r.endpoint.calls.Load(), time.Now()
+	end := start.Add(options.Length)
+	for i := range options.ActiveClients {
+		clients.Add(1)
 		go func() {
-			defer wg.Done()
-			own := newHistogram()
-			ok, busy, tooLate := 0, 0, 0
-			var c net.Conn
-			var in *bufio.Reader
-			for n := 0; time.Now().Before(end) && ctx.Err() == nil; n++ {
-				if c == nil {
-					var err error
-					if c, err = r.dial(o.Idle + i); err != nil {
-						time.Sleep(5 * time.Millisecond)
-						continue
-					}
-					in = bufio.NewReader(c)
-				}
-				at := time.Now()
-				s, err := roundTrip(c, in, submitCommand(fmt.Sprintf("l%d-%d", i, n)), 5*time.Second)
-				if err != nil {
-					_ = c.Close()
-					c = nil
-					continue
-				}
-				took := time.Since(at)
-				_ = own.RecordValue(took.Microseconds()) // within the 5 s of ask
-				if took > o.Patience {
-					tooLate++
-				}
-				if s == "+OK" {
-					ok++
-				} else {
-					busy++
-				}
-			}
-			if c != nil {
-				_ = c.Close()
-			}
+			defer clients.Done()
+			counts := r.runClient(ctx, options, i, end)
 			mu.Lock()
 			defer mu.Unlock()
-			x.ReplyLatency.Merge(own)
-			taken, late, x.Rejected = taken+ok, late+tooLate, x.Rejected+busy
+			total.add(counts)
 		}()
 	}
-	wg.Wait()
-	took := time.Since(begun)
-	x.AcceptedPerSecond = float64(taken) / took.Seconds()
-	x.DeliveredPerSecond = float64(r.endpoint.calls.Load()-calls) / took.Seconds()
-	x.RelayCores = (r.cpuTime() - cpu).Seconds() / took.Seconds()
-	if n := x.ReplyLatency.TotalCount(); n > 0 {
-		x.LateShare = float64(late) / float64(n)
+	clients.Wait()
+	elapsed := time.Since(start).Seconds()
+	result.ReplyLatency, result.Rejected = total.latency, total.rejected
+	result.AcceptedPerSecond = float64(total.accepted) / elapsed
+	result.DeliveredPerSecond = float64(r.endpoint.calls.Load()-calls) / elapsed
+	result.RelayCores = (r.cpuTime() - cpu).Seconds() / elapsed
+	if replies := total.latency.TotalCount(); replies > 0 {
+		result.LateShare = float64(total.late) / float64(replies)
+	}
+}
+
+// runClient sends one message after another over a connection until end.
+func (r *relay) runClient(ctx context.Context, options *Options, index int, end time.Time) *clientCounts {
+	counts := &clientCounts{latency: newHistogram()}
+	var conn net.Conn
+	var reader *bufio.Reader
+	for n := 0; time.Now().Before(end) && ctx.Err() == nil; n++ {
+		if conn == nil {
+			var err error
+			if conn, err = r.dial(options.Idle + index); err != nil {
+				time.Sleep(redialDelay)
+				continue
+			}
+			reader = bufio.NewReader(conn)
+		}
+		start := time.Now()
+		reply, err := roundTrip(conn, reader, submitCommand(fmt.Sprintf("l%d-%d", index, n)), replyTimeout)
+		if err != nil {
+			_ = conn.Close()
+			conn = nil
+			continue
+		}
+		elapsed := time.Since(start)
+		_ = counts.latency.RecordValue(elapsed.Microseconds()) // replyTimeout is within the range
+		if elapsed > options.Patience {
+			counts.late++
+		}
+		if reply == replyOK {
+			counts.accepted++
+		} else {
+			counts.rejected++
+		}
+	}
+	if conn != nil {
+		_ = conn.Close()
 	}
+	return counts
 }
 
-// runBurst has every idle connection ask within one second.
-func (r *relay) runBurst(ctx context.Context, o *Options, idle []net.Conn) *BurstResult {
-	w := &BurstResult{Sent: len(idle), ReplyLatency: newHistogram()}
+// runBurst has every idle connection send a message, spread over burstLength.
+func (r *relay) runBurst(options *Options, idle []net.Conn) *BurstResult {
+	result := &BurstResult{Sent: len(idle), ReplyLatency: newHistogram()}
 	var mu sync.Mutex
-	var wg sync.WaitGroup
-	begun := time.Now().Add(200 * time.Millisecond)
+	var clients sync.WaitGroup
+	start := time.Now().Add(burstLeadIn)
 	runtime.GC()
-	for i, c := range idle {
-		wg.Add(1)
+	for i, conn := range idle {
+		clients.Add(1)
 		go func() {
-			defer wg.Done()
-			time.Sleep(time.Until(begun.Add(time.Second * time.Duration(i) / time.Duration(len(idle)))))
-			at := time.Now()
-			s, err := roundTrip(c, bufio.NewReaderSize(c, 64), submitCommand(fmt.Sprintf("w%d", i)), 20*time.Second)
-			took := time.Since(at)
+			defer clients.Done()
+			time.Sleep(time.Until(start.Add(burstLength * time.Duration(i) / time.Duration(len(idle)))))
+			sent := time.Now()
+			reader := bufio.NewReaderSize(conn, burstBufferSize)
+			reply, err := roundTrip(conn, reader, submitCommand(fmt.Sprintf("w%d", i)), burstReplyTimeout)
+			elapsed := time.Since(sent)
 			mu.Lock()
 			defer mu.Unlock()
-			if err != nil {
-				w.Closed++
-				return
-			}
-			_ = w.ReplyLatency.RecordValue(took.Microseconds()) // beyond the range it is left out
-			if took > o.Patience {
-				w.Late++
-			}
-			switch {
-			case s == "+OK":
-				w.Accepted++
-			case strings.HasPrefix(s, "-BUSY"):
-				w.Rejected++
-				if len(s) > len("-BUSY ") {
-					w.RejectedWithTime++
-				}
-			}
+			result.add(reply, err, elapsed, options.Patience)
 		}()
 	}
-	wg.Wait()
-	w.Duration = time.Since(begun)
-	return w
+	clients.Wait()
+	result.Duration = time.Since(start)
+	return result
+}
+
+// add counts the reply to one message of a burst.
+func (b *BurstResult) add(reply string, err error, elapsed, patience time.Duration) {
+	if err != nil {
+		b.Closed++
+		return
+	}
+	_ = b.ReplyLatency.RecordValue(elapsed.Microseconds()) // what is beyond the range is left out
+	if elapsed > patience {
+		b.Late++
+	}
+	switch {
+	case reply == replyOK:
+		b.Accepted++
+	case strings.HasPrefix(reply, replyBusy):
+		b.Rejected++
+		if len(reply) > len(replyBusy+" ") {
+			b.RejectedWithTime++
+		}
+	}
 }
--- a/internal/rehearsal/idlebench/idlebench.go
+++ b/internal/rehearsal/idlebench/idlebench.go
@@ -1,10 +1,7 @@
-// Package idlebench measures what many idle connections cost a relay: it starts a
-// real relay process, opens connections that say one PING and then nothing, and
-// tells memory and CPU; then how many messages one core carries beside them,
-// and what happens when all of them ask within one second.
-//
-// It owns the measuring and the stand-ins that this needs. It must never judge
-// the rules or take part in a rehearsal.
+// Package idlebench measures what many idle connections cost a relay. It starts a real
+// relay process, opens connections that send one PING and then nothing, and measures memory
+// and CPU; then how many messages one core carries beside them, and what comes of a message
+// from each of them within one second. It takes no part in rehearsals and checks no rules.
 package idlebench
 
 import (
@@ -74,120 +71,137 @@
 }
 
 const (
-	maxLatencyMicros        = 60 * int64(time.Second/time.Microsecond)
-	openConcurrency         = 64
-	settleTimeout           = 5 * time.Second
-	maxConnectionsPerSource = 10_000 // connections from one address: the ports of one do not reach far
+	maxLatencyMicros = 60 * int64(time.Second/time.Microsecond)
+	histogramDigits  = 3
+
+	spareDescriptors = 400     // of this process, beside its connections
+	endpointRate     = 100_000 // calls a second that the endpoint is said to bear
+
+	currentMemory = "VmRSS:" // of proc(5)
+	peakMemory    = "VmHWM:"
 )
 
 // errExitZero is the end of a process that should still run.
 var errExitZero = errors.New("exit status 0")
 
-func newHistogram() *hdrhistogram.Histogram { return hdrhistogram.New(1, maxLatencyMicros, 3) }
+func newHistogram() *hdrhistogram.Histogram {
+	return hdrhistogram.New(1, maxLatencyMicros, histogramDigits)
+}
 
 // Measure starts a relay and measures it.
-func Measure(ctx context.Context, o Options) (*Result, error) {
-	if o.OnProgress == nil {
-		o.OnProgress = func(string) {}
+func Measure(ctx context.Context, options Options) (*Result, error) {
+	if options.OnProgress == nil {
+		options.OnProgress = func(string) {}
 	}
-	var limit syscall.Rlimit
-	if err := syscall.Getrlimit(
-		syscall.RLIMIT_NOFILE,
-		&limit,
-	); err == nil &&
-		uint64(o.Idle+o.ActiveClients+400) > limit.Cur {
-		return nil, fmt.Errorf("crowd: %d connections, and a process may have %d descriptors here", o.Idle, limit.Cur)
+	if err := checkDescriptors(&options); err != nil {
+		return nil, err
 	}
-	p, err := startEndpoint()
+	endpoint, err := startEndpoint()
 	if err != nil {
 		return nil, err
 	}
-	defer p.close()
-	began := time.Now()
-	reg, err := registry.New(registry.Config{
-		Relays: 1, Clock: func() event.Time {
-			return time.Since(began).Microseconds()
-		}, Emit: func(event.Event) {},
-		Members: func(int) []registry.Member {
-			return []registry.Member{
-				{
-					ID:       "s-1",
-					HostPort: p.listener.Addr().String(),
-					Locality: "a",
-					Flavor:   "k",
-					Cell:     1,
-					Phase:    registry.PhaseUp,
-					Size:     100_000,
-				},
-			}
-		},
-	})
+	defer endpoint.close()
+	discovery, err := startRegistry(endpoint.listener.Addr().String())
 	if err != nil {
 		return nil, err
 	}
-	defer reg.Close()
-	r, err := startRelay(ctx, &o, reg.Addr(0))
+	defer discovery.Close()
+	r, err := startRelay(ctx, &options, discovery.Addr(0))
 	if err != nil {
 		return nil, err
 	}
 	defer r.close()
-	r.endpoint = p
-	return r.measure(ctx, &o)
+	r.endpoint = endpoint
+	return r.measure(ctx, &options)
 }
 
-// measure goes through the parts.
-func (r *relay) measure(ctx context.Context, o *Options) (*Result, error) {
-	x := &Result{}
+// checkDescriptors returns an error where this process may not have enough of them.
+func checkDescriptors(options *Options) error {
+	needed := uint64(options.Idle + options.ActiveClients + spareDescriptors)
+	var limit syscall.Rlimit
+	if err := syscall.Getrlimit(syscall.RLIMIT_NOFILE, &limit); err == nil && needed > limit.Cur {
+		return fmt.Errorf("crowd: %d connections, and a process may have %d descriptors here", options.Idle, limit.Cur)
+	}
+	return nil
+}
+
+// startRegistry starts a registry whose list names one endpoint.
+func startRegistry(endpointAddr string) (*registry.Registry, error) {
+	start := time.Now()
+	return registry.New(registry.Config{
+		Relays: 1,
+		Clock:  func() event.Time { return time.Since(start).Microseconds() },
+		Emit:   func(event.Event) {},
+		Members: func(int) []registry.Member {
+			return []registry.Member{{
+				ID: "s-1", HostPort: endpointAddr, Locality: "a", Flavor: "k", Cell: 1, Phase: registry.PhaseUp,
+				Size: endpointRate,
+			}}
+		},
+	})
+}
+
+// measure goes through the parts of the measurement.
+func (r *relay) measure(ctx context.Context, options *Options) (*Result, error) {
+	result := &Result{}
 	r.waitIdle(ctx)
-	x.BaseKB = r.memoryKB("VmRSS:")
-	begun := time.Now()
-	idle, failed := r.openIdle(o.Idle)
+	result.BaseKB = r.memoryKB(currentMemory)
+	start := time.Now()
+	idle, openErr := r.openIdle(options.Idle)
 	defer func() {
-		for _, c := range idle {
-			_ = c.Close()
+		for _, conn := range idle {
+			_ = conn.Close()
 		}
 	}()
-	x.OpenDuration = time.Since(begun)
-	if len(idle) < o.Idle {
-		return nil, fmt.Errorf("crowd: only %d of %d connections could be opened: %w", len(idle), o.Idle, failed)
+	result.OpenDuration = time.Since(start)
+	if len(idle) < options.Idle {
+		return nil, fmt.Errorf("crowd: only %d of %d connections could be opened: %w", len(idle), options.Idle, openErr)
 	}
-	x.IdleKB = r.memoryKB("VmRSS:")
-	o.OnProgress(fmt.Sprintf("%d connections open", len(idle)))
-	if o.WithOperatorFile {
-		r.waitIdle(ctx)
-		x.IdleKB = r.memoryKB("VmRSS:")
-		cpu, at := r.cpuTime(), time.Now()
-		if err := sleep(ctx, o.Length); err != nil {
-			return nil, err
-		}
-		x.IdleCores = (r.cpuTime() - cpu).Seconds() / time.Since(at).Seconds()
-	}
-	if o.Idle > 0 {
-		x.BytesPerConnection = float64(x.IdleKB-x.BaseKB) * 1024 / float64(o.Idle)
+	options.OnProgress(fmt.Sprintf("%d connections open", len(idle)))
+	if err := r.measureIdle(ctx, options, result); err != nil {
+		return nil, err
 	}
-	o.OnProgress("clients ask")
-	r.runClients(ctx, o, x)
-	if o.Idle > 0 && o.WithOperatorFile {
-		o.OnProgress("all ask within a second")
-		x.Burst = r.runBurst(ctx, o, idle)
-		x.Burst.PeakKB = r.memoryKB("VmHWM:")
+	options.OnProgress("clients ask")
+	r.runClients(ctx, options, result)
+	if options.Idle > 0 && options.WithOperatorFile {
+		options.OnProgress("all ask within a second")
+		result.Burst = r.runBurst(options, idle)
+		result.Burst.PeakKB = r.memoryKB(peakMemory)
 	}
-	x.Idle = len(idle)
-	x.PeakKB = r.memoryKB("VmHWM:")
+	result.Idle = len(idle)
+	result.PeakKB = r.memoryKB(peakMemory)
 	select {
 	case err := <-r.exited:
-		r.exited <- err
+		r.exited <- err // for close
 		return nil, fmt.Errorf("crowd: the relay ended: %w", errors.Join(err, errors.New(r.logPath)))
 	default:
 	}
-	return x, ctx.Err()
+	return result, ctx.Err()
+}
+
+// measureIdle measures memory, and CPU where the relay keeps idle connections long enough.
+func (r *relay) measureIdle(ctx context.Context, options *Options, result *Result) error {
+	result.IdleKB = r.memoryKB(currentMemory)
+	if options.WithOperatorFile {
+		r.waitIdle(ctx)
+		result.IdleKB = r.memoryKB(currentMemory)
+		cpu, start := r.cpuTime(), time.Now()
+		if err := sleep(ctx, options.Length); err != nil {
+			return err
+		}
+		result.IdleCores = (r.cpuTime() - cpu).Seconds() / time.Since(start).Seconds()
+	}
+	if options.Idle > 0 {
+		result.BytesPerConnection = float64(result.IdleKB-result.BaseKB) * 1024 / float64(options.Idle)
+	}
+	return nil
 }
 
-func sleep(ctx context.Context, d time.Duration) error {
+func sleep(ctx context.Context, wait time.Duration) error {
 	select {
 	case <-ctx.Done():
 		return ctx.Err()
-	case <-time.After(d):
+	case <-time.After(wait):
 		return nil
 	}
 }
--- a/internal/rehearsal/idlebench/relay.go
+++ b/internal/rehearsal/idlebench/relay.go
@@ -16,27 +16,51 @@
 	"time"
 
 	"troutusher/internal/emulator/loopback"
+	"troutusher/internal/operatorconfig"
 )
 
-// relay is the process.
-type relay struct {
-	addr    string
-	cmd     *exec.Cmd
-	exited  chan error
-	logPath string
+const (
+	spareRelayDescriptors = 500 // of the relay, beside its connections
+	spareSlots            = 200 // for clients, beside those that are opened
+
+	readyInterval  = 10 * time.Millisecond // between two questions whether the relay is ready
+	requestTimeout = time.Second
+	killTimeout    = 10 * time.Second
+
+	settleTimeout  = 5 * time.Second
+	settleInterval = 200 * time.Millisecond
+	settleCPU      = 10 * time.Millisecond // in an interval, of a relay that does nothing
+	settleCount    = 3                     // intervals in a row
+
+	// clockTick is the unit of CPU times in proc(5): USER_HZ is 100 on Linux.
+	clockTick = 10 * time.Millisecond
+	// Fields of /proc/PID/stat behind the program's name.
+	statUserTime   = 11
+	statSystemTime = 12
 
+	bodyBytes = 200
+)
+
+// relay is the relay's process.
+type relay struct {
+	addr     string
+	cmd      *exec.Cmd
+	exited   chan error
+	logPath  string
 	endpoint *endpoint
 }
 
 // startRelay starts a relay and waits until it answers.
-func startRelay(ctx context.Context, o *Options, discovery string) (*relay, error) {
-	ln, err := loopback.Listen(0)
+func startRelay(ctx context.Context, options *Options, discovery string) (*relay, error) {
+	listener, err := loopback.Listen(0)
 	if err != nil {
 		return nil, err
 	}
-	r := &relay{addr: ln.Addr().String(), exited: make(chan error, 1), logPath: filepath.Join(o.Dir, "log")}
-	_ = ln.Close()
-	env, err := r.writeConfig(o, discovery)
+	r := &relay{
+		addr: listener.Addr().String(), exited: make(chan error, 1), logPath: filepath.Join(options.Dir, "log"),
+	}
+	_ = listener.Close() // the relay listens there
+	env, err := r.writeConfig(options, discovery)
 	if err != nil {
 		return nil, err
 	}
@@ -44,9 +68,9 @@
 	if err != nil {
 		return nil, err
 	}
-	defer func() { _ = log.Close() }() // the process writes by its own descriptor
-	r.cmd = exec.Command(o.Command[0], o.Command[1:]...)
-	r.cmd.Env, r.cmd.Stdout, r.cmd.Stderr = append(env, o.Env...), log, log
+	defer func() { _ = log.Close() }() // the process writes by a descriptor of its own
+	r.cmd = exec.Command(options.Command[0], options.Command[1:]...)
+	r.cmd.Env, r.cmd.Stdout, r.cmd.Stderr = append(env, options.Env...), log, log
 	r.cmd.SysProcAttr = &syscall.SysProcAttr{Setpgid: true}
 	if err := r.cmd.Start(); err != nil {
 		return nil, err
@@ -59,49 +83,46 @@
 }
 
 // writeConfig writes the relay's files and returns its environment.
-func (r *relay) writeConfig(o *Options, discovery string) ([]string, error) {
-	state := filepath.Join(o.Dir, "state")
+func (r *relay) writeConfig(options *Options, discovery string) ([]string, error) {
+	state := filepath.Join(options.Dir, "state")
 	if err := os.MkdirAll(state, 0o700); err != nil {
 		return nil, err
 	}
-	descriptors := o.Idle + o.ActiveClients + 500
-	text, err := json.Marshal(relayConfig(r.addr, discovery, state, o.MemoryMB, descriptors))
+	connections := options.Idle + options.ActiveClients
+	descriptors := connections + spareRelayDescriptors
+	text, err := json.Marshal(relayConfig(r.addr, discovery, state, options.MemoryMB, descriptors))
 	if err != nil {
 		return nil, err
 	}
-	path := filepath.Join(o.Dir, "config.json")
+	path := filepath.Join(options.Dir, "config.json")
 	if err := os.WriteFile(path, text, 0o600); err != nil {
 		return nil, err
 	}
 	env := append(os.Environ(), "ROUTER_CONFIG="+path, "ROUTER_STATE="+state, "ROUTER_NAME=", "ROUTER_LISTEN=",
 		"ROUTER_DISCOVERY=")
-	if !o.WithOperatorFile {
+	if !options.WithOperatorFile {
 		return env, nil
 	}
-	own := filepath.Join(o.Dir, "operator.toml")
-	places := o.Idle + o.ActiveClients + 200
-	operator := fmt.Sprintf("[clients]\ndescriptors = %d\nplaces = %d\nstrangers = %d\nasked_most = %d\n"+
+	operatorPath := filepath.Join(options.Dir, "operator.toml")
+	slots := connections + spareSlots
+	operatorText := fmt.Sprintf("[clients]\ndescriptors = %d\nplaces = %d\nstrangers = %d\nasked_most = %d\n"+
 		"idle_s = 3600\n",
-		descriptors, places, places, places)
-	if err := os.WriteFile(own, []byte(operator), 0o600); err != nil {
+		descriptors, slots, slots, slots)
+	if err := os.WriteFile(operatorPath, []byte(operatorText), 0o600); err != nil {
 		return nil, err
 	}
-	return append(env, "TROUTUSHER_OPERATOR="+own), nil
+	return append(env, operatorconfig.EnvVar+"="+operatorPath), nil
 }
 
 // waitReady waits until the relay answers, or its process ends.
 func (r *relay) waitReady(ctx context.Context) error {
 	for {
-		if c, err := net.DialTimeout("tcp4", r.addr, time.Second); err == nil {
-			_, err = roundTrip(c, bufio.NewReader(c), pingCommand, time.Second)
-			_ = c.Close()
-			if err == nil {
-				return nil
-			}
+		if r.answersPing() {
+			return nil
 		}
 		select {
 		case err := <-r.exited:
-			text, _ := os.ReadFile(r.logPath)
+			text, _ := os.ReadFile(r.logPath) // the error tells enough without it
 			if err == nil {
 				err = errExitZero
 			}
@@ -110,19 +131,31 @@
 		case <-ctx.Done():
 			r.close()
 			return ctx.Err()
-		case <-time.After(10 * time.Millisecond):
+		case <-time.After(readyInterval):
 		}
 	}
 }
 
+func (r *relay) answersPing() bool {
+	conn, err := net.DialTimeout("tcp4", r.addr, requestTimeout)
+	if err != nil {
+		return false
+	}
+	defer func() { _ = conn.Close() }() // it has been answered
+	_, err = roundTrip(conn, bufio.NewReader(conn), pingCommand, requestTimeout)
+	return err == nil
+}
+
+// close kills the process and waits for its end.
 func (r *relay) close() {
 	_ = r.cmd.Process.Kill() // it may have ended by itself
 	select {
 	case <-r.exited: //nolint:errcheck // it was killed
-	case <-time.After(10 * time.Second):
+	case <-time.After(killTimeout):
 	}
 }
 
+// relayConfig is the configuration of a relay with one class, tenant and kind of partner.
 func relayConfig(listen, discovery, state string, memory, descriptors int) any {
 	type object = map[string]any
 	return object{
@@ -173,56 +206,60 @@
 
 const pingCommand = "*1\r\n$4\r\nPING\r\n"
 
+// submitCommand is the command that submits a message.
 func submitCommand(id string) string {
-	fields := "c=plain,t=p,d=8000,dest=1"
-	return fmt.Sprintf("*5\r\n$7\r\nMSG.PUT\r\n$16\r\n0000000000000000\r\n$%d\r\n%s\r\n$%d\r\n%s\r\n$200\r\n%s\r\n",
-		len(id), id, len(fields), fields, strings.Repeat("b", 200))
+	const fields = "c=plain,t=p,d=8000,dest=1"
+	return fmt.Sprintf("*5\r\n$7\r\nMSG.PUT\r\n$16\r\n0000000000000000\r\n$%d\r\n%s\r\n$%d\r\n%s\r\n$%d\r\n%s\r\n",
+		len(id), id, len(fields), fields, bodyBytes, strings.Repeat("b", bodyBytes))
 }
 
 // roundTrip sends a command and reads the line that answers it.
-func roundTrip(c net.Conn, r *bufio.Reader, text string, wait time.Duration) (string, error) {
-	_ = c.SetDeadline(time.Now().Add(wait)) // fails with the write below
-	if _, err := io.WriteString(c, text); err != nil {
+func roundTrip(conn net.Conn, reader *bufio.Reader, command string, timeout time.Duration) (string, error) {
+	_ = conn.SetDeadline(time.Now().Add(timeout)) // fails with the write below
+	if _, err := io.WriteString(conn, command); err != nil {
 		return "", err
 	}
-	s, err := r.ReadString('\n')
-	return strings.TrimSuffix(s, "\r\n"), err
+	reply, err := reader.ReadString('\n')
+	return strings.TrimSuffix(reply, "\r\n"), err
 }
 
-// waitIdle waits until the relay uses no CPU, or for so long.
+// waitIdle waits until the relay uses no CPU, settleTimeout at most.
 func (r *relay) waitIdle(ctx context.Context) {
 	end := time.Now().Add(settleTimeout)
-	for last, n := r.cpuTime(), 0; n < 3 && time.Now().Before(end) && sleep(ctx, 200*time.Millisecond) == nil; {
-		if now := r.cpuTime(); now-last <= 10*time.Millisecond {
-			n++
-			last = now
+	last, idle := r.cpuTime(), 0
+	for idle < settleCount && time.Now().Before(end) && sleep(ctx, settleInterval) == nil {
+		cpu := r.cpuTime()
+		if cpu-last <= settleCPU {
+			idle++
 		} else {
-			last, n = now, 0
+			idle = 0
 		}
+		last = cpu
 	}
 }
 
-// memoryKB is a figure in kB of proc(5).
+// memoryKB is a figure in kB from /proc/PID/status, 0 where the system does not tell.
 func (r *relay) memoryKB(name string) int {
 	text, _ := os.ReadFile(fmt.Sprintf("/proc/%d/status", r.cmd.Process.Pid))
 	for line := range strings.Lines(string(text)) {
-		if v, ok := strings.CutPrefix(line, name); ok {
-			kb, _ := strconv.Atoi(strings.TrimSuffix(strings.TrimSpace(v), " kB"))
+		if value, ok := strings.CutPrefix(line, name); ok {
+			kb, _ := strconv.Atoi(strings.TrimSuffix(strings.TrimSpace(value), " kB"))
 			return kb
 		}
 	}
 	return 0
 }
 
-// cpuTime is what the process has used, user and system, from proc(5).
+// cpuTime is what the process has used, user and system, from /proc/PID/stat; 0 where the
+// system does not tell.
 func (r *relay) cpuTime() time.Duration {
 	text, _ := os.ReadFile(fmt.Sprintf("/proc/%d/stat", r.cmd.Process.Pid))
 	_, rest, _ := strings.Cut(string(text), ") ")
-	f := strings.Fields(rest)
-	if len(f) < 13 {
+	fields := strings.Fields(rest)
+	if len(fields) <= statSystemTime {
 		return 0
 	}
-	user, _ := strconv.ParseInt(f[11], 10, 64)
-	system, _ := strconv.ParseInt(f[12], 10, 64)
-	return time.Duration(user+system) * 10 * time.Millisecond // USER_HZ is 100 on Linux
+	user, _ := strconv.ParseInt(fields[statUserTime], 10, 64)
+	system, _ := strconv.ParseInt(fields[statSystemTime], 10, 64)
+	return time.Duration(user+system) * clockTick
 }
