--- a/internal/rehearsal/runner/upgrade_test.go
+++ b/internal/rehearsal/runner/upgrade_test.go
@@ -10,7 +10,7 @@
 
 // The short form of `troutusher rehearse upgrade-loop`: one upgrade after
 // another under load, one of the two processes killed in every other, judged by
-// the referee. Where nobody is killed no message is lost, refused or cut off,
+// the checker. Where nobody is killed no message is lost, refused or cut off,
 // and two requests an upgrade at most meet a closed connection.
 func TestUpgradesInARow(t *testing.T) {
 	const each = 1.2
--- a/internal/rehearsal/scenario/arrivals.go
+++ b/internal/rehearsal/scenario/arrivals.go
@@ -56,7 +56,7 @@
 	planner.addReturnBursts()
 	slices.SortStableFunc(p.Arrivals, func(a, b Arrival) int { return cmp.Compare(a.At, b.At) })
 	for i := range p.Arrivals {
-		if p.Scenario.Classes[p.Arrivals[i].Class].Idempotency == "keyed" {
+		if p.Scenario.Classes[p.Arrivals[i].Class].Idempotency == idempotentByKey {
 			p.Arrivals[i].Key = fmt.Sprintf("%016x", seededrand.Hash(p.Seed, keyStream, uint64(i)))
 		}
 	}
@@ -131,11 +131,11 @@
 func (s *Scenario) rateFactor(at float64) float64 {
 	traffic, elapsed := &s.Traffic, at/s.LengthS
 	switch traffic.Shape {
-	case "ramp":
+	case shapeRamp:
 		return traffic.From + (traffic.To-traffic.From)*elapsed
-	case "wave":
+	case shapeWave:
 		return 1 + traffic.Amplitude*math.Sin(2*math.Pi*at/traffic.PeriodS)
-	case "rush":
+	case shapeRush:
 		return rushFactor(traffic.To, elapsed)
 	}
 	return 1
--- a/internal/rehearsal/scenario/checkerconfig.go
+++ b/internal/rehearsal/scenario/checkerconfig.go
@@ -49,9 +49,9 @@
 // checkerIdempotency returns what the rules make of the class's key repeat.
 func (c *Class) checkerIdempotency() checker.Idempotency {
 	switch c.Idempotency {
-	case "keyed":
+	case idempotentByKey:
 		return checker.IdempotentByKey
-	case "unsafe":
+	case nonIdempotent:
 		return checker.NonIdempotent
 	}
 	return checker.Idempotent
--- a/internal/rehearsal/scenario/defaults.go
+++ b/internal/rehearsal/scenario/defaults.go
@@ -34,7 +34,7 @@
 			RetryAfterGraceMS: 100,
 			SlackMS:           50,
 		},
-		Traffic: Traffic{Shape: "steady"},
+		Traffic: Traffic{Shape: shapeSteady},
 	}
 }
 
@@ -79,7 +79,7 @@
 	setDefault(&p.Count, 1)
 	setDefault(&p.Endpoints, 1)
 	setDefault(&p.Kind, "partner")
-	setDefault(&p.Routes, "shared")
+	setDefault(&p.Routes, routesShared)
 	setDefault(&p.Distribution, "lognormal")
 	setDefault(&p.Limit, "none")
 	setDefault(&p.Cancel, "none")
--- a/internal/rehearsal/scenario/plan.go
+++ b/internal/rehearsal/scenario/plan.go
@@ -117,7 +117,7 @@
 func (s *Scenario) endpointSpec(table *Partner, classMix []float64) endpoint.Spec {
 	spec := endpoint.Spec{
 		Endpoints:         table.Endpoints,
-		IndependentRoutes: table.Routes == "apart",
+		IndependentRoutes: table.Routes == routesIndependent,
 		Capacity:          table.CapacityPerS,
 		QueueLimit:        table.QueueLimit,
 		ClassMix:          classMix,
--- a/internal/rehearsal/scenario/scenario.go
+++ b/internal/rehearsal/scenario/scenario.go
@@ -95,6 +95,27 @@
 	BurstSize  int     `toml:"clump_size"`
 }
 
+// Shapes of traffic.
+const (
+	shapeSteady = "steady"
+	shapeRamp   = "ramp"
+	shapeWave   = "wave"
+	shapeRush   = "rush"
+)
+
+// Kinds of idempotency.
+const (
+	idempotent      = "safe"
+	idempotentByKey = "keyed"
+	nonIdempotent   = "unsafe"
+)
+
+// Kinds of routes: all endpoints of a partner share one, or each has its own.
+const (
+	routesShared      = "shared"
+	routesIndependent = "apart"
+)
+
 // Class is a class of message.
 type Class struct {
 	Name               string  `toml:"name"`
--- a/internal/rehearsal/scenario/validate.go
+++ b/internal/rehearsal/scenario/validate.go
@@ -85,7 +85,7 @@
 	v.checkRange("late_ms", s.MaxLatenessMS, 1, 10_000)
 	v.checkRelays(s)
 	v.checkNumbers(s)
-	v.checkOneOf("traffic.shape", s.Traffic.Shape, "steady", "ramp", "wave", "rush")
+	v.checkOneOf("traffic.shape", s.Traffic.Shape, shapeSteady, shapeRamp, shapeWave, shapeRush)
 	if n := s.Traffic.RatePerS * s.LengthS * max(s.Traffic.From, s.Traffic.To, 1); n > maxMessages {
 		v.errorf("traffic.rate_per_s", "about %.0f messages, %d at most", n, maxMessages)
 	}
@@ -171,8 +171,8 @@
 		v.checkRange(key+".deadline_ms", class.DeadlineMS, max(class.LatencyObjectiveMS, 1), 600_000)
 		v.checkRange(key+".worth", class.Weight, 0, 1e6)
 		v.checkRange(key+".late_worth", class.LateWeight, 0, 1)
-		v.checkOneOf(key+".repeat", class.Idempotency, "safe", "keyed", "unsafe")
-		if class.Idempotency == "keyed" {
+		v.checkOneOf(key+".repeat", class.Idempotency, idempotent, idempotentByKey, nonIdempotent)
+		if class.Idempotency == idempotentByKey {
 			v.checkRange(key+".key_window_ms", class.DedupWindowMS, 1, 600_000)
 		} else if class.DedupWindowMS != 0 {
 			v.errorf(key+".key_window_ms", "only keyed classes have one")
@@ -219,7 +219,7 @@
 		}
 	}
 	v.checkPartnerNumbers(key, p, s.LengthS)
-	v.checkOneOf(key+".routes", p.Routes, "shared", "apart")
+	v.checkOneOf(key+".routes", p.Routes, routesShared, routesIndependent)
 	v.checkOneOf(key+".dist", p.Distribution,
 		string(seededrand.Constant), string(seededrand.Exponential), string(seededrand.LogNormal))
 	v.checkOneOf(key+".limit", p.Limit,
