--- a/cmd/troutusher-kit/hold.go
+++ b/cmd/troutusher-kit/hold.go
@@ -11,7 +11,7 @@
 )
 
 // noticeReasons is how the notices of a message are shown.
-var noticeReasons = map[int]string{event.NoticeGivenUp: "given up", event.NoticeHandedBack: "handed back"}
+var noticeReasons = map[int]string{event.NoticeAbandoned: "given up", event.NoticeReturned: "handed back"}
 
 // serveUntilInterrupted keeps a scenario's emulators up for a relay that is started by hand,
 // and shows the calls that reach them.
@@ -41,14 +41,14 @@
 // writeEvent shows what happened to a message at an endpoint, so many seconds after the start.
 func writeEvent(out io.Writer, seconds float64, plan *scenario.Plan, e *event.Event) {
 	switch e.Kind {
-	case event.CallBegan:
+	case event.CallReceived:
 		printf(out, "%8.3f s  message %s: call to %s\n", seconds, e.ID, plan.Endpoints[e.Endpoint].Name)
-	case event.Ran:
+	case event.TookEffect:
 		printf(out, "%8.3f s  message %s: took effect at %s\n", seconds, e.ID, plan.Endpoints[e.Endpoint].Name)
 	case event.CallEnded:
 		name := plan.Endpoints[e.Endpoint].Name
 		printf(out, "%8.3f s  message %s: %s answered %d\n", seconds, e.ID, name, e.Status)
-	case event.Noticed:
+	case event.NoticeReceived:
 		printf(out, "%8.3f s  message %s: notice, %s\n", seconds, e.ID, noticeReasons[e.Status])
 	}
 }
--- a/internal/emulator/endpoint/calls.go
+++ b/internal/emulator/endpoint/calls.go
@@ -34,7 +34,7 @@
 func (m *Model) ReceiveUntrustedCall(now Time, id ConnID, message string) {
 	m.Advance(now)
 	if conn := m.conns[id]; conn != nil {
-		m.record(event.Event{Kind: event.Stray, Relay: conn.relay, Endpoint: conn.endpoint.index, ID: message})
+		m.record(event.Event{Kind: event.UnknownCall, Relay: conn.relay, Endpoint: conn.endpoint.index, ID: message})
 	}
 }
 
@@ -49,7 +49,7 @@
 	m.lastCall++
 	conn.receiving = m.lastCall
 	m.record(
-		event.Event{Kind: event.CallFirst, Call: conn.receiving, Relay: conn.relay, Endpoint: conn.endpoint.index},
+		event.Event{Kind: event.CallFirstByte, Call: conn.receiving, Relay: conn.relay, Endpoint: conn.endpoint.index},
 	)
 }
 
@@ -79,11 +79,11 @@
 	conn.current = c
 	known := false
 	if c.message, known = m.lookupMessage(message); !known {
-		m.record(c.newEvent(event.Stray))
+		m.record(c.newEvent(event.UnknownCall))
 		m.respond(c, event.StatusUnknown, 0)
 		return
 	}
-	m.record(c.newEvent(event.CallBegan))
+	m.record(c.newEvent(event.CallReceived))
 	m.inFlight[c.relay]++
 	if !m.rejectedByRules(c) {
 		m.sendToEndpoint(c)
@@ -94,9 +94,9 @@
 func (m *Model) rejectedByRules(c *call) bool {
 	switch {
 	case c.message.Finished:
-		m.respond(c, event.StatusOver, 0)
+		m.respond(c, event.StatusFinished, 0)
 	case m.rules.MaxAttempts > 0 && m.attempts[c.id] >= m.rules.MaxAttempts:
-		m.respond(c, event.StatusSpent, 0)
+		m.respond(c, event.StatusAttemptsExhausted, 0)
 	case m.rules.MaxInFlight > 0 && m.inFlight[c.relay] > m.rules.MaxInFlight:
 		m.rejectSlotsTaken(c)
 	default:
@@ -138,7 +138,7 @@
 func (m *Model) markFinal(c *call) {
 	if !c.final {
 		c.final = true
-		m.record(c.newEvent(event.CallOver))
+		m.record(c.newEvent(event.CallFinal))
 	}
 }
 
@@ -158,9 +158,9 @@
 
 // reject responds that the call is rejected and has no effect.
 func (m *Model) reject(c *call, retryAfter Time) {
-	status := event.StatusFull
+	status := event.StatusRejected
 	if retryAfter > 0 {
-		status = event.StatusWait
+		status = event.StatusRetryLater
 	}
 	m.respond(c, status, retryAfter)
 }
@@ -168,7 +168,7 @@
 // rejectSlotsTaken rejects a call of a relay that has too many in flight.
 func (m *Model) rejectSlotsTaken(c *call) {
 	m.markFinal(c)
-	m.writeResponse(c, Effect{Status: event.StatusFull, SlotsTaken: true})
+	m.writeResponse(c, Effect{Status: event.StatusRejected, SlotsTaken: true})
 }
 
 // writeResponse ends a call with a response, unless its connection has ended.
@@ -179,7 +179,7 @@
 	}
 	unreadable := response.Defect != "" && response.Defect != DuplicateResponse
 	if unreadable && response.Status == event.StatusDelivered {
-		response.Status = event.StatusSpoilt
+		response.Status = event.StatusMalformed
 	}
 	c.conn, conn.current = nil, nil
 	if response.Status != event.StatusUnknown {
--- a/internal/emulator/endpoint/connections.go
+++ b/internal/emulator/endpoint/connections.go
@@ -117,18 +117,18 @@
 	}
 	conn.used = true
 	e := conn.endpoint
-	m.record(event.Event{Kind: event.Probed, Relay: conn.relay, Endpoint: e.index})
+	m.record(event.Event{Kind: event.HealthCheckReceived, Relay: conn.relay, Endpoint: e.index})
 	if fault := e.dominantFault(); fault != nil && (fault.Kind == Blackhole || fault.Kind == Hang) {
 		return
 	}
 	status := event.StatusDelivered
 	if e.rejectsCalls() || !e.limiter.allow(m.now) || m.recordArrival(e, conn.relay) {
-		status = event.StatusFull
+		status = event.StatusRejected
 	}
 	if m.conns[id] == nil { // the endpoint collapsed
 		return
 	}
-	m.record(event.Event{Kind: event.ProbeDone, Relay: conn.relay, Endpoint: e.index, Status: status})
+	m.record(event.Event{Kind: event.HealthCheckAnswered, Relay: conn.relay, Endpoint: e.index, Status: status})
 	m.addEffect(Effect{Kind: WriteResponse, Conn: id, Status: status})
 	m.startIdleTimeout(conn)
 }
--- a/internal/emulator/endpoint/faults.go
+++ b/internal/emulator/endpoint/faults.go
@@ -19,7 +19,9 @@
 		if fault.Kind == Crash || fault.Kind == Blackhole {
 			unreachable = 1
 		}
-		m.record(event.Event{Kind: event.Outage, Endpoint: endpoint, Status: unreachable, Text: string(fault.Kind)})
+		m.record(
+			event.Event{Kind: event.OutageBegan, Endpoint: endpoint, Status: unreachable, Text: string(fault.Kind)},
+		)
 	}
 	switch fault.Kind {
 	case Crash, PlannedStop:
@@ -57,7 +59,7 @@
 	for len(e.queue) > e.destination.QueueLimit {
 		c := e.queue[len(e.queue)-1]
 		e.queue = e.queue[:len(e.queue)-1]
-		m.respond(c, event.StatusFull, 0)
+		m.respond(c, event.StatusRejected, 0)
 	}
 }
 
@@ -74,7 +76,7 @@
 		return
 	}
 	if fault.causesOutage() {
-		m.record(event.Event{Kind: event.Back, Endpoint: e.index})
+		m.record(event.Event{Kind: event.OutageEnded, Endpoint: e.index})
 	}
 	e.recoveredAt, e.group.recoveredAt, e.group.recentArrivals = m.now, m.now, nil
 	if e.destination.WarmUpShare < 1 {
--- a/internal/emulator/endpoint/h1/server_test.go
+++ b/internal/emulator/endpoint/h1/server_test.go
@@ -56,7 +56,7 @@
 func (h *harness) record(e event.Event) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	if e.Kind == event.Ran {
+	if e.Kind == event.TookEffect {
 		h.effectsOf[e.ID]++
 	}
 	h.events = append(h.events, e)
@@ -232,7 +232,7 @@
 	_ = c.Close()
 	h.waitFor(
 		"its effect and its end",
-		func() bool { return h.effectsOf["m1"] == 1 && h.events[len(h.events)-1].Kind == event.CallOver },
+		func() bool { return h.effectsOf["m1"] == 1 && h.events[len(h.events)-1].Kind == event.CallFinal },
 	)
 	h.mu.Lock()
 	defer h.mu.Unlock()
--- a/internal/emulator/endpoint/h1/tls_test.go
+++ b/internal/emulator/endpoint/h1/tls_test.go
@@ -47,9 +47,9 @@
 		h.server.EnableTLS(func(int) *TLSIdentity { return identity })
 		c := dialTLS(t, h)
 		_, _ = c.Write([]byte(callRequest))
-		want := event.Ran
+		want := event.TookEffect
 		if !trusted {
-			want = event.Stray
+			want = event.UnknownCall
 		}
 		h.waitFor("the event", func() bool {
 			for _, e := range h.events {
@@ -84,7 +84,7 @@
 			h.mu.Lock()
 			defer h.mu.Unlock()
 			for _, e := range h.events {
-				if e.Kind == event.Fell {
+				if e.Kind == event.Collapsed {
 					return true
 				}
 			}
--- a/internal/emulator/endpoint/model_test.go
+++ b/internal/emulator/endpoint/model_test.go
@@ -146,7 +146,7 @@
 			next, _ := h.model.NextTimer()
 			h.advanceTo(next)
 		}
-		got := float64(h.count(event.Ran, nil)) / float64(span) * 1e6
+		got := float64(h.count(event.TookEffect, nil)) / float64(span) * 1e6
 		if math.Abs(got/c.capacity-1) > 0.03 {
 			t.Errorf("capacity %v with %s: served %.3f/s", c.capacity, c.dist, got)
 		}
@@ -162,25 +162,25 @@
 		status int
 	}{
 		{"none", RateLimit{Kind: NoLimit}, 50 * ms, 20, 0},
-		{"rate", RateLimit{Kind: TokenBucket, PerSecond: 7, Burst: 3}, 50 * ms, 7, event.StatusFull},
+		{"rate", RateLimit{Kind: TokenBucket, PerSecond: 7, Burst: 3}, 50 * ms, 7, event.StatusRejected},
 		{
 			"rate limit with Retry-After",
 			RateLimit{Kind: TokenBucket, PerSecond: 7, Burst: 3, RetryAfter: 400 * ms},
 			50 * ms, 7,
-			event.StatusWait,
+			event.StatusRetryLater,
 		},
-		{"window", RateLimit{Kind: FixedWindow, PerSecond: 9, Window: sec}, 50 * ms, 9, event.StatusFull},
+		{"window", RateLimit{Kind: FixedWindow, PerSecond: 9, Window: sec}, 50 * ms, 9, event.StatusRejected},
 		{
 			"window of half a second",
 			RateLimit{Kind: FixedWindow, PerSecond: 9, Window: sec / 2},
 			50 * ms, 8,
-			event.StatusFull,
+			event.StatusRejected,
 		},
 		{
 			"rejected calls count",
 			RateLimit{Kind: TokenBucket, PerSecond: 7, Burst: 3, CountsRejected: true},
 			50 * ms, 0,
-			event.StatusFull,
+			event.StatusRejected,
 		},
 	} {
 		t.Run(c.name, func(t *testing.T) {
@@ -195,7 +195,7 @@
 				}
 			}
 			h.advanceTo(span + sec)
-			got := float64(h.count(event.Ran, nil)) / float64(span) * 1e6
+			got := float64(h.count(event.TookEffect, nil)) / float64(span) * 1e6
 			if math.Abs(got-c.served) > 0.03*c.served+0.05 {
 				t.Errorf("served %.3f/s, want %v", got, c.served)
 			}
@@ -217,7 +217,7 @@
 		if independent {
 			want = 10
 		}
-		h.expect(fmt.Sprint("served, independent ", independent), h.count(event.Ran, nil), want)
+		h.expect(fmt.Sprint("served, independent ", independent), h.count(event.TookEffect, nil), want)
 	}
 }
 
@@ -243,7 +243,7 @@
 			next, _ := h.model.NextTimer()
 			h.advanceTo(min(next, end))
 		}
-		ran := h.count(event.Ran, nil)
+		ran := h.count(event.TookEffect, nil)
 		share := min(0.26+0.74*(float64(span)+0.5)/10, 1)
 		// the four in service complete at once
 		if got := float64(ran - last); math.Abs(got-200*share) > 0.03*200*share+4 {
@@ -284,7 +284,7 @@
 	}
 	var collapse event.Event
 	for _, e := range h.events {
-		if e.Kind == event.Fell {
+		if e.Kind == event.Collapsed {
 			collapse = e
 		}
 	}
@@ -339,12 +339,12 @@
 		ran    int // effects of that call by then
 		later  int // and after the fault
 	}{
-		{Fault{Kind: RejectAll}, event.StatusFull, 0, 0},
-		{Fault{Kind: RejectWithRetryAfter, Magnitude: 2}, event.StatusWait, 0, 0},
+		{Fault{Kind: RejectAll}, event.StatusRejected, 0, 0},
+		{Fault{Kind: RejectWithRetryAfter, Magnitude: 2}, event.StatusRetryLater, 0, 0},
 		{Fault{Kind: Blackhole}, 0, 0, 0},
 		{Fault{Kind: Hang}, 0, 0, 1},
 		{Fault{Kind: ConnectionReset, Share: 1}, -1, 1, 1},
-		{Fault{Kind: MalformedResponse, Share: 1, Defect: GarbageBytes}, event.StatusSpoilt, 1, 1},
+		{Fault{Kind: MalformedResponse, Share: 1, Defect: GarbageBytes}, event.StatusMalformed, 1, 1},
 		{Fault{Kind: MalformedResponse, Share: 1, Defect: DuplicateResponse}, event.StatusDelivered, 1, 1},
 		{Fault{Kind: LateResponse, Share: 1, Magnitude: 30}, 0, 1, 1},
 		{Fault{Kind: SlowService, Magnitude: 100}, 0, 0, 1},
@@ -357,14 +357,14 @@
 			id, conn := h.call(0, 0, "")
 			h.advanceTo(5 * sec)
 			h.expect("status", h.statusOn(conn), c.status)
-			h.expect("ran", h.count(event.Ran, withID(id)), c.ran)
+			h.expect("ran", h.count(event.TookEffect, withID(id)), c.ran)
 			h.model.ClearFault(h.now, 0, &f)
 			h.advanceTo(40 * sec)
-			h.expect("ran later", h.count(event.Ran, withID(id)), c.later)
+			h.expect("ran later", h.count(event.TookEffect, withID(id)), c.later)
 			id, conn = h.call(0, 0, "")
 			h.advanceTo(80 * sec)
 			h.expect("status of a call after the fault", h.statusOn(conn), event.StatusDelivered)
-			h.expect("its effects", h.count(event.Ran, withID(id)), 1)
+			h.expect("its effects", h.count(event.TookEffect, withID(id)), 1)
 		})
 	}
 }
@@ -385,11 +385,11 @@
 		h.model.CloseConn(h.now, conn)
 		h.effects = nil
 	}
-	ran := h.count(event.Ran, nil)
+	ran := h.count(event.TookEffect, nil)
 	if failed < 2280 || failed > 2520 || math.Abs(float64(ran)-(4000-float64(failed)/2)) > 120 {
 		t.Errorf("%d failed of 4000, %d ran", failed, ran)
 	}
-	h.expect("outages", h.count(event.Outage, nil), 1)
+	h.expect("outages", h.count(event.OutageBegan, nil), 1)
 }
 
 func TestCrashLosesCallsInService(t *testing.T) {
@@ -400,8 +400,8 @@
 	h.model.InjectFault(h.now, 0, f)
 	h.advanceTo(sec)
 	h.expect("its connection", h.statusOn(conn), -1)
-	h.expect("ran", h.count(event.Ran, withID(id)), 0)
-	h.expect("final", h.count(event.CallOver, withID(id)), 1)
+	h.expect("ran", h.count(event.TookEffect, withID(id)), 0)
+	h.expect("final", h.count(event.CallFinal, withID(id)), 1)
 	h.expect("ended without response", h.count(event.CallEnded, withID(id)), 1)
 }
 
@@ -417,7 +417,7 @@
 	h.model.ClearFault(h.now, 0, f)
 	h.advanceTo(21 * sec)
 	h.expect("reset", h.statusOn(conn), -1)
-	h.expect("ran", h.count(event.Ran, withID(id)), 0)
+	h.expect("ran", h.count(event.TookEffect, withID(id)), 0)
 }
 
 func TestFaultsThatOverlapEndInAnyOrder(t *testing.T) {
@@ -436,11 +436,11 @@
 			h.model.InjectFault(h.now, 0, second)
 			h.advanceTo(2 * sec)
 			h.model.ClearFault(h.now, 0, first)
-			h.expect("recovered too early", h.count(event.Back, nil), 0)
+			h.expect("recovered too early", h.count(event.OutageEnded, nil), 0)
 			h.advanceTo(3 * sec)
 			h.model.ClearFault(h.now, 0, second)
 			h.advanceTo(4 * sec)
-			h.expect(fmt.Sprint(kinds[a], " then ", kinds[b], ": recovered"), h.count(event.Back, nil), 1)
+			h.expect(fmt.Sprint(kinds[a], " then ", kinds[b], ": recovered"), h.count(event.OutageEnded, nil), 1)
 			h.expect("listener", int(h.model.endpoints[0].listener), int(Accepting))
 			if got := h.model.Capacity(0, h.now); got >= 10 || got <= 3 {
 				t.Errorf("capacity %v one second after the recovery", got)
@@ -471,7 +471,7 @@
 		}
 		h.advanceTo(h.now + 50*ms)
 	}
-	if !h.model.endpoints[0].collapsed || h.model.endpoints[1].collapsed || h.count(event.Fell, nil) != 1 {
+	if !h.model.endpoints[0].collapsed || h.model.endpoints[1].collapsed || h.count(event.Collapsed, nil) != 1 {
 		t.Errorf("collapsed: %v and %v", h.model.endpoints[0].collapsed, h.model.endpoints[1].collapsed)
 	}
 	if got, want := h.model.Capacity(1, h.now), 20*(0.3+0.7*0.5); math.Abs(got-want) > 1e-9 {
@@ -488,7 +488,7 @@
 	h.expect("listener", int(h.model.endpoints[0].listener), int(Refusing))
 	h.advanceTo(sec)
 	h.model.ClearFault(h.now, 0, f)
-	h.expect("outages", h.count(event.Outage, nil)+h.count(event.Back, nil), 0)
+	h.expect("outages", h.count(event.OutageBegan, nil)+h.count(event.OutageEnded, nil), 0)
 	if got := h.model.Capacity(0, h.now); got >= 10 {
 		t.Errorf("capacity %v at its recovery", got)
 	}
@@ -504,9 +504,9 @@
 	h.advanceTo(600 * ms) // 50 of 100 ms left
 	h.model.ClearFault(h.now, 0, first)
 	h.advanceTo(849 * ms)
-	h.expect("ran early", h.count(event.Ran, withID(id)), 0)
+	h.expect("ran early", h.count(event.TookEffect, withID(id)), 0)
 	h.advanceTo(851 * ms)
-	h.expect("ran", h.count(event.Ran, withID(id)), 1)
+	h.expect("ran", h.count(event.TookEffect, withID(id)), 1)
 }
 
 func TestCancelledCalls(t *testing.T) {
@@ -523,9 +523,9 @@
 		h.model.CloseConn(h.now, firstConn)
 		h.model.CloseConn(h.now, secondConn)
 		h.advanceTo(5 * sec)
-		h.expect(string(c.cancel)+": in service", h.count(event.Ran, withID(inService)), c.inService)
-		h.expect(string(c.cancel)+": queued", h.count(event.Ran, withID(queued)), c.queued)
-		h.expect("final", h.count(event.CallOver, nil), 2)
+		h.expect(string(c.cancel)+": in service", h.count(event.TookEffect, withID(inService)), c.inService)
+		h.expect(string(c.cancel)+": queued", h.count(event.TookEffect, withID(queued)), c.queued)
+		h.expect("final", h.count(event.CallFinal, nil), 2)
 	}
 }
 
@@ -537,13 +537,13 @@
 	h.advanceTo(5 * sec)
 	b, conn := h.call(0, 1, "k")
 	h.advanceTo(6 * sec)
-	h.expect("first", h.count(event.Ran, withID(a)), 1)
-	h.expect("repeat", h.count(event.Ran, withID(b)), 0)
+	h.expect("first", h.count(event.TookEffect, withID(a)), 1)
+	h.expect("repeat", h.count(event.TookEffect, withID(b)), 0)
 	h.expect("response to the repeat", h.statusOn(conn), event.StatusDelivered)
 	h.advanceTo(30 * sec)
 	c, _ := h.call(0, 0, "k")
 	h.advanceTo(31 * sec)
-	h.expect("after the window", h.count(event.Ran, withID(c)), 1)
+	h.expect("after the window", h.count(event.TookEffect, withID(c)), 1)
 }
 
 func TestPlatformLimits(t *testing.T) {
@@ -551,7 +551,7 @@
 	h.call(0, 0, "")
 	h.call(0, 0, "")
 	_, c := h.call(0, 0, "")
-	h.expect("beyond the calls in flight", h.statusOn(c), event.StatusFull)
+	h.expect("beyond the calls in flight", h.statusOn(c), event.StatusRejected)
 	if e := h.effects[len(h.effects)-1]; !e.SlotsTaken {
 		t.Error("the response does not name the reason")
 	}
@@ -563,15 +563,15 @@
 	h.advanceTo(2 * sec)
 	h.callAgain(id, 0, 0, "")
 	h.advanceTo(3 * sec)
-	h.expect("third attempt", h.statusOn(h.callAgain(id, 0, 0, "")), event.StatusSpent)
+	h.expect("third attempt", h.statusOn(h.callAgain(id, 0, 0, "")), event.StatusAttemptsExhausted)
 
 	m := h.messages[id]
 	m.Finished = true
 	h.messages[id] = m
 	h.model.ForgetMessage(id)
-	h.expect("of a finished message", h.statusOn(h.callAgain(id, 0, 0, "")), event.StatusOver)
+	h.expect("of a finished message", h.statusOn(h.callAgain(id, 0, 0, "")), event.StatusFinished)
 	h.expect("of an unknown message", h.statusOn(h.callAgain("zz", 0, 0, "")), event.StatusUnknown)
-	h.expect("stray", h.count(event.Stray, nil), 1)
+	h.expect("stray", h.count(event.UnknownCall, nil), 1)
 }
 
 func TestConnections(t *testing.T) {
@@ -580,9 +580,9 @@
 	h := newHarness(t, Rules{}, s)
 	id, a := h.call(0, 0, "")
 	h.advanceTo(239 * ms) // 10 + 30 + 200, then 10 back
-	h.expect("not yet", h.count(event.Ran, withID(id)), 0)
+	h.expect("not yet", h.count(event.TookEffect, withID(id)), 0)
 	h.advanceTo(249 * ms)
-	h.expect("ran", h.count(event.Ran, withID(id)), 1)
+	h.expect("ran", h.count(event.TookEffect, withID(id)), 1)
 	h.expect("response on its way", h.statusOn(a), 0)
 	h.advanceTo(251 * ms)
 	h.expect("response", h.statusOn(a), event.StatusDelivered)
@@ -595,7 +595,7 @@
 	h.call(0, 0, "")
 	_, beyond := h.call(0, 0, "")
 	h.advanceTo(h.now + 100*ms)
-	h.expect("third connection", h.statusOn(beyond), event.StatusFull)
+	h.expect("third connection", h.statusOn(beyond), event.StatusRejected)
 	h.effects = nil
 	h.advanceTo(h.now + 20*sec)
 	closed := 0
@@ -618,7 +618,7 @@
 	h.model.InjectFault(0, 0, f)
 	h.model.ReceiveHealthCheck(0, c)
 	h.advanceTo(0)
-	h.expect("rejecting", h.statusOn(c), event.StatusFull)
+	h.expect("rejecting", h.statusOn(c), event.StatusRejected)
 }
 
 func TestInvalidSpecs(t *testing.T) {
--- a/internal/emulator/endpoint/service.go
+++ b/internal/emulator/endpoint/service.go
@@ -205,7 +205,7 @@
 			m.sweepKeys()
 		}
 	}
-	m.record(c.newEvent(event.Ran))
+	m.record(c.newEvent(event.TookEffect))
 }
 
 // sweepKeys deletes idempotency keys whose window is over.
--- a/internal/emulator/endpoint/warmup.go
+++ b/internal/emulator/endpoint/warmup.go
@@ -79,7 +79,7 @@
 	}
 	window := float64(e.destination.OverloadWindow) / 1e6
 	m.record(event.Event{
-		Kind: event.Fell, Endpoint: e.index, Calls: callsByRelay,
+		Kind: event.Collapsed, Endpoint: e.index, Calls: callsByRelay,
 		Text: fmt.Sprintf("%d calls in %.1f s, when it could do %.1f", len(group.recentArrivals), window, servable),
 	})
 	for _, member := range group.endpoints {
--- a/internal/emulator/registry/notices.go
+++ b/internal/emulator/registry/notices.go
@@ -13,7 +13,7 @@
 
 const maxNoticeBytes = 1 << 20
 
-var noticeStatus = map[string]int{"given_up": event.NoticeGivenUp, "handed_back": event.NoticeHandedBack}
+var noticeStatus = map[string]int{"given_up": event.NoticeAbandoned, "handed_back": event.NoticeReturned}
 
 var errInvalidNotice = errors.New("not a notice")
 
@@ -61,6 +61,6 @@
 		return event.Event{}, errInvalidNotice
 	}
 	return event.Event{
-		Kind: event.Noticed, ID: n.Message, Relay: a.relay, Status: status, Wait: n.RetryMS * 1000,
+		Kind: event.NoticeReceived, ID: n.Message, Relay: a.relay, Status: status, Wait: n.RetryMS * 1000,
 	}, nil
 }
--- a/internal/emulator/registry/registry_test.go
+++ b/internal/emulator/registry/registry_test.go
@@ -109,7 +109,7 @@
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	for _, e := range h.events {
-		if e.Kind == event.Told && e.Relay == relay && e.Endpoint == endpoint && e.Status == status {
+		if e.Kind == event.EndpointUpdateSent && e.Relay == relay && e.Endpoint == endpoint && e.Status == status {
 			return true
 		}
 	}
@@ -137,8 +137,8 @@
 		list.Members[0].Phase != PhaseDraining {
 		t.Errorf("change: %+v", list)
 	}
-	h.waitFor("the update", func() bool { return h.sawUpdate(0, 1, event.ToldDraining) })
-	if h.sawUpdate(1, 1, event.ToldDraining) {
+	h.waitFor("the update", func() bool { return h.sawUpdate(0, 1, event.UpdateDraining) })
+	if h.sawUpdate(1, 1, event.UpdateDraining) {
 		t.Error("an update was sent to the other relay, which asked for nothing")
 	}
 	h.registry.SetPhase(2, PhaseRemoved)
@@ -279,7 +279,7 @@
 	); n != 204 {
 		t.Errorf("status %d", n)
 	}
-	if len(h.events) != 2 || h.events[1].ID != "b" || h.events[1].Status != event.NoticeHandedBack ||
+	if len(h.events) != 2 || h.events[1].ID != "b" || h.events[1].Status != event.NoticeReturned ||
 		h.events[1].Wait != 500_000 || h.events[1].Relay != 1 {
 		t.Errorf("events %+v", h.events)
 	}
--- a/internal/emulator/registry/watch.go
+++ b/internal/emulator/registry/watch.go
@@ -14,16 +14,16 @@
 const keepaliveInterval = 2 * time.Second
 
 var phaseStatus = map[Phase]int{
-	PhaseUp:       event.ToldUp,
-	PhaseDraining: event.ToldDraining,
-	PhaseRemoved:  event.ToldRemoved,
+	PhaseUp:       event.UpdateUp,
+	PhaseDraining: event.UpdateDraining,
+	PhaseRemoved:  event.UpdateRemoved,
 }
 
 // emitUpdates records which phases were sent to the relay.
 func (a *agent) emitUpdates(sent []phaseChange) {
 	for _, update := range sent {
 		a.config.Emit(event.Event{
-			At: a.config.Clock(), Kind: event.Told, Relay: a.relay, Endpoint: update.endpoint,
+			At: a.config.Clock(), Kind: event.EndpointUpdateSent, Relay: a.relay, Endpoint: update.endpoint,
 			Status: phaseStatus[update.phase],
 		})
 	}
--- a/internal/rehearsal/checker/calls.go
+++ b/internal/rehearsal/checker/calls.go
@@ -166,7 +166,7 @@
 		return
 	}
 	c.observeFailure(ended.relay, ended.endpoint)
-	if e.Status == event.StatusWait && e.Wait > 0 {
+	if e.Status == event.StatusRetryLater && e.Wait > 0 {
 		route := c.route(ended.endpoint)
 		route.retryAfters[ended.relay] = append(route.retryAfters[ended.relay], retryAfter{c.now, c.now + e.Wait})
 	}
--- a/internal/rehearsal/checker/checker.go
+++ b/internal/rehearsal/checker/checker.go
@@ -57,41 +57,41 @@
 		return
 	}
 	switch e.Kind {
-	case event.HandIn:
+	case event.Submitted:
 		c.handleSubmission(&e)
-	case event.Accepted, event.Refused, event.Failed, event.GivenUp, event.CutOff:
+	case event.Accepted, event.Rejected, event.Failed, event.ClientTimedOut, event.ConnectionEnded:
 		c.handleReply(&e)
-	case event.CallFirst:
+	case event.CallFirstByte:
 		c.handleFirstByte(&e)
-	case event.CallBegan:
+	case event.CallReceived:
 		c.handleCall(&e)
 	case event.CallEnded:
 		c.handleCallEnd(&e)
-	case event.Ran:
+	case event.TookEffect:
 		c.handleEffect(&e)
-	case event.Probed:
+	case event.HealthCheckReceived:
 		c.checkRetryAfter(nil, e.Relay, e.Endpoint, "a probe")
-	case event.ProbeDone:
+	case event.HealthCheckAnswered:
 		if e.Status != event.StatusDelivered {
 			c.observeFailure(e.Relay, e.Endpoint)
 		}
-	case event.Noticed:
+	case event.NoticeReceived:
 		c.handleNotice(&e)
-	case event.Told:
+	case event.EndpointUpdateSent:
 		c.handleEndpointStatus(&e)
-	case event.Outage:
+	case event.OutageBegan:
 		c.handleOutage(&e)
-	case event.Back:
+	case event.OutageEnded:
 		delete(c.route(e.Endpoint).failing, e.Endpoint)
-	case event.Fell:
+	case event.Collapsed:
 		c.handleOverload(&e)
-	case event.Stopping:
+	case event.RelayStopping:
 		c.relays[e.Relay].down = true
-	case event.Killed:
+	case event.RelayKilled:
 		c.handleKill(e.Relay)
-	case event.Ready:
+	case event.RelayReady:
 		c.handleReady(e.Relay)
-	case event.Stray:
+	case event.UnknownCall:
 		c.handleUnknownMessage(&e)
 	}
 }
@@ -99,8 +99,16 @@
 // namesRelay reports whether events of a kind name a relay.
 func namesRelay(kind event.Kind) bool {
 	switch kind {
-	case event.HandIn, event.CallFirst, event.CallBegan, event.Probed, event.ProbeDone, event.Told, event.Stopping,
-		event.Killed, event.Ready, event.Noticed:
+	case event.Submitted,
+		event.CallFirstByte,
+		event.CallReceived,
+		event.HealthCheckReceived,
+		event.HealthCheckAnswered,
+		event.EndpointUpdateSent,
+		event.RelayStopping,
+		event.RelayKilled,
+		event.RelayReady,
+		event.NoticeReceived:
 		return true
 	}
 	return false
--- a/internal/rehearsal/checker/checker_test.go
+++ b/internal/rehearsal/checker/checker_test.go
@@ -60,13 +60,13 @@
 }
 
 func (record *scriptedRecord) submit(id string, msg, relay int) *scriptedRecord {
-	return record.step(event.Event{Kind: event.HandIn, ID: id, Message: msg, Relay: relay, Left: 8 * s}).
+	return record.step(event.Event{Kind: event.Submitted, ID: id, Message: msg, Relay: relay, Left: 8 * s}).
 		step(event.Event{Kind: event.Accepted, ID: id})
 }
 
 func (record *scriptedRecord) call(no uint64, id string, relay, ep int) *scriptedRecord {
-	return record.step(event.Event{Kind: event.CallFirst, Call: no, Relay: relay, Endpoint: ep}).
-		step(event.Event{Kind: event.CallBegan, Call: no, ID: id, Relay: relay, Endpoint: ep})
+	return record.step(event.Event{Kind: event.CallFirstByte, Call: no, Relay: relay, Endpoint: ep}).
+		step(event.Event{Kind: event.CallReceived, Call: no, ID: id, Relay: relay, Endpoint: ep})
 }
 
 func (record *scriptedRecord) callEnded(no uint64, status int) *scriptedRecord {
@@ -74,11 +74,11 @@
 }
 
 func (record *scriptedRecord) endpointStatus(relay, ep, what int) *scriptedRecord {
-	return record.step(event.Event{Kind: event.Told, Relay: relay, Endpoint: ep, Status: what})
+	return record.step(event.Event{Kind: event.EndpointUpdateSent, Relay: relay, Endpoint: ep, Status: what})
 }
 
 func (record *scriptedRecord) tookEffect(no uint64, id string, ep int) *scriptedRecord {
-	return record.step(event.Event{Kind: event.Ran, Call: no, ID: id, Endpoint: ep})
+	return record.step(event.Event{Kind: event.TookEffect, Call: no, ID: id, Endpoint: ep})
 }
 
 func (record *scriptedRecord) kind(k event.Kind, relay int) *scriptedRecord {
@@ -86,16 +86,16 @@
 }
 
 func (record *scriptedRecord) notice(id string, what int) *scriptedRecord {
-	return record.step(event.Event{Kind: event.Noticed, ID: id, Status: what})
+	return record.step(event.Event{Kind: event.NoticeReceived, ID: id, Status: what})
 }
 
 func (record *scriptedRecord) outage(ep, hidden int) *scriptedRecord {
-	return record.step(event.Event{Kind: event.Outage, Endpoint: ep, Status: hidden})
+	return record.step(event.Event{Kind: event.OutageBegan, Endpoint: ep, Status: hidden})
 }
 
 func (record *scriptedRecord) overloaded(ep int, by ...int) *scriptedRecord {
-	return record.step(event.Event{Kind: event.Back, Endpoint: ep}).step(
-		event.Event{Kind: event.Fell, Endpoint: ep, Calls: by},
+	return record.step(event.Event{Kind: event.OutageEnded, Endpoint: ep}).step(
+		event.Event{Kind: event.Collapsed, Endpoint: ep, Calls: by},
 	)
 }
 
@@ -112,52 +112,54 @@
 			record.submit("m", 0, 0).call(1, "m", 0, 0).at(s).callEnded(1, 200)
 		}, "", "", 0},
 		{"given up in time", func(record *scriptedRecord) {
-			record.submit("m", 0, 0).at(8200*ms).notice("m", event.NoticeGivenUp)
+			record.submit("m", 0, 0).at(8200*ms).notice("m", event.NoticeAbandoned)
 		}, "", "", 0},
 		{"no end", func(record *scriptedRecord) {
 			record.submit("m", 0, 0)
 		}, RuleNoLoss, "m", 8350 * ms},
 		{"end too late", func(record *scriptedRecord) {
-			record.submit("m", 0, 0).at(9*s).notice("m", event.NoticeGivenUp)
+			record.submit("m", 0, 0).at(9*s).notice("m", event.NoticeAbandoned)
 		}, RuleNoLoss, "m", 8350 * ms},
 		{"200 to a call that was not awaited any more", func(record *scriptedRecord) {
 			record.submit("m", 0, 0).call(1, "m", 0, 0).at(s).callEnded(1, 0).callEnded(1, 200)
 		}, RuleNoLoss, "m", 8350 * ms},
 		{"refused needs no end", func(record *scriptedRecord) {
-			record.step(event.Event{Kind: event.HandIn, ID: "m", Left: s}).
-				step(event.Event{Kind: event.Refused, ID: "m"})
+			record.step(event.Event{Kind: event.Submitted, ID: "m", Left: s}).
+				step(event.Event{Kind: event.Rejected, ID: "m"})
 		}, "", "", 0},
 		{"two ends", func(record *scriptedRecord) {
-			record.submit("m", 0, 0).at(s).notice("m", event.NoticeHandedBack).at(2*s).notice("m", event.NoticeGivenUp)
+			record.submit("m", 0, 0).at(s).notice("m", event.NoticeReturned).at(2*s).notice("m", event.NoticeAbandoned)
 		}, RuleNoLoss, "m", 2 * s},
 		{"one end twice", func(record *scriptedRecord) {
-			record.submit("m", 0, 0).at(s).notice("m", event.NoticeGivenUp).at(2*s).notice("m", event.NoticeGivenUp)
+			record.submit("m", 0, 0).at(s).notice("m", event.NoticeAbandoned).at(2*s).notice("m", event.NoticeAbandoned)
 		}, "", "", 0},
 		{"a notice after the delivery", func(record *scriptedRecord) {
-			record.submit("m", 0, 0).call(1, "m", 0, 0).at(s).callEnded(1, 200).at(2*s).notice("m", event.NoticeGivenUp)
+			record.submit("m", 0, 0).call(1, "m", 0, 0).
+				at(s).callEnded(1, 200).at(2*s).notice("m", event.NoticeAbandoned)
 		}, "", "", 0},
 		{"due while its relay is down", func(record *scriptedRecord) {
-			record.submit("m", 0, 0).at(7*s).kind(event.Killed, 0).at(9*s).kind(event.Ready, 0).at(10400*ms).notice(
-				"m", event.NoticeGivenUp,
-			)
+			record.submit("m", 0, 0).at(7*s).kind(event.RelayKilled, 0).at(9*s).kind(event.RelayReady, 0).at(10400*ms).
+				notice(
+					"m", event.NoticeAbandoned,
+				)
 		}, "", "", 0},
 		{"and never ended once it is back", func(record *scriptedRecord) {
-			record.submit("m", 0, 0).at(7*s).kind(event.Killed, 0).at(9*s).kind(event.Ready, 0)
+			record.submit("m", 0, 0).at(7*s).kind(event.RelayKilled, 0).at(9*s).kind(event.RelayReady, 0)
 		}, RuleNoLoss, "m", 10550 * ms},
 		{"cut off", func(record *scriptedRecord) {
 			record.step(
-				event.Event{Kind: event.HandIn, ID: "m", Left: s},
-			).at(100 * ms).step(event.Event{Kind: event.CutOff, ID: "m"})
+				event.Event{Kind: event.Submitted, ID: "m", Left: s},
+			).at(100 * ms).step(event.Event{Kind: event.ConnectionEnded, ID: "m"})
 		}, RuleNoLoss, "m", 100 * ms},
 		{"cut off at a connection's first request", func(record *scriptedRecord) {
-			record.step(event.Event{Kind: event.HandIn, ID: "m", Left: s}).at(100 * ms).step(
-				event.Event{Kind: event.CutOff, ID: "m", Status: 1},
+			record.step(event.Event{Kind: event.Submitted, ID: "m", Left: s}).at(100 * ms).step(
+				event.Event{Kind: event.ConnectionEnded, ID: "m", Status: 1},
 			)
 		}, "", "", 0},
 		{"cut off by a kill", func(record *scriptedRecord) {
 			record.step(
-				event.Event{Kind: event.HandIn, ID: "m", Left: s},
-			).kind(event.Killed, 0).at(100 * ms).step(event.Event{Kind: event.CutOff, ID: "m"})
+				event.Event{Kind: event.Submitted, ID: "m", Left: s},
+			).kind(event.RelayKilled, 0).at(100 * ms).step(event.Event{Kind: event.ConnectionEnded, ID: "m"})
 		}, "", "", 0},
 
 		// Every effect at most once.
@@ -186,15 +188,15 @@
 		}, "", "", 0},
 		{"keyed again after its window", func(record *scriptedRecord) {
 			record.submit("m", 2, 0).call(1, "m", 0, 0).
-				at(s).callEnded(1, 0).notice("m", event.NoticeHandedBack).at(25*s).
+				at(s).callEnded(1, 0).notice("m", event.NoticeReturned).at(25*s).
 				submit("n", 2, 1).call(2, "n", 1, 1).callEnded(2, 200)
 		}, RuleAtMostOnce, "n", 25 * s},
 		{"unsafe handed back though it may have run", func(record *scriptedRecord) {
 			record.submit("m", 3, 0).call(1, "m", 0, 0).
-				at(s).callEnded(1, 0).at(2*s).notice("m", event.NoticeHandedBack)
+				at(s).callEnded(1, 0).at(2*s).notice("m", event.NoticeReturned)
 		}, RuleAtMostOnce, "m", 2 * s},
 		{"unsafe given up though it may have run", func(record *scriptedRecord) {
-			record.submit("m", 3, 0).call(1, "m", 0, 0).at(s).callEnded(1, 0).at(2*s).notice("m", event.NoticeGivenUp)
+			record.submit("m", 3, 0).call(1, "m", 0, 0).at(s).callEnded(1, 0).at(2*s).notice("m", event.NoticeAbandoned)
 		}, "", "", 0},
 		{"an effect twice", func(record *scriptedRecord) {
 			record.submit("m", 2, 0).call(1, "m", 0, 0).at(s).tookEffect(1, "m", 0).callEnded(1, 0).call(2, "m", 0, 1).
@@ -202,67 +204,69 @@
 		}, RuleAtMostOnce, "m", 3 * s},
 		{"an effect under an id whose client heard nothing", func(record *scriptedRecord) {
 			record.step(
-				event.Event{Kind: event.HandIn, ID: "m", Message: 3, Left: s},
+				event.Event{Kind: event.Submitted, ID: "m", Message: 3, Left: s},
 			).call(1, "m", 0, 0).tookEffect(1, "m", 0).at(400*ms).
 				step(
-					event.Event{Kind: event.GivenUp, ID: "m"},
+					event.Event{Kind: event.ClientTimedOut, ID: "m"},
 				).submit("n", 3, 1).call(2, "n", 1, 1).at(s).tookEffect(2, "n", 1).callEnded(2, 200)
 		}, "", "", 0},
 		{"keyed again within the window of a later attempt alone", func(record *scriptedRecord) {
-			record.submit("m", 2, 0).call(1, "m", 0, 0).callEnded(1, 0).notice("m", event.NoticeHandedBack).
-				at(15*s).submit("n", 2, 0).call(2, "n", 0, 0).callEnded(2, 0).notice("n", event.NoticeHandedBack).
+			record.submit("m", 2, 0).call(1, "m", 0, 0).callEnded(1, 0).notice("m", event.NoticeReturned).
+				at(15*s).submit("n", 2, 0).call(2, "n", 0, 0).callEnded(2, 0).notice("n", event.NoticeReturned).
 				at(25*s).submit("o", 2, 0).call(3, "o", 0, 0).callEnded(3, 200)
 		}, RuleAtMostOnce, "o", 25 * s},
 		{"two calls under an id whose client heard nothing", func(record *scriptedRecord) {
-			record.step(event.Event{Kind: event.HandIn, ID: "m", Message: 3, Left: s}).
-				step(event.Event{Kind: event.GivenUp, ID: "m"}).
+			record.step(event.Event{Kind: event.Submitted, ID: "m", Message: 3, Left: s}).
+				step(event.Event{Kind: event.ClientTimedOut, ID: "m"}).
 				call(1, "m", 0, 0).at(s).call(2, "m", 0, 1)
 		}, "", "", 0},
 		{"unsafe refused though it may have run", func(record *scriptedRecord) {
-			record.step(event.Event{Kind: event.HandIn, ID: "m", Message: 3, Left: s}).
-				call(1, "m", 0, 0).callEnded(1, 500).at(s).step(event.Event{Kind: event.Refused, ID: "m"})
+			record.step(event.Event{Kind: event.Submitted, ID: "m", Message: 3, Left: s}).
+				call(1, "m", 0, 0).callEnded(1, 500).at(s).step(event.Event{Kind: event.Rejected, ID: "m"})
 		}, RuleAtMostOnce, "m", s},
 
 		// Drains.
 		{"within the grace", func(record *scriptedRecord) {
-			record.endpointStatus(0, 0, event.ToldDraining).
+			record.endpointStatus(0, 0, event.UpdateDraining).
 				at(2*s).submit("m", 0, 0).call(1, "m", 0, 0).callEnded(1, 200)
 		}, "", "", 0},
 		{"within the grace and the slack", func(record *scriptedRecord) {
-			record.endpointStatus(0, 0, event.ToldDraining).
+			record.endpointStatus(0, 0, event.UpdateDraining).
 				at(2050*ms).submit("m", 0, 0).call(1, "m", 0, 0).callEnded(1, 200)
 		}, "", "", 0},
 		{"told before a restart", func(record *scriptedRecord) {
-			record.endpointStatus(0, 0, event.ToldDraining).kind(event.Killed, 0).at(s).kind(event.Ready, 0).
+			record.endpointStatus(0, 0, event.UpdateDraining).kind(event.RelayKilled, 0).
+				at(s).kind(event.RelayReady, 0).
 				at(3*s).submit("m", 0, 0).call(1, "m", 0, 0).callEnded(1, 200)
 		}, "", "", 0},
 		{"after the grace", func(record *scriptedRecord) {
-			record.endpointStatus(0, 0, event.ToldDraining).
+			record.endpointStatus(0, 0, event.UpdateDraining).
 				at(2100*ms).submit("m", 0, 0).call(1, "m", 0, 0).callEnded(1, 200)
 		}, RuleDrain, "m", 2100 * ms},
 		{"told again does not begin it anew", func(record *scriptedRecord) {
 			record.endpointStatus(
-				0, 0, event.ToldDraining,
-			).at(s).endpointStatus(0, 0, event.ToldRemoved).
+				0, 0, event.UpdateDraining,
+			).at(s).endpointStatus(0, 0, event.UpdateRemoved).
 				at(2100*ms).submit("m", 0, 0).call(1, "m", 0, 0).callEnded(1, 200)
 		}, RuleDrain, "m", 2100 * ms},
 		{"another relay, not told", func(record *scriptedRecord) {
-			record.endpointStatus(0, 0, event.ToldRemoved).
+			record.endpointStatus(0, 0, event.UpdateRemoved).
 				at(3*s).submit("m", 0, 1).call(1, "m", 1, 0).callEnded(1, 200)
 		}, "", "", 0},
 		{"back in the list", func(record *scriptedRecord) {
 			record.endpointStatus(
-				0, 0, event.ToldRemoved,
-			).at(s).endpointStatus(0, 0, event.ToldUp).at(4*s).submit("m", 0, 0).call(1, "m", 0, 0).callEnded(1, 200)
+				0, 0, event.UpdateRemoved,
+			).at(s).endpointStatus(0, 0, event.UpdateUp).at(4*s).submit("m", 0, 0).call(1, "m", 0, 0).callEnded(1, 200)
 		}, "", "", 0},
 
 		// Returning destinations.
 		{"pushed by those who knew", func(record *scriptedRecord) {
 			record.submit("m", 0, 0).call(1, "m", 0, 0).at(s).outage(0, 0).callEnded(1, 0).at(9*s).
-				notice("m", event.NoticeGivenUp).overloaded(0, 9, 3, 0)
+				notice("m", event.NoticeAbandoned).overloaded(0, 9, 3, 0)
 		}, RuleNoLoss, "m", 8350 * ms}, // and see below: both rules
 		{"pushed in just so large a part by those who knew", func(record *scriptedRecord) {
-			record.outage(0, 0).step(event.Event{Kind: event.ProbeDone, Status: 503}).at(s).overloaded(0, 6, 3, 0)
+			record.outage(0, 0).step(event.Event{Kind: event.HealthCheckAnswered, Status: 503}).
+				at(s).overloaded(0, 6, 3, 0)
 		}, RuleRecovery, "", s},
 		{"pushed by those who did not", func(record *scriptedRecord) {
 			record.outage(0, 0).submit("m", 0, 0).call(1, "m", 0, 0).callEnded(1, 503).notice("m", 1).
@@ -277,7 +281,7 @@
 				notice("m", 1).at(s).overloaded(3, 9, 1, 1)
 		}, "", "", 0},
 		{"seen by a probe", func(record *scriptedRecord) {
-			record.outage(0, 0).step(event.Event{Kind: event.ProbeDone, Relay: 2, Status: 503}).
+			record.outage(0, 0).step(event.Event{Kind: event.HealthCheckAnswered, Relay: 2, Status: 503}).
 				at(s).overloaded(0, 0, 1, 9)
 		}, RuleRecovery, "", s},
 		{"one of two dead: the calls may have gone to the other", func(record *scriptedRecord) {
@@ -288,7 +292,7 @@
 		}, RuleRecovery, "", s},
 		{"seen in an earlier outage", func(record *scriptedRecord) {
 			record.outage(0, 0).submit("m", 0, 0).call(1, "m", 0, 0).callEnded(1, 503).notice("m", 1).at(s).
-				step(event.Event{Kind: event.Back}).at(2*s).outage(0, 0).at(3*s).overloaded(0, 9, 0, 0)
+				step(event.Event{Kind: event.OutageEnded}).at(2*s).outage(0, 0).at(3*s).overloaded(0, 9, 0, 0)
 		}, "", "", 0},
 
 		// Order.
@@ -306,12 +310,12 @@
 		}, RuleOrdering, "o", s},
 		{"while the end of one is not sure", func(record *scriptedRecord) {
 			record.submit("m", 4, 0).submit("n", 5, 0).call(1, "m", 0, 0).at(s).callEnded(1, 0).notice(
-				"m", event.NoticeGivenUp,
+				"m", event.NoticeAbandoned,
 			).at(1500*ms).call(2, "n", 0, 0).callEnded(2, 200)
 		}, RuleOrdering, "n", 1500 * ms},
 		{"after its rest", func(record *scriptedRecord) {
 			record.submit("m", 4, 0).submit("n", 5, 0).call(1, "m", 0, 0).at(s).callEnded(1, 0).notice(
-				"m", event.NoticeGivenUp,
+				"m", event.NoticeAbandoned,
 			).at(2*s).call(2, "n", 0, 0).callEnded(2, 200)
 		}, "", "", 0},
 
@@ -332,7 +336,7 @@
 			record.submit("m", 0, 0).call(1, "m", 0, 0).step(
 				event.Event{Kind: event.CallEnded, Call: 1, Status: 429, Wait: s},
 			).notice("m", 1).
-				at(500 * ms).step(event.Event{Kind: event.Probed, Relay: 0, Endpoint: 1})
+				at(500 * ms).step(event.Event{Kind: event.HealthCheckReceived, Relay: 0, Endpoint: 1})
 		}, RuleRetryAfter, "", 500 * ms},
 		{"another relay was not told", func(record *scriptedRecord) {
 			record.submit("m", 0, 0).submit("n", 1, 1).call(1, "m", 0, 0).step(
@@ -344,7 +348,7 @@
 			record.submit("m", 0, 0).call(1, "m", 0, 0).step(
 				event.Event{Kind: event.CallEnded, Call: 1, Status: 429, Wait: 5 * s},
 			).at(s).
-				kind(event.Killed, 0).at(2*s).kind(event.Ready, 0).call(2, "m", 0, 1).callEnded(2, 200)
+				kind(event.RelayKilled, 0).at(2*s).kind(event.RelayReady, 0).call(2, "m", 0, 1).callEnded(2, 200)
 		}, "", "", 0},
 
 		// Strays.
@@ -352,7 +356,7 @@
 			record.submit("m", 0, 0).call(1, "m", 0, 2).callEnded(1, 200)
 		}, RuleRouting, "m", 0},
 		{"for nobody", func(record *scriptedRecord) {
-			record.step(event.Event{Kind: event.Stray, ID: "q"})
+			record.step(event.Event{Kind: event.UnknownCall, ID: "q"})
 		}, RuleRouting, "q", 0},
 	} {
 		t.Run(c.name, func(t *testing.T) {
@@ -381,7 +385,7 @@
 	r := New(testConfig())
 	record := &scriptedRecord{checker: r}
 	record.submit("m", 0, 0).call(1, "m", 0, 0).at(s).outage(0, 0).callEnded(1, 0).at(9*s).notice(
-		"m", event.NoticeGivenUp,
+		"m", event.NoticeAbandoned,
 	).overloaded(0, 9, 3, 0)
 	r.Finish(20 * s)
 	found := r.Violations()
@@ -452,19 +456,19 @@
 			}
 			record.submit("other", 0, 1) // another relay's
 			if record.at(c.downFrom); !c.never {
-				record.kind(event.Killed, 0)
+				record.kind(event.RelayKilled, 0)
 			}
-			record.at(c.downFrom+s).kind(event.Ready, 0)
+			record.at(c.downFrom+s).kind(event.RelayReady, 0)
 			record.at(c.downFrom + s + 100*ms)
 			for i := range c.tried {
 				record.call(uint64(100+i), ids[i], 0, 0).callEnded(uint64(100+i), 503)
 			}
 			for i := range 10 { // what was called may be handed back as well
 				if i < c.tried || i < c.tried+c.back {
-					record.notice(ids[i], event.NoticeHandedBack)
+					record.notice(ids[i], event.NoticeReturned)
 				}
 			}
-			record.notice("other", event.NoticeHandedBack)
+			record.notice("other", event.NoticeReturned)
 			record.checker.Finish(7 * s)
 			if got := record.checker.RestartCounts(); got != c.want {
 				t.Errorf("%+v, want %+v", got, c.want)
--- a/internal/rehearsal/checker/relays.go
+++ b/internal/rehearsal/checker/relays.go
@@ -19,7 +19,7 @@
 // handleEndpointStatus takes what a relay's list says of an endpoint.
 func (c *Checker) handleEndpointStatus(e *event.Event) {
 	drainedAt := c.relays[e.Relay].drainedAt
-	if e.Status == event.ToldUp {
+	if e.Status == event.UpdateUp {
 		delete(drainedAt, e.Endpoint)
 	} else if _, known := drainedAt[e.Endpoint]; !known {
 		drainedAt[e.Endpoint] = c.now
--- a/internal/rehearsal/checker/submissions.go
+++ b/internal/rehearsal/checker/submissions.go
@@ -69,14 +69,14 @@
 		if !s.finished() {
 			heap.Push(&c.deadlines, deadline{s.deadline + c.config.DeadlineSlack + c.config.Slack, s})
 		}
-	case event.Refused:
+	case event.Rejected:
 		s.state = rejected
 		c.checkSafeToResubmit(s, "its client heard a refusal")
 	case event.Failed:
 		s.state = failed
-	case event.GivenUp:
+	case event.ClientTimedOut:
 		s.state = abandoned
-	case event.CutOff:
+	case event.ConnectionEnded:
 		s.state = abandoned
 		c.checkCutOff(s, e.Status != 0)
 	}
@@ -140,13 +140,13 @@
 		s.recoveredUnattempted = false
 		c.restartCounts.Ended++
 	}
-	if e.Status == event.NoticeHandedBack && s.state != abandoned {
+	if e.Status == event.NoticeReturned && s.state != abandoned {
 		c.checkSafeToResubmit(s, "it was handed back")
 	}
 }
 
 func noticeText(notice int) string {
-	if notice == event.NoticeHandedBack {
+	if notice == event.NoticeReturned {
 		return "handed back"
 	}
 	return "given up"
--- a/internal/rehearsal/loadgen/loadgen_test.go
+++ b/internal/rehearsal/loadgen/loadgen_test.go
@@ -115,8 +115,8 @@
 	r.hook = r.deliver
 	r.d.Run(t.Context())
 	n := len(p.Arrivals)
-	if got := r.outcomes(); got[Delivered] != n || r.count(event.HandIn) != n || len(a.got)+len(b.got) != n {
-		t.Fatalf("%d messages: ends %v, %d hand-ins, %d and %d came", n, got, r.count(event.HandIn), len(a.got),
+	if got := r.outcomes(); got[Delivered] != n || r.count(event.Submitted) != n || len(a.got)+len(b.got) != n {
+		t.Fatalf("%d messages: ends %v, %d hand-ins, %d and %d came", n, got, r.count(event.Submitted), len(a.got),
 			len(b.got))
 	}
 	if math.Abs(float64(len(a.got)-len(b.got))) > 1 {
@@ -124,7 +124,7 @@
 	}
 	var at []event.Time
 	for _, e := range r.said {
-		if e.Kind == event.HandIn {
+		if e.Kind == event.Submitted {
 			at = append(at, e.At)
 		}
 	}
@@ -160,8 +160,8 @@
 	}{
 		{"taken at the second try", func(_ string, n int) string {
 			return map[bool]string{true: "-BUSY 30\r\n", false: "+OK\r\n"}[n == 1]
-		}, Delivered, 2, "r=1", event.Refused},
-		{"refused to the last", func(string, int) string { return "-BUSY\r\n" }, Rejected, 3, "r=1", event.Refused},
+		}, Delivered, 2, "r=1", event.Rejected},
+		{"refused to the last", func(string, int) string { return "-BUSY\r\n" }, Rejected, 3, "r=1", event.Rejected},
 		{"failed", func(string, int) string { return "-ERR given up\r\n" }, Failed, 1, "dest=1", event.Failed},
 		{
 			"any bulk string is a yes", func(string, int) string { return "$4\r\nfine\r\n" }, Delivered, 1, "dest=1",
@@ -169,15 +169,15 @@
 		},
 		{
 			"no answer", func(_ string, n int) string { return map[bool]string{true: "", false: "+OK\r\n"}[n == 1] },
-			Delivered, 2, "again=1", event.GivenUp,
+			Delivered, 2, "again=1", event.ClientTimedOut,
 		},
 		{
 			"cut off", func(_ string, n int) string { return map[bool]string{true: "close", false: "+OK\r\n"}[n == 1] },
-			Delivered, 2, "again=1", event.CutOff,
+			Delivered, 2, "again=1", event.ConnectionEnded,
 		},
 		{
 			"rubbish", func(string, int) string { return "-" + strings.Repeat("x", 600) + "\r\n" }, Unanswered, 4,
-			"again=1", event.CutOff,
+			"again=1", event.ConnectionEnded,
 		},
 	} {
 		t.Run(c.name, func(t *testing.T) {
@@ -202,14 +202,14 @@
 }
 
 func TestNoticesEndMessages(t *testing.T) {
-	for status, want := range map[int]Outcome{event.NoticeGivenUp: Failed, event.NoticeHandedBack: Rejected} {
+	for status, want := range map[int]Outcome{event.NoticeAbandoned: Failed, event.NoticeReturned: Rejected} {
 		p := loadPlan(t, 1, 50, 4000)
 		p.Arrivals = p.Arrivals[:1]
 		s := newRelayDouble(t, nil)
 		r := startDriver(p, s.ln.Addr().String())
 		r.hook = func(e *event.Event) {
 			if e.Kind == event.Accepted {
-				go r.d.HandleEvent(&event.Event{Kind: event.Noticed, Status: status, ID: e.ID, Wait: 1000})
+				go r.d.HandleEvent(&event.Event{Kind: event.NoticeReceived, Status: status, ID: e.ID, Wait: 1000})
 			}
 		}
 		r.d.Run(t.Context())
@@ -246,7 +246,8 @@
 		}
 	}
 	r.d.Run(t.Context())
-	if got := r.outcomes(); got[Delivered] != 2 || r.count(event.CutOff) != 0 || r.count(event.HandIn) != 2 {
+	if got := r.outcomes(); got[Delivered] != 2 || r.count(event.ConnectionEnded) != 0 ||
+		r.count(event.Submitted) != 2 {
 		t.Errorf("ends %v, events %v", got, r.said)
 	}
 }
--- a/internal/rehearsal/loadgen/submission.go
+++ b/internal/rehearsal/loadgen/submission.go
@@ -105,7 +105,7 @@
 	left := d.timeLeft(s.message)
 	conn.request = appendSubmission(conn.request[:0], d.config.Plan, arrival, s.id, left, mark, d.body)
 	d.config.Emit(event.Event{
-		At: d.config.Clock(), Kind: event.HandIn, ID: s.id, Message: s.message, Relay: s.relay, Left: left,
+		At: d.config.Clock(), Kind: event.Submitted, ID: s.id, Message: s.message, Relay: s.relay, Left: left,
 	})
 	timeout := time.Duration(scenario.Microseconds(d.config.Plan.Scenario.Clients.ReplyTimeoutMS)) * time.Microsecond
 	conn, written, reply, err := d.exchange(s.relay, conn, reused, time.Now().Add(timeout))
@@ -149,9 +149,9 @@
 	if conn != nil {
 		d.pools[s.relay].discard(conn)
 	}
-	e := event.Event{At: now, Kind: event.GivenUp, ID: s.id, Text: err.Error()}
+	e := event.Event{At: now, Kind: event.ClientTimedOut, ID: s.id, Text: err.Error()}
 	if written && !errors.Is(err, errTimeout) {
-		e.Kind = event.CutOff
+		e.Kind = event.ConnectionEnded
 		d.unserved.Add(1)
 		if !conn.answered {
 			e.Status = 1
@@ -177,7 +177,7 @@
 	case busy:
 		retryAfter := parseRetryAfter(advice)
 		d.setFinished(s)
-		d.config.Emit(event.Event{At: now, Kind: event.Refused, ID: s.id, Wait: retryAfter})
+		d.config.Emit(event.Event{At: now, Kind: event.Rejected, ID: s.id, Wait: retryAfter})
 		d.handleRejection(s.message, s.attempt, retryAfter)
 	default:
 		d.setFinished(s)
@@ -246,7 +246,7 @@
 // HandleEvent takes deliveries and notices from the rest of the rehearsal.
 func (d *Driver) HandleEvent(e *event.Event) {
 	delivered := e.Kind == event.CallEnded && e.Status == event.StatusDelivered
-	if !delivered && e.Kind != event.Noticed {
+	if !delivered && e.Kind != event.NoticeReceived {
 		return
 	}
 	s, accepted := d.finishSubmission(e.ID, delivered)
@@ -255,7 +255,7 @@
 	case delivered && accepted:
 		d.finish(s.message, Delivered)
 	case delivered: // it ends for its client with the reply
-	case e.Status == event.NoticeHandedBack:
+	case e.Status == event.NoticeReturned:
 		d.handleRejection(s.message, s.attempt, e.Wait)
 	default:
 		d.finish(s.message, Failed)
--- a/internal/rehearsal/runner/events.go
+++ b/internal/rehearsal/runner/events.go
@@ -33,7 +33,7 @@
 // hundred microseconds late: the times of the record never go back.
 func (c *eventCollector) emit(e event.Event) {
 	c.record(&e)
-	if e.Kind == event.CallEnded && e.Status == event.StatusDelivered || e.Kind == event.Noticed {
+	if e.Kind == event.CallEnded && e.Status == event.StatusDelivered || e.Kind == event.NoticeReceived {
 		c.onEnd(&e)
 	}
 	if c.onEvent != nil {
@@ -79,11 +79,11 @@
 // add counts an event of a call.
 func (c *CallCounts) add(e *event.Event) {
 	switch e.Kind {
-	case event.CallBegan:
+	case event.CallReceived:
 		c.Started++
-	case event.Ran:
+	case event.TookEffect:
 		c.Executed++
-	case event.Probed:
+	case event.HealthCheckReceived:
 		c.HealthChecks++
 	case event.CallEnded:
 		switch {
--- a/internal/rehearsal/runner/recovery_test.go
+++ b/internal/rehearsal/runner/recovery_test.go
@@ -37,11 +37,11 @@
 		mu.Lock()
 		defer mu.Unlock()
 		switch {
-		case e.Kind == event.Back && p.Endpoints[e.Endpoint].Partner == 0:
+		case e.Kind == event.OutageEnded && p.Endpoints[e.Endpoint].Partner == 0:
 			backAt = max(backAt, e.At)
-		case e.Kind == event.Fell:
+		case e.Kind == event.Collapsed:
 			pushed++
-		case e.Kind == event.CallBegan && backAt > 0 && p.Endpoints[e.Endpoint].Partner == 0:
+		case e.Kind == event.CallReceived && backAt > 0 && p.Endpoints[e.Endpoint].Partner == 0:
 			if s := int((e.At - backAt) / 1e6); s < len(per) {
 				per[s]++
 			}
--- a/internal/rehearsal/runner/relayfaults.go
+++ b/internal/rehearsal/runner/relayfaults.go
@@ -44,7 +44,7 @@
 // killRelay kills a relay's process, and starts another one at the fault's end.
 func (f *plannedFault) killRelay(relay *managedRelay) {
 	f.driver.RelayDown(relay.index, f.frontNotice())
-	f.emitRelayEvent(event.Killed, relay)
+	f.emitRelayEvent(event.RelayKilled, relay)
 	relay.kill()
 	sleep(f.ctx, time.Duration(f.Until-f.At)*time.Microsecond)
 	f.startAgain(relay)
@@ -53,12 +53,12 @@
 // restartRelay has a relay's process end, and starts another one.
 func (f *plannedFault) restartRelay(relay *managedRelay) {
 	f.driver.RelayDown(relay.index, restartNotice.Microseconds())
-	f.emitRelayEvent(event.Stopping, relay)
+	f.emitRelayEvent(event.RelayStopping, relay)
 	if relay.stop() {
 		f.appendFailure(&f.kitErrors, "relay %d was still there %v after SIGTERM and was killed",
 			relay.index+1, stopTimeout)
 	}
-	f.emitRelayEvent(event.Killed, relay)
+	f.emitRelayEvent(event.RelayKilled, relay)
 	f.startAgain(relay)
 }
 
@@ -73,7 +73,7 @@
 		}
 		return
 	}
-	f.emitRelayEvent(event.Ready, relay)
+	f.emitRelayEvent(event.RelayReady, relay)
 	f.driver.RelayUp(relay.index)
 }
 
@@ -88,16 +88,16 @@
 	}
 	draw := seededrand.Hash(f.plan.Seed, upgradeKillStream, uint64(f.At), uint64(relay.index))
 	after := time.Duration(draw % uint64(maxUpgradeKillDelay))
-	f.emitRelayEvent(event.Killed, relay) // from here on calls in flight may be cut
+	f.emitRelayEvent(event.RelayKilled, relay) // from here on calls in flight may be cut
 	alive, err := relay.upgradeWithKill(f.ctx, after, f.Variant == scenario.KillPredecessor)
 	switch {
 	case err != nil && f.ctx.Err() == nil:
 		f.appendFailure(&f.relayFailures, "upgrade, %s after %v: %v", f.Variant, after, err)
 	case alive:
-		f.emitRelayEvent(event.Ready, relay)
+		f.emitRelayEvent(event.RelayReady, relay)
 	default:
 		f.driver.RelayDown(relay.index, f.frontNotice())
-		f.emitRelayEvent(event.Killed, relay)
+		f.emitRelayEvent(event.RelayKilled, relay)
 		f.startAgain(relay)
 	}
 }
--- a/internal/rehearsal/runner/runner.go
+++ b/internal/rehearsal/runner/runner.go
@@ -209,7 +209,7 @@
 			relay.mu.Lock()
 			defer relay.mu.Unlock()
 			if errs[i] = relay.start(ctx); errs[i] == nil {
-				r.events.emit(event.Event{At: r.now(), Kind: event.Ready, Relay: i})
+				r.events.emit(event.Event{At: r.now(), Kind: event.RelayReady, Relay: i})
 			}
 		}()
 	}
@@ -223,7 +223,7 @@
 func (r *Rehearsal) relayCrashed(relay int, err error) {
 	r.appendFailure(&r.relayFailures, "relay %d ended by itself at %.1f s: %v",
 		relay+1, float64(r.now()-r.planStart.Load())/1e6, err)
-	r.events.emit(event.Event{At: r.now(), Kind: event.Killed, Relay: relay})
+	r.events.emit(event.Event{At: r.now(), Kind: event.RelayKilled, Relay: relay})
 	r.driver.RelayDown(relay, r.frontNotice())
 }
 
--- a/internal/rehearsal/runner/runner_test.go
+++ b/internal/rehearsal/runner/runner_test.go
@@ -269,7 +269,7 @@
 		mu.Lock()
 		defer mu.Unlock()
 		switch e.Kind {
-		case event.HandIn:
+		case event.Submitted:
 			if e.Relay == 0 {
 				open[e.ID] = false
 			}
@@ -282,10 +282,10 @@
 				delete(open, e.ID)
 				delete(crossed, e.ID)
 			}
-		case event.Noticed:
+		case event.NoticeReceived:
 			delete(open, e.ID)
 			delete(crossed, e.ID)
-		case event.Killed:
+		case event.RelayKilled:
 			down = append(down, e.At)
 			if e.Relay == 0 {
 				for id, taken := range open {
@@ -297,7 +297,7 @@
 					t.Error("nothing was out when the relay was killed")
 				}
 			}
-		case event.Ready:
+		case event.RelayReady:
 			up = append(up, e.At)
 		}
 	}
@@ -388,7 +388,7 @@
 			opt.OnEvent = func(e *event.Event) {
 				mu.Lock()
 				defer mu.Unlock()
-				if e.Kind == event.HandIn && first[e.Message] == "" {
+				if e.Kind == event.Submitted && first[e.Message] == "" {
 					first[e.Message] = e.ID
 				}
 			}
@@ -418,7 +418,7 @@
 	opt.OnEvent = func(e *event.Event) {
 		mu.Lock()
 		defer mu.Unlock()
-		if e.Kind == event.HandIn && first[e.Message] == "" {
+		if e.Kind == event.Submitted && first[e.Message] == "" {
 			first[e.Message] = e.ID
 		}
 	}
