--- a/internal/rehearsal/runner/recovery_test.go
+++ b/internal/rehearsal/runner/recovery_test.go
@@ -58,7 +58,7 @@
 
 // Figures of docs/measurements/learned-state.md, on sockets; run by hand:
 //
-//	RECALL=1 go test -run TestRecallOnSockets -v ./internal/rehearse/stage
+//	RECALL=1 go test -run TestRecoveryOnSockets -v ./internal/rehearsal/runner
 func TestRecoveryOnSockets(t *testing.T) {
 	if os.Getenv("RECALL") == "" {
 		t.Skip("a measurement of minutes: RECALL=1 asks for it")
--- a/internal/rehearsal/runner/relaydouble_test.go
+++ b/internal/rehearsal/runner/relaydouble_test.go
@@ -21,42 +21,42 @@
 	"troutusher/internal/rehearsal/scenario"
 )
 
-// violation is one way in which a double breaks a rule.
+// violation is a way in which a double breaks a rule.
 type violation int
 
 const (
-	honest violation = iota
-	losesSome
+	noViolation violation = iota
+	losesMessages
 	resendsUnsafe // after an error that may hide an effect
 	resendsLate   // after its own time-out, while the partner still works
 	sendsCopies
-	refusesWhatRan
+	handsBackExecuted
 	ignoresDrains
-	storms
-	ignoresWaits
-	overtakes
-	strays
+	sendsBursts
+	ignoresRetryAfter
+	ignoresOrder
+	callsOtherDestinations
 )
 
-// relayDouble is a small relay in this process. Honest, it keeps the rules at
-// little traffic; it is no model of the real one and decides by plain waits.
+// relayDouble is a small relay in this process. Without a violation it keeps the rules under
+// little traffic. It is no model of the real one, and decides by fixed waits.
 type relayDouble struct {
-	plan   *scenario.Plan
-	breach violation
-	ln     *net.TCPListener
-	agent  string
-	client *http.Client
-	ctx    context.Context
-	stop   context.CancelFunc
-	wg     sync.WaitGroup
+	plan          *scenario.Plan
+	violation     violation
+	listener      *net.TCPListener
+	discoveryAddr string
+	client        *http.Client
+	ctx           context.Context
+	cancel        context.CancelFunc
+	background    sync.WaitGroup
 
-	mu     sync.Mutex
-	conns  []net.Conn
-	list   map[string]registry.Member
-	waits  map[int]time.Time
-	thread map[uint64]chan struct{}
-	turn   int
-	taken  int
+	mu           sync.Mutex
+	conns        []net.Conn
+	list         map[string]registry.Member
+	retryAfter   map[int]time.Time
+	lastInOrder  map[uint64]chan struct{}
+	lastEndpoint int
+	accepted     int
 }
 
 func newRelayDouble(t *testing.T, p *scenario.Plan, b violation, agent string) *relayDouble {
@@ -66,70 +66,73 @@
 		t.Fatal(err)
 	}
 	d := &relayDouble{
-		plan:   p,
-		breach: b,
-		ln:     ln,
-		agent:  agent,
-		list:   map[string]registry.Member{},
-		waits:  map[int]time.Time{},
-		thread: map[uint64]chan struct{}{},
-		client: &http.Client{Transport: &http.Transport{DisableKeepAlives: true}},
+		plan:          p,
+		violation:     b,
+		listener:      ln,
+		discoveryAddr: agent,
+		list:          map[string]registry.Member{},
+		retryAfter:    map[int]time.Time{},
+		lastInOrder:   map[uint64]chan struct{}{},
+		client:        &http.Client{Transport: &http.Transport{DisableKeepAlives: true}},
 	}
-	d.ctx, d.stop = context.WithCancel(context.Background())
+	d.ctx, d.cancel = context.WithCancel(context.Background())
 	t.Cleanup(func() {
-		d.stop()
+		d.cancel()
 		_ = ln.Close()
 		d.mu.Lock()
 		for _, c := range d.conns {
 			_ = c.Close()
 		}
 		d.mu.Unlock()
-		d.wg.Wait()
+		d.background.Wait()
 	})
-	d.wg.Add(2)
+	d.background.Add(2)
 	go d.watchList()
 	go d.accept()
-	if b == storms {
-		d.wg.Add(1)
+	if b == sendsBursts {
+		d.background.Add(1)
 		go d.sendBurst()
 	}
 	return d
 }
 
 func (d *relayDouble) accept() {
-	defer d.wg.Done()
+	defer d.background.Done()
 	for {
-		c, err := d.ln.Accept()
+		c, err := d.listener.Accept()
 		if err != nil {
 			return
 		}
 		d.mu.Lock()
 		d.conns = append(d.conns, c)
 		d.mu.Unlock()
-		d.wg.Add(1)
+		d.background.Add(1)
 		go d.serveClient(c)
 	}
 }
 
 func (d *relayDouble) watchList() {
-	defer d.wg.Done()
-	for from := int64(0); d.ctx.Err() == nil; {
+	defer d.background.Done()
+	for revision := int64(0); d.ctx.Err() == nil; {
 		req, _ := http.NewRequestWithContext(
-			d.ctx, http.MethodGet, fmt.Sprintf("http://%s/registry/instances?watch=1&from=%d", d.agent, from), nil,
+			d.ctx,
+			http.MethodGet,
+			fmt.Sprintf("http://%s/registry/instances?watch=1&from=%d", d.discoveryAddr, revision),
+			nil,
 		)
 		resp, err := d.client.Do(req)
 		if err != nil {
 			continue
 		}
 		for in := bufio.NewScanner(resp.Body); in.Scan(); {
-			var l registry.List
-			if len(in.Bytes()) == 0 || json.Unmarshal(in.Bytes(), &l) != nil {
+			var list registry.List
+			if len(in.Bytes()) == 0 || json.Unmarshal(in.Bytes(), &list) != nil {
 				continue
 			}
-			from = l.Revision
+			revision = list.Revision
 			d.mu.Lock()
-			for _, m := range l.Members {
-				if d.breach == ignoresDrains {
+			for _, m := range list.Members {
+				if d.violation == ignoresDrains {
 					m.Phase = registry.PhaseUp
 				}
 				d.list[m.ID] = m
@@ -140,9 +143,9 @@
 	}
 }
 
-// sendBurst probes every endpoint without mercy.
+// sendBurst sends health checks to every endpoint at a high rate.
 func (d *relayDouble) sendBurst() {
-	defer d.wg.Done()
+	defer d.background.Done()
 	tick := time.NewTicker(10 * time.Millisecond)
 	defer tick.Stop()
 	for {
@@ -153,9 +156,9 @@
 		}
 		d.mu.Lock()
 		for _, m := range d.list {
-			d.wg.Add(1)
+			d.background.Add(1)
 			go func() {
-				defer d.wg.Done()
+				defer d.background.Done()
 				ctx, cancel := context.WithTimeout(d.ctx, time.Second)
 				defer cancel()
 				req, _ := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+m.HostPort+"/health/live", nil)
@@ -169,7 +172,7 @@
 }
 
 func (d *relayDouble) serveClient(c net.Conn) {
-	defer d.wg.Done()
+	defer d.background.Done()
 	defer func() { _ = c.Close() }()
 	in := bufio.NewReader(c)
 	for {
@@ -182,7 +185,7 @@
 			continue
 		}
 		_, _ = io.WriteString(c, "+OK\r\n")
-		d.wg.Add(1)
+		d.background.Add(1)
 		go d.deliver(string(args[2]), string(args[3]), args[4])
 	}
 }
@@ -214,18 +217,19 @@
 	return args, nil
 }
 
-// pickEndpoint finds an endpoint of a destination and marks the wait that binds.
+// pickEndpoint returns the address of the next endpoint of a destination, or how long to wait
+// for one.
 func (d *relayDouble) pickEndpoint(dest int) (addr string, wait time.Duration) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if w := time.Until(d.waits[dest]); w > 0 && d.breach != ignoresWaits {
-		return "", w
+	if wait := time.Until(d.retryAfter[dest]); wait > 0 && d.violation != ignoresRetryAfter {
+		return "", wait
 	}
 	var up []registry.Member
 	for i := range d.plan.Endpoints { // in the plan's order
 		for _, m := range d.list {
 			if m.Phase == registry.PhaseUp && listMembers(d.plan, func(int) string { return "" })[i].ID == m.ID &&
-				(m.Cell == dest) != (d.breach == strays) {
+				(m.Cell == dest) != (d.violation == callsOtherDestinations) {
 				up = append(up, m)
 			}
 		}
@@ -233,8 +237,8 @@
 	if len(up) == 0 {
 		return "", 50 * time.Millisecond
 	}
-	d.turn++
-	return up[d.turn%len(up)].HostPort, 0
+	d.lastEndpoint++
+	return up[d.lastEndpoint%len(up)].HostPort, 0
 }
 
 const (
@@ -243,7 +247,7 @@
 	mayHaveRun
 )
 
-// call makes one attempt.
+// call makes one attempt, and returns what its end proves.
 func (d *relayDouble) call(addr, id, key string, dest int, body []byte, limit time.Duration) int {
 	ctx, cancel := context.WithTimeout(d.ctx, limit)
 	defer cancel()
@@ -268,7 +272,7 @@
 	case 429:
 		s, _ := strconv.ParseFloat(resp.Header.Get("Retry-After"), 64)
 		d.mu.Lock()
-		d.waits[dest] = time.Now().Add(time.Duration(s*1e9) + 5*time.Millisecond)
+		d.retryAfter[dest] = time.Now().Add(time.Duration(s*1e9) + 5*time.Millisecond)
 		d.mu.Unlock()
 		return neverRan
 	case 503, 504, 410:
@@ -286,25 +290,25 @@
 	}
 }
 
-// deliver carries a message to its end.
+// deliver makes attempts until a message has its end.
 func (d *relayDouble) deliver(id, fields string, body []byte) {
-	defer d.wg.Done()
-	have := map[string]string{}
+	defer d.background.Done()
+	values := map[string]string{}
 	for part := range strings.SplitSeq(fields, ",") {
-		k, v, _ := strings.Cut(part, "=")
-		have[k] = v
+		key, value, _ := strings.Cut(part, "=")
+		values[key] = value
 	}
-	dest, _ := strconv.Atoi(have["dest"])
-	ms, _ := strconv.Atoi(have["d"])
-	end := time.Now().Add(time.Duration(ms) * time.Millisecond)
-	class := have["c"]
+	dest, _ := strconv.Atoi(values["dest"])
+	ms, _ := strconv.Atoi(values["d"])
+	deadline := time.Now().Add(time.Duration(ms) * time.Millisecond)
+	class := values["c"]
 	d.mu.Lock()
-	d.taken++
-	lost := d.breach == losesSome && d.taken%10 == 3
+	d.accepted++
+	lost := d.violation == losesMessages && d.accepted%10 == 3
 	var before, after chan struct{}
-	if thread := uint64(dest); class == "ordered" && d.breach != overtakes {
-		before, after = d.thread[thread], make(chan struct{})
-		d.thread[thread] = after
+	if thread := uint64(dest); class == "ordered" && d.violation != ignoresOrder {
+		before, after = d.lastInOrder[thread], make(chan struct{})
+		d.lastInOrder[thread] = after
 		defer close(after)
 	}
 	d.mu.Unlock()
@@ -318,28 +322,28 @@
 		}
 	}
 	limit := time.Second
-	if d.breach == resendsLate {
+	if d.violation == resendsLate {
 		limit = 100 * time.Millisecond
 	}
-	doubt := false
-	for d.ctx.Err() == nil && time.Now().Before(end.Add(-50*time.Millisecond)) {
+	uncertain := false
+	for d.ctx.Err() == nil && time.Now().Before(deadline.Add(-50*time.Millisecond)) {
 		addr, wait := d.pickEndpoint(dest)
 		if addr == "" {
 			d.sleep(wait)
 			continue
 		}
-		if d.breach == sendsCopies {
-			d.wg.Add(1)
-			go func() { defer d.wg.Done(); d.call(addr, id, have["k"], dest, body, limit) }()
+		if d.violation == sendsCopies {
+			d.background.Add(1)
+			go func() { defer d.background.Done(); d.call(addr, id, values["k"], dest, body, limit) }()
 		}
-		switch d.call(addr, id, have["k"], dest, body, min(limit, time.Until(end))) {
+		switch d.call(addr, id, values["k"], dest, body, min(limit, time.Until(deadline))) {
 		case ran:
 			return
 		case mayHaveRun:
-			doubt = true
-			if class == "unsafe" && d.breach != resendsUnsafe && d.breach != resendsLate {
+			uncertain = true
+			if class == "unsafe" && d.violation != resendsUnsafe && d.violation != resendsLate {
 				outcome := "given_up"
-				if d.breach == refusesWhatRan {
+				if d.violation == handsBackExecuted {
 					outcome = "handed_back"
 				}
 				d.notice(id, outcome)
@@ -350,7 +354,7 @@
 			d.sleep(100 * time.Millisecond)
 		}
 	}
-	if doubt {
+	if uncertain {
 		d.notice(id, "given_up")
 	} else {
 		d.notice(id, "handed_back")
@@ -360,7 +364,7 @@
 func (d *relayDouble) notice(id, outcome string) {
 	body, _ := json.Marshal(map[string]any{"message": id, "outcome": outcome})
 	for d.ctx.Err() == nil {
-		resp, err := d.client.Post("http://"+d.agent+"/reports", "application/json", bytes.NewReader(body))
+		resp, err := d.client.Post("http://"+d.discoveryAddr+"/reports", "application/json", bytes.NewReader(body))
 		if err == nil {
 			_ = resp.Body.Close()
 			return
--- a/internal/rehearsal/runner/runner_test.go
+++ b/internal/rehearsal/runner/runner_test.go
@@ -27,8 +27,8 @@
 	daemon "troutusher/internal/relay"
 )
 
-// The test's own program is the relay, or a kit that gets killed, so that the
-// tests need nothing built beforehand.
+// The test's own program is the relay, or a kit that is killed, so that nothing need be
+// built before the tests.
 const (
 	relayEnv = "TROUTUSHER_TEST_RELAY"
 	kitEnv   = "TROUTUSHER_TEST_KIT"
@@ -131,13 +131,12 @@
 		t.Fatal(err)
 	}
 	if len(o.KitErrors) > 0 {
-		t.Errorf("trouble: %v", o.KitErrors)
+		t.Errorf("kit: %v", o.KitErrors)
 	}
 	return o
 }
 
-// TestCheckerFindsViolations plays each rule's breach by a double, and the same
-// run with an honest one.
+// A double breaks each rule, and the checker finds that; without a violation it finds nothing.
 func TestCheckerFindsViolations(t *testing.T) {
 	order := func(p *scenario.Plan) {
 		class := &p.Scenario.Classes[0]
@@ -146,7 +145,7 @@
 			p.Arrivals[i].OrderingKey = uint64(p.Arrivals[i].Destination)
 		}
 	}
-	for _, c := range []struct {
+	for _, test := range []struct {
 		name   string
 		breach violation
 		rule   checker.Rule
@@ -155,7 +154,7 @@
 		change func(*scenario.Plan)
 		says   string
 	}{
-		{"a message is forgotten", losesSome, checker.RuleNoLoss, 20, "", nil, "neither delivered nor ended"},
+		{"a message is forgotten", losesMessages, checker.RuleNoLoss, 20, "", nil, "neither delivered nor ended"},
 		{
 			"an unsafe message is sent again after an error", resendsUnsafe, checker.RuleAtMostOnce, 20,
 			"[[fault]]\nkind = \"errors\"\npartner = \"p\"\nat_s = 0.2\nlength_s = 2\nshare = 0.4\n", nil, "sent to",
@@ -166,7 +165,7 @@
 		},
 		{"two copies at a time", sendsCopies, checker.RuleAtMostOnce, 10, "", nil, "a second copy"},
 		{
-			"a refusal of what may have run", refusesWhatRan, checker.RuleAtMostOnce, 20,
+			"a refusal of what may have run", handsBackExecuted, checker.RuleAtMostOnce, 20,
 			"[[fault]]\nkind = \"reset\"\npartner = \"p\"\nat_s = 0.2\nlength_s = 2\nshare = 0.5\n", nil, "handed back",
 		},
 		{
@@ -175,30 +174,30 @@
 			nil, "drains or is gone",
 		},
 		{
-			"a cold destination is pushed over", storms, checker.RuleRecovery, 2,
+			"a cold destination is pushed over", sendsBursts, checker.RuleRecovery, 2,
 			"[[fault]]\nkind = \"full\"\npartner = \"p\"\nat_s = 0.2\nlength_s = 0.5\n", nil, "pushed over",
 		},
 		{
-			"a wait is ignored", ignoresWaits, checker.RuleRetryAfter, 20,
+			"a wait is ignored", ignoresRetryAfter, checker.RuleRetryAfter, 20,
 			"[[fault]]\nkind = \"full_wait\"\npartner = \"p\"\nat_s = 0.3\nlength_s = 1.5\nsize = 0.7\n",
 			nil, "into a wait",
 		},
-		{"messages in order overtake", overtakes, checker.RuleOrdering, 20, "", order, "of its thread"},
-		{"calls to another destination", strays, checker.RuleRouting, 5, "", nil, "serves destination"},
+		{"messages in order overtake", ignoresOrder, checker.RuleOrdering, 20, "", order, "of its thread"},
+		{"calls to another destination", callsOtherDestinations, checker.RuleRouting, 5, "", nil, "serves destination"},
 	} {
-		t.Run(c.name, func(t *testing.T) {
+		t.Run(test.name, func(t *testing.T) {
 			t.Parallel()
-			for _, b := range []violation{honest, c.breach} {
-				t.Run(map[bool]string{true: "honest", false: "broken"}[b == honest], func(t *testing.T) {
+			for _, b := range []violation{noViolation, test.breach} {
+				t.Run(map[bool]string{true: "honest", false: "broken"}[b == noViolation], func(t *testing.T) {
 					t.Parallel()
-					p := loadPlan(t, 2.5, c.rate, c.faults)
-					if c.change != nil {
-						c.change(p)
+					p := loadPlan(t, 2.5, test.rate, test.faults)
+					if test.change != nil {
+						test.change(p)
 					}
 					o := play(t, p, Options{Dir: t.TempDir(), ReplaceRelay: func(_ int, a RelayTarget) RelayTarget {
-						return RelayTarget{Listen: newRelayDouble(t, p, b, a.Discovery).ln.Addr().String()}
+						return RelayTarget{Listen: newRelayDouble(t, p, b, a.Discovery).listener.Addr().String()}
 					}})
-					if b == honest {
+					if b == noViolation {
 						for _, v := range o.Violations {
 							t.Errorf("convicted: %s", v.String())
 						}
@@ -206,19 +205,19 @@
 					}
 					said := false
 					for _, v := range o.Violations {
-						if v.Rule != c.rule && c.breach != strays && c.breach != sendsCopies {
+						if v.Rule != test.rule && test.breach != callsOtherDestinations && test.breach != sendsCopies {
 							t.Errorf("another rule: %s", v.String())
 						}
-						if v.Rule != c.rule {
+						if v.Rule != test.rule {
 							continue
 						}
-						if v.At < 0 || v.At > 8e6 || v.Message < 0 && c.rule != checker.RuleRecovery {
+						if v.At < 0 || v.At > 8e6 || v.Message < 0 && test.rule != checker.RuleRecovery {
 							t.Errorf("without message or moment: %+v", v)
 						}
-						said = said || strings.Contains(v.Evidence, c.says)
+						said = said || strings.Contains(v.Evidence, test.says)
 					}
 					if !said {
-						t.Errorf("not convicted of %q with %q: %v", c.rule, c.says, o.Violations)
+						t.Errorf("not convicted of %q with %q: %v", test.rule, test.says, o.Violations)
 					}
 				})
 			}
@@ -226,8 +225,7 @@
 	}
 }
 
-// TestRelaysThroughKillRestartReload: what was taken on crosses all
-// of them, and nothing is broken.
+// What relays have accepted survives a kill, a restart and a reload, and no rule is broken.
 func TestRelaysThroughKillRestartReload(t *testing.T) {
 	t.Parallel()
 	p := loadPlan(t, 6, 30, `
@@ -261,7 +259,7 @@
 		p.Scenario.Classes[i].DeadlineMS = 6000
 	}
 	var mu sync.Mutex
-	crossed := map[string]bool{} // taken on by relay 1 and not over when it was killed
+	survivors := map[string]bool{} // accepted by relay 1 and pending when it was killed
 	var down, up []event.Time
 	opt := ownRelayOptions(t)
 	open := map[string]bool{}
@@ -280,20 +278,20 @@
 		case event.CallEnded:
 			if e.Status == event.StatusDelivered {
 				delete(open, e.ID)
-				delete(crossed, e.ID)
+				delete(survivors, e.ID)
 			}
 		case event.NoticeReceived:
 			delete(open, e.ID)
-			delete(crossed, e.ID)
+			delete(survivors, e.ID)
 		case event.RelayKilled:
 			down = append(down, e.At)
 			if e.Relay == 0 {
 				for id, taken := range open {
 					if taken {
-						crossed[id] = true
+						survivors[id] = true
 					}
 				}
-				if len(crossed) == 0 {
+				if len(survivors) == 0 {
 					t.Error("nothing was out when the relay was killed")
 				}
 			}
@@ -308,8 +306,8 @@
 	if len(o.RelayFailures) > 0 || len(down) != 2 || len(up) != 4 {
 		t.Errorf("crashes %v, %d ends, %d starts", o.RelayFailures, len(down), len(up))
 	}
-	if len(crossed) > 0 {
-		t.Errorf("%d messages crossed the kill and had no end", len(crossed))
+	if len(survivors) > 0 {
+		t.Errorf("%d messages survived the kill and had no end", len(survivors))
 	}
 	for i, r := range o.Results {
 		if r.Outcome == loadgen.Pending {
@@ -372,7 +370,7 @@
 	}
 }
 
-// TestSamePlanHasSameSubmissions: ids, order of first hand-ins and faults.
+// The same plan has the same submissions: ids, and order of the first ones.
 func TestSamePlanHasSameSubmissions(t *testing.T) {
 	t.Parallel()
 	var runs [2]string
@@ -404,8 +402,7 @@
 	}
 }
 
-// TestGoldenRecordingIsReplayed: what the first release recorded is handed
-// in unchanged by this one.
+// What the first release recorded is submitted unchanged by this one.
 func TestGoldenRecordingIsReplayed(t *testing.T) {
 	t.Parallel()
 	p, _, err := replay.Load(filepath.Join("..", "replay", "testdata", "v1.rehearsal"))
@@ -436,8 +433,7 @@
 	}
 }
 
-// goldenSubmissions is the sum over the ids of the first hand-ins, in the plan's
-// order.
+// goldenSubmissions is the sum over the ids of the first submissions, in the plan's order.
 const goldenSubmissions = "9b80d363e7618a66d381f1325202bc0710a8288da834a373dcad4cc3d8fa6414"
 
 // kitMain is a kit that plays until it is killed; it prints where its relays
@@ -471,8 +467,7 @@
 	return 0
 }
 
-// TestKilledKitLeavesNothing: its relays end with it and their ports
-// are free.
+// The relays of a kit that is killed end with it, and their ports are free.
 func TestKilledKitLeavesNothing(t *testing.T) {
 	t.Parallel()
 	exe, err := os.Executable()
