--- a/internal/connlimit/types.go
+++ b/internal/connlimit/types.go
@@ -34,6 +34,7 @@
 	"draining",
 }
 
+// String names the state, for logs and tests.
 func (s State) String() string {
 	if s >= stateCount {
 		return fmt.Sprintf("State(%d)", uint8(s))
@@ -94,6 +95,7 @@
 	CloseShutdown:            "shutdown",
 }
 
+// String names the reason, for logs and tests.
 func (r CloseReason) String() string {
 	if r == 0 || r >= closeReasonCount {
 		return fmt.Sprintf("CloseReason(%d)", uint8(r))
--- a/internal/handover/transfer/packet.go
+++ b/internal/handover/transfer/packet.go
@@ -87,6 +87,7 @@
 	Err    error  // the cause; may be nil
 }
 
+// Error says which packet failed, and why.
 func (e *PacketError) Error() string {
 	text := fmt.Sprintf("hand-over: packet %q: %s", e.Kind, e.Reason)
 	if e.Err != nil {
--- a/internal/sendgate/sendgate.go
+++ b/internal/sendgate/sendgate.go
@@ -35,6 +35,7 @@
 // a time, of which Remaining is left.
 type RetryAfterError struct{ Remaining policy.Time }
 
+// Error says how long the wait still is.
 func (e RetryAfterError) Error() string {
 	return fmt.Sprintf("told to wait for %.3f s more", float64(e.Remaining)/1e6)
 }
--- a/internal/tomlfile/checker.go
+++ b/internal/tomlfile/checker.go
@@ -16,6 +16,7 @@
 	Text string
 }
 
+// Error says file, line and key of what is wrong.
 func (e *Error) Error() string {
 	s := e.File
 	if e.Line > 0 {
