--- a/internal/core/attempt.go
+++ b/internal/core/attempt.go
@@ -10,38 +10,39 @@
 
 const microsPerMilli = 1000
 
-// errNotLogged is the error of an attempt that never left since it was not logged.
+// errNotLogged is the error of an attempt that was not sent because it could not be logged.
 var errNotLogged = errors.New("attempt not logged")
 
-// Call is one attempt of a message. The driver makes it once it is logged.
+// Call is one attempt to deliver a message. The driver makes the call after the attempt is
+// logged.
 type Call struct {
-	Record     *Record // of its message
+	Record     *Record // of the message
 	Endpoint   policy.EndpointID
-	Timeout    policy.Time // how long it may take
-	SendBy     policy.Time // its last byte is sent by then or never; 0 for any time
-	WarmingUp  bool        // its endpoint has one connection opened at a time
-	MayConnect bool        // it may open a connection, also where its endpoint warms up
-	Handle     any         // of the driver
+	Timeout    policy.Time // maximum duration
+	SendBy     policy.Time // deadline for sending the last byte; 0 for none
+	WarmingUp  bool        // only one connection at a time is opened to the endpoint
+	MayConnect bool        // may open a connection even if the endpoint is warming up
+	Handle     any         // for use by the driver
 
 	message          *message
-	endpoint         *endpointState // nil where it is not known any more
+	endpoint         *endpointState // nil if the endpoint has been forgotten
 	independentRoute bool           // see Core.hasIndependentRoutes
 	attempt          int
 	sentAt           policy.Time
 }
 
-// SentAt is when the call was begun.
+// SentAt returns the time at which the call was begun.
 func (c *Call) SentAt() policy.Time { return c.sentAt }
 
-// sendOrDefer begins the attempt that an action asks for, or keeps it for when it may
-// be begun.
+// sendOrDefer starts the attempt that an action asks for, or stores the action until the
+// attempt may be started.
 func (c *Core) sendOrDefer(action *policy.Action) {
 	m := c.messages.byNumber[action.Message]
 	if m == nil {
 		return
 	}
 	m.attempts++
-	send := *action // the memory of actions is reused
+	send := *action // a copy, because the memory of actions is reused
 	if m.acknowledged && !c.mustDeferSend(m) {
 		c.startAttempt(m, &send)
 	} else {
@@ -49,8 +50,8 @@
 	}
 }
 
-// startAttempt logs an attempt and makes its call after that, unless there is no time
-// or no endpoint for it any more.
+// startAttempt logs an attempt and then makes its call. If the time is up, or if the
+// endpoint can no longer be used, it reports the attempt as not sent.
 func (c *Core) startAttempt(m *message, send *policy.Action) {
 	endpoint := c.endpoints.byNumber[send.Endpoint]
 	timeout := send.TimeoutAt - c.now
@@ -68,7 +69,7 @@
 	c.emit(AppendThenSend{Record: record, Call: call})
 }
 
-// openCall makes a call the open one of its message at an endpoint.
+// openCall registers a call as the open call of a message, at an endpoint.
 func (c *Core) openCall(call *Call, m *message, endpoint *endpointState, sentAt policy.Time) {
 	call.Record, call.Endpoint = m.record, endpoint.number
 	call.message, call.endpoint = m, endpoint
@@ -79,7 +80,7 @@
 	c.openCalls++
 }
 
-// closeCall ends what openCall began.
+// closeCall reverts openCall.
 func (c *Core) closeCall(call *Call) {
 	if endpoint := call.endpoint; endpoint != nil {
 		endpoint.calls = slices.DeleteFunc(endpoint.calls, func(other *Call) bool { return other == call })
@@ -102,7 +103,7 @@
 	}
 }
 
-// cancelAttempt cancels the last attempt of a message, if that is the one asked for.
+// cancelAttempt cancels an attempt if it is the last one of its message.
 func (c *Core) cancelAttempt(action *policy.Action) {
 	m := c.messages.byNumber[action.Message]
 	if m == nil || action.Attempt != m.attempts-1 {
@@ -118,7 +119,7 @@
 	}
 }
 
-// reportNotSent reports an attempt that was never sent to the policy, in the next step.
+// reportNotSent reports to the policy, in the next step, that an attempt was never sent.
 func (c *Core) reportNotSent(m *message, number policy.EndpointID) {
 	call := &Call{Record: m.record, message: m, endpoint: c.endpoints.byNumber[number], attempt: m.attempts - 1}
 	c.deferredEvents = append(c.deferredEvents, AttemptNotLogged{Call: call})
--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -1,14 +1,15 @@
-// Package core is the life cycle of messages as a deterministic state machine:
-// events go in, it steps the policy, and effects come out that drivers execute.
+// Package core implements the life cycle of messages as a deterministic state machine.
+// It takes in events, runs the policy on them, and returns effects for drivers to execute.
 //
-// It owns which messages are held, which calls are open, and the order in which
-// things are logged, replied and sent. A message that ends in the step that
-// received it is rejected and never logged; any other is logged, then
-// acknowledged, then sent, and each attempt is logged before its first byte.
+// The package keeps track of the held messages and the open calls, and defines the order
+// of log records, replies and sends. A message that ends in the step that received it is
+// rejected and never logged. Any other message is logged, then acknowledged, then sent,
+// and each attempt is logged before the first byte of its call.
 //
-// It must never start a goroutine, read a clock, touch a socket or a file, draw a
-// random number or depend on the order of a map: the same events at the same times
-// give the same effects. It decides nothing that package policy can decide.
+// The same events at the same times give the same effects. Therefore the package starts
+// no goroutine, reads no clock, uses no socket or file, draws no random number, and does
+// not depend on the iteration order of a map. It leaves every decision that package policy
+// can make to that package.
 //
 // The files follow the phases of a message: submit, reply, attempt, outcome, end;
 // then recovery, shutdown, handover and passivation.
@@ -23,23 +24,24 @@
 	"troutusher/policy"
 )
 
-// Settings are what a core is given at its start. Zones, Kinds, Classes and Tenants
-// are the indexes of names in the settings of the policy.
+// Settings are the settings of a core. Zones, Kinds, Classes and Tenants map names to
+// their indexes in the settings of the policy.
 type Settings struct {
 	Policy  policy.Settings
 	Seed    uint64
-	Epoch   int64 // Unix microseconds at time 0 of its clock
+	Epoch   int64 // Unix time, in microseconds, of time 0 of the core's clock
 	Zones   map[string]int
 	Kinds   map[string]int
 	Classes map[string]int
 	Tenants map[string]int
-	// TracesPerSecond is how many messages a second are traced in the log from their
-	// submission on.
+	// TracesPerSecond is the maximum number of messages per second whose trace is logged,
+	// from their submission on.
 	TracesPerSecond int
-	// Passivation says which destinations are passivated; the zero value is for none.
+	// Passivation limits the active destinations; with the zero value, none is passivated.
 	Passivation idlestore.Limits
-	// ConnectionCost is what opening a connection costs a destination of a flavor, in
-	// calls; nil where it costs nothing anywhere. Its results must not change.
+	// ConnectionCost returns the cost to a destination of opening a connection to an
+	// endpoint of a flavor, in calls. It must always return the same result for the same
+	// arguments. It is nil if connections cost nothing.
 	ConnectionCost func(dest int, flavor string) float64
 }
 
@@ -52,29 +54,29 @@
 	messages          messageTable
 	endpoints         endpointTable
 	knownDestinations map[int]bool        // active destinations that a list has named
-	retryAfter        map[int]policy.Time // by destination: nothing is sent before
-	listUpdate        *listUpdate         // an endpoint list that is applied in part; nil for none
-	listBatchSize     int                 // how many of its members are applied in one step
+	retryAfter        map[int]policy.Time // by destination: the time before which nothing is sent
+	listUpdate        *listUpdate         // the endpoint list that has been applied in part; nil for none
+	listBatchSize     int                 // members of listUpdate that are applied in one step
 	passivation       passivationState
 	deferral          deferral
 	shutdown          shutdown
 
-	policyEvents   []policy.Event  // for the next step of the policy
-	actions        []policy.Action // of its last step; the memory is reused
-	deferredEvents []Event         // for the next step
+	policyEvents   []policy.Event  // input of the policy's next step
+	actions        []policy.Action // output of the policy's last step; the memory is reused
+	deferredEvents []Event         // to be handled in the next step
 	timers         timers
-	effects        []Effect // of this step
+	effects        []Effect // output of the current step
 
 	classCounts    []ClassCounts // by class, in the order of the settings
 	metrics        *metrics.Recorder
 	traceSampler   *msgtrace.Sampler
 	openCalls      int
-	listRevision   int64  // of the endpoint list that was heard last
+	listRevision   int64  // of the last endpoint list received
 	stateVersion   uint64 // see StateVersion
 	completedCalls uint64
 }
 
-// New makes a core that holds no message.
+// New returns a core that holds no message.
 func New(settings Settings) (*Core, error) {
 	engine, err := policy.New(settings.Policy, settings.Seed)
 	if err != nil {
@@ -95,8 +97,8 @@
 	}, nil
 }
 
-// Observe takes in what happened without a decision of the policy, and appends what
-// follows at once to effects.
+// Observe handles events without running the policy. It appends the effects that follow
+// from the events alone to effects.
 func (c *Core) Observe(now policy.Time, events []Event, effects []Effect) []Effect {
 	c.beginStep(now, effects)
 	deferred := c.deferredEvents
@@ -110,8 +112,8 @@
 	return c.takeEffects()
 }
 
-// Step takes in what happened by now, lets the policy decide, and appends what is to
-// be done to effects, in order.
+// Step handles the events that happened up to now and runs the policy. It appends the
+// resulting effects to effects, in the order in which they are to be executed.
 func (c *Core) Step(now policy.Time, events []Event, effects []Effect) []Effect {
 	c.effects = c.Observe(now, events, effects)
 	if c.listUpdate != nil && c.applyListBatch(c.listBatchSize) {
@@ -130,7 +132,7 @@
 	return c.takeEffects()
 }
 
-// handleEvent applies one event and passes it on to the policy.
+// handleEvent applies one event and queues a policy event where the policy needs to know.
 func (c *Core) handleEvent(event Event) {
 	switch event := event.(type) {
 	case Submitted:
@@ -161,27 +163,29 @@
 	}
 }
 
-// NextWakeup is the time at which to call Step though nothing happens; 0 for none.
+// NextWakeup returns the time at which Step must be called even if there is no event; 0
+// for none.
 func (c *Core) NextWakeup() policy.Time { return c.timers.next() }
 
-// HeldMessages is how many messages are held.
+// HeldMessages returns the number of held messages.
 func (c *Core) HeldMessages() int { return c.messages.held }
 
-// OpenCalls is how many calls are open.
+// OpenCalls returns the number of open calls.
 func (c *Core) OpenCalls() int { return c.openCalls }
 
-// UnansweredRequests is how many requests have no reply yet.
+// UnansweredRequests returns the number of requests that have no reply yet.
 func (c *Core) UnansweredRequests() int { return len(c.messages.unanswered) }
 
-// ListRevision is the revision of the endpoint list that was heard last.
+// ListRevision returns the revision of the last endpoint list received.
 func (c *Core) ListRevision() int64 { return c.listRevision }
 
-// beginStep sets the time, which never goes back, and where effects are appended.
+// beginStep sets the time and the slice to which effects are appended. If now lies before
+// the current time, the time stays as it is.
 func (c *Core) beginStep(now policy.Time, effects []Effect) {
 	c.now, c.effects = max(now, c.now), effects
 }
 
-// takeEffects ends a step.
+// takeEffects ends a step and returns its effects.
 func (c *Core) takeEffects() []Effect {
 	effects := c.effects
 	c.effects = nil
@@ -192,13 +196,13 @@
 
 func (c *Core) appendRecord(record *Record) { c.emit(AppendRecord{Record: record}) }
 
-// wallTime is a time of the core's clock in Unix microseconds.
+// wallTime converts a time of the core's clock to Unix microseconds.
 func (c *Core) wallTime(t policy.Time) int64 { return c.settings.Epoch + t }
 
-// fromWallTime is a time in Unix microseconds on the core's clock.
+// fromWallTime converts Unix microseconds to a time of the core's clock.
 func (c *Core) fromWallTime(micros int64) policy.Time { return micros - c.settings.Epoch }
 
-// indexOf is the index of a name; -1 where there is none.
+// indexOf returns the index of a name, or -1 if there is none.
 func indexOf(indexes map[string]int, name string) int {
 	if i, ok := indexes[name]; ok {
 		return i
--- a/internal/core/deferral.go
+++ b/internal/core/deferral.go
@@ -6,20 +6,20 @@
 	"troutusher/policy"
 )
 
-// deferral says for which reasons no call is begun, and holds what waits for their end.
+// deferral holds the reasons for which calls are deferred, and the deferred health checks.
 type deferral struct {
 	handingOver  bool // another process may take over
-	awaitingList bool // the endpoint list may be old
+	awaitingList bool // the endpoint list may be outdated
 	healthChecks []policy.EndpointID
 }
 
 func (d *deferral) active() bool { return d.handingOver || d.awaitingList }
 
-// BeginHandover has no new call begun until ResumeSends. All else goes on.
+// BeginHandover defers all new calls until ResumeSends. Everything else continues.
 func (c *Core) BeginHandover() { c.deferral.handingOver = true }
 
-// ResumeSends ends BeginHandover: what was deferred is sent, where there is still time
-// for it.
+// ResumeSends ends the deferral that BeginHandover began. Deferred calls are sent if there is
+// still time for them.
 func (c *Core) ResumeSends(now policy.Time, effects []Effect) []Effect {
 	c.beginStep(now, effects)
 	c.deferral.handingOver = false
@@ -27,13 +27,13 @@
 	return c.takeEffects()
 }
 
-// DeferSends has no call or health check begun until the event Started: the endpoint
-// list that is known may be old, and nothing must be sent to an endpoint that has
-// drained since. Messages are accepted, replied to, logged and ended as ever, since no
-// client waits for calls.
+// DeferSends defers all calls and health checks until the event Started. The known endpoint
+// list may be outdated, and nothing may be sent to an endpoint that has been drained since.
+// Messages are still accepted, replied to, logged and ended, because clients do not wait for
+// calls.
 func (c *Core) DeferSends() { c.deferral.awaitingList = true }
 
-// endDeferral ends DeferSends.
+// endDeferral ends the deferral that DeferSends began.
 func (c *Core) endDeferral() {
 	if !c.deferral.awaitingList {
 		return
@@ -46,14 +46,16 @@
 	c.deferral.healthChecks = nil
 }
 
-// mustDeferSend reports whether a call of a message may not be begun, since this
-// process may not be there for its end. The policy goes on to count the attempt as
-// sent; if the process ends, the next one recovers the message from the log.
+// mustDeferSend reports whether a call of a message must not be started now, because the
+// endpoint list may be outdated or because this process may exit before the call ends. The
+// policy still counts the attempt as sent. If this process exits, the next one recovers the
+// message from the log.
 func (c *Core) mustDeferSend(m *message) bool {
 	return c.deferral.active() || c.sendsStopped(m.record.Class)
 }
 
-// sendDeferred sends what was deferred and may be sent now, oldest first.
+// sendDeferred starts the deferred attempts that may be sent now, those of the oldest
+// messages first.
 func (c *Core) sendDeferred() {
 	var deferred []*message
 	for _, m := range c.messages.byNumber {
--- a/internal/core/effect.go
+++ b/internal/core/effect.go
@@ -6,27 +6,27 @@
 	"troutusher/policy"
 )
 
-// Effect is something to be done. It is one of the types below; each says by its fields
-// what it carries. A driver executes effects one by one, in their order, which is an
-// invariant of the core:
+// Effect is an output of a core that a driver executes. It is one of the types below. The
+// driver executes effects one by one, in their order. The core guarantees this order:
 //
 //   - a message's log record, then the reply to its client, then its first send;
 //   - an attempt's record, then the first byte of its call;
 //   - an attempt's outcome record, then the record of the next attempt;
 //   - the record of a message's end, then the notice of it.
 //
-// Where an effect holds a record and something besides, the latter follows once the
-// record is written and never before.
+// If an effect holds a record and a second action, the driver starts the second action only
+// after the record is written.
 type Effect interface{ effect() }
 
-// Reply is the reply to a request: OK, an error, or else a rejection.
+// Reply is the reply to a request: an OK if OK is set, an error if Err is set, otherwise a
+// rejection.
 type Reply struct {
 	OK           bool
-	Err          error // what is wrong with the request, or nil
-	RetryAfterMS int64 // of a rejection: when to submit again, in ms; 0 where not known
+	Err          error // the fault of the request, or nil
+	RetryAfterMS int64 // of a rejection: ms until the client should submit again; 0 if unknown
 }
 
-// SendReply replies to a request at once: nothing of it is to be logged before.
+// SendReply replies to a request at once, without a log record before it.
 type SendReply struct {
 	Request *Request
 	Reply   Reply
@@ -36,74 +36,74 @@
 type AppendRecord struct{ Record *Record }
 
 // AppendThenReply appends the record of a request's message and then replies OK. If the
-// log cannot take it, the event LogWriteFailed comes back and there is no reply yet.
+// record cannot be written, the driver sends no reply and returns the event LogWriteFailed.
 type AppendThenReply struct{ Request *Request }
 
-// AppendThenSend appends the record of an attempt and then makes its call. If the log
-// cannot take it, the event AttemptNotLogged comes back and no call is made.
+// AppendThenSend appends the record of an attempt and then makes its call. If the record
+// cannot be written, the driver makes no call and returns the event AttemptNotLogged.
 type AppendThenSend struct {
 	Record *Record
 	Call   *Call
 }
 
-// AppendThenNotify appends the record of a message's end and then sends the notice of
-// it, which goes out even if it could not be logged.
+// AppendThenNotify appends the record of a message's end and then sends the notice of it.
+// The notice is sent even if the record cannot be written.
 type AppendThenNotify struct {
 	Record *Record
 	Notice Notice
 }
 
-// SendNotice sends a notice that is logged already.
+// SendNotice sends a notice whose record is already in the log.
 type SendNotice struct{ Notice Notice }
 
-// ResumeCall waits for the end of a call that an earlier process has written whole.
+// ResumeCall waits for the end of a call whose request an earlier process has written
+// completely.
 type ResumeCall struct{ Call *Call }
 
 // CancelCall cancels a call.
 type CancelCall struct{ Call *Call }
 
-// CheckHealth checks the health of an endpoint; the event HealthChecked comes back.
+// CheckHealth checks the health of an endpoint. The driver returns the event HealthChecked.
 type CheckHealth struct{ Endpoint policy.EndpointID }
 
-// OpenEndpoint makes an endpoint known to the driver: calls may follow.
+// OpenEndpoint adds an endpoint to the driver, so that calls to it may follow.
 type OpenEndpoint struct {
 	Endpoint         policy.EndpointID
 	Address          string
 	Dest             int
 	Flavor           string
-	IndependentRoute bool // a Retry-After of the endpoint binds it alone
+	IndependentRoute bool // a Retry-After of the endpoint applies to no other endpoint
 }
 
-// CloseEndpoint closes the connections to an endpoint and lets no call begin there, also
-// none whose attempt is logged already.
+// CloseEndpoint closes the connections to an endpoint. No call may begin there any more, not
+// even one whose attempt is already logged.
 type CloseEndpoint struct{ Endpoint policy.EndpointID }
 
-// ApplyRetryAfter lets nothing be sent to an endpoint before a time, nor to those that
-// share its Retry-After.
+// ApplyRetryAfter forbids sends before Until to an endpoint and to all endpoints that share
+// its Retry-After.
 type ApplyRetryAfter struct {
 	Endpoint policy.EndpointID
 	Until    policy.Time
 }
 
-// CloseIdleConnections closes the idle connections to an endpoint, which are not to be
-// trusted.
+// CloseIdleConnections closes the idle connections to an endpoint, because they may be dead.
 type CloseIdleConnections struct{ Endpoint policy.EndpointID }
 
-// ForgetEndpoint drops all that the driver knows of an endpoint.
+// ForgetEndpoint discards the driver's state of an endpoint.
 type ForgetEndpoint struct{ Endpoint policy.EndpointID }
 
-// PassivateDestination drops all that the driver knows of a destination. What binds the
-// destination is applied again as it becomes active.
+// PassivateDestination discards the driver's state of a destination. When the destination
+// is activated, its restrictions are applied again.
 type PassivateDestination struct{ Dest int }
 
-// Log writes a line to the log of the process.
+// Log writes a line to the process log.
 type Log struct {
 	Level slog.Level
 	Text  string
 	Args  []any
 }
 
-// StepAgain has the driver call Step once more, also if nothing happens.
+// StepAgain asks the driver to call Step again, even if there is no event.
 type StepAgain struct{}
 
 func (SendReply) effect()            {}
--- a/internal/core/end.go
+++ b/internal/core/end.go
@@ -8,19 +8,19 @@
 	"troutusher/policy"
 )
 
-// ClassCounts are how many messages of a class ended in each way: delivered; rejected
-// or handed back, so that submitting them again does no harm; failed. Each is counted
-// when it is certain: with the response of the call, with the rejection, or as the end
-// is logged and notified. A message that its client left before it was accepted is not
-// counted, and neither is one whose end its endpoint knew (410).
+// ClassCounts counts the ended messages of a class. Deferred counts messages that were
+// rejected or handed back, so that submitting them again does no harm. A message is counted
+// when its end is certain: at the response of the call, at the rejection, or when the end is
+// logged and notified. A message is not counted if its client disconnected before it was
+// accepted, or if its endpoint reported that the message had already ended (status 410).
 type ClassCounts struct{ Delivered, Deferred, Failed int64 }
 
-// CountsByClass are the counts of each class since the start, in the order of the
+// CountsByClass returns the counts of each class since the start, in the order of the
 // settings.
 func (c *Core) CountsByClass() []ClassCounts { return c.classCounts }
 
-// countsOf are the counts of a class. Those of a class that the settings do not name
-// are kept nowhere.
+// countsOf returns the counts of a class. For a class that the settings do not name, it
+// returns counts that are discarded.
 func (c *Core) countsOf(class string) *ClassCounts {
 	if i, ok := c.settings.Classes[class]; ok {
 		return &c.classCounts[i]
@@ -28,14 +28,14 @@
 	return &ClassCounts{}
 }
 
-// finish ends a message: the policy holds it no longer.
+// finish marks a message as ended and releases it. The policy no longer holds it.
 func (c *Core) finish(m *message) {
 	m.finished = true
 	c.messages.release(m)
 }
 
-// endMessage ends a message as the policy decided: it is rejected if it was submitted
-// in this step, else its end is logged and notified.
+// endMessage ends a message as the policy decided. If the message was submitted in this
+// step, it is rejected; otherwise its end is logged and notified.
 func (c *Core) endMessage(action *policy.Action, outcome string) {
 	m := c.messages.byNumber[action.Message]
 	if m == nil || m.finished {
@@ -67,7 +67,7 @@
 	c.metrics.Add(m.record.Dest, metrics.GivenUp, 1)
 }
 
-// rejectSubmitted replies to the client of a message that is not accepted.
+// rejectSubmitted rejects a message that was submitted in this step.
 func (c *Core) rejectSubmitted(m *message, action *policy.Action, outcome string) {
 	request := m.request
 	m.request = nil
@@ -82,12 +82,13 @@
 	c.finish(m)
 }
 
-// retryMS is the time after which to submit a message again, in ms, rounded up.
+// retryMS returns the time after which a client should submit a message again, in ms, rounded
+// up.
 func retryMS(action *policy.Action) int64 {
 	return (action.After + microsPerMilli - 1) / microsPerMilli
 }
 
-// appendEnding logs how a message ended and sends the notice of it after that.
+// appendEnding logs the end of a message and then sends the notice of it.
 func (c *Core) appendEnding(m *message, outcome string, retryMS int64) {
 	if outcome == NoticeGivenUp {
 		retryMS = 0
--- a/internal/core/endpoint.go
+++ b/internal/core/endpoint.go
@@ -6,7 +6,7 @@
 	"troutusher/policy"
 )
 
-// forgetRetiredAfter is how long an endpoint that has left is remembered.
+// forgetRetiredAfter is the minimum time for which a retired endpoint is remembered.
 const forgetRetiredAfter = policy.Time(10e6)
 
 // endpointState is one address of a destination.
@@ -17,25 +17,25 @@
 	zone        int
 	hostPort    string
 	flavor      string
-	open        bool   // the driver knows it
-	member      Member // as the list last had it
-	listed      bool   // the list holds it, maybe draining
+	open        bool   // the driver has been told of it by OpenEndpoint
+	member      Member // its last entry in the list
+	listed      bool   // the list contains it, possibly as draining
 	retired     bool   // drained, removed or moved: nothing new is sent there
 	retiredAt   policy.Time
-	retryAfter  policy.Time // where it is an independent route
-	lastReplyAt policy.Time // when it last responded at all
-	calls       []*Call     // the open ones
+	retryAfter  policy.Time // of an independent route
+	lastReplyAt policy.Time // time of the last response of any kind
+	calls       []*Call     // the open calls
 }
 
-// suspectsIdleConnections notes how a call ended and reports whether the endpoint's
-// idle connections are to be closed. After a machine was silent or died, each of them
-// would hang or be reset under a call that may then have run.
+// suspectsIdleConnections records the result of a call and reports whether the endpoint's
+// idle connections must be closed. After a machine was unresponsive or crashed, a call on such
+// a connection would hang or be reset, without certainty whether it has run.
 func (e *endpointState) suspectsIdleConnections(result *Result, now policy.Time) bool {
 	switch result.Outcome {
 	case policy.ConnectionReset, policy.ConnectFailed:
 		return true
 	case policy.TimedOut, policy.Cancelled:
-		// If a call that was sent later has had its response, this one alone was slow.
+		// If a response has arrived since this call was sent, only this call was slow.
 		return e.lastReplyAt < now-result.Elapsed
 	}
 	if result.Status != 0 || result.Malformed {
@@ -44,7 +44,7 @@
 	return false
 }
 
-// mayBeForgotten reports whether nothing more is to be known of an endpoint.
+// mayBeForgotten reports whether the state of an endpoint is no longer needed.
 func (e *endpointState) mayBeForgotten(now policy.Time) bool {
 	return e.retired && len(e.calls) == 0 && now > max(e.retiredAt+forgetRetiredAfter, e.retryAfter)
 }
@@ -52,7 +52,7 @@
 // endpointTable holds the endpoints of active destinations.
 type endpointTable struct {
 	lastNumber policy.EndpointID
-	all        []*endpointState // in the order in which they came
+	all        []*endpointState // in the order in which they were added
 	byID       map[string]*endpointState
 	byNumber   map[policy.EndpointID]*endpointState
 }
@@ -61,7 +61,7 @@
 	return endpointTable{byID: map[string]*endpointState{}, byNumber: map[policy.EndpointID]*endpointState{}}
 }
 
-// getOrAdd is the endpoint of an id, which is added if it is new.
+// getOrAdd returns the endpoint with an id, and adds it if it is new.
 func (t *endpointTable) getOrAdd(id string) *endpointState {
 	if endpoint := t.byID[id]; endpoint != nil {
 		return endpoint
@@ -73,7 +73,8 @@
 	return endpoint
 }
 
-// removeFunc removes the endpoints that remove reports true for, in their order.
+// removeFunc removes the endpoints for which remove returns true. It calls remove in the order
+// of the endpoints.
 func (t *endpointTable) removeFunc(remove func(*endpointState) bool) {
 	t.all = slices.DeleteFunc(t.all, func(endpoint *endpointState) bool {
 		if !remove(endpoint) {
@@ -85,7 +86,7 @@
 	})
 }
 
-// EndpointCount is how many endpoints are known.
+// EndpointCount returns the number of known endpoints.
 func (c *Core) EndpointCount() int {
 	if store := c.passivation.store; store != nil {
 		return len(c.endpoints.all) + store.Endpoints()
@@ -93,8 +94,8 @@
 	return len(c.endpoints.all)
 }
 
-// ListedEndpoints is how many endpoints the list holds, draining ones among them, and
-// how many of these get nothing new now.
+// ListedEndpoints returns the number of endpoints in the list, including draining ones, and
+// how many of these receive no new calls at present.
 func (c *Core) ListedEndpoints() (listed, avoided int) {
 	for _, endpoint := range c.endpoints.all {
 		if !endpoint.listed {
@@ -111,8 +112,8 @@
 	return listed, avoided
 }
 
-// updateEndpoint applies a member of the list to its endpoint, and returns what the
-// policy is to know of it.
+// updateEndpoint applies a member of the list to its endpoint, and returns the update for the
+// policy.
 func (c *Core) updateEndpoint(member *Member) policy.EndpointUpdate {
 	endpoint := c.endpoints.getOrAdd(member.ID)
 	removed := member.Phase == Removed
@@ -126,7 +127,7 @@
 			IndependentRoute: c.hasIndependentRoutes(member.Flavor),
 		})
 	}
-	c.applyRetryAfter(endpoint) // it may have joined a destination that has one
+	c.applyRetryAfter(endpoint) // its destination may already have a Retry-After
 	if !removed {
 		c.knownDestinations[member.Dest] = true
 		endpoint.member = *member
@@ -143,18 +144,19 @@
 	return update
 }
 
-// moveEndpoint applies that an endpoint has moved under its old id, or that its identity
-// is to be proved in another way: nothing more is sent to the old place.
+// moveEndpoint handles an endpoint that has kept its id but has a new address or destination,
+// or whose identity must now be verified in another way. Nothing more is sent to the old
+// address.
 func (c *Core) moveEndpoint(endpoint *endpointState, member *Member) {
-	otherIdentity := endpoint.flavor != member.Flavor && c.settings.ConnectionCost != nil
-	if endpoint.hostPort == member.HostPort && endpoint.dest == member.Dest && !otherIdentity {
+	identityChanged := endpoint.flavor != member.Flavor && c.settings.ConnectionCost != nil
+	if endpoint.hostPort == member.HostPort && endpoint.dest == member.Dest && !identityChanged {
 		return
 	}
 	c.retireEndpoint(endpoint)
 	endpoint.hostPort, endpoint.dest, endpoint.flavor = member.HostPort, member.Dest, member.Flavor
 }
 
-// endpointUpdate is a member of the list as it is reported to the policy.
+// endpointUpdate returns a member of the list in the form that the policy takes.
 func (c *Core) endpointUpdate(endpoint *endpointState, member *Member) policy.EndpointUpdate {
 	update := policy.EndpointUpdate{
 		Endpoint: endpoint.number, Zone: indexOf(c.settings.Zones, member.Locality),
@@ -173,8 +175,8 @@
 	return update
 }
 
-// retireEndpoint lets nothing new be sent to an endpoint; a call that still waits for a
-// connection there would begin too late.
+// retireEndpoint stops new sends to an endpoint. A call that still waits for a connection
+// there is stopped as well, because it would begin too late.
 func (c *Core) retireEndpoint(endpoint *endpointState) {
 	if !endpoint.retired {
 		endpoint.retired, endpoint.retiredAt = true, c.now
@@ -184,15 +186,16 @@
 	}
 }
 
-// hasUsableEndpoint reports whether the list holds an endpoint of a destination to
-// which something new may be sent.
+// hasUsableEndpoint reports whether the list contains an endpoint of a destination that may
+// receive new calls.
 func (c *Core) hasUsableEndpoint(dest int) bool {
 	return slices.ContainsFunc(c.endpoints.all, func(endpoint *endpointState) bool {
 		return endpoint.dest == dest && endpoint.listed && !endpoint.retired
 	})
 }
 
-// handoverMembers are the endpoints that another core should know.
+// handoverMembers returns the endpoints of active destinations that another core needs to
+// know.
 func (c *Core) handoverMembers() (all []HandoverMember) {
 	for _, endpoint := range c.endpoints.all {
 		member := HandoverMember{Member: endpoint.member, Number: endpoint.number, RetryAfter: endpoint.retryAfter}
--- a/internal/core/event.go
+++ b/internal/core/event.go
@@ -2,55 +2,56 @@
 
 import "troutusher/policy"
 
-// Event is something that happened, passed to a core by Observe or Step. It is one of
-// the types below; each says by its fields what it carries.
+// Event is an input of a core, passed to Observe or Step. It is one of the types below.
 type Event interface{ event() }
 
-// Submitted submits a message.
+// Submitted reports that a client submitted a message.
 type Submitted struct{ Request *Request }
 
-// ReplyDelivered says that the reply to a request was delivered, or that its client left
-// before it (OK is false).
+// ReplyDelivered reports that the reply to a request was delivered, or, if OK is false,
+// that the client disconnected before that.
 type ReplyDelivered struct {
 	Request *Request
 	OK      bool
 }
 
-// LogWriteFailed says that the log could not take the message of a request.
+// LogWriteFailed reports that the message of a request could not be written to the log.
 type LogWriteFailed struct{ Request *Request }
 
-// EndpointListUpdated brings the endpoint list or a change of it.
+// EndpointListUpdated carries a complete endpoint list or a change to it.
 type EndpointListUpdated struct {
 	List *EndpointList
 	Kind policy.ListUpdateKind
 }
 
-// AttemptFinished says how a call ended.
+// AttemptFinished reports the result of a call.
 type AttemptFinished struct {
 	Call   *Call
 	Result *Result
 }
 
-// AttemptNotLogged says that the attempt of a call could not be logged: it was not made.
+// AttemptNotLogged reports that a call was not made because its attempt could not be logged.
 type AttemptNotLogged struct{ Call *Call }
 
-// HealthChecked says how a health check ended.
+// HealthChecked reports the result of a health check.
 type HealthChecked struct {
 	Endpoint policy.EndpointID
 	Result   *Result
 }
 
-// IdentityRejected says that the identity of an endpoint is not proved, so that nothing
-// is sent there for Duration; a Duration of 0 says that it is proved again.
+// IdentityRejected reports that the identity of an endpoint could not be verified. Nothing
+// is sent to the endpoint for Duration. A Duration of 0 reports that the identity has been
+// verified again.
 type IdentityRejected struct {
 	Endpoint policy.EndpointID
 	Duration policy.Time
 }
 
-// ShutdownRequested says that the relay is to shut down.
+// ShutdownRequested asks the relay to shut down.
 type ShutdownRequested struct{}
 
-// Started ends DeferSends: the endpoint list was heard, or waited for long enough.
+// Started ends Core.DeferSends: either the endpoint list has arrived, or the wait for it
+// has timed out.
 type Started struct{}
 
 func (Submitted) event()           {}
--- a/internal/core/handover.go
+++ b/internal/core/handover.go
@@ -7,15 +7,15 @@
 	"troutusher/policy"
 )
 
-// A core can be handed over to another process. The messages that it holds are in the
-// log, where the other core reads them; what the log does not have goes as a
-// HandoverState. Until the other core has all of it, this one can go on as if nothing
-// had been asked of it.
+// A core can be handed over to another process. The core of the other process reads the held
+// messages from the log. State that is not in the log is passed as a HandoverState. Until the
+// other core has all of this state, the exporting core can still continue as if no hand-over
+// had been requested.
 
-// HandoverState is what a core knows beside its log. Times are those of the exporting
-// core's clock.
+// HandoverState is the state of a core that is not in its log. Times are times of the
+// exporting core's clock.
 type HandoverState struct {
-	Revision          int64                `json:"revision,omitempty"` // of its endpoint list
+	Revision          int64                `json:"revision,omitempty"` // of the endpoint list
 	Members           []HandoverMember     `json:"members"`
 	KnownDestinations []int                `json:"named"`
 	RetryAfters       []HandoverRetryAfter `json:"waits,omitempty"`
@@ -24,24 +24,25 @@
 	Policy            *policy.Snapshot     `json:"policy"`
 }
 
-// HandoverMember is an endpoint that the list holds, or one that has left and that a
-// Retry-After or a call still binds.
+// HandoverMember is an endpoint that the list contains, or one that has been removed from it
+// and still has a Retry-After in force or an open call.
 type HandoverMember struct {
 	Member
 	Number     policy.EndpointID `json:"number"`
 	RetryAfter policy.Time       `json:"wait_until,omitempty"`
 }
 
-// HandoverRetryAfter is a Retry-After that binds a whole destination.
+// HandoverRetryAfter is a Retry-After that applies to all endpoints of a destination.
 type HandoverRetryAfter struct {
 	Dest  int         `json:"dest"`
 	Until policy.Time `json:"until"`
 }
 
-// HandoverCall is a call that is written whole and has no response yet.
+// HandoverCall is a call whose request has been written completely and that has no response
+// yet.
 type HandoverCall struct {
 	Message  string      `json:"message"`
-	Endpoint string      `json:"endpoint"` // its id
+	Endpoint string      `json:"endpoint"` // the endpoint's id
 	SentAt   policy.Time `json:"sent"`
 	Deadline policy.Time `json:"until"`
 	call     *Call
@@ -53,11 +54,11 @@
 	Weight  float64 `json:"worth"`
 }
 
-// Call is the call in the exporting core.
+// Call returns the call in the exporting core.
 func (h *HandoverCall) Call() *Call { return h.call }
 
-// ExportHandover returns what another core needs to go on in this one's place. No
-// request may be without its reply, and no call be written in part.
+// ExportHandover returns the state that another core needs to replace this one. It may only be
+// called when every request has its reply and no call is partly written.
 func (c *Core) ExportHandover(now policy.Time) *HandoverState {
 	c.now = max(now, c.now)
 	c.finishListUpdate()
@@ -85,20 +86,20 @@
 	return state
 }
 
-// owedMessages are the accepted messages that have not ended, oldest first.
+// owedMessages returns the accepted messages that have not ended, oldest first.
 func (c *Core) owedMessages() []*message {
-	owed := make([]*message, 0, len(c.messages.byNumber))
+	unfinished := make([]*message, 0, len(c.messages.byNumber))
 	for _, m := range c.messages.byNumber {
 		if !m.finished && m.logged {
-			owed = append(owed, m)
+			unfinished = append(unfinished, m)
 		}
 	}
-	slices.SortFunc(owed, byAge)
-	return owed
+	slices.SortFunc(unfinished, byAge)
+	return unfinished
 }
 
-// importedHandover is what recovery needs of a HandoverState, by message. Its zero value
-// is for a process that nothing was handed over to.
+// importedHandover is the part of a HandoverState that the recovery of messages needs, by
+// message. The zero value means that nothing was handed over to this process.
 type importedHandover struct {
 	present bool
 	calls   map[string]*HandoverCall
@@ -106,7 +107,7 @@
 	shift   policy.Time // from the exporting core's clock to this one's
 }
 
-// importHandover takes over what another core knew.
+// importHandover takes over the state of another core.
 func (c *Core) importHandover(state *HandoverState, shift policy.Time) importedHandover {
 	for _, retryAfter := range state.RetryAfters {
 		c.extendRetryAfter(retryAfter.Dest, retryAfter.Until+shift)
@@ -133,8 +134,8 @@
 	return imported
 }
 
-// importPolicy takes over the state of another core's policy, and the Retry-Afters of
-// its endpoints.
+// importPolicy takes over the state of another core's policy and the Retry-Afters of its
+// endpoints.
 func (c *Core) importPolicy(state *HandoverState, shift policy.Time) {
 	snapshot := state.Policy
 	if snapshot == nil {
@@ -153,8 +154,8 @@
 	}
 }
 
-// resumeCall opens a call that was handed over: the driver waits for its end, and the
-// event of its message tells the policy of it.
+// resumeCall opens a call that was handed over. The driver waits for the end of the call. The
+// call is added to event, which reports the message to the policy.
 func (c *Core) resumeCall(m *message, handedOver *HandoverCall, shift policy.Time, event *policy.Event) {
 	endpoint := c.endpoints.byID[handedOver.Endpoint]
 	if endpoint == nil {
--- a/internal/core/list.go
+++ b/internal/core/list.go
@@ -12,9 +12,9 @@
 // Member is an endpoint in the endpoint list.
 type Member = membership.Member
 
-// EndpointList is the endpoint list of discovery, or a change of it.
+// EndpointList is the endpoint list from discovery, or a change to it.
 type EndpointList struct {
 	Revision int64    `json:"revision"`
-	Complete bool     `json:"complete"` // it names every endpoint there is
+	Complete bool     `json:"complete"` // Members contains every existing endpoint
 	Members  []Member `json:"members"`
 }
--- a/internal/core/listupdate.go
+++ b/internal/core/listupdate.go
@@ -7,20 +7,21 @@
 	"troutusher/policy"
 )
 
-// defaultListBatchSize is how many members of a list are applied in one step, beside
-// those of active destinations: a list of a million must not keep clients waiting.
+// defaultListBatchSize is the maximum number of list members that are applied in one step, in
+// addition to those of active destinations. Otherwise a list of a million members would keep
+// clients waiting.
 const defaultListBatchSize = 4096
 
-// listUpdate is an endpoint list that is being applied. What concerns active
-// destinations is applied at once, since a drain must be obeyed; the rest follows in
-// batches.
+// listUpdate is an endpoint list that is being applied. Members of active destinations are
+// applied at once, because a drain must take effect immediately. The others follow in batches.
 type listUpdate struct {
 	list     *EndpointList
-	complete bool   // it names every endpoint there is
-	applied  []bool // by member
-	next     int    // the first member of the next batch
-	// unnamed are endpoints that were activated meanwhile and that a complete list has
-	// not named yet: if it does not, they have left.
+	complete bool   // the list contains every existing endpoint
+	applied  []bool // by index of the member
+	next     int    // index of the first member of the next batch
+	// unnamed holds the endpoints that were activated during the update and that the
+	// applied part of a complete list has not named. Those that the rest does not name
+	// either are removed.
 	unnamed map[string]bool
 }
 
@@ -31,8 +32,8 @@
 	}
 }
 
-// applyList begins to apply an endpoint list. One that is under way is finished first:
-// the newer one must have the last word.
+// applyList begins to apply an endpoint list. It first finishes a list that is still being
+// applied, so that the newer list takes precedence.
 func (c *Core) applyList(list *EndpointList, kind policy.ListUpdateKind) {
 	c.finishListUpdate()
 	c.listRevision = list.Revision
@@ -58,8 +59,8 @@
 	c.applyListBatch(c.listBatchSize)
 }
 
-// applyActiveMembers applies the members that concern active destinations. It returns
-// the endpoints that they named and what the policy is to know of them.
+// applyActiveMembers applies the members that concern active destinations. It returns the ids
+// of the endpoints that they name, and the updates for the policy.
 func (c *Core) applyActiveMembers(update *listUpdate) (named map[string]bool, updates []policy.EndpointUpdate) {
 	members := update.list.Members
 	for i := range members {
@@ -73,7 +74,7 @@
 		}
 		update.applied[i] = true
 		if member.Check() != nil {
-			continue // in the list of the configuration; that of discovery was checked
+			continue // only in the list of the configuration: that of discovery was checked before
 		}
 		if endpoint, active := c.applyMember(member); active {
 			named[member.ID] = true
@@ -83,8 +84,8 @@
 	return named, updates
 }
 
-// forgetRetired forgets endpoints that have left for long, other than the named ones:
-// the changes of a long day must not fill the memory.
+// forgetRetired forgets endpoints that were retired long ago, except the named ones.
+// Otherwise retired endpoints would accumulate in memory.
 func (c *Core) forgetRetired(named map[string]bool) {
 	c.endpoints.removeFunc(func(endpoint *endpointState) bool {
 		if named[endpoint.id] || !endpoint.mayBeForgotten(c.now) {
@@ -95,8 +96,8 @@
 	})
 }
 
-// applyListBatch applies the next members of the list, limit at most, and reports
-// whether any are left.
+// applyListBatch applies the next members of the list, at most limit of them, and reports
+// whether there are more.
 func (c *Core) applyListBatch(limit int) (more bool) {
 	update := c.listUpdate
 	var updates []policy.EndpointUpdate
@@ -125,7 +126,7 @@
 	return more
 }
 
-// removeUnnamed removes the endpoints that a complete list should have named.
+// removeUnnamed removes the activated endpoints that a complete list has not named.
 func (c *Core) removeUnnamed(update *listUpdate) (updates []policy.EndpointUpdate) {
 	for _, id := range slices.Sorted(maps.Keys(update.unnamed)) {
 		if endpoint := c.endpoints.byID[id]; endpoint != nil {
@@ -135,7 +136,7 @@
 	return updates
 }
 
-// endListUpdate ends a list whose members are all applied.
+// endListUpdate ends the update after all members of its list have been applied.
 func (c *Core) endListUpdate(update *listUpdate) {
 	if store := c.passivation.store; store != nil && update.complete {
 		for _, dest := range store.EndList() {
@@ -146,7 +147,7 @@
 	c.forgetDeparted()
 }
 
-// finishListUpdate applies all that is left of a list.
+// finishListUpdate applies the remaining members of a list that is being applied.
 func (c *Core) finishListUpdate() {
 	for more := c.listUpdate != nil; more; {
 		more = c.applyListBatch(c.listBatchSize)
--- a/internal/core/message.go
+++ b/internal/core/message.go
@@ -6,29 +6,29 @@
 	"troutusher/policy"
 )
 
-// message is what is known of a message from its submission until it has ended and
-// its last call is closed.
+// message is the state of a message from its submission until it has ended and its last call
+// is closed.
 type message struct {
 	number        uint32
 	record        *Record
 	receivedAt    policy.Time
-	request       *Request // until it is replied to
-	acknowledged  bool     // its client knows that it was accepted
-	logged        bool     // the log has it, or will
-	finished      bool     // it has ended
+	request       *Request // set until the message is accepted or rejected
+	acknowledged  bool     // the client knows that the message was accepted
+	logged        bool     // the message is in the log, or its record is about to be appended
+	finished      bool     // the message has ended
 	attempts      int
 	traced        bool           // see Core.trace
-	pendingSend   *policy.Action // a send that waits for the acknowledgement, or is deferred
-	pendingEnding *Record        // its end, which waits for the acknowledgement
+	pendingSend   *policy.Action // a send that is deferred or waits for the acknowledgement
+	pendingEnding *Record        // the end of the message, which waits for the acknowledgement
 	recoveryState recoveryState
-	call          *Call // the open one
+	call          *Call // the open call
 }
 
 // messageTable holds the messages of a core.
 type messageTable struct {
 	lastNumber uint32
-	byNumber   map[uint32]*message // the held ones, and those with an open call
-	byID       map[string]*message // the held ones
+	byNumber   map[uint32]*message // held messages, and ended ones that release has kept
+	byID       map[string]*message // held messages
 	unanswered map[*Request]*message
 	held       int
 }
@@ -39,7 +39,7 @@
 	}
 }
 
-// add holds a message under a number of its own.
+// add adds a held message and assigns a new number to it.
 func (t *messageTable) add(record *Record, now policy.Time) *message {
 	t.lastNumber++
 	m := &message{number: t.lastNumber, record: record, receivedAt: now}
@@ -48,8 +48,8 @@
 	return m
 }
 
-// release holds a message no longer. It is still found by its number while a call of
-// it is open or to be reported.
+// release removes a message from the held ones. The message can still be found by its number
+// while it has an open call, or an attempt that is not yet reported to the policy.
 func (t *messageTable) release(m *message) {
 	t.held--
 	delete(t.byID, m.record.ID)
@@ -60,20 +60,20 @@
 
 func (t *messageTable) forget(m *message) { delete(t.byNumber, m.number) }
 
-// byAge compares messages by the order in which they came.
+// byAge compares messages by the order in which they were added.
 func byAge(a, b *message) int { return int(a.number) - int(b.number) }
 
-// remainingMS is how much time a message has left, in ms.
+// remainingMS returns the time until the deadline of a message, in ms.
 func (c *Core) remainingMS(m *message) int64 {
 	return (c.fromWallTime(m.record.Deadline) - c.now) / microsPerMilli
 }
 
-// log writes a line to the log of the process.
+// log writes a line to the process log.
 func (c *Core) log(level slog.Level, text string, args ...any) {
 	c.emit(Log{Level: level, Text: text, Args: args})
 }
 
-// trace logs one step of a message's life, if the message is traced.
+// trace logs an event in the life of a message, if the message is traced.
 func (c *Core) trace(m *message, text string, args ...any) {
 	if !m.traced {
 		return
--- a/internal/core/outcome.go
+++ b/internal/core/outcome.go
@@ -8,24 +8,24 @@
 	"troutusher/policy"
 )
 
-// Result is how a call or a health check ended.
+// Result is the result of a call or of a health check.
 type Result struct {
 	Outcome           policy.Outcome
-	RetryAfter        policy.Time // as its endpoint asked for; 0 for none
-	SlotsExhausted    bool        // it was not sent, since all slots were taken
-	Final             bool        // the message has ended
-	ConnectionsOpened int         // for it
+	RetryAfter        policy.Time // that the endpoint asked for; 0 for none
+	SlotsExhausted    bool        // the call was not sent because all slots were taken
+	Final             bool        // the call has ended the message
+	ConnectionsOpened int         // for this call
 	Elapsed           policy.Time
 	Load              policy.LoadReport
-	Status            int  // of the response; 0 for none
-	Malformed         bool // a response came that cannot be trusted
+	Status            int  // HTTP status of the response; 0 for none
+	Malformed         bool // a response arrived that cannot be trusted
 	Err               error
 }
 
-// neverLeft reports whether an attempt never left the relay: no endpoint saw it.
+// neverLeft reports whether an attempt never left the relay, so that no endpoint has seen it.
 func (r *Result) neverLeft() bool { return r.Outcome == policy.NotSent && r.Status == 0 }
 
-// outcomeMetrics are the names of outcomes in the metrics.
+// outcomeMetrics maps outcomes to the names of their metrics.
 var outcomeMetrics = map[policy.Outcome]string{
 	policy.Delivered:       metrics.Delivered,
 	policy.Failed:          metrics.Failed,
@@ -37,14 +37,15 @@
 	policy.NotSent:         metrics.NotSent,
 }
 
-// finishAttempt applies the end of an attempt: its record, if the attempt was logged,
-// or the last one of its message comes before whatever the policy does next.
+// finishAttempt handles the end of an attempt. It appends the last record of the message if
+// the attempt ended it, otherwise the record of the outcome if the attempt was logged. Either
+// record is appended before the policy decides what to do next.
 func (c *Core) finishAttempt(call *Call, result *Result, logged bool) {
 	m, endpoint := call.message, call.endpoint
 	c.noteCompleted(result.Outcome)
 	event := attemptEndedEvent(call, result)
 	if endpoint != nil && result.RetryAfter > 0 && result.Outcome != policy.NotSent {
-		// That of a call that was not sent is the relay's own.
+		// The Retry-After of a call that was not sent comes from the relay itself.
 		c.recordRetryAfter(call, c.now+result.RetryAfter)
 	}
 	c.closeCall(call)
@@ -55,8 +56,8 @@
 	if endpoint != nil && endpoint.open && endpoint.suspectsIdleConnections(result, c.now) {
 		c.emit(CloseIdleConnections{Endpoint: endpoint.number})
 	}
-	// The log lines come first: a crash in between must not leave a message with
-	// neither a line nor a record.
+	// The log line comes before the record of the end. Otherwise a crash between the two could
+	// leave a message with neither a log line nor a record.
 	c.logAttempt(call, result, event.Endpoint)
 	switch {
 	case result.Final:
@@ -70,7 +71,7 @@
 	c.finishWithAttempt(m, result)
 }
 
-// noteCompleted counts an attempt, and a failed one as a change of state.
+// noteCompleted counts a completed attempt. A failed one also counts as a change of state.
 func (c *Core) noteCompleted(outcome policy.Outcome) {
 	c.completedCalls++
 	switch outcome {
@@ -80,7 +81,7 @@
 	}
 }
 
-// attemptEndedEvent is the end of an attempt as it is reported to the policy.
+// attemptEndedEvent returns the event that reports the end of an attempt to the policy.
 func attemptEndedEvent(call *Call, result *Result) policy.Event {
 	event := policy.Event{
 		Kind: policy.EvAttemptEnded, Message: call.message.number, Attempt: call.attempt, Outcome: result.Outcome,
@@ -94,7 +95,8 @@
 	return event
 }
 
-// logAttempt logs an attempt that was not delivered, and traces the end of a message.
+// logAttempt logs an attempt that did not deliver its message, and traces the end of a message
+// that the attempt has ended.
 func (c *Core) logAttempt(call *Call, result *Result, number policy.EndpointID) {
 	m := call.message
 	tookMS := result.Elapsed / microsPerMilli
@@ -113,8 +115,8 @@
 	c.trace(m, text, "endpoint", number, "took_ms", tookMS, "left_ms", c.remainingMS(m))
 }
 
-// finishWithAttempt ends a message with its last attempt, or forgets one that had
-// ended before.
+// finishWithAttempt ends a message if the attempt was its last one, and forgets a message that
+// had already ended before the attempt did.
 func (c *Core) finishWithAttempt(m *message, result *Result) {
 	if m.finished {
 		c.messages.forget(m)
--- a/internal/core/packedmemory.go
+++ b/internal/core/packedmemory.go
@@ -10,9 +10,9 @@
 	"troutusher/policy"
 )
 
-// packedMemory is what was learned of a passive destination, as CBOR (RFC 8949) with
-// integer keys: about 40 bytes where only latencies are known. Times are relative to
-// Now. It holds no Retry-After: a destination that has one is active until it is over.
+// packedMemory is the learned state of a passive destination. It is encoded as CBOR (RFC 8949)
+// with integer keys, and takes about 40 bytes if only latencies are known. Times are relative
+// to Now. There is no Retry-After, because a destination stays active while one is in force.
 type packedMemory struct {
 	Now      int64           `cbor:"1,keyasint"`
 	Limiters []packedLimiter `cbor:"2,keyasint,omitempty"`
@@ -58,7 +58,7 @@
 	packedDecoding = must(cbor.DecOptions{MaxNestedLevels: 8, IndefLength: cbor.IndefLengthForbidden}.DecMode())
 )
 
-// must panics on an error, which says that the options above are wrong.
+// must panics on an error. An error means that the options above are invalid.
 func must[T any](value T, err error) T {
 	if err != nil {
 		panic(err)
@@ -66,18 +66,19 @@
 	return value
 }
 
-// endpointHash stands for an endpoint at its address: at another it is another.
+// endpointHash returns a hash that identifies an endpoint at its address. With another address,
+// the endpoint has another hash.
 func endpointHash(id, hostPort string) uint32 {
 	hash := xxhash.New()
-	_, _ = hash.WriteString(id) // a hash takes all that it is given
+	_, _ = hash.WriteString(id) // writing to a hash never fails
 	_, _ = hash.Write([]byte{0})
 	_, _ = hash.WriteString(hostPort)
 	sum := hash.Sum64()
 	return uint32(sum) ^ uint32(sum>>32)
 }
 
-// encodeTime is a time relative to now; 0 stays 0, which is for none. Now itself is
-// taken for a µs later.
+// encodeTime returns a time relative to now. 0 means none and stays 0. A time equal to now
+// becomes 1, one microsecond later, so that it differs from none.
 func encodeTime(now, t policy.Time) int64 {
 	switch t {
 	case 0:
@@ -88,7 +89,7 @@
 	return t - now
 }
 
-// decodeTime is the reverse of encodeTime.
+// decodeTime reverses encodeTime.
 func decodeTime(now policy.Time, relative int64) policy.Time {
 	if relative == 0 {
 		return 0
@@ -107,7 +108,7 @@
 	}
 }
 
-// unpack is the reverse of packLatency.
+// unpack reverses packLatency.
 func (p *packedLatency) unpack() policy.LatencySnapshot {
 	if p == nil {
 		return policy.LatencySnapshot{}
@@ -115,8 +116,8 @@
 	return policy.LatencySnapshot{Mean: float64(p.Mean), Deviation: float64(p.Deviation), Count: int(p.Count)}
 }
 
-// pack encodes a snapshot; to nothing where nothing was learned. hashOf is the hash of
-// an endpoint; one without a hash is left out.
+// pack encodes the snapshot of a destination. The result is empty if nothing was learned.
+// hashOf returns the hash of an endpoint. Endpoints without a hash are omitted.
 func pack(snapshot *policy.Snapshot, hashOf func(policy.EndpointID) (uint32, bool)) ([]byte, error) {
 	if len(snapshot.Limiters) == 0 {
 		return nil, nil
@@ -139,7 +140,7 @@
 	}
 	b, err := packedEncoding.Marshal(&memory)
 	if err != nil {
-		return nil, fmt.Errorf("packed memory: %w", err)
+		return nil, fmt.Errorf("encode learned state: %w", err)
 	}
 	return b, nil
 }
@@ -164,15 +165,15 @@
 	}
 }
 
-// unpack decodes what pack encoded of a destination. numberOf is the number of the
-// endpoint with a hash; 0 for one that is not known.
+// unpack decodes the snapshot of a destination that pack encoded. numberOf returns the number of
+// the endpoint with a hash, or 0 if there is no such endpoint.
 func unpack(packed []byte, dest int, numberOf func(uint32) policy.EndpointID) (*policy.Snapshot, error) {
 	if len(packed) == 0 {
 		return &policy.Snapshot{}, nil
 	}
 	var memory packedMemory
 	if err := packedDecoding.Unmarshal(packed, &memory); err != nil {
-		return &policy.Snapshot{}, fmt.Errorf("packed memory: %w", err)
+		return &policy.Snapshot{}, fmt.Errorf("decode learned state: %w", err)
 	}
 	snapshot := &policy.Snapshot{Now: memory.Now}
 	for i := range memory.Limiters {
@@ -191,7 +192,7 @@
 	return snapshot, nil
 }
 
-// unpack is the reverse of packEndpoint.
+// unpack reverses packEndpoint.
 func (p *packedEndpoint) unpack(now policy.Time, number policy.EndpointID) policy.EndpointSnapshot {
 	return policy.EndpointSnapshot{
 		ID:                number,
--- a/internal/core/passivation.go
+++ b/internal/core/passivation.go
@@ -8,29 +8,30 @@
 	"troutusher/policy"
 )
 
-// Destinations that nobody sends to are passive: they are kept in a compact store, and
-// none of their endpoints has a place in the core, in the policy or at the driver. The
-// first message activates a destination, with what was learned of it.
+// Idle destinations are passive: they are kept in a compact store, and neither the core nor
+// the policy nor the driver holds any state of their endpoints. The first message for a
+// destination activates it and restores its learned state.
 
 const (
-	// passivationBatchSize is how many destinations are passivated in one step.
+	// passivationBatchSize is the maximum number of destinations that are passivated, and of
+	// those that are forgotten, in one step.
 	passivationBatchSize = 64
-	// forgetDepartedAfter is how long a passive destination without an endpoint is
-	// known; messages for it are held meanwhile.
+	// forgetDepartedAfter is the time for which a passive destination without an endpoint
+	// remains known. During this time, messages for it are held.
 	forgetDepartedAfter = policy.Time(1800e6)
 )
 
-// passivationState is which destinations are active and which passive.
+// passivationState holds the active and the passive destinations.
 type passivationState struct {
 	active      *idlestore.ActiveSet
-	store       *idlestore.Store // the passive ones; nil until there is one
-	candidates  []int            // the memory is reused
-	nextCheckAt policy.Time      // when the active set is to be asked for idle ones again
-	unhealthy   map[int]bool     // passive ones with an unhealthy endpoint
+	store       *idlestore.Store // the passive destinations; nil until there is one
+	candidates  []int            // destinations to passivate; the memory is reused
+	nextCheckAt policy.Time      // time of the next check for idle destinations
+	unhealthy   map[int]bool     // passive destinations with an unhealthy endpoint
 	departed    []departedDestination
 }
 
-// departedDestination is a passive destination that had no endpoint left at a time.
+// departedDestination is a passive destination that may have had no endpoint since a time.
 type departedDestination struct {
 	dest int
 	at   policy.Time
@@ -48,7 +49,8 @@
 // knowsDestination reports whether a list has named a destination.
 func (c *Core) knowsDestination(dest int) bool { return c.knownDestinations[dest] || c.isPassive(dest) }
 
-// PassiveDestinations is how many destinations are passive, and the bytes that they take.
+// PassiveDestinations returns the number of passive destinations and the memory that they
+// use, in bytes.
 func (c *Core) PassiveDestinations() (count, bytes int) {
 	if c.passivation.store == nil {
 		return 0, 0
@@ -56,7 +58,7 @@
 	return c.passivation.store.Len(), c.passivation.store.Bytes()
 }
 
-// ensureActive activates a destination that is not active.
+// ensureActive makes a destination active if it is passive or new.
 func (c *Core) ensureActive(dest int) {
 	c.activate(dest)
 	if !c.passivation.active.Contains(dest) {
@@ -64,8 +66,8 @@
 	}
 }
 
-// activate activates a passive destination: its endpoints are known again, and the
-// policy hears of them before all that is reported to it from here on.
+// activate activates a passive destination. It adds the endpoints of the destination, and
+// queues the policy event that reports them ahead of all later ones.
 func (c *Core) activate(dest int) {
 	if !c.isPassive(dest) {
 		return
@@ -88,21 +90,22 @@
 	}
 	var err error
 	event.Snapshot, err = unpack(packed, dest, func(hash uint32) policy.EndpointID { return numbers[hash] })
-	if err != nil { // the destination becomes active as one that nothing is known of
-		c.log(slog.LevelError, "what was learned of a destination that rested cannot be read", "dest", dest, "err", err)
+	if err != nil {
+		c.log(slog.LevelError, "learned state of a passive destination cannot be decoded; activating it without",
+			"dest", dest, "err", err)
 	}
 	c.policyEvents = append(c.policyEvents, event)
 }
 
-// activateAll activates the destinations of a snapshot, so that it can be taken over.
-// They become passive again in their time.
+// activateAll activates the destinations of a snapshot, so that the snapshot can be loaded.
+// Idle ones are passivated again later.
 func (c *Core) activateAll(snapshot *policy.Snapshot) {
 	for i := range snapshot.Limiters {
 		c.activate(snapshot.Limiters[i].Destination)
 	}
 }
 
-// passivateIdle passivates destinations that are idle and that the policy lets go.
+// passivateIdle passivates idle destinations, as far as the policy permits.
 func (c *Core) passivateIdle() {
 	state := &c.passivation
 	busy := c.deferral.active() || c.shutdown.requested || c.listUpdate != nil
@@ -110,8 +113,8 @@
 		return
 	}
 	state.candidates, state.nextCheckAt = state.active.Idle(c.now, passivationBatchSize, state.candidates[:0])
-	if leaving := c.selectPassive(state.candidates); len(leaving) > 0 {
-		c.passivate(leaving)
+	if selected := c.selectPassive(state.candidates); len(selected) > 0 {
+		c.passivate(selected)
 	}
 	if state.nextCheckAt > 0 {
 		c.timers.add(max(state.nextCheckAt, c.now+1))
@@ -119,38 +122,38 @@
 	c.forgetDeparted()
 }
 
-// selectPassive selects the candidates that may be passivated, by destination; the
-// endpoints of each are still to be added. The others count as active from now on.
+// selectPassive returns the candidates that may be passivated as the keys of a map, to which
+// the caller adds their endpoints. The other candidates count as used now.
 func (c *Core) selectPassive(candidates []int) map[int][]idlestore.Endpoint {
-	leaving := make(map[int][]idlestore.Endpoint, len(candidates))
+	selected := make(map[int][]idlestore.Endpoint, len(candidates))
 	for _, dest := range candidates {
 		if c.policy.CanPassivate(c.now, dest) {
-			leaving[dest] = nil
+			selected[dest] = nil
 		} else {
 			c.passivation.active.Touch(dest, c.now)
 		}
 	}
 	for _, endpoint := range c.endpoints.all {
-		if _, ok := leaving[endpoint.dest]; ok && c.retryAfterOf(endpoint) > c.now {
-			delete(leaving, endpoint.dest)
+		if _, ok := selected[endpoint.dest]; ok && c.retryAfterOf(endpoint) > c.now {
+			delete(selected, endpoint.dest)
 			c.passivation.active.Touch(endpoint.dest, c.now)
 		}
 	}
-	return leaving
+	return selected
 }
 
-// passivate puts destinations into the store.
-func (c *Core) passivate(leaving map[int][]idlestore.Endpoint) {
+// passivate moves the selected destinations into the store.
+func (c *Core) passivate(selected map[int][]idlestore.Endpoint) {
 	if c.passivation.store == nil {
 		c.passivation.store = idlestore.New()
 	}
 	hashes := map[policy.EndpointID]uint32{}
 	c.endpoints.removeFunc(func(endpoint *endpointState) bool {
-		stored, ok := leaving[endpoint.dest]
-		if !ok || !endpoint.listed { // one that has left is kept for a while
+		stored, ok := selected[endpoint.dest]
+		if !ok || !endpoint.listed { // forgetRetired removes an endpoint that is not in the list
 			return false
 		}
-		leaving[endpoint.dest] = append(stored, storedEndpoint(&endpoint.member))
+		selected[endpoint.dest] = append(stored, storedEndpoint(&endpoint.member))
 		hashes[endpoint.number] = endpointHash(endpoint.id, endpoint.hostPort)
 		if endpoint.open {
 			c.emit(CloseEndpoint{Endpoint: endpoint.number})
@@ -159,13 +162,13 @@
 		return true
 	})
 	for _, dest := range c.passivation.candidates {
-		if endpoints, ok := leaving[dest]; ok {
+		if endpoints, ok := selected[dest]; ok {
 			c.storeDestination(dest, endpoints, hashes)
 		}
 	}
 }
 
-// storeDestination puts one destination into the store, with what was learned of it.
+// storeDestination moves one destination into the store, with its learned state.
 func (c *Core) storeDestination(dest int, endpoints []idlestore.Endpoint, hashes map[policy.EndpointID]uint32) {
 	snapshot := c.policy.Passivate(c.now, dest)
 	packed, err := pack(snapshot, func(number policy.EndpointID) (uint32, bool) {
@@ -173,7 +176,7 @@
 		return hash, ok
 	})
 	if err != nil {
-		c.log(slog.LevelError, "what was learned of a destination cannot be kept while it rests",
+		c.log(slog.LevelError, "learned state of an idle destination cannot be encoded; passivating it without",
 			"dest", dest, "err", err)
 	}
 	c.passivation.store.Passivate(dest, packed, endpoints)
@@ -189,7 +192,8 @@
 	c.emit(PassivateDestination{Dest: dest})
 }
 
-// hasUnhealthyEndpoint reports whether a restart should know of a destination.
+// hasUnhealthyEndpoint reports whether the snapshot of a destination contains an unhealthy
+// endpoint. The destination is then included in state snapshots, so that a restart knows it.
 func hasUnhealthyEndpoint(snapshot *policy.Snapshot) bool {
 	for i := range snapshot.Limiters {
 		if slices.ContainsFunc(snapshot.Limiters[i].Endpoints, isUnhealthy) {
@@ -201,12 +205,12 @@
 
 func isUnhealthy(endpoint policy.EndpointSnapshot) bool { return endpoint.Unhealthy }
 
-// noteDeparture notes a passive destination that may have no endpoint left.
+// noteDeparture records that a passive destination may have no endpoint left.
 func (c *Core) noteDeparture(dest int) {
 	c.passivation.departed = append(c.passivation.departed, departedDestination{dest: dest, at: c.now})
 }
 
-// departedDestinations are the passive destinations without an endpoint, in order.
+// departedDestinations returns the passive destinations without an endpoint, sorted.
 func (c *Core) departedDestinations() (dests []int) {
 	for _, departed := range c.passivation.departed {
 		if _, endpoints, ok := c.passivation.store.Peek(departed.dest); ok && len(endpoints) == 0 {
@@ -217,8 +221,8 @@
 	return slices.Compact(dests)
 }
 
-// forgetDeparted forgets destinations that have had no endpoint for long: a message for
-// one is rejected from then on, since no list names it.
+// forgetDeparted forgets destinations that have had no endpoint for forgetDepartedAfter. From
+// then on, messages for such a destination are rejected, because no list names it.
 func (c *Core) forgetDeparted() {
 	state := &c.passivation
 	for range passivationBatchSize {
--- a/internal/core/passivestore.go
+++ b/internal/core/passivestore.go
@@ -8,13 +8,13 @@
 	"troutusher/policy"
 )
 
-// maxSnapshotUnhealthy is how many passive destinations with an unhealthy endpoint are
+// maxSnapshotUnhealthy is the maximum number of passive destinations with an unhealthy endpoint
 // in a state snapshot.
 const maxSnapshotUnhealthy = 1024
 
-// applyMember applies a member of the list that is being applied where it belongs: to
-// the store, or to the endpoints of active destinations, and then update is for the
-// policy.
+// applyMember applies a member of the current list update, either to the store or to the
+// endpoints of active destinations. In the second case active is true, and update is the
+// update for the policy.
 func (c *Core) applyMember(member *Member) (update policy.EndpointUpdate, active bool) {
 	delete(c.listUpdate.unnamed, member.ID)
 	if c.passivation.store != nil && c.applyStoredMember(member) {
@@ -22,7 +22,7 @@
 	}
 	if member.Phase == Removed {
 		if c.endpoints.byID[member.ID] == nil {
-			return update, false // it never came, or is forgotten
+			return update, false // never added, or already forgotten
 		}
 		return c.updateEndpoint(member), true
 	}
@@ -35,8 +35,8 @@
 	return c.updateEndpoint(member), true
 }
 
-// applyStoredMember applies a member to an endpoint in the store, if it has one, and
-// reports whether nothing more is to be done for it.
+// applyStoredMember applies a member to its endpoint in the store, if there is one. It returns
+// whether the member is done; otherwise the caller has to apply it further.
 func (c *Core) applyStoredMember(member *Member) (done bool) {
 	store := c.passivation.store
 	removed := member.Phase == Removed
@@ -53,7 +53,8 @@
 	return removed
 }
 
-// belongsInStore reports whether a member's destination is passive, or is to be.
+// belongsInStore reports whether a member's destination is passive, or is new and is to be
+// passive from the start.
 func (c *Core) belongsInStore(member *Member) bool {
 	if c.endpoints.byID[member.ID] != nil || c.passivation.active.Contains(member.Dest) {
 		return false
@@ -64,7 +65,7 @@
 	return c.passivation.store == nil || c.passivation.store.HasRoom()
 }
 
-// openStore is the store of passive destinations, which is made for the first one.
+// openStore returns the store of passive destinations, and creates it if necessary.
 func (c *Core) openStore() *idlestore.Store {
 	if c.passivation.store == nil {
 		c.passivation.store = idlestore.New()
@@ -75,8 +76,8 @@
 	return c.passivation.store
 }
 
-// passiveExport collects the members of passive destinations, under numbers that no
-// other endpoint has, and what was learned of them.
+// passiveExport collects the members of passive destinations, numbered after all active
+// endpoints, and the learned state of the destinations.
 type passiveExport struct {
 	lastNumber policy.EndpointID
 	members    []HandoverMember
@@ -93,12 +94,12 @@
 	}
 	snapshot, err := unpack(packed, dest, func(hash uint32) policy.EndpointID { return numbers[hash] })
 	if err != nil {
-		return // its members are known
+		return // the members are exported without learned state
 	}
 	e.limiters = append(e.limiters, snapshot.Limiters...)
 }
 
-// passiveState is the state of all passive destinations.
+// passiveState returns the state of all passive destinations.
 func (c *Core) passiveState() ([]HandoverMember, []policy.LimiterSnapshot) {
 	export := passiveExport{lastNumber: c.endpoints.lastNumber}
 	if store := c.passivation.store; store != nil {
@@ -107,8 +108,8 @@
 	return export.members, export.limiters
 }
 
-// unhealthyPassiveState is the state of the passive destinations that a restart should
-// know: those with an unhealthy endpoint.
+// unhealthyPassiveState returns the state of the passive destinations that a restart needs to
+// know, namely those with an unhealthy endpoint.
 func (c *Core) unhealthyPassiveState() ([]HandoverMember, []policy.LimiterSnapshot) {
 	export := passiveExport{lastNumber: c.endpoints.lastNumber}
 	dests := slices.Sorted(maps.Keys(c.passivation.unhealthy))
@@ -120,7 +121,7 @@
 	return export.members, export.limiters
 }
 
-// storedEndpoint is a member of the list as the store holds it.
+// storedEndpoint converts a member of the list to an endpoint of the store.
 func storedEndpoint(member *Member) idlestore.Endpoint {
 	return idlestore.Endpoint{
 		ID: member.ID, HostPort: member.HostPort, Locality: member.Locality, Flavor: member.Flavor,
@@ -128,7 +129,7 @@
 	}
 }
 
-// memberFromStore is a stored endpoint as the list has it.
+// memberFromStore converts an endpoint of the store to a member of the list.
 func memberFromStore(dest int, stored *idlestore.Endpoint) Member {
 	member := Member{
 		ID: stored.ID, HostPort: stored.HostPort, Locality: stored.Locality, Flavor: stored.Flavor,
--- a/internal/core/policystep.go
+++ b/internal/core/policystep.go
@@ -7,9 +7,9 @@
 	"troutusher/policy"
 )
 
-// runPolicy lets the policy decide on what has happened, and executes its actions:
-// first the ends, so that a rejected message is not logged; then the records of
-// accepted messages, so that no send comes before them; then all else.
+// runPolicy passes the collected events to the policy and executes the resulting actions. The
+// ends of messages come first, so that a rejected message is not logged. The records of
+// accepted messages come next, so that no send precedes them. The other actions come last.
 func (c *Core) runPolicy() {
 	events := c.policyEvents
 	c.policyEvents = nil
@@ -29,7 +29,7 @@
 	}
 }
 
-// submittedIn are the messages whose submission is among the events.
+// submittedIn returns the messages whose submission is among the events.
 func (c *Core) submittedIn(events []policy.Event) []*message {
 	submitted := make([]*message, 0, len(events))
 	for i := range events {
@@ -59,12 +59,12 @@
 			c.emit(CloseIdleConnections{Endpoint: action.Endpoint})
 		}
 	case policy.ActLog:
-		c.stateVersion++ // an endpoint was judged to be down, or to be up again
+		c.stateVersion++ // the policy logs when an endpoint becomes unhealthy or healthy again
 		c.log(slog.LevelInfo, "policy", "says", action.Text)
 	}
 }
 
-// requestHealthCheck checks an endpoint, once that may be done.
+// requestHealthCheck checks an endpoint, at once or when health checks are no longer deferred.
 func (c *Core) requestHealthCheck(number policy.EndpointID) {
 	if c.deferral.awaitingList {
 		c.deferral.healthChecks = append(c.deferral.healthChecks, number)
@@ -73,7 +73,7 @@
 	c.checkHealth(number)
 }
 
-// checkHealth checks an endpoint that is still in use.
+// checkHealth checks an endpoint, unless it has been retired.
 func (c *Core) checkHealth(number policy.EndpointID) {
 	endpoint := c.endpoints.byNumber[number]
 	if endpoint == nil || endpoint.retired {
--- a/internal/core/record.go
+++ b/internal/core/record.go
@@ -1,15 +1,15 @@
 package core
 
-// RecordKind says what a record of the log tells of its message.
+// RecordKind is the kind of a log record.
 type RecordKind string
 
 // Kinds of record.
 const (
-	RecordAccepted RecordKind = "taken"   // the whole message, and its state where the log was compacted
+	RecordAccepted RecordKind = "taken"   // the complete message; after a compaction also its state
 	RecordAttempt  RecordKind = "attempt" // an attempt is about to be made
-	RecordOutcome  RecordKind = "outcome" // of the open attempt
-	RecordEnding   RecordKind = "ending"  // it has ended; its notice is to be sent
-	RecordDone     RecordKind = "end"     // nothing is owed any more
+	RecordOutcome  RecordKind = "outcome" // outcome of the open attempt
+	RecordEnding   RecordKind = "ending"  // the message has ended; its notice has to be sent
+	RecordDone     RecordKind = "end"     // nothing remains to be done for the message
 )
 
 // Record is one entry of the log. Times are Unix microseconds.
@@ -21,17 +21,19 @@
 	Key      string     `json:"key,omitempty"`
 	Dest     int        `json:"dest,omitempty"`
 	Deadline int64      `json:"deadline,omitempty"`
-	// Of an attempt: when it is made, and the zone of its endpoint.
+	// For RecordAttempt: the time of the attempt and the zone of its endpoint.
 	At   int64 `json:"at,omitempty"`
 	Zone int   `json:"zone,omitempty"`
-	// Of an outcome: the attempt may have run; it never left and uses up no attempt.
+	// For RecordOutcome: whether the attempt may have run, and whether it never left the relay,
+	// so that it does not count as an attempt.
 	MayHaveRun bool `json:"ran,omitempty"`
 	NotCounted bool `json:"void,omitempty"`
-	// Of an ending: what its notice says.
+	// For RecordEnding: the contents of the notice.
 	Notice  string `json:"notice,omitempty"`
 	RetryMS int64  `json:"retry_ms,omitempty"`
-	// The state of a message, as earlier records left it: its attempts, the first of
-	// them that may have run, and one that has no outcome yet.
+	// For RecordAccepted after a compaction: the state of the message, which combines its
+	// earlier records. This is the number of attempts, the first attempt that may have run, and
+	// the attempt that has no outcome yet.
 	Attempts           int   `json:"tries,omitempty"`
 	FirstUncertainAt   int64 `json:"doubt,omitempty"`
 	FirstUncertainZone int   `json:"doubt_in,omitempty"`
@@ -41,7 +43,7 @@
 	Body []byte `json:"-"`
 }
 
-// Apply brings the record of an accepted message up to date with a later record of it.
+// Apply updates the record of an accepted message with a later record of the same message.
 func (r *Record) Apply(later *Record) {
 	switch later.Kind {
 	case RecordAttempt:
@@ -60,22 +62,21 @@
 	}
 }
 
-// ResolveOpenAttempt takes an attempt whose outcome is not known for one that may have
-// run.
+// ResolveOpenAttempt marks an attempt without an outcome as one that may have run.
 func (r *Record) ResolveOpenAttempt() {
 	if r.OpenAttemptAt != 0 {
 		r.Apply(&Record{Kind: RecordOutcome, MayHaveRun: true})
 	}
 }
 
-// Notice tells the platform how a message ended.
+// Notice reports to the platform that a message ended undelivered.
 type Notice struct {
 	Message string `json:"message"`
 	Outcome string `json:"outcome"`
 	RetryMS int64  `json:"retry_in_ms,omitempty"`
 }
 
-// Outcomes of messages that were not delivered, as notices and records name them.
+// Outcomes of undelivered messages, in notices and records.
 const (
 	NoticeGivenUp    = "given_up"
 	NoticeHandedBack = "handed_back"
--- a/internal/core/recovery.go
+++ b/internal/core/recovery.go
@@ -8,11 +8,11 @@
 	"troutusher/policy"
 )
 
-// RecoverMessages takes up the messages that an earlier process left owed in its log,
-// oldest first, and what it handed over beside the log; state is nil where it handed
-// over nothing. Its times are shift later on this core's clock.
+// RecoverMessages takes over the unfinished messages in the log of an earlier process, oldest
+// first, and the state that the process handed over besides the log. state is nil if it handed
+// over nothing. shift is added to the times in state to convert them to this core's clock.
 func (c *Core) RecoverMessages(
-	now policy.Time, owed []*Record, state *HandoverState, shift policy.Time, effects []Effect,
+	now policy.Time, unfinished []*Record, state *HandoverState, shift policy.Time, effects []Effect,
 ) []Effect {
 	c.beginStep(now, effects)
 	c.finishListUpdate()
@@ -20,18 +20,18 @@
 	if state != nil {
 		imported = c.importHandover(state, shift)
 	}
-	for _, record := range owed {
+	for _, record := range unfinished {
 		c.recoverMessage(record, &imported)
 	}
 	return c.takeEffects()
 }
 
-// recoverMessage takes up one message, as its record in the log says.
+// recoverMessage takes over one message in the state that its log record describes.
 func (c *Core) recoverMessage(record *Record, imported *importedHandover) {
 	m := c.messages.add(record, c.now)
 	m.acknowledged, m.logged, m.traced = true, true, true
 	m.attempts = record.Attempts
-	if record.Notice != "" { // it had ended; its notice may not have been sent
+	if record.Notice != "" { // the message has ended, but its notice may not have been sent
 		c.finish(m)
 		c.emit(SendNotice{Notice: Notice{Message: record.ID, Outcome: record.Notice, RetryMS: record.RetryMS}})
 		return
@@ -39,15 +39,15 @@
 	c.classifyRecovered(m)
 	class, ok := c.settings.Classes[record.Class]
 	if !ok {
-		// The settings have changed: whether it may be sent again is not known. It is
-		// counted nowhere else, since its class has no counts.
+		// The settings have changed, so it is unknown whether the message may be sent again.
+		// No other count includes it, because its class has no counts.
 		c.finish(m)
 		c.countRecoveredUnsent(m, NoticeGivenUp, policy.UnknownClass.String())
 		c.appendEnding(m, NoticeGivenUp, 0)
 		return
 	}
 	c.activate(record.Dest)
-	c.knownDestinations[record.Dest] = true // at some time, or it would not have been accepted
+	c.knownDestinations[record.Dest] = true // a list named it, or the message would have been rejected
 	c.passivation.active.Touch(record.Dest, c.now)
 	event := c.recoveredEvent(m, class, imported)
 	if handedOver := imported.calls[record.ID]; handedOver != nil {
@@ -59,7 +59,7 @@
 		"may_have_run", record.FirstUncertainAt != 0, "left_ms", event.TimeLeft/microsPerMilli)
 }
 
-// recoveredEvent is a recovered message as it is reported to the policy.
+// recoveredEvent returns the event that reports a recovered message to the policy.
 func (c *Core) recoveredEvent(m *message, class int, imported *importedHandover) policy.Event {
 	record := m.record
 	event := policy.Event{
@@ -68,7 +68,7 @@
 		FirstUncertainZone: record.FirstUncertainZone, Recovered: !imported.present,
 	}
 	if weight, ok := imported.weights[record.ID]; ok {
-		event.Weight = weight // it was weighed by its tenant's quota before
+		event.Weight = weight // the exporting process already applied the tenant's quota
 	} else if tenant, ok := c.settings.Tenants[record.Tenant]; ok {
 		event.Tenant = tenant
 	}
--- a/internal/core/recoverymetrics.go
+++ b/internal/core/recoverymetrics.go
@@ -5,24 +5,24 @@
 	"troutusher/policy"
 )
 
-// A message that is recovered without any attempt was accepted in order to be
-// delivered. The invariant: such a message that still has time and an endpoint in the
-// list is not ended in the step that recovers it. It waits for its turn like any other,
-// and ends without a call only where it lacks the time, the capacity or the proof of
-// identity. What became of such messages is counted here by how each was found, so that
-// the sums over all relays add up.
+// A relay that accepts a message is obliged to try to deliver it. Invariant: a message that is
+// recovered without any attempt is not ended in the step that recovers it, provided that it
+// still has time and that the list contains an endpoint for it. It is queued like any other
+// message, and ends without a call only for lack of time, of capacity or of a verified
+// identity of the endpoint. The functions below count what became of such messages, by the
+// state in which each was found, so that the sums over all relays are consistent.
 
-// recoveryState is how a message came into this process.
+// recoveryState tells whether a message was recovered, and in which state.
 type recoveryState uint8
 
 const (
-	notRecovered       recoveryState = iota // it was submitted here
-	recoveredTried                          // with attempts
-	recoveredUntried                        // without any attempt in the log
-	recoveredThenTried                      // without, and a call of it was sent since
+	notRecovered       recoveryState = iota // submitted to this process
+	recoveredTried                          // recovered with attempts in the log
+	recoveredUntried                        // recovered without any attempt in the log
+	recoveredThenTried                      // recovered without any attempt, and sent since then
 )
 
-// classifyRecovered notes how a message was found, and counts it.
+// classifyRecovered records the state in which a message was found, and counts the message.
 func (c *Core) classifyRecovered(m *message) {
 	if m.record.Attempts > 0 {
 		m.recoveryState = recoveredTried
@@ -38,7 +38,8 @@
 	}
 }
 
-// countRecoveredAttempt counts the end of an attempt. One that never left is none.
+// countRecoveredAttempt counts the first attempt of a message that was recovered without any,
+// and its delivery. An attempt that was not sent does not count.
 func (c *Core) countRecoveredAttempt(m *message, outcome policy.Outcome) {
 	if m.recoveryState == recoveredUntried && outcome != policy.NotSent {
 		m.recoveryState = recoveredThenTried
@@ -49,8 +50,8 @@
 	}
 }
 
-// countRecoveredUnsent counts an end without a call. A message whose call is open, and
-// is being cancelled, had one.
+// countRecoveredUnsent counts a message that was recovered without any attempt and ends without
+// a call. A message with an open call, which is being cancelled, does not count.
 func (c *Core) countRecoveredUnsent(m *message, outcome, reason string) {
 	if m.recoveryState != recoveredUntried || m.call != nil {
 		return
--- a/internal/core/reply.go
+++ b/internal/core/reply.go
@@ -9,8 +9,8 @@
 	c.emit(SendReply{Request: request, Reply: reply})
 }
 
-// replyDelivered goes on with a message whose client has its reply, and withdraws one
-// whose client left before it (ok is false).
+// replyDelivered continues with a message after its reply was delivered to the client. If ok is
+// false, the client disconnected before the reply, and the message is withdrawn.
 func (c *Core) replyDelivered(request *Request, ok bool) {
 	m := c.messages.unanswered[request]
 	if m == nil {
@@ -35,7 +35,7 @@
 	}
 }
 
-// rejectNotLogged rejects a message that the log has no room for.
+// rejectNotLogged rejects a message that could not be written to the log.
 func (c *Core) rejectNotLogged(request *Request) {
 	if m := c.messages.unanswered[request]; m != nil {
 		delete(c.messages.unanswered, request)
@@ -45,7 +45,8 @@
 	c.reply(request, Reply{})
 }
 
-// withdraw ends a message that was not acknowledged to its client: nothing is owed.
+// withdraw ends a message that was not acknowledged to its client. Such a message need not be
+// delivered, and no notice is sent.
 func (c *Core) withdraw(m *message) {
 	if m.logged {
 		c.appendRecord(&Record{Kind: RecordDone, ID: m.record.ID})
--- a/internal/core/retryafter.go
+++ b/internal/core/retryafter.go
@@ -6,17 +6,18 @@
 	"troutusher/policy"
 )
 
-// hasIndependentRoutes reports whether each endpoint of a flavor is a route of its own:
-// a Retry-After of one does not bind the others of its destination.
+// hasIndependentRoutes reports whether the endpoints of a flavor are independent routes: a
+// Retry-After of one of them does not apply to the other endpoints of its destination.
 func (c *Core) hasIndependentRoutes(flavor string) bool {
 	i := indexOf(c.settings.Kinds, flavor)
 	kinds := c.settings.Policy.DestinationKinds
 	return i >= 0 && i < len(kinds) && kinds[i].IndependentRoutes
 }
 
-// recordRetryAfter lets nothing be sent to the endpoint of a call before a time, nor to
-// the others of its destination, unless their routes are independent. That also holds
-// if the endpoint has moved since, or leaves and comes back, and it is never shortened.
+// recordRetryAfter forbids sends before a time to the endpoint of a call, and to the other
+// endpoints of its destination unless their routes are independent. The Retry-After remains in
+// force if the endpoint has moved since the call, or if it is removed and added again. It is
+// never shortened.
 func (c *Core) recordRetryAfter(call *Call, until policy.Time) {
 	endpoint := call.endpoint
 	if call.independentRoute {
@@ -33,7 +34,7 @@
 	c.retryAfter[dest] = max(c.retryAfter[dest], until)
 }
 
-// retryAfterOf is the time before which nothing is sent to an endpoint.
+// retryAfterOf returns the time before which nothing may be sent to an endpoint.
 func (c *Core) retryAfterOf(endpoint *endpointState) policy.Time {
 	if c.hasIndependentRoutes(endpoint.flavor) {
 		return endpoint.retryAfter
@@ -41,14 +42,14 @@
 	return c.retryAfter[endpoint.dest]
 }
 
-// applyRetryAfter applies a Retry-After that binds an endpoint now.
+// applyRetryAfter passes the Retry-After of an endpoint to the driver, if one is in force.
 func (c *Core) applyRetryAfter(endpoint *endpointState) {
 	if until := c.retryAfterOf(endpoint); until > c.now {
 		c.emit(ApplyRetryAfter{Endpoint: endpoint.number, Until: until})
 	}
 }
 
-// handoverRetryAfters are the Retry-Afters of destinations that still bind.
+// handoverRetryAfters returns the Retry-Afters of destinations that are still in force.
 func (c *Core) handoverRetryAfters() (all []HandoverRetryAfter) {
 	for dest, until := range c.retryAfter {
 		if until > c.now {
--- a/internal/core/shutdown.go
+++ b/internal/core/shutdown.go
@@ -7,31 +7,33 @@
 	"troutusher/policy"
 )
 
-// The schedule of a shutdown, counted from its request. A process has 3.7 s from
-// SIGTERM until it is killed.
+// The schedule of a shutdown, in microseconds after the request. A process is killed 3.7 s
+// after SIGTERM.
 const (
-	// CloseListenerAfter is when the listener closes: new connections still come for a
-	// while.
+	// CloseListenerAfter is the time at which the listener closes. Until then, new
+	// connections still arrive.
 	CloseListenerAfter = policy.Time(1000e3)
-	// CloseClientsAfter is when client connections are closed at the latest.
+	// CloseClientsAfter is the latest time at which client connections are closed.
 	CloseClientsAfter = policy.Time(1600e3)
-	// stopAcceptingAfter is when messages that still come are rejected, also those
-	// that could be sent at once.
+	// stopAcceptingAfter is the time from which all messages are rejected, even those that
+	// could be sent at once.
 	stopAcceptingAfter = policy.Time(2100e3)
-	// stopNonIdempotentSendsAfter is when no call that must not run twice is begun
-	// any more: cut short, it would be lost.
+	// stopNonIdempotentSendsAfter is the time from which no call of a non-idempotent message
+	// is begun. If such a call were interrupted, its message would be lost, because it must
+	// not run twice.
 	stopNonIdempotentSendsAfter = policy.Time(1600e3)
-	// StopSendsAfter is when no call at all is begun any more.
+	// StopSendsAfter is the time from which no call is begun.
 	StopSendsAfter = policy.Time(2400e3)
-	// AbandonCallsAfter is when the calls that are still open are left open in the log.
+	// AbandonCallsAfter is the time at which the relay stops waiting for open calls and
+	// leaves their attempts without an outcome in the log.
 	AbandonCallsAfter = policy.Time(3300e3)
 )
 
-// shutdownRetryMS is the time after which a client may submit its message again, to
-// another relay.
+// shutdownRetryMS is the Retry-After of a message that is rejected because of the shutdown, in
+// ms. The client then submits the message to another relay.
 const shutdownRetryMS = 400
 
-// shutdown is whether a shutdown was requested, and when.
+// shutdown tells whether and when a shutdown was requested.
 type shutdown struct {
 	requested bool
 	at        policy.Time
@@ -39,7 +41,7 @@
 
 func (s *shutdown) elapsed(now policy.Time) policy.Time { return now - s.at }
 
-// beginShutdown begins the shutdown, once.
+// beginShutdown begins the shutdown. It ignores repeated requests.
 func (c *Core) beginShutdown() {
 	if c.shutdown.requested {
 		return
@@ -48,22 +50,23 @@
 	c.log(slog.LevelInfo, msgtrace.Stopping, "held", c.messages.held, "calls", c.openCalls)
 }
 
-// ShuttingDown tells whether a shutdown was requested, and how long ago.
+// ShuttingDown reports whether a shutdown was requested, and how long ago.
 func (c *Core) ShuttingDown(now policy.Time) (elapsed policy.Time, requested bool) {
 	return c.shutdown.elapsed(now), c.shutdown.requested
 }
 
-// KeepsClientConnections reports whether a relay that shuts down still has a use for
-// the connections of its clients. Where it would reject what comes on them they are
-// better closed, since a client submits again on the connection that it has.
+// KeepsClientConnections reports whether a relay that shuts down should keep its client
+// connections open. If it would reject the messages that arrive on them, it is better to close
+// them, because a client retries on the connection that it already has.
 func (c *Core) KeepsClientConnections(now policy.Time) bool {
 	return c.shutdown.elapsed(now) < CloseClientsAfter && !c.hasBacklog()
 }
 
-// acceptsDuringShutdown reports whether a message is still accepted. Until its process
-// is killed the relay's slots would be empty while other relays carry its load. What
-// can be sent at once and answered by then is accepted; what would wait for the next
-// process is better submitted elsewhere.
+// acceptsDuringShutdown reports whether a message is still accepted during a shutdown. If the
+// relay rejected every message, its slots would be idle until the process is killed, while
+// other relays carry its load. It accepts a message that can be sent at once and receive its
+// response before that. A message that would have to wait for the next process should rather
+// be submitted to another relay.
 func (c *Core) acceptsDuringShutdown(request *Request) bool {
 	limit := stopAcceptingAfter
 	if c.settings.Policy.Classes[request.Class].Idempotency == policy.NonIdempotent {
@@ -72,13 +75,13 @@
 	return c.shutdown.elapsed(c.now) < limit && !c.hasBacklog()
 }
 
-// hasBacklog reports whether more messages wait than the slots take soon.
+// hasBacklog reports whether more messages wait than will soon get a slot.
 func (c *Core) hasBacklog() bool {
 	waiting := c.messages.held - c.openCalls
 	return waiting >= max(c.settings.Policy.MaxConcurrentCalls/2, 1)
 }
 
-// sendsStopped reports whether it is too late in a shutdown to begin a call of a class.
+// sendsStopped reports whether a shutdown is too far advanced to begin a call of a class.
 func (c *Core) sendsStopped(class string) bool {
 	if !c.shutdown.requested {
 		return false
--- a/internal/core/snapshot.go
+++ b/internal/core/snapshot.go
@@ -2,20 +2,21 @@
 
 import "troutusher/policy"
 
-// StateSnapshot is what a core knows of destinations that a later process of this relay
-// should know as well; no message is in it. Times are those of the core's clock.
+// StateSnapshot is the state of destinations that a later process of this relay needs. It
+// contains no messages. Times are times of the core's clock.
 type StateSnapshot struct {
 	Now      policy.Time      `json:"now"`
-	Revision int64            `json:"revision"` // of its endpoint list
+	Revision int64            `json:"revision"` // of the endpoint list
 	Members  []HandoverMember `json:"members"`
-	// Partial says that passive destinations are left out, but for those with an
+	// Partial is set if the snapshot contains no passive destinations except those with an
 	// unhealthy endpoint.
 	Partial     bool                 `json:"partial,omitempty"`
 	RetryAfters []HandoverRetryAfter `json:"waits,omitempty"`
 	Policy      *policy.Snapshot     `json:"policy"`
 }
 
-// SnapshotState returns what is known by now. It shares nothing with the core.
+// SnapshotState returns a snapshot of the current state. The snapshot shares no memory with the
+// core.
 func (c *Core) SnapshotState(now policy.Time) *StateSnapshot {
 	c.now = max(now, c.now)
 	snapshot := &StateSnapshot{
@@ -28,30 +29,32 @@
 	return snapshot
 }
 
-// StateVersion counts the changes that a restart should not lose: calls that failed,
-// endpoint lists, endpoints that were judged to be down or up. CompletedCalls counts
-// all that is learned.
+// StateVersion returns the number of state changes that should survive a restart: failed calls,
+// endpoint lists, and endpoints that became unhealthy or healthy again. For the amount of all
+// learned state, see CompletedCalls.
 func (c *Core) StateVersion() uint64 { return c.stateVersion }
 
-// CompletedCalls counts the calls that have ended.
+// CompletedCalls returns the number of completed calls.
 func (c *Core) CompletedCalls() uint64 { return c.completedCalls }
 
-// EndpointList is the list as the core had it; nothing that had drained is up in it.
+// EndpointList returns the endpoint list of the core at the time of the snapshot. Drained
+// endpoints are not Up in it.
 func (s *StateSnapshot) EndpointList() *EndpointList {
 	return &EndpointList{Revision: s.Revision, Complete: !s.Partial, Members: membersOf(s.Members)}
 }
 
-// DropRecentCounts leaves out what is longest and soonest old: the counts of the last
-// seconds.
+// DropRecentCounts removes the counts of the last seconds. They are the largest part of the
+// snapshot and the first to become outdated.
 func (s *StateSnapshot) DropRecentCounts() {
 	for i := range s.Policy.Limiters {
 		s.Policy.Limiters[i].Bins = nil
 	}
 }
 
-// RestoreState takes over what an earlier process had learned. The endpoint list must
-// have been applied; an endpoint that is not where it was, or that has another's place
-// under a new id, inherits nothing.
+// RestoreState takes over the learned state of an earlier process. The endpoint list must have
+// been applied before. State is restored only for endpoints with the same id, address and
+// destination as in the snapshot. shift is added to the snapshot's times to convert them to
+// this core's clock.
 func (c *Core) RestoreState(now policy.Time, snapshot *StateSnapshot, shift policy.Time, effects []Effect) []Effect {
 	c.beginStep(now, effects)
 	c.finishListUpdate()
@@ -74,9 +77,9 @@
 	return c.takeEffects()
 }
 
-// translateSnapshot puts this core's endpoint numbers into another's policy snapshot,
-// and takes over the Retry-Afters of independent routes. Endpoints that are not known
-// here, or are elsewhere now, get 0, which is no endpoint's number.
+// translateSnapshot replaces the endpoint numbers in another core's policy snapshot by those of
+// this core, and takes over the Retry-Afters of independent routes. Endpoints that are unknown
+// here, or have another address or destination now, get the number 0, which no endpoint has.
 func (c *Core) translateSnapshot(snapshot *policy.Snapshot, members []HandoverMember, shift policy.Time) {
 	numbers := map[policy.EndpointID]policy.EndpointID{}
 	for i := range members {
--- a/internal/core/submit.go
+++ b/internal/core/submit.go
@@ -8,23 +8,23 @@
 	"troutusher/policy"
 )
 
-// Errors that a submission is replied to with. Their texts are part of the protocol.
+// Errors in replies to submissions. Their texts are part of the protocol.
 var (
 	errAlreadySubmitted = errors.New("id is being handed in already")
 	errGivenUp          = errors.New("given up")
 )
 
-// Request is a message that a client submits. It is replied to once.
+// Request is a request of a client to submit a message. It gets one reply.
 type Request struct {
 	Record *Record
 	Class  int
 	Tenant int         // -1 for none
-	Queued policy.Time // how long it may have waited unread; its deadline counts from before
-	Handle any         // of the driver
+	Queued policy.Time // how long the request may have waited unread; the deadline includes this time
+	Handle any         // for use by the driver
 }
 
-// submit passes a message on to the policy. Whether it is accepted shows in the same
-// step: a message that the policy ends there is rejected and not logged.
+// submit passes a message to the policy. A message that the policy ends in the same step is
+// rejected and not logged; otherwise it is accepted.
 func (c *Core) submit(request *Request) {
 	record := request.Record
 	c.metrics.Add(record.Dest, metrics.Submitted, 1)
@@ -46,8 +46,8 @@
 	})
 }
 
-// replyWithoutPolicy is the reply to a request that the policy has no part in: one
-// that is rejected by itself, or whose message is held already.
+// replyWithoutPolicy returns the reply to a request that does not reach the policy, because it
+// is rejected or because its message is already held. replied is false for other requests.
 func (c *Core) replyWithoutPolicy(request *Request) (reply Reply, replied bool) {
 	record := request.Record
 	held := c.messages.byID[record.ID]
@@ -61,8 +61,8 @@
 	case held != nil:
 		return Reply{Err: errAlreadySubmitted}, true
 	case len(c.knownDestinations) > 0 && !c.knowsDestination(record.Dest):
-		// It would be held in vain, and the policy keeps each destination for good.
-		// One whose endpoints are only gone for now is known.
+		// Holding the message would be useless, and the policy would keep the unknown
+		// destination forever. A destination whose endpoints are only temporarily gone is known.
 		c.countsOf(record.Class).Failed++
 		return Reply{Err: fmt.Errorf("dest: no list names %d", record.Dest)}, true
 	case c.settings.Policy.MaxPending > 0 && c.messages.held >= c.settings.Policy.MaxPending:
@@ -73,8 +73,8 @@
 	return Reply{}, false
 }
 
-// acceptSubmitted logs the messages that the policy has not ended in the step that
-// received them; their clients have their reply after that.
+// acceptSubmitted accepts the messages that the policy has not ended in the step that received
+// them. Their records are logged, and then their clients get the reply.
 func (c *Core) acceptSubmitted(submitted []*message) {
 	for _, m := range submitted {
 		if m.request == nil || m.finished {
--- a/internal/core/timers.go
+++ b/internal/core/timers.go
@@ -6,10 +6,10 @@
 	"troutusher/policy"
 )
 
-// timers are the times at which the policy wants to be asked again, earliest first.
-// Each is kept until it has come: the policy counts on every one that it asked for, and
-// may have asked for a later one in a step that ran past an earlier one before the
-// event loop saw that come.
+// timers holds the times at which the policy wants to run again, earliest first. Each time is
+// kept until it is reached, because the policy relies on every timer that it requested: a step
+// may run after an earlier timer was due, but before the event loop noticed that, and request
+// a later timer.
 type timers []policy.Time
 
 func (t *timers) add(at policy.Time) {
@@ -18,7 +18,7 @@
 	}
 }
 
-// next is the earliest time; 0 for none.
+// next returns the earliest time; 0 for none.
 func (t timers) next() policy.Time {
 	if len(t) == 0 {
 		return 0
@@ -26,7 +26,7 @@
 	return t[0]
 }
 
-// due removes the times that have come by now and reports whether there were any.
+// due removes the times that have been reached, and reports whether there were any.
 func (t *timers) due(now policy.Time) bool {
 	n := 0
 	for n < len(*t) && (*t)[n] <= now {
--- a/internal/lifecycle/lifecycle.go
+++ b/internal/lifecycle/lifecycle.go
@@ -1,70 +1,69 @@
-// Package lifecycle is the state machine of a relay process: whether it accepts
-// clients, and what operators who ask for a change are answered.
+// Package lifecycle implements the state machine of a relay process. The state determines
+// whether the process accepts clients, and how it answers operators who ask for a change.
 //
-// It owns the states, the transitions between them and the reason that goes with
-// each answer. It must never touch a socket, look at a clock, start a goroutine, or
-// know of messages: messages that are held go on in every state.
+// The package defines the states, the transitions between them, and the reason in each answer.
+// It uses no socket, reads no clock and starts no goroutine. It does not deal with messages:
+// held messages are processed in every state.
 package lifecycle
 
-// State is what a process does.
+// State is the state of a process.
 type State uint8
 
 // The states. A process begins in Starting and ends in Stopping or HandedOver.
 const (
-	Starting    State = iota // nothing may be submitted yet
+	Starting    State = iota // no messages are accepted yet
 	Serving                  // clients are served
-	Draining                 // client connections are closed when idle; what still comes is served
-	HandingOver              // another process is about to take the work over
-	HandedOver               // another process has the work
-	Stopping                 // the process ends
+	Draining                 // idle client connections are closed; requests that still arrive are served
+	HandingOver              // another process is about to take over
+	HandedOver               // another process has taken over
+	Stopping                 // the process is shutting down
 )
 
-// stateNames are what operators read; "ceding" and "ceded" are the words that
-// their scripts know for HandingOver and HandedOver.
+// stateNames are the names of the states in answers to operators. Operators' scripts match
+// "ceding" and "ceded", the names of HandingOver and HandedOver.
 var stateNames = [...]string{"starting", "serving", "draining", "ceding", "ceded", "stopping"}
 
-// String is the state's name in answers to operators.
+// String returns the name of the state in answers to operators.
 func (s State) String() string { return stateNames[s] }
 
-// Action is what a transition asks of the driver.
+// Action is what the driver has to do after a transition.
 type Action uint8
 
 // The actions.
 const (
 	NoAction     Action = iota
-	CloseClients        // close each client connection as soon as nothing is open on it
-	KeepClients         // keep idle connections again
+	CloseClients        // close each client connection as soon as no request is open on it
+	KeepClients         // stop closing idle client connections
 )
 
-// Answer is the reply to an operator's call.
+// Answer is the answer to an operator's command or question.
 type Answer struct {
-	OK     bool   // the call was obeyed, or the question is answered with yes
-	Reason string // one word, or a few
+	OK     bool   // the command was accepted, or the answer to the question is yes
+	Reason string // a short text, such as the name of the state
 }
 
-// Machine is the state of one process. Its zero value is Starting. It is not safe
-// for use by several goroutines.
+// Machine holds the state of one process. The zero value is in the state Starting. A Machine is
+// not safe for concurrent use.
 type Machine struct {
 	state          State
 	drainRequested bool // drain once serving
 }
 
-// State is what the process does now.
+// State returns the current state.
 func (m *Machine) State() State { return m.state }
 
-// AcceptsClients reports whether new clients are wanted, which is what PING is
-// answered with.
+// AcceptsClients reports whether the process accepts new clients. PING is answered accordingly.
 func (m *Machine) AcceptsClients() bool { return m.state == Serving || m.state == Stopping }
 
-// Ready answers whether the process can serve. One that is drained can.
+// Ready answers whether the process can serve clients. A draining process can.
 func (m *Machine) Ready() Answer {
 	ready := m.state == Serving || m.state == Draining
 	return Answer{OK: ready, Reason: m.state.String()}
 }
 
-// StartDrain drains the process until EndDrain. Asked before it serves or during a
-// hand-over, it drains once it serves. A process that ends, or has handed over, has
-// no clients to drain.
+// StartDrain drains the process until EndDrain is called. If the process is starting or handing
+// over, the drain begins when it serves. A process that is stopping or has handed over has no
+// clients to drain, so the answer is no.
 func (m *Machine) StartDrain() (Answer, Action) {
 	switch m.state {
 	case Starting, HandingOver:
@@ -79,7 +78,7 @@
 	return Answer{OK: false, Reason: m.state.String()}, NoAction
 }
 
-// EndDrain ends a drain. Where there is none, there is nothing to do.
+// EndDrain ends a drain. If the process is serving without a drain, nothing changes.
 func (m *Machine) EndDrain() (Answer, Action) {
 	switch m.state {
 	case Starting, HandingOver:
@@ -94,8 +93,8 @@
 	return Answer{OK: false, Reason: m.state.String()}, NoAction
 }
 
-// StartServing is called once the process can serve: at first, or again after a
-// hand-over that failed.
+// StartServing must be called when the process can serve clients, at its start and after a
+// failed hand-over. If a drain was requested, the process drains.
 func (m *Machine) StartServing() Action {
 	if m.state != Starting && m.state != HandingOver {
 		return NoAction
@@ -108,23 +107,24 @@
 	return NoAction
 }
 
-// StartHandover begins to hand the work to another process; false where that
-// cannot be.
+// StartHandover begins a hand-over to another process. It returns false if no hand-over is
+// possible in the current state.
 func (m *Machine) StartHandover() bool {
 	switch m.state {
 	case Serving, Draining:
 		m.state = HandingOver
-	case Stopping: // and goes on to stop if the hand-over fails
+	case Stopping: // the state stays: if the hand-over fails, the process continues to stop
 	default:
 		return false
 	}
 	return true
 }
 
-// CompleteHandover is called once the other process has the work.
+// CompleteHandover must be called when the other process has taken over.
 func (m *Machine) CompleteHandover() { m.state = HandedOver }
 
-// Stop has the process end.
+// Stop begins to stop the process. It changes nothing if the process is already stopping or has
+// handed over.
 func (m *Machine) Stop() Action {
 	if m.state == Stopping || m.state == HandedOver {
 		return NoAction
--- a/internal/lifecycle/lifecycle_test.go
+++ b/internal/lifecycle/lifecycle_test.go
@@ -5,9 +5,10 @@
 	"testing"
 )
 
-// Each call in each state has one result.
+// Pins the answer, the action and the next state of operators' calls and of Stop in each state.
+// Guards against a transition that is missing or that a change to another state alters.
 func TestTransitions(t *testing.T) {
-	reach := map[State]func(*Machine){
+	enter := map[State]func(*Machine){
 		Starting:    func(*Machine) {},
 		Serving:     func(m *Machine) { m.StartServing() },
 		Draining:    func(m *Machine) { m.StartServing(); m.StartDrain() },
@@ -16,11 +17,11 @@
 		Stopping:    func(m *Machine) { m.StartServing(); m.Stop() },
 	}
 	cases := []struct {
-		in     State
+		from   State
 		call   string
 		ok     bool
 		action Action
-		after  State
+		to     State
 	}{
 		{Starting, "drain", true, NoAction, Starting},
 		{Starting, "undrain", true, NoAction, Starting},
@@ -46,63 +47,67 @@
 	}
 	for _, c := range cases {
 		m := &Machine{}
-		reach[c.in](m)
-		var a Answer
+		enter[c.from](m)
+		var answer Answer
 		var action Action
 		switch c.call {
 		case "drain":
-			a, action = m.StartDrain()
+			answer, action = m.StartDrain()
 		case "undrain":
-			a, action = m.EndDrain()
+			answer, action = m.EndDrain()
 		case "ready":
-			a = m.Ready()
+			answer = m.Ready()
 		case "stop":
-			a.OK, action = true, m.Stop()
+			answer.OK, action = true, m.Stop()
 		}
-		if a.OK != c.ok || action != c.action || m.State() != c.after {
-			t.Errorf("%s while %s: %v, action %d, then %s; want %v, %d, %s",
-				c.call, c.in, a, action, m.State(), c.ok, c.action, c.after)
+		if answer.OK != c.ok || action != c.action || m.State() != c.to {
+			t.Errorf("%s in state %s = answer %v, action %d, state %s, want ok %v, action %d, state %s",
+				c.call, c.from, answer, action, m.State(), c.ok, c.action, c.to)
 		}
 	}
 }
 
-// A drain that was asked for before the process serves holds once it does, also after
-// a hand-over that failed.
+// Guards against a drain request that is lost: a drain that is requested before the process
+// serves must take effect when it serves, and again after a failed hand-over.
 func TestDrainOutlastsStartAndFailedHandover(t *testing.T) {
 	m := &Machine{}
 	m.StartDrain()
 	if action := m.StartServing(); action != CloseClients || m.State() != Draining || m.AcceptsClients() {
-		t.Errorf("after the start: %v, action %d", m.State(), action)
+		t.Errorf("StartServing() after StartDrain = action %d, state %v, AcceptsClients() = %v, want %d, %v, false",
+			action, m.State(), m.AcceptsClients(), CloseClients, Draining)
 	}
 	m.StartHandover()
 	if action := m.StartServing(); action != CloseClients || m.State() != Draining {
-		t.Errorf("after a hand-over that failed: %v, action %d", m.State(), action)
+		t.Errorf("StartServing() after a failed hand-over while draining = action %d, state %v, want %d, %v",
+			action, m.State(), CloseClients, Draining)
 	}
 	m.EndDrain()
 	m.StartHandover()
 	if action := m.StartServing(); action != NoAction || m.State() != Serving || !m.AcceptsClients() {
-		t.Errorf("undrained, after a hand-over that failed: %v, action %d", m.State(), action)
+		t.Errorf("StartServing() after EndDrain and a failed hand-over = action %d, state %v, AcceptsClients() = %v, "+
+			"want %d, %v, true", action, m.State(), m.AcceptsClients(), NoAction, Serving)
 	}
 }
 
-// Whatever is called, client connections are closed exactly when new clients are not
-// accepted, and the last of DRAIN and UNDRAIN that was answered with yes holds.
+// Guards against a sequence of calls after which the process drains although the last accepted
+// call was EndDrain, or serves although it was StartDrain. Also checks that a serving process
+// accepts new clients, and that a draining one neither accepts them nor keeps idle connections.
 func TestRandomTransitions(t *testing.T) {
 	for seed := range uint64(2000) {
 		rng := rand.New(rand.NewPCG(seed, 1))
 		m := &Machine{}
-		kept, want := true, false
+		keepsClients, wantDrain := true, false
 		for range 40 {
-			var a Answer
+			var answer Answer
 			action := NoAction
 			switch rng.IntN(7) {
 			case 0, 1:
-				if a, action = m.StartDrain(); a.OK {
-					want = true
+				if answer, action = m.StartDrain(); answer.OK {
+					wantDrain = true
 				}
 			case 2, 3:
-				if a, action = m.EndDrain(); a.OK {
-					want = false
+				if answer, action = m.EndDrain(); answer.OK {
+					wantDrain = false
 				}
 			case 4:
 				action = m.StartServing()
@@ -113,24 +118,26 @@
 					action = m.Stop()
 				}
 			}
-			kept = action == KeepClients || kept && action != CloseClients
+			keepsClients = action == KeepClients || keepsClients && action != CloseClients
 			switch m.State() {
 			case Serving:
-				// A hand-over that failed under a drain that was ended meanwhile
-				// keeps connections as they come; none is closed anew.
-				if want || !m.AcceptsClients() {
-					t.Fatalf("seed %d: serving, drain wanted %v", seed, want)
+				// keepsClients is not checked: if a drain is ended during a hand-over that
+				// then fails, the machine returns to Serving without KeepClients.
+				if wantDrain || !m.AcceptsClients() {
+					t.Fatalf("seed %d: state serving, drain requested: %v, AcceptsClients() = %v, want false, true",
+						seed, wantDrain, m.AcceptsClients())
 				}
 			case Draining:
-				if !want || kept || m.AcceptsClients() {
-					t.Fatalf("seed %d: draining, wanted %v, connections kept %v", seed, want, kept)
+				if !wantDrain || keepsClients || m.AcceptsClients() {
+					t.Fatalf("seed %d: state draining, drain requested: %v, keeps clients: %v, AcceptsClients() = %v, "+
+						"want true, false, false", seed, wantDrain, keepsClients, m.AcceptsClients())
 				}
 			}
 		}
 	}
 }
 
-// The words of each answer, which operators' scripts read.
+// Guards against a change of the answer texts, which operators' scripts match.
 func TestAnswerTexts(t *testing.T) {
 	for _, c := range []struct {
 		state                 State
@@ -144,11 +151,13 @@
 		{Stopping, "stopping", "stopping", "stopping"},
 	} {
 		ready, drain, undrain := &Machine{state: c.state}, &Machine{state: c.state}, &Machine{state: c.state}
-		d, _ := drain.StartDrain()
-		u, _ := undrain.EndDrain()
-		r := ready.Ready()
-		if r.Reason != c.ready || d.Reason != c.drain || u.Reason != c.undrain || c.state.String() != c.ready {
-			t.Errorf("%s: ready %q, drain %q, undrain %q", c.state, r.Reason, d.Reason, u.Reason)
+		drainAnswer, _ := drain.StartDrain()
+		undrainAnswer, _ := undrain.EndDrain()
+		readyAnswer := ready.Ready()
+		if readyAnswer.Reason != c.ready || drainAnswer.Reason != c.drain || undrainAnswer.Reason != c.undrain ||
+			c.state.String() != c.ready {
+			t.Errorf("state %s: answers of Ready, StartDrain, EndDrain = %q, %q, %q, want %q, %q, %q", c.state,
+				readyAnswer.Reason, drainAnswer.Reason, undrainAnswer.Reason, c.ready, c.drain, c.undrain)
 		}
 	}
 }
--- a/internal/sendgate/sendgate.go
+++ b/internal/sendgate/sendgate.go
@@ -1,18 +1,20 @@
-// Package sendgate has the last word on whether the bytes of a call may go out.
+// Package sendgate makes the final decision whether a call may be sent.
 //
-// It owns, for each endpoint, whether any call may begin there ([Gate]), and for
-// each [Scope] (a destination, or an endpoint that is a route of its own) until when
-// the endpoints have asked not to be called (Retry-After). Whoever reads such a time
-// applies it here before anything else is done with the response. A call asks twice,
-// as late as can be: before its first byte, from which a drain counts it, and before
-// its last, from which a Retry-After time counts it. A call that still waits for a
-// connection is stopped as soon as it could not go out any more.
+// A [Gate] holds whether calls to an endpoint may begin. A [Scope] is a destination, or an
+// endpoint that is an independent route; it holds the time until which its endpoints have
+// asked not to be called (Retry-After). The code that reads a Retry-After from a response
+// must apply it here before it does anything else with the response.
 //
-// It must never do I/O, read a clock, or decide what becomes of a message that it
-// has stopped.
+// A call asks for permission twice, each time as late as possible. It asks before its first
+// byte: a drain stops the calls that have not begun by then. It asks again before its last
+// byte: a Retry-After stops the calls that are not completely sent by then. A call that still
+// waits for a connection is stopped as soon as it may no longer be sent.
 //
-// Times are moments of the caller's clock, in microseconds. All methods are safe for
-// concurrent use; all gates and permits of a scope share its lock.
+// The package does no I/O and reads no clock, and the caller decides how to proceed with the
+// message of a stopped call.
+//
+// Times are times of the caller's clock, in microseconds. All methods are safe for concurrent
+// use. All gates and permits of a scope share the lock of the scope.
 package sendgate
 
 import (
@@ -24,59 +26,59 @@
 	"troutusher/policy"
 )
 
-// ErrEndpointDraining refuses a call to an endpoint that drains or has left.
+// ErrEndpointDraining is the error for a call to an endpoint that is draining or removed.
 var ErrEndpointDraining = errors.New("endpoint drained")
 
-// ErrDedupWindowExpired refuses a call that would come too late at its endpoint to be
-// recognised there as a repeat.
+// ErrDedupWindowExpired is the error for a repeated call that would arrive after the dedup
+// window, so that the endpoint would not recognise it as a repeat.
 var ErrDedupWindowExpired = errors.New("too late to be remembered as a repeat")
 
-// RetryAfterError refuses a call to a destination that has asked not to be called for
-// a time, of which Remaining is left.
+// RetryAfterError is the error for a call to a destination that has asked not to be called
+// yet. Remaining is the time until it may be called again.
 type RetryAfterError struct{ Remaining policy.Time }
 
-// Error says how long the wait still is.
+// Error returns a text that contains the remaining time in seconds.
 func (e RetryAfterError) Error() string {
 	return fmt.Sprintf("told to wait for %.3f s more", float64(e.Remaining)/1e6)
 }
 
-// IsRefusal reports whether an error is this package's: the call has not gone out,
-// and its endpoint was not asked.
+// IsRefusal reports whether an error comes from this package. The call was then not sent
+// completely, so the endpoint has not processed it.
 func IsRefusal(err error) bool {
 	var retryAfter RetryAfterError
 	return errors.Is(err, ErrEndpointDraining) || errors.Is(err, ErrDedupWindowExpired) || errors.As(err, &retryAfter)
 }
 
-// Scope is all that one Retry-After time binds. The zero value is ready to use.
+// Scope is the set of endpoints to which one Retry-After time applies. The zero value is ready
+// to use.
 type Scope struct {
 	mu         sync.Mutex
-	retryAfter policy.Time // nothing goes out before this moment
-	permits    []*Permit   // of calls whose last byte is not out
+	retryAfter policy.Time // nothing may be sent before this time
+	permits    []*Permit   // of calls whose last byte has not been sent
 }
 
-// HoldUntil has nothing go out before a moment. Such a time is never shortened: it
-// ends when the longest that was asked for ends.
+// HoldUntil forbids sends before a time. An earlier time does not replace a later one.
 func (s *Scope) HoldUntil(now, until policy.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.retryAfter = max(s.retryAfter, until)
-	if err := s.heldLocked(now); err != nil {
+	if err := s.retryAfterErrorLocked(now); err != nil {
 		s.stopUnstartedLocked(err, func(*Permit) bool { return true })
 	}
 }
 
-// heldLocked returns the error of a call that may not go out yet; nil if it may. The
-// caller holds the lock.
-func (s *Scope) heldLocked(now policy.Time) error {
+// retryAfterErrorLocked returns a RetryAfterError if calls may not be sent yet, otherwise nil.
+// The caller must hold the lock.
+func (s *Scope) retryAfterErrorLocked(now policy.Time) error {
 	if s.retryAfter <= now {
 		return nil
 	}
 	return RetryAfterError{s.retryAfter - now}
 }
 
-// stopUnstartedLocked stops those calls that wait for a connection and for which
-// selected is true. One whose bytes are on their way is refused its last byte. The
-// caller holds the lock.
+// stopUnstartedLocked stops the calls that wait for a connection and for which selected
+// returns true. It does not stop calls whose first byte was sent; AllowLastByte checks these
+// again. The caller must hold the lock.
 func (s *Scope) stopUnstartedLocked(reason error, selected func(*Permit) bool) {
 	for _, permit := range s.permits {
 		if !permit.started && permit.stopReason == nil && selected(permit) {
@@ -86,26 +88,27 @@
 	}
 }
 
-// Gate is that of one endpoint, from when it may be called until it drains or leaves.
+// Gate is the gate of one endpoint. It is used from the time at which the endpoint may be
+// called until the endpoint is drained or removed.
 type Gate struct {
 	scope  *Scope
 	closed bool
 }
 
-// Gate returns a new gate, which is open as far as the scope lets it be.
+// Gate returns a new open gate. Calls are still subject to the Retry-After of the scope.
 func (s *Scope) Gate() *Gate { return &Gate{scope: s} }
 
-// HoldUntil is that of the gate's scope.
+// HoldUntil calls HoldUntil of the gate's scope.
 func (g *Gate) HoldUntil(now, until policy.Time) { g.scope.HoldUntil(now, until) }
 
-// RetryAfter returns for how long the scope lets nothing go out; 0 if it does.
+// RetryAfter returns the time for which the scope still forbids sends; 0 if it permits them.
 func (g *Gate) RetryAfter(now policy.Time) policy.Time {
 	g.scope.mu.Lock()
 	defer g.scope.mu.Unlock()
 	return max(g.scope.retryAfter-now, 0)
 }
 
-// Close lets no call begin any more. What is on its way already goes on.
+// Close prevents further calls from beginning. Calls whose first byte was sent continue.
 func (g *Gate) Close() {
 	g.scope.mu.Lock()
 	defer g.scope.mu.Unlock()
@@ -113,21 +116,21 @@
 	g.scope.stopUnstartedLocked(ErrEndpointDraining, func(permit *Permit) bool { return permit.gate == g })
 }
 
-// Permit is one call's leave to go out.
+// Permit is the permission to send one call.
 type Permit struct {
-	// SendBy is the last moment for the last byte; 0 for none. The call sets it right
+	// SendBy is the deadline for sending the last byte; 0 for none. The call sets it right
 	// after [Gate.Acquire].
 	SendBy policy.Time
 
 	gate       *Gate
-	stop       func(error) // called with the scope's lock held: it may not wait or call back
-	started    bool        // the first byte may be out
-	stopReason error       // the call was stopped before that
+	stop       func(error) // called with the scope's lock held: must not block or call this package
+	started    bool        // the first byte may have been sent
+	stopReason error       // set if the call was stopped before its first byte
 }
 
-// Acquire returns the permit of a call that is about to get its connection. Where it
-// could not go out now, no connection is worth having. stop is called at most once,
-// with the scope's lock held: it may neither wait nor call this package.
+// Acquire returns the permit of a call that is about to get a connection. If the call may not
+// be sent now, Acquire returns an error, because a connection would be useless. stop is called
+// at most once, with the scope's lock held. It must not block or call this package.
 func (g *Gate) Acquire(now policy.Time, stop func(error)) (*Permit, error) {
 	s := g.scope
 	s.mu.Lock()
@@ -140,8 +143,8 @@
 	return permit, nil
 }
 
-// checkLocked returns what keeps a call that has not begun; nil for nothing. The
-// caller holds the lock.
+// checkLocked returns the reason why a call may not begin, or nil if it may. The caller must
+// hold the lock.
 func (p *Permit) checkLocked(now policy.Time) error {
 	switch {
 	case p.stopReason != nil:
@@ -152,9 +155,10 @@
 	return p.checkTimesLocked(now)
 }
 
-// checkTimesLocked is the part of that which also holds for a call that has begun.
+// checkTimesLocked checks the time limits, which also apply to a call that has begun. The
+// caller must hold the lock.
 func (p *Permit) checkTimesLocked(now policy.Time) error {
-	if err := p.gate.scope.heldLocked(now); err != nil {
+	if err := p.gate.scope.retryAfterErrorLocked(now); err != nil {
 		return err
 	}
 	if p.SendBy > 0 && now > p.SendBy {
@@ -163,7 +167,8 @@
 	return nil
 }
 
-// AllowFirstByte is asked before the first byte is written.
+// AllowFirstByte must be called before the first byte is written. It returns an error if the
+// byte may not be sent.
 func (p *Permit) AllowFirstByte(now policy.Time) error {
 	p.gate.scope.mu.Lock()
 	defer p.gate.scope.mu.Unlock()
@@ -172,30 +177,33 @@
 	return err
 }
 
-// AllowLastByte is asked before the last byte is written. A drain that came since the
-// first is no obstacle: the call had begun. A Retry-After time is one.
+// AllowLastByte must be called before the last byte is written. It returns an error if the
+// byte may not be sent. A drain after the first byte does not prevent the last one, because
+// the call had already begun. A Retry-After does.
 func (p *Permit) AllowLastByte(now policy.Time) error {
 	p.gate.scope.mu.Lock()
 	defer p.gate.scope.mu.Unlock()
 	return p.checkTimesLocked(now)
 }
 
-// Restart is for a call that begins anew on another connection.
+// Restart must be called when a call starts over on another connection. The call must then ask
+// for its first byte again.
 func (p *Permit) Restart() {
 	p.gate.scope.mu.Lock()
 	defer p.gate.scope.mu.Unlock()
 	p.started = false
 }
 
-// StopReason returns why the call was stopped before its first byte; nil if it was
-// not.
+// StopReason returns the reason why the call was stopped before its first byte, or nil if it
+// was not stopped.
 func (p *Permit) StopReason() error {
 	p.gate.scope.mu.Lock()
 	defer p.gate.scope.mu.Unlock()
 	return p.stopReason
 }
 
-// Release gives the permit back, once the last byte is out or never will be.
+// Release releases the permit. It must be called after the last byte was sent, or when the call
+// is given up.
 func (p *Permit) Release() {
 	s := p.gate.scope
 	s.mu.Lock()
