--- a/internal/core/endpoint.go
+++ b/internal/core/endpoint.go
@@ -9,7 +9,7 @@
 // forgetRetiredAfter is the minimum time for which a retired endpoint is remembered.
 const forgetRetiredAfter = policy.Time(10e6)
 
-// endpointState is one address of a destination.
+// endpointState is the state of one endpoint of an active destination.
 type endpointState struct {
 	id          string
 	number      policy.EndpointID
--- a/internal/core/handover.go
+++ b/internal/core/handover.go
@@ -104,7 +104,7 @@
 	present bool
 	calls   map[string]*HandoverCall
 	weights map[string]float64
-	shift   policy.Time // from the exporting core's clock to this one's
+	shift   policy.Time // added to times of the exporting core's clock to convert them to this core's
 }
 
 // importHandover takes over the state of another core.
@@ -142,7 +142,7 @@
 		snapshot = &policy.Snapshot{}
 	}
 	c.activateAll(snapshot)
-	c.runPolicy() // the policy knows the endpoints from here on
+	c.runPolicy() // makes the endpoints known to the policy before their state is loaded
 	c.translateSnapshot(snapshot, state.Members, shift)
 	for _, endpoint := range c.endpoints.all {
 		if endpoint.retryAfter > 0 {
--- a/internal/core/snapshot.go
+++ b/internal/core/snapshot.go
@@ -61,7 +61,7 @@
 	if snapshot.Policy != nil {
 		c.activateAll(snapshot.Policy)
 	}
-	c.runPolicy() // the policy knows the endpoints from here on
+	c.runPolicy() // makes the endpoints known to the policy before their state is restored
 	for _, retryAfter := range snapshot.RetryAfters {
 		if c.knowsDestination(retryAfter.Dest) {
 			c.extendRetryAfter(retryAfter.Dest, retryAfter.Until+shift)
