--- a/internal/core/calldriver_test.go
+++ b/internal/core/calldriver_test.go
@@ -14,26 +14,26 @@
 // times of their own. It checks each byte against the Retry-Afters that were told, of
 // which it keeps its own account.
 type callDriver struct {
-	sim           *simulation
-	scopes        map[string]*sendgate.Scope
-	endpoints     map[policy.EndpointID]*driverEndpoint
-	calls         []*driverCall
-	retryAfterOf  map[string]policy.Time // the latest, by scope
-	extraWait     policy.Time            // some Retry-Afters are so much longer
-	tellingScopes map[string]bool        // scopes that told one
-	sent          int
-	blocked       int // calls that the gate blocked
+	sim              *simulation
+	scopes           map[string]*sendgate.Scope
+	endpoints        map[policy.EndpointID]*driverEndpoint
+	calls            []*driverCall
+	retryAfterUntil  map[string]policy.Time // the latest, by scope
+	extraRetryAfter  policy.Time            // some Retry-Afters are so much longer
+	retryAfterScopes map[string]bool        // scopes that told one
+	callsSent        int
+	callsBlocked     int // calls that the gate blocked
 }
 
 type driverEndpoint struct {
-	scope string
-	gate  *sendgate.Gate
-	dest  int
-	gone  bool
+	scope  string
+	gate   *sendgate.Gate
+	dest   int
+	closed bool
 }
 
 type driverCall struct {
-	call     *Call
+	coreCall *Call
 	endpoint *driverEndpoint
 	permit   *sendgate.Permit
 	step     callStep
@@ -52,7 +52,7 @@
 func newCallDriver(sim *simulation) *callDriver {
 	return &callDriver{
 		sim: sim, scopes: map[string]*sendgate.Scope{}, endpoints: map[policy.EndpointID]*driverEndpoint{},
-		retryAfterOf: map[string]policy.Time{}, tellingScopes: map[string]bool{},
+		retryAfterUntil: map[string]policy.Time{}, retryAfterScopes: map[string]bool{},
 	}
 }
 
@@ -76,14 +76,14 @@
 
 func (d *callDriver) closeEndpoint(number policy.EndpointID) {
 	if endpoint := d.endpoints[number]; endpoint != nil {
-		endpoint.gone = true
+		endpoint.closed = true
 		endpoint.gate.Close()
 	}
 }
 
 func (d *callDriver) forgetEndpoint(number policy.EndpointID) {
 	if endpoint := d.endpoints[number]; endpoint != nil {
-		if !endpoint.gone {
+		if !endpoint.closed {
 			d.sim.failf("endpoint %d is forgotten and not closed", number)
 		}
 		if strings.HasPrefix(endpoint.scope, "route ") {
@@ -97,8 +97,8 @@
 func (d *callDriver) recordRetryAfter(endpoint *driverEndpoint, retryAfter policy.Time) {
 	until := d.sim.now + retryAfter
 	endpoint.gate.HoldUntil(d.sim.now, until)
-	d.retryAfterOf[endpoint.scope] = max(d.retryAfterOf[endpoint.scope], until)
-	d.tellingScopes[endpoint.scope] = true
+	d.retryAfterUntil[endpoint.scope] = max(d.retryAfterUntil[endpoint.scope], until)
+	d.retryAfterScopes[endpoint.scope] = true
 }
 
 // finishCall has the core told of a call's end, now or at any later step.
@@ -108,11 +108,11 @@
 		sent.permit = nil
 	}
 	d.calls = slices.DeleteFunc(d.calls, func(other *driverCall) bool { return other == sent })
-	d.sim.queue = append(d.sim.queue, AttemptFinished{Call: sent.call, Result: result})
+	d.sim.queue = append(d.sim.queue, AttemptFinished{Call: sent.coreCall, Result: result})
 }
 
 func (d *callDriver) blockCall(sent *driverCall, err error) {
-	d.blocked++
+	d.callsBlocked++
 	d.finishCall(sent, &Result{Outcome: policy.NotSent, Err: err})
 }
 
@@ -146,8 +146,8 @@
 	}
 	result := d.randomResult(sent)
 	if result.RetryAfter > 0 {
-		if d.extraWait > 0 && sim.rng.IntN(3) == 0 {
-			result.RetryAfter += d.extraWait
+		if d.extraRetryAfter > 0 && sim.rng.IntN(3) == 0 {
+			result.RetryAfter += d.extraRetryAfter
 		}
 		d.recordRetryAfter(sent.endpoint, result.RetryAfter)
 	}
@@ -164,19 +164,19 @@
 		d.blockCall(sent, err)
 		return false
 	}
-	if sent.endpoint.gone {
-		d.sim.failf("%s begins at an endpoint that has left", sent.call.Record.ID)
+	if sent.endpoint.closed {
+		d.sim.failf("%s begins at an endpoint that has left", sent.coreCall.Record.ID)
 	}
 	return true
 }
 
 func (d *callDriver) sendLastByte(sent *driverCall) bool {
-	sim, record, endpoint := d.sim, sent.call.Record, sent.endpoint
+	sim, record, endpoint := d.sim, sent.coreCall.Record, sent.endpoint
 	if err := sent.permit.AllowLastByte(sim.now); err != nil {
 		d.blockCall(sent, err)
 		return false
 	}
-	if until := d.retryAfterOf[endpoint.scope]; sim.now < until {
+	if until := d.retryAfterUntil[endpoint.scope]; sim.now < until {
 		sim.failf("%s is sent %d ms before the Retry-After of %s", record.ID, (until-sim.now)/1000, endpoint.scope)
 	}
 	if endpoint.dest != record.Dest {
@@ -184,12 +184,12 @@
 	}
 	sent.permit.Release()
 	sent.permit = nil
-	d.sent++
+	d.callsSent++
 	return true
 }
 
 func (d *callDriver) randomResult(sent *driverCall) *Result {
-	elapsed := d.sim.now - sent.call.SentAt()
+	elapsed := d.sim.now - sent.coreCall.SentAt()
 	result := delivered(elapsed)
 	switch d.sim.rng.IntN(8) {
 	case 0, 1:
--- a/internal/core/core_test.go
+++ b/internal/core/core_test.go
@@ -11,7 +11,7 @@
 func TestOrderOfEffects(t *testing.T) {
 	sent := 0
 	for seed := range uint64(150) {
-		text := newSimulation(t, seed).play(400)
+		text := newSimulation(t, seed).run(400)
 		sent += strings.Count(text, fmt.Sprintf(" %T m", AppendThenSend{}))
 	}
 	if sent < 5000 {
@@ -22,7 +22,7 @@
 // The same events at the same times give the same effects, byte for byte.
 func TestDeterministic(t *testing.T) {
 	for seed := range uint64(60) {
-		if a, b := newSimulation(t, seed).play(300), newSimulation(t, seed).play(300); a != b {
+		if a, b := newSimulation(t, seed).run(300), newSimulation(t, seed).run(300); a != b {
 			t.Fatalf("seed %d differs", seed)
 		}
 	}
--- a/internal/core/crash_test.go
+++ b/internal/core/crash_test.go
@@ -8,8 +8,9 @@
 	"troutusher/policy"
 )
 
-// Every message that was accepted ends once and in time, whenever its relay dies and
-// starts again, and however late clients, steps and lists are.
+// TestCrashesLoseNoOutcome guards against messages that are lost, ended twice or ended late because
+// the relay was killed and restarted at an unfavorable moment, while clients, steps of the event
+// loop and endpoint lists are delayed.
 func TestCrashesLoseNoOutcome(t *testing.T) {
 	seeds := uint64(150)
 	if n, err := strconv.ParseUint(os.Getenv("HERD_SEEDS"), 10, 32); err == nil {
@@ -17,21 +18,24 @@
 	}
 	kills, accepted, retryAfters := 0, 0, 0
 	for seed := range seeds {
-		sim, n := playCrashes(t, seed)
+		sim, n := runCrashSimulation(t, seed)
 		kills, accepted, retryAfters = kills+sim.kills, accepted+n, retryAfters+sim.startsInsideRetryAfter
 	}
 	if retryAfters < int(seeds)/4 {
-		t.Errorf("only %d starts had a Retry-After to keep", retryAfters)
+		t.Errorf("the test is too weak: %d Retry-Afters were active at a start, want at least %d",
+			retryAfters, int(seeds)/4)
 	}
 	if kills < int(seeds) || accepted < 50*int(seeds) {
-		t.Errorf("only %d kills, %d messages accepted", kills, accepted)
+		t.Errorf("the test is too weak: %d kills and %d accepted messages, want at least %d and %d",
+			kills, accepted, seeds, 50*int(seeds))
 	}
-	t.Logf("%d days, %d kills, %d messages accepted, %d Retry-Afters kept across a start",
+	t.Logf("%d simulations, %d kills, %d messages accepted, %d Retry-Afters active at a start",
 		seeds, kills, accepted, retryAfters)
 }
 
-// Thousands that are owed at a start, half of them due already and the others in
-// one later instant, end in the step in which they are due: each once, none late.
+// TestThousandsDueTogether guards against late or repeated notices when thousands of messages reach
+// their deadline at once. The core recovers them at its start: half are past their deadline, the
+// others share one later deadline. Each must end once, in the step in which it is due.
 func TestThousandsDueTogether(t *testing.T) {
 	const n = 6000
 	settings := testCore(t).settings
@@ -44,13 +48,13 @@
 	member := Member{ID: "s1", HostPort: "10.0.0.1:1", Locality: "a", Flavor: "k", Dest: 1, Phase: Draining, Rate: 40}
 	c.Observe(now, []Event{listEvent(policy.ListCached, member)}, nil)
 	c.DeferSends()
-	var owed []*Record
+	var pending []*Record
 	for i := range n {
-		due := now - 1e6
+		deadline := now - 1e6
 		if i%2 == 1 {
-			due = now + 2e6
+			deadline = now + 2e6
 		}
-		owed = append(owed, plainRecord("m"+strconv.Itoa(i), 1, c.wallTime(due)))
+		pending = append(pending, plainRecord("m"+strconv.Itoa(i), 1, c.wallTime(deadline)))
 	}
 	ends := map[string]policy.Time{}
 	step := func(at policy.Time, effects []Effect) (count int) {
@@ -58,16 +62,16 @@
 			if e, ok := effects[i].(AppendThenNotify); ok {
 				count++
 				if _, twice := ends[e.Notice.Message]; twice {
-					t.Fatalf("%s ends twice", e.Notice.Message)
+					t.Fatalf("message %s ended twice, want once", e.Notice.Message)
 				}
 				ends[e.Notice.Message] = at
 			}
 		}
 		return count
 	}
-	step(now, c.RecoverMessages(now, owed, nil, 0, nil))
+	step(now, c.RecoverMessages(now, pending, nil, 0, nil))
 	if got := step(now, c.Step(now, nil, nil)); got != n/2 {
-		t.Errorf("%d end at the start, want %d", got, n/2)
+		t.Errorf("the first Step ended %d messages, want %d", got, n/2)
 	}
 	for at := now + 1000; at <= now+2e6; at = c.NextWakeup() {
 		step(at, c.Step(at, nil, nil))
@@ -76,11 +80,12 @@
 		}
 	}
 	if len(ends) != n || c.HeldMessages() != 0 {
-		t.Errorf("%d of %d have ended, %d are held", len(ends), n, c.HeldMessages())
+		t.Errorf("at the end %d messages have ended, want %d; HeldMessages() = %d, want 0",
+			len(ends), n, c.HeldMessages())
 	}
 	for id, at := range ends {
 		if at > now+2e6 {
-			t.Errorf("%s ended %d µs late", id, at-now-2e6)
+			t.Errorf("message %s ended %d µs after its deadline, want no delay", id, at-now-2e6)
 		}
 	}
 }
--- a/internal/core/defersends_test.go
+++ b/internal/core/defersends_test.go
@@ -17,7 +17,7 @@
 	for seed := range uint64(60) {
 		sim := newSimulation(t, seed)
 		sim.core.DeferSends()
-		text := sim.play(120)
+		text := sim.run(120)
 		for _, unwanted := range []string{
 			fmt.Sprintf(" %T m", AppendThenSend{}),
 			fmt.Sprintf(" %T m", CancelCall{}),
@@ -41,15 +41,15 @@
 			}
 		}
 		sent += len(order)
-		sim.playFrom(120, 200) // the simulation's own checks hold
+		sim.runFrom(120, 200) // the simulation's own checks hold
 	}
 	if accepted < 1000 || sent < 40 || ended < 100 {
 		t.Errorf("%d accepted, %d ended meanwhile, %d sent at once after it", accepted, ended, sent)
 	}
 }
 
-// deferMember is an endpoint of destination 1.
-func deferMember(id, phase string) Member {
+// memberInPhase is an endpoint of destination 1.
+func memberInPhase(id, phase string) Member {
 	return Member{
 		ID: id, HostPort: "10.0.0.1:" + id[1:], Locality: "a", Flavor: "k", Dest: 1, Phase: phase, Rate: 1000,
 	}
@@ -60,7 +60,7 @@
 func TestDeferSendsRepliesAtOnce(t *testing.T) {
 	c := testCore(t)
 	now := policy.Time(3600e6)
-	c.Observe(now, []Event{listEvent(policy.ListCached, deferMember("s1", Up), deferMember("s2", Up))}, nil)
+	c.Observe(now, []Event{listEvent(policy.ListCached, memberInPhase("s1", Up), memberInPhase("s2", Up))}, nil)
 	c.DeferSends()
 	c.Step(now, nil, nil)
 	var events []Event
@@ -82,7 +82,7 @@
 		}
 	}
 	var got []string
-	events = []Event{listEvent(policy.ListDelta, deferMember("s1", Draining)), Started{}}
+	events = []Event{listEvent(policy.ListDelta, memberInPhase("s1", Draining)), Started{}}
 	// Those that were meant for s1 have another endpoint chosen, after a while.
 	for at := now + 100e3; at < now+2100e3 && len(got) < 3; at += 20e3 {
 		effects := c.Step(at, events, nil)
@@ -107,7 +107,7 @@
 func TestDeferSendsDelaysHealthChecks(t *testing.T) {
 	c := testCore(t)
 	now := policy.Time(3600e6)
-	c.Observe(now, []Event{listEvent(policy.ListCached, deferMember("s1", Up), deferMember("s2", Up))}, nil)
+	c.Observe(now, []Event{listEvent(policy.ListCached, memberInPhase("s1", Up), memberInPhase("s2", Up))}, nil)
 	c.DeferSends()
 	for _, number := range []policy.EndpointID{1, 2} {
 		c.executeAction(&policy.Action{Kind: policy.ActHealthCheck, Endpoint: number})
@@ -117,7 +117,7 @@
 	}
 	var checked []policy.EndpointID
 	for range 2 { // once
-		events := []Event{listEvent(policy.ListDelta, deferMember("s1", Draining)), Started{}}
+		events := []Event{listEvent(policy.ListDelta, memberInPhase("s1", Draining)), Started{}}
 		for _, e := range c.Observe(now, events, nil) {
 			if e, ok := e.(CheckHealth); ok {
 				checked = append(checked, e.Endpoint)
--- a/internal/core/effects_amd64_test.go
+++ b/internal/core/effects_amd64_test.go
@@ -17,7 +17,7 @@
 	var digests, whole bytes.Buffer
 	sim := newSimulation(t, 1)
 	sim.golden = &whole
-	sim.play(50)
+	sim.run(50)
 	compareFixture(t, "effects.txt", whole.Bytes())
 	for _, run := range goldenRuns {
 		for seed := range uint64(12) {
--- a/internal/core/effects_test.go
+++ b/internal/core/effects_test.go
@@ -78,17 +78,17 @@
 	{"plain", func(t *testing.T, seed uint64, golden io.Writer) {
 		sim := newSimulation(t, seed)
 		sim.golden = golden
-		sim.play(300)
+		sim.run(300)
 	}},
 	{"deferred", func(t *testing.T, seed uint64, golden io.Writer) {
 		sim := newSimulation(t, seed)
 		sim.golden = golden
 		sim.core.DeferSends()
-		sim.play(60)
+		sim.run(60)
 		sim.execute(sim.core.Step(sim.now, []Event{Started{}}, nil))
-		sim.playFrom(60, 100)
+		sim.runFrom(60, 100)
 		sim.execute(sim.core.Step(sim.now, []Event{ShutdownRequested{}}, nil))
-		sim.playFrom(160, 100)
+		sim.runFrom(160, 100)
 	}},
 	{"handover", func(t *testing.T, seed uint64, golden io.Writer) {
 		sim := newSimulation(t, seed)
@@ -96,7 +96,7 @@
 		log := newLogModel()
 		sim.logModel = log
 		for turn := range 3 {
-			sim.playFrom(turn*60, 60)
+			sim.runFrom(turn*60, 60)
 			sim.handOver(log, policy.Time(sim.rng.Int64N(2e9))-1e9)
 		}
 	}},
@@ -104,7 +104,7 @@
 		sim := newPassiveSimulation(t, seed)
 		sim.golden = golden
 		for turn := range 3 {
-			sim.playFrom(turn*100, 100)
+			sim.runFrom(turn*100, 100)
 			sim.handOverWithDriver(sim.logModel)
 		}
 	}},
--- a/internal/core/fixtures_test.go
+++ b/internal/core/fixtures_test.go
@@ -15,15 +15,15 @@
 	"troutusher/policy"
 )
 
-// The fixtures under testdata hold formats that other processes read: records of the log,
-// the state that is handed over, the state file and the packed memory of a passive
-// destination; and the effects of simulated runs, in their order. A fixture of a format
-// never changes, since other releases read it. After an intended change of behavior the
-// effects are recorded anew with -update-fixtures, and the difference is read.
+// The fixtures under testdata hold two kinds of data. The first are formats that other processes
+// read: log records, the handover state, the state file and the packed state of a passive
+// destination. They must not change, since other releases read these formats. The second are the
+// effects of simulated runs, in their order. After an intended change of behavior, record the
+// effects again with -update-fixtures and review the difference.
 
-var updateFixtures = flag.Bool("update-fixtures", false, "write the fixtures of this package anew")
+var updateFixtures = flag.Bool("update-fixtures", false, "overwrite the fixtures of this package with current results")
 
-// compareFixture compares got with a file under testdata, byte for byte.
+// compareFixture fails the test if got differs from a file under testdata.
 func compareFixture(t *testing.T, name string, got []byte) {
 	t.Helper()
 	path := filepath.Join("testdata", name)
@@ -45,29 +45,30 @@
 			t.Fatalf("%s, line %d:\n got %.2000s\nwant %.2000s", path, i+1, gotLines[i], wantLines[i])
 		}
 	}
-	t.Fatalf("%s has %d lines, got %d", path, len(wantLines), len(gotLines))
+	t.Fatalf("%s: got %d lines, want %d", path, len(gotLines), len(wantLines))
 }
 
-// fill sets every exported field to a value of its own, in the order of declaration.
-func fill(v reflect.Value, next *int) {
+// fillFields sets every exported field, in the order of declaration, to a value derived from a
+// counter, so that each field gets a different value.
+func fillFields(v reflect.Value, next *int) {
 	*next++
 	switch v.Kind() {
 	case reflect.Pointer:
 		v.Set(reflect.New(v.Type().Elem()))
-		fill(v.Elem(), next)
+		fillFields(v.Elem(), next)
 	case reflect.Struct:
 		for i := range v.NumField() {
 			if v.Field(i).CanSet() {
-				fill(v.Field(i), next)
+				fillFields(v.Field(i), next)
 			}
 		}
 	case reflect.Slice:
 		v.Set(reflect.MakeSlice(v.Type(), 2, 2))
-		fill(v.Index(0), next)
-		fill(v.Index(1), next)
+		fillFields(v.Index(0), next)
+		fillFields(v.Index(1), next)
 	case reflect.Array:
 		for i := range v.Len() {
-			fill(v.Index(i), next)
+			fillFields(v.Index(i), next)
 		}
 	case reflect.String:
 		v.SetString(fmt.Sprint("s", *next))
@@ -82,8 +83,9 @@
 	}
 }
 
-// Every stored or transferred type, with every field set and with none, encodes to the
-// recorded JSON, and the recorded JSON decodes to a value that encodes alike.
+// TestStoredFormsAreUnchanged guards against changes of the stored and transferred JSON formats. Each
+// type, with all fields set and with none, must encode to the recorded JSON, and must encode to the
+// same JSON again after decoding.
 func TestStoredFormsAreUnchanged(t *testing.T) {
 	for name, empty := range map[string]func() any{
 		"record.json":   func() any { return &Record{} },
@@ -93,7 +95,7 @@
 		"snapshot.json": func() any { return &StateSnapshot{} },
 	} {
 		full, next := empty(), 0
-		fill(reflect.ValueOf(full).Elem(), &next)
+		fillFields(reflect.ValueOf(full).Elem(), &next)
 		var got bytes.Buffer
 		for _, v := range []any{full, empty()} {
 			text, err := json.Marshal(v)
@@ -104,38 +106,41 @@
 		}
 		compareFixture(t, name, got.Bytes())
 		for _, line := range bytes.Split(bytes.TrimSpace(got.Bytes()), []byte("\n")) {
-			back := empty()
-			if err := json.Unmarshal(line, back); err != nil {
-				t.Fatalf("%s: %v", name, err)
+			decoded := empty()
+			if err := json.Unmarshal(line, decoded); err != nil {
+				t.Fatalf("%s: decoding failed: %v", name, err)
 			}
-			if again, err := json.Marshal(back); err != nil || !bytes.Equal(again, line) {
-				t.Errorf("%s: %s, %v\nwant %s", name, again, err, line)
+			if again, err := json.Marshal(decoded); err != nil || !bytes.Equal(again, line) {
+				t.Errorf("%s: decoded and encoded again = %s, error %v\nwant %s", name, again, err, line)
 			}
 		}
 	}
 }
 
-// The words that stand in records, notices and lists.
+// TestStoredWordsAreUnchanged guards against changes of the strings that records, notices and lists
+// store as kinds, outcomes and phases.
 func TestStoredWordsAreUnchanged(t *testing.T) {
 	got := fmt.Sprintln(RecordAccepted, RecordAttempt, RecordOutcome, RecordEnding, RecordDone,
 		NoticeGivenUp, NoticeHandedBack, Up, Draining, Removed)
 	if want := "taken attempt outcome ending end given_up handed_back up draining removed\n"; got != want {
-		t.Errorf("%s\nwant %s", got, want)
+		t.Errorf("stored strings = %s\nwant %s", got, want)
 	}
 }
 
-// What a record of each kind does to what is owed, by the keys of the log.
+// TestRecordsApplyAsRecorded guards against changes in how log records are read: it applies a record
+// of each kind, in its stored form, to the record of a pending message and compares all states with
+// the recorded ones.
 func TestRecordsApplyAsRecorded(t *testing.T) {
 	var got bytes.Buffer
 	state := &Record{Kind: RecordAccepted, ID: "m", Class: "keyed", Tenant: "acme", Key: "k", Dest: 7, Deadline: 9e15}
-	show := func() {
+	appendState := func() {
 		text, err := json.Marshal(state)
 		if err != nil {
 			t.Fatal(err)
 		}
 		got.Write(append(text, '\n'))
 	}
-	show()
+	appendState()
 	for _, text := range []string{
 		`{"kind":"attempt","id":"m","at":100,"zone":1}`, `{"kind":"outcome","id":"m","void":true}`,
 		`{"kind":"attempt","id":"m","at":200,"zone":2}`, `{"kind":"outcome","id":"m","ran":true}`,
@@ -148,42 +153,42 @@
 			t.Fatal(err)
 		}
 		state.Apply(record)
-		show()
+		appendState()
 	}
 	state.ResolveOpenAttempt()
-	show()
+	appendState()
 	state = &Record{Kind: RecordAccepted, ID: "n", OpenAttemptAt: 500, OpenAttemptZone: 5}
 	state.ResolveOpenAttempt()
-	show()
+	appendState()
 	compareFixture(t, "record_states.json", got.Bytes())
 }
 
-// The packed memory of a passive destination: recorded bytes are read, and written
-// again byte for byte.
+// TestPackedFormIsUnchanged guards against changes of the packed state of a passive destination:
+// packing must give the recorded bytes, and unpacking and packing them again the same bytes.
 func TestPackedFormIsUnchanged(t *testing.T) {
-	const offset = 1e8 // between the hash and the number of an endpoint
+	const offset = 1e8 // the hash of an endpoint is its number plus offset
 	hashOf := func(number policy.EndpointID) (uint32, bool) { return uint32(number) + offset, true }
 	snapshot, next := &policy.Snapshot{}, 0
-	fill(reflect.ValueOf(snapshot).Elem(), &next)
+	fillFields(reflect.ValueOf(snapshot).Elem(), &next)
 	snapshot.Now = 1000
 	b, err := pack(snapshot, hashOf)
 	if err != nil {
 		t.Fatal(err)
 	}
 	compareFixture(t, "packed.hex", []byte(hex.EncodeToString(b)+"\n"))
-	back, err := unpack(b, 3, func(hash uint32) policy.EndpointID { return policy.EndpointID(hash - offset) })
+	unpacked, err := unpack(b, 3, func(hash uint32) policy.EndpointID { return policy.EndpointID(hash - offset) })
 	if err != nil {
 		t.Fatal(err)
 	}
-	if again, err := pack(back, hashOf); err != nil || !bytes.Equal(again, b) {
-		t.Errorf("packed again: %x, %v\nwant %x", again, err, b)
+	if again, err := pack(unpacked, hashOf); err != nil || !bytes.Equal(again, b) {
+		t.Errorf("pack(unpack(b)) = %x, %v\nwant %x", again, err, b)
 	}
-	text, err := json.Marshal(back)
+	text, err := json.Marshal(unpacked)
 	if err != nil {
 		t.Fatal(err)
 	}
 	compareFixture(t, "unpacked.json", append(text, '\n'))
 	if got := fmt.Sprint(endpointHash("s-1", "10.0.0.1:8080"), endpointHash("", "")); got != "1994948295 842108706" {
-		t.Errorf("hashes %s", got)
+		t.Errorf("endpointHash results = %s, want 1994948295 842108706", got)
 	}
 }
--- a/internal/core/handover_test.go
+++ b/internal/core/handover_test.go
@@ -7,8 +7,8 @@
 	"troutusher/policy"
 )
 
-// Handed over again and again under load, the relay is one relay: nothing is sent twice
-// at a time, sent after its end, ended twice or lost.
+// TestRepeatedHandover guards against messages that a hand-over under load loses, sends twice at a
+// time, sends after their end or ends twice.
 func TestRepeatedHandover(t *testing.T) {
 	resumed, ends := 0, 0
 	for seed := range uint64(60) {
@@ -16,44 +16,46 @@
 		log := newLogModel()
 		sim.logModel = log
 		for turn := range 8 {
-			sim.playFrom(turn*60, 60)
+			sim.runFrom(turn*60, 60)
 			resumed += sim.handOver(log, policy.Time(sim.rng.Int64N(2e9))-1e9)
 		}
-		for range 4000 { // to the end of all that was accepted
+		for range 4000 { // 80 s, long enough for all accepted messages to end
 			sim.now += 20e3
-			sim.drainQueue()
+			sim.flushQueue()
 		}
 		for id := range sim.acknowledged {
 			if record := log.pending[id]; record != nil && record.Notice == "" {
-				sim.failf("%s has no end: %+v", id, record)
+				sim.failf("message %s has no end, its record is %+v", id, record)
 			}
 			ends += sim.ended[id]
 		}
 	}
 	if resumed < 300 || ends < 300 {
-		t.Errorf("only %d calls were open at a handover, and %d messages ended by a notice", resumed, ends)
+		t.Errorf("the test is too weak: %d calls were open at a handover and %d messages ended with a notice, "+
+			"want at least 300 of each", resumed, ends)
 	}
 }
 
-// A handover that fails leaves the core as it was: what was deferred is sent.
+// TestResumeSends guards against messages that are never sent because they were accepted during a
+// hand-over that failed.
 func TestResumeSends(t *testing.T) {
 	s := newShutdownFixture(t)
 	s.core.BeginHandover()
-	if taken, sent := s.submit("m", "plain", 1); !taken || sent {
-		t.Fatalf("during a handover: taken %v, sent %v", taken, sent)
+	if accepted, sent := s.submit("m", "plain", 1); !accepted || sent {
+		t.Fatalf("submit(m) during a handover: accepted = %v, sent = %v, want true, false", accepted, sent)
 	}
 	effects := s.core.ResumeSends(s.now, nil)
 	if len(effects) != 1 || !is[AppendThenSend](effects[0]) || effects[0].(AppendThenSend).Call.Record.ID != "m" {
-		t.Errorf("after it: %+v", effects)
+		t.Errorf("ResumeSends() = %+v, want one AppendThenSend of message m", effects)
 	}
 }
 
-// A Retry-After that the old process was told binds the new one for the same time, and
-// so do its failures.
+// TestHandoverKeepsRetryAfterAndFailures guards against a Retry-After or failures that a hand-over
+// loses: the successor must wait for the rest of a Retry-After that its predecessor received.
 func TestHandoverKeepsRetryAfterAndFailures(t *testing.T) {
 	s := newShutdownFixture(t)
 	if _, sent := s.submit("a", "plain", 1); !sent {
-		t.Fatal("not sent")
+		t.Fatal("submit(a): sent = false, want true")
 	}
 	call := s.core.messages.byID["a"].call
 	s.now += 10e3
@@ -70,14 +72,14 @@
 	record.Attempts = 1
 	s.core, s.now = next, s.now+shift
 	next.RecoverMessages(s.now, []*Record{&record}, state, shift, nil)
-	began, sentAt := s.now, policy.Time(0)
-	for sentAt == 0 && s.now < began+10e6 {
+	handoverAt, sentAt := s.now, policy.Time(0)
+	for sentAt == 0 && s.now < handoverAt+10e6 {
 		s.now += 10e3
 		if slices.ContainsFunc(s.step(), isSend) {
 			sentAt = s.now
 		}
 	}
-	if wait := sentAt - began; sentAt == 0 || wait < 3e6 {
-		t.Errorf("sent %d ms after the handover, and a Retry-After of 3,000 was told", wait/1000)
+	if wait := sentAt - handoverAt; sentAt == 0 || wait < 3e6 {
+		t.Errorf("message a was sent %d ms after the handover, want at least the Retry-After of 3,000 ms", wait/1000)
 	}
 }
--- a/internal/core/purity_test.go
+++ b/internal/core/purity_test.go
@@ -58,7 +58,7 @@
 func TestCoresArePure(t *testing.T) {
 	for _, dir := range slices.Sorted(maps.Keys(deterministicPackages)) {
 		allowed := strings.Fields(commonImports + " " + deterministicPackages[dir])
-		packages, err := parser.ParseDir(token.NewFileSet(), dir, isNoTest, 0)
+		packages, err := parser.ParseDir(token.NewFileSet(), dir, isSourceFile, 0)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -74,7 +74,7 @@
 	}
 }
 
-func isNoTest(file fs.FileInfo) bool { return !strings.HasSuffix(file.Name(), "_test.go") }
+func isSourceFile(file fs.FileInfo) bool { return !strings.HasSuffix(file.Name(), "_test.go") }
 
 func checkImports(t *testing.T, name string, file *ast.File, allowed []string) {
 	t.Helper()
--- a/internal/core/retryafter_test.go
+++ b/internal/core/retryafter_test.go
@@ -19,12 +19,12 @@
 		log := newLogModel()
 		sim.logModel = log
 		for turn := range 4 {
-			sim.playFrom(turn*120, 120)
+			sim.runFrom(turn*120, 120)
 			resumed += sim.handOverWithDriver(log)
 		}
-		sent += sim.driver.sent
-		blocked += sim.driver.blocked
-		for name := range sim.driver.tellingScopes {
+		sent += sim.driver.callsSent
+		blocked += sim.driver.callsBlocked
+		for name := range sim.driver.retryAfterScopes {
 			if name[0] == 'r' {
 				independent++
 			} else {
--- a/internal/core/simhandover_test.go
+++ b/internal/core/simhandover_test.go
@@ -8,10 +8,10 @@
 	"troutusher/policy"
 )
 
-// logModel keeps the log as a driver does.
+// logModel models the write-ahead log: it holds the record of each message until its end.
 type logModel struct {
-	order   []string
-	pending map[string]*Record
+	order   []string           // message IDs in the order of acceptance
+	pending map[string]*Record // by message ID; each with its later records applied
 }
 
 func newLogModel() *logModel { return &logModel{pending: map[string]*Record{}} }
@@ -31,7 +31,7 @@
 	}
 }
 
-// applyEffects applies the records of effects, other than those of lost requests.
+// applyEffects applies the records of effects, except for requests whose log write failed.
 func (log *logModel) applyEffects(effects []Effect, lost map[*Request]bool) {
 	for _, effect := range effects {
 		if e, ok := effect.(AppendThenReply); ok && lost[e.Request] {
@@ -43,9 +43,9 @@
 	}
 }
 
-// owed are the records of what is owed, oldest first. An attempt whose call is not
-// handed over may have run.
-func (log *logModel) owed(handedOver map[string]bool) (owed []*Record) {
+// pendingRecords returns the records of messages without an end, oldest first. An open attempt
+// counts as one that may have run, unless its call is handed over.
+func (log *logModel) pendingRecords(handedOver map[string]bool) (records []*Record) {
 	for _, id := range log.order {
 		record := log.pending[id]
 		if record == nil {
@@ -54,12 +54,12 @@
 		if !handedOver[id] {
 			record.ResolveOpenAttempt()
 		}
-		owed = append(owed, record)
+		records = append(records, record)
 	}
-	return owed
+	return records
 }
 
-// step steps the core and keeps its log.
+// step steps the core, executes the effects and writes their records to the log.
 func (sim *simulation) step(log *logModel, events []Event) {
 	lost := map[*Request]bool{}
 	effects := sim.core.Step(sim.now, events, nil)
@@ -72,9 +72,9 @@
 	log.applyEffects(effects, lost)
 }
 
-// handOver moves the state of the core into a fresh one whose clock reads otherwise, as
-// two processes do it: requests are replied to, nothing is begun, the log is read anew.
-// It returns how many calls were resumed.
+// handOver moves the state of the core into a new one whose clock differs by shift, as a hand-over
+// between two processes does: the old core replies to all requests and starts no call, then the new
+// core recovers the messages from the log. It returns how many calls were resumed.
 func (sim *simulation) handOver(log *logModel, shift policy.Time) (resumed int) {
 	sim.core.BeginHandover()
 	sim.answerRequests(log)
@@ -83,22 +83,22 @@
 	for _, call := range state.Calls {
 		handedOver[call.Message] = true
 	}
-	owed := log.owed(handedOver)
+	pending := log.pendingRecords(handedOver)
 	settings := sim.core.settings
 	settings.Epoch -= shift
 	next, err := New(settings)
 	if err != nil {
-		sim.failf("%v", err)
+		sim.failf("New(settings) failed: %v", err)
 	}
 	sim.core, sim.now = next, sim.now+shift
 	sim.closedEndpoints, sim.destOf = map[policy.EndpointID]bool{}, map[policy.EndpointID]int{}
-	effects := next.RecoverMessages(sim.now, owed, state, shift, nil)
+	effects := next.RecoverMessages(sim.now, pending, state, shift, nil)
 	calls := resumedCalls(effects)
 	if len(calls) != len(state.Calls) {
-		sim.failf("%d calls are resumed of %d", len(calls), len(state.Calls))
+		sim.failf("RecoverMessages resumed %d calls, want %d", len(calls), len(state.Calls))
 	}
 	resumed = sim.resumeCalls(effects, calls)
-	for _, effect := range effects { // notices that were logged are sent once more, harmlessly
+	for _, effect := range effects { // logged notices are sent again, which is harmless
 		if e, ok := effect.(SendNotice); ok {
 			sim.tracef("again %s\n", e.Notice.Message)
 		}
@@ -106,18 +106,18 @@
 	log.applyEffects(effects, nil)
 	sim.execute(effects)
 	if sim.driver != nil {
-		for _, sent := range sim.driver.calls {
-			sent.endpoint = sim.driver.endpoints[sent.call.Endpoint]
+		for _, call := range sim.driver.calls {
+			call.endpoint = sim.driver.endpoints[call.coreCall.Endpoint]
 		}
 	}
 	return resumed
 }
 
-// answerRequests steps until every request has its reply; calls do not end meanwhile.
+// answerRequests steps the core until every request has its reply. Open calls do not end meanwhile.
 func (sim *simulation) answerRequests(log *logModel) {
 	for limit := 0; sim.core.UnansweredRequests() > 0; limit++ {
 		if limit > 1000 {
-			sim.failf("%d requests are never replied to", sim.core.UnansweredRequests())
+			sim.failf("UnansweredRequests() = %d after 1,000 steps, want 0", sim.core.UnansweredRequests())
 		}
 		var events []Event
 		sim.queue = slices.DeleteFunc(sim.queue, func(event Event) bool {
@@ -131,11 +131,11 @@
 	}
 }
 
-// exportState is the state of the core as it comes out of JSON.
+// exportState exports the state of the core and returns it after a round trip through JSON.
 func (sim *simulation) exportState() *HandoverState {
 	text, err := json.Marshal(sim.core.ExportHandover(sim.now))
 	if err != nil {
-		sim.failf("%v", err)
+		sim.failf("encoding the handover state failed: %v", err)
 	}
 	if sim.golden != nil {
 		if _, err := fmt.Fprintf(sim.golden, "%d handover %s\n", sim.now, text); err != nil {
@@ -144,12 +144,12 @@
 	}
 	state := &HandoverState{}
 	if err := json.Unmarshal(text, state); err != nil {
-		sim.failf("%v", err)
+		sim.failf("decoding the handover state failed: %v", err)
 	}
 	return state
 }
 
-// resumedCalls are the calls that effects resume, by message.
+// resumedCalls returns the calls that effects resume, by message ID.
 func resumedCalls(effects []Effect) map[string]*Call {
 	calls := map[string]*Call{}
 	for _, effect := range effects {
@@ -160,8 +160,9 @@
 	return calls
 }
 
-// resumeCalls has the ends of calls that are still queued, or of those that a driver
-// has written whole, told to the new core. It returns how many calls are resumed.
+// resumeCalls prepares the ends of resumed calls for the new core: ends that are still queued are
+// queued for the resumed calls, and the driver continues with the responses of the others. It
+// returns how many calls are resumed.
 func (sim *simulation) resumeCalls(effects []Effect, calls map[string]*Call) (resumed int) {
 	sim.openCalls = map[*Call]bool{}
 	var queue []Event
@@ -171,7 +172,7 @@
 			continue
 		}
 		call := calls[ended.Record.ID]
-		if call == nil { // its message has ended: nobody waits for it
+		if call == nil { // the message has ended, so the call is not resumed
 			sim.openCallCount[ended.Record.ID]--
 			continue
 		}
@@ -190,30 +191,30 @@
 	for _, effect := range effects {
 		if e, ok := effect.(ResumeCall); ok {
 			sim.openCalls[e.Call] = true
-			sim.driver.calls = append(sim.driver.calls, &driverCall{call: e.Call, step: stepResponse})
+			sim.driver.calls = append(sim.driver.calls, &driverCall{coreCall: e.Call, step: stepResponse})
 			resumed++
 		}
 	}
 	return resumed
 }
 
-// handOverWithDriver ends the calls that are not written whole first, and hands over;
-// the others are resumed.
+// handOverWithDriver hands over to a new core and a new driver, with a random shift of the clock.
+// Calls whose request is not completely written end as not sent; the others are resumed.
 func (sim *simulation) handOverWithDriver(log *logModel) (resumed int) {
 	sim.core.BeginHandover()
 	old := sim.driver
-	for _, sent := range slices.Clone(old.calls) {
-		if sent.step < stepResponse {
-			old.finishCall(sent, &Result{Outcome: policy.NotSent})
+	for _, call := range slices.Clone(old.calls) {
+		if call.step < stepResponse {
+			old.finishCall(call, &Result{Outcome: policy.NotSent})
 		}
 	}
-	sim.drainQueue()
+	sim.flushQueue()
 	shift := policy.Time(sim.rng.Int64N(2e9)) - 1e9
 	sim.driver = newCallDriver(sim)
-	for scope, until := range old.retryAfterOf {
-		sim.driver.retryAfterOf[scope] = until + shift
+	for scope, until := range old.retryAfterUntil {
+		sim.driver.retryAfterUntil[scope] = until + shift
 	}
-	sim.driver.sent, sim.driver.blocked = old.sent, old.blocked
-	sim.driver.extraWait, sim.driver.tellingScopes = old.extraWait, old.tellingScopes
+	sim.driver.callsSent, sim.driver.callsBlocked = old.callsSent, old.callsBlocked
+	sim.driver.extraRetryAfter, sim.driver.retryAfterScopes = old.extraRetryAfter, old.retryAfterScopes
 	return sim.handOver(log, shift)
 }
--- a/internal/core/simulation_test.go
+++ b/internal/core/simulation_test.go
@@ -14,36 +14,36 @@
 
 var classNames = []string{"plain", "keyed", "once"} // of testSettings
 
-// simulation drives a core by a seeded random source: it writes the log, replies to
-// clients and makes calls, each now or later, well or badly, and checks the order of
-// effects.
+// simulation drives a core with random events from a seeded source. It executes the effects of the
+// core: it writes the log, replies to clients and makes calls, each with a random delay and outcome.
+// It checks that effects come in the required order.
 type simulation struct {
 	t     *testing.T
 	rng   *rand.Rand
 	core  *Core
 	now   policy.Time
-	queue []Event // what the core is still to be told, in any order
+	queue []Event // events that the core has not received yet, delivered in random order
 	trace strings.Builder
 
-	accepted        map[string]bool // in the log
-	acknowledged    map[string]bool // told OK
+	accepted        map[string]bool // messages in the log
+	acknowledged    map[string]bool // messages whose clients received OK
 	rejected        map[string]bool
-	ended           map[string]int // notices, by message
+	ended           map[string]int // number of notices, by message
 	openCallCount   map[string]int
 	openCalls       map[*Call]bool
 	closedEndpoints map[policy.EndpointID]bool
 	destOf          map[policy.EndpointID]int
-	byAddr          map[string]int // destinations, by the address of an endpoint
-	passivated      int            // destinations
-	handingOver     bool           // no call may be begun
+	destByAddress   map[string]int // destination by endpoint address
+	passivated      int            // number of destinations passivated so far
+	handingOver     bool           // while set, no call may be started
 
 	// Options of a run.
 	flavors        []string
-	longStepOdds   int             // one step in so many takes 11 to 31 s; 0 for none
-	logModel       *logModel       // where the log is kept
-	driver         *callDriver     // where calls are sent in pieces
-	mayHaveRunOnce map[string]bool // messages that must not run twice and may have run
-	onEvent        func(Event)     // called before the core is told an event
+	longStepOdds   int             // one in longStepOdds steps takes 11 to 31 s; 0 for none
+	logModel       *logModel       // the write-ahead log; nil for none
+	driver         *callDriver     // makes calls byte by byte; nil for calls that end at once
+	mayHaveRunOnce map[string]bool // non-idempotent messages that may have run
+	onEvent        func(Event)     // called with each event before the core receives it
 	golden         io.Writer       // receives every effect in a stable text form
 }
 
@@ -54,27 +54,28 @@
 		accepted: map[string]bool{}, acknowledged: map[string]bool{}, rejected: map[string]bool{},
 		ended: map[string]int{}, openCallCount: map[string]int{}, openCalls: map[*Call]bool{},
 		closedEndpoints: map[policy.EndpointID]bool{}, destOf: map[policy.EndpointID]int{},
-		byAddr: map[string]int{}, flavors: []string{"k"},
+		destByAddress: map[string]int{}, flavors: []string{"k"},
 	}
 }
 
-// failf fails with the end of the trace.
+// failf fails the test and prints the end of the trace.
 func (sim *simulation) failf(format string, args ...any) {
 	sim.t.Helper()
 	text := sim.trace.String()
 	sim.t.Fatalf(format+"\n%s", append(args, text[max(0, len(text)-3000):])...)
 }
 
-// tracef adds to the line of the current effect.
+// tracef appends to the trace, which has one line for each effect.
 func (sim *simulation) tracef(format string, args ...any) {
 	fmt.Fprintf(&sim.trace, format, args...)
 }
 
-// play runs some steps and returns all that was done.
-func (sim *simulation) play(steps int) string { return sim.playFrom(0, steps) }
+// run runs the first steps of a simulation and returns the trace.
+func (sim *simulation) run(steps int) string { return sim.runFrom(0, steps) }
 
-// playFrom goes on with the steps from first on.
-func (sim *simulation) playFrom(first, steps int) string {
+// runFrom runs steps with numbers that start at first, and returns the whole trace. Each submitted
+// message is named after the number of its step.
+func (sim *simulation) runFrom(first, steps int) string {
 	for i := first; i < first+steps; i++ {
 		sim.now += policy.Time(sim.rng.IntN(20e3))
 		if sim.longStepOdds > 0 && sim.rng.IntN(sim.longStepOdds) == 0 {
@@ -99,7 +100,7 @@
 	return sim.trace.String()
 }
 
-// takeQueued takes a few of the queued events, in any order.
+// takeQueued removes up to three queued events at random and returns them.
 func (sim *simulation) takeQueued() (events []Event) {
 	for n := sim.rng.IntN(4); n > 0 && len(sim.queue) > 0; n-- {
 		i := sim.rng.IntN(len(sim.queue))
@@ -115,7 +116,7 @@
 	return events
 }
 
-// closeCall closes the call whose end an event tells, if it tells one.
+// closeCall closes the call that an event ends, if any.
 func (sim *simulation) closeCall(event Event) {
 	if call := callOf(event); call != nil {
 		sim.openCallCount[call.Record.ID]--
@@ -134,7 +135,7 @@
 	return Submitted{Request: &Request{Record: record, Class: class}}
 }
 
-// randomList is a list, the first of which names all endpoints as up.
+// randomList returns a random list update. The first one lists all endpoints as up.
 func (sim *simulation) randomList(first bool) EndpointListUpdated {
 	list := &EndpointList{}
 	for i := range 6 {
@@ -144,11 +145,11 @@
 		addr := fmt.Sprintf("10.0.0.%d:%d", i, 1+sim.rng.IntN(2))
 		dest := (i + sim.rng.IntN(8)/7) % 3
 		member := Member{ID: "s" + strconv.Itoa(i), HostPort: addr, Locality: "a", Dest: dest, Phase: Up, Rate: 100}
-		member.Flavor = sim.flavors[dest%len(sim.flavors)] // all endpoints of a destination have one
+		member.Flavor = sim.flavors[dest%len(sim.flavors)] // all endpoints of a destination have the same flavor
 		if !first {
 			member.Phase = []string{Up, Up, Draining, Removed}[sim.rng.IntN(4)]
 		}
-		sim.byAddr[addr] = dest
+		sim.destByAddress[addr] = dest
 		list.Members = append(list.Members, member)
 	}
 	kind := policy.ListDelta
@@ -186,16 +187,17 @@
 		id := e.Notice.Message
 		sim.ended[id]++
 		if !sim.acknowledged[id] || sim.ended[id] > 1 {
-			sim.failf("notice %d of %s, acknowledged: %v", sim.ended[id], id, sim.acknowledged[id])
+			sim.failf("message %s: notice number %d with acknowledged = %v; want number 1 after acknowledgement",
+				id, sim.ended[id], sim.acknowledged[id])
 		}
 	case CancelCall:
 		sim.tracef(" %s", e.Call.Record.ID)
 		if !sim.openCalls[e.Call] {
-			sim.failf("a call of %s is cancelled that is not open", e.Call.Record.ID)
+			sim.failf("message %s: CancelCall for a call that is not open", e.Call.Record.ID)
 		}
 	case CheckHealth:
 		if sim.closedEndpoints[e.Endpoint] {
-			sim.failf("the health of an endpoint that has left is checked")
+			sim.failf("CheckHealth for endpoint %d, which is closed", e.Endpoint)
 		}
 		result := &Result{Outcome: policy.Delivered, Elapsed: 1000}
 		sim.queue = append(sim.queue, HealthChecked{Endpoint: e.Endpoint, Result: result})
@@ -206,13 +208,13 @@
 	}
 }
 
-// executeOnEndpoint executes effects that concern what the driver keeps of endpoints.
+// executeOnEndpoint executes effects that change the driver's endpoints and destinations.
 func (sim *simulation) executeOnEndpoint(effect Effect) {
 	driver := sim.driver
 	switch e := effect.(type) {
 	case OpenEndpoint:
 		sim.tracef(" %d %s", e.Endpoint, e.Address)
-		sim.closedEndpoints[e.Endpoint], sim.destOf[e.Endpoint] = false, sim.byAddr[e.Address]
+		sim.closedEndpoints[e.Endpoint], sim.destOf[e.Endpoint] = false, sim.destByAddress[e.Address]
 		if driver != nil {
 			driver.openEndpoint(e)
 		}
@@ -247,7 +249,7 @@
 		return
 	}
 	if sim.acknowledged[id] {
-		sim.failf("%s is rejected after it was accepted", id)
+		sim.failf("message %s was rejected after it was acknowledged", id)
 	}
 	sim.rejected[id] = true
 }
@@ -256,7 +258,7 @@
 	id := e.Request.Record.ID
 	sim.tracef(" %s", id)
 	if sim.rejected[id] || sim.acknowledged[id] {
-		sim.failf("%s is logged after its reply", id)
+		sim.failf("message %s was logged after its reply", id)
 	}
 	if sim.rng.IntN(20) == 0 {
 		sim.queue = append(sim.queue, LogWriteFailed(e))
@@ -270,38 +272,39 @@
 	sim.queue = append(sim.queue, ReplyDelivered{Request: e.Request, OK: ok})
 }
 
-// checkSend checks that a call may be begun.
+// checkSend checks that a call may be started.
 func (sim *simulation) checkSend(e AppendThenSend) {
 	call, id, dest := e.Call, e.Call.Record.ID, e.Call.Record.Dest
 	sim.tracef(" %s to %d", id, call.Endpoint)
 	switch {
 	case sim.handingOver:
-		sim.failf("%s is sent during a handover", id)
+		sim.failf("message %s was sent during a handover", id)
 	case !sim.acknowledged[id]:
-		sim.failf("%s is sent before it is acknowledged", id)
+		sim.failf("message %s was sent before it was acknowledged", id)
 	case sim.openCallCount[id] > 0:
-		sim.failf("%s is sent while a call of it is open", id)
+		sim.failf("message %s was sent while another call of it was open", id)
 	case sim.closedEndpoints[call.Endpoint]:
-		sim.failf("%s is sent to an endpoint that has left", id)
+		sim.failf("message %s was sent to endpoint %d, which is closed", id, call.Endpoint)
 	case sim.destOf[call.Endpoint] != dest:
-		sim.failf("%s for %d is sent to %d", id, dest, sim.destOf[call.Endpoint])
+		sim.failf("message %s for destination %d was sent to destination %d", id, dest, sim.destOf[call.Endpoint])
 	case e.Record.ID != id || e.Record.Kind != RecordAttempt || call.Timeout <= 0:
-		sim.failf("%s: logged as %+v", id, e.Record)
+		sim.failf("message %s was sent with record %+v and timeout %d, want its attempt record and a timeout above 0",
+			id, e.Record, call.Timeout)
 	case sim.mayHaveRunOnce[id]:
-		sim.failf("%s may have run and is sent again", id)
+		sim.failf("non-idempotent message %s was sent again although it may have run", id)
 	case sim.ended[id] > 0:
-		sim.failf("%s is sent after its end", id)
+		sim.failf("message %s was sent after its end", id)
 	}
 }
 
-// send makes a call: by the driver, or at once with a random result.
+// send makes a call. Without a driver the call ends with a random result, which is queued.
 func (sim *simulation) send(call *Call) {
 	sim.openCallCount[call.Record.ID]++
 	sim.openCalls[call] = true
 	switch {
 	case sim.driver != nil:
-		sent := &driverCall{call: call, endpoint: sim.driver.endpoints[call.Endpoint]}
-		sim.driver.calls = append(sim.driver.calls, sent)
+		started := &driverCall{coreCall: call, endpoint: sim.driver.endpoints[call.Endpoint]}
+		sim.driver.calls = append(sim.driver.calls, started)
 	case sim.rng.IntN(25) == 0:
 		sim.queue = append(sim.queue, AttemptNotLogged{Call: call})
 	default:
@@ -324,8 +327,8 @@
 	return delivered(elapsed)
 }
 
-// drainQueue tells the core of all that has ended.
-func (sim *simulation) drainQueue() {
+// flushQueue passes all queued events to the core in one step.
+func (sim *simulation) flushQueue() {
 	events := sim.queue
 	sim.queue = nil
 	for _, event := range events {
