--- a/internal/core/calldriver_test.go
+++ b/internal/core/calldriver_test.go
@@ -9,22 +9,23 @@
 	"troutusher/policy"
 )
 
-// callDriver makes the calls of a simulation in steps, as the sockets do: a connection
-// that is waited for, a first byte, a last one, a response that is read and reported at
-// times of their own. It checks each byte against the Retry-Afters that were told, of
-// which it keeps its own account.
+// callDriver makes the calls of a simulation step by step, as sockets do: it acquires a permit, waits
+// for a connection, writes the first byte, writes the last byte and reads the response. Time passes
+// between these steps. The driver records each received Retry-After itself and checks that no request
+// is completed before its end.
 type callDriver struct {
 	sim              *simulation
 	scopes           map[string]*sendgate.Scope
 	endpoints        map[policy.EndpointID]*driverEndpoint
 	calls            []*driverCall
-	retryAfterUntil  map[string]policy.Time // the latest, by scope
-	extraRetryAfter  policy.Time            // some Retry-Afters are so much longer
-	retryAfterScopes map[string]bool        // scopes that told one
+	retryAfterUntil  map[string]policy.Time // when the latest Retry-After ends, by scope
+	extraRetryAfter  policy.Time            // added to a third of the Retry-Afters
+	retryAfterScopes map[string]bool        // scopes that received a Retry-After
 	callsSent        int
-	callsBlocked     int // calls that the gate blocked
+	callsBlocked     int // calls that the send gate blocked
 }
 
+// driverEndpoint is an endpoint that the core has opened.
 type driverEndpoint struct {
 	scope  string
 	gate   *sendgate.Gate
@@ -32,6 +33,7 @@
 	closed bool
 }
 
+// driverCall is a call in progress.
 type driverCall struct {
 	coreCall *Call
 	endpoint *driverEndpoint
@@ -39,7 +41,7 @@
 	step     callStep
 }
 
-// callStep is what a call does next.
+// callStep is the next step of a call.
 type callStep int
 
 const (
@@ -67,11 +69,12 @@
 	d.endpoints[e.Endpoint] = &driverEndpoint{scope: name, gate: d.scopes[name].Gate(), dest: e.Dest}
 }
 
+// idOf returns the ID of an endpoint for use in scope names.
 func (sim *simulation) idOf(number policy.EndpointID) string {
 	if endpoint := sim.core.endpoints.byNumber[number]; endpoint != nil {
 		return endpoint.id
 	}
-	return fmt.Sprint("forgotten ", number) // in the same step: its destination is passive
+	return fmt.Sprint("forgotten ", number) // its destination was passivated in the same step
 }
 
 func (d *callDriver) closeEndpoint(number policy.EndpointID) {
@@ -84,7 +87,7 @@
 func (d *callDriver) forgetEndpoint(number policy.EndpointID) {
 	if endpoint := d.endpoints[number]; endpoint != nil {
 		if !endpoint.closed {
-			d.sim.failf("endpoint %d is forgotten and not closed", number)
+			d.sim.failf("ForgetEndpoint for endpoint %d, which is not closed", number)
 		}
 		if strings.HasPrefix(endpoint.scope, "route ") {
 			delete(d.scopes, endpoint.scope)
@@ -93,7 +96,8 @@
 	delete(d.endpoints, number)
 }
 
-// recordRetryAfter is what reads a response: the gate is told of it at once.
+// recordRetryAfter handles a Retry-After as the reader of a response does: it blocks the gate at
+// once, before the core receives the result.
 func (d *callDriver) recordRetryAfter(endpoint *driverEndpoint, retryAfter policy.Time) {
 	until := d.sim.now + retryAfter
 	endpoint.gate.HoldUntil(d.sim.now, until)
@@ -101,110 +105,114 @@
 	d.retryAfterScopes[endpoint.scope] = true
 }
 
-// finishCall has the core told of a call's end, now or at any later step.
-func (d *callDriver) finishCall(sent *driverCall, result *Result) {
-	if sent.permit != nil {
-		sent.permit.Release()
-		sent.permit = nil
+// finishCall ends a call and queues the event for the core, which receives it at a later step.
+func (d *callDriver) finishCall(call *driverCall, result *Result) {
+	if call.permit != nil {
+		call.permit.Release()
+		call.permit = nil
 	}
-	d.calls = slices.DeleteFunc(d.calls, func(other *driverCall) bool { return other == sent })
-	d.sim.queue = append(d.sim.queue, AttemptFinished{Call: sent.coreCall, Result: result})
+	d.calls = slices.DeleteFunc(d.calls, func(other *driverCall) bool { return other == call })
+	d.sim.queue = append(d.sim.queue, AttemptFinished{Call: call.coreCall, Result: result})
 }
 
-func (d *callDriver) blockCall(sent *driverCall, err error) {
+// blockCall ends a call that the send gate blocked.
+func (d *callDriver) blockCall(call *driverCall, err error) {
 	d.callsBlocked++
-	d.finishCall(sent, &Result{Outcome: policy.NotSent, Err: err})
+	d.finishCall(call, &Result{Outcome: policy.NotSent, Err: err})
 }
 
-// advance moves the calls on, each by a step or not.
+// advance makes at most one step of each call, and randomly none.
 func (d *callDriver) advance() {
-	for _, sent := range slices.Clone(d.calls) {
-		if d.sim.rng.IntN(3) > 0 && d.advanceCall(sent) {
-			sent.step++
+	for _, call := range slices.Clone(d.calls) {
+		if d.sim.rng.IntN(3) > 0 && d.advanceCall(call) {
+			call.step++
 		}
 	}
 }
 
-// advanceCall does what a call does next and reports whether that was all done.
-func (d *callDriver) advanceCall(sent *driverCall) bool {
+// advanceCall makes the next step of a call. It reports whether the call then waits for the step
+// after it; otherwise the step is not finished or the call has ended.
+func (d *callDriver) advanceCall(call *driverCall) bool {
 	sim := d.sim
-	switch sent.step {
+	switch call.step {
 	case stepAcquire:
 		var err error
-		if sent.permit, err = sent.endpoint.gate.Acquire(sim.now, func(error) {}); err != nil {
-			d.blockCall(sent, err)
+		if call.permit, err = call.endpoint.gate.Acquire(sim.now, func(error) {}); err != nil {
+			d.blockCall(call, err)
 			return false
 		}
 		return true
 	case stepFirstByte:
 		if sim.rng.IntN(2) == 0 {
-			return false // the connection takes its time
+			return false // the connection is not established yet
 		}
-		return d.sendFirstByte(sent)
+		return d.sendFirstByte(call)
 	case stepLastByte:
-		return d.sendLastByte(sent)
+		return d.sendLastByte(call)
 	}
-	result := d.randomResult(sent)
+	result := d.randomResult(call)
 	if result.RetryAfter > 0 {
 		if d.extraRetryAfter > 0 && sim.rng.IntN(3) == 0 {
 			result.RetryAfter += d.extraRetryAfter
 		}
-		d.recordRetryAfter(sent.endpoint, result.RetryAfter)
+		d.recordRetryAfter(call.endpoint, result.RetryAfter)
 	}
-	d.finishCall(sent, result)
+	d.finishCall(call, result)
 	return false
 }
 
-func (d *callDriver) sendFirstByte(sent *driverCall) bool {
+func (d *callDriver) sendFirstByte(call *driverCall) bool {
 	if d.sim.rng.IntN(8) == 0 {
-		d.finishCall(sent, &Result{Outcome: policy.ConnectFailed})
+		d.finishCall(call, &Result{Outcome: policy.ConnectFailed})
 		return false
 	}
-	if err := sent.permit.AllowFirstByte(d.sim.now); err != nil {
-		d.blockCall(sent, err)
+	if err := call.permit.AllowFirstByte(d.sim.now); err != nil {
+		d.blockCall(call, err)
 		return false
 	}
-	if sent.endpoint.closed {
-		d.sim.failf("%s begins at an endpoint that has left", sent.coreCall.Record.ID)
+	if call.endpoint.closed {
+		d.sim.failf("message %s: first byte to endpoint %d, which is closed",
+			call.coreCall.Record.ID, call.coreCall.Endpoint)
 	}
 	return true
 }
 
-func (d *callDriver) sendLastByte(sent *driverCall) bool {
-	sim, record, endpoint := d.sim, sent.coreCall.Record, sent.endpoint
-	if err := sent.permit.AllowLastByte(sim.now); err != nil {
-		d.blockCall(sent, err)
+func (d *callDriver) sendLastByte(call *driverCall) bool {
+	sim, record, endpoint := d.sim, call.coreCall.Record, call.endpoint
+	if err := call.permit.AllowLastByte(sim.now); err != nil {
+		d.blockCall(call, err)
 		return false
 	}
 	if until := d.retryAfterUntil[endpoint.scope]; sim.now < until {
-		sim.failf("%s is sent %d ms before the Retry-After of %s", record.ID, (until-sim.now)/1000, endpoint.scope)
+		sim.failf("message %s was sent %d ms before the end of the Retry-After of scope %q",
+			record.ID, (until-sim.now)/1000, endpoint.scope)
 	}
 	if endpoint.dest != record.Dest {
-		sim.failf("%s for %d goes to %d", record.ID, record.Dest, endpoint.dest)
+		sim.failf("message %s for destination %d was sent to destination %d", record.ID, record.Dest, endpoint.dest)
 	}
-	sent.permit.Release()
-	sent.permit = nil
+	call.permit.Release()
+	call.permit = nil
 	d.callsSent++
 	return true
 }
 
-func (d *callDriver) randomResult(sent *driverCall) *Result {
-	elapsed := d.sim.now - sent.coreCall.SentAt()
+func (d *callDriver) randomResult(call *driverCall) *Result {
+	elapsed := d.sim.now - call.coreCall.SentAt()
 	result := delivered(elapsed)
 	switch d.sim.rng.IntN(8) {
 	case 0, 1:
 		result = rejected(policy.Time(d.sim.rng.IntN(900e3)))
-	case 2: // the head of its response came, and no more
+	case 2: // the response ends after its headers
 		result = rejected(policy.Time(d.sim.rng.IntN(900e3)))
 		result.Outcome, result.Malformed = policy.Failed, true
-	case 3: // nobody read the response
+	case 3: // no response is read before the timeout
 		result = &Result{Outcome: policy.TimedOut, Elapsed: elapsed}
 	case 4:
 		result = &Result{Outcome: policy.Rejected, Status: 503}
 	case 5:
 		result = &Result{Outcome: policy.ConnectionReset}
 	}
-	if sent.endpoint == nil { // it left before the handover
+	if call.endpoint == nil { // the endpoint left before the handover
 		result = &Result{Outcome: policy.ConnectionReset}
 	}
 	return result
--- a/internal/core/core_test.go
+++ b/internal/core/core_test.go
@@ -6,8 +6,9 @@
 	"testing"
 )
 
-// Whatever happens, in whatever order: log, reply, send; one open attempt of each
-// message; nothing to an endpoint that has left; one end of each message.
+// TestOrderOfEffects guards against effects in a wrong order. Under random events the simulation
+// checks that a message is logged, then acknowledged, then sent, that it has at most one open attempt
+// and one end, and that nothing is sent to a closed endpoint.
 func TestOrderOfEffects(t *testing.T) {
 	sent := 0
 	for seed := range uint64(150) {
@@ -15,15 +16,16 @@
 		sent += strings.Count(text, fmt.Sprintf(" %T m", AppendThenSend{}))
 	}
 	if sent < 5000 {
-		t.Errorf("only %d sends in all", sent)
+		t.Errorf("the test is too weak: %d calls were sent, want at least 5000", sent)
 	}
 }
 
-// The same events at the same times give the same effects, byte for byte.
+// TestDeterministic guards against effects that depend on anything but the events and their times,
+// such as the iteration order of a map.
 func TestDeterministic(t *testing.T) {
 	for seed := range uint64(60) {
 		if a, b := newSimulation(t, seed).run(300), newSimulation(t, seed).run(300); a != b {
-			t.Fatalf("seed %d differs", seed)
+			t.Fatalf("two runs with seed %d have different traces, want the same", seed)
 		}
 	}
 }
--- a/internal/core/defersends_test.go
+++ b/internal/core/defersends_test.go
@@ -9,9 +9,10 @@
 	"troutusher/policy"
 )
 
-// While a core waits for the list it accepts and ends messages as ever, and begins no call
-// and no health check; then what was deferred is sent, oldest first, and nothing to an
-// endpoint that has drained meanwhile.
+// TestDeferSendsHoldsOnlyCalls guards against a start that blocks too much or too little. While the
+// core waits for the endpoint list, it must accept and end messages but start no call and no health
+// check. When the wait is over, it must send the deferred calls, and none to an endpoint that has
+// been drained or removed meanwhile.
 func TestDeferSendsHoldsOnlyCalls(t *testing.T) {
 	accepted, sent, ended := 0, 0, 0
 	for seed := range uint64(60) {
@@ -24,7 +25,7 @@
 			fmt.Sprintf(" %T\n", CheckHealth{}),
 		} {
 			if strings.Contains(text, unwanted) {
-				sim.failf("seed %d: %q while the list is waited for", seed, unwanted)
+				sim.failf("seed %d: the trace contains %q while the core waits for the list, want none", seed, unwanted)
 			}
 		}
 		accepted += strings.Count(text, fmt.Sprintf(" %T m", AppendThenReply{}))
@@ -41,22 +42,24 @@
 			}
 		}
 		sent += len(order)
-		sim.runFrom(120, 200) // the simulation's own checks hold
+		sim.runFrom(120, 200) // the simulation checks the order of effects
 	}
 	if accepted < 1000 || sent < 40 || ended < 100 {
-		t.Errorf("%d accepted, %d ended meanwhile, %d sent at once after it", accepted, ended, sent)
+		t.Errorf("the test is too weak: %d messages accepted and %d ended during the wait, %d sent at its end; "+
+			"want at least 1000, 100, 40", accepted, ended, sent)
 	}
 }
 
-// memberInPhase is an endpoint of destination 1.
+// memberInPhase returns an endpoint of destination 1.
 func memberInPhase(id, phase string) Member {
 	return Member{
 		ID: id, HostPort: "10.0.0.1:" + id[1:], Locality: "a", Flavor: "k", Dest: 1, Phase: phase, Rate: 1000,
 	}
 }
 
-// A message that comes while the list is waited for is replied to in that step, and what
-// was deferred is sent in the order in which it came.
+// TestDeferSendsRepliesAtOnce guards against clients that wait for the endpoint list: a message that
+// is submitted before the list arrives must be acknowledged in the same step. Afterwards all deferred
+// messages must be sent, none of them to an endpoint that has started to drain.
 func TestDeferSendsRepliesAtOnce(t *testing.T) {
 	c := testCore(t)
 	now := policy.Time(3600e6)
@@ -74,16 +77,16 @@
 		}
 	}
 	if len(replied) != 3 {
-		t.Fatalf("%d of 3 replied to at once", len(replied))
+		t.Fatalf("the step acknowledged %d messages, want 3", len(replied))
 	}
 	for _, e := range c.Step(now+1000, replied, nil) {
 		if is[AppendThenSend](e) || is[CheckHealth](e) {
-			t.Errorf("%+v before the list", e)
+			t.Errorf("effect before the endpoint list: %+v, want no call and no health check", e)
 		}
 	}
 	var got []string
 	events = []Event{listEvent(policy.ListDelta, memberInPhase("s1", Draining)), Started{}}
-	// Those that were meant for s1 have another endpoint chosen, after a while.
+	// The policy chooses another endpoint for the messages that it had assigned to s1, after a while.
 	for at := now + 100e3; at < now+2100e3 && len(got) < 3; at += 20e3 {
 		effects := c.Step(at, events, nil)
 		events = nil
@@ -91,19 +94,20 @@
 			if e, ok := e.(AppendThenSend); ok {
 				got = append(got, e.Call.Record.ID)
 				if c.endpoints.byNumber[e.Call.Endpoint].id == "s1" {
-					t.Errorf("%s goes to an endpoint that has drained", e.Call.Record.ID)
+					t.Errorf("message %s was sent to s1, which is draining", e.Call.Record.ID)
 				}
 				events = append(events, AttemptFinished{Call: e.Call, Result: delivered(0)})
 			}
 		}
 	}
 	if slices.Sort(got); !slices.Equal(got, []string{"a", "b", "c"}) {
-		t.Errorf("sent %v", got)
+		t.Errorf("sent messages = %v, want [a b c]", got)
 	}
 }
 
-// A health check that is asked for meanwhile is made after it, where its endpoint is still
-// listed.
+// TestDeferSendsDelaysHealthChecks guards against health checks during the wait for the endpoint list
+// and against checks that are lost. A check that the policy requests meanwhile must be made once after
+// the wait, if its endpoint is then still listed as up.
 func TestDeferSendsDelaysHealthChecks(t *testing.T) {
 	c := testCore(t)
 	now := policy.Time(3600e6)
@@ -113,10 +117,10 @@
 		c.executeAction(&policy.Action{Kind: policy.ActHealthCheck, Endpoint: number})
 	}
 	if effects := c.takeEffects(); len(effects) > 0 {
-		t.Errorf("%+v while the list is waited for", effects)
+		t.Errorf("effects during the wait for the list = %+v, want none", effects)
 	}
 	var checked []policy.EndpointID
-	for range 2 { // once
+	for range 2 { // the second Started must not repeat the check
 		events := []Event{listEvent(policy.ListDelta, memberInPhase("s1", Draining)), Started{}}
 		for _, e := range c.Observe(now, events, nil) {
 			if e, ok := e.(CheckHealth); ok {
@@ -125,6 +129,6 @@
 		}
 	}
 	if !slices.Equal(checked, []policy.EndpointID{2}) {
-		t.Errorf("checked %v", checked)
+		t.Errorf("checked endpoints = %v, want [2]", checked)
 	}
 }
--- a/internal/core/effects_amd64_test.go
+++ b/internal/core/effects_amd64_test.go
@@ -8,11 +8,11 @@
 	"testing"
 )
 
-// The recorded runs hold for amd64, as this file's name says: other machines may fuse
-// floating-point operations.
+// The recorded effects are valid for amd64 only, hence the name of this file: other architectures may
+// fuse floating-point operations and so give other results.
 
-// Effects, their order and all that they carry stay as recorded: whole for one short run,
-// by digest for the others.
+// TestEffectsAreUnchanged guards against unintended changes of effects, of their order and of their
+// contents. One short run is recorded in full, the longer ones as digests.
 func TestEffectsAreUnchanged(t *testing.T) {
 	var digests, whole bytes.Buffer
 	sim := newSimulation(t, 1)
--- a/internal/core/effects_test.go
+++ b/internal/core/effects_test.go
@@ -10,7 +10,7 @@
 	"troutusher/policy"
 )
 
-// renderRecord writes the record that an effect appends, as the log has it.
+// renderRecord returns the record that an effect appends, in the JSON form of the log.
 func renderRecord(effect Effect) string {
 	text, err := json.Marshal(recordOf(effect))
 	if err != nil {
@@ -24,7 +24,8 @@
 		" warming=", call.WarmingUp, " connect=", call.MayConnect, " sent=", call.SentAt())
 }
 
-// renderEffect writes an effect by a fixed name and what it carries.
+// renderEffect returns an effect as text: a fixed name and its contents. The recorded fixtures depend
+// on each of these texts.
 func renderEffect(effect Effect) string {
 	switch e := effect.(type) {
 	case SendReply:
@@ -61,7 +62,7 @@
 		return fmt.Sprint("passivate ", e.Dest)
 	case Log:
 		if e.Text == "policy" {
-			return "log " + e.Level.String() + " policy" // its words are pinned where they are made
+			return "log " + e.Level.String() + " policy" // package policy determines the arguments
 		}
 		return fmt.Sprint("log ", e.Level, " ", e.Text, " ", e.Args)
 	case StepAgain:
@@ -70,7 +71,7 @@
 	return "unknown"
 }
 
-// goldenRuns are simulated runs of which every effect is recorded.
+// goldenRuns are the simulated runs whose effects are recorded.
 var goldenRuns = []struct {
 	name string
 	play func(t *testing.T, seed uint64, golden io.Writer)
@@ -110,7 +111,7 @@
 	}},
 }
 
-// lineCounter counts the lines that are written to it.
+// lineCounter is a writer that counts lines.
 type lineCounter struct{ lines int }
 
 func (c *lineCounter) Write(b []byte) (int, error) {
--- a/internal/core/endpoint_test.go
+++ b/internal/core/endpoint_test.go
@@ -8,9 +8,10 @@
 	"troutusher/policy"
 )
 
-// Guards the memory on a long day: endpoints come under ever new ids, also at the address
-// of one that has left, and those that have left are forgotten. A new id inherits nothing
-// there; one with a Retry-After keeps that while it is away.
+// TestForgetsReplacedEndpoints guards against memory that grows when endpoints keep coming with new
+// IDs, also at the address of an endpoint that has left. Endpoints that have left must be forgotten.
+// A new ID must inherit nothing from the endpoint that had its address before. An endpoint with a
+// Retry-After must be kept until its end.
 func TestForgetsReplacedEndpoints(t *testing.T) {
 	c := testCore(t)
 	up := func(i int) Member {
@@ -20,7 +21,7 @@
 	update := func(kind policy.ListUpdateKind, members ...Member) []Effect {
 		return c.Step(c.now, []Event{listEvent(kind, members...)}, nil)
 	}
-	addresses := map[policy.EndpointID]string{} // as a driver has them
+	addresses := map[policy.EndpointID]string{} // as a driver keeps them; "" if closed
 	execute := func(effects []Effect) {
 		for _, e := range effects {
 			switch e := e.(type) {
@@ -43,25 +44,28 @@
 		execute(update(policy.ListDelta, leaves, up(i)))
 		fresh := c.endpoints.byID[up(i).ID]
 		if fresh.number == old.number || addresses[old.number] != "" || addresses[fresh.number] != up(i).HostPort {
-			t.Fatalf("%s inherits from %s: %v", fresh.id, old.id, addresses)
+			t.Fatalf("endpoint %s inherits from %s, whose address it has; the driver's addresses are %v",
+				fresh.id, old.id, addresses)
 		}
 		c.now += 1e6
 		most = max(most, len(c.endpoints.all), len(addresses))
 	}
 	if most > 20 || len(c.endpoints.byNumber) != len(c.endpoints.all) || len(c.endpoints.byID) != len(c.endpoints.all) {
-		t.Errorf("%d endpoints kept, %d by number", most, len(c.endpoints.byNumber))
+		t.Errorf("the core or driver kept up to %d endpoints, want at most 20; byNumber, byID and all have %d, %d, %d "+
+			"entries, want equal numbers", most, len(c.endpoints.byNumber), len(c.endpoints.byID), len(c.endpoints.all))
 	}
 	if len(c.knownDestinations) != 3 {
-		t.Errorf("%d destinations known", len(c.knownDestinations))
+		t.Errorf("len(knownDestinations) = %d, want 3", len(c.knownDestinations))
 	}
 	if c.endpoints.byID["s-1"] != nil {
-		t.Error("kept though its Retry-After is over")
+		t.Error("endpoint s-1 is still kept after the end of its Retry-After, want it forgotten")
 	}
 }
 
-// Guards against destinations that do not exist: each message would be held in vain, and
-// each destination kept by the policy for good. One whose endpoints have all left for now
-// is known, and where no list was ever heard nothing can be said.
+// TestUnknownDestinations guards against messages for destinations that do not exist: the core would
+// hold each message until its deadline, and the policy would keep each destination forever. A
+// destination whose endpoints have all left still counts as known. Before the first list no
+// destination can be rejected as unknown.
 func TestUnknownDestinations(t *testing.T) {
 	c := testCore(t)
 	submit := func(id string, dest int) string {
@@ -74,28 +78,30 @@
 		return "held"
 	}
 	if s := submit("early", 5); s != "held" {
-		t.Errorf("before any list: %q", s)
+		t.Errorf("submit(early, 5) before any list = %q, want held", s)
 	}
 	m := Member{ID: "s-1", HostPort: "127.0.0.1:7000", Dest: 1, Phase: Up, Rate: 5}
 	c.applyList(&EndpointList{Complete: true, Members: []Member{m}}, policy.ListFull)
 	m.Phase = Removed
 	c.applyList(&EndpointList{Members: []Member{m}}, policy.ListDelta)
 	if s := submit("known", 1); s != "held" {
-		t.Errorf("gone for now: %q", s)
+		t.Errorf("submit(known, 1) after its last endpoint left = %q, want held", s)
 	}
 	held := c.messages.held
 	for i := range 1000 {
 		if s := submit(fmt.Sprint("m", i), 2+i); !strings.HasPrefix(s, "dest: no list names") {
-			t.Fatalf("unknown: %q", s)
+			t.Fatalf("submit(m%d, %d) = %q, want an error that begins with %q", i, 2+i, s, "dest: no list names")
 		}
 	}
 	if c.messages.held != held || len(c.messages.byID) != held {
-		t.Errorf("%d held, want %d", c.messages.held, held)
+		t.Errorf("after unknown destinations messages.held = %d and len(messages.byID) = %d, want %d",
+			c.messages.held, len(c.messages.byID), held)
 	}
 }
 
-// Guards against connections that died in silence: after a machine was away, the idle
-// connections to it are closed; one slow call among others is no reason.
+// TestSuspectsIdleConnections guards against calls on idle connections that broke unnoticed while a
+// machine was unreachable: such connections must be closed. A single slow call, while others got
+// responses, is no reason to close them.
 func TestSuspectsIdleConnections(t *testing.T) {
 	endpoint := &endpointState{}
 	for i, test := range []struct {
@@ -104,7 +110,7 @@
 		want   bool
 	}{
 		{Result{Outcome: policy.Delivered, Status: 200, Elapsed: 10}, 1000, false},
-		// It was sent at 600, and there was a response at 1000.
+		// The call was sent at 600, and another one got a response at 1000.
 		{Result{Outcome: policy.TimedOut, Elapsed: 500}, 1100, false},
 		{Result{Outcome: policy.TimedOut, Elapsed: 500}, 2000, true},
 		{Result{Outcome: policy.ConnectionReset}, 2100, true},
@@ -113,7 +119,8 @@
 		{Result{Outcome: policy.Cancelled, Elapsed: 50}, 2320, false},
 	} {
 		if got := endpoint.suspectsIdleConnections(&test.result, test.now); got != test.want {
-			t.Errorf("%d: %v", i, got)
+			t.Errorf("case %d: suspectsIdleConnections(%+v, %d) = %v, want %v",
+				i, test.result, test.now, got, test.want)
 		}
 	}
 }
--- a/internal/core/helpers_test.go
+++ b/internal/core/helpers_test.go
@@ -16,7 +16,7 @@
 
 func isSend(effect Effect) bool { return is[AppendThenSend](effect) }
 
-// recordOf is the record that an effect has logged; nil for none.
+// recordOf returns the log record that an effect appends, or nil.
 func recordOf(e Effect) *Record {
 	switch e := e.(type) {
 	case AppendRecord:
@@ -31,7 +31,7 @@
 	return nil
 }
 
-// callOf is the call whose end an event tells; nil for other events.
+// callOf returns the call that an event ends, or nil.
 func callOf(e Event) *Call {
 	switch e := e.(type) {
 	case AttemptFinished:
@@ -42,32 +42,33 @@
 	return nil
 }
 
-// listEvent brings an endpoint list.
+// listEvent returns the event of an endpoint list, which is complete unless kind is policy.ListDelta.
 func listEvent(kind policy.ListUpdateKind, members ...Member) EndpointListUpdated {
 	return EndpointListUpdated{Kind: kind, List: &EndpointList{Complete: kind != policy.ListDelta, Members: members}}
 }
 
-// plainRecord is the record of a message of the class "plain", as it is submitted.
+// plainRecord returns the record of a submitted message of the class "plain".
 func plainRecord(id string, dest int, deadline int64) *Record {
 	return &Record{Kind: RecordAccepted, ID: id, Class: "plain", Dest: dest, Deadline: deadline}
 }
 
-// submission submits a message of the first class, which is "plain", without a tenant.
+// submission returns the event that submits a message of the first class, which is "plain", without a
+// tenant.
 func submission(record *Record) Submitted {
 	return Submitted{Request: &Request{Tenant: -1, Record: record}}
 }
 
-// delivered is the result of a call that delivered its message.
+// delivered returns the result of a call that delivered its message.
 func delivered(elapsed policy.Time) *Result {
 	return &Result{Outcome: policy.Delivered, Status: 200, Final: true, Elapsed: elapsed}
 }
 
-// rejected is the result of a call that was told to wait.
+// rejected returns the result of a call that the endpoint rejected with a Retry-After.
 func rejected(retryAfter policy.Time) *Result {
 	return &Result{Outcome: policy.Rejected, Status: 429, RetryAfter: retryAfter}
 }
 
-// testCore is a core with three classes and no endpoint.
+// testCore returns a core with three message classes and no endpoint.
 func testCore(t testing.TB) *Core {
 	t.Helper()
 	return newTestCore(t, testSettings())
@@ -111,7 +112,7 @@
 	}
 }
 
-// testMember is the endpoint "s-i" of a destination.
+// testMember returns the endpoint with the ID "s-<i>" of a destination.
 func testMember(i, dest int, flavor string) Member {
 	return Member{
 		ID: fmt.Sprintf("s-%d", i), HostPort: fmt.Sprintf("127.0.0.1:%d", 7000+i), Locality: "a", Flavor: flavor,
@@ -119,7 +120,7 @@
 	}
 }
 
-// roundTrip takes a value through JSON, as files and other processes have it.
+// roundTrip encodes from as JSON and decodes the result into to, as a file or another process would.
 func roundTrip(t testing.TB, from, to any) {
 	t.Helper()
 	text, err := json.Marshal(from)
--- a/internal/core/idle_bench_test.go
+++ b/internal/core/idle_bench_test.go
@@ -14,13 +14,14 @@
 	"troutusher/policy"
 )
 
-// Figures of docs/measurements/idle.md:
+// These benchmarks give the figures of docs/measurements/idle.md:
 //
 //	go test -run '^$' -bench Idle -benchtime 1x ./internal/core
 //
-// BenchmarkIdleMemory's resident figure is true for one case a process alone.
+// The resident memory that BenchmarkIdleMemory reports is correct only if the process runs a single
+// case.
 
-// residentBytes is what the process holds in memory, in bytes.
+// residentBytes returns the resident memory of the process.
 func residentBytes(b *testing.B) float64 {
 	b.Helper()
 	text, err := os.ReadFile("/proc/self/statm")
@@ -34,8 +35,8 @@
 	return pages * float64(os.Getpagesize())
 }
 
-// idleCore is a core that a list has told of so many destinations, of which at most 1,024
-// are active, or all.
+// idleCore returns a core whose list has dests destinations with endpoints endpoints each. With
+// passivate at most 1,024 destinations are active, otherwise all.
 func idleCore(b *testing.B, dests, endpoints int, passivate bool) *Core {
 	b.Helper()
 	settings := testSettings()
@@ -49,8 +50,8 @@
 	return c
 }
 
-// idleMembers are the members of destinations, as a list of 13-byte ids and addresses
-// has them.
+// idleMembers returns the endpoints of the destinations from, ..., to-1, with IDs and addresses of
+// about 13 bytes.
 func idleMembers(from, to, endpoints int) []Member {
 	members := make([]Member, 0, (to-from)*endpoints)
 	for d := from; d < to; d++ {
@@ -65,20 +66,21 @@
 	return members
 }
 
+// BenchmarkIdleMemory measures the memory of one destination, active or passive.
 func BenchmarkIdleMemory(b *testing.B) {
 	for _, endpoints := range []int{1, 3} {
 		for _, n := range []int{1000, 100_000, 1_000_000} {
-			for what, passivate := range map[string]bool{"active": false, "passive": true} {
-				b.Run(fmt.Sprintf("%d/%d/%s", endpoints, n, what), func(b *testing.B) {
+			for label, passivate := range map[string]bool{"active": false, "passive": true} {
+				b.Run(fmt.Sprintf("%d/%d/%s", endpoints, n, label), func(b *testing.B) {
 					var before, after runtime.MemStats
 					debug.FreeOSMemory()
-					held := residentBytes(b)
+					residentBefore := residentBytes(b)
 					runtime.ReadMemStats(&before)
 					c := idleCore(b, n, endpoints, passivate)
 					debug.FreeOSMemory()
 					runtime.ReadMemStats(&after)
 					b.ReportMetric(float64(after.HeapAlloc-before.HeapAlloc)/float64(n), "heap-B/dest")
-					b.ReportMetric((residentBytes(b)-held)/float64(n), "resident-B/dest")
+					b.ReportMetric((residentBytes(b)-residentBefore)/float64(n), "resident-B/dest")
 					if _, bytes := c.PassiveDestinations(); bytes > 0 {
 						b.ReportMetric(float64(bytes)/float64(n-1024), "store-B/dest")
 					}
@@ -89,8 +91,8 @@
 	}
 }
 
-// measureDeliveries delivers messages one after another, and returns how long each took
-// from submission to end, all steps together.
+// measureDeliveries delivers n messages one after another. It returns the total duration of the steps
+// of each message, from its submission to its end.
 func measureDeliveries(
 	b *testing.B, c *Core, now policy.Time, n int, dest func(i int) int,
 ) (took []time.Duration) {
@@ -102,7 +104,7 @@
 		events, done := []Event{submission(plainRecord(id, dest(i), c.wallTime(now+20e6)))}, false
 		for turn := 0; !done; turn++ {
 			if turn > 100 {
-				b.Fatalf("message %d is not sent", i)
+				b.Fatalf("message %d has not ended after 100 steps", i)
 			}
 			effects = c.Step(now, events, effects[:0])
 			events = events[:0]
@@ -115,7 +117,7 @@
 				case AppendRecord:
 					done = done || e.Record.Kind == RecordDone
 				case SendReply:
-					b.Fatalf("%+v", e.Reply)
+					b.Fatalf("message %d: reply %+v, want it accepted", i, e.Reply)
 				}
 			}
 			now += 50e3
@@ -125,8 +127,8 @@
 	return took
 }
 
-// A message to one that is awake, and an empty step, against the number of those
-// that rest.
+// BenchmarkIdleMessage measures the time to deliver a message to an active destination, depending on
+// the number of passive ones.
 func BenchmarkIdleMessage(b *testing.B) {
 	for _, n := range []int{1000, 100_000, 1_000_000} {
 		b.Run(strconv.Itoa(n), func(b *testing.B) {
@@ -142,8 +144,8 @@
 	}
 }
 
-// A whole list of so many, of which nothing but a hundredth has changed: the time
-// that nothing else has its turn, and what it leaves to be collected.
+// BenchmarkIdleList measures a full list update in which one in a hundred members has changed: the
+// longest step, during which the core handles nothing else, and the garbage of the whole update.
 func BenchmarkIdleList(b *testing.B) {
 	for _, n := range []int{1000, 100_000, 1_000_000} {
 		b.Run(strconv.Itoa(n), func(b *testing.B) {
@@ -177,12 +179,13 @@
 	}
 }
 
-// One that wakes, and ten thousand that wake together, beside a thousand others.
+// BenchmarkIdleActivate measures the time to activate one passive destination, and the longest step
+// while 10,000 destinations are activated at 10 a step.
 func BenchmarkIdleActivate(b *testing.B) {
 	for _, n := range []int{100_000, 1_000_000} {
 		b.Run(strconv.Itoa(n), func(b *testing.B) {
 			c := idleCore(b, n, 1, true)
-			var one, longest time.Duration
+			var single, longest time.Duration
 			activated := 2000
 			for range b.N {
 				began := time.Now()
@@ -191,13 +194,13 @@
 					c.runPolicy()
 					activated++
 				}
-				one += time.Since(began) / 100
+				single += time.Since(began) / 100
 				var events []Event
 				for i := range 10_000 {
 					id, deadline := fmt.Sprint(activated, i), c.wallTime(c.now+20e6)
 					events = append(events, submission(plainRecord(id, activated, deadline)))
 					activated++
-					if len(events) == 10 { // as many come in a step, of ten thousand in a second
+					if len(events) == 10 { // the number in one step at 10,000 messages a second
 						began := time.Now()
 						c.Step(c.now+1000, events, nil)
 						longest = max(longest, time.Since(began))
@@ -205,7 +208,7 @@
 					}
 				}
 			}
-			b.ReportMetric(float64(one.Nanoseconds())/float64(b.N), "ns/one")
+			b.ReportMetric(float64(single.Nanoseconds())/float64(b.N), "ns/one")
 			b.ReportMetric(float64(longest.Microseconds()), "us/longest-step")
 		})
 	}
--- a/internal/core/packedmemory_test.go
+++ b/internal/core/packedmemory_test.go
@@ -7,7 +7,8 @@
 	"troutusher/policy"
 )
 
-// Packed bytes are read with bounds, and give nothing where they are damaged.
+// FuzzUnpack guards against panics, excessive memory and partial results when unpack reads damaged
+// bytes: unpack must return an error and a snapshot without limiters.
 func FuzzUnpack(f *testing.F) {
 	m := &policy.Snapshot{Now: 5e9, Limiters: []policy.LimiterSnapshot{{
 		Latency:   policy.LatencySnapshot{Mean: 3, Count: 2},
@@ -22,12 +23,13 @@
 	f.Fuzz(func(t *testing.T, b []byte) {
 		m, err := unpack(b, 1, func(uint32) policy.EndpointID { return 1 })
 		if m == nil || err != nil && len(m.Limiters) > 0 {
-			t.Errorf("%v, %v", m, err)
+			t.Errorf("unpack(%x) = %v, %v, want a snapshot, without limiters if there is an error", b, m, err)
 		}
 	})
 }
 
-// Times and health come back as they were; a backoff is never shorter.
+// TestPackUnpackRoundTrip guards against times and health that change with passivation, such as a
+// backoff that ends too early, and against a packed form that takes too much memory.
 func TestPackUnpackRoundTrip(t *testing.T) {
 	m := &policy.Snapshot{Now: 5e9, Limiters: []policy.LimiterSnapshot{{
 		Destination: 3, Window: 1, RateMultiplier: 1, ReportedRate: 12.5, ReducedRate: 0.25, ReducedAt: 4e9 + 1,
@@ -48,11 +50,11 @@
 		t.Fatal(err)
 	}
 	want := *m
-	want.Limiters[0].Endpoints[0].LastFailureAt++ // now itself is taken for a µs later
+	want.Limiters[0].Endpoints[0].LastFailureAt++ // a failure at Now is read as 1 µs later
 	if a, b := fmt.Sprintf("%+v", got.Limiters), fmt.Sprintf("%+v", want.Limiters); a != b {
-		t.Errorf("%s\nwant %s", a, b)
+		t.Errorf("unpack(pack(m)) = %s\nwant %s", a, b)
 	}
 	if len(b) > 160 {
-		t.Errorf("%d bytes", len(b))
+		t.Errorf("len(pack(m)) = %d bytes, want at most 160", len(b))
 	}
 }
--- a/internal/core/passivation_test.go
+++ b/internal/core/passivation_test.go
@@ -63,7 +63,8 @@
 				sim.handOverWithDriver(sim.logModel)
 				for dest := range before {
 					if sim.core.knowsDestination(dest) != before[dest] {
-						sim.failf("after handover knowsDestination(%d) = %v, want %v", dest, !before[dest], before[dest])
+						sim.failf("after a handover knowsDestination(%d) = %v, want %v",
+							dest, !before[dest], before[dest])
 					}
 				}
 			}
--- a/internal/core/recoverymetrics_test.go
+++ b/internal/core/recoverymetrics_test.go
@@ -10,7 +10,7 @@
 	"troutusher/policy"
 )
 
-// addCounts adds up the metrics that effects log, by name, over all destinations.
+// addCounts adds the metrics that effects log to sum, by name and over all destinations.
 func addCounts(sum map[string]int64, effects []Effect) {
 	for _, effect := range effects {
 		e, ok := effect.(Log)
@@ -29,31 +29,32 @@
 	}
 }
 
-// The invariant of recovery: a message without any attempt, with time left and an endpoint
-// in the list, is not ended in the step that recovers it, and is called. Each is counted
-// once by how it was found and once by what became of it.
+// TestRecoveredUntriedAreAttempted guards against recovered messages that end without an attempt. A
+// recovered message that has not been attempted, has time left and has an endpoint in the list must
+// not end in the step that recovers it, and must be sent. The metrics must count each recovered
+// message once by its state at recovery and once by its outcome.
 func TestRecoveredUntriedAreAttempted(t *testing.T) {
 	c := testCore(t)
 	now := policy.Time(3600e6)
-	left := func(micros int64) int64 { return c.settings.Epoch + now + micros }
+	deadlineIn := func(micros int64) int64 { return c.settings.Epoch + now + micros }
 	up := Member{ID: "s-1", HostPort: "127.0.0.1:7001", Dest: 1, Phase: Up, Rate: 1000, Flavor: "k", Locality: "a"}
-	full, never := up, up
-	full.ID, full.HostPort, full.Dest = "s-2", "127.0.0.1:7002", 2
-	never.ID, never.HostPort, never.Dest = "s-3", "127.0.0.1:7003", 3
-	var owed []*Record
+	overloaded, unreachable := up, up
+	overloaded.ID, overloaded.HostPort, overloaded.Dest = "s-2", "127.0.0.1:7002", 2
+	unreachable.ID, unreachable.HostPort, unreachable.Dest = "s-3", "127.0.0.1:7003", 3
+	var pending []*Record
 	for i := range 8 {
-		record := plainRecord(fmt.Sprintf("m%d", i), 1, left(10e6))
+		record := plainRecord(fmt.Sprintf("m%d", i), 1, deadlineIn(10e6))
 		record.Class, record.Tenant, record.Key = classNames[i%3], "acme", "k"
-		owed = append(owed, record)
+		pending = append(pending, record)
 	}
-	tried, unknown, ended := plainRecord("tried", 1, left(10e6)), plainRecord("unknown", 1, left(10e6)),
-		plainRecord("ended", 1, left(10e6))
+	tried, unknown, ended := plainRecord("tried", 1, deadlineIn(10e6)), plainRecord("unknown", 1, deadlineIn(10e6)),
+		plainRecord("ended", 1, deadlineIn(10e6))
 	tried.Attempts, unknown.Class, ended.Notice = 1, "gone", NoticeHandedBack
-	owed = append(owed, tried, unknown, ended,
-		plainRecord("over", 1, left(-1e3)), plainRecord("nowhere", 9, left(300e3)),
-		plainRecord("full", 2, left(300e3)), plainRecord("never", 3, left(300e3)))
-	effects := c.Observe(now, []Event{listEvent(policy.ListCached, up, full, never)}, nil)
-	effects = c.RecoverMessages(now, owed, nil, 0, effects)
+	pending = append(pending, tried, unknown, ended,
+		plainRecord("over", 1, deadlineIn(-1e3)), plainRecord("nowhere", 9, deadlineIn(300e3)),
+		plainRecord("full", 2, deadlineIn(300e3)), plainRecord("never", 3, deadlineIn(300e3)))
+	effects := c.Observe(now, []Event{listEvent(policy.ListCached, up, overloaded, unreachable)}, nil)
+	effects = c.RecoverMessages(now, pending, nil, 0, effects)
 	sum := map[string]int64{}
 	called, ends := map[string]bool{}, map[string]string{}
 	var events []Event
@@ -76,7 +77,7 @@
 			case AppendThenNotify:
 				ends[e.Notice.Message] = e.Notice.Outcome
 				if step == 0 && strings.HasPrefix(e.Notice.Message, "m") {
-					t.Errorf("%s is ended in the step that recovers it", e.Notice.Message)
+					t.Errorf("message %s ended in the step that recovered it, want it to be sent", e.Notice.Message)
 				}
 			}
 		}
@@ -85,7 +86,7 @@
 	}
 	for i := range 8 {
 		if id := fmt.Sprintf("m%d", i); !called[id] || ends[id] != "" {
-			t.Errorf("%s: called %v, ended %q", id, called[id], ends[id])
+			t.Errorf("message %s: called = %v, notice = %q, want true and no notice", id, called[id], ends[id])
 		}
 	}
 	want := map[string]int64{
@@ -93,18 +94,19 @@
 		metrics.UntriedAttempted: 9, metrics.UntriedDelivered: 8,
 		metrics.UntriedHandedBackPrefix + "time": 3, metrics.UntriedGivenUpPrefix + "unknown": 1,
 	}
-	// The one that never leaves is handed back for either reason.
+	// The message for the unreachable endpoint may be handed back for either reason.
 	sum[metrics.UntriedHandedBackPrefix+"time"] += sum[metrics.UntriedHandedBackPrefix+"attempts"]
 	for name, n := range want {
 		if sum[name] != n {
-			t.Errorf("%s: %d, want %d (%v)", name, sum[name], n, sum)
+			t.Errorf("metric %s = %d, want %d; all metrics: %v", name, sum[name], n, sum)
 		}
 	}
 }
 
-// An attempt that was deferred while the list was waited for, and that had no time left
-// when it could be sent, uses up none; neither does one that was logged and never left,
-// here and for the next process. One that its endpoint rejected does.
+// TestAttemptsNeverSent guards against messages that use up their attempts without a call. An attempt
+// must not count if it was deferred during the wait for the endpoint list until its time was over,
+// or if it was logged but not sent; this holds in the same process and in the next one. An attempt
+// that the endpoint rejected must count.
 func TestAttemptsNeverSent(t *testing.T) {
 	for _, status := range []int{0, 503} {
 		record := &Record{Kind: RecordAccepted, ID: "m"}
@@ -113,7 +115,8 @@
 		record.Apply(&Record{Kind: RecordOutcome, NotCounted: result.neverLeft()})
 		want := min(status, 1)
 		if record.Attempts != want || record.FirstUncertainAt != 0 || record.OpenAttemptAt != 0 {
-			t.Errorf("status %d: %+v", status, record)
+			t.Errorf("after an unsent attempt with status %d the record is %+v, want Attempts %d, "+
+				"FirstUncertainAt 0, OpenAttemptAt 0", status, record, want)
 		}
 	}
 	settings := testSettings()
@@ -128,7 +131,7 @@
 	sends := 0
 	var events []Event
 	for step := range 400 {
-		if step == 60 { // long after the timeout of the attempt
+		if step == 60 { // 300 ms later, long after the timeout of the attempt
 			events = append(events, Started{})
 		}
 		effects := c.Step(now, events, nil)
@@ -139,12 +142,12 @@
 				sends++
 				events = append(events, AttemptFinished{Call: e.Call, Result: delivered(0)})
 			case AppendThenNotify:
-				t.Fatalf("ended at step %d: %+v", step, e.Notice)
+				t.Fatalf("step %d: notice %+v, want none", step, e.Notice)
 			}
 		}
 		now += 5e3
 	}
 	if sends != 1 {
-		t.Errorf("%d calls", sends)
+		t.Errorf("%d calls were sent, want 1", sends)
 	}
 }
--- a/internal/core/retryafter_test.go
+++ b/internal/core/retryafter_test.go
@@ -7,9 +7,9 @@
 	"troutusher/policy"
 )
 
-// No order of sends, responses (read early, reported late, cut, lost), lists and
-// handovers has a byte sent before a Retry-After, to an endpoint that has left, or to
-// another destination's.
+// TestNothingSentBeforeRetryAfter guards against requests that are sent before the end of a
+// Retry-After, to a closed endpoint or to another destination. The order of sends, lists, hand-overs
+// and responses is random; a response can be reported to the core late, be cut off or be lost.
 func TestNothingSentBeforeRetryAfter(t *testing.T) {
 	sent, blocked, shared, independent, resumed := 0, 0, 0, 0, 0
 	for seed := range uint64(120) {
@@ -33,13 +33,14 @@
 		}
 	}
 	if sent < 3000 || blocked < 300 || shared < 100 || independent < 100 || resumed < 30 {
-		t.Errorf("too little was tried: %d sent, %d blocked, Retry-Afters of %d destinations and %d routes, "+
-			"%d open at a handover", sent, blocked, shared, independent, resumed)
+		t.Errorf("the test is too weak: %d calls sent, %d calls blocked, Retry-Afters of %d destinations and "+
+			"%d routes, %d calls open at a handover; want at least 3000, 300, 100, 100, 30",
+			sent, blocked, shared, independent, resumed)
 	}
 }
 
-// What an earlier process held is not sent at once where nothing is known of its
-// destination; what was handed over of it counts.
+// TestRecoveredSentOneByOne guards against a burst of recovered messages at a destination of which
+// the new process knows nothing. The state that a hand-over transfers counts as knowledge.
 func TestRecoveredSentOneByOne(t *testing.T) {
 	for name, state := range map[string]*HandoverState{
 		"after a crash": nil, "handed over": testCore(t).ExportHandover(3600e6),
@@ -51,16 +52,16 @@
 			t.Fatal(err)
 		}
 		member := Member{ID: "a", HostPort: "127.0.0.1:1", Dest: 1, Phase: Up, Flavor: "k", Rate: 100}
-		var owed []*Record
+		var pending []*Record
 		for i := range 20 {
-			owed = append(owed, plainRecord(fmt.Sprint("m", i), 1, c.wallTime(3620e6)))
+			pending = append(pending, plainRecord(fmt.Sprint("m", i), 1, c.wallTime(3620e6)))
 		}
 		if state == nil {
 			c.Observe(3600e6, []Event{listEvent(policy.ListFull, member)}, nil)
-			c.RecoverMessages(3600e6, owed, nil, 0, nil)
+			c.RecoverMessages(3600e6, pending, nil, 0, nil)
 		} else {
 			state.Members = []HandoverMember{{Member: member, Number: 1}}
-			c.RecoverMessages(3600e6, owed, state, 0, nil)
+			c.RecoverMessages(3600e6, pending, state, 0, nil)
 		}
 		c.Step(3600e6, nil, nil)
 		var open []*Call
@@ -70,9 +71,9 @@
 			}
 		}
 		if len(open) != 1 {
-			t.Fatalf("%s: %d calls begun", name, len(open))
+			t.Fatalf("%s: the first step started %d calls, want 1", name, len(open))
 		}
-		sent := 0 // the window allows two then, and so does half a second of the usual pace
+		sent := 0 // the window then permits two calls, and so does the usual rate after half a second
 		result := &Result{Outcome: policy.Delivered, Final: true, Elapsed: 1000}
 		for _, e := range c.Step(3600e6+500e3, []Event{AttemptFinished{Call: open[0], Result: result}}, nil) {
 			if is[AppendThenSend](e) {
@@ -80,13 +81,14 @@
 			}
 		}
 		if want := map[bool]int{true: 0, false: 2}[state == nil]; sent != want {
-			t.Errorf("%s: %d go half a second after the first, want %d", name, sent, want)
+			t.Errorf("%s: %d calls started half a second after the first, want %d", name, sent, want)
 		}
 	}
 }
 
-// A Retry-After is never shortened: not by a shorter one that is heard later, nor by
-// way of a sibling; and one that another process was told binds its siblings too.
+// TestLongestRetryAfterWins guards against a Retry-After that is shortened by a later, shorter one of
+// the same endpoint or of another endpoint of its destination. After a hand-over the Retry-After must
+// bind the same endpoints.
 func TestLongestRetryAfterWins(t *testing.T) {
 	c := testCore(t)
 	c.Step(3600e6, []Event{listEvent(policy.ListFull,
@@ -96,14 +98,14 @@
 		Member{ID: "d", HostPort: "127.0.0.1:4", Dest: 2, Phase: Up, Flavor: "r"},
 	)}, nil)
 	now := c.now
-	for _, told := range []struct {
+	for _, received := range []struct {
 		id    string
 		until policy.Time
 	}{{"a", 5e6}, {"b", 1e6}, {"c", 4e6}, {"c", 2e6}} {
-		endpoint := c.endpoints.byID[told.id]
+		endpoint := c.endpoints.byID[received.id]
 		call := &Call{Record: &Record{Dest: endpoint.dest}, endpoint: endpoint}
 		call.independentRoute = c.hasIndependentRoutes(endpoint.flavor)
-		c.recordRetryAfter(call, now+told.until)
+		c.recordRetryAfter(call, now+received.until)
 	}
 	c.takeEffects()
 	state := c.ExportHandover(now)
@@ -114,11 +116,11 @@
 	}()} {
 		for id, want := range map[string]policy.Time{"a": 5e6, "b": 5e6, "c": 4e6, "d": 0} {
 			if got := max(other.retryAfterOf(other.endpoints.byID[id])-now, 0); got != want {
-				t.Errorf("%s waits for %d ms, want %d", id, got/1000, want/1000)
+				t.Errorf("endpoint %s: Retry-After ends in %d ms, want %d ms", id, got/1000, want/1000)
 			}
 		}
-		// One that joins a destination with a Retry-After is bound as well, and one that
-		// joins another route is not.
+		// The Retry-After of a destination also binds an endpoint that joins it, unless the routes of
+		// the destination are independent.
 		effects := other.Step(now, []Event{listEvent(policy.ListDelta,
 			Member{ID: "e", HostPort: "127.0.0.1:5", Dest: 1, Phase: Up, Flavor: "k"},
 			Member{ID: "f", HostPort: "127.0.0.1:6", Dest: 2, Phase: Up, Flavor: "r"},
@@ -131,7 +133,8 @@
 		}
 		e, f := other.endpoints.byID["e"], other.endpoints.byID["f"]
 		if held[e.number] != 5e6 || held[f.number] != 0 || other.retryAfterOf(f) != 0 {
-			t.Errorf("those that join are held for %v", held)
+			t.Errorf("ApplyRetryAfter durations of joining endpoints = %v, want %d only for endpoint %d (e); "+
+				"retryAfterOf(f) = %d, want 0", held, policy.Time(5e6), e.number, other.retryAfterOf(f))
 		}
 	}
 }
--- a/internal/core/shutdown_test.go
+++ b/internal/core/shutdown_test.go
@@ -8,8 +8,7 @@
 	"troutusher/policy"
 )
 
-// shutdownFixture is a core with 16 destinations of one endpoint each, whose effects a
-// test looks at.
+// shutdownFixture is a core with 16 destinations of one endpoint each.
 type shutdownFixture struct {
 	t    *testing.T
 	core *Core
@@ -31,8 +30,8 @@
 
 func (s *shutdownFixture) step(events ...Event) []Effect { return s.core.Step(s.now, events, nil) }
 
-// submit submits a message, has its reply delivered, and returns whether it was accepted
-// and whether its call was begun.
+// submit submits a message and, if it is accepted, delivers its reply. It returns whether the message
+// was accepted and whether its call was then started.
 func (s *shutdownFixture) submit(id, class string, dest int) (accepted, sent bool) {
 	s.t.Helper()
 	record := plainRecord(id, dest, s.core.wallTime(s.now+15e6))
@@ -44,8 +43,8 @@
 	return true, slices.ContainsFunc(s.step(ReplyDelivered{Request: request, OK: true}), isSend)
 }
 
-// The schedule of a shutdown, each time by itself: which messages are accepted and which
-// calls are begun, so long after SIGTERM.
+// TestShutdownSchedule guards against a shutdown that accepts or sends a message too late to finish
+// it, or rejects one too early. Each case submits one message at a time after SIGTERM to a new core.
 func TestShutdownSchedule(t *testing.T) {
 	for _, test := range []struct {
 		class          string
@@ -65,16 +64,17 @@
 		s.step(ShutdownRequested{})
 		s.now += test.after
 		if got := s.core.KeepsClientConnections(s.now); got != test.keeps {
-			t.Errorf("%d ms after SIGTERM client connections are kept: %v", test.after/1000, got)
+			t.Errorf("KeepsClientConnections() = %v %d ms after SIGTERM, want %v", got, test.after/1000, test.keeps)
 		}
 		if accepted, sent := s.submit("m", test.class, 1); accepted != test.accepted || sent != test.sent {
-			t.Errorf("%s, %d ms after SIGTERM: accepted %v, sent %v; want %v, %v",
+			t.Errorf("submit(m, %s) %d ms after SIGTERM: accepted = %v, sent = %v, want %v, %v",
 				test.class, test.after/1000, accepted, sent, test.accepted, test.sent)
 		}
 	}
 }
 
-// When the call of a message that was held before may be begun at the latest.
+// TestShutdownStopsSends guards against calls that start so late in a shutdown that the process would
+// end before them. The messages were accepted before the shutdown and can only be sent during it.
 func TestShutdownStopsSends(t *testing.T) {
 	for _, test := range []struct {
 		class string
@@ -83,11 +83,13 @@
 		for _, after := range []policy.Time{test.last - 20e3, test.last} {
 			s := newShutdownFixture(t)
 			if accepted, sent := s.submit("m", test.class, 20); accepted || sent {
-				t.Fatal("accepted for a destination that no list named")
+				t.Fatalf("submit(m) for unknown destination 20: accepted = %v, sent = %v, want false, false",
+					accepted, sent)
 			}
 			s.core.knownDestinations[20] = true
 			if accepted, sent := s.submit("m", test.class, 20); !accepted || sent {
-				t.Fatalf("accepted %v, sent %v", accepted, sent)
+				t.Fatalf("submit(m) for destination 20 without endpoints: accepted = %v, sent = %v, want true, false",
+					accepted, sent)
 			}
 			s.step(ShutdownRequested{})
 			s.now += after
@@ -95,14 +97,16 @@
 			late.Rate = 1000
 			sent := slices.ContainsFunc(s.step(listEvent(policy.ListDelta, late)), isSend)
 			if want := after < test.last; sent != want {
-				t.Errorf("%s: a call is begun %d ms after SIGTERM: %v, want %v", test.class, after/1000, sent, want)
+				t.Errorf("class %s, %d ms after SIGTERM: call started = %v, want %v",
+					test.class, after/1000, sent, want)
 			}
 		}
 	}
 }
 
-// Where more messages wait than the slots take soon, no more are accepted, and client
-// connections are closed at once.
+// TestShutdownWithBacklog guards against messages that are accepted during a shutdown although the
+// backlog is too long to send them in time. With a backlog the core must accept no message and close
+// client connections at once.
 func TestShutdownWithBacklog(t *testing.T) {
 	s := newShutdownFixture(t)
 	s.core.knownDestinations[20] = true
@@ -111,29 +115,30 @@
 	}
 	s.step(ShutdownRequested{})
 	if s.core.KeepsClientConnections(s.now) {
-		t.Error("client connections are kept with 8 messages waiting for 16 slots")
+		t.Error("KeepsClientConnections() = true with 8 messages waiting for 16 concurrent calls, want false")
 	}
 	if accepted, _ := s.submit("late", "plain", 1); accepted {
-		t.Error("more is accepted")
+		t.Error("submit(late): accepted = true with a backlog, want false")
 	}
 }
 
-// After a restart attempts that were made count, one whose outcome is not known may have
-// run, and the time that is left goes on.
+// TestRecoveredHistory guards against a restart that forgets the history of a message. Earlier
+// attempts must count, an attempt with an unknown outcome must count as one that may have run, and
+// the deadline must stay the same.
 func TestRecoveredHistory(t *testing.T) {
 	for _, test := range []struct {
 		name   string
 		record Record
-		want   string // how it goes on: sent, given up, or handed back
+		want   string // sent, or the outcome of the notice
 	}{
-		{"fresh", Record{Class: "plain"}, "sent"},
+		{"no attempt", Record{Class: "plain"}, "sent"},
 		{"seven of eight attempts", Record{Class: "plain", Attempts: 7}, "sent"},
 		{"all eight attempts", Record{Class: "plain", Attempts: 8}, NoticeHandedBack},
-		{"must not run twice, never ran", Record{Class: "once", Attempts: 2}, "sent"},
-		{"must not run twice, open", Record{Class: "once", Attempts: 1, OpenAttemptAt: 1}, NoticeGivenUp},
-		{"idempotent, open", Record{Class: "plain", Attempts: 1, OpenAttemptAt: 1}, "sent"},
-		{"keyed, in its window", Record{Class: "keyed", Attempts: 1, FirstUncertainAt: 15e6}, "sent"},
-		{"keyed, past its window", Record{Class: "keyed", Attempts: 1, FirstUncertainAt: 25e6}, NoticeGivenUp},
+		{"non-idempotent, never ran", Record{Class: "once", Attempts: 2}, "sent"},
+		{"non-idempotent, open attempt", Record{Class: "once", Attempts: 1, OpenAttemptAt: 1}, NoticeGivenUp},
+		{"idempotent, open attempt", Record{Class: "plain", Attempts: 1, OpenAttemptAt: 1}, "sent"},
+		{"keyed, within the dedup window", Record{Class: "keyed", Attempts: 1, FirstUncertainAt: 15e6}, "sent"},
+		{"keyed, past the dedup window", Record{Class: "keyed", Attempts: 1, FirstUncertainAt: 25e6}, NoticeGivenUp},
 		{"past its deadline", Record{Class: "plain", Deadline: -1}, NoticeHandedBack},
 	} {
 		s := newShutdownFixture(t)
@@ -162,7 +167,7 @@
 			}
 		}
 		if got != test.want {
-			t.Errorf("%s: %s, want %s", test.name, got, test.want)
+			t.Errorf("%s: result after recovery = %s, want %s", test.name, got, test.want)
 		}
 	}
 }
--- a/internal/core/snapshot_test.go
+++ b/internal/core/snapshot_test.go
@@ -6,8 +6,9 @@
 	"troutusher/policy"
 )
 
-// learnedSnapshot is the state of a core that learned of two destinations: 1 told a
-// Retry-After of 8 s, 2 refuses connections. It went through JSON, as in the state file.
+// learnedSnapshot returns the state of a core that has learned about two destinations: destination 1
+// answers with a Retry-After of 8 s, destination 2 refuses connections. The state has been encoded as
+// JSON and decoded, as in the state file.
 func learnedSnapshot(t *testing.T, members []Member) *StateSnapshot {
 	t.Helper()
 	c := testCore(t)
@@ -38,39 +39,40 @@
 		now += 20e3
 	}
 	if c.StateVersion() == 0 || c.CompletedCalls() == 0 {
-		t.Error("nothing was learned")
+		t.Errorf("StateVersion() = %d, CompletedCalls() = %d, want both above 0", c.StateVersion(), c.CompletedCalls())
 	}
 	snapshot := &StateSnapshot{}
 	roundTrip(t, c.SnapshotState(now), snapshot)
 	return snapshot
 }
 
-// A core that restores a snapshot keeps to Retry-Afters and avoids unhealthy endpoints, as
-// long as they are where they were; under another address, or another's address under a
-// new id, nothing is inherited; and without the file nothing is known.
+// TestRestoreState guards against a restart that forgets Retry-Afters and unhealthy endpoints, or
+// that applies them to the wrong endpoints. An endpoint with the same ID, address and destination
+// must keep its state. One with a new address, or with a new ID at a known address, must inherit
+// nothing but the Retry-After of its destination. Without the state file nothing is known.
 func TestRestoreState(t *testing.T) {
 	member := func(id, addr string, dest int) Member {
 		return Member{ID: id, HostPort: addr, Locality: "a", Flavor: "k", Dest: dest, Phase: Up, Rate: 40}
 	}
-	was := []Member{member("s1", "10.0.0.1:1", 1), member("s2", "10.0.0.2:1", 2)}
-	const shift = policy.Time(-3000e6) // the new process's clock reads otherwise
+	old := []Member{member("s1", "10.0.0.1:1", 1), member("s2", "10.0.0.2:1", 2)}
+	const shift = policy.Time(-3000e6) // difference between the clocks of the two processes
 	for name, test := range map[string]struct {
 		list    []Member
 		learned bool
-		avoided int  // endpoints
-		held    bool // destination 1 has its Retry-After
+		avoided int  // number of endpoints that the policy avoids
+		held    bool // the Retry-After of destination 1 is in effect
 	}{
-		"as it was":                    {was, true, 2, true},
-		"nothing learned":              {was, false, 0, false},
-		"one has moved":                {[]Member{was[0], member("s2", "10.0.0.9:1", 2)}, true, 1, true},
-		"another id at its address":    {[]Member{was[0], member("s3", "10.0.0.2:1", 2)}, true, 1, true},
-		"its destination is another":   {[]Member{was[0], member("s2", "10.0.0.2:1", 3)}, true, 1, true},
-		"a new one of the destination": {[]Member{was[0], was[1], member("s4", "10.0.0.4:1", 1)}, true, 3, true},
-		"all of destination 1 are new": {[]Member{member("s5", "10.0.0.5:1", 1), was[1]}, true, 2, true},
+		"same list":                        {old, true, 2, true},
+		"no state file":                    {old, false, 0, false},
+		"endpoint with a new address":      {[]Member{old[0], member("s2", "10.0.0.9:1", 2)}, true, 1, true},
+		"new ID at a known address":        {[]Member{old[0], member("s3", "10.0.0.2:1", 2)}, true, 1, true},
+		"endpoint with a new destination":  {[]Member{old[0], member("s2", "10.0.0.2:1", 3)}, true, 1, true},
+		"additional endpoint":              {[]Member{old[0], old[1], member("s4", "10.0.0.4:1", 1)}, true, 3, true},
+		"destination 1 has a new endpoint": {[]Member{member("s5", "10.0.0.5:1", 1), old[1]}, true, 2, true},
 	} {
-		snapshot := learnedSnapshot(t, was)
+		snapshot := learnedSnapshot(t, old)
 		if snapshot.Revision != 7 || len(snapshot.EndpointList().Members) != 2 {
-			t.Fatalf("learned %+v", snapshot)
+			t.Fatalf("snapshot = %+v, want revision 7 and 2 members", snapshot)
 		}
 		c := testCore(t)
 		now := snapshot.Now + shift + 700e3
@@ -85,16 +87,19 @@
 			}
 		}
 		if _, got := c.ListedEndpoints(); got != test.avoided {
-			t.Errorf("%s: %d avoided, want %d", name, got, test.avoided)
+			t.Errorf("%s: ListedEndpoints() = _, %d avoided, want %d", name, got, test.avoided)
 		}
 		if (holds > 0) != test.held {
-			t.Errorf("%s: the Retry-After binds %d endpoints", name, holds)
+			t.Errorf("%s: the Retry-After is applied to %d endpoints of destination 1, want any: %v",
+				name, holds, test.held)
 		}
 		// Nothing is sent to destination 1 before its Retry-After.
 		first, _, _ := deliverOne(t, c, now, now+20e6, "m", 1, delivered(0))
 		until := snapshot.RetryAfters[0].Until + shift
 		if test.held && (first < until || first > until+1e6) || !test.held && first > now+1e6 {
-			t.Errorf("%s: sent at %d, Retry-After until %d", name, first-now, until-now)
+			t.Errorf("%s: message sent after %d µs with a Retry-After of %d µs that is in effect: %v; "+
+				"want it within 1 s after the Retry-After, or within 1 s if that is not in effect",
+				name, first-now, until-now, test.held)
 		}
 	}
 }
--- a/internal/core/trace_test.go
+++ b/internal/core/trace_test.go
@@ -9,8 +9,9 @@
 	"troutusher/policy"
 )
 
-// A trace is complete, from the submission of a message to its end; beyond the limit only
-// the end is logged, and the metrics say of how many.
+// TestTracesAreComplete guards against incomplete message traces. A traced message must be logged
+// from its submission to its end. Beyond the limit of traces per second only undelivered ends are
+// logged, and the metrics count the messages that were not traced.
 func TestTracesAreComplete(t *testing.T) {
 	settings := testSettings()
 	settings.TracesPerSecond = 5
@@ -62,13 +63,13 @@
 		"fifth": "[taken delivered]", "beyond": "[]", "beyond-waits": "[ended]",
 	} {
 		if got := fmt.Sprint(lines[id]); got != want {
-			t.Errorf("%s: %s, want %s", id, got, want)
+			t.Errorf("log lines of message %s = %s, want %s", id, got, want)
 		}
 	}
 	if got := sum[metrics.Untraced]; got != 2 {
-		t.Errorf("%d untraced, want 2", got)
+		t.Errorf("metric %s = %d, want 2", metrics.Untraced, got)
 	}
 	if msgtrace.DefaultPerSecond < 1 {
-		t.Error("nothing is traced by default")
+		t.Errorf("msgtrace.DefaultPerSecond = %v, want at least 1", msgtrace.DefaultPerSecond)
 	}
 }
