--- a/internal/core/crashsim_test.go
+++ b/internal/core/crashsim_test.go
@@ -426,7 +426,7 @@
 func (sim *crashSimulation) checkEnd() (accepted int) {
 	for id, m := range sim.messages {
 		if !m.acknowledged && !m.noticeOutcomes[NoticeHandedBack] {
-			continue // no client or notice mentions it; if the log held it, it would have been handed back
+			continue // not accepted from its client's view; one that the log held counts if it was handed back
 		}
 		accepted++
 		sim.checkMessage(id, m)
--- a/internal/core/eventpairs_test.go
+++ b/internal/core/eventpairs_test.go
@@ -169,7 +169,7 @@
 			return ReplyDelivered{Request: request, OK: false}, true
 		}),
 		outcome("a message is delivered", Result{Outcome: policy.Delivered, Status: 200, Final: true, Elapsed: 1000}),
-		outcome("a call is told to retry later", Result{Outcome: policy.Rejected, Status: 429, RetryAfter: 400e3}),
+		outcome("a call gets a Retry-After", Result{Outcome: policy.Rejected, Status: 429, RetryAfter: 400e3}),
 		outcome("a call times out", Result{Outcome: policy.TimedOut, Elapsed: 300e3}),
 		outcome("a call is not sent", Result{Outcome: policy.NotSent}),
 		outcome("an endpoint reports a message as ended", Result{Outcome: policy.NotSent, Status: 410, Final: true}),
