--- a/internal/core/idle_bench_test.go
+++ b/internal/core/idle_bench_test.go
@@ -180,7 +180,7 @@
 }
 
 // BenchmarkIdleActivate measures the time to activate one passive destination, and the longest step
-// while 10,000 destinations are activated at 10 a step.
+// while 10,000 destinations are activated at 10 a step. About a thousand others are active.
 func BenchmarkIdleActivate(b *testing.B) {
 	for _, n := range []int{100_000, 1_000_000} {
 		b.Run(strconv.Itoa(n), func(b *testing.B) {
--- a/internal/core/simulation_test.go
+++ b/internal/core/simulation_test.go
@@ -12,7 +12,7 @@
 	"troutusher/policy"
 )
 
-var classNames = []string{"plain", "keyed", "once"} // of testSettings
+var classNames = []string{"plain", "keyed", "once"} // as in testSettings, by class index
 
 // simulation drives a core with random events from a seeded source. It executes the effects of the
 // core: it writes the log, replies to clients and makes calls, each with a random delay and outcome.
