--- a/internal/core/handover_test.go
+++ b/internal/core/handover_test.go
@@ -50,8 +50,8 @@
 	}
 }
 
-// TestHandoverKeepsRetryAfterAndFailures guards against a Retry-After or failures that a hand-over
-// loses: the successor must wait for the rest of a Retry-After that its predecessor received.
+// TestHandoverKeepsRetryAfterAndFailures guards against a Retry-After that a hand-over loses: the
+// successor must wait for the rest of a Retry-After that its predecessor received.
 func TestHandoverKeepsRetryAfterAndFailures(t *testing.T) {
 	s := newShutdownFixture(t)
 	if _, sent := s.submit("a", "plain", 1); !sent {
