--- a/internal/core/deferral.go
+++ b/internal/core/deferral.go
@@ -13,7 +13,7 @@
 	healthChecks []policy.EndpointID
 }
 
-func (d *deferral) active() bool { return d.handingOver || d.awaitingList }
+func (d *deferral) isActive() bool { return d.handingOver || d.awaitingList }
 
 // BeginHandover defers all new calls until ResumeSends. Everything else continues.
 func (c *Core) BeginHandover() { c.deferral.handingOver = true }
@@ -51,7 +51,7 @@
 // policy still counts the attempt as sent. If this process exits, the next one recovers the
 // message from the log.
 func (c *Core) mustDeferSend(m *message) bool {
-	return c.deferral.active() || c.sendsStopped(m.record.Class)
+	return c.deferral.isActive() || c.sendsStopped(m.record.Class)
 }
 
 // sendDeferred starts the deferred attempts that may be sent now, those of the oldest
--- a/internal/core/handover.go
+++ b/internal/core/handover.go
@@ -74,7 +74,7 @@
 	}
 	state.KnownDestinations = append(state.KnownDestinations, c.departedDestinations()...)
 	slices.Sort(state.KnownDestinations)
-	for _, m := range c.owedMessages() {
+	for _, m := range c.pendingMessages() {
 		state.Weights = append(state.Weights, HandoverWeight{Message: m.record.ID, Weight: c.policy.Weight(m.number)})
 		if call := m.call; call != nil && call.endpoint != nil {
 			state.Calls = append(state.Calls, HandoverCall{
@@ -86,8 +86,8 @@
 	return state
 }
 
-// owedMessages returns the accepted messages that have not ended, oldest first.
-func (c *Core) owedMessages() []*message {
+// pendingMessages returns the accepted messages that have not ended, oldest first.
+func (c *Core) pendingMessages() []*message {
 	unfinished := make([]*message, 0, len(c.messages.byNumber))
 	for _, m := range c.messages.byNumber {
 		if !m.finished && m.logged {
--- a/internal/core/packedmemory.go
+++ b/internal/core/packedstate.go
@@ -10,10 +10,10 @@
 	"troutusher/policy"
 )
 
-// packedMemory is the learned state of a passive destination. It is encoded as CBOR (RFC 8949)
+// packedState is the learned state of a passive destination. It is encoded as CBOR (RFC 8949)
 // with integer keys, and takes about 40 bytes if only latencies are known. Times are relative
 // to Now. There is no Retry-After, because a destination stays active while one is in force.
-type packedMemory struct {
+type packedState struct {
 	Now      int64           `cbor:"1,keyasint"`
 	Limiters []packedLimiter `cbor:"2,keyasint,omitempty"`
 }
@@ -122,7 +122,7 @@
 	if len(snapshot.Limiters) == 0 {
 		return nil, nil
 	}
-	memory := packedMemory{Now: snapshot.Now}
+	memory := packedState{Now: snapshot.Now}
 	for i := range snapshot.Limiters {
 		limiter := &snapshot.Limiters[i]
 		packed := packedLimiter{
@@ -171,7 +171,7 @@
 	if len(packed) == 0 {
 		return &policy.Snapshot{}, nil
 	}
-	var memory packedMemory
+	var memory packedState
 	if err := packedDecoding.Unmarshal(packed, &memory); err != nil {
 		return &policy.Snapshot{}, fmt.Errorf("decode learned state: %w", err)
 	}
--- a/internal/core/passivation.go
+++ b/internal/core/passivation.go
@@ -108,7 +108,7 @@
 // passivateIdle passivates idle destinations, as far as the policy permits.
 func (c *Core) passivateIdle() {
 	state := &c.passivation
-	busy := c.deferral.active() || c.shutdown.requested || c.listUpdate != nil
+	busy := c.deferral.isActive() || c.shutdown.requested || c.listUpdate != nil
 	if !state.active.OverLimit() || state.nextCheckAt > c.now || busy {
 		return
 	}
