--- a/policy/admission.go
+++ b/policy/admission.go
@@ -5,20 +5,17 @@
 	"math"
 )
 
-// Which messages are taken in, and which are given up while others wait.
-
 const (
-	pendingReserveDivisor = 16   // one part in so many of MaxPending is kept free
-	recoveredUntriedLoss  = 1e12 // over the time that is left, in µs: more than any message's weight
+	pendingReserveDivisor = 16   // MaxPending/pendingReserveDivisor places are kept free
+	recoveredUntriedLoss  = 1e12 // divided by the time left in µs: larger than the weight of any message
 )
 
-// admit takes a message into the queue of its destination.
 func (e *Engine) admit(event *Event) {
 	if e.messages[event.Message] != nil {
 		return
 	}
 	if event.Class < 0 || event.Class >= len(e.settings.Classes) {
-		e.emit(Action{Kind: ActReject, Message: event.Message, Reason: UnknownClass}) // nothing has run
+		e.emit(Action{Kind: ActReject, Message: event.Message, Reason: UnknownClass}) // it was never sent
 		return
 	}
 	class := &e.settings.Classes[event.Class]
@@ -33,17 +30,17 @@
 	if event.Recovered {
 		e.limitRecovered(message.destination)
 	}
-	e.restoreAttempts(message, event)
+	e.restoreAttemptHistory(message, event)
 	message.destination.queue = append(message.destination.queue, message)
 	e.markDirty(message.destination)
 	if endpoint := e.endpoints[event.AttemptEndpoint]; endpoint != nil && event.AttemptSentAt > 0 {
-		e.restoreAttempt(message, endpoint, event.AttemptSentAt)
+		e.restoreAttemptInFlight(message, endpoint, event.AttemptSentAt)
 	}
 	e.joinOrderedQueue(message)
 	e.rejectIfUnprovable(message)
 }
 
-// weightOf is the weight of a new message: less beyond its tenant's quota, of which each relay has a part.
+// weightOf returns the weight of a new message, reduced if its tenant exceeds this relay's part of the quota.
 func (e *Engine) weightOf(event *Event, class *Class) float64 {
 	weight := class.Weight
 	if e.settings.WeightByCost && event.EstimatedCost > 0 {
@@ -58,8 +55,8 @@
 	return cmp.Or(event.Weight, weight)
 }
 
-// limitRecovered holds a destination to an even share as messages come that waited in a process that ended:
-// after a release whole fleets have such, and would send them in the same second.
+// limitRecovered limits a destination to an even share of its rate when recovered messages are submitted:
+// after a release all relays of a fleet have such messages, and would send them in the same second.
 func (e *Engine) limitRecovered(destination *destination) {
 	for _, limiter := range destination.limiters {
 		if limiter.reducedAt == 0 && e.exceedsEvenShare(limiter) {
@@ -68,8 +65,8 @@
 	}
 }
 
-// shedLoad keeps a part of MaxPending free: a message rejected unseen may have more weight than the least one
-// pending, and what waits for a destination that is down must not crowd out the others.
+// shedLoad keeps part of MaxPending free. At MaxPending new messages are refused whatever their weight, which
+// may exceed that of a pending one; messages for a destination that is down must not crowd out the others.
 func (e *Engine) shedLoad() {
 	limit := e.settings.MaxPending - max(1, e.settings.MaxPending/pendingReserveDivisor)
 	for e.settings.MaxPending > 0 && len(e.pending) > limit {
@@ -81,7 +78,7 @@
 	}
 }
 
-// leastValuable is the message that may be rejected with the least loss; nil where none may.
+// leastValuable returns the message whose rejection loses the least weight; nil if none may be rejected.
 func (e *Engine) leastValuable() *message {
 	var least *message
 	lowest := math.Inf(1)
@@ -90,37 +87,40 @@
 		if !e.rejectable(message) || message.recoveredUntried {
 			continue
 		}
-		delivered := min(e.drainedAt(message.destination), message.deadline)
-		if value := e.valueAt(message, delivered); value < lowest {
+		deliveredAt := min(e.queueEmptyAt(message.destination), message.deadline)
+		if value := e.valueAt(message, deliveredAt); value < lowest {
 			least, lowest = message, value
 		}
 	}
 	return least
 }
 
-// drainedAt is when all that waits for a destination will have gone; it is found once a pass.
-func (e *Engine) drainedAt(destination *destination) Time {
+// queueEmptyAt returns when a destination's queue is expected to be empty. It is computed once per pass.
+func (e *Engine) queueEmptyAt(destination *destination) Time {
 	if destination.shedPass != e.shedPasses {
 		next := e.nextSendTime(destination)
-		if next == math.MaxInt64 { // the end of a call, not the time, lets it go
+		if next == math.MaxInt64 { // the next send depends on the end of a call, not on the time
 			next = e.now
 		}
-		destination.shedPass, destination.drainedAt = e.shedPasses, next+e.drainTime(destination)
+		destination.shedPass, destination.queueEmptyAt = e.shedPasses, next+e.queueDelay(destination)
 	}
-	return destination.drainedAt
+	return destination.queueEmptyAt
 }
 
-// rejectable: only what cannot have run, or may run again, is handed back to its client.
+// rejectable reports whether a client may safely submit a message again: it has not run, or may run twice.
 func (e *Engine) rejectable(message *message) bool {
+	if message.call != nil {
+		return false
+	}
 	class := message.class
-	if message.call != nil || message.firstUncertainAt == 0 || class.Idempotency == Idempotent {
-		return message.call == nil
+	if message.firstUncertainAt == 0 || class.Idempotency == Idempotent {
+		return true
 	}
 	inWindow := e.now-message.firstUncertainAt < class.DedupWindow
 	return class.Idempotency == IdempotentByKey && !class.DedupPerZone && inWindow
 }
 
-// endUndelivered gives the one final answer of a message that was not delivered. Nothing else does.
+// endUndelivered ends a message that was not delivered, with its only answer. No other code does so.
 func (e *Engine) endUndelivered(message *message, reason Reason) {
 	if message.finished {
 		return
@@ -129,7 +129,7 @@
 	if e.rejectable(message) {
 		action.Kind = ActReject
 		if e.settings.SendRetryAfter {
-			wait := max(e.drainTime(message.destination), e.identityRetryAt(message.destination)-e.now)
+			wait := max(e.queueDelay(message.destination), e.identityRetryAt(message.destination)-e.now)
 			action.After = min(wait, e.settings.MaxRetryAfter)
 		}
 	}
@@ -137,7 +137,7 @@
 	e.finishMessage(message)
 }
 
-// reevaluate ends a message that would run out of time before the next look, or that can never be sent again.
+// reevaluate ends a message if its deadline is too near for another check, or if it may never be sent again.
 func (e *Engine) reevaluate(message *message) {
 	inTime := e.now < message.deadline-e.deadlineMargin()
 	if message.finished || inTime && (message.call != nil || !e.attemptsExhausted(message)) {
@@ -153,5 +153,5 @@
 	e.endUndelivered(message, reason)
 }
 
-// deadlineMargin is the time before a deadline in which a message is ended for certain.
+// deadlineMargin is how long before its deadline an undelivered message is ended.
 func (e *Engine) deadlineMargin() Time { return 3 * e.settings.TickInterval }
--- a/policy/aging.go
+++ b/policy/aging.go
@@ -2,61 +2,62 @@
 
 import "slices"
 
-// What a restart, or a long idle time, makes of what was learned: caution where an outage may have ended, the
-// default where a figure is merely old. A Retry-After never gets shorter.
-
 const (
-	unheardRamps   = 4  // unheard for so many ramps: an outage may have ended unseen
-	activationRate = 10 // a second may become active by chance; where more do, so do they at other relays
+	staleSuccessRamps = 4  // ramp durations without a success after which an outage may have ended unnoticed
+	activationRate    = 10 // isolated activations per second; more of them probably occur at other relays too
 )
 
-// RestoreAfterRestart takes over what an earlier process of this relay stored. Its moments lie shift later on
-// this engine's clock. What was spent since is not known: so no budget has grown since then either.
+// RestoreAfterRestart loads what an earlier process of this relay stored; shift converts its times to this
+// engine's clock. No budget is refilled for the time since, as its spending is unknown. Outages that may have
+// ended are treated with caution, outdated figures return to their defaults, and no Retry-After gets shorter.
 func (e *Engine) RestoreAfterRestart(now Time, stored *Snapshot, shift Time) {
 	now = max(now, e.now)
-	old := now-shiftTime(stored.Now, shift) > historyWindow
+	outdated := now-shiftTime(stored.Now, shift) > historyWindow
 	restored := stored.clone()
 	for i := range restored.TenantQuotas {
 		restored.TenantQuotas[i].At = now - shift
 	}
 	for i := range restored.Limiters {
-		ageLimiter(&restored.Limiters[i], now-shift, old)
+		ageLimiter(&restored.Limiters[i], now-shift, outdated)
 	}
 	e.LoadSnapshot(now, restored, shift)
 }
 
-// ageLimiter ages a limiter at a moment of the clock that it was stored with.
-func ageLimiter(limiter *LimiterSnapshot, now Time, old bool) {
-	// Nothing saved up, as when a limiter of a large fleet begins: many relays may start in the same second.
+// ageLimiter adapts a stored limiter to a restart at now, which is a time on the clock of the snapshot.
+func ageLimiter(limiter *LimiterSnapshot, now Time, outdated bool) {
+	// At most one token, as for a new limiter of a large fleet: many relays may start in the same second.
 	limiter.Tokens = TokenBucketSnapshot{now, min(limiter.Tokens.Tokens, 1), true}
 	limiter.RateBound = false
-	shut := limiter.RejectionRun >= unhealthyRejectionRun
-	if old { // counts and rates of another time of day; the history ages by itself
+	rejecting := limiter.RejectionRun >= unhealthyRejectionRun
+	if outdated { // from another traffic situation; the history ages by itself
 		limiter.Window, limiter.RateMultiplier, limiter.RejectionRun = 1, 1, 0
 	}
 	for i := range limiter.Endpoints {
 		endpoint := &limiter.Endpoints[i]
-		if endpoint.Unhealthy && endpoint.RecoveredAt == 0 && shut && !endpoint.LastFailureSilent {
-			// Rejections alone: it answers, and is over its limit or shut. By now it may be neither, so it is
-			// taken to be on its ramp, as after a first answer: it gets the first of it, and is ejected at
-			// the next rejections.
+		ejected := endpoint.Unhealthy && endpoint.RecoveredAt == 0
+		if ejected && rejecting && !endpoint.LastFailureSilent {
+			// Ejected for rejections only: it answered, and was over its limit or closed. That may be over,
+			// so it starts a ramp as after a first success, and is ejected again at the next rejections.
 			endpoint.RecoveredAt = endpoint.LastFailureAt + (now-endpoint.LastFailureAt)/2
 			endpoint.RecoverySentAt = endpoint.RecoveredAt
 			endpoint.FailureScore *= failureScoreDecay
 		}
-		endpoint.RecoveryBudget.At = now // a second start has no second budget
-		if !endpoint.Unhealthy && old {
+		endpoint.RecoveryBudget.At = now // repeated restarts must not refill the budget
+		if !endpoint.Unhealthy && outdated {
 			endpoint.FailureScore = 0
 		}
 	}
 }
 
-// CanPassivate reports whether a destination may be put away: nothing waits or is in flight, no Retry-After
-// is in force, no identity is waited for, and what was counted has aged out. An outage is no obstacle.
+// CanPassivate reports whether a destination may be passivated: it has no message and no call, no Retry-After
+// is in force, no proof of identity is outstanding, and its history is empty. An outage does not prevent it.
 func (e *Engine) CanPassivate(now Time, id int) bool {
 	destination := e.findDestination(id)
-	if destination == nil || len(destination.queue) > 0 || destination.callsInFlight > 0 {
-		return destination == nil
+	if destination == nil {
+		return true
+	}
+	if len(destination.queue) > 0 || destination.callsInFlight > 0 {
+		return false
 	}
 	for _, limiter := range destination.limiters {
 		if limiter.retryAfterUntil > now || limiter.history.active(max(now, e.now)) {
@@ -70,14 +71,14 @@
 	return true
 }
 
-// Passivate forgets a destination, and returns what should be known of it as it comes back with an
-// EvListUpdated: aged by a gap as long as the history, and without limiters where nothing was learned.
+// Passivate removes a destination and returns what was learned of it, for the EvListUpdated that activates it
+// again. The result is aged by the length of the history window, without the limiters that learned nothing.
 func (e *Engine) Passivate(now Time, id int) *Snapshot {
 	e.now = max(now, e.now)
-	kept := &Snapshot{Now: e.now}
+	passivated := &Snapshot{Now: e.now}
 	destination := e.findDestination(id)
 	if destination == nil {
-		return kept
+		return passivated
 	}
 	for _, limiter := range destination.limiters {
 		stored := limiter.snapshot(e.now)
@@ -85,7 +86,7 @@
 		stored.Window, stored.RateMultiplier, stored.RejectionRun = 1, 1, 0
 		stored.FirstRejectionAt, stored.BackoffUntil, stored.RetryAfterUntil = 0, 0, 0
 		if e.settings.ListHasRates {
-			stored.NominalRate = 0 // the list has it
+			stored.NominalRate = 0 // the list will set it
 		}
 		for i := range stored.Endpoints {
 			endpoint := &stored.Endpoints[i]
@@ -95,20 +96,20 @@
 			}
 		}
 		if stored.learned() {
-			kept.Limiters = append(kept.Limiters, stored)
+			passivated.Limiters = append(passivated.Limiters, stored)
 		}
 	}
 	e.dropDestination(destination)
-	return kept
+	return passivated
 }
 
-// activate takes back what Passivate gave of destinations whose endpoints have just joined. What they get in
-// their first moment goes one by one. One of which nobody heard for long may have been down and come back:
-// it is on a ramp from now. The first call there goes at once, unless many are activated together: then as
-// many relays may have one as messages come, and each waits for a random amount of budget.
+// activate loads what Passivate returned for the destinations of endpoints that were just added. Their first
+// calls go one by one. An endpoint without a recent success may have had an outage: it starts a ramp now. Its
+// first call goes at once, unless many destinations are activated together: then as many relays may have a
+// first call as there are messages, and each waits for a random amount of budget.
 func (e *Engine) activate(event *Event) {
 	e.loadLimiters(event.Snapshot, 0)
-	alone := e.activations.take(e.now, 1, activationRate, activationRate)
+	isolated := e.activations.take(e.now, 1, activationRate, activationRate)
 	for i := range event.Updates {
 		endpoint := e.endpoints[event.Updates[i].Endpoint]
 		if endpoint == nil || endpoint.state == Gone {
@@ -117,17 +118,18 @@
 		if limiter := endpoint.limiter; limiter.nominalRate+limiter.reportedRate > 0 {
 			limiter.tokens = tokenBucket{e.now, 1, true}
 		}
-		lastSuccess, ramp := endpoint.lastSuccessAt, e.settings.RampDuration
-		unheard := lastSuccess == 0 || e.now-lastSuccess > unheardRamps*ramp
-		if endpoint.unhealthy || ramp == 0 || !unheard {
+		ramp := e.settings.RampDuration
+		stale := endpoint.lastSuccessAt == 0 || e.now-endpoint.lastSuccessAt > staleSuccessRamps*ramp
+		if endpoint.unhealthy || ramp == 0 || !stale {
 			continue
 		}
 		endpoint.unhealthy, endpoint.lastFailureSilent = true, false
 		endpoint.recoveredAt, endpoint.recoverySentAt = e.now, e.now
 		endpoint.firstFailureAt, endpoint.lastFailureAt = e.now, e.now
 		endpoint.recoveryBudget, endpoint.requiredTokens = tokenBucket{}, 1
-		if _, _, fractional := e.recoveryBudgetRate(endpoint); fractional && !alone {
-			endpoint.recoveryBudget, endpoint.requiredTokens = tokenBucket{e.now, 0, true}, e.rng.ExpFloat64()
+		if _, _, fractional := e.recoveryBudgetRate(endpoint); fractional && !isolated {
+			endpoint.recoveryBudget = tokenBucket{e.now, 0, true}
+			endpoint.requiredTokens = e.rng.ExpFloat64()
 		}
 	}
 }
--- a/policy/destinations.go
+++ b/policy/destinations.go
@@ -2,9 +2,9 @@
 
 import "slices"
 
-// The destinations with their limiters and endpoints: how they come and go, and what is in flight there.
+// Lookup, addition and removal of destinations, limiters and endpoints, and the count of calls in flight.
 
-// findDestination finds a destination; nil where there is none.
+// findDestination returns a destination; nil if it is unknown.
 func (e *Engine) findDestination(id int) *destination {
 	if at, ok := e.searchDestination(id); ok {
 		return e.destinations[at]
@@ -12,7 +12,7 @@
 	return nil
 }
 
-// destinationFor finds a destination, or makes it.
+// destinationFor returns a destination and adds it first if it is unknown.
 func (e *Engine) destinationFor(id int) *destination {
 	at, ok := e.searchDestination(id)
 	if !ok {
@@ -26,7 +26,7 @@
 	return slices.BinarySearchFunc(e.destinations, id, func(d *destination, id int) int { return d.id - id })
 }
 
-// dropDestination forgets a destination for which nothing waits. Its timers find nothing to do.
+// dropDestination removes a destination that has no messages. Its timers still fire, with no effect.
 func (e *Engine) dropDestination(dropped *destination) {
 	for _, limiter := range dropped.limiters {
 		for _, endpoint := range limiter.endpoints {
@@ -39,7 +39,7 @@
 	e.destinations = without(e.destinations, dropped)
 }
 
-// markDirty has a destination looked at in this step.
+// markDirty makes the current step choose the destination's next message anew.
 func (e *Engine) markDirty(destination *destination) {
 	if !destination.dirty {
 		destination.dirty = true
@@ -52,11 +52,13 @@
 	return &limiter{destination: destination, window: 1, rateMultiplier: 1, history: history}
 }
 
-// addEndpoint makes an endpoint of a list entry: in the limiter of its destination, or in one of its own.
+// addEndpoint adds the endpoint of a list entry to the limiter of its destination, or to a limiter of its own if the
+// destination has independent routes.
 func (e *Engine) addEndpoint(update *EndpointUpdate) *endpoint {
 	destination := e.destinationFor(update.Destination)
 	if update.Kind >= 0 && update.Kind < len(e.settings.DestinationKinds) {
-		destination.kind, destination.kindIndex = e.settings.DestinationKinds[update.Kind], update.Kind
+		destination.kind = e.settings.DestinationKinds[update.Kind]
+		destination.kindIndex = update.Kind
 	}
 	destination.kind.BatchSize = max(destination.kind.BatchSize, 1)
 	if len(destination.limiters) == 0 || destination.kind.IndependentRoutes {
@@ -69,7 +71,7 @@
 	return added
 }
 
-// detach takes an endpoint out of its limiter, and the limiter of an independent route out of its destination.
+// detach removes an endpoint from its limiter. The limiter of an independent route is removed with it.
 func (ep *endpoint) detach() {
 	limiter := ep.limiter
 	limiter.endpoints = without(limiter.endpoints, ep)
@@ -78,7 +80,7 @@
 	}
 }
 
-// countCall counts a call in flight of a destination, and the connections that it and the others there need.
+// countCall counts a new call in flight, and raises the endpoint's connections to what its calls need.
 func (e *Engine) countCall(destination *destination, endpoint *endpoint) {
 	e.callsInFlight++
 	destination.callsInFlight++
@@ -88,7 +90,7 @@
 	endpoint.connections = max(endpoint.connections, (endpoint.callsInFlight+streams-1)/streams)
 }
 
-// uncountCall counts the end of a call.
+// uncountCall removes an ended call from the calls in flight.
 func (e *Engine) uncountCall(endpoint *endpoint) {
 	e.callsInFlight--
 	endpoint.callsInFlight--
--- a/policy/dispatch.go
+++ b/policy/dispatch.go
@@ -6,14 +6,11 @@
 	"slices"
 )
 
-// Which message goes next, to which endpoint, and what guards a send.
+const crossZoneFactor = 3.0 // the cost of a call to another zone, relative to one in this relay's zone
 
-const otherZoneFactor = 3.0 // a call to another zone counts as so many times as long
-
-// dispatch sends what loses most by waiting, over the destinations that an event or the time has marked and
-// those that wait for nothing but a slot.
+// dispatch sends the messages that lose most by waiting, of all destinations that are dirty or ready.
 func (e *Engine) dispatch() {
-	if e.callsInFlight < e.settings.MaxConcurrentCalls { // what waited for a slot is chosen anew
+	if e.callsInFlight < e.settings.MaxConcurrentCalls { // a slot is free: reconsider those that wait for one
 		for _, destination := range e.readyDestinations {
 			e.markDirty(destination)
 		}
@@ -32,18 +29,20 @@
 			return cmp.Compare(a.nextPriority, b.nextPriority)
 		})
 		e.startCall(first)
-		if e.chooseNext(first); first.nextMessage == nil {
+		e.chooseNext(first)
+		if first.nextMessage == nil {
 			e.readyDestinations = without(e.readyDestinations, first)
 		}
 	}
-	if e.callsInFlight < e.settings.MaxConcurrentCalls || len(e.pending) <= e.messagesInFlight {
+	saturated := e.callsInFlight >= e.settings.MaxConcurrentCalls && len(e.pending) > e.messagesInFlight
+	if !saturated {
 		e.saturatedSince = 0
 	} else if e.saturatedSince == 0 {
 		e.saturatedSince = e.now
 	}
 }
 
-// chooseEndpoint picks an endpoint: healthy before recovering before ejected, then the soonest answer.
+// chooseEndpoint prefers healthy to recovering to ejected endpoints, then the one expected to answer first.
 func (e *Engine) chooseEndpoint(message *message) *endpoint {
 	var best *endpoint
 	lowest := math.Inf(1)
@@ -63,7 +62,7 @@
 	return best
 }
 
-// sendCost ranks an endpoint for a message; it is a time in µs.
+// sendCost ranks an endpoint for a message; the lowest is best. The unit is µs.
 func (e *Engine) sendCost(message *message, endpoint *endpoint) float64 {
 	latency := endpoint.latency.mean
 	if endpoint.latency.count == 0 {
@@ -74,9 +73,9 @@
 		cost += latency
 	}
 	if endpoint.zone != e.settings.Zone {
-		cost *= otherZoneFactor
+		cost *= crossZoneFactor
 	}
-	if message.lastFailedEndpoint == endpoint { // another may do better, whatever the cause
+	if message.lastFailedEndpoint == endpoint { // whatever went wrong, another endpoint may do better
 		cost += float64(message.class.LatencyObjective)
 	}
 	if endpoint.unhealthy {
@@ -88,34 +87,36 @@
 	return cost
 }
 
-// maySend: every guard on a message and an endpoint together.
+// maySend reports whether a message may be sent to an endpoint now. It applies every guard on the two.
 func (e *Engine) maySend(message *message, endpoint *endpoint) bool {
 	class := message.class
-	if message.finished || message.call != nil || e.attemptsExhausted(message) ||
-		e.now >= message.deadline-2*e.deadlineMargin() || !e.mayCall(endpoint) {
+	waiting := !message.finished && message.call == nil
+	inTime := e.now < message.deadline-2*e.deadlineMargin()
+	if !waiting || !inTime || e.attemptsExhausted(message) || !e.mayCall(endpoint) {
 		return false
 	}
-	queue := e.orderedQueues[message.key]
-	if class.Ordered && message.key != 0 &&
-		(queue == nil || queue.first() != message || message.attempts == 0 && queue.backoffUntil > e.now) {
-		return false
+	if class.Ordered && message.key != 0 {
+		queue := e.orderedQueues[message.key]
+		if queue == nil || queue.first() != message || message.attempts == 0 && queue.backoffUntil > e.now {
+			return false
+		}
 	}
 	retryByKey := message.firstUncertainAt > 0 && class.Idempotency == IdempotentByKey
 	if retryByKey && class.DedupPerZone && endpoint.zone != message.firstUncertainZone {
 		return false
 	}
-	// A non-idempotent message has one attempt that may run: not where calls fail, unless it is late already.
+	// A non-idempotent message has one attempt that may run: it avoids ejected endpoints until it is late.
 	return class.Idempotency != NonIdempotent || !endpoint.ejected() || e.now > message.objectiveAt
 }
 
-// startCall makes one call with the next message of a destination and what may share the call.
+// startCall makes a call with a destination's next message and the other messages that may share it.
 func (e *Engine) startCall(destination *destination) {
 	endpoint := destination.nextEndpoint
 	limiter := endpoint.limiter
 	limiter.tokens.take(e.now, 1, e.rateLimit(limiter), e.bucketDepth(limiter))
 	trial := endpoint.ejected()
 	if trial {
-		limiter.history.request(e.now) // the recovery budget bounds trial calls harder than the formula would
+		limiter.history.request(e.now) // no draw: the recovery budget limits trial calls more strictly
 	} else if e.drawDrop(limiter) {
 		limiter.backoffUntil = max(limiter.backoffUntil, e.now+e.usualLatency(destination))
 		return
@@ -132,7 +133,7 @@
 	if call.openAttempts == 0 {
 		return
 	}
-	limiter.tokens.tokens -= e.nextConnectCost(endpoint) // paid back before the next
+	limiter.tokens.tokens -= e.nextConnectCost(endpoint) // may go below 0: then the next call waits longer
 	e.spendRecoveryBudget(endpoint)
 	if e.settings.Cancellation {
 		e.cancelOverdueCall(call)
@@ -141,7 +142,7 @@
 	e.countCall(destination, endpoint)
 }
 
-// sendMessage is the one place that sends.
+// sendMessage adds a message to a call, if it may be sent. No other code emits ActSend.
 func (e *Engine) sendMessage(message *message, call *call) {
 	if !e.maySend(message, call.endpoint) {
 		return
--- a/policy/endpoints.go
+++ b/policy/endpoints.go
@@ -5,12 +5,10 @@
 	"slices"
 )
 
-// The endpoint list, and the endpoints whose identity is not proved.
-
-// updateEndpoints applies a list update. What drains or is gone gets nothing new from this moment on.
+// updateEndpoints applies a list update. Endpoints that are draining or gone get no new calls from now on.
 func (e *Engine) updateEndpoints(event *Event) {
 	if event.ListUpdate == ListFailed {
-		return // it is polled again
+		return // the current list stays in force until the next poll
 	}
 	listed := map[EndpointID]bool{}
 	for i := range event.Updates {
@@ -21,7 +19,7 @@
 		e.activate(event)
 	}
 	if event.ListUpdate == ListFull || event.ListUpdate == ListCached {
-		for id, endpoint := range e.endpoints { // each goes by itself: the order does not matter
+		for id, endpoint := range e.endpoints { // in any order: the removals are independent
 			if !listed[id] {
 				e.removeEndpoint(endpoint)
 			}
@@ -32,14 +30,14 @@
 func (e *Engine) updateEndpoint(update *EndpointUpdate) {
 	endpoint := e.endpoints[update.Endpoint]
 	moved := endpoint != nil && endpoint.limiter.destination.id != update.Destination
-	if endpoint != nil && (moved || update.State == Gone) { // what waits at the old place may not go there
+	if endpoint != nil && (moved || update.State == Gone) { // its old destination must not use it
 		e.removeEndpoint(endpoint)
 		endpoint = nil
 	}
 	if update.State == Gone {
 		return
 	}
-	if endpoint == nil || endpoint.state == Gone { // the second is kept for its Retry-After
+	if endpoint == nil || endpoint.state == Gone { // one that is gone is only kept for its Retry-After
 		kept := e.endpoints[update.Endpoint]
 		endpoint = e.addEndpoint(update)
 		if kept != nil && endpoint.limiter.destination.kind.IndependentRoutes {
@@ -52,18 +50,18 @@
 		limiter.nominalRate = update.Rate
 	}
 	if !limiter.tokens.used && e.exceedsEvenShare(limiter) {
-		limiter.tokens = tokenBucket{e.now, 1, true} // else a whole fleet that starts sends one burst
+		limiter.tokens = tokenBucket{e.now, 1, true} // full buckets would make a starting fleet send a burst
 	}
 	e.markDirty(limiter.destination)
 }
 
-// removeEndpoint lets go of an endpoint; calls in flight there still count. A route with a Retry-After in
-// force stays known until it is over, so that it binds the route if it comes back.
+// removeEndpoint removes an endpoint; its calls in flight still count. A route with a Retry-After in force is
+// known until that is over, so that the Retry-After still holds if the route returns to the list.
 func (e *Engine) removeEndpoint(removed *endpoint) {
 	removed.state = Gone
 	limiter := removed.limiter
-	bound := limiter.destination.kind.IndependentRoutes && limiter.retryAfterUntil > e.now
-	if known := e.endpoints[removed.id] == removed; known && bound {
+	mustWait := limiter.destination.kind.IndependentRoutes && limiter.retryAfterUntil > e.now
+	if known := e.endpoints[removed.id] == removed; known && mustWait {
 		e.timers.add(limiter.retryAfterUntil, func() {
 			if e.endpoints[removed.id] == removed && removed.state == Gone {
 				e.removeEndpoint(removed)
@@ -75,8 +73,8 @@
 	removed.detach()
 }
 
-// rejectIdentity notes that an endpoint's identity is not proved, or is again. No message is spent on asking:
-// what cannot wait for the next proof is ended now, with the time to come back.
+// rejectIdentity records that an endpoint failed to prove its identity, or has proved it again. Messages that
+// cannot wait for the next proof are rejected now, with a Retry-After: none is sent just to try.
 func (e *Engine) rejectIdentity(event *Event) {
 	endpoint := e.endpoints[event.Endpoint]
 	if endpoint == nil {
@@ -90,14 +88,14 @@
 	}
 }
 
-// rejectIfUnprovable ends a message whose destination cannot prove its identity before the deadline.
+// rejectIfUnprovable rejects a waiting message if no endpoint can prove its identity before the deadline.
 func (e *Engine) rejectIfUnprovable(message *message) {
 	if message.call == nil && e.identityRetryAt(message.destination) >= message.deadline-e.deadlineMargin() {
 		e.endUndelivered(message, IdentityUnproven)
 	}
 }
 
-// identityRetryAt is when some endpoint of a destination may prove its identity; 0 where none has to.
+// identityRetryAt returns when the first endpoint of a destination may prove its identity; 0 for no wait.
 func (e *Engine) identityRetryAt(destination *destination) Time {
 	at := Time(math.MaxInt64)
 	for _, limiter := range destination.limiters {
--- a/policy/engine.go
+++ b/policy/engine.go
@@ -1,15 +1,24 @@
-// Package policy makes every decision of a relay: where a message goes, when it is tried again, and what is
-// rejected. Its interface (settings, events, actions) is api.go.
+// Package policy makes the delivery decisions of a relay: which endpoint a message is sent to, when it is retried,
+// and which messages are rejected. Its interface (settings, events, actions) is in settings.go and api.go.
 //
-// The ordinary path is adaptive throttling for each destination (requests against accepts, a capped
-// probability of a drop) with a window on the calls in flight; what departs from it names its condition at
-// its place.
+// In normal operation each destination has adaptive throttling (a drop probability computed from requests and
+// accepts, with an upper limit) and a window that limits the calls in flight. Code for any other case states the
+// condition under which it applies.
 //
-// The files that choose are listed under policy in deploy/balancer.toml, a file a concern: the endpoint list
-// (endpoints.go), admission and load shedding (admission.go), retries and timeouts (retry.go), the choice of
-// message and endpoint (dispatch.go, ordering.go), outcomes (outcome.go), connections (connection.go),
-// ejection and recovery (recovery.go), rates (ratelimit.go), and the ageing of what was learned (aging.go).
-// The other files hold state and data structures, and choose nothing.
+// The files that make decisions are listed under policy in deploy/balancer.toml, one for each concern:
+//
+//   - endpoints.go: updates of the endpoint list, and endpoints that have not proved their identity
+//   - admission.go: admission of messages, load shedding, and the end of messages that cannot be delivered
+//   - retry.go: limits on the attempts of a message, and when an attempt is given up
+//   - dispatch.go: the choice of the next message and its endpoint, and the guards on each send
+//   - ordering.go: the order of waiting messages by the weight that they lose, and the time of the next call
+//   - outcome.go: the effect of an attempt's outcome on its message, its call, its endpoint and its limiter
+//   - connection.go: the cost of connections, endpoints that run out of them, and how long idle ones are kept
+//   - recovery.go: ejection of unhealthy endpoints, and the ramp and budget of their recovery
+//   - ratelimit.go: adaptive throttling, the window of calls in flight, and the rate of each limiter
+//   - aging.go: what remains of learned state after a restart or a long idle time
+//
+// The other files hold state and data structures and make no decisions.
 package policy
 
 import (
@@ -21,13 +30,13 @@
 
 const (
 	second       = Time(1e6)
-	randomStream = 0x9e3779b97f4a7c15 // second half of the seed of every engine
+	randomStream = 0x9e3779b97f4a7c15 // second word of the PCG seed, the same for every engine
 )
 
-// seconds is a span of time as a number of seconds.
+// seconds converts a duration to seconds.
 func seconds(span Time) float64 { return float64(span) / float64(second) }
 
-// New makes an engine from its settings; the seed feeds all its draws.
+// New returns an engine with the given settings. All its random numbers derive from the seed.
 func New(settings Settings, seed uint64) (*Engine, error) {
 	if err := settings.Validate(); err != nil {
 		return nil, err
@@ -47,10 +56,11 @@
 	}, nil
 }
 
-// Step takes the events that have happened by now and appends what to do about them to actions. The same seed
-// and the same steps give the same actions.
+// Step handles the events that have happened up to now and appends the resulting actions to actions. It is
+// deterministic: the same seed and the same steps give the same actions.
 func (e *Engine) Step(now Time, events []Event, actions []Action) []Action {
-	e.now, e.actions = max(now, e.now), actions
+	e.now = max(now, e.now)
+	e.actions = actions
 	e.pollList()
 	for i := range events {
 		e.handle(&events[i])
@@ -59,7 +69,8 @@
 	e.shedLoad()
 	e.dispatch()
 	e.scheduleTimer()
-	actions, e.actions = e.actions, nil
+	actions = e.actions
+	e.actions = nil
 	return actions
 }
 
@@ -79,11 +90,12 @@
 		if message := e.messages[event.Message]; message != nil {
 			e.finishMessage(message)
 		}
-	case EvTimer, EvHealthChecked: // the time alone is news, and no health check is asked for
+	case EvTimer, EvHealthChecked:
+		// A timer only advances the clock, and the engine requests no health checks.
 	}
 }
 
-// pollList asks for the endpoint list in good time where changes are not pushed.
+// pollList requests the endpoint list well before it counts as outdated, if updates are not pushed.
 func (e *Engine) pollList() {
 	if e.settings.PollList && (e.polledAt == 0 || e.now-e.polledAt >= e.settings.PollInterval/2) {
 		e.polledAt = e.now
@@ -91,13 +103,14 @@
 	}
 }
 
-// scheduleTimer asks for one timer at the next moment at which something may change by itself.
+// scheduleTimer requests one timer, for the next time at which something may change without an event.
 func (e *Engine) scheduleTimer() {
 	next := e.timers.nextTime()
 	if e.settings.PollList {
 		next = min(next, e.polledAt+max(e.settings.PollInterval/2, second))
 	}
-	if next == math.MaxInt64 || e.timerAt > e.now && e.timerAt <= next {
+	pendingTimerSuffices := e.timerAt > e.now && e.timerAt <= next
+	if next == math.MaxInt64 || pendingTimerSuffices {
 		return
 	}
 	e.timerAt = max(next, e.now+e.settings.TickInterval)
--- a/policy/guards_test.go
+++ b/policy/guards_test.go
@@ -113,7 +113,7 @@
 		"TestUnsentAttemptsNotCounted",
 	},
 	{
-		"untried first", "if message.recoveredUntried && message.deadline > soon {", "if false {",
+		"untried first", "if message.recoveredUntried && message.deadline > soonest {", "if false {",
 		"TestRecoveredUntriedGoFirst",
 	},
 	{
--- a/policy/history.go
+++ b/policy/history.go
@@ -1,16 +1,16 @@
 package policy
 
-// slidingCounter counts requests and accepts over a rolling window, in bins of equal width.
+// slidingCounter counts requests and accepts over a sliding window, which is divided into bins of equal width.
 type slidingCounter struct {
 	width    Time
 	bins     [][2]float64
-	at       Time // number of the newest bin
+	at       Time // number of the newest bin: its start time divided by width
 	sum      [2]float64
 	started  Time
 	hasStart bool
 }
 
-// Places of the counts in a bin.
+// Indexes of the counts in a bin.
 const (
 	requestCount = iota
 	acceptCount
@@ -20,11 +20,13 @@
 	return slidingCounter{width: window / Time(bins), bins: make([][2]float64, bins)}
 }
 
-// roll drops what has left the window, and gives the newest bin.
+// roll clears the bins that have left the window and returns the newest bin.
 func (c *slidingCounter) roll(now Time) *[2]float64 {
 	newest := now / c.width
 	if !c.hasStart {
-		c.hasStart, c.started, c.at = true, now, newest
+		c.hasStart = true
+		c.started = now
+		c.at = newest
 	}
 	size := Time(len(c.bins))
 	for ; c.at < newest; c.at++ {
@@ -52,7 +54,7 @@
 	return c.sum[requestCount], c.sum[acceptCount]
 }
 
-// active reports whether anything is counted in the window.
+// active reports whether the window contains any count.
 func (c *slidingCounter) active(now Time) bool {
 	if !c.hasStart {
 		return false
@@ -61,14 +63,14 @@
 	return requests > 0 || accepts > 0
 }
 
-// acceptRate is accepts a second over the window, or since the start while that is shorter.
+// acceptRate returns the accepts per second over the window, or since the first count if that is more recent.
 func (c *slidingCounter) acceptRate(now Time) float64 {
 	c.roll(now)
 	span := min(now-c.started, c.width*Time(len(c.bins)))
 	return c.sum[acceptCount] * 1e6 / float64(max(span, c.width*2))
 }
 
-// snapshot gives the bins, the oldest first.
+// snapshot returns the bins, the oldest first.
 func (c *slidingCounter) snapshot(now Time) [][2]float64 {
 	c.roll(now)
 	size := Time(len(c.bins))
@@ -79,7 +81,7 @@
 	return bins
 }
 
-// restore takes bins that were counted up to now, the oldest first.
+// restore replaces the counts by bins that end at now, the oldest first.
 func (c *slidingCounter) restore(now Time, bins [][2]float64, started Time) {
 	*c = newSlidingCounter(c.width*Time(len(c.bins)), len(c.bins))
 	c.roll(now)
--- a/policy/message.go
+++ b/policy/message.go
@@ -2,14 +2,14 @@
 
 import "slices"
 
-// The messages: those pending, those of one key, and what is known of their attempts.
+// The pending messages, the queues of ordered keys, and the attempts of each message.
 
-// without removes the only occurrence of an item from a list.
+// without removes an item from a list that contains it once, and returns the shortened list.
 func without[T comparable](list []T, item T) []T {
 	return slices.DeleteFunc(list, func(other T) bool { return other == item })
 }
 
-// pendingMessages are the messages that are not yet ended, in no order that means anything.
+// pendingMessages are the messages that have not ended yet, in arbitrary order.
 type pendingMessages []*message
 
 func (p *pendingMessages) add(added *message) {
@@ -20,19 +20,20 @@
 func (p *pendingMessages) remove(removed *message) {
 	list := *p
 	last := list[len(list)-1]
-	list[removed.pendingIndex], last.pendingIndex = last, removed.pendingIndex
+	list[removed.pendingIndex] = last
+	last.pendingIndex = removed.pendingIndex
 	*p = list[:len(list)-1]
 }
 
-// orderedQueue holds the messages of one key, in classes that keep order, in the order of their arrival.
+// orderedQueue holds the messages of ordered classes that share one key, in order of arrival.
 type orderedQueue struct {
 	messages     []*message
-	backoffUntil Time // the key rests after an attempt that may run still
+	backoffUntil Time // no message is sent before: an earlier attempt may still be running
 }
 
 func (q *orderedQueue) first() *message { return q.messages[0] }
 
-// joinOrderedQueue puts a message behind the others of its key, where its class keeps order.
+// joinOrderedQueue appends a message to the queue of its key, if its class is ordered.
 func (e *Engine) joinOrderedQueue(joined *message) {
 	if !joined.class.Ordered || joined.key == 0 {
 		return
@@ -45,8 +46,8 @@
 	queue.messages = append(queue.messages, joined)
 }
 
-// leaveOrderedQueue lets the next message of the key go; a queue that is empty is kept until its backoff is
-// over.
+// leaveOrderedQueue removes a message from the queue of its key, so that the next one may be sent. An empty queue
+// is kept until its backoff is over.
 func (e *Engine) leaveOrderedQueue(left *message) {
 	queue := e.orderedQueues[left.key]
 	if queue == nil || !left.class.Ordered {
@@ -64,7 +65,7 @@
 	})
 }
 
-// finishMessage drops a message that is owed nothing more; an attempt in flight still counts.
+// finishMessage ends a pending message, which has been answered. It stays known while its attempt is in flight.
 func (e *Engine) finishMessage(message *message) {
 	if message.finished {
 		return
@@ -80,13 +81,14 @@
 	}
 }
 
-// forgetMessage drops the last trace of a finished message.
+// forgetMessage removes a finished message that has no attempt in flight.
 func (e *Engine) forgetMessage(message *message) {
 	delete(e.messages, message.id)
 	e.leaveOrderedQueue(message)
 }
 
-// currentAttempt is the message whose attempt in flight an event is about; nil where there is none.
+// currentAttempt returns the message whose attempt in flight the event refers to; nil if there is none, because the
+// event is a repeated one or refers to an earlier attempt.
 func (e *Engine) currentAttempt(event *Event) *message {
 	message := e.messages[event.Message]
 	if message == nil || message.call == nil || event.Attempt != message.attempts-1 {
@@ -95,9 +97,9 @@
 	return message
 }
 
-// restoreAttempts gives a message back its past under an earlier process. It may have nothing left but its
-// end.
-func (e *Engine) restoreAttempts(message *message, event *Event) {
+// restoreAttemptHistory restores what an earlier process recorded of a message's attempts. It schedules a check of
+// the message, which may have no attempt left.
+func (e *Engine) restoreAttemptHistory(message *message, event *Event) {
 	message.attempts = event.Attempts
 	if message.attempts > 0 {
 		e.timers.add(e.now, func() { e.reevaluate(message) })
@@ -107,9 +109,9 @@
 	}
 }
 
-// restoreAttempt notes that an attempt of a message, made by the engine from which this one took over, is
-// still in flight: it holds its slot, and its outcome comes as if it had been sent here.
-func (e *Engine) restoreAttempt(restored *message, endpoint *endpoint, sentAt Time) {
+// restoreAttemptInFlight records that an attempt sent by the engine's predecessor is still in flight. It occupies a slot,
+// and its outcome is reported to this engine as if this engine had sent it.
+func (e *Engine) restoreAttemptInFlight(restored *message, endpoint *endpoint, sentAt Time) {
 	restored.destination.queue = without(restored.destination.queue, restored)
 	call := &call{endpoint: endpoint, sentAt: sentAt, openAttempts: 1, messages: []*message{restored}}
 	restored.call = call
@@ -120,7 +122,7 @@
 	}
 }
 
-// Weight is the weight that a pending message has in time; 0 for one that is not pending.
+// Weight returns the weight of a message delivered within its latency objective; 0 if the message is unknown.
 func (e *Engine) Weight(id uint32) float64 {
 	if message := e.messages[id]; message != nil {
 		return message.weight
--- a/policy/ordering.go
+++ b/policy/ordering.go
@@ -6,42 +6,40 @@
 	"slices"
 )
 
-// The order of what waits: what a message is worth by when, and when a destination can be sent to.
-
 const (
-	minDrainRate    = 0.1 // calls a second that a destination is taken to accept at least
-	maxDrainSeconds = 60
-	weightTieBreak  = 1000 // among those that lose nothing by waiting, a part of the weight decides
+	minQueueRate         = 0.1 // calls per second that a destination is assumed to accept at least
+	maxQueueDelaySeconds = 60
+	weightTieBreak       = 1000 // weight/weightTieBreak decides among messages that lose nothing by waiting
 )
 
-// valueAt is the weight that a message has if it is delivered then.
-func (e *Engine) valueAt(message *message, then Time) float64 {
+// valueAt returns the weight that a message has if it is delivered at a given time.
+func (e *Engine) valueAt(message *message, deliveredAt Time) float64 {
 	class := message.class
-	late := float64(then - message.objectiveAt)
+	late := float64(deliveredAt - message.objectiveAt)
 	switch {
-	case then <= message.objectiveAt:
+	case deliveredAt <= message.objectiveAt:
 		return message.weight
-	case then > message.deadline:
+	case deliveredAt > message.deadline:
 		return 0
 	case e.settings.ExponentialDecay:
-		half := math.Exp2(-late / float64(max(class.LatencyObjective, 1)))
-		return message.weight * max(class.LateWeight, half)
+		decay := math.Exp2(-late / float64(max(class.LatencyObjective, 1)))
+		return message.weight * max(class.LateWeight, decay)
 	}
-	gone := late / float64(max(message.deadline-message.objectiveAt, 1))
-	return message.weight * (1 - (1-class.LateWeight)*gone)
+	lateShare := late / float64(max(message.deadline-message.objectiveAt, 1))
+	return message.weight * (1 - (1-class.LateWeight)*lateShare)
 }
 
-// drainTime is how long the destination takes for what waits there, as far as this relay can tell.
-func (e *Engine) drainTime(destination *destination) Time {
+// queueDelay estimates how long it takes to send a destination's whole queue, by this relay's own rate.
+func (e *Engine) queueDelay(destination *destination) Time {
 	rate := 0.0
 	for _, limiter := range destination.limiters {
 		rate += e.rateLimit(limiter)
 	}
-	wait := float64(len(destination.queue)) / max(rate*float64(destination.kind.BatchSize), minDrainRate)
-	return Time(min(wait, maxDrainSeconds)*1e6) + e.usualLatency(destination)
+	wait := float64(len(destination.queue)) / max(rate*float64(destination.kind.BatchSize), minQueueRate)
+	return Time(min(wait, maxQueueDelaySeconds)*1e6) + e.usualLatency(destination)
 }
 
-// usualLatency is the mean of a destination's answers, else of all, else a part of an objective.
+// usualLatency is the mean latency of a destination, else of all, else a quarter of a latency objective.
 func (e *Engine) usualLatency(destination *destination) Time {
 	if limiters := destination.limiters; len(limiters) > 0 && limiters[0].latency.count > 0 {
 		return Time(limiters[0].latency.mean)
@@ -52,13 +50,13 @@
 	return e.settings.Classes[0].LatencyObjective / 4
 }
 
-// orderQueue puts first what loses most if it waits as long as the queue takes.
+// orderQueue sorts a queue by the weight that each message loses if it is sent last instead of now.
 func (e *Engine) orderQueue(destination *destination) {
-	soon := e.now + e.usualLatency(destination)
-	then := soon + e.drainTime(destination)
+	soonest := e.now + e.usualLatency(destination)
+	latest := soonest + e.queueDelay(destination)
 	for _, message := range destination.queue {
-		message.waitingLoss = e.valueAt(message, soon) - e.valueAt(message, then)
-		if message.recoveredUntried && message.deadline > soon { // above all others
+		message.waitingLoss = e.valueAt(message, soonest) - e.valueAt(message, latest)
+		if message.recoveredUntried && message.deadline > soonest { // before all others
 			message.waitingLoss += recoveredUntriedLoss / float64(message.deadline-e.now)
 		}
 	}
@@ -67,10 +65,10 @@
 	})
 }
 
-// acceptsCall: some limiter of a destination lets a call go, whatever its endpoints say.
+// acceptsCall reports whether some limiter of a destination allows a call, whatever its endpoints' state.
 func (e *Engine) acceptsCall(destination *destination) bool {
 	accepts := false
-	for _, limiter := range destination.limiters { // each notes if its rate makes something wait
+	for _, limiter := range destination.limiters { // no early exit: hasToken must see each limiter
 		if e.hasConcurrency(limiter) && e.hasToken(limiter) {
 			accepts = true
 		}
@@ -78,8 +76,8 @@
 	return accepts
 }
 
-// chooseNext finds the message of a destination that loses most if it waits as long as the queue takes, and
-// its endpoint. Where none may go, it looks again as soon as time allows one.
+// chooseNext chooses the first message of a destination's sorted queue that may be sent, and its endpoint. If
+// none may be sent, a timer marks the destination dirty when that may have changed.
 func (e *Engine) chooseNext(destination *destination) {
 	destination.nextMessage = nil
 	if len(destination.queue) == 0 {
@@ -103,15 +101,15 @@
 	}
 }
 
-// nextSendTime is the next moment at which time alone may let something go to a destination.
+// nextSendTime returns the next time at which a call to a destination may become possible without an event.
 func (e *Engine) nextSendTime(destination *destination) Time {
 	e.nextSendTimeCalls++
 	next := Time(math.MaxInt64)
 	for _, limiter := range destination.limiters {
-		token := limiter.tokens.when(e.now, 1, e.rateLimit(limiter), e.bucketDepth(limiter))
-		limited := max(limiter.backoffUntil, limiter.retryAfterUntil, token)
+		tokenAt := limiter.tokens.when(e.now, 1, e.rateLimit(limiter), e.bucketDepth(limiter))
+		limitedUntil := max(limiter.backoffUntil, limiter.retryAfterUntil, tokenAt)
 		for _, endpoint := range limiter.endpoints {
-			at := max(limited, endpoint.backoffUntil, endpoint.identityRejectedUntil)
+			at := max(limitedUntil, endpoint.backoffUntil, endpoint.identityRejectedUntil)
 			if endpoint.unhealthy {
 				budget := e.nextCallBudget(endpoint)
 				at = max(at, endpoint.recoveryBudget.when(e.now, budget.cost, budget.rate, budget.depth))
--- a/policy/outcome.go
+++ b/policy/outcome.go
@@ -1,22 +1,19 @@
 package policy
 
-// What the end of an attempt tells, of its message, its call, its endpoint and its limiter.
-
 const (
-	multiplierDecrease    = 0.75 // of the rate, after a rejection
-	multiplierIncrease    = 1.08 // of the rate, after a success of a call that the rate had kept waiting
+	multiplierDecrease    = 0.75 // factor of the rate multiplier after a rejection
+	multiplierIncrease    = 1.08 // the same after a success, if the rate had held a call back
 	minRateMultiplier     = 0.5
-	unhealthyRejectionRun = 2 // rejections in a row, half an overload duration apart: it is shut, not busy
+	unhealthyRejectionRun = 2 // rejections in a row, half an overload duration apart: closed, not just busy
 )
 
-// startReply: an answer has begun to flow, so no attempt follows.
+// startReply ends a message whose reply has begun to arrive, since it needs no further attempt.
 func (e *Engine) startReply(event *Event) {
 	if message := e.currentAttempt(event); message != nil {
 		e.finishMessage(message)
 	}
 }
 
-// endAttempt records the end of an attempt.
 func (e *Engine) endAttempt(event *Event) {
 	message := e.currentAttempt(event)
 	if message == nil || event.Outcome >= outcomeCount {
@@ -29,14 +26,15 @@
 	}
 	if call.openAttempts--; call.openAttempts == 0 {
 		e.uncountCall(call.endpoint)
-		e.callEnded(call.endpoint)
+		e.restartIdleTime(call.endpoint)
 	}
 	e.markDirty(call.endpoint.limiter.destination)
 	if !call.observed { // the messages of a call share one outcome, which counts once
 		call.observed = true
 		e.observeCall(call, event)
 	}
-	if event.RetryAfter > 0 && (event.Outcome == Rejected || event.Outcome == Failed) { // spoilt later, maybe
+	answered := event.Outcome == Rejected || event.Outcome == Failed // Failed: its body may be unreadable
+	if event.RetryAfter > 0 && answered {
 		e.applyRetryAfter(call.endpoint, event.RetryAfter)
 	}
 	e.recordAttempt(message, call, event)
@@ -51,34 +49,33 @@
 	}
 }
 
-// applyRetryAfter closes what an endpoint's limit binds until the wait is over.
+// applyRetryAfter stops all calls under the endpoint's limiter until the wait is over.
 func (e *Engine) applyRetryAfter(answered *endpoint, wait Time) {
 	limiter := answered.limiter
 	known := e.endpoints[answered.id]
 	if known != nil && known.limiter.destination == limiter.destination {
-		limiter = known.limiter // it may have left and come back since
+		limiter = known.limiter // a new one, if the endpoint has left the list and returned
 	}
 	limiter.retryAfterUntil = max(limiter.retryAfterUntil, e.now+wait)
-	for _, endpoint := range limiter.endpoints { // what is saved up while it is closed would go at once
+	for _, endpoint := range limiter.endpoints { // tokens saved up during the wait would go in one burst
 		endpoint.recoveryBudget.tokens, endpoint.recoveryBudget.at = 0, limiter.retryAfterUntil
 	}
-	if known == nil { // it has left, and may come back before the wait is over
+	if known == nil { // it has left the list, and may return before the wait is over
 		e.endpoints[answered.id] = answered
 		e.removeEndpoint(answered)
 	}
 }
 
-// recordAttempt notes for a message what its attempt may have done.
 func (e *Engine) recordAttempt(message *message, call *call, event *Event) {
 	outcome := event.Outcome
-	mayRunStill := outcome == TimedOut || outcome == ConnectionReset || outcome == Cancelled
-	if queue := e.orderedQueues[message.key]; queue != nil && message.class.Ordered && mayRunStill {
+	mayStillRun := outcome == TimedOut || outcome == ConnectionReset || outcome == Cancelled
+	if queue := e.orderedQueues[message.key]; queue != nil && message.class.Ordered && mayStillRun {
 		queue.backoffUntil = max(queue.backoffUntil, e.now+e.settings.OrderedKeyBackoff)
 	}
 	if !outcome.NeverRan() && outcome != Delivered && message.firstUncertainAt == 0 {
 		e.recordUncertainAttempt(message, call.sentAt, call.endpoint.zone)
 	}
-	if event.NotCounted && message.uncountedAttempts < e.settings.MaxAttempts { // bounded: the cause may last
+	if event.NotCounted && message.uncountedAttempts < e.settings.MaxAttempts { // the cause may persist
 		message.uncountedAttempts++
 	} else {
 		message.lastFailedEndpoint = call.endpoint
@@ -86,7 +83,6 @@
 	message.recoveredUntried = message.recoveredUntried && event.NotCounted
 }
 
-// observeCall learns from how a call went.
 func (e *Engine) observeCall(call *call, event *Event) {
 	endpoint, limiter := call.endpoint, call.endpoint.limiter
 	if event.Load.Limit > 0 {
@@ -99,7 +95,7 @@
 		e.observeSuccess(call, event)
 	case Rejected:
 		e.observeRejection(call, event)
-	case Cancelled: // it tells something only where nothing sent since has come back
+	case Cancelled: // a failure only if the endpoint has had no success since the call was sent
 		if endpoint.lastSuccessAt <= call.sentAt {
 			e.recordFailure(endpoint, call.sentAt, true)
 		}
@@ -110,7 +106,7 @@
 		endpoint.connections = endpoint.callsInFlight
 		e.recordFailure(endpoint, call.sentAt, true)
 	case NotSent:
-		if event.RetryAfter > 0 { // no connection could be opened by then, for reasons of this relay
+		if event.RetryAfter > 0 { // this relay cannot open a connection before then
 			limiter.backoffUntil = max(limiter.backoffUntil, e.now+event.RetryAfter)
 		}
 	case Failed, ConnectionReset:
@@ -126,7 +122,7 @@
 	limiter.latency.add(float64(event.Latency))
 	endpoint.latency.add(float64(event.Latency))
 	e.latency.add(float64(event.Latency))
-	if limiter.rateBound && event.ConnectionsOpened == 0 { // one that was waited for says nothing of the rate
+	if limiter.rateBound && event.ConnectionsOpened == 0 { // a wait to connect says nothing of the rate
 		limiter.rateMultiplier = min(limiter.rateMultiplier*multiplierIncrease, float64(e.settings.Relays))
 	}
 	e.recordSuccess(endpoint, call.sentAt)
@@ -146,17 +142,18 @@
 	budgetRate, _, _ := e.recoveryBudgetRate(endpoint)
 	runLength := e.now - limiter.firstRejectionAt
 	objective := call.messages[0].class.LatencyObjective
-	turn := min(float64(e.settings.Relays)/e.capacity(limiter), seconds(objective))
-	gap := max(turn, 1/e.bucketDepth(limiter), min(1/budgetRate, e.backoffGrowth(limiter)*seconds(runLength)))
-	limiter.backoffUntil = e.now + Time(float64(second)*gap*(0.5+e.rng.Float64()))
-	if event.RetryAfter > 0 { // relays that got the same wait would come together: each adds a jitter
-		jitter := Time(turn * float64(second) * e.rng.Float64())
+	interval := min(float64(e.settings.Relays)/e.capacity(limiter), seconds(objective)) // at an even share
+	runBackoff := min(1/budgetRate, e.backoffGrowth(limiter)*seconds(runLength))
+	backoff := max(interval, 1/e.bucketDepth(limiter), runBackoff)
+	limiter.backoffUntil = e.now + Time(float64(second)*backoff*(0.5+e.rng.Float64()))
+	if event.RetryAfter > 0 { // with jitter, so that relays with the same Retry-After do not return together
+		jitter := Time(interval * float64(second) * e.rng.Float64())
 		limiter.backoffUntil = max(limiter.backoffUntil, e.now+event.RetryAfter+jitter)
 	}
 	overload := e.settings.OverloadDuration
 	longRun := limiter.rejectionRun >= unhealthyRejectionRun && runLength >= overload/2
 	if event.RetryAfter >= overload || longRun {
-		endpoint.failureScore = 1 // shut, however seldom it was called
+		endpoint.failureScore = 1 // unhealthy at once, however few calls it has had
 		e.recordFailure(endpoint, call.sentAt, false)
 	}
 }
--- a/policy/passivate_test.go
+++ b/policy/passivate_test.go
@@ -154,7 +154,7 @@
 // has not; with nothing saved up in any case.
 func TestActivate(t *testing.T) {
 	settings := singleClassSettings()
-	long := unheardRamps*settings.RampDuration + second
+	long := staleSuccessRamps*settings.RampDuration + second
 	for name, c := range map[string]struct {
 		answered, passivated Time // the last answer before it was passivated, and for how long it was
 		recovering           bool
--- a/policy/ratelimit.go
+++ b/policy/ratelimit.go
@@ -6,39 +6,37 @@
 	"slices"
 )
 
-// Adaptive throttling, the window of calls in flight, and the rate of a limiter.
-
 const (
-	historyWindow       = 10 * second // requests and accepts are counted over this
-	historyBins         = 20
-	acceptFactor        = 2.0 // K of the formula
-	acceptPrior         = 2.0 // accepts that a destination has to its credit: a few calls tell nothing
-	maxDropProbability  = 0.9 // some attempts always pass
-	maxSlotShare        = 0.75
-	maxSlotShareFailing = 0.5  // the same while the destination fails
-	rateReduction       = 0.5  // rate after a rejection, to what this relay has sent there of late
-	minReducedShare     = 0.5  // and at least this part of an even share of the limit
-	reducedRateRecovery = 0.1  // even shares that come back each second
-	shareExponent       = 0.75 // a share is the rate over relays to this power: small streams need room
-	unlimitedCallsASlot = 2    // calls a second for each slot where nothing is known of a limit
+	historyWindow         = 10 * second // requests and accepts are counted over this window
+	historyBins           = 20
+	acceptFactor          = 2.0  // K in the drop probability
+	acceptPrior           = 2.0  // accepts that are added to those counted: a few calls prove nothing
+	maxDropProbability    = 0.9  // some attempts always pass
+	maxSlotShare          = 0.75 // share of the slots that one destination may use
+	maxSlotShareFailing   = 0.5  // the same while one of its endpoints is failing
+	rateReduction         = 0.5  // rate after a rejection, relative to what this relay recently sent
+	minReducedShare       = 0.5  // least rate after a rejection, relative to an even share of the limit
+	reducedRateRecovery   = 0.1  // even shares that are restored each second
+	shareExponent         = 0.75 // a relay's rate is limit/relays^shareExponent: bursts need room
+	unlimitedCallsPerSlot = 2    // calls per second for each slot if no limit is known
 )
 
-// capacity is the calls a second that a limiter takes from all relays, by report, list or observation.
+// capacity returns the calls per second that a limiter accepts from all relays: reported, listed or observed.
 func (e *Engine) capacity(limiter *limiter) float64 {
 	observed := max(limiter.history.acceptRate(e.now)*float64(e.settings.Relays), 1)
 	return cmp.Or(limiter.reportedRate, limiter.nominalRate, observed)
 }
 
-// backoffGrowth is a backoff to the length of a run of failures: less where few relays send there much each.
+// backoffGrowth is the ratio of a backoff to its run of failures: less if few relays make many calls each.
 func (e *Engine) backoffGrowth(limiter *limiter) float64 {
-	trials := sharersPerMessage * e.capacity(limiter) * float64(e.settings.OverloadDuration) / float64(second)
+	trials := trialsPerMessage * e.capacity(limiter) * float64(e.settings.OverloadDuration) / float64(second)
 	return maxBackoffGrowth * min(1, float64(e.settings.Relays)/max(trials, 1))
 }
 
-// rateLimit is the calls a second that this relay sends there at most.
+// rateLimit returns the calls per second that this relay may make under a limiter.
 func (e *Engine) rateLimit(limiter *limiter) float64 {
 	if limiter.reportedRate == 0 && limiter.nominalRate == 0 {
-		return float64(e.settings.MaxConcurrentCalls) * unlimitedCallsASlot
+		return float64(e.settings.MaxConcurrentCalls) * unlimitedCallsPerSlot
 	}
 	capacity := e.capacity(limiter)
 	limit := e.usualRate(capacity) * limiter.rateMultiplier
@@ -49,21 +47,21 @@
 	return limit
 }
 
-// usualRate is a relay's part of a destination's rate while nothing is rejected there.
+// usualRate returns this relay's rate at a given capacity while nothing is rejected.
 func (e *Engine) usualRate(capacity float64) float64 {
 	return max(capacity/e.shareDivisor, math.Sqrt(capacity)/2)
 }
 
-// exceedsEvenShare: even at its least the multiplier leaves the rate above an even share; else it is enough.
+// exceedsEvenShare reports whether the rate is above an even share even with the least rate multiplier.
 func (e *Engine) exceedsEvenShare(limiter *limiter) bool {
 	capacity := e.capacity(limiter)
 	known := limiter.reportedRate+limiter.nominalRate > 0
 	return known && minRateMultiplier*e.usualRate(capacity) > capacity/float64(e.settings.Relays)
 }
 
-// reduceRate holds a limiter's rate to less than what this relay itself has sent there of late. The rate of a
-// small stream is set by chance and lies far above its share: with many relays the limit is passed by all of
-// them together long before any of them comes near it, and only what they send in truth can be made less.
+// reduceRate limits the rate to less than this relay has recently sent, if the rate multiplier is not enough.
+// The rate of a small stream allows for bursts and lies far above an even share: many relays together exceed
+// the limit long before any of them reaches its own rate, so only what each actually sends can be reduced.
 func (e *Engine) reduceRate(limiter *limiter) {
 	if !e.exceedsEvenShare(limiter) {
 		return
@@ -76,8 +74,8 @@
 	limiter.reducedAt = e.now
 }
 
-// bucketDepth is how many calls a limiter may save up: as many as chance alone moves a second of what all
-// relays send there together. Once it has rejected some, what waits goes one by one.
+// bucketDepth returns how many calls a limiter may save up: the standard deviation of the number of calls
+// that all relays together make in a second. After a rejection, waiting messages are sent one by one.
 func (e *Engine) bucketDepth(limiter *limiter) float64 {
 	if limiter.reducedAt > 0 {
 		return 1
@@ -85,21 +83,22 @@
 	return max(1, math.Sqrt(e.capacity(limiter)))
 }
 
-// drawDrop draws by the formula. A drop counts and spends a token; the message is pending for a later draw.
+// drawDrop draws whether to drop a call. A drop counts as a request and uses a token; the message stays.
 func (e *Engine) drawDrop(limiter *limiter) bool {
 	requests, accepts := limiter.history.totals(e.now)
 	limiter.history.request(e.now)
-	// Calls in flight speak neither for nor against: counted at once they would drop the next arrivals of a
-	// destination that has been quiet for longer than the history.
-	return e.rng.Float64() < dropProbability(max(0, requests-float64(limiter.callsInFlight)), accepts)
+	// Calls in flight have no result yet. Counted as requests, they would make the next messages of a
+	// destination that was idle for longer than the history window likely to be dropped.
+	answered := max(0, requests-float64(limiter.callsInFlight))
+	return e.rng.Float64() < dropProbability(answered, accepts)
 }
 
-// dropProbability is the formula, with the cap that always lets some attempts pass.
+// dropProbability is the formula of adaptive throttling, with an upper limit.
 func dropProbability(requests, accepts float64) float64 {
 	return min(max(0, (requests-acceptFactor*(accepts+acceptPrior))/(requests+1)), maxDropProbability)
 }
 
-// hasConcurrency: the window and the destination's part of the slots let one more call go.
+// hasConcurrency reports whether the window and the destination's share of the slots allow another call.
 func (e *Engine) hasConcurrency(limiter *limiter) bool {
 	share := maxSlotShare
 	if slices.ContainsFunc(limiter.endpoints, (*endpoint).failing) {
@@ -111,7 +110,7 @@
 
 func (ep *endpoint) failing() bool { return ep.unhealthy || ep.failureScore >= 1-failureScoreDecay }
 
-// hasToken: the limiter has a token, and no rejection or drop holds it back.
+// hasToken reports whether a call has a token and no backoff, and records whether the rate is the obstacle.
 func (e *Engine) hasToken(limiter *limiter) bool {
 	if limiter.backoffUntil > e.now {
 		return false
--- a/policy/retry.go
+++ b/policy/retry.go
@@ -2,18 +2,17 @@
 
 import "cmp"
 
-// How often and how long a message may be sent, and when an attempt is given up.
-
 const (
-	maxAttemptNumber       = 255
-	dedupTransitTime       = Time(200e3) // from a retry's last byte to its endpoint, or 1/20 of the window
-	nonIdempotentPatience  = 4           // times as long a call of non-idempotent messages may take
-	overdueLatencyMultiple = 4           // a call is overdue after so many times mean and deviation
+	maxAttemptNumber           = 255
+	dedupTransitTime           = Time(200e3) // for a retry's last byte to arrive; at most 1/20 of the window
+	nonIdempotentOverdueFactor = 4           // how much longer calls of non-idempotent messages may take
+	overdueLatencyMultiple     = 4           // a call is overdue after this multiple of mean plus deviation
 )
 
-// attemptsExhausted: no further attempt of this message is allowed, ever.
+// attemptsExhausted reports whether a message may never be sent again.
 func (e *Engine) attemptsExhausted(message *message) bool {
-	counted, limit := message.attempts-message.uncountedAttempts, e.settings.MaxAttempts
+	counted := message.attempts - message.uncountedAttempts
+	limit := e.settings.MaxAttempts
 	if message.attempts >= maxAttemptNumber || limit > 0 && counted >= limit {
 		return true
 	}
@@ -23,8 +22,8 @@
 	return message.class.Idempotency == NonIdempotent || e.now >= e.lastByteDeadline(message)
 }
 
-// lastByteDeadline is the moment from which the destination may have forgotten a message's key where a retry
-// arrives; 0 where that does not matter. A connection that comes up late makes a retry late that was in time.
+// lastByteDeadline returns by when a retry's last byte must be sent to arrive while the destination remembers
+// the message's key; 0 for no limit. A retry that starts in time may be late if its connection opens slowly.
 func (e *Engine) lastByteDeadline(message *message) Time {
 	if message.firstUncertainAt == 0 || message.class.Idempotency != IdempotentByKey {
 		return 0
@@ -34,24 +33,22 @@
 	return message.firstUncertainAt + window - transit
 }
 
-// recordUncertainAttempt notes the first attempt of a message that may have run, and the end of its window.
+// recordUncertainAttempt notes the first attempt that may have run, and a check for the end of its window.
 func (e *Engine) recordUncertainAttempt(message *message, sentAt Time, zone int) {
 	message.firstUncertainAt, message.firstUncertainZone = sentAt, zone
 	windowEnd := sentAt + message.class.DedupWindow - 2*e.settings.TickInterval + 1
 	e.timers.add(max(windowEnd, e.now+1), func() { e.reevaluate(message) })
 }
 
-// attemptTimeout is when an attempt times out.
 func (e *Engine) attemptTimeout(message *message, endpoint *endpoint) Time {
 	last := message.deadline - 2*e.deadlineMargin()
 	if message.class.Idempotency == NonIdempotent {
-		return last // it cannot be tried again
+		return last // it cannot be retried, so it may use all the time that is left
 	}
 	usual := endpoint.limiter.latency.upperBound(overdueLatencyMultiple)
 	return min(last, e.now+Time(max(usual, float64(message.class.LatencyObjective))))
 }
 
-// overdueAfter is how long a call to an endpoint usually takes at most.
 func (e *Engine) overdueAfter(endpoint *endpoint) Time {
 	if endpoint.latency.count == 0 {
 		return overdueLatencyMultiple * e.usualLatency(endpoint.limiter.destination)
@@ -59,16 +56,16 @@
 	return Time(endpoint.latency.upperBound(overdueLatencyMultiple))
 }
 
-// cancelOverdueCall cancels a call that has been out for long while every slot was taken and messages waited
-// for as long. Harm: work nearly done is done again. A non-idempotent message, without a retry, has longer.
+// cancelOverdueCall cancels a call that is overdue, if all slots were taken and messages waited for as long.
+// Drawback: nearly finished work is repeated. Non-idempotent messages, which have no retry, get more time.
 func (e *Engine) cancelOverdueCall(call *call) {
-	patience := e.overdueAfter(call.endpoint) + 1
+	maxDuration := e.overdueAfter(call.endpoint) + 1
 	if call.messages[0].class.Idempotency == NonIdempotent {
-		patience *= nonIdempotentPatience
+		maxDuration *= nonIdempotentOverdueFactor
 	}
-	at := max(call.sentAt, cmp.Or(e.saturatedSince, e.now)) + patience
-	if call.openAttempts > 0 && at > e.now {
-		e.timers.add(at, func() { e.cancelOverdueCall(call) })
+	cancelAt := max(call.sentAt, cmp.Or(e.saturatedSince, e.now)) + maxDuration
+	if call.openAttempts > 0 && cancelAt > e.now {
+		e.timers.add(cancelAt, func() { e.cancelOverdueCall(call) })
 		return
 	}
 	for _, message := range call.messages {
--- a/policy/schedule.go
+++ b/policy/schedule.go
@@ -5,7 +5,7 @@
 	"math"
 )
 
-// schedule keeps values for later moments; those of one moment come in the order in which they were added.
+// schedule is a priority queue of values by time. Values with the same time come out in the order of insertion.
 type schedule[T any] struct {
 	items scheduleHeap[T]
 	count uint64
@@ -27,10 +27,10 @@
 	return h[i].at < h[j].at || h[i].at == h[j].at && h[i].seq < h[j].seq
 }
 
-// Push is for the package heap alone.
+// Push is for package heap only.
 func (h *scheduleHeap[T]) Push(item any) { *h = append(*h, item.(scheduledItem[T])) }
 
-// Pop is for the package heap alone.
+// Pop is for package heap only.
 func (h *scheduleHeap[T]) Pop() any {
 	last := len(*h) - 1
 	item := (*h)[last]
@@ -44,7 +44,7 @@
 	heap.Push(&s.items, scheduledItem[T]{at, s.count, value})
 }
 
-// popDue takes out the earliest value whose moment has come.
+// popDue removes and returns the earliest value, if its time has come.
 func (s *schedule[T]) popDue(now Time) (value T, ok bool) {
 	if len(s.items) == 0 || s.items[0].at > now {
 		return value, false
@@ -52,7 +52,7 @@
 	return heap.Pop(&s.items).(scheduledItem[T]).value, true
 }
 
-// nextTime is the earliest moment; the last one of all where nothing waits.
+// nextTime returns the time of the earliest value; math.MaxInt64 if the schedule is empty.
 func (s *schedule[T]) nextTime() Time {
 	if len(s.items) == 0 {
 		return math.MaxInt64
@@ -60,7 +60,7 @@
 	return s.items[0].at
 }
 
-// runDue calls what is due, and what becomes due by that.
+// runDue calls the functions that are due, including those that they add.
 func runDue(s *schedule[func()], now Time) {
 	for call, ok := s.popDue(now); ok; call, ok = s.popDue(now) {
 		call()
--- a/policy/settings.go
+++ b/policy/settings.go
@@ -2,44 +2,44 @@
 
 import "fmt"
 
-// Idempotency says what a second run of a message of a class would do.
+// Idempotency says whether a message of a class may run more than once.
 type Idempotency uint8
 
 // Kinds of idempotency.
 const (
 	Idempotent      Idempotency = iota // may run any number of times
-	IdempotentByKey                    // the destination drops repeats inside the class's window
+	IdempotentByKey                    // the destination drops duplicates within the class's dedup window
 	NonIdempotent                      // must never run twice
 )
 
 // Class is one class of message.
 type Class struct {
 	Name             string
-	LatencyObjective Time    // delivered within this, a message has its full weight
-	Deadline         Time    // after this it has none, and must have been answered
-	Weight           float64 // what a message in time is worth
-	LateWeight       float64 // share of the weight left at the deadline
+	LatencyObjective Time    // a message delivered within this time counts with its full weight
+	Deadline         Time    // a message delivered after this time counts nothing; it must be answered by then
+	Weight           float64 // value of a message delivered within its latency objective
+	LateWeight       float64 // share of Weight that is left at the deadline
 	Idempotency      Idempotency
-	DedupWindow      Time // IdempotentByKey: counted from the send of the first attempt that may have run
-	DedupPerZone     bool // IdempotentByKey: only the endpoints of one zone share their memory of keys
-	Ordered          bool // messages of one key go one at a time, in order of arrival
+	DedupWindow      Time // IdempotentByKey: starts when the first attempt that may have run is sent
+	DedupPerZone     bool // IdempotentByKey: only endpoints of the same zone share their record of keys
+	Ordered          bool // messages with the same key are sent one at a time, in order of arrival
 }
 
-// Tenant is one of those who share the relay.
+// Tenant is one of the parties that share the relay.
 type Tenant struct {
 	Name  string
-	Quota float64 // messages a second over all relays inside its share; 0 for none
+	Quota float64 // messages per second, over all relays, that keep their full weight; 0 for no quota
 }
 
 // DestinationKind is a kind of destination.
 type DestinationKind struct {
 	IndependentRoutes bool // its endpoints are separate routes, each with its own limit and outages
-	BatchSize         int  // messages that may travel in one call; 0 means 1
+	BatchSize         int  // messages that may share one call; 0 means 1
 }
 
-// Settings is what an engine is made with.
+// Settings configures an engine.
 type Settings struct {
-	Relays               int // relays that share the destinations, this one included
+	Relays               int // relays that share the destinations, including this one
 	Zone                 int
 	Classes              []Class
 	Tenants              []Tenant
@@ -47,31 +47,31 @@
 	MaxConcurrentCalls   int     // slots: calls in flight at once
 	MaxPending           int     // messages pending at once; 0 for no limit
 	MaxAttempts          int     // attempts for one message; 0 for no limit
-	ExponentialDecay     bool    // past the objective the weight halves each objective, else it falls in a line
-	OverQuotaWeight      float64 // part of its weight that a message beyond its tenant's quota keeps
-	WeightByCost         bool    // weights are for each unit of a message's estimated cost
-	ListHasRates         bool    // list entries carry the calls a second that a destination takes
+	ExponentialDecay     bool    // a late weight halves with every further objective; else it falls linearly
+	OverQuotaWeight      float64 // share of its weight that a message beyond its tenant's quota keeps
+	WeightByCost         bool    // weights are per unit of a message's estimated cost
+	ListHasRates         bool    // list entries carry the calls per second that a destination accepts
 	HealthChecks         bool    // health checks are allowed
 	Cancellation         bool    // attempts may be cancelled
-	SendRetryAfter       bool    // a rejection says when to come back
-	MaxRetryAfter        Time    // the longest such wait that clients heed
-	PollList             bool    // list updates come only when asked for
-	PollInterval         Time    // with PollList: the longest a list counts as fresh without asking
-	ConnectTimeout       Time    // 0 when unknown
-	IdleTimeout          Time    // idle connections close after this; 0 when unknown
-	StreamsPerConnection int     // calls that one connection carries at once; 0 means 1
-	TickInterval         Time    // events come at most this often; 0 when unknown
+	SendRetryAfter       bool    // a rejection tells the client how long to wait before a retry
+	MaxRetryAfter        Time    // the longest such wait that clients honour
+	PollList             bool    // list updates are not pushed: the engine must ask for them
+	PollInterval         Time    // with PollList: how long a list counts as fresh
+	ConnectTimeout       Time    // 0 if unknown
+	IdleTimeout          Time    // idle connections are closed after this time; 0 if unknown
+	StreamsPerConnection int     // concurrent calls on one connection; 0 means 1
+	TickInterval         Time    // shortest interval between two steps; 0 if unknown
 	ReplyGrace           Time    // time past a deadline in which an answer still counts
-	DrainGrace           Time    // time after word of a drain in which sends must have ended
-	InitialCapacity      float64 // share of its capacity that a destination has at least after an outage
-	RampDuration         Time    // by then at the latest it has all of it
-	OverloadFactor       float64 // sent more than this many times what it can do ...
-	OverloadDuration     Time    // ... for this long, a recovering destination falls over
-	OrderedKeyBackoff    Time    // pause of a key that keeps order after an attempt whose end is not sure
+	DrainGrace           Time    // time after the announcement of a drain by which sends must have stopped
+	InitialCapacity      float64 // least share of its capacity that a destination has right after an outage
+	RampDuration         Time    // time after an outage by which it has its full capacity again
+	OverloadFactor       float64 // a recovering destination fails again if it gets more than this many times its ...
+	OverloadDuration     Time    // ... current capacity for this long
+	OrderedKeyBackoff    Time    // pause of an ordered key after an attempt that may still be running
 }
 
-// Validate reports values that cannot be. The names in its errors are those that operators have always been shown;
-// they are not the names of the fields.
+// Validate returns an error for the first setting with an invalid value. The error uses the setting's name as
+// operators know it, which differs from the field's name.
 func (s *Settings) Validate() error {
 	checks := []func() error{
 		s.validateTimes, s.validateCounts, s.validateClasses, s.validateTenants, s.validateKinds, s.validateShares,
@@ -138,7 +138,7 @@
 	return nil
 }
 
-// validate gives the name of the first value that cannot be, and what is wrong with it.
+// validate returns the name of the first invalid value and what is wrong with it; "" if all are valid.
 func (c *Class) validate() (name, problem string) {
 	switch {
 	case c.Idempotency > NonIdempotent:
@@ -187,8 +187,8 @@
 	return nil
 }
 
-// notNegative is false for what is no number, too.
+// notNegative is false for NaN.
 func notNegative(value float64) bool { return value >= 0 }
 
-// isShare is false for what is no number, too.
+// isShare reports whether a value is within 0 to 1. It is false for NaN.
 func isShare(value float64) bool { return value >= 0 && value <= 1 }
--- a/policy/snapshot.go
+++ b/policy/snapshot.go
@@ -5,11 +5,11 @@
 	"slices"
 )
 
-// What an engine has learned of its destinations, in a form that another engine takes over: plain values, no
-// message among them. Times are moments of the clock of the engine that gave it. The keys stand in files and
-// in hand-over packets of other versions.
+// The learned state of an engine in a form that another engine can load. It contains no messages. Times are on the
+// clock of the engine that took the snapshot. The JSON keys must not change: they occur in stored files and in
+// hand-over packets of other versions.
 
-// Snapshot is everything learned.
+// Snapshot is what an engine has learned.
 type Snapshot struct {
 	Now                  Time                  `json:"now"`
 	Limiters             []LimiterSnapshot     `json:"lanes"`
@@ -18,11 +18,11 @@
 	Latency              LatencySnapshot       `json:"lat"`
 }
 
-// LimiterSnapshot is what is known of one limit: of a destination, or of a route.
+// LimiterSnapshot is the learned state of one limiter, of a destination or of an independent route.
 type LimiterSnapshot struct {
 	Destination      int                 `json:"dest"`
 	Endpoints        []EndpointSnapshot  `json:"endpoints"`
-	Bins             [][2]float64        `json:"bins,omitempty"` // requests and accepts, the newest last
+	Bins             [][2]float64        `json:"bins,omitempty"` // requests and accepts, the oldest bin first
 	HistoryStart     Time                `json:"started,omitempty"`
 	Window           float64             `json:"window"`
 	RetryAfterUntil  Time                `json:"wait_until,omitempty"`
@@ -39,7 +39,7 @@
 	Latency          LatencySnapshot     `json:"lat"`
 }
 
-// EndpointSnapshot is what is known of one endpoint's health.
+// EndpointSnapshot is the learned health of one endpoint.
 type EndpointSnapshot struct {
 	ID                EndpointID          `json:"id"`
 	BackoffUntil      Time                `json:"rest_until,omitempty"`
@@ -56,21 +56,21 @@
 	Latency           LatencySnapshot     `json:"lat"`
 }
 
-// TokenBucketSnapshot is a token bucket.
+// TokenBucketSnapshot is the state of a token bucket.
 type TokenBucketSnapshot struct {
 	At     Time    `json:"at,omitempty"`
 	Tokens float64 `json:"tokens,omitempty"`
 	Used   bool    `json:"used,omitempty"`
 }
 
-// LatencySnapshot is a smoothed mean and deviation, in µs.
+// LatencySnapshot is an exponentially smoothed mean and mean deviation, in µs.
 type LatencySnapshot struct {
 	Mean      float64 `json:"mean,omitempty"`
 	Deviation float64 `json:"dev,omitempty"`
 	Count     int     `json:"n,omitempty"`
 }
 
-// clone copies all that may be changed.
+// clone copies everything that RestoreAfterRestart changes; the rest is shared.
 func (s *Snapshot) clone() *Snapshot {
 	cloned := *s
 	cloned.TenantQuotas = slices.Clone(s.TenantQuotas)
@@ -81,7 +81,7 @@
 	return &cloned
 }
 
-// learned reports whether a limiter or one of its endpoints differs from a new one.
+// learned reports whether the snapshot differs from that of a new limiter with new endpoints.
 func (s *LimiterSnapshot) learned() bool {
 	if s.NominalRate > 0 || s.ReportedRate > 0 || s.ReducedRate > 0 || s.Latency.Count > 0 {
 		return true
@@ -107,7 +107,7 @@
 	return latencyEstimate{s.Mean, s.Deviation, s.Count}
 }
 
-// shiftTime takes a moment to another clock; none stays none.
+// shiftTime converts a time to another clock. 0 means no time and stays 0.
 func shiftTime(at, shift Time) Time {
 	if at == 0 {
 		return 0
@@ -115,7 +115,7 @@
 	return max(at+shift, 1)
 }
 
-// snapshot gives what is known of a limiter and its endpoints by now.
+// snapshot returns the learned state of a limiter and its endpoints.
 func (l *limiter) snapshot(now Time) LimiterSnapshot {
 	stored := LimiterSnapshot{
 		Destination:      l.destination.id,
@@ -143,15 +143,21 @@
 	return stored
 }
 
-// restore takes over what was known of a limiter at a moment of this engine's clock.
+// restore loads the learned state of a limiter. storedAt is when the snapshot was taken, on this engine's clock.
 func (l *limiter) restore(stored *LimiterSnapshot, storedAt, shift Time) {
-	l.window, l.rateMultiplier, l.rateBound = max(stored.Window, 1), stored.RateMultiplier, stored.RateBound
+	l.window = max(stored.Window, 1)
+	l.rateMultiplier = stored.RateMultiplier
+	l.rateBound = stored.RateBound
 	l.retryAfterUntil = shiftTime(stored.RetryAfterUntil, shift)
 	l.backoffUntil = shiftTime(stored.BackoffUntil, shift)
-	l.reducedRate, l.reducedAt = stored.ReducedRate, shiftTime(stored.ReducedAt, shift)
-	l.reportedRate, l.nominalRate = stored.ReportedRate, cmp.Or(l.nominalRate, stored.NominalRate)
-	l.tokens, l.latency = stored.Tokens.restore(shift), stored.Latency.restore()
-	l.rejectionRun, l.firstRejectionAt = stored.RejectionRun, shiftTime(stored.FirstRejectionAt, shift)
+	l.reducedRate = stored.ReducedRate
+	l.reducedAt = shiftTime(stored.ReducedAt, shift)
+	l.reportedRate = stored.ReportedRate
+	l.nominalRate = cmp.Or(l.nominalRate, stored.NominalRate)
+	l.tokens = stored.Tokens.restore(shift)
+	l.latency = stored.Latency.restore()
+	l.rejectionRun = stored.RejectionRun
+	l.firstRejectionAt = shiftTime(stored.FirstRejectionAt, shift)
 	if len(stored.Bins) == len(l.history.bins) {
 		l.history.restore(storedAt, stored.Bins, shiftTime(stored.HistoryStart, shift))
 	}
@@ -190,7 +196,7 @@
 	ep.latency = stored.Latency.restore()
 }
 
-// Snapshot gives what the engine has learned by now.
+// Snapshot returns what the engine has learned.
 func (e *Engine) Snapshot(now Time) *Snapshot {
 	snapshot := &Snapshot{
 		Now:                  now,
@@ -208,9 +214,9 @@
 	return snapshot
 }
 
-// LoadSnapshot takes over what another engine learned, of the endpoints that the list has named to this one
-// already. Its moments lie shift later on this engine's clock. Nothing of it may be known here yet: what is,
-// is replaced.
+// LoadSnapshot loads what another engine has learned. Endpoints that the list has not yet named to this engine are
+// skipped. shift converts the snapshot's times to this engine's clock. What this engine has learned itself of the
+// endpoints in the snapshot is overwritten, so it is meant for a new engine.
 func (e *Engine) LoadSnapshot(now Time, snapshot *Snapshot, shift Time) {
 	e.now = max(now, e.now)
 	e.latency = snapshot.Latency.restore()
@@ -225,7 +231,7 @@
 	e.loadLimiters(snapshot, shift)
 }
 
-// loadLimiters takes over what binds destinations, and their endpoints.
+// loadLimiters loads the learned state of limiters and their endpoints.
 func (e *Engine) loadLimiters(snapshot *Snapshot, shift Time) {
 	for i := range snapshot.Limiters {
 		stored := &snapshot.Limiters[i]
@@ -236,8 +242,9 @@
 	}
 }
 
-// loadEndpoints takes over the endpoints of a limiter that are known here, and finds the limiter that they
-// have now. Where all are new, what binds the destination as a whole binds them too.
+// loadEndpoints loads the endpoints of a limiter that this engine knows, and returns the limiter that they belong to
+// now. If it knows none of them, it returns the limiter of the whole destination, whose limits hold for its new
+// endpoints too; nil if the destination is unknown or has independent routes.
 func (e *Engine) loadEndpoints(stored *LimiterSnapshot, shift Time) *limiter {
 	var found *limiter
 	for i := range stored.Endpoints {
--- a/policy/state.go
+++ b/policy/state.go
@@ -2,55 +2,55 @@
 
 import "math/rand/v2"
 
-// What the engine remembers; nothing is decided here.
+// The state of an engine. This file makes no decisions.
 
-// Engine decides for one relay. It is not safe for concurrent use.
+// Engine makes the decisions of one relay. It is not safe for concurrent use.
 type Engine struct {
 	settings             Settings
 	rng                  *rand.Rand
 	now                  Time
-	actions              []Action       // of the step that runs
-	destinations         []*destination // by number
+	actions              []Action       // of the current step
+	destinations         []*destination // sorted by id
 	endpoints            map[EndpointID]*endpoint
 	messages             map[uint32]*message
-	pending              pendingMessages // not yet ended
+	pending              pendingMessages // messages that have not ended
 	orderedQueues        map[uint64]*orderedQueue
 	timers               schedule[func()]
-	dirty                []*destination // to be looked at in this step
-	readyDestinations    []*destination // wait for nothing but a slot
+	dirty                []*destination // their next message must be chosen in this step
+	readyDestinations    []*destination // have a next message that waits only for a slot
 	tenantQuotas         []tokenBucket
-	activations          tokenBucket // destinations that may still wake before many do together
+	activations          tokenBucket // limits the activations that count as isolated ones
 	callsInFlight        int
-	messagesInFlight     int // messages not ended with an attempt in flight
+	messagesInFlight     int // messages that have not ended and have an attempt in flight
 	timerAt              Time
 	polledAt             Time
-	shareDivisor         float64         // what a destination's rate is divided by for this relay's part
+	shareDivisor         float64         // a destination's rate divided by this is this relay's share
 	shedPasses           int             // passes over all pending messages so far
-	nextSendTimeCalls    int             // the dear part of a step
-	connectFailureRatios []float64       // share of calls that found no connection, by kind of destination
-	latency              latencyEstimate // of all answers
-	saturatedSince       Time            // since when messages wait and every slot is taken; 0 for not
+	nextSendTimeCalls    int             // calls of nextSendTime, the expensive part of a step
+	connectFailureRatios []float64       // share of calls that could not get a connection, by kind of destination
+	latency              latencyEstimate // over all answers
+	saturatedSince       Time            // start of the time in which messages wait and no slot is free; 0 if one is
 }
 
-// destination is a queue, and a limiter for each thing that limits it.
+// destination has a queue of messages, and one limiter, or one for each independent route.
 type destination struct {
 	id            int
 	kind          DestinationKind
-	kindIndex     int // its place in the settings
+	kindIndex     int // index of kind in Settings.DestinationKinds
 	limiters      []*limiter
 	queue         []*message
 	callsInFlight int
 	dirty         bool
-	wakeAt        Time // the next timer that looks at it
-	shedPass      int  // the pass that drainedAt was found in
-	drainedAt     Time // when what waits now will have gone
+	wakeAt        Time // when its next timer marks it dirty
+	shedPass      int  // the load-shedding pass in which queueEmptyAt was computed
+	queueEmptyAt  Time // when all messages that wait now are expected to have been sent
 	nextMessage   *message
 	nextEndpoint  *endpoint
 	nextPriority  float64
 }
 
-// limiter is what one limit, one Retry-After and one history bind: a destination, or a route where they are
-// independent.
+// limiter limits the calls to a destination, or to one route of a destination with independent routes. A Retry-After
+// and the request history apply to all its endpoints.
 type limiter struct {
 	destination      *destination
 	endpoints        []*endpoint
@@ -58,20 +58,20 @@
 	window           float64 // calls that may be in flight
 	callsInFlight    int
 	retryAfterUntil  Time
-	backoffUntil     Time // rejected without a Retry-After, or a draw was dropped
-	nominalRate      float64
-	reportedRate     float64
+	backoffUntil     Time    // end of the backoff after a rejection or a random drop
+	nominalRate      float64 // calls per second for all relays by the list, or observed; 0 if unknown
+	reportedRate     float64 // the same by the last load report
 	rateMultiplier   float64
-	reducedRate      float64 // after the last rejection, which was at reducedAt; 0 for none
-	reducedAt        Time
+	reducedRate      float64 // this relay's limit since the last rejection, which was at reducedAt
+	reducedAt        Time    // 0 if the rate is not reduced
 	tokens           tokenBucket
-	rateBound        bool // the rate, not the traffic, decided when the last call went
-	rejectionRun     int
-	firstRejectionAt Time // of the run
+	rateBound        bool // the rate has held back a call since the last one was sent
+	rejectionRun     int  // consecutive rejections
+	firstRejectionAt Time // start of that run
 	latency          latencyEstimate
 }
 
-// endpoint is one address, with what this relay saw of its health.
+// endpoint is one address of a destination, with the health that this relay has observed.
 type endpoint struct {
 	id                    EndpointID
 	zone                  int
@@ -79,26 +79,26 @@
 	state                 Readiness
 	callsInFlight         int
 	connections           int
-	backoffUntil          Time // failing, but not yet unhealthy
+	backoffUntil          Time // end of the backoff of an endpoint that fails but is not unhealthy
 	idleSince             Time // end of the last call
 	idleCheckScheduled    bool
 	failureScore          float64
-	unhealthy             bool
+	unhealthy             bool // ejected until a call succeeds, then recovering until the ramp is over
 	firstFailureAt        Time
 	lastFailureAt         Time
-	recoveredAt           Time // start of the ramp: first success since the last failure; 0 for none
-	recoverySentAt        Time // when the call of that success was sent
+	recoveredAt           Time // start of the recovery ramp; 0 if there was no success since the last failure
+	recoverySentAt        Time // when the call whose success started the ramp was sent
 	lastSuccessAt         Time
 	recoveryBudget        tokenBucket
-	requiredTokens        float64 // what the next call takes out of the budget
-	connectFailedAt       Time    // last call that found no connection, and none out then was answered yet
-	lastFailureSilent     bool    // no answer came
-	connectCost           float64 // what opening a connection takes, in calls
+	requiredTokens        float64 // tokens that the next call takes from the budget
+	connectFailedAt       Time    // last call that found no connection; 0 once a call in flight then was answered
+	lastFailureSilent     bool    // the last failure was one without an answer
+	connectCost           float64 // cost of opening a connection, in calls
 	identityRejectedUntil Time
 	latency               latencyEstimate
 }
 
-// message is pending until it is ended, and known until its last attempt is over.
+// message is pending until it ends, and known until its last attempt is over.
 type message struct {
 	id                 uint32
 	key                uint64
@@ -107,15 +107,15 @@
 	objectiveAt        Time
 	deadline           Time
 	weight             float64
-	waitingLoss        float64 // what waiting costs, when its destination was last looked at
+	waitingLoss        float64 // weight lost by waiting, as of the last ordering of the queue
 	finished           bool
-	recoveredUntried   bool // an earlier process took it on and never tried it; until it has been tried
+	recoveredUntried   bool // an earlier process accepted it without an attempt, and it has had none since
 	pendingIndex       int
 	attempts           int
-	uncountedAttempts  int       // of them, never left the relay
-	firstUncertainAt   Time      // send of the first attempt that may have run; 0 for none
-	firstUncertainZone int       // its zone
-	lastFailedEndpoint *endpoint // of its last attempt
+	uncountedAttempts  int       // attempts that never left the relay and do not count
+	firstUncertainAt   Time      // when the first attempt that may have run was sent; 0 if none
+	firstUncertainZone int       // zone of that attempt
+	lastFailedEndpoint *endpoint // endpoint of the last attempt
 	call               *call
 }
 
@@ -124,7 +124,7 @@
 	endpoint        *endpoint
 	sentAt          Time
 	openAttempts    int
-	opensConnection bool // a connection was paid for
-	observed        bool
+	opensConnection bool // the cost of opening a connection was charged
+	observed        bool // its outcome has been counted
 	messages        []*message
 }
