--- a/policy/admission_test.go
+++ b/policy/admission_test.go
@@ -2,17 +2,18 @@
 
 import "testing"
 
-// TestUnknownClass: nothing is known of such a message, and nothing has run.
+// TestUnknownClass checks that a message of an unknown class is rejected and not sent.
 func TestUnknownClass(t *testing.T) {
 	h := newHarness(t, singleClassSettings(), readyEndpoint(1, 10))
 	event := h.message(0, 0)
 	event.Class = 9
 	if h.step(event); count(h.actions, ActReject) != 1 || len(h.sends) != 0 {
-		t.Fatalf("actions %+v", h.actions)
+		t.Fatalf("Step(message of class 9) = %+v, want one rejection and no send", h.actions)
 	}
 }
 
-// TestLoadSheddingOrder: with MaxPending near, the message that can be sent latest is rejected, not the next one.
+// TestLoadSheddingOrder checks that load shedding rejects the message that would be sent last, and not the one that
+// would be sent next.
 func TestLoadSheddingOrder(t *testing.T) {
 	settings := singleClassSettings()
 	settings.MaxPending = 16
@@ -37,17 +38,18 @@
 		if action.Kind == ActReject {
 			rejected++
 			if dest[action.Message] != 0 {
-				t.Errorf("message %d of the destination that opens soon was shed", action.Message)
+				t.Errorf("message %d of destination 1 with the shorter backoff was rejected, want one of destination 0",
+					action.Message)
 			}
 		}
 	}
 	if rejected != 1 {
-		t.Fatalf("%d rejected, want 1", rejected)
+		t.Fatalf("step with 16 messages and MaxPending 16: %d rejected, want 1", rejected)
 	}
 }
 
-// TestManyPendingMessagesAreCheap guards against load shedding that looks up each pending message's destination: at
-// four times the usual traffic that took a relay's whole share of a core, and notices came too late.
+// TestManyPendingMessagesAreCheap guards against load shedding that computes the next send time of a destination for
+// each pending message: at four times the usual traffic that used up a relay's share of a core, and notices were late.
 func TestManyPendingMessagesAreCheap(t *testing.T) {
 	const dests = 5
 	settings := singleClassSettings()
@@ -63,10 +65,10 @@
 		before := h.engine.nextSendTimeCalls
 		h.step(h.message(0, i%dests))
 		if n := h.engine.nextSendTimeCalls - before; n > 3*dests {
-			t.Fatalf("message %d: %d destinations looked at, %d there are", i, n, dests)
+			t.Fatalf("message %d: nextSendTime was called %d times, want at most %d", i, n, 3*dests)
 		}
 	}
 	if len(h.engine.pending) < 300 {
-		t.Fatalf("%d pending: too few", len(h.engine.pending))
+		t.Fatalf("%d messages are pending, want at least 300 for the test to mean anything", len(h.engine.pending))
 	}
 }
--- a/policy/checker_test.go
+++ b/policy/checker_test.go
@@ -2,12 +2,12 @@
 
 import "fmt"
 
-// trackedMessage is what the checker knows of a message.
+// trackedMessage is the checker's record of a message.
 type trackedMessage struct {
 	class, destination int
-	zone               int // of the first attempt that may have run
+	zone               int // zone of the first attempt that may have run
 	key                uint64
-	number             int // in the order of arrival
+	number             int // position in the order of arrival
 	deadline           Time
 	attempts           int
 	inFlight           bool
@@ -15,7 +15,7 @@
 	uncertain, ended   bool
 }
 
-// attemptInFlight is an attempt that the checker has seen sent.
+// attemptInFlight is an attempt that was sent and has not ended.
 type attemptInFlight struct {
 	message   uint32
 	attempt   int
@@ -23,11 +23,12 @@
 	timeoutAt Time
 }
 
-// checker checks the rules by records of its own, from the events that an engine is given and its actions.
+// checker checks the delivery rules. It keeps records of its own, made from an engine's events and actions, and uses
+// nothing of the engine's state.
 type checker struct {
 	settings        Settings
 	endpoints       map[EndpointID]EndpointUpdate
-	notReadySince   map[EndpointID]Time // draining or gone by the list
+	notReadySince   map[EndpointID]Time // when the list said that an endpoint is draining or gone
 	messages        map[uint32]*trackedMessage
 	inFlight        []attemptInFlight
 	timers          []Time
@@ -53,10 +54,14 @@
 	}
 }
 
-// restarted is a checker of the engine that follows: it knows none of the messages, and counts on.
-func (c *checker) restarted() *checker {
+// afterRestart returns a checker for the next engine. It knows none of the messages, but keeps the counts and the
+// violations.
+func (c *checker) afterRestart() *checker {
 	next := newChecker(c.settings)
-	next.violations, next.sends, next.rejected, next.failed = c.violations, c.sends, c.rejected, c.failed
+	next.violations = c.violations
+	next.sends = c.sends
+	next.rejected = c.rejected
+	next.failed = c.failed
 	return next
 }
 
@@ -64,8 +69,8 @@
 	c.violations = append(c.violations, fmt.Sprintf("%d: ", now)+fmt.Sprintf(format, args...))
 }
 
-// route names what a Retry-After binds.
-func (c *checker) route(id EndpointID) string {
+// retryAfterScope returns a name for all the endpoints to which an endpoint's Retry-After applies.
+func (c *checker) retryAfterScope(id EndpointID) string {
 	entry := c.endpoints[id]
 	if c.settings.DestinationKinds[entry.Kind].IndependentRoutes {
 		return fmt.Sprintf("e%d", id)
@@ -135,9 +140,9 @@
 	if event.Outcome == TimedOut || event.Outcome == ConnectionReset || event.Outcome == Cancelled {
 		c.backoffUntil[message.key] = max(c.backoffUntil[message.key], now+c.settings.OrderedKeyBackoff)
 	}
-	if event.RetryAfter > 0 { // also where the answer that bore it was spoilt later
-		route := c.route(event.Endpoint)
-		c.retryAfterUntil[route] = max(c.retryAfterUntil[route], now+event.RetryAfter)
+	if event.RetryAfter > 0 { // also if the rest of the answer could not be read
+		scope := c.retryAfterScope(event.Endpoint)
+		c.retryAfterUntil[scope] = max(c.retryAfterUntil[scope], now+event.RetryAfter)
 	}
 }
 
@@ -161,24 +166,26 @@
 	entry, known := c.endpoints[action.Endpoint]
 	switch {
 	case message == nil:
-		c.violation(now, "send of unknown %d", action.Message)
+		c.violation(now, "message %d was sent and never submitted", action.Message)
 		return
 	case message.ended:
-		c.violation(now, "send of %d after its end", action.Message)
+		c.violation(now, "message %d was sent after it had ended", action.Message)
 	case message.inFlight:
-		c.violation(now, "two attempts of %d at once", action.Message)
+		c.violation(now, "message %d has two attempts in flight", action.Message)
 	case !known || entry.Destination != message.destination:
-		c.violation(now, "send of %d to an endpoint of another destination", action.Message)
+		c.violation(now, "message %d was sent to endpoint %d of another destination", action.Message, action.Endpoint)
 	case action.TimeoutAt > message.deadline:
-		c.violation(now, "attempt of %d outlives its deadline", action.Message)
+		c.violation(now, "message %d: attempt times out at %d, after the deadline %d", action.Message,
+			action.TimeoutAt, message.deadline)
 	case c.settings.MaxAttempts > 0 && message.attempts >= c.settings.MaxAttempts:
-		c.violation(now, "attempt %d of %d", message.attempts, action.Message)
+		c.violation(now, "message %d was sent again after %d attempts, want at most %d", action.Message,
+			message.attempts, c.settings.MaxAttempts)
 	}
-	c.checkEndpoint(now, action.Endpoint, fmt.Sprintf("send of %d", action.Message))
+	c.checkEndpoint(now, action.Endpoint, fmt.Sprintf("message %d", action.Message))
 	c.checkIdempotency(now, action.Message, entry.Zone)
 	c.checkOrder(now, action.Message)
 	if !message.uncertain {
-		message.firstUncertainAt = now // it counts from this send if this attempt may have run
+		message.firstUncertainAt = now // the dedup window starts here if this attempt turns out uncertain
 	}
 	message.attempts++
 	message.inFlight = true
@@ -190,17 +197,17 @@
 	})
 }
 
-// checkEndpoint: nothing goes to an endpoint that drains or is gone, or before its Retry-After is over.
-func (c *checker) checkEndpoint(now Time, id EndpointID, what string) {
+// checkEndpoint checks that nothing is sent to an endpoint that is draining or gone, or whose Retry-After is in force.
+func (c *checker) checkEndpoint(now Time, id EndpointID, sent string) {
 	if since, notReady := c.notReadySince[id]; notReady && now > since+c.settings.DrainGrace {
-		c.violation(now, "drain: %s to %d", what, id)
+		c.violation(now, "%s was sent to endpoint %d, draining or gone since %d", sent, id, since)
 	}
-	if now < c.retryAfterUntil[c.route(id)] {
-		c.violation(now, "Retry-After: %s to %d", what, id)
+	if until := c.retryAfterUntil[c.retryAfterScope(id)]; now < until {
+		c.violation(now, "%s was sent to endpoint %d, whose Retry-After ends at %d", sent, id, until)
 	}
 }
 
-// checkIdempotency: what may have run goes out again only as its class allows.
+// checkIdempotency checks that a message that may have run is sent again only as its class allows.
 func (c *checker) checkIdempotency(now Time, id uint32, zone int) {
 	message := c.messages[id]
 	class := &c.settings.Classes[message.class]
@@ -209,18 +216,20 @@
 	}
 	switch class.Idempotency {
 	case NonIdempotent:
-		c.violation(now, "non-idempotent %d sent again", id)
+		c.violation(now, "non-idempotent message %d may have run and was sent again", id)
 	case IdempotentByKey:
-		if now > message.firstUncertainAt+class.DedupWindow {
-			c.violation(now, "idempotent by key: %d sent outside its window", id)
+		if windowEnd := message.firstUncertainAt + class.DedupWindow; now > windowEnd {
+			c.violation(now, "idempotent by key: message %d was retried after its dedup window's end %d", id, windowEnd)
 		}
 		if class.DedupPerZone && zone != message.zone {
-			c.violation(now, "idempotent by key: %d left its zone", id)
+			c.violation(now, "idempotent by key: message %d was retried in zone %d, first sent in zone %d", id,
+				zone, message.zone)
 		}
 	}
 }
 
-// checkOrder: the messages of one key go one at a time, and the next rests where the last may run still.
+// checkOrder checks that the messages of one key are sent one at a time, and that the next one waits for the key's
+// backoff if the last may still be running.
 func (c *checker) checkOrder(now Time, id uint32) {
 	message := c.messages[id]
 	if !c.settings.Classes[message.class].Ordered || message.key == 0 {
@@ -229,24 +238,24 @@
 	for _, otherID := range c.order[message.key] {
 		other := c.messages[otherID]
 		if other.number < message.number && (!other.ended || other.inFlight) {
-			c.violation(now, "order: %d before %d", id, otherID)
+			c.violation(now, "order: message %d was sent before the earlier message %d ended", id, otherID)
 		}
 	}
-	if message.attempts == 0 && now < c.backoffUntil[message.key] {
-		c.violation(now, "order: %d inside the backoff of its key", id)
+	if until := c.backoffUntil[message.key]; message.attempts == 0 && now < until {
+		c.violation(now, "order: message %d was sent during its key's backoff until %d", id, until)
 	}
 }
 
-// checkEnd: each message has one answer, in time, and is rejected only where it may be handed in again.
+// checkEnd checks that each message gets one answer, in time, and is rejected only if it may be submitted again.
 func (c *checker) checkEnd(now Time, action Action) {
 	message := c.messages[action.Message]
 	if message == nil || message.ended {
-		c.violation(now, "second answer for %d", action.Message)
+		c.violation(now, "message %d got a second answer, or was never submitted", action.Message)
 		return
 	}
 	message.ended = true
-	if now > message.deadline+c.settings.ReplyGrace {
-		c.violation(now, "late answer for %d", action.Message)
+	if latest := message.deadline + c.settings.ReplyGrace; now > latest {
+		c.violation(now, "message %d was answered after %d", action.Message, latest)
 	}
 	if action.Kind == ActFail {
 		c.failed++
@@ -257,19 +266,20 @@
 	mayHaveRun := message.uncertain || message.inFlight
 	perZone := class.Idempotency == IdempotentByKey && class.DedupPerZone
 	if mayHaveRun && (class.Idempotency == NonIdempotent || perZone) {
-		c.violation(now, "rejected %d which may have run", action.Message)
+		c.violation(now, "message %d may have run and was rejected, want a failure", action.Message)
 	}
 }
 
 func (c *checker) checkDeadlines(now Time) {
 	for id, message := range c.messages {
 		if !message.ended && now > message.deadline+c.settings.ReplyGrace {
-			c.violation(now, "no answer for %d", id)
+			c.violation(now, "message %d has no answer after its deadline %d", id, message.deadline)
 			message.ended = true
 		}
 	}
 	if slots := c.settings.MaxConcurrentCalls; len(c.inFlight) > slots*maxBatch(c.settings) {
-		c.violation(now, "%d attempts in flight with %d slots", len(c.inFlight), slots)
+		c.violation(now, "%d attempts are in flight, want at most %d with %d slots", len(c.inFlight),
+			slots*maxBatch(c.settings), slots)
 	}
 }
 
@@ -281,13 +291,13 @@
 	return most
 }
 
-// nextMoment is the next moment of the day: a timer or a timeout that comes due is not passed over.
-func (c *checker) nextMoment(now, then Time) Time {
+// nextStepTime returns the time of the next step: at most latest, but no later than the next timer or timeout.
+func (c *checker) nextStepTime(now, latest Time) Time {
 	for _, dueAt := range c.timers {
-		then = min(then, max(dueAt, now+1))
+		latest = min(latest, max(dueAt, now+1))
 	}
 	for _, attempt := range c.inFlight {
-		then = min(then, max(attempt.timeoutAt, now+1))
+		latest = min(latest, max(attempt.timeoutAt, now+1))
 	}
-	return then
+	return latest
 }
--- a/policy/connection_test.go
+++ b/policy/connection_test.go
@@ -2,7 +2,8 @@
 
 import "testing"
 
-// TestIdleConnectionsClosed: where connections run out, idle ones are closed, the sooner the more relays there are.
+// TestIdleConnectionsClosed checks that idle connections are closed early where connections are scarce, the earlier the
+// more relays there are. With 50 relays that is within 2 s, instead of after the idle timeout of 10 s.
 func TestIdleConnectionsClosed(t *testing.T) {
 	for _, ratio := range []float64{0, 1} {
 		settings := singleClassSettings()
@@ -13,49 +14,51 @@
 		h.now += second / 10
 		closes := 0
 		h.step(endOf(h.sends[0], Delivered))
-		for range 40 { // two seconds, of ten that connections live
+		for range 40 { // 2 s of an idle timeout of 10 s
 			h.now += second / 20
 			closes += count(h.step(), ActCloseIdle)
 		}
 		if closes != int(ratio) {
-			t.Errorf("share without connection %v: %d times closed", ratio, closes)
+			t.Errorf("share of calls without connection = %v: idle connections closed %d times, want %d", ratio, closes,
+				int(ratio))
 		}
 	}
 }
 
-// TestScarceConnections guards against idle connections that a whole fleet closes and opens again, since what is down
-// takes no connection: only an endpoint that answers others meanwhile has none left.
+// TestScarceConnections guards against a fleet that closes and reopens all its idle connections because an endpoint is
+// down. An endpoint that is down accepts no connection either; connections are scarce only if the endpoint answers
+// another call at that time.
 func TestScarceConnections(t *testing.T) {
 	for _, c := range []struct {
 		name   string
-		ends   []Outcome // of two calls that are in flight together, in this order
+		ends   []Outcome // of two calls that are in flight at the same time, in the order of their ends
 		scarce bool
 	}{
-		{"down", []Outcome{ConnectFailed, ConnectFailed}, false},
-		{"down, then cut off", []Outcome{ConnectFailed, ConnectionReset}, false},
-		{"another was answered", []Outcome{ConnectFailed, Delivered}, true},
-		{"another had been answered", []Outcome{Delivered, ConnectFailed}, true},
-		{"another was rejected", []Outcome{ConnectFailed, Rejected}, true},
-		{"both were answered", []Outcome{Delivered, Delivered}, false},
+		{"no connection for both", []Outcome{ConnectFailed, ConnectFailed}, false},
+		{"no connection, then a reset", []Outcome{ConnectFailed, ConnectionReset}, false},
+		{"no connection, then an answer", []Outcome{ConnectFailed, Delivered}, true},
+		{"an answer, then no connection", []Outcome{Delivered, ConnectFailed}, true},
+		{"no connection, then a rejection", []Outcome{ConnectFailed, Rejected}, true},
+		{"an answer for both", []Outcome{Delivered, Delivered}, false},
 	} {
 		h := newHarness(t, singleClassSettings(), readyEndpoint(1, 100))
 		h.engine.destinationFor(0).limiters[0].window = 4
 		h.step(h.message(0, 0), h.message(0, 0))
 		if len(h.sends) != 2 {
-			t.Fatalf("%s: %d calls in flight", c.name, len(h.sends))
+			t.Fatalf("%s: %d calls in flight, want 2", c.name, len(h.sends))
 		}
 		for i, action := range h.sends {
 			h.now += second / 10
 			h.step(endOf(action, c.ends[i]))
 		}
 		if got := h.engine.connectFailureRatios[0] > 0; got != c.scarce {
-			t.Errorf("%s: taken to run out: %v", c.name, got)
+			t.Errorf("%s: connections counted as scarce = %v, want %v", c.name, got, c.scarce)
 		}
 	}
 }
 
-// TestConnectCostIsPaid: a connection that must be opened is paid for like calls, at the rate of a healthy endpoint
-// and out of the budget of a recovering one; one that is there costs nothing more.
+// TestConnectCostIsPaid checks that a connection that must be opened is charged like calls, to the rate of a healthy
+// endpoint and to the budget of a recovering one, and that an existing connection costs nothing.
 func TestConnectCostIsPaid(t *testing.T) {
 	entry := readyEndpoint(1, 100)
 	entry.ConnectCost = 5
@@ -72,42 +75,42 @@
 	before := level()
 	h.step(h.message(0, 0))
 	if len(h.sends) != 1 || before-level() != 6 {
-		t.Fatalf("a call and its connection took %v of the rate, want 6", before-level())
+		t.Fatalf("a call and its connection took %v tokens, want 6", before-level())
 	}
 	h.step(endOf(h.sends[0], Delivered))
 	before = level()
 	if h.step(h.message(0, 0)); len(h.sends) != 1 || before-level() != 1 {
-		t.Fatalf("a call on a connection that is there took %v, want 1", before-level())
+		t.Fatalf("a call on an existing connection took %v tokens, want 1", before-level())
 	}
-	h.step(endOf(h.sends[0], TimedOut)) // and its connection went with it
-	if engine.nextConnectCost(endpoint) != 5 {
-		t.Error("after a call without an answer its connection is still counted on")
+	h.step(endOf(h.sends[0], TimedOut)) // its connection is lost
+	if got := engine.nextConnectCost(endpoint); got != 5 {
+		t.Errorf("nextConnectCost after a call that timed out = %v, want 5", got)
 	}
 	endpoint.unhealthy, endpoint.recoveredAt, endpoint.requiredTokens = true, h.now, 1
-	full := func(tokens float64) { endpoint.recoveryBudget = tokenBucket{h.now, tokens, true} }
-	if full(5.9); engine.mayCall(endpoint) {
-		t.Error("recovering: a connection is opened though the budget does not hold it")
+	setBudget := func(tokens float64) { endpoint.recoveryBudget = tokenBucket{h.now, tokens, true} }
+	if setBudget(5.9); engine.mayCall(endpoint) {
+		t.Error("recovering, budget of 5.9: mayCall = true for a call and a connection that cost 6, want false")
 	}
-	full(6)
+	setBudget(6)
 	if !engine.mayCall(endpoint) {
-		t.Error("recovering: not opened though the budget holds it")
+		t.Error("recovering, budget of 6: mayCall = false for a call and a connection that cost 6, want true")
 	}
 	if engine.spendRecoveryBudget(endpoint); endpoint.recoveryBudget.tokens != 0 {
-		t.Errorf("recovering: %v of 6 left", endpoint.recoveryBudget.tokens)
+		t.Errorf("recovering: budget = %v after 6 of 6 were spent, want 0", endpoint.recoveryBudget.tokens)
 	}
 	endpoint.connections, endpoint.requiredTokens = endpoint.callsInFlight+1, 1
-	if full(1); !engine.mayCall(endpoint) {
-		t.Error("recovering: a connection that is there costs as much as a new one")
+	if setBudget(1); !engine.mayCall(endpoint) {
+		t.Error("recovering, budget of 1: mayCall = false for a call on an existing connection, want true")
 	}
-	// One more than the budget ever saves up is waited for, not given up.
+	// A connection that costs more than the budget usually saves up is waited for, not given up.
 	endpoint.connections, endpoint.connectCost = 0, 1000
-	if full(0); engine.nextSendTime(endpoint.limiter.destination) <= h.now {
-		t.Error("recovering: a costly connection is said to be possible now")
+	if setBudget(0); engine.nextSendTime(endpoint.limiter.destination) <= h.now {
+		t.Error("recovering, budget of 0: nextSendTime is now for a connection that costs 1000, want later")
 	}
 }
 
-// TestConnectCostIsSettled: a connection that was opened and not expected is paid for after, and one that was paid
-// for and not opened is given back.
+// TestConnectCostIsSettled checks that a connection that was opened unexpectedly is charged when its call ends, and
+// that the cost of an expected connection that was not opened is refunded.
 func TestConnectCostIsSettled(t *testing.T) {
 	entry := readyEndpoint(1, 100)
 	entry.ConnectCost = 5
@@ -119,24 +122,24 @@
 	h.step(h.message(0, 0))
 	before := level()
 	if !h.sends[0].OpensConnection {
-		t.Fatal("the first call is not to open a connection")
+		t.Fatal("first call: OpensConnection = false, want true")
 	}
 	if h.step(endOf(h.sends[0], Delivered)); level()-before != 5 {
-		t.Errorf("none was opened, and %v of 5 came back", level()-before)
+		t.Errorf("no connection was opened: %v tokens refunded, want 5", level()-before)
 	}
 	h.step(h.message(0, 0))
 	if h.sends[0].OpensConnection {
-		t.Fatal("the second call is to open one")
+		t.Fatal("second call: OpensConnection = true, want false")
 	}
 	before = level()
 	event := endOf(h.sends[0], Delivered)
 	event.ConnectionsOpened = 2
 	if h.step(event); before-level() != 10 {
-		t.Errorf("two were opened for it, and %v of 10 was paid", before-level())
+		t.Errorf("two unexpected connections were opened: %v tokens charged, want 10", before-level())
 	}
 	h.now += 10 * second
 	h.step(h.message(0, 0))
 	if h.step(endOf(h.sends[0], NotSent)); h.engine.nextConnectCost(endpoint) != 5 && len(h.sends) == 0 {
-		t.Error("after a call that found none, one is counted on")
+		t.Error("after a call that was not sent: an existing connection is assumed, want none")
 	}
 }
--- a/policy/dispatch_test.go
+++ b/policy/dispatch_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-// TestBatchSharesOneCall: what waits for one endpoint shares a call and a slot, and the call counts once.
+// TestBatchSharesOneCall checks that messages to one endpoint share a call and a slot, and that the call counts once.
 func TestBatchSharesOneCall(t *testing.T) {
 	settings := singleClassSettings()
 	settings.DestinationKinds[0].BatchSize = 3
@@ -17,11 +17,12 @@
 	h.now += second / 5
 	h.step(endOf(h.sends[0], Delivered))
 	if h.engine.callsInFlight != 1 {
-		t.Fatal("the slot was freed before the call's last outcome")
+		t.Fatalf("callsInFlight = %d before the last outcome of the call, want 1", h.engine.callsInFlight)
 	}
 }
 
-// TestQueueOrderedByWeight: what loses most by waiting goes first; what is over its tenant's quota goes last.
+// TestQueueOrderedByWeight checks that the message that loses most by waiting goes first, and that messages beyond
+// their tenant's quota go last.
 func TestQueueOrderedByWeight(t *testing.T) {
 	settings := singleClassSettings()
 	settings.Classes = append(
@@ -30,7 +31,7 @@
 	)
 	settings.Tenants = []Tenant{{Name: "a", Quota: 2}, {Name: "b", Quota: 100}}
 	h := newHarness(t, settings, readyEndpoint(1, 2))
-	h.step(h.message(0, 0)) // takes the window of one
+	h.step(h.message(0, 0)) // uses up the window of one call
 	var events []Event
 	for i := range 6 {
 		event := h.message(i%2, 0)
@@ -44,24 +45,26 @@
 	h.engine.orderQueue(h.engine.destinations[0])
 	q := h.engine.destinations[0].queue
 	if len(q) != 6 || q[0].class.Name != "heavy" || q[5].weight > 0.5 && q[4].weight > 0.5 {
-		t.Fatalf("queue of %d, first %s, last weight %v", len(q), q[0].class.Name, q[5].weight)
+		t.Fatalf("queue of %d, first of class %s, last weights %v, %v, want 6, heavy, one of them at most 0.5", len(q),
+			q[0].class.Name, q[4].weight, q[5].weight)
 	}
 }
 
-// TestMessageWithoutEndpoint: a message without a usable endpoint is pending, then answered in time by its class.
+// TestMessageWithoutEndpoint checks that a message without a usable endpoint stays pending, and is rejected before its
+// deadline.
 func TestMessageWithoutEndpoint(t *testing.T) {
 	h := newHarness(t, singleClassSettings())
 	h.step(h.message(0, 7))
 	if count(h.actions, ActTimer) != 1 || count(h.actions, ActReject) != 0 {
-		t.Fatalf("actions %+v", h.actions)
+		t.Fatalf("Step(message without endpoint) = %+v, want a timer and no rejection", h.actions)
 	}
 	h.now += 20*second - 5000
 	if h.step(); count(h.actions, ActReject) != 1 {
-		t.Fatalf("no answer before the deadline: %+v", h.actions)
+		t.Fatalf("Step shortly before the deadline = %+v, want a rejection", h.actions)
 	}
 }
 
-// BenchmarkStep shows what a message and its answer cost by the size of the fleet; nothing asserts a time.
+// BenchmarkStep measures the cost of a message and its answer by the number of endpoints. It enforces no time limit.
 func BenchmarkStep(b *testing.B) {
 	for _, n := range []int{20, 700} {
 		b.Run(fmt.Sprint(n, " endpoints"), func(b *testing.B) {
--- a/policy/endpoints_test.go
+++ b/policy/endpoints_test.go
@@ -2,7 +2,8 @@
 
 import "testing"
 
-// TestEndpointGoneAndMoved: what left or moved is not sent to, and is really let go.
+// TestEndpointGoneAndMoved checks that an endpoint that is gone or has moved to another destination gets no messages of
+// its old destination, and is removed from it.
 func TestEndpointGoneAndMoved(t *testing.T) {
 	h := newHarness(t, singleClassSettings(), readyEndpoint(1, 10), readyEndpoint(2, 10))
 	h.engine.recordFailure(h.engine.endpoints[1], h.now, true)
@@ -16,15 +17,15 @@
 	)
 	if len(h.engine.endpoints) != 1 || len(h.engine.destinationFor(0).limiters[0].endpoints) != 0 {
 		t.Fatalf(
-			"%d endpoints kept, %d at the old place",
+			"%d endpoints are known, %d at the old destination, want 1, 0",
 			len(h.engine.endpoints),
 			len(h.engine.destinationFor(0).limiters[0].endpoints),
 		)
 	}
 	if h.step(h.message(0, 0)); len(h.sends) != 0 {
-		t.Fatal("sent to an endpoint of another destination")
+		t.Fatalf("message to the old destination: %d sends, want 0", len(h.sends))
 	}
 	if h.step(h.message(0, 5)); len(h.sends) != 1 {
-		t.Fatal("not sent to the endpoint that moved here")
+		t.Fatalf("message to the new destination: %d sends, want 1", len(h.sends))
 	}
 }
--- a/policy/example_test.go
+++ b/policy/example_test.go
@@ -6,7 +6,7 @@
 	"troutusher/policy"
 )
 
-// A relay asks its engine what to do with a message, and tells it how the call went.
+// A relay submits a message to its engine, makes the call that the engine asks for, and reports the outcome.
 func Example() {
 	const second = policy.Time(1e6)
 	engine, err := policy.New(policy.Settings{
@@ -22,7 +22,7 @@
 		fmt.Println(err)
 		return
 	}
-	now := 100 * second // the host's own clock, never the engine's
+	now := 100 * second // the host's clock: the engine has none of its own
 	actions := engine.Step(now, []policy.Event{
 		{
 			Kind: policy.EvListUpdated, ListUpdate: policy.ListFull,
--- a/policy/fleet_test.go
+++ b/policy/fleet_test.go
@@ -6,30 +6,30 @@
 	"testing"
 )
 
-// fleet is many policies that share nothing, before one destination whose limit rejected calls use up as well: a
-// bucket that may fall into debt.
+// fleet simulates many relays that share no state, and one destination. Rejected calls use up the destination's limit
+// too: its token bucket may fall below 0.
 type fleet struct {
 	engines     []*Engine
-	rate        float64
+	rate        float64 // calls per second that the healthy destination accepts
 	tokens      float64
-	at          Time
+	tokensAt    Time
 	sent        []int // by relay
-	accepted    []int
+	accepted    []int // by relay
 	rejected    int
 	rng         *rand.Rand
 	timers      schedule[int]
 	answers     schedule[func()]
-	next        uint32
+	nextMessage uint32
 	attempts    map[uint32]int
-	submitted   []int
-	incarnation []int       // of relays that were started again: answers to the one before are lost; may be nil
-	passivated  []*Snapshot // of the destination, at relays that have put it away; may be nil
+	submitted   []int       // by relay
+	incarnation []int       // restarts by relay: a restarted relay gets no answers to earlier calls; may be nil
+	passivated  []*Snapshot // by relay, of relays that have passivated the destination; may be nil
 
-	downAt, upAt Time   // in between it takes no connection, and then it returns, recovering; 0 for never
-	received     []Time // what was sent to it since then
+	downAt, upAt Time   // the destination refuses connections between the two, then it recovers; 0 for no outage
+	received     []Time // when calls reached the destination after the outage
 }
 
-// capacityAt is the calls a second that it can do.
+// capacityAt returns the calls per second that the destination can process.
 func (f *fleet) capacityAt(now Time) float64 {
 	if f.upAt == 0 || now < f.upAt {
 		return f.rate
@@ -57,13 +57,13 @@
 		fleet.engines = append(fleet.engines, engine)
 		fleet.step(1000*second, i, listUpdate(ListFull, fleet.endpoints()...))
 	}
-	fleet.at = 1000 * second
+	fleet.tokensAt = 1000 * second
 	return fleet
 }
 
 func (f *fleet) accept(now Time) bool {
-	f.tokens = min(f.tokens+f.capacityAt(now)*float64(now-f.at)/1e6, f.capacityAt(now)/3)
-	f.at = now
+	f.tokens = min(f.tokens+f.capacityAt(now)*float64(now-f.tokensAt)/1e6, f.capacityAt(now)/3)
+	f.tokensAt = now
 	f.tokens--
 	if f.tokens >= 0 {
 		return true
@@ -72,12 +72,12 @@
 	return false
 }
 
-// endpoints are the two endpoints of the destination, as the list has them.
+// endpoints returns the list entries of the destination's two endpoints.
 func (f *fleet) endpoints() []EndpointUpdate {
 	return []EndpointUpdate{readyEndpoint(1, f.rate), readyEndpoint(2, f.rate)}
 }
 
-// step gives events to a relay; a message activates the destination that the relay has passivated.
+// step passes events to a relay. If the first is a message for the passivated destination, it activates that first.
 func (f *fleet) step(now Time, relay int, events ...Event) {
 	submitted := len(events) > 0 && events[0].Kind == EvMessageSubmitted
 	if submitted && f.passivated != nil && f.passivated[relay] != nil {
@@ -96,7 +96,7 @@
 	}
 }
 
-// send has a call reach the destination after 40 ms, and its answer come back after as long.
+// send makes a call reach the destination after 40 ms, and its answer reach the relay after another 40 ms.
 func (f *fleet) send(now Time, relay int, action Action) {
 	const oneWay = Time(40e3)
 	f.sent[relay]++
@@ -118,7 +118,7 @@
 	return f.incarnation[relay]
 }
 
-// receive is what becomes of a call as it reaches the destination.
+// receive returns the outcome of a call that reaches the destination now.
 func (f *fleet) receive(now Time, relay int) Outcome {
 	if f.downAt > 0 && now >= f.upAt {
 		f.received = append(f.received, now)
@@ -135,7 +135,7 @@
 	}
 }
 
-// overloads counts the windows of an overload duration in which more came than the destination bears.
+// overloads counts the calls at which the destination had got more in the last overload duration than it bears.
 func (f *fleet) overloads() (count int) {
 	settings := &f.engines[0].settings
 	span := float64(settings.OverloadDuration) / 1e6
@@ -151,19 +151,19 @@
 	return count
 }
 
-// play has messages come at so many a second to relays of unlike traffic.
-func (f *fleet) play(from, length Time, load float64) {
-	var at []Time
+// run submits messages at random times, load per second on average. Relays get different shares of the traffic.
+func (f *fleet) run(from, length Time, load float64) {
+	var arrivals []Time
 	for t := from; t < from+length; t += Time(f.rng.ExpFloat64() / load * 1e6) {
-		at = append(at, t)
+		arrivals = append(arrivals, t)
 	}
 	for now := from; now < from+length; now += 5000 {
-		for len(at) > 0 && at[0] <= now {
-			at = at[1:]
+		for len(arrivals) > 0 && arrivals[0] <= now {
+			arrivals = arrivals[1:]
 			relay := min(f.rng.IntN(len(f.engines)), f.rng.IntN(len(f.engines)))
-			f.next++
+			f.nextMessage++
 			f.submitted[relay]++
-			f.step(now, relay, Event{Kind: EvMessageSubmitted, Message: f.next, TimeLeft: 20 * second})
+			f.step(now, relay, Event{Kind: EvMessageSubmitted, Message: f.nextMessage, TimeLeft: 20 * second})
 		}
 		runDue(&f.answers, now)
 		for relay, ok := f.timers.popDue(now); ok; relay, ok = f.timers.popDue(now) {
@@ -172,86 +172,87 @@
 	}
 }
 
-// TestFleetStaysNearLimit: relays that share nothing, each of which sees little, together keep near a limit that
-// rejections use up, whatever their number; and nobody is shut out.
+// TestFleetStaysNearLimit checks that relays without shared state, each of which sees little of the traffic, together
+// send about as much as a limit that rejected calls use up too, whatever their number, and that no relay is starved.
 func TestFleetStaysNearLimit(t *testing.T) {
-	for n, used := range map[int]float64{3: 0.7, 20: 0.8, 300: 0.65} {
-		t.Run(fmt.Sprint(n), func(t *testing.T) {
+	for n, minUsed := range map[int]float64{3: 0.7, 20: 0.8, 300: 0.65} {
+		t.Run(fmt.Sprint(n, " relays"), func(t *testing.T) {
 			const rate, length = 90.0, 30 * second
 			fleet := newFleet(t, n, rate, 1)
-			fleet.play(1000*second, length, 1.3*rate)
-			sent, taken, none := 0, 0, 0
+			fleet.run(1000*second, length, 1.3*rate)
+			sent, accepted, starved := 0, 0, 0
 			for i := range fleet.engines {
 				sent += fleet.sent[i]
-				taken += fleet.accepted[i]
+				accepted += fleet.accepted[i]
 				if fleet.submitted[i] >= 5 && fleet.accepted[i] == 0 {
-					none++
+					starved++
 				}
 			}
-			room := rate * float64(length) / 1e6
-			if over := float64(sent) / room; over > 1.05 {
-				t.Errorf("sent %.2f times the limit, %d rejected", over, fleet.rejected)
+			limit := rate * float64(length) / 1e6
+			if ratio := float64(sent) / limit; ratio > 1.05 {
+				t.Errorf("sent = %.2f times the limit, want at most 1.05; %d calls were rejected", ratio, fleet.rejected)
 			}
-			if part := float64(taken) / room; part < used {
-				t.Errorf("only %.2f of the limit is used", part)
+			if used := float64(accepted) / limit; used < minUsed {
+				t.Errorf("accepted = %.2f of the limit, want at least %.2f", used, minUsed)
 			}
-			if none > n/25 {
-				t.Errorf("%d of %d relays had something to send and nothing taken", none, n)
+			if starved > n/25 {
+				t.Errorf("%d of %d relays had messages and none accepted, want at most %d", starved, n, n/25)
 			}
 			t.Logf(
-				"sent %.3f, taken %.3f of the limit; rejected %d; %d relays with nothing",
-				float64(sent)/room,
-				float64(taken)/room,
+				"sent %.3f, accepted %.3f of the limit; %d rejected; %d relays starved",
+				float64(sent)/limit,
+				float64(accepted)/limit,
 				fleet.rejected,
-				none,
+				starved,
 			)
 		})
 	}
 }
 
-// TestFleetRecoveryRamp: a destination that returns to a fleet with full queues is sent no more than it bears in any
-// overload duration, and gets a good part of it: relays that count the ramp from their own first success leave it
-// idle.
+// TestFleetRecoveryRamp checks that a destination that recovers while all relays have full queues gets no more than it
+// bears in any overload duration, and still a large part of that. Relays that start the ramp at their own first
+// success would leave it idle.
 func TestFleetRecoveryRamp(t *testing.T) {
-	for n, least := range map[int]float64{80: 0.93, 300: 0.77} {
-		mean := 0.0
+	for n, minUsed := range map[int]float64{80: 0.93, 300: 0.77} {
+		meanUsed := 0.0
 		for seed := range uint64(3) {
 			const rate, start = 90.0, 1000 * second
 			fleet := newFleet(t, n, rate, seed)
 			fleet.downAt, fleet.upAt = start+10*second, start+15*second
-			fleet.play(start, 30*second, 0.85*rate)
-			set := &fleet.engines[0].settings
-			worst, used, able, first := 0.0, 0.0, 0.0, len(fleet.received)
+			fleet.run(start, 30*second, 0.85*rate)
+			settings := &fleet.engines[0].settings
+			worst, used, capacity, first := 0.0, 0.0, 0.0, len(fleet.received)
 			for i, at := range fleet.received {
-				if at < fleet.upAt+set.RampDuration {
+				if at < fleet.upAt+settings.RampDuration {
 					used++
 				}
-				room := 0.0
-				for t := at - set.OverloadDuration; t < at; t += second / 10 {
-					room += set.OverloadFactor * fleet.capacityAt(max(t, fleet.upAt)) / 10
+				bearable := 0.0
+				for t := at - settings.OverloadDuration; t < at; t += second / 10 {
+					bearable += settings.OverloadFactor * fleet.capacityAt(max(t, fleet.upAt)) / 10
 				}
 				first = min(first, i)
-				for fleet.received[first] < at-set.OverloadDuration {
+				for fleet.received[first] < at-settings.OverloadDuration {
 					first++
 				}
-				worst = max(worst, float64(i-first+1)/room)
+				worst = max(worst, float64(i-first+1)/bearable)
 			}
-			for at := fleet.upAt; at < fleet.upAt+set.RampDuration; at += second / 10 {
-				able += fleet.capacityAt(at) / 10
+			for at := fleet.upAt; at < fleet.upAt+settings.RampDuration; at += second / 10 {
+				capacity += fleet.capacityAt(at) / 10
 			}
-			mean += used / able / 3
+			meanUsed += used / capacity / 3
 			if worst > 1 {
-				t.Errorf("%d relays, seed %d: %.2f times what it bears in an overload duration", n, seed, worst)
+				t.Errorf("%d relays, seed %d: calls in an overload duration = %.2f times what it bears, want at most 1",
+					n, seed, worst)
 			}
 		}
-		if mean < least {
-			t.Errorf("%d relays: sent %.2f of what it can do", n, mean)
+		if meanUsed < minUsed {
+			t.Errorf("%d relays: calls during the ramp = %.2f of the capacity, want at least %.2f", n, meanUsed, minUsed)
 		}
 	}
 }
 
-// TestRateReductionAfterRejection: a rejection holds a relay to less than it has sent itself, at least to half of an
-// even share, with nothing saved up; and time gives it back.
+// TestRateReductionAfterRejection checks that a rejection limits a relay to less than it has sent itself, but at least
+// to half of an even share, with no tokens saved up, and that the rate rises again with time.
 func TestRateReductionAfterRejection(t *testing.T) {
 	settings := singleClassSettings()
 	settings.Relays = 100
@@ -261,7 +262,7 @@
 	for range 20 { // two a second
 		h.step(h.message(0, 0))
 		if len(h.sends) != 1 {
-			t.Fatalf("%d sends", len(h.sends))
+			t.Fatalf("step with one message: %d sends, want 1", len(h.sends))
 		}
 		h.now += second / 2
 		h.step(endOf(h.sends[0], Delivered))
@@ -269,30 +270,31 @@
 	h.step(h.message(0, 0))
 	h.step(endOf(h.sends[0], Rejected))
 	if limiter.reducedRate < 0.9 || limiter.reducedRate > 1.1 || before < 5 {
-		t.Errorf("%.2f a second after a rejection at 2 a second, %.2f before", limiter.reducedRate, before)
+		t.Errorf("rate = %.2f per second before, %.2f after a rejection at 2 calls per second, want at least 5, then 1",
+			before, limiter.reducedRate)
 	}
 	h.now += 10 * second
 	h.step(h.message(0, 0), h.message(0, 0), h.message(0, 0))
 	got, want := h.engine.rateLimit(limiter), limiter.reducedRate+10*reducedRateRecovery*2
 	if got < want-0.01 || got > want+0.01 {
-		t.Errorf("%.2f a second after 10 s, want %.2f", got, want)
+		t.Errorf("rateLimit = %.2f per second 10 s after the rejection, want %.2f", got, want)
 	}
 	if len(h.sends) != 1 {
-		t.Fatalf("%d go at once after a rejection", len(h.sends))
+		t.Fatalf("step with three messages after a rejection: %d sends, want 1", len(h.sends))
 	}
 	again := h.sends[0]
-	if again.Message == 21 { // what was rejected goes first
+	if again.Message == 21 { // the rejected message is sent first
 		again.Attempt = 1
 	}
 	h.now += 11 * second
-	h.step(endOf(again, Rejected)) // nothing sent of late: the share's part is left
+	h.step(endOf(again, Rejected)) // nothing was sent recently, so the least rate applies
 	if least := minReducedShare * 2.0; limiter.reducedRate != least {
-		t.Errorf("%.2f a second, want %.2f", limiter.reducedRate, least)
+		t.Errorf("rate after another rejection = %.2f per second, want %.2f", limiter.reducedRate, least)
 	}
 }
 
-// TestFleetStart: what comes to most relays of a large fleet as they start again must not go out in one burst, as a
-// limiter's bucket allows to each of a few.
+// TestFleetStart guards against a burst at the start of a large fleet: if every relay started with the full token
+// bucket that is right for a few relays, all would send the messages that they get first at once.
 func TestFleetStart(t *testing.T) {
 	for n, most := range map[int]int{2: 8, 80: 1, 300: 1} {
 		settings := singleClassSettings()
@@ -304,38 +306,43 @@
 			all = append(all, h.message(0, 0))
 		}
 		if h.step(all...); len(h.sends) > most || n == 2 && len(h.sends) < 5 {
-			t.Errorf("%d relays: each sends %d at once, want %d at most", n, len(h.sends), most)
+			t.Errorf("%d relays: first step sends %d of 8 messages, want at most %d, and at least 5 with 2 relays",
+				n, len(h.sends), most)
 		}
 	}
 }
 
-// TestLoweredLimit: a limit that falls to a fifth for 9 s, with the list still telling the old one, is found by
-// relays that are rejected once in seconds; what is over it falls, and the limit is used again soon after.
+// TestLoweredLimit checks that relays adapt to a limit that falls to a fifth for 9 s while the list still has the old
+// one, although each relay is rejected only once in several seconds; and that they soon use the restored limit again.
 func TestLoweredLimit(t *testing.T) {
 	for n, most := range map[int]float64{80: 2, 300: 3} {
 		const rate, start = 90.0, 1000 * second
 		fleet := newFleet(t, n, rate, 2)
-		total := func() (sent, taken float64) {
+		total := func() (sent, accepted float64) {
 			for i := range fleet.sent {
-				sent, taken = sent+float64(fleet.sent[i]), taken+float64(fleet.accepted[i])
+				sent += float64(fleet.sent[i])
+				accepted += float64(fleet.accepted[i])
 			}
-			return sent, taken
+			return sent, accepted
 		}
-		fleet.play(start, 10*second, 0.8*rate)
+		fleet.run(start, 10*second, 0.8*rate)
 		fleet.rate = rate / 5
-		fleet.play(start+10*second, 5*second, 0.8*rate)
-		before, _ := total()
-		fleet.play(start+15*second, 4*second, 0.8*rate)
-		after, _ := total()
+		fleet.run(start+10*second, 5*second, 0.8*rate)
+		sentBefore, _ := total()
+		fleet.run(start+15*second, 4*second, 0.8*rate)
+		sentAfter, _ := total()
 		fleet.rate = rate
-		fleet.play(start+19*second, 6*second, 0.8*rate)
-		_, was := total()
-		fleet.play(start+25*second, 5*second, 0.8*rate)
-		_, taken := total()
-		over, used := (after-before)/(4*rate/5), (taken-was)/(5*rate)
-		t.Logf("%d relays: %.2f times the lowered limit after 5 s, %.2f of the restored one after 6 s", n, over, used)
-		if over > most || used < 0.6 {
-			t.Errorf("%d relays: %.2f times the lowered limit, %.2f of the restored one", n, over, used)
+		fleet.run(start+19*second, 6*second, 0.8*rate)
+		_, acceptedBefore := total()
+		fleet.run(start+25*second, 5*second, 0.8*rate)
+		_, acceptedAfter := total()
+		overLimit := (sentAfter - sentBefore) / (4 * rate / 5)
+		used := (acceptedAfter - acceptedBefore) / (5 * rate)
+		t.Logf("%d relays: sent %.2f times the lowered limit after 5 s, accepted %.2f of the restored one after 6 s",
+			n, overLimit, used)
+		if overLimit > most || used < 0.6 {
+			t.Errorf("%d relays: sent %.2f times the lowered limit, accepted %.2f of the restored one, "+
+				"want at most %.2f and at least 0.60", n, overLimit, used, most)
 		}
 	}
 }
--- a/policy/guards_test.go
+++ b/policy/guards_test.go
@@ -10,7 +10,7 @@
 	"unicode/utf8"
 )
 
-// policyFiles are the files that hold a choice, as the deploy file lists them.
+// policyFiles returns the files that make decisions, as the deployment file lists them.
 func policyFiles(t *testing.T) []string {
 	t.Helper()
 	text, err := os.ReadFile("../deploy/balancer.toml")
@@ -19,7 +19,7 @@
 	}
 	list := regexp.MustCompile(`(?m)^policy = \[(.*)\]$`).FindStringSubmatch(string(text))
 	if list == nil {
-		t.Fatal("the deploy file lists no policy files")
+		t.Fatal("../deploy/balancer.toml has no line with a list of policy files")
 	}
 	var files []string
 	for _, quoted := range strings.Split(list[1], ",") {
@@ -28,8 +28,8 @@
 	return files
 }
 
-// TestLimits holds the limits on the text of the files that hold a choice: their lines that are not blank, all
-// together, and the width of a line.
+// TestLimits checks the limits on the source of the files that make decisions: the total number of lines that are not
+// blank, and the width of each line. It also checks that the first lines of the package comment name api.go.
 func TestLimits(t *testing.T) {
 	const maxLines, maxColumns = 1200, 110
 	total := 0
@@ -43,117 +43,163 @@
 				total++
 			}
 			if width := utf8.RuneCountInString(strings.ReplaceAll(line, "\t", "    ")); width > maxColumns {
-				t.Errorf("%s:%d has %d columns", file, i+1, width)
+				t.Errorf("%s:%d has %d columns, want at most %d", file, i+1, width, maxColumns)
 			}
 		}
 	}
 	if total > maxLines {
-		t.Errorf("%d lines that are not blank, at most %d", total, maxLines)
+		t.Errorf("policy files have %d lines that are not blank, want at most %d", total, maxLines)
 	}
 	text, err := os.ReadFile("engine.go")
 	if err != nil {
 		t.Fatal(err)
 	}
 	if first := strings.SplitAfterN(string(text), "\n", 4); !strings.Contains(strings.Join(first[:3], ""), "api.go") {
-		t.Error("the first lines of the package's comment do not name api.go")
+		t.Error("the first three lines of the package comment in engine.go do not name api.go")
 	}
 }
 
-// guard is a condition of the engine: its text, what stands in its place in a mutant, and the test that must fail for
-// that.
+// guard is a condition in the engine's source: its text, the text that replaces it in a mutant, and the test that must
+// fail for that mutant.
 type guard struct{ name, text, replacement, test string }
 
 var guards = []guard{
-	{"drain", "ep.state != Ready || ep.identityRejectedUntil", "ep.identityRejectedUntil", "TestRules"},
-	{"identity", "ep.identityRejectedUntil > now || ep.limiter", "ep.limiter", "TestIdentityRejected"},
 	{
-		"cost of a connection",
+		"endpoint that is draining",
+		"ep.state != Ready || ep.identityRejectedUntil",
+		"ep.identityRejectedUntil",
+		"TestRules",
+	},
+	{
+		"endpoint whose identity is rejected",
+		"ep.identityRejectedUntil > now || ep.limiter",
+		"ep.limiter",
+		"TestIdentityRejected",
+	},
+	{
+		"cost of a connection in the recovery budget",
 		"endpoint.requiredTokens * (1 + e.nextConnectCost(endpoint))",
 		"endpoint.requiredTokens",
 		"TestConnectCostIsPaid",
 	},
-	{"recovering", "Recovering: call.endpoint.unhealthy", "Recovering: false", "TestSendTellsOfRecovery"},
 	{
-		"connections opened", "e.settleConnectCost(call, event)", "_ = e.settleConnectCost",
+		"endpoint reported as recovering",
+		"Recovering: call.endpoint.unhealthy",
+		"Recovering: false",
+		"TestSendReportsRecovery",
+	},
+	{
+		"settlement of connections opened",
+		"e.settleConnectCost(call, event)",
+		"_ = e.settleConnectCost",
 		"TestConnectCostIsSettled",
 	},
 	{
-		"burst of a connection", "depth = max(depth, 1+endpoint.connectCost)", "_ = 0",
+		"burst of a connection",
+		"depth = max(depth, 1+endpoint.connectCost)",
+		"_ = 0",
 		"TestRecoveryBudgetWithConnections",
 	},
-	{"retry after", " || ep.limiter.retryAfterUntil > now ||\n", " ||\n", "TestRules"},
+	{"Retry-After", " || ep.limiter.retryAfterUntil > now ||\n", " ||\n", "TestRules"},
 	{
-		"non-idempotent", "if message.firstUncertainAt == 0 || message.class.Idempotency == Idempotent {",
-		"if message.firstUncertainAt == 0 || message.class.Idempotency != IdempotentByKey {", "TestRules",
+		"retry of a non-idempotent message",
+		"if message.firstUncertainAt == 0 || message.class.Idempotency == Idempotent {",
+		"if message.firstUncertainAt == 0 || message.class.Idempotency != IdempotentByKey {",
+		"TestRules",
 	},
-	{"dedup window", " || e.now >= e.lastByteDeadline(message)", "", "TestRules"},
+	{"retry within the dedup window", " || e.now >= e.lastByteDeadline(message)", "", "TestRules"},
 	{
-		"dedup window of a late connection", "LastByteBy: e.lastByteDeadline(message),", "LastByteBy: 0,",
+		"dedup window when a connection opens late",
+		"LastByteBy: e.lastByteDeadline(message),",
+		"LastByteBy: 0,",
 		"TestRetriesStayInDedupWindow",
 	},
 	{
-		"transit of a retry", "max(2*e.settings.TickInterval, min(dedupTransitTime, window/20))",
-		"2 * e.settings.TickInterval", "TestRetriesStayInDedupWindow",
+		"time for a retry to arrive",
+		"max(2*e.settings.TickInterval, min(dedupTransitTime, window/20))",
+		"2 * e.settings.TickInterval",
+		"TestRetriesStayInDedupWindow",
+	},
+	{
+		"retry in the zone that knows the key",
+		"class.DedupPerZone && endpoint.zone != message.firstUncertainZone",
+		"false",
+		"TestRules",
 	},
-	{"dedup zone", "class.DedupPerZone && endpoint.zone != message.firstUncertainZone", "false", "TestRules"},
-	{"order", "queue.first() != message || ", "", "TestRules"},
+	{"order within a key", "queue.first() != message || ", "", "TestRules"},
 	{"backoff of a key", "message.attempts == 0 && queue.backoffUntil > e.now", "false", "TestRules"},
-	{"answer in time", "inTime && (message.call", "(message.call", "TestRules"},
-	{"attempts", "limit > 0 && counted >= limit", "limit > 0 && counted < 0", "TestRules"},
+	{"answer before the deadline", "inTime && (message.call", "(message.call", "TestRules"},
+	{"limit of attempts", "limit > 0 && counted >= limit", "limit > 0 && counted < 0", "TestRules"},
 	{
-		"attempts not sent",
+		"attempts that were not sent do not count",
 		"if event.NotCounted && message.uncountedAttempts < e.settings.MaxAttempts {",
 		"if false {",
 		"TestUnsentAttemptsNotCounted",
 	},
 	{
-		"attempts never sent",
+		"limit of attempts that do not count",
 		"event.NotCounted && message.uncountedAttempts < e.settings.MaxAttempts",
 		"event.NotCounted",
 		"TestUnsentAttemptsNotCounted",
 	},
 	{
-		"untried first", "if message.recoveredUntried && message.deadline > soonest {", "if false {",
+		"recovered untried messages go first",
+		"if message.recoveredUntried && message.deadline > soonest {",
+		"if false {",
 		"TestRecoveredUntriedGoFirst",
 	},
 	{
-		"untried kept", "!e.rejectable(message) || message.recoveredUntried", "!e.rejectable(message)",
+		"recovered untried messages are not shed",
+		"!e.rejectable(message) || message.recoveredUntried",
+		"!e.rejectable(message)",
 		"TestRecoveredUntriedGoFirst",
 	},
 	{
-		"untried until tried", "message.recoveredUntried = message.recoveredUntried && event.NotCounted", "_ = 0",
+		"recovered messages lose priority once tried",
+		"message.recoveredUntried = message.recoveredUntried && event.NotCounted",
+		"_ = 0",
 		"TestRecoveredUntriedGoFirst",
 	},
 	{
-		"rejection", "return class.Idempotency == IdempotentByKey && !class.DedupPerZone",
-		"return class.Idempotency == IdempotentByKey", "TestRules",
+		"rejection of a message that may have run",
+		"return class.Idempotency == IdempotentByKey && !class.DedupPerZone",
+		"return class.Idempotency == IdempotentByKey",
+		"TestRules",
+	},
+	{"recovery budget", "budget.depth) >= budget.cost", "budget.depth) >= -99", "TestRecoveryBudget"},
+	{
+		"single failures are no outage",
+		"failed.unhealthy || !mostFail",
+		"true",
+		"TestPartialSuccessKeepsRecoveryBudget",
 	},
-	{"budget", "budget.depth) >= budget.cost", "budget.depth) >= -99", "TestRecoveryBudget"},
-	{"outage", "failed.unhealthy || !mostFail", "true", "TestPartialSuccessKeepsRecoveryBudget"},
 	{
-		"cancellation", "e.cancelOverdueCall(call)\n\t}\n\tlimiter.rateBound", "}\n\tlimiter.rateBound",
+		"cancellation of overdue calls",
+		"e.cancelOverdueCall(call)\n\t}\n\tlimiter.rateBound",
+		"}\n\tlimiter.rateBound",
 		"TestOverdueCallsAreCancelled",
 	},
 }
 
-const mutantVariable = "POLICY_MUTANT" // set where the tests of a mutant run
+const mutantVariable = "POLICY_MUTANT" // environment variable that is set in test runs of a mutant
 
-// TestGuardsMatter takes one guard at a time out of a copy of the module and expects its test to fail: the checker
-// can tell, and no second path hides the loss.
+// TestGuardsMatter is a mutation test. It disables one guard at a time in a copy of the package, and expects the test
+// of the guard to fail. This guards against tests that cannot detect a missing guard, and against other code that hides
+// its absence.
 func TestGuardsMatter(t *testing.T) {
 	if os.Getenv(mutantVariable) != "" {
-		t.Skip("a mutant does not mutate")
+		t.Skip("this is a test run of a mutant, which makes no further mutants")
 	}
 	goTool, err := exec.LookPath("go")
 	if err != nil {
-		t.Fatal("the go tool is needed: ", err)
+		t.Fatal("find the go tool: ", err)
 	}
-	t.Run("none", func(t *testing.T) {
+	t.Run("unchanged copy", func(t *testing.T) {
 		t.Parallel()
 		dir := copyModule(t)
 		out, err := testMutant(goTool, dir, "TestRules|TestRecoveryBudget|TestOverdueCallsAreCancelled")
 		if err != nil {
-			t.Fatalf("the copy itself fails:\n%s", out)
+			t.Fatalf("tests of the unchanged copy fail:\n%s", out)
 		}
 	})
 	for _, guard := range guards {
@@ -163,15 +209,15 @@
 			removeGuard(t, dir, guard)
 			switch out, err := testMutant(goTool, dir, guard.test); {
 			case err == nil:
-				t.Fatalf("without the guard %s still passes", guard.test)
+				t.Fatalf("%s passes without the guard, want a failure", guard.test)
 			case !strings.Contains(out, "--- FAIL"):
-				t.Fatalf("the mutant does not build:\n%s", out)
+				t.Fatalf("the mutant without the guard failed before its tests, probably to build:\n%s", out)
 			}
 		})
 	}
 }
 
-// copyModule copies the package into a module of its own.
+// copyModule copies the package's source into a temporary module.
 func copyModule(t *testing.T) string {
 	t.Helper()
 	dir := t.TempDir()
@@ -181,7 +227,7 @@
 	}
 	for _, file := range files {
 		if file == "example_test.go" {
-			continue // it imports the module by name
+			continue // it imports the package by its path, which the copy does not have
 		}
 		text, err := os.ReadFile(file)
 		if err != nil {
@@ -197,7 +243,7 @@
 	return dir
 }
 
-// removeGuard replaces the text of a guard, which stands once in the files that hold a choice.
+// removeGuard replaces the text of a guard, which must occur exactly once in the policy files.
 func removeGuard(t *testing.T, dir string, guard guard) {
 	t.Helper()
 	found := 0
@@ -218,11 +264,11 @@
 		}
 	}
 	if found != 1 {
-		t.Fatalf("%q stands %d times in the files that hold a choice", guard.text, found)
+		t.Fatalf("guard text %q occurs %d times in the policy files, want 1", guard.text, found)
 	}
 }
 
-// testMutant runs tests of a copy, and gives what they print.
+// testMutant runs tests of a copy and returns their output.
 func testMutant(goTool, dir, tests string) (string, error) {
 	cmd := exec.Command(goTool, "test", "-vet=off", "-run", "^("+tests+")$", ".")
 	cmd.Dir = dir
--- a/policy/harness_test.go
+++ b/policy/harness_test.go
@@ -2,7 +2,7 @@
 
 import "testing"
 
-// singleClassSettings returns settings for a relay with one idempotent class and one kind of destination.
+// singleClassSettings returns settings with one idempotent class and one kind of destination.
 func singleClassSettings() Settings {
 	return Settings{
 		Relays:             2,
@@ -32,15 +32,15 @@
 	}
 }
 
-// harness drives an engine by hand.
+// harness steps an engine through events that a test chooses, at times that it chooses.
 type harness struct {
 	t           *testing.T
 	engine      *Engine
 	now         Time
-	actions     []Action
+	actions     []Action // of the last step
 	nextMessage uint32
-	sends       []Action
-	sentAt      []Time
+	sends       []Action // the ActSend actions of the last step
+	sentAt      []Time   // times of all sends so far
 }
 
 func newHarness(t *testing.T, settings Settings, entries ...EndpointUpdate) *harness {
@@ -87,7 +87,7 @@
 	return n
 }
 
-// listUpdate is an update of the endpoint list.
+// listUpdate returns an update of the endpoint list.
 func listUpdate(kind ListUpdateKind, updates ...EndpointUpdate) Event {
 	return Event{Kind: EvListUpdated, ListUpdate: kind, Updates: updates}
 }
@@ -108,13 +108,14 @@
 	}
 }
 
-// rampShare is the share of its capacity that a destination has so long after its return.
+// rampShare returns the share of its capacity that a destination has some time after the end of its outage.
 func rampShare(settings *Settings, elapsed Time) float64 {
 	initial := settings.InitialCapacity
 	return initial + (1-initial)*float64(elapsed)/float64(settings.RampDuration)
 }
 
-// runOutage sends a message each 100 ms; calls have the outcome from the first second to the twelfth.
+// runOutage submits a message every 100 ms for 40 s. Calls sent in the outage, from 1 s to 12 s, have the given
+// outcome; all others are delivered.
 func runOutage(t *testing.T, settings Settings, rate float64, outcome Outcome) *harness {
 	t.Helper()
 	h := newHarness(t, settings, readyEndpoint(1, rate/2), readyEndpoint(2, rate/2))
@@ -166,7 +167,7 @@
 			h.engine.recordFailure(endpoint, h.now, false)
 		}
 		if !endpoint.unhealthy {
-			h.t.Fatalf("endpoint %d is healthy", endpoint.id)
+			h.t.Fatalf("endpoint %d after three failures: unhealthy = false, want true", endpoint.id)
 		}
 	}
 }
--- a/policy/identity_test.go
+++ b/policy/identity_test.go
@@ -2,8 +2,8 @@
 
 import "testing"
 
-// TestIdentityRejected: where an endpoint's identity is not proved nothing goes, others serve, and what cannot wait
-// is rejected at once with the time to come back.
+// TestIdentityRejected checks that nothing is sent to an endpoint whose identity is rejected, that other endpoints
+// replace it, and that messages that cannot wait are rejected at once with a Retry-After.
 func TestIdentityRejected(t *testing.T) {
 	settings := singleClassSettings()
 	settings.MaxRetryAfter = 100 * second
@@ -13,37 +13,38 @@
 		h.step(h.message(0, 0))
 		for _, action := range h.sends {
 			if action.Endpoint != 2 {
-				t.Fatalf("sent to an endpoint whose identity is rejected")
+				t.Fatalf("message was sent to endpoint %d, whose identity is rejected, want endpoint 2", action.Endpoint)
 			}
 			h.step(endOf(action, Delivered))
 		}
 	}
 	if !h.engine.Avoids(1, h.now) || h.engine.Avoids(2, h.now) {
-		t.Error("it is not avoided, or the other one is")
+		t.Errorf("Avoids(1), Avoids(2) = %v, %v, want true, false", h.engine.Avoids(1, h.now), h.engine.Avoids(2, h.now))
 	}
-	// Neither may be called now: one for longer than a message may take, one for less.
+	// Now both are rejected, endpoint 1 until after a new message's deadline, endpoint 2 until before it.
 	h.step(Event{Kind: EvIdentityRejected, Endpoint: 2, RetryAfter: 5 * second})
 	if h.step(h.message(0, 0)); len(h.sends) != 0 || count(h.actions, ActReject) != 0 {
-		t.Fatalf("one comes back within 5 s: %v", h.actions)
+		t.Fatalf("message while endpoint 2 is rejected for 5 s: actions %v, want no send and no rejection", h.actions)
 	}
 	h.step(Event{Kind: EvIdentityRejected, Endpoint: 2, RetryAfter: 70 * second})
 	if count(h.actions, ActReject) != 1 {
-		t.Fatalf("what was pending is not rejected: %v", h.actions)
+		t.Fatalf("endpoint 2 rejected for 70 s: actions %v, want a rejection of the pending message", h.actions)
 	}
 	h.step(h.message(0, 0))
 	if len(h.actions) == 0 || h.actions[0].Kind != ActReject || h.actions[0].After < 60*second ||
 		h.actions[0].After > 61*second {
-		t.Fatalf("want a rejection with the 60 s until the first may be called again: %v", h.actions)
+		t.Fatalf("message while both endpoints are rejected: actions %v, want a rejection first, with a wait of 60 s",
+			h.actions)
 	}
 	h.step(Event{Kind: EvIdentityRejected, Endpoint: 1}, h.message(0, 0))
 	if len(h.sends) != 1 || h.sends[0].Endpoint != 1 {
-		t.Fatalf("proved again, and nothing goes there: %v", h.actions)
+		t.Fatalf("endpoint 1 is accepted again: actions %v, want a send there", h.actions)
 	}
-	// Time alone lifts it too.
+	// The end of the wait lifts the rejection too.
 	h = newHarness(t, singleClassSettings(), readyEndpoint(1, 100))
 	h.step(Event{Kind: EvIdentityRejected, Endpoint: 1, RetryAfter: second}, h.message(0, 0))
 	h.now += second + 5000
 	if h.step(Event{Kind: EvTimer}); len(h.sends) != 1 {
-		t.Fatalf("the time is over, and nothing goes there: %v", h.actions)
+		t.Fatalf("after the wait of 1 s: actions %v, want a send", h.actions)
 	}
 }
--- a/policy/outcome_test.go
+++ b/policy/outcome_test.go
@@ -2,8 +2,8 @@
 
 import "testing"
 
-// TestBackoffAfterRejection: the first backoff after a rejection without a Retry-After is this relay's turn at the
-// limit, but no longer than a message has to its objective.
+// TestBackoffAfterRejection checks the first backoff after a rejection without a Retry-After: about the interval
+// between this relay's calls at an even share of the limit, but at most about the latency objective.
 func TestBackoffAfterRejection(t *testing.T) {
 	for _, n := range []int{2, 7, 400} {
 		settings := singleClassSettings()
@@ -18,15 +18,16 @@
 			},
 			&Event{Kind: EvAttemptEnded, Outcome: Rejected},
 		)
-		turn := min(Time(n)*second/4, 2*second)
-		if backoff := limiter.backoffUntil - h.now; backoff < turn/2 || backoff > turn*3/2 {
-			t.Errorf("%d relays: a backoff of %d ms at 4 calls a second", n, backoff/1000)
+		interval := min(Time(n)*second/4, 2*second)
+		if backoff := limiter.backoffUntil - h.now; backoff < interval/2 || backoff > interval*3/2 {
+			t.Errorf("%d relays, 4 calls per second: backoff = %d ms, want %d to %d ms", n, backoff/1000,
+				interval/2000, interval*3/2000)
 		}
 	}
 }
 
-// TestRetryAfterOfRemovedRoute: a Retry-After that comes after its route has left the list binds it when it comes
-// back, whichever is first.
+// TestRetryAfterOfRemovedRoute checks that a Retry-After that arrives after its route has left the list holds for the
+// route when it is listed again, both if it arrives before and if it arrives after that.
 func TestRetryAfterOfRemovedRoute(t *testing.T) {
 	for _, order := range []string{"Retry-After, return", "return, Retry-After"} {
 		settings := singleClassSettings()
@@ -50,7 +51,7 @@
 		}
 		for h.now < end-second/10 {
 			if len(h.sends) > 0 {
-				t.Fatalf("%s: sent %d before the end of the wait", order, end-h.now)
+				t.Fatalf("%s: a message was sent %d µs before the end of the Retry-After", order, end-h.now)
 			}
 			h.now += second / 10
 			h.step(h.message(0, 0))
@@ -62,13 +63,13 @@
 			}
 		}
 		if len(h.sends) == 0 {
-			t.Errorf("%s: nothing is sent after the wait", order)
+			t.Errorf("%s: no message was sent within 4 s after the Retry-After", order)
 		}
 	}
 }
 
-// TestRemovedRouteIsForgotten: one with a Retry-After that came after it left, and that does not come back, is kept
-// for that time and no longer.
+// TestRemovedRouteIsForgotten guards against state that grows with every removed route: a route whose Retry-After
+// arrives after its removal, and that is not listed again, is kept until the end of the Retry-After and no longer.
 func TestRemovedRouteIsForgotten(t *testing.T) {
 	settings := singleClassSettings()
 	settings.DestinationKinds[0].IndependentRoutes = true
@@ -80,26 +81,26 @@
 	gone.State = Gone
 	h.step(listUpdate(ListDelta, gone))
 	if h.step(rejection); len(h.engine.endpoints) != 1 {
-		t.Error("forgotten within its wait")
+		t.Errorf("%d endpoints are known during the Retry-After, want 1", len(h.engine.endpoints))
 	}
 	h.now += 3 * second
 	if h.step(Event{Kind: EvTimer}); len(h.engine.endpoints) != 0 {
-		t.Error("kept after its wait")
+		t.Errorf("%d endpoints are known after the Retry-After, want 0", len(h.engine.endpoints))
 	}
 }
 
-// TestRetryAfterOfUnsentCall: where the relay itself could open nothing, it backs off, and does not blame the
-// destination.
+// TestRetryAfterOfUnsentCall checks that the relay backs off, and counts no failure of the endpoint, if it could not
+// open a connection for reasons of its own.
 func TestRetryAfterOfUnsentCall(t *testing.T) {
 	h := newHarness(t, singleClassSettings(), readyEndpoint(1, 1000))
 	h.step(h.message(0, 0))
 	event := endOf(h.sends[0], NotSent)
 	event.RetryAfter = second
 	if h.step(event); len(h.sends) != 0 || h.engine.endpoints[1].failureScore != 0 {
-		t.Fatalf("sent again at once, or blamed: %v", h.actions)
+		t.Fatalf("Step(NotSent) = %v, failureScore = %v, want no send, 0", h.actions, h.engine.endpoints[1].failureScore)
 	}
 	h.now += second + 5000
 	if h.step(Event{Kind: EvTimer}); len(h.sends) != 1 {
-		t.Fatalf("not sent after the wait: %v", h.actions)
+		t.Fatalf("Step after the backoff = %v, want a send", h.actions)
 	}
 }
--- a/policy/passivate_test.go
+++ b/policy/passivate_test.go
@@ -2,22 +2,23 @@
 
 import "testing"
 
-// passivate has all relays passivate the destination.
+// passivate makes all relays passivate the destination.
 func (f *fleet) passivate(t *testing.T, now Time) {
 	t.Helper()
 	f.passivated = make([]*Snapshot, len(f.engines))
 	for i, engine := range f.engines {
 		if !engine.CanPassivate(now, 0) {
-			t.Fatalf("relay %d: not idle at %d s", i, now/second)
+			t.Fatalf("relay %d: CanPassivate(0) = false at %d s, want true", i, now/second)
 		}
 		f.passivated[i] = engine.Passivate(now, 0)
 		if destinations, endpoints := len(engine.destinations), len(engine.endpoints); destinations+endpoints > 0 {
-			t.Fatalf("relay %d keeps %d destinations and %d endpoints", i, destinations, endpoints)
+			t.Fatalf("relay %d after Passivate: %d destinations and %d endpoints are left, want none", i, destinations,
+				endpoints)
 		}
 	}
 }
 
-// activateOthers has each relay activate four other destinations.
+// activateOthers makes each relay activate four other destinations.
 func (f *fleet) activateOthers(now Time) {
 	for i := range f.engines {
 		for k := range 4 {
@@ -31,52 +32,54 @@
 	}
 }
 
-// TestActivatedMayBeRecovering: a destination that nobody sent to for minutes was down meanwhile, unseen, and
-// recovers as the burst comes: relays that passivated it do not overload it; relays that held it for as healthy as it
-// was do, so that this can fail. Nobody starves.
+// TestActivatedMayBeRecovering guards against an outage that nobody noticed: a destination without traffic for minutes
+// was down in that time, and a burst of messages comes while it recovers. Relays that passivated it must not overload
+// it, and most messages must still be accepted. Relays that did not passivate it assume that it is still healthy; 300
+// of them do overload it, which shows that the simulation can detect an overload.
 func TestActivatedMayBeRecovering(t *testing.T) {
 	for _, n := range []int{3, 80, 300} {
-		overloads, without := 0, 0 // after a passivation, and without one
+		overloads, overloadsWithout := 0, 0 // with and without a passivation
 		for seed := range uint64(4) {
 			overloads += burstAfterIdleOutage(t, n, seed, true)
-			without += burstAfterIdleOutage(t, n, seed, false)
+			overloadsWithout += burstAfterIdleOutage(t, n, seed, false)
 		}
-		t.Logf("%d relays: %d windows over the budget after a passivation, %d without one", n, overloads, without)
-		if overloads > 0 || without == 0 && n == 300 {
-			t.Errorf("%d relays: %d windows over the budget after a passivation, %d without one", n, overloads, without)
+		t.Logf("%d relays: %d overloads after a passivation, %d without one", n, overloads, overloadsWithout)
+		if overloads > 0 || overloadsWithout == 0 && n == 300 {
+			t.Errorf("%d relays: %d overloads after a passivation, %d without one, want 0, and above 0 with 300 relays",
+				n, overloads, overloadsWithout)
 		}
 	}
 }
 
-// burstAfterIdleOutage counts the overloads of a burst that comes as the destination returns.
+// burstAfterIdleOutage counts the overloads by a burst of messages that comes while the destination recovers.
 func burstAfterIdleOutage(t *testing.T, n int, seed uint64, passivate bool) int {
 	t.Helper()
 	const rate, begin = 90.0, 1000 * second
 	fleet := newFleet(t, n, rate, seed)
-	fleet.play(begin, 20*second, 0.5*rate)
-	fleet.play(begin+20*second, 26*second, 0.001) // what is pending ends
+	fleet.run(begin, 20*second, 0.5*rate)
+	fleet.run(begin+20*second, 26*second, 0.001) // almost no traffic: pending messages end
 	fleet.downAt, fleet.upAt = begin+100*second, begin+300*second
 	if passivate {
 		fleet.passivate(t, begin+60*second)
 	}
 	for at := begin + 300*second; at < begin+302*second; at += second / 10 { // all relays at once
 		fleet.activateOthers(at)
-		fleet.play(at, second/10, 3*rate)
+		fleet.run(at, second/10, 3*rate)
 	}
-	fleet.play(begin+302*second, 18*second, 0.5*rate)
+	fleet.run(begin+302*second, 18*second, 0.5*rate)
 	submitted, accepted := 0, 0
 	for i := range fleet.engines {
 		submitted += fleet.submitted[i]
 		accepted += fleet.accepted[i]
 	}
-	if part := float64(accepted) / float64(submitted); passivate && part < 0.5 {
-		t.Errorf("%d relays, seed %d: %.2f of the messages are accepted", n, seed, part)
+	if share := float64(accepted) / float64(submitted); passivate && share < 0.5 {
+		t.Errorf("%d relays, seed %d: %.2f of the messages were accepted, want at least 0.50", n, seed, share)
 	}
 	return fleet.overloads()
 }
 
-// TestOutageOutlastsPassivation: what was ejected as it was passivated is so as it is activated: it gets trial calls,
-// and comes back over its ramp.
+// TestOutageOutlastsPassivation checks that an endpoint that is ejected when its destination is passivated is still
+// ejected when it is activated: it gets trial calls only, and recovers over its ramp.
 func TestOutageOutlastsPassivation(t *testing.T) {
 	const rate, begin = 90.0, 1000 * second
 	for _, n := range []int{3, 40} {
@@ -84,57 +87,57 @@
 		for seed := range uint64(6) {
 			fleet := newFleet(t, n, rate, seed)
 			fleet.downAt, fleet.upAt = begin+6*second, begin+44*second
-			fleet.play(begin, 9*second, 0.8*rate)
-			fleet.play(begin+9*second, 26*second, 0.001) // what is pending ends
-			known := 0
+			fleet.run(begin, 9*second, 0.8*rate)
+			fleet.run(begin+9*second, 26*second, 0.001) // almost no traffic: pending messages end
+			aware := 0
 			for i, engine := range fleet.engines {
 				if engine.endpoints[1].unhealthy {
-					known++
+					aware++
 				}
-				if !engine.CanPassivate(begin+35*second, 0) { // its trials count for as long as others
+				if !engine.CanPassivate(begin+35*second, 0) { // its trial calls are still in the history
 					fleet.step(begin+36*second, i, Event{Kind: EvTimer})
 				}
 			}
-			if known < n/2 {
-				t.Fatalf("only %d of %d relays know of the outage", known, n)
+			if aware < n/2 {
+				t.Fatalf("%d of %d relays noticed the outage, want at least %d", aware, n, n/2)
 			}
 			fleet.passivate(t, begin+44*second)
-			fleet.play(begin+44*second, 25*second, 0.8*rate)
+			fleet.run(begin+44*second, 25*second, 0.8*rate)
 			overloads += fleet.overloads()
 		}
 		if overloads > 0 {
-			t.Errorf("%d relays: %d windows over the budget", n, overloads)
+			t.Errorf("%d relays: %d overloads, want none", n, overloads)
 		}
 	}
 }
 
-// TestCanPassivate: what keeps a destination active, one thing at a time.
+// TestCanPassivate checks each condition that keeps a destination active by itself.
 func TestCanPassivate(t *testing.T) {
 	tests := map[string]struct {
 		change func(engine *Engine, now Time)
 		want   bool
 	}{
-		"nothing": {func(*Engine, Time) {}, true},
-		"unknown": {func(engine *Engine, now Time) { engine.Passivate(now, 0) }, true},
-		"a message": {func(engine *Engine, now Time) {
+		"idle destination":    {func(*Engine, Time) {}, true},
+		"unknown destination": {func(engine *Engine, now Time) { engine.Passivate(now, 0) }, true},
+		"message pending": {func(engine *Engine, now Time) {
 			engine.Step(now, []Event{{Kind: EvMessageSubmitted, Message: 1, TimeLeft: 20 * second}}, nil)
 		}, false},
-		"a Retry-After": {func(engine *Engine, now Time) {
+		"Retry-After in force": {func(engine *Engine, now Time) {
 			engine.endpoints[1].limiter.retryAfterUntil = now + 1
 		}, false},
-		"a Retry-After that is over": {func(engine *Engine, now Time) {
+		"Retry-After over": {func(engine *Engine, now Time) {
 			engine.endpoints[1].limiter.retryAfterUntil = now
 		}, true},
-		"a count": {func(engine *Engine, now Time) {
+		"request in the history": {func(engine *Engine, now Time) {
 			engine.endpoints[1].limiter.history.request(now - historyWindow + 2*second)
 		}, false},
-		"an old count": {func(engine *Engine, now Time) {
+		"request older than the history": {func(engine *Engine, now Time) {
 			engine.endpoints[1].limiter.history.request(now - historyWindow - second)
 		}, true},
-		"no proof": {func(engine *Engine, now Time) {
+		"identity rejected": {func(engine *Engine, now Time) {
 			engine.Step(now, []Event{{Kind: EvIdentityRejected, Endpoint: 1, RetryAfter: second}}, nil)
 		}, false},
-		"an outage": {func(engine *Engine, now Time) { engine.endpoints[1].unhealthy = true }, true},
+		"outage": {func(engine *Engine, now Time) { engine.endpoints[1].unhealthy = true }, true},
 	}
 	for name, tt := range tests {
 		engine, err := New(singleClassSettings(), 1)
@@ -145,23 +148,24 @@
 		engine.Step(now-100*second, []Event{listUpdate(ListFull, readyEndpoint(1, 50), readyEndpoint(2, 50))}, nil)
 		tt.change(engine, now)
 		if got := engine.CanPassivate(now, 0); got != tt.want {
-			t.Errorf("%s: can be passivated: %v", name, got)
+			t.Errorf("%s: CanPassivate(0) = %v, want %v", name, got, tt.want)
 		}
 	}
 }
 
-// TestActivate: an activated destination is as it was, where it has answered of late; on a ramp from now, where it
-// has not; with nothing saved up in any case.
+// TestActivate checks the state of an activated destination: as before the passivation if it has answered recently,
+// otherwise on a ramp that starts now; with at most one token in both cases.
 func TestActivate(t *testing.T) {
 	settings := singleClassSettings()
 	long := staleSuccessRamps*settings.RampDuration + second
 	for name, c := range map[string]struct {
-		answered, passivated Time // the last answer before it was passivated, and for how long it was
-		recovering           bool
+		answered   Time // time from the last answer to the passivation; 0 for no answer
+		passivated Time // how long it is passivated
+		recovering bool
 	}{
-		"answered of late": {20 * second, 5 * second, false},
-		"long ago":         {20 * second, long, true},
-		"never":            {0, second, true},
+		"answered recently": {20 * second, 5 * second, false},
+		"answered long ago": {20 * second, long, true},
+		"never answered":    {0, second, true},
 	} {
 		engine, err := New(settings, 1)
 		if err != nil {
@@ -180,7 +184,8 @@
 		now += c.answered
 		snapshot := engine.Passivate(now, 0)
 		if (len(snapshot.Limiters) > 0) != (c.answered > 0) {
-			t.Errorf("%s: %d limiters kept", name, len(snapshot.Limiters))
+			t.Errorf("%s: Passivate returned %d limiters, want some only if there was an answer", name,
+				len(snapshot.Limiters))
 		}
 		now += c.passivated
 		update := listUpdate(ListDelta, entries...)
@@ -190,19 +195,21 @@
 			endpoint := engine.endpoints[id]
 			if endpoint.unhealthy != c.recovering ||
 				c.recovering && (endpoint.recoveredAt != now || endpoint.firstFailureAt != now) {
-				t.Errorf("%s: %d is recovering: %v, since %d", name, id, endpoint.unhealthy, now-endpoint.recoveredAt)
+				t.Errorf("%s: endpoint %d: unhealthy = %v, ramp started %d µs ago, want %v, and 0 µs if so", name, id,
+					endpoint.unhealthy, now-endpoint.recoveredAt, c.recovering)
 			}
 			if c.answered > 0 && (endpoint.latency.mean != 30e3 || endpoint.limiter.latency.count != 1) {
-				t.Errorf("%s: %d: its latency is forgotten", name, id)
+				t.Errorf("%s: endpoint %d: latency mean = %v, limiter's count = %d, want 30000, 1", name, id,
+					endpoint.latency.mean, endpoint.limiter.latency.count)
 			}
 		}
 		if got := engine.endpoints[1].limiter.tokens.level(now, 50, 100); got != 1 {
-			t.Errorf("%s: %v saved up", name, got)
+			t.Errorf("%s: tokens = %v, want 1", name, got)
 		}
 	}
 }
 
-// TestPassivateOneOfTwo: the other destination stays.
+// TestPassivateOneOfTwo checks that Passivate leaves other destinations as they are.
 func TestPassivateOneOfTwo(t *testing.T) {
 	engine, err := New(singleClassSettings(), 1)
 	if err != nil {
@@ -212,13 +219,14 @@
 	engine.Step(1000*second, []Event{listUpdate(ListFull, readyEndpoint(1, 50), other)}, nil)
 	engine.Passivate(1030*second, 0)
 	if engine.findDestination(7) == nil || engine.findDestination(0) != nil || len(engine.endpoints) != 1 {
-		t.Error("the wrong one is passivated")
+		t.Errorf("after Passivate(0): destinations %d, endpoints %d, want only destination 7 and its endpoint",
+			len(engine.destinations), len(engine.endpoints))
 	}
 }
 
-// TestRecoveryBudgetPerOverloadDuration: what a recovering endpoint may be sent in any overload duration on its ramp,
-// a burst of all that is saved up and the refill behind it, is what it could do in that time on average, and not what
-// it can do by its end.
+// TestRecoveryBudgetPerOverloadDuration checks the largest number of calls that a recovering endpoint may get in an
+// overload duration on its ramp: a full burst and the refill. It must match the average capacity over that time, which
+// is less than the capacity at its end.
 func TestRecoveryBudgetPerOverloadDuration(t *testing.T) {
 	for _, ramp := range []Time{4 * second, 10 * second, 13 * second} {
 		settings := singleClassSettings()
@@ -232,10 +240,10 @@
 			h.engine.now = at
 			rate, depth, fractional := h.engine.recoveryBudgetRate(endpoint)
 			mean := rampShare(&settings, at-settings.OverloadDuration/2-endpoint.recoveredAt)
-			room := settings.OverloadFactor * mean * 50 * span
-			if sum := depth + rate*span; fractional || sum > max(1.001*room, rate*span+1) || sum < 0.99*room {
-				t.Fatalf("ramp of %d s, %.1f s on: %.1f in an overload duration, it bears %.1f",
-					ramp/second, float64(at-endpoint.recoveredAt)/1e6, sum, room)
+			bearable := settings.OverloadFactor * mean * 50 * span
+			if sum := depth + rate*span; fractional || sum > max(1.001*bearable, rate*span+1) || sum < 0.99*bearable {
+				t.Fatalf("ramp of %d s, after %.1f s: %.1f calls in an overload duration, fractional = %v, want %.1f, "+
+					"false", ramp/second, float64(at-endpoint.recoveredAt)/1e6, sum, fractional, bearable)
 			}
 		}
 	}
--- a/policy/random_day_test.go
+++ b/policy/random_day_test.go
@@ -7,7 +7,7 @@
 	"testing"
 )
 
-// randomSettings draws legal settings; every kind of class is among them.
+// randomSettings draws valid settings, always with one class of every kind.
 func randomSettings(rng *rand.Rand) Settings {
 	coin := func() bool { return rng.IntN(2) == 0 }
 	return Settings{
@@ -59,164 +59,167 @@
 	}
 }
 
-// randomDay is a seeded day of legal events for an engine, whose actions are checked.
-type randomDay struct {
-	t         testing.TB
-	rng       *rand.Rand
-	seed      uint64
-	settings  Settings
-	engine    *Engine
-	checker   *checker
-	now       Time
-	list      []EndpointUpdate
-	failing   map[int]Outcome // of destinations in an outage
-	next      uint32          // message
-	submitted int
-	events    []Event // of the next step
-	trace     []string
+// randomScenario feeds an engine with random valid events, determined by a seed, and checks its actions.
+type randomScenario struct {
+	t           testing.TB
+	rng         *rand.Rand
+	seed        uint64
+	settings    Settings
+	engine      *Engine
+	checker     *checker
+	now         Time
+	list        []EndpointUpdate
+	outcomes    map[int]Outcome // usual outcome of calls by destination; Delivered if absent
+	nextMessage uint32
+	submitted   int
+	events      []Event // of the next step
+	trace       []string
 }
 
-func newRandomDay(t testing.TB, seed uint64) *randomDay {
+func newRandomScenario(t testing.TB, seed uint64) *randomScenario {
 	t.Helper()
-	day := &randomDay{t: t, seed: seed, rng: rand.New(rand.NewPCG(seed, 7)), failing: map[int]Outcome{}, next: 1}
-	day.settings = randomSettings(day.rng)
-	day.start(seed)
-	day.checker = newChecker(day.settings)
-	day.now = Time(day.rng.Int64N(int64(1000 * second)))
+	scenario := &randomScenario{
+		t: t, seed: seed, rng: rand.New(rand.NewPCG(seed, 7)), outcomes: map[int]Outcome{}, nextMessage: 1,
+	}
+	scenario.settings = randomSettings(scenario.rng)
+	scenario.start(seed)
+	scenario.checker = newChecker(scenario.settings)
+	scenario.now = Time(scenario.rng.Int64N(int64(1000 * second)))
 	for i := range 10 {
-		destination := day.rng.IntN(4)
-		day.list = append(day.list, EndpointUpdate{
+		destination := scenario.rng.IntN(4)
+		scenario.list = append(scenario.list, EndpointUpdate{
 			Endpoint:    EndpointID(100 + i),
-			Zone:        day.rng.IntN(2),
+			Zone:        scenario.rng.IntN(2),
 			Kind:        destination % 2,
 			Destination: destination,
 			State:       Ready,
-			Rate:        1 + 9*day.rng.Float64(),
+			Rate:        1 + 9*scenario.rng.Float64(),
 		})
 	}
-	day.tellList(listUpdate(ListCached, day.list...))
-	return day
+	scenario.updateList(listUpdate(ListCached, scenario.list...))
+	return scenario
 }
 
-// playRandomDay plays a day of so many steps and returns the checker and all actions.
-func playRandomDay(t testing.TB, seed uint64, steps int) (*checker, []string) {
+// runRandomScenario runs a scenario for a number of steps, and returns its checker and a trace of all actions.
+func runRandomScenario(t testing.TB, seed uint64, steps int) (*checker, []string) {
 	t.Helper()
-	day := newRandomDay(t, seed)
+	scenario := newRandomScenario(t, seed)
 	for step := range steps {
-		day.step(step)
+		scenario.step(step)
 	}
-	return day.checker, day.trace
+	return scenario.checker, scenario.trace
 }
 
-func (d *randomDay) oneIn(n int) bool { return d.rng.IntN(n) == 0 }
+func (s *randomScenario) oneIn(n int) bool { return s.rng.IntN(n) == 0 }
 
-func (d *randomDay) start(seed uint64) {
-	d.t.Helper()
-	engine, err := New(d.settings, seed)
+func (s *randomScenario) start(seed uint64) {
+	s.t.Helper()
+	engine, err := New(s.settings, seed)
 	if err != nil {
-		d.t.Fatal(err)
+		s.t.Fatal(err)
 	}
-	d.engine = engine
+	s.engine = engine
 }
 
-// step gives the engine its events, and makes those of the next moment.
-func (d *randomDay) step(step int) {
-	d.t.Helper()
-	for _, action := range d.engine.Step(d.now, d.events, nil) {
-		d.trace = append(d.trace, fmt.Sprintf("%d %+v", d.now, action))
-		d.checker.checkAction(d.now, action)
+// step passes the collected events to the engine, advances the clock, and draws the events of the next step.
+func (s *randomScenario) step(step int) {
+	s.t.Helper()
+	for _, action := range s.engine.Step(s.now, s.events, nil) {
+		s.trace = append(s.trace, fmt.Sprintf("%d %+v", s.now, action))
+		s.checker.checkAction(s.now, action)
 	}
-	d.checker.checkDeadlines(d.now)
-	d.events = nil
-	d.now = d.checker.nextMoment(d.now, d.now+5000*(1+Time(d.rng.IntN(20))))
-	if d.oneIn(100) { // a restart; its list may be old
-		d.start(d.seed + uint64(step))
-		d.checker = d.checker.restarted()
-		d.tellList(listUpdate(ListCached, d.list...))
+	s.checker.checkDeadlines(s.now)
+	s.events = nil
+	s.now = s.checker.nextStepTime(s.now, s.now+5000*(1+Time(s.rng.IntN(20))))
+	if s.oneIn(100) { // a restart, with a cached list that may be outdated
+		s.start(s.seed + uint64(step))
+		s.checker = s.checker.afterRestart()
+		s.updateList(listUpdate(ListCached, s.list...))
 	}
-	if d.oneIn(30) {
-		d.changeList()
+	if s.oneIn(30) {
+		s.changeList()
 	}
-	if d.oneIn(40) {
-		destination := d.rng.IntN(4)
-		d.failing[destination] = []Outcome{Failed, TimedOut, ConnectFailed, Rejected, Delivered}[d.rng.IntN(5)]
+	if s.oneIn(40) {
+		destination := s.rng.IntN(4)
+		s.outcomes[destination] = []Outcome{Failed, TimedOut, ConnectFailed, Rejected, Delivered}[s.rng.IntN(5)]
 	}
-	for range d.rng.IntN(4) {
-		d.submit()
+	for range s.rng.IntN(4) {
+		s.submit()
 	}
-	d.endAttempts()
-	d.endHealthChecks()
-	if d.oneIn(50) && d.next > 1 {
-		d.withdraw(d.next - 1)
+	s.endAttempts()
+	s.endHealthChecks()
+	if s.oneIn(50) && s.nextMessage > 1 {
+		s.withdraw(s.nextMessage - 1)
 	}
-	d.fireTimers()
+	s.fireTimers()
 }
 
-func (d *randomDay) tellList(event Event) {
-	d.checker.updateList(d.now, event)
-	d.events = append(d.events, event)
+func (s *randomScenario) updateList(event Event) {
+	s.checker.updateList(s.now, event)
+	s.events = append(s.events, event)
 }
 
-// changeList changes the state of one endpoint; the engine hears of it by a delta or the whole list, or not at all.
-func (d *randomDay) changeList() {
-	i := d.rng.IntN(len(d.list))
-	d.list = slices.Clone(d.list)
-	d.list[i].State = Readiness(d.rng.IntN(3))
-	event := listUpdate(ListDelta, d.list[i])
-	switch d.rng.IntN(4) {
+// changeList changes the state of one endpoint. The engine gets a delta or the whole list; or the request for the list
+// fails and nothing changes.
+func (s *randomScenario) changeList() {
+	i := s.rng.IntN(len(s.list))
+	s.list = slices.Clone(s.list)
+	s.list[i].State = Readiness(s.rng.IntN(3))
+	event := listUpdate(ListDelta, s.list[i])
+	switch s.rng.IntN(4) {
 	case 0:
 		event = listUpdate(ListFull)
-		for _, entry := range d.list {
+		for _, entry := range s.list {
 			if entry.State != Gone {
 				event.Updates = append(event.Updates, entry)
 			}
 		}
 	case 1:
 		event = listUpdate(ListFailed)
-		d.list[i].State = d.checker.stateOf(d.list[i].Endpoint)
+		s.list[i].State = s.checker.stateOf(s.list[i].Endpoint)
 	}
-	d.tellList(event)
+	s.updateList(event)
 }
 
-func (d *randomDay) submit() {
+func (s *randomScenario) submit() {
 	event := Event{
 		Kind:        EvMessageSubmitted,
-		Message:     d.next,
-		Class:       d.rng.IntN(len(d.settings.Classes)),
-		Destination: d.rng.IntN(5),
-		Tenant:      d.rng.IntN(3),
+		Message:     s.nextMessage,
+		Class:       s.rng.IntN(len(s.settings.Classes)),
+		Destination: s.rng.IntN(5),
+		Tenant:      s.rng.IntN(3),
 	}
-	class := &d.settings.Classes[event.Class]
+	class := &s.settings.Classes[event.Class]
 	if class.Ordered {
-		event.Key = uint64(d.rng.IntN(3))
+		event.Key = uint64(s.rng.IntN(3))
 	}
-	event.TimeLeft = Time(float64(class.Deadline) * (0.05 + 0.95*d.rng.Float64()))
-	d.submitted++
-	d.next++
-	d.checker.submit(d.now, event, d.submitted)
-	d.events = append(d.events, event)
+	event.TimeLeft = Time(float64(class.Deadline) * (0.05 + 0.95*s.rng.Float64()))
+	s.submitted++
+	s.nextMessage++
+	s.checker.submit(s.now, event, s.submitted)
+	s.events = append(s.events, event)
 }
 
-// endAttempts ends what has timed out, and about a quarter of the others.
-func (d *randomDay) endAttempts() {
+// endAttempts ends the attempts that have timed out, and about a quarter of the others.
+func (s *randomScenario) endAttempts() {
 	var remaining []attemptInFlight
-	for _, attempt := range d.checker.inFlight {
-		if !d.oneIn(4) && attempt.timeoutAt > d.now {
+	for _, attempt := range s.checker.inFlight {
+		if !s.oneIn(4) && attempt.timeoutAt > s.now {
 			remaining = append(remaining, attempt)
 			continue
 		}
-		event := d.endOf(attempt)
-		d.checker.endAttempt(d.now, event)
-		d.events = append(d.events, event)
-		if d.oneIn(20) { // repeated, and about what was never sent
-			d.events = append(d.events, event, Event{Kind: EvAttemptEnded, Message: d.next + 9, Endpoint: 5})
+		event := s.endOf(attempt)
+		s.checker.endAttempt(s.now, event)
+		s.events = append(s.events, event)
+		if s.oneIn(20) { // a repeated event, and one for a message that was never sent
+			s.events = append(s.events, event, Event{Kind: EvAttemptEnded, Message: s.nextMessage + 9, Endpoint: 5})
 		}
 	}
-	d.checker.inFlight = remaining
+	s.checker.inFlight = remaining
 }
 
-func (d *randomDay) endOf(attempt attemptInFlight) Event {
-	message := d.checker.messages[attempt.message]
+func (s *randomScenario) endOf(attempt attemptInFlight) Event {
+	message := s.checker.messages[attempt.message]
 	event := Event{
 		Kind:     EvAttemptEnded,
 		Message:  attempt.message,
@@ -225,79 +228,83 @@
 		Latency:  second / 5,
 	}
 	switch {
-	case attempt.timeoutAt <= d.now:
+	case attempt.timeoutAt <= s.now:
 		event.Outcome = TimedOut
-	case d.oneIn(5):
-		event.Outcome = d.anyOutcome()
+	case s.oneIn(5):
+		event.Outcome = s.anyOutcome()
 	default:
-		event.Outcome = d.failing[message.destination]
+		event.Outcome = s.outcomes[message.destination]
 	}
-	if (event.Outcome == Rejected || event.Outcome == Failed) && d.oneIn(2) {
-		event.RetryAfter = Time(d.rng.Int64N(int64(3 * second)))
+	if (event.Outcome == Rejected || event.Outcome == Failed) && s.oneIn(2) {
+		event.RetryAfter = Time(s.rng.Int64N(int64(3 * second)))
 	}
 	event.MessageFinished = message.ended || event.Outcome == Delivered
-	if d.oneIn(2) {
-		event.Load = LoadReport{Remaining: d.rng.Float64(), Limit: 10 * d.rng.Float64()}
+	if s.oneIn(2) {
+		event.Load = LoadReport{Remaining: s.rng.Float64(), Limit: 10 * s.rng.Float64()}
 	}
 	return event
 }
 
-func (d *randomDay) anyOutcome() Outcome { return Outcome(d.rng.IntN(int(outcomeCount))) }
+func (s *randomScenario) anyOutcome() Outcome { return Outcome(s.rng.IntN(int(outcomeCount))) }
 
-func (d *randomDay) endHealthChecks() {
-	for _, id := range d.checker.healthChecks {
-		d.events = append(d.events, Event{Kind: EvHealthChecked, Endpoint: id, Outcome: d.anyOutcome()})
+func (s *randomScenario) endHealthChecks() {
+	for _, id := range s.checker.healthChecks {
+		s.events = append(s.events, Event{Kind: EvHealthChecked, Endpoint: id, Outcome: s.anyOutcome()})
 	}
-	d.checker.healthChecks = nil
+	s.checker.healthChecks = nil
 }
 
-func (d *randomDay) withdraw(id uint32) {
-	if message := d.checker.messages[id]; message != nil && !message.ended {
+func (s *randomScenario) withdraw(id uint32) {
+	if message := s.checker.messages[id]; message != nil && !message.ended {
 		message.ended = true
-		d.events = append(d.events, Event{Kind: EvMessageWithdrawn, Message: id})
+		s.events = append(s.events, Event{Kind: EvMessageWithdrawn, Message: id})
 	}
 }
 
-func (d *randomDay) fireTimers() {
+func (s *randomScenario) fireTimers() {
 	var remaining []Time
-	for _, dueAt := range d.checker.timers {
-		if dueAt <= d.now {
-			d.events = append(d.events, Event{Kind: EvTimer})
+	for _, dueAt := range s.checker.timers {
+		if dueAt <= s.now {
+			s.events = append(s.events, Event{Kind: EvTimer})
 		} else {
 			remaining = append(remaining, dueAt)
 		}
 	}
-	d.checker.timers = remaining
+	s.checker.timers = remaining
 }
 
-// TestRules holds every rule as a property over seeded random legal days.
+// TestRules checks that the engine breaks no delivery rule in random scenarios with valid events. It also checks that
+// the scenarios contain enough sends, rejections and failures for the rules to be tested.
 func TestRules(t *testing.T) {
 	var sends, rejected, failed int
 	for seed := range uint64(90) {
-		checker, _ := playRandomDay(t, seed, 400)
-		for i, e := range checker.violations {
+		checker, _ := runRandomScenario(t, seed, 400)
+		for i, violation := range checker.violations {
 			if i < 3 {
-				t.Errorf("seed %d: %s", seed, e)
+				t.Errorf("seed %d: %s", seed, violation)
 			}
 		}
-		sends, rejected, failed = sends+checker.sends, rejected+checker.rejected, failed+checker.failed
+		sends += checker.sends
+		rejected += checker.rejected
+		failed += checker.failed
 	}
 	if sends < 5000 || rejected < 100 || failed < 100 {
-		t.Fatalf("the days test nothing: %d sends, %d rejected, %d failed", sends, rejected, failed)
+		t.Fatalf("all scenarios made %d sends, %d rejections and %d failures, want at least 5000, 100 and 100",
+			sends, rejected, failed)
 	}
 }
 
-// TestSameEventsSameActions: the seed and the events settle every action.
+// TestSameEventsSameActions checks that the engine is deterministic: the seed and the events determine every action.
 func TestSameEventsSameActions(t *testing.T) {
 	for seed := range uint64(5) {
-		_, a := playRandomDay(t, seed, 300)
-		_, b := playRandomDay(t, seed, 300)
+		_, a := runRandomScenario(t, seed, 300)
+		_, b := runRandomScenario(t, seed, 300)
 		if len(a) == 0 || len(a) != len(b) {
-			t.Fatalf("seed %d: %d and %d actions", seed, len(a), len(b))
+			t.Fatalf("seed %d: two runs made %d and %d actions, want equal numbers above 0", seed, len(a), len(b))
 		}
 		for i := range a {
 			if a[i] != b[i] {
-				t.Fatalf("seed %d: %s against %s", seed, a[i], b[i])
+				t.Fatalf("seed %d: action %d differs between two runs: %s and %s", seed, i, a[i], b[i])
 			}
 		}
 	}
--- a/policy/ratelimit_test.go
+++ b/policy/ratelimit_test.go
@@ -9,10 +9,10 @@
 	for _, c := range []struct{ req, acc, want float64 }{
 		{0, 0, 0},        // no history
 		{10, 10, 0},      // all accepted
-		{10, 5, 0},       // just K times the accepts
-		{20, 5, 6. / 21}, // past it, two accepts to its credit
-		{1000, 0, 0.9},   // dead: the cap
-		{3, 0, 0},        // hardly asked: that tells nothing
+		{10, 5, 0},       // exactly acceptFactor times the accepts
+		{20, 5, 6. / 21}, // more than that, with acceptPrior added to the accepts
+		{1000, 0, 0.9},   // all failed: the upper limit
+		{3, 0, 0},        // too few requests for a drop
 	} {
 		if got := dropProbability(c.req, c.acc); math.Abs(got-c.want) > 1e-9 {
 			t.Errorf("dropProbability(%v, %v) = %v, want %v", c.req, c.acc, got, c.want)
@@ -31,12 +31,12 @@
 		want float64
 	}{{9 * second, 10}, {14 * second, 5}, {60 * second, 0}} {
 		if req, acc := c.totals(x.at); math.Abs(req-x.want) > 1 || req != acc {
-			t.Errorf("at %d: %v requests, %v accepts, want about %v", x.at, req, acc, x.want)
+			t.Errorf("totals(%d) = %v requests, %v accepts, want both equal and within 1 of %v", x.at, req, acc, x.want)
 		}
 	}
 }
 
-// TestLocalDropsCount: a draw is a request whether or not it passes.
+// TestLocalDropsCount checks that each draw counts as a request, whether it drops the call or not.
 func TestLocalDropsCount(t *testing.T) {
 	h := newHarness(t, singleClassSettings(), readyEndpoint(1, 10))
 	limiter := h.engine.endpoints[1].limiter
@@ -47,11 +47,12 @@
 		}
 	}
 	if req, _ := limiter.history.totals(h.now); req != 200 || drops < 140 || drops > 195 {
-		t.Fatalf("%v requests counted, %d drops of 200", req, drops)
+		t.Fatalf("200 draws: %v requests counted, %d drops, want 200, 140 to 195", req, drops)
 	}
 }
 
-// TestWindow: it starts at one, grows by one with each success, and halves on a rejection or a timeout.
+// TestWindow checks that the window of calls in flight starts at 1, grows by 1 with each success, and is halved by a
+// rejection or a timeout.
 func TestWindow(t *testing.T) {
 	h := newHarness(t, singleClassSettings(), readyEndpoint(1, 1000))
 	limiter := h.engine.endpoints[1].limiter
@@ -61,12 +62,12 @@
 	}
 	h.step(burst...)
 	if len(h.sends) != 1 {
-		t.Fatalf("%d calls in the first turn, want 1", len(h.sends))
+		t.Fatalf("first step with 20 messages: %d calls, want 1", len(h.sends))
 	}
 	h.now += second / 10
 	h.step(endOf(h.sends[0], Delivered))
 	if len(h.sends) != 2 || limiter.window != 2 {
-		t.Fatalf("%d calls after a success, window %v, want 2 and 2", len(h.sends), limiter.window)
+		t.Fatalf("after a success: %d calls, window = %v, want 2, 2", len(h.sends), limiter.window)
 	}
 	for _, outcome := range []Outcome{Rejected, TimedOut} {
 		limiter.window = 6
@@ -80,12 +81,13 @@
 			&Event{Kind: EvAttemptEnded, Outcome: outcome},
 		)
 		if limiter.window != 3 {
-			t.Errorf("window after outcome %d: %v, want 3", outcome, limiter.window)
+			t.Errorf("window of 6 after outcome %d = %v, want 3", outcome, limiter.window)
 		}
 	}
 }
 
-// TestSlotsAtOneDestination: three quarters of the slots at most, half while it fails.
+// TestSlotsAtOneDestination checks that one destination uses at most three quarters of the slots, and at most half of
+// them while it is failing.
 func TestSlotsAtOneDestination(t *testing.T) {
 	for _, failing := range []bool{false, true} {
 		h := newHarness(t, singleClassSettings(), readyEndpoint(1, 1000))
@@ -99,12 +101,13 @@
 			h.step(h.message(0, 0), h.message(0, 0))
 		}
 		if limiter.destination.callsInFlight != want {
-			t.Errorf("failing %v: %d calls out of 8 slots, want %d", failing, limiter.destination.callsInFlight, want)
+			t.Errorf("failing = %v: calls use %d of 8 slots, want %d", failing, limiter.destination.callsInFlight, want)
 		}
 	}
 }
 
-// TestSmallShareAllowsBurst: with many relays a limiter still lets a few arrivals close together pass.
+// TestSmallShareAllowsBurst checks that a relay whose share of the limit is small can still send a few messages that
+// arrive together.
 func TestSmallShareAllowsBurst(t *testing.T) {
 	settings := singleClassSettings()
 	settings.Relays = 12
@@ -112,11 +115,12 @@
 	h.engine.endpoints[1].limiter.window = 5
 	h.step(h.message(0, 0), h.message(0, 0), h.message(0, 0))
 	if len(h.sends) != 3 {
-		t.Fatalf("%d of 3 calls passed at once", len(h.sends))
+		t.Fatalf("step with 3 messages: %d sends, want 3", len(h.sends))
 	}
 }
 
-// TestStateDoesNotGrow: ids, messages and waits of what has gone leave nothing behind.
+// TestStateDoesNotGrow guards against a leak: endpoints that are gone, messages that ended and timers that fired must
+// leave nothing behind.
 func TestStateDoesNotGrow(t *testing.T) {
 	settings := singleClassSettings()
 	settings.DestinationKinds = []DestinationKind{{IndependentRoutes: true, BatchSize: 1}}
@@ -145,6 +149,6 @@
 		}
 	}
 	if n := kept(); n > 2*after {
-		t.Errorf("%d things kept after 3000 rounds, %d after 300", n, after)
+		t.Errorf("engine holds %d items after 3000 rounds and %d after 300, want at most twice as many", n, after)
 	}
 }
--- a/policy/recovery_test.go
+++ b/policy/recovery_test.go
@@ -5,8 +5,8 @@
 	"testing"
 )
 
-// TestRecoveryBudget: after an outage seen, this relay's part of the budget holds in any window of the overload
-// duration, from the return on, with the capacity at its slowest ramp.
+// TestRecoveryBudget checks that after an outage this relay stays within its part of the recovery budget in any window
+// of an overload duration, assuming that the capacity grows as slowly as the settings allow.
 func TestRecoveryBudget(t *testing.T) {
 	for _, outcome := range []Outcome{Failed, TimedOut, ConnectFailed, ConnectionReset, Rejected} {
 		settings := singleClassSettings()
@@ -30,67 +30,68 @@
 			}
 			share := rampShare(&settings, from-back)
 			most := settings.OverloadFactor * share * 20 * 3 / float64(settings.Relays)
-			if float64(n) > most+2 { // a trial at each endpoint is the allowance for chance
-				t.Errorf("outcome %d: %d calls in the 3 s from %d ms after the return, want at most %.1f", outcome, n,
-					(from-back)/1000, most)
+			if float64(n) > most+2 { // 2: allows one random trial call at each endpoint
+				t.Errorf("outcome %d: %d calls in the 3 s from %d ms after the outage, want at most %.1f", outcome, n,
+					(from-back)/1000, most+2)
 			}
 		}
 		if early == 0 || early > 60 || late < 50 {
-			t.Errorf(
-				"outcome %d: %d calls in the outage and %d after it: trials or the return are missing",
-				outcome,
-				early,
-				late,
-			)
+			t.Errorf("outcome %d: %d calls in the outage and %d after the ramp, want 1 to 60 and at least 50", outcome,
+				early, late)
 		}
 	}
 }
 
-// TestPartialSuccessKeepsRecoveryBudget: a success amid failures starts no ramp that survives the next failure.
+// TestPartialSuccessKeepsRecoveryBudget checks that a ramp that a single success has started ends with the next
+// failures.
 func TestPartialSuccessKeepsRecoveryBudget(t *testing.T) {
 	h := newHarness(t, singleClassSettings(), readyEndpoint(1, 10))
 	endpoint := h.engine.endpoints[1]
 	h.engine.recordFailure(endpoint, h.now, false)
 	h.engine.recordFailure(endpoint, h.now, false)
 	if endpoint.unhealthy {
-		t.Fatal("two failures in a row are an outage")
+		t.Fatal("unhealthy = true after two failures in a row, want false")
 	}
 	h.engine.recordFailure(endpoint, h.now, false)
 	if !endpoint.unhealthy {
-		t.Fatal("three failures in a row are no outage")
+		t.Fatal("unhealthy = false after three failures in a row, want true")
 	}
 	h.now += second
 	h.engine.now = h.now
 	h.engine.recordSuccess(endpoint, h.now)
 	h.engine.now += 5 * second
 	if h.engine.rampedCapacity(endpoint) < 0.5 {
-		t.Fatalf("half a ramp gives %v", h.engine.rampedCapacity(endpoint))
+		t.Fatalf("rampedCapacity = %v after half the ramp, want at least 0.5", h.engine.rampedCapacity(endpoint))
 	}
 	h.engine.recordFailure(endpoint, h.engine.now, false)
 	h.engine.recordFailure(endpoint, h.engine.now, false)
 	if got := h.engine.rampedCapacity(endpoint); got != 0.2 || !endpoint.unhealthy {
-		t.Fatalf("after a failure in the ramp: share %v, out %v", got, endpoint.unhealthy)
+		t.Fatalf("rampedCapacity = %v, unhealthy = %v after failures during the ramp, want 0.2, true", got,
+			endpoint.unhealthy)
 	}
 }
 
-// TestCallsBeforeRecoveryAreIgnored: what left before the outage was over does not restart it.
+// TestCallsBeforeRecoveryAreIgnored checks that a call that was sent before the recovery and fails after it does not
+// end the ramp.
 func TestCallsBeforeRecoveryAreIgnored(t *testing.T) {
 	h := newHarness(t, singleClassSettings(), readyEndpoint(1, 10))
 	endpoint := h.engine.endpoints[1]
-	early := h.now
+	sentBefore := h.now
 	for range 3 {
 		h.engine.recordFailure(endpoint, h.now, true)
 	}
 	h.engine.now += 3 * second
 	h.engine.recordSuccess(endpoint, h.engine.now-second/10)
-	good := endpoint.recoveredAt
-	h.engine.recordFailure(endpoint, early, true)
-	if good == 0 || endpoint.recoveredAt != good {
-		t.Fatalf("ramp began at %d and now says %d", good, endpoint.recoveredAt)
+	rampStart := endpoint.recoveredAt
+	h.engine.recordFailure(endpoint, sentBefore, true)
+	if rampStart == 0 || endpoint.recoveredAt != rampStart {
+		t.Fatalf("recoveredAt = %d before and %d after the failure of an earlier call, want the same above 0", rampStart,
+			endpoint.recoveredAt)
 	}
 }
 
-// TestTrialCallsUsePendingMessages: a trial call is a message that waits; a non-idempotent one only once it is late.
+// TestTrialCallsUsePendingMessages checks that trial calls send pending messages, but a non-idempotent message only
+// once it is late.
 func TestTrialCallsUsePendingMessages(t *testing.T) {
 	for _, nonIdempotent := range []bool{false, true} {
 		settings := singleClassSettings()
@@ -108,12 +109,14 @@
 			h.step()
 		}
 		if len(h.sends) != 1 || nonIdempotent && h.now <= start+settings.Classes[0].LatencyObjective {
-			t.Errorf("non-idempotent %v: %d sends after %d ms", nonIdempotent, len(h.sends), (h.now-start)/1000)
+			t.Errorf("non-idempotent = %v: %d sends after %d ms, want 1, and after the objective if non-idempotent",
+				nonIdempotent, len(h.sends), (h.now-start)/1000)
 		}
 	}
 }
 
-// TestMinorityOfFailures: where most calls pass, failures neither make an outage nor undo a ramp.
+// TestMinorityOfFailures checks that failures neither make an endpoint unhealthy nor end its ramp while most calls
+// succeed.
 func TestMinorityOfFailures(t *testing.T) {
 	h := newHarness(t, singleClassSettings(), readyEndpoint(1, 10))
 	endpoint := h.engine.endpoints[1]
@@ -125,7 +128,7 @@
 			h.engine.recordSuccess(endpoint, h.engine.now)
 		}
 		if endpoint.unhealthy {
-			t.Fatalf("out after %d calls of which two in five failed", i)
+			t.Fatalf("unhealthy = true after call %d with two of five failing, want false", i)
 		}
 	}
 	for range 3 {
@@ -134,22 +137,23 @@
 	for range 6 {
 		h.engine.recordSuccess(endpoint, h.engine.now)
 	}
-	good := endpoint.recoveredAt
+	rampStart := endpoint.recoveredAt
 	h.engine.recordFailure(endpoint, h.engine.now, false)
-	if good == 0 || endpoint.recoveredAt != good {
-		t.Fatal("one failure among passes undid the ramp")
+	if rampStart == 0 || endpoint.recoveredAt != rampStart {
+		t.Fatalf("recoveredAt = %d before and %d after one failure among successes, want the same above 0", rampStart,
+			endpoint.recoveredAt)
 	}
 }
 
-// TestRecoveryBudgetOfFleet: after an outage that every relay has seen, all relays together stay inside the budget of
-// a recovering destination, for two relays and for hundreds.
+// TestRecoveryBudgetOfFleet checks that all relays together stay within the budget of a recovering destination, both
+// for two relays and for hundreds, after an outage that every relay has seen.
 func TestRecoveryBudgetOfFleet(t *testing.T) {
 	for _, n := range []int{2, 50, 400} {
 		settings := singleClassSettings()
 		settings.Relays, settings.MaxPending = n, 1000
 		const rate = 20.0
 		back := 1012 * second
-		calls := make([]float64, 40) // by half seconds from the return on
+		calls := make([]float64, 40) // by half second since the end of the outage
 		for k := range n {
 			engine, err := New(settings, uint64(k))
 			if err != nil {
@@ -157,7 +161,7 @@
 			}
 			now := 1000*second + Time(k)*1000
 			events := []Event{listUpdate(ListCached, readyEndpoint(1, rate))}
-			for i := range max(1, 240/n) { // twelve seconds of traffic, spread over the relays
+			for i := range max(1, 240/n) { // the traffic of 12 s, divided among the relays
 				events = append(events, Event{Kind: EvMessageSubmitted, Message: uint32(i + 1), TimeLeft: 30 * second})
 			}
 			tries := map[uint32]int{}
@@ -184,14 +188,15 @@
 				sum += c
 			}
 			if most := settings.OverloadFactor * settings.InitialCapacity * rate * 3; sum > most*1.25 {
-				t.Errorf("%d relays: %v calls in 3 s from %d ms after the return, budget %v", n, sum, from*500, most)
+				t.Errorf("%d relays: %v calls in the 3 s from %d ms after the outage, want at most %v", n, sum, from*500,
+					most*1.25)
 			}
 		}
 	}
 }
 
-// TestBackoffOfFailingEndpoint: with many relays for the messages an endpoint that fails twice rests, and the longer
-// the longer it has failed; where few relays send there much each, it hardly does.
+// TestBackoffOfFailingEndpoint checks that an endpoint that fails twice gets a backoff in proportion to the time since
+// its first failure if there are many relays, and hardly any if few relays send much each.
 func TestBackoffOfFailingEndpoint(t *testing.T) {
 	for _, n := range []int{2, 400} {
 		settings := singleClassSettings()
@@ -200,41 +205,40 @@
 		endpoint := h.engine.endpoints[1]
 		h.engine.recordFailure(endpoint, h.now, false)
 		if endpoint.backoffUntil > h.now {
-			t.Fatalf("%d relays: a backoff after the first failure", n)
+			t.Fatalf("%d relays: backoff of %d µs after the first failure, want none", n, endpoint.backoffUntil-h.now)
 		}
 		h.engine.now += second / 2
 		h.engine.recordFailure(endpoint, h.engine.now, false)
 		if backoff := endpoint.backoffUntil - h.engine.now; n == 400 && backoff < second ||
 			n == 2 && backoff > second/4 {
-			t.Errorf("%d relays: a backoff of %d ms half a second after the first failure", n, backoff/1000)
+			t.Errorf("%d relays: backoff = %d ms at a failure 500 ms after the first, want at least 1000 ms with 400 "+
+				"relays, at most 250 ms with 2", n, backoff/1000)
 		}
 	}
 }
 
-// TestRampStart: a relay that calls seldom hears of a return long after it. The ramp is taken to have begun in the
-// middle between its last failure and the call that was answered, and for all endpoints that went with it.
+// TestRampStart checks when a ramp starts. A relay that rarely calls learns of the end of an outage long after it, so
+// the ramp is assumed to have started midway between the last failure and the send of the call that succeeded. The
+// same holds for the endpoints that failed in the same outage.
 func TestRampStart(t *testing.T) {
 	h := newHarness(t, singleClassSettings(), readyEndpoint(1, 100), readyEndpoint(2, 100))
 	failAllEndpoints(h)
-	a, b := h.engine.endpoints[1], h.engine.endpoints[2]
-	down := h.now
+	answered, sibling := h.engine.endpoints[1], h.engine.endpoints[2]
+	failedAt := h.now
 	h.now += 4 * second
 	h.engine.now = h.now
-	h.engine.recordSuccess(a, h.now-second) // sent 3 s after the last failure
-	if want := down + 3*second/2; a.recoveredAt != want || b.recoveredAt != want {
-		t.Errorf(
-			"the ramps begin %d and %d after the last failure, want %d",
-			a.recoveredAt-down,
-			b.recoveredAt-down,
-			want-down,
-		)
+	h.engine.recordSuccess(answered, h.now-second) // sent 3 s after the last failure
+	if want := failedAt + 3*second/2; answered.recoveredAt != want || sibling.recoveredAt != want {
+		t.Errorf("ramps start %d and %d µs after the last failure, want both at %d", answered.recoveredAt-failedAt,
+			sibling.recoveredAt-failedAt, want-failedAt)
 	}
-	if got, want := h.engine.rampedCapacity(b), 0.2+0.8*0.25; math.Abs(got-want) > 0.001 {
-		t.Errorf("taken to have %.3f of its capacity, want %.3f", got, want)
+	if got, want := h.engine.rampedCapacity(sibling), 0.2+0.8*0.25; math.Abs(got-want) > 0.001 {
+		t.Errorf("rampedCapacity(sibling) = %.3f, want %.3f", got, want)
 	}
-	h.engine.recordFailure(b, h.now-second/2, false) // it has not returned after all
-	if b.recoveredAt != 0 || a.recoveredAt == 0 {
-		t.Error("a failure there does not undo its own ramp, and its alone")
+	h.engine.recordFailure(sibling, h.now-second/2, false) // it has not recovered after all
+	if sibling.recoveredAt != 0 || answered.recoveredAt == 0 {
+		t.Errorf("after a failure of the sibling: recoveredAt = %d, of the other %d, want 0 and not 0",
+			sibling.recoveredAt, answered.recoveredAt)
 	}
 	h = newHarness(t, singleClassSettings(), readyEndpoint(1, 100), readyEndpoint(2, 100))
 	failAllEndpoints(h)
@@ -243,16 +247,17 @@
 	h.engine.recordFailure(h.engine.endpoints[2], h.now, false)
 	h.engine.recordSuccess(h.engine.endpoints[1], h.now-second/2)
 	if h.engine.endpoints[2].recoveredAt != 0 {
-		t.Error("one that failed after the call was sent is taken to be back")
+		t.Error("an endpoint that failed after the successful call was sent starts a ramp, want none")
 	}
 }
 
-// TestRecoveryBudgetWithConnections: with connections that weigh as much as four calls, this relay's part of a
-// destination's budget holds in any window of the overload duration, whatever became of the connections before.
+// TestRecoveryBudgetWithConnections checks that this relay stays within its part of a destination's budget in any
+// window of an overload duration if opening a connection costs as much as four calls, whatever has happened to earlier
+// connections.
 func TestRecoveryBudgetWithConnections(t *testing.T) {
 	const weight = 4.0
 	settings := singleClassSettings()
-	settings.RampDuration = 1000 * second // so that it can do the same in every window
+	settings.RampDuration = 1000 * second // keeps the capacity nearly constant
 	for seed := uint64(1); seed <= 40; seed++ {
 		entry := readyEndpoint(1, 15)
 		entry.ConnectCost = weight
@@ -264,91 +269,87 @@
 		h.step(listUpdate(ListCached, entry))
 		start := h.now
 		back := start + 8*second
-		type spent struct {
+		type expense struct {
 			at   Time
-			work float64
+			work float64 // in calls
 		}
-		var all []spent
-		type out struct {
-			e   Event
-			due Time
+		var expenses []expense
+		type attempt struct {
+			end   Event
+			dueAt Time
 		}
-		var flights []out
-		tries := map[uint32]int{}
+		var inFlight []attempt
+		attempts := map[uint32]int{}
 		idle := 0
 		for h.now < back+20*second {
-			events, still := []Event(nil), flights[:0]
-			for _, f := range flights {
-				if f.due > h.now {
-					still = append(still, f)
+			events, remaining := []Event(nil), inFlight[:0]
+			for _, sent := range inFlight {
+				if sent.dueAt > h.now {
+					remaining = append(remaining, sent)
 					continue
 				}
-				if events = append(events, f.e); f.e.Outcome == Delivered {
+				if events = append(events, sent.end); sent.end.Outcome == Delivered {
 					idle++
 				}
 			}
-			flights = still
+			inFlight = remaining
 			if (h.now-start)%(second/20) == 0 {
 				events = append(events, h.message(0, 0))
 			}
 			if (h.now-start)%second == 0 {
-				idle = 0 // the partner closes what is idle, and says nothing
+				idle = 0 // the partner closes idle connections, and the relay does not notice
 			}
 			h.step(events...)
 			for _, action := range h.sends {
 				event := endOf(action, Delivered)
-				event.Attempt = tries[action.Message]
-				tries[action.Message]++
-				due := h.now + second/10
+				event.Attempt = attempts[action.Message]
+				attempts[action.Message]++
+				dueAt := h.now + second/10
 				switch {
 				case h.now > start+2*second && h.now < back:
-					event.Outcome, due = ConnectFailed, h.now+5000
+					event.Outcome, dueAt = ConnectFailed, h.now+5000
 					idle = 0
 				case idle > 0:
 					idle--
-					all = append(all, spent{h.now, 1})
+					expenses = append(expenses, expense{h.now, 1})
 				case action.Recovering && !action.OpensConnection:
-					event.Outcome, due = NotSent, h.now+5000
+					event.Outcome, dueAt = NotSent, h.now+5000
 				default:
 					event.ConnectionsOpened = 1
-					all = append(all, spent{h.now, 1 + weight})
+					expenses = append(expenses, expense{h.now, 1 + weight})
 				}
-				flights = append(flights, out{event, due})
+				inFlight = append(inFlight, attempt{event, dueAt})
 			}
 			h.now += 5000
 		}
 		for from := back; from < back+17*second; from += second / 4 {
 			work := 0.0
-			for _, x := range all {
-				if x.at >= from && x.at < from+settings.OverloadDuration {
-					work += x.work
+			for _, expense := range expenses {
+				if expense.at >= from && expense.at < from+settings.OverloadDuration {
+					work += expense.work
 				}
 			}
 			share := rampShare(&settings, from+settings.OverloadDuration-back)
 			if most := settings.OverloadFactor*share*15*3/float64(settings.Relays) + 1; work > most {
-				t.Fatalf(
-					"seed %d: work of %.0f calls in the 3 s from %d ms after the return, want %.1f at most",
-					seed,
-					work,
-					(from-back)/1000,
-					most,
-				)
+				t.Fatalf("seed %d: work of %.0f calls in the 3 s from %d ms after the outage, want at most %.1f", seed,
+					work, (from-back)/1000, most)
 			}
 		}
 	}
 }
 
-// TestSendTellsOfRecovery: the driver is told where one connection is opened at a time.
-func TestSendTellsOfRecovery(t *testing.T) {
+// TestSendReportsRecovery checks that ActSend marks recovering endpoints, where the relay must open one connection at
+// a time.
+func TestSendReportsRecovery(t *testing.T) {
 	h := newHarness(t, singleClassSettings(), readyEndpoint(1, 1000))
 	if h.step(h.message(0, 0)); len(h.sends) != 1 || h.sends[0].Recovering {
-		t.Fatalf("a healthy endpoint: %v", h.actions)
+		t.Fatalf("step with a healthy endpoint: actions %+v, want one send without Recovering", h.actions)
 	}
 	h.step(endOf(h.sends[0], Delivered))
 	endpoint := h.engine.endpoints[1]
 	endpoint.unhealthy, endpoint.recoveredAt, endpoint.requiredTokens = true, h.now, 1
 	endpoint.recoveryBudget = tokenBucket{h.now, 1, true}
 	if h.step(h.message(0, 0)); len(h.sends) != 1 || !h.sends[0].Recovering {
-		t.Fatalf("a recovering one: %v", h.actions)
+		t.Fatalf("step with a recovering endpoint: actions %+v, want one send with Recovering", h.actions)
 	}
 }
--- a/policy/restart_test.go
+++ b/policy/restart_test.go
@@ -11,7 +11,8 @@
 	"testing"
 )
 
-// restart puts a new engine in the place of one, with its pending messages and, where it is given, a stored snapshot.
+// restart replaces a relay's engine by a new one with the same pending messages, and with a stored snapshot if one is
+// given.
 func (f *fleet) restart(t *testing.T, now Time, relay int, stored []byte) {
 	t.Helper()
 	old := f.engines[relay]
@@ -43,37 +44,37 @@
 	f.step(now, relay, pending...)
 }
 
-// restartDay is what reached the destination on a day with an outage.
-type restartDay struct {
-	received  []int // by second since the destination's return
-	overloads int   // windows of an overload duration in which more came than it bears
+// outageResult counts the calls that reached the destination in a simulation with an outage.
+type outageResult struct {
+	received  []int // by second since the end of the outage
+	overloads int   // as counted by fleet.overloads
 	accepted  int
 }
 
-func (d *restartDay) add(other restartDay) {
-	if d.received == nil {
-		d.received = make([]int, len(other.received))
+func (r *outageResult) add(other outageResult) {
+	if r.received == nil {
+		r.received = make([]int, len(other.received))
 	}
 	for i := range other.received {
-		d.received[i] += other.received[i]
+		r.received[i] += other.received[i]
 	}
-	d.overloads += other.overloads
-	d.accepted += other.accepted
+	r.overloads += other.overloads
+	r.accepted += other.accepted
 }
 
-func (d *restartDay) String() string {
-	return fmt.Sprintf("%v overloads %d accepted %d", d.received, d.overloads, d.accepted)
+func (r *outageResult) String() string {
+	return fmt.Sprintf("received by second %v, overloads %d, accepted %d", r.received, r.overloads, r.accepted)
 }
 
-// outageWithRestart plays an outage of 6 s. All relays are restarted in it, or shortly after it, with a snapshot that
-// was stored 0.25 s before, or without one.
-func outageWithRestart(t *testing.T, n int, seed uint64, at Time, restart, stored bool) (day restartDay) {
+// outageWithRestart simulates an outage of 6 s. All relays may be restarted at a given time, with a snapshot that was
+// stored 0.25 s earlier, or without one.
+func outageWithRestart(t *testing.T, n int, seed uint64, at Time, restart, stored bool) (result outageResult) {
 	t.Helper()
 	const rate, begin, age = 60.0, 1000 * second, Time(250e3)
 	fleet := newFleet(t, n, rate, seed)
 	fleet.incarnation = make([]int, n)
 	fleet.downAt, fleet.upAt = begin+6*second, begin+12*second
-	fleet.play(begin, at-age, 0.8*rate)
+	fleet.run(begin, at-age, 0.8*rate)
 	snapshots := make([][]byte, n)
 	for i, engine := range fleet.engines {
 		text, err := json.Marshal(engine.Snapshot(begin + at - age))
@@ -84,31 +85,31 @@
 			snapshots[i] = text
 		}
 	}
-	fleet.play(begin+at-age, age, 0.8*rate)
+	fleet.run(begin+at-age, age, 0.8*rate)
 	if restart {
 		for i := range fleet.engines {
 			fleet.restart(t, begin+at, i, snapshots[i])
 		}
 	}
-	fleet.play(begin+at, 32*second-at, 0.8*rate)
-	day.received = make([]int, 20)
+	fleet.run(begin+at, 32*second-at, 0.8*rate)
+	result.received = make([]int, 20)
 	for _, at := range fleet.received {
-		if sec := int((at - fleet.upAt) / second); sec >= 0 && sec < len(day.received) {
-			day.received[sec]++
+		if sec := int((at - fleet.upAt) / second); sec >= 0 && sec < len(result.received) {
+			result.received[sec]++
 		}
 	}
-	day.overloads = fleet.overloads()
+	result.overloads = fleet.overloads()
 	for _, accepted := range fleet.accepted {
-		day.accepted += accepted
+		result.accepted += accepted
 	}
-	return day
+	return result
 }
 
-// TestRestartKeepsDecisions: a relay that was restarted in an outage, or on the ramp after it, goes on as one that
-// never was; one without its snapshot does not.
+// TestRestartKeepsDecisions checks that relays that were restarted with a snapshot, in an outage or during the ramp
+// after it, send like relays that were never restarted; and that they do not without the snapshot.
 func TestRestartKeepsDecisions(t *testing.T) {
 	for _, n := range []int{3, 40} {
-		for name, at := range map[string]Time{"in the outage": 9 * second, "on the ramp": 15 * second} {
+		for name, at := range map[string]Time{"during the outage": 9 * second, "during the ramp": 15 * second} {
 			t.Run(fmt.Sprintf("%d relays, %s", n, name), func(t *testing.T) {
 				testRestartKeepsDecisions(t, n, at)
 			})
@@ -119,39 +120,41 @@
 func testRestartKeepsDecisions(t *testing.T, n int, at Time) {
 	t.Helper()
 	const seeds = 12
-	var never, restored, forgot restartDay
+	var never, restored, withoutSnapshot outageResult
 	for seed := range uint64(seeds) {
 		never.add(outageWithRestart(t, n, seed, at, false, false))
 		restored.add(outageWithRestart(t, n, seed, at, true, true))
-		forgot.add(outageWithRestart(t, n, seed, at, true, false))
+		withoutSnapshot.add(outageWithRestart(t, n, seed, at, true, false))
 	}
-	t.Logf("never restarted  %v", &never)
-	t.Logf("with a snapshot  %v", &restored)
-	t.Logf("without a snapshot %v", &forgot)
+	t.Logf("never restarted: %v", &never)
+	t.Logf("restarted with a snapshot: %v", &restored)
+	t.Logf("restarted without a snapshot: %v", &withoutSnapshot)
 	sum, sumNever := 0, 0
 	for sec := range never.received {
-		sum, sumNever = sum+restored.received[sec], sumNever+never.received[sec]
+		sum += restored.received[sec]
+		sumNever += never.received[sec]
 		got, want := float64(restored.received[sec]), float64(never.received[sec])
 		if sec < 10 && got > 1.25*want+10 { // until the ramp is over
-			t.Errorf("second %d: %v sent, %v by relays that were never restarted", sec, got, want)
+			t.Errorf("second %d: %v calls after a restart, %v without one, want at most 1.25 times as many and 10 more",
+				sec, got, want)
 		}
 	}
 	if ratio := float64(sum) / float64(sumNever); ratio < 0.9 || ratio > 1.1 {
-		t.Errorf("%.2f times what is sent without a restart", ratio)
+		t.Errorf("calls after a restart = %.2f times those without one, want 0.9 to 1.1", ratio)
 	}
 	if restored.overloads > never.overloads {
-		t.Errorf("overloaded %d times", restored.overloads)
+		t.Errorf("overloads after a restart = %d, want at most %d as without one", restored.overloads, never.overloads)
 	}
-	if at == 15*second && n == 40 { // so that this can fail
-		if got, want := float64(forgot.received[3]), float64(never.received[3]); got < 1.4*want {
-			t.Errorf("without a snapshot %v sent in the second after the start, else %v: no difference", got, want)
+	if at == 15*second && n == 40 { // the simulation must be able to show a difference
+		if got, want := float64(withoutSnapshot.received[3]), float64(never.received[3]); got < 1.4*want {
+			t.Errorf("%v calls in second 3 after a restart without a snapshot, %v without a restart, "+
+				"want at least 1.4 times as many", got, want)
 		}
 	}
 }
 
-// TestRestartsOverloadNothing: over many seeds, with the restart at any moment of the outage and the recovery, relays
-// with a snapshot overload a returning destination no more often than relays that were never restarted. RESTART_SEEDS
-// asks for more seeds.
+// TestRestartsOverloadNothing checks that relays restarted with a snapshot at any time in an outage or in the recovery
+// do not overload the recovering destination. The environment variable RESTART_SEEDS sets the number of seeds.
 func TestRestartsOverloadNothing(t *testing.T) {
 	seeds := uint64(40)
 	if n, err := strconv.ParseUint(os.Getenv("RESTART_SEEDS"), 10, 32); err == nil {
@@ -175,40 +178,40 @@
 	}
 	close(next)
 	all.Wait()
-	bad := 0
+	overloadedSeeds := 0
 	for seed, n := range overloads {
 		if n > 0 {
-			bad++
-			t.Logf("seed %d: %d windows over", seed, n)
+			overloadedSeeds++
+			t.Logf("seed %d: %d overloads", seed, n)
 		}
 	}
-	if bad > 0 {
-		t.Errorf("overloaded on %d of %d seeds", bad, seeds)
+	if overloadedSeeds > 0 {
+		t.Errorf("destination overloaded with %d of %d seeds, want none", overloadedSeeds, seeds)
 	}
 }
 
-// TestRestoreAfterRejections: an ejection for rejections in a row alone is a ramp after the gap, since the
-// destination answered. One for silence, or one that is on its ramp, stays.
+// TestRestoreAfterRejections checks that an endpoint that was ejected only for rejections in a row is on a recovery
+// ramp after a restart, since it did answer. An ejection for calls without an answer stays, and so does a ramp.
 func TestRestoreAfterRejections(t *testing.T) {
-	const then, bad = 1000 * second, 996 * second
+	const storedAt, failedAt = 1000 * second, 996 * second
 	for name, c := range map[string]struct {
 		rejections  int
 		silent      bool
 		recoveredAt Time
 		want        Time
 	}{
-		"rejections in a row":        {2, false, 0, bad + 3*second},
-		"a silence":                  {2, true, 0, 0},
+		"rejections in a row":        {2, false, 0, failedAt + 3*second},
+		"last failure unanswered":    {2, true, 0, 0},
 		"one rejection among errors": {1, false, 0, 0},
-		"on its ramp":                {2, false, then - second, then - second},
+		"on its ramp":                {2, false, storedAt - second, storedAt - second},
 	} {
 		engine, err := New(singleClassSettings(), 1)
 		if err != nil {
 			t.Fatal(err)
 		}
-		now := then + 2*second
+		now := storedAt + 2*second
 		engine.Step(now, []Event{listUpdate(ListCached, readyEndpoint(1, 50))}, nil)
-		engine.RestoreAfterRestart(now, &Snapshot{Now: then, Limiters: []LimiterSnapshot{
+		engine.RestoreAfterRestart(now, &Snapshot{Now: storedAt, Limiters: []LimiterSnapshot{
 			{
 				Window:         1,
 				RateMultiplier: 1,
@@ -219,8 +222,8 @@
 						Unhealthy:         true,
 						FailureScore:      1,
 						LastFailureSilent: c.silent,
-						LastFailureAt:     bad,
-						FirstFailureAt:    bad,
+						LastFailureAt:     failedAt,
+						FirstFailureAt:    failedAt,
 						RecoveredAt:       c.recoveredAt,
 						RecoverySentAt:    c.recoveredAt,
 					},
@@ -229,42 +232,45 @@
 		}}, 0)
 		endpoint := engine.endpoints[1]
 		if endpoint.recoveredAt != c.want || endpoint.recoverySentAt != c.want || !endpoint.unhealthy {
-			t.Errorf("%s: its ramp begins at %d, want %d; unhealthy %v", name, endpoint.recoveredAt, c.want,
-				endpoint.unhealthy)
+			t.Errorf("%s: recoveredAt = %d, unhealthy = %v, want %d, true", name, endpoint.recoveredAt,
+				endpoint.unhealthy, c.want)
 		}
 		if got := endpoint.failureScore < 1; got != (name == "rejections in a row") {
-			t.Errorf("%s: score %v", name, endpoint.failureScore)
+			t.Errorf("%s: failureScore = %v, want it below 1 only after rejections in a row", name, endpoint.failureScore)
 		}
 	}
 }
 
-// TestRestoreAgesState: each field ages by its rule: a Retry-After and a backoff keep their moments, budgets do not
-// grow in the gap, nothing is saved up; what is merely old is the default again, and what was ejected stays so.
+// TestRestoreAgesState checks what a restart does to each stored field: a Retry-After and a backoff keep their times,
+// budgets are not refilled for the gap, at most one token is kept, outdated values return to their defaults, and
+// ejected endpoints stay ejected.
 func TestRestoreAgesState(t *testing.T) {
-	const then = 1000 * second
+	const storedAt = 1000 * second
 	stored := func() *Snapshot {
-		return &Snapshot{Now: then, TenantQuotas: []TokenBucketSnapshot{{then, 3, true}}, Limiters: []LimiterSnapshot{
+		return &Snapshot{Now: storedAt, TenantQuotas: []TokenBucketSnapshot{
+			{storedAt, 3, true},
+		}, Limiters: []LimiterSnapshot{
 			{
 				Window:           7,
 				RateMultiplier:   0.6,
 				ReducedRate:      2,
-				ReducedAt:        then,
+				ReducedAt:        storedAt,
 				RejectionRun:     1,
-				FirstRejectionAt: then,
+				FirstRejectionAt: storedAt,
 				RateBound:        true,
-				RetryAfterUntil:  then + 30*second,
-				BackoffUntil:     then + second,
-				Tokens:           TokenBucketSnapshot{then, 5, true},
+				RetryAfterUntil:  storedAt + 30*second,
+				BackoffUntil:     storedAt + second,
+				Tokens:           TokenBucketSnapshot{storedAt, 5, true},
 				Bins:             make([][2]float64, historyBins),
-				HistoryStart:     then - 5*second,
+				HistoryStart:     storedAt - 5*second,
 				Endpoints: []EndpointSnapshot{
 					{
 						ID:             1,
 						Unhealthy:      true,
 						FailureScore:   0.9,
-						FirstFailureAt: then - 4*second,
-						LastFailureAt:  then - second,
-						RecoveryBudget: TokenBucketSnapshot{then - 2*second, 0.25, true},
+						FirstFailureAt: storedAt - 4*second,
+						LastFailureAt:  storedAt - second,
+						RecoveryBudget: TokenBucketSnapshot{storedAt - 2*second, 0.25, true},
 					},
 					{ID: 2, FailureScore: 0.4},
 				},
@@ -279,39 +285,36 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			now := then + shift + gap
+			now := storedAt + shift + gap
 			engine.Step(now, []Event{listUpdate(ListCached, readyEndpoint(1, 50), readyEndpoint(2, 50))}, nil)
 			snapshot := stored()
 			engine.RestoreAfterRestart(now, snapshot, shift)
 			if snapshot.Limiters[0].Tokens.Tokens != 5 ||
-				snapshot.Limiters[0].Endpoints[0].RecoveryBudget.At != then-2*second {
-				t.Fatal("the snapshot that was given is changed")
+				snapshot.Limiters[0].Endpoints[0].RecoveryBudget.At != storedAt-2*second {
+				t.Fatal("RestoreAfterRestart changed the snapshot that was passed to it")
 			}
-			limiter, a, b := engine.endpoints[1].limiter, engine.endpoints[1], engine.endpoints[2]
-			if limiter.retryAfterUntil != then+shift+30*second || limiter.backoffUntil != then+shift+second {
-				t.Errorf("gap %d: waits until %d, pauses until %d", gap, limiter.retryAfterUntil, limiter.backoffUntil)
+			limiter := engine.endpoints[1].limiter
+			ejected, failing := engine.endpoints[1], engine.endpoints[2]
+			if limiter.retryAfterUntil != storedAt+shift+30*second || limiter.backoffUntil != storedAt+shift+second {
+				t.Errorf("gap %d µs: retryAfterUntil = %d, backoffUntil = %d, want %d, %d", gap, limiter.retryAfterUntil,
+					limiter.backoffUntil, storedAt+shift+30*second, storedAt+shift+second)
 			}
-			if !a.unhealthy || a.failureScore != 0.9 || a.lastFailureAt != then+shift-second ||
-				a.firstFailureAt != then+shift-4*second {
-				t.Errorf("gap %d: what was out: %+v", gap, a)
+			if !ejected.unhealthy || ejected.failureScore != 0.9 || ejected.lastFailureAt != storedAt+shift-second ||
+				ejected.firstFailureAt != storedAt+shift-4*second {
+				t.Errorf("gap %d µs: ejected endpoint = %+v, want it unchanged", gap, ejected)
 			}
-			if got := a.recoveryBudget.level(now, 1, 100); got != 0.25 {
-				t.Errorf("gap %d: its budget is %v", gap, got)
+			if got := ejected.recoveryBudget.level(now, 1, 100); got != 0.25 {
+				t.Errorf("gap %d µs: recovery budget = %v, want 0.25", gap, got)
 			}
 			if got := limiter.tokens.level(now, 50, 100); got != 1 {
-				t.Errorf("gap %d: %v saved up", gap, got)
+				t.Errorf("gap %d µs: tokens = %v, want 1", gap, got)
 			}
 			if got := engine.tenantQuotas[0].level(now, 10, 100); got != 3 {
-				t.Errorf("gap %d: the tenant has %v", gap, got)
+				t.Errorf("gap %d µs: tokens of the tenant's quota = %v, want 3", gap, got)
 			}
-			if limiter.reducedRate != 2 || limiter.reducedAt != then+shift || limiter.rateBound {
-				t.Errorf(
-					"gap %d: cut %v at %d, bound %v",
-					gap,
-					limiter.reducedRate,
-					limiter.reducedAt,
-					limiter.rateBound,
-				)
+			if limiter.reducedRate != 2 || limiter.reducedAt != storedAt+shift || limiter.rateBound {
+				t.Errorf("gap %d µs: reducedRate = %v, reducedAt = %d, rateBound = %v, want 2, %d, false", gap,
+					limiter.reducedRate, limiter.reducedAt, limiter.rateBound, storedAt+shift)
 			}
 			want := [4]float64{7, 0.6, 1, 0.4}
 			if gap > historyWindow {
@@ -321,9 +324,9 @@
 				limiter.window,
 				limiter.rateMultiplier,
 				float64(limiter.rejectionRun),
-				b.failureScore,
+				failing.failureScore,
 			}; got != want {
-				t.Errorf("gap %d: window, multiplier, rejections, score %v, want %v", gap, got, want)
+				t.Errorf("gap %d µs: window, multiplier, rejections, score = %v, want %v", gap, got, want)
 			}
 		}
 	}
--- a/policy/resume_test.go
+++ b/policy/resume_test.go
@@ -5,8 +5,8 @@
 	"testing"
 )
 
-// TestRestoreMessage: a message that an earlier process took on keeps its past: what may have run goes out again only
-// as its class allows, and its attempts count on.
+// TestRestoreMessage checks that a message from an earlier process keeps its history: if it may have run, it is sent
+// again only as its class allows, and its earlier attempts count.
 func TestRestoreMessage(t *testing.T) {
 	settings := Settings{
 		Relays:             1,
@@ -65,15 +65,15 @@
 			class: 2, attempts: 2, left: 9 * second, want: ActSend,
 		},
 		{
-			name:  "non-idempotent, never ran, used up",
+			name:  "non-idempotent, never ran, attempts exhausted",
 			class: 2, attempts: 3, left: 9 * second, want: ActReject,
 		},
 		{
-			name:  "by key, in its window",
+			name:  "by key, within its dedup window",
 			class: 1, attempts: 1, uncertainAt: now - 2*second, left: 9 * second, want: ActSend,
 		},
 		{
-			name:  "by key, window over",
+			name:  "by key, after its dedup window",
 			class: 1, attempts: 1, uncertainAt: now - 6*second, left: 9 * second, want: ActFail,
 		},
 		{
@@ -81,15 +81,15 @@
 			class: 0, attempts: 1, uncertainAt: now - 6*second, left: 9 * second, want: ActSend,
 		},
 		{
-			name:  "overdue",
+			name:  "past its deadline",
 			class: 0, attempts: 1, left: -second, want: ActReject,
 		},
 		{
-			name:  "non-idempotent, overdue, may have run",
+			name:  "non-idempotent, past its deadline, may have run",
 			class: 2, attempts: 1, uncertainAt: now - 6*second, left: -second, want: ActFail,
 		},
 		{
-			name:  "overdue, never tried",
+			name:  "at its deadline, never tried",
 			class: 2, left: 0, want: ActReject,
 		},
 	}
@@ -118,27 +118,27 @@
 				}
 			}
 			if len(got) != 1 || got[0] != x.want {
-				t.Fatalf("actions %v, want %v", got, x.want)
+				t.Fatalf("Step(%s) = actions of kinds %v, want only %v", x.name, got, x.want)
 			}
 			if x.want != ActSend {
 				return
 			}
-			// The attempt counts on from those before: its outcome bears their number.
+			// Attempts are numbered from 0, so this one has the number of the attempts before it.
 			after := engine.Step(now+second/10, []Event{{
 				Kind: EvAttemptEnded, Message: 1, Attempt: x.attempts, Endpoint: 7,
 				Outcome: Delivered, MessageFinished: true, Latency: second / 10,
 			}}, nil)
 			for _, action := range after {
 				if action.Kind != ActTimer && action.Kind != ActLog {
-					t.Errorf("still to do: %v", action.Kind)
+					t.Errorf("Step(Delivered) = action of kind %v, want none", action.Kind)
 				}
 			}
 		})
 	}
 }
 
-// TestUnsentAttemptsNotCounted: an attempt that never left the relay uses up none, as often as a message has
-// attempts; where what keeps it from leaving lasts, it does.
+// TestUnsentAttemptsNotCounted checks that attempts that never left the relay do not count against MaxAttempts, but
+// that only MaxAttempts of them are exempt: a cause that persists must not lead to attempts without end.
 func TestUnsentAttemptsNotCounted(t *testing.T) {
 	for _, x := range []struct{ unsent, want int }{{0, 3}, {1, 4}, {3, 6}, {100, 6}} {
 		settings := singleClassSettings()
@@ -170,15 +170,16 @@
 			}
 		}
 		if sends != x.want || reason != AttemptsExhausted {
-			t.Errorf("%d never left: %d attempts, ended for %v", x.unsent, sends, reason)
+			t.Errorf("first %d attempts unsent: %d attempts, ended for %v, want %d, for %v", x.unsent, sends, reason,
+				x.want, AttemptsExhausted)
 		}
 	}
 }
 
-// TestRecoveredUntriedGoFirst: what an earlier process took on and never tried goes before what is submitted now,
-// whatever its weight, the nearest deadline first, and is not shed for it; once tried it is like any other. Without
-// that a relay under load gave more than half of it back with no call, since what is new always loses more by
-// waiting.
+// TestRecoveredUntriedGoFirst guards against recovered messages that end without an attempt. Messages that an earlier
+// process accepted and never tried go before new ones of any weight, the nearest deadline first, and are not shed for
+// them; once tried they are like any others. Without this a relay under load rejected more than half of them with no
+// call, since new messages always lose more by waiting.
 func TestRecoveredUntriedGoFirst(t *testing.T) {
 	const untried, tried = 24, 4
 	settings := singleClassSettings()
@@ -193,7 +194,7 @@
 	now := 100 * second
 	events := []Event{listUpdate(ListFull, EndpointUpdate{Endpoint: 7, Destination: 1, State: Ready, Rate: 20})}
 	recovered := Event{Kind: EvMessageSubmitted, Destination: 1, Recovered: true}
-	for i := range uint32(untried) { // the last ones end first
+	for i := range uint32(untried) { // the last ones have the nearest deadlines
 		event := recovered
 		event.Message, event.TimeLeft = 1+i, 8*second-Time(i)*50e3
 		events = append(events, event)
@@ -206,9 +207,9 @@
 		events = append(events, event)
 	}
 	isUntried := func(id uint32) bool { return id <= untried }
-	sent, again, order := map[uint32]bool{}, 0, []uint32{}
+	sent, repeated, order := map[uint32]bool{}, 0, []uint32{}
 	for next := uint32(100); now < 108*second; now += 5e3 {
-		if now%100e3 == 0 { // more than goes out, and of more weight
+		if now%100e3 == 0 { // faster than messages can be sent, and of more weight
 			events = append(events, Event{
 				Kind: EvMessageSubmitted, Message: next, Class: 1, Destination: 1, TimeLeft: 20 * second,
 			})
@@ -222,7 +223,7 @@
 				if isUntried(action.Message) && !sent[action.Message] {
 					order = append(order, action.Message)
 				} else if len(sent) < untried && isUntried(action.Message) {
-					again++ // before others had their first attempt
+					repeated++ // a second attempt before all others had their first
 				}
 				sent[action.Message] = true
 				action.Attempt = attempts[action.Message]
@@ -237,7 +238,7 @@
 			case ActReject, ActFail:
 				if isUntried(action.Message) && !sent[action.Message] {
 					t.Errorf(
-						"%d is ended untried at %d ms, for %v",
+						"message %d ended without an attempt after %d ms, for %v",
 						action.Message,
 						(now-100*second)/1000,
 						action.Reason,
@@ -246,10 +247,11 @@
 			}
 		}
 	}
-	if len(order) != untried || again > 2 {
-		t.Errorf("%d of %d tried; %d second attempts before others' first", len(order), untried, again)
+	if len(order) != untried || repeated > 2 {
+		t.Errorf("%d of %d messages tried, with %d second attempts before others' first, want all and at most 2",
+			len(order), untried, repeated)
 	}
 	if !slices.IsSortedFunc(order, func(a, b uint32) int { return int(b) - int(a) }) {
-		t.Errorf("%v: not the nearest deadline first", order)
+		t.Errorf("order of first attempts = %v, want descending, the nearest deadline first", order)
 	}
 }
--- a/policy/retry_test.go
+++ b/policy/retry_test.go
@@ -2,7 +2,8 @@
 
 import "testing"
 
-// TestTimeoutNotBelowLatencyObjective: one quick answer must not make the next slow one look like an outage.
+// TestTimeoutNotBelowLatencyObjective guards against a timeout that one quick answer makes so short that the next,
+// slower answer counts as a failure.
 func TestTimeoutNotBelowLatencyObjective(t *testing.T) {
 	h := newHarness(t, singleClassSettings(), readyEndpoint(1, 1000))
 	h.step(h.message(0, 0))
@@ -12,12 +13,12 @@
 	h.step(event)
 	h.step(h.message(0, 0))
 	if len(h.sends) != 1 || h.sends[0].TimeoutAt-h.now < 2*second {
-		t.Fatalf("sends %+v at %d: timeout under the objective", h.sends, h.now)
+		t.Fatalf("sends at %d = %+v, want one with a timeout of at least %d µs", h.now, h.sends, 2*second)
 	}
 }
 
-// TestOverdueCallsAreCancelled: calls that never come back do not hold the last slots while messages wait, and a call
-// to an endpoint that has answered others since does not count against it.
+// TestOverdueCallsAreCancelled checks that calls that are never answered are cancelled if they hold the last slots
+// while messages wait, and that a cancelled call is no failure of an endpoint that has answered since it was sent.
 func TestOverdueCallsAreCancelled(t *testing.T) {
 	settings := singleClassSettings()
 	settings.MaxConcurrentCalls = 2
@@ -27,7 +28,7 @@
 		EndpointUpdate{Endpoint: 1, State: Ready, Destination: 0, Rate: 1000},
 		EndpointUpdate{Endpoint: 2, State: Ready, Destination: 1, Rate: 1000},
 	)
-	for dest := range 2 { // both have answered once, so what is usual is known
+	for dest := range 2 { // one answer from each, so that their usual latency is known
 		h.step(h.message(0, dest))
 		h.now += second / 10
 		h.step(endOf(h.sends[0], Delivered))
@@ -35,7 +36,7 @@
 	h.now += second
 	h.step(h.message(0, 0), h.message(0, 1), h.message(0, 1))
 	if h.engine.callsInFlight != 2 {
-		t.Fatalf("%d calls out, want both slots taken", h.engine.callsInFlight)
+		t.Fatalf("%d calls in flight, want 2, in both slots", h.engine.callsInFlight)
 	}
 	cancels := 0
 	for range 400 {
@@ -47,7 +48,7 @@
 		}
 	}
 	if cancels == 0 {
-		t.Fatal("no overdue call was called off")
+		t.Fatal("no overdue call was cancelled within 2 s, want at least one")
 	}
 	endpoint := h.engine.endpoints[1]
 	endpoint.lastSuccessAt = h.now
@@ -57,13 +58,14 @@
 		&Event{Kind: EvAttemptEnded, Outcome: Cancelled},
 	)
 	if endpoint.failureScore != before {
-		t.Error("a call called off counted against an endpoint that has answered since")
+		t.Errorf("failureScore after a cancelled call to an endpoint that has answered since = %v, want %v",
+			endpoint.failureScore, before)
 	}
 }
 
-// TestRetriesStayInDedupWindow: a message with an idempotency key that may have run is sent again only as long as its
-// endpoint knows the key for certain as it arrives, and each retry says until when; one whose time for that is over
-// is ended, and never sent.
+// TestRetriesStayInDedupWindow guards against duplicates of messages that are idempotent by key. A message that may
+// have run is retried only if the retry arrives while its endpoint certainly still knows the key. Each retry carries
+// the latest time for its last byte; after that time the message is ended and not sent again.
 func TestRetriesStayInDedupWindow(t *testing.T) {
 	for _, window := range []Time{1 * second, 6 * second, 20 * second} {
 		settings := singleClassSettings()
@@ -99,13 +101,15 @@
 				case ActSend:
 					if sends++; sends == 1 {
 						if first = now; action.LastByteBy != 0 {
-							t.Errorf("window %d: a first attempt has until %d", window, action.LastByteBy-now)
+							t.Errorf("window %d µs: LastByteBy of the first attempt is %d µs from now, want no limit",
+								window, action.LastByteBy-now)
 						}
 					} else {
 						latest := first + window - min(window/20, dedupTransitTime)
 						if action.LastByteBy <= now || action.LastByteBy > latest {
-							t.Errorf("window %d: a retry %d after the first has until %d", window, now-first,
-								action.LastByteBy-first)
+							t.Errorf("window %d µs: LastByteBy of a retry %d µs after the first attempt is at %d µs, "+
+								"want later than the retry and at most %d µs", window, now-first,
+								action.LastByteBy-first, latest-first)
 						}
 					}
 					events = append(events, Event{
@@ -126,7 +130,8 @@
 			now += 5e3
 		}
 		if sends < 2 || !ended || now-first > window {
-			t.Errorf("window %d: %d sends, ended %v after %d", window, sends, ended, now-first)
+			t.Errorf("window %d µs: %d sends, ended = %v after %d µs, want at least 2, true, at most the window",
+				window, sends, ended, now-first)
 		}
 	}
 }
--- a/policy/settings_test.go
+++ b/policy/settings_test.go
@@ -24,10 +24,10 @@
 		settings := singleClassSettings()
 		c.change(&settings)
 		if _, err := New(settings, 1); err == nil || !strings.Contains(err.Error(), c.key) {
-			t.Errorf("%s: error %v", c.key, err)
+			t.Errorf("New(settings with an invalid %s): error = %v, want one that names it", c.key, err)
 		}
 	}
 	if _, err := New(singleClassSettings(), 1); err != nil {
-		t.Errorf("good settings: %v", err)
+		t.Errorf("New(valid settings): error = %v, want none", err)
 	}
 }
--- a/policy/snapshot_test.go
+++ b/policy/snapshot_test.go
@@ -7,8 +7,8 @@
 	"testing"
 )
 
-// TestStoredForm: the recorded form, with every key of it, is read and written again byte for byte. It stands in
-// files and in hand-over packets of other versions.
+// TestStoredForm guards the JSON form of a Snapshot, which occurs in stored files and in hand-over packets of other
+// versions. A recorded snapshot with every key must decode, and encode to the same bytes again.
 func TestStoredForm(t *testing.T) {
 	text, err := os.ReadFile("testdata/memory.json")
 	if err != nil {
@@ -16,18 +16,18 @@
 	}
 	decoder := json.NewDecoder(bytes.NewReader(text))
 	decoder.DisallowUnknownFields()
-	var m Snapshot
-	if err := decoder.Decode(&m); err != nil {
+	var snapshot Snapshot
+	if err := decoder.Decode(&snapshot); err != nil {
 		t.Fatal(err)
 	}
-	got, err := json.MarshalIndent(&m, "", "  ")
+	got, err := json.MarshalIndent(&snapshot, "", "  ")
 	if err != nil {
 		t.Fatal(err)
 	}
 	if !bytes.Equal(append(got, '\n'), text) {
-		t.Errorf("read and written again:\n%s\nwant\n%s", got, text)
+		t.Errorf("MarshalIndent(decoded snapshot) =\n%s\nwant\n%s", got, text)
 	}
-	limiter, endpoint := m.Limiters[0], m.Limiters[0].Endpoints[0]
+	limiter, endpoint := snapshot.Limiters[0], snapshot.Limiters[0].Endpoints[0]
 	for _, value := range []struct {
 		key       string
 		got, want float64
@@ -50,7 +50,7 @@
 		{"full_at", float64(limiter.FirstRejectionAt), 134},
 	} {
 		if value.got != value.want {
-			t.Errorf("%s: %v, want %v", value.key, value.got, value.want)
+			t.Errorf("field of key %q = %v, want %v", value.key, value.got, value.want)
 		}
 	}
 }
