--- a/policy/destinations.go
+++ b/policy/destinations.go
@@ -39,7 +39,7 @@
 	e.destinations = without(e.destinations, dropped)
 }
 
-// markDirty makes the current step choose the destination's next message anew.
+// markDirty makes the current step choose the destination's next message again.
 func (e *Engine) markDirty(destination *destination) {
 	if !destination.dirty {
 		destination.dirty = true
--- a/policy/endpoints.go
+++ b/policy/endpoints.go
@@ -55,8 +55,8 @@
 	e.markDirty(limiter.destination)
 }
 
-// removeEndpoint removes an endpoint; its calls in flight still count. A route with a Retry-After in force is
-// known until that is over, so that the Retry-After still holds if the route returns to the list.
+// removeEndpoint removes an endpoint; its calls in flight still count. A route with a Retry-After in force
+// stays known until that is over, so that the Retry-After still holds if the route returns to the list.
 func (e *Engine) removeEndpoint(removed *endpoint) {
 	removed.state = Gone
 	limiter := removed.limiter
--- a/policy/fleet_test.go
+++ b/policy/fleet_test.go
@@ -256,10 +256,10 @@
 func TestRateReductionAfterRejection(t *testing.T) {
 	settings := singleClassSettings()
 	settings.Relays = 100
-	h := newHarness(t, settings, readyEndpoint(1, 200)) // an even share is 2 a second
+	h := newHarness(t, settings, readyEndpoint(1, 200)) // an even share is 2 calls per second
 	limiter := h.engine.destinationFor(0).limiters[0]
 	before := h.engine.rateLimit(limiter)
-	for range 20 { // two a second
+	for range 20 { // 2 messages per second
 		h.step(h.message(0, 0))
 		if len(h.sends) != 1 {
 			t.Fatalf("step with one message: %d sends, want 1", len(h.sends))
--- a/policy/message.go
+++ b/policy/message.go
@@ -65,7 +65,7 @@
 	})
 }
 
-// finishMessage ends a pending message, which has been answered. It stays known while its attempt is in flight.
+// finishMessage ends a message that needs no further answer. It stays known while its attempt is in flight.
 func (e *Engine) finishMessage(message *message) {
 	if message.finished {
 		return
@@ -109,8 +109,8 @@
 	}
 }
 
-// restoreAttemptInFlight records that an attempt sent by the engine's predecessor is still in flight. It occupies a slot,
-// and its outcome is reported to this engine as if this engine had sent it.
+// restoreAttemptInFlight records that an attempt sent by the engine's predecessor is still in flight. It occupies a
+// slot, and its outcome is reported to this engine as if this engine had sent it.
 func (e *Engine) restoreAttemptInFlight(restored *message, endpoint *endpoint, sentAt Time) {
 	restored.destination.queue = without(restored.destination.queue, restored)
 	call := &call{endpoint: endpoint, sentAt: sentAt, openAttempts: 1, messages: []*message{restored}}
--- a/policy/settings.go
+++ b/policy/settings.go
@@ -65,8 +65,8 @@
 	DrainGrace           Time    // time after the announcement of a drain by which sends must have stopped
 	InitialCapacity      float64 // least share of its capacity that a destination has right after an outage
 	RampDuration         Time    // time after an outage by which it has its full capacity again
-	OverloadFactor       float64 // a recovering destination fails again if it gets more than this many times its ...
-	OverloadDuration     Time    // ... current capacity for this long
+	OverloadFactor       float64 // multiple of its current capacity up to which a recovering destination is stable
+	OverloadDuration     Time    // time at a higher load after which it fails again
 	OrderedKeyBackoff    Time    // pause of an ordered key after an attempt that may still be running
 }
 
--- a/policy/snapshot.go
+++ b/policy/snapshot.go
@@ -214,7 +214,7 @@
 	return snapshot
 }
 
-// LoadSnapshot loads what another engine has learned. Endpoints that the list has not yet named to this engine are
+// LoadSnapshot loads what another engine has learned. Endpoints that this engine does not know from the list are
 // skipped. shift converts the snapshot's times to this engine's clock. What this engine has learned itself of the
 // endpoints in the snapshot is overwritten, so it is meant for a new engine.
 func (e *Engine) LoadSnapshot(now Time, snapshot *Snapshot, shift Time) {
