--- a/policy/fleet_test.go
+++ b/policy/fleet_test.go
@@ -190,7 +190,7 @@
 			}
 			limit := rate * float64(length) / 1e6
 			if ratio := float64(sent) / limit; ratio > 1.05 {
-				t.Errorf("sent = %.2f times the limit, want at most 1.05; %d calls were rejected", ratio, fleet.rejected)
+				t.Errorf("sent = %.2f times the limit, want at most 1.05; %d calls rejected", ratio, fleet.rejected)
 			}
 			if used := float64(accepted) / limit; used < minUsed {
 				t.Errorf("accepted = %.2f of the limit, want at least %.2f", used, minUsed)
@@ -246,7 +246,7 @@
 			}
 		}
 		if meanUsed < minUsed {
-			t.Errorf("%d relays: calls during the ramp = %.2f of the capacity, want at least %.2f", n, meanUsed, minUsed)
+			t.Errorf("%d relays: calls on the ramp = %.2f of the capacity, want at least %.2f", n, meanUsed, minUsed)
 		}
 	}
 }
--- a/policy/identity_test.go
+++ b/policy/identity_test.go
@@ -13,13 +13,14 @@
 		h.step(h.message(0, 0))
 		for _, action := range h.sends {
 			if action.Endpoint != 2 {
-				t.Fatalf("message was sent to endpoint %d, whose identity is rejected, want endpoint 2", action.Endpoint)
+				t.Fatalf("message was sent to endpoint %d, whose identity is rejected, want 2", action.Endpoint)
 			}
 			h.step(endOf(action, Delivered))
 		}
 	}
 	if !h.engine.Avoids(1, h.now) || h.engine.Avoids(2, h.now) {
-		t.Errorf("Avoids(1), Avoids(2) = %v, %v, want true, false", h.engine.Avoids(1, h.now), h.engine.Avoids(2, h.now))
+		t.Errorf("Avoids(1), Avoids(2) = %v, %v, want true, false", h.engine.Avoids(1, h.now),
+			h.engine.Avoids(2, h.now))
 	}
 	// Now both are rejected, endpoint 1 until after a new message's deadline, endpoint 2 until before it.
 	h.step(Event{Kind: EvIdentityRejected, Endpoint: 2, RetryAfter: 5 * second})
--- a/policy/outcome_test.go
+++ b/policy/outcome_test.go
@@ -97,7 +97,8 @@
 	event := endOf(h.sends[0], NotSent)
 	event.RetryAfter = second
 	if h.step(event); len(h.sends) != 0 || h.engine.endpoints[1].failureScore != 0 {
-		t.Fatalf("Step(NotSent) = %v, failureScore = %v, want no send, 0", h.actions, h.engine.endpoints[1].failureScore)
+		t.Fatalf("Step(NotSent) = %v, failureScore = %v, want no send, 0", h.actions,
+			h.engine.endpoints[1].failureScore)
 	}
 	h.now += second + 5000
 	if h.step(Event{Kind: EvTimer}); len(h.sends) != 1 {
--- a/policy/recovery_test.go
+++ b/policy/recovery_test.go
@@ -85,8 +85,8 @@
 	rampStart := endpoint.recoveredAt
 	h.engine.recordFailure(endpoint, sentBefore, true)
 	if rampStart == 0 || endpoint.recoveredAt != rampStart {
-		t.Fatalf("recoveredAt = %d before and %d after the failure of an earlier call, want the same above 0", rampStart,
-			endpoint.recoveredAt)
+		t.Fatalf("recoveredAt = %d before and %d after the failure of an earlier call, want the same above 0",
+			rampStart, endpoint.recoveredAt)
 	}
 }
 
@@ -188,8 +188,8 @@
 				sum += c
 			}
 			if most := settings.OverloadFactor * settings.InitialCapacity * rate * 3; sum > most*1.25 {
-				t.Errorf("%d relays: %v calls in the 3 s from %d ms after the outage, want at most %v", n, sum, from*500,
-					most*1.25)
+				t.Errorf("%d relays: %v calls in the 3 s from %d ms after the outage, want at most %v", n, sum,
+					from*500, most*1.25)
 			}
 		}
 	}
--- a/policy/restart_test.go
+++ b/policy/restart_test.go
@@ -236,7 +236,8 @@
 				endpoint.unhealthy, c.want)
 		}
 		if got := endpoint.failureScore < 1; got != (name == "rejections in a row") {
-			t.Errorf("%s: failureScore = %v, want it below 1 only after rejections in a row", name, endpoint.failureScore)
+			t.Errorf("%s: failureScore = %v, want it below 1 only after rejections in a row", name,
+				endpoint.failureScore)
 		}
 	}
 }
@@ -296,8 +297,8 @@
 			limiter := engine.endpoints[1].limiter
 			ejected, failing := engine.endpoints[1], engine.endpoints[2]
 			if limiter.retryAfterUntil != storedAt+shift+30*second || limiter.backoffUntil != storedAt+shift+second {
-				t.Errorf("gap %d µs: retryAfterUntil = %d, backoffUntil = %d, want %d, %d", gap, limiter.retryAfterUntil,
-					limiter.backoffUntil, storedAt+shift+30*second, storedAt+shift+second)
+				t.Errorf("gap %d µs: retryAfterUntil = %d, backoffUntil = %d, want %d, %d", gap,
+					limiter.retryAfterUntil, limiter.backoffUntil, storedAt+shift+30*second, storedAt+shift+second)
 			}
 			if !ejected.unhealthy || ejected.failureScore != 0.9 || ejected.lastFailureAt != storedAt+shift-second ||
 				ejected.firstFailureAt != storedAt+shift-4*second {
--- a/policy/retry.go
+++ b/policy/retry.go
@@ -5,7 +5,7 @@
 const (
 	maxAttemptNumber           = 255
 	dedupTransitTime           = Time(200e3) // for a retry's last byte to arrive; at most 1/20 of the window
-	nonIdempotentOverdueFactor = 4           // factor by which calls of non-idempotent messages may take longer
+	nonIdempotentOverdueFactor = 4           // factor of the overdue time of non-idempotent messages
 	overdueLatencyMultiple     = 4           // a call is overdue after this multiple of mean plus deviation
 )
 
