--- a/internal/relay/attempts.go
+++ b/internal/relay/attempts.go
@@ -7,7 +7,7 @@
 	"troutusher/internal/upstream"
 )
 
-// callRequest returns what an attempt of the core sends.
+// callRequest returns the request to send for an attempt of the core.
 func callRequest(call *core.Call, loadFields []string) upstream.Request {
 	return upstream.Request{
 		ID:             call.Record.ID,
@@ -18,7 +18,7 @@
 	}
 }
 
-// coreResult returns the result of a call or a health check as the core takes it.
+// coreResult converts the result of a call or a health check to the core's type.
 func coreResult(result upstream.Result) *core.Result {
 	return &core.Result{
 		Outcome:           result.Outcome,
--- a/internal/relay/clients.go
+++ b/internal/relay/clients.go
@@ -12,55 +12,55 @@
 	"troutusher/internal/respserver"
 )
 
-// Replies in RESP2 that say nothing of a single request.
+// Replies in RESP2 with a fixed text.
 const (
 	replyOK       = "+OK\r\n"
 	replyPong     = "+PONG\r\n"
 	replyDraining = "-DRAINING no new connections here for now\r\n"
 )
 
-// busyReply rejects a request that may come again after a time; 0 where that is not
-// known.
+// busyReply returns the reply that rejects a request because of the load. The client
+// may retry after retryAfterMS milliseconds; 0 if the time is unknown.
 func busyReply(retryAfterMS int64) string { return respserver.BusyReply(retryAfterMS) }
 
-// errorReply is the reply to a request that cannot be used.
+// errorReply returns the reply to an invalid request.
 func errorReply(err error) string { return respserver.ErrorReply(err) }
 
-// request is a message that a client submits. It is answered once.
+// request is a message that a client submits. It gets exactly one reply.
 type request struct {
 	core.Request
-	timeLeft    time.Duration // until its deadline, when it was received
+	timeLeft    time.Duration // from its receipt to its deadline
 	sendReply   func(text string)
-	onReplyDone func(q *request, ok bool)
+	onReplyDone func(req *request, ok bool)
 }
 
-func (q *request) answer(text string) { q.sendReply(text) }
+func (req *request) answer(text string) { req.sendReply(text) }
 
-// ReplyDone is called once the reply was written (ok), or its client is gone.
-func (q *request) ReplyDone(ok bool) { q.onReplyDone(q, ok) }
+// ReplyDone is called once the reply is written (ok) or the client has disconnected.
+func (req *request) ReplyDone(ok bool) { req.onReplyDone(req, ok) }
 
-// clientServer gives the commands of clients their meaning. Connections are the RESP
-// server's, in whose goroutine commands are handled.
+// clientServer handles the commands of clients. The RESP server owns the connections
+// and calls the handler in its own goroutine.
 type clientServer struct {
 	cfg         *config.Config
 	server      *respserver.Server
-	lifecycle   *processLifecycle         // nil for one that always accepts clients
-	submit      func(*request)            // hands it to the event loop, which answers
-	onReplyDone func(q *request, ok bool) // the reply was written, or its client is gone
-	countShed   func(class int)           // a request was rejected before the event loop saw it; may be nil
+	lifecycle   *processLifecycle           // nil if clients are always accepted
+	submit      func(*request)              // passes a request to the event loop, which replies
+	onReplyDone func(req *request, ok bool) // called once the reply is written or the client has disconnected
+	countShed   func(class int)             // counts a request that was shed before submit; may be nil
 }
 
-// serverOptions are those of this relay's machine and operator.
+// serverOptions returns the limits for the RESP server from the configuration.
 func serverOptions(cfg *config.Config) respserver.Options {
 	return respserver.Options{Limits: cfg.ConnLimits(), MemoryLimit: cfg.CommandMemory()}
 }
 
-// newClientServer binds the addresses of clients.
+// newClientServer creates a server for clients and binds its addresses.
 func newClientServer(
 	cfg *config.Config,
 	options respserver.Options,
 	submit func(*request),
-	onReplyDone func(q *request, ok bool),
+	onReplyDone func(req *request, ok bool),
 	addrs ...string,
 ) (*clientServer, error) {
 	c := &clientServer{cfg: cfg, submit: submit, onReplyDone: onReplyDone}
@@ -82,7 +82,7 @@
 	}
 }
 
-// pong is the reply to PING, with what there was to be echoed.
+// pong returns the reply to PING, which echoes the first argument if there is one.
 func (c *clientServer) pong(args [][]byte) string {
 	switch {
 	case c.lifecycle != nil && !c.lifecycle.acceptsClients.Load():
@@ -93,24 +93,24 @@
 	return replyPong
 }
 
-// put submits a message, whose reply comes later, unless the load is shed or there
-// is an error in it.
+// put submits a message, whose reply follows later. It replies at once if the message
+// is invalid or is rejected by load shedding.
 func (c *clientServer) put(command *respserver.Command) respserver.Reply {
-	q, err := parsePut(c.cfg, command.Args, command.ReceivedAt)
+	req, err := parsePut(c.cfg, command.Args, command.ReceivedAt)
 	if err != nil {
 		return respserver.Reply{Text: errorReply(err)}
 	}
 	if command.Shed {
 		if c.countShed != nil {
-			c.countShed(q.Class)
+			c.countShed(req.Class)
 		}
 		retryAfterMS := max(command.RetryAfter.Milliseconds(), 1)
 		return respserver.Reply{Text: busyReply(retryAfterMS), Kind: connlimit.CommandRequest}
 	}
-	q.Queued = command.QueueDelay.Microseconds()
-	id := command.ID // the command is the server's again once this returns
-	q.sendReply = func(text string) { c.server.SendReply(id, text) }
-	q.onReplyDone = c.onReplyDone
-	c.submit(q)
-	return respserver.Reply{Kind: connlimit.CommandRequest, Pending: q, PendingBytes: len(q.Record.Body)}
+	req.Queued = command.QueueDelay.Microseconds()
+	id := command.ID // the server reuses the command once put returns
+	req.sendReply = func(text string) { c.server.SendReply(id, text) }
+	req.onReplyDone = c.onReplyDone
+	c.submit(req)
+	return respserver.Reply{Kind: connlimit.CommandRequest, Pending: req, PendingBytes: len(req.Record.Body)}
 }
--- a/internal/relay/console.go
+++ b/internal/relay/console.go
@@ -11,12 +11,13 @@
 	"troutusher/internal/lifecycle"
 )
 
-// endpointStatsInterval is how old the counts of endpoints on the board may be. All
-// else there is updated with each step.
+// endpointStatsInterval is how often the endpoint counts on the board are updated. The
+// other counts are updated at each step.
 const endpointStatsInterval = 200 * time.Millisecond
 
-// consoleCalls are what operators may call. None of them waits for the event loop: a
-// drain goes straight to the RESP server, and figures are read from the board.
+// consoleCalls returns the handlers of the operators' console. No handler waits for the
+// event loop: drains are applied to the RESP server directly, and statistics are read
+// from the board.
 func (r *Relay) consoleCalls() console.Handlers {
 	logged := func(call string, change transition) func() (bool, string) {
 		return func() (bool, string) {
@@ -38,16 +39,16 @@
 	}
 }
 
-// appendStats appends all figures, those of TLS where there is a rule for it.
-func (r *Relay) appendStats(to []byte) []byte {
-	to = r.board.AppendTo(to)
+// appendStats appends all statistics, including those of TLS if there are TLS rules.
+func (r *Relay) appendStats(buf []byte) []byte {
+	buf = r.board.AppendTo(buf)
 	dialer := r.consoleTLSPeers.Load()
 	if dialer == nil {
-		return to
+		return buf
 	}
 	const counter, gauge = "c", "g"
 	appendFigure := func(name string, value int64, unit string) {
-		to = fmt.Appendf(to, "%stls_%s:%d|%s\n", console.MetricPrefix, name, value, unit)
+		buf = fmt.Appendf(buf, "%stls_%s:%d|%s\n", console.MetricPrefix, name, value, unit)
 	}
 	counts := dialer.Counts()
 	appendFigure("full", counts.Full, counter)
@@ -58,10 +59,10 @@
 	dialer.DaysLeft(func(name string, days float64) {
 		appendFigure("days."+name, int64(math.Floor(days)), gauge)
 	})
-	return to
+	return buf
 }
 
-// updateBoard shows what the core has counted.
+// updateBoard copies the core's counts to the board.
 func (r *Relay) updateBoard() {
 	for class, counts := range r.core.CountsByClass() {
 		r.board.SetOutcomes(class, console.Outcomes(counts))
@@ -77,7 +78,7 @@
 	r.board.UnhealthyEndpoints.Store(int64(unhealthy))
 }
 
-// classNames are the classes of messages, by their numbers.
+// classNames returns the names of the message classes, indexed by class number.
 func classNames(cfg *config.Config) []string {
 	names := make([]string, len(cfg.Policy.Classes))
 	for name, class := range cfg.Classes {
--- a/internal/relay/effects.go
+++ b/internal/relay/effects.go
@@ -10,10 +10,11 @@
 	"troutusher/policy"
 )
 
-// errCallNotHandedOver: the predecessor had a call out and did not pass its connection.
-var errCallNotHandedOver = errors.New("its connection was not handed over")
+// errCallNotHandedOver means that the predecessor had a call in flight and did not pass
+// its connection on.
+var errCallNotHandedOver = errors.New("resume call: predecessor did not hand over its connection")
 
-// execute does what the core asks for, in its order.
+// execute executes the core's effects in their order.
 func (r *Relay) execute(effects []core.Effect) {
 	for _, effect := range effects {
 		r.executeEffect(effect)
@@ -33,7 +34,7 @@
 	case core.AppendThenSend:
 		r.startCall(e.Record, e.Call)
 	case core.AppendThenNotify:
-		// The notice goes out whether or not it could be logged.
+		// The notice is sent even if it could not be logged.
 		r.wal.Submit(e.Record, func(error) { r.notices.Send(e.Notice) })
 	case core.SendNotice:
 		r.notices.Send(e.Notice)
@@ -67,7 +68,8 @@
 	}
 }
 
-// appendThenReply logs an accepted message and then answers its client.
+// appendThenReply writes an accepted message to the write-ahead log and then replies to
+// its client.
 func (r *Relay) appendThenReply(accepted *core.Request) {
 	r.wal.Submit(accepted.Record, func(err error) {
 		if err != nil {
@@ -78,7 +80,8 @@
 	})
 }
 
-// checkHealth has an endpoint checked, and the result posted.
+// checkHealth starts a health check of an endpoint, whose result is posted to the event
+// loop.
 func (r *Relay) checkHealth(id policy.EndpointID) {
 	endpoint := r.endpoints[id]
 	go func() {
@@ -96,8 +99,8 @@
 	})
 }
 
-// writeLog logs a line of the core's. That of the metrics tells of the longest step,
-// too.
+// writeLog writes a log line of the core. It adds the duration of the longest step to
+// the metrics line.
 func (r *Relay) writeLog(e core.Log) {
 	args := e.Args
 	if e.Text == metrics.LogText {
@@ -107,9 +110,9 @@
 	r.log.Log(r.ctx, e.Level, e.Text, args...)
 }
 
-func requestOf(q *core.Request) *request { return q.Handle.(*request) }
+func requestOf(req *core.Request) *request { return req.Handle.(*request) }
 
-// replyText is a reply in RESP2.
+// replyText encodes a reply in RESP2.
 func replyText(reply core.Reply) string {
 	switch {
 	case reply.OK:
@@ -120,13 +123,13 @@
 	return busyReply(reply.RetryAfterMS)
 }
 
-// identityRejected is called where an endpoint's identity was rejected: it gets
-// nothing for a time.
+// identityRejected is called if the TLS identity of an endpoint was rejected. Nothing
+// is sent to the endpoint until wait is over.
 func (r *Relay) identityRejected(endpoint uint64, wait time.Duration) {
 	r.post(core.IdentityRejected{Endpoint: policy.EndpointID(endpoint), Duration: wait.Microseconds()})
 }
 
-// startCall logs an attempt and then makes it.
+// startCall writes an attempt to the write-ahead log and then makes the call.
 func (r *Relay) startCall(record *core.Record, attempt *core.Call) {
 	call := upstream.NewCall(r.ctx, upstream.CallOptions{
 		SendBy:     attempt.SendBy,
@@ -153,7 +156,8 @@
 	})
 }
 
-// resumeCall waits here for the response to a call of the predecessor.
+// resumeCall waits for the response to a call that the predecessor sent. A call whose
+// connection was not handed over, or cannot be used, ends as a connection reset.
 func (r *Relay) resumeCall(attempt *core.Call) {
 	elapsed := time.Duration(r.now()-attempt.SentAt()) * time.Microsecond
 	call := upstream.NewCall(r.ctx, upstream.CallOptions{ElapsedBefore: elapsed})
@@ -169,7 +173,7 @@
 	}
 	delete(r.inheritedCalls, attempt.Record.ID)
 	endpoint := r.endpoints[attempt.Endpoint]
-	if endpoint == nil { // it has left
+	if endpoint == nil { // no longer in the endpoint list
 		endpoint = r.pool.ClosedEndpoint()
 	}
 	r.inFlight.Add(call)
--- a/internal/relay/eventloop.go
+++ b/internal/relay/eventloop.go
@@ -8,37 +8,38 @@
 	"troutusher/policy"
 )
 
-// loopInput is what other goroutines tell the event loop. An empty one has it take
-// another step.
+// loopInput is an input of another goroutine to the event loop. At most one field is
+// set. An empty input only causes another step.
 type loopInput struct {
 	event    core.Event
 	config   *config.Config   // a new configuration
-	handover *handoverRequest // another process is ready to take over
+	handover *handoverRequest // a successor is ready to take over
 }
 
 const (
-	// maxLoopWait bounds the wait for an input where no timer is due.
+	// maxLoopWait bounds the wait for an input if no timer is due.
 	maxLoopWait = time.Hour
-	// shutdownPollInterval is how often a relay that shuts down looks whether it
-	// is done.
+	// shutdownPollInterval is how often the event loop checks, during a shutdown,
+	// whether the shutdown is complete.
 	shutdownPollInterval = 20 * time.Millisecond
 )
 
-// post tells the event loop of an event, from any goroutine.
+// post sends an event to the event loop. It may be called from any goroutine.
 func (r *Relay) post(e core.Event) { r.inbox.Put(loopInput{event: e}) }
 
-// observe has the core take lists in without a decision.
+// observe passes endpoint lists to the core, which takes them in without a decision.
 func (r *Relay) observe(lists []core.EndpointListUpdated) {
 	events := make([]core.Event, 0, len(lists))
-	for _, l := range lists {
-		events = append(events, l)
+	for _, list := range lists {
+		events = append(events, list)
 	}
 	r.execute(r.core.Observe(r.now(), events, r.effects[:0]))
 }
 
-// eventLoop serves until the shutdown is done (nil), the work is another process's
-// (errHandoverComplete), or the relay cannot go on. Its goroutine alone uses the
-// core: it hands events in and executes the effects.
+// eventLoop passes events to the core and executes the core's effects. No other
+// goroutine uses the core. It returns nil once the shutdown is complete,
+// errHandoverComplete once another process has taken over, and another error if the
+// relay cannot continue.
 func (r *Relay) eventLoop() error {
 	timer := time.NewTimer(maxLoopWait)
 	defer timer.Stop()
@@ -61,7 +62,7 @@
 	}
 }
 
-// untilNextStep is how long the event loop may wait for an input.
+// untilNextStep returns how long the event loop may wait for an input.
 func (r *Relay) untilNextStep() time.Duration {
 	wait := maxLoopWait
 	if at := r.core.NextWakeup(); at > 0 {
@@ -79,12 +80,12 @@
 	return max(wait, 0)
 }
 
-// until is the time until the core's clock has passed a moment.
+// until returns the time until the core's clock has passed at.
 func (r *Relay) until(at policy.Time) time.Duration {
 	return time.Duration(at-r.now()+1) * time.Microsecond
 }
 
-// servePendingHandover hands the work over where another process has asked for it.
+// servePendingHandover hands over to a successor if one has requested it.
 func (r *Relay) servePendingHandover() error {
 	request := r.pendingHandover
 	if request == nil {
@@ -94,7 +95,7 @@
 	return r.handOver(request)
 }
 
-// processInbox has the core take in what has happened so far, and decide.
+// processInbox handles all inputs that are in the inbox and executes one step.
 func (r *Relay) processInbox() {
 	r.received = r.inbox.TakeAll(r.received)
 	r.events = r.events[:0]
@@ -103,7 +104,7 @@
 		case input.config != nil:
 			r.reconfigure(input.config)
 		case input.handover != nil:
-			r.pendingHandover = input.handover // there is one at a time
+			r.pendingHandover = input.handover // acceptHandovers passes one at a time
 		case input.event != nil:
 			r.events = append(r.events, input.event)
 		}
@@ -111,22 +112,23 @@
 	r.step()
 }
 
-// step lets the core decide on what has happened.
+// step lets the core decide on the events of this step, and executes the effects.
 func (r *Relay) step() {
-	began := time.Now()
-	defer func() { r.longestStep = max(r.longestStep, time.Since(began)) }()
+	startedAt := time.Now()
+	defer func() { r.longestStep = max(r.longestStep, time.Since(startedAt)) }()
 	r.execute(r.core.Step(r.now(), r.events, r.effects[:0]))
 	clear(r.events)
 	r.updateBoard()
 }
 
-// processUntil goes on with the loop's work until something holds, or time is up.
-func (r *Relay) processUntil(until func() bool, wait time.Duration) bool {
-	end := time.Now().Add(wait)
+// processUntil processes inputs until a condition holds or the timeout is over, and
+// reports whether the condition holds.
+func (r *Relay) processUntil(condition func() bool, timeout time.Duration) bool {
+	deadline := time.Now().Add(timeout)
 	tick := time.NewTicker(2 * time.Millisecond)
 	defer tick.Stop()
-	for !until() {
-		if time.Now().After(end) {
+	for !condition() {
+		if time.Now().After(deadline) {
 			return false
 		}
 		select {
--- a/internal/relay/failpoint.go
+++ b/internal/relay/failpoint.go
@@ -1,7 +1,7 @@
 package relay
 
-// Points between two steps of a start, a shutdown or a hand-over at which something
-// else may happen: a signal, a kill, a change of the configuration.
+// Failpoints lie between two steps of a start, a shutdown or a hand-over. Tests inject a
+// signal, a kill or a change of the configuration there.
 const (
 	failpointClientsReleased  = "shutdown: clients are released"
 	failpointListenersClosing = "shutdown: listeners close"
@@ -31,7 +31,8 @@
 	failpointIncomingServing        = "incoming: serving"
 )
 
-// failpoint is called at each of the points. Tests alone set it, before a relay runs.
+// failpoint is called at each failpoint with its name. Only tests set it, before a relay
+// runs.
 var failpoint func(point string)
 
 func hitFailpoint(point string) {
--- a/internal/relay/firstlist.go
+++ b/internal/relay/firstlist.go
@@ -14,18 +14,18 @@
 	"troutusher/policy"
 )
 
-// firstListTimeout is how long the first calls wait for discovery. Tests alone change
-// it.
+// firstListTimeout is how long the first calls wait for discovery. Only tests change it.
 var firstListTimeout = 300 * time.Millisecond
 
-// Tests alone set these; 0 and nil are for what packages discovery and membersource do by
-// themselves.
+// Only tests set these variables. 0 and nil select the defaults of packages discovery
+// and membersource.
 var (
 	watchSilenceTimeout time.Duration
 	helperCommand       func() (*exec.Cmd, error)
 )
 
-// listEvent is the event of a list that discovery sent: all endpoints, or a change.
+// listEvent returns the event for a list that discovery sent, which is either complete
+// or a change to the previous list.
 func listEvent(list *core.EndpointList) core.EndpointListUpdated {
 	kind := policy.ListDelta
 	if list.Complete {
@@ -34,7 +34,7 @@
 	return core.EndpointListUpdated{List: list, Kind: kind}
 }
 
-// configuredList is the list in the configuration, if there is one.
+// configuredList returns the endpoint list in the configuration, if there is one.
 func (r *Relay) configuredList() (lists []core.EndpointListUpdated) {
 	if r.cfg.KnownList != nil {
 		lists = append(lists, core.EndpointListUpdated{List: r.cfg.KnownList, Kind: policy.ListCached})
@@ -42,18 +42,19 @@
 	return lists
 }
 
-// awaitFirstList has calls begin once discovery has answered, or after a while: the
-// list that is known may be old, and an endpoint that drained since must not be sent
-// to. Where discovery is silent, or rejects the relay, the old one has to do. Calls
-// alone wait. Clients are served meanwhile: they give up after 0.4 s, and count their
-// messages' time from when they sent them.
+// awaitFirstList allows calls once the first request to discovery has ended, or after
+// firstListTimeout. Until then nothing is sent, since the known list may be old and
+// must not direct messages to an endpoint that has started to drain since. If discovery
+// doesn't answer, or rejects the relay, calls use the old list. Only calls wait.
+// Clients are served meanwhile: they give up after 0.4 s, and measure the time of their
+// messages from when they sent them.
 func (r *Relay) awaitFirstList() {
 	timeout := time.NewTimer(firstListTimeout)
 	defer timeout.Stop()
 	select {
 	case <-r.discovery.FirstResponse(): // its list was posted before
 	case <-timeout.C:
-		r.log.Warn("discovery is silent: the list that is known is used")
+		r.log.Warn("discovery: no endpoint list received in time after the start, using the last known one")
 	case <-r.ctx.Done():
 		return
 	}
@@ -64,8 +65,8 @@
 	r.post(core.Started{})
 }
 
-// startListSources begins to watch discovery's endpoint list and, where etcd is followed
-// as well, makes the merger that the lists of both go through.
+// startListSources starts to watch discovery's endpoint list. If etcd is a second
+// source of endpoints, it also creates the merger for the lists of both sources.
 func (r *Relay) startListSources(ctx context.Context) error {
 	scheduler := registry.New(r.cfg.Policy.Relays, r.cfg.Seed)
 	if r.cfg.KnownList != nil {
@@ -101,40 +102,42 @@
 	return nil
 }
 
-// dropStaleLists leaves out lists from the predecessor's address of discovery that are
-// older than the one it went by: what has drained since is not up again. Where some
-// were left out, the whole list is fetched once more, in case the registry has begun
-// anew.
+// dropStaleLists drops the lists that are older than the one that the predecessor used,
+// so that endpoints that have started to drain since are not marked as up again. This
+// applies only if both processes use the same discovery address, since revisions of
+// different addresses can't be compared. If it drops a list it requests a complete one,
+// in case the registry has restarted with lower revisions.
 func (r *Relay) dropStaleLists(
 	lists []core.EndpointListUpdated,
 	inherited *transfer.Inherited,
 ) []core.EndpointListUpdated {
 	if inherited.DiscoveryAddr != r.discoveryAddr {
-		if inherited.ReloadRequested { // the predecessor had moved, and this process will
-			return nil
+		if inherited.ReloadRequested {
+			return nil // a reload moved the predecessor to its address, and will move this process
 		}
-		return lists // revisions of different addresses cannot be compared
+		return lists
 	}
-	all := len(lists)
+	received := len(lists)
 	lists = slices.DeleteFunc(lists, func(update core.EndpointListUpdated) bool {
 		return update.List.Revision < r.core.ListRevision()
 	})
-	if len(lists) < all {
+	if len(lists) < received {
 		r.discovery.Resync()
 	}
 	return lists
 }
 
-// collectFirstLists waits for the first lists of discovery while the event loop does
-// not run yet: in a process that is about to take over, while its predecessor serves,
-// or in one that knows no list. The list in the configuration is not among them, since
-// the predecessor's is newer.
+// collectFirstLists waits for the first lists of discovery, at most for
+// firstListTimeout. It is called before the event loop runs: in a process that is about
+// to take over while its predecessor still serves, and in one that has no known list.
+// The result doesn't include the list in the configuration, since the predecessor's is
+// newer.
 func (r *Relay) collectFirstLists() (lists []core.EndpointListUpdated) {
 	timeout := time.NewTimer(firstListTimeout)
 	defer timeout.Stop()
 	firstResponse := r.discovery.FirstResponse()
 	if r.cfg.KnownList == nil {
-		firstResponse = nil // without a list there is nothing to serve on: an answer alone does not do
+		firstResponse = nil // there is no other list, so an answer without a list is not enough
 	}
 	var inputs []loopInput
 	for done := false; !done; {
@@ -143,7 +146,7 @@
 		case <-firstResponse: // its list was posted before
 			firstResponse, done = nil, true
 		case <-timeout.C:
-			r.log.Warn("discovery is silent: the list that is known is used")
+			r.log.Warn("discovery: no endpoint list received in time after the start, using the last known one")
 			return lists
 		}
 		inputs = r.inbox.TakeAll(inputs)
--- a/internal/relay/handover_incoming.go
+++ b/internal/relay/handover_incoming.go
@@ -9,26 +9,28 @@
 )
 
 const (
-	// acquireTimeout is how long a process that starts tries to become the owner of
-	// the state folder.
+	// acquireTimeout is how long a starting process tries to become the owner of the
+	// state folder.
 	acquireTimeout = transfer.RequestTimeout
-	// acquireRetryInterval is the pause after a predecessor was lost.
+	// acquireRetryInterval is the pause between the loss of a predecessor and the
+	// next attempt to acquire the lock.
 	acquireRetryInterval = 50 * time.Millisecond
 )
 
-// incomingHandover makes a process that starts the owner of the state folder:
-// alone, or with what its predecessor hands over. Package handover says when
-// ownership moves; here is what is done at each step.
+// incomingHandover makes a starting process the owner of the state folder, either
+// from the files alone or with the state that a predecessor hands over. The state
+// machine in package handover decides when ownership moves; incomingHandover executes
+// its actions.
 type incomingHandover struct {
 	relay   *Relay
 	machine handover.Incoming
-	end     time.Time
-	// prepare is called before the predecessor is asked for its state, and while
-	// it still serves.
+	end     time.Time // deadline for becoming the owner
+	// prepare is called before the predecessor is asked for its state, while the
+	// predecessor still serves.
 	prepare func()
 
 	inherited   transfer.Inherited
-	predecessor *transfer.Predecessor // nil for none
+	predecessor *transfer.Predecessor // nil if there is none
 	lostErr     error                 // why the last predecessor was lost
 }
 
@@ -56,7 +58,7 @@
 			action = h.tryLock()
 		default:
 			h.discard()
-			return fmt.Errorf("%s: the process that owns it did not let go in time", h.relay.cfg.State)
+			return fmt.Errorf("acquire state folder %s: hand-over failed: its owner sent no lock", h.relay.cfg.State)
 		}
 	}
 }
@@ -107,26 +109,29 @@
 	return h.machine.Step(handover.ClaimSent)
 }
 
-// lost is told that the predecessor is gone.
+// lost records why the predecessor was lost and returns the next action.
 func (h *incomingHandover) lost(err error) handover.IncomingAction {
 	h.lostErr = err
 	return h.machine.Step(handover.PredecessorLost)
 }
 
-// awaitRetry gives up what a predecessor that is gone has sent, and pauses.
+// awaitRetry discards what the lost predecessor has sent, including its lock, and
+// sleeps until the next attempt. It returns an error if the time is over.
 func (h *incomingHandover) awaitRetry() error {
 	h.discard()
 	if err := h.relay.lock.Release(); err != nil {
 		return err
 	}
 	if !time.Now().Before(h.end) {
-		return fmt.Errorf("%s: another process owns it and does not hand over: %w", h.relay.cfg.State, h.lostErr)
+		return fmt.Errorf("acquire state folder %s: another process owns it and did not hand over within %v: %w",
+			h.relay.cfg.State, acquireTimeout, h.lostErr)
 	}
 	time.Sleep(acquireRetryInterval)
 	return nil
 }
 
-// confirm tells the predecessor that this process serves, so that it may end.
+// confirm tells the predecessor, if there is one, that this process serves, so that
+// the predecessor exits.
 func (h *incomingHandover) confirm() {
 	if h.predecessor == nil {
 		return
@@ -134,13 +139,14 @@
 	h.machine.Step(handover.ReadyToServe)
 	hitFailpoint(failpointIncomingServing)
 	if err := h.predecessor.SendServing(); err != nil {
-		h.relay.log.Warn("hand-over: the process before did not hear that it may end", "err", err)
+		h.relay.log.Warn("hand-over: could not tell the predecessor to exit, it may keep running", "err", err)
 	}
 	h.predecessor.Close()
 	h.predecessor = nil
 }
 
-// discard closes what came and was not used, and the connection.
+// discard closes the received descriptors that were not used, and the connection to
+// the predecessor.
 func (h *incomingHandover) discard() {
 	h.inherited.Close()
 	if h.predecessor != nil {
--- a/internal/relay/handover_outgoing.go
+++ b/internal/relay/handover_outgoing.go
@@ -12,35 +12,38 @@
 )
 
 const (
-	// claimTimeout is how long a successor has to say that the work is its own.
+	// claimTimeout is how long the successor has to claim ownership once everything
+	// was sent.
 	claimTimeout = 700 * time.Millisecond
-	// servingTimeout is how long it has from then on to serve.
+	// servingTimeout is how long the successor has between its claim and its
+	// confirmation that it serves.
 	servingTimeout = 10 * time.Second
-	// lockRetryInterval is how often the lock is tried for while another process
-	// may let go of it.
+	// lockRetryInterval is the pause between attempts to acquire a lock, or bind an
+	// address, that another process is about to release.
 	lockRetryInterval = 5 * time.Millisecond
 )
 
 var (
-	// errHandoverComplete: another process has the work and serves.
-	errHandoverComplete = errors.New("handed over")
-	// errRestartFromLog: another process took the work over and died before it
-	// served. All that was owed is in the log.
-	errRestartFromLog = errors.New("the process that took over is gone: to be started from the log")
-	// errNoHandoverAction: the state machine asked for something that no step is
-	// there for.
-	errNoHandoverAction = errors.New("hand-over: nothing to do")
+	// errHandoverComplete means that this process must exit: another process has
+	// taken over.
+	errHandoverComplete = errors.New("handed over to another process")
+	// errRestartFromLog means that the successor claimed ownership and died before it
+	// served. Every undelivered message is in the write-ahead log.
+	errRestartFromLog = errors.New("hand-over: successor died before it served, restart from the write-ahead log")
+	// errNoHandoverAction means that the state machine returned an action that
+	// outgoingHandover.run doesn't implement.
+	errNoHandoverAction = errors.New("hand-over: state machine returned no action to execute")
 )
 
-// handoverRequest is another process that is ready to take the work over.
+// handoverRequest is the request of a successor that is ready to take over.
 type handoverRequest struct {
 	successor *transfer.Successor
-	done      chan struct{} // closed once the request was served
+	done      chan struct{} // closed once the hand-over has succeeded or failed
 }
 
-// acceptHandovers waits for processes that want to take the work over, and has the
-// event loop hand it to them, one at a time. It returns once the listener is
-// closed or the relay's context ends.
+// acceptHandovers accepts connections of successors and passes their requests to the
+// event loop, one at a time. It returns once the listener is closed or the relay's
+// context is cancelled.
 func (r *Relay) acceptHandovers(ln *link.Listener) {
 	for {
 		conn, err := ln.Accept()
@@ -49,10 +52,10 @@
 		}
 		successor, err := transfer.Accept(conn)
 		if err != nil {
-			r.log.Warn("hand-over: not begun", "err", err)
+			r.log.Warn("hand-over: request of a successor failed, this process keeps serving", "err", err)
 			continue
 		}
-		r.log.Info("hand-over: asked for", "pid", successor.PID)
+		r.log.Info("hand-over: requested by a successor", "pid", successor.PID)
 		request := &handoverRequest{successor: successor, done: make(chan struct{})}
 		r.inbox.Put(loopInput{handover: request})
 		select {
@@ -63,8 +66,8 @@
 	}
 }
 
-// outgoingHandover hands the work to a successor. Package handover says when
-// ownership moves; here is what is done at each step.
+// outgoingHandover hands over to a successor. The state machine in package handover
+// decides when ownership moves; outgoingHandover executes its actions.
 type outgoingHandover struct {
 	relay     *Relay
 	machine   handover.Outgoing
@@ -72,9 +75,10 @@
 	startedAt time.Time
 }
 
-// handOver hands the work over; the event loop stands still meanwhile. It returns
-// nil where this process goes on as before, errHandoverComplete where nothing is
-// left to do, and errRestartFromLog.
+// handOver hands over to a successor; the event loop is blocked until it returns. It
+// returns nil if this process continues to serve, errHandoverComplete if it has to
+// exit, errRestartFromLog if it has to recover from the write-ahead log, and any
+// other error if the relay cannot continue.
 func (r *Relay) handOver(request *handoverRequest) error {
 	defer func() {
 		request.successor.Close()
@@ -111,7 +115,7 @@
 			h.relay.resumeServing()
 			return nil
 		case handover.RestartFromLog:
-			return errRestartFromLog // the lock is let go as the relay cleans up
+			return errRestartFromLog // cleanUp releases the lock
 		case handover.Exit:
 			h.forwardReload()
 			return errHandoverComplete
@@ -121,23 +125,23 @@
 	}
 }
 
-// reject tells the successor that it cannot have the work. Where that does not
-// arrive, its own time runs out.
+// reject tells the successor that this process does not hand over. The error is
+// ignored: a successor that doesn't receive the rejection times out.
 func (h *outgoingHandover) reject() { _ = h.successor.Reject() }
 
 func (h *outgoingHandover) quiesce() handover.OutgoingAction {
 	if err := h.relay.quiesce(); err != nil {
-		h.relay.log.Warn("hand-over: not at rest", "err", err)
+		h.relay.log.Warn("hand-over: could not quiesce in time, rejecting the successor", "err", err)
 		h.reject()
 		return h.machine.Step(handover.QuiesceTimedOut)
 	}
 	return h.machine.Step(handover.Quiesced)
 }
 
-// sendState sends everything, and waits until the successor claims the work.
+// sendState sends all packets and waits until the successor claims ownership.
 func (h *outgoingHandover) sendState() handover.OutgoingAction {
 	if err := h.sendPackets(); err != nil {
-		h.relay.log.Warn("hand-over: broken", "err", err)
+		h.relay.log.Warn("hand-over: sending the state failed, giving up the hand-over", "err", err)
 		return h.machine.Step(handover.SuccessorLost)
 	}
 	hitFailpoint(failpointOutgoingAllSent)
@@ -145,7 +149,8 @@
 	return h.awaited(handover.OwnershipClaimed, h.successor.AwaitClaim(claimTimeout))
 }
 
-// sendPackets sends what the successor needs, the lock last.
+// sendPackets sends everything that the successor needs. The lock goes last, so that
+// the successor can become the owner only once it has the rest.
 func (h *outgoingHandover) sendPackets() error {
 	r := h.relay
 	h.successor.BeginSending()
@@ -156,8 +161,9 @@
 		return err
 	}
 	hitFailpoint(failpointOutgoingStateSent)
-	// Both processes have the descriptors for a moment, so what is left of them
-	// bounds how many clients go over. The others were idle longest.
+	// During the transfer both processes have each descriptor open, so the
+	// descriptor limit bounds how many clients can be handed over. Export prefers
+	// those with a command in progress, then those that have made requests.
 	maxClients := r.cfg.Limits.Sockets - 2*config.ReservedDescriptors - 2*len(calls)
 	listeners, clients := r.clients.server.Export(maxClients)
 	if err := h.successor.SendListeners(listeners); err != nil {
@@ -176,14 +182,15 @@
 		return err
 	}
 	hitFailpoint(failpointOutgoingLockSent)
-	r.log.Info("hand-over: sent", "held", r.core.HeldMessages(), "calls", len(calls), "clients", len(clients))
+	r.log.Info("hand-over: state sent, waiting for the successor to claim ownership",
+		"held", r.core.HeldMessages(), "calls", len(calls), "clients", len(clients))
 	return h.successor.SendEnd()
 }
 
-// releaseResources closes what is the successor's now, the lock last.
+// releaseResources closes what the successor has taken over, the lock last.
 func (h *outgoingHandover) releaseResources() error {
 	r := h.relay
-	r.log.Info("hand-over: it is the other's",
+	r.log.Info("hand-over: successor claimed ownership, this process releases its resources",
 		"took_ms", time.Since(h.startedAt).Milliseconds(), "held", r.core.HeldMessages())
 	hitFailpoint(failpointOutgoingClaimed)
 	r.releaseResources()
@@ -198,18 +205,20 @@
 	return h.awaited(handover.SuccessorServing, h.successor.AwaitServing(servingTimeout))
 }
 
-// awaited takes in the packet that was awaited, or that the successor was lost.
+// awaited returns the next action after a wait for a packet: for event if the packet
+// arrived, and for the loss of the successor if the wait failed with err.
 func (h *outgoingHandover) awaited(event handover.OutgoingEvent, err error) handover.OutgoingAction {
 	if err == nil {
 		return h.machine.Step(event)
 	}
 	if !errors.Is(err, transfer.ErrUnexpectedPacket) {
-		h.relay.log.Warn("hand-over: the other process is gone", "err", err)
+		h.relay.log.Warn("hand-over: successor exited or timed out, trying to acquire the lock again", "err", err)
 	}
 	return h.machine.Step(handover.SuccessorLost)
 }
 
-// lockTried takes in whether the lock could be had again, and pauses where not.
+// lockTried returns the next action after an attempt to acquire the lock. After a
+// failed attempt it sleeps first.
 func (h *outgoingHandover) lockTried(acquired bool) handover.OutgoingAction {
 	if acquired {
 		return h.machine.Step(handover.LockRegained)
@@ -218,18 +227,17 @@
 	return h.machine.Step(handover.LockUnavailable)
 }
 
-// forwardReload has the successor read the configuration again, where that was
-// asked of this process after it had told the successor everything.
+// forwardReload sends SIGHUP to the successor if this process received a reload
+// request after it had sent its state, which the successor therefore doesn't know of.
 func (h *outgoingHandover) forwardReload() {
 	r := h.relay
 	if r.reloadsRequested.Load() <= r.reloadsHandedOver && len(r.reload.Signals) == 0 {
 		return
 	}
 	if err := syscall.Kill(h.successor.PID, syscall.SIGHUP); err != nil {
-		r.log.Error("hand-over: the other process is not told to read its configuration again",
-			"err", err)
+		r.log.Error("hand-over: forwarding SIGHUP failed, the successor does not reload its configuration", "err", err)
 	}
 }
 
-// stopRequested reports whether this process is to end.
+// stopRequested reports whether this process was asked to shut down.
 func (r *Relay) stopRequested() bool { return isClosed(r.stop) }
--- a/internal/relay/lifecycle.go
+++ b/internal/relay/lifecycle.go
@@ -8,19 +8,21 @@
 	"troutusher/internal/respserver"
 )
 
-// processLifecycle is the life cycle of this process, for several goroutines: the
-// event loop, the console and the RESP server.
+// processLifecycle is the life cycle of this process. It is safe for concurrent use:
+// the event loop, the console and the RESP server share it.
 type processLifecycle struct {
 	mu             sync.Mutex
 	machine        lifecycle.Machine
-	server         *respserver.Server // nil until clients can be served
-	acceptsClients atomic.Bool        // read without the lock
+	server         *respserver.Server // nil until startServing
+	acceptsClients atomic.Bool        // written under mu, read without it
 }
 
-// transition is one of the machine's.
+// transition is a method of lifecycle.Machine that changes its state, or a function
+// that calls one.
 type transition func(m *lifecycle.Machine) (lifecycle.Answer, lifecycle.Action)
 
-// apply makes a transition, and does with client connections what it asks for.
+// apply makes a transition and executes the resulting action on the client
+// connections.
 func (p *processLifecycle) apply(change transition) lifecycle.Answer {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -44,14 +46,15 @@
 	})
 }
 
-// stop is called as the process ends.
+// stop is called when the shutdown starts to close client connections.
 func (p *processLifecycle) stop() {
 	p.apply(func(m *lifecycle.Machine) (lifecycle.Answer, lifecycle.Action) {
 		return lifecycle.Answer{}, m.Stop()
 	})
 }
 
-// startHandover reports whether the work may be handed to another process.
+// startHandover starts a hand-over, and reports whether the process is in a state in
+// which it may hand over.
 func (p *processLifecycle) startHandover() (ok bool) {
 	p.apply(func(m *lifecycle.Machine) (lifecycle.Answer, lifecycle.Action) {
 		ok = m.StartHandover()
@@ -60,14 +63,14 @@
 	return ok
 }
 
-// resumeServing is called where a hand-over failed.
+// resumeServing is called after a failed hand-over.
 func (p *processLifecycle) resumeServing() {
 	p.apply(func(m *lifecycle.Machine) (lifecycle.Answer, lifecycle.Action) {
 		return lifecycle.Answer{}, m.StartServing()
 	})
 }
 
-// completeHandover is called once the other process has the work.
+// completeHandover is called once the successor has claimed ownership.
 func (p *processLifecycle) completeHandover() {
 	p.apply(func(m *lifecycle.Machine) (lifecycle.Answer, lifecycle.Action) {
 		m.CompleteHandover()
--- a/internal/relay/put.go
+++ b/internal/relay/put.go
@@ -14,24 +14,25 @@
 )
 
 const (
-	// maxDeadlineFactor bounds a message's time, as a multiple of its class's.
+	// maxDeadlineFactor bounds a message's time, as a multiple of its class's deadline.
 	maxDeadlineFactor = 2
-	// maxTokenLength bounds an id and an idempotency key, in bytes.
+	// maxTokenLength bounds the length of an ID and of an idempotency key, in bytes.
 	maxTokenLength = 256
-	// maxTimeLength bounds the text of a time, in bytes.
+	// maxTimeLength bounds the length of a time's text, in bytes.
 	maxTimeLength = 24
-	// putArguments is how many arguments MSG.PUT has, with its name.
+	// putArguments is the number of arguments of MSG.PUT, including the command name.
 	putArguments = 5
-	// noTenant is the tenant of messages where the configuration names none.
+	// noTenant is the tenant of all messages if the configuration has no tenants.
 	noTenant = -1
 )
 
 // record is an entry of the write-ahead log.
 type record = core.Record
 
-// parsePut reads a MSG.PUT: its name, a trace, an id, fields, a body. now is when it
-// was received. The error names what is wrong.
-func parsePut(c *config.Config, args [][]byte, now time.Time) (*request, error) {
+// parsePut parses a MSG.PUT command, whose arguments are the command name, a trace, an
+// ID, the fields and the body. now is when the command was received. The error is sent
+// to the client.
+func parsePut(cfg *config.Config, args [][]byte, now time.Time) (*request, error) {
 	if len(args) != putArguments {
 		return nil, fmt.Errorf("MSG.PUT takes %d arguments, %d came", putArguments-1, len(args)-1)
 	}
@@ -43,30 +44,30 @@
 	if err != nil {
 		return nil, err
 	}
-	q := &request{Request: core.Request{
+	req := &request{Request: core.Request{
 		Record: &record{Kind: core.RecordAccepted, ID: id, Body: bytes.Clone(args[4])},
 	}}
-	q.Handle = q
-	if err := q.readClass(c, fields); err != nil {
+	req.Handle = req
+	if err := req.readClass(cfg, fields); err != nil {
 		return nil, err
 	}
-	if err := q.readTenant(c, fields); err != nil {
+	if err := req.readTenant(cfg, fields); err != nil {
 		return nil, err
 	}
-	if err := q.readDeadline(c, fields, now); err != nil {
+	if err := req.readDeadline(cfg, fields, now); err != nil {
 		return nil, err
 	}
-	if err := q.readDestination(fields); err != nil {
+	if err := req.readDestination(fields); err != nil {
 		return nil, err
 	}
-	if err := q.readIdempotencyKey(c, fields); err != nil {
+	if err := req.readIdempotencyKey(cfg, fields); err != nil {
 		return nil, err
 	}
-	return q, nil
+	return req, nil
 }
 
-// parseFields reads name=value pairs between commas. Names that nobody knows are
-// kept, and ignored later.
+// parseFields parses name=value pairs that are separated by commas. Pairs with unknown
+// names are in the result too; the callers ignore them.
 func parseFields(text string) (map[string]string, error) {
 	fields := map[string]string{}
 	for field := range strings.SplitSeq(text, ",") {
@@ -79,68 +80,70 @@
 	return fields, nil
 }
 
-func (q *request) readClass(c *config.Config, fields map[string]string) error {
+func (req *request) readClass(cfg *config.Config, fields map[string]string) error {
 	name := fields["c"]
-	class, ok := c.Classes[name]
+	class, ok := cfg.Classes[name]
 	if !ok {
 		return fmt.Errorf("c: unknown class %q", name)
 	}
-	q.Class, q.Record.Class = class, name
+	req.Class, req.Record.Class = class, name
 	return nil
 }
 
-func (q *request) readTenant(c *config.Config, fields map[string]string) error {
+func (req *request) readTenant(cfg *config.Config, fields map[string]string) error {
 	name := fields["t"]
-	tenant, ok := c.Tenants[name]
+	tenant, ok := cfg.Tenants[name]
 	switch {
 	case ok:
-	case len(c.Tenants) > 0:
+	case len(cfg.Tenants) > 0:
 		return fmt.Errorf("t: unknown tenant %q", name)
 	default:
 		tenant = noTenant
 	}
-	q.Tenant, q.Record.Tenant = tenant, name
+	req.Tenant, req.Record.Tenant = tenant, name
 	return nil
 }
 
-// readDeadline reads how much time the message has left; the class is known.
-func (q *request) readDeadline(c *config.Config, fields map[string]string, now time.Time) error {
+// readDeadline reads the time that the message has left. It must be called after
+// readClass, since the class bounds that time.
+func (req *request) readDeadline(cfg *config.Config, fields map[string]string, now time.Time) error {
 	ms, err := parseMilliseconds(fields["d"])
 	if err != nil {
 		return fmt.Errorf("d: %w", err)
 	}
-	classMS := float64(c.Policy.Classes[q.Class].Deadline) / 1000
+	classMS := float64(cfg.Policy.Classes[req.Class].Deadline) / 1000
 	if ms > maxDeadlineFactor*classMS {
-		return fmt.Errorf("d: %v ms, and messages of class %s have %v at most", ms, q.Record.Class, classMS)
+		return fmt.Errorf("d: %v ms, and messages of class %s have %v at most", ms, req.Record.Class, classMS)
 	}
-	q.timeLeft = time.Duration(ms * float64(time.Millisecond))
-	q.Record.Deadline = now.Add(q.timeLeft).UnixMicro()
+	req.timeLeft = time.Duration(ms * float64(time.Millisecond))
+	req.Record.Deadline = now.Add(req.timeLeft).UnixMicro()
 	return nil
 }
 
-func (q *request) readDestination(fields map[string]string) error {
+func (req *request) readDestination(fields map[string]string) error {
 	dest, err := strconv.ParseUint(fields["dest"], 10, 16)
 	if err != nil {
 		return fmt.Errorf("dest: %.32q is no destination", fields["dest"])
 	}
-	q.Record.Dest = int(dest)
+	req.Record.Dest = int(dest)
 	return nil
 }
 
-func (q *request) readIdempotencyKey(c *config.Config, fields map[string]string) error {
+func (req *request) readIdempotencyKey(cfg *config.Config, fields map[string]string) error {
 	key := fields["k"]
-	q.Record.Key = key
+	req.Record.Key = key
 	switch {
 	case key != "" && !isToken(key):
 		return errors.New("k: too long or not plain")
-	case key == "" && c.Policy.Classes[q.Class].Idempotency == policy.IdempotentByKey:
+	case key == "" && cfg.Policy.Classes[req.Class].Idempotency == policy.IdempotentByKey:
 		return errors.New("k: missing in a keyed class")
 	}
 	return nil
 }
 
-// parseMilliseconds reads a time: digits, maybe with decimals. What a number may
-// look like elsewhere (a sign, an exponent, hexadecimal) is no time.
+// parseMilliseconds parses a time in milliseconds: digits, optionally with decimals.
+// It rejects the other forms that strconv.ParseFloat accepts (signs, exponents,
+// hexadecimal).
 func parseMilliseconds(s string) (float64, error) {
 	whole, _, _ := strings.Cut(s, ".")
 	if whole == "" || len(s) > maxTimeLength || strings.Trim(s, "0123456789.") != "" {
@@ -149,7 +152,7 @@
 	return strconv.ParseFloat(s, 64)
 }
 
-// isToken reports whether s can stand in a header of HTTP as it is.
+// isToken reports whether s can be the value of an HTTP header without being encoded.
 func isToken(s string) bool {
 	if s == "" || len(s) > maxTokenLength {
 		return false
--- a/internal/relay/quiesce.go
+++ b/internal/relay/quiesce.go
@@ -11,29 +11,30 @@
 )
 
 const (
-	// clientQuiesceTimeout is how long requests have to be answered.
+	// clientQuiesceTimeout bounds the wait for the replies to client requests.
 	clientQuiesceTimeout = time.Second
-	// callQuiesceTimeout is how long calls whose response has begun have to end.
+	// callQuiesceTimeout bounds the wait for calls whose response has begun.
 	callQuiesceTimeout = 600 * time.Millisecond
-	// callCancelTimeout is how long calls that are cancelled then have to end.
+	// callCancelTimeout bounds the wait for the calls that are cancelled after that.
 	callCancelTimeout = 200 * time.Millisecond
 )
 
 var (
-	errRequestsUnanswered = errors.New("requests of clients have no answer")
-	errCallsNotSuspended  = errors.New("calls do not come to rest")
+	errRequestsUnanswered = errors.New("timed out waiting for the replies to client requests")
+	errCallsNotSuspended  = errors.New("timed out waiting for cancelled calls to end")
 )
 
-// quiesce brings everything to rest for a hand-over: every request is answered, no
-// call is on its way to its endpoint, and the log is written.
+// quiesce prepares the process for a hand-over. Once it returns nil, every client
+// request has its reply, no request to an endpoint is being written, and all records
+// are written to the write-ahead log.
 func (r *Relay) quiesce() error {
-	r.stateSaver.pause() // the file is the successor's from here on
+	r.stateSaver.pause() // from here on only the successor may write the file
 	if !r.pauseClients() {
 		return errRequestsUnanswered
 	}
 	hitFailpoint(failpointOutgoingRequestsAnswered)
 	r.core.BeginHandover()
-	r.wal.Flush() // calls that were logged by now are out
+	r.wal.Flush() // calls that were logged before BeginHandover have started after this
 	if !r.suspendCalls() {
 		return errCallsNotSuspended
 	}
@@ -43,8 +44,8 @@
 	return nil
 }
 
-// pauseClients stops reading from clients, and reports whether all that was read
-// has its reply in time.
+// pauseClients stops reading from clients, and reports whether all requests that were
+// read got their replies in time.
 func (r *Relay) pauseClients() bool {
 	paused := make(chan struct{})
 	r.clientsPausedAt = monotonicMicros()
@@ -53,11 +54,12 @@
 	return r.processUntil(answered, clientQuiesceTimeout)
 }
 
-// suspendCalls has all calls wait for their responses without reading, and reports
-// whether they do in time. A call over TLS, whose keys are in this process alone,
-// and one whose response has begun may end until then. Those left are cancelled
-// and may have run; their connections are closed before the successor hears of
-// their messages.
+// suspendCalls suspends all calls, so that they wait for their responses without
+// reading them, and reports whether none is left that is not suspended. Calls over TLS
+// can't be suspended, since only this process has their keys, nor can calls whose
+// response has begun: they have callQuiesceTimeout to end. Those left are cancelled,
+// and their messages may have been processed; their connections are closed before the
+// successor receives these messages.
 func (r *Relay) suspendCalls() bool {
 	r.inFlight.Suspend()
 	if r.processUntil(r.inFlight.AllSuspended, callQuiesceTimeout) {
@@ -67,20 +69,20 @@
 	return r.processUntil(r.inFlight.AllSuspended, callCancelTimeout)
 }
 
-// exportState is what the successor needs beside clients and the log, and the calls
-// that it goes on with. A call whose response is still awaited here, or whose
-// connection cannot be handed over, is left out.
+// exportState returns the state that the successor needs in addition to the clients
+// and the write-ahead log, and the calls that the successor resumes. It leaves out
+// calls that are not suspended and calls whose connection cannot be handed over.
 func (r *Relay) exportState() (*transfer.State, []transfer.Call) {
 	exported := r.core.ExportHandover(r.now())
 	var calls []transfer.Call
-	exported.Calls = slices.DeleteFunc(exported.Calls, func(open core.HandoverCall) bool {
-		call, ok := open.Call().Handle.(*upstream.Call)
+	exported.Calls = slices.DeleteFunc(exported.Calls, func(handoverCall core.HandoverCall) bool {
+		call, ok := handoverCall.Call().Handle.(*upstream.Call)
 		if !ok {
 			return true
 		}
 		descriptor, ok := call.SuspendedFD()
 		if ok {
-			calls = append(calls, transfer.Call{Message: open.Message, Descriptor: descriptor})
+			calls = append(calls, transfer.Call{Message: handoverCall.Message, Descriptor: descriptor})
 		}
 		return !ok
 	})
@@ -94,9 +96,9 @@
 	}, calls
 }
 
-// resumeServing undoes quiesce after a hand-over that came to nothing.
+// resumeServing undoes quiesce after a failed hand-over.
 func (r *Relay) resumeServing() {
-	r.log.Warn("hand-over: came to nothing, this process serves on")
+	r.log.Warn("hand-over: failed, this process resumes serving")
 	r.notices.Resume()
 	r.stateSaver.resume()
 	r.inFlight.Resume()
@@ -105,7 +107,7 @@
 	r.lifecycle.resumeServing()
 }
 
-// releaseResources closes what the successor has now.
+// releaseResources closes or abandons what the successor has taken over.
 func (r *Relay) releaseResources() {
 	r.lifecycle.completeHandover()
 	r.inFlight.Abandon()
--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -1,10 +1,10 @@
-// Package relay runs a relay: it wires the core to real sockets, files and
-// clocks, and executes its effects in one event loop.
+// Package relay runs a relay: it connects the core to real sockets, files and
+// clocks, and executes the core's effects in one event loop.
 //
-// The core owns every message and decides about it; package relay owns the
-// process: what is opened, locked and closed in which order, and the hand-over
-// to another process. It decides nothing, and must never do anything with a
-// message that the core has not asked for.
+// The core owns every message and makes all decisions about it. Package relay owns
+// the process: the order in which resources are opened, locked and closed, and the
+// hand-over to another process. It does nothing with a message that the core has
+// not asked for.
 package relay
 
 import (
@@ -29,60 +29,60 @@
 	"troutusher/policy"
 )
 
-// coreClockOrigin is what the core's clock reads as a process starts. Calls of an
-// earlier process lie before it, at positive times.
+// coreClockOrigin is the core's clock when a process starts. It is far above zero so
+// that calls which an earlier process began still have positive times.
 const coreClockOrigin = policy.Time(3600e6)
 
-// Relay is one life of a relay: from its start to its shutdown, or until another
-// process has taken its work over.
+// Relay is a running relay, from its start until it has shut down or another process
+// has taken over.
 //
-// The goroutine that called Run owns all fields without a comment on who else
-// reads them.
+// Only the goroutine that called Run may use a field, unless the field's comment
+// names other users.
 type Relay struct {
 	cfg    *config.Config
 	log    *slog.Logger
-	ctx    context.Context // ends after everything else is cleaned up
-	stop   <-chan struct{} // closed once the process is to end
+	ctx    context.Context // cancelled after all other clean-up
+	stop   <-chan struct{} // closed to request a shutdown
 	reload ReloadRequests
 
 	core      *core.Core
 	startedAt time.Time
-	inbox     *mailbox.Mailbox[loopInput] // what other goroutines tell the event loop
-	received  []loopInput                 // of the inbox; its storage is used again
-	events    []core.Event                // of one step; its storage is used again
-	effects   []core.Effect               // of one step; its storage is used again
+	inbox     *mailbox.Mailbox[loopInput] // inputs of other goroutines to the event loop
+	received  []loopInput                 // taken from the inbox; its storage is reused
+	events    []core.Event                // of one step; its storage is reused
+	effects   []core.Effect               // of one step; its storage is reused
 
 	clients      *clientServer
-	serverFailed chan error        // the RESP server's end
+	serverFailed chan error        // receives the error with which the RESP server ended
 	lifecycle    *processLifecycle // also used by the console and the RESP server
 	wal          *wal.Log
-	closeLog     func() // waits until the log is written; may be called again
+	closeLog     func() // waits until the log is written; later calls do nothing
 	notices      *discovery.NoticeSender
-	stateSaver   *stateSaver // nil where no policy state is saved
+	stateSaver   *stateSaver // nil if the policy state is not saved
 
 	discovery       *discovery.Watcher
 	discoveryAddr   string               // of the list watcher and the notice sender
-	members         *membersource.Merger // nil where discovery is the only source of endpoints
-	stopListSources context.CancelFunc   // ends what feeds and merges endpoint lists
+	members         *membersource.Merger // nil if discovery is the only source of endpoints
+	stopListSources context.CancelFunc   // stops the sources and the merger of endpoint lists
 
 	pool      *upstream.Pool
 	endpoints map[policy.EndpointID]*upstream.Endpoint
-	inFlight  upstream.InFlight // the calls that are out
+	inFlight  upstream.InFlight // calls without a result so far
 	tlsPeers  *tlsdial.Dialer   // nil without TLS
 
 	board           *console.Stats                 // read by the console
 	consoleTLSPeers atomic.Pointer[tlsdial.Dialer] // tlsPeers, for the console
-	endpointStatsAt time.Time                      // when endpoints were last counted for the board
-	longestStep     time.Duration                  // since it was last logged
+	endpointStatsAt time.Time                      // when the board's endpoint counts were last updated
+	longestStep     time.Duration                  // since the last metrics line
 
 	lock              *statelock.Lock
-	inheritedCalls    map[string]int   // by message: descriptors of the predecessor's open calls
-	pendingHandover   *handoverRequest // to be served after this step; nil for none
-	clientsPausedAt   int64            // when clients were last read, by monotonicMicros
-	reloadsRequested  atomic.Int64     // counted by the goroutine that reloads
-	reloadsHandedOver int64            // of them, those that the successor knows of
+	inheritedCalls    map[string]int   // descriptors of the predecessor's open calls, by message ID
+	pendingHandover   *handoverRequest // handled after the current step; nil if there is none
+	clientsPausedAt   int64            // monotonicMicros when reading from clients was paused
+	reloadsRequested  atomic.Int64     // incremented by the goroutine that reloads
+	reloadsHandedOver int64            // reloadsRequested when the state was exported for the successor
 
-	exits []func() // what cleanUp calls, the last one first
+	exits []func() // called by cleanUp, the last one first
 }
 
 func newRelay(
@@ -107,30 +107,30 @@
 	}
 }
 
-// Run serves until stop is closed and the shutdown is done, until another process
-// has taken the work over, or something fails that a relay cannot go on without.
-// Where the process that took over died before it served, Run starts again from
-// the log, with the configuration that it was last asked to load.
+// Run serves until stop is closed and the shutdown is complete, until another process
+// has taken over, or until a failure from which a relay cannot recover. If the
+// process that took over dies before it serves, Run starts again from the write-ahead
+// log. If a reload was requested meanwhile, it starts with the new configuration.
 func Run(cfg *config.Config, log *slog.Logger, stop <-chan struct{}, reload ReloadRequests) error {
 	for {
 		reloaded, err := run(cfg, log, stop, reload)
 		if !errors.Is(err, errRestartFromLog) {
 			return err
 		}
-		log.Warn("hand-over: the process that took over is gone, starting from the log")
+		log.Warn("hand-over: successor exited before it served, restarting from the write-ahead log")
 		if !reloaded {
 			continue
 		}
 		if fresh, err := reload.Load(); err != nil {
-			log.Error("new configuration not taken over, the old one stays", "err", err)
+			log.Error("configuration reload failed, keeping the old configuration", "err", err)
 		} else {
 			cfg = fresh
 		}
 	}
 }
 
-// run is one life of a relay: it starts, serves and shuts down. reloaded reports
-// whether a reload of the configuration was requested meanwhile.
+// run starts a relay, serves and shuts down. reloaded reports whether a reload of the
+// configuration was requested meanwhile.
 func run(cfg *config.Config, log *slog.Logger, stop <-chan struct{}, reload ReloadRequests) (reloaded bool, err error) {
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
@@ -150,10 +150,10 @@
 	return false, nil
 }
 
-// atExit has cleanUp call a function. Those that were added last are called first.
+// atExit registers a function that cleanUp calls, in reverse order of registration.
 func (r *Relay) atExit(f func()) { r.exits = append(r.exits, f) }
 
-// cleanUp closes what start has opened, also where that failed half-way.
+// cleanUp closes what start has opened, also after a start that failed half-way.
 func (r *Relay) cleanUp() {
 	for len(r.exits) > 0 {
 		last := len(r.exits) - 1
@@ -163,11 +163,11 @@
 	}
 }
 
-// now is the time on the core's clock.
+// now returns the time of the core's clock.
 func (r *Relay) now() policy.Time { return coreClockOrigin + time.Since(r.startedAt).Microseconds() }
 
-// monotonicMicros is the system's monotonic clock in microseconds, which reads
-// the same in every process; 0 where it cannot be read.
+// monotonicMicros returns the system's monotonic clock in microseconds, which is the
+// same in every process, or 0 if it cannot be read.
 func monotonicMicros() int64 {
 	var t unix.Timespec
 	if err := unix.ClockGettime(unix.CLOCK_MONOTONIC, &t); err != nil {
--- a/internal/relay/reload.go
+++ b/internal/relay/reload.go
@@ -8,17 +8,17 @@
 	"troutusher/internal/config"
 )
 
-// The configuration is read again on SIGHUP. What a running relay applies of it is the
-// address of discovery; everything else waits for the next start.
+// The configuration is read again on SIGHUP. A running relay applies only the discovery
+// address; all other changes take effect at the next start.
 
-// ReloadRequests is how a running relay learns of a new configuration.
+// ReloadRequests tells a running relay when, and how, to read the configuration again.
 type ReloadRequests struct {
-	Signals <-chan os.Signal               // a value for each time that it is to be read
-	Load    func() (*config.Config, error) // reads it
+	Signals <-chan os.Signal               // one value for each requested reload
+	Load    func() (*config.Config, error) // reads the configuration
 }
 
-// watchReloads reads the configuration at each request until ctx ends. One that cannot
-// be read or is invalid changes nothing.
+// watchReloads reads the configuration at each request until ctx is cancelled. It
+// ignores a configuration that cannot be read or is invalid.
 func (r *Relay) watchReloads(ctx context.Context, requests ReloadRequests) {
 	for {
 		select {
@@ -33,19 +33,20 @@
 	}
 }
 
-// loadNewConfig is the configuration as it is now; nil where it cannot be read or is
-// invalid.
+// loadNewConfig reads the configuration. It returns nil if that fails or the
+// configuration is invalid.
 func (r *Relay) loadNewConfig() *config.Config {
 	cfg, err := r.reload.Load()
 	if err != nil {
-		r.log.Error("new configuration not taken over, the old one stays", "err", err)
+		r.log.Error("configuration reload failed, keeping the old configuration", "err", err)
 		return nil
 	}
 	return cfg
 }
 
-// reloadNow is for a process that took over from one that was requested to reload: it
-// began with what the environment says, and in a reload the file takes precedence.
+// reloadNow reloads the configuration in a process whose predecessor had reloaded it.
+// This is necessary because a start takes the discovery address from the environment
+// first, while a reload takes it from the configuration file first.
 func (r *Relay) reloadNow() {
 	r.reloadsRequested.Add(1)
 	if cfg := r.loadNewConfig(); cfg != nil {
@@ -53,17 +54,18 @@
 	}
 }
 
-// reconfigure applies what a running relay can: watch and notices move to the new
-// address, and notices that were not confirmed at the old one are sent there.
+// reconfigure applies the parts of a new configuration that can change while the relay
+// runs: the watch of the endpoint list and the notices move to the new discovery
+// address. Notices that were not confirmed at the old address are sent again to the new.
 func (r *Relay) reconfigure(cfg *config.Config) {
 	if !reflect.DeepEqual(cfg.Policy, r.cfg.Policy) || cfg.Limits != r.cfg.Limits || cfg.Listen != r.cfg.Listen {
-		r.log.Warn("new configuration: settings, limits and listen wait for the next start")
+		r.log.Warn("configuration reload: changes to settings, limits and listen take effect only at the next start")
 	}
 	if cfg.Discovery == r.discoveryAddr {
-		r.log.Info("new configuration: discovery stays", "discovery", r.discoveryAddr)
+		r.log.Info("configuration reload: discovery address unchanged", "discovery", r.discoveryAddr)
 		return
 	}
-	r.log.Info("new configuration: discovery moves", "from", r.discoveryAddr, "to", cfg.Discovery)
+	r.log.Info("configuration reload: discovery address changed", "from", r.discoveryAddr, "to", cfg.Discovery)
 	r.discoveryAddr = cfg.Discovery
 	r.discovery.SetAddress(r.discoveryAddr)
 	r.notices.SetAddress(r.discoveryAddr)
--- a/internal/relay/shutdown.go
+++ b/internal/relay/shutdown.go
@@ -8,22 +8,22 @@
 	"troutusher/policy"
 )
 
-// lastReplyTimeout is how long requests that were read have for their replies, once
-// a process is out of time.
+// lastReplyTimeout bounds the wait for replies to the requests that were read, once
+// the time for the shutdown is over.
 const lastReplyTimeout = 200 * time.Millisecond
 
-// shutdown takes the steps of a graceful shutdown, each once it is due: client
-// connections are closed between requests, then the listeners; the process ends
-// once nothing is left to do, or its time is over.
+// shutdown executes the steps of a graceful shutdown, each when it is due: it closes
+// client connections between requests, then the listeners, and ends the process once
+// nothing is left to do or the time for the shutdown is over.
 type shutdown struct {
 	relay           *Relay
 	clientsReleased bool
 	listenersClosed bool
-	clientsDone     chan struct{} // closed once no client waits for a reply; nil before both
+	clientsDone     chan struct{} // closed once no client waits for a reply; nil until finishClients
 }
 
-// advance takes the steps that are due and reports whether the process is to end.
-// It does nothing before a shutdown was requested.
+// advance executes the steps that are due and reports whether the shutdown is
+// complete. It does nothing before a shutdown was requested.
 func (s *shutdown) advance() (done bool) {
 	r := s.relay
 	elapsed, shuttingDown := r.core.ShuttingDown(r.now())
@@ -56,8 +56,8 @@
 	return true
 }
 
-// finishClients has the RESP server read on until nothing is open: a request that
-// it had read as the process ended would have no reply.
+// finishClients lets the RESP server continue to read until no request is in progress.
+// Without that, requests that it had read when the process ended would get no reply.
 func (s *shutdown) finishClients() {
 	done := make(chan struct{})
 	s.clientsDone = done
@@ -67,16 +67,16 @@
 	})
 }
 
-// idle reports whether nothing is left to do: every request has its reply, no call
-// is out, and no message is held that could still be sent.
+// idle reports whether nothing is left to do: every request has its reply, no call is
+// in flight, and no pending message could still be sent.
 func (s *shutdown) idle(elapsed policy.Time) bool {
 	c := s.relay.core
 	return isClosed(s.clientsDone) && c.UnansweredRequests() == 0 && c.OpenCalls() == 0 &&
 		(c.HeldMessages() == 0 || elapsed >= core.StopSendsAfter)
 }
 
-// answerLastRequests stops reading, maybe within a command, and waits a moment for
-// the replies to what was read.
+// answerLastRequests stops reading from clients, possibly in the middle of a command,
+// and waits up to lastReplyTimeout for the replies to the requests that were read.
 func (s *shutdown) answerLastRequests() {
 	r := s.relay
 	paused := make(chan struct{})
@@ -84,8 +84,8 @@
 	r.processUntil(func() bool { return isClosed(paused) && r.core.UnansweredRequests() == 0 }, lastReplyTimeout)
 }
 
-// isClosed reports whether a channel is closed on which nothing is sent; nil is
-// not.
+// isClosed reports whether c, on which no values are sent, is closed. A nil channel is
+// not closed.
 func isClosed(c <-chan struct{}) bool {
 	select {
 	case <-c:
--- a/internal/relay/startup.go
+++ b/internal/relay/startup.go
@@ -22,32 +22,32 @@
 	"troutusher/policy"
 )
 
-// addressInUseTimeout is how long the addresses of clients may still be those of a
-// process that has let go of the lock.
+// addressInUseTimeout is how long start retries to bind the client addresses: a
+// process that has just released the state lock may still hold them.
 const addressInUseTimeout = time.Second
 
-// startup brings a relay up. Its fields are what one step leaves to a later one.
+// startup holds the values that one step of Relay.start passes to a later one.
 type startup struct {
 	*Relay
-	watchCtx context.Context // of the endpoint list's sources; ends before ctx
+	watchCtx context.Context // of the endpoint list's sources; is cancelled before ctx
 
-	// firstLists waits for the first endpoint lists, once, and returns them.
-	// firstListsRead reports whether they were waited for before the state was
-	// acquired.
+	// firstLists waits for the first endpoint lists and returns them; later calls
+	// return the same lists. firstListsRead reports whether it was called before
+	// the state was acquired.
 	firstLists     func() []core.EndpointListUpdated
 	firstListsRead bool
 
 	incoming  *incomingHandover
-	inherited *transfer.Inherited // its; empty where no process handed over
-	takenOver bool                // a process did
-	owed      []*record           // messages in the log
-	imported  int                 // client connections taken over
+	inherited *transfer.Inherited // of incoming; empty if no process handed over
+	takenOver bool                // a predecessor handed over
+	owed      []*record           // undelivered messages in the write-ahead log
+	imported  int                 // number of client connections taken over
 }
 
-// start brings the relay up in an order that is part of its behaviour: the
-// console answers first, the log is not touched before the client addresses are
-// bound, and nobody is let in before all is there that an answer takes. An error
-// leaves what was opened to cleanUp.
+// start starts the relay. The order of the steps matters: the console answers
+// first, the write-ahead log is not opened before the client addresses are bound,
+// and clients are accepted only once everything that a reply needs is running.
+// After an error, cleanUp closes what was opened.
 func (r *Relay) start() error {
 	s := &startup{Relay: r}
 	for _, step := range []func() error{
@@ -75,24 +75,24 @@
 	return nil
 }
 
-// openConsole has the console answer from the first moment on.
+// openConsole starts the console, so that operators get answers during the rest of
+// the start.
 func (s *startup) openConsole() error {
 	if s.cfg.Console == "" {
 		return nil
 	}
-	con, err := console.Listen(s.cfg.Console, s.consoleCalls(), s.log)
+	server, err := console.Listen(s.cfg.Console, s.consoleCalls(), s.log)
 	if err != nil {
 		return err
 	}
-	// Serve's end is not waited for: an operator who reads slowly must not hold up the
-	// end of the process.
-	s.atExit(con.Close)
-	go con.Serve()
+	// Nobody waits for Serve to return: an operator's client that reads slowly must
+	// not delay the exit of the process.
+	s.atExit(server.Close)
+	go server.Serve()
 	return nil
 }
 
-// createCore makes the core and, where there are rules for it, what dials over
-// TLS.
+// createCore creates the core and, if there are TLS rules, the TLS dialer.
 func (s *startup) createCore() error {
 	settings := core.Settings{
 		Policy:          s.cfg.Policy,
@@ -137,9 +137,9 @@
 	return nil
 }
 
-// startPool makes the pool of connections to endpoints. They close before the
-// endpoint closes them: a request written to a connection that the other side is
-// closing ends as a reset.
+// startPool creates the pool of connections to endpoints. Its idle timeout is
+// shorter than the endpoints' keep-alive time: a request that is written to a
+// connection while the endpoint closes it fails with a reset.
 func (s *startup) startPool() error {
 	_, maxConns := s.cfg.DescriptorBudget()
 	keepAlive := time.Duration(s.cfg.Policy.IdleTimeout) * time.Microsecond
@@ -155,8 +155,8 @@
 	return nil
 }
 
-// startDiscovery makes the sender of notices, and begins to watch the endpoint
-// list and requests to reload the configuration.
+// startDiscovery creates the notice sender, and starts to watch the endpoint list
+// and the requests to reload the configuration.
 func (s *startup) startDiscovery() error {
 	s.notices = discovery.NewNoticeSender(s.cfg.Discovery, s.log, func(id string) {
 		s.log.Info(msgtrace.NoticeDelivered, "message", id)
@@ -171,7 +171,7 @@
 	return nil
 }
 
-// lockState opens the lock on the state folder, without taking it.
+// lockState opens the lock file of the state folder without acquiring the lock.
 func (s *startup) lockState() error {
 	lock, err := statelock.Open(s.cfg.State)
 	if err != nil {
@@ -182,11 +182,12 @@
 	return nil
 }
 
-// acquireState makes this process the owner of the state folder, with what another
-// one hands over. The first lists are waited for while that one still serves.
+// acquireState makes this process the owner of the state folder and receives what a
+// predecessor hands over. It waits for the first endpoint lists while the
+// predecessor still serves.
 func (s *startup) acquireState() error {
 	s.firstLists = sync.OnceValue(s.collectFirstLists)
-	if s.members != nil { // lists go through the merged view, once that has begun
+	if s.members != nil { // lists come from the merger, which starts later
 		s.firstLists = func() []core.EndpointListUpdated { return nil }
 	}
 	s.incoming = &incomingHandover{relay: s.Relay, end: time.Now().Add(acquireTimeout), prepare: func() {
@@ -203,9 +204,10 @@
 	return nil
 }
 
-// bindClientAddresses opens the RESP server, which lets nobody in yet. It comes
-// before the log is touched: the address may be held by a relay that knows of no
-// lock.
+// bindClientAddresses creates the RESP server, which doesn't accept connections yet.
+// It runs before the write-ahead log is opened: if a relay of a version without the
+// state lock still runs, the address is in use and the start fails before it
+// touches that relay's log.
 func (s *startup) bindClientAddresses() error {
 	options, err := s.inheritingOptions()
 	if err != nil {
@@ -213,18 +215,19 @@
 	}
 	listen := func() error {
 		s.clients, err = newClientServer(s.cfg, options,
-			func(q *request) { s.post(core.Submitted{Request: &q.Request}) },
-			func(q *request, ok bool) {
-				s.post(core.ReplyDelivered{Request: &q.Request, OK: ok})
+			func(req *request) { s.post(core.Submitted{Request: &req.Request}) },
+			func(req *request, ok bool) {
+				s.post(core.ReplyDelivered{Request: &req.Request, OK: ok})
 			},
 			append([]string{s.cfg.Listen}, s.cfg.ClientSettings.ListenAddresses...)...)
 		return err
 	}
 	err = listen()
-	// The system takes lock, link and address from a process that dies one after
-	// the other: who has the first may find the last still held.
-	end := time.Now().Add(addressInUseTimeout)
-	for errors.Is(err, syscall.EADDRINUSE) && len(options.InheritedListeners) == 0 && time.Now().Before(end) {
+	// The kernel releases the lock, the hand-over socket and the addresses of a dead
+	// process one after the other, so the addresses may still be in use here although
+	// the lock is free.
+	deadline := time.Now().Add(addressInUseTimeout)
+	for errors.Is(err, syscall.EADDRINUSE) && len(options.InheritedListeners) == 0 && time.Now().Before(deadline) {
 		hitFailpoint(failpointAddressInUse)
 		time.Sleep(lockRetryInterval)
 		err = listen()
@@ -236,7 +239,8 @@
 	return nil
 }
 
-// inheritingOptions are the RESP server's, with the listeners that were handed over.
+// inheritingOptions returns the options of the RESP server, including the listeners
+// that the predecessor handed over.
 func (s *startup) inheritingOptions() (respserver.Options, error) {
 	options := serverOptions(s.cfg)
 	options.Logger = s.log
@@ -244,21 +248,21 @@
 	for i, fd := range s.inherited.Listeners {
 		ln, err := respserver.ListenerFromFD(fd)
 		if err != nil {
-			return options, fmt.Errorf("listen: handed over: %w", err)
+			return options, fmt.Errorf("listen: use listener (descriptor %d) of the predecessor: %w", fd, err)
 		}
 		s.inherited.Listeners[i] = -1
 		options.InheritedListeners = append(options.InheritedListeners, ln)
 	}
 	s.inherited.Listeners = nil
 	if s.inherited.ClientsPausedAt > 0 {
-		pause := time.Duration(max(monotonicMicros()-s.inherited.ClientsPausedAt, 0)) * time.Microsecond
-		options.UnreadSince = time.Now().Add(-pause)
+		pausedFor := time.Duration(max(monotonicMicros()-s.inherited.ClientsPausedAt, 0)) * time.Microsecond
+		options.UnreadSince = time.Now().Add(-pausedFor)
 	}
 	return options, nil
 }
 
-// openLog reads the write-ahead log, and starts its writer and the sender of
-// notices, which logs what is confirmed.
+// openLog reads the write-ahead log, then starts its writer and the notice sender.
+// The notice sender needs the log, since it records each confirmed notice there.
 func (s *startup) openLog() error {
 	s.stateSaver = newStateSaver(s.Relay)
 	diskLimit := int64(s.cfg.Limits.DiskMB) << 20
@@ -278,7 +282,7 @@
 	go log.Run()
 	s.closeLog = sync.OnceFunc(func() {
 		if err := log.Close(); err != nil {
-			s.log.Warn("log: not closed", "err", err)
+			s.log.Warn("write-ahead log: close failed, the last records may not be on disk", "err", err)
 		}
 	})
 	s.atExit(s.closeLog)
@@ -287,7 +291,7 @@
 	return nil
 }
 
-// recoverState tells the core what is known of endpoints, and what is owed.
+// recoverState passes the known endpoints and the undelivered messages to the core.
 func (s *startup) recoverState() error {
 	if s.takenOver {
 		s.recoverHandover()
@@ -298,7 +302,7 @@
 	return nil
 }
 
-// recoverHandover recovers from the log and what another process handed over.
+// recoverHandover recovers from the write-ahead log and the predecessor's state.
 func (s *startup) recoverHandover() {
 	clockShift := s.inherited.ClockOrigin - (monotonicMicros() - s.now())
 	s.execute(s.core.RecoverMessages(s.now(), s.owed, s.inherited.Core, clockShift, s.effects[:0]))
@@ -309,16 +313,17 @@
 	}
 }
 
-// recoverFiles recovers from the log, the saved policy state and the list in the
-// configuration. Where one of them names endpoints, clients are served at once
-// and calls alone wait for discovery.
+// recoverFiles recovers from the write-ahead log, the saved policy state and the
+// endpoint list in the configuration. If the saved state or the configuration has
+// endpoints, clients are served at once and only calls wait for discovery;
+// otherwise the whole start waits for the first lists.
 func (s *startup) recoverFiles() {
 	saved, clockShift := s.stateSaver.load()
-	newer := saved != nil && (s.cfg.KnownList == nil || saved.Revision > s.cfg.KnownList.Revision)
-	if !newer || saved.Partial {
+	savedListIsNewer := saved != nil && (s.cfg.KnownList == nil || saved.Revision > s.cfg.KnownList.Revision)
+	if !savedListIsNewer || saved.Partial {
 		s.observe(s.configuredList())
 	}
-	if newer {
+	if savedListIsNewer {
 		kind := policy.ListCached
 		if saved.Partial {
 			kind = policy.ListDelta
@@ -337,7 +342,7 @@
 	s.execute(s.core.RecoverMessages(s.now(), s.owed, nil, 0, s.effects[:0]))
 }
 
-// startMembers begins to merge endpoint lists, where there are several sources.
+// startMembers starts the merger of endpoint lists if there are several sources.
 func (s *startup) startMembers() error {
 	if s.members == nil {
 		return nil
@@ -348,7 +353,7 @@
 	return nil
 }
 
-// serveClients takes client connections over and lets new ones in.
+// serveClients adopts the predecessor's client connections and accepts new ones.
 func (s *startup) serveClients() error {
 	s.step()
 	server := s.clients.server
@@ -368,21 +373,21 @@
 	return nil
 }
 
-// confirmHandover tells the process that handed over that it may end.
+// confirmHandover tells the predecessor, if there is one, that it may exit.
 func (s *startup) confirmHandover() error {
 	s.incoming.confirm()
 	return nil
 }
 
-// offerHandover listens for a process that wants to take over. Without it the
-// relay serves all the same; an upgrade alone will not work.
+// offerHandover listens for a successor. If that fails the relay still serves, but
+// it cannot hand over to a new process.
 func (s *startup) offerHandover() error {
 	ln, err := link.Listen(s.cfg.State)
 	if err != nil {
-		s.log.Error("hand-over: cannot be offered", "err", err)
+		s.log.Error("hand-over: cannot listen for a successor, serving without the means to hand over", "err", err)
 		return nil
 	}
-	s.atExit(func() { _ = ln.Close() }) // the next process replaces the socket
+	s.atExit(func() { _ = ln.Close() }) // the socket's file stays; the next process replaces it
 	go s.acceptHandovers(ln)
 	return nil
 }
--- a/internal/relay/statesaver.go
+++ b/internal/relay/statesaver.go
@@ -11,36 +11,39 @@
 	"troutusher/policy"
 )
 
-// bootIDPath names the boot of the machine: the monotonic clock goes on within one.
+// bootIDPath is the file with the ID of the machine's current boot. Readings of the
+// monotonic clock can be compared only within one boot.
 const bootIDPath = "/proc/sys/kernel/random/boot_id"
 
-// savePollInterval is how often the end of a write is looked for.
+// savePollInterval is how often saveIfDue checks whether a write has ended.
 const savePollInterval = policy.Time(50e3)
 
-// stateSaver has the policy state written to its file beside the event loop: a slow
-// disk makes nobody wait. While one write is under way none is begun. All methods
-// are the event loop's, and do nothing where the receiver is nil.
+// stateSaver writes the policy state to its file. Periodic writes run in a goroutine of
+// their own, so that a slow disk doesn't block the event loop; there is at most one at
+// a time. Methods other than write must be called by the event loop's goroutine, and do
+// nothing if the receiver is nil.
 type stateSaver struct {
 	relay         *Relay
 	store         *policystate.Store
 	schedule      *policystate.WriteSchedule
-	bootID        string // empty where it cannot be read
+	bootID        string // empty if it cannot be read
 	paused        bool
 	writing       bool
-	written       chan int      // once a write has ended: its bytes; -1 where it failed
-	writeFailed   bool          // the last write failed, which was logged
-	savedVersions stateVersions // of the last write that was begun
+	written       chan int      // the size of each file written, in bytes; -1 for a failed write
+	writeFailed   bool          // the last write failed, and that was logged
+	savedVersions stateVersions // of the last write that was started
 }
 
-// stateVersions tell whether there is anything to be written.
+// stateVersions are counters of the core that change with its state. They show whether
+// the state has changed since the last write.
 type stateVersions struct{ state, completedCalls uint64 }
 
-// newStateSaver returns nil where the configuration wants nothing saved.
+// newStateSaver returns nil if the configuration disables saving.
 func newStateSaver(r *Relay) *stateSaver {
 	if r.cfg.PolicyStatePeriod <= 0 {
 		return nil
 	}
-	bootID, _ := os.ReadFile(bootIDPath) // without it the wall clock has to do
+	bootID, _ := os.ReadFile(bootIDPath) // without it File.ClockShift uses the wall clock
 	return &stateSaver{
 		relay:    r,
 		store:    policystate.NewStore(r.cfg.State, r.cfg.Name, int64(r.cfg.Limits.DiskMB)<<20),
@@ -50,7 +53,8 @@
 	}
 }
 
-// diskReserve is how many of the disk's bytes the file may take.
+// diskReserve returns how many bytes of the disk limit the policy state may take,
+// including its copies.
 func (s *stateSaver) diskReserve(disk int64) int64 {
 	if s == nil {
 		return 0
@@ -58,8 +62,8 @@
 	return policystate.MaxCopies * policystate.MaxFileBytes(disk)
 }
 
-// load reads what an earlier process has saved (nil for nothing), and how far the
-// clock of its times has to be shifted.
+// load returns the state that an earlier process has saved, or nil if there is none,
+// and the duration to add to its times to convert them to this process's core clock.
 func (s *stateSaver) load() (saved *core.StateSnapshot, clockShift policy.Time) {
 	if s == nil {
 		return nil, 0
@@ -67,21 +71,21 @@
 	file, err := s.store.Read()
 	switch {
 	case err != nil:
-		s.relay.log.Warn("learned: set aside, nothing is remembered", "err", err)
+		s.relay.log.Warn("policy state: saved file is unusable and was set aside, starting without it", "err", err)
 		return nil, 0
 	case file == nil:
 		return nil, 0
 	}
 	now := s.relay.now()
 	clockShift = file.ClockShift(monotonicMicros()-now, monotonicMicros(), time.Now().UnixMicro(), s.bootID)
-	s.relay.log.Info("learned: remembered",
+	s.relay.log.Info("policy state: loaded the saved file",
 		"destinations", len(file.State.Policy.Limiters), "revision", file.State.Revision,
 		"ago_ms", (now-file.State.Now-clockShift)/1000, "clean", file.CleanShutdown)
 	return file.State, clockShift
 }
 
-// saveIfDue begins a write if one is due, and returns when to call it again; 0 for
-// when something has changed.
+// saveIfDue starts a write if one is due. It returns the time at which it has to be
+// called again, or 0 if that is not necessary before the state changes.
 func (s *stateSaver) saveIfDue(now policy.Time) policy.Time {
 	if s == nil || s.paused {
 		return 0
@@ -89,16 +93,17 @@
 	select {
 	case size := <-s.written:
 		s.writing = false
-		// After a write that failed the next change tries again, not the next step.
+		// A failed write is recorded too: the next attempt follows the next change of
+		// the state, and not the next step.
 		s.schedule.RecordWrite(now, max(size, 0), s.savedVersions.state, s.savedVersions.completedCalls)
 	default:
 	}
 	if s.writing {
 		return now + savePollInterval
 	}
-	due, again := s.schedule.Due(now, s.relay.core.StateVersion(), s.relay.core.CompletedCalls())
+	due, nextCall := s.schedule.Due(now, s.relay.core.StateVersion(), s.relay.core.CompletedCalls())
 	if !due {
-		return again
+		return nextCall
 	}
 	file := s.snapshotFile(now, false)
 	s.writing = true
@@ -106,7 +111,7 @@
 	return now + savePollInterval
 }
 
-// snapshotFile is the file of what is known now.
+// snapshotFile returns the file to write for the core's current state.
 func (s *stateSaver) snapshotFile(now policy.Time, cleanShutdown bool) *policystate.File {
 	c := s.relay.core
 	s.savedVersions = stateVersions{state: c.StateVersion(), completedCalls: c.CompletedCalls()}
@@ -121,8 +126,8 @@
 	}
 }
 
-// write returns the bytes written, or -1. One that is too large goes without the
-// counts of the last seconds.
+// write writes the file and returns its size in bytes, or -1 if that failed. If the
+// file is too large, write drops the counts of the last seconds and tries again.
 func (s *stateSaver) write(file *policystate.File) (size int) {
 	size, err := s.store.Write(file)
 	if errors.Is(err, policystate.ErrTooLarge) {
@@ -131,7 +136,7 @@
 	}
 	if err != nil {
 		if !s.writeFailed {
-			s.relay.log.Warn("learned: not written", "err", err)
+			s.relay.log.Warn("policy state: write failed, the previous file stays", "err", err)
 		}
 		s.writeFailed = true
 		return -1
@@ -140,7 +145,7 @@
 	return size
 }
 
-// pause begins no further write, and waits for the one that is under way.
+// pause prevents further writes until resume, and waits for the write in progress.
 func (s *stateSaver) pause() {
 	if s == nil {
 		return
@@ -152,14 +157,14 @@
 	}
 }
 
-// resume ends pause.
+// resume allows writes again after pause.
 func (s *stateSaver) resume() {
 	if s != nil {
 		s.paused = false
 	}
 }
 
-// saveFinal writes what is known as the process ends after a shutdown.
+// saveFinal writes the state at the end of a shutdown.
 func (s *stateSaver) saveFinal() {
 	if s == nil {
 		return
