--- a/internal/handover/handover_test.go
+++ b/internal/handover/handover_test.go
@@ -7,172 +7,174 @@
 	"testing"
 )
 
-// simulation is a predecessor, a successor, a lock and a connection, as a model.
+// simulation is a model of a predecessor, a successor, the lock and the connection
+// between the processes.
 type simulation struct {
-	outgoing      Outgoing
-	incoming      Incoming
-	outgoingLives bool
-	incomingLives bool
-	outgoingLock  bool // each holds its part; the lock is free once nobody does
-	incomingLock  bool // also while it is on its way
-	toIncoming    []IncomingEvent
-	toOutgoing    []OutgoingEvent
-	connected     bool
-	outgoingTodo  []OutgoingAction
-	incomingTodo  []IncomingAction
-	memoryValid   bool // what the predecessor has in memory is still true
-	restarted     bool // the predecessor has recovered from the log
-	claimed       bool // the successor has said so, or found itself alone
+	outgoing        Outgoing
+	incoming        Incoming
+	outgoingAlive   bool
+	incomingAlive   bool
+	outgoingLock    bool // the predecessor has a share of the lock; it is free if no process has one
+	incomingLock    bool // the successor has a share, or one is being sent to it
+	incomingEvents  []IncomingEvent
+	outgoingEvents  []OutgoingEvent
+	connected       bool
+	outgoingActions []OutgoingAction
+	incomingActions []IncomingAction
+	memoryValid     bool // the predecessor's state in memory is up to date
+	restarted       bool // the predecessor has recovered from the write-ahead log
+	claimed         bool // the successor has claimed ownership, or has started from the log
 }
 
-func (s *simulation) tellOutgoing(e OutgoingEvent) {
+func (s *simulation) deliverToOutgoing(e OutgoingEvent) {
 	if action := s.outgoing.Step(e); action != OutgoingNoAction {
-		s.outgoingTodo = append(s.outgoingTodo, action)
+		s.outgoingActions = append(s.outgoingActions, action)
 	}
 }
 
-func (s *simulation) tellIncoming(e IncomingEvent) {
+func (s *simulation) deliverToIncoming(e IncomingEvent) {
 	if action := s.incoming.Step(e); action != IncomingNoAction {
-		s.incomingTodo = append(s.incomingTodo, action)
+		s.incomingActions = append(s.incomingActions, action)
 	}
 }
 
-// outgoingOwns reports whether the predecessor lives and owns the work.
-func (s *simulation) outgoingOwns() bool { return s.outgoingLives && s.outgoing.IsOwner() }
+// outgoingOwns reports whether the predecessor is alive and the owner.
+func (s *simulation) outgoingOwns() bool { return s.outgoingAlive && s.outgoing.IsOwner() }
 
-// incomingOwns reports whether the successor lives and owns the work.
-func (s *simulation) incomingOwns() bool { return s.incomingLives && s.incoming.IsOwner() }
+// incomingOwns reports whether the successor is alive and the owner.
+func (s *simulation) incomingOwns() bool { return s.incomingAlive && s.incoming.IsOwner() }
 
 func (s *simulation) disconnect() {
 	if s.connected {
 		s.connected = false
-		// What was said before the end is still heard.
-		s.toOutgoing = append(s.toOutgoing, SuccessorLost)
-		s.toIncoming = append(s.toIncoming, PredecessorLost)
+		// Packets that were sent before are still received.
+		s.outgoingEvents = append(s.outgoingEvents, SuccessorLost)
+		s.incomingEvents = append(s.incomingEvents, PredecessorLost)
 	}
 }
 
 func (s *simulation) killIncoming() {
-	s.incomingLives, s.incomingLock = false, false
+	s.incomingAlive, s.incomingLock = false, false
 	s.disconnect()
 }
 
 func (s *simulation) killOutgoing() {
-	s.outgoingLives, s.outgoingLock = false, false
+	s.outgoingAlive, s.outgoingLock = false, false
 	s.disconnect()
 }
 
 func (s *simulation) stepOutgoing() {
-	if len(s.outgoingTodo) > 0 {
-		action := s.outgoingTodo[0]
-		s.outgoingTodo = s.outgoingTodo[1:]
+	if len(s.outgoingActions) > 0 {
+		action := s.outgoingActions[0]
+		s.outgoingActions = s.outgoingActions[1:]
 		switch action {
 		case Quiesce:
-			s.tellOutgoing(Quiesced)
+			s.deliverToOutgoing(Quiesced)
 		case SendState:
 			if s.connected {
-				s.toIncoming = append(s.toIncoming, FirstPacketReceived, AllReceived)
+				s.incomingEvents = append(s.incomingEvents, FirstPacketReceived, AllReceived)
 				s.incomingLock = true
 			}
-			s.tellOutgoing(StateSent)
+			s.deliverToOutgoing(StateSent)
 		case ReleaseResources:
 			s.outgoingLock = false
 		case TryLock:
 			if s.outgoingLock || !s.incomingLock {
 				s.outgoingLock = true
-				s.tellOutgoing(LockRegained)
+				s.deliverToOutgoing(LockRegained)
 			} else {
-				s.outgoingTodo = append(s.outgoingTodo, TryLock) // later
+				s.outgoingActions = append(s.outgoingActions, TryLock) // later
 			}
 		case ResumeServing:
 			if !s.memoryValid {
-				panic("the predecessor goes on with what is no longer true")
+				panic("the predecessor resumes with outdated state in memory")
 			}
 		case RestartFromLog:
 			s.restarted, s.memoryValid = true, true
 		}
 		return
 	}
-	if len(s.toOutgoing) > 0 {
-		e := s.toOutgoing[0]
-		s.toOutgoing = s.toOutgoing[1:]
-		s.tellOutgoing(e)
+	if len(s.outgoingEvents) > 0 {
+		e := s.outgoingEvents[0]
+		s.outgoingEvents = s.outgoingEvents[1:]
+		s.deliverToOutgoing(e)
 	}
 }
 
 func (s *simulation) stepIncoming() {
-	if len(s.incomingTodo) > 0 {
-		action := s.incomingTodo[0]
-		s.incomingTodo = s.incomingTodo[1:]
+	if len(s.incomingActions) > 0 {
+		action := s.incomingActions[0]
+		s.incomingActions = s.incomingActions[1:]
 		switch action {
 		case Connect:
-			if s.outgoingLives && !s.connected && s.outgoing.IsOwner() {
-				s.connected, s.toIncoming, s.toOutgoing = true, nil, nil
-				s.tellIncoming(Connected)
+			if s.outgoingAlive && !s.connected && s.outgoing.IsOwner() {
+				s.connected, s.incomingEvents, s.outgoingEvents = true, nil, nil
+				s.deliverToIncoming(Connected)
 			} else {
-				s.tellIncoming(PredecessorLost)
+				s.deliverToIncoming(PredecessorLost)
 			}
 		case RequestState:
 			if s.connected {
-				s.toOutgoing = append(s.toOutgoing, HandoverRequested)
+				s.outgoingEvents = append(s.outgoingEvents, HandoverRequested)
 			}
 		case AdoptLock:
 			if !s.incomingLock {
-				panic("all has come, and the lock has not")
+				panic("all packets were received, but the lock was not")
 			}
-			s.tellIncoming(LockAdopted)
+			s.deliverToIncoming(LockAdopted)
 		case SendClaim:
 			if s.connected {
-				s.toOutgoing = append(s.toOutgoing, OwnershipClaimed)
+				s.outgoingEvents = append(s.outgoingEvents, OwnershipClaimed)
 				s.claimed = true
-				s.tellIncoming(ClaimSent)
+				s.deliverToIncoming(ClaimSent)
 			} else {
-				s.tellIncoming(PredecessorLost)
+				s.deliverToIncoming(PredecessorLost)
 			}
 		case RetryLock:
 			s.incomingLock = false
-			s.incomingTodo, s.toIncoming = nil, nil
+			s.incomingActions, s.incomingEvents = nil, nil
 			s.tryLock()
 		case TakeOver, StartFromLog:
 			s.memoryValid, s.claimed = false, true
-			s.tellIncoming(ReadyToServe)
+			s.deliverToIncoming(ReadyToServe)
 		case SendServing:
 			if s.connected {
-				s.toOutgoing = append(s.toOutgoing, SuccessorServing)
+				s.outgoingEvents = append(s.outgoingEvents, SuccessorServing)
 			}
 		case Abort:
 			s.killIncoming()
 		}
 		return
 	}
-	if len(s.toIncoming) > 0 {
-		e := s.toIncoming[0]
-		s.toIncoming = s.toIncoming[1:]
-		s.tellIncoming(e)
+	if len(s.incomingEvents) > 0 {
+		e := s.incomingEvents[0]
+		s.incomingEvents = s.incomingEvents[1:]
+		s.deliverToIncoming(e)
 	}
 }
 
 func (s *simulation) tryLock() {
 	if !s.outgoingLock && !s.incomingLock {
 		s.incomingLock = true
-		s.tellIncoming(LockAcquired)
+		s.deliverToIncoming(LockAcquired)
 	} else {
-		s.tellIncoming(LockHeld)
+		s.deliverToIncoming(LockHeld)
 	}
 }
 
-// Whichever process is killed, whenever, or whose connection breaks: never do both
-// own the work, a predecessor never goes on with what is no longer true, and in the
-// end one of those that live owns it.
+// Guards against two owners, or none. A process may be killed, or the connection may
+// break, at any step of a hand-over. Both processes must never be owners at the same
+// time, the predecessor must not resume with outdated state, and in the end one of the
+// processes that are alive must be the owner.
 func TestExactlyOneOwner(t *testing.T) {
 	outcomes := map[string]int{}
 	for seed := range uint64(60000) {
 		rng := rand.New(rand.NewPCG(seed, 3))
-		s := &simulation{outgoingLives: true, incomingLives: true, outgoingLock: true, memoryValid: true}
+		s := &simulation{outgoingAlive: true, incomingAlive: true, outgoingLock: true, memoryValid: true}
 		s.tryLock()
 		faultAt, fault := rng.IntN(30), rng.IntN(4)
-		for n := range 400 {
-			if n == faultAt {
+		for step := range 400 {
+			if step == faultAt {
 				switch fault {
 				case 0:
 					s.killOutgoing()
@@ -183,32 +185,32 @@
 				}
 			}
 			if rng.IntN(2) == 0 {
-				if s.outgoingLives {
+				if s.outgoingAlive {
 					s.stepOutgoing()
 				}
-			} else if s.incomingLives {
+			} else if s.incomingAlive {
 				s.stepIncoming()
 			}
 			if fault == 3 && !s.outgoingLock && !s.incomingLock {
-				t.Fatalf("seed %d, step %d: a third process could take the lock", seed, n)
+				t.Fatalf("seed %d, step %d: a third process could take the lock", seed, step)
 			}
 			if s.outgoingOwns() && s.incomingOwns() {
-				t.Fatalf("seed %d, step %d: both own it: predecessor %d, successor %d",
-					seed, n, s.outgoing.state, s.incoming.state)
+				t.Fatalf("seed %d, step %d: both processes are owners: states: predecessor %d, successor %d",
+					seed, step, s.outgoing.state, s.incoming.state)
 			}
-			if s.incomingOwns() && !s.claimed && !slices.Contains(s.incomingTodo, StartFromLog) {
-				t.Fatalf("seed %d, step %d: the successor owns it and has not said so", seed, n)
+			if s.incomingOwns() && !s.claimed && !slices.Contains(s.incomingActions, StartFromLog) {
+				t.Fatalf("seed %d, step %d: the successor is the owner without a claim", seed, step)
 			}
 			if s.incomingOwns() && !s.incomingLock || s.outgoingOwns() && !s.outgoingLock {
-				t.Fatalf("seed %d, step %d: the owner has no lock: predecessor %d, successor %d",
-					seed, n, s.outgoing.state, s.incoming.state)
+				t.Fatalf("seed %d, step %d: the owner does not hold the lock: states: predecessor %d, successor %d",
+					seed, step, s.outgoing.state, s.incoming.state)
 			}
 		}
-		// After the last packet a death is no longer the hand-over's matter.
-		if s.outgoingLives && !s.outgoing.Finished() || s.incomingLives {
+		// A predecessor that has finished exits, so it need not be the owner.
+		if s.outgoingAlive && !s.outgoing.Finished() || s.incomingAlive {
 			if !s.outgoingOwns() && !s.incomingOwns() {
-				t.Fatalf("seed %d: nobody owns it: fault %d at %d, predecessor %v %d, successor %v %d",
-					seed, fault, faultAt, s.outgoingLives, s.outgoing.state, s.incomingLives, s.incoming.state)
+				t.Fatalf("seed %d: no owner, fault %d at step %d, alive and state: predecessor %v %d, successor %v %d",
+					seed, fault, faultAt, s.outgoingAlive, s.outgoing.state, s.incomingAlive, s.incoming.state)
 			}
 		}
 		outcome := fmt.Sprintf("fault %d predecessor %v successor %v restarted %v",
@@ -222,7 +224,7 @@
 		"fault 3 predecessor false successor true restarted false",
 	} {
 		if outcomes[want] == 0 {
-			t.Errorf("never came up: %s; %v", want, outcomes)
+			t.Errorf("no seed had the outcome: %s; outcomes: %v", want, outcomes)
 		}
 	}
 }
--- a/internal/handover/incoming.go
+++ b/internal/handover/incoming.go
@@ -1,57 +1,57 @@
 package handover
 
-// Incoming is the side of the process that starts. Its zero value has not looked yet
-// whether another process owns the work.
+// Incoming is the state machine of the process that starts, the successor. Its zero
+// value has not tried to acquire the lock yet.
 type Incoming struct{ state incomingState }
 
 type incomingState uint8
 
 const (
-	incomingTryingLock   incomingState = iota // is there an owner?
-	incomingRequesting                        // there is: it is asked for the work
-	incomingReceiving                         // it sends its state
-	incomingAdoptingLock                      // all has come
-	incomingClaiming                          // the lock is held, and that is being said
-	incomingOwner                             // this process may write and send
-	incomingServing                           // and answers clients
+	incomingTryingLock   incomingState = iota // finding out whether there is an owner
+	incomingRequesting                        // requesting the state from the owner
+	incomingReceiving                         // receiving the predecessor's state
+	incomingAdoptingLock                      // all packets received, adopting the lock
+	incomingClaiming                          // holding the lock, sending the claim
+	incomingOwner                             // this process is the owner
+	incomingServing                           // this process is the owner and serves clients
 	incomingFailed
 )
 
-// IncomingEvent is what happens to the incoming side.
+// IncomingEvent is an input to Incoming.
 type IncomingEvent uint8
 
-// Events of the incoming side.
+// Events of Incoming.
 const (
-	LockAcquired        IncomingEvent = iota + 1 // the lock was free
-	LockHeld                                     // another process holds it
-	Connected                                    // the predecessor answers
-	FirstPacketReceived                          // the first part of its state has come
-	AllReceived                                  // all of it has
-	LockAdopted                                  // the lock is held
-	ClaimSent                                    // the claim has gone out
+	LockAcquired        IncomingEvent = iota + 1 // the lock was free and is now held
+	LockHeld                                     // another process holds the lock
+	Connected                                    // the predecessor has accepted the connection
+	FirstPacketReceived                          // the first packet of the state was received
+	AllReceived                                  // all packets of the state were received
+	LockAdopted                                  // the received lock is held
+	ClaimSent                                    // the claim was sent
 	ReadyToServe                                 // clients can be served
-	PredecessorLost                              // the connection broke
+	PredecessorLost                              // the connection to the predecessor failed
 	TimedOut                                     // the time for the step is over
 )
 
-// IncomingAction is what the incoming side is to do.
+// IncomingAction is an action that Incoming asks for.
 type IncomingAction uint8
 
-// Actions of the incoming side.
+// Actions of Incoming.
 const (
 	IncomingNoAction IncomingAction = iota
-	StartFromLog                    // recover from the log: there is no other process
+	StartFromLog                    // recover from the write-ahead log: there is no predecessor
 	Connect                         // connect to the predecessor
-	RequestState                    // ask it for the work
-	AdoptLock                       // take the lock over, which came with its state
-	SendClaim                       // say that the work is this process's own
-	TakeOver                        // recover from what has come, and the log
-	SendServing                     // say that this process serves
-	RetryLock                       // try the lock again: the predecessor is gone
-	Abort                           // end: there is a predecessor, and it cannot hand over
+	RequestState                    // request the state from the predecessor
+	AdoptLock                       // adopt the lock that came with the state
+	SendClaim                       // claim ownership
+	TakeOver                        // recover from the received state and the write-ahead log
+	SendServing                     // tell the predecessor that this process serves
+	RetryLock                       // release the lock and try to acquire it again: the predecessor is lost
+	Abort                           // give up the start: the predecessor lives and cannot hand over
 )
 
-// Step takes in one event.
+// Step handles one event and returns the action to execute.
 func (i *Incoming) Step(event IncomingEvent) IncomingAction {
 	switch i.state {
 	case incomingTryingLock:
@@ -97,7 +97,7 @@
 			i.state = incomingClaiming
 			return SendClaim
 		}
-	case PredecessorLost: // also with the lock at hand: it takes the claim to move the work
+	case PredecessorLost: // even if the lock was received: without the claim ownership has not moved
 		i.state = incomingTryingLock
 		return RetryLock
 	case TimedOut:
@@ -113,13 +113,13 @@
 		i.state = incomingOwner
 		return TakeOver
 	case PredecessorLost, TimedOut:
-		// The predecessor may have taken the work back the moment before. Nothing
-		// was begun here, and this side gives up its part in the lock.
+		// The predecessor may have resumed ownership just before. This process has done
+		// nothing as an owner so far, so it can release its share of the lock.
 		i.state = incomingTryingLock
 		return RetryLock
 	}
 	return IncomingNoAction
 }
 
-// IsOwner reports whether the incoming side may write and send.
+// IsOwner reports whether this process is the owner.
 func (i *Incoming) IsOwner() bool { return i.state == incomingOwner || i.state == incomingServing }
--- a/internal/handover/link/link.go
+++ b/internal/handover/link/link.go
@@ -1,8 +1,8 @@
-// Package link carries packets and descriptors between two processes of one relay,
+// Package link sends packets and file descriptors between two processes of one relay
 // over a Unix socket in the state folder.
 //
-// It owns the socket's file and the bounds of a packet. It must never know what a
-// packet means, and accepts none from another user's process.
+// It owns the socket file and the size limits of a packet. It does not interpret
+// packets, and accepts no connection from another user's process.
 package link
 
 import (
@@ -16,38 +16,40 @@
 	"time"
 )
 
-// SocketName is the socket's file in the state folder.
+// SocketName is the name of the socket file in the state folder.
 const SocketName = "relay.sock"
 
-// Bounds of one packet.
+// Limits of one packet.
 const (
 	MaxBodySize    = 32 << 10 // bytes
 	MaxDescriptors = 64
 )
 
-// maxPathLength is how long a socket's path may be to be used as it is. The system
-// has room for 108 bytes.
+// maxPathLength is the length of the longest path, in bytes, that is used as the
+// socket's address directly. The kernel accepts up to 108 bytes.
 const maxPathLength = 100
 
-// Packet is one message.
+// Packet is one packet as received.
 type Packet struct {
 	Kind byte
 	Body []byte
-	FDs  []int // descriptors, which the receiver has to close; close-on-exec
+	FDs  []int // file descriptors, close-on-exec; the receiver has to close them
 }
 
-// Conn is one connection. One goroutine may send and another receive.
+// Conn is a connection to the other process. One goroutine may send while another
+// receives.
 type Conn struct {
 	conn *net.UnixConn
-	buf  []byte // of the packet that is received
-	oob  []byte // and of its descriptors
+	buf  []byte // holds the received packet
+	oob  []byte // holds the control messages with its descriptors
 }
 
-// Listener accepts connections.
+// Listener accepts connections of other processes.
 type Listener struct{ ln *net.UnixListener }
 
-// socketAddress is the socket's, by way of the folder's descriptor where the path is
-// too long. done has to be called once it was used.
+// socketAddress returns the address of the socket in a folder. If the path is too long
+// the address refers to an open descriptor of the folder. done closes the descriptor
+// and must be called once the address was used.
 func socketAddress(dir string) (addr *net.UnixAddr, done func(), err error) {
 	path := filepath.Join(dir, SocketName)
 	done = func() {}
@@ -62,8 +64,8 @@
 	return &net.UnixAddr{Name: path, Net: "unixpacket"}, done, nil
 }
 
-// Listen opens the socket of a folder, in place of that of any process before. The
-// caller must own the folder's lock.
+// Listen creates the socket in a folder and replaces that of an earlier process. The
+// caller must hold the folder's lock.
 func Listen(dir string) (*Listener, error) {
 	addr, done, err := socketAddress(dir)
 	if err != nil {
@@ -77,11 +79,12 @@
 	if err != nil {
 		return nil, fmt.Errorf("link: %w", err)
 	}
-	ln.SetUnlinkOnClose(false) // the file may be another process's by then
+	ln.SetUnlinkOnClose(false) // another process may have replaced the file by then
 	return &Listener{ln}, nil
 }
 
-// Accept waits for the next connection of a process of our own user.
+// Accept waits for the next connection from a process of the same user. It closes
+// connections from other users.
 func (l *Listener) Accept() (*Conn, error) {
 	for {
 		conn, err := l.ln.AcceptUnix()
@@ -95,7 +98,7 @@
 	}
 }
 
-// Close ends the listening, also a call of Accept.
+// Close closes the listener. A blocked Accept returns an error.
 func (l *Listener) Close() error { return l.ln.Close() }
 
 // Dial connects to the process that listens in a folder.
@@ -111,7 +114,7 @@
 	}
 	if !sameUser(conn) {
 		_ = conn.Close()
-		return nil, errors.New("link: it is another user's")
+		return nil, errors.New("link: the listening process belongs to another user")
 	}
 	return newConn(conn), nil
 }
@@ -119,12 +122,12 @@
 func newConn(conn *net.UnixConn) *Conn {
 	return &Conn{
 		conn: conn,
-		buf:  make([]byte, MaxBodySize+2), // one more than the longest packet, to see that one was cut
+		buf:  make([]byte, MaxBodySize+2), // one byte more than the longest packet, to detect longer ones
 		oob:  make([]byte, syscall.CmsgSpace(4*MaxDescriptors)),
 	}
 }
 
-// sameUser reports whether the other side is a process of our own user.
+// sameUser reports whether the process at the other end has the same user ID.
 func sameUser(conn *net.UnixConn) bool {
 	raw, err := conn.SyscallConn()
 	if err != nil {
@@ -138,12 +141,12 @@
 	return err == nil && same
 }
 
-// Send sends one packet. The descriptors stay the sender's, too.
-func (c *Conn) Send(kind byte, body []byte, by time.Time, fds ...int) error {
+// Send sends one packet. The descriptors stay open in this process too.
+func (c *Conn) Send(kind byte, body []byte, deadline time.Time, fds ...int) error {
 	if len(body) > MaxBodySize || len(fds) > MaxDescriptors {
-		return fmt.Errorf("link: a packet of %d bytes and %d descriptors", len(body), len(fds))
+		return fmt.Errorf("link: packet too large: %d bytes and %d descriptors", len(body), len(fds))
 	}
-	if err := c.conn.SetWriteDeadline(by); err != nil {
+	if err := c.conn.SetWriteDeadline(deadline); err != nil {
 		return fmt.Errorf("link: %w", err)
 	}
 	var oob []byte
@@ -156,42 +159,42 @@
 	return nil
 }
 
-// SendParts sends a body of any length: packets of kind part, and the last one of
-// kind last, with the descriptors.
-func (c *Conn) SendParts(part, last byte, body []byte, by time.Time, fds ...int) error {
+// SendParts sends a body of any length as several packets. The last one has kind last
+// and the descriptors; the packets before it have kind part.
+func (c *Conn) SendParts(part, last byte, body []byte, deadline time.Time, fds ...int) error {
 	for len(body) > MaxBodySize {
-		if err := c.Send(part, body[:MaxBodySize], by); err != nil {
+		if err := c.Send(part, body[:MaxBodySize], deadline); err != nil {
 			return err
 		}
 		body = body[MaxBodySize:]
 	}
-	return c.Send(last, body, by, fds...)
+	return c.Send(last, body, deadline, fds...)
 }
 
-// Receive waits for a packet. Its body is valid until the next call.
-func (c *Conn) Receive(by time.Time) (Packet, error) {
-	if err := c.conn.SetReadDeadline(by); err != nil {
+// Receive waits for a packet. The packet's body is valid until the next call.
+func (c *Conn) Receive(deadline time.Time) (Packet, error) {
+	if err := c.conn.SetReadDeadline(deadline); err != nil {
 		return Packet{}, fmt.Errorf("link: %w", err)
 	}
 	n, oobn, flags, _, err := c.conn.ReadMsgUnix(c.buf, c.oob)
 	if err != nil {
 		return Packet{}, fmt.Errorf("link: %w", err)
 	}
-	fds, err := descriptors(c.oob[:oobn])
+	fds, err := parseDescriptors(c.oob[:oobn])
 	if err != nil {
 		return Packet{}, err
 	}
-	if err := checkWhole(n, flags); err != nil {
+	if err := checkComplete(n, flags); err != nil {
 		for _, fd := range fds {
-			_ = syscall.Close(fd) // nothing was written to it
+			_ = syscall.Close(fd) // an error loses no data, since nothing was written
 		}
 		return Packet{}, err
 	}
 	return Packet{Kind: c.buf[0], Body: c.buf[1:n], FDs: fds}, nil
 }
 
-// descriptors are those in a packet's control messages.
-func descriptors(oob []byte) (fds []int, err error) {
+// parseDescriptors returns the file descriptors in a packet's control messages.
+func parseDescriptors(oob []byte) (fds []int, err error) {
 	if len(oob) == 0 {
 		return nil, nil
 	}
@@ -202,27 +205,29 @@
 	for i := range messages {
 		rights, err := syscall.ParseUnixRights(&messages[i])
 		if err != nil {
-			continue // not descriptors
+			continue // a control message of another type
 		}
 		fds = append(fds, rights...)
 	}
 	return fds, nil
 }
 
-// checkWhole tells an end, and a packet that is over its bounds, from a whole one.
-func checkWhole(size, flags int) error {
+// checkComplete returns an error if the other side has closed the connection, or if
+// the kernel truncated the packet because it exceeds the limits.
+func checkComplete(size, flags int) error {
 	switch {
 	case size == 0:
-		return errors.New("link: ended by the other side")
+		return errors.New("link: connection closed by the other process")
 	case size > MaxBodySize+1 || flags&(syscall.MSG_TRUNC|syscall.MSG_CTRUNC) != 0:
-		return errors.New("link: a packet was cut")
+		return errors.New("link: received packet exceeds the size limits and was truncated")
 	}
 	return nil
 }
 
-// CloseRead lets the other side send nothing more; what it has sent can still be
-// received.
+// CloseRead makes the other side's sends fail from now on. Packets that it sent before
+// can still be received.
 func (c *Conn) CloseRead() error { return c.conn.CloseRead() }
 
-// Close ends the connection. What was sent can still be received.
+// Close closes the connection. The other side can still receive the packets that were
+// sent before.
 func (c *Conn) Close() error { return c.conn.Close() }
--- a/internal/handover/outgoing.go
+++ b/internal/handover/outgoing.go
@@ -1,76 +1,76 @@
 package handover
 
-// Outgoing is the side of the process that serves and is asked to hand over. Its
-// zero value owns the work.
+// Outgoing is the state machine of the process that serves and is asked to hand over,
+// the predecessor. Its zero value is the owner.
 type Outgoing struct{ state outgoingState }
 
 type outgoingState uint8
 
 const (
-	outgoingOwner       outgoingState = iota // nobody asks
-	outgoingQuiescing                        // asked for the work: everything comes to rest
-	outgoingSending                          // at rest: the state is being sent
-	outgoingLockShared                       // all is sent, the lock is shared
-	outgoingTransferred                      // the successor has claimed the work
-	outgoingFinished                         // and serves: this process is to end
+	outgoingOwner       outgoingState = iota // no hand-over in progress
+	outgoingQuiescing                        // hand-over requested, quiescing
+	outgoingSending                          // quiesced, sending the state
+	outgoingLockShared                       // state and lock sent, waiting for the claim
+	outgoingTransferred                      // claim received, waiting until the successor serves
+	outgoingFinished                         // the successor serves, this process has to exit
 )
 
-// OutgoingEvent is what happens to the outgoing side.
+// OutgoingEvent is an input to Outgoing.
 type OutgoingEvent uint8
 
-// Events of the outgoing side.
+// Events of Outgoing.
 const (
 	HandoverRequested OutgoingEvent = iota + 1 // a successor is ready to take over
-	Quiesced                                   // all is at rest, and the log is written
-	QuiesceTimedOut                            // it did not come to rest in time
-	StateSent                                  // the state is on its way, and a part in the lock
-	OwnershipClaimed                           // the successor holds the lock
+	Quiesced                                   // the process is quiesced, and the write-ahead log is written
+	QuiesceTimedOut                            // the process could not quiesce in time
+	StateSent                                  // the state and a share of the lock were sent
+	OwnershipClaimed                           // the successor holds the lock and claims ownership
 	SuccessorServing                           // the successor serves
-	SuccessorLost                              // the successor is gone, or silent for too long
-	LockRegained                               // the lock could be taken again
-	LockUnavailable                            // another process holds it
+	SuccessorLost                              // the successor has exited or timed out
+	LockRegained                               // the lock could be acquired again
+	LockUnavailable                            // another process holds the lock
 )
 
-// OutgoingAction is what the outgoing side is to do.
+// OutgoingAction is an action that Outgoing asks for.
 type OutgoingAction uint8
 
-// Actions of the outgoing side.
+// Actions of Outgoing.
 const (
 	OutgoingNoAction OutgoingAction = iota
-	Quiesce                         // bring everything to rest
-	SendState                       // send the state, and a part in the lock
-	TryLock                         // see whether the lock can be taken
-	ResumeServing                   // go on with what is in memory
-	RestartFromLog                  // recover from the log, as after a kill
-	ReleaseResources                // close what was handed over, and give up the lock
-	Exit                            // end: nothing is left to do
-	Reject                          // tell the successor that it cannot have the work now
+	Quiesce                         // wait for replies, suspend calls, write the write-ahead log
+	SendState                       // send the state and a share of the lock
+	TryLock                         // try to acquire the lock
+	ResumeServing                   // serve again with the state in memory
+	RestartFromLog                  // recover from the write-ahead log, as after a kill
+	ReleaseResources                // close what was handed over, and release the lock
+	Exit                            // exit: nothing is left to do
+	Reject                          // tell the successor that this process does not hand over now
 )
 
-// Step takes in one event.
+// Step handles one event and returns the action to execute.
 func (o *Outgoing) Step(event OutgoingEvent) OutgoingAction {
 	switch event {
 	case HandoverRequested:
-		if o.moved(outgoingOwner, outgoingQuiescing) {
+		if o.transition(outgoingOwner, outgoingQuiescing) {
 			return Quiesce
 		}
 		return Reject
 	case Quiesced:
-		if o.moved(outgoingQuiescing, outgoingSending) {
+		if o.transition(outgoingQuiescing, outgoingSending) {
 			return SendState
 		}
 	case QuiesceTimedOut:
-		if o.moved(outgoingQuiescing, outgoingOwner) {
+		if o.transition(outgoingQuiescing, outgoingOwner) {
 			return ResumeServing
 		}
 	case StateSent:
-		o.moved(outgoingSending, outgoingLockShared)
+		o.transition(outgoingSending, outgoingLockShared)
 	case OwnershipClaimed:
-		if o.moved(outgoingLockShared, outgoingTransferred) {
+		if o.transition(outgoingLockShared, outgoingTransferred) {
 			return ReleaseResources
 		}
 	case SuccessorServing:
-		if o.moved(outgoingTransferred, outgoingFinished) {
+		if o.transition(outgoingTransferred, outgoingFinished) {
 			return Exit
 		}
 	case SuccessorLost:
@@ -78,8 +78,9 @@
 	case LockRegained:
 		return o.lockRegained()
 	case LockUnavailable:
-		// The successor lives and can no longer say so. If it has not claimed the
-		// work, the broken connection tells it to end; if it has, it is the relay.
+		// The successor lives although the connection to it is lost. If it has not
+		// claimed ownership, it notices the lost connection and releases the lock; if it
+		// has, it is the owner.
 		if o.mayHaveSuccessor() {
 			return TryLock
 		}
@@ -87,8 +88,8 @@
 	return OutgoingNoAction
 }
 
-// moved goes from one state to another, and reports whether it was in the first.
-func (o *Outgoing) moved(from, to outgoingState) bool {
+// transition changes the state if it equals from, and reports whether it did.
+func (o *Outgoing) transition(from, to outgoingState) bool {
 	if o.state != from {
 		return false
 	}
@@ -109,7 +110,7 @@
 
 func (o *Outgoing) lockRegained() OutgoingAction {
 	switch o.state {
-	case outgoingLockShared: // the successor did nothing, and cannot now
+	case outgoingLockShared: // the successor has not claimed ownership and no longer can
 		o.state = outgoingOwner
 		return ResumeServing
 	case outgoingTransferred:
@@ -123,7 +124,7 @@
 	return o.state == outgoingLockShared || o.state == outgoingTransferred
 }
 
-// IsOwner reports whether the outgoing side may write and send.
+// IsOwner reports whether this process is the owner.
 func (o *Outgoing) IsOwner() bool { return o.state <= outgoingSending }
 
 // Finished reports whether this process has nothing left to do.
--- a/internal/handover/statelock/statelock_test.go
+++ b/internal/handover/statelock/statelock_test.go
@@ -16,35 +16,36 @@
 	return l
 }
 
-// One process holds the lock, until it hands it over: then both do, and it is free
-// once both have let go.
+// Guards against two owners of a state folder. Only one process can acquire the lock;
+// after it has passed its descriptor on both hold the lock, which is free only once both
+// have released it.
 func TestLockIsShared(t *testing.T) {
 	dir := t.TempDir()
-	old, fresh, third := mustOpen(t, dir), mustOpen(t, dir), mustOpen(t, dir)
-	for range 2 { // the second time it is held already
-		if !old.TryAcquire() || !old.Held() {
-			t.Fatal("a free lock cannot be had")
+	predecessor, successor, third := mustOpen(t, dir), mustOpen(t, dir), mustOpen(t, dir)
+	for range 2 { // the second time the lock is already held
+		if !predecessor.TryAcquire() || !predecessor.Held() {
+			t.Fatal("predecessor.TryAcquire() or Held() on a free lock = false, want true")
 		}
 	}
-	if fresh.TryAcquire() || fresh.Held() {
-		t.Fatal("two hold the lock")
+	if successor.TryAcquire() || successor.Held() {
+		t.Fatal("successor.TryAcquire() or Held() while the predecessor holds the lock = true, want false")
 	}
-	fd, err := syscall.Dup(old.Descriptor()) // as it goes over a link
+	fd, err := syscall.Dup(predecessor.Descriptor()) // as if passed over the hand-over socket
 	if err != nil {
 		t.Fatal(err)
 	}
-	fresh.Adopt(os.NewFile(uintptr(fd), FileName))
-	if !fresh.Held() {
-		t.Error("what was handed over is not held")
+	successor.Adopt(os.NewFile(uintptr(fd), FileName))
+	if !successor.Held() {
+		t.Error("successor.Held() after Adopt = false, want true")
 	}
-	if err := old.Release(); err != nil || old.Held() {
-		t.Errorf("let go: %v, still held %v", err, old.Held())
+	if err := predecessor.Release(); err != nil || predecessor.Held() {
+		t.Errorf("predecessor.Release() = %v, then Held() = %v, want nil, false", err, predecessor.Held())
 	}
-	if old.TryAcquire() || third.TryAcquire() {
-		t.Error("the lock is free while its successor holds it")
+	if predecessor.TryAcquire() || third.TryAcquire() {
+		t.Error("TryAcquire() of another process while the successor holds the lock = true, want false")
 	}
-	fresh.Close()
+	successor.Close()
 	if !third.TryAcquire() {
-		t.Error("the lock is not free once both have let go")
+		t.Error("third.TryAcquire() after both processes released the lock = false, want true")
 	}
 }
--- a/internal/handover/transfer/inherited.go
+++ b/internal/handover/transfer/inherited.go
@@ -10,20 +10,20 @@
 	"troutusher/internal/respserver"
 )
 
-// ErrRejected is the predecessor's answer where it cannot hand over now.
-var ErrRejected = errors.New("it is handing over already, or ends")
+// ErrRejected is returned if the predecessor rejected the request.
+var ErrRejected = errors.New("rejected by a predecessor that is handing over, cannot quiesce or is shutting down")
 
-// Inherited is what a process has from its predecessor. Whoever uses a descriptor
-// takes it out; Close closes those that are left.
+// Inherited is what a process received from its predecessor. The user of a descriptor
+// removes it from Inherited; Close closes the remaining ones.
 type Inherited struct {
 	State
-	Listeners []int // descriptors; -1 for one that is in use
+	Listeners []int // descriptors; -1 for one that was removed
 	Clients   []respserver.ConnSnapshot
-	Calls     map[string]int // by message: the descriptor of its call
-	Lock      *os.File       // through which the predecessor holds the lock, too
+	Calls     map[string]int // the descriptor of each call, by message ID
+	Lock      *os.File       // the file through which the predecessor holds the lock too
 }
 
-// Close closes what was not used.
+// Close closes the descriptors that were not used.
 func (h *Inherited) Close() {
 	for _, fd := range h.Listeners {
 		closeDescriptor(fd)
@@ -35,17 +35,17 @@
 		closeDescriptor(fd)
 	}
 	if h.Lock != nil {
-		_ = h.Lock.Close() // nothing was written to it
+		_ = h.Lock.Close() // an error loses no data, since nothing was written
 	}
 	*h = Inherited{}
 }
 
-// closeDescriptor closes a descriptor that nothing was written to; there is nothing
-// to be done about an error.
+// closeDescriptor closes a descriptor to which this process has written nothing. It
+// ignores the error, since no data can be lost.
 func closeDescriptor(fd int) { _ = syscall.Close(fd) }
 
-// addPacket takes one packet in. With an error it has taken none of its
-// descriptors.
+// addPacket adds the contents of one packet. After an error the packet's descriptors
+// still belong to the caller.
 func (h *Inherited) addPacket(kind byte, body []byte, fds []int) error {
 	switch kind {
 	case PacketState:
@@ -60,7 +60,7 @@
 		return h.addCalls(body, fds)
 	case PacketEnd:
 		if h.Core == nil {
-			return &PacketError{Kind: kind, Reason: "it came without a state"}
+			return &PacketError{Kind: kind, Reason: "received before the state"}
 		}
 	case PacketReject:
 		return ErrRejected
@@ -75,14 +75,14 @@
 		return &PacketError{Kind: PacketState, Reason: "malformed", Err: err}
 	}
 	if h.Core == nil {
-		return &PacketError{Kind: PacketState, Reason: "nothing of the core in it"}
+		return &PacketError{Kind: PacketState, Reason: "no core state"}
 	}
 	return nil
 }
 
 func (h *Inherited) addLock(fds []int) error {
 	if len(fds) != 1 || h.Lock != nil {
-		return &PacketError{Kind: PacketLock, Reason: "not one descriptor, once"}
+		return &PacketError{Kind: PacketLock, Reason: "more than one lock packet, or not exactly one descriptor"}
 	}
 	h.Lock = os.NewFile(uintptr(fds[0]), statelock.FileName)
 	return nil
@@ -111,13 +111,13 @@
 	return nil
 }
 
-// unmarshalWithDescriptors reads a list that has a descriptor for each item.
+// unmarshalWithDescriptors decodes a list whose packet has one descriptor for each item.
 func unmarshalWithDescriptors[T any](kind byte, body []byte, items *[]T, fds []int) error {
 	if err := json.Unmarshal(body, items); err != nil {
 		return &PacketError{Kind: kind, Reason: "malformed", Err: err}
 	}
 	if len(*items) != len(fds) {
-		return &PacketError{Kind: kind, Reason: "not a descriptor for each item"}
+		return &PacketError{Kind: kind, Reason: "number of descriptors differs from number of items"}
 	}
 	return nil
 }
--- a/internal/handover/transfer/packet.go
+++ b/internal/handover/transfer/packet.go
@@ -1,11 +1,11 @@
-// Package transfer carries a relay's work from one process to another over a
-// link: which packets there are, in which order they go, and what is in them.
+// Package transfer sends a relay's state from one process to another over a link. It
+// defines the kinds, the order and the contents of the packets.
 //
-// It owns the packets' form, which processes of other versions read as well, and
-// the descriptors that came with packets and were not used yet. It must never
-// decide when ownership moves; package handover does.
+// It owns the encoding of the packets, which processes of other versions read too, and
+// the received descriptors that are not used yet. It does not decide when ownership
+// moves; package handover does.
 //
-// A hand-over goes like this; the successor speaks first:
+// A hand-over consists of these packets; the successor sends the first:
 //
 //	successor    Hello
 //	predecessor  Hello
@@ -24,70 +24,70 @@
 
 // Kinds of packet.
 const (
-	PacketHello     = 'H' // a hello, either way
+	PacketHello     = 'H' // a hello; each side sends one
 	PacketRequest   = 'T' // the successor is ready to take over
 	PacketReject    = 'N' // the predecessor cannot hand over now
-	PacketPart      = 'p' // the beginning of the next packet's body
+	PacketPart      = 'p' // the first part of a body that continues in the next packet
 	PacketState     = 'S' // a State
 	PacketListeners = 'L' // the listeners' descriptors
-	PacketClients   = 'C' // []respserver.ConnSnapshot, with a descriptor each
+	PacketClients   = 'C' // []respserver.ConnSnapshot, with one descriptor each
 	PacketLock      = 'F' // the descriptor that holds the lock
-	PacketCalls     = 'K' // []string: messages, with the descriptor of each one's call
-	PacketEnd       = 'E' // all has been sent
-	PacketClaim     = 'M' // the successor holds the lock: the work is its own
-	PacketServing   = 'R' // the successor serves: the predecessor may end
+	PacketCalls     = 'K' // []string: message IDs, each with the descriptor of the message's call
+	PacketEnd       = 'E' // all packets of the state were sent
+	PacketClaim     = 'M' // the successor holds the lock and claims ownership
+	PacketServing   = 'R' // the successor serves, the predecessor may exit
 )
 
-// version of the packets' form. Processes of different versions do not hand over.
+// version is the version of the packet encoding. Processes of different versions do not
+// hand over to each other.
 const version = 2
 
 const (
-	// RequestTimeout is how long a successor has, from its hello, to get itself
-	// ready and to ask.
+	// RequestTimeout is how long a successor has, after the hellos, to prepare itself
+	// and send its request.
 	RequestTimeout = 5500 * time.Millisecond
-	// packetTimeout is how long one packet may take.
+	// packetTimeout bounds the sending or receiving of one packet.
 	packetTimeout = time.Second
-	// sendTimeout is how long all packets of the predecessor's state may take.
+	// sendTimeout bounds the sending of all packets of the predecessor's state.
 	sendTimeout = time.Second
 )
 
-// hello is what each side says first.
+// hello is the body of the first packet that each side sends.
 type hello struct {
 	Version int `json:"form"`
 	PID     int `json:"pid"`
 }
 
-// State is what goes over beside descriptors.
+// State is the state that is handed over, without the parts that have descriptors.
 type State struct {
 	Core *core.HandoverState `json:"core"`
-	// ClockOrigin is the system's monotonic clock, in microseconds, at moment 0 of
-	// the core's clock.
+	// ClockOrigin is the reading of the system's monotonic clock, in microseconds, at
+	// time 0 of the predecessor's core clock.
 	ClockOrigin int64 `json:"mono"`
-	// ClientsPausedAt is when clients were last read, on the same clock; 0 where
-	// the predecessor does not tell.
+	// ClientsPausedAt is when the predecessor stopped reading from clients, on the
+	// system's monotonic clock; 0 if the predecessor didn't send it.
 	ClientsPausedAt int64 `json:"frozen,omitempty"`
-	// DiscoveryAddr is the address of discovery that the endpoint list is from.
+	// DiscoveryAddr is the discovery address from which the endpoint list was received.
 	DiscoveryAddr string `json:"agent,omitempty"`
-	// ReloadRequested is set where the predecessor was asked to read its
-	// configuration again.
+	// ReloadRequested is set if the predecessor was asked to reload its configuration.
 	ReloadRequested bool `json:"again,omitempty"`
 }
 
-// Call is a call to an endpoint that is out: the message, and the descriptor of
-// the connection on which its response is awaited.
+// Call is a call that is in flight: the ID of its message, and the descriptor of the
+// connection on which the response will arrive.
 type Call struct {
 	Message    string
 	Descriptor int
 }
 
-// PacketError is a packet that cannot be used.
+// PacketError is the error for a packet that cannot be encoded or is invalid.
 type PacketError struct {
 	Kind   byte
-	Reason string // what is wrong with it
+	Reason string // what is wrong with the packet
 	Err    error  // the cause; may be nil
 }
 
-// Error says which packet failed, and why.
+// Error names the packet and what is wrong with it.
 func (e *PacketError) Error() string {
 	text := fmt.Sprintf("hand-over: packet %q: %s", e.Kind, e.Reason)
 	if e.Err != nil {
@@ -96,5 +96,5 @@
 	return text
 }
 
-// Unwrap is the cause.
+// Unwrap returns the cause.
 func (e *PacketError) Unwrap() error { return e.Err }
--- a/internal/handover/transfer/packet_test.go
+++ b/internal/handover/transfer/packet_test.go
@@ -14,8 +14,8 @@
 	"troutusher/internal/respserver"
 )
 
-// fixtureBodies are the kinds and bodies of the packets in a fixture, which has a
-// packet a line: kind, number of descriptors, body.
+// fixtureBodies returns the kinds and bodies of the packets in a fixture file. Each line
+// of it is a packet: kind, number of descriptors, body.
 func fixtureBodies(t *testing.T, name string) (kinds []byte, bodies []string) {
 	t.Helper()
 	text, err := os.ReadFile(filepath.Join("testdata", name))
@@ -25,14 +25,16 @@
 	for line := range strings.Lines(string(text)) {
 		parts := strings.SplitN(strings.TrimSuffix(line, "\n"), " ", 3)
 		if len(parts) != 3 || len(parts[0]) != 1 {
-			t.Fatalf("fixture: %q", line)
+			t.Fatalf("fixture %s: malformed line %q", name, line)
 		}
 		kinds, bodies = append(kinds, parts[0][0]), append(bodies, parts[2])
 	}
 	return kinds, bodies
 }
 
-// What is read from recorded packets and written again is the same to the byte.
+// Guards against a change of the packet encoding, which would break the hand-over with
+// a process of the version that recorded these packets: each body has to be the same
+// after it was decoded and encoded again.
 func TestRecordedPacketsRoundTrip(t *testing.T) {
 	for _, name := range []string{"predecessor.txt", "successor.txt"} {
 		kinds, bodies := fixtureBodies(t, name)
@@ -49,21 +51,22 @@
 				v = &[]string{}
 			default:
 				if len(bodies[i]) > 0 {
-					t.Errorf("%c has a body: %s", kind, bodies[i])
+					t.Errorf("%s: packet %c has the body %s, want none", name, kind, bodies[i])
 				}
 				continue
 			}
 			if err := json.Unmarshal([]byte(bodies[i]), v); err != nil {
-				t.Errorf("%c: %v", kind, err)
+				t.Errorf("Unmarshal(packet %c) = %v, want nil", kind, err)
 			}
 			if got, err := json.Marshal(v); err != nil || string(got) != bodies[i] {
-				t.Errorf("%c: %v\n got %s\nwant %s", kind, err, got, bodies[i])
+				t.Errorf("Marshal(packet %c): error %v\n got %s\nwant %s", kind, err, got, bodies[i])
 			}
 		}
 	}
 }
 
-// Fields that the recorded hand-over left empty, and the kinds of packet.
+// Guards against a change of the encoding that the recorded packets don't show: of the
+// fields that are empty there, of the packet kinds, the file names and the size limits.
 func TestPacketEncoding(t *testing.T) {
 	for want, v := range map[string]any{
 		`{"form":2,"pid":7}`: hello{Version: version, PID: 7},
@@ -83,7 +86,7 @@
 		},
 	} {
 		if got, err := json.Marshal(v); err != nil || string(got) != want {
-			t.Errorf("%v\n got %s\nwant %s", err, got, want)
+			t.Errorf("Marshal: error %v\n got %s\nwant %s", err, got, want)
 		}
 	}
 	kinds := string([]byte{
@@ -91,16 +94,17 @@
 		PacketClients, PacketLock, PacketCalls, PacketEnd, PacketClaim, PacketServing,
 	})
 	if kinds != "HTNpSLCFKEMR" {
-		t.Errorf("kinds of packet: %s", kinds)
+		t.Errorf("packet kinds = %s, want HTNpSLCFKEMR", kinds)
 	}
 	if statelock.FileName != "relay.lock" || link.SocketName != "relay.sock" || link.MaxBodySize != 32<<10 ||
 		link.MaxDescriptors != 64 {
-		t.Errorf("lock %s, link %s, %d bytes and %d descriptors a packet",
+		t.Errorf("lock file %s, socket %s, packets of %d bytes, %d descriptors, want relay.lock, relay.sock, 32768, 64",
 			statelock.FileName, link.SocketName, link.MaxBodySize, link.MaxDescriptors)
 	}
 }
 
-// A packet that makes no sense is refused and leaves no descriptor open.
+// Guards against malformed packets that are accepted or crash the successor. Without
+// descriptors in the packet, no client, call or listener may be added.
 func FuzzHandoverPacket(f *testing.F) {
 	seeds := []string{
 		`S{"core":{"members":[]}}`, `C[{"place":{}}]`, `K["a"]`, "L", "E", "N", "x", `S{"core":null}`, `K{}`,
@@ -115,10 +119,10 @@
 		h := &Inherited{Calls: map[string]int{}}
 		err := h.addPacket(in[0], in[1:], nil)
 		if err == nil && in[0] == PacketEnd && h.Core == nil {
-			t.Fatal("an end without a state is believed")
+			t.Fatal("addPacket(PacketEnd) without a state = nil, want an error")
 		}
 		if len(h.Clients)+len(h.Calls)+len(h.Listeners) > 0 {
-			t.Fatalf("descriptors out of nothing: %+v", h)
+			t.Fatalf("addPacket() of a packet without descriptors added some: %+v", h)
 		}
 	})
 }
--- a/internal/handover/transfer/transfer_test.go
+++ b/internal/handover/transfer/transfer_test.go
@@ -13,8 +13,9 @@
 	"troutusher/internal/respserver"
 )
 
-// connect links a predecessor and a successor through a folder, up to the request.
-// receive is what the successor does from then on.
+// connect connects a predecessor and a successor through a folder and returns after the
+// successor's request. After the hellos, receive runs on the successor's side; it has to
+// send the request.
 func connect(t *testing.T, receive func(p *Predecessor)) *Successor {
 	t.Helper()
 	dir := t.TempDir()
@@ -44,13 +45,13 @@
 	}
 	t.Cleanup(s.Close)
 	if s.PID != os.Getpid() {
-		t.Errorf("process %d, want %d", s.PID, os.Getpid())
+		t.Errorf("Accept() = successor with PID %d, want %d", s.PID, os.Getpid())
 	}
 	return s
 }
 
-// descriptors are open files' of a test.
-func descriptors(t *testing.T, n int) (fds []int) {
+// openDescriptors returns n descriptors of files that are open until the end of the test.
+func openDescriptors(t *testing.T, n int) (fds []int) {
 	t.Helper()
 	for range n {
 		file, err := os.Open(os.DevNull)
@@ -63,8 +64,8 @@
 	return fds
 }
 
-// A state that takes many packets, and more clients and calls than fit in one of
-// them, arrive whole, and the words of both sides in their order.
+// Guards against parts of the state that get lost if it needs many packets, with more
+// clients and calls than fit in one packet, and against packets out of order.
 func TestWholeHandover(t *testing.T) {
 	const items = link.MaxDescriptors + 6
 	inherited := &Inherited{}
@@ -73,7 +74,7 @@
 		err := p.Receive(inherited, time.Now().Add(10*time.Second), func() {})
 		received <- errors.Join(err, p.SendClaim(), p.SendServing())
 	})
-	fds := descriptors(t, 2*items+2)
+	fds := openDescriptors(t, 2*items+2)
 	clients, calls := make([]respserver.ConnSnapshot, items), make([]Call, items)
 	for i := range items {
 		clients[i].FD, clients[i].Unprocessed = fds[i], fmt.Append(nil, i)
@@ -98,21 +99,23 @@
 	}
 	defer inherited.Close()
 	if inherited.Core.Revision != 7 || inherited.DiscoveryAddr != addr || inherited.Lock == nil {
-		t.Errorf("state: revision %d, %d bytes of address, lock %v",
+		t.Errorf("inherited: revision %d, %d bytes of address, lock %v, want 7, all bytes and a lock",
 			inherited.Core.Revision, len(inherited.DiscoveryAddr), inherited.Lock)
 	}
 	if len(inherited.Listeners) != 1 || len(inherited.Clients) != items || len(inherited.Calls) != items {
-		t.Fatalf("%d listeners, %d clients, %d calls",
+		t.Fatalf("inherited: %d listeners, %d clients, %d calls, want 1 listener and as many others as were sent",
 			len(inherited.Listeners), len(inherited.Clients), len(inherited.Calls))
 	}
 	for i, c := range inherited.Clients {
 		if string(c.Unprocessed) != fmt.Sprint(i) || c.FD <= 0 {
-			t.Errorf("client %d: %q, descriptor %d", i, c.Unprocessed, c.FD)
+			t.Errorf("client %d: unprocessed %q, descriptor %d, want its index and a descriptor above 0",
+				i, c.Unprocessed, c.FD)
 		}
 	}
 }
 
-// A predecessor that cannot hand over says so.
+// Guards against a successor that doesn't recognize a rejection and waits until its
+// time is over.
 func TestReject(t *testing.T) {
 	received := make(chan error, 1)
 	s := connect(t, func(p *Predecessor) {
@@ -122,29 +125,29 @@
 		t.Fatal(err)
 	}
 	if err := <-received; !errors.Is(err, ErrRejected) {
-		t.Errorf("got %v", err)
+		t.Errorf("Receive() after Reject = %v, want ErrRejected", err)
 	}
 }
 
-// What the successor says in place of what is awaited counts for nothing, and so
-// does its silence.
+// Guards against a hand-over that is completed without a claim: because another packet
+// arrives in its place, or because the successor disconnects without sending one.
 func TestAwaitSomethingElse(t *testing.T) {
 	for name, test := range map[string]struct {
-		say        func(p *Predecessor) error
+		send       func(p *Predecessor) error
 		unexpected bool
 	}{
 		"another packet": {(*Predecessor).SendServing, true},
-		"nothing":        {func(*Predecessor) error { return nil }, false},
+		"no packet":      {func(*Predecessor) error { return nil }, false},
 	} {
 		t.Run(name, func(t *testing.T) {
 			s := connect(t, func(p *Predecessor) {
-				if err := errors.Join(p.send(PacketRequest), test.say(p)); err != nil {
+				if err := errors.Join(p.send(PacketRequest), test.send(p)); err != nil {
 					t.Error(err)
 				}
 			})
 			err := s.AwaitClaim(10 * time.Second)
 			if err == nil || errors.Is(err, ErrUnexpectedPacket) != test.unexpected {
-				t.Errorf("got %v", err)
+				t.Errorf("AwaitClaim() = %v, want an error, ErrUnexpectedPacket: %v", err, test.unexpected)
 			}
 		})
 	}
--- a/internal/relay/console.go
+++ b/internal/relay/console.go
@@ -11,13 +11,13 @@
 	"troutusher/internal/lifecycle"
 )
 
-// endpointStatsInterval is how often the endpoint counts on the board are updated. The
+// endpointStatsInterval is how often the endpoint counts for the console are updated. The
 // other counts are updated at each step.
 const endpointStatsInterval = 200 * time.Millisecond
 
 // consoleCalls returns the handlers of the operators' console. No handler waits for the
-// event loop: drains are applied to the RESP server directly, and statistics are read
-// from the board.
+// event loop: drains are applied to the RESP server directly, and the event loop keeps
+// the statistics up to date in memory.
 func (r *Relay) consoleCalls() console.Handlers {
 	logged := func(call string, change transition) func() (bool, string) {
 		return func() (bool, string) {
@@ -62,7 +62,7 @@
 	return buf
 }
 
-// updateBoard copies the core's counts to the board.
+// updateBoard copies the core's counts to the console's statistics.
 func (r *Relay) updateBoard() {
 	for class, counts := range r.core.CountsByClass() {
 		r.board.SetOutcomes(class, console.Outcomes(counts))
--- a/internal/relay/handover_outgoing.go
+++ b/internal/relay/handover_outgoing.go
@@ -48,7 +48,7 @@
 	for {
 		conn, err := ln.Accept()
 		if err != nil {
-			return // closed
+			return // the listener is closed
 		}
 		successor, err := transfer.Accept(conn)
 		if err != nil {
--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -72,7 +72,7 @@
 
 	board           *console.Stats                 // read by the console
 	consoleTLSPeers atomic.Pointer[tlsdial.Dialer] // tlsPeers, for the console
-	endpointStatsAt time.Time                      // when the board's endpoint counts were last updated
+	endpointStatsAt time.Time                      // when the endpoint counts for the console were last updated
 	longestStep     time.Duration                  // since the last metrics line
 
 	lock              *statelock.Lock
--- a/internal/relay/reload.go
+++ b/internal/relay/reload.go
@@ -44,7 +44,7 @@
 	return cfg
 }
 
-// reloadNow reloads the configuration in a process whose predecessor had reloaded it.
+// reloadNow reloads the configuration in a process whose predecessor was asked to.
 // This is necessary because a start takes the discovery address from the environment
 // first, while a reload takes it from the configuration file first.
 func (r *Relay) reloadNow() {
--- a/internal/relay/statesaver.go
+++ b/internal/relay/statesaver.go
@@ -20,8 +20,8 @@
 
 // stateSaver writes the policy state to its file. Periodic writes run in a goroutine of
 // their own, so that a slow disk doesn't block the event loop; there is at most one at
-// a time. Methods other than write must be called by the event loop's goroutine, and do
-// nothing if the receiver is nil.
+// a time. All methods except write are called by the event loop's goroutine. Those that
+// Relay calls do nothing if the receiver is nil.
 type stateSaver struct {
 	relay         *Relay
 	store         *policystate.Store
