--- a/internal/relay/answers_test.go
+++ b/internal/relay/answers_test.go
@@ -11,8 +11,7 @@
 	"troutusher/internal/upstream/upstreamtest"
 )
 
-// Guards the words in which clients are answered where nothing is wrong with a
-// command, and the form of those that the core decides on.
+// Guards the texts of replies to valid commands, and the form of replies that the core decides on.
 func TestAnswersToClients(t *testing.T) {
 	_, addr, _ := serveClients(t, acceptRequest)
 	for text, want := range map[string]string{
@@ -20,26 +19,26 @@
 		"*2\r\n$4\r\nping\r\n$2\r\nhi\r\n": "$2",
 		encodePut("m", putFields("plain", 8000, 1), nil): "+OK",
 	} {
-		cl := dialClient(t, addr)
-		cl.send(text)
-		if got := cl.readLine(); got != want {
-			t.Errorf("%q: %q, want %q", text, got, want)
+		client := dialClient(t, addr)
+		client.send(text)
+		if got := client.readLine(); got != want {
+			t.Errorf("reply to command %q = %q, want %q", text, got, want)
 		}
 	}
-	for want, a := range map[string]core.Reply{
+	for want, reply := range map[string]core.Reply{
 		"+OK\r\n":         {OK: true},
 		"-BUSY 7\r\n":     {RetryAfterMS: 7},
 		"-BUSY\r\n":       {},
 		"-ERR a??b??\r\n": {Err: errors.New("a\r\nb\x7f\u0080")},
 	} {
-		if got := replyText(a); got != want {
-			t.Errorf("%q, want %q", got, want)
+		if got := replyText(reply); got != want {
+			t.Errorf("replyText(%+v) = %q, want %q", reply, got, want)
 		}
 	}
 }
 
-// Guards the console's words and the names and units of its figures, through a
-// drain and back, and what clients hear meanwhile.
+// Guards the texts of the console's answers and the names and units of its metrics, before, during
+// and after a drain, and the replies to clients during the drain.
 func TestConsoleAnswers(t *testing.T) {
 	endpoint := newFakeEndpoint(t, nil)
 	env := testConfig(t, newFakeDiscovery(t, endpoint.member("s-1", 1)), 3)
@@ -47,18 +46,18 @@
 	startChild(t, env)
 	var got strings.Builder
 	for _, call := range strings.Fields("READY DRAIN DRAIN READY PING PUT UNDRAIN UNDRAIN PING READY STOP") {
-		var said string
+		var answer string
 		switch call {
 		case "PING":
-			cl := dialClient(t, env["ROUTER_LISTEN"])
-			cl.send(pingText)
-			said = cl.readLine()
+			client := dialClient(t, env["ROUTER_LISTEN"])
+			client.send(pingText)
+			answer = client.readLine()
 		case "PUT":
-			said = dialClient(t, env["ROUTER_LISTEN"]).put("m", putFields("plain", 8000, 9), nil)
+			answer = dialClient(t, env["ROUTER_LISTEN"]).put("m", putFields("plain", 8000, 9), nil)
 		default:
-			said = mustCall(t, env["ROUTER_CONSOLE"], call)
+			answer = mustCall(t, env["ROUTER_CONSOLE"], call)
 		}
-		fmt.Fprintf(&got, "%s: %q\n", call, said)
+		fmt.Fprintf(&got, "%s: %q\n", call, answer)
 	}
 	r := &Relay{board: console.NewStats(classNames(testConfigParsed(t)))}
 	r.consoleTLSPeers.Store(upstreamtest.NewTLSSite(t, nil).Dialer)
--- a/internal/relay/attempts_test.go
+++ b/internal/relay/attempts_test.go
@@ -9,9 +9,9 @@
 	"troutusher/policy"
 )
 
-// TestRetryAfterScopes: a Retry-After time binds the endpoints of a destination
-// together, also one that opens later, and of independent routes the one that told
-// it; it outlasts the endpoint that told it.
+// TestRetryAfterScopes checks which endpoints a Retry-After time applies to: to all endpoints of
+// the destination, also to one that opens later, or, of independent routes, only to the route that
+// sent it. The time also applies after the endpoint that sent it was closed.
 func TestRetryAfterScopes(t *testing.T) {
 	r := &Relay{endpoints: map[policy.EndpointID]*upstream.Endpoint{}, startedAt: time.Now()}
 	r.pool = upstream.NewPool(upstream.PoolOptions{Now: r.now})
@@ -33,12 +33,12 @@
 	open(6, 1, false)
 	for id, want := range map[policy.EndpointID]bool{1: true, 2: true, 3: true, 4: false, 5: false, 6: true} {
 		if got := r.endpoints[id].RetryAfter() > 0; got != want {
-			t.Errorf("endpoint %d is held back: %v", id, got)
+			t.Errorf("endpoints[%d].RetryAfter() > 0 = %v, want %v", id, got, want)
 		}
 	}
 	r.executeEffect(core.ForgetEndpoint{Endpoint: 3})
 	if open(3, 2, true); r.endpoints[3].RetryAfter() > 0 {
-		t.Error("a route that was forgotten is held back")
+		t.Error("RetryAfter() > 0 for a route that was forgotten and opened again, want 0")
 	}
 	for _, id := range []policy.EndpointID{1, 2, 6} {
 		r.executeEffect(core.CloseEndpoint{Endpoint: id})
@@ -46,6 +46,6 @@
 	}
 	r.executeEffect(core.PassivateDestination{Dest: 1})
 	if open(7, 1, false); r.endpoints[7].RetryAfter() > 0 {
-		t.Error("a destination that was passivated is held back")
+		t.Error("RetryAfter() > 0 for a destination that was passivated in between, want 0")
 	}
 }
--- a/internal/relay/child_test.go
+++ b/internal/relay/child_test.go
@@ -13,18 +13,19 @@
 	"testing"
 )
 
-// programEnv names the program that a relay is started from; unset for the tests' own.
+// programEnv names the program that a relay is started from. By default it is the test binary,
+// which acts as a relay (see TestMain).
 const programEnv = "TROUTUSHER_TEST_PROGRAM"
 
 // child is a relay in a process of its own.
 type child struct {
 	cmd    *exec.Cmd
 	env    map[string]string
-	exited chan error // has the process's end, once; see startPeer
+	exited chan error // receives the result of Wait once the process exits; only set by startPeer
 }
 
-// start runs a relay. Its owner has to wait for its end.
-func start(t testing.TB, program string, env map[string]string) *child {
+// startProcess starts a relay process. The caller must wait for its exit.
+func startProcess(t testing.TB, program string, env map[string]string) *child {
 	t.Helper()
 	c := &child{cmd: exec.Command(program), env: env}
 	c.cmd.Env = append(os.Environ(), childProcessEnv+"=1")
@@ -38,70 +39,73 @@
 	return c
 }
 
-// startChild starts a relay and waits until it serves. The test may kill it.
+// startChild starts a relay and waits until it accepts clients. The test may kill it; otherwise it
+// is killed when the test ends.
 func startChild(t testing.TB, env map[string]string) *child {
 	t.Helper()
-	c := start(t, os.Args[0], env)
+	c := startProcess(t, os.Args[0], env)
 	t.Cleanup(c.kill)
 	c.waitReady(t)
 	return c
 }
 
-// startPeer starts a relay beside those that are there, at a console of its own, and
-// does not wait for it. Its end is told by exited.
+// startPeer starts a relay beside those that run already, with a console address of its own, and
+// does not wait until it serves. The result of the process is sent to exited.
 func startPeer(t *testing.T, env map[string]string) *child {
 	t.Helper()
-	own := maps.Clone(env)
-	own["ROUTER_CONSOLE"] = freeAddr(t)
-	c := start(t, cmp.Or(env[programEnv], os.Args[0]), own)
+	childEnv := maps.Clone(env)
+	childEnv["ROUTER_CONSOLE"] = freeAddr(t)
+	c := startProcess(t, cmp.Or(env[programEnv], os.Args[0]), childEnv)
 	c.exited = make(chan error, 1)
-	ended := make(chan struct{})
+	waited := make(chan struct{})
 	go func() {
-		defer close(ended)
+		defer close(waited)
 		c.exited <- c.cmd.Wait()
 	}()
 	t.Cleanup(func() {
-		_ = c.cmd.Process.Kill() // it may have ended
-		<-ended
+		_ = c.cmd.Process.Kill() // the process may have exited
+		<-waited
 	})
 	return c
 }
 
-// startAndWait starts a relay like startPeer, and waits until it serves.
+// startAndWait starts a relay as startPeer does and waits until it is ready.
 func startAndWait(t *testing.T, env map[string]string) *child {
 	t.Helper()
 	c := startPeer(t, env)
-	waitFor(t, "yes", c.isReady)
+	waitFor(t, "the relay to be ready", c.isReady)
 	return c
 }
 
-// upgrade starts a process beside another and waits until it has taken over.
-func upgrade(t *testing.T, old *child) *child {
+// upgrade starts a successor of a process and waits until the successor serves and the old process
+// has exited.
+func upgrade(t *testing.T, predecessor *child) *child {
 	t.Helper()
-	c := startPeer(t, old.env)
-	waitFor(t, "the new process's yes", c.isReady)
-	if err := <-old.exited; err != nil {
-		t.Errorf("the old process: %v", err)
+	successor := startPeer(t, predecessor.env)
+	waitFor(t, "the successor to be ready", successor.isReady)
+	if err := <-predecessor.exited; err != nil {
+		t.Errorf("exit of the predecessor: %v, want success", err)
 	}
-	return c
+	return successor
 }
 
-// withFailpoint is an environment in which something happens at a failpoint.
+// withFailpoint returns a copy of an environment with an action at a failpoint; see failpointEnv
+// for the syntax.
 func withFailpoint(env map[string]string, failpoint string) map[string]string {
-	own := maps.Clone(env)
-	own[failpointEnv] = failpoint
-	return own
+	childEnv := maps.Clone(env)
+	childEnv[failpointEnv] = failpoint
+	return childEnv
 }
 
-// testWriter shows the log of a child.
+// testWriter copies the log of a child to standard error.
 type testWriter struct{ t testing.TB }
 
 func (w testWriter) Write(p []byte) (int, error) { return os.Stderr.Write(p) }
 
-// waitReady waits until new clients are accepted.
+// waitReady waits until a new client connection gets a reply to PING.
 func (c *child) waitReady(t testing.TB) {
 	t.Helper()
-	waitFor(t, "PONG", func() bool {
+	waitFor(t, "a reply to PING", func() bool {
 		conn, err := net.Dial("tcp", c.env["ROUTER_LISTEN"])
 		if err != nil {
 			return false
@@ -110,18 +114,18 @@
 		if _, err := io.WriteString(conn, pingText); err != nil {
 			return false
 		}
-		s, err := bufio.NewReader(conn).ReadString('\n')
-		return err == nil && s == "+PONG\r\n"
+		reply, err := bufio.NewReader(conn).ReadString('\n')
+		return err == nil && reply == "+PONG\r\n"
 	})
 }
 
-// isReady reports whether the console says so.
+// isReady reports whether the console answers READY with YES.
 func (c *child) isReady() bool {
-	s, err := callConsole(c.console(), "READY")
-	return err == nil && strings.HasPrefix(s, "YES")
+	reply, err := callConsole(c.console(), "READY")
+	return err == nil && strings.HasPrefix(reply, "YES")
 }
 
-// hasExited reports whether a process that startPeer has started has ended.
+// hasExited reports whether a process that startPeer started has exited.
 func (c *child) hasExited() bool {
 	select {
 	case err := <-c.exited:
@@ -141,7 +145,7 @@
 	}
 }
 
-// kill ends a process that startChild has started, if it lives.
+// kill kills a process that startChild started, unless it has exited already.
 func (c *child) kill() {
 	_ = c.cmd.Process.Kill()
 	_ = c.cmd.Wait()
--- a/internal/relay/clients_test.go
+++ b/internal/relay/clients_test.go
@@ -15,7 +15,9 @@
 	"troutusher/policy"
 )
 
-// serveClients runs the client side alone; put stands for the loop.
+// serveClients runs a client server without a relay: put takes the place of the event loop. It
+// returns the server, its address, and a channel that receives, for each request whose reply is
+// done, whether the reply was written.
 func serveClients(
 	t *testing.T,
 	put func(*request),
@@ -23,51 +25,53 @@
 ) (*clientServer, string, chan bool) {
 	t.Helper()
 	cfg := testConfigParsed(t)
-	opt := serverOptions(cfg)
-	opt.Logger = quietLog()
+	options := serverOptions(cfg)
+	options.Logger = quietLog()
 	for _, f := range change {
-		f(&opt.Limits)
+		f(&options.Limits)
 	}
-	said := make(chan bool, 16)
-	c, err := newClientServer(cfg, opt, put, func(_ *request, ok bool) { said <- ok }, "127.0.0.1:0")
+	replyDone := make(chan bool, 16)
+	c, err := newClientServer(cfg, options, put, func(_ *request, ok bool) { replyDone <- ok }, "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	ended := make(chan error, 1)
-	go func() { ended <- c.server.Run() }()
+	result := make(chan error, 1)
+	go func() { result <- c.server.Run() }()
 	t.Cleanup(func() {
 		c.server.Close()
-		if err := <-ended; err != nil {
+		if err := <-result; err != nil {
 			t.Error(err)
 		}
 	})
-	return c, c.server.Addr().String(), said
+	return c, c.server.Addr().String(), replyDone
 }
 
-// inspectLimiter is a figure of the account of places.
+// inspectLimiter returns a value that f reads from the connection limiter.
 func (c *clientServer) inspectLimiter(f func(*connlimit.Limiter) int) (n int) {
-	c.server.Inspect(func(b *connlimit.Limiter) { n = f(b) })
+	c.server.Inspect(func(limiter *connlimit.Limiter) { n = f(limiter) })
 	return n
 }
 
-func connsBetweenRequests(b *connlimit.Limiter) int {
-	return b.Count(
+// connsInRequest returns the number of connections that are not idle: they are reading a command,
+// waiting for a reply, or replying to an invalid command.
+func connsInRequest(limiter *connlimit.Limiter) int {
+	return limiter.Count(
 		connlimit.StateReadingCommand,
-	) + b.Count(
+	) + limiter.Count(
 		connlimit.StateAwaitingReply,
-	) + b.Count(
+	) + limiter.Count(
 		connlimit.StateReplyingInvalid,
 	)
 }
 
 func acceptRequest(q *request) { q.answer(replyOK) }
 
-// Guards against what no client should send: nothing is taken, the fault is
-// named, and a connection that is still in step goes on.
+// Guards against invalid commands: no message may be accepted, the reply must name the fault, and
+// the connection must stay usable where the end of the invalid command is known.
 func TestInvalidInput(t *testing.T) {
 	long := strings.Repeat("x", resp.MaxBodyBytes+1)
 	var answers []string
-	for name, x := range map[string]struct {
+	for name, test := range map[string]struct {
 		text string
 		ends bool
 	}{
@@ -106,23 +110,26 @@
 		"field alone":      {encodePut("m", "c", nil), false},
 	} {
 		t.Run(name, func(t *testing.T) {
-			_, addr, _ := serveClients(t, func(q *request) { t.Error("taken"); acceptRequest(q) })
-			cl := dialClient(t, addr)
-			cl.send(x.text)
-			s := cl.readLine()
+			_, addr, _ := serveClients(t, func(q *request) {
+				t.Error("an invalid command was submitted to the event loop")
+				acceptRequest(q)
+			})
+			client := dialClient(t, addr)
+			client.send(test.text)
+			s := client.readLine()
 			if !strings.HasPrefix(s, "-ERR ") {
-				t.Fatalf("answer %q", s)
+				t.Fatalf("reply to the invalid command = %q, want -ERR", s)
 			}
 			answers = append(answers, name+": "+s+"\n")
-			if x.ends {
-				if _, err := cl.reader.ReadByte(); !errors.Is(err, io.EOF) {
-					t.Errorf("still open: %v", err)
+			if test.ends {
+				if _, err := client.reader.ReadByte(); !errors.Is(err, io.EOF) {
+					t.Errorf("read after the reply: %v, want EOF", err)
 				}
 				return
 			}
-			cl.send("*2\r\n$4\r\nping\r\n$2\r\nhi\r\n")
-			if s := cl.readLine() + cl.readLine(); s != "$2hi" {
-				t.Errorf("out of step: %q", s)
+			client.send("*2\r\n$4\r\nping\r\n$2\r\nhi\r\n")
+			if s := client.readLine() + client.readLine(); s != "$2hi" {
+				t.Errorf("reply to PING after an invalid command = %q, want \"$2hi\"", s)
 			}
 		})
 	}
@@ -141,243 +148,253 @@
 	}
 	if q.Class != 1 || q.Tenant != 0 || q.Record.Dest != 12 || q.Record.Key != "k1" || q.Record.ID != "id1" ||
 		q.Record.Deadline != 1e15+1500500 || string(q.Record.Body) != "b" {
-		t.Errorf("got %+v, %+v", q, q.Record)
+		t.Errorf("parsePut() = %+v with record %+v, want the values of the command", q, q.Record)
 	}
 }
 
-// Guards a client's give-up: one that leaves before its reply does not know
-// that its message was accepted, and may submit it elsewhere.
+// Guards against delivery of a message whose client left before its reply: such a client does not
+// know that the message was accepted and may submit it to another relay.
 func TestClientGoneBeforeAnswer(t *testing.T) {
-	got := make(chan *request, 1)
-	_, addr, said := serveClients(t, func(q *request) { got <- q })
-	cl := dialClient(t, addr)
-	cl.send(encodePut("m", putFields("plain", 8000, 1), nil))
-	q := <-got
-	if err := cl.Close(); err != nil {
+	submitted := make(chan *request, 1)
+	_, addr, replyDone := serveClients(t, func(q *request) { submitted <- q })
+	client := dialClient(t, addr)
+	client.send(encodePut("m", putFields("plain", 8000, 1), nil))
+	q := <-submitted
+	if err := client.Close(); err != nil {
 		t.Fatal(err)
 	}
-	if <-said {
-		t.Error("taken for delivered")
+	if <-replyDone {
+		t.Error("onReplyDone(ok) for a client that is gone: ok = true, want false")
 	}
-	q.answer(replyOK) // comes too late and blocks nobody
+	q.answer(replyOK) // a late reply must not block
 }
 
-// A client that sends ahead gets its answers in turn.
+// Guards the order of replies to a client that sends several commands without waiting.
 func TestPipelining(t *testing.T) {
 	first := make(chan *request, 1)
-	_, addr, said := serveClients(t, func(q *request) {
+	_, addr, replyDone := serveClients(t, func(q *request) {
 		if q.Record.ID == "a" {
 			first <- q
 			return
 		}
 		q.answer(busyReply(7))
 	})
-	cl := dialClient(t, addr)
-	cl.send(
+	client := dialClient(t, addr)
+	client.send(
 		encodePut("a", putFields("plain", 8000, 1), nil) + encodePut("b", putFields("plain", 8000, 1), nil) + pingText,
 	)
 	(<-first).answer(replyOK)
-	if s := cl.readLine() + cl.readLine() + cl.readLine(); s != "+OK-BUSY 7+PONG" {
-		t.Errorf("answers %q", s)
+	if s := client.readLine() + client.readLine() + client.readLine(); s != "+OK-BUSY 7+PONG" {
+		t.Errorf("replies to three commands = %q, want %q", s, "+OK-BUSY 7+PONG")
 	}
 	for range 2 {
-		if !<-said {
-			t.Error("not taken for delivered")
+		if !<-replyDone {
+			t.Error("onReplyDone(ok) after the reply was read: ok = false, want true")
 		}
 	}
 }
 
-// Guards against losing a request to a close: a connection is closed only
-// between requests, one with a request under way after its answer.
+// Guards against losing a request because its connection is closed: CloseIdleConns must close idle
+// connections at once, but a connection with a request in progress only after the reply.
 func TestCloseBetweenRequests(t *testing.T) {
-	got := make(chan *request, 1)
-	c, addr, _ := serveClients(t, func(q *request) { got <- q })
-	idle, busyOne := dialClient(t, addr), dialClient(t, addr)
+	submitted := make(chan *request, 1)
+	c, addr, _ := serveClients(t, func(q *request) { submitted <- q })
+	idle, busy := dialClient(t, addr), dialClient(t, addr)
 	idle.send(pingText)
 	idle.readLine()
-	busyOne.send(encodePut("m", putFields("plain", 8000, 1), nil))
-	q := <-got
+	busy.send(encodePut("m", putFields("plain", 8000, 1), nil))
+	q := <-submitted
 	c.server.CloseIdleConns()
 	if _, err := idle.reader.ReadByte(); !errors.Is(err, io.EOF) {
-		t.Errorf("idle: %v", err)
+		t.Errorf("read on the idle connection: %v, want EOF", err)
 	}
 	q.answer(replyOK)
-	if s := busyOne.readLine(); s != "+OK" {
-		t.Errorf("answer %q", s)
+	if s := busy.readLine(); s != "+OK" {
+		t.Errorf("reply to the request in progress = %q, want +OK", s)
 	}
-	if _, err := busyOne.reader.ReadByte(); !errors.Is(err, io.EOF) {
-		t.Errorf("after its answer: %v", err)
+	if _, err := busy.reader.ReadByte(); !errors.Is(err, io.EOF) {
+		t.Errorf("read after the reply: %v, want EOF", err)
 	}
 }
 
-// Guards the limit on descriptors: past it the connection that was idle for
-// longest makes room, and the new one is served.
+// Guards the limit on connections, which keeps the process within its file descriptors: at the limit
+// the connection that has been idle for longest must be closed, and the new one must be served.
 func TestConnectionsBounded(t *testing.T) {
 	c, addr, _ := serveClients(t, acceptRequest, func(l *connlimit.Limits) { l.MaxConns = 2 })
-	var all []*testClient
+	var clients []*testClient
 	for i := range 3 {
-		cl := dialClient(t, addr)
-		cl.mustPut("m"+strconv.Itoa(i), putFields("plain", 8000, 1), nil)
-		// It is idle once its answer is booked, a moment after that was read.
-		waitFor(t, "the request's end", func() bool { return c.inspectLimiter(connsBetweenRequests) == 0 })
-		all = append(all, cl)
+		client := dialClient(t, addr)
+		client.mustPut("m"+strconv.Itoa(i), putFields("plain", 8000, 1), nil)
+		// The client may read the reply before the server counts the connection as idle.
+		waitFor(t, "the requests to complete", func() bool { return c.inspectLimiter(connsInRequest) == 0 })
+		clients = append(clients, client)
 	}
-	if _, err := all[0].reader.ReadByte(); !errors.Is(err, io.EOF) {
-		t.Errorf("the oldest: %v", err)
+	if _, err := clients[0].reader.ReadByte(); !errors.Is(err, io.EOF) {
+		t.Errorf("read on the connection idle for longest: %v, want EOF", err)
 	}
-	if s := all[1].put("x", putFields("plain", 8000, 1), nil); s != "+OK" {
-		t.Error(s)
+	if s := clients[1].put("x", putFields("plain", 8000, 1), nil); s != "+OK" {
+		t.Errorf("put(x) on the second connection = %s, want +OK", s)
 	}
 }
 
-// Guards the places of clients against those that begin a command and never
-// end it, or say nothing at all: they hear of it, or are closed. One that waits
-// for its answer is left alone.
+// Guards the connection slots against clients that begin a command and never end it, or send
+// nothing at all: the former get an error reply, and both are closed. A client that waits for its
+// reply must not be closed by these timeouts.
 func TestPartialCommand(t *testing.T) {
-	got := make(chan *request, 1)
-	c, addr, _ := serveClients(t, func(q *request) { got <- q }, func(l *connlimit.Limits) {
+	submitted := make(chan *request, 1)
+	c, addr, _ := serveClients(t, func(q *request) { submitted <- q }, func(l *connlimit.Limits) {
 		l.FirstCommandTimeout, l.CommandTimeout, l.IdleTimeout = 300e3, 300e3, 400e3
 	})
-	waits, half, silent := dialClient(t, addr), dialClient(t, addr), dialClient(t, addr)
-	later, quiet := dialClient(t, addr), dialClient(t, addr)
-	waits.send(encodePut("m", putFields("plain", 8000, 1), nil))
-	q := <-got
-	half.send("*5\r\n$7\r\nMSG")
-	for _, cl := range []*testClient{later, quiet} {
-		cl.send(pingText)
-		if s := cl.readLine(); s != "+PONG" {
-			t.Fatal(s)
+	waiting, partial, silent := dialClient(t, addr), dialClient(t, addr), dialClient(t, addr)
+	later, idle := dialClient(t, addr), dialClient(t, addr)
+	waiting.send(encodePut("m", putFields("plain", 8000, 1), nil))
+	q := <-submitted
+	partial.send("*5\r\n$7\r\nMSG")
+	for _, client := range []*testClient{later, idle} {
+		client.send(pingText)
+		if s := client.readLine(); s != "+PONG" {
+			t.Fatalf("reply to PING = %s, want +PONG", s)
 		}
 	}
 	later.send("*5\r\n")
-	for name, cl := range map[string]*testClient{"first": half, "later": later} {
-		if s := cl.readLine(); !strings.HasPrefix(s, "-ERR ") {
-			t.Errorf("half a command, %s: %q", name, s)
+	for name, client := range map[string]*testClient{"first command": partial, "later command": later} {
+		if s := client.readLine(); !strings.HasPrefix(s, "-ERR ") {
+			t.Errorf("reply to part of a command, %s = %q, want -ERR", name, s)
 		}
 	}
-	for name, cl := range map[string]*testClient{"half": half, "later": later, "silent": silent, "idle": quiet} {
-		if _, err := cl.reader.ReadByte(); !errors.Is(err, io.EOF) {
-			t.Errorf("%s is still open: %v", name, err)
+	for name, client := range map[string]*testClient{
+		"part of first command": partial, "part of later command": later, "silent": silent, "idle": idle,
+	} {
+		if _, err := client.reader.ReadByte(); !errors.Is(err, io.EOF) {
+			t.Errorf("read on connection %q: %v, want EOF", name, err)
 		}
 	}
-	q.answer(replyOK) // later than the patience with the others
-	if s := waits.readLine(); s != "+OK" {
-		t.Errorf("answer %q", s)
+	q.answer(replyOK) // after the timeouts of the other connections
+	if s := waiting.readLine(); s != "+OK" {
+		t.Errorf("reply to the request = %q, want +OK", s)
 	}
-	waitFor(t, "places", func() bool { return c.inspectLimiter((*connlimit.Limiter).InUse) <= 1 })
+	waitFor(t, "the slots of closed connections to be free", func() bool {
+		return c.inspectLimiter((*connlimit.Limiter).InUse) <= 1
+	})
 }
 
-// Guards the places of those that have sent a command against hundreds that
-// only connect: these make room for each other, and where nobody can, the new
-// one waits a while and is then closed.
+// Guards clients that have sent a command against hundreds of connections that send nothing: a new
+// silent connection may only take the slot of another silent one. When no slot can be freed, a new
+// connection waits for a while and is then closed.
 func TestSilentConnectionFlood(t *testing.T) {
-	hold := make(chan *request, 8)
+	submitted := make(chan *request, 8)
 	c, addr, _ := serveClients(
 		t,
-		func(q *request) { hold <- q },
+		func(q *request) { submitted <- q },
 		func(l *connlimit.Limits) { l.MaxConns, l.MaxUnvalidated, l.FirstCommandTimeout = 8, 4, 300e3 },
 	)
-	usual := dialClient(t, addr)
-	usual.send(pingText)
-	usual.readLine()
+	validated := dialClient(t, addr)
+	validated.send(pingText)
+	validated.readLine()
 	for range 200 {
 		dialClient(t, addr)
 		if n := c.inspectLimiter((*connlimit.Limiter).InUse); n > 8 {
-			t.Errorf("%d connections, 8 allowed", n)
+			t.Errorf("InUse() = %d connections, want 8 at most", n)
 		}
 	}
-	usual.send(pingText)
-	if s := usual.readLine(); s != "+PONG" {
-		t.Fatalf("the usual client: %q", s)
+	validated.send(pingText)
+	if s := validated.readLine(); s != "+PONG" {
+		t.Fatalf("reply to PING of the validated client = %q, want +PONG", s)
 	}
-	waitFor(t, "the crowd's end", func() bool { return c.inspectLimiter((*connlimit.Limiter).InUse) <= 1 })
-	for i := range 8 { // the last takes the place of the usual one, where that is still there
-		cl := dialClient(t, addr)
-		cl.send(encodePut("m"+strconv.Itoa(i), putFields("plain", 8000, 1), nil))
-		q := <-hold
+	waitFor(t, "the silent connections to be closed", func() bool {
+		return c.inspectLimiter((*connlimit.Limiter).InUse) <= 1
+	})
+	for i := range 8 { // the last one takes the slot of the validated client, if that is still connected
+		client := dialClient(t, addr)
+		client.send(encodePut("m"+strconv.Itoa(i), putFields("plain", 8000, 1), nil))
+		q := <-submitted
 		defer q.answer(replyOK)
 	}
 	if n := c.inspectLimiter((*connlimit.Limiter).InUse); n != 8 {
-		t.Errorf("%d connections", n)
+		t.Errorf("InUse() = %d connections, want 8", n)
 	}
-	over := dialClient(t, addr)
-	if _, err := over.reader.ReadByte(); err == nil {
-		t.Error("one too many is served")
+	excess := dialClient(t, addr)
+	if _, err := excess.reader.ReadByte(); err == nil {
+		t.Error("read on a connection beyond the limit succeeded, want it closed")
 	}
 }
 
-// Clients hold only so many connections for requests. When they sit on all of
-// them, each asked once and idle, no further message comes: that lost a third
-// of the messages of a day. One that is in use or waits for its answer stays.
+// Guards against idle connections that keep clients from submitting: clients open a limited number
+// of connections. When each of these has made one request and is idle, no further message arrives;
+// a third of the messages of a day was lost this way. The relay must close the oldest of such
+// connections, but none that is used repeatedly or waits for a reply.
 func TestSingleUseConnectionsAreEvicted(t *testing.T) {
-	hold := make(chan *request, 1)
+	held := make(chan *request, 1)
 	c, addr, _ := serveClients(t, func(q *request) {
 		if q.Record.ID == "held" {
-			hold <- q
+			held <- q
 			return
 		}
 		acceptRequest(q)
 	}, func(l *connlimit.Limits) {
 		l.SingleUseEvictionThreshold, l.IdleTimeout, l.FirstCommandTimeout = 4, 3600e6, 3600e6
-	}) // no connection is closed for being idle
-	out := 0 // requests that are held
-	ask := func(cl *testClient, id string) {
+	}) // the timeouts are so long that no connection is closed by them
+	unanswered := 0 // requests that wait for their reply
+	submit := func(client *testClient, id string) {
 		t.Helper()
-		if got := cl.put(id, putFields("plain", 8000, 1), nil); got != "+OK" {
-			t.Fatalf("%s: %q", id, got)
+		if got := client.put(id, putFields("plain", 8000, 1), nil); got != "+OK" {
+			t.Fatalf("put(%s) = %q, want +OK", id, got)
 		}
-		waitFor(t, "the request's end", func() bool { return c.inspectLimiter(connsBetweenRequests) == out })
+		waitFor(t, "the requests to complete", func() bool {
+			return c.inspectLimiter(connsInRequest) == unanswered
+		})
 	}
 	steady, silent, waiting := dialClient(t, addr), dialClient(t, addr), dialClient(t, addr)
-	ask(steady, "a")
-	ask(steady, "b")
+	submit(steady, "a")
+	submit(steady, "b")
 	waiting.send(encodePut("held", putFields("plain", 8000, 1), nil))
-	q := <-hold
-	out = 1
-	var once []*testClient
+	q := <-held
+	unanswered = 1
+	var singleUse []*testClient
 	for i := range 6 {
-		cl := dialClient(t, addr)
-		ask(cl, "once"+strconv.Itoa(i))
-		once = append(once, cl)
-	}
-	// With steady and waiting that makes eight; the four oldest go, in turn.
-	for i, cl := range once[:4] {
-		if _, err := cl.reader.ReadByte(); !errors.Is(err, io.EOF) {
-			t.Errorf("the one that asked once and is oldest but %d: %v", i, err)
+		client := dialClient(t, addr)
+		submit(client, "once"+strconv.Itoa(i))
+		singleUse = append(singleUse, client)
+	}
+	// With steady and waiting there are eight connections; the four oldest are closed one by one.
+	for i, client := range singleUse[:4] {
+		if _, err := client.reader.ReadByte(); !errors.Is(err, io.EOF) {
+			t.Errorf("read on single-use connection %d, oldest first: %v, want EOF", i, err)
 		}
 	}
-	for i, cl := range once[4:] {
-		ask(cl, "again"+strconv.Itoa(i))
+	for i, client := range singleUse[4:] {
+		submit(client, "again"+strconv.Itoa(i))
 	}
 	q.answer(replyOK)
 	if got := waiting.readLine(); got != "+OK" {
-		t.Errorf("the one that waited for its answer: %q", got)
+		t.Errorf("reply to the request that waited = %q, want +OK", got)
 	}
-	out = 0
-	ask(steady, "c")
+	unanswered = 0
+	submit(steady, "c")
 	silent.send(pingText)
 	if silent.readLine() != "+PONG" {
-		t.Error("one that has not asked was let go")
+		t.Error("no +PONG on a connection that has made no request, want it open")
 	}
 }
 
-// Guards the core: the same fault again and again ends the connection.
+// Guards the event loop against a client that sends invalid commands without end: its connection
+// must be closed after a number of errors.
 func TestRepeatedErrorsCloseConnection(t *testing.T) {
 	_, addr, _ := serveClients(t, acceptRequest)
-	cl := dialClient(t, addr)
-	cl.send(strings.Repeat("*1\r\n$3\r\nGET\r\n", 300))
-	n := 0
+	client := dialClient(t, addr)
+	client.send(strings.Repeat("*1\r\n$3\r\nGET\r\n", 300))
+	replies := 0
 	for {
-		s, err := cl.reader.ReadString('\n')
+		s, err := client.reader.ReadString('\n')
 		if err != nil {
 			break
 		}
-		if n++; !strings.HasPrefix(s, "-ERR ") {
-			t.Errorf("answer %q", s)
+		if replies++; !strings.HasPrefix(s, "-ERR ") {
+			t.Errorf("reply to an unknown command = %q, want -ERR", s)
 		}
 	}
-	if n != 10 {
-		t.Errorf("%d faults answered, want 10", n)
+	if replies != 10 {
+		t.Errorf("got %d error replies before the connection was closed, want 10", replies)
 	}
 }
 
@@ -394,24 +411,24 @@
 	}
 	f.Fuzz(func(t *testing.T, b []byte) {
 		var r resp.Reader
-		if _, whole, err := r.Feed(b); !whole || err != nil {
+		if _, complete, err := r.Feed(b); !complete || err != nil {
 			return
 		}
 		q, err := parsePut(cfg, r.Args(), time.Now())
 		if err != nil {
 			return
 		}
-		badTime := q.timeLeft < 0 || q.timeLeft > 16*time.Second
-		if !isToken(q.Record.ID) || badTime || q.Class == 1 && q.Record.Key == "" {
-			t.Fatalf("taken: %+v", q.Record)
+		invalidTime := q.timeLeft < 0 || q.timeLeft > 16*time.Second
+		if !isToken(q.Record.ID) || invalidTime || q.Class == 1 && q.Record.Key == "" {
+			t.Fatalf("parsePut() accepted the invalid record %+v", q.Record)
 		}
 	})
 }
 
-// testConfigParsed returns a configuration with the settings of the tests.
+// testConfigParsed returns a configuration with testSettings.
 func testConfigParsed(t *testing.T) *config.Config {
 	t.Helper()
-	c, err := config.Parse(
+	cfg, err := config.Parse(
 		[]byte(`{"name":"n1","listen":"127.0.0.1:0","discovery":"127.0.0.1:1","state":"x","seed":"1","settings":`+
 			testSettings+`}`),
 		func(string) string { return "" },
@@ -419,5 +436,5 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	return c
+	return cfg
 }
--- a/internal/relay/console_test.go
+++ b/internal/relay/console_test.go
@@ -10,69 +10,69 @@
 	"testing"
 )
 
-// A drained relay says no to PING on every connection, serves what still comes
-// on those that are open, lets them go, and serves again once the drain ends;
-// any number of times.
+// Guards a drain and its end, three times in a row: a draining relay must reject PING on every
+// connection, must still accept messages on open connections, and must close each connection once
+// it is idle. After UNDRAIN it must serve as before.
 func TestDrainAndUndrain(t *testing.T) {
 	endpoint := newFakeEndpoint(t, respondStatus(http.StatusOK))
-	d := newFakeDiscovery(t, endpoint.member("e1", 1))
-	env := testConfig(t, d, 3)
+	discovery := newFakeDiscovery(t, endpoint.member("e1", 1))
+	env := testConfig(t, discovery, 3)
 	env["ROUTER_CONSOLE"] = freeAddr(t)
 	startChild(t, env)
 	console := env["ROUTER_CONSOLE"]
 	if got := mustCall(t, console, "READY"); got != "YES serving\n" {
-		t.Fatalf("READY: %q", got)
+		t.Fatalf("READY = %q, want %q", got, "YES serving\n")
 	}
 	for round := range 3 {
 		idle := dialClient(t, env["ROUTER_LISTEN"])
 		if got := idle.put(fmt.Sprintf("before-%d", round), putFields("plain", 8000, 1), nil); got != "+OK" {
-			t.Fatalf("before: %q", got)
+			t.Fatalf("put() before the drain = %q, want +OK", got)
 		}
-		half := dialClient(t, env["ROUTER_LISTEN"])
+		partial := dialClient(t, env["ROUTER_LISTEN"])
 		text := encodePut(fmt.Sprintf("half-%d", round), putFields("plain", 8000, 1), nil)
-		half.send(text[:30])
+		partial.send(text[:30])
 		if got := mustCall(t, console, "DRAIN"); got != "YES draining\n" {
-			t.Fatalf("DRAIN: %q", got)
+			t.Fatalf("DRAIN = %q, want %q", got, "YES draining\n")
 		}
 		if _, err := idle.reader.ReadByte(); err != io.EOF {
-			t.Errorf("an idle connection: %v, want its end", err)
+			t.Errorf("read on the idle connection while draining: %v, want EOF", err)
 		}
-		c := dialClient(t, env["ROUTER_LISTEN"])
-		c.send(pingText)
-		if got := c.readLine(); got == "+PONG" {
-			t.Errorf("PING while drained: %q", got)
+		pinging := dialClient(t, env["ROUTER_LISTEN"])
+		pinging.send(pingText)
+		if got := pinging.readLine(); got == "+PONG" {
+			t.Errorf("PING while draining = %q, want another reply", got)
 		}
-		if _, err := c.reader.ReadByte(); err != io.EOF {
-			t.Errorf("a connection after its answer: %v, want its end", err)
+		if _, err := pinging.reader.ReadByte(); err != io.EOF {
+			t.Errorf("read after the reply to PING while draining: %v, want EOF", err)
 		}
-		half.send(text[30:])
-		if got := half.readLine(); got != "+OK" {
-			t.Errorf("a hand-in begun before the drain: %q", got)
+		partial.send(text[30:])
+		if got := partial.readLine(); got != "+OK" {
+			t.Errorf("reply to a command begun before the drain = %q, want +OK", got)
 		}
-		if _, err := half.reader.ReadByte(); err != io.EOF {
-			t.Errorf("its connection: %v, want its end", err)
+		if _, err := partial.reader.ReadByte(); err != io.EOF {
+			t.Errorf("read after the reply to a command begun before the drain: %v, want EOF", err)
 		}
 		late := dialClient(t, env["ROUTER_LISTEN"])
 		if got := late.put(fmt.Sprintf("late-%d", round), putFields("plain", 8000, 1), nil); got != "+OK" {
-			t.Errorf("a hand-in while drained: %q", got)
+			t.Errorf("put() while draining = %q, want +OK", got)
 		}
 		if got := mustCall(t, console, "UNDRAIN"); got != "YES serving\n" {
-			t.Fatalf("UNDRAIN: %q", got)
+			t.Fatalf("UNDRAIN = %q, want %q", got, "YES serving\n")
 		}
-		again := dialClient(t, env["ROUTER_LISTEN"])
-		for range 2 { // and the connection stays
-			again.send(pingText)
-			if got := again.readLine(); got != "+PONG" {
-				t.Errorf("PING after the drain: %q", got)
+		undrained := dialClient(t, env["ROUTER_LISTEN"])
+		for range 2 { // the second one shows that the connection stays open
+			undrained.send(pingText)
+			if got := undrained.readLine(); got != "+PONG" {
+				t.Errorf("PING after the drain = %q, want +PONG", got)
 			}
 		}
 	}
 	waitFor(t, "nine deliveries", func() bool { return readStats(t, console)["answered.plain"] == 9 })
 }
 
-// Thousands of messages with every kind of end: the figures agree with what
-// clients were answered, what the platform was notified of and what came to the endpoints,
-// also while the traffic lasts.
+// Guards the figures of STATS against miscounting: after thousands of messages with every kind of
+// outcome they must agree with the replies to clients, the notices to the platform and the calls
+// that the endpoints received. During the traffic no counter may decrease.
 func TestStatsMatchObservedCounts(t *testing.T) {
 	endpoint := newFakeEndpoint(t, func(w http.ResponseWriter, r *http.Request, n int) {
 		id := r.Header.Get("X-Request-ID")
@@ -103,7 +103,7 @@
 			for i := range each {
 				class, dest := []string{"plain", "keyed", "once"}[i%3], 1
 				if i%50 == 49 {
-					dest = 9 // no list names it
+					dest = 9 // not in the endpoint list
 				}
 				conn.send(encodePut(fmt.Sprintf("%s-%d-%d", class, c, i), putFields(class, 300, dest), []byte("x")))
 				line, err := conn.reader.ReadString('\n')
@@ -127,30 +127,30 @@
 			}
 		}()
 	}
-	sum := map[string]*outcomes{"plain": {}, "keyed": {}, "once": {}}
-	last := readStats(t, console)
+	totals := map[string]*outcomes{"plain": {}, "keyed": {}, "once": {}}
+	previous := readStats(t, console)
 	for left := clients; left > 0; {
 		select {
 		case got := <-counts:
 			left--
-			for class, g := range got {
-				s := sum[class]
-				s.ok, s.busy, s.wrong = s.ok+g.ok, s.busy+g.busy, s.wrong+g.wrong
+			for class, counted := range got {
+				s := totals[class]
+				s.ok, s.busy, s.wrong = s.ok+counted.ok, s.busy+counted.busy, s.wrong+counted.wrong
 			}
 		default:
 			now := readStats(t, console)
-			for name, v := range last { // counters never go back
+			for name, v := range previous { // counters never decrease
 				if name != "current" && !strings.HasPrefix(name, "cluster") && now[name] < v {
-					t.Errorf("%s went from %d to %d", name, v, now[name])
+					t.Errorf("counter %s decreased from %d to %d", name, v, now[name])
 				}
 			}
-			last = now
+			previous = now
 		}
 	}
-	waitFor(t, "all to end", func() bool { return readStats(t, console)["current"] == 0 })
+	waitFor(t, "all messages to end", func() bool { return readStats(t, console)["current"] == 0 })
 	got := readStats(t, console)
 	handedBack, givenUp := map[string]int{}, map[string]int{}
-	waitFor(t, "the notices", func() bool {
+	waitFor(t, "a notice for each message that was accepted and not delivered", func() bool {
 		clear(handedBack)
 		clear(givenUp)
 		n := 0
@@ -165,38 +165,39 @@
 			}
 		})
 		ended := 0
-		for class, s := range sum {
+		for class, s := range totals {
 			ended += s.ok - int(got["answered."+class])
 		}
 		return n == ended
 	})
 	total := 0
-	for class, s := range sum {
+	for class, s := range totals {
 		total += s.ok + s.busy + s.wrong
 		if want := s.ok - handedBack[class] - givenUp[class]; got["answered."+class] != int64(want) {
-			t.Errorf("answered.%s: %d, want %d", class, got["answered."+class], want)
+			t.Errorf("answered.%s = %d, want %d", class, got["answered."+class], want)
 		}
 		if want := s.busy + handedBack[class]; got["deferred."+class] != int64(want) {
-			t.Errorf("deferred.%s: %d, want %d", class, got["deferred."+class], want)
+			t.Errorf("deferred.%s = %d, want %d", class, got["deferred."+class], want)
 		}
 		if want := s.wrong + givenUp[class]; got["errored."+class] != int64(want) {
-			t.Errorf("errored.%s: %d, want %d", class, got["errored."+class], want)
+			t.Errorf("errored.%s = %d, want %d", class, got["errored."+class], want)
 		}
 		if s.ok == 0 || handedBack["plain"]+handedBack["keyed"] == 0 || givenUp["once"] == 0 {
-			t.Errorf("%s: not every kind of end came up: %+v, %v, %v", class, s, handedBack, givenUp)
+			t.Errorf("class %s: replies %+v, handed back %v, given up %v; want every kind of outcome",
+				class, s, handedBack, givenUp)
 		}
 	}
 	if total != clients*each {
-		t.Errorf("%d answers to %d messages", total, clients*each)
+		t.Errorf("replies = %d, want %d, one for each message", total, clients*each)
 	}
 	endpoint.mu.Lock()
 	calls := len(endpoint.calls)
 	endpoint.mu.Unlock()
 	if got["sends"] != int64(calls) {
-		t.Errorf("sends: %d, and %d calls came", got["sends"], calls)
+		t.Errorf("sends = %d, want %d, the calls that were received", got["sends"], calls)
 	}
 	if got["cluster_size"] != 2 || got["cluster_unhealthy"] < 1 {
-		t.Errorf("cluster_size %d, cluster_unhealthy %d; want 2 with the draining one avoided",
+		t.Errorf("cluster_size = %d, want 2; cluster_unhealthy = %d, want at least 1, the draining endpoint",
 			got["cluster_size"], got["cluster_unhealthy"])
 	}
 }
--- a/internal/relay/fake_test.go
+++ b/internal/relay/fake_test.go
@@ -11,7 +11,7 @@
 	"troutusher/internal/discovery/discoverytest"
 )
 
-// fakeDiscovery is discovery's agent on a relay's machine.
+// fakeDiscovery stands for the discovery agent on a relay's machine.
 type fakeDiscovery = discoverytest.Agent
 
 func newFakeDiscovery(t testing.TB, members ...core.Member) *fakeDiscovery {
@@ -19,12 +19,12 @@
 	return discoverytest.New(t, members...)
 }
 
-// fakeEndpoint answers calls by a function and keeps what came.
+// fakeEndpoint answers calls by a function and records the requests that it receives.
 type fakeEndpoint struct {
 	*httptest.Server
 	mu      sync.Mutex
 	calls   []receivedCall
-	handler func(w http.ResponseWriter, r *http.Request, n int)
+	handler func(w http.ResponseWriter, r *http.Request, n int) // n counts the calls from 1; nil answers 200
 }
 
 type receivedCall struct {
@@ -32,8 +32,8 @@
 	body             []byte
 }
 
-func newFakeEndpoint(t testing.TB, answer func(w http.ResponseWriter, r *http.Request, n int)) *fakeEndpoint {
-	e := &fakeEndpoint{handler: answer}
+func newFakeEndpoint(t testing.TB, handler func(w http.ResponseWriter, r *http.Request, n int)) *fakeEndpoint {
+	e := &fakeEndpoint{handler: handler}
 	e.Server = httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		body, err := io.ReadAll(r.Body)
 		if err != nil {
@@ -46,17 +46,17 @@
 			timeout: r.Header.Get("X-Timeout-Ms"),
 			body:    body,
 		})
-		n, answer := len(e.calls), e.handler
+		n, handler := len(e.calls), e.handler
 		e.mu.Unlock()
-		if answer != nil {
-			answer(w, r, n)
+		if handler != nil {
+			handler(w, r, n)
 		}
 	}))
 	t.Cleanup(func() { e.CloseClientConnections(); e.Close() })
 	return e
 }
 
-// blockUntil answers a call once a channel is closed, or its caller is gone.
+// blockUntil returns a handler that answers a call once release is closed or the caller is gone.
 func blockUntil(release <-chan struct{}) func(http.ResponseWriter, *http.Request, int) {
 	return func(_ http.ResponseWriter, r *http.Request, _ int) {
 		select {
@@ -66,7 +66,7 @@
 	}
 }
 
-// hang holds a call until its caller is gone.
+// hang does not answer a call until the caller is gone.
 func hang(_ http.ResponseWriter, r *http.Request, _ int) { <-r.Context().Done() }
 
 func respondStatus(code int) func(http.ResponseWriter, *http.Request, int) {
@@ -75,12 +75,13 @@
 
 func (e *fakeEndpoint) addr() string { return e.Listener.Addr().String() }
 
-func (e *fakeEndpoint) setHandler(answer func(http.ResponseWriter, *http.Request, int)) {
+func (e *fakeEndpoint) setHandler(handler func(http.ResponseWriter, *http.Request, int)) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.handler = answer
+	e.handler = handler
 }
 
+// count returns the number of calls received for a message.
 func (e *fakeEndpoint) count(id string) (n int) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -92,6 +93,7 @@
 	return n
 }
 
-func (e *fakeEndpoint) member(id string, cell int) core.Member {
-	return core.Member{ID: id, HostPort: e.addr(), Locality: "a", Flavor: "k", Dest: cell, Phase: core.Up, Rate: 1000}
+// member returns the entry of this endpoint in an endpoint list.
+func (e *fakeEndpoint) member(id string, dest int) core.Member {
+	return core.Member{ID: id, HostPort: e.addr(), Locality: "a", Flavor: "k", Dest: dest, Phase: core.Up, Rate: 1000}
 }
--- a/internal/relay/firstlist_test.go
+++ b/internal/relay/firstlist_test.go
@@ -7,54 +7,55 @@
 	"troutusher/internal/core"
 )
 
-// Guards the start against silent discovery: the relay answers with the list
-// that it was given.
+// Guards the start against a discovery that does not answer: the relay must become ready and
+// accept messages although it has no endpoint list.
 func TestStartWithoutDiscovery(t *testing.T) {
-	d := newFakeDiscovery(t)
-	d.Update(func(d *fakeDiscovery) { d.Silent = true })
-	env := testConfig(t, d, 3)
+	discovery := newFakeDiscovery(t)
+	discovery.Update(func(discovery *fakeDiscovery) { discovery.Silent = true })
+	env := testConfig(t, discovery, 3)
 	startChild(t, env)
-	cl := dialClient(t, env["ROUTER_LISTEN"])
-	if s := cl.put("m", putFields("plain", 20000, 1), nil); s != "+OK" {
-		t.Error(s)
+	client := dialClient(t, env["ROUTER_LISTEN"])
+	if s := client.put("m", putFields("plain", 20000, 1), nil); s != "+OK" {
+		t.Errorf("put(m) while discovery is silent = %s, want +OK", s)
 	}
 }
 
-// Clients wait for no list: while discovery is silent they are answered, and a
-// message's time runs. Calls wait for its first list, and go where that leads.
+// Guards the start against waiting for discovery and against calls by an outdated list: until the
+// first endpoint list of discovery arrives, clients must get their replies and deadlines must
+// expire, but no call may be made. Afterwards calls must go to the endpoints of that list.
 func TestStartAnswersBeforeTheList(t *testing.T) {
 	former, current := newFakeEndpoint(t, nil), newFakeEndpoint(t, nil)
-	d := newFakeDiscovery(t)
-	d.Update(func(d *fakeDiscovery) { d.WithoutEmptyLines = true })
-	gone := former.member("s-old", 1)
-	env := testConfig(t, d, 3, gone)
+	discovery := newFakeDiscovery(t)
+	discovery.Update(func(discovery *fakeDiscovery) { discovery.WithoutEmptyLines = true })
+	formerMember := former.member("s-old", 1)
+	env := testConfig(t, discovery, 3, formerMember)
 	env[firstListTimeoutEnv] = "1h"
 	startChild(t, env)
-	cl := dialClient(t, env["ROUTER_LISTEN"])
-	if s := cl.put("m", putFields("plain", 20000, 1), nil); s != "+OK" {
-		t.Fatal(s)
+	client := dialClient(t, env["ROUTER_LISTEN"])
+	if s := client.put("m", putFields("plain", 20000, 1), nil); s != "+OK" {
+		t.Fatalf("put(m) before the first list = %s, want +OK", s)
 	}
-	if s := cl.put("short", putFields("plain", 50, 1), nil); s != "+OK" {
-		t.Fatal(s)
+	if s := client.put("short", putFields("plain", 50, 1), nil); s != "+OK" {
+		t.Fatalf("put(short) before the first list = %s, want +OK", s)
 	}
-	waitFor(t, "the end of a message whose time is over", func() bool {
-		n, ok := d.Notice("short")
+	waitFor(t, "the notice of a message whose deadline has passed", func() bool {
+		n, ok := discovery.Notice("short")
 		return ok && n.Outcome == core.NoticeHandedBack
 	})
 	if former.count("m") > 0 {
-		t.Error("sent before the list was heard")
+		t.Error("message m was sent before the first list of discovery, want no call")
 	}
-	gone.Phase = core.Draining
+	formerMember.Phase = core.Draining
 	list := core.EndpointList{
-		Revision: 9, Complete: true, Members: []core.Member{gone, current.member("s-new", 1)},
+		Revision: 9, Complete: true, Members: []core.Member{formerMember, current.member("s-new", 1)},
 	}
 	line, err := json.Marshal(list)
 	if err != nil {
 		t.Fatal(err)
 	}
-	d.SendLine(t, string(line))
-	waitFor(t, "the call", func() bool { return current.count("m") == 1 })
+	discovery.SendLine(t, string(line))
+	waitFor(t, "delivery to the endpoint that is up", func() bool { return current.count("m") == 1 })
 	if former.count("m")+former.count("short") > 0 {
-		t.Error("sent to who has drained")
+		t.Error("a message was sent to the draining endpoint")
 	}
 }
--- a/internal/relay/fixture_test.go
+++ b/internal/relay/fixture_test.go
@@ -7,11 +7,11 @@
 	"testing"
 )
 
-// updateFixturesEnv has tests write the fixtures that they otherwise compare with. Only
-// ever for a form that is new.
+// updateFixturesEnv makes tests write their fixtures in place of comparing with them. It is meant
+// only for a form that is new: rewriting an existing fixture would hide an incompatible change.
 const updateFixturesEnv = "TROUTUSHER_TEST_RECORD"
 
-// readFixture is a fixture's text.
+// readFixture returns the text of a fixture in testdata.
 func readFixture(t *testing.T, name string) string {
 	t.Helper()
 	text, err := os.ReadFile(filepath.Join("testdata", name))
@@ -21,7 +21,7 @@
 	return string(text)
 }
 
-// compareWithFixture compares what is sent today with a fixture, line by line.
+// compareWithFixture compares a text with a fixture, line by line.
 func compareWithFixture(t *testing.T, name, got string) {
 	t.Helper()
 	if os.Getenv(updateFixturesEnv) != "" {
@@ -29,18 +29,18 @@
 			t.Fatal(err)
 		}
 	}
-	want := strings.Split(readFixture(t, name), "\n")
-	lines := strings.Split(got, "\n")
-	for i := range max(len(want), len(lines)) {
-		var a, b string
-		if i < len(want) {
-			a = want[i]
+	wantLines := strings.Split(readFixture(t, name), "\n")
+	gotLines := strings.Split(got, "\n")
+	for i := range max(len(wantLines), len(gotLines)) {
+		var wantLine, gotLine string
+		if i < len(wantLines) {
+			wantLine = wantLines[i]
 		}
-		if i < len(lines) {
-			b = lines[i]
+		if i < len(gotLines) {
+			gotLine = gotLines[i]
 		}
-		if a != b {
-			t.Errorf("%s, line %d:\n got %s\nwant %s", name, i+1, b, a)
+		if wantLine != gotLine {
+			t.Errorf("%s, line %d:\n got %s\nwant %s", name, i+1, gotLine, wantLine)
 		}
 	}
 }
--- a/internal/relay/handover_failpoints_test.go
+++ b/internal/relay/handover_failpoints_test.go
@@ -13,7 +13,7 @@
 	"troutusher/internal/discovery/discoverytest"
 )
 
-// Points of a hand-over, in their order.
+// The failpoints of each side of a hand-over, in the order in which a process reaches them.
 var (
 	outgoingFailpoints = []string{
 		failpointOutgoingRequested,
@@ -40,57 +40,60 @@
 	}
 )
 
-// testHandoverWithFailpoint plays a hand-over in which something happens to one side
-// at a failpoint: the call of a non-idempotent message is open, another message is
-// held. In the end one relay serves, the call was made once and has one end, and what
-// was held is delivered once.
+// testHandoverWithFailpoint performs a hand-over during which one side is killed or terminated at
+// a failpoint, while one non-idempotent message is in flight and another message is pending.
+// Afterwards exactly one relay must serve, the message in flight must have been sent once and have
+// one outcome, and the pending message must be delivered once.
 func testHandoverWithFailpoint(t *testing.T, outgoing bool, failpoint string) {
 	t.Parallel()
 	release := make(chan struct{})
 	slow := newFakeEndpoint(t, blockUntil(release))
 	quick := newFakeEndpoint(t, nil)
-	disc := newFakeDiscovery(t, slow.member("s-1", 1), quick.member("s-2", 2), unreachableMember("s-0", 5))
-	env := testConfig(t, disc, 3)
-	plain := env
+	discovery := newFakeDiscovery(t, slow.member("s-1", 1), quick.member("s-2", 2), unreachableMember("s-0", 5))
+	env := testConfig(t, discovery, 3)
+	plainEnv := env
 	if outgoing {
 		env = withFailpoint(env, failpoint)
 	}
-	old := startAndWait(t, env)
-	cl := dialClient(t, env["ROUTER_LISTEN"])
-	mustSubmitOnce(t, cl, map[string]int{"out": 1, "held": 5})
-	waitFor(t, "the call", func() bool { return slow.count("out") == 1 })
-	env = plain
+	predecessor := startAndWait(t, env)
+	client := dialClient(t, env["ROUTER_LISTEN"])
+	mustSubmitOnce(t, client, map[string]int{"out": 1, "held": 5})
+	waitFor(t, "the call of message out", func() bool { return slow.count("out") == 1 })
+	env = plainEnv
 	if !outgoing {
 		env = withFailpoint(env, failpoint)
 	}
-	fresh := startPeer(t, env)
-	left, ends := fresh, old
+	successor := startPeer(t, env)
+	survivor, exiting := successor, predecessor
 	switch kill := strings.HasSuffix(failpoint, "=KILL"); {
 	case kill && !outgoing:
-		left, ends = old, fresh
-	case !kill && !outgoing: // it takes over, and ends
-		left = nil
-		waitFor(t, "the end of the new process", fresh.hasExited)
+		survivor, exiting = predecessor, successor
+	case !kill && !outgoing: // the successor takes over and then shuts down
+		survivor = nil
+		waitFor(t, "the successor to exit", successor.hasExited)
 	}
-	waitFor(t, "an end", ends.hasExited)
-	if left == nil {
-		left = startAndWait(t, plain)
+	waitFor(t, "one process to exit", exiting.hasExited)
+	if survivor == nil {
+		survivor = startAndWait(t, plainEnv)
 	}
-	waitFor(t, "yes", left.isReady)
+	waitFor(t, "the remaining process to be ready", survivor.isReady)
 	close(release)
 	line := discoverytest.ChangeText(7, quick.member("s-5", 5))
-	waitFor(t, "what was held", func() bool { disc.SendLineToAll(line); return quick.count("held") == 1 })
-	late := dialClient(t, env["ROUTER_LISTEN"])
-	if s := late.put("after", putFields("once", 8000, 2), nil); s != "+OK" {
-		t.Errorf("after it: %s", s)
+	waitFor(t, "delivery of the pending message", func() bool {
+		discovery.SendLineToAll(line)
+		return quick.count("held") == 1
+	})
+	newClient := dialClient(t, env["ROUTER_LISTEN"])
+	if s := newClient.put("after", putFields("once", 8000, 2), nil); s != "+OK" {
+		t.Errorf("put(after) once the hand-over is over = %s, want +OK", s)
 	}
-	waitFor(t, "the message after it", func() bool { return quick.count("after") == 1 })
-	waitFor(t, "all to end", func() bool { return readStats(t, left.console())["current"] == 0 })
+	waitFor(t, "delivery of message after", func() bool { return quick.count("after") == 1 })
+	waitFor(t, "all messages to end", func() bool { return readStats(t, survivor.console())["current"] == 0 })
 	if n := slow.count("out"); n != 1 {
-		t.Errorf("a non-idempotent message was sent %d times", n)
+		t.Errorf("attempts of non-idempotent message out = %d, want 1", n)
 	}
 	if n := quick.count("held"); n != 1 {
-		t.Errorf("what was held was sent %d times", n)
+		t.Errorf("attempts of pending message held = %d, want 1", n)
 	}
 }
 
@@ -112,105 +115,121 @@
 	}
 }
 
-// The configuration changes and SIGHUP comes to either side in the middle: who
-// serves in the end follows discovery at its new address, and so does a process
-// that is started from the log.
+// Guards against a SIGHUP that is lost because it arrives during a hand-over: the configuration
+// names a new discovery address, and one of the two processes receives SIGHUP at a failpoint. The
+// process that serves afterwards must follow discovery at the new address, also if it had to be
+// started from the write-ahead log.
 func TestReloadDuringHandover(t *testing.T) {
-	moves := func(t *testing.T, outgoing bool, point, then string) {
+	testReload := func(t *testing.T, outgoing bool, reloadFailpoint, successorFailpoint string) {
 		t.Parallel()
 		quick := newFakeEndpoint(t, nil)
 		before, after := newFakeDiscovery(t, unreachableMember("s-0", 5)), newFakeDiscovery(t, quick.member("s-5", 5))
-		after.List.Revision = 1 // its versions are its own
+		after.List.Revision = 1 // revisions of two discovery services are not comparable
 		before.List.Revision = 50
 		env := testConfig(t, before, 3)
 		text, err := os.ReadFile(env["ROUTER_CONFIG"])
 		if err != nil {
 			t.Fatal(err)
 		}
-		next := filepath.Join(t.TempDir(), "next.json")
-		if err := os.WriteFile(next, []byte(replaceDiscovery(after, before.Addr())(string(text))), 0o600); err != nil {
+		nextConfig := filepath.Join(t.TempDir(), "next.json")
+		if err := os.WriteFile(
+			nextConfig,
+			[]byte(replaceDiscovery(after, before.Addr())(string(text))),
+			0o600,
+		); err != nil {
 			t.Fatal(err)
 		}
-		hup := withFailpoint(env, point+"=HUP:"+next)
-		first, second := env, hup
+		reloadingEnv := withFailpoint(env, reloadFailpoint+"=HUP:"+nextConfig)
+		predecessorEnv, successorEnv := env, reloadingEnv
 		if outgoing {
-			first, second = hup, env
+			predecessorEnv, successorEnv = reloadingEnv, env
 		}
-		if then != "" {
-			second = withFailpoint(env, then)
+		if successorFailpoint != "" {
+			successorEnv = withFailpoint(env, successorFailpoint)
 		}
-		old := startAndWait(t, first)
-		cl := dialClient(t, env["ROUTER_LISTEN"])
-		mustSubmitOnce(t, cl, map[string]int{"held": 5})
-		fresh := startPeer(t, second)
-		if then != "" { // the new one dies: the old one starts anew
-			waitFor(t, "its end", fresh.hasExited)
-			waitFor(t, "yes", old.isReady)
+		predecessor := startAndWait(t, predecessorEnv)
+		client := dialClient(t, env["ROUTER_LISTEN"])
+		mustSubmitOnce(t, client, map[string]int{"held": 5})
+		successor := startPeer(t, successorEnv)
+		if successorFailpoint != "" { // the successor dies, and the predecessor restarts from its log
+			waitFor(t, "the successor to exit", successor.hasExited)
+			waitFor(t, "the predecessor to be ready", predecessor.isReady)
 		} else {
-			waitFor(t, "the end of the old process", old.hasExited)
-			waitFor(t, "yes", fresh.isReady)
+			waitFor(t, "the predecessor to exit", predecessor.hasExited)
+			waitFor(t, "the successor to be ready", successor.isReady)
 		}
-		waitFor(t, "what the new address alone lists", func() bool { return quick.count("held") == 1 })
+		waitFor(t, "a call to the endpoint that only the new discovery lists", func() bool {
+			return quick.count("held") == 1
+		})
 	}
 	for _, p := range outgoingFailpoints {
-		t.Run(p, func(t *testing.T) { moves(t, true, p, "") })
+		t.Run(p, func(t *testing.T) { testReload(t, true, p, "") })
 	}
 	for _, p := range incomingFailpoints {
-		t.Run(p, func(t *testing.T) { moves(t, false, p, "") })
+		t.Run(p, func(t *testing.T) { testReload(t, false, p, "") })
 	}
-	t.Run("and the new process dies", func(t *testing.T) {
-		moves(t, true, failpointOutgoingQuiesced, failpointIncomingRecovered+"=KILL")
+	t.Run("successor killed after recovery", func(t *testing.T) {
+		testReload(t, true, failpointOutgoingQuiesced, failpointIncomingRecovered+"=KILL")
 	})
 }
 
-// checkDrainKept submits messages for destination 1, of which one endpoint has drained.
-func checkDrainKept(t *testing.T, env map[string]string, gone, stays *fakeEndpoint) {
+// checkDrainKept submits messages for destination 1 and checks that none of them goes to the
+// endpoint that is draining.
+func checkDrainKept(t *testing.T, env map[string]string, draining, remaining *fakeEndpoint) {
 	t.Helper()
-	cl := dialClient(t, env["ROUTER_LISTEN"])
+	client := dialClient(t, env["ROUTER_LISTEN"])
 	for _, id := range strings.Fields("a b c d e f g h i j k l") {
-		cl.mustPut(id, putFields("plain", 20000, 1), nil)
-		waitFor(t, "the call of "+id, func() bool { return gone.count(id)+stays.count(id) == 1 })
-		if gone.count(id) > 0 {
-			t.Errorf("%s went to who has drained", id)
+		client.mustPut(id, putFields("plain", 20000, 1), nil)
+		waitFor(t, "the call of "+id, func() bool { return draining.count(id)+remaining.count(id) == 1 })
+		if draining.count(id) > 0 {
+			t.Errorf("message %s was sent to the draining endpoint", id)
 		}
 	}
 }
 
-// A process that takes over has a list that is older than what the one before has
-// heard since: what drained meanwhile is not up again.
+// Guards against sending to a draining endpoint after a hand-over: the successor fetches its
+// endpoint list first, and only then the predecessor receives an update that drains an endpoint.
+// The successor must not fall back to its older list, in which that endpoint is up.
 func TestSuccessorHasOlderList(t *testing.T) {
-	gone, stays := newFakeEndpoint(t, nil), newFakeEndpoint(t, nil)
-	disc := newFakeDiscovery(t, gone.member("s-1", 1), stays.member("s-2", 1))
-	env := testConfig(t, disc, 3)
-	old := startAndWait(t, env)
-	waitFor(t, "a watch", func() bool { return disc.Check(func() bool { return len(disc.Watches) > 0 }) })
+	draining, remaining := newFakeEndpoint(t, nil), newFakeEndpoint(t, nil)
+	discovery := newFakeDiscovery(t, draining.member("s-1", 1), remaining.member("s-2", 1))
+	env := testConfig(t, discovery, 3)
+	predecessor := startAndWait(t, env)
+	waitFor(t, "the predecessor to watch the list", func() bool {
+		return discovery.Check(func() bool { return len(discovery.Watches) > 0 })
+	})
 	var watch chan string
-	disc.Update(func(d *fakeDiscovery) { watch = d.Watches[0] })
-	file := filepath.Join(t.TempDir(), "go")
-	fresh := startPeer(t, withFailpoint(env, failpointIncomingListReceived+"=WAIT:"+file))
-	waitFor(t, "the new one's list", func() bool { _, err := os.Stat(file + ".at"); return err == nil })
-	disc.Update(func(d *fakeDiscovery) { d.Silent = true }) // the old one alone hears what follows
-	drains := gone.member("s-1", 1)
-	drains.Phase = core.Draining
-	line, err := json.Marshal(core.EndpointList{Revision: 9, Members: []core.Member{drains}})
+	discovery.Update(func(d *fakeDiscovery) { watch = d.Watches[0] })
+	resumeFile := filepath.Join(t.TempDir(), "go")
+	successor := startPeer(t, withFailpoint(env, failpointIncomingListReceived+"=WAIT:"+resumeFile))
+	waitFor(t, "the successor to receive its list", func() bool {
+		_, err := os.Stat(resumeFile + ".at")
+		return err == nil
+	})
+	discovery.Update(func(d *fakeDiscovery) { d.Silent = true }) // only the predecessor's watch gets the next update
+	drainingMember := draining.member("s-1", 1)
+	drainingMember.Phase = core.Draining
+	line, err := json.Marshal(core.EndpointList{Revision: 9, Members: []core.Member{drainingMember}})
 	if err != nil {
 		t.Fatal(err)
 	}
 	watch <- string(line)
-	waitFor(t, "the drain", func() bool { return readStats(t, old.console())["cluster_unhealthy"] == 1 })
-	if err := os.WriteFile(file, nil, 0o600); err != nil {
+	waitFor(t, "the endpoint to drain", func() bool {
+		return readStats(t, predecessor.console())["cluster_unhealthy"] == 1
+	})
+	if err := os.WriteFile(resumeFile, nil, 0o600); err != nil {
 		t.Fatal(err)
 	}
-	waitFor(t, "the end of the old process", old.hasExited)
-	waitFor(t, "yes", fresh.isReady)
-	if got := readStats(t, fresh.console())["cluster_unhealthy"]; got != 1 {
-		t.Errorf("%d endpoints are avoided after the hand-over", got)
+	waitFor(t, "the predecessor to exit", predecessor.hasExited)
+	waitFor(t, "the successor to be ready", successor.isReady)
+	if got := readStats(t, successor.console())["cluster_unhealthy"]; got != 1 {
+		t.Errorf("cluster_unhealthy after the hand-over = %d, want 1", got)
 	}
-	checkDrainKept(t, env, gone, stays)
+	checkDrainKept(t, env, draining, remaining)
 }
 
-// A process that dies lets go of its lock before its address: who starts on the
-// first waits for the second, and does not end.
+// Guards against a start that fails because the system releases the lock of a dead process before
+// its listening address: a process that has the lock must wait for the address and not exit.
 func TestAddressReleasedAfterLock(t *testing.T) {
 	endpoint := newFakeEndpoint(t, nil)
 	env := testConfig(t, newFakeDiscovery(t, endpoint.member("s-1", 1)), 3)
@@ -218,52 +237,54 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	file := filepath.Join(t.TempDir(), "go")
-	c := startPeer(t, withFailpoint(env, failpointAddressInUse+"=WAIT:"+file))
-	waitFor(t, "it to find the address in use", func() bool {
-		_, err := os.Stat(file + ".at")
-		return err == nil || c.hasExited()
+	resumeFile := filepath.Join(t.TempDir(), "go")
+	process := startPeer(t, withFailpoint(env, failpointAddressInUse+"=WAIT:"+resumeFile))
+	waitFor(t, "the process to find its address in use", func() bool {
+		_, err := os.Stat(resumeFile + ".at")
+		return err == nil || process.hasExited()
 	})
 	if err := ln.Close(); err != nil {
 		t.Fatal(err)
 	}
-	if err := os.WriteFile(file, nil, 0o600); err != nil {
+	if err := os.WriteFile(resumeFile, nil, 0o600); err != nil {
 		t.Fatal(err)
 	}
-	waitFor(t, "yes, or its end", func() bool { return c.isReady() || c.hasExited() })
-	if c.hasExited() {
-		t.Error("it has ended")
+	waitFor(t, "the process to be ready or to exit", func() bool { return process.isReady() || process.hasExited() })
+	if process.hasExited() {
+		t.Error("the process exited because its address was in use, want it to wait for the address")
 	}
 }
 
-// A process that takes over was started with an address of discovery that the one
-// before has left since on SIGHUP: lists from there are ignored, also where the new
-// address is silent for now.
+// Guards against lists of an outdated discovery address: the successor was started with an address
+// that the predecessor has replaced since, on SIGHUP. The successor must ignore lists from the
+// former address, even while discovery at the new address does not answer.
 func TestListFromFormerDiscoveryAddress(t *testing.T) {
-	gone, stays := newFakeEndpoint(t, nil), newFakeEndpoint(t, nil)
-	drains := gone.member("s-1", 1)
-	drains.Phase = core.Draining
+	draining, remaining := newFakeEndpoint(t, nil), newFakeEndpoint(t, nil)
+	drainingMember := draining.member("s-1", 1)
+	drainingMember.Phase = core.Draining
 	before, after := newFakeDiscovery(
 		t,
-		gone.member("s-1", 1),
-		stays.member("s-2", 1),
+		draining.member("s-1", 1),
+		remaining.member("s-2", 1),
 	), newFakeDiscovery(
 		t,
-		drains,
-		stays.member("s-2", 1),
+		drainingMember,
+		remaining.member("s-2", 1),
 	)
 	before.List.Revision = 50
 	env := testConfig(t, before, 3)
-	old := startAndWait(t, env)
+	predecessor := startAndWait(t, env)
 	rewriteConfig(t, env, replaceDiscovery(after, before.Addr()))
-	old.signal(t, syscall.SIGHUP)
-	waitFor(t, "the drain", func() bool { return readStats(t, old.console())["cluster_unhealthy"] == 1 })
+	predecessor.signal(t, syscall.SIGHUP)
+	waitFor(t, "the endpoint to drain", func() bool {
+		return readStats(t, predecessor.console())["cluster_unhealthy"] == 1
+	})
 	after.Update(func(d *fakeDiscovery) { d.Silent = true })
-	fresh := startPeer(t, env)
-	waitFor(t, "the end of the old process", old.hasExited)
-	waitFor(t, "yes", fresh.isReady)
-	if got := readStats(t, fresh.console())["cluster_unhealthy"]; got != 1 {
-		t.Errorf("%d endpoints are avoided after the hand-over", got)
+	successor := startPeer(t, env)
+	waitFor(t, "the predecessor to exit", predecessor.hasExited)
+	waitFor(t, "the successor to be ready", successor.isReady)
+	if got := readStats(t, successor.console())["cluster_unhealthy"]; got != 1 {
+		t.Errorf("cluster_unhealthy after the hand-over = %d, want 1", got)
 	}
-	checkDrainKept(t, env, gone, stays)
+	checkDrainKept(t, env, draining, remaining)
 }
--- a/internal/relay/handover_packets_test.go
+++ b/internal/relay/handover_packets_test.go
@@ -20,11 +20,13 @@
 )
 
 const (
-	outgoingFixture = "../../handover/transfer/testdata/predecessor.txt" // a packet a line: kind, descriptors, body
+	// A fixture has one packet per line: kind, number of descriptors, body.
+	outgoingFixture = "../../handover/transfer/testdata/predecessor.txt"
 	incomingFixture = "../../handover/transfer/testdata/successor.txt"
 )
 
-// recordedPacket is one that went over a link, its descriptors owned by who has it.
+// recordedPacket is a packet that was sent over a link. Whoever holds the packet owns its
+// descriptors.
 type recordedPacket struct {
 	kind byte
 	fds  []int
@@ -33,21 +35,23 @@
 
 func (p recordedPacket) String() string { return fmt.Sprintf("%c %d %s", p.kind, len(p.fds), p.body) }
 
-// packetLines reads a fixture; descriptors are counted only.
+// packetLines parses a fixture. The packets get as many descriptors as were recorded, all of them
+// 0, since a fixture has only their number.
 func packetLines(t *testing.T, text string) (all []recordedPacket) {
 	t.Helper()
 	for line := range strings.Lines(text) {
 		parts := strings.SplitN(strings.TrimSuffix(line, "\n"), " ", 3)
 		n, err := strconv.Atoi(parts[1])
 		if err != nil || len(parts) != 3 || len(parts[0]) != 1 {
-			t.Fatalf("fixture: %q", line)
+			t.Fatalf("fixture line %q, want a kind of one letter, a number of descriptors and a body", line)
 		}
 		all = append(all, recordedPacket{parts[0][0], make([]int, n), []byte(parts[2])})
 	}
 	return all
 }
 
-// keyPaths are the keys of a JSON text in their order, down to a depth.
+// keyPaths returns the paths of all keys of a JSON text, in order of first appearance and down to a
+// depth.
 func keyPaths(t *testing.T, text []byte, depth int) string {
 	t.Helper()
 	if len(text) == 0 {
@@ -60,7 +64,7 @@
 	next := func() json.Token {
 		tok, err := dec.Token()
 		if err != nil {
-			t.Fatalf("%s: %v", text, err)
+			t.Fatalf("decoding JSON %s: %v", text, err)
 		}
 		return tok
 	}
@@ -87,23 +91,24 @@
 	return strings.Join(paths, " ")
 }
 
-// form is what of a packet is the same in every hand-over.
+// form returns the part of a packet that is the same in every hand-over: its kind, its number of
+// descriptors and the keys of its body.
 func (p recordedPacket) form(t *testing.T) string {
 	return fmt.Sprintf("%c %d %s", p.kind, len(p.fds), keyPaths(t, p.body, 2))
 }
 
-// handoverScenario is the hand-over that was recorded: a call that is out, a held
-// message, a client between two commands and one in the midst of a command.
+// handoverScenario is the situation in which the fixtures were recorded: a call in flight, a
+// pending message, a client between two commands and a client that has sent part of a command.
 type handoverScenario struct {
-	slow, quick *fakeEndpoint
-	disc        *fakeDiscovery
-	env         map[string]string
-	old         *child
-	cl, half    *testClient
-	rest        string // of the half command
-	release     chan struct{}
-	names       *strings.Replacer // addresses to their names in the fixture
-	addrs       *strings.Replacer // and back
+	slow, quick     *fakeEndpoint
+	discovery       *fakeDiscovery
+	env             map[string]string
+	predecessor     *child
+	client, partial *testClient
+	rest            string // of the partial command
+	release         chan struct{}
+	names           *strings.Replacer // replaces addresses by their names in the fixture
+	addrs           *strings.Replacer // replaces those names by addresses
 }
 
 func newHandoverScenario(t *testing.T) *handoverScenario {
@@ -111,40 +116,45 @@
 	s := &handoverScenario{release: make(chan struct{})}
 	s.slow = newFakeEndpoint(t, blockUntil(s.release))
 	s.quick = newFakeEndpoint(t, nil)
-	s.disc = newFakeDiscovery(t, s.slow.member("s-1", 1), s.quick.member("s-2", 2), unreachableMember("s-0", 5))
-	s.env = testConfig(t, s.disc, 3)
-	s.old = startAndWait(t, s.env)
-	s.names = strings.NewReplacer(s.slow.addr(), "slow.addr", s.quick.addr(), "quick.addr", s.disc.Addr(), "disc.addr")
-	s.addrs = strings.NewReplacer("slow.addr", s.slow.addr(), "quick.addr", s.quick.addr(), "disc.addr", s.disc.Addr())
-	s.cl, s.half = dialClient(t, s.env["ROUTER_LISTEN"]), dialClient(t, s.env["ROUTER_LISTEN"])
-	mustSubmitOnce(t, s.cl, map[string]int{"out": 1})
-	waitFor(t, "the call", func() bool { return s.slow.count("out") == 1 })
-	s.half.send(pingText)
-	s.half.readLine()
+	s.discovery = newFakeDiscovery(t, s.slow.member("s-1", 1), s.quick.member("s-2", 2), unreachableMember("s-0", 5))
+	s.env = testConfig(t, s.discovery, 3)
+	s.predecessor = startAndWait(t, s.env)
+	s.names = strings.NewReplacer(
+		s.slow.addr(), "slow.addr", s.quick.addr(), "quick.addr", s.discovery.Addr(), "disc.addr",
+	)
+	s.addrs = strings.NewReplacer(
+		"slow.addr", s.slow.addr(), "quick.addr", s.quick.addr(), "disc.addr", s.discovery.Addr(),
+	)
+	s.client, s.partial = dialClient(t, s.env["ROUTER_LISTEN"]), dialClient(t, s.env["ROUTER_LISTEN"])
+	mustSubmitOnce(t, s.client, map[string]int{"out": 1})
+	waitFor(t, "the call of message out", func() bool { return s.slow.count("out") == 1 })
+	s.partial.send(pingText)
+	s.partial.readLine()
 	text := encodePut("half", putFields("keyed", 20000, 2), []byte("two"))
 	s.rest = text[len(text)-4:]
-	s.half.send(strings.TrimSuffix(text, s.rest))
-	mustSubmitOnce(t, s.cl, map[string]int{"held": 5}) // answered after the half command was read
+	s.partial.send(strings.TrimSuffix(text, s.rest))
+	mustSubmitOnce(t, s.client, map[string]int{"held": 5}) // its reply shows that the partial command was read before
 	return s
 }
 
-// receiveAll has the old process hand over to the test, and returns its packets.
-func (s *handoverScenario) receiveAll(t *testing.T) (k *testSuccessor, all []recordedPacket) {
+// receiveAll requests a hand-over from the predecessor and returns all packets that it sends, with
+// addresses replaced by their names in the fixture.
+func (s *handoverScenario) receiveAll(t *testing.T) (fake *testSuccessor, all []recordedPacket) {
 	t.Helper()
-	k = newTestSuccessor(t, s.env["ROUTER_STATE"])
-	by := time.Now().Add(10 * time.Second)
-	if err := k.conn.Send(transfer.PacketRequest, nil, by); err != nil {
+	fake = newTestSuccessor(t, s.env["ROUTER_STATE"])
+	deadline := time.Now().Add(10 * time.Second)
+	if err := fake.conn.Send(transfer.PacketRequest, nil, deadline); err != nil {
 		t.Fatal(err)
 	}
 	for {
-		p, err := k.conn.Receive(by)
+		p, err := fake.conn.Receive(deadline)
 		if err != nil {
 			t.Fatal(err)
 		}
-		k.fds = append(k.fds, p.FDs...)
+		fake.fds = append(fake.fds, p.FDs...)
 		all = append(all, recordedPacket{p.Kind, p.FDs, []byte(s.names.Replace(string(p.Body)))})
 		if p.Kind == transfer.PacketEnd {
-			return k, all
+			return fake, all
 		}
 	}
 }
@@ -155,7 +165,8 @@
 	frozenText = regexp.MustCompile(`"frozen":\d+`)
 )
 
-// rebaseClocks makes a recorded state one of this moment: its clocks go on from now.
+// rebaseClocks shifts the clocks of a recorded state so that they continue from the current time,
+// and replaces the names of addresses by those of this run.
 func (s *handoverScenario) rebaseClocks(t *testing.T, state []byte) []byte {
 	t.Helper()
 	var at struct {
@@ -173,7 +184,7 @@
 	return []byte(frozenText.ReplaceAllString(text, fmt.Sprintf(`"frozen":%d`, monotonicMicros())))
 }
 
-// partialCommandIndex is which of the clients is in the midst of a command.
+// partialCommandIndex returns the index of the client that has sent part of a command.
 func partialCommandIndex(t *testing.T, conns []byte) int {
 	t.Helper()
 	var all []respserver.ConnSnapshot
@@ -185,17 +196,16 @@
 			return i
 		}
 	}
-	t.Fatalf("no half command in %s", conns)
+	t.Fatalf("no connection with a partial command in %s", conns)
 	return 0
 }
 
-// Guards an upgrade between this program and one of another age: a serving process
-// sends packets of the recorded form, and a starting one takes the recorded packets
-// over, byte for byte but for clocks and addresses, with real descriptors, and
-// answers in the recorded words.
+// Guards upgrades between this program and an older or newer one: a predecessor must send packets
+// of the recorded form, and a successor must accept the recorded packets (unchanged except for
+// clocks and addresses, and with real descriptors) and send exactly the recorded packets itself.
 func TestRecordedHandover(t *testing.T) {
 	s := newHandoverScenario(t)
-	k, sent := s.receiveAll(t)
+	fake, sent := s.receiveAll(t)
 	if os.Getenv(updateFixturesEnv) != "" {
 		var text strings.Builder
 		for _, p := range sent {
@@ -203,29 +213,29 @@
 		}
 		compareWithFixture(t, outgoingFixture, text.String())
 	}
-	was := packetLines(t, readFixture(t, outgoingFixture))
-	if len(was) != len(sent) {
-		t.Fatalf("%d packets, %d are recorded", len(sent), len(was))
+	recorded := packetLines(t, readFixture(t, outgoingFixture))
+	if len(recorded) != len(sent) {
+		t.Fatalf("the predecessor sent %d packets, want %d as recorded", len(sent), len(recorded))
 	}
 	for i := range sent {
-		if got, want := sent[i].form(t), was[i].form(t); got != want {
-			t.Errorf("packet %d:\n got %s\nwant %s", i, got, want)
+		if got, want := sent[i].form(t), recorded[i].form(t); got != want {
+			t.Errorf("form of packet %d:\n got %s\nwant %s", i, got, want)
 		}
-		was[i].fds = sent[i].fds
-		switch was[i].kind {
+		recorded[i].fds = sent[i].fds
+		switch recorded[i].kind {
 		case transfer.PacketState:
-			was[i].body = s.rebaseClocks(t, was[i].body)
+			recorded[i].body = s.rebaseClocks(t, recorded[i].body)
 		case transfer.PacketClients:
-			if a, b := partialCommandIndex(t, was[i].body), partialCommandIndex(t, sent[i].body); a != b {
-				was[i].fds[a], was[i].fds[b] = was[i].fds[b], was[i].fds[a]
+			if a, b := partialCommandIndex(t, recorded[i].body), partialCommandIndex(t, sent[i].body); a != b {
+				recorded[i].fds[a], recorded[i].fds[b] = recorded[i].fds[b], recorded[i].fds[a]
 			}
 		case transfer.PacketLock:
-			k.lock.Adopt(os.NewFile(uintptr(sent[i].fds[0]), statelock.FileName))
-			k.fds = k.fds[:len(k.fds)-1]
+			fake.lock.Adopt(os.NewFile(uintptr(sent[i].fds[0]), statelock.FileName))
+			fake.fds = fake.fds[:len(fake.fds)-1]
 		}
 	}
-	by := time.Now().Add(20 * time.Second)
-	if err := k.conn.Send(transfer.PacketClaim, nil, by); err != nil {
+	deadline := time.Now().Add(20 * time.Second)
+	if err := fake.conn.Send(transfer.PacketClaim, nil, deadline); err != nil {
 		t.Fatal(err)
 	}
 
@@ -234,15 +244,15 @@
 		t.Fatal(err)
 	}
 	defer func() { _ = ln.Close() }()
-	fresh := startPeer(t, s.env)
-	l, err := ln.Accept()
+	successor := startPeer(t, s.env)
+	conn, err := ln.Accept()
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer func() { _ = l.Close() }()
+	defer func() { _ = conn.Close() }()
 	var received strings.Builder
 	receive := func() {
-		p, err := l.Receive(by)
+		p, err := conn.Receive(deadline)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -250,51 +260,54 @@
 		fmt.Fprintf(&received, "%c %d %s\n", p.Kind, len(p.FDs), body)
 	}
 	receive()
-	if err := l.Send(transfer.PacketHello, []byte(`{"form":2,"pid":1}`), by); err != nil {
+	if err := conn.Send(transfer.PacketHello, []byte(`{"form":2,"pid":1}`), deadline); err != nil {
 		t.Fatal(err)
 	}
 	receive()
-	for _, p := range was {
-		if err := l.Send(p.kind, p.body, by, p.fds...); err != nil {
+	for _, p := range recorded {
+		if err := conn.Send(p.kind, p.body, deadline, p.fds...); err != nil {
 			t.Fatal(err)
 		}
 	}
 	receive()
-	for _, fd := range k.fds {
+	for _, fd := range fake.fds {
 		if err := syscall.Close(fd); err != nil {
 			t.Error(err)
 		}
 	}
-	k.fds = nil
-	k.lock.Close()
+	fake.fds = nil
+	fake.lock.Close()
 	receive()
 	compareWithFixture(t, incomingFixture, received.String())
-	if err := k.conn.Send(transfer.PacketServing, nil, by); err != nil {
+	if err := fake.conn.Send(transfer.PacketServing, nil, deadline); err != nil {
 		t.Fatal(err)
 	}
-	if err := <-s.old.exited; err != nil {
-		t.Errorf("the old process: %v", err)
+	if err := <-s.predecessor.exited; err != nil {
+		t.Errorf("exit of the predecessor: %v, want success", err)
 	}
-	s.checkTakenOver(t, fresh)
+	s.checkTakenOver(t, successor)
 }
 
-// checkTakenOver checks that a process has taken the scene over.
-func (s *handoverScenario) checkTakenOver(t *testing.T, fresh *child) {
+// checkTakenOver checks that the successor serves the connections and messages that it took over.
+func (s *handoverScenario) checkTakenOver(t *testing.T, successor *child) {
 	t.Helper()
-	waitFor(t, "yes", fresh.isReady)
-	if got := s.cl.put("after", putFields("once", 8000, 2), nil); got != "+OK" {
-		t.Errorf("on an open connection: %s", got)
+	waitFor(t, "the successor to be ready", successor.isReady)
+	if got := s.client.put("after", putFields("once", 8000, 2), nil); got != "+OK" {
+		t.Errorf("put(after) on a connection from before the hand-over = %s, want +OK", got)
 	}
-	s.half.send(s.rest)
-	if got := s.half.readLine(); got != "+OK" {
-		t.Errorf("half a command: %s", got)
+	s.partial.send(s.rest)
+	if got := s.partial.readLine(); got != "+OK" {
+		t.Errorf("reply to a command begun before the hand-over = %s, want +OK", got)
 	}
 	close(s.release)
 	line := discoverytest.ChangeText(7, s.quick.member("s-5", 5))
-	waitFor(t, "what was held", func() bool { s.disc.SendLineToAll(line); return s.quick.count("held") == 1 })
-	waitFor(t, "all to end", func() bool { return readStats(t, fresh.console())["current"] == 0 })
-	got := readStats(t, fresh.console())
+	waitFor(t, "delivery of the pending message", func() bool {
+		s.discovery.SendLineToAll(line)
+		return s.quick.count("held") == 1
+	})
+	waitFor(t, "all messages to end", func() bool { return readStats(t, successor.console())["current"] == 0 })
+	got := readStats(t, successor.console())
 	if n := s.slow.count("out"); n != 1 || got["answered.once"] != 3 || got["errored.once"] != 0 {
-		t.Errorf("the call that was out went out %d times; figures %v", n, got)
+		t.Errorf("attempts of message out = %d, want 1; STATS = %v, want answered.once 3, errored.once 0", n, got)
 	}
 }
--- a/internal/relay/helpers_test.go
+++ b/internal/relay/helpers_test.go
@@ -33,21 +33,23 @@
  "report":{"fields":[],"how":"none"},
  "tick_us":5000,"value_by":"request","weights":"nominal","zone":0}`
 
-// waitFor waits for a condition, never for a time.
-func waitFor(t testing.TB, what string, cond func() bool) {
+// waitFor polls until a condition holds and fails the test after 30 s. Tests use it in place of
+// fixed delays.
+func waitFor(t testing.TB, what string, condition func() bool) {
 	t.Helper()
-	for end := time.Now().Add(30 * time.Second); time.Now().Before(end); time.Sleep(2 * time.Millisecond) {
-		if cond() {
+	for deadline := time.Now().Add(30 * time.Second); time.Now().Before(deadline); time.Sleep(2 * time.Millisecond) {
+		if condition() {
 			return
 		}
 	}
-	t.Fatalf("never came: %s", what)
+	t.Fatalf("timed out after 30 s waiting for %s", what)
 }
 
 func quietLog() *slog.Logger { return slog.New(slog.NewTextHandler(io.Discard, nil)) }
 
-// testConfig writes a configuration and returns the environment that names it.
-func testConfig(t testing.TB, d *fakeDiscovery, diskMB int, known ...core.Member) map[string]string {
+// testConfig writes a configuration, with known as its endpoint list, and returns the environment
+// of a relay that uses it.
+func testConfig(t testing.TB, discovery *fakeDiscovery, diskMB int, known ...core.Member) map[string]string {
 	t.Helper()
 	listen := freeAddr(t)
 	dir := t.TempDir()
@@ -66,13 +68,13 @@
 	}
 	text := fmt.Sprintf(`{"name":"n1","listen":%q,"discovery":%q,"seed":"8c1f30d27a5be964","surplus":1,`+list+`
 		"limits":{"cores":1.0,"memory_mb":192,"sockets":1024,"disk_mb":%d},"settings":%s}`,
-		listen, d.Addr(), diskMB, testSettings)
+		listen, discovery.Addr(), diskMB, testSettings)
 	if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
 		t.Fatal(err)
 	}
 	return map[string]string{
 		"ROUTER_CONFIG": path, "ROUTER_STATE": state, "ROUTER_LISTEN": listen,
-		"ROUTER_DISCOVERY": d.Addr(), "ROUTER_NAME": "n1",
+		"ROUTER_DISCOVERY": discovery.Addr(), "ROUTER_NAME": "n1",
 	}
 }
 
@@ -81,19 +83,19 @@
 	for range 1000 {
 		addr := fmt.Sprintf("127.0.0.1:%d", 20000+(uint32(os.Getpid())*211+lastPort.Add(1))%12000)
 		if ln, err := net.Listen("tcp", addr); err == nil {
-			_ = ln.Close() // it only showed that the port is free
+			_ = ln.Close() // it was opened only to see whether the port is free
 			return addr
 		}
 	}
-	t.Fatal("no port is free")
+	t.Fatal("freeAddr(): no free port in 1000 attempts")
 	return ""
 }
 
-// lastPort counts the ports given out. They lie below those that the system gives
-// to connections, which would take one between here and its use.
+// lastPort counts the ports that freeAddr has tried. They lie below the system's range of ephemeral
+// ports; otherwise an outgoing connection could take a port before the test listens on it.
 var lastPort atomic.Uint32
 
-// rewriteConfig changes the configuration's file.
+// rewriteConfig applies a change to the text of the configuration file.
 func rewriteConfig(t *testing.T, env map[string]string, change func(string) string) {
 	t.Helper()
 	path := env["ROUTER_CONFIG"]
@@ -106,17 +108,22 @@
 	}
 }
 
+// replaceDiscovery returns a change for rewriteConfig: it replaces the discovery address from by
+// that of d.
 func replaceDiscovery(d *fakeDiscovery, from string) func(string) string {
 	return func(text string) string {
 		return strings.Replace(text, fmt.Sprintf(`"discovery":%q`, from), fmt.Sprintf(`"discovery":%q`, d.Addr()), 1)
 	}
 }
 
-// unreachableMember names a destination that nobody serves for now.
-func unreachableMember(id string, cell int) core.Member {
-	return core.Member{ID: id, HostPort: "127.0.0.1:1", Dest: cell, Phase: core.Draining}
+// unreachableMember returns a draining endpoint. Through it a destination is in the endpoint list
+// but has no endpoint that can be called.
+func unreachableMember(id string, dest int) core.Member {
+	return core.Member{ID: id, HostPort: "127.0.0.1:1", Dest: dest, Phase: core.Draining}
 }
 
+// folderSize returns the sum of the sizes of a folder's files, each rounded up to blocks of 512
+// bytes.
 func folderSize(t *testing.T, dir string) (sum int64) {
 	entries, err := os.ReadDir(dir)
 	if err != nil {
--- a/internal/relay/main_test.go
+++ b/internal/relay/main_test.go
@@ -13,22 +13,24 @@
 	"troutusher/internal/config"
 )
 
-// childProcessEnv makes the test's own program a relay, so that a test can kill one.
+// childProcessEnv makes the test binary run as a relay, so that a test can kill a relay without
+// ending itself.
 const childProcessEnv = "TROUTUSHER_TEST_CHILD"
 
-// firstListTimeoutEnv is how long a child's first calls wait for discovery, and how
-// long a watch may be silent there.
+// firstListTimeoutEnv sets how long a child waits for its first endpoint list before it makes
+// calls, and how long a watch may be silent.
 const firstListTimeoutEnv = "TROUTUSHER_TEST_FIRST_LIST"
 
-// failpointEnv has something happen to a child at a failpoint: POINT=WHAT. WHAT
-// is KILL, TERM or HUP (the child has that signal, and goes on once it has been
-// received), HUP:FILE (likewise, with the file in the configuration's place), or
-// WAIT:FILE (it stops until there is such a file, and makes FILE.at as it does).
+// failpointEnv sets an action that a child performs when it first reaches a failpoint, in the form
+// POINT=ACTION. The actions are:
+//   - KILL, TERM or HUP: the child sends itself that signal and continues once it has received it
+//   - HUP:FILE: as HUP, but FILE first replaces the configuration file
+//   - WAIT:FILE: the child creates FILE.at and then waits until FILE exists
 const failpointEnv = "TROUTUSHER_TEST_CROSS"
 
 func TestMain(m *testing.M) {
-	if os.Getenv(helperEnv) != "" {
-		os.Exit(helperMain())
+	if os.Getenv(etcdHelperEnv) != "" {
+		os.Exit(etcdHelperMain())
 	}
 	if os.Getenv(childProcessEnv) == "" {
 		os.Exit(m.Run())
@@ -39,41 +41,41 @@
 	log := slog.New(slog.NewTextHandler(os.Stderr, nil))
 	cfg, err := config.Load(os.Getenv)
 	if err != nil {
-		log.Error("child", "err", err)
+		log.Error("child: cannot load the configuration", "err", err)
 		os.Exit(2)
 	}
 	ctx, _ := signal.NotifyContext(context.Background(), syscall.SIGTERM)
 	hup := make(chan os.Signal, 1)
 	signal.Notify(hup, syscall.SIGHUP)
-	read := make(chan struct{}, 16)
-	re := ReloadRequests{Signals: hup, Load: func() (*config.Config, error) {
+	reloaded := make(chan struct{}, 16)
+	requests := ReloadRequests{Signals: hup, Load: func() (*config.Config, error) {
 		cfg, err := config.Reload(os.Getenv)
-		read <- struct{}{}
+		reloaded <- struct{}{}
 		return cfg, err
 	}}
-	if at := os.Getenv(failpointEnv); at != "" {
-		setFailpoint(ctx, read, at)
+	if setting := os.Getenv(failpointEnv); setting != "" {
+		setFailpoint(ctx, reloaded, setting)
 	}
-	err = Run(cfg, log, ctx.Done(), re)
+	err = Run(cfg, log, ctx.Done(), requests)
 	if err != nil {
-		log.Error("child", "err", err)
+		log.Error("child: relay failed", "err", err)
 		os.Exit(1)
 	}
 	os.Exit(0)
 }
 
-// setFailpoint has what failpointEnv says happen, once. terminated ends as SIGTERM has
-// been received, and reloaded has a value each time that the configuration was read.
-func setFailpoint(terminated context.Context, reloaded <-chan struct{}, text string) {
-	point, what, _ := strings.Cut(text, "=")
-	what, file, _ := strings.Cut(what, ":")
-	once := false
-	failpoint = func(at string) {
-		if at != point || once {
+// setFailpoint installs the action that the text of failpointEnv describes. terminated is cancelled
+// when SIGTERM is received, and reloaded receives a value each time that the configuration is read.
+func setFailpoint(terminated context.Context, reloaded <-chan struct{}, setting string) {
+	point, action, _ := strings.Cut(setting, "=")
+	action, file, _ := strings.Cut(action, ":")
+	done := false
+	failpoint = func(reached string) {
+		if reached != point || done {
 			return
 		}
-		once = true
-		switch what {
+		done = true
+		switch action {
 		case "KILL":
 			signalSelf(syscall.SIGKILL)
 			select {}
@@ -97,7 +99,7 @@
 
 func signalSelf(s syscall.Signal) { must(syscall.Kill(os.Getpid(), s)) }
 
-// must ends a child whose failpoint does not work.
+// must panics if an action at a failpoint fails.
 func must(err error) {
 	if err != nil {
 		panic(err)
--- a/internal/relay/reload_test.go
+++ b/internal/relay/reload_test.go
@@ -12,27 +12,29 @@
 	"troutusher/internal/config"
 )
 
-// Guards a running relay against SIGHUP, which ends a process that does not
-// catch it. Watch and notices move to the address in the file, though the
-// environment still names the old one; notices that the old one did not
-// confirm go to the new one; a file that is wrong changes nothing; and the
-// relay goes on serving, moves again, and ends as planned.
+// Guards a running relay that receives SIGHUP, which by default ends a process:
+//   - Watch and notices must move to the discovery address in the configuration file, although the
+//     environment still has the old address.
+//   - Notices that the old address has not confirmed must be sent to the new one.
+//   - An invalid or missing file must change nothing.
+//   - The relay must serve throughout, follow a second change of the address, and shut down
+//     cleanly.
 func TestReload(t *testing.T) {
 	before, after, last := newFakeEndpoint(t, nil), newFakeEndpoint(t, nil), newFakeEndpoint(t, nil)
 	lost := newFakeEndpoint(t, respondStatus(http.StatusServiceUnavailable))
 	first := newFakeDiscovery(t, before.member("s-1", 1), lost.member("s-9", 9))
 	first.Update(func(d *fakeDiscovery) { d.NoticeStatus = http.StatusInternalServerError })
 	env := testConfig(t, first, 3)
-	c := startChild(t, env)
-	cl := dialClient(t, env["ROUTER_LISTEN"])
-	put := func(id, f string) {
+	relay := startChild(t, env)
+	client := dialClient(t, env["ROUTER_LISTEN"])
+	mustPut := func(id, fields string) {
 		t.Helper()
-		cl.mustPut(id, f, nil)
+		client.mustPut(id, fields, nil)
 	}
-	put("a", putFields("plain", 8000, 1))
-	put("unheard", putFields("plain", 600, 9))
+	mustPut("a", putFields("plain", 8000, 1))
+	mustPut("unheard", putFields("plain", 600, 9))
 	waitFor(t, "a message at the first endpoint", func() bool { return before.count("a") == 1 })
-	// The load goes on over all that follows.
+	// The load lasts until the last reload has taken effect.
 	stop, done := make(chan struct{}), make(chan struct{})
 	go func() {
 		defer close(done)
@@ -45,7 +47,7 @@
 			}
 			id := fmt.Sprintf("load%d", i)
 			if s := load.put(id, putFields("plain", 8000, 1), nil); s != "+OK" {
-				t.Errorf("under load: %s", s)
+				t.Errorf("put(%s) under load = %s, want +OK", id, s)
 				return
 			}
 			for before.count(id)+after.count(id)+last.count(id) == 0 { // one at a time
@@ -57,11 +59,11 @@
 			}
 		}
 	}()
-	// The second address has a lower revision: the two are not compared.
+	// The second address has a lower revision: revisions of different addresses are not compared.
 	second := newFakeDiscovery(t, after.member("s-1", 1), lost.member("s-9", 9))
 	second.Update(func(d *fakeDiscovery) { d.List.Revision = 0 })
 	rewriteConfig(t, env, replaceDiscovery(second, first.Addr()))
-	c.signal(t, syscall.SIGHUP)
+	relay.signal(t, syscall.SIGHUP)
 	waitFor(t, "a watch at the second address", func() bool {
 		return second.Check(func() bool {
 			return second.Fetches == 1 && len(second.WatchedFrom) == 1 && second.WatchedFrom[0] == "0"
@@ -69,64 +71,65 @@
 	})
 	waitFor(t, "a notice at the second address", func() bool { _, ok := second.Notice("unheard"); return ok })
 	waitFor(t, "a message at the second list's endpoint", func() bool {
-		id := fmt.Sprintf("b%d", seq.Add(1))
-		put(id, putFields("plain", 8000, 1))
-		waitFor(t, id, func() bool { return before.count(id)+after.count(id) == 1 })
+		id := fmt.Sprintf("b%d", idSequence.Add(1))
+		mustPut(id, putFields("plain", 8000, 1))
+		waitFor(t, "the call of "+id, func() bool { return before.count(id)+after.count(id) == 1 })
 		return after.count(id) == 1
 	})
 	rewriteConfig(t, env, func(string) string { return "{" })
-	c.signal(t, syscall.SIGHUP)
+	relay.signal(t, syscall.SIGHUP)
 	if err := os.Remove(env["ROUTER_CONFIG"]); err != nil {
 		t.Fatal(err)
 	}
-	c.signal(t, syscall.SIGHUP)
-	put("c", putFields("plain", 8000, 1))
+	relay.signal(t, syscall.SIGHUP)
+	mustPut("c", putFields("plain", 8000, 1))
 	waitFor(t, "service under the old configuration", func() bool { return after.count("c") == 1 })
 	third := newFakeDiscovery(t, last.member("s-1", 1))
-	fresh := testConfig(t, third, 3)
-	text, err := os.ReadFile(fresh["ROUTER_CONFIG"])
+	thirdEnv := testConfig(t, third, 3)
+	text, err := os.ReadFile(thirdEnv["ROUTER_CONFIG"])
 	if err != nil {
 		t.Fatal(err)
 	}
 	if err := os.WriteFile(env["ROUTER_CONFIG"], text, 0o600); err != nil {
 		t.Fatal(err)
 	}
-	c.signal(t, syscall.SIGHUP)
+	relay.signal(t, syscall.SIGHUP)
 	waitFor(t, "a message at the third list's endpoint", func() bool {
-		id := fmt.Sprintf("d%d", seq.Add(1))
-		put(id, putFields("plain", 8000, 1))
-		waitFor(t, id, func() bool { return before.count(id)+after.count(id)+last.count(id) == 1 })
+		id := fmt.Sprintf("d%d", idSequence.Add(1))
+		mustPut(id, putFields("plain", 8000, 1))
+		waitFor(t, "the call of "+id, func() bool { return before.count(id)+after.count(id)+last.count(id) == 1 })
 		return last.count(id) == 1
 	})
 	close(stop)
 	<-done
 	second.Update(func(d *fakeDiscovery) {
 		if d.Fetches != 1 {
-			t.Errorf("the second address was asked %d times for the list", d.Fetches)
+			t.Errorf("fetches of the list at the second address = %d, want 1", d.Fetches)
 		}
 	})
-	c.signal(t, syscall.SIGTERM)
-	if err := c.cmd.Wait(); err != nil {
-		t.Errorf("exit: %v", err)
+	relay.signal(t, syscall.SIGTERM)
+	if err := relay.cmd.Wait(); err != nil {
+		t.Errorf("exit after SIGTERM: %v, want success", err)
 	}
 }
 
-// The file wins over the environment once it is read again, and only for
-// discovery.
+// Guards which source wins: at the start the environment, on a reload the configuration file, but
+// there only for the discovery address.
 func TestReloadPrecedence(t *testing.T) {
 	env := testConfig(t, newFakeDiscovery(t), 3)
 	env["ROUTER_DISCOVERY"], env["ROUTER_NAME"] = "127.0.0.1:9", "other"
 	get := func(k string) string { return env[k] }
-	start, err := config.Load(get)
-	if err != nil || start.Discovery != "127.0.0.1:9" {
-		t.Fatalf("at the start %+v, %v", start, err)
+	loaded, err := config.Load(get)
+	if err != nil || loaded.Discovery != "127.0.0.1:9" {
+		t.Fatalf("Load() = %+v, %v; want the discovery address of the environment", loaded, err)
 	}
-	again, err := config.Reload(get)
-	if err != nil || again.Discovery == "127.0.0.1:9" || again.Name != "other" {
-		t.Fatalf("again %+v, %v", again, err)
+	reloaded, err := config.Reload(get)
+	if err != nil || reloaded.Discovery == "127.0.0.1:9" || reloaded.Name != "other" {
+		t.Fatalf("Reload() = %+v, %v; want the discovery address of the file, the name of the environment",
+			reloaded, err)
 	}
 	rewriteConfig(t, env, func(s string) string { return strings.Replace(s, `"discovery"`, `"x"`, 1) })
-	if again, err = config.Reload(get); err != nil || again.Discovery != "127.0.0.1:9" {
-		t.Errorf("with none in the file %+v, %v", again, err)
+	if reloaded, err = config.Reload(get); err != nil || reloaded.Discovery != "127.0.0.1:9" {
+		t.Errorf("Reload() with no address in the file = %+v, %v; want that of the environment", reloaded, err)
 	}
 }
--- a/internal/relay/shutdown_test.go
+++ b/internal/relay/shutdown_test.go
@@ -12,135 +12,137 @@
 	"troutusher/internal/config"
 )
 
-// inProcessRelay is a relay in the test's own process, so that it can be stopped at a failpoint.
+// inProcessRelay is a relay in the test's own process, so that the test can act at its failpoints.
 type inProcessRelay struct {
 	env  map[string]string
 	stop chan struct{}
 	done chan error
 }
 
-// startInProcess starts one; at is called at each failpoint.
-func startInProcess(t *testing.T, env map[string]string, at func(point string)) *inProcessRelay {
+// startInProcess starts a relay and waits until it serves. onFailpoint is called at each failpoint.
+func startInProcess(t *testing.T, env map[string]string, onFailpoint func(point string)) *inProcessRelay {
 	t.Helper()
 	cfg, err := config.Load(func(name string) string { return env[name] })
 	if err != nil {
 		t.Fatal(err)
 	}
-	failpoint = at
-	h := &inProcessRelay{env, make(chan struct{}), make(chan error, 1)}
-	go func() { h.done <- Run(cfg, quietLog(), h.stop, ReloadRequests{}) }()
+	failpoint = onFailpoint
+	r := &inProcessRelay{env, make(chan struct{}), make(chan error, 1)}
+	go func() { r.done <- Run(cfg, quietLog(), r.stop, ReloadRequests{}) }()
 	t.Cleanup(func() {
-		h.shutDown()
+		r.shutDown()
 		select {
-		case err := <-h.done:
+		case err := <-r.done:
 			if err != nil {
-				t.Errorf("relay: %v", err)
+				t.Errorf("Run(): error %v, want nil", err)
 			}
 		case <-time.After(20 * time.Second):
-			t.Error("relay: does not end")
+			t.Error("Run() has not returned 20 s after the stop was requested")
 		}
 		failpoint = nil
 	})
 	(&child{env: env}).waitReady(t)
-	return h
+	return r
 }
 
-func (h *inProcessRelay) shutDown() {
+func (r *inProcessRelay) shutDown() {
 	select {
-	case <-h.stop:
+	case <-r.stop:
 	default:
-		close(h.stop)
+		close(r.stop)
 	}
 }
 
-// readReply reads a client's answer; an end with none is a lost message.
-func readReply(c net.Conn) string {
-	s, err := bufio.NewReader(c).ReadString('\n')
+// readReply reads a client's reply. If the connection ends without one, the message is lost and the
+// result begins with "lost".
+func readReply(conn net.Conn) string {
+	s, err := bufio.NewReader(conn).ReadString('\n')
 	if err != nil {
 		return "lost: " + err.Error()
 	}
 	return strings.TrimSpace(s)
 }
 
-// A request that comes in the moment in which a relay that ends lets its clients go
-// has its answer, and so has one on a connection that lay in the listener's queue as
-// that was closed. Without the RESP server's own report that nothing is open the process
-// ended under the first; without letting in who waits the second was reset.
+// Guards two kinds of requests against being lost during a shutdown. A request may arrive just when
+// the relay closes its client connections: without the RESP server's report that no connection is
+// open, the process exited before the reply. A connection may wait in the listen queue when the
+// listener is closed: unless it is accepted first, it is reset. Both requests must get a reply.
 func TestRequestsDuringShutdown(t *testing.T) {
 	endpoint := newFakeEndpoint(t, nil)
 	env := testConfig(t, newFakeDiscovery(t, endpoint.member("s-1", 1)), 3)
 	var mu sync.Mutex
-	got := map[string]net.Conn{}
-	send := func(id string, c net.Conn) {
-		if err := c.SetDeadline(time.Now().Add(10 * time.Second)); err != nil {
+	conns := map[string]net.Conn{}
+	send := func(id string, conn net.Conn) {
+		if err := conn.SetDeadline(time.Now().Add(10 * time.Second)); err != nil {
 			t.Error(err)
 		}
-		if _, err := io.WriteString(c, encodePut(id, putFields("plain", 8000, 1), nil)); err != nil {
+		if _, err := io.WriteString(conn, encodePut(id, putFields("plain", 8000, 1), nil)); err != nil {
 			t.Error(err)
 		}
 		mu.Lock()
 		defer mu.Unlock()
-		got[id] = c
+		conns[id] = conn
 	}
 	var idle net.Conn
-	points := make(chan string, 16)
-	h := startInProcess(t, env, func(point string) {
+	reached := make(chan string, 16)
+	r := startInProcess(t, env, func(point string) {
 		switch point {
 		case failpointClientsReleased:
 			send("idle", idle)
 		case failpointListenersClosing:
-			if c, err := net.Dial("tcp", env["ROUTER_LISTEN"]); err == nil {
-				send("queued", c)
+			if conn, err := net.Dial("tcp", env["ROUTER_LISTEN"]); err == nil {
+				send("queued", conn)
 			}
 		case failpointProcessEnd:
 		default:
-			return // of its start
+			return // failpoints of the start
 		}
-		points <- point
+		reached <- point
 	})
-	cl := dialClient(t, env["ROUTER_LISTEN"])
-	idle = cl.Conn
-	cl.mustPut("first", putFields("plain", 8000, 1), nil)
-	h.shutDown()
+	client := dialClient(t, env["ROUTER_LISTEN"])
+	idle = client.Conn
+	client.mustPut("first", putFields("plain", 8000, 1), nil)
+	r.shutDown()
 	for seen := 0; seen < 3; seen++ {
-		<-points
+		<-reached
 	}
 	mu.Lock()
 	defer mu.Unlock()
 	for _, id := range []string{"idle", "queued"} {
-		c := got[id]
-		if c == nil {
-			t.Errorf("%s: could not be sent", id)
+		conn := conns[id]
+		if conn == nil {
+			t.Errorf("request %s was not sent", id)
 			continue
 		}
-		if s := readReply(c); !strings.HasPrefix(s, "+OK") && !strings.HasPrefix(s, "-BUSY") {
-			t.Errorf("%s: %s", id, s)
+		if s := readReply(conn); !strings.HasPrefix(s, "+OK") && !strings.HasPrefix(s, "-BUSY") {
+			t.Errorf("reply to request %s = %s, want +OK or -BUSY", id, s)
 		}
-		if err := c.Close(); err != nil {
+		if err := conn.Close(); err != nil {
 			t.Error(err)
 		}
 	}
 }
 
-// A command that is half read as its relay ends has its answer once it is whole.
+// Guards a command of which only a part has been received when the relay shuts down: it must get a
+// reply once the rest has arrived.
 func TestPartialRequestDuringShutdown(t *testing.T) {
 	endpoint := newFakeEndpoint(t, nil)
 	env := testConfig(t, newFakeDiscovery(t, endpoint.member("s-1", 1)), 3)
 	text := encodePut("half", putFields("plain", 8000, 1), []byte("body"))
-	let := make(chan struct{})
+	released := make(chan struct{})
 	var once sync.Once
-	h := startInProcess(t, env, func(point string) {
+	r := startInProcess(t, env, func(point string) {
 		if point == failpointClientsReleased {
-			once.Do(func() { close(let) })
+			once.Do(func() { close(released) })
 		}
 	})
-	cl := dialClient(t, env["ROUTER_LISTEN"])
-	cl.mustPut("first", putFields("plain", 8000, 1), nil)
-	cl.send(text[:len(text)-3])
-	h.shutDown()
-	<-let
-	cl.send(text[len(text)-3:])
-	if s := readReply(cl); !strings.HasPrefix(s, "+OK") && !strings.HasPrefix(s, "-BUSY") {
-		t.Error(s)
+	client := dialClient(t, env["ROUTER_LISTEN"])
+	client.mustPut("first", putFields("plain", 8000, 1), nil)
+	client.send(text[:len(text)-3])
+	r.shutDown()
+	<-released
+	client.send(text[len(text)-3:])
+	if s := readReply(client); !strings.HasPrefix(s, "+OK") && !strings.HasPrefix(s, "-BUSY") {
+		t.Errorf("reply to the command = %s, want +OK or -BUSY", s)
 	}
 }
--- a/internal/relay/statesaver_test.go
+++ b/internal/relay/statesaver_test.go
@@ -11,13 +11,13 @@
 	"troutusher/internal/policystate"
 )
 
-// A Retry-After holds across a kill, to its end: the policy state lies in
-// the state folder beside the log. A file of another relay is set aside, and the
-// relay starts.
+// Guards a Retry-After against a kill: the policy state is saved in the state folder beside the
+// log, so that the restarted relay waits until the time has passed. A policy state of another relay
+// must be set aside, and the relay must start without it.
 func TestRetryAfterSurvivesKill(t *testing.T) {
-	const wait = 3 * time.Second
+	const retryAfter = 3 * time.Second
 	var mu sync.Mutex
-	var retryAfterAt, next time.Time
+	var retryAfterAt, nextAttemptAt time.Time
 	endpoint := newFakeEndpoint(t, func(w http.ResponseWriter, _ *http.Request, n int) {
 		mu.Lock()
 		defer mu.Unlock()
@@ -27,45 +27,48 @@
 			w.WriteHeader(http.StatusTooManyRequests)
 			return
 		}
-		if next.IsZero() {
-			next = time.Now()
+		if nextAttemptAt.IsZero() {
+			nextAttemptAt = time.Now()
 		}
 	})
-	d := newFakeDiscovery(t, endpoint.member("s-1", 1))
-	env := testConfig(t, d, 3, endpoint.member("s-1", 1))
-	c := startChild(t, env)
+	discovery := newFakeDiscovery(t, endpoint.member("s-1", 1))
+	env := testConfig(t, discovery, 3, endpoint.member("s-1", 1))
+	relay := startChild(t, env)
 	dialClient(t, env["ROUTER_LISTEN"]).mustPut("m", putFields("plain", 20000, 1), nil)
 	path := filepath.Join(env["ROUTER_STATE"], policystate.FileName)
-	waitFor(t, "the wait in the file", func() bool {
-		b, err := os.ReadFile(path)
+	waitFor(t, "the Retry-After in the policy state file", func() bool {
+		encoded, err := os.ReadFile(path)
 		if err != nil {
 			return false
 		}
-		f, err := policystate.Decode(b)
-		return err == nil && len(f.State.RetryAfters) == 1
+		file, err := policystate.Decode(encoded)
+		return err == nil && len(file.State.RetryAfters) == 1
 	})
-	c.kill()
-	c = startChild(t, env)
+	relay.kill()
+	relay = startChild(t, env)
 	dialClient(t, env["ROUTER_LISTEN"]).mustPut("m2", putFields("plain", 20000, 1), nil)
-	waitFor(t, "both to be delivered", func() bool { return endpoint.count("m") == 2 && endpoint.count("m2") == 1 })
+	waitFor(t, "delivery of messages m and m2", func() bool {
+		return endpoint.count("m") == 2 && endpoint.count("m2") == 1
+	})
 	mu.Lock()
-	if gap := next.Sub(retryAfterAt); gap < wait-100*time.Millisecond {
-		t.Errorf("sent %v after a Retry-After of %v", gap, wait)
+	if gap := nextAttemptAt.Sub(retryAfterAt); gap < retryAfter-100*time.Millisecond {
+		t.Errorf("next attempt %v after a Retry-After of %v, want at least %v",
+			gap, retryAfter, retryAfter-100*time.Millisecond)
 	}
 	mu.Unlock()
 
-	c.kill()
-	b, err := policystate.Encode(&policystate.File{Relay: "other", State: nil})
+	relay.kill()
+	encoded, err := policystate.Encode(&policystate.File{Relay: "other", State: nil})
 	if err != nil {
 		t.Fatal(err)
 	}
-	if err := os.WriteFile(path, b, 0o600); err != nil {
+	if err := os.WriteFile(path, encoded, 0o600); err != nil {
 		t.Fatal(err)
 	}
 	startChild(t, env)
 	dialClient(t, env["ROUTER_LISTEN"]).mustPut("m3", putFields("plain", 20000, 1), nil)
-	waitFor(t, "the third", func() bool { return endpoint.count("m3") == 1 })
+	waitFor(t, "delivery of message m3", func() bool { return endpoint.count("m3") == 1 })
 	if _, err := os.Stat(path + ".bad"); err != nil {
-		t.Errorf("not set aside: %v", err)
+		t.Errorf("policy state of another relay was not set aside as .bad: %v", err)
 	}
 }
--- a/internal/relay/testclient_test.go
+++ b/internal/relay/testclient_test.go
@@ -14,7 +14,7 @@
 // pingText is the command PING.
 const pingText = "*1\r\n$4\r\nPING\r\n"
 
-// testClient hands messages in over one connection.
+// testClient submits messages over one connection.
 type testClient struct {
 	t testing.TB
 	net.Conn
@@ -44,11 +44,11 @@
 }
 
 func putFields(class string, deadlineMS int, dest int) string {
-	s := fmt.Sprintf("c=%s,t=acme,d=%d,dest=%d", class, deadlineMS, dest)
+	fields := fmt.Sprintf("c=%s,t=acme,d=%d,dest=%d", class, deadlineMS, dest)
 	if class == "keyed" {
-		s += ",k=5c0f6e1a2b3d4c59"
+		fields += ",k=5c0f6e1a2b3d4c59"
 	}
-	return s
+	return fields
 }
 
 func (c *testClient) put(id, fields string, body []byte) string {
@@ -61,36 +61,37 @@
 func (c *testClient) mustPut(id, fields string, body []byte) {
 	c.t.Helper()
 	if reply := c.put(id, fields, body); reply != "+OK" {
-		c.t.Fatalf("%s: %s", id, reply)
+		c.t.Fatalf("put(%s) = %s, want +OK", id, reply)
 	}
 }
 
-// send writes commands, or a part of one.
+// send writes the text of commands or of part of a command.
 func (c *testClient) send(text string) {
 	c.t.Helper()
 	if _, err := io.WriteString(c.Conn, text); err != nil {
-		c.t.Errorf("not sent: %v", err)
+		c.t.Errorf("sending a command: %v", err)
 	}
 }
 
 func (c *testClient) readLine() string {
 	c.t.Helper()
-	s, err := c.reader.ReadString('\n')
+	line, err := c.reader.ReadString('\n')
 	if err != nil {
-		c.t.Fatalf("no answer: %v", err)
+		c.t.Fatalf("reading a reply: %v", err)
 	}
-	return strings.TrimSuffix(s, "\r\n")
+	return strings.TrimSuffix(line, "\r\n")
 }
 
-// mustSubmitOnce submits non-idempotent messages for destinations, which must be accepted.
-func mustSubmitOnce(t *testing.T, cl *testClient, dests map[string]int) {
+// mustSubmitOnce submits non-idempotent messages, which must be accepted; dests has their ids and
+// destinations.
+func mustSubmitOnce(t *testing.T, client *testClient, dests map[string]int) {
 	t.Helper()
 	for id, dest := range dests {
-		cl.mustPut(id, putFields("once", 20000, dest), nil)
+		client.mustPut(id, putFields("once", 20000, dest), nil)
 	}
 }
 
-// call calls a console once.
+// callConsole sends one call to a console and returns its answer.
 func callConsole(addr, line string) (string, error) {
 	conn, err := net.DialTimeout("tcp", addr, 5*time.Second)
 	if err != nil {
@@ -109,30 +110,30 @@
 
 func mustCall(t *testing.T, addr, line string) string {
 	t.Helper()
-	s, err := callConsole(addr, line)
+	answer, err := callConsole(addr, line)
 	if err != nil {
-		t.Fatalf("%s: %v", line, err)
+		t.Fatalf("console call %s: %v", line, err)
 	}
-	return s
+	return answer
 }
 
-// readStats reads what STATS shows.
+// readStats returns the values that the console reports on STATS, by name without their prefix.
 func readStats(t *testing.T, addr string) map[string]int64 {
 	t.Helper()
 	text := mustCall(t, addr, "STATS")
 	body, ok := strings.CutSuffix(text, "END\n")
 	if !ok {
-		t.Fatalf("no END: %q", text)
+		t.Fatalf("STATS = %q, want it to end with END", text)
 	}
-	got := map[string]int64{}
+	stats := map[string]int64{}
 	for line := range strings.Lines(body) {
 		name, rest, _ := strings.Cut(strings.TrimPrefix(strings.TrimSpace(line), "edge_router."), ":")
-		value, kind, _ := strings.Cut(rest, "|")
+		value, unit, _ := strings.Cut(rest, "|")
 		n, err := strconv.ParseInt(value, 10, 64)
-		if err != nil || kind != "c" && kind != "g" {
-			t.Fatalf("figure %q", line)
+		if err != nil || unit != "c" && unit != "g" {
+			t.Fatalf("line of STATS = %q, want name:number|c or name:number|g", line)
 		}
-		got[name] = n
+		stats[name] = n
 	}
-	return got
+	return stats
 }
--- a/internal/relay/testsuccessor_test.go
+++ b/internal/relay/testsuccessor_test.go
@@ -13,7 +13,7 @@
 	"troutusher/internal/handover/transfer"
 )
 
-// testSuccessor is the other process of a hand-over, as far as a test wants it to get.
+// testSuccessor is the successor's side of a hand-over, driven by a test step by step.
 type testSuccessor struct {
 	t     *testing.T
 	conn  *link.Conn
@@ -28,58 +28,63 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	k := &testSuccessor{t: t, conn: conn}
-	k.greet()
-	if k.lock, err = statelock.Open(dir); err != nil {
+	s := &testSuccessor{t: t, conn: conn}
+	s.exchangeHellos()
+	if s.lock, err = statelock.Open(dir); err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(k.close)
-	return k
+	t.Cleanup(s.close)
+	return s
 }
 
-// greet exchanges hellos.
-func (k *testSuccessor) greet() {
-	k.t.Helper()
-	by := time.Now().Add(10 * time.Second)
-	if err := k.conn.Send(transfer.PacketHello, fmt.Appendf(nil, `{"form":2,"pid":%d}`, os.Getpid()), by); err != nil {
-		k.t.Fatal(err)
+// exchangeHellos sends a hello and receives that of the predecessor.
+func (s *testSuccessor) exchangeHellos() {
+	s.t.Helper()
+	deadline := time.Now().Add(10 * time.Second)
+	if err := s.conn.Send(
+		transfer.PacketHello,
+		fmt.Appendf(nil, `{"form":2,"pid":%d}`, os.Getpid()),
+		deadline,
+	); err != nil {
+		s.t.Fatal(err)
 	}
-	packet, err := k.conn.Receive(by)
+	packet, err := s.conn.Receive(deadline)
 	if err != nil || packet.Kind != transfer.PacketHello {
-		k.t.Fatalf("no hello: %q, %v", packet.Kind, err)
+		s.t.Fatalf("first packet = kind %q, %v; want a hello", packet.Kind, err)
 	}
 }
 
 // send sends a packet without a body.
-func (k *testSuccessor) send(kind byte) {
-	k.t.Helper()
-	if err := k.conn.Send(kind, nil, time.Now().Add(10*time.Second)); err != nil {
-		k.t.Fatal(err)
+func (s *testSuccessor) send(kind byte) {
+	s.t.Helper()
+	if err := s.conn.Send(kind, nil, time.Now().Add(10*time.Second)); err != nil {
+		s.t.Fatal(err)
 	}
 }
 
-// receive takes everything, or so many packets.
-func (k *testSuccessor) receive(most int) {
-	k.t.Helper()
-	k.send(transfer.PacketRequest)
-	by := time.Now().Add(10 * time.Second)
+// receive requests the state and receives packets until the last one, or until it has received
+// maxPackets of them.
+func (s *testSuccessor) receive(maxPackets int) {
+	s.t.Helper()
+	s.send(transfer.PacketRequest)
+	deadline := time.Now().Add(10 * time.Second)
 	var body []byte
-	for range most {
-		p, err := k.conn.Receive(by)
+	for range maxPackets {
+		packet, err := s.conn.Receive(deadline)
 		if err != nil {
-			k.t.Fatal(err)
+			s.t.Fatal(err)
 		}
-		k.fds = append(k.fds, p.FDs...)
-		body = append(body, p.Body...)
-		switch p.Kind {
+		s.fds = append(s.fds, packet.FDs...)
+		body = append(body, packet.Body...)
+		switch packet.Kind {
 		case transfer.PacketPart:
 			continue
-		case transfer.PacketLock: // held by both from here on
-			k.fds = k.fds[:len(k.fds)-1]
-			k.lock.Adopt(os.NewFile(uintptr(p.FDs[0]), statelock.FileName))
+		case transfer.PacketLock: // from here on both processes hold the lock
+			s.fds = s.fds[:len(s.fds)-1]
+			s.lock.Adopt(os.NewFile(uintptr(packet.FDs[0]), statelock.FileName))
 		case transfer.PacketState:
-			if err := json.Unmarshal(body, &k.state); err != nil {
-				k.t.Fatal(err)
+			if err := json.Unmarshal(body, &s.state); err != nil {
+				s.t.Fatal(err)
 			}
 		case transfer.PacketEnd:
 			return
@@ -88,12 +93,12 @@
 	}
 }
 
-// close is what a killed process's end looks like to others.
-func (k *testSuccessor) close() {
-	for _, fd := range k.fds {
+// close releases everything, as the system does when a process is killed.
+func (s *testSuccessor) close() {
+	for _, fd := range s.fds {
 		_ = syscall.Close(fd)
 	}
-	k.fds = nil
-	_ = k.conn.Close() // it may be closed already
-	k.lock.Close()
+	s.fds = nil
+	_ = s.conn.Close() // it may be closed already
+	s.lock.Close()
 }
--- a/internal/relay/tls_relay_test.go
+++ b/internal/relay/tls_relay_test.go
@@ -16,102 +16,103 @@
 	"troutusher/internal/upstream/upstreamtest"
 )
 
-// newTLSEndpoint is a partner's endpoint over TLS that shows what own says.
+// newTLSEndpoint returns a partner's endpoint over TLS. In each handshake it presents the
+// result of certificate.
 func newTLSEndpoint(
 	t *testing.T,
-	own func() *testca.Issued,
-	answer func(w http.ResponseWriter, r *http.Request, n int),
+	certificate func() *testca.Issued,
+	respond func(w http.ResponseWriter, r *http.Request, n int),
 ) *fakeEndpoint {
-	e := newFakeEndpoint(t, answer)
-	handler := e.Config.Handler
-	e.CloseClientConnections()
-	e.Close()
-	e.Server = httptest.NewUnstartedServer(handler)
-	// A session would go on under the proof that it was made by.
-	e.TLS = &tls.Config{
+	endpoint := newFakeEndpoint(t, respond)
+	handler := endpoint.Config.Handler
+	endpoint.CloseClientConnections()
+	endpoint.Close()
+	endpoint.Server = httptest.NewUnstartedServer(handler)
+	// A resumed session would keep the trust of the certificate that it was made with.
+	endpoint.TLS = &tls.Config{
 		SessionTicketsDisabled: true,
 		GetCertificate: func(*tls.ClientHelloInfo) (*tls.Certificate, error) {
-			c := own().TLSCertificate()
-			return &c, nil
+			cert := certificate().TLSCertificate()
+			return &cert, nil
 		},
 	}
-	e.StartTLS()
-	t.Cleanup(func() { e.CloseClientConnections(); e.Close() })
-	return e
+	endpoint.StartTLS()
+	t.Cleanup(func() { endpoint.CloseClientConnections(); endpoint.Close() })
+	return endpoint
 }
 
-// operatorFile has a relay read the site's rule.
-func operatorFile(t *testing.T, s *upstreamtest.TLSSite, env map[string]string, more string) {
+// configureTLS writes an operator file with the site's TLS rule and makes a relay use it.
+func configureTLS(t *testing.T, site *upstreamtest.TLSSite, env map[string]string, more string) {
 	t.Helper()
-	path := filepath.Join(s.Dir, "operator.toml")
-	if err := os.WriteFile(path, []byte(s.OperatorFile()+more), 0o600); err != nil {
+	path := filepath.Join(site.Dir, "operator.toml")
+	if err := os.WriteFile(path, []byte(site.OperatorFile()+more), 0o600); err != nil {
 		t.Fatal(err)
 	}
 	env["TROUTUSHER_OPERATOR"] = path
 }
 
-// Guards a whole relay against a partner that rotates to a certificate that it
-// must not be trusted by, and back: an unsafe message is not spent on it, what
-// cannot wait is refused with the time to come back, and no message is needed
-// for the partner to be found sound again. The others serve on.
-func TestRelayThroughARotation(t *testing.T) {
-	s := upstreamtest.NewTLSSite(t, nil)
-	var shown atomic.Pointer[testca.Issued]
-	shown.Store(s.PeerCert)
-	ep := newTLSEndpoint(t, shown.Load, nil)
+// Guards a partner that rotates to a certificate that must not be trusted, and back. Meanwhile a
+// non-idempotent message must not be sent to the partner, a message that cannot wait must be
+// rejected with a retry time, and other partners must be served. Once the certificate is valid
+// again, the relay must notice by itself, without a message that is attempted.
+func TestPartnerCertificateRotation(t *testing.T) {
+	site := upstreamtest.NewTLSSite(t, nil)
+	var presented atomic.Pointer[testca.Issued]
+	presented.Store(site.PeerCert)
+	endpoint := newTLSEndpoint(t, presented.Load, nil)
 	other := newFakeEndpoint(t, nil)
-	plain := other.member("o", 2)
-	plain.Flavor = "plain"
-	d := newFakeDiscovery(t, ep.member("e", 1), plain)
-	env := testConfig(t, d, 3)
+	plainMember := other.member("o", 2)
+	plainMember.Flavor = "plain"
+	discovery := newFakeDiscovery(t, endpoint.member("e", 1), plainMember)
+	env := testConfig(t, discovery, 3)
 	env["ROUTER_CONSOLE"] = freeAddr(t)
-	operatorFile(t, s, env, "")
-	r := startChild(t, env)
-	cl := dialClient(t, env["ROUTER_LISTEN"])
-	if got := cl.put("a", putFields("once", 10000, 1), []byte("b")); got != "+OK" {
-		t.Fatal(got)
-	}
-	waitFor(t, "the first delivery", func() bool { return ep.count("a") == 1 })
-	shown.Store(upstreamtest.IssueCert(t, s.Root, "shop.example.org"))
-	ep.CloseClientConnections()
-	if got := cl.put("b", putFields("once", 15000, 1), []byte("b")); got != "+OK" {
-		t.Fatal(got)
-	}
-	// It is held, and what cannot wait for the next proof is not taken on.
-	var refused string
-	waitFor(t, "a refusal", func() bool {
-		refused = cl.put("c", putFields("plain", 300, 1), []byte("b"))
-		return strings.HasPrefix(refused, "-BUSY ")
+	configureTLS(t, site, env, "")
+	relay := startChild(t, env)
+	client := dialClient(t, env["ROUTER_LISTEN"])
+	if got := client.put("a", putFields("once", 10000, 1), []byte("b")); got != "+OK" {
+		t.Fatalf("put(a) = %s, want +OK", got)
+	}
+	waitFor(t, "the first delivery", func() bool { return endpoint.count("a") == 1 })
+	presented.Store(upstreamtest.IssueCert(t, site.Root, "shop.example.org"))
+	endpoint.CloseClientConnections()
+	if got := client.put("b", putFields("once", 15000, 1), []byte("b")); got != "+OK" {
+		t.Fatalf("put(b) = %s, want +OK", got)
+	}
+	// Message b is pending. A message that cannot wait for the next handshake is rejected.
+	var rejected string
+	waitFor(t, "a rejection with a retry time", func() bool {
+		rejected = client.put("c", putFields("plain", 300, 1), []byte("b"))
+		return strings.HasPrefix(rejected, "-BUSY ")
 	})
-	if refused == "-BUSY" || strings.HasSuffix(refused, " 0") {
-		t.Errorf("refused without a time: %q", refused)
+	if rejected == "-BUSY" || strings.HasSuffix(rejected, " 0") {
+		t.Errorf("put(c) = %q, want -BUSY with a retry time above 0", rejected)
 	}
-	if got := cl.put("d", putFields("once", 10000, 2), []byte("b")); got != "+OK" {
-		t.Error(got)
+	if got := client.put("d", putFields("once", 10000, 2), []byte("b")); got != "+OK" {
+		t.Errorf("put(d) for the other partner = %s, want +OK", got)
 	}
-	waitFor(t, "the other partner", func() bool { return other.count("d") == 1 })
-	if n := ep.count("b"); n != 0 {
-		t.Errorf("the message reached a partner that is not trusted %d times", n)
+	waitFor(t, "the delivery to the other partner", func() bool { return other.count("d") == 1 })
+	if n := endpoint.count("b"); n != 0 {
+		t.Errorf("calls of message b at a partner that is not trusted = %d, want 0", n)
 	}
-	waitFor(t, "figures of one that is out", func() bool {
+	waitFor(t, "STATS to show one partner as not trusted", func() bool {
 		text := mustCall(t, env["ROUTER_CONSOLE"], "STATS")
 		return strings.Contains(text, "edge_router.tls_out:1|g\n") &&
 			strings.Contains(text, "edge_router.tls_days.pay:0|g\n") &&
 			strings.Contains(text, "edge_router.cluster_unhealthy:1|g\n")
 	})
-	shown.Store(s.PeerCert)
-	waitFor(t, "what was held", func() bool { return ep.count("b") == 1 })
-	r.kill()
+	presented.Store(site.PeerCert)
+	waitFor(t, "delivery of the pending message", func() bool { return endpoint.count("b") == 1 })
+	relay.kill()
 }
 
-// Guards an upgrade with calls over TLS: what is out ends in the old process,
-// none is made twice, and the new process serves the partner on.
+// Guards an upgrade with a call over TLS in flight: the call must complete in the predecessor and
+// not be made twice, and the successor must continue to serve the partner.
 func TestUpgradeWithCallsOverTLS(t *testing.T) {
-	s := upstreamtest.NewTLSSite(t, nil)
+	site := upstreamtest.NewTLSSite(t, nil)
 	entered, release := make(chan struct{}, 8), make(chan struct{})
-	ep := newTLSEndpoint(
+	endpoint := newTLSEndpoint(
 		t,
-		func() *testca.Issued { return s.PeerCert },
+		func() *testca.Issued { return site.PeerCert },
 		func(w http.ResponseWriter, r *http.Request, n int) {
 			if n == 1 {
 				entered <- struct{}{}
@@ -119,79 +120,81 @@
 			}
 		},
 	)
-	d := newFakeDiscovery(t, ep.member("e", 1))
-	env := testConfig(t, d, 3)
+	discovery := newFakeDiscovery(t, endpoint.member("e", 1))
+	env := testConfig(t, discovery, 3)
 	env["ROUTER_CONSOLE"] = freeAddr(t)
-	operatorFile(t, s, env, "")
+	configureTLS(t, site, env, "")
 	startChild(t, env)
-	cl := dialClient(t, env["ROUTER_LISTEN"])
-	if got := cl.put("a", putFields("once", 15000, 1), []byte("b")); got != "+OK" {
-		t.Fatal(got)
+	client := dialClient(t, env["ROUTER_LISTEN"])
+	if got := client.put("a", putFields("once", 15000, 1), []byte("b")); got != "+OK" {
+		t.Fatalf("put(a) = %s, want +OK", got)
 	}
 	<-entered
-	b := startPeer(t, env)
-	// The old process comes to rest only once its call has ended.
+	successor := startPeer(t, env)
+	// The predecessor is quiesced only once its call has ended.
 	close(release)
-	waitFor(t, "the new process", b.isReady)
-	if got := cl.put("b", putFields("once", 15000, 1), []byte("b")); got != "+OK" {
-		t.Fatal(got)
+	waitFor(t, "the successor to be ready", successor.isReady)
+	if got := client.put("b", putFields("once", 15000, 1), []byte("b")); got != "+OK" {
+		t.Fatalf("put(b) = %s, want +OK", got)
 	}
-	waitFor(t, "the next message", func() bool { return ep.count("b") == 1 })
-	if n := ep.count("a"); n != 1 {
-		t.Errorf("the call that was out was made %d times", n)
+	waitFor(t, "delivery of message b", func() bool { return endpoint.count("b") == 1 })
+	if n := endpoint.count("a"); n != 1 {
+		t.Errorf("calls of message a = %d, want 1", n)
 	}
-	if _, told := d.Notice("a"); told {
-		t.Error("the call that was out is told as failed")
+	if _, notified := discovery.Notice("a"); notified {
+		t.Error("Notice(a) exists for a message whose call succeeded, want none")
 	}
 }
 
-// A call that cannot rest, over TLS, is over before the other process has the work:
-// that one may send its message again at once, and two copies would be out.
+// Guards against two calls of one message at the same time: a call over TLS cannot be handed over,
+// so it must have ended before the successor gets the state, since the successor may send the
+// message again at once.
 func TestCallsThatCannotRestAreOverFirst(t *testing.T) {
-	s := upstreamtest.NewTLSSite(t, nil)
-	entered, over := make(chan struct{}, 8), make(chan struct{})
-	ep := newTLSEndpoint(
+	site := upstreamtest.NewTLSSite(t, nil)
+	entered, ended := make(chan struct{}, 8), make(chan struct{})
+	endpoint := newTLSEndpoint(
 		t,
-		func() *testca.Issued { return s.PeerCert },
+		func() *testca.Issued { return site.PeerCert },
 		func(_ http.ResponseWriter, r *http.Request, n int) {
 			if n == 1 {
 				entered <- struct{}{}
 				<-r.Context().Done()
-				close(over)
+				close(ended)
 			}
 		},
 	)
-	d := newFakeDiscovery(t, ep.member("e", 1))
-	env := testConfig(t, d, 3)
+	discovery := newFakeDiscovery(t, endpoint.member("e", 1))
+	env := testConfig(t, discovery, 3)
 	env["ROUTER_CONSOLE"] = freeAddr(t)
-	operatorFile(t, s, env, "")
+	configureTLS(t, site, env, "")
 	startChild(t, env)
-	cl := dialClient(t, env["ROUTER_LISTEN"])
-	if got := cl.put("a", putFields("keyed", 15000, 1), []byte("b")); got != "+OK" {
-		t.Fatal(got)
+	client := dialClient(t, env["ROUTER_LISTEN"])
+	if got := client.put("a", putFields("keyed", 15000, 1), []byte("b")); got != "+OK" {
+		t.Fatalf("put(a) = %s, want +OK", got)
 	}
 	<-entered
-	k := newTestSuccessor(t, env["ROUTER_STATE"])
-	k.receive(1000)
+	fake := newTestSuccessor(t, env["ROUTER_STATE"])
+	fake.receive(1000)
 	select {
-	case <-over:
+	case <-ended:
 	case <-time.After(2 * time.Second):
-		t.Error("its call is out while the other process has the work")
+		t.Error("the call is still in flight 2 s after the successor received the state, want it cancelled")
 	}
-	if len(k.state.Core.Calls) != 0 {
-		t.Errorf("calls that go on: %+v", k.state.Core.Calls)
+	if len(fake.state.Core.Calls) != 0 {
+		t.Errorf("calls handed over = %+v, want none", fake.state.Core.Calls)
 	}
-	k.close() // and the old one, which serves on, sends it once more
-	waitFor(t, "the next attempt", func() bool { return ep.count("a") == 2 })
+	fake.close() // the predecessor continues to serve and sends the message again
+	waitFor(t, "the second attempt of message a", func() bool { return endpoint.count("a") == 2 })
 }
 
-// Guards the start: files that cannot be used end it, with the rule's name.
-func TestRelayWithBadKeys(t *testing.T) {
-	s := upstreamtest.NewTLSSite(t, nil)
-	s.Rule.Roots = filepath.Join(s.Dir, "none.pem")
-	d := newFakeDiscovery(t)
-	env := testConfig(t, d, 3)
-	operatorFile(t, s, env, "")
+// Guards the start with a TLS rule whose files cannot be used: it must fail with an error that
+// names the rule and the file.
+func TestStartWithInvalidTLSFiles(t *testing.T) {
+	site := upstreamtest.NewTLSSite(t, nil)
+	site.Rule.Roots = filepath.Join(site.Dir, "none.pem")
+	discovery := newFakeDiscovery(t)
+	env := testConfig(t, discovery, 3)
+	configureTLS(t, site, env, "")
 	cfg, err := config.Load(func(k string) string { return env[k] })
 	if err != nil {
 		t.Fatal(err)
@@ -199,6 +202,6 @@
 	stop := make(chan struct{})
 	err = Run(cfg, quietLog(), stop, ReloadRequests{})
 	if err == nil || !strings.Contains(err.Error(), "tls pay") || !strings.Contains(err.Error(), "none.pem") {
-		t.Errorf("got %v", err)
+		t.Errorf("Run() with a missing roots file: error %v, want one that names tls pay and none.pem", err)
 	}
 }
--- a/internal/relay/versions_test.go
+++ b/internal/relay/versions_test.go
@@ -7,11 +7,11 @@
 	"testing"
 )
 
-// releasedCommit is the last one before packages, names and shape were changed.
+// releasedCommit is the last commit before packages, names and file layout were changed.
 const releasedCommit = "97f3134a31e945ebf7aa341edfa4e5bd58e7c416"
 
-// releasedProgram builds the relay of that commit. It returns an empty path where
-// the repository's history is not at hand.
+// releasedProgram builds the relay of releasedCommit and returns the path of the program. The path
+// is empty if the repository's history is not available.
 func releasedProgram(t *testing.T) string {
 	t.Helper()
 	root := filepath.Join("..", "..")
@@ -35,16 +35,16 @@
 	cmd := exec.Command(name, args...)
 	cmd.Dir = dir
 	if out, err := cmd.CombinedOutput(); err != nil {
-		t.Fatalf("%s %v: %v\n%s", name, args, err, out)
+		t.Fatalf("command %s %v: %v\n%s", name, args, err, out)
 	}
 }
 
-// A process of the released program and one of this hand the work over to each
-// other, with calls out, messages owed, half a command and a wait.
+// Guards upgrades and downgrades between the released program and this one, with calls in flight,
+// pending messages, part of a command and a Retry-After.
 func TestUpgradeAcrossVersions(t *testing.T) {
 	released := releasedProgram(t)
 	if released == "" {
-		t.Log("the history is not at hand: recorded packets alone stand for the released program")
+		t.Log("history not available: only the recorded packets of TestRecordedHandover cover the released program")
 		return
 	}
 	t.Run("from the released program", func(t *testing.T) { upgradeUnderLoad(t, released, os.Args[0]) })
