--- a/internal/relay/answers_test.go
+++ b/internal/relay/answers_test.go
@@ -59,7 +59,7 @@
 		}
 		fmt.Fprintf(&got, "%s: %q\n", call, answer)
 	}
-	r := &Relay{board: console.NewStats(classNames(testConfigParsed(t)))}
+	r := &Relay{stats: console.NewStats(classNames(testConfigParsed(t)))}
 	r.consoleTLSPeers.Store(upstreamtest.NewTLSSite(t, nil).Dialer)
 	for _, stats := range []string{mustCall(t, env["ROUTER_CONSOLE"], "STATS"), string(r.appendStats(nil))} {
 		for line := range strings.Lines(stats) {
--- a/internal/relay/console.go
+++ b/internal/relay/console.go
@@ -41,7 +41,7 @@
 
 // appendStats appends all statistics, including those of TLS if there are TLS rules.
 func (r *Relay) appendStats(buf []byte) []byte {
-	buf = r.board.AppendTo(buf)
+	buf = r.stats.AppendTo(buf)
 	dialer := r.consoleTLSPeers.Load()
 	if dialer == nil {
 		return buf
@@ -62,20 +62,20 @@
 	return buf
 }
 
-// updateBoard copies the core's counts to the console's statistics.
-func (r *Relay) updateBoard() {
+// updateStats copies the core's counts to the console's statistics.
+func (r *Relay) updateStats() {
 	for class, counts := range r.core.CountsByClass() {
-		r.board.SetOutcomes(class, console.Outcomes(counts))
+		r.stats.SetOutcomes(class, console.Outcomes(counts))
 	}
-	r.board.Pending.Store(int64(r.core.HeldMessages()))
+	r.stats.Pending.Store(int64(r.core.HeldMessages()))
 	now := time.Now()
 	if now.Sub(r.endpointStatsAt) < endpointStatsInterval {
 		return
 	}
 	r.endpointStatsAt = now
 	listed, unhealthy := r.core.ListedEndpoints()
-	r.board.Endpoints.Store(int64(listed))
-	r.board.UnhealthyEndpoints.Store(int64(unhealthy))
+	r.stats.Endpoints.Store(int64(listed))
+	r.stats.UnhealthyEndpoints.Store(int64(unhealthy))
 }
 
 // classNames returns the names of the message classes, indexed by class number.
--- a/internal/relay/effects.go
+++ b/internal/relay/effects.go
@@ -135,7 +135,7 @@
 		SendBy:     attempt.SendBy,
 		WarmingUp:  attempt.WarmingUp,
 		MayConnect: attempt.MayConnect,
-		OnSent:     func() { r.board.Sends.Add(1) },
+		OnSent:     func() { r.stats.Sends.Add(1) },
 	})
 	attempt.Handle = call
 	endpoint := r.endpoints[attempt.Endpoint]
--- a/internal/relay/eventloop.go
+++ b/internal/relay/eventloop.go
@@ -66,7 +66,7 @@
 func (r *Relay) untilNextStep() time.Duration {
 	wait := maxLoopWait
 	if at := r.core.NextWakeup(); at > 0 {
-		wait = r.until(at)
+		wait = r.timeUntil(at)
 	}
 	if _, shuttingDown := r.core.ShuttingDown(0); shuttingDown {
 		wait = min(wait, shutdownPollInterval)
@@ -75,13 +75,13 @@
 		wait = min(wait, endpointStatsInterval)
 	}
 	if at := r.stateSaver.saveIfDue(r.now()); at > 0 {
-		wait = min(wait, r.until(at))
+		wait = min(wait, r.timeUntil(at))
 	}
 	return max(wait, 0)
 }
 
-// until returns the time until the core's clock has passed at.
-func (r *Relay) until(at policy.Time) time.Duration {
+// timeUntil returns the time timeUntil the core's clock has passed at.
+func (r *Relay) timeUntil(at policy.Time) time.Duration {
 	return time.Duration(at-r.now()+1) * time.Microsecond
 }
 
@@ -118,7 +118,7 @@
 	defer func() { r.longestStep = max(r.longestStep, time.Since(startedAt)) }()
 	r.execute(r.core.Step(r.now(), r.events, r.effects[:0]))
 	clear(r.events)
-	r.updateBoard()
+	r.updateStats()
 }
 
 // processUntil processes inputs until a condition holds or the timeout is over, and
--- a/internal/relay/handover_incoming.go
+++ b/internal/relay/handover_incoming.go
@@ -22,9 +22,9 @@
 // machine in package handover decides when ownership moves; incomingHandover executes
 // its actions.
 type incomingHandover struct {
-	relay   *Relay
-	machine handover.Incoming
-	end     time.Time // deadline for becoming the owner
+	relay    *Relay
+	machine  handover.Incoming
+	deadline time.Time // deadline for becoming the owner
 	// prepare is called before the predecessor is asked for its state, while the
 	// predecessor still serves.
 	prepare func()
@@ -71,9 +71,9 @@
 }
 
 func (h *incomingHandover) connect() handover.IncomingAction {
-	predecessor, err := transfer.Dial(h.relay.cfg.State, h.end)
+	predecessor, err := transfer.Dial(h.relay.cfg.State, h.deadline)
 	if err != nil {
-		return h.lost(err)
+		return h.predecessorLost(err)
 	}
 	h.predecessor = predecessor
 	hitFailpoint(failpointIncomingConnected)
@@ -84,8 +84,8 @@
 	h.prepare()
 	hitFailpoint(failpointIncomingListReceived)
 	onPacket := func() { h.machine.Step(handover.FirstPacketReceived) }
-	if err := h.predecessor.Receive(&h.inherited, h.end, onPacket); err != nil {
-		return h.lost(err)
+	if err := h.predecessor.Receive(&h.inherited, h.deadline, onPacket); err != nil {
+		return h.predecessorLost(err)
 	}
 	hitFailpoint(failpointIncomingAllReceived)
 	return h.machine.Step(handover.AllReceived)
@@ -103,14 +103,14 @@
 
 func (h *incomingHandover) claim() handover.IncomingAction {
 	if err := h.predecessor.SendClaim(); err != nil {
-		return h.lost(err)
+		return h.predecessorLost(err)
 	}
 	hitFailpoint(failpointIncomingClaimSent)
 	return h.machine.Step(handover.ClaimSent)
 }
 
-// lost records why the predecessor was lost and returns the next action.
-func (h *incomingHandover) lost(err error) handover.IncomingAction {
+// predecessorLost records why the predecessor was predecessorLost and returns the next action.
+func (h *incomingHandover) predecessorLost(err error) handover.IncomingAction {
 	h.lostErr = err
 	return h.machine.Step(handover.PredecessorLost)
 }
@@ -122,7 +122,7 @@
 	if err := h.relay.lock.Release(); err != nil {
 		return err
 	}
-	if !time.Now().Before(h.end) {
+	if !time.Now().Before(h.deadline) {
 		return fmt.Errorf("acquire state folder %s: another process owns it and did not hand over within %v: %w",
 			h.relay.cfg.State, acquireTimeout, h.lostErr)
 	}
--- a/internal/relay/handover_outgoing.go
+++ b/internal/relay/handover_outgoing.go
@@ -110,7 +110,7 @@
 			if !acquired && h.relay.stopRequested() {
 				return errHandoverComplete
 			}
-			action = h.lockTried(acquired)
+			action = h.stepAfterLockAttempt(acquired)
 		case handover.ResumeServing:
 			h.relay.resumeServing()
 			return nil
@@ -146,7 +146,7 @@
 	}
 	hitFailpoint(failpointOutgoingAllSent)
 	h.machine.Step(handover.StateSent)
-	return h.awaited(handover.OwnershipClaimed, h.successor.AwaitClaim(claimTimeout))
+	return h.stepAfterWait(handover.OwnershipClaimed, h.successor.AwaitClaim(claimTimeout))
 }
 
 // sendPackets sends everything that the successor needs. The lock goes last, so that
@@ -202,12 +202,12 @@
 }
 
 func (h *outgoingHandover) awaitServing() handover.OutgoingAction {
-	return h.awaited(handover.SuccessorServing, h.successor.AwaitServing(servingTimeout))
+	return h.stepAfterWait(handover.SuccessorServing, h.successor.AwaitServing(servingTimeout))
 }
 
-// awaited returns the next action after a wait for a packet: for event if the packet
+// stepAfterWait returns the next action after a wait for a packet: for event if the packet
 // arrived, and for the loss of the successor if the wait failed with err.
-func (h *outgoingHandover) awaited(event handover.OutgoingEvent, err error) handover.OutgoingAction {
+func (h *outgoingHandover) stepAfterWait(event handover.OutgoingEvent, err error) handover.OutgoingAction {
 	if err == nil {
 		return h.machine.Step(event)
 	}
@@ -217,9 +217,9 @@
 	return h.machine.Step(handover.SuccessorLost)
 }
 
-// lockTried returns the next action after an attempt to acquire the lock. After a
+// stepAfterLockAttempt returns the next action after an attempt to acquire the lock. After a
 // failed attempt it sleeps first.
-func (h *outgoingHandover) lockTried(acquired bool) handover.OutgoingAction {
+func (h *outgoingHandover) stepAfterLockAttempt(acquired bool) handover.OutgoingAction {
 	if acquired {
 		return h.machine.Step(handover.LockRegained)
 	}
--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -70,7 +70,7 @@
 	inFlight  upstream.InFlight // calls without a result so far
 	tlsPeers  *tlsdial.Dialer   // nil without TLS
 
-	board           *console.Stats                 // read by the console
+	stats           *console.Stats                 // read by the console
 	consoleTLSPeers atomic.Pointer[tlsdial.Dialer] // tlsPeers, for the console
 	endpointStatsAt time.Time                      // when the endpoint counts for the console were last updated
 	longestStep     time.Duration                  // since the last metrics line
@@ -82,7 +82,7 @@
 	reloadsRequested  atomic.Int64     // incremented by the goroutine that reloads
 	reloadsHandedOver int64            // reloadsRequested when the state was exported for the successor
 
-	exits []func() // called by cleanUp, the last one first
+	cleanups []func() // called by cleanUp, the last one first
 }
 
 func newRelay(
@@ -102,7 +102,7 @@
 		inbox:        mailbox.New[loopInput](),
 		serverFailed: make(chan error, 1),
 		lifecycle:    &processLifecycle{},
-		board:        console.NewStats(classNames(cfg)),
+		stats:        console.NewStats(classNames(cfg)),
 		endpoints:    map[policy.EndpointID]*upstream.Endpoint{},
 	}
 }
@@ -150,15 +150,15 @@
 	return false, nil
 }
 
-// atExit registers a function that cleanUp calls, in reverse order of registration.
-func (r *Relay) atExit(f func()) { r.exits = append(r.exits, f) }
+// onCleanUp registers a function that cleanUp calls, in reverse order of registration.
+func (r *Relay) onCleanUp(f func()) { r.cleanups = append(r.cleanups, f) }
 
 // cleanUp closes what start has opened, also after a start that failed half-way.
 func (r *Relay) cleanUp() {
-	for len(r.exits) > 0 {
-		last := len(r.exits) - 1
-		f := r.exits[last]
-		r.exits = r.exits[:last]
+	for len(r.cleanups) > 0 {
+		last := len(r.cleanups) - 1
+		f := r.cleanups[last]
+		r.cleanups = r.cleanups[:last]
 		f()
 	}
 }
--- a/internal/relay/startup.go
+++ b/internal/relay/startup.go
@@ -37,11 +37,11 @@
 	firstLists     func() []core.EndpointListUpdated
 	firstListsRead bool
 
-	incoming  *incomingHandover
-	inherited *transfer.Inherited // of incoming; empty if no process handed over
-	takenOver bool                // a predecessor handed over
-	owed      []*record           // undelivered messages in the write-ahead log
-	imported  int                 // number of client connections taken over
+	incoming        *incomingHandover
+	inherited       *transfer.Inherited // of incoming; empty if no process handed over
+	takenOver       bool                // a predecessor handed over
+	recovered       []*record           // undelivered messages in the write-ahead log
+	importedClients int                 // number of client connections taken over
 }
 
 // start starts the relay. The order of the steps matters: the console answers
@@ -70,8 +70,8 @@
 		}
 	}
 	r.log.Info(msgtrace.Ready, "name", r.cfg.Name, "listen", r.clients.server.Addr().String(),
-		"endpoints", r.core.EndpointCount(), "owed", len(s.owed), "log", string(r.wal.Origin()),
-		"handed_over", s.takenOver, "clients", s.imported)
+		"endpoints", r.core.EndpointCount(), "owed", len(s.recovered), "log", string(r.wal.Origin()),
+		"handed_over", s.takenOver, "clients", s.importedClients)
 	return nil
 }
 
@@ -87,7 +87,7 @@
 	}
 	// Nobody waits for Serve to return: an operator's client that reads slowly must
 	// not delay the exit of the process.
-	s.atExit(server.Close)
+	s.onCleanUp(server.Close)
 	go server.Serve()
 	return nil
 }
@@ -132,7 +132,7 @@
 	}
 	s.tlsPeers = dialer
 	s.consoleTLSPeers.Store(dialer)
-	s.atExit(func() { dialer.SaveSessions(s.cfg.State) })
+	s.onCleanUp(func() { dialer.SaveSessions(s.cfg.State) })
 	go dialer.Run(s.ctx)
 	return nil
 }
@@ -163,7 +163,7 @@
 		s.wal.Submit(&record{Kind: core.RecordDone, ID: id}, nil)
 	})
 	s.watchCtx, s.stopListSources = context.WithCancel(s.ctx)
-	s.atExit(s.stopListSources)
+	s.onCleanUp(s.stopListSources)
 	if err := s.startListSources(s.watchCtx); err != nil {
 		return err
 	}
@@ -178,7 +178,7 @@
 		return err
 	}
 	s.lock = lock
-	s.atExit(lock.Close)
+	s.onCleanUp(lock.Close)
 	return nil
 }
 
@@ -190,14 +190,14 @@
 	if s.members != nil { // lists come from the merger, which starts later
 		s.firstLists = func() []core.EndpointListUpdated { return nil }
 	}
-	s.incoming = &incomingHandover{relay: s.Relay, end: time.Now().Add(acquireTimeout), prepare: func() {
+	s.incoming = &incomingHandover{relay: s.Relay, deadline: time.Now().Add(acquireTimeout), prepare: func() {
 		s.firstLists()
 		s.firstListsRead = true
 	}}
 	if err := s.incoming.run(); err != nil {
 		return err
 	}
-	s.atExit(s.incoming.discard)
+	s.onCleanUp(s.incoming.discard)
 	s.inherited = &s.incoming.inherited
 	s.takenOver = s.inherited.Core != nil
 	s.inheritedCalls = s.inherited.Calls
@@ -235,7 +235,7 @@
 	if err != nil {
 		return err
 	}
-	s.clients.lifecycle, s.clients.countShed = s.lifecycle, s.board.AddShed
+	s.clients.lifecycle, s.clients.countShed = s.lifecycle, s.stats.AddShed
 	return nil
 }
 
@@ -278,16 +278,16 @@
 	if err != nil {
 		return err
 	}
-	s.wal, s.owed = log, owed
+	s.wal, s.recovered = log, owed
 	go log.Run()
 	s.closeLog = sync.OnceFunc(func() {
 		if err := log.Close(); err != nil {
 			s.log.Warn("write-ahead log: close failed, the last records may not be on disk", "err", err)
 		}
 	})
-	s.atExit(s.closeLog)
+	s.onCleanUp(s.closeLog)
 	s.notices.Start(s.ctx)
-	s.atExit(s.notices.Pause)
+	s.onCleanUp(s.notices.Pause)
 	return nil
 }
 
@@ -305,7 +305,7 @@
 // recoverHandover recovers from the write-ahead log and the predecessor's state.
 func (s *startup) recoverHandover() {
 	clockShift := s.inherited.ClockOrigin - (monotonicMicros() - s.now())
-	s.execute(s.core.RecoverMessages(s.now(), s.owed, s.inherited.Core, clockShift, s.effects[:0]))
+	s.execute(s.core.RecoverMessages(s.now(), s.recovered, s.inherited.Core, clockShift, s.effects[:0]))
 	lists := s.firstLists()
 	s.observe(s.dropStaleLists(lists, s.inherited))
 	if s.inherited.ReloadRequested {
@@ -339,7 +339,7 @@
 	if saved != nil {
 		s.execute(s.core.RestoreState(s.now(), saved, clockShift, s.effects[:0]))
 	}
-	s.execute(s.core.RecoverMessages(s.now(), s.owed, nil, 0, s.effects[:0]))
+	s.execute(s.core.RecoverMessages(s.now(), s.recovered, nil, 0, s.effects[:0]))
 }
 
 // startMembers starts the merger of endpoint lists if there are several sources.
@@ -357,14 +357,14 @@
 func (s *startup) serveClients() error {
 	s.step()
 	server := s.clients.server
-	s.imported = server.Import(s.inherited.Clients)
+	s.importedClients = server.Import(s.inherited.Clients)
 	s.inherited.Clients = nil
 	hitFailpoint(failpointIncomingClientsAdopted)
 	if err := server.Listen(); err != nil {
 		return err
 	}
 	go func() { s.serverFailed <- server.Run() }()
-	s.atExit(server.Close)
+	s.onCleanUp(server.Close)
 	go func() {
 		<-s.stop
 		s.post(core.ShutdownRequested{})
@@ -387,7 +387,7 @@
 		s.log.Error("hand-over: cannot listen for a successor, serving without the means to hand over", "err", err)
 		return nil
 	}
-	s.atExit(func() { _ = ln.Close() }) // the socket's file stays; the next process replaces it
+	s.onCleanUp(func() { _ = ln.Close() }) // the socket's file stays; the next process replaces it
 	go s.acceptHandovers(ln)
 	return nil
 }
