--- a/internal/sendgate/sendgate.go
+++ b/internal/sendgate/sendgate.go
@@ -27,11 +27,11 @@
 )
 
 // ErrEndpointDraining is the error for a call to an endpoint that is draining or removed.
-var ErrEndpointDraining = errors.New("endpoint drained")
+var ErrEndpointDraining = errors.New("endpoint is draining or removed")
 
 // ErrDedupWindowExpired is the error for a repeated call that would arrive after the dedup
 // window, so that the endpoint would not recognise it as a repeat.
-var ErrDedupWindowExpired = errors.New("too late to be remembered as a repeat")
+var ErrDedupWindowExpired = errors.New("dedup window expired before the call was sent")
 
 // RetryAfterError is the error for a call to a destination that has asked not to be called
 // yet. Remaining is the time until it may be called again.
@@ -39,7 +39,7 @@
 
 // Error returns a text that contains the remaining time in seconds.
 func (e RetryAfterError) Error() string {
-	return fmt.Sprintf("told to wait for %.3f s more", float64(e.Remaining)/1e6)
+	return fmt.Sprintf("Retry-After in force for another %.3f s", float64(e.Remaining)/1e6)
 }
 
 // IsRefusal reports whether an error comes from this package. The call was then not sent
