--- a/internal/upstream/call.go
+++ b/internal/upstream/call.go
@@ -13,31 +13,32 @@
 )
 
 const (
-	// maxConnAttempts is on how many connections the writing of one call is begun.
+	// maxConnAttempts is the maximum number of connections on which the relay starts to
+	// write one call.
 	maxConnAttempts = 4
-	// lateResponseGrace is for what has come of a response by the time that its call
-	// is given up.
+	// lateResponseGrace is the time for reading a response that has already arrived
+	// when its call is cancelled or times out.
 	lateResponseGrace = 10 * time.Millisecond
 )
 
-// CallOptions are what a [Call] may do.
+// CallOptions configure a [Call].
 type CallOptions struct {
-	// SendBy is the moment by which the last byte is written, or never is; 0 for any
-	// time.
+	// SendBy is the latest time, by the pool's clock, at which the last byte may be
+	// written; after it the call is not sent. 0 means no limit.
 	SendBy policy.Time
-	// WarmingUp has connections over TLS opened one at a time, by calls that
-	// MayConnect.
+	// WarmingUp reports that the endpoint is warming up: its TLS connections are opened
+	// one at a time, and only by calls with MayConnect unless handshakes are not charged.
 	WarmingUp bool
-	// MayConnect reports that the policy has counted on a connection being opened.
+	// MayConnect reports that the policy has charged this call for opening a connection.
 	MayConnect bool
-	// OnSent is called once the last byte is written; it may be nil.
+	// OnSent is called after the last byte is written; it may be nil.
 	OnSent func()
-	// ElapsedBefore is for how long the call was in flight in another process.
+	// ElapsedBefore is how long the call was already in flight in another process.
 	ElapsedBefore time.Duration
 }
 
-// Call is one call to an endpoint. It is made by [Call.Do] or goes on by
-// [Call.Adopt], once.
+// Call is one call to an endpoint. Exactly one of [Call.Do], which sends it, and
+// [Call.Adopt], which continues a call of another process, is called, and only once.
 type Call struct {
 	ctx           context.Context
 	cancel        context.CancelCauseFunc
@@ -47,15 +48,15 @@
 	connRequest   connRequest
 
 	mu        sync.Mutex
-	conn      *poolConn // once its last byte is written
+	conn      *poolConn // nil until the last byte is written
 	suspended bool
-	// resumeHere is there once the call is to be suspended; then it says whether the
-	// call goes on in this process.
+	// resumeHere is nil unless the call has been asked to suspend. It then receives
+	// whether the call continues in this process.
 	resumeHere chan bool
 }
 
-// NewCall returns a call that ends with ctx at the latest. [Call.Release] has to be
-// called once it is not needed any more.
+// NewCall returns a call that is cancelled when ctx is done. The caller must call
+// [Call.Release] when it no longer needs the call.
 func NewCall(ctx context.Context, options CallOptions) *Call {
 	ctx, cancel := context.WithCancelCause(ctx)
 	return &Call{
@@ -68,14 +69,15 @@
 	}
 }
 
-// Cancel gives the call up. Its result says whether it may have run.
+// Cancel cancels the call. Its result states whether the call may have run.
 func (c *Call) Cancel() { c.cancel(errCancelled) }
 
-// Release frees what the call holds. It ends one that is in flight.
+// Release frees the resources of the call. A call that is still in flight ends.
 func (c *Call) Release() { c.cancel(nil) }
 
-// Do makes the call. It reports the result once, as soon as that is certain, and
-// returns when the call's connection carries nothing of it any more.
+// Do sends the call and calls report once, as soon as the result is certain. It returns
+// when the call's connection carries no more of its data. A call that is abandoned to
+// another process is not reported; see [InFlight.Abandon].
 func (c *Call) Do(endpoint *Endpoint, request Request, report func(Result)) {
 	start := time.Now()
 	ctx, cancel := context.WithTimeoutCause(c.ctx, request.Timeout, context.DeadlineExceeded)
@@ -102,27 +104,27 @@
 	c.awaitResponse(ctx, conn, req, start, request.LoadFields, report)
 }
 
-// unsentResult is the result of a call whose last byte was not written.
+// unsentResult returns the result of a call whose last byte was not written.
 func (c *Call) unsentResult(outcome policy.Outcome, err error, start time.Time) Result {
 	result := Result{Outcome: outcome, Err: err, ConnectionsOpened: c.connRequest.opened}
 	if errors.Is(context.Cause(c.ctx), errHandedOver) {
 		result.Outcome = policy.NotSent
 	}
 	var budget handshakeBudgetError
-	var held sendgate.RetryAfterError
+	var retryAfter sendgate.RetryAfterError
 	switch {
 	case errors.As(err, &budget):
 		result.RetryAfter = budget.retryAfter.Microseconds()
-	case errors.As(err, &held):
-		result.RetryAfter = held.Remaining
+	case errors.As(err, &retryAfter):
+		result.RetryAfter = retryAfter.Remaining
 	}
 	result.Elapsed = elapsedSince(start)
 	return result
 }
 
-// send gets a connection and writes the request to it. With an error, its last byte
-// was not written. A connection that turns out to be of no use before then is
-// replaced: nothing of the call counts so far.
+// send acquires a connection and writes the request to it. An error means that the
+// last byte was not written. If a connection breaks before its last byte is written,
+// send tries another one: an endpoint cannot run a call that it received in part.
 func (c *Call) send(ctx context.Context, endpoint *Endpoint, request []byte) (*poolConn, policy.Outcome, error) {
 	permit, err := endpoint.gate.Acquire(endpoint.pool.now(), c.cancel)
 	if err != nil {
@@ -139,12 +141,12 @@
 			return nil, policy.ConnectFailed, err
 		}
 		if err = conn.trySend(ctx, permit, request); err == nil {
-			return conn, 0, nil // the caller watches on
+			return conn, 0, nil // from here the caller closes the connection when ctx ends
 		}
 		if sendgate.IsRefusal(err) {
 			return nil, policy.NotSent, err
 		}
-		if rejected := conn.recordAlert(err); rejected != nil { // nothing ran
+		if rejected := conn.recordAlert(err); rejected != nil { // the call did not run
 			return nil, policy.NotSent, rejected
 		}
 		if attemptsLeft == 0 || ctx.Err() != nil {
@@ -154,13 +156,13 @@
 	}
 }
 
-// trySend writes the request to a connection. With an error, its last byte was not
-// written, and the connection is given back or closed.
+// trySend writes the request to the connection. An error means that the last byte was
+// not written and that the connection was released or closed.
 func (c *poolConn) trySend(ctx context.Context, permit *sendgate.Permit, request []byte) error {
 	c.remaining = maxResponseBytes
 	unwatch := context.AfterFunc(ctx, func() { c.expireAt(pastDeadline) })
 	untouched, err := c.writeRequest(ctx, permit, request)
-	unwatched := unwatch() // else its deadline may be set at any moment
+	unwatched := unwatch() // if false, the deadline may still be set at any moment
 	switch {
 	case err == nil:
 	case untouched && unwatched:
@@ -171,7 +173,8 @@
 	return err
 }
 
-// awaitResponse waits for the response to a request that is written.
+// awaitResponse waits for the response to a request whose last byte was written, and
+// reports its result.
 func (c *Call) awaitResponse(
 	ctx context.Context,
 	conn *poolConn,
@@ -180,7 +183,8 @@
 	loadFields []string,
 	report func(Result),
 ) {
-	// What has come already is read all the same: it may be a Retry-After time.
+	// When ctx ends, a response that has already arrived is still read: it may contain a
+	// Retry-After time.
 	unwatch := context.AfterFunc(ctx, func() { conn.expireAt(time.Now().Add(lateResponseGrace)) })
 	if !c.awaitFirstByte(ctx, conn) {
 		unwatch()
@@ -195,15 +199,15 @@
 		if result.Outcome == policy.ConnectionReset {
 			result.Outcome = outcomeWithoutResponse(ctx)
 		}
-		_ = conn.recordAlert(result.Err) // the result stays as it is
+		_ = conn.recordAlert(result.Err) // the call may have run, so a rejection does not change its outcome
 		if result.Outcome != policy.Delivered && (result.Err != nil || result.Malformed) {
-			// The message may be sent again as soon as the result is reported, and the
-			// endpoint counts two copies for as long as this connection is open.
+			// The connection is closed first: the message may be sent again as soon as the
+			// result is reported, and the endpoint counts two copies while this one is open.
 			conn.discard()
 			discarded = true
 		}
-		// Nobody waits for the call any more; what is left of its response has its
-		// own bound.
+		// The caller has its result now. Reading the rest of the response has a time
+		// limit of its own.
 		report(result)
 	})
 	switch ended := !unwatch(); {
@@ -215,8 +219,8 @@
 	}
 }
 
-// outcomeWithoutResponse is the outcome of a call that was written and has no
-// response.
+// outcomeWithoutResponse returns the outcome of a call that was written completely but
+// received no response.
 func outcomeWithoutResponse(ctx context.Context) policy.Outcome {
 	switch {
 	case errors.Is(context.Cause(ctx), errCancelled):
--- a/internal/upstream/call_bench_test.go
+++ b/internal/upstream/call_bench_test.go
@@ -11,9 +11,9 @@
 	"troutusher/policy"
 )
 
-// BenchmarkCalls makes calls on kept connections, 64 at a time. It reports calls a
-// second, and processor time of both sides. The stale check before a call's last byte
-// is as in service.
+// BenchmarkCalls sends calls on kept connections, 64 at a time. It reports calls per second
+// and the CPU time of relay and endpoint together. The delay of the stale check before a
+// call's last byte is the default one.
 func BenchmarkCalls(b *testing.B) {
 	body := make([]byte, 200)
 	for name, tr := range map[string]*transport{"plain": {}, "tls 1.3": nil} {
@@ -31,7 +31,7 @@
 			call := func() {
 				newTestCall().Do(endpoint, Request{ID: "m", Body: body, Timeout: testTimeout}, func(result Result) {
 					if result.Outcome != policy.Delivered {
-						b.Errorf("got %+v", result)
+						b.Errorf("Call.Do reported %+v, want outcome Delivered", result)
 					}
 				})
 			}
@@ -53,7 +53,7 @@
 				}
 				wg.Wait()
 			}
-			run(256) // connections
+			run(256) // open the connections before the measurement
 			cpu := func() time.Duration {
 				var usage syscall.Rusage
 				if err := syscall.Getrusage(syscall.RUSAGE_SELF, &usage); err != nil {
--- a/internal/upstream/call_test.go
+++ b/internal/upstream/call_test.go
@@ -14,8 +14,9 @@
 	"troutusher/policy"
 )
 
-// Guards the difference between what never ran and what may have: a refused
-// connection never ran, silence after the last byte may have.
+// Guards against confusing calls that never ran with calls that may have run. If the
+// connection is refused, the call never ran; if the endpoint stays silent after the last
+// byte, it may have run.
 func TestOutcomeWithoutResponse(t *testing.T) { forEachTransport(t, testOutcomeWithoutResponse) }
 
 func testOutcomeWithoutResponse(t *testing.T, tr *transport) {
@@ -27,7 +28,7 @@
 	refused := listener.Addr().String()
 	_ = listener.Close()
 	if result := callOnce(t, tr.open(pool, refused), Request{ID: "m"}); result.Outcome != policy.ConnectFailed {
-		t.Errorf("refused: %+v", result)
+		t.Errorf("call to a refusing port: got %+v, want outcome ConnectFailed", result)
 	}
 	closed := make(chan struct{}, 2)
 	entered := make(chan struct{}, 2)
@@ -35,7 +36,7 @@
 		reader := bufio.NewReader(conn)
 		upstreamtest.ReadRequest(reader)
 		entered <- struct{}{}
-		awaitByte(reader) // until the caller closes
+		awaitByte(reader) // until the relay closes the connection
 		closed <- struct{}{}
 	})
 	if result := callOnce(
@@ -43,20 +44,20 @@
 		tr.open(pool, silent),
 		Request{ID: "m", Timeout: 50 * time.Millisecond},
 	); result.Outcome != policy.TimedOut {
-		t.Errorf("silent: %+v", result)
+		t.Errorf("call to a silent endpoint: got %+v, want outcome TimedOut", result)
 	}
 	<-entered
-	<-closed // giving up closes the connection
+	<-closed // the timeout must close the connection
 	call := newTestCall()
 	go func() { <-entered; call.Cancel() }()
 	if result := complete(t, call, tr.open(pool, silent), Request{ID: "m"}); result.Outcome != policy.Cancelled {
-		t.Errorf("cancelled: %+v", result)
+		t.Errorf("cancelled call: got %+v, want outcome Cancelled", result)
 	}
 	<-closed
 }
 
-// Guards against a call that is sent again by itself where a kept-alive
-// connection breaks under it.
+// Guards against sending a call twice. net/http, for example, repeats a request by itself
+// if a kept-alive connection breaks while it waits for the response.
 func TestNoAutomaticRetry(t *testing.T) { forEachTransport(t, testNoAutomaticRetry) }
 
 func testNoAutomaticRetry(t *testing.T, tr *transport) {
@@ -67,7 +68,7 @@
 				reader := bufio.NewReader(conn)
 				for upstreamtest.ReadRequest(reader) {
 					if calls.Add(1) == 2 {
-						return // the second call on a kept connection breaks
+						return // close the kept connection instead of answering the second call
 					}
 					respond(conn, "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n")
 				}
@@ -75,14 +76,14 @@
 			endpoint := tr.open(testPool(t), addr)
 			request := Request{ID: "m", IdempotencyKey: "k", Body: body, Timeout: testTimeout}
 			if result := callOnce(t, endpoint, request); result.Outcome != policy.Delivered {
-				t.Fatalf("first: %+v", result)
+				t.Fatalf("first call: got %+v, want outcome Delivered", result)
 			}
 			waitReusable(endpoint)
 			if result := callOnce(t, endpoint, request); result.Outcome != policy.ConnectionReset {
-				t.Errorf("second: %+v", result)
+				t.Errorf("second call: got %+v, want outcome ConnectionReset", result)
 			}
 			if n := calls.Load(); n != 2 {
-				t.Errorf("the endpoint saw %d calls, want 2", n)
+				t.Errorf("calls at the endpoint = %d, want 2", n)
 			}
 		})
 	}
@@ -91,12 +92,12 @@
 		&Request{ID: "m", IdempotencyKey: "k", Body: []byte("b"), Timeout: time.Second},
 	)
 	if err != nil || req.GetBody != nil {
-		t.Errorf("request can be rewound: GetBody %v, err %v", req.GetBody != nil, err)
+		t.Errorf("newCallRequest: GetBody set %v, error %v, want neither", req.GetBody != nil, err)
 	}
 }
 
-// Guards the drain grace: a call that waits for its connection when a drain begins
-// must not be sent once the connection is open.
+// Guards the drain grace. A call that is still waiting for its connection when a drain
+// starts must not be sent when the connection opens.
 func TestDrainStopsWaitingCall(t *testing.T) {
 	server := newCountingEndpoint(t, http.StatusOK)
 	pool := testPool(t)
@@ -110,17 +111,18 @@
 	call := newTestCall()
 	go func() { <-dialing; endpoint.Close(); close(release) }()
 	if result := complete(t, call, endpoint, Request{ID: "m"}); result.Outcome != policy.NotSent {
-		t.Errorf("got %+v", result)
+		t.Errorf("call waiting when the drain starts: got %+v, want outcome NotSent", result)
 	}
 	if n := server.count("m"); n != 0 {
-		t.Errorf("the call went out %d times", n)
+		t.Errorf("calls at the endpoint = %d, want 0", n)
 	}
-	// The drain may also begin just as the connection opens.
+	// A call that starts after the drain is not sent either.
 	endpoint = openPlain(pool, server.address)
 	endpoint.Close()
 	result := callOnce(t, endpoint, Request{ID: "late"})
 	if result.Outcome != policy.NotSent || server.count("late") != 0 {
-		t.Errorf("got %+v, and %d calls", result, server.count("late"))
+		t.Errorf("call started after the drain: got %+v and %d calls at the endpoint, want outcome NotSent and 0",
+			result, server.count("late"))
 	}
 }
 
@@ -128,16 +130,17 @@
 	for code, want := range map[int]policy.Outcome{200: policy.Delivered, 503: policy.Rejected, 404: policy.Failed} {
 		server := newCountingEndpoint(t, code)
 		if result := openPlain(testPool(t), server.address).CheckHealth(context.Background()); result.Outcome != want {
-			t.Errorf("%d: %+v", code, result)
+			t.Errorf("CheckHealth with status %d: got %+v, want outcome %d", code, result, want)
 		}
 	}
 }
 
-// The end of an endpoint's deduplication window, and a connection that opens late: a
-// retry that was in time as it began is not written after the window, in either order
-// of the two, and it never ran. The connection stays usable for other calls.
+// Guards against retries after an endpoint's dedup window, which the endpoint would run
+// again. A retry that starts inside the window must not be sent if the window ends while
+// the connection opens or before the last byte is written; its result must say that it
+// never ran.
 func TestRetryInsideDedupWindow(t *testing.T) {
-	for name, up := range map[string]policy.Time{"in time": 999, "late": 1001} {
+	for name, later := range map[string]policy.Time{"in time": 999, "late": 1001} {
 		for _, at := range []string{"before the first byte", "before the last byte"} {
 			server := newCountingEndpoint(t, http.StatusOK)
 			pool := testPool(t)
@@ -148,14 +151,14 @@
 			dial := endpoint.dial
 			if at == "before the first byte" {
 				endpoint.dial = func(ctx context.Context, addr string) (net.Conn, error) {
-					conn, err := dial(ctx, addr) // it opens late
-					now.Store(up)
+					conn, err := dial(ctx, addr)
+					now.Store(later)
 					return conn, err
 				}
 			} else {
 				endpoint.dial = func(ctx context.Context, addr string) (net.Conn, error) {
 					conn, err := dial(ctx, addr)
-					return &firstWriteConn{conn.(*net.TCPConn), func() { now.Store(up) }}, err
+					return &firstWriteConn{conn.(*net.TCPConn), func() { now.Store(later) }}, err
 				}
 			}
 			result := complete(t, call, endpoint, Request{ID: "m", IdempotencyKey: "k"})
@@ -164,59 +167,59 @@
 				want, calls = policy.NotSent, 0
 			}
 			if result.Outcome != want || server.count("m") != calls {
-				t.Errorf("%s, %s: outcome %d (%v), %d calls at the endpoint",
-					name, at, result.Outcome, result.Err, server.count("m"))
+				t.Errorf("%s, %s: got outcome %d (%v) and %d calls at the endpoint, want %d and %d",
+					name, at, result.Outcome, result.Err, server.count("m"), want, calls)
 			}
 			if !result.Outcome.NeverRan() && calls == 0 {
-				t.Errorf("%s, %s: taken to have run", name, at)
+				t.Errorf("%s, %s: Outcome(%d).NeverRan() = false, want true", name, at, result.Outcome)
 			}
 		}
 	}
 }
 
-// firstWriteConn does something as the first bytes are out.
+// firstWriteConn calls a function after the first write.
 type firstWriteConn struct {
 	*net.TCPConn
-	then func()
+	afterWrite func()
 }
 
 func (c *firstWriteConn) Write(b []byte) (int, error) {
 	n, err := c.TCPConn.Write(b)
-	if c.then != nil {
-		c.then()
-		c.then = nil
+	if c.afterWrite != nil {
+		c.afterWrite()
+		c.afterWrite = nil
 	}
 	return n, err
 }
 
-// The result of a call is reported once its connection is closed, since the message may
-// be sent again in that very moment, and an endpoint counts a second copy for as long
-// as the first one's connection is open: a call that timed out or was cancelled, a
-// response that never ends, one that cannot be read.
+// Guards against reporting a failed call while its connection is still open. The message
+// may be sent again as soon as the result is reported, and the endpoint counts two copies
+// at once until the first connection is closed. The cases are calls that time out or are
+// cancelled, responses that never end and malformed responses.
 func TestResultAfterConnectionClosed(t *testing.T) {
 	forEachTransport(t, testResultAfterConnectionClosed)
 }
 
 func testResultAfterConnectionClosed(t *testing.T, tr *transport) {
 	const (
-		head       = "HTTP/1.1 500 E\r\nContent-Length: 60000\r\n\r\n"
-		chunked    = "HTTP/1.1 500 E\r\nTransfer-Encoding: chunked\r\n\r\n"
-		unreadable = "HTTP/1.1 429 W\r\nRetry-After: soon\r\nContent-Length: 0\r\n\r\n"
+		head          = "HTTP/1.1 500 E\r\nContent-Length: 60000\r\n\r\n"
+		chunked       = "HTTP/1.1 500 E\r\nTransfer-Encoding: chunked\r\n\r\n"
+		badRetryAfter = "HTTP/1.1 429 W\r\nRetry-After: soon\r\nContent-Length: 0\r\n\r\n"
 	)
 	for _, test := range []struct {
-		name   string
-		says   string
-		more   string // again and again
-		limit  time.Duration
-		cancel bool
-		want   policy.Outcome
+		name     string
+		response string
+		repeated string // sent after response until the connection is closed
+		timeout  time.Duration
+		cancel   bool
+		want     policy.Outcome
 	}{
 		{"timed out", "", "", 50 * time.Millisecond, false, policy.TimedOut},
 		{"cancelled", "", "", testTimeout, true, policy.Cancelled},
-		{"stops in the middle", head, "", testTimeout, false, policy.Failed},
-		{"never ends", chunked, "1\r\nx\r\n", testTimeout, false, policy.Failed},
-		{"nonsense", "what is this?\r\n", "", testTimeout, false, policy.Failed},
-		{"a Retry-After that cannot be read", unreadable, "", testTimeout, false, policy.Failed},
+		{"response stops after the head", head, "", testTimeout, false, policy.Failed},
+		{"body never ends", chunked, "1\r\nx\r\n", testTimeout, false, policy.Failed},
+		{"malformed status line", "what is this?\r\n", "", testTimeout, false, policy.Failed},
+		{"malformed Retry-After", badRetryAfter, "", testTimeout, false, policy.Failed},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			received, closed := make(chan struct{}), make(chan struct{})
@@ -227,29 +230,29 @@
 					return
 				}
 				close(received)
-				respond(conn, test.says)
-				for test.more != "" {
-					if _, err := io.WriteString(conn, test.more); err != nil {
+				respond(conn, test.response)
+				for test.repeated != "" {
+					if _, err := io.WriteString(conn, test.repeated); err != nil {
 						return
 					}
 				}
-				waitClosed(reader) // until it ends
+				waitClosed(reader)
 			}))
 			call := newTestCall()
 			if test.cancel {
 				go func() { <-received; call.Cancel() }()
 			}
 			results := make(chan Result, 1)
-			call.Do(endpoint, Request{ID: "m", IdempotencyKey: "k", Timeout: test.limit}, func(result Result) {
+			call.Do(endpoint, Request{ID: "m", IdempotencyKey: "k", Timeout: test.timeout}, func(result Result) {
 				select {
 				case <-closed:
 				case <-time.After(2 * time.Second):
-					t.Error("reported while its connection was open")
+					t.Error("connection still open 2 s after Call.Do called report, want it closed before")
 				}
 				results <- result
 			})
 			if result := <-results; result.Outcome != test.want {
-				t.Errorf("outcome %d, want %d: %v", result.Outcome, test.want, result.Err)
+				t.Errorf("Call.Do reported outcome %d (%v), want %d", result.Outcome, result.Err, test.want)
 			}
 		})
 	}
--- a/internal/upstream/conn.go
+++ b/internal/upstream/conn.go
@@ -14,14 +14,14 @@
 	"troutusher/internal/tlsdial"
 )
 
-// poolConn is one connection, held by one call or idle.
+// poolConn is a connection of the pool. It is either used by one call or idle.
 type poolConn struct {
 	net.Conn
-	tls       *tlsdial.Conn // the same connection, where it is one over TLS
+	tls       *tlsdial.Conn // the same connection if it uses TLS, else nil
 	endpoint  *Endpoint
 	reader    *bufio.Reader
 	remaining int64 // bytes that may still be read for the response
-	used      bool  // by a call; one without TLS is used as soon as it is open
+	used      bool  // a call has used it; always true without TLS
 	idleSince time.Time
 }
 
@@ -31,7 +31,7 @@
 	return c
 }
 
-// Read reads from the connection, within the bytes that a response may have.
+// Read reads from the connection, up to the size limit of a response.
 func (c *poolConn) Read(b []byte) (int, error) {
 	if c.remaining <= 0 {
 		return 0, errResponseTooLarge
@@ -41,34 +41,35 @@
 	return n, err
 }
 
-// A deadline that cannot be set is one of a connection that is closed: its next read
-// or write says so. So the setters below have no error.
+// The setters below ignore errors: setting a deadline fails only on a closed connection,
+// and then the next read or write fails as well.
 
-// expireAt ends reads and writes at a moment.
+// expireAt sets the deadline of reads and writes; the zero time means no deadline.
 func (c *poolConn) expireAt(t time.Time) { _ = c.SetDeadline(t) }
 
-// expireReadsAt ends reads at a moment; the zero time lets them go on.
+// expireReadsAt sets the deadline of reads; the zero time means no deadline.
 func (c *poolConn) expireReadsAt(t time.Time) { _ = c.SetReadDeadline(t) }
 
-// startReadTimeout ends reads once a time has passed. The call's own timeout stays.
+// startReadTimeout ends reads after the timeout, unless the returned timer is stopped. It
+// does not replace the deadline that the call's own timeout sets.
 func (c *poolConn) startReadTimeout(timeout time.Duration) *time.Timer {
 	return time.AfterFunc(timeout, func() { c.expireReadsAt(pastDeadline) })
 }
 
-// discard closes a connection that a call held. Over TLS no closing alert is
-// written: it could wait for a peer that reads nothing.
+// discard closes a connection after a call. It sends no TLS close_notify alert, because
+// that write could block on a peer that does not read.
 func (c *poolConn) discard() {
 	p := c.endpoint.pool
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if c.tls != nil {
-		_ = c.tls.Raw().Close() // given up, whatever it says
+		_ = c.tls.Raw().Close() // an error changes nothing: the connection is not used again
 	}
 	p.closeLocked(c)
 }
 
-// release returns a connection to the pool after a call whose response was read to
-// its end.
+// release returns a connection to the pool after a call whose response was read
+// completely.
 func (c *poolConn) release() {
 	c.expireAt(time.Time{})
 	p := c.endpoint.pool
@@ -83,9 +84,9 @@
 	c.endpoint.notifyWaiters()
 }
 
-// reusable reports whether nothing waits to be read: whatever comes before a call's
-// last byte is written is no response to it, and an end of file is the end of the
-// connection.
+// reusable reports whether the connection has nothing to read. Bytes that arrive before
+// a call's last byte is written cannot be the response to that call, and an end of file
+// means that the endpoint has closed the connection.
 func (c *poolConn) reusable() bool {
 	if c.reader.Buffered() > 0 {
 		return false
@@ -96,7 +97,8 @@
 	return noPendingInput(c.Conn)
 }
 
-// noPendingInput reports whether a socket has nothing to read. It does not wait.
+// noPendingInput reports whether the socket of conn has nothing to read. It does not
+// block.
 func noPendingInput(conn net.Conn) bool {
 	socket, ok := conn.(syscall.Conn)
 	if !ok {
@@ -116,11 +118,11 @@
 	return err == nil && empty
 }
 
-// descriptor returns the file descriptor, which stays the connection's own.
+// descriptor returns the connection's file descriptor, which the connection still owns.
 func (c *poolConn) descriptor() (fd int, err error) {
 	socket, ok := c.Conn.(syscall.Conn)
 	if !ok {
-		return 0, errors.New("no socket")
+		return 0, errors.New("connection has no socket")
 	}
 	raw, err := socket.SyscallConn()
 	if err != nil {
@@ -129,14 +131,15 @@
 	return fd, raw.Control(func(n uintptr) { fd = int(n) })
 }
 
-// writeRequest writes a whole request but for its last byte, makes sure that nothing
-// has come yet, and then writes that byte. An error means that the last byte was not
-// written: the call never ran; with untouched, no byte was. It is the one place where
-// bytes of a request go out, and the send gate is asked before the first and the last.
+// writeRequest writes all of a request except its last byte, checks that nothing has
+// arrived meanwhile, and then writes the last byte. An error means that the last byte was
+// not written, so the call never ran; if untouched is true, no byte was written at all.
+// This is the only place that writes requests, and it asks the send gate before the first
+// and before the last byte.
 //
-// There is a delay before the last byte: a connection that its endpoint has dropped
-// in silence, or drops now, is reset as soon as anything reaches it, and shows so
-// while it is still certain that the call has not run.
+// It waits before the last byte because an endpoint may have dropped the connection
+// without a notice: the first bytes then cause a reset, which arrives while it is still
+// certain that the call has not run.
 func (c *poolConn) writeRequest(
 	ctx context.Context,
 	permit *sendgate.Permit,
@@ -150,10 +153,10 @@
 	if _, err := c.Write(request[:last]); err != nil {
 		return false, err
 	}
-	if err := c.awaitNothing(ctx, pool.staleCheckDelay); err != nil {
+	if err := c.checkStale(ctx, pool.staleCheckDelay); err != nil {
 		return false, err
 	}
-	// ctx may have ended just now.
+	// ctx may have ended since the check.
 	if err := cmp.Or(ctx.Err(), permit.AllowLastByte(pool.now())); err != nil {
 		return false, err
 	}
@@ -161,15 +164,15 @@
 	return false, err
 }
 
-// awaitNothing waits for a time in which nothing may come: no byte, no end of file,
-// no reset.
-func (c *poolConn) awaitNothing(ctx context.Context, delay time.Duration) error {
+// checkStale waits for the given delay and returns an error if a byte, an end of file or
+// a reset arrives meanwhile.
+func (c *poolConn) checkStale(ctx context.Context, delay time.Duration) error {
 	c.expireReadsAt(time.Now().Add(delay))
 	if _, err := c.reader.Peek(1); !errors.Is(err, os.ErrDeadlineExceeded) {
 		return cmp.Or(err, errStaleConn)
 	}
 	c.expireReadsAt(time.Time{})
-	if err := ctx.Err(); err != nil { // its deadline may be the one just cleared
+	if err := ctx.Err(); err != nil { // the line above may have cleared the deadline that ctx set
 		return err
 	}
 	if !c.reusable() {
--- a/internal/upstream/conn_test.go
+++ b/internal/upstream/conn_test.go
@@ -15,15 +15,16 @@
 	"troutusher/policy"
 )
 
-// Guards each response against what came behind the one before: a second copy or
-// noise must not pass for the response to the next call, whether it is there when the
-// connection is released, comes while it is idle, or only when the call is written but
-// for its last byte. Nothing of the call counts then, so that it goes out on another
-// connection, once.
+// Guards against taking extra bytes after a response for the response to the next call. An
+// endpoint may send a second copy, noise or an end of file, while the connection is idle
+// or while the next call is written up to its last byte. The relay must then send the
+// call once, on another connection.
 func TestBytesAfterResponse(t *testing.T) { forEachTransport(t, testBytesAfterResponse) }
 
 func testBytesAfterResponse(t *testing.T, tr *transport) {
-	for name, behind := range map[string]string{"copy": upstreamtest.OKResponse, "noise": "\x00\x01\x02", "end": ""} {
+	for name, extra := range map[string]string{
+		"second copy": upstreamtest.OKResponse, "noise": "\x00\x01\x02", "end of file": "",
+	} {
 		t.Run("while idle, "+name, func(t *testing.T) {
 			var conns, calls atomic.Int32
 			sent := make(chan struct{}, 8)
@@ -38,41 +39,41 @@
 					}
 					respond(conn, upstreamtest.OKResponse)
 					<-more
-					respond(conn, behind)
+					respond(conn, extra)
 					sent <- struct{}{}
-					if behind == "" {
+					if extra == "" {
 						return
 					}
 				}
 			}))
 			if result := callOnce(t, endpoint, Request{ID: "a"}); result.Outcome != policy.Delivered {
-				t.Fatalf("first: %+v", result)
+				t.Fatalf("first call: got %+v, want outcome Delivered", result)
 			}
 			if _, idle := endpoint.pool.counts(); idle != 1 {
-				t.Fatalf("%d idle connections, want 1", idle)
+				t.Fatalf("idle connections = %d, want 1", idle)
 			}
 			close(more)
 			<-sent
 			waitReusable(endpoint)
-			waitFor(t, "the bytes", func() bool {
+			waitFor(t, "the extra bytes to arrive", func() bool {
 				endpoint.pool.mu.Lock()
 				defer endpoint.pool.mu.Unlock()
 				return len(endpoint.pool.idle) == 0 || !endpoint.pool.idle[0].reusable()
 			})
 			if result := callOnce(t, endpoint, Request{ID: "b"}); result.Outcome != policy.Rejected {
-				t.Errorf("second: %+v", result)
+				t.Errorf("second call: got %+v, want outcome Rejected", result)
 			}
 			if conns.Load() != 2 || calls.Load() != 2 {
-				t.Errorf("%d connections, %d calls, want 2 and 2", conns.Load(), calls.Load())
+				t.Errorf("endpoint saw %d connections and %d calls, want 2 and 2", conns.Load(), calls.Load())
 			}
 		})
 	}
 	t.Run("while the call is written", func(t *testing.T) {
 		if tr.site != nil {
-			t.Skip("has a test of its own") // TestAlertOutcomes
+			t.Skip("TestAlertOutcomes covers this over TLS")
 		}
 		var conns atomic.Int32
-		got := make(chan int, 4) // bytes of the second call on the first connection
+		got := make(chan int, 4) // complete bodies of the second call on the first connection
 		endpoint := tr.open(testPool(t), tr.serve(t, func(conn net.Conn) {
 			first := conns.Add(1) == 1
 			reader := bufio.NewReader(conn)
@@ -87,7 +88,7 @@
 			}
 		}))
 		if result := callOnce(t, endpoint, Request{ID: "a"}); result.Outcome != policy.Delivered {
-			t.Fatalf("first: %+v", result)
+			t.Fatalf("first call: got %+v, want outcome Delivered", result)
 		}
 		waitReusable(endpoint)
 		endpoint.pool.mu.Lock()
@@ -96,15 +97,16 @@
 		endpoint.pool.mu.Unlock()
 		result := callOnce(t, endpoint, Request{ID: "b", Body: []byte("the tail of the body")})
 		if result.Outcome != policy.Rejected {
-			t.Errorf("second: %+v", result)
+			t.Errorf("second call: got %+v, want outcome Rejected", result)
 		}
 		if n := <-got; n != 0 || conns.Load() != 2 {
-			t.Errorf("the call went out whole on the first connection (%d), %d connections", n, conns.Load())
+			t.Errorf("complete copies of the second call on the first connection = %d, connections = %d, want 0 and 2",
+				n, conns.Load())
 		}
 	})
 }
 
-// closeReadOnWriteConn brings bytes just as a call begins to be written.
+// closeReadOnWriteConn reaches its end of file right after the first write.
 type closeReadOnWriteConn struct {
 	*net.TCPConn
 	written bool
@@ -114,14 +116,14 @@
 	n, err := c.TCPConn.Write(b)
 	if !c.written {
 		c.written = true
-		err = errors.Join(err, c.CloseRead()) // an end is as good as a byte: something is there to be read
+		err = errors.Join(err, c.CloseRead()) // an end of file counts as unexpected input, like a byte
 	}
 	return n, err
 }
 
-// Guards unsafe messages against kept connections that their endpoint has
-// dropped in silence: the reset comes before the last byte, so the call goes
-// out on another connection and counts once.
+// Guards non-idempotent messages against kept connections that their endpoint has dropped
+// without a notice. The reset arrives before the call's last byte is written, so the
+// relay can safely send the call on another connection; the endpoint must see it once.
 func TestSilentlyDroppedConnection(t *testing.T) { forEachTransport(t, testSilentlyDroppedConnection) }
 
 func testSilentlyDroppedConnection(t *testing.T, tr *transport) {
@@ -136,13 +138,13 @@
 		calls.Add(1)
 		respond(conn, upstreamtest.OKResponse)
 		if first {
-			awaitByte(reader) // of the next call
+			awaitByte(reader) // the first byte of the next call
 			resetOnClose(conn)
 		}
 	}))
 	pool.staleCheckDelay = time.Millisecond
 	if result := callOnce(t, endpoint, Request{ID: "a"}); result.Outcome != policy.Delivered {
-		t.Fatalf("first: %+v", result)
+		t.Fatalf("first call: got %+v, want outcome Delivered", result)
 	}
 	waitReusable(endpoint)
 	dial := endpoint.dial
@@ -150,17 +152,17 @@
 		pool.staleCheckDelay = time.Millisecond
 		return dial(ctx, addr)
 	}
-	pool.staleCheckDelay = testTimeout // the reset ends it
+	pool.staleCheckDelay = testTimeout // the reset must end the wait
 	if result := callOnce(t, endpoint, Request{ID: "b"}); result.Outcome != policy.Delivered {
-		t.Errorf("second: %+v", result)
+		t.Errorf("second call: got %+v, want outcome Delivered", result)
 	}
 	if conns.Load() != 2 || calls.Load() != 2 {
-		t.Errorf("%d connections, %d calls, want 2 and 2", conns.Load(), calls.Load())
+		t.Errorf("endpoint saw %d connections and %d calls, want 2 and 2", conns.Load(), calls.Load())
 	}
 }
 
-// Guards what never ran: a connection that breaks before the call's last byte
-// is written.
+// Guards against reporting that a call may have run if its connection breaks before the
+// last byte is written.
 func TestBrokenBeforeLastByte(t *testing.T) {
 	endpoint := openPlain(testPool(t), upstreamtest.ServeTCP(t, func(conn net.Conn) { waitClosed(conn) }))
 	dial := endpoint.dial
@@ -169,10 +171,11 @@
 		return &failSecondWriteConn{TCPConn: conn.(*net.TCPConn)}, err
 	}
 	if result := callOnce(t, endpoint, Request{ID: "m", Body: []byte("b")}); result.Outcome != policy.ConnectFailed {
-		t.Errorf("got %+v", result)
+		t.Errorf("Call.Do reported %+v, want outcome ConnectFailed", result)
 	}
 }
 
+// failSecondWriteConn fails its second write.
 type failSecondWriteConn struct {
 	*net.TCPConn
 	writes int
--- a/internal/upstream/connect_test.go
+++ b/internal/upstream/connect_test.go
@@ -13,8 +13,8 @@
 	"troutusher/policy"
 )
 
-// fullListener is an endpoint whose accept queue is full: connections to it do not come
-// up before the first one, which fills the queue, is accepted.
+// fullListener returns a listener whose accept queue is full. New connections to it do not
+// open until the test accepts the first one, which fills the queue.
 func fullListener(t *testing.T) net.Listener {
 	t.Helper()
 	fd, err := unix.Socket(unix.AF_INET, unix.SOCK_STREAM|unix.SOCK_CLOEXEC, 0)
@@ -22,7 +22,7 @@
 		t.Fatal(err)
 	}
 	file := os.NewFile(uintptr(fd), "listener")
-	defer func() { _ = file.Close() }() // the listener has a descriptor of its own
+	defer func() { _ = file.Close() }() // the listener has a duplicate of the descriptor
 	if err := unix.Bind(fd, &unix.SockaddrInet4{Addr: [4]byte{127, 0, 0, 1}}); err != nil {
 		t.Fatal(err)
 	}
@@ -42,26 +42,27 @@
 	return listener
 }
 
-// A connection that never comes up is given up after the connect timeout, long before
-// the call's own; nothing ran, and nothing is left open.
+// Guards against a call that waits for a connection longer than the connect timeout. The
+// call must fail long before its own timeout as one that never ran, and leave no
+// connection open.
 func TestConnectionNeverComesUp(t *testing.T) {
 	pool := testPool(t)
 	pool.connectTimeout = 200 * time.Millisecond
 	endpoint := openPlain(pool, fullListener(t).Addr().String())
 	start := time.Now()
 	if result := callOnce(t, endpoint, Request{ID: "m"}); result.Outcome != policy.ConnectFailed {
-		t.Errorf("got %+v", result)
+		t.Errorf("Call.Do reported %+v, want outcome ConnectFailed", result)
 	}
-	if took := time.Since(start); took > testTimeout/2 {
-		t.Errorf("given up after %v", took)
+	if elapsed := time.Since(start); elapsed > testTimeout/2 {
+		t.Errorf("call ended after %v, want at most %v", elapsed, testTimeout/2)
 	}
 	if open, _ := pool.counts(); open != 0 {
-		t.Errorf("%d connections are open", open)
+		t.Errorf("open connections = %d, want 0", open)
 	}
 }
 
-// A connection that comes up late, but within the connect timeout, carries the call
-// once.
+// Guards against losing or repeating a call whose connection opens slowly, but within the
+// connect timeout.
 func TestConnectionComesUpLate(t *testing.T) {
 	listener := fullListener(t)
 	pool := testPool(t)
@@ -71,7 +72,7 @@
 		open, _ := pool.counts()
 		return open == 1
 	})
-	if _, err := listener.Accept(); err != nil { // the queue is free
+	if _, err := listener.Accept(); err != nil { // frees the accept queue
 		t.Fatal(err)
 	}
 	conn, err := listener.Accept()
@@ -81,11 +82,11 @@
 	defer func() { _ = conn.Close() }()
 	reader := bufio.NewReader(conn)
 	if !upstreamtest.ReadRequest(reader) {
-		t.Fatal("no request")
+		t.Fatal("endpoint received no complete request")
 	}
 	respond(conn, upstreamtest.OKResponse)
 	if result := <-results; result.Outcome != policy.Delivered {
-		t.Errorf("got %+v", result)
+		t.Errorf("Call.Do reported %+v, want outcome Delivered", result)
 	}
 	<-ended
 }
--- a/internal/upstream/endpoint.go
+++ b/internal/upstream/endpoint.go
@@ -10,35 +10,35 @@
 	"troutusher/policy"
 )
 
-// Endpoint is one endpoint's part of a [Pool].
+// Endpoint is an endpoint whose connections are kept in a [Pool].
 type Endpoint struct {
 	pool    *Pool
 	gate    *sendgate.Gate
 	address string
 	dial    func(ctx context.Context, address string) (net.Conn, error)
-	peer    *tlsdial.Endpoint // nil where it is reached without TLS
+	peer    *tlsdial.Endpoint // nil if the endpoint does not use TLS
 
-	// Under the pool's lock:
-	closed bool // no connection is kept any more
+	// The pool's lock guards closed and the fields below it.
+	closed bool // connections are closed after their call instead of being kept
 
-	// Of an endpoint that is reached over TLS, under the pool's lock:
-	connChanged chan struct{} // closed where calls that wait for a connection should look again; nil if none waits
-	waiters     int           // calls that wait for a connection
-	connecting  int           // connections that are being opened
+	// Used only with TLS:
+	connChanged chan struct{} // closed when waiting calls should check the pool again; nil if none waits
+	waiters     int           // number of calls that wait for a connection
+	connecting  int           // number of connections being opened
 }
 
-// HoldUntil has no call go out before a moment of the pool's clock, at this endpoint
-// and at all that share its scope. It never shortens such a time.
+// HoldUntil stops calls from being sent before the given time of the pool's clock, to this
+// endpoint and to all that share its scope. It never shortens a hold that is in force.
 func (e *Endpoint) HoldUntil(until policy.Time) { e.gate.HoldUntil(e.pool.now(), until) }
 
-// RetryAfter returns for how long calls are held back; 0 if they are not.
+// RetryAfter returns the remaining time for which no call may be sent; 0 for none.
 func (e *Endpoint) RetryAfter() policy.Time { return e.gate.RetryAfter(e.pool.now()) }
 
-// CloseIdle closes the idle connections.
+// CloseIdle closes the endpoint's idle connections.
 func (e *Endpoint) CloseIdle() { e.pool.closeIdleIf(func(c *poolConn) bool { return c.endpoint == e }) }
 
-// Close lets no call begin any more, and closes the connections: those that calls
-// hold once these end.
+// Close stops new calls from starting and closes the endpoint's connections. A connection
+// that a call uses is closed when the call ends.
 func (e *Endpoint) Close() {
 	e.gate.Close()
 	e.pool.mu.Lock()
@@ -50,7 +50,7 @@
 	}
 }
 
-// acquire returns an idle connection that can be used, or a new one.
+// acquire returns a usable idle connection, or opens a new one.
 func (e *Endpoint) acquire(ctx context.Context, request *connRequest) (*poolConn, error) {
 	if e.peer != nil {
 		return e.acquireTLS(ctx, request)
@@ -69,7 +69,8 @@
 	return conn, nil
 }
 
-// takeIdleOrReserve returns an idle connection, or takes the place for a new one.
+// takeIdleOrReserve returns a usable idle connection. If there is none, it returns nil and
+// reserves a connection that the caller must open or unreserve.
 func (e *Endpoint) takeIdleOrReserve() (*poolConn, error) {
 	e.pool.mu.Lock()
 	defer e.pool.mu.Unlock()
@@ -80,10 +81,11 @@
 	return conn, nil
 }
 
-// takeIdleLocked returns the connection used last of those that are idle and can be
-// used, if there is one; else the moment from which one that is too fresh may be
-// usable, zero if there is none. unusable is how many had never been used and could
-// not be used any more. The caller holds the pool's lock.
+// takeIdleLocked returns the most recently used idle connection that can be reused, and
+// closes the unusable ones that it finds on the way. If it returns none, usableAt is when
+// a connection whose last call ended less than reuseDelay ago can be reused; zero if there
+// is none. unusable is the number of connections that broke before any call had used them.
+// The caller must hold the pool's lock.
 func (e *Endpoint) takeIdleLocked(now time.Time) (conn *poolConn, usableAt time.Time, unusable int) {
 	p := e.pool
 	for i := len(p.idle) - 1; i >= 0; i-- {
@@ -108,8 +110,8 @@
 	return nil, usableAt, unusable
 }
 
-// notifyWaiters has calls that wait for a connection look again. The caller holds
-// the pool's lock.
+// notifyWaiters wakes up the calls that wait for a connection, so that they check the
+// pool again. The caller must hold the pool's lock.
 func (e *Endpoint) notifyWaiters() {
 	if e.connChanged != nil {
 		close(e.connChanged)
--- a/internal/upstream/golden_test.go
+++ b/internal/upstream/golden_test.go
@@ -17,10 +17,11 @@
 	"troutusher/policy"
 )
 
-// The forms that endpoints see and send, as files recorded from an earlier build
-// under testdata/calls. They do not change with the names of the code.
+// The tests in this file compare requests, responses and error texts with files under
+// testdata/calls, which an earlier build recorded. They make sure that renaming code does
+// not change what endpoints and operators see.
 
-// readGolden reads a recorded file.
+// readGolden reads a golden file.
 func readGolden(t *testing.T, name string) []byte {
 	t.Helper()
 	text, err := os.ReadFile(filepath.Join("testdata", "calls", name))
@@ -30,15 +31,15 @@
 	return text
 }
 
-// compare compares what was written with a recorded file.
-func compare(t *testing.T, name string, written []byte) {
+// compareGolden compares written bytes with a golden file.
+func compareGolden(t *testing.T, name string, written []byte) {
 	t.Helper()
 	if want := readGolden(t, name); !bytes.Equal(written, want) {
-		t.Errorf("got  %q\nwant %q", written, want)
+		t.Errorf("request differs from %s:\ngot  %q\nwant %q", name, written, want)
 	}
 }
 
-// recordingConn keeps what is written to it.
+// recordingConn keeps a copy of everything written to it.
 type recordingConn struct {
 	*net.TCPConn
 	written *bytes.Buffer
@@ -49,14 +50,15 @@
 	return c.TCPConn.Write(b)
 }
 
-// TestGoldenRequestBytes compares every byte that a call and a health check write:
-// headers, their order and case, the idempotency key and the timeout.
+// TestGoldenRequestBytes compares every byte that calls and health checks write. It guards
+// against changes in the headers, their order and case, the idempotency key and the
+// timeout.
 func TestGoldenRequestBytes(t *testing.T) {
-	const address = "endpoint.example.org:8080" // the Host header is part of the file
+	const address = "endpoint.example.org:8080" // the golden files contain it as the Host header
 	body := []byte("{\"amount\":12}\x00\xff\r\n")
-	callWith := func(id, key string, body []byte, limit time.Duration) func(endpoint *Endpoint) {
+	callWith := func(id, key string, body []byte, timeout time.Duration) func(endpoint *Endpoint) {
 		return func(endpoint *Endpoint) {
-			callOnce(t, endpoint, Request{ID: id, IdempotencyKey: key, Body: body, Timeout: limit})
+			callOnce(t, endpoint, Request{ID: id, IdempotencyKey: key, Body: body, Timeout: timeout})
 		}
 	}
 	for name, send := range map[string]func(endpoint *Endpoint){
@@ -77,7 +79,7 @@
 			endpoint := openPlain(pool, address)
 			endpoint.dial = func(_ context.Context, addr string) (net.Conn, error) {
 				if addr != address {
-					t.Errorf("dialled %q", addr)
+					t.Errorf("dialled address = %q, want %q", addr, address)
 				}
 				conn, err := net.Dial("tcp", server)
 				if err != nil {
@@ -86,10 +88,11 @@
 				return &recordingConn{TCPConn: conn.(*net.TCPConn), written: &written}, nil
 			}
 			send(endpoint)
-			compare(t, name, written.Bytes())
+			compareGolden(t, name, written.Bytes())
 		})
 	}
-	t.Run("call-shortest-limit.request", func(t *testing.T) { // it would time out before it is written
+	// A call with such a short timeout would end before it is written, so only the request is encoded.
+	t.Run("call-shortest-limit.request", func(t *testing.T) {
 		req, err := newCallRequest(address, &Request{ID: "m-0000020", Body: body[:1], Timeout: 990 * time.Microsecond})
 		if err != nil {
 			t.Fatal(err)
@@ -98,26 +101,26 @@
 		if err := req.Write(&written); err != nil {
 			t.Fatal(err)
 		}
-		compare(t, "call-shortest-limit.request", written.Bytes())
+		compareGolden(t, "call-shortest-limit.request", written.Bytes())
 	})
 }
 
-// recordedResponse is one recorded response of an endpoint and what it means.
+// recordedResponse is a recorded response of an endpoint and the result that it must have.
 type recordedResponse struct {
 	Name       string  `json:"name"`
 	Response   string  `json:"answer"`
-	Outcomes   int     `json:"outcomes"` // how often one was reported
+	Outcomes   int     `json:"outcomes"` // number of results reported
 	Outcome    string  `json:"outcome"`
 	Status     int     `json:"status"`
 	RetryAfter int64   `json:"retry_after_us"`
-	Hold       int64   `json:"hold_us"` // how long calls to the destination are held back
+	Hold       int64   `json:"hold_us"` // how long no call to the destination may be sent
 	Slots      bool    `json:"slots_taken"`
 	Over       bool    `json:"message_over"`
 	Malformed  bool    `json:"malformed"`
 	Error      bool    `json:"error"`
 	LoadLeft   float64 `json:"load_left"`
 	LoadLimit  float64 `json:"load_limit"`
-	Reusable   bool    `json:"reusable"` // the connection
+	Reusable   bool    `json:"reusable"` // the connection can carry another call
 }
 
 var outcomeNames = map[policy.Outcome]string{
@@ -131,19 +134,19 @@
 	policy.NotSent:         "not sent",
 }
 
-// readRecorded reads a recorded response as that to a call.
+// readRecorded reads a recorded response as the response to a call and returns its result.
 func readRecorded(t *testing.T, response string) recordedResponse {
 	t.Helper()
-	here, there := net.Pipe()
+	relaySide, endpointSide := net.Pipe()
 	go func() {
-		respond(there, response)
-		_ = there.Close()
+		respond(endpointSide, response)
+		_ = endpointSide.Close()
 	}()
 	pool := testPool(t)
 	pool.now = func() policy.Time { return 1000 }
 	endpoint := openPlain(pool, "endpoint.example.org:8080")
 	pool.open++
-	conn := newPoolConn(endpoint, here)
+	conn := newPoolConn(endpoint, relaySide)
 	defer conn.discard()
 	req, err := newCallRequest(endpoint.address, &Request{ID: "m", IdempotencyKey: "k", Timeout: time.Second})
 	if err != nil {
@@ -161,27 +164,28 @@
 	return got
 }
 
-// TestGoldenResponses reads recorded responses and compares their results.
+// TestGoldenResponses reads the recorded responses and compares the results with the
+// recorded ones.
 func TestGoldenResponses(t *testing.T) {
 	var recorded []recordedResponse
 	if err := json.Unmarshal(readGolden(t, "answers.json"), &recorded); err != nil {
 		t.Fatal(err)
 	}
 	if len(recorded) < 30 {
-		t.Fatalf("%d responses recorded", len(recorded))
+		t.Fatalf("answers.json has %d responses, want at least 30", len(recorded))
 	}
 	for _, want := range recorded {
 		t.Run(want.Name, func(t *testing.T) {
 			got := readRecorded(t, want.Response)
 			got.Name = want.Name
 			if got != want {
-				t.Errorf("got  %+v\nwant %+v", got, want)
+				t.Errorf("readRecorded(%q):\ngot  %+v\nwant %+v", want.Response, got, want)
 			}
 		})
 	}
 }
 
-// TestGoldenErrorTexts compares the texts of errors that go into message traces.
+// TestGoldenErrorTexts compares the error texts that appear in message traces.
 func TestGoldenErrorTexts(t *testing.T) {
 	got := []string{}
 	for _, err := range []error{
@@ -196,11 +200,11 @@
 		handshakeBudgetError{1234567 * time.Microsecond},
 	} {
 		got = append(got, err.Error())
-		if refusal := sendgate.IsRefusal(err); refusal != (len(got) <= 3) {
-			t.Errorf("%v is a refusal of the send gate: %v", err, refusal)
+		if refusal := sendgate.IsRefusal(err); refusal != (len(got) <= 3) { // the first three are
+			t.Errorf("sendgate.IsRefusal(%q) = %v, want %v", err, refusal, !refusal)
 		}
 	}
 	if text, want := strings.Join(got, "\n")+"\n", string(readGolden(t, "errors.txt")); text != want {
-		t.Errorf("got\n%swant\n%s", text, want)
+		t.Errorf("error texts differ from errors.txt:\ngot\n%swant\n%s", text, want)
 	}
 }
--- a/internal/upstream/health.go
+++ b/internal/upstream/health.go
@@ -9,9 +9,9 @@
 	"troutusher/policy"
 )
 
-const healthCheckTimeout = 2 * time.Second // a health check that takes longer has failed
+const healthCheckTimeout = 2 * time.Second // a health check that takes longer fails
 
-// CheckHealth asks the endpoint whether it is alive, and waits for the result.
+// CheckHealth sends a health check to the endpoint and returns its result.
 func (e *Endpoint) CheckHealth(ctx context.Context) Result {
 	start := time.Now()
 	ctx, cancel := context.WithTimeout(ctx, healthCheckTimeout)
--- a/internal/upstream/helpers_test.go
+++ b/internal/upstream/helpers_test.go
@@ -30,25 +30,26 @@
 	})
 }
 
-// testPool returns a pool; what it holds open at the end of the test is a leak.
+// testPool returns a pool. The test fails if connections other than idle ones are open at
+// its end.
 func testPool(t *testing.T) *Pool {
 	t.Helper()
 	pool := newTestPool(64)
 	t.Cleanup(func() {
 		pool.CloseIdle()
 		if open, _ := pool.counts(); open != 0 {
-			t.Errorf("%d connections left open", open)
+			t.Errorf("connections open at the end of the test = %d, want 0", open)
 		}
 	})
 	return pool
 }
 
-// openPlain opens an endpoint without TLS, with a scope of its own.
+// openPlain returns an endpoint without TLS that has a sendgate scope of its own.
 func openPlain(pool *Pool, address string) *Endpoint {
 	return pool.newEndpoint(address, new(sendgate.Scope).Gate())
 }
 
-// openTLS opens an endpoint that is reached by the rule of a site.
+// openTLS opens an endpoint that uses the TLS rule of a site.
 func openTLS(pool *Pool, site *upstreamtest.TLSSite, address string) *Endpoint {
 	pool.tls = site.Dialer
 	return pool.OpenEndpoint(EndpointOptions{
@@ -60,8 +61,8 @@
 	})
 }
 
-// complete makes a call to its end and returns its one result. A request without a
-// timeout has the tests' own.
+// complete sends a call, waits for its end and returns its only result. A request without
+// a timeout gets testTimeout.
 func complete(t *testing.T, call *Call, endpoint *Endpoint, request Request) Result {
 	t.Helper()
 	if request.Timeout == 0 {
@@ -70,35 +71,35 @@
 	reported := make(chan Result, 4)
 	call.Do(endpoint, request, func(result Result) { reported <- result })
 	if len(reported) != 1 {
-		t.Fatalf("%d results reported, want 1", len(reported))
+		t.Fatalf("Call.Do reported %d results, want 1", len(reported))
 	}
 	return <-reported
 }
 
-// callOnce makes a new call to its end and returns its one result.
+// callOnce sends a new call, waits for its end and returns its only result.
 func callOnce(t *testing.T, endpoint *Endpoint, request Request) Result {
 	t.Helper()
 	return complete(t, newTestCall(), endpoint, request)
 }
 
-// start makes a new call and sends its result to a channel.
-func start(endpoint *Endpoint, request Request, results chan<- Result) {
+// runCall sends a new call, sends its result to a channel and waits for the call's end.
+func runCall(endpoint *Endpoint, request Request, results chan<- Result) {
 	request.Timeout = testTimeout
 	newTestCall().Do(endpoint, request, func(result Result) { results <- result })
 }
 
-// startAndWatch begins a new call. It returns a channel for its result, and one that is
-// closed once its connection carries nothing of it any more.
+// startAndWatch starts a new call. It returns a channel that receives the result, and one
+// that is closed when the call's connection carries no more of its data.
 func startAndWatch(endpoint *Endpoint, request Request) (<-chan Result, <-chan struct{}) {
 	results, ended := make(chan Result, 1), make(chan struct{})
 	go func() {
 		defer close(ended)
-		start(endpoint, request, results)
+		runCall(endpoint, request, results)
 	}()
 	return results, ended
 }
 
-// waitReusable waits until every idle connection has rested for long enough.
+// waitReusable waits until every idle connection has been idle for reuseDelay.
 func waitReusable(endpoint *Endpoint) {
 	for {
 		endpoint.pool.mu.Lock()
@@ -114,7 +115,8 @@
 	}
 }
 
-// waitFor waits for a condition, never for a time.
+// waitFor waits until condition returns true, and fails the test after 30 s. Tests use it
+// instead of a fixed delay.
 func waitFor(t testing.TB, what string, condition func() bool) {
 	t.Helper()
 	for end := time.Now().Add(30 * time.Second); time.Now().Before(end); time.Sleep(2 * time.Millisecond) {
@@ -122,17 +124,17 @@
 			return
 		}
 	}
-	t.Fatalf("never came: %s", what)
+	t.Fatalf("timed out waiting for %s", what)
 }
 
-// transport is how calls reach endpoints: one script of faults, over plain TCP and
-// over TLS, has the same verdicts.
+// transport is how calls reach an endpoint: over plain TCP or over TLS. The same faults
+// must lead to the same results over each transport.
 type transport struct {
 	site   *upstreamtest.TLSSite // nil for plain TCP
-	config *tls.Config
+	config *tls.Config           // configuration of the endpoint
 }
 
-// forEachTransport runs a test over every transport.
+// forEachTransport runs a test over plain TCP, TLS 1.2 and TLS 1.3.
 func forEachTransport(t *testing.T, test func(t *testing.T, tr *transport)) {
 	t.Run("plain", func(t *testing.T) { test(t, &transport{}) })
 	for name, version := range map[string]uint16{"tls 1.2": tls.VersionTLS12, "tls 1.3": tls.VersionTLS13} {
@@ -145,7 +147,7 @@
 	}
 }
 
-// serve serves connections by hand.
+// serve starts an endpoint that calls serve for each connection, and returns its address.
 func (tr *transport) serve(t testing.TB, serve func(net.Conn)) string {
 	t.Helper()
 	if tr.site == nil {
@@ -154,6 +156,7 @@
 	return upstreamtest.ServeTLS(t, tr.config, serve)
 }
 
+// open returns an endpoint that is called over the transport.
 func (tr *transport) open(pool *Pool, address string) *Endpoint {
 	if tr.site == nil {
 		return openPlain(pool, address)
@@ -161,7 +164,7 @@
 	return openTLS(pool, tr.site, address)
 }
 
-// tcpConnOf returns the TCP connection below one that an endpoint serves.
+// tcpConnOf returns the TCP connection that underlies a connection of an endpoint.
 func tcpConnOf(conn net.Conn) *net.TCPConn {
 	if secured, ok := conn.(*tls.Conn); ok {
 		return secured.NetConn().(*net.TCPConn)
@@ -169,11 +172,12 @@
 	return conn.(*net.TCPConn)
 }
 
-// countingEndpoint answers requests with a status and counts them by message.
+// countingEndpoint answers every request with the same status code and counts the
+// requests of each message.
 type countingEndpoint struct {
 	address string
 	mu      sync.Mutex
-	calls   map[string]int
+	calls   map[string]int // by message ID
 }
 
 func newCountingEndpoint(t *testing.T, status int) *countingEndpoint {
@@ -199,23 +203,23 @@
 	return e.calls[id]
 }
 
-// What an endpoint of a test sends may come too late for a call that has ended. So
-// the helpers below have no error: what arrives shows in the call's result.
+// The helpers below ignore errors: an endpoint may still be sending when the call has ended
+// and closed the connection. The call's result shows what has arrived.
 
 // send writes bytes.
 func send(conn net.Conn, text []byte) { _, _ = conn.Write(text) }
 
-// respond writes a response, or a part of one.
+// respond writes a response or part of one.
 func respond(conn net.Conn, text string) { send(conn, []byte(text)) }
 
-// receive reads once what has come.
+// receive reads once, whatever arrives.
 func receive(conn net.Conn) { _, _ = conn.Read(make([]byte, 4096)) }
 
-// awaitByte waits for a byte, or the end of the connection.
+// awaitByte waits for a byte or the end of the connection.
 func awaitByte(reader io.ByteReader) { _, _ = reader.ReadByte() }
 
-// waitClosed reads on until the connection ends.
+// waitClosed reads and drops data until the connection ends.
 func waitClosed(reader io.Reader) { _, _ = io.Copy(io.Discard, reader) }
 
-// resetOnClose has the close of an endpoint's connection reset it.
+// resetOnClose makes a later Close of an endpoint's connection send a reset.
 func resetOnClose(conn net.Conn) { _ = tcpConnOf(conn).SetLinger(0) }
--- a/internal/upstream/inflight.go
+++ b/internal/upstream/inflight.go
@@ -9,12 +9,11 @@
 	"time"
 )
 
-// Calls in flight are suspended for the hand-over to another process: one whose
-// response has not begun waits, and its connection can be passed on; the others end
-// by themselves.
+// Calls in flight are suspended for the hand-over to another process. A call that is
+// sent and whose response has not started waits, and its connection can be passed to the
+// other process. All other calls end in this process.
 
-// InFlight is the set of calls that are in flight. The zero value is empty and ready
-// to use.
+// InFlight is the set of calls in flight. The zero value is an empty set, ready to use.
 type InFlight struct {
 	mu    sync.Mutex
 	calls map[*Call]struct{}
@@ -45,8 +44,9 @@
 	}
 }
 
-// Suspend asks every call to come to rest: one whose request is not written never is
-// and ends as not sent; one that is written and has no response yet waits.
+// Suspend asks every call to suspend. A call whose last byte is not yet written is
+// stopped and ends as not sent. A call that is sent and has no response yet waits, unless
+// it uses TLS.
 func (f *InFlight) Suspend() { f.each((*Call).suspend) }
 
 // AllSuspended reports whether every call is suspended.
@@ -56,8 +56,9 @@
 	return all
 }
 
-// CancelUnsuspended cancels the calls that are not suspended: another process may
-// send their messages again at once, while their connections would be open here.
+// CancelUnsuspended cancels the calls that are not suspended. The other process may
+// immediately send their messages again, and then no connection of theirs may still be
+// open here.
 func (f *InFlight) CancelUnsuspended() {
 	f.each(func(call *Call) {
 		if call.suspendedConn() == nil {
@@ -66,11 +67,11 @@
 	})
 }
 
-// Resume has the suspended calls go on in this process.
+// Resume continues the suspended calls in this process.
 func (f *InFlight) Resume() { f.each(func(call *Call) { call.resume(true) }) }
 
-// Abandon leaves the suspended calls to the process that has adopted them. Their
-// results are not reported here.
+// Abandon ends the suspended calls here without a result, because another process has
+// adopted them.
 func (f *InFlight) Abandon() { f.each(func(call *Call) { call.resume(false) }) }
 
 func (c *Call) suspend() {
@@ -84,8 +85,8 @@
 		c.resumeHere = make(chan bool, 1)
 		c.cancel(errHandedOver)
 	case c.conn.tls != nil:
-		// Its keys are in this process alone: it ends here, or is cancelled and may
-		// have run.
+		// The TLS keys exist only in this process, so the call cannot be handed over: it
+		// ends here, or it is cancelled and may have run.
 	default:
 		c.resumeHere = make(chan bool, 1)
 		c.conn.expireReadsAt(pastDeadline)
@@ -101,7 +102,8 @@
 	}
 }
 
-// suspendedConn returns the connection of a suspended call; nil for one that is not.
+// suspendedConn returns the connection of a suspended call, and nil if the call is not
+// suspended.
 func (c *Call) suspendedConn() *poolConn {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -111,9 +113,9 @@
 	return c.conn
 }
 
-// SuspendedFD returns the file descriptor of a suspended call's connection, to be
-// passed to another process; it stays the call's own. ok is false for a call that is
-// not suspended, or that cannot be passed on.
+// SuspendedFD returns the file descriptor of a suspended call's connection, which can be
+// passed to another process. The call still owns the descriptor. ok is false if the call
+// is not suspended or its connection cannot be passed on.
 func (c *Call) SuspendedFD() (fd int, ok bool) {
 	conn := c.suspendedConn()
 	if conn == nil {
@@ -123,7 +125,8 @@
 	return fd, err == nil
 }
 
-// markSent keeps the connection of a call whose last byte is written.
+// markSent records the connection on which the call's last byte was written. If the call
+// has been asked to suspend meanwhile, it starts to do so.
 func (c *Call) markSent(conn *poolConn) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -137,8 +140,8 @@
 	}
 }
 
-// awaitFirstByte waits until a response begins, or until the call has ended without
-// one. It is false where the call goes on in another process.
+// awaitFirstByte waits until a response starts or the call ends without one. It returns
+// false if the call continues in another process.
 func (c *Call) awaitFirstByte(ctx context.Context, conn *poolConn) bool {
 	for {
 		_, err := conn.reader.Peek(1)
@@ -153,15 +156,15 @@
 			return false
 		}
 		conn.expireReadsAt(time.Time{})
-		if ctx.Err() != nil { // its deadline may be the one just cleared
+		if ctx.Err() != nil { // the line above may have cleared the deadline that ctx set
 			conn.expireAt(pastDeadline)
 		}
 	}
 }
 
-// Adopt waits for the response to a call that another process has written, on the
-// connection with a file descriptor, which it takes over. It reports the result once,
-// but with an error reports nothing.
+// Adopt continues a call that another process has sent: it takes ownership of the file
+// descriptor of the call's connection and waits for the response. It calls report once, or
+// not at all if it returns an error.
 func (c *Call) Adopt(endpoint *Endpoint, fd int, request Request, report func(Result)) error {
 	conn, err := endpoint.adoptConn(fd)
 	if err != nil {
@@ -179,12 +182,12 @@
 	return nil
 }
 
-// adoptConn makes a connection of the pool of a file descriptor. It counts among the
-// open ones, also above their bound.
+// adoptConn returns a pool connection for a file descriptor. The connection counts as
+// open, even if that exceeds the pool's limit.
 func (e *Endpoint) adoptConn(fd int) (*poolConn, error) {
 	file := os.NewFile(uintptr(fd), "call")
 	raw, err := net.FileConn(file)
-	_ = file.Close() // the connection has a copy
+	_ = file.Close() // the connection has a duplicate of the descriptor
 	if err != nil {
 		return nil, err
 	}
--- a/internal/upstream/pool.go
+++ b/internal/upstream/pool.go
@@ -13,61 +13,63 @@
 
 const (
 	idleCheckInterval = 500 * time.Millisecond
-	// reuseDelay is how long a connection rests between two calls. What an endpoint
-	// sends behind a response comes with it or straight after; the connection is not
-	// used again before that could be seen.
+	// reuseDelay is how long a connection stays idle before it may carry another call.
+	// An endpoint that sends extra bytes after a response sends them with it or
+	// immediately after it; the delay makes sure that they are noticed first.
 	reuseDelay = 5 * time.Millisecond
-	// defaultStaleCheckDelay is how long a call waits before its last byte for a
-	// connection to show that its endpoint has closed it.
+	// defaultStaleCheckDelay is how long a call waits before its last byte, so that a
+	// connection that its endpoint has closed is recognised in time.
 	defaultStaleCheckDelay = 3 * time.Millisecond
-	// maxIdleMargin is the longest part of an endpoint's keep-alive time that is left
-	// unused where that time is short.
+	// maxIdleMargin is the upper limit of the margin for short keep-alive times; see
+	// [IdleMargin].
 	maxIdleMargin = 250 * time.Millisecond
 )
 
 // PoolOptions configure a [Pool].
 type PoolOptions struct {
-	ConnectTimeout time.Duration // of TCP
-	// IdleTimeout is how long a connection may be idle and still be used; 0 for any
-	// time. See [IdleMargin].
+	ConnectTimeout time.Duration // for the TCP connection
+	// IdleTimeout is how long a connection may be idle before it is closed; 0 means no
+	// limit. See [IdleMargin].
 	IdleTimeout time.Duration
-	MaxConns    int                // open at once, over all endpoints
-	Now         func() policy.Time // the clock of Retry-After times and of [CallOptions.SendBy]
-	TLS         *tlsdial.Dialer    // nil where no endpoint is reached over TLS
+	MaxConns    int                // maximum number of open connections, over all endpoints
+	Now         func() policy.Time // clock of Retry-After times and [CallOptions.SendBy]
+	TLS         *tlsdial.Dialer    // nil if no endpoint uses TLS
 }
 
-// Pool holds the connections to all endpoints, bounded in number. The methods that
-// open and forget endpoints belong to one goroutine; all others are safe for
-// concurrent use.
+// Pool holds the connections to all endpoints and limits their number. The methods
+// that open and forget endpoints must be called by one goroutine; all others are safe
+// for concurrent use.
 type Pool struct {
 	connectTimeout  time.Duration
 	idleTimeout     time.Duration
 	maxConns        int
-	staleCheckDelay time.Duration // before a call's last byte
+	staleCheckDelay time.Duration // wait before a call's last byte
 	now             func() policy.Time
 	tls             *tlsdial.Dialer
 
 	mu   sync.Mutex
-	open int         // connections being dialled, in use or idle
-	idle []*poolConn // the one idle for longest first
+	open int         // number of connections being dialled, in use or idle
+	idle []*poolConn // the connection that has been idle longest comes first
 
-	// scopes belong to the goroutine that opens and forgets endpoints.
+	// scopes is used only by the goroutine that opens and forgets endpoints.
 	scopes map[scopeKey]*sendgate.Scope
 }
 
-// scopeKey names what one Retry-After time binds: a destination, or an endpoint
-// that is a route of its own.
+// scopeKey identifies the scope of a Retry-After time: a destination, or a single
+// endpoint that is an independent route.
 type scopeKey struct {
 	dest  int
 	route policy.EndpointID // 0 for a destination
 }
 
-// IdleMargin returns the part of an endpoint's keep-alive time that is to be left
-// unused, so that connections are closed from this side first: a request that is
-// written as its endpoint closes ends as a reset. The endpoint counts from when it
-// wrote its response, this side from when it had read it; the next request takes
-// its way as well. The margin covers both ways and a late turn of a loaded machine,
-// whatever the keep-alive is, and a tenth of a long one.
+// IdleMargin returns how long before the end of an endpoint's keep-alive time the relay
+// stops using an idle connection. The relay must close the connection first: a request
+// that is written while the endpoint closes the connection ends with a reset. The
+// endpoint measures the idle time from when it wrote its response, the relay from when
+// it read that response, and the next request also needs time to reach the endpoint.
+// The margin covers both network delays and a scheduling delay on a loaded machine:
+// up to 250 ms but at most a third of the keep-alive time, or a tenth of it if that is
+// more.
 func IdleMargin(keepAlive time.Duration) time.Duration {
 	return max(keepAlive/10, min(keepAlive/3, maxIdleMargin))
 }
@@ -85,8 +87,9 @@
 	}
 }
 
-// Run closes connections that have been idle for too long, or that their endpoint
-// has closed or written to, until ctx ends; then it closes all idle ones.
+// Run periodically closes the connections that have been idle for too long and those
+// that their endpoint has closed or written to. When ctx ends, it closes all idle
+// connections and returns.
 func (p *Pool) Run(ctx context.Context) {
 	ticker := time.NewTicker(idleCheckInterval)
 	defer ticker.Stop()
@@ -104,7 +107,7 @@
 // CloseIdle closes all idle connections.
 func (p *Pool) CloseIdle() { p.closeIdleIf(func(*poolConn) bool { return true }) }
 
-// closeIdleIf closes the idle connections for which unwanted is true.
+// closeIdleIf closes the idle connections for which unwanted returns true.
 func (p *Pool) closeIdleIf(unwanted func(*poolConn) bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -120,21 +123,22 @@
 	p.idle = kept
 }
 
-// expired reports whether a connection has been idle for too long at a moment.
+// expired reports whether c has been idle for too long at the time now.
 func (p *Pool) expired(c *poolConn, now time.Time) bool {
 	return p.idleTimeout > 0 && now.Sub(c.idleSince) >= p.idleTimeout
 }
 
-// closeLocked closes a connection and frees its place. The caller holds the lock.
+// closeLocked closes a connection and no longer counts it as open. The caller must hold
+// the pool's lock.
 func (p *Pool) closeLocked(c *poolConn) {
-	_ = c.Close() // whatever it says, the connection is given up
+	_ = c.Close() // an error changes nothing: the connection is not used again
 	p.open--
 	c.endpoint.notifyWaiters()
 }
 
-// reserveLocked takes a place for another connection; where there is none, the one
-// that has been idle for longest makes room, whichever endpoint it leads to. It
-// reports whether there is a place. The caller holds the lock.
+// reserveLocked counts one more connection as open and reports whether the limit
+// allowed it. At the limit it closes the connection that has been idle longest, of
+// whichever endpoint, and fails if none is idle. The caller must hold the pool's lock.
 func (p *Pool) reserveLocked() bool {
 	if p.open >= p.maxConns {
 		if len(p.idle) == 0 {
@@ -147,14 +151,14 @@
 	return true
 }
 
-// unreserve frees the place of a connection that did not come up.
+// unreserve undoes the reservation of a connection that could not be opened.
 func (p *Pool) unreserve() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.open--
 }
 
-// counts returns how many connections are open, and how many of them are idle.
+// counts returns the number of open connections, and how many of them are idle.
 func (p *Pool) counts() (open, idle int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -165,15 +169,14 @@
 type EndpointOptions struct {
 	ID      policy.EndpointID
 	Address string // host:port
-	Dest    int    // the destination that it serves
-	Flavor  string // of the destination; chooses the rule of TLS
-	// IndependentRoute has a Retry-After time of this endpoint bind it alone, and not
-	// its whole destination.
+	Dest    int    // number of the destination that it serves
+	Flavor  string // flavor of the destination; selects the TLS rule
+	// IndependentRoute limits the effect of a Retry-After time of this endpoint to the
+	// endpoint itself; otherwise it applies to the whole destination.
 	IndependentRoute bool
 }
 
-// OpenEndpoint returns the part of the pool for an endpoint that may be called from
-// now on.
+// OpenEndpoint adds an endpoint to the pool. Calls to it may start immediately.
 func (p *Pool) OpenEndpoint(options EndpointOptions) *Endpoint {
 	key := scopeKey{dest: options.Dest}
 	if options.IndependentRoute {
@@ -184,8 +187,8 @@
 	return endpoint
 }
 
-// ClosedEndpoint returns an endpoint that takes no calls: that of a call that was
-// adopted from another process and whose endpoint has left the list since.
+// ClosedEndpoint returns an endpoint that accepts no new calls. It is used for a call
+// adopted from another process whose endpoint is no longer in the endpoint list.
 func (p *Pool) ClosedEndpoint() *Endpoint {
 	endpoint := p.newEndpoint("", new(sendgate.Scope).Gate())
 	endpoint.closed = true
@@ -204,8 +207,9 @@
 	}
 }
 
-// scope returns the send gate's scope of a destination or a route. It outlasts the
-// endpoints there, since a Retry-After time does.
+// scope returns the sendgate scope of a destination or route, and creates it if needed.
+// The scope stays when its endpoints are closed, because a Retry-After time remains in
+// force.
 func (p *Pool) scope(key scopeKey) *sendgate.Scope {
 	scope := p.scopes[key]
 	if scope == nil {
@@ -215,10 +219,10 @@
 	return scope
 }
 
-// ForgetRoute drops the Retry-After time of an endpoint that is a route of its own.
-// That of a destination stays, like all else that is known of one.
+// ForgetRoute drops the Retry-After time of an endpoint that is an independent route.
+// The Retry-After time of a destination stays, like all other state of the destination.
 func (p *Pool) ForgetRoute(id policy.EndpointID) { delete(p.scopes, scopeKey{route: id}) }
 
-// ForgetDestination drops the Retry-After time of a destination that is passivated:
-// no call is on its way there, and its owner applies the time again on activation.
+// ForgetDestination drops the Retry-After time of a destination that is passivated. No
+// call to it may be in flight; its owner applies the time again on activation.
 func (p *Pool) ForgetDestination(dest int) { delete(p.scopes, scopeKey{dest: dest}) }
--- a/internal/upstream/pool_test.go
+++ b/internal/upstream/pool_test.go
@@ -13,8 +13,9 @@
 	"troutusher/policy"
 )
 
-// Guards reuse: a new connection costs a handshake, so responses are read to their
-// end and more than two connections stay open after a burst.
+// Guards the reuse of connections, since each new one costs a handshake. Responses must be
+// read completely, and all connections of a burst must stay open after it (net/http keeps
+// two per host).
 func TestConnectionReuse(t *testing.T) { forEachTransport(t, testConnectionReuse) }
 
 func testConnectionReuse(t *testing.T, tr *transport) {
@@ -26,7 +27,7 @@
 		reader := bufio.NewReader(conn)
 		for upstreamtest.ReadRequest(reader) {
 			together <- struct{}{}
-			for len(together) < burst { // all of a burst are out at once
+			for len(together) < burst { // until all calls of the burst are in flight
 				time.Sleep(time.Millisecond)
 			}
 			respond(conn, "HTTP/1.1 200 OK\r\nContent-Length: 9000\r\n\r\n"+strings.Repeat("\x00", 9000))
@@ -37,13 +38,13 @@
 		done, ended := make(chan Result, burst), make(chan bool, burst)
 		for range burst {
 			go func() {
-				start(endpoint, Request{ID: "m"}, done)
+				runCall(endpoint, Request{ID: "m"}, done)
 				ended <- true
 			}()
 		}
 		for range burst {
 			if result := <-done; result.Outcome != policy.Delivered {
-				t.Fatalf("round %d: %+v", round, result)
+				t.Fatalf("burst %d: got %+v, want outcome Delivered", round, result)
 			}
 			<-ended
 		}
@@ -53,29 +54,31 @@
 		}
 	}
 	if n := conns.Load(); n != burst {
-		t.Errorf("%d connections for two bursts of %d", n, burst)
+		t.Errorf("connections for two bursts of %d calls = %d, want %d", burst, n, burst)
 	}
 }
 
-// A connection is not used any more when its endpoint, which counts from when it wrote
-// its response and closes by its own clock, may close it before the next call arrives:
-// two ways of 60 ms and a late turn of this side, also with a keep-alive time of 1 s.
+// Guards against sending a call on a connection that its endpoint closes before the call
+// arrives. The endpoint's keep-alive time starts when it writes its response, so the relay
+// must stop earlier by two network delays of 60 ms and a scheduling delay, also with a
+// keep-alive time of 1 s. It must still use the connection for half of that time.
 func TestIdleTimeoutBeforeKeepAlive(t *testing.T) {
 	for _, keep := range []time.Duration{600 * time.Millisecond, time.Second, 2 * time.Second, 10 * time.Second} {
 		pool := NewPool(PoolOptions{ConnectTimeout: time.Second, IdleTimeout: keep - IdleMargin(keep), MaxConns: 4})
 		now := time.Now()
 		c := &poolConn{idleSince: now}
 		if !pool.expired(c, now.Add(keep-200*time.Millisecond)) {
-			t.Errorf("%v: taken 200 ms before its endpoint closes it", keep)
+			t.Errorf("keep-alive %v: expired = false 200 ms before the endpoint closes the connection, want true", keep)
 		}
 		if pool.expired(c, now.Add(keep/2)) {
-			t.Errorf("%v: not taken after half of its time", keep)
+			t.Errorf("keep-alive %v: expired = true after half of that time, want false", keep)
 		}
 	}
 }
 
-// Guards the descriptors: the number open is bounded over all endpoints, and
-// an idle one makes room for a new one. A dial that fails frees its place.
+// Guards against running out of file descriptors. The number of open connections is
+// limited over all endpoints; at the limit an idle connection is closed for a new one. A
+// failed dial must not count as open.
 func TestPoolBounded(t *testing.T) { forEachTransport(t, testPoolBounded) }
 
 func testPoolBounded(t *testing.T, tr *transport) {
@@ -84,10 +87,10 @@
 	for i := range 10 {
 		endpoint := tr.open(pool, tr.serve(t, upstreamtest.ServeOK))
 		if result := callOnce(t, endpoint, Request{ID: "m"}); result.Outcome != policy.Delivered {
-			t.Fatalf("endpoint %d: %+v", i, result)
+			t.Fatalf("call to endpoint %d: got %+v, want outcome Delivered", i, result)
 		}
 		if open, _ := pool.counts(); open > 3 {
-			t.Fatalf("%d connections open, 3 allowed", open)
+			t.Fatalf("open connections = %d, want at most 3", open)
 		}
 	}
 	entered := make(chan struct{}, 3)
@@ -108,7 +111,7 @@
 		<-entered
 	}
 	if result := callOnce(t, stuck, Request{ID: "m"}); result.Outcome != policy.NotSent {
-		t.Errorf("a fourth: %+v", result)
+		t.Errorf("fourth call: got %+v, want outcome NotSent", result)
 	}
 	for _, call := range calls {
 		call.Cancel()
@@ -117,15 +120,16 @@
 	waitFor(t, "all connections to close", func() bool { open, _ := pool.counts(); return open == 0 })
 	refused := tr.open(pool, "127.0.0.1:1")
 	if result := callOnce(t, refused, Request{ID: "m"}); result.Outcome != policy.ConnectFailed {
-		t.Errorf("refused: %+v", result)
+		t.Errorf("call to a refusing port: got %+v, want outcome ConnectFailed", result)
 	}
 	if open, _ := pool.counts(); open != 0 {
-		t.Errorf("%d open after a refused dial", open)
+		t.Errorf("open connections after a refused dial = %d, want 0", open)
 	}
 }
 
-// Guards against what an endpoint closed or wrote to while it was idle: it
-// must not hold a descriptor until its next use.
+// Guards against idle connections that hold a file descriptor although their endpoint has
+// closed them or written to them. The periodic check must close them before their next
+// use.
 func TestPoolClosesDeadIdle(t *testing.T) { forEachTransport(t, testPoolClosesDeadIdle) }
 
 func testPoolClosesDeadIdle(t *testing.T, tr *transport) {
@@ -142,13 +146,13 @@
 	go func() { defer close(done); pool.Run(ctx) }()
 	callOnce(t, endpoint, Request{ID: "m"})
 	if _, idle := pool.counts(); idle != 1 {
-		t.Fatalf("%d idle", idle)
+		t.Fatalf("idle connections = %d, want 1", idle)
 	}
 	close(end)
-	waitFor(t, "the idle check", func() bool { open, _ := pool.counts(); return open == 0 })
+	waitFor(t, "the idle check to close the connection", func() bool { open, _ := pool.counts(); return open == 0 })
 	cancel()
 	<-done
-	// A connection to an endpoint that has left is not kept after its call.
+	// No connection to a closed endpoint stays open after a call.
 	closed := tr.open(pool, tr.serve(t, func(conn net.Conn) {
 		if upstreamtest.ReadRequest(bufio.NewReader(conn)) {
 			respond(conn, upstreamtest.OKResponse)
@@ -158,6 +162,6 @@
 	closed.Close()
 	callOnce(t, closed, Request{ID: "m"})
 	if open, _ := pool.counts(); open != 0 {
-		t.Errorf("%d open at an endpoint that left", open)
+		t.Errorf("open connections to a closed endpoint = %d, want 0", open)
 	}
 }
--- a/internal/upstream/request.go
+++ b/internal/upstream/request.go
@@ -13,17 +13,17 @@
 	healthPath = "/health/live"
 )
 
-// Request is what a [Call] sends, and for how long it waits.
+// Request is the content of a [Call] and its timeout.
 type Request struct {
 	ID             string
 	IdempotencyKey string // empty for none
 	Body           []byte
-	Timeout        time.Duration // from the begin of the call to its response
-	LoadFields     []string      // of the load reports in responses; none for no reports
+	Timeout        time.Duration // from the start of the call to its response
+	LoadFields     []string      // names of load report fields; empty to ignore load reports
 }
 
-// newCallRequest returns the HTTP request of a call. Its GetBody stays nil, so that
-// nothing can send it again.
+// newCallRequest returns the HTTP request of a call. GetBody stays nil so that no code
+// can rewind the body and send the request again.
 func newCallRequest(address string, request *Request) (*http.Request, error) {
 	req, err := http.NewRequest(http.MethodPost, "http://"+address+callPath, nil)
 	if err != nil {
@@ -46,7 +46,7 @@
 	return http.NewRequest(http.MethodGet, "http://"+address+healthPath, nil)
 }
 
-// encodeRequest returns the bytes of a request.
+// encodeRequest returns the bytes of a request as they are written to a connection.
 func encodeRequest(req *http.Request) ([]byte, error) {
 	var text bytes.Buffer
 	if err := req.Write(&text); err != nil {
--- a/internal/upstream/response.go
+++ b/internal/upstream/response.go
@@ -15,20 +15,20 @@
 )
 
 const (
-	maxResponseBytes    = 192 << 10              // read of a response, with what comes ahead of it
-	maxResponseBody     = 64 << 10               // by its Content-Length
-	maxInterimResponses = 8                      // 1xx ahead of the final response
-	responseReadTimeout = 300 * time.Millisecond // from a response's first byte to its last: it is written at once
+	maxResponseBytes    = 192 << 10              // total, including interim responses
+	maxResponseBody     = 64 << 10               // by Content-Length
+	maxInterimResponses = 8                      // 1xx responses before the final response
+	responseReadTimeout = 300 * time.Millisecond // first to last byte; endpoints write a response in one go
 	maxRetryAfter       = 10 * time.Minute
-	maxLoad             = 1e6 // no figure of a load report is higher
+	maxLoad             = 1e6 // largest valid value in a load report
 )
 
-var errTooManyInterim = errors.New("too many answers ahead of the last")
+var errTooManyInterim = errors.New("too many interim (1xx) responses before the final one")
 
-// readResponse reads a response and reports its result: a status line with 200 is
-// true whatever follows it; anything else is believed only once all of it has been
-// read and makes sense, since a malformed response is that of a call that may have
-// run. It reports whether the connection can carry another call.
+// readResponse reads a response and reports its result. A status line with code 200
+// proves the delivery, whatever follows it. Any other response counts only once it has
+// been read completely and is well-formed: after a malformed response the call may have
+// run. readResponse returns whether the connection can carry another call.
 func readResponse(c *poolConn, req *http.Request, loadFields []string, report func(Result)) (keep bool) {
 	status, timer, failure := c.awaitFinalStatus()
 	if timer != nil {
@@ -55,7 +55,7 @@
 		result.Load = parseLoad(resp.Header.Get("X-Server-Load"), loadFields)
 		result.Err = result.readHead(resp.Header)
 	}
-	if result.Err != nil { // it may have run, whatever its status says
+	if result.Err != nil { // the call may have run, whatever the status code says
 		result.Outcome, result.Malformed, result.RetryAfter = policy.Failed, true, retryAfter
 		result.SlotsExhausted, result.Final = false, false
 	}
@@ -63,9 +63,10 @@
 	return result.Err == nil && !resp.Close
 }
 
-// awaitFinalStatus waits for the status line of the final response, past interim
-// ones. It returns the status, or a failure in its place; the timer, if there is one,
-// bounds the reading of the rest, and is the caller's to stop.
+// awaitFinalStatus skips interim responses and waits for the status line of the final
+// response. It returns either the status code or a result that describes the failure.
+// The timer, if not nil, limits the time for reading the rest of the response; the
+// caller must stop it.
 func (c *poolConn) awaitFinalStatus() (int, *time.Timer, *Result) {
 	for interim := 0; ; interim++ {
 		status, timer, err := c.awaitStatus()
@@ -78,18 +79,19 @@
 		if status >= http.StatusOK {
 			return status, timer, nil
 		}
-		// The final response may come much later than what is ahead of it.
+		// The read timeout restarts for the next response: a final response may come
+		// long after an interim one.
 		if err := skipHead(c.reader); err != nil || !timer.Stop() {
 			return 0, timer, &Result{Outcome: policy.Failed, Malformed: true, Err: err}
 		}
 	}
 }
 
-// awaitStatus waits for a status line. The timer, if there is one, was started with
-// its first byte.
+// awaitStatus waits for a status line and returns its code. The timer is the read
+// timeout, started at the first byte; it is nil if no byte arrived.
 func (c *poolConn) awaitStatus() (int, *time.Timer, error) {
 	var timer *time.Timer
-	if _, err := c.reader.Peek(1); err == nil { // else the next read has an error as well
+	if _, err := c.reader.Peek(1); err == nil { // peekStatusLine returns the error
 		timer = c.startReadTimeout(responseReadTimeout)
 	}
 	line, err := peekStatusLine(c.reader)
@@ -100,10 +102,10 @@
 	return status, timer, err
 }
 
-// failedRead is the result of a call whose response has no status line that can be
-// believed; begun is whether any of it had come.
-func failedRead(begun bool, err error) *Result {
-	if begun && !errors.Is(err, io.EOF) && !errors.Is(err, syscall.ECONNRESET) {
+// failedRead returns the result of a call whose response has no valid status line;
+// started is whether any byte of the response arrived.
+func failedRead(started bool, err error) *Result {
+	if started && !errors.Is(err, io.EOF) && !errors.Is(err, syscall.ECONNRESET) {
 		return &Result{Outcome: policy.Failed, Malformed: true, Err: err}
 	}
 	return &Result{Outcome: policy.ConnectionReset, Err: err}
@@ -111,7 +113,8 @@
 
 // drainBody reads a response's body to its end.
 func drainBody(resp *http.Response) error {
-	defer func() { _ = resp.Body.Close() }() // the connection is kept or closed by what was read
+	// An error of Close is ignored: the error of reading decides whether the connection is kept.
+	defer func() { _ = resp.Body.Close() }()
 	if resp.ContentLength > maxResponseBody {
 		return errResponseTooLarge
 	}
@@ -119,8 +122,9 @@
 	return err
 }
 
-// applyRetryAfter holds calls back for the time that a response asks for; it binds
-// from here on, whatever becomes of the rest of the response. It returns that time.
+// applyRetryAfter closes the send gate for the Retry-After time of a response and returns
+// that time. It applies as soon as the head is read, even if the rest of the response
+// turns out to be malformed.
 func (e *Endpoint) applyRetryAfter(status int, head http.Header) policy.Time {
 	if status != http.StatusTooManyRequests {
 		return 0
@@ -134,8 +138,8 @@
 	return retryAfter
 }
 
-// readHead maps the head of a response other than 200 to an outcome. An error means
-// that the head cannot be believed.
+// readHead sets the outcome from the status code and head of a response other than 200.
+// An error means that the head is invalid.
 func (r *Result) readHead(head http.Header) error {
 	switch r.Status {
 	case http.StatusTooManyRequests:
@@ -148,29 +152,31 @@
 		if r.Outcome = policy.Rejected; head.Get("Slots-Taken") == "1" {
 			r.Outcome, r.SlotsExhausted = policy.NotSent, true
 		}
-	case http.StatusGatewayTimeout: // has had all its attempts
+	case http.StatusGatewayTimeout: // the message has used up its attempts
 		r.Outcome = policy.NotSent
 	case http.StatusGone:
 		r.Outcome, r.Final = policy.NotSent, true
-	default: // 500, and any status without a meaning of its own: it may have run
+	default: // 500 and all codes without a defined meaning: the call may have run
 		r.Outcome = policy.Failed
 	}
 	return nil
 }
 
-// parseRetryAfter parses seconds with decimals. An empty header is no wait.
+// parseRetryAfter parses a number of seconds, which may have decimals. An empty header
+// means no wait.
 func parseRetryAfter(header string) (policy.Time, error) {
 	if header = strings.TrimSpace(header); header == "" {
 		return 0, nil
 	}
 	seconds, err := strconv.ParseFloat(header, 64)
 	if err != nil || !(seconds >= 0 && seconds <= maxRetryAfter.Seconds()) {
-		return 0, fmt.Errorf("Retry-After: %.40q", header)
+		return 0, fmt.Errorf("invalid Retry-After header %.40q", header)
 	}
 	return policy.Time(seconds * 1e6), nil
 }
 
-// parseLoad parses a load report such as x0=0.4,x1=25.
+// parseLoad parses a load report such as "x0=0.4,x1=25". Invalid values are skipped, and
+// without fields the whole header is ignored.
 func parseLoad(header string, fields []string) (load policy.LoadReport) {
 	if len(fields) == 0 {
 		return load
@@ -191,13 +197,14 @@
 	return load
 }
 
-// peekStatusLine waits for a response's status line and leaves it unread.
+// peekStatusLine waits for a response's status line and returns it without consuming
+// it.
 func peekStatusLine(reader *bufio.Reader) (string, error) {
 	for n := 1; ; n = reader.Buffered() + 1 {
 		if _, err := reader.Peek(n); err != nil {
 			return "", err
 		}
-		buffered, _ := reader.Peek(reader.Buffered()) // which has no error
+		buffered, _ := reader.Peek(reader.Buffered()) // peeking at buffered bytes cannot fail
 		for i, b := range buffered {
 			if b == '\n' {
 				return string(buffered[:i]), nil
@@ -206,26 +213,26 @@
 	}
 }
 
-// parseStatus reads the status code in a status line.
+// parseStatus returns the status code of an HTTP/1.0 or HTTP/1.1 status line.
 func parseStatus(line string) (int, error) {
 	if len(line) < 12 || line[:7] != "HTTP/1." || line[7] < '0' || line[7] > '1' || line[8] != ' ' ||
 		len(line) > 12 && line[12] != ' ' && line[12] != '\r' {
-		return 0, fmt.Errorf("first line %.40q", line)
+		return 0, fmt.Errorf("malformed status line %.40q", line)
 	}
 	code := 0
 	for _, digit := range []byte(line[9:12]) {
 		if digit < '0' || digit > '9' {
-			return 0, fmt.Errorf("first line %.40q", line)
+			return 0, fmt.Errorf("malformed status line %.40q", line)
 		}
 		code = code*10 + int(digit-'0')
 	}
 	if code < http.StatusContinue {
-		return 0, fmt.Errorf("first line %.40q", line)
+		return 0, fmt.Errorf("malformed status line %.40q", line)
 	}
 	return code, nil
 }
 
-// skipHead reads past the head of an interim response.
+// skipHead reads and drops the head of an interim response.
 func skipHead(reader *bufio.Reader) error {
 	for {
 		line, err := reader.ReadSlice('\n')
--- a/internal/upstream/response_test.go
+++ b/internal/upstream/response_test.go
@@ -18,41 +18,41 @@
 		response   string
 		outcome    policy.Outcome
 		retryAfter policy.Time
-		slots      bool
+		slots      bool // want SlotsExhausted
 		final      bool
 	}{
 		"delivered": {
 			response: "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok",
 			outcome:  policy.Delivered, final: true,
 		},
-		"delivered, cut": {
+		"delivered, body truncated": {
 			response: "HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nok",
 			outcome:  policy.Delivered, final: true,
 		},
-		"error": {response: "HTTP/1.1 500 E\r\nContent-Length: 0\r\n\r\n", outcome: policy.Failed},
+		"server error": {response: "HTTP/1.1 500 E\r\nContent-Length: 0\r\n\r\n", outcome: policy.Failed},
 		"Retry-After": {
 			response: "HTTP/1.1 429 W\r\nRetry-After: 0.75\r\nContent-Length: 0\r\n\r\n",
 			outcome:  policy.Rejected, retryAfter: 750000,
 		},
-		"full": {response: "HTTP/1.1 503 F\r\nContent-Length: 0\r\n\r\n", outcome: policy.Rejected},
+		"overloaded": {response: "HTTP/1.1 503 F\r\nContent-Length: 0\r\n\r\n", outcome: policy.Rejected},
 		"slots taken": {
 			response: "HTTP/1.1 503 F\r\nSlots-Taken: 1\r\nContent-Length: 0\r\n\r\n",
 			outcome:  policy.NotSent, slots: true,
 		},
-		"attempts used up": {response: "HTTP/1.1 504 A\r\nContent-Length: 0\r\n\r\n", outcome: policy.NotSent},
-		"message over": {
+		"no attempts left": {response: "HTTP/1.1 504 A\r\nContent-Length: 0\r\n\r\n", outcome: policy.NotSent},
+		"message ended": {
 			response: "HTTP/1.1 410 G\r\nContent-Length: 0\r\n\r\n",
 			outcome:  policy.NotSent, final: true,
 		},
-		"no status of ours": {response: "HTTP/1.1 418 T\r\nContent-Length: 0\r\n\r\n", outcome: policy.Failed},
-		"no redirect": {
+		"unknown status code": {response: "HTTP/1.1 418 T\r\nContent-Length: 0\r\n\r\n", outcome: policy.Failed},
+		"redirect is not followed": {
 			response: "HTTP/1.1 307 R\r\nLocation: /x\r\nContent-Length: 0\r\n\r\n",
 			outcome:  policy.Failed,
 		},
-		"broken after":       {response: "", outcome: policy.ConnectionReset},
-		"nonsense":           {response: "what?\r\n\r\n", outcome: policy.Failed},
-		"half a status line": {response: "HTTP/1.1 20", outcome: policy.ConnectionReset},
-		"first a hint, then": {
+		"closed without a response": {response: "", outcome: policy.ConnectionReset},
+		"malformed status line":     {response: "what?\r\n\r\n", outcome: policy.Failed},
+		"truncated status line":     {response: "HTTP/1.1 20", outcome: policy.ConnectionReset},
+		"interim response, then delivered": {
 			response: "HTTP/1.1 100 C\r\n\r\nHTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n",
 			outcome:  policy.Delivered, final: true,
 		},
@@ -66,7 +66,8 @@
 			result := callOnce(t, endpoint, Request{ID: "m", IdempotencyKey: "k", Body: []byte("b")})
 			if result.Outcome != test.outcome || result.RetryAfter != test.retryAfter ||
 				result.SlotsExhausted != test.slots || result.Final != test.final {
-				t.Errorf("got %+v", result)
+				t.Errorf("got %+v, want outcome %d, RetryAfter %d, SlotsExhausted %v, Final %v",
+					result, test.outcome, test.retryAfter, test.slots, test.final)
 			}
 		})
 	}
@@ -79,7 +80,7 @@
 	} {
 		got, err := parseRetryAfter(s)
 		if (err != nil) != (want < 0) || err == nil && got != want {
-			t.Errorf("%q: %d, %v, want %d", s, got, err, want)
+			t.Errorf("parseRetryAfter(%q) = %d, %v, want %d (-1 means an error)", s, got, err, want)
 		}
 	}
 }
@@ -91,17 +92,17 @@
 		"x0=?,x1=-2": {}, "x1=NaN": {}, "x1=Inf,x0=+Inf": {}, "x1=1e300": {},
 	} {
 		if got := parseLoad(s, fields); got != want {
-			t.Errorf("%q: %+v", s, got)
+			t.Errorf("parseLoad(%q) = %+v, want %+v", s, got, want)
 		}
 	}
 	if got := parseLoad("x0=1", nil); got != (policy.LoadReport{}) {
-		t.Errorf("a report where none is due: %+v", got)
+		t.Errorf("parseLoad without fields = %+v, want an empty report", got)
 	}
 }
 
-// Guards what is believed of a response. A malformed one is that of a call that may
-// have run, whatever its status line says, unless that says 200; and no response is read
-// for longer than it may be or take.
+// Guards against trusting malformed responses. After a malformed response the call may have
+// run, whatever its status line says, unless the code is 200. A response must also not
+// exceed the limits of size and time, so that an endpoint cannot hold up the relay.
 func TestMalformedResponses(t *testing.T) { forEachTransport(t, testMalformedResponses) }
 
 func testMalformedResponses(t *testing.T, tr *transport) {
@@ -109,79 +110,79 @@
 	long := strings.Repeat("x", 8000)
 	for name, test := range map[string]struct {
 		response string
-		endless  bool // the endpoint goes on sending
+		endless  bool // the endpoint sends bytes until the connection is closed
 		outcome  policy.Outcome
 		final    bool
-		keeps    bool
+		kept     bool // the connection is kept
 	}{
-		"refusal with a short body": {
+		"rejected, truncated body": {
 			response: "HTTP/1.1 503 F\r\nContent-Length: 9\r\n\r\nno",
 			outcome:  policy.Failed,
 		},
-		"Retry-After that is negative": {
+		"negative Retry-After": {
 			response: "HTTP/1.1 429 W\r\nRetry-After: -3\r\nContent-Length: 0\r\n\r\n",
 			outcome:  policy.Failed,
 		},
-		"message over, head without end": {response: "HTTP/1.1 410 G\r\nContent-Le", outcome: policy.Failed},
-		"not sent, two lengths": {
+		"message ended, truncated head": {response: "HTTP/1.1 410 G\r\nContent-Le", outcome: policy.Failed},
+		"not sent, two Content-Length headers": {
 			response: "HTTP/1.1 504 A\r\nContent-Length: 0\r\nContent-Length: 5\r\n\r\n",
 			outcome:  policy.Failed,
 		},
-		"refusal, length no number": {
+		"rejected, Content-Length not a number": {
 			response: "HTTP/1.1 503 F\r\nContent-Length: many\r\n\r\n",
 			outcome:  policy.Failed,
 		},
-		"refusal, negative length": {
+		"rejected, negative Content-Length": {
 			response: "HTTP/1.1 503 F\r\nContent-Length: -1\r\n\r\n",
 			outcome:  policy.Failed,
 		},
-		"refusal of 3 GB": {
+		"rejected, body of 3 GB": {
 			response: "HTTP/1.1 503 F\r\nContent-Length: 3221225472\r\n\r\n",
 			endless:  true, outcome: policy.Failed,
 		},
-		"refusal, endless head": {response: "HTTP/1.1 503 F\r\n", endless: true, outcome: policy.Failed},
-		"refusal, chunks cut": {
+		"rejected, endless head": {response: "HTTP/1.1 503 F\r\n", endless: true, outcome: policy.Failed},
+		"rejected, truncated chunks": {
 			response: "HTTP/1.1 503 F\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nab",
 			outcome:  policy.Failed,
 		},
-		"noise":             {response: "\x00\xff\x13noise\x00", outcome: policy.Failed},
-		"noise with a line": {response: "\x00\xffnoise\r\nHTTP/1.1 503 F\r\n\r\n", outcome: policy.Failed},
-		"endless line":      {response: "HTTP/1.1 503 " + long, endless: true, outcome: policy.Failed},
-		"not quite a code": {
+		"noise":                      {response: "\x00\xff\x13noise\x00", outcome: policy.Failed},
+		"noise before a status line": {response: "\x00\xffnoise\r\nHTTP/1.1 503 F\r\n\r\n", outcome: policy.Failed},
+		"endless status line":        {response: "HTTP/1.1 503 " + long, endless: true, outcome: policy.Failed},
+		"status code of four digits": {
 			response: "HTTP/1.1 2000 OK\r\nContent-Length: 0\r\n\r\n",
 			outcome:  policy.Failed,
 		},
-		"another protocol": {
+		"unsupported HTTP version": {
 			response: "HTTP/2.0 200 OK\r\nContent-Length: 0\r\n\r\n",
 			outcome:  policy.Failed,
 		},
-		"delivered, 3 GB": {
+		"delivered, body of 3 GB": {
 			response: "HTTP/1.1 200 OK\r\nContent-Length: 3221225472\r\n\r\n",
 			endless:  true, outcome: policy.Delivered, final: true,
 		},
-		"delivered, head without end": {response: "HTTP/1.1 200 OK\r\nX-", outcome: policy.Delivered, final: true},
-		"delivered, noise for a head": {
+		"delivered, truncated head": {response: "HTTP/1.1 200 OK\r\nX-", outcome: policy.Delivered, final: true},
+		"delivered, noise instead of headers": {
 			response: "HTTP/1.1 200 OK\r\n\x00\x01\xff",
 			outcome:  policy.Delivered, final: true,
 		},
-		"delivered, bad length": {
+		"delivered, negative Content-Length": {
 			response: "HTTP/1.1 200 OK\r\nContent-Length: -7\r\n\r\n",
 			outcome:  policy.Delivered, final: true,
 		},
-		"several hints": {
+		"several interim responses": {
 			response: interim + upstreamtest.OKResponse,
-			outcome:  policy.Delivered, final: true, keeps: true,
+			outcome:  policy.Delivered, final: true, kept: true,
 		},
-		"hints without end": {
+		"too many interim responses": {
 			response: strings.Repeat("HTTP/1.1 100 C\r\n\r\n", 500),
 			outcome:  policy.Failed,
 		},
-		"a hint, then nothing": {response: "HTTP/1.1 103 E\r\n", outcome: policy.Failed},
-		"refusal, then a copy behind": {
+		"truncated interim response": {response: "HTTP/1.1 103 E\r\n", outcome: policy.Failed},
+		"rejected, followed by a second copy": {
 			response: "HTTP/1.1 503 F\r\nContent-Length: 0\r\n\r\nHTTP/1.1 503 F\r\nContent-Length: 0\r\n\r\n",
 			outcome:  policy.Rejected,
 		},
-		"delivered, then a copy behind": {
+		"delivered, followed by a second copy": {
 			response: upstreamtest.OKResponse + upstreamtest.OKResponse,
 			outcome:  policy.Delivered, final: true,
 		},
@@ -203,28 +204,29 @@
 						return
 					}
 				}
-				waitClosed(reader) // the connection stays open from this side
+				waitClosed(reader) // the endpoint does not close the connection itself
 				closed <- n
 			}))
 			result := callOnce(t, endpoint, Request{ID: "m", Body: []byte("b")})
 			if result.Outcome != test.outcome || result.Final != test.final {
-				t.Errorf("got %+v", result)
+				t.Errorf("got %+v, want outcome %d, Final %v", result, test.outcome, test.final)
 			}
 			if result.Elapsed > (testTimeout / 2).Microseconds() {
-				t.Errorf("took %d us: it waited for what does not come", result.Elapsed)
+				t.Errorf("call took %d us, want at most %d us", result.Elapsed, (testTimeout / 2).Microseconds())
 			}
-			if _, idle := endpoint.pool.counts(); (idle != 0) != test.keeps {
-				t.Errorf("%d connections kept", idle)
+			if _, idle := endpoint.pool.counts(); (idle != 0) != test.kept {
+				t.Errorf("idle connections after the call = %d, want connection kept %v", idle, test.kept)
 			}
 			endpoint.CloseIdle()
 			if n := <-closed; n > 64<<20 {
-				t.Errorf("%d bytes were sent before the close", n)
+				t.Errorf("endpoint sent %d bytes before the connection was closed, want at most %d", n, 64<<20)
 			}
 		})
 	}
 }
 
-// Guards the moment at which a delivery is known: with the status line.
+// Guards against reporting a delivery late: its status line proves it, so the result must be
+// reported before the rest of the response arrives.
 func TestDeliveredAtStatusLine(t *testing.T) { forEachTransport(t, testDeliveredAtStatusLine) }
 
 func testDeliveredAtStatusLine(t *testing.T, tr *transport) {
@@ -237,19 +239,19 @@
 	}))
 	results, ended := startAndWatch(endpoint, Request{ID: "m"})
 	if result := <-results; result.Outcome != policy.Delivered {
-		t.Errorf("got %+v", result)
+		t.Errorf("Call.Do reported %+v, want outcome Delivered", result)
 	}
 	select {
 	case <-ended:
-		t.Error("the rest of the response was not waited for")
+		t.Error("Call.Do returned before the end of the response, want it to wait for the rest")
 	default:
 	}
 	<-ended
 	close(release)
 }
 
-// Guards a final response that comes long after an interim one: only what has begun
-// must come quickly.
+// Guards against applying the read timeout to the time between an interim response and the
+// final one. The timeout limits only the time from a response's first byte to its last.
 func TestInterimLongBeforeResponse(t *testing.T) { forEachTransport(t, testInterimLongBeforeResponse) }
 
 func testInterimLongBeforeResponse(t *testing.T, tr *transport) {
@@ -264,12 +266,12 @@
 	results, ended := startAndWatch(endpoint, Request{ID: "m"})
 	select {
 	case result := <-results:
-		t.Fatalf("before the final response: %+v", result)
+		t.Fatalf("Call.Do reported %+v before the final response, want no result", result)
 	case <-time.After(2 * responseReadTimeout):
 	}
 	close(release)
 	if result := <-results; result.Outcome != policy.Delivered {
-		t.Errorf("got %+v", result)
+		t.Errorf("Call.Do reported %+v, want outcome Delivered", result)
 	}
 	<-ended
 }
--- a/internal/upstream/tlsconn.go
+++ b/internal/upstream/tlsconn.go
@@ -9,27 +9,27 @@
 	"troutusher/internal/tlsdial"
 )
 
-// Connections over TLS. A handshake belongs to its endpoint and not to a call: it
-// goes on when the call that began it has ended, and whichever call waits there
-// takes the first connection that becomes free. So calls share connections before
-// more are opened, and none is closed during its handshake.
+// TLS connections. A handshake belongs to its endpoint, not to the call that started it:
+// it continues after that call has ended, and a waiting call takes the first connection
+// that becomes free, whoever opened it. Calls therefore share connections before more are
+// opened, and no connection is closed during its handshake.
 
 const (
-	// postHandshakeWait is for what a TLS peer sends by itself, to be read.
+	// postHandshakeWait is the time for reading a TLS post-handshake message.
 	postHandshakeWait = time.Millisecond
-	// maxPostHandshakeReads is how often that is read before a call.
+	// maxPostHandshakeReads limits how often such messages are read before a call.
 	maxPostHandshakeReads = 8
 )
 
-// connectEnded counts out a connection that is not being opened any more.
+// connectEnded removes one connection from the count of those being opened.
 func (e *Endpoint) connectEnded() {
 	e.pool.mu.Lock()
 	defer e.pool.mu.Unlock()
 	e.connecting--
 }
 
-// retryHandshake begins a handshake on the schedule of an endpoint whose identity
-// was rejected. It reports whether one began.
+// retryHandshake starts a scheduled handshake with an endpoint whose identity was
+// rejected. It reports whether it started one.
 func (e *Endpoint) retryHandshake() bool {
 	e.pool.mu.Lock()
 	e.connecting++
@@ -38,11 +38,11 @@
 	return err == nil && opened != nil
 }
 
-// openTLS begins to open a connection, which its caller has counted as one that is
-// being opened, and which is idle once it is open. Without a channel and an error it
-// may not be begun now: budgetAt is when to ask again, zero for once another one
-// there has ended. The handshake's goroutine ends by itself within the permit's
-// timeout.
+// openTLS starts to open a connection, which becomes idle once it is open. The caller has
+// already counted it in e.connecting. opened receives the result of the handshake. If
+// opened and err are both nil, no handshake may start now: budgetAt is when to try again,
+// or zero to wait until another handshake with the endpoint has ended. The goroutine of
+// the handshake ends within the permit's timeout.
 func (e *Endpoint) openTLS(warmingUp, scheduled bool) (opened <-chan error, budgetAt time.Time, err error) {
 	defer func() {
 		if opened == nil {
@@ -65,8 +65,8 @@
 	return done, time.Time{}, nil
 }
 
-// finishOpenTLS connects and makes the handshake, and adds the connection to the
-// idle ones.
+// finishOpenTLS connects, performs the handshake and adds the connection to the idle ones.
+// It sends the result to done.
 func (e *Endpoint) finishOpenTLS(permit *tlsdial.Permit, done chan<- error) {
 	ctx, cancel := context.WithTimeout(context.Background(), permit.Timeout())
 	defer cancel()
@@ -84,8 +84,8 @@
 	done <- err
 }
 
-// addIdleTLSLocked adds a new connection to the idle ones; it may be used at once. The
-// caller holds the pool's lock.
+// addIdleTLSLocked adds a new connection to the idle ones. A call may use it immediately,
+// without reuseDelay. The caller must hold the pool's lock.
 func (e *Endpoint) addIdleTLSLocked(conn *tlsdial.Conn) {
 	c := newPoolConn(e, conn)
 	c.tls = conn
@@ -106,16 +106,17 @@
 	return permit.Handshake(ctx, raw)
 }
 
-// reusableTLS is reusable over TLS. What has come may be new sessions or keys (RFC
-// 8446 section 4.6), which are taken in; anything else, and part of a record, which
-// may be the connection's end, makes it of no use.
+// reusableTLS implements reusable for TLS. Post-handshake messages, that is new session
+// tickets and key updates (RFC 8446 section 4.6), are read and processed. Any other input
+// makes the connection unusable, and so does a partial record, which may be the start of
+// the alert that closes the connection.
 func (c *poolConn) reusableTLS() bool {
 	if !c.tls.IdentityCurrent() {
 		return false
 	}
 	defer c.expireReadsAt(time.Time{})
 	for range maxPostHandshakeReads {
-		c.expireReadsAt(pastDeadline) // what was read from the socket already
+		c.expireReadsAt(pastDeadline) // first check what was already read from the socket
 		if c.hasUnexpectedInput() {
 			return false
 		}
@@ -131,22 +132,22 @@
 	return false
 }
 
-// hasUnexpectedInput reports whether something comes by the read deadline that is no
-// post-handshake message: bytes, the end, or an alert that the peer does not accept
-// this side's identity.
+// hasUnexpectedInput reports whether anything other than a post-handshake message arrives
+// before the read deadline: data, the end of the connection, or an alert, such as one
+// that rejects the relay's certificate.
 func (c *poolConn) hasUnexpectedInput() bool {
 	_, err := c.reader.Peek(1)
 	if errors.Is(err, os.ErrDeadlineExceeded) {
 		return false
 	}
-	_ = c.recordAlert(err) // the connection is of no use either way
+	_ = c.recordAlert(err) // the connection is unusable whether or not err is a rejection
 	return true
 }
 
-// recordAlert has the dialer look at an error on the connection: it may be an alert
-// that the peer rejects this side's identity, which with TLS 1.3 comes after the
-// handshake and spares the endpoint the next calls. It returns the rejection, nil for
-// any other error, and without TLS.
+// recordAlert reports an error of the connection to the TLS dialer. The error may be an
+// alert by which the peer rejects the relay's certificate. With TLS 1.3 it arrives after
+// the handshake; once it is recorded, no further calls go to the endpoint. recordAlert
+// returns the rejection, or nil for any other error or without TLS.
 func (c *poolConn) recordAlert(err error) error {
 	if c.tls == nil || err == nil {
 		return nil
--- a/internal/upstream/tlsidentity_test.go
+++ b/internal/upstream/tlsidentity_test.go
@@ -22,24 +22,25 @@
 	"troutusher/policy"
 )
 
-// callRejectedPeer makes calls to a peer that shows what it should not. It returns
-// how many bytes of plaintext the peer got, and in how many connections.
+// callRejectedPeer sends five calls to a peer whose identity must be rejected. It returns the
+// last result, how many bytes of plaintext the peer received, and how many connections it
+// accepted.
 func callRejectedPeer(t *testing.T, site *upstreamtest.TLSSite, config *tls.Config) (
 	result Result, plaintext int64, conns int32,
 ) {
 	t.Helper()
-	var got atomic.Int64
-	var n atomic.Int32
+	var received atomic.Int64
+	var accepted atomic.Int32
 	addr := upstreamtest.ServeTCP(t, func(raw net.Conn) {
-		n.Add(1)
+		accepted.Add(1)
 		conn := tls.Server(raw, config)
 		if conn.Handshake() != nil {
 			return
 		}
-		b := make([]byte, 100)
+		buffer := make([]byte, 100)
 		for {
-			k, err := conn.Read(b)
-			if got.Add(int64(k)); err != nil {
+			n, err := conn.Read(buffer)
+			if received.Add(int64(n)); err != nil {
 				return
 			}
 		}
@@ -49,19 +50,19 @@
 		result = callOnce(t, endpoint, Request{ID: "m", IdempotencyKey: secretKey, Body: []byte("body")})
 	}
 	endpoint.Close()
-	return result, got.Load(), n.Load()
+	return result, received.Load(), accepted.Load()
 }
 
 const secretKey = "secret-key"
 
-// rejectedPeerCase is a peer whose identity is not accepted.
+// rejectedPeerCase is a peer whose identity must be rejected.
 type rejectedPeerCase struct {
-	configure func(site *upstreamtest.TLSSite)                // before its rule is read
-	show      func(site *upstreamtest.TLSSite) *testca.Issued // in place of the site's own certificate
+	configure func(site *upstreamtest.TLSSite)                // changes the site before its rule is read
+	present   func(site *upstreamtest.TLSSite) *testca.Issued // certificate to present instead of the site's own
 	cause     tlspolicy.FailureCause
 }
 
-// wrongNameCases are certificates that name somebody else.
+// wrongNameCases returns peers whose certificate has a name other than the expected one.
 func wrongNameCases(t *testing.T) map[string]rejectedPeerCase {
 	byRoot := func(name string, changes ...func(*x509.Certificate)) func(site *upstreamtest.TLSSite) *testca.Issued {
 		return func(site *upstreamtest.TLSSite) *testca.Issued {
@@ -69,14 +70,14 @@
 		}
 	}
 	return map[string]rejectedPeerCase{
-		"another name":        {show: byRoot("shop.example.org"), cause: tlspolicy.NameMismatch},
-		"no name":             {show: byRoot("x", testca.WithNames()), cause: tlspolicy.NameMismatch},
-		"its address":         {show: byRoot("x", testca.WithNames("127.0.0.1")), cause: tlspolicy.NameMismatch},
-		"a wildcard too wide": {show: byRoot("*.org"), cause: tlspolicy.NameMismatch},
+		"another name":        {present: byRoot("shop.example.org"), cause: tlspolicy.NameMismatch},
+		"no name":             {present: byRoot("x", testca.WithNames()), cause: tlspolicy.NameMismatch},
+		"only an IP address":  {present: byRoot("x", testca.WithNames("127.0.0.1")), cause: tlspolicy.NameMismatch},
+		"too wide a wildcard": {present: byRoot("*.org"), cause: tlspolicy.NameMismatch},
 	}
 }
 
-// wrongChainCases are certificates under a name that is right.
+// wrongChainCases returns peers whose certificate has the expected name but no valid chain.
 func wrongChainCases(t *testing.T, other *testca.Issued) map[string]rejectedPeerCase {
 	now := time.Now()
 	expired := testca.WithValidity(now.Add(-2*time.Hour), now.Add(-time.Minute))
@@ -98,42 +99,46 @@
 		}
 	}
 	return map[string]rejectedPeerCase{
-		"another root": {show: func(*upstreamtest.TLSSite) *testca.Issued {
+		"another root": {present: func(*upstreamtest.TLSSite) *testca.Issued {
 			return issue(other, upstreamtest.PeerName)
 		}, cause: tlspolicy.UntrustedRoot},
-		"signed by itself": {show: func(*upstreamtest.TLSSite) *testca.Issued {
+		"self-signed": {present: func(*upstreamtest.TLSSite) *testca.Issued {
 			return issue(nil, upstreamtest.PeerName)
 		}, cause: tlspolicy.UntrustedRoot},
-		"another root of the same name": {show: func(*upstreamtest.TLSSite) *testca.Issued {
+		"another root with the same name": {present: func(*upstreamtest.TLSSite) *testca.Issued {
 			return issue(issue(nil, "root", testca.AsAuthority), upstreamtest.PeerName)
 		}, cause: tlspolicy.UntrustedRoot},
-		"expired": {show: byRoot(expired), cause: tlspolicy.Expired},
+		"expired": {present: byRoot(expired), cause: tlspolicy.Expired},
 		"not yet valid": {
-			show:  byRoot(testca.WithValidity(now.Add(time.Minute), now.Add(time.Hour))),
-			cause: tlspolicy.NotYetValid,
+			present: byRoot(testca.WithValidity(now.Add(time.Minute), now.Add(time.Hour))),
+			cause:   tlspolicy.NotYetValid,
 		},
-		"expired above": {show: byAuthority(expired), cause: tlspolicy.Expired},
-		"no authority above": {
-			show:  byAuthority(func(cert *x509.Certificate) { cert.IsCA = false }),
-			cause: tlspolicy.UntrustedRoot,
+		"expired intermediate": {present: byAuthority(expired), cause: tlspolicy.Expired},
+		"intermediate that is no CA": {
+			present: byAuthority(func(cert *x509.Certificate) { cert.IsCA = false }),
+			cause:   tlspolicy.UntrustedRoot,
 		},
-		"for clients": {show: byRoot(func(cert *x509.Certificate) {
+		"client certificate": {present: byRoot(func(cert *x509.Certificate) {
 			cert.ExtKeyUsage = []x509.ExtKeyUsage{x509.ExtKeyUsageClientAuth}
 		}), cause: tlspolicy.InvalidChain},
-		"deeper than its authority may go": {show: func(site *upstreamtest.TLSSite) *testca.Issued {
+		"path length constraint exceeded": {present: func(site *upstreamtest.TLSSite) *testca.Issued {
 			short := issue(site.Root, "short", testca.AsAuthority, func(cert *x509.Certificate) {
 				cert.MaxPathLen, cert.MaxPathLenZero = 0, true
 			})
 			return issue(issue(short, "deep", testca.AsAuthority), upstreamtest.PeerName)
 		}, cause: tlspolicy.InvalidChain},
-		"outside what its authority may name": {show: byAuthority(func(cert *x509.Certificate) {
+		"outside the name constraints": {present: byAuthority(func(cert *x509.Certificate) {
 			cert.PermittedDNSDomains, cert.PermittedDNSDomainsCritical = []string{"shop.example.org"}, true
 		}), cause: tlspolicy.InvalidChain},
-		"must staple and does not": {show: byRoot(testca.WithMustStaple), cause: tlspolicy.RevocationUnresolved},
+		"must-staple without a stapled response": {
+			present: byRoot(testca.WithMustStaple),
+			cause:   tlspolicy.RevocationUnresolved,
+		},
 	}
 }
 
-// wrongRuleCases are certificates that only the site's rule does not accept.
+// wrongRuleCases returns peers whose certificate is valid but violates the site's rule, and
+// one that requires a client certificate.
 func wrongRuleCases(t *testing.T, other *testca.Issued) map[string]rejectedPeerCase {
 	return map[string]rejectedPeerCase{
 		"not pinned": {configure: func(site *upstreamtest.TLSSite) {
@@ -142,16 +147,16 @@
 		"revoked": {configure: func(site *upstreamtest.TLSSite) {
 			revoke(t, site, site.PeerCert)
 		}, cause: tlspolicy.CertificateRevoked},
-		"revocation unknown, and hard": {configure: func(site *upstreamtest.TLSSite) {
+		"unknown revocation is refused": {configure: func(site *upstreamtest.TLSSite) {
 			site.Rule.UnknownRevocation = "refuse"
 		}, cause: tlspolicy.RevocationUnresolved},
-		"wants a certificate that we lack": {cause: tlspolicy.ClientCertificateRejected},
+		"client certificate required": {cause: tlspolicy.ClientCertificateRejected},
 	}
 }
 
-// Guards messages against peers whose proof is not accepted, over both versions:
-// nothing is sent, the message never ran, the endpoint is out for its own cause, and
-// five messages make one handshake.
+// Guards against sending messages to peers whose identity is rejected, with TLS 1.2 and
+// TLS 1.3. The peer must receive no plaintext, the calls must be reported as not sent with
+// the right cause, and five calls must cause only one handshake.
 func TestRejectedPeersGetNothing(t *testing.T) {
 	other := upstreamtest.IssueCert(t, nil, "other", testca.AsAuthority)
 	cases := wrongNameCases(t)
@@ -166,12 +171,12 @@
 						test.configure(site)
 					}
 				})
-				shown := site.PeerCert
-				if test.show != nil {
-					shown = test.show(site)
+				presented := site.PeerCert
+				if test.present != nil {
+					presented = test.present(site)
 				}
 				config := &tls.Config{
-					Certificates: []tls.Certificate{shown.TLSCertificate()},
+					Certificates: []tls.Certificate{presented.TLSCertificate()},
 					MinVersion:   version, MaxVersion: version,
 				}
 				if test.cause == tlspolicy.ClientCertificateRejected {
@@ -181,18 +186,18 @@
 				var rejected *tlsdial.RejectedError
 				if result.Outcome != policy.NotSent || !errors.As(result.Err, &rejected) ||
 					rejected.Reason.Cause != test.cause {
-					t.Errorf("got %+v, want %s", result, test.cause)
+					t.Errorf("got %+v, want outcome NotSent, cause %s", result, test.cause)
 				}
 				if plaintext != 0 || conns != 1 {
-					t.Errorf("%d bytes of plaintext at the peer in %d connections, want none in one", plaintext, conns)
+					t.Errorf("peer received %d bytes of plaintext on %d connections, want 0 on 1", plaintext, conns)
 				}
 				if rejection := <-site.Rejections; rejection.Wait <= 0 {
-					t.Errorf("reported %v", rejection)
+					t.Errorf("reported rejection %+v, want Wait > 0", rejection)
 				}
 			})
 		}
 	}
-	t.Run("only an old version", func(t *testing.T) {
+	t.Run("only TLS 1.0 and 1.1", func(t *testing.T) {
 		site := upstreamtest.NewTLSSite(t, nil)
 		config := site.ServerConfig()
 		config.MinVersion, config.MaxVersion = tls.VersionTLS10, tls.VersionTLS11
@@ -200,17 +205,18 @@
 		var rejected *tlsdial.RejectedError
 		if !errors.As(result.Err, &rejected) || rejected.Reason.Cause != tlspolicy.NoCommonParameters ||
 			plaintext != 0 {
-			t.Errorf("got %+v, %d bytes", result, plaintext)
+			t.Errorf("got %+v and %d bytes of plaintext, want cause %s and 0",
+				result, plaintext, tlspolicy.NoCommonParameters)
 		}
 	})
-	t.Run("no TLS at all", func(t *testing.T) {
+	t.Run("plain TCP", func(t *testing.T) {
 		site := upstreamtest.NewTLSSite(t, nil)
-		var got atomic.Int64
+		var leaks atomic.Int64
 		endpoint := openTLS(testPool(t), site, upstreamtest.ServeTCP(t, func(conn net.Conn) {
-			b := make([]byte, 4096)
-			n, _ := conn.Read(b) // whatever comes
-			if strings.Contains(string(b[:n]), secretKey) {
-				got.Add(1)
+			buffer := make([]byte, 4096)
+			n, _ := conn.Read(buffer) // an error means that less arrived
+			if strings.Contains(string(buffer[:n]), secretKey) {
+				leaks.Add(1)
 			}
 			respond(conn, upstreamtest.OKResponse)
 		}))
@@ -218,15 +224,16 @@
 		endpoint.Close()
 		var rejected *tlsdial.RejectedError
 		if !errors.As(result.Err, &rejected) || rejected.Reason.Cause != tlspolicy.NoCommonParameters ||
-			got.Load() != 0 {
-			t.Errorf("got %+v", result)
+			leaks.Load() != 0 {
+			t.Errorf("got %+v, idempotency key leaked %d times, want cause %s and 0",
+				result, leaks.Load(), tlspolicy.NoCommonParameters)
 		}
 	})
 }
 
-// Guards a message against a peer that takes a while to reject our certificate: with TLS
-// 1.3 the handshake is complete on this side by then, and the whole message would be on
-// its way.
+// Guards against sending a message to a peer that is slow to reject the relay's certificate.
+// With TLS 1.3 the relay's side of the handshake is complete before the peer's alert
+// arrives, and the whole message could already be sent.
 func TestOwnCertificateRejectedLate(t *testing.T) {
 	site := upstreamtest.NewTLSSite(t, func(site *upstreamtest.TLSSite, _ *operatorconfig.Handshakes) {
 		cert, key, err := upstreamtest.IssueCert(t, site.Root, "relay").WriteFiles(site.Dir, "own", true)
@@ -245,10 +252,11 @@
 	var rejected *tlsdial.RejectedError
 	if result.Outcome != policy.NotSent || !errors.As(result.Err, &rejected) ||
 		rejected.Reason.Cause != tlspolicy.ClientCertificateRejected || plaintext != 0 || conns != 1 {
-		t.Errorf("got %+v, %d bytes, %d connections", result, plaintext, conns)
+		t.Errorf("got %+v, %d bytes of plaintext, %d connections, want outcome NotSent, cause %s, 0 and 1",
+			result, plaintext, conns, tlspolicy.ClientCertificateRejected)
 	}
 	if n := site.Dialer.Counts(); n.Full != 0 || n.Rejected != 1 {
-		t.Errorf("%+v: it counts as verified", n)
+		t.Errorf("dialer counts = %+v, want 0 full handshakes and 1 rejected", n)
 	}
 }
 
@@ -265,8 +273,8 @@
 	}
 }
 
-// Guards a certificate that ends while its connection is open: the call that is
-// out on it ends well, and no other begins there.
+// Guards against using a connection whose certificate has expired while it was open. The call
+// in flight must still be delivered, and no other call may start on the connection.
 func TestCertificateExpiresOnOpenConnection(t *testing.T) {
 	site := upstreamtest.NewTLSSite(t, nil)
 	var conns atomic.Int32
@@ -281,32 +289,33 @@
 	})
 	endpoint := openTLS(testPool(t), site, addr)
 	results := make(chan Result, 1)
-	go start(endpoint, Request{ID: "a"}, results)
+	go runCall(endpoint, Request{ID: "a"}, results)
 	<-entered
-	site.ClockSkew.Store(int64(2 * time.Hour)) // its certificate ended an hour ago
+	site.ClockSkew.Store(int64(2 * time.Hour)) // the certificate expired an hour ago
 	close(release)
 	if result := <-results; result.Outcome != policy.Delivered {
-		t.Errorf("the call that was out: %+v", result)
+		t.Errorf("call in flight: got %+v, want outcome Delivered", result)
 	}
-	waitFor(t, "the connection's end", func() bool { open, _ := endpoint.pool.counts(); return open == 0 })
+	waitFor(t, "the connection to close", func() bool { open, _ := endpoint.pool.counts(); return open == 0 })
 	result := callOnce(t, endpoint, Request{ID: "b"})
 	var rejected *tlsdial.RejectedError
 	if !errors.As(result.Err, &rejected) || rejected.Reason.Cause != tlspolicy.Expired ||
 		result.Outcome != policy.NotSent || conns.Load() != 1 {
-		t.Errorf("the next one: %+v, %d connections served", result, conns.Load())
+		t.Errorf("next call: got %+v, %d connections served, want outcome NotSent, cause %s and 1",
+			result, conns.Load(), tlspolicy.Expired)
 	}
 	endpoint.Close()
 }
 
-// Guards trust that changes: connections and sessions that were made under the
-// old roots carry no new call, and the endpoint is asked again by itself once
-// the operator has mended the file; no message is spent on that.
+// Guards against using connections and sessions after the operator has replaced the roots
+// that verified them. When the operator restores the roots, the relay must verify the
+// endpoint again by itself, without using a message for that.
 func TestRootsReplaced(t *testing.T) {
 	site := upstreamtest.NewTLSSite(t, nil)
 	endpoint := openTLS(testPool(t), site, upstreamtest.ServeTLS(t, site.ServerConfig(), upstreamtest.ServeOK))
 	mustDeliver(t, endpoint)
 	if _, idle := endpoint.pool.counts(); idle != 1 {
-		t.Fatalf("%d idle", idle)
+		t.Fatalf("idle connections = %d, want 1", idle)
 	}
 	other := upstreamtest.IssueCert(t, nil, "other", testca.AsAuthority)
 	if _, _, err := other.WriteFiles(site.Dir, "roots", false); err != nil {
@@ -314,10 +323,10 @@
 	}
 	site.Dialer.ReloadFiles()
 	if result := callOnce(t, endpoint, Request{ID: "b"}); result.Outcome != policy.NotSent {
-		t.Fatalf("under roots that do not know the peer: %+v", result)
+		t.Fatalf("call with roots that do not verify the peer: got %+v, want outcome NotSent", result)
 	}
 	if rejection := <-site.Rejections; rejection.Wait == 0 {
-		t.Fatal("not rejected")
+		t.Fatal("dialer reported the endpoint as accepted, want it rejected")
 	}
 	if _, _, err := site.Root.WriteFiles(site.Dir, "roots", false); err != nil {
 		t.Fatal(err)
@@ -325,35 +334,35 @@
 	site.Dialer.ReloadFiles()
 	for rejection := range site.Rejections {
 		if rejection.Wait == 0 {
-			break // proved again, and no message was sent for it
+			break // verified again without a message
 		}
 	}
 	if n := site.Dialer.Counts(); n.Full != 2 || n.Resumed != 0 {
-		t.Errorf("%+v: a session outlived the trust that it was made under", n)
+		t.Errorf("dialer counts = %+v, want 2 full handshakes and 0 resumed", n)
 	}
 	waitReusable(endpoint)
 	mustDeliver(t, endpoint)
 	endpoint.Close()
 }
 
-// Guards the schedule: a peer whose certificate is valid again is noticed without a
-// call.
+// Guards the scheduled handshakes: when a rejected peer presents a valid certificate again,
+// the relay must notice that without sending a call.
 func TestPeerRecoversWithoutCall(t *testing.T) {
 	site := upstreamtest.NewTLSSite(t, nil)
-	var good atomic.Bool
+	var recovered atomic.Bool
 	wrong := upstreamtest.IssueCert(t, site.Root, "shop.example.org").TLSCertificate()
 	right := site.PeerCert.TLSCertificate()
 	config := &tls.Config{GetCertificate: func(*tls.ClientHelloInfo) (*tls.Certificate, error) {
-		if good.Load() {
+		if recovered.Load() {
 			return &right, nil
 		}
 		return &wrong, nil
 	}}
 	endpoint := openTLS(testPool(t), site, upstreamtest.ServeTLS(t, config, upstreamtest.ServeOK))
 	if result := callOnce(t, endpoint, Request{ID: "a"}); result.Outcome != policy.NotSent {
-		t.Fatalf("got %+v", result)
+		t.Fatalf("call to a peer with a wrong certificate: got %+v, want outcome NotSent", result)
 	}
-	good.Store(true)
+	recovered.Store(true)
 	for rejection := range site.Rejections {
 		if rejection.Wait == 0 {
 			break
@@ -363,9 +372,9 @@
 	endpoint.Close()
 }
 
-// Guards our own certificate that is replaced while fifty handshakes are in
-// flight, certificate and key one after the other: no call is lost, the pair
-// that does not match is never shown, and from then on the new one is.
+// Guards the replacement of the relay's own certificate while fifty handshakes are in flight.
+// Certificate and key are replaced one after the other. No call may be lost, and the relay
+// must present the old pair until both files match, and then the new one.
 func TestOwnCertificateReplaced(t *testing.T) {
 	site := upstreamtest.NewTLSSite(t, func(site *upstreamtest.TLSSite, handshakes *operatorconfig.Handshakes) {
 		handshakes.MaxParallel, handshakes.CPUShare, handshakes.BurstMS = 50, 1, 1000
@@ -376,7 +385,7 @@
 		site.Rule.Certificate, site.Rule.Key = cert, key
 	})
 	var mu sync.Mutex
-	shown := map[string]int{}
+	presented := map[string]int{} // connections by the common name of the relay's certificate
 	arrived, gate := make(chan struct{}, 200), make(chan struct{})
 	var open atomic.Bool
 	config := &tls.Config{
@@ -393,47 +402,47 @@
 	}
 	endpoint := openTLS(testPool(t), site, upstreamtest.ServeTLS(t, config, func(conn net.Conn) {
 		mu.Lock()
-		shown[conn.(*tls.Conn).ConnectionState().PeerCertificates[0].Subject.CommonName]++
+		presented[conn.(*tls.Conn).ConnectionState().PeerCertificates[0].Subject.CommonName]++
 		mu.Unlock()
 		upstreamtest.ServeOK(conn)
 	}))
 	results := make(chan Result, 100)
 	startCalls := func(n int) {
 		for range n {
-			go start(endpoint, Request{ID: "m"}, results)
+			go runCall(endpoint, Request{ID: "m"}, results)
 		}
 	}
 	startCalls(50)
 	for range 50 {
 		<-arrived
 	}
-	two := upstreamtest.IssueCert(t, site.Root, "relay two")
-	if err := testca.ReplaceFile(site.Rule.Certificate, two.CertPEM(), 0o644); err != nil {
+	replacement := upstreamtest.IssueCert(t, site.Root, "relay two")
+	if err := testca.ReplaceFile(site.Rule.Certificate, replacement.CertPEM(), 0o644); err != nil {
 		t.Fatal(err)
 	}
-	site.Dialer.ReloadFiles() // the moment between: the old pair goes on
+	site.Dialer.ReloadFiles() // certificate and key do not match, so the old pair must stay in use
 	open.Store(true)
 	close(gate)
 	for range 50 {
 		if result := <-results; result.Outcome != policy.Delivered {
-			t.Errorf("got %+v", result)
+			t.Errorf("Call.Do reported %+v, want outcome Delivered", result)
 		}
 	}
-	waitFor(t, "all handshakes", func() bool {
+	waitFor(t, "all handshakes to end", func() bool {
 		endpoint.pool.mu.Lock()
 		connecting := endpoint.connecting
 		endpoint.pool.mu.Unlock()
 		mu.Lock()
 		defer mu.Unlock()
-		return connecting == 0 && int64(shown["relay one"]) == site.Dialer.Counts().Full
+		return connecting == 0 && int64(presented["relay one"]) == site.Dialer.Counts().Full
 	})
 	mu.Lock()
-	if len(shown) != 1 {
-		t.Errorf("shown: %v", shown)
+	if len(presented) != 1 {
+		t.Errorf("presented certificates before the key is replaced = %v, want only \"relay one\"", presented)
 	}
-	clear(shown)
+	clear(presented)
 	mu.Unlock()
-	key, err := two.KeyPEM()
+	key, err := replacement.KeyPEM()
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -445,13 +454,13 @@
 	startCalls(20)
 	for range 20 {
 		if result := <-results; result.Outcome != policy.Delivered {
-			t.Errorf("got %+v", result)
+			t.Errorf("Call.Do reported %+v, want outcome Delivered", result)
 		}
 	}
 	mu.Lock()
 	defer mu.Unlock()
-	if len(shown) != 1 || shown["relay two"] == 0 {
-		t.Errorf("shown after the change: %v", shown)
+	if len(presented) != 1 || presented["relay two"] == 0 {
+		t.Errorf("presented certificates after the key is replaced = %v, want only \"relay two\"", presented)
 	}
 	endpoint.Close()
 	waitFor(t, "all connections to close", func() bool { open, _ := endpoint.pool.counts(); return open == 0 })
--- a/internal/upstream/tlswait.go
+++ b/internal/upstream/tlswait.go
@@ -10,52 +10,54 @@
 )
 
 const (
-	// maxUnusableConns is how many new connections may turn out to be of no use while
-	// one call waits.
+	// maxUnusableConns is how many new connections may become unusable before a call that
+	// waits for one gives up.
 	maxUnusableConns = 2
-	// noRetry is how long a wait is that has no end of its own.
+	// noRetry is the timer's duration when no retry is scheduled.
 	noRetry = time.Hour
 )
 
-// connRequest is what a call needs of a connection over TLS, and what it used.
+// connRequest describes what a call may do to get a TLS connection, and counts the
+// connections that were opened for it.
 type connRequest struct {
-	warmingUp  bool // its endpoint is: one connection is opened at a time, by a call that may
-	mayConnect bool // the policy has counted on a connection being opened
-	opened     int  // connections
+	warmingUp  bool // the endpoint is warming up; see [CallOptions]
+	mayConnect bool // the policy has charged the call for opening a connection
+	opened     int  // number of connections opened
 }
 
-// errConnectNotAllowed is a call that found no connection at an endpoint that is
-// warming up, and that may not open one.
+// errConnectNotAllowed is the error of a call that may not open a connection and found no
+// free one, at an endpoint that is warming up.
 var errConnectNotAllowed = errors.New("tls: no connection is free at a cold endpoint")
 
-// handshakeBudgetError is a call for which the handshake budget had no room in time.
+// handshakeBudgetError is the error of a call that needs a handshake which the handshake
+// budget does not allow before the call's timeout.
 type handshakeBudgetError struct{ retryAfter time.Duration }
 
 func (e handshakeBudgetError) Error() string {
 	return fmt.Sprintf("tls: no turn for a handshake in time, the next is in %v", e.retryAfter.Round(time.Millisecond))
 }
 
-// tlsWait is one call's wait for a connection over TLS.
+// tlsWait is one call's wait for a TLS connection.
 type tlsWait struct {
 	endpoint   *Endpoint
 	request    *connRequest
-	waiting    bool         // counted among the endpoint's waiters
-	unusable   int          // new connections that turned out to be of no use
-	connecting <-chan error // ends with the handshake that this call began; nil without one
+	waiting    bool         // the call is counted in endpoint.waiters
+	unusable   int          // number of new connections that became unusable during the wait
+	connecting <-chan error // receives the result of the handshake that this call started; nil without one
 }
 
-// tlsView is what a waiting call finds at its endpoint.
+// tlsView is the state of an endpoint's connections, as a waiting call finds it.
 type tlsView struct {
-	at       time.Time       // the moment of the view
-	conn     *poolConn       // a connection that the call may use
-	changed  <-chan struct{} // closed where it should look again
-	connect  bool            // it should open a connection, and is counted as doing so
+	at       time.Time       // when the state was read
+	conn     *poolConn       // a connection that the call may use; nil for none
+	changed  <-chan struct{} // closed when the call should check the pool again
+	connect  bool            // the call should open a connection, and is counted in endpoint.connecting
 	usableAt time.Time       // when an idle connection becomes usable; zero for none
 }
 
-// acquireTLS returns an idle connection, or waits for one that becomes free or
-// opens. Its error is handshakeBudgetError, *tlsdial.RejectedError or
-// errConnectNotAllowed where the endpoint was asked for nothing.
+// acquireTLS returns an idle connection, or waits until one becomes free or is opened.
+// The error is a handshakeBudgetError, a *tlsdial.RejectedError or errConnectNotAllowed if
+// the connection failed for a reason that says nothing about the endpoint's health.
 func (e *Endpoint) acquireTLS(ctx context.Context, request *connRequest) (*poolConn, error) {
 	timer := time.NewTimer(noRetry)
 	defer timer.Stop()
@@ -63,7 +65,7 @@
 	wait.enter()
 	defer wait.leave()
 	for {
-		view, err := wait.look()
+		view, err := wait.check()
 		if err != nil {
 			return nil, err
 		}
@@ -89,7 +91,7 @@
 	}
 }
 
-// enter counts the call among the endpoint's waiters.
+// enter adds the call to the endpoint's count of waiters.
 func (w *tlsWait) enter() {
 	w.endpoint.pool.mu.Lock()
 	defer w.endpoint.pool.mu.Unlock()
@@ -97,7 +99,7 @@
 	w.waiting = true
 }
 
-// leave ends that, if it has not ended.
+// leave removes the call from the count of waiters if it is still counted.
 func (w *tlsWait) leave() {
 	if !w.waiting {
 		return
@@ -112,8 +114,8 @@
 	w.waiting = false
 }
 
-// look takes an idle connection, or says what to wait for.
-func (w *tlsWait) look() (view tlsView, err error) {
+// check takes an idle connection if there is one. Otherwise it returns what to wait for.
+func (w *tlsWait) check() (view tlsView, err error) {
 	e := w.endpoint
 	e.pool.mu.Lock()
 	defer e.pool.mu.Unlock()
@@ -124,7 +126,7 @@
 	var unusable int
 	view.conn, view.usableAt, unusable = e.takeIdleLocked(view.at)
 	w.unusable += unusable
-	if view.conn != nil { // counted out at once: nobody opens one for it any more
+	if view.conn != nil { // no longer a waiter, so that no connection is opened for this call
 		w.leaveLocked()
 		return view, nil
 	}
@@ -139,8 +141,8 @@
 	return view, nil
 }
 
-// connect begins to open a connection, where the call may and the handshake budget
-// has room. It returns when to look again, zero for no moment.
+// connect starts to open a connection if the call may do so and the handshake budget
+// allows it. It returns when to check the pool again, or zero if no time is known.
 func (w *tlsWait) connect(ctx context.Context, view *tlsView) (retryAt time.Time, err error) {
 	e := w.endpoint
 	retryAt = view.usableAt
@@ -149,7 +151,7 @@
 		if retryAt.IsZero() {
 			return retryAt, errConnectNotAllowed
 		}
-		return retryAt, nil // one is too fresh to be used, and soon will not be
+		return retryAt, nil // an idle connection becomes usable at that time
 	}
 	connecting, budgetAt, err := e.openTLS(w.request.warmingUp, false)
 	if err != nil {
@@ -171,18 +173,20 @@
 	return retryAt, nil
 }
 
-// sleep waits until the call should look again.
+// sleep waits until the call should check the pool again. It returns an error if the
+// call's handshake failed or ctx ended.
 func (w *tlsWait) sleep(ctx context.Context, changed <-chan struct{}, retry <-chan time.Time) error {
 	select {
 	case err := <-w.connecting:
-		w.connecting = nil // it is idle, unless another was faster or it is of no use already
+		// The new connection is idle, unless another call has taken it or it is already unusable.
+		w.connecting = nil
 		return err
 	case <-changed:
 		return nil
 	case <-retry:
 		return nil
 	case <-ctx.Done():
-		if w.connecting != nil { // the endpoint was asked, and is slow
+		if w.connecting != nil { // a handshake is under way: the endpoint is slow
 			return ctx.Err()
 		}
 		return handshakeBudgetError{}
--- a/internal/upstream/upstream.go
+++ b/internal/upstream/upstream.go
@@ -1,24 +1,25 @@
 // Package upstream makes the HTTP/1.1 calls to endpoints.
 //
-// It owns the connections to endpoints, plain and over TLS, in one [Pool] of
-// bounded size, and every [Call] that is in flight. Of each call it reports one
-// [Result], which says what is proved: that the call never ran, that it ran, or
-// that it may have run. To know that, it keeps its own connections in place of
-// those of net/http: it has to know whether the last byte of a request was
-// written, that the response read is the response to this request, and that
-// nothing of a call that may be retried goes on once its result is reported.
+// The package owns all connections to endpoints, plain and over TLS, in one [Pool]
+// of bounded size, and every [Call] that is in flight. It reports one [Result]
+// for each call. The result states whether the endpoint never ran the call,
+// ran it, or may have run it. The package manages its own connections instead of
+// using those of net/http, because the result depends on facts that net/http does
+// not expose: whether the last byte of the request was written, whether a response
+// belongs to this request, and whether the connection of a call that may be retried
+// is closed by the time the result is reported.
 //
-// Before the first and the last byte of a request it asks package sendgate
-// whether the call may still go out. Calls without TLS can be suspended and
-// handed to another process ([InFlight]).
+// Before it writes the first byte and the last byte of a request, the package asks
+// package sendgate whether the call may still be sent. Calls without TLS can be
+// suspended and handed over to another process (see [InFlight]).
 //
-// It must never retry a call whose last byte was written, choose an endpoint, or
-// know clients and messages.
+// The package does not retry a call whose last byte was written, does not choose
+// endpoints, and knows nothing about clients and messages.
 //
-// Locks are taken in this order, and never the other way round: [InFlight] before
-// [Call]; [Pool] before the TLS dialer, whose reports of a rejected identity may thus
-// come with the pool's lock held. The lock of a sendgate scope is held alone; under it
-// a call's context is cancelled.
+// Locks are acquired in this order: [InFlight] before [Call], and [Pool] before the
+// TLS dialer. The dialer may therefore report a rejected identity while the pool's
+// lock is held. The lock of a sendgate scope is never held together with another
+// lock; a call's context may be cancelled while it is held.
 package upstream
 
 import (
@@ -35,36 +36,37 @@
 	errResponseTooLarge = errors.New("more bytes than an answer may have")
 	errStaleConn        = errors.New("connection ended or brought bytes before the call was written")
 
-	// Causes of calls that end early.
+	// Causes for which a call's context is cancelled.
 	errCancelled  = errors.New("cancelled") // by [Call.Cancel]
-	errHandedOver = errors.New("the relay's work goes to another process")
+	errHandedOver = errors.New("call stopped: the relay is handing over to another process")
 )
 
-// pastDeadline ends reads and writes at once.
+// pastDeadline is a deadline that ends reads and writes immediately.
 var pastDeadline = time.Unix(1, 0)
 
-// Result is the end of a call or of a health check. Its times are in microseconds.
+// Result is the result of a call or of a health check. Its times are in microseconds.
 type Result struct {
 	Outcome policy.Outcome
-	// RetryAfter is the time for which the endpoint, or the reason for which the
-	// call was not sent, asked not to be tried again; 0 for none.
+	// RetryAfter is how long to wait before the next attempt, as requested by the
+	// endpoint or implied by the reason why the call was not sent; 0 for no wait.
 	RetryAfter policy.Time
-	// SlotsExhausted reports that the endpoint ran nothing since all its slots were
-	// taken.
+	// SlotsExhausted reports that the endpoint did not run the call because all its
+	// slots were taken.
 	SlotsExhausted bool
-	// ConnectionsOpened is the number of connections over TLS that were opened for
-	// the call.
+	// ConnectionsOpened is the number of TLS connections that were opened for the
+	// call.
 	ConnectionsOpened int
-	Final             bool // the message is at its end
+	Final             bool // the message has ended; no further attempt follows
 	Elapsed           policy.Time
 	Load              policy.LoadReport
-	Status            int  // of the response; 0 without one
-	Malformed         bool // a response came and cannot be believed
+	Status            int  // status code of the response; 0 without a response
+	Malformed         bool // a response arrived that cannot be trusted
 	Err               error
 }
 
-// notAttempted reports whether there is no connection for a reason that says
-// nothing about the health of the endpoint: it was not asked for one.
+// notAttempted reports whether err, which acquiring a connection returned, says nothing
+// about the endpoint's health: a limit of the relay, the send gate or a rejected identity
+// prevented the connection.
 func notAttempted(err error) bool {
 	var rejected *tlsdial.RejectedError
 	var budget handshakeBudgetError
@@ -72,5 +74,5 @@
 		errors.As(err, &rejected) || errors.As(err, &budget)
 }
 
-// elapsedSince returns the time since a moment in the unit of the policy.
+// elapsedSince returns the time since start in microseconds, the unit of the policy.
 func elapsedSince(start time.Time) policy.Time { return time.Since(start).Microseconds() }
--- a/internal/upstream/upstreamtest/upstreamtest.go
+++ b/internal/upstream/upstreamtest/upstreamtest.go
@@ -1,6 +1,7 @@
-// Package upstreamtest has endpoints for tests of calls: servers whose connections a
-// test serves by hand, for what no HTTP server does, over TCP and TLS, and the
-// certificates and TLS rule to reach them by.
+// Package upstreamtest provides endpoints for tests of calls. A test handles the raw TCP or
+// TLS connections of these endpoints itself, so that it can do what no HTTP server does.
+// The package also provides the certificates and the TLS rule that are needed to reach
+// the endpoints.
 package upstreamtest
 
 import (
@@ -21,11 +22,11 @@
 	"troutusher/internal/tlsdial"
 )
 
-// OKResponse is a whole response that reports a delivery.
+// OKResponse is a complete response that reports a delivery.
 const OKResponse = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok"
 
-// ServeTCP serves each connection with a function and closes it after that. It
-// returns the address.
+// ServeTCP starts a TCP server that calls serve for each connection and then closes the
+// connection. It returns the server's address.
 func ServeTCP(t testing.TB, serve func(net.Conn)) string {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -48,7 +49,8 @@
 	return listener.Addr().String()
 }
 
-// ServeTLS is [ServeTCP] over TLS; a connection whose handshake fails is closed.
+// ServeTLS is like [ServeTCP], but over TLS. A connection whose handshake fails is closed
+// without a call of serve.
 func ServeTLS(t testing.TB, config *tls.Config, serve func(net.Conn)) string {
 	t.Helper()
 	return ServeTCP(t, func(raw net.Conn) {
@@ -58,7 +60,7 @@
 	})
 }
 
-// ReadRequest reads one whole request. It reports whether there was one.
+// ReadRequest reads one request and reports whether it was complete.
 func ReadRequest(reader *bufio.Reader) bool {
 	req, err := http.ReadRequest(reader)
 	if err != nil {
@@ -80,27 +82,28 @@
 // PeerName is the name in the certificate of a [TLSSite]'s endpoints.
 const PeerName = "pay.example.org"
 
-// Rejection is a report of a dialer that an endpoint's identity was rejected.
+// Rejection is a dialer's report that an endpoint's identity was rejected, or accepted
+// again.
 type Rejection struct {
 	Endpoint uint64
-	Wait     time.Duration // for which it gets no calls; 0 once it is accepted
+	Wait     time.Duration // how long the endpoint gets no calls; 0 once its identity is accepted
 }
 
-// TLSSite is a site with one TLS rule, for destinations of flavor k.
+// TLSSite is a TLS setup with one rule, which applies to destinations of flavor k.
 type TLSSite struct {
-	Dir        string // for its files
+	Dir        string // directory of the site's files
 	Root       *testca.Issued
-	PeerCert   *testca.Issued // that the endpoints show
+	PeerCert   *testca.Issued // certificate that the endpoints present
 	Rule       operatorconfig.TLSRule
 	Dialer     *tlsdial.Dialer
 	Rejections chan Rejection
-	ClockSkew  atomic.Int64 // of the dialer's clock, in nanoseconds
+	ClockSkew  atomic.Int64 // offset of the dialer's clock, in nanoseconds
 
 	lastEndpoint atomic.Uint64
 }
 
-// NewTLSSite returns a site. configure, which may be nil, changes it before its rule
-// is read.
+// NewTLSSite returns a new site. configure, which may be nil, can change the site before
+// the dialer reads its rule.
 func NewTLSSite(t testing.TB, configure func(site *TLSSite, handshakes *operatorconfig.Handshakes)) *TLSSite {
 	t.Helper()
 	site := &TLSSite{Dir: t.TempDir(), Rejections: make(chan Rejection, 1000)}
@@ -126,15 +129,15 @@
 	return site
 }
 
-// NextEndpoint returns the number of another endpoint.
+// NextEndpoint returns an endpoint number that the site has not used yet.
 func (s *TLSSite) NextEndpoint() uint64 { return s.lastEndpoint.Add(1) }
 
-// ServerConfig returns the TLS settings of an endpoint of the site.
+// ServerConfig returns the TLS configuration of an endpoint of the site.
 func (s *TLSSite) ServerConfig() *tls.Config {
 	return &tls.Config{Certificates: []tls.Certificate{s.PeerCert.TLSCertificate()}}
 }
 
-// OperatorFile returns the text of an operator's file with the site's rule.
+// OperatorFile returns the text of an operator's configuration file with the site's rule.
 func (s *TLSSite) OperatorFile() string {
 	text := fmt.Sprintf("[[tls]]\nname = %q\nflavors = [\"k\"]\nserver_name = %q\nroots = %q\n",
 		s.Rule.Name, s.Rule.ServerName, s.Rule.Roots)
@@ -144,7 +147,7 @@
 	return text
 }
 
-// IssueCert issues a certificate by an issuer, or one signed by itself for nil.
+// IssueCert returns a certificate signed by issuer, or a self-signed one if issuer is nil.
 func IssueCert(t testing.TB, issuer *testca.Issued, name string, changes ...func(*x509.Certificate)) *testca.Issued {
 	t.Helper()
 	issued, err := testca.Issue(issuer, name, nil, changes...)
