--- a/internal/connlimit/admission.go
+++ b/internal/connlimit/admission.go
@@ -1,22 +1,20 @@
 package connlimit
 
-// maxDraining bounds how many connections may be draining before no other is
-// evicted for an admission.
+// maxDraining is how many draining connections stop further evictions: their slots will be free soon.
 const maxDraining = 8
 
-// never is later than any time that a clock reaches.
+// never is later than any time that callers pass.
 const never Time = 1 << 62
 
-// AtLimit reports whether a new connection takes an eviction.
+// AtLimit reports whether a new connection can only be admitted after an eviction.
 func (l *Limiter) AtLimit() bool { return l.allSlotsInUse() || l.tooManyUnvalidated() }
 
 func (l *Limiter) allSlotsInUse() bool { return l.inUse >= l.limits.MaxConns }
 
 func (l *Limiter) tooManyUnvalidated() bool { return l.unvalidated >= l.limits.MaxUnvalidated }
 
-// Decide says what to do with the connection at the head of the listen queue;
-// there must be one. With Wait comes the time at which to ask again at the
-// latest.
+// Decide says what to do with the connection at the head of the listen queue, which must not be empty.
+// With Wait it returns the time by which the caller has to call Decide again.
 func (l *Limiter) Decide(now Time) (Decision, Time) {
 	if now < l.admitAfter {
 		return Wait, l.admitAfter
@@ -24,7 +22,7 @@
 	if !l.AtLimit() {
 		return Admit, 0
 	}
-	if l.byState[StateDraining].length >= maxDraining { // slots are about to be freed
+	if l.byState[StateDraining].length >= maxDraining { // their slots will be free soon
 		return l.waitOrReject(now, now+l.limits.EvictionWait)
 	}
 	if l.evictFor(now) {
@@ -33,7 +31,7 @@
 	return l.waitOrReject(now, l.nextEvictable())
 }
 
-// evictFor evicts one connection for a new one, if there is one that may be.
+// evictFor evicts one connection to make room for a new one. It returns false if none may be evicted.
 func (l *Limiter) evictFor(now Time) bool {
 	if id, ok := l.oldestIn(StateUnvalidated, now, l.limits.EvictionGrace); ok {
 		l.closeSlot(id, CloseEvictUnvalidated, now)
@@ -44,9 +42,9 @@
 		return true
 	}
 	if l.tooManyUnvalidated() {
-		return false // a validated one would not make room
+		return false // evicting a validated connection would not change the number of unvalidated ones
 	}
-	// Clients open another connection when they need it.
+	// Evicting an idle connection is harmless: its client opens another one when it needs it.
 	id, ok := l.longestIdle()
 	if ok {
 		l.closeSlot(id, CloseEvictIdle, now)
@@ -54,7 +52,7 @@
 	return ok
 }
 
-// nextEvictable is when the next unvalidated connection may be evicted.
+// nextEvictable returns when the next unvalidated connection may be evicted, or never.
 func (l *Limiter) nextEvictable() Time {
 	next := never
 	for _, state := range []State{StateUnvalidated, StateReplyingInvalid} {
@@ -65,9 +63,9 @@
 	return next
 }
 
-// waitOrReject leaves the head of the queue where it is if a connection can be
-// evicted for it soon, or if the slots are taken by commands that will be
-// answered; else it is rejected.
+// waitOrReject decides to wait if a connection can be evicted within EvictionWait. It also waits, for
+// MaxQueueWait at most, if all slots are in use and some of them will be free after a reply.
+// Otherwise it rejects the connection.
 func (l *Limiter) waitOrReject(now, nextEvictable Time) (Decision, Time) {
 	if nextEvictable <= now+l.limits.EvictionWait {
 		return Wait, nextEvictable
@@ -84,13 +82,13 @@
 	return Reject, 0
 }
 
-// QueueEmptied reports that the listen queue is empty.
+// QueueEmptied tells the limiter that the listen queue is empty.
 func (l *Limiter) QueueEmptied() { l.queueBlockedSince = 0 }
 
-// OutOfDescriptors reports that the process or the machine had no descriptor for
-// the head of the queue. The connection that has been idle for longest is
-// evicted, and none is admitted for a while: asking again at once would only
-// spin.
+// OutOfDescriptors tells the limiter that accept failed because the process or the machine had no free
+// file descriptor. The limiter evicts the oldest unvalidated connection or, if there is none, the one
+// that has been idle longest. It admits none for EvictionWait, since retrying at once would only use
+// up the processor.
 func (l *Limiter) OutOfDescriptors(now Time) {
 	l.admitAfter = now + l.limits.EvictionWait
 	if id, ok := l.oldestIn(StateUnvalidated, now, l.limits.EvictionGrace); ok {
--- a/internal/connlimit/admission_test.go
+++ b/internal/connlimit/admission_test.go
@@ -2,8 +2,8 @@
 
 import "testing"
 
-// While all slots are taken by commands in progress the head of the queue waits
-// for one, but not for longer than its client would.
+// While commands in progress use all slots, the head of the listen queue waits for one, but for
+// MaxQueueWait at most: after that its client would give up.
 func TestListenQueueWaitIsBounded(t *testing.T) {
 	limits := smallLimits()
 	limits.MaxUnvalidated = limits.MaxConns
@@ -14,26 +14,26 @@
 		l.CommandRead(id, CommandRequest, 0)
 	}
 	if decision, until := l.Decide(1000); decision != Wait || until > 1000+limits.MaxQueueWait {
-		t.Fatalf("%v until %d", decision, until)
+		t.Fatalf("Decide at the start of the wait = %v until %d, want Wait until %d at most",
+			decision, until, 1000+limits.MaxQueueWait)
 	}
 	if decision, _ := l.Decide(1000 + limits.MaxQueueWait - 1); decision != Wait {
-		t.Fatal(decision)
+		t.Fatalf("Decide just before MaxQueueWait = %v, want Wait", decision)
 	}
 	if decision, _ := l.Decide(1000 + limits.MaxQueueWait); decision != Reject {
-		t.Fatal(decision)
+		t.Fatalf("Decide after MaxQueueWait = %v, want Reject", decision)
 	}
 	l.QueueEmptied()
 	if decision, _ := l.Decide(1001 + limits.MaxQueueWait); decision != Wait {
-		t.Error("the wait of a new queue is not counted anew")
+		t.Errorf("Decide after the queue was empty = %v, want Wait", decision)
 	}
 	l.Remove(3)
 	if decision, _ := l.Decide(1002 + limits.MaxQueueWait); decision != Admit {
-		t.Error("a slot is free")
+		t.Errorf("Decide with a free slot = %v, want Admit", decision)
 	}
 }
 
-// The connection that is evicted has been idle for longest, whatever else it
-// did.
+// The connection that has been idle longest is evicted, however many requests it has made.
 func TestLongestIdleIsEvicted(t *testing.T) {
 	for name, requests := range map[string][2]int{"one request": {1, 2}, "more requests": {2, 1}} {
 		t.Run(name, func(t *testing.T) {
@@ -49,10 +49,10 @@
 				}
 			}
 			if decision, _ := l.Decide(100e3); decision != Evict {
-				t.Fatal(decision)
+				t.Fatalf("Decide with all slots in use = %v, want Evict", decision)
 			}
 			if actions := l.TakeCloseActions(); len(actions) != 1 || actions[0] != (CloseAction{0, CloseEvictIdle}) {
-				t.Errorf("idle for longest after %s: %v", name, actions)
+				t.Errorf("close actions = %v, want the eviction of slot 0, idle longest after %s", actions, name)
 			}
 		})
 	}
--- a/internal/connlimit/closing.go
+++ b/internal/connlimit/closing.go
@@ -1,7 +1,7 @@
 package connlimit
 
-// closeSlot orders that a connection be closed. From then on it is draining and
-// counts toward no limit but MaxConns.
+// closeSlot adds a close action for a connection. From then on the connection is draining and counts
+// only toward MaxConns.
 func (l *Limiter) closeSlot(id SlotID, reason CloseReason, now Time) {
 	s := &l.slots[id]
 	if s.state != StateDraining {
@@ -12,8 +12,8 @@
 	l.closeActions = append(l.closeActions, CloseAction{id, reason})
 }
 
-// Shutdown closes all connections that have no command in progress, and each of
-// the others after its reply, until CancelShutdown.
+// Shutdown closes all connections that have no command in progress, and closes every other connection
+// after its reply. It stays in effect until CancelShutdown is called.
 func (l *Limiter) Shutdown(now Time) {
 	l.shuttingDown = true
 	for _, state := range []State{StateUnvalidated, StateIdleSingleUse, StateIdle} {
@@ -23,13 +23,12 @@
 	}
 }
 
-// CancelShutdown keeps connections open again; those that were told to close
-// still do.
+// CancelShutdown ends the effect of Shutdown. Connections whose close was already requested are still
+// closed.
 func (l *Limiter) CancelShutdown() { l.shuttingDown = false }
 
-// Advance moves the clock to now and closes the connections whose timeout has
-// passed. It looks at maxTimers timers at most, and reports whether it has to be
-// called again.
+// Advance moves the clock to now and closes the connections whose timeout has passed. It handles at
+// most maxTimers timers and reports whether it has to be called again for more.
 func (l *Limiter) Advance(now Time, maxTimers int) (more bool) {
 	l.expired, more = l.timers.Advance(now, maxTimers, l.expired[:0])
 	for _, timer := range l.expired {
@@ -50,6 +49,5 @@
 	return more
 }
 
-// NextDeadline returns the time by which to call Advance; false when no timeout
-// is running.
+// NextDeadline returns the time by which Advance has to be called, or false if no timeout is running.
 func (l *Limiter) NextDeadline() (Time, bool) { return l.timers.Next() }
--- a/internal/connlimit/flood_test.go
+++ b/internal/connlimit/flood_test.go
@@ -6,45 +6,46 @@
 	"testing"
 )
 
-// floodBehavior is what a flooding client sends once it is admitted.
+// floodBehavior is what a client of the flood sends once it is admitted: nothing, or one of these.
 type floodBehavior struct {
 	ping    bool // one valid control command
-	half    bool // a byte, and then nothing more in time
-	invalid bool // invalid commands, another one as soon as that was answered
+	partial bool // the first byte of a command, and then nothing
+	invalid bool // invalid commands, each as soon as the one before was replied to
 }
 
-// queuedClient is one in the listen queue.
+// queuedClient is a client in the listen queue.
 type queuedClient struct {
-	usual    bool // or one of the flood
+	regular  bool // not part of the flood
 	queuedAt Time
 }
 
+// admittedClient is a client whose connection was admitted.
 type admittedClient struct {
 	queuedClient
 	nextStepAt Time
 	steps      int
 }
 
-// floodRun has usual clients and a flood share one limiter.
+// floodRun simulates regular clients and a flood that share one limiter.
 type floodRun struct {
 	behavior floodBehavior
 	limiter  *Limiter
 	queue    []queuedClient
 	admitted map[SlotID]*admittedClient
-	order    []SlotID // of admitted, so that every run is the same
+	order    []SlotID // keys of admitted in a fixed order, so that every run is the same
 
-	served, rejected int // usual clients
-	longestWait      Time
+	served, rejected int  // counts of regular clients
+	longestWait      Time // of a regular client in the listen queue
 }
 
-// No flood that comes back as soon as it is closed keeps a usual client, who
-// sends a request as soon as it is admitted, out for longer than it waits for a
-// reply; nor makes the server close one that is in use. One that leaves half
-// commands can: these may not be closed before 2 s. There the client is rejected
-// at once.
+// The clients of a flood connect again as soon as they are closed. They must not keep a regular client,
+// which sends a request as soon as it is admitted, waiting in the listen queue for longer than the
+// client waits for a reply, nor cause rejections. A flood of partial commands is an exception: the
+// protocol does not allow closing those before 2 s, so regular clients are rejected, but at once.
 func TestFloodsDoNotStarveClients(t *testing.T) {
 	for name, behavior := range map[string]floodBehavior{
-		"silent": {}, "ping": {ping: true}, "invalid": {invalid: true}, "half": {half: true},
+		"silent": {}, "ping": {ping: true},
+		"invalid command": {invalid: true}, "partial command": {partial: true},
 	} {
 		t.Run(name, func(t *testing.T) {
 			run := &floodRun{
@@ -58,8 +59,8 @@
 			}
 			const step = 1e3
 			for now := Time(0); now < 20e6; now += step {
-				if rng.IntN(10) == 0 { // a hundred new clients a second
-					run.queue = append(run.queue, queuedClient{usual: true, queuedAt: now})
+				if rng.IntN(10) == 0 { // a hundred new clients per second on average
+					run.queue = append(run.queue, queuedClient{regular: true, queuedAt: now})
 				}
 				for more := true; more; {
 					more = run.limiter.Advance(now, 64)
@@ -68,26 +69,26 @@
 				run.stepClients(now)
 				run.admitQueued(now)
 			}
-			t.Logf("%d clients served, %d rejected, longest in the queue %d ms",
+			t.Logf("%d regular clients served, %d rejected, longest wait in the queue %d ms",
 				run.served, run.rejected, run.longestWait/1000)
 			if run.longestWait > 400e3 {
-				t.Errorf("a client waited %d ms", run.longestWait/1000)
+				t.Errorf("longest wait of a regular client = %d ms, want at most 400 ms", run.longestWait/1000)
 			}
-			if !behavior.half && (run.rejected > 0 || run.served < 1900) {
-				t.Errorf("%d served, %d rejected", run.served, run.rejected)
+			if !behavior.partial && (run.rejected > 0 || run.served < 1900) {
+				t.Errorf("%d regular clients served, %d rejected; want at least 1900 and 0", run.served, run.rejected)
 			}
 		})
 	}
 }
 
-// close closes a client's connection. One of the flood comes back soon after.
+// close closes a client's connection. A client of the flood connects again after 5 ms.
 func (r *floodRun) close(id SlotID, now Time) {
-	usual := r.admitted[id].usual
+	regular := r.admitted[id].regular
 	r.limiter.Remove(id)
 	delete(r.admitted, id)
 	at := slices.Index(r.order, id)
 	r.order = slices.Delete(r.order, at, at+1)
-	if !usual {
+	if !regular {
 		r.queue = append(r.queue, queuedClient{queuedAt: now + 5e3})
 	}
 }
@@ -117,16 +118,16 @@
 func (r *floodRun) stepClient(id SlotID, client *admittedClient, now Time) {
 	const noStep = 1 << 60
 	switch {
-	case client.usual && client.steps == 1:
+	case client.regular && client.steps == 1:
 		r.limiter.CommandStarted(id, now)
 		r.limiter.CommandRead(id, CommandRequest, now)
 		client.nextStepAt = now + 3e3
-	case client.usual && client.steps == 2:
+	case client.regular && client.steps == 2:
 		r.limiter.ReplyWritten(id, now)
-		client.nextStepAt = now + 500e3 // and then leaves
-	case client.usual:
+		client.nextStepAt = now + 500e3 // stays idle for 0.5 s and then closes
+	case client.regular:
 		r.close(id, now)
-	case r.behavior.half:
+	case r.behavior.partial:
 		r.limiter.CommandStarted(id, now)
 		client.nextStepAt = noStep
 	case r.behavior.ping && client.steps == 1:
@@ -163,7 +164,7 @@
 		id := r.limiter.Add(now)
 		r.admitted[id] = &admittedClient{queuedClient: head, nextStepAt: now}
 		r.order = append(r.order, id)
-		if head.usual {
+		if head.regular {
 			r.served++
 			r.longestWait = max(r.longestWait, now-head.queuedAt)
 		}
@@ -174,7 +175,7 @@
 }
 
 func (r *floodRun) reject(client queuedClient, now Time) {
-	if client.usual {
+	if client.regular {
 		r.rejected++
 		r.longestWait = max(r.longestWait, now-client.queuedAt)
 	} else {
--- a/internal/connlimit/limiter.go
+++ b/internal/connlimit/limiter.go
@@ -1,21 +1,20 @@
-// Package connlimit limits the connections of clients: which one is admitted,
-// left in the listen queue or rejected, and which one is closed, for another one
-// or at a timeout.
+// Package connlimit limits the connections of clients. It decides whether a new connection is
+// admitted, left in the listen queue or rejected, and which connections are closed, to make room for
+// others or because of a timeout.
 //
-// It owns the states of a connection, their timeouts, and how many connections
-// may be in each. It must never touch a socket, look at a clock or start a
-// goroutine: the caller reports what happened and when, and applies the close
-// actions before it reports the next event. It knows nothing of what a message
-// says and rejects none: that is the policy's.
+// The package owns the states of a connection, their timeouts, and the number of connections in each
+// state. It uses no socket, clock or goroutine: the caller reports each event with its time, and
+// applies the close actions before it reports the next event. It does not see the content of messages
+// and rejects none; that is the job of package policy.
 //
-// Each close action names its reason; docs/design/connections.md says which rule
-// of the protocol allows it.
+// Each close action has a reason. docs/design/connections.md says which rule of the protocol allows
+// it.
 package connlimit
 
 import "troutusher/internal/timerwheel"
 
-// Limiter keeps account of all connections. Its methods are not safe for
-// concurrent use; times must not go back.
+// Limiter keeps the state of all connections. Its methods are not safe for concurrent use. The times
+// that are passed to them must not decrease.
 type Limiter struct {
 	limits    Limits
 	slots     []slot
@@ -23,19 +22,19 @@
 	byState   [stateCount]slotList
 
 	inUse        int
-	unvalidated  int // connections that are not draining
+	unvalidated  int // unvalidated connections that are not draining
 	withRequests int // connections that have made a request and are not draining
 	shuttingDown bool
 
-	queueBlockedSince Time // 0 when the listen queue is not blocked
-	admitAfter        Time
+	queueBlockedSince Time // since when the listen queue has waited for a slot; 0 if it does not
+	admitAfter        Time // no connection is admitted before this time
 
 	timers       *timerwheel.Wheel
-	expired      []uint32 // kept for its memory
+	expired      []uint32 // buffer for expired timers, kept for reuse
 	closeActions []CloseAction
 }
 
-// New makes a limiter without connections, or returns the error of its limits.
+// New returns a limiter without connections, or an error if the limits are invalid.
 func New(limits Limits, now Time) (*Limiter, error) {
 	if err := limits.Validate(); err != nil {
 		return nil, err
@@ -57,18 +56,18 @@
 // not draining.
 func (l *Limiter) Unvalidated() int { return l.unvalidated }
 
-// State returns what a connection is doing.
+// State returns the state of a connection.
 func (l *Limiter) State(id SlotID) State { return l.slots[id].state }
 
-// TakeCloseActions returns the connections that are to be closed, in order. The
-// slice is valid until the next call of any method.
+// TakeCloseActions returns the connections that the caller has to close, in order, and removes them
+// from the limiter's list. The slice is valid until the next call of any method.
 func (l *Limiter) TakeCloseActions() []CloseAction {
 	actions := l.closeActions
 	l.closeActions = l.closeActions[:0]
 	return actions
 }
 
-// Add takes a connection that was accepted.
+// Add adds a connection that has been accepted.
 func (l *Limiter) Add(now Time) SlotID {
 	id := l.takeSlot()
 	l.inUse++
@@ -78,7 +77,7 @@
 	return id
 }
 
-// takeSlot returns an empty slot, one that was used before if there is one.
+// takeSlot returns an empty slot. It prefers slots that were used before over new ones.
 func (l *Limiter) takeSlot() SlotID {
 	n := len(l.freeSlots)
 	if n == 0 {
@@ -91,8 +90,7 @@
 	return id
 }
 
-// Remove reports that a connection's descriptor has been closed, for whatever
-// reason.
+// Remove tells the limiter that a connection's descriptor has been closed, for whatever reason.
 func (l *Limiter) Remove(id SlotID) {
 	s := &l.slots[id]
 	if s.state != StateDraining {
@@ -105,8 +103,7 @@
 	l.freeSlots = append(l.freeSlots, id)
 }
 
-// stopCounting takes a connection out of the counts that leave draining ones
-// out.
+// stopCounting removes a connection from the counts that do not include draining connections.
 func (l *Limiter) stopCounting(s *slot) {
 	if !s.validated {
 		l.unvalidated--
@@ -116,7 +113,7 @@
 	}
 }
 
-// CommandStarted reports the first byte of a command.
+// CommandStarted tells the limiter that the first byte of a command has been read.
 func (l *Limiter) CommandStarted(id SlotID, now Time) {
 	s := &l.slots[id]
 	switch {
@@ -125,12 +122,12 @@
 	case s.sentCommand:
 		l.setState(id, StateReadingCommand, now)
 		l.timers.Set(uint32(id), now+l.limits.CommandTimeout)
-	default: // the first command's timeout runs since the connection was added
+	default: // FirstCommandTimeout has been running since Add
 		l.setState(id, StateReadingCommand, now)
 	}
 }
 
-// CommandRead reports that a command has been read to its end.
+// CommandRead tells the limiter that a command has been read to its end.
 func (l *Limiter) CommandRead(id SlotID, kind CommandKind, now Time) {
 	s := &l.slots[id]
 	s.sentCommand = true
@@ -157,7 +154,7 @@
 	}
 }
 
-// ReplyWritten reports that a command's reply has been written.
+// ReplyWritten tells the limiter that the reply to a command has been written.
 func (l *Limiter) ReplyWritten(id SlotID, now Time) {
 	s := &l.slots[id]
 	switch {
@@ -181,7 +178,7 @@
 	}
 }
 
-// idleState is the state in which a validated connection is idle.
+// idleState returns the state of an idle, validated connection.
 func idleState(requests uint32) State {
 	if requests == 1 {
 		return StateIdleSingleUse
--- a/internal/connlimit/limiter_test.go
+++ b/internal/connlimit/limiter_test.go
@@ -15,21 +15,20 @@
 }
 
 func smallLimits() Limits {
-	limits := DefaultLimits(24, 96) // 12 unvalidated
+	limits := DefaultLimits(24, 96) // MaxUnvalidated is 12
 	limits.SingleUseEvictionThreshold = 15
 	return limits
 }
 
-// modelConn is what the test knows of one connection, kept apart from the
-// limiter.
+// modelConn is the test's own record of the state of a connection, kept independently of the limiter.
 type modelConn struct {
 	midCommand, awaitingReply, validated, draining bool
 	sentCommand                                    bool
-	slow                                           bool // takes long for every step
+	slow                                           bool // takes its steps rarely
 	requests                                       int
 
 	commandStartedAt Time
-	idleSince        Time // since when no command has been in progress
+	idleSince        Time // when the last command ended, or the connection began
 	connectedAt      Time
 }
 
@@ -44,7 +43,7 @@
 	now     Time
 
 	shuttingDown  bool
-	allSlotsInUse bool
+	allSlotsInUse bool // idle connections may be evicted
 }
 
 func newModelRun(t *testing.T, seed uint64) *modelRun {
@@ -56,9 +55,9 @@
 	}
 }
 
-// Whatever happens, in whatever order: never more connections than the limits
-// allow, never more unvalidated ones, and none is closed against the protocol,
-// before its timeout, or with a command in progress.
+// The test drives a limiter with events in random order. The numbers of open and of unvalidated
+// connections must never exceed their limits, and no connection may be closed against the rules of
+// the protocol, before its timeout, or while a command is in progress.
 func TestCloseActionsFollowProtocol(t *testing.T) {
 	for seed := range uint64(400) {
 		run := newModelRun(t, seed)
@@ -85,7 +84,7 @@
 	r.allSlotsInUse = r.limiter.InUse() >= r.limits.MaxConns
 }
 
-// admit asks for a decision, most times, and follows it.
+// admit asks for a decision in two of three cases, and checks and applies it.
 func (r *modelRun) admit() {
 	r.t.Helper()
 	if r.rng.IntN(3) == 0 {
@@ -97,22 +96,22 @@
 	case decision == Admit:
 		id := r.limiter.Add(r.now)
 		if r.conns[id] != nil {
-			r.t.Fatalf("seed %d: slot %d is given out twice", r.seed, id)
+			r.t.Fatalf("seed %d: Add returned slot %d, which is in use", r.seed, id)
 		}
 		r.conns[id] = &modelConn{connectedAt: r.now, idleSince: r.now, slow: r.rng.IntN(4) == 0}
 	case decision == Wait && until <= r.now:
-		r.t.Fatalf("seed %d: wait until %d, now %d", r.seed, until, r.now)
+		r.t.Fatalf("seed %d: Decide = Wait until %d, want a time after now, which is %d", r.seed, until, r.now)
 	case decision == Evict && len(r.limiter.closeActions) == 0:
-		r.t.Fatalf("seed %d: evict, and no close action", r.seed)
+		r.t.Fatalf("seed %d: Decide = Evict, but there is no close action", r.seed)
 	case decision == Reject && hasRoom:
-		r.t.Fatalf("seed %d: rejected with %d slots free", r.seed, r.limits.MaxConns-r.limiter.InUse())
+		r.t.Fatalf("seed %d: Decide = Reject with %d free slots", r.seed, r.limits.MaxConns-r.limiter.InUse())
 	}
 	r.check(true)
 }
 
-// stepConns has some connections do their next step.
+// stepConns makes a random choice of connections take their next step.
 func (r *modelRun) stepConns() {
-	for id, c := range r.conns { // order does not matter here
+	for id, c := range r.conns { // the order does not matter here
 		if r.rng.IntN(8) > 0 || c.slow && r.rng.IntN(40) > 0 {
 			continue
 		}
@@ -156,7 +155,7 @@
 	r.check(false)
 	idle := r.limiter.Count(StateUnvalidated) + r.limiter.Count(StateIdleSingleUse) + r.limiter.Count(StateIdle)
 	if idle > 0 {
-		r.t.Fatalf("seed %d: %d idle connections are left after Shutdown", r.seed, idle)
+		r.t.Fatalf("seed %d: %d idle connections after Shutdown, want 0", r.seed, idle)
 	}
 }
 
@@ -166,13 +165,14 @@
 	r.limiter.OutOfDescriptors(r.now)
 	r.check(true)
 	if decision, until := r.limiter.Decide(r.now); decision != Wait || until < r.now+r.limits.EvictionWait {
-		r.t.Fatalf("seed %d: out of descriptors, and %v until %d", r.seed, decision, until)
+		r.t.Fatalf("seed %d: Decide after OutOfDescriptors = %v until %d, want Wait for EvictionWait",
+			r.seed, decision, until)
 	}
 }
 
-// check applies the close actions, each of which must be allowed, and compares
-// the limiter's counts with the model's. admitting tells that a connection was
-// to be admitted, which alone allows evictions.
+// check applies the close actions, checks that each is allowed, and compares the limiter's counts with
+// the model's. admitting means that a new connection is to be admitted; only then are evictions for
+// its slot allowed.
 func (r *modelRun) check(admitting bool) {
 	r.t.Helper()
 	for _, action := range append([]CloseAction(nil), r.limiter.TakeCloseActions()...) {
@@ -191,7 +191,7 @@
 	l := r.limiter
 	if inUse != l.InUse() || inUse > r.limits.MaxConns ||
 		unvalidated != l.Unvalidated() || unvalidated > r.limits.MaxUnvalidated || withRequests != l.withRequests {
-		r.t.Fatalf("seed %d: %d connections, %d unvalidated, %d with requests; the limiter has %d, %d, %d",
+		r.t.Fatalf("seed %d: model has %d connections, %d unvalidated, %d with requests; limiter has %d, %d, %d",
 			r.seed, inUse, unvalidated, withRequests, l.InUse(), l.Unvalidated(), l.withRequests)
 	}
 }
@@ -200,33 +200,33 @@
 	r.t.Helper()
 	c := r.conns[action.Slot]
 	if c == nil {
-		r.t.Fatalf("seed %d: a close action for an empty slot: %v", r.seed, action.Reason)
+		r.t.Fatalf("seed %d: close action for an empty slot, reason %v", r.seed, action.Reason)
 	}
 	idle, age := r.now-c.idleSince, r.now-c.connectedAt
 	switch {
 	case action.Reason == CloseCommandTimeout:
 		if elapsed, timeout := r.commandTime(c); !c.midCommand || c.awaitingReply || elapsed < timeout {
-			r.t.Fatalf("seed %d: a command that is in time is cut off after %d", r.seed, elapsed)
+			r.t.Fatalf("seed %d: CloseCommandTimeout after %d us, want only after the timeout", r.seed, elapsed)
 		}
 		r.remove(action.Slot)
 		return
 	case action.Reason == CloseEvictInvalid:
 		if c.validated || !admitting || !c.awaitingReply {
-			r.t.Fatalf("seed %d: evicted for an invalid command: %+v", r.seed, c)
+			r.t.Fatalf("seed %d: CloseEvictInvalid is not allowed for %+v", r.seed, c)
 		}
 		r.remove(action.Slot)
 		return
 	case c.midCommand || c.awaitingReply:
-		r.t.Fatalf("seed %d: %v with a command in progress: %+v", r.seed, action.Reason, c)
+		r.t.Fatalf("seed %d: close action %v with a command in progress: %+v", r.seed, action.Reason, c)
 	case action.Reason == CloseFirstCommandTimeout && (c.sentCommand || age < r.limits.FirstCommandTimeout),
 		action.Reason == CloseIdleTimeout && (!c.sentCommand || idle < r.limits.IdleTimeout),
 		action.Reason == CloseEvictUnvalidated && (c.validated || !admitting || idle < r.limits.EvictionGrace),
 		action.Reason == CloseEvictIdle && (!c.validated || !admitting || !r.allSlotsInUse),
 		action.Reason == CloseEvictSingleUse && (c.requests != 1 || admitting),
 		action.Reason == CloseShutdown && !r.shuttingDown && !c.draining:
-		r.t.Fatalf("seed %d: %v at %d: %+v", r.seed, action.Reason, r.now, c)
+		r.t.Fatalf("seed %d: close action %v is not allowed at %d for %+v", r.seed, action.Reason, r.now, c)
 	}
-	if r.rng.IntN(4) == 0 && !c.draining { // a command crossed
+	if r.rng.IntN(4) == 0 && !c.draining { // a command arrives before the close
 		c.draining, c.midCommand, c.commandStartedAt = true, true, r.now
 		r.limiter.CommandStarted(action.Slot, r.now)
 	} else {
@@ -234,8 +234,7 @@
 	}
 }
 
-// commandTime returns how long a connection's command has taken, and how long it
-// may take.
+// commandTime returns how long a connection's command has taken and how long it may take.
 func (r *modelRun) commandTime(c *modelConn) (elapsed, timeout Time) {
 	switch {
 	case c.draining:
@@ -247,7 +246,7 @@
 	}
 }
 
-// What a connection costs here, and what its turn does.
+// The benchmark measures the limiter's work for one command and its reply, with many connections.
 func BenchmarkCommandAndReply(b *testing.B) {
 	const conns = 50_000
 	limiter := newTestLimiter(b, DefaultLimits(100_000, 200_000))
--- a/internal/connlimit/limits.go
+++ b/internal/connlimit/limits.go
@@ -2,42 +2,41 @@
 
 import "fmt"
 
-// Time is a moment or a duration in microseconds, on whatever clock the caller
-// uses.
+// Time is a point in time or a duration, in microseconds, on a clock of the caller's choice.
 type Time = int64
 
-// Limits configures a Limiter. Counts are of connections.
+// Limits configures a Limiter.
 type Limits struct {
-	// MaxConns is how many connections may be open at once, whatever they do.
+	// MaxConns is how many connections may be open at once, in all states together.
 	MaxConns int
-	// MaxUnvalidated is how many of them may be unvalidated: those that have not
-	// sent a valid command yet.
+	// MaxUnvalidated is how many connections may be unvalidated, which means that they have not sent
+	// a valid command yet.
 	MaxUnvalidated int
-	// SingleUseEvictionThreshold is how many connections may have made a request
-	// before those that made only one are evicted.
+	// SingleUseEvictionThreshold is how many connections may have made a request. Beyond it, idle
+	// connections that made only one request are evicted.
 	SingleUseEvictionThreshold int
 
-	FirstCommandTimeout Time // from a connection's start to the end of its first command
-	CommandTimeout      Time // from a later command's first byte to its last
-	IdleTimeout         Time // without a command
+	FirstCommandTimeout Time // from accepting a connection to the end of its first command
+	CommandTimeout      Time // from the first byte of a later command to its last byte
+	IdleTimeout         Time // how long a connection may stay open without a command
 
-	// EvictionGrace is how long a new connection is safe from eviction: what it
-	// sent may not have been read yet.
+	// EvictionGrace is how long a new connection is protected from eviction, since the input that its
+	// client sent may not have been read yet.
 	EvictionGrace Time
-	// EvictionWait is how long the head of the listen queue is left waiting for a
-	// connection that can be evicted by then.
+	// EvictionWait is how long the head of the listen queue may wait for the next connection that can
+	// be evicted.
 	EvictionWait Time
-	// MaxQueueWait is how long the listen queue may be blocked while all slots
-	// are taken by commands in progress; then its head is rejected, and may try
-	// another server. It also bounds how long a request may wait to be served.
+	// MaxQueueWait is how long the listen queue may be blocked because commands in progress use all
+	// slots. After that its head is rejected, so that the client can try another server. MaxQueueWait
+	// is also the age at which a request that waits for its turn is shed.
 	MaxQueueWait Time
 	// TimerTick is the resolution of all timeouts.
 	TimerTick Time
 }
 
 const (
-	// Some clients write a command over 2 s and are to be served; one that never
-	// ends it has to hear an error within 3 s of connecting.
+	// Some clients take 2 s to write a command and must still be served. A client that never completes
+	// its command must get an error within 3 s of connecting.
 	defaultCommandTimeout Time = 2_600_000
 	defaultIdleTimeout    Time = 4_000_000
 	defaultEvictionGrace  Time = 20_000
@@ -48,14 +47,15 @@
 	minRetryAfter Time = 200_000
 )
 
-// DefaultLimits returns the limits for maxConns connections in a process that
-// may open so many descriptors.
+// DefaultLimits returns the limits for maxConns connections in a process that may open the given
+// number of file descriptors.
 func DefaultLimits(maxConns, descriptors int) Limits {
 	return Limits{
 		MaxConns:       maxConns,
 		MaxUnvalidated: max(maxConns/2, 1),
-		// Clients hold a third of the descriptors at most for requests. When all
-		// of these are idle connections, they open no other and ask for nothing.
+		// Clients open connections for at most a third of the descriptors. Once all of these are
+		// idle, the clients open no more and send no requests. Eviction therefore starts at three
+		// quarters of that third.
 		SingleUseEvictionThreshold: max(descriptors/3*3/4, 1),
 		FirstCommandTimeout:        defaultCommandTimeout,
 		CommandTimeout:             defaultCommandTimeout,
@@ -67,11 +67,10 @@
 	}
 }
 
-// ShedRequest reports whether a request that has waited so long for its turn is
-// to be rejected, and when its client should retry: a client waits 400 ms for a
-// reply, and a later one is of no use to it. retryAfter is what the queue ahead
-// takes at serviceTime for each connection, and as much again since other
-// clients wait as well.
+// ShedRequest reports whether a request must be rejected because it has waited too long for its turn,
+// and after which time its client should retry. A client waits 400 ms for a reply and ignores a later
+// one. retryAfter is the time that the queued connections take at serviceTime each, doubled because
+// other clients wait as well, and at least minRetryAfter.
 func (l *Limits) ShedRequest(waited Time, queued int, serviceTime Time) (retryAfter Time, shed bool) {
 	if waited < l.MaxQueueWait {
 		return 0, false
@@ -79,7 +78,7 @@
 	return max(2*Time(queued)*serviceTime, minRetryAfter), true
 }
 
-// Validate returns an error that names the first limit that is not positive.
+// Validate returns an error for the first limit that must be positive and is not.
 func (l *Limits) Validate() error {
 	for _, limit := range []struct {
 		name  string
@@ -94,7 +93,7 @@
 		{"TimerTick", l.TimerTick},
 	} {
 		if limit.value < 1 {
-			return fmt.Errorf("connlimit: %s: %d, want 1 or more", limit.name, limit.value)
+			return fmt.Errorf("connlimit: limit %s is %d, want at least 1", limit.name, limit.value)
 		}
 	}
 	return nil
--- a/internal/connlimit/limits_test.go
+++ b/internal/connlimit/limits_test.go
@@ -7,8 +7,8 @@
 	"testing"
 )
 
-// testdata/limits.txt holds the limits for some numbers of connections and
-// descriptors: a pair of these, then the values in the order of the struct.
+// Each line of testdata/limits.txt holds a number of connections, a number of descriptors and the
+// default limits for them, in the order of the struct's fields.
 func TestDefaultLimitsFixture(t *testing.T) {
 	want, err := os.ReadFile("testdata/limits.txt")
 	if err != nil {
@@ -40,15 +40,16 @@
 		retryAfter  Time
 		shed        bool
 	}{
-		"at once":         {waited: 0, queued: 1e6, serviceTime: 100},
-		"just in time":    {waited: limits.MaxQueueWait - 1, queued: 1e6, serviceTime: 100},
-		"late":            {waited: limits.MaxQueueWait, queued: 10, serviceTime: 20, retryAfter: 200e3, shed: true},
-		"late, and a lot": {waited: limits.MaxQueueWait, queued: 100_000, serviceTime: 40, retryAfter: 8e6, shed: true},
+		"not late":     {waited: 0, queued: 1e6, serviceTime: 100},
+		"just in time": {waited: limits.MaxQueueWait - 1, queued: 1e6, serviceTime: 100},
+		"late":         {waited: limits.MaxQueueWait, queued: 10, serviceTime: 20, retryAfter: 200e3, shed: true},
+		"long queue":   {waited: limits.MaxQueueWait, queued: 100_000, serviceTime: 40, retryAfter: 8e6, shed: true},
 	} {
 		t.Run(name, func(t *testing.T) {
 			retryAfter, shed := limits.ShedRequest(c.waited, c.queued, c.serviceTime)
 			if retryAfter != c.retryAfter || shed != c.shed {
-				t.Errorf("%+v: %d, %v", c, retryAfter, shed)
+				t.Errorf("ShedRequest(%d, %d, %d) = %d, %v, want %d, %v",
+					c.waited, c.queued, c.serviceTime, retryAfter, shed, c.retryAfter, c.shed)
 			}
 		})
 	}
@@ -65,7 +66,7 @@
 			limits := smallLimits()
 			change(&limits)
 			if _, err := New(limits, 0); err == nil {
-				t.Errorf("%s is not checked", name)
+				t.Errorf("New with an invalid %s = nil error, want an error", name)
 			}
 		})
 	}
--- a/internal/connlimit/slots.go
+++ b/internal/connlimit/slots.go
@@ -1,10 +1,9 @@
 package connlimit
 
-// noSlot ends a slotList.
+// noSlot stands for no slot at either end of a slotList.
 const noSlot = -1
 
-// slot is the bookkeeping of one connection. It is part of the list of its
-// state.
+// slot holds the state of one connection. It is linked into the list of that state.
 type slot struct {
 	next, prev  int32
 	stateSince  Time
@@ -14,14 +13,13 @@
 	sentCommand bool // has sent a complete command, valid or not
 }
 
-// slotList links the slots of one state, the one that entered it first at the
-// head.
+// slotList is a linked list of the slots in one state, in the order in which they entered it.
 type slotList struct {
 	first, last int32
 	length      int
 }
 
-// unlink takes a slot out of the list of its state.
+// unlink removes a slot from the list of its state.
 func (l *Limiter) unlink(id SlotID) {
 	s := &l.slots[id]
 	list := &l.byState[s.state]
@@ -38,7 +36,7 @@
 	list.length--
 }
 
-// setState moves a connection to the end of a state's list, as of now.
+// setState puts a connection into a state, at the end of that state's list.
 func (l *Limiter) setState(id SlotID, state State, now Time) {
 	if l.slots[id].state != StateFree {
 		l.unlink(id)
@@ -56,8 +54,8 @@
 	list.length++
 }
 
-// oldestIn returns the connection that has been in a state for longest, if that
-// is at least age.
+// oldestIn returns the connection that has been in a state longest, if it has been there for at least
+// age.
 func (l *Limiter) oldestIn(state State, now, age Time) (SlotID, bool) {
 	first := l.byState[state].first
 	if first < 0 || now-l.slots[first].stateSince < age {
@@ -66,7 +64,7 @@
 	return SlotID(first), true
 }
 
-// longestIdle returns the validated connection that has been idle for longest.
+// longestIdle returns the validated connection that has been idle longest.
 func (l *Limiter) longestIdle() (best SlotID, found bool) {
 	for _, state := range []State{StateIdle, StateIdleSingleUse} {
 		first := l.byState[state].first
--- a/internal/connlimit/types.go
+++ b/internal/connlimit/types.go
@@ -2,24 +2,22 @@
 
 import "fmt"
 
-// SlotID numbers a connection's slot. It is reused once its connection has been
-// removed.
+// SlotID identifies the slot of a connection. It is reused after the connection has been removed.
 type SlotID uint32
 
-// State is what a connection is doing. A connection is unvalidated until it has
-// sent a valid command.
+// State is the state of a connection. A connection is unvalidated until it has sent a valid command.
 type State uint8
 
 // States of a connection.
 const (
 	StateFree            State = iota // no connection
-	StateUnvalidated                  // unvalidated, with no command in progress
-	StateReadingCommand               // part of a command has been read
-	StateAwaitingReply                // a command was read and its reply is not written
-	StateReplyingInvalid              // unvalidated, and its invalid command is being answered
-	StateIdleSingleUse                // idle, has made one request
-	StateIdle                         // idle, has made more requests, or only sent control commands
-	StateDraining                     // told to close; a command that crossed that is still answered
+	StateUnvalidated                  // no valid command yet, and none in progress
+	StateReadingCommand               // a command has been read in part
+	StateAwaitingReply                // a command has been read and its reply has not been written
+	StateReplyingInvalid              // no valid command yet, and an error reply is in progress
+	StateIdleSingleUse                // idle after exactly one request
+	StateIdle                         // idle after several requests, or after control commands only
+	StateDraining                     // to be closed; a command that arrived before the close still gets its reply
 	stateCount
 )
 
@@ -34,7 +32,7 @@
 	"draining",
 }
 
-// String names the state, for logs and tests.
+// String returns the name of the state, for logs and tests.
 func (s State) String() string {
 	if s >= stateCount {
 		return fmt.Sprintf("State(%d)", uint8(s))
@@ -42,44 +40,44 @@
 	return stateNames[s]
 }
 
-// CommandKind classifies a command that has been read to its end.
+// CommandKind is the kind of a command that has been read to its end.
 type CommandKind uint8
 
 // Kinds of commands.
 const (
 	CommandInvalid CommandKind = iota // malformed or unknown
-	CommandControl                    // valid, and costs nothing (PING)
+	CommandControl                    // valid, and submits no message (such as PING)
 	CommandRequest                    // submits a message
 )
 
-// CloseReason is why a connection is closed.
+// CloseReason is the reason for closing a connection.
 type CloseReason uint8
 
-// Reasons; docs/design/connections.md says which rule of the protocol allows
-// each.
+// Reasons for closing a connection. docs/design/connections.md says which rule of the protocol allows
+// each of them.
 const (
-	// CloseFirstCommandTimeout: no complete command within FirstCommandTimeout.
-	// A connection without an open request may be closed after 2 s.
+	// CloseFirstCommandTimeout means that no command was begun within FirstCommandTimeout. The
+	// protocol allows closing a connection without a pending request after 2 s.
 	CloseFirstCommandTimeout CloseReason = iota + 1
-	// CloseIdleTimeout: no command for IdleTimeout; the same rule.
+	// CloseIdleTimeout means that the client has sent no command for IdleTimeout. The same rule
+	// allows it.
 	CloseIdleTimeout
-	// CloseCommandTimeout: a command was begun and not ended in time. Such a
-	// client has to get an error or a close within 3 s of connecting.
+	// CloseCommandTimeout means that a command was begun and not completed in time. The protocol
+	// requires an error reply or a close within 3 s of connecting.
 	CloseCommandTimeout
-	// CloseEvictUnvalidated: its slot is needed and it has sent nothing. The
-	// server may close a connection between requests.
+	// CloseEvictUnvalidated means that the slot is needed and the client has sent no valid command.
+	// The server may close a connection between requests.
 	CloseEvictUnvalidated
-	// CloseEvictInvalid: its slot is needed and it has sent an invalid command.
-	// It has to get an error or a close.
+	// CloseEvictInvalid means that the slot is needed and the client has sent an invalid command. The
+	// protocol requires an error reply or a close.
 	CloseEvictInvalid
-	// CloseEvictSingleUse: clients hold nearly all connections that they may,
-	// and this one made a single request. The server may close a connection
-	// between requests.
+	// CloseEvictSingleUse means that clients hold nearly as many connections as they can open, and that
+	// this one has made a single request. The server may close a connection between requests.
 	CloseEvictSingleUse
-	// CloseEvictIdle: its slot is needed and it has been idle for longest; the
-	// same rule.
+	// CloseEvictIdle means that the slot is needed and this connection has been idle longest. The same
+	// rule allows it.
 	CloseEvictIdle
-	// CloseShutdown: the server shuts down or drains; the same rule.
+	// CloseShutdown means that the server shuts down or drains. The same rule allows it.
 	CloseShutdown
 	closeReasonCount
 )
@@ -95,7 +93,7 @@
 	CloseShutdown:            "shutdown",
 }
 
-// String names the reason, for logs and tests.
+// String returns the name of the reason, for logs and tests.
 func (r CloseReason) String() string {
 	if r == 0 || r >= closeReasonCount {
 		return fmt.Sprintf("CloseReason(%d)", uint8(r))
@@ -103,30 +101,30 @@
 	return closeReasonNames[r]
 }
 
-// CloseAction tells the caller to close a connection. The caller looks once more
-// whether input has come that it has not reported: then it reports that, and
-// closes after the reply. With CloseCommandTimeout and CloseEvictInvalid the
-// connection ends as it is.
+// CloseAction tells the caller to close a connection. The caller first checks whether the connection
+// has input that it has not reported yet. If so, it reports that input and closes the connection only
+// after the reply. With CloseCommandTimeout and CloseEvictInvalid the connection
+// ends, whatever it is doing.
 type CloseAction struct {
 	Slot   SlotID
 	Reason CloseReason
 }
 
-// Decision is what to do with the connection at the head of the listen queue.
+// Decision says what to do with the connection at the head of the listen queue.
 type Decision uint8
 
-// Decisions.
+// Decisions of Limiter.Decide.
 const (
 	Admit  Decision = iota // accept it and call Add
 	Evict                  // apply the close actions, then call Decide again
-	Wait                   // leave it queued until the time that came with this, or until a slot is free
+	Wait                   // leave it queued until a slot is free, or at most until the returned time
 	Reject                 // accept it and close it at once
 )
 
-// Snapshot is what another Limiter needs to know of a connection.
+// Snapshot is the state of a connection that another Limiter needs to continue with it.
 type Snapshot struct {
 	Validated   bool   `json:"Known"`
 	SentCommand bool   `json:"Spoke"`
 	Requests    uint32 `json:"Asked"`
-	TimeLeft    Time   `json:"Left"` // until its current timeout
+	TimeLeft    Time   `json:"Left"` // time until the current timeout
 }
--- a/internal/console/server.go
+++ b/internal/console/server.go
@@ -139,7 +139,7 @@
 	if complete {
 		reply = s.handlers.Execute(line)
 	}
-	_ = conn.SetWriteDeadline(time.Now().Add(writeTimeout)) // fails only on a broken connection, and then so does the write
+	_ = conn.SetWriteDeadline(time.Now().Add(writeTimeout)) // fails only if the write fails too
 	_, _ = conn.Write(reply)                                // fails if the client has left
 }
 
--- a/internal/resp/fixture_test.go
+++ b/internal/resp/fixture_test.go
@@ -9,9 +9,9 @@
 	"testing"
 )
 
-// testdata/commands.txt holds inputs ("<") and what the reader makes of each:
-// a command (">"), an error ("!"), and what it has of an unfinished one ("~").
-// An input is a row of quoted strings; N*"x" repeats one.
+// testdata/commands.txt holds inputs ("<"), and after each the reader's results: commands (">"),
+// errors ("!") and the pending bytes of an incomplete command ("~"). An input is a sequence of quoted
+// strings; N*"x" repeats a string N times.
 func TestCommandsFixture(t *testing.T) {
 	want, err := os.ReadFile("testdata/commands.txt")
 	if err != nil {
@@ -30,7 +30,7 @@
 	}
 }
 
-// expand reads an input of the fixture.
+// expand decodes an input of the fixture.
 func expand(t *testing.T, row string) []byte {
 	t.Helper()
 	var input strings.Builder
@@ -45,7 +45,7 @@
 		}
 		quoted, err := strconv.QuotedPrefix(row)
 		if err != nil {
-			t.Fatalf("%v: %.80s", err, row)
+			t.Fatalf("decode %.80q: %v", row, err)
 		}
 		text, _ := strconv.Unquote(quoted)
 		input.WriteString(strings.Repeat(text, times))
@@ -54,8 +54,8 @@
 	return []byte(input.String())
 }
 
-// describe feeds input to one reader, as far as that goes, and writes down what
-// comes of it.
+// describe feeds input to a reader, up to the first error that the reader cannot continue after, and
+// returns the results in the form of the fixture.
 func describe(t *testing.T, input []byte) string {
 	t.Helper()
 	var r Reader
--- a/internal/resp/model_test.go
+++ b/internal/resp/model_test.go
@@ -9,10 +9,10 @@
 	"strconv"
 )
 
-// The model is a reader that waits for its bytes, as simple as it can be. It
-// reads one command after another from the whole input.
+// The model is a simple blocking parser. It has the whole input at hand and reads one command after
+// another from it.
 
-// result is a command, or the error in its place.
+// result is a command's arguments, or its error.
 type result struct {
 	args []string
 	err  string
@@ -28,6 +28,7 @@
 	return r
 }
 
+// model returns the results that a Reader must have for input.
 func model(input []byte) (results []result) {
 	in := bufio.NewReader(bytes.NewReader(input))
 	for {
@@ -75,7 +76,7 @@
 	}
 	arg := make([]byte, size+2)
 	if n, err := io.ReadFull(in, arg); err != nil {
-		// A wrong end is told as soon as it shows.
+		// The Reader reports a missing CR without waiting for the byte after it.
 		if n == size+1 && arg[size] != '\r' {
 			return nil, errMissingCRLF
 		}
--- a/internal/resp/reader.go
+++ b/internal/resp/reader.go
@@ -1,9 +1,9 @@
-// Package resp parses commands of RESP2 (arrays of bulk strings) incrementally:
-// a Reader is fed the bytes that came, can stop at any byte and go on there, and
-// holds memory only for what has come, never for what was announced.
+// Package resp parses RESP2 commands (arrays of bulk strings) incrementally. The caller feeds a Reader
+// the bytes that have arrived; the Reader can stop after any byte and continue there. It allocates
+// memory only for bytes that have arrived, not for the lengths that a client announces.
 //
-// It owns the limits of a command and the texts of its errors. It must never read
-// a socket, look at a clock, or know what a command means.
+// The package owns the size limits of commands and the texts of parse errors. It uses no socket and no
+// clock and does not interpret commands.
 package resp
 
 import (
@@ -15,18 +15,18 @@
 // Limits of a command; sizes are in bytes.
 const (
 	MaxArgs         = 16
-	MaxArgBytes     = 4 << 10  // any argument but the last
-	MaxBodyBytes    = 64 << 10 // the last argument
-	MaxSkippedBytes = 1 << 20  // an argument up to here is skipped, so that the connection can go on
+	MaxArgBytes     = 4 << 10  // maximum of every argument except the last
+	MaxBodyBytes    = 64 << 10 // maximum of the last argument
+	MaxSkippedBytes = 1 << 20  // up to this size, a too long argument is skipped and the connection stays usable
 	maxHeaderBytes  = 32
-	maxKeptBuffer   = 8 << 10 // of the buffer that a reader keeps for its next command
+	maxKeptBuffer   = 8 << 10 // largest buffer that a reader keeps for its next command
 	minBuffer       = 256
-	// bufferSlack is added to a buffer for the arguments behind the current one.
+	// bufferSlack is extra space in a buffer for the arguments after the current one.
 	bufferSlack = 64
 )
 
-// ErrTooLong is the error of a command that was skipped to its end: the
-// connection is still in sync. After any other error it cannot be used.
+// ErrTooLong is the error for a command that was skipped to its end because of a too long argument. The
+// reader can continue with the next command, which it cannot after any other error.
 var ErrTooLong = errors.New("argument too long")
 
 var errMissingCRLF = errors.New("argument without its end")
@@ -36,36 +36,36 @@
 const (
 	stateArrayHeader parseState = iota // in the line with the number of arguments
 	stateBulkHeader                    // in the line with an argument's length
-	stateBulkData
-	stateCR
-	stateLF
+	stateBulkData                      // in an argument
+	stateCR                            // before the CR after an argument
+	stateLF                            // before the LF after an argument
 )
 
-// Reader reads one command after another. Its zero value is ready to use. It is
-// not safe for concurrent use.
+// Reader parses one command after another. Its zero value is ready to use. It is not safe for
+// concurrent use.
 type Reader struct {
 	state    parseState
-	started  bool // a byte of a command has come
-	complete bool // the next byte begins another command
-	tooLong  bool // an argument was skipped
-	skipping bool // the current one is
-	err      error
+	started  bool  // at least one byte of a command has been read
+	complete bool  // the command is complete; the next byte begins another one
+	tooLong  bool  // an argument of the command is too long
+	skipping bool  // the current argument is skipped
+	err      error // error after which nothing more can be read
 
 	header     [maxHeaderBytes]byte
 	headerSize int
 
-	argCount  int // of the command
-	argsRead  int
-	remaining int    // bytes that the current argument lacks
-	buffer    []byte // the arguments, one behind the other
-	argEnds   [MaxArgs]int
+	argCount  int          // number of arguments that the command has announced
+	argsRead  int          // number of arguments read completely
+	remaining int          // bytes of the current argument that are still missing
+	buffer    []byte       // the arguments, one directly after another
+	argEnds   [MaxArgs]int // where each argument ends in buffer
 	args      [MaxArgs][]byte
 }
 
-// Feed reads input up to the end of a command at most. It returns how many bytes
-// it took, and whether they ended a command: then Args returns it, or err tells
-// what was wrong with it. If err is neither nil nor ErrTooLong every later call
-// returns it again.
+// Feed reads input up to the end of one command at most. It returns the number of bytes read and
+// whether they completed a command. The command's arguments are then available from Args, unless err
+// says that the command was invalid. If err is neither nil nor ErrTooLong, the reader cannot continue
+// and every later call returns the same error.
 func (r *Reader) Feed(input []byte) (n int, complete bool, err error) {
 	if r.err != nil {
 		return 0, false, r.err
@@ -96,7 +96,7 @@
 	return n, false, nil
 }
 
-// readData reads bytes of an argument. It returns how many it took.
+// readData reads bytes of an argument and returns how many it read.
 func (r *Reader) readData(input []byte) int {
 	n := min(r.remaining, len(input))
 	if !r.skipping {
@@ -139,7 +139,7 @@
 	return nil
 }
 
-// headerByte is the byte that the current header begins with.
+// headerByte returns the byte that the current header has to begin with.
 func (r *Reader) headerByte() byte {
 	if r.state == stateArrayHeader {
 		return '*'
@@ -149,7 +149,7 @@
 
 func (r *Reader) headerError() error { return fmt.Errorf("expected %q and a number", r.headerByte()) }
 
-// parseHeader parses a header that has come to its end.
+// parseHeader parses a complete header.
 func (r *Reader) parseHeader() error {
 	header := r.header[:r.headerSize]
 	r.headerSize = 0
@@ -183,7 +183,7 @@
 		limit = MaxBodyBytes
 	}
 	r.tooLong = r.tooLong || size > limit
-	r.skipping = r.tooLong // nothing of such a command will be used
+	r.skipping = r.tooLong // once an argument is too long, the later ones are not needed either
 	if r.skipping {
 		r.dropBuffer()
 	}
@@ -194,8 +194,8 @@
 	return nil
 }
 
-// grow makes room for n more bytes: the buffer at most doubles, and never gets
-// larger than what the command can still bring.
+// grow makes room for n more bytes. It doubles the buffer at most, unless n needs more, and makes it no
+// larger than the current argument needs plus bufferSlack.
 func (r *Reader) grow(n int) {
 	need := len(r.buffer) + n
 	if need <= cap(r.buffer) {
@@ -208,8 +208,8 @@
 	r.buffer = buffer
 }
 
-// Args returns the command that Feed has completed. It is valid until the next
-// call.
+// Args returns the arguments of the command that Feed has completed. They are valid until the next call
+// of Feed or Reset.
 func (r *Reader) Args() [][]byte {
 	start := 0
 	for i, end := range r.argEnds[:r.argsRead] {
@@ -219,9 +219,9 @@
 	return r.args[:r.argsRead]
 }
 
-// Pending returns the part of a command that has been read, as bytes that bring
-// another reader to the same point. It returns false if that cannot be: of a
-// skipped argument nothing is kept.
+// Pending returns the bytes of an incomplete command that have been read. Fed to a new reader, they
+// bring it to the same state. Pending returns false if an argument is being skipped, since the bytes of
+// such a command are not kept.
 func (r *Reader) Pending() ([]byte, bool) {
 	if !r.Incomplete() {
 		return nil, true
@@ -243,7 +243,7 @@
 	if r.state == stateArrayHeader || r.state == stateBulkHeader {
 		return append(text, r.header[:r.headerSize]...), true
 	}
-	// remaining is 0 behind an argument's data
+	// In stateCR and stateLF, remaining is 0.
 	text = appendHeader(text, '$', len(r.buffer)-start+r.remaining)
 	text = append(text, r.buffer[start:]...)
 	if r.state == stateLF {
@@ -258,15 +258,15 @@
 	return append(text, "\r\n"...)
 }
 
-// BufferBytes returns how many bytes of memory the reader holds for commands.
+// BufferBytes returns the size of the reader's buffer in bytes.
 func (r *Reader) BufferBytes() int { return cap(r.buffer) }
 
-// Incomplete reports whether a command has begun and not ended.
+// Incomplete reports whether part of a command has been read, but not all of it.
 func (r *Reader) Incomplete() bool { return r.started && !r.complete && r.err == nil }
 
 func (r *Reader) dropBuffer() { r.buffer = nil }
 
-// Reset makes the reader ready for another command or connection.
+// Reset discards the current command, so that the reader can be used for another one.
 func (r *Reader) Reset() {
 	buffer := r.buffer
 	if cap(buffer) > maxKeptBuffer {
--- a/internal/resp/reader_test.go
+++ b/internal/resp/reader_test.go
@@ -9,8 +9,8 @@
 	"testing"
 )
 
-// feedInPieces feeds a reader input in pieces, of the sizes that the function
-// says.
+// feedInPieces feeds input to a reader in pieces. pieceSize returns the size of the piece that starts at
+// an offset.
 func feedInPieces(t testing.TB, input []byte, pieceSize func(at int) int) (results []result) {
 	t.Helper()
 	var r Reader
@@ -24,7 +24,7 @@
 			if !complete {
 				continue
 			}
-			var args [][]byte // there are none after an error
+			var args [][]byte // stays nil after an error
 			if err == nil {
 				args = r.Args()
 			}
@@ -38,46 +38,46 @@
 	return results
 }
 
-// checkReader checks what holds after each call of Feed.
+// checkReader checks the invariants that hold after each call of Feed.
 func checkReader(t testing.TB, r *Reader, complete bool, unread int) {
 	t.Helper()
 	if r.BufferBytes() > 2*(MaxArgBytes*MaxArgs+MaxBodyBytes) {
-		t.Fatalf("%d bytes held", r.BufferBytes())
+		t.Fatalf("BufferBytes() = %d, more than twice the largest command", r.BufferBytes())
 	}
 	if complete && r.Incomplete() {
-		t.Fatal("incomplete behind a command")
+		t.Fatal("Incomplete() = true after a complete command")
 	}
 	if !complete && unread > 0 {
-		t.Fatalf("%d bytes left unread in the middle of a command", unread)
+		t.Fatalf("Feed left %d bytes unread in the middle of a command", unread)
 	}
 }
 
-// checkStaysBroken checks that a reader reads no more after an error.
+// checkStaysBroken checks that a reader reads nothing more after an error.
 func checkStaysBroken(t testing.TB, r *Reader, want error) {
 	t.Helper()
 	n, complete, err := r.Feed([]byte("*1\r\n$4\r\nPING\r\n"))
 	if n != 0 || complete || !errors.Is(err, want) || err.Error() != want.Error() {
-		t.Fatalf("goes on after %v: %d %v %v", want, n, complete, err)
+		t.Fatalf("Feed after the error %q = %d, %v, %v, want 0, false and the same error", want, n, complete, err)
 	}
 }
 
 func sameResults(a, b []result) bool { return fmt.Sprintf("%q", a) == fmt.Sprintf("%q", b) }
 
-// checkEveryCut compares a reader with the model, whatever pieces input comes in.
+// checkEveryCut checks that a reader's results equal the model's, however input is split into pieces.
 func checkEveryCut(t testing.TB, input []byte) {
 	t.Helper()
 	want := model(input)
-	check := func(how string, pieceSize func(at int) int) {
+	check := func(split string, pieceSize func(at int) int) {
 		t.Helper()
 		if got := feedInPieces(t, input, pieceSize); !sameResults(got, want) {
-			t.Fatalf("%s: %.300q, want %.300q", how, got, want)
+			t.Fatalf("results of input %s = %.300q, want %.300q", split, got, want)
 		}
 	}
 	check("in one piece", func(int) int { return len(input) })
 	check("byte by byte", func(int) int { return 1 })
-	step := max(1, len(input)/300) // every boundary of a short input
+	step := max(1, len(input)/300) // a short input is split at every byte
 	for cut := 0; cut < len(input); cut += step {
-		check("cut at "+strconv.Itoa(cut), func(at int) int {
+		check("split at byte "+strconv.Itoa(cut), func(at int) int {
 			if at == 0 && cut > 0 {
 				return cut
 			}
@@ -86,7 +86,7 @@
 	}
 	random := uint32(len(input))
 	for range 4 {
-		check("in pieces of many sizes", func(int) int {
+		check("in pieces of random sizes", func(int) int {
 			random = random*1664525 + 1013904223
 			return int(random>>24)%17 + 1
 		})
@@ -138,36 +138,36 @@
 func feedPart(t testing.TB, r *Reader, input string) {
 	t.Helper()
 	if _, complete, err := r.Feed([]byte(input)); complete || err != nil {
-		t.Fatalf("%.80q: complete %v, err %v", input, complete, err)
+		t.Fatalf("Feed(%.80q) completed = %v, err = %v, want an incomplete command", input, complete, err)
 	}
 }
 
-// Memory is spent as bytes come, not when they are announced, and a reader that
-// is done keeps little of it.
+// A client can announce a large argument without sending it. The reader must allocate memory only for
+// bytes that have arrived, and must keep only a small buffer between commands.
 func TestBufferGrowsWithInput(t *testing.T) {
 	var r Reader
 	feedPart(t, &r, "*2\r\n$7\r\nMSG.PUT\r\n$65536\r\nabc")
 	if r.BufferBytes() > 1024 {
-		t.Errorf("%d bytes held for 10 that came", r.BufferBytes())
+		t.Errorf("BufferBytes() = %d after 10 bytes of arguments, want at most 1024", r.BufferBytes())
 	}
 	feedPart(t, &r, strings.Repeat("x", 65533))
 	if _, complete, err := r.Feed([]byte("\r\n")); !complete || err != nil || len(r.Args()[1]) != 65536 {
-		t.Fatalf("complete %v, err %v", complete, err)
+		t.Fatalf("Feed of the command's end: complete = %v, err = %v, want a body of 65536 bytes", complete, err)
 	}
 	if r.BufferBytes() > 2*MaxBodyBytes {
-		t.Errorf("%d bytes held for a body of %d", r.BufferBytes(), MaxBodyBytes)
+		t.Errorf("BufferBytes() = %d after a body of %d, want at most twice that", r.BufferBytes(), MaxBodyBytes)
 	}
 	r.Reset()
 	if r.BufferBytes() > maxKeptBuffer {
-		t.Errorf("%d bytes kept", r.BufferBytes())
+		t.Errorf("BufferBytes() = %d after Reset, want at most %d", r.BufferBytes(), maxKeptBuffer)
 	}
-	// What is skipped is not held at all.
+	// Nothing is kept of a command that is skipped.
 	feedPart(t, &r, "*2\r\n$100000\r\n"+strings.Repeat("x", 100000)+"\r\n$60000\r\n"+strings.Repeat("y", 60000))
 	if r.BufferBytes() != 0 {
-		t.Errorf("%d bytes held of a command that will not be used", r.BufferBytes())
+		t.Errorf("BufferBytes() = %d in a skipped command, want 0", r.BufferBytes())
 	}
 	if !r.Incomplete() {
-		t.Error("not incomplete")
+		t.Error("Incomplete() = false in a skipped command, want true")
 	}
 }
 
@@ -185,8 +185,8 @@
 	})
 }
 
-// A reader brought to where another one stopped goes on as that one would have,
-// wherever that was.
+// Pending moves an incomplete command to another process in a hand-over. A second reader that is fed the
+// pending bytes must continue like the first, at whichever byte that stopped.
 func TestPending(t *testing.T) {
 	for _, text := range []string{
 		"*1\r\n$4\r\nPING\r\n",
@@ -200,15 +200,15 @@
 				feedPart(t, first, text[:cut])
 				pending, ok := first.Pending()
 				if !ok || string(pending) != text[:cut] {
-					t.Fatalf("%q, %v", pending, ok)
+					t.Fatalf("Pending() = %q, %v, want %q, true", pending, ok, text[:cut])
 				}
 				feedPart(t, second, string(pending))
 				if _, complete, err := second.Feed([]byte(text[cut:])); !complete || err != nil {
-					t.Fatalf("then %v %v", complete, err)
+					t.Fatalf("Feed of the rest: complete = %v, err = %v, want a complete command", complete, err)
 				}
 				for i, arg := range second.Args() {
 					if string(arg) != want[0].args[i] {
-						t.Errorf("argument %d is %q", i, arg)
+						t.Errorf("argument %d = %q, want %q", i, arg, want[0].args[i])
 					}
 				}
 			})
@@ -217,7 +217,7 @@
 	skipping := &Reader{}
 	feedPart(t, skipping, "*2\r\n$4\r\nPING\r\n$70000\r\nabc")
 	if _, ok := skipping.Pending(); ok {
-		t.Error("a skipped command is kept")
+		t.Error("Pending() of a skipped command = true, want false")
 	}
 }
 
--- a/internal/respserver/fixture_test.go
+++ b/internal/respserver/fixture_test.go
@@ -16,9 +16,9 @@
 	"troutusher/internal/connlimit"
 )
 
-// testdata/replies.txt holds what a client sends ("<") and all that it hears
-// until it is closed (">"). Behind each input goes a line that ends the
-// connection with an error, unless that has happened by then.
+// testdata/replies.txt holds what a client sends ("<") and everything that it receives until its
+// connection is closed (">"). The test appends an invalid line to each input, so that the server ends
+// the connection with an error reply if it has not done so before.
 func TestRepliesFixture(t *testing.T) {
 	want, err := os.ReadFile("testdata/replies.txt")
 	if err != nil {
@@ -40,11 +40,11 @@
 		go func() {
 			defer wg.Done()
 			client.send(input)
-			heard, err := io.ReadAll(client)
+			reply, err := io.ReadAll(client)
 			if err != nil {
-				t.Errorf("%s: %v", row, err)
+				t.Errorf("read replies to %s: %v", row, err)
 			}
-			replies[i] = string(heard)
+			replies[i] = string(reply)
 		}()
 	}
 	wg.Wait()
@@ -57,7 +57,7 @@
 	}
 }
 
-// expandInput reads a row of the fixture: N*"text" parts, joined by " + ".
+// expandInput decodes an input of the fixture: parts N*"text" joined by " + ".
 func expandInput(t *testing.T, row string) string {
 	t.Helper()
 	var input strings.Builder
@@ -65,57 +65,59 @@
 		times, quoted, _ := strings.Cut(part, "*")
 		n, err := strconv.Atoi(times)
 		if err != nil {
-			t.Fatalf("%s: %v", row, err)
+			t.Fatalf("decode %s: %v", row, err)
 		}
 		text, err := strconv.Unquote(quoted)
 		if err != nil {
-			t.Fatalf("%s: %v", row, err)
+			t.Fatalf("decode %s: %v", row, err)
 		}
 		input.WriteString(strings.Repeat(text, n))
 	}
 	return input.String()
 }
 
-// What a client hears whose command ends too late, or finds no memory.
+// A command that is not completed in time, or that there is no memory for, must get a reply before the
+// connection is closed.
 func TestRepliesToLateCommands(t *testing.T) {
 	options := testOptions()
 	options.Limits.FirstCommandTimeout = 200e3
 	server, _ := startServer(t, options)
 	late := dial(t, server.Addr())
 	late.send("*1\r\n$4\r\nPI")
-	if heard, err := io.ReadAll(late); string(heard) != "-ERR command not finished in time\r\n" || err != nil {
-		t.Errorf("half a command: %q, %v", heard, err)
+	if reply, err := io.ReadAll(late); string(reply) != "-ERR command not finished in time\r\n" || err != nil {
+		t.Errorf("reply to an incomplete command = %q, %v, want the timeout error", reply, err)
 	}
 
 	options.MemoryLimit = 1
 	server, _ = startServer(t, options)
 	holder := dial(t, server.Addr())
 	holder.ping()
-	holder.send("*1\r\n$4\r\nPI") // all of the memory
-	waitUntil(t, "the memory is in use", func() bool { return server.memoryInUse() > 0 })
+	holder.send("*1\r\n$4\r\nPI") // uses all of the memory
+	waitUntil(t, "the memory to be in use", func() bool { return server.memoryInUse() > 0 })
 	waiting := dial(t, server.Addr())
 	waiting.sendCommand("PING")
-	if heard, err := io.ReadAll(waiting); string(heard) != "-BUSY 500\r\n" || err != nil {
-		t.Errorf("no memory: %q, %v", heard, err)
+	if reply, err := io.ReadAll(waiting); string(reply) != "-BUSY 500\r\n" || err != nil {
+		t.Errorf("reply without memory = %q, %v, want \"-BUSY 500\\r\\n\"", reply, err)
 	}
 }
 
 func TestReplyTexts(t *testing.T) {
 	for name, c := range map[string]struct{ got, want string }{
-		"busy, time unknown": {BusyReply(0), "-BUSY\r\n"},
-		"busy, no time":      {BusyReply(-1), "-BUSY\r\n"},
-		"busy, 1 ms":         {BusyReply(1), "-BUSY 1\r\n"},
-		"busy, 12 s":         {BusyReply(12000), "-BUSY 12000\r\n"},
-		"error":              {ErrorReply(errors.New("k: missing")), "-ERR k: missing\r\n"},
-		"error, not plain":   {ErrorReply(errors.New("a\r\nb\x00\x7fé~")), "-ERR a??b???~\r\n"},
+		"busy, no retry time": {BusyReply(0), "-BUSY\r\n"},
+		"busy, negative time": {BusyReply(-1), "-BUSY\r\n"},
+		"busy, 1 ms":          {BusyReply(1), "-BUSY 1\r\n"},
+		"busy, 12 s":          {BusyReply(12000), "-BUSY 12000\r\n"},
+		"error":               {ErrorReply(errors.New("k: missing")), "-ERR k: missing\r\n"},
+		"error, unprintable":  {ErrorReply(errors.New("a\r\nb\x00\x7fé~")), "-ERR a??b???~\r\n"},
 	} {
 		if c.got != c.want {
-			t.Errorf("%s: %q, want %q", name, c.got, c.want)
+			t.Errorf("%s: reply = %q, want %q", name, c.got, c.want)
 		}
 	}
 }
 
-// The form in which connections go to another process.
+// testdata/conns.json holds connections in the JSON form that is passed to another process. That process
+// may run another release, so the form must not change.
 func TestConnSnapshotFixture(t *testing.T) {
 	want, err := os.ReadFile("testdata/conns.json")
 	if err != nil {
@@ -138,6 +140,6 @@
 	}
 	var decoded []ConnSnapshot
 	if err := json.Unmarshal(want, &decoded); err != nil || !reflect.DeepEqual(decoded, conns) {
-		t.Errorf("%+v, %v", decoded, err)
+		t.Errorf("decoded snapshots = %+v, %v, want %+v", decoded, err, conns)
 	}
 }
--- a/internal/respserver/handover_test.go
+++ b/internal/respserver/handover_test.go
@@ -9,18 +9,18 @@
 	"troutusher/internal/connlimit"
 )
 
-// newSuccessor makes a server that takes over what another one exported, as
-// another process would: with descriptors of its own.
+// newSuccessor returns a server that takes over the exported listeners and connections of another one.
+// It duplicates the descriptors, as passing them to another process would.
 func newSuccessor(t *testing.T, listenerFDs []int, conns []ConnSnapshot) *Server {
 	t.Helper()
 	duplicate := func(fd int) int {
-		own, err := syscall.Dup(fd)
+		newFD, err := syscall.Dup(fd)
 		if err != nil {
 			t.Fatal(err)
 		}
-		return own
+		return newFD
 	}
-	handler := &echoHandler{delivered: map[string]bool{}}
+	handler := &echoHandler{replyWritten: map[string]bool{}}
 	options := testOptions()
 	options.Limits, options.Handler = connlimit.DefaultLimits(64, 192), handler.handle
 	var addrs []string
@@ -41,74 +41,74 @@
 		conns[i].FD = duplicate(conns[i].FD)
 	}
 	if kept := server.Import(conns); kept != len(conns) {
-		t.Errorf("%d of %d kept", kept, len(conns))
+		t.Errorf("Import kept %d of %d connections", kept, len(conns))
 	}
 	return server
 }
 
-// pause pauses a server and waits until it is.
+// pause pauses a server and waits until no request is pending.
 func pause(server *Server) {
 	paused := make(chan struct{})
 	server.Pause(func() { close(paused) })
 	<-paused
 }
 
-// Connections in every state go over to another server: idle, without a command
-// so far, with a command cut at any byte, with several sent ahead; and one that
-// waits in the listen queue is accepted there.
+// A hand-over must lose no byte of a connection, whatever state it is in: idle, before its first
+// command, with a command interrupted at any byte, or with several commands sent ahead. A connection
+// that is still in the listen queue must be accepted by the successor.
 func TestHandover(t *testing.T) {
 	options := testOptions()
 	options.Limits = connlimit.DefaultLimits(64, 192)
 	server, handler := startServer(t, options)
 	request := func(i int) string { return encodeCommand("SAY", fmt.Sprintf("hello, %02d", i)) }
-	type cutRequest struct {
+	type partialRequest struct {
 		*testClient
 		rest string
 	}
-	var cutRequests []cutRequest
+	var partialRequests []partialRequest
 	for cut := range len(request(0)) {
 		client := dial(t, server.Addr())
 		client.send(request(cut)[:cut])
-		cutRequests = append(cutRequests, cutRequest{client, request(cut)[cut:]})
+		partialRequests = append(partialRequests, partialRequest{client, request(cut)[cut:]})
 	}
 	idle := dial(t, server.Addr())
 	idle.ping()
-	for server.connsInUse() != len(cutRequests)+1 { // until all are accepted, and what they sent is read
+	for server.connsInUse() != len(partialRequests)+1 { // until all are accepted and their input is read
 		runtime.Gosched()
 	}
 
 	pause(server)
-	idle.send(encodeCommand("PING") + request(99)) // it comes while nobody reads
+	idle.send(encodeCommand("PING") + request(99)) // arrives while neither server reads
 	queued := dial(t, server.Addr())
 	queued.sendCommand("PING")
 	listenerFDs, conns := server.Export(1000)
-	if len(conns) != len(cutRequests)+1 {
-		t.Fatalf("%d connections are exported of %d", len(conns), len(cutRequests)+1)
+	if len(conns) != len(partialRequests)+1 {
+		t.Fatalf("Export(1000) returned %d connections, want %d", len(conns), len(partialRequests)+1)
 	}
 	if conns[len(conns)-1].handoverPriority() < conns[0].handoverPriority() {
-		t.Error("those that matter least come first")
+		t.Error("Export(1000) returned the connections in the wrong order of priority")
 	}
-	if _, few := server.Export(3); len(few) != 3 || few[0].handoverPriority() != 0 {
-		t.Errorf("of three: %+v", few)
+	if _, exported := server.Export(3); len(exported) != 3 || exported[0].handoverPriority() != 0 {
+		t.Errorf("Export(3) = %+v, want three connections with a command in progress first", exported)
 	}
 	successor := newSuccessor(t, listenerFDs, conns)
-	server.Inspect(func(*connlimit.Limiter) {}) // a turn more
+	server.Inspect(func(*connlimit.Limiter) {}) // returns after another turn of the event loop
 	server.Close()
 	if handler.received != nil {
-		t.Errorf("a paused server read on: %q", handler.received)
+		t.Errorf("the paused server read requests: %q", handler.received)
 	}
 
 	runServer(t, successor)
 	idle.expectLine("+PONG")
 	idle.expectLine("+OK")
 	queued.expectLine("+PONG")
-	for _, c := range cutRequests {
+	for _, c := range partialRequests {
 		c.send(c.rest)
 		c.expectLine("+OK")
 	}
 }
 
-// A server that is resumed goes on as if it had not been paused.
+// A resumed server must continue to serve its connections as before the pause.
 func TestResumeAfterPause(t *testing.T) {
 	server, _ := startServer(t, testOptions())
 	client := dial(t, server.Addr())
--- a/internal/respserver/helpers_test.go
+++ b/internal/respserver/helpers_test.go
@@ -15,18 +15,18 @@
 	"troutusher/internal/connlimit"
 )
 
-// testTimeout bounds every wait of a test.
+// testTimeout is the maximum time of every wait in a test.
 const testTimeout = 20 * time.Second
 
-// echoHandler handles PING and GIVE at once, and SAY as a pending request: it is
-// replied to by deferReply, or at once if that is nil or returns false.
+// echoHandler replies to PING and GIVE at once and makes SAY a pending request. If deferReply is nil or
+// returns false for a request, the handler sends its reply without delay.
 type echoHandler struct {
 	server     *Server
 	deferReply func(id RequestID, arg string) bool
 
-	mu        sync.Mutex
-	received  []string
-	delivered map[string]bool
+	mu           sync.Mutex
+	received     []string
+	replyWritten map[string]bool
 }
 
 type echoRequest struct {
@@ -37,10 +37,10 @@
 func (r *echoRequest) ReplyDone(written bool) {
 	r.handler.mu.Lock()
 	defer r.handler.mu.Unlock()
-	if _, twice := r.handler.delivered[r.arg]; twice {
+	if _, called := r.handler.replyWritten[r.arg]; called {
 		panic("ReplyDone was called twice for " + r.arg)
 	}
-	r.handler.delivered[r.arg] = written
+	r.handler.replyWritten[r.arg] = written
 }
 
 func (h *echoHandler) handle(command *Command) Reply {
@@ -48,7 +48,7 @@
 	switch string(args[0]) {
 	case "PING":
 		return Reply{Text: "+PONG\r\n", Kind: connlimit.CommandControl}
-	case "GIVE": // a thousand bytes for each byte of the last argument
+	case "GIVE": // replies with a thousand bytes for each byte of the last argument
 		text := "$" + string(args[1]) + "\r\n" + strings.Repeat("g", len(args[2])*1000) + "\r\n"
 		return Reply{Text: text, Kind: connlimit.CommandControl}
 	case "SAY":
@@ -70,8 +70,8 @@
 	return Reply{Text: ErrorReply(errors.New("unknown command"))}
 }
 
-// captureRequests has the handler leave its requests open. Their IDs come over
-// the channel.
+// captureRequests makes the handler leave requests without a reply. It returns a channel that receives
+// their IDs.
 func (h *echoHandler) captureRequests() <-chan RequestID {
 	ids := make(chan RequestID, 1)
 	h.deferReply = func(id RequestID, _ string) bool {
@@ -81,17 +81,17 @@
 	return ids
 }
 
-// testOptions are options with room for a hundred connections and no handler.
+// testOptions returns options for a hundred connections, without a handler.
 func testOptions() Options {
 	return Options{
 		Limits: connlimit.DefaultLimits(100, 300), MemoryLimit: 8 << 20, Logger: slog.New(slog.DiscardHandler),
 	}
 }
 
-// startServer runs a server with an echoHandler until the test ends.
+// startServer runs a server with an echoHandler until the end of the test.
 func startServer(t testing.TB, options Options) (*Server, *echoHandler) {
 	t.Helper()
-	handler := &echoHandler{delivered: map[string]bool{}}
+	handler := &echoHandler{replyWritten: map[string]bool{}}
 	options.Handler = handler.handle
 	server, err := New(options, "127.0.0.1:0", "127.0.0.2:0")
 	if err != nil {
@@ -102,7 +102,7 @@
 	return server, handler
 }
 
-// runServer runs a server until the test ends.
+// runServer runs a server until the end of the test.
 func runServer(t testing.TB, server *Server) {
 	t.Helper()
 	ended := make(chan error, 1)
@@ -135,7 +135,7 @@
 	return &testClient{Conn: conn, t: t, in: bufio.NewReader(conn)}
 }
 
-// send sends bytes as they are.
+// send sends text without encoding it as a command.
 func (c *testClient) send(text string) {
 	c.t.Helper()
 	if _, err := io.WriteString(c, text); err != nil {
@@ -148,12 +148,12 @@
 	c.send(encodeCommand(args...))
 }
 
-// readLine reads a line of a reply.
+// readLine reads one line of a reply and returns it without its line end.
 func (c *testClient) readLine() string {
 	c.t.Helper()
 	line, err := c.in.ReadString('\n')
 	if err != nil {
-		c.t.Fatalf("no reply: %v", err)
+		c.t.Fatalf("read a line of a reply: %v", err)
 	}
 	return strings.TrimSuffix(line, "\r\n")
 }
@@ -161,19 +161,19 @@
 func (c *testClient) expectLine(want string) {
 	c.t.Helper()
 	if line := c.readLine(); line != want {
-		c.t.Errorf("reply %q, want %q", line, want)
+		c.t.Errorf("reply = %q, want %q", line, want)
 	}
 }
 
-// expectClosed reads the end of the connection, and nothing before it.
+// expectClosed checks that the server closes the connection and sends nothing before that.
 func (c *testClient) expectClosed() {
 	c.t.Helper()
 	if _, err := c.in.ReadByte(); !errors.Is(err, io.EOF) {
-		c.t.Errorf("still open: %v", err)
+		c.t.Errorf("read from a connection that should be closed: err = %v, want EOF", err)
 	}
 }
 
-// ping sends a command and reads its reply.
+// ping sends PING and checks its reply.
 func (c *testClient) ping() {
 	c.t.Helper()
 	c.sendCommand("PING")
@@ -189,14 +189,15 @@
 	return text.String()
 }
 
-func waitUntil(t testing.TB, what string, condition func() bool) {
+// waitUntil waits until condition returns true and fails the test if that takes too long.
+func waitUntil(t testing.TB, description string, condition func() bool) {
 	t.Helper()
 	for end := time.Now().Add(testTimeout); time.Now().Before(end); time.Sleep(time.Millisecond) {
 		if condition() {
 			return
 		}
 	}
-	t.Fatalf("never came: %s", what)
+	t.Fatalf("timed out waiting for %s", description)
 }
 
 func (s *Server) connsInUse() (n int) {
@@ -209,7 +210,7 @@
 	return bytes
 }
 
-// whileLoopBlocked calls a function between two turns of the event loop.
+// whileLoopBlocked calls a function while a task blocks the event loop.
 func (s *Server) whileLoopBlocked(do func()) {
 	blocked, finished := make(chan struct{}), make(chan struct{})
 	s.runOnLoop(func() {
--- a/internal/respserver/listener_test.go
+++ b/internal/respserver/listener_test.go
@@ -9,7 +9,7 @@
 	"troutusher/internal/connlimit"
 )
 
-// deferredOptions are for a server that binds and does not listen yet.
+// deferredOptions returns options for a server that binds its addresses and does not listen yet.
 func deferredOptions() Options {
 	options := testOptions()
 	options.DeferListen = true
@@ -17,8 +17,8 @@
 	return options
 }
 
-// A server that defers Listen has its address, which no other process can serve
-// on, and no client connects to it before it can reply.
+// A server with DeferListen must hold its address, so that no other process can listen on it, but must
+// not let clients connect before Listen: until then it could not reply to them.
 func TestNoConnectionsBeforeListen(t *testing.T) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -27,7 +27,7 @@
 	addr := ln.Addr()
 	if server, err := New(deferredOptions(), addr.String()); err == nil {
 		server.teardown()
-		t.Error("bound an address that another one serves on")
+		t.Error("New succeeded on an address that another socket listens on")
 	}
 	if err := ln.Close(); err != nil {
 		t.Fatal(err)
@@ -40,22 +40,22 @@
 		if err == nil {
 			_ = conn.Close()
 		}
-		t.Errorf("before Listen: %v", err)
+		t.Errorf("Dial before Listen: err = %v, want connection refused", err)
 	}
 	if err := server.Listen(); err != nil {
 		t.Fatal(err)
 	}
-	client := dial(t, addr) // not served yet; it is in the queue
+	client := dial(t, addr) // waits in the listen queue until the server runs
 	if other, err := New(testOptions(), addr.String()); err == nil {
 		other.teardown()
-		t.Error("two servers on one address")
+		t.Error("New succeeded on the address of another server")
 	}
 	runServer(t, server)
 	client.ping()
 }
 
-// Addresses of all kinds are bound and listened on; what cannot be is an error,
-// and nothing is left open.
+// With DeferListen, a server must be able to listen on addresses of every form. An address that cannot
+// be bound must be an error of New.
 func TestDeferredListenAddresses(t *testing.T) {
 	for addr, host := range map[string]string{
 		":0": "127.0.0.1", "0.0.0.0:0": "127.0.0.1", "localhost:0": "127.0.0.1", "127.0.0.9:0": "127.0.0.9",
@@ -71,24 +71,24 @@
 			}
 			port := server.Addr().(*net.TCPAddr).Port
 			if port == 0 {
-				t.Fatalf("listens on %s", server.Addr())
+				t.Fatalf("Addr() = %s, want a port", server.Addr())
 			}
 			dial(t, &net.TCPAddr{IP: net.ParseIP(host), Port: port})
 		})
 	}
 	for _, addr := range []string{"127.0.0.1", "127.0.0.1:65536", "198.51.100.7:0"} {
-		t.Run("not "+addr, func(t *testing.T) {
+		t.Run("invalid "+addr, func(t *testing.T) {
 			if server, err := New(deferredOptions(), "127.0.0.1:0", addr); err == nil {
 				server.teardown()
-				t.Error("bound it")
+				t.Errorf("New on %s = nil error, want an error", addr)
 			}
 		})
 	}
 }
 
-// What connections inherit is set before their listener listens: one that is
-// established in between would have small replies held back, and lose them with a
-// close.
+// Connections inherit socket options when they are established. If the options were set only after the
+// listener listens, a connection established in between would lack TCP_NODELAY: its small replies would
+// be held back and could be lost when it is closed.
 func TestSocketOptionsSetBeforeListen(t *testing.T) {
 	noDelay := func(fd int) bool {
 		value, err := syscall.GetsockoptInt(fd, syscall.IPPROTO_TCP, syscall.TCP_NODELAY)
@@ -103,7 +103,7 @@
 	}
 	defer server.teardown()
 	if len(server.boundAddrs) != 1 || !noDelay(server.boundAddrs[0].fd) {
-		t.Error("not set on a bound socket")
+		t.Error("TCP_NODELAY is not set on a bound socket")
 	}
 	config := listenConfig()
 	ln, err := config.Listen(t.Context(), "tcp", "127.0.0.1:0")
@@ -117,7 +117,7 @@
 	}
 	err = raw.Control(func(fd uintptr) {
 		if !noDelay(int(fd)) {
-			t.Error("not set on a listener")
+			t.Error("TCP_NODELAY is not set on a listener")
 		}
 	})
 	if err != nil {
--- a/internal/respserver/memory_test.go
+++ b/internal/respserver/memory_test.go
@@ -11,7 +11,8 @@
 	"troutusher/internal/connlimit"
 )
 
-// Idle connections have no goroutine, no reader and no buffers of their own.
+// The server must be able to hold many idle connections, so an idle connection must have no goroutine,
+// reader, buffer or timer. One in the middle of a command has a reader.
 func TestIdleConnectionsHoldNoMemory(t *testing.T) {
 	const conns = 300
 	options := testOptions()
@@ -20,16 +21,16 @@
 	before := runtime.NumGoroutine()
 	for range conns {
 		client := dial(t, server.Addr())
-		client.send(encodeCommand("PING") + encodeCommand("SAY", "x")[:9]) // and half a command
+		client.send(encodeCommand("PING") + encodeCommand("SAY", "x")[:9]) // and part of a command
 		client.readLine()
 	}
-	if extra := runtime.NumGoroutine() - before; extra > 20 { // the runtime's own come and go
-		t.Errorf("%d goroutines for %d connections", extra, conns)
+	if extra := runtime.NumGoroutine() - before; extra > 20 { // allow for goroutines of the runtime
+		t.Errorf("%d more goroutines for %d connections, want at most 20", extra, conns)
 	}
 	readers := 0
 	server.Inspect(func(limiter *connlimit.Limiter) {
 		if n := limiter.Count(connlimit.StateReadingCommand); n != conns {
-			t.Errorf("%d in the middle of a command", n)
+			t.Errorf("Count(StateReadingCommand) = %d, want %d", n, conns)
 		}
 		for slot := range uint32(conns) {
 			if c := server.connAt(slot); c.reader != nil {
@@ -38,7 +39,7 @@
 		}
 	})
 	if readers != conns {
-		t.Errorf("%d readers for %d half commands", readers, conns)
+		t.Errorf("%d readers for %d incomplete commands", readers, conns)
 	}
 
 	idle, _ := startServer(t, options)
@@ -48,28 +49,28 @@
 	idle.Inspect(func(*connlimit.Limiter) {
 		for slot := range uint32(conns) {
 			if c := idle.connAt(slot); c.reader != nil || c.buffers != nil || c.memory != 0 {
-				t.Errorf("an idle connection holds %+v", c)
+				t.Errorf("idle connection = %+v, want no reader, buffers or memory", c)
 			}
 		}
 		if idle.memoryUsed != 0 || idle.timers.Len() != 0 {
-			t.Errorf("%d bytes and %d timers for idle connections", idle.memoryUsed, idle.timers.Len())
+			t.Errorf("%d bytes and %d timers for idle connections, want none", idle.memoryUsed, idle.timers.Len())
 		}
 	})
 }
 
-// All clients send at once, with more than there is memory for: what is read
-// stays under the limit, and each gets a reply.
+// All clients send at once, and together more than the memory limit allows. The memory of the commands
+// must stay bounded, and each client must get a reply.
 func TestCommandMemoryIsBounded(t *testing.T) {
-	const n, size, memory = 200, 60_000, 1 << 20
+	const clientCount, bodySize, memoryLimit = 200, 60_000, 1 << 20
 	options := testOptions()
-	options.Limits, options.MemoryLimit = connlimit.DefaultLimits(300, 4000), memory
+	options.Limits, options.MemoryLimit = connlimit.DefaultLimits(300, 4000), memoryLimit
 	server, handler := startServer(t, options)
-	var highest atomic.Int64
+	var highestMemory atomic.Int64
 	handler.deferReply = func(RequestID, string) bool {
-		highest.Store(max(highest.Load(), int64(server.memoryUsed))) // on the event loop
+		highestMemory.Store(max(highestMemory.Load(), int64(server.memoryUsed))) // on the event loop
 		return false
 	}
-	clients := make([]*testClient, n)
+	clients := make([]*testClient, clientCount)
 	for i := range clients {
 		clients[i] = dial(t, server.Addr())
 		clients[i].ping()
@@ -80,27 +81,28 @@
 		wg.Add(1)
 		go func() {
 			defer wg.Done()
-			client.sendCommand("SAY", fmt.Sprint(i), strings.Repeat("b", size))
+			client.sendCommand("SAY", fmt.Sprint(i), strings.Repeat("b", bodySize))
 			line, err := client.in.ReadString('\n')
 			switch {
 			case err != nil:
-				t.Errorf("%d: %v", i, err)
+				t.Errorf("client %d: read reply: %v", i, err)
 			case line == "+OK\r\n":
 				replied.Add(1)
 			case strings.HasPrefix(line, "-BUSY "):
 				busy.Add(1)
 			default:
-				t.Errorf("%d: %q", i, line)
+				t.Errorf("client %d: reply = %q, want +OK or -BUSY", i, line)
 			}
 		}()
 	}
 	wg.Wait()
-	t.Logf("%d replied to, %d rejected, at most %d bytes", replied.Load(), busy.Load(), highest.Load())
-	if highest.Load() > 2*memory+int64(2*size) {
-		t.Errorf("%d bytes in use, %d allowed", highest.Load(), memory)
+	t.Logf("%d requests accepted, %d rejected, at most %d bytes in use",
+		replied.Load(), busy.Load(), highestMemory.Load())
+	if highestMemory.Load() > 2*memoryLimit+int64(2*bodySize) {
+		t.Errorf("commands used up to %d bytes, too much for a limit of %d", highestMemory.Load(), memoryLimit)
 	}
 	if replied.Load() == 0 {
-		t.Error("no request was served")
+		t.Error("all requests were rejected, want some accepted")
 	}
-	waitUntil(t, "all memory free", func() bool { return server.memoryInUse() == 0 })
+	waitUntil(t, "all memory to be released", func() bool { return server.memoryInUse() == 0 })
 }
--- a/internal/respserver/poller_test.go
+++ b/internal/respserver/poller_test.go
@@ -20,43 +20,42 @@
 	return p
 }
 
-// Both ways of waiting tell the same: what comes, that there are tasks, and that
-// time is up; and what comes together with a task is not lost.
+// Both ways of waiting must report events, tasks and the end of the time limit in the same way.
 func TestPollerWaitModes(t *testing.T) {
 	for name, ownThread := range map[string]bool{"in the runtime's poller": false, "on a thread": true} {
 		t.Run(name, func(t *testing.T) {
 			p := newTestPoller(t)
 			if p.ownThread {
-				t.Fatal("a kernel's epoll set inside another one is not seen")
+				t.Fatal("ownThread = true: the runtime's poller does not see the nested epoll set of this kernel")
 			}
 			p.ownThread = ownThread
 			var woken atomic.Bool
-			// What is left of the signal of newPoller may come first.
+			// An event that is left of the signal in newPoller may come first.
 			if _, err := p.wait(time.Now(), woken.Load); err != nil {
 				t.Fatal(err)
 			}
 
 			if events, err := p.wait(time.Now().Add(5*time.Millisecond), woken.Load); len(events) > 0 || err != nil {
-				t.Errorf("at the end of its time: %v, %v", events, err)
+				t.Errorf("wait with a time limit = %v, %v, want no events", events, err)
 			}
-			far := time.Now().Add(time.Hour)
+			farFuture := time.Now().Add(time.Hour)
 			go func() {
 				woken.Store(true)
 				p.wake()
 			}()
 			for {
-				events, err := p.wait(far, woken.Load)
+				events, err := p.wait(farFuture, woken.Load)
 				if errors.Is(err, errWoken) {
 					break
 				}
 				if err != nil || len(events) != 1 || events[0].Fd != wakeSlot {
-					t.Fatalf("woken: %v, %v", events, err)
+					t.Fatalf("wait when woken = %v, %v, want errWoken or the wake event", events, err)
 				}
 			}
 			woken.Store(false)
 			addReadable(t, p)
 			for seen := false; !seen; {
-				events, err := p.wait(far, woken.Load)
+				events, err := p.wait(farFuture, woken.Load)
 				if err != nil {
 					t.Fatal(err)
 				}
@@ -66,7 +65,8 @@
 	}
 }
 
-// An event that comes together with a task is told, since it comes but once.
+// An event that arrives together with a task must be returned, since edge-triggered events are reported
+// only once.
 func TestWakeLosesNoEvent(t *testing.T) {
 	p := newTestPoller(t)
 	p.ownThread = true
@@ -74,7 +74,7 @@
 	calls := 0
 	events, err := p.wait(time.Now().Add(time.Hour), func() bool { calls++; return calls > 1 })
 	if err != nil || !hasTestSlot(events) {
-		t.Errorf("an event that came with a task: %v, %v", events, err)
+		t.Errorf("wait with an event and a task = %v, %v, want the event", events, err)
 	}
 }
 
@@ -87,7 +87,7 @@
 	return false
 }
 
-// addReadable adds a socket that has something to read.
+// addReadable adds a socket with unread input to the poller.
 func addReadable(t *testing.T, p *poller) {
 	t.Helper()
 	pair, err := syscall.Socketpair(syscall.AF_UNIX, syscall.SOCK_STREAM|syscall.SOCK_NONBLOCK, 0)
--- a/internal/respserver/receivetime_test.go
+++ b/internal/respserver/receivetime_test.go
@@ -10,13 +10,13 @@
 	"troutusher/internal/connlimit"
 )
 
-// stoppedServer is a server whose event loop does not run: the test turns it by
-// hand, and moves its clock. It notes each command that is read.
+// stoppedServer is a server whose event loop does not run: the test calls its steps and advances its
+// clock. It records each command that is read.
 type stoppedServer struct {
 	*Server
 	t    *testing.T
-	read int
-	age  time.Duration // of the last command when it was handled
+	read int           // number of commands
+	age  time.Duration // age of the last command when it was handled
 }
 
 func newStoppedServer(t *testing.T) *stoppedServer {
@@ -37,10 +37,10 @@
 	return s
 }
 
-// advanceClock moves the clock on, by moving its start.
+// advanceClock advances the server's clock by moving its start back.
 func (s *stoppedServer) advanceClock(d time.Duration) { s.startedAt = s.startedAt.Add(-d) }
 
-// waitForEvent handles the poller's events, until there was one of a client.
+// waitForEvent handles the poller's events until there was one of a client.
 func (s *stoppedServer) waitForEvent() {
 	s.t.Helper()
 	for end := time.Now().Add(testTimeout); time.Now().Before(end); {
@@ -59,23 +59,21 @@
 			return
 		}
 	}
-	s.t.Fatal("no event")
+	s.t.Fatal("timed out waiting for an event of a client")
 }
 
-// expectCommand serves ready connections, which has to read one command that was
-// received so long ago.
-func (s *stoppedServer) expectCommand(what string, age time.Duration) {
+// expectCommand serves the ready connections and checks that this reads one command of the given age.
+func (s *stoppedServer) expectCommand(description string, age time.Duration) {
 	s.t.Helper()
 	s.serveReady()
 	if s.read != 1 || s.age < age || s.age > age+100*time.Millisecond {
-		s.t.Errorf("%s: read %d times, %v old, want %v", what, s.read, s.age, age)
+		s.t.Errorf("%s: read %d commands, the last %v old; want 1, %v old", description, s.read, s.age, age)
 	}
 	s.read = 0
 }
 
-// A message's time runs from when its client sent it, and not from when it was
-// read: what was unread in a listener's queue, or on a connection whose turn had
-// not come, has the time from which it may have been there.
+// A message's deadline runs from when its client sent it. If a busy server counted from when it read the
+// command, the time that the command waited in the listen queue or in its socket would be missing.
 func TestReceiveTimeIncludesQueueing(t *testing.T) {
 	s := newStoppedServer(t)
 	client := dial(t, s.Addr())
@@ -83,56 +81,58 @@
 	s.waitForEvent()
 	s.advanceClock(200 * time.Millisecond)
 	s.acceptPending()
-	s.expectCommand("in the queue of a listener", 200*time.Millisecond)
+	s.expectCommand("command in the listen queue", 200*time.Millisecond)
 
-	s.serveReady() // it sees that nothing more is there
+	s.serveReady() // notes that there is no more input
 	client.sendCommand("SAY", "y")
 	s.waitForEvent()
 	s.advanceClock(250 * time.Millisecond)
-	s.expectCommand("on a connection", 250*time.Millisecond)
+	s.expectCommand("unread command on a connection", 250*time.Millisecond)
 
 	s.serveReady()
 	s.advanceClock(3 * time.Second)
 	client.sendCommand("SAY", "y")
 	s.waitForEvent()
-	s.expectCommand("at once, after a long idle time", 0)
+	s.expectCommand("command read at once after a long idle time", 0)
 
 	s.serveReady()
 	client.sendCommand("SAY", "y")
 	s.waitForEvent()
 	s.advanceClock(9 * time.Second)
-	s.expectCommand("longer than any client waits", clientReplyTimeout)
+	s.expectCommand("command older than a client waits", clientReplyTimeout)
 
 	s.advanceClock(3 * time.Second)
 	dial(t, s.Addr()).sendCommand("SAY", "z")
 	s.waitForEvent()
 	s.advanceClock(150 * time.Millisecond)
 	s.acceptPending()
-	s.expectCommand("in a queue that was empty before", 150*time.Millisecond)
+	s.expectCommand("command in a listen queue that was empty before", 150*time.Millisecond)
 }
 
-// A request that crosses the close of its idle connection has just come.
+// A request can arrive just as the server is about to close its idle connection. It must count as
+// received then, not as old as the idle time.
 func TestReceiveTimeAcrossClose(t *testing.T) {
 	s := newStoppedServer(t)
 	client := dial(t, s.Addr())
 	client.sendCommand("SAY", "x")
 	s.waitForEvent()
 	s.acceptPending()
-	s.expectCommand("the first", 0)
+	s.expectCommand("first command", 0)
 	s.serveReady()
 	s.advanceClock(3 * time.Second)
 	client.sendCommand("SAY", "y")
 	c := s.connAt(0)
-	for unreadBytes(t, int(c.fd)) == 0 { // it is there, and the poller has not been asked
+	for unreadBytes(t, int(c.fd)) == 0 { // until it has arrived; the poller has not reported it
 		continue
 	}
 	s.closeUnlessReadable(0, c)
 	if s.read != 1 || s.age > 100*time.Millisecond {
-		t.Errorf("across a close: read %d times, %v old", s.read, s.age)
+		t.Errorf("request during a close: read %d commands, the last %v old; want 1, at most 100ms old",
+			s.read, s.age)
 	}
 }
 
-// unreadBytes is how many bytes can be read.
+// unreadBytes returns how many bytes can be read from a socket, up to 64.
 func unreadBytes(t *testing.T, fd int) int {
 	t.Helper()
 	var buffer [64]byte
@@ -146,8 +146,8 @@
 	return n
 }
 
-// What another process passed on may have been unread since that one stopped
-// reading; if that is not known, for as long as any client waits.
+// Input of sockets that another process handed over counts as received when that process stopped reading.
+// If that time is not known, the server assumes the longest time that a client waits.
 func TestReceiveTimeAfterHandover(t *testing.T) {
 	for name, c := range map[string]struct{ unread, want time.Duration }{
 		"known":   {unread: 100 * time.Millisecond, want: 100 * time.Millisecond},
@@ -186,26 +186,25 @@
 			client.sendCommand("SAY", "imported")
 			queued.sendCommand("SAY", "queued")
 			if n := server.Import([]ConnSnapshot{{FD: fd, Slot: connlimit.Snapshot{Validated: true}}}); n != 1 {
-				t.Fatal("not imported")
+				t.Fatalf("Import kept %d connections, want 1", n)
 			}
 			for end := time.Now().Add(testTimeout); len(ages) < 2 && time.Now().Before(end); {
 				server.acceptPending()
 				server.serveReady()
 			}
-			for what, age := range ages {
+			for request, age := range ages {
 				if age < c.want || age > c.want+2*time.Second {
-					t.Errorf("%s: %v old, want %v", what, age, c.want)
+					t.Errorf("age of the %s request = %v, want %v", request, age, c.want)
 				}
 			}
 			if len(ages) != 2 {
-				t.Errorf("read %v", ages)
+				t.Errorf("ages of the requests = %v, want two", ages)
 			}
 		})
 	}
 }
 
-// duplicateFD duplicates a connection's descriptor, as if another process had
-// passed it on.
+// duplicateFD returns a duplicate of a connection's descriptor, as another process would pass it on.
 func duplicateFD(t *testing.T, conn *net.TCPConn) (duplicate int) {
 	t.Helper()
 	raw, err := conn.SyscallConn()
--- a/internal/respserver/server_test.go
+++ b/internal/respserver/server_test.go
@@ -14,9 +14,9 @@
 	"troutusher/internal/connlimit"
 )
 
-// A client may close, or be chosen to be closed, exactly when its request
-// crosses: what was read is replied to or its client is known to have left, and
-// the request of one that was closed without a reply was never read.
+// A request can arrive exactly when the server closes its idle connection. The server must either reply
+// to the request or not have read it: otherwise a message could be delivered although its client got no
+// reply. Every request that was read must get its call of ReplyDone.
 func TestRequestsRacingWithClose(t *testing.T) {
 	options := testOptions()
 	options.Limits = connlimit.DefaultLimits(500, 4000)
@@ -31,7 +31,7 @@
 			defer wg.Done()
 			for round := range rounds {
 				id := fmt.Sprintf("%d-%d", i, round)
-				// About when it has been idle for as long as it may.
+				// Send at about the time when the idle timeout ends.
 				idle := time.Duration(13000+(i*rounds+round)*4) * time.Microsecond
 				if requestAfterIdling(t, server, idle, id) {
 					replied.Add(1)
@@ -39,28 +39,28 @@
 				}
 				closed.Add(1)
 				if handler.hasReceived(id) {
-					t.Errorf("%s was read, and its client was closed without a reply", id)
+					t.Errorf("request %s was read, but its connection was closed without a reply", id)
 				}
 			}
 		}()
 	}
 	wg.Wait()
-	t.Logf("%d replied to, %d closed before", replied.Load(), closed.Load())
-	waitUntil(t, "all connections closed", func() bool { return server.connsInUse() == 0 })
+	t.Logf("%d requests replied to, %d connections closed before", replied.Load(), closed.Load())
+	waitUntil(t, "all connections to be closed", func() bool { return server.connsInUse() == 0 })
 	handler.mu.Lock()
 	defer handler.mu.Unlock()
-	if len(handler.received) != len(handler.delivered) {
-		t.Errorf("%d received, %d done", len(handler.received), len(handler.delivered))
+	if len(handler.received) != len(handler.replyWritten) {
+		t.Errorf("%d requests received, but %d calls of ReplyDone", len(handler.received), len(handler.replyWritten))
 	}
-	for id, written := range handler.delivered {
+	for id, written := range handler.replyWritten {
 		if !written {
-			t.Errorf("%s: its client waited, and was taken to have left", id)
+			t.Errorf("ReplyDone(false) for request %s, whose client waited for the reply", id)
 		}
 	}
 }
 
-// requestAfterIdling sends a request on a connection that was idle for a while.
-// It reports whether there was a reply.
+// requestAfterIdling opens a connection, leaves it idle for a while and then sends a request. It reports
+// whether there was a reply.
 func requestAfterIdling(t *testing.T, server *Server, idle time.Duration, id string) bool {
 	t.Helper()
 	conn, err := net.Dial("tcp", server.Addr().String())
@@ -81,7 +81,7 @@
 		return true
 	}
 	time.Sleep(idle)
-	_, _ = conn.Write([]byte(encodeCommand("SAY", id))) // it may be closed
+	_, _ = conn.Write([]byte(encodeCommand("SAY", id))) // fails if the server has closed the connection
 	_, err = conn.Read(reply[:])
 	return err == nil
 }
@@ -97,16 +97,16 @@
 	return false
 }
 
-// Out of descriptors the server neither spins nor ends; a connection that waits
-// in the queue is served once there are some.
+// When the process has no free file descriptors, the server must neither end nor retry accept in a busy
+// loop. A connection in the listen queue must be served once descriptors are free.
 func TestOutOfDescriptors(t *testing.T) {
 	server, _ := startServer(t, testOptions())
-	var tries atomic.Int32
+	var attempts atomic.Int32
 	var exhausted atomic.Bool
 	server.runOnLoop(func() {
 		server.accept = func(fd int) (int, error) {
 			if exhausted.Load() {
-				tries.Add(1)
+				attempts.Add(1)
 				return -1, syscall.EMFILE
 			}
 			return accept(fd)
@@ -117,46 +117,47 @@
 	startedAt := time.Now()
 	client := dial(t, server.Addr())
 	client.sendCommand("PING")
-	waitUntil(t, "four tries", func() bool { return tries.Load() >= 4 })
+	waitUntil(t, "four accept attempts", func() bool { return attempts.Load() >= 4 })
 	took := time.Since(startedAt)
 	exhausted.Store(false)
 	if least := 3 * 50 * time.Millisecond; took < least {
-		t.Errorf("tried %d times in %v, want at least %v", tries.Load(), took, least)
+		t.Errorf("%d accept attempts in %v, want at least %v for them", attempts.Load(), took, least)
 	}
 	client.expectLine("+PONG")
 }
 
-// A client that does not read its replies is waited for a while and not for
-// ever, and holds up no other; one that reads late gets all of them, in order.
+// A client that does not read its replies must not delay others, and must be closed after a time limit.
+// A client that reads late, but within the limit, must get all its replies in order.
 func TestSlowReadingClients(t *testing.T) {
 	server, handler := startServer(t, testOptions())
 	request := encodeCommand("GIVE", "3000000", strings.Repeat("x", 3000))
-	late := dial(t, server.Addr())
+	lateReader := dial(t, server.Addr())
 	for range 4 {
-		late.send(request)
+		lateReader.send(request)
 	}
-	late.sendCommand("SAY", "last")
+	lateReader.sendCommand("SAY", "last")
 	dial(t, server.Addr()).ping()
 	for range 4 {
-		if line := late.readLine(); line != "$3000000" {
-			t.Fatalf("%.80q", line)
+		if line := lateReader.readLine(); line != "$3000000" {
+			t.Fatalf("reply = %.80q, want \"$3000000\"", line)
 		}
-		if line := late.readLine(); len(line) != 3000000 || strings.Trim(line, "g") != "" {
-			t.Fatalf("%d bytes", len(line))
+		if line := lateReader.readLine(); len(line) != 3000000 || strings.Trim(line, "g") != "" {
+			t.Fatalf("body of %d bytes, want 3000000 times g", len(line))
 		}
 	}
-	late.expectLine("+OK")
-	never := dial(t, server.Addr())
-	never.send(strings.Repeat(request, 4))
-	waitUntil(t, "the end of one that never reads", func() bool { return server.connsInUse() == 2 })
+	lateReader.expectLine("+OK")
+	neverReader := dial(t, server.Addr())
+	neverReader.send(strings.Repeat(request, 4))
+	waitUntil(t, "the connection that never reads to be closed", func() bool { return server.connsInUse() == 2 })
 	handler.mu.Lock()
 	defer handler.mu.Unlock()
-	if !handler.delivered["last"] {
-		t.Error("the last reply is not taken to be written")
+	if !handler.replyWritten["last"] {
+		t.Error("ReplyDone of the last request did not report the reply as written")
 	}
 }
 
-// A client that leaves before its reply is known to have.
+// When a client leaves before its reply, ReplyDone must report false, and the reply that comes later must
+// not go to the next client in the same slot.
 func TestClientGoneBeforeReply(t *testing.T) {
 	server, handler := startServer(t, testOptions())
 	ids := handler.captureRequests()
@@ -170,32 +171,32 @@
 	waitUntil(t, "the end of the request", func() bool {
 		handler.mu.Lock()
 		defer handler.mu.Unlock()
-		written, done = handler.delivered["a"]
+		written, done = handler.replyWritten["a"]
 		return done
 	})
 	if written {
-		t.Error("its reply is taken to be written")
+		t.Error("ReplyDone(true) for a client that had left, want false")
 	}
-	// Its slot goes to another client; the late reply is not theirs.
+	// Another client gets the slot. It must not get the late reply.
 	other := dial(t, server.Addr())
 	other.sendCommand("SAY", "b")
 	second := <-ids
 	if second.slot != first.slot {
-		t.Fatalf("another slot: %v, %v", first, second)
+		t.Fatalf("request IDs %v and %v have different slots, want the same", first, second)
 	}
 	server.SendReply(first, "+WRONG\r\n")
 	server.SendReply(second, "+RIGHT\r\n")
 	other.expectLine("+RIGHT")
 }
 
-// A command that waited for its turn for longer than its client waits for the
-// reply is shed with a time to retry, and not handed in.
+// A request that has waited for its turn longer than MaxQueueWait must be shed with a time to retry and
+// not be submitted: its client would give up before the reply.
 func TestLateRequestsAreShed(t *testing.T) {
 	options := testOptions()
 	options.Limits = connlimit.DefaultLimits(200, 2000)
 	server, handler := startServer(t, options)
-	const n = 40
-	clients := make([]*testClient, n)
+	const clientCount = 40
+	clients := make([]*testClient, clientCount)
 	for i := range clients {
 		clients[i] = dial(t, server.Addr())
 		clients[i].ping()
@@ -205,7 +206,7 @@
 		return false
 	}
 	server.whileLoopBlocked(func() {
-		for i, client := range clients { // all there before the first has its turn
+		for i, client := range clients { // all requests have arrived before the first one is read
 			client.sendCommand("SAY", strconv.Itoa(i))
 		}
 	})
@@ -217,13 +218,14 @@
 		case strings.HasPrefix(line, "-BUSY ") && line != "-BUSY 0":
 			shed++
 		default:
-			t.Errorf("reply %q", line)
+			t.Errorf("reply = %q, want +OK or -BUSY with a time", line)
 		}
 	}
 	handler.mu.Lock()
 	defer handler.mu.Unlock()
 	if replied != len(handler.received) || replied < 5 || shed < 10 {
-		t.Errorf("%d received, %d replied to, %d shed", len(handler.received), replied, shed)
+		t.Errorf("%d requests received, %d accepted, %d shed; want all received accepted, at least 5, and 10 shed",
+			len(handler.received), replied, shed)
 	}
 }
 
@@ -235,7 +237,7 @@
 	}
 	body := strings.Repeat("b", 200)
 	b.ReportAllocs()
-	for i := 0; b.Loop(); i++ { // the handler takes each argument once
+	for i := 0; b.Loop(); i++ { // the handler takes each first argument only once
 		client.sendCommand("SAY", strconv.Itoa(i), body)
 		client.expectLine("+OK")
 	}
--- a/internal/respserver/shutdown_test.go
+++ b/internal/respserver/shutdown_test.go
@@ -7,8 +7,8 @@
 	"troutusher/internal/connlimit"
 )
 
-// Both listeners serve; once they are closed no new client is served, and those
-// that are there still get replies.
+// A server must accept connections on all its listeners. After CloseListeners it must accept no new ones,
+// but must still reply to requests on the connections that it has.
 func TestListeners(t *testing.T) {
 	server, handler := startServer(t, testOptions())
 	ids := handler.captureRequests()
@@ -21,7 +21,7 @@
 	id := <-ids
 	server.CloseListeners()
 	server.CloseIdleConns()
-	waitUntil(t, "the idle one closed", func() bool { return server.connsInUse() == 1 })
+	waitUntil(t, "the idle connection to be closed", func() bool { return server.connsInUse() == 1 })
 	for _, l := range server.listeners {
 		if conn, err := net.Dial("tcp", l.Addr().String()); err == nil {
 			_ = conn.Close()
@@ -33,12 +33,12 @@
 	client.expectClosed()
 }
 
-// A connection in a listener's queue as it is closed is accepted, and its request
-// is replied to.
+// Closing a listener resets the connections in its queue. The server must therefore accept them before it
+// closes a listener, and reply to their requests.
 func TestBacklogWhenListenersClose(t *testing.T) {
 	server, _ := startServer(t, testOptions())
 	var client *testClient
-	server.Inspect(func(*connlimit.Limiter) { // between two looks at the queue
+	server.Inspect(func(*connlimit.Limiter) { // the event loop does not check the queue meanwhile
 		client = dial(t, server.Addr())
 		client.sendCommand("SAY", "x")
 		server.closeListeners()
@@ -46,9 +46,8 @@
 	client.expectLine("+OK")
 }
 
-// A server that shuts down says so once nothing that it has read is without its
-// reply, in whatever order the shutdown and the request come, and reads nothing
-// after that.
+// Shutdown must call onDone only after every request that was read has its reply, whether the request or
+// the call of Shutdown comes first. Otherwise Close would cut off a reply.
 func TestShutdownAndRequests(t *testing.T) {
 	for _, first := range []string{"request", "shutdown"} {
 		t.Run(first+" first", func(t *testing.T) {
@@ -68,11 +67,11 @@
 					shutdown()
 				}
 			})
-			id := <-ids // it was read: from here on a reply is owed
+			id := <-ids // the request has been read, so it must get a reply
 			server.Inspect(func(*connlimit.Limiter) {})
 			select {
 			case <-done:
-				t.Fatal("done with a request that it has read")
+				t.Fatal("onDone was called while a request had no reply")
 			default:
 			}
 			server.SendReply(id, "+OK\r\n")
