--- a/internal/connlimit/types.go
+++ b/internal/connlimit/types.go
@@ -103,8 +103,8 @@
 
 // CloseAction tells the caller to close a connection. The caller first checks whether the connection
 // has input that it has not reported yet. If so, it reports that input and closes the connection only
-// after the reply. With CloseCommandTimeout and CloseEvictInvalid the connection
-// ends, whatever it is doing.
+// after the reply. With CloseCommandTimeout and CloseEvictInvalid the connection ends, whatever it is
+// doing.
 type CloseAction struct {
 	Slot   SlotID
 	Reason CloseReason
--- a/internal/resp/reader.go
+++ b/internal/resp/reader.go
@@ -17,7 +17,7 @@
 	MaxArgs         = 16
 	MaxArgBytes     = 4 << 10  // maximum of every argument except the last
 	MaxBodyBytes    = 64 << 10 // maximum of the last argument
-	MaxSkippedBytes = 1 << 20  // up to this size, a too long argument is skipped and the connection stays usable
+	MaxSkippedBytes = 1 << 20  // longer arguments are an error; shorter ones, if too long, are skipped
 	maxHeaderBytes  = 32
 	maxKeptBuffer   = 8 << 10 // largest buffer that a reader keeps for its next command
 	minBuffer       = 256
@@ -25,8 +25,8 @@
 	bufferSlack = 64
 )
 
-// ErrTooLong is the error for a command that was skipped to its end because of a too long argument. The
-// reader can continue with the next command, which it cannot after any other error.
+// ErrTooLong is the error for a command that was skipped to its end because an argument was too
+// long. The reader can continue with the next command, which it cannot after any other error.
 var ErrTooLong = errors.New("argument too long")
 
 var errMissingCRLF = errors.New("argument without its end")
--- a/internal/resp/reader_test.go
+++ b/internal/resp/reader_test.go
@@ -229,10 +229,10 @@
 	b.SetBytes(int64(len(input)))
 	for b.Loop() {
 		if _, complete, err := r.Feed(input); !complete || err != nil {
-			b.Fatal(err)
+			b.Fatalf("Feed: complete = %v, err = %v, want a complete command", complete, err)
 		}
 		if args := r.Args(); !bytes.Equal(args[0], []byte("MSG.PUT")) {
-			b.Fatal(args)
+			b.Fatalf("Args() = %q, want MSG.PUT first", args)
 		}
 	}
 }
