--- a/internal/discovery/agent.go
+++ b/internal/discovery/agent.go
@@ -9,19 +9,19 @@
 	"troutusher/internal/mailbox"
 )
 
-// Paths at the agent.
+// URL paths of the agent.
 const (
 	ListPath    = "/registry/instances"
 	NoticesPath = "/reports"
 )
 
 const (
-	responseTimeout = time.Second // notices are answered at once, or the agent is down
+	responseTimeout = time.Second // the agent answers notices at once, or it is down
 	idleConnTimeout = 30 * time.Second
 )
 
-// newAgentClient makes an HTTP client for the agent: few idle connections, no proxy,
-// HTTP/1.1 alone, no redirects.
+// newAgentClient returns an HTTP client for the agent with at most the given number of
+// connections, without proxy and redirects, and only for HTTP/1.1.
 func newAgentClient(conns int) *http.Client {
 	protocols := &http.Protocols{}
 	protocols.SetHTTP1(true)
@@ -39,10 +39,10 @@
 	}
 }
 
-// agentAddress is the agent's address, which may change while work uses it.
+// agentAddress is the agent's address, which may change while run uses it.
 type agentAddress struct {
 	initial string
-	changes *mailbox.Mailbox[string] // the empty string begins again at the same address
+	changes *mailbox.Mailbox[string] // new addresses; the empty string restarts at the same address
 }
 
 func newAgentAddress(initial string) agentAddress {
@@ -51,11 +51,12 @@
 
 func (a *agentAddress) set(address string) { a.changes.Put(address) }
 
-// restart has work begin again at the same address.
+// restart makes run restart its work at the same address.
 func (a *agentAddress) restart() { a.changes.Put("") }
 
-// run runs work for one address after another until ctx ends, each until the next is
-// set. work must return when its context ends: two addresses are never used at once.
+// run calls work with the current address until ctx ends. When the address changes, it cancels
+// work, waits until it has returned, and calls it with the new address: two addresses are never
+// in use at the same time.
 func (a *agentAddress) run(ctx context.Context, work func(ctx context.Context, address string)) {
 	address := a.initial
 	for ctx.Err() == nil {
--- a/internal/discovery/calls.go
+++ b/internal/discovery/calls.go
@@ -12,32 +12,32 @@
 	"troutusher/internal/source/registry"
 )
 
-// listTimeout is how long the next bytes of a list that has begun may take.
+// listTimeout is the longest wait for the next bytes within a list.
 const listTimeout = time.Second
 
-// Causes for which a call's context ends.
+// Causes of the cancellation of a call's context.
 var (
-	errNoResponse     = errors.New("no answer in time")
-	errSilent         = errors.New("silent")
-	errListIncomplete = errors.New("a list has begun and does not go on")
+	errNoResponse     = errors.New("no response in time")
+	errSilent         = errors.New("watch has sent nothing for too long")
+	errListIncomplete = errors.New("rest of a list did not arrive in time")
 )
 
-// statusError is an answer other than 200 OK.
+// statusError is the status code of a response other than 200 OK.
 type statusError int
 
-// Error is error's.
+// Error implements error.
 func (e statusError) Error() string { return fmt.Sprintf("status %d", int(e)) }
 
-// outcome is what an answer with this status tells of the agent.
+// outcome returns the outcome of a call with this status.
 func (e statusError) outcome() registry.Outcome {
 	if e >= 400 && e < 500 && e != http.StatusTooManyRequests {
-		return registry.RevisionUnknown // it answers, and not about load: the revision may be what it rejects
+		return registry.RevisionUnknown // not an overload: the agent may have rejected the revision
 	}
 	return registry.Rejected
 }
 
-// open makes one call and waits for the head of its answer as long as the call allows.
-// The answer's body is bound by ctx alone.
+// open sends one request and waits up to call.Timeout for the response headers. Only ctx limits
+// the time for the response body.
 func (w *Watcher) open(
 	ctx context.Context, call registry.Call, query string, cancel context.CancelCauseFunc,
 ) (*http.Response, registry.Outcome, error) {
@@ -52,7 +52,7 @@
 			_ = resp.Body.Close()
 		}
 		if errors.Is(context.Cause(ctx), errNoResponse) {
-			err = errNoResponse
+			err = fmt.Errorf("%w, within %v", errNoResponse, call.Timeout)
 		}
 		return nil, registry.Unanswered, fmt.Errorf("discovery: %w", err)
 	}
@@ -64,7 +64,7 @@
 	return resp, registry.Served, nil
 }
 
-// fetch asks once for the complete list.
+// fetch fetches the complete list once.
 func (w *Watcher) fetch(ctx context.Context, call registry.Call) (registry.Outcome, error) {
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
@@ -84,17 +84,17 @@
 		return registry.Malformed, err
 	}
 	if !list.Complete {
-		return registry.Malformed, errors.New("discovery: the complete list was asked for, a change came")
+		return registry.Malformed, errors.New("discovery: fetched the complete list, got only a change")
 	}
-	if w.options.Scheduler.Judge(list.Revision, true) != registry.Accept {
-		return registry.Malformed, fmt.Errorf("discovery: an older list, of revision %d", list.Revision)
+	if w.options.Scheduler.CheckRevision(list.Revision, true) != registry.Accept {
+		return registry.Malformed, fmt.Errorf("discovery: fetched an outdated list, of revision %d", list.Revision)
 	}
 	w.deliver(list, len(text))
 	return registry.Served, nil
 }
 
-// watch follows the changes after a revision for as long as they come. After a list that
-// cannot be decoded the complete one must be fetched.
+// watch receives the changes after a revision until the watch ends. If it ends with a list that
+// cannot be decoded, the complete list must be fetched.
 func (w *Watcher) watch(ctx context.Context, call registry.Call) (registry.Outcome, error) {
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
@@ -110,7 +110,7 @@
 	defer incomplete.Stop()
 	lists := newListDecoder(resp.Body, w.options.MaxListBytes, func() {
 		silence.Reset(w.options.SilenceTimeout)
-		w.markAnswered() // nothing has changed: that is an answer
+		w.markAnswered() // a heartbeat says that nothing has changed: that is an answer too
 		if w.options.OnHeartbeat != nil {
 			w.options.OnHeartbeat()
 		}
@@ -119,25 +119,26 @@
 	lists.onListEnd = func() { incomplete.Stop() }
 	for {
 		list, err := lists.next()
-		if outcome, err := watchEnd(ctx, err); err != nil {
+		if outcome, err := watchOutcome(ctx, err); err != nil {
 			return outcome, err
 		}
-		switch w.options.Scheduler.Judge(list.Revision, list.Complete) {
+		switch w.options.Scheduler.CheckRevision(list.Revision, list.Complete) {
 		case registry.Accept:
 			w.deliver(list, lists.lastListBytes)
 		case registry.Ignore:
-			w.options.Log.Warn("discovery: older than what is known", "revision", list.Revision)
+			w.options.Log.Warn("discovery: received an outdated list or change, ignoring it", "revision", list.Revision)
 		case registry.Resync:
-			return registry.RevisionUnknown, fmt.Errorf("discovery: changes up to %d of an unknown list", list.Revision)
+			return registry.RevisionUnknown, fmt.Errorf(
+				"discovery: got changes up to revision %d of a list that is not known", list.Revision)
 		}
 		silence.Reset(w.options.SilenceTimeout)
 		w.markAnswered()
 	}
 }
 
-// watchEnd is how a watch ended, by the cause for which its context ended and the error
-// of its decoder; without an error it goes on.
-func watchEnd(ctx context.Context, decodeErr error) (registry.Outcome, error) {
+// watchOutcome returns the outcome of a watch, determined by the cause of its context's
+// cancellation and by its decoder's error. It returns a nil error if the watch has not ended.
+func watchOutcome(ctx context.Context, decodeErr error) (registry.Outcome, error) {
 	cause := context.Cause(ctx)
 	switch {
 	case errors.Is(cause, errListIncomplete):
@@ -146,7 +147,7 @@
 		return registry.Silent, fmt.Errorf("discovery: %w", errSilent)
 	case errors.Is(decodeErr, errMalformed):
 		return registry.Malformed, decodeErr
-	case decodeErr != nil: // what was cut off comes again, after the revision that is known
+	case decodeErr != nil: // the next watch repeats what was cut off: it asks from the known revision
 		return registry.Served, fmt.Errorf("discovery: %w", decodeErr)
 	}
 	return registry.Served, nil
--- a/internal/discovery/decoder.go
+++ b/internal/discovery/decoder.go
@@ -9,45 +9,45 @@
 	"troutusher/internal/core"
 )
 
-// errMalformed is a list that cannot be decoded, or is too long.
-var errMalformed = errors.New("discovery: malformed")
+// errMalformed reports a list that cannot be decoded or is too long.
+var errMalformed = errors.New("discovery: malformed list")
 
-// decodeList decodes and checks one list, complete or a change.
+// decodeList decodes and validates one list, complete or a change.
 func decodeList(text []byte) (*core.EndpointList, error) {
 	list := &core.EndpointList{}
 	if err := json.Unmarshal(text, list); err != nil {
-		return nil, fmt.Errorf("discovery: %w", err)
+		return nil, fmt.Errorf("discovery: decode list: %w", err)
 	}
 	if list.Members == nil {
-		return nil, errors.New("discovery: no members")
+		return nil, errors.New("discovery: list has no field members")
 	}
 	for i := range list.Members {
 		if err := list.Members[i].Check(); err != nil {
-			return nil, fmt.Errorf("discovery: %w", err)
+			return nil, fmt.Errorf("discovery: validate list: %w", err)
 		}
 	}
 	return list, nil
 }
 
-// maxKeptBuffer bounds the bytes of a list that its reader may keep for the next one: a
-// watch lasts for days.
+// maxKeptBuffer is the length in bytes of the longest list after which the decoder keeps its
+// buffer for the next one. A watch lasts for days, so a larger buffer is not kept.
 const maxKeptBuffer = 64 << 10
 
-// listDecoder reads the lists of a watch from its body: JSON objects with white space
-// between and within them, over any number of lines. What is not one is found at its
-// first wrong byte. Between two lists an empty line is a heartbeat; within one it is part
-// of it, so that a list that never ends does not keep its watch alive.
+// listDecoder reads the lists of a watch from the response body: JSON objects with white space
+// between and within them, over any number of lines. It reports anything else at the first wrong
+// byte. An empty line between two lists is a heartbeat. An empty line within a list is part of
+// it, so that a list that never ends does not keep its watch alive.
 type listDecoder struct {
 	body        io.Reader
 	decoder     *json.Decoder
-	maxBytes    int    // of one list
+	maxBytes    int    // longest accepted list
 	onHeartbeat func() // called for an empty line between two lists
-	onListBytes func() // called as bytes of a list come; may be nil
-	onListEnd   func() // called as one is over; may be nil
+	onListBytes func() // called when bytes of a list arrive; may be nil
+	onListEnd   func() // called when a list has ended; may be nil
 
-	inList        bool // one has begun
-	listBytes     int  // since the one before ended
-	lastListBytes int  // of the last one
+	inList        bool // a list has begun
+	listBytes     int  // bytes read of the current list
+	lastListBytes int  // length of the last list
 }
 
 func newListDecoder(body io.Reader, maxBytes int, onHeartbeat func()) *listDecoder {
@@ -56,10 +56,10 @@
 	return l
 }
 
-// Read is called by the JSON decoder.
+// Read implements io.Reader for the JSON decoder.
 func (l *listDecoder) Read(b []byte) (int, error) {
 	if l.listBytes > l.maxBytes {
-		return 0, fmt.Errorf("%w: a list of more than %d bytes", errMalformed, l.maxBytes)
+		return 0, fmt.Errorf("%w: longer than the limit of %d bytes", errMalformed, l.maxBytes)
 	}
 	n, err := l.body.Read(b)
 	blank, newline := scanBlank(b[:n])
@@ -76,7 +76,7 @@
 	return n, err
 }
 
-// scanBlank reports whether text is white space alone, and has a newline.
+// scanBlank reports whether text consists only of white space, and whether it has a newline.
 func scanBlank(text []byte) (blank, newline bool) {
 	blank = true
 	for _, c := range text {
@@ -88,7 +88,7 @@
 
 func isSpace(c byte) bool { return c == ' ' || c == '\t' || c == '\r' || c == '\n' }
 
-// next is the next list. An error that is not errMalformed is the connection's end.
+// next returns the next list. Any error other than errMalformed means that the connection ended.
 func (l *listDecoder) next() (*core.EndpointList, error) {
 	l.beginList()
 	start := l.decoder.InputOffset()
@@ -112,30 +112,30 @@
 	return list, nil
 }
 
-// beginList starts the count of a list. What the JSON decoder has read ahead may be the
-// beginning of it.
+// beginList starts counting the bytes of the next list. The JSON decoder may have read its
+// beginning already.
 func (l *listDecoder) beginList() {
 	ahead, err := io.ReadAll(l.decoder.Buffered())
 	if err != nil {
-		ahead = nil // it reads from memory, and cannot fail
+		ahead = nil // cannot happen: Buffered reads from memory
 	}
 	blank, _ := scanBlank(ahead)
 	l.inList, l.listBytes = !blank, 0
 	if l.inList {
 		l.listBytes = len(ahead)
 	}
-	if l.lastListBytes > maxKeptBuffer { // the decoder would keep its buffer
+	if l.lastListBytes > maxKeptBuffer { // a new decoder, since the old one keeps its buffer
 		l.decoder = json.NewDecoder(&prefixedReader{ahead, l})
 	}
 }
 
-// prefixedReader reads a prefix first, and then the rest.
+// prefixedReader reads the prefix and then the rest.
 type prefixedReader struct {
 	prefix []byte
 	rest   io.Reader
 }
 
-// Read is io.Reader's.
+// Read implements io.Reader.
 func (r *prefixedReader) Read(p []byte) (int, error) {
 	if len(r.prefix) > 0 {
 		n := copy(p, r.prefix)
--- a/internal/discovery/decoder_test.go
+++ b/internal/discovery/decoder_test.go
@@ -9,13 +9,13 @@
 	"testing"
 )
 
-// feed is the body of a watch that the test writes.
-func feed(chunks ...string) io.Reader {
+// streamChunks returns the body of a watch that consists of the given chunks and then breaks off.
+func streamChunks(chunks ...string) io.Reader {
 	r, w := io.Pipe()
 	go func() {
 		for _, c := range chunks {
 			if _, err := io.WriteString(w, c); err != nil {
-				return // nobody reads any more
+				return // the reader is gone
 			}
 		}
 		_ = w.CloseWithError(io.ErrUnexpectedEOF) // never fails
@@ -23,10 +23,9 @@
 	return r
 }
 
-// Lists come in whatever lines: indented, two on one, in pieces, with empty lines
-// within. An empty line between two is a heartbeat and one within a list is not.
-// One that its connection's end cuts off is no error of the registry's, and what is
-// none is found at its first wrong byte.
+// Lists may be split into lines and chunks in any way. An empty line between two lists is a
+// heartbeat, an empty line within a list is not. A list that is cut off by the end of the
+// connection is not malformed; anything that is not a list is reported at its first wrong byte.
 func TestListsOfAWatch(t *testing.T) {
 	list := func(rev int) string {
 		return fmt.Sprintf("{\n  \"revision\": %d,\n\n  \"complete\": false,\n  \"members\": [\n  ]\n}", rev)
@@ -35,65 +34,66 @@
 		chunks     []string
 		revs       []int64
 		heartbeats int
-		bad        bool
+		malformed  bool
 	}{
-		"indented":        {[]string{list(1) + "\n", "\n", list(2) + "\n"}, []int64{1, 2}, 1, false},
-		"byte by byte":    {strings.Split(list(3)+"\n\n"+list(4), ""), []int64{3, 4}, 2, false},
-		"two on one line": {[]string{strings.ReplaceAll(list(5)+list(6), "\n", "")}, []int64{5, 6}, 0, false},
-		"empty within":    {[]string{list(7)[:2], "\n", "\n", list(7)[2:]}, []int64{7}, 0, false},
-		"cut":             {[]string{list(8), "\n", list(9)[:25]}, []int64{8}, 1, false},
-		"begun ahead":     {[]string{list(1) + "\n{", "\n", "\n", list(2)[1:]}, []int64{1, 2}, 0, false},
-		"no list":         {[]string{"\n", "nonsense\n"}, nil, 1, true},
-		"torn":            {[]string{`{"revision":1,` + "\n" + `{"revision":2,"members":[]}`}, nil, 0, true},
-		"other":           {[]string{"[1]\n"}, nil, 0, true},
-		"no members":      {[]string{`{"revision":1}`}, nil, 0, true},
+		"indented":                  {[]string{list(1) + "\n", "\n", list(2) + "\n"}, []int64{1, 2}, 1, false},
+		"byte by byte":              {strings.Split(list(3)+"\n\n"+list(4), ""), []int64{3, 4}, 2, false},
+		"two on one line":           {[]string{strings.ReplaceAll(list(5)+list(6), "\n", "")}, []int64{5, 6}, 0, false},
+		"empty line in a list":      {[]string{list(7)[:2], "\n", "\n", list(7)[2:]}, []int64{7}, 0, false},
+		"cut off":                   {[]string{list(8), "\n", list(9)[:25]}, []int64{8}, 1, false},
+		"begins in previous chunk":  {[]string{list(1) + "\n{", "\n", "\n", list(2)[1:]}, []int64{1, 2}, 0, false},
+		"not JSON":                  {[]string{"\n", "nonsense\n"}, nil, 1, true},
+		"list in an unfinished one": {[]string{`{"revision":1,` + "\n" + `{"revision":2,"members":[]}`}, nil, 0, true},
+		"JSON array":                {[]string{"[1]\n"}, nil, 0, true},
+		"no members":                {[]string{`{"revision":1}`}, nil, 0, true},
 	} {
 		heartbeats := 0
-		in := newListDecoder(feed(c.chunks...), 4096, func() { heartbeats++ })
+		in := newListDecoder(streamChunks(c.chunks...), 4096, func() { heartbeats++ })
 		var revs []int64
 		l, err := in.next()
 		for ; err == nil; l, err = in.next() {
 			revs = append(revs, l.Revision)
 		}
-		if fmt.Sprint(revs) != fmt.Sprint(c.revs) || errors.Is(err, errMalformed) != c.bad ||
+		if fmt.Sprint(revs) != fmt.Sprint(c.revs) || errors.Is(err, errMalformed) != c.malformed ||
 			heartbeats != c.heartbeats {
-			t.Errorf("%s: revisions %v, %d heartbeats, %v", name, revs, heartbeats, err)
+			t.Errorf("%s: got revisions %v, %d heartbeats, error %v; want %v, %d, errMalformed: %v",
+				name, revs, heartbeats, err, c.revs, c.heartbeats, c.malformed)
 		}
 	}
 }
 
-// trickle is a list that never ends.
-type trickle struct {
-	n     int
-	bytes string
+// endlessList reads a list that never ends: after its beginning it repeats some text.
+type endlessList struct {
+	reads    int
+	repeated string
 }
 
-func (r *trickle) Read(p []byte) (int, error) {
-	r.n++
-	if r.n == 1 {
+func (r *endlessList) Read(p []byte) (int, error) {
+	r.reads++
+	if r.reads == 1 {
 		return copy(p, `{"revision":1,"members":[`), nil
 	}
 	n := 0
-	for n+len(r.bytes) <= len(p) {
-		n += copy(p[n:], r.bytes)
+	for n+len(r.repeated) <= len(p) {
+		n += copy(p[n:], r.repeated)
 	}
 	return n, nil
 }
 
-// A list of any length up to the most is read, and one that never ends is an error
-// at that length: in one string, in white space, in member after member. What a long
-// one took is not kept.
+// A list of any length up to the limit is read. A list that never ends is an error at the limit,
+// whether it is one long string, white space or ever more members. The buffer of a long list is
+// not kept.
 func TestLengthOfALists(t *testing.T) {
 	const maxBytes = 1 << 20
-	for _, bytes := range []string{"x", " \n", `{"id":"a","phase":"removed"},`} {
-		body := &trickle{bytes: bytes}
-		if bytes == "x" {
-			body.bytes = `{"id":"`
+	for _, repeated := range []string{"x", " \n", `{"id":"a","phase":"removed"},`} {
+		body := &endlessList{repeated: repeated}
+		if repeated == "x" {
+			body.repeated = `{"id":"`
 		}
 		heartbeats := 0
 		_, err := newListDecoder(body, maxBytes, func() { heartbeats++ }).next()
 		if !errors.Is(err, errMalformed) || heartbeats > 0 {
-			t.Errorf("%q for ever: %v, %d heartbeats", bytes, err, heartbeats)
+			t.Errorf("endless list of %q: error %v, %d heartbeats; want errMalformed and 0", repeated, err, heartbeats)
 		}
 	}
 	for _, n := range []int{0, 1, 1000, 4095, 4096, maxKeptBuffer, maxBytes / 2, maxBytes - 100} {
@@ -102,14 +102,14 @@
 		in := newListDecoder(io.MultiReader(strings.NewReader(text)), maxBytes, func() {})
 		for i := range 3 {
 			if l, err := in.next(); err != nil || (l.Revision == 2) != (i == 2) {
-				t.Fatalf("%d bytes, list %d: %+v, %v", n, i, l, err)
+				t.Fatalf("lists with %d filler bytes, list %d: got %+v, %v", n, i, l, err)
 			}
 		}
 	}
-	// Made as it is read: what held it for a reader would be counted as kept.
+	// This list is generated while it is read: a copy in memory would be counted as kept.
 	in := newListDecoder(io.MultiReader(
 		strings.NewReader(`{"revision":1,"members":[],"x":"`),
-		io.LimitReader(letters{}, maxBytes-100),
+		io.LimitReader(endlessLetters{}, maxBytes-100),
 		strings.NewReader(`"}`+"\n"+`{"revision":2,"members":[]}`),
 	), maxBytes, func() {})
 	for range 2 {
@@ -125,14 +125,14 @@
 	runtime.GC()
 	runtime.ReadMemStats(&after)
 	if kept := int64(before.HeapAlloc) - int64(after.HeapAlloc); kept > maxKeptBuffer*8 {
-		t.Errorf("%d bytes are kept behind a long list", kept)
+		t.Errorf("decoder keeps %d bytes after a long list, want at most %d", kept, maxKeptBuffer*8)
 	}
 }
 
-// letters is text without an end.
-type letters struct{}
+// endlessLetters reads text that never ends.
+type endlessLetters struct{}
 
-func (letters) Read(p []byte) (int, error) {
+func (endlessLetters) Read(p []byte) (int, error) {
 	for i := range p {
 		p[i] = 'b'
 	}
@@ -148,14 +148,14 @@
 		for at := 0; at < len(text); at += size {
 			chunks = append(chunks, string(text[at:min(at+size, len(text))]))
 		}
-		in := newListDecoder(feed(chunks...), 4096, func() {})
+		in := newListDecoder(streamChunks(chunks...), 4096, func() {})
 		for n := 0; ; n++ {
 			l, err := in.next()
 			if err != nil {
 				return
 			}
 			if l.Members == nil || n > len(text) {
-				t.Fatalf("list %d of %d bytes: %+v", n, len(text), l)
+				t.Fatalf("list %d from %d bytes of text: %+v", n, len(text), l)
 			}
 		}
 	})
--- a/internal/discovery/discoverytest/agent.go
+++ b/internal/discovery/discoverytest/agent.go
@@ -1,4 +1,4 @@
-// Package discoverytest is a discovery agent for tests.
+// Package discoverytest provides a discovery agent for tests.
 package discoverytest
 
 import (
@@ -13,26 +13,26 @@
 	"troutusher/internal/core"
 )
 
-// Agent is a discovery agent. Its fields are read and changed by Update and Check alone.
+// Agent is a discovery agent. Access its fields only within Update and Check.
 type Agent struct {
 	*httptest.Server
 	mu       sync.Mutex
-	released chan struct{} // closed as the test ends
+	released chan struct{} // closed when the test ends
 
 	List              core.EndpointList
-	Watches           []chan string // lines to send on each watch; closing one ends its watch
-	WatchedFrom       []string      // the revision that each watch asked for
-	Fetches           int           // of the complete list
-	Notices           map[string]core.Notice
-	NoticeStatus      int      // status that notices are answered with
-	Silent            bool     // calls are not answered
-	WithoutEmptyLines bool     // watches open, and no heartbeat comes
-	CallsToReject     int      // calls that are still to be rejected
-	RejectedQueries   []string // the queries of those that were
-	UnansweredCalls   int      // calls that came while silent
+	Watches           []chan string          // the lines to send on each watch; closing a channel ends its watch
+	WatchedFrom       []string               // the revision from which each watch asked for changes
+	Fetches           int                    // number of fetches of the complete list
+	Notices           map[string]core.Notice // the last notice of each message, by its id
+	NoticeStatus      int                    // HTTP status of the replies to notices
+	Silent            bool                   // leaves calls unanswered and sends no heartbeats
+	WithoutEmptyLines bool                   // accepts watches, but sends no heartbeats
+	CallsToReject     int                    // how many of the next calls to reject
+	RejectedQueries   []string               // the queries of the rejected calls
+	UnansweredCalls   int                    // number of calls that came while Silent
 }
 
-// New starts an agent whose list has revision 1. It ends with the test.
+// New starts an agent whose list has revision 1. The agent stops when the test ends.
 func New(t testing.TB, members ...core.Member) *Agent {
 	t.Helper()
 	a := &Agent{
@@ -66,7 +66,7 @@
 		w.WriteHeader(http.StatusServiceUnavailable)
 	case r.URL.Query().Get("watch") == "":
 		a.Fetches++
-		_ = json.NewEncoder(w).Encode(a.List) // its client may have gone
+		_ = json.NewEncoder(w).Encode(a.List) // the client may have closed the connection
 		a.mu.Unlock()
 	default:
 		lines := make(chan string, 16)
@@ -77,8 +77,8 @@
 	}
 }
 
-// serveWatch sends lines, and an empty one after each second without, until the watch
-// ends. A client that has gone ends the request's context: failed writes are ignored.
+// serveWatch sends the lines, and an empty line after each second without one, until the watch
+// ends. It ignores failed writes, since the request's context ends when the client is gone.
 func (a *Agent) serveWatch(w http.ResponseWriter, r *http.Request, lines <-chan string) {
 	send := func(line string) {
 		_, _ = io.WriteString(w, line+"\n")
@@ -120,10 +120,10 @@
 	w.WriteHeader(a.NoticeStatus)
 }
 
-// Addr is its address, host:port.
+// Addr returns the agent's address, host:port.
 func (a *Agent) Addr() string { return a.Listener.Addr().String() }
 
-// Notice is the last notice of a message; false for none.
+// Notice returns the last notice of a message, and whether there is one.
 func (a *Agent) Notice(id string) (core.Notice, bool) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -131,14 +131,14 @@
 	return n, ok
 }
 
-// Update calls a function that may read and change the agent's fields.
+// Update calls f with the agent locked: f may read and change the agent's fields.
 func (a *Agent) Update(f func(*Agent)) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	f(a)
 }
 
-// Check calls a condition that may read the agent's fields.
+// Check calls cond, which may read the agent's fields, with the agent locked, and returns its result.
 func (a *Agent) Check(cond func() bool) bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -154,8 +154,8 @@
 	a.Watches[len(a.Watches)-1] <- line
 }
 
-// SendLineToAll sends a line on every watch that has room for it, also of processes that
-// have ended.
+// SendLineToAll sends a line on every watch whose channel has room for it, also on watches of
+// processes that have ended.
 func (a *Agent) SendLineToAll(line string) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -167,22 +167,23 @@
 	}
 }
 
-// ChangeText is a line that says how one member has changed.
+// ChangeText returns the line of a list that contains only one changed member.
 func ChangeText(revision int64, m core.Member) string {
 	text, err := json.Marshal(core.EndpointList{Revision: revision, Members: []core.Member{m}})
 	if err != nil {
-		panic(err) // a list can always be encoded
+		panic(err) // cannot happen: a list can always be encoded
 	}
 	return string(text)
 }
 
-// WaitFor waits for a condition, and fails the test where it never holds.
-func WaitFor(t testing.TB, what string, cond func() bool) {
+// WaitFor waits up to 30 s for a condition, and fails the test if it does not come true. The
+// description names the condition in the failure's text.
+func WaitFor(t testing.TB, description string, cond func() bool) {
 	t.Helper()
 	for end := time.Now().Add(30 * time.Second); time.Now().Before(end); time.Sleep(2 * time.Millisecond) {
 		if cond() {
 			return
 		}
 	}
-	t.Fatalf("never came: %s", what)
+	t.Fatalf("timed out after 30 s, waiting for %s", description)
 }
--- a/internal/discovery/fixtures_test.go
+++ b/internal/discovery/fixtures_test.go
@@ -17,8 +17,8 @@
 	"troutusher/internal/source/registry"
 )
 
-// Lists as a watch sends them: complete ones and changes, in one line and over several,
-// with empty lines between and within them.
+// The decoder reads the recorded text of a watch: complete lists and changes, on one line and over
+// several, with empty lines between and within them.
 func TestListFixture(t *testing.T) {
 	text := fixturetest.Read(t, "watch.txt")
 	var got bytes.Buffer
@@ -38,7 +38,7 @@
 	fixturetest.Check(t, "lists.jsonl", got.Bytes())
 }
 
-// requestText is a request with all its headers, but for the address.
+// requestText returns a request with its body and all its headers except Host.
 func requestText(t *testing.T, r *http.Request) string {
 	t.Helper()
 	body, err := io.ReadAll(r.Body)
@@ -52,7 +52,7 @@
 	return text + "\n" + string(body)
 }
 
-// The requests that discovery gets: for the whole list, for a watch, and with notices.
+// The requests to the agent stay as recorded: for the complete list, for a watch, and with notices.
 func TestRequestFixture(t *testing.T) {
 	requests := make(chan string, 16)
 	srv := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
--- a/internal/discovery/notices.go
+++ b/internal/discovery/notices.go
@@ -17,14 +17,14 @@
 const (
 	noticeConns      = 2
 	maxNoticeBatch   = 64
-	minNoticeTimeout = 200 * time.Millisecond // doubles with each failure in a row: a second attempt is still in time
+	minNoticeTimeout = 200 * time.Millisecond // doubles with each failure in a row; lets a second attempt be in time
 	maxNoticeTimeout = 2 * time.Second
 	minNoticeBackoff = 50 * time.Millisecond // doubles with each failure in a row
 	maxNoticeBackoff = 500 * time.Millisecond
-	maxReplyBytes    = 4 << 20 // of a reply that are read, so that its connection can be used again
+	maxReplyBytes    = 4 << 20 // reply bytes that are read and discarded so that the connection can be reused
 )
 
-// NoticeSender sends notices until the agent has confirmed each. Repeats are harmless.
+// NoticeSender sends each notice until the agent has confirmed it. The agent tolerates repeats.
 type NoticeSender struct {
 	log         *slog.Logger
 	address     agentAddress
@@ -32,15 +32,15 @@
 	queue       *mailbox.Mailbox[core.Notice]
 	onConfirmed func(messageID string)
 	startRun    func() (stop func()) // set by Start
-	stopRun     func()               // set while it runs
+	stopRun     func()               // set while the sender runs
 
-	// Of run's goroutine.
+	// Used only by the goroutine that startRun starts.
 	url         string
 	unconfirmed []core.Notice
 }
 
-// NewNoticeSender makes a sender to the agent at an address. onConfirmed is called for
-// each notice that was confirmed, or that the agent cannot read.
+// NewNoticeSender returns a sender to the agent at the given address. It calls onConfirmed for
+// each notice that the agent has confirmed or has rejected as malformed.
 func NewNoticeSender(address string, log *slog.Logger, onConfirmed func(messageID string)) *NoticeSender {
 	return &NoticeSender{
 		log:         log,
@@ -51,13 +51,13 @@
 	}
 }
 
-// Send queues a notice. It never waits.
+// Send queues a notice without blocking.
 func (s *NoticeSender) Send(n core.Notice) { s.queue.Put(n) }
 
-// SetAddress moves to another address: what was not confirmed goes there.
+// SetAddress switches to another address. Unconfirmed notices are sent there.
 func (s *NoticeSender) SetAddress(address string) { s.address.set(address) }
 
-// Start sends until ctx ends, or Pause is called.
+// Start starts sending in the background, until ctx ends or Pause is called.
 func (s *NoticeSender) Start(ctx context.Context) {
 	s.startRun = func() func() {
 		runCtx, cancel := context.WithCancel(ctx)
@@ -74,14 +74,15 @@
 	s.stopRun = s.startRun()
 }
 
-// Pause ends the sending and waits for that: nothing is confirmed after it has returned.
+// Pause stops sending and waits until it has stopped: onConfirmed is not called after Pause has
+// returned.
 func (s *NoticeSender) Pause() { s.stopRun() }
 
-// Resume goes on after Pause.
+// Resume starts sending again after Pause.
 func (s *NoticeSender) Resume() { s.stopRun = s.startRun() }
 
-// sendTo sends to one address until ctx ends. What is not confirmed there stays for the
-// next.
+// sendTo sends notices to one address until ctx ends. Notices that remain unconfirmed are sent to
+// the next address.
 func (s *NoticeSender) sendTo(ctx context.Context, address string) {
 	s.url = "http://" + address + NoticesPath
 	defer s.client.CloseIdleConnections()
@@ -98,7 +99,7 @@
 			continue
 		}
 		if err := s.sendBatch(ctx, timeout); err != nil {
-			s.log.Warn("notices: not taken", "count", len(s.unconfirmed), "err", err)
+			s.log.Warn("notices: sending failed, retrying after a backoff", "count", len(s.unconfirmed), "err", err)
 			sleep(ctx, backoff)
 			backoff, timeout = min(2*backoff, maxNoticeBackoff), min(2*timeout, maxNoticeTimeout)
 			continue
@@ -107,8 +108,8 @@
 	}
 }
 
-// sendBatch sends the oldest notices. Where the agent cannot read a batch it sends them
-// one by one: one that cannot be read must not hold up the others.
+// sendBatch sends the oldest notices. If the agent rejects the batch as malformed, it sends them
+// one by one, so that a malformed notice does not block the others.
 func (s *NoticeSender) sendBatch(ctx context.Context, timeout time.Duration) error {
 	batch := s.unconfirmed[:min(len(s.unconfirmed), maxNoticeBatch)]
 	status, err := s.post(ctx, batch, timeout)
@@ -133,17 +134,17 @@
 	return nil
 }
 
-// confirm books that a notice need not be sent again; err is set where the agent cannot
-// read it.
+// confirm reports that a notice need not be sent again. err is set if the agent rejected it as
+// malformed.
 func (s *NoticeSender) confirm(n *core.Notice, err error) {
 	if err != nil {
-		s.log.Error("notices: cannot be read", "message", n.Message, "err", err)
+		s.log.Error("notices: agent rejected a notice as malformed, dropping it", "message", n.Message, "err", err)
 	}
 	s.onConfirmed(n.Message)
 }
 
-// post sends notices, one JSON object a line. It returns the status of the reply, 0 for
-// none, and an error for any but 204.
+// post sends notices, one JSON object per line. It returns the status code of the reply, 0 if
+// there is none, and an error unless the status is 204.
 func (s *NoticeSender) post(ctx context.Context, batch []core.Notice, timeout time.Duration) (int, error) {
 	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
@@ -151,7 +152,7 @@
 	encoder := json.NewEncoder(&body)
 	for i := range batch {
 		if err := encoder.Encode(batch[i]); err != nil {
-			return 0, fmt.Errorf("notices: %w", err)
+			return 0, fmt.Errorf("notices: encode: %w", err)
 		}
 	}
 	req, err := http.NewRequestWithContext(ctx, http.MethodPost, s.url, &body)
@@ -163,10 +164,10 @@
 		return 0, fmt.Errorf("notices: %w", err)
 	}
 	defer func() { _ = resp.Body.Close() }()
-	// The status says it all: a reply that breaks off only costs the connection.
+	// Only the status matters: if reading the body fails, the connection is not reused.
 	_, _ = io.Copy(io.Discard, io.LimitReader(resp.Body, maxReplyBytes))
 	if resp.StatusCode != http.StatusNoContent {
-		return resp.StatusCode, fmt.Errorf("notices: status %d", resp.StatusCode)
+		return resp.StatusCode, fmt.Errorf("notices: agent replied with status %d", resp.StatusCode)
 	}
 	return resp.StatusCode, nil
 }
--- a/internal/discovery/notices_test.go
+++ b/internal/discovery/notices_test.go
@@ -20,37 +20,38 @@
 	t.Cleanup(s.Pause)
 }
 
-// Notices are sent until they are confirmed; one that cannot be read does not hold
-// up the others.
+// Notices are sent until they are confirmed. A notice that the agent rejects as malformed is
+// dropped.
 func TestNotices(t *testing.T) {
-	d := discoverytest.New(t)
-	d.Update(func(d *discoverytest.Agent) { d.NoticeStatus = http.StatusInternalServerError })
+	agent := discoverytest.New(t)
+	agent.Update(func(a *discoverytest.Agent) { a.NoticeStatus = http.StatusInternalServerError })
 	confirmed := make(chan string, 16)
-	n := NewNoticeSender(d.Addr(), quietLog(), func(id string) { confirmed <- id })
-	startNoticeSender(t, n)
-	n.Send(core.Notice{Message: "a", Outcome: core.NoticeGivenUp, RetryMS: 0})
-	n.Send(core.Notice{Message: "b", Outcome: core.NoticeHandedBack, RetryMS: 500})
+	sender := NewNoticeSender(agent.Addr(), quietLog(), func(id string) { confirmed <- id })
+	startNoticeSender(t, sender)
+	sender.Send(core.Notice{Message: "a", Outcome: core.NoticeGivenUp, RetryMS: 0})
+	sender.Send(core.Notice{Message: "b", Outcome: core.NoticeHandedBack, RetryMS: 500})
 	select {
 	case id := <-confirmed:
-		t.Fatalf("%s held to be confirmed", id)
+		t.Fatalf("notice of message %s is confirmed, though the agent replies with status 500", id)
 	case <-time.After(50 * time.Millisecond):
 	}
-	d.Update(func(d *discoverytest.Agent) { d.NoticeStatus = http.StatusNoContent })
+	agent.Update(func(a *discoverytest.Agent) { a.NoticeStatus = http.StatusNoContent })
 	for range 2 {
 		<-confirmed
 	}
-	if b, _ := d.Notice("b"); b != (core.Notice{Message: "b", Outcome: core.NoticeHandedBack, RetryMS: 500}) {
-		t.Errorf("got %+v", b)
+	want := core.Notice{Message: "b", Outcome: core.NoticeHandedBack, RetryMS: 500}
+	if b, _ := agent.Notice("b"); b != want {
+		t.Errorf("agent received %+v, want %+v", b, want)
 	}
-	d.Update(func(d *discoverytest.Agent) { d.NoticeStatus = http.StatusBadRequest })
-	n.Send(core.Notice{Message: "c", Outcome: core.NoticeGivenUp, RetryMS: 0})
+	agent.Update(func(a *discoverytest.Agent) { a.NoticeStatus = http.StatusBadRequest })
+	sender.Send(core.Notice{Message: "c", Outcome: core.NoticeGivenUp, RetryMS: 0})
 	if id := <-confirmed; id != "c" {
-		t.Errorf("%s in place of c", id)
+		t.Errorf("message %s was confirmed, want c", id)
 	}
 }
 
-// Guards the time of a notice: where the connection that was kept to the agent
-// has gone silent, a second attempt comes soon enough for the notice to be in time.
+// Guards against late notices. If the kept connection to the agent has gone silent, the second
+// attempt must come soon enough for the notice to be in time.
 func TestNoticeOnSilentConnection(t *testing.T) {
 	var attempts atomic.Int32
 	srv := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -58,25 +59,25 @@
 			t.Error(err)
 		}
 		if attempts.Add(1) == 2 {
-			<-r.Context().Done() // the connection is silent until its client gives it up
+			<-r.Context().Done() // silent until the client closes the connection
 			return
 		}
 		w.WriteHeader(http.StatusNoContent)
 	}))
 	t.Cleanup(srv.Close)
 	confirmed := make(chan string, 4)
-	n := NewNoticeSender(srv.Listener.Addr().String(), quietLog(), func(id string) { confirmed <- id })
-	startNoticeSender(t, n)
+	sender := NewNoticeSender(srv.Listener.Addr().String(), quietLog(), func(id string) { confirmed <- id })
+	startNoticeSender(t, sender)
 	for _, id := range []string{"a", "b"} {
-		n.Send(core.Notice{Message: id, Outcome: core.NoticeGivenUp, RetryMS: 0})
+		sender.Send(core.Notice{Message: id, Outcome: core.NoticeGivenUp, RetryMS: 0})
 		if got := <-confirmed; got != id {
-			t.Fatalf("%s in place of %s", got, id)
+			t.Fatalf("message %s was confirmed, want %s", got, id)
 		}
 	}
 	if got := attempts.Load(); got != 3 {
 		t.Errorf("%d attempts, want 3", got)
 	}
 	if minNoticeTimeout+minNoticeBackoff >= 300*time.Millisecond {
-		t.Error("a second attempt would be late")
+		t.Errorf("second attempt comes after %v, want under 300ms", minNoticeTimeout+minNoticeBackoff)
 	}
 }
--- a/internal/discovery/watcher.go
+++ b/internal/discovery/watcher.go
@@ -14,48 +14,49 @@
 	"troutusher/internal/source/registry"
 )
 
-// DefaultMaxListBytes bounds a list unless an operator sets another bound.
+// DefaultMaxListBytes is the length of the longest accepted list, unless the operator sets
+// another limit.
 const DefaultMaxListBytes = 4 << 20
 
 const (
 	watcherConns    = 4
-	longListBytes   = 8 << 20         // lists that are longer leave much to be collected
-	freeMemoryDelay = 5 * time.Second // by then a list of a million endpoints has been applied
+	longListBytes   = 8 << 20         // decoding a list of this length leaves much garbage
+	freeMemoryDelay = 5 * time.Second // long enough to apply a list of a million endpoints
 )
 
 // WatcherOptions are what a Watcher needs.
 type WatcherOptions struct {
-	Address   string // of the agent, host:port
+	Address   string // agent's address, host:port
 	Scheduler *registry.Scheduler
 	Log       *slog.Logger
-	// OnList is called in order for each list, or change of it, that is believed. The
-	// epoch names the series that its revisions belong to; it is unique to this process.
+	// OnList is called in order for each accepted list or change. The epoch identifies the
+	// sequence of revisions that the list belongs to; it is unique to this process.
 	OnList         func(epoch string, list *core.EndpointList)
-	OnHeartbeat    func()        // called where a watch says that nothing has changed; may be nil
+	OnHeartbeat    func()        // called when a watch reports that nothing has changed; may be nil
 	MaxListBytes   int           // 0 for DefaultMaxListBytes
-	SilenceTimeout time.Duration // after which a watch is dead; 0 for registry.SilenceTimeout
+	SilenceTimeout time.Duration // a watch that is silent for so long is given up; 0 for registry.SilenceTimeout
 }
 
-// Watcher keeps a watch on the agent's endpoint list.
+// Watcher keeps a watch open for changes of the agent's endpoint list.
 type Watcher struct {
 	options           WatcherOptions
 	address           agentAddress
 	client            *http.Client
-	createdAt         int64 // ns since 1970
+	createdAt         int64 // Unix time in ns; part of the epoch
 	firstResponse     chan struct{}
 	firstResponseOnce sync.Once
 
-	// Of Run's goroutine.
+	// Used only by Run's goroutine.
 	baseURL    string
-	watchCount int // addresses watched so far, or again
+	watchCount int // how often watching an address was started, also the same one again
 }
 
-// NewWatcher makes a Watcher; Run has it begin.
+// NewWatcher returns a Watcher, which starts watching when Run is called.
 func NewWatcher(o WatcherOptions) *Watcher {
 	o.MaxListBytes = cmp.Or(o.MaxListBytes, DefaultMaxListBytes)
 	o.SilenceTimeout = cmp.Or(o.SilenceTimeout, registry.SilenceTimeout)
 	client := newAgentClient(watcherConns)
-	client.Transport.(*http.Transport).ResponseHeaderTimeout = 0 // each call has its own
+	client.Transport.(*http.Transport).ResponseHeaderTimeout = 0 // each call has a timeout of its own
 	return &Watcher{
 		options:       o,
 		address:       newAgentAddress(o.Address),
@@ -65,14 +66,14 @@
 	}
 }
 
-// FirstResponse is closed once the first call has ended, in whatever way. What it said of
-// the list was handed on before.
+// FirstResponse returns a channel that is closed at the first list, heartbeat or end of a call,
+// successful or not. A list that came first has been passed to OnList before.
 func (w *Watcher) FirstResponse() <-chan struct{} { return w.firstResponse }
 
-// SetAddress moves the watch to another address, where the complete list is fetched.
+// SetAddress moves the watch to another address and fetches the complete list there.
 func (w *Watcher) SetAddress(address string) { w.address.set(address) }
 
-// Resync has the complete list fetched again.
+// Resync makes the Watcher fetch the complete list again.
 func (w *Watcher) Resync() { w.address.restart() }
 
 // Run watches until ctx ends.
@@ -83,8 +84,8 @@
 	})
 }
 
-// watchAddress watches one address until ctx ends. What is heard is passed on without
-// delay: the drain grace period counts from when the agent wrote it.
+// watchAddress watches one address until ctx ends. It passes lists on without delay, because the
+// drain grace period starts when the agent sends the list.
 func (w *Watcher) watchAddress(ctx context.Context, address string) {
 	w.baseURL = "http://" + address
 	w.watchCount++
@@ -100,11 +101,11 @@
 			return
 		}
 		w.markAnswered()
-		took := time.Since(start)
-		w.options.Scheduler.CallEnded(call, outcome, took)
+		elapsed := time.Since(start)
+		w.options.Scheduler.CallEnded(call, outcome, elapsed)
 		if err != nil {
 			w.options.Log.Warn("discovery: call over", "whole", call.Complete, "from", call.FromRevision,
-				"end", outcome, "took_ms", took.Milliseconds(), "err", err)
+				"end", outcome, "took_ms", elapsed.Milliseconds(), "err", err)
 		}
 	}
 }
@@ -116,17 +117,17 @@
 	return w.watch(ctx, call)
 }
 
-// deliver hands a list on. The log tells when it came: the relays of a fleet do not learn
-// of a change in the same moment.
+// deliver passes a list to OnList. It logs when the list arrived, because the relays of a fleet
+// do not learn of a change at the same moment.
 func (w *Watcher) deliver(list *core.EndpointList, bytes int) {
 	w.options.Log.Info("list", "revision", list.Revision, "whole", list.Complete, "members", len(list.Members))
 	epoch := fmt.Sprintf("%s#%d@%d", w.baseURL, w.watchCount, w.createdAt)
 	w.options.OnList(epoch, list)
 	if bytes >= longListBytes {
-		// What reading it took would not be collected for minutes.
+		// Otherwise the memory used to decode the list would not be released for minutes.
 		time.AfterFunc(freeMemoryDelay, debug.FreeOSMemory)
 	}
 }
 
-// markAnswered books that the agent has answered.
+// markAnswered closes the channel of FirstResponse if it is still open.
 func (w *Watcher) markAnswered() { w.firstResponseOnce.Do(func() { close(w.firstResponse) }) }
--- a/internal/discovery/watcher_test.go
+++ b/internal/discovery/watcher_test.go
@@ -19,7 +19,7 @@
 
 func quietLog() *slog.Logger { return slog.New(slog.DiscardHandler) }
 
-// runInBackground runs something until the test ends.
+// runInBackground calls a function in the background; its context ends with the test.
 func runInBackground(t *testing.T, run func(context.Context)) {
 	t.Helper()
 	ctx, cancel := context.WithCancel(context.Background())
@@ -28,7 +28,7 @@
 	t.Cleanup(func() { cancel(); <-done })
 }
 
-// runWatcher runs a watcher that hands on its lists.
+// runWatcher runs a watcher that sends its lists to a channel.
 func runWatcher(t *testing.T, o WatcherOptions, lists chan<- *core.EndpointList) *Watcher {
 	t.Helper()
 	o.Log = quietLog()
@@ -38,7 +38,7 @@
 	return w
 }
 
-// startWatcher watches an agent and hands on its lists.
+// startWatcher runs a watcher of an agent and returns the channel of its lists.
 func startWatcher(t *testing.T, a *discoverytest.Agent, silence time.Duration) chan *core.EndpointList {
 	t.Helper()
 	lists := make(chan *core.EndpointList, 64)
@@ -52,15 +52,15 @@
 	case l := <-lists:
 		return l
 	case <-time.After(30 * time.Second):
-		t.Fatal("no list")
+		t.Fatal("no list within 30 s")
 		return nil
 	}
 }
 
-// waitForWatches waits until an agent has had so many watches, no more.
+// waitForWatches waits until exactly n watches have been opened at an agent.
 func waitForWatches(t *testing.T, a *discoverytest.Agent, n int) {
 	t.Helper()
-	discoverytest.WaitFor(t, "a further watch", func() bool {
+	discoverytest.WaitFor(t, "another watch", func() bool {
 		return a.Check(func() bool { return len(a.WatchedFrom) == n })
 	})
 }
@@ -72,28 +72,27 @@
 	}
 }
 
-// Changes follow the whole list; after a break the watch goes on from the
-// version that was reached, and a line that cannot be read makes the whole
-// list be fetched again.
+// A watch sends the changes after the complete list. After a lost connection the next watch asks
+// from the last known revision; after a malformed change the complete list is fetched again.
 func TestWatch(t *testing.T) {
 	m := core.Member{ID: "s-1", HostPort: "127.0.0.1:1", Dest: 3, Phase: core.Up}
-	d := discoverytest.New(t, m)
-	lists := startWatcher(t, d, testTimeout)
+	agent := discoverytest.New(t, m)
+	lists := startWatcher(t, agent, testTimeout)
 	if l := nextList(t, lists); !l.Complete || len(l.Members) != 1 {
-		t.Fatalf("first %+v", l)
+		t.Fatalf("first list is %+v, want a complete one with 1 member", l)
 	}
 	m.Phase = core.Draining
-	d.SendLine(t, discoverytest.ChangeText(2, m))
+	agent.SendLine(t, discoverytest.ChangeText(2, m))
 	if l := nextList(t, lists); l.Revision != 2 || l.Complete || l.Members[0].Phase != core.Draining {
-		t.Fatalf("then %+v", l)
+		t.Fatalf("second list is %+v, want the change to draining of revision 2", l)
 	}
-	d.Update(func(d *discoverytest.Agent) { close(d.Watches[0]) }) // the connection ends
-	waitForWatches(t, d, 2)
+	agent.Update(func(a *discoverytest.Agent) { close(a.Watches[0]) }) // the connection ends
+	waitForWatches(t, agent, 2)
 	var from string
 	var fetches int
-	d.Update(func(d *discoverytest.Agent) { from, fetches = d.WatchedFrom[1], d.Fetches })
+	agent.Update(func(a *discoverytest.Agent) { from, fetches = a.WatchedFrom[1], a.Fetches })
 	if from != "2" || fetches != 1 {
-		t.Errorf("goes on from %s after %d fetches", from, fetches)
+		t.Errorf("second watch asks from revision %s after %d fetches, want revision 2 and 1 fetch", from, fetches)
 	}
 	for i, bad := range []string{
 		`{"revision":3,"members":[{"id":"s-1"`,
@@ -101,64 +100,65 @@
 		`{"revision":3}`,
 		`{"revision":3,"members":[{"id":"s-1","phase":"up","host_port":"nowhere"}]}`,
 	} {
-		d.SendLine(t, bad)
+		agent.SendLine(t, bad)
 		if l := nextList(t, lists); !l.Complete {
-			t.Fatalf("after line %d: %+v", i, l)
+			t.Fatalf("after malformed line %d: got %+v, want a complete list", i, l)
 		}
-		waitForWatches(t, d, 3+i)
+		waitForWatches(t, agent, 3+i)
 	}
 }
 
-// Guards against a watch that is open and dead: one that sends nothing, not
-// even an empty line, is given up.
+// Guards against keeping a dead watch: its connection is open, but the agent sends nothing, not
+// even empty lines. The watcher must give it up and open another one.
 func TestSilentWatch(t *testing.T) {
-	d := discoverytest.New(t, core.Member{ID: "s-1", HostPort: "127.0.0.1:1", Phase: core.Up})
-	lists := startWatcher(t, d, 100*time.Millisecond)
+	agent := discoverytest.New(t, core.Member{ID: "s-1", HostPort: "127.0.0.1:1", Phase: core.Up})
+	lists := startWatcher(t, agent, 100*time.Millisecond)
 	nextList(t, lists)
 	discoverytest.WaitFor(t, "a second watch", func() bool {
-		return d.Check(func() bool { return len(d.WatchedFrom) >= 2 })
+		return agent.Check(func() bool { return len(agent.WatchedFrom) >= 2 })
 	})
 }
 
-// Guards against two calls where one will do: a watch that is turned away goes on
-// from its version, and a relay that was given a list begins with its version.
+// Guards against needless fetches of the complete list: after a rejected watch the next one asks
+// from the same revision, and a relay that starts with a list watches from its revision.
 func TestWatchTurnedAway(t *testing.T) {
 	m := core.Member{ID: "s-1", HostPort: "127.0.0.1:1", Dest: 3, Phase: core.Up}
-	d := discoverytest.New(t, m)
-	d.Update(func(d *discoverytest.Agent) { d.CallsToReject = 3 })
+	agent := discoverytest.New(t, m)
+	agent.Update(func(a *discoverytest.Agent) { a.CallsToReject = 3 })
 	lists := make(chan *core.EndpointList, 64)
 	scheduler := registry.New(3, 1)
 	scheduler.SetRevision(7)
-	w := runWatcher(t, WatcherOptions{Address: d.Addr(), Scheduler: scheduler}, lists)
-	<-w.FirstResponse() // turned away is an answer: the start does not wait for more
-	d.SendLine(t, discoverytest.ChangeText(8, m))
+	w := runWatcher(t, WatcherOptions{Address: agent.Addr(), Scheduler: scheduler}, lists)
+	<-w.FirstResponse() // a rejection counts as a response, so that the relay's start does not wait any longer
+	agent.SendLine(t, discoverytest.ChangeText(8, m))
 	if l := nextList(t, lists); l.Revision != 8 {
-		t.Errorf("got %+v", l)
+		t.Errorf("got %+v, want revision 8", l)
 	}
-	d.SendLine(t, discoverytest.ChangeText(6, m)) // older: not believed
-	d.SendLine(t, discoverytest.ChangeText(9, m))
+	agent.SendLine(t, discoverytest.ChangeText(6, m)) // outdated: ignored
+	agent.SendLine(t, discoverytest.ChangeText(9, m))
 	if l := nextList(t, lists); l.Revision != 9 {
-		t.Errorf("got %+v", l)
+		t.Errorf("got %+v, want revision 9", l)
 	}
-	d.Update(func(d *discoverytest.Agent) {
+	agent.Update(func(a *discoverytest.Agent) {
 		want := []string{"watch=1&from=7", "watch=1&from=7", "watch=1&from=7"}
-		if !slices.Equal(d.RejectedQueries, want) || d.WatchedFrom[0] != "7" || d.Fetches != 0 {
-			t.Errorf("rejected %v, then from %v, %d fetches", d.RejectedQueries, d.WatchedFrom, d.Fetches)
+		if !slices.Equal(a.RejectedQueries, want) || a.WatchedFrom[0] != "7" || a.Fetches != 0 {
+			t.Errorf("rejected queries %v, then watches from %v, %d fetches; want %v, then from 7, 0 fetches",
+				a.RejectedQueries, a.WatchedFrom, a.Fetches, want)
 		}
 	})
 }
 
-// A watch that falls silent in the middle of a list is dead like any other, and
-// what it did not send comes from its successor, by the revision that is known.
+// A watch that stalls in the middle of a list is given up, even if it keeps sending empty lines.
+// The next watch asks from the last known revision and gets the list that was not completed.
 func TestWatchSilentWithinAList(t *testing.T) {
 	queries := make(chan string, 16)
 	release := make(chan struct{})
 	mux := http.NewServeMux()
-	n := 0
+	watches := 0
 	mux.HandleFunc("GET "+ListPath, func(w http.ResponseWriter, r *http.Request) {
-		n++
+		watches++
 		queries <- r.URL.RawQuery
-		switch n {
+		switch watches {
 		case 1:
 			write(t, w, "{\"revision\":5,\"complete\":true,\"members\":[]}\n{\n\"revision\":6,\n")
 		default:
@@ -166,14 +166,14 @@
 				"\"members\": [{\"id\":\"a\",\"phase\":\"removed\"}]\n}\n")
 		}
 		w.(http.Flusher).Flush()
-		for { // it trickles on, and never ends
+		for { // it sends empty lines and never ends
 			select {
 			case <-release:
 				return
 			case <-r.Context().Done():
 				return
 			case <-time.After(5 * time.Millisecond):
-				_, _ = io.WriteString(w, "\n") // its client gives it up at any moment
+				_, _ = io.WriteString(w, "\n") // the client may give it up at any moment
 				w.(http.Flusher).Flush()
 			}
 		}
@@ -189,10 +189,10 @@
 	}, lists)
 	for _, want := range []int64{5, 6} {
 		if got := nextList(t, lists).Revision; got != want {
-			t.Fatalf("got %d, want %d", got, want)
+			t.Fatalf("got a list of revision %d, want %d", got, want)
 		}
 	}
-	if a, b := <-queries, <-queries; a != "watch=1&from=4" || b != "watch=1&from=5" {
-		t.Errorf("watched %q, then %q", a, b)
+	if first, second := <-queries, <-queries; first != "watch=1&from=4" || second != "watch=1&from=5" {
+		t.Errorf("queries %q, then %q; want watch=1&from=4, then watch=1&from=5", first, second)
 	}
 }
--- a/internal/membership/apply.go
+++ b/internal/membership/apply.go
@@ -9,12 +9,12 @@
 func (v *View) Apply(now Time, u *Update) Verdict {
 	v.now = max(v.now, now)
 	t := &v.sources[u.Source]
-	if verdict := t.judge(u); verdict != Accepted {
+	if verdict := t.checkRevision(u); verdict != Accepted {
 		return verdict
 	}
 	if t.known && u.Epoch != t.epoch {
 		v.warn(Warning{Source: u.Source, Text: "its revisions have begun anew: " + u.Epoch})
-		t.leaveEpoch()
+		t.rememberFormerEpoch()
 	}
 	t.epoch, t.revision, t.known = u.Epoch, u.Revision, true
 	t.updates++
@@ -33,8 +33,8 @@
 	return Accepted
 }
 
-// judge compares an update's epoch and revision with what is known of its source.
-func (t *sourceTracker) judge(u *Update) Verdict {
+// checkRevision compares an update's epoch and revision with what is known of its source.
+func (t *sourceTracker) checkRevision(u *Update) Verdict {
 	sameEpoch := u.Epoch == t.epoch
 	switch {
 	case t.known && !sameEpoch && slices.Contains(t.formerEpochs, u.Epoch):
--- a/internal/membership/entry.go
+++ b/internal/membership/entry.go
@@ -80,8 +80,8 @@
 	maxRemovals     = 65536 // remembered for all
 )
 
-// leaveEpoch remembers the epoch that a source had until now.
-func (t *sourceTracker) leaveEpoch() {
+// rememberFormerEpoch remembers the epoch that a source had until now.
+func (t *sourceTracker) rememberFormerEpoch() {
 	t.formerEpochs = append(t.formerEpochs, t.epoch)
 	t.formerEpochs = t.formerEpochs[max(0, len(t.formerEpochs)-maxFormerEpochs):]
 }
--- a/internal/membership/identity.go
+++ b/internal/membership/identity.go
@@ -11,7 +11,7 @@
 	if moved && !added {
 		v.collectConnected(e)
 		v.unindexAddress(e)
-		v.forgetFirstVisited() // what is at its new address is collected as well
+		v.dropFirstConnected() // what is at its new address is collected as well
 	}
 	e.Member = m
 	if moved {
@@ -59,8 +59,8 @@
 	}
 }
 
-// forgetFirstVisited takes the entry that the walk began with out of it.
-func (v *View) forgetFirstVisited() {
+// dropFirstConnected takes the entry that the walk began with out of it.
+func (v *View) dropFirstConnected() {
 	v.connected[0].visitedBy = 0
 	v.connected = slices.Delete(v.connected, 0, 1)
 }
--- a/internal/membership/membership_test.go
+++ b/internal/membership/membership_test.go
@@ -509,15 +509,15 @@
 	}
 }
 
-// stepUntilDone steps until all is published, and returns the view.
-func (v *View) stepUntilDone(l publishedList, now Time) []Member {
+// stepUntilPublished steps until all is published, and returns the view.
+func (v *View) stepUntilPublished(l publishedList, now Time) []Member {
 	for range 100 {
 		l.apply(v.Step(now))
 	}
 	return v.Members()
 }
 
-const noon = 1000 * second
+const testNow = 1000 * second
 
 func withoutDelays(x *Settings) {
 	for i := range x.Sources {
@@ -535,17 +535,17 @@
 		play := func(order []*Update) (*View, publishedList) {
 			v, l := newView(t, withoutDelays), publishedList{}
 			for _, u := range order {
-				v.Apply(noon, u)
-				l.apply(v.Step(noon))
+				v.Apply(testNow, u)
+				l.apply(v.Step(testNow))
 			}
-			v.stepUntilDone(l, noon)
+			v.stepUntilPublished(l, testNow)
 			return v, l
 		}
 		first := drawOrder(rt, plan)
 		a, la := play(first)
 		b, _ := play(drawOrder(rt, plan))
-		if !reflect.DeepEqual(a.Explain(noon), b.Explain(noon)) || !reflect.DeepEqual(a.Members(), b.Members()) {
-			rt.Fatalf("two orders:\n%+v\n%+v", a.Explain(noon), b.Explain(noon))
+		if !reflect.DeepEqual(a.Explain(testNow), b.Explain(testNow)) || !reflect.DeepEqual(a.Members(), b.Members()) {
+			rt.Fatalf("two orders:\n%+v\n%+v", a.Explain(testNow), b.Explain(testNow))
 		}
 		for id, x := range a.published {
 			if m, ok := la[id]; ok != x.listed || ok && m != x.Member {
@@ -554,14 +554,14 @@
 		}
 		before := a.Members()
 		for _, u := range first[:rapid.IntRange(0, len(first)).Draw(rt, "again")] {
-			a.Apply(noon, u)
+			a.Apply(testNow, u)
 		}
-		if a.stepUntilDone(la, noon); !reflect.DeepEqual(before, a.Members()) {
+		if a.stepUntilPublished(la, testNow); !reflect.DeepEqual(before, a.Members()) {
 			rt.Fatalf("applied again:\n%+v\n%+v", before, a.Members())
 		}
 		c := newView(t, withoutDelays)
-		c.Import(noon, b.Export(noon))
-		if c.stepUntilDone(publishedList{}, noon); !reflect.DeepEqual(c.Members(), b.Members()) {
+		c.Import(testNow, b.Export(testNow))
+		if c.stepUntilPublished(publishedList{}, testNow); !reflect.DeepEqual(c.Members(), b.Members()) {
 			rt.Fatalf("taken over:\n%+v\n%+v", b.Members(), c.Members())
 		}
 	})
@@ -578,7 +578,7 @@
 			last[i] = map[string]string{}
 		}
 		for _, u := range drawOrder(rt, drawUpdates(rt)) {
-			verdict := v.Apply(noon, u)
+			verdict := v.Apply(testNow, u)
 			if verdict == Accepted || verdict == RemovalsHeld {
 				listed := map[string]bool{}
 				for _, m := range u.Members {
@@ -599,11 +599,11 @@
 					}
 				}
 			}
-			l.apply(v.Step(noon))
+			l.apply(v.Step(testNow))
 			for i := range last {
 				for id, phase := range last[i] {
 					if m, ok := l[id]; ok && phase != Up && m.Phase == Up {
-						rt.Fatalf("%s is up, and source %d states %s: %+v %v", id, i, phase, *u, v.Explain(noon))
+						rt.Fatalf("%s is up, and source %d states %s: %+v %v", id, i, phase, *u, v.Explain(testNow))
 					}
 				}
 			}
--- a/internal/membership/merge.go
+++ b/internal/membership/merge.go
@@ -8,7 +8,7 @@
 	worst := 0
 	decidedBy = -1
 	for i := range v.sources {
-		e, rank := v.statedBy(id, i)
+		e, rank := v.sourceEntry(id, i)
 		if e == nil {
 			continue
 		}
@@ -45,10 +45,10 @@
 	return m, decidedBy, true
 }
 
-// statedBy is what one source states of one of the view's endpoints, and the rank of the
+// sourceEntry is what one source states of one of the view's endpoints, and the rank of the
 // phase; nil for nothing. Where it names the endpoint by two ids, the one that is the
 // view's id describes it, and the worse phase counts.
-func (v *View) statedBy(viewID string, source int) (e *entry, rank int) {
+func (v *View) sourceEntry(viewID string, source int) (e *entry, rank int) {
 	e = newestEntry(v.byViewID[viewID], source)
 	if e == nil {
 		return nil, 0
--- a/internal/membership/timeouts.go
+++ b/internal/membership/timeouts.go
@@ -30,7 +30,7 @@
 func (v *View) expireRemoval(e *entry) {
 	v.beginWalk()
 	v.collectConnected(e)
-	v.forgetFirstVisited()
+	v.dropFirstConnected()
 	delete(v.sources[e.source].entries, e.ID)
 	v.unindexAddress(e)
 	v.leaveGroup(e, e.viewID)
--- a/internal/membersource/fixtures_test.go
+++ b/internal/membersource/fixtures_test.go
@@ -60,11 +60,11 @@
 		Revision: 4, Complete: true, Members: []core.Member{member("a", 1, core.Up), member("b", 2, core.Up)},
 	}
 	m.RegistryList("http://127.0.0.1:9#1@7", registryList)
-	m.put(m.etcd, &membership.Update{
+	m.enqueue(m.etcd, &membership.Update{
 		Epoch: "000000000000004d.0", Revision: 8, Complete: true,
 		Members: []core.Member{member("a", 0, core.Up), member("c", 3, core.Up)},
 	})
-	m.put(m.etcd, &membership.Update{
+	m.enqueue(m.etcd, &membership.Update{
 		Epoch: "000000000000004d.0", Revision: 9, Members: []core.Member{member("a", 0, core.Draining)},
 	})
 	m.step()
--- a/internal/membersource/helper.go
+++ b/internal/membersource/helper.go
@@ -125,7 +125,7 @@
 			return fmt.Errorf("the helper says what makes no sense: %w", err)
 		}
 		if message.Update != nil || message.Heartbeat {
-			m.put(m.etcd, message.Update)
+			m.enqueue(m.etcd, message.Update)
 		}
 	}
 	return lines.Err()
--- a/internal/membersource/merger.go
+++ b/internal/membersource/merger.go
@@ -103,16 +103,16 @@
 
 // RegistryList queues a list of the registry, complete or a change.
 func (m *Merger) RegistryList(epoch string, list *core.EndpointList) {
-	m.put(m.registry, &membership.Update{
+	m.enqueue(m.registry, &membership.Update{
 		Epoch: epoch, Revision: list.Revision, Complete: list.Complete, Members: list.Members,
 	})
 }
 
 // RegistryHeartbeat queues that the registry is alive and has nothing new.
-func (m *Merger) RegistryHeartbeat() { m.put(m.registry, nil) }
+func (m *Merger) RegistryHeartbeat() { m.enqueue(m.registry, nil) }
 
-// put queues an update of a source, or a heartbeat where it is nil.
-func (m *Merger) put(source int, u *membership.Update) {
+// enqueue queues an update of a source, or a heartbeat where it is nil.
+func (m *Merger) enqueue(source int, u *membership.Update) {
 	m.queue.Put(sourceEvent{source: source, update: u})
 }
 
--- a/internal/membersource/merger_test.go
+++ b/internal/membersource/merger_test.go
@@ -36,7 +36,7 @@
 	}
 	m.lastSaved = time.Now()
 	update := func(rev int64, id, phase string) {
-		m.put(m.etcd, &membership.Update{
+		m.enqueue(m.etcd, &membership.Update{
 			Epoch: "c", Revision: rev, Complete: rev == 1,
 			Members: []core.Member{{ID: id, HostPort: "127.0.0.1:7001", Phase: phase}},
 		})
--- a/internal/source/registry/judge.go
+++ b/internal/source/registry/judge.go
@@ -1,35 +1,37 @@
 package registry
 
-// maxOlderLists is how many complete lists in a row that are older than what is known
-// mean that the registry has begun again.
+// maxOlderLists is the number of consecutive complete lists with an older revision after
+// which the registry is taken to have restarted its revisions, and the list is accepted.
 const maxOlderLists = 3
 
-// Verdict is what a list is worth.
+// Verdict says how to treat a received list.
 type Verdict uint8
 
 // Verdicts.
 const (
 	Accept Verdict = iota + 1
-	Ignore         // older than what is known
-	Resync         // a change of a list that is not known: the complete list is needed
+	Ignore         // it is older than the known revision
+	Resync         // it is a change to a list that is not known: fetch the complete list
 )
 
-// Judge judges a list, complete or a change. A revision older than one that was heard from
-// the same registry is not believed: an endpoint that drains would be sent to again. But
-// one that shows an older complete list often enough has begun again.
-func (s *Scheduler) Judge(revision int64, complete bool) Verdict {
+// CheckRevision decides by its revision whether a list, complete or a change, is accepted, and
+// records the revision if it is. A revision older than one that the same registry has already
+// sent is rejected: otherwise a draining endpoint would receive calls again. The exception is a
+// registry that sends an older complete list maxOlderLists times in a row: it has restarted its
+// revisions.
+func (s *Scheduler) CheckRevision(revision int64, complete bool) Verdict {
 	older := revision < s.revision
 	switch {
-	case complete && older && s.heardHere && s.olderLists+1 < maxOlderLists:
+	case complete && older && s.revisionFromAddress && s.olderLists+1 < maxOlderLists:
 		s.olderLists++
 		return Ignore
-	case !complete && (!s.hasRevision || older && !s.heardHere):
+	case !complete && (!s.hasRevision || older && !s.revisionFromAddress):
 		s.hasRevision = false
 		return Resync
 	case !complete && older:
 		return Ignore
 	}
 	s.revision, s.hasRevision = revision, true
-	s.heardHere, s.olderLists = true, 0
+	s.revisionFromAddress, s.olderLists = true, 0
 	return Accept
 }
--- a/internal/source/registry/scheduler.go
+++ b/internal/source/registry/scheduler.go
@@ -1,17 +1,18 @@
-// Package registry decides when a relay calls discovery's registry, for what, and what it
-// believes of the answers: the complete list or the changes after a revision, how long an
-// answer is waited for, and when to call again after one that was rejected, late, cut off
-// or malformed.
+// Package registry schedules a relay's calls to the service registry and decides which of the
+// received lists are accepted. A Scheduler chooses between fetching the complete list and
+// watching for changes after a revision, sets the timeout of each call, and sets the delay
+// before the next call after one that was rejected, late, cut off or malformed.
 //
-// A registry that serves a fleet can be overloaded by the fleet itself: when every watch
-// breaks in the same instant, or most relays start at once, each relay's next call is
-// harmless and all of them together are rejected, at a cost to the registry that is as
-// high as an answer's. So calls are spread over a span that grows with the fleet and, with
-// each failure, doubles; each relay draws from its own seed. What is known is asked for
-// again by its revision, never as a whole.
+// A fleet of relays can overload its registry: when all watches break at the same instant, or
+// most relays start at once, a single relay's next call is harmless, but the registry rejects
+// most of them when they arrive together, and a rejection costs it as much as an answer. So
+// each relay delays its call by a random time. The range of the delay grows with the size of
+// the fleet and doubles with each failure; each relay draws from a random generator with a seed
+// of its own. A relay that knows a list asks only for the changes after its revision, not for
+// the complete list.
 //
-// It must never open a socket, read a clock, or merge what the registry says with anything
-// else.
+// The package opens no sockets, reads no clock, and doesn't merge the registry's list with
+// other sources.
 package registry
 
 import (
@@ -22,34 +23,34 @@
 const (
 	minDelay       = 100 * time.Millisecond // between any two calls
 	spreadPerRelay = 100 * time.Millisecond // for each relay that may call at the same moment
-	maxRelays      = 1000                   // more than that spread no further
-	maxBaseSpread  = 6 * time.Second        // a fleet of any size can be served within some seconds
+	maxRelays      = 1000                   // the spread doesn't grow beyond that many relays
+	maxBaseSpread  = 6 * time.Second        // the registry can serve a fleet of any size within some seconds
 
-	// What the spread grows to, doubled by each failure in a row.
+	// Limits of the spread, which doubles with each consecutive failure.
 	maxDoublings        = 10
-	maxRejectedSpread   = 16 * time.Second // where calls are rejected
-	maxUnansweredSpread = time.Second      // where nothing is heard: with the timeout under the drain grace period
+	maxRejectedSpread   = 16 * time.Second // after rejected calls
+	maxUnansweredSpread = time.Second      // after unanswered calls; plus timeout, it is under the drain grace period
 
-	shortTimeout = time.Second             // of an answer's head, where few relays call
-	longTimeout  = 2500 * time.Millisecond // where many do: an answer may wait for 2 s in the registry
+	shortTimeout = time.Second             // for the response headers, in a small fleet
+	longTimeout  = 2500 * time.Millisecond // in a large fleet: a call may be queued in the registry for 2 s
 )
 
-// What a silent watch misses counts as notified NotifiedAfter its last byte, and a drain
-// in it is to be obeyed from then on. The worst case from that byte until its successor's
-// answer has begun lies under that for a fleet of any size:
-// SilenceTimeout + minDelay + maxSilentSpread + shortTimeout, 5.6 s.
+// The relay counts as notified of a change NotifiedAfter the last byte of its watch, even if the
+// watch fell silent and missed the change: from then on the relay must obey a drain. The next
+// call's response therefore has to begin before that. The worst case, for a fleet of any size,
+// is SilenceTimeout + minDelay + maxSilentSpread + shortTimeout after the last byte, 5.6 s.
 const (
 	NotifiedAfter   = 6 * time.Second
-	SilenceTimeout  = 3 * time.Second // a watch says something every 2 s
+	SilenceTimeout  = 3 * time.Second // a live watch sends something every 2 s
 	maxSilentSpread = 1500 * time.Millisecond
 )
 
 // Call is one call to the registry.
 type Call struct {
-	Complete     bool          // fetches the complete list; else a watch
-	FromRevision int64         // of a watch: the revision that is known
-	Delay        time.Duration // until it is made
-	Timeout      time.Duration // until the head of its answer
+	Complete     bool          // fetch the complete list; if false, watch for changes
+	FromRevision int64         // of a watch: the known revision, after which changes are wanted
+	Delay        time.Duration // time to wait before the call
+	Timeout      time.Duration // longest wait for the response headers
 }
 
 // Outcome is how a call ended.
@@ -57,56 +58,59 @@
 
 // Outcomes of a call.
 const (
-	Served          Outcome = iota + 1 // a complete list was had; or a watch was, for as long as it lasted
-	Rejected                           // the registry is there and has too much to do
-	Unanswered                         // nothing came in time, or there was no connection
-	Malformed                          // what came cannot be decoded: what is known is not certain any more
+	Served          Outcome = iota + 1 // the complete list was received, or a watch was open until it ended
+	Rejected                           // the registry answered that it is overloaded
+	Unanswered                         // no response in time, or no connection
+	Malformed                          // the response cannot be decoded: the known list may be out of date
 	RevisionUnknown                    // the registry does not know the revision
-	Silent                             // a watch was, for SilenceTimeout: that tells nothing of the load
+	Silent                             // a watch sent nothing for SilenceTimeout: no sign of overload
 )
 
-// String is the outcome as it stands in logs.
+// String returns the outcome's name in logs.
 func (o Outcome) String() string {
 	return [...]string{"none", "served", "refused", "unheard", "garbled", "foreign", "silent"}[min(o, Silent)]
 }
 
-// Scheduler is one relay's side of one registry.
+// Scheduler schedules the calls of one relay to one registry.
 type Scheduler struct {
 	rng        *rand.Rand
 	baseSpread time.Duration
 
 	// Calls.
-	delayNext       bool // false for a call that is made at once
-	failures        int  // in a row
-	rejections      int  // of them, in a row
-	watchFellSilent bool // the last call was a watch that did
-	registryLost    bool // the last call was unanswered: what the registry says at its return counts at once
+	delayNext       bool // the next call is delayed
+	failures        int  // consecutive ones
+	rejections      int  // consecutive ones among the failures
+	watchFellSilent bool // the last call was a watch that fell silent
+	// The last call was unanswered, or was the first failure and its response was unusable. The
+	// relay may have missed a drain, so the next call must not be delayed for long.
+	retrySoon bool
 
 	// The list.
-	revision    int64
-	hasRevision bool
-	heardHere   bool // the revision is from this address
-	olderLists  int  // complete lists in a row that were older
+	revision            int64
+	hasRevision         bool
+	revisionFromAddress bool // the revision was received from the current address
+	olderLists          int  // consecutive complete lists that were older
 }
 
-// New makes the scheduler of one relay of a fleet (less than 1 counts as 1), which draws
-// from its own seed.
+// New returns the scheduler of one relay in a fleet of the given number of relays; less than 1
+// counts as 1. The seed must differ between relays, so that their calls are spread.
 func New(relays int, seed uint64) *Scheduler {
 	spread := time.Duration(min(max(relays, 1), maxRelays)) * spreadPerRelay
 	return &Scheduler{rng: rand.New(rand.NewPCG(seed, 0xd15c07e12)), baseSpread: min(spread, maxBaseSpread)}
 }
 
-// SetRevision sets the revision of the list that the relay was given at its start.
+// SetRevision sets the revision of the list that the relay starts with.
 func (s *Scheduler) SetRevision(revision int64) { s.revision, s.hasRevision = revision, true }
 
-// ChangeAddress begins at another address, whose revisions may be its own.
+// ChangeAddress resets the scheduler for a registry at another address, which may number its
+// revisions differently.
 func (s *Scheduler) ChangeAddress() {
 	s.delayNext, s.failures, s.rejections = false, 0, 0
-	s.watchFellSilent, s.registryLost = false, false
-	s.hasRevision, s.heardHere, s.olderLists = false, false, 0
+	s.watchFellSilent, s.retrySoon = false, false
+	s.hasRevision, s.revisionFromAddress, s.olderLists = false, false, 0
 }
 
-// NextCall is the call to make next.
+// NextCall returns the call to make next.
 func (s *Scheduler) NextCall() Call {
 	call := Call{Complete: !s.hasRevision, FromRevision: s.revision, Timeout: shortTimeout}
 	if !s.watchFellSilent && (s.baseSpread >= shortTimeout || s.failures >= 2) {
@@ -119,45 +123,46 @@
 	return call
 }
 
-// spread is the span from which the delay of the next call is drawn.
+// spread returns the longest random delay of the next call, on top of minDelay.
 func (s *Scheduler) spread() time.Duration {
 	switch {
 	case s.watchFellSilent:
 		return min(s.baseSpread, maxSilentSpread)
 	case s.rejections > 0:
 		return min(s.doubledSpread(s.rejections), maxRejectedSpread)
-	case s.registryLost:
+	case s.retrySoon:
 		return min(s.doubledSpread(s.failures), maxUnansweredSpread)
 	}
-	return min(s.doubledSpread(s.failures), max(s.baseSpread, maxUnansweredSpread)) // what it said was of no use
+	return min(s.doubledSpread(s.failures), max(s.baseSpread, maxUnansweredSpread)) // the response was unusable
 }
 
 func (s *Scheduler) doubledSpread(failures int) time.Duration {
 	return s.baseSpread << min(failures, maxDoublings)
 }
 
-// CallEnded books the end of a call that took so long. A watch that broke sooner than
-// this relay would call again by itself counts as a failure.
+// CallEnded records the outcome and the duration of a call. A watch that ended sooner than this
+// relay would call again after a failure counts as a failure too.
 func (s *Scheduler) CallEnded(call Call, outcome Outcome, took time.Duration) {
-	useless := outcome == Malformed || outcome == RevisionUnknown
+	unusable := outcome == Malformed || outcome == RevisionUnknown
 	switch {
 	case outcome == Served && (call.Complete || took > s.spread()):
 		s.failures, s.rejections = 0, 0
-	case outcome == Silent: // it was accepted, and its registry may serve the next one at once
+	case outcome == Silent: // the registry had accepted the watch, and may serve the next one at once
 		s.failures, s.rejections = 0, 0
 	default:
 		s.failures++
 	}
 	s.watchFellSilent = outcome == Silent
-	// What was malformed once may have been a drain.
-	s.registryLost = outcome == Unanswered || useless && s.failures == 1
-	if outcome == Rejected || outcome == Served && s.failures > 0 { // or accepted and dropped: no better
+	// The first unusable response may have contained a drain.
+	s.retrySoon = outcome == Unanswered || unusable && s.failures == 1
+	// A watch that was accepted and soon dropped counts as a rejection.
+	if outcome == Rejected || outcome == Served && s.failures > 0 {
 		s.rejections++
 	}
-	if useless {
+	if unusable {
 		s.hasRevision = false
 	}
 	if call.Complete && outcome == Served {
-		s.delayNext = false // the watch follows at once
+		s.delayNext = false // the watch begins without delay
 	}
 }
--- a/internal/source/registry/scheduler_test.go
+++ b/internal/source/registry/scheduler_test.go
@@ -7,11 +7,11 @@
 	"time"
 )
 
-// registryModel is a registry that serves so many calls a second, turns a call away
-// where its answer would come more than 2 s late, and works for that as well.
+// registryModel simulates a registry that handles callsPerSecond calls per second. It rejects a
+// call whose answer would take more than 2 s; a rejection costs it as much time as an answer.
 type registryModel struct {
 	callsPerSecond float64
-	idleAt         time.Duration // when it has done all that it has begun
+	idleAt         time.Duration // when it will have handled all calls received so far
 	rejected       int
 	served         int
 }
@@ -26,11 +26,11 @@
 	return Served, q.idleAt - now
 }
 
-// playFleet lets the watches of n relays break at moment 0 and plays until each has
-// one again, or the time is up. It returns when the last one had, and when half
-// of them had.
-func playFleet(
-	n int, rate float64, seed uint64, most time.Duration, delayOf func(*Scheduler) time.Duration,
+// simulateFleet breaks the watches of n relays at time 0 and simulates their calls until each
+// relay has a watch again, or until the time limit. It returns the times at which the last relay
+// and half of the relays had one. delayOf, if not nil, replaces the scheduler's delays.
+func simulateFleet(
+	n int, rate float64, seed uint64, limit time.Duration, delayOf func(*Scheduler) time.Duration,
 ) (last, half time.Duration, q *registryModel) {
 	q = &registryModel{callsPerSecond: rate}
 	schedulers, at, call := make([]*Scheduler, n), make([]time.Duration, n), make([]Call, n)
@@ -39,7 +39,7 @@
 		schedulers[i] = New(n, seed*1000+uint64(i))
 		schedulers[i].SetRevision(4)
 		c := schedulers[i].NextCall()
-		schedulers[i].Judge(4, false)
+		schedulers[i].CheckRevision(4, false)
 		schedulers[i].CallEnded(c, Served, time.Hour)
 		call[i] = schedulers[i].NextCall()
 		if at[i] = call[i].Delay; delayOf != nil {
@@ -54,58 +54,61 @@
 			}
 		}
 		now := at[i]
-		if now > most {
+		if now > limit {
 			break
 		}
-		end, took := q.call(now)
-		if end == Served && took <= call[i].Timeout {
+		outcome, took := q.call(now)
+		if outcome == Served && took <= call[i].Timeout {
 			done = append(done, now+took)
 			at[i] = time.Hour
 			continue
 		}
-		schedulers[i].CallEnded(call[i], end, took)
+		schedulers[i].CallEnded(call[i], outcome, took)
 		call[i] = schedulers[i].NextCall()
 		if at[i] = now + took + call[i].Delay; delayOf != nil {
 			at[i] = now + took + delayOf(schedulers[i])
 		}
 	}
 	if len(done) < n {
-		return most, most, q
+		return limit, limit, q
 	}
 	slices.Sort(done)
 	return done[n-1], done[n/2], q
 }
 
-// Guards against a fleet that uses its registry up: after all watches break at
-// once each relay has one again within a few times of what the registry needs
-// for all of them, and half of them much sooner. Asking again at once, in step,
-// is what it guards against: then nobody is served.
+// Guards against a fleet that overloads its registry. After all watches break at the same time,
+// each relay must have one again within a few times the time that the registry needs to serve
+// all of them, and half of the relays much sooner. If all relays retried at once and in step,
+// the registry would spend its time on rejections and serve none of them.
 func TestFleetIsServedAgain(t *testing.T) {
 	for _, n := range []int{3, 20, 80, 300} {
-		for _, all := range []float64{2, 5, 8} { // s for a call from each
-			if float64(n)/all < 4 && !(n == 3 && all == 2) {
-				continue // hardly a call would have its answer in time
+		for _, serveAll := range []float64{2, 5, 8} { // seconds that the registry needs for a call from each relay
+			if float64(n)/serveAll < 4 && !(n == 3 && serveAll == 2) {
+				continue // too slow: hardly any call would be answered in time
 			}
 			worst, worstHalf, calls := time.Duration(0), time.Duration(0), 0
 			for seed := range uint64(10) {
-				last, half, q := playFleet(n, float64(n)/all, seed, time.Minute, nil)
+				last, half, q := simulateFleet(n, float64(n)/serveAll, seed, time.Minute, nil)
 				worst, worstHalf, calls = max(worst, last), max(worstHalf, half), max(calls, q.served+q.rejected)
 			}
 			if worst > 25*time.Second || worstHalf > 12*time.Second || calls > 2*n+20 {
-				t.Errorf("%d relays, %g s: last %v, half %v, %d calls", n, all, worst, worstHalf, calls)
+				t.Errorf("%d relays, registry needs %g s for a call from each: last served after %v, half after %v, "+
+					"%d calls; want at most 25s, 12s and %d calls", n, serveAll, worst, worstHalf, calls, 2*n+20)
 			}
 		}
 	}
 	inStep := func(*Scheduler) time.Duration { return 200 * time.Millisecond }
-	_, half, q := playFleet(80, 80.0/8, 1, 30*time.Second, inStep)
+	_, half, q := simulateFleet(80, 80.0/8, 1, 30*time.Second, inStep)
 	if half < 30*time.Second || q.rejected < 2000 {
-		t.Errorf("in step: half served after %v, %d rejected; the model can't tell", half, q.rejected)
+		t.Errorf("all retry every 200ms: half served after %v, %d rejected; "+
+			"want 30s and at least 2000, or the model does not show the overload", half, q.rejected)
 	}
 }
 
-// Few relays call again nearly at once: nothing is gained by waiting.
+// A small fleet calls again almost at once, since it cannot overload the registry. The delay is
+// limited for a fleet of any size.
 func TestSmallFleetPollsSoon(t *testing.T) {
-	for n, most := range map[int]time.Duration{
+	for n, maxDelay := range map[int]time.Duration{
 		0: 200 * time.Millisecond, 1: 200 * time.Millisecond, 3: 400 * time.Millisecond,
 		1 << 40: maxBaseSpread + minDelay,
 	} {
@@ -113,57 +116,58 @@
 		s.SetRevision(1)
 		for range 200 {
 			c := s.NextCall()
-			if c.Delay > most {
-				t.Fatalf("%d relays: %v", n, c.Delay)
+			if c.Delay > maxDelay {
+				t.Fatalf("%d relays: delay %v, want at most %v", n, c.Delay, maxDelay)
 			}
-			s.Judge(1, false)
+			s.CheckRevision(1, false)
 			s.CallEnded(c, Served, time.Minute)
 		}
 	}
 }
 
-// The first call is made at once. What is known is asked for by its revision;
-// what cannot be read, or builds on nothing, makes the whole list be had.
+// The first call is made without delay. A relay that knows a list watches for changes after its
+// revision; after a malformed response, an unknown revision or a change of address it fetches the
+// complete list.
 func TestNextCall(t *testing.T) {
 	s := New(80, 1)
 	if c := s.NextCall(); !c.Complete || c.Delay != 0 {
-		t.Fatalf("first %+v", c)
-	} else if s.Judge(7, true) != Accept {
-		t.Fatal("a first list is not believed")
+		t.Fatalf("first call is %+v, want a fetch of the complete list without delay", c)
+	} else if s.CheckRevision(7, true) != Accept {
+		t.Fatal("the first complete list is not accepted")
 	} else {
 		s.CallEnded(c, Served, 0)
 	}
 	c := s.NextCall()
 	if c.Complete || c.FromRevision != 7 || c.Delay != 0 {
-		t.Fatalf("the watch does not follow its list at once: %+v", c)
+		t.Fatalf("after the complete list: %+v, want a watch from revision 7 without delay", c)
 	}
 	s.CallEnded(c, Rejected, 0)
 	if c = s.NextCall(); c.Complete || c.FromRevision != 7 || c.Delay < minDelay || c.Timeout != longTimeout {
-		t.Fatalf("a refusal forgets the version, or its pause: %+v", c)
+		t.Fatalf("after a rejected call: %+v, want a delayed watch from revision 7 with timeout %v", c, longTimeout)
 	}
 	s.CallEnded(c, Malformed, 0)
 	if c = s.NextCall(); !c.Complete {
-		t.Fatalf("after what cannot be read: %+v", c)
+		t.Fatalf("after a malformed response: %+v, want a fetch of the complete list", c)
 	}
-	s.Judge(8, true)
+	s.CheckRevision(8, true)
 	s.CallEnded(c, Served, 0)
 	s.ChangeAddress()
 	if c = s.NextCall(); !c.Complete || c.Delay != 0 {
-		t.Fatalf("at another address: %+v", c)
+		t.Fatalf("after a change of address: %+v, want a fetch of the complete list without delay", c)
 	}
-	g := New(80, 1)
-	g.SetRevision(41)
-	if c = g.NextCall(); c.Complete || c.FromRevision != 41 || c.Delay != 0 {
-		t.Fatalf("with a list from before: %+v", c)
+	withList := New(80, 1)
+	withList.SetRevision(41)
+	if c = withList.NextCall(); c.Complete || c.FromRevision != 41 || c.Delay != 0 {
+		t.Fatalf("started with a list: %+v, want a watch from revision 41 without delay", c)
 	}
-	g.CallEnded(c, RevisionUnknown, 0)
-	if c = g.NextCall(); !c.Complete {
-		t.Fatalf("its version is not known there: %+v", c)
+	withList.CallEnded(c, RevisionUnknown, 0)
+	if c = withList.NextCall(); !c.Complete {
+		t.Fatalf("after an unknown revision: %+v, want a fetch of the complete list", c)
 	}
 }
 
-// Against any order of lists: what is believed never grows older, but for a
-// registry that repeats the same list thrice; changes are never believed on nothing.
+// For any order of lists: the accepted revision never decreases, unless the registry sends an
+// older complete list maxOlderLists times in a row; a change to an unknown list is never accepted.
 func TestJudgeRevisions(t *testing.T) {
 	for seed := range uint64(2000) {
 		rng := rand.New(rand.NewPCG(seed, 1))
@@ -174,19 +178,20 @@
 			known = true
 		}
 		for range 30 {
-			rev, whole := rng.Int64N(10), rng.IntN(3) == 0
-			v := s.Judge(rev, whole)
+			rev, complete := rng.Int64N(10), rng.IntN(3) == 0
+			v := s.CheckRevision(rev, complete)
 			switch {
-			case whole && rev < at:
+			case complete && rev < at:
 				if older++; (v == Accept) != (older >= maxOlderLists) {
-					t.Fatalf("seed %d: older for the %d. time: %d", seed, older, v)
+					t.Fatalf("seed %d: verdict %d on older list number %d in a row, accepted only from number %d",
+						seed, v, older, maxOlderLists)
 				}
-			case whole:
+			case complete:
 				if v != Accept {
-					t.Fatalf("seed %d: whole list %d after %d: %d", seed, rev, at, v)
+					t.Fatalf("seed %d: verdict %d on complete list %d after %d, want %d", seed, v, rev, at, Accept)
 				}
 			case v == Accept && (!known || rev < at):
-				t.Fatalf("seed %d: changes up to %d believed after %d, known %v", seed, rev, at, known)
+				t.Fatalf("seed %d: change up to %d accepted after %d, list known: %v", seed, rev, at, known)
 			case v == Resync:
 				known = false
 			}
@@ -194,30 +199,30 @@
 				at, known, older = rev, true, 0
 			}
 			if s.hasRevision != known {
-				t.Fatalf("seed %d: known %v, want %v", seed, s.hasRevision, known)
+				t.Fatalf("seed %d: hasRevision = %v, want %v", seed, s.hasRevision, known)
 			}
 		}
 	}
 }
 
-// A watch that breaks as soon as it stands is as bad as none: calls back off.
+// A watch that ends as soon as it is open counts as a failure, so calls back off.
 func TestShortWatchesBackOff(t *testing.T) {
 	s, now, calls := New(80, 3), time.Duration(0), 0
 	s.SetRevision(1)
 	for ; now < time.Minute; calls++ {
 		c := s.NextCall()
 		now += c.Delay + time.Millisecond
-		s.Judge(1, false)
+		s.CheckRevision(1, false)
 		s.CallEnded(c, Served, time.Millisecond)
 	}
 	if calls > 14 {
-		t.Errorf("%d calls in a minute", calls)
+		t.Errorf("%d calls in a minute, want at most 14", calls)
 	}
 }
 
-// A watch that falls silent is replaced before what it missed counts as notified, in a
-// fleet of any size and whatever came before, and a silent watch is no busy
-// registry: the span does not grow. A watch that its registry closes is.
+// A watch that falls silent is replaced before the relay counts as notified of what it missed,
+// in a fleet of any size and whatever calls came before. Unlike a watch that the registry closes
+// early, a silent one is no sign of an overloaded registry: it doesn't make the spread grow.
 func TestSilentWatchIsReplacedInTime(t *testing.T) {
 	for _, n := range []int{1, 3, 60, 300, 1 << 20} {
 		worst := time.Duration(0)
@@ -227,25 +232,26 @@
 			if seed%3 == 1 {
 				s.CallEnded(s.NextCall(), Rejected, 0)
 			}
-			for range 1 + seed%5 { // again and again, each sooner than the span
+			for range 1 + seed%5 { // several silent watches in a row, each shorter than the spread
 				c := s.NextCall()
-				s.Judge(1, false)
+				s.CheckRevision(1, false)
 				s.CallEnded(c, Silent, SilenceTimeout)
 				next := s.NextCall()
 				worst = max(worst, SilenceTimeout+next.Delay+next.Timeout)
 				if next.Complete || next.FromRevision != 1 {
-					t.Fatalf("%d relays: %+v", n, next)
+					t.Fatalf("%d relays, after a silent watch: %+v, want a watch from revision 1", n, next)
 				}
 			}
 		}
 		if worst >= NotifiedAfter {
-			t.Errorf("%d relays: an answer may come %v after the last byte, want under %v", n, worst, NotifiedAfter)
+			t.Errorf("%d relays: response may begin %v after the last byte, want under %v", n, worst, NotifiedAfter)
 		}
 	}
 }
 
-// A registry that does not answer is called again in less than the grace of a drain,
-// since what it reports at its return counts at once; one that rejects calls is not.
+// A registry that does not answer is called again within less than the drain grace period, since
+// a drain that it reports when it returns applies at once. After rejected calls the delay may
+// grow longer.
 func TestUnheardIsAskedAgainSoon(t *testing.T) {
 	for _, n := range []int{3, 300} {
 		s := New(n, 1)
@@ -253,17 +259,18 @@
 		for range 20 {
 			s.CallEnded(s.NextCall(), Unanswered, shortTimeout)
 			if c := s.NextCall(); c.Delay > minDelay+maxUnansweredSpread {
-				t.Errorf("%d relays: %+v", n, c)
+				t.Errorf("%d relays: delay %v after an unanswered call, want at most %v",
+					n, c.Delay, minDelay+maxUnansweredSpread)
 			}
 		}
 	}
-	s, most := New(300, 1), time.Duration(0)
+	s, longest := New(300, 1), time.Duration(0)
 	s.SetRevision(1)
 	for range 20 {
 		s.CallEnded(s.NextCall(), Rejected, 0)
-		most = max(most, s.NextCall().Delay)
+		longest = max(longest, s.NextCall().Delay)
 	}
-	if most < 3*time.Second {
-		t.Errorf("rejected 20 times, and calls again within %v", most)
+	if longest < 3*time.Second {
+		t.Errorf("longest delay of 20 after rejected calls is %v, want at least 3s", longest)
 	}
 }
