--- a/internal/membership/apply.go
+++ b/internal/membership/apply.go
@@ -5,7 +5,7 @@
 	"slices"
 )
 
-// Apply books an update.
+// Apply applies an update to the view and returns what became of the update.
 func (v *View) Apply(now Time, u *Update) Verdict {
 	v.now = max(v.now, now)
 	t := &v.sources[u.Source]
@@ -13,7 +13,7 @@
 		return verdict
 	}
 	if t.known && u.Epoch != t.epoch {
-		v.warn(Warning{Source: u.Source, Text: "its revisions have begun anew: " + u.Epoch})
+		v.warn(Warning{Source: u.Source, Text: "source restarted its revisions, accepting list of epoch " + u.Epoch})
 		t.rememberFormerEpoch()
 	}
 	t.epoch, t.revision, t.known = u.Epoch, u.Revision, true
@@ -33,7 +33,7 @@
 	return Accepted
 }
 
-// checkRevision compares an update's epoch and revision with what is known of its source.
+// checkRevision compares an update's epoch and revision with those of the source's last update.
 func (t *sourceTracker) checkRevision(u *Update) Verdict {
 	sameEpoch := u.Epoch == t.epoch
 	switch {
@@ -47,21 +47,21 @@
 	return Accepted
 }
 
-// markUnreadable warns of entries that cannot be decoded, once for each that is known.
+// markUnreadable warns of entries that cannot be decoded; for an entry that is known, only once.
 func (v *View) markUnreadable(u *Update) {
 	for _, id := range u.UnreadableIDs {
 		e := v.sources[u.Source].entries[id]
 		if e != nil && e.unreadable {
 			continue
 		}
-		v.warn(Warning{Source: u.Source, Text: "cannot be read, and stays as it was", ID: id})
+		v.warn(Warning{Source: u.Source, Text: "entry cannot be decoded, keeping its last known state", ID: id})
 		if e != nil {
 			e.unreadable = true
 		}
 	}
 }
 
-// applyDrains has entries drain of which the update states nothing else.
+// applyDrains sets entries to draining of which the update states only that they drain.
 func (v *View) applyDrains(u *Update) {
 	for _, id := range u.DrainedIDs {
 		e := v.sources[u.Source].entries[id]
@@ -75,8 +75,8 @@
 	}
 }
 
-// listMembers books the members that an update lists. It returns the ids of those that
-// the update removes: named as removed, or missing from a complete list.
+// listMembers records the members that an update lists. It returns the ids of the entries that
+// the update removes: those in phase Removed, and those missing from a complete list.
 func (v *View) listMembers(u *Update) (removed []string) {
 	named := map[string]bool{}
 	if u.Complete {
@@ -107,7 +107,7 @@
 	return removed
 }
 
-// listMember books that a source lists an endpoint.
+// listMember records that a source lists an endpoint.
 func (v *View) listMember(source int, m *Member) {
 	t := &v.sources[source]
 	e := t.entries[m.ID]
@@ -119,14 +119,15 @@
 	case !e.listed():
 		t.listedCount++
 	case e.Member == *m && !e.held && !e.unreadable:
-		return // stated before: this is no later update of it
+		return // unchanged: the update number stays that of the update that stated it first
 	}
 	e.revision, e.updateNumber = t.revision, t.updates
 	e.held, e.unreadable = false, false
 	v.updateEntry(e, *m)
 }
 
-// applyRemovals books what an update removes, and reports whether any of it is held.
+// applyRemovals applies the removals of an update, or holds those that need confirmation. It
+// reports whether any is held.
 func (v *View) applyRemovals(u *Update, ids []string) (held bool) {
 	t := &v.sources[u.Source]
 	confirmed := u.Complete && u.Resync
@@ -165,25 +166,25 @@
 	return true
 }
 
-// removalsLeft is how many more unannounced removals of a source are believed in the
-// current window.
+// removalsLeft returns how many more unannounced removals, those of endpoints that were not
+// draining, a source may make in the current window.
 func (v *View) removalsLeft(t *sourceTracker) int {
 	const rounding = 1e-9
 	share := int(math.Floor(v.settings.MaxRemovalShare*float64(t.windowBase) + rounding))
 	return max(v.settings.MinRemovalLimit, share) - t.windowRemovals
 }
 
-// holdRemovals keeps entries listed until the source's complete list is read again.
+// holdRemovals keeps entries listed until a resync of their source confirms their removal.
 func (v *View) holdRemovals(source int, entries []*entry) {
 	for _, e := range entries {
 		e.held = true
 	}
 	v.sources[source].resyncRequested = true
-	const text = "takes away more than may go unconfirmed: held until it is read anew"
+	const text = "update removes more endpoints than the limit, holding the removals until a resync confirms them"
 	v.warn(Warning{Source: source, Text: text, Count: len(entries)})
 }
 
-// removeEntry books that a source has removed an endpoint.
+// removeEntry records that a source has removed an endpoint.
 func (v *View) removeEntry(e *entry) {
 	t := &v.sources[e.source]
 	t.listedCount--
--- a/internal/membership/doc.go
+++ b/internal/membership/doc.go
@@ -1,26 +1,25 @@
-// Package membership merges what several sources (a service registry, etcd) say of the
-// endpoints into one view. Each source hands in updates that carry a revision of its
-// own; what leaves the package is what changed in the view.
+// Package membership merges the endpoint lists of several sources (a service registry, etcd)
+// into one view. Its input are the updates of each source, numbered by that source's revisions;
+// its output are the changes of the view.
 //
-// It owns the one rule by which sources that disagree are read:
+// These rules resolve differences between the sources:
 //
 //   - The order of the sources is their precedence. An endpoint's address, locality and
-//     flavor are those of the first source that lists it and is fresh; its rate is that
-//     of the first fresh source that states one.
-//   - Drains and removals win at once, whichever source states them first, until the
-//     same source states otherwise in a later update. No other source can revoke them.
-//   - A silent source stays listed: its endpoints remain as last known. Only its
-//     precedence over fresh sources is gone.
-//   - An update that removes more than a stated share of what its source had listed is
-//     not believed as far as that goes until a complete list that was read after a
-//     resync request confirms it. Drains are always believed, and so is the removal of
-//     an endpoint that was draining.
-//   - An endpoint with the same id is the same endpoint, whichever source names it; so
-//     is one at the same address for the same destination, under the id given by the
-//     source that comes first. Within one source an address under a new id is a new
-//     endpoint.
+//     flavor come from the first fresh source that lists it, its rate from the first fresh
+//     source that states one. A source is fresh if it was heard recently.
+//   - Drains and removals apply at once, whichever source states them, until the same source
+//     states otherwise in a later update. No other source can revoke them.
+//   - The endpoints of a silent source remain in the view as last known. A silent source only
+//     loses its precedence over fresh sources.
+//   - An update must not remove more than a limited share of its source's endpoints. Removals
+//     beyond that are held until a complete list, read after a resync request, confirms them.
+//     Drains are not limited, and neither are removals of endpoints that were draining.
+//   - Entries with the same id are the same endpoint, whichever source lists them. So are
+//     entries of different sources with the same address and destination; the endpoint then has
+//     the id that the first of these sources gives it. Within one source, a new id at a known
+//     address is a new endpoint.
 //
-// It must never do I/O, look at a clock, or know who calls endpoints. The view depends
-// on what each source stated, in that source's order, and on nothing else: not on which
-// source was heard first.
+// The package does no I/O, reads no clock, and doesn't know who calls endpoints. The view
+// depends only on the sequence of updates of each source, not on the order in which the
+// sources were heard.
 package membership
--- a/internal/membership/entry.go
+++ b/internal/membership/entry.go
@@ -5,24 +5,24 @@
 	"slices"
 )
 
-// entry is what a source last stated of an id.
+// entry is the last state of one id in the list of one source.
 type entry struct {
 	Member
 	source       int
-	revision     int64  // of the update that last stated something new of it
-	updateNumber int64  // the number of that update: revisions may start again
-	removedAt    Time   // of a removed one
-	held         bool   // its removal has to be confirmed
+	revision     int64  // revision of the update that last changed the entry
+	updateNumber int64  // number of that update, since a source may restart its revisions
+	removedAt    Time   // set if the entry is removed
+	held         bool   // the source has removed it, but the removal has to be confirmed
 	unreadable   bool   // its value cannot be decoded, and a warning was given
-	viewID       string // the view's id for it
-	visitedBy    uint64 // the walk that visited it last
+	viewID       string // the endpoint's id in the view
+	visitedBy    uint64 // number of the last walk that visited the entry
 }
 
 func (e *entry) listed() bool { return e.Phase != Removed }
 
 func (e *entry) address() addressKey { return addressKey{e.HostPort, e.Dest} }
 
-// addressKey is what two ids of one endpoint have in common.
+// addressKey identifies an endpoint that has different ids in different sources.
 type addressKey struct {
 	hostPort string
 	dest     int
@@ -33,7 +33,7 @@
 	return cmp.Or(a.source-b.source, cmp.Compare(a.ID, b.ID))
 }
 
-// newestEntry is what a source stated last among some entries; nil if it has none there.
+// newestEntry returns the newest of the entries that belong to the source, nil if none does.
 func newestEntry(entries []*entry, source int) (newest *entry) {
 	for _, e := range entries {
 		if e.source == source && (newest == nil || newer(e, newest)) {
@@ -43,8 +43,8 @@
 	return newest
 }
 
-// newer orders entries by the updates that stated them. Within one update, what is
-// listed comes after what was removed.
+// newer reports whether a is newer than b: whether a later update stated it. Within one update,
+// listed entries are newer than removed ones, and a higher id is newer than a lower one.
 func newer(a, b *entry) bool {
 	if a.updateNumber != b.updateNumber {
 		return a.updateNumber > b.updateNumber
@@ -55,45 +55,45 @@
 	return a.ID > b.ID
 }
 
-// sourceTracker is what is known of one source.
+// sourceTracker is the state of one source.
 type sourceTracker struct {
 	epoch        string
 	formerEpochs []string
 	revision     int64
-	updates      int64 // accepted ones
-	known        bool
-	lastHeard    Time // its last update or heartbeat
-	fresh        bool // it was heard within its StaleAfter
+	updates      int64 // number of accepted updates
+	known        bool  // a complete list was accepted or imported
+	lastHeard    Time  // time of its last update or heartbeat
+	fresh        bool  // it was heard within its StaleAfter
 	listedCount  int
 	entries      map[string]*entry // by the source's own id
 
 	// Removals in the current window.
 	windowStart    Time
-	windowBase     int // the highest listedCount
-	windowRemovals int
+	windowBase     int // the highest listedCount in the window
+	windowRemovals int // unannounced removals in the window
 
 	resyncRequested bool
 }
 
 const (
-	maxFormerEpochs = 8     // remembered for each source
-	maxRemovals     = 65536 // remembered for all
+	maxFormerEpochs = 8     // remembered per source
+	maxRemovals     = 65536 // remembered for all sources together
 )
 
-// rememberFormerEpoch remembers the epoch that a source had until now.
+// rememberFormerEpoch adds the source's current epoch to its former ones, before the epoch changes.
 func (t *sourceTracker) rememberFormerEpoch() {
 	t.formerEpochs = append(t.formerEpochs, t.epoch)
 	t.formerEpochs = t.formerEpochs[max(0, len(t.formerEpochs)-maxFormerEpochs):]
 }
 
-// removal is an entry that was removed, and when: it may be listed again since, or have
-// been removed again.
+// removal records that an entry was removed at some time. The entry may have been listed again, or
+// removed again, since then.
 type removal struct {
 	entry *entry
 	at    Time
 }
 
-// current reports whether this is the entry's last removal and still holds.
+// current reports whether the entry is still removed and this is its last removal.
 func (r removal) current() bool { return !r.entry.listed() && r.entry.removedAt == r.at }
 
 func sortedKeys[T any](m map[string]T) []string {
--- a/internal/membership/fixtures_test.go
+++ b/internal/membership/fixtures_test.go
@@ -8,8 +8,8 @@
 	"troutusher/internal/fixturetest"
 )
 
-// fixtureView has entries of every kind: up, draining, removed, held and unreadable,
-// with rates, under two names, and of two epochs.
+// fixtureView returns a view with entries of every kind: up, draining, removed, held and unreadable,
+// with and without rates, and under different ids in the two sources.
 func fixtureView(t *testing.T) *View {
 	t.Helper()
 	v := newView(t)
@@ -29,7 +29,7 @@
 	return v
 }
 
-// The members file: its bytes from a view, and a view from its bytes.
+// A view is exported to the recorded state, and importing that state gives the recorded view.
 func TestStateFixture(t *testing.T) {
 	text, err := json.Marshal(fixtureView(t).Export(4 * second))
 	if err != nil {
@@ -58,7 +58,7 @@
 	fixturetest.Check(t, "explain.jsonl", fixturetest.EncodeLines(t, fixtureView(t).Explain(4*second)))
 }
 
-// The form of updates between a relay and its helper.
+// The JSON format of updates from the helper process to a relay.
 func TestUpdateFixture(t *testing.T) {
 	updates := []Update{
 		*completeUpdate(registrySource, 5, upMember("a", 1), drainingMember("b", 2)),
@@ -80,12 +80,12 @@
 		got.Source = updates[i].Source
 		want, again := fixturetest.EncodeLines(t, updates[i:i+1]), fixturetest.EncodeLines(t, []Update{got})
 		if !bytes.Equal(again, want) {
-			t.Errorf("read back: %s", again)
+			t.Errorf("update decoded and encoded again is %s, want %s", again, want)
 		}
 	}
 }
 
-// Verdicts by their names in logs.
+// The names of verdicts in logs.
 func TestVerdictFixture(t *testing.T) {
 	var text bytes.Buffer
 	for _, verdict := range []Verdict{Accepted, Outdated, ResyncRequired, RemovalsHeld} {
--- a/internal/membership/identity.go
+++ b/internal/membership/identity.go
@@ -2,8 +2,7 @@
 
 import "slices"
 
-// updateEntry has an entry state something else, and reevaluates all endpoints that
-// this touches.
+// updateEntry sets an entry's member, and reevaluates all endpoints that this affects.
 func (v *View) updateEntry(e *entry, m Member) {
 	v.beginWalk()
 	added := e.ID == ""
@@ -11,7 +10,7 @@
 	if moved && !added {
 		v.collectConnected(e)
 		v.unindexAddress(e)
-		v.dropFirstConnected() // what is at its new address is collected as well
+		v.dropFirstConnected() // so that it is visited again, with its new address
 	}
 	e.Member = m
 	if moved {
@@ -21,13 +20,13 @@
 	v.assignViewIDs()
 }
 
-// unindexAddress takes an entry out of the index by address.
+// unindexAddress removes an entry from the index by address.
 func (v *View) unindexAddress(e *entry) { removeFrom(v.byAddress, e.address(), e) }
 
-// leaveGroup takes an entry out of the group of a view id.
+// leaveGroup removes an entry from the group of a view id.
 func (v *View) leaveGroup(e *entry, viewID string) { removeFrom(v.byViewID, viewID, e) }
 
-// removeFrom takes an entry out of a list in an index, and an empty list out of it.
+// removeFrom removes an entry from the list of a key in an index, and the key if its list is empty.
 func removeFrom[K comparable](index map[K][]*entry, key K, e *entry) {
 	index[key] = slices.DeleteFunc(index[key], func(x *entry) bool { return x == e })
 	if len(index[key]) == 0 {
@@ -35,14 +34,14 @@
 	}
 }
 
-// beginWalk begins a walk over the entries that share ids and addresses.
+// beginWalk begins a walk over entries that are connected by shared ids and addresses.
 func (v *View) beginWalk() {
 	v.walkNumber++
 	v.connected = v.connected[:0]
 }
 
-// collectConnected adds to the walk all entries that share an id or an address with an
-// entry, and those that do with them.
+// collectConnected adds an entry to the walk, and recursively all entries that share an id or an
+// address with it.
 func (v *View) collectConnected(e *entry) {
 	if e.visitedBy == v.walkNumber {
 		return
@@ -59,14 +58,14 @@
 	}
 }
 
-// dropFirstConnected takes the entry that the walk began with out of it.
+// dropFirstConnected removes the entry with which the walk began from the walk.
 func (v *View) dropFirstConnected() {
 	v.connected[0].visitedBy = 0
 	v.connected = slices.Delete(v.connected, 0, 1)
 }
 
-// assignViewIDs gives the entries of a walk their ids in the view, and reevaluates the
-// endpoints concerned.
+// assignViewIDs assigns the entries of a walk their ids in the view, and reevaluates the endpoints
+// under their former and new ids.
 func (v *View) assignViewIDs() {
 	slices.SortFunc(v.connected, compareEntries) // an entry's id depends on those before it
 	changed := v.changedIDs[:0]
@@ -90,9 +89,9 @@
 	}
 }
 
-// viewIDOf is the view's id of an entry: that of the first source before its own that
-// has the same id, or else the same address. Of several ids at one address the newest
-// counts.
+// viewIDOf returns the view's id of an entry. It is that of the entry with the same id in the first
+// source of higher precedence, else that of an entry with the same address there, else the
+// entry's own id. If a source has several ids at the address, its newest entry counts.
 func (v *View) viewIDOf(e *entry) string {
 	for i := range e.source {
 		if other := v.sources[i].entries[e.ID]; other != nil {
@@ -101,7 +100,8 @@
 	}
 	for i := range e.source {
 		other := newestEntry(v.byAddress[e.address()], i)
-		if other != nil && v.sources[e.source].entries[other.viewID] == nil { // else its own source tells the two apart
+		// If its own source has an entry with that id, it says that the two are different endpoints.
+		if other != nil && v.sources[e.source].entries[other.viewID] == nil {
 			return other.viewID
 		}
 	}
--- a/internal/membership/member.go
+++ b/internal/membership/member.go
@@ -6,17 +6,17 @@
 	"net"
 )
 
-// Time is a moment or a span in microseconds.
+// Time is a point in time or a duration, in microseconds.
 type Time = int64
 
-// Phases of a member, as the registry spells them.
+// Phases of a member, spelled as in the registry's lists.
 const (
 	Up       = "up"
 	Draining = "draining"
 	Removed  = "removed"
 )
 
-// Member is an endpoint as a source names it, or as the view has it.
+// Member is an endpoint in the list of a source or in the view.
 type Member struct {
 	ID       string  `json:"id"`
 	HostPort string  `json:"host_port"`
@@ -24,14 +24,14 @@
 	Flavor   string  `json:"flavor"`
 	Dest     int     `json:"cell"`
 	Phase    string  `json:"phase"`
-	Rate     float64 `json:"size"` // calls a second that its destination takes; 0 where that is not stated
+	Rate     float64 `json:"size"` // calls per second that its destination accepts; 0 if not stated
 }
 
-// Check returns an error that names what is wrong with a member, or nil.
+// Check returns an error if the member is invalid.
 func (m *Member) Check() error {
 	switch {
 	case m.ID == "":
-		return errors.New("member without id")
+		return errors.New("member has no id")
 	case m.Phase != Up && m.Phase != Draining && m.Phase != Removed:
 		return fmt.Errorf("member %s: unknown phase %q", m.ID, m.Phase)
 	case m.Phase == Removed:
@@ -43,7 +43,7 @@
 	return nil
 }
 
-// phaseRank orders phases: of several that sources state, the highest wins.
+// phaseRank orders phases. If sources state different phases, the one with the highest rank wins.
 func phaseRank(phase string) int {
 	switch phase {
 	case Up:
--- a/internal/membership/membership_test.go
+++ b/internal/membership/membership_test.go
@@ -15,7 +15,7 @@
 
 const second Time = 1e6
 
-// The properties are tried on the same updates in each run; -rapid.seed 0 draws others.
+// Property tests draw the same updates in each run, unless -rapid.seed is given; 0 draws others in each run.
 func TestMain(m *testing.M) {
 	flag.Parse()
 	for name, value := range map[string]string{"rapid.seed": "26", "rapid.checks": "400", "rapid.nofailfile": "true"} {
@@ -30,7 +30,7 @@
 	os.Exit(m.Run())
 }
 
-// Sources of the tests, by precedence.
+// The sources of the tests, in order of precedence.
 const (
 	etcdSource = iota
 	registrySource
@@ -43,11 +43,11 @@
 
 func newView(t testing.TB, change ...func(*Settings)) *View {
 	t.Helper()
-	set := testSettings()
+	settings := testSettings()
 	for _, f := range change {
-		f(&set)
+		f(&settings)
 	}
-	v, err := New(set)
+	v, err := New(settings)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -70,7 +70,7 @@
 
 func removedMember(id string, k int) Member { return withPhase(Removed, upMember(id, k)) }
 
-// upMembers are endpoints 0 to n-1.
+// upMembers returns the endpoints 0 to n-1.
 func upMembers(n int) (all []Member) {
 	for k := range n {
 		all = append(all, upMember(fmt.Sprintf("e%05d", k), k))
@@ -86,10 +86,10 @@
 	return &Update{Source: source, Epoch: "1", Revision: rev, Members: m}
 }
 
-// publishedPhase is the phase of an endpoint in the view; empty where it is not there.
+// publishedPhase returns the phase of an endpoint in the view, empty if the view does not list it.
 func (v *View) publishedPhase(id string) string {
-	if x := v.published[id]; x != nil && x.listed {
-		return x.Phase
+	if p := v.published[id]; p != nil && p.listed {
+		return p.Phase
 	}
 	return ""
 }
@@ -97,134 +97,137 @@
 func (v *View) mustApply(t testing.TB, now Time, u *Update, want Verdict) []Change {
 	t.Helper()
 	if got := v.Apply(now, u); got != want {
-		t.Fatalf("verdict %v, want %v", got, want)
+		t.Fatalf("Apply(%d, %+v) = %v, want %v", now, *u, got, want)
 	}
 	return v.Step(now)
 }
 
 func TestSettings(t *testing.T) {
 	for name, f := range map[string]func(*Settings){
-		"no source":        func(x *Settings) { x.Sources = nil },
-		"no name":          func(x *Settings) { x.Sources[1].Name = "" },
-		"two of one name":  func(x *Settings) { x.Sources[1].Name = "etcd" },
-		"never stale":      func(x *Settings) { x.Sources[0].StaleAfter = 0 },
-		"more than all":    func(x *Settings) { x.MaxRemovalShare = 1.1 },
-		"nothing at once":  func(x *Settings) { x.MaxUpsPerStep = 0 },
-		"no span":          func(x *Settings) { x.RemovalWindow = 0 },
-		"remember nothing": func(x *Settings) { x.RemovalRetention = 0 },
+		"no source":              func(s *Settings) { s.Sources = nil },
+		"source without name":    func(s *Settings) { s.Sources[1].Name = "" },
+		"two sources of a name":  func(s *Settings) { s.Sources[1].Name = "etcd" },
+		"StaleAfter 0":           func(s *Settings) { s.Sources[0].StaleAfter = 0 },
+		"MaxRemovalShare over 1": func(s *Settings) { s.MaxRemovalShare = 1.1 },
+		"MaxUpsPerStep 0":        func(s *Settings) { s.MaxUpsPerStep = 0 },
+		"RemovalWindow 0":        func(s *Settings) { s.RemovalWindow = 0 },
+		"RemovalRetention 0":     func(s *Settings) { s.RemovalRetention = 0 },
 	} {
-		set := testSettings()
-		f(&set)
-		if _, err := New(set); err == nil {
-			t.Errorf("%s: no error", name)
+		settings := testSettings()
+		f(&settings)
+		if _, err := New(settings); err == nil {
+			t.Errorf("%s: New returns no error", name)
 		}
 	}
 }
 
-// The registry lists an endpoint as up; etcd lists it as draining and is lost then: it
-// stays draining until etcd itself lists it as up.
+// Guards against a drain that is revoked by another source: etcd lists an endpoint as draining and
+// then falls silent, while the registry lists it as up. It must stay draining until etcd itself
+// lists it as up.
 func TestDrainOutlastsSilentSource(t *testing.T) {
 	v := newView(t)
 	v.mustApply(t, second, completeUpdate(registrySource, 5, upMembers(4)...), Accepted)
 	v.mustApply(t, second, completeUpdate(etcdSource, 100, upMembers(4)...), Accepted)
 	got := v.mustApply(t, 2*second, changeUpdate(etcdSource, 101, drainingMember("e00001", 1)), Accepted)
 	if len(got) != 1 || got[0].ID != "e00001" || got[0].Phase != Draining || got[0].DecidedBy != etcdSource {
-		t.Fatalf("changes %+v", got)
+		t.Fatalf("changes after etcd's drain: %+v, want e00001 draining by etcd", got)
 	}
-	for at := 3 * second; at < 200*second; at += second { // etcd is silent, the registry goes on to list it as up
+	for at := 3 * second; at < 200*second; at += second { // etcd is silent, the registry still lists it as up
 		v.mustApply(t, at, completeUpdate(registrySource, 5+at/second, upMembers(4)...), Accepted)
 	}
 	if v.sources[etcdSource].fresh || v.publishedPhase("e00001") != Draining {
-		t.Errorf("etcd is fresh: %v; the endpoint is %q", v.sources[etcdSource].fresh, v.publishedPhase("e00001"))
+		t.Errorf("after etcd's silence: etcd is fresh: %v, want false; endpoint is %q, want %q",
+			v.sources[etcdSource].fresh, v.publishedPhase("e00001"), Draining)
 	}
 	got = v.mustApply(t, 201*second, changeUpdate(etcdSource, 102, upMember("e00001", 1)), Accepted)
 	if len(got) != 1 || got[0].Phase != Up {
-		t.Errorf("etcd is back and lists it as up: %+v", got)
+		t.Errorf("changes after etcd lists the endpoint as up: %+v, want one to up", got)
 	}
 }
 
-// A removal binds the others, for a time.
+// A removal by one source overrides the other sources, until RemovalRetention has passed.
 func TestRemovalBindsOtherSources(t *testing.T) {
 	v := newView(t)
 	v.mustApply(t, second, completeUpdate(etcdSource, 1, upMembers(4)...), Accepted)
 	v.mustApply(t, second, completeUpdate(registrySource, 1, upMembers(4)...), Accepted)
 	got := v.mustApply(t, 2*second, changeUpdate(registrySource, 2, removedMember("e00002", 2)), Accepted)
 	if len(got) != 1 || got[0].Phase != Removed || got[0].DecidedBy != registrySource {
-		t.Fatalf("changes %+v", got)
+		t.Fatalf("changes after the registry's removal: %+v, want one removal by the registry", got)
 	}
 	v.mustApply(t, 3*second, changeUpdate(etcdSource, 2, upMember("e00002", 2)), Accepted)
 	if v.publishedPhase("e00002") != "" {
-		t.Error("another source has taken a removal back")
+		t.Error("another source has revoked the removal")
 	}
 	last := 2*second + v.settings.RemovalRetention
 	v.Step(last - 1)
 	if v.publishedPhase("e00002") != "" {
-		t.Error("too early")
+		t.Error("the removal stopped applying before RemovalRetention had passed")
 	}
 	if v.Step(last); v.publishedPhase("e00002") != Up {
-		t.Error("bound for longer than stated")
+		t.Error("the removal still applies after RemovalRetention")
 	}
 	v.mustApply(t, last+second, changeUpdate(registrySource, 3, upMember("e00002", 2)), Accepted)
 	if v.publishedPhase("e00002") != Up {
-		t.Error("the same source lists it again")
+		t.Errorf("endpoint is %q after its source lists it again, want %q", v.publishedPhase("e00002"), Up)
 	}
 }
 
-// Silence takes nobody out of the view.
+// A silent source removes no endpoint from the view.
 func TestSilentSourceRemovesNothing(t *testing.T) {
 	v := newView(t)
 	v.mustApply(t, second, completeUpdate(etcdSource, 1, upMembers(9)...), Accepted)
 	v.mustApply(t, second, completeUpdate(registrySource, 1, upMembers(9)...), Accepted)
 	for at := 2 * second; at < 4000*second; at += 7 * second {
 		if got := v.Step(at); len(got) > 0 {
-			t.Fatalf("at %d s: %+v", at/second, got)
+			t.Fatalf("changes at %d s: %+v, want none", at/second, got)
 		}
 	}
 	if len(v.Members()) != 9 || v.sources[etcdSource].fresh || v.sources[registrySource].fresh {
-		t.Errorf("%d left", len(v.Members()))
+		t.Errorf("%d members, want 9; etcd fresh: %v, registry fresh: %v, want false",
+			len(v.Members()), v.sources[etcdSource].fresh, v.sources[registrySource].fresh)
 	}
-	if n := v.TakeWarnings(); len(n) != 2 {
-		t.Errorf("noted %+v", n)
+	if warnings := v.TakeWarnings(); len(warnings) != 2 {
+		t.Errorf("warnings %+v, want 2", warnings)
 	}
 }
 
-// The first source that is fresh has the address and the rate.
+// The first fresh source decides the address, the first fresh source that states a rate the rate.
 func TestPrecedence(t *testing.T) {
 	v := newView(t)
-	a, b := upMember("x", 1), upMember("x", 1)
-	a.HostPort, a.Rate, b.Rate = "127.0.0.1:9001", 0, 4
-	b.Locality = "b"
-	v.mustApply(t, second, completeUpdate(etcdSource, 1, a), Accepted)
-	v.mustApply(t, second, completeUpdate(registrySource, 1, b), Accepted)
+	inEtcd, inRegistry := upMember("x", 1), upMember("x", 1)
+	inEtcd.HostPort, inEtcd.Rate, inRegistry.Rate = "127.0.0.1:9001", 0, 4
+	inRegistry.Locality = "b"
+	v.mustApply(t, second, completeUpdate(etcdSource, 1, inEtcd), Accepted)
+	v.mustApply(t, second, completeUpdate(registrySource, 1, inRegistry), Accepted)
 	m := v.Members()[0]
-	if m.HostPort != a.HostPort || m.Locality != "a" || m.Rate != 4 {
-		t.Errorf("both fresh: %+v", m)
+	if m.HostPort != inEtcd.HostPort || m.Locality != "a" || m.Rate != 4 {
+		t.Errorf("both sources fresh: got %+v, want etcd's address and zone, and the registry's rate", m)
 	}
 	v.Heartbeat(19*second, registrySource)
 	v.Step(19 * second)
-	if m := v.Members()[0]; m.HostPort != b.HostPort || m.Locality != "b" {
-		t.Errorf("the first one is silent: %+v", m)
+	if m := v.Members()[0]; m.HostPort != inRegistry.HostPort || m.Locality != "b" {
+		t.Errorf("etcd silent: got %+v, want the registry's address and zone", m)
 	}
 	v.Heartbeat(20*second, etcdSource)
 	v.Step(20 * second)
-	if m := v.Members()[0]; m.HostPort != a.HostPort {
-		t.Errorf("it is fresh again: %+v", m)
+	if m := v.Members()[0]; m.HostPort != inEtcd.HostPort {
+		t.Errorf("etcd fresh again: got %+v, want etcd's address", m)
 	}
 }
 
-// A source that suddenly loses most of what it listed is read once more; what it
-// drains meanwhile drains.
+// Guards against a faulty source that removes most endpoints at once, for example with an empty list.
+// The removals are held until a resync confirms them. Drains apply in the meantime.
 func TestMassRemovalNeedsResync(t *testing.T) {
-	for _, x := range []struct {
-		name   string
-		left   int // members, once a list that is no resync has removed most of them again
-		update func(rev int64) *Update
+	for _, c := range []struct {
+		name        string
+		membersHeld int // members left after another list without resync that lists only four
+		update      func(rev int64) *Update
 	}{
-		{"an empty list", 10, func(rev int64) *Update { return completeUpdate(etcdSource, rev) }},
-		{"empty after a restore", 10, func(int64) *Update {
+		{"empty list", 10, func(rev int64) *Update { return completeUpdate(etcdSource, rev) }},
+		{"empty list in a new epoch", 10, func(int64) *Update {
 			return &Update{Source: etcdSource, Epoch: "2", Revision: 1, Complete: true}
 		}},
-		{"in one change", 8, func(rev int64) *Update {
+		{"removals in one change", 8, func(rev int64) *Update {
 			u := changeUpdate(etcdSource, rev)
 			for _, m := range upMembers(8) {
 				u.Members = append(u.Members, withPhase(Removed, m))
@@ -232,33 +235,36 @@
 			return u
 		}},
 	} {
-		t.Run(x.name, func(t *testing.T) {
+		t.Run(c.name, func(t *testing.T) {
 			v := newView(t)
 			v.mustApply(t, second, completeUpdate(etcdSource, 50, upMembers(10)...), Accepted)
-			got := v.mustApply(t, 2*second, x.update(51), RemovalsHeld)
+			got := v.mustApply(t, 2*second, c.update(51), RemovalsHeld)
 			if len(got) > 0 || len(v.Members()) != 10 || !v.ResyncRequested(etcdSource) {
-				t.Fatalf("changes %+v, %d left, resync %v", got, len(v.Members()), v.ResyncRequested(etcdSource))
+				t.Fatalf("changes %+v, %d members, resync requested: %v; want none, 10, true",
+					got, len(v.Members()), v.ResyncRequested(etcdSource))
 			}
 			epoch, rev, _ := v.Position(etcdSource)
 			drain := changeUpdate(etcdSource, rev+1, drainingMember("e00003", 3))
 			drain.Epoch = epoch
 			if v.mustApply(t, 3*second, drain, Accepted); v.publishedPhase("e00003") != Draining {
-				t.Error("a drain is not obeyed while a loss is held")
+				t.Error("a drain is not applied while removals are held")
 			}
-			same := completeUpdate(etcdSource, rev+2, upMembers(4)...)
-			same.Epoch = epoch
-			if v.mustApply(t, 4*second, same, RemovalsHeld); len(v.Members()) != x.left {
-				t.Error("a list that is no resync is believed")
+			short := completeUpdate(etcdSource, rev+2, upMembers(4)...)
+			short.Epoch = epoch
+			if v.mustApply(t, 4*second, short, RemovalsHeld); len(v.Members()) != c.membersHeld {
+				t.Errorf("%d members after a list that is no resync, want %d", len(v.Members()), c.membersHeld)
 			}
-			same.Resync = true
-			if v.mustApply(t, 5*second, same, Accepted); len(v.Members()) != 4 || v.ResyncRequested(etcdSource) {
-				t.Errorf("%d left, resync %v", len(v.Members()), v.ResyncRequested(etcdSource))
+			short.Resync = true
+			if v.mustApply(t, 5*second, short, Accepted); len(v.Members()) != 4 || v.ResyncRequested(etcdSource) {
+				t.Errorf("after the resync: %d members, resync requested: %v; want 4, false",
+					len(v.Members()), v.ResyncRequested(etcdSource))
 			}
 		})
 	}
 }
 
-// One by one most of them go as well; those that had drained do not count.
+// Guards against a source that removes most endpoints one by one: single removals within the window
+// add up to the limit. Removals of draining endpoints do not count.
 func TestSingleRemovalsAddUp(t *testing.T) {
 	v := newView(t)
 	v.mustApply(t, second, completeUpdate(etcdSource, 1, upMembers(20)...), Accepted)
@@ -274,21 +280,21 @@
 		}
 		v.Step(2 * second)
 	}
-	if held != 2 || len(v.Members()) != 6 { // ten of twenty may go; four had drained
-		t.Errorf("%d held, %d left", held, len(v.Members()))
+	if held != 2 || len(v.Members()) != 6 { // the limit is ten of twenty; four others were draining
+		t.Errorf("%d removals held, %d members; want 2 and 6", held, len(v.Members()))
 	}
-	for k := 16; k < 20; k++ { // long after, they may
+	for k := 16; k < 20; k++ { // in later windows, removals are accepted again
 		later := 2*second + Time(k+1)*v.settings.RemovalWindow
 		removed := removedMember(fmt.Sprintf("e%05d", k), k)
 		v.mustApply(t, later, changeUpdate(etcdSource, int64(100+k), removed), Accepted)
 	}
 	if len(v.Members()) != 2 {
-		t.Errorf("%d left", len(v.Members()))
+		t.Errorf("%d members after removals in later windows, want 2", len(v.Members()))
 	}
 }
 
-// One that flaps a hundred times a second goes down at once each time and comes up
-// no more than so often; the others are published as ever.
+// An endpoint that flaps a hundred times per second goes down without delay each time, but comes up
+// at most MaxFlaps times. After that it comes up only HoldDown after it last went down.
 func TestFlapping(t *testing.T) {
 	v := newView(t)
 	v.mustApply(t, second, completeUpdate(etcdSource, 1, upMembers(3)...), Accepted)
@@ -307,54 +313,57 @@
 				}
 			}
 			if phase == Draining && v.publishedPhase("e00001") == Up {
-				t.Fatal("a drain waits")
+				t.Fatal("a drain is delayed")
 			}
 		}
 	}
 	if ups > v.settings.MaxFlaps || downs != ups+1 {
-		t.Errorf("%d ups and %d downs", ups, downs)
+		t.Errorf("endpoint came up %d times and went down %d times, want at most %d ups and one down more",
+			ups, downs, v.settings.MaxFlaps)
 	}
 	for n := 0; v.publishedPhase("e00001") != Up && n < 10; n++ {
 		next := v.NextDeadline()
 		if next <= now {
-			t.Fatalf("next at %d, now %d", next, now)
+			t.Fatalf("NextDeadline() = %d, want after %d", next, now)
 		}
 		now = next
 		v.Step(now)
 	}
 	if v.publishedPhase("e00001") != Up || now > 2*second+5*second+v.settings.HoldDown+second {
-		t.Errorf("%q at %d ms", v.publishedPhase("e00001"), now/1000)
+		t.Errorf("endpoint is %q at %d ms, want %q soon after HoldDown", v.publishedPhase("e00001"), now/1000, Up)
 	}
 }
 
-// A list of 50,000 comes up in pieces; a drain in the middle of it, and a rate that
-// is cut, do not wait for the rest.
+// The endpoints of a list of 50,000 come up in several steps. Drains and lowered rates are published
+// in the next step, without waiting for the rest of the list.
 func TestLongLists(t *testing.T) {
 	v := newView(t)
 	v.Apply(second, completeUpdate(etcdSource, 1, upMembers(50000)...))
 	if got := v.Step(second); len(got) != v.settings.MaxUpsPerStep || v.NextDeadline() > second {
-		t.Fatalf("%d changes, next at %d", len(got), v.NextDeadline())
+		t.Fatalf("first step: %d changes, next deadline %d; want %d changes and a deadline that is due",
+			len(got), v.NextDeadline(), v.settings.MaxUpsPerStep)
 	}
 	slow := upMember("e00002", 2)
 	slow.Rate = 1
 	v.Apply(second, changeUpdate(etcdSource, 2, drainingMember("e00001", 1), slow, drainingMember("e49999", 49999)))
 	got := v.Step(second)
 	if len(got) != v.settings.MaxUpsPerStep+3 || got[0].ID != "e00001" || got[1].Rate != 1 || got[2].Phase != Draining {
-		t.Errorf("%d changes, first %+v", len(got), got[:3])
+		t.Errorf("second step: %d changes beginning with %+v, want %d, first a drain, a lowered rate and a drain",
+			len(got), got[:3], v.settings.MaxUpsPerStep+3)
 	}
 	steps := 2
 	for ; v.NextDeadline() <= second; steps++ {
 		v.Step(second)
 	}
 	if steps != 13 || len(v.Members()) != 50000 {
-		t.Errorf("%d steps, %d members", steps, len(v.Members()))
+		t.Errorf("%d steps, %d members; want 13 and 50000", steps, len(v.Members()))
 	}
 	if v.publishedPhase("e49999") != Draining {
-		t.Error("one that drained before it was published came up")
+		t.Error("an endpoint that drained before it was published came up")
 	}
 }
 
-// An entry that cannot be read stays as it was, and is noted once.
+// An entry that cannot be decoded keeps its last known state, and causes only one warning.
 func TestUnreadableEntries(t *testing.T) {
 	v := newView(t)
 	v.mustApply(t, second, completeUpdate(etcdSource, 1, upMembers(3)...), Accepted)
@@ -362,61 +371,64 @@
 		u := completeUpdate(etcdSource, rev, upMembers(2)...)
 		u.UnreadableIDs = []string{"e00002", "never"}
 		if got := v.mustApply(t, second, u, Accepted); len(got) > 0 {
-			t.Fatalf("changes %+v", got)
+			t.Fatalf("changes %+v, want none", got)
 		}
 	}
-	known := 0
-	for _, n := range v.TakeWarnings() {
-		if n.ID == "e00002" {
-			known++
+	warnings := 0
+	for _, w := range v.TakeWarnings() {
+		if w.ID == "e00002" {
+			warnings++
 		}
 	}
-	if known != 1 || v.publishedPhase("e00002") != Up {
-		t.Errorf("noted %d times; %q", known, v.publishedPhase("e00002"))
+	if warnings != 1 || v.publishedPhase("e00002") != Up {
+		t.Errorf("%d warnings, endpoint is %q; want 1 and %q", warnings, v.publishedPhase("e00002"), Up)
 	}
 	u := changeUpdate(etcdSource, 7)
 	u.UnreadableIDs, u.DrainedIDs = []string{"e00002"}, []string{"e00002", "never"}
 	if v.mustApply(t, second, u, Accepted); v.publishedPhase("e00002") != Draining || v.publishedPhase("never") != "" {
-		t.Error("a drain of one that cannot be read")
+		t.Errorf("after drains of unreadable entries: known entry is %q, want %q; unknown entry is %q, want none",
+			v.publishedPhase("e00002"), Draining, v.publishedPhase("never"))
 	}
 	v.mustApply(t, second, changeUpdate(etcdSource, 8, upMember("e00002", 2)), Accepted)
 	if v.publishedPhase("e00002") != Up {
-		t.Error("it can be read again, and does not drain")
+		t.Errorf("endpoint is %q after a readable value, want %q", v.publishedPhase("e00002"), Up)
 	}
 }
 
-// One endpoint under two names is one; an address under a new id of the same source
-// is a new endpoint, and inherits nothing.
+// Entries of two sources with different ids and the same address are one endpoint. A new id at the
+// same address in the same source is a new endpoint, which does not inherit the old one's phase.
 func TestEndpointWithTwoIDs(t *testing.T) {
 	v := newView(t)
 	v.mustApply(t, second, completeUpdate(etcdSource, 1, upMember("a1", 1)), Accepted)
 	v.mustApply(t, second, completeUpdate(registrySource, 1, upMember("b1", 1), upMember("b2", 2)), Accepted)
 	if len(v.Members()) != 2 || v.publishedPhase("b1") != "" || v.publishedPhase("a1") != Up {
-		t.Fatalf("%+v", v.Members())
+		t.Fatalf("view is %+v, want a1 and b2", v.Members())
 	}
 	v.mustApply(t, second, changeUpdate(registrySource, 2, drainingMember("b1", 1)), Accepted)
 	if v.publishedPhase("a1") != Draining {
-		t.Error("a drain under its other name")
+		t.Errorf("a1 is %q after a drain under its other id, want %q", v.publishedPhase("a1"), Draining)
 	}
-	// It is replaced: both sources update it, one after the other.
+	// The endpoint is replaced by a new one at its address: first etcd, then the registry says so.
 	got := v.mustApply(t, second, changeUpdate(etcdSource, 2, removedMember("a1", 1), upMember("a2", 1)), Accepted)
 	if v.publishedPhase("a1") != "" || v.publishedPhase("a2") != Draining {
-		t.Errorf("changes %+v; a1 %q, a2 %q", got, v.publishedPhase("a1"), v.publishedPhase("a2"))
+		t.Errorf("after etcd's update: a1 is %q, a2 is %q, want none and %q; changes %+v",
+			v.publishedPhase("a1"), v.publishedPhase("a2"), Draining, got)
 	}
 	v.mustApply(t, second, changeUpdate(registrySource, 3, removedMember("b1", 1), upMember("b0", 1)), Accepted)
 	if v.publishedPhase("a2") != Up || v.publishedPhase("b0") != "" || len(v.Members()) != 2 {
-		t.Errorf("a2 %q: %+v", v.publishedPhase("a2"), v.Explain(second))
+		t.Errorf("after the registry's update: a2 is %q, want %q; all entries: %+v",
+			v.publishedPhase("a2"), Up, v.Explain(second))
 	}
-	// In another cell the same address is somebody else.
+	// The same address for another destination is another endpoint.
 	other := upMember("b4", 1)
 	other.Dest = 4
 	if v.mustApply(t, second, changeUpdate(registrySource, 4, other), Accepted); v.publishedPhase("b4") != Up {
-		t.Errorf("%+v", v.Members())
+		t.Errorf("b4 is %q, want %q: view is %+v", v.publishedPhase("b4"), Up, v.Members())
 	}
 }
 
-// A list of an older revision, of an epoch that was left, and a change that builds
-// on nothing are not believed.
+// An update with an older revision or of a former epoch is outdated. A change to a list that is not
+// known requires a resync.
 func TestRevisions(t *testing.T) {
 	v := newView(t)
 	v.mustApply(t, second, changeUpdate(etcdSource, 5, upMember("x", 1)), ResyncRequired)
@@ -431,11 +443,11 @@
 	v.mustApply(t, second, u, Accepted)
 	v.mustApply(t, second, completeUpdate(etcdSource, 900, upMembers(1)...), Outdated)
 	if len(v.Members()) != 3 || v.publishedPhase("e00001") != Up {
-		t.Errorf("%+v", v.Members())
+		t.Errorf("view is %+v, want 3 members and e00001 up", v.Members())
 	}
 }
 
-// drawUpdates draws the updates of three sources.
+// drawUpdates draws random updates of three sources.
 func drawUpdates(t *rapid.T) [][]*Update {
 	ids := rapid.SampledFrom([]string{"a", "b", "c", "d", "e"})
 	plan := make([][]*Update, 3)
@@ -477,7 +489,7 @@
 	return plan
 }
 
-// drawOrder draws an order of updates that keeps each source's own.
+// drawOrder draws a random interleaving of the updates, which keeps the order of each source.
 func drawOrder(t *rapid.T, plan [][]*Update) (order []*Update) {
 	at := make([]int, len(plan))
 	for {
@@ -496,7 +508,7 @@
 	}
 }
 
-// publishedList is a relay's list, made of the changes that were published.
+// publishedList is the list of a relay that applies all published changes.
 type publishedList map[string]Member
 
 func (l publishedList) apply(changes []Change) {
@@ -509,7 +521,7 @@
 	}
 }
 
-// stepUntilPublished steps until all is published, and returns the view.
+// stepUntilPublished calls Step until all changes are published, and returns the members of the view.
 func (v *View) stepUntilPublished(l publishedList, now Time) []Member {
 	for range 100 {
 		l.apply(v.Step(now))
@@ -519,16 +531,16 @@
 
 const testNow = 1000 * second
 
-func withoutDelays(x *Settings) {
-	for i := range x.Sources {
-		x.Sources[i].StaleAfter = 1e15
+func withoutDelays(s *Settings) {
+	for i := range s.Sources {
+		s.Sources[i].StaleAfter = 1e15
 	}
-	x.HoldDown, x.MaxUpsPerStep = 0, 2
+	s.HoldDown, s.MaxUpsPerStep = 0, 2
 }
 
-// The view does not depend on which source was heard first; updates that come
-// again change nothing; what was published adds up to it; and another process that takes
-// over what was known has the same.
+// For random updates: the view does not depend on the order in which the sources are heard; the
+// published changes add up to the view; repeated updates change nothing; and a view that imports
+// the exported state has the same members.
 func TestArrivalOrderIsIrrelevant(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		plan := drawUpdates(rt)
@@ -545,11 +557,11 @@
 		a, la := play(first)
 		b, _ := play(drawOrder(rt, plan))
 		if !reflect.DeepEqual(a.Explain(testNow), b.Explain(testNow)) || !reflect.DeepEqual(a.Members(), b.Members()) {
-			rt.Fatalf("two orders:\n%+v\n%+v", a.Explain(testNow), b.Explain(testNow))
+			rt.Fatalf("two orders of updates give different views:\n%+v\n%+v", a.Explain(testNow), b.Explain(testNow))
 		}
-		for id, x := range a.published {
-			if m, ok := la[id]; ok != x.listed || ok && m != x.Member {
-				rt.Fatalf("%s was published as %+v, and is %+v", id, m, x)
+		for id, p := range a.published {
+			if m, ok := la[id]; ok != p.listed || ok && m != p.Member {
+				rt.Fatalf("published changes of %s add up to %+v, but the view has %+v", id, m, p)
 			}
 		}
 		before := a.Members()
@@ -557,18 +569,18 @@
 			a.Apply(testNow, u)
 		}
 		if a.stepUntilPublished(la, testNow); !reflect.DeepEqual(before, a.Members()) {
-			rt.Fatalf("applied again:\n%+v\n%+v", before, a.Members())
+			rt.Fatalf("repeated updates changed the view:\n%+v\n%+v", before, a.Members())
 		}
 		c := newView(t, withoutDelays)
 		c.Import(testNow, b.Export(testNow))
 		if c.stepUntilPublished(publishedList{}, testNow); !reflect.DeepEqual(c.Members(), b.Members()) {
-			rt.Fatalf("taken over:\n%+v\n%+v", b.Members(), c.Members())
+			rt.Fatalf("the view changed by export and import:\n%+v\n%+v", b.Members(), c.Members())
 		}
 	})
 }
 
-// A drain, and an end that is believed, hold until the same source states otherwise,
-// whatever the others state, from the next step on.
+// For random updates: from the next step on, a drain or an accepted removal applies until the same
+// source states otherwise, whatever the other sources state.
 func TestDrainsAreMonotone(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		v := newView(t, withoutDelays)
@@ -603,7 +615,8 @@
 			for i := range last {
 				for id, phase := range last[i] {
 					if m, ok := l[id]; ok && phase != Up && m.Phase == Up {
-						rt.Fatalf("%s is up, and source %d states %s: %+v %v", id, i, phase, *u, v.Explain(testNow))
+						rt.Fatalf("%s is up, but source %d last stated %s; after update %+v the entries are %v",
+							id, i, phase, *u, v.Explain(testNow))
 					}
 				}
 			}
--- a/internal/membership/merge.go
+++ b/internal/membership/merge.go
@@ -1,19 +1,19 @@
 package membership
 
-// mergedMember is what the sources together state of one of the view's endpoints, and
-// the source that decided its phase (-1 for none). It is removed, and ok is false, where
-// no source lists it or one of them has removed it.
+// mergedMember merges the states of one of the view's endpoints in all sources. It also returns
+// the source that decided the phase, -1 for none. If no source lists the endpoint, or one has
+// removed it, the member's phase is Removed and ok is false.
 func (v *View) mergedMember(id string) (m Member, decidedBy int, ok bool) {
-	var first, fresh, rated *entry // of those that list it
-	worst := 0
+	var first, fresh, rated *entry // among the entries that list it
+	highestRank := 0
 	decidedBy = -1
 	for i := range v.sources {
 		e, rank := v.sourceEntry(id, i)
 		if e == nil {
 			continue
 		}
-		if rank > worst {
-			worst, decidedBy = rank, i
+		if rank > highestRank {
+			highestRank, decidedBy = rank, i
 		}
 		if !e.listed() {
 			continue
@@ -28,7 +28,7 @@
 			rated = e
 		}
 	}
-	if first == nil || worst == phaseRank(Removed) {
+	if first == nil || highestRank == phaseRank(Removed) {
 		return Member{ID: id, Phase: Removed}, decidedBy, false
 	}
 	if fresh == nil {
@@ -39,15 +39,15 @@
 	if rated != nil {
 		m.Rate = rated.Rate
 	}
-	if worst == phaseRank(Draining) {
+	if highestRank == phaseRank(Draining) {
 		m.Phase = Draining
 	}
 	return m, decidedBy, true
 }
 
-// sourceEntry is what one source states of one of the view's endpoints, and the rank of the
-// phase; nil for nothing. Where it names the endpoint by two ids, the one that is the
-// view's id describes it, and the worse phase counts.
+// sourceEntry returns the entry of a source for one of the view's endpoints, nil if there is none,
+// and the rank of its phase. If the source has two entries for the endpoint, the one whose id is
+// the view's describes the endpoint, and the higher rank of the two phases counts.
 func (v *View) sourceEntry(viewID string, source int) (e *entry, rank int) {
 	e = newestEntry(v.byViewID[viewID], source)
 	if e == nil {
@@ -65,8 +65,9 @@
 	return e, rank
 }
 
-// reevaluate compares one of the view's endpoints with what was published of it. What
-// must not wait is published in the next step, the rest in its turn.
+// reevaluate merges one of the view's endpoints again and, if it differs from its published state,
+// schedules its publication: drains, removals and lowered rates for the next step, other changes
+// in the queue of endpoints that come up.
 func (v *View) reevaluate(id string) {
 	m, decidedBy, ok := v.mergedMember(id)
 	p := v.published[id]
--- a/internal/membership/provenance.go
+++ b/internal/membership/provenance.go
@@ -2,30 +2,30 @@
 
 import "slices"
 
-// SourceRecord is what one source states of an endpoint.
+// SourceRecord is the state of an endpoint in one source.
 type SourceRecord struct {
 	Source       string  `json:"source"`
-	ID           string  `json:"id"` // the source's own id for it
+	ID           string  `json:"id"` // the source's own id of the endpoint
 	HostPort     string  `json:"host_port,omitempty"`
 	Phase        string  `json:"phase"`
 	Rate         float64 `json:"size,omitempty"`
-	Revision     int64   `json:"revision"`         // of the update that last stated something new of it
-	LastHeardAgo Time    `json:"heard_ago_us"`     // since the source was last heard
-	Stale        bool    `json:"stale,omitempty"`  // the source was not heard of late
-	Held         bool    `json:"held,omitempty"`   // its removal has to be confirmed
+	Revision     int64   `json:"revision"`         // revision of the update that last changed the record
+	LastHeardAgo Time    `json:"heard_ago_us"`     // time since the source was last heard
+	Stale        bool    `json:"stale,omitempty"`  // the source has been silent for longer than its StaleAfter
+	Held         bool    `json:"held,omitempty"`   // the source removed it, but the removal has to be confirmed
 	Unreadable   bool    `json:"spoilt,omitempty"` // its last value cannot be decoded
 }
 
-// Provenance is one endpoint, and what each source states of it.
+// Provenance is one endpoint with its state in each source.
 type Provenance struct {
 	Member
-	Listed    bool           `json:"listed"`       // it is in the view, as published
+	Listed    bool           `json:"listed"`       // it is in the published view
 	DecidedBy string         `json:"by,omitempty"` // the source that decided the phase
 	Pending   bool           `json:"waits,omitempty"`
 	Records   []SourceRecord `json:"said"`
 }
 
-// Explain shows every endpoint that a source names, by the view's id.
+// Explain returns every endpoint that any source lists or has removed, ordered by the view's ids.
 func (v *View) Explain(now Time) []Provenance {
 	var all []Provenance
 	for _, id := range sortedKeys(v.byViewID) {
--- a/internal/membership/publish.go
+++ b/internal/membership/publish.go
@@ -2,41 +2,41 @@
 
 import "container/heap"
 
-// publishedMember is an endpoint of the view, as it was published.
+// publishedMember is the published state of an endpoint.
 type publishedMember struct {
 	Member
 	listed          bool // it is in the view
-	decidedBy       int
-	flaps           int // times it went down since flapWindowStart
+	decidedBy       int  // the source that decided the phase
+	flaps           int  // how often it went down since flapWindowStart
 	flapWindowStart Time
 	lastDownAt      Time
-	pending         bool // that it is up, or another change of it, is to be published
+	pending         bool // it is queued to be published as up or with another change that can wait
 }
 
-// delayedUp is an endpoint that comes up later, since it went down too often.
+// delayedUp is an endpoint whose return to up is delayed because it went down too often.
 type delayedUp struct {
 	at Time
 	id string
 }
 
-// delayedUps is a heap, the earliest first.
+// delayedUps is a heap ordered by time.
 type delayedUps []delayedUp
 
-// Len is heap.Interface's.
+// Len implements heap.Interface.
 func (l delayedUps) Len() int { return len(l) }
 
-// Less is heap.Interface's.
+// Less implements heap.Interface.
 func (l delayedUps) Less(i, j int) bool {
 	return l[i].at < l[j].at || l[i].at == l[j].at && l[i].id < l[j].id
 }
 
-// Swap is heap.Interface's.
+// Swap implements heap.Interface.
 func (l delayedUps) Swap(i, j int) { l[i], l[j] = l[j], l[i] }
 
-// Push is heap.Interface's.
+// Push implements heap.Interface.
 func (l *delayedUps) Push(x any) { *l = append(*l, x.(delayedUp)) }
 
-// Pop is heap.Interface's.
+// Pop implements heap.Interface.
 func (l *delayedUps) Pop() any {
 	last := len(*l) - 1
 	x := (*l)[last]
@@ -44,8 +44,8 @@
 	return x
 }
 
-// Step returns what has changed by now: first all drains, removals and lowered rates,
-// then endpoints that come up, MaxUpsPerStep at a time.
+// Step publishes the changes that are due now and returns them: first all drains, removals and
+// lowered rates, then endpoints that come up, at most MaxUpsPerStep of them.
 func (v *View) Step(now Time) (changes []Change) {
 	v.now = max(v.now, now)
 	v.applyTimeouts()
@@ -60,8 +60,8 @@
 	return v.publishPending(changes)
 }
 
-// publishPending publishes endpoints that come up, in their order. Those that went down
-// too often are delayed.
+// publishPending publishes queued endpoints in order, up to MaxUpsPerStep. It delays those that
+// went down too often.
 func (v *View) publishPending(changes []Change) []Change {
 	before := len(changes)
 	for i, id := range v.pendingUps {
@@ -82,12 +82,13 @@
 	return changes
 }
 
-// flapping reports whether an endpoint has gone down too often to come up now.
+// flapping reports whether an endpoint went down too often to be published as up now.
 func (v *View) flapping(p *publishedMember) bool {
 	return p.flaps >= v.settings.MaxFlaps && v.now < p.lastDownAt+v.settings.HoldDown
 }
 
-// publish appends the change from what was published of an endpoint to what is true now.
+// publish updates the published state of an endpoint to its merged state, and appends the change
+// if there is one.
 func (v *View) publish(changes []Change, id string) []Change {
 	p := v.published[id]
 	if p == nil {
@@ -114,8 +115,8 @@
 	return append(changes, Change{m, decidedBy})
 }
 
-// forgetPublished drops an endpoint that is not in the view, once its flaps no longer
-// count.
+// forgetPublished deletes the published state of an endpoint that is not in the view, unless its
+// flaps still count.
 func (v *View) forgetPublished(id string, p *publishedMember) {
 	if v.now >= p.lastDownAt+max(v.settings.HoldDown, v.settings.FlapWindow) {
 		delete(v.published, id)
--- a/internal/membership/settings.go
+++ b/internal/membership/settings.go
@@ -6,30 +6,30 @@
 	"slices"
 )
 
-// Source is one that states which endpoints there are.
+// Source is a source of endpoint lists.
 type Source struct {
 	Name       string
-	StaleAfter Time // silent for so long, it no longer takes precedence over fresh sources
+	StaleAfter Time // after that much silence it no longer takes precedence over fresh sources
 }
 
 // Settings are the parameters of the merge.
 type Settings struct {
 	Sources []Source // in order of precedence
-	// A source may remove MaxRemovalShare of what it lists within RemovalWindow, and
-	// MinRemovalLimit endpoints in any case; removals beyond that are held.
+	// Within RemovalWindow a source may remove the share MaxRemovalShare of the endpoints that it
+	// lists, and in any case MinRemovalLimit endpoints. Further removals are held.
 	MaxRemovalShare float64
 	MinRemovalLimit int
 	RemovalWindow   Time
-	// An endpoint that went down MaxFlaps times within FlapWindow comes up again HoldDown
-	// after it last did.
+	// An endpoint that went down MaxFlaps times within FlapWindow is published as up again only
+	// HoldDown after it last went down.
 	MaxFlaps         int
 	FlapWindow       Time
 	HoldDown         Time
-	MaxUpsPerStep    int  // endpoints that come up in one step
-	RemovalRetention Time // how long a removal binds the other sources
+	MaxUpsPerStep    int  // maximum of endpoints that come up in one step
+	RemovalRetention Time // how long a removal overrides the other sources
 }
 
-// DefaultSettings are parameters for some thousand endpoints.
+// DefaultSettings returns settings that suit some thousand endpoints.
 func DefaultSettings(sources ...Source) Settings {
 	return Settings{
 		Sources:          sources,
@@ -44,10 +44,10 @@
 	}
 }
 
-// Check returns an error that names what is wrong with the settings, or nil.
+// Check returns an error if the settings are invalid.
 func (s *Settings) Check() error {
 	if len(s.Sources) == 0 {
-		return errors.New("membership: no source")
+		return errors.New("membership: settings have no source")
 	}
 	for i := range s.Sources {
 		source := &s.Sources[i]
@@ -56,18 +56,18 @@
 		case source.Name == "":
 			return fmt.Errorf("membership: source %d has no name", i+1)
 		case slices.ContainsFunc(s.Sources[:i], sameName):
-			return fmt.Errorf("membership: two sources are called %q", source.Name)
+			return fmt.Errorf("membership: two sources have the name %q", source.Name)
 		case source.StaleAfter <= 0:
-			return fmt.Errorf("membership: source %s: stale after %d", source.Name, source.StaleAfter)
+			return fmt.Errorf("membership: source %s: StaleAfter is %d, want over 0", source.Name, source.StaleAfter)
 		}
 	}
 	switch {
-	case !(s.MaxRemovalShare >= 0 && s.MaxRemovalShare <= 1): // also where it is not a number
-		return fmt.Errorf("membership: a share of %v that may be removed", s.MaxRemovalShare)
+	case !(s.MaxRemovalShare >= 0 && s.MaxRemovalShare <= 1): // negated, so that NaN fails too
+		return fmt.Errorf("membership: MaxRemovalShare is %v, must be from 0 to 1", s.MaxRemovalShare)
 	case s.MinRemovalLimit < 0, s.RemovalWindow <= 0,
 		s.MaxFlaps < 1, s.FlapWindow <= 0, s.HoldDown < 0,
 		s.MaxUpsPerStep < 1, s.RemovalRetention <= 0:
-		return errors.New("membership: a parameter is out of range")
+		return fmt.Errorf("membership: a setting is out of range: %+v", *s)
 	}
 	return nil
 }
--- a/internal/membership/state.go
+++ b/internal/membership/state.go
@@ -5,8 +5,8 @@
 	"slices"
 )
 
-// State is what outlasts a process: what each source last stated. Its moments are ages,
-// so that processes need not share a clock.
+// State is the state that is saved across restarts: the last list of each source. Its times are
+// ages, so that the processes need not share a clock.
 type State struct {
 	Sources []SourceState `json:"sources"`
 }
@@ -16,20 +16,20 @@
 	Name     string       `json:"name"`
 	Epoch    string       `json:"epoch"`
 	Revision int64        `json:"revision"`
-	Updates  int64        `json:"words"` // accepted ones
+	Updates  int64        `json:"words"` // number of accepted updates
 	Entries  []EntryState `json:"entries"`
 }
 
-// EntryState is what a source stated of one id.
+// EntryState is the saved state of an entry: one id in the list of a source.
 type EntryState struct {
 	Member
 	Revision     int64 `json:"revision"`
-	UpdateNumber int64 `json:"word"` // of the update that last stated something new of it
+	UpdateNumber int64 `json:"word"` // number of the update that last changed the entry
 	RemovedAgo   Time  `json:"removed_ago_us,omitempty"`
-	Held         bool  `json:"held,omitempty"` // its removal has to be confirmed
+	Held         bool  `json:"held,omitempty"` // the source removed it, but the removal has to be confirmed
 }
 
-// Export is what is known by now.
+// Export returns the state to save. now is the time from which its ages count.
 func (v *View) Export(now Time) *State {
 	state := &State{}
 	for i := range v.sources {
@@ -55,10 +55,10 @@
 	return state
 }
 
-// Import takes over into an empty view what an earlier process knew, of sources that are
-// still configured under their names. They are stale until they are heard. What was
-// draining drains; what was removed less than RemovalRetention ago stays removed. Entries
-// that make no sense are left out.
+// Import loads the state of an earlier process into an empty view. It loads only sources that are
+// configured under the same name. They are stale until they are heard. Draining entries stay
+// draining, and entries removed less than RemovalRetention ago stay removed. Invalid entries are
+// skipped.
 func (v *View) Import(now Time, state *State) {
 	v.now = max(v.now, now)
 	for i := range state.Sources {
@@ -97,8 +97,8 @@
 	}
 }
 
-// importable reports whether an entry has a phase that is known, and is not a removal
-// that binds nobody any more.
+// importable reports whether an entry has a known phase and, if it is removed, whether the removal
+// has not expired.
 func (v *View) importable(exported *EntryState) bool {
 	switch exported.Phase {
 	case Up, Draining:
--- a/internal/membership/timeouts.go
+++ b/internal/membership/timeouts.go
@@ -2,13 +2,14 @@
 
 import "slices"
 
-// applyTimeouts books what time alone has changed.
+// applyTimeouts applies the changes that are due to elapsed time: sources that became stale, and
+// removals that expired.
 func (v *View) applyTimeouts() {
 	for i := range v.sources {
 		t := &v.sources[i]
 		if t.fresh && v.now > t.lastHeard+v.settings.Sources[i].StaleAfter {
 			t.fresh = false
-			v.warn(Warning{Source: i, Text: "silent: what it listed stays as last known"})
+			v.warn(Warning{Source: i, Text: "source is silent, keeping its endpoints as last known"})
 			v.reevaluateSource(i)
 		}
 	}
@@ -21,12 +22,12 @@
 	v.removals = slices.Delete(v.removals, 0, expired)
 }
 
-// removalExpires reports whether a removal is too old, or one of too many.
+// removalExpires reports whether the i-th removal is too old, or too many follow it.
 func (v *View) removalExpires(i int) bool {
 	return v.now >= v.removals[i].at+v.settings.RemovalRetention || len(v.removals)-i > maxRemovals
 }
 
-// expireRemoval forgets a removed entry: it no longer binds other sources.
+// expireRemoval deletes a removed entry, which then no longer overrides other sources.
 func (v *View) expireRemoval(e *entry) {
 	v.beginWalk()
 	v.collectConnected(e)
@@ -41,8 +42,8 @@
 	}
 }
 
-// NextDeadline is when to call Step though nothing was handed in; 0 for never. It is not
-// in the future where more is to be published already.
+// NextDeadline returns the time at which to call Step even if no update arrives until then, 0 for
+// never. If changes are waiting to be published, that time is not in the future.
 func (v *View) NextDeadline() (deadline Time) {
 	if len(v.urgent) > 0 || len(v.pendingUps) > 0 {
 		return max(v.now, 1)
--- a/internal/membership/view.go
+++ b/internal/membership/view.go
@@ -1,27 +1,27 @@
 package membership
 
-// View is the one view of the endpoints. It is not safe for concurrent use.
+// View is the merged view of the endpoints. It is not safe for concurrent use.
 type View struct {
 	settings  Settings
-	sources   []sourceTracker             // as in Settings.Sources
+	sources   []sourceTracker             // in the order of Settings.Sources
 	byAddress map[addressKey][]*entry     // entries of all sources
-	byViewID  map[string][]*entry         // likewise
+	byViewID  map[string][]*entry         // entries of all sources
 	published map[string]*publishedMember // by the view's id
 
-	urgent     []string   // drains, removals, lowered rates: published in the next step
-	pendingUps []string   // endpoints that come up, in their order
-	delayedUps delayedUps // endpoints that went down too often
-	removals   []removal  // in their order
+	urgent     []string   // ids with drains, removals or lowered rates: published in the next step
+	pendingUps []string   // ids that come up or have other changes that can wait, in order
+	delayedUps delayedUps // ids that went down too often to come up now
+	removals   []removal  // ordered by time
 	warnings   []Warning
 	now        Time
 
-	// The walk that assigns ids.
+	// State of the walk that assigns the view's ids.
 	walkNumber uint64
 	connected  []*entry
 	changedIDs []string
 }
 
-// New makes an empty view.
+// New returns an empty view.
 func New(s Settings) (*View, error) {
 	if err := s.Check(); err != nil {
 		return nil, err
@@ -39,7 +39,7 @@
 	return v, nil
 }
 
-// Heartbeat books that a source is alive and has nothing new to state.
+// Heartbeat records that a source is alive and that its list has not changed.
 func (v *View) Heartbeat(now Time, source int) {
 	v.now = max(v.now, now)
 	t := &v.sources[source]
@@ -50,7 +50,7 @@
 	}
 }
 
-// reevaluateSource reevaluates every endpoint that a source names.
+// reevaluateSource reevaluates every endpoint for which a source has an entry.
 func (v *View) reevaluateSource(source int) {
 	entries := v.sources[source].entries
 	for _, id := range sortedKeys(entries) {
@@ -58,7 +58,7 @@
 	}
 }
 
-// Members is the view as it was published, by id.
+// Members returns the members of the published view, ordered by id.
 func (v *View) Members() []Member {
 	var members []Member
 	for _, id := range sortedKeys(v.published) {
@@ -69,12 +69,12 @@
 	return members
 }
 
-// ResyncRequested reports whether a source's complete list is to be read again, to
-// confirm removals that are held.
+// ResyncRequested reports whether a source's complete list must be read again to confirm removals
+// that are held.
 func (v *View) ResyncRequested(source int) bool { return v.sources[source].resyncRequested }
 
-// Position is the revision up to which a source is known, and its epoch; known is false
-// before the first complete list.
+// Position returns the epoch and revision of a source's last accepted update; known is false before
+// the first complete list.
 func (v *View) Position(source int) (epoch string, revision int64, known bool) {
 	t := &v.sources[source]
 	return t.epoch, t.revision, t.known
--- a/internal/membersource/file.go
+++ b/internal/membersource/file.go
@@ -16,14 +16,15 @@
 // membership.State as JSON.
 const FileName = "members"
 
-// saveInterval is how often changes are saved that can wait.
+// saveInterval is the shortest time between saves of changes that can wait.
 const saveInterval = time.Second
 
-// restoredEpoch is the epoch of a list that came from elsewhere than the registry.
+// restoredEpoch is the epoch of the list that the event loop started with, which this process did
+// not receive from the registry.
 const restoredEpoch = "before"
 
-// Restore begins with what an earlier process saved, and with the list that the event
-// loop goes by: it publishes only what differs from that.
+// Restore loads the members that an earlier process saved. list is the list that the event loop
+// started with; Restore publishes only the differences from it.
 func (m *Merger) Restore(list *core.EndpointList) {
 	m.load()
 	if _, _, known := m.view.Position(m.registry); !known {
@@ -37,7 +38,7 @@
 			break
 		}
 	}
-	// What drains by etcd's word may be up in the event loop's list.
+	// An endpoint that etcd lists as draining may be up in the event loop's list.
 	listed := map[string]core.Member{}
 	for _, member := range list.Members {
 		listed[member.ID] = member
@@ -51,7 +52,7 @@
 	m.publish(changed)
 }
 
-// load reads the members file. One that cannot be decoded is left out.
+// load reads the members file. It ignores a file that cannot be read or decoded.
 func (m *Merger) load() {
 	text, err := os.ReadFile(m.path)
 	if errors.Is(err, os.ErrNotExist) {
@@ -62,13 +63,13 @@
 		err = json.Unmarshal(text, state)
 	}
 	if err != nil {
-		m.options.Log.Warn("members: set aside, nothing is remembered", "err", err)
+		m.options.Log.Warn("members: saved file is unusable, starting without it", "err", err)
 		return
 	}
 	m.view.Import(m.now(), state)
 }
 
-// save replaces the members file, as a whole or not at all.
+// save replaces the members file atomically.
 func (m *Merger) save() {
 	m.unsaved, m.saveNow, m.lastSaved = false, false, time.Now()
 	text, err := json.Marshal(m.view.Export(m.now()))
@@ -76,6 +77,6 @@
 		err = renameio.WriteFile(m.path, text, 0o600)
 	}
 	if err != nil {
-		m.options.Log.Warn("members: not kept", "err", err)
+		m.options.Log.Warn("members: saving the members file failed, the previous file stays", "err", err)
 	}
 }
--- a/internal/membersource/fixtures_test.go
+++ b/internal/membersource/fixtures_test.go
@@ -14,7 +14,7 @@
 	"troutusher/internal/membership"
 )
 
-// The lines of the helper that follows etcd, as package follow writes them.
+// The lines that package follow, the helper process, writes are decoded completely.
 func TestHelperLineFixture(t *testing.T) {
 	text, err := os.ReadFile(filepath.Join("..", "source", "etcd", "follow", "testdata", "lines.jsonl"))
 	if err != nil {
@@ -36,15 +36,16 @@
 			want = fmt.Sprintf("{\"word\":%s}\n", update)
 		}
 		if string(line) != want || got.Heartbeat != (got.Update == nil) {
-			t.Errorf("%s is read as %+v", line, got)
+			t.Errorf("%s is decoded as %+v, which is encoded as %s", line, got, want)
 		}
 	}
 }
 
-// The members file as a relay writes it, and what one that begins with it publishes.
+// A relay writes the recorded members file, and a relay that starts with that file publishes the
+// recorded list and writes the same file again.
 func TestMembersFileFixture(t *testing.T) {
 	var published []*core.EndpointList
-	begun := func(dir string) *Merger {
+	newMerger := func(dir string) *Merger {
 		published = nil
 		return newTestMerger(t, dir, func(l *core.EndpointList) { published = append(published, l) })
 	}
@@ -55,7 +56,7 @@
 		}
 	}
 	dir := t.TempDir()
-	m := begun(dir)
+	m := newMerger(dir)
 	registryList := &core.EndpointList{
 		Revision: 4, Complete: true, Members: []core.Member{member("a", 1, core.Up), member("b", 2, core.Up)},
 	}
@@ -78,10 +79,10 @@
 	if err := os.WriteFile(filepath.Join(dir, "members"), recorded, 0o600); err != nil {
 		t.Fatal(err)
 	}
-	m = begun(dir)
+	m = newMerger(dir)
 	m.Restore(registryList)
 	if len(published) != 1 {
-		t.Fatalf("published %+v", published)
+		t.Fatalf("Restore published %d lists, want 1: %+v", len(published), published)
 	}
 	if text, err = json.Marshal(published[0]); err != nil {
 		t.Fatal(err)
--- a/internal/membersource/helper.go
+++ b/internal/membersource/helper.go
@@ -15,28 +15,28 @@
 	"troutusher/internal/membership"
 )
 
-// The helper is the kit program's subcommand "follow". It writes one JSON object a line
-// to its output, and reads commands from its input, a word a line; it ends with its
-// input, also where this process is killed.
+// The helper is the kit program's subcommand "follow". It writes JSON objects to its standard output
+// and reads commands from its standard input, one per line each. It exits when its input ends, so
+// also when this process is killed.
 
 const (
 	helperProgram    = "troutusher-kit"
 	helperSubcommand = "follow"
-	resyncCommand    = "anew\n" // has it read the complete list again
+	resyncCommand    = "anew\n" // makes the helper read the complete list again
 
-	minHelperBackoff   = 200 * time.Millisecond // doubles with each helper that ends
+	minHelperBackoff   = 200 * time.Millisecond // doubles each time the helper ends
 	maxHelperBackoff   = 5 * time.Second
-	stableHelperRun    = 10 * time.Second // after a run that lasted so long backoff begins again
-	maxHelperLineBytes = 256 << 20        // of one update
+	stableHelperRun    = 10 * time.Second // after a longer run the backoff starts again at its minimum
+	maxHelperLineBytes = 256 << 20        // longest line, which holds one update
 )
 
-// helperMessage is one line of the helper: an update of etcd's endpoints, or a heartbeat.
+// helperMessage is one line of the helper's output: an update of etcd's endpoints, or a heartbeat.
 type helperMessage struct {
 	Update    *membership.Update `json:"word"`
 	Heartbeat bool               `json:"alive"`
 }
 
-// kitCommand is the kit program that lies beside this one.
+// kitCommand returns the command of the kit program in the folder of this program.
 func kitCommand() (*exec.Cmd, error) {
 	self, err := os.Executable()
 	if err != nil {
@@ -45,7 +45,8 @@
 	return exec.Command(filepath.Join(filepath.Dir(self), helperProgram), helperSubcommand), nil
 }
 
-// RunHelper runs the helper until ctx ends, and starts it again where it ends before.
+// RunHelper runs the helper until ctx ends. If the helper ends earlier, RunHelper starts it again
+// after a backoff.
 func (m *Merger) RunHelper(ctx context.Context) {
 	backoff := minHelperBackoff
 	for ctx.Err() == nil {
@@ -54,7 +55,7 @@
 		if ctx.Err() != nil {
 			return
 		}
-		m.options.Log.Warn("members: the helper that follows etcd has ended", "err", err)
+		m.options.Log.Warn("members: etcd helper process failed or exited, restarting it after a backoff", "err", err)
 		if time.Since(start) > stableHelperRun {
 			backoff = minHelperBackoff
 		}
@@ -66,7 +67,7 @@
 	}
 }
 
-// runHelperOnce runs one helper to its end.
+// runHelperOnce starts the helper once and waits until it has ended.
 func (m *Merger) runHelperOnce(ctx context.Context) error {
 	cmd, err := m.options.HelperCommand()
 	if err != nil {
@@ -82,7 +83,7 @@
 	}
 	cmd.Stderr = os.Stderr
 	if err := cmd.Start(); err != nil {
-		return fmt.Errorf("%s: %w", helperProgram, err)
+		return fmt.Errorf("start %s: %w", helperProgram, err)
 	}
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
@@ -93,14 +94,14 @@
 	}()
 	readErr := m.readHelper(output)
 	cancel()
-	_ = cmd.Process.Kill() // it may have ended already
-	waitErr := cmd.Wait()  // closes its input as well: forwardResyncs ends
+	_ = cmd.Process.Kill() // fails only if the helper has ended already
+	waitErr := cmd.Wait()  // also closes the helper's input, so that forwardResyncs ends
 	<-forwarding
 	return errors.Join(readErr, waitErr)
 }
 
-// forwardResyncs writes resync requests to the helper until ctx ends, and then ends its
-// input: that ends the helper.
+// forwardResyncs writes resync requests to the helper until ctx ends. Then it closes the helper's
+// input, which makes the helper exit.
 func (m *Merger) forwardResyncs(ctx context.Context, input io.WriteCloser) {
 	defer func() { _ = input.Close() }()
 	for {
@@ -115,14 +116,14 @@
 	}
 }
 
-// readHelper queues what the helper writes until its output ends.
+// readHelper queues the helper's updates and heartbeats until its output ends.
 func (m *Merger) readHelper(output io.Reader) error {
 	lines := bufio.NewScanner(output)
 	lines.Buffer(nil, maxHelperLineBytes)
 	for lines.Scan() {
 		var message helperMessage
 		if err := json.Unmarshal(lines.Bytes(), &message); err != nil {
-			return fmt.Errorf("the helper says what makes no sense: %w", err)
+			return fmt.Errorf("decode a line of %d bytes from the helper: %w", len(lines.Bytes()), err)
 		}
 		if message.Update != nil || message.Heartbeat {
 			m.enqueue(m.etcd, message.Update)
--- a/internal/membersource/merger.go
+++ b/internal/membersource/merger.go
@@ -1,9 +1,9 @@
-// Package membersource merges the endpoint lists of discovery's registry and of etcd for
-// a relay: a Merger hands updates of both to a membership.View, publishes what changes in
-// it, keeps it on disk, and runs the helper process that follows etcd.
+// Package membersource merges the endpoint lists of discovery's registry and of etcd for a relay.
+// A Merger applies the updates of both to a membership.View, publishes the changes of the view,
+// saves it to disk, and runs the helper process that watches etcd.
 //
-// etcd is followed by a process of its own, since the libraries that speak its protocol
-// would weigh on every relay. What is believed is membership's to decide.
+// A separate process watches etcd because the client libraries of etcd would enlarge every relay.
+// Package membership decides which updates to accept.
 package membersource
 
 import (
@@ -18,7 +18,7 @@
 	"troutusher/internal/membership"
 )
 
-// Names of the sources.
+// Names of the sources in the members file and in logs.
 const (
 	etcdName     = "etcd"
 	registryName = "registry"
@@ -30,47 +30,47 @@
 	noDeadline         = time.Hour
 )
 
-// Options are what a Merger needs.
+// Options configure a Merger.
 type Options struct {
-	RegistryFirst  bool   // the registry takes precedence; else etcd does
-	StateDir       string // of the members file
+	RegistryFirst  bool   // the registry takes precedence over etcd; else etcd does
+	StateDir       string // folder of the members file
 	Log            *slog.Logger
-	OnChange       func(*core.EndpointList) // called in order
-	ResyncRegistry func()                   // has the registry's complete list fetched again
-	// HelperCommand makes the command of the helper; nil for the kit program that lies
-	// beside this one.
+	OnChange       func(*core.EndpointList) // called with each change, in order
+	ResyncRegistry func()                   // must cause a fetch of the registry's complete list
+	// HelperCommand returns the command of the helper; nil for the kit program in the folder of
+	// this program.
 	HelperCommand func() (*exec.Cmd, error)
 }
 
-// sourceEvent is an update or, without one, a heartbeat of a source; or a callback, due
-// once what was queued before has been published.
+// sourceEvent is an update of a source; or a heartbeat of it, if update is nil; or a callback, to be
+// called when all events queued before it have been published.
 type sourceEvent struct {
 	source   int
 	update   *membership.Update
 	callback func()
 }
 
-// Merger owns the view of the endpoints.
+// Merger merges the sources into the view of the endpoints.
 type Merger struct {
 	options        Options
 	queue          *mailbox.Mailbox[sourceEvent]
-	etcdResync     chan struct{} // holds a value while the helper is to read the complete list
+	etcdResync     chan struct{} // holds a value while a resync request waits to be sent to the helper
 	startedAt      time.Time
 	path           string
-	etcd, registry int // sources of the view
+	etcd, registry int // indexes of the view's sources
 
-	// Of Restore and then of Run's goroutine.
+	// Used only by Restore and then by Run's goroutine.
 	view             *membership.View
 	registryRevision int64
-	resyncRequested  []bool // by source: its complete list
-	resyncEpoch      string // the registry's epoch then
-	missingBaseEpoch string // the registry's epoch at a change of a list that is not known
+	resyncRequested  []bool // by source: the view wants its complete list read again
+	resyncEpoch      string // the registry's epoch when its resync was last requested
+	missingBaseEpoch string // the registry's last epoch with a change to a list that is not known
 	unsaved          bool
-	saveNow          bool // an endpoint drains or is removed
+	saveNow          bool // a drain or a removal was published
 	lastSaved        time.Time
 }
 
-// New makes a Merger; Restore and then Run have it begin.
+// New returns a Merger. Call Restore and then Run to start it.
 func New(o Options) (*Merger, error) {
 	m := &Merger{
 		options:         o,
@@ -98,7 +98,7 @@
 	return m, err
 }
 
-// now is the view's clock, which begins with the Merger.
+// now returns the time on the view's clock, which starts with the Merger.
 func (m *Merger) now() membership.Time { return 1 + time.Since(m.startedAt).Microseconds() }
 
 // RegistryList queues a list of the registry, complete or a change.
@@ -108,21 +108,21 @@
 	})
 }
 
-// RegistryHeartbeat queues that the registry is alive and has nothing new.
+// RegistryHeartbeat queues a heartbeat: the registry is alive and its list has not changed.
 func (m *Merger) RegistryHeartbeat() { m.enqueue(m.registry, nil) }
 
-// enqueue queues an update of a source, or a heartbeat where it is nil.
+// enqueue queues an update of a source, or a heartbeat if the update is nil.
 func (m *Merger) enqueue(source int, u *membership.Update) {
 	m.queue.Put(sourceEvent{source: source, update: u})
 }
 
-// AfterQueued calls a function once all that was queued before has been published.
+// AfterQueued queues a function to be called when all events queued before it have been published.
 func (m *Merger) AfterQueued(callback func()) {
 	m.queue.Put(sourceEvent{source: -1, callback: callback})
 }
 
-// Run merges until ctx ends. What is not saved by then is left: the file may be another
-// process's already.
+// Run merges until ctx ends. It then saves nothing more, since the members file may already belong
+// to another process.
 func (m *Merger) Run(ctx context.Context) {
 	timer := time.NewTimer(0)
 	defer timer.Stop()
@@ -136,8 +136,8 @@
 	}
 }
 
-// step handles what is queued, publishes what has changed, and returns the time until the
-// next step. A drain is saved at once, so that a restart does not revoke it.
+// step handles the queued events, publishes the changes, and returns the time until the next step.
+// It saves drains and removals at once, so that a restart does not revoke them.
 func (m *Merger) step() (wait time.Duration) {
 	events := m.queue.TakeAll(nil)
 	for i := range events {
@@ -181,7 +181,7 @@
 	}
 }
 
-// apply hands an update to the view.
+// apply applies an update to the view.
 func (m *Merger) apply(source int, u *membership.Update) {
 	u.Source = source
 	if source == m.registry {
@@ -191,18 +191,18 @@
 	m.unsaved = true
 	verdict := m.view.Apply(m.now(), u)
 	if verdict == membership.ResyncRequired && source == m.registry && u.Epoch != m.missingBaseEpoch {
-		// It is a change of the list that the event loop began with, which the view has
-		// from elsewhere: the complete list is fetched instead.
+		// The update changes the list that the event loop started with, but the view knows that list
+		// under another epoch. So fetch the complete list instead, once per epoch.
 		m.missingBaseEpoch = u.Epoch
 		m.options.ResyncRegistry()
 	}
 	if verdict == membership.Outdated || verdict == membership.ResyncRequired {
-		m.options.Log.Warn("members: a word is of no use", "source", m.sourceName(source),
+		m.options.Log.Warn("members: rejected an update, keeping the previous list", "source", m.sourceName(source),
 			"epoch", u.Epoch, "revision", u.Revision, "verdict", verdict.String())
 	}
 }
 
-// publishChanges publishes what has changed by now, a list for each step of the view.
+// publishChanges publishes the changes that are due, one list for each step of the view.
 func (m *Merger) publishChanges() {
 	for {
 		changes := m.view.Step(m.now())
@@ -219,15 +219,15 @@
 	}
 }
 
-// publish publishes members that changed.
+// publish publishes the changed members, if there are any.
 func (m *Merger) publish(members []core.Member) {
 	if len(members) > 0 {
 		m.options.OnChange(&core.EndpointList{Revision: m.registryRevision, Members: members})
 	}
 }
 
-// requestResyncs has sources read again whose removals have to be confirmed, once for
-// each request of the view.
+// requestResyncs causes a resync of each source whose removals have to be confirmed, once for each
+// request of the view.
 func (m *Merger) requestResyncs() {
 	for _, source := range []int{m.etcd, m.registry} {
 		requested := m.view.ResyncRequested(source)
@@ -246,6 +246,6 @@
 	}
 	select {
 	case m.etcdResync <- struct{}{}:
-	default: // the helper has not taken the last request yet
+	default: // the previous request has not been sent to the helper yet
 	}
 }
--- a/internal/membersource/merger_test.go
+++ b/internal/membersource/merger_test.go
@@ -24,15 +24,15 @@
 	return m
 }
 
-// A drain is saved in the step that publishes it, an endpoint that comes up later; and a
-// process that has handed over writes no more.
+// A drain is saved in the step that publishes it, an endpoint that comes up only after saveInterval.
+// A Merger whose context has ended saves nothing more, since the file belongs to its successor.
 func TestMembersFileWrites(t *testing.T) {
 	dir := t.TempDir()
 	published := 0
 	m := newTestMerger(t, dir, func(*core.EndpointList) { published++ })
-	saved := func(what string) bool {
+	saved := func(part string) bool {
 		text, _ := os.ReadFile(filepath.Join(dir, FileName))
-		return strings.Contains(string(text), what)
+		return strings.Contains(string(text), part)
 	}
 	m.lastSaved = time.Now()
 	update := func(rev int64, id, phase string) {
@@ -43,17 +43,18 @@
 	}
 	update(1, "a", core.Up)
 	if wait := m.step(); published != 1 || saved("a") || wait > saveInterval {
-		t.Errorf("one that comes up: published %d times, saved %v, next step in %v", published, saved("a"), wait)
+		t.Errorf("after an endpoint came up: published %d times, saved: %v, next step in %v; "+
+			"want 1, false, at most %v", published, saved("a"), wait, saveInterval)
 	}
 	update(2, "a", core.Draining)
 	if m.step(); published != 2 || !saved(core.Draining) {
-		t.Errorf("a drain: published %d times, saved %v", published, saved(core.Draining))
+		t.Errorf("after a drain: published %d times, saved: %v; want 2, true", published, saved(core.Draining))
 	}
 	update(3, "b", core.Up)
 	m.step()
 	ctx, cancel := context.WithCancel(t.Context())
 	cancel()
 	if m.Run(ctx); saved(`"b"`) {
-		t.Error("written by a process that is over")
+		t.Error("the members file was written after the context had ended")
 	}
 }
