--- a/internal/discovery/calls.go
+++ b/internal/discovery/calls.go
@@ -52,7 +52,7 @@
 			_ = resp.Body.Close()
 		}
 		if errors.Is(context.Cause(ctx), errNoResponse) {
-			err = fmt.Errorf("%w, within %v", errNoResponse, call.Timeout)
+			err = fmt.Errorf("%w (%v)", errNoResponse, call.Timeout)
 		}
 		return nil, registry.Unanswered, fmt.Errorf("discovery: %w", err)
 	}
--- a/internal/discovery/notices.go
+++ b/internal/discovery/notices.go
@@ -17,7 +17,7 @@
 const (
 	noticeConns      = 2
 	maxNoticeBatch   = 64
-	minNoticeTimeout = 200 * time.Millisecond // doubles with each failure in a row; lets a second attempt be in time
+	minNoticeTimeout = 200 * time.Millisecond // doubles per consecutive failure; a second attempt is still in time
 	maxNoticeTimeout = 2 * time.Second
 	minNoticeBackoff = 50 * time.Millisecond // doubles with each failure in a row
 	maxNoticeBackoff = 500 * time.Millisecond
--- a/internal/membership/identity.go
+++ b/internal/membership/identity.go
@@ -100,7 +100,7 @@
 	}
 	for i := range e.source {
 		other := newestEntry(v.byAddress[e.address()], i)
-		// If its own source has an entry with that id, it says that the two are different endpoints.
+		// An entry of its own source with that id would mean that the two are different endpoints.
 		if other != nil && v.sources[e.source].entries[other.viewID] == nil {
 			return other.viewID
 		}
--- a/internal/membership/membership_test.go
+++ b/internal/membership/membership_test.go
@@ -220,7 +220,7 @@
 func TestMassRemovalNeedsResync(t *testing.T) {
 	for _, c := range []struct {
 		name        string
-		membersHeld int // members left after another list without resync that lists only four
+		membersLeft int // members left after another list without resync that lists only four
 		update      func(rev int64) *Update
 	}{
 		{"empty list", 10, func(rev int64) *Update { return completeUpdate(etcdSource, rev) }},
@@ -251,8 +251,8 @@
 			}
 			short := completeUpdate(etcdSource, rev+2, upMembers(4)...)
 			short.Epoch = epoch
-			if v.mustApply(t, 4*second, short, RemovalsHeld); len(v.Members()) != c.membersHeld {
-				t.Errorf("%d members after a list that is no resync, want %d", len(v.Members()), c.membersHeld)
+			if v.mustApply(t, 4*second, short, RemovalsHeld); len(v.Members()) != c.membersLeft {
+				t.Errorf("%d members after a list that is no resync, want %d", len(v.Members()), c.membersLeft)
 			}
 			short.Resync = true
 			if v.mustApply(t, 5*second, short, Accepted); len(v.Members()) != 4 || v.ResyncRequested(etcdSource) {
@@ -408,7 +408,7 @@
 	if v.publishedPhase("a1") != Draining {
 		t.Errorf("a1 is %q after a drain under its other id, want %q", v.publishedPhase("a1"), Draining)
 	}
-	// The endpoint is replaced by a new one at its address: first etcd, then the registry says so.
+	// The endpoint is replaced by a new one at its address: first etcd, then the registry lists the new one.
 	got := v.mustApply(t, second, changeUpdate(etcdSource, 2, removedMember("a1", 1), upMember("a2", 1)), Accepted)
 	if v.publishedPhase("a1") != "" || v.publishedPhase("a2") != Draining {
 		t.Errorf("after etcd's update: a1 is %q, a2 is %q, want none and %q; changes %+v",
