--- a/internal/discovery/discoverytest/agent.go
+++ b/internal/discovery/discoverytest/agent.go
@@ -26,7 +26,7 @@
 	Notices           map[string]core.Notice // the last notice of each message, by its id
 	NoticeStatus      int                    // HTTP status of the replies to notices
 	Silent            bool                   // leaves calls unanswered and sends no heartbeats
-	WithoutEmptyLines bool                   // accepts watches, but sends no heartbeats
+	WithoutHeartbeats bool                   // accepts watches, but sends no heartbeats
 	CallsToReject     int                    // how many of the next calls to reject
 	RejectedQueries   []string               // the queries of the rejected calls
 	UnansweredCalls   int                    // number of calls that came while Silent
@@ -98,7 +98,7 @@
 		case <-a.released:
 			return
 		case <-time.After(time.Second):
-			if a.Check(func() bool { return !a.Silent && !a.WithoutEmptyLines }) {
+			if a.Check(func() bool { return !a.Silent && !a.WithoutHeartbeats }) {
 				send("")
 			}
 		}
--- a/internal/relay/firstlist_test.go
+++ b/internal/relay/firstlist_test.go
@@ -26,7 +26,7 @@
 func TestStartAnswersBeforeTheList(t *testing.T) {
 	former, current := newFakeEndpoint(t, nil), newFakeEndpoint(t, nil)
 	discovery := newFakeDiscovery(t)
-	discovery.Update(func(discovery *fakeDiscovery) { discovery.WithoutEmptyLines = true })
+	discovery.Update(func(discovery *fakeDiscovery) { discovery.WithoutHeartbeats = true })
 	formerMember := former.member("s-old", 1)
 	env := testConfig(t, discovery, 3, formerMember)
 	env[firstListTimeoutEnv] = "1h"
--- a/internal/relay/handover_test.go
+++ b/internal/relay/handover_test.go
@@ -403,7 +403,7 @@
 func TestUpgradeKeepsDrain(t *testing.T) {
 	draining, remaining := newFakeEndpoint(t, nil), newFakeEndpoint(t, nil)
 	discovery := newFakeDiscovery(t)
-	discovery.Update(func(discovery *fakeDiscovery) { discovery.WithoutEmptyLines = true })
+	discovery.Update(func(discovery *fakeDiscovery) { discovery.WithoutHeartbeats = true })
 	drainingMember := draining.member("s-1", 1)
 	env := testConfig(t, discovery, 3, drainingMember, remaining.member("s-2", 1))
 	predecessor := startAndWait(t, env)
