--- a/policy/admission.go
+++ b/policy/admission.go
@@ -5,17 +5,23 @@
 	"math"
 )
 
+// Admission of messages, load shedding, and the end of messages that cannot be delivered.
+
 const (
 	pendingReserveDivisor = 16   // MaxPending/pendingReserveDivisor places are kept free
-	recoveredUntriedLoss  = 1e12 // divided by the time left in µs: larger than the weight of any message
+	recoveredUntriedLoss  = 1e12 // over the time left in µs: more than the weight of any message
 )
 
+// admit adds a new message to the queue of its destination, with its earlier attempts if another process
+// held it before. A message that is known already is ignored. One whose destination cannot prove its
+// identity in time is rejected.
 func (e *Engine) admit(event *Event) {
 	if e.messages[event.Message] != nil {
 		return
 	}
 	if event.Class < 0 || event.Class >= len(e.settings.Classes) {
-		e.emit(Action{Kind: ActReject, Message: event.Message, Reason: UnknownClass}) // it was never sent
+		// It was never sent, so its client may submit it again: ActReject, not ActFail.
+		e.emit(Action{Kind: ActReject, Message: event.Message, Reason: UnknownClass})
 		return
 	}
 	class := &e.settings.Classes[event.Class]
@@ -33,20 +39,23 @@
 	e.restoreAttemptHistory(message, event)
 	message.destination.queue = append(message.destination.queue, message)
 	e.markDirty(message.destination)
-	if endpoint := e.endpoints[event.AttemptEndpoint]; endpoint != nil && event.AttemptSentAt > 0 {
+	endpoint := e.endpoints[event.AttemptEndpoint]
+	if endpoint != nil && event.AttemptSentAt > 0 {
 		e.restoreAttemptInFlight(message, endpoint, event.AttemptSentAt)
 	}
 	e.joinOrderedQueue(message)
 	e.rejectIfUnprovable(message)
 }
 
-// weightOf returns the weight of a new message, reduced if its tenant exceeds this relay's part of the quota.
+// weightOf returns the weight of a new message, reduced if its tenant exceeds this relay's part of the
+// quota. A message that another process hands over keeps the weight that it had there.
 func (e *Engine) weightOf(event *Event, class *Class) float64 {
 	weight := class.Weight
 	if e.settings.WeightByCost && event.EstimatedCost > 0 {
 		weight *= float64(event.EstimatedCost)
 	}
-	if event.Tenant >= 0 && event.Tenant < len(e.tenantQuotas) && e.settings.Tenants[event.Tenant].Quota > 0 {
+	knownTenant := event.Tenant >= 0 && event.Tenant < len(e.tenantQuotas)
+	if knownTenant && e.settings.Tenants[event.Tenant].Quota > 0 {
 		share := e.settings.Tenants[event.Tenant].Quota / float64(e.settings.Relays)
 		if !e.tenantQuotas[event.Tenant].take(e.now, 1, share, max(share, 1)) {
 			weight *= e.settings.OverQuotaWeight
@@ -55,18 +64,21 @@
 	return cmp.Or(event.Weight, weight)
 }
 
-// limitRecovered limits a destination to an even share of its rate when recovered messages are submitted:
-// after a release all relays of a fleet have such messages, and would send them in the same second.
+// limitRecovered limits a destination to an even share of its rate when recovered messages are
+// submitted. After a release all relays of a fleet have such messages, and would otherwise send
+// them in the same second.
 func (e *Engine) limitRecovered(destination *destination) {
 	for _, limiter := range destination.limiters {
 		if limiter.reducedAt == 0 && e.exceedsEvenShare(limiter) {
-			limiter.reducedRate, limiter.reducedAt = e.capacity(limiter)/float64(e.settings.Relays), e.now
+			limiter.reducedRate = e.capacity(limiter) / float64(e.settings.Relays)
+			limiter.reducedAt = e.now
 		}
 	}
 }
 
-// shedLoad keeps part of MaxPending free. At MaxPending new messages are refused whatever their weight, which
-// may exceed that of a pending one; messages for a destination that is down must not crowd out the others.
+// shedLoad rejects the least valuable pending messages to keep part of MaxPending free. At MaxPending
+// the relay refuses every new message, even one of more weight than a pending one; and the messages for a
+// destination that is down must not crowd out the others.
 func (e *Engine) shedLoad() {
 	limit := e.settings.MaxPending - max(1, e.settings.MaxPending/pendingReserveDivisor)
 	for e.settings.MaxPending > 0 && len(e.pending) > limit {
@@ -89,25 +101,29 @@
 		}
 		deliveredAt := min(e.queueEmptyAt(message.destination), message.deadline)
 		if value := e.valueAt(message, deliveredAt); value < lowest {
-			least, lowest = message, value
+			least = message
+			lowest = value
 		}
 	}
 	return least
 }
 
-// queueEmptyAt returns when a destination's queue is expected to be empty. It is computed once per pass.
+// queueEmptyAt returns when a destination's queue is expected to be empty. It is computed once per
+// load-shedding pass, since a pass looks at every pending message.
 func (e *Engine) queueEmptyAt(destination *destination) Time {
 	if destination.shedPass != e.shedPasses {
 		next := e.nextSendTime(destination)
 		if next == math.MaxInt64 { // the next send depends on the end of a call, not on the time
 			next = e.now
 		}
-		destination.shedPass, destination.queueEmptyAt = e.shedPasses, next+e.queueDelay(destination)
+		destination.shedPass = e.shedPasses
+		destination.queueEmptyAt = next + e.queueDelay(destination)
 	}
 	return destination.queueEmptyAt
 }
 
-// rejectable reports whether a client may safely submit a message again: it has not run, or may run twice.
+// rejectable reports whether a client may safely submit a message again: the message has not run, or
+// may run twice, or its destination still recognizes the duplicate.
 func (e *Engine) rejectable(message *message) bool {
 	if message.call != nil {
 		return false
@@ -116,11 +132,14 @@
 	if message.firstUncertainAt == 0 || class.Idempotency == Idempotent {
 		return true
 	}
-	inWindow := e.now-message.firstUncertainAt < class.DedupWindow
-	return class.Idempotency == IdempotentByKey && !class.DedupPerZone && inWindow
+	if class.Idempotency != IdempotentByKey || class.DedupPerZone {
+		return false // with DedupPerZone, the new submission may go to a zone that does not know the key
+	}
+	return e.now-message.firstUncertainAt < class.DedupWindow
 }
 
-// endUndelivered ends a message that was not delivered, with its only answer. No other code does so.
+// endUndelivered ends a pending message that was not delivered, and is the only function that answers
+// one. It rejects the message if the client may submit it again, and fails it otherwise.
 func (e *Engine) endUndelivered(message *message, reason Reason) {
 	if message.finished {
 		return
@@ -137,10 +156,15 @@
 	e.finishMessage(message)
 }
 
-// reevaluate ends a message if its deadline is too near for another check, or if it may never be sent again.
+// reevaluate ends a message if its deadline is too near for another check, or if it has no attempt in
+// flight and may never be sent again. An attempt in flight is cancelled then.
 func (e *Engine) reevaluate(message *message) {
+	if message.finished {
+		return
+	}
 	inTime := e.now < message.deadline-e.deadlineMargin()
-	if message.finished || inTime && (message.call != nil || !e.attemptsExhausted(message)) {
+	mayBeDelivered := message.call != nil || !e.attemptsExhausted(message)
+	if inTime && mayBeDelivered {
 		return
 	}
 	if message.call != nil && e.settings.Cancellation {
@@ -153,5 +177,6 @@
 	e.endUndelivered(message, reason)
 }
 
-// deadlineMargin is how long before its deadline an undelivered message is ended.
+// deadlineMargin returns how long before its deadline an undelivered message is ended: some ticks, so
+// that a late step does not make the answer late.
 func (e *Engine) deadlineMargin() Time { return 3 * e.settings.TickInterval }
--- a/policy/aging.go
+++ b/policy/aging.go
@@ -2,14 +2,17 @@
 
 import "slices"
 
+// What remains of learned state after a restart or a long idle time. Where an outage may have
+// ended unnoticed the engine is cautious, figures that are only outdated return to their
+// defaults, and a Retry-After never gets shorter.
+
 const (
 	staleSuccessRamps = 4  // ramp durations without a success after which an outage may have ended unnoticed
-	activationRate    = 10 // isolated activations per second; more of them probably occur at other relays too
+	activationRate    = 10 // activations per second that count as isolated; other relays share larger bursts
 )
 
 // RestoreAfterRestart loads what an earlier process of this relay stored; shift converts its times to this
-// engine's clock. No budget is refilled for the time since, as its spending is unknown. Outages that may have
-// ended are treated with caution, outdated figures return to their defaults, and no Retry-After gets shorter.
+// engine's clock. No budget is refilled for the time since then, because what was spent of it is unknown.
 func (e *Engine) RestoreAfterRestart(now Time, stored *Snapshot, shift Time) {
 	now = max(now, e.now)
 	outdated := now-shiftTime(stored.Now, shift) > historyWindow
@@ -29,15 +32,19 @@
 	limiter.Tokens = TokenBucketSnapshot{now, min(limiter.Tokens.Tokens, 1), true}
 	limiter.RateBound = false
 	rejecting := limiter.RejectionRun >= unhealthyRejectionRun
-	if outdated { // from another traffic situation; the history ages by itself
-		limiter.Window, limiter.RateMultiplier, limiter.RejectionRun = 1, 1, 0
+	if outdated { // learned at another time of day; the history ages by itself
+		limiter.Window = 1
+		limiter.RateMultiplier = 1
+		limiter.RejectionRun = 0
 	}
 	for i := range limiter.Endpoints {
 		endpoint := &limiter.Endpoints[i]
 		ejected := endpoint.Unhealthy && endpoint.RecoveredAt == 0
-		if ejected && rejecting && !endpoint.LastFailureSilent {
-			// Ejected for rejections only: it answered, and was over its limit or closed. That may be over,
-			// so it starts a ramp as after a first success, and is ejected again at the next rejections.
+		onlyRejections := rejecting && !endpoint.LastFailureSilent
+		if ejected && onlyRejections {
+			// Ejected only for rejections: the endpoint answered, and was over its limit or closed. That may
+			// be over by now, so it starts a ramp as after a first success, and is ejected again at the next
+			// rejections.
 			endpoint.RecoveredAt = endpoint.LastFailureAt + (now-endpoint.LastFailureAt)/2
 			endpoint.RecoverySentAt = endpoint.RecoveredAt
 			endpoint.FailureScore *= failureScoreDecay
@@ -49,8 +56,9 @@
 	}
 }
 
-// CanPassivate reports whether a destination may be passivated: it has no message and no call, no Retry-After
-// is in force, no proof of identity is outstanding, and its history is empty. An outage does not prevent it.
+// CanPassivate reports whether a destination may be passivated: it has no message and no call,
+// no Retry-After is in force, no proof of identity is outstanding, and its history is empty. An
+// outage does not prevent it.
 func (e *Engine) CanPassivate(now Time, id int) bool {
 	destination := e.findDestination(id)
 	if destination == nil {
@@ -71,8 +79,9 @@
 	return true
 }
 
-// Passivate removes a destination and returns what was learned of it, for the EvListUpdated that activates it
-// again. The result is aged by the length of the history window, without the limiters that learned nothing.
+// Passivate removes a destination and returns what was learned of it, for the EvListUpdated
+// that activates it again. The result is aged as if a history window had passed, and omits
+// limiters that have learned nothing.
 func (e *Engine) Passivate(now Time, id int) *Snapshot {
 	e.now = max(now, e.now)
 	passivated := &Snapshot{Now: e.now}
@@ -82,17 +91,25 @@
 	}
 	for _, limiter := range destination.limiters {
 		stored := limiter.snapshot(e.now)
-		stored.Bins, stored.RateBound, stored.HistoryStart = nil, false, 0
-		stored.Window, stored.RateMultiplier, stored.RejectionRun = 1, 1, 0
-		stored.FirstRejectionAt, stored.BackoffUntil, stored.RetryAfterUntil = 0, 0, 0
+		stored.Bins = nil
+		stored.HistoryStart = 0
+		stored.Window = 1
+		stored.RateMultiplier = 1
+		stored.RateBound = false
+		stored.RejectionRun = 0
+		stored.FirstRejectionAt = 0
+		stored.BackoffUntil = 0
+		stored.RetryAfterUntil = 0
 		if e.settings.ListHasRates {
 			stored.NominalRate = 0 // the list will set it
 		}
 		for i := range stored.Endpoints {
 			endpoint := &stored.Endpoints[i]
 			if !endpoint.Unhealthy {
-				endpoint.FailureScore, endpoint.BackoffUntil = 0, 0
-				endpoint.RecoveryBudget, endpoint.RequiredTokens = TokenBucketSnapshot{}, 0
+				endpoint.FailureScore = 0
+				endpoint.BackoffUntil = 0
+				endpoint.RecoveryBudget = TokenBucketSnapshot{}
+				endpoint.RequiredTokens = 0
 			}
 		}
 		if stored.learned() {
@@ -103,10 +120,11 @@
 	return passivated
 }
 
-// activate loads what Passivate returned for the destinations of endpoints that were just added. Their first
-// calls go one by one. An endpoint without a recent success may have had an outage: it starts a ramp now. Its
-// first call goes at once, unless many destinations are activated together: then as many relays may have a
-// first call as there are messages, and each waits for a random amount of budget.
+// activate loads what Passivate returned for the destinations of endpoints that were just added. Their
+// first calls are sent one by one. An endpoint without a recent success may have had an outage
+// meanwhile, so it starts a ramp now. Its first call is sent at once, unless many destinations are
+// activated together: then each message may have reached another relay, and the relay waits for a
+// random amount of budget so that they do not all call in the same moment.
 func (e *Engine) activate(event *Event) {
 	e.loadLimiters(event.Snapshot, 0)
 	isolated := e.activations.take(e.now, 1, activationRate, activationRate)
@@ -119,15 +137,23 @@
 			limiter.tokens = tokenBucket{e.now, 1, true}
 		}
 		ramp := e.settings.RampDuration
+		if endpoint.unhealthy || ramp == 0 {
+			continue
+		}
 		stale := endpoint.lastSuccessAt == 0 || e.now-endpoint.lastSuccessAt > staleSuccessRamps*ramp
-		if endpoint.unhealthy || ramp == 0 || !stale {
+		if !stale {
 			continue
 		}
-		endpoint.unhealthy, endpoint.lastFailureSilent = true, false
-		endpoint.recoveredAt, endpoint.recoverySentAt = e.now, e.now
-		endpoint.firstFailureAt, endpoint.lastFailureAt = e.now, e.now
-		endpoint.recoveryBudget, endpoint.requiredTokens = tokenBucket{}, 1
-		if _, _, fractional := e.recoveryBudgetRate(endpoint); fractional && !isolated {
+		endpoint.unhealthy = true
+		endpoint.lastFailureSilent = false
+		endpoint.firstFailureAt = e.now
+		endpoint.lastFailureAt = e.now
+		endpoint.recoveredAt = e.now
+		endpoint.recoverySentAt = e.now
+		endpoint.recoveryBudget = tokenBucket{}
+		endpoint.requiredTokens = 1
+		_, _, fractional := e.recoveryBudgetRate(endpoint)
+		if fractional && !isolated {
 			endpoint.recoveryBudget = tokenBucket{e.now, 0, true}
 			endpoint.requiredTokens = e.rng.ExpFloat64()
 		}
--- a/policy/destinations.go
+++ b/policy/destinations.go
@@ -22,6 +22,7 @@
 	return e.destinations[at]
 }
 
+// searchDestination returns the index of a destination, or the index at which to insert it, and whether it is known.
 func (e *Engine) searchDestination(id int) (at int, ok bool) {
 	return slices.BinarySearchFunc(e.destinations, id, func(d *destination, id int) int { return d.id - id })
 }
@@ -47,6 +48,7 @@
 	}
 }
 
+// newLimiter returns a limiter that has learned nothing, whose window allows one call in flight.
 func newLimiter(destination *destination) *limiter {
 	history := newSlidingCounter(historyWindow, historyBins)
 	return &limiter{destination: destination, window: 1, rateMultiplier: 1, history: history}
--- a/policy/dispatch.go
+++ b/policy/dispatch.go
@@ -6,9 +6,12 @@
 	"slices"
 )
 
+// The choice of the next message and its endpoint, and the guards on each send.
+
 const crossZoneFactor = 3.0 // the cost of a call to another zone, relative to one in this relay's zone
 
-// dispatch sends the messages that lose most by waiting, of all destinations that are dirty or ready.
+// dispatch fills the free slots. It chooses the next message of each destination that is dirty or waits
+// for a slot, and then makes one call after another, each time for the message that loses most by waiting.
 func (e *Engine) dispatch() {
 	if e.callsInFlight < e.settings.MaxConcurrentCalls { // a slot is free: reconsider those that wait for one
 		for _, destination := range e.readyDestinations {
@@ -42,7 +45,9 @@
 	}
 }
 
-// chooseEndpoint prefers healthy to recovering to ejected endpoints, then the one expected to answer first.
+// chooseEndpoint returns the endpoint to send a message to; nil if it may not be sent now. Healthy
+// endpoints come before recovering ones, and those before ejected ones; among equals, the one that is
+// expected to answer first is chosen.
 func (e *Engine) chooseEndpoint(message *message) *endpoint {
 	var best *endpoint
 	lowest := math.Inf(1)
@@ -55,7 +60,8 @@
 				continue
 			}
 			if cost := e.sendCost(message, endpoint); cost < lowest {
-				best, lowest = endpoint, cost
+				best = endpoint
+				lowest = cost
 			}
 		}
 	}
@@ -87,29 +93,40 @@
 	return cost
 }
 
-// maySend reports whether a message may be sent to an endpoint now. It applies every guard on the two.
+// maySend reports whether a message may be sent to an endpoint now. It applies every guard on the
+// message, on the endpoint and on the two together.
 func (e *Engine) maySend(message *message, endpoint *endpoint) bool {
 	class := message.class
 	waiting := !message.finished && message.call == nil
 	inTime := e.now < message.deadline-2*e.deadlineMargin()
-	if !waiting || !inTime || e.attemptsExhausted(message) || !e.mayCall(endpoint) {
+	if !waiting || !inTime {
+		return false
+	}
+	if e.attemptsExhausted(message) || !e.mayCall(endpoint) {
 		return false
 	}
 	if class.Ordered && message.key != 0 {
 		queue := e.orderedQueues[message.key]
-		if queue == nil || queue.first() != message || message.attempts == 0 && queue.backoffUntil > e.now {
+		if queue == nil || queue.first() != message {
 			return false
 		}
+		if message.attempts == 0 && queue.backoffUntil > e.now {
+			return false // an attempt of an earlier message may still be running
+		}
 	}
 	retryByKey := message.firstUncertainAt > 0 && class.Idempotency == IdempotentByKey
-	if retryByKey && class.DedupPerZone && endpoint.zone != message.firstUncertainZone {
+	keyUnknown := class.DedupPerZone && endpoint.zone != message.firstUncertainZone
+	if retryByKey && keyUnknown {
 		return false
 	}
-	// A non-idempotent message has one attempt that may run: it avoids ejected endpoints until it is late.
-	return class.Idempotency != NonIdempotent || !endpoint.ejected() || e.now > message.objectiveAt
+	// Only one attempt of a non-idempotent message may run, so it avoids ejected endpoints until it is late.
+	avoidEjected := class.Idempotency == NonIdempotent && e.now <= message.objectiveAt
+	return !avoidEjected || !endpoint.ejected()
 }
 
-// startCall makes a call with a destination's next message and the other messages that may share it.
+// startCall makes a call with a destination's next message and the other messages that may share
+// it. A trial call carries only one message. If adaptive throttling drops the call, nothing is
+// sent and the limiter backs off.
 func (e *Engine) startCall(destination *destination) {
 	endpoint := destination.nextEndpoint
 	limiter := endpoint.limiter
@@ -126,7 +143,8 @@
 		if call.openAttempts >= destination.kind.BatchSize {
 			break
 		}
-		if message == destination.nextMessage || call.openAttempts > 0 && !trial {
+		mayShare := call.openAttempts > 0 && !trial
+		if message == destination.nextMessage || mayShare {
 			e.sendMessage(message, call)
 		}
 	}
--- a/policy/endpoints.go
+++ b/policy/endpoints.go
@@ -5,6 +5,8 @@
 	"slices"
 )
 
+// Updates of the endpoint list, and endpoints that have not proved their identity.
+
 // updateEndpoints applies a list update. Endpoints that are draining or gone get no new calls from now on.
 func (e *Engine) updateEndpoints(event *Event) {
 	if event.ListUpdate == ListFailed {
@@ -27,17 +29,20 @@
 	}
 }
 
+// updateEndpoint applies one entry of a list update: it adds, changes, moves or removes the endpoint.
 func (e *Engine) updateEndpoint(update *EndpointUpdate) {
 	endpoint := e.endpoints[update.Endpoint]
-	moved := endpoint != nil && endpoint.limiter.destination.id != update.Destination
-	if endpoint != nil && (moved || update.State == Gone) { // its old destination must not use it
-		e.removeEndpoint(endpoint)
-		endpoint = nil
+	if endpoint != nil {
+		moved := endpoint.limiter.destination.id != update.Destination
+		if moved || update.State == Gone { // its old destination must not use it any more
+			e.removeEndpoint(endpoint)
+			endpoint = nil
+		}
 	}
 	if update.State == Gone {
 		return
 	}
-	if endpoint == nil || endpoint.state == Gone { // one that is gone is only kept for its Retry-After
+	if endpoint == nil || endpoint.state == Gone { // one that is gone is kept only for its Retry-After
 		kept := e.endpoints[update.Endpoint]
 		endpoint = e.addEndpoint(update)
 		if kept != nil && endpoint.limiter.destination.kind.IndependentRoutes {
@@ -45,7 +50,9 @@
 		}
 	}
 	limiter := endpoint.limiter
-	endpoint.state, endpoint.zone, endpoint.connectCost = update.State, update.Zone, update.ConnectCost
+	endpoint.state = update.State
+	endpoint.zone = update.Zone
+	endpoint.connectCost = update.ConnectCost
 	if e.settings.ListHasRates && update.Rate > 0 {
 		limiter.nominalRate = update.Rate
 	}
@@ -61,7 +68,8 @@
 	removed.state = Gone
 	limiter := removed.limiter
 	mustWait := limiter.destination.kind.IndependentRoutes && limiter.retryAfterUntil > e.now
-	if known := e.endpoints[removed.id] == removed; known && mustWait {
+	known := e.endpoints[removed.id] == removed
+	if known && mustWait {
 		e.timers.add(limiter.retryAfterUntil, func() {
 			if e.endpoints[removed.id] == removed && removed.state == Gone {
 				e.removeEndpoint(removed)
@@ -73,8 +81,9 @@
 	removed.detach()
 }
 
-// rejectIdentity records that an endpoint failed to prove its identity, or has proved it again. Messages that
-// cannot wait for the next proof are rejected now, with a Retry-After: none is sent just to try.
+// rejectIdentity records that an endpoint failed to prove its identity, or has proved it again.
+// Messages that cannot wait for the next proof are rejected now, with a Retry-After. No message is sent
+// only to try whether the proof succeeds.
 func (e *Engine) rejectIdentity(event *Event) {
 	endpoint := e.endpoints[event.Endpoint]
 	if endpoint == nil {
@@ -95,7 +104,8 @@
 	}
 }
 
-// identityRetryAt returns when the first endpoint of a destination may prove its identity; 0 for no wait.
+// identityRetryAt returns the earliest time at which an endpoint of a destination may prove its
+// identity; 0 if some endpoint needs no proof now, or if there is no endpoint.
 func (e *Engine) identityRetryAt(destination *destination) Time {
 	at := Time(math.MaxInt64)
 	for _, limiter := range destination.limiters {
--- a/policy/engine.go
+++ b/policy/engine.go
@@ -74,6 +74,7 @@
 	return actions
 }
 
+// handle passes an event to the function that handles its kind.
 func (e *Engine) handle(event *Event) {
 	switch event.Kind {
 	case EvListUpdated:
@@ -95,15 +96,20 @@
 	}
 }
 
-// pollList requests the endpoint list well before it counts as outdated, if updates are not pushed.
+// pollList requests the endpoint list if updates are not pushed. It does so after half the time for which a list counts
+// as fresh, so that the new list arrives before the old one is outdated.
 func (e *Engine) pollList() {
-	if e.settings.PollList && (e.polledAt == 0 || e.now-e.polledAt >= e.settings.PollInterval/2) {
+	if !e.settings.PollList {
+		return
+	}
+	if e.polledAt == 0 || e.now-e.polledAt >= e.settings.PollInterval/2 {
 		e.polledAt = e.now
 		e.emit(Action{Kind: ActWatch})
 	}
 }
 
-// scheduleTimer requests one timer, for the next time at which something may change without an event.
+// scheduleTimer requests a timer for the next time at which a decision may change without an event, unless the timer
+// that was requested last fires early enough.
 func (e *Engine) scheduleTimer() {
 	next := e.timers.nextTime()
 	if e.settings.PollList {
@@ -117,8 +123,10 @@
 	e.emit(Action{Kind: ActTimer, After: e.timerAt - e.now})
 }
 
+// emit appends an action to those of the current step.
 func (e *Engine) emit(action Action) { e.actions = append(e.actions, action) }
 
+// logf asks the relay to log a line.
 func (e *Engine) logf(format string, args ...any) {
 	e.emit(Action{Kind: ActLog, Text: fmt.Sprintf(format, args...)})
 }
--- a/policy/guards_test.go
+++ b/policy/guards_test.go
@@ -63,14 +63,14 @@
 var guards = []guard{
 	{
 		"endpoint that is draining",
-		"ep.state != Ready || ep.identityRejectedUntil",
-		"ep.identityRejectedUntil",
+		"if ep.state != Ready || ep.identityRejectedUntil > now {",
+		"if ep.identityRejectedUntil > now {",
 		"TestRules",
 	},
 	{
 		"endpoint whose identity is rejected",
-		"ep.identityRejectedUntil > now || ep.limiter",
-		"ep.limiter",
+		"ep.state != Ready || ep.identityRejectedUntil > now {",
+		"ep.state != Ready {",
 		"TestIdentityRejected",
 	},
 	{
@@ -97,7 +97,7 @@
 		"_ = 0",
 		"TestRecoveryBudgetWithConnections",
 	},
-	{"Retry-After", " || ep.limiter.retryAfterUntil > now ||\n", " ||\n", "TestRules"},
+	{"Retry-After", "if ep.limiter.retryAfterUntil > now {", "if false {", "TestRules"},
 	{
 		"retry of a non-idempotent message",
 		"if message.firstUncertainAt == 0 || message.class.Idempotency == Idempotent {",
@@ -123,9 +123,9 @@
 		"false",
 		"TestRules",
 	},
-	{"order within a key", "queue.first() != message || ", "", "TestRules"},
+	{"order within a key", " || queue.first() != message", "", "TestRules"},
 	{"backoff of a key", "message.attempts == 0 && queue.backoffUntil > e.now", "false", "TestRules"},
-	{"answer before the deadline", "inTime && (message.call", "(message.call", "TestRules"},
+	{"answer before the deadline", "inTime && mayBeDelivered", "mayBeDelivered", "TestRules"},
 	{"limit of attempts", "limit > 0 && counted >= limit", "limit > 0 && counted < 0", "TestRules"},
 	{
 		"attempts that were not sent do not count",
@@ -159,8 +159,8 @@
 	},
 	{
 		"rejection of a message that may have run",
-		"return class.Idempotency == IdempotentByKey && !class.DedupPerZone",
-		"return class.Idempotency == IdempotentByKey",
+		"class.Idempotency != IdempotentByKey || class.DedupPerZone",
+		"class.Idempotency != IdempotentByKey",
 		"TestRules",
 	},
 	{"recovery budget", "budget.depth) >= budget.cost", "budget.depth) >= -99", "TestRecoveryBudget"},
--- a/policy/history.go
+++ b/policy/history.go
@@ -3,10 +3,10 @@
 // slidingCounter counts requests and accepts over a sliding window, which is divided into bins of equal width.
 type slidingCounter struct {
 	width    Time
-	bins     [][2]float64
-	at       Time // number of the newest bin: its start time divided by width
-	sum      [2]float64
-	started  Time
+	bins     [][2]float64 // ring buffer: bin number n is at index n modulo the length
+	at       Time         // number of the newest bin: its start time divided by width
+	sum      [2]float64   // over all bins
+	started  Time         // time of the first count or read
 	hasStart bool
 }
 
@@ -16,6 +16,7 @@
 	acceptCount
 )
 
+// newSlidingCounter returns a counter over a window that is divided into the given number of bins.
 func newSlidingCounter(window Time, bins int) slidingCounter {
 	return slidingCounter{width: window / Time(bins), bins: make([][2]float64, bins)}
 }
@@ -41,14 +42,19 @@
 	return &c.bins[c.at%size]
 }
 
+// add counts one request or accept, as given by its index in a bin.
 func (c *slidingCounter) add(now Time, count int) {
 	c.roll(now)[count]++
 	c.sum[count]++
 }
 
+// request counts a request.
 func (c *slidingCounter) request(now Time) { c.add(now, requestCount) }
-func (c *slidingCounter) accept(now Time)  { c.add(now, acceptCount) }
 
+// accept counts an accept.
+func (c *slidingCounter) accept(now Time) { c.add(now, acceptCount) }
+
+// totals returns the requests and the accepts in the window.
 func (c *slidingCounter) totals(now Time) (requests, accepts float64) {
 	c.roll(now)
 	return c.sum[requestCount], c.sum[acceptCount]
@@ -63,7 +69,8 @@
 	return requests > 0 || accepts > 0
 }
 
-// acceptRate returns the accepts per second over the window, or since the first count if that is more recent.
+// acceptRate returns the accepts per second over the window, or since the counter started if that is more recent. The
+// rate is taken over at least two bins, so that the first accepts do not make it very high.
 func (c *slidingCounter) acceptRate(now Time) float64 {
 	c.roll(now)
 	span := min(now-c.started, c.width*Time(len(c.bins)))
--- a/policy/identity_test.go
+++ b/policy/identity_test.go
@@ -3,7 +3,7 @@
 import "testing"
 
 // TestIdentityRejected checks that nothing is sent to an endpoint whose identity is rejected, that other endpoints
-// replace it, and that messages that cannot wait are rejected at once with a Retry-After.
+// are used instead, and that messages that cannot wait are rejected at once with a Retry-After.
 func TestIdentityRejected(t *testing.T) {
 	settings := singleClassSettings()
 	settings.MaxRetryAfter = 100 * second
--- a/policy/latency.go
+++ b/policy/latency.go
@@ -7,9 +7,10 @@
 // latencyEstimate is an exponentially smoothed mean and mean deviation, in µs.
 type latencyEstimate struct {
 	mean, deviation float64
-	count           int
+	count           int // values added so far
 }
 
+// add updates the estimate with a new value. The first value is the mean, and half of it the deviation.
 func (l *latencyEstimate) add(value float64) {
 	l.count++
 	if l.count == 1 {
--- a/policy/message.go
+++ b/policy/message.go
@@ -12,11 +12,13 @@
 // pendingMessages are the messages that have not ended yet, in arbitrary order.
 type pendingMessages []*message
 
+// add adds a message that is not in the list.
 func (p *pendingMessages) add(added *message) {
 	added.pendingIndex = len(*p)
 	*p = append(*p, added)
 }
 
+// remove removes a message that is in the list, and puts the last one in its place.
 func (p *pendingMessages) remove(removed *message) {
 	list := *p
 	last := list[len(list)-1]
@@ -31,6 +33,7 @@
 	backoffUntil Time // no message is sent before: an earlier attempt may still be running
 }
 
+// first returns the message that is sent next; the queue must not be empty.
 func (q *orderedQueue) first() *message { return q.messages[0] }
 
 // joinOrderedQueue appends a message to the queue of its key, if its class is ordered.
--- a/policy/ordering.go
+++ b/policy/ordering.go
@@ -6,13 +6,15 @@
 	"slices"
 )
 
+// The order of waiting messages by the weight that they lose, and the time of the next call.
+
 const (
 	minQueueRate         = 0.1 // calls per second that a destination is assumed to accept at least
 	maxQueueDelaySeconds = 60
-	weightTieBreak       = 1000 // weight/weightTieBreak decides among messages that lose nothing by waiting
+	weightTieBreak       = 1000 // messages that lose nothing by waiting are ranked by weight/weightTieBreak
 )
 
-// valueAt returns the weight that a message has if it is delivered at a given time.
+// valueAt returns the weight with which a message counts if it is delivered at a given time.
 func (e *Engine) valueAt(message *message, deliveredAt Time) float64 {
 	class := message.class
 	late := float64(deliveredAt - message.objectiveAt)
@@ -29,7 +31,8 @@
 	return message.weight * (1 - (1-class.LateWeight)*lateShare)
 }
 
-// queueDelay estimates how long it takes to send a destination's whole queue, by this relay's own rate.
+// queueDelay estimates how long it takes, at this relay's own rate, until a destination's whole queue
+// has been sent and the last message answered.
 func (e *Engine) queueDelay(destination *destination) Time {
 	rate := 0.0
 	for _, limiter := range destination.limiters {
@@ -39,9 +42,12 @@
 	return Time(min(wait, maxQueueDelaySeconds)*1e6) + e.usualLatency(destination)
 }
 
-// usualLatency is the mean latency of a destination, else of all, else a quarter of a latency objective.
+// usualLatency returns the mean latency of a destination, or of its first route if it has
+// independent ones. Before its first answer that is the mean of all destinations, and before any
+// answer a quarter of the first class's latency objective.
 func (e *Engine) usualLatency(destination *destination) Time {
-	if limiters := destination.limiters; len(limiters) > 0 && limiters[0].latency.count > 0 {
+	limiters := destination.limiters
+	if len(limiters) > 0 && limiters[0].latency.count > 0 {
 		return Time(limiters[0].latency.mean)
 	}
 	if e.latency.count > 0 {
@@ -50,7 +56,8 @@
 	return e.settings.Classes[0].LatencyObjective / 4
 }
 
-// orderQueue sorts a queue by the weight that each message loses if it is sent last instead of now.
+// orderQueue sorts a queue by the weight that each message would lose if it were sent last instead of
+// now, the largest loss first.
 func (e *Engine) orderQueue(destination *destination) {
 	soonest := e.now + e.usualLatency(destination)
 	latest := soonest + e.queueDelay(destination)
@@ -65,10 +72,11 @@
 	})
 }
 
-// acceptsCall reports whether some limiter of a destination allows a call, whatever its endpoints' state.
+// acceptsCall reports whether at least one limiter of a destination allows a call, whatever
+// the state of its endpoints.
 func (e *Engine) acceptsCall(destination *destination) bool {
 	accepts := false
-	for _, limiter := range destination.limiters { // no early exit: hasToken must see each limiter
+	for _, limiter := range destination.limiters { // no early exit: hasToken also updates rateBound
 		if e.hasConcurrency(limiter) && e.hasToken(limiter) {
 			accepts = true
 		}
@@ -76,8 +84,8 @@
 	return accepts
 }
 
-// chooseNext chooses the first message of a destination's sorted queue that may be sent, and its endpoint. If
-// none may be sent, a timer marks the destination dirty when that may have changed.
+// chooseNext chooses the first message of a destination's sorted queue that may be sent, and its
+// endpoint. If none may be sent, a timer marks the destination dirty when that may have changed.
 func (e *Engine) chooseNext(destination *destination) {
 	destination.nextMessage = nil
 	if len(destination.queue) == 0 {
@@ -87,7 +95,8 @@
 		e.orderQueue(destination)
 		for _, message := range destination.queue {
 			if endpoint := e.chooseEndpoint(message); endpoint != nil {
-				destination.nextMessage, destination.nextEndpoint = message, endpoint
+				destination.nextMessage = message
+				destination.nextEndpoint = endpoint
 				loss := message.waitingLoss + message.weight/weightTieBreak
 				destination.nextPriority = loss / float64(e.usualLatency(destination)+1)
 				return
@@ -95,7 +104,8 @@
 		}
 	}
 	next := e.nextSendTime(destination)
-	if next < math.MaxInt64 && (destination.wakeAt <= e.now || next < destination.wakeAt) {
+	pendingTimerSuffices := destination.wakeAt > e.now && destination.wakeAt <= next
+	if next < math.MaxInt64 && !pendingTimerSuffices {
 		destination.wakeAt = max(next, e.now+e.settings.TickInterval)
 		e.timers.add(destination.wakeAt, func() { e.markDirty(destination) })
 	}
@@ -121,11 +131,12 @@
 	}
 	for _, message := range destination.queue {
 		queue := e.orderedQueues[message.key]
-		if queue != nil && message.class.Ordered && queue.backoffUntil > e.now {
+		inOrder := queue != nil && message.class.Ordered
+		if inOrder && queue.backoffUntil > e.now {
 			next = min(next, queue.backoffUntil)
 		}
 		if message.class.Idempotency == NonIdempotent && message.objectiveAt >= e.now {
-			next = min(next, message.objectiveAt+1)
+			next = min(next, message.objectiveAt+1) // then it no longer avoids ejected endpoints
 		}
 	}
 	return next
--- a/policy/ratelimit.go
+++ b/policy/ratelimit.go
@@ -6,10 +6,12 @@
 	"slices"
 )
 
+// Adaptive throttling, the window of calls in flight, and the rate of each limiter.
+
 const (
 	historyWindow         = 10 * second // requests and accepts are counted over this window
 	historyBins           = 20
-	acceptFactor          = 2.0  // K in the drop probability
+	acceptFactor          = 2.0  // K of adaptive throttling: requests per accept without any drop
 	acceptPrior           = 2.0  // accepts that are added to those counted: a few calls prove nothing
 	maxDropProbability    = 0.9  // some attempts always pass
 	maxSlotShare          = 0.75 // share of the slots that one destination may use
@@ -17,17 +19,19 @@
 	rateReduction         = 0.5  // rate after a rejection, relative to what this relay recently sent
 	minReducedShare       = 0.5  // least rate after a rejection, relative to an even share of the limit
 	reducedRateRecovery   = 0.1  // even shares that are restored each second
-	shareExponent         = 0.75 // a relay's rate is limit/relays^shareExponent: bursts need room
+	shareExponent         = 0.75 // a relay's rate is limit/relays^shareExponent: small streams need room
 	unlimitedCallsPerSlot = 2    // calls per second for each slot if no limit is known
 )
 
-// capacity returns the calls per second that a limiter accepts from all relays: reported, listed or observed.
+// capacity returns the calls per second that a limiter accepts from all relays: reported,
+// listed or observed.
 func (e *Engine) capacity(limiter *limiter) float64 {
 	observed := max(limiter.history.acceptRate(e.now)*float64(e.settings.Relays), 1)
 	return cmp.Or(limiter.reportedRate, limiter.nominalRate, observed)
 }
 
-// backoffGrowth is the ratio of a backoff to its run of failures: less if few relays make many calls each.
+// backoffGrowth returns the ratio of a backoff to the duration of the run of failures before it. It is
+// smaller if few relays make many calls each.
 func (e *Engine) backoffGrowth(limiter *limiter) float64 {
 	trials := trialsPerMessage * e.capacity(limiter) * float64(e.settings.OverloadDuration) / float64(second)
 	return maxBackoffGrowth * min(1, float64(e.settings.Relays)/max(trials, 1))
@@ -52,16 +56,19 @@
 	return max(capacity/e.shareDivisor, math.Sqrt(capacity)/2)
 }
 
-// exceedsEvenShare reports whether the rate is above an even share even with the least rate multiplier.
+// exceedsEvenShare reports whether this relay's rate is above an even share of a known limit
+// even with the least rate multiplier. If it is not, the multiplier is enough to keep all
+// relays together within the limit.
 func (e *Engine) exceedsEvenShare(limiter *limiter) bool {
 	capacity := e.capacity(limiter)
 	known := limiter.reportedRate+limiter.nominalRate > 0
 	return known && minRateMultiplier*e.usualRate(capacity) > capacity/float64(e.settings.Relays)
 }
 
-// reduceRate limits the rate to less than this relay has recently sent, if the rate multiplier is not enough.
-// The rate of a small stream allows for bursts and lies far above an even share: many relays together exceed
-// the limit long before any of them reaches its own rate, so only what each actually sends can be reduced.
+// reduceRate limits the rate to less than this relay has recently sent, if the rate multiplier is
+// not enough. The rate of a small stream allows for bursts and lies far above an even share: many
+// relays together exceed the limit long before any of them reaches its own rate, so only what each
+// actually sends can be reduced.
 func (e *Engine) reduceRate(limiter *limiter) {
 	if !e.exceedsEvenShare(limiter) {
 		return
@@ -83,7 +90,8 @@
 	return max(1, math.Sqrt(e.capacity(limiter)))
 }
 
-// drawDrop draws whether to drop a call. A drop counts as a request and uses a token; the message stays.
+// drawDrop draws whether to drop a call. A dropped call counts as a request and has used its token; its
+// message stays pending for a later draw.
 func (e *Engine) drawDrop(limiter *limiter) bool {
 	requests, accepts := limiter.history.totals(e.now)
 	limiter.history.request(e.now)
@@ -104,13 +112,17 @@
 	if slices.ContainsFunc(limiter.endpoints, (*endpoint).failing) {
 		share = maxSlotShareFailing
 	}
-	limit := max(1, int(share*float64(e.settings.MaxConcurrentCalls)))
-	return limiter.destination.callsInFlight < limit && limiter.callsInFlight < max(1, int(limiter.window))
+	slots := max(1, int(share*float64(e.settings.MaxConcurrentCalls)))
+	window := max(1, int(limiter.window))
+	return limiter.destination.callsInFlight < slots && limiter.callsInFlight < window
 }
 
+// failing reports whether an endpoint is unhealthy, or has a failure score as high as after
+// one recent failure.
 func (ep *endpoint) failing() bool { return ep.unhealthy || ep.failureScore >= 1-failureScoreDecay }
 
-// hasToken reports whether a call has a token and no backoff, and records whether the rate is the obstacle.
+// hasToken reports whether a limiter has a token for a call and is in no backoff. If a token is
+// missing, it records in rateBound that the rate holds a call back.
 func (e *Engine) hasToken(limiter *limiter) bool {
 	if limiter.backoffUntil > e.now {
 		return false
--- a/policy/recovery.go
+++ b/policy/recovery.go
@@ -1,14 +1,21 @@
 package policy
 
+// Ejection of unhealthy endpoints (outlier detection), and the ramp and budget of their recovery. An
+// unhealthy endpoint is ejected until a call to it succeeds. From then on it is recovering, until its
+// ramp is over and it is healthy.
+
 const (
 	failureScoreDecay   = 0.7 // weight of the past in an endpoint's failure score
-	unhealthyScore      = 0.6 // most calls fail: exceeded by three failures in a row after only successes
-	maxBackoffGrowth    = 3.0 // ratio of a backoff to the run of failures before it, with many relays
+	unhealthyScore      = 0.6 // most calls fail; three failures in a row after only successes reach it
+	maxBackoffGrowth    = 3.0 // backoff, relative to the duration of the run of failures, with many relays
 	recoveryBudgetShare = 1.0 // part of the recovery budget that is used
-	trialsPerMessage    = 2.0 // trial calls that relays want, for each message submitted in the outage
+	trialsPerMessage    = 2.0 // trial calls that all relays want, for each message submitted in the outage
 )
 
-// recordSuccess starts the ramp if an outage is over: midway between its last failure and this call's send.
+// recordSuccess records a success. If the endpoint is ejected and the call was sent after its last
+// failure, the outage is over, and the ramp starts for it and for all siblings that failed in the same
+// outage. The relay may have called only long after the end of the outage, which is assumed midway
+// between the last failure and the send of this call.
 func (e *Engine) recordSuccess(answered *endpoint, sentAt Time) {
 	answered.failureScore *= failureScoreDecay
 	answered.lastSuccessAt = e.now
@@ -19,14 +26,19 @@
 	answered.recoveredAt = sentAt - (sentAt-answered.lastFailureAt)/2
 	answered.recoverySentAt = sentAt
 	for _, sibling := range answered.limiter.endpoints {
-		if sibling.ejected() && sibling.firstFailureAt == outageStart && sibling.lastFailureAt <= sentAt {
-			sibling.recoveredAt, sibling.recoverySentAt = answered.recoveredAt, sentAt
+		sameOutage := sibling.firstFailureAt == outageStart && sibling.lastFailureAt <= sentAt
+		if sibling.ejected() && sameOutage {
+			sibling.recoveredAt = answered.recoveredAt
+			sibling.recoverySentAt = sentAt
 		}
 	}
 	e.logf("dest %d: answers again, ramp", answered.limiter.destination.id)
 }
 
-// recordFailure records a failure. A run of them is an outage, also of siblings with no success since then.
+// recordFailure records a failure. Once most calls fail, the endpoint is unhealthy, and with it all
+// siblings that have had no success since its first failure. Before that, and while it stays
+// unhealthy, each failure starts a backoff in proportion to the time since the first one. silent
+// means that the call got no answer.
 func (e *Engine) recordFailure(failed *endpoint, sentAt Time, silent bool) {
 	if failed.recoveredAt > 0 && sentAt < failed.recoverySentAt {
 		return // the call was sent before the recovery
@@ -38,7 +50,8 @@
 	mostFail := failed.failureScore >= unhealthyScore
 	if failed.recoveredAt == 0 || mostFail { // while most calls succeed, a failure does not end the ramp
 		failed.recoveredAt = 0
-		failed.lastFailureAt, failed.lastFailureSilent = e.now, silent
+		failed.lastFailureAt = e.now
+		failed.lastFailureSilent = silent
 	}
 	if failed.unhealthy || !mostFail {
 		outage := e.now - failed.firstFailureAt
@@ -46,10 +59,13 @@
 		return
 	}
 	for _, endpoint := range failed.limiter.endpoints {
-		if endpoint == failed || !endpoint.unhealthy && endpoint.lastSuccessAt < failed.firstFailureAt {
-			endpoint.unhealthy, endpoint.recoveredAt = true, 0
+		joinsOutage := !endpoint.unhealthy && endpoint.lastSuccessAt < failed.firstFailureAt
+		if endpoint == failed || joinsOutage {
+			endpoint.unhealthy = true
+			endpoint.recoveredAt = 0
 			endpoint.firstFailureAt = failed.firstFailureAt
-			endpoint.lastFailureAt, endpoint.lastFailureSilent = e.now, silent
+			endpoint.lastFailureAt = e.now
+			endpoint.lastFailureSilent = silent
 			endpoint.recoveryBudget = tokenBucket{at: e.now}
 			endpoint.requiredTokens = e.rng.ExpFloat64()
 		}
@@ -60,19 +76,27 @@
 // ejected reports whether an endpoint is unhealthy and has had no success since.
 func (ep *endpoint) ejected() bool { return ep.unhealthy && ep.recoveredAt == 0 }
 
-// excluded reports whether no call may go there. The backoff counts only until the endpoint is unhealthy.
+// excluded reports whether an endpoint may get no call at all, whatever its recovery budget. Its
+// backoff applies only until it is unhealthy; from then on the recovery budget limits the calls.
 func (ep *endpoint) excluded(now Time) bool {
-	return ep.state != Ready || ep.identityRejectedUntil > now || ep.limiter.retryAfterUntil > now ||
-		!ep.unhealthy && ep.backoffUntil > now
+	if ep.state != Ready || ep.identityRejectedUntil > now {
+		return true
+	}
+	if ep.limiter.retryAfterUntil > now {
+		return true
+	}
+	return !ep.unhealthy && ep.backoffUntil > now
 }
 
-// Avoids reports whether an endpoint gets no calls now except trial calls.
+// Avoids reports whether an endpoint gets no ordinary call now: none at all, or trial calls
+// only because it is ejected.
 func (e *Engine) Avoids(id EndpointID, now Time) bool {
 	endpoint := e.endpoints[id]
 	return endpoint != nil && (endpoint.excluded(now) || endpoint.ejected())
 }
 
-// mayCall applies every guard on an endpoint that does not depend on the message.
+// mayCall reports whether an endpoint may get a call now. It applies every guard that does
+// not depend on the message.
 func (e *Engine) mayCall(endpoint *endpoint) bool {
 	if endpoint.excluded(e.now) {
 		return false
@@ -81,13 +105,15 @@
 	if !endpoint.unhealthy {
 		return true
 	}
-	if endpoint.ejected() && endpoint.lastFailureSilent && endpoint.callsInFlight > 0 {
+	silent := endpoint.ejected() && endpoint.lastFailureSilent
+	if silent && endpoint.callsInFlight > 0 {
 		return false // without answers, each trial call would hold a slot until its timeout
 	}
 	return endpoint.recoveryBudget.level(e.now, budget.rate, budget.depth) >= budget.cost
 }
 
-// rampedCapacity returns an endpoint's share of its capacity, and marks it healthy at the end of its ramp.
+// rampedCapacity returns the share of its full capacity that an endpoint has now, and marks the
+// endpoint healthy at the end of its ramp.
 func (e *Engine) rampedCapacity(endpoint *endpoint) float64 {
 	share := e.settings.InitialCapacity
 	if endpoint.recoveredAt == 0 {
@@ -95,18 +121,20 @@
 	}
 	share += (1 - share) * float64(e.now-endpoint.recoveredAt) / float64(max(e.settings.RampDuration, 1))
 	if share >= 1 {
-		if endpoint.unhealthy && endpoint.connectCost > 0 { // messages held back would go in one burst
+		if endpoint.unhealthy && endpoint.connectCost > 0 { // messages held back would be sent in one burst
 			endpoint.limiter.tokens = tokenBucket{e.now, 0, true}
 		}
-		endpoint.unhealthy, endpoint.failureScore = false, 0
+		endpoint.unhealthy = false
+		endpoint.failureScore = 0
 	}
 	return share
 }
 
-// recoveryBudgetRate returns this relay's part of the calls that an unhealthy endpoint may get: the calls per
-// second and the largest burst. A burst and the refill of one overload duration stay within the budget. It is
-// shared by the relays that may have got a message for the destination since the outage began: all of them if
-// they are few, else in proportion to the messages since then. fractional: the part is less than one call.
+// recoveryBudgetRate returns this relay's part of the calls that an unhealthy endpoint may get: the
+// calls per second and the largest burst. A full burst and the refill over one overload duration
+// together stay within the budget. The budget is shared by the relays that may have got a message for
+// the destination since the outage began: all of them if they are few, else a number in proportion to
+// the messages since then. fractional means that the part is less than one call.
 func (e *Engine) recoveryBudgetRate(endpoint *endpoint) (rate, depth float64, fractional bool) {
 	span := seconds(max(e.settings.OverloadDuration, second))
 	capacity := e.capacity(endpoint.limiter)
@@ -125,7 +153,8 @@
 	}
 	rate = (budget - depth) / span
 	if endpoint.recoveredAt > 0 {
-		// The ramp allows its average over the span, which is less than its value at the end: smaller bursts.
+		// Over the span the endpoint bears its average capacity on the ramp, not the capacity that it
+		// has at the end. The burst is smaller by the difference.
 		rise := (1 - e.settings.InitialCapacity) * span * 1e6 / float64(max(e.settings.RampDuration, 1))
 		depth = max(depth-fullBudget*rise/2, 1+endpoint.connectCost)
 	}
@@ -138,14 +167,17 @@
 	fractional        bool
 }
 
+// nextCallBudget returns the cost of the next call to an unhealthy endpoint and the bucket that pays
+// for it. The bucket is at least as deep as the cost, so that a call that costs more than the usual
+// burst can be saved up for.
 func (e *Engine) nextCallBudget(endpoint *endpoint) callBudget {
 	rate, depth, fractional := e.recoveryBudgetRate(endpoint)
 	cost := endpoint.requiredTokens * (1 + e.nextConnectCost(endpoint))
 	return callBudget{cost, rate, max(depth, cost), fractional}
 }
 
-// spendRecoveryBudget charges a call to the budget. If this relay's part is less than one call, the next call
-// requires a random number of tokens with mean 1, so that the relays do not call at the same time.
+// spendRecoveryBudget charges a call to the budget. If this relay's part is less than one call, the next
+// call requires a random number of tokens with mean 1, so that the relays do not call at the same time.
 func (e *Engine) spendRecoveryBudget(endpoint *endpoint) {
 	budget := e.nextCallBudget(endpoint)
 	endpoint.recoveryBudget.take(e.now, budget.cost, budget.rate, budget.depth)
--- a/policy/retry.go
+++ b/policy/retry.go
@@ -2,10 +2,12 @@
 
 import "cmp"
 
+// Limits on the attempts of a message, and when an attempt is given up.
+
 const (
-	maxAttemptNumber           = 255
+	maxAttemptNumber           = 255         // an attempt's number is one byte on the wire
 	dedupTransitTime           = Time(200e3) // for a retry's last byte to arrive; at most 1/20 of the window
-	nonIdempotentOverdueFactor = 4           // factor of the overdue time of non-idempotent messages
+	nonIdempotentOverdueFactor = 4           // a call of non-idempotent messages gets this many times as long
 	overdueLatencyMultiple     = 4           // a call is overdue after this multiple of mean plus deviation
 )
 
@@ -13,7 +15,8 @@
 func (e *Engine) attemptsExhausted(message *message) bool {
 	counted := message.attempts - message.uncountedAttempts
 	limit := e.settings.MaxAttempts
-	if message.attempts >= maxAttemptNumber || limit > 0 && counted >= limit {
+	limitReached := limit > 0 && counted >= limit
+	if message.attempts >= maxAttemptNumber || limitReached {
 		return true
 	}
 	if message.firstUncertainAt == 0 || message.class.Idempotency == Idempotent {
@@ -22,8 +25,9 @@
 	return message.class.Idempotency == NonIdempotent || e.now >= e.lastByteDeadline(message)
 }
 
-// lastByteDeadline returns by when a retry's last byte must be sent to arrive while the destination remembers
-// the message's key; 0 for no limit. A retry that starts in time may be late if its connection opens slowly.
+// lastByteDeadline returns the time by which a retry's last byte must be sent, so that it arrives while
+// the destination still remembers the message's key; 0 for no limit. The start of a retry is not enough
+// as a limit: if its connection opens slowly, a retry that starts in time arrives late.
 func (e *Engine) lastByteDeadline(message *message) Time {
 	if message.firstUncertainAt == 0 || message.class.Idempotency != IdempotentByKey {
 		return 0
@@ -33,13 +37,18 @@
 	return message.firstUncertainAt + window - transit
 }
 
-// recordUncertainAttempt notes the first attempt that may have run, and a check for the end of its window.
+// recordUncertainAttempt records the first attempt of a message that may have run. It schedules a check
+// of the message for the end of the dedup window, after which the message may not be sent again.
 func (e *Engine) recordUncertainAttempt(message *message, sentAt Time, zone int) {
-	message.firstUncertainAt, message.firstUncertainZone = sentAt, zone
+	message.firstUncertainAt = sentAt
+	message.firstUncertainZone = zone
 	windowEnd := sentAt + message.class.DedupWindow - 2*e.settings.TickInterval + 1
 	e.timers.add(max(windowEnd, e.now+1), func() { e.reevaluate(message) })
 }
 
+// attemptTimeout returns when an attempt that is sent now times out: after several times the usual
+// latency, but not before the latency objective, because a quick first answer must not make the next
+// slow one look like an outage; and in any case early enough to answer the message before its deadline.
 func (e *Engine) attemptTimeout(message *message, endpoint *endpoint) Time {
 	last := message.deadline - 2*e.deadlineMargin()
 	if message.class.Idempotency == NonIdempotent {
@@ -49,6 +58,8 @@
 	return min(last, e.now+Time(max(usual, float64(message.class.LatencyObjective))))
 }
 
+// overdueAfter returns how long a call to an endpoint may take before it is overdue, by the endpoint's
+// own latency if it has answered, else by that of its destination.
 func (e *Engine) overdueAfter(endpoint *endpoint) Time {
 	if endpoint.latency.count == 0 {
 		return overdueLatencyMultiple * e.usualLatency(endpoint.limiter.destination)
@@ -56,8 +67,9 @@
 	return Time(endpoint.latency.upperBound(overdueLatencyMultiple))
 }
 
-// cancelOverdueCall cancels a call that is overdue, if all slots were taken and messages waited for as long.
-// Drawback: nearly finished work is repeated. Non-idempotent messages, which have no retry, get more time.
+// cancelOverdueCall cancels a call once it has been overdue while messages waited and all slots were
+// taken for as long. Until then it schedules the next check. The drawback is that nearly finished work
+// is repeated. Non-idempotent messages, which cannot be retried, get more time.
 func (e *Engine) cancelOverdueCall(call *call) {
 	maxDuration := e.overdueAfter(call.endpoint) + 1
 	if call.messages[0].class.Idempotency == NonIdempotent {
--- a/policy/schedule.go
+++ b/policy/schedule.go
@@ -8,29 +8,36 @@
 // schedule is a priority queue of values by time. Values with the same time come out in the order of insertion.
 type schedule[T any] struct {
 	items scheduleHeap[T]
-	count uint64
+	count uint64 // insertions so far
 }
 
 type scheduledItem[T any] struct {
 	at    Time
-	seq   uint64
+	seq   uint64 // number of the insertion
 	value T
 }
 
 // scheduleHeap implements heap.Interface: the earliest item is the first.
 type scheduleHeap[T any] []scheduledItem[T]
 
-func (h scheduleHeap[T]) Len() int      { return len(h) }
+// Len returns the number of items.
+func (h scheduleHeap[T]) Len() int { return len(h) }
+
+// Swap exchanges two items.
 func (h scheduleHeap[T]) Swap(i, j int) { h[i], h[j] = h[j], h[i] }
 
+// Less orders items by time, and those of the same time by their insertion.
 func (h scheduleHeap[T]) Less(i, j int) bool {
-	return h[i].at < h[j].at || h[i].at == h[j].at && h[i].seq < h[j].seq
+	if h[i].at != h[j].at {
+		return h[i].at < h[j].at
+	}
+	return h[i].seq < h[j].seq
 }
 
-// Push is for package heap only.
+// Push appends an item; only package heap may call it.
 func (h *scheduleHeap[T]) Push(item any) { *h = append(*h, item.(scheduledItem[T])) }
 
-// Pop is for package heap only.
+// Pop removes and returns the last item; only package heap may call it.
 func (h *scheduleHeap[T]) Pop() any {
 	last := len(*h) - 1
 	item := (*h)[last]
@@ -39,6 +46,7 @@
 	return item
 }
 
+// add inserts a value that is due at the given time.
 func (s *schedule[T]) add(at Time, value T) {
 	s.count++
 	heap.Push(&s.items, scheduledItem[T]{at, s.count, value})
--- a/policy/settings.go
+++ b/policy/settings.go
@@ -84,6 +84,7 @@
 	return nil
 }
 
+// validateTimes rejects negative times.
 func (s *Settings) validateTimes() error {
 	times := []struct {
 		name  string
@@ -108,6 +109,7 @@
 	return nil
 }
 
+// validateCounts rejects counts below their minimum.
 func (s *Settings) validateCounts() error {
 	counts := []struct {
 		name       string
@@ -129,6 +131,7 @@
 	return nil
 }
 
+// validateClasses rejects message classes with an invalid value.
 func (s *Settings) validateClasses() error {
 	for i := range s.Classes {
 		if name, problem := s.Classes[i].validate(); name != "" {
@@ -157,6 +160,7 @@
 	return "", ""
 }
 
+// validateTenants rejects quotas that are negative or NaN.
 func (s *Settings) validateTenants() error {
 	for i, tenant := range s.Tenants {
 		if !notNegative(tenant.Quota) {
@@ -166,6 +170,7 @@
 	return nil
 }
 
+// validateKinds rejects kinds of destination with a negative batch size.
 func (s *Settings) validateKinds() error {
 	for i, kind := range s.DestinationKinds {
 		if kind.BatchSize < 0 {
@@ -175,6 +180,7 @@
 	return nil
 }
 
+// validateShares rejects shares outside 0 to 1, and a negative overload factor.
 func (s *Settings) validateShares() error {
 	switch {
 	case !isShare(s.InitialCapacity):
@@ -187,7 +193,7 @@
 	return nil
 }
 
-// notNegative is false for NaN.
+// notNegative reports whether a value is at least 0. It is false for NaN.
 func notNegative(value float64) bool { return value >= 0 }
 
 // isShare reports whether a value is within 0 to 1. It is false for NaN.
--- a/policy/snapshot.go
+++ b/policy/snapshot.go
@@ -91,18 +91,22 @@
 	})
 }
 
+// snapshot returns the stored form of a token bucket.
 func (b tokenBucket) snapshot() TokenBucketSnapshot {
 	return TokenBucketSnapshot{b.at, b.tokens, b.used}
 }
 
+// restore returns the token bucket of a stored form; shift converts its time to this engine's clock.
 func (s TokenBucketSnapshot) restore(shift Time) tokenBucket {
 	return tokenBucket{shiftTime(s.At, shift), s.Tokens, s.Used}
 }
 
+// snapshot returns the stored form of a latency estimate.
 func (l latencyEstimate) snapshot() LatencySnapshot {
 	return LatencySnapshot{l.mean, l.deviation, l.count}
 }
 
+// restore returns the latency estimate of a stored form.
 func (s LatencySnapshot) restore() latencyEstimate {
 	return latencyEstimate{s.Mean, s.Deviation, s.Count}
 }
@@ -143,7 +147,8 @@
 	return stored
 }
 
-// restore loads the learned state of a limiter. storedAt is when the snapshot was taken, on this engine's clock.
+// restore loads the learned state of a limiter. storedAt is when the snapshot was taken, on this engine's clock; shift
+// converts the snapshot's times to that clock.
 func (l *limiter) restore(stored *LimiterSnapshot, storedAt, shift Time) {
 	l.window = max(stored.Window, 1)
 	l.rateMultiplier = stored.RateMultiplier
@@ -163,6 +168,7 @@
 	}
 }
 
+// snapshot returns the learned health of an endpoint.
 func (ep *endpoint) snapshot() EndpointSnapshot {
 	return EndpointSnapshot{
 		ID:                ep.id,
@@ -181,6 +187,7 @@
 	}
 }
 
+// restore loads the learned health of an endpoint; shift converts its times to this engine's clock.
 func (ep *endpoint) restore(stored *EndpointSnapshot, shift Time) {
 	ep.backoffUntil = shiftTime(stored.BackoffUntil, shift)
 	ep.failureScore = stored.FailureScore
--- a/policy/state.go
+++ b/policy/state.go
@@ -19,7 +19,7 @@
 	dirty                []*destination // their next message must be chosen in this step
 	readyDestinations    []*destination // have a next message that waits only for a slot
 	tenantQuotas         []tokenBucket
-	activations          tokenBucket // limits the activations that count as isolated ones
+	activations          tokenBucket // an activation that finds a token here counts as isolated; see activate
 	callsInFlight        int
 	messagesInFlight     int // messages that have not ended and have an attempt in flight
 	timerAt              Time
@@ -29,7 +29,7 @@
 	nextSendTimeCalls    int             // calls of nextSendTime, the expensive part of a step
 	connectFailureRatios []float64       // share of calls that could not get a connection, by kind of destination
 	latency              latencyEstimate // over all answers
-	saturatedSince       Time            // start of the time in which messages wait and no slot is free; 0 if one is
+	saturatedSince       Time            // since when messages have waited with all slots taken; 0 if none do now
 }
 
 // destination has a queue of messages, and one limiter, or one for each independent route.
--- a/policy/tokenbucket.go
+++ b/policy/tokenbucket.go
@@ -7,12 +7,12 @@
 type tokenBucket struct {
 	at     Time
 	tokens float64
-	used   bool
+	used   bool // its level has been read at least once
 }
 
 const minRefillRate = 1e-6 // tokens per second; keeps the wait for a token finite
 
-// level returns the number of tokens in the bucket now.
+// level refills the bucket up to now and returns the number of tokens in it.
 func (b *tokenBucket) level(now Time, rate, depth float64) float64 {
 	if !b.used && b.at == 0 {
 		b.tokens = depth
