--- a/policy/api.go
+++ b/policy/api.go
@@ -1,7 +1,7 @@
 package policy
 
 // This file and settings.go are the package's interface: the events that a relay reports to its engine, and the
-// actions that the engine asks for. It makes no decisions and holds no tuned values.
+// actions that the engine asks for, beside its settings. They make no decisions and hold no tuned values.
 
 // Time is a point in time or a duration, in microseconds of the host's clock.
 type Time = int64
--- a/policy/fleet_test.go
+++ b/policy/fleet_test.go
@@ -173,7 +173,8 @@
 }
 
 // TestFleetStaysNearLimit checks that relays without shared state, each of which sees little of the traffic, together
-// send about as much as a limit that rejected calls use up too, whatever their number, and that no relay is starved.
+// send about as many calls as the limit allows, although rejected calls use up the limit too. This must hold for few
+// and for many relays, and hardly any relay may starve.
 func TestFleetStaysNearLimit(t *testing.T) {
 	for n, minUsed := range map[int]float64{3: 0.7, 20: 0.8, 300: 0.65} {
 		t.Run(fmt.Sprint(n, " relays"), func(t *testing.T) {
--- a/policy/outcome_test.go
+++ b/policy/outcome_test.go
@@ -27,7 +27,7 @@
 }
 
 // TestRetryAfterOfRemovedRoute checks that a Retry-After that arrives after its route has left the list holds for the
-// route when it is listed again, both if it arrives before and if it arrives after that.
+// route when it is listed again. The Retry-After may arrive before or after the route's return.
 func TestRetryAfterOfRemovedRoute(t *testing.T) {
 	for _, order := range []string{"Retry-After, return", "return, Retry-After"} {
 		settings := singleClassSettings()
--- a/policy/passivate_test.go
+++ b/policy/passivate_test.go
@@ -111,7 +111,7 @@
 	}
 }
 
-// TestCanPassivate checks each condition that keeps a destination active by itself.
+// TestCanPassivate checks the conditions that keep a destination active, one at a time.
 func TestCanPassivate(t *testing.T) {
 	tests := map[string]struct {
 		change func(engine *Engine, now Time)
--- a/policy/restart_test.go
+++ b/policy/restart_test.go
@@ -191,7 +191,8 @@
 }
 
 // TestRestoreAfterRejections checks that an endpoint that was ejected only for rejections in a row is on a recovery
-// ramp after a restart, since it did answer. An ejection for calls without an answer stays, and so does a ramp.
+// ramp after a restart, since it did answer. An endpoint that was ejected because calls got no answer stays ejected,
+// and one that was on its ramp stays on it.
 func TestRestoreAfterRejections(t *testing.T) {
 	const storedAt, failedAt = 1000 * second, 996 * second
 	for name, c := range map[string]struct {
--- a/policy/resume_test.go
+++ b/policy/resume_test.go
@@ -178,8 +178,8 @@
 
 // TestRecoveredUntriedGoFirst guards against recovered messages that end without an attempt. Messages that an earlier
 // process accepted and never tried go before new ones of any weight, the nearest deadline first, and are not shed for
-// them; once tried they are like any others. Without this a relay under load rejected more than half of them with no
-// call, since new messages always lose more by waiting.
+// them; once tried they are like any others. Without this a relay under load rejected more than half of them without
+// a call, since new messages always lose more by waiting.
 func TestRecoveredUntriedGoFirst(t *testing.T) {
 	const untried, tried = 24, 4
 	settings := singleClassSettings()
--- a/policy/settings.go
+++ b/policy/settings.go
@@ -47,7 +47,7 @@
 	MaxConcurrentCalls   int     // slots: calls in flight at once
 	MaxPending           int     // messages pending at once; 0 for no limit
 	MaxAttempts          int     // attempts for one message; 0 for no limit
-	ExponentialDecay     bool    // a late weight halves with every further objective; else it falls linearly
+	ExponentialDecay     bool    // a late message's weight halves with each further objective; else it falls linearly
 	OverQuotaWeight      float64 // share of its weight that a message beyond its tenant's quota keeps
 	WeightByCost         bool    // weights are per unit of a message's estimated cost
 	ListHasRates         bool    // list entries carry the calls per second that a destination accepts
--- a/policy/state.go
+++ b/policy/state.go
@@ -91,7 +91,7 @@
 	lastSuccessAt         Time
 	recoveryBudget        tokenBucket
 	requiredTokens        float64 // tokens that the next call takes from the budget
-	connectFailedAt       Time    // last call that found no connection; 0 once a call in flight then was answered
+	connectFailedAt       Time    // when a call last found no connection; 0 once a call in flight then is answered
 	lastFailureSilent     bool    // the last failure was one without an answer
 	connectCost           float64 // cost of opening a connection, in calls
 	identityRejectedUntil Time
