--- a/internal/certstore/load.go
+++ b/internal/certstore/load.go
@@ -16,14 +16,14 @@
 	"troutusher/internal/tlspolicy"
 )
 
-// Bounds of a file.
+// Limits of one file.
 const (
 	maxFileBytes    = 1 << 20
 	maxCertificates = 1000
 )
 
-// othersPermissions are the permissions of anybody but a file's owner.
-const othersPermissions = 0o077
+// groupAndOtherBits are the permission bits of all users other than a file's owner.
+const groupAndOtherBits = 0o077
 
 // Types of PEM blocks (RFC 7468).
 const (
@@ -31,19 +31,19 @@
 	pemRevocationList = "X509 CRL"
 )
 
-// errKeyMismatch says that the key does not belong to the certificate: one of the two
-// files may be about to be replaced.
-var errKeyMismatch = errors.New("the key is not the certificate's")
+// errKeyMismatch reports that the key does not belong to the certificate. The cause may be
+// that only one of the two files has been replaced yet.
+var errKeyMismatch = errors.New("the key does not belong to the certificate")
 
-// loader reads one set of files.
+// loader loads the credentials of one set of files.
 type loader struct {
 	files       Files
 	now         time.Time
-	sum         hash.Hash // over all that was read
+	sum         hash.Hash // over the content of the files read so far
 	credentials *Credentials
 }
 
-// load reads credentials and the fingerprint of their files.
+// load returns the credentials in a set of files, and the fingerprint of the files.
 func load(f Files, now time.Time) (*Credentials, fingerprint, error) {
 	l := &loader{files: f, now: now, sum: sha256.New(), credentials: &Credentials{}}
 	for _, step := range []func() error{l.loadKeyPair, l.loadRoots, l.loadRevocationLists} {
@@ -54,7 +54,7 @@
 	return l.credentials, fingerprint(l.sum.Sum(nil)), nil
 }
 
-// read reads a file that is not secret and adds it to the fingerprint.
+// read reads a file that is not secret and adds its content to the fingerprint.
 func (l *loader) read(path string) ([]byte, error) {
 	content, err := readFile(path, false)
 	if err != nil {
@@ -66,7 +66,7 @@
 
 func (l *loader) loadKeyPair() error {
 	if (l.files.Certificate == "") != (l.files.Key == "") {
-		return errors.New("keys: certificate and key are named together or not at all")
+		return errors.New("keys: only one of certificate and key is named, want both together or neither")
 	}
 	if l.files.Certificate == "" {
 		return nil
@@ -107,7 +107,7 @@
 	pool := x509.NewCertPool()
 	for i, c := range certificates {
 		if !c.IsCA {
-			return fmt.Errorf("keys: %s: certificate %d (%s) is no authority", l.files.Roots, i+1, c.Subject)
+			return fmt.Errorf("keys: %s: certificate %d (%s) is not an authority", l.files.Roots, i+1, c.Subject)
 		}
 		pool.AddCert(c)
 	}
@@ -130,7 +130,7 @@
 	return err
 }
 
-// parseKeyPair checks our own certificate and its key.
+// parseKeyPair parses and checks our own certificate, its issuers and its key.
 func parseKeyPair(f Files, certificate, key []byte, now time.Time) (*tls.Certificate, error) {
 	chain, err := parseCertificates(f.Certificate, certificate)
 	if err != nil {
@@ -139,23 +139,25 @@
 	leaf := chain[0]
 	switch {
 	case leaf.IsCA && len(chain) > 1:
-		return nil, fmt.Errorf("keys: %s: an authority (%s) comes first; our own certificate belongs there",
+		return nil, fmt.Errorf("keys: %s: an authority (%s) comes first, want our own certificate first",
 			f.Certificate, leaf.Subject)
 	case now.Before(leaf.NotBefore):
-		return nil, fmt.Errorf("keys: %s: valid from %s on", f.Certificate, leaf.NotBefore.UTC().Format(time.RFC3339))
+		return nil, fmt.Errorf("keys: %s: certificate is valid from %s",
+			f.Certificate, leaf.NotBefore.UTC().Format(time.RFC3339))
 	case !now.Before(leaf.NotAfter):
-		return nil, fmt.Errorf("keys: %s: valid until %s", f.Certificate, leaf.NotAfter.UTC().Format(time.RFC3339))
+		return nil, fmt.Errorf("keys: %s: certificate was valid until %s",
+			f.Certificate, leaf.NotAfter.UTC().Format(time.RFC3339))
 	}
-	for i := range chain[1:] { // RFC 8446 section 4.4.2: each certifies the one before
+	for i := range chain[1:] { // each must certify the one before (RFC 8446 section 4.4.2)
 		if err := chain[i].CheckSignatureFrom(chain[i+1]); err != nil {
 			return nil, fmt.Errorf("keys: %s: certificate %d does not certify the one before it", f.Certificate, i+2)
 		}
 	}
 	own, err := tls.X509KeyPair(certificate, key)
 	if err != nil {
-		// The library's error is not passed on: it may quote the key file.
+		// The error of crypto/tls is not returned, because it may quote the key file.
 		if block, _ := pem.Decode(key); block == nil {
-			return nil, fmt.Errorf("keys: %s: no PEM in it", f.Key)
+			return nil, fmt.Errorf("keys: %s: no PEM block found", f.Key)
 		}
 		return nil, fmt.Errorf("keys: %s: %w", f.Key, errKeyMismatch)
 	}
@@ -163,7 +165,7 @@
 	return &own, nil
 }
 
-// parseCertificates parses the certificates of a file, at least one.
+// parseCertificates parses the certificates of a file. It returns an error if there is none.
 func parseCertificates(path string, content []byte) (certificates []*x509.Certificate, err error) {
 	for n := 1; ; n++ {
 		block, rest := pem.Decode(content)
@@ -172,7 +174,7 @@
 		}
 		content = rest
 		if block.Type != pemCertificate {
-			return nil, fmt.Errorf("keys: %s: block %d is no certificate", path, n)
+			return nil, fmt.Errorf("keys: %s: PEM block %d is not a certificate", path, n)
 		}
 		c, err := x509.ParseCertificate(block.Bytes)
 		if err != nil {
@@ -189,7 +191,7 @@
 	return certificates, nil
 }
 
-// parseRevocationLists parses the revocation lists of a file.
+// parseRevocationLists parses the revocation lists of a file: PEM blocks, or one list in DER.
 func parseRevocationLists(path string, content []byte) (*tlspolicy.RevocationLists, error) {
 	var der [][]byte
 	for rest := content; ; {
@@ -198,7 +200,7 @@
 			break
 		}
 		if block.Type != pemRevocationList {
-			return nil, fmt.Errorf("keys: %s: block %d is no revocation list", path, len(der)+1)
+			return nil, fmt.Errorf("keys: %s: PEM block %d is not a revocation list", path, len(der)+1)
 		}
 		der = append(der, block.Bytes)
 	}
@@ -212,9 +214,10 @@
 	return lists, nil
 }
 
-// readFile reads a regular file; a secret one must be accessible to its owner alone.
+// readFile reads a regular file. It returns an error for a secret file that users other
+// than the owner have access to.
 func readFile(path string, secret bool) ([]byte, error) {
-	// Opening a pipe in the file's place would block without O_NONBLOCK.
+	// Without O_NONBLOCK, opening a named pipe would block.
 	file, err := os.OpenFile(path, os.O_RDONLY|syscall.O_NONBLOCK, 0)
 	if err != nil {
 		return nil, fmt.Errorf("keys: %w", err)
@@ -225,9 +228,9 @@
 	case err != nil:
 		return nil, fmt.Errorf("keys: %w", err)
 	case !info.Mode().IsRegular():
-		return nil, fmt.Errorf("keys: %s: no regular file", path)
-	case secret && info.Mode().Perm()&othersPermissions != 0:
-		return nil, fmt.Errorf("keys: %s: mode %04o: others than its owner may use it, want 0600",
+		return nil, fmt.Errorf("keys: %s: not a regular file", path)
+	case secret && info.Mode().Perm()&groupAndOtherBits != 0:
+		return nil, fmt.Errorf("keys: %s: mode %04o gives access to users other than the owner, want 0600",
 			path, info.Mode().Perm())
 	}
 	content, err := io.ReadAll(io.LimitReader(file, maxFileBytes+1))
@@ -235,7 +238,7 @@
 		return nil, fmt.Errorf("keys: %w", err)
 	}
 	if len(content) > maxFileBytes {
-		return nil, fmt.Errorf("keys: %s: over %d bytes", path, maxFileBytes)
+		return nil, fmt.Errorf("keys: %s: file has more than %d bytes", path, maxFileBytes)
 	}
 	return content, nil
 }
--- a/internal/certstore/store.go
+++ b/internal/certstore/store.go
@@ -1,10 +1,10 @@
-// Package certstore holds the certificates, private keys, roots and revocation lists of
-// a site, as its files have them: loaded whole or not at all, reloaded while the relay
-// serves, and kept as they were when the new files are bad.
+// Package certstore loads certificates, private keys, roots and revocation lists from
+// files and reloads them while the relay runs. A set of files is loaded completely or not
+// at all. While the files are invalid, or only one file of a pair of certificate and key
+// has been replaced, the credentials loaded before stay in use.
 //
-// It owns the rules for these files. It must never put a secret into an error or a
-// log, decide whom to trust, or show a pair of certificate and key that is half
-// replaced.
+// The package defines what the files must contain; package tlspolicy decides whom to
+// trust. No error text contains secrets.
 package certstore
 
 import (
@@ -18,34 +18,34 @@
 	"troutusher/internal/tlspolicy"
 )
 
-// replacementGrace is how long a certificate and a key that do not match are not
-// reported: they are replaced one after the other.
+// replacementGrace is how long Reload reports no error for a certificate and a key that
+// do not match, because the two files are replaced one after the other.
 const replacementGrace = 5 * time.Second
 
-// Files are the paths of one set of credentials; an empty path is not wanted.
+// Files holds the paths of one set of credentials. A file with an empty path is not loaded.
 type Files struct {
 	Certificate     string // our own certificate, followed by its issuers
-	Key             string // its private key, readable by its owner alone
-	Roots           string // the certificates of the authorities that are trusted
+	Key             string // its private key, which only the file's owner may have access to
+	Roots           string // the certificates of the trusted authorities
 	RevocationLists string // in PEM (RFC 7468 section 7), or one list in DER
 }
 
-// Credentials are what the files held at one moment.
+// Credentials is the content of a set of files at one moment.
 type Credentials struct {
 	Certificate      *tls.Certificate           // nil where no file is named
 	Roots            *x509.CertPool             // nil where no file is named
-	RootCertificates []*x509.Certificate        // those in Roots
-	NotAfter         time.Time                  // the end of our own certificate, zero without one
+	RootCertificates []*x509.Certificate        // the certificates in Roots
+	NotAfter         time.Time                  // of our own certificate; zero without one
 	RevocationLists  *tlspolicy.RevocationLists // nil where no file is named
 
-	// SHA-256 sums of the files, by which stored sessions are told apart.
+	// SHA-256 hashes of the files, which are part of the identity of stored sessions.
 	RootsSum, CertificateSum []byte
 }
 
-// fingerprint is the SHA-256 sum over the content of all files.
+// fingerprint is the SHA-256 hash of the content of all files.
 type fingerprint [sha256.Size]byte
 
-// Load reads credentials, whole or not at all.
+// Load returns the credentials in a set of files, or an error if any of them is invalid.
 func Load(f Files, now time.Time) (*Credentials, error) {
 	credentials, _, err := load(f, now)
 	return credentials, err
@@ -57,10 +57,10 @@
 	current         atomic.Pointer[Credentials]
 	lastFingerprint fingerprint // of current
 	lastError       string      // the last error that Reload returned
-	mismatchSince   time.Time   // since when certificate and key do not match
+	mismatchSince   time.Time   // since when certificate and key do not match; zero if they do
 }
 
-// Open loads the first credentials, which must be good.
+// Open returns a Store with the files loaded. It returns an error if any of them is invalid.
 func Open(f Files, now time.Time) (*Store, error) {
 	credentials, sum, err := load(f, now)
 	if err != nil {
@@ -74,9 +74,9 @@
 // Current returns the credentials in use. Any goroutine may call it.
 func (s *Store) Current() *Credentials { return s.current.Load() }
 
-// Reload reads the files again. changed tells that new credentials are in use from here
-// on; the error says why the files' content cannot be used, and is returned once for
-// each reason. One goroutine calls it.
+// Reload reads the files again. It returns true if they have changed and the new
+// credentials are in use from now on. It returns an error if the files cannot be used, but
+// not the same error twice in a row. Only one goroutine may call it.
 func (s *Store) Reload(now time.Time) (changed bool, err error) {
 	credentials, sum, err := load(s.files, now)
 	if err == nil {
@@ -98,7 +98,8 @@
 	return false, err
 }
 
-// inGrace reports whether the other file of a mismatched pair may still be replaced.
+// inGrace reports whether certificate and key have been mismatched for less than
+// replacementGrace, so that the second file may still be replaced.
 func (s *Store) inGrace(now time.Time) bool {
 	if s.mismatchSince.IsZero() {
 		s.mismatchSince = now
--- a/internal/certstore/store_test.go
+++ b/internal/certstore/store_test.go
@@ -20,26 +20,28 @@
 
 type issuedCert = testca.Issued
 
-func issue(t testing.TB, up *issuedCert, ca bool, from, to time.Duration) *issuedCert {
+// issue makes a certificate, or an authority's if isCA is set, signed by issuer or
+// self-signed if issuer is nil. Its validity period is relative to noon.
+func issue(t testing.TB, issuer *issuedCert, isCA bool, from, to time.Duration) *issuedCert {
 	t.Helper()
 	changes := []func(*x509.Certificate){testca.WithValidity(noon.Add(from), noon.Add(to))}
-	if ca {
+	if isCA {
 		changes = append(changes, testca.AsAuthority)
 	}
-	m, err := testca.Issue(up, "c", nil, changes...)
+	issued, err := testca.Issue(issuer, "c", nil, changes...)
 	if err != nil {
 		t.Fatal(err)
 	}
-	return m
+	return issued
 }
 
-func certPEM(m *issuedCert) []byte {
-	return pem.EncodeToMemory(&pem.Block{Type: "CERTIFICATE", Bytes: m.Raw})
+func certPEM(issued *issuedCert) []byte {
+	return pem.EncodeToMemory(&pem.Block{Type: "CERTIFICATE", Bytes: issued.Raw})
 }
 
-func keyPEM(t testing.TB, m *issuedCert) []byte {
+func keyPEM(t testing.TB, issued *issuedCert) []byte {
 	t.Helper()
-	text, err := m.KeyPEM()
+	text, err := issued.KeyPEM()
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -61,41 +63,41 @@
 
 func TestLoad(t *testing.T) {
 	root := issue(t, nil, true, -time.Hour, time.Hour)
-	mid := issue(t, root, true, -time.Hour, time.Hour)
-	own, other := issue(t, mid, false, -time.Hour, time.Hour), issue(t, mid, false, -time.Hour, time.Hour)
-	old, young := issue(t, mid, false, -2*time.Hour, -time.Hour), issue(t, mid, false, time.Hour, 2*time.Hour)
-	rubbish := []byte("-----BEGIN CERTIFICATE-----\nAAAA\n-----END CERTIFICATE-----\n")
-	for _, x := range []struct {
+	subCA := issue(t, root, true, -time.Hour, time.Hour)
+	own, other := issue(t, subCA, false, -time.Hour, time.Hour), issue(t, subCA, false, -time.Hour, time.Hour)
+	expired, future := issue(t, subCA, false, -2*time.Hour, -time.Hour), issue(t, subCA, false, time.Hour, 2*time.Hour)
+	invalidCert := []byte("-----BEGIN CERTIFICATE-----\nAAAA\n-----END CERTIFICATE-----\n")
+	for _, test := range []struct {
 		name             string
 		cert, key, roots []byte
 		keyMode          os.FileMode
 		want             string // in the error; empty for none
 	}{
-		{name: "all", cert: append(certPEM(own), certPEM(mid)...), key: keyPEM(t, own), roots: certPEM(root)},
-		{name: "roots alone", roots: append(certPEM(root), certPEM(mid)...)},
-		{name: "key of another", cert: certPEM(own), key: keyPEM(t, other), want: "not the certificate's"},
+		{name: "all files", cert: append(certPEM(own), certPEM(subCA)...), key: keyPEM(t, own), roots: certPEM(root)},
+		{name: "only roots", roots: append(certPEM(root), certPEM(subCA)...)},
+		{name: "key of another certificate", cert: certPEM(own), key: keyPEM(t, other), want: "does not belong"},
 		{name: "key without certificate", key: keyPEM(t, own), want: "together"},
-		{name: "readable by the group", cert: certPEM(own), key: keyPEM(t, own), keyMode: 0o640, want: "mode 0640"},
-		{name: "readable by all", cert: certPEM(own), key: keyPEM(t, own), keyMode: 0o644, want: "mode 0644"},
-		{name: "expired", cert: certPEM(old), key: keyPEM(t, old), want: "valid until"},
-		{name: "not yet valid", cert: certPEM(young), key: keyPEM(t, young), want: "valid from"},
+		{name: "key readable by the group", cert: certPEM(own), key: keyPEM(t, own), keyMode: 0o640, want: "mode 0640"},
+		{name: "key readable by all users", cert: certPEM(own), key: keyPEM(t, own), keyMode: 0o644, want: "mode 0644"},
+		{name: "expired", cert: certPEM(expired), key: keyPEM(t, expired), want: "valid until"},
+		{name: "not yet valid", cert: certPEM(future), key: keyPEM(t, future), want: "valid from"},
 		{
-			name: "chain in disorder", cert: slices.Concat(certPEM(own), certPEM(root), certPEM(mid)),
+			name: "chain out of order", cert: slices.Concat(certPEM(own), certPEM(root), certPEM(subCA)),
 			key: keyPEM(t, own), want: "certificate 2",
 		},
 		{
-			name: "authority first", cert: slices.Concat(certPEM(mid), certPEM(own)), key: keyPEM(t, mid),
+			name: "authority first", cert: slices.Concat(certPEM(subCA), certPEM(own)), key: keyPEM(t, subCA),
 			want: "comes first",
 		},
 		{name: "no certificate", cert: []byte("nothing"), key: keyPEM(t, own), want: "no certificate"},
-		{name: "a key in the certificate's file", cert: keyPEM(t, own), key: keyPEM(t, own), want: "is no certificate"},
-		{name: "cut off", cert: certPEM(own)[:200], key: keyPEM(t, own), want: "no certificate"},
-		{name: "rubbish in PEM", cert: rubbish, key: keyPEM(t, own), want: "certificate 1"},
-		{name: "no key", cert: certPEM(own), key: []byte("nothing"), want: "no PEM"},
-		{name: "a root that is none", roots: certPEM(own), want: "no authority"},
-		{name: "too long", roots: bytes.Repeat([]byte{'\n'}, maxFileBytes+1), want: "bytes"},
+		{name: "key in the certificate file", cert: keyPEM(t, own), key: keyPEM(t, own), want: "is not a certificate"},
+		{name: "truncated certificate", cert: certPEM(own)[:200], key: keyPEM(t, own), want: "no certificate"},
+		{name: "invalid certificate in PEM", cert: invalidCert, key: keyPEM(t, own), want: "certificate 1"},
+		{name: "no key in the key file", cert: certPEM(own), key: []byte("nothing"), want: "no PEM"},
+		{name: "root that is not an authority", roots: certPEM(own), want: "not an authority"},
+		{name: "file too long", roots: bytes.Repeat([]byte{'\n'}, maxFileBytes+1), want: "bytes"},
 	} {
-		t.Run(x.name, func(t *testing.T) {
+		t.Run(test.name, func(t *testing.T) {
 			dir := t.TempDir()
 			f := Files{}
 			write := func(path *string, name string, content []byte, mode os.FileMode) {
@@ -104,23 +106,24 @@
 					replaceFile(t, *path, mode, content)
 				}
 			}
-			if x.keyMode == 0 {
-				x.keyMode = 0o600
+			if test.keyMode == 0 {
+				test.keyMode = 0o600
 			}
-			write(&f.Certificate, "cert", x.cert, 0o644)
-			write(&f.Key, "key", x.key, x.keyMode)
-			write(&f.Roots, "roots", x.roots, 0o644)
+			write(&f.Certificate, "cert", test.cert, 0o644)
+			write(&f.Key, "key", test.key, test.keyMode)
+			write(&f.Roots, "roots", test.roots, 0o644)
 			credentials, err := Load(f, noon)
 			switch {
 			case (err == nil) != (credentials != nil):
-				t.Errorf("%v, %v", credentials, err)
-			case x.want == "" && err != nil || x.want != "" && (err == nil || !strings.Contains(err.Error(), x.want)):
-				t.Errorf("%v, want %q", err, x.want)
+				t.Errorf("Load = %v, error %v, want exactly one", credentials, err)
+			case test.want == "" && err != nil ||
+				test.want != "" && (err == nil || !strings.Contains(err.Error(), test.want)):
+				t.Errorf("Load = error %v, want one that contains %q, or nil if that is empty", err, test.want)
 			}
-			if err != nil && bytes.Contains(x.key, []byte("PRIVATE")) {
-				secret := strings.Split(string(x.key), "\n")[1]
+			if err != nil && bytes.Contains(test.key, []byte("PRIVATE")) {
+				secret := strings.Split(string(test.key), "\n")[1]
 				if strings.Contains(err.Error(), secret[:16]) {
-					t.Errorf("a secret in %v", err)
+					t.Errorf("Load = error %q, want one without the key", err)
 				}
 			}
 		})
@@ -130,13 +133,14 @@
 		t.Fatal(err)
 	}
 	if _, err := Load(Files{Roots: pipe}, noon); err == nil || !strings.Contains(err.Error(), "regular") {
-		t.Errorf("a pipe: %v", err)
+		t.Errorf("Load of a named pipe = error %v, want one that contains \"regular\"", err)
 	}
 }
 
-// Certificate and key are replaced one after the other, with a moment between: the old
-// pair is used until the new one is complete, and there is no error. A pair that stays
-// mismatched is reported once; the last good one stays in use.
+// Guards against a mismatched pair in use and against needless errors. Certificate and key
+// are replaced one after the other: the old pair must stay in use until both are replaced,
+// without an error. A pair that stays mismatched must be reported once, and the last valid
+// pair must stay in use.
 func TestReloadReplacedFiles(t *testing.T) {
 	dir := t.TempDir()
 	f := Files{Certificate: filepath.Join(dir, "cert"), Key: filepath.Join(dir, "key")}
@@ -147,50 +151,51 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	uses := func(m *issuedCert) {
+	expectInUse := func(want *issuedCert) {
 		t.Helper()
 		current := s.Current().Certificate
-		public := m.Key.(*ecdsa.PrivateKey).PublicKey
-		if !current.Leaf.Equal(m.Certificate) || !public.Equal(current.PrivateKey.(*ecdsa.PrivateKey).Public()) {
-			t.Error("another pair is in use, or half of it")
+		public := want.Key.(*ecdsa.PrivateKey).PublicKey
+		if !current.Leaf.Equal(want.Certificate) || !public.Equal(current.PrivateKey.(*ecdsa.PrivateKey).Public()) {
+			t.Errorf("certificate with serial %x is in use, or another key; want the pair with serial %x",
+				current.Leaf.SerialNumber, want.SerialNumber)
 		}
 	}
-	look := func(after time.Duration, changed bool, want string) {
+	expectReload := func(after time.Duration, changed bool, want string) {
 		t.Helper()
 		got, err := s.Reload(noon.Add(after))
 		if got != changed || (err == nil) != (want == "") || err != nil && !strings.Contains(err.Error(), want) {
-			t.Errorf("after %v: changed %v, %v", after, got, err)
+			t.Errorf("Reload at %v = %v, error %v, want %v, error with %q", after, got, err, changed, want)
 		}
 	}
-	look(0, false, "")
+	expectReload(0, false, "")
 	replaceFile(t, f.Certificate, 0o644, certPEM(b))
-	look(time.Second, false, "")
-	uses(a)
+	expectReload(time.Second, false, "")
+	expectInUse(a)
 	replaceFile(t, f.Key, 0o600, keyPEM(t, b))
-	look(2*time.Second, true, "")
-	uses(b)
+	expectReload(2*time.Second, true, "")
+	expectInUse(b)
 	replaceFile(t, f.Key, 0o600, keyPEM(t, a))
-	look(3*time.Second, false, "")
-	look(9*time.Second, false, "not the certificate's")
-	look(10*time.Second, false, "")
-	uses(b)
+	expectReload(3*time.Second, false, "")
+	expectReload(9*time.Second, false, "does not belong")
+	expectReload(10*time.Second, false, "")
+	expectInUse(b)
 	replaceFile(t, f.Key, 0o600, keyPEM(t, b))
-	look(11*time.Second, false, "")
+	expectReload(11*time.Second, false, "")
 	if err := os.Remove(f.Certificate); err != nil {
 		t.Fatal(err)
 	}
-	look(12*time.Second, false, "no such file")
-	uses(b)
+	expectReload(12*time.Second, false, "no such file")
+	expectInUse(b)
 }
 
 func FuzzParseCertificates(f *testing.F) {
-	m := issue(f, nil, true, -time.Hour, time.Hour)
-	f.Add(certPEM(m))
-	f.Add(append(certPEM(m), certPEM(m)...))
+	issued := issue(f, nil, true, -time.Hour, time.Hour)
+	f.Add(certPEM(issued))
+	f.Add(append(certPEM(issued), certPEM(issued)...))
 	f.Add([]byte("-----BEGIN CERTIFICATE-----\n-----END CERTIFICATE-----\n"))
 	f.Fuzz(func(t *testing.T, text []byte) {
 		if certs, err := parseCertificates("f", text); err == nil && len(certs) == 0 {
-			t.Error("neither certificates nor an error")
+			t.Error("parseCertificates = no certificates, nil error, want one of the two")
 		}
 	})
 }
--- a/internal/certstore/stored_test.go
+++ b/internal/certstore/stored_test.go
@@ -8,21 +8,21 @@
 	"testing"
 )
 
-// The sums of the files are part of the identity under which TLS sessions are
-// stored on disk: a release that computes them in another way would drop the
-// sessions that the one before it stored.
+// Guards against a change of the hashes of the files. They are part of the identity under
+// which TLS sessions are stored on disk, so a release that computes them in another way
+// would drop the sessions that an earlier release stored.
 func TestStoredSums(t *testing.T) {
 	key, err := os.ReadFile(filepath.Join("testdata", "own.key"))
 	if err != nil {
 		t.Fatal(err)
 	}
-	private := filepath.Join(t.TempDir(), "own.key") // a checkout does not keep the mode
-	if err := os.WriteFile(private, key, 0o600); err != nil {
+	keyPath := filepath.Join(t.TempDir(), "own.key") // git does not keep the mode 0600
+	if err := os.WriteFile(keyPath, key, 0o600); err != nil {
 		t.Fatal(err)
 	}
 	files := Files{
 		Certificate: filepath.Join("testdata", "own.pem"),
-		Key:         private,
+		Key:         keyPath,
 		Roots:       filepath.Join("testdata", "roots.pem"),
 	}
 	credentials, err := Load(files, noon)
@@ -35,9 +35,9 @@
 	}
 	got := fmt.Sprintf("own %x\nroots %x\n", credentials.CertificateSum, credentials.RootsSum)
 	if got != string(want) {
-		t.Errorf("sums:\n%swant:\n%s", got, want)
+		t.Errorf("hashes of the files:\n%swant:\n%s", got, want)
 	}
 	if !strings.HasPrefix(credentials.NotAfter.String(), "2126-01-01") {
-		t.Errorf("own certificate until %s", credentials.NotAfter)
+		t.Errorf("NotAfter = %s, want 2126-01-01", credentials.NotAfter)
 	}
 }
--- a/internal/testca/testca.go
+++ b/internal/testca/testca.go
@@ -1,8 +1,8 @@
-// Package testca makes throw-away certificate authorities and certificates for
+// Package testca issues throw-away certificate authorities and certificates for
 // rehearsals and tests, and for trying out the settings.
 //
-// It must never issue certificates that anybody relies on: its keys lie beside its
-// certificates. The relay does not link it.
+// Its certificates are not fit for production, since it stores the private keys in the
+// same folder. The relay does not link the package.
 package testca
 
 import (
@@ -33,7 +33,7 @@
 	pemRevocationList = "X509 CRL"
 )
 
-// Modes of files.
+// File modes.
 const (
 	publicMode = 0o644
 	secretMode = 0o600
@@ -44,25 +44,25 @@
 	defaultValidity = time.Hour // before and after the time of issue
 )
 
-// WithMustStaple makes a certificate say that an OCSP response always comes with it
-// (RFC 7633).
+// WithMustStaple adds the extension by which a certificate requires a stapled OCSP
+// response (RFC 7633).
 func WithMustStaple(c *x509.Certificate) {
 	c.ExtraExtensions = append(c.ExtraExtensions, pkix.Extension{
 		Id:    asn1.ObjectIdentifier{1, 3, 6, 1, 5, 5, 7, 1, 24},
-		Value: []byte{0x30, 3, 2, 1, 5}, // a sequence of the one integer 5, status_request
+		Value: []byte{0x30, 3, 2, 1, 5}, // a sequence with one integer, 5 (status_request)
 	})
 }
 
-// RevocationListPEM returns an authority's revocation list in PEM, with the time of the
-// next one.
+// RevocationListPEM returns an authority's revocation list in PEM, with its next update at
+// next.
 func RevocationListPEM(authority *Issued, next time.Time, revoked ...*Issued) ([]byte, error) {
 	list := &x509.RevocationList{
 		Number:     big.NewInt(time.Now().Unix()),
 		ThisUpdate: time.Now().Add(-time.Hour),
 		NextUpdate: next,
 	}
-	for _, m := range revoked {
-		entry := x509.RevocationListEntry{SerialNumber: m.SerialNumber, RevocationTime: list.ThisUpdate}
+	for _, issued := range revoked {
+		entry := x509.RevocationListEntry{SerialNumber: issued.SerialNumber, RevocationTime: list.ThisUpdate}
 		list.RevokedCertificateEntries = append(list.RevokedCertificateEntries, entry)
 	}
 	der, err := x509.CreateRevocationList(rand.Reader, list, authority.Certificate, authority.Key)
@@ -82,7 +82,7 @@
 	Ed25519 KeyKind = "ed25519"
 )
 
-// NewKey generates a key.
+// NewKey generates a key. The empty kind means P256.
 func NewKey(k KeyKind) (crypto.Signer, error) {
 	switch k {
 	case P256, "":
@@ -93,26 +93,26 @@
 		_, key, err := ed25519.GenerateKey(rand.Reader)
 		return key, err
 	}
-	return nil, fmt.Errorf("key of kind %q: want p256, rsa2048 or ed25519", k)
+	return nil, fmt.Errorf("unknown kind of key %q, want p256, rsa2048 or ed25519", k)
 }
 
-// Template is the certificate that the options of Issue change.
+// Template is a certificate before it is issued, for the functions that Issue applies to it.
 type Template = x509.Certificate
 
 // Issued is a certificate with its key and its issuers.
 type Issued struct {
 	*x509.Certificate
 	Key    crypto.Signer
-	Parent *Issued // its issuer; nil where it is self-signed
+	Parent *Issued // the issuer; nil if the certificate is self-signed
 }
 
-// AsAuthority makes a certificate one that may issue others.
+// AsAuthority turns a certificate into that of an authority, which may issue others.
 func AsAuthority(c *x509.Certificate) {
 	c.IsCA, c.DNSNames, c.IPAddresses, c.ExtKeyUsage = true, nil, nil, nil
 	c.KeyUsage = x509.KeyUsageCertSign | x509.KeyUsageCRLSign
 }
 
-// WithNames sets the host names and addresses that a certificate is for.
+// WithNames sets the host names and IP addresses of a certificate.
 func WithNames(names ...string) func(*x509.Certificate) {
 	return func(c *x509.Certificate) {
 		c.DNSNames, c.IPAddresses = nil, nil
@@ -131,9 +131,9 @@
 	return func(c *x509.Certificate) { c.NotBefore, c.NotAfter = from, to }
 }
 
-// Issue makes a certificate with a new key, or with key where that is not nil. parent
-// issues it; where that is nil it is self-signed. Unless changed it is for servers and
-// clients alike, and valid from an hour ago for two hours.
+// Issue issues a certificate for key, or for a new key if key is nil. It is signed by
+// parent, or self-signed if parent is nil. Before the changes, the certificate is for both
+// servers and clients, and valid from an hour ago for two hours.
 func Issue(parent *Issued, name string, key crypto.Signer, changes ...func(*x509.Certificate)) (*Issued, error) {
 	if key == nil {
 		var err error
@@ -156,10 +156,10 @@
 		DNSNames:              []string{name},
 		ExtKeyUsage:           []x509.ExtKeyUsage{x509.ExtKeyUsageServerAuth, x509.ExtKeyUsageClientAuth},
 	}
-	for _, f := range changes {
-		f(c)
+	for _, change := range changes {
+		change(c)
 	}
-	c.Subject.SerialNumber = c.SerialNumber.Text(36) // tells two authorities of one name apart
+	c.Subject.SerialNumber = c.SerialNumber.Text(36) // distinguishes authorities with the same name
 	issuer, signer := c, key
 	if parent != nil {
 		issuer, signer = parent.Certificate, parent.Key
@@ -175,61 +175,61 @@
 	return &Issued{Certificate: certificate, Key: key, Parent: parent}, nil
 }
 
-// Chain returns the certificate and its issuers without the root, as a server shows
-// them.
-func (m *Issued) Chain() (der [][]byte) {
-	for ; m != nil && (m.Parent != nil || len(der) == 0); m = m.Parent {
-		der = append(der, m.Raw)
+// Chain returns the certificate and its issuers without the root, as a server sends them.
+// For a self-signed certificate it returns that one.
+func (i *Issued) Chain() (der [][]byte) {
+	for ; i != nil && (i.Parent != nil || len(der) == 0); i = i.Parent {
+		der = append(der, i.Raw)
 	}
 	return der
 }
 
-// TLSCertificate returns the certificate in the form of crypto/tls.
-func (m *Issued) TLSCertificate() tls.Certificate {
-	return tls.Certificate{Certificate: m.Chain(), PrivateKey: m.Key, Leaf: m.Certificate}
+// TLSCertificate returns the certificate, its chain and its key for crypto/tls.
+func (i *Issued) TLSCertificate() tls.Certificate {
+	return tls.Certificate{Certificate: i.Chain(), PrivateKey: i.Key, Leaf: i.Certificate}
 }
 
 // CertPEM returns the chain in PEM.
-func (m *Issued) CertPEM() []byte {
+func (i *Issued) CertPEM() []byte {
 	var b bytes.Buffer
-	for _, der := range m.Chain() {
+	for _, der := range i.Chain() {
 		b.Write(pem.EncodeToMemory(&pem.Block{Type: pemCertificate, Bytes: der}))
 	}
 	return b.Bytes()
 }
 
 // KeyPEM returns the private key in PEM (RFC 5958).
-func (m *Issued) KeyPEM() ([]byte, error) {
-	der, err := x509.MarshalPKCS8PrivateKey(m.Key)
+func (i *Issued) KeyPEM() ([]byte, error) {
+	der, err := x509.MarshalPKCS8PrivateKey(i.Key)
 	if err != nil {
 		return nil, err
 	}
 	return pem.EncodeToMemory(&pem.Block{Type: pemPrivateKey, Bytes: der}), nil
 }
 
-// RootPool returns a pool of roots with this certificate alone.
-func (m *Issued) RootPool() *x509.CertPool {
+// RootPool returns a pool of roots with only this certificate.
+func (i *Issued) RootPool() *x509.CertPool {
 	p := x509.NewCertPool()
-	p.AddCert(m.Certificate)
+	p.AddCert(i.Certificate)
 	return p
 }
 
-// WriteFiles writes NAME.pem and, with key, NAME.key into a folder, each atomically, and
-// returns their paths.
-func (m *Issued) WriteFiles(dir, name string, key bool) (cert, keyPath string, err error) {
-	cert = filepath.Join(dir, name+".pem")
-	if err := ReplaceFile(cert, m.CertPEM(), publicMode); err != nil || !key {
-		return cert, "", err
+// WriteFiles writes the chain to NAME.pem in a folder and, if withKey is set, the key to
+// NAME.key. Each file is replaced atomically. It returns the paths.
+func (i *Issued) WriteFiles(dir, name string, withKey bool) (certPath, keyPath string, err error) {
+	certPath = filepath.Join(dir, name+".pem")
+	if err := ReplaceFile(certPath, i.CertPEM(), publicMode); err != nil || !withKey {
+		return certPath, "", err
 	}
-	text, err := m.KeyPEM()
+	text, err := i.KeyPEM()
 	if err != nil {
 		return "", "", err
 	}
 	keyPath = filepath.Join(dir, name+".key")
-	return cert, keyPath, ReplaceFile(keyPath, text, secretMode)
+	return certPath, keyPath, ReplaceFile(keyPath, text, secretMode)
 }
 
-// ReplaceFile writes a file atomically: under another name first, which is then moved.
+// ReplaceFile replaces a file atomically: it writes a temporary file and renames it.
 func ReplaceFile(path string, text []byte, mode os.FileMode) error {
 	if err := os.WriteFile(path+".new", text, mode); err != nil {
 		return err
--- a/internal/testca/testca_test.go
+++ b/internal/testca/testca_test.go
@@ -7,7 +7,8 @@
 	"testing"
 )
 
-// The files that "troutusher tls dev-ca" writes: names, modes and PEM types.
+// Guards against a change of the files that "troutusher tls dev-ca" writes: their names,
+// modes and PEM types.
 func TestWrittenFiles(t *testing.T) {
 	dir := t.TempDir()
 	root, err := Issue(nil, "root", nil, AsAuthority)
@@ -24,9 +25,9 @@
 	}
 	rootCert, rootKey, err := root.WriteFiles(dir, "root", false)
 	if err != nil || rootKey != "" {
-		t.Fatalf("root's key path %q, error %v", rootKey, err)
+		t.Fatalf("WriteFiles of the root without its key: key path %q, error %v, want none", rootKey, err)
 	}
-	for _, c := range []struct {
+	for _, test := range []struct {
 		got, name, pemType string
 		mode               os.FileMode
 	}{
@@ -34,23 +35,23 @@
 		{key, "relay.key", "PRIVATE KEY", 0o600},
 		{rootCert, "root.pem", "CERTIFICATE", 0o644},
 	} {
-		t.Run(c.name, func(t *testing.T) {
-			if c.got != filepath.Join(dir, c.name) {
-				t.Errorf("path %s", c.got)
+		t.Run(test.name, func(t *testing.T) {
+			if test.got != filepath.Join(dir, test.name) {
+				t.Errorf("WriteFiles: path %s, want %s", test.got, filepath.Join(dir, test.name))
 			}
-			text, err := os.ReadFile(c.got)
+			text, err := os.ReadFile(test.got)
 			if err != nil {
 				t.Fatal(err)
 			}
-			if block, rest := pem.Decode(text); block == nil || block.Type != c.pemType || len(rest) > 0 {
-				t.Errorf("not one PEM block of type %s:\n%s", c.pemType, text)
+			if block, rest := pem.Decode(text); block == nil || block.Type != test.pemType || len(rest) > 0 {
+				t.Errorf("%s: content, want one PEM block of type %s:\n%s", test.name, test.pemType, text)
 			}
-			info, err := os.Stat(c.got)
+			info, err := os.Stat(test.got)
 			if err != nil {
 				t.Fatal(err)
 			}
-			if info.Mode().Perm() != c.mode {
-				t.Errorf("mode %04o, want %04o", info.Mode().Perm(), c.mode)
+			if info.Mode().Perm() != test.mode {
+				t.Errorf("%s: mode %04o, want %04o", test.name, info.Mode().Perm(), test.mode)
 			}
 		})
 	}
--- a/internal/tlsdial/conn.go
+++ b/internal/tlsdial/conn.go
@@ -8,50 +8,51 @@
 	"time"
 )
 
-// rejectionWait is how long an endpoint that asked for our certificate has to reject
-// it before a call goes out on the connection.
+// rejectionWait is how long a call waits for an endpoint that asked for our certificate
+// to reject it.
 const rejectionWait = 100 * time.Millisecond
 
-var errUnexpectedData = errors.New("bytes before the first call")
+var errUnexpectedData = errors.New("endpoint sent application data before the first call")
 
 // Conn is a connection to an endpoint whose identity was verified.
 type Conn struct {
 	*tls.Conn
-	Resumed    bool // by a session ticket
+	Resumed    bool // the handshake resumed a session
 	records    *recordTracker
 	raw        net.Conn
 	endpoint   *Endpoint
-	generation uint64 // of the rule's files by which it was verified
-	validUntil time.Time
+	generation uint64    // of the rule's files that the identity was verified with
+	validUntil time.Time // of the verification
 }
 
-// Endpoint is the endpoint that it connects to.
+// Endpoint returns the endpoint that the connection leads to.
 func (c *Conn) Endpoint() *Endpoint { return c.endpoint }
 
-// Raw is the connection below TLS.
+// Raw returns the connection below TLS.
 func (c *Conn) Raw() net.Conn { return c.raw }
 
 // IdentityCurrent reports whether a call may begin on the connection: no certificate
-// has expired, and the rule's files are those by which it was verified.
+// has expired since the handshake, and the rule's files have not changed.
 func (c *Conn) IdentityCurrent() bool {
 	return c.generation == c.endpoint.rule.generation.Load() &&
 		c.endpoint.dialer.options.Clock().Before(c.validUntil)
 }
 
-// AtRecordBoundary reports whether no TLS record is partly read: the rest of one that
-// is may be the end of the connection.
+// AtRecordBoundary reports whether every TLS record that was begun has been read
+// completely. The unread rest of a record may be the alert that closes the connection.
 func (c *Conn) AtRecordBoundary() bool { return c.records.headerRead == 0 && c.records.bodyLeft == 0 }
 
-// awaitRejection gives an endpoint that asked for our certificate a moment to reject
-// it. With TLS 1.3 the handshake is over on this side before the endpoint has looked
-// at it (RFC 8446 section 4.4.2.4); a new session means that it was accepted.
+// awaitRejection waits for an endpoint that asked for our certificate to reject it. In
+// TLS 1.3 the handshake completes on this side before the endpoint has verified the
+// certificate (RFC 8446 section 4.4.2.4). A new session ticket means that the endpoint
+// accepted it, and ends the wait.
 func (c *Conn) awaitRejection(cache *ticketCache) error {
-	// A deadline cannot be set on a closed connection alone, where Read fails too.
+	// SetReadDeadline fails only on a closed connection, on which Read reports the error.
 	_ = c.SetReadDeadline(time.Now().Add(rejectionWait))
 	defer func() { _ = c.SetReadDeadline(time.Time{}) }()
-	cache.onEarly = func() { _ = c.SetReadDeadline(time.Unix(1, 0)) } // ends the Read below
-	defer func() { cache.onEarly = nil }()
-	for !cache.hasEarly() {
+	cache.onReceived = func() { _ = c.SetReadDeadline(time.Unix(1, 0)) } // ends the Read below
+	defer func() { cache.onReceived = nil }()
+	for !cache.hasReceived() {
 		switch n, err := c.Read(make([]byte, 1)); {
 		case n > 0:
 			return errUnexpectedData
@@ -64,16 +65,16 @@
 	return nil
 }
 
-// recordTracker follows where TLS records begin and end in what is read (RFC 8446
+// recordTracker tracks the boundaries of TLS records in the bytes that are read (RFC 8446
 // section 5.1).
 type recordTracker struct {
 	net.Conn
 	header     [5]byte
-	headerRead int // bytes of the header read
-	bodyLeft   int // bytes of the record still to be read
+	headerRead int // header bytes read so far
+	bodyLeft   int // bytes of the record not read yet
 }
 
-// Read reads from the connection below.
+// Read reads from the underlying connection.
 func (r *recordTracker) Read(b []byte) (int, error) {
 	n, err := r.Conn.Read(b)
 	for b := b[:n]; len(b) > 0; {
--- a/internal/tlsdial/dialer.go
+++ b/internal/tlsdial/dialer.go
@@ -1,11 +1,11 @@
 // Package tlsdial makes TLS connections to endpoints and verifies their identity
 // (TLS 1.2, RFC 5246; TLS 1.3, RFC 8446).
 //
-// It owns the socket side of handshakes: when one may begin, which session it
-// resumes, the files with keys and roots, and the schedule on which an endpoint
-// whose identity was rejected is tried again. Whom to trust, what a failure means
-// and how many handshakes there may be is decided by package tlspolicy. It must
-// never send a byte of a message, know about calls, or send early data.
+// It runs the handshakes, offers stored sessions for resumption, reloads the files with
+// keys and roots, and retries endpoints whose identity was rejected. Package tlspolicy
+// decides which identities to trust, what a failed handshake means and how many
+// handshakes may run. Package tlsdial sends handshakes only: no message data, and no
+// early data (0-RTT).
 package tlsdial
 
 import (
@@ -24,9 +24,9 @@
 
 const (
 	reloadInterval  = time.Second
-	busyRetryDelay  = 100 * time.Millisecond // after a scheduled handshake found no capacity
+	busyRetryDelay  = 100 * time.Millisecond // after the budget did not grant a scheduled handshake
 	warningInterval = 24 * time.Hour
-	reportingMargin = 500 * time.Millisecond // beyond a handshake's timeout, until its end is reported
+	reportingMargin = 500 * time.Millisecond // from the end of a handshake until it is reported
 )
 
 // Options configure a Dialer.
@@ -34,17 +34,16 @@
 	Rules      []operatorconfig.TLSRule
 	Handshakes operatorconfig.Handshakes
 	Log        *slog.Logger
-	Clock      func() time.Time // certificates are judged by it; nil for time.Now
+	Clock      func() time.Time // for the validity of certificates; nil for time.Now
 	Seed       uint64
-	StateDir   string // the folder that outlasts the process, for stored sessions
-	// OnRejected is called when an endpoint must get no calls for a time; 0 means
-	// that it may get calls again. It must not block.
+	StateDir   string // folder of the stored sessions; it outlives the process
+	// OnRejected is called when an endpoint must get no calls for the duration wait;
+	// with wait 0 it may get calls again. The function must not block.
 	OnRejected func(endpoint uint64, wait time.Duration)
 }
 
-// Dialer makes and accounts for all TLS connections to endpoints. Its methods are
-// safe for concurrent use, but for Run and ReloadFiles, which belong to one
-// goroutine.
+// Dialer opens all TLS connections to endpoints, and accounts for them. Its methods are
+// safe for concurrent use, except Run and ReloadFiles, which only one goroutine may call.
 type Dialer struct {
 	options          Options
 	handshakeTimeout time.Duration
@@ -57,29 +56,30 @@
 	sessions     *tlspolicy.SessionCache[*tls.ClientSessionState]
 	sessionKey   []byte // encrypts stored sessions; nil where sessions are not stored
 	endpoints    map[uint64]*Endpoint
-	lastWarnings map[string]time.Time // of expiry, by rule and what expires
+	lastWarnings map[string]time.Time // of each expiry warning, by rule and expiring item
 	counts       Counts
 }
 
 // rule is one of the operator's TLS rules with the current content of its files.
 type rule struct {
 	settings       *operatorconfig.TLSRule
-	policy         tlspolicy.Rule // without the roots, which files has
+	policy         tlspolicy.Rule // without Roots; those come from files
 	files          *certstore.Store
-	generation     atomic.Uint64 // counts changes of the files
-	earliestExpiry atomic.Int64  // Unix seconds at which the first verification under it ends; 0 for none yet
+	generation     atomic.Uint64 // incremented when the files change
+	earliestExpiry atomic.Int64  // of the verifications under the rule, in Unix seconds; 0 before the first
 }
 
-// Counts are the numbers of handshakes since the start, and of endpoints now.
+// Counts holds the numbers of handshakes since the start and the current numbers of endpoints.
 type Counts struct {
 	Full, Resumed     int64 // completed handshakes
-	Rejected          int64 // handshakes in which either side rejected the other's identity
-	Inconclusive      int64 // handshakes that ended without a verdict: a reset, a timeout
+	Rejected          int64 // handshakes in which one side rejected the other's identity
+	Inconclusive      int64 // handshakes that failed without a verdict, as by a reset or a timeout
 	RejectedEndpoints int
 	VerifiedEndpoints int
 }
 
-// New reads the files that the rules name; a file that cannot be used is an error.
+// New returns a Dialer with the files that the rules name loaded. It returns an error for
+// a file that cannot be used.
 func New(options Options) (*Dialer, error) {
 	if options.Clock == nil {
 		options.Clock = time.Now
@@ -113,16 +113,16 @@
 	return d, nil
 }
 
-// openRules reads the files of each rule.
+// openRules loads the files of each rule.
 func (d *Dialer) openRules() error {
 	for i := range d.options.Rules {
 		r := &rule{settings: &d.options.Rules[i]}
 		var err error
 		if r.policy, err = r.settings.Rule(); err != nil {
-			return fmt.Errorf("tls %s: %w", r.settings.Name, err)
+			return fmt.Errorf("tls %s: invalid rule: %w", r.settings.Name, err)
 		}
 		if r.files, err = certstore.Open(r.settings.Files(), d.options.Clock()); err != nil {
-			return fmt.Errorf("tls %s: %w", r.settings.Name, err)
+			return fmt.Errorf("tls %s: load files: %w", r.settings.Name, err)
 		}
 		d.rules = append(d.rules, r)
 		d.warnExpiringFiles(r)
@@ -130,8 +130,8 @@
 	return nil
 }
 
-// HandshakeWeight is what opening a connection to a destination costs its endpoint,
-// in calls; 0 where it is reached without TLS.
+// HandshakeWeight returns what a handshake costs an endpoint of the destination, in
+// calls; 0 for a destination without TLS.
 func (d *Dialer) HandshakeWeight(dest int, flavor string) float64 {
 	if i, ok := d.selector.Find(dest, flavor); ok {
 		return d.rules[i].settings.ConnectionCost()
@@ -139,7 +139,8 @@
 	return 0
 }
 
-// Run polls the files for changes until ctx ends.
+// Run reloads files that have changed, once in reloadInterval, until ctx is done. Then
+// it stops the retries of rejected endpoints.
 func (d *Dialer) Run(ctx context.Context) {
 	tick := time.NewTicker(reloadInterval)
 	defer tick.Stop()
@@ -162,13 +163,13 @@
 	}
 }
 
-// ReloadFiles reads the files of all rules again and uses those that have changed.
-// One goroutine calls it.
+// ReloadFiles reads the files of all rules and puts changed ones into use. Files that
+// cannot be used are logged, and the previous ones stay in use.
 func (d *Dialer) ReloadFiles() {
 	for _, r := range d.rules {
 		changed, err := r.files.Reload(d.options.Clock())
 		if err != nil {
-			d.options.Log.Error("tls: the files are not used, what was read before goes on",
+			d.options.Log.Error("tls: cannot use the changed files, the previous ones stay in use",
 				"rule", r.settings.Name, "err", err)
 		}
 		d.warnExpiringFiles(r)
@@ -176,12 +177,12 @@
 			continue
 		}
 		d.applyChangedFiles(r)
-		d.options.Log.Info("tls: the files have changed and are in use", "rule", r.settings.Name)
+		d.options.Log.Info("tls: changed files loaded and in use", "rule", r.settings.Name)
 	}
 }
 
-// applyChangedFiles drops what was verified under the old files, and tries rejected
-// endpoints again at once: the operator has changed what they were judged by.
+// applyChangedFiles invalidates the connections and sessions that were verified with the
+// old files, and retries rejected endpoints at once, since the new files may accept them.
 func (d *Dialer) applyChangedFiles(r *rule) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
--- a/internal/tlsdial/endpoint.go
+++ b/internal/tlsdial/endpoint.go
@@ -6,8 +6,8 @@
 	"troutusher/internal/tlspolicy"
 )
 
-// inconclusiveRetryDelay is the time until a rejected endpoint is tried again after a
-// handshake that gave no verdict.
+// inconclusiveRetryDelay is the time until a rejected endpoint is retried after a
+// handshake without a verdict.
 const inconclusiveRetryDelay = time.Second
 
 // Endpoint is one endpoint that is reached over TLS.
@@ -21,12 +21,13 @@
 	closed         bool
 }
 
-// trustKey is the endpoint's key in the trust tracker and in the handshake budget.
+// trustKey returns the endpoint's key in the trust tracker and in the handshake budget.
 func (e *Endpoint) trustKey() int { return int(e.number) }
 
-// Endpoint registers an endpoint of a destination; nil where it is reached without
-// TLS. retryHandshake is called on the retry schedule of a rejected endpoint: it has
-// to begin a handshake by Acquire with scheduled set, and reports whether it did.
+// Endpoint registers an endpoint of a destination. It returns nil for a destination
+// without TLS. retryHandshake is called on the retry schedule while the endpoint is
+// rejected: it has to call Acquire with scheduled set and begin a handshake, and reports
+// whether it began one.
 func (d *Dialer) Endpoint(number uint64, dest int, flavor string, retryHandshake func() bool) *Endpoint {
 	if d == nil {
 		return nil
@@ -45,8 +46,8 @@
 	return e
 }
 
-// ChargesHandshakes reports whether a handshake counts against the endpoint's rate
-// like calls do.
+// ChargesHandshakes reports whether handshakes count against the endpoint's rate, as
+// calls do.
 func (e *Endpoint) ChargesHandshakes() bool { return e.rule.settings.ConnectionCost() > 0 }
 
 // Close removes the endpoint from its dialer.
@@ -58,8 +59,7 @@
 	}
 }
 
-// removeEndpoint stops an endpoint's retries and drops what is known of it. The
-// caller holds mu.
+// removeEndpoint stops an endpoint's retries and removes its state. The caller holds mu.
 func (d *Dialer) removeEndpoint(e *Endpoint) {
 	e.closed = true
 	e.stopRetry()
@@ -73,12 +73,12 @@
 	}
 }
 
-// Acquire asks for a permit to make one handshake. A nil permit without an error
-// means that it is not granted now: retryAt is when to ask again, zero for once
-// another handshake with the endpoint has ended. The error is a *RejectedError.
-// cold is set for an endpoint that warms up, scheduled for a handshake of the retry
-// schedule.
-func (e *Endpoint) Acquire(cold, scheduled bool) (permit *Permit, retryAt time.Time, err error) {
+// Acquire requests a permit for one handshake. Where it returns neither a permit nor an
+// error, the budget has no room now: retryAt is when to ask again, and zero means after
+// another handshake with the endpoint has ended. The error is a *RejectedError. The
+// caller sets warmingUp for an endpoint that is warming up, and scheduled for a handshake
+// of the retry schedule.
+func (e *Endpoint) Acquire(warmingUp, scheduled bool) (permit *Permit, retryAt time.Time, err error) {
 	d := e.dialer
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -91,7 +91,7 @@
 	}
 	permit = e.newPermit()
 	var ok bool
-	permit.reservation, ok, retryAt = d.budget.Reserve(e.trustKey(), permit.kind, cold || rejection != nil, now)
+	permit.reservation, ok, retryAt = d.budget.Reserve(e.trustKey(), permit.kind, warmingUp || rejection != nil, now)
 	if !ok {
 		return nil, retryAt, nil
 	}
@@ -104,13 +104,14 @@
 	return permit, time.Time{}, nil
 }
 
-// checkRetry refuses a handshake with a rejected endpoint that the retry schedule
-// does not call for. The caller holds mu.
+// checkRetry returns an error for a handshake with a rejected endpoint that is not due
+// on the retry schedule. The caller holds mu.
 func (d *Dialer) checkRetry(
 	e *Endpoint, rejection *tlspolicy.IdentityError, scheduled bool, now time.Time,
 ) (time.Time, error) {
 	may, retryAt := d.trust.MayRetry(e.trustKey(), now)
-	if !scheduled { // a message cannot change the verdict, and causes no handshake
+	// Messages cannot change the verdict, so they cause no handshakes.
+	if !scheduled {
 		wait := max(retryAt.Sub(now), busyRetryDelay)
 		d.options.OnRejected(e.number, wait+d.handshakeTimeout+reportingMargin)
 		return retryAt, &RejectedError{Reason: rejection, RetryAfter: wait}
@@ -121,7 +122,8 @@
 	return time.Time{}, nil
 }
 
-// newPermit prepares a handshake under the current files. The caller holds mu.
+// newPermit returns a permit for a handshake with the current files, without a
+// reservation. The caller holds mu.
 func (e *Endpoint) newPermit() *Permit {
 	credentials := e.rule.files.Current()
 	p := &Permit{
@@ -137,9 +139,10 @@
 	return p
 }
 
-// RecordAlert takes an error of a connection whose handshake was over on this side.
-// It reports whether the error is an alert by which the endpoint rejects us: with TLS
-// 1.3 that arrives after the handshake (RFC 8446 section 4.4.2.4).
+// RecordAlert takes an error of a connection whose handshake has completed on this side.
+// If the error is an alert by which the endpoint rejects our identity, RecordAlert records
+// the rejection and returns true. In TLS 1.3 such an alert arrives after the handshake
+// (RFC 8446 section 4.4.2.4).
 func (e *Endpoint) RecordAlert(err error) (*RejectedError, bool) {
 	cause, ok := causeOfError(err)
 	if !ok {
@@ -151,7 +154,7 @@
 	return e.dialer.recordRejection(e, failure), true
 }
 
-// recordVerified records a handshake in which the identity was verified. The caller
+// recordVerified records a handshake that verified the endpoint's identity. The caller
 // holds mu.
 func (d *Dialer) recordVerified(e *Endpoint, c *Conn) {
 	if c.Resumed {
@@ -180,8 +183,8 @@
 	d.warnExpiring(e.rule, "a partner's certificate", c.validUntil)
 }
 
-// recordRejection records a handshake in which an identity was rejected, and
-// schedules the next one. The caller holds mu.
+// recordRejection records that an identity was rejected, and schedules the next
+// handshake. The caller holds mu.
 func (d *Dialer) recordRejection(e *Endpoint, failure *tlspolicy.IdentityError) *RejectedError {
 	d.counts.Rejected++
 	now := time.Now()
@@ -198,17 +201,18 @@
 	return &RejectedError{Reason: failure, RetryAfter: wait}
 }
 
-// recordInconclusive records a handshake that ended without a verdict. The caller
+// recordInconclusive records a handshake that failed without a verdict. The caller
 // holds mu.
 func (d *Dialer) recordInconclusive(e *Endpoint) {
 	d.counts.Inconclusive++
 	d.trust.RecordInconclusive(e.trustKey())
-	if rejection, _ := d.trust.Rejection(e.trustKey()); rejection != nil { // the schedule goes on
+	if rejection, _ := d.trust.Rejection(e.trustKey()); rejection != nil { // the endpoint stays rejected
 		d.scheduleRetry(e, inconclusiveRetryDelay)
 	}
 }
 
-// scheduleRetry tries a rejected endpoint again after a wait. The caller holds mu.
+// scheduleRetry replaces the retry timer of a rejected endpoint by one that fires after
+// wait. The caller holds mu.
 func (d *Dialer) scheduleRetry(e *Endpoint, wait time.Duration) {
 	e.stopRetry()
 	if e.closed || e.retryHandshake == nil {
--- a/internal/tlsdial/errors.go
+++ b/internal/tlsdial/errors.go
@@ -13,28 +13,28 @@
 	"troutusher/internal/tlspolicy"
 )
 
-// The operations that crypto/tls names in its errors where an alert was received or
-// sent.
+// Op of the net.OpError that crypto/tls returns when it has received or sent an alert.
 const (
 	opAlertReceived = "remote error"
 	opAlertSent     = "local error"
 )
 
-// RejectedError says that an endpoint's identity, or ours, was rejected: nothing but a
-// handshake was sent to it.
+// RejectedError reports that an endpoint's identity was rejected, or that the endpoint
+// rejected ours. Nothing but a handshake was sent to the endpoint.
 type RejectedError struct {
 	Reason     *tlspolicy.IdentityError
 	RetryAfter time.Duration // until the next scheduled handshake
 }
 
-// Error names the reason.
-func (e *RejectedError) Error() string { return "out: " + e.Reason.Error() }
+// Error returns the text of the reason.
+func (e *RejectedError) Error() string { return "identity rejected: " + e.Reason.Error() }
 
 // Unwrap returns the reason.
 func (e *RejectedError) Unwrap() error { return e.Reason }
 
-// remoteAlert returns the alert that an endpoint sent, if err is one. crypto/tls does
-// not export the type of such errors; their text is that of tls.AlertError.
+// remoteAlert returns the code of the alert that err reports as received from an
+// endpoint; false for any other error. crypto/tls does not export the type of these
+// errors, but their text equals that of a tls.AlertError with the same code.
 func remoteAlert(err error) (uint8, bool) {
 	var op *net.OpError
 	if !errors.As(err, &op) || op.Op != opAlertReceived {
@@ -48,8 +48,8 @@
 	return 0, false
 }
 
-// causeOfError returns the cause of rejection that an endpoint's alert stands for;
-// false for any other error.
+// causeOfError returns the cause of the rejection that err reports; false unless err is
+// an alert from the endpoint about identities or parameters.
 func causeOfError(err error) (tlspolicy.FailureCause, bool) {
 	alert, ok := remoteAlert(err)
 	if !ok {
@@ -58,10 +58,10 @@
 	return tlspolicy.CauseOfAlert(alert)
 }
 
-// isTransient reports whether a handshake ended by what may happen to any connection,
-// which says nothing about identities.
+// isTransient reports whether a handshake failed for a reason that can affect any
+// connection, such as a reset, and that says nothing about identities.
 func isTransient(ctx context.Context, err error) bool {
-	if _, ok := remoteAlert(err); ok { // causeOfError knows those that do
+	if _, ok := remoteAlert(err); ok { // causeOfError handles the alerts about identities
 		return true
 	}
 	var op *net.OpError
--- a/internal/tlsdial/expiry.go
+++ b/internal/tlsdial/expiry.go
@@ -2,8 +2,8 @@
 
 import "time"
 
-// warnExpiringFiles warns of our own certificate and revocation lists that are about
-// to expire.
+// warnExpiringFiles logs a warning if our own certificate or a revocation list of the
+// rule is about to expire.
 func (d *Dialer) warnExpiringFiles(r *rule) {
 	credentials := r.files.Current()
 	d.mu.Lock()
@@ -14,8 +14,8 @@
 	}
 }
 
-// warnExpiring logs that something ends soon, once in warningInterval. A zero end
-// means that there is nothing to expire. The caller holds mu.
+// warnExpiring logs a warning if what expires at end is about to expire, at most once in
+// warningInterval. With a zero end it does nothing. The caller holds mu.
 func (d *Dialer) warnExpiring(r *rule, what string, end time.Time) {
 	if end.IsZero() {
 		return
@@ -30,13 +30,13 @@
 		return
 	}
 	d.lastWarnings[key] = now
-	d.options.Log.Warn("tls: ends soon", "rule", r.settings.Name, "what", what,
+	d.options.Log.Warn("tls: a certificate or revocation list expires soon", "rule", r.settings.Name, "what", what,
 		"end", end.UTC().Format(time.RFC3339), "hours_left", int(left.Hours()))
 }
 
-// DaysLeft calls f with each rule's name and the number of days until the first of
-// its verified certificates, or our own certificate under it, expires. A rule with
-// neither is left out.
+// DaysLeft calls f with the name of each rule and the number of days until the first of
+// its certificates expires: our own one, or one that was verified under the rule. A rule
+// without any is left out.
 func (d *Dialer) DaysLeft(f func(name string, days float64)) {
 	now := d.options.Clock()
 	for _, r := range d.rules {
--- a/internal/tlsdial/handshake.go
+++ b/internal/tlsdial/handshake.go
@@ -16,7 +16,7 @@
 // minVersionTLS13 is the value of a rule's min_version that excludes TLS 1.2.
 const minVersionTLS13 = "1.3"
 
-// Permit allows one handshake with an endpoint. It is used once, by Handshake or
+// Permit allows one handshake with an endpoint. It is used up by either Handshake or
 // Release.
 type Permit struct {
 	endpoint     *Endpoint
@@ -29,24 +29,24 @@
 	sessionUntil time.Time
 }
 
-// Timeout is how long the handshake may take, connecting included.
+// Timeout returns how long connecting and the handshake may take together.
 func (p *Permit) Timeout() time.Duration { return p.endpoint.dialer.handshakeTimeout }
 
-// Release gives the permit back without a handshake: no connection was established.
+// Release returns the permit unused, because no connection was established.
 func (p *Permit) Release() {
 	d := p.endpoint.dialer
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.budget.Complete(p.reservation, 0, false, time.Now())
 	d.recordInconclusive(p.endpoint)
-	if p.session != nil && p.generation == p.endpoint.rule.generation.Load() { // nobody has seen its ticket
+	if p.session != nil && p.generation == p.endpoint.rule.generation.Load() { // its ticket was not sent
 		d.sessions.PutUntil(p.identity, p.session, d.options.Clock(), p.sessionUntil)
 	}
 }
 
-// Handshake makes the handshake over a connection. When it fails, the connection is
-// closed and nothing but the handshake was sent; the error is a *RejectedError where
-// an identity was rejected.
+// Handshake performs the handshake over a connection. If it fails, the connection is
+// closed and nothing but the handshake was sent. The error is a *RejectedError if an
+// identity was rejected.
 func (p *Permit) Handshake(ctx context.Context, raw net.Conn) (*Conn, error) {
 	h := p.newHandshake(raw)
 	cpuTime, err := h.run(ctx)
@@ -54,17 +54,17 @@
 		err = h.confirm()
 	}
 	if err != nil {
-		_ = raw.Close() // nothing was sent on it that its close could lose
+		_ = raw.Close() // no message data was sent, so a failed close loses nothing
 	}
 	return h.record(ctx, cpuTime, err)
 }
 
-// handshake is one handshake under way.
+// handshake is the state of one handshake in progress.
 type handshake struct {
 	permit               *Permit
 	conn                 *Conn
 	cache                *ticketCache
-	failure              *tlspolicy.IdentityError // of the endpoint's identity, by our verification
+	failure              *tlspolicy.IdentityError // found by our verification of the endpoint's identity
 	certificateRequested bool                     // the endpoint asked for our certificate
 	version              uint16
 }
@@ -84,7 +84,7 @@
 			identity:   p.identity,
 			generation: p.generation,
 			rule:       e.rule,
-			offer:      p.session,
+			toOffer:    p.session,
 		},
 	}
 	h.conn.Conn = tls.Client(h.conn.records, h.config())
@@ -99,8 +99,8 @@
 		MaxVersion:         tls.VersionTLS13,
 		Time:               e.dialer.options.Clock,
 		ClientSessionCache: h.cache,
-		// The library's own verification would use the system's clock and give no
-		// cause. VerifyConnection is called for resumed sessions, too.
+		// The verification of crypto/tls would use the system's clock and give no
+		// cause. VerifyConnection replaces it, and is called for resumed sessions too.
 		InsecureSkipVerify:   true,
 		VerifyConnection:     h.verifyConnection,
 		GetClientCertificate: h.clientCertificate,
@@ -111,7 +111,7 @@
 	return config
 }
 
-// verifyConnection is called by crypto/tls with the endpoint's certificates.
+// verifyConnection verifies the endpoint's certificates. crypto/tls calls it.
 func (h *handshake) verifyConnection(state tls.ConnectionState) error {
 	verification, failure := h.verify(state)
 	if failure != nil {
@@ -122,7 +122,8 @@
 	return nil
 }
 
-// clientCertificate is called by crypto/tls when the endpoint asks for our certificate.
+// clientCertificate returns our certificate, or an empty one where there is none.
+// crypto/tls calls it when the endpoint asks for a certificate.
 func (h *handshake) clientCertificate(*tls.CertificateRequestInfo) (*tls.Certificate, error) {
 	h.certificateRequested = true
 	if own := h.permit.credentials.Certificate; own != nil {
@@ -131,7 +132,7 @@
 	return &tls.Certificate{}, nil
 }
 
-// verify judges the endpoint's identity by the rule's current files.
+// verify verifies the endpoint's identity with the rule's current files.
 func (h *handshake) verify(state tls.ConnectionState) (*tlspolicy.Verification, *tlspolicy.IdentityError) {
 	e := h.permit.endpoint
 	credentials := e.rule.files.Current()
@@ -141,10 +142,10 @@
 	return policy.Verify(state.PeerCertificates, e.dialer.options.Clock(), evidence)
 }
 
-// run makes the handshake and measures the processor time it takes on this side.
+// run performs the handshake and measures the CPU time that it takes on this side.
 func (h *handshake) run(ctx context.Context) (cpuTime time.Duration, err error) {
-	// It runs on a thread of its own, whose processor time is measured: the
-	// process's would count other goroutines' work.
+	// The goroutine is locked to its thread, whose CPU time is measured: that of the
+	// process would include the work of other goroutines.
 	runtime.LockOSThread()
 	defer runtime.UnlockOSThread()
 	start := threadCPUTime()
@@ -152,8 +153,9 @@
 	return threadCPUTime() - start, err
 }
 
-// confirm checks, once the handshake is over on this side, that the endpoint accepts
-// our certificate and that its identity still holds under the rule's files.
+// confirm checks, after the handshake has completed on this side, that the endpoint
+// does not reject our certificate and that its identity is valid under the rule's current
+// files.
 func (h *handshake) confirm() error {
 	state := h.conn.ConnectionState()
 	h.conn.Resumed = state.DidResume
@@ -166,13 +168,13 @@
 	if h.permit.endpoint.rule.generation.Load() == h.permit.generation {
 		return nil
 	}
-	if _, h.failure = h.verify(state); h.failure != nil { // the files have changed meanwhile
+	if _, h.failure = h.verify(state); h.failure != nil { // the files changed during the handshake
 		return h.failure
 	}
 	return nil
 }
 
-// record accounts for a handshake that has ended with err.
+// record accounts for a handshake that has ended, with err if it failed.
 func (h *handshake) record(ctx context.Context, cpuTime time.Duration, err error) (*Conn, error) {
 	e := h.permit.endpoint
 	d := e.dialer
@@ -193,7 +195,7 @@
 }
 
 // identityFailure returns why an identity was rejected in a handshake that failed with
-// err; nil where the error says nothing about identities.
+// err; nil if the error says nothing about identities.
 func (h *handshake) identityFailure(ctx context.Context, err error) *tlspolicy.IdentityError {
 	if h.failure != nil {
 		return h.failure
@@ -210,7 +212,7 @@
 	return &tlspolicy.IdentityError{Cause: cause, Rule: h.permit.endpoint.rule.settings.Name, Err: err}
 }
 
-// threadCPUTime is the processor time of the calling thread.
+// threadCPUTime returns the CPU time of the calling thread.
 func threadCPUTime() time.Duration {
 	var ts unix.Timespec
 	if unix.ClockGettime(unix.CLOCK_THREAD_CPUTIME_ID, &ts) != nil {
--- a/internal/tlsdial/handshake_bench_test.go
+++ b/internal/tlsdial/handshake_bench_test.go
@@ -51,15 +51,15 @@
 	return raw
 }
 
-// readOneByte reads what the server sends behind its sessions.
-func readOneByte(b *testing.B, c net.Conn) {
+// readOneByte reads the byte that the server sends after its sessions.
+func readOneByte(b *testing.B, conn net.Conn) {
 	b.Helper()
-	if _, err := io.ReadFull(c, make([]byte, 1)); err != nil {
+	if _, err := io.ReadFull(conn, make([]byte, 1)); err != nil {
 		b.Fatal(err)
 	}
 }
 
-// reset closes a connection without leaving its port in TIME_WAIT.
+// reset closes a connection with a reset, which leaves no port in TIME_WAIT.
 func reset(b *testing.B, raw net.Conn) {
 	b.Helper()
 	if err := raw.(*net.TCPConn).SetLinger(0); err != nil {
@@ -72,10 +72,10 @@
 
 func microseconds(total time.Duration, n int) float64 { return float64(total) / float64(n) / 1e3 }
 
-// BenchmarkHandshake measures handshakes a second with both sides on the cores given
-// (-cpu 1), with this package and with crypto/tls's own client on the same
-// certificates, and what one takes of the client's processor time by the meter that
-// the handshake budget uses.
+// BenchmarkHandshake measures handshakes per second with client and server on the same
+// cores (-cpu 1), for this package and for the client of crypto/tls with the same
+// certificates. For this package it also measures the client's CPU time per handshake, in
+// the way that the handshake budget does.
 func BenchmarkHandshake(b *testing.B) {
 	for _, kind := range []testca.KeyKind{testca.P256, testca.RSA2048, testca.Ed25519} {
 		root, err := testca.Issue(nil, "root", nil, testca.AsAuthority)
@@ -136,7 +136,7 @@
 		}
 		readOneByte(b, c)
 		if b.N > 1 && resumed != c.Resumed && d.counts.Full > 1 {
-			b.Fatalf("resumed %v", c.Resumed)
+			b.Fatalf("Handshake: Resumed = %v, want %v", c.Resumed, resumed)
 		}
 		reset(b, c.Raw())
 	}
@@ -162,7 +162,7 @@
 	b.ReportMetric(microseconds(processCPUTime(b)-start, b.N), "cpu-us/both")
 }
 
-// heapInUse is the memory of heap and stacks after a collection.
+// heapInUse returns the memory of heap and stacks in bytes, after a garbage collection.
 func heapInUse() float64 {
 	var stats runtime.MemStats
 	runtime.GC()
@@ -171,7 +171,7 @@
 	return float64(stats.HeapInuse + stats.StackInuse)
 }
 
-// BenchmarkConnectionMemory measures what an open connection costs the process that
+// BenchmarkConnectionMemory measures the memory of an open connection in a process that
 // holds both of its ends.
 func BenchmarkConnectionMemory(b *testing.B) {
 	s := newTestSite(b)
--- a/internal/tlsdial/sessionfile.go
+++ b/internal/tlsdial/sessionfile.go
@@ -21,22 +21,23 @@
 	"troutusher/internal/tlspolicy"
 )
 
-// Sessions are stored when the process ends as planned, and read once and removed at
-// the next start, so that no two processes show the same ticket. The file:
+// Sessions are stored when the process shuts down in order. The next process reads the
+// file and removes it, so that no two processes present the same ticket. File format:
 //
 //	magic and version   5 bytes   "TRSS" 1
-//	salt                32 bytes  of the key's derivation, HKDF-SHA-256 (RFC 5869)
+//	salt                32 bytes  for the derivation of the key, HKDF-SHA-256 (RFC 5869)
 //	nonce               24 bytes
-//	XChaCha20-Poly1305  the rest, over JSON; all before it is authenticated
+//	ciphertext          the rest      of JSON, XChaCha20-Poly1305; the header is
+//	                                  the additional authenticated data
 //
-// A file that is damaged, of another version or under another key counts as an empty
-// cache: full handshakes, and nothing else, follow from that.
+// A file that is damaged, of another version or encrypted with another key is ignored.
+// The only consequence is that the next handshakes are full ones.
 
 const (
 	sessionsFile         = "sessions.sealed"
 	sessionsMagic        = "TRSS"
 	sessionsVersion      = 1
-	prefixLen            = len(sessionsMagic) + 1 // magic and version
+	prefixLen            = len(sessionsMagic) + 1 // magic and version number
 	saltLen              = 32
 	headerLen            = prefixLen + saltLen + chacha20poly1305.NonceSizeX
 	maxSessionsFileBytes = 4 << 20
@@ -44,14 +45,14 @@
 	maxSessionKeyBytes   = 4096
 	keyDerivationInfo    = "troutusher sessions 1"
 	temporarySuffix      = ".new"
-	ownerOnly            = 0o600
-	othersPermissions    = 0o077
+	ownerOnlyMode        = 0o600
+	groupAndOtherBits    = 0o077
 )
 
-// errNotDecryptable says that a file of sessions cannot be decrypted.
-var errNotDecryptable = errors.New("damaged, or sealed under another key")
+// errNotDecryptable reports that the content of a session file cannot be decrypted.
+var errNotDecryptable = errors.New("file is damaged or encrypted with another key")
 
-// storedSession is one session in the file.
+// storedSession is one session in the session file.
 type storedSession struct {
 	Destination int       `json:"dest"`
 	Rule        string    `json:"rule"`
@@ -61,8 +62,8 @@
 	State       []byte    `json:"state"`
 }
 
-// readSessionKey reads the operator's key file: 32 bytes at least, accessible to its
-// owner alone.
+// readSessionKey reads the operator's key file. The file must have minSessionKeyBytes to
+// maxSessionKeyBytes, and only its owner may have access to it.
 func readSessionKey(path string) ([]byte, error) {
 	f, err := os.Open(path)
 	if err != nil {
@@ -74,9 +75,9 @@
 	case err != nil:
 		return nil, fmt.Errorf("session key: %w", err)
 	case !info.Mode().IsRegular():
-		return nil, fmt.Errorf("session key: %s: no regular file", path)
-	case info.Mode().Perm()&othersPermissions != 0:
-		return nil, fmt.Errorf("session key: %s: mode %04o: others than its owner may use it, want 0600",
+		return nil, fmt.Errorf("session key: %s: not a regular file", path)
+	case info.Mode().Perm()&groupAndOtherBits != 0:
+		return nil, fmt.Errorf("session key: %s: mode %04o gives access to users other than the owner, want 0600",
 			path, info.Mode().Perm())
 	}
 	key, err := io.ReadAll(io.LimitReader(f, maxSessionKeyBytes+1))
@@ -84,13 +85,13 @@
 		return nil, fmt.Errorf("session key: %w", err)
 	}
 	if len(key) < minSessionKeyBytes || len(key) > maxSessionKeyBytes {
-		return nil, fmt.Errorf("session key: %s: %d bytes, want %d to %d",
+		return nil, fmt.Errorf("session key: %s: key has %d bytes, want %d to %d",
 			path, len(key), minSessionKeyBytes, maxSessionKeyBytes)
 	}
 	return key, nil
 }
 
-// newAEAD returns the cipher of a file with a salt.
+// newAEAD returns the cipher of a session file, with the key derived from key and salt.
 func newAEAD(key, salt []byte) (cipher.AEAD, error) {
 	derived, err := hkdf.Key(sha256.New, key, salt, keyDerivationInfo, chacha20poly1305.KeySize)
 	if err != nil {
@@ -99,7 +100,7 @@
 	return chacha20poly1305.NewX(derived)
 }
 
-// encryptSessions returns the content of a file.
+// encryptSessions returns the content of a session file.
 func encryptSessions(key []byte, sessions []storedSession) ([]byte, error) {
 	plaintext, err := json.Marshal(sessions)
 	if err != nil {
@@ -119,13 +120,13 @@
 	return aead.Seal(header, nonce, plaintext, bytes.Clone(header)), nil
 }
 
-// decryptSessions reads the content of a file.
+// decryptSessions returns the sessions in the content of a session file.
 func decryptSessions(key, content []byte) ([]storedSession, error) {
 	if len(content) < headerLen || string(content[:len(sessionsMagic)]) != sessionsMagic {
 		return nil, errNotDecryptable
 	}
 	if version := content[len(sessionsMagic)]; version != sessionsVersion {
-		return nil, fmt.Errorf("version %d is not known here", version)
+		return nil, fmt.Errorf("file has version %d, want version %d", version, sessionsVersion)
 	}
 	header := content[:headerLen]
 	aead, err := newAEAD(key, header[prefixLen:prefixLen+saltLen])
@@ -143,18 +144,19 @@
 	return sessions, nil
 }
 
-// SaveSessions stores the sessions in a folder for the next process, where the operator
-// has named a key. Nothing else depends on it: an error is logged, and no more.
+// SaveSessions stores the sessions in a folder for the next process, if the operator has
+// configured a key. An error is only logged: without stored sessions the next process
+// makes full handshakes.
 func (d *Dialer) SaveSessions(dir string) {
 	if d == nil || d.sessionKey == nil {
 		return
 	}
 	if err := d.writeSessions(filepath.Join(dir, sessionsFile), d.exportSessions()); err != nil {
-		d.options.Log.Warn("tls: sessions are not kept for the next process", "err", err)
+		d.options.Log.Warn("tls: cannot save sessions, the next process makes full handshakes", "err", err)
 	}
 }
 
-// exportSessions returns the cached sessions that can be stored, the oldest first.
+// exportSessions returns the cached sessions that can be serialized, the oldest first.
 func (d *Dialer) exportSessions() (sessions []storedSession) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -179,17 +181,17 @@
 	return sessions
 }
 
-// writeSessions replaces the file, or leaves it as it is.
+// writeSessions replaces the session file atomically.
 func (d *Dialer) writeSessions(path string, sessions []storedSession) error {
 	content, err := encryptSessions(d.sessionKey, sessions)
 	if err != nil {
 		return err
 	}
 	if len(content) > maxSessionsFileBytes {
-		return fmt.Errorf("%d bytes, %d at most", len(content), maxSessionsFileBytes)
+		return fmt.Errorf("session file would have %d bytes, want at most %d", len(content), maxSessionsFileBytes)
 	}
-	temporary := path + temporarySuffix
-	f, err := os.OpenFile(temporary, os.O_WRONLY|os.O_CREATE|os.O_TRUNC, ownerOnly)
+	temporaryPath := path + temporarySuffix
+	f, err := os.OpenFile(temporaryPath, os.O_WRONLY|os.O_CREATE|os.O_TRUNC, ownerOnlyMode)
 	if err != nil {
 		return err
 	}
@@ -201,16 +203,17 @@
 		err = closeErr
 	}
 	if err == nil {
-		err = os.Rename(temporary, path)
+		err = os.Rename(temporaryPath, path)
 	}
 	if err != nil {
-		_ = os.Remove(temporary) // the first error says what went wrong
+		_ = os.Remove(temporaryPath) // the first error is returned
 	}
 	return err
 }
 
-// restoreSessions takes over the sessions that the previous process stored, and removes
-// the file. A session whose identity has changed since is never looked up, and expires.
+// restoreSessions caches the sessions that the previous process stored, and removes the
+// session file. A session whose identity is no longer configured is never looked up, and
+// expires.
 func (d *Dialer) restoreSessions(dir string) {
 	path := filepath.Join(dir, sessionsFile)
 	f, err := os.Open(path)
@@ -218,29 +221,30 @@
 		return
 	}
 	if err != nil {
-		d.options.Log.Warn("tls: sessions of the process before are not used", "err", err)
+		d.options.Log.Warn("tls: cannot read saved sessions, full handshakes follow", "err", err)
 		return
 	}
 	sessions, err := d.readSessions(f)
 	if err != nil {
-		d.options.Log.Warn("tls: sessions of the process before are not used", "file", path, "err", err)
+		d.options.Log.Warn("tls: cannot read saved sessions, full handshakes follow", "file", path, "err", err)
 		return
 	}
 	now := d.options.Clock()
 	for i := range sessions {
 		d.restoreSession(&sessions[i], now)
 	}
-	d.options.Log.Info("tls: sessions of the process before", "read", len(sessions), "kept", d.sessions.Len())
+	d.options.Log.Info("tls: saved sessions restored", "read", len(sessions), "kept", d.sessions.Len())
 }
 
-// readSessions reads a file of sessions, removes and closes it.
+// readSessions reads a session file, closes it and removes it.
 func (d *Dialer) readSessions(f *os.File) ([]storedSession, error) {
 	content, err := io.ReadAll(io.LimitReader(f, maxSessionsFileBytes+1))
 	_ = f.Close() // it was only read
 	if err == nil && len(content) > maxSessionsFileBytes {
-		err = fmt.Errorf("over %d bytes", maxSessionsFileBytes)
+		err = fmt.Errorf("file has more than %d bytes", maxSessionsFileBytes)
 	}
-	// It is removed before it is used: a ticket is shown once, also if this process dies.
+	// The file is removed before its sessions are used, so that no ticket is presented
+	// again after a crash of this process.
 	if removeErr := os.Remove(f.Name()); err == nil {
 		err = removeErr
 	}
@@ -250,13 +254,13 @@
 	return decryptSessions(d.sessionKey, content)
 }
 
-// restoreSession caches one stored session; one that cannot be used is left out.
+// restoreSession caches one stored session, unless it cannot be used.
 func (d *Dialer) restoreSession(stored *storedSession, now time.Time) {
 	if len(stored.IdentitySum) != sha256.Size {
 		return
 	}
 	state, err := tls.ParseSessionState(stored.State)
-	if err != nil || state.EarlyData { // early data is never sent
+	if err != nil || state.EarlyData { // this package never sends early data
 		return
 	}
 	session, err := tls.NewResumptionState(stored.Ticket, state)
--- a/internal/tlsdial/sessionfile_test.go
+++ b/internal/tlsdial/sessionfile_test.go
@@ -21,12 +21,12 @@
 
 const serverName = "pay.example.org"
 
-// testSite is the configuration of one site with a TLS rule, and its log.
+// testSite is the configuration of one relay with a TLS rule, and its log.
 type testSite struct {
 	stateDir, keyFile string
 	certificate       *testca.Issued
 	rule              operatorconfig.TLSRule
-	log               bytes.Buffer
+	log               bytes.Buffer // of its dialers
 }
 
 func newTestSite(t testing.TB) *testSite {
@@ -66,12 +66,13 @@
 	return d
 }
 
-// handshake makes a handshake with a server and waits for the session that follows it.
+// handshake performs a handshake with a server and waits until the server has sent its
+// sessions.
 func (s *testSite) handshake(t testing.TB, e *Endpoint, addr string) *Conn {
 	t.Helper()
 	permit, _, err := e.Acquire(false, false)
 	if err != nil || permit == nil {
-		t.Fatal("no permit: ", err)
+		t.Fatalf("Acquire = %v, error %v, want a permit", permit, err)
 	}
 	raw, err := net.Dial("tcp", addr)
 	if err != nil {
@@ -84,17 +85,17 @@
 	if err := c.SetReadDeadline(time.Now().Add(30 * time.Second)); err != nil {
 		t.Fatal(err)
 	}
-	if _, err := c.Read(make([]byte, 1)); err != nil { // the server's one byte follows its sessions
+	if _, err := c.Read(make([]byte, 1)); err != nil { // the server sends this byte after its sessions
 		t.Fatal(err)
 	}
 	return c
 }
 
-// startTLSServer accepts connections until the test ends. Each gets one byte, and what
-// it sends is read and dropped.
-func startTLSServer(t testing.TB, cfg *tls.Config) string {
+// startTLSServer starts a server that runs until the test ends, and returns its address.
+// The server sends one byte on each connection and discards what it receives.
+func startTLSServer(t testing.TB, config *tls.Config) string {
 	t.Helper()
-	ln, err := tls.Listen("tcp", "127.0.0.1:0", cfg)
+	ln, err := tls.Listen("tcp", "127.0.0.1:0", config)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -123,7 +124,8 @@
 	return ln.Addr().String()
 }
 
-// serveOneByte may fail at any point: the client decides how the handshake ends.
+// serveOneByte sends one byte and discards what it receives. It ignores errors, since the
+// client may end the connection at any point.
 func serveOneByte(ctx context.Context, c net.Conn) {
 	defer func() { _ = c.Close() }()
 	defer context.AfterFunc(ctx, func() { _ = c.Close() })()
@@ -133,20 +135,21 @@
 	_, _ = io.Copy(io.Discard, c)
 }
 
-// The next process resumes stored sessions, each ticket once. The file is encrypted,
-// is removed once it is read, and is ignored when it cannot be used.
+// Guards against a restart that loses the stored sessions or presents a ticket twice. The
+// next process must resume a stored session, for the same destination only. The file must
+// be encrypted, must be removed when it is read, and must be ignored if it is unusable.
 func TestSessionsSurviveRestart(t *testing.T) {
 	s := newTestSite(t)
 	addr := startTLSServer(t, &tls.Config{Certificates: []tls.Certificate{s.certificate.TLSCertificate()}})
 	d := s.newDialer(t)
 	c := s.handshake(t, d.Endpoint(1, 1, "", nil), addr)
 	if c.Resumed {
-		t.Fatal("resumed from nothing")
+		t.Fatal("first handshake was resumed, want a full one")
 	}
 	_ = c.Close()
 	d.SaveSessions(s.stateDir)
 	path := filepath.Join(s.stateDir, sessionsFile)
-	text, err := os.ReadFile(path)
+	content, err := os.ReadFile(path)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -154,53 +157,56 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	readable := bytes.Contains(text, []byte("ticket")) || bytes.Contains(text, s.certificate.Raw[:40])
+	readable := bytes.Contains(content, []byte("ticket")) || bytes.Contains(content, s.certificate.Raw[:40])
 	if info.Mode().Perm() != 0o600 || readable {
-		t.Error("the file can be read")
+		t.Errorf("session file: mode %04o, plaintext visible %v; want 0600, false", info.Mode().Perm(), readable)
 	}
 	next := s.newDialer(t)
 	if _, err := os.Stat(path); err == nil {
-		t.Error("the file is there still: another process would show its tickets again")
+		t.Error("session file still exists after it was read: another process would present its tickets again")
 	}
 	other := s.handshake(t, next.Endpoint(2, 2, "", nil), addr)
 	if other.Resumed {
-		t.Error("a session of one destination is shown for another")
+		t.Error("a session of destination 1 was presented for destination 2")
 	}
 	c = s.handshake(t, next.Endpoint(1, 1, "", nil), addr)
 	if !c.Resumed {
-		t.Error("not resumed by the next process")
+		t.Error("the next process made a full handshake, want a resumed one")
 	}
-	// Damaged at any byte, cut at any length, under another key: an empty cache.
+	// A file that is damaged at any byte, truncated at any length or encrypted with another
+	// key must not be decrypted.
 	key := bytes.Repeat([]byte("k"), 32)
-	for i := range text {
-		b := bytes.Clone(text)
+	for i := range content {
+		b := bytes.Clone(content)
 		b[i] ^= 1
 		if _, err := decryptSessions(key, b); err == nil {
-			t.Fatalf("byte %d changed, and it is read", i)
+			t.Fatalf("decryptSessions(file with byte %d changed) = nil error, want an error", i)
 		}
-		if _, err := decryptSessions(key, text[:i]); err == nil {
-			t.Fatalf("cut at %d, and it is read", i)
+		if _, err := decryptSessions(key, content[:i]); err == nil {
+			t.Fatalf("decryptSessions(file truncated to %d bytes) = nil error, want an error", i)
 		}
 	}
-	if _, err := decryptSessions(bytes.Repeat([]byte("q"), 32), text); err == nil {
-		t.Error("read under another key")
+	if _, err := decryptSessions(bytes.Repeat([]byte("q"), 32), content); err == nil {
+		t.Error("decryptSessions(another key) = nil error, want an error")
 	}
-	if all, err := decryptSessions(key, text); err != nil || len(all) == 0 {
-		t.Errorf("the file itself: %v", err)
+	if sessions, err := decryptSessions(key, content); err != nil || len(sessions) == 0 {
+		t.Errorf("decryptSessions(unchanged file) = %d sessions, error %v; want at least 1, no error",
+			len(sessions), err)
 	}
-	text[4] = 9
-	if err := os.WriteFile(path, text, 0o600); err != nil {
+	content[4] = 9
+	if err := os.WriteFile(path, content, 0o600); err != nil {
 		t.Fatal(err)
 	}
 	s.log.Reset()
 	if d := s.newDialer(t); d.sessions.Len() != 0 || !strings.Contains(s.log.String(), "version 9") {
-		t.Errorf("another version: %d sessions, %s", d.sessions.Len(), s.log.String())
+		t.Errorf("file of version 9: restored %d sessions, want 0; log: %s", d.sessions.Len(), s.log.String())
 	}
-	// A state folder that cannot be written loses the sessions and nothing else.
+	// If the state folder cannot be written, only the sessions are lost, and the log line
+	// does not contain the key.
 	s.log.Reset()
 	next.SaveSessions(filepath.Join(s.stateDir, "none"))
-	if !strings.Contains(s.log.String(), "not kept") || strings.Contains(s.log.String(), "kkkk") {
-		t.Errorf("a folder that is not there: %s", s.log.String())
+	if !strings.Contains(s.log.String(), "cannot save") || strings.Contains(s.log.String(), "kkkk") {
+		t.Errorf("SaveSessions(missing folder): log %q, want \"cannot save\" and no key", s.log.String())
 	}
 }
 
@@ -210,10 +216,10 @@
 		name, want string
 		prepare    func(path string) error
 	}{
-		{"readable by all", "mode 0644", func(path string) error { return os.Chmod(path, 0o644) }},
+		{"readable by all users", "mode 0644", func(path string) error { return os.Chmod(path, 0o644) }},
 		{"too short", "31 bytes", func(path string) error { return os.WriteFile(path, make([]byte, 31), 0o600) }},
 		{"missing", "no such", os.Remove},
-		{"a folder", "no regular ", func(path string) error {
+		{"folder", "not a regular ", func(path string) error {
 			return errors.Join(os.Remove(path), os.Mkdir(path, 0o700))
 		}},
 	} {
@@ -228,7 +234,7 @@
 				t.Fatal(err)
 			}
 			if _, err := readSessionKey(s.keyFile); err == nil || !strings.Contains(err.Error(), c.want) {
-				t.Errorf("error %v, want %q", err, c.want)
+				t.Errorf("readSessionKey = error %v, want one that contains %q", err, c.want)
 			}
 		})
 	}
@@ -236,15 +242,15 @@
 
 func FuzzDecryptSessions(f *testing.F) {
 	key := bytes.Repeat([]byte("k"), 32)
-	good, err := encryptSessions(key, []storedSession{{Destination: 1, Rule: "pay", IdentitySum: make([]byte, 32)}})
+	valid, err := encryptSessions(key, []storedSession{{Destination: 1, Rule: "pay", IdentitySum: make([]byte, 32)}})
 	if err != nil {
 		f.Fatal(err)
 	}
-	f.Add(good)
+	f.Add(valid)
 	f.Add(append([]byte(sessionsMagic), sessionsVersion))
-	f.Fuzz(func(t *testing.T, text []byte) {
-		if all, err := decryptSessions(key, text); err == nil && !bytes.Equal(text, good) {
-			t.Errorf("%d sessions out of a file that was not encrypted with the key", len(all))
+	f.Fuzz(func(t *testing.T, content []byte) {
+		if sessions, err := decryptSessions(key, content); err == nil && !bytes.Equal(content, valid) {
+			t.Errorf("decryptSessions accepted a file that was not encrypted with the key: %d sessions", len(sessions))
 		}
 	})
 }
--- a/internal/tlsdial/stored_test.go
+++ b/internal/tlsdial/stored_test.go
@@ -18,36 +18,38 @@
 
 func readFixture(t *testing.T, file string) []byte {
 	t.Helper()
-	text, err := os.ReadFile(filepath.Join("testdata", file))
+	content, err := os.ReadFile(filepath.Join("testdata", file))
 	if err != nil {
 		t.Fatal(err)
 	}
-	return text
+	return content
 }
 
-// A file of sessions that an earlier release sealed is read to the same content,
-// that content has the same JSON, and its identities are those that this release
-// looks its sessions up by.
+// Guards against a change of the session file's format, which would drop the sessions
+// that an earlier release stored. A file of an earlier release must decrypt to the same
+// sessions, these must have the same JSON, and their identities must be those by which
+// this release looks sessions up.
 func TestStoredSessions(t *testing.T) {
 	key := bytes.Repeat([]byte("k"), 32)
 	sealed, want := readFixture(t, "sessions.sealed"), readFixture(t, "sessions.json")
-	all, err := decryptSessions(key, sealed)
+	sessions, err := decryptSessions(key, sealed)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if got, err := json.Marshal(all); err != nil || !bytes.Equal(got, want) {
-		t.Errorf("content, %v:\n%s\nwant\n%s", err, got, want)
+	if got, err := json.Marshal(sessions); err != nil || !bytes.Equal(got, want) {
+		t.Errorf("JSON of the stored sessions, error %v:\n%s\nwant\n%s", err, got, want)
 	}
-	again, err := encryptSessions(key, all)
-	if err != nil || !bytes.Equal(again[:5], sealed[:5]) || len(again) != len(sealed) {
-		t.Errorf("sealed anew: %v, %d bytes, want %d", err, len(again), len(sealed))
+	reencrypted, err := encryptSessions(key, sessions)
+	if err != nil || !bytes.Equal(reencrypted[:5], sealed[:5]) || len(reencrypted) != len(sealed) {
+		t.Errorf("encryptSessions: error %v, %d bytes with header % x; want %d bytes with header % x",
+			err, len(reencrypted), reencrypted[:min(5, len(reencrypted))], len(sealed), sealed[:5])
 	}
 	s := newTestSite(t)
 	s.rule.Roots = filepath.Join("testdata", "roots.pem")
 	if err := os.WriteFile(filepath.Join(s.stateDir, "sessions.sealed"), sealed, 0o600); err != nil {
 		t.Fatal(err)
 	}
-	now := all[0].Until.Add(-time.Hour)
+	now := sessions[0].Until.Add(-time.Hour)
 	d, err := New(Options{
 		Rules:      []operatorconfig.TLSRule{s.rule},
 		Handshakes: operatorconfig.Handshakes{SessionKey: s.keyFile},
@@ -60,20 +62,22 @@
 		t.Fatal(err)
 	}
 	r := d.rules[0]
-	for _, x := range all {
-		id := r.policy.SessionIdentity(x.Destination, r.files.Current().RootsSum, nil)
-		if !bytes.Equal(id.Sum[:], x.IdentitySum) || id.Rule != x.Rule {
-			t.Errorf("destination %d: identity %s %x, want %s %x",
-				x.Destination, id.Rule, id.Sum, x.Rule, x.IdentitySum)
+	for _, stored := range sessions {
+		id := r.policy.SessionIdentity(stored.Destination, r.files.Current().RootsSum, nil)
+		if !bytes.Equal(id.Sum[:], stored.IdentitySum) || id.Rule != stored.Rule {
+			t.Errorf("SessionIdentity(%d) = %s %x, want %s %x",
+				stored.Destination, id.Rule, id.Sum, stored.Rule, stored.IdentitySum)
 		}
-		_, err := tls.ParseSessionState(x.State) // its form may change with the version of Go
+		_, err := tls.ParseSessionState(stored.State) // the encoding of State may change with the Go version
 		if has := d.sessions.Has(id, now); has != (err == nil) {
-			t.Errorf("destination %d: restored %v, its state: %v", x.Destination, has, err)
+			t.Errorf("destination %d: session restored = %v, but ParseSessionState = error %v",
+				stored.Destination, has, err)
 		}
 	}
 }
 
-// The lines that docs/operators/tls.md tells operators to look for.
+// Guards against an unintended change of the log lines that docs/operators/tls.md names
+// for operators to look for.
 func TestLogLines(t *testing.T) {
 	s := newTestSite(t)
 	dir := t.TempDir()
@@ -103,14 +107,14 @@
 		t.Fatal(err)
 	}
 	e := d.Endpoint(9, 1, "", nil)
-	failed := func(c tlspolicy.FailureCause) {
+	reject := func(cause tlspolicy.FailureCause) {
 		d.mu.Lock()
 		defer d.mu.Unlock()
-		_ = d.recordRejection(e, &tlspolicy.IdentityError{Cause: c, Rule: "pay", Err: errors.New("test")})
+		_ = d.recordRejection(e, &tlspolicy.IdentityError{Cause: cause, Rule: "pay", Err: errors.New("test")})
 	}
-	failed(tlspolicy.Expired)
-	failed(tlspolicy.Expired)
-	failed(tlspolicy.NameMismatch)
+	reject(tlspolicy.Expired)
+	reject(tlspolicy.Expired)
+	reject(tlspolicy.NameMismatch)
 	d.mu.Lock()
 	d.recordVerified(e, &Conn{validUntil: now.Add(365 * 24 * time.Hour)})
 	d.mu.Unlock()
@@ -125,6 +129,6 @@
 	d.sessionKey = bytes.Repeat([]byte("k"), 32)
 	d.SaveSessions(filepath.Join(dir, "none"))
 	if got, want := strings.ReplaceAll(log.String(), dir, "DIR"), string(readFixture(t, "log.txt")); got != want {
-		t.Errorf("got\n%swant\n%s", got, want)
+		t.Errorf("log lines:\n%swant\n%s", got, want)
 	}
 }
--- a/internal/tlsdial/ticketcache.go
+++ b/internal/tlsdial/ticketcache.go
@@ -8,9 +8,9 @@
 	"troutusher/internal/tlspolicy"
 )
 
-// ticketCache is the tls.ClientSessionCache of one handshake: it offers the one
-// session of its permit, once, and stores what the endpoint sends under the
-// identity of that permit.
+// ticketCache is the tls.ClientSessionCache of one handshake. It offers the session of
+// the handshake's permit, once, and stores the sessions that the endpoint sends under the
+// identity of the permit.
 type ticketCache struct {
 	dialer     *Dialer
 	identity   tlspolicy.SessionIdentity
@@ -18,27 +18,27 @@
 	rule       *rule
 
 	mu         sync.Mutex
-	offer      *tls.ClientSessionState // not offered yet
+	toOffer    *tls.ClientSessionState // nil after it was offered
 	offered    *tls.ClientSessionState
 	validUntil time.Time               // of the verification; zero until it is recorded
-	early      *tls.ClientSessionState // arrived before the verification was recorded
-	onEarly    func()                  // called when it arrives
+	received   *tls.ClientSessionState // before the verification was recorded
+	onReceived func()                  // called when received is set
 }
 
-// Get returns the session of the permit.
+// Get returns the session of the permit. After the first call it returns none.
 func (t *ticketCache) Get(string) (*tls.ClientSessionState, bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	session := t.offer
-	t.offer, t.offered = nil, session
+	session := t.toOffer
+	t.toOffer, t.offered = nil, session
 	return session, session != nil
 }
 
-// hasEarly reports whether a session has arrived in this handshake.
-func (t *ticketCache) hasEarly() bool {
+// hasReceived reports whether a session was received before the verification was recorded.
+func (t *ticketCache) hasReceived() bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	return t.early != nil
+	return t.received != nil
 }
 
 // Put stores a session that the endpoint sent.
@@ -47,39 +47,40 @@
 		return
 	}
 	t.mu.Lock()
-	early := t.validUntil.IsZero()
-	if early { // TLS 1.2 sends it before the end of the handshake
-		t.early = session
+	unverified := t.validUntil.IsZero()
+	if unverified { // in TLS 1.2 the session arrives before the end of the handshake
+		t.received = session
 	}
 	t.mu.Unlock()
-	if early && t.onEarly != nil { // set and called by the goroutine that reads
-		t.onEarly()
+	if unverified && t.onReceived != nil { // only the reading goroutine sets and calls it
+		t.onReceived()
 	}
-	if !early { // validUntil does not change any more
+	if !unverified { // validUntil does not change after it is set
 		t.dialer.mu.Lock()
 		defer t.dialer.mu.Unlock()
 		t.store(session)
 	}
 }
 
-// commit records the verification, and stores a session that arrived before it. A
-// TLS 1.2 session that was resumed without a new one being sent is reusable (RFC 5077
+// commit records the verification, and stores the session that was received before it.
+// If there is none and reusable is set, it stores the offered session again: a TLS 1.2
+// session that was resumed remains valid if the endpoint sends no new one (RFC 5077
 // section 3.3). The caller holds the dialer's mu.
 func (t *ticketCache) commit(validUntil time.Time, reusable bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.validUntil = validUntil
 	switch {
-	case t.early != nil:
-		t.store(t.early)
+	case t.received != nil:
+		t.store(t.received)
 	case reusable && t.offered != nil:
 		t.store(t.offered)
 	}
-	t.early, t.offered = nil, nil
+	t.received, t.offered = nil, nil
 }
 
-// store keeps a session unless the rule's files have changed since the permit. The
-// caller holds the dialer's mu.
+// store caches a session unless the rule's files have changed since the permit was
+// issued. The caller holds the dialer's mu.
 func (t *ticketCache) store(session *tls.ClientSessionState) {
 	if t.generation == t.rule.generation.Load() {
 		t.dialer.sessions.Put(t.identity, session, t.dialer.options.Clock(), t.validUntil)
--- a/internal/tlspolicy/alerts.go
+++ b/internal/tlspolicy/alerts.go
@@ -1,34 +1,34 @@
 package tlspolicy
 
-// What the end of a connection proves about the call that was on it
-// (docs/design/tls.md has the table). An alert (RFC 8446 section 6) says why an
-// endpoint gives a connection up, and is authenticated once the handshake is over. It
-// still says nothing about what the endpoint has done by then, since a request that
-// arrived completely may be executing while its connection fails. So what decides is
-// how much was sent, and never the alert.
+// When a connection ends during a call, the relay has to know whether the endpoint may
+// have executed the call (docs/design/tls.md has the table). An alert (RFC 8446 section 6)
+// says why the endpoint closes the connection, and after the handshake it is
+// authenticated. It does not say what the endpoint has executed by then: a request that
+// arrived completely may be executing while its connection fails. So only the amount that
+// was sent decides, never the alert.
 
 // SentStage is how much of a call had been sent when its connection ended.
 type SentStage uint8
 
-// Stages of a call on a connection.
+// Stages of sending a call on a connection.
 const (
-	HandshakeOnly SentStage = iota // nothing of the call can have been sent
-	PartlySent                     // all but its last byte at most: no endpoint executes it
-	FullySent                      // its last record was handed to the socket
+	HandshakeOnly SentStage = iota // no byte of the call can have been sent
+	PartlySent                     // the last byte was not sent: no endpoint executes the call
+	FullySent                      // the last record was written to the socket
 )
 
-// Execution is what is proved about a call.
+// Execution says whether a call may have been executed.
 type Execution uint8
 
-// What can be proved.
+// Values of Execution.
 const (
 	NeverRan Execution = iota
 	MayHaveRun
 )
 
-// ExecutionAfter is what the end of a connection proves about the call on it, whatever
-// the alert or the error. It is not for a call whose answer's first line arrived
-// completely.
+// ExecutionAfter returns whether a call may have been executed when its connection ended
+// at stage s, whatever the alert or the error was. It does not apply to a call whose
+// response's first line has arrived completely.
 func ExecutionAfter(s SentStage) Execution {
 	if s == FullySent {
 		return MayHaveRun
@@ -36,8 +36,8 @@
 	return NeverRan
 }
 
-// Alerts about identities or about what both sides support (RFC 8446 section 6, RFC
-// 5246 section 7.2). Another attempt does not change their reason.
+// Alerts about identities or supported parameters (RFC 8446 section 6, RFC 5246 section
+// 7.2). Another attempt would get the same alert.
 const (
 	alertHandshakeFailure       = 40
 	alertBadCertificate         = 42
@@ -54,8 +54,8 @@
 	alertNoApplicationProtocol  = 120
 )
 
-// CauseOfAlert returns the cause for which an endpoint that sent an alert is rejected;
-// false where the alert concerns one connection alone.
+// CauseOfAlert returns the cause for which an endpoint is rejected that has sent an alert;
+// false if the alert concerns only the one connection.
 func CauseOfAlert(alert uint8) (FailureCause, bool) {
 	switch alert {
 	case alertBadCertificate, alertUnsupportedCertificate, alertCertificateRevoked, alertCertificateExpired,
--- a/internal/tlspolicy/budget.go
+++ b/internal/tlspolicy/budget.go
@@ -5,10 +5,10 @@
 	"time"
 )
 
-// A handshake costs work at the endpoint and here. What it costs the endpoint is
-// charged by the decision module, to the allowance that an endpoint has for messages
-// while it warms up. The handshake budget bounds what it costs here to a share of the
-// core, so that many handshakes with one endpoint do not delay messages to others.
+// A handshake takes CPU time both at the endpoint and in the relay. The decision module
+// charges the endpoint's part to the rate of messages that an endpoint may get while it
+// warms up. The handshake budget bounds the relay's part to a share of one core, so that
+// many handshakes with one endpoint do not delay messages to others.
 
 // HandshakeKind is a kind of handshake.
 type HandshakeKind uint8
@@ -16,23 +16,23 @@
 // Kinds of handshake.
 const (
 	FullHandshake    HandshakeKind = iota
-	ResumedHandshake               // with a ticket (RFC 8446 section 2.2)
-	handshakeKinds
+	ResumedHandshake               // of a session, with a ticket (RFC 8446 section 2.2)
+	handshakeKindCount
 )
 
-// costSmoothing is the weight of what was known against one new measurement.
+// costSmoothing is the divisor by which the expected cost moves towards a measured cost.
 const costSmoothing = 8
 
 // HandshakeLimits configure a HandshakeBudget.
 type HandshakeLimits struct {
-	Share       float64          // of one core, for handshakes
-	Burst       time.Duration    // of CPU time that may be spent at once
-	Cost        [2]time.Duration // of CPU time here, full and resumed, until it is measured
+	Share       float64          // of one core's CPU time, for handshakes
+	Burst       time.Duration    // CPU time that may be used at once
+	Cost        [2]time.Duration // CPU time in the relay, full and resumed, until it is measured
 	MaxParallel int              // handshakes in flight to one destination
 }
 
-// DefaultHandshakeLimits returns limits for a relay on one core. The costs are those of
-// P-256 on a slow core; a few handshakes correct them.
+// DefaultHandshakeLimits returns the limits for a relay on one core. The costs are those
+// of P-256 on a slow core; the measurements of a few handshakes correct them.
 func DefaultHandshakeLimits() HandshakeLimits {
 	return HandshakeLimits{
 		Share:       0.25,
@@ -42,44 +42,44 @@
 	}
 }
 
-// Validate returns an error for limits that cannot be used.
+// Validate returns an error for invalid limits.
 func (l *HandshakeLimits) Validate() error {
 	switch {
 	case !(l.Share > 0 && l.Share <= 1):
-		return fmt.Errorf("share: %v, want above 0 and 1 at most", l.Share)
+		return fmt.Errorf("share: %v, want above 0 and at most 1", l.Share)
 	case l.Burst <= 0:
 		return fmt.Errorf("burst: %v, want above 0", l.Burst)
 	case l.MaxParallel < 1:
 		return fmt.Errorf("parallel: %d, want 1 or more", l.MaxParallel)
 	}
-	for k := range handshakeKinds {
+	for k := range handshakeKindCount {
 		if l.Cost[k] <= 0 || l.Cost[k] > l.Burst {
-			return fmt.Errorf("cost: %v, want above 0 and the burst of %v at most", l.Cost[k], l.Burst)
+			return fmt.Errorf("cost: %v, want above 0 and at most the burst of %v", l.Cost[k], l.Burst)
 		}
 	}
 	return nil
 }
 
-// HandshakeBudget is a token bucket of CPU time that says when handshakes may begin. It
-// is not safe for concurrent use; times must not go back.
+// HandshakeBudget is a token bucket of CPU time that decides when handshakes may begin.
+// It is not safe for concurrent use. The times passed to it must not decrease.
 type HandshakeBudget struct {
 	limits     HandshakeLimits
 	refilledAt time.Time
-	available  time.Duration // CPU time; below 0 where a handshake took more than expected
-	cost       [handshakeKinds]time.Duration
-	inFlightTo map[int]int // handshakes by destination; no entry for 0
+	available  time.Duration                     // CPU time; negative if a handshake took more than expected
+	cost       [handshakeKindCount]time.Duration // expected CPU time
+	inFlightTo map[int]int                       // handshakes in flight by destination; 0 has no entry
 	inFlight   int
 }
 
-// Reservation is the CPU time set aside for a handshake in flight. It is completed
-// once.
+// Reservation is the CPU time reserved for a handshake in flight. It must be passed to
+// Complete once.
 type Reservation struct {
 	destination int
 	kind        HandshakeKind
 	reserved    time.Duration
 }
 
-// NewHandshakeBudget returns a budget with its whole burst available.
+// NewHandshakeBudget returns a budget with the whole burst available.
 func NewHandshakeBudget(limits HandshakeLimits, now time.Time) (*HandshakeBudget, error) {
 	if err := limits.Validate(); err != nil {
 		return nil, fmt.Errorf("handshakes: %w", err)
@@ -100,19 +100,19 @@
 	}
 }
 
-// Reserve asks to begin a handshake. A cold destination, which the decision module
-// names, has one handshake in flight at a time, so that those after it can be resumed
-// or share its connection. Where it is not granted, retryAt is when to ask again; zero
-// where only the end of another handshake with the destination can change the answer.
+// Reserve requests CPU time for a handshake. A destination that is warming up, which the
+// decision module determines, has one handshake in flight at a time, so that later ones
+// can resume its session or use its connection. If the request is not granted, retryAt is
+// when to ask again; zero means after another handshake with the destination has ended.
 func (b *HandshakeBudget) Reserve(
-	dest int, kind HandshakeKind, cold bool, now time.Time,
+	dest int, kind HandshakeKind, warmingUp bool, now time.Time,
 ) (r Reservation, ok bool, retryAt time.Time) {
 	b.refill(now)
 	inFlight := b.inFlightTo[dest]
-	if inFlight >= b.limits.MaxParallel || cold && inFlight > 0 {
+	if inFlight >= b.limits.MaxParallel || warmingUp && inFlight > 0 {
 		return r, false, time.Time{}
 	}
-	// One that costs more than the burst would never be granted: it takes all of it.
+	// A cost above the burst would never be granted, so it counts as the whole burst.
 	cost := min(b.cost[kind], b.limits.Burst)
 	if b.available < cost {
 		return r, false, now.Add(time.Duration(float64(cost-b.available)/b.limits.Share) + 1)
@@ -123,8 +123,9 @@
 	return Reservation{destination: dest, kind: kind, reserved: cost}, true, time.Time{}
 }
 
-// Complete accounts for the CPU time that a handshake took here. The expected cost is
-// corrected by it only if the handshake was carried through as its kind.
+// Complete ends a reservation and charges the CPU time that the handshake took in the
+// relay. The time corrects the expected cost only if asPlanned is set: the handshake
+// succeeded and was of the kind that was reserved for.
 func (b *HandshakeBudget) Complete(r Reservation, took time.Duration, asPlanned bool, now time.Time) {
 	b.refill(now)
 	b.available += r.reserved - took
@@ -139,8 +140,8 @@
 	}
 }
 
-// Cost is the expected CPU time of a handshake here.
+// Cost returns the expected CPU time of a handshake in the relay.
 func (b *HandshakeBudget) Cost(kind HandshakeKind) time.Duration { return b.cost[kind] }
 
-// InFlight is the number of handshakes in flight.
+// InFlight returns the number of handshakes in flight.
 func (b *HandshakeBudget) InFlight() int { return b.inFlight }
--- a/internal/tlspolicy/budget_test.go
+++ b/internal/tlspolicy/budget_test.go
@@ -15,9 +15,9 @@
 	return b
 }
 
-// Over any window, the handshakes granted take the share of it and one burst at most;
-// one destination never has more in flight than the limit, a cold one never more than
-// one.
+// Guards against a budget that grants too many handshakes. Over any window, the granted
+// handshakes take at most the share of the window plus one burst. A destination never has
+// more handshakes in flight than the limit, and one that is warming up at most one.
 func TestHandshakeBudgetIsNeverExceeded(t *testing.T) {
 	for seed := range uint64(200) {
 		rng := rand.New(rand.NewPCG(seed, 4))
@@ -30,42 +30,44 @@
 		}
 		var grants []grant
 		type open struct {
-			s    Reservation
-			cold bool
+			reservation Reservation
+			warmingUp   bool
 		}
 		var inFlight []open
 		now := noon
-		granted, refused := 0, 0
+		granted, rejected := 0, 0
 		for range 600 {
 			now = now.Add(time.Duration(rng.IntN(4000)) * time.Microsecond)
 			if len(inFlight) > 0 && rng.IntN(3) == 0 {
 				i := rng.IntN(len(inFlight))
-				b.Complete(inFlight[i].s, inFlight[i].s.reserved, true, now) // it took what was expected
+				// The handshake took the expected time.
+				b.Complete(inFlight[i].reservation, inFlight[i].reservation.reserved, true, now)
 				inFlight = append(inFlight[:i], inFlight[i+1:]...)
 			}
-			dest, kind, cold := rng.IntN(5), HandshakeKind(rng.IntN(2)), rng.IntN(2) == 0
-			s, ok, at := b.Reserve(dest, kind, cold, now)
-			n := 0
+			dest, kind, warmingUp := rng.IntN(5), HandshakeKind(rng.IntN(2)), rng.IntN(2) == 0
+			reservation, ok, retryAt := b.Reserve(dest, kind, warmingUp, now)
+			inFlightTo := 0
 			for _, f := range inFlight {
-				if f.s.destination == dest {
-					n++
+				if f.reservation.destination == dest {
+					inFlightTo++
 				}
 			}
 			if !ok {
-				refused++
-				if !at.IsZero() && !at.After(now) {
-					t.Fatalf("seed %d: retried at once", seed)
+				rejected++
+				if !retryAt.IsZero() && !retryAt.After(now) {
+					t.Fatalf("seed %d: Reserve at %v: retryAt = %v, want a later time", seed, now, retryAt)
 				}
 				continue
 			}
 			granted++
-			if n >= l.MaxParallel || cold && n > 0 {
-				t.Fatalf("seed %d: granted with %d in flight, cold: %v", seed, n, cold)
+			if inFlightTo >= l.MaxParallel || warmingUp && inFlightTo > 0 {
+				t.Fatalf("seed %d: Reserve granted a handshake with %d in flight to the destination, warming up: %v",
+					seed, inFlightTo, warmingUp)
 			}
-			inFlight = append(inFlight, open{s, cold})
-			grants = append(grants, grant{now, s.reserved})
+			inFlight = append(inFlight, open{reservation, warmingUp})
+			grants = append(grants, grant{now, reservation.reserved})
 			if b.InFlight() != len(inFlight) {
-				t.Fatalf("seed %d: %d in flight, want %d", seed, b.InFlight(), len(inFlight))
+				t.Fatalf("seed %d: InFlight() = %d, want %d", seed, b.InFlight(), len(inFlight))
 			}
 		}
 		for i := range grants {
@@ -73,80 +75,82 @@
 			for j := i; j < len(grants); j++ {
 				sum += grants[j].cost
 				window := grants[j].at.Sub(grants[i].at)
-				if most := l.Burst + time.Duration(l.Share*float64(window)) + time.Duration(len(grants)); sum > most {
-					t.Fatalf("seed %d: %v of handshakes in %v, %v allowed", seed, sum, window, most)
+				if limit := l.Burst + time.Duration(l.Share*float64(window)) + time.Duration(len(grants)); sum > limit {
+					t.Fatalf("seed %d: handshakes of %v granted within %v, want at most %v", seed, sum, window, limit)
 				}
 			}
 		}
-		if granted < 20 || refused < 20 {
-			t.Errorf("seed %d: %d granted, %d refused", seed, granted, refused)
+		if granted < 20 || rejected < 20 {
+			t.Errorf("seed %d: %d requests granted, %d rejected; want at least 20 each", seed, granted, rejected)
 		}
 	}
 }
 
-// Asked again at the time that it returned, the budget grants a handshake.
+// Guards against a retryAt that is too early or too late: a caller that asks again at
+// retryAt must use up the budget, and no more than it.
 func TestReserveRetryTime(t *testing.T) {
 	b := newBudget(t, DefaultHandshakeLimits())
-	now, n := noon, 0
+	now, granted := noon, 0
 	for range 1000 {
-		s, ok, at := b.Reserve(1, FullHandshake, false, now)
+		reservation, ok, retryAt := b.Reserve(1, FullHandshake, false, now)
 		if ok {
-			n++
-			b.Complete(s, s.reserved, true, now)
+			granted++
+			b.Complete(reservation, reservation.reserved, true, now)
 			continue
 		}
-		if at.IsZero() {
-			t.Fatal("nothing in flight, and no time to ask again")
+		if retryAt.IsZero() {
+			t.Fatal("Reserve with no handshake in flight: retryAt is zero, want a time")
 		}
-		if now = at; now.Sub(noon) > 10*time.Second {
+		if now = retryAt; now.Sub(noon) > 10*time.Second {
 			break
 		}
 	}
-	// 50 ms of burst and a quarter of 10 s, at 2 ms each.
-	if n < 1200/10*1 || n > 1276 {
-		t.Errorf("%d handshakes in %v", n, now.Sub(noon))
+	// The burst of 50 ms and a quarter of 10 s are enough for 1275 handshakes of 2 ms.
+	if granted < 1200/10*1 || granted > 1276 {
+		t.Errorf("%d handshakes granted within %v, want %d to 1276", granted, now.Sub(noon), 1200/10*1)
 	}
 }
 
-// The expected cost follows what handshakes take, and one that takes far more than
-// expected is paid back before the next.
+// Guards against an expected cost that does not follow the measured ones, or that follows
+// a failed handshake, and against a handshake that costs far more than expected and still
+// leaves room for others: the budget has to recover first.
 func TestHandshakeCostIsLearned(t *testing.T) {
 	b := newBudget(t, DefaultHandshakeLimits())
 	now := noon
 	for range 100 {
 		now = now.Add(time.Second)
-		s, ok, _ := b.Reserve(1, FullHandshake, false, now)
+		reservation, ok, _ := b.Reserve(1, FullHandshake, false, now)
 		if !ok {
-			t.Fatal("not granted though a second has passed")
+			t.Fatal("Reserve one second after the last handshake: not granted")
 		}
-		b.Complete(s, 10*time.Millisecond, true, now)
+		b.Complete(reservation, 10*time.Millisecond, true, now)
 	}
 	if c := b.Cost(FullHandshake); c < 9*time.Millisecond || c > 11*time.Millisecond {
-		t.Errorf("a full one is expected to take %v, it takes 10 ms", c)
+		t.Errorf("Cost(FullHandshake) after handshakes of 10 ms = %v, want 9 ms to 11 ms", c)
 	}
-	s, _, _ := b.Reserve(1, FullHandshake, false, now)
-	b.Complete(s, 400*time.Millisecond, false, now) // broken off, and expensive
+	reservation, _, _ := b.Reserve(1, FullHandshake, false, now)
+	b.Complete(reservation, 400*time.Millisecond, false, now) // failed, after much CPU time
 	if c := b.Cost(FullHandshake); c > 11*time.Millisecond {
-		t.Errorf("the cost after one that was broken off: %v", c)
+		t.Errorf("Cost(FullHandshake) after a failed handshake = %v, want at most 11 ms", c)
 	}
-	_, ok, at := b.Reserve(2, FullHandshake, false, now)
-	if wait := at.Sub(now); ok || wait < time.Second {
-		t.Errorf("400 ms over the budget are paid back after %v", wait)
+	_, ok, retryAt := b.Reserve(2, FullHandshake, false, now)
+	if wait := retryAt.Sub(now); ok || wait < time.Second {
+		t.Errorf("Reserve after a handshake of 400 ms: granted %v, wait %v; want false, at least 1 s", ok, wait)
 	}
 }
 
 func TestHandshakeLimitsValidate(t *testing.T) {
-	for name, change := range map[string]func(*HandshakeLimits){
-		"no share":             func(l *HandshakeLimits) { l.Share = 0 },
-		"more than a core":     func(l *HandshakeLimits) { l.Share = 1.5 },
-		"no burst":             func(l *HandshakeLimits) { l.Burst = 0 },
-		"no parallel ones":     func(l *HandshakeLimits) { l.MaxParallel = 0 },
-		"cost above the burst": func(l *HandshakeLimits) { l.Cost[FullHandshake] = time.Second },
+	for name, invalidate := range map[string]func(*HandshakeLimits){
+		"share is zero":          func(l *HandshakeLimits) { l.Share = 0 },
+		"share above one core":   func(l *HandshakeLimits) { l.Share = 1.5 },
+		"burst is zero":          func(l *HandshakeLimits) { l.Burst = 0 },
+		"no parallel handshakes": func(l *HandshakeLimits) { l.MaxParallel = 0 },
+		"cost above the burst":   func(l *HandshakeLimits) { l.Cost[FullHandshake] = time.Second },
 	} {
 		t.Run(name, func(t *testing.T) {
 			limits := DefaultHandshakeLimits()
-			if change(&limits); limits.Validate() == nil {
-				t.Error("accepted")
+			if invalidate(&limits); limits.Validate() == nil {
+				t.Error("Validate() = nil, want an error")
 			}
 		})
 	}
--- a/internal/tlspolicy/failure.go
+++ b/internal/tlspolicy/failure.go
@@ -7,18 +7,18 @@
 
 // Causes, in the order in which they are checked.
 const (
-	NoCertificate FailureCause = iota + 1 // the endpoint showed none
+	NoCertificate FailureCause = iota + 1 // the endpoint presented none
 	WeakKey                               // RSA under 2048 bits, a curve under 256, or an obsolete kind
-	NotYetValid                           // RFC 5280 section 4.1.2.5, the leaf or one above it
+	NotYetValid                           // the leaf or an issuer (RFC 5280 section 4.1.2.5)
 	Expired
-	NameMismatch  // RFC 6125 section 6: the name is not among its subject alternative names
-	UntrustedRoot // no chain to a root of the operator's
-	InvalidChain  // a chain that breaks a rule of RFC 5280 section 6: constraints, usages
-	PinMismatch   // RFC 7469 section 2.6: no key of the chain is pinned
+	NameMismatch  // the name is not a subject alternative name of the leaf (RFC 6125 section 6)
+	UntrustedRoot // no chain to one of the operator's roots
+	InvalidChain  // the chain breaks a rule of RFC 5280 section 6, such as constraints or usages
+	PinMismatch   // no key of the chain is pinned (RFC 7469 section 2.6)
 	CertificateRevoked
-	RevocationUnresolved      // the rule requires a revocation status, and there is none
-	ClientCertificateRejected // the endpoint rejects our certificate, by its alert
-	NoCommonParameters        // no version, suite or name in common, by the endpoint's alert
+	RevocationUnresolved      // a revocation status is required, and none is known
+	ClientCertificateRejected // the endpoint rejected our certificate by an alert
+	NoCommonParameters        // no common version, cipher suite or name
 	causeCount
 )
 
@@ -37,19 +37,19 @@
 	NoCommonParameters:        "nothing in common",
 }
 
-// String is the cause's name in logs.
+// String returns the cause's name in logs.
 func (c FailureCause) String() string { return causeNames[c] }
 
-// IdentityError is an identity that was rejected. Nothing but a handshake was sent to
-// the endpoint: a call that was meant for it never ran.
+// IdentityError reports that an identity was rejected. Nothing but a handshake was sent
+// to the endpoint, so no call was executed.
 type IdentityError struct {
 	Cause FailureCause
-	Rule  string // the name of the rule by which it was judged
-	Err   error
+	Rule  string // the name of the rule that the identity was verified with
+	Err   error  // the details
 }
 
-// Error names the rule, the cause and what was found.
+// Error names the rule, the cause and the details.
 func (e *IdentityError) Error() string { return fmt.Sprintf("tls: %s: %s: %v", e.Rule, e.Cause, e.Err) }
 
-// Unwrap returns what was found.
+// Unwrap returns the details.
 func (e *IdentityError) Unwrap() error { return e.Err }
--- a/internal/tlspolicy/pin.go
+++ b/internal/tlspolicy/pin.go
@@ -7,13 +7,13 @@
 	"fmt"
 )
 
-// Pin is the SHA-256 of a key's SubjectPublicKeyInfo (RFC 7469 section 2.4).
+// Pin is the SHA-256 hash of a key's SubjectPublicKeyInfo (RFC 7469 section 2.4).
 type Pin [sha256.Size]byte
 
 // PinOf returns the pin of a certificate's key.
 func PinOf(c *x509.Certificate) Pin { return sha256.Sum256(c.RawSubjectPublicKeyInfo) }
 
-// String is the pin in base64, as settings have it.
+// String returns the pin in base64, as in the operator's settings.
 func (p Pin) String() string { return base64.StdEncoding.EncodeToString(p[:]) }
 
 // ParsePin parses a pin in base64.
--- a/internal/tlspolicy/revocation.go
+++ b/internal/tlspolicy/revocation.go
@@ -12,10 +12,10 @@
 	"golang.org/x/crypto/ocsp"
 )
 
-// RevocationStatus is what is known about a certificate's revocation.
+// RevocationStatus is the revocation status of a certificate.
 type RevocationStatus uint8
 
-// What can be known.
+// Values of RevocationStatus.
 const (
 	StatusUnknown RevocationStatus = iota
 	StatusGood
@@ -24,25 +24,25 @@
 
 const (
 	maxRevocationLists = 64
-	// removeFromCRL is the reason of an entry that takes an earlier one back (RFC 5280
-	// section 5.3.1).
+	// removeFromCRL is the reason code of an entry that cancels an earlier revocation
+	// (RFC 5280 section 5.3.1).
 	removeFromCRL = 8
-	// statusRequest is the number of the TLS extension that asks for a staple.
+	// statusRequest is the number of the TLS extension that requests a stapled OCSP response.
 	statusRequest = 5
 )
 
-// featureOID is the certificate extension of RFC 7633 section 4.1.
-var featureOID = asn1.ObjectIdentifier{1, 3, 6, 1, 5, 5, 7, 1, 24}
+// tlsFeatureOID is the TLS Feature extension of certificates (RFC 7633 section 4.1).
+var tlsFeatureOID = asn1.ObjectIdentifier{1, 3, 6, 1, 5, 5, 7, 1, 24}
 
-// RevocationEvidence is what is known about the revocation of the certificates that an
-// endpoint showed.
+// RevocationEvidence holds the sources of the revocation status of the certificates that
+// an endpoint presented.
 type RevocationEvidence struct {
-	Staple []byte           // an OCSP response sent with the handshake (RFC 6066 section 8), empty for none
-	Lists  *RevocationLists // the operator's revocation lists, nil for none
+	Staple []byte           // the OCSP response sent in the handshake (RFC 6066 section 8); empty for none
+	Lists  *RevocationLists // the operator's revocation lists; nil for none
 }
 
-// status returns what is known about one certificate. Revoked counts from any source;
-// else good from one source is enough.
+// status returns the revocation status of one certificate: revoked if any source says so,
+// else good if any source says so.
 func (e *RevocationEvidence) status(c, issuer *x509.Certificate, isLeaf bool, now time.Time) RevocationStatus {
 	if e == nil {
 		return StatusUnknown
@@ -56,19 +56,21 @@
 	return status
 }
 
-// hasGoodStaple reports whether a good OCSP response came with a certificate.
+// hasGoodStaple reports whether the stapled OCSP response says that a certificate is good.
 func (e *RevocationEvidence) hasGoodStaple(c, issuer *x509.Certificate, now time.Time) bool {
 	return e != nil && stapledStatus(e.Staple, c, issuer, now) == StatusGood
 }
 
-// stapledStatus reads an OCSP response (RFC 6960). One outside its validity, or for
-// another certificate, or not signed for the issuer, says nothing.
+// stapledStatus returns the status of a certificate in an OCSP response (RFC 6960). It is
+// unknown if the response is outside its validity period, is for another certificate or
+// is not signed on behalf of the issuer.
 func stapledStatus(response []byte, c, issuer *x509.Certificate, now time.Time) RevocationStatus {
 	if len(response) == 0 {
 		return StatusUnknown
 	}
 	r, err := ocsp.ParseResponseForCert(response, c, issuer)
-	// Without a next update it would be good for ever: its zero time is before now.
+	// A response without NextUpdate would be valid for ever. The comparison excludes it,
+	// since its zero time is before now.
 	if err != nil || now.Before(r.ThisUpdate) || !now.Before(r.NextUpdate) {
 		return StatusUnknown
 	}
@@ -81,16 +83,15 @@
 	return StatusUnknown
 }
 
-// mustStaple reports whether a certificate says that an OCSP response always comes with
-// it (RFC 7633).
+// mustStaple reports whether a certificate requires a stapled OCSP response (RFC 7633).
 func mustStaple(c *x509.Certificate) bool {
 	for _, extension := range c.Extensions {
-		if !extension.Id.Equal(featureOID) {
+		if !extension.Id.Equal(tlsFeatureOID) {
 			continue
 		}
 		var features []int
 		if rest, err := asn1.Unmarshal(extension.Value, &features); err != nil || len(rest) > 0 {
-			return true // not understood: the stricter reading
+			return true // malformed, so the stricter interpretation applies
 		}
 		if slices.Contains(features, statusRequest) {
 			return true
@@ -99,7 +100,7 @@
 	return false
 }
 
-// RevocationLists are revocation lists (RFC 5280 section 5).
+// RevocationLists is a set of certificate revocation lists (RFC 5280 section 5).
 type RevocationLists struct{ lists []revocationList }
 
 type revocationList struct {
@@ -107,11 +108,11 @@
 	revokedSerials map[string]bool // serials as big-endian bytes
 }
 
-// NewRevocationLists parses lists in DER. Whether a list is signed by the issuer that
-// it names is checked when the issuer is known.
+// NewRevocationLists parses lists in DER. It does not verify their signatures: Status
+// does, once the issuer is known.
 func NewRevocationLists(der ...[]byte) (*RevocationLists, error) {
 	if len(der) > maxRevocationLists {
-		return nil, fmt.Errorf("%d revocation lists, want %d at most", len(der), maxRevocationLists)
+		return nil, fmt.Errorf("%d revocation lists, want at most %d", len(der), maxRevocationLists)
 	}
 	l := &RevocationLists{}
 	for i, encoded := range der {
@@ -124,26 +125,28 @@
 	return l, nil
 }
 
-// parseRevocationList parses the list with a number, which errors name.
+// parseRevocationList parses one list. number is its position, for errors.
 func parseRevocationList(number int, der []byte) (revocationList, error) {
 	crl, err := x509.ParseRevocationList(der)
 	if err != nil {
-		return revocationList{}, fmt.Errorf("revocation list %d: %w", number, err)
+		return revocationList{}, fmt.Errorf("revocation list %d: parse: %w", number, err)
 	}
 	if crl.NextUpdate.IsZero() {
 		return revocationList{}, fmt.Errorf(
-			"revocation list %d: no time of the next one (RFC 5280 section 5.1.2.5)", number)
+			"revocation list %d: nextUpdate is missing (RFC 5280 section 5.1.2.5)", number)
 	}
 	for _, extension := range crl.Extensions {
-		// A delta, or a list of some certificates alone: not understood (section 5.2).
+		// Critical extensions mark delta lists and lists that cover only some certificates,
+		// neither of which is supported (RFC 5280 section 5.2).
 		if extension.Critical {
-			return revocationList{}, fmt.Errorf("revocation list %d: critical extension %s", number, extension.Id)
+			return revocationList{}, fmt.Errorf(
+				"revocation list %d: critical extension %s is not supported", number, extension.Id)
 		}
 	}
 	list := revocationList{crl: crl, revokedSerials: make(map[string]bool, len(crl.RevokedCertificateEntries))}
 	for _, entry := range crl.RevokedCertificateEntries {
 		if entry.SerialNumber == nil {
-			return revocationList{}, errors.New("revocation list: an entry without a serial")
+			return revocationList{}, errors.New("revocation list: an entry has no serial number")
 		}
 		if entry.ReasonCode != removeFromCRL {
 			list.revokedSerials[string(entry.SerialNumber.Bytes())] = true
@@ -152,8 +155,8 @@
 	return list, nil
 }
 
-// Status returns what the lists say about a certificate. A list past its next update
-// still says what is revoked, and no longer what is good.
+// Status returns the status of a certificate by the lists of its issuer. A list past its
+// next update still proves that a certificate is revoked, but not that one is good.
 func (l *RevocationLists) Status(c, issuer *x509.Certificate, now time.Time) RevocationStatus {
 	if l == nil {
 		return StatusUnknown
@@ -174,7 +177,7 @@
 	return status
 }
 
-// NextUpdate is when the first of the lists expires; zero without a list.
+// NextUpdate returns when the first of the lists expires; zero if there is none.
 func (l *RevocationLists) NextUpdate() (first time.Time) {
 	if l == nil {
 		return first
@@ -187,7 +190,7 @@
 	return first
 }
 
-// Len is the number of lists.
+// Len returns the number of lists.
 func (l *RevocationLists) Len() int {
 	if l == nil {
 		return 0
--- a/internal/tlspolicy/rule.go
+++ b/internal/tlspolicy/rule.go
@@ -1,10 +1,10 @@
 // Package tlspolicy decides which identity an endpoint must prove over TLS, what a
-// failed proof means, and how many handshakes may begin.
+// failed verification means, and how many handshakes may run.
 //
-// It owns the rules of identity, the state of trust and the handshake budget. It must
-// never touch a socket, a file or a clock, see a message, or hold a private key. What
-// an endpoint list says about names has no influence: names, roots and pins are the
-// operator's.
+// It holds the identity rules, the trust state of endpoints and the handshake budget. It
+// does no input or output, reads no clock, and handles neither messages nor private keys.
+// Names, roots and pins come from the operator's settings only; an endpoint list cannot
+// change them.
 package tlspolicy
 
 import (
@@ -20,7 +20,7 @@
 	"time"
 )
 
-// Bounds of keys.
+// Minimum key sizes.
 const (
 	minRSABits   = 2048
 	minCurveBits = 256
@@ -28,19 +28,19 @@
 
 // Rule is the identity that a destination's endpoints must prove.
 type Rule struct {
-	Name                    string         // of the rule in the operator's file
+	Name                    string         // of the rule, in the operator's file
 	ServerName              string         // sent as SNI and verified
-	Roots                   *x509.CertPool // the operator's; never the system's
-	Pins                    []Pin          // none: the roots alone decide
-	RequireRevocationStatus bool           // an unknown revocation status counts as revoked
+	Roots                   *x509.CertPool // from the operator's settings, never the system's
+	Pins                    []Pin          // if empty, any chain to one of Roots is accepted
+	RequireRevocationStatus bool           // reject a certificate whose revocation status is unknown
 }
 
 // SessionIdentity returns the identity under which sessions with a destination are
-// cached. rootsSum and certificateSum are sums over the files of the roots and of our
+// cached. rootsSum and certificateSum are the hashes of the files of the roots and of our
 // own certificate.
 func (r *Rule) SessionIdentity(dest int, rootsSum, certificateSum []byte) SessionIdentity {
 	h := sha256.New()
-	add := func(b []byte) { // with its length: different lists of parts never look alike
+	add := func(b []byte) { // the length prefix keeps different inputs from hashing alike
 		h.Write(binary.BigEndian.AppendUint64(nil, uint64(len(b))))
 		h.Write(b)
 	}
@@ -53,7 +53,7 @@
 	return SessionIdentity{Destination: dest, Rule: r.Name, Sum: [sha256.Size]byte(h.Sum(nil))}
 }
 
-// SettingError is an invalid setting of a rule.
+// SettingError reports an invalid setting of a rule.
 type SettingError struct {
 	Key     string // in the operator's file
 	Problem string
@@ -62,7 +62,7 @@
 // Error names the key and the problem.
 func (e *SettingError) Error() string { return e.Key + ": " + e.Problem }
 
-// Validate returns a *SettingError for a rule that cannot be used.
+// Validate returns a *SettingError for an invalid rule.
 func (r *Rule) Validate() error {
 	switch {
 	case r.ServerName == "":
@@ -83,26 +83,26 @@
 	return nil
 }
 
-// Verification is an identity that was verified.
+// Verification is the result of a successful verification of an identity.
 type Verification struct {
-	ValidUntil time.Time // the first expiry in the chain: no call begins on its connection from then on
+	ValidUntil time.Time // earliest expiry in the chain; no call may begin on the connection after it
 	Chain      []*x509.Certificate
 }
 
-// fail returns an identity that the rule rejects.
+// fail returns the error for an identity that the rule rejects.
 func (r *Rule) fail(cause FailureCause, err error) *IdentityError {
 	return &IdentityError{Cause: cause, Rule: r.Name, Err: err}
 }
 
-// Verify judges the certificates that an endpoint showed, its own first. evidence is
-// what is known about revocation; nil for nothing.
+// Verify verifies the certificates that an endpoint presented, the leaf first. evidence
+// may be nil.
 func (r *Rule) Verify(
-	shown []*x509.Certificate, now time.Time, evidence *RevocationEvidence,
+	presented []*x509.Certificate, now time.Time, evidence *RevocationEvidence,
 ) (*Verification, *IdentityError) {
-	if len(shown) == 0 {
-		return nil, r.fail(NoCertificate, errors.New("none was shown"))
+	if len(presented) == 0 {
+		return nil, r.fail(NoCertificate, errors.New("the endpoint presented none"))
 	}
-	leaf := shown[0]
+	leaf := presented[0]
 	if err := checkKeyStrength(leaf); err != nil {
 		return nil, r.fail(WeakKey, err)
 	}
@@ -112,11 +112,11 @@
 	if err := leaf.VerifyHostname(r.ServerName); err != nil {
 		return nil, r.fail(NameMismatch, err)
 	}
-	chains, failure := r.buildChains(shown, now)
+	chains, failure := r.buildChains(presented, now)
 	if failure != nil {
 		return nil, failure
 	}
-	var furthest *IdentityError // of the chain that passed most checks
+	var furthest *IdentityError // of the chain that passed the most checks
 	for _, chain := range chains {
 		failure := r.checkChain(chain, now, evidence)
 		if failure == nil {
@@ -130,12 +130,12 @@
 }
 
 // buildChains returns the chains from the leaf to a root, at least one.
-func (r *Rule) buildChains(shown []*x509.Certificate, now time.Time) ([][]*x509.Certificate, *IdentityError) {
+func (r *Rule) buildChains(presented []*x509.Certificate, now time.Time) ([][]*x509.Certificate, *IdentityError) {
 	intermediates := x509.NewCertPool()
-	for _, c := range shown[1:] {
+	for _, c := range presented[1:] {
 		intermediates.AddCert(c)
 	}
-	chains, err := shown[0].Verify(x509.VerifyOptions{
+	chains, err := presented[0].Verify(x509.VerifyOptions{
 		Roots:         r.Roots,
 		Intermediates: intermediates,
 		CurrentTime:   now,
@@ -153,8 +153,9 @@
 		}
 		return nil, r.fail(Expired, err)
 	case errors.As(err, &unknown):
-		// An intermediate outside its validity makes a chain that leads nowhere.
-		for _, c := range shown[1:] {
+		// x509 does not build chains over an intermediate outside its validity period,
+		// and reports that the authority is unknown.
+		for _, c := range presented[1:] {
 			if cause, validityErr := checkValidity(c, now); validityErr != nil {
 				return nil, r.fail(cause, validityErr)
 			}
@@ -164,7 +165,7 @@
 	return nil, r.fail(InvalidChain, err)
 }
 
-// checkChain checks what a chain must pass besides x509's rules.
+// checkChain checks keys, pins and revocation, which x509 does not check.
 func (r *Rule) checkChain(chain []*x509.Certificate, now time.Time, evidence *RevocationEvidence) *IdentityError {
 	for _, c := range chain[1:] {
 		if err := checkKeyStrength(c); err != nil {
@@ -173,26 +174,28 @@
 	}
 	pinned := func(c *x509.Certificate) bool { return slices.Contains(r.Pins, PinOf(c)) }
 	if len(r.Pins) > 0 && !slices.ContainsFunc(chain, pinned) {
-		return r.fail(PinMismatch, fmt.Errorf("none of the chain's %d keys is pinned; the leaf's is %s",
+		return r.fail(PinMismatch, fmt.Errorf(
+			"none of the %d keys in the chain is pinned; the pin of the leaf's key is %s",
 			len(chain), PinOf(chain[0])))
 	}
-	for i, c := range chain[:len(chain)-1] { // a root is not revoked, it is removed
+	for i, c := range chain[:len(chain)-1] { // a root is removed from the settings, not revoked
 		isLeaf, issuer := i == 0, chain[i+1]
 		status := evidence.status(c, issuer, isLeaf, now)
 		switch {
 		case status == StatusRevoked:
-			return r.fail(CertificateRevoked, fmt.Errorf("serial %x", c.SerialNumber))
+			return r.fail(CertificateRevoked, fmt.Errorf("certificate with serial %x is revoked", c.SerialNumber))
 		case isLeaf && mustStaple(c) && !evidence.hasGoodStaple(c, issuer, now):
 			return r.fail(RevocationUnresolved, errors.New(
-				"its certificate says that a good OCSP response comes with it, and none did (RFC 7633)"))
+				"the certificate requires a good stapled OCSP response, and there is none (RFC 7633)"))
 		case status == StatusUnknown && r.RequireRevocationStatus:
-			return r.fail(RevocationUnresolved, fmt.Errorf("serial %x", c.SerialNumber))
+			return r.fail(RevocationUnresolved,
+				fmt.Errorf("no revocation status for the certificate with serial %x", c.SerialNumber))
 		}
 	}
 	return nil
 }
 
-// firstExpiry is when the first certificate of a chain expires.
+// firstExpiry returns when the first certificate of a chain expires.
 func firstExpiry(chain []*x509.Certificate) time.Time {
 	first := chain[0].NotAfter
 	for _, c := range chain {
@@ -203,31 +206,31 @@
 	return first
 }
 
-// checkValidity returns an error where a certificate is outside its validity period.
+// checkValidity returns a cause and an error for a certificate outside its validity period.
 func checkValidity(c *x509.Certificate, now time.Time) (FailureCause, error) {
 	switch {
 	case now.Before(c.NotBefore):
-		return NotYetValid, fmt.Errorf("valid from %s on", c.NotBefore.UTC().Format(time.RFC3339))
+		return NotYetValid, fmt.Errorf("valid from %s", c.NotBefore.UTC().Format(time.RFC3339))
 	case !now.Before(c.NotAfter):
 		return Expired, fmt.Errorf("valid until %s", c.NotAfter.UTC().Format(time.RFC3339))
 	}
 	return 0, nil
 }
 
-// checkKeyStrength returns an error for a key that is too short or of an obsolete kind.
+// checkKeyStrength returns an error for a key that is too short or of an unsupported kind.
 func checkKeyStrength(c *x509.Certificate) error {
 	switch k := c.PublicKey.(type) {
 	case *rsa.PublicKey:
 		if n := k.N.BitLen(); n < minRSABits {
-			return fmt.Errorf("RSA of %d bits, %d are wanted", n, minRSABits)
+			return fmt.Errorf("RSA key of %d bits, want at least %d", n, minRSABits)
 		}
 	case *ecdsa.PublicKey:
 		if n := k.Curve.Params().BitSize; n < minCurveBits {
-			return fmt.Errorf("a curve of %d bits, %d are wanted", n, minCurveBits)
+			return fmt.Errorf("elliptic curve of %d bits, want at least %d", n, minCurveBits)
 		}
 	case ed25519.PublicKey:
 	default:
-		return fmt.Errorf("a key of kind %T", k)
+		return fmt.Errorf("key type %T is not supported", k)
 	}
 	return nil
 }
--- a/internal/tlspolicy/rule_test.go
+++ b/internal/tlspolicy/rule_test.go
@@ -23,8 +23,8 @@
 
 type issuedCert = testca.Issued
 
-// issue makes a certificate that up signs; nil signs itself.
-func issue(t testing.TB, up *issuedCert, key crypto.Signer, change func(*x509.Certificate)) *issuedCert {
+// issue makes a certificate signed by issuer, or a self-signed one if issuer is nil.
+func issue(t testing.TB, issuer *issuedCert, key crypto.Signer, change func(*x509.Certificate)) *issuedCert {
 	t.Helper()
 	changes := []func(*x509.Certificate){
 		testca.WithNames("pay.example.org"),
@@ -33,11 +33,11 @@
 	if change != nil {
 		changes = append(changes, change)
 	}
-	m, err := testca.Issue(up, "c", key, changes...)
+	issued, err := testca.Issue(issuer, "c", key, changes...)
 	if err != nil {
 		t.Fatal(err)
 	}
-	return m
+	return issued
 }
 
 func authorityTemplate(c *x509.Certificate) {
@@ -45,27 +45,28 @@
 	c.NotBefore, c.NotAfter = noon.Add(-1000*time.Hour), noon.Add(1000*time.Hour)
 }
 
-func combine(fs ...func(*x509.Certificate)) func(*x509.Certificate) {
+func combine(changes ...func(*x509.Certificate)) func(*x509.Certificate) {
 	return func(c *x509.Certificate) {
-		for _, f := range fs {
-			f(c)
+		for _, change := range changes {
+			change(c)
 		}
 	}
 }
 
-// revocationListDER is an authority's revocation list, with the next one due in some time.
-func revocationListDER(t testing.TB, up *issuedCert, next time.Duration, revoked ...*issuedCert) []byte {
+// revocationListDER returns an authority's revocation list, with its next update at next
+// after noon.
+func revocationListDER(t testing.TB, issuer *issuedCert, next time.Duration, revoked ...*issuedCert) []byte {
 	t.Helper()
-	l := &x509.RevocationList{
+	list := &x509.RevocationList{
 		Number:     big.NewInt(7),
 		ThisUpdate: noon.Add(-10 * time.Minute),
 		NextUpdate: noon.Add(next),
 	}
-	for _, m := range revoked {
-		l.RevokedCertificateEntries = append(l.RevokedCertificateEntries,
-			x509.RevocationListEntry{SerialNumber: m.SerialNumber, RevocationTime: noon.Add(-time.Hour)})
+	for _, issued := range revoked {
+		list.RevokedCertificateEntries = append(list.RevokedCertificateEntries,
+			x509.RevocationListEntry{SerialNumber: issued.SerialNumber, RevocationTime: noon.Add(-time.Hour)})
 	}
-	der, err := x509.CreateRevocationList(rand.Reader, l, up.Certificate, up.Key)
+	der, err := x509.CreateRevocationList(rand.Reader, list, issuer.Certificate, issuer.Key)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -74,20 +75,21 @@
 
 func revocationEvidence(t testing.TB, der ...[]byte) *RevocationEvidence {
 	t.Helper()
-	l, err := NewRevocationLists(der...)
+	lists, err := NewRevocationLists(der...)
 	if err != nil {
 		t.Fatal(err)
 	}
-	return &RevocationEvidence{Lists: l}
+	return &RevocationEvidence{Lists: lists}
 }
 
-// ocspStaple is an OCSP response of up's about m.
-func ocspStaple(t testing.TB, up, m *issuedCert, status int, next time.Duration) []byte {
+// ocspStaple returns an OCSP response of issuer about subject, with its next update at next
+// after noon.
+func ocspStaple(t testing.TB, issuer, subject *issuedCert, status int, next time.Duration) []byte {
 	t.Helper()
-	der, err := ocsp.CreateResponse(up.Certificate, up.Certificate, ocsp.Response{
-		Status: status, SerialNumber: m.SerialNumber,
+	der, err := ocsp.CreateResponse(issuer.Certificate, issuer.Certificate, ocsp.Response{
+		Status: status, SerialNumber: subject.SerialNumber,
 		ThisUpdate: noon.Add(-10 * time.Minute), NextUpdate: noon.Add(next), RevokedAt: noon.Add(-time.Hour),
-	}, up.Key)
+	}, issuer.Key)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -98,18 +100,19 @@
 	return &RevocationEvidence{staple, e.Lists}
 }
 
-// Each rejection has its cause, and nothing else is rejected.
+// Guards against accepting an invalid identity, rejecting a valid one, and reporting the
+// wrong cause of a rejection.
 func TestVerify(t *testing.T) {
 	root, other := issue(t, nil, nil, authorityTemplate), issue(t, nil, nil, authorityTemplate)
-	mid := issue(t, root, nil, authorityTemplate)
-	deep := issue(t, mid, nil, authorityTemplate)
+	subCA := issue(t, root, nil, authorityTemplate)
+	lowerCA := issue(t, subCA, nil, authorityTemplate)
 	names := func(n ...string) func(*x509.Certificate) { return func(c *x509.Certificate) { c.DNSNames = n } }
 	from := func(from, to time.Duration) func(*x509.Certificate) {
 		return func(c *x509.Certificate) { c.NotBefore, c.NotAfter = noon.Add(from), noon.Add(to) }
 	}
 	weakRSA, err := rsa.GenerateKey(rand.Reader, 1024)
 	if err != nil {
-		t.Skip("this build makes no weak keys: ", err)
+		t.Skip("this build does not generate weak keys: ", err)
 	}
 	goodRSA, err := rsa.GenerateKey(rand.Reader, 2048)
 	if err != nil {
@@ -119,252 +122,273 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	_, ed, err := ed25519.GenerateKey(rand.Reader)
+	_, ed25519Key, err := ed25519.GenerateKey(rand.Reader)
 	if err != nil {
 		t.Fatal(err)
 	}
-	good := issue(t, mid, nil, nil)
-	backup := issue(t, mid, nil, nil)
-	must := issue(t, mid, nil, func(c *x509.Certificate) {
-		c.ExtraExtensions = []pkix.Extension{{Id: featureOID, Value: []byte{0x30, 3, 2, 1, 5}}}
+	valid := issue(t, subCA, nil, nil)
+	backup := issue(t, subCA, nil, nil)
+	mustStapleLeaf := issue(t, subCA, nil, func(c *x509.Certificate) {
+		c.ExtraExtensions = []pkix.Extension{{Id: tlsFeatureOID, Value: []byte{0x30, 3, 2, 1, 5}}}
 	})
-	oldMid := issue(t, root, nil, combine(authorityTemplate, from(-100*time.Hour, -time.Hour)))
-	youngMid := issue(t, root, nil, combine(authorityTemplate, from(time.Hour, 100*time.Hour)))
-	noCA := issue(t, root, nil, combine(authorityTemplate, func(c *x509.Certificate) { c.IsCA = false }))
-	weakMid := issue(t, root, weakRSA, authorityTemplate)
-	narrow := issue(t, root, nil, combine(authorityTemplate, func(c *x509.Certificate) {
+	expiredSubCA := issue(t, root, nil, combine(authorityTemplate, from(-100*time.Hour, -time.Hour)))
+	futureSubCA := issue(t, root, nil, combine(authorityTemplate, from(time.Hour, 100*time.Hour)))
+	notCA := issue(t, root, nil, combine(authorityTemplate, func(c *x509.Certificate) { c.IsCA = false }))
+	weakSubCA := issue(t, root, weakRSA, authorityTemplate)
+	constrainedCA := issue(t, root, nil, combine(authorityTemplate, func(c *x509.Certificate) {
 		c.PermittedDNSDomains, c.PermittedDNSDomainsCritical = []string{"shop.example.org"}, true
 	}))
-	noPath := func(c *x509.Certificate) { c.MaxPathLen, c.MaxPathLenZero = 0, true }
-	short := issue(t, root, nil, combine(authorityTemplate, noPath))
-	underShort := issue(t, short, nil, authorityTemplate)
-	chain := func(all ...*issuedCert) (c []*x509.Certificate) {
-		for _, m := range all {
-			c = append(c, m.Certificate)
+	withoutSubCAs := func(c *x509.Certificate) { c.MaxPathLen, c.MaxPathLenZero = 0, true }
+	leafOnlyCA := issue(t, root, nil, combine(authorityTemplate, withoutSubCAs))
+	tooDeepCA := issue(t, leafOnlyCA, nil, authorityTemplate)
+	chain := func(all ...*issuedCert) (certificates []*x509.Certificate) {
+		for _, issued := range all {
+			certificates = append(certificates, issued.Certificate)
 		}
-		return c
+		return certificates
+	}
+	leaf := func(issuer *issuedCert, change func(*x509.Certificate)) *issuedCert {
+		return issue(t, issuer, nil, change)
 	}
-	leaf := func(up *issuedCert, change func(*x509.Certificate)) *issuedCert { return issue(t, up, nil, change) }
 	pins := func(all ...*issuedCert) (p []Pin) {
-		for _, m := range all {
-			p = append(p, PinOf(m.Certificate))
+		for _, issued := range all {
+			p = append(p, PinOf(issued.Certificate))
 		}
 		return p
 	}
-	for _, x := range []struct {
-		name  string
-		shown []*x509.Certificate
-		pins  []Pin
-		hard  bool
-		known *RevocationEvidence
-		want  FailureCause // 0: accepted
+	for _, test := range []struct {
+		name          string
+		certs         []*x509.Certificate
+		pins          []Pin
+		requireStatus bool
+		evidence      *RevocationEvidence
+		want          FailureCause // 0: accepted
 	}{
-		{name: "sound", shown: chain(good, mid)},
-		{name: "sound, three deep", shown: chain(leaf(deep, nil), deep, mid)},
-		{name: "sound, the chain in disorder", shown: chain(leaf(deep, nil), mid, deep)},
-		{name: "sound, the root shown as well", shown: chain(good, mid, root)},
-		{name: "sound, with one that has no part in it", shown: chain(good, other, mid)},
-		{name: "sound, straight from the root", shown: chain(leaf(root, nil))},
-		{name: "sound, a wildcard", shown: chain(leaf(mid, names("*.example.org")), mid)},
-		{name: "sound, RSA 2048", shown: chain(issue(t, mid, goodRSA, nil), mid)},
-		{name: "sound, Ed25519", shown: chain(issue(t, mid, ed, nil), mid)},
-		{name: "sound, pinned", shown: chain(good, mid), pins: pins(good, backup)},
-		{name: "sound, one above it pinned", shown: chain(good, mid), pins: pins(mid, backup)},
-		{name: "sound, the root pinned", shown: chain(good, mid), pins: pins(backup, root)},
+		{name: "valid", certs: chain(valid, subCA)},
+		{name: "valid, two intermediates", certs: chain(leaf(lowerCA, nil), lowerCA, subCA)},
+		{name: "valid, intermediates out of order", certs: chain(leaf(lowerCA, nil), subCA, lowerCA)},
+		{name: "valid, the root is included", certs: chain(valid, subCA, root)},
+		{name: "valid, with an unrelated certificate", certs: chain(valid, other, subCA)},
+		{name: "valid, issued by the root", certs: chain(leaf(root, nil))},
+		{name: "valid, wildcard name", certs: chain(leaf(subCA, names("*.example.org")), subCA)},
+		{name: "valid, RSA 2048", certs: chain(issue(t, subCA, goodRSA, nil), subCA)},
+		{name: "valid, Ed25519", certs: chain(issue(t, subCA, ed25519Key, nil), subCA)},
+		{name: "valid, leaf pinned", certs: chain(valid, subCA), pins: pins(valid, backup)},
+		{name: "valid, intermediate pinned", certs: chain(valid, subCA), pins: pins(subCA, backup)},
+		{name: "valid, root pinned", certs: chain(valid, subCA), pins: pins(backup, root)},
 		{
-			name: "sound, known to be good", shown: chain(good, mid), hard: true,
-			known: revocationEvidence(t, revocationListDER(t, mid, time.Hour), revocationListDER(t, root, time.Hour)),
+			name: "valid, status good and required", certs: chain(valid, subCA), requireStatus: true,
+			evidence: revocationEvidence(
+				t, revocationListDER(t, subCA, time.Hour), revocationListDER(t, root, time.Hour),
+			),
 		},
 		{
-			name: "sound, unknown and soft", shown: chain(good, mid),
-			known: revocationEvidence(t, revocationListDER(t, root, time.Hour)),
+			name: "valid, status unknown and not required", certs: chain(valid, subCA),
+			evidence: revocationEvidence(t, revocationListDER(t, root, time.Hour)),
 		},
-		{name: "none", want: NoCertificate},
-		{name: "weak RSA", shown: chain(issue(t, mid, weakRSA, nil), mid), want: WeakKey},
-		{name: "weak curve", shown: chain(issue(t, mid, weakCurve, nil), mid), want: WeakKey},
-		{name: "weak above", shown: chain(leaf(weakMid, nil), weakMid), want: WeakKey},
-		{name: "not yet", shown: chain(leaf(mid, from(time.Second, time.Hour)), mid), want: NotYetValid},
-		{name: "expired", shown: chain(leaf(mid, from(-time.Hour, -time.Second)), mid), want: Expired},
-		{name: "expired this moment", shown: chain(leaf(mid, from(-time.Hour, 0)), mid), want: Expired},
-		{name: "expired above", shown: chain(leaf(oldMid, nil), oldMid), want: Expired},
-		{name: "not yet above", shown: chain(leaf(youngMid, nil), youngMid), want: NotYetValid},
-		{name: "another name", shown: chain(leaf(mid, names("shop.example.org")), mid), want: NameMismatch},
-		{name: "no name", shown: chain(leaf(mid, names()), mid), want: NameMismatch},
+		{name: "no certificate", want: NoCertificate},
+		{name: "RSA key too short", certs: chain(issue(t, subCA, weakRSA, nil), subCA), want: WeakKey},
+		{name: "curve too short", certs: chain(issue(t, subCA, weakCurve, nil), subCA), want: WeakKey},
+		{name: "key of the intermediate too short", certs: chain(leaf(weakSubCA, nil), weakSubCA), want: WeakKey},
+		{name: "not yet valid", certs: chain(leaf(subCA, from(time.Second, time.Hour)), subCA), want: NotYetValid},
+		{name: "expired", certs: chain(leaf(subCA, from(-time.Hour, -time.Second)), subCA), want: Expired},
+		{name: "expires at this moment", certs: chain(leaf(subCA, from(-time.Hour, 0)), subCA), want: Expired},
+		{name: "intermediate expired", certs: chain(leaf(expiredSubCA, nil), expiredSubCA), want: Expired},
+		{name: "intermediate not yet valid", certs: chain(leaf(futureSubCA, nil), futureSubCA), want: NotYetValid},
+		{name: "another name", certs: chain(leaf(subCA, names("shop.example.org")), subCA), want: NameMismatch},
+		{name: "no name", certs: chain(leaf(subCA, names()), subCA), want: NameMismatch},
 		{
-			name: "the name in the subject alone",
-			shown: chain(
-				leaf(mid, func(c *x509.Certificate) { c.DNSNames, c.Subject.CommonName = nil, "pay.example.org" }), mid,
+			name: "name only in the subject",
+			certs: chain(
+				leaf(subCA, func(c *x509.Certificate) { c.DNSNames, c.Subject.CommonName = nil, "pay.example.org" }),
+				subCA,
 			),
 			want: NameMismatch,
 		},
-		{name: "a wildcard too wide", shown: chain(leaf(mid, names("*.org")), mid), want: NameMismatch},
-		{name: "a wildcard one level up", shown: chain(leaf(mid, names("*.pay.example.org")), mid), want: NameMismatch},
+		{name: "wildcard for a top-level domain", certs: chain(leaf(subCA, names("*.org")), subCA), want: NameMismatch},
+		{
+			name:  "wildcard for subdomains of the name",
+			certs: chain(leaf(subCA, names("*.pay.example.org")), subCA), want: NameMismatch,
+		},
 		{
-			name: "its address, not its name",
-			shown: chain(
-				leaf(mid, func(c *x509.Certificate) { c.DNSNames, c.IPAddresses = nil, []net.IP{{127, 0, 0, 1}} }), mid,
+			name: "IP address in place of the name",
+			certs: chain(
+				leaf(subCA, func(c *x509.Certificate) { c.DNSNames, c.IPAddresses = nil, []net.IP{{127, 0, 0, 1}} }),
+				subCA,
 			),
 			want: NameMismatch,
 		},
-		{name: "another root", shown: chain(leaf(other, nil), other), want: UntrustedRoot},
-		{name: "signed by itself", shown: chain(issue(t, nil, nil, nil)), want: UntrustedRoot},
-		{name: "what is between is missing", shown: chain(good), want: UntrustedRoot},
-		{name: "what is between is another's", shown: chain(good, oldMid), want: Expired},
-		{name: "no authority above", shown: chain(leaf(noCA, nil), noCA), want: UntrustedRoot},
+		{name: "another root", certs: chain(leaf(other, nil), other), want: UntrustedRoot},
+		{name: "self-signed", certs: chain(issue(t, nil, nil, nil)), want: UntrustedRoot},
+		{name: "intermediate missing", certs: chain(valid), want: UntrustedRoot},
+		{name: "expired intermediate of another chain", certs: chain(valid, expiredSubCA), want: Expired},
+		{name: "issuer is not an authority", certs: chain(leaf(notCA, nil), notCA), want: UntrustedRoot},
 		{
-			name: "for clients",
-			shown: chain(
-				leaf(mid, func(c *x509.Certificate) { c.ExtKeyUsage = []x509.ExtKeyUsage{x509.ExtKeyUsageClientAuth} }),
-				mid,
+			name: "certificate for clients only",
+			certs: chain(
+				leaf(subCA, func(c *x509.Certificate) {
+					c.ExtKeyUsage = []x509.ExtKeyUsage{x509.ExtKeyUsageClientAuth}
+				}),
+				subCA,
 			),
 			want: InvalidChain,
 		},
-		{name: "outside what its authority may name", shown: chain(leaf(narrow, nil), narrow), want: InvalidChain},
 		{
-			name: "deeper than its authority may go", shown: chain(leaf(underShort, nil), underShort, short),
+			name:  "name not permitted by the issuer's constraints",
+			certs: chain(leaf(constrainedCA, nil), constrainedCA), want: InvalidChain,
+		},
+		{
+			name: "chain longer than the issuer permits", certs: chain(leaf(tooDeepCA, nil), tooDeepCA, leafOnlyCA),
 			want: InvalidChain,
 		},
-		{name: "not pinned", shown: chain(good, mid), pins: pins(other, backup), want: PinMismatch},
+		{name: "no key pinned", certs: chain(valid, subCA), pins: pins(other, backup), want: PinMismatch},
 		{
-			name: "another's pin of the same name", shown: chain(leaf(mid, nil), mid), pins: pins(good, backup),
+			name:  "pin of another certificate with the same name",
+			certs: chain(leaf(subCA, nil), subCA), pins: pins(valid, backup),
 			want: PinMismatch,
 		},
 		{
-			name: "revoked", shown: chain(good, mid),
-			known: revocationEvidence(t, revocationListDER(t, mid, time.Hour, good)), want: CertificateRevoked,
+			name: "revoked", certs: chain(valid, subCA),
+			evidence: revocationEvidence(t, revocationListDER(t, subCA, time.Hour, valid)), want: CertificateRevoked,
 		},
 		{
-			name: "revoked above", shown: chain(good, mid),
-			known: revocationEvidence(t, revocationListDER(t, root, time.Hour, mid)), want: CertificateRevoked,
+			name: "intermediate revoked", certs: chain(valid, subCA),
+			evidence: revocationEvidence(t, revocationListDER(t, root, time.Hour, subCA)), want: CertificateRevoked,
 		},
 		{
-			name: "revoked by a list past its time", shown: chain(good, mid),
-			known: revocationEvidence(t, revocationListDER(t, mid, -time.Minute, good)), want: CertificateRevoked,
+			name: "revoked by an expired list", certs: chain(valid, subCA),
+			evidence: revocationEvidence(t, revocationListDER(t, subCA, -time.Minute, valid)), want: CertificateRevoked,
 		},
 		{
-			name: "acquitted by a list past its time, and hard", shown: chain(good, mid), hard: true,
-			known: revocationEvidence(
-				t, revocationListDER(t, mid, -time.Minute), revocationListDER(t, root, time.Hour),
+			name: "good only by an expired list, status required", certs: chain(valid, subCA), requireStatus: true,
+			evidence: revocationEvidence(
+				t, revocationListDER(t, subCA, -time.Minute), revocationListDER(t, root, time.Hour),
 			),
 			want: RevocationUnresolved,
 		},
 		{
-			name: "sound, another authority's list has its serial", shown: chain(good, mid),
-			known: revocationEvidence(t, revocationListDER(t, other, time.Hour, good)),
+			name: "valid, serial in a list of another authority", certs: chain(valid, subCA),
+			evidence: revocationEvidence(t, revocationListDER(t, other, time.Hour, valid)),
 		},
 		{
-			name: "sound, a forged list of its authority's name", shown: chain(good, mid),
-			known: revocationEvidence(
-				t, revocationListDER(t, &issuedCert{Certificate: mid.Certificate, Key: other.Key}, time.Hour, good),
+			name: "valid, serial in a list with a forged signature", certs: chain(valid, subCA),
+			evidence: revocationEvidence(
+				t, revocationListDER(t, &issuedCert{Certificate: subCA.Certificate, Key: other.Key}, time.Hour, valid),
 			),
 		},
 		{
-			name: "sound, a good staple and hard", shown: chain(good, mid), hard: true,
-			known: withStaple(
+			name: "valid, good staple and status required", certs: chain(valid, subCA), requireStatus: true,
+			evidence: withStaple(
 				revocationEvidence(t, revocationListDER(t, root, time.Hour)),
-				ocspStaple(t, mid, good, ocsp.Good, time.Hour),
+				ocspStaple(t, subCA, valid, ocsp.Good, time.Hour),
 			),
 		},
 		{
-			name: "sound, must staple and does", shown: chain(must, mid),
-			known: &RevocationEvidence{Staple: ocspStaple(t, mid, must, ocsp.Good, time.Hour)},
+			name: "valid, must-staple with a good staple", certs: chain(mustStapleLeaf, subCA),
+			evidence: &RevocationEvidence{Staple: ocspStaple(t, subCA, mustStapleLeaf, ocsp.Good, time.Hour)},
 		},
 		{
-			name: "must staple and does not", shown: chain(must, mid),
-			known: revocationEvidence(t, revocationListDER(t, mid, time.Hour)), want: RevocationUnresolved,
+			name: "must-staple without a staple", certs: chain(mustStapleLeaf, subCA),
+			evidence: revocationEvidence(t, revocationListDER(t, subCA, time.Hour)), want: RevocationUnresolved,
 		},
 		{
-			name: "must staple, an old one", shown: chain(must, mid),
-			known: &RevocationEvidence{Staple: ocspStaple(t, mid, must, ocsp.Good, -time.Minute)},
-			want:  RevocationUnresolved,
+			name: "must-staple with an expired staple", certs: chain(mustStapleLeaf, subCA),
+			evidence: &RevocationEvidence{Staple: ocspStaple(t, subCA, mustStapleLeaf, ocsp.Good, -time.Minute)},
+			want:     RevocationUnresolved,
 		},
 		{
-			name: "must staple, another's", shown: chain(must, mid),
-			known: &RevocationEvidence{Staple: ocspStaple(t, mid, good, ocsp.Good, time.Hour)},
-			want:  RevocationUnresolved,
+			name: "must-staple with a staple for another certificate", certs: chain(mustStapleLeaf, subCA),
+			evidence: &RevocationEvidence{Staple: ocspStaple(t, subCA, valid, ocsp.Good, time.Hour)},
+			want:     RevocationUnresolved,
 		},
 		{
-			name: "must staple, rubbish", shown: chain(must, mid),
-			known: &RevocationEvidence{Staple: []byte("\x30\x03\x0a\x01\x00")}, want: RevocationUnresolved,
+			name: "must-staple with a malformed staple", certs: chain(mustStapleLeaf, subCA),
+			evidence: &RevocationEvidence{Staple: []byte("\x30\x03\x0a\x01\x00")}, want: RevocationUnresolved,
 		},
 		{
-			name: "a staple that says revoked", shown: chain(good, mid),
-			known: &RevocationEvidence{Staple: ocspStaple(t, mid, good, ocsp.Revoked, time.Hour)},
-			want:  CertificateRevoked,
+			name: "revoked by the staple", certs: chain(valid, subCA),
+			evidence: &RevocationEvidence{Staple: ocspStaple(t, subCA, valid, ocsp.Revoked, time.Hour)},
+			want:     CertificateRevoked,
 		},
 		{
-			name: "a staple that says revoked, a list that does not", shown: chain(good, mid),
-			known: withStaple(
-				revocationEvidence(t, revocationListDER(t, mid, time.Hour)),
-				ocspStaple(t, mid, good, ocsp.Revoked, time.Hour),
+			name: "revoked by the staple, good by a list", certs: chain(valid, subCA),
+			evidence: withStaple(
+				revocationEvidence(t, revocationListDER(t, subCA, time.Hour)),
+				ocspStaple(t, subCA, valid, ocsp.Revoked, time.Hour),
 			),
 			want: CertificateRevoked,
 		},
 		{
-			name: "a staple signed by another, and hard", shown: chain(good, mid), hard: true,
-			known: &RevocationEvidence{Staple: ocspStaple(t, other, good, ocsp.Good, time.Hour)},
-			want:  RevocationUnresolved,
+			name:  "staple signed by another authority, status required",
+			certs: chain(valid, subCA), requireStatus: true,
+			evidence: &RevocationEvidence{Staple: ocspStaple(t, other, valid, ocsp.Good, time.Hour)},
+			want:     RevocationUnresolved,
+		},
+		{
+			name:  "status unknown for the intermediate, status required",
+			certs: chain(valid, subCA), requireStatus: true,
+			evidence: revocationEvidence(t, revocationListDER(t, subCA, time.Hour)), want: RevocationUnresolved,
 		},
 		{
-			name: "unknown and hard", shown: chain(good, mid), hard: true,
-			known: revocationEvidence(t, revocationListDER(t, mid, time.Hour)), want: RevocationUnresolved,
+			name:  "no revocation evidence, status required",
+			certs: chain(valid, subCA), requireStatus: true, want: RevocationUnresolved,
 		},
-		{name: "nothing known and hard", shown: chain(good, mid), hard: true, want: RevocationUnresolved},
 	} {
-		t.Run(x.name, func(t *testing.T) {
+		t.Run(test.name, func(t *testing.T) {
 			r := &Rule{
 				Name:                    "pay",
 				ServerName:              "pay.example.org",
 				Roots:                   root.RootPool(),
-				Pins:                    x.pins,
-				RequireRevocationStatus: x.hard,
+				Pins:                    test.pins,
+				RequireRevocationStatus: test.requireStatus,
 			}
 			if err := r.Validate(); err != nil {
 				t.Fatal(err)
 			}
-			verification, failure := r.Verify(x.shown, noon, x.known)
+			verification, failure := r.Verify(test.certs, noon, test.evidence)
 			switch {
 			case (verification == nil) == (failure == nil):
-				t.Errorf("verification %v, failure %v", verification, failure)
-			case failure == nil && x.want != 0:
-				t.Error("accepted")
-			case failure != nil && failure.Cause != x.want:
-				t.Errorf("%v, want %s", failure, x.want)
+				t.Errorf("Verify = verification %v, failure %v, want exactly one", verification, failure)
+			case failure == nil && test.want != 0:
+				t.Errorf("Verify = nil failure, want %s", test.want)
+			case failure != nil && failure.Cause != test.want:
+				t.Errorf("Verify = failure %v, want %s", failure, test.want)
 			case verification != nil && !verification.ValidUntil.After(noon):
-				t.Errorf("valid until %s", verification.ValidUntil)
+				t.Errorf("Verify: ValidUntil = %s, want after %s", verification.ValidUntil, noon)
 			}
 		})
 	}
 }
 
-// A verification ends with the first certificate of its chain that does.
+// Guards against a verification that outlasts a certificate of its chain.
 func TestVerificationEndsWithEarliestCertificate(t *testing.T) {
 	root := issue(t, nil, nil, authorityTemplate)
 	endsSoon := func(c *x509.Certificate) { c.NotAfter = noon.Add(time.Minute) }
-	mid := issue(t, root, nil, combine(authorityTemplate, endsSoon))
+	subCA := issue(t, root, nil, combine(authorityTemplate, endsSoon))
 	r := &Rule{Name: "pay", ServerName: "pay.example.org", Roots: root.RootPool()}
-	p, f := r.Verify([]*x509.Certificate{issue(t, mid, nil, nil).Certificate, mid.Certificate}, noon, nil)
-	if f != nil || !p.ValidUntil.Equal(noon.Add(time.Minute)) {
-		t.Errorf("%v, %v", p, f)
+	verification, failure := r.Verify(
+		[]*x509.Certificate{issue(t, subCA, nil, nil).Certificate, subCA.Certificate}, noon, nil)
+	if failure != nil || !verification.ValidUntil.Equal(noon.Add(time.Minute)) {
+		t.Errorf("Verify = %v, failure %v; want ValidUntil %v", verification, failure, noon.Add(time.Minute))
 	}
 }
 
 func TestRuleValidate(t *testing.T) {
 	pool := x509.NewCertPool()
 	for name, r := range map[string]*Rule{
-		"no name":       {Roots: pool},
-		"no roots":      {ServerName: "a"},
-		"one pin":       {ServerName: "a", Roots: pool, Pins: []Pin{{1}}},
-		"one pin twice": {ServerName: "a", Roots: pool, Pins: []Pin{{1}, {1}}},
+		"no server name":     {Roots: pool},
+		"no roots":           {ServerName: "a"},
+		"a single pin":       {ServerName: "a", Roots: pool, Pins: []Pin{{1}}},
+		"the same pin twice": {ServerName: "a", Roots: pool, Pins: []Pin{{1}, {1}}},
 	} {
 		t.Run(name, func(t *testing.T) {
 			if r.Validate() == nil {
-				t.Error("accepted")
+				t.Error("Validate() = nil, want an error")
 			}
 		})
 	}
 	if err := (&Rule{ServerName: "a", Roots: pool, Pins: []Pin{{1}, {2}}}).Validate(); err != nil {
-		t.Error(err)
+		t.Errorf("Validate() of a rule with two pins = %v, want nil", err)
 	}
 }
 
@@ -374,7 +398,7 @@
 	f.Add("AAAA")
 	f.Fuzz(func(t *testing.T, s string) {
 		if p, err := ParsePin(s); err == nil && p.String() != s {
-			t.Errorf("%q becomes %s", s, p)
+			t.Errorf("ParsePin(%q).String() = %q, want the input", s, p)
 		}
 	})
 }
--- a/internal/tlspolicy/selector.go
+++ b/internal/tlspolicy/selector.go
@@ -2,27 +2,27 @@
 
 import "fmt"
 
-// The operator's settings choose the identity that a destination must prove. A rule
-// that names the destination's number precedes one that names its flavour. Nothing in
-// an endpoint list can turn a destination that has a rule into one without, but for
-// its flavour, which the list says: a destination whose identity matters is named by
-// number.
+// The operator's settings determine the identity that a destination must prove. A rule
+// that names the destination's number takes precedence over one that names its flavour.
+// The flavour comes from the endpoint list, so a list can move a destination out of a rule
+// that names only its flavour. Operators name a destination whose identity matters by its
+// number, which no list can affect.
 
-// RuleTarget is what one rule applies to.
+// RuleTarget is the set of destinations that one rule applies to.
 type RuleTarget struct {
 	Rule         string
 	Destinations []int
 	Flavors      []string
 }
 
-// RuleSelector finds the rule of a destination.
+// RuleSelector finds the rule that applies to a destination.
 type RuleSelector struct {
-	byDestination map[int]int // indexes of rules
+	byDestination map[int]int // indexes of the rules
 	byFlavor      map[string]int
 }
 
-// NewRuleSelector returns an error where two rules name the same destination or flavour,
-// or one names neither.
+// NewRuleSelector returns a selector for the rules with these targets. It returns an error
+// if a destination or flavour is named twice, or if a rule names none.
 func NewRuleSelector(targets []RuleTarget) (*RuleSelector, error) {
 	s := &RuleSelector{byDestination: map[int]int{}, byFlavor: map[string]int{}}
 	for i, t := range targets {
@@ -45,8 +45,8 @@
 	return s, nil
 }
 
-// Find returns the index of a destination's rule among the targets; false where it is
-// reached without TLS.
+// Find returns the index of a destination's rule among the targets; false if no rule
+// applies, which means that the destination is reached without TLS.
 func (s *RuleSelector) Find(dest int, flavor string) (int, bool) {
 	if s == nil {
 		return 0, false
--- a/internal/tlspolicy/sessions.go
+++ b/internal/tlspolicy/sessions.go
@@ -7,27 +7,27 @@
 	"time"
 )
 
-// SessionIdentity is what a session was verified by. A session is offered under the
-// same identity alone: another server name, other roots or pins, or another
-// certificate of our own makes another identity, even for the same destination.
+// SessionIdentity identifies the settings that a session was verified with. A session is
+// offered only under its own identity: another server name, other roots or pins, or
+// another certificate of our own makes another identity, even for the same destination.
 type SessionIdentity struct {
 	Destination int
 	Rule        string
-	Sum         [sha256.Size]byte // of server name, roots, pins and our own certificate
+	Sum         [sha256.Size]byte // hash of server name, roots, pins and our own certificate
 }
 
 // Bounds of the cache.
 const (
-	// maxSessionsPerIdentity lets as many handshakes as may be in flight at once each
-	// use a session of their own (RFC 8446 appendix C.4: a ticket is used once).
+	// maxSessionsPerIdentity is enough for each of the handshakes in flight to use a
+	// session of its own, since a ticket is used only once (RFC 8446 appendix C.4).
 	maxSessionsPerIdentity = 8
 	// maxSessionLifetime is shorter than the seven days of RFC 8446 section 4.6.1, so
-	// that identities are verified again sooner.
+	// that full handshakes verify identities again sooner.
 	maxSessionLifetime = 12 * time.Hour
 )
 
-// SessionCache is a bounded cache of sessions, whose type the caller knows. It is not
-// safe for concurrent use; times must not go back.
+// SessionCache is a bounded cache of sessions of type T. It is not safe for concurrent
+// use. The times passed to it must not decrease.
 type SessionCache[T any] struct {
 	capacity    int
 	byIdentity  map[SessionIdentity][]*list.Element // the newest last
@@ -40,11 +40,10 @@
 	session  T
 }
 
-// entryOf returns the session of a list element.
+// entryOf returns the cached session that a list element holds.
 func entryOf[T any](e *list.Element) *cachedSession[T] { return e.Value.(*cachedSession[T]) }
 
-// NewSessionCache returns a cache for capacity sessions in all; with 0 nothing is
-// cached.
+// NewSessionCache returns a cache for at most capacity sessions; with 0 it caches none.
 func NewSessionCache[T any](capacity int) *SessionCache[T] {
 	return &SessionCache[T]{
 		capacity:    capacity,
@@ -53,8 +52,8 @@
 	}
 }
 
-// Put caches a session until the verification by which it was made expires, and for
-// twelve hours at most.
+// Put caches a session until its verification expires at verifiedUntil, but for at most
+// maxSessionLifetime.
 func (s *SessionCache[T]) Put(id SessionIdentity, session T, now, verifiedUntil time.Time) {
 	until := now.Add(maxSessionLifetime)
 	if verifiedUntil.Before(until) {
@@ -63,8 +62,8 @@
 	s.PutUntil(id, session, now, until)
 }
 
-// PutUntil caches a session whose expiry was computed before. One that has expired, or
-// that lasts longer than Put would let it, is left out.
+// PutUntil caches a session that expires at until, as computed by an earlier Put. It
+// ignores a session that has expired or that would last longer than maxSessionLifetime.
 func (s *SessionCache[T]) PutUntil(id SessionIdentity, session T, now, until time.Time) {
 	if s.capacity <= 0 || !now.Before(until) || until.After(now.Add(maxSessionLifetime)) {
 		return
@@ -79,7 +78,8 @@
 	s.byIdentity[id] = append(s.byIdentity[id], s.oldestFirst.PushBack(entry))
 }
 
-// Take removes and returns the newest session of an identity: a session is used once.
+// Take removes and returns the newest session of an identity that has not expired. A
+// session is removed because it is used only once.
 func (s *SessionCache[T]) Take(id SessionIdentity, now time.Time) (session T, until time.Time, ok bool) {
 	for cached := s.byIdentity[id]; len(cached) > 0; cached = s.byIdentity[id] {
 		newest := cached[len(cached)-1]
@@ -98,7 +98,7 @@
 	})
 }
 
-// DropRule removes all sessions made under a rule, whose files have changed.
+// DropRule removes all sessions of a rule, after the rule's files have changed.
 func (s *SessionCache[T]) DropRule(rule string) {
 	for e := s.oldestFirst.Front(); e != nil; {
 		next := e.Next()
@@ -117,7 +117,7 @@
 	}
 }
 
-// Len is the number of cached sessions.
+// Len returns the number of cached sessions.
 func (s *SessionCache[T]) Len() int { return s.oldestFirst.Len() }
 
 func (s *SessionCache[T]) remove(e *list.Element) {
--- a/internal/tlspolicy/stored_test.go
+++ b/internal/tlspolicy/stored_test.go
@@ -24,16 +24,17 @@
 	}
 }
 
-// What the log calls a failure's cause.
+// Guards against a change of the names of causes, which stand in logs.
 func TestCauseNames(t *testing.T) {
 	var b strings.Builder
-	for c := NoCertificate; c < causeCount; c++ {
-		fmt.Fprintf(&b, "%d %s\n", c, c)
+	for cause := NoCertificate; cause < causeCount; cause++ {
+		fmt.Fprintf(&b, "%d %s\n", cause, cause)
 	}
 	compareGolden(t, "causes.txt", b.String())
 }
 
-// The sum under which sessions are stored on disk.
+// Guards against a change of the hash that identifies stored sessions, which would drop
+// the sessions that an earlier release stored.
 func TestStoredIdentity(t *testing.T) {
 	sum := func(s string) []byte { h := sha256.Sum256([]byte(s)); return h[:] }
 	var b strings.Builder
@@ -47,25 +48,25 @@
 	compareGolden(t, "identities.txt", b.String())
 }
 
-// The retries of an endpoint whose identity was rejected, drawn from a seed, and
-// what the log says of it.
+// Guards against a change of the retry times of a rejected endpoint, which are determined
+// by the seed, and of the texts that are logged about it.
 func TestSeededSchedule(t *testing.T) {
-	b := NewTrustTracker(7)
+	tracker := NewTrustTracker(7)
 	now := noon
 	var text strings.Builder
-	for _, c := range []FailureCause{Expired, Expired, NameMismatch, NameMismatch, ClientCertificateRejected} {
-		said := b.RecordFailure(3, &IdentityError{c, "pay", errors.New("test")}, now)
-		_, at := b.MayRetry(3, now)
-		fmt.Fprintf(&text, "%v %q\n", at.Sub(now), said)
-		now = at
+	for _, cause := range []FailureCause{Expired, Expired, NameMismatch, NameMismatch, ClientCertificateRejected} {
+		message := tracker.RecordFailure(3, &IdentityError{cause, "pay", errors.New("test")}, now)
+		_, retryAt := tracker.MayRetry(3, now)
+		fmt.Fprintf(&text, "%v %q\n", retryAt.Sub(now), message)
+		now = retryAt
 	}
-	fmt.Fprintf(&text, "%q\n", b.RecordVerified(3, &Verification{ValidUntil: now.Add(time.Hour)}))
+	fmt.Fprintf(&text, "%q\n", tracker.RecordVerified(3, &Verification{ValidUntil: now.Add(time.Hour)}))
 	for dest := 1; dest <= 4; dest++ {
-		said := b.RecordFailure(dest+10, &IdentityError{NotYetValid, "pay", errors.New("test")}, now)
+		message := tracker.RecordFailure(dest+10, &IdentityError{NotYetValid, "pay", errors.New("test")}, now)
 		if dest == 1 {
-			b.Remove(3)
+			tracker.Remove(3)
 		}
-		fmt.Fprintf(&text, "%q\n", said)
+		fmt.Fprintf(&text, "%q\n", message)
 	}
 	compareGolden(t, "schedule.txt", text.String())
 }
--- a/internal/tlspolicy/trust.go
+++ b/internal/tlspolicy/trust.go
@@ -5,42 +5,45 @@
 	"time"
 )
 
-// An endpoint whose identity was rejected gets no calls. Messages do not bring it back:
-// it is tried again on a schedule, one handshake at a time.
+// An endpoint whose identity was rejected gets no calls. Messages for it cause no
+// handshakes: it is retried on a schedule, with one handshake at a time.
 
 const (
-	initialBackoff = time.Second     // after a first rejection
-	maxBackoff     = 2 * time.Minute // the backoff doubles up to it
-	// clockSuspicionCount is how many endpoints have to be outside their certificates'
-	// validity at once, with none verified, before the local clock is suspected.
+	initialBackoff = time.Second     // after the first rejection
+	maxBackoff     = 2 * time.Minute // upper bound of the doubling backoff
+	// clockSuspicionCount is the number of endpoints at which the local clock is suspected
+	// to be wrong: so many certificates are outside their validity period at once, and no
+	// endpoint is verified.
 	clockSuspicionCount = 3
-	// randomStream separates this package's random numbers from those of other uses of
-	// the same seed.
+	// randomStream makes this package's random numbers independent of those of other
+	// packages with the same seed.
 	randomStream = 0x715
 )
 
-// trustState is what is known about one endpoint's identity.
+// trustState is the trust state of one endpoint.
 type trustState struct {
-	failure    *IdentityError // nil unless rejected
-	since      time.Time      // of the first rejection in a row
+	failure    *IdentityError // of the last rejection; nil unless the endpoint is rejected
+	since      time.Time      // the first of the current rejections
 	retryAt    time.Time
 	backoff    time.Duration
-	retrying   bool      // a handshake of the schedule is in flight
+	retrying   bool      // a scheduled handshake is in flight
 	validUntil time.Time // of the last verification
 }
 
-// TrustTracker knows which endpoints are verified and which rejected, by a key of the
-// caller's. It is not safe for concurrent use; times must not go back.
+// TrustTracker tracks which endpoints are verified and which are rejected. The caller
+// chooses the keys of endpoints. It is not safe for concurrent use. The times passed to it
+// must not decrease.
 type TrustTracker struct {
 	rng             *rand.Rand
 	states          map[int]*trustState
-	rejected        int // endpoints
-	outsideValidity int // rejected endpoints whose certificates are outside their validity
-	verified        int // endpoints
-	clockReported   bool
+	rejected        int  // rejected endpoints
+	outsideValidity int  // rejected endpoints whose certificates are outside their validity period
+	verified        int  // verified endpoints
+	clockReported   bool // the suspicion that the clock is wrong was logged
 }
 
-// NewTrustTracker returns a tracker that knows no endpoint.
+// NewTrustTracker returns a tracker without endpoints. The seed determines the jitter of
+// retries.
 func NewTrustTracker(seed uint64) *TrustTracker {
 	return &TrustTracker{rng: rand.New(rand.NewPCG(seed, randomStream)), states: map[int]*trustState{}}
 }
@@ -54,7 +57,7 @@
 	return state
 }
 
-// Rejection returns why an endpoint is rejected, and since when; nil where it is not.
+// Rejection returns why an endpoint is rejected, and since when; nil if it is not rejected.
 func (t *TrustTracker) Rejection(key int) (*IdentityError, time.Time) {
 	if state := t.states[key]; state != nil {
 		return state.failure, state.since
@@ -62,7 +65,7 @@
 	return nil, time.Time{}
 }
 
-// MayRetry reports whether a handshake may begin, and else when to ask again. A
+// MayRetry reports whether a handshake may begin, and if not, when to ask again. A
 // rejected endpoint has one handshake in flight at a time.
 func (t *TrustTracker) MayRetry(key int, now time.Time) (bool, time.Time) {
 	state := t.states[key]
@@ -75,21 +78,22 @@
 	return !now.Before(state.retryAt), state.retryAt
 }
 
-// RetryStarted records that a handshake with a rejected endpoint has begun.
+// RetryStarted records that a handshake with a rejected endpoint was begun.
 func (t *TrustTracker) RetryStarted(key int) { t.state(key).retrying = true }
 
-// LogMessage is a change of trust that is worth logging; empty for none.
+// LogMessage is the log text for a change of trust; empty if there is nothing to log.
 type LogMessage string
 
 // RecordFailure records that an identity was rejected, and schedules the next handshake.
+// It returns the text to log.
 func (t *TrustTracker) RecordFailure(key int, failure *IdentityError, now time.Time) LogMessage {
 	state := t.state(key)
 	state.retrying = false
 	message := t.countFailure(state, failure, now)
 	state.failure, state.validUntil = failure, time.Time{}
-	// The jitter keeps relays that share nothing from retrying in step.
+	// The jitter keeps independent relays from retrying at the same times.
 	state.retryAt = now.Add(state.backoff/2 + time.Duration(t.rng.Int64N(int64(state.backoff))))
-	if t.clockReported { // the one message stands for all of them
+	if t.clockReported { // that one message replaces those of the single endpoints
 		return ""
 	}
 	if t.outsideValidity >= clockSuspicionCount && t.verified == 0 {
@@ -99,7 +103,8 @@
 	return message
 }
 
-// countFailure updates counts and backoff for a failure that follows the state's.
+// countFailure updates the counts and the endpoint's backoff for a new failure, and
+// returns the text to log for it. state still holds the previous failure, if any.
 func (t *TrustTracker) countFailure(state *trustState, failure *IdentityError, now time.Time) (message LogMessage) {
 	if previous := state.failure; previous == nil {
 		t.rejected++
@@ -119,7 +124,7 @@
 	return message
 }
 
-// validityFailures is 1 for a certificate outside its validity period, else 0.
+// validityFailures returns 1 for a certificate outside its validity period, else 0.
 func validityFailures(f *IdentityError) int {
 	if f.Cause == Expired || f.Cause == NotYetValid {
 		return 1
@@ -127,7 +132,7 @@
 	return 0
 }
 
-// RecordVerified records that an identity was verified.
+// RecordVerified records that an identity was verified. It returns the text to log.
 func (t *TrustTracker) RecordVerified(key int, v *Verification) LogMessage {
 	state := t.state(key)
 	state.retrying = false
@@ -147,11 +152,11 @@
 	return ""
 }
 
-// RecordInconclusive records that a handshake ended without a verdict: a reset, a
-// timeout. Trust stays as it was.
+// RecordInconclusive records that a handshake ended without a verdict, as by a reset or a
+// timeout. The trust state does not change.
 func (t *TrustTracker) RecordInconclusive(key int) { t.state(key).retrying = false }
 
-// Remove forgets an endpoint.
+// Remove removes an endpoint.
 func (t *TrustTracker) Remove(key int) {
 	state := t.states[key]
 	if state == nil {
@@ -166,7 +171,8 @@
 	delete(t.states, key)
 }
 
-// ValidUntil is when an endpoint's last verification expires; false where there is none.
+// ValidUntil returns when an endpoint's last verification expires; false if the endpoint
+// is not verified.
 func (t *TrustTracker) ValidUntil(key int) (time.Time, bool) {
 	state := t.states[key]
 	if state == nil || state.validUntil.IsZero() {
--- a/internal/tlspolicy/trust_test.go
+++ b/internal/tlspolicy/trust_test.go
@@ -8,82 +8,88 @@
 	"time"
 )
 
-func newIdentityError(c FailureCause) *IdentityError {
-	return &IdentityError{c, "pay", errors.New("test")}
+func newIdentityError(cause FailureCause) *IdentityError {
+	return &IdentityError{cause, "pay", errors.New("test")}
 }
 
-// A rejected endpoint is retried by its own schedule: one handshake at a time, never
-// sooner than half a backoff that doubles, and never given up.
+// Guards against a rejected endpoint that is retried too soon, with several handshakes at
+// a time, or never again. Each wait is half to one and a half times a backoff that doubles
+// up to maxBackoff.
 func TestRetryScheduleOfRejectedDestination(t *testing.T) {
 	for seed := range uint64(50) {
 		tracker := NewTrustTracker(seed)
 		now := noon
 		if ok, _ := tracker.MayRetry(1, now); !ok {
-			t.Fatal("a new endpoint may not be tried")
+			t.Fatal("MayRetry for a new endpoint = false, want true")
 		}
 		backoff := initialBackoff
 		for i := range 12 {
 			tracker.RetryStarted(1)
 			message := tracker.RecordFailure(1, newIdentityError(Expired), now)
 			if (message != "") != (i == 0) {
-				t.Fatalf("failure %d logs %q", i, message)
+				t.Fatalf("RecordFailure %d = %q, want a message only for the first", i, message)
 			}
-			ok, at := tracker.MayRetry(1, now)
-			if wait := at.Sub(now); ok || wait < backoff/2 || wait > backoff*3/2 {
-				t.Fatalf("failure %d: retried after %v, the backoff is %v", i, wait, backoff)
+			ok, retryAt := tracker.MayRetry(1, now)
+			if wait := retryAt.Sub(now); ok || wait < backoff/2 || wait > backoff*3/2 {
+				t.Fatalf("after failure %d: MayRetry = %v, wait %v; want false, %v to %v",
+					i, ok, wait, backoff/2, backoff*3/2)
 			}
-			if ok, _ := tracker.MayRetry(1, at.Add(-1)); ok {
-				t.Fatal("retried too soon")
+			if ok, _ := tracker.MayRetry(1, retryAt.Add(-1)); ok {
+				t.Fatal("MayRetry just before retryAt = true, want false")
 			}
-			if ok, _ := tracker.MayRetry(1, at); !ok {
-				t.Fatal("never retried")
+			if ok, _ := tracker.MayRetry(1, retryAt); !ok {
+				t.Fatal("MayRetry at retryAt = false, want true")
 			}
 			tracker.RetryStarted(1)
-			if ok, _ := tracker.MayRetry(1, at); ok {
-				t.Fatal("two handshakes in flight")
+			if ok, _ := tracker.MayRetry(1, retryAt); ok {
+				t.Fatal("MayRetry with a handshake in flight = true, want false")
 			}
-			now, backoff = at, min(2*backoff, maxBackoff)
+			now, backoff = retryAt, min(2*backoff, maxBackoff)
 		}
-		if f, since := tracker.Rejection(1); f == nil || !since.Equal(noon) {
-			t.Fatalf("rejection: %v since %v", f, since)
+		if failure, since := tracker.Rejection(1); failure == nil || !since.Equal(noon) {
+			t.Fatalf("Rejection(1) = %v since %v, want a failure since %v", failure, since, noon)
 		}
 		message := tracker.RecordVerified(1, &Verification{ValidUntil: now.Add(time.Hour)})
 		if !strings.HasPrefix(string(message), "back") {
-			t.Errorf("verified again: %q", message)
+			t.Errorf("RecordVerified = %q, want a text that begins with \"back\"", message)
 		}
-		if f, _ := tracker.Rejection(1); f != nil {
-			t.Error("still rejected")
+		if failure, _ := tracker.Rejection(1); failure != nil {
+			t.Errorf("Rejection(1) after a verification = %v, want nil", failure)
 		}
 		if ok, _ := tracker.MayRetry(1, now); !ok {
-			t.Error("may not be tried though it is verified")
+			t.Error("MayRetry for a verified endpoint = false, want true")
 		}
 	}
 }
 
-// A clock that is wrong by a year makes every endpoint fail: it is logged once, and not
-// for each endpoint. One expired endpoint among valid ones is only that.
+// Guards against one log line for each endpoint when the local clock is wrong and all
+// verifications fail: after the first failures one line about the clock must follow, and
+// no more. While an endpoint is verified, the clock must not be suspected.
 func TestWrongLocalClock(t *testing.T) {
 	tracker := NewTrustTracker(1)
 	messages := []LogMessage{}
 	for dest := range 20 {
-		if s := tracker.RecordFailure(dest, newIdentityError(NotYetValid), noon); s != "" {
-			messages = append(messages, s)
+		if message := tracker.RecordFailure(dest, newIdentityError(NotYetValid), noon); message != "" {
+			messages = append(messages, message)
 		}
 	}
 	if len(messages) != clockSuspicionCount || !strings.Contains(string(messages[clockSuspicionCount-1]), "clock") {
-		t.Errorf("20 endpoints outside their validity log %q", messages)
+		t.Errorf("20 endpoints outside their validity period: messages %q, want %d, the last about the clock",
+			messages, clockSuspicionCount)
 	}
 	for dest := range 20 {
 		tracker.RecordVerified(dest, &Verification{ValidUntil: noon.Add(time.Hour)})
 	}
 	for dest := range 19 {
-		if s := tracker.RecordFailure(dest, newIdentityError(Expired), noon); strings.Contains(string(s), "clock") {
-			t.Errorf("%d expired, and another is valid: %q", dest+1, s)
+		if m := tracker.RecordFailure(dest, newIdentityError(Expired), noon); strings.Contains(string(m), "clock") {
+			t.Errorf("RecordFailure with %d endpoints expired and one verified = %q, want no text about the clock",
+				dest+1, m)
 		}
 	}
 }
 
-// Whatever comes, in whatever order: the counts are those of a plain recount.
+// Guards against counts that drift from the endpoints' states, in random sequences of
+// events.
 func TestTrustTrackerCounts(t *testing.T) {
 	for seed := range uint64(300) {
 		rng := rand.New(rand.NewPCG(seed, 2))
@@ -110,11 +116,11 @@
 				delete(rejected, dest)
 				delete(verified, dest)
 			}
-			if o, s := tracker.Counts(); o != len(rejected) || s != len(verified) {
-				t.Fatalf("seed %d: %d rejected, %d verified; want %d, %d", seed, o, s, len(rejected), len(verified))
+			if r, v := tracker.Counts(); r != len(rejected) || v != len(verified) {
+				t.Fatalf("seed %d: Counts() = %d, %d, want %d, %d", seed, r, v, len(rejected), len(verified))
 			}
 			if _, ok := tracker.ValidUntil(dest); ok != verified[dest] {
-				t.Fatalf("seed %d: an expiry: %v, verified %v", seed, ok, verified[dest])
+				t.Fatalf("seed %d: ValidUntil(%d) = %v, want %v", seed, dest, ok, verified[dest])
 			}
 		}
 	}
