--- a/internal/tlspolicy/trust.go
+++ b/internal/tlspolicy/trust.go
@@ -98,7 +98,7 @@
 	}
 	if t.outsideValidity >= clockSuspicionCount && t.verified == 0 {
 		t.clockReported = true
-		return "every partner's certificate is out of time: this machine's clock may be wrong"
+		return "several certificates are expired or not yet valid, none is verified: this machine's clock may be wrong"
 	}
 	return message
 }
@@ -112,12 +112,12 @@
 			t.verified--
 		}
 		state.since, state.backoff = now, initialBackoff
-		message = LogMessage("out: " + failure.Error())
+		message = LogMessage("endpoint rejected, it gets no calls: " + failure.Error())
 	} else {
 		t.outsideValidity -= validityFailures(previous)
 		state.backoff = min(2*state.backoff, maxBackoff)
 		if previous.Cause != failure.Cause {
-			message = LogMessage("out for another cause: " + failure.Error())
+			message = LogMessage("endpoint is still rejected, now for another cause: " + failure.Error())
 		}
 	}
 	t.outsideValidity += validityFailures(failure)
@@ -147,7 +147,7 @@
 	t.clockReported = false
 	state.failure, state.validUntil, state.backoff = nil, v.ValidUntil, 0
 	if previous != nil {
-		return LogMessage("back: proved again after " + previous.Cause.String())
+		return LogMessage("endpoint verified again, it gets calls; the rejection was for: " + previous.Cause.String())
 	}
 	return ""
 }
--- a/internal/tlspolicy/trust_test.go
+++ b/internal/tlspolicy/trust_test.go
@@ -50,8 +50,8 @@
 			t.Fatalf("Rejection(1) = %v since %v, want a failure since %v", failure, since, noon)
 		}
 		message := tracker.RecordVerified(1, &Verification{ValidUntil: now.Add(time.Hour)})
-		if !strings.HasPrefix(string(message), "back") {
-			t.Errorf("RecordVerified = %q, want a text that begins with \"back\"", message)
+		if !strings.HasPrefix(string(message), "endpoint verified again") {
+			t.Errorf("RecordVerified = %q, want a text that begins with \"endpoint verified again\"", message)
 		}
 		if failure, _ := tracker.Rejection(1); failure != nil {
 			t.Errorf("Rejection(1) after a verification = %v, want nil", failure)
