--- a/internal/tlsdial/dialer.go
+++ b/internal/tlsdial/dialer.go
@@ -29,7 +29,7 @@
 	reportingMargin = 500 * time.Millisecond // from the end of a handshake until it is reported
 )
 
-// Options configure a Dialer.
+// Options holds the settings of a Dialer.
 type Options struct {
 	Rules      []operatorconfig.TLSRule
 	Handshakes operatorconfig.Handshakes
--- a/internal/tlsdial/errors.go
+++ b/internal/tlsdial/errors.go
@@ -26,7 +26,7 @@
 	RetryAfter time.Duration // until the next scheduled handshake
 }
 
-// Error returns the text of the reason.
+// Error says that an identity was rejected, and the reason.
 func (e *RejectedError) Error() string { return "identity rejected: " + e.Reason.Error() }
 
 // Unwrap returns the reason.
--- a/internal/tlspolicy/budget.go
+++ b/internal/tlspolicy/budget.go
@@ -23,7 +23,7 @@
 // costSmoothing is the divisor by which the expected cost moves towards a measured cost.
 const costSmoothing = 8
 
-// HandshakeLimits configure a HandshakeBudget.
+// HandshakeLimits holds the settings of a HandshakeBudget.
 type HandshakeLimits struct {
 	Share       float64          // of one core's CPU time, for handshakes
 	Burst       time.Duration    // CPU time that may be used at once
--- a/internal/tlspolicy/failure.go
+++ b/internal/tlspolicy/failure.go
@@ -2,7 +2,7 @@
 
 import "fmt"
 
-// FailureCause is why an identity was rejected.
+// FailureCause is the cause for which an identity was rejected.
 type FailureCause uint8
 
 // Causes, in the order in which they are checked.
--- a/internal/tlspolicy/trust.go
+++ b/internal/tlspolicy/trust.go
@@ -22,12 +22,12 @@
 
 // trustState is the trust state of one endpoint.
 type trustState struct {
-	failure    *IdentityError // of the last rejection; nil unless the endpoint is rejected
-	since      time.Time      // the first of the current rejections
-	retryAt    time.Time
-	backoff    time.Duration
-	retrying   bool      // a scheduled handshake is in flight
-	validUntil time.Time // of the last verification
+	failure       *IdentityError // of the last rejection; nil unless the endpoint is rejected
+	rejectedSince time.Time      // the time of the first rejection since the last verification
+	retryAt       time.Time
+	backoff       time.Duration
+	retrying      bool      // a scheduled handshake is in flight
+	validUntil    time.Time // of the last verification
 }
 
 // TrustTracker tracks which endpoints are verified and which are rejected. The caller
@@ -60,7 +60,7 @@
 // Rejection returns why an endpoint is rejected, and since when; nil if it is not rejected.
 func (t *TrustTracker) Rejection(key int) (*IdentityError, time.Time) {
 	if state := t.states[key]; state != nil {
-		return state.failure, state.since
+		return state.failure, state.rejectedSince
 	}
 	return nil, time.Time{}
 }
@@ -111,7 +111,7 @@
 		if !state.validUntil.IsZero() {
 			t.verified--
 		}
-		state.since, state.backoff = now, initialBackoff
+		state.rejectedSince, state.backoff = now, initialBackoff
 		message = LogMessage("endpoint rejected, it gets no calls: " + failure.Error())
 	} else {
 		t.outsideValidity -= validityFailures(previous)
