--- a/internal/wal/append.go
+++ b/internal/wal/append.go
@@ -7,18 +7,19 @@
 	"troutusher/internal/core"
 )
 
-// Division of Options.MaxBytes. At any time the log and its compaction fit into it
+// How Options.MaxBytes is divided. The log and a compacted copy of it always fit into it
 // together.
 const (
-	roundingReserve = 16 << 10 // stays unused, since file systems round file sizes up
-	// pendingReserve is left to further records of accepted messages: no message is
-	// accepted into it.
+	roundingReserve = 16 << 10 // never used, because file systems round file sizes up
+	// pendingReserve is space for the later records of accepted messages. Records that
+	// accept a message cannot use it.
 	pendingReserve = 64 << 10
-	minCompactSize = 1 << 20 // a shorter log is compacted only for lack of room
-	compactFactor  = 4       // a log is compacted once it has so many times the size of the pending records
+	minCompactSize = 1 << 20 // a shorter log is compacted only to make room
+	compactFactor  = 4       // the log is compacted at this multiple of the size of the pending records
 )
 
-// append writes one record, if there is room for it and for a later compaction.
+// append writes one record if the size limit leaves room for it and for a later
+// compaction.
 func (l *Log) append(r *core.Record) error {
 	if r.Kind != core.RecordAccepted && !l.pending.contains(r.ID) {
 		return ErrNotPending
@@ -31,22 +32,22 @@
 		return err
 	}
 	if _, err := l.file.WriteAt(l.buffer, l.size); err != nil {
-		// Remove what was written of the record: it would hide the records after it.
-		return fmt.Errorf("log: %w", errors.Join(err, l.file.Truncate(l.size)))
+		// Remove a partly written record, because it would hide the records after it.
+		return fmt.Errorf("append to write-ahead log at byte %d: %w", l.size, errors.Join(err, l.file.Truncate(l.size)))
 	}
 	l.size += int64(len(l.buffer))
 	l.pending.apply(r)
 	return nil
 }
 
-// makeRoom compacts the log if that is due or needed to append a record of this
-// encoded size. It returns ErrFull if the record does not fit anyway.
+// makeRoom compacts the log if it has grown long enough, or if a record of this encoded
+// size does not fit otherwise. It returns ErrFull if the record does not fit even then.
 func (l *Log) makeRoom(r *core.Record, size int64) error {
 	pending, free := l.pending.bytes, l.maxBytes-roundingReserve
 	if r.Kind == core.RecordAccepted {
 		pending += reservedSize(r)
 		free -= pendingReserve
-		if 2*pending > free { // compaction cannot help, so do not try it for every message
+		if 2*pending > free { // compaction could not free enough, so do not try it for every message
 			return ErrFull
 		}
 	}
@@ -55,7 +56,7 @@
 		return nil
 	}
 	if err := l.compact(); err != nil {
-		l.logger.Error("log: not compacted", "err", err)
+		l.logger.Error("write-ahead log: compaction failed; the uncompacted log stays in use", "err", err)
 	}
 	if !fits() {
 		return ErrFull
--- a/internal/wal/compaction.go
+++ b/internal/wal/compaction.go
@@ -8,8 +8,8 @@
 	"troutusher/internal/core"
 )
 
-// compact replaces the log by one that holds only the pending messages. If it fails,
-// the log is unchanged.
+// compact replaces the log with one that contains only the pending messages. If it
+// fails, the log is unchanged.
 func (l *Log) compact() error {
 	var text []byte
 	for _, r := range l.pending.copies() {
@@ -24,17 +24,18 @@
 	}
 	compacted, err := l.replaceWith(text)
 	if err != nil {
-		return fmt.Errorf("log: %w", err)
+		return fmt.Errorf("write compacted write-ahead log of %d bytes: %w", len(text), err)
 	}
 	if l.file != nil {
-		// Nothing reads the replaced file any more, so its close error does not matter.
+		// Nothing reads the replaced file any more, so an error of closing it can be ignored.
 		_ = l.file.Close()
 	}
 	l.file, l.size = compacted, int64(len(text))
 	return nil
 }
 
-// replaceWith writes a new file, renames it to the log's path and returns it open.
+// replaceWith writes text to a new file, renames the file to the log's path and returns
+// it open.
 func (l *Log) replaceWith(text []byte) (*os.File, error) {
 	path := l.path + compactedSuffix
 	f, err := os.OpenFile(path, os.O_RDWR|os.O_CREATE|os.O_TRUNC, 0o600)
--- a/internal/wal/encoding.go
+++ b/internal/wal/encoding.go
@@ -11,26 +11,26 @@
 	"troutusher/internal/core"
 )
 
-// The format of a record: the magic, the length and the CRC-32 (IEEE) of the payload,
-// both as four bytes in big-endian order, and the payload, which is the record as one
-// line of JSON followed by the message's body.
+// The format of a record: the magic number, the length and the CRC-32 (IEEE) of the
+// payload, each as four bytes in big-endian order, and the payload. The payload is the
+// record as one line of JSON, followed by the message's body.
 const (
 	magic          = "\xf7TRW"
 	lengthOffset   = 4
 	checksumOffset = 8
 	headerSize     = 12
-	maxPayload     = 128 << 10 // more than any record needs
+	maxPayload     = 128 << 10 // bytes; more than any record needs
 )
 
-// appendRecord appends the encoded record to a buffer and returns the buffer.
+// appendRecord appends the encoded record to a buffer and returns the extended buffer.
 func appendRecord(to []byte, r *core.Record) ([]byte, error) {
 	line, err := json.Marshal(r)
 	if err != nil {
-		return to, fmt.Errorf("log: %w", err)
+		return to, fmt.Errorf("encode write-ahead log record of message %q: %w", r.ID, err)
 	}
 	length := len(line) + 1 + len(r.Body)
 	if length > maxPayload {
-		return to, fmt.Errorf("log: a record of %d bytes", length)
+		return to, fmt.Errorf("encode write-ahead log record of message %q: %d bytes, limit %d", r.ID, length, maxPayload)
 	}
 	start := len(to)
 	to = append(to, magic...)
@@ -44,8 +44,8 @@
 	return to, nil
 }
 
-// decodeRecord decodes the record at the start of text and returns its encoded size,
-// which is 0 if no intact record starts there.
+// decodeRecord decodes the record at the start of text and returns it with its encoded
+// size. The size is 0 if text does not start with an intact record.
 func decodeRecord(text []byte) (r *core.Record, size int) {
 	if len(text) < headerSize || string(text[:len(magic)]) != magic {
 		return nil, 0
--- a/internal/wal/format_test.go
+++ b/internal/wal/format_test.go
@@ -11,8 +11,8 @@
 	"troutusher/internal/core"
 )
 
-// recordsOfEachKind is the content of testdata/every_kind.wal: each kind of
-// record, and each field of one.
+// recordsOfEachKind returns the content of testdata/every_kind.wal, which has every kind
+// of record and sets every field of a record.
 func recordsOfEachKind() []*core.Record {
 	return []*core.Record{
 		{
@@ -63,7 +63,8 @@
 	}
 }
 
-func fixture(t *testing.T, name string) []byte {
+// readFixture returns the content of a file in testdata.
+func readFixture(t *testing.T, name string) []byte {
 	t.Helper()
 	b, err := os.ReadFile(filepath.Join("testdata", name))
 	if err != nil {
@@ -72,16 +73,16 @@
 	return b
 }
 
-// pendingJSON shows what is pending under the keys of the stored form.
+// pendingJSON returns the pending records as JSON with the keys of the stored format.
 func pendingJSON(t *testing.T, pending []*core.Record) []byte {
 	t.Helper()
-	type shown struct {
+	type recordWithBody struct {
 		Record *core.Record `json:"record"`
 		Body   []byte       `json:"body"`
 	}
-	var list []shown
+	var list []recordWithBody
 	for _, r := range pending {
-		list = append(list, shown{r, r.Body})
+		list = append(list, recordWithBody{r, r.Body})
 	}
 	b, err := json.MarshalIndent(list, "", " ")
 	if err != nil {
@@ -90,7 +91,8 @@
 	return append(b, '\n')
 }
 
-// The bytes of each record are those that earlier processes wrote.
+// Guards against a change of the stored format: records must be encoded to the same bytes
+// as in earlier releases.
 func TestBytesOfEachKind(t *testing.T) {
 	dir := t.TempDir()
 	w, _ := openTestLog(t, dir, 1<<20)
@@ -99,49 +101,49 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if want := fixture(t, "every_kind.wal"); !bytes.Equal(got, want) {
-		t.Errorf("got\n%q\nwant\n%q", got, want)
+	if want := readFixture(t, "every_kind.wal"); !bytes.Equal(got, want) {
+		t.Errorf("log with every kind of record =\n%q\nwant\n%q", got, want)
 	}
 }
 
-// What is pending after a start with a stored log, and the compacted log that the
-// start leaves.
+// Guards against a start that misreads a stored log: checks the pending messages that
+// Open returns and the compacted log that it writes.
 func TestStoredForms(t *testing.T) {
 	for _, c := range []struct {
 		name, log, pending, compacted string
-		out                           []string // attempts that are known to be out still
+		inFlight                      []string // messages whose attempts are still in flight
 	}{
 		{"every kind", "every_kind.wal", "every_kind_pending.json", "every_kind_compacted.wal", nil},
 		{
-			"attempts known to be out", "every_kind.wal", "call_out_pending.json", "call_out_compacted.wal",
+			"attempts still in flight", "every_kind.wal", "call_out_pending.json", "call_out_compacted.wal",
 			[]string{"m-1", "m-3"},
 		},
 		{"compacted", "every_kind_compacted.wal", "every_kind_pending.json", "every_kind_compacted.wal", nil},
-		{"torn", "torn.wal", "torn_pending.json", "torn_compacted.wal", nil},
+		{"incomplete last record", "torn.wal", "torn_pending.json", "torn_compacted.wal", nil},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			dir := t.TempDir()
 			path := filepath.Join(dir, "relay.wal")
-			if err := os.WriteFile(path, fixture(t, c.log), 0o600); err != nil {
+			if err := os.WriteFile(path, readFixture(t, c.log), 0o600); err != nil {
 				t.Fatal(err)
 			}
 			w, pending, err := Open(Options{
 				Dir: dir, MaxBytes: 1 << 20, Logger: discardLogger(),
-				InFlight: func(id string) bool { return slices.Contains(c.out, id) },
+				InFlight: func(id string) bool { return slices.Contains(c.inFlight, id) },
 			})
 			if err != nil {
 				t.Fatal(err)
 			}
 			t.Cleanup(func() { _ = w.file.Close() })
-			if got, want := pendingJSON(t, pending), fixture(t, c.pending); !bytes.Equal(got, want) {
-				t.Errorf("pending\n%s\nwant\n%s", got, want)
+			if got, want := pendingJSON(t, pending), readFixture(t, c.pending); !bytes.Equal(got, want) {
+				t.Errorf("Open(%s): pending records =\n%s\nwant\n%s", c.log, got, want)
 			}
 			got, err := os.ReadFile(path)
 			if err != nil {
 				t.Fatal(err)
 			}
-			if want := fixture(t, c.compacted); !bytes.Equal(got, want) {
-				t.Errorf("compacted\n%q\nwant\n%q", got, want)
+			if want := readFixture(t, c.compacted); !bytes.Equal(got, want) {
+				t.Errorf("Open(%s): compacted log =\n%q\nwant\n%q", c.log, got, want)
 			}
 		})
 	}
--- a/internal/wal/log.go
+++ b/internal/wal/log.go
@@ -1,11 +1,12 @@
-// Package wal is the write-ahead log. It holds the pending messages: each from the
-// moment it is accepted until its final outcome is certain.
+// Package wal implements the write-ahead log. The log contains each pending message from
+// its acceptance until its final outcome is certain.
 //
-// The operating system keeps what was written when a process is killed, so the log
-// is never synced: it survives the death of the process, not that of the machine.
+// The log is never synced to disk. The operating system keeps written data when a
+// process is killed, so the log survives a crash of the process, but not a crash of the
+// machine.
 //
-// The package owns the log's format on disk, its recovery and compaction, and how
-// much of the disk it uses. It must never decide what becomes of a message.
+// The package is responsible for the log's format on disk, its recovery and compaction,
+// and the disk space that it uses. It does not decide the outcome of messages.
 package wal
 
 import (
@@ -24,21 +25,21 @@
 // FileName is the name of the log's file in the state directory.
 const FileName = "relay.wal"
 
-// compactedSuffix is added to the log's path for a compacted log that has not
-// replaced it yet.
+// compactedSuffix is added to the log's path to name a compacted log that has not
+// replaced the log yet.
 const compactedSuffix = ".new"
 
-// Errors of records that are not written.
+// Errors for records that are not written.
 var (
-	// ErrFull is returned when the record does not fit within Options.MaxBytes.
-	ErrFull = errors.New("log: no room")
-	// ErrNotPending is returned for a record of a message that was never accepted,
-	// or that is done.
-	ErrNotPending = errors.New("log: message is not owed")
+	// ErrFull is returned when a record does not fit within Options.MaxBytes.
+	ErrFull = errors.New("write-ahead log has reached its size limit")
+	// ErrNotPending is returned for a record of a message that was never accepted or
+	// that is done.
+	ErrNotPending = errors.New("message is not pending in the write-ahead log")
 )
 
-// Origin is where the content of a log came from. Its values are shown in the log
-// line on readiness.
+// Origin says where the content of a log came from. The relay prints it in the log line
+// that reports readiness.
 type Origin string
 
 // The origins of a log.
@@ -51,18 +52,17 @@
 type Options struct {
 	// Dir is the state directory.
 	Dir string
-	// MaxBytes bounds the disk space of the log and of its compaction together.
+	// MaxBytes is the maximum disk space of the log together with a compacted copy of it.
 	MaxBytes int64
 	// InFlight reports whether a message has an attempt in flight whose outcome will
-	// still be submitted. If it is nil, there is none.
+	// still be submitted. If InFlight is nil, no message has one.
 	InFlight func(id string) bool
 	Logger   *slog.Logger
 }
 
 // Log is an open write-ahead log. Submit, Flush, Close and Origin may be called from
-// any goroutine.
-//
-// After Open, only the goroutine of Run uses the file and the pending records.
+// any goroutine. After Open, only the goroutine that calls Run uses the file and the
+// pending records.
 type Log struct {
 	path     string
 	maxBytes int64
@@ -78,10 +78,10 @@
 	stop     chan struct{}
 	stopOnce sync.Once
 	done     chan struct{}
-	closeErr error // of the file; set before done is closed
+	closeErr error // from closing the file; set before done is closed
 }
 
-// request is a submission: a record to write, and the callback for its result.
+// request is a submitted record and the callback for the result of writing it.
 type request struct {
 	record    *core.Record // nil for Flush, which writes nothing
 	onWritten func(error)  // may be nil
@@ -100,24 +100,24 @@
 		stop:     make(chan struct{}),
 		done:     make(chan struct{}),
 	}
-	// A kill may have left an unfinished compaction. If it cannot be removed, the next
-	// compaction overwrites it.
+	// A killed process may have left an incomplete compacted log. If it cannot be removed,
+	// the next compaction overwrites it.
 	_ = os.Remove(l.path + compactedSuffix)
 	text, err := os.ReadFile(l.path)
 	switch {
 	case errors.Is(err, fs.ErrNotExist):
 		l.origin = Created
 	case err != nil:
-		return nil, nil, fmt.Errorf("log: %w", err)
+		return nil, nil, fmt.Errorf("recover write-ahead log: %w", err)
 	}
 	l.replay(text)
 	l.pending.resolveOpenAttempts(o.InFlight)
 	l.size = int64(len(text))
 	if err := l.compact(); err != nil {
-		// The log that was recovered is complete, so it is used as it is.
-		l.logger.Error("log: not compacted", "err", err)
+		// The recovered log is complete, so it can be used without a compaction.
+		l.logger.Error("write-ahead log: compaction failed; the uncompacted log stays in use", "err", err)
 		if l.file, err = os.OpenFile(l.path, os.O_RDWR|os.O_CREATE, 0o600); err != nil {
-			return nil, nil, fmt.Errorf("log: %w", err)
+			return nil, nil, fmt.Errorf("open write-ahead log for writing: %w", err)
 		}
 	}
 	return l, l.pending.copies(), nil
@@ -127,22 +127,22 @@
 func (l *Log) Origin() Origin { return l.origin }
 
 // Submit queues a record for writing and returns at once. The goroutine of Run calls
-// onWritten, which may be nil, with the result. It calls the callbacks in the order
-// of the submissions; they must not block.
+// onWritten, which may be nil, with the result. The callbacks are called in the order of
+// the submissions and must not block.
 func (l *Log) Submit(record *core.Record, onWritten func(error)) {
 	l.queue.Put(request{record, onWritten})
 }
 
-// Flush blocks until everything that was submitted before it is written. Run must be
-// running.
+// Flush blocks until all records that were submitted before the call have been handled.
+// Run must be running.
 func (l *Log) Flush() {
 	written := make(chan struct{})
 	l.queue.Put(request{onWritten: func(error) { close(written) }})
 	<-written
 }
 
-// Run writes the submitted records. It returns after Close was called, once
-// everything that was submitted is written.
+// Run writes the submitted records. After Close was called, it handles the records that
+// are still queued and returns.
 func (l *Log) Run() {
 	defer close(l.done)
 	var batch []request
@@ -166,13 +166,14 @@
 	}
 }
 
-// serve writes the record of a request and reports the result.
+// serve writes the record of a request and calls its callback with the result.
 func (l *Log) serve(r request) {
 	var err error
 	if r.record != nil {
 		err = l.append(r.record)
 		if err != nil && !errors.Is(err, ErrNotPending) {
-			l.logger.Error("log: record not written", "kind", r.record.Kind, "message", r.record.ID, "err", err)
+			l.logger.Error("write-ahead log: record not written; submissions and attempts are refused while writes fail",
+				"kind", r.record.Kind, "message", r.record.ID, "err", err)
 		}
 	}
 	if r.onWritten != nil {
@@ -180,8 +181,8 @@
 	}
 }
 
-// Close makes Run return and waits for that; Run must have been started. It returns
-// the error of closing the file. Calls after the first return the same.
+// Close stops Run, which must have been started, and waits until it has returned. Close
+// returns the error of closing the file. Further calls return the same error.
 func (l *Log) Close() error {
 	l.stopOnce.Do(func() { close(l.stop) })
 	<-l.done
--- a/internal/wal/log_test.go
+++ b/internal/wal/log_test.go
@@ -17,9 +17,9 @@
 
 func discardLogger() *slog.Logger { return slog.New(slog.DiscardHandler) }
 
-func openTestLog(t *testing.T, dir string, limit int64) (*Log, []*core.Record) {
+func openTestLog(t *testing.T, dir string, maxBytes int64) (*Log, []*core.Record) {
 	t.Helper()
-	w, pending, err := Open(Options{Dir: dir, MaxBytes: limit, Logger: discardLogger()})
+	w, pending, err := Open(Options{Dir: dir, MaxBytes: maxBytes, Logger: discardLogger()})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -27,15 +27,16 @@
 	return w, pending
 }
 
-func mustAppend(t *testing.T, w *Log, recs ...*core.Record) {
+func mustAppend(t *testing.T, w *Log, records ...*core.Record) {
 	t.Helper()
-	for _, r := range recs {
+	for _, r := range records {
 		if err := w.append(r); err != nil {
-			t.Fatalf("%s of %s: %v", r.Kind, r.ID, err)
+			t.Fatalf("append(%s record of message %s) = %v", r.Kind, r.ID, err)
 		}
 	}
 }
 
+// accepted returns the record of a message's acceptance.
 func accepted(id string, body string) *core.Record {
 	return &core.Record{
 		Kind:     core.RecordAccepted,
@@ -49,8 +50,8 @@
 	}
 }
 
-// Pending messages are recovered with their state, in order, also by a second start,
-// which reads the compacted form.
+// Guards against the loss of messages or of their state at a restart. A second restart
+// reads the compacted log that the first one wrote, and must recover the same.
 func TestRecovery(t *testing.T) {
 	dir := t.TempDir()
 	w, _ := openTestLog(t, dir, 1<<20)
@@ -67,7 +68,7 @@
 		&core.Record{Kind: core.RecordAttempt, ID: "b", At: 200, Zone: 1},
 		&core.Record{Kind: core.RecordOutcome, ID: "b", MayHaveRun: true},
 		&core.Record{Kind: core.RecordAttempt, ID: "b", At: 300, Zone: 0},
-		&core.Record{Kind: core.RecordAttempt, ID: "c", At: 400, Zone: 1}, // no outcome: it may have run
+		&core.Record{Kind: core.RecordAttempt, ID: "c", At: 400, Zone: 1}, // no outcome, so it may have run
 		&core.Record{Kind: core.RecordDone, ID: "d"},
 		&core.Record{Kind: core.RecordEnding, ID: "e", Notice: core.NoticeHandedBack, RetryMS: 20},
 	)
@@ -79,17 +80,18 @@
 		}
 		want := []string{"a A\n\x00 1 0 ", "b  2 200 ", "c C 1 400 ", "e E 0 0 " + core.NoticeHandedBack}
 		if !slices.Equal(got, want) {
-			t.Fatalf("got %q", got)
+			t.Fatalf("Open: pending records = %q, want %q", got, want)
 		}
 		if r := pending[1]; r.Key != "k" || r.Class != "keyed" || r.Tenant != "acme" || r.Dest != 7 ||
 			r.Deadline != 1e15 || r.FirstUncertainZone != 1 {
-			t.Errorf("got %+v", r)
+			t.Errorf("Open: pending record of b = %+v, want every field as written", r)
 		}
 	}
 }
 
-// Guards against a kill in the middle of a write, and against damage: the rest
-// of the log is recovered, and what is written next can be read.
+// Guards against the loss of intact records when another record is incomplete, because the
+// process was killed while writing it, or damaged. Records that are written after the
+// recovery must be readable as well.
 func TestDamagedLog(t *testing.T) {
 	sizes := []int{}
 	writeThree := func(dir string) string {
@@ -108,17 +110,17 @@
 		return s
 	}
 	for name, test := range map[string]struct {
-		spoil func(b []byte) []byte
-		want  string
+		damage func(b []byte) []byte
+		want   string
 	}{
-		"torn tail":      {func(b []byte) []byte { return b[:len(b)-5] }, "ab"},
-		"torn head":      {func(b []byte) []byte { return b[:sizes[1]+6] }, "ab"},
-		"body damaged":   {func(b []byte) []byte { b[sizes[1]-2] ^= 1; return b }, "ac"},
-		"length damaged": {func(b []byte) []byte { b[sizes[0]+4] ^= 0x7f; return b }, "ac"},
-		"mark damaged":   {func(b []byte) []byte { b[0] ^= 1; return b }, "bc"},
-		"noise before":   {func(b []byte) []byte { return append([]byte("noise"), b...) }, "abc"},
-		"nothing but it": {func([]byte) []byte { return []byte(magic + "noise") }, ""},
-		"empty":          {func([]byte) []byte { return nil }, ""},
+		"last record ends in its body":    {func(b []byte) []byte { return b[:len(b)-5] }, "ab"},
+		"last record ends in its header":  {func(b []byte) []byte { return b[:sizes[1]+6] }, "ab"},
+		"body damaged":                    {func(b []byte) []byte { b[sizes[1]-2] ^= 1; return b }, "ac"},
+		"length damaged":                  {func(b []byte) []byte { b[sizes[0]+4] ^= 0x7f; return b }, "ac"},
+		"magic number damaged":            {func(b []byte) []byte { b[0] ^= 1; return b }, "bc"},
+		"garbage before the first record": {func(b []byte) []byte { return append([]byte("noise"), b...) }, "abc"},
+		"magic number and garbage only":   {func([]byte) []byte { return []byte(magic + "noise") }, ""},
+		"empty":                           {func([]byte) []byte { return nil }, ""},
 	} {
 		t.Run(name, func(t *testing.T) {
 			dir := t.TempDir()
@@ -127,29 +129,30 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			if err := os.WriteFile(path, test.spoil(text), 0o600); err != nil {
+			if err := os.WriteFile(path, test.damage(text), 0o600); err != nil {
 				t.Fatal(err)
 			}
 			w, pending := openTestLog(t, dir, 1<<20)
 			if got := ids(pending); got != test.want {
-				t.Fatalf("recovered %q, want %q", got, test.want)
+				t.Fatalf("Open: pending messages = %q, want %q", got, test.want)
 			}
 			mustAppend(t, w, accepted("z", "Z"))
 			if _, pending = openTestLog(t, dir, 1<<20); ids(pending) != test.want+"z" {
-				t.Errorf("then %q", ids(pending))
+				t.Errorf("Open after another append: pending messages = %q, want %q", ids(pending), test.want+"z")
 			}
 		})
 	}
 }
 
-// Guards the disk: old and new log together stay under the limit at every
-// moment, and accepted messages can be finished even when nothing more fits.
+// Guards against a log that outgrows its disk space: the log and its compacted copy
+// together must always stay below the limit. Accepted messages must be finished even when
+// no further message fits.
 func TestBoundedSize(t *testing.T) {
 	const limit = 1 << 20
 	dir := t.TempDir()
 	w, _ := openTestLog(t, dir, limit)
 	body := strings.Repeat("b", resp.MaxBodyBytes)
-	n := 0
+	n := 0 // messages that fit
 	for ; ; n++ {
 		if err := w.append(accepted(strconv.Itoa(n), body)); err != nil {
 			if !errors.Is(err, ErrFull) {
@@ -159,31 +162,32 @@
 		}
 	}
 	if n == 0 {
-		t.Fatal("nothing fits")
+		t.Fatal("append of the first message = ErrFull, want nil")
 	}
-	for round := range 3000 { // far more than fits without compaction
+	for round := range 3000 { // many more records than fit without compaction
 		id := strconv.Itoa(round % n)
 		mustAppend(t, w,
 			&core.Record{Kind: core.RecordAttempt, ID: id, At: int64(round) + 1},
 			&core.Record{Kind: core.RecordOutcome, ID: id, MayHaveRun: true})
 		if w.size+w.pending.bytes > limit {
-			t.Fatalf("round %d: log %d, compaction would add %d", round, w.size, w.pending.bytes)
+			t.Fatalf("round %d: log of %d bytes and compacted log of up to %d bytes exceed the limit of %d",
+				round, w.size, w.pending.bytes, limit)
 		}
 	}
 	if info, err := os.Stat(w.path); err != nil || info.Size() != w.size {
-		t.Fatalf("size on disk %v, held to be %d, %v", info, w.size, err)
+		t.Fatalf("Stat(%s) = %v, %v, want a size of %d", w.path, info, err, w.size)
 	}
 	for i := range n {
 		mustAppend(t, w, &core.Record{Kind: core.RecordDone, ID: strconv.Itoa(i)})
 	}
 	if w.pending.bytes != 0 {
-		t.Errorf("%d bytes reserved for no message", w.pending.bytes)
+		t.Errorf("reserved bytes with no pending message = %d, want 0", w.pending.bytes)
 	}
 	mustAppend(t, w, accepted("next", body))
 }
 
-// A record may grow by its state in a compaction; the room for that is booked
-// when the message is accepted.
+// Guards against a compaction that exceeds the size limit: compaction adds the state of a
+// message to its record, and the space for that must be reserved at acceptance.
 func TestReservedSizeCoversState(t *testing.T) {
 	r := accepted("9b1f03aa5c7e2d41", "body")
 	r.Attempts = 255
@@ -192,12 +196,12 @@
 	r.Notice, r.RetryMS = core.NoticeHandedBack, 2000
 	text, err := appendRecord(nil, r)
 	if err != nil || int64(len(text)) > reservedSize(r) {
-		t.Errorf("%d bytes, booked %d, %v", len(text), reservedSize(r), err)
+		t.Errorf("appendRecord = %d bytes, %v, want at most the reserved %d", len(text), err, reservedSize(r))
 	}
 }
 
-// Guards against a disk that fails: the record is refused, nobody crashes, and
-// what is held stays readable.
+// Guards against a crash or a damaged log when a write to the disk fails: append returns
+// an error, and the records that were written before stay readable.
 func TestWriteFails(t *testing.T) {
 	dir := t.TempDir()
 	w, _ := openTestLog(t, dir, 1<<20)
@@ -206,31 +210,33 @@
 		t.Fatal(err)
 	}
 	if w.append(accepted("b", "B")) == nil {
-		t.Fatal("written to a closed file")
+		t.Fatal("append to a closed file = nil, want an error")
 	}
 	if w.pending.contains("b") {
-		t.Error("the failed record is pending")
+		t.Error("message b is pending although its record was not written")
 	}
 	if err := w.append(&core.Record{Kind: core.RecordAttempt, ID: "b"}); !errors.Is(err, ErrNotPending) {
-		t.Errorf("an attempt of what was refused: %v", err)
+		t.Errorf("append(attempt of a message that was not written) = %v, want %v", err, ErrNotPending)
 	}
 	if _, pending := openTestLog(t, dir, 1<<20); len(pending) != 1 {
-		t.Errorf("%d pending", len(pending))
+		t.Errorf("Open: %d pending records, want 1", len(pending))
 	}
 }
 
+// Guards against a crash on arbitrary content, and against the loss of an intact record
+// after damaged content. Content with the magic number may hide the record.
 func FuzzReplay(f *testing.F) {
-	good, err := appendRecord(nil, accepted("a", "A"))
+	intact, err := appendRecord(nil, accepted("a", "A"))
 	if err != nil {
 		f.Fatal(err)
 	}
-	f.Add(good)
+	f.Add(intact)
 	f.Add([]byte(magic + "\x00\x00\x00\x02"))
 	f.Fuzz(func(t *testing.T, b []byte) {
 		w := &Log{pending: newPendingSet(), logger: discardLogger()}
-		w.replay(append(b, good...))
+		w.replay(append(b, intact...))
 		if !w.pending.contains("a") && !strings.Contains(string(b), magic) {
-			t.Fatal("the sound record is lost")
+			t.Fatalf("replay(%q + intact record) lost the intact record", b)
 		}
 	})
 }
--- a/internal/wal/pending.go
+++ b/internal/wal/pending.go
@@ -7,28 +7,28 @@
 )
 
 const (
-	maxStateGrowth = 160 // bytes by which later state can lengthen a record
+	maxStateGrowth = 160 // bytes that the state of a message can add to its record
 	jsonOverhead   = 160 // bytes of keys and numbers in the JSON of a record
 )
 
 // pendingSet holds the pending messages, each folded into one record.
 type pendingSet struct {
 	byID     map[string]*pendingRecord
-	bytes    int64 // upper bound of the size of a compacted log
-	accepted int   // number of messages added so far
+	bytes    int64 // upper bound for the size of a compacted log
+	accepted int   // number of messages that were ever added
 }
 
 type pendingRecord struct {
 	record   *core.Record
-	sequence int   // by acceptance
-	reserved int64 // its part of pendingSet.bytes
+	sequence int   // position in the order of acceptance
+	reserved int64 // the share of this record in pendingSet.bytes
 }
 
 func newPendingSet() pendingSet { return pendingSet{byID: map[string]*pendingRecord{}} }
 
 func (s *pendingSet) contains(id string) bool { return s.byID[id] != nil }
 
-// apply updates the set by a record of the log.
+// apply updates the set with a record of the log.
 func (s *pendingSet) apply(r *core.Record) {
 	p := s.byID[r.ID]
 	switch {
@@ -36,7 +36,7 @@
 		if p == nil {
 			s.add(r)
 		}
-	case p == nil: // the message is done, or its first record was damaged
+	case p == nil: // the message is done, or the record of its acceptance was damaged
 	case r.Kind == core.RecordDone:
 		s.bytes -= p.reserved
 		delete(s.byID, r.ID)
@@ -52,15 +52,15 @@
 	s.bytes += p.reserved
 }
 
-// reservedSize returns the most that an accepted message can need in a compacted log,
-// whatever its state is by then.
+// reservedSize returns the maximum encoded size of an accepted message in a compacted
+// log, whatever state it has by then.
 func reservedSize(r *core.Record) int64 {
 	text := len(r.Body) + len(r.ID) + len(r.Key) + len(r.Class) + len(r.Tenant)
 	return int64(headerSize + text + jsonOverhead + maxStateGrowth)
 }
 
-// resolveOpenAttempts marks the attempts without an outcome as possibly executed,
-// except for those of messages in flight. inFlight may be nil.
+// resolveOpenAttempts marks attempts without an outcome as possibly executed, unless
+// inFlight reports that the attempt of the message is still running. inFlight may be nil.
 func (s *pendingSet) resolveOpenAttempts(inFlight func(id string) bool) {
 	for id, p := range s.byID {
 		if inFlight == nil || !inFlight(id) {
@@ -69,8 +69,7 @@
 	}
 }
 
-// copies returns copies of the records in the order in which the messages were
-// accepted.
+// copies returns copies of the records in the order of their messages' acceptance.
 func (s *pendingSet) copies() []*core.Record {
 	all := make([]*pendingRecord, 0, len(s.byID))
 	for _, p := range s.byID {
--- a/internal/wal/recovery.go
+++ b/internal/wal/recovery.go
@@ -3,7 +3,7 @@
 import "bytes"
 
 // replay applies the records of an encoded log to the pending set. It skips damaged
-// records: decoding continues at the next magic that starts an intact one.
+// records: decoding continues at the next intact record.
 func (l *Log) replay(text []byte) {
 	for offset := 0; offset < len(text); {
 		r, size := decodeRecord(text[offset:])
@@ -14,10 +14,12 @@
 		}
 		next := nextRecord(text, offset+1)
 		if next < 0 {
-			l.logger.Warn("log: torn tail dropped", "at", offset, "bytes", len(text)-offset)
+			l.logger.Warn("write-ahead log: dropped an incomplete record at the end; its write was never confirmed",
+				"at", offset, "bytes", len(text)-offset)
 			return
 		}
-		l.logger.Error("log: damaged record passed over", "at", offset, "bytes", next-offset)
+		l.logger.Error("write-ahead log: skipped damaged data; the records in it are lost",
+			"at", offset, "bytes", next-offset)
 		offset = next
 	}
 }
