--- a/cmd/troutusher-kit/kit_test.go
+++ b/cmd/troutusher-kit/kit_test.go
@@ -125,7 +125,7 @@
 		{[]string{"learned", "inspect", state}, 0, "relay n7, written 2026-05-01T18:00:00Z while it ran"},
 		{[]string{"learned", "inspect", filepath.Join(state, "learned")}, 0, "1 of 1  s-1 out for 2.0 s"},
 		{[]string{"learned", "inspect", filepath.Join(state, "none")}, 1, "no such file"},
-		{[]string{"learned", "inspect", bad}, 1, "learned: damaged: no head"},
+		{[]string{"learned", "inspect", bad}, 1, "decode policy state: the file is damaged: no policy state header"},
 		{[]string{"learned", "inspect"}, 2, "expected \"<path>\""},
 		{[]string{"fleet", "report", logs, "--message", "m1"}, 0, "+0.000 s  n1  taken    left_ms=900"},
 		{[]string{"fleet", "report", logs, "--ends"}, 0, "1         !  no end, though its relay went on past its time"},
--- a/internal/policystate/format_test.go
+++ b/internal/policystate/format_test.go
@@ -14,14 +14,15 @@
 	"troutusher/internal/core"
 )
 
-// Files as earlier processes wrote them are read, and written again to the same
-// bytes: no key is lost and none has another meaning.
+// Guards against a change of the stored format: files of earlier releases must decode to
+// the same values and encode to the same bytes, so that no key is lost or changes its
+// meaning.
 func TestStoredForms(t *testing.T) {
 	for _, c := range []struct {
 		name    string
 		partial bool
 		clean   bool
-		unset   []string // fields that the file leaves out
+		unset   []string // keys that the file leaves out
 	}{
 		{name: "whole", clean: true, unset: []string{"state.partial"}},
 		{
@@ -41,47 +42,48 @@
 			if f.Relay != "n1" || f.WrittenAt != 1764384020000000 || f.WrittenAtMonotonic != 7000000000 ||
 				f.ClockZero != 3000000000 || f.CleanShutdown != c.clean ||
 				f.State.Now != 4000000000 || f.State.Revision != 12 || f.State.Partial != c.partial {
-				t.Errorf("got %+v, %+v", f, f.State)
+				t.Errorf("Decode(%s) = %+v with state %+v, want the values that were written", c.name, f, f.State)
 			}
 			if m := f.State.Members[0]; m.ID != "s-1" || m.HostPort != "10.0.0.1:80" || m.Dest != 4 ||
 				m.Phase != core.Up || m.Number != 3 {
-				t.Errorf("got %+v", m)
+				t.Errorf("Decode(%s): first member = %+v, want member s-1 as written", c.name, m)
 			}
-			if got := unset(reflect.ValueOf(f).Elem(), ""); !slices.Equal(got, c.unset) {
-				t.Errorf("left out: %q, want %q", got, c.unset)
+			if got := unsetKeys(reflect.ValueOf(f).Elem(), ""); !slices.Equal(got, c.unset) {
+				t.Errorf("Decode(%s): unset keys = %q, want %q", c.name, got, c.unset)
 			}
-			again, err := Encode(f)
-			if err != nil || !bytes.Equal(again, stored) {
-				t.Errorf("written again: %v\n%q\nwas\n%q", err, again, stored)
+			encoded, err := Encode(f)
+			if err != nil || !bytes.Equal(encoded, stored) {
+				t.Errorf("Encode(Decode(%s)) = %v\n%q\nwant\n%q", c.name, err, encoded, stored)
 			}
 		})
 	}
 }
 
-// unset names the keys of fields that have their zero value.
-func unset(v reflect.Value, at string) (names []string) {
+// unsetKeys returns the JSON paths of the fields in v that have their zero value. path is
+// the path of v itself.
+func unsetKeys(v reflect.Value, path string) (unset []string) {
 	if v.IsZero() {
-		return []string{at}
+		return []string{path}
 	}
 	switch v.Kind() {
 	case reflect.Pointer:
-		return unset(v.Elem(), at)
+		return unsetKeys(v.Elem(), path)
 	case reflect.Struct:
 		for i := range v.NumField() {
 			key, _, _ := strings.Cut(v.Type().Field(i).Tag.Get("json"), ",")
-			key = strings.Trim(at+"."+key, ".") // an embedded struct has no key of its own
-			names = append(names, unset(v.Field(i), key)...)
+			key = strings.Trim(path+"."+key, ".") // an embedded struct has no key of its own
+			unset = append(unset, unsetKeys(v.Field(i), key)...)
 		}
 	case reflect.Slice, reflect.Array:
 		for i := range v.Len() {
-			names = append(names, unset(v.Index(i), at+"["+strconv.Itoa(i)+"]")...)
+			unset = append(unset, unsetKeys(v.Index(i), path+"["+strconv.Itoa(i)+"]")...)
 		}
 	}
-	return names
+	return unset
 }
 
-// Damage at any byte, and an end at any length, is an error: nothing else than
-// what was written is ever read.
+// Guards against the use of a damaged file: a changed byte at any position and a
+// truncation at any length must give an error.
 func TestDamageAtEachByte(t *testing.T) {
 	b, err := Encode(sampleFile("n1"))
 	if err != nil {
@@ -92,43 +94,45 @@
 			c := bytes.Clone(b)
 			c[i] ^= flip
 			if _, err := Decode(c); !errors.Is(err, ErrDamaged) && !errors.Is(err, ErrNewerVersion) {
-				t.Fatalf("byte %d: %v", i, err)
+				t.Fatalf("Decode(byte %d ^ %#x) = %v, want %v or %v", i, flip, err, ErrDamaged, ErrNewerVersion)
 			}
 		}
 		if _, err := Decode(b[:i]); !errors.Is(err, ErrDamaged) {
-			t.Fatalf("%d bytes: %v", i, err)
+			t.Fatalf("Decode(first %d bytes) = %v, want %v", i, err, ErrDamaged)
 		}
 	}
 	if _, err := Decode(append(bytes.Clone(b), 0)); !errors.Is(err, ErrDamaged) {
-		t.Errorf("one byte more: %v", err)
+		t.Errorf("Decode(one byte appended) = %v, want %v", err, ErrDamaged)
 	}
 }
 
-// The moments of a file lie right on the reader's clock: by the monotonic clock
-// in the same boot, by the wall clock else; one that went back shortens nothing.
+// Guards against times of the file that are converted wrongly to the reader's clock: the
+// monotonic clock must be used within the same boot and the wall clock otherwise. A wall
+// clock that was set back must not shorten any wait.
 func TestClockShift(t *testing.T) {
-	f := sampleFile("n1") // written at moment 4e9 of a clock whose moment 0 was mono 3e9
+	f := sampleFile("n1") // written at time 4e9 of a clock that was 0 at the monotonic time 3e9
 	for name, c := range map[string]struct {
 		monotonic, wall int64
 		boot            string
-		ago             int64 // how long ago it was written, as read
+		age             int64 // of the file, as the reader's clock shows it
 	}{
-		"same boot":                   {7e9 + 2e6, 5e15 + 2e6, "b", 2e6},
-		"same boot, wall clock jumps": {7e9 + 2e6, 5e15 - 9e9, "b", 2e6},
-		"another boot":                {4e6, 5e15 + 30e6, "c", 30e6},
-		"no boot is told":             {4e6, 5e15 + 30e6, "", 30e6},
-		"another boot, clock back":    {4e6, 5e15 - 30e6, "c", 0},
-		"monotonic clock went back":   {6e9, 5e15 + 8e6, "b", 8e6},
+		"same boot":                         {7e9 + 2e6, 5e15 + 2e6, "b", 2e6},
+		"same boot, wall clock set back":    {7e9 + 2e6, 5e15 - 9e9, "b", 2e6},
+		"another boot":                      {4e6, 5e15 + 30e6, "c", 30e6},
+		"boot unknown":                      {4e6, 5e15 + 30e6, "", 30e6},
+		"another boot, wall clock set back": {4e6, 5e15 - 30e6, "c", 0},
+		"same boot, monotonic clock lower":  {6e9, 5e15 + 8e6, "b", 8e6},
 	} {
-		zero := c.monotonic - 3600e6 // the reader's clock begins at an hour
+		zero := c.monotonic - 3600e6 // the reader's clock shows one hour
 		now := c.monotonic - zero
-		if ago := now - (f.State.Now + f.ClockShift(zero, c.monotonic, c.wall, c.boot)); ago != c.ago {
-			t.Errorf("%s: written %d µs ago, want %d", name, ago, c.ago)
+		if age := now - (f.State.Now + f.ClockShift(zero, c.monotonic, c.wall, c.boot)); age != c.age {
+			t.Errorf("%s: ClockShift gives an age of %d µs, want %d", name, age, c.age)
 		}
 	}
 }
 
-// Whatever a file holds, it is read whole or not at all.
+// Guards against a crash on arbitrary content, and against a file that is accepted although
+// parts of the state are missing.
 func FuzzDecode(f *testing.F) {
 	b, err := Encode(sampleFile("n1"))
 	if err != nil {
@@ -142,10 +146,10 @@
 			return
 		}
 		if decoded.State == nil || decoded.State.Policy == nil {
-			t.Error("no state, and no error")
+			t.Errorf("Decode(%q) = a file without state, want an error", b)
 		}
-		if again, err := Encode(decoded); err != nil || len(again) == 0 {
-			t.Error(err)
+		if encoded, err := Encode(decoded); err != nil || len(encoded) == 0 {
+			t.Errorf("Encode(Decode(%q)) = %d bytes, %v, want the encoded file", b, len(encoded), err)
 		}
 	})
 }
--- a/internal/policystate/store_test.go
+++ b/internal/policystate/store_test.go
@@ -53,83 +53,83 @@
 	return all
 }
 
-// What is written is read again, and replaces what was there.
+// Guards against a write that loses data or does not replace the previous file.
 func TestWriteThenRead(t *testing.T) {
 	dir := t.TempDir()
 	s := NewStore(dir, "n1", 3<<20)
 	if f, err := s.Read(); f != nil || err != nil {
-		t.Fatalf("of nothing: %v %v", f, err)
+		t.Fatalf("Read() without a file = %v, %v, want nil, nil", f, err)
 	}
-	for rev := range int64(3) {
+	for revision := range int64(3) {
 		f := sampleFile("")
-		f.State.Revision = rev
+		f.State.Revision = revision
 		if _, err := s.Write(f); err != nil {
 			t.Fatal(err)
 		}
 		got, err := s.Read()
-		if err != nil || got.State.Revision != rev || got.Relay != "n1" ||
+		if err != nil || got.State.Revision != revision || got.Relay != "n1" ||
 			got.State.Policy.Limiters[0].Endpoints[0].FailureScore != 0.7 ||
 			got.State.Members[0].HostPort != "10.0.0.1:1" ||
 			got.State.RetryAfters[0].Until != 4e9+5 {
-			t.Fatalf("%+v %v", got, err)
+			t.Fatalf("Read() after writing revision %d = %+v, %v, want the written file", revision, got, err)
 		}
 	}
 	if got := fileNames(t, dir); !slices.Equal(got, []string{FileName}) {
-		t.Errorf("in the folder: %v", got)
+		t.Errorf("files after the writes = %v, want only %s", got, FileName)
 	}
 }
 
-// What cannot be used is set aside, one file of it at most, and the next write
-// and read go on as if there had been none.
+// Guards against a file that cannot be used and stops the relay or fills the disk: Read
+// must rename it, keep only the last such file, and then behave as if there were no file.
 func TestRejectedFileIsSetAside(t *testing.T) {
-	whole, err := Encode(sampleFile("n1"))
+	encoded, err := Encode(sampleFile("n1"))
 	if err != nil {
 		t.Fatal(err)
 	}
-	newer := bytes.Clone(whole)
-	newer[7] = 9
-	foreign, err := Encode(sampleFile("n2"))
+	newer := bytes.Clone(encoded)
+	newer[7] = 9 // the format version
+	otherRelay, err := Encode(sampleFile("n2"))
 	if err != nil {
 		t.Fatal(err)
 	}
 	dir := t.TempDir()
 	s := NewStore(dir, "n1", 3<<20)
-	for what, c := range map[string]struct {
+	for name, c := range map[string]struct {
 		text []byte
 		want error
 	}{
-		"newer":    {newer, ErrNewerVersion},
-		"foreign":  {foreign, ErrOtherRelay},
-		"damaged":  {whole[:30], ErrDamaged},
-		"empty":    {nil, ErrDamaged},
-		"too long": {bytes.Repeat([]byte("x"), 1<<20), ErrDamaged},
+		"newer format version": {newer, ErrNewerVersion},
+		"another relay":        {otherRelay, ErrOtherRelay},
+		"truncated":            {encoded[:30], ErrDamaged},
+		"empty":                {nil, ErrDamaged},
+		"too large":            {bytes.Repeat([]byte("x"), 1<<20), ErrDamaged},
 	} {
 		if err := os.WriteFile(s.Path(), c.text, 0o600); err != nil {
 			t.Fatal(err)
 		}
 		if f, err := s.Read(); f != nil || !errors.Is(err, c.want) {
-			t.Errorf("%s: %v %v", what, f, err)
+			t.Errorf("%s: Read() = %v, %v, want nil, %v", name, f, err, c.want)
 		}
 		if got := fileNames(t, dir); !slices.Equal(got, []string{rejectedName}) {
-			t.Errorf("%s: in the folder: %v", what, got)
+			t.Errorf("%s: files after Read = %v, want only %s", name, got, rejectedName)
 		}
 		if fi, err := os.Stat(filepath.Join(dir, rejectedName)); err != nil || fi.Size() > MaxFileBytes(3<<20) {
-			t.Errorf("%s: set aside %v %v", what, fi, err)
+			t.Errorf("%s: Stat(%s) = %v, %v, want at most %d bytes", name, rejectedName, fi, err, MaxFileBytes(3<<20))
 		}
 		if f, err := s.Read(); f != nil || err != nil {
-			t.Errorf("%s: again: %v %v", what, f, err)
+			t.Errorf("%s: second Read() = %v, %v, want nil, nil", name, f, err)
 		}
 	}
 }
 
-// A kill at any point of a write leaves the old file or the new one, and what it
-// left beside is removed at the next start.
+// Guards against a loss of the old file if a process is killed while it writes a new one.
+// The next start must read the old file and remove the incomplete one.
 func TestKillAtEachPoint(t *testing.T) {
-	whole, err := Encode(sampleFile("n1"))
+	encoded, err := Encode(sampleFile("n1"))
 	if err != nil {
 		t.Fatal(err)
 	}
-	for n := 0; n <= len(whole); n += 13 {
+	for n := 0; n <= len(encoded); n += 13 {
 		dir := t.TempDir()
 		s := NewStore(dir, "n1", 3<<20)
 		old := sampleFile("")
@@ -137,47 +137,47 @@
 		if _, err := s.Write(old); err != nil {
 			t.Fatal(err)
 		}
-		unrenamed := filepath.Join(dir, tempPrefix+"123")
-		if err := os.WriteFile(unrenamed, whole[:n], 0o600); err != nil {
+		tempFile := filepath.Join(dir, tempPrefix+"123")
+		if err := os.WriteFile(tempFile, encoded[:n], 0o600); err != nil {
 			t.Fatal(err)
 		}
 		if f, err := s.Read(); err != nil || f.State.Revision != 1 {
-			t.Fatalf("after %d bytes: %v %v", n, f, err)
+			t.Fatalf("Read() after a kill at byte %d = %v, %v, want the old file", n, f, err)
 		}
 		if got := fileNames(t, dir); !slices.Equal(got, []string{FileName}) {
-			t.Errorf("after %d bytes: %v", n, got)
+			t.Errorf("files after a kill at byte %d = %v, want only %s", n, got, FileName)
 		}
 	}
 }
 
-// A write that fails leaves the old file, and no other.
+// Guards against a failed write that damages the old file or leaves other files behind.
 func TestWriteFails(t *testing.T) {
 	dir := t.TempDir()
 	s := NewStore(dir, "n1", 3<<20)
 	if _, err := s.Write(sampleFile("")); err != nil {
 		t.Fatal(err)
 	}
-	long := sampleFile("")
-	long.State.Members[0].ID = strings.Repeat("x", int(MaxFileBytes(3<<20)))
-	if _, err := s.Write(long); !errors.Is(err, ErrTooLarge) {
-		t.Errorf("too long: %v", err)
+	tooLarge := sampleFile("")
+	tooLarge.State.Members[0].ID = strings.Repeat("x", int(MaxFileBytes(3<<20)))
+	if _, err := s.Write(tooLarge); !errors.Is(err, ErrTooLarge) {
+		t.Errorf("Write(file beyond the limit) = %v, want %v", err, ErrTooLarge)
 	}
 	if f, err := s.Read(); err != nil || f.State.Members[0].ID != "s-1" {
-		t.Errorf("%v %v", f, err)
+		t.Errorf("Read() after a failed write = %v, %v, want the old file", f, err)
 	}
 	if _, err := NewStore(filepath.Join(dir, "none"), "n1", 3<<20).Write(sampleFile("")); err == nil {
-		t.Error("written where there is no folder")
+		t.Error("Write to a missing directory = nil, want an error")
 	}
 	if err := os.Remove(s.Path()); err != nil {
 		t.Fatal(err)
 	}
-	if err := os.Mkdir(s.Path(), 0o700); err != nil { // a rename onto it fails
+	if err := os.Mkdir(s.Path(), 0o700); err != nil { // renaming a file to this path fails
 		t.Fatal(err)
 	}
 	if _, err := s.Write(sampleFile("")); err == nil {
-		t.Error("a folder was replaced")
+		t.Error("Write over a directory = nil, want an error")
 	}
 	if got := fileNames(t, dir); !slices.Equal(got, []string{FileName}) {
-		t.Errorf("left in the folder: %v", got)
+		t.Errorf("files after failed writes = %v, want only %s", got, FileName)
 	}
 }
--- a/internal/wal/encoding.go
+++ b/internal/wal/encoding.go
@@ -30,7 +30,8 @@
 	}
 	length := len(line) + 1 + len(r.Body)
 	if length > maxPayload {
-		return to, fmt.Errorf("encode write-ahead log record of message %q: %d bytes, limit %d", r.ID, length, maxPayload)
+		return to, fmt.Errorf("encode write-ahead log record of message %q: %d bytes, want at most %d",
+			r.ID, length, maxPayload)
 	}
 	start := len(to)
 	to = append(to, magic...)
--- a/internal/wal/log.go
+++ b/internal/wal/log.go
@@ -172,8 +172,10 @@
 	if r.record != nil {
 		err = l.append(r.record)
 		if err != nil && !errors.Is(err, ErrNotPending) {
-			l.logger.Error("write-ahead log: record not written; submissions and attempts are refused while writes fail",
-				"kind", r.record.Kind, "message", r.record.ID, "err", err)
+			l.logger.Error(
+				"write-ahead log: record not written; submissions and attempts are refused while writes fail",
+				"kind", r.record.Kind, "message", r.record.ID, "err", err,
+			)
 		}
 	}
 	if r.onWritten != nil {
