--- a/internal/idlestore/activeset.go
+++ b/internal/idlestore/activeset.go
@@ -6,13 +6,13 @@
 	"troutusher/policy"
 )
 
-// Limits are the conditions for passivating a destination.
+// Limits define when a destination is passivated.
 type Limits struct {
-	// MaxActive is the number of destinations that stay active however long they are
-	// idle; 0 for all.
+	// MaxActive is the number of destinations that stay active no matter how long they
+	// are idle. 0 means all.
 	MaxActive int
-	// IdleTimeout is the time after which an idle destination beyond MaxActive is
-	// passivated, in µs.
+	// IdleTimeout is the idle time, in µs, after which a destination is passivated if
+	// more than MaxActive are active.
 	IdleTimeout policy.Time
 }
 
@@ -42,12 +42,12 @@
 // OverLimit reports whether more than MaxActive destinations are active.
 func (s *ActiveSet) OverLimit() bool { return s.excess() > 0 }
 
-// Full reports whether at least MaxActive destinations are active. A destination that
-// the list names for the first time is then passive from the start.
+// Full reports whether at least MaxActive destinations are active. If so, a destination
+// that is new in the endpoint list is passive from the start.
 func (s *ActiveSet) Full() bool { return s.limits.MaxActive > 0 && s.Len() >= s.limits.MaxActive }
 
-// excess returns the number of active destinations beyond the limit; it may be
-// negative.
+// excess returns the number of active destinations minus MaxActive, which may be negative.
+// Without a limit it returns 0.
 func (s *ActiveSet) excess() int {
 	if s.limits.MaxActive <= 0 {
 		return 0
@@ -55,7 +55,7 @@
 	return s.Len() - s.limits.MaxActive
 }
 
-// Touch records a use of a destination, and adds it if it is not active.
+// Touch records that a destination is used now, and adds it if it is not active.
 func (s *ActiveSet) Touch(dest int, now policy.Time) {
 	if e := s.byDest[dest]; e != nil {
 		e.Value.(*activeEntry).lastUsed = now
@@ -73,15 +73,15 @@
 	}
 }
 
-// Idle appends the destinations to passivate now to a slice until that has limit
-// elements, the least recently used first. It returns when to call it again, or 0 if
-// no destination is beyond the limits.
-func (s *ActiveSet) Idle(now policy.Time, limit int, to []int) (idle []int, again policy.Time) {
+// Idle appends the destinations to passivate now to a slice, the least recently used
+// first, until the slice has limit elements. nextCheckAt is the time of the next call, or
+// 0 if no more destinations are active than MaxActive allows.
+func (s *ActiveSet) Idle(now policy.Time, limit int, to []int) (idle []int, nextCheckAt policy.Time) {
 	excess := s.excess()
 	for e := s.entries.Front(); e != nil && excess > 0; e = e.Next() {
 		entry := e.Value.(*activeEntry)
-		if at := entry.lastUsed + s.limits.IdleTimeout; at > now {
-			return to, at
+		if expiresAt := entry.lastUsed + s.limits.IdleTimeout; expiresAt > now {
+			return to, expiresAt
 		}
 		if len(to) == limit {
 			return to, now
--- a/internal/idlestore/bench_test.go
+++ b/internal/idlestore/bench_test.go
@@ -8,17 +8,18 @@
 	"testing"
 )
 
-// What an index of a million ids takes, and how long one look-up takes: figures of
-// docs/measurements/idle.md.
+// The benchmarks measure the memory per entry and the time per lookup of an index with a
+// million entries. docs/measurements/idle.md has the results.
 //
 //	go test -run '^$' -bench Structures -benchtime 1000000x ./internal/idlestore
 
-// index finds the position of a hash.
+// index maps hashes to positions.
 type index interface {
 	add(hash uint64, at position)
 	has(hash uint64, at position) bool
 }
 
+// tableIndex is the table of this package.
 type tableIndex struct{ table }
 
 func (t *tableIndex) has(hash uint64, at position) bool {
@@ -26,20 +27,24 @@
 	return ok
 }
 
+// mapIndex is a plain map.
 type mapIndex map[uint64]position
 
 func (m mapIndex) add(hash uint64, at position)      { m[hash] = at }
 func (m mapIndex) has(hash uint64, at position) bool { return m[hash] == at }
 
-// blockIndex is sorted slots in blocks, each cut in two as it fills.
+// blockIndex holds sorted slots in sorted blocks. A block that becomes full is split in
+// two.
 type blockIndex struct{ blocks [][]uint64 }
 
 const maxBlockSlots = 512
 
+// slotKey combines the upper half of a hash with a position.
 func slotKey(hash uint64, at position) uint64 { return hash>>32<<32 | uint64(at) }
 
+// block returns the index of the block that k belongs to.
 func (b *blockIndex) block(k uint64) int {
-	at, ok := slices.BinarySearchFunc(b.blocks, k, func(s []uint64, k uint64) int {
+	i, ok := slices.BinarySearchFunc(b.blocks, k, func(s []uint64, k uint64) int {
 		switch {
 		case s[0] < k:
 			return -1
@@ -49,9 +54,9 @@
 		return 0
 	})
 	if !ok {
-		at--
+		i--
 	}
-	return max(at, 0)
+	return max(i, 0)
 }
 
 func (b *blockIndex) add(hash uint64, at position) {
@@ -89,33 +94,33 @@
 	for i := range hashes {
 		hashes[i] = rng.Uint64()
 	}
-	for name, make := range map[string]func() index{
+	for name, newIndex := range map[string]func() index{
 		"table": func() index { return &tableIndex{} }, "map": func() index { return mapIndex{} },
 		"blocks": func() index { return &blockIndex{} },
 	} {
 		b.Run(name, func(b *testing.B) {
 			before := heapBytes()
-			x := make()
+			x := newIndex()
 			for i, h := range hashes {
 				x.add(h, position(i))
 			}
-			held := heapBytes() - before
+			size := heapBytes() - before
 			b.ResetTimer()
 			for i := range b.N {
 				k := i * 7919 % n
 				if !x.has(hashes[k], position(k)) {
-					b.Fatal("not found")
+					b.Fatalf("has(hash %d) = false, want true", k)
 				}
 			}
-			b.ReportMetric(float64(held)/n, "B/entry")
+			b.ReportMetric(float64(size)/n, "B/entry")
 		})
 	}
 }
 
-// The whole store beside what it would be with plain maps of what it holds.
+// BenchmarkStoreOrMaps compares the store with plain maps that hold the same data.
 func BenchmarkStoreOrMaps(b *testing.B) {
 	const n = 1_000_000
-	one := func(i int) Endpoint {
+	endpoint := func(i int) Endpoint {
 		return Endpoint{
 			ID:       fmt.Sprintf("shop-%07d-0", i),
 			HostPort: fmt.Sprintf("10.%d.%d.%d:8080", i>>16&255, i>>8&255, i&255),
@@ -128,17 +133,17 @@
 		before := heapBytes()
 		s := New()
 		for i := range n {
-			e := one(i)
+			e := endpoint(i)
 			s.PutEndpoint(i, &e)
 		}
-		held := heapBytes() - before
+		size := heapBytes() - before
 		b.ResetTimer()
 		for i := range b.N {
 			if !s.Has(i * 7919 % n) {
-				b.Fatal("not found")
+				b.Fatalf("Has(%d) = false, want true", i*7919%n)
 			}
 		}
-		b.ReportMetric(float64(held)/n, "B/dest")
+		b.ReportMetric(float64(size)/n, "B/dest")
 	})
 	b.Run("maps", func(b *testing.B) {
 		type dest struct {
@@ -148,18 +153,18 @@
 		before := heapBytes()
 		dests, ids := map[int]*dest{}, map[string]int{}
 		for i := range n {
-			e := one(i)
+			e := endpoint(i)
 			dests[i] = &dest{state: nil, endpoints: []Endpoint{e}}
 			ids[e.ID] = i
 		}
-		held := heapBytes() - before
+		size := heapBytes() - before
 		b.ResetTimer()
 		for i := range b.N {
 			if dests[i*7919%n] == nil {
-				b.Fatal("not found")
+				b.Fatalf("no destination %d in the map", i*7919%n)
 			}
 		}
-		b.ReportMetric(float64(held)/n, "B/dest")
+		b.ReportMetric(float64(size)/n, "B/dest")
 		runtime.KeepAlive(ids)
 	})
 }
--- a/internal/idlestore/chunk.go
+++ b/internal/idlestore/chunk.go
@@ -11,13 +11,14 @@
 	maxChunks = 1 << (32 - chunkBits) // a position has 32 bits
 )
 
-// chunk is a buffer of records. A record larger than chunkSize has a chunk of its own.
+// chunk is a buffer of records. A record larger than chunkSize gets a chunk of its own.
 type chunk struct {
 	data      []byte
-	deadBytes int // of records that were moved or removed
+	deadBytes int // size of the records that were moved or removed
 }
 
-// position is the position of a record: the number of its chunk and the offset in it.
+// position locates a record. It combines the number of the record's chunk with the offset
+// in that chunk.
 type position uint32
 
 func positionOf(chunk, offset int) position { return position(chunk)<<chunkBits | position(offset) }
@@ -27,12 +28,12 @@
 
 func (s *Store) bytesAt(at position) []byte { return s.chunks[at.chunk()].data[at.offset():] }
 
-// HasRoom reports whether more can be stored. Positions of 32 bits allow for 4 GB of
-// records.
+// HasRoom reports whether more records can be stored. Positions of 32 bits can address
+// 4 GB of records.
 func (s *Store) HasRoom() bool { return len(s.chunks)-len(s.freeChunks) < maxChunks-2 }
 
-// chunkFor returns the number of the chunk for a record of this size, and makes it the
-// current one.
+// chunkFor returns the number of the chunk to which a record of this size is appended, and
+// makes that chunk the current one.
 func (s *Store) chunkFor(size int) int {
 	c := &s.chunks[s.current]
 	if len(c.data)+size <= max(chunkSize, cap(c.data)) && len(c.data) < chunkSize {
@@ -50,8 +51,8 @@
 	return s.current
 }
 
-// growChunk makes room for more bytes in a chunk. Its capacity doubles, up to chunkSize,
-// so that few passive destinations take little memory.
+// growChunk makes room for more bytes in the data of a chunk. The capacity doubles each
+// time, up to chunkSize, so that a store of few destinations needs little memory.
 func growChunk(data []byte, more int) []byte {
 	if len(data)+more <= cap(data) {
 		return data
@@ -59,8 +60,8 @@
 	return slices.Grow(data, max(more, min(len(data), chunkSize-len(data))))[:len(data)]
 }
 
-// markDead marks a record as dead, and evacuates its chunk if more than half of that
-// is dead.
+// markDead marks a record as dead. It evacuates the record's chunk if dead records use
+// more than half of it, and releases the chunk if it has no live records.
 func (s *Store) markDead(r record) {
 	number := r.at.chunk()
 	c := &s.chunks[number]
@@ -76,6 +77,7 @@
 	}
 }
 
+// releaseChunk empties a chunk so that it can be reused.
 func (s *Store) releaseChunk(number int) {
 	s.chunks[number] = chunk{}
 	if number != s.current {
@@ -83,7 +85,8 @@
 	}
 }
 
-// evacuateChunk moves the live records of a chunk to the current one and releases it.
+// evacuateChunk moves the live records of a chunk to the current chunk and releases the
+// emptied chunk.
 func (s *Store) evacuateChunk(number int) {
 	for offset := 0; offset < len(s.chunks[number].data); {
 		r := s.readRecord(positionOf(number, offset))
--- a/internal/idlestore/endpoint.go
+++ b/internal/idlestore/endpoint.go
@@ -6,17 +6,17 @@
 	"net/netip"
 )
 
-// packedEndpoint is an encoded endpoint in a record: its flags (one byte), its id, its
-// address, the number of its tag (uvarint), and its rate. The id and an address that is
-// not packed are preceded by their length (uvarint).
+// packedEndpoint is an encoded endpoint in a record. It consists of its flags (one byte),
+// its id, its address, the number of its tag (uvarint), and its rate. The id is preceded by
+// its length (uvarint), and so is an address without flagPackedAddr.
 type packedEndpoint []byte
 
 // Flags of a packed endpoint.
 const (
 	flagDraining    = 1 << 0
-	flagConfirmed   = 1 << 1 // compared with Store.confirmedFlag
-	flagPackedAddr  = 1 << 2 // the address is an IPv4 address and a port, in six bytes
-	flagIntegerRate = 1 << 3 // the rate is a uvarint, else a float64
+	flagConfirmed   = 1 << 1 // confirmed if this bit equals Store.confirmedFlag
+	flagPackedAddr  = 1 << 2 // the address is stored as an IPv4 address and a port, in six bytes
+	flagIntegerRate = 1 << 3 // the rate is stored as a uvarint; without the flag, as a float64
 )
 
 const (
@@ -24,18 +24,18 @@
 	floatBytes      = 8
 )
 
-// tag is the data that many endpoints share. It is stored once.
+// tag holds the data that many endpoints have in common. Each distinct tag is stored once.
 type tag struct{ locality, flavor string }
 
 func (p packedEndpoint) flags() byte { return p[0] }
 
-// id returns the endpoint's id, which aliases the record.
+// id returns the endpoint's id. The slice aliases the record.
 func (p packedEndpoint) id() []byte {
 	id, _ := cutText(p[1:])
 	return id
 }
 
-// packedEndpoints returns an iterator over packed endpoints.
+// packedEndpoints returns an iterator over the packed endpoints in b.
 func packedEndpoints(b []byte) func(yield func(packedEndpoint) bool) {
 	return func(yield func(packedEndpoint) bool) {
 		for len(b) > 0 {
@@ -48,7 +48,7 @@
 	}
 }
 
-// endpointSize returns the length of the first of some packed endpoints.
+// endpointSize returns the size in bytes of the first packed endpoint in b.
 func endpointSize(b []byte) int {
 	flags := b[0]
 	_, rest := cutText(b[1:])
@@ -66,11 +66,14 @@
 	return len(b) - len(rest)
 }
 
+// cutUvarint decodes the uvarint at the start of b and returns it with the bytes after it.
 func cutUvarint(b []byte) (value uint64, rest []byte) {
 	value, n := binary.Uvarint(b)
 	return value, b[n:]
 }
 
+// cutText returns the text at the start of b, which is preceded by its length, and the
+// bytes after it.
 func cutText(b []byte) (text, rest []byte) {
 	length, rest := cutUvarint(b)
 	return rest[:length], rest[length:]
@@ -81,7 +84,7 @@
 	return append(b, text...)
 }
 
-// decodeEndpoints decodes packed endpoints.
+// decodeEndpoints decodes the packed endpoints in b.
 func (s *Store) decodeEndpoints(b []byte) []Endpoint {
 	var list []Endpoint
 	for e := range packedEndpoints(b) {
@@ -118,13 +121,13 @@
 	return e
 }
 
-// appendEndpoint appends an encoded, confirmed endpoint to a buffer.
+// appendEndpoint encodes an endpoint, marks it as confirmed and appends it to b.
 func (s *Store) appendEndpoint(b []byte, e *Endpoint) []byte {
 	flags := s.confirmedFlag
 	if e.Draining {
 		flags |= flagDraining
 	}
-	// An address is packed only if decoding gives the same text.
+	// The address is packed only if decoding gives the same text again.
 	addr, err := netip.ParseAddrPort(e.HostPort)
 	var text [len("255.255.255.255:65535")]byte
 	if err == nil && addr.Addr().Is4() && string(addr.AppendTo(text[:0])) == e.HostPort {
@@ -149,13 +152,13 @@
 	return binary.BigEndian.AppendUint64(b, math.Float64bits(e.Rate))
 }
 
-// isUint32 reports whether a number can be converted to 32 bits and back without a
+// isUint32 reports whether a number can be converted to a uint32 and back without a
 // change.
 func isUint32(x float64) bool {
 	return x >= 0 && x < 1<<32 && x == math.Trunc(x) && !math.Signbit(x)
 }
 
-// tagNumber returns the number of a tag, and adds the tag if it is new.
+// tagNumber returns the number of a tag. It adds the tag if the store does not have it.
 func (s *Store) tagNumber(t tag) int {
 	number, ok := s.tagNumbers[t]
 	if !ok {
@@ -166,13 +169,13 @@
 	return number
 }
 
-// withoutEndpoint returns a copy of packed endpoints that omits one.
+// withoutEndpoint returns a copy of the packed endpoints in b without the endpoint id.
 func withoutEndpoint(b []byte, id string) []byte {
-	var left []byte
+	var remaining []byte
 	for e := range packedEndpoints(b) {
 		if string(e.id()) != id {
-			left = append(left, e...)
+			remaining = append(remaining, e...)
 		}
 	}
-	return left
+	return remaining
 }
--- a/internal/idlestore/list.go
+++ b/internal/idlestore/list.go
@@ -1,15 +1,16 @@
 package idlestore
 
-// BeginList begins a complete endpoint list. All endpoints become unconfirmed;
-// PutEndpoint and ConfirmUnchanged confirm them again.
+// BeginList starts the update from a complete endpoint list. It makes all endpoints
+// unconfirmed. PutEndpoint and ConfirmUnchanged confirm the endpoints that the list
+// contains.
 func (s *Store) BeginList() {
 	s.confirmedFlag ^= flagConfirmed
 	s.confirmed = s.endpoints - s.confirmed
 }
 
-// EndList ends the list and removes the unconfirmed endpoints. It returns the
-// destinations of these, in the order of their records.
-func (s *Store) EndList() (lost []int) {
+// EndList ends the update and removes the endpoints that are still unconfirmed. It returns
+// the destinations that lost endpoints, in the order of their records.
+func (s *Store) EndList() (destinations []int) {
 	if s.confirmed == s.endpoints {
 		return nil
 	}
@@ -17,19 +18,19 @@
 		dest int
 		id   string
 	}
-	var gone []unlisted
-	s.eachRecord(func(r record) {
+	var removed []unlisted
+	s.forEachRecord(func(r record) {
 		for e := range packedEndpoints(r.endpoints) {
 			if e.flags()&flagConfirmed != s.confirmedFlag {
-				gone = append(gone, unlisted{r.dest, string(e.id())})
+				removed = append(removed, unlisted{r.dest, string(e.id())})
 			}
 		}
 	})
-	for _, e := range gone {
+	for _, e := range removed {
 		s.RemoveEndpoint(e.id)
-		if len(lost) == 0 || lost[len(lost)-1] != e.dest {
-			lost = append(lost, e.dest)
+		if len(destinations) == 0 || destinations[len(destinations)-1] != e.dest {
+			destinations = append(destinations, e.dest)
 		}
 	}
-	return lost
+	return destinations
 }
--- a/internal/idlestore/record.go
+++ b/internal/idlestore/record.go
@@ -6,8 +6,8 @@
 	"slices"
 )
 
-// The format of a record: the length of the rest (uvarint), a byte that says whether
-// the record is live, the destination (varint), the length of the policy's state
+// The format of a record: the length of the bytes that follow it (uvarint), liveRecord or
+// deadRecord (one byte), the destination (varint), the length of the policy's state
 // (uvarint), the state, and the packed endpoints.
 const (
 	liveRecord = 0
@@ -21,7 +21,7 @@
 	dest      int
 	state     []byte
 	endpoints []byte
-	size      int // in the chunk
+	size      int // encoded size in bytes
 }
 
 // readRecord decodes the record at a position.
@@ -63,13 +63,14 @@
 	return at
 }
 
-// replaceRecord replaces the contents of a record, which moves it, and returns the new
-// one. The tables find the endpoints of the old record at the new position.
+// replaceRecord replaces the contents of a record, which moves the record, and returns the
+// new record. It updates the tables only for the endpoints of the old record: the caller
+// adds and removes the others.
 func (s *Store) replaceRecord(r record, state, endpoints []byte) record {
 	current, offset := &s.chunks[s.current], r.at.offset()
 	if r.at.chunk() == s.current && offset+r.size == len(current.data) {
-		// The last record is overwritten, so that a list which names the endpoints of a
-		// destination one after the other leaves no dead records.
+		// Overwrite the last record, so that a list that contains the endpoints of a
+		// destination in sequence leaves no dead records.
 		r.endpoints = slices.Clone(r.endpoints)
 		current.data = current.data[:offset]
 		return s.relocate(r, state, endpoints)
@@ -82,8 +83,8 @@
 	return replaced
 }
 
-// relocate appends a record with these contents, and updates the tables to the new
-// position. It does not mark the old record as dead.
+// relocate appends a record with these contents and the destination of r, and updates the
+// tables to the new position. It does not mark r as dead.
 func (s *Store) relocate(r record, state, endpoints []byte) record {
 	at := s.writeRecord(r.dest, state, endpoints)
 	s.destIndex.replace(s.destHash(r.dest), r.at, at)
@@ -128,9 +129,9 @@
 	return r, packed, ok
 }
 
-// eachRecord calls f for each live record, in the order of the chunks. f must not
+// forEachRecord calls f for each live record, in the order of the chunks. f must not
 // change the store.
-func (s *Store) eachRecord(f func(r record)) {
+func (s *Store) forEachRecord(f func(r record)) {
 	for number := range s.chunks {
 		for offset := 0; offset < len(s.chunks[number].data); {
 			r := s.readRecord(positionOf(number, offset))
--- a/internal/idlestore/store.go
+++ b/internal/idlestore/store.go
@@ -1,15 +1,15 @@
-// Package idlestore is a compact store of idle destinations: their endpoints and the
-// policy's state, packed into a few bytes each. It also decides which destinations
-// have been idle for long enough to be passivated, which means to be moved here.
+// Package idlestore stores idle destinations compactly: their endpoints and the policy's
+// state are encoded in a few bytes each. The package also decides which destinations have
+// been idle long enough to be passivated, which means that they are moved to this store.
 //
-// A record holds one destination: its number, the policy's state, its endpoints.
-// Records are appended to chunks. A record that changes is appended again, and the
-// live records of a chunk of which more than half is dead are moved to the current
-// chunk. Two hash tables with open addressing find a record by its destination and by
-// the id of an endpoint. Only the chunks are pointers, so the garbage collector has no
-// work with a million records.
+// A record contains one destination: its number, the policy's state and its endpoints.
+// Records are appended to chunks. To change a record, the store appends the new version and
+// marks the old one as dead. When dead records use more than half of a chunk, its live
+// records are moved to the current chunk. Two hash tables with open addressing find a
+// record by its destination and by the id of an endpoint. Records contain no pointers, so
+// that the garbage collector does not scan a million of them.
 //
-// The package must never do I/O, read a clock, or interpret the policy's state.
+// The package does no I/O, reads no clock and does not interpret the policy's state.
 package idlestore
 
 import (
@@ -24,14 +24,13 @@
 	Locality string
 	Flavor   string
 	Draining bool
-	Rate     float64 // that the destination accepts, in calls per second; 0 if unknown
-	// Unconfirmed is set by the store if the list has not named the endpoint since
-	// BeginList.
+	Rate     float64 // calls per second that the destination accepts; 0 if unknown
+	// Unconfirmed is set by the store if the endpoint has not been confirmed since the
+	// last BeginList.
 	Unconfirmed bool
 }
 
-// Store is a store of idle destinations, made by New. It is not safe for concurrent
-// use.
+// Store stores idle destinations. New creates one. It is not safe for concurrent use.
 type Store struct {
 	seed       maphash.Seed
 	chunks     []chunk // numbered by their index
@@ -39,15 +38,15 @@
 	current    int     // number of the chunk that records are appended to
 	destIndex  table   // positions of records by destination
 	idIndex    table   // positions of records by the id of an endpoint
-	tags       []tag   // few, and shared by many endpoints
+	tags       []tag   // numbered by their index; few, since many endpoints share one
 	tagNumbers map[tag]int
 
 	endpoints     int
-	draining      int  // of the endpoints
-	confirmed     int  // of the endpoints, named since BeginList
-	confirmedFlag byte // the value of flagConfirmed in a confirmed endpoint
+	draining      int  // number of draining endpoints
+	confirmed     int  // number of endpoints confirmed since the last BeginList
+	confirmedFlag byte // value of the flagConfirmed bit in a confirmed endpoint
 
-	scratch []byte // reused for a record or an endpoint that is being encoded
+	scratch []byte // buffer reused to encode a record or an endpoint
 }
 
 // New returns an empty store.
@@ -64,7 +63,7 @@
 // Draining returns the number of endpoints that are draining.
 func (s *Store) Draining() int { return s.draining }
 
-// Bytes returns the memory of the records and of the tables.
+// Bytes returns the memory that the records and the tables use, in bytes.
 func (s *Store) Bytes() int {
 	total := s.destIndex.memory() + s.idIndex.memory()
 	for i := range s.chunks {
@@ -85,8 +84,8 @@
 	return r.dest, ok
 }
 
-// Passivate adds a destination, and replaces it if it is in the store. None of its
-// endpoints may be in the store under another destination.
+// Passivate adds a destination, or replaces it if it is in the store. None of the
+// endpoints may be in the store as part of another destination.
 func (s *Store) Passivate(dest int, state []byte, endpoints []Endpoint) {
 	if r, ok := s.findDest(dest); ok {
 		s.removeRecord(r)
@@ -104,7 +103,7 @@
 	}
 }
 
-// Activate removes a destination and returns it.
+// Activate removes a destination and returns its state and endpoints.
 func (s *Store) Activate(dest int) (state []byte, endpoints []Endpoint, ok bool) {
 	r, ok := s.findDest(dest)
 	if !ok {
@@ -115,7 +114,7 @@
 	return state, endpoints, true
 }
 
-// Peek returns a destination without removing it.
+// Peek returns the state and the endpoints of a destination without removing it.
 func (s *Store) Peek(dest int) (state []byte, endpoints []Endpoint, ok bool) {
 	r, ok := s.findDest(dest)
 	if !ok {
@@ -131,9 +130,9 @@
 	}
 }
 
-// PutEndpoint adds or updates an endpoint of a destination, which is added if it is
-// not in the store. If the endpoint belonged to another destination, it is removed
-// there. The policy's state of the destination stays.
+// PutEndpoint adds or updates an endpoint of a destination. It adds the destination if the
+// store does not have it, and keeps its state otherwise. If the endpoint belonged to
+// another destination, it is removed from that one.
 func (s *Store) PutEndpoint(dest int, e *Endpoint) {
 	r, packed, known := s.findEndpoint(e.ID)
 	switch {
@@ -154,46 +153,46 @@
 		s.Passivate(dest, nil, []Endpoint{*e})
 		return
 	}
-	fresh := s.appendEndpoint(nil, e)
-	s.adjustCounts(fresh[0], 1)
-	r = s.replaceRecord(r, r.state, append(slices.Clone(r.endpoints), fresh...))
+	added := s.appendEndpoint(nil, e)
+	s.adjustCounts(added[0], 1)
+	r = s.replaceRecord(r, r.state, append(slices.Clone(r.endpoints), added...))
 	s.idIndex.add(s.idStringHash(e.ID), r.at)
 }
 
 // updateEndpoint replaces an endpoint in its record.
 func (s *Store) updateEndpoint(r record, packed packedEndpoint, e *Endpoint) {
-	fresh := packedEndpoint(s.appendEndpoint(nil, e))
+	updated := packedEndpoint(s.appendEndpoint(nil, e))
 	s.adjustCounts(packed.flags(), -1)
-	s.adjustCounts(fresh.flags(), 1)
-	if string(fresh[1:]) == string(packed[1:]) {
-		packed[0] = fresh[0] // only flags differ, so the record is updated in place
+	s.adjustCounts(updated.flags(), 1)
+	if string(updated[1:]) == string(packed[1:]) {
+		packed[0] = updated[0] // only flags differ, so the record is updated in place
 		return
 	}
-	s.replaceRecord(r, r.state, append(withoutEndpoint(r.endpoints, e.ID), fresh...))
+	s.replaceRecord(r, r.state, append(withoutEndpoint(r.endpoints, e.ID), updated...))
 }
 
-// ConfirmUnchanged reports whether the store has this endpoint with the same data,
-// draining or not. If so, it confirms the endpoint and updates whether it is draining.
-// This is the fast path for a complete list, which mostly repeats the last one.
+// ConfirmUnchanged confirms an endpoint if the store has it with the same data, and reports
+// whether it did. Draining may differ and is updated. This is the fast path for a complete
+// list, most of which repeats the previous list.
 func (s *Store) ConfirmUnchanged(dest int, e *Endpoint) bool {
 	r, packed, ok := s.findEndpoint(e.ID)
 	if !ok || r.dest != dest {
 		return false
 	}
 	s.scratch = s.appendEndpoint(s.scratch[:0], e)
-	fresh := packedEndpoint(s.scratch)
-	changedFlags := fresh.flags() ^ packed.flags()
-	if string(fresh[1:]) != string(packed[1:]) || changedFlags&^(flagConfirmed|flagDraining) != 0 {
+	updated := packedEndpoint(s.scratch)
+	changedFlags := updated.flags() ^ packed.flags()
+	if string(updated[1:]) != string(packed[1:]) || changedFlags&^(flagConfirmed|flagDraining) != 0 {
 		return false
 	}
 	s.adjustCounts(packed.flags(), -1)
-	s.adjustCounts(fresh.flags(), 1)
-	packed[0] = fresh[0]
+	s.adjustCounts(updated.flags(), 1)
+	packed[0] = updated[0]
 	return true
 }
 
-// RemoveEndpoint removes an endpoint and returns its destination. The destination and
-// its state stay until RemoveEmpty.
+// RemoveEndpoint removes an endpoint and returns its destination. The destination and its
+// state stay in the store, even without endpoints, until RemoveEmpty removes them.
 func (s *Store) RemoveEndpoint(id string) (dest int, ok bool) {
 	r, packed, ok := s.findEndpoint(id)
 	if !ok {
@@ -205,7 +204,8 @@
 	return r.dest, true
 }
 
-// RemoveEmpty removes a destination if it has no endpoints, and reports whether it did.
+// RemoveEmpty removes a destination if it has no endpoints. It reports whether it removed
+// the destination.
 func (s *Store) RemoveEmpty(dest int) bool {
 	r, ok := s.findDest(dest)
 	if !ok || len(r.endpoints) > 0 {
@@ -217,12 +217,12 @@
 
 // ForEach calls f for each destination. f must not change the store.
 func (s *Store) ForEach(f func(dest int, state []byte, endpoints []Endpoint)) {
-	s.eachRecord(func(r record) {
+	s.forEachRecord(func(r record) {
 		f(r.dest, r.state, s.decodeEndpoints(r.endpoints))
 	})
 }
 
-// adjustCounts adds n to the counts of endpoints with these flags.
+// adjustCounts adds n to every count that includes an endpoint with these flags.
 func (s *Store) adjustCounts(flags byte, n int) {
 	s.endpoints += n
 	if flags&flagDraining != 0 {
--- a/internal/idlestore/store_test.go
+++ b/internal/idlestore/store_test.go
@@ -10,11 +10,11 @@
 	"troutusher/policy"
 )
 
-// mapModel is the store as plain maps.
+// mapModel is a reference implementation of the store with plain maps.
 type mapModel struct {
-	state     map[int]string
-	endpoints map[int][]Endpoint
-	owner     map[string]int
+	state     map[int]string     // by destination
+	endpoints map[int][]Endpoint // by destination
+	owner     map[string]int     // destination by endpoint id
 }
 
 func (m *mapModel) remove(id string) {
@@ -33,15 +33,17 @@
 	}
 }
 
-func sortedByID(e []Endpoint) []Endpoint {
-	e = slices.Clone(e)
-	for i := range e {
-		e[i].Unconfirmed = false
-	}
-	slices.SortFunc(e, func(a, b Endpoint) int { return bytes.Compare([]byte(a.ID), []byte(b.ID)) })
-	return e
+// sortedByID returns a sorted copy of endpoints in which all of them are confirmed.
+func sortedByID(endpoints []Endpoint) []Endpoint {
+	endpoints = slices.Clone(endpoints)
+	for i := range endpoints {
+		endpoints[i].Unconfirmed = false
+	}
+	slices.SortFunc(endpoints, func(a, b Endpoint) int { return bytes.Compare([]byte(a.ID), []byte(b.ID)) })
+	return endpoints
 }
 
+// check compares the store with the model.
 func (m *mapModel) check(t *testing.T, s *Store, where string) {
 	t.Helper()
 	draining := 0
@@ -53,40 +55,42 @@
 		}
 	}
 	if s.Draining() != draining {
-		t.Fatalf("%s: %d drain, want %d", where, s.Draining(), draining)
+		t.Fatalf("%s: Draining() = %d, want %d", where, s.Draining(), draining)
 	}
 	if s.Len() != len(m.state) || s.Endpoints() != len(m.owner) {
-		t.Fatalf("%s: %d destinations, %d endpoints, want %d and %d",
+		t.Fatalf("%s: Len(), Endpoints() = %d, %d, want %d, %d",
 			where, s.Len(), s.Endpoints(), len(m.state), len(m.owner))
 	}
 	seen := 0
 	s.ForEach(func(dest int, state []byte, endpoints []Endpoint) {
 		seen++
 		if want, ok := m.state[dest]; !ok || want != string(state) {
-			t.Fatalf("%s: %d has state %q, want %q (%v)", where, dest, state, want, ok)
+			t.Fatalf("%s: ForEach: state of destination %d = %q, want %q (in the model: %v)",
+				where, dest, state, want, ok)
 		}
 		if !slices.Equal(sortedByID(endpoints), sortedByID(m.endpoints[dest])) {
-			t.Fatalf("%s: %d has %v, want %v", where, dest, endpoints, m.endpoints[dest])
+			t.Fatalf("%s: ForEach: endpoints of destination %d = %v, want %v",
+				where, dest, endpoints, m.endpoints[dest])
 		}
 	})
 	if seen != len(m.state) {
-		t.Fatalf("%s: %d shown of %d", where, seen, len(m.state))
+		t.Fatalf("%s: ForEach made %d calls, want %d", where, seen, len(m.state))
 	}
 	for id, dest := range m.owner {
 		if d, ok := s.DestinationOf(id); !ok || d != dest {
-			t.Fatalf("%s: %s is found at %d (%v), want %d", where, id, d, ok, dest)
+			t.Fatalf("%s: DestinationOf(%s) = %d, %v, want %d, true", where, id, d, ok, dest)
 		}
 	}
 }
 
-// modelTest does the same to a store and to a model, drawn from a seed.
+// modelTest applies the same random operations to a store and to a model.
 type modelTest struct {
 	t      *testing.T
 	rng    *rand.Rand
 	store  *Store
 	model  *mapModel
-	listed map[string]bool // the ids that the list since BeginList has named; nil for no list
-	where  string
+	listed map[string]bool // ids in the list since BeginList; nil outside a list
+	where  string          // seed and step, for failure messages
 }
 
 func newModelTest(t *testing.T, seed uint64) *modelTest {
@@ -113,14 +117,14 @@
 	case 0:
 		e.HostPort = "partner.example.org:443"
 	case 1:
-		e.HostPort, e.Rate = "127.0.0.01:80", 0.25 // not as it would be written
+		e.HostPort, e.Rate = "127.0.0.01:80", 0.25 // not the text that decoding a packed address gives
 	case 2:
 		e.HostPort, e.Rate = "[::1]:80", 1e12
 	}
 	return e
 }
 
-// step does one thing.
+// step applies one random operation.
 func (m *modelTest) step(i int) {
 	m.t.Helper()
 	switch k := m.rng.IntN(100); {
@@ -128,11 +132,11 @@
 		d, e := m.dest(), m.endpoint()
 		m.store.PutEndpoint(d, &e)
 		m.model.put(d, e)
-		m.name(e)
+		m.markListed(e)
 	case k < 80:
-		x := m.id()
-		m.model.remove(x)
-		m.store.RemoveEndpoint(x)
+		id := m.id()
+		m.model.remove(id)
+		m.store.RemoveEndpoint(id)
 	case k < 90:
 		m.reactivate(byte(i))
 	case k < 92:
@@ -145,8 +149,8 @@
 	}
 }
 
-// name has the list name endpoints, if there is one.
-func (m *modelTest) name(endpoints ...Endpoint) {
+// markListed records that endpoints are in the current list, if there is one.
+func (m *modelTest) markListed(endpoints ...Endpoint) {
 	for _, e := range endpoints {
 		if m.listed != nil {
 			m.listed[e.ID] = true
@@ -154,24 +158,25 @@
 	}
 }
 
-// reactivate takes a destination out and puts it back with another state.
+// reactivate activates a destination and passivates it again with another state.
 func (m *modelTest) reactivate(fill byte) {
 	m.t.Helper()
 	d := m.dest()
 	want, had := m.model.state[d]
 	state, endpoints, ok := m.store.Activate(d)
 	if ok != had || string(state) != want {
-		m.t.Fatalf("%s: activated %v %q, want %v %q", m.where, ok, state, had, want)
+		m.t.Fatalf("%s: Activate(%d) = %q, %v, want %q, %v", m.where, d, state, ok, want, had)
 	}
 	if !ok {
 		return
 	}
 	if m.store.Has(d) || !slices.Equal(sortedByID(endpoints), sortedByID(m.model.endpoints[d])) {
-		m.t.Fatalf("%s: %d activated with %v, want %v", m.where, d, endpoints, m.model.endpoints[d])
+		m.t.Fatalf("%s: Activate(%d): endpoints = %v, want %v, and the destination removed",
+			m.where, d, endpoints, m.model.endpoints[d])
 	}
 	m.model.state[d] = string(bytes.Repeat([]byte{fill}, m.rng.IntN(90)))
 	m.store.Passivate(d, []byte(m.model.state[d]), endpoints)
-	m.name(endpoints...)
+	m.markListed(endpoints...)
 }
 
 func (m *modelTest) removeEmpty() {
@@ -180,7 +185,7 @@
 	_, had := m.model.state[d]
 	empty := had && len(m.model.endpoints[d]) == 0
 	if got := m.store.RemoveEmpty(d); got != empty {
-		m.t.Fatalf("%s: removed %v, want %v", m.where, got, empty)
+		m.t.Fatalf("%s: RemoveEmpty(%d) = %v, want %v", m.where, d, got, empty)
 	}
 	if empty {
 		delete(m.model.state, d)
@@ -194,26 +199,26 @@
 
 func (m *modelTest) endList() {
 	m.t.Helper()
-	lost := map[int]bool{}
+	want := map[int]bool{} // destinations that lose endpoints
 	for id, d := range m.model.owner {
 		if !m.listed[id] {
-			lost[d] = true
+			want[d] = true
 			m.model.remove(id)
 		}
 	}
 	for _, d := range m.store.EndList() {
-		if !lost[d] {
-			m.t.Fatalf("%s: %d has lost nothing", m.where, d)
+		if !want[d] {
+			m.t.Fatalf("%s: EndList() contains destination %d, which lost no endpoint", m.where, d)
 		}
-		delete(lost, d)
+		delete(want, d)
 	}
-	if len(lost) > 0 {
-		m.t.Fatalf("%s: not told that %v have lost endpoints", m.where, lost)
+	if len(want) > 0 {
+		m.t.Fatalf("%s: EndList() lacks destinations %v, which lost endpoints", m.where, want)
 	}
 	m.listed = nil
 }
 
-// removeAll takes everything out, one by one.
+// removeAll removes all endpoints and destinations, one by one.
 func (m *modelTest) removeAll() {
 	for id := range m.model.owner {
 		m.model.remove(id)
@@ -224,8 +229,9 @@
 	}
 }
 
-// Whatever is put, moved, taken out, activated and swept: the store is what plain
-// maps are, and its dead bytes stay bounded.
+// Guards against endpoints or state that get lost or mixed up when records move between
+// chunks. After random operations the store must equal a model of plain maps. The memory
+// of dead records must stay bounded.
 func TestStoreMatchesMapModel(t *testing.T) {
 	for seed := range uint64(6) {
 		m := newModelTest(t, seed)
@@ -244,58 +250,61 @@
 			}
 		}
 		live := 0
-		s.eachRecord(func(r record) { live += len(r.state) + len(r.endpoints) })
-		if held := s.Bytes() - s.destIndex.memory() - s.idIndex.memory(); held > 3*live+2*chunkSize {
-			t.Errorf("seed %d: %d bytes of chunks for %d that live", seed, held, live)
+		s.forEachRecord(func(r record) { live += len(r.state) + len(r.endpoints) })
+		if size := s.Bytes() - s.destIndex.memory() - s.idIndex.memory(); size > 3*live+2*chunkSize {
+			t.Errorf("seed %d: chunks use %d bytes for %d live bytes, want at most %d",
+				seed, size, live, 3*live+2*chunkSize)
 		}
 		m.removeAll()
 		if s.Len() != 0 || s.Endpoints() != 0 || s.destIndex.count != 0 || s.idIndex.count != 0 ||
 			s.Bytes() > 2*chunkSize {
-			t.Errorf("seed %d: left %d, %d, %d bytes", seed, s.Len(), s.Endpoints(), s.Bytes())
+			t.Errorf("seed %d: after removeAll: %d destinations, %d endpoints, %d bytes, want 0, 0, at most %d",
+				seed, s.Len(), s.Endpoints(), s.Bytes(), 2*chunkSize)
 		}
 	}
 }
 
-// A destination larger than a chunk, and addresses and names at their limits.
+// Guards against records that are larger than a chunk and would be truncated or not found.
 func TestLargeRecords(t *testing.T) {
 	s := New()
-	var eps []Endpoint
+	var endpoints []Endpoint
 	for i := range 20_000 {
-		eps = append(eps, Endpoint{ID: fmt.Sprintf("%0300d", i), HostPort: "127.0.0.1:1"})
+		endpoints = append(endpoints, Endpoint{ID: fmt.Sprintf("%0300d", i), HostPort: "127.0.0.1:1"})
 	}
-	s.Passivate(1, bytes.Repeat([]byte{1}, 3*chunkSize), eps)
+	s.Passivate(1, bytes.Repeat([]byte{1}, 3*chunkSize), endpoints)
 	s.Passivate(2, nil, nil)
-	if d, ok := s.DestinationOf(eps[19_999].ID); !ok || d != 1 {
-		t.Fatalf("found at %d, %v", d, ok)
+	if d, ok := s.DestinationOf(endpoints[19_999].ID); !ok || d != 1 {
+		t.Fatalf("DestinationOf(last endpoint) = %d, %v, want 1, true", d, ok)
 	}
-	s.RemoveEndpoint(eps[0].ID)
+	s.RemoveEndpoint(endpoints[0].ID)
 	state, got, ok := s.Activate(1)
-	if !ok || len(state) != 3*chunkSize || !slices.Equal(got, eps[1:]) {
-		t.Fatalf("activated %v with %d endpoints", ok, len(got))
+	if !ok || len(state) != 3*chunkSize || !slices.Equal(got, endpoints[1:]) {
+		t.Fatalf("Activate(1) = %d bytes of state, %d endpoints, %v, want %d, %d, true",
+			len(state), len(got), ok, 3*chunkSize, len(endpoints)-1)
 	}
 	if !s.Has(2) || s.Endpoints() != 0 {
-		t.Error("the other has gone")
+		t.Errorf("Has(2), Endpoints() = %v, %d, want true, 0", s.Has(2), s.Endpoints())
 	}
 }
 
-// Idle destinations are passivated in the order of their last use, only beyond the
-// limit, and not before their timeout.
+// Guards against a destination that is passivated too early: Idle must return only
+// destinations beyond the limit, after their idle timeout, the least recently used first.
 func TestActiveSet(t *testing.T) {
-	r := NewActiveSet(Limits{MaxActive: 2, IdleTimeout: 60})
+	set := NewActiveSet(Limits{MaxActive: 2, IdleTimeout: 60})
 	for i := range 6 {
-		r.Touch(i, policy.Time(i))
-	}
-	r.Touch(0, 10)
-	r.Remove(4)
-	r.Remove(9)
-	if !r.Full() || !r.OverLimit() || r.Len() != 5 || r.Contains(4) || !r.Contains(0) {
-		t.Errorf("%+v", r)
-	}
-	for _, x := range []struct {
-		now   policy.Time
-		most  int
-		due   []int
-		again policy.Time
+		set.Touch(i, policy.Time(i))
+	}
+	set.Touch(0, 10)
+	set.Remove(4)
+	set.Remove(9)
+	if !set.Full() || !set.OverLimit() || set.Len() != 5 || set.Contains(4) || !set.Contains(0) {
+		t.Errorf("ActiveSet = %+v, want the destinations 0, 1, 2, 3 and 5, and more than the limit", set)
+	}
+	for _, c := range []struct {
+		now         policy.Time
+		limit       int
+		idle        []int
+		nextCheckAt policy.Time
 	}{
 		{60, 9, nil, 61},
 		{61, 9, []int{1}, 62},
@@ -303,15 +312,15 @@
 		{70, 9, []int{1, 2, 3}, 0},
 		{1000, 9, []int{1, 2, 3}, 0},
 	} {
-		if due, again := r.Idle(x.now, x.most, nil); !slices.Equal(due, x.due) || again != x.again {
-			t.Errorf("at %d: %v, again at %d, want %v and %d", x.now, due, again, x.due, x.again)
+		if idle, at := set.Idle(c.now, c.limit, nil); !slices.Equal(idle, c.idle) || at != c.nextCheckAt {
+			t.Errorf("Idle(%d, %d) = %v, %d, want %v, %d", c.now, c.limit, idle, at, c.idle, c.nextCheckAt)
 		}
 	}
-	all := NewActiveSet(Limits{})
+	unlimited := NewActiveSet(Limits{})
 	for i := range 3000 {
-		all.Touch(i, 0)
+		unlimited.Touch(i, 0)
 	}
-	if due, again := all.Idle(1e12, 9, nil); all.Full() || all.OverLimit() || due != nil || again != 0 {
-		t.Errorf("with no limit %v go", due)
+	if idle, at := unlimited.Idle(1e12, 9, nil); unlimited.Full() || unlimited.OverLimit() || idle != nil || at != 0 {
+		t.Errorf("Idle without a limit = %v, %d, want nil, 0", idle, at)
 	}
 }
