--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -1,9 +1,9 @@
-// Package config reads the configuration of a relay: the file that the platform
-// writes, the environment, and the operator's own file.
+// Package config reads the configuration of a relay from three sources: the file that the
+// platform writes, the environment, and the operator's file.
 //
-// It owns the keys, their defaults and errors, the precedence of the sources, and
-// how the limits of the machine are divided. It must never open a socket or write a
-// file, nor decide what the policy does with its settings.
+// The package defines the keys, their defaults and errors, and the precedence of the
+// sources. It also divides the limits of the machine between their users. It opens no
+// sockets, writes no files, and does not decide what the policy does with its settings.
 package config
 
 import (
@@ -27,53 +27,53 @@
 	Listen    string // host:port for clients
 	Discovery string // host:port of the discovery agent
 	Console   string // host:port for operators; empty for none
-	State     string // the state directory, which outlasts the process
+	State     string // the state directory, whose files survive a restart
 	Seed      uint64
 	Limits    Limits
-	KnownList *core.EndpointList // the last known endpoint list, maybe outdated; may be nil
+	KnownList *core.EndpointList // the last known endpoint list, possibly outdated; may be nil
 
 	Policy         policy.Settings
-	ClientSettings operatorconfig.Clients // zero where the operator has no file
+	ClientSettings operatorconfig.Clients // the zero value if there is no operator's file
 
-	PolicyStatePeriod time.Duration        // between two writes of the policy's state; 0 to write none
-	Passivation       idlestore.Limits     // which destinations are passivated
-	MaxListBytes      int                  // of one endpoint list
-	Etcd              *operatorconfig.Etcd // nil if no etcd is followed
-	TracesPerSecond   int                  // messages traced from their acceptance on
+	PolicyStatePeriod time.Duration        // interval of writing the policy's state; 0 to not write it
+	Passivation       idlestore.Limits     // when destinations are passivated
+	MaxListBytes      int                  // maximum size of an endpoint list
+	Etcd              *operatorconfig.Etcd // nil if etcd is not used
+	TracesPerSecond   int                  // number of messages per second to trace from their acceptance
 	TLSRules          []operatorconfig.TLSRule
 	Handshakes        operatorconfig.Handshakes
 
-	// Indices by name, as the settings list them. The policy knows only the indices.
+	// Indices by name, in the order of the settings. The policy uses only the indices.
 	Zones            map[string]int
 	DestinationKinds map[string]int
 	Classes          map[string]int
 	Tenants          map[string]int
 
-	LoadReportFields []string // names of the fields of a load report, in order
+	LoadReportFields []string // names of a load report's fields, in their order
 }
 
-// Load reads the configuration of a starting process. For name, addresses and state
-// directory the environment takes precedence over the file.
+// Load reads the configuration when a process starts. For the name, the addresses and the
+// state directory, the environment takes precedence over the file.
 func Load(getenv func(string) string) (*Config, error) {
-	return load(getenv, forStart)
+	return load(getenv, atStart)
 }
 
-// Reload reads the configuration again in a running process. There the file takes
-// precedence for the address of discovery, since the environment is still the one of
-// the start.
+// Reload reads the configuration again in a running process. It differs from Load in the
+// address of discovery, for which the file takes precedence, because the environment of a
+// running process cannot change.
 func Reload(getenv func(string) string) (*Config, error) {
-	return load(getenv, forReload)
+	return load(getenv, atReload)
 }
 
-// purpose says whether a configuration is read at the start or again.
-type purpose int
+// loadMode says whether a configuration is read when the process starts or again later.
+type loadMode int
 
 const (
-	forStart purpose = iota
-	forReload
+	atStart loadMode = iota
+	atReload
 )
 
-func load(getenv func(string) string, why purpose) (*Config, error) {
+func load(getenv func(string) string, mode loadMode) (*Config, error) {
 	path := getenv(FileEnvVar)
 	if path == "" {
 		return nil, errors.New(FileEnvVar + ": not set")
@@ -82,7 +82,7 @@
 	if err != nil {
 		return nil, fmt.Errorf("%s: %w", FileEnvVar, err)
 	}
-	c, err := parse(text, getenv, why)
+	c, err := parse(text, getenv, mode)
 	if err != nil {
 		return nil, err
 	}
@@ -99,7 +99,7 @@
 	return c, nil
 }
 
-// applyOperatorFile applies the operator's file.
+// applyOperatorFile sets the parts of the configuration that the operator's file defines.
 func (c *Config) applyOperatorFile(file *operatorconfig.File) error {
 	c.TLSRules, c.Handshakes = file.TLSRules, file.Handshakes
 	if len(file.Etcd.Endpoints) > 0 {
--- a/internal/config/format_test.go
+++ b/internal/config/format_test.go
@@ -13,12 +13,13 @@
 	"troutusher/policy"
 )
 
-// environment gives the variables that a process is started with.
+// environment returns a replacement of os.Getenv that reads from a map.
 func environment(vars map[string]string) func(string) string {
 	return func(name string) string { return vars[name] }
 }
 
-// Each key of the configuration arrives where it belongs.
+// Guards against a key that is ignored or stored in the wrong field: every key of the file
+// has a distinct value.
 func TestConfigEveryKey(t *testing.T) {
 	c, err := Load(environment(map[string]string{"ROUTER_CONFIG": filepath.Join("testdata", "every_key.json")}))
 	if err != nil {
@@ -26,15 +27,15 @@
 	}
 	if c.Name != "n1" || c.Listen != "127.0.0.1:7101" || c.Discovery != "127.0.0.1:7102" ||
 		c.Console != "127.0.0.1:7103" || c.State != "/var/lib/n1" || c.Seed != 0x1f {
-		t.Errorf("addresses, names and seed: %+v", c)
+		t.Errorf("Load(every_key.json) = %+v, want the addresses, names and seed of the file", c)
 	}
 	if want := (Limits{Cores: 1.5, MemoryMB: 96, Sockets: 512, DiskMB: 4}); c.Limits != want {
-		t.Errorf("limits %+v, want %+v", c.Limits, want)
+		t.Errorf("Limits = %+v, want %+v", c.Limits, want)
 	}
 	known, err := json.Marshal(c.KnownList)
 	if want := `{"revision":12,"complete":true,"members":[{"id":"s-1","host_port":"10.0.0.1:80",` +
 		`"locality":"a","flavor":"k","cell":4,"phase":"up","size":40}]}`; err != nil || string(known) != want {
-		t.Errorf("known %s (%v), want %s", known, err, want)
+		t.Errorf("Marshal(KnownList) = %s, %v, want %s", known, err, want)
 	}
 	want := policy.Settings{
 		Relays:               3,
@@ -98,25 +99,25 @@
 		DestinationKinds: []policy.DestinationKind{{BatchSize: 1}, {BatchSize: 1, IndependentRoutes: true}},
 	}
 	if !reflect.DeepEqual(c.Policy, want) {
-		t.Errorf("policy\n%+v\nwant\n%+v", c.Policy, want)
+		t.Errorf("Policy =\n%+v\nwant\n%+v", c.Policy, want)
 	}
-	for what, numbers := range map[string]struct{ got, want map[string]int }{
+	for key, indices := range map[string]struct{ got, want map[string]int }{
 		"localities": {c.Zones, map[string]int{"a": 0, "b": 1}},
 		"kinds":      {c.DestinationKinds, map[string]int{"k": 0, "l": 1}},
 		"classes":    {c.Classes, map[string]int{"plain": 0, "keyed": 1, "once": 2}},
 		"accounts":   {c.Tenants, map[string]int{"acme": 0, "zeta": 1}},
 	} {
-		if !maps.Equal(numbers.got, numbers.want) {
-			t.Errorf("%s %v, want %v", what, numbers.got, numbers.want)
+		if !maps.Equal(indices.got, indices.want) {
+			t.Errorf("indices of %s = %v, want %v", key, indices.got, indices.want)
 		}
 	}
 	if !slices.Equal(c.LoadReportFields, []string{"queue", "busy"}) {
-		t.Errorf("fields of a load report %v", c.LoadReportFields)
+		t.Errorf("LoadReportFields = %v, want [queue busy]", c.LoadReportFields)
 	}
 }
 
-// What the environment says comes before the file; for a running relay the
-// file's discovery comes before the environment's.
+// Guards against a wrong precedence of the sources: the environment overrides the file,
+// except for the address of discovery when a running relay reloads.
 func TestConfigEnvironment(t *testing.T) {
 	vars := map[string]string{
 		"ROUTER_CONFIG":    filepath.Join("testdata", "every_key.json"),
@@ -126,46 +127,46 @@
 		"ROUTER_CONSOLE":   "127.0.0.1:3",
 		"ROUTER_STATE":     "/y",
 	}
-	for _, x := range []struct {
+	for _, test := range []struct {
 		read      func(func(string) string) (*Config, error)
 		discovery string
 	}{{Load, "127.0.0.1:2"}, {Reload, "127.0.0.1:7102"}} {
-		c, err := x.read(environment(vars))
+		c, err := test.read(environment(vars))
 		if err != nil {
 			t.Fatal(err)
 		}
 		if c.Name != "n2" || c.Listen != "127.0.0.1:1" || c.Console != "127.0.0.1:3" || c.State != "/y" ||
-			c.Discovery != x.discovery {
-			t.Errorf("got %+v", c)
+			c.Discovery != test.discovery {
+			t.Errorf("configuration = %+v, want discovery %s and the environment's other values", c, test.discovery)
 		}
 	}
 }
 
-// The text of each error, whole: operators and their scripts read it.
+// Guards against a change of the error texts, which operators and their scripts read.
 func TestConfigErrorTexts(t *testing.T) {
 	var cases []struct {
-		Old   string `json:"old"`   // in every_key.json
-		New   string `json:"new"`   // in its place
-		Error string `json:"error"` // what is said then
+		Old   string `json:"old"`   // text of every_key.json
+		New   string `json:"new"`   // replacement of Old
+		Error string `json:"error"` // the whole error for the changed file
 	}
-	if err := json.Unmarshal(fixture(t, "errors.json"), &cases); err != nil {
+	if err := json.Unmarshal(readFixture(t, "errors.json"), &cases); err != nil {
 		t.Fatal(err)
 	}
-	good := string(fixture(t, "every_key.json"))
+	good := string(readFixture(t, "every_key.json"))
 	for _, c := range cases {
 		text := replacedOnce(t, good, c.Old, c.New)
 		if _, err := Parse([]byte(text), environment(nil)); err == nil || err.Error() != c.Error {
-			t.Errorf("%s: error\n%v\nwant\n%s", c.New, err, c.Error)
+			t.Errorf("Parse(%s instead of %s): error\n%v\nwant\n%s", c.New, c.Old, err, c.Error)
 		}
 	}
 	path := filepath.Join(t.TempDir(), "operator.toml")
-	for operators, want := range map[string]string{
-		"places = 600":          "clients.places: 600, and beside 16 calls out there are descriptors for 456",
+	for text, want := range map[string]string{
+		"places = 600":          "clients.places: 600, want at most 456; 16 concurrent calls need descriptors too",
 		"idle_s = 1":            path + ":2: clients.idle_s: 1, want 2 to 86400",
 		"descriptors = 1048577": path + ":2: clients.descriptors: 1048577, want 64 to 1048576",
 	} {
-		operators, want = "[clients]\n"+operators+"\n", "TROUTUSHER_OPERATOR: "+want
-		if err := os.WriteFile(path, []byte(operators), 0o600); err != nil {
+		text, want = "[clients]\n"+text+"\n", "TROUTUSHER_OPERATOR: "+want
+		if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
 			t.Fatal(err)
 		}
 		vars := map[string]string{
@@ -174,19 +175,20 @@
 		}
 		_, err := Load(environment(vars))
 		if err == nil || err.Error() != want {
-			t.Errorf("%q: error\n%v\nwant\n%s", operators, err, want)
+			t.Errorf("Load with operator's file %q: error\n%v\nwant\n%s", text, err, want)
 		}
 	}
 	if _, err := Load(environment(nil)); err == nil || err.Error() != "ROUTER_CONFIG: not set" {
-		t.Errorf("no file is named: %v", err)
+		t.Errorf("Load without ROUTER_CONFIG: error %v, want ROUTER_CONFIG: not set", err)
 	}
 	if _, err := Load(environment(map[string]string{"ROUTER_CONFIG": "none.json"})); err == nil ||
 		err.Error() != "ROUTER_CONFIG: open none.json: no such file or directory" {
-		t.Errorf("there is no file: %v", err)
+		t.Errorf("Load of a missing file: error %v, want one that names ROUTER_CONFIG and the file", err)
 	}
 }
 
-func fixture(t *testing.T, name string) []byte {
+// readFixture returns the content of a file in testdata.
+func readFixture(t *testing.T, name string) []byte {
 	t.Helper()
 	text, err := os.ReadFile(filepath.Join("testdata", name))
 	if err != nil {
@@ -195,11 +197,12 @@
 	return text
 }
 
+// replacedOnce returns text with the first occurrence of old replaced. old must occur.
 func replacedOnce(t *testing.T, text, old, replacement string) string {
 	t.Helper()
 	before, after, ok := strings.Cut(text, old)
 	if !ok {
-		t.Fatalf("there is no %s", old)
+		t.Fatalf("the text does not contain %s", old)
 	}
 	return before + replacement + after
 }
--- a/internal/config/limits.go
+++ b/internal/config/limits.go
@@ -12,8 +12,8 @@
 type Limits struct {
 	Cores    float64 `json:"cores"`
 	MemoryMB int     `json:"memory_mb"` // in units of 2^20 bytes
-	Sockets  int     `json:"sockets"`   // descriptors
-	DiskMB   int     `json:"disk_mb"`   // of the state folder, in units of 2^20 bytes
+	Sockets  int     `json:"sockets"`   // file descriptors
+	DiskMB   int     `json:"disk_mb"`   // size of the state directory, in units of 2^20 bytes
 }
 
 // Defaults of Limits.
@@ -25,19 +25,18 @@
 )
 
 const (
-	// ReservedDescriptors is the number of descriptors for the runtime, the log, the
-	// listeners and discovery.
+	// ReservedDescriptors is the number of file descriptors that are reserved for the Go
+	// runtime, the write-ahead log, the listeners and discovery.
 	ReservedDescriptors = 32
 
-	minDescriptors     = 64 // a relay cannot work with fewer
-	spareEndpointConns = 8  // connections to endpoints beside those in use
+	minDescriptors     = 64 // a relay cannot work with fewer file descriptors
+	spareEndpointConns = 8  // connections to endpoints in addition to those of concurrent calls
 
-	// The commands of clients may use this part of the memory.
-	commandMemoryDivisor = 8
+	commandMemoryDivisor = 8 // the commands of clients may use 1/8 of the memory
 )
 
-// withDefaults returns the limits with defaults in place of zeros, or an error for
-// invalid ones.
+// withDefaults returns the limits with zeros replaced by defaults. It returns an error if
+// a limit is invalid.
 func (l Limits) withDefaults() (Limits, error) {
 	switch {
 	case l.Cores < 0:
@@ -71,29 +70,30 @@
 	if want := clients.Descriptors; want > 0 {
 		var limit syscall.Rlimit
 		if err := syscall.Getrlimit(syscall.RLIMIT_NOFILE, &limit); err == nil && limit.Cur < uint64(want) {
-			return fmt.Errorf("clients.descriptors: %d, and the process may have %d", want, limit.Cur)
+			return fmt.Errorf("clients.descriptors: %d, want at most %d, the open files limit of the process",
+				want, limit.Cur)
 		}
 		c.Limits.Sockets = want
 	}
 	calls := c.Policy.MaxConcurrentCalls
-	if most := c.Limits.Sockets - ReservedDescriptors - calls - spareEndpointConns; clients.MaxConns > most {
-		return fmt.Errorf("clients.places: %d, and beside %d calls out there are descriptors for %d",
-			clients.MaxConns, calls, most)
+	if limit := c.Limits.Sockets - ReservedDescriptors - calls - spareEndpointConns; clients.MaxConns > limit {
+		return fmt.Errorf("clients.places: %d, want at most %d; %d concurrent calls need descriptors too",
+			clients.MaxConns, limit, calls)
 	}
 	return nil
 }
 
-// DescriptorBudget divides the descriptors between connections of clients and those
-// to endpoints.
+// DescriptorBudget divides the file descriptors between connections of clients and
+// connections to endpoints.
 //
-// Each call in flight needs a connection, so the endpoints get at least as many as
-// there are concurrent calls, as long as half is left to the clients. They get twice
-// as many if possible, which leaves some idle connections to each endpoint: with
-// fewer, each call would have to close the connection to another endpoint.
+// Each call in flight needs a connection. The endpoints therefore get at least as many
+// descriptors as there are concurrent calls, unless that is more than half of all. If
+// possible they get twice as many, so that some connections to each endpoint can stay idle.
+// Otherwise each call would have to close the connection to another endpoint.
 func (c *Config) DescriptorBudget() (clients, endpoints int) {
 	free := c.Limits.Sockets - ReservedDescriptors
-	if most := c.ClientSettings.MaxConns; most > 0 {
-		return most, free - most
+	if maxConns := c.ClientSettings.MaxConns; maxConns > 0 {
+		return maxConns, free - maxConns
 	}
 	calls := c.Policy.MaxConcurrentCalls
 	endpoints = max(free/4, calls+spareEndpointConns, min(2*calls, free*2/5))
@@ -103,11 +103,11 @@
 
 // ConnLimits returns the limits for admitting and evicting connections of clients.
 func (c *Config) ConnLimits() connlimit.Limits {
-	most, _ := c.DescriptorBudget()
-	limits := connlimit.DefaultLimits(most, c.Limits.Sockets)
+	maxConns, _ := c.DescriptorBudget()
+	limits := connlimit.DefaultLimits(maxConns, c.Limits.Sockets)
 	clients := &c.ClientSettings
 	if clients.MaxUnvalidated > 0 {
-		limits.MaxUnvalidated = min(clients.MaxUnvalidated, most)
+		limits.MaxUnvalidated = min(clients.MaxUnvalidated, maxConns)
 	}
 	if clients.SingleUseEvictionThreshold > 0 {
 		limits.SingleUseEvictionThreshold = clients.SingleUseEvictionThreshold
@@ -118,8 +118,8 @@
 	return limits
 }
 
-// CommandMemory returns how many bytes of memory the commands of clients may use that
-// are being read or wait for their reply.
+// CommandMemory returns the maximum memory, in bytes, of client commands that are being
+// read or wait for their reply.
 func (c *Config) CommandMemory() int {
 	if c.ClientSettings.MemoryMB > 0 {
 		return c.ClientSettings.MemoryMB << 20
--- a/internal/config/parse.go
+++ b/internal/config/parse.go
@@ -13,7 +13,7 @@
 	"troutusher/internal/wire"
 )
 
-// Environment variables that take precedence over a key of the file.
+// Environment variables, each of which takes precedence over a key of the file.
 const (
 	nameEnvVar      = "ROUTER_NAME"
 	listenEnvVar    = "ROUTER_LISTEN"
@@ -35,13 +35,13 @@
 	Settings  json.RawMessage    `json:"settings"`
 }
 
-// Parse parses the text of a configuration file as Load does, but without the
-// operator's file.
+// Parse parses the text of a configuration file like Load, but does not read the operator's
+// file.
 func Parse(text []byte, getenv func(string) string) (*Config, error) {
-	return parse(text, getenv, forStart)
+	return parse(text, getenv, atStart)
 }
 
-func parse(text []byte, getenv func(string) string, why purpose) (*Config, error) {
+func parse(text []byte, getenv func(string) string, mode loadMode) (*Config, error) {
 	var f file
 	if err := json.Unmarshal(text, &f); err != nil {
 		var wrongType *json.UnmarshalTypeError
@@ -50,7 +50,7 @@
 		}
 		return nil, fmt.Errorf("config: %w", err)
 	}
-	if err := f.applyEnvironment(getenv, why); err != nil {
+	if err := f.applyEnvironment(getenv, mode); err != nil {
 		return nil, err
 	}
 	if err := f.checkAddresses(); err != nil {
@@ -80,9 +80,9 @@
 	return c, nil
 }
 
-// applyEnvironment replaces keys by variables of the environment. It returns an error
-// for a required key that is set in neither.
-func (f *file) applyEnvironment(getenv func(string) string, why purpose) error {
+// applyEnvironment replaces values of the file with those of environment variables. It
+// returns an error if a required value is set in neither of them.
+func (f *file) applyEnvironment(getenv func(string) string, mode loadMode) error {
 	for _, key := range []struct {
 		name, envVar string
 		value        *string
@@ -90,7 +90,7 @@
 	}{
 		{"name", nameEnvVar, &f.Name, false},
 		{"listen", listenEnvVar, &f.Listen, false},
-		{"discovery", discoveryEnvVar, &f.Discovery, why == forReload},
+		{"discovery", discoveryEnvVar, &f.Discovery, mode == atReload},
 		{"state", stateEnvVar, &f.State, false},
 	} {
 		if fromEnv := getenv(key.envVar); fromEnv != "" && (*key.value == "" || !key.fileFirst) {
@@ -120,7 +120,7 @@
 	return nil
 }
 
-// parseSeed parses a seed of 64 bits: a string in hexadecimal, or a number.
+// parseSeed parses a seed of 64 bits, which is a hexadecimal string or a decimal number.
 func parseSeed(raw json.RawMessage) (uint64, error) {
 	if len(raw) == 0 || bytes.Equal(raw, []byte("null")) {
 		return 0, errors.New("missing")
@@ -132,7 +132,7 @@
 	return strconv.ParseUint(string(raw), 10, 64)
 }
 
-// parseSettings parses the settings object and indexes the names in it.
+// parseSettings parses the settings object and assigns indices to the names in it.
 func (c *Config) parseSettings(text []byte) error {
 	s, err := wire.ParseSettings(text)
 	if err != nil {
@@ -144,13 +144,13 @@
 	if err := c.Policy.Validate(); err != nil {
 		return fmt.Errorf("config: settings: %w", err)
 	}
-	// Unlike in the simulator, a connection carries one call at a time, and a call
-	// carries one message.
+	// Unlike in the simulator, a connection carries one call at a time and a call carries
+	// one message, so these two settings are ignored.
 	c.Policy.StreamsPerConnection = 1
 	for i := range c.Policy.DestinationKinds {
 		c.Policy.DestinationKinds[i].BatchSize = 1
 	}
-	var names struct { // not a named type, since errors would contain its name
+	var names struct { // not a named type, because errors would contain its name
 		Localities []string `json:"localities"`
 	}
 	if err := json.Unmarshal(text, &names); err != nil {
@@ -168,6 +168,7 @@
 	return nil
 }
 
+// indexByName returns the index of each name in a list.
 func indexByName(names []string) map[string]int {
 	indices := make(map[string]int, len(names))
 	for i, name := range names {
--- a/internal/operatorconfig/clients.go
+++ b/internal/operatorconfig/clients.go
@@ -8,7 +8,7 @@
 	"troutusher/internal/tomlfile"
 )
 
-// Bounds of Clients.Descriptors.
+// Limits of Clients.Descriptors.
 const (
 	MinDescriptors = 64
 	MaxDescriptors = 1 << 20
@@ -16,14 +16,14 @@
 
 const (
 	maxListenAddresses = 64
-	minClientIdleS     = 2 // no connection without a request is closed sooner
+	minClientIdleS     = 2 // connections without a request are never closed sooner
 	maxClientIdleS     = 86400
 	maxMemoryMB        = 1 << 20
 )
 
-// Clients are the settings for connections of clients.
+// Clients contains the settings for connections of clients.
 type Clients struct {
-	// ListenAddresses are additional addresses to listen on, as host:port.
+	// ListenAddresses contains additional addresses to listen on, as host:port.
 	ListenAddresses []string `toml:"listen"`
 	// Descriptors is the maximum number of file descriptors of the process. It
 	// overrides limits.sockets of the configuration.
@@ -33,13 +33,13 @@
 	// MaxUnvalidated is the maximum number of connections that have not sent a valid
 	// command yet.
 	MaxUnvalidated int `toml:"strangers"`
-	// SingleUseEvictionThreshold is the number of connections that have sent a request
-	// above which idle connections with a single request are evicted.
+	// SingleUseEvictionThreshold is a number of connections that have sent a request. If
+	// there are more, idle connections that sent only a single request are evicted.
 	SingleUseEvictionThreshold int `toml:"asked_most"`
 	// IdleTimeoutS is the time after which an idle connection is closed, in seconds.
 	IdleTimeoutS float64 `toml:"idle_s"`
-	// MemoryMB is the maximum memory of commands that are being read or wait for their
-	// reply, in units of 2^20 bytes.
+	// MemoryMB is the maximum memory of commands that are being read or wait for a reply,
+	// in units of 2^20 bytes.
 	MemoryMB int `toml:"memory_mb"`
 }
 
@@ -48,8 +48,8 @@
 
 func (c *Clients) validate(check *tomlfile.Checker) {
 	for _, number := range []struct {
-		key                string
-		value, least, most int
+		key             string
+		value, min, max int
 	}{
 		{"clients.descriptors", c.Descriptors, MinDescriptors, MaxDescriptors},
 		{"clients.places", c.MaxConns, 1, MaxDescriptors},
@@ -57,8 +57,8 @@
 		{"clients.asked_most", c.SingleUseEvictionThreshold, 1, MaxDescriptors},
 		{"clients.memory_mb", c.MemoryMB, 1, maxMemoryMB},
 	} {
-		if number.value != 0 && (number.value < number.least || number.value > number.most) {
-			check.Errorf(number.key, "%d, want %d to %d", number.value, number.least, number.most)
+		if number.value != 0 && (number.value < number.min || number.value > number.max) {
+			check.Errorf(number.key, "%d, want %d to %d", number.value, number.min, number.max)
 		}
 	}
 	if c.MaxConns > 0 && c.MaxUnvalidated > c.MaxConns {
@@ -95,7 +95,8 @@
 	}
 }
 
-func isPort(s string) bool {
-	n, err := strconv.ParseUint(s, 10, 16)
+// isPort reports whether a text is a port number from 1 to 65535.
+func isPort(text string) bool {
+	n, err := strconv.ParseUint(text, 10, 16)
 	return err == nil && n > 0
 }
--- a/internal/operatorconfig/etcd.go
+++ b/internal/operatorconfig/etcd.go
@@ -12,26 +12,28 @@
 	maxEtcdPrefixLength = 256
 )
 
-// Etcd are the settings for an etcd cluster that is followed beside discovery.
+// Etcd contains the settings for an etcd cluster that provides endpoints in addition to
+// discovery.
 type Etcd struct {
-	// Endpoints are the addresses of the cluster's members, as host:port. If there are
-	// none, etcd is not used.
+	// Endpoints contains the addresses of the cluster's members, as host:port. If it is
+	// empty, etcd is not used.
 	Endpoints []string `toml:"endpoints"`
-	// Prefix is the prefix of the keys, a path.
+	// Prefix is the prefix of the keys. It is a path that begins with a slash.
 	Prefix string `toml:"prefix"`
-	// User and PasswordFile are the credentials; the file contains the password.
+	// User and PasswordFile are the credentials. PasswordFile is the path of a file that
+	// contains the password.
 	User         string `toml:"user"`
 	PasswordFile string `toml:"password_file"`
-	// Roots is a PEM file with the trusted authorities. If it is set, members are
-	// called over TLS.
+	// Roots is a PEM file with the trusted certificate authorities. If it is set, the
+	// members are called over TLS.
 	Roots string `toml:"roots"`
-	// Certificate and Key are PEM files with the client certificate.
+	// Certificate and Key are PEM files with the client certificate and its private key.
 	Certificate string `toml:"certificate"`
 	Key         string `toml:"key"`
 	// ServerName is the name that a member's certificate must contain.
 	ServerName string `toml:"server_name"`
-	// Precedence is "etcd" or "registry": the source whose address and rate apply if
-	// the sources differ.
+	// Precedence is "etcd" or "registry". It names the source whose address and rate are
+	// used if the two sources differ.
 	Precedence string `toml:"first"`
 }
 
--- a/internal/operatorconfig/etcd_test.go
+++ b/internal/operatorconfig/etcd_test.go
@@ -5,7 +5,8 @@
 	"testing"
 )
 
-// An operator's table that makes no sense is named by its key.
+// Guards against an invalid etcd table that is accepted, and against an error that does not
+// name the key.
 func TestEtcdKeysInErrors(t *testing.T) {
 	for text, want := range map[string]string{
 		"prefix = \"/t\"":                                                         "etcd.endpoints",
@@ -19,7 +20,7 @@
 	} {
 		_, err := Parse("f", []byte("[etcd]\n"+text+"\n"))
 		if want == "" && err != nil || want != "" && (err == nil || !strings.Contains(err.Error(), want)) {
-			t.Errorf("%q: %v, want %s", text, err, want)
+			t.Errorf("Parse(%q): error %v, want one that names %q", text, err, want)
 		}
 	}
 }
--- a/internal/operatorconfig/file.go
+++ b/internal/operatorconfig/file.go
@@ -1,8 +1,8 @@
-// Package operatorconfig reads the operator's file: settings of a site that are not
-// part of the platform's configuration. Without a file the defaults apply.
+// Package operatorconfig reads the operator's file, which contains the settings of a site
+// that are not part of the platform's configuration. Without a file the defaults apply.
 //
-// It owns the keys, their bounds and their errors. It must never decide what a
-// setting does, nor read the files that the settings name.
+// The package defines the keys, their limits and their errors. It does not decide what a
+// setting does, and does not read the files that the settings name.
 package operatorconfig
 
 import (
@@ -12,10 +12,10 @@
 	"troutusher/internal/tomlfile"
 )
 
-// EnvVar names the environment variable that names the file.
+// EnvVar is the name of the environment variable that contains the path of the file.
 const EnvVar = "TROUTUSHER_OPERATOR"
 
-// File is the content of the file. A zero value selects the default.
+// File is the content of the operator's file. A zero value selects the default of a key.
 type File struct {
 	Clients     Clients     `toml:"clients"`
 	TLSRules    []TLSRule   `toml:"tls"`
@@ -27,7 +27,8 @@
 	Etcd        Etcd        `toml:"etcd"`
 }
 
-// Load reads the file that the environment names. It returns nil if it names none.
+// Load reads the file whose path is in the environment. It returns nil if EnvVar is not
+// set.
 func Load(getenv func(string) string) (*File, error) {
 	path := getenv(EnvVar)
 	if path == "" {
@@ -40,8 +41,8 @@
 	return Parse(path, text)
 }
 
-// Parse parses and validates the text of a file. The errors contain its name. Each
-// error is a *tomlfile.Error, and all are joined.
+// Parse parses and validates the text of a file. name is the file's name for errors. The
+// returned error joins one *tomlfile.Error for each invalid value.
 func Parse(name string, text []byte) (*File, error) {
 	f := &File{}
 	check, err := tomlfile.Decode(name, text, f)
@@ -61,13 +62,13 @@
 // seconds converts a number of seconds to a duration.
 func seconds(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
 
-// within reports whether a number lies within bounds. It is false for NaN.
-func within(x, least, most float64) bool { return x >= least && x <= most }
+// within reports whether minimum <= x <= maximum. It returns false for NaN.
+func within(x, minimum, maximum float64) bool { return x >= minimum && x <= maximum }
 
 // bothOrNeither reports whether both texts are empty or neither is.
 func bothOrNeither(a, b string) bool { return (a == "") == (b == "") }
 
-// oneOf reports whether a text is empty or one of the allowed ones.
+// oneOf reports whether a text is empty or one of the allowed texts.
 func oneOf(text string, allowed ...string) bool {
 	return text == "" || slices.Contains(allowed, text)
 }
--- a/internal/operatorconfig/file_test.go
+++ b/internal/operatorconfig/file_test.go
@@ -11,6 +11,7 @@
 	"troutusher/internal/msgtrace"
 )
 
+// Guards against values of the clients table that are lost.
 func TestParse(t *testing.T) {
 	const text = `[clients]
 listen = ["127.0.0.1:7001", "[::1]:7002"]
@@ -26,7 +27,7 @@
 	c := &f.Clients
 	if len(c.ListenAddresses) != 2 || c.Descriptors != 20000 || c.MaxConns != 19000 ||
 		c.IdleTimeout() != 10*time.Minute || c.MemoryMB != 64 {
-		t.Errorf("%+v", c)
+		t.Errorf("Parse: clients = %+v, want the values of the text", c)
 	}
 }
 
@@ -37,6 +38,8 @@
 roots = "r.pem"
 `
 
+// Guards against values of the tls and handshakes tables that are lost, and against wrong
+// defaults for values that are left out.
 func TestParseTLS(t *testing.T) {
 	const more = `handshake_weight = 0
 warn_days = 30
@@ -51,26 +54,27 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	settings, h := &f.TLSRules[0], &f.Handshakes
+	settings, handshakes := &f.TLSRules[0], &f.Handshakes
 	rule, err := settings.Rule()
 	if err != nil || !rule.RequireRevocationStatus || rule.ServerName != "pay.example.org" ||
 		settings.ConnectionCost() != 0 || settings.ExpiryWarning() != 30*24*time.Hour ||
 		settings.Files().Roots != "r.pem" {
-		t.Errorf("%+v %+v %v", settings, rule, err)
+		t.Errorf("Parse: TLS rule = %+v, Rule() = %+v, %v, want the values of the text", settings, rule, err)
 	}
-	l := h.Limits()
-	if l.Validate() != nil || l.Share != 0.5 || l.Burst != time.Millisecond || h.SessionCacheSize() != 0 ||
-		h.Timeout() != 1500*time.Millisecond {
-		t.Errorf("%+v %+v", l, h)
+	limits := handshakes.Limits()
+	if limits.Validate() != nil || limits.Share != 0.5 || limits.Burst != time.Millisecond ||
+		handshakes.SessionCacheSize() != 0 || handshakes.Timeout() != 1500*time.Millisecond {
+		t.Errorf("Parse: handshakes = %+v, Limits() = %+v, want the values of the text", handshakes, limits)
 	}
 	f, err = Parse("o.toml", []byte(minimalTLSRule))
 	if err != nil || f.TLSRules[0].ConnectionCost() != 1 || f.Handshakes.SessionCacheSize() != 256 ||
 		f.Handshakes.Timeout() != 3*time.Second {
-		t.Errorf("%+v %v", f, err)
+		t.Errorf("Parse(minimalTLSRule) = %+v, %v, want the defaults", f, err)
 	}
 }
 
-// Each error names file, line and key.
+// Guards against an invalid value that is accepted, and against an error that does not name
+// file, line and key.
 func TestValidationErrors(t *testing.T) {
 	for _, test := range []struct{ text, want string }{
 		{"[clients]\nlisten = [\"nowhere\"]\n", "o.toml:2: clients.listen: address nowhere: missing port"},
@@ -141,34 +145,37 @@
 		},
 	} {
 		if _, err := Parse("o.toml", []byte(test.text)); err == nil || !strings.Contains(err.Error(), test.want) {
-			t.Errorf("%q: %v, want %s", test.text, err, test.want)
+			t.Errorf("Parse(%q): error %v, want one that contains %s", test.text, err, test.want)
 		}
 	}
 }
 
+// Guards against a start without the operator's file although the environment names one:
+// if that file is missing or too large, Load must return an error.
 func TestLoad(t *testing.T) {
 	if f, err := Load(func(string) string { return "" }); f != nil || err != nil {
-		t.Errorf("no file named: %v, %v", f, err)
+		t.Errorf("Load without %s = %v, %v, want nil, nil", EnvVar, f, err)
 	}
 	path := filepath.Join(t.TempDir(), "o.toml")
-	get := func(name string) string { return map[string]string{EnvVar: path}[name] }
-	if _, err := Load(get); err == nil {
-		t.Error("a file that is not there is none")
+	getenv := func(name string) string { return map[string]string{EnvVar: path}[name] }
+	if _, err := Load(getenv); err == nil {
+		t.Error("Load of a missing file = nil, want an error")
 	}
 	if err := os.WriteFile(path, []byte("[clients]\nplaces = 5\n"), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	if f, err := Load(get); err != nil || f.Clients.MaxConns != 5 {
-		t.Errorf("%v, %v", f, err)
+	if f, err := Load(getenv); err != nil || f.Clients.MaxConns != 5 {
+		t.Errorf("Load(places = 5) = %+v, %v, want MaxConns 5", f, err)
 	}
 	if err := os.WriteFile(path, make([]byte, 2<<20), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	if _, err := Load(get); err == nil || !strings.Contains(err.Error(), "more than") {
-		t.Errorf("a huge file: %v", err)
+	if _, err := Load(getenv); err == nil || !strings.Contains(err.Error(), "more than") {
+		t.Errorf("Load of a file of 2 MiB: error %v, want one that contains \"more than\"", err)
 	}
 }
 
+// Guards against a crash on arbitrary text, and against invalid values that are accepted.
 func FuzzParse(f *testing.F) {
 	f.Add([]byte("[clients]\nlisten = [\"127.0.0.1:7001\"]\nidle_s = 3.5\n"))
 	f.Fuzz(func(t *testing.T, b []byte) {
@@ -177,12 +184,13 @@
 			return
 		}
 		if c := &file.Clients; c.MaxConns < 0 || c.IdleTimeoutS < 0 || c.IdleTimeoutS > maxClientIdleS {
-			t.Fatalf("taken: %+v", c)
+			t.Fatalf("Parse(%q) accepted %+v, want an error", b, c)
 		}
 	})
 }
 
-// The default holds where nothing is said, and -1 turns off.
+// Guards against wrong values for keys that are left out, which must have their default,
+// and for -1, which must turn a feature off.
 func TestDefaultsAndOverrides(t *testing.T) {
 	for text, want := range map[string]int{
 		"":                             msgtrace.DefaultPerSecond,
@@ -191,7 +199,7 @@
 	} {
 		f, err := Parse("o.toml", []byte(text))
 		if err != nil || f.Traces.MaxPerSecond() != want {
-			t.Errorf("%q: %v, %v", text, f, err)
+			t.Errorf("Parse(%q) = %+v, %v, want %d traces per second", text, f, err, want)
 		}
 	}
 	for text, want := range map[string]idlestore.Limits{
@@ -201,7 +209,7 @@
 	} {
 		f, err := Parse("o.toml", []byte(text))
 		if err != nil || f.Passivation.Limits() != want || f.Discovery.MaxListBytes() != 4<<20 {
-			t.Errorf("%q: %v, %v", text, f, err)
+			t.Errorf("Parse(%q) = %+v, %v, want passivation limits %+v and lists of 4 MiB", text, f, err, want)
 		}
 	}
 	for text, want := range map[string]time.Duration{
@@ -211,7 +219,7 @@
 	} {
 		f, err := Parse("o.toml", []byte(text))
 		if err != nil || f.PolicyState.WritePeriod() != want {
-			t.Errorf("%q: %v, %v", text, f, err)
+			t.Errorf("Parse(%q) = %+v, %v, want a write period of %v", text, f, err, want)
 		}
 	}
 }
--- a/internal/operatorconfig/format_test.go
+++ b/internal/operatorconfig/format_test.go
@@ -10,7 +10,8 @@
 	"testing"
 )
 
-// Each key that the file may have arrives where it belongs.
+// Guards against a key that is ignored or stored in the wrong field. The file must set every
+// key, so that a new key is tested as well.
 func TestEveryKey(t *testing.T) {
 	path := filepath.Join("testdata", "every_key.toml")
 	text, err := os.ReadFile(path)
@@ -77,32 +78,33 @@
 		},
 	}
 	if !reflect.DeepEqual(f, want) {
-		t.Errorf("got\n%+v\nwant\n%+v", f, want)
+		t.Errorf("Parse(every_key.toml) =\n%+v\nwant\n%+v", f, want)
 	}
-	if got := unset(reflect.ValueOf(f).Elem(), "file"); len(got) > 0 {
-		t.Errorf("keys that the file leaves out: %q", got)
+	if got := unsetKeys(reflect.ValueOf(f).Elem(), "file"); len(got) > 0 {
+		t.Errorf("keys that every_key.toml leaves out = %q, want none", got)
 	}
 }
 
-// unset names the keys of fields that have their zero value.
-func unset(v reflect.Value, key string) (names []string) {
+// unsetKeys returns the keys of the fields in v that have their zero value. key is the key
+// of v itself.
+func unsetKeys(v reflect.Value, key string) (unset []string) {
 	if v.IsZero() {
 		return []string{key}
 	}
 	switch v.Kind() {
 	case reflect.Struct:
 		for i := range v.NumField() {
-			names = append(names, unset(v.Field(i), key+"."+v.Type().Field(i).Tag.Get("toml"))...)
+			unset = append(unset, unsetKeys(v.Field(i), key+"."+v.Type().Field(i).Tag.Get("toml"))...)
 		}
 	case reflect.Slice:
 		for i := range v.Len() {
-			names = append(names, unset(v.Index(i), key)...)
+			unset = append(unset, unsetKeys(v.Index(i), key)...)
 		}
 	}
-	return names
+	return unset
 }
 
-// The text of each error, whole: operators and their scripts read it.
+// Guards against a change of the error texts, which operators and their scripts read.
 func TestErrorTexts(t *testing.T) {
 	text, err := os.ReadFile(filepath.Join("testdata", "errors.json"))
 	if err != nil {
@@ -118,15 +120,16 @@
 	for _, c := range cases {
 		got, want := withoutGoNames(parseErrors(c.File)), withoutGoNames(c.Errors)
 		if !slices.Equal(got, want) {
-			t.Errorf("%q: got\n%q\nwant\n%q", c.File, got, want)
+			t.Errorf("Parse(%q): errors =\n%q\nwant\n%q", c.File, got, want)
 		}
 	}
 }
 
-// goName is the name of a Go field, which the TOML library tells beside line and
-// key. It follows the package's name, so it is not compared.
+// goName matches the name of a Go field, which some errors of the TOML library contain. It
+// is not compared, because it changes when the package or the field is renamed.
 var goName = regexp.MustCompile(`struct field \S+`)
 
+// withoutGoNames returns the texts without the names of Go fields.
 func withoutGoNames(texts []string) []string {
 	var list []string
 	for _, text := range texts {
@@ -135,7 +138,7 @@
 	return list
 }
 
-// parseErrors gives the text of each error of a file.
+// parseErrors returns the text of each error that Parse finds in a file.
 func parseErrors(text string) (all []string) {
 	_, err := Parse("o.toml", []byte(text))
 	if many, ok := err.(interface{ Unwrap() []error }); ok {
--- a/internal/operatorconfig/handshakes.go
+++ b/internal/operatorconfig/handshakes.go
@@ -18,21 +18,21 @@
 	maxSessionCacheSize     = 1 << 16
 )
 
-// Handshakes are the settings for TLS handshakes with all endpoints together.
+// Handshakes contains the settings for TLS handshakes, which all endpoints share.
 type Handshakes struct {
-	// CPUShare is the part of one core that handshakes may use, above 0 and at most 1.
+	// CPUShare is the share of one core that handshakes may use, above 0 and at most 1.
 	CPUShare float64 `toml:"share"`
-	// BurstMS is the processor time that they may use at once, in ms.
+	// BurstMS is the processor time that handshakes may use in a burst, in ms.
 	BurstMS float64 `toml:"burst_ms"`
-	// MaxParallel is the maximum number of handshakes in flight with one endpoint.
+	// MaxParallel is the maximum number of concurrent handshakes with one endpoint.
 	MaxParallel int `toml:"parallel"`
 	// TimeoutS is the timeout of a handshake, in seconds.
 	TimeoutS float64 `toml:"timeout_s"`
 	// MaxSessions is the number of sessions cached for resumption; -1 for none.
 	MaxSessions int `toml:"sessions"`
-	// SessionKey is a file with at least 32 bytes, from which the key is derived that
-	// encrypts the sessions stored in the state directory. If it is empty, sessions are
-	// not stored.
+	// SessionKey is the path of a file with at least 32 bytes. The key that encrypts the
+	// sessions in the state directory is derived from these bytes. If SessionKey is empty,
+	// sessions are not stored.
 	SessionKey string `toml:"session_key"`
 }
 
--- a/internal/operatorconfig/tls.go
+++ b/internal/operatorconfig/tls.go
@@ -26,40 +26,41 @@
 	refuseUnknownRevocation = "refuse"
 )
 
-// TLSRule are the settings for destinations whose endpoints are called over TLS.
+// TLSRule contains the settings for destinations whose endpoints are called over TLS.
 type TLSRule struct {
 	// Name identifies the rule in logs and metrics.
 	Name string `toml:"name"`
-	// Destinations and Flavors select the destinations: by number, and by the flavor
-	// that the endpoint list gives.
+	// Destinations and Flavors select the destinations of the rule, by number and by the
+	// flavor in the endpoint list.
 	Destinations []int    `toml:"destinations"`
 	Flavors      []string `toml:"flavors"`
-	// ServerName is sent as SNI, and is the name that a certificate must contain
-	// (RFC 6125).
+	// ServerName is sent as SNI. The endpoint's certificate must contain it (RFC 6125).
 	ServerName string `toml:"server_name"`
-	// Roots is a PEM file with the trusted authorities. The system's are not used.
+	// Roots is a PEM file with the trusted certificate authorities. The authorities of the
+	// system are not used.
 	Roots string `toml:"roots"`
-	// Pins are SHA-256 hashes of public keys in base64 (RFC 7469 section 2.4), one of
-	// which must be in the chain. There are none or at least two.
+	// Pins contains SHA-256 hashes of public keys in base64 (RFC 7469 section 2.4). The
+	// certificate chain must contain one of these keys. Pins has no or at least two
+	// elements.
 	Pins []string `toml:"pins"`
-	// Certificate and Key are PEM files with the client certificate.
+	// Certificate and Key are PEM files with the client certificate and its private key.
 	Certificate string `toml:"certificate"`
 	Key         string `toml:"key"`
-	// Revocations is a file with revocation lists (RFC 5280 section 5).
+	// Revocations is a file with certificate revocation lists (RFC 5280 section 5).
 	Revocations string `toml:"revocations"`
-	// UnknownRevocation is "accept" or "refuse": what to do with a certificate whose
-	// revocation status is known neither from a staple nor from a list.
+	// UnknownRevocation is "accept" or "refuse". It applies to certificates whose
+	// revocation status is known neither from an OCSP staple nor from a revocation list.
 	UnknownRevocation string `toml:"unknown_revocation"`
-	// MinVersion is "1.2" or "1.3".
+	// MinVersion is the minimum TLS version, "1.2" or "1.3".
 	MinVersion string `toml:"min_version"`
-	// HandshakeWeight is the cost of a handshake for the endpoint, in calls.
+	// HandshakeWeight is the load that a handshake puts on the endpoint, in units of calls.
 	HandshakeWeight *float64 `toml:"handshake_weight"`
-	// ExpiryWarningDays is the number of days before its expiry at which a certificate
-	// is warned of.
+	// ExpiryWarningDays is the number of days before a certificate's expiry from which on
+	// the relay warns of it.
 	ExpiryWarningDays int `toml:"warn_days"`
 }
 
-// Rule returns the rule without the contents of its files.
+// Rule returns the rule for package tlspolicy, without the contents of the rule's files.
 func (r *TLSRule) Rule() (tlspolicy.Rule, error) {
 	rule := tlspolicy.Rule{
 		Name: r.Name, ServerName: r.ServerName,
@@ -75,12 +76,13 @@
 	return rule, nil
 }
 
-// Files returns the rule's files.
+// Files returns the paths of the rule's files.
 func (r *TLSRule) Files() certstore.Files {
 	return certstore.Files{Certificate: r.Certificate, Key: r.Key, Roots: r.Roots, RevocationLists: r.Revocations}
 }
 
-// ConnectionCost returns the cost of opening a connection for the endpoint, in calls.
+// ConnectionCost returns the load that a new connection puts on the endpoint, in units of
+// calls.
 func (r *TLSRule) ConnectionCost() float64 {
 	if r.HandshakeWeight == nil {
 		return defaultHandshakeWeight
@@ -88,7 +90,8 @@
 	return *r.HandshakeWeight
 }
 
-// ExpiryWarning returns the time before its expiry at which a certificate is warned of.
+// ExpiryWarning returns the duration before a certificate's expiry from which on the relay
+// warns of it.
 func (r *TLSRule) ExpiryWarning() time.Duration {
 	return time.Duration(cmp.Or(r.ExpiryWarningDays, defaultExpiryWarningDays)) * 24 * time.Hour
 }
@@ -97,7 +100,7 @@
 	return tlspolicy.RuleTarget{Rule: r.Name, Destinations: r.Destinations, Flavors: r.Flavors}
 }
 
-// Targets returns the destinations of each rule.
+// Targets returns the destinations that each rule selects.
 func (f *File) Targets() []tlspolicy.RuleTarget {
 	var targets []tlspolicy.RuleTarget
 	for i := range f.TLSRules {
@@ -106,7 +109,8 @@
 	return targets
 }
 
-// validateTLS validates the rules, alone and together, and the handshake settings.
+// validateTLS validates each rule, checks that the rules do not conflict, and validates the
+// handshake settings.
 func (f *File) validateTLS(check *tomlfile.Checker) {
 	if len(f.TLSRules) > maxTLSRules {
 		check.Errorf("tls", "%d rules, want %d at most", len(f.TLSRules), maxTLSRules)
@@ -126,19 +130,21 @@
 	f.Handshakes.validate(check)
 }
 
-func (r *TLSRule) validateName(check *tomlfile.Checker, key string, taken bool) {
+// validateName validates the rule's name. duplicate reports whether an earlier rule has the
+// same name.
+func (r *TLSRule) validateName(check *tomlfile.Checker, key string, duplicate bool) {
 	switch {
 	case r.Name == "":
 		check.Errorf(key, "missing")
 	case len(r.Name) > maxRuleNameLength || strings.Trim(r.Name, ruleNameAlphabet) != "":
 		check.Errorf(key, "%.60q, want %d small letters, digits, - and _ at most", r.Name, maxRuleNameLength)
-	case taken:
+	case duplicate:
 		check.Errorf(key, "%q is named twice", r.Name)
 	}
 }
 
-// validate validates the rule except for its name. key returns the full key of one of
-// the rule's keys.
+// validate validates the rule except for its name. key returns the full name of a key of
+// the rule, for example tls[0].pins.
 func (r *TLSRule) validate(check *tomlfile.Checker, key func(name string) string) {
 	rule, err := r.Rule()
 	if err != nil {
--- a/internal/operatorconfig/tuning.go
+++ b/internal/operatorconfig/tuning.go
@@ -9,10 +9,10 @@
 	"troutusher/internal/tomlfile"
 )
 
-// Traces are the settings for message traces in the log.
+// Traces contains the settings for message traces in the program's log.
 type Traces struct {
-	// PerSecond is the number of messages per second that are traced from their
-	// acceptance on; -1 for none.
+	// PerSecond is the number of messages per second that are traced from their acceptance;
+	// -1 for none.
 	PerSecond int `toml:"per_second"`
 }
 
@@ -27,10 +27,10 @@
 	}
 }
 
-// PolicyState are the settings for the stored state of the policy.
+// PolicyState contains the settings for storing the policy's state.
 type PolicyState struct {
-	// WritePeriodS is the period of its writes while it changes, in seconds. With -1
-	// it is neither written nor read.
+	// WritePeriodS is the interval between writes while the state changes, in seconds. With
+	// -1 the state is neither written nor read.
 	WritePeriodS float64 `toml:"period_s"`
 }
 
@@ -40,24 +40,24 @@
 	maxWritePeriodS     = 60
 )
 
-// WritePeriod returns the period of writes, or 0 if the state is not stored.
+// WritePeriod returns the interval between writes, or 0 if the state is not stored.
 func (s *PolicyState) WritePeriod() time.Duration {
 	return seconds(max(cmp.Or(s.WritePeriodS, defaultWritePeriodS), 0))
 }
 
 func (s *PolicyState) validate(check *tomlfile.Checker) {
-	if p := s.WritePeriodS; p != 0 && p != -1 && !within(p, minWritePeriodS, maxWritePeriodS) {
-		check.Errorf("learned.period_s", "%v, want %v to %d, or -1", p, minWritePeriodS, maxWritePeriodS)
+	if period := s.WritePeriodS; period != 0 && period != -1 && !within(period, minWritePeriodS, maxWritePeriodS) {
+		check.Errorf("learned.period_s", "%v, want %v to %d, or -1", period, minWritePeriodS, maxWritePeriodS)
 	}
 }
 
-// Passivation are the settings for passivating idle destinations.
+// Passivation contains the settings for passivating idle destinations.
 type Passivation struct {
-	// MaxActive is the number of destinations that stay active however long they are
+	// MaxActive is the number of destinations that stay active no matter how long they are
 	// idle; -1 for all.
 	MaxActive int `toml:"awake"`
-	// IdleTimeoutS is the time without a message after which a destination beyond
-	// MaxActive is passivated, in seconds.
+	// IdleTimeoutS is the time without a message, in seconds, after which a destination is
+	// passivated if more than MaxActive are active.
 	IdleTimeoutS float64 `toml:"quiet_s"`
 }
 
@@ -69,7 +69,7 @@
 	maxPassivationIdleS = 86400
 )
 
-// Limits returns the limits for the core.
+// Limits returns the limits for passivating destinations.
 func (p *Passivation) Limits() idlestore.Limits {
 	return idlestore.Limits{
 		MaxActive:   max(cmp.Or(p.MaxActive, defaultMaxActive), 0),
@@ -86,9 +86,9 @@
 	}
 }
 
-// Discovery are the settings for the endpoint list.
+// Discovery contains the settings for the endpoint list.
 type Discovery struct {
-	// MaxListMB is the maximum size of a list, in units of 2^20 bytes.
+	// MaxListMB is the maximum size of an endpoint list, in units of 2^20 bytes.
 	MaxListMB int `toml:"list_mb"`
 }
 
@@ -97,7 +97,7 @@
 	maxListMB     = 1024
 )
 
-// MaxListBytes returns the maximum size of a list in bytes.
+// MaxListBytes returns the maximum size of an endpoint list in bytes.
 func (d *Discovery) MaxListBytes() int { return cmp.Or(d.MaxListMB, defaultListMB) << 20 }
 
 func (d *Discovery) validate(check *tomlfile.Checker) {
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -1,5 +1,5 @@
-// Package settings maps the settings text, as the simulator and a deployment both give it, to the settings of package
-// policy. It decides nothing.
+// Package settings converts the settings in the platform's format, which the simulator and a deployment share, to
+// policy.Settings.
 package settings
 
 import (
@@ -9,7 +9,7 @@
 	"troutusher/policy"
 )
 
-// The words of the settings text that a value is told by.
+// Values of keys that are stored as strings. The comments name the keys.
 const (
 	decayHalving  = "halving"    // specifics.late
 	valueByWork   = "work"       // value_by
@@ -24,31 +24,31 @@
 	"fragile":   policy.NonIdempotent,
 }
 
-// ForPolicy maps the settings text to the settings of the decision module.
-func ForPolicy(text *wire.Settings) (policy.Settings, error) {
-	limits, safety := &text.Limits, &text.Safety
-	mapped := policy.Settings{
-		Relays:               text.Balancers,
-		Zone:                 text.Zone,
-		Tenants:              tenants(text),
-		DestinationKinds:     destinationKinds(text),
-		MaxConcurrentCalls:   text.Specifics.CallsOut,
+// ForPolicy converts settings in the platform's format to the settings of package policy.
+func ForPolicy(from *wire.Settings) (policy.Settings, error) {
+	limits, safety := &from.Limits, &from.Safety
+	converted := policy.Settings{
+		Relays:               from.Balancers,
+		Zone:                 from.Zone,
+		Tenants:              tenants(from),
+		DestinationKinds:     destinationKinds(from),
+		MaxConcurrentCalls:   from.Specifics.CallsOut,
 		MaxPending:           limits.MostHeld,
 		MaxAttempts:          limits.MostTries,
-		ExponentialDecay:     text.Specifics.Late == decayHalving,
-		OverQuotaWeight:      text.OverShareWorth,
-		WeightByCost:         text.ValueBy == valueByWork,
-		ListHasRates:         text.Weights != "" && text.Weights != weightsNone,
+		ExponentialDecay:     from.Specifics.Late == decayHalving,
+		OverQuotaWeight:      from.OverShareWorth,
+		WeightByCost:         from.ValueBy == valueByWork,
+		ListHasRates:         from.Weights != "" && from.Weights != weightsNone,
 		HealthChecks:         limits.Probing,
 		Cancellation:         limits.MayCancel,
 		SendRetryAfter:       limits.RetryAfter,
 		MaxRetryAfter:        limits.MaxRetryAfter,
-		PollList:             text.Discovery == listOnRequest,
+		PollList:             from.Discovery == listOnRequest,
 		PollInterval:         safety.AskEvery,
 		ConnectTimeout:       limits.ConnectTimeout,
 		IdleTimeout:          limits.KeepAlive,
 		StreamsPerConnection: limits.StreamsPerConn,
-		TickInterval:         text.Tick,
+		TickInterval:         from.Tick,
 		ReplyGrace:           safety.AnswerSlack,
 		DrainGrace:           safety.DrainGrace,
 		InitialCapacity:      safety.StartCapacity,
@@ -57,12 +57,12 @@
 		OverloadDuration:     safety.FallTime,
 		OrderedKeyBackoff:    safety.KeyRest,
 	}
-	for i, class := range text.Classes {
+	for i, class := range from.Classes {
 		idempotency, ok := idempotencyByName[class.Repeat]
 		if !ok {
-			return mapped, fmt.Errorf("settings: classes[%d].repeat: unknown kind %q", i, class.Repeat)
+			return converted, fmt.Errorf("settings: classes[%d].repeat: unknown kind %q", i, class.Repeat)
 		}
-		mapped.Classes = append(mapped.Classes, policy.Class{
+		converted.Classes = append(converted.Classes, policy.Class{
 			Name:             class.Name,
 			LatencyObjective: class.Target,
 			Deadline:         class.Deadline,
@@ -74,30 +74,30 @@
 			Ordered:          class.Sequential,
 		})
 	}
-	return mapped, nil
+	return converted, nil
 }
 
-func tenants(text *wire.Settings) []policy.Tenant {
-	var mapped []policy.Tenant
-	for _, account := range text.Accounts {
-		mapped = append(mapped, policy.Tenant{Name: account.Name, Quota: account.Quota})
+func tenants(from *wire.Settings) []policy.Tenant {
+	var converted []policy.Tenant
+	for _, account := range from.Accounts {
+		converted = append(converted, policy.Tenant{Name: account.Name, Quota: account.Quota})
 	}
-	return mapped
+	return converted
 }
 
-// destinationKinds maps the kinds; one that the specifics leave out has one limit for all its endpoints, and calls of
-// one message.
-func destinationKinds(text *wire.Settings) []policy.DestinationKind {
-	var mapped []policy.DestinationKind
-	for i := range text.Kinds {
+// destinationKinds converts the kinds of destinations. The endpoints of a kind that the specifics leave out share one
+// limit, and each of its calls carries one message.
+func destinationKinds(from *wire.Settings) []policy.DestinationKind {
+	var converted []policy.DestinationKind
+	for i := range from.Kinds {
 		kind := policy.DestinationKind{BatchSize: 1}
-		if i < len(text.Specifics.OwnLimits) {
-			kind.IndependentRoutes = text.Specifics.OwnLimits[i]
+		if i < len(from.Specifics.OwnLimits) {
+			kind.IndependentRoutes = from.Specifics.OwnLimits[i]
 		}
-		if i < len(text.Specifics.KindBatch) {
-			kind.BatchSize = text.Specifics.KindBatch[i]
+		if i < len(from.Specifics.KindBatch) {
+			kind.BatchSize = from.Specifics.KindBatch[i]
 		}
-		mapped = append(mapped, kind)
+		converted = append(converted, kind)
 	}
-	return mapped
+	return converted
 }
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -10,7 +10,7 @@
 	"troutusher/policy"
 )
 
-// readSettings parses the recorded settings text, in which every value differs.
+// readSettings parses the recorded settings, in which every number is different.
 func readSettings(t *testing.T) *wire.Settings {
 	t.Helper()
 	text, err := os.ReadFile("testdata/settings.json")
@@ -24,7 +24,7 @@
 	return parsed
 }
 
-// TestMapping pins where each key of the settings text goes.
+// TestMapping guards against a key that is ignored or converted to the wrong setting.
 func TestMapping(t *testing.T) {
 	got, err := ForPolicy(readSettings(t))
 	if err != nil {
@@ -103,11 +103,11 @@
 		},
 	}
 	if !reflect.DeepEqual(got, want) {
-		t.Errorf("mapped to\n%+v, want\n%+v", got, want)
+		t.Errorf("ForPolicy(settings.json) =\n%+v, want\n%+v", got, want)
 	}
 }
 
-// TestValuesWithMeaning pins the words that a key's value may be.
+// TestValuesWithMeaning guards against a string value of a key that is converted to the wrong setting.
 func TestValuesWithMeaning(t *testing.T) {
 	tests := []struct {
 		name   string
@@ -116,49 +116,49 @@
 		want   bool
 	}{
 		{
-			"late by a line",
+			"linear decay of late messages",
 			func(s *wire.Settings) { s.Specifics.Late = "linear" },
-			func(d policy.Settings) bool { return d.ExponentialDecay },
+			func(s policy.Settings) bool { return s.ExponentialDecay },
 			false,
 		},
 		{
-			"value by count",
+			"messages weighted by number",
 			func(s *wire.Settings) { s.ValueBy = "count" },
-			func(d policy.Settings) bool { return d.WeightByCost },
+			func(s policy.Settings) bool { return s.WeightByCost },
 			false,
 		},
 		{
-			"no weights",
+			"list without weights",
 			func(s *wire.Settings) { s.Weights = "none" },
-			func(d policy.Settings) bool { return d.ListHasRates },
+			func(s policy.Settings) bool { return s.ListHasRates },
 			false,
 		},
 		{
-			"weights left out",
+			"weights key empty",
 			func(s *wire.Settings) { s.Weights = "" },
-			func(d policy.Settings) bool { return d.ListHasRates },
+			func(s policy.Settings) bool { return s.ListHasRates },
 			false,
 		},
 		{
-			"list pushed",
+			"endpoint list pushed",
 			func(s *wire.Settings) { s.Discovery = "push" },
-			func(d policy.Settings) bool { return d.PollList },
+			func(s policy.Settings) bool { return s.PollList },
 			false,
 		},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
-			text := readSettings(t)
-			tt.change(text)
-			mapped, err := ForPolicy(text)
-			if err != nil || tt.got(mapped) != tt.want {
-				t.Errorf("got %v, error %v, want %v", tt.got(mapped), err, tt.want)
+			settings := readSettings(t)
+			tt.change(settings)
+			converted, err := ForPolicy(settings)
+			if err != nil || tt.got(converted) != tt.want {
+				t.Errorf("ForPolicy: setting = %v, error %v, want %v, nil", tt.got(converted), err, tt.want)
 			}
 		})
 	}
-	text := readSettings(t)
-	text.Classes[1].Repeat = "sometimes"
-	if _, err := ForPolicy(text); err == nil || !strings.Contains(err.Error(), "classes[1].repeat") {
-		t.Errorf("an unknown repeat: error %v", err)
+	settings := readSettings(t)
+	settings.Classes[1].Repeat = "sometimes"
+	if _, err := ForPolicy(settings); err == nil || !strings.Contains(err.Error(), "classes[1].repeat") {
+		t.Errorf("ForPolicy with an unknown repeat: error %v, want one that names classes[1].repeat", err)
 	}
 }
--- a/internal/tomlfile/checker_test.go
+++ b/internal/tomlfile/checker_test.go
@@ -6,8 +6,8 @@
 	"testing"
 )
 
-// Each error names the line of its key, or of the table that the key was left out
-// of; tables of arrays are numbered.
+// Guards against an error that names the wrong line: it must be the line of the key, or of
+// its table if the key is missing. Tables of arrays have an index.
 func TestErrorNamesLine(t *testing.T) {
 	const text = `top = 1
 inline = { inner = { deep = 2 } }
@@ -37,23 +37,23 @@
 	} {
 		c := Checker{file: check.file, lines: check.lines}
 		c.Errorf(test.key, "is %s", "wrong")
-		var one *Error
-		if err := c.Err(); !errors.As(err, &one) || err.Error() != test.want {
-			t.Errorf("%s: %v, want %s", test.key, err, test.want)
+		var lineError *Error
+		if err := c.Err(); !errors.As(err, &lineError) || err.Error() != test.want {
+			t.Errorf("Errorf(%s): Err() = %v, want an *Error with the text %s", test.key, err, test.want)
 		}
 	}
 }
 
-// Errors beyond the limit are left out.
+// Guards against an error text of unlimited size for a file with many errors.
 func TestErrorLimit(t *testing.T) {
 	c := Checker{file: "f.toml"}
 	if err := c.Err(); err != nil {
-		t.Errorf("nothing is wrong: %v", err)
+		t.Errorf("Err() without errors = %v, want nil", err)
 	}
 	for range 2 * maxErrors {
 		c.Errorf("key", "is wrong")
 	}
 	if n := strings.Count(c.Err().Error(), "\n") + 1; n != maxErrors {
-		t.Errorf("%d errors, want %d", n, maxErrors)
+		t.Errorf("Err() after %d errors has %d lines, want %d", 2*maxErrors, n, maxErrors)
 	}
 }
--- a/internal/tomlfile/lines.go
+++ b/internal/tomlfile/lines.go
@@ -7,8 +7,8 @@
 	"github.com/pelletier/go-toml/v2/unstable"
 )
 
-// keyLines returns the line numbers of the keys in a TOML text. Tables of an array
-// have indices, as in fault[2].at_s.
+// keyLines returns the line number of each key in a TOML text. Keys in tables of an array
+// contain the index of the table, as in fault[2].at_s.
 func keyLines(text []byte) map[string]int {
 	f := &lineFinder{lines: map[string]int{}, arraySizes: map[string]int{}}
 	f.parser.Reset(text)
@@ -25,11 +25,12 @@
 	return f.lines
 }
 
+// lineFinder collects the line numbers of the keys while it walks through a TOML text.
 type lineFinder struct {
 	parser     unstable.Parser
-	lines      map[string]int // by full key
-	arraySizes map[string]int // number of tables so far, by the name of their array
-	table      string         // the full key of the current table
+	lines      map[string]int // line number of each full key
+	arraySizes map[string]int // number of tables found so far in each array
+	table      string         // full key of the current table
 }
 
 func (f *lineFinder) addTable(node *unstable.Node) {
@@ -50,7 +51,7 @@
 	f.lines[f.table] = f.line(node)
 }
 
-// addKeyValue adds a key, and the keys in its value if that is an inline table.
+// addKeyValue adds a key and, if its value is an inline table, the keys in that table.
 func (f *lineFinder) addKeyValue(prefix string, node *unstable.Node) {
 	key := dottedKey(node)
 	if prefix != "" {
@@ -64,7 +65,7 @@
 	}
 }
 
-// line returns the line of a node's key.
+// line returns the line of a node's key, or 0 if the node has no key.
 func (f *lineFinder) line(node *unstable.Node) int {
 	key := node.Key()
 	if !key.Next() {
@@ -82,4 +83,5 @@
 	return strings.Join(parts, ".")
 }
 
+// arrayKey returns the key of one table of an array.
 func arrayKey(array string, index int) string { return fmt.Sprintf("%s[%d]", array, index) }
--- a/internal/tomlfile/tomlfile.go
+++ b/internal/tomlfile/tomlfile.go
@@ -1,8 +1,8 @@
-// Package tomlfile reads TOML files that operators write, and reports each error in
-// one with file, line and key.
+// Package tomlfile reads TOML files that operators write, and reports each error with its
+// file, line and key.
 //
-// It owns the format of these errors and the limit of a file's size. Which values are
-// valid is up to the caller.
+// The package defines the format of these errors and the maximum size of a file. The caller
+// decides which values are valid.
 package tomlfile
 
 import (
@@ -19,7 +19,7 @@
 // MaxFileBytes is the maximum size of a file.
 const MaxFileBytes = 1 << 20
 
-// Read reads a file of at most MaxFileBytes.
+// Read reads a file. It returns an error if the file is larger than MaxFileBytes.
 func Read(path string) ([]byte, error) {
 	f, err := os.Open(path)
 	if err != nil {
@@ -35,13 +35,13 @@
 
 func checkSize(file string, text []byte) error {
 	if len(text) > MaxFileBytes {
-		return &Error{File: file, Text: fmt.Sprintf("more than %d bytes", MaxFileBytes)}
+		return &Error{File: file, Text: fmt.Sprintf("the file has more than %d bytes", MaxFileBytes)}
 	}
 	return nil
 }
 
-// Decode decodes a TOML text into a struct. Keys that the struct does not have are
-// errors. The returned error joins an *Error for each finding, with file as its name.
+// Decode decodes a TOML text into a struct. A key without a field in the struct is an error.
+// The returned error joins one *Error for each problem. file is the file's name in them.
 func Decode(file string, text []byte, into any) (*Checker, error) {
 	if err := checkSize(file, text); err != nil {
 		return nil, err
@@ -53,7 +53,7 @@
 	return &Checker{file: file, lines: keyLines(text)}, nil
 }
 
-// decodeErrors converts the decoder's error to a join of *Error values.
+// decodeErrors converts an error of the decoder to joined *Error values.
 func decodeErrors(file string, err error) error {
 	var unknownKeys *toml.StrictMissingError
 	var invalid *toml.DecodeError
