--- a/internal/config/limits.go
+++ b/internal/config/limits.go
@@ -13,7 +13,7 @@
 	Cores    float64 `json:"cores"`
 	MemoryMB int     `json:"memory_mb"` // in units of 2^20 bytes
 	Sockets  int     `json:"sockets"`   // file descriptors
-	DiskMB   int     `json:"disk_mb"`   // size of the state directory, in units of 2^20 bytes
+	DiskMB   int     `json:"disk_mb"`   // maximum size of the state directory, in units of 2^20 bytes
 }
 
 // Defaults of Limits.
@@ -87,9 +87,9 @@
 // connections to endpoints.
 //
 // Each call in flight needs a connection. The endpoints therefore get at least as many
-// descriptors as there are concurrent calls, unless that is more than half of all. If
-// possible they get twice as many, so that some connections to each endpoint can stay idle.
-// Otherwise each call would have to close the connection to another endpoint.
+// descriptors as there are concurrent calls, unless that is more than half of the free
+// ones. If possible they get twice as many, so that some connections to each endpoint can
+// stay idle. Otherwise each call would have to close the connection to another endpoint.
 func (c *Config) DescriptorBudget() (clients, endpoints int) {
 	free := c.Limits.Sockets - ReservedDescriptors
 	if maxConns := c.ClientSettings.MaxConns; maxConns > 0 {
--- a/internal/policystate/format.go
+++ b/internal/policystate/format.go
@@ -1,6 +1,6 @@
-// Package policystate stores the policy's state of its destinations in a file, so that a
-// restarted relay continues with it. The file has a version and a checksum and is replaced
-// atomically.
+// Package policystate stores the state that the policy has learned about destinations in a
+// file, so that a restarted relay can continue with it. The file has a version and a
+// checksum and is replaced atomically.
 //
 // The package is responsible for the file's format, the schedule of its writes, and the
 // limit of its size. It does not interpret the state: package policy defines its meaning
--- a/internal/policystate/kill_test.go
+++ b/internal/policystate/kill_test.go
@@ -43,7 +43,7 @@
 	}
 }
 
-// spin waits without sleeping, since a sleep cannot be as short.
+// spin waits in a loop, because time.Sleep cannot wait for so short a time.
 func spin(d time.Duration) {
 	for end := time.Now().Add(d); time.Now().Before(end); {
 		runtime.Gosched()
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -107,8 +107,8 @@
 	}
 }
 
-// TestValuesWithMeaning guards against a string value of a key that is converted to the wrong setting.
-func TestValuesWithMeaning(t *testing.T) {
+// TestStringValues guards against a string value of a key that is converted to the wrong setting.
+func TestStringValues(t *testing.T) {
 	tests := []struct {
 		name   string
 		change func(*wire.Settings)
