--- a/cmd/benchlink/host.go
+++ b/cmd/benchlink/host.go
@@ -10,21 +10,21 @@
 	"troutusher/policy"
 )
 
-const listCount = 16 // lists of endpoints that frames can name
+const listCount = 16 // numbered lists of endpoints that frames can refer to
 
-// instance is one relay of those that the process hosts.
+// instance is one of the relays that the process hosts.
 type instance struct {
 	engine *policy.Engine
 	report reportLayout
-	events []policy.Event // of the frame that is handled
-	queued bool           // it has events in this frame
+	events []policy.Event // events of the current frame
+	queued bool           // the instance has events in the current frame
 }
 
-// host keeps the instances of one process apart, and the lists of endpoints that they share.
+// host holds the relays of one process, which share nothing but the lists of endpoints.
 type host struct {
-	instances  map[uint16]*instance
+	instances  map[uint16]*instance // by relay number
 	lists      [listCount][]policy.EndpointUpdate
-	order      []uint16 // instances with events in this frame, by their first event
+	order      []uint16 // relays with events in the current frame, ordered by their first event
 	actions    []policy.Action
 	reply      []wire.Action
 	replyFrame []byte
@@ -32,14 +32,14 @@
 
 func newHost() *host { return &host{instances: map[uint16]*instance{}} }
 
-// handleFrame reads one frame and returns its reply, which is good until the next one.
+// handleFrame reads one frame and returns its reply, which is valid until the next call.
 func (h *host) handleFrame(in io.Reader) ([]byte, error) {
 	clock, events, err := wire.ReadBatch(in)
 	if err != nil {
 		return nil, err
 	}
 	if clock > math.MaxInt64 {
-		return nil, fmt.Errorf("batch header: clock %d is out of range", clock)
+		return nil, fmt.Errorf("batch header: clock %d is over the maximum of %d", clock, int64(math.MaxInt64))
 	}
 	h.reply, h.order = h.reply[:0], h.order[:0]
 	for i := range events {
@@ -54,7 +54,7 @@
 	return h.replyFrame, err
 }
 
-// step gives an instance its events of the frame.
+// step passes the frame's events of an instance to its engine, and adds the resulting actions to the reply.
 func (h *host) step(now policy.Time, id uint16, instance *instance) {
 	h.actions = instance.engine.Step(now, instance.events, h.actions[:0])
 	instance.events, instance.queued = instance.events[:0], false
@@ -63,7 +63,7 @@
 	}
 }
 
-// handleRecord keeps a record for its instance, or changes the host's own tables.
+// handleRecord queues a record for its instance, or updates the host's instances and lists.
 func (h *host) handleRecord(record *wire.Event) {
 	switch record.Code {
 	case wire.EvTable:
@@ -77,7 +77,8 @@
 	}
 }
 
-// start replaces an instance by a new one; one that cannot be made is reported.
+// start creates an instance, which replaces any earlier one of the same relay. If that fails, the relay has no
+// instance any more and the reply reports the error.
 func (h *host) start(record *wire.Event) {
 	instance, err := newInstance(record)
 	if err != nil {
@@ -88,7 +89,8 @@
 	h.instances[record.Relay] = instance
 }
 
-// queue keeps a record for its instance; one for an instance that has ended is dropped.
+// queue adds a record to the events of its instance. It drops a record of a relay that has no instance, since that
+// relay has stopped.
 func (h *host) queue(record *wire.Event) {
 	instance := h.instances[record.Relay]
 	if instance == nil {
@@ -105,7 +107,7 @@
 	}
 }
 
-// newInstance makes an instance from its settings text.
+// newInstance creates an instance from the settings text and the seed of its EvUp record.
 func newInstance(record *wire.Event) (*instance, error) {
 	text, err := wire.ParseSettings(record.Text)
 	if err != nil {
--- a/cmd/benchlink/host_test.go
+++ b/cmd/benchlink/host_test.go
@@ -18,6 +18,7 @@
 "start_capacity":0.2,"drain_grace_us":1000000},"specifics":{"calls_out":4,"kind_batch":[1],"own_limits":[false],
 "late":"halving"},"tick_us":5000,"weights":"nominal","zone":0}`
 
+// record returns a record of 48 bytes that holds only an event code and a relay.
 func record(code byte, relay uint16) []byte {
 	b := make([]byte, 48)
 	b[0] = code
@@ -25,43 +26,49 @@
 	return b
 }
 
-func startRecord(relay uint16, seed uint64, text string, off int) []byte {
+// startRecord returns the start of a relay, whose settings text is at an offset of the frame's tail.
+func startRecord(relay uint16, seed uint64, text string, offset int) []byte {
 	b := record(10, relay)
 	be.PutUint64(b[3:], seed)
-	be.PutUint32(b[11:], uint32(off))
+	be.PutUint32(b[11:], uint32(offset))
 	be.PutUint32(b[15:], uint32(len(text)))
 	return b
 }
 
-func tableRecord(n byte, off, entries int) []byte {
+// tableRecord returns a numbered list of endpoints, whose entries are at an offset of the frame's tail.
+func tableRecord(number byte, offset, entries int) []byte {
 	b := make([]byte, 48)
-	b[0], b[1] = 110, n
-	be.PutUint32(b[2:], uint32(off))
+	b[0], b[1] = 110, number
+	be.PutUint32(b[2:], uint32(offset))
 	be.PutUint32(b[6:], uint32(entries))
 	return b
 }
 
-func syncRecord(relay uint16, n byte) []byte {
+// syncRecord returns an update of a relay's endpoint list to a numbered list.
+func syncRecord(relay uint16, number byte) []byte {
 	b := record(20, relay)
-	b[12] = n
+	b[12] = number
 	return b
 }
 
-func callRecord(relay uint16, id uint32) []byte {
+// callRecord returns the submission of a message with 5 s left until its deadline.
+func callRecord(relay uint16, message uint32) []byte {
 	b := record(30, relay)
-	be.PutUint32(b[3:], id)
+	be.PutUint32(b[3:], message)
 	be.PutUint32(b[15:], 5000000)
 	return b
 }
 
-func tableEntry(addr uint32) []byte {
+// tableEntry returns an endpoint of a list that is ready and takes 20 messages a second.
+func tableEntry(address uint32) []byte {
 	b := make([]byte, 24)
-	be.PutUint32(b, addr)
+	be.PutUint32(b, address)
 	b[11] = 1
-	be.PutUint32(b[12:], 0x41a00000) // 20 a second
+	be.PutUint32(b[12:], 0x41a00000) // 20 as a float32
 	return b
 }
 
+// frame encodes a batch frame with the given records and tail.
 func frame(clock uint64, tail []byte, records ...[]byte) []byte {
 	b := make([]byte, 16)
 	be.PutUint64(b, clock)
@@ -73,6 +80,7 @@
 	return append(b, tail...)
 }
 
+// run serves the frames of an input and returns the replies.
 func run(t *testing.T, in []byte) ([]byte, error) {
 	t.Helper()
 	var out bytes.Buffer
@@ -80,12 +88,12 @@
 	return out.Bytes(), err
 }
 
-// sends lists relay, message and address of each send in a stream of replies.
+// sends returns the relay, the message and the endpoint's address of each send in a stream of replies.
 func sends(t *testing.T, out []byte) (got [][3]uint32) {
 	t.Helper()
 	for len(out) > 0 {
-		size, n := int(be.Uint32(out)), int(be.Uint32(out[4:]))
-		for i := range n {
+		size, count := int(be.Uint32(out)), int(be.Uint32(out[4:]))
+		for i := range count {
 			r := out[8+24*i:]
 			if r[0] == 20 {
 				got = append(got, [3]uint32{uint32(be.Uint16(r[1:])), be.Uint32(r[3:]), be.Uint32(r[7:])})
@@ -96,7 +104,8 @@
 	return got
 }
 
-// TestListNumberReusedInOneFrame: each instance takes the list as it stood at its own event.
+// TestListNumberReusedInOneFrame sends two different lists under the same number in one frame. An instance must get the
+// list that the number stood for at the instance's own sync event, not the last one of the frame.
 func TestListNumberReusedInOneFrame(t *testing.T) {
 	tail := append(append([]byte(settingsText), tableEntry(1)...), tableEntry(2)...)
 	n := len(settingsText)
@@ -111,11 +120,12 @@
 		t.Fatal(err)
 	}
 	if got := sends(t, out); len(got) != 2 || got[0] != [3]uint32{0, 10, 1} || got[1] != [3]uint32{1, 11, 2} {
-		t.Fatalf("sends %v", got)
+		t.Fatalf("sends = %v, want relay 0's message 10 to address 1 and relay 1's message 11 to address 2", got)
 	}
 }
 
-// TestRestartInOneFrame: the second instance knows nothing of the first, not even its messages.
+// TestRestartInOneFrame stops and starts a relay within one frame. The second instance must not inherit state of the
+// first, such as its messages.
 func TestRestartInOneFrame(t *testing.T) {
 	tail := append([]byte(settingsText), tableEntry(1)...)
 	n := len(settingsText)
@@ -128,11 +138,12 @@
 		t.Fatal(err)
 	}
 	if got := sends(t, out); len(got) != 1 || got[0][1] != 12 {
-		t.Fatalf("sends %v", got)
+		t.Fatalf("sends = %v, want only message 12, which the second instance received", got)
 	}
 }
 
-// TestStoppedStaysSilent: no action for a relay that ended in the frame.
+// TestStoppedStaysSilent stops a relay in the frame in which it received a message. The reply must hold no action of a
+// stopped relay.
 func TestStoppedStaysSilent(t *testing.T) {
 	tail := append([]byte(settingsText), tableEntry(1)...)
 	out, err := run(t, frame(
@@ -141,59 +152,63 @@
 		record(100, 0),
 	))
 	if err != nil || !bytes.Equal(out, make([]byte, 8)) {
-		t.Fatalf("reply %x, error %v", out, err)
+		t.Fatalf("serve() = %x, error %v, want an empty reply", out, err)
 	}
 }
 
-// TestSameBytes: the same stream gives the same reply, byte for byte, and others in the process change nothing.
+// TestSameBytes checks that the same input gives the same replies, byte for byte, and that another
+// relay in the process does not change how many messages a relay sends. A random generator that relays
+// share, or an iteration over a map, would break this.
 func TestSameBytes(t *testing.T) {
 	stream := func(relays int) []byte {
-		r := rand.New(rand.NewPCG(1, 2))
+		rng := rand.New(rand.NewPCG(1, 2))
 		tail := append(append([]byte(settingsText), tableEntry(1)...), tableEntry(2)...)
-		var recs [][]byte
+		var records [][]byte
 		for i := range relays {
-			recs = append(
-				recs,
+			records = append(
+				records,
 				startRecord(uint16(i), uint64(i), settingsText, 0),
 				tableRecord(0, len(settingsText), 2),
 				syncRecord(uint16(i), 0),
 			)
 		}
-		in := frame(1e6, tail, recs...)
+		in := frame(1e6, tail, records...)
 		for step := range 50 {
-			recs = nil
-			for range r.IntN(4) {
-				id := uint32(step*10 + len(recs))
-				recs = append(recs, callRecord(0, id))
+			records = nil
+			for range rng.IntN(4) {
+				message := uint32(step*10 + len(records))
+				records = append(records, callRecord(0, message))
 				if relays > 1 {
-					recs = append(recs, callRecord(1, id))
+					records = append(records, callRecord(1, message))
 				}
 			}
-			in = append(in, frame(uint64(1e6+5000*step), nil, recs...)...)
+			in = append(in, frame(uint64(1e6+5000*step), nil, records...)...)
 		}
 		return in
 	}
-	a, err := run(t, stream(2))
-	b, err2 := run(t, stream(2))
-	if err != nil || err2 != nil || len(a) < 51*8+4*24 || !bytes.Equal(a, b) {
-		t.Fatalf("%d and %d bytes, errors %v, %v", len(a), len(b), err, err2)
+	first, err := run(t, stream(2))
+	second, err2 := run(t, stream(2))
+	if err != nil || err2 != nil || len(first) < 51*8+4*24 || !bytes.Equal(first, second) {
+		t.Fatalf("two runs: %d and %d bytes, errors %v, %v, want equal replies of at least %d bytes",
+			len(first), len(second), err, err2, 51*8+4*24)
 	}
-	alone, err := run(t, stream(1))
+	withoutOther, err := run(t, stream(1))
 	if err != nil {
 		t.Fatal(err)
 	}
-	var both [][3]uint32
-	for _, s := range sends(t, a) {
-		if s[0] == 0 {
-			both = append(both, s)
+	var sendsWithOther [][3]uint32
+	for _, send := range sends(t, first) {
+		if send[0] == 0 {
+			sendsWithOther = append(sendsWithOther, send)
 		}
 	}
-	if one := sends(t, alone); len(one) == 0 || len(one) != len(both) {
-		t.Fatalf("%d sends alone, %d with company", len(one), len(both))
+	if got := sends(t, withoutOther); len(got) == 0 || len(got) != len(sendsWithOther) {
+		t.Fatalf("relay 0 sends %d messages as the only relay, %d beside another, want the same number above 0",
+			len(got), len(sendsWithOther))
 	}
 }
 
-// TestInvalidSettingsAreReported: the wire's own way of saying it, with the key.
+// TestInvalidSettingsAreReported checks that a start with invalid settings gives a bug action with an error text.
 func TestInvalidSettingsAreReported(t *testing.T) {
 	for from, to := range map[string]string{
 		`"calls_out":4`: `"calls_out":0`, `"retryable"`: `"sometimes"`,
@@ -202,7 +217,8 @@
 		text := strings.Replace(settingsText, from, to, 1)
 		out, err := run(t, frame(1e6, []byte(text), startRecord(4, 1, text, 0)))
 		if err != nil || be.Uint32(out[4:]) != 1 || out[8] != 100 || be.Uint16(out[9:]) != 4 || len(out) <= 32 {
-			t.Errorf("%s: reply %s, error %v", to, hex.EncodeToString(out), err)
+			t.Errorf("settings with %s: serve() = %s, error %v, want one bug action of relay 4 with a text",
+				to, hex.EncodeToString(out), err)
 		}
 	}
 }
@@ -210,20 +226,21 @@
 func TestMalformedFrameEndsWithOneLine(t *testing.T) {
 	out, err := run(t, append(frame(1e6, nil), frame(2e6, nil, record(7, 0))...))
 	if err == nil || !strings.Contains(err.Error(), "frame 1: record 0") || strings.Contains(err.Error(), "\n") {
-		t.Fatalf("error %v", err)
+		t.Fatalf("serve() = error %q, want one line with %q", err, "frame 1: record 0")
 	}
 	if !bytes.Equal(out, make([]byte, 8)) {
-		t.Fatalf("output %x, want the first reply alone", out)
+		t.Fatalf("serve() = %x, want only the empty reply to the first frame", out)
 	}
 	if out, err := run(t, nil); err != nil || len(out) != 0 {
-		t.Fatalf("clean end: %x, %v", out, err)
+		t.Fatalf("serve(empty input) = %x, error %v, want no output and no error", out, err)
 	}
 }
 
-// TestUnknownRelay: an event for a life that is over is no fault and wakes nobody.
+// TestUnknownRelay sends an event for a relay that is not running. The simulator may send one after the relay has
+// stopped, so it must be dropped without an error.
 func TestUnknownRelay(t *testing.T) {
 	out, err := run(t, frame(1e6, nil, callRecord(9, 1)))
 	if err != nil || !bytes.Equal(out, make([]byte, 8)) {
-		t.Fatalf("reply %x, error %v", out, err)
+		t.Fatalf("serve() = %x, error %v, want an empty reply", out, err)
 	}
 }
--- a/cmd/benchlink/main.go
+++ b/cmd/benchlink/main.go
@@ -1,5 +1,6 @@
-// Command benchlink hosts one policy engine for each relay, and carries frames between them and standard input and
-// output. It decides nothing.
+// Command benchlink hosts the policy engines of simulated relays, one engine for each relay. It reads
+// frames of events from standard input, passes the events to the engines, and writes the engines'
+// actions to standard output. It takes no delivery decision itself.
 package main
 
 import (
@@ -21,7 +22,7 @@
 	}
 }
 
-// serve answers frames until the input ends; a clean end gives nil.
+// serve replies to each frame of the input. It returns nil when the input ends between two frames.
 func serve(in io.Reader, out *bufio.Writer) error {
 	hosted := newHost()
 	for n := 0; ; n++ {
--- a/cmd/benchlink/recorded_test.go
+++ b/cmd/benchlink/recorded_test.go
@@ -6,8 +6,8 @@
 	"testing"
 )
 
-// TestRecordedSession plays recorded frames, among them each kind of event and a start with bad settings, and
-// compares the replies byte for byte.
+// TestRecordedSession replays recorded frames and compares the replies byte for byte with the recorded ones. The frames
+// include each kind of event and a start with invalid settings.
 func TestRecordedSession(t *testing.T) {
 	frames, err := os.ReadFile("testdata/frames.bin")
 	if err != nil {
@@ -21,12 +21,12 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	for at := range min(len(got), len(want)) {
-		if got[at] != want[at] {
-			t.Fatalf("replies differ from byte %d on", at)
+	for i := range min(len(got), len(want)) {
+		if got[i] != want[i] {
+			t.Fatalf("replies: byte %d = %#x, want %#x", i, got[i], want[i])
 		}
 	}
 	if !bytes.Equal(got, want) {
-		t.Fatalf("replies of %d bytes, want %d", len(got), len(want))
+		t.Fatalf("replies: %d bytes, want %d", len(got), len(want))
 	}
 }
--- a/cmd/benchlink/translate.go
+++ b/cmd/benchlink/translate.go
@@ -8,8 +8,8 @@
 )
 
 const (
-	flagEstimate = 1 // of an EvCall: its estimate counts
-	noteNoSlot   = 1 // of an EvResolved that was moot: all slots were taken
+	flagEstimate = 1 // Flags of an EvCall: its Estimate is valid
+	noteNoSlot   = 1 // Note of an EvResolved with StatusMoot: all slots were taken
 )
 
 var outcomeByStatus = map[uint8]policy.Outcome{
@@ -30,10 +30,10 @@
 	wire.SyncFailed: policy.ListFailed,
 }
 
-// reportLayout says at which places of a load report its values stand; -1 where they do not.
+// reportLayout holds the positions of the known values within a load report, -1 for a value that the report lacks.
 type reportLayout struct{ remaining, limit int }
 
-// newReportLayout finds the places of x0, the share that is left, and of x1, the limit.
+// newReportLayout finds the positions of x0, the share of the capacity that remains, and of x1, the limit.
 func newReportLayout(fields []string) reportLayout {
 	layout := reportLayout{remaining: -1, limit: -1}
 	for i, field := range fields {
@@ -51,14 +51,15 @@
 	return policy.LoadReport{Remaining: reportValue(record, l.remaining), Limit: reportValue(record, l.limit)}
 }
 
-func reportValue(record *wire.Event, at int) float64 {
-	if at < 0 || at >= record.Reports {
+// reportValue returns the value at a position of a record's load report, 0 if the report has none there.
+func reportValue(record *wire.Event, position int) float64 {
+	if position < 0 || position >= record.Reports {
 		return 0
 	}
-	return float64(record.Report[at])
+	return float64(record.Report[position])
 }
 
-// endpointUpdates maps a list of endpoints.
+// endpointUpdates converts a list of endpoints of the wire to updates for the policy.
 func endpointUpdates(entries []wire.Entry) []policy.EndpointUpdate {
 	updates := make([]policy.EndpointUpdate, len(entries))
 	for i, entry := range entries {
@@ -74,7 +75,8 @@
 	return updates
 }
 
-// policyEvent maps a record to an event; false for a record that has no meaning here.
+// policyEvent converts a record to an event of the policy. It returns false for a record that the policy has no event
+// for.
 func (h *host) policyEvent(instance *instance, record *wire.Event) (policy.Event, bool) {
 	event := policy.Event{
 		Message:  record.Ticket,
@@ -110,6 +112,7 @@
 	return event, true
 }
 
+// fillMessage fills in the event of a submitted message.
 func fillMessage(event *policy.Event, record *wire.Event) {
 	event.Kind = policy.EvMessageSubmitted
 	event.Key = record.Subject
@@ -121,6 +124,7 @@
 	}
 }
 
+// fillEndOfAttempt fills in the event of an attempt that has ended. event.Outcome is already set.
 func fillEndOfAttempt(event *policy.Event, record *wire.Event) {
 	event.Kind, event.MessageFinished = policy.EvAttemptEnded, record.Settled
 	switch event.Outcome {
@@ -132,10 +136,10 @@
 	}
 }
 
-// wireAction maps an action of an instance to a record.
-func wireAction(id uint16, action *policy.Action) wire.Action {
+// wireAction converts an action of a relay's policy to a record.
+func wireAction(relay uint16, action *policy.Action) wire.Action {
 	record := wire.Action{
-		Relay:    id,
+		Relay:    relay,
 		Ticket:   action.Message,
 		Endpoint: uint64(action.Endpoint),
 		Attempt:  uint8(action.Attempt),
--- a/internal/event/event.go
+++ b/internal/event/event.go
@@ -1,43 +1,42 @@
-// Package event defines the events that a rehearsal records: submissions, calls
-// and their ends, health checks, notices, outages. Emulators and the load
-// generator emit them; the runner orders them, the checker and the reports read
-// them. It holds the types and nothing else, below all of these packages. No
-// event is bound to one client front end or protocol, and times are microseconds
-// since the rehearsal began, whichever clock they came from.
+// Package event defines the events that a rehearsal records: submissions, calls and their ends,
+// health checks, notices, outages. Emulators and the load generator emit events, the runner sorts
+// them, and the checker and the reports read them. All of these packages import this one; it holds
+// only the types and imports none of them. No event depends on a particular client front end or
+// protocol. All times are microseconds since the rehearsal began, whichever clock measured them.
 package event
 
-// Time is a time, in microseconds since the rehearsal began, or a duration.
+// Time is a point in time, in microseconds since the rehearsal began, or a duration in microseconds.
 type Time = int64
 
 // Kind is the kind of an event.
 type Kind uint8
 
-// Kinds of event, each with the fields that it uses beside At. A submission is one
-// attempt of a client to submit a message to a relay. Each has a new ID.
+// Kinds of event. Each comment lists the fields that the kind uses in addition to At. A submission
+// is one attempt of a client to submit a message to a relay; each submission has a new ID.
 const (
-	Submitted      Kind = iota // the last byte of a submission was written: ID, Message, Relay, Left
-	Accepted                   // the client was told that the message is accepted: ID
-	Rejected                   // the client was told that it is rejected: ID, Wait
-	Failed                     // the client got any other reply: ID, Text
+	Submitted      Kind = iota // the client wrote the last byte of a submission: ID, Message, Relay, Left
+	Accepted                   // the relay's reply accepted the message: ID
+	Rejected                   // the relay's reply rejected the message: ID, Wait
+	Failed                     // the client received any other reply: ID, Text
 	ClientTimedOut             // the client's timeout passed, and it closed the connection: ID
-	// the relay ended the connection without a reply: ID, Status (1: on the connection's first request)
+	// the relay closed the connection without a reply: ID, Status (1: on the connection's first request)
 	ConnectionEnded
-	CallFirstByte       // the first byte of a call came: Call, Relay, Endpoint
-	CallReceived        // its last byte came: Call, ID, Relay, Endpoint
-	CallEnded           // its response was written, or its connection ended: Call, Status (0: no response), Wait
-	CallFinal           // it can take effect no more: Call
-	TookEffect          // it took effect: Call
-	HealthCheckReceived // a health check came: Relay, Endpoint
-	HealthCheckAnswered // a health check was answered: Relay, Endpoint, Status
-	NoticeReceived      // a relay's notice of how a message ended came: ID, Relay, Status, Wait
-	EndpointUpdateSent  // an endpoint's phase was sent to a relay: Relay, Endpoint, Status (ToldUp ...)
-	OutageBegan         // an outage of an endpoint began: Endpoint, Status (1: where calls leave no trace)
-	OutageEnded         // it ended: Endpoint
+	CallFirstByte       // an endpoint received the first byte of a call: Call, Relay, Endpoint
+	CallReceived        // the endpoint received the call's last byte: Call, ID, Relay, Endpoint
+	CallEnded           // the response was written or the connection ended: Call, Status (0: no response), Wait
+	CallFinal           // the call can no longer take effect: Call
+	TookEffect          // the call took effect: Call
+	HealthCheckReceived // an endpoint received a health check: Relay, Endpoint
+	HealthCheckAnswered // the endpoint answered a health check: Relay, Endpoint, Status
+	NoticeReceived      // the platform received a relay's notice that a message ended: ID, Relay, Status, Wait
+	EndpointUpdateSent  // the registry sent an endpoint's phase to a relay: Relay, Endpoint, Status (UpdateUp ...)
+	OutageBegan         // an outage of an endpoint began: Endpoint, Status (1: calls leave no trace)
+	OutageEnded         // the outage ended: Endpoint
 	Collapsed           // an endpoint collapsed under overload while it warmed up: Endpoint, Calls
 	RelayStopping       // a relay was asked to stop: Relay
 	RelayKilled         // a relay's process was killed: Relay
-	RelayReady          // a relay is ready, at first or again: Relay
-	UnknownCall         // a call for no message that was submitted: Relay, Endpoint, ID
+	RelayReady          // a relay is ready, after its first start or a restart: Relay
+	UnknownCall         // an endpoint received a call for a message that was never submitted: Relay, Endpoint, ID
 )
 
 var kindNames = [...]string{
@@ -65,7 +64,7 @@
 	"stray call",
 }
 
-// String is the kind's name in a record.
+// String returns the kind's name in a record.
 func (k Kind) String() string {
 	if int(k) < len(kindNames) {
 		return kindNames[k]
@@ -73,30 +72,31 @@
 	return "?"
 }
 
-// Values of Status in Told.
+// Values of Status in an EndpointUpdateSent event.
 const (
 	UpdateUp = iota
 	UpdateDraining
 	UpdateRemoved
 )
 
-// Values of Status in Noticed.
+// Values of Status in a NoticeReceived event.
 const (
 	NoticeAbandoned = iota
 	NoticeReturned
 )
 
-// Outcomes of calls, as the status of the response.
+// Values of Status in a CallEnded event: the status of the response, or StatusNone. Those marked
+// "never ran" prove that the call had no effect.
 const (
 	StatusNone              = 0   // no response
-	StatusDelivered         = 200 // delivered
-	StatusError             = 500 // may have run
-	StatusMalformed         = 599 // a malformed response; may have run
-	StatusRetryLater        = 429 // never ran; with Retry-After
+	StatusDelivered         = 200 // the message was delivered
+	StatusError             = 500 // the call may have run
+	StatusMalformed         = 599 // the response was malformed; the call may have run
+	StatusRetryLater        = 429 // never ran: the response has a Retry-After
 	StatusRejected          = 503 // never ran
-	StatusAttemptsExhausted = 504 // never ran: the attempts are exhausted
-	StatusFinished          = 410 // never ran: the message is finished
-	StatusUnknown           = 400 // never ran: the message is unknown
+	StatusAttemptsExhausted = 504 // never ran: the message has no attempts left
+	StatusFinished          = 410 // never ran: the message has already ended
+	StatusUnknown           = 400 // never ran: the endpoint does not know the message
 )
 
 // NeverRan reports whether a response proves that the call had no effect.
@@ -114,12 +114,12 @@
 	Kind     Kind
 	Relay    int
 	Endpoint int
-	Message  int // number in the plan, from 0
+	Message  int // the message's number in the plan, from 0
 	Call     uint64
 	Status   int
 	Wait     Time
-	Left     Time // HandIn: time left to deliver the message
+	Left     Time // Submitted: time left to deliver the message
 	ID       string
 	Text     string
-	Calls    []int // Fell: the calls of the overload, by relay
+	Calls    []int // Collapsed: number of calls that made up the overload, by relay
 }
--- a/internal/metrics/fixtures_test.go
+++ b/internal/metrics/fixtures_test.go
@@ -7,8 +7,8 @@
 	"testing"
 )
 
-// The keys of the counts are read by the log statistics, also from logs of earlier
-// releases.
+// TestKeysAreUnchanged compares the keys of the counts with recorded ones. The log statistics read
+// these keys, also from logs of earlier releases, and would miss the counts under a changed key.
 func TestKeysAreUnchanged(t *testing.T) {
 	want, err := os.ReadFile("testdata/keys.txt")
 	if err != nil {
@@ -49,6 +49,6 @@
 		fmt.Sprint(maxDestinations),
 	}, "\n") + "\n"
 	if got != string(want) {
-		t.Errorf("keys are\n%swant\n%s", got, want)
+		t.Errorf("keys =\n%swant\n%s", got, want)
 	}
 }
--- a/internal/metrics/metrics.go
+++ b/internal/metrics/metrics.go
@@ -1,8 +1,9 @@
-// Package metrics counts what a relay does, by second and destination, in bounded
-// memory. The counts go into the log, where they can be added up over a fleet: what one
-// relay does is seldom wrong by itself.
+// Package metrics counts events of a relay by second and destination, in bounded memory. The
+// counts are logged, so that they can be summed over all relays of a fleet: most faults show only
+// in the sum, since what each relay does looks right by itself.
 //
-// It must never read a clock, and nothing that decides may read the counts.
+// The package never reads a clock; callers pass the time. No code that takes decisions may read the
+// counts.
 package metrics
 
 import (
@@ -16,25 +17,26 @@
 
 const (
 	microsPerSecond = 1_000_000
-	// maxDestinations is how many destinations are counted separately in one second.
-	// The others are counted together, as OtherDestinations.
+	// maxDestinations is the number of destinations that are counted separately in one second.
+	// All others are counted together, as OtherDestinations.
 	maxDestinations = 256
 )
 
-// OtherDestinations is the number under which destinations beyond the bound are counted.
+// OtherDestinations is the destination number under which all destinations beyond the first
+// maxDestinations of a second are counted.
 const OtherDestinations = -1
 
-// Names of the counts of a destination, as they stand in the log. The names of outcomes
-// count attempts that ended so.
+// Names of the counts of a destination, as the log has them. A count that is named after an outcome
+// is the number of attempts with that outcome.
 const (
 	Submitted           = "in"      // messages submitted
-	Accepted            = "taken"   // of them, accepted
+	Accepted            = "taken"   // submitted messages that were accepted
 	Recovered           = "resumed" // messages recovered from an earlier process
 	Attempts            = "sent"
-	CrossZoneAttempts   = "crossed" // of them, to another zone
-	ConnectionsOpened   = "dialed"  // for attempts
+	CrossZoneAttempts   = "crossed" // attempts sent to another zone
+	ConnectionsOpened   = "dialed"  // connections opened for attempts
 	Delivered           = "ok"
-	Rejected            = "full" // by the endpoint
+	Rejected            = "full" // rejected by the endpoint
 	Failed              = "errored"
 	TimedOut            = "timed_out"
 	ConnectFailed       = "no_connect"
@@ -42,38 +44,39 @@
 	Cancelled           = "cancelled"
 	NotSent             = "not_sent"
 	FirstAttempts       = "firsts"
-	FirstAttemptDelayMS = "first_ms" // how long the messages of first attempts had been held, in ms, added up
+	FirstAttemptDelayMS = "first_ms" // sum over first attempts of the time since the message arrived, in ms
 	GivenUp             = "given_up"
 	HealthChecks        = "probed"
 	Untraced            = "untold" // messages that are not traced from their submission on
-	HandedBackPrefix    = "back_"  // messages handed back or rejected; the reason follows
+	HandedBackPrefix    = "back_"  // followed by a reason: messages handed back or rejected for it
 
-	// Of recovered messages, those without any attempt in the log.
+	// RecoveredUntried counts recovered messages for which the write-ahead log has no attempt. The
+	// other counts are of parts of these.
 	RecoveredUntried        = "untried"
-	UntriedExpired          = "untried_over"      // of them, past their deadline when they were recovered
-	UntriedUnroutable       = "untried_nowhere"   // of them, in time, without an endpoint in the list
-	UntriedAttempted        = "untried_tried"     // attempted since
-	UntriedDelivered        = "untried_ok"        // of these, delivered
-	UntriedHandedBackPrefix = "untried_back_"     // handed back without a call; the reason follows
-	UntriedGivenUpPrefix    = "untried_given_up_" // given up without a call; the reason follows
+	UntriedExpired          = "untried_over"      // past their deadline when they were recovered
+	UntriedUnroutable       = "untried_nowhere"   // before their deadline, without an endpoint in the list
+	UntriedAttempted        = "untried_tried"     // attempted since the recovery
+	UntriedDelivered        = "untried_ok"        // attempted since the recovery and delivered
+	UntriedHandedBackPrefix = "untried_back_"     // followed by a reason: handed back without a call
+	UntriedGivenUpPrefix    = "untried_given_up_" // followed by a reason: given up without a call
 )
 
 const (
-	// LogText is the text of the line that shows the counts of a second.
+	// LogText is the text of the log line that holds the counts of one second.
 	LogText = "tally"
-	// LongestStepKey names an attribute that the driver adds to the line: the longest
-	// step of the event loop since the line before, in µs.
+	// LongestStepKey is the key of an attribute that the event loop's driver adds to the line: the
+	// duration of the longest step of the event loop since the previous line, in µs.
 	LongestStepKey = "step_us"
 )
 
-// Recorder counts one second after another.
+// Recorder holds the counts of the current second.
 type Recorder struct {
-	started       bool
-	second        int64 // Unix time
+	started       bool  // second is set
+	second        int64 // the current second, in Unix time
 	byDestination map[int]map[string]int64
 }
 
-// NewRecorder makes a recorder that has counted nothing.
+// NewRecorder returns a recorder whose counts are all zero.
 func NewRecorder() *Recorder { return &Recorder{byDestination: map[int]map[string]int64{}} }
 
 // Add adds n to a count of a destination.
@@ -83,7 +86,8 @@
 	}
 }
 
-// countsOf are the counts of a destination, or of all beyond the bound.
+// countsOf returns the counts of a destination, or those of OtherDestinations if the destination is
+// beyond the first maxDestinations of this second.
 func (r *Recorder) countsOf(dest int) map[string]int64 {
 	counts := r.byDestination[dest]
 	if counts == nil && len(r.byDestination) >= maxDestinations {
@@ -97,21 +101,21 @@
 	return counts
 }
 
-// Flush ends the second before now (Unix time in µs), if one has passed and anything
-// was counted in it, and returns it as attributes of a structured log: the second, and
-// a group for each destination, in order.
+// Flush returns the counts of the current second and resets them, if now (Unix time in µs) is in
+// another second. The result is a list of attributes for slog: the second, and a group for each
+// destination, in ascending order. It is nil if the second has not ended or has no counts.
 func (r *Recorder) Flush(now int64) []any {
 	second := now / microsPerSecond
 	if !r.started || second == r.second {
 		r.started, r.second = true, second
 		return nil
 	}
-	ended := r.second
+	endedSecond := r.second
 	r.second = second
 	if len(r.byDestination) == 0 {
 		return nil
 	}
-	args := []any{"second", ended}
+	args := []any{"second", endedSecond}
 	for _, dest := range sortedKeys(r.byDestination) {
 		counts, attrs := r.byDestination[dest], []any{}
 		for _, name := range sortedKeys(counts) {
@@ -123,7 +127,7 @@
 	return args
 }
 
-// sortedKeys are the keys of a map, in order; they take one allocation.
+// sortedKeys returns the keys of a map in ascending order, with a single allocation.
 func sortedKeys[K cmp.Ordered, V any](m map[K]V) []K {
 	keys := slices.AppendSeq(make([]K, 0, len(m)), maps.Keys(m))
 	slices.Sort(keys)
@@ -132,7 +136,7 @@
 
 const otherDestinationsName = "rest"
 
-// groupName is the name of a destination in the log.
+// groupName returns the name of a destination's group of attributes in the log.
 func groupName(dest int) string {
 	if dest == OtherDestinations {
 		return otherDestinationsName
@@ -140,8 +144,8 @@
 	return fmt.Sprintf("d%d", dest)
 }
 
-// ParseKey parses the key of an attribute as the log has it: the destination and the
-// name of the count. ok is false for any other key.
+// ParseKey splits an attribute's key in the log, such as "d7.sent", into the destination and the
+// name of the count. ok is false for a key that is not of a count.
 func ParseKey(key string) (dest int, name string, ok bool) {
 	group, name, found := strings.Cut(key, ".")
 	if !found || name == "" {
--- a/internal/metrics/metrics_test.go
+++ b/internal/metrics/metrics_test.go
@@ -7,7 +7,7 @@
 	"testing"
 )
 
-// flushedText is a flushed second as a text handler logs it.
+// flushedText returns the attributes of a flushed second as slog's text handler writes them.
 func flushedText(args []any) string {
 	var b bytes.Buffer
 	slog.New(slog.NewTextHandler(&b, nil)).Info(LogText, args...)
@@ -15,31 +15,33 @@
 	return strings.TrimSpace(text)
 }
 
-// A second is shown once it is over, in order, and then forgotten.
+// TestFlush checks that a second's counts are returned once it has ended, ordered by destination and
+// name, and only once.
 func TestFlush(t *testing.T) {
 	recorder := NewRecorder()
 	if recorder.Flush(10*microsPerSecond) != nil {
-		t.Error("something is shown before anything was counted")
+		t.Error("Flush(10 s) before the first count returned attributes, want nil")
 	}
 	recorder.Add(12, Attempts, 2)
 	recorder.Add(3, Submitted, 1)
 	recorder.Add(3, HandedBackPrefix+"time", 1)
 	recorder.Add(12, Attempts, 1)
-	recorder.Add(12, ConnectionsOpened, 0) // nothing
+	recorder.Add(12, ConnectionsOpened, 0) // must not appear in the log
 	if recorder.Flush(10*microsPerSecond+microsPerSecond-1) != nil {
-		t.Error("a second is shown before it is over")
+		t.Error("Flush(10.999999 s) returned attributes before second 10 ended, want nil")
 	}
 	if got, want := flushedText(
 		recorder.Flush(13*microsPerSecond),
 	), "second=10 d3.back_time=1 d3.in=1 d12.sent=3"; got != want {
-		t.Errorf("shown %q, want %q", got, want)
+		t.Errorf("Flush(13 s) = %q, want %q", got, want)
 	}
 	if recorder.Flush(14*microsPerSecond) != nil {
-		t.Error("shown twice")
+		t.Error("Flush(14 s) returned attributes again, want nil")
 	}
 }
 
-// Any number of destinations is counted in bounded memory, and none is lost.
+// TestManyDestinations counts 100,000 destinations in one second. The recorder's memory must stay
+// bounded, and the counts of the destinations beyond the bound must not be lost.
 func TestManyDestinations(t *testing.T) {
 	recorder := NewRecorder()
 	recorder.Flush(0)
@@ -47,18 +49,19 @@
 		recorder.Add(i, Submitted, 1)
 	}
 	if len(recorder.byDestination) > maxDestinations+1 {
-		t.Errorf("%d destinations are kept", len(recorder.byDestination))
+		t.Errorf("destinations held = %d, want at most %d", len(recorder.byDestination), maxDestinations+1)
 	}
 	if got := recorder.byDestination[OtherDestinations][Submitted]; got != 100000-maxDestinations {
-		t.Errorf("%d counted together, want %d", got, 100000-maxDestinations)
+		t.Errorf("submitted messages of other destinations = %d, want %d", got, 100000-maxDestinations)
 	}
 }
 
-// The names that the log has are read as they were written, and no others.
+// TestParseKey checks that ParseKey reads the keys that a recorder writes, and rejects all others.
 func TestParseKey(t *testing.T) {
 	for _, dest := range []int{0, 7, 12345, OtherDestinations} {
 		if got, name, ok := ParseKey(groupName(dest) + "." + Attempts); !ok || got != dest || name != Attempts {
-			t.Errorf("%d is read as %d, %q, %v", dest, got, name, ok)
+			t.Errorf("ParseKey(%q) = %d, %q, %v, want %d, %q, true",
+				groupName(dest)+"."+Attempts, got, name, ok, dest, Attempts)
 		}
 	}
 	for _, key := range []string{
@@ -66,7 +69,7 @@
 		"rests.in", ".in",
 	} {
 		if dest, name, ok := ParseKey(key); ok {
-			t.Errorf("%q is read as %d, %q", key, dest, name)
+			t.Errorf("ParseKey(%q) = %d, %q, true, want false", key, dest, name)
 		}
 	}
 }
--- a/internal/msgtrace/fixtures_test.go
+++ b/internal/msgtrace/fixtures_test.go
@@ -7,8 +7,8 @@
 	"testing"
 )
 
-// The texts of these lines are read by the log statistics, also from logs of
-// earlier releases.
+// TestLineTextsAreUnchanged compares the texts of the log lines with recorded ones. The log
+// statistics read these texts, also from logs of earlier releases, and would miss a changed one.
 func TestLineTextsAreUnchanged(t *testing.T) {
 	want, err := os.ReadFile("testdata/lines.txt")
 	if err != nil {
@@ -19,6 +19,6 @@
 		Ready, Stopping, Stopped, fmt.Sprint(DefaultPerSecond),
 	}, "\n") + "\n"
 	if got != string(want) {
-		t.Errorf("lines are\n%swant\n%s", got, want)
+		t.Errorf("line texts =\n%swant\n%s", got, want)
 	}
 }
--- a/internal/wire/action.go
+++ b/internal/wire/action.go
@@ -4,14 +4,14 @@
 
 // Codes of actions.
 const (
-	ActDeliver = 20  // send a message
-	ActRefuse  = 30  // reject a message; its client may come back
+	ActDeliver = 20  // send a message to an endpoint
+	ActRefuse  = 30  // reject a message; its client may retry
 	ActLog     = 40  // write a log line
-	ActListen  = 50  // subscribe to list updates, or end that
+	ActListen  = 50  // subscribe to list updates, or unsubscribe
 	ActRemind  = 60  // set a timer
 	ActLose    = 70  // fail a message
 	ActProbe   = 80  // check an endpoint's health
-	ActRead    = 90  // ask once for the whole list
+	ActRead    = 90  // fetch the whole endpoint list once
 	ActBug     = 100 // report that a relay cannot be hosted
 	ActClose   = 110 // close an endpoint's idle connections
 	ActCancel  = 120 // cancel an attempt
@@ -19,13 +19,13 @@
 
 const actionSize = 24
 
-// Action is one record to encode. Code says which of the other fields are used.
+// Action is one record to encode. Its Code determines which of the other fields are used.
 type Action struct {
 	Code     uint8
 	Relay    uint16
 	Attempt  uint8
 	On       bool
-	Ticket   uint32 // of a message
+	Ticket   uint32 // identifies a message
 	After    uint32
 	Endpoint uint64
 	At       uint64
@@ -33,7 +33,8 @@
 	Text     string
 }
 
-// encode writes the record, and appends its text to a tail of the size that it has so far.
+// encode writes the action into record and appends its text, if any, to frame, which ends with the tail. tailSize is
+// the size of the tail so far, and thus the offset of the text.
 func (a *Action) encode(record, frame []byte, tailSize int) ([]byte, error) {
 	record[0] = a.Code
 	be.PutUint16(record[1:], a.Relay)
--- a/internal/wire/event.go
+++ b/internal/wire/event.go
@@ -8,16 +8,16 @@
 // Codes of events.
 const (
 	EvUp       = 10  // a relay starts
-	EvSync     = 20  // an update of the endpoint list
-	EvCall     = 30  // a new message
-	EvBegun    = 40  // an answer has begun to flow
-	EvResolved = 50  // an attempt is over
+	EvSync     = 20  // the endpoint list is updated
+	EvCall     = 30  // a message is submitted
+	EvBegun    = 40  // the reply to an attempt has started to arrive
+	EvResolved = 50  // an attempt has ended
 	EvLapsed   = 60  // a message is withdrawn
-	EvAlarm    = 70  // a timer has come
-	EvHealth   = 80  // a health check is over
-	EvDatagram = 90  // a message of another relay
-	EvPowerOff = 100 // a relay ends
-	EvTable    = 110 // a list of endpoints for later EvSync
+	EvAlarm    = 70  // a timer has expired
+	EvHealth   = 80  // a health check has ended
+	EvDatagram = 90  // another relay has sent a datagram
+	EvPowerOff = 100 // a relay stops
+	EvTable    = 110 // a numbered list of endpoints, which later EvSync events refer to
 )
 
 // Kinds of EvSync.
@@ -31,25 +31,25 @@
 // Statuses of EvResolved and EvHealth.
 const (
 	StatusOK     = 0
-	StatusMoot   = 249 // it never left the relay
+	StatusMoot   = 249 // the attempt was never sent
 	StatusCancel = 250
 	StatusReset  = 251
 	StatusNoConn = 252
 	StatusLate   = 253
-	StatusFull   = 254 // turned down unseen
+	StatusFull   = 254 // the endpoint rejected the attempt without processing it
 	StatusError  = 255
 )
 
 const (
 	eventSize    = 48
 	entrySize    = 24
-	maxList      = 15 // the highest number of a list
+	maxList      = 15 // highest valid list number
 	maxReadiness = 2
 )
 
 // Entry is an entry of a list of endpoints.
 type Entry struct {
-	Endpoint uint64 // four bytes of address and two of port
+	Endpoint uint64 // an IPv4 address in four bytes and a port in two
 	Zone     uint16
 	Kind     uint8
 	Dest     uint16
@@ -58,27 +58,27 @@
 	CameUp   uint64
 }
 
-// Event is one decoded record. Code says which of the other fields are used.
+// Event is one decoded record. Its Code determines which of the other fields are used.
 type Event struct {
 	Code     uint8
 	Relay    uint16
 	Kind     uint8
-	Sheet    uint8 // number of a list
+	Sheet    uint8 // number of a list of endpoints
 	Status   uint8
 	Attempt  uint8
 	Settled  bool
 	Class    uint16
 	Flags    uint16
 	Dest     uint16
-	Ticket   uint32 // of a message
+	Ticket   uint32 // identifies a message
 	Tenant   uint32
-	Grace    uint32 // time that a message has left
+	Grace    uint32 // time left until the message's deadline
 	Estimate uint32
 	Note     uint32
 	Took     uint32
 	Endpoint uint64
 	Subject  uint64 // key of a message
-	Token    uint64 // the seed of an EvUp, the version of an EvSync
+	Token    uint64 // the seed of an EvUp, the list version of an EvSync, the timer's token of an EvAlarm
 	Reports  int    // number of values in Report
 	Report   [4]float32
 	Text     []byte
@@ -137,7 +137,7 @@
 func (e *Event) decodeTable(record, tail []byte) error {
 	e.Sheet = record[1]
 	if e.Sheet > maxList {
-		return fmt.Errorf("table: list number %d, at most %d", e.Sheet, maxList)
+		return fmt.Errorf("table: list number %d is over the maximum of %d", e.Sheet, maxList)
 	}
 	raw, err := tailBytes(tail, record[2:], entrySize)
 	if err != nil {
@@ -167,7 +167,7 @@
 	return entries, nil
 }
 
-// decodeText takes a text out of the tail.
+// decodeText reads the text that a field refers to out of the tail. name is the event's name in errors.
 func (e *Event) decodeText(name string, field, tail []byte) error {
 	text, err := tailBytes(tail, field, 1)
 	if err != nil {
@@ -185,7 +185,7 @@
 		return fmt.Errorf("sync: unknown kind %d", e.Kind)
 	}
 	if e.Kind != SyncFailed && e.Sheet > maxList {
-		return fmt.Errorf("sync: list number %d, at most %d", e.Sheet, maxList)
+		return fmt.Errorf("sync: list number %d is over the maximum of %d", e.Sheet, maxList)
 	}
 	return nil
 }
@@ -195,7 +195,7 @@
 	e.Flags, e.Class = be.Uint16(record[19:]), be.Uint16(record[21:])
 	dest := math.Float32frombits(be.Uint32(record[23:]))
 	if !(dest >= 0 && dest <= math.MaxUint16) || dest != float32(uint16(dest)) {
-		return fmt.Errorf("call: destination %v is no whole number from 0 to %d", dest, math.MaxUint16)
+		return fmt.Errorf("call: destination %v is not a whole number from 0 to %d", dest, math.MaxUint16)
 	}
 	e.Dest, e.Tenant, e.Estimate = uint16(dest), be.Uint32(record[27:]), be.Uint32(record[31:])
 	return nil
@@ -228,7 +228,7 @@
 func (e *Event) decodeReport(field []byte) error {
 	e.Reports = int(field[0])
 	if e.Reports > len(e.Report) {
-		return fmt.Errorf("report of %d values, at most %d", e.Reports, len(e.Report))
+		return fmt.Errorf("report of %d values is over the maximum of %d", e.Reports, len(e.Report))
 	}
 	for i := range e.Report {
 		e.Report[i] = math.Float32frombits(be.Uint32(field[1+4*i:]))
--- a/internal/wire/frame.go
+++ b/internal/wire/frame.go
@@ -1,5 +1,6 @@
-// Package wire is the codec of the binary frames and of the settings text that a relay host speaks. It checks every
-// bound and holds no policy. Codes and fields have the protocol's own names.
+// Package wire encodes and decodes the binary frames that a simulator exchanges with a relay host, and
+// decodes the settings text in them. It checks every length, offset and code of its input and takes no
+// delivery decision. Codes and fields are named as in the protocol.
 package wire
 
 import (
@@ -17,7 +18,7 @@
 
 var be = binary.BigEndian
 
-// ReadBatch reads and decodes one frame. A clean end of input gives io.EOF.
+// ReadBatch reads and decodes one frame. It returns io.EOF if the input ends before the frame's first byte.
 func ReadBatch(r io.Reader) (clock uint64, events []Event, err error) {
 	var header [batchHeader]byte
 	n, err := io.ReadFull(r, header[:])
@@ -34,7 +35,7 @@
 	if uint64(count)*eventSize > uint64(size) {
 		return 0, nil, fmt.Errorf("batch header: %d records do not fit in %d bytes", count, size)
 	}
-	// Read in bounded steps, so that a corrupt length cannot claim memory the input never fills.
+	// ReadAll grows its buffer with the input: a corrupt length cannot allocate memory for bytes that never arrive.
 	body, err := io.ReadAll(io.LimitReader(r, int64(size)))
 	if err != nil {
 		return 0, nil, fmt.Errorf("batch body: %w", err)
@@ -46,7 +47,8 @@
 	return be.Uint64(header[:]), events, err
 }
 
-// tailBytes is the part of a frame's tail that a field gives by its offset and its length in units.
+// tailBytes returns the part of a frame's tail that a field refers to. The field holds an offset in bytes and a
+// length in units; unit is the size of one unit in bytes.
 func tailBytes(tail, field []byte, unit int) ([]byte, error) {
 	offset, n := uint64(be.Uint32(field)), uint64(be.Uint32(field[4:]))
 	if offset > uint64(len(tail)) || n*uint64(unit) > uint64(len(tail))-offset {
@@ -55,7 +57,7 @@
 	return tail[offset : offset+n*uint64(unit)], nil
 }
 
-// AppendReply encodes a reply frame.
+// AppendReply encodes actions as a reply frame and appends it to dst.
 func AppendReply(dst []byte, actions []Action) ([]byte, error) {
 	start := len(dst)
 	dst = append(dst, make([]byte, replyHeader+actionSize*len(actions))...)
--- a/internal/wire/golden_test.go
+++ b/internal/wire/golden_test.go
@@ -10,7 +10,7 @@
 	"testing"
 )
 
-// readFixture reads lines of a name and bytes in hexadecimal.
+// readFixture reads a file whose lines each hold a name and bytes in hexadecimal, and returns the bytes by name.
 func readFixture(t *testing.T, path string) map[string][]byte {
 	t.Helper()
 	text, err := os.ReadFile(path)
@@ -22,14 +22,15 @@
 	for lines.Scan() {
 		name, digits, ok := strings.Cut(lines.Text(), ": ")
 		if !ok {
-			t.Fatalf("%s: line %q has no name", path, lines.Text())
+			t.Fatalf("%s: line %q is not of the form \"name: bytes\"", path, lines.Text())
 		}
 		frames[name] = unhex(t, digits)
 	}
 	return frames
 }
 
-// TestRecordedEvents decodes a recorded frame of each kind of event.
+// TestRecordedEvents decodes a recorded frame of each kind of event: a change to the decoder must not alter how the
+// simulator's frames are read.
 func TestRecordedEvents(t *testing.T) {
 	frames := readFixture(t, "testdata/events.txt")
 	tests := []struct {
@@ -218,7 +219,7 @@
 		},
 	}
 	if len(frames) != len(tests) {
-		t.Errorf("%d recorded frames, %d tests", len(frames), len(tests))
+		t.Errorf("testdata holds %d recorded frames, want %d, one for each test case", len(frames), len(tests))
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
@@ -227,13 +228,15 @@
 				t.Fatal(err)
 			}
 			if clock != 0x0102030405060708 || len(events) != 1 || !reflect.DeepEqual(events[0], tt.want) {
-				t.Errorf("clock %#x, events\n%+v, want\n%+v", clock, events, tt.want)
+				t.Errorf("ReadBatch() = clock %#x, events\n%+v, want clock 0x102030405060708, one event\n%+v",
+					clock, events, tt.want)
 			}
 		})
 	}
 }
 
-// TestRecordedActions encodes each kind of action to the recorded bytes.
+// TestRecordedActions encodes each kind of action and compares the frame with the recorded one, which the simulator
+// can read.
 func TestRecordedActions(t *testing.T) {
 	frames := readFixture(t, "testdata/actions.txt")
 	tests := []struct {
@@ -263,7 +266,7 @@
 		{"cancel", Action{Code: ActCancel, Relay: 0x102, Ticket: 0x31323334, Attempt: 5}},
 	}
 	if len(frames) != len(tests) {
-		t.Errorf("%d recorded frames, %d tests", len(frames), len(tests))
+		t.Errorf("testdata holds %d recorded frames, want %d, one for each test case", len(frames), len(tests))
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
@@ -272,13 +275,14 @@
 				t.Fatal(err)
 			}
 			if !bytes.Equal(got, frames[tt.name]) {
-				t.Errorf("%x, want %x", got, frames[tt.name])
+				t.Errorf("AppendReply(%+v) = %x, want %x", tt.action, got, frames[tt.name])
 			}
 		})
 	}
 }
 
-// TestSettingsKeys: every key of the settings text is read, and none has another name.
+// TestSettingsKeys decodes a settings text that has every key and encodes it again. A key that is renamed or no longer
+// read would be missing from the result.
 func TestSettingsKeys(t *testing.T) {
 	text, err := os.ReadFile("testdata/settings.json")
 	if err != nil {
@@ -293,6 +297,6 @@
 		t.Fatal(err)
 	}
 	if !bytes.Equal(append(got, '\n'), text) {
-		t.Errorf("read and written again:\n%s\nwant\n%s", got, text)
+		t.Errorf("ParseSettings() encoded again =\n%s\nwant\n%s", got, text)
 	}
 }
--- a/internal/wire/settings.go
+++ b/internal/wire/settings.go
@@ -6,7 +6,7 @@
 	"fmt"
 )
 
-// Settings is the settings text as it comes. Unknown keys are ignored.
+// Settings is the decoded settings text, not validated. Unknown keys are ignored.
 type Settings struct {
 	Accounts []struct {
 		Name  string  `json:"name"`
@@ -64,7 +64,7 @@
 	Zone    int    `json:"zone"`
 }
 
-// ParseSettings decodes the settings text.
+// ParseSettings decodes the settings text. It checks only the syntax and the types of the values.
 func ParseSettings(text []byte) (*Settings, error) {
 	settings := &Settings{OverShareWorth: 1}
 	if err := json.Unmarshal(text, settings); err != nil {
