--- a/internal/fixturetest/fixture.go
+++ b/internal/fixturetest/fixture.go
@@ -1,4 +1,4 @@
-// Package fixturetest compares bytes with recorded files in tests.
+// Package fixturetest lets tests compare their results with recorded files.
 package fixturetest
 
 import (
@@ -9,10 +9,10 @@
 	"testing"
 )
 
-// updateEnv has Check record what it gets, in place of comparing.
+// updateEnv is the environment variable that makes Check write the recorded files.
 const updateEnv = "UPDATE_FIXTURES"
 
-// Read returns a file of the package's folder testdata.
+// Read returns the contents of a file in the tested package's testdata folder.
 func Read(t testing.TB, name string) []byte {
 	t.Helper()
 	text, err := os.ReadFile(filepath.Join("testdata", name))
@@ -22,8 +22,8 @@
 	return text
 }
 
-// Check compares bytes with a file of the package's folder testdata. With
-// UPDATE_FIXTURES=1 in the environment it records them there first.
+// Check compares got with a file in the tested package's testdata folder. If the environment variable
+// UPDATE_FIXTURES is set, it writes got to the file first.
 func Check(t testing.TB, name string, got []byte) {
 	t.Helper()
 	if os.Getenv(updateEnv) != "" {
@@ -36,7 +36,7 @@
 	}
 }
 
-// EncodeLines encodes values as JSON, one a line.
+// EncodeLines encodes values as JSON, one value per line.
 func EncodeLines[T any](t testing.TB, values []T) []byte {
 	t.Helper()
 	var text bytes.Buffer
--- a/internal/mailbox/mailbox.go
+++ b/internal/mailbox/mailbox.go
@@ -1,9 +1,9 @@
-// Package mailbox is an unbounded queue between goroutines whose senders never
-// wait.
+// Package mailbox provides an unbounded queue between goroutines. Senders never block, so that two
+// goroutines that send to each other, such as the event loop and the write-ahead log, cannot
+// deadlock.
 //
-// Two goroutines that send to each other, such as the event loop and the
-// write-ahead log, can therefore not deadlock. The package sets no bound: its
-// users have to keep the number of items that can be queued at once small.
+// Since the package sets no bound, its users have to limit the number of items that can be queued at
+// the same time.
 package mailbox
 
 import "sync"
@@ -12,13 +12,13 @@
 type Mailbox[T any] struct {
 	mu    sync.Mutex
 	items []T
-	ready chan struct{} // holds a value while items may be queued
+	ready chan struct{} // has a value buffered while items may be queued
 }
 
-// New makes an empty mailbox.
+// New returns an empty mailbox.
 func New[T any]() *Mailbox[T] { return &Mailbox[T]{ready: make(chan struct{}, 1)} }
 
-// Put queues an item. It never waits.
+// Put queues an item. It never blocks.
 func (m *Mailbox[T]) Put(item T) {
 	m.mu.Lock()
 	m.items = append(m.items, item)
@@ -29,13 +29,12 @@
 	}
 }
 
-// Ready receives a value once items may be queued. There may be none if an
-// earlier TakeAll has emptied the mailbox since.
+// Ready returns a channel that yields a value when items may be queued. After such a value the
+// mailbox can still be empty, if an earlier TakeAll has already taken the items.
 func (m *Mailbox[T]) Ready() <-chan struct{} { return m.ready }
 
-// TakeAll empties the mailbox and returns its items, the oldest first. The
-// storage of reuse, which may be nil, takes the items that come next; its
-// contents are cleared.
+// TakeAll empties the mailbox and returns its items, the oldest first. It clears reuse, which may be
+// nil, and keeps its storage for the next items; the caller must not use reuse afterwards.
 func (m *Mailbox[T]) TakeAll(reuse []T) []T {
 	clear(reuse)
 	m.mu.Lock()
--- a/internal/mailbox/mailbox_test.go
+++ b/internal/mailbox/mailbox_test.go
@@ -6,23 +6,25 @@
 	"testing"
 )
 
-// Items of each sender arrive once and in their order, and no wake-up is lost.
+// TestOrderPerSender has several goroutines send at the same time. Each item must arrive once, the
+// items of a sender in the order in which it sent them. If a wake-up were lost, the receiver would wait
+// forever.
 func TestOrderPerSender(t *testing.T) {
-	const senders, each = 4, 1000
+	const senders, itemsPerSender = 4, 1000
 	m := New[[2]int]()
 	var sending sync.WaitGroup
-	for s := range senders {
+	for sender := range senders {
 		sending.Add(1)
 		go func() {
 			defer sending.Done()
-			for i := range each {
-				m.Put([2]int{s, i})
+			for i := range itemsPerSender {
+				m.Put([2]int{sender, i})
 			}
 		}()
 	}
 	got := make([][]int, senders)
 	var batch [][2]int
-	for received := 0; received < senders*each; {
+	for received := 0; received < senders*itemsPerSender; {
 		<-m.Ready()
 		batch = m.TakeAll(batch)
 		for _, item := range batch {
@@ -31,12 +33,13 @@
 		received += len(batch)
 	}
 	sending.Wait()
-	for s := range senders {
-		if len(got[s]) != each || !slices.IsSorted(got[s]) {
-			t.Errorf("sender %d: %d items, sorted: %v", s, len(got[s]), slices.IsSorted(got[s]))
+	for sender := range senders {
+		if len(got[sender]) != itemsPerSender || !slices.IsSorted(got[sender]) {
+			t.Errorf("sender %d: %d items, in order: %v, want %d items in order",
+				sender, len(got[sender]), slices.IsSorted(got[sender]), itemsPerSender)
 		}
 	}
 	if rest := m.TakeAll(nil); len(rest) > 0 {
-		t.Errorf("%d items too many", len(rest))
+		t.Errorf("TakeAll() after all items were received = %d items, want 0", len(rest))
 	}
 }
--- a/internal/texttable/texttable.go
+++ b/internal/texttable/texttable.go
@@ -1,4 +1,4 @@
-// Package texttable lays out text in columns.
+// Package texttable formats rows of text as a table with aligned columns.
 package texttable
 
 import (
@@ -7,20 +7,20 @@
 	"text/tabwriter"
 )
 
-// padding is the number of blanks between columns.
+// padding is the number of spaces between columns.
 const padding = 2
 
-// Table collects rows of cells. It is written out as one text, whose columns are
-// aligned over all rows.
+// Table collects rows of cells and formats them as one text, in which the columns of all rows are
+// aligned.
 type Table struct {
 	text bytes.Buffer
 	tabs *tabwriter.Writer
 }
 
-// New returns an empty table, whose cells are aligned to the left.
+// New returns an empty table with left-aligned cells.
 func New() *Table { return newTable(0) }
 
-// NewAlignedRight returns an empty table, whose cells are aligned to the right.
+// NewAlignedRight returns an empty table with right-aligned cells.
 func NewAlignedRight() *Table { return newTable(tabwriter.AlignRight) }
 
 func newTable(flags uint) *Table {
@@ -29,15 +29,15 @@
 	return t
 }
 
-// Rowf adds a formatted row. A tab ends each cell; what follows the last tab is no part
-// of a column.
+// Rowf adds a formatted row. A tab ends each cell. Text after the last tab is not part of a column
+// and is not aligned.
 func (t *Table) Rowf(format string, args ...any) {
-	// The text is kept in memory: a write to it does not fail.
+	// Writes to a bytes.Buffer cannot fail.
 	_, _ = fmt.Fprintf(t.tabs, format+"\n", args...)
 }
 
 // String returns the table as text.
 func (t *Table) String() string {
-	_ = t.tabs.Flush() // into memory
+	_ = t.tabs.Flush() // writes to a bytes.Buffer, which cannot fail
 	return t.text.String()
 }
--- a/internal/texttable/texttable_test.go
+++ b/internal/texttable/texttable_test.go
@@ -2,6 +2,8 @@
 
 import "testing"
 
+// TestAlignment checks that a cell is padded to the width of its column and that the text after the
+// last tab is not.
 func TestAlignment(t *testing.T) {
 	for _, c := range []struct {
 		name  string
@@ -15,7 +17,7 @@
 			c.table.Rowf("%s\t%d\trest", "a", 12)
 			c.table.Rowf("%s\t%d\tmore", "long", 1)
 			if got := c.table.String(); got != c.want {
-				t.Errorf("got\n%swant\n%s", got, c.want)
+				t.Errorf("String() =\n%swant\n%s", got, c.want)
 			}
 		})
 	}
--- a/internal/timerwheel/list.go
+++ b/internal/timerwheel/list.go
@@ -1,32 +1,33 @@
 package timerwheel
 
 const (
-	// noTimer stands for no timer in a list.
+	// noTimer is the first and the last timer of an empty list.
 	noTimer = -1
-	// notSet is the due tick of a timer that is not set.
+	// notSet is the dueTick of a timer that is not set.
 	notSet = 0
 
 	listCount = levelCount*slotsPerLevel + 1
-	workList  = levelCount * slotsPerLevel // the list that is being processed
+	workList  = levelCount * slotsPerLevel // number of the list of the timers that Advance is processing
 )
 
-// node is a timer, part of a doubly linked list.
+// node is a timer. A timer that is set is a node of a doubly linked list.
 type node struct {
-	next, prev int32 // numbers of timers, or listEnd of the node's list
+	next, prev int32 // numbers of the neighbouring timers, or listEnd of the node's list
 	dueTick    int64
 }
 
 // list is the head of a list of timers.
 type list struct{ first, last int32 }
 
-// slotList returns the number of a slot's list.
+// slotList returns the number of the list that holds a slot's timers.
 func slotList(level int, slot int64) int32 { return int32(level*slotsPerLevel) + int32(slot) }
 
-// listEnd is what the links at both ends of a list hold: negative, and no timer.
-// It is its own inverse.
+// listEnd encodes a list's number as the link that ends the list in both directions. The link is
+// negative, so that it differs from every timer's number. The function is its own inverse: it also
+// decodes the list's number from the link.
 func listEnd(list int32) int32 { return -2 - list }
 
-// link puts a timer at the end of a list.
+// link appends a timer to a list.
 func (w *Wheel) link(id, list int32) {
 	head := &w.lists[list]
 	n := &w.nodes[id]
@@ -41,8 +42,9 @@
 	head.last = id
 }
 
-// unlink takes a timer out of its list, which only the links at the list's ends
-// tell.
+// unlink removes a timer from its list. A node does not store which list it is in; only the first
+// and the last node of a list have links that encode the list's number. These are the only nodes
+// whose removal changes the list's head.
 func (w *Wheel) unlink(id int32) {
 	n := &w.nodes[id]
 	switch {
@@ -63,7 +65,7 @@
 	}
 }
 
-// splice moves a whole list to the end of the work list, in constant time.
+// splice moves all timers of a list to the end of the work list, in constant time.
 func (w *Wheel) splice(from int32) {
 	source, work := &w.lists[from], &w.lists[workList]
 	if source.first == noTimer {
--- a/internal/timerwheel/wheel.go
+++ b/internal/timerwheel/wheel.go
@@ -1,11 +1,11 @@
-// Package timerwheel is a hierarchical timing wheel (Varghese and Lauck, 1987,
-// scheme 7): one timer for each small number, set, moved and cancelled in
-// constant time with no memory beyond its 24 bytes.
+// Package timerwheel implements a hierarchical timing wheel (Varghese and Lauck, 1987, scheme 7).
+// Timers are identified by small numbers. A timer is set, moved or cancelled in constant time and
+// takes 16 bytes of memory.
 //
-// It owns which timers are due, in the order of their ticks. It must never look
-// at a clock: time is what Advance is told. A timer never fires early; it fires
-// late by a tick at most, and by the time that the caller leaves between two
-// calls, since the caller bounds the work done in one call.
+// The package never reads a clock: the caller passes the time to Advance. Timers fire in the order
+// of their ticks. A timer never fires early. It fires late by at most one tick plus the time that
+// passes between calls to Advance; since the caller limits the work of one call, several calls may be
+// needed to reach a timer.
 package timerwheel
 
 const (
@@ -17,17 +17,18 @@
 // Wheel holds the timers. Its methods are not safe for concurrent use.
 type Wheel struct {
 	tickLength  int64
-	currentTick int64 // the last tick that was processed, or is while workList is not empty
-	nodes       []node
+	currentTick int64  // the last processed tick; while workList is not empty, the tick being processed
+	nodes       []node // by timer number
 	lists       [listCount]list
-	occupied    [levelCount]uint64 // a bit for each slot that may hold a timer
-	count       int
+	occupied    [levelCount]uint64 // for each level, a bit for each slot that may hold a timer
+	count       int                // number of timers that are set
 }
 
-// New makes a wheel whose ticks are so long, in the unit of all times here.
+// New returns a wheel without timers, at the time now. All times of the wheel have the same unit as
+// tickLength, which the caller chooses.
 func New(tickLength, now int64) *Wheel {
 	if tickLength <= 0 {
-		panic("timerwheel: the length of a tick must be positive")
+		panic("timerwheel: New: the tick length must be positive")
 	}
 	w := &Wheel{tickLength: tickLength, currentTick: now / tickLength}
 	for i := range w.lists {
@@ -36,23 +37,23 @@
 	return w
 }
 
-// Len returns how many timers are set.
+// Len returns the number of timers that are set.
 func (w *Wheel) Len() int { return w.count }
 
-// Set sets the timer of a number to a time, in place of any that it had.
+// Set sets a timer to fire at a time. If the timer is already set, the new time replaces the old one.
 func (w *Wheel) Set(id uint32, at int64) {
 	for int(id) >= len(w.nodes) {
 		w.nodes = append(w.nodes, node{})
 	}
 	w.Cancel(id)
 	w.count++
-	// Up to the next whole tick: never early. What is due already fires with the
-	// next tick, so that the due tick is always ahead.
+	// Round up to a whole tick, so that the timer does not fire early. A timer that is already due
+	// fires with the next tick, so that dueTick is always after currentTick.
 	w.nodes[id].dueTick = max((at+w.tickLength-1)/w.tickLength, w.currentTick+1)
 	w.insert(int32(id))
 }
 
-// Cancel removes a number's timer, if there is one.
+// Cancel cancels a timer. It does nothing if the timer is not set.
 func (w *Wheel) Cancel(id uint32) {
 	if int(id) < len(w.nodes) && w.nodes[id].dueTick != notSet {
 		w.unlink(int32(id))
@@ -66,10 +67,10 @@
 	w.count--
 }
 
-// insert puts a timer into the slot in which it is looked at next.
+// insert puts a timer into the slot in which Advance processes it next.
 func (w *Wheel) insert(id int32) {
 	due := w.nodes[id].dueTick
-	if due <= w.currentTick { // in a work list that was left half done
+	if due <= w.currentTick { // the tick is already being processed: fire with it
 		w.link(id, workList)
 		return
 	}
@@ -77,16 +78,18 @@
 	for level < levelCount-1 && due>>(slotBits*(level+1)) != w.currentTick>>(slotBits*(level+1)) {
 		level++
 	}
-	// A timer beyond the last level's span is looked at once a turn of that.
+	// A timer beyond the span of the last level goes into that level's farthest slot. Each time that
+	// slot is processed, the timer is inserted again, until its due tick is within the span.
 	farthest := w.currentTick>>(slotBits*level) + slotsPerLevel - 1
 	slot := min(due>>(slotBits*level), farthest) & (slotsPerLevel - 1)
 	w.occupied[level] |= 1 << slot
 	w.link(id, slotList(level, slot))
 }
 
-// Advance moves the time to now and appends to due the numbers whose timers have
-// fired, which are then not set any more. It looks at maxTimers timers in all;
-// more tells that it stopped there and has to be called again.
+// Advance moves the wheel's time to now and appends the numbers of the timers that fire to due. A
+// timer that has fired is no longer set. Advance processes at most maxTimers timers, including those
+// that it only moves to a lower level. If more is true, it stopped at that limit and has to be called
+// again.
 func (w *Wheel) Advance(now int64, maxTimers int, due []uint32) (_ []uint32, more bool) {
 	targetTick := now / w.tickLength
 	for {
@@ -114,7 +117,7 @@
 	}
 }
 
-// openSlots moves what is in the slots that a tick begins to the work list.
+// openSlots moves the timers of all slots that begin with a tick to the work list.
 func (w *Wheel) openSlots(tick int64) {
 	for level := levelCount - 1; level >= 0; level-- {
 		if tick&(1<<(slotBits*level)-1) != 0 {
@@ -129,7 +132,8 @@
 	}
 }
 
-// nextTick returns the next tick that opens a slot which may hold a timer.
+// nextTick returns the next tick with which a slot begins that may hold a timer. ok is false if there
+// is no such slot.
 func (w *Wheel) nextTick() (earliest int64, ok bool) {
 	for level := range levelCount {
 		occupied := w.occupied[level]
@@ -150,8 +154,8 @@
 	return earliest, ok
 }
 
-// Next returns the time at which Advance has something to look at; false if no
-// timer is set. Nothing is due before it.
+// Next returns the time at which Advance next has a timer to process. No timer fires before it. ok is
+// false if no timer is set.
 func (w *Wheel) Next() (at int64, ok bool) {
 	if w.lists[workList].first != noTimer {
 		return w.currentTick * w.tickLength, true
--- a/internal/timerwheel/wheel_test.go
+++ b/internal/timerwheel/wheel_test.go
@@ -7,9 +7,10 @@
 	"time"
 )
 
-// modelTimers is the model: the time of each timer, without any order.
+// modelTimers is a simple model of the wheel: a map from timer to time.
 type modelTimers map[uint32]int64
 
+// due returns the timers whose time is not after now, in ascending order of their numbers.
 func (m modelTimers) due(now int64) (ids []uint32) {
 	for id, at := range m {
 		if at <= now {
@@ -20,7 +21,7 @@
 	return ids
 }
 
-// modelRun drives a wheel with random calls and checks it against the model.
+// modelRun makes random calls to a wheel and compares it with the model.
 type modelRun struct {
 	t     *testing.T
 	seed  uint64
@@ -31,9 +32,9 @@
 	now   int64
 }
 
-// Every timer fires once, never before its time, and with no more than a tick
-// between its time and a call that could tell of it; whatever is set, moved and
-// cancelled in between, and however little is done in one call.
+// TestMatchesModel sets, moves and cancels timers at random, with a random limit on the work of each
+// call to Advance. Every timer must fire once, never before its time, and be reported by the first
+// call to Advance that is at least one tick after its time, or by the calls that continue it.
 func TestMatchesModel(t *testing.T) {
 	for seed := range uint64(300) {
 		rng := rand.New(rand.NewPCG(seed, 1))
@@ -52,7 +53,7 @@
 				run.advance()
 			}
 			if run.wheel.Len() != len(run.model) {
-				t.Fatalf("seed %d: %d timers, want %d", seed, run.wheel.Len(), len(run.model))
+				t.Fatalf("seed %d: Len() = %d, want %d", seed, run.wheel.Len(), len(run.model))
 			}
 		}
 	}
@@ -67,35 +68,40 @@
 	distance := int64(1) << r.rng.IntN(36)
 	at := r.now + r.rng.Int64N(distance) - 3
 	r.wheel.Set(id, at)
-	r.model[id] = max(at, r.now) // what is due already fires with the next tick
+	r.model[id] = max(at, r.now) // a timer that is already due fires with the next tick
 }
 
+// advance moves the time on and checks that the right timers fire.
 func (r *modelRun) advance() {
 	r.t.Helper()
 	if next, ok := r.wheel.Next(); ok && r.rng.IntN(2) == 0 {
-		r.now = max(r.now, next) // exactly when something is to be looked at
+		r.now = max(r.now, next) // exactly when Advance has a timer to process
 	} else {
 		r.now += r.rng.Int64N(int64(1) << r.rng.IntN(34))
 	}
 	if next, ok := r.wheel.Next(); ok && next > r.now {
 		if due := r.model.due(r.now - r.tick); len(due) > 0 {
-			r.t.Fatalf("seed %d: next at %d, and %d is due at %d", r.seed, next, due[0], r.model[due[0]])
+			r.t.Fatalf("seed %d: Next() = %d at time %d, want no later than %d, when timer %d is due",
+				r.seed, next, r.now, r.model[due[0]], due[0])
 		}
 	}
 	due := r.fire()
 	slices.Sort(due)
 	for i, id := range due {
 		if at, set := r.model[id]; !set || at > r.now || i > 0 && due[i-1] == id {
-			r.t.Fatalf("seed %d: %d fired at %d, set %v for %d", r.seed, id, r.now, set, at)
+			r.t.Fatalf("seed %d: timer %d fired at %d, early, twice or when not set (set: %v, time %d)",
+				r.seed, id, r.now, set, at)
 		}
 		delete(r.model, id)
 	}
 	if late := r.model.due(r.now - r.tick); len(late) > 0 {
-		r.t.Fatalf("seed %d: %d is late: %d, now %d, tick %d", r.seed, late[0], r.model[late[0]], r.now, r.tick)
+		r.t.Fatalf("seed %d: timer %d, set for %d, has not fired at %d, more than a tick of %d later",
+			r.seed, late[0], r.model[late[0]], r.now, r.tick)
 	}
 }
 
-// fire advances the wheel in small calls, and cancels other timers in between.
+// fire advances the wheel to r.now in calls with a small limit, and cancels some timers between them.
+// It returns the timers that fired.
 func (r *modelRun) fire() (due []uint32) {
 	for more := true; more; {
 		var fired []uint32
@@ -110,8 +116,9 @@
 	return due
 }
 
-// The work of one call is what the caller allows, also when all timers are in
-// one slot and that one has to be processed again a level further down.
+// TestWorkIsBounded sets all timers to the same time, so that they share a slot and have to be moved
+// down a level before they fire. No call to Advance may process more timers than the caller allows:
+// a longer call would block the caller.
 func TestWorkIsBounded(t *testing.T) {
 	const n, maxTimers = 100_000, 512
 	w := New(10, 0)
@@ -124,22 +131,22 @@
 		before := len(due)
 		due, more = w.Advance(1_000_000, maxTimers, due)
 		if len(due)-before > maxTimers {
-			t.Fatalf("%d in one call", len(due)-before)
+			t.Fatalf("Advance(maxTimers %d) fired %d timers", maxTimers, len(due)-before)
 		}
 	}
 	if len(due) != n || w.Len() != 0 {
-		t.Fatalf("%d fired, %d are left", len(due), w.Len())
+		t.Fatalf("%d timers fired, %d are left, want %d and 0", len(due), w.Len(), n)
 	}
 	if calls < n/maxTimers {
-		t.Errorf("%d calls", calls)
+		t.Errorf("%d calls to Advance, want at least %d", calls, n/maxTimers)
 	}
 	if !slices.IsSorted(due) {
-		t.Error("timers of equal time do not fire in the order in which they were set")
+		t.Error("timers of equal time did not fire in the order in which they were set")
 	}
 }
 
-// A hundred thousand timers that fire at the same time: the longest call, beside
-// what the runtime's own timers need for the same.
+// BenchmarkSimultaneousTimers lets a hundred thousand timers fire at the same time. It measures the
+// longest call to Advance and, for comparison, the time in which timers of the Go runtime fire.
 func BenchmarkSimultaneousTimers(b *testing.B) {
 	const n = 100_000
 	b.Run("wheel", func(b *testing.B) {
@@ -175,7 +182,8 @@
 	})
 }
 
-// What a connection does with its timer: move it for each command.
+// BenchmarkReset moves timers that are already set, as a connection does with its timer for each
+// command.
 func BenchmarkReset(b *testing.B) {
 	const n = 100_000
 	b.Run("wheel", func(b *testing.B) {
