--- a/internal/logstats/lines.go
+++ b/internal/logstats/lines.go
@@ -16,21 +16,21 @@
 )
 
 const (
-	maxLineBytes   = 1 << 20 // of one line; a longer one is left out
+	maxLineBytes   = 1 << 20 // longer lines are skipped
 	readBufferSize = 64 << 10
-	maxFilesNamed  = 10 // of those without a readable line
+	maxFilesNamed  = 10 // maximum number of files without a readable line that a report names
 )
 
-// logLine is one line of a relay's log that could be read.
+// logLine is a parsed line of a relay's log.
 type logLine struct {
 	time   time.Time
-	text   string // msg
+	text   string // value of the field msg
 	fields map[string]string
-	keys   []string // of fields, in the line's order
+	keys   []string // keys of fields, in the order of the line
 }
 
-// parseLine reads a line of a relay's log. What stands before its time, as some
-// log collectors put it there, is left out.
+// parseLine parses a line of a relay's log. It skips anything before the field time, since some log
+// collectors prepend text to each line. ok is false for a line that is not a relay's log line.
 func parseLine(text []byte) (line logLine, ok bool) {
 	start := bytes.Index(text, []byte("time="))
 	if start < 0 {
@@ -57,7 +57,8 @@
 	return line, true
 }
 
-// milliseconds returns a field that is a number of milliseconds.
+// milliseconds returns the value of a field that holds a number of milliseconds. It returns false if
+// the field is missing, not a number, or out of range.
 func (l *logLine) milliseconds(key string) (time.Duration, bool) {
 	n, err := strconv.ParseInt(l.fields[key], 10, 64)
 	if err != nil || n > maxCount || n < -maxCount {
@@ -66,16 +67,17 @@
 	return time.Duration(n) * time.Millisecond, true
 }
 
-// inputSummary tells what was read, and what could not be.
+// inputSummary describes the log files that were read, and the parts of them that were skipped.
 type inputSummary struct {
-	relays         []string // with lines that could be read
-	emptyFiles     []string // without one
-	foreignLines   int      // that are not of a relay's log
-	truncatedLines int      // last lines without an end
+	relays         []string // relays with at least one readable line
+	emptyFiles     []string // files without a readable line
+	foreignLines   int      // lines that are not a relay's log lines
+	truncatedLines int      // last lines of files that are incomplete
 }
 
-// forEachLine calls add with each line of all relays, relay by relay, in the order in
-// which they stand in its file.
+// forEachLine calls add for each readable line of the files *.log in dir. A file holds the log of the
+// relay that it is named after. The calls go file by file, in the order of the lines. name is the
+// folder's name in errors.
 func forEachLine(dir fs.FS, name string, add func(relay string, line *logLine)) (*inputSummary, error) {
 	files, err := fs.Glob(dir, "*.log")
 	if err != nil {
@@ -96,14 +98,14 @@
 	return summary, nil
 }
 
-// readFile calls add with each line of a file, and returns their number. A file that
-// cannot be opened has none, and one that cannot be read further ends there.
+// readFile calls add for each readable line of a file and returns their number. A file that cannot be
+// opened counts as one without lines. A read error counts as the end of the file.
 func (s *inputSummary) readFile(dir fs.FS, file string, add func(line *logLine)) (lines int) {
 	f, err := dir.Open(file)
 	if err != nil {
 		return 0
 	}
-	defer func() { _ = f.Close() }() // it was only read
+	defer func() { _ = f.Close() }() // the file was only read, so that an error has no consequence
 	reader := bufio.NewReaderSize(f, readBufferSize)
 	for err == nil {
 		var text []byte
@@ -125,7 +127,8 @@
 	return lines
 }
 
-// readLine reads one line; complete is false for one that is too long or has no end.
+// readLine reads one line. complete is false if the line is longer than maxLineBytes or is not ended by
+// a newline.
 func readLine(reader *bufio.Reader) (text []byte, complete bool, err error) {
 	tooLong := false
 	for {
@@ -143,7 +146,7 @@
 	}
 }
 
-// lines returns the summary as lines of a report.
+// lines returns the summary as the first lines of a report.
 func (s *inputSummary) lines() []string {
 	lines := []string{fmt.Sprintf("%d relays", len(s.relays))}
 	if len(s.emptyFiles) > 0 {
@@ -156,7 +159,8 @@
 	return lines
 }
 
-// emptyFilesLine names some of the files without a readable line.
+// emptyFilesLine returns the report line about the files without a readable line, which names the first
+// maxFilesNamed of them.
 func emptyFilesLine(files []string) string {
 	return fmt.Sprintf("%d without a readable line: %v", len(files), files[:min(len(files), maxFilesNamed)])
 }
--- a/internal/logstats/logstats.go
+++ b/internal/logstats/logstats.go
@@ -1,7 +1,6 @@
-// Package logstats adds up the logs of the relays of one fleet: what each of
-// them counted by second and destination, when it learned of an endpoint list,
-// how its calls to discovery ended, and when it was ready. It reads nothing but
-// the relays' own log lines, and assumes nothing that they do not say.
+// Package logstats evaluates the logs of all relays of a fleet. It sums the relays' metrics by second
+// and destination, and reports when each relay received a revision of the endpoint list, how its calls
+// to discovery ended, and when it was ready. The relays' log lines are its only input.
 package logstats
 
 import (
@@ -18,22 +17,22 @@
 )
 
 const (
-	maxCount          = 1 << 40 // of one name in one second; more is damage
-	maxSecondSpan     = 1 << 17 // seconds that a report may span: a wrong clock must not fill the memory
-	maxPolicyMessages = 1000    // different messages of the policies that are kept
+	maxCount          = 1 << 40 // a higher count for one second means that the log is damaged
+	maxSecondSpan     = 1 << 17 // maximum distance from the first second: bounds the memory if a clock is wrong
+	maxPolicyMessages = 1000    // maximum number of different policy messages that a report keeps
 )
 
-// Texts and keys of log lines that no other package defines.
+// Texts of log lines that no other package exports.
 const (
 	discoveryCallText = "discovery: call over"
 	listText          = "list"
 	policyText        = "policy"
 )
 
-// errNoLogs: a folder without a log that can be read.
+// errNoLogs is returned for a folder in which no file *.log has a readable line.
 var errNoLogs = errors.New("no readable log")
 
-// Counts are sums by name.
+// Counts holds sums by the names of the counts.
 type Counts map[string]int64
 
 func (c Counts) addAll(other Counts) {
@@ -42,8 +41,7 @@
 	}
 }
 
-// HandedBack is how many messages were handed back or rejected by the policy,
-// whatever its reason.
+// HandedBack returns the number of messages that the policy handed back or rejected, for any reason.
 func (c Counts) HandedBack() (sum int64) {
 	for name, n := range c {
 		if strings.HasPrefix(name, metrics.HandedBackPrefix) {
@@ -53,39 +51,38 @@
 	return sum
 }
 
-// ListRevision is a revision of the endpoint list, with the times at which
-// relays received it.
+// ListRevision describes when the relays received a revision of the endpoint list.
 type ListRevision struct {
 	Revision            int64
-	FirstSeen, LastSeen time.Time
-	Relays              int
+	FirstSeen, LastSeen time.Time // when the first and the last relay received it
+	Relays              int       // number of relays that received it
 }
 
-// Report is what the logs of a fleet add up to.
+// Report holds the sums over the logs of a fleet.
 type Report struct {
-	Relays                  []string // with lines that could be read
-	EmptyFiles              []string // without one
-	ForeignLines            int      // that are not of a relay's log
-	TruncatedLines          int      // last lines without an end
-	InvalidCounts           int      // of a second far from all others, or out of range
-	FirstSecond, LastSecond int64    // of what was counted, in Unix time
-	Starts                  []time.Time
-	Destinations            []int // in order
-	DiscoveryCalls          Counts
+	Relays                  []string    // relays with at least one readable line
+	EmptyFiles              []string    // files without a readable line
+	ForeignLines            int         // lines that are not a relay's log lines
+	TruncatedLines          int         // last lines of files that are incomplete
+	InvalidCounts           int         // counts out of range, and lines with a second far from the first one
+	FirstSecond, LastSecond int64       // the first and the last second with counts, in Unix time
+	Starts                  []time.Time // when relays became ready, in ascending order
+	Destinations            []int       // in ascending order
+	DiscoveryCalls          Counts      // by how the calls ended; "calls" counts all of them
 	ListRevisions           []ListRevision
-	LongestStep             time.Duration  // of any relay's event loop
-	LongestStepAt           string         // the relay and the second of it
-	PolicyMessages          map[string]int // number of relays by what their policies logged
+	LongestStep             time.Duration  // the longest step of any relay's event loop
+	LongestStepAt           string         // the relay and the second of the longest step
+	PolicyMessages          map[string]int // number of relays whose policy logged a message, by message
 
-	baseSecond int64 // the first second that was read
+	baseSecond int64 // the first second that was read; valid once bySecond has an entry
 	bySecond   map[int64]map[int]Counts
 	byRelay    map[string]map[int]Counts
 }
 
-// CountsAt is what all relays together counted in one second, for one destination.
+// CountsAt returns the sums over all relays for one second and one destination.
 func (r *Report) CountsAt(second int64, dest int) Counts { return r.bySecond[second][dest] }
 
-// SecondTotals is what all relays together counted in one second.
+// SecondTotals returns the sums over all relays and destinations for one second.
 func (r *Report) SecondTotals(second int64) Counts {
 	sum := Counts{}
 	for _, counts := range r.bySecond[second] {
@@ -94,7 +91,7 @@
 	return sum
 }
 
-// DestinationTotals is what all relays together counted for one destination.
+// DestinationTotals returns the sums over all relays and seconds for one destination.
 func (r *Report) DestinationTotals(dest int) Counts {
 	sum := Counts{}
 	for _, byDestination := range r.bySecond {
@@ -103,8 +100,8 @@
 	return sum
 }
 
-// MedianAndMaxPerRelay tells how a count of a destination is spread over the relays.
-func (r *Report) MedianAndMaxPerRelay(dest int, name string) (median, most int64) {
+// MedianAndMaxPerRelay returns the median and the maximum over all relays of a destination's count.
+func (r *Report) MedianAndMaxPerRelay(dest int, name string) (median, maximum int64) {
 	counts := make([]int64, 0, len(r.Relays))
 	for _, relay := range r.Relays {
 		counts = append(counts, r.byRelay[relay][dest][name])
@@ -116,8 +113,8 @@
 	return counts[len(counts)/2], counts[len(counts)-1]
 }
 
-// ReadReport adds up the files *.log of a folder, one for each relay; name is what
-// errors call the folder.
+// ReadReport reads the files *.log in dir, one for each relay, and returns their sums. name is the
+// folder's name in errors.
 func ReadReport(dir fs.FS, name string) (*Report, error) {
 	reader := reportReader{
 		report: &Report{
@@ -138,12 +135,12 @@
 	report *Report
 	lists  map[int64]*ListRevision // by revision
 
-	relay         string          // whose lines are being read
-	relayMessages map[string]bool // logged by its policy
-	relayLists    map[int64]bool  // revisions that it has received
+	relay         string          // the relay whose lines are being read
+	relayMessages map[string]bool // messages that this relay's policy has logged
+	relayLists    map[int64]bool  // revisions of the endpoint list that this relay has received
 }
 
-// add adds a line of a relay. All lines of one relay come in a row.
+// add adds a line of a relay. The caller passes all lines of one relay before those of the next one.
 func (rr *reportReader) add(relay string, line *logLine) {
 	if rr.relayMessages == nil || relay != rr.relay {
 		rr.relay, rr.relayMessages, rr.relayLists = relay, map[string]bool{}, map[int64]bool{}
@@ -169,7 +166,7 @@
 	}
 }
 
-// addList notes that a relay has received a revision of the list.
+// addList records that a relay received a revision of the endpoint list. Only the first time counts.
 func (rr *reportReader) addList(line *logLine) {
 	revision, err := strconv.ParseInt(line.fields["revision"], 10, 64)
 	if err != nil || rr.relayLists[revision] {
@@ -190,7 +187,7 @@
 	}
 }
 
-// finish completes the report, once all lines are added.
+// finish completes the report after all lines have been added.
 func (rr *reportReader) finish(input *inputSummary) *Report {
 	r := rr.report
 	r.Relays, r.EmptyFiles = input.relays, input.emptyFiles
@@ -209,7 +206,7 @@
 	return r
 }
 
-// addStep takes the longest step of a relay's event loop in a second.
+// addStep updates the longest step with the one that a relay logged for a second.
 func (r *Report) addStep(relay string, line *logLine) {
 	micros, err := strconv.ParseInt(line.fields[metrics.LongestStepKey], 10, 64)
 	if err != nil || micros >= maxCount {
@@ -220,7 +217,7 @@
 	}
 }
 
-// addCounts adds the counts of a relay in a second.
+// addCounts adds the counts that a relay logged for a second.
 func (r *Report) addCounts(relay string, line *logLine) {
 	second, err := strconv.ParseInt(line.fields["second"], 10, 64)
 	if len(r.bySecond) == 0 && err == nil {
--- a/internal/logstats/messagetrace.go
+++ b/internal/logstats/messagetrace.go
@@ -14,33 +14,33 @@
 	"troutusher/internal/texttable"
 )
 
-// relayEventWindow is how long before the first and after the last line of a message the
-// starts and stops of its relays belong to its trace.
+// relayEventWindow extends the time span of a message's lines at both ends. The trace includes the
+// starts and stops of the message's relays within the extended span.
 const relayEventWindow = 2 * time.Second
 
-// errUnknownMessage: no line of any log names the message.
+// errUnknownMessage is returned if no log line is about the message.
 var errUnknownMessage = errors.New("no log names this message")
 
-// TraceEvent is one thing that a log tells of a message, or of a relay that had it.
+// TraceEvent is a log line about the traced message, or about the start or stop of a relay that had it.
 type TraceEvent struct {
 	Relay     string
 	Time      time.Time
 	Text      string
-	Fields    string // the line's other fields, as they stand in it
-	OfMessage bool   // not of the relay's process
-	line      int    // number of the line among all logs
+	Fields    string // the line's other fields, in the line's order
+	OfMessage bool   // the line is about the message, not about the relay's process
+	line      int    // the line's number over all logs
 }
 
-// MessageTrace is what all logs tell of one message, in order of time.
+// MessageTrace holds the log lines of all relays about one message.
 type MessageTrace struct {
 	ID     string
-	Events []TraceEvent
+	Events []TraceEvent // in order of time
 	input  *inputSummary
 }
 
-// ReadMessageTrace reads the files *.log of a folder, one for each relay, and returns the
-// lines of one message, with the starts and stops of the relays that had it. name is what
-// errors call the folder.
+// ReadMessageTrace reads the files *.log in dir, one for each relay, and returns the lines about one
+// message, together with the starts and stops of the relays that had it. name is the folder's name in
+// errors.
 func ReadMessageTrace(dir fs.FS, name, id string) (*MessageTrace, error) {
 	trace := &MessageTrace{ID: id}
 	processEvents := map[string][]TraceEvent{} // by relay
@@ -78,13 +78,14 @@
 	return trace, nil
 }
 
-// isProcessEvent reports whether a line's text is about the start or the stop of a process.
+// isProcessEvent reports whether a line with this text is about the start or the stop of a relay's
+// process.
 func isProcessEvent(text string) bool {
 	return text == msgtrace.Ready || text == msgtrace.Stopping || text == msgtrace.Stopped
 }
 
-// addProcessEvents adds the starts and stops of the message's relays that are near its own
-// events in time.
+// addProcessEvents adds the starts and stops of the message's relays that are no more than
+// relayEventWindow away from the span of the message's own events.
 func (t *MessageTrace) addProcessEvents(byRelay map[string][]TraceEvent) {
 	first, last := t.Events[0].Time, t.Events[0].Time
 	relays := map[string]bool{}
@@ -107,8 +108,7 @@
 	}
 }
 
-// otherFields returns the fields of a line that a trace does not show in columns of
-// their own.
+// otherFields returns the fields of a line that a trace does not show in a separate column.
 func otherFields(line *logLine) string {
 	var fields []string
 	for _, key := range line.keys {
@@ -121,7 +121,7 @@
 	return strings.Join(fields, " ")
 }
 
-// quoteIfNeeded quotes a value as the relay's logger does.
+// quoteIfNeeded quotes a value where the relay's logger would quote it.
 func quoteIfNeeded(value string) string {
 	if value == "" || strings.ContainsAny(value, " \"=") {
 		return strconv.Quote(value)
@@ -129,7 +129,7 @@
 	return value
 }
 
-// WriteText writes the trace, one event a line, with the time since the message's first.
+// WriteText writes the trace with one event per line. Times are relative to the message's first event.
 func (t *MessageTrace) WriteText(out io.Writer) error {
 	b, table := &strings.Builder{}, texttable.New()
 	writeLines(b, t.input.lines())
--- a/internal/logstats/messagetrace_test.go
+++ b/internal/logstats/messagetrace_test.go
@@ -11,8 +11,9 @@
 	"troutusher/internal/msgtrace"
 )
 
-// A trace is in order of time over all relays, with the starts and stops near it
-// and nothing else of them.
+// TestMessageTrace checks that a trace has the lines about the message from all relays in order of time,
+// together with the starts and stops of these relays near them. It must not have lines about other
+// messages, other starts and stops, or starts of relays that did not have the message.
 func TestMessageTrace(t *testing.T) {
 	trace, err := ReadMessageTrace(logFolder(map[string]string{
 		"n1.log": "14.1 " + messageLine(100, msgtrace.Accepted, "m", "class=c left_ms=900") +
@@ -31,7 +32,7 @@
 		got = append(got, event.Relay+" "+event.Text)
 	}
 	if want := "n1 ready, n2 stopping, n1 taken, n2 taken, n1 attempt"; strings.Join(got, ", ") != want {
-		t.Errorf("%v, want %s", got, want)
+		t.Errorf("events = %v, want %s", got, want)
 	}
 	var text bytes.Buffer
 	if err := trace.WriteText(&text); err != nil {
@@ -42,18 +43,18 @@
 		"-0.050 s  n2  (stopping)  held=3",
 	} {
 		if !strings.Contains(text.String(), want) {
-			t.Errorf("no %q in\n%s", want, text.String())
+			t.Errorf("WriteText() has no %q:\n%s", want, text.String())
 		}
 	}
 }
 
-// Unknown ids and folders without a log are errors that name them; damage is
-// counted and reported.
+// TestDamagedLogs checks that the error for an unknown message names its ID and that for a folder
+// without a readable log names the folder, and that the report counts lines it could not read.
 func TestDamagedLogs(t *testing.T) {
 	good := logLineAt(0, msgtrace.Ready, "log=none") + messageLine(100, msgtrace.Accepted, "m", "left_ms=900")
 	_, err := ReadMessageTrace(logFolder(map[string]string{"n.log": good}), "logs", "x")
 	if !errors.Is(err, errUnknownMessage) || !strings.Contains(err.Error(), "x") {
-		t.Errorf("unknown id: %v", err)
+		t.Errorf("ReadMessageTrace(unknown ID x) = error %v, want %v with the ID", err, errUnknownMessage)
 	}
 	for _, dir := range []fstest.MapFS{
 		logFolder(nil),
@@ -61,10 +62,10 @@
 		logFolder(map[string]string{"n.txt": good}),
 	} {
 		if _, err := ReadOutcomes(dir, "here"); !errors.Is(err, errNoLogs) || !strings.HasPrefix(err.Error(), "here") {
-			t.Errorf("nothing to read: %v", err)
+			t.Errorf("ReadOutcomes(%v) = error %v, want %v with the folder's name", dir, err, errNoLogs)
 		}
 		if _, err := ReadMessageTrace(dir, "here", "m"); !errors.Is(err, errNoLogs) {
-			t.Errorf("nothing to read: %v", err)
+			t.Errorf("ReadMessageTrace(%v) = error %v, want %v", dir, err, errNoLogs)
 		}
 	}
 	outcomes := readOutcomes(t, map[string]string{
@@ -81,7 +82,7 @@
 		"6 more are not told", "1         !  " + string(Unfinished),
 	} {
 		if !strings.Contains(text.String(), want) {
-			t.Errorf("no %q in\n%s", want, text.String())
+			t.Errorf("WriteText() has no %q:\n%s", want, text.String())
 		}
 	}
 }
--- a/internal/logstats/outcomes.go
+++ b/internal/logstats/outcomes.go
@@ -16,21 +16,22 @@
 )
 
 const (
-	maxTrackedMessages = 4 << 20 // lines on other messages are counted only
-	maxExamples        = 5       // ids that are shown for each outcome
+	maxTrackedMessages = 4 << 20 // lines about further messages are only counted
+	maxExamples        = 5       // number of message IDs that are shown for each outcome
 
-	// noticeGrace is how long after a message's deadline its notice is in time.
+	// noticeGrace is the time after a message's deadline within which a notice is not late.
 	noticeGrace = 300 * time.Millisecond
-	// restartNoticeGrace is how long after a start a notice may still be delivered
-	// whose message's deadline was before it. noticeGrace comes on top.
+	// restartNoticeGrace extends deadlines after a relay's start: an earlier deadline of a message
+	// that the start found is moved to this time after the start. Together with noticeGrace, a
+	// notice may be delivered up to 1.5 s after the start.
 	restartNoticeGrace = 1500*time.Millisecond - noticeGrace
 )
 
-// Outcome is what became of a message that a relay accepted.
+// Outcome describes how a message ended that a relay accepted. Its value is its text in the report.
 type Outcome string
 
-// Outcomes. The first four are as they should be, the next three cannot be decided
-// from the logs, and the others are faults.
+// Outcomes of messages. The first four are correct, the next three mean that the logs do not show
+// whether the relay was at fault, and the others are faults.
 const (
 	DeliveredInTime    Outcome = "delivered within its time"
 	FinishedAtEndpoint Outcome = "over at its endpoint, which had heard so (410)"
@@ -47,57 +48,57 @@
 	EndedTwice         Outcome = "ended more than once"
 )
 
-// outcomeOrder is the order of the report; faults are last.
+// outcomeOrder is the order of the outcomes in the report. Faults are last.
 var outcomeOrder = []Outcome{
 	DeliveredInTime, FinishedAtEndpoint, NoticeInTime, ClientWithdrew,
 	PendingAtEnd, LogEndsEarly, StateLost,
 	DeliveredLate, NoticeLate, NoticeMissing, NotRecovered, Unfinished, EndedTwice,
 }
 
-// IsFault reports whether a message was owed something that it did not get.
+// IsFault reports whether the relay failed to end the message exactly once and in time.
 func (o Outcome) IsFault() bool {
 	return slices.Index(outcomeOrder, o) >= slices.Index(outcomeOrder, DeliveredLate)
 }
 
-// messageHistory is what the logs tell of one message.
+// messageHistory summarizes the log lines about one message.
 type messageHistory struct {
-	relay               string // that logged about it last
+	relay               string // the relay of the last line that was read
 	firstSeen, deadline time.Time
-	deliveredAt         time.Time // the last time
-	noticedAt           time.Time // the first time
-	recoveredAt         time.Time // the last time
+	deliveredAt         time.Time // the last delivery
+	noticedAt           time.Time // the first notice
+	recoveredAt         time.Time // the last recovery
 	deliveries, endings int
 	withdrawn           bool
 	finishedAtEndpoint  bool
-	traced              bool // from its submission or a recovery on
+	traced              bool // traced from its submission or a recovery on
 }
 
-// hasEnd reports whether the logs tell how the message ended.
+// hasEnd reports whether the logs show how the message ended.
 func (h *messageHistory) hasEnd() bool {
 	return h.withdrawn || h.finishedAtEndpoint || h.endings > 0 || h.deliveries > 0
 }
 
-// relayHistory is what a log tells of a relay's processes.
+// relayHistory summarizes the log lines about a relay's processes.
 type relayHistory struct {
 	starts   []processStart
-	lastLine time.Time
+	lastLine time.Time // latest time of any line
 }
 
 // processStart is a start of a relay's process.
 type processStart struct {
 	at         time.Time
-	withoutLog bool // it found no log of messages
+	withoutLog bool // the process found no write-ahead log
 }
 
-// Outcomes says what became of every message that logs tell of.
+// Outcomes holds the outcomes of all messages that the logs are about.
 type Outcomes struct {
 	Count          map[Outcome]int
-	Examples       map[Outcome][]string // ids of some messages, in order of their submission
-	Accepted       int                  // traced messages that were accepted
+	Examples       map[Outcome][]string // IDs of the first messages, in order of their first lines
+	Accepted       int                  // accepted messages whose outcome was determined
 	Untraced       int64                // messages that are not traced from their submission on
-	UntrackedLines int                  // lines on messages beyond the number that is tracked
+	UntrackedLines int                  // lines about messages beyond the maximum number of tracked ones
 	LatestNotice   time.Duration        // the longest time from a message's deadline to its notice
-	LongestUnread  time.Duration        // the longest that a request may have waited to be read
+	LongestUnread  time.Duration        // upper bound of the time that any request waited to be read
 
 	input      *inputSummary
 	messages   map[string]*messageHistory
@@ -105,8 +106,8 @@
 	maxTracked int
 }
 
-// ReadOutcomes reads the files *.log of a folder, one for each relay, and decides the
-// outcome of each message. name is what errors call the folder.
+// ReadOutcomes reads the files *.log in dir, one for each relay, and determines the outcome of each
+// message. name is the folder's name in errors.
 func ReadOutcomes(dir fs.FS, name string) (*Outcomes, error) {
 	o := &Outcomes{
 		Count: map[Outcome]int{}, Examples: map[Outcome][]string{},
@@ -120,7 +121,7 @@
 	for _, id := range o.idsBySubmission() {
 		message := o.messages[id]
 		if !message.traced && !message.hasEnd() {
-			continue // its attempts alone were logged
+			continue // the message was not sampled: only its failed attempts were logged
 		}
 		outcome := o.outcomeOf(message)
 		if outcome != ClientWithdrew {
@@ -134,7 +135,7 @@
 	return o, nil
 }
 
-// idsBySubmission returns the messages' ids in the order of their first lines.
+// idsBySubmission returns the messages' IDs in the order of their first lines.
 func (o *Outcomes) idsBySubmission() []string {
 	return slices.SortedFunc(maps.Keys(o.messages), func(a, b string) int {
 		if order := o.messages[a].firstSeen.Compare(o.messages[b].firstSeen); order != 0 {
@@ -144,7 +145,7 @@
 	})
 }
 
-// addLine adds what one line tells.
+// addLine adds a line of a relay's log to the histories.
 func (o *Outcomes) addLine(relay string, line *logLine) {
 	process := o.relays[relay]
 	if process == nil {
@@ -165,10 +166,10 @@
 			message.relay = relay
 			o.addToHistory(message, line)
 		}
-	} // rejected messages were never accepted
+	} // lines about rejected messages are ignored, since these messages were never accepted
 }
 
-// addUntraced adds the number of messages that were not sampled for tracing.
+// addUntraced adds the number of untraced messages that a metrics line reports.
 func (o *Outcomes) addUntraced(line *logLine) {
 	for _, key := range line.keys {
 		if !strings.HasSuffix(key, "."+metrics.Untraced) {
@@ -180,8 +181,8 @@
 	}
 }
 
-// history returns the history of the message that a line is about, nil where it is not
-// tracked.
+// history returns the history of the message that a line is about, and creates it if needed. It returns
+// nil if the line is about no message, or about one beyond the maximum number of tracked messages.
 func (o *Outcomes) history(line *logLine) *messageHistory {
 	id := line.fields["message"]
 	if id == "" {
@@ -199,7 +200,7 @@
 	return message
 }
 
-// addToHistory adds what a line tells of its message.
+// addToHistory adds a line about a message to its history.
 func (o *Outcomes) addToHistory(message *messageHistory, line *logLine) {
 	left, ok := line.milliseconds("left_ms")
 	setsDeadline := line.text == msgtrace.Accepted || line.text == msgtrace.Recovered || !message.traced
@@ -230,12 +231,12 @@
 	}
 }
 
-// outcomeOf decides the outcome of one message.
+// outcomeOf determines the outcome of one message.
 func (o *Outcomes) outcomeOf(message *messageHistory) Outcome {
 	process := o.relays[message.relay]
 	switch {
 	case message.deliveries+message.endings > 1 && message.recoveredAt.IsZero():
-		return EndedTwice // after a recovery an end that was not logged may come again
+		return EndedTwice // after a recovery, an end that the write-ahead log does not have may be repeated
 	case message.deliveries > 0 && process.delay(message, message.deliveredAt) > 0:
 		return DeliveredLate
 	case message.deliveries > 0:
@@ -255,8 +256,8 @@
 	return o.outcomeWithoutNotice(message, process)
 }
 
-// outcomeWithoutNotice decides the outcome of a message of which the logs tell neither a
-// delivery nor a notice.
+// outcomeWithoutNotice determines the outcome of a message for which the logs show neither an end at an
+// endpoint, nor a withdrawal, nor a notice.
 func (o *Outcomes) outcomeWithoutNotice(message *messageHistory, process *relayHistory) Outcome {
 	for _, start := range process.starts {
 		if start.at.After(message.firstSeen) && message.recoveredAt.Before(start.at) {
@@ -280,9 +281,9 @@
 	return Unfinished
 }
 
-// delay is how long after its deadline something happened to a message, below zero where
-// it was before. A restart takes time in which no notice can be delivered: the deadline of a
-// message that a start found is not before the end of restartNoticeGrace.
+// delay returns the time from a message's deadline to at, negative if at is before the deadline. During
+// a restart the relay cannot deliver notices. If the relay started after the message's first line and
+// not after at, the deadline is therefore no earlier than restartNoticeGrace after that start.
 func (h *relayHistory) delay(message *messageHistory, at time.Time) time.Duration {
 	due := message.deadline
 	for _, start := range h.starts {
@@ -294,7 +295,7 @@
 	return at.Sub(due)
 }
 
-// endOfLogs is the time of the last line of all logs.
+// endOfLogs returns the time of the latest line of all logs.
 func (o *Outcomes) endOfLogs() (last time.Time) {
 	for _, process := range o.relays {
 		if process.lastLine.After(last) {
@@ -304,7 +305,7 @@
 	return last
 }
 
-// WriteText writes the sums, with some ids for each outcome.
+// WriteText writes the number of messages and some message IDs for each outcome.
 func (o *Outcomes) WriteText(out io.Writer) error {
 	b := &strings.Builder{}
 	writeLines(b, o.input.lines())
@@ -322,7 +323,7 @@
 	return err
 }
 
-// table returns the number of messages by outcome, faults marked.
+// table returns the table of outcomes. Faults are marked with "!".
 func (o *Outcomes) table() string {
 	table := texttable.New()
 	faults, total := 0, 0
--- a/internal/logstats/outcomes_test.go
+++ b/internal/logstats/outcomes_test.go
@@ -15,17 +15,18 @@
 
 var startOfLogs = time.Date(2026, 5, 1, 18, 0, 0, 0, time.UTC)
 
-// logLineAt is a line of a relay's log, so many milliseconds after startOfLogs.
+// logLineAt returns a line of a relay's log that was written ms milliseconds after startOfLogs.
 func logLineAt(ms int, text, fields string) string {
 	return fmt.Sprintf("time=%s level=INFO msg=%s %s\n",
 		startOfLogs.Add(time.Duration(ms)*time.Millisecond).Format("2006-01-02T15:04:05.000Z07:00"), text, fields)
 }
 
-// messageLine is a line about a message, so many milliseconds after startOfLogs.
+// messageLine returns a line about a message that was written ms milliseconds after startOfLogs.
 func messageLine(ms int, text, id, fields string) string {
 	return logLineAt(ms, text, "message="+id+" "+fields)
 }
 
+// readOutcomes returns the outcomes from log files, given by name and contents.
 func readOutcomes(t *testing.T, files map[string]string) *Outcomes {
 	t.Helper()
 	outcomes, err := ReadOutcomes(logFolder(files), "logs")
@@ -35,6 +36,7 @@
 	return outcomes
 }
 
+// logFolder returns a folder that holds files, given by name and contents.
 func logFolder(files map[string]string) fstest.MapFS {
 	dir := fstest.MapFS{}
 	for name, text := range files {
@@ -43,7 +45,7 @@
 	return dir
 }
 
-// Each outcome is decided from what the logs show, and counted once.
+// TestOutcomes checks, for each outcome, that logs which show it give that outcome once and no other.
 func TestOutcomes(t *testing.T) {
 	accepted := func(ms int, id string, left int) string {
 		return messageLine(ms, msgtrace.Accepted, id, fmt.Sprintf("class=c dest=1 left_ms=%d waited_ms=7", left))
@@ -69,13 +71,14 @@
 		})
 		examples := outcomes.Examples[want]
 		if outcomes.Count[want] != 1 || len(outcomes.Count) != 1 || len(examples) != 1 || examples[0] != "m" {
-			t.Errorf("want %q: %v", want, outcomes.Count)
+			t.Errorf("outcomes = %v, examples of %q = %v, want only that outcome, for message m",
+				outcomes.Count, want, examples)
 		}
 		if accepted := outcomes.Accepted; (accepted == 1) == (want == ClientWithdrew) {
-			t.Errorf("%q: %d accepted", want, accepted)
+			t.Errorf("%q: %d accepted messages, want 0 for a withdrawn one and 1 otherwise", want, accepted)
 		}
 	}
-	// What the end of the logs leaves open: one relay's ends long before the others'.
+	// Two messages have not ended when the logs end. The log of one relay ends long before the other's.
 	outcomes := readOutcomes(t, map[string]string{
 		"n1.log": logLineAt(0, msgtrace.Ready, "log=none") + accepted(100, "early", 30_000) +
 			logLineAt(2000, metrics.LogText, "second=2"),
@@ -83,18 +86,20 @@
 			logLineAt(9500, metrics.LogText, "second=9"),
 	})
 	if outcomes.Count[LogEndsEarly] != 1 || outcomes.Count[PendingAtEnd] != 1 || outcomes.Accepted != 2 {
-		t.Errorf("%v", outcomes)
+		t.Errorf("outcomes = %v, %d accepted, want 1 %q, 1 %q, 2 accepted",
+			outcomes.Count, outcomes.Accepted, LogEndsEarly, PendingAtEnd)
 	}
 	faults := []Outcome{DeliveredLate, NoticeLate, NoticeMissing, Unfinished, EndedTwice, NotRecovered}
 	for _, outcome := range outcomeOrder {
 		if want := slices.Contains(faults, outcome); outcome.IsFault() != want {
-			t.Errorf("%q: a fault: %v", outcome, outcome.IsFault())
+			t.Errorf("%q.IsFault() = %v, want %v", outcome, outcome.IsFault(), want)
 		}
 	}
 }
 
-// After a start what was due before it has 1.5 s from that; an end that the log
-// of messages did not have may come again; what is recovered is not forgotten.
+// TestOutcomesAcrossRestart checks messages that a relay accepted before a restart. A notice that was
+// due before the start may be delivered up to 1.5 s after it. A delivery that the write-ahead log does
+// not have may be repeated. A message that the new process does not recover is a fault.
 func TestOutcomesAcrossRestart(t *testing.T) {
 	beforeStart := logLineAt(0, msgtrace.Ready, "log=none") +
 		messageLine(100, msgtrace.Accepted, "m", "left_ms=1000") +
@@ -105,42 +110,45 @@
 		lines string
 		want  Outcome
 	}{
-		"notice soon after it":     {expired + messageLine(3400, msgtrace.NoticeDelivered, "m", ""), NoticeInTime},
-		"notice too late after it": {expired + messageLine(3600, msgtrace.NoticeDelivered, "m", ""), NoticeLate},
-		"delivered again": {
+		"notice 1.4 s after start": {expired + messageLine(3400, msgtrace.NoticeDelivered, "m", ""), NoticeInTime},
+		"notice 1.6 s after start": {expired + messageLine(3600, msgtrace.NoticeDelivered, "m", ""), NoticeLate},
+		"delivered before and after the restart": {
 			messageLine(500, msgtrace.Delivered, "m", "left_ms=600") +
 				messageLine(1990, msgtrace.Recovered, "m", "left_ms=100") +
 				messageLine(2005, msgtrace.Delivered, "m", "left_ms=85"),
 			DeliveredInTime,
 		},
-		"not recovered": {logLineAt(90_000, metrics.LogText, "second=90"), NotRecovered},
+		"not recovered by the new process": {logLineAt(90_000, metrics.LogText, "second=90"), NotRecovered},
 	} {
 		outcomes := readOutcomes(t, map[string]string{
 			"n1.log": beforeStart + test.lines + logLineAt(91_000, metrics.LogText, "second=91"),
 		})
 		if outcomes.Count[test.want] != 1 || len(outcomes.Count) != 1 {
-			t.Errorf("%s: %v", name, outcomes.Count)
+			t.Errorf("%s: outcomes = %v, want only %q", name, outcomes.Count, test.want)
 		}
 	}
 }
 
-// Messages beyond those that are tracked are counted, and hold no memory.
+// TestTrackedMessagesAreBounded checks that memory stays bounded: lines about messages beyond the
+// maximum number of tracked ones are only counted.
 func TestTrackedMessagesAreBounded(t *testing.T) {
 	outcomes := &Outcomes{messages: map[string]*messageHistory{}, relays: map[string]*relayHistory{}, maxTracked: 3}
 	for i := range 10 {
 		text := messageLine(i, msgtrace.Accepted, fmt.Sprint("m", i), "left_ms=5")
 		line, ok := parseLine([]byte(strings.TrimSpace(text)))
 		if !ok {
-			t.Fatal("not read")
+			t.Fatalf("parseLine(%q) = false, want true", text)
 		}
 		outcomes.addLine("n", &line)
 	}
 	if len(outcomes.messages) != 3 || outcomes.UntrackedLines != 7 {
-		t.Errorf("%d tracked, %d lines on others", len(outcomes.messages), outcomes.UntrackedLines)
+		t.Errorf("%d tracked messages, %d lines about others, want 3 and 7",
+			len(outcomes.messages), outcomes.UntrackedLines)
 	}
 }
 
-// Whatever stands in a log, its messages are each counted once, in few lines.
+// FuzzOutcomes checks that for any input each message is counted at most once, that the report can be
+// written, and that each message has a trace.
 func FuzzOutcomes(f *testing.F) {
 	f.Add(logLineAt(0, msgtrace.Ready, "log=none") + messageLine(1, msgtrace.Accepted, "m", "left_ms=5") +
 		messageLine(2, msgtrace.NoticeDelivered, "m", ""))
@@ -156,7 +164,8 @@
 			sum += n
 		}
 		if sum != outcomes.Accepted+outcomes.Count[ClientWithdrew] || sum > len(outcomes.messages) {
-			t.Errorf("%v of %d", outcomes.Count, len(outcomes.messages))
+			t.Errorf("outcomes = %v of %d messages, %d accepted, want each message at most once",
+				outcomes.Count, len(outcomes.messages), outcomes.Accepted)
 		}
 		if err := outcomes.WriteText(&bytes.Buffer{}); err != nil {
 			t.Error(err)
@@ -164,7 +173,7 @@
 		for id := range outcomes.messages {
 			trace, err := ReadMessageTrace(logFolder(map[string]string{"n.log": text}), "logs", id)
 			if err != nil || len(trace.Events) == 0 {
-				t.Errorf("%q: %v", id, err)
+				t.Errorf("ReadMessageTrace(%q) = error %v or no events, want at least one event", id, err)
 			}
 			return
 		}
--- a/internal/logstats/page.go
+++ b/internal/logstats/page.go
@@ -16,7 +16,7 @@
 	"troutusher/internal/metrics"
 )
 
-// maxDestinationPlots is the number of destinations that have a plot of their own.
+// maxDestinationPlots is the maximum number of destinations that have their own plot.
 const maxDestinationPlots = 40
 
 const (
@@ -30,12 +30,12 @@
 	value func(Counts) float64
 }
 
-// countSeries draws one count.
+// countSeries returns the series of one count.
 func countSeries(title, name string) series {
 	return series{title, func(c Counts) float64 { return float64(c[name]) }}
 }
 
-// trafficSeries is what is drawn of all destinations, and of each.
+// trafficSeries are the series of the plot of all destinations and of the plot of each destination.
 var trafficSeries = []series{
 	countSeries("handed in", metrics.Submitted),
 	countSeries("sent", metrics.Attempts),
@@ -44,7 +44,8 @@
 	{"refused here", func(c Counts) float64 { return float64(c.HandedBack()) }},
 }
 
-// costSeries is what costs endpoints or zones more than a call.
+// costSeries are the series of the plot of operations that load endpoints or zones beyond the calls
+// themselves.
 var costSeries = []series{
 	countSeries("connections opened", metrics.ConnectionsOpened),
 	countSeries("no connection", metrics.ConnectFailed),
@@ -52,7 +53,7 @@
 	countSeries("probes", metrics.HealthChecks),
 }
 
-// plotSVG draws series over the seconds. countsAt returns the counts of a second.
+// plotSVG draws series over all seconds of the report. countsAt returns the counts of a second.
 func (r *Report) plotSVG(title string, countsAt func(second int64) Counts, lines []series) ([]byte, error) {
 	p := plot.New()
 	p.Title.Text, p.X.Label.Text, p.Y.Label.Text = title, "s", "a second, all relays"
@@ -66,23 +67,23 @@
 		args = append(args, line.name, points)
 	}
 	if err := plotutil.AddLines(p, args...); err != nil {
-		return nil, fmt.Errorf("plot: %w", err)
+		return nil, fmt.Errorf("plot %q: add lines: %w", title, err)
 	}
 	canvas := vgsvg.New(plotWidth, plotHeight)
 	p.Draw(draw.New(canvas))
 	var b bytes.Buffer
 	if _, err := canvas.WriteTo(&b); err != nil {
-		return nil, fmt.Errorf("plot: %w", err)
+		return nil, fmt.Errorf("plot %q: encode as SVG: %w", title, err)
 	}
 	svg := b.Bytes()
-	if start := bytes.Index(svg, []byte("<svg")); start > 0 { // an XML head has no place within a page
+	if start := bytes.Index(svg, []byte("<svg")); start > 0 { // HTML allows no XML declaration before an inline SVG
 		svg = svg[start:]
 	}
 	return svg, nil
 }
 
-// writePlots writes a plot of all destinations, one of what is costly, and one of each
-// destination.
+// writePlots writes the plot of all destinations, the plot of costly operations, and the plots of the
+// first maxDestinationPlots destinations.
 func (r *Report) writePlots(b *bytes.Buffer) error {
 	write := func(title string, countsAt func(second int64) Counts, lines []series) error {
 		svg, err := r.plotSVG(title, countsAt, lines)
@@ -104,7 +105,7 @@
 	return nil
 }
 
-// WriteHTML writes the report as one page that needs nothing else.
+// WriteHTML writes the report as one self-contained HTML page.
 func (r *Report) WriteHTML(w io.Writer) error {
 	b := &bytes.Buffer{}
 	b.WriteString(`<!doctype html><html lang="en"><meta charset="utf-8">`)
@@ -125,6 +126,7 @@
 	return err
 }
 
+// writeHTMLTable writes rows of cells as an HTML table.
 func writeHTMLTable(b *bytes.Buffer, rows [][]string) {
 	b.WriteString("<table>\n")
 	for _, cells := range rows {
--- a/internal/logstats/previousrelease_test.go
+++ b/internal/logstats/previousrelease_test.go
@@ -13,14 +13,16 @@
 	"troutusher/internal/metrics"
 )
 
-// previousRelease holds the logs of three relays of the release before, one of them
-// restarted and one killed, and that release's reports on them.
+// previousRelease is a folder with logs of three relays of the previous release, one of which was
+// restarted and one killed, and with the reports that the previous release wrote about them.
 const previousRelease = "testdata/previous-release"
 
-// plots matches the plots of a page. Their paths depend on the plot library's release.
+// plots matches the plots of a page. The paths in them depend on the plot library's version, so that
+// the test does not compare them.
 var plots = regexp.MustCompile(`(?s)<svg.*?</svg>`)
 
-// The reports on logs of the release before are those that it wrote itself.
+// TestReportsOnPreviousRelease compares the reports on logs of the previous release with those that the
+// previous release wrote itself: a change must not alter how existing logs are read and reported.
 func TestReportsOnPreviousRelease(t *testing.T) {
 	dir := os.DirFS(previousRelease)
 	tests := map[string]func(w io.Writer) error{
@@ -60,7 +62,7 @@
 				t.Fatal(err)
 			}
 			if got.String() != string(want) {
-				t.Errorf("got\n%s\nwant\n%s", got.String(), want)
+				t.Errorf("report =\n%s\nwant\n%s", got.String(), want)
 			}
 		})
 	}
@@ -87,9 +89,10 @@
 	return err
 }
 
-// Logs of the release before and of this one add up in one report.
+// TestMixedReleases checks that a report sums logs of the previous release and of this one, as they occur
+// together while a fleet is upgraded.
 func TestMixedReleases(t *testing.T) {
-	const sharedSecond = 1796189908 // seen by all three relays of the release before
+	const sharedSecond = 1796189908 // all three relays of the previous release have counts for it
 	files := fstest.MapFS{"n4.log": {Data: []byte(relayLog(sharedSecond))}}
 	for _, name := range []string{"n1.log", "n2.log", "n3.log"} {
 		text, err := os.ReadFile(filepath.Join(previousRelease, name))
@@ -103,10 +106,10 @@
 		t.Fatal(err)
 	}
 	if len(report.Relays) != 4 || len(report.Starts) != 6 {
-		t.Errorf("relays %v, starts %v", report.Relays, report.Starts)
+		t.Errorf("report: relays %v, starts %v, want 4 relays, 6 starts", report.Relays, report.Starts)
 	}
-	// 17 messages in the report of the release before, and 3 of this one's relay.
+	// 17 messages are in the report of the previous release, and 3 are from this release's relay.
 	if got := report.SecondTotals(sharedSecond)[metrics.Submitted]; got != 17+3 {
-		t.Errorf("%d submitted, want 20", got)
+		t.Errorf("SecondTotals(%d): %d submitted, want 20", sharedSecond, got)
 	}
 }
--- a/internal/logstats/report.go
+++ b/internal/logstats/report.go
@@ -12,18 +12,18 @@
 	"troutusher/internal/texttable"
 )
 
-// column is one figure of the tables.
+// column is a column of the tables.
 type column struct {
 	name   string
 	format func(Counts) string
 }
 
-// countColumn shows one count.
+// countColumn returns the column of one count.
 func countColumn(title, name string) column {
 	return column{title, func(c Counts) string { return fmt.Sprint(c[name]) }}
 }
 
-// ratio formats a/b, or "-" where b is zero.
+// ratio formats a/b with a number of decimals, or returns "-" if b is zero.
 func ratio(a, b int64, digits int) string {
 	if b == 0 {
 		return "-"
@@ -51,7 +51,7 @@
 	{"held-ms", func(c Counts) string { return ratio(c[metrics.FirstAttemptDelayMS], c[metrics.FirstAttempts], 0) }},
 }
 
-// headCells returns the titles of the columns, after a first one.
+// headCells returns the head row of a table: first, the titles of the columns, then more.
 func headCells(first string, more ...string) []string {
 	cells := []string{first}
 	for _, column := range columns {
@@ -60,7 +60,7 @@
 	return append(cells, more...)
 }
 
-// rowCells returns a row of the columns' figures, after its name.
+// rowCells returns a row of a table: its name, the values of the columns, then more.
 func rowCells(name string, counts Counts, more ...string) []string {
 	cells := []string{name}
 	for _, column := range columns {
@@ -69,7 +69,8 @@
 	return append(cells, more...)
 }
 
-// destinationRows returns a table with a row for each destination, its head first.
+// destinationRows returns the rows of the table of destinations: the head, a row for each destination,
+// and the sums.
 func (r *Report) destinationRows() [][]string {
 	rows := [][]string{headCells("dest", "one relay: sent, middle", "most")}
 	totals := Counts{}
@@ -82,8 +83,8 @@
 	return append(rows, rowCells("all", totals, "", ""))
 }
 
-// secondRows returns a table with a row for each second, its head first: of one
-// destination, or of all where dest is nil.
+// secondRows returns the rows of the table of seconds: the head, and a row for each second with counts.
+// The counts are those of one destination, or the sums over all of them if dest is nil.
 func (r *Report) secondRows(dest *int) [][]string {
 	rows := [][]string{headCells("second")}
 	for second := r.FirstSecond; second <= r.LastSecond; second++ {
@@ -98,6 +99,7 @@
 	return rows
 }
 
+// destinationName returns a destination's name in the report.
 func destinationName(dest int) string {
 	if dest == metrics.OtherDestinations {
 		return "others"
@@ -105,7 +107,7 @@
 	return fmt.Sprint(dest)
 }
 
-// summaryLines returns what the report tells beside its tables.
+// summaryLines returns the lines of the report that precede its tables.
 func (r *Report) summaryLines() []string {
 	lines := r.inputLines()
 	if n := len(r.Starts); n > 0 {
@@ -132,7 +134,7 @@
 	return lines
 }
 
-// inputLines returns what was read, and what could not be.
+// inputLines returns the lines of the report about its input and about what was skipped.
 func (r *Report) inputLines() []string {
 	lines := []string{fmt.Sprintf("%d relays, %d starts; %d seconds",
 		len(r.Relays), len(r.Starts), r.LastSecond-r.FirstSecond+1)}
@@ -146,8 +148,8 @@
 	return lines
 }
 
-// handedBackByReason returns how many messages were handed back or rejected for each
-// reason, over all destinations.
+// handedBackByReason returns, for each reason, the number of messages of all destinations that were
+// handed back or rejected.
 func (r *Report) handedBackByReason() Counts {
 	reasons := Counts{}
 	for _, dest := range r.Destinations {
@@ -160,7 +162,7 @@
 	return reasons
 }
 
-// countsText returns counts in the order of their names, a blank before each.
+// countsText returns the names and values of counts, sorted by name, with a space before each name.
 func countsText(counts Counts) string {
 	text := ""
 	for _, name := range slices.Sorted(maps.Keys(counts)) {
@@ -169,8 +171,8 @@
 	return text
 }
 
-// WriteText writes the report as tables. The seconds are those of one destination where
-// dest names one.
+// WriteText writes the report as text. The table of seconds is that of one destination, or of all of
+// them if dest is nil.
 func (r *Report) WriteText(w io.Writer, dest *int) error {
 	b := &strings.Builder{}
 	writeLines(b, r.summaryLines())
@@ -186,7 +188,7 @@
 	return err
 }
 
-// writeLines writes each string as a line.
+// writeLines writes strings as lines.
 func writeLines(b *strings.Builder, lines []string) {
 	for _, line := range lines {
 		b.WriteString(line)
--- a/internal/logstats/restarts.go
+++ b/internal/logstats/restarts.go
@@ -14,24 +14,25 @@
 	"troutusher/internal/texttable"
 )
 
-// Restarts says what became of the messages that starts of relays recovered: sums
-// over all relays and starts. A message that two starts recover counts for both.
+// Restarts holds the number of messages that relays recovered when they started, and how the untried
+// ones among them ended, summed over all relays and starts. Untried messages are those for which the
+// write-ahead log has no attempt. A message that two starts recover counts twice.
 type Restarts struct {
-	Starts     int    // of processes
-	Recovered  int64  // messages
-	Untried    int64  // of them, those of which no attempt was logged
-	Expired    int64  // of the untried, those past their deadline when they were recovered
-	Unroutable int64  // of the untried, those in time without an endpoint in the list
-	Attempted  int64  // of the untried, those attempted since
-	Delivered  int64  // of the attempted
-	HandedBack Counts // of the untried, without a call, by reason
-	GivenUp    Counts // of the untried, without a call, by reason
+	Starts     int    // processes that became ready
+	Recovered  int64  // recovered messages
+	Untried    int64  // recovered messages without an attempt
+	Expired    int64  // untried messages past their deadline when they were recovered
+	Unroutable int64  // untried messages before their deadline without an endpoint in the list
+	Attempted  int64  // untried messages attempted since the recovery
+	Delivered  int64  // untried messages attempted and delivered since the recovery
+	HandedBack Counts // untried messages handed back without a call, by reason
+	GivenUp    Counts // untried messages given up without a call, by reason
 
 	input *inputSummary
 }
 
-// ReadRestarts reads the files *.log of a folder, one for each relay, and adds up their
-// metrics of recovered messages. name is what errors call the folder.
+// ReadRestarts reads the files *.log in dir, one for each relay, and sums their counts of recovered
+// messages. name is the folder's name in errors.
 func ReadRestarts(dir fs.FS, name string) (*Restarts, error) {
 	r := &Restarts{HandedBack: Counts{}, GivenUp: Counts{}}
 	var err error
@@ -49,7 +50,7 @@
 	return r, nil
 }
 
-// addCounts adds the counts of one relay in one second.
+// addCounts adds the counts of a metrics line.
 func (r *Restarts) addCounts(line *logLine) {
 	for _, key := range line.keys {
 		n, err := strconv.ParseInt(line.fields[key], 10, 64)
@@ -59,6 +60,7 @@
 	}
 }
 
+// add adds n to the sum of a count. It ignores counts that are not about recovered messages.
 func (r *Restarts) add(name string, n int64) {
 	switch name {
 	case metrics.Recovered:
@@ -82,7 +84,7 @@
 	}
 }
 
-// EndedWithoutCall is how many untried messages were ended without a call.
+// EndedWithoutCall returns the number of untried messages that ended without a call.
 func (r *Restarts) EndedWithoutCall() (sum int64) {
 	for _, byReason := range []Counts{r.HandedBack, r.GivenUp} {
 		for _, n := range byReason {
@@ -92,8 +94,7 @@
 	return sum
 }
 
-// Check returns an error where over half of the untried messages were ended without a
-// call.
+// Check returns an error if more than half of the untried messages ended without a call.
 func (r *Restarts) Check() error {
 	if n := r.EndedWithoutCall(); 2*n > r.Untried {
 		return fmt.Errorf("of %d messages that starts found untried %d were ended with no call", r.Untried, n)
@@ -101,7 +102,7 @@
 	return nil
 }
 
-// WriteText writes the sums.
+// WriteText writes the sums, and the error of Check if there is one.
 func (r *Restarts) WriteText(out io.Writer) error {
 	b := &strings.Builder{}
 	writeLines(b, r.input.lines())
@@ -113,7 +114,7 @@
 	return err
 }
 
-// table returns the sums, a line each.
+// table returns the sums as a table with one line each.
 func (r *Restarts) table() string {
 	table := texttable.New()
 	row := func(n int64, text string) { table.Rowf("%d\t%s", n, text) }
