--- a/internal/emulator/registry/registry.go
+++ b/internal/emulator/registry/registry.go
@@ -105,13 +105,13 @@
 // SetSilent has a relay's agent answer no request for the list, or answer again. Each
 // call with true takes one with false to undo.
 func (r *Registry) SetSilent(relay int, silent bool) {
-	r.agents[relay].adjust(func(a *agent) { a.silenced += step(silent) })
+	r.agents[relay].adjust(func(a *agent) { a.silenced += increment(silent) })
 }
 
 // SetStale has a relay's agent withhold updates, or apply them. Each call with true
 // takes one with false to undo.
 func (r *Registry) SetStale(relay int, stale bool) {
-	r.agents[relay].adjust(func(a *agent) { a.stale += step(stale) })
+	r.agents[relay].adjust(func(a *agent) { a.stale += increment(stale) })
 }
 
 // SetExtraDelay adds a delay to updates on their way to a relay's agent, or removes it.
@@ -136,7 +136,7 @@
 	return r.agents[relay].changeAddress()
 }
 
-func step(up bool) int {
+func increment(up bool) int {
 	if up {
 		return 1
 	}
--- a/internal/source/etcd/cluster_test.go
+++ b/internal/source/etcd/cluster_test.go
@@ -13,10 +13,10 @@
 	"troutusher/internal/membership"
 )
 
-// worldCount is how many worlds are drawn; more are for a measurement.
+// seedCount is how many worlds are drawn; more are for a measurement.
 var (
-	worldCount = flag.Uint64("seeds", 1200, "worlds to draw")
-	firstWorld = flag.Uint64("first", 0, "the first of them")
+	seedCount = flag.Uint64("seeds", 1200, "worlds to draw")
+	firstSeed = flag.Uint64("first", 0, "the first of them")
 )
 
 const second Time = 1e6
@@ -530,14 +530,14 @@
 func TestFollowingACluster(t *testing.T) {
 	var worst Time
 	drains, updates := 0, 0
-	for seed := *firstWorld; seed < *firstWorld+*worldCount; seed++ {
+	for seed := *firstSeed; seed < *firstSeed+*seedCount; seed++ {
 		c := newCluster(t, seed)
 		c.play()
 		worst = max(worst, c.longestDelay)
 		drains += len(c.drainDelays)
 		updates += c.updates
 	}
-	if drains < int(*worldCount) || updates < 20*int(*worldCount) {
+	if drains < int(*seedCount) || updates < 20*int(*seedCount) {
 		t.Errorf("too little was tried: %d drains, %d updates", drains, updates)
 	}
 	t.Logf("%d drains, the slowest heard after %d ms; %d updates", drains, worst/1000, updates)
--- a/internal/source/etcd/doc.go
+++ b/internal/source/etcd/doc.go
@@ -1,11 +1,13 @@
-// Package etcd decides how a prefix of etcd is followed: what is read, from which revision
-// a watch goes on, when one that is silent is given up, and what is handed to the view of
-// the endpoints.
+// Package etcd follows the keys under a prefix of an etcd cluster, as a deterministic state
+// machine. The machine decides which keys to read, from which revision to resume a watch,
+// when to abandon a silent watch, and which updates to pass to the membership view.
 //
-// It follows the published v3 API (etcd.io/docs, "API reference" and "API guarantees"): a
-// range is read at one revision, a watch begins behind it, events come in the order of
-// their revisions and none is left out unless the watch is cancelled as compacted. The
-// package owns resumption, silence, compaction, the choice of a member, tokens and backoff.
+// It relies on the published v3 API (etcd.io/docs, "API reference" and "API guarantees"): a
+// range is read at one revision, a watch starts at the revision after it, events arrive in
+// the order of their revisions, and no event is left out unless the server cancels the watch
+// because of a compaction. The package handles resumption, silent watches, compaction, the
+// choice of a cluster member, authentication tokens and backoff.
 //
-// It must never open a socket, read a clock, or merge what etcd says with anything else.
+// The package opens no socket and reads no clock; package follow does that for it. It does
+// not merge the data of etcd with data of other sources; package membership does.
 package etcd
--- a/internal/source/etcd/events.go
+++ b/internal/source/etcd/events.go
@@ -2,54 +2,54 @@
 
 import "troutusher/internal/membership"
 
-// CallID names a call that the machine has asked for. There is one at a time.
+// CallID identifies a call that the machine has requested. One call at a time is open.
 type CallID uint64
 
-// Event is something that happened to a call: Authenticated, PageRead, WatchOpened,
-// Changed, Progress or CallFailed. What happens to a call that is over is ignored.
+// Event is an event of a call: Authenticated, PageRead, WatchOpened, Changed, Progress or
+// CallFailed. The machine ignores events of a call that is no longer open.
 type Event interface{ callID() CallID }
 
-// Authenticated says that a token was received, which the driver keeps.
+// Authenticated reports that the driver has received a token. The driver stores the token.
 type Authenticated struct{ Call CallID }
 
 // PageRead is a page of the keys under the prefix.
 type PageRead struct {
 	Call     CallID
-	Cluster  uint64 // its id
-	Revision int64  // of the cluster as it answered
+	Cluster  uint64 // cluster id
+	Revision int64  // the cluster's latest revision at the time of the answer
 	KVs      []KV
-	More     bool // there are further keys
+	More     bool // there are more keys after this page
 }
 
-// WatchOpened says that a watch is open.
+// WatchOpened reports that a watch is open.
 type WatchOpened struct {
 	Call     CallID
 	Cluster  uint64
-	Revision int64 // that the member has reached
+	Revision int64 // the member's latest revision
 }
 
-// Changed is what a watch reports.
+// Changed is a report of changes on a watch, or a fragment of a report.
 type Changed struct {
 	Call         CallID
 	Cluster      uint64
-	Revision     int64 // that the member has reached
+	Revision     int64 // the member's latest revision
 	KVs          []KV
-	LastRevision int64 // of the last of them
-	Fragment     bool  // more of the same report follows
+	LastRevision int64 // revision of the last change in KVs
+	Fragment     bool  // further fragments of the same report follow
 }
 
-// Progress says that a watch has reported all up to a revision.
+// Progress reports that a watch has reported all changes up to a revision.
 type Progress struct {
 	Call     CallID
 	Cluster  uint64
 	Revision int64
 }
 
-// CallFailed says that a call is over.
+// CallFailed reports that a call, which may be a watch, has ended with an error.
 type CallFailed struct {
 	Call     CallID
 	Reason   FailureReason
-	Revision int64  // of ReasonCompacted: the first that is kept
+	Revision int64  // oldest revision that is kept; only set for ReasonCompacted
 	Detail   string // for the log
 }
 
@@ -60,43 +60,43 @@
 func (e *Progress) callID() CallID      { return e.Call }
 func (e *CallFailed) callID() CallID    { return e.Call }
 
-// FailureReason is why a call failed.
+// FailureReason is the reason why a call failed.
 type FailureReason uint8
 
-// Reasons.
+// Reasons for the failure of a call.
 const (
-	ReasonUnavailable     FailureReason = iota + 1 // the member is not there, has no leader, or is overloaded
-	ReasonCompacted                                // the revision is no longer kept
-	ReasonUnauthenticated                          // the token is not valid any more
-	ReasonRejected                                 // the request itself: another member would say the same
+	ReasonUnavailable     FailureReason = iota + 1 // member unreachable, overloaded or without a leader
+	ReasonCompacted                                // the requested revision has been compacted
+	ReasonUnauthenticated                          // the token is no longer valid
+	ReasonRejected                                 // invalid request: other members would reject it as well
 )
 
-// String is the reason as it stands in logs.
+// String returns the reason as written to the log.
 func (r FailureReason) String() string {
 	return [...]string{"none", "unavailable", "compacted", "denied", "refused"}[min(r, ReasonRejected)]
 }
 
-// Action is something that the driver has to do: Authenticate, ReadPage, OpenWatch,
+// Action is an instruction to the driver: Authenticate, ReadPage, OpenWatch,
 // RequestProgress, CancelCall, EmitUpdate, EmitHeartbeat or LogMessage.
 type Action interface{ isAction() }
 
-// Authenticate asks a member for a token.
+// Authenticate requests a token from a member.
 type Authenticate struct {
 	Call   CallID
 	Member int
 }
 
-// ReadPage reads keys from Key up to, and without, RangeEnd.
+// ReadPage reads at most Limit keys in the range from Key up to, but not including, RangeEnd.
 type ReadPage struct {
 	Call          CallID
 	Member        int
 	Key, RangeEnd string
-	Revision      int64 // 0 for the newest, by a linearizable read
-	Limit         int64 // keys
+	Revision      int64 // 0 for the latest, by a linearizable read
+	Limit         int64 // maximum number of keys
 }
 
-// OpenWatch opens a watch on the keys from Key up to RangeEnd, in fragments, of a member
-// that has a leader.
+// OpenWatch opens a watch on the keys from Key up to, but not including, RangeEnd. The watch
+// accepts fragmented reports, and requires that the member has a leader.
 type OpenWatch struct {
 	Call          CallID
 	Member        int
@@ -104,16 +104,16 @@
 	FromRevision  int64
 }
 
-// RequestProgress asks a watch for its progress.
+// RequestProgress requests a progress report on a watch.
 type RequestProgress struct{ Call CallID }
 
-// CancelCall gives a call up.
+// CancelCall cancels a call.
 type CancelCall struct{ Call CallID }
 
-// EmitUpdate hands an update to the view.
+// EmitUpdate passes an update to the membership view.
 type EmitUpdate struct{ Update *membership.Update }
 
-// EmitHeartbeat tells the view that etcd is alive and has nothing new.
+// EmitHeartbeat reports to the membership view that etcd answers and has no changes.
 type EmitHeartbeat struct{}
 
 // LogMessage writes a line to the log.
--- a/internal/source/etcd/handle.go
+++ b/internal/source/etcd/handle.go
@@ -1,6 +1,6 @@
 package etcd
 
-// handle takes what happened to the call that is out.
+// handle handles an event of the open call. It ignores events that do not fit the state.
 func (m *Machine) handle(event Event) {
 	switch e := event.(type) {
 	case *CallFailed:
@@ -19,61 +19,65 @@
 			m.handleWatchOpened(e)
 		}
 	case *Changed:
-		if m.state == watching && !m.readAgainIfReplaced(e.Cluster, e.Revision, false) {
+		if m.state == watching && !m.rereadIfReplaced(e.Cluster, e.Revision, false) {
 			m.handleChange(e)
 		}
 	case *Progress:
-		if m.state == watching && !m.readAgainIfReplaced(e.Cluster, e.Revision, false) {
+		if m.state == watching && !m.rereadIfReplaced(e.Cluster, e.Revision, false) {
 			m.handleProgress(e)
 		}
 	}
 }
 
-// handlePage takes a page of the complete list.
+// handlePage adds a page to the complete list. After the last page it emits the list as an
+// update and starts the next call.
 func (m *Machine) handlePage(e *PageRead) {
-	if m.pagesRevision == 0 {
-		m.beginPages(e)
+	if m.readRevision == 0 {
+		m.handleFirstPage(e)
 	} else if e.Cluster != m.cluster {
-		m.retryNextMember("another cluster answers")
+		m.retryNextMember("a page of the list came from another cluster than the first page")
 		return
 	}
-	m.applyKVs(m.pages, e.KVs)
+	m.applyKVs(m.partialTable, e.KVs)
 	if e.More && len(e.KVs) > 0 {
 		m.nextKey = e.KVs[len(e.KVs)-1].Key + "\x00"
 		m.readPage()
 		return
 	}
-	m.table, m.pages = m.pages, nil
-	m.revision, m.hasRevision = m.pagesRevision, true
+	m.table, m.partialTable = m.partialTable, nil
+	m.revision, m.hasRevision = m.readRevision, true
 	update := m.newUpdate()
-	update.Complete, update.Resync = true, m.pagesForResync
+	update.Complete, update.Resync = true, m.readForResync
 	m.table.addAllMembers(update)
 	m.emit(&EmitUpdate{Update: update})
-	m.resyncRequested = m.resyncRequested && !m.pagesForResync
-	m.pagesForResync, m.lastReadAt = false, m.now
+	m.resyncRequested = m.resyncRequested && !m.readForResync
+	m.readForResync, m.lastReadAt = false, m.now
 	m.startNextCall()
 }
 
-// beginPages books which cluster answers, and at which revision, with the first page.
-func (m *Machine) beginPages(e *PageRead) {
-	m.pagesRevision = e.Revision
+// handleFirstPage stores the cluster and the revision of the first page, and detects a
+// cluster that was replaced or restored from a backup.
+func (m *Machine) handleFirstPage(e *PageRead) {
+	m.readRevision = e.Revision
 	switch {
 	case !m.hasRevision && m.cluster == 0 && m.generation == 0:
 		m.cluster = e.Cluster
 	case e.Cluster != m.cluster:
 		m.cluster, m.generation = e.Cluster, 0
-	case e.Revision < m.revision: // a linearizable read does not go back
+	case e.Revision < m.revision: // impossible with a linearizable read, unless after a restore
 		m.generation++
-		m.logf("revision %d after %d: put back from a copy, nothing before it counts", e.Revision, m.revision)
+		m.logf("the list is at revision %d after revision %d: the cluster was restored from a backup; "+
+			"its revisions start a new epoch", e.Revision, m.revision)
 	}
 }
 
-// applyKVs books keys in a table, and returns the ids of the endpoints that they change.
+// applyKVs applies keys to a table, logs those that cannot be decoded, and returns the ids
+// of the affected endpoints.
 func (m *Machine) applyKVs(table *keyTable, kvs []KV) idSet {
 	changed := idSet{}
 	for _, kv := range kvs {
 		if err := table.apply(kv, changed); err != nil {
-			m.logf("cannot be read: %v", err)
+			m.logf("cannot decode value: %v", err)
 		}
 	}
 	return changed
@@ -81,7 +85,7 @@
 
 func (m *Machine) handleWatchOpened(e *WatchOpened) {
 	behind := e.Revision < m.revision
-	if m.readAgainIfReplaced(e.Cluster, e.Revision, behind) {
+	if m.rereadIfReplaced(e.Cluster, e.Revision, behind) {
 		return
 	}
 	if !behind {
@@ -92,35 +96,37 @@
 	m.emit(&EmitHeartbeat{})
 }
 
-// readAgainIfReplaced reports whether a watch is of another cluster than what is known or,
-// since it began behind that, maybe of one that was restored from a backup. Then the
-// complete list is read again. A member that lags looks like the second, and is told from
-// it by that read: its watch catches up.
-func (m *Machine) readAgainIfReplaced(cluster uint64, revision int64, behind bool) bool {
+// rereadIfReplaced starts a new read of the complete list, and returns true, if a watch
+// belongs to another cluster, or if it is behind: its revision is lower than ours, which
+// happens if the cluster was restored from a backup or the member lags. The linearizable
+// read tells these two apart. After a read, a watch that is still behind belongs to a lagging
+// member; it is kept, since it catches up.
+func (m *Machine) rereadIfReplaced(cluster uint64, revision int64, behind bool) bool {
 	other := cluster != 0 && cluster != m.cluster
 	if !other && (!behind || m.rollbackSuspected) {
 		return false
 	}
 	m.rollbackSuspected = behind
-	m.logf("cluster %016x at revision %d answers, %016x was known up to %d: read anew",
-		cluster, revision, m.cluster, m.revision)
+	m.logf("watch is on cluster %016x at revision %d, and the list is from cluster %016x at revision %d: "+
+		"reading the list again", cluster, revision, m.cluster, m.revision)
 	m.cancelCall()
 	m.hasRevision = false
 	m.startNextCall()
 	return true
 }
 
-// watchAnswered books that the watch is alive. One that has lasted for a while, or has
-// reported a change, is no failure; one that ends as it begins is, however often it
-// begins.
+// watchAnswered restarts the silence timeout of the watch. It resets the count of failures
+// only if the watch has been open for stableWatchDuration (handleChange resets it as well).
+// A watch that ends right after it was opened, again and again, must lead to a backoff.
 func (m *Machine) watchAnswered() {
 	m.deadline, m.progressRequested = m.now+m.settings.SilenceTimeout, false
-	if m.now >= m.watchingSince+stableAfter {
+	if m.now >= m.watchingSince+stableWatchDuration {
 		m.failures = 0
 	}
 }
 
-// handleChange takes a report of the watch. What comes in fragments is one update.
+// handleChange handles a report of the watch, or a fragment of one. All fragments of a
+// report together are emitted as one update.
 func (m *Machine) handleChange(e *Changed) {
 	m.watchAnswered()
 	m.fragments = append(m.fragments, e.KVs...)
@@ -130,7 +136,7 @@
 	}
 	kvs, revision := m.fragments, m.fragmentsRevision
 	m.fragments, m.fragmentsRevision = nil, 0
-	if revision <= m.revision { // reported before
+	if revision <= m.revision { // already applied
 		return
 	}
 	changed := m.applyKVs(m.table, kvs)
@@ -143,25 +149,26 @@
 func (m *Machine) handleProgress(e *Progress) {
 	m.watchAnswered()
 	if len(m.fragments) == 0 {
-		m.revision = max(m.revision, e.Revision) // one that lies behind tells nothing
+		m.revision = max(m.revision, e.Revision) // a lower one is out of date
 	}
 	m.emit(&EmitHeartbeat{})
 }
 
-// handleFailure: the call is over.
+// handleFailure handles the failure of the open call.
 func (m *Machine) handleFailure(e *CallFailed) {
 	switch {
 	case e.Reason == ReasonCompacted && (m.state == openingWatch || m.state == watching):
-		m.logf("revision %d is no longer kept (%d is): read anew", m.revision+1, e.Revision)
+		m.logf("cannot watch from revision %d, which has been compacted (oldest revision kept: %d): "+
+			"reading the list again", m.revision+1, e.Revision)
 		m.hasRevision = false
 		m.startNextCall()
 		return
-	case e.Reason == ReasonCompacted: // during a long read
+	case e.Reason == ReasonCompacted: // the list took too long to read: start over
 		m.startNextCall()
 		return
 	case e.Reason == ReasonUnauthenticated && m.settings.AuthRequired:
 		m.hasToken = false
-		m.logf("the token is not known any more")
+		m.logf("member %d rejected the token: requesting a new one", m.member)
 		if m.failures == 0 {
 			m.failures++
 			m.startNextCall()
--- a/internal/source/etcd/keys.go
+++ b/internal/source/etcd/keys.go
@@ -12,19 +12,21 @@
 	DrainsFolder    = "drains"
 )
 
-// maxTextLength bounds ids, addresses and the prefix, in bytes.
+// maxTextLength is the maximum length, in bytes, of the prefix and of the text fields of a
+// value.
 const maxTextLength = 256
 
-// root is what all keys under a prefix begin with.
+// root returns the prefix with one slash at its end: the beginning of all keys under it.
 func root(prefix string) string { return strings.TrimSuffix(prefix, "/") + "/" }
 
-// Key is the key of a name in a folder.
+// Key returns the key of a name in a folder.
 func Key(prefix, folder, name string) string { return root(prefix) + folder + "/" + name }
 
-// FolderPrefix is what all keys of a folder begin with.
+// FolderPrefix returns the prefix of all keys in a folder.
 func FolderPrefix(prefix, folder string) string { return Key(prefix, folder, "") }
 
-// RangeEnd is the first key behind all that begin with a prefix.
+// RangeEnd returns the first key after all keys that begin with a prefix. It is the exclusive
+// end of a range request for these keys.
 func RangeEnd(prefix string) string {
 	b := []byte(prefix)
 	for i := len(b) - 1; i >= 0; i-- {
@@ -33,11 +35,11 @@
 			return string(b[:i+1])
 		}
 	}
-	return "\x00" // to the end of all keys
+	return "\x00" // in etcd's API: up to the last key of all
 }
 
-// splitKey is the folder and the name of a key; ok is false for a key that is not of the
-// layout.
+// splitKey splits a key into its folder and name. ok is false if the key is not under the
+// prefix or not in one of the known folders.
 func splitKey(prefix, key string) (folder, name string, ok bool) {
 	rest, ok := strings.CutPrefix(key, root(prefix))
 	if !ok {
@@ -50,14 +52,14 @@
 	return folder, name, true
 }
 
-// CheckID returns an error that names what is wrong with an endpoint's id, or nil.
+// CheckID returns an error if the id of an endpoint is not valid.
 func CheckID(id string) error {
 	if id == "" || len(id) > maxTextLength {
-		return fmt.Errorf("an id of %d bytes", len(id))
+		return fmt.Errorf("id is %d bytes long, want 1 to %d", len(id), maxTextLength)
 	}
 	for i := range len(id) {
 		if id[i] <= ' ' || id[i] > '~' || id[i] == '/' {
-			return fmt.Errorf("id %.40q", id)
+			return fmt.Errorf("id %.40q contains a space, a slash or a character that is not printable ASCII", id)
 		}
 	}
 	return nil
--- a/internal/source/etcd/machine.go
+++ b/internal/source/etcd/machine.go
@@ -8,59 +8,60 @@
 	"troutusher/internal/membership"
 )
 
-// state is what the machine waits for.
+// state is the state of the machine. In each state but backingOff, one call is open.
 type state uint8
 
 const (
-	backingOff state = iota // nothing: it calls again at the deadline
-	authenticating
-	reading
-	openingWatch
-	watching
+	backingOff     state = iota // the next call begins at the deadline
+	authenticating              // waits for a token
+	reading                     // waits for a page of the complete list
+	openingWatch                // waits for a watch to open
+	watching                    // waits for reports of an open watch
 )
 
-// stableAfter is how long a watch has to last to be no failure.
-const stableAfter = Time(1e6)
+// stableWatchDuration is the age at which an open watch resets the count of failures.
+const stableWatchDuration = Time(1e6)
 
-// Machine follows one prefix. It is not safe for concurrent use.
+// Machine is the state machine that follows one prefix. It is not safe for concurrent use.
 type Machine struct {
 	settings Settings
 	rng      *rand.Rand
 	now      Time
-	actions  []Action // of this step
+	actions  []Action // output of the current step
 
-	// The call that is out.
+	// The open call.
 	state             state
 	call              CallID
-	member            int
-	failures          int // in a row
+	member            int // the member that is called
+	failures          int // consecutive failed calls
 	hasToken          bool
-	deadline          Time // of what the state waits for
+	deadline          Time // of the current state, see handleTimeout
 	watchingSince     Time
-	progressRequested bool // of the watch
-	rollbackSuspected bool // a watch began behind what is known, and the list was read again
+	progressRequested bool // on the open watch, without an answer so far
+	rollbackSuspected bool // a watch opened at a revision lower than ours, and we read the list again
 
-	// What is known.
+	// The state of etcd as received so far.
 	table       *keyTable // as of revision
-	cluster     uint64
-	generation  int // how often the cluster's revisions have begun again
-	revision    int64
-	hasRevision bool
-	lastReadAt  Time // of the complete list
-
-	// A complete list that is being read.
-	pages           *keyTable
-	pagesRevision   int64 // 0 before the first page
+	cluster     uint64    // cluster id
+	generation  int       // number of times that the cluster was found restored from a backup
+	revision    int64     // the next watch starts after it
+	hasRevision bool      // if false, the complete list is read before the next watch
+	lastReadAt  Time      // time at which the complete list was last read
+
+	// The complete list while it is being read.
+	partialTable    *keyTable
+	readRevision    int64 // revision of all pages; 0 before the first page
 	nextKey         string
-	pagesForResync  bool // it was begun after the view had requested one
-	resyncRequested bool // the view has, and has not had it yet
+	readForResync   bool // the read began after the view had requested a resync
+	resyncRequested bool // the view has requested a resync and has not received it yet
 
-	// A report of a watch of which fragments have come.
+	// The report of a watch while only some of its fragments have arrived.
 	fragments         []KV
-	fragmentsRevision int64
+	fragmentsRevision int64 // revision of the last change in fragments
 }
 
-// New makes the machine of one relay, which draws from its own seed.
+// New returns a machine. Each relay passes a seed of its own, so that relays differ in the
+// member that they call first and in their backoff.
 func New(s Settings, seed uint64) (*Machine, error) {
 	if s.PageSize == 0 {
 		return nil, errors.New("etcd: settings were not made by DefaultSettings")
@@ -69,14 +70,14 @@
 		return nil, err
 	}
 	m := &Machine{settings: s, rng: rand.New(rand.NewPCG(seed, 0xe7cd))}
-	m.member = m.rng.IntN(s.Members) // a fleet does not call one member
+	m.member = m.rng.IntN(s.Members) // spreads the relays of a fleet over the members
 	return m, nil
 }
 
-// NextDeadline is when to call Step though nothing has happened.
+// NextDeadline returns the time at which Step must be called even if there is no event.
 func (m *Machine) NextDeadline() Time { return max(m.deadline, 1) }
 
-// Step takes what has happened by now, and returns what is to be done.
+// Step handles the events that happened up to now, and returns the actions to execute.
 func (m *Machine) Step(now Time, events []Event) []Action {
 	m.beginStep(now)
 	for _, e := range events {
@@ -90,13 +91,13 @@
 	return m.takeActions()
 }
 
-// Resync has the complete list read again, for a view that wants removals confirmed.
+// Resync starts a new read of the complete list. The view requests this to confirm removals.
 func (m *Machine) Resync(now Time) []Action {
 	m.beginStep(now)
-	if m.state == reading && m.pagesForResync {
+	if m.state == reading && m.readForResync {
 		return m.takeActions()
 	}
-	m.resyncRequested = true // a read that is on began before
+	m.resyncRequested = true // a read in progress does not count: it began before the request
 	if m.state == watching || m.state == openingWatch {
 		m.cancelCall()
 		m.startNextCall()
@@ -118,14 +119,16 @@
 	m.emit(&LogMessage{Text: fmt.Sprintf(format, args...)})
 }
 
-// newUpdate is an update as of what is known.
+// newUpdate returns an update without members, at the current revision.
 func (m *Machine) newUpdate() *membership.Update {
-	// Revisions belong to a cluster, and to how often it has been restored from a backup.
+	// Revisions can be compared only within one cluster, and only until it is restored from a
+	// backup. The epoch identifies both.
 	epoch := fmt.Sprintf("%016x.%d", m.cluster, m.generation)
 	return &membership.Update{Source: m.settings.Source, Epoch: epoch, Revision: m.revision}
 }
 
-// startNextCall goes on from what is known, or reads it first.
+// startNextCall starts the next call: it requests a token if one is needed, reads the
+// complete list if there is none or a resync is requested, and opens a watch otherwise.
 func (m *Machine) startNextCall() {
 	m.fragments, m.fragmentsRevision, m.progressRequested = nil, 0, false
 	switch {
@@ -133,22 +136,22 @@
 		call := m.beginCall(authenticating, m.settings.OpenTimeout)
 		m.emit(&Authenticate{Call: call, Member: m.member})
 	case !m.hasRevision || m.resyncRequested:
-		m.pages, m.pagesRevision = newKeyTable(m.settings.Prefix), 0
+		m.partialTable, m.readRevision = newKeyTable(m.settings.Prefix), 0
 		m.nextKey = root(m.settings.Prefix)
-		m.pagesForResync = m.resyncRequested
+		m.readForResync = m.resyncRequested
 		m.readPage()
 	default:
 		m.openWatch()
 	}
 }
 
-// beginCall books a call, and until when its answer is waited for.
+// beginCall enters a state with a new call, and sets the deadline of the state.
 func (m *Machine) beginCall(s state, timeout Time) CallID {
 	m.state, m.call, m.deadline = s, m.call+1, m.now+timeout
 	return m.call
 }
 
-// cancelCall gives up the call that is out.
+// cancelCall cancels the open call.
 func (m *Machine) cancelCall() { m.emit(&CancelCall{Call: m.call}) }
 
 func (m *Machine) readPage() {
@@ -157,7 +160,7 @@
 		Member:   m.member,
 		Key:      m.nextKey,
 		RangeEnd: RangeEnd(root(m.settings.Prefix)),
-		Revision: m.pagesRevision,
+		Revision: m.readRevision,
 		Limit:    m.settings.PageSize,
 	})
 }
@@ -172,13 +175,14 @@
 	})
 }
 
-// retryNextMember calls the next member at once, and backs off after each round of members
-// that all failed.
-func (m *Machine) retryNextMember(why string) {
+// retryNextMember counts a failure of the current member and calls the next member. It does
+// so at once, unless as many calls in a row have failed as there are members (at least two):
+// then it backs off first.
+func (m *Machine) retryNextMember(reason string) {
 	m.failures++
-	m.logf("member %d: %s", m.member, why)
+	m.logf("call to member %d failed: %s", m.member, reason)
 	m.member = (m.member + 1) % m.settings.Members
-	m.pages = nil
+	m.partialTable = nil
 	round := max(m.settings.Members, 2)
 	if m.failures%round != 0 {
 		m.startNextCall()
@@ -191,7 +195,8 @@
 	m.deadline = m.now + backoff/2 + Time(m.rng.Float64()*float64(backoff))
 }
 
-// handleTimeout: what the state waits for has not come.
+// handleTimeout handles the deadline of the current state: the end of the backoff, a watch
+// that is due for a new read or has been silent, or a call without an answer.
 func (m *Machine) handleTimeout() {
 	switch {
 	case m.state == backingOff:
@@ -213,11 +218,11 @@
 func timeoutText(s state) string {
 	switch s {
 	case authenticating:
-		return "no token in time"
+		return "no token received in time"
 	case reading:
-		return "no list in time"
+		return "no page of the list received in time"
 	case openingWatch:
-		return "no watch in time"
+		return "watch not opened in time"
 	}
-	return "the watch is silent"
+	return "silent watch did not answer a progress request in time"
 }
--- a/internal/source/etcd/settings.go
+++ b/internal/source/etcd/settings.go
@@ -8,33 +8,35 @@
 	"troutusher/internal/membership"
 )
 
-// Time is a moment or a span in microseconds.
+// Time is a point in time or a duration, in microseconds.
 type Time = membership.Time
 
-// Settings say what is followed, and how long is waited for what.
+// Settings are the settings of a Machine.
 type Settings struct {
 	Prefix       string
-	Members      int   // of the cluster, called in turn
-	AuthRequired bool  // a token is asked for first
-	Source       int   // index of etcd among the view's sources
-	PageSize     int64 // keys
-	// A watch that was silent for SilenceTimeout is asked for its progress, and given up
-	// where it does not answer within ProgressTimeout.
+	Members      int   // number of cluster members; they are called in turn
+	AuthRequired bool  // a token is requested before other calls
+	Source       int   // index of etcd among the sources of the membership view
+	PageSize     int64 // keys per page
+	// If a watch sends nothing for SilenceTimeout, the machine requests its progress. If no
+	// answer arrives within ProgressTimeout, it abandons the watch.
 	SilenceTimeout, ProgressTimeout Time
-	OpenTimeout                     Time // of a token, and of a watch that is opened
-	ReadTimeout                     Time // of a page
-	// After each round of members that all failed.
-	MinBackoff Time // doubles with each round
+	OpenTimeout                     Time // for receiving a token, and for opening a watch
+	ReadTimeout                     Time // for reading a page
+	// The machine backs off after each round in which every member has failed. The backoff
+	// starts at MinBackoff, doubles with each further round, and is at most MaxBackoff.
+	MinBackoff Time
 	MaxBackoff Time
-	// ResyncInterval is after how long a watch the complete list is read again: a cluster
-	// that was restored from a backup under its old id, and has come as far again, cannot
-	// be told from the one before.
+	// ResyncInterval is the time after which the complete list is read again even though the
+	// watch works. A cluster that was restored from a backup under its old id and has since
+	// reached the old revision again looks the same as before; only a new read finds the
+	// difference.
 	ResyncInterval Time
 }
 
-// DefaultSettings are settings by which a drain is heard within 2 s of its put, also where
-// the watch has fallen silent and the two members called next as well: 0.4 + 0.3 s until
-// that is known, and 0.45 s for each of them.
+// DefaultSettings returns settings with which a drain is received within 2 s after it was
+// put, even if the watch and the two members called next are silent: 0.4 s + 0.3 s until
+// the watch is abandoned, and 0.45 s for each of the two members.
 func DefaultSettings(prefix string, members int) Settings {
 	return Settings{
 		Prefix:          prefix,
@@ -50,18 +52,19 @@
 	}
 }
 
-// Check returns an error that names what is wrong with the settings, or nil.
+// Check returns an error if the settings are not valid.
 func (s *Settings) Check() error {
 	isPath := strings.HasPrefix(s.Prefix, "/") && strings.Trim(s.Prefix, "/") != ""
 	switch {
 	case !isPath || len(s.Prefix) > maxTextLength:
-		return fmt.Errorf("etcd: prefix %.40q: wants a path that begins with a slash", s.Prefix)
+		return fmt.Errorf("etcd: prefix %.40q is not a path that begins with a slash, of at most %d bytes",
+			s.Prefix, maxTextLength)
 	case s.Members < 1:
-		return errors.New("etcd: no endpoints")
+		return errors.New("etcd: no endpoints configured")
 	case s.PageSize < 1,
 		s.SilenceTimeout <= 0, s.ProgressTimeout <= 0, s.OpenTimeout <= 0, s.ReadTimeout <= 0,
 		s.MinBackoff <= 0, s.MaxBackoff < s.MinBackoff, s.ResyncInterval < s.SilenceTimeout:
-		return errors.New("etcd: a parameter is out of range")
+		return fmt.Errorf("etcd: page size, timeout or backoff out of range in settings %+v", *s)
 	}
 	return nil
 }
--- a/internal/source/etcd/table.go
+++ b/internal/source/etcd/table.go
@@ -10,23 +10,23 @@
 	"troutusher/internal/membership"
 )
 
-// KV is a key and its value.
+// KV is a key and its value, or the deletion of a key.
 type KV struct {
 	Key, Value string
 	Deleted    bool // the key was deleted
 }
 
-// idSet is a set of ids of endpoints.
+// idSet is a set of endpoint ids.
 type idSet map[string]bool
 
-// keyTable is what lies under the prefix, as far as it can be decoded.
+// keyTable holds the decoded values of the keys under the prefix.
 type keyTable struct {
 	prefix      string
 	endpoints   map[string]Endpoint
-	idsByDest   map[int]idSet // of endpoints
+	idsByDest   map[int]idSet // ids in endpoints, by destination
 	ratesByDest map[int]float64
-	drains      idSet
-	unreadable  idSet // endpoints whose last value cannot be decoded
+	drains      idSet // ids for which there is a drain key
+	unreadable  idSet // endpoints whose latest value cannot be decoded
 }
 
 func newKeyTable(prefix string) *keyTable {
@@ -40,12 +40,12 @@
 	}
 }
 
-// apply books a key, and adds the ids of the endpoints that it changes. The error says
-// what cannot be decoded.
+// apply stores the new state of a key, and adds the ids of the endpoints that it affects to
+// changed. It returns an error if the value cannot be decoded.
 func (t *keyTable) apply(kv KV, changed idSet) error {
 	folder, name, ok := splitKey(t.prefix, kv.Key)
 	if !ok {
-		return nil // somebody else's, or of a later layout
+		return nil // a key of another application, or of a later layout
 	}
 	var err error
 	switch folder {
@@ -59,11 +59,11 @@
 		if kv.Deleted {
 			delete(t.drains, name)
 		} else {
-			t.drains[name] = true // whatever its value: that there is one says it all
+			t.drains[name] = true // the value does not matter
 		}
 	}
 	if err != nil {
-		return fmt.Errorf("%.80q: %w", kv.Key, err)
+		return fmt.Errorf("key %.80q: %w", kv.Key, err)
 	}
 	return nil
 }
@@ -125,7 +125,8 @@
 	delete(t.endpoints, id)
 }
 
-// member is an endpoint as the view takes it; removed where it is not published.
+// member converts an endpoint to a member of the membership view. If the endpoint is not
+// published, the phase of the member is Removed.
 func (t *keyTable) member(id string) membership.Member {
 	e, ok := t.endpoints[id]
 	if !ok {
@@ -146,8 +147,9 @@
 	return m
 }
 
-// addMembers adds endpoints to an update. Those that cannot be decoded stay as they were,
-// but for a drain: that is another key, and can be decoded.
+// addMembers adds endpoints to an update. It lists endpoints whose value cannot be decoded
+// as unreadable, which makes the view keep their previous state. Their drains still apply,
+// because a drain has a key of its own.
 func (t *keyTable) addMembers(ids idSet, u *membership.Update) {
 	for _, id := range slices.Sorted(maps.Keys(ids)) {
 		if !t.unreadable[id] {
