--- a/internal/emulator/etcd/cluster.go
+++ b/internal/emulator/etcd/cluster.go
@@ -18,20 +18,20 @@
 const (
 	firstClusterID     = 0x7e57
 	leaseCheckInterval = 20 * time.Millisecond
-	noToken            = "none yet" // the token while none has been issued
+	noToken            = "none yet" // value of Cluster.token while no token is valid
 )
 
-// Cluster is a store with members that serve it on loopback.
+// Cluster is a store with members that serve it at loopback addresses.
 type Cluster struct {
 	members       []*Member
 	serverOptions []grpc.ServerOption
 	stop          chan struct{}
 
-	mu           sync.Mutex // guards all below, the store, and the members' faults
+	mu           sync.Mutex // guards the fields below, the store, and the members' faults
 	id           uint64
 	store        *Store
-	changed      chan struct{} // closed at each change, and then replaced
-	username     string        // empty where no token is asked for
+	changed      chan struct{} // closed and replaced at each change
+	username     string        // empty if no token is required
 	password     string
 	token        string
 	tokensIssued int
@@ -39,8 +39,8 @@
 
 var errNoLeader = status.Error(codes.Unavailable, "etcdserver: no leader")
 
-// NewCluster starts a cluster, each member at an address of its own. Options are for
-// the members' servers, such as TLS.
+// NewCluster starts a cluster, each member at an address of its own. The options, such as
+// TLS, apply to the gRPC servers of the members.
 func NewCluster(members int, options ...grpc.ServerOption) (*Cluster, error) {
 	c := &Cluster{
 		id:            firstClusterID,
@@ -61,11 +61,11 @@
 	return c, nil
 }
 
-// start has a member serve, at the port that it had before, if any.
+// start starts the server of a member, at the same port as before if it was started before.
 func (m *Member) start() error {
 	listener, err := loopback.Listen(m.port)
 	if err != nil {
-		return fmt.Errorf("etcd emulator: member %d: %w", m.id, err)
+		return fmt.Errorf("etcd emulator: start member %d at port %d: %w", m.id, m.port, err)
 	}
 	m.port = listener.Addr().(*net.TCPAddr).Port
 	server := grpc.NewServer(m.cluster.serverOptions...)
@@ -74,11 +74,11 @@
 	etcdserverpb.RegisterLeaseServer(server, m)
 	etcdserverpb.RegisterAuthServer(server, m)
 	m.server = server
-	go func() { _ = server.Serve(listener) }() // until Stop
+	go func() { _ = server.Serve(listener) }() // returns after Stop
 	return nil
 }
 
-// expireLeases ends leases when they expire, until Close.
+// expireLeases revokes expired leases until Close.
 func (c *Cluster) expireLeases() {
 	ticker := time.NewTicker(leaseCheckInterval)
 	defer ticker.Stop()
@@ -92,7 +92,7 @@
 	}
 }
 
-// Close ends all members.
+// Close stops all members and the expiry of leases.
 func (c *Cluster) Close() {
 	close(c.stop)
 	for _, m := range c.members {
@@ -102,7 +102,7 @@
 	}
 }
 
-// Addresses are the members' addresses.
+// Addresses returns the addresses of all members.
 func (c *Cluster) Addresses() (addresses []string) {
 	for _, m := range c.members {
 		addresses = append(addresses, net.JoinHostPort(loopback.Host(), strconv.Itoa(m.port)))
@@ -110,7 +110,8 @@
 	return addresses
 }
 
-// WithStore calls a function with the store, and wakes watches where it was changed.
+// WithStore calls a function with the store locked, and notifies watches if the function
+// changed the store.
 func (c *Cluster) WithStore(use func(*Store)) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -121,13 +122,13 @@
 	}
 }
 
-// notifyChange wakes everyone who waits for a change. The caller holds mu.
+// notifyChange wakes all goroutines that wait for a change. The caller holds mu.
 func (c *Cluster) notifyChange() {
 	close(c.changed)
 	c.changed = make(chan struct{})
 }
 
-// Apply makes changes at one revision.
+// Apply makes changes at one revision and returns that revision.
 func (c *Cluster) Apply(ops ...Op) (revision int64, err error) {
 	c.WithStore(func(s *Store) {
 		_, err = s.Apply(ops...)
@@ -136,26 +137,26 @@
 	return revision, err
 }
 
-// Restore replaces the store by a copy, under the same cluster ID or another. Open
-// watches end.
+// Restore replaces the store by a backup and sets the cluster ID, which may stay the same. It
+// restarts all members, which ends open watches.
 func (c *Cluster) Restore(backup *Store, id uint64) {
 	c.mu.Lock()
 	c.store, c.id = backup, id
 	c.mu.Unlock()
 	for member := range c.members {
 		c.StopMember(member)
-		_ = c.StartMember(member) // where its port is in use by now, the member stays down
+		_ = c.StartMember(member) // if its port is no longer free, the member stays down
 	}
 }
 
-// StopMember stops a member. StartMember has it serve again at the same address.
+// StopMember stops a member. StartMember can start it again.
 func (c *Cluster) StopMember(member int) { c.members[member].server.Stop() }
 
-// StartMember has a member serve again.
+// StartMember starts a stopped member at its former address.
 func (c *Cluster) StartMember(member int) error { return c.members[member].start() }
 
-// SetSilent has a member answer nothing, or answer again. Watches that were open send
-// nothing any more.
+// SetSilent makes a member leave all calls unanswered, or answer later calls again. Watches
+// that are open when it becomes silent never send anything again.
 func (c *Cluster) SetSilent(member int, silent bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -165,7 +166,7 @@
 	}
 }
 
-// SilenceWatches has every watch that is open now send nothing any more.
+// SilenceWatches makes all watches that are open now send nothing more. They stay open.
 func (c *Cluster) SilenceWatches() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -174,7 +175,8 @@
 	}
 }
 
-// SetNoLeader has a member lose its leader, or find it again.
+// SetNoLeader makes a member lose its leader, or find it again. Without a leader it rejects
+// all calls except Authenticate, and ends its watches.
 func (c *Cluster) SetNoLeader(member int, noLeader bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -182,15 +184,15 @@
 	c.notifyChange()
 }
 
-// EnableAuth has members ask for a token from now on, which they issue for a name and
-// password.
+// EnableAuth makes members require a token from now on. They issue tokens for a user name
+// and password.
 func (c *Cluster) EnableAuth(username, password string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.username, c.password, c.token = username, password, noToken
 }
 
-// RevokeTokens invalidates the tokens that were issued.
+// RevokeTokens invalidates the issued token. It also ends open watches that used it.
 func (c *Cluster) RevokeTokens() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/emulator/etcd/kv.go
+++ b/internal/emulator/etcd/kv.go
@@ -9,17 +9,17 @@
 	"google.golang.org/grpc/status"
 )
 
-// Range reads keys.
+// Range serves the call that reads the keys of a range.
 func (m *Member) Range(ctx context.Context, request *etcdserverpb.RangeRequest) (*etcdserverpb.RangeResponse, error) {
 	if err := m.beginCall(ctx); err != nil {
 		return nil, err
 	}
 	defer m.cluster.mu.Unlock()
-	return m.readRange(request)
+	return m.rangeLocked(request)
 }
 
-// readRange reads keys. The caller holds mu.
-func (m *Member) readRange(request *etcdserverpb.RangeRequest) (*etcdserverpb.RangeResponse, error) {
+// rangeLocked reads the keys of a range. The caller holds mu.
+func (m *Member) rangeLocked(request *etcdserverpb.RangeRequest) (*etcdserverpb.RangeResponse, error) {
 	versions, count, err := m.cluster.store.Range(
 		string(request.Key), string(request.RangeEnd), request.Revision, request.Limit)
 	if err != nil {
@@ -33,7 +33,7 @@
 	return response, nil
 }
 
-// Put writes a key.
+// Put serves the call that writes a key.
 func (m *Member) Put(ctx context.Context, request *etcdserverpb.PutRequest) (*etcdserverpb.PutResponse, error) {
 	if err := m.beginCall(ctx); err != nil {
 		return nil, err
@@ -46,7 +46,7 @@
 	return &etcdserverpb.PutResponse{Header: m.header()}, nil
 }
 
-// DeleteRange deletes keys.
+// DeleteRange serves the call that deletes the keys of a range.
 func (m *Member) DeleteRange(
 	ctx context.Context, request *etcdserverpb.DeleteRangeRequest,
 ) (*etcdserverpb.DeleteRangeResponse, error) {
@@ -70,7 +70,8 @@
 	return Op{Key: string(request.Key), End: string(request.RangeEnd), Delete: true}
 }
 
-// Txn compares, and carries out one list of operations or the other, at one revision.
+// Txn serves a transaction: it executes the list Success if all conditions hold and the list
+// Failure otherwise, at one revision.
 func (m *Member) Txn(ctx context.Context, request *etcdserverpb.TxnRequest) (*etcdserverpb.TxnResponse, error) {
 	if err := m.beginCall(ctx); err != nil {
 		return nil, err
@@ -78,7 +79,7 @@
 	defer m.cluster.mu.Unlock()
 	succeeded := true
 	for _, condition := range request.Compare {
-		succeeded = succeeded && m.evaluateCompare(condition)
+		succeeded = succeeded && m.compareHolds(condition)
 	}
 	operations := request.Success
 	if !succeeded {
@@ -106,8 +107,8 @@
 	return response, nil
 }
 
-// runOperation returns the change that an operation of a transaction asks for, nil for
-// a read, and its response. The caller holds mu.
+// runOperation returns the response of an operation in a transaction, and the change that
+// the caller has to apply for it; nil for a read. The caller holds mu.
 func (m *Member) runOperation(operation *etcdserverpb.RequestOp) (*Op, *etcdserverpb.ResponseOp, error) {
 	switch {
 	case operation.GetRequestPut() != nil:
@@ -123,7 +124,7 @@
 			},
 		}, nil
 	case operation.GetRequestRange() != nil:
-		read, err := m.readRange(operation.GetRequestRange())
+		read, err := m.rangeLocked(operation.GetRequestRange())
 		if err != nil {
 			return nil, nil, err
 		}
@@ -131,11 +132,11 @@
 			Response: &etcdserverpb.ResponseOp_ResponseRange{ResponseRange: read},
 		}, nil
 	}
-	return nil, nil, status.Error(codes.Unimplemented, "stand-in: no such operation")
+	return nil, nil, status.Error(codes.Unimplemented, "etcd emulator: operation not supported in a transaction")
 }
 
-// evaluateCompare reports whether a condition of a transaction holds. The caller holds mu.
-func (m *Member) evaluateCompare(condition *etcdserverpb.Compare) bool {
+// compareHolds reports whether a condition of a transaction is met. The caller holds mu.
+func (m *Member) compareHolds(condition *etcdserverpb.Compare) bool {
 	version, _ := m.cluster.store.getAt(string(condition.Key), m.cluster.store.Revision())
 	order := 0
 	switch condition.Target {
@@ -159,7 +160,7 @@
 	return order == 0
 }
 
-// Compact drops old revisions.
+// Compact serves the call that drops old revisions.
 func (m *Member) Compact(
 	ctx context.Context, request *etcdserverpb.CompactionRequest,
 ) (*etcdserverpb.CompactionResponse, error) {
--- a/internal/emulator/etcd/server.go
+++ b/internal/emulator/etcd/server.go
@@ -13,7 +13,7 @@
 	"google.golang.org/grpc/status"
 )
 
-// Member is a member of a cluster: the server of the gRPC services.
+// Member is a member of a cluster. It implements the gRPC services.
 type Member struct {
 	etcdserverpb.UnimplementedKVServer
 	etcdserverpb.UnimplementedWatchServer
@@ -24,15 +24,15 @@
 	port    int // 0 before the first start
 	server  *grpc.Server
 
-	// The cluster's mu guards the rest.
+	// The cluster's mu guards the fields below.
 	silent          bool
 	noLeader        bool
-	silencedStreams int // watch streams up to this number send nothing any more
-	streamsOpened   int
+	silencedStreams int // watch streams with a number up to this one send nothing more
+	streamsOpened   int // number of watch streams opened so far
 }
 
-// beginCall is what every call begins with: the member's faults, its leader, the token.
-// Where it returns no error, it returns with mu held.
+// beginCall is called first by every call. It applies the member's faults and checks the
+// token. If it returns no error, the caller holds mu and has to unlock it.
 func (m *Member) beginCall(ctx context.Context) error {
 	m.cluster.mu.Lock()
 	switch {
@@ -50,7 +50,8 @@
 	return nil
 }
 
-// authorized reports whether a call has the token that is valid. The caller holds mu.
+// authorized reports whether a call carries the valid token or needs none. The caller holds
+// mu.
 func (m *Member) authorized(ctx context.Context) bool {
 	if m.cluster.username == "" {
 		return true
@@ -60,7 +61,7 @@
 	return len(tokens) == 1 && tokens[0] == m.cluster.token
 }
 
-// header is the header of a response. The caller holds mu.
+// header returns the header of a response. The caller holds mu.
 func (m *Member) header() *etcdserverpb.ResponseHeader {
 	return &etcdserverpb.ResponseHeader{
 		ClusterId: m.cluster.id,
@@ -70,7 +71,7 @@
 	}
 }
 
-// statusError is the gRPC status of a store's error.
+// statusError converts an error of the store to a gRPC status.
 func statusError(err error) error {
 	switch {
 	case err == nil:
@@ -94,7 +95,7 @@
 	}
 }
 
-// Authenticate issues a token.
+// Authenticate serves the call that requests a token.
 func (m *Member) Authenticate(
 	ctx context.Context, request *etcdserverpb.AuthenticateRequest,
 ) (*etcdserverpb.AuthenticateResponse, error) {
@@ -120,7 +121,7 @@
 	return &etcdserverpb.AuthenticateResponse{Header: m.header(), Token: c.token}, nil
 }
 
-// LeaseGrant grants a lease.
+// LeaseGrant serves the call that grants a lease.
 func (m *Member) LeaseGrant(
 	ctx context.Context, request *etcdserverpb.LeaseGrantRequest,
 ) (*etcdserverpb.LeaseGrantResponse, error) {
@@ -135,7 +136,7 @@
 	return &etcdserverpb.LeaseGrantResponse{Header: m.header(), ID: lease.ID, TTL: lease.TTL}, nil
 }
 
-// LeaseRevoke ends a lease.
+// LeaseRevoke serves the call that revokes a lease.
 func (m *Member) LeaseRevoke(
 	ctx context.Context, request *etcdserverpb.LeaseRevokeRequest,
 ) (*etcdserverpb.LeaseRevokeResponse, error) {
--- a/internal/emulator/etcd/store.go
+++ b/internal/emulator/etcd/store.go
@@ -1,8 +1,8 @@
-// Package etcd emulates an etcd cluster for rehearsals and tests: a store of revisions
-// with leases, transactions and compaction, and members that serve it with the gRPC
-// services of the v3 API, with faults on demand.
+// Package etcd emulates an etcd cluster for rehearsals and tests. A store keeps revisions,
+// leases and transactions in memory and supports compaction. Members serve the store over
+// the gRPC services of the v3 API, and can be made to fail in several ways.
 //
-// It must never be linked into the daemon, and keeps nothing on disk.
+// Only rehearsals and tests use the package. The relay must not link it.
 package etcd
 
 import (
@@ -20,47 +20,46 @@
 	ErrLeaseExists    = errors.New("etcdserver: lease already exists")
 )
 
-// Version is a key at a revision.
+// Version is the state of a key after a change.
 type Version struct {
 	Key, Value     string
-	Deleted        bool
-	CreateRevision int64
-	ModRevision    int64
-	Version        int64
-	Lease          int64
+	Deleted        bool  // the change deleted the key
+	CreateRevision int64 // revision at which the key was created
+	ModRevision    int64 // revision of the change
+	Version        int64 // number of changes since the creation, which counts as the first
+	Lease          int64 // id of the lease; 0 for none
 }
 
-// Lease is a lease that was granted.
+// Lease is a granted lease.
 type Lease struct {
 	ID        int64
 	TTL       int64 // seconds
-	ExpiresAt int64 // µs
+	ExpiresAt int64 // Unix time in microseconds
 	keys      map[string]bool
 }
 
-// Store is the state that a majority of the cluster has agreed on. It is not safe for
-// concurrent use.
+// Store is the replicated state of a cluster. It is not safe for concurrent use.
 type Store struct {
 	revision   int64
-	compacted  int64 // nothing before it can be read or watched
+	compacted  int64 // earlier revisions cannot be read or watched
 	sortedKeys []string
-	versions   map[string][]Version // of each key, by revision
-	history    []Version            // all changes from compacted on, by revision
+	versions   map[string][]Version // versions of each key, by revision
+	history    []Version            // all changes since compacted, by revision
 	leases     map[int64]*Lease
 }
 
-// NewStore makes an empty store, at revision 1 as a new cluster is.
+// NewStore returns an empty store at revision 1, like that of a new cluster.
 func NewStore() *Store {
 	return &Store{revision: 1, versions: map[string][]Version{}, leases: map[int64]*Lease{}}
 }
 
-// Revision is the revision of the last change.
+// Revision returns the revision of the last change.
 func (s *Store) Revision() int64 { return s.revision }
 
-// Compacted is the oldest revision that can be read.
+// Compacted returns the oldest revision that can be read.
 func (s *Store) Compacted() int64 { return s.compacted }
 
-// getAt is a key at a revision; false where it does not exist there.
+// getAt returns a key at a revision, and false if the key does not exist at that revision.
 func (s *Store) getAt(key string, revision int64) (Version, bool) {
 	versions := s.versions[key]
 	after := versionsUpTo(versions, revision)
@@ -70,13 +69,13 @@
 	return versions[after-1], true
 }
 
-// versionsUpTo counts the versions of a revision or before it.
+// versionsUpTo returns the number of versions up to and including a revision.
 func versionsUpTo(versions []Version, revision int64) int {
 	return sort.Search(len(versions), func(i int) bool { return versions[i].ModRevision > revision })
 }
 
-// keysInRange are the keys of a range: the key alone where end is empty, all from it on
-// where end is "\x00".
+// keysInRange returns the keys from key up to, but not including, end. If end is empty, the
+// range is only key itself; if end is "\x00", it has no upper bound.
 func (s *Store) keysInRange(key, end string) []string {
 	from, found := slices.BinarySearch(s.sortedKeys, key)
 	switch {
@@ -91,8 +90,8 @@
 	return s.sortedKeys[from:max(from, to)]
 }
 
-// Range reads the keys of a range at a revision, 0 for the newest. It returns limit of
-// them at most, 0 for all, and how many there are.
+// Range reads the keys of a range, see keysInRange, at a revision; 0 means the latest one. It
+// returns at most limit keys, or all if limit is 0, and the number of keys in the range.
 func (s *Store) Range(key, end string, revision, limit int64) (found []Version, count int64, err error) {
 	switch {
 	case revision > s.revision:
@@ -102,8 +101,8 @@
 	case revision <= 0:
 		revision = s.revision
 	}
-	for _, each := range s.keysInRange(key, end) {
-		version, exists := s.getAt(each, revision)
+	for _, candidate := range s.keysInRange(key, end) {
+		version, exists := s.getAt(candidate, revision)
 		if !exists {
 			continue
 		}
@@ -115,14 +114,15 @@
 	return found, count, nil
 }
 
-// Op is one change: a put, or the deletion of a range.
+// Op is one change: a put of Key, or the deletion of the range from Key to End.
 type Op struct {
 	Key, End, Value string
 	Delete          bool
-	Lease           int64
+	Lease           int64 // id of the lease for the put; 0 for none
 }
 
-// Apply makes changes, all at one revision. It changes nothing where a lease is unknown.
+// Apply makes changes, all at one revision, and returns the number of deleted keys. It
+// changes nothing if one of the leases is unknown.
 func (s *Store) Apply(ops ...Op) (deleted int64, err error) {
 	for _, op := range ops {
 		if op.Lease != 0 && !op.Delete && s.leases[op.Lease] == nil {
@@ -181,7 +181,7 @@
 	s.history = append(s.history, version)
 }
 
-// Compact drops the versions before a revision that no later one needs.
+// Compact drops the versions that are needed only for reads before a revision.
 func (s *Store) Compact(revision int64) error {
 	switch {
 	case revision > s.revision:
@@ -198,8 +198,8 @@
 	return nil
 }
 
-// compactKey drops versions of a key: all before the one at a revision, and that one
-// too where the key is deleted.
+// compactKey drops the versions of a key that precede the one that is current at a revision.
+// If the current one is a deletion, it drops that one as well.
 func (s *Store) compactKey(key string, revision int64) {
 	versions := s.versions[key]
 	dropped := versionsUpTo(versions, revision) - 1
@@ -217,7 +217,8 @@
 	}
 }
 
-// Changes are the changes of a range from one revision up to another, in order.
+// Changes returns the changes of a range from one revision up to and including another, in
+// order.
 func (s *Store) Changes(key, end string, from, to int64) ([]Version, error) {
 	if from < s.compacted {
 		return nil, ErrCompacted
@@ -243,10 +244,10 @@
 	case end == "\x00":
 		return key >= first
 	}
-	return key >= first && key < end // no key is before an empty end
+	return key >= first && key < end // false for all keys if end is empty
 }
 
-// GrantLease makes a lease. With id 0 it gets a free ID.
+// GrantLease creates a lease. If id is 0, it chooses a free one.
 func (s *Store) GrantLease(id, ttl, now int64) (*Lease, error) {
 	if id == 0 {
 		id = s.revision<<8 + 1
@@ -262,7 +263,7 @@
 	return lease, nil
 }
 
-// RenewLease has a lease last for its whole time from now on.
+// RenewLease extends a lease so that it lasts for its full TTL from now on.
 func (s *Store) RenewLease(id, now int64) (*Lease, error) {
 	lease := s.leases[id]
 	if lease == nil {
@@ -291,16 +292,16 @@
 	return nil
 }
 
-// ExpireLeases ends the leases that have expired.
+// ExpireLeases revokes the leases whose TTL has ended.
 func (s *Store) ExpireLeases(now int64) {
 	for _, id := range slices.Sorted(maps.Keys(s.leases)) {
 		if s.leases[id].ExpiresAt <= now {
-			_ = s.RevokeLease(id) // it exists
+			_ = s.RevokeLease(id) // cannot fail, because the lease exists
 		}
 	}
 }
 
-// Clone is a copy of the store, as a backup from which a cluster may be restored.
+// Clone returns a copy of the store, for use as a backup.
 func (s *Store) Clone() *Store {
 	c := NewStore()
 	c.revision, c.compacted = s.revision, s.compacted
--- a/internal/emulator/etcd/watch.go
+++ b/internal/emulator/etcd/watch.go
@@ -9,23 +9,23 @@
 	"google.golang.org/grpc/status"
 )
 
-// maxFragmentEvents is how many events go into one response, where a client asked for
-// fragments.
+// maxFragmentEvents is the maximum number of events in one response, if the client has
+// allowed fragments.
 const maxFragmentEvents = 100
 
 // watch is one watch of a stream.
 type watch struct {
 	id           int64
 	key, end     string
-	nextRevision int64 // the first that has not been sent
-	fragment     bool
+	nextRevision int64 // the first revision that has not been sent
+	fragment     bool  // the client allows fragments
 }
 
-// watchStream is a stream of watches.
+// watchStream is a stream that carries the watches of one client.
 type watchStream struct {
 	*Member
 	etcdserverpb.Watch_WatchServer
-	number  int // of the streams of this member, from 1
+	number  int // counts the streams of this member, from 1
 	watches []*watch
 	nextID  int64
 }
@@ -59,7 +59,7 @@
 	}
 }
 
-// receive reads requests until the stream ends.
+// receive returns a channel of the stream's requests, which is closed when the stream ends.
 func (w *watchStream) receive() <-chan *etcdserverpb.WatchRequest {
 	requests := make(chan *etcdserverpb.WatchRequest)
 	go func() {
@@ -79,8 +79,8 @@
 	return requests
 }
 
-// sendPending sends what the watches have not sent yet, and returns what is closed at
-// the next change.
+// sendPending sends the changes that the watches have not sent yet. It returns a channel
+// that is closed at the next change.
 func (w *watchStream) sendPending() (changed <-chan struct{}, err error) {
 	w.cluster.mu.Lock()
 	if w.noLeader {
@@ -105,7 +105,7 @@
 	switch {
 	case request.GetCreateRequest() != nil:
 		responses = append(responses, w.createWatch(request.GetCreateRequest()))
-	case request.GetProgressRequest() != nil: // all changes up to the revision go before it
+	case request.GetProgressRequest() != nil: // first send all changes up to the reported revision
 		progress := &etcdserverpb.WatchResponse{Header: w.header(), WatchId: -1}
 		responses = append(w.pendingResponses(), progress)
 	case request.GetCancelRequest() != nil:
@@ -133,7 +133,7 @@
 	return &etcdserverpb.WatchResponse{Header: w.header(), WatchId: created.id, Created: true}
 }
 
-// cancelWatch removes a watch, if it is there. The caller holds mu.
+// cancelWatch removes the watch with an id, if there is one. The caller holds mu.
 func (w *watchStream) cancelWatch(id int64) *etcdserverpb.WatchResponse {
 	w.watches = slices.DeleteFunc(w.watches, func(open *watch) bool { return open.id == id })
 	return &etcdserverpb.WatchResponse{Header: w.header(), WatchId: id, Canceled: true}
@@ -152,37 +152,38 @@
 	return nil
 }
 
-// pendingResponses are the changes that the watches have not sent yet. Watches whose
-// next revision is compacted are cancelled. The caller holds mu.
+// pendingResponses returns responses with the changes that the watches have not sent yet. It
+// cancels watches whose next revision has been compacted. The caller holds mu.
 func (w *watchStream) pendingResponses() (responses []*etcdserverpb.WatchResponse) {
 	store := w.cluster.store
 	open := w.watches[:0]
-	for _, each := range w.watches {
-		changes, err := store.Changes(each.key, each.end, each.nextRevision, store.Revision())
+	for _, watch := range w.watches {
+		changes, err := store.Changes(watch.key, watch.end, watch.nextRevision, store.Revision())
 		if err != nil {
 			responses = append(responses, &etcdserverpb.WatchResponse{
-				Header: w.header(), WatchId: each.id, Canceled: true, CompactRevision: store.Compacted(),
+				Header: w.header(), WatchId: watch.id, Canceled: true, CompactRevision: store.Compacted(),
 				CancelReason: err.Error(),
 			})
 			continue
 		}
-		open = append(open, each)
-		each.nextRevision = store.Revision() + 1
-		responses = append(responses, w.changeResponses(each, changes)...)
+		open = append(open, watch)
+		watch.nextRevision = store.Revision() + 1
+		responses = append(responses, w.changeResponses(watch, changes)...)
 	}
 	w.watches = open
 	return responses
 }
 
-// changeResponses are a watch's responses for changes: one, or one for each fragment.
-func (w *watchStream) changeResponses(of *watch, changes []Version) (responses []*etcdserverpb.WatchResponse) {
+// changeResponses returns the responses that report changes on a watch: one, or one for each
+// fragment.
+func (w *watchStream) changeResponses(target *watch, changes []Version) (responses []*etcdserverpb.WatchResponse) {
 	length := max(len(changes), 1)
-	if of.fragment {
+	if target.fragment {
 		length = maxFragmentEvents
 	}
 	fragments := slices.Collect(slices.Chunk(changes, length))
 	for i, fragment := range fragments {
-		response := &etcdserverpb.WatchResponse{Header: w.header(), WatchId: of.id, Fragment: i < len(fragments)-1}
+		response := &etcdserverpb.WatchResponse{Header: w.header(), WatchId: target.id, Fragment: i < len(fragments)-1}
 		for _, version := range fragment {
 			response.Events = append(response.Events, watchEvent(version))
 		}
@@ -191,7 +192,7 @@
 	return responses
 }
 
-// watchEvent is the event of a change.
+// watchEvent converts a change to an event of the API.
 func watchEvent(version Version) *mvccpb.Event {
 	if version.Deleted {
 		deleted := &mvccpb.KeyValue{Key: []byte(version.Key), ModRevision: version.ModRevision}
--- a/internal/emulator/etcd/watch_test.go
+++ b/internal/emulator/etcd/watch_test.go
@@ -7,8 +7,9 @@
 	"go.etcd.io/etcd/api/v3/etcdserverpb"
 )
 
-// A watch sends each change once, from its revision on, in fragments where it asked for
-// them.
+// A watch sends each change once, from its start revision on, in fragments of
+// maxFragmentEvents if its client allows fragments. This guards against changes that are
+// lost or repeated between two reports.
 func TestWatchSendsEachChangeOnce(t *testing.T) {
 	cluster := &Cluster{store: NewStore()}
 	stream := &watchStream{Member: &Member{cluster: cluster}}
@@ -17,11 +18,12 @@
 		t.Helper()
 		responses := stream.pendingResponses()
 		if len(responses) != len(want) {
-			t.Fatalf("%d responses, want %d", len(responses), len(want))
+			t.Fatalf("pendingResponses() returned %d responses, want %d", len(responses), len(want))
 		}
 		for i, response := range responses {
 			if len(response.Events) != want[i] || response.Fragment != (i < len(want)-1) {
-				t.Errorf("response %d: %d events, fragment %v", i, len(response.Events), response.Fragment)
+				t.Errorf("response %d has %d events and fragment = %v, want %d and %v",
+					i, len(response.Events), response.Fragment, want[i], i < len(want)-1)
 			}
 		}
 	}
--- a/internal/emulator/registry/agent.go
+++ b/internal/emulator/registry/agent.go
@@ -12,13 +12,13 @@
 )
 
 const (
-	oldAddressLinger  = 1500 * time.Millisecond // until an old address closes its connections
+	oldAddressLinger  = 1500 * time.Millisecond // time until a former address closes its connections
 	readHeaderTimeout = 10 * time.Second
 	maxHeaderBytes    = 16 << 10
-	maxHistory        = 4096
+	maxHistory        = 4096 // changes
 )
 
-// agent is the registry as one relay sees it.
+// agent is the server of the registry that one relay calls.
 type agent struct {
 	config *Config
 	relay  int
@@ -26,37 +26,37 @@
 	mu          sync.Mutex
 	members     []Member
 	revision    int64
-	history     []revisionChange // changes that a watch can start from, the oldest first
-	silenced    int              // how many faults silence it
-	stale       int              // how many faults make it withhold updates
+	history     []revisionChange // latest changes, oldest first; a watch can start at any of them
+	silenced    int              // number of active faults that keep it from answering
+	stale       int              // number of active faults that make it withhold updates
 	extraDelays []time.Duration
-	inTransit   []phaseChange // updates on their way to it
+	inTransit   []phaseChange // updates that have not reached the agent yet
 	withheld    []phaseChange // updates that arrived while it was stale
-	lastDueAt   time.Time     // of inTransit
-	changed     chan struct{} // closed at each change, and then replaced
+	lastDueAt   time.Time     // arrival time of the last update in inTransit
+	changed     chan struct{} // closed and replaced at each change
 	servers     []server
 	address     string
-	draws       uint64 // random draws so far
+	draws       uint64 // number of random draws so far
 	timers      map[*time.Timer]bool
 	closed      bool
 	done        chan struct{}
 	wg          sync.WaitGroup
 }
 
-// revisionChange says that an endpoint changed at a revision.
+// revisionChange records that an endpoint changed at a revision.
 type revisionChange struct {
 	revision int64
 	endpoint int
 }
 
-// phaseChange is an endpoint with its new phase.
+// phaseChange is an update: an endpoint and its new phase.
 type phaseChange struct {
 	endpoint int
 	phase    Phase
 }
 
-// server is an agent's server at one address. http.Server closes its listener only
-// together with the connections.
+// server is an agent's HTTP server at one address. It keeps the listener, because
+// http.Server cannot close the listener without the connections.
 type server struct {
 	*http.Server
 	listener net.Listener
@@ -78,7 +78,7 @@
 func (a *agent) listen() (string, error) {
 	listener, err := loopback.Listen(0)
 	if err != nil {
-		return "", fmt.Errorf("stand-in registry: %w", err)
+		return "", fmt.Errorf("registry emulator: listen for the agent of relay %d: %w", a.relay, err)
 	}
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /registry/instances", a.serveList)
@@ -95,11 +95,13 @@
 	a.wg.Add(1)
 	go func() {
 		defer a.wg.Done()
-		_ = started.Serve(listener) // until it is closed
+		_ = started.Serve(listener) // returns after Close
 	}()
 	return address, nil
 }
 
+// changeAddress starts a server at a new address, and closes the previous one: its listener
+// at once, its connections after oldAddressLinger.
 func (a *agent) changeAddress() (string, error) {
 	a.mu.Lock()
 	old := a.servers[len(a.servers)-1]
@@ -115,7 +117,7 @@
 	return address, nil
 }
 
-// close stops timers and servers, and waits for the servers' goroutines.
+// close stops all timers and servers, and waits for the goroutines of the servers.
 func (a *agent) close() {
 	a.mu.Lock()
 	if a.closed {
@@ -135,8 +137,8 @@
 	a.wg.Wait()
 }
 
-// schedule runs a function after a delay, unless the agent is closed by then. The
-// caller holds mu, and the function is called with it.
+// schedule runs a function after a delay, unless the agent is closed by then. The caller
+// holds mu, and the function runs with mu held.
 func (a *agent) schedule(delay time.Duration, run func()) {
 	var timer *time.Timer
 	timer = time.AfterFunc(delay, func() {
@@ -150,7 +152,8 @@
 	a.timers[timer] = true
 }
 
-// sendUpdate has an update reach the agent after its delay, and after all before it.
+// sendUpdate schedules the arrival of an update at the agent, after a random delay and not
+// before any earlier update.
 func (a *agent) sendUpdate(update phaseChange) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -169,7 +172,7 @@
 	a.schedule(time.Until(due), a.receiveNext)
 }
 
-// receiveNext takes the oldest update that is in transit. The caller holds mu.
+// receiveNext handles the arrival of the oldest update in transit. The caller holds mu.
 func (a *agent) receiveNext() {
 	update := a.inTransit[0]
 	a.inTransit = a.inTransit[1:]
@@ -181,7 +184,7 @@
 	a.wakeWatches()
 }
 
-// apply changes the list. The caller holds mu.
+// apply applies an update to the list. The caller holds mu.
 func (a *agent) apply(update phaseChange) {
 	member := &a.members[update.endpoint]
 	if member.Phase == update.phase {
@@ -195,8 +198,9 @@
 	}
 }
 
-// adjust changes the agent's faults, and applies withheld updates once it is not stale.
-func (a *agent) adjust(change func(a *agent)) {
+// changeFaults changes the agent's faults. If the agent is not stale afterwards, it applies
+// the withheld updates.
+func (a *agent) changeFaults(change func(a *agent)) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	change(a)
@@ -209,13 +213,13 @@
 	a.wakeWatches()
 }
 
-// wakeWatches wakes everyone who waits for a change. The caller holds mu.
+// wakeWatches wakes all goroutines that wait for a change. The caller holds mu.
 func (a *agent) wakeWatches() {
 	close(a.changed)
 	a.changed = make(chan struct{})
 }
 
-// fullList is the list without removed members. The caller holds mu.
+// fullList returns the complete list, without removed members. The caller holds mu.
 func (a *agent) fullList() List {
 	list := List{Revision: a.revision, Complete: true, Members: []Member{}}
 	for _, member := range a.members {
@@ -227,7 +231,7 @@
 	return list
 }
 
-// allPhases are the phases of all endpoints. The caller holds mu.
+// allPhases returns the phases of all endpoints. The caller holds mu.
 func (a *agent) allPhases() []phaseChange {
 	var phases []phaseChange
 	for endpoint, member := range a.members {
--- a/internal/emulator/registry/notices.go
+++ b/internal/emulator/registry/notices.go
@@ -17,14 +17,15 @@
 
 var errInvalidNotice = errors.New("not a notice")
 
-// notice says how a message ended that was not delivered.
+// notice reports how an undelivered message ended.
 type notice struct {
 	Message string `json:"message"`
 	Outcome string `json:"outcome"`
 	RetryMS int64  `json:"retry_in_ms"`
 }
 
-// serveNotices takes notices, one JSON object a line: all of them, or none.
+// serveNotices accepts a body of notices, one JSON object per line. If one of them is not
+// valid, it rejects the whole body.
 func (a *agent) serveNotices(w http.ResponseWriter, r *http.Request) {
 	body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, maxNoticeBytes))
 	if err != nil {
@@ -50,7 +51,7 @@
 	w.WriteHeader(http.StatusNoContent)
 }
 
-// parseNotice turns a line into an event.
+// parseNotice converts a line of the body to an event.
 func (a *agent) parseNotice(line []byte) (event.Event, error) {
 	var n notice
 	if err := json.Unmarshal(line, &n); err != nil {
--- a/internal/emulator/registry/registry.go
+++ b/internal/emulator/registry/registry.go
@@ -1,7 +1,10 @@
-// Package registry emulates the endpoint registry: for each relay an agent on its
-// machine that serves the endpoint list and a watch of it, and takes notices, over
-// HTTP/1.1 on loopback. Updates can be delayed, withheld or not answered at all. The
-// package must never know why an endpoint comes or goes.
+// Package registry emulates the endpoint registry. The registry has an agent on the machine
+// of each relay, which serves the endpoint list and a watch of it, and accepts notices. Here
+// all agents are servers of one process, over HTTP/1.1 on loopback. Tests can delay or
+// withhold the updates of an agent, or keep it from answering requests for the list.
+//
+// The package does not know why an endpoint appears or disappears; its caller sets the phase
+// of each endpoint.
 package registry
 
 import (
@@ -10,7 +13,7 @@
 	"troutusher/internal/event"
 )
 
-// Phase is the phase of a member's life.
+// Phase is the phase of a member.
 type Phase string
 
 // Phases of a member.
@@ -20,7 +23,7 @@
 	PhaseRemoved  Phase = "removed"
 )
 
-// Member is an endpoint as the list names it.
+// Member is an endpoint in the list.
 type Member struct {
 	ID       string  `json:"id"`
 	HostPort string  `json:"host_port"`
@@ -32,7 +35,7 @@
 	UpSince  int64   `json:"up_since_ms"`
 }
 
-// List is the whole list, or an update: the members that changed.
+// List is the complete list or, if Complete is false, an update with the changed members.
 type List struct {
 	Revision int64    `json:"revision"`
 	Complete bool     `json:"complete"`
@@ -42,22 +45,22 @@
 // Config configures a Registry.
 type Config struct {
 	Relays        int
-	Members       func(relay int) []Member // endpoint i of the plan at index i
-	StaticMembers []Member                 // further members of each whole list, which never change
-	Delay         time.Duration            // until an update reaches an agent
-	DelaySpread   time.Duration            // up to so much more, at random
+	Members       func(relay int) []Member // initial members; the index is the number of the endpoint
+	StaticMembers []Member                 // further members of each complete list, which never change
+	Delay         time.Duration            // minimum time until an update reaches an agent
+	DelaySpread   time.Duration            // maximum random time that is added to Delay
 	Seed          uint64
 	Clock         func() event.Time
-	Emit          func(event.Event) // is called with the updates sent and the notices received
+	Emit          func(event.Event) // called for each update sent and each notice received
 }
 
-// Registry is the agents of all relays.
+// Registry consists of the agents of all relays.
 type Registry struct {
 	config Config
 	agents []*agent
 }
 
-// New starts the agents.
+// New starts a registry with an agent for each relay.
 func New(config Config) (*Registry, error) {
 	r := &Registry{config: config}
 	for relay := range config.Relays {
@@ -71,14 +74,14 @@
 	return r, nil
 }
 
-// Close ends all agents.
+// Close stops all agents.
 func (r *Registry) Close() {
 	for _, a := range r.agents {
 		a.close()
 	}
 }
 
-// Addr is the address of a relay's agent.
+// Addr returns the current address of a relay's agent.
 func (r *Registry) Addr(relay int) string {
 	a := r.agents[relay]
 	a.mu.Lock()
@@ -86,7 +89,7 @@
 	return a.address
 }
 
-// ListOf is the list as a relay's agent has it.
+// ListOf returns the complete list that a relay's agent currently serves.
 func (r *Registry) ListOf(relay int) List {
 	a := r.agents[relay]
 	a.mu.Lock()
@@ -94,29 +97,30 @@
 	return a.fullList()
 }
 
-// SetPhase changes the phase of an endpoint. The update reaches each agent after a
-// delay of its own, and in order.
+// SetPhase changes the phase of an endpoint. The update reaches each agent after a random
+// delay of its own. Updates reach an agent in order.
 func (r *Registry) SetPhase(endpoint int, phase Phase) {
 	for _, a := range r.agents {
 		a.sendUpdate(phaseChange{endpoint, phase})
 	}
 }
 
-// SetSilent has a relay's agent answer no request for the list, or answer again. Each
-// call with true takes one with false to undo.
+// SetSilent makes a relay's agent leave requests for the list unanswered, or answer again.
+// Several faults may silence it at once: each call with true needs one with false to undo it.
 func (r *Registry) SetSilent(relay int, silent bool) {
-	r.agents[relay].adjust(func(a *agent) { a.silenced += increment(silent) })
+	r.agents[relay].changeFaults(func(a *agent) { a.silenced += increment(silent) })
 }
 
-// SetStale has a relay's agent withhold updates, or apply them. Each call with true
-// takes one with false to undo.
+// SetStale makes a relay's agent withhold updates, or apply them again. Each call with true
+// needs one with false to undo it.
 func (r *Registry) SetStale(relay int, stale bool) {
-	r.agents[relay].adjust(func(a *agent) { a.stale += increment(stale) })
+	r.agents[relay].changeFaults(func(a *agent) { a.stale += increment(stale) })
 }
 
-// SetExtraDelay adds a delay to updates on their way to a relay's agent, or removes it.
+// SetExtraDelay adds a delay to later updates for a relay's agent or, if active is false,
+// removes a delay that was added before.
 func (r *Registry) SetExtraDelay(relay int, delay time.Duration, active bool) {
-	r.agents[relay].adjust(func(a *agent) {
+	r.agents[relay].changeFaults(func(a *agent) {
 		if active {
 			a.extraDelays = append(a.extraDelays, delay)
 			return
@@ -130,14 +134,15 @@
 	})
 }
 
-// ChangeAddress has a relay's agent listen at a new address. The old one accepts no
-// new connections and closes the open ones after a while.
+// ChangeAddress makes a relay's agent listen at a new address and returns that address. The
+// old address accepts no new connections, and closes the open ones after oldAddressLinger.
 func (r *Registry) ChangeAddress(relay int) (string, error) {
 	return r.agents[relay].changeAddress()
 }
 
-func increment(up bool) int {
-	if up {
+// increment returns the change of a count of active faults: 1 to add a fault, -1 to remove it.
+func increment(add bool) int {
+	if add {
 		return 1
 	}
 	return -1
--- a/internal/emulator/registry/watch.go
+++ b/internal/emulator/registry/watch.go
@@ -10,7 +10,7 @@
 	"troutusher/internal/event"
 )
 
-// keepaliveInterval is how often an empty line goes out on a watch.
+// keepaliveInterval is the interval at which a watch sends an empty line.
 const keepaliveInterval = 2 * time.Second
 
 var phaseStatus = map[Phase]int{
@@ -19,7 +19,7 @@
 	PhaseRemoved:  event.UpdateRemoved,
 }
 
-// emitUpdates records which phases were sent to the relay.
+// emitUpdates emits an event for each phase that was sent to the relay.
 func (a *agent) emitUpdates(sent []phaseChange) {
 	for _, update := range sent {
 		a.config.Emit(event.Event{
@@ -29,7 +29,7 @@
 	}
 }
 
-// serveList answers with the whole list, or with a watch.
+// serveList answers a request with the complete list or, if the request says so, a watch.
 func (a *agent) serveList(w http.ResponseWriter, r *http.Request) {
 	if !a.waitWhileSilenced(r) {
 		return
@@ -47,11 +47,11 @@
 	}
 }
 
-// waitWhileSilenced waits while the agent is silenced; false where the caller has
-// left or the agent is closed.
+// waitWhileSilenced waits until the agent is not silenced. It returns false if the client
+// disconnects or the agent is closed before that.
 func (a *agent) waitWhileSilenced(r *http.Request) bool {
 	for {
-		silenced, changed := a.silence()
+		silenced, changed := a.silencedState()
 		if !silenced {
 			return true
 		}
@@ -65,24 +65,25 @@
 	}
 }
 
-// silence reports whether the agent is silenced, with what is closed at a change.
-func (a *agent) silence() (silenced bool, changed <-chan struct{}) {
+// silencedState reports whether the agent is silenced, and returns a channel that is closed at
+// the next change.
+func (a *agent) silencedState() (silenced bool, changed <-chan struct{}) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	return a.silenced > 0, a.changed
 }
 
-// watch is an open watch of a client.
+// watch is the open watch of a client.
 type watch struct {
 	agent  *agent
 	writer http.ResponseWriter
 	flush  func() error
-	from   int64 // the client knows the list up to this revision
-	begun  bool
+	from   int64 // revision up to which the client has the list
+	begun  bool  // nextUpdate has been called before
 }
 
-// serveWatch sends a line for each update, and empty lines in between, until the
-// client or the agent closes.
+// serveWatch sends a line for each update, and empty lines as keepalives, until the client
+// disconnects or the agent closes.
 func (a *agent) serveWatch(writer http.ResponseWriter, r *http.Request) {
 	from, err := strconv.ParseInt(r.URL.Query().Get("from"), 10, 64)
 	if err != nil {
@@ -91,7 +92,7 @@
 	}
 	w := &watch{agent: a, writer: writer, flush: http.NewResponseController(writer).Flush, from: from}
 	writer.WriteHeader(http.StatusOK)
-	_ = w.flush() // a client that has left ends the watch below
+	_ = w.flush() // if the client has disconnected, the loop below ends
 	keepalive := time.NewTicker(keepaliveInterval)
 	defer keepalive.Stop()
 	for {
@@ -113,8 +114,8 @@
 	}
 }
 
-// sendUpdate sends what the client does not know yet, and returns what is closed at
-// the next change.
+// sendUpdate sends the changes that the client does not have yet, if any. It returns a
+// channel that is closed at the next change.
 func (w *watch) sendUpdate() (changed <-chan struct{}, err error) {
 	update, phases, changed := w.nextUpdate()
 	if update == nil {
@@ -132,7 +133,7 @@
 }
 
 func (w *watch) sendKeepalive() error {
-	if silenced, _ := w.agent.silence(); silenced {
+	if silenced, _ := w.agent.silencedState(); silenced {
 		return nil
 	}
 	return w.writeLine("")
@@ -145,9 +146,9 @@
 	return w.flush()
 }
 
-// nextUpdate returns what the client does not know, nil for nothing, with the phases
-// that it contains, and what is closed at the next change. From then on the client is
-// taken to know it.
+// nextUpdate returns an update with the changes that the client does not have yet, or nil if
+// there are none, together with the phases in it and a channel that is closed at the next
+// change. It assumes that the caller sends the update: the next call continues after it.
 func (w *watch) nextUpdate() (update *List, phases []phaseChange, changed <-chan struct{}) {
 	a := w.agent
 	a.mu.Lock()
@@ -168,7 +169,8 @@
 	return update, phases, a.changed
 }
 
-// changesSince are the members that changed after a revision. The caller holds mu.
+// changesSince returns the members that changed after a revision, and their phases. The
+// caller holds mu.
 func (a *agent) changesSince(revision int64) (List, []phaseChange) {
 	list := List{Revision: a.revision, Members: []Member{}}
 	var phases []phaseChange
@@ -184,7 +186,8 @@
 	return list, phases
 }
 
-// oldestRevision is the revision from which on changes are known. The caller holds mu.
+// oldestRevision returns the oldest revision after which all changes are in the history. The
+// caller holds mu.
 func (a *agent) oldestRevision() int64 {
 	if len(a.history) == 0 {
 		return a.revision
--- a/internal/source/etcd/follow/calls.go
+++ b/internal/source/etcd/follow/calls.go
@@ -16,15 +16,15 @@
 	"troutusher/internal/source/etcd"
 )
 
-// call is one that is out.
+// call is an open call.
 type call struct {
 	cancel context.CancelFunc
 	mu     sync.Mutex
 	stream etcdserverpb.Watch_WatchClient // nil until the watch is open
 }
 
-// startCall makes a call. There is one at a time: what is left of the one before is
-// cancelled.
+// startCall runs a call in a goroutine of its own. One call at a time is open, so it cancels
+// the previous one first.
 func (f *Follower) startCall(ctx context.Context, id etcd.CallID, run func(context.Context, *call)) {
 	for other := range f.calls {
 		f.cancelCall(other)
@@ -38,9 +38,9 @@
 	ctx, cancel := context.WithCancel(ctx)
 	c := &call{cancel: cancel}
 	f.calls[id] = c
-	f.running.Add(1)
+	f.callsRunning.Add(1)
 	go func() {
-		defer f.running.Done()
+		defer f.callsRunning.Done()
 		run(ctx, c)
 	}()
 }
@@ -56,7 +56,7 @@
 	f.enqueue(&etcd.CallFailed{Call: id, Reason: failureReason(err), Detail: status.Convert(err).Message()})
 }
 
-// failureReason is what an error means to the machine.
+// failureReason returns the reason for the machine that corresponds to a gRPC error.
 func failureReason(err error) etcd.FailureReason {
 	s := status.Convert(err)
 	if s.Message() == status.Convert(rpctypes.ErrGRPCCompacted).Message() {
@@ -84,7 +84,7 @@
 	f.events = append(f.events, &etcd.Authenticated{Call: a.Call})
 	f.token = r.Token
 	f.mu.Unlock()
-	f.wakeUp()
+	f.notify()
 }
 
 func (f *Follower) readPage(ctx context.Context, a *etcd.ReadPage) {
@@ -93,7 +93,7 @@
 		Key: []byte(a.Key), RangeEnd: []byte(a.RangeEnd), Revision: a.Revision, Limit: a.Limit,
 	}, grpc.WaitForReady(false))
 	if err == nil && r.Header == nil {
-		err = errors.New("an answer without a header")
+		err = errors.New("range response has no header")
 	}
 	if err != nil {
 		f.callFailed(a.Call, err)
@@ -106,7 +106,7 @@
 	f.enqueue(page)
 }
 
-// watch opens a watch and hands on what it reports until it ends.
+// watch opens a watch and passes its reports to the machine until it ends.
 func (f *Follower) watch(ctx context.Context, c *call, a *etcd.OpenWatch) {
 	ctx = metadata.AppendToOutgoingContext(ctx, rpctypes.MetadataRequireLeaderKey, rpctypes.MetadataHasLeader)
 	stream, err := etcdserverpb.NewWatchClient(f.conns[a.Member]).Watch(ctx)
@@ -145,7 +145,7 @@
 	}}
 }
 
-// decodeWatchResponse is what a watch reports, in the machine's terms.
+// decodeWatchResponse converts a response on a watch to an event of the machine.
 func decodeWatchResponse(id etcd.CallID, r *etcdserverpb.WatchResponse) etcd.Event {
 	cluster, revision := r.Header.GetClusterId(), r.Header.GetRevision()
 	switch {
@@ -170,14 +170,15 @@
 	return changed
 }
 
-// requestProgress asks a watch for its progress.
+// requestProgress requests a progress report on a watch. It does nothing if the watch is not
+// open.
 func (c *call) requestProgress() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.stream == nil {
 		return
 	}
-	// Where this fails the watch ends, and its reader reports that.
+	// If this fails, the watch ends and its Recv reports the error.
 	_ = c.stream.Send(&etcdserverpb.WatchRequest{RequestUnion: &etcdserverpb.WatchRequest_ProgressRequest{
 		ProgressRequest: &etcdserverpb.WatchProgressRequest{},
 	}})
--- a/internal/source/etcd/follow/dial.go
+++ b/internal/source/etcd/follow/dial.go
@@ -19,11 +19,11 @@
 const (
 	maxResponseBytes = 64 << 20
 	minRedialBackoff = 50 * time.Millisecond
-	maxRedialBackoff = 250 * time.Millisecond // a member that is back is to be called within a drain's grace period
+	maxRedialBackoff = 250 * time.Millisecond // reconnects to a restarted member within a drain's grace period
 	connectTimeout   = time.Second
 )
 
-// newConn makes a connection to one member, over TLS unless config is nil.
+// newConn returns a connection to one member, over TLS unless config is nil.
 func newConn(endpoint string, config *tls.Config, more ...grpc.DialOption) (*grpc.ClientConn, error) {
 	creds := insecure.NewCredentials()
 	if config != nil {
@@ -40,7 +40,7 @@
 	return conn, nil
 }
 
-// redialOptions have a connection that broke come back soon.
+// redialOptions returns options that make a broken connection reconnect soon.
 func redialOptions() []grpc.DialOption {
 	return []grpc.DialOption{
 		grpc.WithConnectParams(grpc.ConnectParams{
@@ -53,8 +53,8 @@
 	}
 }
 
-// Dial connects to the first member that answers, for calls made by hand. The context that
-// it returns carries the token, where one is asked for.
+// Dial connects to the first member that answers, for commands of an operator. The returned
+// context is for calls on the connection; it carries a token if o names a user.
 func Dial(ctx context.Context, o Options) (*grpc.ClientConn, context.Context, error) {
 	var failures []error
 	for _, endpoint := range o.Endpoints {
@@ -66,13 +66,14 @@
 		if err == nil {
 			return conn, callCtx, nil
 		}
-		_ = conn.Close() // the error that counts is the call's
+		_ = conn.Close() // the error of the call is reported instead
 		failures = append(failures, fmt.Errorf("%s: %w", endpoint, err))
 	}
 	return nil, nil, errors.Join(failures...)
 }
 
-// authenticate makes sure that a member answers, and gets a token from it.
+// authenticate requests a token from a member if o names a user, and checks by a read that
+// the member answers. It returns a context with the token.
 func authenticate(ctx context.Context, conn *grpc.ClientConn, o *Options) (context.Context, error) {
 	if o.User != "" {
 		auth := etcdserverpb.NewAuthClient(conn)
--- a/internal/source/etcd/follow/follow.go
+++ b/internal/source/etcd/follow/follow.go
@@ -1,5 +1,6 @@
-// Package follow carries out over gRPC what package etcd decides: calls, watches and
-// timers. It must decide nothing, and is linked into the helper program alone.
+// Package follow drives the state machine of package etcd: it makes the calls and watches
+// that the machine requests, over gRPC, and runs its timers. It makes no decisions of its
+// own. Only the program troutusher-kit links it, so that the relay does not contain gRPC.
 package follow
 
 import (
@@ -15,28 +16,28 @@
 	"troutusher/internal/source/etcd"
 )
 
-// Options are what a follower needs.
+// Options are the options of a Follower.
 type Options struct {
-	Settings    etcd.Settings // Members and AuthRequired are taken from what follows
-	Endpoints   []string      // host:port
-	User        string        // with Password, where the cluster asks for them
+	Settings    etcd.Settings // New sets Members and AuthRequired from Endpoints and User
+	Endpoints   []string      // host:port of each member
+	User        string        // empty if the cluster does not require authentication
 	Password    string
-	TLS         *tls.Config // nil for none
+	TLS         *tls.Config // nil for plain TCP
 	Seed        uint64
 	Log         *slog.Logger
-	OnUpdate    func(*membership.Update) // called in order
-	OnHeartbeat func()                   // called where etcd has nothing new
+	OnUpdate    func(*membership.Update) // called for each update, in order
+	OnHeartbeat func()                   // called when etcd answers and has no changes
 }
 
-// Follower follows a prefix.
+// Follower follows a prefix of an etcd cluster.
 type Follower struct {
-	options Options
-	machine *etcd.Machine
-	conns   []*grpc.ClientConn // by member
-	started time.Time
-	calls   map[etcd.CallID]*call // of Run's goroutine
-	running sync.WaitGroup        // calls, also those that are cancelled
-	wake    chan struct{}         // holds a value while there is something below
+	options      Options
+	machine      *etcd.Machine
+	conns        []*grpc.ClientConn // by member
+	started      time.Time
+	calls        map[etcd.CallID]*call // open calls; used only by Run's goroutine
+	callsRunning sync.WaitGroup        // goroutines of calls, including cancelled calls
+	notified     chan struct{}         // holds a value while events or resync await Run
 
 	mu     sync.Mutex
 	events []etcd.Event
@@ -44,7 +45,7 @@
 	token  string
 }
 
-// New makes a follower; Run has it begin.
+// New returns a follower. It makes no call before Run.
 func New(o Options) (*Follower, error) {
 	o.Settings.Members, o.Settings.AuthRequired = len(o.Endpoints), o.User != ""
 	machine, err := etcd.New(o.Settings, o.Seed)
@@ -52,15 +53,15 @@
 		return nil, err
 	}
 	f := &Follower{
-		options: o,
-		machine: machine,
-		started: time.Now(),
-		calls:   map[etcd.CallID]*call{},
-		wake:    make(chan struct{}, 1),
+		options:  o,
+		machine:  machine,
+		started:  time.Now(),
+		calls:    map[etcd.CallID]*call{},
+		notified: make(chan struct{}, 1),
 	}
 	for _, endpoint := range o.Endpoints {
-		// A connection leads to one member: which is called, and when again, the machine
-		// decides.
+		// Each connection leads to one member, because the machine chooses which member to
+		// call and when to retry.
 		conn, err := newConn(endpoint, o.TLS, redialOptions()...)
 		if err != nil {
 			f.close()
@@ -73,39 +74,39 @@
 
 func (f *Follower) close() {
 	for _, conn := range f.conns {
-		_ = conn.Close() // fails only where it is closed already
+		_ = conn.Close() // fails only if it is already closed
 	}
 }
 
-// now is the machine's clock, which begins with the follower.
+// now returns the time of the machine's clock, which starts at 1 with the follower.
 func (f *Follower) now() etcd.Time { return 1 + time.Since(f.started).Microseconds() }
 
-// Resync has the complete list read again.
+// Resync requests a new read of the complete list.
 func (f *Follower) Resync() {
 	f.mu.Lock()
 	f.resync = true
 	f.mu.Unlock()
-	f.wakeUp()
+	f.notify()
 }
 
-func (f *Follower) wakeUp() {
+func (f *Follower) notify() {
 	select {
-	case f.wake <- struct{}{}:
+	case f.notified <- struct{}{}:
 	default:
 	}
 }
 
-// enqueue hands an event to Run's goroutine.
+// enqueue passes an event to Run's goroutine.
 func (f *Follower) enqueue(e etcd.Event) {
 	f.mu.Lock()
 	f.events = append(f.events, e)
 	f.mu.Unlock()
-	f.wakeUp()
+	f.notify()
 }
 
-// Run follows until ctx ends, and returns once all its calls have ended.
+// Run follows the prefix until ctx ends. It returns after all its calls have ended.
 func (f *Follower) Run(ctx context.Context) error {
-	defer f.running.Wait()
+	defer f.callsRunning.Wait()
 	defer f.close()
 	timer := time.NewTimer(0)
 	defer timer.Stop()
@@ -114,22 +115,22 @@
 		events, resync := f.events, f.resync
 		f.events, f.resync = nil, false
 		f.mu.Unlock()
-		f.execute(ctx, f.machine.Step(f.now(), events))
+		f.executeActions(ctx, f.machine.Step(f.now(), events))
 		if resync {
-			f.execute(ctx, f.machine.Resync(f.now()))
+			f.executeActions(ctx, f.machine.Resync(f.now()))
 		}
 		timer.Reset(time.Duration(max(f.machine.NextDeadline()-f.now(), 0)) * time.Microsecond)
 		select {
 		case <-ctx.Done():
 			return ctx.Err()
-		case <-f.wake:
+		case <-f.notified:
 		case <-timer.C:
 		}
 	}
 }
 
-// execute carries out what the machine has decided.
-func (f *Follower) execute(ctx context.Context, actions []etcd.Action) {
+// executeActions executes the actions of the machine.
+func (f *Follower) executeActions(ctx context.Context, actions []etcd.Action) {
 	for _, action := range actions {
 		switch a := action.(type) {
 		case *etcd.Authenticate:
--- a/internal/source/etcd/follow/options.go
+++ b/internal/source/etcd/follow/options.go
@@ -12,7 +12,8 @@
 	"troutusher/internal/source/etcd"
 )
 
-// FromOperator makes options of the operator's file. Errors name the key concerned.
+// FromOperator converts the etcd section of the operator's file to options. Its errors name
+// the key of the file concerned.
 func FromOperator(e *operatorconfig.Etcd) (Options, error) {
 	o := Options{
 		Settings:  etcd.DefaultSettings(e.Prefix, len(e.Endpoints)),
@@ -20,7 +21,7 @@
 		User:      e.User,
 	}
 	if len(e.Endpoints) == 0 {
-		return o, errors.New("etcd.endpoints: none in the operator's file")
+		return o, errors.New("etcd.endpoints: no endpoints in the operator's file")
 	}
 	if e.PasswordFile != "" {
 		text, err := os.ReadFile(e.PasswordFile)
@@ -37,7 +38,8 @@
 	return o, err
 }
 
-// tlsConfig is how members are verified, and which certificate is shown to them.
+// tlsConfig returns the TLS settings for connections to members: the roots and the name by
+// which members are verified, and the client certificate, if any.
 func tlsConfig(e *operatorconfig.Etcd) (*tls.Config, error) {
 	text, err := os.ReadFile(e.Roots)
 	if err != nil {
@@ -45,7 +47,7 @@
 	}
 	config := &tls.Config{RootCAs: x509.NewCertPool(), ServerName: e.ServerName, MinVersion: tls.VersionTLS12}
 	if !config.RootCAs.AppendCertsFromPEM(text) {
-		return nil, fmt.Errorf("etcd.roots: %s holds no certificate", e.Roots)
+		return nil, fmt.Errorf("etcd.roots: file %s contains no certificate", e.Roots)
 	}
 	if e.Certificate == "" {
 		return config, nil
--- a/internal/source/etcd/follow/serve.go
+++ b/internal/source/etcd/follow/serve.go
@@ -13,18 +13,18 @@
 	"troutusher/internal/membership"
 )
 
-// Message is what the helper tells the relay that has started it, one JSON object a line:
-// an update, or a heartbeat. What the relay tells the helper is a line with ResyncCommand
-// alone; the end of its input ends the helper.
+// Message is a message from the follow process to the relay that started it: an update or a
+// heartbeat, sent as one JSON object per line. In the other direction, the relay sends only
+// lines with ResyncCommand, and ends the follow process by closing its input.
 type Message struct {
 	Update    *membership.Update `json:"word,omitempty"`
 	Heartbeat bool               `json:"alive,omitempty"`
 }
 
-// ResyncCommand has the complete list read again.
+// ResyncCommand requests a new read of the complete list.
 const ResyncCommand = "anew"
 
-// messageWriter writes messages until that fails.
+// messageWriter writes messages as lines of JSON, and calls onFailed when a write fails.
 type messageWriter struct {
 	mu       sync.Mutex
 	encoder  *json.Encoder
@@ -34,13 +34,13 @@
 func (w *messageWriter) write(m Message) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	if err := w.encoder.Encode(m); err != nil { // nobody reads any more
+	if err := w.encoder.Encode(m); err != nil { // the relay has closed the pipe
 		w.onFailed(err)
 	}
 }
 
-// Serve follows for a relay: messages go to out, commands come from in. It returns once in
-// has ended, or ctx.
+// Serve follows a prefix for a relay. It writes messages to out and reads commands from in.
+// It returns when in or ctx has ended, or when a message cannot be written.
 func Serve(ctx context.Context, o Options, in io.Reader, out io.Writer) error {
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
@@ -54,7 +54,7 @@
 	if err != nil {
 		return err
 	}
-	// It ends with in, which the process may keep open: nobody waits for it.
+	// This goroutine ends with in. Serve does not wait for it, since in may stay open.
 	go func() {
 		lines := bufio.NewScanner(in)
 		for lines.Scan() {
--- a/internal/source/etcd/machine.go
+++ b/internal/source/etcd/machine.go
@@ -64,7 +64,7 @@
 // member that they call first and in their backoff.
 func New(s Settings, seed uint64) (*Machine, error) {
 	if s.PageSize == 0 {
-		return nil, errors.New("etcd: settings were not made by DefaultSettings")
+		return nil, errors.New("etcd: page size is 0: start from DefaultSettings")
 	}
 	if err := s.Check(); err != nil {
 		return nil, err
--- a/internal/source/etcd/publish/publish.go
+++ b/internal/source/etcd/publish/publish.go
@@ -1,8 +1,9 @@
-// Package publish writes endpoints, rates and drains under a prefix of etcd, for
-// operators. Each change is made only where what it replaces is still what was read
-// before: two operators cannot undo each other without hearing of it.
+// Package publish writes endpoints, rates and drains under a prefix of an etcd cluster, for
+// the commands of operators. It changes a key only if the key is still as it was read before.
+// If two operators change the same key at the same time, the second one gets ErrConflict
+// instead of overwriting the change of the first.
 //
-// It must never write a value that a relay could not decode.
+// The package checks each value before it writes it, so that relays can decode all of them.
 package publish
 
 import (
@@ -19,33 +20,33 @@
 	"troutusher/internal/source/etcd"
 )
 
-// List is what an operator's file says is there: all endpoints and rates, by id and by
-// destination.
+// List is the complete list of an operator's file: endpoints by id, and partners, with their
+// rates, by destination.
 type List struct {
 	Endpoints map[string]etcd.Endpoint `json:"endpoints"`
 	Partners  map[string]etcd.Partner  `json:"partners"`
 }
 
-// ErrConflict is a key that somebody else has changed since it was read.
-var ErrConflict = errors.New("changed by somebody else since it was read: look again")
+// ErrConflict reports that a key was changed by somebody else after it was read.
+var ErrConflict = errors.New("changed by somebody else since it was read: check what is published and retry")
 
-// ErrTooManyRemovals is a list that takes away most of what is there.
-var ErrTooManyRemovals = errors.New("it takes away over half of the endpoints; say --all to do so")
+// ErrTooManyRemovals reports that a list would remove over half of the published endpoints.
+var ErrTooManyRemovals = errors.New("list removes over half of the published endpoints; use --all to allow this")
 
-// Publisher writes under one prefix.
+// Publisher changes the keys under one prefix.
 type Publisher struct {
 	KV     etcdserverpb.KVClient
 	Prefix string
 }
 
-// Result says what was changed.
+// Result lists the changes that were made or, next to an error, those that were intended.
 type Result struct {
-	Put, Deleted []string // keys under the prefix
-	Revision     int64    // of the last change; 0 for none
+	Put, Deleted []string // keys, without the prefix
+	Revision     int64    // revision of the last change; 0 if nothing was changed
 }
 
-// Drain has endpoints drain, all at one revision where they are few, or ends that with
-// off. What is so already is left as it is.
+// Drain puts the drain keys of endpoints, or deletes them if off is true. It makes up to
+// maxChangesPerTxn changes at one revision. It leaves drains alone that are already as wanted.
 func (p *Publisher) Drain(ctx context.Context, off bool, ids ...string) (*Result, error) {
 	drains, err := p.read(ctx, etcd.DrainsFolder)
 	if err != nil {
@@ -72,7 +73,7 @@
 	return p.apply(ctx, changes)
 }
 
-// Remove takes endpoints away, with their drains.
+// Remove deletes endpoints together with their drains.
 func (p *Publisher) Remove(ctx context.Context, ids ...string) (*Result, error) {
 	endpoints, drains, err := p.readEndpointsAndDrains(ctx)
 	if err != nil {
@@ -82,7 +83,7 @@
 	for _, id := range sortedIDs(ids) {
 		revision := endpoints[id].modRevision
 		if revision == 0 {
-			return nil, fmt.Errorf("%.80q is not published", id)
+			return nil, fmt.Errorf("cannot remove endpoint %.80q: it is not published", id)
 		}
 		changes = append(changes, change{etcd.Key(p.Prefix, etcd.EndpointsFolder, id), "", revision})
 		if drain := drains[id].modRevision; drain > 0 {
@@ -97,9 +98,10 @@
 	return slices.Compact(ids)
 }
 
-// Publish makes what is there what a list says: endpoints and rates, not drains. Without
-// most it fails with ErrTooManyRemovals where it would remove over half of the endpoints.
-func (p *Publisher) Publish(ctx context.Context, l *List, most bool) (*Result, error) {
+// Publish makes the published endpoints and rates equal to a list, and leaves drains as they
+// are. If it would remove over half of the endpoints, it fails with ErrTooManyRemovals,
+// unless allowMostRemoved is true.
+func (p *Publisher) Publish(ctx context.Context, l *List, allowMostRemoved bool) (*Result, error) {
 	endpoints, err := encodeEndpoints(l.Endpoints)
 	if err != nil {
 		return nil, err
@@ -108,21 +110,21 @@
 	if err != nil {
 		return nil, err
 	}
-	changes, _, err := p.compare(ctx, etcd.PartnersFolder, partners)
+	changes, _, err := p.diffFolder(ctx, etcd.PartnersFolder, partners)
 	if err != nil {
 		return nil, err
 	}
-	more, removals, err := p.compare(ctx, etcd.EndpointsFolder, endpoints)
+	more, removals, err := p.diffFolder(ctx, etcd.EndpointsFolder, endpoints)
 	if err != nil {
 		return nil, err
 	}
 	published := removals.published
-	if !most && 2*removals.count > published {
-		return nil, fmt.Errorf("%w (%d of %d)", ErrTooManyRemovals, removals.count, published)
+	if !allowMostRemoved && 2*removals.count > published {
+		return nil, fmt.Errorf("%w (%d of %d removed)", ErrTooManyRemovals, removals.count, published)
 	}
 	changes = append(changes, more...)
 	slices.SortFunc(changes, func(a, b change) int {
-		return cmp.Or(compareBool(a.deletes(), b.deletes()), strings.Compare(a.key, b.key)) // puts come first
+		return cmp.Or(compareBool(a.isDelete(), b.isDelete()), strings.Compare(a.key, b.key)) // puts come first
 	})
 	return p.apply(ctx, changes)
 }
@@ -137,7 +139,7 @@
 	return -1
 }
 
-// encodeEndpoints encodes and checks the values of endpoints.
+// encodeEndpoints encodes and validates the values of endpoint keys.
 func encodeEndpoints(endpoints map[string]etcd.Endpoint) (map[string]string, error) {
 	texts := map[string]string{}
 	for id, e := range endpoints {
@@ -151,7 +153,7 @@
 	return texts, nil
 }
 
-// encodePartners encodes and checks the values of destinations.
+// encodePartners encodes and validates the values of partner keys.
 func encodePartners(partners map[string]etcd.Partner) (map[string]string, error) {
 	texts := map[string]string{}
 	for dest, partner := range partners {
@@ -176,11 +178,12 @@
 	return string(text), nil
 }
 
-// removalCount is how many of the published keys of a folder are to be removed.
+// removalCount is the number of published keys of a folder and how many of them are to be
+// removed.
 type removalCount struct{ count, published int }
 
-// compare returns the changes by which a folder holds what is wanted, and nothing else.
-func (p *Publisher) compare(
+// diffFolder returns the changes after which a folder holds exactly the wanted values.
+func (p *Publisher) diffFolder(
 	ctx context.Context, folder string, want map[string]string,
 ) (changes []change, removals removalCount, err error) {
 	published, err := p.read(ctx, folder)
--- a/internal/source/etcd/publish/show.go
+++ b/internal/source/etcd/publish/show.go
@@ -10,16 +10,16 @@
 	"troutusher/internal/source/etcd"
 )
 
-// PublishedEndpoint is one endpoint as it is published.
+// PublishedEndpoint is an endpoint as it is published.
 type PublishedEndpoint struct {
 	ID       string
 	Endpoint etcd.Endpoint
-	Draining bool
-	Revision int64 // of its own value's last change
-	Err      error // why its value cannot be decoded; nil where it can
+	Draining bool  // there is a drain key for it
+	Revision int64 // of the last change of the endpoint key
+	Err      error // the error of decoding its value, if any
 }
 
-// Show lists what is published, by id.
+// Show returns all published endpoints, sorted by id.
 func (p *Publisher) Show(ctx context.Context) ([]PublishedEndpoint, error) {
 	endpoints, drains, err := p.readEndpointsAndDrains(ctx)
 	if err != nil {
@@ -35,7 +35,7 @@
 	return all, nil
 }
 
-// Text is the endpoint as a line for a terminal, its columns separated by tabs.
+// Text returns a line about the endpoint for a terminal, with columns separated by tabs.
 func (e *PublishedEndpoint) Text() string {
 	if e.Err != nil {
 		return e.ID + "\tcannot be read: " + e.Err.Error()
--- a/internal/source/etcd/publish/transaction.go
+++ b/internal/source/etcd/publish/transaction.go
@@ -11,17 +11,17 @@
 )
 
 const (
-	maxTxnChanges = 100 // of one transaction; a cluster accepts 128 as it is delivered
-	pageSize      = 200
+	maxChangesPerTxn = 100 // etcd accepts 128 operations per transaction by default
+	pageSize         = 200 // keys per range request
 )
 
-// value is a key's value as it was read.
+// value is the value of a key as it was read.
 type value struct {
 	text        string
-	modRevision int64 // of its last change; 0 where there is no such key
+	modRevision int64 // revision of the last change; 0 if there is no such key
 }
 
-// read reads all keys of a folder, at one revision.
+// read reads all keys of a folder at one revision, and returns their values by name.
 func (p *Publisher) read(ctx context.Context, folder string) (map[string]value, error) {
 	values := map[string]value{}
 	first := etcd.FolderPrefix(p.Prefix, folder)
@@ -44,7 +44,8 @@
 	}
 }
 
-// readEndpointsAndDrains reads both folders, one after the other.
+// readEndpointsAndDrains reads the folders of endpoints and of drains, in this order. The
+// two reads may see different revisions.
 func (p *Publisher) readEndpointsAndDrains(ctx context.Context) (endpoints, drains map[string]value, err error) {
 	if endpoints, err = p.read(ctx, etcd.EndpointsFolder); err != nil {
 		return nil, nil, err
@@ -53,28 +54,29 @@
 	return endpoints, drains, err
 }
 
-// change is one key that is to be put, or deleted where text is empty, if its last change
-// is still the one that was read.
+// change puts a key, or deletes it if text is empty. It takes effect only if the revision of
+// the key's last change is still expectedRevision; 0 means that the key does not exist.
 type change struct {
 	key, text        string
 	expectedRevision int64
 }
 
-func (c *change) deletes() bool { return c.text == "" }
+func (c *change) isDelete() bool { return c.text == "" }
 
-// apply makes changes. Those of one transaction are made together or not at all; with more
-// than maxTxnChanges an error may leave the first ones made.
+// apply makes changes, in transactions of at most maxChangesPerTxn. Each transaction makes
+// all its changes or none. If there are several and one fails, the earlier ones stay in
+// effect.
 func (p *Publisher) apply(ctx context.Context, changes []change) (*Result, error) {
 	result := &Result{}
 	for i := range changes {
 		name := strings.TrimPrefix(changes[i].key, strings.TrimSuffix(p.Prefix, "/")+"/")
-		if changes[i].deletes() {
+		if changes[i].isDelete() {
 			result.Deleted = append(result.Deleted, name)
 		} else {
 			result.Put = append(result.Put, name)
 		}
 	}
-	for part := range slices.Chunk(changes, maxTxnChanges) {
+	for part := range slices.Chunk(changes, maxChangesPerTxn) {
 		r, err := p.KV.Txn(ctx, transaction(part))
 		if err != nil {
 			return result, err
@@ -87,7 +89,7 @@
 	return result, nil
 }
 
-// transaction is the request that makes changes at one revision.
+// transaction returns the request for a transaction that makes changes at one revision.
 func transaction(changes []change) *etcdserverpb.TxnRequest {
 	txn := &etcdserverpb.TxnRequest{}
 	for i := range changes {
@@ -104,7 +106,7 @@
 }
 
 func (c *change) operation() *etcdserverpb.RequestOp {
-	if c.deletes() {
+	if c.isDelete() {
 		request := &etcdserverpb.DeleteRangeRequest{Key: []byte(c.key)}
 		return &etcdserverpb.RequestOp{Request: &etcdserverpb.RequestOp_RequestDeleteRange{RequestDeleteRange: request}}
 	}
