--- a/internal/emulator/registry/registry_test.go
+++ b/internal/emulator/registry/registry_test.go
@@ -15,7 +15,7 @@
 	"troutusher/internal/event"
 )
 
-// harness runs a registry for two relays with three endpoints, and keeps its events.
+// harness runs a registry for two relays with three endpoints, and records its events.
 type harness struct {
 	t        *testing.T
 	registry *Registry
@@ -81,11 +81,11 @@
 	select {
 	case list, ok := <-lines:
 		if !ok {
-			h.t.Fatal("the watch has ended")
+			h.t.Fatal("the watch ended, want another line")
 		}
 		return list
 	case <-time.After(20 * time.Second):
-		h.t.Fatal("no line came")
+		h.t.Fatal("the watch sent no line within 20 s")
 	}
 	return List{}
 }
@@ -104,8 +104,9 @@
 	return list
 }
 
-// sawUpdate reports whether an update of an endpoint was sent to a relay.
-func (h *harness) sawUpdate(relay, endpoint, status int) bool {
+// updateSent reports whether the registry has sent a relay an update with a status of an
+// endpoint.
+func (h *harness) updateSent(relay, endpoint, status int) bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	for _, e := range h.events {
@@ -123,39 +124,39 @@
 			return
 		}
 	}
-	h.t.Fatalf("never came: %s", what)
+	h.t.Fatalf("timed out after 20 s waiting for %s", what)
 }
 
 func TestListAndWatch(t *testing.T) {
 	h := newHarness(t, 0, 0)
 	if list := h.fetchList(h.registry.Addr(0)); !list.Complete || len(list.Members) != 3 || list.Revision != 1 {
-		t.Fatalf("list: %+v", list)
+		t.Fatalf("first list = %+v, want a complete list of 3 members at revision 1", list)
 	}
 	lines := h.watch(h.registry.Addr(0), 1)
 	h.registry.SetPhase(1, PhaseDraining)
 	if list := h.nextLine(lines); list.Complete || len(list.Members) != 1 || list.Members[0].ID != "s-1" ||
 		list.Members[0].Phase != PhaseDraining {
-		t.Errorf("change: %+v", list)
+		t.Errorf("update on the watch = %+v, want only s-1, draining", list)
 	}
-	h.waitFor("the update", func() bool { return h.sawUpdate(0, 1, event.UpdateDraining) })
-	if h.sawUpdate(1, 1, event.UpdateDraining) {
-		t.Error("an update was sent to the other relay, which asked for nothing")
+	h.waitFor("the event of the update", func() bool { return h.updateSent(0, 1, event.UpdateDraining) })
+	if h.updateSent(1, 1, event.UpdateDraining) {
+		t.Error("an update was sent to the other relay, which has no watch")
 	}
 	h.registry.SetPhase(2, PhaseRemoved)
 	if list := h.nextLine(lines); len(list.Members) != 1 || list.Members[0].Phase != PhaseRemoved {
-		t.Errorf("removal: %+v", list)
+		t.Errorf("update after a removal = %+v, want one removed member", list)
 	}
 	if list := h.fetchList(h.registry.Addr(0)); len(list.Members) != 2 {
-		t.Errorf("list: %+v", list)
+		t.Errorf("list after a removal = %+v, want 2 members", list)
 	}
 	if list := h.nextLine(h.watch(h.registry.Addr(0), 1)); len(list.Members) != 2 || list.Complete {
-		t.Errorf("what changed after 1: %+v", list)
+		t.Errorf("watch from revision 1 = %+v, want the 2 changed members", list)
 	}
 	if list := h.nextLine(h.watch(h.registry.Addr(0), 0)); !list.Complete {
-		t.Errorf("from before the first revision: %+v", list)
+		t.Errorf("watch from before the first revision = %+v, want a complete list", list)
 	}
 	if list := h.nextLine(h.watch(h.registry.Addr(0), 99)); !list.Complete {
-		t.Errorf("from a revision that is not known: %+v", list)
+		t.Errorf("watch from an unknown revision = %+v, want a complete list", list)
 	}
 }
 
@@ -171,13 +172,13 @@
 	var got []Phase
 	for len(got) < 10 {
 		list := h.nextLine(lines)
-		if list.Revision-1 > int64(len(got)) { // several may come in one line, with the last phase
+		if list.Revision-1 > int64(len(got)) { // a line may combine several changes; it has the last phase
 			for len(got) < int(list.Revision-1) {
 				got = append(got, want[len(got)])
 			}
 		}
 		if list.Members[0].Phase != got[len(got)-1] {
-			t.Fatalf("revision %d says %s", list.Revision, list.Members[0].Phase)
+			t.Fatalf("phase at revision %d = %s, want %s", list.Revision, list.Members[0].Phase, got[len(got)-1])
 		}
 	}
 }
@@ -196,11 +197,11 @@
 		return len(a.withheld) == 1
 	})
 	if list := h.fetchList(h.registry.Addr(1)); list.Members[0].Phase != PhaseUp {
-		t.Errorf("stale: %+v", list)
+		t.Errorf("list of a stale agent = %+v, want the first member still up", list)
 	}
 	h.registry.SetStale(1, false)
 	if list := h.fetchList(h.registry.Addr(1)); list.Members[0].Phase != PhaseDraining {
-		t.Errorf("no longer stale: %+v", list)
+		t.Errorf("list of an agent that is no longer stale = %+v, want the first member draining", list)
 	}
 	select {
 	case <-fetched:
@@ -209,7 +210,7 @@
 	}
 	h.registry.SetSilent(0, false)
 	if list := <-fetched; len(list.Members) != 3 {
-		t.Errorf("once it answers: %+v", list)
+		t.Errorf("list of an agent that is no longer silenced = %+v, want 3 members", list)
 	}
 	h.registry.SetExtraDelay(0, 80*time.Millisecond, true)
 	at := time.Now()
@@ -217,15 +218,16 @@
 	h.registry.SetPhase(1, PhaseDraining)
 	h.nextLine(lines)
 	if d := time.Since(at); d < 80*time.Millisecond {
-		t.Errorf("after %v", d)
+		t.Errorf("update arrived after %v, want at least 80ms", d)
 	}
 	h.registry.SetExtraDelay(0, 80*time.Millisecond, false)
 	if n := len(h.registry.agents[0].extraDelays); n != 0 {
-		t.Errorf("%d delays left", n)
+		t.Errorf("agent has %d extra delays after the removal of the only one, want 0", n)
 	}
 }
 
-// An update that is delayed delays the one after it, though that is not.
+// A delayed update also delays a later update that has no delay of its own. Otherwise the
+// two would arrive in the wrong order.
 func TestDelayedChangeHoldsUpTheNext(t *testing.T) {
 	h := newHarness(t, 0, 0)
 	lines := h.watch(h.registry.Addr(0), 1)
@@ -237,7 +239,7 @@
 	for n := 0; n < 2; {
 		list := h.nextLine(lines)
 		if n += len(list.Members); time.Since(at) < 120*time.Millisecond {
-			t.Fatalf("%+v after %v", list, time.Since(at))
+			t.Fatalf("update %+v arrived after %v, want at least 120ms", list, time.Since(at))
 		}
 	}
 }
@@ -248,16 +250,16 @@
 	lines := h.watch(old, 1)
 	addr, err := h.registry.ChangeAddress(0)
 	if err != nil || addr == old || h.registry.Addr(0) != addr {
-		t.Fatalf("new address %s, %v", addr, err)
+		t.Fatalf("ChangeAddress(0) = %s, error %v, want an address other than %s that Addr(0) returns", addr, err, old)
 	}
 	fresh := &http.Client{Transport: &http.Transport{DisableKeepAlives: true}}
 	if _, err := fresh.Get("http://" + old + "/registry/instances"); err == nil {
 		t.Error("the old address accepted a connection")
 	}
 	if list := h.fetchList(addr); len(list.Members) != 3 {
-		t.Errorf("at the new one: %+v", list)
+		t.Errorf("list at the new address = %+v, want 3 members", list)
 	}
-	for range lines { // ends when the old address closes it
+	for range lines { // ends when the agent closes the connections of the old address
 	}
 }
 
@@ -272,31 +274,32 @@
 		_ = resp.Body.Close()
 		return resp.StatusCode
 	}
-	h.registry.SetSilent(1, true) // notices are received all the same
+	h.registry.SetSilent(1, true) // does not apply to notices
 	if n := post(
 		"{\"message\":\"a\",\"outcome\":\"given_up\"}\n\n{\"message\":\"b\",\"outcome\":\"handed_back\"," +
 			"\"retry_in_ms\":500}\n",
 	); n != 204 {
-		t.Errorf("status %d", n)
+		t.Errorf("status of valid notices = %d, want 204", n)
 	}
 	if len(h.events) != 2 || h.events[1].ID != "b" || h.events[1].Status != event.NoticeReturned ||
 		h.events[1].Wait != 500_000 || h.events[1].Relay != 1 {
-		t.Errorf("events %+v", h.events)
+		t.Errorf("events = %+v, want 2; the second one for message b, returned to relay 1 with a wait of 500 ms",
+			h.events)
 	}
 	for _, invalid := range []string{
 		"{", "{\"message\":\"a\",\"outcome\":\"lost\"}", "{\"outcome\":\"given_up\"}",
 		"{\"message\":\"c\",\"outcome\":\"given_up\"}\nrubbish", strings.Repeat("x", maxNoticeBytes+1),
 	} {
 		if n := post(invalid); n != 400 {
-			t.Errorf("%.40q: status %d", invalid, n)
+			t.Errorf("status of body %.40q = %d, want 400", invalid, n)
 		}
 	}
 	if len(h.events) != 2 {
-		t.Errorf("part of an invalid body was taken: %+v", h.events)
+		t.Errorf("events after invalid bodies = %+v, want no new ones", h.events)
 	}
 }
 
-// FuzzNotices checks that a body is taken or rejected as a whole.
+// A body of notices is accepted or rejected as a whole.
 func FuzzNotices(f *testing.F) {
 	f.Add("{\"message\":\"a\",\"outcome\":\"given_up\"}\n")
 	f.Add("{\"message\":\"a\",\"outcome\":\"handed_back\",\"retry_in_ms\":-5}\n{}")
@@ -307,7 +310,7 @@
 		response := httptest.NewRecorder()
 		a.serveNotices(response, httptest.NewRequest(http.MethodPost, "/reports", strings.NewReader(body)))
 		if response.Code != 204 && (response.Code != 400 || emitted > 0) {
-			t.Fatalf("status %d, %d taken", response.Code, emitted)
+			t.Fatalf("status = %d with %d events, want 204, or 400 without events", response.Code, emitted)
 		}
 	})
 }
--- a/internal/emulator/registry/responses_test.go
+++ b/internal/emulator/registry/responses_test.go
@@ -10,19 +10,19 @@
 	"testing"
 )
 
-// exchanges sends fixed requests to a registry and writes down what came back.
-type exchanges struct {
+// exchangeRecorder sends requests to a registry and records the responses as text.
+type exchangeRecorder struct {
 	*harness
 	text     bytes.Buffer
-	recorded int // events written down
+	recorded int // number of recorded events
 }
 
-// recordEvents waits for so many further events and writes them down. The registry may
-// emit them only after its response has been read.
-func (e *exchanges) recordEvents(n int) {
+// recordEvents waits for n more events and records them. It has to wait because the registry
+// may emit an event after the client has read the response.
+func (e *exchangeRecorder) recordEvents(n int) {
 	e.t.Helper()
 	count := func() int { e.mu.Lock(); defer e.mu.Unlock(); return len(e.events) }
-	e.waitFor("the events", func() bool { return count() >= e.recorded+n })
+	e.waitFor(fmt.Sprint(n, " more events"), func() bool { return count() >= e.recorded+n })
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	for _, emitted := range e.events[e.recorded:] {
@@ -32,9 +32,9 @@
 	e.recorded = len(e.events)
 }
 
-// exchange sends one request and writes down status, type and body, and the events
-// that it gives.
-func (e *exchanges) exchange(method, path, body string, events int) {
+// exchange sends one request. It records status, content type and body of the response, and
+// the resulting events.
+func (e *exchangeRecorder) exchange(method, path, body string, events int) {
 	e.t.Helper()
 	req, err := http.NewRequest(method, "http://"+e.registry.Addr(1)+path, strings.NewReader(body))
 	if err != nil {
@@ -54,9 +54,9 @@
 	e.recordEvents(events)
 }
 
-// watchOneLine opens a watch and writes down its status, type and first line, and
-// the events that it gives.
-func (e *exchanges) watchOneLine(from string, events int) {
+// watchOneLine opens a watch. It records status, content type and first line of the response,
+// and the resulting events.
+func (e *exchangeRecorder) watchOneLine(from string, events int) {
 	e.t.Helper()
 	path := "/registry/instances?watch=1&from=" + from
 	resp, err := http.Get("http://" + e.registry.Addr(1) + path)
@@ -75,23 +75,23 @@
 	e.recordEvents(events)
 }
 
-// TestResponsesOverHTTP compares the responses to fixed requests, and the events that
-// they give, with those of an earlier release, byte for byte.
+// Compares the responses to fixed requests, and the resulting events, with those of an
+// earlier release, byte for byte.
 func TestResponsesOverHTTP(t *testing.T) {
-	e := &exchanges{harness: newHarness(t, 0, 0)}
+	e := &exchangeRecorder{harness: newHarness(t, 0, 0)}
 	const list = "/registry/instances"
 	e.exchange("GET", list, "", 3)
-	// All changes come before the first watch, which else might still take one in.
+	// Make all changes before the first watch, so that none of them arrives during a watch.
 	for i, phase := range []Phase{PhaseDraining, PhaseRemoved, PhaseDraining} {
 		e.registry.SetPhase(i, phase)
 	}
-	e.waitFor("the changes", func() bool { return e.registry.ListOf(1).Revision == 4 })
+	e.waitFor("all three changes", func() bool { return e.registry.ListOf(1).Revision == 4 })
 	e.exchange("GET", list, "", 3)
 	e.watchOneLine("0", 3)
 	e.watchOneLine("1", 3)
 	e.watchOneLine("3", 1)
 	e.watchOneLine("99", 3)
-	e.watchOneLine("4", 0) // nothing changed: the empty line of a quiet watch
+	e.watchOneLine("4", 0) // no changes, so the first line is an empty keepalive
 	e.exchange("GET", list+"?watch=1&from=x", "", 0)
 	e.exchange("POST", list, "", 0)
 	e.exchange("GET", "/registry", "", 0)
@@ -106,10 +106,10 @@
 	gotLines, wantLines := bytes.Split(e.text.Bytes(), []byte("\n")), bytes.Split(want, []byte("\n"))
 	for i := range min(len(gotLines), len(wantLines)) {
 		if !bytes.Equal(gotLines[i], wantLines[i]) {
-			t.Fatalf("line %d: %s\nwant %s", i+1, gotLines[i], wantLines[i])
+			t.Fatalf("line %d of the recorded text = %s\nwant %s", i+1, gotLines[i], wantLines[i])
 		}
 	}
 	if len(gotLines) != len(wantLines) {
-		t.Fatalf("%d lines, want %d", len(gotLines), len(wantLines))
+		t.Fatalf("recorded text has %d lines, want %d", len(gotLines), len(wantLines))
 	}
 }
--- a/internal/source/etcd/cluster_test.go
+++ b/internal/source/etcd/cluster_test.go
@@ -9,19 +9,20 @@
 	"strings"
 	"testing"
 
-	standin "troutusher/internal/emulator/etcd"
+	emulator "troutusher/internal/emulator/etcd"
 	"troutusher/internal/membership"
 )
 
-// seedCount is how many worlds are drawn; more are for a measurement.
+// Seeds of TestFollowingACluster. Each seed gives one random scenario.
 var (
-	seedCount = flag.Uint64("seeds", 1200, "worlds to draw")
-	firstSeed = flag.Uint64("first", 0, "the first of them")
+	seedCount = flag.Uint64("seeds", 1200, "number of random scenarios to run")
+	firstSeed = flag.Uint64("first", 0, "seed of the first scenario")
 )
 
 const second Time = 1e6
 
-// simulatedCluster plays an etcd cluster in virtual time, round a machine and a view.
+// simulatedCluster simulates an etcd cluster in virtual time. It drives a machine with it,
+// and passes the updates of the machine to a membership view.
 type simulatedCluster struct {
 	t            testing.TB
 	seed         uint64
@@ -30,40 +31,42 @@
 	timers       timerHeap
 	timerCount   int
 	id           uint64
-	store        *standin.Store
-	backup       *standin.Store // a backup
+	store        *emulator.Store
+	backup       *emulator.Store // nil for none
 	members      []memberState
 	watches      map[CallID]*watcher
-	validToken   int // which is good
-	heldToken    int // which the machine has
+	validToken   int // number of the token that the cluster accepts
+	heldToken    int // number of the token that the machine has
 	authRequired bool
 
 	machine        *Machine
 	view           *membership.View
 	published      map[string]membership.Member
 	trace          strings.Builder
-	drains         map[string]Time // since when an endpoint has been marked, with all well
-	drainDelays    []Time          // from a put to the change
-	longestDelay   Time
-	unhealthyUntil Time // until when no member was well, or the world was restored
+	drains         map[string]Time // time of the put, for drains that the view has not published yet
+	drainDelays    []Time          // from the put of a drain until the view publishes it
+	longestDelay   Time            // of drains that were put after unhealthyUntil
+	unhealthyUntil Time            // drains put up to then may be late, because of a restore
 	updates        int
-	lastRevisions  map[string]int64
+	lastRevisions  map[string]int64 // by epoch
 }
 
+// memberState holds the faults of a member.
 type memberState struct {
 	down   bool
 	silent bool
-	lag    Time
+	lag    Time // 0 for a member that does not lag
 }
 
+// watcher is an open watch.
 type watcher struct {
-	call   CallID
-	member int
-	next   int64
-	key    string
-	end    string
-	silent bool
-	open   bool
+	call         CallID
+	member       int
+	nextRevision int64
+	key          string
+	end          string
+	silent       bool
+	open         bool
 }
 
 type timer struct {
@@ -93,7 +96,7 @@
 		rng:           rand.New(rand.NewPCG(seed, 11)),
 		now:           1000 * second,
 		id:            77,
-		store:         standin.NewStore(),
+		store:         emulator.NewStore(),
 		members:       make([]memberState, 3),
 		watches:       map[CallID]*watcher{},
 		published:     map[string]membership.Member{},
@@ -101,32 +104,35 @@
 		lastRevisions: map[string]int64{},
 	}
 	c.authRequired = c.rng.IntN(3) == 0
-	set := DefaultSettings("/t", 3)
-	set.AuthRequired, set.PageSize, set.ResyncInterval = c.authRequired, int64(1+c.rng.IntN(5)), 20*second
+	settings := DefaultSettings("/t", 3)
+	settings.AuthRequired, settings.PageSize, settings.ResyncInterval =
+		c.authRequired, int64(1+c.rng.IntN(5)), 20*second
 	var err error
-	if c.machine, err = New(set, seed); err != nil {
+	if c.machine, err = New(settings, seed); err != nil {
 		t.Fatal(err)
 	}
-	figures := membership.DefaultSettings(membership.Source{Name: "etcd", StaleAfter: 10 * second})
-	figures.HoldDown = 0
-	if c.view, err = membership.New(figures); err != nil {
+	viewSettings := membership.DefaultSettings(membership.Source{Name: "etcd", StaleAfter: 10 * second})
+	viewSettings.HoldDown = 0
+	if c.view, err = membership.New(viewSettings); err != nil {
 		t.Fatal(err)
 	}
 	return c
 }
 
+// failf ends the test with a message, the seed and the end of the trace.
 func (c *simulatedCluster) failf(format string, a ...any) {
 	c.t.Helper()
 	text := c.trace.String()
 	c.t.Fatalf("seed %d: "+format+"\n%s", append(append([]any{c.seed}, a...), text[max(0, len(text)-5000):])...)
 }
 
-func (c *simulatedCluster) note(format string, a ...any) {
+// tracef adds a line to the trace.
+func (c *simulatedCluster) tracef(format string, a ...any) {
 	fmt.Fprintf(&c.trace, "%.3f ", float64(c.now)/1e6)
 	fmt.Fprintf(&c.trace, format+"\n", a...)
 }
 
-func (c *simulatedCluster) after(d Time, run func()) {
+func (c *simulatedCluster) schedule(d Time, run func()) {
 	c.timerCount++
 	heap.Push(&c.timers, timer{c.now + d, c.timerCount, run})
 }
@@ -137,11 +143,13 @@
 	return !c.members[member].down && !c.members[member].silent
 }
 
-// sendEvent has an event reach the machine.
+// sendEvent delivers an event to the machine after a random delay.
 func (c *simulatedCluster) sendEvent(e Event) {
-	c.after(c.networkDelay(), func() { c.step(e) })
+	c.schedule(c.networkDelay(), func() { c.step(e) })
 }
 
+// step passes events to the machine and its updates to the view, and checks how long drains
+// took.
 func (c *simulatedCluster) step(events ...Event) {
 	c.execute(c.machine.Step(c.now, events))
 	for range 3 {
@@ -156,7 +164,8 @@
 					c.longestDelay = max(c.longestDelay, c.now-since)
 				}
 				if c.now-since > 2*second && since > c.unhealthyUntil {
-					c.failf("a drain of %s was heard after %d ms", x.ID, (c.now-since)/1000)
+					c.failf("the view published the drain of %s after %d ms, want at most 2000 ms",
+						x.ID, (c.now-since)/1000)
 				}
 				delete(c.drains, x.ID)
 			}
@@ -167,7 +176,7 @@
 	}
 }
 
-func kvs(all []standin.Version) (out []KV) {
+func kvs(all []emulator.Version) (out []KV) {
 	for _, v := range all {
 		out = append(out, KV{v.Key, v.Value, v.Deleted})
 	}
@@ -185,45 +194,47 @@
 				c.sendEvent(&CallFailed{Call: a.Call, Reason: ReasonUnavailable})
 			}
 		case *ReadPage:
-			c.after(c.networkDelay(), func() { c.readPage(a) })
+			c.schedule(c.networkDelay(), func() { c.readPage(a) })
 		case *OpenWatch:
-			c.after(c.networkDelay(), func() { c.openWatch(a) })
+			c.schedule(c.networkDelay(), func() { c.openWatch(a) })
 		case *RequestProgress:
 			if w := c.watches[a.Call]; w != nil && !w.silent && c.healthy(w.member) {
-				c.after(c.networkDelay(), func() { c.flush(w); c.progress(w) })
+				c.schedule(c.networkDelay(), func() { c.flush(w); c.progress(w) })
 			}
 		case *CancelCall:
 			delete(c.watches, a.Call)
 		case *EmitUpdate:
 			c.updates++
 			u := a.Update
-			c.note("update: epoch %s revision %d complete %v resync %v: %d",
+			c.tracef("update: epoch %s revision %d complete %v resync %v: %d members",
 				u.Epoch, u.Revision, u.Complete, u.Resync, len(u.Members))
 			if u.Revision < c.lastRevisions[u.Epoch] {
-				c.failf("revision %d of epoch %s after %d", u.Revision, u.Epoch, c.lastRevisions[u.Epoch])
+				c.failf("the machine emitted revision %d of epoch %s after revision %d",
+					u.Revision, u.Epoch, c.lastRevisions[u.Epoch])
 			}
 			c.lastRevisions[u.Epoch] = u.Revision
 			got := c.view.Apply(c.now, u)
 			if got == membership.ResyncRequired || got == membership.Outdated && !u.Complete {
-				c.failf("update %+v: %v", *u, got)
+				c.failf("View.Apply(%+v) = %v, want the update applied", *u, got)
 			}
 		case *EmitHeartbeat:
 			c.view.Heartbeat(c.now, 0)
 		case *LogMessage:
-			c.note("%s", a.Text)
+			c.tracef("%s", a.Text)
 		}
 	}
 }
 
-// visible is the revision that a member has by now.
-func (c *simulatedCluster) visible(member int) int64 {
+// visibleRevision returns the revision that a member has reached.
+func (c *simulatedCluster) visibleRevision(member int) int64 {
 	if c.members[member].lag == 0 {
 		return c.store.Revision()
 	}
 	return max(c.store.Revision()-2, 1)
 }
 
-func (c *simulatedCluster) denied(call CallID) bool {
+// rejectsToken reports whether the machine's token is not valid, and fails the call then.
+func (c *simulatedCluster) rejectsToken(call CallID) bool {
 	if c.authRequired && c.heldToken != c.validToken {
 		c.sendEvent(&CallFailed{Call: call, Reason: ReasonUnauthenticated, Detail: "invalid auth token"})
 		return true
@@ -231,14 +242,14 @@
 	return false
 }
 
-// accepts reports whether a member serves a call. Where it is down or the token is not
-// valid it says so; where it is silent it does not.
+// accepts reports whether a member serves a call. If the member is down or the token is not
+// valid, the call fails; if the member is silent, the call stays unanswered.
 func (c *simulatedCluster) accepts(member int, call CallID) bool {
 	if c.members[member].down {
 		c.sendEvent(&CallFailed{Call: call, Reason: ReasonUnavailable})
 		return false
 	}
-	return !c.members[member].silent && !c.denied(call)
+	return !c.members[member].silent && !c.rejectsToken(call)
 }
 
 func (c *simulatedCluster) readPage(a *ReadPage) {
@@ -259,44 +270,45 @@
 	if !c.accepts(a.Member, a.Call) {
 		return
 	}
-	w := &watcher{call: a.Call, member: a.Member, next: a.FromRevision, key: a.Key, end: a.RangeEnd}
+	w := &watcher{call: a.Call, member: a.Member, nextRevision: a.FromRevision, key: a.Key, end: a.RangeEnd}
 	c.watches[a.Call] = w
-	// Events of one watch come in order: they go by one queue.
-	c.sendOnWatch(w, &WatchOpened{Call: a.Call, Cluster: c.id, Revision: c.visible(a.Member)})
+	// sendOnWatch uses a constant delay, so that the events of a watch arrive in order.
+	c.sendOnWatch(w, &WatchOpened{Call: a.Call, Cluster: c.id, Revision: c.visibleRevision(a.Member)})
 	w.open = true
 	c.flush(w)
 }
 
-// sendOnWatch has an event of a watch reach the machine behind those before it.
+// sendOnWatch delivers an event of a watch to the machine, after all earlier events of the
+// watch. Silent and cancelled watches deliver nothing.
 func (c *simulatedCluster) sendOnWatch(w *watcher, e Event) {
 	if w.silent {
 		return
 	}
-	c.after(5e3, func() {
+	c.schedule(5e3, func() {
 		if c.watches[w.call] == w && !w.silent {
 			c.step(e)
 		}
 	})
 }
 
-// flush reports what a watch has not reported.
+// flush reports the changes that a watch has not reported yet.
 func (c *simulatedCluster) flush(w *watcher) {
 	if !w.open || w.silent || !c.healthy(w.member) || c.watches[w.call] != w {
 		return
 	}
-	to := c.visible(w.member)
-	all, err := c.store.Changes(w.key, w.end, w.next, to)
+	to := c.visibleRevision(w.member)
+	all, err := c.store.Changes(w.key, w.end, w.nextRevision, to)
 	if err != nil {
 		c.sendOnWatch(w, &CallFailed{Call: w.call, Reason: ReasonCompacted, Revision: c.store.Compacted()})
 		w.open = false
 		return
 	}
-	w.next = max(w.next, to+1)
+	w.nextRevision = max(w.nextRevision, to+1)
 	if len(all) == 0 {
 		return
 	}
 	e := &Changed{Call: w.call, Cluster: c.id, Revision: to}
-	for len(all) > 1 && c.rng.IntN(3) == 0 { // in fragments
+	for len(all) > 1 && c.rng.IntN(3) == 0 { // split the report into fragments
 		fragment := *e
 		fragment.KVs, fragment.LastRevision, fragment.Fragment = kvs(all[:1]), all[0].ModRevision, true
 		all = all[1:]
@@ -306,18 +318,19 @@
 	c.sendOnWatch(w, e)
 }
 
+// progress sends a progress report on a watch.
 func (c *simulatedCluster) progress(w *watcher) {
-	rev := w.next - 1
+	rev := w.nextRevision - 1
 	if c.rng.IntN(4) == 0 {
-		rev = max(rev-3, 1) // it lies behind
+		rev = max(rev-3, 1) // a report that is out of date
 	}
 	c.sendOnWatch(w, &Progress{Call: w.call, Cluster: c.id, Revision: rev})
 }
 
-// flushAll has all watches report, each when its member knows.
+// flushAll makes all watches report their changes, each after a random delay.
 func (c *simulatedCluster) flushAll() {
 	for _, w := range c.openWatches() {
-		c.after(c.networkDelay(), func() { c.flush(w) })
+		c.schedule(c.networkDelay(), func() { c.flush(w) })
 	}
 }
 
@@ -330,7 +343,7 @@
 	return all
 }
 
-func (c *simulatedCluster) do(ops ...standin.Op) {
+func (c *simulatedCluster) applyOps(ops ...emulator.Op) {
 	if _, err := c.store.Apply(ops...); err != nil {
 		c.failf("%v", err)
 	}
@@ -341,75 +354,76 @@
 	return fmt.Sprintf(`{"v":1,"host_port":"127.0.0.1:%d","dest":%d,"rate":%v}`, 7000+k, k%3, rate)
 }
 
-// publish changes something.
-func (c *simulatedCluster) publish() {
+// changeRandomKey makes one random change of an endpoint, a drain, a partner or an unrelated
+// key.
+func (c *simulatedCluster) changeRandomKey() {
 	k := c.rng.IntN(8)
 	id := fmt.Sprintf("e%d", k)
 	switch c.rng.IntN(9) {
 	case 0, 1, 2:
-		c.note("publish %s", id)
-		c.do(standin.Op{Key: Key("/t", EndpointsFolder, id), Value: endpointValue(k, float64(c.rng.IntN(3)))})
+		c.tracef("publish %s", id)
+		c.applyOps(emulator.Op{Key: Key("/t", EndpointsFolder, id), Value: endpointValue(k, float64(c.rng.IntN(3)))})
 	case 3:
-		c.note("delete %s", id)
-		c.do(standin.Op{Key: Key("/t", EndpointsFolder, id), Delete: true})
+		c.tracef("delete %s", id)
+		c.applyOps(emulator.Op{Key: Key("/t", EndpointsFolder, id), Delete: true})
 		delete(c.drains, id)
 	case 4:
-		c.note("drain %s", id)
-		c.do(standin.Op{Key: Key("/t", DrainsFolder, id), Value: `{"v":1}`})
+		c.tracef("drain %s", id)
+		c.applyOps(emulator.Op{Key: Key("/t", DrainsFolder, id), Value: `{"v":1}`})
 		if m, ok := c.published[id]; ok && m.Phase == membership.Up && c.drains[id] == 0 {
 			c.drains[id] = c.now
 		}
 	case 5:
-		c.note("undrain %s", id)
-		c.do(standin.Op{Key: Key("/t", DrainsFolder, id), Delete: true})
+		c.tracef("undrain %s", id)
+		c.applyOps(emulator.Op{Key: Key("/t", DrainsFolder, id), Delete: true})
 		delete(c.drains, id)
 	case 6:
 		key := Key("/t", PartnersFolder, fmt.Sprint(c.rng.IntN(3)))
-		c.do(standin.Op{Key: key, Value: fmt.Sprintf(`{"v":1,"rate":%d}`, c.rng.IntN(50))})
+		c.applyOps(emulator.Op{Key: key, Value: fmt.Sprintf(`{"v":1,"rate":%d}`, c.rng.IntN(50))})
 	case 7:
-		c.note("a value of %s that cannot be read", id)
-		c.do(standin.Op{Key: Key("/t", EndpointsFolder, id), Value: `{"v":2}`})
+		c.tracef("publish a value of %s that cannot be decoded", id)
+		c.applyOps(emulator.Op{Key: Key("/t", EndpointsFolder, id), Value: `{"v":2}`})
 	case 8:
-		c.do(standin.Op{Key: "/other/x", Value: "somebody else's"},
-			standin.Op{Key: "/t/later/x", Value: "of a layout to come"})
+		c.applyOps(emulator.Op{Key: "/other/x", Value: "of another application"},
+			emulator.Op{Key: "/t/later/x", Value: "of a later layout"})
 	}
 }
 
-// injectFault has something go wrong.
+// injectFault injects a random fault. At most one member at a time is down, silent or lagging.
 func (c *simulatedCluster) injectFault() {
 	i := c.rng.IntN(3)
-	ill := 0
+	unhealthy := 0
 	for k := range c.members {
 		if !c.healthy(k) || c.members[k].lag > 0 {
-			ill++
+			unhealthy++
 		}
 	}
 	switch c.rng.IntN(8) {
 	case 0:
-		if ill < 1 {
-			c.note("member %d is down", i)
+		if unhealthy < 1 {
+			c.tracef("member %d is down", i)
 			c.members[i].down = true
 			for _, w := range c.openWatches() {
 				if w.member == i {
 					c.sendOnWatch(w, &CallFailed{Call: w.call, Reason: ReasonUnavailable, Detail: "no leader"})
 				}
 			}
-			c.after(Time(c.rng.Int64N(3e6)), func() { c.members[i].down = false; c.note("member %d is back", i) })
+			c.schedule(Time(c.rng.Int64N(3e6)), func() { c.members[i].down = false; c.tracef("member %d is back", i) })
 		}
 	case 1:
-		if ill < 1 {
-			c.note("member %d is silent", i)
+		if unhealthy < 1 {
+			c.tracef("member %d is silent", i)
 			c.members[i].silent = true
-			c.after(Time(c.rng.Int64N(4e6)), func() { c.members[i].silent = false })
+			c.schedule(Time(c.rng.Int64N(4e6)), func() { c.members[i].silent = false })
 		}
 	case 2:
 		for _, w := range c.openWatches() {
-			c.note("watch %d is silent", w.call)
+			c.tracef("watch %d is silent", w.call)
 			w.silent = true
 		}
 	case 3:
 		if rev := c.store.Revision() - int64(c.rng.IntN(3)); rev > c.store.Compacted() && rev > 0 {
-			c.note("compacted up to %d", rev)
+			c.tracef("compacted up to %d", rev)
 			if err := c.store.Compact(rev); err != nil {
 				c.failf("%v", err)
 			}
@@ -418,15 +432,15 @@
 		c.backup = c.store.Clone()
 	case 5:
 		if c.backup != nil && c.rng.IntN(2) == 0 {
-			c.note("restored to %d from %d", c.backup.Revision(), c.store.Revision())
+			c.tracef("restored to %d from %d", c.backup.Revision(), c.store.Revision())
 			c.store, c.backup = c.backup, nil
-			c.unhealthyUntil = c.now + 25*second // under its old id it may not be noticed before the next resync
+			c.unhealthyUntil = c.now + 25*second // with the same id, it may go unnoticed until the next resync
 			if c.rng.IntN(2) == 0 {
 				c.id++
 				c.unhealthyUntil = c.now + 3*second
 			}
 			for _, w := range c.openWatches() {
-				c.sendOnWatch(w, &CallFailed{Call: w.call, Reason: ReasonUnavailable, Detail: "gone"})
+				c.sendOnWatch(w, &CallFailed{Call: w.call, Reason: ReasonUnavailable, Detail: "restored"})
 				w.open = false
 			}
 			clear(c.drains)
@@ -439,20 +453,20 @@
 			}
 		}
 	case 7:
-		if ill < 1 {
-			c.note("member %d lags", i)
+		if unhealthy < 1 {
+			c.tracef("member %d lags", i)
 			c.members[i].lag = 1
-			c.after(Time(c.rng.Int64N(500e3)), func() { c.members[i].lag = 0; c.flushAll() })
+			c.schedule(Time(c.rng.Int64N(500e3)), func() { c.members[i].lag = 0; c.flushAll() })
 		}
 	}
 }
 
-// run has time pass.
-func (c *simulatedCluster) run(until Time) {
-	for turns := 0; ; turns++ {
-		if turns > 100000 {
-			c.failf("it turns and turns: next %d, view %d, state %d",
-				c.machine.NextDeadline()-c.now, c.view.NextDeadline()-c.now, c.machine.state)
+// runUntil advances the virtual time, and runs timers and deadlines on the way.
+func (c *simulatedCluster) runUntil(until Time) {
+	for steps := 0; ; steps++ {
+		if steps > 100000 {
+			c.failf("%d steps without an end: machine's deadline in %d µs, view's in %d µs, machine in state %d",
+				steps, c.machine.NextDeadline()-c.now, c.view.NextDeadline()-c.now, c.machine.state)
 		}
 		at := c.machine.NextDeadline()
 		if n := c.view.NextDeadline(); n > 0 && n < at {
@@ -474,7 +488,7 @@
 	}
 }
 
-// expected is what the store holds, as the view should have it.
+// expected returns the members that the view should publish for the contents of the store.
 func (c *simulatedCluster) expected() map[string]membership.Member {
 	all, _, err := c.store.Range("/t/", RangeEnd("/t/"), 0, 0)
 	if err != nil {
@@ -482,63 +496,66 @@
 	}
 	table := newKeyTable("/t")
 	for _, kv := range kvs(all) {
-		_ = table.apply(kv, idSet{}) // what cannot be decoded is part of the truth
+		_ = table.apply(kv, idSet{}) // some values cannot be decoded on purpose
 	}
 	want := map[string]membership.Member{}
-	w := &membership.Update{}
-	table.addAllMembers(w)
-	for _, m := range w.Members {
+	update := &membership.Update{}
+	table.addAllMembers(update)
+	for _, m := range update.Members {
 		want[m.ID] = m
 	}
 	return want
 }
 
-func (c *simulatedCluster) play() {
+// runScenario makes random changes and injects faults for a while. Then it ends all faults,
+// publishes values that can be decoded, and checks that the view agrees with the store.
+func (c *simulatedCluster) runScenario() {
 	c.step()
-	c.run(c.now + second)
+	c.runUntil(c.now + second)
 	for range 40 {
-		c.run(c.now + Time(c.rng.Int64N(600e3)))
-		if c.publish(); c.rng.IntN(4) == 0 {
+		c.runUntil(c.now + Time(c.rng.Int64N(600e3)))
+		if c.changeRandomKey(); c.rng.IntN(4) == 0 {
 			c.injectFault()
 		}
 	}
-	c.run(c.now + 5*second)
+	c.runUntil(c.now + 5*second)
 	for i := range c.members {
 		c.members[i] = memberState{}
 	}
-	for k := range 8 { // what could not be decoded is written again
+	for k := range 8 { // replace values that cannot be decoded
 		if id := fmt.Sprintf("e%d", k); c.published[id].ID != "" || c.rng.IntN(2) == 0 {
-			c.do(standin.Op{Key: Key("/t", EndpointsFolder, id), Value: endpointValue(k, 1)})
+			c.applyOps(emulator.Op{Key: Key("/t", EndpointsFolder, id), Value: endpointValue(k, 1)})
 		} else {
-			c.do(standin.Op{Key: Key("/t", EndpointsFolder, id), Delete: true})
+			c.applyOps(emulator.Op{Key: Key("/t", EndpointsFolder, id), Delete: true})
 		}
 	}
-	c.run(c.now + 40*second)
+	c.runUntil(c.now + 40*second)
 	if want := c.expected(); !reflect.DeepEqual(want, c.published) {
-		c.failf("the view is\n%v, and there is\n%v", c.published, want)
+		c.failf("the view has\n%v, want the contents of the store:\n%v", c.published, want)
 	}
 	if len(c.drains) > 0 {
-		c.failf("never heard: %v", c.drains)
+		c.failf("drains that the view never published: %v", c.drains)
 	}
 }
 
-// Whatever a cluster does (members that die, fall silent or lag, watches that
-// fall silent, compaction, fragments, progress that lies behind, a backup that is put
-// back, another cluster, tokens that end), the view is what it holds in the end,
-// nothing is published out of order, and a drain is heard within 2 s while a member is
-// well.
+// Random scenarios against a simulated cluster with faults: members that are down, silent or
+// lag, silent watches, compaction, fragmented reports, outdated progress reports, a restore
+// from a backup, another cluster, and tokens that expire. At the end the view must agree with
+// the store. On the way, updates must come in order, and the view must publish each drain
+// within 2 s after its put, unless the cluster was restored shortly before.
 func TestFollowingACluster(t *testing.T) {
 	var worst Time
 	drains, updates := 0, 0
 	for seed := *firstSeed; seed < *firstSeed+*seedCount; seed++ {
 		c := newCluster(t, seed)
-		c.play()
+		c.runScenario()
 		worst = max(worst, c.longestDelay)
 		drains += len(c.drainDelays)
 		updates += c.updates
 	}
 	if drains < int(*seedCount) || updates < 20*int(*seedCount) {
-		t.Errorf("too little was tried: %d drains, %d updates", drains, updates)
+		t.Errorf("scenarios had %d drains and %d updates, want at least %d and %d",
+			drains, updates, *seedCount, 20**seedCount)
 	}
-	t.Logf("%d drains, the slowest heard after %d ms; %d updates", drains, worst/1000, updates)
+	t.Logf("%d drains, the slowest published after %d ms; %d updates", drains, worst/1000, updates)
 }
--- a/internal/source/etcd/fixtures_test.go
+++ b/internal/source/etcd/fixtures_test.go
@@ -9,7 +9,7 @@
 	"troutusher/internal/fixturetest"
 )
 
-// fixtureKeys are recorded keys and values of the layout.
+// fixtureKeys returns the recorded keys and values of the layout.
 func fixtureKeys(t *testing.T) (all []KV) {
 	t.Helper()
 	text := fixturetest.Read(t, "layout.jsonl")
@@ -23,8 +23,9 @@
 	return all
 }
 
-// The updates that recorded keys and values make: the complete list, and after one of each
-// kind was deleted.
+// Compares the updates for recorded keys and values with recorded updates: the complete list,
+// and then the deletion of a drain, a partner and an endpoint. Guards against a release that
+// decodes the values of earlier releases differently.
 func TestLayoutFixture(t *testing.T) {
 	s := newScriptedMachine(t, 1)
 	s.step(nil, &ReadPage{})
@@ -45,7 +46,7 @@
 	fixturetest.Check(t, "words.jsonl", text.Bytes())
 }
 
-// Values that can be read are written as the same bytes.
+// Decodes each valid recorded value and checks that encoding it again gives the same bytes.
 func TestValueFixture(t *testing.T) {
 	for _, kv := range fixtureKeys(t) {
 		folder, name, ok := splitKey("/t", kv.Key)
@@ -69,12 +70,13 @@
 			again, err = json.Marshal(Drain{Version: layoutVersion})
 		}
 		if err != nil || string(again) != kv.Value {
-			t.Errorf("%s: %s is written as %s (%v)", kv.Key, kv.Value, again, err)
+			t.Errorf("%s: value encoded again = %s (error %v), want %s", kv.Key, again, err, kv.Value)
 		}
 	}
 }
 
-// Keys, and the ends of their ranges.
+// Compares keys, prefixes of folders and ends of ranges with recorded ones. Relays and
+// operators' commands of different releases must agree on them.
 func TestKeyFixture(t *testing.T) {
 	var text bytes.Buffer
 	for _, prefix := range []string{"/t", "/t/", "/troutusher/fleet"} {
--- a/internal/source/etcd/follow/fixtures_test.go
+++ b/internal/source/etcd/follow/fixtures_test.go
@@ -7,8 +7,9 @@
 	"troutusher/internal/membership"
 )
 
-// The lines that the helper writes for its relay, and the one that it reads. Package
-// relay reads the same file in its tests.
+// Compares the lines that the follow process writes for its relay, and the command that it
+// reads, with recorded ones. The tests of package relay decode the same file, so that the two
+// programs agree.
 func TestMessageFixture(t *testing.T) {
 	m := membership.Member{
 		ID: "a", HostPort: "10.1.0.18:6379", Locality: "a", Flavor: "m2", Dest: 3, Phase: membership.Up, Rate: 40,
@@ -29,6 +30,6 @@
 	}
 	fixturetest.Check(t, "lines.jsonl", fixturetest.EncodeLines(t, messages))
 	if ResyncCommand != "anew" {
-		t.Errorf("the relay asks by %q", ResyncCommand)
+		t.Errorf("ResyncCommand = %q, want \"anew\"", ResyncCommand)
 	}
 }
--- a/internal/source/etcd/machine_test.go
+++ b/internal/source/etcd/machine_test.go
@@ -8,7 +8,7 @@
 )
 
 func TestSettings(t *testing.T) {
-	for _, f := range []func(*Settings){
+	for _, spoil := range []func(*Settings){
 		func(s *Settings) { s.Prefix = "t" },
 		func(s *Settings) { s.Prefix = "//" },
 		func(s *Settings) { s.Members = 0 },
@@ -18,16 +18,16 @@
 		func(s *Settings) { s.PageSize = -1 },
 	} {
 		s := DefaultSettings("/t", 1)
-		if f(&s); s.Check() == nil {
-			t.Errorf("%+v: no error", s)
+		if spoil(&s); s.Check() == nil {
+			t.Errorf("Check() of %+v = nil, want an error", s)
 		}
 	}
 	if _, err := New(Settings{Prefix: "/t", Members: 1}, 1); err == nil {
-		t.Error("settings that were not made by Default")
+		t.Error("New() accepted settings that were not made by DefaultSettings")
 	}
 }
 
-// scriptedMachine steps a machine by one event after another.
+// scriptedMachine steps a machine with one event at a time.
 type scriptedMachine struct {
 	t       *testing.T
 	machine *Machine
@@ -42,8 +42,9 @@
 	return &scriptedMachine{t, m, 1000 * second}
 }
 
-// step has something happen to the call that is out, or nothing where it is nil, and
-// returns the actions that follow of the types of some samples.
+// step passes an event of the open call to the machine, or no event if e is nil. It returns
+// the resulting actions that have the type of one of the samples, and fails the test if there
+// are fewer of them than samples.
 func (s *scriptedMachine) step(e Event, samples ...Action) (found []Action) {
 	s.t.Helper()
 	var events []Event
@@ -59,18 +60,18 @@
 		}
 	}
 	if len(found) < len(samples) {
-		s.t.Fatalf("after %+v: %+v, want %T", e, found, samples)
+		s.t.Fatalf("Step(%+v) = %+v of the wanted actions, want one of each: %+v", e, found, samples)
 	}
 	return found
 }
 
-// stepToUpdate is step, and returns the update that follows.
+// stepToUpdate passes an event to the machine and returns the resulting update.
 func (s *scriptedMachine) stepToUpdate(e Event) *membership.Update {
 	s.t.Helper()
 	return s.step(e, &EmitUpdate{})[0].(*EmitUpdate).Update
 }
 
-// withCall is an event of a call.
+// withCall sets the call of an event and returns the event.
 func withCall(event Event, call CallID) Event {
 	switch e := event.(type) {
 	case *Authenticated:
@@ -93,7 +94,8 @@
 	return KV{Key: Key("/t", EndpointsFolder, id), Value: endpointValue(k, 0)}
 }
 
-// watchingMachine is a machine that watches cluster 7 from revision 11 on.
+// watchingMachine returns a machine with two endpoints and an open watch of cluster 7, from
+// revision 11 on.
 func watchingMachine(t *testing.T, members int) *scriptedMachine {
 	s := newScriptedMachine(t, members)
 	s.step(nil, &ReadPage{})
@@ -103,47 +105,49 @@
 	return s
 }
 
-// A watch that is of another cluster, or behind what is known, has all read once
-// more; one that lags is let be after that, and one that was restored has a new
-// epoch.
+// A watch of another cluster, or at a revision lower than the machine's, makes the machine
+// read the complete list again. If the read finds the known revision, the member only lags
+// and its watch is kept. If it finds a lower revision, the cluster was restored and the
+// update has a new epoch. Otherwise the machine would miss changes after a restore.
 func TestReplacedCluster(t *testing.T) {
 	s := watchingMachine(t, 1)
 	kvs := []KV{endpointKV("c", 3)}
 	s.step(&Changed{Cluster: 8, Revision: 11, LastRevision: 11, KVs: kvs}, &CancelCall{}, &ReadPage{})
 	u := s.stepToUpdate(&PageRead{Cluster: 8, Revision: 40, KVs: kvs})
 	if u.Epoch != "0000000000000008.0" || !u.Complete || u.Resync {
-		t.Errorf("%+v", *u)
+		t.Errorf("update for another cluster = %+v, want a complete list of epoch 0000000000000008.0", *u)
 	}
 
 	s = watchingMachine(t, 1)
 	s.step(&CallFailed{Reason: ReasonUnavailable}, &OpenWatch{})
 	s.step(&WatchOpened{Cluster: 7, Revision: 6}, &CancelCall{}, &ReadPage{})
-	s.step(&PageRead{Cluster: 7, Revision: 10}, &EmitUpdate{}, &OpenWatch{}) // it lags
+	s.step(&PageRead{Cluster: 7, Revision: 10}, &EmitUpdate{}, &OpenWatch{}) // the member only lags
 	s.step(&WatchOpened{Cluster: 7, Revision: 6}, &EmitHeartbeat{})
 
 	s = watchingMachine(t, 1)
 	s.step(&CallFailed{Reason: ReasonUnavailable}, &OpenWatch{})
 	s.step(&WatchOpened{Cluster: 7, Revision: 6}, &CancelCall{}, &ReadPage{})
-	if w := s.stepToUpdate(&PageRead{Cluster: 7, Revision: 6}); w.Epoch != "0000000000000007.1" || w.Revision != 6 {
-		t.Errorf("%+v", *w)
+	if u := s.stepToUpdate(&PageRead{Cluster: 7, Revision: 6}); u.Epoch != "0000000000000007.1" || u.Revision != 6 {
+		t.Errorf("update after a restore = %+v, want revision 6 of epoch 0000000000000007.1", *u)
 	}
 }
 
-// A partner's rate is published for each of its endpoints that has none of its own; what
-// comes of a call that is over counts for nothing; keys between two pages are read.
+// A partner's rate applies to each of its endpoints without a rate of its own. Events of a
+// call that is no longer open are ignored. The second page begins right after the last key of
+// the first one, so that no key between two pages is missed.
 func TestRatesStaleEventsAndPages(t *testing.T) {
 	s := watchingMachine(t, 1)
 	partner := KV{Key: Key("/t", PartnersFolder, "1"), Value: `{"v":1,"rate":5}`}
-	w := s.stepToUpdate(&Changed{Cluster: 7, Revision: 11, LastRevision: 11, KVs: []KV{partner}})
-	if len(w.Members) != 1 || w.Members[0].ID != "a" || w.Members[0].Rate != 5 {
-		t.Errorf("%+v", *w)
+	u := s.stepToUpdate(&Changed{Cluster: 7, Revision: 11, LastRevision: 11, KVs: []KV{partner}})
+	if len(u.Members) != 1 || u.Members[0].ID != "a" || u.Members[0].Rate != 5 {
+		t.Errorf("update for a partner's rate = %+v, want only member a, with rate 5", *u)
 	}
 	old := s.machine.call
 	s.step(&CallFailed{Reason: ReasonUnavailable}, &OpenWatch{})
 	s.step(&WatchOpened{Cluster: 7, Revision: 11}, &EmitHeartbeat{})
 	late := &Changed{Call: old, Cluster: 7, Revision: 12, LastRevision: 12, KVs: []KV{endpointKV("x", 1)}}
 	if got := s.machine.Step(s.now, []Event{late}); len(got) > 0 {
-		t.Errorf("of a call that is over: %+v", got)
+		t.Errorf("Step() with an event of a former call = %+v, want no actions", got)
 	}
 	s = newScriptedMachine(t, 1)
 	s.step(nil, &ReadPage{})
@@ -151,25 +155,29 @@
 	next := s.step(page, &ReadPage{})[0].(*ReadPage)
 	last := Key("/t", EndpointsFolder, "a")
 	if next.Key <= last || next.Key > last+"!" || next.Revision != 10 {
-		t.Errorf("the next page is %+v", next)
+		t.Errorf("request for the second page = %+v, want one from right after key %q, at revision 10", next, last)
 	}
 }
 
-// A watch that ends as it begins, again and again, is paused for, longer each time.
+// Watches that end right after they were opened, again and again, lead to longer and longer
+// backoff. If a successful opening reset the count of failures, the machine would reconnect
+// at full speed.
 func TestShortWatchesBackOff(t *testing.T) {
 	s := watchingMachine(t, 2)
-	var pauses []Time
+	var backoffs []Time
 	for range 60 {
 		s.step(&CallFailed{Reason: ReasonUnavailable})
 		if s.machine.state == backingOff {
-			pauses = append(pauses, s.machine.NextDeadline()-s.now)
+			backoffs = append(backoffs, s.machine.NextDeadline()-s.now)
 			s.now = s.machine.NextDeadline()
 			s.step(nil)
 		}
 		s.step(&WatchOpened{Cluster: 7, Revision: 10})
 	}
-	set := &s.machine.settings
-	if len(pauses) < 20 || pauses[len(pauses)-1] < set.MaxBackoff/2-1000 || pauses[0] > 2*set.MinBackoff {
-		t.Errorf("%d pauses: %v", len(pauses), pauses)
+	settings := &s.machine.settings
+	if len(backoffs) < 20 || backoffs[len(backoffs)-1] < settings.MaxBackoff/2-1000 ||
+		backoffs[0] > 2*settings.MinBackoff {
+		t.Errorf("got %d backoffs, in µs: %v; want at least 20, from about %d to about %d",
+			len(backoffs), backoffs, settings.MinBackoff, settings.MaxBackoff)
 	}
 }
--- a/internal/source/etcd/publish/publish_test.go
+++ b/internal/source/etcd/publish/publish_test.go
@@ -10,30 +10,30 @@
 	"go.etcd.io/etcd/api/v3/etcdserverpb"
 	"google.golang.org/grpc"
 
-	standin "troutusher/internal/emulator/etcd"
+	emulator "troutusher/internal/emulator/etcd"
 	"troutusher/internal/source/etcd"
 	"troutusher/internal/source/etcd/follow"
 )
 
-// interferingKV lets somebody else change something between what is read and what is
-// written.
+// interferingKV calls a function before each transaction. With it, a test makes the change of
+// another operator between the read and the write of a command.
 type interferingKV struct {
 	etcdserverpb.KVClient
-	before func()
+	beforeTxn func()
 }
 
 func (m *interferingKV) Txn(
 	ctx context.Context, r *etcdserverpb.TxnRequest, o ...grpc.CallOption,
 ) (*etcdserverpb.TxnResponse, error) {
-	if m.before != nil {
-		m.before()
+	if m.beforeTxn != nil {
+		m.beforeTxn()
 	}
 	return m.KVClient.Txn(ctx, r, o...)
 }
 
-func startCluster(t *testing.T) (*standin.Cluster, *Publisher, *interferingKV, context.Context) {
+func startCluster(t *testing.T) (*emulator.Cluster, *Publisher, *interferingKV, context.Context) {
 	t.Helper()
-	c, err := standin.NewCluster(1)
+	c, err := emulator.NewCluster(1)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -68,39 +68,40 @@
 	_, p, _, ctx := startCluster(t)
 	d, err := p.Publish(ctx, exampleList(250), false)
 	if err != nil || len(d.Put) != 251 || len(d.Deleted) != 0 {
-		t.Fatalf("%v: %+v", err, d)
+		t.Fatalf("Publish(250 endpoints) = %+v, error %v, want 251 keys put", d, err)
 	}
 	if d, err = p.Publish(ctx, exampleList(250), false); err != nil || d.Revision != 0 || len(d.Put) > 0 {
-		t.Errorf("published again: %v, %+v", err, d)
+		t.Errorf("Publish(same list) = %+v, error %v, want no change", d, err)
 	}
 	if _, err = p.Publish(ctx, exampleList(100), false); !errors.Is(err, ErrTooManyRemovals) {
-		t.Errorf("most of it taken away: %v", err)
+		t.Errorf("Publish(100 of 250 endpoints) = error %v, want ErrTooManyRemovals", err)
 	}
 	if d, err = p.Publish(ctx, exampleList(100), true); err != nil || len(d.Deleted) != 150 {
-		t.Errorf("with most allowed: %v, %+v", err, d)
+		t.Errorf("Publish(100 of 250 endpoints, removals allowed) = %+v, error %v, want 150 keys deleted", d, err)
 	}
 	if d, err = p.Drain(ctx, false, "e1", "e2", "e1"); err != nil || len(d.Put) != 2 {
-		t.Errorf("drained: %v, %+v", err, d)
+		t.Errorf("Drain(e1, e2, e1) = %+v, error %v, want 2 keys put", d, err)
 	}
 	if d, err = p.Drain(ctx, false, "e1"); err != nil || d.Revision != 0 {
-		t.Errorf("drained once more: %v, %+v", err, d)
+		t.Errorf("Drain(e1) again = %+v, error %v, want no change", d, err)
 	}
 	if d, err = p.Drain(ctx, true, "e2", "e3"); err != nil || len(d.Deleted) != 1 {
-		t.Errorf("undrained: %v, %+v", err, d)
+		t.Errorf("Drain(off, e2, e3) = %+v, error %v, want 1 key deleted", d, err)
 	}
-	lines, err := p.Show(ctx)
-	if err != nil || len(lines) != 100 || !lines[1].Draining || lines[2].Draining {
-		t.Fatalf("%v: %+v", err, lines)
+	endpoints, err := p.Show(ctx)
+	if err != nil || len(endpoints) != 100 || !endpoints[1].Draining || endpoints[2].Draining {
+		t.Fatalf("Show() = %+v, error %v, want 100 endpoints, the second one draining, the third one not",
+			endpoints, err)
 	}
-	want := fmt.Sprintf("e1\t127.0.0.1:7001\t1\tup, drained\t%d", lines[1].Revision)
-	if got := lines[1].Text(); got != want {
-		t.Errorf("got %q, want %q", got, want)
+	want := fmt.Sprintf("e1\t127.0.0.1:7001\t1\tup, drained\t%d", endpoints[1].Revision)
+	if got := endpoints[1].Text(); got != want {
+		t.Errorf("Text() = %q, want %q", got, want)
 	}
 	if d, err = p.Remove(ctx, "e1"); err != nil || len(d.Deleted) != 2 {
-		t.Errorf("removed: %v, %+v", err, d)
+		t.Errorf("Remove(e1) = %+v, error %v, want the endpoint and its drain deleted", d, err)
 	}
 	if _, err = p.Remove(ctx, "e1"); err == nil {
-		t.Error("removed twice")
+		t.Error("Remove(e1) again = no error, want one")
 	}
 	for _, bad := range []*List{
 		{Endpoints: map[string]etcd.Endpoint{"a/b": {HostPort: "h:1"}}},
@@ -109,50 +110,51 @@
 		{Partners: map[string]etcd.Partner{"1": {Rate: -1}}},
 	} {
 		if _, err := p.Publish(ctx, bad, true); err == nil {
-			t.Errorf("published: %+v", bad)
+			t.Errorf("Publish(%+v) = no error, want one", bad)
 		}
 	}
 }
 
-// Two operators at once: the second one's change is not made where the first one has
-// changed what it was to replace.
+// Two operators change the same key at the same time: the second command fails with
+// ErrConflict and must not overwrite or delete the change of the first.
 func TestConcurrentOperators(t *testing.T) {
 	c, p, m, ctx := startCluster(t)
 	if _, err := p.Publish(ctx, exampleList(4), false); err != nil {
 		t.Fatal(err)
 	}
-	other := func(op standin.Op) func() {
+	other := func(op emulator.Op) func() {
 		return func() {
-			m.before = nil
+			m.beforeTxn = nil
 			if _, err := c.Apply(op); err != nil {
 				t.Error(err)
 			}
 		}
 	}
 	key := etcd.Key("/t", "drains", "e1")
-	m.before = other(standin.Op{Key: key, Value: `{"v":1}`})
+	m.beforeTxn = other(emulator.Op{Key: key, Value: `{"v":1}`})
 	if _, err := p.Drain(ctx, false, "e1", "e2"); !errors.Is(err, ErrConflict) {
-		t.Errorf("drained by another one: %v", err)
+		t.Errorf("Drain() of an endpoint drained by somebody else = error %v, want ErrConflict", err)
 	}
-	m.before = other(standin.Op{Key: key, Value: `{"v":1}`})
+	m.beforeTxn = other(emulator.Op{Key: key, Value: `{"v":1}`})
 	if _, err := p.Drain(ctx, true, "e1"); !errors.Is(err, ErrConflict) {
-		t.Errorf("a drain that was made again is undone: %v", err)
+		t.Errorf("Drain(off) of a drain put again by somebody else = error %v, want ErrConflict", err)
 	}
 	const elsewhere = "127.0.0.1:9"
 	const value = `{"v":1,"host_port":"` + elsewhere + `","dest":2}`
-	m.before = other(standin.Op{Key: etcd.Key("/t", etcd.EndpointsFolder, "e3"), Value: value})
+	m.beforeTxn = other(emulator.Op{Key: etcd.Key("/t", etcd.EndpointsFolder, "e3"), Value: value})
 	if _, err := p.Remove(ctx, "e3"); !errors.Is(err, ErrConflict) {
-		t.Errorf("one that was published again is removed: %v", err)
+		t.Errorf("Remove() of an endpoint published again by somebody else = error %v, want ErrConflict", err)
 	}
-	m.before = other(standin.Op{Key: etcd.Key("/t", etcd.EndpointsFolder, "e9"), Value: value})
+	m.beforeTxn = other(emulator.Op{Key: etcd.Key("/t", etcd.EndpointsFolder, "e9"), Value: value})
 	l := exampleList(4)
 	l.Endpoints["e9"] = etcd.Endpoint{HostPort: "127.0.0.1:10", Dest: 1}
 	if _, err := p.Publish(ctx, l, false); !errors.Is(err, ErrConflict) {
-		t.Errorf("one that another has published: %v", err)
+		t.Errorf("Publish() of a new endpoint that somebody else has published = error %v, want ErrConflict", err)
 	}
-	lines, err := p.Show(ctx)
-	if err != nil || len(lines) != 5 || !lines[1].Draining || lines[2].Draining ||
-		lines[3].Endpoint.HostPort != elsewhere || lines[4].Endpoint.HostPort != elsewhere {
-		t.Errorf("%v: %+v", err, lines)
+	endpoints, err := p.Show(ctx)
+	if err != nil || len(endpoints) != 5 || !endpoints[1].Draining || endpoints[2].Draining ||
+		endpoints[3].Endpoint.HostPort != elsewhere || endpoints[4].Endpoint.HostPort != elsewhere {
+		t.Errorf("Show() = %+v, error %v, want only the changes of the first operator: "+
+			"e1 draining, e2 not draining, e3 and e9 at %s", endpoints, err, elsewhere)
 	}
 }
--- a/internal/source/etcd/values_test.go
+++ b/internal/source/etcd/values_test.go
@@ -29,18 +29,18 @@
 		`{"v":1,"host_port":"10.0.0.1:80","dest":3,"locality":"` + strings.Repeat("x", 300): false,
 	} {
 		if _, err := DecodeEndpoint([]byte(text)); (err == nil) != ok {
-			t.Errorf("%s: %v", text, err)
+			t.Errorf("DecodeEndpoint(%s) = error %v, want valid = %v", text, err, ok)
 		}
 	}
 	for prefix, want := range map[string]string{"/t/": "/t0", "a\xff": "b", "\xff": "\x00"} {
 		if got := RangeEnd(prefix); got != want {
-			t.Errorf("End(%q) = %q", prefix, got)
+			t.Errorf("RangeEnd(%q) = %q, want %q", prefix, got, want)
 		}
 	}
 }
 
-// Whatever lies under the prefix, nothing panics and nothing that cannot be read is
-// listed.
+// For any keys and values under the prefix, the table does not panic and lists no member
+// without id, address or a valid phase.
 func FuzzKeys(f *testing.F) {
 	f.Add("/t/endpoints/a", endpointValue(1, 2), "/t/partners/1", `{"v":1,"rate":3}`)
 	f.Add("/t/drains/a", "", "/t/endpoints/a/b", "x")
@@ -48,14 +48,14 @@
 		table := newKeyTable("/t")
 		for _, kv := range []KV{{k1, v1, false}, {k2, v2, false}, {k1, v2, false}, {k2, "", true}} {
 			ids := idSet{}
-			_ = table.apply(kv, ids) // whatever it makes of them
+			_ = table.apply(kv, ids) // errors are expected
 			table.addMembers(ids, &membership.Update{})
 		}
-		w := &membership.Update{}
-		table.addAllMembers(w)
-		for _, m := range w.Members {
+		update := &membership.Update{}
+		table.addAllMembers(update)
+		for _, m := range update.Members {
 			if m.HostPort == "" || m.ID == "" || m.Phase != membership.Up && m.Phase != membership.Draining {
-				t.Fatalf("listed: %+v", m)
+				t.Fatalf("addAllMembers() listed %+v, want id, address and a valid phase", m)
 			}
 		}
 	})
