--- a/internal/emulator/registry/registry.go
+++ b/internal/emulator/registry/registry.go
@@ -1,6 +1,6 @@
 // Package registry emulates the endpoint registry. The registry has an agent on the machine
 // of each relay, which serves the endpoint list and a watch of it, and accepts notices. Here
-// all agents are servers of one process, over HTTP/1.1 on loopback. Tests can delay or
+// all agents are servers of one process, over HTTP/1.1 on loopback. Callers can delay or
 // withhold the updates of an agent, or keep it from answering requests for the list.
 //
 // The package does not know why an endpoint appears or disappears; its caller sets the phase
--- a/internal/source/etcd/cluster_test.go
+++ b/internal/source/etcd/cluster_test.go
@@ -153,21 +153,21 @@
 func (c *simulatedCluster) step(events ...Event) {
 	c.execute(c.machine.Step(c.now, events))
 	for range 3 {
-		for _, x := range c.view.Step(c.now) {
-			if x.Phase == membership.Removed {
-				delete(c.published, x.ID)
+		for _, change := range c.view.Step(c.now) {
+			if change.Phase == membership.Removed {
+				delete(c.published, change.ID)
 			} else {
-				c.published[x.ID] = x.Member
+				c.published[change.ID] = change.Member
 			}
-			if since, ok := c.drains[x.ID]; ok && x.Phase != membership.Up {
+			if since, ok := c.drains[change.ID]; ok && change.Phase != membership.Up {
 				if c.drainDelays = append(c.drainDelays, c.now-since); since > c.unhealthyUntil {
 					c.longestDelay = max(c.longestDelay, c.now-since)
 				}
 				if c.now-since > 2*second && since > c.unhealthyUntil {
 					c.failf("the view published the drain of %s after %d ms, want at most 2000 ms",
-						x.ID, (c.now-since)/1000)
+						change.ID, (c.now-since)/1000)
 				}
-				delete(c.drains, x.ID)
+				delete(c.drains, change.ID)
 			}
 		}
 	}
--- a/internal/source/etcd/fixtures_test.go
+++ b/internal/source/etcd/fixtures_test.go
@@ -53,24 +53,24 @@
 		if !ok || CheckValue(folder, name, []byte(kv.Value)) != nil || name == "not-published" {
 			continue
 		}
-		var again []byte
+		var encoded []byte
 		var err error
 		switch folder {
 		case EndpointsFolder:
 			var e Endpoint
 			if e, err = DecodeEndpoint([]byte(kv.Value)); err == nil {
-				again, err = json.Marshal(e)
+				encoded, err = json.Marshal(e)
 			}
 		case PartnersFolder:
 			var p Partner
 			if _, p, err = decodePartner(name, []byte(kv.Value)); err == nil {
-				again, err = json.Marshal(p)
+				encoded, err = json.Marshal(p)
 			}
 		case DrainsFolder:
-			again, err = json.Marshal(Drain{Version: layoutVersion})
+			encoded, err = json.Marshal(Drain{Version: layoutVersion})
 		}
-		if err != nil || string(again) != kv.Value {
-			t.Errorf("%s: value encoded again = %s (error %v), want %s", kv.Key, again, err, kv.Value)
+		if err != nil || string(encoded) != kv.Value {
+			t.Errorf("%s: value encoded again = %s (error %v), want %s", kv.Key, encoded, err, kv.Value)
 		}
 	}
 }
--- a/internal/source/etcd/follow/follow_test.go
+++ b/internal/source/etcd/follow/follow_test.go
@@ -40,14 +40,14 @@
 	if user != "" {
 		c.EnableAuth(user, "secret")
 	}
-	x := &testFollower{t: t, cluster: c, published: map[string]membership.Member{}}
-	x.cond = sync.NewCond(&x.mu)
+	f := &testFollower{t: t, cluster: c, published: map[string]membership.Member{}}
+	f.cond = sync.NewCond(&f.mu)
 	settings := membership.DefaultSettings(
 		membership.Source{Name: "etcd", StaleAfter: 10e6},
 		membership.Source{Name: "registry", StaleAfter: 20e6},
 	)
 	settings.HoldDown = 0
-	if x.view, err = membership.New(settings); err != nil {
+	if f.view, err = membership.New(settings); err != nil {
 		t.Fatal(err)
 	}
 	began := time.Now()
@@ -61,52 +61,52 @@
 		Log:       slog.New(slog.DiscardHandler),
 	}
 	options.OnHeartbeat = func() {
-		x.mu.Lock()
-		defer x.mu.Unlock()
-		x.view.Heartbeat(now(), 0)
+		f.mu.Lock()
+		defer f.mu.Unlock()
+		f.view.Heartbeat(now(), 0)
 	}
 	options.OnUpdate = func(u *membership.Update) {
-		x.mu.Lock()
-		defer x.mu.Unlock()
-		x.view.Apply(now(), u)
-		for _, ch := range x.view.Step(now()) {
-			if x.published[ch.ID] = ch.Member; ch.Phase == membership.Removed {
-				delete(x.published, ch.ID)
+		f.mu.Lock()
+		defer f.mu.Unlock()
+		f.view.Apply(now(), u)
+		for _, ch := range f.view.Step(now()) {
+			if f.published[ch.ID] = ch.Member; ch.Phase == membership.Removed {
+				delete(f.published, ch.ID)
 			}
 		}
-		if x.view.ResyncRequested(0) {
-			x.follower.Resync()
+		if f.view.ResyncRequested(0) {
+			f.follower.Resync()
 		}
-		x.cond.Broadcast()
+		f.cond.Broadcast()
 	}
-	if x.follower, err = New(options); err != nil {
+	if f.follower, err = New(options); err != nil {
 		t.Fatal(err)
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan struct{})
 	go func() {
 		defer close(done)
-		if err := x.follower.Run(ctx); !errors.Is(err, context.Canceled) {
+		if err := f.follower.Run(ctx); !errors.Is(err, context.Canceled) {
 			t.Errorf("Run() = %v, want context.Canceled", err)
 		}
 	}()
 	t.Cleanup(func() { cancel(); <-done })
-	return x
+	return f
 }
 
 // waitFor waits until a condition on the published list holds, and returns how long that took.
-func (x *testFollower) waitFor(what string, cond func() bool) time.Duration {
-	x.t.Helper()
+func (f *testFollower) waitFor(what string, cond func() bool) time.Duration {
+	f.t.Helper()
 	began, timedOut := time.Now(), false
-	timer := time.AfterFunc(20*time.Second, func() { x.mu.Lock(); timedOut = true; x.cond.Broadcast(); x.mu.Unlock() })
+	timer := time.AfterFunc(20*time.Second, func() { f.mu.Lock(); timedOut = true; f.cond.Broadcast(); f.mu.Unlock() })
 	defer timer.Stop()
-	x.mu.Lock()
-	defer x.mu.Unlock()
+	f.mu.Lock()
+	defer f.mu.Unlock()
 	for !cond() {
 		if timedOut {
-			x.t.Fatalf("timed out after 20 s waiting for %s; the published list is %v", what, x.published)
+			f.t.Fatalf("timed out after 20 s waiting for %s; the published list is %v", what, f.published)
 		}
-		x.cond.Wait()
+		f.cond.Wait()
 	}
 	return time.Since(began)
 }
@@ -115,10 +115,10 @@
 	return fmt.Sprintf(`{"v":1,"host_port":"127.0.0.1:%d","dest":%d}`, 7000+k, k%3)
 }
 
-func (x *testFollower) applyOps(ops ...emulator.Op) {
-	x.t.Helper()
-	if _, err := x.cluster.Apply(ops...); err != nil {
-		x.t.Fatal(err)
+func (f *testFollower) applyOps(ops ...emulator.Op) {
+	f.t.Helper()
+	if _, err := f.cluster.Apply(ops...); err != nil {
+		f.t.Fatal(err)
 	}
 }
 
@@ -126,10 +126,10 @@
 	return emulator.Op{Key: etcd.Key("/t", "drains", id), Value: `{"v":1}`, Delete: off}
 }
 
-func (x *testFollower) startMember(member int) {
-	x.t.Helper()
-	if err := x.cluster.StartMember(member); err != nil {
-		x.t.Error(err)
+func (f *testFollower) startMember(member int) {
+	f.t.Helper()
+	if err := f.cluster.StartMember(member); err != nil {
+		f.t.Error(err)
 	}
 }
 
@@ -139,46 +139,46 @@
 func TestDrainLatency(t *testing.T) {
 	for _, fault := range []struct {
 		name       string
-		inject     func(x *testFollower, n int)
-		end        func(x *testFollower, n int)
+		inject     func(f *testFollower, n int)
+		end        func(f *testFollower, n int)
 		maxLatency time.Duration
 	}{
 		{"no fault", func(*testFollower, int) {}, nil, 500 * time.Millisecond},
-		{"two members stopped", func(x *testFollower, n int) {
-			x.cluster.StopMember(n % 3)
-			x.cluster.StopMember((n + 1) % 3)
-		}, func(x *testFollower, n int) {
-			x.startMember(n % 3)
-			x.startMember((n + 1) % 3)
+		{"two members stopped", func(f *testFollower, n int) {
+			f.cluster.StopMember(n % 3)
+			f.cluster.StopMember((n + 1) % 3)
+		}, func(f *testFollower, n int) {
+			f.startMember(n % 3)
+			f.startMember((n + 1) % 3)
 		}, 2 * time.Second},
-		{"silent watches and a compaction", func(x *testFollower, n int) {
-			x.cluster.SilenceWatches()
-			x.applyOps(emulator.Op{Key: "/t/other", Value: "a"}, emulator.Op{Key: "/t/other", Delete: true})
-			x.applyOps(emulator.Op{Key: "/t/other", Value: "b"})
-			x.cluster.WithStore(func(s *emulator.Store) {
+		{"silent watches and a compaction", func(f *testFollower, n int) {
+			f.cluster.SilenceWatches()
+			f.applyOps(emulator.Op{Key: "/t/other", Value: "a"}, emulator.Op{Key: "/t/other", Delete: true})
+			f.applyOps(emulator.Op{Key: "/t/other", Value: "b"})
+			f.cluster.WithStore(func(s *emulator.Store) {
 				if err := s.Compact(s.Revision()); err != nil {
-					x.t.Error(err)
+					f.t.Error(err)
 				}
 			})
 		}, nil, 2 * time.Second},
-		{"silent watches", func(x *testFollower, _ int) { x.cluster.SilenceWatches() }, nil, 2 * time.Second},
-		{"a silent member and silent watches", func(x *testFollower, n int) {
-			x.cluster.SilenceWatches()
-			x.cluster.SetSilent(n%3, true)
-		}, func(x *testFollower, n int) {
-			x.cluster.SetSilent(n%3, false)
+		{"silent watches", func(f *testFollower, _ int) { f.cluster.SilenceWatches() }, nil, 2 * time.Second},
+		{"a silent member and silent watches", func(f *testFollower, n int) {
+			f.cluster.SilenceWatches()
+			f.cluster.SetSilent(n%3, true)
+		}, func(f *testFollower, n int) {
+			f.cluster.SetSilent(n%3, false)
 		}, 2 * time.Second},
-		{"two members without a leader", func(x *testFollower, n int) {
-			x.cluster.SetNoLeader(n%3, true)
-			x.cluster.SetNoLeader((n+1)%3, true)
-		}, func(x *testFollower, n int) {
-			x.cluster.SetNoLeader(n%3, false)
-			x.cluster.SetNoLeader((n+1)%3, false)
+		{"two members without a leader", func(f *testFollower, n int) {
+			f.cluster.SetNoLeader(n%3, true)
+			f.cluster.SetNoLeader((n+1)%3, true)
+		}, func(f *testFollower, n int) {
+			f.cluster.SetNoLeader(n%3, false)
+			f.cluster.SetNoLeader((n+1)%3, false)
 		}, 2 * time.Second},
 	} {
 		t.Run(fault.name, func(t *testing.T) {
 			t.Parallel()
-			x := startFollower(t, 3, "")
+			f := startFollower(t, 3, "")
 			var ops []emulator.Op
 			var listed []membership.Member
 			for k := range 8 {
@@ -190,31 +190,31 @@
 					Phase: membership.Up,
 				})
 			}
-			x.applyOps(ops...)
-			x.waitFor("the list of 8 endpoints", func() bool { return len(x.published) == 8 })
+			f.applyOps(ops...)
+			f.waitFor("the list of 8 endpoints", func() bool { return len(f.published) == 8 })
 			var latencies []time.Duration
 			for n := range *drainRounds {
 				id := fmt.Sprint("e", n%8)
-				fault.inject(x, n)
-				x.applyOps(drainOp(id, false))
-				draining := func() bool { return x.published[id].Phase == membership.Draining }
-				latencies = append(latencies, x.waitFor("the drain of "+id, draining))
-				x.mu.Lock()
-				x.view.Apply(x.view.NextDeadline(), &membership.Update{
+				fault.inject(f, n)
+				f.applyOps(drainOp(id, false))
+				draining := func() bool { return f.published[id].Phase == membership.Draining }
+				latencies = append(latencies, f.waitFor("the drain of "+id, draining))
+				f.mu.Lock()
+				f.view.Apply(f.view.NextDeadline(), &membership.Update{
 					Source: 1, Epoch: "r", Revision: int64(n + 1), Complete: true, Members: listed,
 				})
-				for _, ch := range x.view.Step(0) {
+				for _, ch := range f.view.Step(0) {
 					if ch.ID == id && ch.Phase == membership.Up {
 						t.Errorf("a list of the registry ended the drain of %s", id)
 					}
 				}
-				x.mu.Unlock()
+				f.mu.Unlock()
 				if fault.end != nil {
-					fault.end(x, n)
+					fault.end(f, n)
 				}
-				x.applyOps(drainOp(id, true))
-				x.waitFor("the end of the drain of "+id,
-					func() bool { return x.published[id].Phase == membership.Up })
+				f.applyOps(drainOp(id, true))
+				f.waitFor("the end of the drain of "+id,
+					func() bool { return f.published[id].Phase == membership.Up })
 			}
 			slices.Sort(latencies)
 			median, longest := latencies[len(latencies)/2], latencies[len(latencies)-1]
@@ -232,31 +232,31 @@
 // deleted at once, the removals are published, after the view has had them confirmed by a
 // second read. After a restore from a backup, the list of the backup is published.
 func TestPagesTokensLeasesAndRestore(t *testing.T) {
-	x := startFollower(t, 2, "relay")
+	f := startFollower(t, 2, "relay")
 	var ops []emulator.Op
 	for k := range 2500 {
 		ops = append(ops, emulator.Op{
 			Key: etcd.Key("/t", "endpoints", fmt.Sprint("e", k)), Value: endpointValue(k % 50000),
 		})
 	}
-	x.applyOps(ops...)
-	x.waitFor("the list of 2,500 endpoints", func() bool { return len(x.published) == 2500 })
-	x.cluster.RevokeTokens()
-	x.applyOps(drainOp("e7", false))
-	draining := func() bool { return x.published["e7"].Phase == membership.Draining }
-	x.waitFor("a drain after the tokens were revoked", draining)
+	f.applyOps(ops...)
+	f.waitFor("the list of 2,500 endpoints", func() bool { return len(f.published) == 2500 })
+	f.cluster.RevokeTokens()
+	f.applyOps(drainOp("e7", false))
+	draining := func() bool { return f.published["e7"].Phase == membership.Draining }
+	f.waitFor("a drain after the tokens were revoked", draining)
 	var lease *emulator.Lease
-	x.cluster.WithStore(func(s *emulator.Store) { lease, _ = s.GrantLease(0, 1, time.Now().UnixMicro()) })
-	x.applyOps(emulator.Op{Key: etcd.Key("/t", "endpoints", "leased"), Value: endpointValue(3000), Lease: lease.ID})
-	x.waitFor("the leased endpoint", func() bool { return x.published["leased"].ID != "" })
-	x.waitFor("its removal after the lease expired", func() bool { return x.published["leased"].ID == "" })
+	f.cluster.WithStore(func(s *emulator.Store) { lease, _ = s.GrantLease(0, 1, time.Now().UnixMicro()) })
+	f.applyOps(emulator.Op{Key: etcd.Key("/t", "endpoints", "leased"), Value: endpointValue(3000), Lease: lease.ID})
+	f.waitFor("the leased endpoint", func() bool { return f.published["leased"].ID != "" })
+	f.waitFor("its removal after the lease expired", func() bool { return f.published["leased"].ID == "" })
 	var backup *emulator.Store
-	x.cluster.WithStore(func(s *emulator.Store) { backup = s.Clone() })
+	f.cluster.WithStore(func(s *emulator.Store) { backup = s.Clone() })
 	for i := range ops {
 		ops[i].Delete = true
 	}
-	x.applyOps(ops[100:]...)
-	x.waitFor("the removal of most endpoints", func() bool { return len(x.published) == 100 })
-	x.cluster.Restore(backup, 0xc0b1)
-	x.waitFor("the list of the backup", func() bool { return len(x.published) == 2500 })
+	f.applyOps(ops[100:]...)
+	f.waitFor("the removal of most endpoints", func() bool { return len(f.published) == 100 })
+	f.cluster.Restore(backup, 0xc0b1)
+	f.waitFor("the list of the backup", func() bool { return len(f.published) == 2500 })
 }
--- a/internal/source/etcd/machine.go
+++ b/internal/source/etcd/machine.go
@@ -175,9 +175,9 @@
 	})
 }
 
-// retryNextMember counts a failure of the current member and calls the next member. It does
-// so at once, unless as many calls in a row have failed as there are members (at least two):
-// then it backs off first.
+// retryNextMember counts a failure and switches to the next member. It calls that member at
+// once, except after each round of as many consecutive failures as there are members (at
+// least two): then it backs off first, longer after each round.
 func (m *Machine) retryNextMember(reason string) {
 	m.failures++
 	m.logf("call to member %d failed: %s", m.member, reason)
--- a/internal/source/etcd/publish/publish_test.go
+++ b/internal/source/etcd/publish/publish_test.go
@@ -22,13 +22,13 @@
 	beforeTxn func()
 }
 
-func (m *interferingKV) Txn(
+func (kv *interferingKV) Txn(
 	ctx context.Context, r *etcdserverpb.TxnRequest, o ...grpc.CallOption,
 ) (*etcdserverpb.TxnResponse, error) {
-	if m.beforeTxn != nil {
-		m.beforeTxn()
+	if kv.beforeTxn != nil {
+		kv.beforeTxn()
 	}
-	return m.KVClient.Txn(ctx, r, o...)
+	return kv.KVClient.Txn(ctx, r, o...)
 }
 
 func startCluster(t *testing.T) (*emulator.Cluster, *Publisher, *interferingKV, context.Context) {
@@ -52,8 +52,8 @@
 			t.Error(err)
 		}
 	})
-	m := &interferingKV{KVClient: etcdserverpb.NewKVClient(conn)}
-	return c, &Publisher{KV: m, Prefix: "/t"}, m, ctx
+	kv := &interferingKV{KVClient: etcdserverpb.NewKVClient(conn)}
+	return c, &Publisher{KV: kv, Prefix: "/t"}, kv, ctx
 }
 
 func exampleList(n int) *List {
@@ -66,27 +66,28 @@
 
 func TestPublish(t *testing.T) {
 	_, p, _, ctx := startCluster(t)
-	d, err := p.Publish(ctx, exampleList(250), false)
-	if err != nil || len(d.Put) != 251 || len(d.Deleted) != 0 {
-		t.Fatalf("Publish(250 endpoints) = %+v, error %v, want 251 keys put", d, err)
+	result, err := p.Publish(ctx, exampleList(250), false)
+	if err != nil || len(result.Put) != 251 || len(result.Deleted) != 0 {
+		t.Fatalf("Publish(250 endpoints) = %+v, error %v, want 251 keys put", result, err)
 	}
-	if d, err = p.Publish(ctx, exampleList(250), false); err != nil || d.Revision != 0 || len(d.Put) > 0 {
-		t.Errorf("Publish(same list) = %+v, error %v, want no change", d, err)
+	if result, err = p.Publish(ctx, exampleList(250), false); err != nil || result.Revision != 0 ||
+		len(result.Put) > 0 {
+		t.Errorf("Publish(same list) = %+v, error %v, want no change", result, err)
 	}
 	if _, err = p.Publish(ctx, exampleList(100), false); !errors.Is(err, ErrTooManyRemovals) {
 		t.Errorf("Publish(100 of 250 endpoints) = error %v, want ErrTooManyRemovals", err)
 	}
-	if d, err = p.Publish(ctx, exampleList(100), true); err != nil || len(d.Deleted) != 150 {
-		t.Errorf("Publish(100 of 250 endpoints, removals allowed) = %+v, error %v, want 150 keys deleted", d, err)
+	if result, err = p.Publish(ctx, exampleList(100), true); err != nil || len(result.Deleted) != 150 {
+		t.Errorf("Publish(100 of 250 endpoints, removals allowed) = %+v, error %v, want 150 keys deleted", result, err)
 	}
-	if d, err = p.Drain(ctx, false, "e1", "e2", "e1"); err != nil || len(d.Put) != 2 {
-		t.Errorf("Drain(e1, e2, e1) = %+v, error %v, want 2 keys put", d, err)
+	if result, err = p.Drain(ctx, false, "e1", "e2", "e1"); err != nil || len(result.Put) != 2 {
+		t.Errorf("Drain(e1, e2, e1) = %+v, error %v, want 2 keys put", result, err)
 	}
-	if d, err = p.Drain(ctx, false, "e1"); err != nil || d.Revision != 0 {
-		t.Errorf("Drain(e1) again = %+v, error %v, want no change", d, err)
+	if result, err = p.Drain(ctx, false, "e1"); err != nil || result.Revision != 0 {
+		t.Errorf("Drain(e1) again = %+v, error %v, want no change", result, err)
 	}
-	if d, err = p.Drain(ctx, true, "e2", "e3"); err != nil || len(d.Deleted) != 1 {
-		t.Errorf("Drain(off, e2, e3) = %+v, error %v, want 1 key deleted", d, err)
+	if result, err = p.Drain(ctx, true, "e2", "e3"); err != nil || len(result.Deleted) != 1 {
+		t.Errorf("Drain(off, e2, e3) = %+v, error %v, want 1 key deleted", result, err)
 	}
 	endpoints, err := p.Show(ctx)
 	if err != nil || len(endpoints) != 100 || !endpoints[1].Draining || endpoints[2].Draining {
@@ -97,8 +98,8 @@
 	if got := endpoints[1].Text(); got != want {
 		t.Errorf("Text() = %q, want %q", got, want)
 	}
-	if d, err = p.Remove(ctx, "e1"); err != nil || len(d.Deleted) != 2 {
-		t.Errorf("Remove(e1) = %+v, error %v, want the endpoint and its drain deleted", d, err)
+	if result, err = p.Remove(ctx, "e1"); err != nil || len(result.Deleted) != 2 {
+		t.Errorf("Remove(e1) = %+v, error %v, want the endpoint and its drain deleted", result, err)
 	}
 	if _, err = p.Remove(ctx, "e1"); err == nil {
 		t.Error("Remove(e1) again = no error, want one")
@@ -118,34 +119,34 @@
 // Two operators change the same key at the same time: the second command fails with
 // ErrConflict and must not overwrite or delete the change of the first.
 func TestConcurrentOperators(t *testing.T) {
-	c, p, m, ctx := startCluster(t)
+	c, p, kv, ctx := startCluster(t)
 	if _, err := p.Publish(ctx, exampleList(4), false); err != nil {
 		t.Fatal(err)
 	}
-	other := func(op emulator.Op) func() {
+	otherOperator := func(op emulator.Op) func() {
 		return func() {
-			m.beforeTxn = nil
+			kv.beforeTxn = nil
 			if _, err := c.Apply(op); err != nil {
 				t.Error(err)
 			}
 		}
 	}
 	key := etcd.Key("/t", "drains", "e1")
-	m.beforeTxn = other(emulator.Op{Key: key, Value: `{"v":1}`})
+	kv.beforeTxn = otherOperator(emulator.Op{Key: key, Value: `{"v":1}`})
 	if _, err := p.Drain(ctx, false, "e1", "e2"); !errors.Is(err, ErrConflict) {
 		t.Errorf("Drain() of an endpoint drained by somebody else = error %v, want ErrConflict", err)
 	}
-	m.beforeTxn = other(emulator.Op{Key: key, Value: `{"v":1}`})
+	kv.beforeTxn = otherOperator(emulator.Op{Key: key, Value: `{"v":1}`})
 	if _, err := p.Drain(ctx, true, "e1"); !errors.Is(err, ErrConflict) {
 		t.Errorf("Drain(off) of a drain put again by somebody else = error %v, want ErrConflict", err)
 	}
 	const elsewhere = "127.0.0.1:9"
 	const value = `{"v":1,"host_port":"` + elsewhere + `","dest":2}`
-	m.beforeTxn = other(emulator.Op{Key: etcd.Key("/t", etcd.EndpointsFolder, "e3"), Value: value})
+	kv.beforeTxn = otherOperator(emulator.Op{Key: etcd.Key("/t", etcd.EndpointsFolder, "e3"), Value: value})
 	if _, err := p.Remove(ctx, "e3"); !errors.Is(err, ErrConflict) {
 		t.Errorf("Remove() of an endpoint published again by somebody else = error %v, want ErrConflict", err)
 	}
-	m.beforeTxn = other(emulator.Op{Key: etcd.Key("/t", etcd.EndpointsFolder, "e9"), Value: value})
+	kv.beforeTxn = otherOperator(emulator.Op{Key: etcd.Key("/t", etcd.EndpointsFolder, "e9"), Value: value})
 	l := exampleList(4)
 	l.Endpoints["e9"] = etcd.Endpoint{HostPort: "127.0.0.1:10", Dest: 1}
 	if _, err := p.Publish(ctx, l, false); !errors.Is(err, ErrConflict) {
