--- a/cmd/troutusher-kit/flags.go
+++ b/cmd/troutusher-kit/flags.go
@@ -7,28 +7,28 @@
 	"strings"
 )
 
-// newFlagSet makes a flag set whose -h prints to out what a subcommand is for, and its
-// flags.
-func newFlagSet(name, synopsis, about string, out, errs io.Writer) *flag.FlagSet {
+// newFlagSet returns a flag set for a subcommand. Its usage text goes to stdout, and says what
+// the subcommand is for and which flags it has; its errors go to stderr.
+func newFlagSet(name, synopsis, about string, stdout, stderr io.Writer) *flag.FlagSet {
 	set := flag.NewFlagSet("troutusher "+name, flag.ContinueOnError)
-	set.SetOutput(errs)
+	set.SetOutput(stderr)
 	set.Usage = func() {
-		printf(out, "usage: troutusher %s %s\n\n%s\n\n", name, synopsis, about)
+		printf(stdout, "usage: troutusher %s %s\n\n%s\n\n", name, synopsis, about)
 		set.VisitAll(func(f *flag.Flag) {
 			placeholder, usage := flag.UnquoteUsage(f)
 			if placeholder != "" {
 				placeholder = " " + placeholder
 			}
-			printf(out, "  --%s%s\n        %s\n", f.Name, placeholder, usage)
+			printf(stdout, "  --%s%s\n        %s\n", f.Name, placeholder, usage)
 		})
 	}
 	return set
 }
 
-// parseFlags reads flags wherever they stand among the arguments, and returns the other
-// arguments, at most maxArgs. done is true where there is nothing left to do but to exit
-// with code.
-func parseFlags(set *flag.FlagSet, args []string, maxArgs int) (rest []string, code int, done bool) {
+// parseFlags parses flags, which may stand before, between and after the positional arguments,
+// and returns the positional arguments. More than maxArgs of them are an error. If done is
+// true, the subcommand has to exit with code: help or an error has been printed.
+func parseFlags(set *flag.FlagSet, args []string, maxArgs int) (positional []string, code int, done bool) {
 	for {
 		if err := set.Parse(args); err != nil {
 			if errors.Is(err, flag.ErrHelp) {
@@ -39,16 +39,17 @@
 		if set.NArg() == 0 {
 			break
 		}
-		// The flag package stopped at an argument, or behind a "--".
+		// The flag package stops at the first positional argument, or after a "--". All
+		// arguments after a "--" are positional.
 		if parsed := len(args) - set.NArg(); parsed > 0 && args[parsed-1] == "--" {
-			rest = append(rest, set.Args()...)
+			positional = append(positional, set.Args()...)
 			break
 		}
-		rest, args = append(rest, set.Arg(0)), set.Args()[1:]
+		positional, args = append(positional, set.Arg(0)), set.Args()[1:]
 	}
-	if len(rest) > maxArgs {
-		printf(set.Output(), "%s: too many arguments: %s\n", set.Name(), strings.Join(rest, " "))
+	if len(positional) > maxArgs {
+		printf(set.Output(), "%s: too many arguments: %s\n", set.Name(), strings.Join(positional, " "))
 		return nil, exitConfig, true
 	}
-	return rest, 0, false
+	return positional, 0, false
 }
--- a/cmd/troutusher-kit/fleet.go
+++ b/cmd/troutusher-kit/fleet.go
@@ -8,7 +8,7 @@
 	"troutusher/internal/logstats"
 )
 
-// fleetCommand is "troutusher fleet": reports on the logs of many relays.
+// fleetCommand is "troutusher fleet", which reports on the logs of many relays.
 //
 //nolint:lll // a struct tag cannot be broken
 type fleetCommand struct {
@@ -27,46 +27,46 @@
 	HTML     string `name:"html" placeholder:"FILE" help:"Write a page with plots as well. It needs nothing else to be looked at."`
 }
 
-// Run prints one of the reports.
-func (c *fleetReport) Run(out io.Writer) error {
+// Run prints the report that the flags select.
+func (c *fleetReport) Run(stdout io.Writer) error {
 	switch {
 	case c.Message != "":
-		return c.printMessage(out)
+		return c.printMessage(stdout)
 	case c.Ends:
-		return c.printOutcomes(out)
+		return c.printOutcomes(stdout)
 	case c.Restarts:
-		return c.printRestarts(out)
+		return c.printRestarts(stdout)
 	}
-	return c.printTotals(out)
+	return c.printTotals(stdout)
 }
 
-func (c *fleetReport) printMessage(out io.Writer) error {
+func (c *fleetReport) printMessage(stdout io.Writer) error {
 	trace, err := logstats.ReadMessageTrace(os.DirFS(c.Dir), c.Dir, c.Message)
 	if err != nil {
 		return err
 	}
-	return trace.WriteText(out)
+	return trace.WriteText(stdout)
 }
 
-func (c *fleetReport) printOutcomes(out io.Writer) error {
+func (c *fleetReport) printOutcomes(stdout io.Writer) error {
 	outcomes, err := logstats.ReadOutcomes(os.DirFS(c.Dir), c.Dir)
 	if err != nil {
 		return err
 	}
-	return outcomes.WriteText(out)
+	return outcomes.WriteText(stdout)
 }
 
-func (c *fleetReport) printRestarts(out io.Writer) error {
+func (c *fleetReport) printRestarts(stdout io.Writer) error {
 	restarts, err := logstats.ReadRestarts(os.DirFS(c.Dir), c.Dir)
 	if err != nil {
 		return err
 	}
-	return errors.Join(restarts.WriteText(out), restarts.Check())
+	return errors.Join(restarts.WriteText(stdout), restarts.Check())
 }
 
-// printTotals prints the sums by second and destination, and writes the page where one is
-// asked for.
-func (c *fleetReport) printTotals(out io.Writer) error {
+// printTotals prints the sums by second and destination, and writes the HTML page if --html
+// asks for it.
+func (c *fleetReport) printTotals(stdout io.Writer) error {
 	report, err := logstats.ReadReport(os.DirFS(c.Dir), c.Dir)
 	if err != nil {
 		return err
@@ -76,10 +76,10 @@
 			return err
 		}
 	}
-	return report.WriteText(out, c.Dest)
+	return report.WriteText(stdout, c.Dest)
 }
 
 // runFleet runs "troutusher fleet".
-func runFleet(args []string, out, errs io.Writer) int {
-	return runKong("fleet", "What many relays do together, from their logs.", &fleetCommand{}, args, out, errs)
+func runFleet(args []string, stdout, stderr io.Writer) int {
+	return runKong("fleet", "What many relays do together, from their logs.", &fleetCommand{}, args, stdout, stderr)
 }
--- a/cmd/troutusher-kit/follow.go
+++ b/cmd/troutusher-kit/follow.go
@@ -15,26 +15,26 @@
 table [etcd]) and writes what it says, one JSON object a line. A relay starts this
 by itself; by hand it shows what a relay would hear. It ends with its input.`
 
-// runFollow runs "troutusher follow", the helper process that a relay starts where etcd is
+// runFollow runs "troutusher follow". A relay starts it as a child process if etcd is
 // configured.
-func runFollow(args []string, out, errs io.Writer) int {
-	set := newFlagSet("follow", "", followAbout, out, errs)
+func runFollow(args []string, stdout, stderr io.Writer) int {
+	set := newFlagSet("follow", "", followAbout, stdout, stderr)
 	if _, code, done := parseFlags(set, args, 0); done {
 		return code
 	}
 	_, options, err := etcdOptions()
 	if err != nil {
-		return fail(errs, "follow", err, exitConfig)
+		return fail(stderr, "follow", err, exitConfig)
 	}
-	options.Seed = maphash.Bytes(maphash.MakeSeed(), nil) // so that relays do not poll in step
-	if err := follow.Serve(context.Background(), options, os.Stdin, out); err != nil {
-		return fail(errs, "follow", err, exitFailed)
+	options.Seed = maphash.Bytes(maphash.MakeSeed(), nil) // random, so that relays do not poll at the same times
+	if err := follow.Serve(context.Background(), options, os.Stdin, stdout); err != nil {
+		return fail(stderr, "follow", err, exitFailed)
 	}
 	return 0
 }
 
-// etcdOptions reads the operator's file that the environment names, and returns its table
-// for etcd and what it says of the cluster.
+// etcdOptions loads the operator's file that TROUTUSHER_OPERATOR names, and returns its table
+// [etcd] and the options of a connection to the cluster that the table describes.
 func etcdOptions() (*operatorconfig.Etcd, follow.Options, error) {
 	file, err := operatorconfig.Load(os.Getenv)
 	if err == nil && file == nil {
--- a/cmd/troutusher-kit/kit_test.go
+++ b/cmd/troutusher-kit/kit_test.go
@@ -23,7 +23,8 @@
 	"troutusher/policy"
 )
 
-// relayEnv makes the test's own program the relay that is rehearsed with.
+// relayEnv is an environment variable. If it is set, the test binary runs as a relay instead of
+// running tests, so that the subcommands under test can start it as their relay program.
 const relayEnv = "TROUTUSHER_TEST_RELAY"
 
 func TestMain(m *testing.M) {
@@ -37,13 +38,16 @@
 		os.Exit(2)
 	}
 	ctx, _ := signal.NotifyContext(context.Background(), syscall.SIGTERM)
-	re := relay.ReloadRequests{Signals: hup, Load: func() (*config.Config, error) { return config.Reload(os.Getenv) }}
-	if err := relay.Run(cfg, slog.New(slog.NewTextHandler(os.Stderr, nil)), ctx.Done(), re); err != nil {
+	reloads := relay.ReloadRequests{
+		Signals: hup, Load: func() (*config.Config, error) { return config.Reload(os.Getenv) },
+	}
+	if err := relay.Run(cfg, slog.New(slog.NewTextHandler(os.Stderr, nil)), ctx.Done(), reloads); err != nil {
 		os.Exit(1)
 	}
 	os.Exit(0)
 }
 
+// briefScenario is a scenario of one second. The caller fills in the floor of the service.
 const briefScenario = `version = 1
 name = "brief"
 length_s = 1
@@ -71,22 +75,24 @@
 	return path
 }
 
-func run(args ...string) (code int, out, errs string) {
-	var o, e bytes.Buffer
-	code = dispatch(args, &o, &e)
-	return code, o.String(), e.String()
+// run runs a subcommand in this process and returns its exit code and output.
+func run(args ...string) (code int, stdout, stderr string) {
+	var stdoutBuffer, stderrBuffer bytes.Buffer
+	code = dispatch(args, &stdoutBuffer, &stderrBuffer)
+	return code, stdoutBuffer.String(), stderrBuffer.String()
 }
 
-// Each subcommand ends with the exit code and the words that belong to its arguments.
-func TestUsage(t *testing.T) {
-	good := writeTempFile(t, "s.toml", strings.ReplaceAll(briefScenario, "%s", "0"))
-	bad := writeTempFile(t, "s.toml", strings.ReplaceAll(briefScenario, "%s", "7"))
+// Guards against a subcommand that ends with the wrong exit code or without the expected
+// output: help and reports give 0, failures give 1, bad usage and bad files give 2.
+func TestSubcommandExitCodes(t *testing.T) {
+	validScenario := writeTempFile(t, "s.toml", strings.ReplaceAll(briefScenario, "%s", "0"))
+	invalidScenario := writeTempFile(t, "s.toml", strings.ReplaceAll(briefScenario, "%s", "7"))
 	recording := filepath.Join(t.TempDir(), "r")
-	played, err := scenario.Load(good)
+	loaded, err := scenario.Load(validScenario)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if err := replay.Save(recording, played.Plan(1), replay.Environment{}); err != nil {
+	if err := replay.Save(recording, loaded.Plan(1), replay.Environment{}); err != nil {
 		t.Fatal(err)
 	}
 	text, err := os.ReadFile(recording)
@@ -94,12 +100,12 @@
 		t.Fatal(err)
 	}
 	truncated := writeTempFile(t, "cut", string(text[:len(text)/2]))
-	newer := writeTempFile(t, "newer", strings.Replace(string(text), `"version":1`, `"version":7`, 1))
+	newerVersion := writeTempFile(t, "newer", strings.Replace(string(text), `"version":1`, `"version":7`, 1))
 	logs := filepath.Dir(writeTempFile(t, "n1.log", "time=2026-05-01T18:00:00Z level=INFO msg=ready log=none\n"+
 		"time=2026-05-01T18:00:01Z level=INFO msg=taken message=m1 left_ms=900\n"+
 		"time=2026-05-01T18:00:09Z level=INFO msg=tally second=9\n"))
-	state := t.TempDir()
-	if _, err := policystate.NewStore(state, "n7", 3<<20).
+	stateDir := t.TempDir()
+	if _, err := policystate.NewStore(stateDir, "n7", 3<<20).
 		Write(&policystate.File{WrittenAt: 1777658400e6, State: &core.StateSnapshot{
 			Now: 9e6, Revision: 41,
 			Members: []core.HandoverMember{
@@ -122,10 +128,14 @@
 		code   int
 		output string
 	}{
-		{[]string{"learned", "inspect", state}, 0, "relay n7, written 2026-05-01T18:00:00Z while it ran"},
-		{[]string{"learned", "inspect", filepath.Join(state, "learned")}, 0, "1 of 1  s-1 out for 2.0 s"},
-		{[]string{"learned", "inspect", filepath.Join(state, "none")}, 1, "no such file"},
-		{[]string{"learned", "inspect", bad}, 1, "decode policy state: the file is damaged: no policy state header"},
+		{[]string{"learned", "inspect", stateDir}, 0, "relay n7, written 2026-05-01T18:00:00Z while it ran"},
+		{[]string{"learned", "inspect", filepath.Join(stateDir, "learned")}, 0, "1 of 1  s-1 out for 2.0 s"},
+		{[]string{"learned", "inspect", filepath.Join(stateDir, "none")}, 1, "no such file"},
+		{
+			[]string{"learned", "inspect", invalidScenario},
+			1,
+			"decode policy state: the file is damaged: no policy state header",
+		},
 		{[]string{"learned", "inspect"}, 2, "expected \"<path>\""},
 		{[]string{"fleet", "report", logs, "--message", "m1"}, 0, "+0.000 s  n1  taken    left_ms=900"},
 		{[]string{"fleet", "report", logs, "--ends"}, 0, "1         !  no end, though its relay went on past its time"},
@@ -149,64 +159,75 @@
 		{[]string{"rehearse", "calm", "rush"}, 2, "too many arguments"},
 		{[]string{"rehearse", "--fast"}, 2, "flag provided but not defined: -fast"},
 		{[]string{"rehearse", "calm", "--repeat", "0"}, 2, "--repeat 0, want 1 to 1000"},
-		{[]string{"rehearse", bad}, 2, "s.toml:4: floor: 7, want 0 to 1"},
-		{[]string{"rehearse", bad + ".toml"}, 2, "no such file"},
-		{[]string{"rehearse", "--replay", recording, "calm"}, 2, "as it is"},
+		{[]string{"rehearse", invalidScenario}, 2, "s.toml:4: floor: 7, want 0 to 1"},
+		{[]string{"rehearse", invalidScenario + ".toml"}, 2, "no such file"},
+		{[]string{"rehearse", "--replay", recording, "calm"}, 2, "takes no scenario"},
 		{[]string{"rehearse", "--replay", truncated}, 2, "cut: recording: line "},
-		{[]string{"rehearse", "--replay", newer}, 2, "newer release"},
-		{[]string{"rehearse", "--compare", recording, good}, 2, "report: "},
-		{[]string{"rehearse", "--record", filepath.Join(recording, "x"), good, "--relay", "x"}, 2, "recording: "},
-		{[]string{"rehearse", "--relay", filepath.Join(recording, "none"), good}, 1, "not a directory"},
+		{[]string{"rehearse", "--replay", newerVersion}, 2, "newer release"},
+		{[]string{"rehearse", "--compare", recording, validScenario}, 2, "report: "},
+		{
+			[]string{"rehearse", "--record", filepath.Join(recording, "x"), validScenario, "--relay", "x"},
+			2,
+			"recording: ",
+		},
+		{[]string{"rehearse", "--relay", filepath.Join(recording, "none"), validScenario}, 1, "not a directory"},
 		{[]string{"put"}, 2, "is missing"},
 		{[]string{"put", "--to", "127.0.0.1:1", "--class", "a"}, 1, "refused"},
 	} {
-		code, out, errs := run(test.args...)
-		if code != test.code || !strings.Contains(out+errs, test.output) {
-			t.Errorf("%v: exit %d, want %d and %q:\n%s%s", test.args, code, test.code, test.output, out, errs)
+		code, stdout, stderr := run(test.args...)
+		if code != test.code || !strings.Contains(stdout+stderr, test.output) {
+			t.Errorf("run(%v) = exit code %d, want %d and output that contains %q; got output:\n%s%s",
+				test.args, code, test.code, test.output, stdout, stderr)
 		}
 	}
 }
 
-// A scenario is played with real relays and recorded, and the recording is replayed and
-// compared with the first report.
+// Guards the main path of "troutusher rehearse": it plays a scenario with real relay processes,
+// writes all reports and a recording, and then replays the recording and compares the result
+// with the first report. A relay that does not start and a service below the floor have to
+// fail the rehearsal.
 func TestRehearseRecordReplayCompare(t *testing.T) {
 	t.Setenv(relayEnv, "1")
-	self, err := os.Executable()
+	testBinary, err := os.Executable()
 	if err != nil {
 		t.Fatal(err)
 	}
 	dir := t.TempDir()
-	in := func(name string) string { return filepath.Join(dir, name) }
-	file := writeTempFile(t, "s.toml", strings.ReplaceAll(briefScenario, "%s", "0.5"))
-	code, out, errs := run(
-		"rehearse", file, "--relay", self, "--record", in("rec"), "--json", in("a.json"), "--html", in("a.html"),
-		"--keep", in("kept"),
+	inDir := func(name string) string { return filepath.Join(dir, name) }
+	scenarioFile := writeTempFile(t, "s.toml", strings.ReplaceAll(briefScenario, "%s", "0.5"))
+	code, stdout, stderr := run(
+		"rehearse", scenarioFile, "--relay", testBinary, "--record", inDir("rec"),
+		"--json", inDir("a.json"), "--html", inDir("a.html"), "--keep", inDir("kept"),
 	)
-	if code != 0 || !strings.Contains(out, "\npassed\n") || !strings.Contains(out, "kept    waits are respected") {
-		t.Fatalf("exit %d\n%s%s", code, out, errs)
+	if code != 0 || !strings.Contains(stdout, "\npassed\n") ||
+		!strings.Contains(stdout, "kept    waits are respected") {
+		t.Fatalf("rehearse = exit code %d, want 0 and a report of a passed run; got output:\n%s%s",
+			code, stdout, stderr)
 	}
-	a, err := report.Load(in("a.json"))
-	if err != nil || a.Service.Delivered != a.Service.Messages || a.Service.Messages < 10 {
-		t.Fatalf("%v: %+v", err, a)
+	first, err := report.Load(inDir("a.json"))
+	if err != nil || first.Service.Delivered != first.Service.Messages || first.Service.Messages < 10 {
+		t.Fatalf("JSON report: error %v, report %+v; want at least 10 messages, all delivered", err, first)
 	}
-	if page, err := os.ReadFile(in("a.html")); err != nil || !bytes.Contains(page, []byte("<svg")) {
-		t.Errorf("page: %v", err)
+	if page, err := os.ReadFile(inDir("a.html")); err != nil || !bytes.Contains(page, []byte("<svg")) {
+		t.Errorf("HTML report: error %v; want a page with a plot (<svg)", err)
 	}
-	if log, err := os.ReadFile(in("kept/n1/log")); err != nil || !bytes.Contains(log, []byte("msg=ready")) {
-		t.Errorf("the relay's log: %v", err)
+	if log, err := os.ReadFile(inDir("kept/n1/log")); err != nil || !bytes.Contains(log, []byte("msg=ready")) {
+		t.Errorf("log of the relay in the folder of --keep: error %v; want a log with msg=ready", err)
 	}
-	code, out, errs = run(
-		"rehearse", "--replay", in("rec"), "--relay", self, "--compare", in("a.json"), "--repeat", "2", "--quiet",
+	code, stdout, stderr = run(
+		"rehearse", "--replay", inDir("rec"), "--relay", testBinary, "--compare", inDir("a.json"),
+		"--repeat", "2", "--quiet",
 	)
-	if code != 0 || !strings.Contains(out, "2 runs: mean 1.0000") ||
-		!strings.Contains(out, "service 1.0000 -> 1.0000") {
-		t.Errorf("exit %d\n%s%s", code, out, errs)
+	if code != 0 || !strings.Contains(stdout, "2 runs: mean 1.0000") ||
+		!strings.Contains(stdout, "service 1.0000 -> 1.0000") {
+		t.Errorf("rehearse --replay = exit code %d, want 0 and a comparison without a difference; got output:\n%s%s",
+			code, stdout, stderr)
 	}
-	code, out, _ = run("rehearse", "--seed", "9", file, "--relay", "/bin/false")
+	code, stdout, _ = run("rehearse", "--seed", "9", scenarioFile, "--relay", "/bin/false")
 	if code != 1 {
-		t.Errorf("a relay that does not start: exit %d\n%s", code, out)
+		t.Errorf("rehearse with a relay that does not start = exit code %d, want 1; got output:\n%s", code, stdout)
 	}
-	harsh := writeTempFile(
+	belowFloor := writeTempFile(
 		t,
 		"s.toml",
 		strings.ReplaceAll(
@@ -215,34 +236,36 @@
 			"1",
 		)+"[[fault]]\nkind = \"crash\"\npartner = \"p\"\nat_s = 0.2\nlength_s = 60\n",
 	)
-	code, out, _ = run("rehearse", harsh, "--relay", self)
-	if code != 1 || !strings.Contains(out, "failed: service 0.") {
-		t.Errorf("under the floor: exit %d\n%s", code, out)
+	code, stdout, _ = run("rehearse", belowFloor, "--relay", testBinary)
+	if code != 1 || !strings.Contains(stdout, "failed: service 0.") {
+		t.Errorf("rehearse with a service below the floor = exit code %d, want 1 and the service; got output:\n%s",
+			code, stdout)
 	}
 }
 
-// syncBuffer can be read while it is written.
+// syncBuffer is a buffer that one goroutine can read while another writes to it.
 type syncBuffer struct {
-	mu sync.Mutex
-	b  bytes.Buffer
+	mu     sync.Mutex
+	buffer bytes.Buffer
 }
 
 func (b *syncBuffer) Write(p []byte) (int, error) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	return b.b.Write(p)
+	return b.buffer.Write(p)
 }
 
 func (b *syncBuffer) contains(s string) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	return strings.Contains(b.b.String(), s)
+	return strings.Contains(b.buffer.String(), s)
 }
 
+// lineAfter returns the rest of the first line that begins with prefix, or an empty string.
 func (b *syncBuffer) lineAfter(prefix string) string {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	for line := range strings.Lines(b.b.String()) {
+	for line := range strings.Lines(b.buffer.String()) {
 		if rest, ok := strings.CutPrefix(strings.TrimSpace(line), prefix); ok {
 			return rest
 		}
@@ -250,8 +273,9 @@
 	return ""
 }
 
-// A relay that is started by hand, as the printed lines say, serves a message that is handed
-// in as they say.
+// Guards the instructions that "troutusher rehearse --hold" prints: a relay that is started by
+// hand with the printed configuration delivers a message that is submitted with the printed
+// command. The folder of the rehearsal has to be removed at the end.
 func TestHoldAndPut(t *testing.T) {
 	flags := rehearseFlags{relayProgram: "RELAY"}
 	s, err := scenario.Load(filepath.Join("..", "..", "deploy", "example.toml"))
@@ -259,17 +283,17 @@
 		t.Fatal(err)
 	}
 	ctx, cancel := context.WithCancel(t.Context())
-	var out syncBuffer
+	var stdout syncBuffer
 	done := make(chan int)
-	go func() { done <- flags.serveUntilInterrupted(ctx, s.Plan(s.Seed), &out, &out) }()
-	waitUntil(t, "the lines", func() bool { return out.contains("Interrupt to end.") })
-	config, _, _ := strings.Cut(out.lineAfter("ROUTER_CONFIG="), " ")
-	self, err := os.Executable()
+	go func() { done <- flags.serveUntilInterrupted(ctx, s.Plan(s.Seed), &stdout, &stdout) }()
+	waitUntil(t, "the printed instructions", func() bool { return stdout.contains("Interrupt to end.") })
+	configPath, _, _ := strings.Cut(stdout.lineAfter("ROUTER_CONFIG="), " ")
+	testBinary, err := os.Executable()
 	if err != nil {
 		t.Fatal(err)
 	}
-	relayProcess, err := os.StartProcess(self, []string{self}, &os.ProcAttr{
-		Env:   append(os.Environ(), relayEnv+"=1", "ROUTER_CONFIG="+config),
+	relayProcess, err := os.StartProcess(testBinary, []string{testBinary}, &os.ProcAttr{
+		Env:   append(os.Environ(), relayEnv+"=1", "ROUTER_CONFIG="+configPath),
 		Files: []*os.File{nil, nil, os.Stderr},
 	})
 	if err != nil {
@@ -279,62 +303,71 @@
 		_ = relayProcess.Kill()
 		_, _ = relayProcess.Wait()
 	}()
-	args := strings.Fields(out.lineAfter("RELAY "))
+	args := strings.Fields(stdout.lineAfter("RELAY "))
 	var code int
 	var output string
-	waitUntil(t, "the relay", func() bool { code, output, _ = run(args...); return code == 0 })
-	id, answer, _ := strings.Cut(strings.TrimSpace(output), " ")
-	if answer != "+OK" {
-		t.Errorf("answer %q", output)
+	waitUntil(t, "a relay that accepts the message", func() bool { code, output, _ = run(args...); return code == 0 })
+	id, reply, _ := strings.Cut(strings.TrimSpace(output), " ")
+	if reply != "+OK" {
+		t.Errorf("put printed %q, want a message id and +OK", output)
 	}
-	waitUntil(t, "the effect", func() bool { return out.contains("message " + id + ": took effect at ") })
-	waitUntil(t, "the answer", func() bool { return out.contains("answered 200") })
+	waitUntil(t, "the message's effect at an endpoint", func() bool {
+		return stdout.contains("message " + id + ": took effect at ")
+	})
+	waitUntil(t, "the endpoint's response", func() bool { return stdout.contains("answered 200") })
 	code, output, _ = run(append(args, "--dest", "99")...)
 	if code != 1 || !strings.Contains(output, "-ERR") {
-		t.Errorf("to an unknown destination: exit %d, %s", code, output)
+		t.Errorf("put to an unknown destination = exit code %d, output %s; want 1 and -ERR", code, output)
 	}
 	cancel()
 	if code := <-done; code != 0 {
-		t.Errorf("exit %d", code)
+		t.Errorf("serveUntilInterrupted() = exit code %d, want 0", code)
 	}
-	if _, err := os.Stat(config); !os.IsNotExist(err) {
-		t.Errorf("left behind: %v", err)
+	if _, err := os.Stat(configPath); !os.IsNotExist(err) {
+		t.Errorf("Stat of the relay's configuration after the end = %v, want that it no longer exists", err)
 	}
 }
 
-// waitUntil waits for a condition of another process.
-func waitUntil(t *testing.T, what string, cond func() bool) {
+// waitUntil polls a condition that another process fulfils, and fails the test after 30 s. what
+// names the awaited event in the failure.
+func waitUntil(t *testing.T, what string, condition func() bool) {
 	t.Helper()
 	for end := time.Now().Add(30 * time.Second); time.Now().Before(end); time.Sleep(2 * time.Millisecond) {
-		if cond() {
+		if condition() {
 			return
 		}
 	}
-	t.Fatalf("never came: %s", what)
+	t.Fatalf("timed out after 30 s waiting for %s", what)
 }
 
-// The measurement of idle connections runs through on a real relay; its figures
-// are not checked here.
+// Guards against a measurement of idle connections that cannot finish with a real relay
+// process, or that reports bad flags and relays that do not start with the wrong exit code.
+// The test does not check the measured figures.
 func TestCrowd(t *testing.T) {
 	t.Setenv(relayEnv, "1")
-	code, out, errs := run("crowd", "--idle", "0, 40", "--length", "300ms", "--clients", "2", "--relay", os.Args[0])
-	if code != 0 || strings.Count(out, "\n") != 4 ||
-		!strings.Contains(out, "all ask in 1 s: 40 taken on, 0 refused (0 with a time), 0 closed") {
-		t.Errorf("exit code %d: %s%s", code, out, errs)
+	code, stdout, stderr := run(
+		"crowd", "--idle", "0, 40", "--length", "300ms", "--clients", "2", "--relay", os.Args[0],
+	)
+	if code != 0 || strings.Count(stdout, "\n") != 4 ||
+		!strings.Contains(stdout, "all ask in 1 s: 40 taken on, 0 refused (0 with a time), 0 closed") {
+		t.Errorf("crowd = exit code %d, want 0 and 4 lines with a burst of 40 accepted messages; got output:\n%s%s",
+			code, stdout, stderr)
 	}
 	for _, args := range [][]string{
 		{"--idle", "many"}, {"--idle", "-1"}, {"--clients", "0"}, {"--length", "0s"}, {"--memory", "1"}, {"x"},
 	} {
-		if code, _, errs := run(append([]string{"crowd"}, args...)...); code != exitConfig || errs == "" {
-			t.Errorf("%v: exit code %d, %q", args, code, errs)
+		if code, _, stderr := run(append([]string{"crowd"}, args...)...); code != exitConfig || stderr == "" {
+			t.Errorf("crowd %v = exit code %d, stderr %q; want 2 and an error", args, code, stderr)
 		}
 	}
-	if code, _, errs := run("crowd", "--idle", "1000000"); code != exitFailed ||
-		!strings.Contains(errs, "descriptors") {
-		t.Errorf("more than the system allows: exit code %d, %q", code, errs)
+	if code, _, stderr := run("crowd", "--idle", "1000000"); code != exitFailed ||
+		!strings.Contains(stderr, "descriptors") {
+		t.Errorf("crowd with more connections than descriptors = exit code %d, stderr %q; want 1 and the reason",
+			code, stderr)
 	}
-	if code, _, errs := run("crowd", "--idle", "1", "--relay", "/bin/false"); code != exitFailed ||
-		!strings.Contains(errs, "ended before it was ready") {
-		t.Errorf("no relay: exit code %d, %q", code, errs)
+	if code, _, stderr := run("crowd", "--idle", "1", "--relay", "/bin/false"); code != exitFailed ||
+		!strings.Contains(stderr, "ended before it was ready") {
+		t.Errorf("crowd with a relay that does not start = exit code %d, stderr %q; want 1 and the reason",
+			code, stderr)
 	}
 }
--- a/cmd/troutusher-kit/kong.go
+++ b/cmd/troutusher-kit/kong.go
@@ -7,37 +7,40 @@
 	"github.com/alecthomas/kong"
 )
 
-// usageError is bad usage or a bad configuration. It is printed as it is, since it names
-// the file that it is about.
+// usageError marks an error as bad usage or a bad configuration, which gives exitConfig. It is
+// printed without the name of the subcommand, since its text names the file or argument that
+// is at fault.
 type usageError struct{ error }
 
-// Unwrap returns the error itself.
+// Unwrap returns the marked error.
 func (e usageError) Unwrap() error { return e.error }
 
-// runKong parses the arguments of a subcommand with kong into cli, whose fields name its
-// own subcommands, and runs the one that they name. It returns an exit code.
-func runKong(name, about string, cli any, args []string, out, errs io.Writer) int {
+// runKong runs the subcommand name, which has the usage text about, and returns the exit code.
+// It uses the library kong to parse args into cli, a pointer to a struct whose fields declare
+// the subcommand's flags and its own subcommands, and then calls the Run method of the one
+// that args select.
+func runKong(name, about string, cli any, args []string, stdout, stderr io.Writer) int {
 	code, exited := 0, false
-	parser, err := kong.New(cli, kong.Name("troutusher "+name), kong.Description(about), kong.Writers(out, errs),
-		kong.Exit(func(c int) { code, exited = c, true }), kong.BindTo(out, (*io.Writer)(nil)))
+	parser, err := kong.New(cli, kong.Name("troutusher "+name), kong.Description(about), kong.Writers(stdout, stderr),
+		kong.Exit(func(c int) { code, exited = c, true }), kong.BindTo(stdout, (*io.Writer)(nil)))
 	if err != nil {
-		return fail(errs, name, err, exitFailed)
+		return fail(stderr, name, err, exitFailed)
 	}
 	command, err := parser.Parse(args)
-	if exited { // -h
+	if exited { // kong has printed the help text for -h
 		return code
 	}
 	if err != nil {
-		return fail(errs, name, err, exitConfig)
+		return fail(stderr, name, err, exitConfig)
 	}
 	err = command.Run()
-	var usage usageError
+	var badUsage usageError
 	switch {
 	case err == nil:
 		return 0
-	case errors.As(err, &usage):
-		printf(errs, "%v\n", usage)
+	case errors.As(err, &badUsage):
+		printf(stderr, "%v\n", badUsage)
 		return exitConfig
 	}
-	return fail(errs, name, err, exitFailed)
+	return fail(stderr, name, err, exitFailed)
 }
--- a/cmd/troutusher-kit/learned.go
+++ b/cmd/troutusher-kit/learned.go
@@ -14,7 +14,8 @@
 	"troutusher/policy"
 )
 
-// learnedCommand is "troutusher learned": the policy state that a relay keeps on disk.
+// learnedCommand is "troutusher learned", which shows the policy state that a relay stores on
+// disk.
 type learnedCommand struct {
 	Inspect learnedInspect `cmd:"" help:"Print what a relay's file of learned state holds. The file is not changed."`
 }
@@ -24,8 +25,8 @@
 	Path string `arg:"" help:"The file, or the state folder that it lies in."`
 }
 
-// Run prints the file.
-func (c *learnedInspect) Run(out io.Writer) error {
+// Run prints the content of the file.
+func (c *learnedInspect) Run(stdout io.Writer) error {
 	path := fileInFolder(c.Path, policystate.FileName)
 	content, err := os.ReadFile(path)
 	if err != nil {
@@ -35,11 +36,11 @@
 	if err != nil {
 		return fmt.Errorf("%s: %w", path, err)
 	}
-	return writeLearned(out, file, len(content))
+	return writeLearned(stdout, file, len(content))
 }
 
-// fileInFolder returns the path of the named file where path is a folder, and path itself
-// otherwise.
+// fileInFolder returns the path of the file called name in path if path is a folder, and
+// otherwise path itself.
 func fileInFolder(path, name string) string {
 	if info, err := os.Stat(path); err == nil && info.IsDir() {
 		return filepath.Join(path, name)
@@ -47,14 +48,15 @@
 	return path
 }
 
-// writeLearned writes what a file of size bytes holds, with a row for each limiter.
-func writeLearned(out io.Writer, file *policystate.File, size int) error {
+// writeLearned writes the content of a file of size bytes: a line about the file, and a table
+// with a row for each limiter.
+func writeLearned(stdout io.Writer, file *policystate.File, size int) error {
 	state := file.State
 	when := "while it ran"
 	if file.CleanShutdown {
 		when = "as it ended"
 	}
-	printf(out, "relay %s, written %s %s, %d bytes; list %d\n\n", file.Relay,
+	printf(stdout, "relay %s, written %s %s, %d bytes; list %d\n\n", file.Relay,
 		time.UnixMicro(file.WrittenAt).UTC().Format(time.RFC3339), when, size, state.Revision)
 	names := endpointNames(state)
 	retryAfters := map[int]policy.Time{} // by destination
@@ -69,11 +71,12 @@
 		retryAfterUntil := max(limiter.RetryAfterUntil, retryAfters[limiter.Destination])
 		table.Rowf("%s", limiterRow(limiter, state.Now, retryAfterUntil, names))
 	}
-	_, err := io.WriteString(out, table.String())
+	_, err := io.WriteString(stdout, table.String())
 	return err
 }
 
-// endpointNames returns the endpoints' names, with the phase of those that are not up.
+// endpointNames returns the ids of the endpoints by number, each with its phase unless that is
+// up.
 func endpointNames(state *core.StateSnapshot) map[policy.EndpointID]string {
 	names := map[policy.EndpointID]string{}
 	for i := range state.Members {
@@ -86,7 +89,7 @@
 	return names
 }
 
-// limiterRow returns the cells of a limiter, tabs between them.
+// limiterRow returns the cells of a limiter's row, separated by tabs.
 func limiterRow(
 	limiter *policy.LimiterSnapshot, now, retryAfterUntil policy.Time, names map[policy.EndpointID]string,
 ) string {
@@ -125,7 +128,7 @@
 }
 
 // runLearned runs "troutusher learned".
-func runLearned(args []string, out, errs io.Writer) int {
+func runLearned(args []string, stdout, stderr io.Writer) int {
 	const about = "What a relay keeps of its destinations across restarts."
-	return runKong("learned", about, &learnedCommand{}, args, out, errs)
+	return runKong("learned", about, &learnedCommand{}, args, stdout, stderr)
 }
--- a/cmd/troutusher-kit/main.go
+++ b/cmd/troutusher-kit/main.go
@@ -1,6 +1,8 @@
-// Command troutusher-kit holds the tools that ship with the relay. The relay's program
-// replaces itself by this one, in the same folder, when it is started with arguments, so
-// that nothing of the tools is linked into the daemon.
+// Command troutusher-kit contains the tools that ship with the relay, as subcommands.
+//
+// Operators start them as "troutusher SUBCOMMAND": with arguments, the troutusher program
+// executes this one, which is installed in the same folder. The tools are therefore not
+// linked into the relay program.
 package main
 
 import (
@@ -10,8 +12,8 @@
 
 // Exit codes.
 const (
-	exitFailed = 1
-	exitConfig = 2
+	exitFailed = 1 // the subcommand failed
+	exitConfig = 2 // bad usage or configuration
 )
 
 func main() {
@@ -22,12 +24,12 @@
 	os.Exit(dispatch(os.Args[1:], os.Stdout, os.Stderr))
 }
 
-// command is a subcommand.
+// command describes a subcommand.
 type command struct {
 	name, about string
-	// run carries it out with the arguments that follow its name, and returns an exit
+	// run executes the subcommand with the arguments after its name, and returns the exit
 	// code.
-	run func(args []string, out, errs io.Writer) int
+	run func(args []string, stdout, stderr io.Writer) int
 }
 
 func commands() []command {
@@ -44,20 +46,20 @@
 	}
 }
 
-// dispatch runs the subcommand that the arguments name.
-func dispatch(args []string, out, errs io.Writer) int {
+// dispatch runs the subcommand that args[0] names, and returns the exit code.
+func dispatch(args []string, stdout, stderr io.Writer) int {
 	for _, c := range commands() {
 		if c.name == args[0] {
-			return c.run(args[1:], out, errs)
+			return c.run(args[1:], stdout, stderr)
 		}
 	}
 	switch args[0] {
 	case "-h", "-help", "--help", "help":
-		usage(out)
+		usage(stdout)
 		return 0
 	}
-	printf(errs, "troutusher: unknown command %q\n\n", args[0])
-	usage(errs)
+	printf(stderr, "troutusher: unknown command %q\n\n", args[0])
+	usage(stderr)
 	return exitConfig
 }
 
--- a/cmd/troutusher-kit/members.go
+++ b/cmd/troutusher-kit/members.go
@@ -11,24 +11,25 @@
 	"troutusher/internal/texttable"
 )
 
-// membersCommand is "troutusher members": what each source says of each endpoint.
+// membersCommand is "troutusher members", which shows what each source states about each
+// endpoint.
 type membersCommand struct {
 	State string `arg:"" help:"A relay's state folder, or the file \"members\" in it."`
 	JSON  bool   `name:"json" help:"As JSON, one endpoint a line."`
 }
 
-// membersFile is the name of the file in a relay's state folder.
-const membersFile = "members"
+// membersFileName is the name of the membership file in a relay's state folder.
+const membersFileName = "members"
 
-// Run shows the endpoints, each with what every source says of it and the revision at which
-// it said so.
-func (c *membersCommand) Run(out io.Writer) error {
+// Run prints each endpoint with the phase that each source states for it, and the revision of
+// that statement.
+func (c *membersCommand) Run(stdout io.Writer) error {
 	state, lines, err := c.read()
 	if err != nil {
 		return err
 	}
 	if c.JSON {
-		encoder := json.NewEncoder(out)
+		encoder := json.NewEncoder(stdout)
 		for i := range lines {
 			if err := encoder.Encode(lines[i]); err != nil {
 				return err
@@ -37,16 +38,17 @@
 		return nil
 	}
 	for _, source := range state.Sources {
-		printf(out, "%s: %d entries, revision %d of %s\n",
+		printf(stdout, "%s: %d entries, revision %d of %s\n",
 			source.Name, len(source.Entries), source.Revision, source.Epoch)
 	}
-	_, err = io.WriteString(out, membersTable(lines))
+	_, err = io.WriteString(stdout, membersTable(lines))
 	return err
 }
 
-// read reads the file, and returns it and what it says of each endpoint.
+// read decodes the membership file, and returns its content and the provenance of each
+// endpoint.
 func (c *membersCommand) read() (*membership.State, []membership.Provenance, error) {
-	path := fileInFolder(c.State, membersFile)
+	path := fileInFolder(c.State, membersFileName)
 	text, err := os.ReadFile(path)
 	if err != nil {
 		return nil, nil, err
@@ -60,7 +62,7 @@
 		sources = append(sources, membership.Source{Name: source.Name, StaleAfter: 1})
 	}
 	if len(sources) == 0 {
-		return nil, nil, fmt.Errorf("%s: no source has said anything", path)
+		return nil, nil, fmt.Errorf("%s: the file lists no sources", path)
 	}
 	view, err := membership.New(membership.DefaultSettings(sources...))
 	if err != nil {
@@ -70,7 +72,7 @@
 	return state, view.Explain(1), nil
 }
 
-// membersTable returns a row for each endpoint.
+// membersTable returns a table with a row for each endpoint.
 func membersTable(lines []membership.Provenance) string {
 	table := texttable.New()
 	table.Rowf("id\taddress\tdest\tphase\tby\tsaid")
@@ -93,8 +95,8 @@
 }
 
 // runMembers runs "troutusher members".
-func runMembers(args []string, out, errs io.Writer) int {
+func runMembers(args []string, stdout, stderr io.Writer) int {
 	const about = "Who says what of which endpoint, from what a relay that follows etcd keeps. " +
 		"Where sources differ, \"by\" is the one whose word decided the phase."
-	return runKong("members", about, &membersCommand{}, args, out, errs)
+	return runKong("members", about, &membersCommand{}, args, stdout, stderr)
 }
--- a/cmd/troutusher-kit/members_test.go
+++ b/cmd/troutusher-kit/members_test.go
@@ -10,8 +10,9 @@
 	"troutusher/internal/membership"
 )
 
-// What a relay keeps is shown with what each source says, under which id; a file that
-// cannot be read is an error.
+// Guards against output that hides where sources differ: two sources list one address under
+// two ids and with two phases, and both statements have to be shown with the source that
+// decided. A file that cannot be decoded or opened has to give exit code 1.
 func TestMembersCommand(t *testing.T) {
 	view, err := membership.New(
 		membership.DefaultSettings(
@@ -38,8 +39,8 @@
 	if err := os.WriteFile(filepath.Join(dir, "members"), text, 0o600); err != nil {
 		t.Fatal(err)
 	}
-	broken := filepath.Join(dir, "broken")
-	if err := os.WriteFile(broken, text[:len(text)/2], 0o600); err != nil {
+	truncated := filepath.Join(dir, "broken")
+	if err := os.WriteFile(truncated, text[:len(text)/2], 0o600); err != nil {
 		t.Fatal(err)
 	}
 	for _, test := range []struct {
@@ -49,13 +50,14 @@
 	}{
 		{[]string{"members", dir}, 0, "a   127.0.0.1:7001  3     draining  etcd  etcd draining@9, registry up@41 as b"},
 		{[]string{"members", "--json", filepath.Join(dir, "members")}, 0, `"by":"etcd"`},
-		{[]string{"members", broken}, 1, broken},
+		{[]string{"members", truncated}, 1, truncated},
 		{[]string{"members", dir + "/none"}, 1, "none"},
 		{[]string{"members"}, 2, "state"},
 	} {
-		code, out, errs := run(test.args...)
-		if code != test.code || !strings.Contains(out+errs, test.output) {
-			t.Errorf("%v: exit %d, want %d: %s%s", test.args, code, test.code, out, errs)
+		code, stdout, stderr := run(test.args...)
+		if code != test.code || !strings.Contains(stdout+stderr, test.output) {
+			t.Errorf("run(%v) = exit code %d, want %d and output that contains %q; got output:\n%s%s",
+				test.args, code, test.code, test.output, stdout, stderr)
 		}
 	}
 }
--- a/cmd/troutusher-kit/output.go
+++ b/cmd/troutusher-kit/output.go
@@ -7,36 +7,37 @@
 	"os"
 )
 
-// A command writes to standard output or standard error. Where that fails nobody can be
-// told, and the exit code is about the command's work: the error is dropped.
+// Errors of writing to standard output and standard error are dropped: there is no other place
+// to report them, and the exit code is about the work of the subcommand.
 
 // printf writes formatted text.
 func printf(w io.Writer, format string, args ...any) { _, _ = fmt.Fprintf(w, format, args...) }
 
-// printLine writes values with blanks between them, and a line's end.
+// printLine writes values separated by spaces, and a newline.
 func printLine(w io.Writer, args ...any) { _, _ = fmt.Fprintln(w, args...) }
 
-// fail writes why a subcommand ends, and returns its exit code.
-func fail(errs io.Writer, subcommand string, err error, code int) int {
-	printf(errs, "troutusher %s: %v\n", subcommand, err)
+// fail prints the error with which a subcommand ends, and returns code.
+func fail(stderr io.Writer, subcommand string, err error, code int) int {
+	printf(stderr, "troutusher %s: %v\n", subcommand, err)
 	return code
 }
 
-// writeFile creates a file and has write fill it.
+// writeFile creates or truncates the file at path, and calls write for its content.
 func writeFile(path string, write func(io.Writer) error) error {
-	f, err := os.Create(path)
+	file, err := os.Create(path)
 	if err != nil {
 		return err
 	}
-	return errors.Join(write(f), f.Close())
+	return errors.Join(write(file), file.Close())
 }
 
-// isTerminal reports whether a writer is a terminal.
+// isTerminal reports whether w is a character device, which for standard output and standard
+// error means a terminal.
 func isTerminal(w io.Writer) bool {
-	f, ok := w.(*os.File)
+	file, ok := w.(*os.File)
 	if !ok {
 		return false
 	}
-	info, err := f.Stat()
+	info, err := file.Stat()
 	return err == nil && info.Mode()&os.ModeCharDevice != 0
 }
--- a/cmd/troutusher-kit/publish.go
+++ b/cmd/troutusher-kit/publish.go
@@ -17,7 +17,8 @@
 	"troutusher/internal/texttable"
 )
 
-// publishCommand is "troutusher publish": what operators tell relays through etcd.
+// publishCommand is "troutusher publish", with which operators change the endpoints, rates and
+// drains that relays read from etcd.
 type publishCommand struct {
 	List    publishList    `cmd:"" help:"Make endpoints and rates what a file says. Drains stay as they are."`
 	Drain   publishDrain   `cmd:"" help:"Have endpoints drain, whatever else is said of them."`
@@ -52,10 +53,11 @@
 // publishShow is "troutusher publish show".
 type publishShow struct{}
 
-// publishTimeout is how long a command may take, with all of its calls.
+// publishTimeout limits the time of a subcommand, including all of its calls to etcd.
 const publishTimeout = 10 * time.Second
 
-// withPublisher calls use with a publisher of the cluster that the operator's file names.
+// withPublisher calls use with a publisher that is connected to the etcd cluster of the
+// operator's file.
 func withPublisher(use func(context.Context, *publish.Publisher) error) error {
 	etcd, options, err := etcdOptions()
 	if err != nil {
@@ -67,50 +69,50 @@
 	if err != nil {
 		return err
 	}
-	defer func() { _ = conn.Close() }() // its calls have been answered
+	defer func() { _ = conn.Close() }() // all calls have returned
 	return use(ctx, &publish.Publisher{KV: etcdserverpb.NewKVClient(conn), Prefix: etcd.Prefix})
 }
 
-// publishChange carries out a change and prints the keys that it wrote.
+// publishChange makes a change and prints the keys that it put and deleted.
 func publishChange(
-	out io.Writer, change func(context.Context, *publish.Publisher) (*publish.Result, error),
+	stdout io.Writer, change func(context.Context, *publish.Publisher) (*publish.Result, error),
 ) error {
 	return withPublisher(func(ctx context.Context, publisher *publish.Publisher) error {
 		result, err := change(ctx, publisher)
 		if err != nil {
 			return err
 		}
-		writeChanges(out, result)
+		writeChanges(stdout, result)
 		return nil
 	})
 }
 
-func writeChanges(out io.Writer, result *publish.Result) {
+func writeChanges(stdout io.Writer, result *publish.Result) {
 	for _, key := range result.Put {
-		printLine(out, "put    ", key)
+		printLine(stdout, "put    ", key)
 	}
 	for _, key := range result.Deleted {
-		printLine(out, "deleted", key)
+		printLine(stdout, "deleted", key)
 	}
 	if result.Revision == 0 {
-		printLine(out, "nothing to change")
+		printLine(stdout, "nothing to change")
 		return
 	}
-	printLine(out, "revision", result.Revision)
+	printLine(stdout, "revision", result.Revision)
 }
 
-// Run publishes what the file says.
-func (c *publishList) Run(out io.Writer) error {
+// Run publishes the endpoints and rates of the file.
+func (c *publishList) Run(stdout io.Writer) error {
 	list, err := c.read()
 	if err != nil {
 		return err
 	}
-	return publishChange(out, func(ctx context.Context, publisher *publish.Publisher) (*publish.Result, error) {
+	return publishChange(stdout, func(ctx context.Context, publisher *publish.Publisher) (*publish.Result, error) {
 		return publisher.Publish(ctx, list, c.All)
 	})
 }
 
-// read reads the file. A key that it should not have is an error.
+// read decodes the file. An unknown key is an error.
 func (c *publishList) read() (*publish.List, error) {
 	text, err := os.ReadFile(c.File)
 	if err != nil {
@@ -125,29 +127,29 @@
 	return list, nil
 }
 
-// Run has the endpoints drain.
-func (c *publishDrain) Run(out io.Writer) error {
-	return publishChange(out, func(ctx context.Context, publisher *publish.Publisher) (*publish.Result, error) {
+// Run marks the endpoints as draining.
+func (c *publishDrain) Run(stdout io.Writer) error {
+	return publishChange(stdout, func(ctx context.Context, publisher *publish.Publisher) (*publish.Result, error) {
 		return publisher.Drain(ctx, false, c.IDs...)
 	})
 }
 
-// Run ends the endpoints' drain.
-func (c *publishUndrain) Run(out io.Writer) error {
-	return publishChange(out, func(ctx context.Context, publisher *publish.Publisher) (*publish.Result, error) {
+// Run ends the drain of the endpoints.
+func (c *publishUndrain) Run(stdout io.Writer) error {
+	return publishChange(stdout, func(ctx context.Context, publisher *publish.Publisher) (*publish.Result, error) {
 		return publisher.Drain(ctx, true, c.IDs...)
 	})
 }
 
-// Run takes the endpoints away.
-func (c *publishRemove) Run(out io.Writer) error {
-	return publishChange(out, func(ctx context.Context, publisher *publish.Publisher) (*publish.Result, error) {
+// Run removes the endpoints and their drains.
+func (c *publishRemove) Run(stdout io.Writer) error {
+	return publishChange(stdout, func(ctx context.Context, publisher *publish.Publisher) (*publish.Result, error) {
 		return publisher.Remove(ctx, c.IDs...)
 	})
 }
 
-// Run lists what is published.
-func (c *publishShow) Run(out io.Writer) error {
+// Run prints a table of the published endpoints.
+func (c *publishShow) Run(stdout io.Writer) error {
 	return withPublisher(func(ctx context.Context, publisher *publish.Publisher) error {
 		lines, err := publisher.Show(ctx)
 		if err != nil {
@@ -157,14 +159,14 @@
 		for i := range lines {
 			table.Rowf("%s", strings.TrimSpace(lines[i].Text()))
 		}
-		_, err = io.WriteString(out, table.String())
+		_, err = io.WriteString(stdout, table.String())
 		return err
 	})
 }
 
 // runPublish runs "troutusher publish".
-func runPublish(args []string, out, errs io.Writer) int {
+func runPublish(args []string, stdout, stderr io.Writer) int {
 	const about = "Endpoints, rates and drains in etcd, " +
 		"where the operator's file ($TROUTUSHER_OPERATOR, table [etcd]) says."
-	return runKong("publish", about, &publishCommand{}, args, out, errs)
+	return runKong("publish", about, &publishCommand{}, args, stdout, stderr)
 }
--- a/cmd/troutusher-kit/put.go
+++ b/cmd/troutusher-kit/put.go
@@ -14,16 +14,16 @@
 const putAbout = "Hands one message to a relay over RESP2 and prints its answer. Exit code 1 if it is not taken on."
 
 const (
-	dialTimeout   = 2 * time.Second
-	replyTimeout  = 5 * time.Second
-	maxReplyBytes = 4096
-	messageIDSize = 8 // random bytes
+	dialTimeout    = 2 * time.Second
+	replyTimeout   = 5 * time.Second
+	maxReplyBytes  = 4096
+	messageIDBytes = 8 // random bytes
 
 	putCommand = "MSG.PUT"
-	putPrefix  = "0000000000000000" // the command's first argument, which relays do not read
+	putPrefix  = "0000000000000000" // the first argument, which relays ignore
 )
 
-// putFlags is what the flags of "troutusher put" say.
+// putFlags holds the flags of "troutusher put".
 type putFlags struct {
 	relay    string
 	class    string
@@ -34,7 +34,7 @@
 	deadline time.Duration
 }
 
-// register defines the flags in a set.
+// register defines the flags in set.
 func (p *putFlags) register(set *flag.FlagSet) {
 	set.StringVar(&p.relay, "to", "", "the relay's `address`")
 	set.StringVar(&p.class, "class", "", "the message's `class`")
@@ -45,29 +45,29 @@
 	set.DurationVar(&p.deadline, "deadline", 5*time.Second, "how long it may still be delivered")
 }
 
-// runPut runs "troutusher put": it hands one message to a relay and prints the reply.
-func runPut(args []string, out, errs io.Writer) int {
+// runPut runs "troutusher put", which submits one message to a relay and prints the reply.
+func runPut(args []string, stdout, stderr io.Writer) int {
 	var p putFlags
-	set := newFlagSet("put", "--to ADDR --class NAME --dest N [flags] [BODY]", putAbout, out, errs)
+	set := newFlagSet("put", "--to ADDR --class NAME --dest N [flags] [BODY]", putAbout, stdout, stderr)
 	p.register(set)
-	rest, code, done := parseFlags(set, args, 1)
+	positional, code, done := parseFlags(set, args, 1)
 	if done {
 		return code
 	}
 	for name, value := range map[string]string{"to": p.relay, "class": p.class} {
 		if value == "" {
-			printf(errs, "troutusher put: --%s is missing\n", name)
+			printf(stderr, "troutusher put: --%s is missing\n", name)
 			return exitConfig
 		}
 	}
 	if p.id == "" {
 		p.id = newMessageID()
 	}
-	reply, err := sendCommand(p.relay, putCommand, putPrefix, p.id, p.fields(), strings.Join(rest, ""))
+	reply, err := sendCommand(p.relay, putCommand, putPrefix, p.id, p.fields(), strings.Join(positional, ""))
 	if err != nil {
-		return fail(errs, "put", err, exitFailed)
+		return fail(stderr, "put", err, exitFailed)
 	}
-	printf(out, "%s %s\n", p.id, reply)
+	printf(stdout, "%s %s\n", p.id, reply)
 	if strings.HasPrefix(reply, "-") {
 		return exitFailed
 	}
@@ -75,12 +75,12 @@
 }
 
 func newMessageID() string {
-	var id [messageIDSize]byte
-	rand.Read(id[:]) // it does not fail: it ends the program instead
+	var id [messageIDBytes]byte
+	rand.Read(id[:]) // never returns an error: it crashes the program instead
 	return fmt.Sprintf("%x", id)
 }
 
-// fields returns the message's fields as the command carries them.
+// fields returns the message's fields in the form of the command's fields argument.
 func (p *putFlags) fields() string {
 	fields := fmt.Sprintf("c=%s,t=%s,d=%d,dest=%d", p.class, p.portal, p.deadline.Milliseconds(), p.dest)
 	if p.key != "" {
@@ -89,7 +89,8 @@
 	return fields
 }
 
-// sendCommand sends one RESP2 command and returns the line that answers it.
+// sendCommand sends one RESP2 command to the relay at addr and returns the first line of the
+// reply, without its line end.
 func sendCommand(addr string, args ...string) (string, error) {
 	conn, err := net.DialTimeout("tcp", addr, dialTimeout)
 	if err != nil {
--- a/cmd/troutusher-kit/rehearse.go
+++ b/cmd/troutusher-kit/rehearse.go
@@ -30,25 +30,25 @@
 const (
 	defaultScenario  = "rush"
 	maxRepeat        = 1000
-	revisionDigits   = 12         // of a commit's name
-	maxProgressWidth = 118        // bytes, so that it stays on one line
-	clearLine        = "\r\x1b[K" // of a terminal
+	revisionDigits   = 12         // of a commit hash
+	maxProgressWidth = 118        // bytes, so that the progress fits on one line of a terminal
+	clearLine        = "\r\x1b[K" // clears the current line of a terminal
 )
 
-// rehearseFlags is what the flags of "troutusher rehearse" say.
+// rehearseFlags holds the flags of "troutusher rehearse".
 type rehearseFlags struct {
-	// Each of these does something else than to play and judge.
+	// Each of these selects another action than to play a scenario and report on it.
 	list     bool
 	hold     bool
 	showName string
 
-	// What is played, how often and with which relays.
+	// These say what is played, how often and with which relay program.
 	seed         uint64
 	replayPath   string
 	repeat       int
 	relayProgram string
 
-	// What is written.
+	// These say what is written and kept.
 	quiet       bool
 	recordPath  string
 	jsonPath    string
@@ -57,7 +57,7 @@
 	keepDir     string
 }
 
-// register defines the flags.
+// register defines the flags in set.
 func (r *rehearseFlags) register(set *flag.FlagSet) {
 	set.BoolVar(&r.list, "list", false, "name the scenarios that ship with the program")
 	set.StringVar(&r.showName, "show", "", "print the file of the `scenario`, to begin one's own from")
@@ -76,64 +76,65 @@
 	set.BoolVar(&r.quiet, "quiet", false, "no progress, also on a terminal")
 }
 
-// runRehearse runs "troutusher rehearse": it plays a scenario or a recording.
-func runRehearse(args []string, out, errs io.Writer) int {
+// runRehearse runs "troutusher rehearse", which plays a scenario or a recording.
+func runRehearse(args []string, stdout, stderr io.Writer) int {
 	var r rehearseFlags
-	set := newFlagSet("rehearse", "[flags] [SCENARIO]", rehearseAbout, out, errs)
+	set := newFlagSet("rehearse", "[flags] [SCENARIO]", rehearseAbout, stdout, stderr)
 	r.register(set)
-	rest, code, done := parseFlags(set, args, 1)
+	positional, code, done := parseFlags(set, args, 1)
 	if done {
 		return code
 	}
-	usageFailed := func(err error) int { return fail(errs, "rehearse", err, exitConfig) }
+	failUsage := func(err error) int { return fail(stderr, "rehearse", err, exitConfig) }
 	switch {
 	case r.list:
-		if err := listScenarios(out); err != nil {
-			return usageFailed(err)
+		if err := listScenarios(stdout); err != nil {
+			return failUsage(err)
 		}
 		return 0
 	case r.showName != "":
 		text, err := scenario.BuiltinText(r.showName)
 		if err != nil {
-			return usageFailed(err)
+			return failUsage(err)
 		}
-		printf(out, "%s", text)
+		printf(stdout, "%s", text)
 		return 0
 	}
-	plan, earlier, err := r.prepare(rest)
+	plan, earlier, err := r.prepare(positional)
 	if err != nil {
-		return usageFailed(err)
+		return failUsage(err)
 	}
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
 	defer stop()
 	if r.hold {
-		return r.serveUntilInterrupted(ctx, plan, out, errs)
+		return r.serveUntilInterrupted(ctx, plan, stdout, stderr)
 	}
-	return r.play(ctx, plan, earlier, out, errs)
+	return r.play(ctx, plan, earlier, stdout, stderr)
 }
 
 // listScenarios prints the scenarios that ship with the program.
-func listScenarios(out io.Writer) error {
+func listScenarios(stdout io.Writer) error {
 	for _, name := range scenario.BuiltinNames() {
 		s, err := scenario.Builtin(name)
 		if err != nil {
 			return err
 		}
-		printf(out, "%-10s %s\n", name, s.About)
+		printf(stdout, "%-10s %s\n", name, s.About)
 	}
 	return nil
 }
 
-// prepare checks the flags and returns what is played, and the earlier report that it is
-// compared with, nil for none.
-func (r *rehearseFlags) prepare(rest []string) (plan *scenario.Plan, earlier *report.Report, err error) {
+// prepare validates the flags and returns the plan to play, and the earlier report to compare
+// the result with, or nil without --compare. It also saves the recording that --record asks
+// for.
+func (r *rehearseFlags) prepare(positional []string) (plan *scenario.Plan, earlier *report.Report, err error) {
 	switch {
 	case r.repeat < 1 || r.repeat > maxRepeat:
 		return nil, nil, fmt.Errorf("--repeat %d, want 1 to %d", r.repeat, maxRepeat)
-	case r.replayPath != "" && (len(rest) > 0 || r.seed != 0 || r.recordPath != ""):
-		return nil, nil, errors.New("--replay plays a recording as it is: no scenario, --seed or --record beside it")
+	case r.replayPath != "" && (len(positional) > 0 || r.seed != 0 || r.recordPath != ""):
+		return nil, nil, errors.New("--replay takes no scenario, --seed or --record: it plays the recording unchanged")
 	}
-	if plan, err = r.loadPlan(rest); err != nil {
+	if plan, err = r.loadPlan(positional); err != nil {
 		return nil, nil, err
 	}
 	if r.comparePath != "" {
@@ -142,7 +143,7 @@
 		}
 	}
 	if r.relayProgram == "" {
-		if r.relayProgram, err = existingRelay(); err != nil {
+		if r.relayProgram, err = findRelay(); err != nil {
 			return nil, nil, err
 		}
 	}
@@ -154,30 +155,32 @@
 	return plan, earlier, nil
 }
 
-// relayBeside returns the path of the relay's program beside this one.
-func relayBeside() (string, error) {
-	self, err := os.Executable()
+// defaultRelayPath returns the path that the relay program has if it is installed in the same
+// folder as this program.
+func defaultRelayPath() (string, error) {
+	executable, err := os.Executable()
 	if err != nil {
 		return "", err
 	}
-	return filepath.Join(filepath.Dir(self), "troutusher"), nil
+	return filepath.Join(filepath.Dir(executable), "troutusher"), nil
 }
 
-// existingRelay is relayBeside, and an error where there is no such program.
-func existingRelay() (string, error) {
-	path, err := relayBeside()
+// findRelay returns the path of the relay program in this program's folder, or an error if
+// there is none.
+func findRelay() (string, error) {
+	path, err := defaultRelayPath()
 	if err != nil {
 		return "", err
 	}
 	if _, err := os.Stat(path); err != nil {
-		return "", fmt.Errorf("no relay to rehearse with (--relay): %w", err)
+		return "", fmt.Errorf("no relay to rehearse with, and --relay is not set: %w", err)
 	}
 	return path, nil
 }
 
-// loadPlan returns what is to be played: a recording, a file's scenario, or one that ships
-// with the program.
-func (r *rehearseFlags) loadPlan(rest []string) (*scenario.Plan, error) {
+// loadPlan returns the plan of the recording that --replay names or of the scenario that the
+// positional argument names: the path of a TOML file, or a built-in scenario.
+func (r *rehearseFlags) loadPlan(positional []string) (*scenario.Plan, error) {
 	if r.replayPath != "" {
 		plan, _, err := replay.Load(r.replayPath)
 		if err != nil {
@@ -186,8 +189,8 @@
 		return plan, nil
 	}
 	name := defaultScenario
-	if len(rest) > 0 {
-		name = rest[0]
+	if len(positional) > 0 {
+		name = positional[0]
 	}
 	load := scenario.Builtin
 	if strings.HasSuffix(name, ".toml") || strings.ContainsRune(name, os.PathSeparator) {
@@ -204,14 +207,14 @@
 	return s.Plan(seed), nil
 }
 
-// environment is what reports and recordings tell of the program and its machine.
+// environment describes this program and the machine, for reports and recordings.
 func environment() replay.Environment {
 	return replay.Environment{
 		Release: release(), Go: runtime.Version(), System: runtime.GOOS + "/" + runtime.GOARCH, Cores: runtime.NumCPU(),
 	}
 }
 
-// release names the program's version, or the commit that it was built from.
+// release returns the version of the program, or else the commit that it was built from.
 func release() string {
 	info, ok := debug.ReadBuildInfo()
 	if !ok {
@@ -229,8 +232,8 @@
 	return version
 }
 
-// createDir creates the folder for the relays' files. remove deletes it, unless the flags
-// say that it is kept.
+// createDir creates the folder for the files of the relays: the one that --keep names, or a
+// temporary one. The caller calls remove when it is done, which deletes a temporary folder.
 func (r *rehearseFlags) createDir() (dir string, remove func(), err error) {
 	if r.keepDir == "" {
 		return runner.TempDir()
@@ -242,27 +245,27 @@
 	return dir, func() {}, err
 }
 
-// play plays as often as the flags say, and reports on all runs together. It returns the
-// exit code.
+// play plays the plan as often as --repeat says, writes one report on all runs, and compares
+// it with the earlier report if there is one. It returns the exit code.
 func (r *rehearseFlags) play(
-	ctx context.Context, plan *scenario.Plan, earlier *report.Report, out, errs io.Writer,
+	ctx context.Context, plan *scenario.Plan, earlier *report.Report, stdout, stderr io.Writer,
 ) int {
 	var reports []*report.Report
 	for run := range r.repeat {
-		result, err := r.playOnce(ctx, plan, run, errs)
+		result, err := r.playOnce(ctx, plan, run, stderr)
 		if err != nil {
-			return fail(errs, "rehearse", err, exitFailed)
+			return fail(stderr, "rehearse", err, exitFailed)
 		}
 		reports = append(reports, report.New(result, environment()))
 	}
 	joined := report.Join(reports)
-	if err := r.writeReports(joined, out); err != nil {
-		return fail(errs, "rehearse", err, exitFailed)
+	if err := r.writeReports(joined, stdout); err != nil {
+		return fail(stderr, "rehearse", err, exitFailed)
 	}
 	if earlier != nil {
-		printLine(out)
-		if err := report.Compare(out, earlier, joined); err != nil {
-			return fail(errs, "rehearse", err, exitFailed)
+		printLine(stdout)
+		if err := report.Compare(stdout, earlier, joined); err != nil {
+			return fail(stderr, "rehearse", err, exitFailed)
 		}
 	}
 	if joined.Verdict != report.VerdictPassed {
@@ -271,9 +274,10 @@
 	return 0
 }
 
-// playOnce plays one run, from 0, and shows its progress on a terminal.
+// playOnce plays the plan once and shows the progress if stderr is a terminal. run counts from
+// 0.
 func (r *rehearseFlags) playOnce(
-	ctx context.Context, plan *scenario.Plan, run int, errs io.Writer,
+	ctx context.Context, plan *scenario.Plan, run int, stderr io.Writer,
 ) (*runner.Outcome, error) {
 	dir, remove, err := r.createDir()
 	if err != nil {
@@ -284,14 +288,15 @@
 	if r.keepDir != "" && r.repeat > 1 {
 		options.Dir = filepath.Join(dir, fmt.Sprintf("run-%d", run+1))
 	}
-	if !r.quiet && isTerminal(errs) {
-		options.OnProgress = func(p runner.Progress) { writeProgress(errs, run, r.repeat, p) }
-		defer printf(errs, clearLine)
+	if !r.quiet && isTerminal(stderr) {
+		options.OnProgress = func(p runner.Progress) { writeProgress(stderr, run, r.repeat, p) }
+		defer printf(stderr, clearLine)
 	}
 	return runner.Play(ctx, plan, options)
 }
 
-// writeProgress shows on one line of a terminal how far a run is.
+// writeProgress replaces the current line of a terminal with the progress of a run. run counts
+// from 0; runs is the total.
 func writeProgress(w io.Writer, run, runs int, p runner.Progress) {
 	line := fmt.Sprintf(
 		"%5.1f of %.0f s, %d messages, %d open",
@@ -316,9 +321,9 @@
 	printf(w, clearLine+"%s", line)
 }
 
-// writeReports writes a report to standard output and to the files that the flags name.
-func (r *rehearseFlags) writeReports(joined *report.Report, out io.Writer) error {
-	if err := joined.WriteText(out); err != nil {
+// writeReports writes the report to stdout, and to the files that --json and --html name.
+func (r *rehearseFlags) writeReports(joined *report.Report, stdout io.Writer) error {
+	if err := joined.WriteText(stdout); err != nil {
 		return err
 	}
 	for _, file := range []struct {
--- a/cmd/troutusher-kit/tls.go
+++ b/cmd/troutusher-kit/tls.go
@@ -21,8 +21,8 @@
 	"troutusher/internal/tlspolicy"
 )
 
-// tlsCommand is "troutusher tls": tools for keys, and for partners that are called over
-// TLS. None needs a relay.
+// tlsCommand is "troutusher tls": tools for keys and certificates, and for partners that are
+// called over TLS. None of them needs a running relay.
 type tlsCommand struct {
 	Check   tlsCheck   `cmd:"" help:"Check an operator's file and all files that its rules name."`
 	Inspect tlsInspect `cmd:"" help:"Show certificates, days left and pins of each rule."`
@@ -31,13 +31,13 @@
 }
 
 // runTLS runs "troutusher tls".
-func runTLS(args []string, out, errs io.Writer) int {
+func runTLS(args []string, stdout, stderr io.Writer) int {
 	const about = "Keys and partners that are called over TLS. " +
 		"Exit codes: 0, 1 (failed), 2 (bad usage or configuration)."
-	return runKong("tls", about, &tlsCommand{}, args, out, errs)
+	return runKong("tls", about, &tlsCommand{}, args, stdout, stderr)
 }
 
-// readOperatorFile reads an operator's file. What is wrong with it is a usage error.
+// readOperatorFile reads and parses an operator's file. Its errors are usage errors.
 func readOperatorFile(path string) (*operatorconfig.File, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -55,8 +55,9 @@
 	File string `arg:"" help:"The operator's file." type:"path"`
 }
 
-// Run checks the file, and then the files that its rules name; each error on a line.
-func (c *tlsCheck) Run(out io.Writer) error {
+// Run checks the operator's file and then the files that its rules name. It reports the errors
+// of all rules, one on a line.
+func (c *tlsCheck) Run(stdout io.Writer) error {
 	file, err := readOperatorFile(c.File)
 	if err != nil {
 		return err
@@ -71,7 +72,7 @@
 	if len(failures) > 0 {
 		return usageError{errors.Join(failures...)}
 	}
-	printf(out, "%s: %d rules, all files can be used\n", c.File, len(file.TLSRules))
+	printf(stdout, "%s: %d rules, all files can be used\n", c.File, len(file.TLSRules))
 	return nil
 }
 
@@ -80,8 +81,8 @@
 	File string `arg:"" help:"The operator's file." type:"path"`
 }
 
-// Run shows what the rules' files hold, but for secrets.
-func (c *tlsInspect) Run(out io.Writer) error {
+// Run prints the content of the files that the rules name, except for private keys.
+func (c *tlsInspect) Run(stdout io.Writer) error {
 	file, err := readOperatorFile(c.File)
 	if err != nil {
 		return err
@@ -93,29 +94,30 @@
 		if err != nil {
 			return usageError{fmt.Errorf("%s: rule %s: %w", c.File, rule.Name, err)}
 		}
-		printf(out, "rule %s: destinations %v, flavours %q, server name %s\n",
+		printf(stdout, "rule %s: destinations %v, flavours %q, server name %s\n",
 			rule.Name, rule.Destinations, rule.Flavors, rule.ServerName)
 		for _, pin := range rule.Pins {
-			printf(out, "  pinned        %s\n", pin)
+			printf(stdout, "  pinned        %s\n", pin)
 		}
 		if files.Certificate != nil {
-			writeCertificate(out, "our own", files.Certificate.Leaf, now)
+			writeCertificate(stdout, "our own", files.Certificate.Leaf, now)
 		}
 		for _, root := range files.RootCertificates {
-			writeCertificate(out, "trusted", root, now)
+			writeCertificate(stdout, "trusted", root, now)
 		}
 		if n := files.RevocationLists.Len(); n > 0 {
-			printf(out, "  revocations   %d lists, the next one due %s\n",
+			printf(stdout, "  revocations   %d lists, the next one due %s\n",
 				n, files.RevocationLists.NextUpdate().UTC().Format(time.RFC3339))
 		}
 	}
 	return nil
 }
 
-// writeCertificate shows a certificate on a line; role is what it is there for.
-func writeCertificate(out io.Writer, role string, certificate *x509.Certificate, now time.Time) {
+// writeCertificate prints a line that describes a certificate. The line begins with role, the
+// purpose of the certificate.
+func writeCertificate(stdout io.Writer, role string, certificate *x509.Certificate, now time.Time) {
 	daysLeft := certificate.NotAfter.Sub(now).Hours() / 24
-	printf(out, "  %-13s %s, %.1f days left (%s), pin %s\n", role, certificate.Subject, daysLeft,
+	printf(stdout, "  %-13s %s, %.1f days left (%s), pin %s\n", role, certificate.Subject, daysLeft,
 		certificate.NotAfter.UTC().Format(time.RFC3339), tlspolicy.PinOf(certificate))
 }
 
@@ -128,33 +130,35 @@
 	Timeout time.Duration `help:"For each handshake." default:"5s"`
 }
 
-// sessionTicketWait is how long a connection is read from after its handshake, since TLS
-// 1.3 sends session tickets only then.
+// sessionTicketWait is how long the probe reads from a connection after its handshake to
+// receive a session ticket, which a TLS 1.3 server sends only then.
 const sessionTicketWait = 200 * time.Millisecond
 
-// Run makes two handshakes: the second shows whether the partner resumes sessions.
-func (c *tlsProbe) Run(out io.Writer) error {
+// Run makes two handshakes with the partner. The second shows whether the partner resumes
+// sessions.
+func (c *tlsProbe) Run(stdout io.Writer) error {
 	endpoint, err := c.endpoint()
 	if err != nil {
 		return err
 	}
 	defer endpoint.Close()
 	for _, ordinal := range []string{"first", "second"} {
-		if err := c.handshake(out, endpoint, ordinal); err != nil {
+		if err := c.handshake(stdout, endpoint, ordinal); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// endpoint returns the endpoint that the arguments name, with the rule that is for it.
+// endpoint returns the endpoint that the arguments describe, with the TLS rule of the
+// operator's file that matches it.
 func (c *tlsProbe) endpoint() (*tlsdial.Endpoint, error) {
 	file, err := readOperatorFile(c.File)
 	if err != nil {
 		return nil, err
 	}
 	if _, _, err := net.SplitHostPort(c.Addr); err != nil {
-		return nil, usageError{fmt.Errorf("address: %w", err)}
+		return nil, usageError{fmt.Errorf("parse the endpoint's address: %w", err)}
 	}
 	dialer, err := tlsdial.New(tlsdial.Options{
 		Rules: file.TLSRules,
@@ -170,15 +174,15 @@
 	endpoint := dialer.Endpoint(1, c.Dest, c.Flavor, nil)
 	if endpoint == nil {
 		return nil, usageError{
-			fmt.Errorf("%s: no rule is for destination %d of flavour %q", c.File, c.Dest, c.Flavor),
+			fmt.Errorf("%s: no TLS rule matches destination %d of flavour %q", c.File, c.Dest, c.Flavor),
 		}
 	}
 	return endpoint, nil
 }
 
-// handshake opens a connection, shows what its handshake agreed on and how long that took,
-// with the connection's own opening, and closes it.
-func (c *tlsProbe) handshake(out io.Writer, endpoint *tlsdial.Endpoint, ordinal string) error {
+// handshake opens a connection, makes a TLS handshake, prints what was negotiated and how long
+// connecting and the handshake took together, and closes the connection.
+func (c *tlsProbe) handshake(stdout io.Writer, endpoint *tlsdial.Endpoint, ordinal string) error {
 	ctx, cancel := context.WithTimeout(context.Background(), c.Timeout)
 	defer cancel()
 	permit, _, err := endpoint.Acquire(false, false)
@@ -186,15 +190,15 @@
 		return err
 	}
 	if permit == nil {
-		return errors.New("the handshake's own budget is used up")
+		return errors.New("handshake not started: the budget of CPU time for handshakes is used up")
 	}
 	start := time.Now()
-	raw, err := (&net.Dialer{}).DialContext(ctx, "tcp", c.Addr)
+	tcpConn, err := (&net.Dialer{}).DialContext(ctx, "tcp", c.Addr)
 	if err != nil {
 		permit.Release()
 		return err
 	}
-	conn, err := permit.Handshake(ctx, raw)
+	conn, err := permit.Handshake(ctx, tcpConn)
 	if err != nil {
 		return err
 	}
@@ -202,15 +206,15 @@
 	if err := conn.SetReadDeadline(time.Now().Add(sessionTicketWait)); err != nil {
 		return err
 	}
-	_, _ = conn.Read(make([]byte, 1)) // a partner need not send a ticket
+	_, _ = conn.Read(make([]byte, 1)) // handles a ticket if one comes; the partner need not send any
 	state := conn.ConnectionState()
-	printf(out, "%s handshake: %s, %s, resumed %v, %v\n", ordinal, tls.VersionName(state.Version),
+	printf(stdout, "%s handshake: %s, %s, resumed %v, %v\n", ordinal, tls.VersionName(state.Version),
 		tls.CipherSuiteName(state.CipherSuite), state.DidResume, took.Round(10*time.Microsecond))
 	if ordinal == "first" {
 		for i, certificate := range state.PeerCertificates {
-			writeCertificate(out, fmt.Sprintf("shown %d", i+1), certificate, time.Now())
+			writeCertificate(stdout, fmt.Sprintf("shown %d", i+1), certificate, time.Now())
 		}
-		printf(out, "  staple        %d bytes\n", len(state.OCSPResponse))
+		printf(stdout, "  staple        %d bytes\n", len(state.OCSPResponse))
 	}
 	return conn.Close()
 }
@@ -223,11 +227,13 @@
 	Days  int      `help:"How long they are good for." default:"7"`
 }
 
-// authorityName is the name of the files of the authority itself.
+// authorityName is the base name of the file of the authority's own certificate. No issued
+// certificate may have it.
 const authorityName = "root"
 
-// Run writes root.pem, and NAME.pem and NAME.key for each name.
-func (c *tlsDevCA) Run(out io.Writer) error {
+// Run creates an authority and writes its certificate to root.pem. For each name it issues a
+// certificate and writes NAME.pem and NAME.key.
+func (c *tlsDevCA) Run(stdout io.Writer) error {
 	if err := c.validate(); err != nil {
 		return usageError{err}
 	}
@@ -235,7 +241,7 @@
 		return err
 	}
 	if _, err := os.Stat(filepath.Join(c.Dir, authorityName+".pem")); err == nil {
-		return usageError{fmt.Errorf("%s: an authority is there already", c.Dir)}
+		return usageError{fmt.Errorf("create an authority in %s: the folder already holds one", c.Dir)}
 	}
 	validity := testca.WithValidity(time.Now().Add(-time.Hour), time.Now().Add(time.Duration(c.Days)*24*time.Hour))
 	key, err := testca.NewKey(testca.KeyKind(c.Key))
@@ -250,7 +256,7 @@
 	if err != nil {
 		return err
 	}
-	printf(out, "%s: pin %s; its private key is not kept\n", path, tlspolicy.PinOf(authority.Certificate))
+	printf(stdout, "%s: pin %s; its private key is not kept\n", path, tlspolicy.PinOf(authority.Certificate))
 	for _, name := range c.Names {
 		key, err := testca.NewKey(testca.KeyKind(c.Key))
 		if err != nil {
@@ -264,20 +270,20 @@
 		if err != nil {
 			return err
 		}
-		printf(out, "%s, %s: pin %s\n", certPath, keyPath, tlspolicy.PinOf(issued.Certificate))
+		printf(stdout, "%s, %s: pin %s\n", certPath, keyPath, tlspolicy.PinOf(issued.Certificate))
 	}
 	return nil
 }
 
-// validate checks the arguments.
+// validate checks the number of days and the names.
 func (c *tlsDevCA) validate() error {
 	if c.Days < 1 || c.Days > 365 {
-		return fmt.Errorf("--days: %d, want 1 to 365", c.Days)
+		return fmt.Errorf("--days %d, want 1 to 365", c.Days)
 	}
 	for _, name := range c.Names {
 		if name == "" || strings.ContainsAny(name, "/\\\x00") || name == authorityName ||
 			strings.HasPrefix(name, ".") {
-			return fmt.Errorf("name %q: want a host name or an address", name)
+			return fmt.Errorf("certificate name %q: want a host name or an address", name)
 		}
 	}
 	return nil
--- a/cmd/troutusher-kit/tls_test.go
+++ b/cmd/troutusher-kit/tls_test.go
@@ -10,105 +10,124 @@
 )
 
 // runTLSCommand runs a subcommand of "troutusher tls".
-func runTLSCommand(args ...string) (code int, out, errs string) {
+func runTLSCommand(args ...string) (code int, stdout, stderr string) {
 	return run(append([]string{"tls"}, args...)...)
 }
 
-// An authority is made, an operator's file is written for it, checked and inspected, and a
-// partner is probed.
+// Guards the TLS tools in the order in which an operator uses them: create an authority and
+// certificates, check and inspect an operator's file that names them, and probe a partner that
+// uses one of them. Private keys must be readable only for their owner and must not be
+// printed. Bad input has to give exit code 2.
 func TestTLSCommands(t *testing.T) {
 	dir := filepath.Join(t.TempDir(), "ca")
-	code, out, errs := runTLSCommand("dev-ca", dir, "pay.example.org", "relay.example.org")
-	if code != 0 || !strings.Contains(out, "pay.example.org.key") {
-		t.Fatalf("dev-ca: %d %s %s", code, out, errs)
+	code, stdout, stderr := runTLSCommand("dev-ca", dir, "pay.example.org", "relay.example.org")
+	if code != 0 || !strings.Contains(stdout, "pay.example.org.key") {
+		t.Fatalf("tls dev-ca = exit code %d, want 0 and the name of a key file; got output:\n%s%s",
+			code, stdout, stderr)
 	}
 	if info, err := os.Stat(filepath.Join(dir, "pay.example.org.key")); err != nil || info.Mode().Perm() != 0o600 {
-		t.Errorf("the key's file: %v %v", info, err)
+		t.Errorf("Stat of the key file = %v, error %v; want mode 0600", info, err)
 	}
 	if code, _, _ := runTLSCommand("dev-ca", dir, "more"); code != exitConfig {
-		t.Error("a second authority is made over the first")
+		t.Error("tls dev-ca in a folder that holds an authority did not end with exit code 2")
 	}
 	file := filepath.Join(dir, "operator.toml")
-	text := fmt.Sprintf("[[tls]]\nname = \"pay\"\ndestinations = [3]\nserver_name = \"pay.example.org\"\n"+
+	validText := fmt.Sprintf("[[tls]]\nname = \"pay\"\ndestinations = [3]\nserver_name = \"pay.example.org\"\n"+
 		"roots = %q\ncertificate = %q\nkey = %q\n",
 		dir+"/root.pem", dir+"/relay.example.org.pem", dir+"/relay.example.org.key")
-	writeOperatorFile := func(s string) {
+	writeOperatorFile := func(text string) {
 		t.Helper()
-		if err := os.WriteFile(file, []byte(s), 0o600); err != nil {
+		if err := os.WriteFile(file, []byte(text), 0o600); err != nil {
 			t.Fatal(err)
 		}
 	}
-	writeOperatorFile(text)
-	if code, out, errs := runTLSCommand("check", file); code != 0 || !strings.Contains(out, "1 rules") {
-		t.Errorf("check: %d %s %s", code, out, errs)
+	writeOperatorFile(validText)
+	if code, stdout, stderr := runTLSCommand("check", file); code != 0 || !strings.Contains(stdout, "1 rules") {
+		t.Errorf("tls check = exit code %d, want 0 and the number of rules; got output:\n%s%s", code, stdout, stderr)
 	}
-	code, out, _ = runTLSCommand("inspect", file)
-	if code != 0 || !strings.Contains(out, "our own") || !strings.Contains(out, "trusted") ||
-		!strings.Contains(out, "6.9 days left") && !strings.Contains(out, "7.0 days left") {
-		t.Errorf("inspect: %d %s", code, out)
+	code, stdout, _ = runTLSCommand("inspect", file)
+	if code != 0 || !strings.Contains(stdout, "our own") || !strings.Contains(stdout, "trusted") ||
+		!strings.Contains(stdout, "6.9 days left") && !strings.Contains(stdout, "7.0 days left") {
+		t.Errorf("tls inspect = exit code %d, want 0 and both certificates with 7 days left; got output:\n%s",
+			code, stdout)
 	}
 	key, err := os.ReadFile(dir + "/relay.example.org.key")
 	if err != nil {
 		t.Fatal(err)
 	}
-	if secret := strings.Split(string(key), "\n")[1]; strings.Contains(out, secret) {
-		t.Error("inspect shows a private key")
+	if secret := strings.Split(string(key), "\n")[1]; strings.Contains(stdout, secret) {
+		t.Error("tls inspect printed a private key")
 	}
-	pair, err := tls.LoadX509KeyPair(dir+"/pay.example.org.pem", dir+"/pay.example.org.key")
+	certificate, err := tls.LoadX509KeyPair(dir+"/pay.example.org.pem", dir+"/pay.example.org.key")
 	if err != nil {
 		t.Fatal(err)
 	}
-	ln, err := tls.Listen("tcp", "127.0.0.1:0", &tls.Config{Certificates: []tls.Certificate{pair}})
+	listener, err := tls.Listen("tcp", "127.0.0.1:0", &tls.Config{Certificates: []tls.Certificate{certificate}})
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer func() { _ = ln.Close() }()
+	defer func() { _ = listener.Close() }()
 	go func() {
 		for {
-			conn, err := ln.Accept()
+			conn, err := listener.Accept()
 			if err != nil {
 				return
 			}
 			go func() {
 				defer func() { _ = conn.Close() }()
-				_, _ = conn.Read(make([]byte, 1)) // the handshake comes with the first read
+				_, _ = conn.Read(make([]byte, 1)) // the first read makes the handshake
 			}()
 		}
 	}()
-	code, out, errs = runTLSCommand("probe", file, "3", ln.Addr().String())
-	if code != 0 || !strings.Contains(out, "first handshake: TLS 1.3") || !strings.Contains(out, "resumed true") {
-		t.Errorf("probe: %d %s %s", code, out, errs)
+	code, stdout, stderr = runTLSCommand("probe", file, "3", listener.Addr().String())
+	if code != 0 || !strings.Contains(stdout, "first handshake: TLS 1.3") || !strings.Contains(stdout, "resumed true") {
+		t.Errorf("tls probe = exit code %d, want 0, TLS 1.3 and a resumed session; got output:\n%s%s",
+			code, stdout, stderr)
 	}
-	// Refusals and bad input, each with its exit code.
-	writeOperatorFile(strings.Replace(text, "pay.example.org\"\nroots", "shop.example.org\"\nroots", 1))
-	if code, _, errs := runTLSCommand("probe", file, "3", ln.Addr().String()); code != exitFailed ||
-		!strings.Contains(errs, "wrong name") {
-		t.Errorf("probe of another name: %d %s", code, errs)
+	// The partner's certificate has another name than the rule requires.
+	writeOperatorFile(strings.Replace(validText, "pay.example.org\"\nroots", "shop.example.org\"\nroots", 1))
+	if code, _, stderr := runTLSCommand("probe", file, "3", listener.Addr().String()); code != exitFailed ||
+		!strings.Contains(stderr, "wrong name") {
+		t.Errorf("tls probe of a partner with a wrong name = exit code %d, want 1 and the reason; got stderr:\n%s",
+			code, stderr)
 	}
 	for name, test := range map[string]struct {
 		text string
 		args []string
 		want string
 	}{
-		"no rule":    {text, []string{"probe", file, "4", "127.0.0.1:1"}, "no rule is for destination 4"},
-		"no address": {text, []string{"probe", file, "3", "nowhere"}, "address"},
-		"an unknown key": {
-			strings.Replace(text, "destinations", "destination", 1),
+		"destination without a rule": {
+			validText,
+			[]string{"probe", file, "4", "127.0.0.1:1"},
+			"no TLS rule matches destination 4",
+		},
+		"address without a port": {validText, []string{"probe", file, "3", "nowhere"}, "endpoint's address"},
+		"unknown key in the operator's file": {
+			strings.Replace(validText, "destinations", "destination", 1),
 			[]string{"check", file},
 			"operator.toml:3: tls.destination",
 		},
-		"a missing file":      {strings.Replace(text, "root.pem", "none.pem", 1), []string{"check", file}, "rule pay"},
-		"no file":             {text, []string{"check", dir + "/none.toml"}, "none.toml"},
-		"unknown kind of key": {text, []string{"dev-ca", dir + "2", "--key", "md5"}, "--key"},
-		"a path as a name":    {text, []string{"dev-ca", dir + "3", "../x"}, "want a host name"},
-		"no command":          {text, nil, "expected one of"},
+		"missing file of roots": {
+			strings.Replace(validText, "root.pem", "none.pem", 1),
+			[]string{"check", file},
+			"rule pay",
+		},
+		"missing operator's file": {validText, []string{"check", dir + "/none.toml"}, "none.toml"},
+		"unknown kind of key":     {validText, []string{"dev-ca", dir + "2", "--key", "md5"}, "--key"},
+		"path as a certificate's name": {
+			validText,
+			[]string{"dev-ca", dir + "3", "../x"},
+			"want a host name",
+		},
+		"no subcommand": {validText, nil, "expected one of"},
 	} {
 		writeOperatorFile(test.text)
-		if code, _, errs := runTLSCommand(test.args...); code != exitConfig || !strings.Contains(errs, test.want) {
-			t.Errorf("%s: %d %s", name, code, errs)
+		if code, _, stderr := runTLSCommand(test.args...); code != exitConfig || !strings.Contains(stderr, test.want) {
+			t.Errorf("%s: exit code %d, want 2 and stderr that contains %q; got stderr:\n%s",
+				name, code, test.want, stderr)
 		}
 	}
-	if code, out, _ := runTLSCommand("--help"); code != 0 || !strings.Contains(out, "probe") {
-		t.Errorf("--help: %d %s", code, out)
+	if code, stdout, _ := runTLSCommand("--help"); code != 0 || !strings.Contains(stdout, "probe") {
+		t.Errorf("tls --help = exit code %d, want 0 and the subcommands; got output:\n%s", code, stdout)
 	}
 }
--- a/cmd/troutusher-kit/usage_test.go
+++ b/cmd/troutusher-kit/usage_test.go
@@ -6,44 +6,47 @@
 	"testing"
 )
 
-// The usage text of each subcommand is as the release before printed it: to standard
-// output, with exit code 0.
+// Guards against an unintended change of a usage text: -h and --help have to print the text of
+// testdata/usage.txt, which is that of the previous release, to standard output, with exit code
+// 0.
 func TestUsageTexts(t *testing.T) {
 	t.Setenv("COLUMNS", "80")
 	text, err := os.ReadFile("testdata/usage.txt")
 	if err != nil {
 		t.Fatal(err)
 	}
-	const head = "== "
-	sections := strings.Split("\n"+string(text), "\n"+head)[1:]
+	const sectionPrefix = "== "
+	sections := strings.Split("\n"+string(text), "\n"+sectionPrefix)[1:]
 	if len(sections) != 21 {
-		t.Fatalf("%d usage texts, want 21", len(sections))
+		t.Fatalf("testdata/usage.txt has %d usage texts, want 21", len(sections))
 	}
 	for i, section := range sections {
 		name, want, _ := strings.Cut(section, "\n")
 		if i < len(sections)-1 {
-			want += "\n" // the one that the cut took
+			want += "\n" // Split has removed it with the separator
 		}
 		for _, help := range []string{"-h", "--help"} {
 			args := append(strings.Fields(name), help)
 			if name == "(none)" {
 				args = []string{help}
 			}
-			code, out, errs := run(args...)
-			if code != 0 || out != want || errs != "" {
-				t.Errorf("%v: exit code %d, errors %q, got\n%s\nwant\n%s", args, code, errs, out, want)
+			code, stdout, stderr := run(args...)
+			if code != 0 || stdout != want || stderr != "" {
+				t.Errorf("run(%v) = exit code %d, want 0; stderr %q, want none; stdout\n%s\nwant\n%s",
+					args, code, stderr, stdout, want)
 			}
 		}
 	}
 }
 
-// What is wrong with the arguments is told on standard error in these words.
+// Guards against an unintended change of the errors for bad arguments: each has to be printed
+// to standard error in these words, with its exit code.
 func TestUsageErrors(t *testing.T) {
 	t.Setenv("TROUTUSHER_OPERATOR", "")
 	for _, test := range []struct {
-		args string
-		code int
-		errs string
+		args   string
+		code   int
+		stderr string
 	}{
 		{"learned", exitConfig, "troutusher learned: expected \"inspect\"\n"},
 		{"members", exitConfig, "troutusher members: expected \"<state>\"\n"},
@@ -66,12 +69,13 @@
 		{"put --to a", exitConfig, "troutusher put: --class is missing\n"},
 		{"tls check /none", exitConfig, "open /none: no such file or directory\n"},
 	} {
-		code, out, errs := run(strings.Fields(test.args)...)
-		if code != test.code || out != "" || errs != test.errs {
-			t.Errorf("%s: exit code %d, %q, %q; want %d, %q", test.args, code, out, errs, test.code, test.errs)
+		code, stdout, stderr := run(strings.Fields(test.args)...)
+		if code != test.code || stdout != "" || stderr != test.stderr {
+			t.Errorf("run(%s) = exit code %d, stdout %q, stderr %q; want %d, no stdout, stderr %q",
+				test.args, code, stdout, stderr, test.code, test.stderr)
 		}
 	}
-	// These print a usage text as well, whose first lines are enough.
+	// These print a usage text as well, of which the first lines are compared.
 	for args, want := range map[string]string{
 		"tls":          "troutusher tls: expected one of \"check\", \"inspect\", \"probe\", \"dev-ca\"\n",
 		"tls nope":     "troutusher tls: unexpected argument nope\n",
@@ -79,9 +83,10 @@
 		"crowd --nope": "flag provided but not defined: -nope\nusage: troutusher crowd [flags]\n",
 		"nope":         "troutusher: unknown command \"nope\"\n\nusage: troutusher  ",
 	} {
-		code, out, errs := run(strings.Fields(args)...)
-		if code != exitConfig || !strings.HasPrefix(errs+out, want) {
-			t.Errorf("%s: exit code %d, %q, %q; want %q first", args, code, out, errs, want)
+		code, stdout, stderr := run(strings.Fields(args)...)
+		if code != exitConfig || !strings.HasPrefix(stderr+stdout, want) {
+			t.Errorf("run(%s) = exit code %d, stdout %q, stderr %q; want 2 and output that begins with %q",
+				args, code, stdout, stderr, want)
 		}
 	}
 }
--- a/cmd/troutusher/loglines_test.go
+++ b/cmd/troutusher/loglines_test.go
@@ -14,22 +14,23 @@
 	"testing"
 )
 
-const root = "../.."
+const repoRoot = "../.."
 
-// logText is a line's text in the table of the operators' page; one that goes on with
-// what only a running relay knows ends in an ellipsis.
+// logText is the text and level of a log line as the table in docs/operators/log-lines.md
+// lists it. A text that the relay completes at run time ends in an ellipsis.
 type logText struct{ text, level string }
 
-// daemonFolders are those that the deploy file lists for the daemon.
-func daemonFolders(t *testing.T) []string {
+// relayFolders returns the source folders of the relay program, which deploy/balancer.toml
+// lists under "node".
+func relayFolders(t *testing.T) []string {
 	t.Helper()
-	text, err := os.ReadFile(filepath.Join(root, "deploy", "balancer.toml"))
+	text, err := os.ReadFile(filepath.Join(repoRoot, "deploy", "balancer.toml"))
 	if err != nil {
 		t.Fatal(err)
 	}
 	list := regexp.MustCompile(`(?m)^node = \[(.*)\]$`).FindStringSubmatch(string(text))
 	if list == nil {
-		t.Fatal("the deploy file lists no folders of the daemon")
+		t.Fatal("deploy/balancer.toml has no line \"node = [...]\" with the folders of the relay program")
 	}
 	var folders []string
 	for _, quoted := range strings.Split(list[1], ",") {
@@ -38,7 +39,8 @@
 	return folders
 }
 
-// textOf returns the text of an argument: a literal, or one that something is added to.
+// textOf returns the text of an argument that is a string literal, or a string literal to
+// which a value is appended; the appended value becomes an ellipsis.
 func textOf(argument ast.Expr) (string, bool) {
 	switch e := argument.(type) {
 	case *ast.BasicLit:
@@ -51,7 +53,7 @@
 	return "", false
 }
 
-// levelOf returns the level that a selector names.
+// levelOf returns the log level that a selector such as log.Warn or slog.LevelWarn names.
 func levelOf(e ast.Expr) (string, bool) {
 	selector, ok := e.(*ast.SelectorExpr)
 	if !ok {
@@ -63,7 +65,8 @@
 	return level, ok
 }
 
-// logTexts lists the lines at warn and error that a call writes.
+// logTexts returns the log lines that a call writes at level warn or error: the level is
+// either the called method or an argument, and the text is the argument after it.
 func logTexts(call *ast.CallExpr) (found []logText) {
 	operands := append([]ast.Expr{call.Fun}, call.Args...)
 	for i, operand := range operands[:len(operands)-1] {
@@ -78,11 +81,11 @@
 	return found
 }
 
-// logTextsInCode lists the lines at warn and error in the daemon's folders.
+// logTextsInCode returns the log lines that the relay's source writes at level warn or error.
 func logTextsInCode(t *testing.T) (found []logText) {
 	t.Helper()
-	for _, folder := range daemonFolders(t) {
-		err := filepath.WalkDir(filepath.Join(root, folder), func(path string, _ fs.DirEntry, err error) error {
+	for _, folder := range relayFolders(t) {
+		err := filepath.WalkDir(filepath.Join(repoRoot, folder), func(path string, _ fs.DirEntry, err error) error {
 			if err != nil || !strings.HasSuffix(path, ".go") || strings.HasSuffix(path, "_test.go") {
 				return err
 			}
@@ -105,10 +108,10 @@
 	return found
 }
 
-// logTextsInTable lists the lines in the table of the operators' page.
+// logTextsInTable returns the log lines in the table of docs/operators/log-lines.md.
 func logTextsInTable(t *testing.T) (found []logText) {
 	t.Helper()
-	page, err := os.ReadFile(filepath.Join(root, "docs", "operators", "log-lines.md"))
+	page, err := os.ReadFile(filepath.Join(repoRoot, "docs", "operators", "log-lines.md"))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -119,21 +122,22 @@
 	return found
 }
 
-// The operators' table of log lines holds every line at warn and error that the daemon
-// can write, and no other.
+// Guards against a table of log lines that differs from the code: operators look up each
+// warning and error there. A line that is added, reworded or removed in the code without a
+// change of the table fails this test.
 func TestTableOfLogLines(t *testing.T) {
 	code, table := logTextsInCode(t), logTextsInTable(t)
 	for _, line := range code {
 		if !slices.Contains(table, line) {
-			t.Errorf("not in the table: %q at %s", line.text, line.level)
+			t.Errorf("log line %q at level %s is in the code but not in the table", line.text, line.level)
 		}
 	}
 	for _, line := range table {
 		if !slices.Contains(code, line) {
-			t.Errorf("not in the code: %q at %s", line.text, line.level)
+			t.Errorf("log line %q at level %s is in the table but not in the code", line.text, line.level)
 		}
 	}
 	if len(table) == 0 {
-		t.Error("the table is empty")
+		t.Error("the table in docs/operators/log-lines.md has no row at level warn or error")
 	}
 }
--- a/cmd/troutusher/main.go
+++ b/cmd/troutusher/main.go
@@ -1,7 +1,7 @@
-// Command troutusher is a relay: it accepts messages from clients and calls the
-// endpoints of their destinations until each is delivered or its sender is told
-// that it was not. Its settings are in the environment and in the file that
-// ROUTER_CONFIG names. With arguments it runs one of the tools of troutusher-kit.
+// Command troutusher is a relay: it accepts messages from clients and calls the endpoints of
+// each message's destination until the message is delivered, or until its sender has received
+// a notice that it was not. Its settings come from environment variables and from the file that
+// ROUTER_CONFIG names. With arguments, it runs one of the tools of troutusher-kit instead.
 package main
 
 import (
@@ -20,15 +20,16 @@
 
 // Exit codes.
 const (
-	exitFailed = 1
-	exitConfig = 2
+	exitFailed = 1 // the relay ended with an error
+	exitConfig = 2 // bad configuration, or troutusher-kit cannot be started
 )
 
 func main() {
 	if len(os.Args) > 1 {
 		os.Exit(execKit(os.Args[1:]))
 	}
-	// SIGHUP is caught first of all, since it would end the process.
+	// SIGHUP asks for a reload. It is caught before anything else, because by default it
+	// terminates the process.
 	hup := make(chan os.Signal, 1)
 	signal.Notify(hup, syscall.SIGHUP)
 	log := slog.New(slog.NewTextHandler(os.Stderr, nil))
@@ -51,6 +52,6 @@
 	}
 }
 
-// heapLimit is the part of a process's memory, in bytes, that the Go runtime may use. The
-// rest is for files and stacks.
+// heapLimit returns the Go runtime's soft memory limit, in bytes, for a process that may use
+// memoryMB: 70 percent. The rest is for files and stacks.
 func heapLimit(memoryMB int) int64 { return int64(memoryMB) << 20 / 10 * 7 }
