--- a/internal/emulator/endpoint/calls.go
+++ b/internal/emulator/endpoint/calls.go
@@ -7,30 +7,30 @@
 // call is one attempt of a relay to deliver a message.
 type call struct {
 	number         uint64
-	id             string // of its message
+	id             string // ID of the message
 	idempotencyKey string
 	message        Message
 	relay          int
 	endpoint       *endpoint
-	conn           *connection // nil once the call has ended for its caller
-	attempt        int         // of its message, from 0
+	conn           *connection // nil once the call has a response or has lost its connection
+	attempt        int         // number of this attempt for the message, from 0
 	receivedAt     Time
-	timeout        Time    // the caller's; 0 for none
-	finishAt       float64 // the endpoint's workDone at which its service is complete
-	heapIndex      int     // in the endpoint's inService; -1 outside
-	respondAt      Time    // not before; 0 for at once
-	defect         ResponseDefect
-	final          bool // it can take effect no more
+	timeout        Time           // the caller's timeout; 0 for none
+	finishAt       float64        // value of the endpoint's workDone at which service is complete
+	heapIndex      int            // index in the endpoint's inService; -1 while not in service
+	respondAt      Time           // earliest time of the response; 0 for no delay
+	defect         ResponseDefect // of the response
+	final          bool           // it can no longer take effect
 	queued         bool
 }
 
-// newEvent is an event about the call.
+// newEvent returns an event about the call.
 func (c *call) newEvent(kind event.Kind) event.Event {
 	return event.Event{Kind: kind, Call: c.number, ID: c.id, Relay: c.relay, Endpoint: c.endpoint.index}
 }
 
-// ReceiveUntrustedCall is called when a call has come over a connection whose TLS
-// identity the relay must not have accepted.
+// ReceiveUntrustedCall tells the model that a call has arrived on a connection whose TLS identity the
+// relay should have rejected.
 func (m *Model) ReceiveUntrustedCall(now Time, id ConnID, message string) {
 	m.Advance(now)
 	if conn := m.conns[id]; conn != nil {
@@ -38,7 +38,7 @@
 	}
 }
 
-// ReceiveFirstByte is called when the first byte of a request has come.
+// ReceiveFirstByte tells the model that the first byte of a request has arrived.
 func (m *Model) ReceiveFirstByte(now Time, id ConnID) {
 	m.Advance(now)
 	conn := m.conns[id]
@@ -53,7 +53,7 @@
 	)
 }
 
-// ReceiveCall is called when the last byte of a call has come.
+// ReceiveCall tells the model that the last byte of a call has arrived.
 func (m *Model) ReceiveCall(now Time, id ConnID, message, key string, timeout Time) {
 	m.Advance(now)
 	conn := m.conns[id]
@@ -90,7 +90,7 @@
 	}
 }
 
-// rejectedByRules rejects a call that the platform's rules do not allow.
+// rejectedByRules rejects a call that the platform's rules do not allow, and reports whether it did.
 func (m *Model) rejectedByRules(c *call) bool {
 	switch {
 	case c.message.Finished:
@@ -105,7 +105,7 @@
 	return true
 }
 
-// sendToEndpoint has the call arrive after its way there.
+// sendToEndpoint counts the attempt and makes the call arrive at its endpoint after the network delay.
 func (m *Model) sendToEndpoint(c *call) {
 	c.attempt = m.attempts[c.id]
 	m.attempts[c.id]++
@@ -121,10 +121,10 @@
 	m.schedule(delay, func() { m.arrive(c) })
 }
 
-// ForgetMessage drops what is kept for a message that is finished.
+// ForgetMessage drops the attempt count of a finished message.
 func (m *Model) ForgetMessage(id string) { delete(m.attempts, id) }
 
-// endWithoutResponse ends a call whose connection no longer carries it.
+// endWithoutResponse ends a call that has lost its connection.
 func (m *Model) endWithoutResponse(c *call) {
 	if c.conn == nil {
 		return
@@ -134,7 +134,7 @@
 	m.record(c.newEvent(event.CallEnded))
 }
 
-// markFinal records that a call can take effect no more.
+// markFinal records that a call can no longer take effect.
 func (m *Model) markFinal(c *call) {
 	if !c.final {
 		c.final = true
@@ -142,7 +142,7 @@
 	}
 }
 
-// respond has a response written after its way back.
+// respond writes the response of a call after the network delay.
 func (m *Model) respond(c *call, status int, retryAfter Time) {
 	if event.NeverRan(status) {
 		m.markFinal(c)
@@ -156,7 +156,7 @@
 	write()
 }
 
-// reject responds that the call is rejected and has no effect.
+// reject responds that the call is rejected, and so has no effect.
 func (m *Model) reject(c *call, retryAfter Time) {
 	status := event.StatusRejected
 	if retryAfter > 0 {
@@ -165,13 +165,13 @@
 	m.respond(c, status, retryAfter)
 }
 
-// rejectSlotsTaken rejects a call of a relay that has too many in flight.
+// rejectSlotsTaken rejects a call of a relay that has too many calls in flight.
 func (m *Model) rejectSlotsTaken(c *call) {
 	m.markFinal(c)
 	m.writeResponse(c, Effect{Status: event.StatusRejected, SlotsTaken: true})
 }
 
-// writeResponse ends a call with a response, unless its connection has ended.
+// writeResponse ends a call with a response, unless the call has lost its connection.
 func (m *Model) writeResponse(c *call, response Effect) {
 	conn := c.conn
 	if conn == nil {
--- a/internal/emulator/endpoint/connections.go
+++ b/internal/emulator/endpoint/connections.go
@@ -7,17 +7,19 @@
 	id          ConnID
 	relay       int
 	endpoint    *endpoint
-	used        bool // a request has come
-	overLimit   bool // beyond the number of connections that the endpoint accepts
+	used        bool // a request has arrived on it
+	overLimit   bool // opened beyond the endpoint's limit of connections
 	current     *call
-	receiving   uint64 // number of the call whose first byte has come
-	idleVersion int    // of the idle timer
+	receiving   uint64 // number of the call whose first byte has arrived
+	idleVersion int    // idle timers of an older version are ignored
 }
 
-// Connection lists longer than this are compacted once most of their entries are closed.
+// connOrderCompactLength is the length above which an endpoint's list of connections is compacted
+// once most of them are closed.
 const connOrderCompactLength = 32
 
-// OpenConn is called when a relay has opened a connection to an endpoint.
+// OpenConn tells the model that a relay has opened a connection to an endpoint, and returns the ID of
+// the connection.
 func (m *Model) OpenConn(now Time, endpoint, relay int) ConnID {
 	m.Advance(now)
 	e := m.endpoints[endpoint]
@@ -30,9 +32,8 @@
 	return conn.id
 }
 
-// CompleteHandshake is called when a connection has made a TLS handshake, or has
-// failed to. A handshake costs as much as some calls, which counts while the
-// endpoint warms up.
+// CompleteHandshake tells the model that a TLS handshake has ended, successfully or not. The load of
+// a handshake counts as a number of calls while the endpoint warms up.
 func (m *Model) CompleteHandshake(now Time, id ConnID, resumed bool) {
 	m.Advance(now)
 	conn := m.conns[id]
@@ -51,7 +52,7 @@
 	}
 }
 
-// CloseConn is called when the peer has ended a connection.
+// CloseConn tells the model that the peer has closed a connection.
 func (m *Model) CloseConn(now Time, id ConnID) {
 	m.Advance(now)
 	if conn := m.conns[id]; conn != nil {
@@ -59,8 +60,8 @@
 	}
 }
 
-// dropConn forgets a connection. Its call gets no response, and is cancelled where
-// the destination's policy says so.
+// dropConn removes a connection. The call on it ends without a response, and is cancelled if the
+// destination's policy says so.
 func (m *Model) dropConn(conn *connection) {
 	delete(m.conns, conn.id)
 	delete(conn.endpoint.conns, conn.id)
@@ -78,7 +79,7 @@
 	}
 }
 
-// compactConnOrder drops closed connections from connOrder once they are most of it.
+// compactConnOrder removes closed connections from connOrder once they are more than half of it.
 func (e *endpoint) compactConnOrder() {
 	if len(e.connOrder) <= connOrderCompactLength || len(e.connOrder) <= 2*len(e.conns) {
 		return
@@ -92,7 +93,8 @@
 	e.connOrder = open
 }
 
-// startIdleTimeout has a connection closed if it stays unused from now on.
+// startIdleTimeout restarts the idle timer of a connection, which closes the connection if it stays
+// unused.
 func (m *Model) startIdleTimeout(conn *connection) {
 	conn.idleVersion++
 	version, timeout := conn.idleVersion, conn.endpoint.destination.IdleTimeout
@@ -108,7 +110,7 @@
 	})
 }
 
-// ReceiveHealthCheck is called when a health check has come.
+// ReceiveHealthCheck tells the model that a health check has arrived on a connection.
 func (m *Model) ReceiveHealthCheck(now Time, id ConnID) {
 	m.Advance(now)
 	conn := m.conns[id]
--- a/internal/emulator/endpoint/effects.go
+++ b/internal/emulator/endpoint/effects.go
@@ -1,40 +1,43 @@
 package endpoint
 
-// ListenerState says how an endpoint treats new connections.
+// ListenerState says how a listener treats new connections.
 type ListenerState uint8
 
 // States of a listener.
 const (
 	Accepting    ListenerState = iota
-	Refusing                   // there is no listener: connections are refused
+	Refusing                   // the port is closed, so connections are refused
 	Unresponsive               // connections are never established
 )
 
-// EffectKind says what an Effect asks for.
+// EffectKind says what the driver must do for an Effect.
 type EffectKind uint8
 
 // Kinds of effect.
 const (
-	WriteResponse EffectKind = iota // write a response on Conn: Status, RetryAfter, SlotsTaken, Defect; then Close
-	ResetConn                       // reset Conn
-	ShutConn                        // close Conn
-	SetListener                     // bring Endpoint's listeners into the state Listener
+	// WriteResponse: write a response with Status, RetryAfter, SlotsTaken and Defect to Conn. If Close
+	// is set, close Conn afterwards.
+	WriteResponse EffectKind = iota
+	ResetConn                // reset Conn
+	ShutConn                 // close Conn
+	SetListener              // set the state of Endpoint's listeners to Listener
 )
 
-// Effect is something that the model asks of its driver.
+// Effect is an action that the driver must carry out for the model.
 type Effect struct {
 	Kind       EffectKind
 	Conn       ConnID
 	Endpoint   int
 	Status     int
 	RetryAfter Time
-	SlotsTaken bool // the response says that the relay has as many calls in flight as it may
+	SlotsTaken bool // the response says that the relay has reached its limit of calls in flight
 	Defect     ResponseDefect
 	Close      bool
 	Listener   ListenerState
 }
 
-// TakeEffects appends the effects since the last call to a slice, in order.
+// TakeEffects appends the effects since its last call to the slice into, in order, and returns the
+// extended slice.
 func (m *Model) TakeEffects(into []Effect) []Effect {
 	into = append(into, m.effects...)
 	clear(m.effects)
--- a/internal/emulator/endpoint/faults.go
+++ b/internal/emulator/endpoint/faults.go
@@ -6,7 +6,7 @@
 	"troutusher/internal/event"
 )
 
-// InjectFault makes a fault active at an endpoint. ClearFault takes the same value.
+// InjectFault makes a fault active at an endpoint. To end it, pass the same pointer to ClearFault.
 func (m *Model) InjectFault(now Time, endpoint int, fault *Fault) {
 	m.Advance(now)
 	e := m.endpoints[endpoint]
@@ -32,7 +32,7 @@
 	m.applyFaults(e)
 }
 
-// ClearFault ends a fault.
+// ClearFault ends a fault that InjectFault made active.
 func (m *Model) ClearFault(now Time, endpoint int, fault *Fault) {
 	m.Advance(now)
 	e := m.endpoints[endpoint]
@@ -44,7 +44,7 @@
 		}
 	}
 	if fault.Kind == Blackhole && e.activeFault(Blackhole) == nil {
-		m.stopEndpoint(e, true) // the machine has restarted and knows none of its connections
+		m.stopEndpoint(e, true) // the machine has restarted and lost its connections
 	}
 	if fault.Kind == Hang && e.activeFault(Hang) == nil {
 		m.rejectBeyondQueueLimit(e)
@@ -53,8 +53,8 @@
 	m.applyFaults(e)
 }
 
-// rejectBeyondQueueLimit rejects the newest calls that came while an endpoint hung,
-// when every call was queued.
+// rejectBeyondQueueLimit rejects the newest queued calls until the queue is within its limit. An
+// endpoint that hangs queues every call, whatever the limit.
 func (m *Model) rejectBeyondQueueLimit(e *endpoint) {
 	for len(e.queue) > e.destination.QueueLimit {
 		c := e.queue[len(e.queue)-1]
@@ -63,8 +63,8 @@
 	}
 }
 
-// recoverFrom ends an outage, or a planned stop, whose last fault has been cleared:
-// the endpoint warms up.
+// recoverFrom updates an endpoint after a fault has been cleared. If that was the last fault of an
+// outage or of a planned stop, the endpoint begins to warm up.
 func (m *Model) recoverFrom(e *endpoint, fault *Fault) {
 	if fault.causesOutage() {
 		e.activeOutages--
@@ -85,14 +85,14 @@
 	}
 }
 
-// SetDraining has an endpoint take no new calls, or take them again.
+// SetDraining makes an endpoint reject new calls, or accept them again.
 func (m *Model) SetDraining(now Time, endpoint int, draining bool) {
 	m.Advance(now)
 	m.endpoints[endpoint].draining = draining
 }
 
-// stopEndpoint ends the calls of an endpoint: none of them takes effect any more.
-// With reset, its connections are reset too.
+// stopEndpoint discards the queued calls of an endpoint and those in service, none of which takes
+// effect any more. If reset is true, it also resets the endpoint's connections.
 func (m *Model) stopEndpoint(e *endpoint, reset bool) {
 	calls := append([]*call(nil), e.queue...)
 	e.queue = nil
@@ -123,7 +123,7 @@
 	e.connOrder = nil
 }
 
-// applyFaults brings speed and listener in line with the active faults.
+// applyFaults updates the service speed and the listener's state to match the active faults.
 func (m *Model) applyFaults(e *endpoint) {
 	e.advanceWork(m.now)
 	e.speed = e.serviceSpeed(m.now)
@@ -142,7 +142,7 @@
 	m.scheduleCompletion(e)
 }
 
-// activeFault is the first active fault of a kind, or nil.
+// activeFault returns the first active fault of a kind, or nil.
 func (e *endpoint) activeFault(kind FaultKind) *Fault {
 	for _, fault := range e.faults {
 		if fault.Kind == kind {
@@ -152,13 +152,13 @@
 	return nil
 }
 
-// isDown reports whether nobody is there to read a call.
+// isDown reports whether no process reads calls at the endpoint.
 func (e *endpoint) isDown() bool {
 	return e.collapsed || e.activeFault(Blackhole) != nil || e.activeFault(Crash) != nil ||
 		e.activeFault(PlannedStop) != nil
 }
 
-// dominantFault is the fault that decides what becomes of all calls, or nil.
+// dominantFault returns the active fault that decides the outcome of all calls, or nil.
 func (e *endpoint) dominantFault() *Fault {
 	for _, kind := range [...]FaultKind{Blackhole, Crash, PlannedStop, Hang, RejectAll, RejectWithRetryAfter} {
 		if fault := e.activeFault(kind); fault != nil {
@@ -174,7 +174,7 @@
 	return e.draining || fault != nil && (fault.Kind == RejectAll || fault.Kind == RejectWithRetryAfter)
 }
 
-// errorShare is the share of calls that fail quickly.
+// errorShare returns the share of calls that fail quickly.
 func (e *endpoint) errorShare() float64 {
 	passing := 1 - e.destination.ErrorShare
 	for _, fault := range e.faults {
--- a/internal/emulator/endpoint/h1/connection.go
+++ b/internal/emulator/endpoint/h1/connection.go
@@ -21,15 +21,15 @@
 	requestTimeout  = 10 * time.Second // from a request's first byte to its last
 )
 
-// connection is a connection of a relay: the stream that requests come on, and the
+// connection is a connection from a relay. Conn is the stream that carries the requests; tcp is the
 // socket below it.
 type connection struct {
 	net.Conn
 	tcp       *net.TCPConn
-	untrusted bool // over TLS, with an identity that the relay must not accept
+	untrusted bool // uses TLS, with an identity that the relay should have rejected
 }
 
-// CloseWrite ends the direction to the relay.
+// CloseWrite closes the direction towards the relay, if the stream supports that.
 func (c *connection) CloseWrite() error {
 	if half, ok := c.Conn.(interface{ CloseWrite() error }); ok {
 		return half.CloseWrite()
@@ -37,7 +37,7 @@
 	return nil
 }
 
-// serve reads requests from a connection until it ends.
+// serve performs the TLS handshake, if any, and reads requests from a connection until it ends.
 func (s *Server) serve(id endpoint.ConnID, endpointIndex int, conn *connection) {
 	defer s.wg.Done()
 	if s.handshake(id, endpointIndex, conn) {
@@ -61,14 +61,14 @@
 		if _, err := reader.Peek(1); err != nil {
 			return
 		}
-		// A whole request mostly lies in the buffer already.
+		// Usually the whole request is in the buffer already.
 		_ = conn.SetReadDeadline(time.Now().Add(requestTimeout)) // fails with the reads below
 		s.Update(func(m *endpoint.Model, now endpoint.Time) { m.ReceiveFirstByte(now, id) })
 		request, err := http.ReadRequest(reader)
 		if err != nil {
 			var netErr net.Error
 			if !errors.Is(err, io.EOF) && !errors.As(err, &netErr) {
-				_, _ = io.WriteString(conn, badRequestResponse) // the connection is closed, whatever comes of it
+				_, _ = io.WriteString(conn, badRequestResponse) // best effort: the connection is closed anyway
 			}
 			return
 		}
@@ -87,7 +87,7 @@
 	}
 }
 
-// handleRequest hands a request to the model; false ends the connection.
+// handleRequest passes a request to the model. It returns false if the connection must be closed.
 func (s *Server) handleRequest(id endpoint.ConnID, conn *connection, request *http.Request) bool {
 	switch {
 	case request.Method == http.MethodPost && request.URL.Path == callPath:
@@ -101,13 +101,13 @@
 	case request.Method == http.MethodGet && request.URL.Path == healthCheckPath:
 		s.Update(func(m *endpoint.Model, now endpoint.Time) { m.ReceiveHealthCheck(now, id) })
 	default:
-		// A write that fails ends the connection at its next read.
+		// If the write fails, the next read fails as well and ends the connection.
 		_, _ = io.WriteString(conn, notFoundResponse)
 	}
 	return true
 }
 
-// callTimeout is the caller's timeout; 0 where the request names none that is valid.
+// callTimeout returns the caller's timeout, or 0 if the request states no valid one.
 func callTimeout(request *http.Request) endpoint.Time {
 	ms, err := strconv.ParseInt(request.Header.Get("X-Timeout-Ms"), 10, 64)
 	if err != nil || ms < 0 || ms > maxTimeoutMs {
--- a/internal/emulator/endpoint/h1/listener.go
+++ b/internal/emulator/endpoint/h1/listener.go
@@ -14,24 +14,24 @@
 
 const (
 	acceptRetryDelay   = 5 * time.Millisecond
-	reopenTimeout      = 2 * time.Second // for a port that was closed
+	reopenTimeout      = 2 * time.Second // for listening again on a port that was closed
 	reopenRetryDelay   = 2 * time.Millisecond
 	backlogDialTimeout = 150 * time.Millisecond
 	acceptingBacklog   = 128
 )
 
-// relayListener is where one relay reaches one endpoint. The server's mu guards it.
+// relayListener accepts the connections of one relay to one endpoint. The server's mu guards it.
 type relayListener struct {
 	server        *Server
 	endpointIndex int
 	relay         int
 	port          int
-	listener      *net.TCPListener // nil while it refuses connections
+	listener      *net.TCPListener // nil while connections are refused
 	state         endpoint.ListenerState
-	stateChanged  *sync.Cond    // on the server's mu
-	generation    int           // counts changes of state
-	backlogConns  []net.Conn    // fill the backlog of an unresponsive listener
-	heldConns     []net.Conn    // accepted while unresponsive
+	stateChanged  *sync.Cond    // uses the server's mu
+	generation    int           // number of state changes so far
+	backlogConns  []net.Conn    // connections that fill the backlog of an unresponsive listener
+	heldConns     []net.Conn    // connections accepted while unresponsive
 	backlogFull   chan struct{} // closed once the backlog is full
 }
 
@@ -50,7 +50,7 @@
 	}, nil
 }
 
-// close closes the listener for good. The caller holds mu.
+// close closes the listener permanently. The caller holds mu.
 func (l *relayListener) close() {
 	l.generation++
 	if l.listener != nil {
@@ -74,7 +74,7 @@
 		if errors.Is(err, net.ErrClosed) || l.server.quit.Err() != nil {
 			return
 		}
-		select { // out of descriptors, or the connection has ended already
+		select { // out of file descriptors, or the peer has already closed the connection
 		case <-time.After(acceptRetryDelay):
 		case <-l.server.quit.Done():
 			return
@@ -82,8 +82,8 @@
 	}
 }
 
-// handleConn serves an accepted connection, or treats it as the listener's state says.
-// While the listener is unresponsive it does not return.
+// handleConn serves an accepted connection, holds it or resets it, depending on the listener's state.
+// It blocks while the listener is unresponsive, so that no further connection is accepted.
 func (l *relayListener) handleConn(tcp *net.TCPConn) {
 	s := l.server
 	s.mu.Lock()
@@ -108,7 +108,7 @@
 	go s.serve(id, l.endpointIndex, conn)
 }
 
-// setState changes how new connections are treated. The caller holds mu.
+// setState changes how the listener treats new connections. The caller holds mu.
 func (l *relayListener) setState(state endpoint.ListenerState) {
 	previous := l.state
 	l.state = state
@@ -135,8 +135,8 @@
 	}
 }
 
-// endUnresponsive drops the connections that came while the listener was
-// unresponsive, and has it accept again. The caller holds mu.
+// endUnresponsive closes the connections that were opened while the listener was unresponsive, and
+// lets the listener accept again. The caller holds mu.
 func (l *relayListener) endUnresponsive() {
 	for _, conn := range l.backlogConns {
 		_ = conn.Close()
@@ -150,7 +150,7 @@
 	l.stateChanged.Broadcast()
 }
 
-// reopen listens at the same port again. The caller holds mu.
+// reopen listens on the same port again, and retries for up to reopenTimeout. The caller holds mu.
 func (l *relayListener) reopen() {
 	deadline := time.Now().Add(reopenTimeout)
 	for {
@@ -162,7 +162,7 @@
 			return
 		}
 		if time.Now().After(deadline) {
-			err = fmt.Errorf("stand-in endpoint %d: open again: %w", l.endpointIndex, err)
+			err = fmt.Errorf("reopen listener of endpoint %d on port %d: %w", l.endpointIndex, l.port, err)
 			l.server.err = errors.Join(l.server.err, err)
 			return
 		}
@@ -170,28 +170,28 @@
 	}
 }
 
-// setBacklog sets how many connections may wait to be accepted. The caller holds mu.
+// setBacklog sets how many established connections may wait to be accepted. The caller holds mu.
 func (l *relayListener) setBacklog(length int) {
 	if l.listener == nil {
 		return
 	}
 	if raw, err := l.listener.SyscallConn(); err == nil {
-		// It fails on a closed listener alone, which has no backlog.
+		// Control fails only on a closed listener, which has no backlog.
 		_ = raw.Control(func(descriptor uintptr) { err = syscall.Listen(int(descriptor), length) })
 		l.server.err = errors.Join(l.server.err, err)
 	}
 }
 
-// fillBacklog fills the backlog of an unresponsive listener, so that further
-// connections are never established, as at a machine that cannot be reached.
+// fillBacklog dials an unresponsive listener until its backlog is full. Further connections are then
+// never established, as if the machine were unreachable.
 func (l *relayListener) fillBacklog(generation int, addr string, full chan struct{}) {
 	s := l.server
 	defer s.wg.Done()
 	defer close(full)
 	dialer := net.Dialer{Timeout: backlogDialTimeout}
 	for s.quit.Err() == nil {
-		// The accept loop takes one connection more: what was dialled before that
-		// says nothing of the backlog.
+		// The accept loop accepts one more connection before it blocks. Only a dial that begins after
+		// that and fails shows that the backlog is full.
 		s.mu.Lock()
 		acceptLoopWaits := len(l.heldConns) > 0
 		s.mu.Unlock()
@@ -213,8 +213,7 @@
 	}
 }
 
-// AwaitUnresponsive waits until no new connection is established at an unresponsive
-// endpoint.
+// AwaitUnresponsive waits until an unresponsive endpoint no longer establishes new connections.
 func (s *Server) AwaitUnresponsive(endpointIndex int) {
 	for _, l := range s.listeners[endpointIndex] {
 		s.mu.Lock()
--- a/internal/emulator/endpoint/h1/rates_test.go
+++ b/internal/emulator/endpoint/h1/rates_test.go
@@ -13,8 +13,8 @@
 	"troutusher/internal/emulator/endpoint"
 )
 
-// measureLoad keeps a number of calls in flight for a span that begins at a time, and
-// returns how many were delivered in each second.
+// measureLoad keeps one call of each caller in flight for a span that begins at began. It returns the
+// number of calls delivered in each second of the span.
 func (h *harness) measureLoad(
 	ctx context.Context, endpointIndex, callers int, began time.Time, span time.Duration,
 ) []float64 {
@@ -56,11 +56,11 @@
 	return perSecond
 }
 
-// TestMeasuredRatesOverSockets measures over sockets the rates that the emulator
-// serves, with no relay: each within 3%.
+// TestMeasuredRatesOverSockets checks that the emulator, called over TCP connections without a relay,
+// serves the configured rates within 3%.
 func TestMeasuredRatesOverSockets(t *testing.T) {
 	if testing.Short() {
-		t.Skip("takes seconds")
+		t.Skip("takes several seconds")
 	}
 	capacity := plainSpec()
 	capacity.Capacity = 400
@@ -80,12 +80,11 @@
 	f := &endpoint.Fault{Kind: endpoint.RejectAll}
 	h.server.Update(func(m *endpoint.Model, now endpoint.Time) { m.InjectFault(now, 3, f) })
 	const span = 5 * time.Second
-	// Rate limit windows are counted on the emulator's clock, so the span begins and
-	// ends with one: else it holds a part of an eleventh, as large as the callers are
-	// late.
+	// Rate limit windows are aligned to the emulator's clock, so the span begins and ends with a
+	// window. Otherwise it would include a part of an eleventh window, as long as the callers' delay.
 	began := h.began.Add((time.Since(h.began)/time.Second + 1) * time.Second)
-	// Where the capacity is measured, enough calls wait in the queue to bridge a
-	// pause in which this machine does other things.
+	// Where the capacity is measured, enough calls are queued to keep the endpoint busy while this
+	// machine does not schedule the callers.
 	callers := []int{60, 6, 6, 60}
 	type result struct{ delivered, want float64 }
 	results := make([]result, len(callers))
@@ -105,7 +104,7 @@
 				total.delivered += got[i]
 				total.want += want[i]
 			}
-			t.Logf("endpoint %d: %.0f a second, %.0f in all, want %.0f",
+			t.Logf("endpoint %d delivered %.0f calls in each second, %.0f in total, want %.0f",
 				endpointIndex, got[:len(want)], total.delivered, total.want)
 			results[endpointIndex] = total
 		}()
@@ -118,12 +117,12 @@
 		t.Error(err)
 	}
 	t.Logf("timers were %d µs late at the 99th percentile", lag)
-	if lag > 50*ms { // as a rehearsal would be
-		t.Skip("not counted: this machine is too busy to measure on; the model's own tests hold in virtual time")
+	if lag > 50*ms { // a rehearsal with such a lag would not count either
+		t.Skip("machine too busy to measure rates (timer lag above 50 ms); the model's tests use virtual time")
 	}
 	for endpointIndex, r := range results {
 		if math.Abs(r.delivered/r.want-1) > 0.03 {
-			t.Errorf("endpoint %d: %.0f calls, want %.0f within 3%%", endpointIndex, r.delivered, r.want)
+			t.Errorf("endpoint %d delivered %.0f calls, want %.0f within 3%%", endpointIndex, r.delivered, r.want)
 		}
 	}
 }
--- a/internal/emulator/endpoint/h1/responses.go
+++ b/internal/emulator/endpoint/h1/responses.go
@@ -19,13 +19,14 @@
 	notFoundResponse    = "HTTP/1.1 404 Not Found\r\nContent-Length: 0\r\n\r\n"
 )
 
-// An endless header ends after so many bytes, or once its reader has not read for so long.
+// Limits at which the server gives up writing an endless header: its size, and the time taken.
 const (
 	endlessHeaderBytes   = 128 << 10
 	endlessHeaderTimeout = 5 * time.Second
 )
 
-// responseText is the response that an effect asks for, except an endless header.
+// responseText returns the response for an effect. It does not cover an endless header, which
+// writeEndlessHeader writes.
 func responseText(response *endpoint.Effect) string {
 	switch {
 	case response.Status == http.StatusOK && response.Defect == endpoint.DuplicateResponse:
@@ -52,7 +53,7 @@
 	return text.String()
 }
 
-// writeEndlessHeader writes a header until its reader closes the connection.
+// writeEndlessHeader writes header fields until the peer closes the connection or a limit is reached.
 func writeEndlessHeader(conn net.Conn) {
 	field := "X-More: " + strings.Repeat("m", 1000) + "\r\n"
 	_ = conn.SetWriteDeadline(time.Now().Add(endlessHeaderTimeout)) // fails with the writes below
--- a/internal/emulator/endpoint/h1/responses_test.go
+++ b/internal/emulator/endpoint/h1/responses_test.go
@@ -27,7 +27,7 @@
 		},
 	} {
 		if got := responseText(&test.response); got != test.want {
-			t.Errorf("%+v: %q, want %q", test.response, got, test.want)
+			t.Errorf("responseText(%+v) = %q, want %q", test.response, got, test.want)
 		}
 	}
 }
--- a/internal/emulator/endpoint/h1/server.go
+++ b/internal/emulator/endpoint/h1/server.go
@@ -1,9 +1,9 @@
-// Package h1 serves the endpoint emulator over HTTP/1.1 (RFC 9112) on loopback. It
-// owns listeners, connections and the clock, reports requests to the model and
-// carries out its effects. It must never decide on a response, nor listen on an
-// address that another machine can reach. Each connection has a goroutine that reads;
-// responses are written by the goroutine that advances the model, so that thousands
-// of calls in service need no goroutines.
+// Package h1 serves the endpoint emulator over HTTP/1.1 (RFC 9112). It listens on loopback addresses
+// only, so that no other machine can reach it. It owns the listeners, the connections and the clock,
+// reports requests to the model and carries out the model's effects; only the model decides on
+// responses. Each connection has a goroutine that reads requests. The goroutine that advances the
+// model writes the responses, so that calls in service, of which there may be thousands, need no
+// goroutines of their own.
 package h1
 
 import (
@@ -22,15 +22,15 @@
 )
 
 const (
-	// writeTimeout is short, since responses fit the socket's buffer.
+	// writeTimeout is short because a response fits in the socket's send buffer.
 	writeTimeout = 20 * time.Millisecond
 	// noTimerWait is how long the timer goroutine sleeps while no timer is set.
 	noTimerWait = time.Hour
-	// maxTimerLag is the highest timer lag that is recorded, in µs.
+	// maxTimerLag is the largest timer lag that is recorded, in µs.
 	maxTimerLag = 60_000_000
 )
 
-// Server drives a model over sockets.
+// Server connects a model to TCP connections and the system clock.
 type Server struct {
 	clock func() endpoint.Time
 	wake  chan struct{} // wakes the timer goroutine
@@ -38,9 +38,9 @@
 	quit  context.Context
 	stop  context.CancelFunc
 
-	mu        sync.Mutex // guards all below, and the model
+	mu        sync.Mutex // guards the fields below and the model
 	model     *endpoint.Model
-	nextWake  endpoint.Time // when the timer goroutine wakes by itself; 0 for never
+	nextWake  endpoint.Time // when the timer goroutine wakes next without a signal; 0 for never
 	conns     map[endpoint.ConnID]*connection
 	identity  func(endpointIndex int) *TLSIdentity // nil without TLS
 	listeners [][]*relayListener                   // by endpoint and relay
@@ -49,8 +49,8 @@
 	err       error
 }
 
-// New starts listeners for a model's endpoints, one for each relay. From then on the
-// model must be used through Update alone.
+// New starts a server for a model. Each endpoint gets one listener for each relay. After New, the
+// model must only be accessed through Update.
 func New(model *endpoint.Model, relays int, clock func() endpoint.Time) (*Server, error) {
 	s := &Server{
 		clock:    clock,
@@ -66,7 +66,7 @@
 			l, err := newRelayListener(s, endpointIndex, relay)
 			if err != nil {
 				s.Close()
-				return nil, fmt.Errorf("stand-in endpoint: %w", err)
+				return nil, fmt.Errorf("start listener of endpoint %d for relay %d: %w", endpointIndex, relay, err)
 			}
 			byRelay = append(byRelay, l)
 		}
@@ -83,12 +83,12 @@
 	return s, nil
 }
 
-// Addr is the address at which a relay reaches an endpoint.
+// Addr returns the address at which a relay reaches an endpoint.
 func (s *Server) Addr(endpointIndex, relay int) string {
 	return net.JoinHostPort(loopback.Host(), strconv.Itoa(s.listeners[endpointIndex][relay].port))
 }
 
-// Update changes the model, such as by a fault, and carries out the effects.
+// Update applies a change to the model, such as the injection of a fault, and carries out the effects.
 func (s *Server) Update(change func(m *endpoint.Model, now endpoint.Time)) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -96,22 +96,22 @@
 	s.applyEffects()
 }
 
-// TimerLag is how late the model's timers ran, in µs, at a quantile from 0 to 100. The
-// error is that of a listener that could not be reopened, if any.
-func (s *Server) TimerLag(quantile float64) (endpoint.Time, error) {
+// TimerLag returns a percentile, from 0 to 100, of how late the model's timers ran, in µs. The error
+// joins the errors of listeners that could not be reopened or reconfigured.
+func (s *Server) TimerLag(percentile float64) (endpoint.Time, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.timerLag.ValueAtQuantile(quantile), s.err
+	return s.timerLag.ValueAtQuantile(percentile), s.err
 }
 
-// ConnCount is the number of open connections.
+// ConnCount returns the number of open connections.
 func (s *Server) ConnCount() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return len(s.conns)
 }
 
-// Close closes all listeners and connections and waits for the goroutines.
+// Close closes all listeners and connections, and waits until the server's goroutines have ended.
 func (s *Server) Close() {
 	s.stop()
 	s.mu.Lock()
@@ -143,7 +143,7 @@
 	}
 }
 
-// runDueTimers runs what is due and returns the time until the next timer.
+// runDueTimers runs the timers that are due and returns the time until the next one.
 func (s *Server) runDueTimers() time.Duration {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -153,7 +153,7 @@
 		if !ok || next > now {
 			break
 		}
-		_ = s.timerLag.RecordValue(max(now-next, 1)) // a lag above the maximum is left out
+		_ = s.timerLag.RecordValue(max(now-next, 1)) // fails for a lag above maxTimerLag, which is left out
 		s.model.Advance(next)
 	}
 	s.applyEffects()
@@ -166,8 +166,8 @@
 	return time.Duration(max(next-s.clock(), 0)) * time.Microsecond
 }
 
-// applyEffects carries out the model's effects, in their order, and wakes the timer
-// goroutine where a timer is due earlier than it wakes by itself. The caller holds mu.
+// applyEffects carries out the model's effects in order. It wakes the timer goroutine if a timer is
+// due before that goroutine's next wake-up. The caller holds mu.
 func (s *Server) applyEffects() {
 	s.effects = s.model.TakeEffects(s.effects[:0])
 	for i := range s.effects {
@@ -212,8 +212,8 @@
 		}()
 		return
 	}
-	// A few hundred bytes fit the socket's buffer; a peer that never reads is owed no
-	// more. Its connection may be closed by now.
+	// Errors are ignored: the few hundred bytes fit in the socket's send buffer unless the peer never
+	// reads, and the connection may already be closed.
 	_ = conn.SetWriteDeadline(time.Now().Add(writeTimeout))
 	_, _ = io.WriteString(conn, responseText(response))
 	if response.Close {
--- a/internal/emulator/endpoint/h1/server_test.go
+++ b/internal/emulator/endpoint/h1/server_test.go
@@ -32,8 +32,8 @@
 	events    []event.Event
 }
 
-// newHarness serves endpoints for the specifications. Messages with IDs that begin
-// with m are known.
+// newHarness starts a server with the specified endpoints. Messages are known if their IDs begin with
+// "m".
 func newHarness(t testing.TB, specs ...endpoint.Spec) *harness {
 	t.Helper()
 	h := &harness{t: t, began: time.Now(), effectsOf: map[string]int{}}
@@ -70,17 +70,17 @@
 	h.server.Update(func(m *endpoint.Model, now endpoint.Time) { m.ClearFault(now, 0, f) })
 }
 
-func (h *harness) waitFor(what string, cond func() bool) {
+func (h *harness) waitFor(description string, condition func() bool) {
 	h.t.Helper()
 	for end := time.Now().Add(20 * time.Second); time.Now().Before(end); time.Sleep(time.Millisecond) {
 		h.mu.Lock()
-		ok := cond()
+		ok := condition()
 		h.mu.Unlock()
 		if ok {
 			return
 		}
 	}
-	h.t.Fatalf("never came: %s", what)
+	h.t.Fatalf("timed out after 20 s waiting for %s", description)
 }
 
 func plainSpec() endpoint.Spec {
@@ -100,7 +100,7 @@
 	}
 }
 
-// client is a relay's connection.
+// client is a connection of a relay to an endpoint.
 type client struct {
 	net.Conn
 	reader *bufio.Reader
@@ -130,12 +130,12 @@
 	return resp, err
 }
 
-// expectStatus reads a response and fails the test where its status is another one.
-func (h *harness) expectStatus(c *client, what string, want int) {
+// expectStatus reads the response to a request and fails the test unless it has the wanted status.
+func (h *harness) expectStatus(c *client, request string, want int) {
 	h.t.Helper()
 	resp, err := c.readResponse(5 * time.Second)
 	if err != nil || resp.StatusCode != want {
-		h.t.Fatalf("%s: %v, %v, want status %d", what, resp, err, want)
+		h.t.Fatalf("response to %s = %v, error %v, want status %d", request, resp, err, want)
 	}
 }
 
@@ -159,36 +159,37 @@
 		c.sendCall("m1")
 		resp, err := c.readResponse(5 * time.Second)
 		if err != nil || resp.StatusCode != test.status || resp.Header.Get("Retry-After") != test.retryAfter {
-			t.Fatalf("%+v: %v, %v", test.fault, resp, err)
+			t.Fatalf("response under fault %+v = %v, error %v, want status %d and Retry-After %q",
+				test.fault, resp, err, test.status, test.retryAfter)
 		}
 		if test.fault != nil {
 			h.clearFault(test.fault)
 		}
 	}
 	c.sendCall("unknown")
-	h.expectStatus(c, "an unknown message", 400)
+	h.expectStatus(c, "a call for an unknown message", 400)
 	_, _ = io.WriteString(c, "GET /health/live HTTP/1.1\r\n\r\n")
-	h.expectStatus(c, "health check", 200)
+	h.expectStatus(c, "a health check", 200)
 	_, _ = io.WriteString(c, "GET /stats HTTP/1.1\r\n\r\n")
-	h.expectStatus(c, "an unknown path", 404)
+	h.expectStatus(c, "a request for an unknown path", 404)
 }
 
-func TestCrashRefusesAndComesBackAtItsAddress(t *testing.T) {
+func TestCrashedEndpointRefusesConnectionsAndRecoversAtItsAddress(t *testing.T) {
 	h := newHarness(t, plainSpec())
 	c := h.dial()
 	f := &endpoint.Fault{Kind: endpoint.Crash}
 	for range 3 {
 		h.injectFault(f)
 		if _, err := c.readResponse(5 * time.Second); !errors.Is(err, syscall.ECONNRESET) {
-			t.Fatalf("an open connection: %v", err)
+			t.Fatalf("read from an open connection after the crash: error %v, want ECONNRESET", err)
 		}
 		if _, err := net.Dial("tcp", h.server.Addr(0, 0)); !errors.Is(err, syscall.ECONNREFUSED) {
-			t.Fatalf("a new connection: %v", err)
+			t.Fatalf("dial of a crashed endpoint: error %v, want ECONNREFUSED", err)
 		}
 		h.clearFault(f)
 		c = h.dial()
 		c.sendCall("m1")
-		h.expectStatus(c, "after the recovery", 200)
+		h.expectStatus(c, "a call after the recovery", 200)
 	}
 }
 
@@ -202,36 +203,36 @@
 	h.server.AwaitUnresponsive(0)
 	c.sendCall("m2")
 	if _, err := c.readResponse(200 * time.Millisecond); !errors.Is(err, os.ErrDeadlineExceeded) {
-		t.Fatalf("an open connection: %v", err)
+		t.Fatalf("read from an open connection to a blackholed endpoint: error %v, want a timeout", err)
 	}
 	if conn, err := net.DialTimeout("tcp", h.server.Addr(0, 0), 200*time.Millisecond); err == nil {
 		_ = conn.Close()
-		t.Error("a new connection was established")
+		t.Error("dial of a blackholed endpoint established a connection, want a timeout")
 	}
 	h.clearFault(f)
 	if _, err := c.readResponse(5 * time.Second); !errors.Is(err, syscall.ECONNRESET) {
-		t.Errorf("after the recovery: %v", err)
+		t.Errorf("read from the old connection after the recovery: error %v, want ECONNRESET", err)
 	}
 	c = h.dial()
 	c.sendCall("m3")
-	h.expectStatus(c, "a new connection then", 200)
+	h.expectStatus(c, "a call on a new connection after the recovery", 200)
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	if h.effectsOf["m2"] != 0 || h.effectsOf["m3"] != 1 {
-		t.Errorf("effects: %v", h.effectsOf)
+		t.Errorf("effects by message = %v, want none of m2 and one of m3", h.effectsOf)
 	}
 }
 
-func TestCallRunsOnAfterItsCallerLeft(t *testing.T) {
+func TestCallTakesEffectAfterItsCallerHasDisconnected(t *testing.T) {
 	s := plainSpec()
 	s.Capacity, s.ServiceTimes[0].Mean = 10, 100*ms
 	h := newHarness(t, s)
 	c := h.dial()
 	c.sendCall("m1")
-	h.waitFor("the call", func() bool { return len(h.events) > 1 })
+	h.waitFor("the call to arrive", func() bool { return len(h.events) > 1 })
 	_ = c.Close()
 	h.waitFor(
-		"its effect and its end",
+		"the effect and the CallFinal event of the call",
 		func() bool { return h.effectsOf["m1"] == 1 && h.events[len(h.events)-1].Kind == event.CallFinal },
 	)
 	h.mu.Lock()
@@ -241,19 +242,19 @@
 		order += e.Kind.String() + "; "
 	}
 	if want := "call's first byte; call; call's end; ran; call over; "; order != want {
-		t.Errorf("%s\nwant %s", order, want)
+		t.Errorf("order of events = %s\nwant %s", order, want)
 	}
 }
 
-func TestResetAfterTheLastByteRunsOn(t *testing.T) {
+func TestCallWhoseConnectionIsResetTakesEffect(t *testing.T) {
 	h := newHarness(t, plainSpec())
 	h.injectFault(&endpoint.Fault{Kind: endpoint.ConnectionReset, Share: 1})
 	c := h.dial()
 	c.sendCall("m1")
 	if _, err := c.readResponse(5 * time.Second); !errors.Is(err, syscall.ECONNRESET) {
-		t.Errorf("read: %v", err)
+		t.Errorf("read of the response: error %v, want ECONNRESET", err)
 	}
-	h.waitFor("its effect", func() bool { return h.effectsOf["m1"] == 1 })
+	h.waitFor("the effect of the call", func() bool { return h.effectsOf["m1"] == 1 })
 }
 
 func TestLateResponseComesAfterTheCallersTimeout(t *testing.T) {
@@ -264,7 +265,8 @@
 	c.sendCall("m1")
 	resp, err := c.readResponse(5 * time.Second)
 	if took := time.Since(at); err != nil || resp.StatusCode != 200 || took < 150*time.Millisecond {
-		t.Errorf("%v, %v after %v; the timeout is 100 ms and 50 come on top", resp, err, took)
+		t.Errorf("response = %v, error %v after %v, want status 200 after 150 ms (timeout 100 ms + 50 ms) or more",
+			resp, err, took)
 	}
 }
 
@@ -280,21 +282,21 @@
 		resp, err := c.readResponse(300 * time.Millisecond)
 		if defect == endpoint.DuplicateResponse {
 			if err != nil || resp.StatusCode != 200 {
-				t.Errorf("%s: %v, %v", defect, resp, err)
+				t.Errorf("first response with defect %q = %v, error %v, want status 200", defect, resp, err)
 			}
 			if again, err := c.readResponse(5 * time.Second); err != nil || again.StatusCode != 200 {
-				t.Errorf("%s: the second: %v, %v", defect, again, err)
+				t.Errorf("second response with defect %q = %v, error %v, want status 200", defect, again, err)
 			}
 		} else if err == nil {
-			t.Errorf("%s: read as %v", defect, resp)
+			t.Errorf("response with defect %q was parsed as %v, want an error", defect, resp)
 		}
 		h.clearFault(f)
-		h.waitFor("its effect", func() bool { return h.effectsOf["m-"+string(defect)] == 1 })
+		h.waitFor("the effect of the call", func() bool { return h.effectsOf["m-"+string(defect)] == 1 })
 		_ = c.Close()
 	}
 }
 
-func TestInvalidRequestsEndAConnectionAndNothingElse(t *testing.T) {
+func TestInvalidRequestEndsOnlyItsConnection(t *testing.T) {
 	h := newHarness(t, plainSpec())
 	for _, text := range []string{
 		"\x00\xff\x00\r\n\r\n", "POST /v1/messages HTTP/1.1\r\nContent-Length: 999999999\r\n\r\n",
@@ -306,20 +308,20 @@
 		_, _ = io.WriteString(c, text)
 		c.CloseWrite()
 		if resp, err := c.readResponse(5 * time.Second); err == nil && resp.StatusCode != 400 {
-			t.Errorf("%.40q: %v", text, resp)
+			t.Errorf("response to %.40q = %v, want status 400", text, resp)
 		}
 	}
 	c := h.dial()
 	c.sendCall("m1")
-	c.sendCall("m2") // before the first is answered
+	c.sendCall("m2") // before the response to m1
 	if _, err := c.readResponse(5 * time.Second); err == nil {
 		if _, err = c.readResponse(5 * time.Second); err == nil {
-			t.Error("two calls at once on one connection")
+			t.Error("two concurrent calls on one connection both got a response, want the connection reset")
 		}
 	}
 	c = h.dial()
 	c.sendCall("m3")
-	h.expectStatus(c, "afterwards", 200)
+	h.expectStatus(c, "a valid call after the invalid requests", 200)
 }
 
 func (c *client) CloseWrite() { _ = c.Conn.(*net.TCPConn).CloseWrite() }
--- a/internal/emulator/endpoint/h1/tls.go
+++ b/internal/emulator/endpoint/h1/tls.go
@@ -9,23 +9,22 @@
 
 const handshakeTimeout = 10 * time.Second
 
-// TLSIdentity is how an endpoint presents itself over TLS.
+// TLSIdentity says how an endpoint identifies itself over TLS.
 type TLSIdentity struct {
 	Config         *tls.Config
-	HandshakeDelay time.Duration // what a handshake takes longer
-	ResetHandshake bool          // connections are reset in the middle of the handshake
-	Trusted        bool          // a relay is to accept it
+	HandshakeDelay time.Duration // extra time that a handshake takes
+	ResetHandshake bool          // reset connections in the middle of the handshake
+	Trusted        bool          // relays should accept the identity
 }
 
-// EnableTLS has endpoints speak TLS where identity returns one, on connections from
-// now on.
+// EnableTLS makes an endpoint use TLS on new connections if identity returns an identity for it.
 func (s *Server) EnableTLS(identity func(endpointIndex int) *TLSIdentity) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.identity = identity
 }
 
-// tlsIdentity is the identity of an endpoint, or nil where it does not speak TLS.
+// tlsIdentity returns the identity of an endpoint, or nil if the endpoint does not use TLS.
 func (s *Server) tlsIdentity(endpointIndex int) *TLSIdentity {
 	s.mu.Lock()
 	identity := s.identity
@@ -36,17 +35,17 @@
 	return identity(endpointIndex)
 }
 
-// handshake does the TLS handshake of a connection, where its endpoint speaks TLS. It
-// reports whether requests can be read.
+// handshake performs the TLS handshake of a connection if its endpoint uses TLS. It reports whether
+// requests can be read afterwards.
 func (s *Server) handshake(id endpoint.ConnID, endpointIndex int, conn *connection) bool {
 	identity := s.tlsIdentity(endpointIndex)
 	if identity == nil {
 		return true
 	}
 	if identity.ResetHandshake {
-		// A deadline cannot be set on a closed connection alone, which ends the read too.
+		// Setting the deadline fails only on a closed connection, on which the read fails as well.
 		_ = conn.tcp.SetDeadline(time.Now().Add(handshakeTimeout))
-		_, _ = conn.tcp.Read(make([]byte, 1)) // of the client's first flight
+		_, _ = conn.tcp.Read(make([]byte, 1)) // the first byte of the client's first flight
 		_ = conn.tcp.SetLinger(0)
 		return false
 	}
@@ -55,13 +54,13 @@
 	err := secured.HandshakeContext(s.quit)
 	_ = conn.tcp.SetDeadline(time.Time{})
 	s.Update(func(m *endpoint.Model, now endpoint.Time) {
-		conn.Conn, conn.untrusted = secured, !identity.Trusted // read under the lock
+		conn.Conn, conn.untrusted = secured, !identity.Trusted // set under the lock, under which responses are written
 		m.CompleteHandshake(now, id, err == nil && secured.ConnectionState().DidResume)
 	})
 	return err == nil
 }
 
-// handshakeConfig is the configuration of one handshake, with its delay.
+// handshakeConfig returns the TLS configuration of one handshake, including the identity's delay.
 func (s *Server) handshakeConfig(identity *TLSIdentity) *tls.Config {
 	config := identity.Config.Clone()
 	if identity.HandshakeDelay <= 0 {
--- a/internal/emulator/endpoint/h1/tls_test.go
+++ b/internal/emulator/endpoint/h1/tls_test.go
@@ -38,8 +38,9 @@
 const callRequest = "POST /v1/messages HTTP/1.1\r\nHost: x\r\nX-Request-ID: m1\r\nX-Timeout-Ms: 1000\r\n" +
 	"Content-Length: 0\r\n\r\n"
 
-// A call over a connection whose TLS identity must not be accepted is an unknown call,
-// and has no effect; over one that may be accepted it takes effect.
+// TestCallsOverUntrustedConnectionsHaveNoEffect guards against a relay's call taking effect at an
+// endpoint whose TLS identity the relay should have rejected. Such a call must be recorded as an
+// unknown call. A call to an endpoint with a trusted identity takes effect.
 func TestCallsOverUntrustedConnectionsHaveNoEffect(t *testing.T) {
 	for _, trusted := range []bool{true, false} {
 		h := newHarness(t, plainSpec())
@@ -51,7 +52,7 @@
 		if !trusted {
 			want = event.UnknownCall
 		}
-		h.waitFor("the event", func() bool {
+		h.waitFor("the event of the call", func() bool {
 			for _, e := range h.events {
 				if e.Kind == want {
 					return true
@@ -61,13 +62,14 @@
 		})
 		h.mu.Lock()
 		if n := h.effectsOf["m1"]; (n == 1) != trusted {
-			t.Errorf("trusted %v: %d effects", trusted, n)
+			t.Errorf("effects of a call with trusted identity %v = %d, want 1 only if trusted", trusted, n)
 		}
 		h.mu.Unlock()
 	}
 }
 
-// Handshakes alone make an endpoint collapse that warms up, where each costs as much as calls.
+// TestHandshakesCountAsLoad checks that TLS handshakes without any call make an endpoint collapse
+// while it warms up, if a handshake has a cost.
 func TestHandshakesCountAsLoad(t *testing.T) {
 	for _, cost := range []float64{0, 4} {
 		s := plainSpec()
@@ -99,7 +101,7 @@
 			}
 		}
 		if collapsed() != (cost > 0) {
-			t.Errorf("cost %v: collapsed: %v", cost, collapsed())
+			t.Errorf("collapsed with handshake cost %v = %v, want %v", cost, collapsed(), cost > 0)
 		}
 	}
 }
--- a/internal/emulator/endpoint/model.go
+++ b/internal/emulator/endpoint/model.go
@@ -4,26 +4,25 @@
 	"troutusher/internal/event"
 )
 
-// Message is what the emulator knows of a message that calls may be for.
+// Message holds the facts about a submitted message that the emulator needs to handle its calls.
 type Message struct {
-	Number      int // in the plan; its service times are drawn by it
+	Number      int // position in the plan; determines the random draws for its calls
 	Class       int
 	Destination int
-	Finished    bool // nothing more is owed for it
+	Finished    bool // its outcome is settled; no further calls are allowed
 }
 
-// Rules are the platform's limits, which hold at every destination.
+// Rules are the platform's limits, which apply at every destination.
 type Rules struct {
 	Relays      int
-	MaxInFlight int // calls that a relay may have in flight; 0 for any number
-	MaxAttempts int // calls for one message; 0 for any number
+	MaxInFlight int // calls that a relay may have in flight; 0 for no limit
+	MaxAttempts int // calls for one message; 0 for no limit
 }
 
-// ConnID identifies a connection. 0 is none.
+// ConnID identifies a connection. The zero value means no connection.
 type ConnID uint64
 
-// Model emulates the endpoints of all destinations of a rehearsal. It is not safe
-// for concurrent use.
+// Model emulates the endpoints of all destinations of a rehearsal. It is not safe for concurrent use.
 type Model struct {
 	seed          uint64
 	rules         Rules
@@ -34,27 +33,27 @@
 	conns         map[ConnID]*connection
 	lastConn      ConnID
 	lastCall      uint64
-	attempts      map[string]int // calls so far, by message
-	inFlight      []int          // calls in flight, by relay
+	attempts      map[string]int // number of calls so far, by message
+	inFlight      []int          // number of calls in flight, by relay
 	timers        timerQueue
 	lastTimer     uint64
 	now           Time
 	effects       []Effect
-	nextKeySweep  Time // when idempotency keys are next deleted whose window is over
+	nextKeySweep  Time // when expired idempotency keys are deleted next
 }
 
-// destination is what its endpoints share.
+// destination is the state that the endpoints of a destination share.
 type destination struct {
 	Spec
 	limiter    *rateLimiter
-	dedupUntil map[string]Time // by idempotency key: until when a repeat is dropped
+	dedupUntil map[string]Time // by idempotency key: the time until which repeats are dropped
 }
 
 // endpoint is one endpoint of a destination.
 type endpoint struct {
 	index             int
 	destination       *destination
-	concurrency       int     // calls in service at once
+	concurrency       int     // maximum number of calls in service
 	serviceTimeScale  float64 // factor on service times, see Spec.concurrency
 	faults            []*Fault
 	draining          bool
@@ -63,21 +62,21 @@
 	connOrder         []ConnID // of conns, by age
 	inService         completionHeap
 	queue             []*call
-	workDone          float64 // work that a call in service since time 0 would have got, in µs at full speed
-	workDoneAt        Time    // time of workDone
-	speed             float64 // work per µs
-	completionVersion int     // of the timer of the next completion
+	workDone          float64 // work that a call in service since time 0 would have received, in µs at full speed
+	workDoneAt        Time    // time up to which workDone is computed
+	speed             float64 // work that each call in service receives per µs
+	completionVersion int     // completion timers of an older version are ignored
 	activeOutages     int
 	warmingUp         bool
 	recoveredAt       Time
 	collapsed         bool
 	group             *warmUpGroup
 	limiter           *rateLimiter
-	handshakeCost     float64 // of TLS handshakes, in calls; the part that is not yet a whole call
+	handshakeCost     float64 // load of TLS handshakes, in calls, that does not yet add up to a whole call
 }
 
-// New makes a model. lookup returns the messages that were submitted; emit is called
-// with each event, in order.
+// New returns a model of the endpoints in specs. The model calls lookup to find a submitted message,
+// and emit with each event, in order.
 func New(
 	specs []Spec, rules Rules, seed uint64, lookup func(id string) (Message, bool), emit func(event.Event),
 ) (*Model, error) {
@@ -123,21 +122,22 @@
 	m.destinations = append(m.destinations, d)
 }
 
-// Endpoints is the number of endpoints. They are numbered from 0, in the order of
-// the specifications.
+// Endpoints returns the number of endpoints. They are numbered from 0, in the order of the
+// specifications.
 func (m *Model) Endpoints() int { return len(m.endpoints) }
 
-// Destination is the destination of an endpoint.
+// Destination returns the number of the destination that an endpoint belongs to.
 func (m *Model) Destination(endpoint int) int { return m.endpoints[endpoint].destination.Destination }
 
-// Capacity is the rate that an endpoint can serve at a time, in calls a second. It
-// leaves slow service out: the rule on recovered destinations is about warm-up.
+// Capacity returns the rate that an endpoint can serve at the time now, in calls per second. It
+// ignores SlowService faults, because the rule about recovering destinations concerns only the
+// warm-up.
 func (m *Model) Capacity(endpoint int, now Time) float64 {
 	e := m.endpoints[endpoint]
 	return e.destination.Capacity * e.capacityShare(now)
 }
 
-// record emits an event of now.
+// record emits an event at the model's current time.
 func (m *Model) record(e event.Event) {
 	e.At = m.now
 	m.emit(e)
--- a/internal/emulator/endpoint/model_test.go
+++ b/internal/emulator/endpoint/model_test.go
@@ -37,7 +37,7 @@
 	return h
 }
 
-// plainSpec is a destination without limits, delays or warm-up.
+// plainSpec returns a destination without rate limit, network delay or warm-up.
 func plainSpec() Spec {
 	return Spec{
 		Name: "p", Destination: 1, Endpoints: 1, Capacity: 10, QueueLimit: 5, ServiceTimes: []ServiceTime{
@@ -47,8 +47,8 @@
 	}
 }
 
-// warmUpSpec is a destination that warms up for 10 s after an outage and collapses
-// when 1.5 times its capacity arrives within 2 s.
+// warmUpSpec returns a destination that warms up for 10 s after an outage. It collapses if the calls
+// that arrive within 2 s exceed 1.5 times what it can serve in that time.
 func warmUpSpec() Spec {
 	s := plainSpec()
 	s.Capacity, s.QueueLimit = 20, 50
@@ -72,7 +72,8 @@
 	h.effects = h.model.TakeEffects(h.effects)
 }
 
-// call calls an endpoint for a new message, on a new connection.
+// call sends a call for a new message to an endpoint, on a new connection. It returns the ID of the
+// message and that of the connection.
 func (h *harness) call(endpoint, relay int, key string) (string, ConnID) {
 	h.lastID++
 	id := fmt.Sprintf("m%d", h.lastID)
@@ -80,7 +81,7 @@
 	return id, h.callAgain(id, endpoint, relay, key)
 }
 
-// callAgain is another call for a message, on a new connection.
+// callAgain sends another call for a message, on a new connection.
 func (h *harness) callAgain(id string, endpoint, relay int, key string) ConnID {
 	c := h.model.OpenConn(h.now, endpoint, relay)
 	h.model.ReceiveFirstByte(h.now, c)
@@ -89,7 +90,7 @@
 	return c
 }
 
-// count counts the events of a kind that a filter accepts.
+// count returns the number of events of a kind that accept returns true for; a nil accept counts all.
 func (h *harness) count(kind event.Kind, accept func(event.Event) bool) (n int) {
 	for _, e := range h.events {
 		if e.Kind == kind && (accept == nil || accept(e)) {
@@ -99,7 +100,8 @@
 	return n
 }
 
-// statusOn is the status of the response on a connection, -1 for a reset, 0 for neither.
+// statusOn returns the status of the response on a connection, -1 if the connection was reset, or 0 if
+// neither has happened.
 func (h *harness) statusOn(c ConnID) int {
 	for _, e := range h.effects {
 		if e.Conn == c {
@@ -114,10 +116,10 @@
 	return 0
 }
 
-func (h *harness) expect(what string, got, want int) {
+func (h *harness) expect(quantity string, got, want int) {
 	h.t.Helper()
 	if got != want {
-		h.t.Errorf("%s: %d, want %d", what, got, want)
+		h.t.Errorf("%s = %d, want %d", quantity, got, want)
 	}
 }
 
@@ -139,7 +141,7 @@
 		s.Capacity, s.ServiceTimes[0] = c.capacity, ServiceTime{c.mean, c.dist, c.cv}
 		h := newHarness(t, Rules{}, s)
 		span := Time(20_000 / c.capacity * 1e6)
-		for h.now < span { // always more than it can do
+		for h.now < span { // offer more calls than the endpoint can serve
 			for len(h.model.endpoints[0].queue) < 4 {
 				h.call(0, 0, "")
 			}
@@ -148,36 +150,37 @@
 		}
 		got := float64(h.count(event.TookEffect, nil)) / float64(span) * 1e6
 		if math.Abs(got/c.capacity-1) > 0.03 {
-			t.Errorf("capacity %v with %s: served %.3f/s", c.capacity, c.dist, got)
+			t.Errorf("rate served with capacity %v and %s service times = %.3f/s, want the capacity within 3%%",
+				c.capacity, c.dist, got)
 		}
 	}
 }
 
 func TestRateLimits(t *testing.T) {
 	for _, c := range []struct {
-		name   string
-		limit  RateLimit
-		every  Time // a call comes
-		served float64
-		status int
+		name     string
+		limit    RateLimit
+		interval Time    // between calls
+		served   float64 // calls per second
+		status   int     // of rejected calls
 	}{
-		{"none", RateLimit{Kind: NoLimit}, 50 * ms, 20, 0},
-		{"rate", RateLimit{Kind: TokenBucket, PerSecond: 7, Burst: 3}, 50 * ms, 7, event.StatusRejected},
+		{"no limit", RateLimit{Kind: NoLimit}, 50 * ms, 20, 0},
+		{"token bucket", RateLimit{Kind: TokenBucket, PerSecond: 7, Burst: 3}, 50 * ms, 7, event.StatusRejected},
 		{
-			"rate limit with Retry-After",
+			"token bucket with Retry-After",
 			RateLimit{Kind: TokenBucket, PerSecond: 7, Burst: 3, RetryAfter: 400 * ms},
 			50 * ms, 7,
 			event.StatusRetryLater,
 		},
-		{"window", RateLimit{Kind: FixedWindow, PerSecond: 9, Window: sec}, 50 * ms, 9, event.StatusRejected},
+		{"window of 1 s", RateLimit{Kind: FixedWindow, PerSecond: 9, Window: sec}, 50 * ms, 9, event.StatusRejected},
 		{
-			"window of half a second",
+			"window of 0.5 s",
 			RateLimit{Kind: FixedWindow, PerSecond: 9, Window: sec / 2},
 			50 * ms, 8,
 			event.StatusRejected,
 		},
 		{
-			"rejected calls count",
+			"rejected calls count against the limit",
 			RateLimit{Kind: TokenBucket, PerSecond: 7, Burst: 3, CountsRejected: true},
 			50 * ms, 0,
 			event.StatusRejected,
@@ -188,16 +191,16 @@
 			s.Capacity, s.QueueLimit, s.RateLimit = 1000, 1000, c.limit
 			h := newHarness(t, Rules{}, s)
 			const span = 200 * sec
-			for ; h.now < span; h.advanceTo(h.now + c.every) {
+			for ; h.now < span; h.advanceTo(h.now + c.interval) {
 				_, conn := h.call(0, 0, "")
-				if st := h.statusOn(conn); st != 0 && st != c.status {
-					t.Fatalf("rejected with %d, want %d", st, c.status)
+				if status := h.statusOn(conn); status != 0 && status != c.status {
+					t.Fatalf("status of a rejected call = %d, want %d", status, c.status)
 				}
 			}
 			h.advanceTo(span + sec)
 			got := float64(h.count(event.TookEffect, nil)) / float64(span) * 1e6
 			if math.Abs(got-c.served) > 0.03*c.served+0.05 {
-				t.Errorf("served %.3f/s, want %v", got, c.served)
+				t.Errorf("rate served = %.3f/s, want %v/s", got, c.served)
 			}
 		})
 	}
@@ -217,7 +220,7 @@
 		if independent {
 			want = 10
 		}
-		h.expect(fmt.Sprint("served, independent ", independent), h.count(event.TookEffect, nil), want)
+		h.expect(fmt.Sprint("calls served, independent routes ", independent), h.count(event.TookEffect, nil), want)
 	}
 }
 
@@ -232,7 +235,7 @@
 	h.advanceTo(sec)
 	h.model.ClearFault(h.now, 0, f)
 	if got := h.model.Capacity(0, sec); math.Abs(got-52) > 1 {
-		t.Errorf("capacity at the recovery %.1f, want 52", got)
+		t.Errorf("Capacity(0) at the recovery = %.1f, want 52", got)
 	}
 	last := 0
 	for span := Time(0); span < 12; span++ {
@@ -243,16 +246,16 @@
 			next, _ := h.model.NextTimer()
 			h.advanceTo(min(next, end))
 		}
-		ran := h.count(event.TookEffect, nil)
+		served := h.count(event.TookEffect, nil)
 		share := min(0.26+0.74*(float64(span)+0.5)/10, 1)
-		// the four in service complete at once
-		if got := float64(ran - last); math.Abs(got-200*share) > 0.03*200*share+4 {
-			t.Errorf("second %d after the recovery: %v served, want %.0f", span, got, 200*share)
+		// The four calls in service complete at the same time, so the count may be off by 4.
+		if got := float64(served - last); math.Abs(got-200*share) > 0.03*200*share+4 {
+			t.Errorf("calls served in second %d after the recovery = %v, want %.0f", span, got, 200*share)
 		}
-		last = ran
+		last = served
 	}
 	if want := 200 * (0.63*10 + 2); math.Abs(float64(last)/want-1) > 0.01 {
-		t.Errorf("%d served in all, want %.0f", last, want)
+		t.Errorf("calls served in total = %d, want %.0f", last, want)
 	}
 }
 
@@ -273,14 +276,15 @@
 		}
 		return h, -1
 	}
-	// 30% of 20 is 6, warming by 1.4 a second: over the first 2 s 1.5 times the
-	// capacity is 22.2 calls, so 10 a second pass and 12 do not.
+	// The capacity begins at 30% of 20 calls/s, which is 6 calls/s, and grows by 1.4 calls/s each
+	// second. In the first 2 s the endpoint can serve 14.8 calls, and collapses above 1.5 times that,
+	// which is 22.2 calls. So it survives 10 calls/s but not 12 calls/s.
 	if _, at := overload(10); at >= 0 {
-		t.Errorf("10 a second: collapsed after %d", at)
+		t.Errorf("endpoint collapsed %d µs after its recovery under 10 calls/s, want no collapse", at)
 	}
 	h, at := overload(12)
 	if at < 2*sec || at > 2*sec+200*ms {
-		t.Errorf("12 a second: collapsed after %d", at)
+		t.Errorf("endpoint collapsed %d µs after its recovery under 12 calls/s (-1: never), want 2 s to 2.2 s", at)
 	}
 	var collapse event.Event
 	for _, e := range h.events {
@@ -290,16 +294,17 @@
 	}
 	if len(collapse.Calls) != 2 || collapse.Calls[0] < collapse.Calls[1]*3/2 ||
 		collapse.Calls[0]+collapse.Calls[1] < 23 {
-		t.Errorf("collapsed under %v", collapse.Calls)
+		t.Errorf("calls by relay at the collapse = %v, want 23 in total or more, of relay 0 at least 1.5 times those "+
+			"of relay 1", collapse.Calls)
 	}
-	h.expect("listener", int(h.model.endpoints[0].listener), int(Refusing))
+	h.expect("state of the listener after the collapse", int(h.model.endpoints[0].listener), int(Refusing))
 	h.advanceTo(100 * sec)
 	if h.model.Capacity(0, h.now) != 0 {
-		t.Error("it recovered")
+		t.Error("Capacity(0) is above 0 long after the collapse, want 0")
 	}
 }
 
-func TestDestinationCollapsesAsAWholeAndAnIndependentRouteAlone(t *testing.T) {
+func TestDestinationCollapsesAsAWholeAndIndependentRoutesSeparately(t *testing.T) {
 	for _, independent := range []bool{false, true} {
 		s := warmUpSpec()
 		s.Endpoints, s.IndependentRoutes = 2, independent
@@ -312,14 +317,16 @@
 		for endpoint := range 2 {
 			h.model.ClearFault(h.now, endpoint, f)
 		}
-		// 16 a second at one of them: more than 11 or so, less than twice that.
+		// One endpoint collapses at about 11 calls/s, so 16 calls/s to one endpoint are too much for it
+		// but not for the two endpoints together.
 		for h.now < 8*sec {
 			h.call(0, 0, "")
 			h.advanceTo(h.now + sec/16)
 		}
 		collapsed := [2]bool{h.model.endpoints[0].collapsed, h.model.endpoints[1].collapsed}
 		if collapsed != [2]bool{independent, false} {
-			t.Errorf("independent %v: at 16 a second %v collapsed", independent, collapsed)
+			t.Errorf("independent routes %v: endpoints collapsed under 16 calls/s = %v, want [%v false]",
+				independent, collapsed, independent)
 		}
 		h.advanceTo(h.now + sec)
 		for h.now < 20*sec && !h.model.endpoints[1].collapsed && !independent {
@@ -327,17 +334,17 @@
 			h.advanceTo(h.now + sec/200)
 		}
 		if !independent && (!h.model.endpoints[0].collapsed || !h.model.endpoints[1].collapsed) {
-			t.Error("a destination collapsed in part, or not at all")
+			t.Error("overload of the second endpoint did not make both endpoints of the destination collapse")
 		}
 	}
 }
 
 func TestEachFault(t *testing.T) {
 	for _, c := range []struct {
-		fault  Fault
-		status int // of a call that comes while it is active
-		ran    int // effects of that call by then
-		later  int // and after the fault
+		fault         Fault
+		status        int // of a call sent while the fault is active
+		effectsDuring int // effects of that call by the end of the fault
+		effectsAfter  int // effects of that call in total
 	}{
 		{Fault{Kind: RejectAll}, event.StatusRejected, 0, 0},
 		{Fault{Kind: RejectWithRetryAfter, Magnitude: 2}, event.StatusRetryLater, 0, 0},
@@ -356,15 +363,15 @@
 			h.model.InjectFault(0, 0, &f)
 			id, conn := h.call(0, 0, "")
 			h.advanceTo(5 * sec)
-			h.expect("status", h.statusOn(conn), c.status)
-			h.expect("ran", h.count(event.TookEffect, withID(id)), c.ran)
+			h.expect("status of a call during the fault", h.statusOn(conn), c.status)
+			h.expect("effects by the end of the fault", h.count(event.TookEffect, withID(id)), c.effectsDuring)
 			h.model.ClearFault(h.now, 0, &f)
 			h.advanceTo(40 * sec)
-			h.expect("ran later", h.count(event.TookEffect, withID(id)), c.later)
+			h.expect("effects after the fault", h.count(event.TookEffect, withID(id)), c.effectsAfter)
 			id, conn = h.call(0, 0, "")
 			h.advanceTo(80 * sec)
 			h.expect("status of a call after the fault", h.statusOn(conn), event.StatusDelivered)
-			h.expect("its effects", h.count(event.TookEffect, withID(id)), 1)
+			h.expect("effects of a call after the fault", h.count(event.TookEffect, withID(id)), 1)
 		})
 	}
 }
@@ -385,9 +392,10 @@
 		h.model.CloseConn(h.now, conn)
 		h.effects = nil
 	}
-	ran := h.count(event.TookEffect, nil)
-	if failed < 2280 || failed > 2520 || math.Abs(float64(ran)-(4000-float64(failed)/2)) > 120 {
-		t.Errorf("%d failed of 4000, %d ran", failed, ran)
+	effects := h.count(event.TookEffect, nil)
+	if failed < 2280 || failed > 2520 || math.Abs(float64(effects)-(4000-float64(failed)/2)) > 120 {
+		t.Errorf("of 4000 calls %d failed and %d took effect, want about 2400 failed and half of these effective",
+			failed, effects)
 	}
 	h.expect("outages", h.count(event.OutageBegan, nil), 1)
 }
@@ -399,10 +407,10 @@
 	f := &Fault{Kind: Crash}
 	h.model.InjectFault(h.now, 0, f)
 	h.advanceTo(sec)
-	h.expect("its connection", h.statusOn(conn), -1)
-	h.expect("ran", h.count(event.TookEffect, withID(id)), 0)
-	h.expect("final", h.count(event.CallFinal, withID(id)), 1)
-	h.expect("ended without response", h.count(event.CallEnded, withID(id)), 1)
+	h.expect("status on the connection (-1 for a reset)", h.statusOn(conn), -1)
+	h.expect("effects", h.count(event.TookEffect, withID(id)), 0)
+	h.expect("CallFinal events", h.count(event.CallFinal, withID(id)), 1)
+	h.expect("CallEnded events", h.count(event.CallEnded, withID(id)), 1)
 }
 
 func TestBlackholedMachineResetsItsConnectionsOnRecovery(t *testing.T) {
@@ -412,12 +420,12 @@
 	f := &Fault{Kind: Blackhole}
 	h.model.InjectFault(h.now, 0, f)
 	h.advanceTo(20 * sec)
-	h.expect("no response", h.statusOn(conn), 0)
-	h.expect("listener", int(h.model.endpoints[0].listener), int(Unresponsive))
+	h.expect("status during the blackhole", h.statusOn(conn), 0)
+	h.expect("state of the listener", int(h.model.endpoints[0].listener), int(Unresponsive))
 	h.model.ClearFault(h.now, 0, f)
 	h.advanceTo(21 * sec)
-	h.expect("reset", h.statusOn(conn), -1)
-	h.expect("ran", h.count(event.TookEffect, withID(id)), 0)
+	h.expect("status after the recovery (-1 for a reset)", h.statusOn(conn), -1)
+	h.expect("effects", h.count(event.TookEffect, withID(id)), 0)
 }
 
 func TestFaultsThatOverlapEndInAnyOrder(t *testing.T) {
@@ -436,18 +444,18 @@
 			h.model.InjectFault(h.now, 0, second)
 			h.advanceTo(2 * sec)
 			h.model.ClearFault(h.now, 0, first)
-			h.expect("recovered too early", h.count(event.OutageEnded, nil), 0)
+			h.expect("outages ended while the second fault is active", h.count(event.OutageEnded, nil), 0)
 			h.advanceTo(3 * sec)
 			h.model.ClearFault(h.now, 0, second)
 			h.advanceTo(4 * sec)
-			h.expect(fmt.Sprint(kinds[a], " then ", kinds[b], ": recovered"), h.count(event.OutageEnded, nil), 1)
-			h.expect("listener", int(h.model.endpoints[0].listener), int(Accepting))
+			h.expect(fmt.Sprint(kinds[a], " then ", kinds[b], ": outages ended"), h.count(event.OutageEnded, nil), 1)
+			h.expect("state of the listener", int(h.model.endpoints[0].listener), int(Accepting))
 			if got := h.model.Capacity(0, h.now); got >= 10 || got <= 3 {
-				t.Errorf("capacity %v one second after the recovery", got)
+				t.Errorf("Capacity(0) one second after the recovery = %v, want between 3 and 10", got)
 			}
 			_, conn := h.call(0, 0, "")
 			h.advanceTo(10 * sec)
-			h.expect("serves", h.statusOn(conn), event.StatusDelivered)
+			h.expect("status of a call after the recovery", h.statusOn(conn), event.StatusDelivered)
 		}
 	}
 }
@@ -464,7 +472,7 @@
 	for endpoint := range 2 {
 		h.model.ClearFault(h.now, endpoint, f)
 	}
-	for h.now < 6*sec { // 20 a second to one of them, 5 to the other
+	for h.now < 6*sec { // 20 calls/s to the first endpoint, 5 calls/s to the second
 		h.call(0, 0, "")
 		if h.now%(200*ms) == 0 {
 			h.call(1, 0, "")
@@ -472,10 +480,11 @@
 		h.advanceTo(h.now + 50*ms)
 	}
 	if !h.model.endpoints[0].collapsed || h.model.endpoints[1].collapsed || h.count(event.Collapsed, nil) != 1 {
-		t.Errorf("collapsed: %v and %v", h.model.endpoints[0].collapsed, h.model.endpoints[1].collapsed)
+		t.Errorf("endpoints collapsed = %v and %v, want only the first",
+			h.model.endpoints[0].collapsed, h.model.endpoints[1].collapsed)
 	}
 	if got, want := h.model.Capacity(1, h.now), 20*(0.3+0.7*0.5); math.Abs(got-want) > 1e-9 {
-		t.Errorf("the other has capacity %v, want %v", got, want)
+		t.Errorf("Capacity(1) = %v, want %v", got, want)
 	}
 }
 
@@ -485,12 +494,12 @@
 	h := newHarness(t, Rules{}, s)
 	f := &Fault{Kind: PlannedStop}
 	h.model.InjectFault(0, 0, f)
-	h.expect("listener", int(h.model.endpoints[0].listener), int(Refusing))
+	h.expect("state of the listener", int(h.model.endpoints[0].listener), int(Refusing))
 	h.advanceTo(sec)
 	h.model.ClearFault(h.now, 0, f)
-	h.expect("outages", h.count(event.OutageBegan, nil)+h.count(event.OutageEnded, nil), 0)
+	h.expect("outages begun and ended", h.count(event.OutageBegan, nil)+h.count(event.OutageEnded, nil), 0)
 	if got := h.model.Capacity(0, h.now); got >= 10 {
-		t.Errorf("capacity %v at its recovery", got)
+		t.Errorf("Capacity(0) at the recovery = %v, want below 10", got)
 	}
 }
 
@@ -501,21 +510,21 @@
 	h.advanceTo(100 * ms)
 	h.model.InjectFault(h.now, 0, first)
 	h.model.InjectFault(h.now, 0, second)
-	h.advanceTo(600 * ms) // 50 of 100 ms left
+	h.advanceTo(600 * ms) // 50 ms of work left
 	h.model.ClearFault(h.now, 0, first)
 	h.advanceTo(849 * ms)
-	h.expect("ran early", h.count(event.TookEffect, withID(id)), 0)
+	h.expect("effects before the end of service", h.count(event.TookEffect, withID(id)), 0)
 	h.advanceTo(851 * ms)
-	h.expect("ran", h.count(event.TookEffect, withID(id)), 1)
+	h.expect("effects after the end of service", h.count(event.TookEffect, withID(id)), 1)
 }
 
 func TestCancelledCalls(t *testing.T) {
 	for _, c := range []struct {
 		cancel            CancelPolicy
-		inService, queued int // effects of one in service and of one in the queue
+		inService, queued int // effects of a call in service and of a queued call
 	}{{CancelNone, 1, 1}, {CancelQueued, 1, 0}, {CancelAll, 0, 0}} {
 		s := plainSpec()
-		s.Capacity, s.Cancel = 5, c.cancel // one at a time
+		s.Capacity, s.Cancel = 5, c.cancel // one call in service at a time
 		h := newHarness(t, Rules{}, s)
 		inService, firstConn := h.call(0, 0, "")
 		queued, secondConn := h.call(0, 0, "")
@@ -523,9 +532,9 @@
 		h.model.CloseConn(h.now, firstConn)
 		h.model.CloseConn(h.now, secondConn)
 		h.advanceTo(5 * sec)
-		h.expect(string(c.cancel)+": in service", h.count(event.TookEffect, withID(inService)), c.inService)
-		h.expect(string(c.cancel)+": queued", h.count(event.TookEffect, withID(queued)), c.queued)
-		h.expect("final", h.count(event.CallFinal, nil), 2)
+		h.expect(string(c.cancel)+": in-service effects", h.count(event.TookEffect, withID(inService)), c.inService)
+		h.expect(string(c.cancel)+": queued effects", h.count(event.TookEffect, withID(queued)), c.queued)
+		h.expect(string(c.cancel)+": CallFinal events", h.count(event.CallFinal, nil), 2)
 	}
 }
 
@@ -537,13 +546,13 @@
 	h.advanceTo(5 * sec)
 	b, conn := h.call(0, 1, "k")
 	h.advanceTo(6 * sec)
-	h.expect("first", h.count(event.TookEffect, withID(a)), 1)
-	h.expect("repeat", h.count(event.TookEffect, withID(b)), 0)
-	h.expect("response to the repeat", h.statusOn(conn), event.StatusDelivered)
+	h.expect("effects of the first call", h.count(event.TookEffect, withID(a)), 1)
+	h.expect("effects of the repeat", h.count(event.TookEffect, withID(b)), 0)
+	h.expect("status of the repeat", h.statusOn(conn), event.StatusDelivered)
 	h.advanceTo(30 * sec)
 	c, _ := h.call(0, 0, "k")
 	h.advanceTo(31 * sec)
-	h.expect("after the window", h.count(event.TookEffect, withID(c)), 1)
+	h.expect("effects of a call after the dedup window", h.count(event.TookEffect, withID(c)), 1)
 }
 
 func TestPlatformLimits(t *testing.T) {
@@ -551,27 +560,27 @@
 	h.call(0, 0, "")
 	h.call(0, 0, "")
 	_, c := h.call(0, 0, "")
-	h.expect("beyond the calls in flight", h.statusOn(c), event.StatusRejected)
+	h.expect("status of a call beyond the limit of calls in flight", h.statusOn(c), event.StatusRejected)
 	if e := h.effects[len(h.effects)-1]; !e.SlotsTaken {
-		t.Error("the response does not name the reason")
+		t.Error("SlotsTaken of the response = false, want true")
 	}
 	_, c = h.call(0, 1, "")
 	h.advanceTo(sec)
-	h.expect("of another relay", h.statusOn(c), event.StatusDelivered)
+	h.expect("status of a call of another relay", h.statusOn(c), event.StatusDelivered)
 
 	id, _ := h.call(0, 0, "")
 	h.advanceTo(2 * sec)
 	h.callAgain(id, 0, 0, "")
 	h.advanceTo(3 * sec)
-	h.expect("third attempt", h.statusOn(h.callAgain(id, 0, 0, "")), event.StatusAttemptsExhausted)
+	h.expect("status of the third attempt", h.statusOn(h.callAgain(id, 0, 0, "")), event.StatusAttemptsExhausted)
 
 	m := h.messages[id]
 	m.Finished = true
 	h.messages[id] = m
 	h.model.ForgetMessage(id)
-	h.expect("of a finished message", h.statusOn(h.callAgain(id, 0, 0, "")), event.StatusFinished)
-	h.expect("of an unknown message", h.statusOn(h.callAgain("zz", 0, 0, "")), event.StatusUnknown)
-	h.expect("stray", h.count(event.UnknownCall, nil), 1)
+	h.expect("status of a call for a finished message", h.statusOn(h.callAgain(id, 0, 0, "")), event.StatusFinished)
+	h.expect("status of a call for an unknown message", h.statusOn(h.callAgain("zz", 0, 0, "")), event.StatusUnknown)
+	h.expect("UnknownCall events", h.count(event.UnknownCall, nil), 1)
 }
 
 func TestConnections(t *testing.T) {
@@ -579,23 +588,23 @@
 	s.MaxConns, s.IdleTimeout, s.HandshakeTime, s.OneWayDelay = 2, 5*sec, 30*ms, 10*ms
 	h := newHarness(t, Rules{}, s)
 	id, a := h.call(0, 0, "")
-	h.advanceTo(239 * ms) // 10 + 30 + 200, then 10 back
-	h.expect("not yet", h.count(event.TookEffect, withID(id)), 0)
+	h.advanceTo(239 * ms) // 10 ms delay, 30 ms handshake, 200 ms service, then 10 ms delay of the response
+	h.expect("effects before the end of service", h.count(event.TookEffect, withID(id)), 0)
 	h.advanceTo(249 * ms)
-	h.expect("ran", h.count(event.TookEffect, withID(id)), 1)
-	h.expect("response on its way", h.statusOn(a), 0)
+	h.expect("effects after the end of service", h.count(event.TookEffect, withID(id)), 1)
+	h.expect("status before the network delay of the response has passed", h.statusOn(a), 0)
 	h.advanceTo(251 * ms)
-	h.expect("response", h.statusOn(a), event.StatusDelivered)
+	h.expect("status after the network delay of the response", h.statusOn(a), event.StatusDelivered)
 	h.effects = nil
 	h.messages["m2"] = Message{Number: 50}
 	h.model.ReceiveFirstByte(h.now, a)
 	h.model.ReceiveCall(h.now, a, "m2", "", sec)
 	h.advanceTo(h.now + 221*ms)
-	h.expect("second request, no handshake", h.statusOn(a), event.StatusDelivered)
+	h.expect("status of a second call, without a handshake", h.statusOn(a), event.StatusDelivered)
 	h.call(0, 0, "")
 	_, beyond := h.call(0, 0, "")
 	h.advanceTo(h.now + 100*ms)
-	h.expect("third connection", h.statusOn(beyond), event.StatusRejected)
+	h.expect("status on a third connection", h.statusOn(beyond), event.StatusRejected)
 	h.effects = nil
 	h.advanceTo(h.now + 20*sec)
 	closed := 0
@@ -604,7 +613,7 @@
 			closed++
 		}
 	}
-	h.expect("closed when idle", closed, 3)
+	h.expect("connections closed by the idle timeout", closed, 3)
 }
 
 func TestHealthChecks(t *testing.T) {
@@ -612,29 +621,29 @@
 	c := h.model.OpenConn(0, 0, 1)
 	h.model.ReceiveHealthCheck(0, c)
 	h.advanceTo(0)
-	h.expect("alive", h.statusOn(c), event.StatusDelivered)
+	h.expect("status of a health check", h.statusOn(c), event.StatusDelivered)
 	h.effects = nil
 	f := &Fault{Kind: RejectAll}
 	h.model.InjectFault(0, 0, f)
 	h.model.ReceiveHealthCheck(0, c)
 	h.advanceTo(0)
-	h.expect("rejecting", h.statusOn(c), event.StatusRejected)
+	h.expect("status of a health check while all calls are rejected", h.statusOn(c), event.StatusRejected)
 }
 
 func TestInvalidSpecs(t *testing.T) {
 	for name, invalidate := range map[string]func(*Spec){
-		"endpoints":     func(s *Spec) { s.Endpoints = 0 },
-		"capacity":      func(s *Spec) { s.Capacity = math.NaN() },
-		"service":       func(s *Spec) { s.ServiceTimes[0].Mean = 0 },
-		"mix":           func(s *Spec) { s.ClassMix = nil },
-		"warm-up share": func(s *Spec) { s.WarmUpShare = 0 },
-		"limit":         func(s *Spec) { s.RateLimit = RateLimit{Kind: TokenBucket} },
-		"window":        func(s *Spec) { s.RateLimit = RateLimit{Kind: FixedWindow, PerSecond: 3} },
+		"endpoints":         func(s *Spec) { s.Endpoints = 0 },
+		"capacity":          func(s *Spec) { s.Capacity = math.NaN() },
+		"service time":      func(s *Spec) { s.ServiceTimes[0].Mean = 0 },
+		"class mix":         func(s *Spec) { s.ClassMix = nil },
+		"warm-up share":     func(s *Spec) { s.WarmUpShare = 0 },
+		"rate limit":        func(s *Spec) { s.RateLimit = RateLimit{Kind: TokenBucket} },
+		"rate limit window": func(s *Spec) { s.RateLimit = RateLimit{Kind: FixedWindow, PerSecond: 3} },
 	} {
 		s := plainSpec()
 		invalidate(&s)
 		if _, err := New([]Spec{s}, Rules{Relays: 1}, 1, nil, nil); err == nil {
-			t.Errorf("%s: taken", name)
+			t.Errorf("New() with invalid %s returned no error", name)
 		}
 	}
 }
--- a/internal/emulator/endpoint/ratelimit.go
+++ b/internal/emulator/endpoint/ratelimit.go
@@ -7,17 +7,17 @@
 // rateLimiter enforces a RateLimit.
 type rateLimiter struct {
 	RateLimit
-	tokens       float64 // TokenBucket: calls that may come now
+	tokens       float64 // TokenBucket: number of calls admitted without delay
 	refilledAt   Time
-	windowNumber int64 // FixedWindow: number of the window since time 0
-	usedInWindow float64
+	windowNumber int64   // FixedWindow: number of the current window, counted from time 0
+	usedInWindow float64 // FixedWindow: calls counted in the current window
 }
 
 func newRateLimiter(limit RateLimit) *rateLimiter {
 	return &rateLimiter{RateLimit: limit, tokens: max(limit.Burst, 1)}
 }
 
-// refill brings the limiter up to date.
+// refill adds the tokens earned since the last refill, or starts a new window if one is due.
 func (l *rateLimiter) refill(now Time) {
 	switch l.Kind {
 	case TokenBucket:
@@ -30,13 +30,13 @@
 	}
 }
 
-// windowQuota is the number of calls that a window takes, a whole number.
+// windowQuota returns the number of calls that a window admits, rounded down to a whole number.
 func (l *rateLimiter) windowQuota() float64 {
 	const roundingError = 1e-9
 	return math.Floor(l.PerSecond*float64(l.Window)/1e6 + roundingError)
 }
 
-// allow reports whether the limit admits one more call, and counts it.
+// allow reports whether the limit admits one more call, and counts the call if it does.
 func (l *rateLimiter) allow(now Time) bool {
 	l.refill(now)
 	switch l.Kind {
@@ -54,7 +54,7 @@
 	return true
 }
 
-// countRejected counts a call that the limit rejected, where such calls count.
+// countRejected counts a call that the limit has rejected, if rejected calls count against the limit.
 func (l *rateLimiter) countRejected(now Time) {
 	if l.CountsRejected {
 		l.refill(now)
@@ -63,7 +63,8 @@
 	}
 }
 
-// refund takes back an allowed call that was rejected for another reason.
+// refund undoes the count of a call that allow admitted but that was rejected for another reason,
+// unless rejected calls count against the limit.
 func (l *rateLimiter) refund() {
 	if l.CountsRejected {
 		return
--- a/internal/emulator/endpoint/sequence_test.go
+++ b/internal/emulator/endpoint/sequence_test.go
@@ -9,7 +9,7 @@
 	"troutusher/internal/seededrand"
 )
 
-// sequenceSpecs are three destinations that between them use every setting of a Spec.
+// sequenceSpecs returns three destinations that together use every setting of a Spec.
 func sequenceSpecs() []Spec {
 	service := []ServiceTime{
 		{Mean: 40 * ms, Distribution: seededrand.LogNormal, CV: 0.8},
@@ -80,7 +80,7 @@
 	fault      *Fault
 }
 
-// sequenceFaults begin and end at fixed times; each kind occurs at least once.
+// sequenceFaults returns faults that begin and end at fixed times. Each kind occurs at least once.
 func sequenceFaults() []sequenceFault {
 	return []sequenceFault{
 		{500 * ms, 1500 * ms, 0, &Fault{Kind: Crash}},
@@ -99,8 +99,8 @@
 	}
 }
 
-// sequence plays a fixed script and writes down each event and each effect, in
-// the order in which the model gave them.
+// sequence runs a fixed script against a model and writes each event and each effect to text, in the
+// order in which the model emitted them.
 type sequence struct {
 	*harness
 	text       bytes.Buffer
@@ -108,12 +108,12 @@
 	messageIDs []string
 }
 
-// draw is a random number for one choice of a step.
+// draw returns a random number for one choice in a step. It is the same in every run.
 func (s *sequence) draw(step int, choice uint64) float64 {
 	return seededrand.Float64(7, uint64(step), choice)
 }
 
-// record appends the events and effects since the last call.
+// record appends the events and effects since its last call to text.
 func (s *sequence) record() {
 	for _, e := range s.events {
 		fmt.Fprintf(&s.text, "%d %s: relay %d endpoint %d message %d call %d status %d wait %d left %d %s %q %v\n",
@@ -126,7 +126,8 @@
 	s.events, s.effects = nil, nil
 }
 
-// receiveCall has a call come on a new connection or on one that is there.
+// receiveCall sends a call for a new, an earlier or an unknown message, on a new or an existing
+// connection.
 func (s *sequence) receiveCall(step int) {
 	endpoint, relay := int(s.draw(step, 1)*5), step%2
 	id := fmt.Sprintf("m%d", step)
@@ -160,9 +161,9 @@
 	s.model.ReceiveCall(s.now, conn, id, key, 500*ms)
 }
 
-// interfere has connections end, endpoints drain, and health checks and calls over
-// unproved connections come.
-func (s *sequence) interfere(step int) {
+// performOtherAction performs at most one of these actions: closing a connection, a health check, a
+// call over an untrusted connection, a change of an endpoint's draining, or forgetting a message.
+func (s *sequence) performOtherAction(step int) {
 	if len(s.conns) == 0 {
 		return
 	}
@@ -192,15 +193,16 @@
 	}
 }
 
-// TestSequenceOfEvents compares the events and effects of a fixed seed and script
-// with those of an earlier release, byte for byte.
+// TestSequenceOfEvents compares the events and effects for a fixed seed and script with those of an
+// earlier release, byte for byte. It fails if a change makes the model behave differently for the
+// same inputs, so that recorded rehearsals would no longer replay as before.
 func TestSequenceOfEvents(t *testing.T) {
 	s := &sequence{harness: newHarness(t, Rules{Relays: 2, MaxInFlight: 12, MaxAttempts: 2}, sequenceSpecs()...)}
 	plan := sequenceFaults()
 	for step := 0; s.now < 5*sec; step++ {
 		s.injectFaults(plan)
 		s.receiveCall(step)
-		s.interfere(step)
+		s.performOtherAction(step)
 		s.record()
 		s.advanceTo(s.now + 20*ms)
 		s.record()
@@ -221,8 +223,8 @@
 	gotLines, wantLines := bytes.Split(got, []byte("\n")), bytes.Split(want, []byte("\n"))
 	for i := range min(len(gotLines), len(wantLines)) {
 		if !bytes.Equal(gotLines[i], wantLines[i]) {
-			t.Fatalf("line %d: %s\nwant %s", i+1, gotLines[i], wantLines[i])
+			t.Fatalf("line %d = %s\nwant %s", i+1, gotLines[i], wantLines[i])
 		}
 	}
-	t.Fatalf("%d lines, want %d", len(gotLines), len(wantLines))
+	t.Fatalf("sequence has %d lines, want %d", len(gotLines), len(wantLines))
 }
--- a/internal/emulator/endpoint/service.go
+++ b/internal/emulator/endpoint/service.go
@@ -8,8 +8,8 @@
 	"troutusher/internal/seededrand"
 )
 
-// Random draws for a call or a message, by what they decide. Recorded rehearsals
-// depend on the numbers.
+// Purposes of the random draws for a call or a message. The numbers must not change, because the
+// replay of recorded rehearsals depends on them.
 const (
 	drawError             = 1
 	drawErrorTakesEffect  = 2
@@ -17,23 +17,23 @@
 	drawMalformed         = 4
 	drawLate              = 5
 	drawServiceTime       = 10
-	drawServiceTimeSecond = 11 // some distributions need two
+	drawServiceTimeSecond = 11 // some distributions need a second draw
 	drawTail              = 20
 )
 
-// errorDelay is how long a call takes that fails quickly.
+// errorDelay is the time after which a call that fails quickly gets its error response.
 const errorDelay Time = 2000
 
-// draw is a random number in (0, 1) for a call, the same in each run of a plan.
+// draw returns a random number in (0, 1) for a call, which is the same in each run of a plan.
 func (m *Model) draw(c *call, purpose uint64) float64 {
 	return seededrand.Float64(m.seed, uint64(c.message.Number), uint64(c.attempt), purpose)
 }
 
-// arrive is called when a call has reached its endpoint.
+// arrive handles a call that has reached its endpoint after the network delay.
 func (m *Model) arrive(c *call) {
 	e := c.endpoint
 	if c.final {
-		return // the endpoint stopped while the call was on its way
+		return // the endpoint stopped during the network delay
 	}
 	cancelled := c.conn == nil && e.destination.Cancel != CancelNone
 	if e.isDown() || cancelled {
@@ -42,7 +42,7 @@
 	}
 	if m.recordArrival(e, c.relay) {
 		m.markFinal(c)
-		return // the endpoint collapsed under this call
+		return // this call made the endpoint collapse
 	}
 	fault := e.dominantFault()
 	if fault != nil && fault.Kind == Hang {
@@ -56,7 +56,7 @@
 	m.startCall(c)
 }
 
-// rejectedOnArrival rejects a call that its endpoint does not take.
+// rejectedOnArrival rejects a call that its endpoint does not accept, and reports whether it did.
 func (m *Model) rejectedOnArrival(c *call, fault *Fault) bool {
 	e := c.endpoint
 	switch {
@@ -76,8 +76,8 @@
 	return true
 }
 
-// failedQuickly gives an error response to the share of calls that get one. Half of
-// them take effect.
+// failedQuickly decides whether a call is among the errorShare that gets an error response, and
+// reports so. Half of the failed calls take effect.
 func (m *Model) failedQuickly(c *call) bool {
 	if m.draw(c, drawError) >= c.endpoint.errorShare() {
 		return false
@@ -92,8 +92,8 @@
 	return true
 }
 
-// applyResponseFaults applies one fault at most that spoils the response of a call
-// which is served.
+// applyResponseFaults applies at most one fault that affects only the response of a call, and not its
+// service: a connection reset, a malformed response or a late one.
 func (m *Model) applyResponseFaults(c *call) {
 	e := c.endpoint
 	hit := func(kind FaultKind, purpose uint64) *Fault {
@@ -115,7 +115,7 @@
 	}
 }
 
-// serviceTime is how long a call is in service at full speed.
+// serviceTime returns how long a call is in service at full speed, in µs.
 func (m *Model) serviceTime(c *call) float64 {
 	e := c.endpoint
 	class := e.destination.ServiceTimes[c.message.Class]
@@ -130,7 +130,7 @@
 	return max(duration, 1)
 }
 
-// startCall puts a call into service, or into the queue.
+// startCall puts a call into service, or into the queue if the endpoint serves no more at once.
 func (m *Model) startCall(c *call) {
 	e := c.endpoint
 	if len(e.inService) >= e.concurrency {
@@ -145,7 +145,7 @@
 	m.scheduleCompletion(e)
 }
 
-// startQueued puts calls of the queue into service while there is room.
+// startQueued moves calls from the queue into service while the concurrency limit allows it.
 func (m *Model) startQueued(e *endpoint) {
 	for len(e.queue) > 0 && len(e.inService) < e.concurrency {
 		c := e.queue[0]
@@ -154,8 +154,8 @@
 	}
 }
 
-// scheduleCompletion sets the timer of an endpoint's next completion, in place of
-// the one before.
+// scheduleCompletion sets the timer for the next completion at an endpoint. It replaces the previous
+// timer.
 func (m *Model) scheduleCompletion(e *endpoint) {
 	e.completionVersion++
 	if len(e.inService) == 0 || e.speed <= 0 {
@@ -170,7 +170,7 @@
 	})
 }
 
-// completeDue completes the calls whose service is done.
+// completeDue completes the calls whose service has ended.
 func (m *Model) completeDue(e *endpoint) {
 	const roundingError = 0.5 // µs
 	e.advanceWork(m.now)
@@ -181,7 +181,7 @@
 	m.scheduleCompletion(e)
 }
 
-// completeCall has a call take effect and get its response.
+// completeCall makes a call take effect and sends its response, which a LateResponse fault may delay.
 func (m *Model) completeCall(c *call) {
 	m.takeEffect(c)
 	m.markFinal(c)
@@ -192,7 +192,8 @@
 	m.respond(c, event.StatusDelivered, 0)
 }
 
-// takeEffect records that a call takes effect, unless its idempotency key is known.
+// takeEffect records that a call takes effect, unless the destination has seen its idempotency key
+// within the dedup window.
 func (m *Model) takeEffect(c *call) {
 	d := c.endpoint.destination
 	if c.idempotencyKey != "" && d.DedupWindow > 0 {
@@ -208,7 +209,7 @@
 	m.record(c.newEvent(event.TookEffect))
 }
 
-// sweepKeys deletes idempotency keys whose window is over.
+// sweepKeys deletes the idempotency keys whose dedup window has ended.
 func (m *Model) sweepKeys() {
 	for _, d := range m.destinations {
 		for key, until := range d.dedupUntil {
@@ -219,7 +220,7 @@
 	}
 }
 
-// removeCall takes a call out of its endpoint's queue or service.
+// removeCall removes a call from its endpoint's queue or from service.
 func (m *Model) removeCall(c *call) {
 	e := c.endpoint
 	for i, queued := range e.queue {
@@ -236,14 +237,14 @@
 	}
 }
 
-// serviceSpeed is the work that each call in service gets per µs.
+// serviceSpeed returns the work that each call in service receives per µs.
 func (e *endpoint) serviceSpeed(now Time) float64 {
 	if e.activeFault(Hang) != nil || e.isDown() {
 		return 0
 	}
 	speed := 1.0
 	if e.warmingUp {
-		speed = e.capacityShare(now + warmUpStep/2) // the middle of the step that begins
+		speed = e.capacityShare(now + warmUpStep/2) // at the middle of the warm-up step that begins now
 	}
 	for _, fault := range e.faults {
 		if fault.Kind == SlowService {
@@ -253,7 +254,7 @@
 	return speed
 }
 
-// advanceWork brings workDone up to date.
+// advanceWork adds the work done up to now to workDone.
 func (e *endpoint) advanceWork(now Time) {
 	if now > e.workDoneAt {
 		e.workDone += float64(now-e.workDoneAt) * e.speed
@@ -261,7 +262,7 @@
 	}
 }
 
-// completionHeap orders the calls in service by when they complete.
+// completionHeap orders the calls in service by completion time.
 type completionHeap []*call
 
 // Len implements heap.Interface.
--- a/internal/emulator/endpoint/spec.go
+++ b/internal/emulator/endpoint/spec.go
@@ -1,9 +1,8 @@
-// Package endpoint emulates the endpoints of outside partners in virtual time: rate
-// limits, queues, service times, injected faults, warm-up after an outage and
-// collapse under overload. Its driver advances the model, reports connections and
-// requests, and carries out the effects that it returns, such as responses. The
-// package must never use a socket, the clock, a file or a goroutine, nor know a
-// protocol; the packages below it connect it to those.
+// Package endpoint models the endpoints of outside partners in virtual time: rate limits, queues,
+// service times, injected faults, warm-up after an outage and collapse under overload. A driver
+// advances the model, reports connections and requests to it, and carries out the effects that the
+// model returns, such as writing a response. The package uses no sockets, system clock, files or
+// goroutines, and does not depend on a protocol; its subpackages connect it to those.
 package endpoint
 
 import (
@@ -13,7 +12,7 @@
 	"troutusher/internal/seededrand"
 )
 
-// Time is a time, in microseconds since the rehearsal began, or a duration.
+// Time is a point in time, in microseconds since the rehearsal began, or a duration in microseconds.
 type Time = event.Time
 
 // LimitKind says how a rate limit counts calls.
@@ -22,36 +21,36 @@
 // Kinds of rate limit.
 const (
 	NoLimit     LimitKind = "none"
-	TokenBucket LimitKind = "rate"   // PerSecond calls a second, with bursts of Burst
-	FixedWindow LimitKind = "window" // a number of calls in each window
+	TokenBucket LimitKind = "rate"   // PerSecond calls per second, with bursts of up to Burst calls
+	FixedWindow LimitKind = "window" // a fixed number of calls in each window
 )
 
-// RateLimit is what a destination, or an independent route, admits from all relays
+// RateLimit limits the calls that a destination, or one independent route, admits from all relays
 // together.
 type RateLimit struct {
 	Kind           LimitKind
-	PerSecond      float64 // calls a second
-	Burst          float64 // TokenBucket: calls that may come at once
-	Window         Time    // FixedWindow: its length; it admits PerSecond times that
-	CountsRejected bool    // rejected calls count too
-	RetryAfter     Time    // sent with a rejection; 0 for none
+	PerSecond      float64 // calls per second
+	Burst          float64 // TokenBucket: calls that may arrive at once
+	Window         Time    // FixedWindow: length of a window, which admits PerSecond * Window calls
+	CountsRejected bool    // rejected calls count against the limit too
+	RetryAfter     Time    // sent with a rejection; 0 to send none
 }
 
-// ServiceTime is the distribution of how long calls are in service.
+// ServiceTime is the distribution of the service times of a class of messages.
 type ServiceTime struct {
 	Mean         Time
 	Distribution seededrand.Distribution
 	CV           float64 // coefficient of variation
 }
 
-// CancelPolicy says what becomes of a call whose caller has closed the connection.
+// CancelPolicy says whether a destination drops a call whose caller has closed the connection.
 type CancelPolicy string
 
 // Cancel policies.
 const (
-	CancelNone   CancelPolicy = "none"   // it runs on
-	CancelQueued CancelPolicy = "queued" // it is dropped unless it is in service
-	CancelAll    CancelPolicy = "all"    // it is dropped
+	CancelNone   CancelPolicy = "none"   // the call still runs
+	CancelQueued CancelPolicy = "queued" // the call is dropped unless it is in service
+	CancelAll    CancelPolicy = "all"    // the call is dropped, even in service
 )
 
 // Spec describes a destination and its endpoints.
@@ -59,32 +58,36 @@
 	Name              string
 	Destination       int
 	Endpoints         int
-	IndependentRoutes bool // each endpoint has a rate limit of its own, and collapses alone
+	IndependentRoutes bool // each endpoint has its own rate limit, and collapses without the others
 
-	Capacity     float64 // calls a second that one warmed-up endpoint serves, at ClassMix
-	QueueLimit   int     // calls of one endpoint that wait for service
+	Capacity     float64 // calls per second that a warmed-up endpoint serves, with the classes in ClassMix
+	QueueLimit   int     // maximum number of calls that wait for service at one endpoint
 	ServiceTimes []ServiceTime
-	ClassMix     []float64 // share of each class in the calls
+	ClassMix     []float64 // share of the calls that belongs to each class
 	RateLimit    RateLimit
 	Cancel       CancelPolicy
-	DedupWindow  Time    // how long repeats of an idempotency key are dropped
-	ErrorShare   float64 // share of calls that fail at any time
-
-	MaxConns             int     // connections of one endpoint, idle ones counted; 0 for any number
-	IdleTimeout          Time    // idle connections are closed after it; 0 for never
-	HandshakeTime        Time    // what the first request on a connection takes longer
-	OneWayDelay          Time    // travel time of a call, and of its response
-	FullHandshakeCost    float64 // cost of a full TLS handshake, in calls
-	ResumedHandshakeCost float64 // likewise, of a resumed one
-
-	WarmUpShare    float64 // share of the capacity right after an outage; 1 for no warm-up
-	WarmUpTime     Time    // until the whole capacity is back
-	OverloadFactor float64 // more arrivals than so many times what it can serve ...
-	OverloadWindow Time    // ... for so long make it collapse while it warms up; 0 for never
+	DedupWindow  Time    // how long the destination drops repeats of an idempotency key
+	ErrorShare   float64 // share of calls that fail even while no fault is active
+
+	MaxConns             int     // maximum connections to one endpoint, including idle ones; 0 for no limit
+	IdleTimeout          Time    // time after which an idle connection is closed; 0 for never
+	HandshakeTime        Time    // extra delay of the first request on a connection
+	OneWayDelay          Time    // network delay of a call, and of its response
+	FullHandshakeCost    float64 // load of a full TLS handshake, as a number of calls
+	ResumedHandshakeCost float64 // load of a resumed TLS handshake, as a number of calls
+
+	WarmUpShare float64 // share of the capacity available right after an outage; 1 for no warm-up
+	WarmUpTime  Time    // time after an outage until the full capacity is available
+	// While an endpoint warms up, it collapses once the calls that arrived within OverloadWindow
+	// exceed OverloadFactor times the calls that it could serve in that time. With an
+	// OverloadWindow of 0 it never collapses.
+	OverloadFactor float64
+	OverloadWindow Time
 }
 
-// concurrency turns the capacity into a number of calls in service at once and a
-// factor on service times, with which the rate served is exactly the capacity.
+// concurrency returns how many calls an endpoint serves at once, and the factor on service times
+// that makes the served rate equal to the capacity. The factor corrects for the rounding of the
+// number of calls.
 func (s *Spec) concurrency() (inService int, serviceTimeScale float64) {
 	mean, total := 0.0, 0.0
 	for class, share := range s.ClassMix {
@@ -98,25 +101,26 @@
 	return inService, float64(inService) / busy
 }
 
-// validate reports what is wrong with the specification.
+// validate returns an error if the specification is invalid.
 func (s *Spec) validate() error {
 	switch {
 	case s.Endpoints < 1:
-		return fmt.Errorf("partner %s: endpoints: %d, want at least 1", s.Name, s.Endpoints)
+		return fmt.Errorf("partner %s: %d endpoints, want at least 1", s.Name, s.Endpoints)
 	case !(s.Capacity > 0):
-		return fmt.Errorf("partner %s: capacity: %v, want above 0", s.Name, s.Capacity)
+		return fmt.Errorf("partner %s: capacity %v calls/s, want above 0", s.Name, s.Capacity)
 	case len(s.ServiceTimes) == 0 || len(s.ClassMix) != len(s.ServiceTimes):
-		return fmt.Errorf("partner %s: service: %d classes, mix of %d", s.Name, len(s.ServiceTimes), len(s.ClassMix))
+		return fmt.Errorf("partner %s: service times of %d classes, class mix of %d, want equal counts",
+			s.Name, len(s.ServiceTimes), len(s.ClassMix))
 	case !(s.WarmUpShare > 0 && s.WarmUpShare <= 1):
-		return fmt.Errorf("partner %s: cold share: %v, want above 0 and 1 at most", s.Name, s.WarmUpShare)
+		return fmt.Errorf("partner %s: cold share %v, want above 0 and at most 1", s.Name, s.WarmUpShare)
 	case s.RateLimit.Kind != NoLimit && !(s.RateLimit.PerSecond > 0):
-		return fmt.Errorf("partner %s: limit: %v, want above 0", s.Name, s.RateLimit.PerSecond)
+		return fmt.Errorf("partner %s: rate limit %v calls/s, want above 0", s.Name, s.RateLimit.PerSecond)
 	case s.RateLimit.Kind == FixedWindow && s.RateLimit.Window <= 0:
-		return fmt.Errorf("partner %s: limit window: %d, want above 0", s.Name, s.RateLimit.Window)
+		return fmt.Errorf("partner %s: rate limit window %d µs, want above 0", s.Name, s.RateLimit.Window)
 	}
 	for class, service := range s.ServiceTimes {
 		if s.ClassMix[class] > 0 && service.Mean <= 0 {
-			return fmt.Errorf("partner %s: service of class %d: %d, want above 0", s.Name, class, service.Mean)
+			return fmt.Errorf("partner %s: service time of class %d: %d µs, want above 0", s.Name, class, service.Mean)
 		}
 	}
 	return nil
@@ -125,55 +129,55 @@
 // FaultKind names a kind of fault that can be injected at endpoints.
 type FaultKind string
 
-// Kinds of fault. Where several are active at one endpoint, the first in this
-// order decides what becomes of a call; the factors of SlowService multiply.
+// Kinds of fault. If several kinds are active at one endpoint, the first one in this order decides
+// the outcome of a call. The factors of several SlowService faults multiply.
 const (
-	// Blackhole: the machine is unreachable. Open connections stay open and silent,
-	// new ones are never established.
+	// Blackhole: the machine is unreachable. Open connections stay open but silent, and new ones are
+	// never established.
 	Blackhole FaultKind = "vanish"
-	// Crash: the process dies. Connections are reset, new ones refused.
+	// Crash: the process dies. Its connections are reset and new ones are refused.
 	Crash FaultKind = "crash"
-	// PlannedStop is like a crash, but announced: it is no outage, though the
-	// endpoint warms up afterwards.
+	// PlannedStop: the process stops as announced. Connections are treated as in a Crash. It does not
+	// count as an outage, but the endpoint warms up afterwards.
 	PlannedStop FaultKind = "gone"
-	// Hang: calls are read and get no response. Calls in flight may take effect once
-	// the fault is cleared.
+	// Hang: calls are read but get no response. Calls in flight may take effect after the fault is
+	// cleared.
 	Hang FaultKind = "hang"
 	// RejectAll: every call is rejected without a Retry-After.
 	RejectAll FaultKind = "full"
-	// RejectWithRetryAfter: every call is rejected with a Retry-After of Magnitude
-	// seconds.
+	// RejectWithRetryAfter: every call is rejected with a Retry-After of Magnitude seconds.
 	RejectWithRetryAfter FaultKind = "full_wait"
-	// ErrorResponses: Share of the calls fail quickly. Half of those take effect.
+	// ErrorResponses: the fraction Share of the calls fails quickly. Half of these take effect.
 	ErrorResponses FaultKind = "errors"
-	// ConnectionReset: Share of the calls take effect, and their connection is reset
-	// after their last byte.
+	// ConnectionReset: the fraction Share of the calls takes effect, but their connection is reset
+	// after the last byte of the call.
 	ConnectionReset FaultKind = "reset"
-	// MalformedResponse: Share of the calls take effect and get a response with the
+	// MalformedResponse: the fraction Share of the calls takes effect and gets a response with the
 	// fault's Defect.
 	MalformedResponse FaultKind = "spoilt"
-	// LateResponse: Share of the calls take effect and get their response Magnitude
-	// seconds after their caller's timeout.
+	// LateResponse: the fraction Share of the calls takes effect and gets its response Magnitude
+	// seconds after the caller's timeout.
 	LateResponse FaultKind = "late"
 	// SlowService: service takes Magnitude times as long.
 	SlowService FaultKind = "slow"
-	// TailLatency: Share of the messages of class Class take Magnitude times as long.
+	// TailLatency: service takes Magnitude times as long for the fraction Share of the messages of
+	// class Class.
 	TailLatency FaultKind = "tail"
 )
 
-// ResponseDefect is what is wrong with a malformed response.
+// ResponseDefect is the kind of defect of a malformed response.
 type ResponseDefect string
 
 // Defects of responses.
 const (
-	GarbageBytes      ResponseDefect = "noise"  // bytes that are no response
-	EndlessHeader     ResponseDefect = "head"   // a header that does not end
-	WrongLength       ResponseDefect = "length" // a length that does not fit the body
-	DuplicateResponse ResponseDefect = "copy"   // a valid response, and a copy of it
+	GarbageBytes      ResponseDefect = "noise"  // bytes that do not form a response
+	EndlessHeader     ResponseDefect = "head"   // a header that never ends
+	WrongLength       ResponseDefect = "length" // a length that does not match the body
+	DuplicateResponse ResponseDefect = "copy"   // a valid response, followed by a copy of it
 )
 
-// Fault is one fault of one endpoint. What Magnitude, Share, Class and Defect mean
-// depends on the kind.
+// Fault is a fault that can be injected at an endpoint. The meaning of Magnitude, Share, Class and
+// Defect depends on the kind.
 type Fault struct {
 	Kind      FaultKind
 	Magnitude float64
@@ -182,8 +186,8 @@
 	Defect    ResponseDefect
 }
 
-// causesOutage reports whether the endpoint is out of service while the fault is
-// active, so that it warms up afterwards.
+// causesOutage reports whether the fault takes the endpoint out of service, so that the endpoint
+// warms up afterwards.
 func (f *Fault) causesOutage() bool {
 	switch f.Kind {
 	case Blackhole, Crash, Hang, RejectAll, RejectWithRetryAfter:
--- a/internal/emulator/endpoint/timers.go
+++ b/internal/emulator/endpoint/timers.go
@@ -2,10 +2,10 @@
 
 import "container/heap"
 
-// timer is a function that is due at a time of the model.
+// timer is a function that runs when the model's time reaches at.
 type timer struct {
 	at       Time
-	sequence uint64 // timers of the same time run in the order in which they were set
+	sequence uint64 // timers due at the same time run in the order in which they were scheduled
 	run      func()
 }
 
@@ -35,7 +35,8 @@
 	return last
 }
 
-// NextTimer is the time at which the model is to be advanced next; false for none.
+// NextTimer returns the time of the earliest timer, to which the driver must advance the model next.
+// It returns false if no timer is set.
 func (m *Model) NextTimer() (Time, bool) {
 	if len(m.timers) == 0 {
 		return 0, false
@@ -43,7 +44,8 @@
 	return m.timers[0].at, true
 }
 
-// Advance runs all timers that are due at now. Time never goes back.
+// Advance moves the model's time forward to now and runs all timers that are due by then. The model's
+// time never goes back, even if now is earlier.
 func (m *Model) Advance(now Time) {
 	for len(m.timers) > 0 && m.timers[0].at <= now {
 		due := heap.Pop(&m.timers).(timer)
@@ -53,7 +55,7 @@
 	m.now = max(m.now, now)
 }
 
-// schedule has a function run after a delay.
+// schedule sets a timer that runs a function after a delay.
 func (m *Model) schedule(delay Time, run func()) {
 	m.lastTimer++
 	heap.Push(&m.timers, timer{m.now + max(delay, 0), m.lastTimer, run})
--- a/internal/emulator/endpoint/warmup.go
+++ b/internal/emulator/endpoint/warmup.go
@@ -6,14 +6,14 @@
 	"troutusher/internal/event"
 )
 
-// warmUpStep is how often the speed of an endpoint that warms up is brought up to date.
+// warmUpStep is the interval at which the speed of an endpoint is updated while it warms up.
 const warmUpStep Time = 50_000
 
-// warmUpGroup is the set of endpoints that collapses as a whole: those of a
-// destination, or one independent route.
+// warmUpGroup is a set of endpoints that collapse together: all endpoints of a destination, or a
+// single independent route.
 type warmUpGroup struct {
 	endpoints      []*endpoint
-	recoveredAt    Time // when one of them last recovered
+	recoveredAt    Time // when one of the endpoints last recovered
 	recentArrivals []arrival
 }
 
@@ -22,7 +22,8 @@
 	relay int
 }
 
-// warmingUp reports whether one of the endpoints warms up.
+// warmingUp reports whether any endpoint of the group warms up. If none does, it discards the recent
+// arrivals.
 func (g *warmUpGroup) warmingUp() bool {
 	for _, e := range g.endpoints {
 		if e.warmingUp {
@@ -33,7 +34,8 @@
 	return false
 }
 
-// warmUp raises the speed of an endpoint step by step until it has warmed up.
+// warmUp raises the speed of an endpoint in steps. The warm-up lasts until WarmUpTime and then one
+// OverloadWindow have passed since the recovery.
 func (m *Model) warmUp(e *endpoint) {
 	if !e.warmingUp || m.now-e.recoveredAt >= e.destination.WarmUpTime+e.destination.OverloadWindow {
 		e.warmingUp = false
@@ -43,9 +45,9 @@
 	m.schedule(warmUpStep, func() { m.warmUp(e) })
 }
 
-// recordArrival counts an arrival while a group warms up, and has all of the group
-// collapse under overload: when more than OverloadFactor times what it could serve
-// arrived within OverloadWindow. It reports whether it collapsed.
+// recordArrival counts an arrival at a group that warms up. The whole group collapses if the arrivals
+// within OverloadWindow exceed OverloadFactor times the calls that the group could serve in that time.
+// recordArrival reports whether the group collapsed.
 func (m *Model) recordArrival(e *endpoint, relay int) bool {
 	d, group := e.destination, e.group
 	if d.OverloadWindow <= 0 || !group.warmingUp() {
@@ -70,7 +72,8 @@
 	return true
 }
 
-// collapse ends service at all endpoints of a group for good.
+// collapse permanently ends service at all endpoints of e's group. servable is the number of calls
+// that the group could have served within OverloadWindow.
 func (m *Model) collapse(e *endpoint, servable float64) {
 	group := e.group
 	callsByRelay := make([]int, m.rules.Relays)
@@ -89,7 +92,7 @@
 	}
 }
 
-// capacityShare is the share of its capacity that an endpoint has.
+// capacityShare returns the share of the endpoint's capacity that is available at the time now.
 func (e *endpoint) capacityShare(now Time) float64 {
 	if e.isDown() {
 		return 0
@@ -102,7 +105,8 @@
 	return share + (1-share)*float64(sinceRecovery)/float64(e.destination.WarmUpTime)
 }
 
-// capacityShareIntegral is the integral of capacityShare over a span that ends now, in µs.
+// capacityShareIntegral returns the integral of capacityShare between two times, in µs. The span must
+// end at the model's current time.
 func (e *endpoint) capacityShareIntegral(from, to Time) float64 {
 	switch {
 	case e.isDown():
@@ -113,7 +117,8 @@
 	return e.integralSinceRecovery(to-e.recoveredAt) - e.integralSinceRecovery(from-e.recoveredAt)
 }
 
-// integralSinceRecovery is the integral of the growing share from the recovery on.
+// integralSinceRecovery returns the integral of the growing capacity share over a span that begins at
+// the recovery.
 func (e *endpoint) integralSinceRecovery(span Time) float64 {
 	share, warmUpTime, t := e.destination.WarmUpShare, float64(e.destination.WarmUpTime), max(float64(span), 0)
 	if t >= warmUpTime {
