--- a/internal/emulator/endpoint/spec.go
+++ b/internal/emulator/endpoint/spec.go
@@ -96,9 +96,9 @@
 	if total > 0 {
 		mean /= total
 	}
-	busy := s.Capacity * mean / 1e6
-	inService = max(1, int(busy+0.5))
-	return inService, float64(inService) / busy
+	meanInService := s.Capacity * mean / 1e6
+	inService = max(1, int(meanInService+0.5))
+	return inService, float64(inService) / meanInService
 }
 
 // validate returns an error if the specification is invalid.
--- a/internal/rehearsal/checker/calls.go
+++ b/internal/rehearsal/checker/calls.go
@@ -7,16 +7,16 @@
 	"troutusher/internal/event"
 )
 
-// call is one attempt as an endpoint saw it.
+// call is one delivery attempt, as the endpoint saw it.
 type call struct {
 	relay       int
 	endpoint    int
 	firstByteAt Time
-	receivedAt  Time // moment of its last byte
+	receivedAt  Time // time of its last byte
 	endedAt     Time // 0 while it is in flight
 	status      int
 	submission  *submission
-	// drainViolation is the evidence where its first byte came after the drain grace.
+	// drainViolation is the evidence if the first byte came after the drain grace, or else empty.
 	drainViolation string
 }
 
@@ -25,10 +25,10 @@
 // mayHaveRun reports whether the call may have taken effect.
 func (c *call) mayHaveRun() bool { return c.inFlight() || !event.NeverRan(c.status) }
 
-// uncertain reports whether it is not known if the call took effect.
+// uncertain reports whether it is unknown if the call took effect.
 func (c *call) uncertain() bool { return c.mayHaveRun() && c.status != event.StatusDelivered }
 
-// outcome says how the call ended, for evidence.
+// outcome describes how the call ended, for evidence.
 func (c *call) outcome() string {
 	switch {
 	case c.inFlight():
@@ -39,7 +39,7 @@
 	return fmt.Sprintf("status %d", c.status)
 }
 
-// handleFirstByte takes the first byte of a call; the message is not known yet.
+// handleFirstByte records the first byte of a call, whose message is not known yet.
 func (c *Checker) handleFirstByte(e *event.Event) {
 	call := c.newCall(e)
 	drainedAt, drained := c.relays[e.Relay].drainedAt[e.Endpoint]
@@ -57,7 +57,8 @@
 	return created
 }
 
-// handleCall takes a whole call and judges it by all rules that it may break.
+// handleCall records a call that has arrived in full, and checks it against all rules that it may
+// break.
 func (c *Checker) handleCall(e *event.Event) {
 	received := c.calls[e.Call]
 	if received == nil {
@@ -77,7 +78,7 @@
 		c.addViolation(RuleDrain, s, received.relay, received.endpoint, "%s", received.drainViolation)
 	}
 	c.checkRetryAfter(s, received.relay, received.endpoint, "a call")
-	if s.state != abandoned {
+	if s.state != noReply {
 		c.checkAtMostOnce(s, received)
 		c.checkOrdering(s, received)
 	}
@@ -88,7 +89,7 @@
 	}
 }
 
-// checkDestination judges where a call goes.
+// checkDestination checks that a call went to an endpoint of its message's destination.
 func (c *Checker) checkDestination(s *submission, received *call) {
 	endpoint, want := c.endpoint(received.endpoint), c.messageOf(s).Destination
 	if endpoint.Destination != want {
@@ -100,8 +101,8 @@
 	}
 }
 
-// checkAtMostOnce judges a call of a message that had calls before, under this id or an
-// earlier one whose client heard an answer.
+// checkAtMostOnce checks a call against the earlier calls of its message, under the same ID or under
+// an earlier ID whose client got a reply.
 func (c *Checker) checkAtMostOnce(s *submission, received *call) {
 	for _, earlier := range s.calls {
 		if earlier.inFlight() {
@@ -139,7 +140,7 @@
 func (c *Checker) firstThatMayHaveRun(message int) *call {
 	var first *call
 	for _, s := range c.submissionsByMessage[message] {
-		if s.state == abandoned {
+		if s.state == noReply {
 			continue
 		}
 		for _, call := range s.calls {
@@ -151,7 +152,7 @@
 	return first
 }
 
-// handleCallEnd takes the end of a call; only its first one counts.
+// handleCallEnd records the end of a call. Only the first end of a call counts.
 func (c *Checker) handleCallEnd(e *event.Event) {
 	ended := c.calls[e.Call]
 	if ended == nil {
@@ -160,8 +161,8 @@
 	delete(c.calls, e.Call)
 	ended.endedAt, ended.status = max(c.now, 1), e.Status
 	if e.Status == event.StatusDelivered {
-		if s := ended.submission; s != nil && s.state != abandoned {
-			s.delivered = true // it counts once its client has heard that the message is accepted
+		if s := ended.submission; s != nil && s.state != noReply {
+			s.delivered = true // it counts once the client has been told that the message is accepted
 		}
 		return
 	}
@@ -172,20 +173,20 @@
 	}
 }
 
-// effect is one time that a message took effect.
+// effect records that a message took effect once.
 type effect struct {
 	submission *submission
 	endpoint   int
 	at         Time
 }
 
-// handleEffect takes that a call took effect, which may come long after the call's end.
+// handleEffect records that a call took effect, which may happen long after the call ended.
 func (c *Checker) handleEffect(e *event.Event) {
 	s := c.submissions[e.ID]
-	if s == nil || s.state == abandoned || c.classOf(s).Idempotency == Idempotent {
+	if s == nil || s.state == noReply || c.classOf(s).Idempotency == Idempotent {
 		return
 	}
-	earlier := slices.DeleteFunc(c.effects[s.message], func(f effect) bool { return f.submission.state == abandoned })
+	earlier := slices.DeleteFunc(c.effects[s.message], func(f effect) bool { return f.submission.state == noReply })
 	if len(earlier) > 0 {
 		first := earlier[0]
 		c.addViolation(
@@ -196,7 +197,7 @@
 	c.effects[s.message] = append(earlier, effect{submission: s, endpoint: e.Endpoint, at: c.now})
 }
 
-// handleUnknownMessage takes a call for a message that does not exist.
+// handleUnknownMessage records a call for a message that does not exist, which is a violation.
 func (c *Checker) handleUnknownMessage(e *event.Event) {
 	c.addViolation(RuleRouting, nil, e.Relay, e.Endpoint, "relay %d called %s for a message that nobody handed in",
 		e.Relay, c.endpointName(e.Endpoint))
--- a/internal/rehearsal/checker/checker.go
+++ b/internal/rehearsal/checker/checker.go
@@ -1,6 +1,7 @@
-// Package checker judges the six rules over the record of a rehearsal, for every
-// protocol and for simulated time alike. It takes events in their order and must never
-// touch a socket, a file or a clock, know a protocol, or ask a relay for its own view.
+// Package checker checks the events of a rehearsal against the rules that relays must keep; Rules
+// lists them. It works alike for every protocol and for simulated time. It processes the events in
+// order, uses no sockets, files or clock, does not depend on a protocol, and never asks a relay for
+// its own view.
 package checker
 
 import (
@@ -11,18 +12,18 @@
 	"troutusher/internal/event"
 )
 
-// none stands for no relay, endpoint or message in a violation.
+// none means that a violation names no relay, endpoint or message.
 const none = -1
 
-// Checker judges one rehearsal.
+// Checker checks one rehearsal.
 type Checker struct {
 	config               Config
 	now                  Time
-	submissions          map[string]*submission // by their id
+	submissions          map[string]*submission // by ID
 	submissionsByMessage map[int][]*submission
 	deadlines            deadlineHeap
 	orderedQueues        map[orderedQueueKey][]*submission
-	calls                map[uint64]*call // those in flight, by their number
+	calls                map[uint64]*call // calls in flight, by number
 	effects              map[int][]effect // by message
 	routes               map[routeKey]*route
 	relays               []relayState
@@ -30,7 +31,7 @@
 	violations           []Violation
 }
 
-// New makes a checker of a rehearsal that has not begun.
+// New returns a checker for a rehearsal that has not begun.
 func New(config Config) *Checker {
 	c := &Checker{
 		config:               config,
@@ -48,8 +49,8 @@
 	return c
 }
 
-// Step takes the next event. An event that is earlier than the one before it counts as
-// one of the same moment.
+// Step processes the next event. An event with an earlier time than its predecessor counts as if it
+// had happened at the same time.
 func (c *Checker) Step(e event.Event) {
 	c.checkDeadlines(e.At)
 	c.now = max(c.now, e.At)
@@ -96,7 +97,7 @@
 	}
 }
 
-// namesRelay reports whether events of a kind name a relay.
+// namesRelay reports whether events of a kind have a relay number.
 func namesRelay(kind event.Kind) bool {
 	switch kind {
 	case event.Submitted,
@@ -114,7 +115,7 @@
 	return false
 }
 
-// Finish judges what is open at the end of the record.
+// Finish checks what is still open at the end of the record.
 func (c *Checker) Finish(at Time) {
 	for i := range c.relays {
 		c.relays[i].down = false
@@ -123,14 +124,14 @@
 	c.checkRestarts(at)
 }
 
-// Violations returns those found so far, in the order of their moments.
+// Violations returns the violations found so far, ordered by time.
 func (c *Checker) Violations() []Violation {
 	sorted := slices.Clone(c.violations)
 	slices.SortStableFunc(sorted, func(a, b Violation) int { return cmp.Compare(a.At, b.At) })
 	return sorted
 }
 
-// addViolation adds a violation of the moment. The submission is nil where it is not
+// addViolation adds a violation at the current time. The submission is nil if the violation is not
 // about a message.
 func (c *Checker) addViolation(rule Rule, s *submission, relay, endpoint int, evidence string, args ...any) {
 	violation := Violation{
@@ -143,10 +144,10 @@
 	c.violations = append(c.violations, violation)
 }
 
-// hasRelay reports whether there is a relay of a number.
+// hasRelay reports whether a relay with the given number exists.
 func (c *Checker) hasRelay(relay int) bool { return relay >= 0 && relay < len(c.relays) }
 
-// endpoint returns an endpoint by its number, or one that stands for all unknown ones.
+// endpoint returns an endpoint by its number, or a placeholder if the number is unknown.
 func (c *Checker) endpoint(number int) *Endpoint {
 	if number < 0 || number >= len(c.config.Endpoints) {
 		return &Endpoint{Name: "unknown", Destination: none}
--- a/internal/rehearsal/checker/checker_test.go
+++ b/internal/rehearsal/checker/checker_test.go
@@ -9,9 +9,9 @@
 
 const ms, s Time = 1000, 1_000_000
 
-// Messages 0 and 1 are safe, 2 keyed, 3 unsafe, 4 and 5 of one thread in
-// order. Endpoints a and b serve destination 1, c serves 2, d and e are routes
-// apart of 3.
+// testConfig returns a configuration in which messages 0, 1 and 6 are idempotent, 2 is idempotent by
+// key, 3 is non-idempotent, and 4 and 5 have the same ordering key. Endpoints a and b serve
+// destination 1, c serves destination 2, and d and e are independent routes of destination 3.
 func testConfig() Config {
 	return Config{
 		Relays: 3,
@@ -46,6 +46,7 @@
 	}
 }
 
+// scriptedRecord passes events to a checker. Each event has the time that was set last with at.
 type scriptedRecord struct {
 	now     Time
 	checker *Checker
@@ -59,43 +60,43 @@
 	return record
 }
 
-func (record *scriptedRecord) submit(id string, msg, relay int) *scriptedRecord {
-	return record.step(event.Event{Kind: event.Submitted, ID: id, Message: msg, Relay: relay, Left: 8 * s}).
+func (record *scriptedRecord) submit(id string, message, relay int) *scriptedRecord {
+	return record.step(event.Event{Kind: event.Submitted, ID: id, Message: message, Relay: relay, Left: 8 * s}).
 		step(event.Event{Kind: event.Accepted, ID: id})
 }
 
-func (record *scriptedRecord) call(no uint64, id string, relay, ep int) *scriptedRecord {
-	return record.step(event.Event{Kind: event.CallFirstByte, Call: no, Relay: relay, Endpoint: ep}).
-		step(event.Event{Kind: event.CallReceived, Call: no, ID: id, Relay: relay, Endpoint: ep})
+func (record *scriptedRecord) call(number uint64, id string, relay, endpoint int) *scriptedRecord {
+	return record.step(event.Event{Kind: event.CallFirstByte, Call: number, Relay: relay, Endpoint: endpoint}).
+		step(event.Event{Kind: event.CallReceived, Call: number, ID: id, Relay: relay, Endpoint: endpoint})
 }
 
-func (record *scriptedRecord) callEnded(no uint64, status int) *scriptedRecord {
-	return record.step(event.Event{Kind: event.CallEnded, Call: no, Status: status})
+func (record *scriptedRecord) callEnded(number uint64, status int) *scriptedRecord {
+	return record.step(event.Event{Kind: event.CallEnded, Call: number, Status: status})
 }
 
-func (record *scriptedRecord) endpointStatus(relay, ep, what int) *scriptedRecord {
-	return record.step(event.Event{Kind: event.EndpointUpdateSent, Relay: relay, Endpoint: ep, Status: what})
+func (record *scriptedRecord) endpointStatus(relay, endpoint, status int) *scriptedRecord {
+	return record.step(event.Event{Kind: event.EndpointUpdateSent, Relay: relay, Endpoint: endpoint, Status: status})
 }
 
-func (record *scriptedRecord) tookEffect(no uint64, id string, ep int) *scriptedRecord {
-	return record.step(event.Event{Kind: event.TookEffect, Call: no, ID: id, Endpoint: ep})
+func (record *scriptedRecord) tookEffect(number uint64, id string, endpoint int) *scriptedRecord {
+	return record.step(event.Event{Kind: event.TookEffect, Call: number, ID: id, Endpoint: endpoint})
 }
 
 func (record *scriptedRecord) kind(k event.Kind, relay int) *scriptedRecord {
 	return record.step(event.Event{Kind: k, Relay: relay})
 }
 
-func (record *scriptedRecord) notice(id string, what int) *scriptedRecord {
-	return record.step(event.Event{Kind: event.NoticeReceived, ID: id, Status: what})
+func (record *scriptedRecord) notice(id string, status int) *scriptedRecord {
+	return record.step(event.Event{Kind: event.NoticeReceived, ID: id, Status: status})
 }
 
-func (record *scriptedRecord) outage(ep, hidden int) *scriptedRecord {
-	return record.step(event.Event{Kind: event.OutageBegan, Endpoint: ep, Status: hidden})
+func (record *scriptedRecord) outage(endpoint, untraced int) *scriptedRecord {
+	return record.step(event.Event{Kind: event.OutageBegan, Endpoint: endpoint, Status: untraced})
 }
 
-func (record *scriptedRecord) overloaded(ep int, by ...int) *scriptedRecord {
-	return record.step(event.Event{Kind: event.OutageEnded, Endpoint: ep}).step(
-		event.Event{Kind: event.Collapsed, Endpoint: ep, Calls: by},
+func (record *scriptedRecord) overloaded(endpoint int, callsByRelay ...int) *scriptedRecord {
+	return record.step(event.Event{Kind: event.OutageEnded, Endpoint: endpoint}).step(
+		event.Event{Kind: event.Collapsed, Endpoint: endpoint, Calls: callsByRelay},
 	)
 }
 
@@ -103,106 +104,106 @@
 	for _, c := range []struct {
 		name string
 		play func(*scriptedRecord)
-		rule Rule // "" where nothing is broken
+		rule Rule // rule of the first violation; "" for no violation
 		id   string
 		at   Time
 	}{
-		// Nothing goes missing.
+		// No message is lost.
 		{"delivered", func(record *scriptedRecord) {
 			record.submit("m", 0, 0).call(1, "m", 0, 0).at(s).callEnded(1, 200)
 		}, "", "", 0},
-		{"given up in time", func(record *scriptedRecord) {
+		{"abandoned by a notice in time", func(record *scriptedRecord) {
 			record.submit("m", 0, 0).at(8200*ms).notice("m", event.NoticeAbandoned)
 		}, "", "", 0},
-		{"no end", func(record *scriptedRecord) {
+		{"neither delivered nor ended", func(record *scriptedRecord) {
 			record.submit("m", 0, 0)
 		}, RuleNoLoss, "m", 8350 * ms},
-		{"end too late", func(record *scriptedRecord) {
+		{"notice after the deadline", func(record *scriptedRecord) {
 			record.submit("m", 0, 0).at(9*s).notice("m", event.NoticeAbandoned)
 		}, RuleNoLoss, "m", 8350 * ms},
-		{"200 to a call that was not awaited any more", func(record *scriptedRecord) {
+		{"status 200 after the call ended without a response", func(record *scriptedRecord) {
 			record.submit("m", 0, 0).call(1, "m", 0, 0).at(s).callEnded(1, 0).callEnded(1, 200)
 		}, RuleNoLoss, "m", 8350 * ms},
-		{"refused needs no end", func(record *scriptedRecord) {
+		{"rejected submission needs no notice", func(record *scriptedRecord) {
 			record.step(event.Event{Kind: event.Submitted, ID: "m", Left: s}).
 				step(event.Event{Kind: event.Rejected, ID: "m"})
 		}, "", "", 0},
-		{"two ends", func(record *scriptedRecord) {
+		{"two different notices", func(record *scriptedRecord) {
 			record.submit("m", 0, 0).at(s).notice("m", event.NoticeReturned).at(2*s).notice("m", event.NoticeAbandoned)
 		}, RuleNoLoss, "m", 2 * s},
-		{"one end twice", func(record *scriptedRecord) {
+		{"the same notice twice", func(record *scriptedRecord) {
 			record.submit("m", 0, 0).at(s).notice("m", event.NoticeAbandoned).at(2*s).notice("m", event.NoticeAbandoned)
 		}, "", "", 0},
-		{"a notice after the delivery", func(record *scriptedRecord) {
+		{"notice after the delivery", func(record *scriptedRecord) {
 			record.submit("m", 0, 0).call(1, "m", 0, 0).
 				at(s).callEnded(1, 200).at(2*s).notice("m", event.NoticeAbandoned)
 		}, "", "", 0},
-		{"due while its relay is down", func(record *scriptedRecord) {
+		{"deadline passes while the relay is down", func(record *scriptedRecord) {
 			record.submit("m", 0, 0).at(7*s).kind(event.RelayKilled, 0).at(9*s).kind(event.RelayReady, 0).at(10400*ms).
 				notice(
 					"m", event.NoticeAbandoned,
 				)
 		}, "", "", 0},
-		{"and never ended once it is back", func(record *scriptedRecord) {
+		{"never ended after the restart of the relay", func(record *scriptedRecord) {
 			record.submit("m", 0, 0).at(7*s).kind(event.RelayKilled, 0).at(9*s).kind(event.RelayReady, 0)
 		}, RuleNoLoss, "m", 10550 * ms},
-		{"cut off", func(record *scriptedRecord) {
+		{"connection ended without a reply", func(record *scriptedRecord) {
 			record.step(
 				event.Event{Kind: event.Submitted, ID: "m", Left: s},
 			).at(100 * ms).step(event.Event{Kind: event.ConnectionEnded, ID: "m"})
 		}, RuleNoLoss, "m", 100 * ms},
-		{"cut off at a connection's first request", func(record *scriptedRecord) {
+		{"connection ended at its first request", func(record *scriptedRecord) {
 			record.step(event.Event{Kind: event.Submitted, ID: "m", Left: s}).at(100 * ms).step(
 				event.Event{Kind: event.ConnectionEnded, ID: "m", Status: 1},
 			)
 		}, "", "", 0},
-		{"cut off by a kill", func(record *scriptedRecord) {
+		{"connection ended by a kill of the relay", func(record *scriptedRecord) {
 			record.step(
 				event.Event{Kind: event.Submitted, ID: "m", Left: s},
 			).kind(event.RelayKilled, 0).at(100 * ms).step(event.Event{Kind: event.ConnectionEnded, ID: "m"})
 		}, "", "", 0},
 
-		// Every effect at most once.
-		{"unsafe again after full", func(record *scriptedRecord) {
+		// Messages take effect at most once.
+		{"non-idempotent message sent again after a rejection", func(record *scriptedRecord) {
 			record.submit("m", 3, 0).call(1, "m", 0, 0).
 				at(s).callEnded(1, 503).call(2, "m", 0, 1).at(2*s).callEnded(2, 200)
 		}, "", "", 0},
-		{"unsafe again after no answer", func(record *scriptedRecord) {
+		{"non-idempotent message sent again after no response", func(record *scriptedRecord) {
 			record.submit("m", 3, 0).call(1, "m", 0, 0).at(s).callEnded(1, 0).
 				at(2*s).call(2, "m", 0, 1).at(3*s).callEnded(2, 200)
 		}, RuleAtMostOnce, "m", 2 * s},
-		{"unsafe again after an error", func(record *scriptedRecord) {
+		{"non-idempotent message sent again after an error", func(record *scriptedRecord) {
 			record.submit("m", 3, 0).call(1, "m", 0, 0).at(s).callEnded(1, 500).
 				at(2*s).call(2, "m", 0, 1).at(3*s).callEnded(2, 200)
 		}, RuleAtMostOnce, "m", 2 * s},
-		{"safe again after no answer", func(record *scriptedRecord) {
+		{"idempotent message sent again after no response", func(record *scriptedRecord) {
 			record.submit("m", 0, 0).call(1, "m", 0, 0).at(s).callEnded(1, 0).
 				at(2*s).call(2, "m", 0, 1).at(3*s).callEnded(2, 200)
 		}, "", "", 0},
-		{"a second copy at the same time", func(record *scriptedRecord) {
+		{"second call while the first is in flight", func(record *scriptedRecord) {
 			record.submit("m", 2, 0).call(1, "m", 0, 0).at(s).call(2, "m", 0, 1).callEnded(1, 0).callEnded(2, 200)
 		}, RuleAtMostOnce, "m", s},
-		{"keyed again in its window", func(record *scriptedRecord) {
+		{"keyed message sent again within its dedup window", func(record *scriptedRecord) {
 			record.submit("m", 2, 0).call(1, "m", 0, 0).at(s).callEnded(1, 0).
 				at(7*s).call(2, "m", 0, 1).callEnded(2, 200)
 		}, "", "", 0},
-		{"keyed again after its window", func(record *scriptedRecord) {
+		{"keyed message sent again after its dedup window", func(record *scriptedRecord) {
 			record.submit("m", 2, 0).call(1, "m", 0, 0).
 				at(s).callEnded(1, 0).notice("m", event.NoticeReturned).at(25*s).
 				submit("n", 2, 1).call(2, "n", 1, 1).callEnded(2, 200)
 		}, RuleAtMostOnce, "n", 25 * s},
-		{"unsafe handed back though it may have run", func(record *scriptedRecord) {
+		{"non-idempotent message returned although it may have run", func(record *scriptedRecord) {
 			record.submit("m", 3, 0).call(1, "m", 0, 0).
 				at(s).callEnded(1, 0).at(2*s).notice("m", event.NoticeReturned)
 		}, RuleAtMostOnce, "m", 2 * s},
-		{"unsafe given up though it may have run", func(record *scriptedRecord) {
+		{"non-idempotent message abandoned although it may have run", func(record *scriptedRecord) {
 			record.submit("m", 3, 0).call(1, "m", 0, 0).at(s).callEnded(1, 0).at(2*s).notice("m", event.NoticeAbandoned)
 		}, "", "", 0},
-		{"an effect twice", func(record *scriptedRecord) {
+		{"two effects of one message", func(record *scriptedRecord) {
 			record.submit("m", 2, 0).call(1, "m", 0, 0).at(s).tookEffect(1, "m", 0).callEnded(1, 0).call(2, "m", 0, 1).
 				at(3*s).tookEffect(2, "m", 1).callEnded(2, 200)
 		}, RuleAtMostOnce, "m", 3 * s},
-		{"an effect under an id whose client heard nothing", func(record *scriptedRecord) {
+		{"effect under an ID whose client got no reply", func(record *scriptedRecord) {
 			record.step(
 				event.Event{Kind: event.Submitted, ID: "m", Message: 3, Left: s},
 			).call(1, "m", 0, 0).tookEffect(1, "m", 0).at(400*ms).
@@ -210,200 +211,201 @@
 					event.Event{Kind: event.ClientTimedOut, ID: "m"},
 				).submit("n", 3, 1).call(2, "n", 1, 1).at(s).tookEffect(2, "n", 1).callEnded(2, 200)
 		}, "", "", 0},
-		{"keyed again within the window of a later attempt alone", func(record *scriptedRecord) {
+		{"keyed message sent again within the dedup window of a later attempt only", func(record *scriptedRecord) {
 			record.submit("m", 2, 0).call(1, "m", 0, 0).callEnded(1, 0).notice("m", event.NoticeReturned).
 				at(15*s).submit("n", 2, 0).call(2, "n", 0, 0).callEnded(2, 0).notice("n", event.NoticeReturned).
 				at(25*s).submit("o", 2, 0).call(3, "o", 0, 0).callEnded(3, 200)
 		}, RuleAtMostOnce, "o", 25 * s},
-		{"two calls under an id whose client heard nothing", func(record *scriptedRecord) {
+		{"two calls under an ID whose client got no reply", func(record *scriptedRecord) {
 			record.step(event.Event{Kind: event.Submitted, ID: "m", Message: 3, Left: s}).
 				step(event.Event{Kind: event.ClientTimedOut, ID: "m"}).
 				call(1, "m", 0, 0).at(s).call(2, "m", 0, 1)
 		}, "", "", 0},
-		{"unsafe refused though it may have run", func(record *scriptedRecord) {
+		{"non-idempotent message rejected although it may have run", func(record *scriptedRecord) {
 			record.step(event.Event{Kind: event.Submitted, ID: "m", Message: 3, Left: s}).
 				call(1, "m", 0, 0).callEnded(1, 500).at(s).step(event.Event{Kind: event.Rejected, ID: "m"})
 		}, RuleAtMostOnce, "m", s},
 
 		// Drains.
-		{"within the grace", func(record *scriptedRecord) {
+		{"call within the drain grace", func(record *scriptedRecord) {
 			record.endpointStatus(0, 0, event.UpdateDraining).
 				at(2*s).submit("m", 0, 0).call(1, "m", 0, 0).callEnded(1, 200)
 		}, "", "", 0},
-		{"within the grace and the slack", func(record *scriptedRecord) {
+		{"call within the drain grace and the slack", func(record *scriptedRecord) {
 			record.endpointStatus(0, 0, event.UpdateDraining).
 				at(2050*ms).submit("m", 0, 0).call(1, "m", 0, 0).callEnded(1, 200)
 		}, "", "", 0},
-		{"told before a restart", func(record *scriptedRecord) {
+		{"drain announced before a restart of the relay", func(record *scriptedRecord) {
 			record.endpointStatus(0, 0, event.UpdateDraining).kind(event.RelayKilled, 0).
 				at(s).kind(event.RelayReady, 0).
 				at(3*s).submit("m", 0, 0).call(1, "m", 0, 0).callEnded(1, 200)
 		}, "", "", 0},
-		{"after the grace", func(record *scriptedRecord) {
+		{"call after the drain grace", func(record *scriptedRecord) {
 			record.endpointStatus(0, 0, event.UpdateDraining).
 				at(2100*ms).submit("m", 0, 0).call(1, "m", 0, 0).callEnded(1, 200)
 		}, RuleDrain, "m", 2100 * ms},
-		{"told again does not begin it anew", func(record *scriptedRecord) {
+		{"second update does not restart the drain grace", func(record *scriptedRecord) {
 			record.endpointStatus(
 				0, 0, event.UpdateDraining,
 			).at(s).endpointStatus(0, 0, event.UpdateRemoved).
 				at(2100*ms).submit("m", 0, 0).call(1, "m", 0, 0).callEnded(1, 200)
 		}, RuleDrain, "m", 2100 * ms},
-		{"another relay, not told", func(record *scriptedRecord) {
+		{"removal announced to another relay only", func(record *scriptedRecord) {
 			record.endpointStatus(0, 0, event.UpdateRemoved).
 				at(3*s).submit("m", 0, 1).call(1, "m", 1, 0).callEnded(1, 200)
 		}, "", "", 0},
-		{"back in the list", func(record *scriptedRecord) {
+		{"endpoint listed again", func(record *scriptedRecord) {
 			record.endpointStatus(
 				0, 0, event.UpdateRemoved,
 			).at(s).endpointStatus(0, 0, event.UpdateUp).at(4*s).submit("m", 0, 0).call(1, "m", 0, 0).callEnded(1, 200)
 		}, "", "", 0},
 
-		// Returning destinations.
-		{"pushed by those who knew", func(record *scriptedRecord) {
+		// Recovering destinations.
+		{"overloaded by relays that had seen the outage", func(record *scriptedRecord) {
 			record.submit("m", 0, 0).call(1, "m", 0, 0).at(s).outage(0, 0).callEnded(1, 0).at(9*s).
 				notice("m", event.NoticeAbandoned).overloaded(0, 9, 3, 0)
-		}, RuleNoLoss, "m", 8350 * ms}, // and see below: both rules
-		{"pushed in just so large a part by those who knew", func(record *scriptedRecord) {
+		}, RuleNoLoss, "m", 8350 * ms}, // TestSeveralRulesInOneRun checks the second violation
+		{"share of informed relays exactly at the limit", func(record *scriptedRecord) {
 			record.outage(0, 0).step(event.Event{Kind: event.HealthCheckAnswered, Status: 503}).
 				at(s).overloaded(0, 6, 3, 0)
 		}, RuleRecovery, "", s},
-		{"pushed by those who did not", func(record *scriptedRecord) {
+		{"overloaded by relays that had not seen the outage", func(record *scriptedRecord) {
 			record.outage(0, 0).submit("m", 0, 0).call(1, "m", 0, 0).callEnded(1, 503).notice("m", 1).
 				at(s).overloaded(0, 3, 9, 9)
 		}, "", "", 0},
-		{"seen at another endpoint of the destination", func(record *scriptedRecord) {
+		{"outage seen at another endpoint of the destination", func(record *scriptedRecord) {
 			record.outage(0, 0).outage(1, 0).submit("m", 0, 0).call(1, "m", 0, 1).callEnded(1, 503).
 				notice("m", 1).at(s).overloaded(0, 9, 1, 1)
 		}, RuleRecovery, "", s},
-		{"a route apart is not its neighbour", func(record *scriptedRecord) {
+		{"outage seen at another independent route", func(record *scriptedRecord) {
 			record.outage(3, 0).outage(4, 0).submit("m", 6, 0).call(1, "m", 0, 4).callEnded(1, 503).
 				notice("m", 1).at(s).overloaded(3, 9, 1, 1)
 		}, "", "", 0},
-		{"seen by a probe", func(record *scriptedRecord) {
+		{"outage seen by a health check", func(record *scriptedRecord) {
 			record.outage(0, 0).step(event.Event{Kind: event.HealthCheckAnswered, Relay: 2, Status: 503}).
 				at(s).overloaded(0, 0, 1, 9)
 		}, RuleRecovery, "", s},
-		{"one of two dead: the calls may have gone to the other", func(record *scriptedRecord) {
+		{"one of two endpoints unreachable: calls may have gone to the other", func(record *scriptedRecord) {
 			record.outage(0, 1).submit("m", 0, 1).notice("m", 1).at(s).overloaded(0, 0, 9, 0)
 		}, "", "", 0},
-		{"refused connections leave no trace", func(record *scriptedRecord) {
+		{"all endpoints unreachable: refused connections leave no trace", func(record *scriptedRecord) {
 			record.outage(0, 1).outage(1, 1).submit("m", 0, 1).notice("m", 1).at(s).overloaded(0, 0, 9, 0)
 		}, RuleRecovery, "", s},
-		{"seen in an earlier outage", func(record *scriptedRecord) {
+		{"failure seen in an earlier outage", func(record *scriptedRecord) {
 			record.outage(0, 0).submit("m", 0, 0).call(1, "m", 0, 0).callEnded(1, 503).notice("m", 1).at(s).
 				step(event.Event{Kind: event.OutageEnded}).at(2*s).outage(0, 0).at(3*s).overloaded(0, 9, 0, 0)
 		}, "", "", 0},
 
-		// Order.
-		{"in turn", func(record *scriptedRecord) {
+		// Ordering.
+		{"messages of one ordering key, one after the other", func(record *scriptedRecord) {
 			record.submit("m", 4, 0).submit("n", 5, 0).call(1, "m", 0, 0).at(s).callEnded(1, 200).
 				call(2, "n", 0, 0).at(2*s).callEnded(2, 200)
 		}, "", "", 0},
-		{"overtaken", func(record *scriptedRecord) {
+		{"later message called first", func(record *scriptedRecord) {
 			record.submit("m", 4, 0).at(s).submit("n", 5, 0).call(2, "n", 0, 0).at(2*s).callEnded(2, 200).
 				call(1, "m", 0, 0).callEnded(1, 200)
 		}, RuleOrdering, "n", s},
-		{"one that is not finished holds a later one back", func(record *scriptedRecord) {
+		{"call while an earlier message is not finished", func(record *scriptedRecord) {
 			record.submit("m", 4, 0).submit("n", 5, 0).call(1, "n", 0, 0).callEnded(1, 200).
 				at(s).submit("o", 4, 0).call(2, "o", 0, 0).callEnded(2, 200).call(3, "m", 0, 0).callEnded(3, 200)
 		}, RuleOrdering, "o", s},
-		{"while the end of one is not sure", func(record *scriptedRecord) {
+		{"call within the backoff after an uncertain call", func(record *scriptedRecord) {
 			record.submit("m", 4, 0).submit("n", 5, 0).call(1, "m", 0, 0).at(s).callEnded(1, 0).notice(
 				"m", event.NoticeAbandoned,
 			).at(1500*ms).call(2, "n", 0, 0).callEnded(2, 200)
 		}, RuleOrdering, "n", 1500 * ms},
-		{"after its rest", func(record *scriptedRecord) {
+		{"call after the backoff", func(record *scriptedRecord) {
 			record.submit("m", 4, 0).submit("n", 5, 0).call(1, "m", 0, 0).at(s).callEnded(1, 0).notice(
 				"m", event.NoticeAbandoned,
 			).at(2*s).call(2, "n", 0, 0).callEnded(2, 200)
 		}, "", "", 0},
 
-		// Waits.
-		{"let through", func(record *scriptedRecord) {
+		// Retry-After.
+		{"call within the Retry-After grace", func(record *scriptedRecord) {
 			record.submit("m", 0, 0).submit("n", 1, 0).call(1, "m", 0, 0).step(
 				event.Event{Kind: event.CallEnded, Call: 1, Status: 429, Wait: s},
 			).
 				at(140*ms).call(2, "n", 0, 1).callEnded(2, 200).at(s).call(3, "m", 0, 0).callEnded(3, 200)
 		}, "", "", 0},
-		{"into a wait", func(record *scriptedRecord) {
+		{"call during a Retry-After time", func(record *scriptedRecord) {
 			record.submit("m", 0, 0).submit("n", 1, 0).call(1, "m", 0, 0).step(
 				event.Event{Kind: event.CallEnded, Call: 1, Status: 429, Wait: s},
 			).
 				at(990*ms).call(2, "n", 0, 1).callEnded(2, 200).at(s).call(3, "m", 0, 0).callEnded(3, 200)
 		}, RuleRetryAfter, "n", 990 * ms},
-		{"a probe into a wait", func(record *scriptedRecord) {
+		{"health check during a Retry-After time", func(record *scriptedRecord) {
 			record.submit("m", 0, 0).call(1, "m", 0, 0).step(
 				event.Event{Kind: event.CallEnded, Call: 1, Status: 429, Wait: s},
 			).notice("m", 1).
 				at(500 * ms).step(event.Event{Kind: event.HealthCheckReceived, Relay: 0, Endpoint: 1})
 		}, RuleRetryAfter, "", 500 * ms},
-		{"another relay was not told", func(record *scriptedRecord) {
+		{"Retry-After sent to another relay", func(record *scriptedRecord) {
 			record.submit("m", 0, 0).submit("n", 1, 1).call(1, "m", 0, 0).step(
 				event.Event{Kind: event.CallEnded, Call: 1, Status: 429, Wait: s},
 			).notice("m", 1).
 				at(500*ms).call(2, "n", 1, 1).callEnded(2, 200)
 		}, "", "", 0},
-		{"a restart ends it", func(record *scriptedRecord) {
+		{"restart discards the Retry-After time", func(record *scriptedRecord) {
 			record.submit("m", 0, 0).call(1, "m", 0, 0).step(
 				event.Event{Kind: event.CallEnded, Call: 1, Status: 429, Wait: 5 * s},
 			).at(s).
 				kind(event.RelayKilled, 0).at(2*s).kind(event.RelayReady, 0).call(2, "m", 0, 1).callEnded(2, 200)
 		}, "", "", 0},
 
-		// Strays.
-		{"to another destination", func(record *scriptedRecord) {
+		// Routing.
+		{"call to another destination", func(record *scriptedRecord) {
 			record.submit("m", 0, 0).call(1, "m", 0, 2).callEnded(1, 200)
 		}, RuleRouting, "m", 0},
-		{"for nobody", func(record *scriptedRecord) {
+		{"call for an unknown message", func(record *scriptedRecord) {
 			record.step(event.Event{Kind: event.UnknownCall, ID: "q"})
 		}, RuleRouting, "q", 0},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			r := New(testConfig())
-			c.play(&scriptedRecord{checker: r})
-			r.Finish(60 * s)
-			found := r.Violations()
+			checker := New(testConfig())
+			c.play(&scriptedRecord{checker: checker})
+			checker.Finish(60 * s)
+			found := checker.Violations()
 			if c.rule == "" {
 				if len(found) > 0 {
-					t.Errorf("convicted: %s", found[0].String())
+					t.Errorf("Violations()[0] = %s, want no violation", found[0].String())
 				}
 				return
 			}
 			if len(found) == 0 {
-				t.Fatalf("acquitted; want %q of %s at %d", c.rule, c.id, c.at)
+				t.Fatalf("Violations() is empty, want %q for message %q at %d µs", c.rule, c.id, c.at)
 			}
 			if v := found[0]; v.Rule != c.rule || v.ID != c.id || v.At != c.at || v.Evidence == "" ||
 				!strings.Contains(v.String(), string(v.Rule)) {
-				t.Errorf("%s\n(at %d), want %q of %s at %d", v.String(), v.At, c.rule, c.id, c.at)
+				t.Errorf("Violations()[0] = %s (at %d µs), want %q for message %q at %d µs",
+					v.String(), v.At, c.rule, c.id, c.at)
 			}
 		})
 	}
 }
 
 func TestSeveralRulesInOneRun(t *testing.T) {
-	r := New(testConfig())
-	record := &scriptedRecord{checker: r}
+	checker := New(testConfig())
+	record := &scriptedRecord{checker: checker}
 	record.submit("m", 0, 0).call(1, "m", 0, 0).at(s).outage(0, 0).callEnded(1, 0).at(9*s).notice(
 		"m", event.NoticeAbandoned,
 	).overloaded(0, 9, 3, 0)
-	r.Finish(20 * s)
-	found := r.Violations()
+	checker.Finish(20 * s)
+	found := checker.Violations()
 	if len(found) != 2 || found[0].Rule != RuleNoLoss || found[1].Rule != RuleRecovery {
-		t.Errorf("found %v", found)
+		t.Errorf("Violations() = %v, want one of %q and one of %q", found, RuleNoLoss, RuleRecovery)
 	}
 }
 
-// FuzzStep: no record, however odd, stops the checker.
+// FuzzStep checks that the checker does not panic on any sequence of events.
 func FuzzStep(f *testing.F) {
 	f.Add([]byte{0, 0, 0, 0, 1, 0, 0, 0, 6, 0, 0, 0, 7, 0, 0, 0, 8, 0, 200, 1})
 	f.Add([]byte{15, 0, 3, 1, 17, 0, 3, 9})
 	f.Fuzz(func(t *testing.T, text []byte) {
-		r := New(testConfig())
+		checker := New(testConfig())
 		at := Time(0)
 		for ; len(text) >= 4; text = text[4:] {
 			at += Time(text[3]) * 20 * ms
-			r.Step(event.Event{
+			checker.Step(event.Event{
 				At:       at,
 				Kind:     event.Kind(text[0] % 24),
 				Relay:    int(int8(text[1])) % 5,
@@ -417,65 +419,66 @@
 				Calls:    []int{1, 2},
 			})
 		}
-		r.Finish(at + 60*s)
-		r.Violations()
+		checker.Finish(at + 60*s)
+		checker.Violations()
 	})
 }
 
-// The term for restarts: over half of what starts find untried, with half of its
-// time left, ended with no call. What has no time left, was called before, ends
-// while its relay is down or is found in a hand-over counts for nothing.
-func TestUntriedAtRestart(t *testing.T) {
+// TestRestartRule checks that the restart rule is broken if more than half of the messages that a
+// restarted relay recovers unattempted, with at least half of their time left, end without an attempt.
+// Messages do not count if they have less time left, were attempted before, end while the relay is
+// down, or are handed over without a restart.
+func TestRestartRule(t *testing.T) {
 	for _, c := range []struct {
-		name        string
-		tried, back int // of ten that a start finds
-		downFrom    Time
-		least       int
-		called      bool // before the start
-		never       bool // the relay is never down
-		want        RestartCounts
-		broken      bool
+		name                string
+		attempted, returned int // of ten messages that the restarted relay recovers
+		downFrom            Time
+		minUnattempted      int
+		attemptedBefore     bool // attempted before the restart
+		neverDown           bool // the relay is never down
+		want                RestartCounts
+		violated            bool
 	}{
-		{"half of them", 5, 5, s, 10, false, false, RestartCounts{10, 5, 5}, false},
-		{"more than half", 4, 6, s, 10, false, false, RestartCounts{10, 4, 6}, true},
-		{"few of them", 0, 9, s, 11, false, false, RestartCounts{10, 0, 9}, false},
-		{"under half of their time left", 0, 10, 5 * s, 10, false, false, RestartCounts{}, false},
-		{"called before", 0, 10, s, 10, true, false, RestartCounts{}, false},
-		{"no start", 0, 10, s, 10, false, true, RestartCounts{}, false},
+		{"half of them end unattempted", 5, 5, s, 10, false, false, RestartCounts{10, 5, 5}, false},
+		{"more than half of them end unattempted", 4, 6, s, 10, false, false, RestartCounts{10, 4, 6}, true},
+		{"fewer messages than MinUnattempted", 0, 9, s, 11, false, false, RestartCounts{10, 0, 9}, false},
+		{"less than half of their time left", 0, 10, 5 * s, 10, false, false, RestartCounts{}, false},
+		{"attempted before the restart", 0, 10, s, 10, true, false, RestartCounts{}, false},
+		{"no restart", 0, 10, s, 10, false, true, RestartCounts{}, false},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			f := testConfig()
-			f.MaxEndedUnattempted, f.MinUnattempted = 0.5, c.least
-			record := &scriptedRecord{checker: New(f)}
+			config := testConfig()
+			config.MaxEndedUnattempted, config.MinUnattempted = 0.5, c.minUnattempted
+			record := &scriptedRecord{checker: New(config)}
 			ids := make([]string, 10)
 			for i := range ids {
 				ids[i] = string(rune('a' + i))
-				if record.submit(ids[i], 0, 0); c.called {
+				if record.submit(ids[i], 0, 0); c.attemptedBefore {
 					record.call(uint64(i+1), ids[i], 0, 0).callEnded(uint64(i+1), 503)
 				}
 			}
-			record.submit("other", 0, 1) // another relay's
-			if record.at(c.downFrom); !c.never {
+			record.submit("other", 0, 1) // of a relay that is not restarted
+			if record.at(c.downFrom); !c.neverDown {
 				record.kind(event.RelayKilled, 0)
 			}
 			record.at(c.downFrom+s).kind(event.RelayReady, 0)
 			record.at(c.downFrom + s + 100*ms)
-			for i := range c.tried {
+			for i := range c.attempted {
 				record.call(uint64(100+i), ids[i], 0, 0).callEnded(uint64(100+i), 503)
 			}
-			for i := range 10 { // what was called may be handed back as well
-				if i < c.tried || i < c.tried+c.back {
+			for i := range 10 { // attempted messages may be returned as well
+				if i < c.attempted || i < c.attempted+c.returned {
 					record.notice(ids[i], event.NoticeReturned)
 				}
 			}
 			record.notice("other", event.NoticeReturned)
 			record.checker.Finish(7 * s)
 			if got := record.checker.RestartCounts(); got != c.want {
-				t.Errorf("%+v, want %+v", got, c.want)
+				t.Errorf("RestartCounts() = %+v, want %+v", got, c.want)
 			}
 			found := record.checker.Violations()
-			if broken := len(found) == 1 && found[0].Rule == RuleRestart; broken != c.broken || len(found) > 1 {
-				t.Errorf("violations: %v", found)
+			if violated := len(found) == 1 && found[0].Rule == RuleRestart; violated != c.violated || len(found) > 1 {
+				t.Errorf("Violations() = %v, want a single violation of %q: %v", found, RuleRestart, c.violated)
 			}
 		})
 	}
--- a/internal/rehearsal/checker/config.go
+++ b/internal/rehearsal/checker/config.go
@@ -2,10 +2,10 @@
 
 import "troutusher/internal/event"
 
-// Time is a moment or a span in microseconds.
+// Time is a point in time or a duration, in microseconds.
 type Time = event.Time
 
-// Idempotency says what a second run of a message does.
+// Idempotency says whether a message may run a second time.
 type Idempotency uint8
 
 // Kinds of idempotency.
@@ -15,16 +15,16 @@
 	NonIdempotent                      // a second run must never happen
 )
 
-// Class is what the rules need of a class of message.
+// Class holds the properties of a message class that the rules depend on.
 type Class struct {
 	Idempotency Idempotency
-	// DedupWindow is how long an idempotency key is known, from the first byte of the
-	// first attempt that may have run. IdempotentByKey alone has one.
+	// DedupWindow is how long the destination remembers an idempotency key, counted from the first
+	// byte of the first attempt that may have run. It is set only with IdempotentByKey.
 	DedupWindow Time
-	// Ordered classes have their messages of one ordering key delivered one at a time.
+	// Ordered says that the messages of one ordering key are delivered one at a time.
 	Ordered bool
-	// OrderedKeyBackoff is how long an ordering key pauses after an attempt that may
-	// have run. Ordered classes alone have one.
+	// OrderedKeyBackoff is how long deliveries of an ordering key pause after an attempt that may have
+	// run. It is set only if Ordered is.
 	OrderedKeyBackoff Time
 }
 
@@ -32,40 +32,41 @@
 type Message struct {
 	Class       int
 	Destination int
-	OrderingKey uint64 // of an ordered class; 0 for none
+	OrderingKey uint64 // set in ordered classes only; 0 for none
 }
 
 // Endpoint is an endpoint of a destination.
 type Endpoint struct {
 	Name             string
 	Destination      int
-	IndependentRoute bool // it has Retry-After times and outages of its own
+	IndependentRoute bool // Retry-After times and outages apply to this endpoint only
 }
 
-// Config is what a rehearsal is judged by: its relays, messages and endpoints, and
-// the limits of the rules.
+// Config describes the rehearsal to check: its relays, messages and endpoints, and the limits that the
+// rules set.
 type Config struct {
 	Relays    int
 	Classes   []Class
 	Messages  []Message
 	Endpoints []Endpoint
 
-	// Slack is added to every limit, since the record's clock is not the relays'.
+	// Slack is added to every limit, because the record and the relays use different clocks.
 	Slack Time
-	// DeadlineSlack is how long after a message's deadline its end may come.
+	// DeadlineSlack is how long after its deadline a message may still be delivered or ended.
 	DeadlineSlack Time
-	// RestartGrace is how long after a restart no end is overdue.
+	// RestartGrace is how long after a restart no message counts as overdue.
 	RestartGrace Time
-	// DrainGrace is how long after word of a drain an attempt may begin.
+	// DrainGrace is how long attempts may still begin after the relay was told of a drain.
 	DrainGrace Time
-	// RetryAfterGrace is how long after a Retry-After calls that were on their way are let through.
+	// RetryAfterGrace is how long after a Retry-After response calls are still tolerated, because
+	// they may already have been on their way.
 	RetryAfterGrace Time
-	// InformedShareLimit is the share of the calls that overloaded a recovering endpoint from
-	// which on relays that had seen it fail are to blame.
+	// InformedShareLimit is the share of the calls in an overload of a recovering endpoint that makes
+	// the overload a violation, if relays that had seen the endpoint fail sent that share or more.
 	InformedShareLimit float64
-	// MaxEndedUnattempted is the share of the messages recovered unattempted that may end
-	// with no attempt.
+	// MaxEndedUnattempted is the share of the messages recovered unattempted that may end without an
+	// attempt.
 	MaxEndedUnattempted float64
-	// MinUnattempted is how many messages must be recovered unattempted for that share to be judged.
+	// MinUnattempted is how many messages must be recovered unattempted for that share to be checked.
 	MinUnattempted int
 }
--- a/internal/rehearsal/checker/deadlines.go
+++ b/internal/rehearsal/checker/deadlines.go
@@ -2,11 +2,11 @@
 
 import "container/heap"
 
-// downRecheckInterval is the time after which a deadline that passed while its relay was
-// down is looked at again.
+// downRecheckInterval is the time after which a deadline that passed while its relay was down is
+// checked again.
 const downRecheckInterval Time = 100_000
 
-// checkDeadlines judges the submissions whose end should have come before a moment.
+// checkDeadlines checks the submissions that had to be delivered or ended before the given time.
 func (c *Checker) checkDeadlines(at Time) {
 	for len(c.deadlines) > 0 && c.deadlines[0].at < at {
 		passed := heap.Pop(&c.deadlines).(deadline)
@@ -30,7 +30,7 @@
 	}
 }
 
-// deadline is a moment by which a submission must have its end.
+// deadline is the time by which a submission must be delivered or ended.
 type deadline struct {
 	at         Time
 	submission *submission
--- a/internal/rehearsal/checker/ordering.go
+++ b/internal/rehearsal/checker/ordering.go
@@ -1,27 +1,27 @@
 package checker
 
-// orderedQueueKey names the messages that one relay must deliver in order.
+// orderedQueueKey identifies the messages that one relay must deliver in order.
 type orderedQueueKey struct {
 	relay       int
 	orderingKey uint64
 }
 
-// orderedQueueOf returns the ordered queue that a submission belongs to, if any.
+// orderedQueueOf returns the key of the ordered queue that a submission belongs to, if any.
 func (c *Checker) orderedQueueOf(s *submission) (key orderedQueueKey, ordered bool) {
 	message := c.messageOf(s)
 	ordered = c.classOf(s).Ordered && message.OrderingKey != 0
 	return orderedQueueKey{s.relay, message.OrderingKey}, ordered
 }
 
-// enqueueOrdered adds an accepted submission to its ordered queue, if it has one.
+// enqueueOrdered adds an accepted submission to its ordered queue, if it belongs to one.
 func (c *Checker) enqueueOrdered(s *submission) {
 	if key, ordered := c.orderedQueueOf(s); ordered {
 		c.orderedQueues[key] = append(c.orderedQueues[key], s)
 	}
 }
 
-// checkOrdering judges a call of a message that is delivered in order, and drops from its
-// queue what no later call depends on.
+// checkOrdering checks a call of a message that must be delivered in order. It removes the submissions
+// from the message's queue that no longer affect later calls.
 func (c *Checker) checkOrdering(s *submission, received *call) {
 	key, ordered := c.orderedQueueOf(s)
 	if !ordered {
@@ -41,8 +41,8 @@
 	c.orderedQueues[key] = remaining
 }
 
-// checkCallsSettled judges a call against those of a submission of the same queue, and
-// reports whether none of these is in flight or within its backoff.
+// checkCallsSettled checks a call against the calls of a submission of the same queue. It reports
+// whether none of those is in flight or within its backoff.
 func (c *Checker) checkCallsSettled(s *submission, received *call, earlier *submission) bool {
 	settled := true
 	backoff := c.classOf(s).OrderedKeyBackoff - c.config.Slack
@@ -53,7 +53,7 @@
 		}
 		settled = false
 		if earlier == s && call.inFlight() {
-			continue // checkAtMostOnce has judged it
+			continue // checkAtMostOnce reports this case
 		}
 		c.addViolation(
 			RuleOrdering, s, received.relay, received.endpoint,
--- a/internal/rehearsal/checker/record_test.go
+++ b/internal/rehearsal/checker/record_test.go
@@ -14,10 +14,10 @@
 	"troutusher/internal/event"
 )
 
-var updateVerdicts = flag.Bool("update-verdicts", false, "write the verdicts of the stored records anew")
+var updateVerdicts = flag.Bool("update-verdicts", false, "rewrite the verdicts of the stored records")
 
-// recordedEvent is an event in a stored record. Its keys and the numbers of its
-// kinds are those of the file, whatever the fields are called in the code.
+// recordedEvent is an event in a stored record. The files fix its JSON keys and the numbers of its
+// kinds, which therefore stay the same when names in the code change.
 type recordedEvent struct {
 	At       Time   `json:"at"`
 	Kind     int    `json:"kind"`
@@ -40,7 +40,7 @@
 	}
 }
 
-// recordedConfig are the figures of the rules in a stored record.
+// recordedConfig is the configuration of the checker in a stored record.
 type recordedConfig struct {
 	Relays       int     `json:"relays"`
 	Slack        Time    `json:"slack"`
@@ -69,8 +69,8 @@
 	} `json:"endpoints"`
 }
 
-func (f *recordedConfig) figures() Config {
-	figures := Config{
+func (f *recordedConfig) config() Config {
+	config := Config{
 		Relays:              f.Relays,
 		Slack:               f.Slack,
 		DeadlineSlack:       f.EndSlack,
@@ -82,8 +82,8 @@
 		MinUnattempted:      f.UntriedLeast,
 	}
 	for _, c := range f.Classes {
-		figures.Classes = append(
-			figures.Classes,
+		config.Classes = append(
+			config.Classes,
 			Class{
 				Idempotency:       Idempotency(c.Repeat),
 				DedupWindow:       c.Window,
@@ -93,19 +93,19 @@
 		)
 	}
 	for _, m := range f.Messages {
-		figures.Messages = append(figures.Messages, Message{Class: m.Class, Destination: m.Dest, OrderingKey: m.Thread})
+		config.Messages = append(config.Messages, Message{Class: m.Class, Destination: m.Dest, OrderingKey: m.Thread})
 	}
 	for _, e := range f.Endpoints {
-		figures.Endpoints = append(
-			figures.Endpoints,
+		config.Endpoints = append(
+			config.Endpoints,
 			Endpoint{Name: e.Name, Destination: e.Dest, IndependentRoute: e.Apart},
 		)
 	}
-	return figures
+	return config
 }
 
-// recordLine is a line of a stored record: the beginning of a rehearsal, one of
-// its events, or its end. A beginning without figures has those of the one before.
+// recordLine is a line of a stored record: the beginning of a rehearsal, one of its events, or its end.
+// A beginning without a configuration uses that of the previous rehearsal in the file.
 type recordLine struct {
 	Name   string          `json:"name,omitempty"`
 	Config *recordedConfig `json:"figures,omitempty"`
@@ -113,13 +113,13 @@
 	Finish Time            `json:"finish,omitempty"`
 }
 
-// recordVerdicts plays a stored record and returns, event by event, what the
-// checker found.
+// recordVerdicts passes the events of a stored record to a checker and returns, event by event, the
+// violations that the checker found.
 func recordVerdicts(t *testing.T, record []byte) []byte {
 	t.Helper()
 	var verdicts bytes.Buffer
 	var checker *Checker
-	var figures *recordedConfig
+	var config *recordedConfig
 	eventNumber, reported := 0, 0
 	report := func(moment string) {
 		for _, v := range checker.violations[reported:] {
@@ -138,9 +138,9 @@
 		case line.Name != "":
 			fmt.Fprintf(&verdicts, "# %s\n", line.Name)
 			if line.Config != nil {
-				figures = line.Config
+				config = line.Config
 			}
-			checker, eventNumber, reported = New(figures.figures()), 0, 0
+			checker, eventNumber, reported = New(config.config()), 0, 0
 		case line.Event != nil:
 			eventNumber++
 			checker.Step(line.Event.event())
@@ -157,12 +157,12 @@
 	return verdicts.Bytes()
 }
 
-// TestVerdictsOfStoredRecords: the verdicts on records of earlier releases stay
-// what they were, event for event.
+// TestVerdictsOfStoredRecords checks that the verdicts on records of earlier releases do not change,
+// event by event.
 func TestVerdictsOfStoredRecords(t *testing.T) {
 	records, err := filepath.Glob(filepath.Join("testdata", "*.record"))
 	if err != nil || len(records) < 2 {
-		t.Fatalf("%d records, %v", len(records), err)
+		t.Fatalf("Glob found %d stored records, error %v, want 2 records or more", len(records), err)
 	}
 	for _, path := range records {
 		record, err := os.ReadFile(path)
@@ -186,8 +186,8 @@
 	}
 }
 
-// firstDifference returns the number of the first line that differs, from 1, and
-// both lines; 0 where the texts are the same.
+// firstDifference returns the number, from 1, of the first line that differs between two texts, and
+// that line of both. It returns 0 if the texts are equal.
 func firstDifference(a, b string) (line int, inA, inB string) {
 	linesA, linesB := strings.Split(a, "\n"), strings.Split(b, "\n")
 	for i := range max(len(linesA), len(linesB)) {
--- a/internal/rehearsal/checker/relays.go
+++ b/internal/rehearsal/checker/relays.go
@@ -2,21 +2,21 @@
 
 import "troutusher/internal/event"
 
-// relayState is what the rules need of a relay.
+// relayState is the state of a relay that the rules depend on.
 type relayState struct {
-	down       bool         // from being stopped or killed until it is ready
-	graceUntil Time         // no end is overdue before this
-	drainedAt  map[int]Time // by endpoint: when its list said that the endpoint drains or is gone
+	down       bool         // set from a stop or a kill of the relay until it is ready again
+	graceUntil Time         // no message counts as overdue before this time
+	drainedAt  map[int]Time // by endpoint: when the relay was told that the endpoint drains or is removed
 }
 
-// RestartCounts says what became of the messages that restarts recovered unattempted with
-// half of their time left or more. A message counts once.
+// RestartCounts counts the messages that restarted relays recovered unattempted with at least half of
+// their time left, and how many of them were attempted or ended unattempted. Each message counts once.
 type RestartCounts struct{ Unattempted, Attempted, Ended int }
 
-// RestartCounts returns the counts so far.
+// RestartCounts returns the current counts.
 func (c *Checker) RestartCounts() RestartCounts { return c.restartCounts }
 
-// handleEndpointStatus takes what a relay's list says of an endpoint.
+// handleEndpointStatus records the status of an endpoint that was sent to a relay.
 func (c *Checker) handleEndpointStatus(e *event.Event) {
 	drainedAt := c.relays[e.Relay].drainedAt
 	if e.Status == event.UpdateUp {
@@ -26,7 +26,8 @@
 	}
 }
 
-// handleKill takes that a relay's process ended by force, and with it what it knew of endpoints.
+// handleKill records that a relay's process was killed. The relay has lost what it knew about
+// endpoints: drains and Retry-After times.
 func (c *Checker) handleKill(relay int) {
 	c.relays[relay].down = true
 	clear(c.relays[relay].drainedAt)
@@ -35,7 +36,7 @@
 	}
 }
 
-// handleReady takes that a relay serves, for the first time or again.
+// handleReady records that a relay is ready, for the first time or after a restart.
 func (c *Checker) handleReady(number int) {
 	relay := &c.relays[number]
 	if relay.down {
@@ -44,8 +45,8 @@
 	relay.down, relay.graceUntil = false, c.now+c.config.RestartGrace
 }
 
-// countUnattempted counts the messages that a restarted relay recovers unattempted with
-// half of their time left.
+// countUnattempted counts the messages that a restarted relay recovers unattempted with at least half
+// of their time left.
 func (c *Checker) countUnattempted(relay int) {
 	for _, s := range c.submissions {
 		if s.relay != relay || s.state != accepted || s.finished() || len(s.calls) > 0 || s.recoveredUnattempted {
@@ -58,11 +59,11 @@
 	}
 }
 
-// checkRestarts judges how many of the recovered messages ended with no attempt.
+// checkRestarts checks how many of the messages recovered unattempted ended without an attempt.
 func (c *Checker) checkRestarts(at Time) {
 	counts := c.restartCounts
-	endedMost := c.config.MaxEndedUnattempted * float64(counts.Unattempted)
-	if counts.Unattempted < c.config.MinUnattempted || float64(counts.Ended) <= endedMost {
+	maxEnded := c.config.MaxEndedUnattempted * float64(counts.Unattempted)
+	if counts.Unattempted < c.config.MinUnattempted || float64(counts.Ended) <= maxEnded {
 		return
 	}
 	c.now = max(c.now, at)
--- a/internal/rehearsal/checker/routes.go
+++ b/internal/rehearsal/checker/routes.go
@@ -2,29 +2,30 @@
 
 import "troutusher/internal/event"
 
-// routeKey names a route: an endpoint with an independent route, or all other endpoints
-// of a destination together.
+// routeKey identifies a route: an endpoint with an independent route, or all other endpoints of a
+// destination together.
 type routeKey struct {
 	destination int
 	endpoint    int // none for the endpoints that share their destination's route
 }
 
-// route is what Retry-After times and outages apply to.
+// route is the state of a group of endpoints to which Retry-After times and outages apply together.
 type route struct {
 	destination int
-	endpoints   int
+	endpoints   int            // number of endpoints
 	retryAfters [][]retryAfter // by relay
-	failing     map[int]bool   // endpoints whose outage is on
-	// untracedOutages counts the outages since all endpoints were up in which calls leave no trace here.
+	failing     map[int]bool   // endpoints with a current outage
+	// untracedOutages counts the outages since all endpoints were last up in which calls leave no trace
+	// in the record.
 	untracedOutages int
-	// failureSeen says of each relay whether it saw a failure in the outage that is on or was last.
+	// failureSeen says for each relay whether it saw a failure in the current or the latest outage.
 	failureSeen []bool
 }
 
-// retryAfter is a time within which a relay was asked to send nothing.
+// retryAfter is a period in which a relay was asked to send nothing.
 type retryAfter struct{ from, until Time }
 
-// route returns the route of an endpoint.
+// route returns the route of an endpoint, which it creates if needed.
 func (c *Checker) route(number int) *route {
 	endpoint := c.endpoint(number)
 	key := routeKey{endpoint.Destination, none}
@@ -39,28 +40,28 @@
 	return found
 }
 
-func (c *Checker) newRoute(of *Endpoint) *route {
+func (c *Checker) newRoute(member *Endpoint) *route {
 	created := &route{
-		destination: of.Destination,
+		destination: member.Destination,
 		retryAfters: make([][]retryAfter, c.config.Relays),
 		failing:     map[int]bool{},
 		failureSeen: make([]bool, c.config.Relays),
 	}
-	if of.IndependentRoute {
+	if member.IndependentRoute {
 		created.endpoints = 1
 		return created
 	}
 	for _, endpoint := range c.config.Endpoints {
-		if endpoint.Destination == of.Destination && !endpoint.IndependentRoute {
+		if endpoint.Destination == member.Destination && !endpoint.IndependentRoute {
 			created.endpoints++
 		}
 	}
 	return created
 }
 
-// checkRetryAfter judges a call or a health check against the Retry-After times that its
-// relay was given, and drops those that have passed.
-func (c *Checker) checkRetryAfter(s *submission, relay, endpoint int, what string) {
+// checkRetryAfter checks a call or a health check against the Retry-After times that its relay was
+// given, and drops those that have passed. request names the kind of request in the evidence.
+func (c *Checker) checkRetryAfter(s *submission, relay, endpoint int, request string) {
 	route := c.route(endpoint)
 	remaining := route.retryAfters[relay][:0]
 	violated := false
@@ -74,14 +75,14 @@
 		}
 		violated = true
 		c.addViolation(
-			RuleRetryAfter, s, relay, endpoint, "relay %d sent %s to %s %.3f s into a wait of %.3f s", relay, what,
+			RuleRetryAfter, s, relay, endpoint, "relay %d sent %s to %s %.3f s into a wait of %.3f s", relay, request,
 			c.endpointName(endpoint), seconds(c.now-wait.from), seconds(wait.until-wait.from),
 		)
 	}
 	route.retryAfters[relay] = remaining
 }
 
-// handleOutage takes that an endpoint begins to fail.
+// handleOutage records that an outage of an endpoint begins.
 func (c *Checker) handleOutage(e *event.Event) {
 	route := c.route(e.Endpoint)
 	if len(route.failing) == 0 {
@@ -92,16 +93,15 @@
 	route.untracedOutages += e.Status
 }
 
-// observeFailure notes that a relay has seen a call or a health check fail during an outage.
+// observeFailure records that a relay has seen a call or a health check fail during an outage.
 func (c *Checker) observeFailure(relay, endpoint int) {
 	if route := c.route(endpoint); len(route.failing) > 0 && c.hasRelay(relay) {
 		route.failureSeen[relay] = true
 	}
 }
 
-// assumeFailureObserved notes that a relay which is given a message for a destination has
-// seen that the destination fails, where calls to it leave no trace and all of its
-// endpoints fail.
+// assumeFailureObserved assumes that a relay sees a destination fail if it is given a message for the
+// destination while all of its endpoints fail and its calls leave no trace in the record.
 func (c *Checker) assumeFailureObserved(relay, destination int) {
 	for _, route := range c.routes {
 		if route.destination == destination && route.untracedOutages > 0 && len(route.failing) == route.endpoints {
@@ -110,7 +110,7 @@
 	}
 }
 
-// handleOverload judges who overloaded an endpoint that was recovering.
+// handleOverload checks which relays overloaded a recovering endpoint.
 func (c *Checker) handleOverload(e *event.Event) {
 	route := c.route(e.Endpoint)
 	calls, informed := 0, 0
--- a/internal/rehearsal/checker/rules.go
+++ b/internal/rehearsal/checker/rules.go
@@ -5,7 +5,7 @@
 // Rule names a rule in reports.
 type Rule string
 
-// The six rules, and two more that they stand on.
+// The six rules, followed by two more that they depend on.
 const (
 	RuleNoLoss     Rule = "nothing goes missing"
 	RuleAtMostOnce Rule = "every effect at most once"
@@ -15,12 +15,12 @@
 	RuleRetryAfter Rule = "waits are respected"
 	// RuleRouting: a call is made only for a message that was submitted, and only to its destination.
 	RuleRouting Rule = "calls go where their message says"
-	// RuleRestart: of the messages that a restart recovers unattempted with half of their time
-	// left, most are attempted before they end.
+	// RuleRestart: of the messages that a restarted relay recovers unattempted with at least half of
+	// their time left, most are attempted before they end.
 	RuleRestart Rule = "what a restart finds untried is tried"
 )
 
-// Rules lists the rules in the order of a report.
+// Rules returns all rules in the order of a report.
 func Rules() []Rule {
 	return []Rule{
 		RuleNoLoss,
@@ -34,18 +34,18 @@
 	}
 }
 
-// Violation is one time that a rule was broken.
+// Violation is one case in which a rule was broken.
 type Violation struct {
 	Rule     Rule
 	At       Time
-	Message  int // number in the plan; -1 where it is not about one
+	Message  int // number in the plan; -1 if the violation is not about a message
 	ID       string
 	Relay    int // -1 for none
 	Endpoint int // -1 for none
 	Evidence string
 }
 
-// String is the violation in one line.
+// String returns the violation as one line.
 func (v *Violation) String() string {
 	line := fmt.Sprintf("%.3f s: %s: ", seconds(v.At), v.Rule)
 	if v.ID != "" {
--- a/internal/rehearsal/checker/submissions.go
+++ b/internal/rehearsal/checker/submissions.go
@@ -6,18 +6,18 @@
 	"troutusher/internal/event"
 )
 
-// submissionState is the reply to a submission.
+// submissionState says which reply a client got to a submission.
 type submissionState uint8
 
 const (
-	unanswered submissionState = iota
+	awaitingReply submissionState = iota
 	accepted
 	rejected
 	failed
-	abandoned // the client heard nothing, so that what happens under this id counts for nothing
+	noReply // the client got no reply, so loss, repeated effects and order are not checked for this ID
 )
 
-// submission is one try of a client to submit a message.
+// submission is one attempt of a client to submit a message.
 type submission struct {
 	id          string
 	message     int // number in the plan
@@ -29,23 +29,23 @@
 	delivered   bool
 	notice      int // one of event.Notice..., or noNotice
 	calls       []*call
-	// recoveredUnattempted is set where a restart found it with no attempt, until it is
-	// attempted or ends.
+	// recoveredUnattempted is set when a restarted relay recovers the submission unattempted, and
+	// cleared when the submission is attempted or ends.
 	recoveredUnattempted bool
 }
 
-// noNotice is the notice of a submission that has had none.
+// noNotice means that no notice has arrived for a submission.
 const noNotice = -1
 
-// finished reports whether a submission is owed nothing more.
+// finished reports whether the relay has nothing more to do for a submission.
 func (s *submission) finished() bool {
 	return s.delivered || s.notice != noNotice || s.state != accepted
 }
 
-// handleSubmission takes a message that a client submits.
+// handleSubmission records a submission by a client.
 func (c *Checker) handleSubmission(e *event.Event) {
 	if e.Message < 0 || e.Message >= len(c.config.Messages) || c.submissions[e.ID] != nil {
-		return // a mistake of the load generator's, not of a relay's
+		return // an error of the load generator, not of a relay
 	}
 	s := &submission{
 		id: e.ID, message: e.Message, relay: e.Relay, submittedAt: c.now, deadline: c.now + e.Left, notice: noNotice,
@@ -55,10 +55,10 @@
 	c.assumeFailureObserved(s.relay, c.messageOf(s).Destination)
 }
 
-// handleReply takes the reply that a client heard, or that it heard none.
+// handleReply records the reply that a client got, or that it got none.
 func (c *Checker) handleReply(e *event.Event) {
 	s := c.submissions[e.ID]
-	if s == nil || s.state != unanswered {
+	if s == nil || s.state != awaitingReply {
 		return
 	}
 	s.answeredAt = c.now
@@ -75,16 +75,17 @@
 	case event.Failed:
 		s.state = failed
 	case event.ClientTimedOut:
-		s.state = abandoned
+		s.state = noReply
 	case event.ConnectionEnded:
-		s.state = abandoned
-		c.checkCutOff(s, e.Status != 0)
+		s.state = noReply
+		c.checkConnectionEnded(s, e.Status != 0)
 	}
 }
 
-// checkCutOff judges a connection that was ended with no answer. A new connection that a
-// crowded relay closes has failed its client and lost nothing: that shows in the service.
-func (c *Checker) checkCutOff(s *submission, firstRequest bool) {
+// checkConnectionEnded checks a connection that the relay ended without a reply. A relay with too many
+// clients may close a new connection at its first request. This loses no message and is no violation;
+// the failure shows in the service figures.
+func (c *Checker) checkConnectionEnded(s *submission, firstRequest bool) {
 	relay := &c.relays[s.relay]
 	if relay.down || c.now < relay.graceUntil || firstRequest {
 		return
@@ -96,8 +97,8 @@
 	)
 }
 
-// checkSafeToResubmit judges a reply or a notice that tells the client that a message
-// may be submitted again.
+// checkSafeToResubmit checks a reply or a notice that tells the client that it may submit a message
+// again. For a non-idempotent message, no call may have run.
 func (c *Checker) checkSafeToResubmit(s *submission, reply string) {
 	if c.classOf(s).Idempotency != NonIdempotent {
 		return
@@ -120,7 +121,7 @@
 	}
 }
 
-// handleNotice takes a relay's notice of how a message ended.
+// handleNotice records a relay's notice of how a message ended.
 func (c *Checker) handleNotice(e *event.Event) {
 	s := c.submissions[e.ID]
 	if s == nil {
@@ -140,7 +141,7 @@
 		s.recoveredUnattempted = false
 		c.restartCounts.Ended++
 	}
-	if e.Status == event.NoticeReturned && s.state != abandoned {
+	if e.Status == event.NoticeReturned && s.state != noReply {
 		c.checkSafeToResubmit(s, "it was handed back")
 	}
 }
--- a/internal/rehearsal/replay/read.go
+++ b/internal/rehearsal/replay/read.go
@@ -25,7 +25,7 @@
 	return Read(f)
 }
 
-// reader reads the lines of a recording and knows where it is.
+// reader reads the lines of a recording and keeps track of its position.
 type reader struct {
 	scanner    *bufio.Scanner
 	lineNumber int
@@ -34,7 +34,7 @@
 	checksum   hash.Hash
 }
 
-// readLine returns the next line with its end.
+// readLine returns the next line, including its newline.
 func (r *reader) readLine() ([]byte, error) {
 	if !r.scanner.Scan() {
 		r.lineNumber, r.lineOffset = r.lineNumber+1, r.nextOffset
@@ -48,10 +48,11 @@
 	return text, nil
 }
 
-// errorHere says where an error is.
+// errorHere adds the position of the current line to an error.
 func (r *reader) errorHere(err error) error { return &Error{r.lineNumber, r.lineOffset, err} }
 
-// decode reads one object and nothing else from a line.
+// decode decodes a line that must hold exactly one JSON value. If strict is set, unknown fields are an
+// error.
 func decode(text []byte, target any, strict bool) error {
 	decoder := json.NewDecoder(bytes.NewReader(text))
 	if strict {
@@ -64,12 +65,13 @@
 		return err
 	}
 	if decoder.More() {
-		return errors.New("more than one value")
+		return errors.New("more than one JSON value in a line")
 	}
 	return nil
 }
 
-// Read reads a plan and checks all of it. Errors in the file are of type *Error.
+// Read reads the plan from a recording and checks the whole recording. Errors in its contents are of
+// type *Error.
 func Read(in io.Reader) (*scenario.Plan, Environment, error) {
 	r := &reader{scanner: bufio.NewScanner(in), checksum: sha256.New()}
 	r.scanner.Buffer(make([]byte, 0, 64<<10), maxLineBytes)
@@ -90,13 +92,13 @@
 	}
 }
 
-// readHeader reads the header and the scenario in it.
+// readHeader reads the header and parses the scenario in it.
 func (r *reader) readHeader() (h header, s *scenario.Scenario, err error) {
 	text, err := r.readLine()
 	if err != nil {
 		return h, nil, err
 	}
-	// The version first: what else a newer header holds is not for this release.
+	// Check the version first, because this release cannot interpret the rest of a newer header.
 	var identity struct {
 		Format  string `json:"format"`
 		Version int    `json:"version"`
@@ -124,30 +126,31 @@
 	return h, s, nil
 }
 
-// readRecord reads one more line into the plan, or returns the footer.
+// readRecord adds the record in the next line to the plan. If the line is the footer, it returns the
+// footer.
 func (r *reader) readRecord(p *scenario.Plan) (*footer, error) {
 	text, err := r.readLine()
 	if err != nil {
 		return nil, err
 	}
-	var read record
-	if err := decode(text, &read, true); err != nil {
+	var line record
+	if err := decode(text, &line, true); err != nil {
 		return nil, r.errorHere(err)
 	}
 	switch {
-	case read.End != nil:
-		return read.End, nil
-	case read.Arrival != nil:
-		err = addArrival(p, read.Arrival)
-	case read.Fault != nil:
-		if err = read.Fault.Validate(p); err == nil {
-			p.Faults = append(p.Faults, *read.Fault)
+	case line.End != nil:
+		return line.End, nil
+	case line.Arrival != nil:
+		err = addArrival(p, line.Arrival)
+	case line.Fault != nil:
+		if err = line.Fault.Validate(p); err == nil {
+			p.Faults = append(p.Faults, *line.Fault)
 		}
 	default:
-		err = errors.New("neither arrival, fault nor end")
+		err = errors.New("record holds neither an arrival, a fault nor the end")
 	}
 	if err == nil && r.lineNumber > maxLines {
-		err = fmt.Errorf("more than %d lines", maxLines)
+		err = fmt.Errorf("recording has more than %d lines", maxLines)
 	}
 	if err != nil {
 		return nil, r.errorHere(err)
@@ -159,7 +162,7 @@
 // addArrival checks an arrival and adds it to the plan.
 func addArrival(p *scenario.Plan, a *scenario.Arrival) error {
 	if n := len(p.Arrivals); n > 0 && a.At < p.Arrivals[n-1].At {
-		return fmt.Errorf("at_us: %d, and the arrival before it is at %d", a.At, p.Arrivals[n-1].At)
+		return fmt.Errorf("at_us: %d, want %d or more, the time of the previous arrival", a.At, p.Arrivals[n-1].At)
 	}
 	if err := a.Validate(p); err != nil {
 		return err
@@ -168,12 +171,12 @@
 	return nil
 }
 
-// checkFooter compares the footer with what was read.
+// checkFooter compares the footer with the records read, and checks that nothing follows it.
 func (r *reader) checkFooter(p *scenario.Plan, last *footer) error {
 	switch {
 	case last.Arrivals != len(p.Arrivals) || last.Faults != len(p.Faults):
 		return r.errorHere(
-			fmt.Errorf("%d arrivals and %d faults were written, %d and %d are here", last.Arrivals, last.Faults,
+			fmt.Errorf("footer states %d arrivals and %d faults, recording holds %d and %d", last.Arrivals, last.Faults,
 				len(p.Arrivals), len(p.Faults)),
 		)
 	case last.SHA256 != hex.EncodeToString(r.checksum.Sum(nil)):
@@ -181,12 +184,12 @@
 	}
 	if r.scanner.Scan() {
 		r.lineNumber, r.lineOffset = r.lineNumber+1, r.nextOffset
-		return r.errorHere(errors.New("more after the end"))
+		return r.errorHere(errors.New("data after the footer"))
 	}
 	return nil
 }
 
-// splitLines is a bufio.SplitFunc that keeps the line ends; the last line may have none.
+// splitLines is a bufio.SplitFunc that keeps the newlines. The last line may lack one.
 func splitLines(data []byte, atEOF bool) (int, []byte, error) {
 	if i := bytes.IndexByte(data, '\n'); i >= 0 {
 		return i + 1, data[:i+1], nil
--- a/internal/rehearsal/replay/recording_test.go
+++ b/internal/rehearsal/replay/recording_test.go
@@ -15,7 +15,7 @@
 	"troutusher/internal/rehearsal/scenario"
 )
 
-var updateGolden = flag.Bool("golden", false, "write the golden recording; only ever for a new version")
+var updateGolden = flag.Bool("golden", false, "rewrite the golden recording; only for a new version of the format")
 
 func builtinPlan(t testing.TB, name string) *scenario.Plan {
 	t.Helper()
@@ -53,10 +53,10 @@
 			t.Fatalf("%s: %v", name, err)
 		}
 		if !samePlan(p, reread) || env.Cores != 4 {
-			t.Errorf("%s: read as another plan", name)
+			t.Errorf("%s: Read returned a plan that differs from the written one", name)
 		}
 		if again := encode(t, reread); !bytes.Equal(text, again) {
-			t.Errorf("%s: written again it has other bytes", name)
+			t.Errorf("%s: writing the plan that was read gives different bytes", name)
 		}
 	}
 }
@@ -69,11 +69,11 @@
 	if _, _, err := Load(path); err != nil {
 		t.Error(err)
 	}
-	if left, _ := os.ReadDir(filepath.Dir(path)); len(left) != 1 {
-		t.Errorf("left over: %v", left)
+	if files, _ := os.ReadDir(filepath.Dir(path)); len(files) != 1 {
+		t.Errorf("files in the directory after Save = %v, want only the recording", files)
 	}
 	if err := Save(filepath.Join(t.TempDir(), "no", "r"), builtinPlan(t, "calm"), Environment{}); err == nil {
-		t.Error("saved in a folder that there is not")
+		t.Error("Save in a missing directory returned no error")
 	}
 }
 
@@ -82,11 +82,11 @@
 	for cut := 0; cut < len(text)-1; cut += 1 + cut%97 {
 		_, _, err := Read(bytes.NewReader(text[:cut]))
 		if err == nil {
-			t.Fatalf("cut to %d of %d bytes, and read", cut, len(text))
+			t.Fatalf("Read of the first %d of %d bytes returned no error", cut, len(text))
 		}
 		var e *Error
 		if !errors.As(err, &e) || e.Line == 0 || e.Offset > int64(cut) {
-			t.Fatalf("cut to %d: %v", cut, err)
+			t.Fatalf("Read of the first %d bytes: error %v, want an *Error with a position in these bytes", cut, err)
 		}
 	}
 }
@@ -97,12 +97,13 @@
 		bad := bytes.Clone(text)
 		bad[at] ^= 4
 		if _, _, err := Read(bytes.NewReader(bad)); err == nil {
-			t.Fatalf("byte %d of %d was changed (%q), and the file read", at, len(text), text[max(0, at-20):at+1])
+			t.Fatalf("Read with byte %d of %d changed (the last in %q) returned no error",
+				at, len(text), text[max(0, at-20):at+1])
 		}
 	}
 }
 
-func TestErrorsSayWhere(t *testing.T) {
+func TestErrorsStateTheirPosition(t *testing.T) {
 	p := builtinPlan(t, "calm")
 	lines := strings.SplitAfter(string(encode(t, p)), "\n")
 	for _, c := range []struct {
@@ -122,7 +123,7 @@
 		{1, `{"arrival":`, `{"arrival":{},"x":`, "line 2, byte ", nil},
 		{2, `"at_us":`, `"at_us":0`, "line 3, byte ", nil},
 		{3, `"arrival"`, `"departure"`, "line 4, byte ", nil},
-		{4, "\n", "{}\n", "more than one value", nil},
+		{4, "\n", "{}\n", "more than one JSON value", nil},
 		{len(lines) - 2, `"arrivals":`, `"arrivals":1`, "arrivals and ", nil},
 	} {
 		damaged := slices.Clone(lines)
@@ -131,20 +132,20 @@
 		}
 		_, _, err := Read(strings.NewReader(strings.Join(damaged, "")))
 		if err == nil || !strings.Contains(err.Error(), c.want) || c.is != nil && !errors.Is(err, c.is) {
-			t.Errorf("%s -> %s: %v, want %s", c.old, c.new, err, c.want)
+			t.Errorf("Read with %s replaced by %s: error %v, want %s", c.old, c.new, err, c.want)
 		}
 	}
 	if _, _, err := Read(strings.NewReader(strings.Join(lines, "") + "{}\n")); err == nil {
-		t.Error("more after the end was read")
+		t.Error("Read of a recording with data after the footer returned no error")
 	}
 	huge := fmt.Sprintf(`{"format":%q,"version":1,"scenario":"%s`, formatName, strings.Repeat("x", maxLineBytes))
 	if _, _, err := Read(strings.NewReader(huge)); err == nil {
-		t.Error("a huge line was read")
+		t.Error("Read of a line longer than maxLineBytes returned no error")
 	}
 }
 
-// TestGolden: the recording that the first release wrote is read by all later
-// ones, as what it was.
+// TestGolden checks that a recording written by the first release can still be read, with the same
+// contents.
 func TestGolden(t *testing.T) {
 	path := filepath.Join("testdata", "v1.rehearsal")
 	if *updateGolden {
@@ -164,18 +165,18 @@
 	if got := fmt.Sprintf(
 		"%d %d %d %v %v %s %#x", p.Seed, len(p.Arrivals), len(p.Faults), first, last, env.System, p.ServiceTimeSeed(),
 	); got != goldenV1 {
-		t.Errorf("read as\n%s, want\n%s", got, goldenV1)
+		t.Errorf("summary of the recording = %s, want %s", got, goldenV1)
 	}
 	var kinds []string
 	for _, f := range p.Faults {
 		kinds = append(kinds, f.Kind)
 	}
 	if got := strings.Join(kinds, " "); got != "slow drain late reload relay_kill" {
-		t.Errorf("faults: %s", got)
+		t.Errorf("kinds of faults = %s, want slow drain late reload relay_kill", got)
 	}
 }
 
-// FuzzRead: no file, however odd, does more than return an error.
+// FuzzRead checks that any invalid input makes Read return an *Error, and nothing worse.
 func FuzzRead(f *testing.F) {
 	f.Add(encode(f, builtinPlan(f, "calm")))
 	f.Add([]byte(`{"format":"troutusher-rehearsal","version":1,"seed":1,"scenario":""}`))
--- a/internal/rehearsal/replay/write.go
+++ b/internal/rehearsal/replay/write.go
@@ -1,7 +1,7 @@
-// Package replay writes and reads recordings: files that hold a rehearsal so that it can
-// be played again. A recording has the scenario with every default written out, the seed,
-// each arrival and each fault. Reading must never draw anything anew: what a file holds
-// is what is played, by this release and later ones.
+// Package replay writes and reads recordings: files from which a rehearsal can be replayed. A
+// recording holds the scenario with all defaults written out, the seed, each arrival and each fault.
+// Reading a recording generates no arrivals or faults, so that this release and later ones replay
+// exactly what the file holds.
 //
 // The file is text with a JSON object (RFC 8259) on each line: a header, a record for each
 // arrival and each fault, and a footer with their counts and a SHA-256 checksum (FIPS
@@ -22,17 +22,17 @@
 	"troutusher/internal/rehearsal/scenario"
 )
 
-// Version is the newest version of the file that is understood.
+// Version is the newest version of the file format that this release reads.
 const Version = 1
 
-// Bounds of what is read.
+// Limits on a recording that is read.
 const (
 	maxLineBytes = 2 << 20
 	maxLines     = 4_000_000
 )
 
-// Environment says where a rehearsal was recorded. Nothing of it is checked on
-// a replay; it explains a difference in service.
+// Environment says where a rehearsal was recorded. It is not checked on a replay, but can explain
+// differences in the service.
 type Environment struct {
 	Release string `json:"release"`
 	Go      string `json:"go"`
@@ -40,26 +40,26 @@
 	Cores   int    `json:"cores"`
 }
 
-// header is the first line.
+// header is the first line of a recording.
 type header struct {
 	Format      string      `json:"format"`
 	Version     int         `json:"version"`
 	Seed        uint64      `json:"seed"`
 	Environment Environment `json:"environment"`
-	Scenario    string      `json:"scenario"` // as a scenario file
+	Scenario    string      `json:"scenario"` // text of a scenario file
 }
 
-// formatName is the header's format.
+// formatName is the value of Format in the header.
 const formatName = "troutusher-rehearsal"
 
-// record is a line after the header; one of its fields is set.
+// record is a line after the header. Exactly one of its fields is set.
 type record struct {
 	Arrival *scenario.Arrival      `json:"arrival,omitempty"`
 	Fault   *scenario.PlannedFault `json:"fault,omitempty"`
 	End     *footer                `json:"end,omitempty"`
 }
 
-// footer is the last line.
+// footer is the content of the last line.
 type footer struct {
 	Arrivals int    `json:"arrivals"`
 	Faults   int    `json:"faults"`
@@ -69,7 +69,7 @@
 // Write writes a recording of a plan.
 func Write(w io.Writer, p *scenario.Plan, env Environment) error {
 	if err := write(w, p, env); err != nil {
-		return fmt.Errorf("recording: %w", err)
+		return fmt.Errorf("write recording: %w", err)
 	}
 	return nil
 }
@@ -92,7 +92,7 @@
 	}})
 }
 
-// writeBody writes all that the checksum covers.
+// writeBody writes the header and the records, which the checksum covers.
 func writeBody(w io.Writer, p *scenario.Plan, h header) error {
 	encoder := json.NewEncoder(w)
 	if err := encoder.Encode(h); err != nil {
@@ -111,13 +111,13 @@
 	return nil
 }
 
-// Save writes a recording to a file, whole or not at all.
+// Save writes a recording to a file atomically: on an error, the file at path stays as it was.
 func Save(path string, p *scenario.Plan, env Environment) error {
 	f, err := os.CreateTemp(filepath.Dir(path), ".recording-*")
 	if err != nil {
-		return fmt.Errorf("recording: %w", err)
+		return fmt.Errorf("create recording: %w", err)
 	}
-	defer func() { _ = os.Remove(f.Name()) }() // it is gone where it was moved
+	defer func() { _ = os.Remove(f.Name()) }() // fails if the file has been renamed
 	err = Write(f, p, env)
 	if err == nil {
 		err = f.Chmod(0o644)
