--- a/internal/emulator/endpoint/spec.go
+++ b/internal/emulator/endpoint/spec.go
@@ -60,7 +60,7 @@
 	Endpoints         int
 	IndependentRoutes bool // each endpoint has its own rate limit, and collapses without the others
 
-	Capacity     float64 // calls per second that a warmed-up endpoint serves, with the classes in ClassMix
+	Capacity     float64 // calls per second that a warmed-up endpoint serves, for calls in the mix ClassMix
 	QueueLimit   int     // maximum number of calls that wait for service at one endpoint
 	ServiceTimes []ServiceTime
 	ClassMix     []float64 // share of the calls that belongs to each class
@@ -109,7 +109,7 @@
 	case !(s.Capacity > 0):
 		return fmt.Errorf("partner %s: capacity %v calls/s, want above 0", s.Name, s.Capacity)
 	case len(s.ServiceTimes) == 0 || len(s.ClassMix) != len(s.ServiceTimes):
-		return fmt.Errorf("partner %s: service times of %d classes, class mix of %d, want equal counts",
+		return fmt.Errorf("partner %s: service times of %d classes, class mix of %d, want equal counts above 0",
 			s.Name, len(s.ServiceTimes), len(s.ClassMix))
 	case !(s.WarmUpShare > 0 && s.WarmUpShare <= 1):
 		return fmt.Errorf("partner %s: cold share %v, want above 0 and at most 1", s.Name, s.WarmUpShare)
