--- a/internal/rehearsal/scenario/arrivals.go
+++ b/internal/rehearsal/scenario/arrivals.go
@@ -10,17 +10,17 @@
 	"troutusher/internal/seededrand"
 )
 
-// burstSpreadS is the time over which the messages of a burst are spread.
+// burstSpreadS is the time in seconds over which the messages of a burst are spread.
 const burstSpreadS = 0.1
 
 // arrivalPlanner draws the arrivals of a plan.
 type arrivalPlanner struct {
 	*Plan
-	weights       []float64      // of pairs of class and partner: class*partners + partner
+	weights       []float64      // of class-partner pairs; index class*len(Specs) + partner
 	portalWeights []float64      // by portal
 	portalIndex   map[string]int // by name
-	tableOf       []int          // the table of a partner
-	peakFactor    float64        // that the rate never exceeds
+	tableOf       []int          // index of the [[partner]] table, by partner
+	peakFactor    float64        // upper bound of rateFactor
 }
 
 func (p *Plan) newArrivalPlanner() *arrivalPlanner {
@@ -48,7 +48,8 @@
 	return planner
 }
 
-// drawArrivals draws the plan's arrivals in the order of their moments.
+// drawArrivals draws the plan's arrivals and sorts them by time. Arrivals of keyed classes get
+// their keys afterwards, by their position in that order.
 func (p *Plan) drawArrivals() {
 	planner := p.newArrivalPlanner()
 	planner.addSingleArrivals()
@@ -62,7 +63,8 @@
 	}
 }
 
-// addArrival adds one arrival, whose portal it draws from the stream.
+// addArrival adds one arrival at a time in seconds. It draws a portal from the stream even if the
+// partner has a fixed portal, so that later draws do not depend on whether it has one.
 func (a *arrivalPlanner) addArrival(at float64, class, partner int, stream *seededrand.Stream) {
 	arrival := Arrival{
 		At:          event.Time(at * 1e6),
@@ -76,7 +78,8 @@
 	a.Arrivals = append(a.Arrivals, arrival)
 }
 
-// addSingleArrivals draws arrivals that come one by one.
+// addSingleArrivals draws the arrivals outside bursts: a Poisson process whose rate follows the
+// traffic's shape.
 func (a *arrivalPlanner) addSingleArrivals() {
 	s := a.Scenario
 	rate := s.Traffic.RatePerS * (1 - s.Traffic.BurstShare)
@@ -86,14 +89,14 @@
 	peak := rate * a.peakFactor
 	stream := seededrand.NewStream(a.Seed, arrivalStream)
 	for at := stream.ExpFloat64() / peak; at < s.LengthS; at += stream.ExpFloat64() / peak {
-		if stream.Float64()*a.peakFactor < s.rateFactor(at) { // thinning (Lewis and Shedler, 1979)
+		if stream.Float64()*a.peakFactor < s.rateFactor(at) { // thinning of a Poisson process (Lewis and Shedler, 1979)
 			pair := stream.WeightedIndex(a.weights)
 			a.addArrival(at, pair/len(a.Specs), pair%len(a.Specs), stream)
 		}
 	}
 }
 
-// addBursts draws arrivals that come many at once for one partner.
+// addBursts draws bursts: many arrivals for one partner within burstSpreadS.
 func (a *arrivalPlanner) addBursts() {
 	s := a.Scenario
 	rate := s.Traffic.RatePerS * s.Traffic.BurstShare / float64(s.Traffic.BurstSize)
@@ -115,7 +118,8 @@
 	}
 }
 
-// addReturnBursts draws the bursts for partners that have had no messages for a while.
+// addReturnBursts draws the bursts for partners that return after a period with few or no
+// messages: ReturnBurst arrivals within the second after ReturnS.
 func (a *arrivalPlanner) addReturnBursts() {
 	stream := seededrand.NewStream(a.Seed, returnStream)
 	for partner := range a.Specs {
@@ -127,7 +131,8 @@
 	}
 }
 
-// rateFactor returns what the traffic's shape multiplies its rate by at a moment.
+// rateFactor returns the factor that the traffic's shape applies to its rate at a time in
+// seconds.
 func (s *Scenario) rateFactor(at float64) float64 {
 	traffic, elapsed := &s.Traffic, at/s.LengthS
 	switch traffic.Shape {
@@ -141,8 +146,9 @@
 	return 1
 }
 
-// rushFactor climbs from 1 to the peak in the second quarter of a rehearsal, stays there
-// in the third and falls back in the last.
+// rushFactor returns the rate factor of a rush after a fraction of the rehearsal's length: 1 in
+// the first quarter, rising to the peak in the second, at the peak in the third, and falling
+// back to 1 in the last.
 func rushFactor(peak, elapsed float64) float64 {
 	switch {
 	case elapsed < 0.25:
--- a/internal/rehearsal/scenario/builtin.go
+++ b/internal/rehearsal/scenario/builtin.go
@@ -10,7 +10,7 @@
 //go:embed builtin/*.toml
 var builtinFiles embed.FS
 
-// BuiltinNames lists the scenarios that ship with the program.
+// BuiltinNames returns the names of the scenarios that are embedded in the program.
 func BuiltinNames() []string {
 	entries, err := builtinFiles.ReadDir("builtin")
 	if err != nil {
@@ -23,7 +23,7 @@
 	return names
 }
 
-// Builtin returns a scenario that ships with the program.
+// Builtin parses the built-in scenario of a name.
 func Builtin(name string) (*Scenario, error) {
 	text, err := BuiltinText(name)
 	if err != nil {
@@ -32,7 +32,8 @@
 	return Parse(name+".toml", text)
 }
 
-// BuiltinText returns the file of such a scenario, to begin another one from.
+// BuiltinText returns the file of a built-in scenario, which operators can use as a template for
+// their own.
 func BuiltinText(name string) ([]byte, error) {
 	text, err := builtinFiles.ReadFile(path.Join("builtin", name+".toml"))
 	if err != nil {
--- a/internal/rehearsal/scenario/checkerconfig.go
+++ b/internal/rehearsal/scenario/checkerconfig.go
@@ -2,14 +2,14 @@
 
 import "troutusher/internal/rehearsal/checker"
 
-// Limits of the rules that a scenario cannot set.
+// Limits of the rules that a scenario file cannot change.
 const (
 	informedShareLimit  = 2.0 / 3
 	maxEndedUnattempted = 0.5
 	minUnattempted      = 10
 )
 
-// CheckerConfig returns what a rehearsal of the plan is judged by.
+// CheckerConfig returns the configuration of the checker for a rehearsal of the plan.
 func (p *Plan) CheckerConfig() checker.Config {
 	rules := &p.Scenario.Rules
 	config := checker.Config{
@@ -46,7 +46,8 @@
 	return config
 }
 
-// checkerIdempotency returns what the rules make of the class's key repeat.
+// checkerIdempotency returns the checker's value for the class's idempotency, the key repeat in
+// the file.
 func (c *Class) checkerIdempotency() checker.Idempotency {
 	switch c.Idempotency {
 	case idempotentByKey:
--- a/internal/rehearsal/scenario/defaults.go
+++ b/internal/rehearsal/scenario/defaults.go
@@ -2,10 +2,11 @@
 
 import "troutusher/internal/emulator/endpoint"
 
-// defaultRestartS is how long a killed relay is down.
+// defaultRestartS is the time in seconds until a killed relay is started again.
 const defaultRestartS = 0.6
 
-// newWithDefaults returns a scenario of the defaults that do not depend on other keys.
+// newWithDefaults returns a scenario with the defaults that do not depend on other keys. The
+// file is decoded over it.
 func newWithDefaults() *Scenario {
 	return &Scenario{
 		Seed:          1,
@@ -38,7 +39,8 @@
 	}
 }
 
-// setDefaults fills what the file leaves out of repeated tables, and defaults that depend on other keys.
+// setDefaults sets the defaults that newWithDefaults cannot: those of repeated tables, and those
+// that depend on other keys.
 func (s *Scenario) setDefaults() {
 	for i := range s.Classes {
 		setDefault(&s.Classes[i].Share, 1)
@@ -62,7 +64,8 @@
 	}
 }
 
-// setDefault sets a value that the file leaves out.
+// setDefault sets a field that has its zero value, which is how a key left out of the file
+// appears.
 func setDefault[T comparable](field *T, value T) {
 	var missing T
 	if *field == missing {
--- a/internal/rehearsal/scenario/fault.go
+++ b/internal/rehearsal/scenario/fault.go
@@ -8,55 +8,55 @@
 	"troutusher/internal/emulator/endpoint"
 )
 
-// Fault is something that goes wrong.
+// Fault is one [[fault]] table of the file: what fails, when and for how long.
 type Fault struct {
 	Kind          string   `toml:"kind"`
 	Partner       string   `toml:"partner"`
 	Partners      []string `toml:"partners"`
-	Relay         int      `toml:"relay"` // from 1; 0 for all
+	Relay         int      `toml:"relay"` // numbered from 1; 0 for all relays
 	StartS        float64  `toml:"at_s"`
 	DurationS     float64  `toml:"length_s"`
-	EndpointShare float64  `toml:"part"`  // of the partner's endpoints, one at least
-	Magnitude     float64  `toml:"size"`  // seconds of a wait or a delay, or a factor
-	Share         float64  `toml:"share"` // of the calls or messages
+	EndpointShare float64  `toml:"part"`  // fraction of each partner's endpoints; at least one is affected
+	Magnitude     float64  `toml:"size"`  // depends on the kind: seconds, a factor or a number of connections
+	Share         float64  `toml:"share"` // fraction of the calls or messages that are affected
 	Class         string   `toml:"class"`
 	Variant       string   `toml:"form"`
 }
 
-// Kinds of fault beside those of the endpoint emulator.
+// Kinds of fault, besides those of the endpoint emulator and of TLS.
 const (
-	EndpointDrain   = "drain"         // the list says that endpoints drain; they take nothing new
-	EndpointRemoval = "remove"        // the list lets them go, after which they refuse connections
-	ListDelayed     = "list_late"     // changes of the list take Magnitude seconds more
-	ListStale       = "list_stale"    // no change of the list arrives while it lasts
-	ListSilent      = "list_silent"   // the registry says nothing at all
-	RelayKill       = "relay_kill"    // SIGKILL; it is started again after DurationS
-	RelayRestart    = "relay_restart" // SIGTERM, and a new start once it has ended
-	RelayUpgrade    = "upgrade"       // a process beside it takes over; with a Variant one of the two is killed
-	RelayDrain      = "drain_relay"   // DRAIN at its console, and UNDRAIN at its end
-	RelayReload     = "reload"        // SIGHUP with a new address of the registry
+	EndpointDrain   = "drain"         // the list marks endpoints as draining; later they reject new calls
+	EndpointRemoval = "remove"        // the list drops endpoints; later they refuse connections
+	ListDelayed     = "list_late"     // list changes are delayed by another Magnitude seconds
+	ListStale       = "list_stale"    // relays get no list changes while the fault lasts
+	ListSilent      = "list_silent"   // the registry does not respond
+	RelayKill       = "relay_kill"    // SIGKILL; the relay is started again after DurationS
+	RelayRestart    = "relay_restart" // SIGTERM; the relay is started again once it has exited
+	RelayUpgrade    = "upgrade"       // a new process takes over; a Variant kills one of the two
+	RelayDrain      = "drain_relay"   // DRAIN on the relay's console, and UNDRAIN at the fault's end
+	RelayReload     = "reload"        // SIGHUP, with a new registry address in the configuration
 
-	// Magnitude connections to each relay that are no clients.
-	FloodSilent       = "flood_silent"    // they connect and say nothing
-	FloodReconnecting = "flood_returning" // the same, and reconnect at once when closed
-	FloodPing         = "flood_ping"      // they ask one PING each and stay
-	FloodSlowWrites   = "flood_drip"      // they write a byte a second
-	FloodMalformed    = "flood_faulty"    // they send what cannot be read
+	// Floods open Magnitude connections to each relay that are not legitimate clients.
+	FloodSilent       = "flood_silent"    // they connect and send nothing
+	FloodReconnecting = "flood_returning" // like FloodSilent, but reconnect at once when closed
+	FloodPing         = "flood_ping"      // each sends one PING and stays connected
+	FloodSlowWrites   = "flood_drip"      // they send one byte per second
+	FloodMalformed    = "flood_faulty"    // they send malformed commands
 )
 
-// Variants of an upgrade: which of the processes is killed in its course.
+// Variants of RelayUpgrade: the process that is killed during the upgrade.
 const (
 	KillPredecessor = "kill_old"
 	KillSuccessor   = "kill_new"
 )
 
-// faultFields says which fields a kind of fault takes.
+// faultFields says which fields of Fault a kind of fault uses, and the minimum of its magnitude.
 type faultFields struct {
 	partner, duration, magnitude, share, class, variant bool
 	minMagnitude                                        float64
 }
 
-// fieldsByFault has all kinds of fault.
+// fieldsByFault maps every kind of fault to the fields that it uses.
 var fieldsByFault = map[string]faultFields{
 	string(endpoint.Blackhole):            {partner: true, duration: true},
 	string(endpoint.Crash):                {partner: true, duration: true},
@@ -94,17 +94,19 @@
 	FloodMalformed:    {duration: true, magnitude: true, minMagnitude: 1},
 }
 
-// FaultKinds lists the kinds of fault in order.
+// FaultKinds returns all kinds of fault, sorted.
 func FaultKinds() []string { return slices.Sorted(maps.Keys(fieldsByFault)) }
 
-// matchesTable reports whether a fault is about a partner of a table.
+// matchesTable reports whether a fault affects any partner of a [[partner]] table with the given
+// name and count.
 func (f *Fault) matchesTable(table string, count int) bool {
 	return slices.ContainsFunc(f.partnerNames(), func(name string) bool {
 		return name == "*" || name == table || count > 1 && strings.HasPrefix(name, table+"-")
 	})
 }
 
-// partnerNames returns the partners and tables that a fault names.
+// partnerNames returns the names that a fault gives in partner and partners: of partners, of
+// [[partner]] tables, or "*" for all.
 func (f *Fault) partnerNames() []string {
 	if f.Partner != "" {
 		return append([]string{f.Partner}, f.Partners...)
--- a/internal/rehearsal/scenario/faultplan.go
+++ b/internal/rehearsal/scenario/faultplan.go
@@ -8,7 +8,8 @@
 	"troutusher/internal/seededrand"
 )
 
-// drawFaults draws what the scenario's faults affect, in the order of their moments.
+// drawFaults draws the endpoints that the scenario's faults affect, and sorts the faults by
+// start time.
 func (p *Plan) drawFaults() {
 	for i := range p.Scenario.Faults {
 		p.Faults = append(p.Faults, p.planFault(i, &p.Scenario.Faults[i]))
@@ -16,7 +17,8 @@
 	slices.SortStableFunc(p.Faults, func(a, b PlannedFault) int { return cmp.Compare(a.At, b.At) })
 }
 
-// planFault draws the endpoints that a fault affects, or lists its relays.
+// planFault returns a fault with the endpoints or relays that it affects. Endpoints are drawn;
+// relays are named by the scenario.
 func (p *Plan) planFault(number int, f *Fault) PlannedFault {
 	planned := PlannedFault{
 		Kind:      f.Kind,
@@ -43,7 +45,8 @@
 	return planned
 }
 
-// drawEndpoints draws the endpoints of the named partners that a fault affects.
+// drawEndpoints draws the affected endpoints of each partner that a fault names: a share of
+// them, and at least one.
 func (p *Plan) drawEndpoints(number int, f *Fault) []int {
 	var drawn []int
 	stream := seededrand.NewStream(p.Seed, faultStream, uint64(number))
@@ -59,8 +62,8 @@
 	return drawn
 }
 
-// drawFrom draws n of so many endpoints from the first one on: the beginning of a
-// Fisher-Yates shuffle, sorted.
+// drawFrom draws n of the endpoints numbered from first to first+count-1 by a partial
+// Fisher-Yates shuffle, and returns them sorted.
 func drawFrom(stream *seededrand.Stream, first, count, n int) []int {
 	endpoints := make([]int, count)
 	for i := range endpoints {
@@ -75,7 +78,8 @@
 	return drawn
 }
 
-// faultNamesPartner reports whether a fault names a partner, by its own name or its table's.
+// faultNamesPartner reports whether a fault names a partner, by its own name, by that of its
+// [[partner]] table or by "*".
 func (p *Plan) faultNamesPartner(f *Fault, partner int) bool {
 	table := 0
 	for n := partner; n >= p.Scenario.Partners[table].Count; table++ {
--- a/internal/rehearsal/scenario/plan.go
+++ b/internal/rehearsal/scenario/plan.go
@@ -10,11 +10,12 @@
 	"troutusher/internal/seededrand"
 )
 
-// Plan is what is played: all that is drawn from a scenario and a seed.
+// Plan is the complete input of a rehearsal: partners, endpoints, arrivals and faults, drawn from
+// a scenario and a seed.
 type Plan struct {
 	Scenario  *Scenario
 	Seed      uint64
-	Specs     []endpoint.Spec // of the partners, by their number
+	Specs     []endpoint.Spec // of the partners; partner i is destination i+1
 	Endpoints []Endpoint
 	Arrivals  []Arrival
 	Faults    []PlannedFault
@@ -26,17 +27,17 @@
 	Partner int // index in Specs
 	Zone    string
 	Kind    string
-	TLS     *TLS // nil where it is reached without
+	TLS     *TLS // nil if it is reached without TLS
 }
 
-// Arrival is one message that a client is going to submit.
+// Arrival is one message that a client submits.
 type Arrival struct {
 	At          event.Time `json:"at_us"`
 	Class       int        `json:"class"`
 	Portal      int        `json:"portal"`
 	Destination int        `json:"dest"`
 	Key         string     `json:"key,omitempty"`
-	OrderingKey uint64     `json:"-"` // of an ordered class; no protocol carries one yet
+	OrderingKey uint64     `json:"-"` // for ordered classes; no protocol carries it yet
 }
 
 // PlannedFault is a fault with the endpoints or relays that it affects.
@@ -52,7 +53,7 @@
 	Variant   string     `json:"form,omitempty"`
 }
 
-// Streams of random numbers that a seed is split into.
+// Random streams derived from the plan's seed.
 const (
 	arrivalStream = 1 + iota
 	burstStream
@@ -67,10 +68,10 @@
 	maxMagnitude = 1000.0
 )
 
-// Microseconds turns milliseconds into the plan's unit.
+// Microseconds converts milliseconds to microseconds, the unit of times in a plan.
 func Microseconds(ms float64) event.Time { return event.Time(math.Round(ms * 1000)) }
 
-// Plan draws what is played.
+// Plan draws a plan from the scenario and a seed.
 func (s *Scenario) Plan(seed uint64) *Plan {
 	p := s.EmptyPlan(seed)
 	p.drawArrivals()
@@ -78,8 +79,8 @@
 	return p
 }
 
-// EmptyPlan returns a plan of the scenario's partners and endpoints that has no arrivals
-// and no faults yet.
+// EmptyPlan returns a plan with the scenario's partners and endpoints, but without arrivals and
+// faults. The replay package adds those of a recording.
 func (s *Scenario) EmptyPlan(seed uint64) *Plan {
 	p := &Plan{Scenario: s, Seed: seed}
 	mix := s.classMix()
@@ -91,7 +92,7 @@
 	return p
 }
 
-// addPartner adds the n-th partner of a table, and its endpoints.
+// addPartner adds the n-th partner of a table, counted from 0, with its endpoints.
 func (p *Plan) addPartner(table *Partner, n int, classMix []float64) {
 	spec := p.Scenario.endpointSpec(table, classMix)
 	spec.Name = table.Name
@@ -155,8 +156,8 @@
 	return spec
 }
 
-// classMix returns the part of all messages that one partner of each table gets, by
-// table and class.
+// classMix returns the fraction of all messages that goes to one partner of a table in a class,
+// indexed by table and class.
 func (s *Scenario) classMix() [][]float64 {
 	classShares := 0.0
 	for _, class := range s.Classes {
@@ -182,60 +183,60 @@
 	return mix
 }
 
-// ServiceTimeSeed is the seed of the endpoint emulator's service times.
+// ServiceTimeSeed returns the seed from which the endpoint emulator draws service times.
 func (p *Plan) ServiceTimeSeed() uint64 { return seededrand.Hash(p.Seed, serviceTimeStream) }
 
-// Validate reports what of a recorded arrival does not fit the plan.
+// Validate returns an error if an arrival from a recording does not fit the plan.
 func (a *Arrival) Validate(p *Plan) error {
 	switch {
 	case a.At < 0 || a.At > Microseconds(p.Scenario.LengthS*1000):
 		return fmt.Errorf("at_us: %d, want 0 to %d", a.At, Microseconds(p.Scenario.LengthS*1000))
 	case a.Class < 0 || a.Class >= len(p.Scenario.Classes):
-		return fmt.Errorf("class: %d, there are %d", a.Class, len(p.Scenario.Classes))
+		return fmt.Errorf("class: %d, the plan has %d classes", a.Class, len(p.Scenario.Classes))
 	case a.Portal < 0 || a.Portal >= len(p.Scenario.Portals):
-		return fmt.Errorf("portal: %d, there are %d", a.Portal, len(p.Scenario.Portals))
+		return fmt.Errorf("portal: %d, the plan has %d portals", a.Portal, len(p.Scenario.Portals))
 	case a.Destination < 1 || a.Destination > len(p.Specs):
 		return fmt.Errorf("dest: %d, want 1 to %d", a.Destination, len(p.Specs))
 	case p.Specs[a.Destination-1].ServiceTimes[a.Class].Mean <= 0:
-		return fmt.Errorf("class: partner %s has no service time for %d", p.Specs[a.Destination-1].Name, a.Class)
+		return fmt.Errorf("class: partner %s has no service time for class %d", p.Specs[a.Destination-1].Name, a.Class)
 	case len(a.Key) > maxKeyBytes:
-		return fmt.Errorf("key: %d bytes, %d at most", len(a.Key), maxKeyBytes)
+		return fmt.Errorf("key: %d bytes, want at most %d", len(a.Key), maxKeyBytes)
 	}
 	return nil
 }
 
-// Validate reports what of a recorded fault does not fit the plan.
+// Validate returns an error if a fault from a recording does not fit the plan.
 func (f *PlannedFault) Validate(p *Plan) error {
 	fields, known := fieldsByFault[f.Kind]
 	switch {
 	case !known:
 		return fmt.Errorf("kind: unknown fault %q", f.Kind)
 	case f.At < 0 || f.Until < f.At:
-		return fmt.Errorf("at_us, until_us: from %d to %d", f.At, f.Until)
+		return fmt.Errorf("at_us, until_us: %d to %d, want 0 <= at_us <= until_us", f.At, f.Until)
 	case fields.magnitude && !(f.Magnitude >= fields.minMagnitude && f.Magnitude <= maxMagnitude):
-		return fmt.Errorf("size: %v", f.Magnitude)
+		return fmt.Errorf("size: %v, want %v to %v", f.Magnitude, fields.minMagnitude, maxMagnitude)
 	case fields.share && !(f.Share > 0 && f.Share <= 1):
-		return fmt.Errorf("share: %v", f.Share)
+		return fmt.Errorf("share: %v, want more than 0 and at most 1", f.Share)
 	case fields.class && (f.Class < 0 || f.Class >= len(p.Scenario.Classes)):
-		return fmt.Errorf("class: %d", f.Class)
+		return fmt.Errorf("class: %d, the plan has %d classes", f.Class, len(p.Scenario.Classes))
 	case fields.partner && len(f.Endpoints) == 0, !fields.partner && len(f.Relays) == 0:
-		return errors.New("it strikes nothing")
+		return errors.New("endpoints, relays: the fault affects none")
 	}
 	for _, endpoint := range f.Endpoints {
 		if endpoint < 0 || endpoint >= len(p.Endpoints) {
-			return fmt.Errorf("endpoints: %d, there are %d", endpoint, len(p.Endpoints))
+			return fmt.Errorf("endpoints: %d, the plan has %d endpoints", endpoint, len(p.Endpoints))
 		}
 	}
 	for _, relay := range f.Relays {
 		if relay < 0 || relay >= p.Scenario.Relays.Count {
-			return fmt.Errorf("relays: %d, there are %d", relay, p.Scenario.Relays.Count)
+			return fmt.Errorf("relays: %d, the plan has %d relays", relay, p.Scenario.Relays.Count)
 		}
 	}
 	return nil
 }
 
-// MaxInFlight is the number of calls that a relay may have in flight: twice what the
-// traffic keeps busy, unless the scenario sets it.
+// MaxInFlight returns the number of calls that a relay may have in flight: the scenario's
+// setting, or twice the average number that the traffic keeps in flight.
 func (p *Plan) MaxInFlight() int {
 	if n := p.Scenario.Relays.MaxInFlight; n > 0 {
 		return n
@@ -251,8 +252,8 @@
 	return max(3, int(math.Ceil(2*busy/float64(p.Scenario.Relays.Count))))
 }
 
-// MaxPending is the number of messages that a relay may hold: ten seconds of the
-// traffic, unless the scenario sets it.
+// MaxPending returns the number of messages that may be pending at a relay: the scenario's
+// setting, or the relay's share of the messages of ten seconds.
 func (p *Plan) MaxPending() int {
 	if n := p.Scenario.Relays.MaxPending; n > 0 {
 		return n
--- a/internal/rehearsal/scenario/scenario.go
+++ b/internal/rehearsal/scenario/scenario.go
@@ -1,6 +1,7 @@
-// Package scenario reads and checks scenario files, holds the built-in ones, and draws
-// the plan of a rehearsal from a scenario and a seed. It must never run anything: no
-// socket, no process, no clock.
+// Package scenario parses and validates scenario files, embeds the built-in ones, and
+// draws the plan of a rehearsal from a scenario and a seed. The package only computes: it
+// opens no sockets, starts no processes and reads no clock, so that a plan depends on
+// nothing but the scenario and the seed.
 package scenario
 
 import (
@@ -11,19 +12,19 @@
 	"troutusher/internal/tomlfile"
 )
 
-// Version is the newest version of scenario files that is understood.
+// Version is the version of the scenario file format that this package reads.
 const Version = 1
 
-// Scenario is a scenario file. Shares are relative weights unless they are
-// said to be parts of one.
+// Scenario is the content of a scenario file. Shares are relative weights, unless the comment
+// at the field says that the value is a fraction.
 type Scenario struct {
 	Version       int       `toml:"version"`
 	Name          string    `toml:"name"`
 	About         string    `toml:"about"`
 	Seed          uint64    `toml:"seed"`
-	LengthS       float64   `toml:"length_s"` // messages arrive within these
-	MinService    float64   `toml:"floor"`    // service under this fails the rehearsal, from 0 to 1
-	MaxLatenessMS float64   `toml:"late_ms"`  // the run is void with a kit that is later at the 99th percentile
+	LengthS       float64   `toml:"length_s"` // period in which messages arrive
+	MinService    float64   `toml:"floor"`    // the rehearsal fails if the service, 0 to 1, is lower
+	MaxLatenessMS float64   `toml:"late_ms"`  // the run is void if the kit's lateness exceeds it at the 99th percentile
 	Relays        Relays    `toml:"relays"`
 	Clients       Clients   `toml:"clients"`
 	Discovery     Discovery `toml:"discovery"`
@@ -35,12 +36,12 @@
 	Faults        []Fault   `toml:"fault"`
 }
 
-// Relays are the relays that are started, and their machines.
+// Relays says how many relays are started, where, and with which settings and resource limits.
 type Relays struct {
 	Count            int      `toml:"count"`
-	Zones            []string `toml:"halls"` // relays and endpoints are spread over these in turn
-	MaxInFlight      int      `toml:"slots"` // 0 for twice what the traffic keeps busy
-	MaxPending       int      `toml:"held"`  // 0 for ten seconds of the traffic
+	Zones            []string `toml:"halls"` // assigned to relays and endpoints round robin
+	MaxInFlight      int      `toml:"slots"` // 0: twice the calls that the traffic keeps in flight
+	MaxPending       int      `toml:"held"`  // 0: the messages of ten seconds
 	MaxAttempts      int      `toml:"max_attempts"`
 	MemoryMB         int      `toml:"memory_mb"`
 	Sockets          int      `toml:"sockets"`
@@ -49,53 +50,54 @@
 	RetryAfter       bool     `toml:"retry_after"`
 	MaxRetryAfterMS  float64  `toml:"max_retry_after_ms"`
 	ConnectTimeoutMS float64  `toml:"connect_timeout_ms"`
-	// destinations that are not passivated; 0 for what the relays have by themselves
+	// MaxActiveDestinations is the number of destinations that a relay keeps active, without
+	// passivating them; 0 leaves the relays' own default.
 	MaxActiveDestinations int `toml:"awake"`
 }
 
-// Clients are those who submit messages.
+// Clients says how the clients that submit messages behave.
 type Clients struct {
-	ReplyTimeoutMS  float64 `toml:"answer_ms"`       // they wait so long for a reply
-	Retries         int     `toml:"retries"`         // after a rejection
-	BackoffMS       float64 `toml:"backoff_ms"`      // before one; it doubles each time
-	RetryAfterShare float64 `toml:"honour"`          // part of the rejections whose Retry-After is heeded
-	FailoverDelayMS float64 `toml:"front_notice_ms"` // connections still go to a dead relay for so long
-	BodyBytes       int     `toml:"bodies"`          // bytes of a message
+	ReplyTimeoutMS  float64 `toml:"answer_ms"`       // how long a client waits for a reply
+	Retries         int     `toml:"retries"`         // number of retries after a rejection
+	BackoffMS       float64 `toml:"backoff_ms"`      // before the first retry; doubles with each further one
+	RetryAfterShare float64 `toml:"honour"`          // fraction of the rejections whose Retry-After the client obeys
+	FailoverDelayMS float64 `toml:"front_notice_ms"` // clients still connect to a stopped relay for this long
+	BodyBytes       int     `toml:"bodies"`          // size of a message's body
 }
 
-// Discovery is how the endpoint list reaches the relays.
+// Discovery says how the endpoint list reaches the relays.
 type Discovery struct {
-	DelayMS          float64 `toml:"delay_ms"`  // changes arrive so much later ...
-	SpreadMS         float64 `toml:"spread_ms"` // ... and up to so much more, each relay for itself
-	IdleDestinations int     `toml:"quiet"`     // listed destinations that get no messages
+	DelayMS          float64 `toml:"delay_ms"`  // delay of list changes
+	SpreadMS         float64 `toml:"spread_ms"` // maximum of a random extra delay, drawn for each relay
+	IdleDestinations int     `toml:"quiet"`     // destinations that are listed but get no messages
 }
 
-// Rules are the limits of the six rules.
+// Rules holds the limits of the six rules by which a rehearsal is judged.
 type Rules struct {
 	DrainGraceMS      float64 `toml:"drain_grace_ms"`
 	OverloadFactor    float64 `toml:"fall_multiple"`
 	OverloadWindowMS  float64 `toml:"fall_ms"`
-	WarmUpShare       float64 `toml:"cold_share"` // capacity of an endpoint that begins to warm up
-	WarmUpMS          float64 `toml:"cold_ms"`    // by then it has its whole capacity
+	WarmUpShare       float64 `toml:"cold_share"` // fraction of its capacity at the beginning of warm-up
+	WarmUpMS          float64 `toml:"cold_ms"`    // time until it has its full capacity
 	DeadlineSlackMS   float64 `toml:"end_slack_ms"`
 	RestartGraceMS    float64 `toml:"restart_grace_ms"`
 	RetryAfterGraceMS float64 `toml:"wait_pass_ms"`
 	SlackMS           float64 `toml:"slack_ms"`
 }
 
-// Traffic is how messages arrive.
+// Traffic says how messages arrive.
 type Traffic struct {
 	RatePerS   float64 `toml:"rate_per_s"`
 	Shape      string  `toml:"shape"`       // steady, ramp, wave or rush
-	Amplitude  float64 `toml:"swing"`       // wave: part of the rate that it goes up and down
-	PeriodS    float64 `toml:"period_s"`    // wave
-	From       float64 `toml:"from"`        // ramp: factor at the beginning
-	To         float64 `toml:"to"`          // ramp, rush: factor at the end, or at the rush's top
-	BurstShare float64 `toml:"clump_share"` // part of the messages that come in bursts for one partner
+	Amplitude  float64 `toml:"swing"`       // wave: amplitude as a fraction of the rate
+	PeriodS    float64 `toml:"period_s"`    // wave: its period
+	From       float64 `toml:"from"`        // ramp: rate factor at the beginning
+	To         float64 `toml:"to"`          // ramp: rate factor at the end; rush: rate factor at the peak
+	BurstShare float64 `toml:"clump_share"` // fraction of messages that come in bursts for one partner
 	BurstSize  int     `toml:"clump_size"`
 }
 
-// Shapes of traffic.
+// Traffic shapes.
 const (
 	shapeSteady = "steady"
 	shapeRamp   = "ramp"
@@ -110,24 +112,24 @@
 	nonIdempotent   = "unsafe"
 )
 
-// Kinds of routes: all endpoints of a partner share one, or each has its own.
+// Kinds of routes: all endpoints of a partner share one route, or each has its own.
 const (
 	routesShared      = "shared"
 	routesIndependent = "apart"
 )
 
-// Class is a class of message.
+// Class is a message class.
 type Class struct {
 	Name               string  `toml:"name"`
 	Share              float64 `toml:"share"`
 	LatencyObjectiveMS float64 `toml:"aim_ms"`
 	DeadlineMS         float64 `toml:"deadline_ms"`
 	Weight             float64 `toml:"worth"`
-	LateWeight         float64 `toml:"late_worth"` // part of the weight left at the deadline
+	LateWeight         float64 `toml:"late_worth"` // fraction of the weight that is left at the deadline
 	Idempotency        string  `toml:"repeat"`     // safe, keyed or unsafe
 	DedupWindowMS      float64 `toml:"key_window_ms"`
-	// Ordering is judged, but no protocol has a field for the ordering key yet, so that a
-	// file cannot ask for it.
+	// The checker judges ordering, but no protocol has a field for the ordering key yet.
+	// A file therefore cannot set these two; tests do.
 	Ordered             bool    `toml:"-"`
 	OrderedKeyBackoffMS float64 `toml:"-"`
 }
@@ -136,22 +138,22 @@
 type Portal struct {
 	Name      string  `toml:"name"`
 	Share     float64 `toml:"share"`
-	QuotaPerS float64 `toml:"quota_per_s"` // 0 for one and a half times its part of the traffic
+	QuotaPerS float64 `toml:"quota_per_s"` // 0: 1.5 times its share of the traffic
 }
 
-// Partner is a destination, or several of one shape.
+// Partner is one [[partner]] table of the file: one destination, or several with the same settings.
 type Partner struct {
 	Name           string             `toml:"name"`
-	Count          int                `toml:"count"` // so many partners of this shape, named NAME-1 and so on
+	Count          int                `toml:"count"` // number of partners; above 1 they are named NAME-1, NAME-2 ...
 	Kind           string             `toml:"kind"`
-	Portal         string             `toml:"portal"` // whose messages it gets; any portal's where empty
-	Share          float64            `toml:"share"`  // of the traffic, all of them together
+	Portal         string             `toml:"portal"` // the only portal that sends to it; empty: all portals do
+	Share          float64            `toml:"share"`  // of the traffic, for all partners of the table together
 	Classes        []string           `toml:"classes"`
-	ReturnS        float64            `toml:"return_s"`     // in the second after this ...
-	ReturnBurst    int                `toml:"return_burst"` // ... each of them gets so many messages beside its share
+	ReturnS        float64            `toml:"return_s"`     // start of the one-second return burst
+	ReturnBurst    int                `toml:"return_burst"` // extra messages to each partner in that second
 	Endpoints      int                `toml:"endpoints"`
 	Routes         string             `toml:"routes"`         // shared or apart
-	CapacityPerS   float64            `toml:"capacity_per_s"` // of one warm endpoint
+	CapacityPerS   float64            `toml:"capacity_per_s"` // of one warmed-up endpoint
 	QueueLimit     int                `toml:"queue"`
 	ServiceMS      map[string]float64 `toml:"service_ms"`
 	Distribution   string             `toml:"dist"` // fixed, exp or lognormal
@@ -174,37 +176,39 @@
 	TLS            *TLS               `toml:"tls,omitempty"`
 }
 
-// TLS is how a partner is reached over TLS. Its certificates are made anew for
-// each rehearsal.
+// TLS says how a partner is reached over TLS. Each rehearsal generates new certificates.
 type TLS struct {
-	Version               string  `toml:"version"`     // 1.2 or 1.3; either where empty
-	Key                   string  `toml:"key"`         // p256, rsa2048 or ed25519
-	HandshakeDelayMS      float64 `toml:"delay_ms"`    // what a handshake takes longer
-	FullHandshakeCost     float64 `toml:"full_weight"` // cost of a full handshake in calls, 0 for none
-	ResumedHandshakeCost  float64 `toml:"resumed"`     // cost of a resumed one in calls
-	DeclaredHandshakeCost float64 `toml:"told_weight"` // cost that the relays are told
-	DisableResumption     bool    `toml:"no_sessions"` // nothing is resumed
-	RequireClientCert     bool    `toml:"wants_ours"`  // the relays must show their certificate
-	// part of one core that the relays may spend on handshakes; a quarter where 0
+	Version               string  `toml:"version"`     // 1.2 or 1.3; empty: either
+	Key                   string  `toml:"key"`         // p256, rsa2048 or ed25519; empty: p256
+	HandshakeDelayMS      float64 `toml:"delay_ms"`    // added to the duration of a handshake
+	FullHandshakeCost     float64 `toml:"full_weight"` // load of a full handshake on the partner, in calls; 0 for none
+	ResumedHandshakeCost  float64 `toml:"resumed"`     // load of a resumed handshake, in calls
+	DeclaredHandshakeCost float64 `toml:"told_weight"` // handshake cost in the relays' configuration
+	DisableResumption     bool    `toml:"no_sessions"` // the partner resumes no sessions
+	RequireClientCert     bool    `toml:"wants_ours"`  // the relays must present a client certificate
+	// HandshakeCPUShare is the fraction of one core that the relays may spend on handshakes;
+	// 0 means a quarter.
 	HandshakeCPUShare float64 `toml:"share"`
 }
 
-// Kinds of fault of partners that are reached over TLS: what they present meanwhile. Relays
-// must not accept any of it but the first and the last.
+// Kinds of fault of partners that are reached over TLS. Each changes what the partner's
+// endpoints present while it lasts. Relays may complete handshakes only under TLSRotate and
+// TLSSessionsLost.
 const (
-	// another certificate, from another authority under the same root, with another pinned key
+	// TLSRotate presents another valid certificate: from another authority under the same
+	// root, with another pinned key.
 	TLSRotate         = "tls_rotate"
-	TLSExpired        = "tls_expired"    // an expired one
-	TLSWrongName      = "tls_wrong_name" // one for another name
-	TLSWrongRoot      = "tls_wrong_root" // one from a root that nobody trusts
-	TLSHandshakeReset = "tls_reset"      // none: connections are reset in the handshake
-	TLSSessionsLost   = "tls_forget"     // the right one, with no session to resume
+	TLSExpired        = "tls_expired"    // an expired certificate
+	TLSWrongName      = "tls_wrong_name" // a certificate for another name
+	TLSWrongRoot      = "tls_wrong_root" // a certificate from an untrusted root
+	TLSHandshakeReset = "tls_reset"      // no certificate: connections are reset during the handshake
+	TLSSessionsLost   = "tls_forget"     // the right certificate, but earlier sessions cannot be resumed
 )
 
-// Error is one thing that is wrong with a file.
+// Error is one error in a scenario file.
 type Error = tomlfile.Error
 
-// Load reads a scenario file.
+// Load reads and parses a scenario file.
 func Load(path string) (*Scenario, error) {
 	text, err := tomlfile.Read(path)
 	if err != nil {
@@ -213,8 +217,8 @@
 	return Parse(path, text)
 }
 
-// Parse reads a scenario and checks all of it; the error joins one Error for
-// each thing that is wrong.
+// Parse parses a scenario, fills in defaults and validates all of it. The returned error
+// joins one *Error for each fault found. The name file is used only in these errors.
 func Parse(file string, text []byte) (*Scenario, error) {
 	s := newWithDefaults()
 	checker, err := tomlfile.Decode(file, text, s)
@@ -230,11 +234,12 @@
 	return s, nil
 }
 
-// Text is the scenario as a file that reads as the same scenario for ever:
-// every default that holds today is written out.
+// Text returns the scenario as a file with all of today's defaults written out, so that later
+// releases with other defaults parse it as the same scenario.
 func (s *Scenario) Text() ([]byte, error) { return toml.Marshal(s) }
 
-// serviceTimeMS returns the mean service time of a class, if the file has one.
+// serviceTimeMS returns the mean service time of a class: its own, or else that of "all".
+// ok is false if the file has neither.
 func (p *Partner) serviceTimeMS(class string) (mean float64, ok bool) {
 	if mean, ok = p.ServiceMS[class]; !ok {
 		mean, ok = p.ServiceMS["all"]
@@ -242,7 +247,7 @@
 	return mean, ok
 }
 
-// acceptsClass reports whether the partners get messages of a class.
+// acceptsClass reports whether the partners of this table get messages of a class.
 func (p *Partner) acceptsClass(class string) bool {
 	return len(p.Classes) == 0 || slices.Contains(p.Classes, class)
 }
--- a/internal/rehearsal/scenario/scenario_test.go
+++ b/internal/rehearsal/scenario/scenario_test.go
@@ -47,33 +47,35 @@
 func TestBuiltins(t *testing.T) {
 	names := BuiltinNames()
 	if len(names) < 4 {
-		t.Fatalf("only %v", names)
+		t.Fatalf("BuiltinNames() = %v, want at least 4 names", names)
 	}
 	for _, name := range names {
 		s, err := Builtin(name)
 		if err != nil {
-			t.Errorf("%s: %v", name, err)
+			t.Errorf("Builtin(%q): %v", name, err)
 			continue
 		}
 		if s.Name != name || s.About == "" {
-			t.Errorf("%s calls itself %q, %q", name, s.Name, s.About)
+			t.Errorf("Builtin(%q): name = %q, about = %q, want the same name and a description", name, s.Name, s.About)
 		}
 		p := s.Plan(s.Seed)
 		if len(p.Arrivals) < 100 {
-			t.Errorf("%s: %d arrivals", name, len(p.Arrivals))
+			t.Errorf("Builtin(%q): plan has %d arrivals, want at least 100", name, len(p.Arrivals))
 		}
 	}
 	s, _ := Builtin("rush")
 	p := s.Plan(s.Seed)
 	if s.Relays.Count < 3 || len(p.Endpoints) < 20 || len(p.Faults) < 4 {
-		t.Errorf("the rush has %d relays, %d endpoints, %d faults", s.Relays.Count, len(p.Endpoints), len(p.Faults))
+		t.Errorf("rush has %d relays, %d endpoints, %d faults, want at least 3, 20, 4",
+			s.Relays.Count, len(p.Endpoints), len(p.Faults))
 	}
 	if _, err := Builtin("../rush"); err == nil {
-		t.Error("a path was taken for a name")
+		t.Error("Builtin(\"../rush\") = nil error, want an error: a path is not a name")
 	}
 }
 
-// TestErrorsNameFileLineAndKey breaks the minimal scenario in one place at a time.
+// TestErrorsNameFileLineAndKey breaks the minimal scenario in one place at a time and checks that
+// the error names the file, the line, the key and the reason.
 func TestErrorsNameFileLineAndKey(t *testing.T) {
 	for _, c := range []struct{ old, new, want string }{
 		{"version = 1\n", "", "f.toml: version: missing"},
@@ -91,52 +93,58 @@
 		},
 		{"repeat = \"safe\"", "repeat = \"often\"", "f.toml:10: class[0].repeat: "},
 		{"key_window_ms = 5000", "", "f.toml:11: class[1].key_window_ms: 0, want "},
-		{"name = \"b\"", "name = \"a\"", "f.toml:12: class[1].name: \"a\" is there twice"},
+		{"name = \"b\"", "name = \"a\"", "f.toml:12: class[1].name: duplicate name \"a\""},
 		{"name = \"p\"", "name = \"p,q\"", "f.toml:19: partner[0].name: "},
 		{
 			"capacity_per_s = 10\nservice_ms = { all", "capacity_per_s = 0\nservice_ms = { all",
 			"f.toml:22: partner[0].capacity_per_s: 0, want ",
 		},
 		{"{ all = 50 }", "{ z = 50 }", "f.toml:23: partner[0].service_ms.z: no class"},
-		{"{ all = 50 }", "{ a = 50 }", "f.toml:23: partner[0].service_ms: no time for class \"b\""},
+		{"{ all = 50 }", "{ a = 50 }", "f.toml:23: partner[0].service_ms: no service time for class \"b\""},
 		{"count = 3", "count = 100000", "f.toml:20: partner[0].count: "},
 		{"classes = [\"a\"]", "classes = [\"z\"]", "f.toml:26: partner[1].classes: no class \"z\""},
 		{"classes = [\"a\"]", "classes = [\"a\"]\nlimit = \"rate\"", "f.toml:24: partner[1].limit_per_s: 0, want "},
-		{"classes = [\"a\"]", "classes = [\"a\"]\nlimit = \"window\"\nlimit_per_s = 0.5", "it would take nothing"},
+		{
+			"classes = [\"a\"]", "classes = [\"a\"]\nlimit = \"window\"\nlimit_per_s = 0.5",
+			"every call would be rejected",
+		},
 		{"kind = \"crash\"", "kind = \"melt\"", "f.toml:30: fault[0].kind: \"melt\", want one of "},
 		{"partner = \"p-2\"", "partner = \"p-9\"", "f.toml:31: fault[0].partner: no partner \"p-9\""},
 		{"partner = \"p-2\"", "", "f.toml:29: fault[0].partner: crash needs a partner"},
 		{"at_s = 1", "at_s = -1", "f.toml:32: fault[0].at_s: -1, want 0 to 10"},
 		{"length_s = 2", "", "f.toml:29: fault[0].length_s: 0, want "},
 		{"length_s = 2", "length_s = 2\nsize = 3", "f.toml:34: fault[0].size: crash has no size"},
-		{"length_s = 2", "length_s = 2\nrelay = 1", "f.toml:34: fault[0].relay: crash is not about a relay"},
+		{"length_s = 2", "length_s = 2\nrelay = 1", "f.toml:34: fault[0].relay: crash does not affect relays"},
 		{"[traffic]", "[traffic", "f.toml:4"},
 		{"version = 1", "version = 1\nversion = 1", "f.toml:2"},
 	} {
 		text := strings.Replace(minimalScenario, c.old, c.new, 1)
 		if text == minimalScenario {
-			t.Fatalf("%q is not there", c.old)
+			t.Fatalf("the minimal scenario does not contain %q", c.old)
 		}
 		if _, err := Parse("f.toml", []byte(text)); err == nil || !strings.Contains(err.Error(), c.want) {
-			t.Errorf("%q -> %q: %v\nwant %s", c.old, c.new, err, c.want)
+			t.Errorf("Parse with %q replaced by %q: error %v\nwant one that contains %q", c.old, c.new, err, c.want)
 		}
 	}
 	if _, err := Parse("f.toml", make([]byte, tomlfile.MaxFileBytes+1)); err == nil {
-		t.Error("a huge file was read")
+		t.Error("Parse of a file above MaxFileBytes: no error")
 	}
 }
 
-func TestEveryErrorIsTold(t *testing.T) {
+// Parse reports all errors of a file at once, not only the first.
+func TestParseReportsEveryError(t *testing.T) {
 	text := strings.NewReplacer(
 		"length_s = 10", "length_s = -1", "repeat = \"safe\"", "repeat = \"x\"", "at_s = 1", "at_s = -1",
 	).Replace(minimalScenario)
 	_, err := Parse("f.toml", []byte(text))
 	if n := strings.Count(err.Error(), "f.toml:"); n != 3 {
-		t.Errorf("%d errors: %v", n, err)
+		t.Errorf("Parse reported %d errors, want 3: %v", n, err)
 	}
 }
 
-func TestTextReadsAsTheSame(t *testing.T) {
+// Text writes all defaults out. If it left a key out or wrote another value, the scenario that a
+// recording holds would be replayed as a different one.
+func TestTextParsesToSamePlan(t *testing.T) {
 	for _, name := range BuiltinNames() {
 		s, err := Builtin(name)
 		if err != nil {
@@ -148,13 +156,13 @@
 		}
 		again, err := Parse("text", text)
 		if err != nil {
-			t.Fatalf("%s: %v", name, err)
+			t.Fatalf("%s: Parse(Text()): %v", name, err)
 		}
 		p, q := s.Plan(3), again.Plan(3)
 		if !reflect.DeepEqual(p.Arrivals, q.Arrivals) || !reflect.DeepEqual(p.Faults, q.Faults) ||
 			!reflect.DeepEqual(p.Specs, q.Specs) ||
 			!reflect.DeepEqual(p.Endpoints, q.Endpoints) || s.Rules != again.Rules || s.Clients != again.Clients {
-			t.Errorf("%s: reads as another plan", name)
+			t.Errorf("%s: Parse(Text()) gives a different scenario or plan", name)
 		}
 	}
 }
@@ -167,52 +175,54 @@
 	s.LengthS = 1000
 	p, again, other := s.Plan(1), s.Plan(1), s.Plan(2)
 	if !reflect.DeepEqual(p, again) || reflect.DeepEqual(p.Arrivals, other.Arrivals) {
-		t.Error("a plan is not its seed's")
+		t.Error("Plan(1) twice differs, or Plan(1) and Plan(2) have the same arrivals")
 	}
 	classes, dests, keys := map[int]float64{}, map[int]float64{}, map[string]bool{}
 	for i, a := range p.Arrivals {
 		classes[a.Class]++
 		dests[a.Destination]++
 		if (a.Class == 1) != (a.Key != "") || keys[a.Key] && a.Key != "" || a.Class == 1 && a.Destination == 4 {
-			t.Fatalf("arrival %d: %+v", i, a)
+			t.Fatalf("arrival %d: %+v: want a unique key for class 1 only, and no class 1 for destination 4", i, a)
 		}
 		keys[a.Key] = true
 		if err := a.Validate(p); err != nil {
 			t.Fatal(err)
 		}
 		if i > 0 && a.At < p.Arrivals[i-1].At {
-			t.Fatal("not in order")
+			t.Fatalf("arrival %d is earlier than arrival %d", i, i-1)
 		}
 	}
-	n := float64(len(p.Arrivals))
-	// Class a is a quarter, half of it for q; the rest is for the three p.
+	total := float64(len(p.Arrivals))
+	// A quarter of the messages is of class a, and half of those go to q. All others go to the
+	// three partners p-1 to p-3.
 	for _, share := range []struct {
-		what      string
+		name      string
 		got, want float64
 	}{
-		{"all", n, 20_000},
-		{"class a", classes[0] / n, 0.25},
-		{"q", dests[4] / n, 0.125},
-		{"p-1", dests[1] / n, 0.875 / 3},
+		{"all arrivals", total, 20_000},
+		{"class a", classes[0] / total, 0.25},
+		{"q", dests[4] / total, 0.125},
+		{"p-1", dests[1] / total, 0.875 / 3},
 	} {
 		if math.Abs(share.got/share.want-1) > 0.04 {
-			t.Errorf("%s: %v, want %v", share.what, share.got, share.want)
+			t.Errorf("%s: got %v, want %v within 4%%", share.name, share.got, share.want)
 		}
 	}
 	if f := p.Faults[0]; !reflect.DeepEqual(f.Endpoints, []int{2, 3}) || f.At != 1e6 || f.Until != 3e6 {
-		t.Errorf("fault: %+v", f)
+		t.Errorf("fault = %+v, want endpoints [2 3] from 1e6 to 3e6", f)
 	}
 	if err := p.Faults[0].Validate(p); err != nil {
 		t.Error(err)
 	}
 }
 
+// Each traffic shape gives every quarter of a rehearsal its share of the average rate.
 func TestShapesOfTraffic(t *testing.T) {
 	s, _ := Parse("f", []byte(minimalScenario))
 	s.LengthS, s.Traffic.RatePerS = 400, 50
 	for _, c := range []struct {
 		set    func(*Traffic)
-		shares [4]float64 // of the usual rate, by quarters
+		shares [4]float64 // arrivals in each quarter, relative to the average rate
 	}{
 		{func(t *Traffic) {}, [4]float64{1, 1, 1, 1}},
 		{func(t *Traffic) { t.Shape, t.From, t.To = "ramp", 0, 2 }, [4]float64{0.25, 0.75, 1.25, 1.75}},
@@ -232,7 +242,7 @@
 		for i := range got {
 			if math.Abs(got[i]/5000-c.shares[i]) > 0.08 {
 				t.Errorf(
-					"%s: quarter %d has %.2f of the rate, want %.2f",
+					"shape %s: quarter %d has %.2f of the average rate, want %.2f",
 					shaped.Traffic.Shape,
 					i,
 					got[i]/5000,
@@ -243,7 +253,8 @@
 	}
 }
 
-func TestPart(t *testing.T) {
+// A fault with a part affects that fraction of each partner's endpoints, and at least one.
+func TestFaultAffectsPartOfEndpoints(t *testing.T) {
 	s, _ := Parse(
 		"f",
 		[]byte(
@@ -254,12 +265,13 @@
 		),
 	)
 	p := s.Plan(4)
-	if n := len(p.Faults[0].Endpoints); n != 10 { // three of ten at each p, one at q
-		t.Errorf("struck %d: %v", n, p.Faults[0].Endpoints)
+	if n := len(p.Faults[0].Endpoints); n != 10 { // 3 of the 10 endpoints of each of 3 partners p, and 1 of q
+		t.Errorf("the fault affects %d endpoints %v, want 10", n, p.Faults[0].Endpoints)
 	}
 }
 
-// FuzzParse: no file, however odd, does more than return an error.
+// FuzzParse checks that Parse does not panic on any input, and that the plan of every scenario that
+// it accepts is valid.
 func FuzzParse(f *testing.F) {
 	f.Add([]byte(minimalScenario))
 	for _, name := range BuiltinNames() {
--- a/internal/rehearsal/scenario/text_test.go
+++ b/internal/rehearsal/scenario/text_test.go
@@ -9,11 +9,11 @@
 	"testing"
 )
 
-var updateFixtures = flag.Bool("update-fixtures", false, "write the stored forms of the example scenario anew")
+var updateFixtures = flag.Bool("update-fixtures", false, "rewrite the stored text and plan of the example scenario")
 
-// TestStoredFormsOfExample: the example has every key of a scenario file, those of
-// TLS in a comment. Its text with all defaults and the plan drawn from it stay what
-// they were.
+// The text of the example scenario with all defaults, and the plan drawn from it, must equal the
+// stored ones: otherwise recordings of earlier releases would be replayed differently. The example
+// has every key of a scenario file; the test uncomments those of TLS.
 func TestStoredFormsOfExample(t *testing.T) {
 	file, err := os.ReadFile(filepath.Join("..", "..", "..", "deploy", "example.toml"))
 	if err != nil {
@@ -48,7 +48,7 @@
 			t.Fatal(err)
 		}
 		if !bytes.Equal(got, want) {
-			t.Errorf("%s is written as\n%s\nwant\n%s", name, got, want)
+			t.Errorf("%s: got\n%s\nwant\n%s", name, got, want)
 		}
 	}
 	again, err := Parse("text", text)
@@ -56,6 +56,6 @@
 		t.Fatal(err)
 	}
 	if textAgain, err := again.Text(); err != nil || !bytes.Equal(text, textAgain) {
-		t.Errorf("read and written again it is\n%s\n%v", textAgain, err)
+		t.Errorf("Text() after Parse(Text()) = error %v and\n%s\nwant\n%s", err, textAgain, text)
 	}
 }
--- a/internal/rehearsal/scenario/validate.go
+++ b/internal/rehearsal/scenario/validate.go
@@ -12,13 +12,13 @@
 	"troutusher/internal/tomlfile"
 )
 
-// validator collects what is wrong, each with its key and line.
+// validator validates a scenario and collects the errors, each with its key and line.
 type validator struct{ *tomlfile.Checker }
 
-// errorf adds an error at a key.
+// errorf adds an error in the value of a key.
 func (v *validator) errorf(key, format string, args ...any) { v.Errorf(key, format, args...) }
 
-// checkRange checks a number; NaN and infinities are out of every range.
+// checkRange checks that a number is within a range. NaN is outside of every range.
 func (v *validator) checkRange(key string, number, least, most float64) {
 	switch {
 	case number >= least && number <= most:
@@ -29,33 +29,33 @@
 	}
 }
 
-// numberBounds are the bounds of the number at a key.
+// numberBounds is the value of a key with its permitted range.
 type numberBounds struct {
 	key             string
 	value, min, max float64
 }
 
-// checkBounds checks numbers whose keys begin with a prefix.
+// checkBounds checks numbers whose keys are given without a common prefix.
 func (v *validator) checkBounds(prefix string, numbers []numberBounds) {
 	for _, number := range numbers {
 		v.checkRange(prefix+number.key, number.value, number.min, number.max)
 	}
 }
 
-// checkOneOf checks a word that must be one of a few.
+// checkOneOf checks that a string is one of the allowed ones.
 func (v *validator) checkOneOf(key, word string, allowed ...string) {
 	if !slices.Contains(allowed, word) {
 		v.errorf(key, "%q, want one of %s", word, strings.Join(allowed, ", "))
 	}
 }
 
-// checkName checks a name and that it is not among those seen, and adds it to them.
+// checkName checks that a name is well formed and not in seen, and adds it to seen.
 func (v *validator) checkName(key, name string, seen map[string]bool) {
 	switch {
 	case name == "" || len(name) > maxNameBytes || strings.ContainsFunc(name, forbiddenInName):
-		v.errorf(key, "%q, want a name of 1 to 64 plain characters with no comma and no equals sign", name)
+		v.errorf(key, "%q, want 1 to 64 printable ASCII characters without blanks, commas and equals signs", name)
 	case seen[name]:
-		v.errorf(key, "%q is there twice", name)
+		v.errorf(key, "duplicate name %q", name)
 	}
 	seen[name] = true
 }
@@ -67,10 +67,11 @@
 	maxNameBytes        = 64
 	maxMessages         = 2_000_000
 	maxEndpoints        = 2000
-	maxIdleDestinations = 20_000 // as many as an endpoint list of 4 MB holds
+	maxIdleDestinations = 20_000 // the number that fits into an endpoint list of 4 MB
 )
 
-// checkScenario checks all of a scenario, or its version alone where it is not understood.
+// checkScenario checks a whole scenario. If its version is unsupported, it checks nothing else,
+// since the other keys may have another meaning.
 func (v *validator) checkScenario(s *Scenario) {
 	switch {
 	case s.Version == 0:
@@ -87,7 +88,7 @@
 	v.checkNumbers(s)
 	v.checkOneOf("traffic.shape", s.Traffic.Shape, shapeSteady, shapeRamp, shapeWave, shapeRush)
 	if n := s.Traffic.RatePerS * s.LengthS * max(s.Traffic.From, s.Traffic.To, 1); n > maxMessages {
-		v.errorf("traffic.rate_per_s", "about %.0f messages, %d at most", n, maxMessages)
+		v.errorf("traffic.rate_per_s", "about %.0f messages, want at most %d", n, maxMessages)
 	}
 	classes := v.checkClasses(s)
 	portals := map[string]bool{}
@@ -101,7 +102,7 @@
 	v.checkFaults(s, classes, names)
 }
 
-// checkNumbers checks the bounds of plain numbers.
+// checkNumbers checks the numbers of clients, discovery, rules and traffic, and of relays.awake.
 func (v *validator) checkNumbers(s *Scenario) {
 	r := &s.Rules
 	v.checkBounds("", []numberBounds{
@@ -134,7 +135,7 @@
 	})
 }
 
-// checkRelays checks the relays and their zones.
+// checkRelays checks the relays' settings and zones.
 func (v *validator) checkRelays(s *Scenario) {
 	r := &s.Relays
 	v.checkBounds("relays.", []numberBounds{
@@ -152,12 +153,12 @@
 		v.errorf("relays.halls", "%d halls, want 1 to 64", len(r.Zones))
 	}
 	seen := map[string]bool{}
-	for _, h := range r.Zones {
-		v.checkName("relays.halls", h, seen)
+	for _, zone := range r.Zones {
+		v.checkName("relays.halls", zone, seen)
 	}
 }
 
-// checkClasses checks the classes of message and returns their names.
+// checkClasses checks the message classes and returns their names.
 func (v *validator) checkClasses(s *Scenario) map[string]bool {
 	seen := map[string]bool{}
 	if len(s.Classes) == 0 || len(s.Classes) > 64 {
@@ -175,17 +176,18 @@
 		if class.Idempotency == idempotentByKey {
 			v.checkRange(key+".key_window_ms", class.DedupWindowMS, 1, 600_000)
 		} else if class.DedupWindowMS != 0 {
-			v.errorf(key+".key_window_ms", "only keyed classes have one")
+			v.errorf(key+".key_window_ms", "only classes with repeat = %q have a dedup window", idempotentByKey)
 		}
 	}
 	return seen
 }
 
-// checkPartners checks the partners and returns the names that a fault may use.
+// checkPartners checks the [[partner]] tables. It returns the names by which faults may refer to
+// partners: those of the tables and of the single partners.
 func (v *validator) checkPartners(s *Scenario, classes, portals map[string]bool) map[string]bool {
-	names, tables, ends := map[string]bool{}, map[string]bool{}, 0
+	names, tables, endpointCount := map[string]bool{}, map[string]bool{}, 0
 	if len(s.Partners) == 0 {
-		v.errorf("partner", "no partners")
+		v.errorf("partner", "no partners, want at least one")
 	}
 	for i := range s.Partners {
 		p := &s.Partners[i]
@@ -199,16 +201,16 @@
 		for n := 1; n <= p.Count && p.Count > 1; n++ {
 			names[fmt.Sprintf("%s-%d", p.Name, n)] = true
 		}
-		ends += p.Count * max(p.Endpoints, 0)
+		endpointCount += p.Count * max(p.Endpoints, 0)
 		v.checkPartner(key, p, s, classes, portals)
 	}
-	if ends > maxEndpoints {
-		v.errorf("partner", "%d endpoints, %d at most", ends, maxEndpoints)
+	if endpointCount > maxEndpoints {
+		v.errorf("partner", "%d endpoints, want at most %d", endpointCount, maxEndpoints)
 	}
 	return names
 }
 
-// checkPartner checks a table of partners.
+// checkPartner checks one [[partner]] table.
 func (v *validator) checkPartner(key string, p *Partner, s *Scenario, classes, portals map[string]bool) {
 	if p.Portal != "" && !portals[p.Portal] {
 		v.errorf(key+".portal", "no portal %q", p.Portal)
@@ -238,12 +240,12 @@
 	}
 	for _, class := range s.Classes {
 		if _, ok := p.serviceTimeMS(class.Name); !ok && p.acceptsClass(class.Name) {
-			v.errorf(key+".service_ms", "no time for class %q, and none for all", class.Name)
+			v.errorf(key+".service_ms", "no service time for class %q, and none for \"all\"", class.Name)
 		}
 	}
 }
 
-// checkPartnerNumbers checks the bounds of a partner's plain numbers.
+// checkPartnerNumbers checks the numbers of a [[partner]] table, except service times and limits.
 func (v *validator) checkPartnerNumbers(key string, p *Partner, lengthS float64) {
 	v.checkBounds(key+".", []numberBounds{
 		{"share", p.Share, 1e-6, 1e6},
@@ -265,7 +267,7 @@
 	})
 }
 
-// checkPartnerTLS checks how partners are reached over TLS.
+// checkPartnerTLS checks the TLS settings of a [[partner]] table.
 func (v *validator) checkPartnerTLS(key string, tls *TLS) {
 	v.checkOneOf(key+".version", tls.Version, "", "1.2", "1.3")
 	v.checkOneOf(key+".key", tls.Key, "", string(testca.P256), string(testca.RSA2048), string(testca.Ed25519))
@@ -276,11 +278,11 @@
 	v.checkRange(key+".share", tls.HandshakeCPUShare, 0, 1)
 }
 
-// checkPartnerLimit checks the rate limit of partners.
+// checkPartnerLimit checks the rate limit of a [[partner]] table.
 func (v *validator) checkPartnerLimit(key string, p *Partner) {
 	if p.Limit == string(endpoint.NoLimit) {
 		if p.LimitPerS != 0 {
-			v.errorf(key+".limit_per_s", "the partner has no limit")
+			v.errorf(key+".limit_per_s", "%v, but limit is %q", p.LimitPerS, p.Limit)
 		}
 		return
 	}
@@ -288,15 +290,15 @@
 	v.checkRange(key+".limit_depth", p.LimitBurst, 0, 1e6)
 	v.checkRange(key+".window_ms", p.WindowMS, 1, 3600_000)
 	if p.Limit == string(endpoint.FixedWindow) && p.LimitPerS*p.WindowMS < 1000 {
-		v.errorf(key+".window_ms", "%v calls a second are less than one in %v ms: it would take nothing",
+		v.errorf(key+".window_ms", "limit_per_s = %v allows less than one call per %v ms: every call would be rejected",
 			p.LimitPerS, p.WindowMS)
 	}
 }
 
-// checkFaults checks the faults.
+// checkFaults checks the [[fault]] tables.
 func (v *validator) checkFaults(s *Scenario, classes, names map[string]bool) {
 	if len(s.Faults) > 10_000 {
-		v.errorf("fault", "%d faults, 10000 at most", len(s.Faults))
+		v.errorf("fault", "%d faults, want at most 10000", len(s.Faults))
 		return
 	}
 	for i := range s.Faults {
@@ -320,17 +322,18 @@
 	}
 }
 
-// checkFaultTargets checks which partners and relays a fault is about.
-func (v *validator) checkFaultTargets(key string, f *Fault, aboutPartner bool, s *Scenario, names map[string]bool) {
-	if aboutPartner {
+// checkFaultTargets checks the partners and relays that a fault names. A fault affects either
+// partners or relays.
+func (v *validator) checkFaultTargets(key string, f *Fault, affectsPartners bool, s *Scenario, names map[string]bool) {
+	if affectsPartners {
 		v.checkFaultPartners(key, f, s, names)
 	} else if len(f.partnerNames()) > 0 {
-		v.errorf(key+".partner", "%s is not about a partner", f.Kind)
+		v.errorf(key+".partner", "%s does not affect partners", f.Kind)
 	}
 	if f.Relay < 0 || f.Relay > s.Relays.Count {
-		v.errorf(key+".relay", "%d; the relays are 1 to %d, and 0 for all", f.Relay, s.Relays.Count)
-	} else if f.Relay != 0 && aboutPartner {
-		v.errorf(key+".relay", "%s is not about a relay", f.Kind)
+		v.errorf(key+".relay", "%d, want 1 to %d, or 0 for all relays", f.Relay, s.Relays.Count)
+	} else if f.Relay != 0 && affectsPartners {
+		v.errorf(key+".relay", "%s does not affect relays", f.Kind)
 	}
 }
 
@@ -347,7 +350,7 @@
 	}
 	withoutTLS := func(p Partner) bool { return p.TLS == nil && f.matchesTable(p.Name, p.Count) }
 	if strings.HasPrefix(f.Kind, "tls_") && slices.ContainsFunc(s.Partners, withoutTLS) {
-		v.errorf(key+".partner", "%s is about partners with tls", f.Kind)
+		v.errorf(key+".partner", "%s affects only partners with tls", f.Kind)
 	}
 	v.checkRange(key+".part", f.EndpointShare, 1e-6, 1)
 }
@@ -366,16 +369,16 @@
 	}
 }
 
-// checkFaultClass checks the class that a fault names.
-func (v *validator) checkFaultClass(key string, f *Fault, aboutClass bool, classes map[string]bool) {
-	if aboutClass && !classes[f.Class] {
+// checkFaultClass checks the message class that a fault names.
+func (v *validator) checkFaultClass(key string, f *Fault, usesClass bool, classes map[string]bool) {
+	if usesClass && !classes[f.Class] {
 		v.errorf(key+".class", "no class %q", f.Class)
-	} else if !aboutClass && f.Class != "" {
-		v.errorf(key+".class", "%s is not about a class", f.Kind)
+	} else if !usesClass && f.Class != "" {
+		v.errorf(key+".class", "%s has no class", f.Kind)
 	}
 }
 
-// checkFaultVariant checks the variant of a fault that has some.
+// checkFaultVariant checks a fault's variant, the key form in the file.
 func (v *validator) checkFaultVariant(key string, f *Fault, hasVariant bool) {
 	switch {
 	case f.Kind == RelayUpgrade && f.Variant != "":
