--- a/internal/rehearsal/runner/events.go
+++ b/internal/rehearsal/runner/events.go
@@ -8,7 +8,7 @@
 	"troutusher/internal/rehearsal/checker"
 )
 
-// CallCounts counts the calls that came to a partner's endpoints.
+// CallCounts counts the calls that a partner's endpoints received.
 type CallCounts struct {
 	Started      int `json:"began"`
 	Delivered    int `json:"delivered"`
@@ -18,7 +18,8 @@
 	HealthChecks int `json:"probes"`
 }
 
-// eventCollector brings the events of all sources into one order, and passes them on.
+// eventCollector puts the events of all sources into one order and passes them to the checker and
+// to callbacks.
 type eventCollector struct {
 	mu        sync.Mutex
 	checker   *checker.Checker
@@ -29,8 +30,9 @@
 	onEvent   func(*event.Event) // called with every event; may be nil
 }
 
-// emit takes an event. All sources use one clock, but an emulator's timers may be some
-// hundred microseconds late: the times of the record never go back.
+// emit accepts an event from any source. All sources use one clock, but an emulator's timers may be
+// some hundred microseconds late, so that events can arrive out of order. record therefore raises
+// an event's time to that of the event before it if needed.
 func (c *eventCollector) emit(e event.Event) {
 	c.record(&e)
 	if e.Kind == event.CallEnded && e.Status == event.StatusDelivered || e.Kind == event.NoticeReceived {
@@ -41,7 +43,8 @@
 	}
 }
 
-// record sets an event's time in the record, shows the event to the checker and counts it.
+// record makes an event's time not earlier than the last one, passes the event to the checker and
+// counts it.
 func (c *eventCollector) record(e *event.Event) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -53,7 +56,7 @@
 	}
 }
 
-// countsOf returns the counts of an endpoint's partner, nil for no endpoint.
+// countsOf returns the counts of an endpoint's partner, or nil if there is no such endpoint.
 func (c *eventCollector) countsOf(endpoint int) *CallCounts {
 	if endpoint < 0 || endpoint >= len(c.partnerOf) {
 		return nil
@@ -61,14 +64,15 @@
 	return &c.calls[c.partnerOf[endpoint]]
 }
 
-// violations is the number of violations that the checker has found.
+// violations returns the number of violations that the checker has found so far.
 func (c *eventCollector) violations() int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return len(c.checker.Violations())
 }
 
-// finish ends the record, and returns what the checker found and the counts of calls.
+// finish ends the checker's record and returns the violations, the restart counts and the call
+// counts by partner.
 func (c *eventCollector) finish(now event.Time) ([]checker.Violation, checker.RestartCounts, []CallCounts) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -76,7 +80,7 @@
 	return c.checker.Violations(), c.checker.RestartCounts(), slices.Clone(c.calls)
 }
 
-// add counts an event of a call.
+// add counts an event if it is about a call or a health check.
 func (c *CallCounts) add(e *event.Event) {
 	switch e.Kind {
 	case event.CallReceived:
--- a/internal/rehearsal/runner/faults.go
+++ b/internal/rehearsal/runner/faults.go
@@ -13,7 +13,7 @@
 	"troutusher/internal/rehearsal/scenario"
 )
 
-// action is something that is done at a time of the plan.
+// action is a function that runs at a time of the plan.
 type action struct {
 	at  event.Time
 	run func()
@@ -39,15 +39,15 @@
 	}
 }
 
-// plannedFault is one fault of the plan as it is played.
+// plannedFault is one fault of the plan during a rehearsal.
 type plannedFault struct {
 	*Rehearsal
 	*scenario.PlannedFault
-	ctx  context.Context // of playing
-	name string          // in progress reports
+	ctx  context.Context // ends with the rehearsal's run
+	name string          // shown in progress reports
 }
 
-// faultActions returns what a fault does, and when.
+// faultActions returns the actions of a fault.
 func (r *Rehearsal) faultActions(ctx context.Context, planned *scenario.PlannedFault) []action {
 	name := planned.Kind
 	if len(planned.Endpoints) > 0 {
@@ -60,34 +60,34 @@
 	case scenario.ListDelayed, scenario.ListStale, scenario.ListSilent:
 		return f.listActions()
 	case scenario.RelayKill:
-		return f.onProcesses(f.killRelay)
+		return f.processActions(f.killRelay)
 	case scenario.RelayRestart:
-		return f.onProcesses(f.restartRelay)
+		return f.processActions(f.restartRelay)
 	case scenario.RelayUpgrade:
-		return f.onProcesses(f.upgradeRelay)
+		return f.processActions(f.upgradeRelay)
 	case scenario.RelayDrain:
-		return f.lasting(f.drainRelays(true), f.drainRelays(false))
+		return f.intervalActions(f.drainRelays(true), f.drainRelays(false))
 	case scenario.RelayReload:
-		return f.onProcesses(f.reloadRelay)
+		return f.processActions(f.reloadRelay)
 	}
 	switch {
 	case strings.HasPrefix(f.Kind, "flood_"):
 		return f.floodActions()
 	case strings.HasPrefix(f.Kind, "tls_"):
-		return f.lasting(r.identities.replacement(f.Kind, f.Endpoints))
+		return f.intervalActions(r.identities.replacement(f.Kind, f.Endpoints))
 	}
 	return f.endpointActions()
 }
 
-// lasting returns the actions of a fault with a beginning and an end.
-func (f *plannedFault) lasting(begin, end func()) []action {
+// intervalActions returns the actions of a fault that is active from At to Until.
+func (f *plannedFault) intervalActions(begin, end func()) []action {
 	return []action{
 		{f.At, func() { f.addActiveFault(f.name, 1); begin() }},
 		{f.Until, func() { end(); f.addActiveFault(f.name, -1) }},
 	}
 }
 
-// forEachRelay returns a function that calls do with each relay of the fault.
+// forEachRelay returns a function that calls do for each affected relay.
 func (f *plannedFault) forEachRelay(do func(relay int)) func() {
 	return func() {
 		for _, relay := range f.Relays {
@@ -96,8 +96,8 @@
 	}
 }
 
-// forEachEndpoint returns a function that calls do with each endpoint of the fault, under
-// the model's lock.
+// forEachEndpoint returns a function that calls do for each affected endpoint under the model's
+// lock.
 func (f *plannedFault) forEachEndpoint(do func(model *endpoint.Model, now endpoint.Time, index int)) func() {
 	return func() {
 		f.endpointServer.Update(func(model *endpoint.Model, now endpoint.Time) {
@@ -108,7 +108,8 @@
 	}
 }
 
-// listActions has endpoint lists come late, stay old, or not come.
+// listActions returns the actions of a fault that delays endpoint lists, keeps them stale or stops
+// them.
 func (f *plannedFault) listActions() []action {
 	extraDelay := time.Duration(f.Magnitude * float64(time.Second))
 	set := func(on bool) func() {
@@ -123,10 +124,11 @@
 			}
 		})
 	}
-	return f.lasting(set(true), set(false))
+	return f.intervalActions(set(true), set(false))
 }
 
-// floodActions has faulty clients connect to relays.
+// floodActions returns the actions of a flood: connections to relays that are not legitimate
+// clients.
 func (f *plannedFault) floodActions() []action {
 	ctx, end := context.WithCancel(f.ctx)
 	begin := f.forEachRelay(func(relay int) {
@@ -136,19 +138,20 @@
 			loadgen.Flood(ctx, loadgen.FloodKind(f.Kind), f.targets[relay].Listen, int(f.Magnitude))
 		}()
 	})
-	return f.lasting(begin, end)
+	return f.intervalActions(begin, end)
 }
 
-// endpointActions injects a fault into the model of the endpoints.
+// endpointActions returns the actions of a fault that the endpoint emulator implements.
 func (f *plannedFault) endpointActions() []action {
 	fault := &endpoint.Fault{
 		Kind: endpoint.FaultKind(f.Kind), Magnitude: f.Magnitude, Share: f.Share, Class: f.Class,
 		Defect: endpoint.ResponseDefect(f.Variant),
 	}
-	return f.lasting(f.injection(fault))
+	return f.intervalActions(f.injection(fault))
 }
 
-// injection returns functions that inject a fault into the fault's endpoints, and clear it.
+// injection returns functions that inject a fault of the emulator into the affected endpoints and
+// clear it.
 func (f *plannedFault) injection(fault *endpoint.Fault) (begin, end func()) {
 	begin = f.forEachEndpoint(func(model *endpoint.Model, now endpoint.Time, index int) {
 		model.InjectFault(now, index, fault)
@@ -159,8 +162,9 @@
 	return begin, end
 }
 
-// phaseActions has endpoints drain or leave through the list. If the fault lasts longer
-// than relays may go on calling them, the endpoints then stop serving.
+// phaseActions returns the actions of a fault that drains or removes endpoints through the list.
+// If the fault lasts beyond the time in which relays may still call the endpoints, these stop
+// serving at that time: draining ones reject calls, and removed ones refuse connections.
 func (f *plannedFault) phaseActions() []action {
 	phase, stopServing, serveAgain := registry.PhaseDraining, f.setDraining(true), f.setDraining(false)
 	if f.Kind == scenario.EndpointRemoval {
@@ -183,8 +187,8 @@
 	return append(actions, action{f.Until, func() { setPhase(registry.PhaseUp); f.addActiveFault(f.name, -1) }})
 }
 
-// setDraining returns a function that has the endpoints reject new calls, or take them
-// again.
+// setDraining returns a function that makes the affected endpoints reject new calls, or accept
+// them again.
 func (f *plannedFault) setDraining(on bool) func() {
 	return f.forEachEndpoint(func(model *endpoint.Model, now endpoint.Time, index int) {
 		model.SetDraining(now, index, on)
--- a/internal/rehearsal/runner/holiday_test.go
+++ b/internal/rehearsal/runner/holiday_test.go
@@ -7,10 +7,10 @@
 	"troutusher/internal/rehearsal/loadgen"
 )
 
-// The short form of `troutusher rehearse holiday`: of two thousand destinations
-// that rest forty are sent to in one second, of which some have just come back
-// cold, some drain while they rest, and one relay was killed before. All rules are
-// kept, and nobody is forgotten.
+// A short form of `troutusher rehearse holiday`: of two thousand idle destinations, forty get messages
+// within one second. Some of them have just recovered from an outage and are cold, others began to
+// drain while they were idle, and one relay was killed and restarted before. The test guards against
+// relays that lose state or messages of passivated destinations, or ignore what happened to them.
 func TestHolidayInShort(t *testing.T) {
 	shops := func(name string, count int) string {
 		return fmt.Sprintf(
@@ -33,18 +33,19 @@
 	p.Scenario.Discovery.IdleDestinations = 2000
 	o := play(t, p, ownRelayOptions(t))
 	for _, v := range o.Violations {
-		t.Errorf("%+v", v)
+		t.Errorf("violation: %+v", v)
 	}
-	for _, c := range o.RelayFailures {
-		t.Error(c)
+	for _, failure := range o.RelayFailures {
+		t.Error(failure)
 	}
-	done := map[bool]int{}
+	delivered := map[bool]int{} // number of messages to shops, by whether they were delivered
 	for i, r := range o.Results {
-		if p.Arrivals[i].Destination > 2 { // a shop's
-			done[r.Outcome == loadgen.Delivered]++
+		if p.Arrivals[i].Destination > 2 { // to a shop
+			delivered[r.Outcome == loadgen.Delivered]++
 		}
 	}
-	if done[true] < 100 || done[false] > 20 {
-		t.Errorf("of the shops' messages %d were delivered, %d not", done[true], done[false])
+	if delivered[true] < 100 || delivered[false] > 20 {
+		t.Errorf("%d messages to shops delivered, %d not, want at least 100 and at most 20",
+			delivered[true], delivered[false])
 	}
 }
--- a/internal/rehearsal/runner/manualrelay.go
+++ b/internal/rehearsal/runner/manualrelay.go
@@ -15,24 +15,25 @@
 	"troutusher/internal/rehearsal/scenario"
 )
 
-// maxManualMessages is how many messages ServeEmulators remembers.
+// maxManualMessages is the number of messages that ServeEmulators remembers.
 const maxManualMessages = 1 << 16
 
-// ManualRelay is what a relay that is started by hand needs.
+// ManualRelay tells the user how to start a relay by hand and where it will be reached.
 type ManualRelay struct {
-	ConfigPath string // of the file for ROUTER_CONFIG
-	Listen     string // where it will listen
+	ConfigPath string // for ROUTER_CONFIG
+	Listen     string // the address where it will listen
 }
 
-// ServeEmulators keeps a plan's partners and discovery up for a relay that is started by
-// hand, until ctx ends. Every message that the relay sends is taken for one that a client
-// submitted. ready is called once all is up; show is called with every event.
+// ServeEmulators runs a plan's partners and discovery for a relay that is started by hand, until
+// ctx ends. It accepts every message that the relay sends, since it does not know which ones
+// clients have submitted. ready is called once the emulators serve; show is called with every
+// event.
 func ServeEmulators(
 	ctx context.Context, plan *scenario.Plan, dir string, ready func(ManualRelay), show func(*event.Event),
 ) error {
 	start := time.Now()
 	clock := func() event.Time { return time.Since(start).Microseconds() }
-	var mu sync.Mutex // one event at a time
+	var mu sync.Mutex // serializes calls of show
 	emit := func(e event.Event) {
 		mu.Lock()
 		defer mu.Unlock()
@@ -69,8 +70,9 @@
 	return nil
 }
 
-// numberMessages returns a lookup that knows every message, and numbers them. It is called
-// under the model's lock. Once it knows very many it forgets them all.
+// numberMessages returns a lookup function that finds every message and numbers them from 0. To
+// bound its memory, it forgets all numbers after maxManualMessages messages. The model calls it
+// under its lock.
 func numberMessages() func(id string) (endpoint.Message, bool) {
 	numbers := map[string]int{}
 	return func(id string) (endpoint.Message, bool) {
@@ -84,7 +86,8 @@
 	}
 }
 
-// configureManualRelay chooses the relay's address and writes its configuration.
+// configureManualRelay chooses the relay's address, creates its state folder and writes its
+// configuration.
 func configureManualRelay(
 	plan *scenario.Plan, dir string, discovery *registry.Registry,
 ) (relay ManualRelay, err error) {
@@ -102,7 +105,7 @@
 		return relay, err
 	}
 	if err := os.WriteFile(relay.ConfigPath, text, 0o600); err != nil {
-		return relay, fmt.Errorf("hold: %w", err)
+		return relay, fmt.Errorf("write the relay's configuration: %w", err)
 	}
 	return relay, nil
 }
--- a/internal/rehearsal/runner/members.go
+++ b/internal/rehearsal/runner/members.go
@@ -12,11 +12,12 @@
 	"troutusher/internal/rehearsal/scenario"
 )
 
-// closedPort is a port ("discard") on which nothing listens.
+// closedPort is a port on which nothing listens: that of the discard protocol.
 const closedPort = "9"
 
-// partnerKinds names the kinds of partner, and tells of each whether its routes are
-// independent. A kind is either or the other, so a name that serves for both is split.
+// partnerKinds returns the kinds of partner and, for each kind, whether its routes are independent
+// and its batch size, which is 1. Relays are configured per kind, so a kind with both sorts of
+// routes is split in two by kindName.
 func partnerKinds(plan *scenario.Plan) (kinds []string, independentRoutes []bool, batch []int) {
 	seen := map[string]bool{}
 	for i := range plan.Endpoints {
@@ -30,7 +31,7 @@
 	return kinds, independentRoutes, batch
 }
 
-// kindName is the kind of an endpoint's partner.
+// kindName returns the kind of an endpoint's partner, with a suffix if its routes are independent.
 func kindName(plan *scenario.Plan, index int) string {
 	planned := &plan.Endpoints[index]
 	if plan.Specs[planned.Partner].IndependentRoutes {
@@ -39,8 +40,8 @@
 	return planned.Kind
 }
 
-// listMembers is the endpoint list as a relay's discovery has it, in the plan's order.
-// addr returns the address of an endpoint for that relay.
+// listMembers returns the endpoint list of a relay's discovery, in the plan's order. addr returns
+// the address of an endpoint for that relay.
 func listMembers(plan *scenario.Plan, addr func(endpoint int) string) []registry.Member {
 	var members []registry.Member
 	for i := range plan.Endpoints {
@@ -61,15 +62,15 @@
 	return members
 }
 
-// memberID is the id of an endpoint in the list.
+// memberID returns the id of an endpoint in the list: a hash of its name.
 func memberID(name string) string {
 	hash := fnv.New32a()
 	_, _ = io.WriteString(hash, name) // a hash does not fail
 	return fmt.Sprintf("s-%08x", hash.Sum32())
 }
 
-// unusedDestinations are destinations that the list names beside the partners, and that no
-// client asks for. Nothing listens at their addresses.
+// unusedDestinations returns members for destinations that are listed in addition to the partners
+// but get no messages. Nothing listens at their addresses.
 func unusedDestinations(plan *scenario.Plan) (members []registry.Member) {
 	zones := plan.Scenario.Relays.Zones
 	for i := range plan.Scenario.Discovery.IdleDestinations {
--- a/internal/rehearsal/runner/process.go
+++ b/internal/rehearsal/runner/process.go
@@ -18,16 +18,16 @@
 
 const (
 	stopTimeout    = 3700 * time.Millisecond // from SIGTERM to SIGKILL
-	requestTimeout = time.Second             // of a PING or a console command
+	requestTimeout = time.Second             // of a PING or a console command, with its reply
 )
 
 var (
-	errClosed   = errors.New("the rehearsal is closed")
-	errExitZero = errors.New("exit status 0") // of a process that should still run
+	errClosed   = errors.New("cannot start a process: the rehearsal is closed")
+	errExitZero = errors.New("exit status 0") // of a process that is expected to run
 )
 
-// spawner starts processes from one thread that lives as long as the rehearsal, since the
-// system ends them when the thread that started them ends.
+// spawner starts processes from one OS thread that lives as long as the rehearsal. With a
+// parent-death signal, the kernel kills a process when the thread that started it exits.
 type spawner struct {
 	work chan func()
 	done chan struct{}
@@ -64,10 +64,10 @@
 	cmd         *exec.Cmd
 	exited      chan struct{}
 	consoleAddr string
-	expectedUp  atomic.Bool // its end would be a crash
+	expectedUp  atomic.Bool // if it exits now, that is a crash
 }
 
-// watch waits for the process's end, and calls onCrash if it should still run.
+// watch waits until the process exits, and calls onCrash if it was expected to run.
 func (p *relayProcess) watch(onCrash func(error)) {
 	err := p.cmd.Wait()
 	close(p.exited)
@@ -80,16 +80,17 @@
 	onCrash(err)
 }
 
-// Signals are sent to a process that may have ended by itself. That is seen by its exited
-// channel, so that the error of a signal tells nothing more.
+// The following methods signal a process that may have exited. They ignore the error of the
+// signal, since the channel exited already shows that.
 
-// kill ends the process by force.
+// kill kills the process and waits until it has exited.
 func (p *relayProcess) kill() {
 	_ = p.cmd.Process.Kill()
 	<-p.exited
 }
 
-// terminate asks the process to end, and ends it by force if it does not.
+// terminate asks the process to exit, and kills it if it does not within stopTimeout. forced
+// reports whether it was killed.
 func (p *relayProcess) terminate() (forced bool) {
 	p.expectedUp.Store(false)
 	_ = p.cmd.Process.Signal(syscall.SIGTERM)
@@ -104,14 +105,14 @@
 	}
 }
 
-// reload has the process read its configuration again.
+// reload makes the process reload its configuration.
 func (p *relayProcess) reload() { _ = p.cmd.Process.Signal(syscall.SIGHUP) }
 
-// ready asks the process's console whether it serves.
+// ready reports whether the process serves, by its console.
 func (p *relayProcess) ready() bool { return callConsole(p.consoleAddr, "READY") }
 
-// peakMemoryKB is the most resident memory that the process has had, 0 where the system
-// does not tell (proc(5), VmHWM).
+// peakMemoryKB returns the peak resident memory of the process, or 0 if the system does not
+// report it (VmHWM in proc(5)).
 func (p *relayProcess) peakMemoryKB() int {
 	text, err := os.ReadFile(fmt.Sprintf("/proc/%d/status", p.cmd.Process.Pid))
 	if err != nil {
@@ -129,22 +130,22 @@
 	return 0
 }
 
-// ping reports whether a relay answers PING.
+// ping reports whether a relay replies to PING.
 func ping(addr string) bool { return request(addr, "*1\r\n$4\r\nPING\r\n") == "+PONG\r\n" }
 
-// callConsole sends a command to a relay's console and reports whether the answer is yes.
+// callConsole sends a command to a relay's console and reports whether the reply is YES.
 func callConsole(addr, command string) bool {
 	return strings.HasPrefix(request(addr, command+"\n"), "YES")
 }
 
-// request writes a text and returns the line that answers it, empty where there is none.
+// request sends a text to an address and returns the first line of the reply, or "" if that fails.
 func request(addr, text string) string {
 	conn, err := net.DialTimeout("tcp4", addr, requestTimeout)
 	if err != nil {
 		return ""
 	}
-	defer func() { _ = conn.Close() }()                  // the answer has been read
-	_ = conn.SetDeadline(time.Now().Add(requestTimeout)) // fails with the write below
+	defer func() { _ = conn.Close() }()                  // the reply has been read
+	_ = conn.SetDeadline(time.Now().Add(requestTimeout)) // an error here makes the write below fail too
 	if _, err := io.WriteString(conn, text); err != nil {
 		return ""
 	}
--- a/internal/rehearsal/runner/processattributes_other.go
+++ b/internal/rehearsal/runner/processattributes_other.go
@@ -7,6 +7,6 @@
 	"syscall"
 )
 
-// setProcessAttributes keeps a terminal's signals from a process. Only on Linux does the
-// process end when this one is killed.
+// setProcessAttributes puts a child process into a process group of its own, so that it does not
+// receive a terminal's signals. Only on Linux is the child also killed when this process dies.
 func setProcessAttributes(cmd *exec.Cmd) { cmd.SysProcAttr = &syscall.SysProcAttr{Setpgid: true} }
--- a/internal/rehearsal/runner/progress.go
+++ b/internal/rehearsal/runner/progress.go
@@ -9,14 +9,14 @@
 
 const progressInterval = 250 * time.Millisecond
 
-// Progress is how far a rehearsal is.
+// Progress is the state of a running rehearsal.
 type Progress struct {
 	Elapsed      time.Duration // since the plan's start
-	Total        time.Duration // in which messages arrive
-	Submitted    int           // messages
-	Pending      int           // of them, those without an end
+	Total        time.Duration // the period in which messages arrive
+	Submitted    int           // number of messages submitted so far
+	Pending      int           // number of those that have not ended
 	Violations   int
-	ActiveFaults []string // in order of their names
+	ActiveFaults []string // sorted by name
 }
 
 // reportProgress calls OnProgress at regular intervals.
@@ -49,7 +49,7 @@
 	return p
 }
 
-// addActiveFault changes by n how many faults of a name are active.
+// addActiveFault adds n, which may be negative, to the number of active faults of a name.
 func (r *Rehearsal) addActiveFault(name string, n int) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/rehearsal/runner/relay.go
+++ b/internal/rehearsal/runner/relay.go
@@ -18,15 +18,15 @@
 
 const (
 	readyTimeout   = 30 * time.Second
-	upgradeTimeout = 6 * time.Second       // from a start beside the old process until the new one serves
-	readyInterval  = 10 * time.Millisecond // between two questions whether a process is ready
-	maxLogTail     = 400                   // bytes of the log that an error shows
+	upgradeTimeout = 6 * time.Second       // from the start of the successor until it serves
+	readyInterval  = 10 * time.Millisecond // between two readiness checks
+	maxLogTail     = 400                   // bytes of the log's end that an error quotes
 
-	// relaySeedStream is the stream of draws for the seeds of relays.
+	// relaySeedStream is the random stream from which the relays' seeds are drawn.
 	relaySeedStream = 500
 )
 
-// managedRelay is one relay, through all its processes.
+// managedRelay is one relay of a rehearsal, across restarts and upgrades of its process.
 type managedRelay struct {
 	index    int
 	command  []string
@@ -36,15 +36,15 @@
 	plan     *scenario.Plan
 	registry *registry.Registry
 	spawner  *spawner
-	onCrash  func(relay int, err error) // called when a process ends that should still run
+	onCrash  func(relay int, err error) // called when a process exits that is expected to run
 
 	mu      sync.Mutex    // held while a process is started or stopped
-	current *relayProcess // nil before the first
+	current *relayProcess // nil before the first start
 	starts  uint64
-	peakKB  int // most resident memory that any of its processes was seen with
+	peakKB  int // highest resident memory measured in any of its processes
 }
 
-// newRelay chooses an address for a relay and writes its configuration.
+// newRelay chooses the address of a relay, creates its state folder and writes its configuration.
 func newRelay(
 	index int, plan *scenario.Plan, discovery *registry.Registry, spawner *spawner, command []string, dir string,
 ) (*managedRelay, error) {
@@ -62,7 +62,7 @@
 	return r, r.writeConfig()
 }
 
-// freeAddress returns one of this process's own addresses, with a port that nobody uses now.
+// freeAddress returns a loopback address of this process with a port that is currently free.
 func freeAddress() (string, error) {
 	listener, err := loopback.Listen(0)
 	if err != nil {
@@ -76,7 +76,7 @@
 func (r *managedRelay) configPath() string { return filepath.Join(r.dir, "config.json") }
 func (r *managedRelay) logPath() string    { return filepath.Join(r.dir, "log") }
 
-// writeConfig replaces the configuration's file in one step.
+// writeConfig replaces the configuration file atomically.
 func (r *managedRelay) writeConfig() error {
 	seed := seededrand.Hash(r.plan.Seed, relaySeedStream, uint64(r.index), r.starts)
 	config := NewRelayConfig(r.plan, r.index, r.listen, r.registry.Addr(r.index), r.stateDir(),
@@ -92,7 +92,8 @@
 	return os.Rename(temporary, r.configPath())
 }
 
-// start starts a process and waits until it is ready. The caller holds mu.
+// start starts a process, makes it the current one and waits until it is ready. The caller holds
+// mu.
 func (r *managedRelay) start(ctx context.Context) error {
 	process, err := r.launch()
 	if err != nil {
@@ -102,7 +103,7 @@
 	return r.waitReady(ctx, process, readyTimeout, func() bool { return ping(r.listen) })
 }
 
-// launch starts a process, beside the current one if there is one.
+// launch starts a process without waiting for it. A current process keeps running.
 func (r *managedRelay) launch() (*relayProcess, error) {
 	r.starts++
 	if err := r.writeConfig(); err != nil {
@@ -112,7 +113,7 @@
 	if err != nil {
 		return nil, err
 	}
-	defer func() { _ = log.Close() }() // the process writes by a descriptor of its own
+	defer func() { _ = log.Close() }() // the process has its own descriptor
 	consoleAddr, err := freeAddress()
 	if err != nil {
 		return nil, err
@@ -133,7 +134,8 @@
 	return process, nil
 }
 
-// waitReady waits until a process is ready.
+// waitReady waits until ready returns true. It returns an error if the process exits or the limit
+// passes before.
 func (r *managedRelay) waitReady(
 	ctx context.Context, process *relayProcess, limit time.Duration, ready func() bool,
 ) error {
@@ -148,20 +150,20 @@
 		case <-process.exited:
 			return fmt.Errorf("relay %d ended before it was ready: %s", r.index+1, r.logTail())
 		case <-ctx.Done():
-			return fmt.Errorf("relay %d was not ready: %w: %s", r.index+1, ctx.Err(), r.logTail())
+			return fmt.Errorf("relay %d did not become ready: %w: %s", r.index+1, ctx.Err(), r.logTail())
 		}
 	}
 }
 
-// upgrade starts a process beside the current one, and ends that one once the new one has
-// taken over. The caller holds mu.
+// upgrade starts a successor beside the current process and terminates the predecessor once the
+// successor has taken over. The caller holds mu.
 func (r *managedRelay) upgrade(ctx context.Context) error {
 	predecessor := r.current
 	successor, err := r.launch()
 	if err != nil {
 		return err
 	}
-	predecessor.expectedUp.Store(false) // it may end as soon as it owes nothing
+	predecessor.expectedUp.Store(false) // it may exit as soon as it has handed over all messages
 	if err := r.waitReady(ctx, successor, upgradeTimeout, successor.ready); err != nil {
 		return err
 	}
@@ -171,7 +173,7 @@
 	return nil
 }
 
-// upgradeWithKill begins an upgrade, and kills one of the two processes after a time. It
+// upgradeWithKill begins an upgrade, waits for a time and kills one of the two processes. It
 // reports whether the other one serves. The caller holds mu.
 func (r *managedRelay) upgradeWithKill(
 	ctx context.Context, after time.Duration, killPredecessor bool,
@@ -196,14 +198,14 @@
 	}
 	survivor.expectedUp.Store(false)
 	select {
-	case <-survivor.exited: // it had handed over to the killed one already: the relay is down
+	case <-survivor.exited: // it had handed over to the killed process and exited: the relay is down
 		return false, nil
 	default:
 		return false, err
 	}
 }
 
-// logTail is the end of the relay's log.
+// logTail returns the end of the relay's log.
 func (r *managedRelay) logTail() string {
 	text, err := os.ReadFile(r.logPath())
 	if err != nil {
@@ -213,7 +215,7 @@
 	return strings.TrimSpace(string(text))
 }
 
-// kill ends the process by force. The caller holds mu.
+// kill kills the current process, if there is one. The caller holds mu.
 func (r *managedRelay) kill() {
 	r.recordPeakMemory()
 	if r.current != nil {
@@ -222,20 +224,21 @@
 	}
 }
 
-// stop asks the process to end, and ends it by force if it does not. The caller holds mu.
+// stop asks the current process to exit, and kills it if it does not within stopTimeout. forced
+// reports whether it was killed. The caller holds mu.
 func (r *managedRelay) stop() (forced bool) {
 	r.recordPeakMemory()
 	return r.current != nil && r.current.terminate()
 }
 
-// reload has the process read its configuration again. The caller holds mu.
+// reload makes the current process reload its configuration. The caller holds mu.
 func (r *managedRelay) reload() {
 	if r.current != nil && r.current.expectedUp.Load() {
 		r.current.reload()
 	}
 }
 
-// recordPeakMemory notes the most resident memory of the current process. The caller holds
+// recordPeakMemory updates peakKB with the peak memory of the current process. The caller holds
 // mu.
 func (r *managedRelay) recordPeakMemory() {
 	if r.current != nil {
--- a/internal/rehearsal/runner/relayconfig.go
+++ b/internal/rehearsal/runner/relayconfig.go
@@ -9,21 +9,22 @@
 )
 
 const (
-	tickMicros = 5000
-	// overQuotaWeight is the part of a message's weight that is left above its tenant's quota.
+	tickMicros = 5000 // interval of a relay's timer ticks
+	// overQuotaWeight is the factor on the weight of messages that exceed their tenant's quota.
 	overQuotaWeight = 0.2
-	// defaultQuota is the quota of a portal that names none, over its part of the traffic.
-	defaultQuota = 1.5
-	// maxKeepAliveMS bounds how long relays keep idle connections to partners.
+	// defaultQuotaFactor is the quota of a portal without quota_per_s, relative to its share of the
+	// traffic.
+	defaultQuotaFactor = 1.5
+	// maxKeepAliveMS is the maximum time for which relays keep idle connections to partners.
 	maxKeepAliveMS = 60_000
 )
 
-// idempotencyNames are the settings' names for a scenario's values of repeat.
+// idempotencyNames maps a scenario's values of repeat to those in a relay's settings.
 var idempotencyNames = map[string]string{"safe": "retryable", "keyed": "dedup", "unsafe": "fragile"}
 
 type jsonObject = map[string]any
 
-// RelayConfig is what a relay finds in the file that ROUTER_CONFIG names.
+// RelayConfig is the content of a relay's configuration file, which ROUTER_CONFIG names.
 type RelayConfig struct {
 	Name      string        `json:"name"`
 	Listen    string        `json:"listen"`
@@ -35,7 +36,8 @@
 	Settings  jsonObject    `json:"settings"`
 }
 
-// NewRelayConfig returns the configuration of a relay of a plan.
+// NewRelayConfig returns the configuration of the relay of an index, from 0, in a rehearsal of a
+// plan.
 func NewRelayConfig(
 	plan *scenario.Plan, relay int, listen, discovery, state string, known registry.List, seed uint64,
 ) RelayConfig {
@@ -54,10 +56,10 @@
 	}
 }
 
-// Text returns the file's text.
+// Text returns the content of the configuration file.
 func (c RelayConfig) Text() ([]byte, error) { return json.MarshalIndent(c, "", " ") }
 
-// relaySettings is the object "settings" of a relay's configuration.
+// relaySettings returns the object "settings" of a relay's configuration.
 func relaySettings(plan *scenario.Plan, relay int) jsonObject {
 	s := plan.Scenario
 	kinds, independentRoutes, batch := partnerKinds(plan)
@@ -105,7 +107,7 @@
 	return objects
 }
 
-// accounts are the portals, each with its part of the traffic.
+// accounts returns the setting "accounts": the portals with their shares and quotas.
 func accounts(s *scenario.Scenario) (objects []jsonObject) {
 	shares := 0.0
 	for _, portal := range s.Portals {
@@ -114,7 +116,7 @@
 	for _, portal := range s.Portals {
 		quota := portal.QuotaPerS
 		if quota == 0 {
-			quota = defaultQuota * s.Traffic.RatePerS * portal.Share / shares
+			quota = defaultQuotaFactor * s.Traffic.RatePerS * portal.Share / shares
 		}
 		objects = append(objects, jsonObject{
 			"name": portal.Name, "share": portal.Share / shares, "quota_per_s": quota,
@@ -138,8 +140,8 @@
 	}
 }
 
-// keepAliveMicros is the shortest time after which a partner closes an idle connection.
-// Relays must close theirs sooner.
+// keepAliveMicros returns the shortest time after which any partner closes an idle connection, or
+// maxKeepAliveMS if that is shorter. Relays must close idle connections earlier.
 func keepAliveMicros(plan *scenario.Plan) int64 {
 	shortest := scenario.Microseconds(maxKeepAliveMS)
 	for i := range plan.Specs {
--- a/internal/rehearsal/runner/relayconfig_test.go
+++ b/internal/rehearsal/runner/relayconfig_test.go
@@ -9,8 +9,8 @@
 	"troutusher/internal/rehearsal/scenario"
 )
 
-// The configuration of a relay is the one that relays of earlier releases read, byte for
-// byte.
+// The configuration file of a relay must stay the same byte for byte, since rehearsals also start
+// relays of earlier releases, which must be able to read it.
 func TestRelayConfiguration(t *testing.T) {
 	s, err := scenario.Load(filepath.Join("..", "..", "..", "deploy", "example.toml"))
 	if err != nil {
@@ -27,6 +27,6 @@
 		t.Fatal(err)
 	}
 	if string(got) != string(want) {
-		t.Errorf("got\n%s\nwant\n%s", got, want)
+		t.Errorf("NewRelayConfig(...).Text() = \n%s\nwant\n%s", got, want)
 	}
 }
--- a/internal/rehearsal/runner/relaydouble_test.go
+++ b/internal/rehearsal/runner/relaydouble_test.go
@@ -21,14 +21,14 @@
 	"troutusher/internal/rehearsal/scenario"
 )
 
-// violation is a way in which a double breaks a rule.
+// violation is a way in which a relay double breaks a rule.
 type violation int
 
 const (
 	noViolation violation = iota
 	losesMessages
-	resendsUnsafe // after an error that may hide an effect
-	resendsLate   // after its own time-out, while the partner still works
+	resendsUnsafe // resends an unsafe message after an error, although the call may have taken effect
+	resendsLate   // resends after its own timeout, while the partner still processes the call
 	sendsCopies
 	handsBackExecuted
 	ignoresDrains
@@ -38,8 +38,8 @@
 	callsOtherDestinations
 )
 
-// relayDouble is a small relay in this process. Without a violation it keeps the rules under
-// little traffic. It is no model of the real one, and decides by fixed waits.
+// relayDouble is a minimal relay within the test process. Without a violation, it keeps the rules
+// under light traffic. It does not model the real relay: it retries after fixed delays.
 type relayDouble struct {
 	plan          *scenario.Plan
 	violation     violation
@@ -59,7 +59,8 @@
 	accepted     int
 }
 
-func newRelayDouble(t *testing.T, p *scenario.Plan, b violation, agent string) *relayDouble {
+// newRelayDouble starts a relay double that stops at the end of the test.
+func newRelayDouble(t *testing.T, p *scenario.Plan, v violation, discoveryAddr string) *relayDouble {
 	t.Helper()
 	ln, err := loopback.Listen(0)
 	if err != nil {
@@ -67,9 +68,9 @@
 	}
 	d := &relayDouble{
 		plan:          p,
-		violation:     b,
+		violation:     v,
 		listener:      ln,
-		discoveryAddr: agent,
+		discoveryAddr: discoveryAddr,
 		list:          map[string]registry.Member{},
 		retryAfter:    map[int]time.Time{},
 		lastInOrder:   map[uint64]chan struct{}{},
@@ -89,13 +90,14 @@
 	d.background.Add(2)
 	go d.watchList()
 	go d.accept()
-	if b == sendsBursts {
+	if v == sendsBursts {
 		d.background.Add(1)
 		go d.sendBurst()
 	}
 	return d
 }
 
+// accept serves the connections of clients.
 func (d *relayDouble) accept() {
 	defer d.background.Done()
 	for {
@@ -111,6 +113,7 @@
 	}
 }
 
+// watchList keeps the endpoint list up to date.
 func (d *relayDouble) watchList() {
 	defer d.background.Done()
 	for revision := int64(0); d.ctx.Err() == nil; {
@@ -143,7 +146,7 @@
 	}
 }
 
-// sendBurst sends health checks to every endpoint at a high rate.
+// sendBurst sends 100 health checks per second to every endpoint, without waiting for responses.
 func (d *relayDouble) sendBurst() {
 	defer d.background.Done()
 	tick := time.NewTicker(10 * time.Millisecond)
@@ -171,6 +174,7 @@
 	}
 }
 
+// serveClient replies to the commands on a connection and delivers the submitted messages.
 func (d *relayDouble) serveClient(c net.Conn) {
 	defer d.background.Done()
 	defer func() { _ = c.Close() }()
@@ -190,6 +194,7 @@
 	}
 }
 
+// readCommand reads a RESP array of bulk strings.
 func readCommand(in *bufio.Reader) ([][]byte, error) {
 	number := func() (int, error) {
 		line, err := in.ReadString('\n')
@@ -217,8 +222,8 @@
 	return args, nil
 }
 
-// pickEndpoint returns the address of the next endpoint of a destination, or how long to wait
-// for one.
+// pickEndpoint returns the address of the destination's next endpoint in turn. If none may be called
+// now, it returns no address and the time after which to ask again.
 func (d *relayDouble) pickEndpoint(dest int) (addr string, wait time.Duration) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -241,13 +246,14 @@
 	return up[d.lastEndpoint%len(up)].HostPort, 0
 }
 
+// Results of a call.
 const (
 	neverRan = iota
 	ran
 	mayHaveRun
 )
 
-// call makes one attempt, and returns what its end proves.
+// call makes one attempt and returns whether the call ran, never ran or may have run.
 func (d *relayDouble) call(addr, id, key string, dest int, body []byte, limit time.Duration) int {
 	ctx, cancel := context.WithTimeout(d.ctx, limit)
 	defer cancel()
@@ -281,8 +287,9 @@
 	return mayHaveRun
 }
 
-func (d *relayDouble) sleep(t time.Duration) {
-	timer := time.NewTimer(t)
+// sleep waits for a duration or until the test ends.
+func (d *relayDouble) sleep(duration time.Duration) {
+	timer := time.NewTimer(duration)
 	defer timer.Stop()
 	select {
 	case <-timer.C:
@@ -290,7 +297,7 @@
 	}
 }
 
-// deliver makes attempts until a message has its end.
+// deliver makes attempts until the message is delivered, or sends a notice that it is not.
 func (d *relayDouble) deliver(id, fields string, body []byte) {
 	defer d.background.Done()
 	values := map[string]string{}
@@ -306,9 +313,9 @@
 	d.accepted++
 	lost := d.violation == losesMessages && d.accepted%10 == 3
 	var before, after chan struct{}
-	if thread := uint64(dest); class == "ordered" && d.violation != ignoresOrder {
-		before, after = d.lastInOrder[thread], make(chan struct{})
-		d.lastInOrder[thread] = after
+	if orderingKey := uint64(dest); class == "ordered" && d.violation != ignoresOrder {
+		before, after = d.lastInOrder[orderingKey], make(chan struct{})
+		d.lastInOrder[orderingKey] = after
 		defer close(after)
 	}
 	d.mu.Unlock()
@@ -361,6 +368,7 @@
 	}
 }
 
+// notice reports the outcome of an undelivered message, and retries until it is accepted.
 func (d *relayDouble) notice(id, outcome string) {
 	body, _ := json.Marshal(map[string]any{"message": id, "outcome": outcome})
 	for d.ctx.Err() == nil {
--- a/internal/rehearsal/runner/relayfaults.go
+++ b/internal/rehearsal/runner/relayfaults.go
@@ -11,19 +11,21 @@
 )
 
 const (
-	// restartNotice is how long the front goes on using a relay that is being restarted.
-	restartNotice = 300 * time.Millisecond
-	// drainNotice is how long it does so after a relay began to refuse PING.
-	drainNotice = 200 * time.Millisecond
-	// maxUpgradeKillDelay is by when an upgrade's new process has taken over.
+	// restartFailoverDelay is how long clients still connect to a relay that is being restarted.
+	restartFailoverDelay = 300 * time.Millisecond
+	// drainFailoverDelay is how long clients still connect to a relay that has begun to reject PING.
+	drainFailoverDelay = 200 * time.Millisecond
+	// maxUpgradeKillDelay bounds the time from an upgrade's start until one of its processes is
+	// killed. By then the successor has taken over.
 	maxUpgradeKillDelay = 80 * time.Millisecond
 
-	// upgradeKillStream is the stream of draws for when an upgrade is killed.
+	// upgradeKillStream is the random stream from which these times are drawn.
 	upgradeKillStream = 900
 )
 
-// onProcesses does something to the processes of relays, while the rehearsal goes on.
-func (f *plannedFault) onProcesses(do func(relay *managedRelay)) []action {
+// processActions returns an action that starts a background goroutine for each affected relay. It
+// calls do with the relay's lock held, and skips relays without a process.
+func (f *plannedFault) processActions(do func(relay *managedRelay)) []action {
 	return []action{{f.At, f.forEachRelay(func(index int) {
 		f.background.Add(1)
 		go func() {
@@ -41,28 +43,29 @@
 	})}}
 }
 
-// killRelay kills a relay's process, and starts another one at the fault's end.
+// killRelay kills a relay's process and starts a new one at the fault's end.
 func (f *plannedFault) killRelay(relay *managedRelay) {
-	f.driver.RelayDown(relay.index, f.frontNotice())
+	f.driver.RelayDown(relay.index, f.failoverDelay())
 	f.emitRelayEvent(event.RelayKilled, relay)
 	relay.kill()
 	sleep(f.ctx, time.Duration(f.Until-f.At)*time.Microsecond)
 	f.startAgain(relay)
 }
 
-// restartRelay has a relay's process end, and starts another one.
+// restartRelay asks a relay's process to exit and starts a new one.
 func (f *plannedFault) restartRelay(relay *managedRelay) {
-	f.driver.RelayDown(relay.index, restartNotice.Microseconds())
+	f.driver.RelayDown(relay.index, restartFailoverDelay.Microseconds())
 	f.emitRelayEvent(event.RelayStopping, relay)
 	if relay.stop() {
-		f.appendFailure(&f.kitErrors, "relay %d was still there %v after SIGTERM and was killed",
+		f.appendFailure(&f.kitErrors, "relay %d did not exit within %v of SIGTERM and was killed",
 			relay.index+1, stopTimeout)
 	}
 	f.emitRelayEvent(event.RelayKilled, relay)
 	f.startAgain(relay)
 }
 
-// startAgain starts a relay's next process. The caller holds the relay's lock.
+// startAgain starts a relay's next process, unless the rehearsal ends. The caller holds the relay's
+// lock.
 func (f *plannedFault) startAgain(relay *managedRelay) {
 	if f.ctx.Err() != nil {
 		return
@@ -77,32 +80,33 @@
 	f.driver.RelayUp(relay.index)
 }
 
-// upgradeRelay has a new process take over from a relay's process. Forms of the fault kill
-// one of the two meanwhile.
+// upgradeRelay replaces a relay's process by a successor that takes over from it. A variant of the
+// fault kills one of the two processes during the upgrade.
 func (f *plannedFault) upgradeRelay(relay *managedRelay) {
 	if f.Variant == "" {
 		if err := relay.upgrade(f.ctx); err != nil && f.ctx.Err() == nil {
-			f.appendFailure(&f.relayFailures, "upgrade: %v", err)
+			f.appendFailure(&f.relayFailures, "upgrade of relay %d: %v", relay.index+1, err)
 		}
 		return
 	}
 	draw := seededrand.Hash(f.plan.Seed, upgradeKillStream, uint64(f.At), uint64(relay.index))
 	after := time.Duration(draw % uint64(maxUpgradeKillDelay))
-	f.emitRelayEvent(event.RelayKilled, relay) // from here on calls in flight may be cut
+	f.emitRelayEvent(event.RelayKilled, relay) // from now on calls in flight may be cut off
 	alive, err := relay.upgradeWithKill(f.ctx, after, f.Variant == scenario.KillPredecessor)
 	switch {
 	case err != nil && f.ctx.Err() == nil:
-		f.appendFailure(&f.relayFailures, "upgrade, %s after %v: %v", f.Variant, after, err)
+		f.appendFailure(&f.relayFailures, "upgrade of relay %d with %s after %v: %v",
+			relay.index+1, f.Variant, after, err)
 	case alive:
 		f.emitRelayEvent(event.RelayReady, relay)
 	default:
-		f.driver.RelayDown(relay.index, f.frontNotice())
+		f.driver.RelayDown(relay.index, f.failoverDelay())
 		f.emitRelayEvent(event.RelayKilled, relay)
 		f.startAgain(relay)
 	}
 }
 
-// drainRelays returns a function that has relays drain, or end that, by their consoles.
+// drainRelays returns a function that makes relays drain through their consoles, or ends that.
 func (f *plannedFault) drainRelays(on bool) func() {
 	command := "UNDRAIN"
 	if on {
@@ -116,18 +120,18 @@
 			return
 		}
 		if !callConsole(relay.current.consoleAddr, command) {
-			f.appendFailure(&f.relayFailures, "relay %d: its console said no to %s", index+1, command)
+			f.appendFailure(&f.relayFailures, "relay %d: console command %s failed", index+1, command)
 		}
 		if on {
-			f.driver.RelayDown(index, drainNotice.Microseconds())
+			f.driver.RelayDown(index, drainFailoverDelay.Microseconds())
 		} else {
 			f.driver.RelayUp(index)
 		}
 	})
 }
 
-// reloadRelay changes the address of a relay's discovery and has the relay read its
-// configuration again.
+// reloadRelay changes the address of a relay's discovery service and makes the relay reload its
+// configuration.
 func (f *plannedFault) reloadRelay(relay *managedRelay) {
 	if _, err := f.registry.ChangeAddress(relay.index); err != nil {
 		f.appendFailure(&f.kitErrors, "%v", err)
@@ -144,7 +148,7 @@
 	f.events.emit(event.Event{At: f.now(), Kind: kind, Relay: relay.index})
 }
 
-// sleep returns after d, or when ctx ends.
+// sleep waits for d or until ctx ends.
 func sleep(ctx context.Context, d time.Duration) {
 	timer := time.NewTimer(d)
 	defer timer.Stop()
--- a/internal/rehearsal/runner/runner.go
+++ b/internal/rehearsal/runner/runner.go
@@ -1,7 +1,7 @@
-// Package runner plays a plan: it starts relay processes, emulated partners, an
-// emulated registry and the load generator on loopback addresses, begins and ends
-// faults at their times, and passes every event to the checker of the rules. It
-// reports what it saw and does not decide whether a rehearsal passed.
+// Package runner runs rehearsals. It starts relay processes, emulated partners, an emulated
+// registry and the load generator on loopback addresses, begins and ends faults at their
+// planned times, and passes every event to the checker. It returns the observations; the
+// report package decides whether the rehearsal passed.
 package runner
 
 import (
@@ -25,11 +25,11 @@
 	"troutusher/internal/rehearsal/scenario"
 )
 
-// Options say how a plan is played.
+// Options configures a rehearsal.
 type Options struct {
-	Command []string // starts a relay; its configuration is named in the environment
-	Env     []string // more of a relay's environment
-	Dir     string   // for configurations, state and logs; a new one each time
+	Command []string // program and arguments of a relay; ROUTER_CONFIG names its configuration
+	Env     []string // additional environment variables of relays
+	Dir     string   // for configurations, state and logs; must be new for each rehearsal
 
 	// OnProgress, if set, is called at regular intervals.
 	OnProgress func(Progress)
@@ -37,67 +37,67 @@
 	OnEvent func(*event.Event)
 	// OnReady, if set, is called once all relays are ready.
 	OnReady func(*Rehearsal) error
-	// ReplaceRelay, if set, returns what the load generator calls in the place of a relay.
-	// Tests have it return doubles.
+	// ReplaceRelay, if set, returns the target that the load generator uses instead of a relay.
+	// Tests replace relays by doubles.
 	ReplaceRelay func(relay int, target RelayTarget) RelayTarget
 }
 
-// RelayTarget is where a relay is reached, and where it reaches discovery.
+// RelayTarget holds the address of a relay and that of its discovery service.
 type RelayTarget struct {
 	Listen       string
 	Discovery    string
-	StartProcess bool // a relay process is started for it
+	StartProcess bool // whether the rehearsal starts a process for it
 }
 
-// Outcome is what was seen of a rehearsal.
+// Outcome holds the observations of a rehearsal.
 type Outcome struct {
 	Plan             *scenario.Plan
-	Start            event.Time // of the plan
+	Start            event.Time // when the plan started
 	End              event.Time
-	Results          []loadgen.Result // by message of the plan
+	Results          []loadgen.Result // by number of the message in the plan
 	Violations       []checker.Violation
-	Restarts         checker.RestartCounts // what restarted relays did with messages they found
-	RelayFailures    []string              // unexpected ends of relays, and what else counts as their failure
-	KitErrors        []string              // failures of the kit itself, which make the run void
+	Restarts         checker.RestartCounts // what became of the messages that restarted relays recovered
+	RelayFailures    []string              // crashes and other failures of relays
+	KitErrors        []string              // failures of emulators, load generator or runner; they make the run void
 	Calls            []CallCounts          // by partner
-	UnservedRequests int                   // requests that met a connection refused, reset or closed unread
-	DriverLateness   event.Time            // 99th percentile of the load generator
-	EmulatorLateness event.Time            // 99th percentile of the emulated endpoints
+	UnservedRequests int                   // requests whose connection was refused, reset or closed unread
+	DriverLateness   event.Time            // 99th percentile, of the load generator
+	EmulatorLateness event.Time            // 99th percentile, of the emulated endpoints
 	ReplyLatency     *hdrhistogram.Histogram
 	DeliveryLatency  *hdrhistogram.Histogram
-	MemoryKB         []int // the most resident memory of each relay
+	MemoryKB         []int // peak resident memory, by relay
 }
 
-// latenessQuantile is the quantile of lateness that outcomes tell, in percent.
+// latenessQuantile is the quantile of lateness in an Outcome, in percent.
 const latenessQuantile = 99
 
-// Rehearsal is a plan that is being played.
+// Rehearsal is a running rehearsal of a plan.
 type Rehearsal struct {
 	plan           *scenario.Plan
 	options        Options
 	clockStart     time.Time
 	events         *eventCollector
-	identities     *tlsIdentities // nil without TLS
+	identities     *tlsIdentities // nil if relays need no operator's file
 	endpointServer *h1.Server
 	registry       *registry.Registry
 	relays         []*managedRelay
 	targets        []RelayTarget // by relay
 	spawner        *spawner
 	driver         *loadgen.Driver
-	planStart      atomic.Int64 // on the rehearsal's clock
+	planStart      atomic.Int64 // by the rehearsal's clock
 
 	mu            sync.Mutex
 	relayFailures []string
 	kitErrors     []string
-	activeFaults  map[string]int // number by name
+	activeFaults  map[string]int // number of active faults, by name
 	background    sync.WaitGroup // goroutines of faults
 }
 
-// now is the rehearsal's clock.
+// now returns the time of the rehearsal's clock, which starts at 0.
 func (r *Rehearsal) now() event.Time { return time.Since(r.clockStart).Microseconds() }
 
-// Open starts emulators, the load generator and relays. It returns once all relays are
-// ready.
+// Open starts the emulators, the load generator and the relays, and returns once all relays
+// are ready.
 func Open(ctx context.Context, plan *scenario.Plan, options Options) (*Rehearsal, error) {
 	r := &Rehearsal{
 		plan: plan, options: options, clockStart: time.Now(), activeFaults: map[string]int{}, spawner: newSpawner(),
@@ -116,7 +116,7 @@
 	return r, nil
 }
 
-// open starts what Open says; Close ends what an error leaves started.
+// open does the work of Open. After an error, the caller stops what was started by Close.
 func (r *Rehearsal) open(ctx context.Context) error {
 	if err := r.startEndpoints(); err != nil {
 		return err
@@ -133,14 +133,14 @@
 	return r.startRelays(ctx)
 }
 
-// startEndpoints starts the partners' endpoints, and prepares their certificates.
+// startEndpoints starts the partners' endpoints and issues their certificates.
 func (r *Rehearsal) startEndpoints() error {
 	plan := r.plan
 	relays := plan.Scenario.Relays.Count
 	rules := endpoint.Rules{
 		Relays: relays, MaxInFlight: plan.MaxInFlight(), MaxAttempts: plan.Scenario.Relays.MaxAttempts,
 	}
-	lookup := func(id string) (endpoint.Message, bool) { return r.driver.Lookup(id) } // the driver is made later
+	lookup := func(id string) (endpoint.Message, bool) { return r.driver.Lookup(id) } // r.driver is set later, in open
 	model, err := endpoint.New(plan.Specs, rules, plan.ServiceTimeSeed(), lookup, r.events.emit)
 	if err != nil {
 		return err
@@ -157,7 +157,7 @@
 	return nil
 }
 
-// startRegistry starts the registry, with an address for each relay.
+// startRegistry starts the registry, which has an address of its own for each relay.
 func (r *Rehearsal) startRegistry() (err error) {
 	plan := r.plan
 	discovery := &plan.Scenario.Discovery
@@ -172,7 +172,8 @@
 	return err
 }
 
-// prepareRelays writes the relays' files and returns the addresses where they will listen.
+// prepareRelays writes the relays' configurations and returns the addresses where the load
+// generator reaches the relays.
 func (r *Rehearsal) prepareRelays() (addrs []string, err error) {
 	env := r.options.Env
 	if r.identities != nil {
@@ -195,7 +196,7 @@
 	return addrs, nil
 }
 
-// startRelays starts all relays at once and waits until they serve.
+// startRelays starts all relays concurrently and waits until they are ready.
 func (r *Rehearsal) startRelays(ctx context.Context) error {
 	errs := make([]error, len(r.relays))
 	var starting sync.WaitGroup
@@ -219,20 +220,21 @@
 
 func milliseconds(ms float64) time.Duration { return time.Duration(ms * float64(time.Millisecond)) }
 
-// relayCrashed notes that a relay's process has ended without having been asked to.
+// relayCrashed records that a relay's process exited although it was expected to run.
 func (r *Rehearsal) relayCrashed(relay int, err error) {
 	r.appendFailure(&r.relayFailures, "relay %d ended by itself at %.1f s: %v",
 		relay+1, float64(r.now()-r.planStart.Load())/1e6, err)
 	r.events.emit(event.Event{At: r.now(), Kind: event.RelayKilled, Relay: relay})
-	r.driver.RelayDown(relay, r.frontNotice())
+	r.driver.RelayDown(relay, r.failoverDelay())
 }
 
-// frontNotice is how long the clients' front goes on using a relay that has ended.
-func (r *Rehearsal) frontNotice() event.Time {
+// failoverDelay returns how long clients still connect to a relay that has stopped. It stands for
+// the time that a load balancer in front of the relays needs to notice this.
+func (r *Rehearsal) failoverDelay() event.Time {
 	return scenario.Microseconds(r.plan.Scenario.Clients.FailoverDelayMS)
 }
 
-// Close ends everything that was started.
+// Close stops everything that was started.
 func (r *Rehearsal) Close() {
 	if r.driver != nil {
 		r.driver.Close()
@@ -252,7 +254,7 @@
 	close(r.spawner.done)
 }
 
-// Play plays a plan from beginning to end.
+// Play runs a rehearsal of a plan from start to end and returns its outcome.
 func Play(ctx context.Context, plan *scenario.Plan, options Options) (*Outcome, error) {
 	r, err := Open(ctx, plan, options)
 	if err != nil {
@@ -272,7 +274,7 @@
 	r.run(ctx)
 	outcome := r.collectOutcome()
 	if err := ctx.Err(); err != nil {
-		return nil, fmt.Errorf("the rehearsal was broken off: %w", err)
+		return nil, fmt.Errorf("rehearsal interrupted: %w", err)
 	}
 	r.Close()
 	closed = true
@@ -283,31 +285,31 @@
 }
 
 const (
-	leadIn     = 200 * time.Millisecond // before the plan starts, once all is ready
-	finishTime = 3 * time.Second        // beyond the time by which all messages should have ended
+	startDelay  = 200 * time.Millisecond // between all relays being ready and the plan's start
+	finishGrace = 3 * time.Second        // added to the time by which all messages must have ended
 )
 
-// run plays arrivals and faults, and returns once every message has ended, or cannot end
-// in time any more.
+// run plays the plan's arrivals and faults. It returns once every message has ended, or after
+// maxDuration.
 func (r *Rehearsal) run(ctx context.Context) {
-	r.planStart.Store(r.now() + leadIn.Microseconds())
+	r.planStart.Store(r.now() + startDelay.Microseconds())
 	r.driver.SetStart(r.planStart.Load())
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	var helpers sync.WaitGroup
-	helpers.Add(2)
-	go func() { defer helpers.Done(); r.playFaults(ctx) }()
-	go func() { defer helpers.Done(); r.reportProgress(ctx) }()
-	arrivals, stop := context.WithTimeout(ctx, leadIn+r.maxDuration())
+	var loops sync.WaitGroup
+	loops.Add(2)
+	go func() { defer loops.Done(); r.playFaults(ctx) }()
+	go func() { defer loops.Done(); r.reportProgress(ctx) }()
+	arrivals, stop := context.WithTimeout(ctx, startDelay+r.maxDuration())
 	defer stop()
 	r.driver.Run(arrivals)
 	cancel()
-	helpers.Wait()
+	loops.Wait()
 	r.background.Wait()
 }
 
-// maxDuration is how long after the plan's start all messages have ended, if the relays do
-// what they should.
+// maxDuration returns the time after the plan's start by which all messages have ended, provided
+// that the relays work correctly.
 func (r *Rehearsal) maxDuration() time.Duration {
 	s := r.plan.Scenario
 	longestDeadline := 0.0
@@ -315,17 +317,18 @@
 		longestDeadline = max(longestDeadline, class.DeadlineMS)
 	}
 	ms := s.LengthS*1000 + longestDeadline + s.Rules.DeadlineSlackMS + s.Rules.RestartGraceMS
-	return time.Duration(ms)*time.Millisecond + finishTime
+	return time.Duration(ms)*time.Millisecond + finishGrace
 }
 
-// appendFailure adds a text to the relays' failures or to the kit's errors.
+// appendFailure appends a formatted text to relayFailures or kitErrors.
 func (r *Rehearsal) appendFailure(to *[]string, format string, args ...any) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	*to = append(*to, fmt.Sprintf(format, args...))
 }
 
-// collectOutcome ends the checker's judgement and returns what was seen.
+// collectOutcome finishes the checker's record and returns the observations. Times of violations
+// become relative to the plan's start.
 func (r *Rehearsal) collectOutcome() *Outcome {
 	emulatorLateness, err := r.endpointServer.TimerLag(latenessQuantile)
 	if err != nil {
@@ -348,8 +351,7 @@
 	return outcome
 }
 
-// TempDir makes a new folder for the files of a rehearsal under the system's folder for
-// temporary files. remove deletes it.
+// TempDir creates a temporary folder for the files of a rehearsal. remove deletes it.
 func TempDir() (dir string, remove func(), err error) {
 	dir, err = os.MkdirTemp("", "troutusher-rehearsal-")
 	if err != nil {
--- a/internal/rehearsal/runner/runner_test.go
+++ b/internal/rehearsal/runner/runner_test.go
@@ -27,8 +27,8 @@
 	daemon "troutusher/internal/relay"
 )
 
-// The test's own program is the relay, or a kit that is killed, so that nothing need be
-// built before the tests.
+// The test binary also serves as the relay and as a kit that is killed, so that no other program
+// needs to be built for the tests. These environment variables select what it runs as.
 const (
 	relayEnv = "TROUTUSHER_TEST_RELAY"
 	kitEnv   = "TROUTUSHER_TEST_KIT"
@@ -44,21 +44,24 @@
 	os.Exit(m.Run())
 }
 
+// relayMain runs the test binary as a relay and returns its exit code.
 func relayMain() int {
-	hup := make(chan os.Signal, 1)
-	signal.Notify(hup, syscall.SIGHUP)
+	reload := make(chan os.Signal, 1)
+	signal.Notify(reload, syscall.SIGHUP)
 	log := slog.New(slog.NewTextHandler(os.Stderr, nil))
 	cfg, err := config.Load(os.Getenv)
 	if err != nil {
-		log.Error("relay", "err", err)
+		log.Error("cannot load the configuration", "err", err)
 		return 2
 	}
 	ctx, cancel := signal.NotifyContext(context.Background(), syscall.SIGTERM)
 	defer cancel()
-	re := daemon.ReloadRequests{Signals: hup, Load: func() (*config.Config, error) { return config.Reload(os.Getenv) }}
-	err = daemon.Run(cfg, log, ctx.Done(), re)
+	requests := daemon.ReloadRequests{
+		Signals: reload, Load: func() (*config.Config, error) { return config.Reload(os.Getenv) },
+	}
+	err = daemon.Run(cfg, log, ctx.Done(), requests)
 	if err != nil {
-		log.Error("relay", "err", err)
+		log.Error("relay stopped with an error", "err", err)
 		return 1
 	}
 	return 0
@@ -105,6 +108,8 @@
 service_ms = { all = 40 }
 `
 
+// loadPlan draws the plan of scenarioHead with a length in seconds, a rate per second and faults or
+// further tables.
 func loadPlan(t testing.TB, length, rate float64, faults string) *scenario.Plan {
 	t.Helper()
 	s, err := scenario.Parse("x", fmt.Appendf(nil, scenarioHead+faults, length, rate))
@@ -114,7 +119,7 @@
 	return s.Plan(s.Seed)
 }
 
-// ownRelayOptions is this program as a relay.
+// ownRelayOptions returns options that start the test binary as the relay.
 func ownRelayOptions(t testing.TB) Options {
 	t.Helper()
 	exe, err := os.Executable()
@@ -124,6 +129,7 @@
 	return Options{Command: []string{exe}, Env: []string{relayEnv + "=1"}, Dir: t.TempDir()}
 }
 
+// play runs a rehearsal and fails the test if the kit itself had errors.
 func play(t *testing.T, p *scenario.Plan, opt Options) *Outcome {
 	t.Helper()
 	o, err := Play(t.Context(), p, opt)
@@ -131,14 +137,16 @@
 		t.Fatal(err)
 	}
 	if len(o.KitErrors) > 0 {
-		t.Errorf("kit: %v", o.KitErrors)
+		t.Errorf("KitErrors = %q, want none", o.KitErrors)
 	}
 	return o
 }
 
-// A double breaks each rule, and the checker finds that; without a violation it finds nothing.
+// For each rule, a relay double breaks the rule on purpose, and the checker must report that violation.
+// The same double without the fault must cause no violations. The test guards against a checker that
+// overlooks violations, and against one that reports false ones.
 func TestCheckerFindsViolations(t *testing.T) {
-	order := func(p *scenario.Plan) {
+	makeOrdered := func(p *scenario.Plan) {
 		class := &p.Scenario.Classes[0]
 		class.Name, class.Ordered, class.OrderedKeyBackoffMS = "ordered", true, 100
 		for i := range p.Arrivals {
@@ -146,78 +154,79 @@
 		}
 	}
 	for _, test := range []struct {
-		name   string
-		breach violation
-		rule   checker.Rule
-		rate   float64
-		faults string
-		change func(*scenario.Plan)
-		says   string
+		name      string
+		violation violation
+		rule      checker.Rule
+		rate      float64
+		faults    string
+		change    func(*scenario.Plan)
+		evidence  string
 	}{
-		{"a message is forgotten", losesMessages, checker.RuleNoLoss, 20, "", nil, "neither delivered nor ended"},
+		{"message lost", losesMessages, checker.RuleNoLoss, 20, "", nil, "neither delivered nor ended"},
 		{
-			"an unsafe message is sent again after an error", resendsUnsafe, checker.RuleAtMostOnce, 20,
+			"unsafe message resent after an error", resendsUnsafe, checker.RuleAtMostOnce, 20,
 			"[[fault]]\nkind = \"errors\"\npartner = \"p\"\nat_s = 0.2\nlength_s = 2\nshare = 0.4\n", nil, "sent to",
 		},
 		{
-			"an unsafe message is sent again while its partner still works", resendsLate, checker.RuleAtMostOnce, 8,
+			"unsafe message resent while the partner still processes it", resendsLate, checker.RuleAtMostOnce, 8,
 			"[[fault]]\nkind = \"slow\"\npartner = \"p\"\nat_s = 0.2\nlength_s = 2\nsize = 8\n", nil, "took effect",
 		},
-		{"two copies at a time", sendsCopies, checker.RuleAtMostOnce, 10, "", nil, "a second copy"},
+		{"two copies sent concurrently", sendsCopies, checker.RuleAtMostOnce, 10, "", nil, "a second copy"},
 		{
-			"a refusal of what may have run", handsBackExecuted, checker.RuleAtMostOnce, 20,
+			"message that may have run returned as never run", handsBackExecuted, checker.RuleAtMostOnce, 20,
 			"[[fault]]\nkind = \"reset\"\npartner = \"p\"\nat_s = 0.2\nlength_s = 2\nshare = 0.5\n", nil, "handed back",
 		},
 		{
-			"drains are ignored", ignoresDrains, checker.RuleDrain, 20,
+			"draining endpoints called", ignoresDrains, checker.RuleDrain, 20,
 			"[[fault]]\nkind = \"drain\"\npartner = \"p\"\npart = 0.5\nat_s = 0.3\nlength_s = 2.5\n",
 			nil, "drains or is gone",
 		},
 		{
-			"a cold destination is pushed over", sendsBursts, checker.RuleRecovery, 2,
+			"cold destination overloaded", sendsBursts, checker.RuleRecovery, 2,
 			"[[fault]]\nkind = \"full\"\npartner = \"p\"\nat_s = 0.2\nlength_s = 0.5\n", nil, "pushed over",
 		},
 		{
-			"a wait is ignored", ignoresRetryAfter, checker.RuleRetryAfter, 20,
+			"Retry-After ignored", ignoresRetryAfter, checker.RuleRetryAfter, 20,
 			"[[fault]]\nkind = \"full_wait\"\npartner = \"p\"\nat_s = 0.3\nlength_s = 1.5\nsize = 0.7\n",
 			nil, "into a wait",
 		},
-		{"messages in order overtake", ignoresOrder, checker.RuleOrdering, 20, "", order, "of its thread"},
-		{"calls to another destination", callsOtherDestinations, checker.RuleRouting, 5, "", nil, "serves destination"},
+		{"ordered messages reordered", ignoresOrder, checker.RuleOrdering, 20, "", makeOrdered, "of its thread"},
+		{"calls to a wrong destination", callsOtherDestinations, checker.RuleRouting, 5, "", nil, "serves destination"},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			t.Parallel()
-			for _, b := range []violation{noViolation, test.breach} {
-				t.Run(map[bool]string{true: "honest", false: "broken"}[b == noViolation], func(t *testing.T) {
+			for _, injected := range []violation{noViolation, test.violation} {
+				t.Run(map[bool]string{true: "kept", false: "broken"}[injected == noViolation], func(t *testing.T) {
 					t.Parallel()
 					p := loadPlan(t, 2.5, test.rate, test.faults)
 					if test.change != nil {
 						test.change(p)
 					}
-					o := play(t, p, Options{Dir: t.TempDir(), ReplaceRelay: func(_ int, a RelayTarget) RelayTarget {
-						return RelayTarget{Listen: newRelayDouble(t, p, b, a.Discovery).listener.Addr().String()}
+					o := play(t, p, Options{Dir: t.TempDir(), ReplaceRelay: func(_ int, r RelayTarget) RelayTarget {
+						return RelayTarget{Listen: newRelayDouble(t, p, injected, r.Discovery).listener.Addr().String()}
 					}})
-					if b == noViolation {
+					if injected == noViolation {
 						for _, v := range o.Violations {
-							t.Errorf("convicted: %s", v.String())
+							t.Errorf("false violation: %s", v.String())
 						}
 						return
 					}
-					said := false
+					found := false
 					for _, v := range o.Violations {
-						if v.Rule != test.rule && test.breach != callsOtherDestinations && test.breach != sendsCopies {
-							t.Errorf("another rule: %s", v.String())
+						if v.Rule != test.rule &&
+							test.violation != callsOtherDestinations && test.violation != sendsCopies {
+							t.Errorf("violation of another rule: %s", v.String())
 						}
 						if v.Rule != test.rule {
 							continue
 						}
 						if v.At < 0 || v.At > 8e6 || v.Message < 0 && test.rule != checker.RuleRecovery {
-							t.Errorf("without message or moment: %+v", v)
+							t.Errorf("violation without a message or a plausible time: %+v", v)
 						}
-						said = said || strings.Contains(v.Evidence, test.says)
+						found = found || strings.Contains(v.Evidence, test.evidence)
 					}
-					if !said {
-						t.Errorf("not convicted of %q with %q: %v", test.rule, test.says, o.Violations)
+					if !found {
+						t.Errorf("no violation of %q with evidence %q: %v", test.rule, test.evidence, o.Violations)
 					}
 				})
 			}
@@ -225,7 +234,9 @@
 	}
 }
 
-// What relays have accepted survives a kill, a restart and a reload, and no rule is broken.
+// Messages that relays have accepted survive a kill, a restart and a reload: each is delivered or
+// reported, and no rule is broken. A hanging partner keeps messages pending when the relay is killed,
+// so that a relay that does not recover them from its log fails the test.
 func TestRelaysThroughKillRestartReload(t *testing.T) {
 	t.Parallel()
 	p := loadPlan(t, 6, 30, `
@@ -259,40 +270,40 @@
 		p.Scenario.Classes[i].DeadlineMS = 6000
 	}
 	var mu sync.Mutex
-	survivors := map[string]bool{} // accepted by relay 1 and pending when it was killed
+	survivors := map[string]bool{} // submissions accepted by relay 1 and pending when it was killed
 	var down, up []event.Time
 	opt := ownRelayOptions(t)
-	open := map[string]bool{}
+	pending := map[string]bool{} // submissions to relay 1 without an end; true once accepted
 	opt.OnEvent = func(e *event.Event) {
 		mu.Lock()
 		defer mu.Unlock()
 		switch e.Kind {
 		case event.Submitted:
 			if e.Relay == 0 {
-				open[e.ID] = false
+				pending[e.ID] = false
 			}
 		case event.Accepted:
-			if _, ok := open[e.ID]; ok {
-				open[e.ID] = true
+			if _, ok := pending[e.ID]; ok {
+				pending[e.ID] = true
 			}
 		case event.CallEnded:
 			if e.Status == event.StatusDelivered {
-				delete(open, e.ID)
+				delete(pending, e.ID)
 				delete(survivors, e.ID)
 			}
 		case event.NoticeReceived:
-			delete(open, e.ID)
+			delete(pending, e.ID)
 			delete(survivors, e.ID)
 		case event.RelayKilled:
 			down = append(down, e.At)
 			if e.Relay == 0 {
-				for id, taken := range open {
-					if taken {
+				for id, accepted := range pending {
+					if accepted {
 						survivors[id] = true
 					}
 				}
 				if len(survivors) == 0 {
-					t.Error("nothing was out when the relay was killed")
+					t.Error("relay 1 had no pending messages when it was killed")
 				}
 			}
 		case event.RelayReady:
@@ -301,23 +312,24 @@
 	}
 	o := play(t, p, opt)
 	for _, v := range o.Violations {
-		t.Errorf("convicted: %s", v.String())
+		t.Errorf("violation: %s", v.String())
 	}
 	if len(o.RelayFailures) > 0 || len(down) != 2 || len(up) != 4 {
-		t.Errorf("crashes %v, %d ends, %d starts", o.RelayFailures, len(down), len(up))
+		t.Errorf("relay failures %q, %d stops, %d starts, want none, 2, 4", o.RelayFailures, len(down), len(up))
 	}
 	if len(survivors) > 0 {
-		t.Errorf("%d messages survived the kill and had no end", len(survivors))
+		t.Errorf("%d submissions were pending at the kill and never ended", len(survivors))
 	}
 	for i, r := range o.Results {
 		if r.Outcome == loadgen.Pending {
-			t.Errorf("message %d has no end", i)
+			t.Errorf("message %d never ended", i)
 		}
 	}
 }
 
-// BenchmarkFloods tells the service of usual clients while 300 others ask a
-// relay for its 168 places. It takes the whole machine, so it is no test.
+// BenchmarkFloods measures the service of legitimate clients while 300 connections of a flood
+// compete for the 168 connection slots of a relay. It is a benchmark and not a test because it
+// loads the whole machine.
 func BenchmarkFloods(b *testing.B) {
 	for _, kind := range []string{"", "flood_silent", "flood_returning", "flood_ping", "flood_drip", "flood_faulty"} {
 		b.Run(kind, func(b *testing.B) {
@@ -331,46 +343,50 @@
 				if err != nil {
 					b.Fatal(err)
 				}
-				got, asked := 0.0, 0.0
+				earned, total := 0.0, 0.0
 				for i := range o.Results {
 					c := &p.Scenario.Classes[p.Arrivals[i].Class]
-					got, asked = got+loadgen.EarnedWeight(c, &o.Results[i]), asked+c.Weight
+					earned, total = earned+loadgen.EarnedWeight(c, &o.Results[i]), total+c.Weight
 				}
-				b.ReportMetric(got/asked, "service")
+				b.ReportMetric(earned/total, "service")
 				b.ReportMetric(float64(len(o.Violations)), "broken-rules")
 			}
 		})
 	}
 }
 
+// A relay process that exits although nobody stopped it is reported as a failure of the relay.
 func TestUnexpectedEndIsACrash(t *testing.T) {
 	t.Parallel()
 	p := loadPlan(t, 2, 10, "")
 	opt := ownRelayOptions(t)
-	opt.OnReady = func(s *Rehearsal) error { // as a fault of its own would
-		return s.relays[0].current.cmd.Process.Signal(syscall.SIGKILL)
+	opt.OnReady = func(r *Rehearsal) error { // stands for a crash by a bug of the relay
+		return r.relays[0].current.cmd.Process.Signal(syscall.SIGKILL)
 	}
 	o := play(t, p, opt)
 	if len(o.RelayFailures) != 1 || !strings.Contains(o.RelayFailures[0], "relay 1 ended by itself") {
-		t.Errorf("crashes: %v", o.RelayFailures)
+		t.Errorf("RelayFailures = %q, want one that says \"relay 1 ended by itself\"", o.RelayFailures)
 	}
 }
 
+// Play returns an error if the relay program exits at once or does not exist; it must not wait for
+// such a relay or start the plan without it.
 func TestRelayThatDoesNotStart(t *testing.T) {
 	t.Parallel()
 	opt := ownRelayOptions(t)
 	opt.Command = []string{"/bin/false"}
 	if _, err := Play(t.Context(), loadPlan(t, 1, 10, ""), opt); err == nil ||
 		!strings.Contains(err.Error(), "relay 1 ended before it was ready") {
-		t.Errorf("error: %v", err)
+		t.Errorf("Play with a relay that exits: error %v, want \"relay 1 ended before it was ready\"", err)
 	}
 	opt.Command = []string{filepath.Join(t.TempDir(), "none")}
 	if _, err := Play(t.Context(), loadPlan(t, 1, 10, ""), opt); !errors.Is(err, os.ErrNotExist) {
-		t.Errorf("error: %v", err)
+		t.Errorf("Play with a missing relay program: error %v, want os.ErrNotExist", err)
 	}
 }
 
-// The same plan has the same submissions: ids, and order of the first ones.
+// Two rehearsals of the same plan submit the same messages under the same ids, in the same order.
+// Otherwise a recording would not reproduce a rehearsal.
 func TestSamePlanHasSameSubmissions(t *testing.T) {
 	t.Parallel()
 	var runs [2]string
@@ -398,11 +414,12 @@
 	}
 	wg.Wait()
 	if runs[0] != runs[1] || len(runs[0]) < 1000 {
-		t.Errorf("handed in\n%s\n%s", runs[0], runs[1])
+		t.Errorf("ids of first submissions differ or are too few:\n%s\n%s", runs[0], runs[1])
 	}
 }
 
-// What the first release recorded is submitted unchanged by this one.
+// A recording of the first release is replayed with the same submissions as by that release, and no
+// rule is broken.
 func TestGoldenRecordingIsReplayed(t *testing.T) {
 	t.Parallel()
 	p, _, err := replay.Load(filepath.Join("..", "replay", "testdata", "v1.rehearsal"))
@@ -421,23 +438,23 @@
 	}
 	o := play(t, p, opt)
 	for _, v := range o.Violations {
-		t.Errorf("convicted: %s", v.String())
+		t.Errorf("violation: %s", v.String())
 	}
 	if got := fmt.Sprintf("%x", sha256.Sum256([]byte(strings.Join(first, "\n")))); got != goldenSubmissions {
-		t.Errorf("handed in as %s, want %s", got, goldenSubmissions)
+		t.Errorf("SHA-256 of the first submissions' ids = %s, want %s", got, goldenSubmissions)
 	}
 	for i, r := range o.Results {
 		if r.Outcome == loadgen.Pending {
-			t.Errorf("message %d has no end", i)
+			t.Errorf("message %d never ended", i)
 		}
 	}
 }
 
-// goldenSubmissions is the sum over the ids of the first submissions, in the plan's order.
+// goldenSubmissions is the SHA-256 sum of the ids of all first submissions, in the plan's order.
 const goldenSubmissions = "9b80d363e7618a66d381f1325202bc0710a8288da834a373dcad4cc3d8fa6414"
 
-// kitMain is a kit that plays until it is killed; it prints where its relays
-// are.
+// kitMain runs the test binary as a kit that plays until it is killed. It writes the process ids and
+// addresses of its relays to the file pids.
 func kitMain() int {
 	s, err := scenario.Parse("x", fmt.Appendf(nil, scenarioHead+"[relays]\ncount = 2\n", 60.0, 20.0))
 	if err != nil {
@@ -451,10 +468,10 @@
 	dir := os.Getenv(kitEnv)
 	opt := Options{Command: []string{exe}, Env: []string{
 		relayEnv + "=1", kitEnv + "=",
-	}, Dir: dir, OnReady: func(s *Rehearsal) error {
+	}, Dir: dir, OnReady: func(r *Rehearsal) error {
 		var b strings.Builder
-		for _, r := range s.relays {
-			fmt.Fprintf(&b, "%d %s\n", r.current.cmd.Process.Pid, r.listen)
+		for _, relay := range r.relays {
+			fmt.Fprintf(&b, "%d %s\n", relay.current.cmd.Process.Pid, relay.listen)
 		}
 		if err := os.WriteFile(filepath.Join(dir, "pids.new"), []byte(b.String()), 0o600); err != nil {
 			return err
@@ -467,7 +484,8 @@
 	return 0
 }
 
-// The relays of a kit that is killed end with it, and their ports are free.
+// When a kit is killed by SIGKILL, the kernel kills its relays and their ports become free. Without
+// the parent-death signal the relays would keep running.
 func TestKilledKitLeavesNothing(t *testing.T) {
 	t.Parallel()
 	exe, err := os.Executable()
@@ -483,7 +501,7 @@
 	defer func() { _ = kit.Wait() }()
 	defer func() { _ = kit.Process.Kill() }()
 	var text []byte
-	waitUntil(t, "the relays", func() bool { text, err = os.ReadFile(filepath.Join(dir, "pids")); return err == nil })
+	waitUntil(t, "file pids", func() bool { text, err = os.ReadFile(filepath.Join(dir, "pids")); return err == nil })
 	_ = kit.Process.Kill()
 	_ = kit.Wait()
 	for line := range strings.Lines(string(text)) {
@@ -492,8 +510,8 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		waitUntil(t, "the end of process "+pid, func() bool { return processGone(n) })
-		waitUntil(t, "the port of "+addr, func() bool {
+		waitUntil(t, "the exit of process "+pid, func() bool { return processGone(n) })
+		waitUntil(t, "a free port at "+addr, func() bool {
 			ln, err := net.Listen("tcp4", addr)
 			if err == nil {
 				_ = ln.Close()
@@ -503,8 +521,8 @@
 	}
 }
 
-// processGone reports whether a process has ended, also where nobody has waited for
-// it yet.
+// processGone reports whether a process has exited. A zombie, which its parent has not waited for
+// yet, counts as exited.
 func processGone(pid int) bool {
 	if syscall.Kill(pid, 0) != nil {
 		return true
@@ -513,26 +531,28 @@
 	return err != nil || strings.Contains(string(text), ") Z ")
 }
 
-func waitUntil(t *testing.T, what string, cond func() bool) {
+// waitUntil polls a condition and fails the test if it does not hold within 30 s.
+func waitUntil(t *testing.T, awaited string, cond func() bool) {
 	t.Helper()
-	for end := time.Now().Add(30 * time.Second); time.Now().Before(end); time.Sleep(2 * time.Millisecond) {
+	for timeout := time.Now().Add(30 * time.Second); time.Now().Before(timeout); time.Sleep(2 * time.Millisecond) {
 		if cond() {
 			return
 		}
 	}
-	t.Fatalf("never came: %s", what)
+	t.Fatalf("timed out after 30 s waiting for %s", awaited)
 }
 
+// Play returns the context's error when it is cancelled, and its relay processes have exited by then.
 func TestCancelledPlayLeavesNothing(t *testing.T) {
 	t.Parallel()
 	ctx, cancel := context.WithCancel(t.Context())
 	opt := ownRelayOptions(t)
 	var pid int
-	opt.OnReady = func(s *Rehearsal) error { pid = s.relays[0].current.cmd.Process.Pid; cancel(); return nil }
+	opt.OnReady = func(r *Rehearsal) error { pid = r.relays[0].current.cmd.Process.Pid; cancel(); return nil }
 	if _, err := Play(ctx, loadPlan(t, 30, 10, ""), opt); !errors.Is(err, context.Canceled) {
-		t.Errorf("error: %v", err)
+		t.Errorf("Play with a cancelled context: error %v, want context.Canceled", err)
 	}
 	if !processGone(pid) {
-		t.Error("the relay is still there")
+		t.Errorf("relay process %d still runs after Play has returned", pid)
 	}
 }
--- a/internal/rehearsal/runner/tls.go
+++ b/internal/rehearsal/runner/tls.go
@@ -15,39 +15,39 @@
 	"troutusher/internal/tlspolicy"
 )
 
-// tlsIdentities are what partners' endpoints present over TLS. Certificates are made for
-// one rehearsal.
+// tlsIdentities holds the TLS identities that partners' endpoints present. Certificates are
+// generated for one rehearsal.
 type tlsIdentities struct {
-	operatorFile string // has relays trust the certificates
+	operatorPath string // path of the operator's file, by which relays trust the certificates
 
 	mu      sync.Mutex
-	current []*h1.TLSIdentity            // by endpoint, nil where it has no TLS
+	current []*h1.TLSIdentity            // by endpoint; nil without TLS
 	byFault map[string][]*h1.TLSIdentity // by kind of fault and endpoint
 }
 
 const (
-	operatorFileMode = 0o600 // its owner alone reads it
+	operatorFileMode = 0o600 // readable only by its owner
 	partnerDomain    = ".example.org"
 )
 
-// tlsFaults are the kinds of fault that replace identities.
+// tlsFaults lists the kinds of fault that replace identities.
 var tlsFaults = []string{
 	scenario.TLSRotate, scenario.TLSExpired, scenario.TLSWrongName, scenario.TLSWrongRoot, scenario.TLSHandshakeReset,
 	scenario.TLSSessionsLost,
 }
 
-// identityMaker makes certificates and the operator's file that names them.
+// identityMaker issues certificates and writes the operator's file that refers to them.
 type identityMaker struct {
 	plan       *scenario.Plan
 	identities *tlsIdentities
 	validity   func(*testca.Template)
 
 	trustedRoot     *testca.Issued
-	untrusted       *testca.Issued // a root that relays do not trust
-	firstAuthority  *testca.Issued // under trustedRoot, like the second
+	untrustedRoot   *testca.Issued // a root certificate that relays do not trust
+	firstAuthority  *testca.Issued // both authorities are issued by trustedRoot
 	secondAuthority *testca.Issued
 
-	// Paths of files for relays.
+	// Paths of the files that the operator's file names.
 	rootsPath string
 	certPath  string
 	keyPath   string
@@ -55,12 +55,12 @@
 	operatorText bytes.Buffer
 }
 
-// newTLSIdentities makes the certificates, and writes the operator's file for the relays, in
-// a folder. It returns nil where the relays need no such file: no partner is reached over
-// TLS, and the scenario says nothing else that stands in it.
+// newTLSIdentities issues the certificates and writes the relays' operator's file to a folder.
+// It returns nil if the relays need no operator's file: no partner is reached over TLS, and the
+// scenario leaves the number of active destinations at its default.
 func newTLSIdentities(plan *scenario.Plan, dir string) (*tlsIdentities, error) {
 	m := &identityMaker{plan: plan, identities: &tlsIdentities{
-		operatorFile: filepath.Join(dir, "operator.toml"), current: make([]*h1.TLSIdentity, len(plan.Endpoints)),
+		operatorPath: filepath.Join(dir, "operator.toml"), current: make([]*h1.TLSIdentity, len(plan.Endpoints)),
 		byFault: map[string][]*h1.TLSIdentity{},
 	}}
 	for _, kind := range tlsFaults {
@@ -82,16 +82,16 @@
 	if handshakeShare > 0 {
 		fmt.Fprintf(&m.operatorText, "[handshakes]\nshare = %v\n", handshakeShare)
 	}
-	return m.identities, testca.ReplaceFile(m.identities.operatorFile, m.operatorText.Bytes(), operatorFileMode)
+	return m.identities, testca.ReplaceFile(m.identities.operatorPath, m.operatorText.Bytes(), operatorFileMode)
 }
 
-// issueAuthorities makes the authorities, and the relays' roots, certificate and key.
+// issueAuthorities issues the authorities and writes the relays' roots, certificate and key.
 func (m *identityMaker) issueAuthorities(dir string) (err error) {
 	m.validity = testca.WithValidity(time.Now().Add(-time.Hour), time.Now().Add(24*365*time.Hour))
 	if m.trustedRoot, err = testca.Issue(nil, "rehearsal", nil, testca.AsAuthority, m.validity); err != nil {
 		return err
 	}
-	if m.untrusted, err = testca.Issue(nil, "stranger", nil, testca.AsAuthority, m.validity); err != nil {
+	if m.untrustedRoot, err = testca.Issue(nil, "stranger", nil, testca.AsAuthority, m.validity); err != nil {
 		return err
 	}
 	if m.firstAuthority, err = testca.Issue(m.trustedRoot, "one", nil, testca.AsAuthority, m.validity); err != nil {
@@ -111,8 +111,8 @@
 	return err
 }
 
-// addPartners adds all partners that are reached over TLS, and returns the largest share of
-// CPU that any of them grants handshakes.
+// addPartners adds all partners that are reached over TLS. It returns the largest fraction of a
+// core that any of them sets for handshakes.
 func (m *identityMaker) addPartners() (handshakeShare float64, err error) {
 	added := map[int]bool{}
 	for i := range m.plan.Endpoints {
@@ -129,14 +129,14 @@
 	return handshakeShare, nil
 }
 
-// partnerCertificates are the certificates of one partner.
+// partnerCertificates holds the certificates of one partner.
 type partnerCertificates struct {
 	current *testca.Issued
-	next    *testca.Issued            // of the other authority, for a rotation
+	next    *testca.Issued            // from the second authority; presented after a rotation
 	faulty  map[string]*testca.Issued // by kind of fault
 }
 
-// issueFor makes the certificates of a partner.
+// issueFor issues the certificates of a partner under its server name.
 func (m *identityMaker) issueFor(name string, settings *scenario.TLS) (partnerCertificates, error) {
 	var firstErr error
 	issue := func(parent *testca.Issued, name string, changes ...func(*testca.Template)) *testca.Issued {
@@ -160,13 +160,13 @@
 		faulty: map[string]*testca.Issued{
 			scenario.TLSExpired:   issue(m.firstAuthority, name, expired),
 			scenario.TLSWrongName: issue(m.firstAuthority, "other"+partnerDomain),
-			scenario.TLSWrongRoot: issue(m.untrusted, name),
+			scenario.TLSWrongRoot: issue(m.untrustedRoot, name),
 		},
 	}
 	return certificates, firstErr
 }
 
-// addPartner makes what a partner's endpoints present, and the rule by which relays call it.
+// addPartner adds the identities of a partner's endpoints, and the rule by which relays call them.
 func (m *identityMaker) addPartner(partner int, settings *scenario.TLS) error {
 	name := m.plan.Specs[partner].Name + partnerDomain
 	certificates, err := m.issueFor(name, settings)
@@ -178,19 +178,21 @@
 	return nil
 }
 
-// addIdentities sets what a partner's endpoints present, now and under each fault.
+// addIdentities sets the identities of a partner's endpoints, without a fault and under each kind
+// of fault.
 func (m *identityMaker) addIdentities(partner int, certificates partnerCertificates, settings *scenario.TLS) {
-	usual := m.identityWith(certificates.current, settings, true)
+	normal := m.identityWith(certificates.current, settings, true)
 	rotated := m.identityWith(certificates.next, settings, true)
-	forgetful := m.identityWith(certificates.current, settings, true)
-	forgetful.Config.SetSessionTicketKeys([][32]byte{{1}}) // others than before: no session is resumed
+	withoutSessions := m.identityWith(certificates.current, settings, true)
+	// With another ticket key, sessions that began before cannot be resumed.
+	withoutSessions.Config.SetSessionTicketKeys([][32]byte{{1}})
 	for i := range m.plan.Endpoints {
 		if m.plan.Endpoints[i].Partner != partner {
 			continue
 		}
-		m.identities.current[i] = usual
+		m.identities.current[i] = normal
 		byFault := m.identities.byFault
-		byFault[scenario.TLSRotate][i], byFault[scenario.TLSSessionsLost][i] = rotated, forgetful
+		byFault[scenario.TLSRotate][i], byFault[scenario.TLSSessionsLost][i] = rotated, withoutSessions
 		byFault[scenario.TLSHandshakeReset][i] = &h1.TLSIdentity{ResetHandshake: true}
 		for kind, certificate := range certificates.faulty {
 			byFault[kind][i] = m.identityWith(certificate, settings, false)
@@ -212,8 +214,8 @@
 	}
 }
 
-// identityWith is an identity with a certificate. trusted says whether relays should trust
-// it.
+// identityWith returns an identity with a certificate. trusted says whether relays are expected to
+// trust it.
 func (m *identityMaker) identityWith(
 	certificate *testca.Issued, settings *scenario.TLS, trusted bool,
 ) *h1.TLSIdentity {
@@ -230,23 +232,23 @@
 	if settings.RequireClientCert {
 		config.ClientAuth, config.ClientCAs = tls.RequireAndVerifyClientCert, m.trustedRoot.RootPool()
 	}
-	// Session keys of its own: a session that began with one certificate is not resumed
-	// under another.
+	// Each certificate has its own session ticket key, so that a session that began under one
+	// certificate is not resumed under another.
 	config.SetSessionTicketKeys([][32]byte{tlspolicy.PinOf(certificate.Certificate)})
 	return &h1.TLSIdentity{
 		Config: config, HandshakeDelay: milliseconds(settings.HandshakeDelayMS), Trusted: trusted,
 	}
 }
 
-// identity is what an endpoint presents now.
+// identity returns the identity that an endpoint currently presents, or nil without TLS.
 func (t *tlsIdentities) identity(endpoint int) *h1.TLSIdentity {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.current[endpoint]
 }
 
-// replacement returns functions that begin and end a fault: meanwhile the endpoints present
-// what belongs to its kind.
+// replacement returns functions that begin and end a fault. In between, the endpoints present the
+// identities for its kind.
 func (t *tlsIdentities) replacement(kind string, endpoints []int) (begin, end func()) {
 	replaced := map[int]*h1.TLSIdentity{}
 	begin = func() {
@@ -266,5 +268,5 @@
 	return begin, end
 }
 
-// env is the variable by which relays find the operator's file.
-func (t *tlsIdentities) env() string { return operatorconfig.EnvVar + "=" + t.operatorFile }
+// env returns the environment variable, as name=value, that tells relays the operator's file.
+func (t *tlsIdentities) env() string { return operatorconfig.EnvVar + "=" + t.operatorPath }
--- a/internal/rehearsal/scenario/scenario_test.go
+++ b/internal/rehearsal/scenario/scenario_test.go
@@ -186,7 +186,7 @@
 		}
 		keys[a.Key] = true
 		if err := a.Validate(p); err != nil {
-			t.Fatal(err)
+			t.Fatalf("arrival %d: Validate: %v", i, err)
 		}
 		if i > 0 && a.At < p.Arrivals[i-1].At {
 			t.Fatalf("arrival %d is earlier than arrival %d", i, i-1)
@@ -212,7 +212,7 @@
 		t.Errorf("fault = %+v, want endpoints [2 3] from 1e6 to 3e6", f)
 	}
 	if err := p.Faults[0].Validate(p); err != nil {
-		t.Error(err)
+		t.Errorf("Faults[0].Validate: %v", err)
 	}
 }
 
@@ -290,12 +290,12 @@
 		p := s.Plan(1)
 		for i := range p.Arrivals {
 			if err := p.Arrivals[i].Validate(p); err != nil {
-				t.Fatal(err)
+				t.Fatalf("Arrivals[%d].Validate: %v", i, err)
 			}
 		}
 		for i := range p.Faults {
 			if err := p.Faults[i].Validate(p); err != nil {
-				t.Fatal(err)
+				t.Fatalf("Faults[%d].Validate: %v", i, err)
 			}
 		}
 	})
