--- a/internal/rehearsal/loadgen/balancer.go
+++ b/internal/rehearsal/loadgen/balancer.go
@@ -2,18 +2,18 @@
 
 import "troutusher/internal/event"
 
-// noRelay is no relay's index.
+// noRelay stands for no relay where the index of a relay is expected.
 const noRelay = -1
 
-// relayState is what the clients' front, which spreads requests over the relays, knows of
-// one of them.
+// relayState is what the simulated load balancer between the clients and the relays knows of
+// one relay.
 type relayState struct {
 	down      bool
-	noticedAt event.Time // until then the front goes on using it
+	noticedAt event.Time // when the load balancer detects that the relay is down; it uses the relay until then
 }
 
-// RelayDown tells the front that a relay has ended or is ending. The front notices that
-// after a delay.
+// RelayDown informs the load balancer that a relay has ended or is shutting down. The load
+// balancer detects it after noticeDelay, and sends requests to the relay until then.
 func (d *Driver) RelayDown(relay int, noticeDelay event.Time) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -22,15 +22,16 @@
 	}
 }
 
-// RelayUp tells the front that a relay is ready.
+// RelayUp informs the load balancer that a relay is ready.
 func (d *Driver) RelayUp(relay int) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.relayStates[relay] = relayState{}
 }
 
-// pickRelay picks the next relay in turn, but for avoided where there is another one. It
-// returns noRelay where the front knows of none that is up.
+// pickRelay returns the next usable relay in round-robin order. It skips the relay avoided
+// unless that is the only relay of the rehearsal. It returns noRelay if the load balancer
+// knows of no usable relay.
 func (d *Driver) pickRelay(avoided int) int {
 	d.mu.Lock()
 	defer d.mu.Unlock()
--- a/internal/rehearsal/loadgen/command.go
+++ b/internal/rehearsal/loadgen/command.go
@@ -7,16 +7,17 @@
 	"troutusher/internal/rehearsal/scenario"
 )
 
-// putPrefix begins a submission in RESP2. Relays do not read the first argument.
+// putPrefix is the start of a submission in RESP2. Relays ignore the first argument, here
+// 16 zeros.
 const putPrefix = "*5\r\n$7\r\nMSG.PUT\r\n$16\r\n0000000000000000\r\n"
 
-// fieldsCapacity is room enough for the fields of most submissions.
+// fieldsCapacity is the number of bytes that is enough for the fields of most submissions.
 const fieldsCapacity = 160
 
-// appendSubmission appends the command that submits a message. mark is a field that tells why
-// it comes again, empty the first time.
+// appendSubmission appends the command that submits a message. retryField is the field that
+// states why the client submits the message again; it is empty in the first submission.
 func appendSubmission(
-	buffer []byte, plan *scenario.Plan, arrival *scenario.Arrival, id string, left event.Time, mark, body string,
+	buffer []byte, plan *scenario.Plan, arrival *scenario.Arrival, id string, left event.Time, retryField, body string,
 ) []byte {
 	buffer = append(buffer, putPrefix...)
 	buffer = appendBulkString(buffer, id)
@@ -32,8 +33,8 @@
 	}
 	fields = append(fields, ",dest="...)
 	fields = strconv.AppendInt(fields, int64(arrival.Destination), 10)
-	if mark != "" {
-		fields = append(append(fields, ','), mark...)
+	if retryField != "" {
+		fields = append(append(fields, ','), retryField...)
 	}
 	buffer = appendBulkString(buffer, string(fields))
 	return appendBulkString(buffer, body)
--- a/internal/rehearsal/loadgen/flood.go
+++ b/internal/rehearsal/loadgen/flood.go
@@ -9,28 +9,29 @@
 	"time"
 )
 
-// FloodKind is a kind of connections that are no clients.
+// FloodKind is a kind of unwanted connections: they occupy a relay and submit no valid
+// message.
 type FloodKind string
 
-// Kinds of flood. Each keeps a number of connections to a relay open, or coming back, until
-// it ends.
+// Kinds of flood. Each opens a number of connections to a relay. All but FloodSilent connect
+// again after a connection was closed, until the flood ends.
 const (
-	FloodSilent    FloodKind = "flood_silent"    // send nothing, and do not come back
-	FloodReturning FloodKind = "flood_returning" // the same, and come back at once when they are closed
-	FloodPing      FloodKind = "flood_ping"      // send one PING, stay, and come back when they are closed
-	FloodDrip      FloodKind = "flood_drip"      // send a command byte by byte, one a second, and come back
-	FloodFaulty    FloodKind = "flood_faulty"    // send what cannot be parsed, as fast as it is read, and come back
+	FloodSilent    FloodKind = "flood_silent"    // send nothing, and do not reconnect
+	FloodReturning FloodKind = "flood_returning" // send nothing, and reconnect when they are closed
+	FloodPing      FloodKind = "flood_ping"      // send one PING, stay open, and reconnect when they are closed
+	FloodDrip      FloodKind = "flood_drip"      // send a command at one byte per second, and reconnect
+	FloodFaulty    FloodKind = "flood_faulty"    // send malformed input as fast as the relay reads it, and reconnect
 )
 
 const (
-	reconnectDelay   = 5 * time.Millisecond // a dial that is refused at once must not spin
-	dripInterval     = time.Second
+	reconnectDelay   = 5 * time.Millisecond // keeps dials that are refused at once from becoming a busy loop
+	slowSendInterval = time.Second
 	floodDialTimeout = time.Second
 	pingCommand      = "*1\r\n$4\r\nPING\r\n"
 )
 
-// faultyInputs are what a faulty connection sends in turn.
-var faultyInputs = []string{
+// malformedInputs are sent in turn by the connections of FloodFaulty.
+var malformedInputs = []string{
 	"GET / HTTP/1.1\r\n\r\n",
 	"*1\r\n$-9\r\n",
 	"*999999999\r\n",
@@ -40,8 +41,8 @@
 	"*1\r\n$70000000\r\n" + strings.Repeat("z", 4000),
 }
 
-// Flood keeps n connections of a kind to a relay until ctx ends, and returns the number that
-// it opened once all are closed.
+// Flood runs n connections of a kind to the relay at addr until ctx ends. It waits until all
+// are closed, and returns how many connections it opened, including those opened again.
 func Flood(ctx context.Context, kind FloodKind, addr string, n int) (opened int) {
 	var mu sync.Mutex
 	var running sync.WaitGroup
@@ -59,14 +60,15 @@
 	return opened
 }
 
-// keepConnecting keeps one connection, and returns how often it was opened. firstInput is
-// where a faulty one begins among its inputs.
+// keepConnecting runs one connection of a flood, opens it again after it was closed, and
+// returns how often it was opened. firstInput is the index in malformedInputs of the first
+// input that a connection of FloodFaulty sends.
 func keepConnecting(ctx context.Context, kind FloodKind, addr string, firstInput int) (opened int) {
 	for input := firstInput; ctx.Err() == nil; input++ {
 		if conn, err := floodDial(ctx, addr); err == nil {
 			opened++
 			stop := context.AfterFunc(ctx, func() { _ = conn.Close() })
-			playFlood(ctx, kind, conn, input)
+			runFloodConnection(ctx, kind, conn, input)
 			stop()
 			_ = conn.Close()
 			if kind == FloodSilent {
@@ -84,7 +86,7 @@
 	return (&net.Dialer{}).DialContext(ctx, "tcp4", addr)
 }
 
-// sleep returns after wait, or when ctx ends.
+// sleep returns after wait, or earlier if ctx ends.
 func sleep(ctx context.Context, wait time.Duration) {
 	timer := time.NewTimer(wait)
 	defer timer.Stop()
@@ -94,22 +96,24 @@
 	}
 }
 
-// playFlood does what a kind of flood does on one connection, until that is closed.
-func playFlood(ctx context.Context, kind FloodKind, conn net.Conn, input int) {
+// runFloodConnection does on one connection what the kind of flood does. It returns once the
+// connection is closed.
+func runFloodConnection(ctx context.Context, kind FloodKind, conn net.Conn, input int) {
 	switch kind {
 	case FloodPing:
-		_, _ = io.WriteString(conn, pingCommand) // the relay may have closed it
+		_, _ = io.WriteString(conn, pingCommand) // if the relay closed it, the read below ends too
 	case FloodDrip:
-		drip(ctx, conn)
+		sendSlowly(ctx, conn)
 		return
 	case FloodFaulty:
-		go sendFaultyInputs(conn, input)
+		go sendMalformedInputs(conn, input)
 	}
-	_, _ = io.Copy(io.Discard, conn) // until it is closed
+	_, _ = io.Copy(io.Discard, conn) // returns when the connection is closed
 }
 
-// drip sends a command byte by byte, and returns once the connection is closed.
-func drip(ctx context.Context, conn net.Conn) {
+// sendSlowly sends a command at one byte per slowSendInterval. It returns once the connection
+// is closed or ctx ends.
+func sendSlowly(ctx context.Context, conn net.Conn) {
 	closed := make(chan struct{})
 	go func() { defer close(closed); _, _ = io.Copy(io.Discard, conn) }()
 	for _, b := range []byte(putPrefix) {
@@ -121,16 +125,17 @@
 			return
 		case <-ctx.Done():
 			return
-		case <-time.After(dripInterval):
+		case <-time.After(slowSendInterval):
 		}
 	}
 	<-closed
 }
 
-// sendFaultyInputs ends with its connection.
-func sendFaultyInputs(conn net.Conn, first int) {
+// sendMalformedInputs sends malformedInputs in turn, beginning at index first, until the
+// connection is closed.
+func sendMalformedInputs(conn net.Conn, first int) {
 	for i := first; ; i++ {
-		if _, err := io.WriteString(conn, faultyInputs[i%len(faultyInputs)]); err != nil {
+		if _, err := io.WriteString(conn, malformedInputs[i%len(malformedInputs)]); err != nil {
 			return
 		}
 	}
--- a/internal/rehearsal/loadgen/flood_test.go
+++ b/internal/rehearsal/loadgen/flood_test.go
@@ -10,12 +10,13 @@
 	"troutusher/internal/emulator/loopback"
 )
 
-// TestFloods: how many come, what they say first, and whether they come back.
+// TestFloods checks for each kind of flood how many connections it opens, the first byte that they
+// send, and whether they reconnect after the server closed them.
 func TestFloods(t *testing.T) {
 	for _, c := range []struct {
-		kind    FloodKind
-		first   byte // 0: nothing is said
-		returns bool
+		kind       FloodKind
+		first      byte // that a connection sends; 0: it sends nothing
+		reconnects bool
 	}{
 		{FloodSilent, 0, false},
 		{FloodReturning, 0, true},
@@ -32,41 +33,41 @@
 			ctx, cancel := context.WithCancel(t.Context())
 			defer cancel()
 			const n = 5
-			var came atomic.Int64
-			again := make(chan struct{}, 1000)
+			var accepted atomic.Int64
+			closed := make(chan struct{}, 1000)
 			go func() {
 				for {
 					conn, err := ln.Accept()
 					if err != nil {
 						return
 					}
-					came.Add(1)
+					accepted.Add(1)
 					go func(conn net.Conn) {
-						defer func() { _ = conn.Close() }() // at once where it says nothing
+						defer func() { _ = conn.Close() }() // at once if the kind sends nothing
 						if c.first != 0 {
 							b, err := bufio.NewReader(conn).ReadByte()
 							if err == nil && c.kind != FloodFaulty && b != c.first {
-								t.Errorf("%s said %q first", c.kind, b)
+								t.Errorf("%s sent %q first, want %q", c.kind, b, c.first)
 							}
 						}
-						again <- struct{}{}
+						closed <- struct{}{}
 					}(conn)
 				}
 			}()
 			done := make(chan int, 1)
 			go func() { done <- Flood(ctx, c.kind, ln.Addr().String(), n) }()
-			if !c.returns {
+			if !c.reconnects {
 				if opened := <-done; opened != n {
-					t.Errorf("%d came, want %d", opened, n)
+					t.Errorf("Flood(%s, %d) = %d connections opened, want %d", c.kind, n, opened, n)
 				}
 				return
 			}
-			for range 3 * n { // each has come back
-				<-again
+			for range 3 * n { // the n connections have reconnected
+				<-closed
 			}
 			cancel()
-			if opened := <-done; opened < 3*n-n { // the last of them may not have been counted
-				t.Errorf("%d came, want %d at least", opened, 2*n)
+			if opened := <-done; opened < 3*n-n { // the last one of each may not be counted yet
+				t.Errorf("Flood(%s, %d) = %d connections opened, want at least %d", c.kind, n, opened, 2*n)
 			}
 		})
 	}
--- a/internal/rehearsal/loadgen/loadgen.go
+++ b/internal/rehearsal/loadgen/loadgen.go
@@ -1,8 +1,9 @@
-// Package loadgen plays the clients of a rehearsal: messages arrive at their planned times,
-// whatever became of earlier ones (open loop), over RESP2 connections that are kept; clients
-// retry after rejections; and a front spreads them over the relays. Latency counts from a
-// message's planned arrival, also where the driver itself was late. The package records what
-// it did and what it was answered, and does not judge a relay.
+// Package loadgen simulates the clients of a rehearsal. It is an open-loop load generator:
+// messages arrive at their planned times, regardless of the progress of earlier ones. Clients
+// submit them over persistent RESP2 connections and retry after rejections, and a simulated
+// load balancer spreads them over the relays. Latency is measured from a message's planned
+// arrival, even where the load generator itself was late. The package records what it sent
+// and the replies, and does not judge the relays.
 package loadgen
 
 import (
@@ -20,30 +21,30 @@
 )
 
 const (
-	maxLatenessMicros = 60_000_000  // that the histogram of the driver's lateness holds
-	maxLatencyMicros  = 600_000_000 // that the histograms of messages hold
-	histogramDigits   = 3
-	minConnections    = 8 // that are open to one relay at most, where it allows few
-	socketsPerClient  = 3 // of a relay, for each connection that may be open to it
+	maxLatenessMicros = 60_000_000  // upper bound of the histogram of the driver's lateness
+	maxLatencyMicros  = 600_000_000 // upper bound of the histograms of the messages' latencies
+	histogramDigits   = 3           // significant decimal digits
+	minConnections    = 8           // lowest limit of connections to one relay, however few sockets it has
+	socketsPerClient  = 3           // sockets of a relay for each connection that the driver may open to it
 )
 
-// Config is what a driver is made of.
+// Config is the configuration of a Driver.
 type Config struct {
 	Plan   *scenario.Plan
-	Relays []string          // addresses
-	Emit   func(event.Event) // takes what happens, in order
+	Relays []string          // their addresses
+	Emit   func(event.Event) // receives the events, in order
 	Clock  func() event.Time
-	Start  event.Time // of the plan
+	Start  event.Time // when the plan starts
 }
 
-// Driver plays a plan's arrivals.
+// Driver submits the messages of a plan at their planned times.
 type Driver struct {
 	config   Config
-	pools    []*pool // by relay
-	body     string
-	unserved atomic.Int64 // requests that met a connection refused, reset, or closed unread
+	pools    []*pool      // by index of the relay
+	body     string       // of every message
+	unserved atomic.Int64 // see UnservedRequests
 
-	// background counts the goroutines that submit messages. They end when ctx does.
+	// background counts the goroutines that submit messages. They end when ctx is canceled.
 	background sync.WaitGroup
 	ctx        context.Context
 	cancel     context.CancelFunc
@@ -51,13 +52,13 @@
 	mu          sync.Mutex
 	submissions map[string]*submission // by id
 	messages    []message              // by index in the plan
-	pending     int                    // messages without an end
-	done        chan struct{}          // closed once there is none
+	pending     int                    // messages without a final outcome
+	done        chan struct{}          // closed once pending is 0
 	relayStates []relayState
-	lastRelay   int // that was picked, counted on and on
+	lastRelay   int // picked last; modulo the number of relays it is the index
 
-	// In µs, the last two from a message's planned arrival.
-	lateness        *hdrhistogram.Histogram // of the driver itself
+	// Histograms in µs. The latencies are measured from a message's planned arrival.
+	lateness        *hdrhistogram.Histogram // of the first submissions behind their planned times
 	replyLatency    *hdrhistogram.Histogram // to the reply to its first submission
 	deliveryLatency *hdrhistogram.Histogram // to its delivery
 }
@@ -68,7 +69,7 @@
 	class *scenario.Class
 }
 
-// New makes a driver.
+// New returns a driver. Run starts it.
 func New(config Config) *Driver {
 	d := &Driver{
 		config:          config,
@@ -93,10 +94,11 @@
 	return d
 }
 
-// SetStart sets when the plan starts. It is called before Run.
+// SetStart sets when the plan starts. It must be called before Run.
 func (d *Driver) SetStart(at event.Time) { d.config.Start = at }
 
-// Run plays the arrivals and returns once every message has its end, or ctx ends.
+// Run submits the messages at their planned times. It returns once every message has a final
+// outcome, or when ctx ends.
 func (d *Driver) Run(ctx context.Context) {
 	defer d.Close()
 	timer := time.NewTimer(time.Hour)
@@ -122,7 +124,7 @@
 	}
 }
 
-// Close ends all submissions and connections.
+// Close ends all submissions, closes all connections and waits for the goroutines to end.
 func (d *Driver) Close() {
 	d.cancel()
 	for _, pool := range d.pools {
@@ -131,18 +133,19 @@
 	d.background.Wait()
 }
 
-// arrival is when a message is planned to arrive.
+// arrival returns the time at which a message is planned to arrive.
 func (d *Driver) arrival(index int) event.Time {
 	return d.config.Start + d.config.Plan.Arrivals[index].At
 }
 
-// timeLeft is how long a message may still be delivered.
+// timeLeft returns the time left until a message's deadline; it is negative after the deadline.
 func (d *Driver) timeLeft(index int) event.Time {
 	deadline := scenario.Microseconds(d.messages[index].class.DeadlineMS)
 	return d.arrival(index) + deadline - d.config.Clock()
 }
 
-// submitFirst submits a message for the first time, and records how late that is.
+// submitFirst submits a message for the first time, and records how far behind its planned
+// time that is.
 func (d *Driver) submitFirst(index int) {
 	defer d.background.Done()
 	late := d.config.Clock() - d.arrival(index)
@@ -150,27 +153,28 @@
 	d.submit(index, 0, "")
 }
 
-// record adds a time to a histogram. What is beyond the histogram's range is left out.
+// record adds a time to a histogram, and drops a time beyond the histogram's range.
 func (d *Driver) record(histogram *hdrhistogram.Histogram, micros event.Time) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	_ = histogram.RecordValue(max(micros, 1))
 }
 
-// Lateness is how late the driver submitted messages for the first time, in µs, at a
-// quantile in percent.
+// Lateness returns how far behind their planned times the driver made the first submissions,
+// in µs, at a quantile in percent.
 func (d *Driver) Lateness(quantile float64) event.Time {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.lateness.ValueAtQuantile(quantile)
 }
 
-// Latencies are the histograms of first replies and of deliveries, in µs.
+// Latencies returns the histograms, in µs, of the time to the reply to the first submission
+// and of the time to the delivery.
 func (d *Driver) Latencies() (replies, deliveries *hdrhistogram.Histogram) {
 	return d.replyLatency, d.deliveryLatency
 }
 
-// Results tells what became of each message of the plan.
+// Results returns the results of the messages, in the order of the plan.
 func (d *Driver) Results() []Result {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -181,8 +185,8 @@
 	return results
 }
 
-// Progress is the number of messages that were submitted, and of those of them that have no
-// end yet.
+// Progress returns how many messages were submitted at least once, and how many of those have
+// no final outcome yet.
 func (d *Driver) Progress() (submitted, pending int) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -194,7 +198,8 @@
 	return submitted, d.pending - (len(d.messages) - submitted)
 }
 
-// Lookup tells the emulated endpoints which message a submission is of.
+// Lookup returns the message that a submission belongs to, for the emulated endpoints, and
+// whether there is a submission with the ID.
 func (d *Driver) Lookup(id string) (endpoint.Message, bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -208,11 +213,11 @@
 	}, true
 }
 
-// UnservedRequests is how many requests met a connection that was refused, reset, or closed
-// with the request unread.
+// UnservedRequests returns how many requests failed because the connection was refused, reset,
+// or closed without a reply.
 func (d *Driver) UnservedRequests() int { return int(d.unserved.Load()) }
 
-// finish records a message's end. The first end counts.
+// finish records a message's outcome, unless the message already has a final one.
 func (d *Driver) finish(index int, outcome Outcome) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -222,7 +227,7 @@
 	}
 	m.Outcome, m.Elapsed = outcome, d.config.Clock()-d.arrival(index)
 	if outcome == Delivered {
-		_ = d.deliveryLatency.RecordValue(max(m.Elapsed, 1)) // what is beyond the range is left out
+		_ = d.deliveryLatency.RecordValue(max(m.Elapsed, 1)) // a value beyond the range is dropped
 	}
 	if d.pending--; d.pending == 0 {
 		close(d.done)
--- a/internal/rehearsal/loadgen/outcome.go
+++ b/internal/rehearsal/loadgen/outcome.go
@@ -5,33 +5,35 @@
 	"troutusher/internal/rehearsal/scenario"
 )
 
-// Outcome is how a message ended for its client.
+// Outcome is the final state of a message from the client's point of view, or Pending.
 type Outcome uint8
 
-// Outcomes of a message.
+// The outcomes of a message.
 const (
 	Pending    Outcome = iota
-	Delivered          // an endpoint answered 200 to the relay
-	Rejected           // the client does not come again after its last rejection
-	Failed             // its relay gave it up
-	Unanswered         // its client got no answer, and does not come again
+	Delivered          // an endpoint answered the relay with status 200
+	Rejected           // the client gave up after a rejection
+	Failed             // the relay abandoned the message
+	Unanswered         // the client got no reply and gave up
 )
 
 var outcomeNames = [...]string{"pending", "delivered", "refused", "failed", "unheard"}
 
-// String is the outcome's name.
+// String returns the outcome's name in reports.
 func (o Outcome) String() string { return outcomeNames[o] }
 
-// Result is what became of a message.
+// Result is the outcome of one message, with the number of its submissions.
 type Result struct {
 	Outcome     Outcome
-	Elapsed     event.Time // from its planned arrival to its end
+	Elapsed     event.Time // from the planned arrival to the final outcome
 	Submissions int
 	Rejections  int
 }
 
-// EarnedWeight is what a message earned: all of its class's weight within the latency
-// objective, then less in a straight line, down to the late weight at the deadline.
+// EarnedWeight returns the weight that a message's delivery earns. A delivery within the
+// latency objective earns the class's full weight. After it the weight falls linearly, down to
+// the class's late weight (a share of the full weight) at the deadline. A message that is not
+// delivered by the deadline earns 0.
 func EarnedWeight(class *scenario.Class, result *Result) float64 {
 	if result.Outcome != Delivered {
 		return 0
--- a/internal/rehearsal/loadgen/pool.go
+++ b/internal/rehearsal/loadgen/pool.go
@@ -19,20 +19,20 @@
 	replyBufferSize = 512
 )
 
-var errTimeout = errors.New("no answer in time")
+var errTimeout = errors.New("no reply within the timeout")
 
-// conn is a connection to a relay.
+// conn is a client connection to a relay.
 type conn struct {
 	net.Conn
 	reader   *bufio.Reader
-	request  []byte // kept, so that the next one needs no new memory
-	answered bool   // it has carried a reply
+	request  []byte // reused by each request to avoid an allocation
+	answered bool   // a reply was received on this connection
 }
 
-// roundTrip writes the connection's request and reads one reply. written says that the request
-// was sent, also where the reply failed.
+// roundTrip writes c.request and reads one reply. written reports whether the request was
+// written completely, also when reading the reply failed.
 func (c *conn) roundTrip(deadline time.Time) (written bool, reply string, err error) {
-	_ = c.SetDeadline(deadline) // fails with the write below
+	_ = c.SetDeadline(deadline) // if it fails, so does the write below
 	if _, err := c.Write(c.request); err != nil {
 		return false, "", asTimeout(err)
 	}
@@ -41,13 +41,13 @@
 		return true, "", asTimeout(err)
 	}
 	if len(line) > maxReplyBytes {
-		return true, "", fmt.Errorf("answer of %d bytes", len(line))
+		return true, "", fmt.Errorf("read reply: line has %d bytes, want at most %d", len(line), maxReplyBytes)
 	}
 	reply = strings.TrimRight(string(line), "\r\n")
 	if reply != "" && reply[0] == '$' { // a bulk string
 		n, err := strconv.Atoi(reply[1:])
 		if err != nil || n < 0 || n > maxReplyBytes {
-			return true, "", fmt.Errorf("answer %.40q", reply)
+			return true, "", fmt.Errorf("read reply: bulk string length %.40q, want 0 to %d", reply[1:], maxReplyBytes)
 		}
 		if _, err := io.CopyN(io.Discard, c.reader, int64(n)+2); err != nil {
 			return true, "", asTimeout(err)
@@ -56,7 +56,7 @@
 	return true, reply, nil
 }
 
-// asTimeout returns errTimeout for a timeout of a connection, and err otherwise.
+// asTimeout returns errTimeout if err is a network timeout, and err otherwise.
 func asTimeout(err error) error {
 	var netErr net.Error
 	if errors.As(err, &netErr) && netErr.Timeout() {
@@ -65,15 +65,15 @@
 	return err
 }
 
-// pool keeps the connections to one relay.
+// pool is a connection pool for one relay.
 type pool struct {
 	addr     string
-	slots    chan struct{} // holds one value for each connection that is open
-	returned chan *conn    // to those who wait for a connection
+	slots    chan struct{} // holds one value for each open connection
+	returned chan *conn    // hands a released connection to a waiting acquire
 
 	mu     sync.Mutex
 	idle   []*conn
-	open   []*conn
+	open   []*conn // all connections, idle or in use
 	closed bool
 }
 
@@ -81,7 +81,8 @@
 	return &pool{addr: addr, slots: make(chan struct{}, maxConnections), returned: make(chan *conn)}
 }
 
-// acquire takes an idle connection, or opens one. It waits where too many are open.
+// acquire returns an idle connection, or opens one. If the maximum is open, it waits up to wait
+// for a connection to be released. reused reports whether the connection was used before.
 func (p *pool) acquire(ctx context.Context, wait time.Duration) (c *conn, reused bool, err error) {
 	p.mu.Lock()
 	if n := len(p.idle); n > 0 {
@@ -110,7 +111,8 @@
 	}
 }
 
-// acquireNew opens a connection, also where one is idle.
+// acquireNew opens a connection even if one is idle. If the maximum is open, it waits up to
+// wait for one to be closed.
 func (p *pool) acquireNew(ctx context.Context, wait time.Duration) (*conn, bool, error) {
 	timer := time.NewTimer(wait)
 	defer timer.Stop()
@@ -124,7 +126,7 @@
 	}
 }
 
-// dial opens a connection, for which the caller has taken a slot.
+// dial opens a connection. The caller has taken a slot for it; dial frees the slot on failure.
 func (p *pool) dial(ctx context.Context, wait time.Duration) (*conn, bool, error) {
 	dialer := net.Dialer{Timeout: wait}
 	netConn, err := dialer.DialContext(ctx, "tcp4", p.addr)
@@ -144,7 +146,8 @@
 	return c, false, nil
 }
 
-// release gives a connection back, to one who waits for it or to the idle ones.
+// release returns a connection to the pool: to a waiting acquire if there is one, else to the
+// idle connections.
 func (p *pool) release(c *conn) {
 	select {
 	case p.returned <- c:
@@ -156,7 +159,7 @@
 	p.idle = append(p.idle, c)
 }
 
-// discard closes a connection and frees its slot.
+// discard closes a connection, removes it from the pool and frees its slot.
 func (p *pool) discard(c *conn) {
 	_ = c.Close()
 	p.mu.Lock()
@@ -167,7 +170,7 @@
 	}
 }
 
-// close closes all connections. No other is opened any more.
+// close closes all connections. After it, the pool opens no new connection.
 func (p *pool) close() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/rehearsal/loadgen/relaydouble_test.go
+++ b/internal/rehearsal/loadgen/relaydouble_test.go
@@ -14,35 +14,40 @@
 	"troutusher/internal/emulator/loopback"
 )
 
-// relayDouble is a relay that does nothing but pass on: each message is taken on and
-// called out at once. What it costs is the least that any relay would.
+// relayDouble is the simplest relay: it accepts each message and delivers it at once, with no
+// log, queue or limiter. No real relay can use less CPU.
 type relayDouble struct {
-	ln   *net.TCPListener
-	addr func(dest int) string // of an endpoint of a destination; "" for none
-	says func(id string, n int) string
-	mu   sync.Mutex
-	idle map[string][]*doubleConn
-	got  []string
-	all  []net.Conn
+	ln *net.TCPListener
+	// endpointAddr returns the address of an endpoint of a destination; "" for none, and then
+	// the double doesn't deliver the message.
+	endpointAddr func(dest int) string
+	// reply returns the reply to the n-th submission, counted from 1. "" sends none, and
+	// "close" closes the connection.
+	reply    func(id string, n int) string
+	mu       sync.Mutex
+	idle     map[string][]*doubleConn // connections to endpoints, by address
+	received []string                 // ID and fields of each submission
+	conns    []net.Conn               // all connections, of clients and to endpoints
 }
 
+// doubleConn is a connection of a relayDouble to an endpoint.
 type doubleConn struct {
 	net.Conn
-	in *bufio.Reader
+	reader *bufio.Reader
 }
 
-func newRelayDouble(t testing.TB, addr func(dest int) string) *relayDouble {
+func newRelayDouble(t testing.TB, endpointAddr func(dest int) string) *relayDouble {
 	t.Helper()
 	ln, err := loopback.Listen(0)
 	if err != nil {
 		t.Fatal(err)
 	}
-	s := &relayDouble{ln: ln, addr: addr, idle: map[string][]*doubleConn{}}
+	d := &relayDouble{ln: ln, endpointAddr: endpointAddr, idle: map[string][]*doubleConn{}}
 	t.Cleanup(func() {
 		_ = ln.Close()
-		s.mu.Lock()
-		defer s.mu.Unlock()
-		for _, c := range s.all {
+		d.mu.Lock()
+		defer d.mu.Unlock()
+		for _, c := range d.conns {
 			_ = c.Close()
 		}
 	})
@@ -52,25 +57,26 @@
 			if err != nil {
 				return
 			}
-			s.mu.Lock()
-			s.all = append(s.all, c)
-			s.mu.Unlock()
-			go s.serve(c)
+			d.mu.Lock()
+			d.conns = append(d.conns, c)
+			d.mu.Unlock()
+			go d.serve(c)
 		}
 	}()
-	return s
+	return d
 }
 
-func (s *relayDouble) serve(c net.Conn) {
+// serve reads the submissions of a client's connection, and replies to each.
+func (d *relayDouble) serve(c net.Conn) {
 	defer func() { _ = c.Close() }()
-	in := bufio.NewReaderSize(c, 1024)
+	reader := bufio.NewReaderSize(c, 1024)
 	for {
 		var args [5][]byte
-		if _, err := in.ReadSlice('\n'); err != nil {
+		if _, err := reader.ReadSlice('\n'); err != nil {
 			return
 		}
 		for i := range args {
-			head, err := in.ReadSlice('\n')
+			head, err := reader.ReadSlice('\n')
 			if err != nil {
 				return
 			}
@@ -79,19 +85,19 @@
 				return
 			}
 			args[i] = make([]byte, n+2)
-			if _, err := io.ReadFull(in, args[i]); err != nil {
+			if _, err := io.ReadFull(reader, args[i]); err != nil {
 				return
 			}
 			args[i] = args[i][:n]
 		}
 		id := string(args[2])
-		s.mu.Lock()
-		s.got = append(s.got, fmt.Sprintf("%s %s", id, args[3]))
-		n := len(s.got)
-		s.mu.Unlock()
+		d.mu.Lock()
+		d.received = append(d.received, fmt.Sprintf("%s %s", id, args[3]))
+		n := len(d.received)
+		d.mu.Unlock()
 		reply := "+OK\r\n"
-		if s.says != nil {
-			reply = s.says(id, n)
+		if d.reply != nil {
+			reply = d.reply(id, n)
 		}
 		switch reply {
 		case "close":
@@ -102,45 +108,46 @@
 		if _, err := io.WriteString(c, reply); err != nil {
 			return
 		}
-		_, at, _ := bytes.Cut(args[3], []byte("dest="))
-		at, _, _ = bytes.Cut(at, []byte(","))
-		dest, _ := strconv.Atoi(string(at))
-		if s.addr == nil || reply[0] != '+' {
+		_, destText, _ := bytes.Cut(args[3], []byte("dest="))
+		destText, _, _ = bytes.Cut(destText, []byte(","))
+		dest, _ := strconv.Atoi(string(destText))
+		if d.endpointAddr == nil || reply[0] != '+' {
 			continue
 		}
-		if to := s.addr(dest); to != "" {
-			go s.call(to, id, args[4])
+		if addr := d.endpointAddr(dest); addr != "" {
+			go d.deliver(addr, id, args[4])
 		}
 	}
 }
 
-func (s *relayDouble) call(to, id string, body []byte) {
-	s.mu.Lock()
+// deliver calls the endpoint at addr, over an idle connection if there is one.
+func (d *relayDouble) deliver(addr, id string, body []byte) {
+	d.mu.Lock()
 	var c *doubleConn
-	if n := len(s.idle[to]); n > 0 {
-		c, s.idle[to] = s.idle[to][n-1], s.idle[to][:n-1]
+	if n := len(d.idle[addr]); n > 0 {
+		c, d.idle[addr] = d.idle[addr][n-1], d.idle[addr][:n-1]
 	}
-	s.mu.Unlock()
+	d.mu.Unlock()
 	if c == nil {
-		n, err := net.Dial("tcp4", to)
+		netConn, err := net.Dial("tcp4", addr)
 		if err != nil {
 			return
 		}
-		c = &doubleConn{n, bufio.NewReaderSize(n, 512)}
-		s.mu.Lock()
-		s.all = append(s.all, n)
-		s.mu.Unlock()
+		c = &doubleConn{netConn, bufio.NewReaderSize(netConn, 512)}
+		d.mu.Lock()
+		d.conns = append(d.conns, netConn)
+		d.mu.Unlock()
 	}
 	_, _ = fmt.Fprintf(c, "POST /v1/messages HTTP/1.1\r\nX-Request-ID: %s\r\nX-Timeout-Ms: 2000\r\n"+
 		"Content-Length: %d\r\n\r\n%s",
 		id, len(body), body)
-	resp, err := http.ReadResponse(c.in, nil)
+	resp, err := http.ReadResponse(c.reader, nil)
 	if err != nil {
 		_ = c.Close()
 		return
 	}
 	_, _ = io.Copy(io.Discard, resp.Body)
-	s.mu.Lock()
-	s.idle[to] = append(s.idle[to], c)
-	s.mu.Unlock()
+	d.mu.Lock()
+	d.idle[addr] = append(d.idle[addr], c)
+	d.mu.Unlock()
 }
--- a/internal/rehearsal/loadgen/submission.go
+++ b/internal/rehearsal/loadgen/submission.go
@@ -15,39 +15,40 @@
 
 const (
 	dialTimeout     = time.Second
-	relayRetryDelay = 50 * time.Millisecond // before another relay is tried
-	maxBackoffSteps = 10                    // times that a client's backoff doubles
-	backoffSpread   = 0.2                   // part of a wait that is drawn beside it
-	maxAdviceMS     = 1_000_000_000         // a longer Retry-After is damage
+	relayRetryDelay = 50 * time.Millisecond // before a client connects to another relay
+	maxBackoffSteps = 10                    // how often a client's backoff doubles at most
+	backoffJitter   = 0.2                   // largest random addition to a wait, as a share of it
+	maxRetryAfterMS = 1_000_000_000         // a longer Retry-After is treated as malformed
 )
 
-// Streams of draws.
+// Random streams of the plan's seed.
 const (
-	submissionIDStream  = 77
-	heedRetryStream     = 78 // whether a client heeds a Retry-After
-	backoffSpreadStream = 79
+	submissionIDStream    = 77
+	honorRetryAfterStream = 78 // whether a client waits for the time of a Retry-After
+	backoffJitterStream   = 79
 )
 
-// Fields that mark a submission as a repeated one.
+// Fields that state why a client submits a message again.
 const (
 	afterNoReply   = "again=1"
 	afterRejection = "r=1"
 )
 
-// submission is one attempt of a client to submit a message.
+// submission is one attempt of a client to submit a message. Each has an ID of its own.
 type submission struct {
 	id        string
-	message   int
+	message   int // index in the plan
 	relay     int
 	attempt   int
-	accepted  bool // its client has the reply
-	delivered bool // perhaps before its client had the reply
-	finished  bool // nothing more comes of it
+	accepted  bool // the client received the reply that accepts it
+	delivered bool // possibly before the client received the reply
+	finished  bool // later deliveries and notices are ignored
 }
 
-// submit submits a message once, to the first relay that takes a connection, and handles the
-// reply.
-func (d *Driver) submit(index, attempt int, mark string) {
+// submit submits a message to the first relay that accepts a connection, and handles the reply.
+// A relay that refuses the connection is skipped at the next pick. The message ends as
+// Unanswered if its deadline passes first.
+func (d *Driver) submit(index, attempt int, retryField string) {
 	avoided := noRelay
 	for {
 		left := d.timeLeft(index)
@@ -65,7 +66,7 @@
 		wait := min(dialTimeout, time.Duration(left)*time.Microsecond)
 		conn, reused, err := d.pools[relay].acquire(d.ctx, wait)
 		if err == nil {
-			d.send(d.newSubmission(index, attempt, relay), conn, reused, mark)
+			d.send(d.newSubmission(index, attempt, relay), conn, reused, retryField)
 			return
 		}
 		d.unserved.Add(1)
@@ -76,7 +77,7 @@
 	}
 }
 
-// sleep waits, and reports whether the driver still runs.
+// sleep waits. It returns false at once when the driver is closed, else true after the wait.
 func (d *Driver) sleep(wait time.Duration) bool {
 	timer := time.NewTimer(wait)
 	defer timer.Stop()
@@ -98,12 +99,12 @@
 	return s
 }
 
-// send sends a submission over a connection, and handles its reply. reused says that the
-// connection was kept open.
-func (d *Driver) send(s *submission, conn *conn, reused bool, mark string) {
+// send sends a submission over a connection, and handles its reply. reused reports whether the
+// connection was open before this submission.
+func (d *Driver) send(s *submission, conn *conn, reused bool, retryField string) {
 	arrival := &d.config.Plan.Arrivals[s.message]
 	left := d.timeLeft(s.message)
-	conn.request = appendSubmission(conn.request[:0], d.config.Plan, arrival, s.id, left, mark, d.body)
+	conn.request = appendSubmission(conn.request[:0], d.config.Plan, arrival, s.id, left, retryField, d.body)
 	d.config.Emit(event.Event{
 		At: d.config.Clock(), Kind: event.Submitted, ID: s.id, Message: s.message, Relay: s.relay, Left: left,
 	})
@@ -122,9 +123,10 @@
 	d.handleReply(s, reply, now)
 }
 
-// exchange sends a connection's request and reads the reply. A relay may have closed a
-// connection that was kept: then the request is sent once more over a new one. It returns the
-// connection that was used last, nil where that is closed.
+// exchange sends the request of the connection used and reads the reply. A relay may close an
+// idle connection at any time, so if a reused connection fails other than by a timeout,
+// exchange sends the request once more over a new connection. It returns the connection that it
+// used last, or nil if that is already closed.
 func (d *Driver) exchange(
 	relay int, used *conn, reused bool, deadline time.Time,
 ) (last *conn, written bool, reply string, err error) {
@@ -143,8 +145,8 @@
 	return fresh, written, reply, err
 }
 
-// handleNoReply handles a submission that was not answered: its client comes again. conn is
-// nil where it is closed already.
+// handleNoReply handles a submission that got no reply: it closes the connection, and the client
+// submits the message again. conn is nil if it is already closed.
 func (d *Driver) handleNoReply(s *submission, conn *conn, written bool, err error, now event.Time) {
 	if conn != nil {
 		d.pools[s.relay].discard(conn)
@@ -164,7 +166,7 @@
 
 // handleReply handles the reply to a submission.
 func (d *Driver) handleReply(s *submission, reply string, now event.Time) {
-	switch advice, busy := strings.CutPrefix(reply, "-BUSY"); {
+	switch retryAfterText, busy := strings.CutPrefix(reply, "-BUSY"); {
 	case reply != "" && reply[0] != '-':
 		d.config.Emit(event.Event{At: now, Kind: event.Accepted, ID: s.id})
 		d.mu.Lock()
@@ -175,7 +177,7 @@
 			d.finish(s.message, Delivered)
 		}
 	case busy:
-		retryAfter := parseRetryAfter(advice)
+		retryAfter := parseRetryAfter(retryAfterText)
 		d.setFinished(s)
 		d.config.Emit(event.Event{At: now, Kind: event.Rejected, ID: s.id, Wait: retryAfter})
 		d.handleRejection(s.message, s.attempt, retryAfter)
@@ -186,10 +188,11 @@
 	}
 }
 
-// parseRetryAfter reads the milliseconds after which a client may come again, 0 for none.
+// parseRetryAfter parses the number of milliseconds after which the client may submit again.
+// It returns 0 if there is no number or it is malformed.
 func parseRetryAfter(text string) event.Time {
 	ms, err := strconv.ParseInt(strings.TrimSpace(text), 10, 64)
-	if err != nil || ms < 0 || ms > maxAdviceMS {
+	if err != nil || ms < 0 || ms > maxRetryAfterMS {
 		return 0
 	}
 	return ms * 1000
@@ -201,9 +204,10 @@
 	s.finished = true
 }
 
-// handleRejection has a message's client come again after its backoff, or after the time
-// that it was told and heeds. It does not come at all after its last retry, or where the wait
-// is beyond the deadline.
+// handleRejection schedules the next submission of a rejected message. The client waits for its
+// exponential backoff, or, if it honors the Retry-After that it received, for that time. The
+// message ends as Rejected if the client has no retry left or if the wait would pass the
+// deadline.
 func (d *Driver) handleRejection(index, attempt int, retryAfter event.Time) {
 	d.mu.Lock()
 	d.messages[index].Rejections++
@@ -211,11 +215,12 @@
 	clients := &d.config.Plan.Scenario.Clients
 	steps := float64(min(attempt, maxBackoffSteps))
 	wait := scenario.Microseconds(clients.BackoffMS * math.Pow(2, steps))
-	if retryAfter > 0 && d.draw(heedRetryStream, index, attempt) < clients.RetryAfterShare {
+	if retryAfter > 0 && d.draw(honorRetryAfterStream, index, attempt) < clients.RetryAfterShare {
 		wait = retryAfter
 	}
-	// Those who were rejected together do not come again together.
-	wait += event.Time(float64(wait) * backoffSpread * d.draw(backoffSpreadStream, index, attempt))
+	// The jitter keeps clients that were rejected at the same time from submitting again at the
+	// same time.
+	wait += event.Time(float64(wait) * backoffJitter * d.draw(backoffJitterStream, index, attempt))
 	if attempt >= clients.Retries || wait >= d.timeLeft(index) {
 		d.finish(index, Rejected)
 		return
@@ -223,13 +228,15 @@
 	d.resubmit(index, attempt, afterRejection, wait)
 }
 
-// draw draws a number from 0 to 1 for an attempt of a message.
+// draw returns a random number between 0 and 1 for an attempt of a message. It is the same in
+// each run of a plan.
 func (d *Driver) draw(stream uint64, index, attempt int) float64 {
 	return seededrand.Float64(d.config.Plan.Seed, stream, uint64(index), uint64(attempt))
 }
 
-// resubmit submits a message anew after a wait, unless its client has come often enough.
-func (d *Driver) resubmit(index, attempt int, mark string, wait event.Time) {
+// resubmit submits a message again after a wait. The message ends as Unanswered if the client
+// has used up its retries.
+func (d *Driver) resubmit(index, attempt int, retryField string, wait event.Time) {
 	if attempt >= d.config.Plan.Scenario.Clients.Retries+1 {
 		d.finish(index, Unanswered)
 		return
@@ -238,12 +245,13 @@
 	go func() {
 		defer d.background.Done()
 		if d.sleep(time.Duration(wait) * time.Microsecond) {
-			d.submit(index, attempt+1, mark)
+			d.submit(index, attempt+1, retryField)
 		}
 	}()
 }
 
-// HandleEvent takes deliveries and notices from the rest of the rehearsal.
+// HandleEvent processes the deliveries and notices that the emulators report. It ignores all
+// other events.
 func (d *Driver) HandleEvent(e *event.Event) {
 	delivered := e.Kind == event.CallEnded && e.Status == event.StatusDelivered
 	if !delivered && e.Kind != event.NoticeReceived {
@@ -254,7 +262,7 @@
 	case s == nil:
 	case delivered && accepted:
 		d.finish(s.message, Delivered)
-	case delivered: // it ends for its client with the reply
+	case delivered: // handleReply ends the message when the client receives the reply
 	case e.Status == event.NoticeReturned:
 		d.handleRejection(s.message, s.attempt, e.Wait)
 	default:
@@ -262,8 +270,9 @@
 	}
 }
 
-// finishSubmission marks a submission as finished, and reports whether its client has the
-// reply. It returns nil where there is none, or where it was finished already.
+// finishSubmission marks a submission as finished, and reports whether the client received the
+// reply that accepts it. It returns nil if there is no such submission or if it was finished
+// before.
 func (d *Driver) finishSubmission(id string, delivered bool) (s *submission, accepted bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
