--- a/internal/rehearsal/report/build.go
+++ b/internal/rehearsal/report/build.go
@@ -14,7 +14,8 @@
 	"troutusher/internal/rehearsal/runner"
 )
 
-// add counts the result of one message.
+// add adds the result of one message. asked is the message's weight, and delivered the weight
+// that its delivery earned.
 func (s *Service) add(result *loadgen.Result, asked, delivered float64) {
 	s.Messages++
 	s.WeightAsked += asked
@@ -35,10 +36,10 @@
 	}
 }
 
-// setRatio sets the service ratio of the weights.
+// setRatio sets the service ratio from the weights.
 func (s *Service) setRatio() { s.ServiceRatio = ratio(s.WeightDelivered, s.WeightAsked) }
 
-// ratio returns part over total, or 1 of nothing.
+// ratio returns part / total, or 1 if total is 0: nothing was asked for, so nothing is missing.
 func ratio(part, total float64) float64 {
 	if total <= 0 {
 		return 1
@@ -46,13 +47,15 @@
 	return part / total
 }
 
-// worstWindowS is the length of the window whose service is reported as the worst.
+// worstWindowS is the length, in seconds, of the window that is searched for the lowest service
+// ratio.
 const worstWindowS = 10
 
-// nothingAsked is the service of a partner in a second in which it was asked for nothing.
-const nothingAsked = -1
+// serviceUndefined stands for a partner's service ratio in a second in which no message for it
+// arrived.
+const serviceUndefined = -1
 
-// New makes the report of a rehearsal.
+// New builds the report of a rehearsal from its outcome.
 func New(o *runner.Outcome, env replay.Environment) *Report {
 	p, s := o.Plan, o.Plan.Scenario
 	r := &Report{
@@ -84,7 +87,7 @@
 	return r
 }
 
-// addGroups adds the classes, portals and partners that results are added up by.
+// addGroups adds the groups by which results are summed up: classes, portals and partners.
 func (r *Report) addGroups(o *runner.Outcome) {
 	for _, class := range o.Plan.Scenario.Classes {
 		r.Classes = append(r.Classes, Group{Name: class.Name})
@@ -101,8 +104,8 @@
 	}
 }
 
-// addResults adds up the results, and returns the weights asked for and delivered, by
-// second and partner.
+// addResults adds each message's result to the totals and to its groups. It returns the weights
+// asked for and delivered, indexed by second of arrival and partner.
 func (r *Report) addResults(o *runner.Outcome) (asked, delivered [][]float64) {
 	seconds := int(math.Ceil(o.Plan.Scenario.LengthS))
 	asked, delivered = make([][]float64, seconds), make([][]float64, seconds)
@@ -129,7 +132,7 @@
 	return asked, delivered
 }
 
-// setRatios sets all service ratios.
+// setRatios sets the service ratio of the totals and of all groups.
 func (r *Report) setRatios() {
 	r.Service.setRatio()
 	for i := range r.Classes {
@@ -143,14 +146,14 @@
 	}
 }
 
-// addSeconds adds the weights and the partners' service of each second.
+// addSeconds adds each second's weights and the partners' service ratios.
 func (r *Report) addSeconds(asked, delivered [][]float64) {
 	for i := range asked {
 		second := Second{Partners: make([]float64, len(asked[i]))}
 		for partner := range asked[i] {
 			second.WeightAsked += asked[i][partner]
 			second.WeightDelivered += delivered[i][partner]
-			second.Partners[partner] = nothingAsked
+			second.Partners[partner] = serviceUndefined
 			if asked[i][partner] > 0 {
 				second.Partners[partner] = delivered[i][partner] / asked[i][partner]
 			}
@@ -165,7 +168,8 @@
 
 func milliseconds(t event.Time) float64 { return float64(t) / 1000 }
 
-// quantiles returns the quantiles of a latency; nothing where none was measured.
+// quantiles returns the quantiles, in ms, of a latency histogram in µs. They are 0 without a
+// histogram.
 func quantiles(h *hdrhistogram.Histogram) Quantiles {
 	if h == nil {
 		return Quantiles{}
@@ -174,7 +178,8 @@
 	return Quantiles{h.TotalCount(), at(50), at(90), at(99), at(99.9), milliseconds(h.Max())}
 }
 
-// worstWindow finds the window of so many seconds with the least service.
+// worstWindow returns the first window of length seconds with the lowest service ratio. If the
+// rehearsal is shorter than that, the window is the whole rehearsal.
 func worstWindow(all []Second, length int) Window {
 	worst := Window{ServiceRatio: 1}
 	for from := 0; from == 0 || from+length <= len(all); from++ {
@@ -190,7 +195,7 @@
 	return worst
 }
 
-// addFaults adds the faults as they were played.
+// addFaults adds the plan's faults, with the partners and relays that they affected.
 func (r *Report) addFaults(o *runner.Outcome) {
 	r.Faults = []Fault{}
 	for _, planned := range o.Plan.Faults {
@@ -211,7 +216,7 @@
 	}
 }
 
-// addRules adds all rules with their violations.
+// addRules adds all rules, each with its violations.
 func (r *Report) addRules(found []checker.Violation) {
 	for _, rule := range checker.Rules() {
 		result := RuleResult{Rule: string(rule), Violations: []Violation{}}
@@ -226,8 +231,9 @@
 	}
 }
 
-// setVerdict sets the verdict and its reasons. A kit that was late itself, or that could
-// not do what the plan says, proves nothing of the relays.
+// setVerdict sets the verdict and its reasons. If the load generator or the emulators were too
+// late, or could not carry out the plan, the run is invalid, because its result says nothing
+// about the relays.
 func (r *Report) setVerdict(o *runner.Outcome) {
 	r.Verdict = VerdictPassed
 	if n := r.ViolationCount(); n > 0 {
@@ -253,7 +259,7 @@
 	}
 }
 
-// addReason sets the verdict and adds why.
+// addReason sets the verdict and adds a reason for it.
 func (r *Report) addReason(verdict, reason string, args ...any) {
 	r.Verdict = verdict
 	r.Reasons = append(r.Reasons, fmt.Sprintf(reason, args...))
--- a/internal/rehearsal/report/compare.go
+++ b/internal/rehearsal/report/compare.go
@@ -9,8 +9,8 @@
 	"troutusher/internal/texttable"
 )
 
-// Compare writes how a report differs from an earlier one, and whether the difference in
-// service is beyond the noise of both.
+// Compare writes how a report differs from an earlier one, and whether the difference of the
+// service ratios is larger than the noise of the runs.
 func Compare(w io.Writer, before, after *Report) error {
 	b := &strings.Builder{}
 	fmt.Fprintf(b, "before: %s, seed %d, release %s; after: %s, seed %d, release %s\n", before.Scenario, before.Seed,
@@ -24,8 +24,8 @@
 	return err
 }
 
-// writeServiceComparison compares the services. Their noise is known where each was played
-// more than once.
+// writeServiceComparison compares the mean service ratios. The noise is only known if both
+// reports have more than one run.
 func writeServiceComparison(b *strings.Builder, before, after *Report) {
 	meanBefore, deviationBefore, runsBefore := before.Noise()
 	meanAfter, deviationAfter, runsAfter := after.Noise()
@@ -35,7 +35,7 @@
 			"(--repeat N)\n", meanBefore, meanAfter, difference)
 		return
 	}
-	// Welch's standard error of the difference of two means.
+	// The standard error of the difference of two means, as in Welch's t-test.
 	standardError := math.Sqrt(deviationBefore*deviationBefore/float64(runsBefore) +
 		deviationAfter*deviationAfter/float64(runsAfter))
 	judgement := "within the noise"
@@ -47,26 +47,27 @@
 		judgement, 2*standardError)
 }
 
-// comparison is a table of the figures of two reports.
+// comparison is a table that shows the figures of two reports side by side.
 type comparison struct{ *texttable.Table }
 
-// row adds a figure with its difference.
+// row adds a row for one figure: both values, formatted with format, and their difference.
 func (c comparison) row(name string, before, after float64, format string) {
 	c.Rowf("%s\t"+format+"\t"+format+"\t%+.3f\t", name, before, after, after-before)
 }
 
-// groups adds the services of groups that both reports have.
-func (c comparison) groups(what string, before, after []Group) {
+// groups adds a row with the service ratios of each group that both reports have. groupKind is
+// "class", "portal" or "partner".
+func (c comparison) groups(groupKind string, before, after []Group) {
 	for i := range after {
 		for j := range before {
 			if before[j].Name == after[i].Name {
-				c.row(what+" "+after[i].Name, before[j].ServiceRatio, after[i].ServiceRatio, "%.3f")
+				c.row(groupKind+" "+after[i].Name, before[j].ServiceRatio, after[i].ServiceRatio, "%.3f")
 			}
 		}
 	}
 }
 
-// comparisonTable returns a table of the figures of both.
+// comparisonTable returns the table of the figures of both reports.
 func comparisonTable(before, after *Report) string {
 	c := comparison{texttable.NewAlignedRight()}
 	c.Rowf("\tbefore\tafter\tdifference\t")
@@ -83,7 +84,7 @@
 	return c.String()
 }
 
-// partnerGroups returns the partners as groups.
+// partnerGroups returns the partners as groups, so that comparison.groups can compare them.
 func (r *Report) partnerGroups() []Group {
 	groups := make([]Group, len(r.Partners))
 	for i := range r.Partners {
@@ -92,7 +93,7 @@
 	return groups
 }
 
-// wastedCalls counts the calls that were not delivered.
+// wastedCalls returns the number of calls, to all partners, that delivered no message.
 func (r *Report) wastedCalls() (n int) {
 	for i := range r.Partners {
 		n += r.Partners[i].Wasted
--- a/internal/rehearsal/report/html.go
+++ b/internal/rehearsal/report/html.go
@@ -7,8 +7,8 @@
 	"strings"
 )
 
-// WriteHTML writes the report as one page that loads nothing else: no script, no font,
-// no address.
+// WriteHTML writes the report as a self-contained HTML page: it refers to no script, font or
+// other resource by a URL.
 func (r *Report) WriteHTML(w io.Writer) error {
 	b := &strings.Builder{}
 	escape := html.EscapeString
@@ -39,7 +39,7 @@
 	return err
 }
 
-// writeReasons lists why the rehearsal did not pass.
+// writeReasons writes the list of reasons why the rehearsal did not pass.
 func (r *Report) writeReasons(b *strings.Builder) {
 	if len(r.Reasons) == 0 {
 		return
@@ -51,7 +51,8 @@
 	b.WriteString("</ul>\n")
 }
 
-// writeSummary writes the service, the counts of messages and the noise.
+// writeSummary writes the service ratio, the counts of messages and, with several runs, their
+// noise.
 func (r *Report) writeSummary(b *strings.Builder) {
 	s := &r.Service
 	fmt.Fprintf(b, "<p class=\"big\">Service <b>%.3f</b> (floor %.2f): worth %.1f of %.1f; "+
@@ -78,7 +79,8 @@
 	"svg text{font:12px system-ui,sans-serif;fill:#39414f}\n" +
 	".broken{color:#b3261e}li{margin:.2em 0}"
 
-// writeTables writes the tables of groups, partners and latencies, and the rules.
+// writeTables writes the tables of classes, portals, partners and latencies, and the list of
+// rules.
 func (r *Report) writeTables(b *strings.Builder) {
 	writeGroupTable(b, "class", r.Classes)
 	writeGroupTable(b, "portal", r.Portals)
@@ -87,8 +89,8 @@
 	r.writeRuleList(b)
 }
 
-func writeGroupTable(b *strings.Builder, what string, groups []Group) {
-	fmt.Fprintf(b, "<table><tr><th>%s<th>messages<th>service<th>delivered<th>refused<th>failed</tr>", what)
+func writeGroupTable(b *strings.Builder, groupKind string, groups []Group) {
+	fmt.Fprintf(b, "<table><tr><th>%s<th>messages<th>service<th>delivered<th>refused<th>failed</tr>", groupKind)
 	for _, group := range groups {
 		fmt.Fprintf(b, "<tr><td>%s<td>%d<td>%.3f<td>%d<td>%d<td>%d</tr>", html.EscapeString(group.Name),
 			group.Messages, group.ServiceRatio, group.Delivered, group.Rejected, group.Failed)
--- a/internal/rehearsal/report/htmltimeline.go
+++ b/internal/rehearsal/report/htmltimeline.go
@@ -8,16 +8,17 @@
 	"strings"
 )
 
-// Sizes of the timeline, in the units of its drawing.
+// Dimensions of the timeline, in units of the SVG's viewBox.
 const (
 	pageWidth   = 980.0
 	labelWidth  = 150.0
-	rightMargin = 20.0 // room for the last label
+	rightMargin = 20.0 // keeps the last label of the time axis inside the drawing
 	rowHeight   = 26.0
 	plotHeight  = 120.0
 )
 
-// writeTimeline draws weights and faults over time, with a row for each partner.
+// writeTimeline writes an SVG of the weights and faults over time. Below the plot of the weights
+// it has a row for each partner and, if a fault affected relays, one for the relays.
 func (r *Report) writeTimeline(b *strings.Builder) {
 	c := &chart{Report: r, Builder: b, seconds: float64(max(len(r.Seconds), 1))}
 	relayRow := slices.ContainsFunc(r.Faults, func(f Fault) bool { return len(f.Relays) > 0 })
@@ -54,12 +55,12 @@
 	seconds float64
 }
 
-// xOf returns where a moment is drawn.
+// xOf returns the x coordinate of a time in seconds.
 func (c *chart) xOf(second float64) float64 {
 	return labelWidth + chartWidth*min(max(second/c.seconds, 0), 1)
 }
 
-// drawWeights draws the weights asked for and delivered, by second of arrival.
+// drawWeights draws bars of the weights asked for and delivered, by second of arrival.
 func (c *chart) drawWeights() {
 	highest := 1e-9
 	for _, second := range c.Seconds {
@@ -81,7 +82,7 @@
 	}
 }
 
-// drawAxis labels the time axis.
+// drawAxis draws the labels of the time axis.
 func (c *chart) drawAxis() {
 	step := math.Max(1, math.Ceil(c.seconds/12))
 	for second := 0.0; second <= c.seconds; second += step {
@@ -91,7 +92,7 @@
 	c.WriteString("\n")
 }
 
-// drawPartner draws a partner's row: its service by second, and its faults.
+// drawPartner draws the row of the i-th partner: its service ratio by second, and its faults.
 func (c *chart) drawPartner(i int) {
 	p := &c.Partners[i]
 	y := chartTop + rowHeight*float64(i)
@@ -117,7 +118,7 @@
 	c.WriteString("\n")
 }
 
-// drawRelays draws the row of faults of relays and lists.
+// drawRelays draws the row of the faults that affect relays or their endpoint lists.
 func (c *chart) drawRelays() {
 	y := chartTop + rowHeight*float64(len(c.Partners))
 	fmt.Fprintf(c.Builder, "<text x=\"0\" y=\"%.1f\">relays, list</text>", y+16)
@@ -128,7 +129,7 @@
 	}
 }
 
-// drawViolations draws a line at each violation of a rule.
+// drawViolations draws a vertical line at the time of each rule violation.
 func (c *chart) drawViolations(bottom float64) {
 	for _, rule := range c.Rules {
 		for _, v := range rule.Violations {
@@ -139,7 +140,8 @@
 	}
 }
 
-// drawFault draws a fault over a row.
+// drawFault draws a fault as a bar at height y. A short fault is drawn longer than it was, so
+// that it is visible.
 func (c *chart) drawFault(f *Fault, y float64) {
 	until := max(f.UntilS, f.FromS+0.15)
 	fmt.Fprintf(c.Builder, "<rect x=\"%.1f\" y=\"%.1f\" width=\"%.1f\" height=\"4\" fill=\"#1c2330\" "+
@@ -147,7 +149,8 @@
 		c.xOf(f.FromS), y, max(c.xOf(until)-c.xOf(f.FromS), 2), html.EscapeString(f.Kind), f.FromS, f.UntilS)
 }
 
-// heatColor returns the colour of a service, from red to green; grey where nothing was asked for.
+// heatColor returns the color of a service ratio, from red (0) to green (1), or grey if nothing
+// was asked for.
 func heatColor(service float64) string {
 	if service < 0 {
 		return "#eef0f3"
@@ -155,6 +158,7 @@
 	return fmt.Sprintf("hsl(%.0f 55%% 55%%)", 130*min(max(service, 0), 1))
 }
 
+// serviceText returns the tooltip text of a service ratio.
 func serviceText(service float64) string {
 	if service < 0 {
 		return "nothing asked for"
--- a/internal/rehearsal/report/join.go
+++ b/internal/rehearsal/report/join.go
@@ -7,8 +7,9 @@
 	"slices"
 )
 
-// Join makes one report of several runs of one plan: the figures of the run with the
-// median service, the worst verdict, the violations of all and the service of each.
+// Join combines the reports of several runs of one plan into one. It has the figures of the run
+// with the median service ratio, the worst verdict, the violations and reasons of all runs, and
+// the service ratio of each run.
 func Join(runs []*Report) *Report {
 	sorted := slices.Clone(runs)
 	slices.SortStableFunc(sorted, func(a, b *Report) int {
@@ -40,8 +41,8 @@
 	return &joined
 }
 
-// Noise returns the mean of the runs' service, its standard deviation (of a sample, n-1)
-// and their number. The deviation of one run is not known: it is 0.
+// Noise returns the mean of the runs' service ratios, their sample standard deviation (divisor
+// n-1) and the number of runs. The deviation of a single run is unknown and returned as 0.
 func (r *Report) Noise() (mean, deviation float64, runs int) {
 	if len(r.Runs) == 0 {
 		return r.Service.ServiceRatio, 0, 0
--- a/internal/rehearsal/report/json.go
+++ b/internal/rehearsal/report/json.go
@@ -9,39 +9,40 @@
 	"slices"
 )
 
-// WriteJSON writes the report's JSON form.
+// WriteJSON writes the report as indented JSON, which ReadJSON reads.
 func (r *Report) WriteJSON(w io.Writer) error {
 	enc := json.NewEncoder(w)
 	enc.SetIndent("", " ")
 	return enc.Encode(r)
 }
 
-// ReadJSON reads a report; the error names the byte.
+// ReadJSON reads and checks a report in JSON. An error in the JSON itself states the byte
+// offset.
 func ReadJSON(in io.Reader) (*Report, error) {
 	text, err := io.ReadAll(io.LimitReader(in, maxFileBytes+1))
 	if err != nil {
-		return nil, fmt.Errorf("report: %w", err)
+		return nil, fmt.Errorf("report: read: %w", err)
 	}
 	if len(text) > maxFileBytes {
-		return nil, fmt.Errorf("report: more than %d bytes", maxFileBytes)
+		return nil, fmt.Errorf("report: larger than the limit of %d bytes", maxFileBytes)
 	}
 	r := &Report{}
 	if err := json.Unmarshal(text, r); err != nil {
 		var syntax *json.SyntaxError
-		var typed *json.UnmarshalTypeError
+		var wrongType *json.UnmarshalTypeError
 		switch {
 		case errors.As(err, &syntax):
 			return nil, fmt.Errorf("report: byte %d: %w", syntax.Offset, err)
-		case errors.As(err, &typed):
-			return nil, fmt.Errorf("report: byte %d: %s: %w", typed.Offset, typed.Field, err)
+		case errors.As(err, &wrongType):
+			return nil, fmt.Errorf("report: byte %d: field %q: %w", wrongType.Offset, wrongType.Field, err)
 		}
-		return nil, fmt.Errorf("report: %w", err)
+		return nil, fmt.Errorf("report: decode JSON: %w", err)
 	}
 	switch {
 	case r.Format != formatName:
 		return nil, fmt.Errorf("report: not a report: format %.40q, want %q", r.Format, formatName)
 	case r.Version > Version:
-		return nil, fmt.Errorf("report: version %d, this release reads up to %d", r.Version, Version)
+		return nil, fmt.Errorf("report: version %d, but this release reads up to %d", r.Version, Version)
 	case r.Version < 1:
 		return nil, fmt.Errorf("report: version %d, want 1 to %d", r.Version, Version)
 	}
@@ -53,7 +54,7 @@
 	return r, nil
 }
 
-// Load reads a report's file.
+// Load reads a report from a file.
 func Load(path string) (*Report, error) {
 	f, err := os.Open(path)
 	if err != nil {
@@ -63,4 +64,5 @@
 	return ReadJSON(f)
 }
 
+// maxFileBytes limits the memory that reading a report takes.
 const maxFileBytes = 64 << 20
--- a/internal/rehearsal/report/report.go
+++ b/internal/rehearsal/report/report.go
@@ -1,7 +1,7 @@
-// Package report turns the outcome of a rehearsal into a report: the service, which is the
-// weight delivered over the weight asked for, violations of rules, calls and latencies;
-// as text, as JSON and as one HTML page that opens offline. It must never touch a relay
-// or an emulator.
+// Package report turns the outcome of a rehearsal into a report and writes it as text, as JSON
+// or as one HTML page that opens offline. A report has the service ratio (the weight delivered
+// divided by the weight asked for), the rule violations, the calls and the latencies. The
+// package works on recorded outcomes only and never accesses a relay or an emulator.
 package report
 
 import (
@@ -9,11 +9,11 @@
 	"troutusher/internal/rehearsal/runner"
 )
 
-// Version is the version of the JSON form.
+// Version is the version of the JSON format.
 const Version = 1
 
-// Report is the report of a rehearsal. Times are in the units that their keys end in;
-// shares and service ratios are from 0 to 1.
+// Report is the report of a rehearsal. The suffix of a JSON key states the unit of a time.
+// Shares and service ratios are between 0 and 1.
 type Report struct {
 	Format           string             `json:"format"`
 	Version          int                `json:"version"`
@@ -22,7 +22,7 @@
 	Seed             uint64             `json:"seed"`
 	Environment      replay.Environment `json:"environment"`
 	Verdict          string             `json:"verdict"` // passed, failed or void
-	Reasons          []string           `json:"reasons"` // why it is not passed
+	Reasons          []string           `json:"reasons"` // why the verdict is not passed
 	MinService       float64            `json:"floor"`
 	Service          Service            `json:"service"`
 	WorstWindow      Window             `json:"worst_10_s"`
@@ -31,18 +31,18 @@
 	Partners         []Partner          `json:"partners"`
 	Rules            []RuleResult       `json:"rules"`
 	RelayFailures    []string           `json:"crashes"`
-	ReplyLatency     Quantiles          `json:"answers_ms"`  // from the planned moment to the first answer
-	DeliveryLatency  Quantiles          `json:"delivery_ms"` // from the planned moment to the delivery
+	ReplyLatency     Quantiles          `json:"answers_ms"`  // from the planned arrival to the first reply
+	DeliveryLatency  Quantiles          `json:"delivery_ms"` // from the planned arrival to the delivery
 	Lateness         Lateness           `json:"late_ms"`
 	MemoryKB         []int              `json:"relay_memory_kb"`
 	Restarts         RestartCounts      `json:"untried_at_restart"`
-	UnservedRequests int                `json:"door"` // requests that met a connection refused, reset, or closed unread
+	UnservedRequests int                `json:"door"` // connection refused, reset or closed without a reply
 	Seconds          []Second           `json:"seconds"`
 	Faults           []Fault            `json:"faults"`
-	Runs             []float64          `json:"runs"` // service of each run, where it was played several times
+	Runs             []float64          `json:"runs"` // service ratio of each run of the plan; one or more
 }
 
-// Service counts messages and their weight.
+// Service has the counts and the weights of a set of messages.
 type Service struct {
 	ServiceRatio    float64 `json:"service"`
 	WeightAsked     float64 `json:"worth_asked"`
@@ -53,7 +53,7 @@
 	Failed          int     `json:"failed"`
 	Unanswered      int     `json:"unheard"`
 	Pending         int     `json:"pending"`
-	Rejections      int     `json:"refusals"` // all of them, also those of messages that were submitted again
+	Rejections      int     `json:"refusals"` // of all submissions, so a message may count several times
 	Submissions     int     `json:"hand_ins"`
 }
 
@@ -63,46 +63,46 @@
 	Service
 }
 
-// Partner is the service of a partner, and the calls that came to it.
+// Partner is the service of a partner, and the calls that its endpoints received.
 type Partner struct {
 	Name        string `json:"name"`
 	Destination int    `json:"dest"`
 	Endpoints   int    `json:"endpoints"`
 	Service
 	Calls  runner.CallCounts `json:"calls"`
-	Wasted int               `json:"wasted"` // calls that were not delivered
+	Wasted int               `json:"wasted"` // calls that delivered no message
 }
 
-// RestartCounts says what became of the messages that restarts recovered with no attempt
-// and with half of their time left.
+// RestartCounts counts the messages that restarted relays recovered before any attempt and with
+// at least half of the time to their deadline left.
 type RestartCounts struct {
 	Unattempted int `json:"found"`
-	Attempted   int `json:"tried"`
-	Ended       int `json:"ended"` // with no attempt
+	Attempted   int `json:"tried"` // afterwards
+	Ended       int `json:"ended"` // without an attempt
 }
 
-// Window is a span of the rehearsal.
+// Window is the service ratio of a window of the rehearsal.
 type Window struct {
 	FromS        int     `json:"from_s"`
 	ServiceRatio float64 `json:"service"`
 }
 
-// RuleResult has the violations of a rule.
+// RuleResult is a rule with its violations.
 type RuleResult struct {
 	Rule       string      `json:"rule"`
 	Violations []Violation `json:"broken"`
 }
 
-// Violation is one time that a rule was broken.
+// Violation is one violation of a rule.
 type Violation struct {
 	AtS      float64 `json:"at_s"`
 	Message  string  `json:"message,omitempty"`
-	Planned  int     `json:"planned"` // number in the plan; -1 for none
+	Planned  int     `json:"planned"` // index of the message in the plan; -1 for none
 	Relay    int     `json:"relay"`   // from 1; 0 for none
 	Evidence string  `json:"evidence"`
 }
 
-// Quantiles of a latency.
+// Quantiles are the quantiles of a latency in ms.
 type Quantiles struct {
 	Count int64   `json:"count"`
 	P50   float64 `json:"p50"`
@@ -112,21 +112,22 @@
 	Max   float64 `json:"max"`
 }
 
-// Lateness is how late the kit itself was, at the 99th percentile.
+// Lateness is how late the load generator and the emulators were, in ms at the 99th percentile.
+// Above Limit the run is invalid.
 type Lateness struct {
 	Driver    float64 `json:"driver_p99"`
 	Emulators float64 `json:"stand_ins_p99"`
 	Limit     float64 `json:"most"`
 }
 
-// Second is one second of planned arrivals.
+// Second sums up the messages that were planned to arrive in one second.
 type Second struct {
 	WeightAsked     float64   `json:"asked"`
 	WeightDelivered float64   `json:"earned"`
-	Partners        []float64 `json:"partners"` // service ratio of each; -1 where nothing was asked for
+	Partners        []float64 `json:"partners"` // service ratio of each; -1 if nothing was asked for
 }
 
-// Fault is a fault as it was played.
+// Fault is a fault of the plan, with the partners and relays that it affected.
 type Fault struct {
 	Kind     string  `json:"kind"`
 	FromS    float64 `json:"from_s"`
@@ -135,17 +136,18 @@
 	Relays   []int   `json:"relays"`   // from 1
 }
 
-// formatName is the report's format.
+// formatName identifies the format in a report's JSON.
 const formatName = "troutusher-rehearsal-report"
 
-// Verdicts. A rehearsal is invalid where the kit itself was too late or failed.
+// Verdicts. A rehearsal is invalid if the load generator or the emulators were too late or
+// failed.
 const (
 	VerdictPassed  = "passed"
 	VerdictFailed  = "failed"
 	VerdictInvalid = "void"
 )
 
-// ViolationCount counts the violations of all rules.
+// ViolationCount returns the number of violations of all rules.
 func (r *Report) ViolationCount() (n int) {
 	for _, rule := range r.Rules {
 		n += len(rule.Violations)
@@ -153,7 +155,7 @@
 	return n
 }
 
-// latency is a latency with its name in texts.
+// latency is a latency with its name in tables.
 type latency struct {
 	name      string
 	quantiles Quantiles
--- a/internal/rehearsal/report/stored_test.go
+++ b/internal/rehearsal/report/stored_test.go
@@ -12,10 +12,11 @@
 	"troutusher/internal/rehearsal/runner"
 )
 
-var updateFixtures = flag.Bool("update-fixtures", false, "write the stored reports anew")
+var updateFixtures = flag.Bool("update-fixtures", false, "overwrite the stored reports with the current output")
 
-// TestStoredReports: the text, JSON and HTML of a failed rehearsal and of a comparison
-// stay what they were, to the byte.
+// TestStoredReports compares the text, JSON and HTML of reports, and the text of comparisons, byte
+// by byte with the files in testdata. It also reads the stored JSON and writes it again. It guards
+// against unintended changes of the formats that users and their tools read.
 func TestStoredReports(t *testing.T) {
 	o := testOutcome(t)
 	o.Restarts = checker.RestartCounts{Unattempted: 12, Attempted: 9, Ended: 3}
@@ -38,13 +39,13 @@
 	})
 	failed, passed := New(o, testEnvironment), New(testOutcome(t), testEnvironment)
 	o.KitErrors = []string{"a port"}
-	void := New(o, testEnvironment)
+	invalid := New(o, testEnvironment)
 	joined := Join([]*Report{passed, failed, passed})
 	for name, write := range map[string]func(io.Writer) error{
 		"failed.txt":  failed.WriteText,
 		"failed.json": failed.WriteJSON,
 		"failed.html": failed.WriteHTML,
-		"void.txt":    void.WriteText,
+		"void.txt":    invalid.WriteText,
 		"joined.txt":  joined.WriteText,
 		"joined.html": joined.WriteHTML,
 		"compare.txt": func(w io.Writer) error { return Compare(w, passed, failed) },
@@ -67,21 +68,22 @@
 			t.Fatal(err)
 		}
 		if !bytes.Equal(got.Bytes(), want) {
-			t.Errorf("%s is written as\n%s\nwant\n%s", name, got.Bytes(), want)
+			t.Errorf("%s: got\n%s\nwant\n%s", name, got.Bytes(), want)
 		}
 	}
 	stored, err := Load(filepath.Join("testdata", "failed.json"))
 	if err != nil {
 		t.Fatal(err)
 	}
-	var again bytes.Buffer
-	if err := stored.WriteJSON(&again); err != nil {
+	var rewritten bytes.Buffer
+	if err := stored.WriteJSON(&rewritten); err != nil {
 		t.Fatal(err)
 	}
 	if want, err := os.ReadFile(
 		filepath.Join("testdata", "failed.json"),
 	); err != nil ||
-		!bytes.Equal(again.Bytes(), want) {
-		t.Errorf("read and written again it is\n%s\n%v", again.Bytes(), err)
+		!bytes.Equal(rewritten.Bytes(), want) {
+		t.Errorf("failed.json after Load and WriteJSON: got\n%s\nwant the stored file (read error: %v)",
+			rewritten.Bytes(), err)
 	}
 }
--- a/internal/rehearsal/report/text.go
+++ b/internal/rehearsal/report/text.go
@@ -8,9 +8,11 @@
 	"troutusher/internal/texttable"
 )
 
+// maxViolationsShown is the number of violations of a rule that the text form lists. JSON and
+// HTML list all.
 const maxViolationsShown = 5
 
-// WriteText writes the report for a terminal.
+// WriteText writes the report as text for a terminal.
 func (r *Report) WriteText(w io.Writer) error {
 	b := &strings.Builder{}
 	fmt.Fprintf(b, "%s (seed %d): %s\n\n", r.Scenario, r.Seed, r.About)
