--- a/internal/rehearsal/idlebench/clients.go
+++ b/internal/rehearsal/idlebench/clients.go
@@ -20,24 +20,24 @@
 
 const (
 	openConcurrency         = 64
-	maxConnectionsPerSource = 10_000 // from one address, which has few more ports
+	maxConnectionsPerSource = 10_000 // per source address, well below the number of its ephemeral ports
 	openTimeout             = 5 * time.Second
 	replyTimeout            = 5 * time.Second
-	redialDelay             = 5 * time.Millisecond
+	redialDelay             = 5 * time.Millisecond // of an active client whose dial failed
 
-	burstLength       = time.Second
-	burstLeadIn       = 200 * time.Millisecond // in which the goroutines of a burst start
+	burstLength       = time.Second            // over which the messages of a burst are spread
+	burstLeadIn       = 200 * time.Millisecond // before a burst, for its goroutines to start
 	burstReplyTimeout = 20 * time.Second
 
-	idleBufferSize  = 16 // of a connection that reads a PONG
+	idleBufferSize  = 16 // enough to read a PONG
 	burstBufferSize = 64
 
 	replyOK   = "+OK"
 	replyBusy = "-BUSY"
 )
 
-// openIdle opens connections, each of which sends one PING. It returns those that could be
-// opened, and the last error.
+// openIdle opens n connections, each of which sends one PING. It returns the connections that
+// could be opened, and the error of the last one that could not.
 func (r *relay) openIdle(n int) (conns []net.Conn, lastErr error) {
 	var mu sync.Mutex
 	var openers sync.WaitGroup
@@ -62,7 +62,8 @@
 	return conns, lastErr
 }
 
-// openOne opens a connection that sends one PING.
+// openOne opens a connection, sends one PING and reads the reply. index selects the source
+// address.
 func (r *relay) openOne(index int) (net.Conn, error) {
 	conn, err := r.dial(index)
 	if err != nil {
@@ -72,26 +73,27 @@
 		_ = conn.Close()
 		return nil, err
 	}
-	_ = conn.SetDeadline(time.Time{}) // a connection that is closed is counted in the burst
+	_ = conn.SetDeadline(time.Time{}) // if the connection is closed, runBurst counts that
 	return conn, nil
 }
 
-// dial connects from an address that is shared by maxConnectionsPerSource connections.
+// dial connects to the relay. Up to maxConnectionsPerSource connections share a source address,
+// because one address has too few ports for all.
 func (r *relay) dial(index int) (net.Conn, error) {
 	host := net.ParseIP(loopback.Host()).To4()
 	source := net.IPv4(host[0], host[1]^1, host[2], byte(1+index/maxConnectionsPerSource))
 	dialer := net.Dialer{LocalAddr: &net.TCPAddr{IP: source}, Timeout: openTimeout}
 	conn, err := dialer.Dial("tcp4", r.addr)
 	if err != nil && !errors.Is(err, syscall.ECONNREFUSED) {
-		dialer.LocalAddr = nil // the rest of 127.0.0.0/8 may not be set up
+		dialer.LocalAddr = nil // other addresses of 127.0.0.0/8 may not be available on this host
 		conn, err = dialer.Dial("tcp4", r.addr)
 	}
 	return conn, err
 }
 
-// clientCounts is what active clients saw.
+// clientCounts counts the replies to active clients.
 type clientCounts struct {
-	accepted, rejected, late int
+	accepted, rejected, late int                     // late ones are also counted as accepted or rejected
 	latency                  *hdrhistogram.Histogram // µs
 }
 
@@ -102,7 +104,8 @@
 	c.latency.Merge(other.latency)
 }
 
-// runClients has the active clients send one message after another.
+// runClients runs the active clients for options.Length, and stores their counts and rates and
+// the relay's CPU use in result.
 func (r *relay) runClients(ctx context.Context, options *Options, result *Result) {
 	total := clientCounts{latency: newHistogram()}
 	var mu sync.Mutex
@@ -130,7 +133,8 @@
 	}
 }
 
-// runClient sends one message after another over a connection until end.
+// runClient sends one message after another over one connection until end. It reconnects after a
+// failed round trip.
 func (r *relay) runClient(ctx context.Context, options *Options, index int, end time.Time) *clientCounts {
 	counts := &clientCounts{latency: newHistogram()}
 	var conn net.Conn
@@ -152,7 +156,7 @@
 			continue
 		}
 		elapsed := time.Since(start)
-		_ = counts.latency.RecordValue(elapsed.Microseconds()) // replyTimeout is within the range
+		_ = counts.latency.RecordValue(elapsed.Microseconds()) // no error: replyTimeout is within the histogram's range
 		if elapsed > options.Patience {
 			counts.late++
 		}
@@ -168,7 +172,7 @@
 	return counts
 }
 
-// runBurst has every idle connection send a message, spread over burstLength.
+// runBurst sends one message over each idle connection, spread evenly over burstLength.
 func (r *relay) runBurst(options *Options, idle []net.Conn) *BurstResult {
 	result := &BurstResult{Sent: len(idle), ReplyLatency: newHistogram()}
 	var mu sync.Mutex
@@ -194,13 +198,13 @@
 	return result
 }
 
-// add counts the reply to one message of a burst.
+// add counts the reply to one message of a burst, or its error.
 func (b *BurstResult) add(reply string, err error, elapsed, patience time.Duration) {
 	if err != nil {
 		b.Closed++
 		return
 	}
-	_ = b.ReplyLatency.RecordValue(elapsed.Microseconds()) // what is beyond the range is left out
+	_ = b.ReplyLatency.RecordValue(elapsed.Microseconds()) // a value beyond the histogram's range is dropped
 	if elapsed > patience {
 		b.Late++
 	}
--- a/internal/rehearsal/idlebench/endpoint.go
+++ b/internal/rehearsal/idlebench/endpoint.go
@@ -11,16 +11,17 @@
 	"troutusher/internal/emulator/loopback"
 )
 
-// endpoint answers every call at once.
+// endpoint is an HTTP server that answers every call at once with status 200.
 type endpoint struct {
 	listener net.Listener
 	calls    atomic.Int64
 	serving  sync.WaitGroup
 
 	mu    sync.Mutex
-	conns map[net.Conn]bool // that are open
+	conns map[net.Conn]bool // the open ones
 }
 
+// startEndpoint starts an endpoint on a free port of the loopback interface.
 func startEndpoint() (*endpoint, error) {
 	listener, err := loopback.Listen(0)
 	if err != nil {
@@ -32,7 +33,7 @@
 	return e, nil
 }
 
-// accept serves connections until the listener is closed.
+// accept accepts and serves connections until the listener is closed.
 func (e *endpoint) accept() {
 	defer e.serving.Done()
 	for {
@@ -73,7 +74,7 @@
 	}
 }
 
-// close ends all connections and waits for their goroutines.
+// close closes the listener and all connections, and waits for their goroutines to end.
 func (e *endpoint) close() {
 	_ = e.listener.Close()
 	e.mu.Lock()
--- a/internal/rehearsal/idlebench/idlebench.go
+++ b/internal/rehearsal/idlebench/idlebench.go
@@ -1,7 +1,8 @@
-// Package idlebench measures what many idle connections cost a relay. It starts a real
-// relay process, opens connections that send one PING and then nothing, and measures memory
-// and CPU; then how many messages one core carries beside them, and what comes of a message
-// from each of them within one second. It takes no part in rehearsals and checks no rules.
+// Package idlebench measures the memory and CPU that many idle client connections cost a relay.
+// It starts a real relay process and opens connections that send one PING and then nothing. It
+// measures the relay's memory and idle CPU, then the throughput of active clients beside the idle
+// connections, and last the replies to a burst of one message from each idle connection within one
+// second. It takes no part in rehearsals and checks no rules.
 package idlebench
 
 import (
@@ -17,78 +18,82 @@
 	"troutusher/internal/event"
 )
 
-// Options say what is measured.
+// Options configure a measurement.
 type Options struct {
-	Command       []string      // starts the relay
-	Env           []string      // more of its environment
-	Dir           string        // for its files; a new one each time
-	Idle          int           // connections
-	Length        time.Duration // of each part
-	ActiveClients int           // each sends one message after another
-	Patience      time.Duration // how long a client waits for a reply
-	MemoryMB      int           // the relay's limit
-
-	// WithOperatorFile says that the relay reads an operator's file. One of an early
-	// release does not, and closes idle connections after 4 s.
+	Command       []string      // program and arguments that start the relay
+	Env           []string      // additional environment of the relay, as KEY=value
+	Dir           string        // directory of the relay's files; a new one for each measurement
+	Idle          int           // number of idle connections
+	Length        time.Duration // of the idle part and of the part with active clients
+	ActiveClients int           // number of clients that each send one message after another
+	Patience      time.Duration // a reply that takes longer counts as late
+	MemoryMB      int           // the relay's memory limit
+
+	// WithOperatorFile states that the relay reads an operator's file. Relays of early releases
+	// do not, and close idle connections after 4 s, so the idle CPU and the burst are then not
+	// measured.
 	WithOperatorFile bool
 
-	// OnProgress, if set, is called with what comes next.
+	// OnProgress, if set, is called with a description of the part that begins next.
 	OnProgress func(string)
 }
 
-// Result is what was measured.
+// Result has the figures of a measurement.
 type Result struct {
-	Idle               int // connections that were open at the end
-	BaseKB             int // resident memory before them
-	IdleKB             int // resident memory with them
-	PeakKB             int // most resident memory
-	BytesPerConnection float64
-	OpenDuration       time.Duration // of opening all connections
-	IdleCores          float64       // CPU of the relay while nothing happens
-
-	// What follows is of the part in which the clients were active.
+	Idle               int           // number of idle connections
+	BaseKB             int           // resident memory before they were opened
+	IdleKB             int           // resident memory while they were idle
+	PeakKB             int           // peak resident memory
+	BytesPerConnection float64       // increase of resident memory per idle connection
+	OpenDuration       time.Duration // time to open all connections
+	IdleCores          float64       // CPU cores that the relay uses while all connections are idle
+
+	// Figures of the part with active clients.
 	AcceptedPerSecond  float64 // messages
 	DeliveredPerSecond float64 // messages
 	Rejected           int
 	ReplyLatency       *hdrhistogram.Histogram // µs
-	LateShare          float64                 // replies after Patience
-	RelayCores         float64                 // CPU of the relay
+	LateShare          float64                 // share of the replies that took longer than Patience
+	RelayCores         float64                 // CPU cores that the relay used
 
-	Burst *BurstResult // nil where it was not measured
+	Burst *BurstResult // nil if it was not measured
 }
 
-// BurstResult is what came of a message from each idle connection within one second.
+// BurstResult has the figures of the burst: one message from each idle connection within one
+// second.
 type BurstResult struct {
 	Sent             int
 	Accepted         int
 	Rejected         int
-	RejectedWithTime int                     // of Rejected, those told when to come again
-	Late             int                     // replies after Patience
-	Closed           int                     // connections that were closed without a reply
+	RejectedWithTime int                     // of Rejected, those with a Retry-After
+	Late             int                     // replies that took longer than Patience
+	Closed           int                     // connections that failed without a reply
 	ReplyLatency     *hdrhistogram.Histogram // µs
 	Duration         time.Duration           // from the first message to the last reply
-	PeakKB           int                     // most resident memory
+	PeakKB           int                     // peak resident memory
 }
 
 const (
 	maxLatencyMicros = 60 * int64(time.Second/time.Microsecond)
 	histogramDigits  = 3
 
-	spareDescriptors = 400     // of this process, beside its connections
-	endpointRate     = 100_000 // calls a second that the endpoint is said to bear
+	spareDescriptors = 400     // file descriptors of this process in addition to its connections
+	endpointRate     = 100_000 // capacity, in calls per second, that the registry states for the endpoint
 
-	currentMemory = "VmRSS:" // of proc(5)
+	// Fields of /proc/PID/status.
+	currentMemory = "VmRSS:"
 	peakMemory    = "VmHWM:"
 )
 
-// errExitZero is the end of a process that should still run.
+// errExitZero is the error for a relay process that exited with status 0 but should still run.
 var errExitZero = errors.New("exit status 0")
 
+// newHistogram returns an empty histogram of latencies in µs.
 func newHistogram() *hdrhistogram.Histogram {
 	return hdrhistogram.New(1, maxLatencyMicros, histogramDigits)
 }
 
-// Measure starts a relay and measures it.
+// Measure starts a relay with one destination and one endpoint, measures it and stops it.
 func Measure(ctx context.Context, options Options) (*Result, error) {
 	if options.OnProgress == nil {
 		options.OnProgress = func(string) {}
@@ -115,17 +120,19 @@
 	return r.measure(ctx, &options)
 }
 
-// checkDescriptors returns an error where this process may not have enough of them.
+// checkDescriptors returns an error if this process may open too few file descriptors for the
+// connections.
 func checkDescriptors(options *Options) error {
 	needed := uint64(options.Idle + options.ActiveClients + spareDescriptors)
 	var limit syscall.Rlimit
 	if err := syscall.Getrlimit(syscall.RLIMIT_NOFILE, &limit); err == nil && needed > limit.Cur {
-		return fmt.Errorf("crowd: %d connections, and a process may have %d descriptors here", options.Idle, limit.Cur)
+		return fmt.Errorf("open %d idle connections: need %d file descriptors, limit is %d",
+			options.Idle, needed, limit.Cur)
 	}
 	return nil
 }
 
-// startRegistry starts a registry whose list names one endpoint.
+// startRegistry starts a registry whose endpoint list has one endpoint.
 func startRegistry(endpointAddr string) (*registry.Registry, error) {
 	start := time.Now()
 	return registry.New(registry.Config{
@@ -141,7 +148,7 @@
 	})
 }
 
-// measure goes through the parts of the measurement.
+// measure runs the parts of the measurement one after another.
 func (r *relay) measure(ctx context.Context, options *Options) (*Result, error) {
 	result := &Result{}
 	r.waitIdle(ctx)
@@ -155,16 +162,16 @@
 	}()
 	result.OpenDuration = time.Since(start)
 	if len(idle) < options.Idle {
-		return nil, fmt.Errorf("crowd: only %d of %d connections could be opened: %w", len(idle), options.Idle, openErr)
+		return nil, fmt.Errorf("open idle connections: only %d of %d succeeded: %w", len(idle), options.Idle, openErr)
 	}
-	options.OnProgress(fmt.Sprintf("%d connections open", len(idle)))
+	options.OnProgress(fmt.Sprintf("%d idle connections open, measuring memory and CPU", len(idle)))
 	if err := r.measureIdle(ctx, options, result); err != nil {
 		return nil, err
 	}
-	options.OnProgress("clients ask")
+	options.OnProgress("active clients submit messages")
 	r.runClients(ctx, options, result)
 	if options.Idle > 0 && options.WithOperatorFile {
-		options.OnProgress("all ask within a second")
+		options.OnProgress("each idle connection submits one message within a second")
 		result.Burst = r.runBurst(options, idle)
 		result.Burst.PeakKB = r.memoryKB(peakMemory)
 	}
@@ -172,14 +179,16 @@
 	result.PeakKB = r.memoryKB(peakMemory)
 	select {
 	case err := <-r.exited:
-		r.exited <- err // for close
-		return nil, fmt.Errorf("crowd: the relay ended: %w", errors.Join(err, errors.New(r.logPath)))
+		r.exited <- err // close receives it again
+		return nil, fmt.Errorf("relay ended during the measurement: %w",
+			errors.Join(err, errors.New("log file "+r.logPath)))
 	default:
 	}
 	return result, ctx.Err()
 }
 
-// measureIdle measures memory, and CPU where the relay keeps idle connections long enough.
+// measureIdle measures the memory that the idle connections take. It measures the idle CPU only
+// WithOperatorFile, since other relays close idle connections too early.
 func (r *relay) measureIdle(ctx context.Context, options *Options, result *Result) error {
 	result.IdleKB = r.memoryKB(currentMemory)
 	if options.WithOperatorFile {
@@ -197,6 +206,7 @@
 	return nil
 }
 
+// sleep waits, and returns the context's error if ctx ends first.
 func sleep(ctx context.Context, wait time.Duration) error {
 	select {
 	case <-ctx.Done():
--- a/internal/rehearsal/idlebench/relay.go
+++ b/internal/rehearsal/idlebench/relay.go
@@ -20,37 +20,37 @@
 )
 
 const (
-	spareRelayDescriptors = 500 // of the relay, beside its connections
-	spareSlots            = 200 // for clients, beside those that are opened
+	spareRelayDescriptors = 500 // file descriptors of the relay in addition to its client connections
+	spareSlots            = 200 // client slots in addition to the connections that are opened
 
-	readyInterval  = 10 * time.Millisecond // between two questions whether the relay is ready
+	readyInterval  = 10 * time.Millisecond // between two checks whether the relay is ready
 	requestTimeout = time.Second
 	killTimeout    = 10 * time.Second
 
-	settleTimeout  = 5 * time.Second
+	settleTimeout  = 5 * time.Second // limit of waitIdle
 	settleInterval = 200 * time.Millisecond
-	settleCPU      = 10 * time.Millisecond // in an interval, of a relay that does nothing
-	settleCount    = 3                     // intervals in a row
+	settleCPU      = 10 * time.Millisecond // a relay that uses at most this in an interval is idle
+	settleCount    = 3                     // idle intervals in a row that end the wait
 
-	// clockTick is the unit of CPU times in proc(5): USER_HZ is 100 on Linux.
+	// clockTick is the unit of CPU times in /proc/PID/stat: USER_HZ is 100 on Linux.
 	clockTick = 10 * time.Millisecond
-	// Fields of /proc/PID/stat behind the program's name.
+	// Indexes of the fields of /proc/PID/stat that follow the program's name.
 	statUserTime   = 11
 	statSystemTime = 12
 
-	bodyBytes = 200
+	bodyBytes = 200 // of each message
 )
 
-// relay is the relay's process.
+// relay is the process of the relay under measurement.
 type relay struct {
 	addr     string
 	cmd      *exec.Cmd
-	exited   chan error
+	exited   chan error // receives the process's exit error
 	logPath  string
 	endpoint *endpoint
 }
 
-// startRelay starts a relay and waits until it answers.
+// startRelay starts a relay process and waits until it replies to a PING.
 func startRelay(ctx context.Context, options *Options, discovery string) (*relay, error) {
 	listener, err := loopback.Listen(0)
 	if err != nil {
@@ -59,7 +59,7 @@
 	r := &relay{
 		addr: listener.Addr().String(), exited: make(chan error, 1), logPath: filepath.Join(options.Dir, "log"),
 	}
-	_ = listener.Close() // the relay listens there
+	_ = listener.Close() // frees the port for the relay
 	env, err := r.writeConfig(options, discovery)
 	if err != nil {
 		return nil, err
@@ -68,7 +68,7 @@
 	if err != nil {
 		return nil, err
 	}
-	defer func() { _ = log.Close() }() // the process writes by a descriptor of its own
+	defer func() { _ = log.Close() }() // the process has a file descriptor of its own
 	r.cmd = exec.Command(options.Command[0], options.Command[1:]...)
 	r.cmd.Env, r.cmd.Stdout, r.cmd.Stderr = append(env, options.Env...), log, log
 	r.cmd.SysProcAttr = &syscall.SysProcAttr{Setpgid: true}
@@ -82,7 +82,7 @@
 	return r, nil
 }
 
-// writeConfig writes the relay's files and returns its environment.
+// writeConfig writes the relay's configuration files and returns its environment.
 func (r *relay) writeConfig(options *Options, discovery string) ([]string, error) {
 	state := filepath.Join(options.Dir, "state")
 	if err := os.MkdirAll(state, 0o700); err != nil {
@@ -94,11 +94,11 @@
 	if err != nil {
 		return nil, err
 	}
-	path := filepath.Join(options.Dir, "config.json")
-	if err := os.WriteFile(path, text, 0o600); err != nil {
+	configPath := filepath.Join(options.Dir, "config.json")
+	if err := os.WriteFile(configPath, text, 0o600); err != nil {
 		return nil, err
 	}
-	env := append(os.Environ(), "ROUTER_CONFIG="+path, "ROUTER_STATE="+state, "ROUTER_NAME=", "ROUTER_LISTEN=",
+	env := append(os.Environ(), "ROUTER_CONFIG="+configPath, "ROUTER_STATE="+state, "ROUTER_NAME=", "ROUTER_LISTEN=",
 		"ROUTER_DISCOVERY=")
 	if !options.WithOperatorFile {
 		return env, nil
@@ -114,7 +114,8 @@
 	return append(env, operatorconfig.EnvVar+"="+operatorPath), nil
 }
 
-// waitReady waits until the relay answers, or its process ends.
+// waitReady waits until the relay replies to a PING. It returns an error if the process or ctx
+// ends first.
 func (r *relay) waitReady(ctx context.Context) error {
 	for {
 		if r.answersPing() {
@@ -122,11 +123,11 @@
 		}
 		select {
 		case err := <-r.exited:
-			text, _ := os.ReadFile(r.logPath) // the error tells enough without it
+			text, _ := os.ReadFile(r.logPath) // if the log is unreadable, the exit status is reported without it
 			if err == nil {
 				err = errExitZero
 			}
-			return fmt.Errorf("crowd: the relay ended before it was ready: %w: %s", err,
+			return fmt.Errorf("relay ended before it was ready: %w: %s", err,
 				strings.TrimSpace(string(text)))
 		case <-ctx.Done():
 			r.close()
@@ -136,26 +137,28 @@
 	}
 }
 
+// answersPing reports whether the relay replies to a PING on a new connection.
 func (r *relay) answersPing() bool {
 	conn, err := net.DialTimeout("tcp4", r.addr, requestTimeout)
 	if err != nil {
 		return false
 	}
-	defer func() { _ = conn.Close() }() // it has been answered
+	defer func() { _ = conn.Close() }() // its error does not matter after the reply
 	_, err = roundTrip(conn, bufio.NewReader(conn), pingCommand, requestTimeout)
 	return err == nil
 }
 
-// close kills the process and waits for its end.
+// close kills the process and waits up to killTimeout for its end.
 func (r *relay) close() {
-	_ = r.cmd.Process.Kill() // it may have ended by itself
+	_ = r.cmd.Process.Kill() // fails if the process has already ended
 	select {
-	case <-r.exited: //nolint:errcheck // it was killed
+	case <-r.exited: //nolint:errcheck // the error only states that it was killed
 	case <-time.After(killTimeout):
 	}
 }
 
-// relayConfig is the configuration of a relay with one class, tenant and kind of partner.
+// relayConfig returns the configuration of a relay with one class, one tenant and one kind of
+// partner.
 func relayConfig(listen, discovery, state string, memory, descriptors int) any {
 	type object = map[string]any
 	return object{
@@ -204,18 +207,19 @@
 	}
 }
 
+// pingCommand is a PING in RESP2.
 const pingCommand = "*1\r\n$4\r\nPING\r\n"
 
-// submitCommand is the command that submits a message.
+// submitCommand returns the command that submits a message.
 func submitCommand(id string) string {
 	const fields = "c=plain,t=p,d=8000,dest=1"
 	return fmt.Sprintf("*5\r\n$7\r\nMSG.PUT\r\n$16\r\n0000000000000000\r\n$%d\r\n%s\r\n$%d\r\n%s\r\n$%d\r\n%s\r\n",
 		len(id), id, len(fields), fields, bodyBytes, strings.Repeat("b", bodyBytes))
 }
 
-// roundTrip sends a command and reads the line that answers it.
+// roundTrip sends a command and reads one line of reply.
 func roundTrip(conn net.Conn, reader *bufio.Reader, command string, timeout time.Duration) (string, error) {
-	_ = conn.SetDeadline(time.Now().Add(timeout)) // fails with the write below
+	_ = conn.SetDeadline(time.Now().Add(timeout)) // if it fails, so does the write below
 	if _, err := io.WriteString(conn, command); err != nil {
 		return "", err
 	}
@@ -223,7 +227,8 @@
 	return strings.TrimSuffix(reply, "\r\n"), err
 }
 
-// waitIdle waits until the relay uses no CPU, settleTimeout at most.
+// waitIdle waits until the relay uses almost no CPU for settleCount intervals in a row, but at
+// most for settleTimeout.
 func (r *relay) waitIdle(ctx context.Context) {
 	end := time.Now().Add(settleTimeout)
 	last, idle := r.cpuTime(), 0
@@ -238,7 +243,7 @@
 	}
 }
 
-// memoryKB is a figure in kB from /proc/PID/status, 0 where the system does not tell.
+// memoryKB returns a field of /proc/PID/status in kB, or 0 if it cannot be read.
 func (r *relay) memoryKB(name string) int {
 	text, _ := os.ReadFile(fmt.Sprintf("/proc/%d/status", r.cmd.Process.Pid))
 	for line := range strings.Lines(string(text)) {
@@ -250,8 +255,8 @@
 	return 0
 }
 
-// cpuTime is what the process has used, user and system, from /proc/PID/stat; 0 where the
-// system does not tell.
+// cpuTime returns the CPU time, user and system, that the process has used so far according to
+// /proc/PID/stat, or 0 if it cannot be read.
 func (r *relay) cpuTime() time.Duration {
 	text, _ := os.ReadFile(fmt.Sprintf("/proc/%d/stat", r.cmd.Process.Pid))
 	_, rest, _ := strings.Cut(string(text), ") ")
