--- a/internal/rehearsal/idlebench/clients.go
+++ b/internal/rehearsal/idlebench/clients.go
@@ -20,7 +20,7 @@
 
 const (
 	openConcurrency         = 64
-	maxConnectionsPerSource = 10_000 // per source address, well below the number of its ephemeral ports
+	maxConnectionsPerSource = 10_000 // per source address, which has few more ports
 	openTimeout             = 5 * time.Second
 	replyTimeout            = 5 * time.Second
 	redialDelay             = 5 * time.Millisecond // of an active client whose dial failed
