--- a/cmd/troutusher-kit/crowd.go
+++ b/cmd/troutusher-kit/crowd.go
@@ -117,7 +117,7 @@
 	defer func() { _ = os.RemoveAll(dir) }() // a folder that is left over does not affect the result
 	return idlebench.Measure(ctx, idlebench.Options{
 		Command: []string{b.relayProgram}, Dir: dir, Idle: idle, Length: b.length, ActiveClients: b.activeClients,
-		Patience: lateReplyThreshold, MemoryMB: b.memoryMB, WithOperatorFile: !b.withoutOperatorFile,
+		LateAfter: lateReplyThreshold, MemoryMB: b.memoryMB, WithOperatorFile: !b.withoutOperatorFile,
 	})
 }
 
@@ -143,7 +143,7 @@
 				"no answer; p50 %.0f p99 %.0f most %.0f ms, %d past 400 ms; over after %.2f s; peak %.1f MB\n",
 			burst.Accepted,
 			burst.Rejected,
-			burst.RejectedWithTime,
+			burst.RejectedWithRetryAfter,
 			burst.Closed,
 			milliseconds(burst.ReplyLatency.ValueAtQuantile(50)),
 			milliseconds(
--- a/internal/rehearsal/idlebench/clients.go
+++ b/internal/rehearsal/idlebench/clients.go
@@ -157,7 +157,7 @@
 		}
 		elapsed := time.Since(start)
 		_ = counts.latency.RecordValue(elapsed.Microseconds()) // no error: replyTimeout is within the histogram's range
-		if elapsed > options.Patience {
+		if elapsed > options.LateAfter {
 			counts.late++
 		}
 		if reply == replyOK {
@@ -190,7 +190,7 @@
 			elapsed := time.Since(sent)
 			mu.Lock()
 			defer mu.Unlock()
-			result.add(reply, err, elapsed, options.Patience)
+			result.add(reply, err, elapsed, options.LateAfter)
 		}()
 	}
 	clients.Wait()
@@ -214,7 +214,7 @@
 	case strings.HasPrefix(reply, replyBusy):
 		b.Rejected++
 		if len(reply) > len(replyBusy+" ") {
-			b.RejectedWithTime++
+			b.RejectedWithRetryAfter++
 		}
 	}
 }
--- a/internal/rehearsal/idlebench/idlebench.go
+++ b/internal/rehearsal/idlebench/idlebench.go
@@ -26,7 +26,7 @@
 	Idle          int           // number of idle connections
 	Length        time.Duration // of the idle part and of the part with active clients
 	ActiveClients int           // number of clients that each send one message after another
-	Patience      time.Duration // a reply that takes longer counts as late
+	LateAfter     time.Duration // a reply that takes longer counts as late
 	MemoryMB      int           // the relay's memory limit
 
 	// WithOperatorFile states that the relay reads an operator's file. Relays of early releases
@@ -53,7 +53,7 @@
 	DeliveredPerSecond float64 // messages
 	Rejected           int
 	ReplyLatency       *hdrhistogram.Histogram // µs
-	LateShare          float64                 // share of the replies that took longer than Patience
+	LateShare          float64                 // share of the replies that took longer than LateAfter
 	RelayCores         float64                 // CPU cores that the relay used
 
 	Burst *BurstResult // nil if it was not measured
@@ -62,15 +62,15 @@
 // BurstResult has the figures of the burst: one message from each idle connection within one
 // second.
 type BurstResult struct {
-	Sent             int
-	Accepted         int
-	Rejected         int
-	RejectedWithTime int                     // of Rejected, those with a Retry-After
-	Late             int                     // replies that took longer than Patience
-	Closed           int                     // connections that failed without a reply
-	ReplyLatency     *hdrhistogram.Histogram // µs
-	Duration         time.Duration           // from the first message to the last reply
-	PeakKB           int                     // peak resident memory
+	Sent                   int
+	Accepted               int
+	Rejected               int
+	RejectedWithRetryAfter int                     // of Rejected, those with a Retry-After
+	Late                   int                     // replies that took longer than LateAfter
+	Closed                 int                     // connections that failed without a reply
+	ReplyLatency           *hdrhistogram.Histogram // µs
+	Duration               time.Duration           // from the first message to the last reply
+	PeakKB                 int                     // peak resident memory
 }
 
 const (
