--- a/cmd/benchlink/host_test.go
+++ b/cmd/benchlink/host_test.go
@@ -59,7 +59,7 @@
 	return b
 }
 
-// tableEntry returns an endpoint of a list that is ready and takes 20 messages a second.
+// tableEntry returns an entry of a list: an endpoint that is ready and has a rate of 20 per second.
 func tableEntry(address uint32) []byte {
 	b := make([]byte, 24)
 	be.PutUint32(b, address)
--- a/cmd/benchlink/translate.go
+++ b/cmd/benchlink/translate.go
@@ -9,7 +9,7 @@
 
 const (
 	flagEstimate = 1 // Flags of an EvCall: its Estimate is valid
-	noteNoSlot   = 1 // Note of an EvResolved with StatusMoot: all slots were taken
+	noteNoSlot   = 1 // Note of an EvResolved with StatusMoot: all slots for calls were taken
 )
 
 var outcomeByStatus = map[uint8]policy.Outcome{
@@ -33,7 +33,8 @@
 // reportLayout holds the positions of the known values within a load report, -1 for a value that the report lacks.
 type reportLayout struct{ remaining, limit int }
 
-// newReportLayout finds the positions of x0, the share of the capacity that remains, and of x1, the limit.
+// newReportLayout finds the positions of two values among the names of a load report's fields: x0, the share of the
+// endpoint's capacity that remains, and x1, its limit.
 func newReportLayout(fields []string) reportLayout {
 	layout := reportLayout{remaining: -1, limit: -1}
 	for i, field := range fields {
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -30,20 +30,21 @@
 	State     string // the state directory, whose files survive a restart
 	Seed      uint64
 	Limits    Limits
-	KnownList *core.EndpointList // the last known endpoint list, possibly outdated; may be nil
+	KnownList *core.EndpointList // the endpoint list in the platform's file, possibly outdated; may be nil
 
 	Policy         policy.Settings
 	ClientSettings operatorconfig.Clients // the zero value if there is no operator's file
 
 	PolicyStatePeriod time.Duration        // interval of writing the policy's state; 0 to not write it
-	Passivation       idlestore.Limits     // when destinations are passivated
+	Passivation       idlestore.Limits     // when idle destinations are moved to the compact idle store
 	MaxListBytes      int                  // maximum size of an endpoint list
 	Etcd              *operatorconfig.Etcd // nil if etcd is not used
-	TracesPerSecond   int                  // number of messages per second to trace from their acceptance
+	TracesPerSecond   int                  // maximum number of messages per second with a complete trace in the log
 	TLSRules          []operatorconfig.TLSRule
 	Handshakes        operatorconfig.Handshakes
 
-	// Indices by name, in the order of the settings. The policy uses only the indices.
+	// The policy uses indices instead of names. These maps contain the index of each name in
+	// the list of the settings that defines it.
 	Zones            map[string]int
 	DestinationKinds map[string]int
 	Classes          map[string]int
@@ -59,8 +60,8 @@
 }
 
 // Reload reads the configuration again in a running process. It differs from Load in the
-// address of discovery, for which the file takes precedence, because the environment of a
-// running process cannot change.
+// address of discovery, for which the file takes precedence: the environment of a running
+// process cannot change, so a new address can only be in the file.
 func Reload(getenv func(string) string) (*Config, error) {
 	return load(getenv, atReload)
 }
--- a/internal/config/format_test.go
+++ b/internal/config/format_test.go
@@ -161,7 +161,8 @@
 	}
 	path := filepath.Join(t.TempDir(), "operator.toml")
 	for text, want := range map[string]string{
-		"places = 600":          "clients.places: 600, want at most 456; 16 concurrent calls need descriptors too",
+		"places = 600": "clients.places: 600 client connections, want at most 456; " +
+			"16 concurrent calls need descriptors too",
 		"idle_s = 1":            path + ":2: clients.idle_s: 1, want 2 to 86400",
 		"descriptors = 1048577": path + ":2: clients.descriptors: 1048577, want 64 to 1048576",
 	} {
--- a/internal/config/limits.go
+++ b/internal/config/limits.go
@@ -8,11 +8,11 @@
 	"troutusher/internal/operatorconfig"
 )
 
-// Limits are the limits of the relay's machine.
+// Limits are the amounts of the machine's resources that the relay's process may use.
 type Limits struct {
-	Cores    float64 `json:"cores"`
+	Cores    float64 `json:"cores"`     // number of CPU cores
 	MemoryMB int     `json:"memory_mb"` // in units of 2^20 bytes
-	Sockets  int     `json:"sockets"`   // file descriptors
+	Sockets  int     `json:"sockets"`   // number of open file descriptors of all kinds, not only sockets
 	DiskMB   int     `json:"disk_mb"`   // maximum size of the state directory, in units of 2^20 bytes
 }
 
@@ -29,7 +29,7 @@
 	// runtime, the write-ahead log, the listeners and discovery.
 	ReservedDescriptors = 32
 
-	minDescriptors     = 64 // a relay cannot work with fewer file descriptors
+	minDescriptors     = 64 // file descriptors that a relay needs at least
 	spareEndpointConns = 8  // connections to endpoints in addition to those of concurrent calls
 
 	commandMemoryDivisor = 8 // the commands of clients may use 1/8 of the memory
@@ -63,8 +63,9 @@
 	return l, nil
 }
 
-// applyClientSettings applies the operator's settings for client connections. It
-// returns an error if there are not enough descriptors for them.
+// applyClientSettings applies the operator's settings for client connections. It returns an
+// error if the process may not open as many descriptors as the operator demands, or if the
+// client connections would not leave enough descriptors for calls to endpoints.
 func (c *Config) applyClientSettings(clients *operatorconfig.Clients) error {
 	c.ClientSettings = *clients
 	if want := clients.Descriptors; want > 0 {
@@ -77,19 +78,22 @@
 	}
 	calls := c.Policy.MaxConcurrentCalls
 	if limit := c.Limits.Sockets - ReservedDescriptors - calls - spareEndpointConns; clients.MaxConns > limit {
-		return fmt.Errorf("clients.places: %d, want at most %d; %d concurrent calls need descriptors too",
+		return fmt.Errorf(
+			"clients.places: %d client connections, want at most %d; %d concurrent calls need descriptors too",
 			clients.MaxConns, limit, calls)
 	}
 	return nil
 }
 
-// DescriptorBudget divides the file descriptors between connections of clients and
-// connections to endpoints.
+// DescriptorBudget divides the descriptors that are not reserved between connections of
+// clients and connections to endpoints. If the operator has set the number of client
+// connections, the endpoints get the rest.
 //
-// Each call in flight needs a connection. The endpoints therefore get at least as many
-// descriptors as there are concurrent calls, unless that is more than half of the free
-// ones. If possible they get twice as many, so that some connections to each endpoint can
-// stay idle. Otherwise each call would have to close the connection to another endpoint.
+// Otherwise the endpoints get a quarter, or more if that is too few for the calls: each call
+// in flight needs a connection, so the endpoints get at least as many descriptors as there
+// are concurrent calls. If possible they get twice as many, so that connections can stay
+// open while no call uses them. With fewer, a call could open a new connection only after
+// the idle connection to another endpoint was closed. The endpoints never get more than half.
 func (c *Config) DescriptorBudget() (clients, endpoints int) {
 	free := c.Limits.Sockets - ReservedDescriptors
 	if maxConns := c.ClientSettings.MaxConns; maxConns > 0 {
@@ -101,7 +105,8 @@
 	return free - endpoints, endpoints
 }
 
-// ConnLimits returns the limits for admitting and evicting connections of clients.
+// ConnLimits returns the limits for admitting and evicting connections of clients: the
+// defaults of package connlimit, except where the operator has set a value.
 func (c *Config) ConnLimits() connlimit.Limits {
 	maxConns, _ := c.DescriptorBudget()
 	limits := connlimit.DefaultLimits(maxConns, c.Limits.Sockets)
--- a/internal/discovery/calls.go
+++ b/internal/discovery/calls.go
@@ -64,7 +64,7 @@
 	return resp, registry.Served, nil
 }
 
-// fetch fetches the complete list once.
+// fetch fetches the complete list once and passes it to OnList if it is valid and not outdated.
 func (w *Watcher) fetch(ctx context.Context, call registry.Call) (registry.Outcome, error) {
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
@@ -93,8 +93,10 @@
 	return registry.Served, nil
 }
 
-// watch receives the changes after a revision until the watch ends. If it ends with a list that
-// cannot be decoded, the complete list must be fetched.
+// watch opens a watch from call.FromRevision and passes each accepted list to OnList until the watch
+// ends. It cancels the watch if nothing arrives for SilenceTimeout, or if a list has begun and its next
+// bytes do not arrive within listTimeout. If the watch ends with a list that cannot be decoded, the
+// complete list must be fetched.
 func (w *Watcher) watch(ctx context.Context, call registry.Call) (registry.Outcome, error) {
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
@@ -147,7 +149,7 @@
 		return registry.Silent, fmt.Errorf("discovery: %w", errSilent)
 	case errors.Is(decodeErr, errMalformed):
 		return registry.Malformed, decodeErr
-	case decodeErr != nil: // the next watch repeats what was cut off: it asks from the known revision
+	case decodeErr != nil: // the next watch starts at the known revision, so it repeats an interrupted list
 		return registry.Served, fmt.Errorf("discovery: %w", decodeErr)
 	}
 	return registry.Served, nil
--- a/internal/discovery/decoder_test.go
+++ b/internal/discovery/decoder_test.go
@@ -9,7 +9,8 @@
 	"testing"
 )
 
-// streamChunks returns the body of a watch that consists of the given chunks and then breaks off.
+// streamChunks returns the body of a watch that consists of the given chunks and ends with an error, as
+// if the connection had been lost.
 func streamChunks(chunks ...string) io.Reader {
 	r, w := io.Pipe()
 	go func() {
@@ -81,8 +82,8 @@
 }
 
 // A list of any length up to the limit is read. A list that never ends is an error at the limit,
-// whether it is one long string, white space or ever more members. The buffer of a long list is
-// not kept.
+// whether it is one long string, white space or ever more members. The decoder does not keep the
+// buffer of a long list, which would otherwise stay in memory as long as the watch.
 func TestLengthOfALists(t *testing.T) {
 	const maxBytes = 1 << 20
 	for _, repeated := range []string{"x", " \n", `{"id":"a","phase":"removed"},`} {
--- a/internal/discovery/discoverytest/agent.go
+++ b/internal/discovery/discoverytest/agent.go
@@ -13,14 +13,15 @@
 	"troutusher/internal/core"
 )
 
-// Agent is a discovery agent. Access its fields only within Update and Check.
+// Agent is a discovery agent for tests: it serves List, watches, and takes notices. Access its fields
+// only within Update and Check.
 type Agent struct {
 	*httptest.Server
 	mu       sync.Mutex
 	released chan struct{} // closed when the test ends
 
 	List              core.EndpointList
-	Watches           []chan string          // the lines to send on each watch; closing a channel ends its watch
+	Watches           []chan string          // lines that are sent on each watch; closing a channel ends its watch
 	WatchedFrom       []string               // the revision from which each watch asked for changes
 	Fetches           int                    // number of fetches of the complete list
 	Notices           map[string]core.Notice // the last notice of each message, by its id
--- a/internal/discovery/notices.go
+++ b/internal/discovery/notices.go
@@ -15,24 +15,27 @@
 )
 
 const (
-	noticeConns      = 2
-	maxNoticeBatch   = 64
-	minNoticeTimeout = 200 * time.Millisecond // doubles per consecutive failure; a second attempt is still in time
+	noticeConns    = 2
+	maxNoticeBatch = 64
+	// Doubles with each failure in a row. It is short because a kept connection may have gone silent:
+	// the second attempt then begins soon enough for the notice to arrive in time.
+	minNoticeTimeout = 200 * time.Millisecond
 	maxNoticeTimeout = 2 * time.Second
 	minNoticeBackoff = 50 * time.Millisecond // doubles with each failure in a row
 	maxNoticeBackoff = 500 * time.Millisecond
 	maxReplyBytes    = 4 << 20 // reply bytes that are read and discarded so that the connection can be reused
 )
 
-// NoticeSender sends each notice until the agent has confirmed it. The agent tolerates repeats.
+// NoticeSender sends notices to the agent, each until the agent has confirmed it. The agent tolerates
+// repeats.
 type NoticeSender struct {
 	log         *slog.Logger
 	address     agentAddress
 	client      *http.Client
 	queue       *mailbox.Mailbox[core.Notice]
 	onConfirmed func(messageID string)
-	startRun    func() (stop func()) // set by Start
-	stopRun     func()               // set while the sender runs
+	startRun    func() (stop func()) // starts the sending goroutine; set by Start
+	stopRun     func()               // stops that goroutine and waits for its end
 
 	// Used only by the goroutine that startRun starts.
 	url         string
@@ -81,8 +84,9 @@
 // Resume starts sending again after Pause.
 func (s *NoticeSender) Resume() { s.stopRun = s.startRun() }
 
-// sendTo sends notices to one address until ctx ends. Notices that remain unconfirmed are sent to
-// the next address.
+// sendTo sends the queued notices to one address in batches until ctx ends. After a failure it waits
+// for a backoff and sends the same batch again. Notices that are still unconfirmed when ctx ends are
+// sent to the next address.
 func (s *NoticeSender) sendTo(ctx context.Context, address string) {
 	s.url = "http://" + address + NoticesPath
 	defer s.client.CloseIdleConnections()
--- a/internal/discovery/notices_test.go
+++ b/internal/discovery/notices_test.go
@@ -50,8 +50,8 @@
 	}
 }
 
-// Guards against late notices. If the kept connection to the agent has gone silent, the second
-// attempt must come soon enough for the notice to be in time.
+// Guards against late notices. If the connection that was kept open to the agent has gone silent, the
+// first attempt times out. The second attempt must begin within 300 ms.
 func TestNoticeOnSilentConnection(t *testing.T) {
 	var attempts atomic.Int32
 	srv := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -78,6 +78,6 @@
 		t.Errorf("%d attempts, want 3", got)
 	}
 	if minNoticeTimeout+minNoticeBackoff >= 300*time.Millisecond {
-		t.Errorf("second attempt comes after %v, want under 300ms", minNoticeTimeout+minNoticeBackoff)
+		t.Errorf("second attempt begins after %v, want under 300ms", minNoticeTimeout+minNoticeBackoff)
 	}
 }
--- a/internal/discovery/watcher.go
+++ b/internal/discovery/watcher.go
@@ -24,7 +24,7 @@
 	freeMemoryDelay = 5 * time.Second // long enough to apply a list of a million endpoints
 )
 
-// WatcherOptions are what a Watcher needs.
+// WatcherOptions are the parameters of NewWatcher.
 type WatcherOptions struct {
 	Address   string // agent's address, host:port
 	Scheduler *registry.Scheduler
@@ -34,7 +34,7 @@
 	OnList         func(epoch string, list *core.EndpointList)
 	OnHeartbeat    func()        // called when a watch reports that nothing has changed; may be nil
 	MaxListBytes   int           // 0 for DefaultMaxListBytes
-	SilenceTimeout time.Duration // a watch that is silent for so long is given up; 0 for registry.SilenceTimeout
+	SilenceTimeout time.Duration // a watch that sends nothing for this time is cancelled; 0 for registry.SilenceTimeout
 }
 
 // Watcher keeps a watch open for changes of the agent's endpoint list.
@@ -48,7 +48,7 @@
 
 	// Used only by Run's goroutine.
 	baseURL    string
-	watchCount int // how often watching an address was started, also the same one again
+	watchCount int // number of calls of watchAddress, including restarts at the same address
 }
 
 // NewWatcher returns a Watcher, which starts watching when Run is called.
@@ -84,8 +84,10 @@
 	})
 }
 
-// watchAddress watches one address until ctx ends. It passes lists on without delay, because the
-// drain grace period starts when the agent sends the list.
+// watchAddress makes calls to one address until ctx ends, each when the scheduler says so: a fetch of
+// the complete list or a watch. It reports the outcome of each call to the scheduler. Lists are passed
+// on without delay, because the grace period within which calls to a draining endpoint must stop begins
+// when the agent sends the list.
 func (w *Watcher) watchAddress(ctx context.Context, address string) {
 	w.baseURL = "http://" + address
 	w.watchCount++
@@ -117,8 +119,8 @@
 	return w.watch(ctx, call)
 }
 
-// deliver passes a list to OnList. It logs when the list arrived, because the relays of a fleet
-// do not learn of a change at the same moment.
+// deliver passes a list to OnList. It logs each list, because the relays of a fleet receive a change
+// at different times: the line's time shows when this relay received it.
 func (w *Watcher) deliver(list *core.EndpointList, bytes int) {
 	w.options.Log.Info("list", "revision", list.Revision, "whole", list.Complete, "members", len(list.Members))
 	epoch := fmt.Sprintf("%s#%d@%d", w.baseURL, w.watchCount, w.createdAt)
--- a/internal/discovery/watcher_test.go
+++ b/internal/discovery/watcher_test.go
@@ -109,7 +109,7 @@
 }
 
 // Guards against keeping a dead watch: its connection is open, but the agent sends nothing, not
-// even empty lines. The watcher must give it up and open another one.
+// even empty lines. The watcher must cancel it and open another one.
 func TestSilentWatch(t *testing.T) {
 	agent := discoverytest.New(t, core.Member{ID: "s-1", HostPort: "127.0.0.1:1", Phase: core.Up})
 	lists := startWatcher(t, agent, 100*time.Millisecond)
@@ -121,7 +121,7 @@
 
 // Guards against needless fetches of the complete list: after a rejected watch the next one asks
 // from the same revision, and a relay that starts with a list watches from its revision.
-func TestWatchTurnedAway(t *testing.T) {
+func TestRejectedWatch(t *testing.T) {
 	m := core.Member{ID: "s-1", HostPort: "127.0.0.1:1", Dest: 3, Phase: core.Up}
 	agent := discoverytest.New(t, m)
 	agent.Update(func(a *discoverytest.Agent) { a.CallsToReject = 3 })
@@ -129,7 +129,7 @@
 	scheduler := registry.New(3, 1)
 	scheduler.SetRevision(7)
 	w := runWatcher(t, WatcherOptions{Address: agent.Addr(), Scheduler: scheduler}, lists)
-	<-w.FirstResponse() // a rejection counts as a response, so that the relay's start does not wait any longer
+	<-w.FirstResponse() // a rejection counts as a response, so that the relay's start need not wait for a list
 	agent.SendLine(t, discoverytest.ChangeText(8, m))
 	if l := nextList(t, lists); l.Revision != 8 {
 		t.Errorf("got %+v, want revision 8", l)
@@ -148,7 +148,7 @@
 	})
 }
 
-// A watch that stalls in the middle of a list is given up, even if it keeps sending empty lines.
+// A watch that stalls in the middle of a list is cancelled, even if it keeps sending empty lines.
 // The next watch asks from the last known revision and gets the list that was not completed.
 func TestWatchSilentWithinAList(t *testing.T) {
 	queries := make(chan string, 16)
--- a/internal/event/event.go
+++ b/internal/event/event.go
@@ -30,7 +30,7 @@
 	HealthCheckAnswered // the endpoint answered a health check: Relay, Endpoint, Status
 	NoticeReceived      // the platform received a relay's notice that a message ended: ID, Relay, Status, Wait
 	EndpointUpdateSent  // the registry sent an endpoint's phase to a relay: Relay, Endpoint, Status (UpdateUp ...)
-	OutageBegan         // an outage of an endpoint began: Endpoint, Status (1: calls leave no trace)
+	OutageBegan         // an outage of an endpoint began: Endpoint, Status (1: unreachable, it records no calls)
 	OutageEnded         // the outage ended: Endpoint
 	Collapsed           // an endpoint collapsed under overload while it warmed up: Endpoint, Calls
 	RelayStopping       // a relay was asked to stop: Relay
@@ -81,8 +81,8 @@
 
 // Values of Status in a NoticeReceived event.
 const (
-	NoticeAbandoned = iota
-	NoticeReturned
+	NoticeAbandoned = iota // the message was given up
+	NoticeReturned         // the message was handed back: it may be submitted again
 )
 
 // Values of Status in a CallEnded event: the status of the response, or StatusNone. Those marked
@@ -117,7 +117,7 @@
 	Message  int // the message's number in the plan, from 0
 	Call     uint64
 	Status   int
-	Wait     Time
+	Wait     Time // Retry-After
 	Left     Time // Submitted: time left to deliver the message
 	ID       string
 	Text     string
--- a/internal/idlestore/activeset.go
+++ b/internal/idlestore/activeset.go
@@ -16,7 +16,8 @@
 	IdleTimeout policy.Time
 }
 
-// ActiveSet is the set of active destinations, ordered by their last use.
+// ActiveSet is the set of active destinations, which are those that are not passivated, ordered by
+// their last use.
 type ActiveSet struct {
 	limits  Limits
 	entries *list.List // of *activeEntry, the least recently used first
@@ -42,8 +43,8 @@
 // OverLimit reports whether more than MaxActive destinations are active.
 func (s *ActiveSet) OverLimit() bool { return s.excess() > 0 }
 
-// Full reports whether at least MaxActive destinations are active. If so, a destination
-// that is new in the endpoint list is passive from the start.
+// Full reports whether at least MaxActive destinations are active. If so, the caller stores a
+// destination that is new in the endpoint list as passivated at once.
 func (s *ActiveSet) Full() bool { return s.limits.MaxActive > 0 && s.Len() >= s.limits.MaxActive }
 
 // excess returns the number of active destinations minus MaxActive, which may be negative.
--- a/internal/idlestore/endpoint.go
+++ b/internal/idlestore/endpoint.go
@@ -14,7 +14,7 @@
 // Flags of a packed endpoint.
 const (
 	flagDraining    = 1 << 0
-	flagConfirmed   = 1 << 1 // confirmed if this bit equals Store.confirmedFlag
+	flagConfirmed   = 1 << 1 // confirmed by the current list if this bit equals Store.confirmedFlag
 	flagPackedAddr  = 1 << 2 // the address is stored as an IPv4 address and a port, in six bytes
 	flagIntegerRate = 1 << 3 // the rate is stored as a uvarint; without the flag, as a float64
 )
@@ -24,7 +24,8 @@
 	floatBytes      = 8
 )
 
-// tag holds the data that many endpoints have in common. Each distinct tag is stored once.
+// tag is the pair of zone (locality) and kind (flavor) of an endpoint. Many endpoints share a tag, so
+// the store holds each distinct tag once and an endpoint contains only its number.
 type tag struct{ locality, flavor string }
 
 func (p packedEndpoint) flags() byte { return p[0] }
--- a/internal/idlestore/list.go
+++ b/internal/idlestore/list.go
@@ -1,8 +1,8 @@
 package idlestore
 
 // BeginList starts the update from a complete endpoint list. It makes all endpoints
-// unconfirmed. PutEndpoint and ConfirmUnchanged confirm the endpoints that the list
-// contains.
+// unconfirmed, in constant time: it only swaps which value of flagConfirmed means confirmed.
+// PutEndpoint and ConfirmUnchanged then confirm the endpoints that the list contains.
 func (s *Store) BeginList() {
 	s.confirmedFlag ^= flagConfirmed
 	s.confirmed = s.endpoints - s.confirmed
--- a/internal/idlestore/store.go
+++ b/internal/idlestore/store.go
@@ -21,8 +21,8 @@
 type Endpoint struct {
 	ID       string
 	HostPort string
-	Locality string
-	Flavor   string
+	Locality string // name of the zone that it is in
+	Flavor   string // name of its destination's kind
 	Draining bool
 	Rate     float64 // calls per second that the destination accepts; 0 if unknown
 	// Unconfirmed is set by the store if the endpoint has not been confirmed since the
--- a/internal/membership/apply.go
+++ b/internal/membership/apply.go
@@ -5,7 +5,9 @@
 	"slices"
 )
 
-// Apply applies an update to the view and returns what became of the update.
+// Apply applies an update to the view. It rejects an update whose revision is out of date or whose
+// base list is not known. Otherwise it records the unreadable entries, then the drains, then the
+// listed members, and last the removals, as far as they need no confirmation.
 func (v *View) Apply(now Time, u *Update) Verdict {
 	v.now = max(v.now, now)
 	t := &v.sources[u.Source]
@@ -33,7 +35,8 @@
 	return Accepted
 }
 
-// checkRevision compares an update's epoch and revision with those of the source's last update.
+// checkRevision compares an update's epoch and revision with those of the source's last update. It
+// returns Outdated, ResyncRequired or Accepted.
 func (t *sourceTracker) checkRevision(u *Update) Verdict {
 	sameEpoch := u.Epoch == t.epoch
 	switch {
@@ -61,7 +64,8 @@
 	}
 }
 
-// applyDrains sets entries to draining of which the update states only that they drain.
+// applyDrains sets the entries in DrainedIDs to draining. The update states nothing else about them, so
+// the rest of their state stays.
 func (v *View) applyDrains(u *Update) {
 	for _, id := range u.DrainedIDs {
 		e := v.sources[u.Source].entries[id]
@@ -126,8 +130,10 @@
 	v.updateEntry(e, *m)
 }
 
-// applyRemovals applies the removals of an update, or holds those that need confirmation. It
-// reports whether any is held.
+// applyRemovals removes the entries with these ids from the update's source, or holds their removals.
+// Removals of draining entries, and all removals that a resync confirms, apply at once. The others
+// are unannounced: either all of them fit in the limit of the current window and apply, or all are
+// held. It reports whether any removal is held.
 func (v *View) applyRemovals(u *Update, ids []string) (held bool) {
 	t := &v.sources[u.Source]
 	confirmed := u.Complete && u.Resync
--- a/internal/membership/fixtures_test.go
+++ b/internal/membership/fixtures_test.go
@@ -53,12 +53,13 @@
 	fixturetest.Check(t, "members-imported.jsonl", fixturetest.EncodeLines(t, v.Members()))
 }
 
-// The lines of "troutusher members --json".
+// The lines that "troutusher members --json" prints stay as recorded.
 func TestExplainFixture(t *testing.T) {
 	fixturetest.Check(t, "explain.jsonl", fixturetest.EncodeLines(t, fixtureView(t).Explain(4*second)))
 }
 
-// The JSON format of updates from the helper process to a relay.
+// The JSON format of updates from the helper process to a relay stays as recorded, and updates that
+// are decoded and encoded again do not change.
 func TestUpdateFixture(t *testing.T) {
 	updates := []Update{
 		*completeUpdate(registrySource, 5, upMember("a", 1), drainingMember("b", 2)),
@@ -85,7 +86,7 @@
 	}
 }
 
-// The names of verdicts in logs.
+// The names of verdicts in logs stay as recorded.
 func TestVerdictFixture(t *testing.T) {
 	var text bytes.Buffer
 	for _, verdict := range []Verdict{Accepted, Outdated, ResyncRequired, RemovalsHeld} {
--- a/internal/membership/identity.go
+++ b/internal/membership/identity.go
@@ -2,7 +2,9 @@
 
 import "slices"
 
-// updateEntry sets an entry's member, and reevaluates all endpoints that this affects.
+// updateEntry sets an entry's member, and reevaluates all endpoints that this affects. If the entry's
+// address changes, it collects the entries that are connected by the former address, indexes the new
+// one, and collects those that are connected by it. All of them get their ids in the view anew.
 func (v *View) updateEntry(e *entry, m Member) {
 	v.beginWalk()
 	added := e.ID == ""
--- a/internal/membership/member.go
+++ b/internal/membership/member.go
@@ -20,9 +20,9 @@
 type Member struct {
 	ID       string  `json:"id"`
 	HostPort string  `json:"host_port"`
-	Locality string  `json:"locality"`
-	Flavor   string  `json:"flavor"`
-	Dest     int     `json:"cell"`
+	Locality string  `json:"locality"` // name of the zone that it is in
+	Flavor   string  `json:"flavor"`   // name of its destination's kind
+	Dest     int     `json:"cell"`     // number of its destination
 	Phase    string  `json:"phase"`
 	Rate     float64 `json:"size"` // calls per second that its destination accepts; 0 if not stated
 }
--- a/internal/membership/membership_test.go
+++ b/internal/membership/membership_test.go
@@ -102,16 +102,17 @@
 	return v.Step(now)
 }
 
+// New rejects each kind of invalid settings.
 func TestSettings(t *testing.T) {
 	for name, f := range map[string]func(*Settings){
-		"no source":              func(s *Settings) { s.Sources = nil },
-		"source without name":    func(s *Settings) { s.Sources[1].Name = "" },
-		"two sources of a name":  func(s *Settings) { s.Sources[1].Name = "etcd" },
-		"StaleAfter 0":           func(s *Settings) { s.Sources[0].StaleAfter = 0 },
-		"MaxRemovalShare over 1": func(s *Settings) { s.MaxRemovalShare = 1.1 },
-		"MaxUpsPerStep 0":        func(s *Settings) { s.MaxUpsPerStep = 0 },
-		"RemovalWindow 0":        func(s *Settings) { s.RemovalWindow = 0 },
-		"RemovalRetention 0":     func(s *Settings) { s.RemovalRetention = 0 },
+		"no source":               func(s *Settings) { s.Sources = nil },
+		"source without name":     func(s *Settings) { s.Sources[1].Name = "" },
+		"two sources with a name": func(s *Settings) { s.Sources[1].Name = "etcd" },
+		"StaleAfter 0":            func(s *Settings) { s.Sources[0].StaleAfter = 0 },
+		"MaxRemovalShare over 1":  func(s *Settings) { s.MaxRemovalShare = 1.1 },
+		"MaxUpsPerStep 0":         func(s *Settings) { s.MaxUpsPerStep = 0 },
+		"RemovalWindow 0":         func(s *Settings) { s.RemovalWindow = 0 },
+		"RemovalRetention 0":      func(s *Settings) { s.RemovalRetention = 0 },
 	} {
 		settings := testSettings()
 		f(&settings)
@@ -146,7 +147,7 @@
 }
 
 // A removal by one source overrides the other sources, until RemovalRetention has passed.
-func TestRemovalBindsOtherSources(t *testing.T) {
+func TestRemovalOverridesOtherSources(t *testing.T) {
 	v := newView(t)
 	v.mustApply(t, second, completeUpdate(etcdSource, 1, upMembers(4)...), Accepted)
 	v.mustApply(t, second, completeUpdate(registrySource, 1, upMembers(4)...), Accepted)
@@ -220,7 +221,7 @@
 func TestMassRemovalNeedsResync(t *testing.T) {
 	for _, c := range []struct {
 		name        string
-		membersLeft int // members left after another list without resync that lists only four
+		membersLeft int // members left after a further list, which lists only four members and is no resync
 		update      func(rev int64) *Update
 	}{
 		{"empty list", 10, func(rev int64) *Update { return completeUpdate(etcdSource, rev) }},
@@ -280,7 +281,7 @@
 		}
 		v.Step(2 * second)
 	}
-	if held != 2 || len(v.Members()) != 6 { // the limit is ten of twenty; four others were draining
+	if held != 2 || len(v.Members()) != 6 { // of 16 removals, 4 are of draining endpoints and 10 fit the limit
 		t.Errorf("%d removals held, %d members; want 2 and 6", held, len(v.Members()))
 	}
 	for k := 16; k < 20; k++ { // in later windows, removals are accepted again
@@ -356,7 +357,7 @@
 		v.Step(second)
 	}
 	if steps != 13 || len(v.Members()) != 50000 {
-		t.Errorf("%d steps, %d members; want 13 and 50000", steps, len(v.Members()))
+		t.Errorf("list published in %d steps with %d members, want 13 and 50000", steps, len(v.Members()))
 	}
 	if v.publishedPhase("e49999") != Draining {
 		t.Error("an endpoint that drained before it was published came up")
@@ -581,7 +582,7 @@
 
 // For random updates: from the next step on, a drain or an accepted removal applies until the same
 // source states otherwise, whatever the other sources state.
-func TestDrainsAreMonotone(t *testing.T) {
+func TestDrainsOverrideOtherSources(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		v := newView(t, withoutDelays)
 		l := publishedList{}
--- a/internal/membership/provenance.go
+++ b/internal/membership/provenance.go
@@ -19,10 +19,10 @@
 // Provenance is one endpoint with its state in each source.
 type Provenance struct {
 	Member
-	Listed    bool           `json:"listed"`       // it is in the published view
-	DecidedBy string         `json:"by,omitempty"` // the source that decided the phase
-	Pending   bool           `json:"waits,omitempty"`
-	Records   []SourceRecord `json:"said"`
+	Listed    bool           `json:"listed"`          // it is in the published view
+	DecidedBy string         `json:"by,omitempty"`    // the source that decided the phase
+	Pending   bool           `json:"waits,omitempty"` // a change of it waits to be published
+	Records   []SourceRecord `json:"said"`            // by the precedence of their sources
 }
 
 // Explain returns every endpoint that any source lists or has removed, ordered by the view's ids.
--- a/internal/membership/publish.go
+++ b/internal/membership/publish.go
@@ -10,7 +10,7 @@
 	flaps           int  // how often it went down since flapWindowStart
 	flapWindowStart Time
 	lastDownAt      Time
-	pending         bool // it is queued to be published as up or with another change that can wait
+	pending         bool // its change in pendingUps or delayedUps has yet to be published
 }
 
 // delayedUp is an endpoint whose return to up is delayed because it went down too often.
--- a/internal/membership/settings.go
+++ b/internal/membership/settings.go
@@ -25,7 +25,7 @@
 	MaxFlaps         int
 	FlapWindow       Time
 	HoldDown         Time
-	MaxUpsPerStep    int  // maximum of endpoints that come up in one step
+	MaxUpsPerStep    int  // maximum number of endpoints that one step publishes as up
 	RemovalRetention Time // how long a removal overrides the other sources
 }
 
--- a/internal/membership/update.go
+++ b/internal/membership/update.go
@@ -3,7 +3,7 @@
 // Update is an update from a source: its complete list, or changes to it.
 type Update struct {
 	Source        int      `json:"-"`     // index into Settings.Sources; set by the caller of Apply
-	Epoch         string   `json:"epoch"` // identifies the sequence of revisions: one address, one cluster
+	Epoch         string   `json:"epoch"` // names the sequence that Revision belongs to, as of one address or cluster
 	Revision      int64    `json:"revision"`
 	Complete      bool     `json:"whole,omitempty"`   // Members are the source's whole list; else they are changes
 	Resync        bool     `json:"anew,omitempty"`    // a complete list that was read after the view requested a resync
@@ -12,7 +12,7 @@
 	DrainedIDs    []string `json:"drained,omitempty"` // entries that drain and are not among Members
 }
 
-// Verdict says what became of an update.
+// Verdict is the result of applying an update.
 type Verdict uint8
 
 // Verdicts.
--- a/internal/membersource/file.go
+++ b/internal/membersource/file.go
@@ -16,7 +16,8 @@
 // membership.State as JSON.
 const FileName = "members"
 
-// saveInterval is the shortest time between saves of changes that can wait.
+// saveInterval is the shortest time between two saves, except that drains and removals are saved at
+// once.
 const saveInterval = time.Second
 
 // restoredEpoch is the epoch of the list that the event loop started with, which this process did
@@ -33,6 +34,8 @@
 		})
 	}
 	m.registryRevision = list.Revision
+	// Step until no change is due. The changes are not published one by one: the comparison below
+	// finds those that the event loop does not know.
 	for m.view.NextDeadline() <= m.now() && m.view.NextDeadline() > 0 {
 		if len(m.view.Step(m.now())) == 0 {
 			break
@@ -52,7 +55,7 @@
 	m.publish(changed)
 }
 
-// load reads the members file. It ignores a file that cannot be read or decoded.
+// load reads the members file into the view. It logs and ignores a file that cannot be read or decoded.
 func (m *Merger) load() {
 	text, err := os.ReadFile(m.path)
 	if errors.Is(err, os.ErrNotExist) {
--- a/internal/membersource/merger.go
+++ b/internal/membersource/merger.go
@@ -25,12 +25,12 @@
 )
 
 const (
-	etcdStaleAfter     = membership.Time(10e6)
-	registryStaleAfter = membership.Time(20e6)
-	noDeadline         = time.Hour
+	etcdStaleAfter     = membership.Time(10e6) // 10 s
+	registryStaleAfter = membership.Time(20e6) // 20 s
+	noDeadline         = time.Hour             // time until the next step if nothing is due
 )
 
-// Options configure a Merger.
+// Options are the parameters of New.
 type Options struct {
 	RegistryFirst  bool   // the registry takes precedence over etcd; else etcd does
 	StateDir       string // folder of the members file
@@ -64,7 +64,7 @@
 	registryRevision int64
 	resyncRequested  []bool // by source: the view wants its complete list read again
 	resyncEpoch      string // the registry's epoch when its resync was last requested
-	missingBaseEpoch string // the registry's last epoch with a change to a list that is not known
+	missingBaseEpoch string // the registry's last epoch in which a change came without the list that it changes
 	unsaved          bool
 	saveNow          bool // a drain or a removal was published
 	lastSaved        time.Time
--- a/internal/metrics/metrics.go
+++ b/internal/metrics/metrics.go
@@ -1,6 +1,6 @@
 // Package metrics counts events of a relay by second and destination, in bounded memory. The
 // counts are logged, so that they can be summed over all relays of a fleet: most faults show only
-// in the sum, since what each relay does looks right by itself.
+// in the sums, while the counts of each single relay look right.
 //
 // The package never reads a clock; callers pass the time. No code that takes decisions may read the
 // counts.
@@ -45,16 +45,18 @@
 	NotSent             = "not_sent"
 	FirstAttempts       = "firsts"
 	FirstAttemptDelayMS = "first_ms" // sum over first attempts of the time since the message arrived, in ms
-	GivenUp             = "given_up"
+	GivenUp             = "given_up" // messages that ended undelivered and were not handed back
 	HealthChecks        = "probed"
 	Untraced            = "untold" // messages that are not traced from their submission on
-	HandedBackPrefix    = "back_"  // followed by a reason: messages handed back or rejected for it
+	// HandedBackPrefix is followed by a reason. The count is of messages that were rejected or handed
+	// back for that reason, so that submitting them again does no harm.
+	HandedBackPrefix = "back_"
 
-	// RecoveredUntried counts recovered messages for which the write-ahead log has no attempt. The
-	// other counts are of parts of these.
+	// RecoveredUntried counts recovered messages for which the write-ahead log has no attempt. Each
+	// of the following counts is of a subset of these messages.
 	RecoveredUntried        = "untried"
 	UntriedExpired          = "untried_over"      // past their deadline when they were recovered
-	UntriedUnroutable       = "untried_nowhere"   // before their deadline, without an endpoint in the list
+	UntriedUnroutable       = "untried_nowhere"   // before their deadline, but without an endpoint in the list
 	UntriedAttempted        = "untried_tried"     // attempted since the recovery
 	UntriedDelivered        = "untried_ok"        // attempted since the recovery and delivered
 	UntriedHandedBackPrefix = "untried_back_"     // followed by a reason: handed back without a call
@@ -71,7 +73,7 @@
 
 // Recorder holds the counts of the current second.
 type Recorder struct {
-	started       bool  // second is set
+	started       bool  // Flush has been called, which sets second
 	second        int64 // the current second, in Unix time
 	byDestination map[int]map[string]int64
 }
--- a/internal/operatorconfig/clients.go
+++ b/internal/operatorconfig/clients.go
@@ -16,12 +16,13 @@
 
 const (
 	maxListenAddresses = 64
-	minClientIdleS     = 2 // connections without a request are never closed sooner
+	minClientIdleS     = 2 // connections without a request are never closed sooner than this
 	maxClientIdleS     = 86400
 	maxMemoryMB        = 1 << 20
 )
 
-// Clients contains the settings for connections of clients.
+// Clients contains the settings for connections of clients. In the keys of the file, places
+// are connections, and strangers are connections that have not sent a valid command.
 type Clients struct {
 	// ListenAddresses contains additional addresses to listen on, as host:port.
 	ListenAddresses []string `toml:"listen"`
@@ -33,8 +34,8 @@
 	// MaxUnvalidated is the maximum number of connections that have not sent a valid
 	// command yet.
 	MaxUnvalidated int `toml:"strangers"`
-	// SingleUseEvictionThreshold is a number of connections that have sent a request. If
-	// there are more, idle connections that sent only a single request are evicted.
+	// SingleUseEvictionThreshold is the maximum number of connections that have sent a
+	// request. If there are more, idle connections that sent only one request are evicted.
 	SingleUseEvictionThreshold int `toml:"asked_most"`
 	// IdleTimeoutS is the time after which an idle connection is closed, in seconds.
 	IdleTimeoutS float64 `toml:"idle_s"`
--- a/internal/operatorconfig/file.go
+++ b/internal/operatorconfig/file.go
@@ -16,6 +16,10 @@
 const EnvVar = "TROUTUSHER_OPERATOR"
 
 // File is the content of the operator's file. A zero value selects the default of a key.
+//
+// Some keys are named differently from the fields, here and in the sections: stories are
+// message traces, learned is the policy's state, and rest is the passivation of idle
+// destinations. The format of the file is fixed, so these keys keep their names.
 type File struct {
 	Clients     Clients     `toml:"clients"`
 	TLSRules    []TLSRule   `toml:"tls"`
--- a/internal/operatorconfig/handshakes.go
+++ b/internal/operatorconfig/handshakes.go
@@ -22,7 +22,8 @@
 type Handshakes struct {
 	// CPUShare is the share of one core that handshakes may use, above 0 and at most 1.
 	CPUShare float64 `toml:"share"`
-	// BurstMS is the processor time that handshakes may use in a burst, in ms.
+	// BurstMS is the processor time that handshakes may use at once after a pause, in ms.
+	// On average they are limited by CPUShare.
 	BurstMS float64 `toml:"burst_ms"`
 	// MaxParallel is the maximum number of concurrent handshakes with one endpoint.
 	MaxParallel int `toml:"parallel"`
@@ -36,7 +37,9 @@
 	SessionKey string `toml:"session_key"`
 }
 
-// Limits returns the limits of the handshake budget.
+// Limits returns the limits of the handshake budget, which limits the processor time and the
+// number of concurrent handshakes. The assumed cost of a handshake is at most the burst,
+// because the budget could never pay for a larger one.
 func (h *Handshakes) Limits() tlspolicy.HandshakeLimits {
 	limits := tlspolicy.DefaultHandshakeLimits()
 	limits.Share = cmp.Or(h.CPUShare, limits.Share)
--- a/internal/operatorconfig/tls.go
+++ b/internal/operatorconfig/tls.go
@@ -30,8 +30,8 @@
 type TLSRule struct {
 	// Name identifies the rule in logs and metrics.
 	Name string `toml:"name"`
-	// Destinations and Flavors select the destinations of the rule, by number and by the
-	// flavor in the endpoint list.
+	// Destinations and Flavors select the destinations of the rule, by number and by their
+	// flavor, the kind of destination that the endpoint list states.
 	Destinations []int    `toml:"destinations"`
 	Flavors      []string `toml:"flavors"`
 	// ServerName is sent as SNI. The endpoint's certificate must contain it (RFC 6125).
@@ -100,7 +100,7 @@
 	return tlspolicy.RuleTarget{Rule: r.Name, Destinations: r.Destinations, Flavors: r.Flavors}
 }
 
-// Targets returns the destinations that each rule selects.
+// Targets returns the numbers and flavors of destinations that each rule selects.
 func (f *File) Targets() []tlspolicy.RuleTarget {
 	var targets []tlspolicy.RuleTarget
 	for i := range f.TLSRules {
--- a/internal/operatorconfig/tuning.go
+++ b/internal/operatorconfig/tuning.go
@@ -9,10 +9,12 @@
 	"troutusher/internal/tomlfile"
 )
 
-// Traces contains the settings for message traces in the program's log.
+// Traces contains the settings for message traces, the lines in the program's log that
+// follow one message. Its section in the file is called stories.
 type Traces struct {
-	// PerSecond is the number of messages per second that are traced from their acceptance;
-	// -1 for none.
+	// PerSecond is the maximum number of messages per second that are traced from their
+	// submission on, through all steps; -1 for none. Of the other messages the log contains
+	// only failed attempts, ends without delivery, and recoveries after a restart.
 	PerSecond int `toml:"per_second"`
 }
 
@@ -27,7 +29,9 @@
 	}
 }
 
-// PolicyState contains the settings for storing the policy's state.
+// PolicyState contains the settings for storing what the policy has learned about
+// destinations, so that a restarted relay can use it. Its section in the file is called
+// learned.
 type PolicyState struct {
 	// WritePeriodS is the interval between writes while the state changes, in seconds. With
 	// -1 the state is neither written nor read.
@@ -51,7 +55,9 @@
 	}
 }
 
-// Passivation contains the settings for passivating idle destinations.
+// Passivation contains the settings for passivating idle destinations: a passivated
+// destination is moved out of the core to the compact store of package idlestore, and back
+// when it is used again. The section in the file is called rest.
 type Passivation struct {
 	// MaxActive is the number of destinations that stay active no matter how long they are
 	// idle; -1 for all.
@@ -65,7 +71,7 @@
 	defaultMaxActive    = 1024
 	maxMaxActive        = 1 << 20
 	defaultIdleTimeoutS = 60.0
-	minPassivationIdleS = 10 // the policy's counts of a destination have expired by then
+	minPassivationIdleS = 10 // the policy counts a destination's requests over 10 s; then the counts are zero
 	maxPassivationIdleS = 86400
 )
 
@@ -86,7 +92,7 @@
 	}
 }
 
-// Discovery contains the settings for the endpoint list.
+// Discovery contains the settings for the endpoint list that discovery sends.
 type Discovery struct {
 	// MaxListMB is the maximum size of an endpoint list, in units of 2^20 bytes.
 	MaxListMB int `toml:"list_mb"`
--- a/internal/policystate/format.go
+++ b/internal/policystate/format.go
@@ -49,7 +49,8 @@
 	WrittenAtMonotonic int64  `json:"mono"`
 	ClockZero          int64  `json:"zero"`
 	BootID             string `json:"boot,omitempty"`
-	// CleanShutdown is true if the state did not change after the write.
+	// CleanShutdown is true if the process wrote the file when it shut down, after the last
+	// change of the state.
 	CleanShutdown bool                `json:"clean"`
 	State         *core.StateSnapshot `json:"state"`
 }
--- a/internal/policystate/schedule.go
+++ b/internal/policystate/schedule.go
@@ -4,7 +4,7 @@
 // written per second. Times and durations are in µs.
 //
 // The state has two version numbers: version counts all changes, urgentVersion counts
-// only those that a restart must not lose.
+// only those that a restart must not lose. The caller passes both.
 type WriteSchedule struct {
 	minInterval    int64 // from a write to the next one after an urgent change
 	interval       int64 // from a write to the next one after any other change
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -9,7 +9,7 @@
 	"troutusher/policy"
 )
 
-// Values of keys that are stored as strings. The comments name the keys.
+// Values of keys of the platform's format, each with a comment that names its key.
 const (
 	decayHalving  = "halving"    // specifics.late
 	valueByWork   = "work"       // value_by
@@ -85,8 +85,8 @@
 	return converted
 }
 
-// destinationKinds converts the kinds of destinations. The endpoints of a kind that the specifics leave out share one
-// limit, and each of its calls carries one message.
+// destinationKinds converts the kinds of destinations. For a kind without entries in from.Specifics, the endpoints of
+// a destination share one limit and each call carries one message.
 func destinationKinds(from *wire.Settings) []policy.DestinationKind {
 	var converted []policy.DestinationKind
 	for i := range from.Kinds {
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -122,7 +122,7 @@
 			false,
 		},
 		{
-			"messages weighted by number",
+			"weight independent of cost",
 			func(s *wire.Settings) { s.ValueBy = "count" },
 			func(s policy.Settings) bool { return s.WeightByCost },
 			false,
--- a/internal/source/etcd/follow/calls.go
+++ b/internal/source/etcd/follow/calls.go
@@ -16,7 +16,7 @@
 	"troutusher/internal/source/etcd"
 )
 
-// call is an open call.
+// call is an open call to a member, which may be a watch.
 type call struct {
 	cancel context.CancelFunc
 	mu     sync.Mutex
@@ -56,7 +56,7 @@
 	f.enqueue(&etcd.CallFailed{Call: id, Reason: failureReason(err), Detail: status.Convert(err).Message()})
 }
 
-// failureReason returns the reason for the machine that corresponds to a gRPC error.
+// failureReason converts a gRPC error to the machine's reason for the failure.
 func failureReason(err error) etcd.FailureReason {
 	s := status.Convert(err)
 	if s.Message() == status.Convert(rpctypes.ErrGRPCCompacted).Message() {
--- a/internal/source/etcd/follow/fixtures_test.go
+++ b/internal/source/etcd/follow/fixtures_test.go
@@ -8,8 +8,8 @@
 )
 
 // Compares the lines that the follow process writes for its relay, and the command that it
-// reads, with recorded ones. The tests of package relay decode the same file, so that the two
-// programs agree.
+// reads, with recorded ones. The tests of package membersource, the relay's side, decode the same
+// file, so that the two programs agree.
 func TestMessageFixture(t *testing.T) {
 	m := membership.Member{
 		ID: "a", HostPort: "10.1.0.18:6379", Locality: "a", Flavor: "m2", Dest: 3, Phase: membership.Up, Rate: 40,
--- a/internal/source/etcd/follow/follow_test.go
+++ b/internal/source/etcd/follow/follow_test.go
@@ -94,8 +94,9 @@
 	return f
 }
 
-// waitFor waits until a condition on the published list holds, and returns how long that took.
-func (f *testFollower) waitFor(what string, cond func() bool) time.Duration {
+// waitFor waits until a condition on the published list holds, and returns how long that took. The
+// description names the condition in the failure's text.
+func (f *testFollower) waitFor(description string, cond func() bool) time.Duration {
 	f.t.Helper()
 	began, timedOut := time.Now(), false
 	timer := time.AfterFunc(20*time.Second, func() { f.mu.Lock(); timedOut = true; f.cond.Broadcast(); f.mu.Unlock() })
@@ -104,7 +105,7 @@
 	defer f.mu.Unlock()
 	for !cond() {
 		if timedOut {
-			f.t.Fatalf("timed out after 20 s waiting for %s; the published list is %v", what, f.published)
+			f.t.Fatalf("timed out after 20 s waiting for %s; the published list is %v", description, f.published)
 		}
 		f.cond.Wait()
 	}
--- a/internal/source/etcd/handle.go
+++ b/internal/source/etcd/handle.go
@@ -154,7 +154,9 @@
 	m.emit(&EmitHeartbeat{})
 }
 
-// handleFailure handles the failure of the open call.
+// handleFailure handles the failure of the open call. If the requested revision was compacted, it
+// reads the complete list again. If the member rejected the token, it requests a new one from the
+// same member, unless a call has failed before. In all other cases it calls the next member.
 func (m *Machine) handleFailure(e *CallFailed) {
 	switch {
 	case e.Reason == ReasonCompacted && (m.state == openingWatch || m.state == watching):
--- a/internal/source/etcd/machine_test.go
+++ b/internal/source/etcd/machine_test.go
@@ -7,8 +7,10 @@
 	"troutusher/internal/membership"
 )
 
+// Check rejects each kind of invalid settings, and New rejects settings that were not made by
+// DefaultSettings.
 func TestSettings(t *testing.T) {
-	for _, spoil := range []func(*Settings){
+	for _, makeInvalid := range []func(*Settings){
 		func(s *Settings) { s.Prefix = "t" },
 		func(s *Settings) { s.Prefix = "//" },
 		func(s *Settings) { s.Members = 0 },
@@ -18,7 +20,7 @@
 		func(s *Settings) { s.PageSize = -1 },
 	} {
 		s := DefaultSettings("/t", 1)
-		if spoil(&s); s.Check() == nil {
+		if makeInvalid(&s); s.Check() == nil {
 			t.Errorf("Check() of %+v = nil, want an error", s)
 		}
 	}
@@ -108,7 +110,7 @@
 // A watch of another cluster, or at a revision lower than the machine's, makes the machine
 // read the complete list again. If the read finds the known revision, the member only lags
 // and its watch is kept. If it finds a lower revision, the cluster was restored and the
-// update has a new epoch. Otherwise the machine would miss changes after a restore.
+// update has a new epoch. Without the read, the machine would miss changes after a restore.
 func TestReplacedCluster(t *testing.T) {
 	s := watchingMachine(t, 1)
 	kvs := []KV{endpointKV("c", 3)}
--- a/internal/source/etcd/publish/publish.go
+++ b/internal/source/etcd/publish/publish.go
@@ -20,8 +20,8 @@
 	"troutusher/internal/source/etcd"
 )
 
-// List is the complete list of an operator's file: endpoints by id, and partners, with their
-// rates, by destination.
+// List is the complete list of an operator's file: endpoints by id, and partners (the operators
+// of destinations), with their rates, by the destination's number.
 type List struct {
 	Endpoints map[string]etcd.Endpoint `json:"endpoints"`
 	Partners  map[string]etcd.Partner  `json:"partners"`
@@ -46,7 +46,8 @@
 }
 
 // Drain puts the drain keys of endpoints, or deletes them if off is true. It makes up to
-// maxChangesPerTxn changes at one revision. It leaves drains alone that are already as wanted.
+// maxChangesPerTxn changes at one revision. It skips endpoints whose drain is already in the
+// requested state.
 func (p *Publisher) Drain(ctx context.Context, off bool, ids ...string) (*Result, error) {
 	drains, err := p.read(ctx, etcd.DrainsFolder)
 	if err != nil {
@@ -129,6 +130,7 @@
 	return p.apply(ctx, changes)
 }
 
+// compareBool orders false before true.
 func compareBool(a, b bool) int {
 	switch {
 	case a == b:
--- a/internal/source/etcd/publish/publish_test.go
+++ b/internal/source/etcd/publish/publish_test.go
@@ -64,6 +64,9 @@
 	return l
 }
 
+// Publish, Drain and Remove change only keys that differ from the request, across several
+// transactions. Publish refuses to remove over half of the endpoints unless that is allowed, and
+// refuses values that relays could not decode.
 func TestPublish(t *testing.T) {
 	_, p, _, ctx := startCluster(t)
 	result, err := p.Publish(ctx, exampleList(250), false)
--- a/internal/source/etcd/table.go
+++ b/internal/source/etcd/table.go
@@ -23,10 +23,10 @@
 type keyTable struct {
 	prefix      string
 	endpoints   map[string]Endpoint
-	idsByDest   map[int]idSet // ids in endpoints, by destination
-	ratesByDest map[int]float64
-	drains      idSet // ids for which there is a drain key
-	unreadable  idSet // endpoints whose latest value cannot be decoded
+	idsByDest   map[int]idSet   // ids in endpoints, by destination
+	ratesByDest map[int]float64 // rates of partners, by destination
+	drains      idSet           // ids for which there is a drain key
+	unreadable  idSet           // endpoints whose latest value cannot be decoded
 }
 
 func newKeyTable(prefix string) *keyTable {
--- a/internal/source/etcd/values.go
+++ b/internal/source/etcd/values.go
@@ -21,7 +21,7 @@
 //
 // An endpoint is draining while its own phase is "draining" or a drain key with its ID
 // exists. The drain may be put before the endpoint is published. The rate of an endpoint is
-// its own rate if it has one, else the rate of its partner.
+// its own rate if it has one, else the rate of its partner, the operator of its destination.
 
 // layoutVersion is the only version of the values that can be decoded.
 const layoutVersion = 1
@@ -39,10 +39,11 @@
 	Locality string  `json:"locality,omitempty"`
 	Flavor   string  `json:"flavor,omitempty"`
 	Phase    string  `json:"phase,omitempty"` // empty means membership.Up
-	Rate     float64 `json:"rate,omitempty"`  // calls per second; 0 means the partner's rate
+	Rate     float64 `json:"rate,omitempty"`  // calls per second; 0 means the rate of the destination's partner
 }
 
-// Partner is the value of a partner key, whose name is a destination.
+// Partner is the value of a partner key, whose name is the number of the destination that the
+// partner operates.
 type Partner struct {
 	Version int     `json:"v"`
 	Rate    float64 `json:"rate"` // calls per second, for each endpoint without a rate of its own
--- a/internal/source/etcd/values_test.go
+++ b/internal/source/etcd/values_test.go
@@ -7,6 +7,7 @@
 	"troutusher/internal/membership"
 )
 
+// DecodeEndpoint accepts valid values only, and RangeEnd returns the first key after a prefix.
 func TestValues(t *testing.T) {
 	for text, ok := range map[string]bool{
 		`{"v":1,"host_port":"10.0.0.1:80","dest":3}`:                             true,
--- a/internal/source/registry/scheduler.go
+++ b/internal/source/registry/scheduler.go
@@ -24,12 +24,14 @@
 	minDelay       = 100 * time.Millisecond // between any two calls
 	spreadPerRelay = 100 * time.Millisecond // for each relay that may call at the same moment
 	maxRelays      = 1000                   // the spread doesn't grow beyond that many relays
-	maxBaseSpread  = 6 * time.Second        // the registry can serve a fleet of any size within some seconds
+	maxBaseSpread  = 6 * time.Second        // long enough for the registry to serve a fleet of any size
 
 	// Limits of the spread, which doubles with each consecutive failure.
-	maxDoublings        = 10
-	maxRejectedSpread   = 16 * time.Second // after rejected calls
-	maxUnansweredSpread = time.Second      // after unanswered calls; plus timeout, it is under the drain grace period
+	maxDoublings      = 10
+	maxRejectedSpread = 16 * time.Second // after rejected calls
+	// After unanswered calls. Together with the next call's timeout it is shorter than the drain grace
+	// period, within which the relay must stop calls to an endpoint whose drain it may have missed.
+	maxUnansweredSpread = time.Second
 
 	shortTimeout = time.Second             // for the response headers, in a small fleet
 	longTimeout  = 2500 * time.Millisecond // in a large fleet: a call may be queued in the registry for 2 s
--- a/internal/source/registry/scheduler_test.go
+++ b/internal/source/registry/scheduler_test.go
@@ -105,8 +105,8 @@
 	}
 }
 
-// A small fleet calls again almost at once, since it cannot overload the registry. The delay is
-// limited for a fleet of any size.
+// After a watch has ended, the relays of a small fleet call again within 0.4 s, since they cannot
+// overload the registry. The delay is limited for a fleet of any size.
 func TestSmallFleetPollsSoon(t *testing.T) {
 	for n, maxDelay := range map[int]time.Duration{
 		0: 200 * time.Millisecond, 1: 200 * time.Millisecond, 3: 400 * time.Millisecond,
@@ -168,7 +168,7 @@
 
 // For any order of lists: the accepted revision never decreases, unless the registry sends an
 // older complete list maxOlderLists times in a row; a change to an unknown list is never accepted.
-func TestJudgeRevisions(t *testing.T) {
+func TestCheckRevision(t *testing.T) {
 	for seed := range uint64(2000) {
 		rng := rand.New(rand.NewPCG(seed, 1))
 		s := New(80, seed)
@@ -249,9 +249,9 @@
 	}
 }
 
-// A registry that does not answer is called again within less than the drain grace period, since
-// a drain that it reports when it returns applies at once. After rejected calls the delay may
-// grow longer.
+// A registry that did not answer is called again within less than the drain grace period, since a
+// drain that it reports once it answers again must be obeyed at once. After rejected calls the
+// delay may grow longer.
 func TestUnheardIsAskedAgainSoon(t *testing.T) {
 	for _, n := range []int{3, 300} {
 		s := New(n, 1)
--- a/internal/wal/append.go
+++ b/internal/wal/append.go
@@ -18,8 +18,9 @@
 	compactFactor  = 4       // the log is compacted at this multiple of the size of the pending records
 )
 
-// append writes one record if the size limit leaves room for it and for a later
-// compaction.
+// append writes one record if the size limit leaves room for it and for a later compaction, and
+// applies it to the pending set. It returns ErrNotPending for a record of a message that is not
+// pending, and ErrFull if there is no room.
 func (l *Log) append(r *core.Record) error {
 	if r.Kind != core.RecordAccepted && !l.pending.contains(r.ID) {
 		return ErrNotPending
--- a/internal/wal/log.go
+++ b/internal/wal/log.go
@@ -38,8 +38,8 @@
 	ErrNotPending = errors.New("message is not pending in the write-ahead log")
 )
 
-// Origin says where the content of a log came from. The relay prints it in the log line
-// that reports readiness.
+// Origin says whether Open found a log of an earlier process. The relay prints it in its log
+// line that reports readiness.
 type Origin string
 
 // The origins of a log.
@@ -54,8 +54,8 @@
 	Dir string
 	// MaxBytes is the maximum disk space of the log together with a compacted copy of it.
 	MaxBytes int64
-	// InFlight reports whether a message has an attempt in flight whose outcome will
-	// still be submitted. If InFlight is nil, no message has one.
+	// InFlight reports whether a message still has an attempt in flight, taken over from an
+	// earlier process, whose outcome will be submitted. If InFlight is nil, no message has one.
 	InFlight func(id string) bool
 	Logger   *slog.Logger
 }
@@ -87,8 +87,9 @@
 	onWritten func(error)  // may be nil
 }
 
-// Open recovers the log in a directory, compacts it, and returns the pending
-// messages in the order of their acceptance, each folded into one record.
+// Open recovers the log in a directory, compacts it, and returns the pending messages in the
+// order of their acceptance. All records of a message are combined into one that contains its
+// current state. An attempt without an outcome is marked as possibly executed.
 func Open(o Options) (*Log, []*core.Record, error) {
 	l := &Log{
 		path:     filepath.Join(o.Dir, FileName),
@@ -123,7 +124,7 @@
 	return l, l.pending.copies(), nil
 }
 
-// Origin returns where the content of the log came from.
+// Origin returns whether Open found a log of an earlier process.
 func (l *Log) Origin() Origin { return l.origin }
 
 // Submit queues a record for writing and returns at once. The goroutine of Run calls
--- a/internal/wal/pending.go
+++ b/internal/wal/pending.go
@@ -11,7 +11,7 @@
 	jsonOverhead   = 160 // bytes of keys and numbers in the JSON of a record
 )
 
-// pendingSet holds the pending messages, each folded into one record.
+// pendingSet holds the pending messages, with all records of a message combined into one.
 type pendingSet struct {
 	byID     map[string]*pendingRecord
 	bytes    int64 // upper bound for the size of a compacted log
--- a/internal/wire/action.go
+++ b/internal/wire/action.go
@@ -24,13 +24,13 @@
 	Code     uint8
 	Relay    uint16
 	Attempt  uint8
-	On       bool
+	On       bool   // of an ActListen: subscribe; if false, unsubscribe
 	Ticket   uint32 // identifies a message
-	After    uint32
+	After    uint32 // the Retry-After of an ActRefuse, the delay of an ActRemind
 	Endpoint uint64
-	At       uint64
-	Token    uint64
-	Text     string
+	At       uint64 // of an ActDeliver: when the attempt times out
+	Token    uint64 // of an ActRemind: returned in its EvAlarm
+	Text     string // of an ActLog or ActBug
 }
 
 // encode writes the action into record and appends its text, if any, to frame, which ends with the tail. tailSize is
--- a/internal/wire/event.go
+++ b/internal/wire/event.go
@@ -22,22 +22,22 @@
 
 // Kinds of EvSync.
 const (
-	SyncCached = 0
-	SyncFailed = 1
-	SyncFull   = 3
-	SyncDelta  = 4
+	SyncCached = 0 // a list that may be out of date
+	SyncFailed = 1 // no list: fetching it failed
+	SyncFull   = 3 // the complete list
+	SyncDelta  = 4 // the changed entries of the list
 )
 
 // Statuses of EvResolved and EvHealth.
 const (
 	StatusOK     = 0
 	StatusMoot   = 249 // the attempt was never sent
-	StatusCancel = 250
-	StatusReset  = 251
-	StatusNoConn = 252
-	StatusLate   = 253
+	StatusCancel = 250 // the attempt was cancelled
+	StatusReset  = 251 // the connection was reset
+	StatusNoConn = 252 // the connection could not be opened
+	StatusLate   = 253 // the attempt timed out
 	StatusFull   = 254 // the endpoint rejected the attempt without processing it
-	StatusError  = 255
+	StatusError  = 255 // the attempt failed
 )
 
 const (
@@ -51,10 +51,10 @@
 type Entry struct {
 	Endpoint uint64 // an IPv4 address in four bytes and a port in two
 	Zone     uint16
-	Kind     uint8
+	Kind     uint8 // kind of the destination
 	Dest     uint16
-	State    uint8
-	Nominal  float32
+	State    uint8   // readiness, from 0 to maxReadiness
+	Nominal  float32 // rate
 	CameUp   uint64
 }
 
@@ -66,21 +66,21 @@
 	Sheet    uint8 // number of a list of endpoints
 	Status   uint8
 	Attempt  uint8
-	Settled  bool
+	Settled  bool // of an EvResolved: the attempt finished its message
 	Class    uint16
-	Flags    uint16
+	Flags    uint16 // of an EvCall
 	Dest     uint16
 	Ticket   uint32 // identifies a message
 	Tenant   uint32
 	Grace    uint32 // time left until the message's deadline
-	Estimate uint32
-	Note     uint32
-	Took     uint32
+	Estimate uint32 // estimated cost of a message
+	Note     uint32 // of an EvResolved: the Retry-After in ms of StatusFull, the reason of StatusMoot
+	Took     uint32 // latency of an attempt or a health check
 	Endpoint uint64
-	Subject  uint64 // key of a message
-	Token    uint64 // the seed of an EvUp, the list version of an EvSync, the timer's token of an EvAlarm
-	Reports  int    // number of values in Report
-	Report   [4]float32
+	Subject  uint64     // key of a message
+	Token    uint64     // the seed of an EvUp, the list version of an EvSync, the timer's token of an EvAlarm
+	Reports  int        // number of values in Report
+	Report   [4]float32 // load report of an endpoint
 	Text     []byte
 	Entries  []Entry
 }
--- a/internal/wire/frame.go
+++ b/internal/wire/frame.go
@@ -10,15 +10,18 @@
 	"io"
 )
 
+// Sizes in bytes.
 const (
-	batchHeader = 16
-	replyHeader = 8
+	batchHeader = 16 // clock, length of the body, number of records
+	replyHeader = 8  // length of the body, number of records
 	maxBody     = 1 << 30
 )
 
+// be is the byte order of all numbers in frames.
 var be = binary.BigEndian
 
-// ReadBatch reads and decodes one frame. It returns io.EOF if the input ends before the frame's first byte.
+// ReadBatch reads and decodes one frame from the simulator: its clock and a batch of events. It returns io.EOF if the
+// input ends before the frame's first byte.
 func ReadBatch(r io.Reader) (clock uint64, events []Event, err error) {
 	var header [batchHeader]byte
 	n, err := io.ReadFull(r, header[:])
--- a/internal/wire/settings.go
+++ b/internal/wire/settings.go
@@ -6,7 +6,8 @@
 	"fmt"
 )
 
-// Settings is the decoded settings text, not validated. Unknown keys are ignored.
+// Settings is the decoded settings text, not validated. Unknown keys are ignored. Its fields are named as in the
+// protocol; package settings maps them to the names of the policy.
 type Settings struct {
 	Accounts []struct {
 		Name  string  `json:"name"`
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -58,6 +58,7 @@
 	}
 }
 
+// TestKnownList decodes a list of two endpoints and a sync event that refers to the list by its number.
 func TestKnownList(t *testing.T) {
 	tail := unhex(t, `0a124a07 1f43 0000 00 0039 01 3f800000 0000000000000000
 		0a9011f2 1f6c 0001 02 0039 02 3fc00000 00000000005d1420`)
@@ -73,6 +74,7 @@
 	}
 }
 
+// TestKnownOutcome decodes the end of an attempt that the endpoint rejected, with a load report.
 func TestKnownOutcome(t *testing.T) {
 	_, events, err := ReadBatch(bytes.NewReader(frame(
 		1,
@@ -116,6 +118,7 @@
 	}
 }
 
+// TestEveryAction encodes further kinds of action, one in each reply.
 func TestEveryAction(t *testing.T) {
 	for _, tt := range []struct {
 		action Action
@@ -138,6 +141,7 @@
 	}
 }
 
+// TestMalformed checks that each malformed frame gives an error of one line that names the wrong field.
 func TestMalformed(t *testing.T) {
 	call := padRecord(t, "1e 0003 5d3a91c4")
 	nanDestination := append([]byte(nil), call...)
@@ -192,6 +196,8 @@
 	}
 }
 
+// TestSettings checks that unknown keys are ignored, that absent keys get their defaults, and that invalid JSON and
+// values of a wrong type give an error.
 func TestSettings(t *testing.T) {
 	got, err := ParseSettings([]byte(`{"balancers":2,"unknown":[1],"classes":[{"repeat":"dedup","dedup_window_us":5}],
 		"limits":{"most_held":7},"specifics":{"calls_out":9,"own_limits":[true]},"safety":{"fall_us":3}}`))
