--- a/internal/config/parse.go
+++ b/internal/config/parse.go
@@ -22,7 +22,7 @@
 	stateEnvVar     = "ROUTER_STATE"
 )
 
-// file is the JSON form of the configuration file.
+// file is the JSON form of the configuration file. Its values are described at Config.
 type file struct {
 	Name      string             `json:"name"`
 	Listen    string             `json:"listen"`
--- a/internal/discovery/discoverytest/agent.go
+++ b/internal/discovery/discoverytest/agent.go
@@ -22,7 +22,7 @@
 
 	List              core.EndpointList
 	Watches           []chan string          // lines that are sent on each watch; closing a channel ends its watch
-	WatchedFrom       []string               // the revision from which each watch asked for changes
+	WatchedFrom       []string               // the revision after which each watch requested changes
 	Fetches           int                    // number of fetches of the complete list
 	Notices           map[string]core.Notice // the last notice of each message, by its id
 	NoticeStatus      int                    // HTTP status of the replies to notices
--- a/internal/discovery/watcher_test.go
+++ b/internal/discovery/watcher_test.go
@@ -72,8 +72,8 @@
 	}
 }
 
-// A watch sends the changes after the complete list. After a lost connection the next watch asks
-// from the last known revision; after a malformed change the complete list is fetched again.
+// A watch sends the changes after the complete list. After a lost connection the next watch begins
+// at the last known revision; after a malformed change the complete list is fetched again.
 func TestWatch(t *testing.T) {
 	m := core.Member{ID: "s-1", HostPort: "127.0.0.1:1", Dest: 3, Phase: core.Up}
 	agent := discoverytest.New(t, m)
@@ -92,7 +92,7 @@
 	var fetches int
 	agent.Update(func(a *discoverytest.Agent) { from, fetches = a.WatchedFrom[1], a.Fetches })
 	if from != "2" || fetches != 1 {
-		t.Errorf("second watch asks from revision %s after %d fetches, want revision 2 and 1 fetch", from, fetches)
+		t.Errorf("second watch begins at revision %s after %d fetches, want revision 2 and 1 fetch", from, fetches)
 	}
 	for i, bad := range []string{
 		`{"revision":3,"members":[{"id":"s-1"`,
@@ -119,8 +119,8 @@
 	})
 }
 
-// Guards against needless fetches of the complete list: after a rejected watch the next one asks
-// from the same revision, and a relay that starts with a list watches from its revision.
+// Guards against needless fetches of the complete list: after a rejected watch the next one begins
+// at the same revision, and a relay that starts with a list watches from its revision.
 func TestRejectedWatch(t *testing.T) {
 	m := core.Member{ID: "s-1", HostPort: "127.0.0.1:1", Dest: 3, Phase: core.Up}
 	agent := discoverytest.New(t, m)
@@ -149,7 +149,7 @@
 }
 
 // A watch that stalls in the middle of a list is cancelled, even if it keeps sending empty lines.
-// The next watch asks from the last known revision and gets the list that was not completed.
+// The next watch begins at the last known revision and gets the list that was not completed.
 func TestWatchSilentWithinAList(t *testing.T) {
 	queries := make(chan string, 16)
 	release := make(chan struct{})
--- a/internal/event/event.go
+++ b/internal/event/event.go
@@ -33,7 +33,7 @@
 	OutageBegan         // an outage of an endpoint began: Endpoint, Status (1: unreachable, it records no calls)
 	OutageEnded         // the outage ended: Endpoint
 	Collapsed           // an endpoint collapsed under overload while it warmed up: Endpoint, Calls
-	RelayStopping       // a relay was asked to stop: Relay
+	RelayStopping       // the runner told a relay to stop: Relay
 	RelayKilled         // a relay's process was killed: Relay
 	RelayReady          // a relay is ready, after its first start or a restart: Relay
 	UnknownCall         // an endpoint received a call for a message that was never submitted: Relay, Endpoint, ID
--- a/internal/idlestore/bench_test.go
+++ b/internal/idlestore/bench_test.go
@@ -13,7 +13,8 @@
 //
 //	go test -run '^$' -bench Structures -benchtime 1000000x ./internal/idlestore
 
-// index maps hashes to positions.
+// index maps hashes to positions. The benchmark compares its implementations: the table of this package,
+// a map, and sorted blocks.
 type index interface {
 	add(hash uint64, at position)
 	has(hash uint64, at position) bool
--- a/internal/membership/apply.go
+++ b/internal/membership/apply.go
@@ -175,7 +175,7 @@
 // removalsLeft returns how many more unannounced removals, those of endpoints that were not
 // draining, a source may make in the current window.
 func (v *View) removalsLeft(t *sourceTracker) int {
-	const rounding = 1e-9
+	const rounding = 1e-9 // so that a product just below a whole number is not rounded down to the previous one
 	share := int(math.Floor(v.settings.MaxRemovalShare*float64(t.windowBase) + rounding))
 	return max(v.settings.MinRemovalLimit, share) - t.windowRemovals
 }
--- a/internal/membership/identity.go
+++ b/internal/membership/identity.go
@@ -4,7 +4,7 @@
 
 // updateEntry sets an entry's member, and reevaluates all endpoints that this affects. If the entry's
 // address changes, it collects the entries that are connected by the former address, indexes the new
-// one, and collects those that are connected by it. All of them get their ids in the view anew.
+// one, and collects those that are connected by it. Then it assigns all of them their ids in the view.
 func (v *View) updateEntry(e *entry, m Member) {
 	v.beginWalk()
 	added := e.ID == ""
@@ -25,7 +25,7 @@
 // unindexAddress removes an entry from the index by address.
 func (v *View) unindexAddress(e *entry) { removeFrom(v.byAddress, e.address(), e) }
 
-// leaveGroup removes an entry from the group of a view id.
+// leaveGroup removes an entry from the group of entries that belong to one endpoint of the view.
 func (v *View) leaveGroup(e *entry, viewID string) { removeFrom(v.byViewID, viewID, e) }
 
 // removeFrom removes an entry from the list of a key in an index, and the key if its list is empty.
--- a/internal/membership/merge.go
+++ b/internal/membership/merge.go
@@ -1,8 +1,10 @@
 package membership
 
-// mergedMember merges the states of one of the view's endpoints in all sources. It also returns
-// the source that decided the phase, -1 for none. If no source lists the endpoint, or one has
-// removed it, the member's phase is Removed and ok is false.
+// mergedMember merges the states of one of the view's endpoints in all sources. The rate comes from
+// the first fresh source that states one, the phase from the source whose phase ranks highest, and
+// the rest from the first fresh source that lists the endpoint. If no such source is fresh, a stale
+// one is used. It also returns the source that decided the phase, -1 for none. If no source lists
+// the endpoint, or one has removed it, the member's phase is Removed and ok is false.
 func (v *View) mergedMember(id string) (m Member, decidedBy int, ok bool) {
 	var first, fresh, rated *entry // among the entries that list it
 	highestRank := 0
--- a/internal/membership/view.go
+++ b/internal/membership/view.go
@@ -5,7 +5,7 @@
 	settings  Settings
 	sources   []sourceTracker             // in the order of Settings.Sources
 	byAddress map[addressKey][]*entry     // entries of all sources
-	byViewID  map[string][]*entry         // entries of all sources
+	byViewID  map[string][]*entry         // entries of all sources, grouped by the endpoint in the view
 	published map[string]*publishedMember // by the view's id
 
 	urgent     []string   // ids with drains, removals or lowered rates: published in the next step
--- a/internal/membersource/file.go
+++ b/internal/membersource/file.go
@@ -12,8 +12,8 @@
 	"troutusher/internal/membership"
 )
 
-// FileName is the name of the members file in a relay's state folder. It holds a
-// membership.State as JSON.
+// FileName is the name of the members file in a relay's state directory. It holds a
+// membership.State as JSON: the last list of each source.
 const FileName = "members"
 
 // saveInterval is the shortest time between two saves, except that drains and removals are saved at
--- a/internal/membersource/helper.go
+++ b/internal/membersource/helper.go
@@ -15,9 +15,10 @@
 	"troutusher/internal/membership"
 )
 
-// The helper is the kit program's subcommand "follow". It writes JSON objects to its standard output
-// and reads commands from its standard input, one per line each. It exits when its input ends, so
-// also when this process is killed.
+// The helper process watches etcd for the relay. It is the subcommand "follow" of the program
+// troutusher-kit. It writes updates and heartbeats to its standard output, each as one line of JSON, and
+// reads commands from its standard input, one per line. It exits when its input ends, so also when this
+// process is killed.
 
 const (
 	helperProgram    = "troutusher-kit"
@@ -36,7 +37,7 @@
 	Heartbeat bool               `json:"alive"`
 }
 
-// kitCommand returns the command of the kit program in the folder of this program.
+// kitCommand returns the command of the kit program in the directory of this program.
 func kitCommand() (*exec.Cmd, error) {
 	self, err := os.Executable()
 	if err != nil {
--- a/internal/membersource/merger.go
+++ b/internal/membersource/merger.go
@@ -33,12 +33,12 @@
 // Options are the parameters of New.
 type Options struct {
 	RegistryFirst  bool   // the registry takes precedence over etcd; else etcd does
-	StateDir       string // folder of the members file
+	StateDir       string // directory of the members file
 	Log            *slog.Logger
 	OnChange       func(*core.EndpointList) // called with each change, in order
 	ResyncRegistry func()                   // must cause a fetch of the registry's complete list
-	// HelperCommand returns the command of the helper; nil for the kit program in the folder of
-	// this program.
+	// HelperCommand returns the command of the helper process that watches etcd; nil for the kit
+	// program in the directory of this program.
 	HelperCommand func() (*exec.Cmd, error)
 }
 
--- a/internal/wal/append.go
+++ b/internal/wal/append.go
@@ -48,7 +48,9 @@
 	if r.Kind == core.RecordAccepted {
 		pending += reservedSize(r)
 		free -= pendingReserve
-		if 2*pending > free { // compaction could not free enough, so do not try it for every message
+		// A compacted log would hold all pending records, and so would its copy at the next compaction.
+		// If these do not fit, compaction cannot make room, so it is not even tried.
+		if 2*pending > free {
 			return ErrFull
 		}
 	}
