--- a/cmd/troutusher-kit/hold.go
+++ b/cmd/troutusher-kit/hold.go
@@ -10,12 +10,14 @@
 	"troutusher/internal/rehearsal/scenario"
 )
 
-// noticeReasons maps the status of a notice to the text that is printed for it.
+// noticeReasons maps the status of a notice, which is a relay's report to the platform that a
+// message ended undelivered, to the text that is printed for it. A message that is handed back may
+// be submitted again; one that is given up may not.
 var noticeReasons = map[int]string{event.NoticeAbandoned: "given up", event.NoticeReturned: "handed back"}
 
-// serveUntilInterrupted runs the emulated partners and registry of a plan for a relay that is
-// started by hand, and prints the calls that reach them, until ctx ends. It returns the exit
-// code.
+// serveUntilInterrupted runs the emulated partners (the operators of destinations) and registry of
+// a plan for a relay that is started by hand. It prints the calls that reach the partners and the
+// notices that reach the registry, until ctx ends, and returns the exit code.
 func (r *rehearseFlags) serveUntilInterrupted(
 	ctx context.Context, plan *scenario.Plan, stdout, stderr io.Writer,
 ) int {
--- a/cmd/troutusher-kit/kit_test.go
+++ b/cmd/troutusher-kit/kit_test.go
@@ -341,8 +341,8 @@
 }
 
 // Guards against a measurement of idle connections that cannot finish with a real relay
-// process, or that reports bad flags and relays that do not start with the wrong exit code.
-// The test does not check the measured figures.
+// process, and against wrong exit codes for bad flags and for relays that do not start. The
+// test does not check the measured figures.
 func TestCrowd(t *testing.T) {
 	t.Setenv(relayEnv, "1")
 	code, stdout, stderr := run(
--- a/cmd/troutusher-kit/learned.go
+++ b/cmd/troutusher-kit/learned.go
@@ -48,8 +48,9 @@
 	return path
 }
 
-// writeLearned writes the content of a file of size bytes: a line about the file, and a table
-// with a row for each limiter.
+// writeLearned writes the content of a file of size bytes: a line about the file, and a table with
+// a row for each limiter. A limiter is the part of the policy that paces the calls to one
+// destination, or to one endpoint of a destination whose endpoints have limits of their own.
 func writeLearned(stdout io.Writer, file *policystate.File, size int) error {
 	state := file.State
 	when := "while it ran"
@@ -75,8 +76,8 @@
 	return err
 }
 
-// endpointNames returns the ids of the endpoints by number, each with its phase unless that is
-// up.
+// endpointNames returns the ids of the endpoints by number, each with its phase in the endpoint
+// list unless that phase is up.
 func endpointNames(state *core.StateSnapshot) map[policy.EndpointID]string {
 	names := map[policy.EndpointID]string{}
 	for i := range state.Members {
--- a/cmd/troutusher-kit/members.go
+++ b/cmd/troutusher-kit/members.go
@@ -11,8 +11,8 @@
 	"troutusher/internal/texttable"
 )
 
-// membersCommand is "troutusher members", which shows what each source states about each
-// endpoint.
+// membersCommand is "troutusher members", which shows what each source of endpoint lists (the
+// registry and etcd) states about each endpoint.
 type membersCommand struct {
 	State string `arg:"" help:"A relay's state folder, or the file \"members\" in it."`
 	JSON  bool   `name:"json" help:"As JSON, one endpoint a line."`
@@ -21,8 +21,8 @@
 // membersFileName is the name of the membership file in a relay's state folder.
 const membersFileName = "members"
 
-// Run prints each endpoint with the phase that each source states for it, and the revision of
-// that statement.
+// Run prints each endpoint with the phase (such as up or draining) that each source states for it,
+// and the revision of the source's list in which it last changed that phase.
 func (c *membersCommand) Run(stdout io.Writer) error {
 	state, lines, err := c.read()
 	if err != nil {
@@ -45,8 +45,8 @@
 	return err
 }
 
-// read decodes the membership file, and returns its content and the provenance of each
-// endpoint.
+// read decodes the membership file. It returns the file's content and, for each endpoint, what each
+// source states about it and which source decided its phase.
 func (c *membersCommand) read() (*membership.State, []membership.Provenance, error) {
 	path := fileInFolder(c.State, membersFileName)
 	text, err := os.ReadFile(path)
@@ -59,6 +59,7 @@
 	}
 	var sources []membership.Source
 	for _, source := range state.Sources {
+		// StaleAfter has no effect here, but must be above 0: an imported source counts as stale.
 		sources = append(sources, membership.Source{Name: source.Name, StaleAfter: 1})
 	}
 	if len(sources) == 0 {
@@ -68,7 +69,7 @@
 	if err != nil {
 		return nil, nil, fmt.Errorf("%s: %w", path, err)
 	}
-	view.Import(1, state)
+	view.Import(1, state) // the time 1 stands for now: the file holds only times relative to its writing
 	return state, view.Explain(1), nil
 }
 
--- a/cmd/troutusher/main.go
+++ b/cmd/troutusher/main.go
@@ -1,7 +1,7 @@
 // Command troutusher is a relay: it accepts messages from clients and calls the endpoints of
-// each message's destination until the message is delivered, or until its sender has received
-// a notice that it was not. Its settings come from environment variables and from the file that
-// ROUTER_CONFIG names. With arguments, it runs one of the tools of troutusher-kit instead.
+// each message's destination until the message is delivered, or until the platform has accepted
+// the relay's notice that it was not. Its settings come from environment variables and from the
+// file that ROUTER_CONFIG names. With arguments, it runs one of the tools of troutusher-kit instead.
 package main
 
 import (
--- a/internal/emulator/endpoint/calls.go
+++ b/internal/emulator/endpoint/calls.go
@@ -29,8 +29,8 @@
 	return event.Event{Kind: kind, Call: c.number, ID: c.id, Relay: c.relay, Endpoint: c.endpoint.index}
 }
 
-// ReceiveUntrustedCall tells the model that a call has arrived on a connection whose TLS identity the
-// relay should have rejected.
+// ReceiveUntrustedCall tells the model that a call has arrived on a connection on which the endpoint
+// presented a TLS identity that the relay should have rejected.
 func (m *Model) ReceiveUntrustedCall(now Time, id ConnID, message string) {
 	m.Advance(now)
 	if conn := m.conns[id]; conn != nil {
@@ -53,7 +53,9 @@
 	)
 }
 
-// ReceiveCall tells the model that the last byte of a call has arrived.
+// ReceiveCall tells the model that the last byte of a call has arrived. The model rejects the call if
+// its message is unknown or the platform's rules do not allow it, and otherwise sends it to the
+// endpoint.
 func (m *Model) ReceiveCall(now Time, id ConnID, message, key string, timeout Time) {
 	m.Advance(now)
 	conn := m.conns[id]
--- a/internal/emulator/endpoint/faults.go
+++ b/internal/emulator/endpoint/faults.go
@@ -6,7 +6,9 @@
 	"troutusher/internal/event"
 )
 
-// InjectFault makes a fault active at an endpoint. To end it, pass the same pointer to ClearFault.
+// InjectFault makes a fault active at an endpoint: it records an outage that the fault causes, stops the
+// endpoint if the fault does that, and updates its speed and listeners. To end the fault, pass the same
+// pointer to ClearFault.
 func (m *Model) InjectFault(now Time, endpoint int, fault *Fault) {
 	m.Advance(now)
 	e := m.endpoints[endpoint]
@@ -53,8 +55,8 @@
 	m.applyFaults(e)
 }
 
-// rejectBeyondQueueLimit rejects the newest queued calls until the queue is within its limit. An
-// endpoint that hangs queues every call, whatever the limit.
+// rejectBeyondQueueLimit rejects the newest queued calls until the queue is within its limit. The queue
+// can be longer after a Hang fault, because an endpoint that hangs queues every call.
 func (m *Model) rejectBeyondQueueLimit(e *endpoint) {
 	for len(e.queue) > e.destination.QueueLimit {
 		c := e.queue[len(e.queue)-1]
@@ -158,7 +160,7 @@
 		e.activeFault(PlannedStop) != nil
 }
 
-// dominantFault returns the active fault that decides the outcome of all calls, or nil.
+// dominantFault returns the active fault that decides the outcome of all calls at the endpoint, or nil.
 func (e *endpoint) dominantFault() *Fault {
 	for _, kind := range [...]FaultKind{Blackhole, Crash, PlannedStop, Hang, RejectAll, RejectWithRetryAfter} {
 		if fault := e.activeFault(kind); fault != nil {
--- a/internal/emulator/endpoint/h1/connection.go
+++ b/internal/emulator/endpoint/h1/connection.go
@@ -53,6 +53,8 @@
 	_ = conn.tcp.Close()
 }
 
+// readRequests reads requests from a connection and passes them to the model. It returns when the
+// connection has ended or must be closed, for example because a request is malformed or too long.
 func (s *Server) readRequests(id endpoint.ConnID, conn *connection) {
 	limit := &io.LimitedReader{R: conn}
 	reader := bufio.NewReaderSize(limit, 1024)
--- a/internal/emulator/endpoint/h1/responses_test.go
+++ b/internal/emulator/endpoint/h1/responses_test.go
@@ -6,6 +6,8 @@
 	"troutusher/internal/emulator/endpoint"
 )
 
+// Guards the bytes of responses, by which relays recognize a rejection, its Retry-After and the limit of
+// calls in flight.
 func TestResponseText(t *testing.T) {
 	for _, test := range []struct {
 		response endpoint.Effect
--- a/internal/emulator/endpoint/h1/server_test.go
+++ b/internal/emulator/endpoint/h1/server_test.go
@@ -139,6 +139,8 @@
 	}
 }
 
+// The responses of the model reach the caller with their status and Retry-After, and requests for other
+// messages or paths get 400 and 404.
 func TestResponses(t *testing.T) {
 	h := newHarness(t, plainSpec())
 	c := h.dial()
@@ -174,6 +176,8 @@
 	h.expectStatus(c, "a request for an unknown path", 404)
 }
 
+// A crashed endpoint resets its connections and refuses new ones. After each of several crashes it serves
+// again at the same address.
 func TestCrashedEndpointRefusesConnectionsAndRecoversAtItsAddress(t *testing.T) {
 	h := newHarness(t, plainSpec())
 	c := h.dial()
@@ -193,6 +197,8 @@
 	}
 }
 
+// An unreachable machine neither answers on open connections nor establishes new ones, although the
+// kernel of this machine would accept them. When it is back, the old connections are reset.
 func TestBlackholedMachineIsUnresponsive(t *testing.T) {
 	h := newHarness(t, plainSpec())
 	c := h.dial()
@@ -223,6 +229,8 @@
 	}
 }
 
+// A call whose caller has disconnected still takes effect, and the events show the end of the call before
+// its effect.
 func TestCallTakesEffectAfterItsCallerHasDisconnected(t *testing.T) {
 	s := plainSpec()
 	s.Capacity, s.ServiceTimes[0].Mean = 10, 100*ms
@@ -246,6 +254,7 @@
 	}
 }
 
+// A call can take effect although its caller gets only a connection reset.
 func TestCallWhoseConnectionIsResetTakesEffect(t *testing.T) {
 	h := newHarness(t, plainSpec())
 	h.injectFault(&endpoint.Fault{Kind: endpoint.ConnectionReset, Share: 1})
@@ -257,6 +266,8 @@
 	h.waitFor("the effect of the call", func() bool { return h.effectsOf["m1"] == 1 })
 }
 
+// A LateResponse fault delays the response until the fault's magnitude after the timeout that the caller
+// stated in its request.
 func TestLateResponseComesAfterTheCallersTimeout(t *testing.T) {
 	h := newHarness(t, plainSpec())
 	h.injectFault(&endpoint.Fault{Kind: endpoint.LateResponse, Share: 1, Magnitude: 0.05})
@@ -270,6 +281,8 @@
 	}
 }
 
+// An HTTP client cannot parse a response with a defect, except for the duplicate, which it reads as two
+// responses. The call takes effect all the same.
 func TestMalformedResponses(t *testing.T) {
 	h := newHarness(t, plainSpec())
 	for _, defect := range []endpoint.ResponseDefect{
@@ -296,6 +309,8 @@
 	}
 }
 
+// Invalid requests get status 400 or a closed connection, and a second call before the response to the
+// first resets the connection. The server still serves other connections.
 func TestInvalidRequestEndsOnlyItsConnection(t *testing.T) {
 	h := newHarness(t, plainSpec())
 	for _, text := range []string{
--- a/internal/emulator/endpoint/h1/tls.go
+++ b/internal/emulator/endpoint/h1/tls.go
@@ -9,12 +9,12 @@
 
 const handshakeTimeout = 10 * time.Second
 
-// TLSIdentity says how an endpoint identifies itself over TLS.
+// TLSIdentity says how an endpoint identifies itself to relays over TLS.
 type TLSIdentity struct {
 	Config         *tls.Config
 	HandshakeDelay time.Duration // extra time that a handshake takes
 	ResetHandshake bool          // reset connections in the middle of the handshake
-	Trusted        bool          // relays should accept the identity
+	Trusted        bool          // relays should accept the identity; a call over any other one is a violation
 }
 
 // EnableTLS makes an endpoint use TLS on new connections if identity returns an identity for it.
--- a/internal/emulator/endpoint/model.go
+++ b/internal/emulator/endpoint/model.go
@@ -54,7 +54,7 @@
 	index             int
 	destination       *destination
 	concurrency       int     // maximum number of calls in service
-	serviceTimeScale  float64 // factor on service times, see Spec.concurrency
+	serviceTimeScale  float64 // factor on service times that Spec.concurrency returns
 	faults            []*Fault
 	draining          bool
 	listener          ListenerState
@@ -69,8 +69,8 @@
 	activeOutages     int
 	warmingUp         bool
 	recoveredAt       Time
-	collapsed         bool
-	group             *warmUpGroup
+	collapsed         bool         // it was overloaded while it warmed up, and never serves again
+	group             *warmUpGroup // the endpoints that collapse together with it
 	limiter           *rateLimiter
 	handshakeCost     float64 // load of TLS handshakes, in calls, that does not yet add up to a whole call
 }
--- a/internal/emulator/endpoint/model_test.go
+++ b/internal/emulator/endpoint/model_test.go
@@ -125,6 +125,9 @@
 
 func withID(id string) func(event.Event) bool { return func(e event.Event) bool { return e.ID == id } }
 
+// An endpoint that always has calls in its queue serves them at the rate of its capacity, whatever the
+// distribution of service times, also if the capacity does not correspond to a whole number of calls in
+// service.
 func TestServedRateMatchesCapacity(t *testing.T) {
 	for _, c := range []struct {
 		capacity float64
@@ -156,6 +159,8 @@
 	}
 }
 
+// Each kind of rate limit admits its configured rate, and rejects the other calls with or without a
+// Retry-After as configured.
 func TestRateLimits(t *testing.T) {
 	for _, c := range []struct {
 		name     string
@@ -206,6 +211,8 @@
 	}
 }
 
+// The endpoints of a destination share one rate limit, unless its routes are independent: then each
+// endpoint has a limit of its own.
 func TestRateLimitOfSharedAndIndependentRoutes(t *testing.T) {
 	for _, independent := range []bool{false, true} {
 		s := plainSpec()
@@ -224,6 +231,7 @@
 	}
 }
 
+// After an outage an endpoint serves a share of its capacity that grows linearly to the whole.
 func TestCapacityGrowsDuringWarmUp(t *testing.T) {
 	s := plainSpec()
 	s.Capacity, s.QueueLimit, s.WarmUpShare, s.WarmUpTime = 200, 50, 0.26, 10*sec
@@ -259,6 +267,9 @@
 	}
 }
 
+// An endpoint that warms up collapses, for the rest of the rehearsal, once it gets more calls than
+// OverloadFactor allows. The event counts the calls of each relay, by which the checker decides which
+// relays are at fault.
 func TestCollapsesUnderOverloadDuringWarmUp(t *testing.T) {
 	overload := func(rate float64) (*harness, Time) {
 		s := warmUpSpec()
@@ -304,6 +315,8 @@
 	}
 }
 
+// The endpoints of a destination share their load when a collapse is decided, and collapse together.
+// With independent routes, each endpoint is considered alone.
 func TestDestinationCollapsesAsAWholeAndIndependentRoutesSeparately(t *testing.T) {
 	for _, independent := range []bool{false, true} {
 		s := warmUpSpec()
@@ -339,6 +352,8 @@
 	}
 }
 
+// Guards what each kind of fault does to a call: the status of its response, and whether it takes effect
+// during the fault, only after it, or never. After the fault, calls are served as before.
 func TestEachFault(t *testing.T) {
 	for _, c := range []struct {
 		fault         Fault
@@ -376,6 +391,8 @@
 	}
 }
 
+// An ErrorResponses fault fails its share of the calls, of which half take effect, so that a relay cannot
+// conclude from the response whether a call has run. A share above one half counts as an outage.
 func TestHalfOfTheErrorResponsesTakeEffect(t *testing.T) {
 	s := plainSpec()
 	s.Capacity, s.QueueLimit = 1e4, 1000
@@ -400,6 +417,7 @@
 	h.expect("outages", h.count(event.OutageBegan, nil), 1)
 }
 
+// A crash resets the connection of a call in service, and the call never takes effect.
 func TestCrashLosesCallsInService(t *testing.T) {
 	h := newHarness(t, Rules{}, plainSpec())
 	id, conn := h.call(0, 0, "")
@@ -413,6 +431,8 @@
 	h.expect("CallEnded events", h.count(event.CallEnded, withID(id)), 1)
 }
 
+// While a machine is unreachable, its connections stay open without a response. When it is back, they
+// are reset, and the calls on them have had no effect.
 func TestBlackholedMachineResetsItsConnectionsOnRecovery(t *testing.T) {
 	h := newHarness(t, Rules{}, plainSpec())
 	id, conn := h.call(0, 0, "")
@@ -428,6 +448,8 @@
 	h.expect("effects", h.count(event.TookEffect, withID(id)), 0)
 }
 
+// An outage ends with the last of its faults, in whatever order they end. Otherwise the endpoint would
+// serve during a fault, or stay down after all of them.
 func TestFaultsThatOverlapEndInAnyOrder(t *testing.T) {
 	kinds := []FaultKind{RejectAll, Hang, Crash, Blackhole}
 	for a := range kinds {
@@ -460,6 +482,8 @@
 	}
 }
 
+// The overload of one destination that warms up does not make another one collapse that recovered at
+// the same time.
 func TestDestinationsThatRecoverAtOnceWarmUpSeparately(t *testing.T) {
 	a, b := warmUpSpec(), warmUpSpec()
 	b.Destination = 2
@@ -488,6 +512,8 @@
 	}
 }
 
+// A planned stop refuses connections but emits no outage, since relays were told of it by the list. The
+// endpoint warms up afterwards all the same.
 func TestPlannedStopIsNoOutageButWarmsUp(t *testing.T) {
 	s := plainSpec()
 	s.WarmUpShare, s.WarmUpTime = 0.3, 5*sec
@@ -503,6 +529,8 @@
 	}
 }
 
+// Two SlowService faults at once multiply the remaining service time of a call, and the end of one leaves
+// the other active.
 func TestSlowFaultsMultiply(t *testing.T) {
 	h := newHarness(t, Rules{}, plainSpec())
 	first, second := &Fault{Kind: SlowService, Magnitude: 2}, &Fault{Kind: SlowService, Magnitude: 5}
@@ -518,6 +546,8 @@
 	h.expect("effects after the end of service", h.count(event.TookEffect, withID(id)), 1)
 }
 
+// What becomes of a call whose caller has closed the connection depends on the cancel policy and on
+// whether the call is in service or queued. In any case the model reports when it is final.
 func TestCancelledCalls(t *testing.T) {
 	for _, c := range []struct {
 		cancel            CancelPolicy
@@ -538,6 +568,8 @@
 	}
 }
 
+// A call with a key that the destination has seen within the dedup window gets a response and takes no
+// effect. After the window it takes effect again.
 func TestIdempotencyKeysAreDeduplicated(t *testing.T) {
 	s := plainSpec()
 	s.DedupWindow = 10 * sec
@@ -555,6 +587,8 @@
 	h.expect("effects of a call after the dedup window", h.count(event.TookEffect, withID(c)), 1)
 }
 
+// Calls beyond the platform's limits are rejected: too many in flight from one relay, too many attempts
+// for a message, and a message that has already ended or was never submitted.
 func TestPlatformLimits(t *testing.T) {
 	h := newHarness(t, Rules{MaxInFlight: 2, MaxAttempts: 2}, plainSpec())
 	h.call(0, 0, "")
@@ -583,6 +617,8 @@
 	h.expect("UnknownCall events", h.count(event.UnknownCall, nil), 1)
 }
 
+// Guards the costs and limits of connections: the handshake delays only the first call, a connection
+// beyond the limit gets its call rejected, and idle connections are closed.
 func TestConnections(t *testing.T) {
 	s := plainSpec()
 	s.MaxConns, s.IdleTimeout, s.HandshakeTime, s.OneWayDelay = 2, 5*sec, 30*ms, 10*ms
@@ -616,6 +652,7 @@
 	h.expect("connections closed by the idle timeout", closed, 3)
 }
 
+// A health check is answered as a call would be: accepted, or rejected while all calls are rejected.
 func TestHealthChecks(t *testing.T) {
 	h := newHarness(t, Rules{}, plainSpec())
 	c := h.model.OpenConn(0, 0, 1)
@@ -630,6 +667,7 @@
 	h.expect("status of a health check while all calls are rejected", h.statusOn(c), event.StatusRejected)
 }
 
+// New rejects a specification that the model could not emulate.
 func TestInvalidSpecs(t *testing.T) {
 	for name, invalidate := range map[string]func(*Spec){
 		"endpoints":         func(s *Spec) { s.Endpoints = 0 },
--- a/internal/emulator/endpoint/service.go
+++ b/internal/emulator/endpoint/service.go
@@ -29,7 +29,9 @@
 	return seededrand.Float64(m.seed, uint64(c.message.Number), uint64(c.attempt), purpose)
 }
 
-// arrive handles a call that has reached its endpoint after the network delay.
+// arrive handles a call that has reached its endpoint after the network delay. The call is dropped if
+// the endpoint is down or the caller has cancelled it. It then counts towards an overload, which can
+// make the endpoint collapse. If it is neither rejected nor fails quickly, it is put into service.
 func (m *Model) arrive(c *call) {
 	e := c.endpoint
 	if c.final {
--- a/internal/emulator/endpoint/spec.go
+++ b/internal/emulator/endpoint/spec.go
@@ -1,8 +1,8 @@
-// Package endpoint models the endpoints of outside partners in virtual time: rate limits, queues,
-// service times, injected faults, warm-up after an outage and collapse under overload. A driver
-// advances the model, reports connections and requests to it, and carries out the effects that the
-// model returns, such as writing a response. The package uses no sockets, system clock, files or
-// goroutines, and does not depend on a protocol; its subpackages connect it to those.
+// Package endpoint models the endpoints of partners, the outside operators of destinations, in virtual
+// time: rate limits, queues, service times, injected faults, warm-up after an outage and collapse under
+// overload. A driver advances the model, reports connections and requests to it, and carries out the
+// effects that the model returns, such as writing a response. The package uses no sockets, system clock,
+// files or goroutines, and does not depend on a protocol; its subpackages connect it to those.
 package endpoint
 
 import (
@@ -25,8 +25,8 @@
 	FixedWindow LimitKind = "window" // a fixed number of calls in each window
 )
 
-// RateLimit limits the calls that a destination, or one independent route, admits from all relays
-// together.
+// RateLimit limits the calls that a destination, or one of its endpoints if it has independent routes,
+// admits from all relays together.
 type RateLimit struct {
 	Kind           LimitKind
 	PerSecond      float64 // calls per second
@@ -58,7 +58,7 @@
 	Name              string
 	Destination       int
 	Endpoints         int
-	IndependentRoutes bool // each endpoint has its own rate limit, and collapses without the others
+	IndependentRoutes bool // each endpoint has its own rate limit, and collapses independently of the others
 
 	Capacity     float64 // calls per second that a warmed-up endpoint serves, for calls in the mix ClassMix
 	QueueLimit   int     // maximum number of calls that wait for service at one endpoint
@@ -129,7 +129,7 @@
 // FaultKind names a kind of fault that can be injected at endpoints.
 type FaultKind string
 
-// Kinds of fault. If several kinds are active at one endpoint, the first one in this order decides
+// Kinds of fault. If several kinds are active at one endpoint, the first one in the order below decides
 // the outcome of a call. The factors of several SlowService faults multiply.
 const (
 	// Blackhole: the machine is unreachable. Open connections stay open but silent, and new ones are
--- a/internal/emulator/endpoint/warmup.go
+++ b/internal/emulator/endpoint/warmup.go
@@ -9,8 +9,8 @@
 // warmUpStep is the interval at which the speed of an endpoint is updated while it warms up.
 const warmUpStep Time = 50_000
 
-// warmUpGroup is a set of endpoints that collapse together: all endpoints of a destination, or a
-// single independent route.
+// warmUpGroup is a set of endpoints that collapse together: all endpoints of a destination, or a single
+// endpoint if the destination has independent routes.
 type warmUpGroup struct {
 	endpoints      []*endpoint
 	recoveredAt    Time // when one of the endpoints last recovered
--- a/internal/emulator/etcd/server.go
+++ b/internal/emulator/etcd/server.go
@@ -13,7 +13,8 @@
 	"google.golang.org/grpc/status"
 )
 
-// Member is a member of a cluster. It implements the gRPC services.
+// Member is a member of a cluster. It implements the gRPC services for keys, watches, leases and
+// authentication.
 type Member struct {
 	etcdserverpb.UnimplementedKVServer
 	etcdserverpb.UnimplementedWatchServer
--- a/internal/emulator/registry/notices.go
+++ b/internal/emulator/registry/notices.go
@@ -13,11 +13,13 @@
 
 const maxNoticeBytes = 1 << 20
 
+// noticeStatus maps the outcomes in notices to the status of the event.
 var noticeStatus = map[string]int{"given_up": event.NoticeAbandoned, "handed_back": event.NoticeReturned}
 
 var errInvalidNotice = errors.New("not a notice")
 
-// notice reports how an undelivered message ended.
+// notice reports how an undelivered message ended: the relay gave it up, or handed it back to the
+// client, which may submit it again after RetryMS.
 type notice struct {
 	Message string `json:"message"`
 	Outcome string `json:"outcome"`
--- a/internal/emulator/registry/registry.go
+++ b/internal/emulator/registry/registry.go
@@ -1,7 +1,8 @@
 // Package registry emulates the endpoint registry. The registry has an agent on the machine
-// of each relay, which serves the endpoint list and a watch of it, and accepts notices. Here
-// all agents are servers of one process, over HTTP/1.1 on loopback. Callers can delay or
-// withhold the updates of an agent, or keep it from answering requests for the list.
+// of each relay, which serves the endpoint list and a watch of it. The agent also accepts
+// notices: the relay's reports that a message ended undelivered. Here all agents are servers
+// of one process, over HTTP/1.1 on loopback. Callers can delay or withhold the updates of an
+// agent, or keep it from answering requests for the list.
 //
 // The package does not know why an endpoint appears or disappears; its caller sets the phase
 // of each endpoint.
@@ -13,7 +14,7 @@
 	"troutusher/internal/event"
 )
 
-// Phase is the phase of a member.
+// Phase says whether relays may call a member.
 type Phase string
 
 // Phases of a member.
@@ -23,16 +24,16 @@
 	PhaseRemoved  Phase = "removed"
 )
 
-// Member is an endpoint in the list.
+// Member is an endpoint in the endpoint list. Its fields have the names of the list's format.
 type Member struct {
 	ID       string  `json:"id"`
 	HostPort string  `json:"host_port"`
-	Locality string  `json:"locality"`
-	Flavor   string  `json:"flavor"`
-	Cell     int     `json:"cell"`
+	Locality string  `json:"locality"` // zone of the endpoint
+	Flavor   string  `json:"flavor"`   // kind of the destination's operator, for which relays have settings
+	Cell     int     `json:"cell"`     // number of the destination
 	Phase    Phase   `json:"phase"`
-	Size     float64 `json:"size"`
-	UpSince  int64   `json:"up_since_ms"`
+	Size     float64 `json:"size"`        // calls per second that relays may expect it to serve
+	UpSince  int64   `json:"up_since_ms"` // always 0 here
 }
 
 // List is the complete list or, if Complete is false, an update with the changed members.
--- a/internal/emulator/registry/registry_test.go
+++ b/internal/emulator/registry/registry_test.go
@@ -127,6 +127,9 @@
 	h.t.Fatalf("timed out after 20 s waiting for %s", what)
 }
 
+// An agent serves the complete list, and on a watch only the members that changed since the client's
+// revision. If it does not have all changes since then, it sends the complete list. It emits an event
+// only for an update that it has sent to a relay.
 func TestListAndWatch(t *testing.T) {
 	h := newHarness(t, 0, 0)
 	if list := h.fetchList(h.registry.Addr(0)); !list.Complete || len(list.Members) != 3 || list.Revision != 1 {
@@ -160,6 +163,8 @@
 	}
 }
 
+// Updates with different random delays reach an agent in the order in which they were sent. Otherwise
+// an endpoint could keep an outdated phase.
 func TestChangesArriveInOrderThoughDelaysDiffer(t *testing.T) {
 	h := newHarness(t, 0, 30*time.Millisecond)
 	lines := h.watch(h.registry.Addr(1), 1)
@@ -183,6 +188,8 @@
 	}
 }
 
+// Guards the faults of an agent: a stale one withholds updates until it is no longer stale, a silent one
+// answers a request only after the fault has ended, and an extra delay delays updates.
 func TestSilentStaleAndDelayedAgents(t *testing.T) {
 	h := newHarness(t, 0, 0)
 	h.registry.SetSilent(0, true)
@@ -244,6 +251,8 @@
 	}
 }
 
+// After a change of address, the agent accepts connections only at the new one, and closes the
+// connections to the old one.
 func TestChangeOfAddress(t *testing.T) {
 	h := newHarness(t, 0, 0)
 	old := h.registry.Addr(0)
@@ -263,6 +272,8 @@
 	}
 }
 
+// Each notice in a body becomes an event, also while the agent leaves requests for the list unanswered.
+// A body with an invalid notice is rejected as a whole.
 func TestNotices(t *testing.T) {
 	h := newHarness(t, 0, 0)
 	post := func(body string) int {
@@ -283,7 +294,7 @@
 	}
 	if len(h.events) != 2 || h.events[1].ID != "b" || h.events[1].Status != event.NoticeReturned ||
 		h.events[1].Wait != 500_000 || h.events[1].Relay != 1 {
-		t.Errorf("events = %+v, want 2; the second one for message b, returned to relay 1 with a wait of 500 ms",
+		t.Errorf("events = %+v, want 2; the second one for message b, handed back by relay 1 with a wait of 500 ms",
 			h.events)
 	}
 	for _, invalid := range []string{
--- a/internal/logstats/lines.go
+++ b/internal/logstats/lines.go
@@ -21,7 +21,7 @@
 	maxFilesNamed  = 10 // maximum number of files without a readable line that a report names
 )
 
-// logLine is a parsed line of a relay's log.
+// logLine is a parsed line of a relay's log, which is in the format logfmt: key=value pairs.
 type logLine struct {
 	time   time.Time
 	text   string // value of the field msg
--- a/internal/logstats/logstats.go
+++ b/internal/logstats/logstats.go
@@ -32,7 +32,7 @@
 // errNoLogs is returned for a folder in which no file *.log has a readable line.
 var errNoLogs = errors.New("no readable log")
 
-// Counts holds sums by the names of the counts.
+// Counts maps the name of a count of a relay's metrics, as in package metrics, to its sum.
 type Counts map[string]int64
 
 func (c Counts) addAll(other Counts) {
@@ -41,7 +41,8 @@
 	}
 }
 
-// HandedBack returns the number of messages that the policy handed back or rejected, for any reason.
+// HandedBack returns the number of messages that the policy rejected, or accepted and then handed back
+// to their clients to be submitted again, for any reason.
 func (c Counts) HandedBack() (sum int64) {
 	for name, n := range c {
 		if strings.HasPrefix(name, metrics.HandedBackPrefix) {
@@ -64,7 +65,7 @@
 	EmptyFiles              []string    // files without a readable line
 	ForeignLines            int         // lines that are not a relay's log lines
 	TruncatedLines          int         // last lines of files that are incomplete
-	InvalidCounts           int         // counts out of range, and lines with a second far from the first one
+	InvalidCounts           int         // counts out of range, and metrics lines whose second is far from the first one
 	FirstSecond, LastSecond int64       // the first and the last second with counts, in Unix time
 	Starts                  []time.Time // when relays became ready, in ascending order
 	Destinations            []int       // in ascending order
@@ -206,7 +207,7 @@
 	return r
 }
 
-// addStep updates the longest step with the one that a relay logged for a second.
+// addStep updates the longest step of an event loop with the one that a relay logged for a second.
 func (r *Report) addStep(relay string, line *logLine) {
 	micros, err := strconv.ParseInt(line.fields[metrics.LongestStepKey], 10, 64)
 	if err != nil || micros >= maxCount {
--- a/internal/logstats/messagetrace.go
+++ b/internal/logstats/messagetrace.go
@@ -21,7 +21,8 @@
 // errUnknownMessage is returned if no log line is about the message.
 var errUnknownMessage = errors.New("no log names this message")
 
-// TraceEvent is a log line about the traced message, or about the start or stop of a relay that had it.
+// TraceEvent is a log line about the traced message, or about the start or stop of a relay whose log has
+// lines about the message.
 type TraceEvent struct {
 	Relay     string
 	Time      time.Time
@@ -39,8 +40,8 @@
 }
 
 // ReadMessageTrace reads the files *.log in dir, one for each relay, and returns the lines about one
-// message, together with the starts and stops of the relays that had it. name is the folder's name in
-// errors.
+// message, together with the starts and stops of the relays whose logs have such lines. name is the
+// folder's name in errors.
 func ReadMessageTrace(dir fs.FS, name, id string) (*MessageTrace, error) {
 	trace := &MessageTrace{ID: id}
 	processEvents := map[string][]TraceEvent{} // by relay
@@ -84,8 +85,8 @@
 	return text == msgtrace.Ready || text == msgtrace.Stopping || text == msgtrace.Stopped
 }
 
-// addProcessEvents adds the starts and stops of the message's relays that are no more than
-// relayEventWindow away from the span of the message's own events.
+// addProcessEvents adds the starts and stops of the relays whose logs have lines about the message, if
+// they are no more than relayEventWindow away from the span of these lines.
 func (t *MessageTrace) addProcessEvents(byRelay map[string][]TraceEvent) {
 	first, last := t.Events[0].Time, t.Events[0].Time
 	relays := map[string]bool{}
--- a/internal/logstats/outcomes.go
+++ b/internal/logstats/outcomes.go
@@ -19,15 +19,16 @@
 	maxTrackedMessages = 4 << 20 // lines about further messages are only counted
 	maxExamples        = 5       // number of message IDs that are shown for each outcome
 
-	// noticeGrace is the time after a message's deadline within which a notice is not late.
+	// noticeGrace is the time after a message's deadline within which a notice is not late. A notice
+	// is a relay's report to the platform that a message ended undelivered.
 	noticeGrace = 300 * time.Millisecond
 	// restartNoticeGrace extends deadlines after a relay's start: an earlier deadline of a message
-	// that the start found is moved to this time after the start. Together with noticeGrace, a
-	// notice may be delivered up to 1.5 s after the start.
+	// that was pending at the start is moved to this time after the start. Together with noticeGrace,
+	// a notice may be delivered up to 1.5 s after the start.
 	restartNoticeGrace = 1500*time.Millisecond - noticeGrace
 )
 
-// Outcome describes how a message ended that a relay accepted. Its value is its text in the report.
+// Outcome says how a message ended that a relay accepted. Its value is its text in the report.
 type Outcome string
 
 // Outcomes of messages. The first four are correct, the next three mean that the logs do not show
@@ -60,7 +61,8 @@
 	return slices.Index(outcomeOrder, o) >= slices.Index(outcomeOrder, DeliveredLate)
 }
 
-// messageHistory summarizes the log lines about one message.
+// messageHistory summarizes the log lines about one message. Relays log every line about a message only
+// if it is traced, which they choose by sampling; about other messages they log only failures.
 type messageHistory struct {
 	relay               string // the relay of the last line that was read
 	firstSeen, deadline time.Time
@@ -70,7 +72,7 @@
 	deliveries, endings int
 	withdrawn           bool
 	finishedAtEndpoint  bool
-	traced              bool // traced from its submission or a recovery on
+	traced              bool // traced from its acceptance on, or since a restarted relay recovered it
 }
 
 // hasEnd reports whether the logs show how the message ended.
@@ -95,10 +97,10 @@
 	Count          map[Outcome]int
 	Examples       map[Outcome][]string // IDs of the first messages, in order of their first lines
 	Accepted       int                  // accepted messages whose outcome was determined
-	Untraced       int64                // messages that are not traced from their submission on
+	Untraced       int64                // messages that the relays chose not to trace
 	UntrackedLines int                  // lines about messages beyond the maximum number of tracked ones
 	LatestNotice   time.Duration        // the longest time from a message's deadline to its notice
-	LongestUnread  time.Duration        // upper bound of the time that any request waited to be read
+	LongestUnread  time.Duration        // upper bound of the time that any request waited until its relay read it
 
 	input      *inputSummary
 	messages   map[string]*messageHistory
@@ -169,7 +171,7 @@
 	} // lines about rejected messages are ignored, since these messages were never accepted
 }
 
-// addUntraced adds the number of untraced messages that a metrics line reports.
+// addUntraced adds the number of untraced messages that a relay's metrics line reports for one second.
 func (o *Outcomes) addUntraced(line *logLine) {
 	for _, key := range line.keys {
 		if !strings.HasSuffix(key, "."+metrics.Untraced) {
--- a/internal/logstats/page.go
+++ b/internal/logstats/page.go
@@ -30,7 +30,7 @@
 	value func(Counts) float64
 }
 
-// countSeries returns the series of one count.
+// countSeries returns the series of one count of the metrics, by its name.
 func countSeries(title, name string) series {
 	return series{title, func(c Counts) float64 { return float64(c[name]) }}
 }
--- a/internal/logstats/report.go
+++ b/internal/logstats/report.go
@@ -12,13 +12,13 @@
 	"troutusher/internal/texttable"
 )
 
-// column is a column of the tables.
+// column is a column of the tables. format returns the text of its cell for the counts of a row.
 type column struct {
 	name   string
 	format func(Counts) string
 }
 
-// countColumn returns the column of one count.
+// countColumn returns the column of one count of the metrics, by its name.
 func countColumn(title, name string) column {
 	return column{title, func(c Counts) string { return fmt.Sprint(c[name]) }}
 }
--- a/internal/logstats/restarts.go
+++ b/internal/logstats/restarts.go
@@ -14,18 +14,19 @@
 	"troutusher/internal/texttable"
 )
 
-// Restarts holds the number of messages that relays recovered when they started, and how the untried
-// ones among them ended, summed over all relays and starts. Untried messages are those for which the
-// write-ahead log has no attempt. A message that two starts recover counts twice.
+// Restarts holds the number of messages that relays recovered from their write-ahead logs when they
+// started, and how the untried ones among them ended, summed over all relays and starts. Untried
+// messages are those for which the write-ahead log has no attempt. A message that two starts recover
+// counts twice.
 type Restarts struct {
 	Starts     int    // processes that became ready
 	Recovered  int64  // recovered messages
 	Untried    int64  // recovered messages without an attempt
 	Expired    int64  // untried messages past their deadline when they were recovered
-	Unroutable int64  // untried messages before their deadline without an endpoint in the list
+	Unroutable int64  // untried messages before their deadline whose destination had no endpoint in the list
 	Attempted  int64  // untried messages attempted since the recovery
 	Delivered  int64  // untried messages attempted and delivered since the recovery
-	HandedBack Counts // untried messages handed back without a call, by reason
+	HandedBack Counts // untried messages handed back to their clients without a call, by reason
 	GivenUp    Counts // untried messages given up without a call, by reason
 
 	input *inputSummary
--- a/internal/rehearsal/checker/calls.go
+++ b/internal/rehearsal/checker/calls.go
@@ -16,7 +16,8 @@
 	endedAt     Time // 0 while it is in flight
 	status      int
 	submission  *submission
-	// drainViolation is the evidence if the first byte came after the drain grace, or else empty.
+	// drainViolation is the evidence of a violation of RuleDrain if the first byte came after the
+	// drain grace, or else empty.
 	drainViolation string
 }
 
@@ -28,7 +29,7 @@
 // uncertain reports whether it is unknown if the call took effect.
 func (c *call) uncertain() bool { return c.mayHaveRun() && c.status != event.StatusDelivered }
 
-// outcome describes how the call ended, for evidence.
+// outcome describes how the call ended, for the evidence of a violation.
 func (c *call) outcome() string {
 	switch {
 	case c.inFlight():
@@ -57,8 +58,10 @@
 	return created
 }
 
-// handleCall records a call that has arrived in full, and checks it against all rules that it may
-// break.
+// handleCall records a call that has arrived in full, and checks it in this order: whether its message
+// exists, whether the endpoint serves the message's destination, whether the call began after the drain
+// grace, whether a Retry-After applies and, unless the client got no reply to its submission, whether it
+// breaks RuleAtMostOnce or RuleOrdering.
 func (c *Checker) handleCall(e *event.Event) {
 	received := c.calls[e.Call]
 	if received == nil {
--- a/internal/rehearsal/checker/checker.go
+++ b/internal/rehearsal/checker/checker.go
@@ -1,7 +1,7 @@
-// Package checker checks the events of a rehearsal against the rules that relays must keep; Rules
-// lists them. It works alike for every protocol and for simulated time. It processes the events in
-// order, uses no sockets, files or clock, does not depend on a protocol, and never asks a relay for
-// its own view.
+// Package checker checks the record of a rehearsal, which is the sequence of its events, against the
+// rules that relays must keep; Rules lists them. It processes the events in order, uses no sockets,
+// files or clock, does not depend on a protocol, and never asks a relay for its own view. It therefore
+// works alike for every protocol and for simulated time.
 package checker
 
 import (
@@ -115,7 +115,8 @@
 	return false
 }
 
-// Finish checks what is still open at the end of the record.
+// Finish ends the check at the given time. It checks the deadlines that have passed by then, including
+// those at relays that are down, and the messages that restarted relays recovered.
 func (c *Checker) Finish(at Time) {
 	for i := range c.relays {
 		c.relays[i].down = false
--- a/internal/rehearsal/checker/checker_test.go
+++ b/internal/rehearsal/checker/checker_test.go
@@ -46,7 +46,8 @@
 	}
 }
 
-// scriptedRecord passes events to a checker. Each event has the time that was set last with at.
+// scriptedRecord passes events to a checker. Each event has the time that was set last with at. The
+// methods return the record, so that calls can be chained.
 type scriptedRecord struct {
 	now     Time
 	checker *Checker
@@ -100,6 +101,8 @@
 	)
 }
 
+// TestRules plays a short record for each way in which a rule can be kept or broken. It guards against a
+// checker that overlooks a violation, reports a false one, or reports one for the wrong message or time.
 func TestRules(t *testing.T) {
 	for _, c := range []struct {
 		name string
@@ -383,6 +386,8 @@
 	}
 }
 
+// TestSeveralRulesInOneRun checks that violations of two rules in one rehearsal are both reported, in
+// order of time.
 func TestSeveralRulesInOneRun(t *testing.T) {
 	checker := New(testConfig())
 	record := &scriptedRecord{checker: checker}
@@ -426,8 +431,8 @@
 
 // TestRestartRule checks that the restart rule is broken if more than half of the messages that a
 // restarted relay recovers unattempted, with at least half of their time left, end without an attempt.
-// Messages do not count if they have less time left, were attempted before, end while the relay is
-// down, or are handed over without a restart.
+// Messages do not count if they have less time left or were attempted before, or if their relay becomes
+// ready without having been down, as after a hand-over to a new process.
 func TestRestartRule(t *testing.T) {
 	for _, c := range []struct {
 		name                string
--- a/internal/rehearsal/checker/config.go
+++ b/internal/rehearsal/checker/config.go
@@ -23,8 +23,8 @@
 	DedupWindow Time
 	// Ordered says that the messages of one ordering key are delivered one at a time.
 	Ordered bool
-	// OrderedKeyBackoff is how long deliveries of an ordering key pause after an attempt that may have
-	// run. It is set only if Ordered is.
+	// OrderedKeyBackoff is how long attempts of messages with one ordering key must pause after an
+	// attempt that may have run but was not answered as delivered. It is set only if Ordered is.
 	OrderedKeyBackoff Time
 }
 
@@ -50,13 +50,14 @@
 	Messages  []Message
 	Endpoints []Endpoint
 
-	// Slack is added to every limit, because the record and the relays use different clocks.
+	// Slack is added to every limit, because the events and the relays use different clocks.
 	Slack Time
 	// DeadlineSlack is how long after its deadline a message may still be delivered or ended.
 	DeadlineSlack Time
-	// RestartGrace is how long after a restart no message counts as overdue.
+	// RestartGrace is how long after a relay's start none of its messages counts as overdue.
 	RestartGrace Time
-	// DrainGrace is how long attempts may still begin after the relay was told of a drain.
+	// DrainGrace is how long calls to an endpoint may still begin after the relay was told that the
+	// endpoint drains or is removed.
 	DrainGrace Time
 	// RetryAfterGrace is how long after a Retry-After response calls are still tolerated, because
 	// they may already have been on their way.
@@ -64,9 +65,9 @@
 	// InformedShareLimit is the share of the calls in an overload of a recovering endpoint that makes
 	// the overload a violation, if relays that had seen the endpoint fail sent that share or more.
 	InformedShareLimit float64
-	// MaxEndedUnattempted is the share of the messages recovered unattempted that may end without an
-	// attempt.
+	// MaxEndedUnattempted is the share of the messages counted in RestartCounts.Unattempted that may
+	// end without an attempt.
 	MaxEndedUnattempted float64
-	// MinUnattempted is how many messages must be recovered unattempted for that share to be checked.
+	// MinUnattempted is the lowest RestartCounts.Unattempted for which that share is checked.
 	MinUnattempted int
 }
--- a/internal/rehearsal/checker/relays.go
+++ b/internal/rehearsal/checker/relays.go
@@ -9,14 +9,15 @@
 	drainedAt  map[int]Time // by endpoint: when the relay was told that the endpoint drains or is removed
 }
 
-// RestartCounts counts the messages that restarted relays recovered unattempted with at least half of
-// their time left, and how many of them were attempted or ended unattempted. Each message counts once.
+// RestartCounts counts the messages that a relay had accepted and not attempted before it was restarted
+// and that then had at least half of their time left. It also counts how many of them were attempted
+// afterwards, and how many ended without an attempt. Each message counts once.
 type RestartCounts struct{ Unattempted, Attempted, Ended int }
 
 // RestartCounts returns the current counts.
 func (c *Checker) RestartCounts() RestartCounts { return c.restartCounts }
 
-// handleEndpointStatus records the status of an endpoint that was sent to a relay.
+// handleEndpointStatus records that a relay was sent an endpoint's phase: up, draining or removed.
 func (c *Checker) handleEndpointStatus(e *event.Event) {
 	drainedAt := c.relays[e.Relay].drainedAt
 	if e.Status == event.UpdateUp {
--- a/internal/rehearsal/checker/routes.go
+++ b/internal/rehearsal/checker/routes.go
@@ -2,21 +2,21 @@
 
 import "troutusher/internal/event"
 
-// routeKey identifies a route: an endpoint with an independent route, or all other endpoints of a
-// destination together.
+// routeKey identifies a route, which is a group of endpoints to which Retry-After times and outages
+// apply together: a single endpoint with an independent route, or all other endpoints of a destination.
 type routeKey struct {
 	destination int
 	endpoint    int // none for the endpoints that share their destination's route
 }
 
-// route is the state of a group of endpoints to which Retry-After times and outages apply together.
+// route is the state of a route.
 type route struct {
 	destination int
 	endpoints   int            // number of endpoints
 	retryAfters [][]retryAfter // by relay
 	failing     map[int]bool   // endpoints with a current outage
-	// untracedOutages counts the outages since all endpoints were last up in which calls leave no trace
-	// in the record.
+	// untracedOutages counts the outages, since all endpoints were last up, in which the endpoint is
+	// unreachable. Calls to it then leave no trace in the record.
 	untracedOutages int
 	// failureSeen says for each relay whether it saw a failure in the current or the latest outage.
 	failureSeen []bool
--- a/internal/rehearsal/checker/rules.go
+++ b/internal/rehearsal/checker/rules.go
@@ -7,11 +7,18 @@
 
 // The six rules, followed by two more that they depend on.
 const (
-	RuleNoLoss     Rule = "nothing goes missing"
+	// RuleNoLoss: every accepted message is delivered or ended by a notice in time, and a relay closes
+	// no client's connection without a reply.
+	RuleNoLoss Rule = "nothing goes missing"
+	// RuleAtMostOnce: a message is not attempted again if that could make it take effect twice.
 	RuleAtMostOnce Rule = "every effect at most once"
-	RuleDrain      Rule = "drains are honoured"
-	RuleRecovery   Rule = "a returning destination is not overwhelmed"
-	RuleOrdering   Rule = "order holds"
+	// RuleDrain: no call to an endpoint begins after the drain grace.
+	RuleDrain Rule = "drains are honoured"
+	// RuleRecovery: relays that have seen an endpoint fail do not overload it while it warms up.
+	RuleRecovery Rule = "a returning destination is not overwhelmed"
+	// RuleOrdering: messages with one ordering key are attempted one at a time, in order.
+	RuleOrdering Rule = "order holds"
+	// RuleRetryAfter: a relay sends nothing to a route before the end of a Retry-After it has received.
 	RuleRetryAfter Rule = "waits are respected"
 	// RuleRouting: a call is made only for a message that was submitted, and only to its destination.
 	RuleRouting Rule = "calls go where their message says"
--- a/internal/rehearsal/checker/submissions.go
+++ b/internal/rehearsal/checker/submissions.go
@@ -98,7 +98,7 @@
 }
 
 // checkSafeToResubmit checks a reply or a notice that tells the client that it may submit a message
-// again. For a non-idempotent message, no call may have run.
+// again. A relay may send it for a non-idempotent message only if no call for the message may have run.
 func (c *Checker) checkSafeToResubmit(s *submission, reply string) {
 	if c.classOf(s).Idempotency != NonIdempotent {
 		return
@@ -121,7 +121,8 @@
 	}
 }
 
-// handleNotice records a relay's notice of how a message ended.
+// handleNotice records a relay's notice: its report that it gave an accepted message up, or handed it
+// back to the client, which may submit it again. A second notice must say the same as the first.
 func (c *Checker) handleNotice(e *event.Event) {
 	s := c.submissions[e.ID]
 	if s == nil {
--- a/internal/rehearsal/idlebench/clients.go
+++ b/internal/rehearsal/idlebench/clients.go
@@ -198,14 +198,15 @@
 	return result
 }
 
-// add counts the reply to one message of a burst, or its error.
-func (b *BurstResult) add(reply string, err error, elapsed, patience time.Duration) {
+// add counts the reply to one message of a burst, or its error. A reply that took longer than lateAfter
+// counts as late.
+func (b *BurstResult) add(reply string, err error, elapsed, lateAfter time.Duration) {
 	if err != nil {
 		b.Closed++
 		return
 	}
 	_ = b.ReplyLatency.RecordValue(elapsed.Microseconds()) // a value beyond the histogram's range is dropped
-	if elapsed > patience {
+	if elapsed > lateAfter {
 		b.Late++
 	}
 	switch {
--- a/internal/rehearsal/loadgen/balancer.go
+++ b/internal/rehearsal/loadgen/balancer.go
@@ -8,17 +8,17 @@
 // relayState is what the simulated load balancer between the clients and the relays knows of
 // one relay.
 type relayState struct {
-	down      bool
-	noticedAt event.Time // when the load balancer detects that the relay is down; it uses the relay until then
+	down       bool
+	detectedAt event.Time // when the load balancer detects that the relay is down; it uses the relay until then
 }
 
 // RelayDown informs the load balancer that a relay has ended or is shutting down. The load
-// balancer detects it after noticeDelay, and sends requests to the relay until then.
-func (d *Driver) RelayDown(relay int, noticeDelay event.Time) {
+// balancer detects it after detectionDelay, and sends requests to the relay until then.
+func (d *Driver) RelayDown(relay int, detectionDelay event.Time) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if !d.relayStates[relay].down {
-		d.relayStates[relay] = relayState{down: true, noticedAt: d.config.Clock() + noticeDelay}
+		d.relayStates[relay] = relayState{down: true, detectedAt: d.config.Clock() + detectionDelay}
 	}
 }
 
@@ -40,7 +40,7 @@
 		d.lastRelay++
 		relay := d.lastRelay % len(d.relayStates)
 		state := d.relayStates[relay]
-		usable := !state.down || now < state.noticedAt
+		usable := !state.down || now < state.detectedAt
 		if usable && (relay != avoided || len(d.relayStates) == 1) {
 			return relay
 		}
--- a/internal/rehearsal/loadgen/flood.go
+++ b/internal/rehearsal/loadgen/flood.go
@@ -16,11 +16,11 @@
 // Kinds of flood. Each opens a number of connections to a relay. All but FloodSilent connect
 // again after a connection was closed, until the flood ends.
 const (
-	FloodSilent    FloodKind = "flood_silent"    // send nothing, and do not reconnect
-	FloodReturning FloodKind = "flood_returning" // send nothing, and reconnect when they are closed
-	FloodPing      FloodKind = "flood_ping"      // send one PING, stay open, and reconnect when they are closed
-	FloodDrip      FloodKind = "flood_drip"      // send a command at one byte per second, and reconnect
-	FloodFaulty    FloodKind = "flood_faulty"    // send malformed input as fast as the relay reads it, and reconnect
+	FloodSilent       FloodKind = "flood_silent"    // send nothing, and do not reconnect
+	FloodReconnecting FloodKind = "flood_returning" // send nothing, and reconnect when they are closed
+	FloodPing         FloodKind = "flood_ping"      // send one PING, stay open, and reconnect when they are closed
+	FloodSlowWrites   FloodKind = "flood_drip"      // send a command at one byte per second, and reconnect
+	FloodMalformed    FloodKind = "flood_faulty"    // send malformed input as fast as the relay reads it, and reconnect
 )
 
 const (
@@ -30,7 +30,7 @@
 	pingCommand      = "*1\r\n$4\r\nPING\r\n"
 )
 
-// malformedInputs are sent in turn by the connections of FloodFaulty.
+// malformedInputs are sent in turn by the connections of FloodMalformed.
 var malformedInputs = []string{
 	"GET / HTTP/1.1\r\n\r\n",
 	"*1\r\n$-9\r\n",
@@ -62,7 +62,7 @@
 
 // keepConnecting runs one connection of a flood, opens it again after it was closed, and
 // returns how often it was opened. firstInput is the index in malformedInputs of the first
-// input that a connection of FloodFaulty sends.
+// input that a connection of FloodMalformed sends.
 func keepConnecting(ctx context.Context, kind FloodKind, addr string, firstInput int) (opened int) {
 	for input := firstInput; ctx.Err() == nil; input++ {
 		if conn, err := floodDial(ctx, addr); err == nil {
@@ -102,10 +102,10 @@
 	switch kind {
 	case FloodPing:
 		_, _ = io.WriteString(conn, pingCommand) // if the relay closed it, the read below ends too
-	case FloodDrip:
+	case FloodSlowWrites:
 		sendSlowly(ctx, conn)
 		return
-	case FloodFaulty:
+	case FloodMalformed:
 		go sendMalformedInputs(conn, input)
 	}
 	_, _ = io.Copy(io.Discard, conn) // returns when the connection is closed
--- a/internal/rehearsal/loadgen/flood_test.go
+++ b/internal/rehearsal/loadgen/flood_test.go
@@ -19,10 +19,10 @@
 		reconnects bool
 	}{
 		{FloodSilent, 0, false},
-		{FloodReturning, 0, true},
+		{FloodReconnecting, 0, true},
 		{FloodPing, '*', true},
-		{FloodDrip, '*', true},
-		{FloodFaulty, 'G', true},
+		{FloodSlowWrites, '*', true},
+		{FloodMalformed, 'G', true},
 	} {
 		t.Run(string(c.kind), func(t *testing.T) {
 			ln, err := loopback.Listen(0)
@@ -46,7 +46,7 @@
 						defer func() { _ = conn.Close() }() // at once if the kind sends nothing
 						if c.first != 0 {
 							b, err := bufio.NewReader(conn).ReadByte()
-							if err == nil && c.kind != FloodFaulty && b != c.first {
+							if err == nil && c.kind != FloodMalformed && b != c.first {
 								t.Errorf("%s sent %q first, want %q", c.kind, b, c.first)
 							}
 						}
--- a/internal/rehearsal/loadgen/loadgen.go
+++ b/internal/rehearsal/loadgen/loadgen.go
@@ -37,12 +37,12 @@
 	Start  event.Time // when the plan starts
 }
 
-// Driver submits the messages of a plan at their planned times.
+// Driver is the load generator: it submits the messages of a plan at their planned times.
 type Driver struct {
 	config   Config
 	pools    []*pool      // by index of the relay
 	body     string       // of every message
-	unserved atomic.Int64 // see UnservedRequests
+	unserved atomic.Int64 // result of UnservedRequests
 
 	// background counts the goroutines that submit messages. They end when ctx is canceled.
 	background sync.WaitGroup
@@ -69,7 +69,7 @@
 	class *scenario.Class
 }
 
-// New returns a driver. Run starts it.
+// New returns a driver, which submits nothing before Run is called.
 func New(config Config) *Driver {
 	d := &Driver{
 		config:          config,
--- a/internal/rehearsal/loadgen/loadgen_test.go
+++ b/internal/rehearsal/loadgen/loadgen_test.go
@@ -275,6 +275,8 @@
 	}
 }
 
+// Guards the weight of a delivery: full up to the latency objective, then falling linearly to the late
+// weight at the deadline, and 0 after it and for any outcome but Delivered.
 func TestEarnedWeight(t *testing.T) {
 	class := &scenario.Class{LatencyObjectiveMS: 1000, DeadlineMS: 3000, Weight: 3, LateWeight: 0.5}
 	for _, c := range []struct {
--- a/internal/rehearsal/loadgen/outcome.go
+++ b/internal/rehearsal/loadgen/outcome.go
@@ -13,7 +13,7 @@
 	Pending    Outcome = iota
 	Delivered          // an endpoint answered the relay with status 200
 	Rejected           // the client gave up after a rejection
-	Failed             // the relay abandoned the message
+	Failed             // the relay reported that it gave the message up, or replied with an error
 	Unanswered         // the client got no reply and gave up
 )
 
--- a/internal/rehearsal/loadgen/submission.go
+++ b/internal/rehearsal/loadgen/submission.go
@@ -145,8 +145,10 @@
 	return fresh, written, reply, err
 }
 
-// handleNoReply handles a submission that got no reply: it closes the connection, and the client
-// submits the message again. conn is nil if it is already closed.
+// handleNoReply handles a submission that got no reply: it closes the connection, emits an event, and
+// the client submits the message again. If the relay closed the connection, the event's Status is 1 if
+// the submission was the first request on it, because a relay with too many clients may do that. conn
+// is nil if it is already closed.
 func (d *Driver) handleNoReply(s *submission, conn *conn, written bool, err error, now event.Time) {
 	if conn != nil {
 		d.pools[s.relay].discard(conn)
@@ -164,7 +166,8 @@
 	d.resubmit(s.message, s.attempt, afterNoReply, 0)
 }
 
-// handleReply handles the reply to a submission.
+// handleReply handles the reply to a submission: the relay accepted the message, was busy, in which case
+// the client may submit it again, or replied with an error, which ends the message as Failed.
 func (d *Driver) handleReply(s *submission, reply string, now event.Time) {
 	switch retryAfterText, busy := strings.CutPrefix(reply, "-BUSY"); {
 	case reply != "" && reply[0] != '-':
@@ -250,8 +253,9 @@
 	}()
 }
 
-// HandleEvent processes the deliveries and notices that the emulators report. It ignores all
-// other events.
+// HandleEvent processes the deliveries that the endpoint emulator reports, and the notices that the
+// registry emulator received: reports of a relay that it gave an accepted message up, or handed it back
+// to the client, which may submit it again. HandleEvent ignores all other events.
 func (d *Driver) HandleEvent(e *event.Event) {
 	delivered := e.Kind == event.CallEnded && e.Status == event.StatusDelivered
 	if !delivered && e.Kind != event.NoticeReceived {
--- a/internal/rehearsal/replay/recording_test.go
+++ b/internal/rehearsal/replay/recording_test.go
@@ -44,6 +44,8 @@
 		a.Scenario.Rules == b.Scenario.Rules
 }
 
+// A recording that is written and read again holds the same plan, for every built-in scenario.
+// Otherwise a replay would differ from the rehearsal that was recorded.
 func TestRoundTrip(t *testing.T) {
 	for _, name := range scenario.BuiltinNames() {
 		p := builtinPlan(t, name)
@@ -61,6 +63,7 @@
 	}
 }
 
+// Save leaves no temporary file behind, and reports an error if it cannot create the file.
 func TestSaveIsAtomic(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "r")
 	if err := Save(path, builtinPlan(t, "calm"), Environment{}); err != nil {
@@ -77,6 +80,8 @@
 	}
 }
 
+// A recording that was cut off anywhere is rejected with the position of the error. Otherwise a part of
+// the rehearsal would be replayed as if it were the whole.
 func TestTruncationIsDetected(t *testing.T) {
 	text := encode(t, builtinPlan(t, "calm"))
 	for cut := 0; cut < len(text)-1; cut += 1 + cut%97 {
@@ -91,6 +96,7 @@
 	}
 }
 
+// A recording in which a single bit has changed is rejected, wherever the bit is.
 func TestDamageIsDetected(t *testing.T) {
 	text := encode(t, builtinPlan(t, "calm"))
 	for at := 0; at < len(text)-1; at += 1 + at%53 {
@@ -103,6 +109,7 @@
 	}
 }
 
+// Each kind of invalid content is rejected with an error that names the line, the byte and the reason.
 func TestErrorsStateTheirPosition(t *testing.T) {
 	p := builtinPlan(t, "calm")
 	lines := strings.SplitAfter(string(encode(t, p)), "\n")
--- a/internal/rehearsal/report/report.go
+++ b/internal/rehearsal/report/report.go
@@ -42,7 +42,8 @@
 	Runs             []float64          `json:"runs"` // service ratio of each run of the plan; one or more
 }
 
-// Service has the counts and the weights of a set of messages.
+// Service has the counts of a set of messages by outcome, and their weights. The service ratio is the
+// weight delivered divided by the weight asked for.
 type Service struct {
 	ServiceRatio    float64 `json:"service"`
 	WeightAsked     float64 `json:"worth_asked"`
@@ -63,7 +64,8 @@
 	Service
 }
 
-// Partner is the service of a partner, and the calls that its endpoints received.
+// Partner is the service of a partner, the operator of a destination, and the calls that the partner's
+// endpoints received.
 type Partner struct {
 	Name        string `json:"name"`
 	Destination int    `json:"dest"`
@@ -73,15 +75,15 @@
 	Wasted int               `json:"wasted"` // calls that delivered no message
 }
 
-// RestartCounts counts the messages that restarted relays recovered before any attempt and with
-// at least half of the time to their deadline left.
+// RestartCounts counts the messages that a relay had accepted and not attempted before it was
+// restarted, and that then had at least half of the time to their deadline left.
 type RestartCounts struct {
 	Unattempted int `json:"found"`
 	Attempted   int `json:"tried"` // afterwards
 	Ended       int `json:"ended"` // without an attempt
 }
 
-// Window is the service ratio of a window of the rehearsal.
+// Window is the service ratio of the messages that arrived within worstWindowS seconds.
 type Window struct {
 	FromS        int     `json:"from_s"`
 	ServiceRatio float64 `json:"service"`
@@ -112,8 +114,8 @@
 	Max   float64 `json:"max"`
 }
 
-// Lateness is how late the load generator and the emulators were, in ms at the 99th percentile.
-// Above Limit the run is invalid.
+// Lateness is how late the load generator submitted messages and the emulators' timers ran, in ms at the
+// 99th percentile. Above Limit the run is invalid.
 type Lateness struct {
 	Driver    float64 `json:"driver_p99"`
 	Emulators float64 `json:"stand_ins_p99"`
@@ -132,7 +134,7 @@
 	Kind     string  `json:"kind"`
 	FromS    float64 `json:"from_s"`
 	UntilS   float64 `json:"until_s"`
-	Partners []int   `json:"partners"` // indexes
+	Partners []int   `json:"partners"` // indexes in Report.Partners
 	Relays   []int   `json:"relays"`   // from 1
 }
 
--- a/internal/rehearsal/runner/events.go
+++ b/internal/rehearsal/runner/events.go
@@ -8,35 +8,36 @@
 	"troutusher/internal/rehearsal/checker"
 )
 
-// CallCounts counts the calls that a partner's endpoints received.
+// CallCounts counts the calls that the endpoints of one partner received. A partner is the operator of
+// a destination; a rehearsal emulates its endpoints.
 type CallCounts struct {
 	Started      int `json:"began"`
 	Delivered    int `json:"delivered"`
-	Rejected     int `json:"refused"` // answered 429 or 503
-	Failed       int `json:"failed"`  // answered with an error, a damaged response or not at all
+	Rejected     int `json:"refused"` // with a status that proves that the call had no effect, such as 429
+	Failed       int `json:"failed"`  // answered with another status, with a damaged response or not at all
 	Executed     int `json:"ran"`     // took effect
 	HealthChecks int `json:"probes"`
 }
 
-// eventCollector puts the events of all sources into one order and passes them to the checker and
-// to callbacks.
+// eventCollector receives the events of the load generator, the emulators and the runner, puts them
+// into one order and passes them to the checker and to callbacks.
 type eventCollector struct {
 	mu        sync.Mutex
 	checker   *checker.Checker
 	lastTime  event.Time
 	calls     []CallCounts       // by partner
 	partnerOf []int              // by endpoint
-	onEnd     func(*event.Event) // called with deliveries and notices
+	onOutcome func(*event.Event) // called on a delivery, and on a notice that a message ended undelivered
 	onEvent   func(*event.Event) // called with every event; may be nil
 }
 
-// emit accepts an event from any source. All sources use one clock, but an emulator's timers may be
-// some hundred microseconds late, so that events can arrive out of order. record therefore raises
-// an event's time to that of the event before it if needed.
+// emit accepts an event from any source. All sources use one clock, but the timers of the endpoint
+// emulator may be some hundred microseconds late, so that events can arrive out of order. record
+// therefore raises an event's time to that of the event before it if needed.
 func (c *eventCollector) emit(e event.Event) {
 	c.record(&e)
 	if e.Kind == event.CallEnded && e.Status == event.StatusDelivered || e.Kind == event.NoticeReceived {
-		c.onEnd(&e)
+		c.onOutcome(&e)
 	}
 	if c.onEvent != nil {
 		c.onEvent(&e)
@@ -71,8 +72,8 @@
 	return len(c.checker.Violations())
 }
 
-// finish ends the checker's record and returns the violations, the restart counts and the call
-// counts by partner.
+// finish tells the checker that no more events follow. It returns the violations, the counts of the
+// messages that restarted relays recovered, and the call counts by partner.
 func (c *eventCollector) finish(now event.Time) ([]checker.Violation, checker.RestartCounts, []CallCounts) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/rehearsal/runner/faults.go
+++ b/internal/rehearsal/runner/faults.go
@@ -13,7 +13,7 @@
 	"troutusher/internal/rehearsal/scenario"
 )
 
-// action is a function that runs at a time of the plan.
+// action is a function that runs at a time after the plan's start.
 type action struct {
 	at  event.Time
 	run func()
@@ -47,7 +47,7 @@
 	name string          // shown in progress reports
 }
 
-// faultActions returns the actions of a fault.
+// faultActions returns the actions that begin and end a fault.
 func (r *Rehearsal) faultActions(ctx context.Context, planned *scenario.PlannedFault) []action {
 	name := planned.Kind
 	if len(planned.Endpoints) > 0 {
@@ -96,8 +96,8 @@
 	}
 }
 
-// forEachEndpoint returns a function that calls do for each affected endpoint under the model's
-// lock.
+// forEachEndpoint returns a function that calls do for each affected endpoint, with the model of the
+// endpoint emulator locked.
 func (f *plannedFault) forEachEndpoint(do func(model *endpoint.Model, now endpoint.Time, index int)) func() {
 	return func() {
 		f.endpointServer.Update(func(model *endpoint.Model, now endpoint.Time) {
@@ -162,9 +162,10 @@
 	return begin, end
 }
 
-// phaseActions returns the actions of a fault that drains or removes endpoints through the list.
-// If the fault lasts beyond the time in which relays may still call the endpoints, these stop
-// serving at that time: draining ones reject calls, and removed ones refuse connections.
+// phaseActions returns the actions of a fault that marks endpoints in the endpoint list as draining or
+// removed. Relays may still call such an endpoint until the list has reached them and the drain grace
+// has passed. If the fault lasts longer than that, the endpoints then stop serving: draining ones
+// reject calls, and removed ones refuse connections.
 func (f *plannedFault) phaseActions() []action {
 	phase, stopServing, serveAgain := registry.PhaseDraining, f.setDraining(true), f.setDraining(false)
 	if f.Kind == scenario.EndpointRemoval {
--- a/internal/rehearsal/runner/manualrelay.go
+++ b/internal/rehearsal/runner/manualrelay.go
@@ -24,10 +24,10 @@
 	Listen     string // the address where it will listen
 }
 
-// ServeEmulators runs a plan's partners and discovery for a relay that is started by hand, until
-// ctx ends. It accepts every message that the relay sends, since it does not know which ones
-// clients have submitted. ready is called once the emulators serve; show is called with every
-// event.
+// ServeEmulators runs the emulated endpoints of a plan's partners and the emulated registry for a relay
+// that is started by hand, until ctx ends. It accepts every message that the relay sends, since it does
+// not know which ones clients have submitted. ready is called once the emulators serve; show is called
+// with every event.
 func ServeEmulators(
 	ctx context.Context, plan *scenario.Plan, dir string, ready func(ManualRelay), show func(*event.Event),
 ) error {
--- a/internal/rehearsal/runner/members.go
+++ b/internal/rehearsal/runner/members.go
@@ -15,9 +15,11 @@
 // closedPort is a port on which nothing listens: that of the discard protocol.
 const closedPort = "9"
 
-// partnerKinds returns the kinds of partner and, for each kind, whether its routes are independent
-// and its batch size, which is 1. Relays are configured per kind, so a kind with both sorts of
-// routes is split in two by kindName.
+// partnerKinds returns the kinds of partner and, for each kind, whether its routes are independent and
+// its batch size: the number of messages that may share one call, here 1. Routes are independent if
+// each endpoint of a partner has a rate limit, Retry-After times and outages of its own, and shared if
+// these apply to all of them. Relays are configured per kind, so kindName splits a kind in two if it
+// has partners of both sorts.
 func partnerKinds(plan *scenario.Plan) (kinds []string, independentRoutes []bool, batch []int) {
 	seen := map[string]bool{}
 	for i := range plan.Endpoints {
@@ -40,8 +42,8 @@
 	return planned.Kind
 }
 
-// listMembers returns the endpoint list of a relay's discovery, in the plan's order. addr returns
-// the address of an endpoint for that relay.
+// listMembers returns the endpoint list that the registry serves to a relay, in the plan's order. addr
+// returns the address at which that relay reaches an endpoint.
 func listMembers(plan *scenario.Plan, addr func(endpoint int) string) []registry.Member {
 	var members []registry.Member
 	for i := range plan.Endpoints {
--- a/internal/rehearsal/runner/process.go
+++ b/internal/rehearsal/runner/process.go
@@ -64,7 +64,7 @@
 	cmd         *exec.Cmd
 	exited      chan struct{}
 	consoleAddr string
-	expectedUp  atomic.Bool // if it exits now, that is a crash
+	expectedUp  atomic.Bool // an exit counts as a crash while this is set
 }
 
 // watch waits until the process exits, and calls onCrash if it was expected to run.
@@ -108,7 +108,7 @@
 // reload makes the process reload its configuration.
 func (p *relayProcess) reload() { _ = p.cmd.Process.Signal(syscall.SIGHUP) }
 
-// ready reports whether the process serves, by its console.
+// ready asks the process through its console whether it serves clients.
 func (p *relayProcess) ready() bool { return callConsole(p.consoleAddr, "READY") }
 
 // peakMemoryKB returns the peak resident memory of the process, or 0 if the system does not
--- a/internal/rehearsal/runner/relay.go
+++ b/internal/rehearsal/runner/relay.go
@@ -134,8 +134,8 @@
 	return process, nil
 }
 
-// waitReady waits until ready returns true. It returns an error if the process exits or the limit
-// passes before.
+// waitReady waits until ready returns true. It returns an error if the process exits or the time limit
+// passes before that.
 func (r *managedRelay) waitReady(
 	ctx context.Context, process *relayProcess, limit time.Duration, ready func() bool,
 ) error {
--- a/internal/rehearsal/runner/relayconfig.go
+++ b/internal/rehearsal/runner/relayconfig.go
@@ -36,8 +36,9 @@
 	Settings  jsonObject    `json:"settings"`
 }
 
-// NewRelayConfig returns the configuration of the relay of an index, from 0, in a rehearsal of a
-// plan.
+// NewRelayConfig returns the configuration of one relay, numbered from 0, in a rehearsal of a plan.
+// listen and discovery are the addresses of the relay and of its registry, state is its state folder,
+// and known is the endpoint list that it uses until it has received one from the registry.
 func NewRelayConfig(
 	plan *scenario.Plan, relay int, listen, discovery, state string, known registry.List, seed uint64,
 ) RelayConfig {
--- a/internal/rehearsal/runner/relaydouble_test.go
+++ b/internal/rehearsal/runner/relaydouble_test.go
@@ -30,9 +30,9 @@
 	resendsUnsafe // resends an unsafe message after an error, although the call may have taken effect
 	resendsLate   // resends after its own timeout, while the partner still processes the call
 	sendsCopies
-	handsBackExecuted
+	handsBackExecuted // hands a message back, as if it had never run, although its call may have run
 	ignoresDrains
-	sendsBursts
+	sendsBursts // sends bursts of health checks, also to endpoints that warm up
 	ignoresRetryAfter
 	ignoresOrder
 	callsOtherDestinations
--- a/internal/rehearsal/runner/relayfaults.go
+++ b/internal/rehearsal/runner/relayfaults.go
@@ -106,7 +106,8 @@
 	}
 }
 
-// drainRelays returns a function that makes relays drain through their consoles, or ends that.
+// drainRelays returns a function that tells relays through their consoles to drain or to stop draining.
+// A draining relay rejects PING, so that the load balancer sends clients to other relays.
 func (f *plannedFault) drainRelays(on bool) func() {
 	command := "UNDRAIN"
 	if on {
--- a/internal/rehearsal/runner/runner.go
+++ b/internal/rehearsal/runner/runner.go
@@ -56,16 +56,16 @@
 	End              event.Time
 	Results          []loadgen.Result // by number of the message in the plan
 	Violations       []checker.Violation
-	Restarts         checker.RestartCounts // what became of the messages that restarted relays recovered
-	RelayFailures    []string              // crashes and other failures of relays
-	KitErrors        []string              // failures of emulators, load generator or runner; they make the run void
-	Calls            []CallCounts          // by partner
-	UnservedRequests int                   // requests whose connection was refused, reset or closed unread
-	DriverLateness   event.Time            // 99th percentile, of the load generator
-	EmulatorLateness event.Time            // 99th percentile, of the emulated endpoints
-	ReplyLatency     *hdrhistogram.Histogram
-	DeliveryLatency  *hdrhistogram.Histogram
-	MemoryKB         []int // peak resident memory, by relay
+	Restarts         checker.RestartCounts   // what became of the messages that restarted relays recovered
+	RelayFailures    []string                // crashes and other failures of relays
+	KitErrors        []string                // failures of emulators, load generator or runner; they make the run void
+	Calls            []CallCounts            // by partner
+	UnservedRequests int                     // requests whose connection was refused, reset or closed without a reply
+	DriverLateness   event.Time              // how late the load generator submitted messages, at the 99th percentile
+	EmulatorLateness event.Time              // how late the timers of the endpoint emulator ran, at the 99th percentile
+	ReplyLatency     *hdrhistogram.Histogram // µs from a message's planned arrival to the first reply
+	DeliveryLatency  *hdrhistogram.Histogram // µs from a message's planned arrival to its delivery
+	MemoryKB         []int                   // peak resident memory, by relay
 }
 
 // latenessQuantile is the quantile of lateness in an Outcome, in percent.
@@ -104,7 +104,7 @@
 	}
 	r.events = &eventCollector{
 		checker: checker.New(plan.CheckerConfig()), calls: make([]CallCounts, len(plan.Specs)),
-		onEvent: options.OnEvent, onEnd: func(*event.Event) {},
+		onEvent: options.OnEvent, onOutcome: func(*event.Event) {},
 	}
 	for _, endpoint := range plan.Endpoints {
 		r.events.partnerOf = append(r.events.partnerOf, endpoint.Partner)
@@ -116,7 +116,8 @@
 	return r, nil
 }
 
-// open does the work of Open. After an error, the caller stops what was started by Close.
+// open starts the endpoints, the registry, the load generator and the relays, in this order. After an
+// error, the caller calls Close to stop those that were started.
 func (r *Rehearsal) open(ctx context.Context) error {
 	if err := r.startEndpoints(); err != nil {
 		return err
@@ -129,7 +130,7 @@
 		return err
 	}
 	r.driver = loadgen.New(loadgen.Config{Plan: r.plan, Relays: addrs, Emit: r.events.emit, Clock: r.now, Start: 0})
-	r.events.onEnd = r.driver.HandleEvent
+	r.events.onOutcome = r.driver.HandleEvent
 	return r.startRelays(ctx)
 }
 
@@ -289,7 +290,7 @@
 	finishGrace = 3 * time.Second        // added to the time by which all messages must have ended
 )
 
-// run plays the plan's arrivals and faults. It returns once every message has ended, or after
+// run plays the plan's arrivals and faults. It returns once every message has a final outcome, or after
 // maxDuration.
 func (r *Rehearsal) run(ctx context.Context) {
 	r.planStart.Store(r.now() + startDelay.Microseconds())
@@ -327,8 +328,8 @@
 	*to = append(*to, fmt.Sprintf(format, args...))
 }
 
-// collectOutcome finishes the checker's record and returns the observations. Times of violations
-// become relative to the plan's start.
+// collectOutcome ends the check and returns the observations. It changes the times of violations to be
+// relative to the plan's start.
 func (r *Rehearsal) collectOutcome() *Outcome {
 	emulatorLateness, err := r.endpointServer.TimerLag(latenessQuantile)
 	if err != nil {
--- a/internal/rehearsal/runner/runner_test.go
+++ b/internal/rehearsal/runner/runner_test.go
@@ -143,7 +143,7 @@
 }
 
 // For each rule, a relay double breaks the rule on purpose, and the checker must report that violation.
-// The same double without the fault must cause no violations. The test guards against a checker that
+// The same double that keeps the rule must cause no violations. The test guards against a checker that
 // overlooks violations, and against one that reports false ones.
 func TestCheckerFindsViolations(t *testing.T) {
 	makeOrdered := func(p *scenario.Plan) {
@@ -270,10 +270,10 @@
 		p.Scenario.Classes[i].DeadlineMS = 6000
 	}
 	var mu sync.Mutex
-	survivors := map[string]bool{} // submissions accepted by relay 1 and pending when it was killed
+	survivors := map[string]bool{} // by ID: accepted by relay 1, pending when it was killed, and not ended since
 	var down, up []event.Time
 	opt := ownRelayOptions(t)
-	pending := map[string]bool{} // submissions to relay 1 without an end; true once accepted
+	pending := map[string]bool{} // by ID: submissions to relay 1 that have not ended; true once accepted
 	opt.OnEvent = func(e *event.Event) {
 		mu.Lock()
 		defer mu.Unlock()
--- a/internal/rehearsal/runner/tls.go
+++ b/internal/rehearsal/runner/tls.go
@@ -15,8 +15,8 @@
 	"troutusher/internal/tlspolicy"
 )
 
-// tlsIdentities holds the TLS identities that partners' endpoints present. Certificates are
-// generated for one rehearsal.
+// tlsIdentities holds the TLS identities that partners' endpoints present to relays. The certificates
+// are generated for one rehearsal.
 type tlsIdentities struct {
 	operatorPath string // path of the operator's file, by which relays trust the certificates
 
@@ -200,7 +200,8 @@
 	}
 }
 
-// addRule adds a partner's rule to the operator's file.
+// addRule adds a rule to the operator's file that tells relays to call a partner over TLS and which
+// certificates to trust.
 func (m *identityMaker) addRule(
 	partner int, serverName string, certificates partnerCertificates, settings *scenario.TLS,
 ) {
--- a/internal/rehearsal/scenario/arrivals.go
+++ b/internal/rehearsal/scenario/arrivals.go
@@ -48,8 +48,8 @@
 	return planner
 }
 
-// drawArrivals draws the plan's arrivals and sorts them by time. Arrivals of keyed classes get
-// their keys afterwards, by their position in that order.
+// drawArrivals draws the plan's arrivals and sorts them by time. Only then do the arrivals of keyed
+// classes get their idempotency keys, which depend on their position in that order.
 func (p *Plan) drawArrivals() {
 	planner := p.newArrivalPlanner()
 	planner.addSingleArrivals()
--- a/internal/rehearsal/scenario/checkerconfig.go
+++ b/internal/rehearsal/scenario/checkerconfig.go
@@ -2,7 +2,8 @@
 
 import "troutusher/internal/rehearsal/checker"
 
-// Limits of the rules that a scenario file cannot change.
+// Limits of the rules that a scenario file cannot change. The fields of checker.Config with the same
+// names explain them.
 const (
 	informedShareLimit  = 2.0 / 3
 	maxEndedUnattempted = 0.5
--- a/internal/rehearsal/scenario/fault.go
+++ b/internal/rehearsal/scenario/fault.go
@@ -36,7 +36,7 @@
 	RelayDrain      = "drain_relay"   // DRAIN on the relay's console, and UNDRAIN at the fault's end
 	RelayReload     = "reload"        // SIGHUP, with a new registry address in the configuration
 
-	// Floods open Magnitude connections to each relay that are not legitimate clients.
+	// Floods open Magnitude connections to each relay that do not come from legitimate clients.
 	FloodSilent       = "flood_silent"    // they connect and send nothing
 	FloodReconnecting = "flood_returning" // like FloodSilent, but reconnect at once when closed
 	FloodPing         = "flood_ping"      // each sends one PING and stays connected
@@ -50,7 +50,8 @@
 	KillSuccessor   = "kill_new"
 )
 
-// faultFields says which fields of Fault a kind of fault uses, and the minimum of its magnitude.
+// faultFields says which fields of Fault a kind of fault uses, and the minimum of its magnitude. With
+// partner it affects endpoints of partners, otherwise relays.
 type faultFields struct {
 	partner, duration, magnitude, share, class, variant bool
 	minMagnitude                                        float64
--- a/internal/rehearsal/scenario/plan.go
+++ b/internal/rehearsal/scenario/plan.go
@@ -53,7 +53,8 @@
 	Variant   string     `json:"form,omitempty"`
 }
 
-// Random streams derived from the plan's seed.
+// Random streams derived from the plan's seed. Each kind of draw has a stream of its own, so that a
+// change of one does not change the others.
 const (
 	arrivalStream = 1 + iota
 	burstStream
--- a/internal/rehearsal/scenario/scenario.go
+++ b/internal/rehearsal/scenario/scenario.go
@@ -50,8 +50,9 @@
 	RetryAfter       bool     `toml:"retry_after"`
 	MaxRetryAfterMS  float64  `toml:"max_retry_after_ms"`
 	ConnectTimeoutMS float64  `toml:"connect_timeout_ms"`
-	// MaxActiveDestinations is the number of destinations that a relay keeps active, without
-	// passivating them; 0 leaves the relays' own default.
+	// MaxActiveDestinations is the number of destinations that a relay keeps active. Above it, a
+	// relay passivates idle ones: it packs their state into a compact store. 0 leaves the relays'
+	// own default.
 	MaxActiveDestinations int `toml:"awake"`
 }
 
@@ -72,17 +73,18 @@
 	IdleDestinations int     `toml:"quiet"`     // destinations that are listed but get no messages
 }
 
-// Rules holds the limits of the six rules by which a rehearsal is judged.
+// Rules holds the limits of the six rules by which a rehearsal is judged, see checker.Config, and of
+// the endpoint emulator, see endpoint.Spec.
 type Rules struct {
-	DrainGraceMS      float64 `toml:"drain_grace_ms"`
-	OverloadFactor    float64 `toml:"fall_multiple"`
-	OverloadWindowMS  float64 `toml:"fall_ms"`
-	WarmUpShare       float64 `toml:"cold_share"` // fraction of its capacity at the beginning of warm-up
-	WarmUpMS          float64 `toml:"cold_ms"`    // time until it has its full capacity
-	DeadlineSlackMS   float64 `toml:"end_slack_ms"`
-	RestartGraceMS    float64 `toml:"restart_grace_ms"`
-	RetryAfterGraceMS float64 `toml:"wait_pass_ms"`
-	SlackMS           float64 `toml:"slack_ms"`
+	DrainGraceMS      float64 `toml:"drain_grace_ms"`   // calls may begin for this long after a drain was announced
+	OverloadFactor    float64 `toml:"fall_multiple"`    // a warming-up endpoint collapses above this times its capacity
+	OverloadWindowMS  float64 `toml:"fall_ms"`          // period over which these calls are counted
+	WarmUpShare       float64 `toml:"cold_share"`       // fraction of the capacity that is left right after an outage
+	WarmUpMS          float64 `toml:"cold_ms"`          // time after an outage until the capacity is full again
+	DeadlineSlackMS   float64 `toml:"end_slack_ms"`     // a message may still end this long after its deadline
+	RestartGraceMS    float64 `toml:"restart_grace_ms"` // no message is overdue this long after a relay's start
+	RetryAfterGraceMS float64 `toml:"wait_pass_ms"`     // calls may arrive for this long after a Retry-After
+	SlackMS           float64 `toml:"slack_ms"`         // added to every limit
 }
 
 // Traffic says how messages arrive.
@@ -112,7 +114,8 @@
 	nonIdempotent   = "unsafe"
 )
 
-// Kinds of routes: all endpoints of a partner share one route, or each has its own.
+// Kinds of routes. A route is a group of endpoints to which a rate limit, Retry-After times and outages
+// apply together: all endpoints of a partner share one route, or each is a route of its own.
 const (
 	routesShared      = "shared"
 	routesIndependent = "apart"
@@ -141,7 +144,8 @@
 	QuotaPerS float64 `toml:"quota_per_s"` // 0: 1.5 times its share of the traffic
 }
 
-// Partner is one [[partner]] table of the file: one destination, or several with the same settings.
+// Partner is one [[partner]] table of the file. It describes the operator of one destination, or of
+// several destinations with the same settings.
 type Partner struct {
 	Name           string             `toml:"name"`
 	Count          int                `toml:"count"` // number of partners; above 1 they are named NAME-1, NAME-2 ...
@@ -162,8 +166,8 @@
 	LimitPerS      float64            `toml:"limit_per_s"`
 	LimitBurst     float64            `toml:"limit_depth"`
 	WindowMS       float64            `toml:"window_ms"`
-	CountsRejected bool               `toml:"refused_spend"`
-	RetryAfterMS   float64            `toml:"wait_ms"`
+	CountsRejected bool               `toml:"refused_spend"` // rejected calls count against the limit too
+	RetryAfterMS   float64            `toml:"wait_ms"`       // sent with a rejection above the limit; 0: none is sent
 	MaxConns       int                `toml:"connections"`
 	IdleTimeoutMS  float64            `toml:"idle_ms"`
 	HandshakeMS    float64            `toml:"handshake_ms"`
--- a/internal/rehearsal/scenario/scenario_test.go
+++ b/internal/rehearsal/scenario/scenario_test.go
@@ -44,6 +44,8 @@
 length_s = 2
 `
 
+// Guards against a scenario that ships with the program and cannot be used: one that does not parse, has
+// another name than its file, or whose plan has next to no messages or faults.
 func TestBuiltins(t *testing.T) {
 	names := BuiltinNames()
 	if len(names) < 4 {
@@ -167,6 +169,8 @@
 	}
 }
 
+// A plan depends only on the scenario and the seed, and its arrivals have the shares of classes and
+// partners that the scenario sets. Only arrivals of keyed classes have idempotency keys, each its own.
 func TestPlan(t *testing.T) {
 	s, err := Parse("f", []byte(minimalScenario))
 	if err != nil {
