--- a/cmd/troutusher-kit/hold.go
+++ b/cmd/troutusher-kit/hold.go
@@ -13,7 +13,7 @@
 // noticeReasons maps the status of a notice, which is a relay's report to the platform that a
 // message ended undelivered, to the text that is printed for it. A message that is handed back may
 // be submitted again; one that is given up may not.
-var noticeReasons = map[int]string{event.NoticeAbandoned: "given up", event.NoticeReturned: "handed back"}
+var noticeReasons = map[int]string{event.NoticeGivenUp: "given up", event.NoticeHandedBack: "handed back"}
 
 // serveUntilInterrupted runs the emulated partners (the operators of destinations) and registry of
 // a plan for a relay that is started by hand. It prints the calls that reach the partners and the
--- a/internal/emulator/registry/notices.go
+++ b/internal/emulator/registry/notices.go
@@ -14,7 +14,7 @@
 const maxNoticeBytes = 1 << 20
 
 // noticeStatus maps the outcomes in notices to the status of the event.
-var noticeStatus = map[string]int{"given_up": event.NoticeAbandoned, "handed_back": event.NoticeReturned}
+var noticeStatus = map[string]int{"given_up": event.NoticeGivenUp, "handed_back": event.NoticeHandedBack}
 
 var errInvalidNotice = errors.New("not a notice")
 
--- a/internal/emulator/registry/registry_test.go
+++ b/internal/emulator/registry/registry_test.go
@@ -292,7 +292,7 @@
 	); n != 204 {
 		t.Errorf("status of valid notices = %d, want 204", n)
 	}
-	if len(h.events) != 2 || h.events[1].ID != "b" || h.events[1].Status != event.NoticeReturned ||
+	if len(h.events) != 2 || h.events[1].ID != "b" || h.events[1].Status != event.NoticeHandedBack ||
 		h.events[1].Wait != 500_000 || h.events[1].Relay != 1 {
 		t.Errorf("events = %+v, want 2; the second one for message b, handed back by relay 1 with a wait of 500 ms",
 			h.events)
--- a/internal/event/event.go
+++ b/internal/event/event.go
@@ -81,8 +81,8 @@
 
 // Values of Status in a NoticeReceived event.
 const (
-	NoticeAbandoned = iota // the message was given up
-	NoticeReturned         // the message was handed back: it may be submitted again
+	NoticeGivenUp    = iota // the message was given up
+	NoticeHandedBack        // the message was handed back: it may be submitted again
 )
 
 // Values of Status in a CallEnded event: the status of the response, or StatusNone. Those marked
--- a/internal/rehearsal/checker/checker_test.go
+++ b/internal/rehearsal/checker/checker_test.go
@@ -116,13 +116,13 @@
 			record.submit("m", 0, 0).call(1, "m", 0, 0).at(s).callEnded(1, 200)
 		}, "", "", 0},
 		{"abandoned by a notice in time", func(record *scriptedRecord) {
-			record.submit("m", 0, 0).at(8200*ms).notice("m", event.NoticeAbandoned)
+			record.submit("m", 0, 0).at(8200*ms).notice("m", event.NoticeGivenUp)
 		}, "", "", 0},
 		{"neither delivered nor ended", func(record *scriptedRecord) {
 			record.submit("m", 0, 0)
 		}, RuleNoLoss, "m", 8350 * ms},
 		{"notice after the deadline", func(record *scriptedRecord) {
-			record.submit("m", 0, 0).at(9*s).notice("m", event.NoticeAbandoned)
+			record.submit("m", 0, 0).at(9*s).notice("m", event.NoticeGivenUp)
 		}, RuleNoLoss, "m", 8350 * ms},
 		{"status 200 after the call ended without a response", func(record *scriptedRecord) {
 			record.submit("m", 0, 0).call(1, "m", 0, 0).at(s).callEnded(1, 0).callEnded(1, 200)
@@ -132,19 +132,19 @@
 				step(event.Event{Kind: event.Rejected, ID: "m"})
 		}, "", "", 0},
 		{"two different notices", func(record *scriptedRecord) {
-			record.submit("m", 0, 0).at(s).notice("m", event.NoticeReturned).at(2*s).notice("m", event.NoticeAbandoned)
+			record.submit("m", 0, 0).at(s).notice("m", event.NoticeHandedBack).at(2*s).notice("m", event.NoticeGivenUp)
 		}, RuleNoLoss, "m", 2 * s},
 		{"the same notice twice", func(record *scriptedRecord) {
-			record.submit("m", 0, 0).at(s).notice("m", event.NoticeAbandoned).at(2*s).notice("m", event.NoticeAbandoned)
+			record.submit("m", 0, 0).at(s).notice("m", event.NoticeGivenUp).at(2*s).notice("m", event.NoticeGivenUp)
 		}, "", "", 0},
 		{"notice after the delivery", func(record *scriptedRecord) {
 			record.submit("m", 0, 0).call(1, "m", 0, 0).
-				at(s).callEnded(1, 200).at(2*s).notice("m", event.NoticeAbandoned)
+				at(s).callEnded(1, 200).at(2*s).notice("m", event.NoticeGivenUp)
 		}, "", "", 0},
 		{"deadline passes while the relay is down", func(record *scriptedRecord) {
 			record.submit("m", 0, 0).at(7*s).kind(event.RelayKilled, 0).at(9*s).kind(event.RelayReady, 0).at(10400*ms).
 				notice(
-					"m", event.NoticeAbandoned,
+					"m", event.NoticeGivenUp,
 				)
 		}, "", "", 0},
 		{"never ended after the restart of the relay", func(record *scriptedRecord) {
@@ -192,15 +192,15 @@
 		}, "", "", 0},
 		{"keyed message sent again after its dedup window", func(record *scriptedRecord) {
 			record.submit("m", 2, 0).call(1, "m", 0, 0).
-				at(s).callEnded(1, 0).notice("m", event.NoticeReturned).at(25*s).
+				at(s).callEnded(1, 0).notice("m", event.NoticeHandedBack).at(25*s).
 				submit("n", 2, 1).call(2, "n", 1, 1).callEnded(2, 200)
 		}, RuleAtMostOnce, "n", 25 * s},
 		{"non-idempotent message returned although it may have run", func(record *scriptedRecord) {
 			record.submit("m", 3, 0).call(1, "m", 0, 0).
-				at(s).callEnded(1, 0).at(2*s).notice("m", event.NoticeReturned)
+				at(s).callEnded(1, 0).at(2*s).notice("m", event.NoticeHandedBack)
 		}, RuleAtMostOnce, "m", 2 * s},
 		{"non-idempotent message abandoned although it may have run", func(record *scriptedRecord) {
-			record.submit("m", 3, 0).call(1, "m", 0, 0).at(s).callEnded(1, 0).at(2*s).notice("m", event.NoticeAbandoned)
+			record.submit("m", 3, 0).call(1, "m", 0, 0).at(s).callEnded(1, 0).at(2*s).notice("m", event.NoticeGivenUp)
 		}, "", "", 0},
 		{"two effects of one message", func(record *scriptedRecord) {
 			record.submit("m", 2, 0).call(1, "m", 0, 0).at(s).tookEffect(1, "m", 0).callEnded(1, 0).call(2, "m", 0, 1).
@@ -215,8 +215,8 @@
 				).submit("n", 3, 1).call(2, "n", 1, 1).at(s).tookEffect(2, "n", 1).callEnded(2, 200)
 		}, "", "", 0},
 		{"keyed message sent again within the dedup window of a later attempt only", func(record *scriptedRecord) {
-			record.submit("m", 2, 0).call(1, "m", 0, 0).callEnded(1, 0).notice("m", event.NoticeReturned).
-				at(15*s).submit("n", 2, 0).call(2, "n", 0, 0).callEnded(2, 0).notice("n", event.NoticeReturned).
+			record.submit("m", 2, 0).call(1, "m", 0, 0).callEnded(1, 0).notice("m", event.NoticeHandedBack).
+				at(15*s).submit("n", 2, 0).call(2, "n", 0, 0).callEnded(2, 0).notice("n", event.NoticeHandedBack).
 				at(25*s).submit("o", 2, 0).call(3, "o", 0, 0).callEnded(3, 200)
 		}, RuleAtMostOnce, "o", 25 * s},
 		{"two calls under an ID whose client got no reply", func(record *scriptedRecord) {
@@ -266,7 +266,7 @@
 		// Recovering destinations.
 		{"overloaded by relays that had seen the outage", func(record *scriptedRecord) {
 			record.submit("m", 0, 0).call(1, "m", 0, 0).at(s).outage(0, 0).callEnded(1, 0).at(9*s).
-				notice("m", event.NoticeAbandoned).overloaded(0, 9, 3, 0)
+				notice("m", event.NoticeGivenUp).overloaded(0, 9, 3, 0)
 		}, RuleNoLoss, "m", 8350 * ms}, // TestSeveralRulesInOneRun checks the second violation
 		{"share of informed relays exactly at the limit", func(record *scriptedRecord) {
 			record.outage(0, 0).step(event.Event{Kind: event.HealthCheckAnswered, Status: 503}).
@@ -314,12 +314,12 @@
 		}, RuleOrdering, "o", s},
 		{"call within the backoff after an uncertain call", func(record *scriptedRecord) {
 			record.submit("m", 4, 0).submit("n", 5, 0).call(1, "m", 0, 0).at(s).callEnded(1, 0).notice(
-				"m", event.NoticeAbandoned,
+				"m", event.NoticeGivenUp,
 			).at(1500*ms).call(2, "n", 0, 0).callEnded(2, 200)
 		}, RuleOrdering, "n", 1500 * ms},
 		{"call after the backoff", func(record *scriptedRecord) {
 			record.submit("m", 4, 0).submit("n", 5, 0).call(1, "m", 0, 0).at(s).callEnded(1, 0).notice(
-				"m", event.NoticeAbandoned,
+				"m", event.NoticeGivenUp,
 			).at(2*s).call(2, "n", 0, 0).callEnded(2, 200)
 		}, "", "", 0},
 
@@ -392,7 +392,7 @@
 	checker := New(testConfig())
 	record := &scriptedRecord{checker: checker}
 	record.submit("m", 0, 0).call(1, "m", 0, 0).at(s).outage(0, 0).callEnded(1, 0).at(9*s).notice(
-		"m", event.NoticeAbandoned,
+		"m", event.NoticeGivenUp,
 	).overloaded(0, 9, 3, 0)
 	checker.Finish(20 * s)
 	found := checker.Violations()
@@ -473,10 +473,10 @@
 			}
 			for i := range 10 { // attempted messages may be returned as well
 				if i < c.attempted || i < c.attempted+c.returned {
-					record.notice(ids[i], event.NoticeReturned)
+					record.notice(ids[i], event.NoticeHandedBack)
 				}
 			}
-			record.notice("other", event.NoticeReturned)
+			record.notice("other", event.NoticeHandedBack)
 			record.checker.Finish(7 * s)
 			if got := record.checker.RestartCounts(); got != c.want {
 				t.Errorf("RestartCounts() = %+v, want %+v", got, c.want)
--- a/internal/rehearsal/checker/submissions.go
+++ b/internal/rehearsal/checker/submissions.go
@@ -142,13 +142,13 @@
 		s.recoveredUnattempted = false
 		c.restartCounts.Ended++
 	}
-	if e.Status == event.NoticeReturned && s.state != noReply {
+	if e.Status == event.NoticeHandedBack && s.state != noReply {
 		c.checkSafeToResubmit(s, "it was handed back")
 	}
 }
 
 func noticeText(notice int) string {
-	if notice == event.NoticeReturned {
+	if notice == event.NoticeHandedBack {
 		return "handed back"
 	}
 	return "given up"
--- a/internal/rehearsal/loadgen/loadgen_test.go
+++ b/internal/rehearsal/loadgen/loadgen_test.go
@@ -219,7 +219,7 @@
 // A notice ends an accepted message: as failed if the relay abandoned it, and as rejected if the
 // relay returned it each time that the client submitted it.
 func TestNoticesEndMessages(t *testing.T) {
-	for status, want := range map[int]Outcome{event.NoticeAbandoned: Failed, event.NoticeReturned: Rejected} {
+	for status, want := range map[int]Outcome{event.NoticeGivenUp: Failed, event.NoticeHandedBack: Rejected} {
 		p := loadPlan(t, 1, 50, 4000)
 		p.Arrivals = p.Arrivals[:1]
 		s := newRelayDouble(t, nil)
--- a/internal/rehearsal/loadgen/submission.go
+++ b/internal/rehearsal/loadgen/submission.go
@@ -267,7 +267,7 @@
 	case delivered && accepted:
 		d.finish(s.message, Delivered)
 	case delivered: // handleReply ends the message when the client receives the reply
-	case e.Status == event.NoticeReturned:
+	case e.Status == event.NoticeHandedBack:
 		d.handleRejection(s.message, s.attempt, e.Wait)
 	default:
 		d.finish(s.message, Failed)
