--- a/internal/core/handover.go
+++ b/internal/core/handover.go
@@ -166,7 +166,7 @@
 	c.openCall(call, m, endpoint, sentAt)
 	event.AttemptSentAt, event.AttemptEndpoint = max(sentAt, 1), endpoint.number
 	c.emit(ResumeCall{Call: call})
-	c.log(slog.LevelInfo, "call goes on", "message", m.record.ID, "endpoint", endpoint.number,
+	c.log(slog.LevelInfo, "call resumed after hand-over", "message", m.record.ID, "endpoint", endpoint.number,
 		"left_ms", call.Timeout/microsPerMilli)
 }
 
