--- a/internal/core/attempt.go
+++ b/internal/core/attempt.go
@@ -10,23 +10,25 @@
 
 const microsPerMilli = 1000
 
-// errNotLogged is the error of an attempt that was not sent because it could not be logged.
+// errNotLogged is the error of an attempt that has no record in the write-ahead log and was
+// therefore not sent: either the record could not be written, or the attempt was given up before
+// that (see reportNotSent).
 var errNotLogged = errors.New("attempt not logged")
 
-// Call is one attempt to deliver a message. The driver makes the call after the attempt is
-// logged.
+// Call is one attempt to deliver a message. The driver makes the call after the attempt's record
+// has been written to the write-ahead log.
 type Call struct {
 	Record     *Record // of the message
 	Endpoint   policy.EndpointID
 	Timeout    policy.Time // maximum duration
 	SendBy     policy.Time // deadline for sending the last byte; 0 for none
-	WarmingUp  bool        // only one connection at a time is opened to the endpoint
+	WarmingUp  bool        // the endpoint recovers from an outage: open one connection to it at a time
 	MayConnect bool        // may open a connection even if the endpoint is warming up
 	Handle     any         // for use by the driver
 
 	message          *message
 	endpoint         *endpointState // nil if the endpoint has been forgotten
-	independentRoute bool           // see Core.hasIndependentRoutes
+	independentRoute bool           // a Retry-After of the endpoint applies to no other endpoint
 	attempt          int
 	sentAt           policy.Time
 }
@@ -34,8 +36,9 @@
 // SentAt returns the time at which the call was begun.
 func (c *Call) SentAt() policy.Time { return c.sentAt }
 
-// sendOrDefer starts the attempt that an action asks for, or stores the action until the
-// attempt may be started.
+// sendOrDefer starts the attempt that an action of the policy asks for. While the client has not
+// received its reply, or while sends are deferred, it stores the action in the message instead;
+// replyDelivered or sendDeferred then starts the attempt.
 func (c *Core) sendOrDefer(action *policy.Action) {
 	m := c.messages.byNumber[action.Message]
 	if m == nil {
@@ -50,8 +53,9 @@
 	}
 }
 
-// startAttempt logs an attempt and then makes its call. If the time is up, or if the
-// endpoint can no longer be used, it reports the attempt as not sent.
+// startAttempt emits the effect that writes an attempt to the write-ahead log and then makes its
+// call. If the attempt's time is up, if its endpoint can no longer be used, or if its message has
+// ended, startAttempt reports the attempt as not sent.
 func (c *Core) startAttempt(m *message, send *policy.Action) {
 	endpoint := c.endpoints.byNumber[send.Endpoint]
 	timeout := send.TimeoutAt - c.now
@@ -69,7 +73,7 @@
 	c.emit(AppendThenSend{Record: record, Call: call})
 }
 
-// openCall registers a call as the open call of a message, at an endpoint.
+// openCall fills in a call, and registers it with its endpoint and as the open call of its message.
 func (c *Core) openCall(call *Call, m *message, endpoint *endpointState, sentAt policy.Time) {
 	call.Record, call.Endpoint = m.record, endpoint.number
 	call.message, call.endpoint = m, endpoint
@@ -103,7 +107,8 @@
 	}
 }
 
-// cancelAttempt cancels an attempt if it is the last one of its message.
+// cancelAttempt cancels an attempt, whether its call is open or its send is still pending. It does
+// nothing if the message has started another attempt since or is no longer known.
 func (c *Core) cancelAttempt(action *policy.Action) {
 	m := c.messages.byNumber[action.Message]
 	if m == nil || action.Attempt != m.attempts-1 {
@@ -119,7 +124,9 @@
 	}
 }
 
-// reportNotSent reports to the policy, in the next step, that an attempt was never sent.
+// reportNotSent reports to the policy, in the next step, that an attempt was never sent. It uses
+// the event AttemptNotLogged, because the attempt has no record in the write-ahead log and so
+// needs no record of its outcome.
 func (c *Core) reportNotSent(m *message, number policy.EndpointID) {
 	call := &Call{Record: m.record, message: m, endpoint: c.endpoints.byNumber[number], attempt: m.attempts - 1}
 	c.deferredEvents = append(c.deferredEvents, AttemptNotLogged{Call: call})
--- a/internal/core/calldriver_test.go
+++ b/internal/core/calldriver_test.go
@@ -212,7 +212,7 @@
 	case 5:
 		result = &Result{Outcome: policy.ConnectionReset}
 	}
-	if call.endpoint == nil { // the endpoint left before the handover
+	if call.endpoint == nil { // the endpoint left before the hand-over
 		result = &Result{Outcome: policy.ConnectionReset}
 	}
 	return result
--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -1,10 +1,11 @@
 // Package core implements the life cycle of messages as a deterministic state machine.
 // It takes in events, runs the policy on them, and returns effects for drivers to execute.
 //
-// The package keeps track of the held messages and the open calls, and defines the order
-// of log records, replies and sends. A message that ends in the step that received it is
-// rejected and never logged. Any other message is logged, then acknowledged, then sent,
-// and each attempt is logged before the first byte of its call.
+// The package keeps track of the held messages, which are those that have not ended, and of
+// the open calls. It defines the order of log records, replies and sends. A message that ends
+// in the step that received it is rejected and never written to the write-ahead log. Any other
+// message is logged, then acknowledged, then sent, and each attempt is logged before the first
+// byte of its call.
 //
 // The same events at the same times give the same effects. Therefore the package starts
 // no goroutine, reads no clock, uses no socket or file, draws no random number, and does
@@ -25,23 +26,25 @@
 )
 
 // Settings are the settings of a core. Zones, Kinds, Classes and Tenants map names to
-// their indexes in the settings of the policy.
+// their indexes in the settings of the policy. Kinds are kinds of destination; the endpoint
+// list calls the name of a kind the flavor of an endpoint.
 type Settings struct {
 	Policy  policy.Settings
-	Seed    uint64
-	Epoch   int64 // Unix time, in microseconds, of time 0 of the core's clock
+	Seed    uint64 // of the policy's random numbers
+	Epoch   int64  // Unix time, in microseconds, of time 0 of the core's clock
 	Zones   map[string]int
 	Kinds   map[string]int
 	Classes map[string]int
 	Tenants map[string]int
-	// TracesPerSecond is the maximum number of messages per second whose trace is logged,
-	// from their submission on.
+	// TracesPerSecond is the maximum number of submitted messages per second whose trace is
+	// logged. Recovered messages are always traced.
 	TracesPerSecond int
-	// Passivation limits the active destinations; with the zero value, none is passivated.
+	// Passivation determines when an idle destination is passivated, which means that its
+	// state is packed into a compact store. With the zero value, none is passivated.
 	Passivation idlestore.Limits
-	// ConnectionCost returns the cost to a destination of opening a connection to an
-	// endpoint of a flavor, in calls. It must always return the same result for the same
-	// arguments. It is nil if connections cost nothing.
+	// ConnectionCost returns what opening a connection to an endpoint of a flavor costs the
+	// destination, as a number of calls that cost it the same. It must always return the same
+	// result for the same arguments. It is nil if connections cost nothing.
 	ConnectionCost func(dest int, flavor string) float64
 }
 
@@ -97,8 +100,9 @@
 	}, nil
 }
 
-// Observe handles events without running the policy. It appends the effects that follow
-// from the events alone to effects.
+// Observe handles events without running the policy. To effects it appends those effects of
+// the events that need no decision of the policy. The next Step passes the events on to the
+// policy.
 func (c *Core) Observe(now policy.Time, events []Event, effects []Effect) []Effect {
 	c.beginStep(now, effects)
 	deferred := c.deferredEvents
@@ -112,8 +116,10 @@
 	return c.takeEffects()
 }
 
-// Step handles the events that happened up to now and runs the policy. It appends the
-// resulting effects to effects, in the order in which they are to be executed.
+// Step handles the events that happened up to now. It then applies the next batch of an
+// endpoint list, runs the policy if it has input or a timer is due, passivates idle
+// destinations and logs metrics that are due. It appends the resulting effects to effects, in
+// the order in which they are to be executed.
 func (c *Core) Step(now policy.Time, events []Event, effects []Effect) []Effect {
 	c.effects = c.Observe(now, events, effects)
 	if c.listUpdate != nil && c.applyListBatch(c.listBatchSize) {
@@ -132,7 +138,7 @@
 	return c.takeEffects()
 }
 
-// handleEvent applies one event and queues a policy event where the policy needs to know.
+// handleEvent applies one event, and queues an event for the policy if the policy needs one.
 func (c *Core) handleEvent(event Event) {
 	switch event := event.(type) {
 	case Submitted:
--- a/internal/core/effect.go
+++ b/internal/core/effect.go
@@ -22,7 +22,7 @@
 // rejection.
 type Reply struct {
 	OK           bool
-	Err          error // the fault of the request, or nil
+	Err          error // what is wrong with the request, or nil
 	RetryAfterMS int64 // of a rejection: ms until the client should submit again; 0 if unknown
 }
 
@@ -71,16 +71,16 @@
 	Endpoint         policy.EndpointID
 	Address          string
 	Dest             int
-	Flavor           string
-	IndependentRoute bool // a Retry-After of the endpoint applies to no other endpoint
+	Flavor           string // the name of the destination's kind
+	IndependentRoute bool   // a Retry-After of the endpoint applies to no other endpoint
 }
 
 // CloseEndpoint closes the connections to an endpoint. No call may begin there any more, not
 // even one whose attempt is already logged.
 type CloseEndpoint struct{ Endpoint policy.EndpointID }
 
-// ApplyRetryAfter forbids sends before Until to an endpoint and to all endpoints that share
-// its Retry-After.
+// ApplyRetryAfter forbids sends before Until to an endpoint and, unless the endpoint is an
+// independent route, to all other endpoints of its destination.
 type ApplyRetryAfter struct {
 	Endpoint policy.EndpointID
 	Until    policy.Time
@@ -92,8 +92,8 @@
 // ForgetEndpoint discards the driver's state of an endpoint.
 type ForgetEndpoint struct{ Endpoint policy.EndpointID }
 
-// PassivateDestination discards the driver's state of a destination. When the destination
-// is activated, its restrictions are applied again.
+// PassivateDestination discards the driver's state of a destination, which has no Retry-After in
+// force. When the destination is activated, the core emits OpenEndpoint for its endpoints again.
 type PassivateDestination struct{ Dest int }
 
 // Log writes a line to the process log.
--- a/internal/core/end.go
+++ b/internal/core/end.go
@@ -9,7 +9,7 @@
 )
 
 // ClassCounts counts the ended messages of a class. Deferred counts messages that were
-// rejected or handed back, so that submitting them again does no harm. A message is counted
+// rejected or handed back; their clients can safely submit them again. A message is counted
 // when its end is certain: at the response of the call, at the rejection, or when the end is
 // logged and notified. A message is not counted if its client disconnected before it was
 // accepted, or if its endpoint reported that the message had already ended (status 410).
--- a/internal/core/endpoint.go
+++ b/internal/core/endpoint.go
@@ -16,13 +16,13 @@
 	dest        int
 	zone        int
 	hostPort    string
-	flavor      string
-	open        bool   // the driver has been told of it by OpenEndpoint
+	flavor      string // the name of the destination's kind
+	open        bool   // the effect OpenEndpoint was emitted for it
 	member      Member // its last entry in the list
 	listed      bool   // the list contains it, possibly as draining
 	retired     bool   // drained, removed or moved: nothing new is sent there
 	retiredAt   policy.Time
-	retryAfter  policy.Time // of an independent route
+	retryAfter  policy.Time // of this endpoint only, see hasIndependentRoutes
 	lastReplyAt policy.Time // time of the last response of any kind
 	calls       []*Call     // the open calls
 }
@@ -145,8 +145,8 @@
 }
 
 // moveEndpoint handles an endpoint that has kept its id but has a new address or destination,
-// or whose identity must now be verified in another way. Nothing more is sent to the old
-// address.
+// or whose identity must now be verified in another way, because its flavor has changed.
+// Identities are verified only if ConnectionCost is set. Nothing more is sent to the old address.
 func (c *Core) moveEndpoint(endpoint *endpointState, member *Member) {
 	identityChanged := endpoint.flavor != member.Flavor && c.settings.ConnectionCost != nil
 	if endpoint.hostPort == member.HostPort && endpoint.dest == member.Dest && !identityChanged {
@@ -176,7 +176,7 @@
 }
 
 // retireEndpoint stops new sends to an endpoint. A call that still waits for a connection
-// there is stopped as well, because it would begin too late.
+// there is stopped as well, because its first byte would be sent after the endpoint was retired.
 func (c *Core) retireEndpoint(endpoint *endpointState) {
 	if !endpoint.retired {
 		endpoint.retired, endpoint.retiredAt = true, c.now
--- a/internal/core/eventpairs_test.go
+++ b/internal/core/eventpairs_test.go
@@ -186,7 +186,7 @@
 		event("shutdown is requested", func(pair *pairSimulation) (Event, bool) { return ShutdownRequested{}, true }),
 		event("the wait for the list ends", func(pair *pairSimulation) (Event, bool) { return Started{}, true }),
 		action("the wait for the list begins", func(pair *pairSimulation) bool { pair.core.DeferSends(); return true }),
-		action("a handover fails", func(pair *pairSimulation) bool {
+		action("a hand-over fails", func(pair *pairSimulation) bool {
 			pair.core.BeginHandover()
 			pair.handingOver = true
 			for range 3 { // meanwhile open calls end and messages are accepted
--- a/internal/core/fixtures_test.go
+++ b/internal/core/fixtures_test.go
@@ -16,7 +16,7 @@
 )
 
 // The fixtures under testdata hold two kinds of data. The first are formats that other processes
-// read: log records, the handover state, the state file and the packed state of a passive
+// read: log records, the hand-over state, the state file and the packed state of a passive
 // destination. They must not change, since other releases read these formats. The second are the
 // effects of simulated runs, in their order. After an intended change of behavior, record the
 // effects again with -update-fixtures and review the difference.
--- a/internal/core/handover.go
+++ b/internal/core/handover.go
@@ -17,7 +17,7 @@
 type HandoverState struct {
 	Revision          int64                `json:"revision,omitempty"` // of the endpoint list
 	Members           []HandoverMember     `json:"members"`
-	KnownDestinations []int                `json:"named"`
+	KnownDestinations []int                `json:"named"` // destinations that a list has named
 	RetryAfters       []HandoverRetryAfter `json:"waits,omitempty"`
 	Calls             []HandoverCall       `json:"calls"`
 	Weights           []HandoverWeight     `json:"worth"`
@@ -25,7 +25,8 @@
 }
 
 // HandoverMember is an endpoint that the list contains, or one that has been removed from it
-// and still has a Retry-After in force or an open call.
+// and still has a Retry-After in force or an open call. Number is its number in the core that
+// exported it. RetryAfter is set only if a Retry-After applied to this endpoint only.
 type HandoverMember struct {
 	Member
 	Number     policy.EndpointID `json:"number"`
--- a/internal/core/handover_test.go
+++ b/internal/core/handover_test.go
@@ -31,7 +31,7 @@
 		}
 	}
 	if resumed < 300 || ends < 300 {
-		t.Errorf("the test is too weak: %d calls were open at a handover and %d messages ended with a notice, "+
+		t.Errorf("the test is too weak: %d calls were open at a hand-over and %d messages ended with a notice, "+
 			"want at least 300 of each", resumed, ends)
 	}
 }
@@ -42,7 +42,7 @@
 	s := newShutdownFixture(t)
 	s.core.BeginHandover()
 	if accepted, sent := s.submit("m", "plain", 1); !accepted || sent {
-		t.Fatalf("submit(m) during a handover: accepted = %v, sent = %v, want true, false", accepted, sent)
+		t.Fatalf("submit(m) during a hand-over: accepted = %v, sent = %v, want true, false", accepted, sent)
 	}
 	effects := s.core.ResumeSends(s.now, nil)
 	if len(effects) != 1 || !is[AppendThenSend](effects[0]) || effects[0].(AppendThenSend).Call.Record.ID != "m" {
@@ -50,9 +50,9 @@
 	}
 }
 
-// TestHandoverKeepsRetryAfterAndFailures guards against a Retry-After that a hand-over loses: the
+// TestHandoverKeepsRetryAfter guards against a Retry-After that a hand-over loses: the
 // successor must wait for the rest of a Retry-After that its predecessor received.
-func TestHandoverKeepsRetryAfterAndFailures(t *testing.T) {
+func TestHandoverKeepsRetryAfter(t *testing.T) {
 	s := newShutdownFixture(t)
 	if _, sent := s.submit("a", "plain", 1); !sent {
 		t.Fatal("submit(a): sent = false, want true")
@@ -80,6 +80,6 @@
 		}
 	}
 	if wait := sentAt - handoverAt; sentAt == 0 || wait < 3e6 {
-		t.Errorf("message a was sent %d ms after the handover, want at least the Retry-After of 3,000 ms", wait/1000)
+		t.Errorf("message a was sent %d ms after the hand-over, want at least the Retry-After of 3,000 ms", wait/1000)
 	}
 }
--- a/internal/core/listupdate.go
+++ b/internal/core/listupdate.go
@@ -8,8 +8,8 @@
 )
 
 // defaultListBatchSize is the maximum number of list members that are applied in one step, in
-// addition to those of active destinations. Otherwise a list of a million members would keep
-// clients waiting.
+// addition to those of active destinations. Applying a list of a million members in one step
+// would keep clients waiting.
 const defaultListBatchSize = 4096
 
 // listUpdate is an endpoint list that is being applied. Members of active destinations are
@@ -33,7 +33,9 @@
 }
 
 // applyList begins to apply an endpoint list. It first finishes a list that is still being
-// applied, so that the newer list takes precedence.
+// applied, so that the newer list takes precedence. It then applies the members of active
+// destinations, retires the active endpoints that a complete list does not name, and applies the
+// first batch of the other members.
 func (c *Core) applyList(list *EndpointList, kind policy.ListUpdateKind) {
 	c.finishListUpdate()
 	c.listRevision = list.Revision
@@ -74,7 +76,7 @@
 		}
 		update.applied[i] = true
 		if member.Check() != nil {
-			continue // only in the list of the configuration: that of discovery was checked before
+			continue // an invalid member of the configured list; lists from discovery were checked before
 		}
 		if endpoint, active := c.applyMember(member); active {
 			named[member.ID] = true
--- a/internal/core/message.go
+++ b/internal/core/message.go
@@ -12,19 +12,20 @@
 	number        uint32
 	record        *Record
 	receivedAt    policy.Time
-	request       *Request // set until the message is accepted or rejected
-	acknowledged  bool     // the client knows that the message was accepted
-	logged        bool     // the message is in the log, or its record is about to be appended
-	finished      bool     // the message has ended
-	attempts      int
+	request       *Request       // set until the message is accepted or rejected
+	acknowledged  bool           // the reply OK was delivered to the client
+	logged        bool           // the message is in the write-ahead log, or its record is about to be appended
+	finished      bool           // the message has ended
+	attempts      int            // including one that is still pending
 	traced        bool           // see Core.trace
-	pendingSend   *policy.Action // a send that is deferred or waits for the acknowledgement
-	pendingEnding *Record        // the end of the message, which waits for the acknowledgement
+	pendingSend   *policy.Action // a send that is deferred, or waits until acknowledged is set
+	pendingEnding *Record        // the end of the message, to be logged once acknowledged is set
 	recoveryState recoveryState
 	call          *Call // the open call
 }
 
-// messageTable holds the messages of a core.
+// messageTable holds the messages of a core. A message is held from its submission or recovery
+// until it ends.
 type messageTable struct {
 	lastNumber uint32
 	byNumber   map[uint32]*message // held messages, and ended ones that release has kept
--- a/internal/core/outcome.go
+++ b/internal/core/outcome.go
@@ -12,8 +12,8 @@
 type Result struct {
 	Outcome           policy.Outcome
 	RetryAfter        policy.Time // that the endpoint asked for; 0 for none
-	SlotsExhausted    bool        // the call was not sent because all slots were taken
-	Final             bool        // the call has ended the message
+	SlotsExhausted    bool        // the endpoint did not run the call because all its slots were taken
+	Final             bool        // the message has ended: no further attempt follows
 	ConnectionsOpened int         // for this call
 	Elapsed           policy.Time
 	Load              policy.LoadReport
--- a/internal/core/packedstate.go
+++ b/internal/core/packedstate.go
@@ -122,23 +122,23 @@
 	if len(snapshot.Limiters) == 0 {
 		return nil, nil
 	}
-	memory := packedState{Now: snapshot.Now}
+	state := packedState{Now: snapshot.Now}
 	for i := range snapshot.Limiters {
 		limiter := &snapshot.Limiters[i]
 		packed := packedLimiter{
 			NominalRate: float32(limiter.NominalRate), ReportedRate: float32(limiter.ReportedRate),
-			ReducedRate: float32(limiter.ReducedRate), ReducedAt: encodeTime(memory.Now, limiter.ReducedAt),
+			ReducedRate: float32(limiter.ReducedRate), ReducedAt: encodeTime(state.Now, limiter.ReducedAt),
 			Latency: packLatency(limiter.Latency),
 		}
 		for j := range limiter.Endpoints {
 			endpoint := &limiter.Endpoints[j]
 			if hash, ok := hashOf(endpoint.ID); ok {
-				packed.Endpoints = append(packed.Endpoints, packEndpoint(memory.Now, hash, endpoint))
+				packed.Endpoints = append(packed.Endpoints, packEndpoint(state.Now, hash, endpoint))
 			}
 		}
-		memory.Limiters = append(memory.Limiters, packed)
+		state.Limiters = append(state.Limiters, packed)
 	}
-	b, err := packedEncoding.Marshal(&memory)
+	b, err := packedEncoding.Marshal(&state)
 	if err != nil {
 		return nil, fmt.Errorf("encode learned state: %w", err)
 	}
@@ -171,21 +171,21 @@
 	if len(packed) == 0 {
 		return &policy.Snapshot{}, nil
 	}
-	var memory packedState
-	if err := packedDecoding.Unmarshal(packed, &memory); err != nil {
+	var state packedState
+	if err := packedDecoding.Unmarshal(packed, &state); err != nil {
 		return &policy.Snapshot{}, fmt.Errorf("decode learned state: %w", err)
 	}
-	snapshot := &policy.Snapshot{Now: memory.Now}
-	for i := range memory.Limiters {
-		packed := &memory.Limiters[i]
+	snapshot := &policy.Snapshot{Now: state.Now}
+	for i := range state.Limiters {
+		packed := &state.Limiters[i]
 		limiter := policy.LimiterSnapshot{
 			Destination: dest, Window: 1, RateMultiplier: 1, NominalRate: float64(packed.NominalRate),
 			ReportedRate: float64(packed.ReportedRate), ReducedRate: float64(packed.ReducedRate),
-			ReducedAt: decodeTime(memory.Now, packed.ReducedAt), Latency: packed.Latency.unpack(),
+			ReducedAt: decodeTime(state.Now, packed.ReducedAt), Latency: packed.Latency.unpack(),
 		}
 		for j := range packed.Endpoints {
 			endpoint := &packed.Endpoints[j]
-			limiter.Endpoints = append(limiter.Endpoints, endpoint.unpack(memory.Now, numberOf(endpoint.Hash)))
+			limiter.Endpoints = append(limiter.Endpoints, endpoint.unpack(state.Now, numberOf(endpoint.Hash)))
 		}
 		snapshot.Limiters = append(snapshot.Limiters, limiter)
 	}
--- a/internal/core/passivation.go
+++ b/internal/core/passivation.go
@@ -31,10 +31,10 @@
 	departed    []departedDestination
 }
 
-// departedDestination is a passive destination that may have had no endpoint since a time.
+// departedDestination is a passive destination whose last endpoint may have been removed.
 type departedDestination struct {
 	dest int
-	at   policy.Time
+	at   policy.Time // time of the removal
 }
 
 func newPassivationState(limits idlestore.Limits) passivationState {
@@ -105,7 +105,9 @@
 	}
 }
 
-// passivateIdle passivates idle destinations, as far as the policy permits.
+// passivateIdle passivates idle destinations if more are active than the limits allow and if the
+// policy permits it. It does nothing while sends are deferred, a shutdown was requested or a list
+// is being applied.
 func (c *Core) passivateIdle() {
 	state := &c.passivation
 	busy := c.deferral.isActive() || c.shutdown.requested || c.listUpdate != nil
--- a/internal/core/passivation_test.go
+++ b/internal/core/passivation_test.go
@@ -40,12 +40,12 @@
 }
 
 // TestPassivationKeepsInvariants guards against invariants that break when destinations are
-// passivated between their messages, also across handovers:
+// passivated between their messages, also across hand-overs:
 //   - A message is logged, then acknowledged, then sent.
 //   - Nothing is sent before the end of a Retry-After that was received before the passivation, to
 //     an endpoint that has left since, or to another destination.
 //   - The same events give the same effects.
-//   - The successor of a handover knows the same destinations.
+//   - The successor of a hand-over knows the same destinations.
 func TestPassivationKeepsInvariants(t *testing.T) {
 	passivated, sent, blocked, activated := 0, 0, 0, 0
 	for seed := range uint64(150) {
@@ -63,7 +63,7 @@
 				sim.handOverWithDriver(sim.logModel)
 				for dest := range before {
 					if sim.core.knowsDestination(dest) != before[dest] {
-						sim.failf("after a handover knowsDestination(%d) = %v, want %v",
+						sim.failf("after a hand-over knowsDestination(%d) = %v, want %v",
 							dest, !before[dest], before[dest])
 					}
 				}
--- a/internal/core/purity_test.go
+++ b/internal/core/purity_test.go
@@ -54,9 +54,9 @@
 	"x509": "SystemCertPool",
 }
 
-// TestCoresArePure guards against nondeterminism in the packages that must be deterministic: none may
-// read a clock, use a global random source, start a goroutine, or open a file or connection.
-func TestCoresArePure(t *testing.T) {
+// TestDeterministicPackages guards against nondeterminism in the packages that must be deterministic:
+// none may read a clock, use a global random source, start a goroutine, or open a file or connection.
+func TestDeterministicPackages(t *testing.T) {
 	for _, dir := range slices.Sorted(maps.Keys(deterministicPackages)) {
 		allowed := strings.Fields(commonImports + " " + deterministicPackages[dir])
 		packages, err := parser.ParseDir(token.NewFileSet(), dir, isSourceFile, 0)
--- a/internal/core/recovery.go
+++ b/internal/core/recovery.go
@@ -26,7 +26,9 @@
 	return c.takeEffects()
 }
 
-// recoverMessage takes over one message in the state that its log record describes.
+// recoverMessage takes over one message in the state that its log record describes. If the
+// message has ended, only its notice is sent. If its class is unknown, the message ends now. Any
+// other message is passed to the policy, with its open call if that was handed over.
 func (c *Core) recoverMessage(record *Record, imported *importedHandover) {
 	m := c.messages.add(record, c.now)
 	m.acknowledged, m.logged, m.traced = true, true, true
--- a/internal/core/retryafter_test.go
+++ b/internal/core/retryafter_test.go
@@ -34,7 +34,7 @@
 	}
 	if sent < 3000 || blocked < 300 || shared < 100 || independent < 100 || resumed < 30 {
 		t.Errorf("the test is too weak: %d calls sent, %d calls blocked, Retry-Afters of %d destinations and "+
-			"%d routes, %d calls open at a handover; want at least 3000, 300, 100, 100, 30",
+			"%d routes, %d calls open at a hand-over; want at least 3000, 300, 100, 100, 30",
 			sent, blocked, shared, independent, resumed)
 	}
 }
--- a/internal/core/shutdown.go
+++ b/internal/core/shutdown.go
@@ -64,9 +64,9 @@
 
 // acceptsDuringShutdown reports whether a message is still accepted during a shutdown. If the
 // relay rejected every message, its slots would be idle until the process is killed, while
-// other relays carry its load. It accepts a message that can be sent at once and receive its
-// response before that. A message that would have to wait for the next process should rather
-// be submitted to another relay.
+// other relays carry its load. It accepts a message that can be sent at once and whose response
+// can arrive before the process is killed. A message that would have to wait for the next process
+// should rather be submitted to another relay.
 func (c *Core) acceptsDuringShutdown(request *Request) bool {
 	limit := stopAcceptingAfter
 	if c.settings.Policy.Classes[request.Class].Idempotency == policy.NonIdempotent {
@@ -75,7 +75,8 @@
 	return c.shutdown.elapsed(c.now) < limit && !c.hasBacklog()
 }
 
-// hasBacklog reports whether more messages wait than will soon get a slot.
+// hasBacklog reports whether too many messages wait for a call: at least half as many as there can
+// be calls at once. These will not all get a call soon.
 func (c *Core) hasBacklog() bool {
 	waiting := c.messages.held - c.openCalls
 	return waiting >= max(c.settings.Policy.MaxConcurrentCalls/2, 1)
--- a/internal/core/simhandover_test.go
+++ b/internal/core/simhandover_test.go
@@ -135,7 +135,7 @@
 func (sim *simulation) exportState() *HandoverState {
 	text, err := json.Marshal(sim.core.ExportHandover(sim.now))
 	if err != nil {
-		sim.failf("encoding the handover state failed: %v", err)
+		sim.failf("encoding the hand-over state failed: %v", err)
 	}
 	if sim.golden != nil {
 		if _, err := fmt.Fprintf(sim.golden, "%d handover %s\n", sim.now, text); err != nil {
@@ -144,7 +144,7 @@
 	}
 	state := &HandoverState{}
 	if err := json.Unmarshal(text, state); err != nil {
-		sim.failf("decoding the handover state failed: %v", err)
+		sim.failf("decoding the hand-over state failed: %v", err)
 	}
 	return state
 }
--- a/internal/core/simulation_test.go
+++ b/internal/core/simulation_test.go
@@ -278,7 +278,7 @@
 	sim.tracef(" %s to %d", id, call.Endpoint)
 	switch {
 	case sim.handingOver:
-		sim.failf("message %s was sent during a handover", id)
+		sim.failf("message %s was sent during a hand-over", id)
 	case !sim.acknowledged[id]:
 		sim.failf("message %s was sent before it was acknowledged", id)
 	case sim.openCallCount[id] > 0:
--- a/internal/core/snapshot.go
+++ b/internal/core/snapshot.go
@@ -3,13 +3,14 @@
 import "troutusher/policy"
 
 // StateSnapshot is the state of destinations that a later process of this relay needs. It
-// contains no messages. Times are times of the core's clock.
+// contains no messages: those are in the write-ahead log. Times are times of the core's clock.
 type StateSnapshot struct {
 	Now      policy.Time      `json:"now"`
 	Revision int64            `json:"revision"` // of the endpoint list
-	Members  []HandoverMember `json:"members"`
-	// Partial is set if the snapshot contains no passive destinations except those with an
-	// unhealthy endpoint.
+	Members  []HandoverMember `json:"members"`  // in the same form as for a hand-over
+	// Partial is set if the core has had passive destinations: idle ones whose state is packed
+	// into a compact store. Of these, the snapshot contains only some that have an unhealthy
+	// endpoint.
 	Partial     bool                 `json:"partial,omitempty"`
 	RetryAfters []HandoverRetryAfter `json:"waits,omitempty"`
 	Policy      *policy.Snapshot     `json:"policy"`
@@ -30,21 +31,22 @@
 }
 
 // StateVersion returns the number of state changes that should survive a restart: failed calls,
-// endpoint lists, and endpoints that became unhealthy or healthy again. For the amount of all
-// learned state, see CompletedCalls.
+// endpoint lists, and endpoints that became unhealthy or healthy again. It does not count
+// successful calls, from which the policy learns too; CompletedCalls counts all calls.
 func (c *Core) StateVersion() uint64 { return c.stateVersion }
 
-// CompletedCalls returns the number of completed calls.
+// CompletedCalls returns the number of attempts that have ended, with any outcome.
 func (c *Core) CompletedCalls() uint64 { return c.completedCalls }
 
-// EndpointList returns the endpoint list of the core at the time of the snapshot. Drained
-// endpoints are not Up in it.
+// EndpointList returns the endpoint list that the core had when the snapshot was made. Endpoints
+// that were draining or removed then have the phase Draining in it.
 func (s *StateSnapshot) EndpointList() *EndpointList {
 	return &EndpointList{Revision: s.Revision, Complete: !s.Partial, Members: membersOf(s.Members)}
 }
 
-// DropRecentCounts removes the counts of the last seconds. They are the largest part of the
-// snapshot and the first to become outdated.
+// DropRecentCounts removes the counts of requests and accepts in the last seconds from each
+// limiter, which is the policy's rate control for a destination or an independent route. They are
+// the largest part of the snapshot and the first to become outdated.
 func (s *StateSnapshot) DropRecentCounts() {
 	for i := range s.Policy.Limiters {
 		s.Policy.Limiters[i].Bins = nil
@@ -55,6 +57,9 @@
 // been applied before. State is restored only for endpoints with the same id, address and
 // destination as in the snapshot. shift is added to the snapshot's times to convert them to
 // this core's clock.
+//
+// It first makes the endpoints known to the policy, then restores the Retry-Afters and the state
+// of the policy, and last passes the Retry-Afters in force to the driver.
 func (c *Core) RestoreState(now policy.Time, snapshot *StateSnapshot, shift policy.Time, effects []Effect) []Effect {
 	c.beginStep(now, effects)
 	c.finishListUpdate()
@@ -78,8 +83,9 @@
 }
 
 // translateSnapshot replaces the endpoint numbers in another core's policy snapshot by those of
-// this core, and takes over the Retry-Afters of independent routes. Endpoints that are unknown
-// here, or have another address or destination now, get the number 0, which no endpoint has.
+// this core. It also takes over the Retry-Afters that apply to a single endpoint (see
+// hasIndependentRoutes). Endpoints that are unknown here, or have another address or destination
+// now, get the number 0, which no endpoint has.
 func (c *Core) translateSnapshot(snapshot *policy.Snapshot, members []HandoverMember, shift policy.Time) {
 	numbers := map[policy.EndpointID]policy.EndpointID{}
 	for i := range members {
--- a/internal/core/submit.go
+++ b/internal/core/submit.go
@@ -19,7 +19,7 @@
 	Record *Record
 	Class  int
 	Tenant int         // -1 for none
-	Queued policy.Time // how long the request may have waited unread; the deadline includes this time
+	Queued policy.Time // how long the request may have waited unread; its deadline counts from the start of this wait
 	Handle any         // for use by the driver
 }
 
