--- a/internal/handover/transfer/inherited.go
+++ b/internal/handover/transfer/inherited.go
@@ -10,7 +10,7 @@
 	"troutusher/internal/respserver"
 )
 
-// ErrRejected is returned if the predecessor rejected the request.
+// ErrRejected is returned if the predecessor rejected the request to hand over.
 var ErrRejected = errors.New("rejected by a predecessor that is handing over, cannot quiesce or is shutting down")
 
 // Inherited is what a process received from its predecessor. The user of a descriptor
--- a/internal/handover/transfer/transfer_test.go
+++ b/internal/handover/transfer/transfer_test.go
@@ -131,7 +131,7 @@
 
 // Guards against a hand-over that is completed without a claim: because another packet
 // arrives in its place, or because the successor disconnects without sending one.
-func TestAwaitSomethingElse(t *testing.T) {
+func TestAwaitClaimNeverSent(t *testing.T) {
 	for name, test := range map[string]struct {
 		send       func(p *Predecessor) error
 		unexpected bool
--- a/internal/lifecycle/lifecycle.go
+++ b/internal/lifecycle/lifecycle.go
@@ -46,7 +46,7 @@
 // not safe for concurrent use.
 type Machine struct {
 	state          State
-	drainRequested bool // drain once serving
+	drainRequested bool // a drain is in progress, or begins once the process serves
 }
 
 // State returns the current state.
--- a/internal/lifecycle/lifecycle_test.go
+++ b/internal/lifecycle/lifecycle_test.go
@@ -6,7 +6,7 @@
 )
 
 // Pins the answer, the action and the next state of operators' calls and of Stop in each state.
-// Guards against a transition that is missing or that a change to another state alters.
+// Guards against a transition that is missing, or that is altered by accident with another one.
 func TestTransitions(t *testing.T) {
 	enter := map[State]func(*Machine){
 		Starting:    func(*Machine) {},
--- a/internal/relay/console.go
+++ b/internal/relay/console.go
@@ -39,7 +39,7 @@
 	}
 }
 
-// appendStats appends all statistics, including those of TLS if there are TLS rules.
+// appendStats appends all statistics to buf, including those of TLS if there are TLS rules.
 func (r *Relay) appendStats(buf []byte) []byte {
 	buf = r.stats.AppendTo(buf)
 	dialer := r.consoleTLSPeers.Load()
--- a/internal/relay/effects.go
+++ b/internal/relay/effects.go
@@ -123,8 +123,9 @@
 	return busyReply(reply.RetryAfterMS)
 }
 
-// identityRejected is called if the TLS identity of an endpoint was rejected. Nothing
-// is sent to the endpoint until wait is over.
+// identityRejected is called if this relay has rejected the TLS identity of an endpoint.
+// Nothing is sent to the endpoint until wait is over. A wait of 0 means that the identity
+// has been verified again.
 func (r *Relay) identityRejected(endpoint uint64, wait time.Duration) {
 	r.post(core.IdentityRejected{Endpoint: policy.EndpointID(endpoint), Duration: wait.Microseconds()})
 }
--- a/internal/relay/eventloop.go
+++ b/internal/relay/eventloop.go
@@ -13,7 +13,7 @@
 type loopInput struct {
 	event    core.Event
 	config   *config.Config   // a new configuration
-	handover *handoverRequest // a successor is ready to take over
+	handover *handoverRequest // a process that was started as the successor is ready to take over
 }
 
 const (
@@ -27,7 +27,7 @@
 // post sends an event to the event loop. It may be called from any goroutine.
 func (r *Relay) post(e core.Event) { r.inbox.Put(loopInput{event: e}) }
 
-// observe passes endpoint lists to the core, which takes them in without a decision.
+// observe passes endpoint lists to the core, which applies them without running the policy.
 func (r *Relay) observe(lists []core.EndpointListUpdated) {
 	events := make([]core.Event, 0, len(lists))
 	for _, list := range lists {
@@ -62,7 +62,8 @@
 	}
 }
 
-// untilNextStep returns how long the event loop may wait for an input.
+// untilNextStep returns how long the event loop may wait for an input. If a write of the policy
+// state is due, it also starts that write.
 func (r *Relay) untilNextStep() time.Duration {
 	wait := maxLoopWait
 	if at := r.core.NextWakeup(); at > 0 {
@@ -80,7 +81,7 @@
 	return max(wait, 0)
 }
 
-// timeUntil returns the time timeUntil the core's clock has passed at.
+// timeUntil returns how long it takes until the core's clock has passed at.
 func (r *Relay) timeUntil(at policy.Time) time.Duration {
 	return time.Duration(at-r.now()+1) * time.Microsecond
 }
--- a/internal/relay/firstlist.go
+++ b/internal/relay/firstlist.go
@@ -45,9 +45,9 @@
 // awaitFirstList allows calls once the first request to discovery has ended, or after
 // firstListTimeout. Until then nothing is sent, since the known list may be old and
 // must not direct messages to an endpoint that has started to drain since. If discovery
-// doesn't answer, or rejects the relay, calls use the old list. Only calls wait.
-// Clients are served meanwhile: they give up after 0.4 s, and measure the time of their
-// messages from when they sent them.
+// doesn't answer, or rejects the relay, calls use the old list. Clients are served
+// meanwhile, since they give up after 0.4 s and count the deadlines of their messages from
+// when they sent them.
 func (r *Relay) awaitFirstList() {
 	timeout := time.NewTimer(firstListTimeout)
 	defer timeout.Stop()
--- a/internal/relay/handover_incoming.go
+++ b/internal/relay/handover_incoming.go
@@ -109,7 +109,7 @@
 	return h.machine.Step(handover.ClaimSent)
 }
 
-// predecessorLost records why the predecessor was predecessorLost and returns the next action.
+// predecessorLost records why the predecessor was lost and returns the next action.
 func (h *incomingHandover) predecessorLost(err error) handover.IncomingAction {
 	h.lostErr = err
 	return h.machine.Step(handover.PredecessorLost)
--- a/internal/relay/handover_test.go
+++ b/internal/relay/handover_test.go
@@ -22,7 +22,7 @@
 	"troutusher/internal/wal"
 )
 
-// Guards an upgrade against lost and repeated messages and closed connections. At that time one
+// Guards an upgrade against lost and repeated messages and closed connections. When it begins, one
 // client connection is idle, another has sent part of a command, the call of a non-idempotent
 // message is in flight, a message is pending, and the predecessor has received a Retry-After.
 func TestUpgrade(t *testing.T) { upgradeUnderLoad(t, os.Args[0], os.Args[0]) }
@@ -356,7 +356,7 @@
 		t.Errorf("exit of the predecessor: %v, want success", err)
 	}
 	var survivor *child
-	select { // the second successor has taken over from the first
+	select { // one successor has taken over from the other
 	case err := <-first.exited:
 		survivor = second
 		if err != nil {
@@ -365,10 +365,10 @@
 	case err := <-second.exited:
 		survivor = first
 		if err != nil {
-			t.Errorf("exit of the first successor: %v, want success", err)
+			t.Errorf("exit of the second successor: %v, want success", err)
 		}
 	}
-	waitFor(t, "the second successor to be ready", survivor.isReady)
+	waitFor(t, "the remaining successor to be ready", survivor.isReady)
 	if s := client.put("m", putFields("once", 8000, 1), nil); s != "+OK" {
 		t.Errorf("put(m) on the open connection = %s, want +OK", s)
 	}
--- a/internal/relay/put.go
+++ b/internal/relay/put.go
@@ -14,7 +14,8 @@
 )
 
 const (
-	// maxDeadlineFactor bounds a message's time, as a multiple of its class's deadline.
+	// maxDeadlineFactor bounds the time that a message may have left, as a multiple of the
+	// deadline of its class.
 	maxDeadlineFactor = 2
 	// maxTokenLength bounds the length of an ID and of an idempotency key, in bytes.
 	maxTokenLength = 256
@@ -29,9 +30,9 @@
 // record is an entry of the write-ahead log.
 type record = core.Record
 
-// parsePut parses a MSG.PUT command, whose arguments are the command name, a trace, an
-// ID, the fields and the body. now is when the command was received. The error is sent
-// to the client.
+// parsePut parses a MSG.PUT command, whose arguments are the command name, a trace, which
+// is ignored, the message's ID, the fields and the body. now is when the command was
+// received. The error is sent to the client.
 func parsePut(cfg *config.Config, args [][]byte, now time.Time) (*request, error) {
 	if len(args) != putArguments {
 		return nil, fmt.Errorf("MSG.PUT takes %d arguments, %d came", putArguments-1, len(args)-1)
--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -56,9 +56,9 @@
 	serverFailed chan error        // receives the error with which the RESP server ended
 	lifecycle    *processLifecycle // also used by the console and the RESP server
 	wal          *wal.Log
-	closeLog     func() // waits until the log is written; later calls do nothing
-	notices      *discovery.NoticeSender
-	stateSaver   *stateSaver // nil if the policy state is not saved
+	closeLog     func()                  // waits until the log is written; later calls do nothing
+	notices      *discovery.NoticeSender // reports messages that ended undelivered
+	stateSaver   *stateSaver             // nil if the policy state is not saved
 
 	discovery       *discovery.Watcher
 	discoveryAddr   string               // of the list watcher and the notice sender
--- a/internal/relay/reload.go
+++ b/internal/relay/reload.go
@@ -44,9 +44,10 @@
 	return cfg
 }
 
-// reloadNow reloads the configuration in a process whose predecessor was asked to.
-// This is necessary because a start takes the discovery address from the environment
-// first, while a reload takes it from the configuration file first.
+// reloadNow reloads the configuration in a process whose predecessor had received a
+// reload request. Otherwise this process could use another discovery address than its
+// predecessor: a start takes the address from the environment if it is set there, a
+// reload takes it from the configuration file if it is set there.
 func (r *Relay) reloadNow() {
 	r.reloadsRequested.Add(1)
 	if cfg := r.loadNewConfig(); cfg != nil {
@@ -54,9 +55,10 @@
 	}
 }
 
-// reconfigure applies the parts of a new configuration that can change while the relay
-// runs: the watch of the endpoint list and the notices move to the new discovery
-// address. Notices that were not confirmed at the old address are sent again to the new.
+// reconfigure applies the only part of a new configuration that can change while the
+// relay runs, the discovery address. From then on the relay watches the endpoint list at
+// the new address, and sends its notices of undelivered messages there, also those that
+// the old address has not confirmed.
 func (r *Relay) reconfigure(cfg *config.Config) {
 	if !reflect.DeepEqual(cfg.Policy, r.cfg.Policy) || cfg.Limits != r.cfg.Limits || cfg.Listen != r.cfg.Listen {
 		r.log.Warn("configuration reload: changes to settings, limits and listen take effect only at the next start")
--- a/internal/relay/startup.go
+++ b/internal/relay/startup.go
@@ -29,7 +29,7 @@
 // startup holds the values that one step of Relay.start passes to a later one.
 type startup struct {
 	*Relay
-	watchCtx context.Context // of the endpoint list's sources; is cancelled before ctx
+	watchCtx context.Context // of the goroutines that receive endpoint lists; is cancelled before ctx
 
 	// firstLists waits for the first endpoint lists and returns them; later calls
 	// return the same lists. firstListsRead reports whether it was called before
@@ -38,7 +38,7 @@
 	firstListsRead bool
 
 	incoming        *incomingHandover
-	inherited       *transfer.Inherited // of incoming; empty if no process handed over
+	inherited       *transfer.Inherited // what incoming has received; empty if no process handed over
 	takenOver       bool                // a predecessor handed over
 	recovered       []*record           // undelivered messages in the write-ahead log
 	importedClients int                 // number of client connections taken over
@@ -316,7 +316,8 @@
 // recoverFiles recovers from the write-ahead log, the saved policy state and the
 // endpoint list in the configuration. If the saved state or the configuration has
 // endpoints, clients are served at once and only calls wait for discovery;
-// otherwise the whole start waits for the first lists.
+// otherwise the whole start waits for the first lists. A partial saved state lacks
+// most destinations that were idle, so it is applied as a change to the configured list.
 func (s *startup) recoverFiles() {
 	saved, clockShift := s.stateSaver.load()
 	savedListIsNewer := saved != nil && (s.cfg.KnownList == nil || saved.Revision > s.cfg.KnownList.Revision)
--- a/internal/relay/tls_relay_test.go
+++ b/internal/relay/tls_relay_test.go
@@ -16,8 +16,8 @@
 	"troutusher/internal/upstream/upstreamtest"
 )
 
-// newTLSEndpoint returns a partner's endpoint over TLS. In each handshake it presents the
-// result of certificate.
+// newTLSEndpoint returns an endpoint that is called over TLS, like those of partners, which are the
+// operators of destinations. In each handshake it presents the result of certificate.
 func newTLSEndpoint(
 	t *testing.T,
 	certificate func() *testca.Issued,
@@ -51,10 +51,10 @@
 	env["TROUTUSHER_OPERATOR"] = path
 }
 
-// Guards a partner that rotates to a certificate that must not be trusted, and back. Meanwhile a
-// non-idempotent message must not be sent to the partner, a message that cannot wait must be
-// rejected with a retry time, and other partners must be served. Once the certificate is valid
-// again, the relay must notice by itself, without a message that is attempted.
+// Guards the trust in a partner that rotates to a certificate which must not be trusted, and back.
+// Meanwhile a non-idempotent message must not be sent to the partner, a message that cannot wait
+// must be rejected with a retry time, and other partners must be served. Once the partner presents
+// a valid certificate again, the relay must notice it by itself, without attempting a message.
 func TestPartnerCertificateRotation(t *testing.T) {
 	site := upstreamtest.NewTLSSite(t, nil)
 	var presented atomic.Pointer[testca.Issued]
--- a/internal/sendgate/sendgate.go
+++ b/internal/sendgate/sendgate.go
@@ -1,9 +1,10 @@
 // Package sendgate makes the final decision whether a call may be sent.
 //
-// A [Gate] holds whether calls to an endpoint may begin. A [Scope] is a destination, or an
-// endpoint that is an independent route; it holds the time until which its endpoints have
-// asked not to be called (Retry-After). The code that reads a Retry-After from a response
-// must apply it here before it does anything else with the response.
+// A [Gate] holds whether calls to an endpoint may begin. A [Scope] holds the time until which
+// its endpoints have asked not to be called (Retry-After). It is a destination or, if the
+// destination's endpoints are independent routes, whose Retry-Afters do not apply to each
+// other, a single endpoint. The code that reads a Retry-After from a response must apply it
+// here before it does anything else with the response.
 //
 // A call asks for permission twice, each time as late as possible. It asks before its first
 // byte: a drain stops the calls that have not begun by then. It asks again before its last
@@ -30,7 +31,7 @@
 var ErrEndpointDraining = errors.New("endpoint is draining or removed")
 
 // ErrDedupWindowExpired is the error for a repeated call that would arrive after the dedup
-// window, so that the endpoint would not recognise it as a repeat.
+// window, which is the time for which an endpoint recognises a message as a repeat.
 var ErrDedupWindowExpired = errors.New("dedup window expired before the call was sent")
 
 // RetryAfterError is the error for a call to a destination that has asked not to be called
