--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -9,8 +9,8 @@
 //
 // The same events at the same times give the same effects. Therefore the package starts
 // no goroutine, reads no clock, uses no socket or file, draws no random number, and does
-// not depend on the iteration order of a map. It leaves every decision that package policy
-// can make to that package.
+// not depend on the iteration order of a map. Decisions that either package could make, such
+// as when and to which endpoint a message is sent, are left to package policy.
 //
 // The files follow the phases of a message: submit, reply, attempt, outcome, end;
 // then recovery, shutdown, handover and passivation.
--- a/internal/core/event.go
+++ b/internal/core/event.go
@@ -30,7 +30,8 @@
 	Result *Result
 }
 
-// AttemptNotLogged reports that a call was not made because its attempt could not be logged.
+// AttemptNotLogged reports that a call was not made because its attempt could not be written to
+// the write-ahead log. The core itself also uses it for an attempt that was given up before that.
 type AttemptNotLogged struct{ Call *Call }
 
 // HealthChecked reports the result of a health check.
--- a/internal/core/record.go
+++ b/internal/core/record.go
@@ -12,7 +12,7 @@
 	RecordDone     RecordKind = "end"     // nothing remains to be done for the message
 )
 
-// Record is one entry of the log. Times are Unix microseconds.
+// Record is one entry of the write-ahead log. Times are Unix microseconds.
 type Record struct {
 	Kind     RecordKind `json:"kind"`
 	ID       string     `json:"id"`
--- a/internal/handover/handover_test.go
+++ b/internal/handover/handover_test.go
@@ -172,6 +172,7 @@
 		rng := rand.New(rand.NewPCG(seed, 3))
 		s := &simulation{outgoingAlive: true, incomingAlive: true, outgoingLock: true, memoryValid: true}
 		s.tryLock()
+		// Fault 0 kills the predecessor, 1 kills the successor, 2 breaks the connection, 3 is no fault.
 		faultAt, fault := rng.IntN(30), rng.IntN(4)
 		for step := range 400 {
 			if step == faultAt {
--- a/internal/lifecycle/lifecycle.go
+++ b/internal/lifecycle/lifecycle.go
@@ -52,7 +52,7 @@
 // State returns the current state.
 func (m *Machine) State() State { return m.state }
 
-// AcceptsClients reports whether the process accepts new clients. PING is answered accordingly.
+// AcceptsClients reports whether the process accepts new clients. The reply to PING depends on it.
 func (m *Machine) AcceptsClients() bool { return m.state == Serving || m.state == Stopping }
 
 // Ready answers whether the process can serve clients. A draining process can.
