--- a/internal/core/attempt.go
+++ b/internal/core/attempt.go
@@ -65,7 +65,7 @@
 		return
 	}
 	call := &Call{
-		Timeout: timeout, SendBy: send.LastByteBy, WarmingUp: send.Recovering, MayConnect: send.OpensConnection,
+		Timeout: timeout, SendBy: send.LastByteBy, WarmingUp: send.WarmingUp, MayConnect: send.OpensConnection,
 	}
 	c.openCall(call, m, endpoint, c.now)
 	c.countAttempt(m, endpoint)
--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -29,13 +29,13 @@
 // their indexes in the settings of the policy. Kinds are kinds of destination; the endpoint
 // list calls the name of a kind the flavor of an endpoint.
 type Settings struct {
-	Policy  policy.Settings
-	Seed    uint64 // of the policy's random numbers
-	Epoch   int64  // Unix time, in microseconds, of time 0 of the core's clock
-	Zones   map[string]int
-	Kinds   map[string]int
-	Classes map[string]int
-	Tenants map[string]int
+	Policy           policy.Settings
+	Seed             uint64 // of the policy's random numbers
+	Epoch            int64  // Unix time, in microseconds, of time 0 of the core's clock
+	Zones            map[string]int
+	DestinationKinds map[string]int
+	Classes          map[string]int
+	Tenants          map[string]int
 	// TracesPerSecond is the maximum number of submitted messages per second whose trace is
 	// logged. Recovered messages are always traced.
 	TracesPerSecond int
--- a/internal/core/endpoint.go
+++ b/internal/core/endpoint.go
@@ -160,7 +160,7 @@
 func (c *Core) endpointUpdate(endpoint *endpointState, member *Member) policy.EndpointUpdate {
 	update := policy.EndpointUpdate{
 		Endpoint: endpoint.number, Zone: indexOf(c.settings.Zones, member.Locality),
-		Kind: indexOf(c.settings.Kinds, member.Flavor), Destination: member.Dest,
+		Kind: indexOf(c.settings.DestinationKinds, member.Flavor), Destination: member.Dest,
 		State: policy.Ready, Rate: member.Rate,
 	}
 	if c.settings.ConnectionCost != nil {
--- a/internal/core/helpers_test.go
+++ b/internal/core/helpers_test.go
@@ -105,10 +105,10 @@
 				{BatchSize: 1}, {BatchSize: 1, IndependentRoutes: true},
 			},
 		},
-		Zones:   map[string]int{"a": 0},
-		Kinds:   map[string]int{"k": 0, "r": 1},
-		Classes: map[string]int{"plain": 0, "keyed": 1, "once": 2},
-		Tenants: map[string]int{"acme": 0},
+		Zones:            map[string]int{"a": 0},
+		DestinationKinds: map[string]int{"k": 0, "r": 1},
+		Classes:          map[string]int{"plain": 0, "keyed": 1, "once": 2},
+		Tenants:          map[string]int{"acme": 0},
 	}
 }
 
--- a/internal/core/retryafter.go
+++ b/internal/core/retryafter.go
@@ -9,7 +9,7 @@
 // hasIndependentRoutes reports whether the endpoints of a flavor are independent routes: a
 // Retry-After of one of them does not apply to the other endpoints of its destination.
 func (c *Core) hasIndependentRoutes(flavor string) bool {
-	i := indexOf(c.settings.Kinds, flavor)
+	i := indexOf(c.settings.DestinationKinds, flavor)
 	kinds := c.settings.Policy.DestinationKinds
 	return i >= 0 && i < len(kinds) && kinds[i].IndependentRoutes
 }
--- a/internal/relay/startup.go
+++ b/internal/relay/startup.go
@@ -95,15 +95,15 @@
 // createCore creates the core and, if there are TLS rules, the TLS dialer.
 func (s *startup) createCore() error {
 	settings := core.Settings{
-		Policy:          s.cfg.Policy,
-		Seed:            s.cfg.Seed,
-		Epoch:           s.startedAt.UnixMicro() - coreClockOrigin,
-		TracesPerSecond: s.cfg.TracesPerSecond,
-		Passivation:     s.cfg.Passivation,
-		Zones:           s.cfg.Zones,
-		Kinds:           s.cfg.DestinationKinds,
-		Classes:         s.cfg.Classes,
-		Tenants:         s.cfg.Tenants,
+		Policy:           s.cfg.Policy,
+		Seed:             s.cfg.Seed,
+		Epoch:            s.startedAt.UnixMicro() - coreClockOrigin,
+		TracesPerSecond:  s.cfg.TracesPerSecond,
+		Passivation:      s.cfg.Passivation,
+		Zones:            s.cfg.Zones,
+		DestinationKinds: s.cfg.DestinationKinds,
+		Classes:          s.cfg.Classes,
+		Tenants:          s.cfg.Tenants,
 	}
 	if len(s.cfg.TLSRules) > 0 {
 		if err := s.createTLSDialer(); err != nil {
--- a/policy/api.go
+++ b/policy/api.go
@@ -141,7 +141,7 @@
 
 // Kinds of action, each with the fields of Action that it uses.
 const (
-	ActSend        ActionKind = iota // Message, Endpoint, TimeoutAt, LastByteBy, Recovering, OpensConnection
+	ActSend        ActionKind = iota // Message, Endpoint, TimeoutAt, LastByteBy, WarmingUp, OpensConnection
 	ActReject                        // Message, After (how long its client should wait before a retry), Reason
 	ActFail                          // Message, Reason
 	ActCancel                        // Message, Attempt
@@ -155,8 +155,8 @@
 
 // Action is something that the engine asks its relay to do. Kind determines which of the other fields are used.
 type Action struct {
-	Kind       ActionKind
-	Recovering bool // the endpoint is recovering from an outage: open one connection there at a time
+	Kind      ActionKind
+	WarmingUp bool // the endpoint is recovering from an outage: open one connection there at a time
 
 	// OpensConnection: the engine expects the attempt to open a connection and has charged the cost. At a
 	// recovering endpoint, an attempt without it must not open one.
--- a/policy/dispatch.go
+++ b/policy/dispatch.go
@@ -174,6 +174,6 @@
 	e.emit(Action{
 		Kind: ActSend, Message: message.id, Endpoint: call.endpoint.id,
 		TimeoutAt: e.attemptTimeout(message, call.endpoint), LastByteBy: e.lastByteDeadline(message),
-		Recovering: call.endpoint.unhealthy, OpensConnection: call.opensConnection,
+		WarmingUp: call.endpoint.unhealthy, OpensConnection: call.opensConnection,
 	})
 }
--- a/policy/guards_test.go
+++ b/policy/guards_test.go
@@ -80,9 +80,9 @@
 		"TestConnectCostIsPaid",
 	},
 	{
-		"endpoint reported as recovering",
-		"Recovering: call.endpoint.unhealthy",
-		"Recovering: false",
+		"endpoint reported as warming up",
+		"WarmingUp: call.endpoint.unhealthy",
+		"WarmingUp: false",
 		"TestSendReportsRecovery",
 	},
 	{
--- a/policy/recovery_test.go
+++ b/policy/recovery_test.go
@@ -312,7 +312,7 @@
 				case idle > 0:
 					idle--
 					expenses = append(expenses, expense{h.now, 1})
-				case action.Recovering && !action.OpensConnection:
+				case action.WarmingUp && !action.OpensConnection:
 					event.Outcome, dueAt = NotSent, h.now+5000
 				default:
 					event.ConnectionsOpened = 1
@@ -342,14 +342,14 @@
 // a time.
 func TestSendReportsRecovery(t *testing.T) {
 	h := newHarness(t, singleClassSettings(), readyEndpoint(1, 1000))
-	if h.step(h.message(0, 0)); len(h.sends) != 1 || h.sends[0].Recovering {
-		t.Fatalf("step with a healthy endpoint: actions %+v, want one send without Recovering", h.actions)
+	if h.step(h.message(0, 0)); len(h.sends) != 1 || h.sends[0].WarmingUp {
+		t.Fatalf("step with a healthy endpoint: actions %+v, want one send without WarmingUp", h.actions)
 	}
 	h.step(endOf(h.sends[0], Delivered))
 	endpoint := h.engine.endpoints[1]
 	endpoint.unhealthy, endpoint.recoveredAt, endpoint.requiredTokens = true, h.now, 1
 	endpoint.recoveryBudget = tokenBucket{h.now, 1, true}
-	if h.step(h.message(0, 0)); len(h.sends) != 1 || !h.sends[0].Recovering {
-		t.Fatalf("step with a recovering endpoint: actions %+v, want one send with Recovering", h.actions)
+	if h.step(h.message(0, 0)); len(h.sends) != 1 || !h.sends[0].WarmingUp {
+		t.Fatalf("step with a recovering endpoint: actions %+v, want one send with WarmingUp", h.actions)
 	}
 }
