--- a/internal/upstream/tlswait.go
+++ b/internal/upstream/tlswait.go
@@ -27,14 +27,15 @@
 
 // errConnectNotAllowed is the error of a call that may not open a connection and found no
 // free one, at an endpoint that is warming up.
-var errConnectNotAllowed = errors.New("tls: no connection is free at a cold endpoint")
+var errConnectNotAllowed = errors.New("tls: endpoint is warming up: no free connection, and the call may not open one")
 
 // handshakeBudgetError is the error of a call that needs a handshake which the handshake
 // budget does not allow before the call's timeout.
 type handshakeBudgetError struct{ retryAfter time.Duration }
 
 func (e handshakeBudgetError) Error() string {
-	return fmt.Sprintf("tls: no turn for a handshake in time, the next is in %v", e.retryAfter.Round(time.Millisecond))
+	return fmt.Sprintf("tls: handshake budget allows no handshake before the call's timeout, the next one in %v",
+		e.retryAfter.Round(time.Millisecond))
 }
 
 // tlsWait is one call's wait for a TLS connection.
--- a/internal/upstream/upstream.go
+++ b/internal/upstream/upstream.go
@@ -32,9 +32,9 @@
 )
 
 var (
-	errPoolFull         = errors.New("no descriptor for another connection")
-	errResponseTooLarge = errors.New("more bytes than an answer may have")
-	errStaleConn        = errors.New("connection ended or brought bytes before the call was written")
+	errPoolFull         = errors.New("connection pool is full: connection limit reached and no connection is idle")
+	errResponseTooLarge = errors.New("response exceeds the size limit")
+	errStaleConn        = errors.New("connection closed or unexpected data received before the request was sent")
 
 	// Causes for which a call's context is cancelled.
 	errCancelled  = errors.New("cancelled") // by [Call.Cancel]
