--- a/internal/certstore/load.go
+++ b/internal/certstore/load.go
@@ -35,7 +35,8 @@
 // that only one of the two files has been replaced yet.
 var errKeyMismatch = errors.New("the key does not belong to the certificate")
 
-// loader loads the credentials of one set of files.
+// loader loads the credentials of one set of files: first the relay's certificate and key,
+// then the roots, then the revocation lists.
 type loader struct {
 	files       Files
 	now         time.Time
@@ -130,7 +131,7 @@
 	return err
 }
 
-// parseKeyPair parses and checks our own certificate, its issuers and its key.
+// parseKeyPair parses and checks the relay's own certificate, its issuers and its key.
 func parseKeyPair(f Files, certificate, key []byte, now time.Time) (*tls.Certificate, error) {
 	chain, err := parseCertificates(f.Certificate, certificate)
 	if err != nil {
--- a/internal/certstore/store.go
+++ b/internal/certstore/store.go
@@ -4,7 +4,7 @@
 // has been replaced, the credentials loaded before stay in use.
 //
 // The package defines what the files must contain; package tlspolicy decides whom to
-// trust. No error text contains secrets.
+// trust. No error text quotes a key file.
 package certstore
 
 import (
@@ -24,7 +24,7 @@
 
 // Files holds the paths of one set of credentials. A file with an empty path is not loaded.
 type Files struct {
-	Certificate     string // our own certificate, followed by its issuers
+	Certificate     string // the relay's own certificate, followed by its issuers
 	Key             string // its private key, which only the file's owner may have access to
 	Roots           string // the certificates of the trusted authorities
 	RevocationLists string // in PEM (RFC 7468 section 7), or one list in DER
@@ -35,10 +35,11 @@
 	Certificate      *tls.Certificate           // nil where no file is named
 	Roots            *x509.CertPool             // nil where no file is named
 	RootCertificates []*x509.Certificate        // the certificates in Roots
-	NotAfter         time.Time                  // of our own certificate; zero without one
+	NotAfter         time.Time                  // of the relay's own certificate; zero without one
 	RevocationLists  *tlspolicy.RevocationLists // nil where no file is named
 
-	// SHA-256 hashes of the files, which are part of the identity of stored sessions.
+	// SHA-256 hashes of the roots file and of the certificate file. They are part of the
+	// identity of stored TLS sessions, so that none is resumed after one of the files has changed.
 	RootsSum, CertificateSum []byte
 }
 
--- a/internal/connlimit/closing.go
+++ b/internal/connlimit/closing.go
@@ -1,7 +1,8 @@
 package connlimit
 
-// closeSlot adds a close action for a connection. From then on the connection is draining and counts
-// only toward MaxConns.
+// closeSlot adds a close action for a connection, for the caller to carry out. From then on the
+// connection is draining (see StateDraining) and counts only toward MaxConns. Its timeout is cancelled;
+// CommandStarted sets another one if a command still follows.
 func (l *Limiter) closeSlot(id SlotID, reason CloseReason, now Time) {
 	s := &l.slots[id]
 	if s.state != StateDraining {
@@ -16,7 +17,7 @@
 // after its reply. It stays in effect until CancelShutdown is called.
 func (l *Limiter) Shutdown(now Time) {
 	l.shuttingDown = true
-	for _, state := range []State{StateUnvalidated, StateIdleSingleUse, StateIdle} {
+	for _, state := range []State{StateUnvalidated, StateIdleSingleUse, StateIdle} { // no command in progress
 		for l.byState[state].first >= 0 {
 			l.closeSlot(SlotID(l.byState[state].first), CloseShutdown, now)
 		}
@@ -35,14 +36,14 @@
 		id := SlotID(timer)
 		switch s := &l.slots[id]; s.state {
 		case StateUnvalidated:
-			if s.sentCommand {
+			if s.sentCommand { // an invalid one, so the connection is still unvalidated
 				l.closeSlot(id, CloseIdleTimeout, now)
 			} else {
 				l.closeSlot(id, CloseFirstCommandTimeout, now)
 			}
 		case StateIdleSingleUse, StateIdle:
 			l.closeSlot(id, CloseIdleTimeout, now)
-		case StateReadingCommand, StateDraining:
+		case StateReadingCommand, StateDraining: // draining: a command arrived before the close and is read in part
 			l.closeSlot(id, CloseCommandTimeout, now)
 		}
 	}
--- a/internal/connlimit/limiter.go
+++ b/internal/connlimit/limiter.go
@@ -113,7 +113,8 @@
 	}
 }
 
-// CommandStarted tells the limiter that the first byte of a command has been read.
+// CommandStarted tells the limiter that the first byte of a command has been read. It starts the
+// timeout of the command, except for a connection's first command, whose timeout runs since Add.
 func (l *Limiter) CommandStarted(id SlotID, now Time) {
 	s := &l.slots[id]
 	switch {
@@ -127,7 +128,8 @@
 	}
 }
 
-// CommandRead tells the limiter that a command has been read to its end.
+// CommandRead tells the limiter that a command has been read to its end. It ends the timeout of the
+// command; no timeout runs until ReplyWritten.
 func (l *Limiter) CommandRead(id SlotID, kind CommandKind, now Time) {
 	s := &l.slots[id]
 	s.sentCommand = true
@@ -154,7 +156,8 @@
 	}
 }
 
-// ReplyWritten tells the limiter that the reply to a command has been written.
+// ReplyWritten tells the limiter that the reply to a command has been written. The connection is closed
+// if it is draining or the limiter is shutting down; otherwise its idle timeout starts.
 func (l *Limiter) ReplyWritten(id SlotID, now Time) {
 	s := &l.slots[id]
 	switch {
@@ -171,6 +174,7 @@
 		return
 	}
 	l.timers.Set(uint32(id), now+l.limits.IdleTimeout)
+	// One connection is evicted for each reply, the one that has been idle longest after one request.
 	if l.withRequests > l.limits.SingleUseEvictionThreshold {
 		if oldest, ok := l.oldestIn(StateIdleSingleUse, now, 0); ok {
 			l.closeSlot(oldest, CloseEvictSingleUse, now)
--- a/internal/connlimit/limits.go
+++ b/internal/connlimit/limits.go
@@ -13,15 +13,16 @@
 	// a valid command yet.
 	MaxUnvalidated int
 	// SingleUseEvictionThreshold is how many connections may have made a request. Beyond it, idle
-	// connections that made only one request are evicted.
+	// connections that made only one request (StateIdleSingleUse) are evicted.
 	SingleUseEvictionThreshold int
 
 	FirstCommandTimeout Time // from accepting a connection to the end of its first command
 	CommandTimeout      Time // from the first byte of a later command to its last byte
 	IdleTimeout         Time // how long a connection may stay open without a command
 
-	// EvictionGrace is how long a new connection is protected from eviction, since the input that its
-	// client sent may not have been read yet.
+	// EvictionGrace is how long a connection without a valid command is protected from eviction after it
+	// has entered StateUnvalidated or StateReplyingInvalid, since the input that its client sent may not
+	// have been read yet.
 	EvictionGrace Time
 	// EvictionWait is how long the head of the listen queue may wait for the next connection that can
 	// be evicted.
--- a/internal/connlimit/slots.go
+++ b/internal/connlimit/slots.go
@@ -7,9 +7,9 @@
 type slot struct {
 	next, prev  int32
 	stateSince  Time
-	requests    uint32
+	requests    uint32 // number of commands that submitted a message
 	state       State
-	validated   bool
+	validated   bool // has sent a valid command
 	sentCommand bool // has sent a complete command, valid or not
 }
 
--- a/internal/connlimit/snapshot.go
+++ b/internal/connlimit/snapshot.go
@@ -1,6 +1,6 @@
 package connlimit
 
-// Snapshot returns the state that another Limiter needs to continue with a connection.
+// Snapshot returns the state that the Limiter of another process needs to continue with a connection.
 func (l *Limiter) Snapshot(id SlotID, now Time) Snapshot {
 	s := &l.slots[id]
 	timeout := l.limits.IdleTimeout
@@ -18,8 +18,8 @@
 	}
 }
 
-// Restore adds a connection from the Snapshot of another Limiter. The connection counts toward the
-// limits like any other.
+// Restore adds a connection from the Snapshot of another process's Limiter. The connection counts toward
+// the limits like any other. The rest of its timeout continues to run.
 func (l *Limiter) Restore(snapshot Snapshot, now Time) SlotID {
 	id := l.Add(now)
 	s := &l.slots[id]
--- a/internal/connlimit/types.go
+++ b/internal/connlimit/types.go
@@ -5,7 +5,8 @@
 // SlotID identifies the slot of a connection. It is reused after the connection has been removed.
 type SlotID uint32
 
-// State is the state of a connection. A connection is unvalidated until it has sent a valid command.
+// State is the state of a connection. A connection is unvalidated until it has sent a valid command. A
+// request is a command that submits a message.
 type State uint8
 
 // States of a connection.
@@ -123,8 +124,8 @@
 
 // Snapshot is the state of a connection that another Limiter needs to continue with it.
 type Snapshot struct {
-	Validated   bool   `json:"Known"`
-	SentCommand bool   `json:"Spoke"`
-	Requests    uint32 `json:"Asked"`
-	TimeLeft    Time   `json:"Left"` // time until the current timeout
+	Validated   bool   `json:"Known"` // has sent a valid command
+	SentCommand bool   `json:"Spoke"` // has sent a complete command, valid or not
+	Requests    uint32 `json:"Asked"` // number of requests made
+	TimeLeft    Time   `json:"Left"`  // time until the current timeout
 }
--- a/internal/console/stats.go
+++ b/internal/console/stats.go
@@ -14,7 +14,8 @@
 	gauge   = "|g\n"
 )
 
-// Outcomes counts the finished messages of a class by outcome.
+// Outcomes counts the finished messages of a class by outcome. Deferred messages were rejected or handed
+// back to their clients, so that submitting them again does no harm.
 type Outcomes struct{ Delivered, Deferred, Failed int64 }
 
 // Stats holds the metrics that the console shows. The event loop updates them, and the console reads
@@ -33,7 +34,7 @@
 type classStats struct {
 	name                        string
 	delivered, deferred, failed atomic.Int64
-	shed                        atomic.Int64 // shown as deferred
+	shed                        atomic.Int64 // rejected before they reached the event loop; shown as deferred
 }
 
 // NewStats returns metrics for the given classes. A class is identified by its index in the slice.
--- a/internal/respserver/accept.go
+++ b/internal/respserver/accept.go
@@ -26,8 +26,9 @@
 	}
 }
 
-// acceptFrom accepts connections of one listener. It returns false if the server must not accept
-// anything, from any listener, before acceptRetryAt.
+// acceptFrom accepts connections of one listener. For each it asks the limiter for a decision: it
+// evicts another connection and asks again, waits, accepts, or accepts and closes at once. It returns
+// false if the server must not accept anything, from any listener, before acceptRetryAt.
 func (s *Server) acceptFrom(l *listener, now connlimit.Time) bool {
 	for n := 0; l.mayHaveBacklog && n < maxAcceptsPerTurn; n++ {
 		if s.limiter.AtLimit() && !l.hasBacklog() { // evict only for a connection that is really queued
--- a/internal/respserver/conn.go
+++ b/internal/respserver/conn.go
@@ -17,7 +17,7 @@
 	modeAwaitingReply                 // the reply to a pending request
 	modeDelayingError                 // the end of the delay before an error reply
 	modeWriting                       // room in the socket for the rest of a reply
-	modeLingering                     // the client's close, after the server's last reply
+	modeLingering                     // the client's close, after the server's last reply; input is discarded
 )
 
 // conn is a client's connection. Most connections are idle, so conn is small: state that only a few
@@ -26,16 +26,16 @@
 	fd              int32  // 0 or -1 when the slot is empty
 	sequence        uint32 // number of the slot's last command, also across connections
 	mode            connMode
-	errorCount      uint8
-	readable        bool
-	peerClosed      bool // the client has closed, or the connection broke
+	errorCount      uint8 // error replies so far
+	readable        bool  // unread input may be waiting in the socket
+	peerClosed      bool  // the client has closed, or the connection broke
 	inReadyQueue    bool
 	awaitingMemory  bool
-	draining        bool  // the limiter has asked for its close
-	closeAfterWrite bool  // close after the current reply
-	memory          int32 // bytes held for its commands
-	requestMemory   int32 // the part of memory that the pending request holds
-	lingeredBytes   int32
+	draining        bool           // the limiter has asked for its close
+	closeAfterWrite bool           // close after the current reply
+	memory          int32          // bytes held for its commands
+	requestMemory   int32          // the part of memory that the pending request holds
+	lingeredBytes   int32          // bytes discarded while lingering
 	readyAt         connlimit.Time // since when it has waited for its turn: readable, and no reply in progress
 	receivedAt      connlimit.Time // when its unread input was first noticed
 	reader          *resp.Reader   // nil between commands
--- a/internal/respserver/handover.go
+++ b/internal/respserver/handover.go
@@ -7,8 +7,8 @@
 	"troutusher/internal/connlimit"
 )
 
-// ConnSnapshot is the state of a client's connection that another process needs to continue it,
-// between commands or in the middle of one.
+// ConnSnapshot is the state of a client's connection that another process needs to continue it, between
+// two commands or in the middle of one.
 type ConnSnapshot struct {
 	FD          int                `json:"-"`
 	Unprocessed []byte             `json:"ahead,omitempty"` // input that was read and not replied to
--- a/internal/respserver/options.go
+++ b/internal/respserver/options.go
@@ -42,7 +42,8 @@
 	RetryAfter time.Duration
 }
 
-// RequestID identifies a pending request in a call of SendReply.
+// RequestID identifies a pending request in a call of SendReply: by the slot of its connection and the
+// sequence number of its command.
 type RequestID struct{ slot, sequence uint32 }
 
 // Reply is a handler's result for a command: either a text to reply at once or a pending request.
--- a/internal/respserver/read.go
+++ b/internal/respserver/read.go
@@ -21,8 +21,9 @@
 	connsPerClockRead = 16
 	// serviceTimeWeight is the weight of one batch in the smoothed service time.
 	serviceTimeWeight = 1.0 / 8
-	// clientReplyTimeout is how long a client waits for a reply. Longer waits in a queue need not be
-	// told apart, since the client of such a request has given up.
+	// clientReplyTimeout is how long a client waits for a reply. A request that has waited longer in a
+	// queue counts as having waited this long: the difference does not matter, since its client has
+	// given up.
 	clientReplyTimeout = 400 * time.Millisecond
 )
 
@@ -51,8 +52,8 @@
 	}
 	rest := copy(s.readyQueue, s.readyQueue[served:])
 	s.readyQueue = s.readyQueue[:rest]
-	// The service time includes the other work of the event loop since the last batch, since it is to
-	// show how fast the queue moves.
+	// The service time includes the other work of the event loop since the last batch, because it is
+	// used to predict how long a connection waits in the queue.
 	if served >= connsPerClockRead {
 		serviceTime := float64(s.now()-s.lastBatchAt) / float64(served)
 		s.serviceTimeMicros += (serviceTime - s.serviceTimeMicros) * serviceTimeWeight
--- a/internal/respserver/server.go
+++ b/internal/respserver/server.go
@@ -39,7 +39,7 @@
 	startedAt time.Time
 	limiter   *connlimit.Limiter
 	poller    *poller
-	timers    *timerwheel.Wheel // timeouts of delayed errors, writes and lingering, by slot
+	timers    *timerwheel.Wheel // ends of error reply delays, write timeouts and linger timeouts, by slot
 	expired   []uint32          // buffer for expired timers, kept for reuse
 
 	connPages     []*[connsPerPage]conn
@@ -54,7 +54,7 @@
 
 	listeners     []*listener
 	boundAddrs    []boundAddr    // sockets that do not listen yet
-	acceptRetryAt connlimit.Time // nothing is accepted before this time; 0 for no restriction
+	acceptRetryAt connlimit.Time // no connection is accepted before this time; 0 for no restriction
 	acceptFailing bool           // the last accept failed; logged when it became true
 
 	closed     bool
@@ -126,7 +126,7 @@
 }
 
 // serveTurn is one turn of the event loop. It handles timeouts, input and new connections, and then
-// waits for events.
+// waits for events. If work is left, it does not wait but only polls.
 func (s *Server) serveTurn(state *loopState) error {
 	now := s.now()
 	more := s.limiter.Advance(now, maxTimersPerTurn)
--- a/internal/respserver/shutdown.go
+++ b/internal/respserver/shutdown.go
@@ -63,7 +63,7 @@
 	<-s.done
 }
 
-// teardown closes all sockets and the poller.
+// teardown closes all sockets and the poller. Requests without a reply get none.
 func (s *Server) teardown() {
 	s.closeListenerSockets()
 	s.forEachConn(s.closeConn)
--- a/internal/tlsdial/conn.go
+++ b/internal/tlsdial/conn.go
@@ -8,13 +8,14 @@
 	"time"
 )
 
-// rejectionWait is how long a call waits for an endpoint that asked for our certificate
-// to reject it.
+// rejectionWait is how long a handshake waits for an endpoint that asked for the relay's
+// certificate to reject it.
 const rejectionWait = 100 * time.Millisecond
 
 var errUnexpectedData = errors.New("endpoint sent application data before the first call")
 
-// Conn is a connection to an endpoint whose identity was verified.
+// Conn is a connection to an endpoint whose identity (the name and keys in its certificates)
+// was verified.
 type Conn struct {
 	*tls.Conn
 	Resumed    bool // the handshake resumed a session
@@ -22,7 +23,7 @@
 	raw        net.Conn
 	endpoint   *Endpoint
 	generation uint64    // of the rule's files that the identity was verified with
-	validUntil time.Time // of the verification
+	validUntil time.Time // when the first of the verified certificates expires
 }
 
 // Endpoint returns the endpoint that the connection leads to.
@@ -31,8 +32,8 @@
 // Raw returns the connection below TLS.
 func (c *Conn) Raw() net.Conn { return c.raw }
 
-// IdentityCurrent reports whether a call may begin on the connection: no certificate
-// has expired since the handshake, and the rule's files have not changed.
+// IdentityCurrent reports whether a call may begin on the connection: no certificate of the
+// endpoint's chain has expired since the handshake, and the rule's files have not changed.
 func (c *Conn) IdentityCurrent() bool {
 	return c.generation == c.endpoint.rule.generation.Load() &&
 		c.endpoint.dialer.options.Clock().Before(c.validUntil)
@@ -42,10 +43,10 @@
 // completely. The unread rest of a record may be the alert that closes the connection.
 func (c *Conn) AtRecordBoundary() bool { return c.records.headerRead == 0 && c.records.bodyLeft == 0 }
 
-// awaitRejection waits for an endpoint that asked for our certificate to reject it. In
-// TLS 1.3 the handshake completes on this side before the endpoint has verified the
-// certificate (RFC 8446 section 4.4.2.4). A new session ticket means that the endpoint
-// accepted it, and ends the wait.
+// awaitRejection waits for an endpoint that asked for the relay's certificate to reject it.
+// In TLS 1.3 the handshake completes on this side before the endpoint has verified the
+// certificate (RFC 8446 section 4.4.2.4). A new session ticket means that the endpoint has
+// accepted the certificate, and ends the wait.
 func (c *Conn) awaitRejection(cache *ticketCache) error {
 	// SetReadDeadline fails only on a closed connection, on which Read reports the error.
 	_ = c.SetReadDeadline(time.Now().Add(rejectionWait))
--- a/internal/tlsdial/dialer.go
+++ b/internal/tlsdial/dialer.go
@@ -2,10 +2,10 @@
 // (TLS 1.2, RFC 5246; TLS 1.3, RFC 8446).
 //
 // It runs the handshakes, offers stored sessions for resumption, reloads the files with
-// keys and roots, and retries endpoints whose identity was rejected. Package tlspolicy
-// decides which identities to trust, what a failed handshake means and how many
-// handshakes may run. Package tlsdial sends handshakes only: no message data, and no
-// early data (0-RTT).
+// keys and roots, and makes handshakes on a schedule with endpoints whose identity was
+// rejected, until one succeeds. Package tlspolicy decides which identities to trust, what a
+// failed handshake means and how many handshakes may run. Package tlsdial sends handshakes
+// only: no message data, and no early data (0-RTT).
 package tlsdial
 
 import (
@@ -60,13 +60,14 @@
 	counts       Counts
 }
 
-// rule is one of the operator's TLS rules with the current content of its files.
+// rule is one of the operator's TLS rules, which say what identity the endpoints of some
+// destinations must prove, with the current content of its files.
 type rule struct {
 	settings       *operatorconfig.TLSRule
 	policy         tlspolicy.Rule // without Roots; those come from files
 	files          *certstore.Store
 	generation     atomic.Uint64 // incremented when the files change
-	earliestExpiry atomic.Int64  // of the verifications under the rule, in Unix seconds; 0 before the first
+	earliestExpiry atomic.Int64  // of the certificates verified under the rule, in Unix seconds; 0 before the first
 }
 
 // Counts holds the numbers of handshakes since the start and the current numbers of endpoints.
@@ -130,8 +131,9 @@
 	return nil
 }
 
-// HandshakeWeight returns what a handshake costs an endpoint of the destination, in
-// calls; 0 for a destination without TLS.
+// HandshakeWeight returns what a handshake costs an endpoint of the destination, as the
+// number of calls with the same cost; 0 for a destination without TLS. flavor is the kind of
+// the destination, from the endpoint list; a rule can apply to a flavor.
 func (d *Dialer) HandshakeWeight(dest int, flavor string) float64 {
 	if i, ok := d.selector.Find(dest, flavor); ok {
 		return d.rules[i].settings.ConnectionCost()
--- a/internal/tlsdial/endpoint.go
+++ b/internal/tlsdial/endpoint.go
@@ -6,8 +6,8 @@
 	"troutusher/internal/tlspolicy"
 )
 
-// inconclusiveRetryDelay is the time until a rejected endpoint is retried after a
-// handshake without a verdict.
+// inconclusiveRetryDelay is the time until a rejected endpoint is retried after a handshake
+// that neither verified nor rejected an identity.
 const inconclusiveRetryDelay = time.Second
 
 // Endpoint is one endpoint that is reached over TLS.
@@ -26,8 +26,9 @@
 
 // Endpoint registers an endpoint of a destination. It returns nil for a destination
 // without TLS. retryHandshake is called on the retry schedule while the endpoint is
-// rejected: it has to call Acquire with scheduled set and begin a handshake, and reports
-// whether it began one.
+// rejected, which means that the relay did not accept the endpoint's identity, or the
+// endpoint not the relay's: retryHandshake has to call Acquire with scheduled set and begin a
+// handshake, and reports whether it began one.
 func (d *Dialer) Endpoint(number uint64, dest int, flavor string, retryHandshake func() bool) *Endpoint {
 	if d == nil {
 		return nil
@@ -46,8 +47,8 @@
 	return e
 }
 
-// ChargesHandshakes reports whether handshakes count against the endpoint's rate, as
-// calls do.
+// ChargesHandshakes reports whether handshakes count against the rate of calls that the
+// endpoint may get while it warms up.
 func (e *Endpoint) ChargesHandshakes() bool { return e.rule.settings.ConnectionCost() > 0 }
 
 // Close removes the endpoint from its dialer.
@@ -73,8 +74,8 @@
 	}
 }
 
-// Acquire requests a permit for one handshake. Where it returns neither a permit nor an
-// error, the budget has no room now: retryAt is when to ask again, and zero means after
+// Acquire requests a permit for one handshake. If it returns neither a permit nor an error,
+// the handshake budget allows none now: retryAt is when to ask again, and zero means after
 // another handshake with the endpoint has ended. The error is a *RejectedError. The
 // caller sets warmingUp for an endpoint that is warming up, and scheduled for a handshake
 // of the retry schedule.
@@ -110,7 +111,7 @@
 	e *Endpoint, rejection *tlspolicy.IdentityError, scheduled bool, now time.Time,
 ) (time.Time, error) {
 	may, retryAt := d.trust.MayRetry(e.trustKey(), now)
-	// Messages cannot change the verdict, so they cause no handshakes.
+	// A message cannot change why the endpoint is rejected, so it causes no handshake.
 	if !scheduled {
 		wait := max(retryAt.Sub(now), busyRetryDelay)
 		d.options.OnRejected(e.number, wait+d.handshakeTimeout+reportingMargin)
@@ -140,7 +141,7 @@
 }
 
 // RecordAlert takes an error of a connection whose handshake has completed on this side.
-// If the error is an alert by which the endpoint rejects our identity, RecordAlert records
+// If the error is an alert by which the endpoint rejects the relay's identity, RecordAlert records
 // the rejection and returns true. In TLS 1.3 such an alert arrives after the handshake
 // (RFC 8446 section 4.4.2.4).
 func (e *Endpoint) RecordAlert(err error) (*RejectedError, bool) {
--- a/internal/tlsdial/errors.go
+++ b/internal/tlsdial/errors.go
@@ -20,7 +20,7 @@
 )
 
 // RejectedError reports that an endpoint's identity was rejected, or that the endpoint
-// rejected ours. Nothing but a handshake was sent to the endpoint.
+// rejected the relay's. Nothing but a handshake was sent to the endpoint.
 type RejectedError struct {
 	Reason     *tlspolicy.IdentityError
 	RetryAfter time.Duration // until the next scheduled handshake
@@ -49,7 +49,7 @@
 }
 
 // causeOfError returns the cause of the rejection that err reports; false unless err is
-// an alert from the endpoint about identities or parameters.
+// an alert from the endpoint about identities or supported parameters, such as versions.
 func causeOfError(err error) (tlspolicy.FailureCause, bool) {
 	alert, ok := remoteAlert(err)
 	if !ok {
--- a/internal/tlsdial/expiry.go
+++ b/internal/tlsdial/expiry.go
@@ -2,8 +2,8 @@
 
 import "time"
 
-// warnExpiringFiles logs a warning if our own certificate or a revocation list of the
-// rule is about to expire.
+// warnExpiringFiles logs a warning if the relay's own certificate or a revocation list of
+// the rule is about to expire.
 func (d *Dialer) warnExpiringFiles(r *rule) {
 	credentials := r.files.Current()
 	d.mu.Lock()
@@ -14,8 +14,9 @@
 	}
 }
 
-// warnExpiring logs a warning if what expires at end is about to expire, at most once in
-// warningInterval. With a zero end it does nothing. The caller holds mu.
+// warnExpiring logs a warning if the item that what names expires soon, at the time end. It
+// logs each item of a rule at most once in warningInterval. With a zero end it does nothing.
+// The caller holds mu.
 func (d *Dialer) warnExpiring(r *rule, what string, end time.Time) {
 	if end.IsZero() {
 		return
@@ -35,8 +36,8 @@
 }
 
 // DaysLeft calls f with the name of each rule and the number of days until the first of
-// its certificates expires: our own one, or one that was verified under the rule. A rule
-// without any is left out.
+// its certificates expires: the relay's own one, or one that was verified under the rule. A
+// rule without any is left out.
 func (d *Dialer) DaysLeft(f func(name string, days float64)) {
 	now := d.options.Clock()
 	for _, r := range d.rules {
--- a/internal/tlsdial/handshake.go
+++ b/internal/tlsdial/handshake.go
@@ -21,12 +21,12 @@
 type Permit struct {
 	endpoint     *Endpoint
 	credentials  *certstore.Credentials
-	generation   uint64 // of the rule's files
-	identity     tlspolicy.SessionIdentity
+	generation   uint64                    // of the rule's files
+	identity     tlspolicy.SessionIdentity // under which sessions are taken and stored
 	reservation  tlspolicy.Reservation
 	kind         tlspolicy.HandshakeKind
 	session      *tls.ClientSessionState // to resume; nil for a full handshake
-	sessionUntil time.Time
+	sessionUntil time.Time               // when session expires
 }
 
 // Timeout returns how long connecting and the handshake may take together.
@@ -64,8 +64,8 @@
 	permit               *Permit
 	conn                 *Conn
 	cache                *ticketCache
-	failure              *tlspolicy.IdentityError // found by our verification of the endpoint's identity
-	certificateRequested bool                     // the endpoint asked for our certificate
+	failure              *tlspolicy.IdentityError // found when the relay verified the endpoint's identity
+	certificateRequested bool                     // the endpoint asked for the relay's certificate
 	version              uint16
 }
 
@@ -122,7 +122,7 @@
 	return nil
 }
 
-// clientCertificate returns our certificate, or an empty one where there is none.
+// clientCertificate returns the relay's certificate, or an empty one if the rule names none.
 // crypto/tls calls it when the endpoint asks for a certificate.
 func (h *handshake) clientCertificate(*tls.CertificateRequestInfo) (*tls.Certificate, error) {
 	h.certificateRequested = true
@@ -154,7 +154,7 @@
 }
 
 // confirm checks, after the handshake has completed on this side, that the endpoint
-// does not reject our certificate and that its identity is valid under the rule's current
+// does not reject the relay's certificate and that its identity is valid under the rule's current
 // files.
 func (h *handshake) confirm() error {
 	state := h.conn.ConnectionState()
@@ -174,7 +174,9 @@
 	return nil
 }
 
-// record accounts for a handshake that has ended, with err if it failed.
+// record accounts for a handshake that has ended, with err if it failed: it completes the
+// budget's reservation, records the outcome in the endpoint's trust state, and stores the
+// session if the handshake succeeded.
 func (h *handshake) record(ctx context.Context, cpuTime time.Duration, err error) (*Conn, error) {
 	e := h.permit.endpoint
 	d := e.dialer
@@ -194,8 +196,8 @@
 	return nil, err
 }
 
-// identityFailure returns why an identity was rejected in a handshake that failed with
-// err; nil if the error says nothing about identities.
+// identityFailure returns why an identity, the endpoint's or the relay's, was rejected in a
+// handshake that failed with err; nil if the error says nothing about identities.
 func (h *handshake) identityFailure(ctx context.Context, err error) *tlspolicy.IdentityError {
 	if h.failure != nil {
 		return h.failure
--- a/internal/tlsdial/sessionfile.go
+++ b/internal/tlsdial/sessionfile.go
@@ -21,8 +21,9 @@
 	"troutusher/internal/tlspolicy"
 )
 
-// Sessions are stored when the process shuts down in order. The next process reads the
-// file and removes it, so that no two processes present the same ticket. File format:
+// Sessions are stored when the process shuts down cleanly, so that the next process can
+// resume them instead of making full handshakes. That process reads the file and removes it,
+// so that no two processes present the same ticket. File format:
 //
 //	magic and version   5 bytes   "TRSS" 1
 //	salt                32 bytes  for the derivation of the key, HKDF-SHA-256 (RFC 5869)
@@ -52,14 +53,16 @@
 // errNotDecryptable reports that the content of a session file cannot be decrypted.
 var errNotDecryptable = errors.New("file is damaged or encrypted with another key")
 
-// storedSession is one session in the session file.
+// storedSession is one session in the session file. Destination, Rule and IdentitySum are
+// the fields of its tlspolicy.SessionIdentity: the settings that the endpoint was verified
+// with.
 type storedSession struct {
 	Destination int       `json:"dest"`
-	Rule        string    `json:"rule"`
-	IdentitySum []byte    `json:"sum"`
-	Until       time.Time `json:"until"`
-	Ticket      []byte    `json:"ticket"`
-	State       []byte    `json:"state"`
+	Rule        string    `json:"rule"`   // name of the TLS rule that applied to the destination
+	IdentitySum []byte    `json:"sum"`    // SHA-256 hash of server name, roots, pins and the relay's certificate
+	Until       time.Time `json:"until"`  // when the session expires
+	Ticket      []byte    `json:"ticket"` // from the endpoint; presented to it for resumption
+	State       []byte    `json:"state"`  // the tls.SessionState, encoded
 }
 
 // readSessionKey reads the operator's key file. The file must have minSessionKeyBytes to
@@ -212,8 +215,8 @@
 }
 
 // restoreSessions caches the sessions that the previous process stored, and removes the
-// session file. A session whose identity is no longer configured is never looked up, and
-// expires.
+// session file. If the settings that a session was verified with have changed (its server
+// name, roots, pins or the relay's certificate), no handshake looks it up, and it expires.
 func (d *Dialer) restoreSessions(dir string) {
 	path := filepath.Join(dir, sessionsFile)
 	f, err := os.Open(path)
@@ -254,7 +257,8 @@
 	return decryptSessions(d.sessionKey, content)
 }
 
-// restoreSession caches one stored session, unless it cannot be used.
+// restoreSession caches one stored session, unless it is malformed, has expired or is for
+// early data.
 func (d *Dialer) restoreSession(stored *storedSession, now time.Time) {
 	if len(stored.IdentitySum) != sha256.Size {
 		return
--- a/internal/tlsdial/ticketcache.go
+++ b/internal/tlsdial/ticketcache.go
@@ -9,19 +9,19 @@
 )
 
 // ticketCache is the tls.ClientSessionCache of one handshake. It offers the session of
-// the handshake's permit, once, and stores the sessions that the endpoint sends under the
-// identity of the permit.
+// the handshake's permit, once, and stores the sessions that the endpoint sends in the
+// dialer's cache, under the session identity of the permit.
 type ticketCache struct {
 	dialer     *Dialer
 	identity   tlspolicy.SessionIdentity
-	generation uint64
+	generation uint64 // of the rule's files when the permit was issued
 	rule       *rule
 
 	mu         sync.Mutex
 	toOffer    *tls.ClientSessionState // nil after it was offered
 	offered    *tls.ClientSessionState
-	validUntil time.Time               // of the verification; zero until it is recorded
-	received   *tls.ClientSessionState // before the verification was recorded
+	validUntil time.Time               // when the endpoint's verification expires; zero until commit records it
+	received   *tls.ClientSessionState // the newest session received before commit
 	onReceived func()                  // called when received is set
 }
 
@@ -34,14 +34,15 @@
 	return session, session != nil
 }
 
-// hasReceived reports whether a session was received before the verification was recorded.
+// hasReceived reports whether a session was received before commit.
 func (t *ticketCache) hasReceived() bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.received != nil
 }
 
-// Put stores a session that the endpoint sent.
+// Put stores a session that the endpoint sent. Before commit it only keeps the session,
+// since the endpoint's identity is not verified yet.
 func (t *ticketCache) Put(_ string, session *tls.ClientSessionState) {
 	if session == nil {
 		return
@@ -62,7 +63,8 @@
 	}
 }
 
-// commit records the verification, and stores the session that was received before it.
+// commit records that the endpoint's identity was verified, and stores the session that was
+// received before. Sessions that arrive later are stored by Put.
 // If there is none and reusable is set, it stores the offered session again: a TLS 1.2
 // session that was resumed remains valid if the endpoint sends no new one (RFC 5077
 // section 3.3). The caller holds the dialer's mu.
--- a/internal/tlspolicy/alerts.go
+++ b/internal/tlspolicy/alerts.go
@@ -54,8 +54,8 @@
 	alertNoApplicationProtocol  = 120
 )
 
-// CauseOfAlert returns the cause for which an endpoint is rejected that has sent an alert;
-// false if the alert concerns only the one connection.
+// CauseOfAlert returns the cause for which an endpoint that sent this alert gets no more
+// calls; false if the alert concerns only the one connection.
 func CauseOfAlert(alert uint8) (FailureCause, bool) {
 	switch alert {
 	case alertBadCertificate, alertUnsupportedCertificate, alertCertificateRevoked, alertCertificateExpired,
--- a/internal/tlspolicy/budget.go
+++ b/internal/tlspolicy/budget.go
@@ -5,9 +5,9 @@
 	"time"
 )
 
-// A handshake takes CPU time both at the endpoint and in the relay. The decision module
-// charges the endpoint's part to the rate of messages that an endpoint may get while it
-// warms up. The handshake budget bounds the relay's part to a share of one core, so that
+// A handshake takes CPU time both at the endpoint and in the relay. Package policy charges
+// the endpoint's part to the rate of messages that an endpoint may get while it warms up.
+// The handshake budget bounds the relay's part to a share of one core, so that
 // many handshakes with one endpoint do not delay messages to others.
 
 // HandshakeKind is a kind of handshake.
@@ -28,7 +28,7 @@
 	Share       float64          // of one core's CPU time, for handshakes
 	Burst       time.Duration    // CPU time that may be used at once
 	Cost        [2]time.Duration // CPU time in the relay, full and resumed, until it is measured
-	MaxParallel int              // handshakes in flight to one destination
+	MaxParallel int              // handshakes in flight with one endpoint
 }
 
 // DefaultHandshakeLimits returns the limits for a relay on one core. The costs are those
@@ -63,20 +63,20 @@
 // HandshakeBudget is a token bucket of CPU time that decides when handshakes may begin.
 // It is not safe for concurrent use. The times passed to it must not decrease.
 type HandshakeBudget struct {
-	limits     HandshakeLimits
-	refilledAt time.Time
-	available  time.Duration                     // CPU time; negative if a handshake took more than expected
-	cost       [handshakeKindCount]time.Duration // expected CPU time
-	inFlightTo map[int]int                       // handshakes in flight by destination; 0 has no entry
-	inFlight   int
+	limits       HandshakeLimits
+	refilledAt   time.Time
+	available    time.Duration                     // CPU time; negative if a handshake took more than expected
+	cost         [handshakeKindCount]time.Duration // expected CPU time
+	inFlightWith map[int]int                       // handshakes in flight by endpoint; 0 has no entry
+	inFlight     int
 }
 
 // Reservation is the CPU time reserved for a handshake in flight. It must be passed to
 // Complete once.
 type Reservation struct {
-	destination int
-	kind        HandshakeKind
-	reserved    time.Duration
+	endpoint int
+	kind     HandshakeKind
+	reserved time.Duration
 }
 
 // NewHandshakeBudget returns a budget with the whole burst available.
@@ -85,11 +85,11 @@
 		return nil, fmt.Errorf("handshakes: %w", err)
 	}
 	return &HandshakeBudget{
-		limits:     limits,
-		refilledAt: now,
-		available:  limits.Burst,
-		cost:       limits.Cost,
-		inFlightTo: map[int]int{},
+		limits:       limits,
+		refilledAt:   now,
+		available:    limits.Burst,
+		cost:         limits.Cost,
+		inFlightWith: map[int]int{},
 	}, nil
 }
 
@@ -100,15 +100,16 @@
 	}
 }
 
-// Reserve requests CPU time for a handshake. A destination that is warming up, which the
-// decision module determines, has one handshake in flight at a time, so that later ones
-// can resume its session or use its connection. If the request is not granted, retryAt is
-// when to ask again; zero means after another handshake with the destination has ended.
+// Reserve requests CPU time for a handshake with an endpoint, which the caller identifies by
+// a number of its choice. An endpoint that is warming up, as package policy has determined,
+// has one handshake in flight at a time, so that later handshakes can resume its session,
+// and calls can use its connection. If the request is not granted, retryAt is when to ask
+// again; zero means after another handshake with the endpoint has ended.
 func (b *HandshakeBudget) Reserve(
-	dest int, kind HandshakeKind, warmingUp bool, now time.Time,
+	endpoint int, kind HandshakeKind, warmingUp bool, now time.Time,
 ) (r Reservation, ok bool, retryAt time.Time) {
 	b.refill(now)
-	inFlight := b.inFlightTo[dest]
+	inFlight := b.inFlightWith[endpoint]
 	if inFlight >= b.limits.MaxParallel || warmingUp && inFlight > 0 {
 		return r, false, time.Time{}
 	}
@@ -118,9 +119,9 @@
 		return r, false, now.Add(time.Duration(float64(cost-b.available)/b.limits.Share) + 1)
 	}
 	b.available -= cost
-	b.inFlightTo[dest]++
+	b.inFlightWith[endpoint]++
 	b.inFlight++
-	return Reservation{destination: dest, kind: kind, reserved: cost}, true, time.Time{}
+	return Reservation{endpoint: endpoint, kind: kind, reserved: cost}, true, time.Time{}
 }
 
 // Complete ends a reservation and charges the CPU time that the handshake took in the
@@ -130,10 +131,10 @@
 	b.refill(now)
 	b.available += r.reserved - took
 	b.inFlight--
-	if b.inFlightTo[r.destination] > 1 {
-		b.inFlightTo[r.destination]--
+	if b.inFlightWith[r.endpoint] > 1 {
+		b.inFlightWith[r.endpoint]--
 	} else {
-		delete(b.inFlightTo, r.destination)
+		delete(b.inFlightWith, r.endpoint)
 	}
 	if asPlanned {
 		b.cost[r.kind] += (took - b.cost[r.kind]) / costSmoothing
--- a/internal/tlspolicy/budget_test.go
+++ b/internal/tlspolicy/budget_test.go
@@ -16,7 +16,7 @@
 }
 
 // Guards against a budget that grants too many handshakes. Over any window, the granted
-// handshakes take at most the share of the window plus one burst. A destination never has
+// handshakes take at most the share of the window plus one burst. An endpoint never has
 // more handshakes in flight than the limit, and one that is warming up at most one.
 func TestHandshakeBudgetIsNeverExceeded(t *testing.T) {
 	for seed := range uint64(200) {
@@ -44,12 +44,12 @@
 				b.Complete(inFlight[i].reservation, inFlight[i].reservation.reserved, true, now)
 				inFlight = append(inFlight[:i], inFlight[i+1:]...)
 			}
-			dest, kind, warmingUp := rng.IntN(5), HandshakeKind(rng.IntN(2)), rng.IntN(2) == 0
-			reservation, ok, retryAt := b.Reserve(dest, kind, warmingUp, now)
-			inFlightTo := 0
+			endpoint, kind, warmingUp := rng.IntN(5), HandshakeKind(rng.IntN(2)), rng.IntN(2) == 0
+			reservation, ok, retryAt := b.Reserve(endpoint, kind, warmingUp, now)
+			inFlightWith := 0
 			for _, f := range inFlight {
-				if f.reservation.destination == dest {
-					inFlightTo++
+				if f.reservation.endpoint == endpoint {
+					inFlightWith++
 				}
 			}
 			if !ok {
@@ -60,9 +60,9 @@
 				continue
 			}
 			granted++
-			if inFlightTo >= l.MaxParallel || warmingUp && inFlightTo > 0 {
-				t.Fatalf("seed %d: Reserve granted a handshake with %d in flight to the destination, warming up: %v",
-					seed, inFlightTo, warmingUp)
+			if inFlightWith >= l.MaxParallel || warmingUp && inFlightWith > 0 {
+				t.Fatalf("seed %d: Reserve granted a handshake with %d in flight with the endpoint, warming up: %v",
+					seed, inFlightWith, warmingUp)
 			}
 			inFlight = append(inFlight, open{reservation, warmingUp})
 			grants = append(grants, grant{now, reservation.reserved})
--- a/internal/tlspolicy/failure.go
+++ b/internal/tlspolicy/failure.go
@@ -2,7 +2,8 @@
 
 import "fmt"
 
-// FailureCause is the cause for which an identity was rejected.
+// FailureCause is the cause for which an identity was rejected: that of an endpoint by the
+// relay, or that of the relay by an endpoint.
 type FailureCause uint8
 
 // Causes, in the order in which they are checked.
@@ -17,7 +18,7 @@
 	PinMismatch   // no key of the chain is pinned (RFC 7469 section 2.6)
 	CertificateRevoked
 	RevocationUnresolved      // a revocation status is required, and none is known
-	ClientCertificateRejected // the endpoint rejected our certificate by an alert
+	ClientCertificateRejected // the endpoint rejected the relay's certificate by an alert
 	NoCommonParameters        // no common version, cipher suite or name
 	causeCount
 )
--- a/internal/tlspolicy/rule.go
+++ b/internal/tlspolicy/rule.go
@@ -36,8 +36,8 @@
 }
 
 // SessionIdentity returns the identity under which sessions with a destination are
-// cached. rootsSum and certificateSum are the hashes of the files of the roots and of our
-// own certificate.
+// cached. rootsSum and certificateSum are the hashes of the file of the roots and of the
+// file of the relay's own certificate.
 func (r *Rule) SessionIdentity(dest int, rootsSum, certificateSum []byte) SessionIdentity {
 	h := sha256.New()
 	add := func(b []byte) { // the length prefix keeps different inputs from hashing alike
--- a/internal/tlspolicy/selector.go
+++ b/internal/tlspolicy/selector.go
@@ -3,10 +3,11 @@
 import "fmt"
 
 // The operator's settings determine the identity that a destination must prove. A rule
-// that names the destination's number takes precedence over one that names its flavour.
-// The flavour comes from the endpoint list, so a list can move a destination out of a rule
-// that names only its flavour. Operators name a destination whose identity matters by its
-// number, which no list can affect.
+// that names the destination's number takes precedence over one that names its flavour,
+// which is the kind of destination that the endpoint list states. A list can therefore move
+// a destination out of a rule that names only its flavour, by stating another one. So
+// operators name a destination whose identity matters by its number, which no list can
+// affect.
 
 // RuleTarget is the set of destinations that one rule applies to.
 type RuleTarget struct {
--- a/internal/tlspolicy/sessions.go
+++ b/internal/tlspolicy/sessions.go
@@ -9,11 +9,11 @@
 
 // SessionIdentity identifies the settings that a session was verified with. A session is
 // offered only under its own identity: another server name, other roots or pins, or
-// another certificate of our own makes another identity, even for the same destination.
+// another certificate of the relay makes another identity, even for the same destination.
 type SessionIdentity struct {
 	Destination int
-	Rule        string
-	Sum         [sha256.Size]byte // hash of server name, roots, pins and our own certificate
+	Rule        string            // name of the rule
+	Sum         [sha256.Size]byte // hash of server name, roots, pins and the relay's certificate
 }
 
 // Bounds of the cache.
@@ -26,7 +26,7 @@
 	maxSessionLifetime = 12 * time.Hour
 )
 
-// SessionCache is a bounded cache of sessions of type T. It is not safe for concurrent
+// SessionCache is a bounded cache of TLS sessions, of type T, for resumption. It is not safe for concurrent
 // use. The times passed to it must not decrease.
 type SessionCache[T any] struct {
 	capacity    int
--- a/internal/tlspolicy/stored_test.go
+++ b/internal/tlspolicy/stored_test.go
@@ -61,9 +61,9 @@
 		now = retryAt
 	}
 	fmt.Fprintf(&text, "%q\n", tracker.RecordVerified(3, &Verification{ValidUntil: now.Add(time.Hour)}))
-	for dest := 1; dest <= 4; dest++ {
-		message := tracker.RecordFailure(dest+10, &IdentityError{NotYetValid, "pay", errors.New("test")}, now)
-		if dest == 1 {
+	for endpoint := 1; endpoint <= 4; endpoint++ {
+		message := tracker.RecordFailure(endpoint+10, &IdentityError{NotYetValid, "pay", errors.New("test")}, now)
+		if endpoint == 1 {
 			tracker.Remove(3)
 		}
 		fmt.Fprintf(&text, "%q\n", message)
--- a/internal/tlspolicy/trust.go
+++ b/internal/tlspolicy/trust.go
@@ -5,15 +5,16 @@
 	"time"
 )
 
-// An endpoint whose identity was rejected gets no calls. Messages for it cause no
-// handshakes: it is retried on a schedule, with one handshake at a time.
+// An endpoint whose identity was rejected, or that rejected the relay's identity, gets no
+// calls. Messages for it cause no handshakes: the relay makes handshakes with it on a
+// schedule, one at a time, until one succeeds.
 
 const (
 	initialBackoff = time.Second     // after the first rejection
 	maxBackoff     = 2 * time.Minute // upper bound of the doubling backoff
-	// clockSuspicionCount is the number of endpoints at which the local clock is suspected
-	// to be wrong: so many certificates are outside their validity period at once, and no
-	// endpoint is verified.
+	// clockSuspicionCount is how many endpoints must have certificates outside their validity
+	// period at once, while no endpoint is verified, for the relay to log that the local clock
+	// may be wrong.
 	clockSuspicionCount = 3
 	// randomStream makes this package's random numbers independent of those of other
 	// packages with the same seed.
@@ -27,11 +28,11 @@
 	retryAt       time.Time
 	backoff       time.Duration
 	retrying      bool      // a scheduled handshake is in flight
-	validUntil    time.Time // of the last verification
+	validUntil    time.Time // when the last verification expires; zero unless the endpoint is verified
 }
 
 // TrustTracker tracks which endpoints are verified and which are rejected. The caller
-// chooses the keys of endpoints. It is not safe for concurrent use. The times passed to it
+// chooses the keys that identify the endpoints. It is not safe for concurrent use. The times passed to it
 // must not decrease.
 type TrustTracker struct {
 	rng             *rand.Rand
@@ -84,8 +85,8 @@
 // LogMessage is the log text for a change of trust; empty if there is nothing to log.
 type LogMessage string
 
-// RecordFailure records that an identity was rejected, and schedules the next handshake.
-// It returns the text to log.
+// RecordFailure records that an identity was rejected, and schedules the next handshake
+// with the endpoint. It returns the text to log.
 func (t *TrustTracker) RecordFailure(key int, failure *IdentityError, now time.Time) LogMessage {
 	state := t.state(key)
 	state.retrying = false
@@ -93,7 +94,7 @@
 	state.failure, state.validUntil = failure, time.Time{}
 	// The jitter keeps independent relays from retrying at the same times.
 	state.retryAt = now.Add(state.backoff/2 + time.Duration(t.rng.Int64N(int64(state.backoff))))
-	if t.clockReported { // that one message replaces those of the single endpoints
+	if t.clockReported { // the message about the clock replaces those about single endpoints
 		return ""
 	}
 	if t.outsideValidity >= clockSuspicionCount && t.verified == 0 {
--- a/internal/tlspolicy/trust_test.go
+++ b/internal/tlspolicy/trust_test.go
@@ -15,7 +15,7 @@
 // Guards against a rejected endpoint that is retried too soon, with several handshakes at
 // a time, or never again. Each wait is half to one and a half times a backoff that doubles
 // up to maxBackoff.
-func TestRetryScheduleOfRejectedDestination(t *testing.T) {
+func TestRetryScheduleOfRejectedEndpoint(t *testing.T) {
 	for seed := range uint64(50) {
 		tracker := NewTrustTracker(seed)
 		now := noon
@@ -68,8 +68,8 @@
 func TestWrongLocalClock(t *testing.T) {
 	tracker := NewTrustTracker(1)
 	messages := []LogMessage{}
-	for dest := range 20 {
-		if message := tracker.RecordFailure(dest, newIdentityError(NotYetValid), noon); message != "" {
+	for endpoint := range 20 {
+		if message := tracker.RecordFailure(endpoint, newIdentityError(NotYetValid), noon); message != "" {
 			messages = append(messages, message)
 		}
 	}
@@ -77,13 +77,13 @@
 		t.Errorf("20 endpoints outside their validity period: messages %q, want %d, the last about the clock",
 			messages, clockSuspicionCount)
 	}
-	for dest := range 20 {
-		tracker.RecordVerified(dest, &Verification{ValidUntil: noon.Add(time.Hour)})
+	for endpoint := range 20 {
+		tracker.RecordVerified(endpoint, &Verification{ValidUntil: noon.Add(time.Hour)})
 	}
-	for dest := range 19 {
-		if m := tracker.RecordFailure(dest, newIdentityError(Expired), noon); strings.Contains(string(m), "clock") {
+	for endpoint := range 19 {
+		if m := tracker.RecordFailure(endpoint, newIdentityError(Expired), noon); strings.Contains(string(m), "clock") {
 			t.Errorf("RecordFailure with %d endpoints expired and one verified = %q, want no text about the clock",
-				dest+1, m)
+				endpoint+1, m)
 		}
 	}
 }
@@ -97,30 +97,30 @@
 		rejected, verified := map[int]bool{}, map[int]bool{}
 		now := noon
 		for range 200 {
-			dest := rng.IntN(6)
+			endpoint := rng.IntN(6)
 			now = now.Add(time.Duration(rng.IntN(5000)) * time.Millisecond)
 			switch rng.IntN(5) {
 			case 0, 1:
-				tracker.RecordFailure(dest, newIdentityError(FailureCause(1+rng.IntN(int(causeCount)-1))), now)
-				rejected[dest] = true
-				delete(verified, dest)
+				tracker.RecordFailure(endpoint, newIdentityError(FailureCause(1+rng.IntN(int(causeCount)-1))), now)
+				rejected[endpoint] = true
+				delete(verified, endpoint)
 			case 2:
-				tracker.RecordVerified(dest, &Verification{ValidUntil: now.Add(time.Hour)})
-				verified[dest] = true
-				delete(rejected, dest)
+				tracker.RecordVerified(endpoint, &Verification{ValidUntil: now.Add(time.Hour)})
+				verified[endpoint] = true
+				delete(rejected, endpoint)
 			case 3:
-				tracker.RetryStarted(dest)
-				tracker.RecordInconclusive(dest)
+				tracker.RetryStarted(endpoint)
+				tracker.RecordInconclusive(endpoint)
 			case 4:
-				tracker.Remove(dest)
-				delete(rejected, dest)
-				delete(verified, dest)
+				tracker.Remove(endpoint)
+				delete(rejected, endpoint)
+				delete(verified, endpoint)
 			}
 			if r, v := tracker.Counts(); r != len(rejected) || v != len(verified) {
 				t.Fatalf("seed %d: Counts() = %d, %d, want %d, %d", seed, r, v, len(rejected), len(verified))
 			}
-			if _, ok := tracker.ValidUntil(dest); ok != verified[dest] {
-				t.Fatalf("seed %d: ValidUntil(%d) = %v, want %v", seed, dest, ok, verified[dest])
+			if _, ok := tracker.ValidUntil(endpoint); ok != verified[endpoint] {
+				t.Fatalf("seed %d: ValidUntil(%d) = %v, want %v", seed, endpoint, ok, verified[endpoint])
 			}
 		}
 	}
--- a/internal/upstream/call.go
+++ b/internal/upstream/call.go
@@ -27,9 +27,11 @@
 	// written; after it the call is not sent. 0 means no limit.
 	SendBy policy.Time
 	// WarmingUp reports that the endpoint is warming up: its TLS connections are opened
-	// one at a time, and only by calls with MayConnect unless handshakes are not charged.
+	// one at a time. If the endpoint's TLS rule charges handshakes against the endpoint's
+	// rate of calls, only calls with MayConnect open them.
 	WarmingUp bool
-	// MayConnect reports that the policy has charged this call for opening a connection.
+	// MayConnect reports that the policy has charged the handshake for a new connection
+	// against the endpoint's rate, so that this call may open one.
 	MayConnect bool
 	// OnSent is called after the last byte is written; it may be nil.
 	OnSent func()
@@ -75,8 +77,9 @@
 // Release frees the resources of the call. A call that is still in flight ends.
 func (c *Call) Release() { c.cancel(nil) }
 
-// Do sends the call and calls report once, as soon as the result is certain. It returns
-// when the call's connection carries no more of its data. A call that is abandoned to
+// Do acquires a connection, writes the request and reads the response. It calls report
+// once, as soon as the result is certain, and returns when the call's connection carries
+// no more data of the call. A call that is abandoned to
 // another process is not reported; see [InFlight.Abandon].
 func (c *Call) Do(endpoint *Endpoint, request Request, report func(Result)) {
 	start := time.Now()
@@ -122,9 +125,10 @@
 	return result
 }
 
-// send acquires a connection and writes the request to it. An error means that the
-// last byte was not written. If a connection breaks before its last byte is written,
-// send tries another one: an endpoint cannot run a call that it received in part.
+// send asks the send gate for a permit, acquires a connection and writes the request to
+// it. An error means that the last byte was not written. If a connection breaks before the
+// request's last byte is written, send tries another connection, up to maxConnAttempts in
+// all: an endpoint cannot run a call that it received in part.
 func (c *Call) send(ctx context.Context, endpoint *Endpoint, request []byte) (*poolConn, policy.Outcome, error) {
 	permit, err := endpoint.gate.Acquire(endpoint.pool.now(), c.cancel)
 	if err != nil {
@@ -174,7 +178,8 @@
 }
 
 // awaitResponse waits for the response to a request whose last byte was written, and
-// reports its result.
+// reports its result. Then it returns the connection to the pool, or closes it if it
+// cannot carry another call. It reports nothing if another process continues the call.
 func (c *Call) awaitResponse(
 	ctx context.Context,
 	conn *poolConn,
@@ -183,8 +188,8 @@
 	loadFields []string,
 	report func(Result),
 ) {
-	// When ctx ends, a response that has already arrived is still read: it may contain a
-	// Retry-After time.
+	// When ctx ends, a response that has already arrived is still read, within
+	// lateResponseGrace: it may contain a Retry-After time.
 	unwatch := context.AfterFunc(ctx, func() { conn.expireAt(time.Now().Add(lateResponseGrace)) })
 	if !c.awaitFirstByte(ctx, conn) {
 		unwatch()
--- a/internal/upstream/pool.go
+++ b/internal/upstream/pool.go
@@ -56,9 +56,9 @@
 }
 
 // scopeKey identifies the scope of a Retry-After time: a destination, or a single
-// endpoint that is an independent route.
+// endpoint that is an independent route (see [EndpointOptions]).
 type scopeKey struct {
-	dest  int
+	dest  int               // 0 for an independent route
 	route policy.EndpointID // 0 for a destination
 }
 
@@ -170,9 +170,10 @@
 	ID      policy.EndpointID
 	Address string // host:port
 	Dest    int    // number of the destination that it serves
-	Flavor  string // flavor of the destination; selects the TLS rule
-	// IndependentRoute limits the effect of a Retry-After time of this endpoint to the
-	// endpoint itself; otherwise it applies to the whole destination.
+	Flavor  string // kind of the destination, from the endpoint list; may select the TLS rule
+	// IndependentRoute means that the endpoint has a limit and outages of its own, which
+	// say nothing about the other endpoints of its destination: a Retry-After time of this
+	// endpoint applies only to the endpoint itself, not to the whole destination.
 	IndependentRoute bool
 }
 
@@ -207,9 +208,9 @@
 	}
 }
 
-// scope returns the sendgate scope of a destination or route, and creates it if needed.
-// The scope stays when its endpoints are closed, because a Retry-After time remains in
-// force.
+// scope returns the sendgate scope of a destination or independent route, and creates it
+// if needed. The scope stays when its endpoints are closed, because a Retry-After time
+// remains in force for endpoints that are opened later.
 func (p *Pool) scope(key scopeKey) *sendgate.Scope {
 	scope := p.scopes[key]
 	if scope == nil {
@@ -223,6 +224,7 @@
 // The Retry-After time of a destination stays, like all other state of the destination.
 func (p *Pool) ForgetRoute(id policy.EndpointID) { delete(p.scopes, scopeKey{route: id}) }
 
-// ForgetDestination drops the Retry-After time of a destination that is passivated. No
-// call to it may be in flight; its owner applies the time again on activation.
+// ForgetDestination drops the Retry-After time of a destination that is passivated: its
+// state is packed into a compact store while it is idle. No call to it may be in flight.
+// The caller keeps the time and sets it again when the destination is activated.
 func (p *Pool) ForgetDestination(dest int) { delete(p.scopes, scopeKey{dest: dest}) }
--- a/internal/upstream/tlsconn.go
+++ b/internal/upstream/tlsconn.go
@@ -11,8 +11,9 @@
 
 // TLS connections. A handshake belongs to its endpoint, not to the call that started it:
 // it continues after that call has ended, and a waiting call takes the first connection
-// that becomes free, whoever opened it. Calls therefore share connections before more are
-// opened, and no connection is closed during its handshake.
+// that becomes free, whichever call opened it. So a waiting call can use a connection that
+// another call releases, instead of one more connection, and the end of a call never closes
+// a connection during its handshake.
 
 const (
 	// postHandshakeWait is the time for reading a TLS post-handshake message.
@@ -28,8 +29,9 @@
 	e.connecting--
 }
 
-// retryHandshake starts a scheduled handshake with an endpoint whose identity was
-// rejected. It reports whether it started one.
+// retryHandshake starts a handshake with an endpoint that gets no calls, because the relay
+// rejected the endpoint's certificate or the endpoint rejected the relay's. The TLS dialer
+// calls it at the times of its retry schedule. It reports whether it started a handshake.
 func (e *Endpoint) retryHandshake() bool {
 	e.pool.mu.Lock()
 	e.connecting++
@@ -39,10 +41,12 @@
 }
 
 // openTLS starts to open a connection, which becomes idle once it is open. The caller has
-// already counted it in e.connecting. opened receives the result of the handshake. If
-// opened and err are both nil, no handshake may start now: budgetAt is when to try again,
-// or zero to wait until another handshake with the endpoint has ended. The goroutine of
-// the handshake ends within the permit's timeout.
+// already counted it in e.connecting. scheduled means that the retry schedule of a rejected
+// endpoint started the handshake. opened receives the result of the handshake. If opened
+// and err are both nil, the TLS dialer's handshake budget, which bounds the CPU time of
+// handshakes, allows none now: budgetAt is when to try again, or zero to wait until another
+// handshake with the endpoint has ended. The goroutine of the handshake ends within the
+// permit's timeout.
 func (e *Endpoint) openTLS(warmingUp, scheduled bool) (opened <-chan error, budgetAt time.Time, err error) {
 	defer func() {
 		if opened == nil {
@@ -84,8 +88,10 @@
 	done <- err
 }
 
-// addIdleTLSLocked adds a new connection to the idle ones. A call may use it immediately,
-// without reuseDelay. The caller must hold the pool's lock.
+// addIdleTLSLocked adds a new connection to the idle ones, or closes it if the endpoint was
+// closed meanwhile. A call may use the connection immediately: reuseDelay is for bytes that
+// an endpoint sends after a response, and this connection has carried none yet. The caller
+// must hold the pool's lock.
 func (e *Endpoint) addIdleTLSLocked(conn *tlsdial.Conn) {
 	c := newPoolConn(e, conn)
 	c.tls = conn
@@ -111,7 +117,7 @@
 // makes the connection unusable, and so does a partial record, which may be the start of
 // the alert that closes the connection.
 func (c *poolConn) reusableTLS() bool {
-	if !c.tls.IdentityCurrent() {
+	if !c.tls.IdentityCurrent() { // a certificate has expired, or the rule's files have changed
 		return false
 	}
 	defer c.expireReadsAt(time.Time{})
--- a/internal/upstream/tlswait.go
+++ b/internal/upstream/tlswait.go
@@ -13,7 +13,7 @@
 	// maxUnusableConns is how many new connections may become unusable before a call that
 	// waits for one gives up.
 	maxUnusableConns = 2
-	// noRetry is the timer's duration when no retry is scheduled.
+	// noRetry is the timer's duration when no time to check the pool again is known.
 	noRetry = time.Hour
 )
 
@@ -21,7 +21,7 @@
 // connections that were opened for it.
 type connRequest struct {
 	warmingUp  bool // the endpoint is warming up; see [CallOptions]
-	mayConnect bool // the policy has charged the call for opening a connection
+	mayConnect bool // the policy has charged the endpoint's rate for a handshake of this call
 	opened     int  // number of connections opened
 }
 
@@ -30,7 +30,8 @@
 var errConnectNotAllowed = errors.New("tls: endpoint is warming up: no free connection, and the call may not open one")
 
 // handshakeBudgetError is the error of a call that needs a handshake which the handshake
-// budget does not allow before the call's timeout.
+// budget of the TLS dialer does not allow before the call's timeout. retryAfter is the time
+// until the budget allows one, or 0 if it is not known.
 type handshakeBudgetError struct{ retryAfter time.Duration }
 
 func (e handshakeBudgetError) Error() string {
@@ -56,9 +57,11 @@
 	usableAt time.Time       // when an idle connection becomes usable; zero for none
 }
 
-// acquireTLS returns an idle connection, or waits until one becomes free or is opened.
-// The error is a handshakeBudgetError, a *tlsdial.RejectedError or errConnectNotAllowed if
-// the connection failed for a reason that says nothing about the endpoint's health.
+// acquireTLS returns an idle connection, or waits until one becomes free or is opened. In
+// each round it checks the pool, starts a handshake if one is needed and allowed, and waits
+// until a connection changes, its handshake ends or the budget allows one. The error is a
+// handshakeBudgetError, a *tlsdial.RejectedError or errConnectNotAllowed if the connection
+// failed for a reason that says nothing about the endpoint's health.
 func (e *Endpoint) acquireTLS(ctx context.Context, request *connRequest) (*poolConn, error) {
 	timer := time.NewTimer(noRetry)
 	defer timer.Stop()
--- a/internal/upstream/upstream.go
+++ b/internal/upstream/upstream.go
@@ -17,9 +17,10 @@
 // endpoints, and knows nothing about clients and messages.
 //
 // Locks are acquired in this order: [InFlight] before [Call], and [Pool] before the
-// TLS dialer. The dialer may therefore report a rejected identity while the pool's
-// lock is held. The lock of a sendgate scope is never held together with another
-// lock; a call's context may be cancelled while it is held.
+// TLS dialer. The dialer may therefore report that an identity was rejected, the
+// endpoint's or the relay's, while the pool's lock is held. The lock of a sendgate scope
+// (the endpoints that one Retry-After time applies to) is never held together with
+// another lock; a call's context may be cancelled while the scope's lock is held.
 package upstream
 
 import (
@@ -51,7 +52,7 @@
 	// endpoint or implied by the reason why the call was not sent; 0 for no wait.
 	RetryAfter policy.Time
 	// SlotsExhausted reports that the endpoint did not run the call because all its
-	// slots were taken.
+	// slots for concurrent calls were taken: it answered 503 with "Slots-Taken: 1".
 	SlotsExhausted bool
 	// ConnectionsOpened is the number of TLS connections that were opened for the
 	// call.
@@ -65,8 +66,8 @@
 }
 
 // notAttempted reports whether err, which acquiring a connection returned, says nothing
-// about the endpoint's health: a limit of the relay, the send gate or a rejected identity
-// prevented the connection.
+// about the endpoint's health: a limit of the relay, the send gate or the rejection of an
+// identity (the endpoint's or the relay's) prevented the connection.
 func notAttempted(err error) bool {
 	var rejected *tlsdial.RejectedError
 	var budget handshakeBudgetError
