--- a/internal/console/server.go
+++ b/internal/console/server.go
@@ -27,7 +27,7 @@
 	acceptInterval = 50 * time.Millisecond // pause after a failed accept
 )
 
-// Server is the console's server.
+// Server accepts the console's connections, reads a command from each and replies to it.
 type Server struct {
 	listener net.Listener
 	handlers Handlers
--- a/internal/console/stats.go
+++ b/internal/console/stats.go
@@ -24,20 +24,21 @@
 type Stats struct {
 	classes []classStats
 
-	Sends              atomic.Int64 // messages written completely to an endpoint
+	Sends              atomic.Int64 // calls written completely to an endpoint; each attempt of a message counts
 	Pending            atomic.Int64 // messages accepted and not finished
 	Endpoints          atomic.Int64 // endpoints in the list
 	UnhealthyEndpoints atomic.Int64 // the part of Endpoints that gets no new messages at present
 }
 
-// classStats are the metrics of one class.
+// classStats are the metrics of one class: counts of its messages since the start of the process.
 type classStats struct {
 	name                        string
 	delivered, deferred, failed atomic.Int64
 	shed                        atomic.Int64 // rejected before they reached the event loop; shown as deferred
 }
 
-// NewStats returns metrics for the given classes. A class is identified by its index in the slice.
+// NewStats returns metrics for the given classes of messages. A class is identified by its index in the
+// slice.
 func NewStats(classes []string) *Stats {
 	s := &Stats{classes: make([]classStats, len(classes))}
 	for i, name := range classes {
--- a/internal/respserver/poller_linux.go
+++ b/internal/respserver/poller_linux.go
@@ -18,7 +18,7 @@
 	eventsAll          = eventReadable | eventWritable | syscall.EPOLLRDHUP | eventEdgeTriggered
 
 	eventsPerWait = 256
-	wakeSlot      = -1 << 31
+	wakeSlot      = -1 << 31 // slot number of the eventfd's events; no listener or connection has it
 	// runtimePollProbeTimeout is how long the runtime's poller may take to report a test event.
 	runtimePollProbeTimeout = 200 * time.Millisecond
 )
--- a/internal/testca/testca.go
+++ b/internal/testca/testca.go
@@ -33,14 +33,14 @@
 	pemRevocationList = "X509 CRL"
 )
 
-// File modes.
+// Modes of the written files.
 const (
-	publicMode = 0o644
-	secretMode = 0o600
+	publicMode = 0o644 // certificates
+	secretMode = 0o600 // private keys
 )
 
 const (
-	serialBits      = 126
+	serialBits      = 126       // size of the random serial numbers
 	defaultValidity = time.Hour // before and after the time of issue
 )
 
@@ -72,7 +72,7 @@
 	return pem.EncodeToMemory(&pem.Block{Type: pemRevocationList, Bytes: der}), nil
 }
 
-// KeyKind is a kind of key.
+// KeyKind is the algorithm of a private key, with its size or curve.
 type KeyKind string
 
 // Kinds of key.
--- a/internal/tlspolicy/budget.go
+++ b/internal/tlspolicy/budget.go
@@ -10,7 +10,7 @@
 // The handshake budget bounds the relay's part to a share of one core, so that
 // many handshakes with one endpoint do not delay messages to others.
 
-// HandshakeKind is a kind of handshake.
+// HandshakeKind says whether a handshake is full or resumes a session, which costs less CPU time.
 type HandshakeKind uint8
 
 // Kinds of handshake.
--- a/internal/tlspolicy/revocation.go
+++ b/internal/tlspolicy/revocation.go
@@ -12,7 +12,7 @@
 	"golang.org/x/crypto/ocsp"
 )
 
-// RevocationStatus is the revocation status of a certificate.
+// RevocationStatus says whether a certificate is known to be revoked or good.
 type RevocationStatus uint8
 
 // Values of RevocationStatus.
--- a/internal/tlspolicy/rule.go
+++ b/internal/tlspolicy/rule.go
@@ -94,7 +94,10 @@
 	return &IdentityError{Cause: cause, Rule: r.Name, Err: err}
 }
 
-// Verify verifies the certificates that an endpoint presented, the leaf first. evidence
+// Verify verifies the certificates that an endpoint presented, the leaf first. It checks the
+// key, the validity period and the name of the leaf, then builds the chains from the leaf to
+// a root, and then checks keys, pins and revocation of each chain, until one chain passes.
+// If none does, it returns the failure of the chain that passed the most checks. evidence
 // may be nil.
 func (r *Rule) Verify(
 	presented []*x509.Certificate, now time.Time, evidence *RevocationEvidence,
--- a/internal/upstream/response.go
+++ b/internal/upstream/response.go
@@ -152,9 +152,9 @@
 		if r.Outcome = policy.Rejected; head.Get("Slots-Taken") == "1" {
 			r.Outcome, r.SlotsExhausted = policy.NotSent, true
 		}
-	case http.StatusGatewayTimeout: // the message has used up its attempts
+	case http.StatusGatewayTimeout: // the call never ran: the message has no attempts left
 		r.Outcome = policy.NotSent
-	case http.StatusGone:
+	case http.StatusGone: // the message had already ended
 		r.Outcome, r.Final = policy.NotSent, true
 	default: // 500 and all codes without a defined meaning: the call may have run
 		r.Outcome = policy.Failed
--- a/internal/upstream/response_test.go
+++ b/internal/upstream/response_test.go
@@ -11,6 +11,8 @@
 	"troutusher/policy"
 )
 
+// Guards against a wrong outcome of a response. A call that may have run must not count as one that
+// never ran, because that one may be sent again.
 func TestOutcomeOfResponse(t *testing.T) { forEachTransport(t, testOutcomeOfResponse) }
 
 func testOutcomeOfResponse(t *testing.T, tr *transport) {
--- a/internal/upstream/upstreamtest/upstreamtest.go
+++ b/internal/upstream/upstreamtest/upstreamtest.go
@@ -89,7 +89,8 @@
 	Wait     time.Duration // how long the endpoint gets no calls; 0 once its identity is accepted
 }
 
-// TLSSite is a TLS setup with one rule, which applies to destinations of flavor k.
+// TLSSite is a TLS setup with one rule, which applies to destinations of flavor k (the kind
+// of the destination in the endpoint list).
 type TLSSite struct {
 	Dir        string // directory of the site's files
 	Root       *testca.Issued
