--- a/internal/respserver/listener.go
+++ b/internal/respserver/listener.go
@@ -130,7 +130,8 @@
 		return fmt.Errorf("listen for clients: %w", err)
 	}
 	if tcpAddr.Zone != "" && tcpAddr.IP.To4() == nil {
-		// Link-local addresses are not bound ahead. Listening at once only makes early clients wait.
+		// Link-local addresses are not bound ahead, since socketAddress does not convert their zone.
+		// Listening at once only makes early clients wait.
 		return s.listen(index, addr)
 	}
 	fd, err := bindSocket(tcpAddr)
--- a/internal/upstream/call.go
+++ b/internal/upstream/call.go
@@ -52,8 +52,8 @@
 	mu        sync.Mutex
 	conn      *poolConn // nil until the last byte is written
 	suspended bool
-	// resumeHere is nil unless the call has been asked to suspend. It then receives
-	// whether the call continues in this process.
+	// resumeHere is nil unless InFlight.Suspend has asked the call to suspend. It then
+	// receives whether the call continues in this process.
 	resumeHere chan bool
 }
 
--- a/internal/upstream/inflight.go
+++ b/internal/upstream/inflight.go
@@ -9,9 +9,9 @@
 	"time"
 )
 
-// Calls in flight are suspended for the hand-over to another process. A call that is
-// sent and whose response has not started waits, and its connection can be passed to the
-// other process. All other calls end in this process.
+// Calls in flight are suspended when the relay hands over to another process. A call whose
+// last byte is written and whose response has not started waits, and its connection can be
+// passed to the other process, which reads the response. All other calls end in this process.
 
 // InFlight is the set of calls in flight. The zero value is an empty set, ready to use.
 type InFlight struct {
