--- a/internal/upstream/call_test.go
+++ b/internal/upstream/call_test.go
@@ -130,7 +130,7 @@
 	for code, want := range map[int]policy.Outcome{200: policy.Delivered, 503: policy.Rejected, 404: policy.Failed} {
 		server := newCountingEndpoint(t, code)
 		if result := openPlain(testPool(t), server.address).CheckHealth(context.Background()); result.Outcome != want {
-			t.Errorf("CheckHealth with status %d: got %+v, want outcome %d", code, result, want)
+			t.Errorf("CheckHealth with status %d = %+v, want outcome %d", code, result, want)
 		}
 	}
 }
--- a/internal/upstream/response_test.go
+++ b/internal/upstream/response_test.go
@@ -68,7 +68,7 @@
 			result := callOnce(t, endpoint, Request{ID: "m", IdempotencyKey: "k", Body: []byte("b")})
 			if result.Outcome != test.outcome || result.RetryAfter != test.retryAfter ||
 				result.SlotsExhausted != test.slots || result.Final != test.final {
-				t.Errorf("got %+v, want outcome %d, RetryAfter %d, SlotsExhausted %v, Final %v",
+				t.Errorf("Call.Do reported %+v, want outcome %d, RetryAfter %d, SlotsExhausted %v, Final %v",
 					result, test.outcome, test.retryAfter, test.slots, test.final)
 			}
 		})
@@ -211,7 +211,7 @@
 			}))
 			result := callOnce(t, endpoint, Request{ID: "m", Body: []byte("b")})
 			if result.Outcome != test.outcome || result.Final != test.final {
-				t.Errorf("got %+v, want outcome %d, Final %v", result, test.outcome, test.final)
+				t.Errorf("Call.Do reported %+v, want outcome %d, Final %v", result, test.outcome, test.final)
 			}
 			if result.Elapsed > (testTimeout / 2).Microseconds() {
 				t.Errorf("call took %d us, want at most %d us", result.Elapsed, (testTimeout / 2).Microseconds())
--- a/internal/upstream/retryafter_test.go
+++ b/internal/upstream/retryafter_test.go
@@ -56,7 +56,8 @@
 			result := callOnce(t, endpoint, Request{ID: "m", Body: []byte("b")})
 			if result.Outcome != policy.NotSent || result.RetryAfter <= 0 || result.RetryAfter > wait ||
 				!sendgate.IsRefusal(result.Err) {
-				t.Errorf("got %+v, want NotSent, RetryAfter from 1 to %d, an error of the send gate", result, wait)
+				t.Errorf("Call.Do reported %+v, want NotSent, RetryAfter from 1 to %d, an error of the send gate",
+					result, wait)
 			}
 			if n := server.count("m"); n != 0 {
 				t.Errorf("calls at the endpoint = %d, want 0", n)
@@ -138,7 +139,8 @@
 			result := <-done
 			if (result.Outcome != policy.Failed && result.Outcome != policy.ConnectionReset) ||
 				result.RetryAfter != test.wait {
-				t.Errorf("got %+v, want outcome Failed or ConnectionReset, RetryAfter %d", result, test.wait)
+				t.Errorf("Call.Do reported %+v, want outcome Failed or ConnectionReset, RetryAfter %d",
+					result, test.wait)
 			}
 			if remaining := endpoint.RetryAfter(); (remaining > 0) != (test.wait > 0) || remaining > test.wait {
 				t.Errorf("endpoint.RetryAfter() = %d us, want at most %d us, and 0 only for 0", remaining, test.wait)
--- a/internal/upstream/tlsconn_test.go
+++ b/internal/upstream/tlsconn_test.go
@@ -60,7 +60,7 @@
 func mustDeliver(t *testing.T, endpoint *Endpoint) {
 	t.Helper()
 	if result := callOnce(t, endpoint, Request{ID: "m", Body: []byte("b")}); result.Outcome != policy.Delivered {
-		t.Fatalf("got %+v, want outcome Delivered", result)
+		t.Fatalf("Call.Do reported %+v, want outcome Delivered", result)
 	}
 	waitReusable(endpoint)
 }
@@ -195,7 +195,8 @@
 	var budget handshakeBudgetError
 	if result.Outcome != policy.NotSent || !errors.As(result.Err, &budget) || result.RetryAfter < 1e6 ||
 		result.Elapsed > 500e3 {
-		t.Errorf("got %+v, want NotSent, handshakeBudgetError, RetryAfter >= 1 s, Elapsed <= 500 ms", result)
+		t.Errorf("Call.Do reported %+v, want NotSent, handshakeBudgetError, RetryAfter >= 1 s, Elapsed <= 500 ms",
+			result)
 	}
 }
 
--- a/internal/upstream/tlsidentity_test.go
+++ b/internal/upstream/tlsidentity_test.go
@@ -186,7 +186,7 @@
 				var rejected *tlsdial.RejectedError
 				if result.Outcome != policy.NotSent || !errors.As(result.Err, &rejected) ||
 					rejected.Reason.Cause != test.cause {
-					t.Errorf("got %+v, want outcome NotSent, cause %s", result, test.cause)
+					t.Errorf("Call.Do reported %+v, want outcome NotSent, cause %s", result, test.cause)
 				}
 				if plaintext != 0 || conns != 1 {
 					t.Errorf("peer received %d bytes of plaintext on %d connections, want 0 on 1", plaintext, conns)
@@ -205,7 +205,7 @@
 		var rejected *tlsdial.RejectedError
 		if !errors.As(result.Err, &rejected) || rejected.Reason.Cause != tlspolicy.NoCommonParameters ||
 			plaintext != 0 {
-			t.Errorf("got %+v and %d bytes of plaintext, want cause %s and 0",
+			t.Errorf("Call.Do reported %+v and %d bytes of plaintext, want cause %s and 0",
 				result, plaintext, tlspolicy.NoCommonParameters)
 		}
 	})
@@ -225,7 +225,7 @@
 		var rejected *tlsdial.RejectedError
 		if !errors.As(result.Err, &rejected) || rejected.Reason.Cause != tlspolicy.NoCommonParameters ||
 			leaks.Load() != 0 {
-			t.Errorf("got %+v, idempotency key leaked %d times, want cause %s and 0",
+			t.Errorf("Call.Do reported %+v, idempotency key leaked %d times, want cause %s and 0",
 				result, leaks.Load(), tlspolicy.NoCommonParameters)
 		}
 	})
@@ -252,7 +252,7 @@
 	var rejected *tlsdial.RejectedError
 	if result.Outcome != policy.NotSent || !errors.As(result.Err, &rejected) ||
 		rejected.Reason.Cause != tlspolicy.ClientCertificateRejected || plaintext != 0 || conns != 1 {
-		t.Errorf("got %+v, %d bytes of plaintext, %d connections, want outcome NotSent, cause %s, 0 and 1",
+		t.Errorf("Call.Do reported %+v, %d bytes of plaintext, %d connections, want outcome NotSent, cause %s, 0 and 1",
 			result, plaintext, conns, tlspolicy.ClientCertificateRejected)
 	}
 	if n := site.Dialer.Counts(); n.Full != 0 || n.Rejected != 1 {
--- a/internal/upstream/tlsrecord_test.go
+++ b/internal/upstream/tlsrecord_test.go
@@ -272,7 +272,7 @@
 			})
 			result := callOnce(t, openTLS(testPool(t), site, addr), Request{ID: "m", Body: []byte("b")})
 			if result.Outcome != test.outcome {
-				t.Errorf("got %+v, want outcome %d", result, test.outcome)
+				t.Errorf("Call.Do reported %+v, want outcome %d", result, test.outcome)
 			}
 		})
 	}
