--- a/internal/config/limits.go
+++ b/internal/config/limits.go
@@ -29,8 +29,11 @@
 	// runtime, the write-ahead log, the listeners and discovery.
 	ReservedDescriptors = 32
 
-	minDescriptors     = 64 // file descriptors that a relay needs at least
-	spareEndpointConns = 8  // connections to endpoints in addition to those of concurrent calls
+	minDescriptors = 64 // file descriptors that a relay needs at least
+
+	// spareEndpointConns is the number of connections to endpoints beyond one for each
+	// concurrent call. Health checks, which are not calls, use connections too.
+	spareEndpointConns = 8
 
 	commandMemoryDivisor = 8 // the commands of clients may use 1/8 of the memory
 )
@@ -78,7 +81,7 @@
 	}
 	calls := c.Policy.MaxConcurrentCalls
 	if limit := c.Limits.Sockets - ReservedDescriptors - calls - spareEndpointConns; clients.MaxConns > limit {
-		return fmt.Errorf(
+		return fmt.Errorf( // clients.places is the key of MaxConns in the operator's file
 			"clients.places: %d client connections, want at most %d; %d concurrent calls need descriptors too",
 			clients.MaxConns, limit, calls)
 	}
@@ -89,11 +92,14 @@
 // clients and connections to endpoints. If the operator has set the number of client
 // connections, the endpoints get the rest.
 //
-// Otherwise the endpoints get a quarter, or more if that is too few for the calls: each call
-// in flight needs a connection, so the endpoints get at least as many descriptors as there
-// are concurrent calls. If possible they get twice as many, so that connections can stay
-// open while no call uses them. With fewer, a call could open a new connection only after
-// the idle connection to another endpoint was closed. The endpoints never get more than half.
+// Otherwise the endpoints get the largest of three numbers, but at most half of the descriptors,
+// even if the concurrent calls need more than half:
+//   - a quarter of the descriptors
+//   - one for each concurrent call, because each call in flight needs a connection of its own,
+//     and spareEndpointConns
+//   - two for each concurrent call, but at most 2/5 of the descriptors. With two, a connection
+//     can stay open and idle after its call. If all descriptors of the endpoints are in use, a
+//     call that needs a new connection must first close an idle one to another endpoint.
 func (c *Config) DescriptorBudget() (clients, endpoints int) {
 	free := c.Limits.Sockets - ReservedDescriptors
 	if maxConns := c.ClientSettings.MaxConns; maxConns > 0 {
@@ -106,7 +112,9 @@
 }
 
 // ConnLimits returns the limits for admitting and evicting connections of clients: the
-// defaults of package connlimit, except where the operator has set a value.
+// defaults of package connlimit, except where the operator has set a value. An unvalidated
+// connection has not sent a valid command yet. SingleUseEvictionThreshold is the number of
+// connections with a request above which idle connections with only one request are evicted.
 func (c *Config) ConnLimits() connlimit.Limits {
 	maxConns, _ := c.DescriptorBudget()
 	limits := connlimit.DefaultLimits(maxConns, c.Limits.Sockets)
--- a/internal/connlimit/closing.go
+++ b/internal/connlimit/closing.go
@@ -1,8 +1,9 @@
 package connlimit
 
 // closeSlot adds a close action for a connection, for the caller to carry out. From then on the
-// connection is draining (see StateDraining) and counts only toward MaxConns. Its timeout is cancelled;
-// CommandStarted sets another one if a command still follows.
+// connection is draining (see StateDraining) and counts only toward MaxConns. Its timeout is cancelled.
+// If a command had arrived before the close, the caller still reads it and replies; CommandStarted then
+// sets a timeout for reading that command.
 func (l *Limiter) closeSlot(id SlotID, reason CloseReason, now Time) {
 	s := &l.slots[id]
 	if s.state != StateDraining {
@@ -14,7 +15,8 @@
 }
 
 // Shutdown closes all connections that have no command in progress, and closes every other connection
-// after its reply. It stays in effect until CancelShutdown is called.
+// after its reply. It stays in effect until CancelShutdown is called. In StateIdleSingleUse, a connection
+// is idle after exactly one request.
 func (l *Limiter) Shutdown(now Time) {
 	l.shuttingDown = true
 	for _, state := range []State{StateUnvalidated, StateIdleSingleUse, StateIdle} { // no command in progress
@@ -43,7 +45,7 @@
 			}
 		case StateIdleSingleUse, StateIdle:
 			l.closeSlot(id, CloseIdleTimeout, now)
-		case StateReadingCommand, StateDraining: // draining: a command arrived before the close and is read in part
+		case StateReadingCommand, StateDraining: // draining: a command that arrived before the close is incomplete
 			l.closeSlot(id, CloseCommandTimeout, now)
 		}
 	}
--- a/internal/core/attempt.go
+++ b/internal/core/attempt.go
@@ -18,27 +18,32 @@
 // Call is one attempt to deliver a message. The driver makes the call after the attempt's record
 // has been written to the write-ahead log.
 type Call struct {
-	Record     *Record // of the message
-	Endpoint   policy.EndpointID
-	Timeout    policy.Time // maximum duration
-	SendBy     policy.Time // deadline for sending the last byte; 0 for none
-	WarmingUp  bool        // the endpoint recovers from an outage: open one connection to it at a time
-	MayConnect bool        // may open a connection even if the endpoint is warming up
-	Handle     any         // for use by the driver
+	Record    *Record // of the message
+	Endpoint  policy.EndpointID
+	Timeout   policy.Time // maximum duration
+	SendBy    policy.Time // deadline for sending the last byte; 0 for none
+	WarmingUp bool        // the endpoint recovers from an outage: connections to it are opened one at a time
+	// MayConnect is set if the policy has charged the cost of a new connection (see
+	// Settings.ConnectionCost) for this call. While the endpoint is warming up and connections
+	// to it cost something, only such a call may open one, and still only one at a time.
+	MayConnect bool
+	Handle     any // for use by the driver
 
 	message          *message
 	endpoint         *endpointState // nil if the endpoint has been forgotten
 	independentRoute bool           // a Retry-After of the endpoint applies to no other endpoint
-	attempt          int
-	sentAt           policy.Time
+	attempt          int            // number of the attempt, from 0
+	sentAt           policy.Time    // see SentAt
 }
 
-// SentAt returns the time at which the call was begun.
+// SentAt returns the time at which the attempt was started. It is logged and sent after that.
 func (c *Call) SentAt() policy.Time { return c.sentAt }
 
-// sendOrDefer starts the attempt that an action of the policy asks for. While the client has not
-// received its reply, or while sends are deferred, it stores the action in the message instead;
-// replyDelivered or sendDeferred then starts the attempt.
+// sendOrDefer starts the attempt that an action of the policy asks for. In two cases it stores the
+// action in the message instead, and replyDelivered or sendDeferred starts the attempt later:
+//   - The client has not received the reply OK to the message yet. If it disconnects before, the
+//     message is withdrawn and need not be delivered.
+//   - Sends are deferred (see mustDeferSend).
 func (c *Core) sendOrDefer(action *policy.Action) {
 	m := c.messages.byNumber[action.Message]
 	if m == nil {
@@ -77,7 +82,7 @@
 func (c *Core) openCall(call *Call, m *message, endpoint *endpointState, sentAt policy.Time) {
 	call.Record, call.Endpoint = m.record, endpoint.number
 	call.message, call.endpoint = m, endpoint
-	call.independentRoute = c.hasIndependentRoutes(endpoint.flavor)
+	call.independentRoute = c.hasIndependentRoutes(endpoint.flavor) // flavor names the destination's kind
 	call.attempt, call.sentAt = m.attempts-1, sentAt
 	m.call = call
 	endpoint.calls = append(endpoint.calls, call)
--- a/internal/core/snapshot.go
+++ b/internal/core/snapshot.go
@@ -9,8 +9,8 @@
 	Revision int64            `json:"revision"` // of the endpoint list
 	Members  []HandoverMember `json:"members"`  // in the same form as for a hand-over
 	// Partial is set if the core has had passive destinations: idle ones whose state is packed
-	// into a compact store. Of these, the snapshot contains only some that have an unhealthy
-	// endpoint.
+	// into a compact store. Of these, the snapshot contains only those with an unhealthy
+	// endpoint, and at most maxSnapshotUnhealthy of them.
 	Partial     bool                 `json:"partial,omitempty"`
 	RetryAfters []HandoverRetryAfter `json:"waits,omitempty"`
 	Policy      *policy.Snapshot     `json:"policy"`
@@ -32,21 +32,25 @@
 
 // StateVersion returns the number of state changes that should survive a restart: failed calls,
 // endpoint lists, and endpoints that became unhealthy or healthy again. It does not count
-// successful calls, from which the policy learns too; CompletedCalls counts all calls.
+// successful calls, from which the policy learns too; CompletedCalls counts all calls. From the
+// two counts the caller decides when to write a snapshot: soon after a change of StateVersion,
+// later after a change of only CompletedCalls.
 func (c *Core) StateVersion() uint64 { return c.stateVersion }
 
-// CompletedCalls returns the number of attempts that have ended, with any outcome.
+// CompletedCalls returns the number of attempts that have ended, with any outcome. See
+// StateVersion for its use.
 func (c *Core) CompletedCalls() uint64 { return c.completedCalls }
 
 // EndpointList returns the endpoint list that the core had when the snapshot was made. Endpoints
-// that were draining or removed then have the phase Draining in it.
+// that were draining or removed at that time have the phase Draining in the returned list.
 func (s *StateSnapshot) EndpointList() *EndpointList {
 	return &EndpointList{Revision: s.Revision, Complete: !s.Partial, Members: membersOf(s.Members)}
 }
 
-// DropRecentCounts removes the counts of requests and accepts in the last seconds from each
-// limiter, which is the policy's rate control for a destination or an independent route. They are
-// the largest part of the snapshot and the first to become outdated.
+// DropRecentCounts removes, from each limiter, the counts of requests and of accepted requests in
+// the last 10 seconds. They are the largest part of the snapshot and the first to become outdated.
+// A limiter is the policy's rate control for a destination or, if the destination's endpoints are
+// independent routes (see hasIndependentRoutes), for one endpoint.
 func (s *StateSnapshot) DropRecentCounts() {
 	for i := range s.Policy.Limiters {
 		s.Policy.Limiters[i].Bins = nil
@@ -58,8 +62,11 @@
 // destination as in the snapshot. shift is added to the snapshot's times to convert them to
 // this core's clock.
 //
-// It first makes the endpoints known to the policy, then restores the Retry-Afters and the state
-// of the policy, and last passes the Retry-Afters in force to the driver.
+// A list is applied in batches, over several steps, and state can be restored only for endpoints
+// of active destinations. RestoreState therefore first applies the rest of the list, activates the
+// destinations of the snapshot, and makes their endpoints known to the policy. Then it restores the
+// Retry-Afters and the state of the policy, and last it passes the Retry-Afters in force to the
+// driver.
 func (c *Core) RestoreState(now policy.Time, snapshot *StateSnapshot, shift policy.Time, effects []Effect) []Effect {
 	c.beginStep(now, effects)
 	c.finishListUpdate()
@@ -87,14 +94,16 @@
 // hasIndependentRoutes). Endpoints that are unknown here, or have another address or destination
 // now, get the number 0, which no endpoint has.
 func (c *Core) translateSnapshot(snapshot *policy.Snapshot, members []HandoverMember, shift policy.Time) {
-	numbers := map[policy.EndpointID]policy.EndpointID{}
+	// A member's ID is its name in the endpoint list. What the policy calls the ID of an
+	// endpoint is the number that a core has assigned to it.
+	newNumbers := map[policy.EndpointID]policy.EndpointID{} // by number in the snapshot
 	for i := range members {
 		member := &members[i]
 		endpoint := c.endpoints.byID[member.ID]
 		if endpoint == nil || endpoint.hostPort != member.HostPort || endpoint.dest != member.Dest {
 			continue
 		}
-		numbers[member.Number] = endpoint.number
+		newNumbers[member.Number] = endpoint.number
 		if member.RetryAfter > 0 {
 			endpoint.retryAfter = max(endpoint.retryAfter, member.RetryAfter+shift)
 		}
@@ -102,7 +111,7 @@
 	for i := range snapshot.Limiters {
 		endpoints := snapshot.Limiters[i].Endpoints
 		for j := range endpoints {
-			endpoints[j].ID = numbers[endpoints[j].ID]
+			endpoints[j].ID = newNumbers[endpoints[j].ID]
 		}
 	}
 }
--- a/internal/membership/membership_test.go
+++ b/internal/membership/membership_test.go
@@ -105,14 +105,14 @@
 // New rejects each kind of invalid settings.
 func TestSettings(t *testing.T) {
 	for name, f := range map[string]func(*Settings){
-		"no source":               func(s *Settings) { s.Sources = nil },
-		"source without name":     func(s *Settings) { s.Sources[1].Name = "" },
-		"two sources with a name": func(s *Settings) { s.Sources[1].Name = "etcd" },
-		"StaleAfter 0":            func(s *Settings) { s.Sources[0].StaleAfter = 0 },
-		"MaxRemovalShare over 1":  func(s *Settings) { s.MaxRemovalShare = 1.1 },
-		"MaxUpsPerStep 0":         func(s *Settings) { s.MaxUpsPerStep = 0 },
-		"RemovalWindow 0":         func(s *Settings) { s.RemovalWindow = 0 },
-		"RemovalRetention 0":      func(s *Settings) { s.RemovalRetention = 0 },
+		"no source":                      func(s *Settings) { s.Sources = nil },
+		"source without name":            func(s *Settings) { s.Sources[1].Name = "" },
+		"two sources with the same name": func(s *Settings) { s.Sources[1].Name = "etcd" },
+		"StaleAfter 0":                   func(s *Settings) { s.Sources[0].StaleAfter = 0 },
+		"MaxRemovalShare over 1":         func(s *Settings) { s.MaxRemovalShare = 1.1 },
+		"MaxUpsPerStep 0":                func(s *Settings) { s.MaxUpsPerStep = 0 },
+		"RemovalWindow 0":                func(s *Settings) { s.RemovalWindow = 0 },
+		"RemovalRetention 0":             func(s *Settings) { s.RemovalRetention = 0 },
 	} {
 		settings := testSettings()
 		f(&settings)
--- a/internal/operatorconfig/tuning.go
+++ b/internal/operatorconfig/tuning.go
@@ -71,11 +71,14 @@
 	defaultMaxActive    = 1024
 	maxMaxActive        = 1 << 20
 	defaultIdleTimeoutS = 60.0
-	minPassivationIdleS = 10 // the policy counts a destination's requests over 10 s; then the counts are zero
+	// minPassivationIdleS is 10 because the policy counts a destination's requests over the last
+	// 10 s: after that long without a request, the counts are zero.
+	minPassivationIdleS = 10
 	maxPassivationIdleS = 86400
 )
 
-// Limits returns the limits for passivating destinations.
+// Limits returns the settings in the form of package idlestore, with defaults for values that are
+// not set. MaxActive -1, for all, becomes 0, which has that meaning in idlestore.
 func (p *Passivation) Limits() idlestore.Limits {
 	return idlestore.Limits{
 		MaxActive:   max(cmp.Or(p.MaxActive, defaultMaxActive), 0),
--- a/internal/rehearsal/runner/events.go
+++ b/internal/rehearsal/runner/events.go
@@ -31,9 +31,11 @@
 	onEvent   func(*event.Event) // called with every event; may be nil
 }
 
-// emit accepts an event from any source. All sources use one clock, but the timers of the endpoint
-// emulator may be some hundred microseconds late, so that events can arrive out of order. record
-// therefore raises an event's time to that of the event before it if needed.
+// emit accepts an event from any source. All sources use one clock, but events can arrive out of
+// order: if a timer of the endpoint emulator causes an event, the event has the time at which the
+// timer was due, and the timer may run some hundred microseconds later. In between, another source
+// may emit an event with a later time. record therefore raises an event's time to that of the event
+// before it if needed.
 func (c *eventCollector) emit(e event.Event) {
 	c.record(&e)
 	if e.Kind == event.CallEnded && e.Status == event.StatusDelivered || e.Kind == event.NoticeReceived {
--- a/internal/relay/reload.go
+++ b/internal/relay/reload.go
@@ -18,14 +18,14 @@
 }
 
 // watchReloads reads the configuration at each request until ctx is cancelled. It
-// ignores a configuration that cannot be read or is invalid.
+// ignores a configuration that cannot be read or is invalid. requests is r.reload.
 func (r *Relay) watchReloads(ctx context.Context, requests ReloadRequests) {
 	for {
 		select {
 		case <-ctx.Done():
 			return
 		case <-requests.Signals:
-			r.reloadsRequested.Add(1)
+			r.reloadsRequested.Add(1) // so that a hand-over can forward the request to the successor
 		}
 		if cfg := r.loadNewConfig(); cfg != nil {
 			r.inbox.Put(loopInput{config: cfg})
@@ -45,9 +45,9 @@
 }
 
 // reloadNow reloads the configuration in a process whose predecessor had received a
-// reload request. Otherwise this process could use another discovery address than its
-// predecessor: a start takes the address from the environment if it is set there, a
-// reload takes it from the configuration file if it is set there.
+// reload request, so that both use the same discovery address. If the address is set in
+// the environment and in the configuration file, a start uses the one in the environment,
+// and a reload uses the one in the file.
 func (r *Relay) reloadNow() {
 	r.reloadsRequested.Add(1)
 	if cfg := r.loadNewConfig(); cfg != nil {
@@ -60,6 +60,7 @@
 // the new address, and sends its notices of undelivered messages there, also those that
 // the old address has not confirmed.
 func (r *Relay) reconfigure(cfg *config.Config) {
+	// cfg.Policy is the object "settings" of the configuration file.
 	if !reflect.DeepEqual(cfg.Policy, r.cfg.Policy) || cfg.Limits != r.cfg.Limits || cfg.Listen != r.cfg.Listen {
 		r.log.Warn("configuration reload: changes to settings, limits and listen take effect only at the next start")
 	}
--- a/internal/tlsdial/sessionfile.go
+++ b/internal/tlsdial/sessionfile.go
@@ -257,14 +257,15 @@
 	return decryptSessions(d.sessionKey, content)
 }
 
-// restoreSession caches one stored session, unless it is malformed, has expired or is for
-// early data.
+// restoreSession caches one stored session, unless it is malformed, has expired (which
+// PutUntil checks) or allows early data. This package does not store sessions that do:
+// crypto/tls sets EarlyData only on QUIC connections.
 func (d *Dialer) restoreSession(stored *storedSession, now time.Time) {
 	if len(stored.IdentitySum) != sha256.Size {
 		return
 	}
 	state, err := tls.ParseSessionState(stored.State)
-	if err != nil || state.EarlyData { // this package never sends early data
+	if err != nil || state.EarlyData {
 		return
 	}
 	session, err := tls.NewResumptionState(stored.Ticket, state)
--- a/internal/upstream/tlsconn.go
+++ b/internal/upstream/tlsconn.go
@@ -31,7 +31,8 @@
 
 // retryHandshake starts a handshake with an endpoint that gets no calls, because the relay
 // rejected the endpoint's certificate or the endpoint rejected the relay's. The TLS dialer
-// calls it at the times of its retry schedule. It reports whether it started a handshake.
+// calls it at the times of its retry schedule. As with an endpoint that is warming up, only
+// one handshake at a time is in flight. It reports whether it started a handshake.
 func (e *Endpoint) retryHandshake() bool {
 	e.pool.mu.Lock()
 	e.connecting++
@@ -41,12 +42,17 @@
 }
 
 // openTLS starts to open a connection, which becomes idle once it is open. The caller has
-// already counted it in e.connecting. scheduled means that the retry schedule of a rejected
-// endpoint started the handshake. opened receives the result of the handshake. If opened
-// and err are both nil, the TLS dialer's handshake budget, which bounds the CPU time of
-// handshakes, allows none now: budgetAt is when to try again, or zero to wait until another
-// handshake with the endpoint has ended. The goroutine of the handshake ends within the
-// permit's timeout.
+// already counted it in e.connecting. warmingUp means that the endpoint recovers from an
+// outage, so that only one handshake with it may be in flight at a time. scheduled means that
+// the retry schedule of a rejected endpoint started the handshake.
+//
+// There are three results:
+//   - opened is not nil: a goroutine connects and performs the handshake. It sends its result
+//     to opened within the permit's timeout.
+//   - err is not nil: the endpoint is rejected, or the pool is full.
+//   - Both are nil: the TLS dialer's handshake budget, which bounds the CPU time of handshakes
+//     and the number in flight with one endpoint, allows none now. budgetAt is when to try
+//     again. If it is zero, another handshake with the endpoint has to end first.
 func (e *Endpoint) openTLS(warmingUp, scheduled bool) (opened <-chan error, budgetAt time.Time, err error) {
 	defer func() {
 		if opened == nil {
@@ -89,9 +95,9 @@
 }
 
 // addIdleTLSLocked adds a new connection to the idle ones, or closes it if the endpoint was
-// closed meanwhile. A call may use the connection immediately: reuseDelay is for bytes that
-// an endpoint sends after a response, and this connection has carried none yet. The caller
-// must hold the pool's lock.
+// closed meanwhile. A call may use the connection immediately: during reuseDelay a connection
+// waits for extra bytes that the endpoint may send after a response, and no response has
+// come over this connection yet. The caller must hold the pool's lock.
 func (e *Endpoint) addIdleTLSLocked(conn *tlsdial.Conn) {
 	c := newPoolConn(e, conn)
 	c.tls = conn
@@ -103,6 +109,8 @@
 	e.pool.idle = append(e.pool.idle, c)
 }
 
+// handshake connects to the endpoint and performs the TLS handshake. Either way it uses up the
+// permit: Handshake completes the permit's reservation, and Release does so if connecting fails.
 func (e *Endpoint) handshake(ctx context.Context, permit *tlsdial.Permit) (*tlsdial.Conn, error) {
 	raw, err := e.dial(ctx, e.address)
 	if err != nil {
