--- a/internal/core/listupdate.go
+++ b/internal/core/listupdate.go
@@ -14,14 +14,16 @@
 
 // listUpdate is an endpoint list that is being applied. Members of active destinations are
 // applied at once, because a drain must take effect immediately. The others follow in batches.
+// A destination is active if its endpoints are in Core.endpoints and known to the policy. The
+// endpoints of a passive destination, which is idle, are only in the store of package idlestore.
 type listUpdate struct {
 	list     *EndpointList
 	complete bool   // the list contains every existing endpoint
-	applied  []bool // by index of the member
+	applied  []bool // by index of the member; set for members that the batches need not apply
 	next     int    // index of the first member of the next batch
-	// unnamed holds the endpoints that were activated during the update and that the
-	// applied part of a complete list has not named. Those that the rest does not name
-	// either are removed.
+	// unnamed holds the ids of endpoints that a complete list has not named so far and whose
+	// destination was activated during the update. activate adds the ids, and applyMember
+	// deletes those that the list names. The endpoints that remain at the end are removed.
 	unnamed map[string]bool
 }
 
@@ -62,7 +64,10 @@
 }
 
 // applyActiveMembers applies the members that concern active destinations. It returns the ids
-// of the endpoints that they name, and the updates for the policy.
+// of the endpoints that they name, and the updates for the policy. A member whose endpoint is
+// already in Core.endpoints counts as concerning an active destination, even if the list moves the
+// endpoint to a passive one or removes it. This is determined before the first member is applied,
+// so that endpoints added by this step do not count.
 func (c *Core) applyActiveMembers(update *listUpdate) (named map[string]bool, updates []policy.EndpointUpdate) {
 	members := update.list.Members
 	for i := range members {
@@ -76,7 +81,10 @@
 		}
 		update.applied[i] = true
 		if member.Check() != nil {
-			continue // an invalid member of the configured list; lists from discovery were checked before
+			// Skip the invalid member. If the list is complete and the endpoint is in
+			// Core.endpoints, it is retired like one that the list does not name. Only the configured
+			// list can have invalid members: lists from discovery were checked before.
+			continue
 		}
 		if endpoint, active := c.applyMember(member); active {
 			named[member.ID] = true
@@ -138,7 +146,10 @@
 	return updates
 }
 
-// endListUpdate ends the update after all members of its list have been applied.
+// endListUpdate ends the update after all members of its list have been applied. After a
+// complete list, the store removes the endpoints of passive destinations that the list did not
+// name. Destinations that lost endpoints in this way are recorded, because they may have none
+// left. Those that have been without an endpoint for forgetDepartedAfter are forgotten.
 func (c *Core) endListUpdate(update *listUpdate) {
 	if store := c.passivation.store; store != nil && update.complete {
 		for _, dest := range store.EndList() {
--- a/internal/event/event.go
+++ b/internal/event/event.go
@@ -34,7 +34,7 @@
 	OutageEnded         // the outage ended: Endpoint
 	Collapsed           // an endpoint collapsed under overload while it warmed up: Endpoint, Calls
 	RelayStopping       // the runner told a relay to stop: Relay
-	RelayKilled         // a relay's process was killed: Relay
+	RelayKilled         // a relay's process was killed or has exited, or is about to be killed: Relay
 	RelayReady          // a relay is ready, after its first start or a restart: Relay
 	UnknownCall         // an endpoint received a call for a message that was never submitted: Relay, Endpoint, ID
 )
--- a/internal/logstats/page.go
+++ b/internal/logstats/page.go
@@ -30,12 +30,14 @@
 	value func(Counts) float64
 }
 
-// countSeries returns the series of one count of the metrics, by its name.
-func countSeries(title, name string) series {
-	return series{title, func(c Counts) float64 { return float64(c[name]) }}
+// countSeries returns the series that shows one metric under a name of its own in the legend.
+func countSeries(legend, metric string) series {
+	return series{legend, func(c Counts) float64 { return float64(c[metric]) }}
 }
 
 // trafficSeries are the series of the plot of all destinations and of the plot of each destination.
+// "turned away" are calls that an endpoint rejected. "refused here" are messages that the relays
+// themselves rejected or handed back to their clients, to be submitted again.
 var trafficSeries = []series{
 	countSeries("handed in", metrics.Submitted),
 	countSeries("sent", metrics.Attempts),
@@ -44,8 +46,8 @@
 	{"refused here", func(c Counts) float64 { return float64(c.HandedBack()) }},
 }
 
-// costSeries are the series of the plot of operations that load endpoints or zones beyond the calls
-// themselves.
+// costSeries are the series of the plot of costly operations. These burden endpoints, or the network
+// between zones, in addition to the calls that deliver messages.
 var costSeries = []series{
 	countSeries("connections opened", metrics.ConnectionsOpened),
 	countSeries("no connection", metrics.ConnectFailed),
@@ -56,6 +58,7 @@
 // plotSVG draws series over all seconds of the report. countsAt returns the counts of a second.
 func (r *Report) plotSVG(title string, countsAt func(second int64) Counts, lines []series) ([]byte, error) {
 	p := plot.New()
+	// The Y axis shows how often the counted events occurred per second, summed over all relays.
 	p.Title.Text, p.X.Label.Text, p.Y.Label.Text = title, "s", "a second, all relays"
 	p.Legend.Top = true
 	var args []any
@@ -93,6 +96,7 @@
 	if err := write("all destinations", r.SecondTotals, trafficSeries); err != nil {
 		return err
 	}
+	// The title means costly operations.
 	if err := write("what is dear", r.SecondTotals, costSeries); err != nil {
 		return err
 	}
@@ -105,7 +109,8 @@
 	return nil
 }
 
-// WriteHTML writes the report as one self-contained HTML page.
+// WriteHTML writes the report as one self-contained HTML page: summary, plots, the table of
+// destinations and the table of seconds.
 func (r *Report) WriteHTML(w io.Writer) error {
 	b := &bytes.Buffer{}
 	b.WriteString(`<!doctype html><html lang="en"><meta charset="utf-8">`)
--- a/internal/membership/provenance.go
+++ b/internal/membership/provenance.go
@@ -2,27 +2,28 @@
 
 import "slices"
 
-// SourceRecord is the state of an endpoint in one source.
+// SourceRecord is the state of an endpoint in one source. The JSON keys belong to the output's
+// format and may differ from the field names.
 type SourceRecord struct {
 	Source       string  `json:"source"`
 	ID           string  `json:"id"` // the source's own id of the endpoint
 	HostPort     string  `json:"host_port,omitempty"`
 	Phase        string  `json:"phase"`
-	Rate         float64 `json:"size,omitempty"`
+	Rate         float64 `json:"size,omitempty"`   // calls per second that its destination accepts; 0 if not stated
 	Revision     int64   `json:"revision"`         // revision of the update that last changed the record
 	LastHeardAgo Time    `json:"heard_ago_us"`     // time since the source was last heard
 	Stale        bool    `json:"stale,omitempty"`  // the source has been silent for longer than its StaleAfter
-	Held         bool    `json:"held,omitempty"`   // the source removed it, but the removal has to be confirmed
-	Unreadable   bool    `json:"spoilt,omitempty"` // its last value cannot be decoded
+	Held         bool    `json:"held,omitempty"`   // removed by the source, but still listed until a resync confirms it
+	Unreadable   bool    `json:"spoilt,omitempty"` // the last value that the source sent for it cannot be decoded
 }
 
-// Provenance is one endpoint with its state in each source.
+// Provenance is one endpoint of the view, merged from all sources, with its state in each source.
 type Provenance struct {
 	Member
 	Listed    bool           `json:"listed"`          // it is in the published view
 	DecidedBy string         `json:"by,omitempty"`    // the source that decided the phase
-	Pending   bool           `json:"waits,omitempty"` // a change of it waits to be published
-	Records   []SourceRecord `json:"said"`            // by the precedence of their sources
+	Pending   bool           `json:"waits,omitempty"` // a change of the endpoint has not been published yet
+	Records   []SourceRecord `json:"said"`            // of each source that knows it, by the sources' precedence
 }
 
 // Explain returns every endpoint that any source lists or has removed, ordered by the view's ids.
--- a/internal/operatorconfig/clients.go
+++ b/internal/operatorconfig/clients.go
@@ -16,7 +16,7 @@
 
 const (
 	maxListenAddresses = 64
-	minClientIdleS     = 2 // connections without a request are never closed sooner than this
+	minClientIdleS     = 2 // smallest IdleTimeoutS: it closes no connection sooner after its last request
 	maxClientIdleS     = 86400
 	maxMemoryMB        = 1 << 20
 )
@@ -27,15 +27,17 @@
 	// ListenAddresses contains additional addresses to listen on, as host:port.
 	ListenAddresses []string `toml:"listen"`
 	// Descriptors is the maximum number of file descriptors of the process. It
-	// overrides limits.sockets of the configuration.
+	// overrides limits.sockets of the relay's own configuration file (package config).
 	Descriptors int `toml:"descriptors"`
 	// MaxConns is the maximum number of open connections of clients.
 	MaxConns int `toml:"places"`
 	// MaxUnvalidated is the maximum number of connections that have not sent a valid
 	// command yet.
 	MaxUnvalidated int `toml:"strangers"`
-	// SingleUseEvictionThreshold is the maximum number of connections that have sent a
-	// request. If there are more, idle connections that sent only one request are evicted.
+	// SingleUseEvictionThreshold is the number of connections that have sent a request above
+	// which the relay evicts connections that are idle after exactly one request: after each
+	// reply, the one that has been idle longest. The key asked_most refers to the connections
+	// that have sent (asked) a request.
 	SingleUseEvictionThreshold int `toml:"asked_most"`
 	// IdleTimeoutS is the time after which an idle connection is closed, in seconds.
 	IdleTimeoutS float64 `toml:"idle_s"`
@@ -62,6 +64,8 @@
 			check.Errorf(number.key, "%d, want %d to %d", number.value, number.min, number.max)
 		}
 	}
+	// The errors of the next two checks give the value that is too large and the one that limits it:
+	// strangers must not exceed places, and places must be fewer than descriptors.
 	if c.MaxConns > 0 && c.MaxUnvalidated > c.MaxConns {
 		check.Errorf("clients.strangers", "%d of %d places", c.MaxUnvalidated, c.MaxConns)
 	}
@@ -80,7 +84,7 @@
 		check.Errorf(key, "%d addresses, want %d at most", len(c.ListenAddresses), maxListenAddresses)
 	}
 	seen := map[string]bool{}
-	for _, address := range c.ListenAddresses {
+	for _, address := range c.ListenAddresses { // as host:port, where the host must be an IP address
 		host, port, err := net.SplitHostPort(address)
 		switch {
 		case err != nil:
--- a/internal/rehearsal/loadgen/outcome.go
+++ b/internal/rehearsal/loadgen/outcome.go
@@ -17,6 +17,8 @@
 	Unanswered         // the client got no reply and gave up
 )
 
+// outcomeNames are the names that reports use. There a Rejected message is "refused", and an
+// Unanswered one, whose client got no reply, is "unheard".
 var outcomeNames = [...]string{"pending", "delivered", "refused", "failed", "unheard"}
 
 // String returns the outcome's name in reports.
--- a/internal/rehearsal/report/build.go
+++ b/internal/rehearsal/report/build.go
@@ -55,7 +55,9 @@
 // arrived.
 const serviceUndefined = -1
 
-// New builds the report of a rehearsal from its outcome.
+// New builds the report of a rehearsal from its outcome. The results of the messages come first,
+// then the ratios and the seconds, which are computed from them, then faults and rules, and last
+// the verdict.
 func New(o *runner.Outcome, env replay.Environment) *Report {
 	p, s := o.Plan, o.Plan.Scenario
 	r := &Report{
@@ -72,8 +74,10 @@
 		DeliveryLatency:  quantiles(o.DeliveryLatency),
 		Lateness:         Lateness{milliseconds(o.DriverLateness), milliseconds(o.EmulatorLateness), s.MaxLatenessMS},
 		MemoryKB:         append([]int{}, o.MemoryKB...),
-		UnservedRequests: o.UnservedRequests,
-		Restarts:         RestartCounts{o.Restarts.Unattempted, o.Restarts.Attempted, o.Restarts.Ended},
+		UnservedRequests: o.UnservedRequests, // to relays
+		// How many messages restarted relays recovered unattempted, and how many of these were
+		// attempted afterwards or ended without an attempt.
+		Restarts: RestartCounts{o.Restarts.Unattempted, o.Restarts.Attempted, o.Restarts.Ended},
 	}
 	r.addGroups(o)
 	asked, delivered := r.addResults(o)
@@ -83,11 +87,12 @@
 	r.addFaults(o)
 	r.addRules(o.Violations)
 	r.setVerdict(o)
-	r.Runs = []float64{r.Service.ServiceRatio}
+	r.Runs = []float64{r.Service.ServiceRatio} // of this one run; Join lists the ratios of several
 	return r
 }
 
-// addGroups adds the groups by which results are summed up: classes, portals and partners.
+// addGroups adds the groups by which results are summed up: the classes of messages, the portals
+// (tenants of the relays) and the partners (each the operator of one destination).
 func (r *Report) addGroups(o *runner.Outcome) {
 	for _, class := range o.Plan.Scenario.Classes {
 		r.Classes = append(r.Classes, Group{Name: class.Name})
@@ -115,7 +120,7 @@
 	for i := range o.Results {
 		arrival, result := &o.Plan.Arrivals[i], &o.Results[i]
 		class := &o.Plan.Scenario.Classes[arrival.Class]
-		partner := arrival.Destination - 1
+		partner := arrival.Destination - 1 // each partner has one destination, numbered from 1
 		earned := loadgen.EarnedWeight(class, result)
 		for _, service := range []*Service{
 			&r.Service,
@@ -178,13 +183,13 @@
 	return Quantiles{h.TotalCount(), at(50), at(90), at(99), at(99.9), milliseconds(h.Max())}
 }
 
-// worstWindow returns the first window of length seconds with the lowest service ratio. If the
-// rehearsal is shorter than that, the window is the whole rehearsal.
-func worstWindow(all []Second, length int) Window {
+// worstWindow returns the window with the lowest service ratio, the first of them if there are
+// several. A window is lengthS seconds long, or as long as the rehearsal if that is shorter.
+func worstWindow(all []Second, lengthS int) Window {
 	worst := Window{ServiceRatio: 1}
-	for from := 0; from == 0 || from+length <= len(all); from++ {
+	for from := 0; from == 0 || from+lengthS <= len(all); from++ {
 		asked, delivered := 0.0, 0.0
-		for _, second := range all[from:min(from+length, len(all))] {
+		for _, second := range all[from:min(from+lengthS, len(all))] {
 			asked += second.WeightAsked
 			delivered += second.WeightDelivered
 		}
@@ -222,6 +227,7 @@
 		result := RuleResult{Rule: string(rule), Violations: []Violation{}}
 		for _, v := range found {
 			if v.Rule == rule {
+				// In the report, Message is the message's id. The checker's Message is its number in the plan.
 				result.Violations = append(result.Violations, Violation{
 					AtS: seconds(v.At), Message: v.ID, Planned: v.Message, Relay: v.Relay + 1, Evidence: v.Evidence,
 				})
@@ -233,11 +239,12 @@
 
 // setVerdict sets the verdict and its reasons. If the load generator or the emulators were too
 // late, or could not carry out the plan, the run is invalid, because its result says nothing
-// about the relays.
+// about the relays. In the texts, the load driver is the load generator, the stand-ins are the
+// emulators, and the figure before "at most" is the limit.
 func (r *Report) setVerdict(o *runner.Outcome) {
 	r.Verdict = VerdictPassed
 	if n := r.ViolationCount(); n > 0 {
-		r.addReason(VerdictFailed, "%d broken rules", n)
+		r.addReason(VerdictFailed, "%d broken rules", n) // n counts violations: a rule may be broken several times
 	}
 	for _, failure := range o.RelayFailures {
 		r.addReason(VerdictFailed, "%s", failure)
@@ -254,8 +261,8 @@
 		r.addReason(VerdictInvalid,
 			"the stand-ins were %.1f ms late at the 99th percentile, %.0f ms at most", late.Emulators, late.Limit)
 	}
-	for _, kitError := range o.KitErrors {
-		r.addReason(VerdictInvalid, "%s", kitError)
+	for _, rehearsalError := range o.KitErrors { // of the emulators, the load generator or the runner
+		r.addReason(VerdictInvalid, "%s", rehearsalError)
 	}
 }
 
--- a/internal/rehearsal/runner/relay.go
+++ b/internal/rehearsal/runner/relay.go
@@ -174,10 +174,10 @@
 }
 
 // upgradeWithKill begins an upgrade, waits for a time and kills one of the two processes. It
-// reports whether the other one serves. The caller holds mu.
+// reports whether the other one, the survivor, serves. The caller holds mu.
 func (r *managedRelay) upgradeWithKill(
 	ctx context.Context, after time.Duration, killPredecessor bool,
-) (alive bool, err error) {
+) (survivorServes bool, err error) {
 	predecessor := r.current
 	successor, err := r.launch()
 	if err != nil {
--- a/internal/rehearsal/runner/relayfaults.go
+++ b/internal/rehearsal/runner/relayfaults.go
@@ -19,12 +19,14 @@
 	// killed. By then the successor has taken over.
 	maxUpgradeKillDelay = 80 * time.Millisecond
 
-	// upgradeKillStream is the random stream from which these times are drawn.
+	// upgradeKillStream is the random stream from which upgradeRelay draws the time until it kills
+	// a process.
 	upgradeKillStream = 900
 )
 
-// processActions returns an action that starts a background goroutine for each affected relay. It
-// calls do with the relay's lock held, and skips relays without a process.
+// processActions returns an action that starts a background goroutine for each affected relay. The
+// goroutine locks the relay and calls do, unless the rehearsal started no process for the relay. The
+// fault counts as active until the goroutine ends.
 func (f *plannedFault) processActions(do func(relay *managedRelay)) []action {
 	return []action{{f.At, f.forEachRelay(func(index int) {
 		f.background.Add(1)
@@ -46,7 +48,7 @@
 // killRelay kills a relay's process and starts a new one at the fault's end.
 func (f *plannedFault) killRelay(relay *managedRelay) {
 	f.driver.RelayDown(relay.index, f.failoverDelay())
-	f.emitRelayEvent(event.RelayKilled, relay)
+	f.emitRelayEvent(event.RelayKilled, relay) // before the kill: from now on calls may be cut off
 	relay.kill()
 	sleep(f.ctx, time.Duration(f.Until-f.At)*time.Microsecond)
 	f.startAgain(relay)
@@ -60,7 +62,7 @@
 		f.appendFailure(&f.kitErrors, "relay %d did not exit within %v of SIGTERM and was killed",
 			relay.index+1, stopTimeout)
 	}
-	f.emitRelayEvent(event.RelayKilled, relay)
+	f.emitRelayEvent(event.RelayKilled, relay) // also after an exit of its own: the process is gone
 	f.startAgain(relay)
 }
 
@@ -81,7 +83,8 @@
 }
 
 // upgradeRelay replaces a relay's process by a successor that takes over from it. A variant of the
-// fault kills one of the two processes during the upgrade.
+// fault kills one of the two processes at a random time of the upgrade. If the other one had already
+// handed over to the killed one and exited, the relay is started again.
 func (f *plannedFault) upgradeRelay(relay *managedRelay) {
 	if f.Variant == "" {
 		if err := relay.upgrade(f.ctx); err != nil && f.ctx.Err() == nil {
@@ -92,12 +95,12 @@
 	draw := seededrand.Hash(f.plan.Seed, upgradeKillStream, uint64(f.At), uint64(relay.index))
 	after := time.Duration(draw % uint64(maxUpgradeKillDelay))
 	f.emitRelayEvent(event.RelayKilled, relay) // from now on calls in flight may be cut off
-	alive, err := relay.upgradeWithKill(f.ctx, after, f.Variant == scenario.KillPredecessor)
+	survivorServes, err := relay.upgradeWithKill(f.ctx, after, f.Variant == scenario.KillPredecessor)
 	switch {
 	case err != nil && f.ctx.Err() == nil:
 		f.appendFailure(&f.relayFailures, "upgrade of relay %d with %s after %v: %v",
 			relay.index+1, f.Variant, after, err)
-	case alive:
+	case survivorServes:
 		f.emitRelayEvent(event.RelayReady, relay)
 	default:
 		f.driver.RelayDown(relay.index, f.failoverDelay())
--- a/internal/rehearsal/runner/runner.go
+++ b/internal/rehearsal/runner/runner.go
@@ -87,8 +87,8 @@
 	planStart      atomic.Int64 // by the rehearsal's clock
 
 	mu            sync.Mutex
-	relayFailures []string
-	kitErrors     []string
+	relayFailures []string       // see Outcome.RelayFailures
+	kitErrors     []string       // see Outcome.KitErrors
 	activeFaults  map[string]int // number of active faults, by name
 	background    sync.WaitGroup // goroutines of faults
 }
--- a/internal/source/etcd/machine.go
+++ b/internal/source/etcd/machine.go
@@ -52,8 +52,8 @@
 	partialTable    *keyTable
 	readRevision    int64 // revision of all pages; 0 before the first page
 	nextKey         string
-	readForResync   bool // the read began after the view had requested a resync
-	resyncRequested bool // the view has requested a resync and has not received it yet
+	readForResync   bool // the read began after a resync was requested, see Resync
+	resyncRequested bool // a resync was requested, and its complete list has not been passed on yet
 
 	// The report of a watch while only some of its fragments have arrived.
 	fragments         []KV
@@ -74,7 +74,8 @@
 	return m, nil
 }
 
-// NextDeadline returns the time at which Step must be called even if there is no event.
+// NextDeadline returns the time at which Step must be called even if there is no event. Before
+// the first Step, which starts the first call, this is 1, the earliest time.
 func (m *Machine) NextDeadline() Time { return max(m.deadline, 1) }
 
 // Step handles the events that happened up to now, and returns the actions to execute.
@@ -91,7 +92,9 @@
 	return m.takeActions()
 }
 
-// Resync starts a new read of the complete list. The view requests this to confirm removals.
+// Resync starts a new read of the complete list. It is called when the membership.View that
+// receives the updates holds removals back: the view applies them only if a complete list that
+// was read after the request lacks these endpoints as well.
 func (m *Machine) Resync(now Time) []Action {
 	m.beginStep(now)
 	if m.state == reading && m.readForResync {
@@ -119,10 +122,11 @@
 	m.emit(&LogMessage{Text: fmt.Sprintf(format, args...)})
 }
 
-// newUpdate returns an update without members, at the current revision.
+// newUpdate returns an update at the current revision that contains no endpoints
+// (membership.Member) yet.
 func (m *Machine) newUpdate() *membership.Update {
 	// Revisions can be compared only within one cluster, and only until it is restored from a
-	// backup. The epoch identifies both.
+	// backup. The epoch therefore contains the cluster's id and the number of its restorations.
 	epoch := fmt.Sprintf("%016x.%d", m.cluster, m.generation)
 	return &membership.Update{Source: m.settings.Source, Epoch: epoch, Revision: m.revision}
 }
@@ -175,9 +179,9 @@
 	})
 }
 
-// retryNextMember counts a failure and switches to the next member. It calls that member at
-// once, except after each round of as many consecutive failures as there are members (at
-// least two): then it backs off first, longer after each round.
+// retryNextMember counts a failure and switches to the next member. A round is as many
+// consecutive failures as there are members, but at least two. Within a round, the next member
+// is called at once. At the end of a round, the machine backs off first, longer after each round.
 func (m *Machine) retryNextMember(reason string) {
 	m.failures++
 	m.logf("call to member %d failed: %s", m.member, reason)
--- a/internal/timerwheel/wheel.go
+++ b/internal/timerwheel/wheel.go
@@ -117,7 +117,8 @@
 	}
 }
 
-// openSlots moves the timers of all slots that begin with a tick to the work list.
+// openSlots moves timers to the work list: those of all slots whose span begins at the given tick.
+// On level n a slot spans slotsPerLevel^n ticks.
 func (w *Wheel) openSlots(tick int64) {
 	for level := levelCount - 1; level >= 0; level-- {
 		if tick&(1<<(slotBits*level)-1) != 0 {
@@ -132,8 +133,8 @@
 	}
 }
 
-// nextTick returns the next tick with which a slot begins that may hold a timer. ok is false if there
-// is no such slot.
+// nextTick returns the first tick after currentTick at which the span of a slot marked in w.occupied
+// begins. ok is false if no slot is marked.
 func (w *Wheel) nextTick() (earliest int64, ok bool) {
 	for level := range levelCount {
 		occupied := w.occupied[level]
--- a/internal/upstream/call.go
+++ b/internal/upstream/call.go
@@ -27,8 +27,10 @@
 	// written; after it the call is not sent. 0 means no limit.
 	SendBy policy.Time
 	// WarmingUp reports that the endpoint is warming up: its TLS connections are opened
-	// one at a time. If the endpoint's TLS rule charges handshakes against the endpoint's
-	// rate of calls, only calls with MayConnect open them.
+	// one at a time. The endpoint's TLS settings can give a handshake a cost, which counts
+	// against the rate of calls that the endpoint may get while it warms up (see
+	// ChargesHandshakes in package tlsdial). In that case only calls with MayConnect open
+	// connections to it.
 	WarmingUp bool
 	// MayConnect reports that the policy has charged the handshake for a new connection
 	// against the endpoint's rate, so that this call may open one.
@@ -52,8 +54,9 @@
 	mu        sync.Mutex
 	conn      *poolConn // nil until the last byte is written
 	suspended bool
-	// resumeHere is nil unless InFlight.Suspend has asked the call to suspend. It then
-	// receives whether the call continues in this process.
+	// resumeHere is nil unless InFlight.Suspend has asked the call to suspend. The channel
+	// then receives true if the call continues in this process, and false if another
+	// process has adopted it.
 	resumeHere chan bool
 }
 
@@ -79,8 +82,8 @@
 
 // Do acquires a connection, writes the request and reads the response. It calls report
 // once, as soon as the result is certain, and returns when the call's connection carries
-// no more data of the call. A call that is abandoned to
-// another process is not reported; see [InFlight.Abandon].
+// no more data of the call. It does not call report if another process has adopted the
+// call; see [InFlight.Abandon].
 func (c *Call) Do(endpoint *Endpoint, request Request, report func(Result)) {
 	start := time.Now()
 	ctx, cancel := context.WithTimeoutCause(c.ctx, request.Timeout, context.DeadlineExceeded)
@@ -107,7 +110,9 @@
 	c.awaitResponse(ctx, conn, req, start, request.LoadFields, report)
 }
 
-// unsentResult returns the result of a call whose last byte was not written.
+// unsentResult returns the result of a call whose last byte was not written. If the call was
+// stopped for a handover, its outcome is NotSent even if a connection attempt failed: the relay
+// broke that attempt off itself, so the failure says nothing about the endpoint.
 func (c *Call) unsentResult(outcome policy.Outcome, err error, start time.Time) Result {
 	result := Result{Outcome: outcome, Err: err, ConnectionsOpened: c.connRequest.opened}
 	if errors.Is(context.Cause(c.ctx), errHandedOver) {
@@ -204,15 +209,18 @@
 		if result.Outcome == policy.ConnectionReset {
 			result.Outcome = outcomeWithoutResponse(ctx)
 		}
-		_ = conn.recordAlert(result.Err) // the call may have run, so a rejection does not change its outcome
+		// The error may be a TLS alert by which the endpoint rejects the relay's certificate. It
+		// is recorded but does not change the outcome, because the call may have run.
+		_ = conn.recordAlert(result.Err)
 		if result.Outcome != policy.Delivered && (result.Err != nil || result.Malformed) {
-			// The connection is closed first: the message may be sent again as soon as the
-			// result is reported, and the endpoint counts two copies while this one is open.
+			// The connection is closed before the result is reported. The message may be sent
+			// again as soon as it is, and while this connection is open, the endpoint counts
+			// this call and the new one as two copies of the message.
 			conn.discard()
 			discarded = true
 		}
-		// The caller has its result now. Reading the rest of the response has a time
-		// limit of its own.
+		// With status 200 this happens before the header and the body are read. Reading them
+		// is limited by responseReadTimeout, which started at the first byte.
 		report(result)
 	})
 	switch ended := !unwatch(); {
