--- a/internal/rehearsal/report/build.go
+++ b/internal/rehearsal/report/build.go
@@ -261,7 +261,7 @@
 		r.addReason(VerdictInvalid,
 			"the stand-ins were %.1f ms late at the 99th percentile, %.0f ms at most", late.Emulators, late.Limit)
 	}
-	for _, rehearsalError := range o.KitErrors { // of the emulators, the load generator or the runner
+	for _, rehearsalError := range o.RehearsalErrors { // of the emulators, the load generator or the runner
 		r.addReason(VerdictInvalid, "%s", rehearsalError)
 	}
 }
--- a/internal/rehearsal/report/report_test.go
+++ b/internal/rehearsal/report/report_test.go
@@ -163,7 +163,7 @@
 		},
 		{
 			"an error of the load generator or the emulators",
-			func(o *runner.Outcome) { o.KitErrors = []string{"a port"} },
+			func(o *runner.Outcome) { o.RehearsalErrors = []string{"a port"} },
 			VerdictInvalid, "a port",
 		},
 		{
--- a/internal/rehearsal/report/stored_test.go
+++ b/internal/rehearsal/report/stored_test.go
@@ -38,7 +38,7 @@
 		Rule: checker.RuleRecovery, At: 9e6, Message: -1, Relay: -1, Endpoint: 2, Evidence: "pushed over",
 	})
 	failed, passed := New(o, testEnvironment), New(testOutcome(t), testEnvironment)
-	o.KitErrors = []string{"a port"}
+	o.RehearsalErrors = []string{"a port"}
 	invalid := New(o, testEnvironment)
 	joined := Join([]*Report{passed, failed, passed})
 	for name, write := range map[string]func(io.Writer) error{
--- a/internal/rehearsal/runner/relayfaults.go
+++ b/internal/rehearsal/runner/relayfaults.go
@@ -38,7 +38,7 @@
 			relay := f.relays[index]
 			relay.mu.Lock()
 			defer relay.mu.Unlock()
-			if f.targets[index].StartProcess {
+			if f.targets[index].HasProcess {
 				do(relay)
 			}
 		}()
@@ -59,7 +59,7 @@
 	f.driver.RelayDown(relay.index, restartFailoverDelay.Microseconds())
 	f.emitRelayEvent(event.RelayStopping, relay)
 	if relay.stop() {
-		f.appendFailure(&f.kitErrors, "relay %d did not exit within %v of SIGTERM and was killed",
+		f.appendFailure(&f.rehearsalErrors, "relay %d did not exit within %v of SIGTERM and was killed",
 			relay.index+1, stopTimeout)
 	}
 	f.emitRelayEvent(event.RelayKilled, relay) // also after an exit of its own: the process is gone
@@ -120,7 +120,7 @@
 		relay := f.relays[index]
 		relay.mu.Lock()
 		defer relay.mu.Unlock()
-		if !f.targets[index].StartProcess {
+		if !f.targets[index].HasProcess {
 			return
 		}
 		if !callConsole(relay.current.consoleAddr, command) {
@@ -138,11 +138,11 @@
 // configuration.
 func (f *plannedFault) reloadRelay(relay *managedRelay) {
 	if _, err := f.registry.ChangeAddress(relay.index); err != nil {
-		f.appendFailure(&f.kitErrors, "%v", err)
+		f.appendFailure(&f.rehearsalErrors, "%v", err)
 		return
 	}
 	if err := relay.writeConfig(); err != nil {
-		f.appendFailure(&f.kitErrors, "%v", err)
+		f.appendFailure(&f.rehearsalErrors, "%v", err)
 		return
 	}
 	relay.reload()
--- a/internal/rehearsal/runner/runner.go
+++ b/internal/rehearsal/runner/runner.go
@@ -44,9 +44,9 @@
 
 // RelayTarget holds the address of a relay and that of its discovery service.
 type RelayTarget struct {
-	Listen       string
-	Discovery    string
-	StartProcess bool // whether the rehearsal starts a process for it
+	Listen     string
+	Discovery  string
+	HasProcess bool // whether the rehearsal starts a process for it
 }
 
 // Outcome holds the observations of a rehearsal.
@@ -58,7 +58,7 @@
 	Violations       []checker.Violation
 	Restarts         checker.RestartCounts   // what became of the messages that restarted relays recovered
 	RelayFailures    []string                // crashes and other failures of relays
-	KitErrors        []string                // failures of emulators, load generator or runner; they make the run void
+	RehearsalErrors  []string                // failures of emulators, load generator or runner; they make the run void
 	Calls            []CallCounts            // by partner
 	UnservedRequests int                     // requests whose connection was refused, reset or closed without a reply
 	DriverLateness   event.Time              // how late the load generator submitted messages, at the 99th percentile
@@ -86,11 +86,11 @@
 	driver         *loadgen.Driver
 	planStart      atomic.Int64 // by the rehearsal's clock
 
-	mu            sync.Mutex
-	relayFailures []string       // see Outcome.RelayFailures
-	kitErrors     []string       // see Outcome.KitErrors
-	activeFaults  map[string]int // number of active faults, by name
-	background    sync.WaitGroup // goroutines of faults
+	mu              sync.Mutex
+	relayFailures   []string       // see Outcome.RelayFailures
+	rehearsalErrors []string       // see Outcome.RehearsalErrors
+	activeFaults    map[string]int // number of active faults, by name
+	background      sync.WaitGroup // goroutines of faults
 }
 
 // now returns the time of the rehearsal's clock, which starts at 0.
@@ -187,7 +187,7 @@
 		}
 		relay.env, relay.onCrash = env, r.relayCrashed
 		r.relays = append(r.relays, relay)
-		target := RelayTarget{Listen: relay.listen, Discovery: r.registry.Addr(i), StartProcess: true}
+		target := RelayTarget{Listen: relay.listen, Discovery: r.registry.Addr(i), HasProcess: true}
 		if r.options.ReplaceRelay != nil {
 			target = r.options.ReplaceRelay(i, target)
 		}
@@ -202,7 +202,7 @@
 	errs := make([]error, len(r.relays))
 	var starting sync.WaitGroup
 	for i, relay := range r.relays {
-		if !r.targets[i].StartProcess {
+		if !r.targets[i].HasProcess {
 			continue
 		}
 		starting.Add(1)
@@ -321,7 +321,7 @@
 	return time.Duration(ms)*time.Millisecond + finishGrace
 }
 
-// appendFailure appends a formatted text to relayFailures or kitErrors.
+// appendFailure appends a formatted text to relayFailures or rehearsalErrors.
 func (r *Rehearsal) appendFailure(to *[]string, format string, args ...any) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -333,7 +333,7 @@
 func (r *Rehearsal) collectOutcome() *Outcome {
 	emulatorLateness, err := r.endpointServer.TimerLag(latenessQuantile)
 	if err != nil {
-		r.appendFailure(&r.kitErrors, "%v", err)
+		r.appendFailure(&r.rehearsalErrors, "%v", err)
 	}
 	outcome := &Outcome{
 		Plan: r.plan, Start: r.planStart.Load(), End: r.now(), Results: r.driver.Results(),
@@ -348,7 +348,7 @@
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	outcome.RelayFailures, outcome.KitErrors = slices.Clone(r.relayFailures), slices.Clone(r.kitErrors)
+	outcome.RelayFailures, outcome.RehearsalErrors = slices.Clone(r.relayFailures), slices.Clone(r.rehearsalErrors)
 	return outcome
 }
 
--- a/internal/rehearsal/runner/runner_test.go
+++ b/internal/rehearsal/runner/runner_test.go
@@ -136,8 +136,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if len(o.KitErrors) > 0 {
-		t.Errorf("KitErrors = %q, want none", o.KitErrors)
+	if len(o.RehearsalErrors) > 0 {
+		t.Errorf("RehearsalErrors = %q, want none", o.RehearsalErrors)
 	}
 	return o
 }
