--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -25,9 +25,9 @@
 	"troutusher/policy"
 )
 
-// Settings are the settings of a core. Zones, Kinds, Classes and Tenants map names to
-// their indexes in the settings of the policy. Kinds are kinds of destination; the endpoint
-// list calls the name of a kind the flavor of an endpoint.
+// Settings are the settings of a core. Zones, DestinationKinds, Classes and Tenants
+// map names to their indexes in the settings of the policy. The endpoint list calls the name of a
+// destination's kind the flavor of its endpoints.
 type Settings struct {
 	Policy           policy.Settings
 	Seed             uint64 // of the policy's random numbers
@@ -56,7 +56,7 @@
 
 	messages          messageTable
 	endpoints         endpointTable
-	knownDestinations map[int]bool        // active destinations that a list has named
+	knownDestinations map[int]bool        // named by a list and not passive, see passivation.go
 	retryAfter        map[int]policy.Time // by destination: the time before which nothing is sent
 	listUpdate        *listUpdate         // the endpoint list that has been applied in part; nil for none
 	listBatchSize     int                 // members of listUpdate that are applied in one step
@@ -76,7 +76,7 @@
 	openCalls      int
 	listRevision   int64  // of the last endpoint list received
 	stateVersion   uint64 // see StateVersion
-	completedCalls uint64
+	completedCalls uint64 // see CompletedCalls
 }
 
 // New returns a core that holds no message.
@@ -100,8 +100,8 @@
 	}, nil
 }
 
-// Observe handles events without running the policy. To effects it appends those effects of
-// the events that need no decision of the policy. The next Step passes the events on to the
+// Observe handles events without running the policy. It appends to effects only what follows
+// from the events without a decision of the policy. The next Step passes the events on to the
 // policy.
 func (c *Core) Observe(now policy.Time, events []Event, effects []Effect) []Effect {
 	c.beginStep(now, effects)
--- a/internal/core/effect.go
+++ b/internal/core/effect.go
@@ -92,8 +92,9 @@
 // ForgetEndpoint discards the driver's state of an endpoint.
 type ForgetEndpoint struct{ Endpoint policy.EndpointID }
 
-// PassivateDestination discards the driver's state of a destination, which has no Retry-After in
-// force. When the destination is activated, the core emits OpenEndpoint for its endpoints again.
+// PassivateDestination discards the driver's state of a destination. The core emits it for an idle
+// destination, which it packs into a compact store. The destination has no Retry-After in force.
+// The next message for it activates it, and the core then emits OpenEndpoint for its endpoints again.
 type PassivateDestination struct{ Dest int }
 
 // Log writes a line to the process log.
--- a/internal/core/end.go
+++ b/internal/core/end.go
@@ -10,8 +10,8 @@
 
 // ClassCounts counts the ended messages of a class. Deferred counts messages that were
 // rejected or handed back; their clients can safely submit them again. A message is counted
-// when its end is certain: at the response of the call, at the rejection, or when the end is
-// logged and notified. A message is not counted if its client disconnected before it was
+// when its end is certain: at the response of the call, at the rejection, or when its end is logged
+// and the notice of it is sent. A message is not counted if its client disconnected before it was
 // accepted, or if its endpoint reported that the message had already ended (status 410).
 type ClassCounts struct{ Delivered, Deferred, Failed int64 }
 
@@ -35,7 +35,7 @@
 }
 
 // endMessage ends a message as the policy decided. If the message was submitted in this
-// step, it is rejected; otherwise its end is logged and notified.
+// step, it is rejected; otherwise its end is logged, and a notice of it is sent to the platform.
 func (c *Core) endMessage(action *policy.Action, outcome string) {
 	m := c.messages.byNumber[action.Message]
 	if m == nil || m.finished {
--- a/internal/core/endpoint.go
+++ b/internal/core/endpoint.go
@@ -9,7 +9,8 @@
 // forgetRetiredAfter is the minimum time for which a retired endpoint is remembered.
 const forgetRetiredAfter = policy.Time(10e6)
 
-// endpointState is the state of one endpoint of an active destination.
+// endpointState is the state of one endpoint of an active destination. Idle destinations are
+// passive: they and their endpoints are packed into a compact store (see passivation.go).
 type endpointState struct {
 	id          string
 	number      policy.EndpointID
@@ -22,13 +23,13 @@
 	listed      bool   // the list contains it, possibly as draining
 	retired     bool   // drained, removed or moved: nothing new is sent there
 	retiredAt   policy.Time
-	retryAfter  policy.Time // of this endpoint only, see hasIndependentRoutes
+	retryAfter  policy.Time // end of a Retry-After that applies to no other endpoint; see hasIndependentRoutes
 	lastReplyAt policy.Time // time of the last response of any kind
 	calls       []*Call     // the open calls
 }
 
-// suspectsIdleConnections records the result of a call and reports whether the endpoint's
-// idle connections must be closed. After a machine was unresponsive or crashed, a call on such
+// suspectsIdleConnections updates lastReplyAt with the result of a call, and reports whether the
+// endpoint's idle connections must be closed. After a machine was unresponsive or crashed, a call on such
 // a connection would hang or be reset, without certainty whether it has run.
 func (e *endpointState) suspectsIdleConnections(result *Result, now policy.Time) bool {
 	switch result.Outcome {
@@ -194,8 +195,9 @@
 	})
 }
 
-// handoverMembers returns the endpoints of active destinations that another core needs to
-// know.
+// handoverMembers returns the endpoints of active destinations that another core needs to know:
+// those in the list, and those that have left it but still have a Retry-After in force or an open
+// call. All except usable ones get the phase Draining.
 func (c *Core) handoverMembers() (all []HandoverMember) {
 	for _, endpoint := range c.endpoints.all {
 		member := HandoverMember{Member: endpoint.member, Number: endpoint.number, RetryAfter: endpoint.retryAfter}
--- a/internal/core/event.go
+++ b/internal/core/event.go
@@ -40,7 +40,7 @@
 	Result   *Result
 }
 
-// IdentityRejected reports that the identity of an endpoint could not be verified. Nothing
+// IdentityRejected reports that this relay has rejected the TLS identity of an endpoint. Nothing
 // is sent to the endpoint for Duration. A Duration of 0 reports that the identity has been
 // verified again.
 type IdentityRejected struct {
--- a/internal/core/listupdate.go
+++ b/internal/core/listupdate.go
@@ -36,8 +36,8 @@
 
 // applyList begins to apply an endpoint list. It first finishes a list that is still being
 // applied, so that the newer list takes precedence. It then applies the members of active
-// destinations, retires the active endpoints that a complete list does not name, and applies the
-// first batch of the other members.
+// destinations, retires those endpoints of active destinations that a complete list does not name,
+// and applies the first batch of the other members.
 func (c *Core) applyList(list *EndpointList, kind policy.ListUpdateKind) {
 	c.finishListUpdate()
 	c.listRevision = list.Revision
@@ -86,16 +86,16 @@
 			// list can have invalid members: lists from discovery were checked before.
 			continue
 		}
-		if endpoint, active := c.applyMember(member); active {
+		if policyUpdate, active := c.applyMember(member); active {
 			named[member.ID] = true
-			updates = append(updates, endpoint)
+			updates = append(updates, policyUpdate)
 		}
 	}
 	return named, updates
 }
 
-// forgetRetired forgets endpoints that were retired long ago, except the named ones.
-// Otherwise retired endpoints would accumulate in memory.
+// forgetRetired forgets endpoints that were retired long ago, because they would otherwise
+// accumulate in memory. It keeps the endpoints that the current list names.
 func (c *Core) forgetRetired(named map[string]bool) {
 	c.endpoints.removeFunc(func(endpoint *endpointState) bool {
 		if named[endpoint.id] || !endpoint.mayBeForgotten(c.now) {
@@ -117,8 +117,8 @@
 			continue
 		}
 		limit--
-		if endpoint, active := c.applyMember(member); active {
-			updates = append(updates, endpoint)
+		if policyUpdate, active := c.applyMember(member); active {
+			updates = append(updates, policyUpdate)
 		}
 	}
 	more = update.next < len(update.applied)
@@ -136,7 +136,8 @@
 	return more
 }
 
-// removeUnnamed removes the activated endpoints that a complete list has not named.
+// removeUnnamed removes the endpoints that are still in update.unnamed after the whole list has been
+// applied.
 func (c *Core) removeUnnamed(update *listUpdate) (updates []policy.EndpointUpdate) {
 	for _, id := range slices.Sorted(maps.Keys(update.unnamed)) {
 		if endpoint := c.endpoints.byID[id]; endpoint != nil {
@@ -148,8 +149,8 @@
 
 // endListUpdate ends the update after all members of its list have been applied. After a
 // complete list, the store removes the endpoints of passive destinations that the list did not
-// name. Destinations that lost endpoints in this way are recorded, because they may have none
-// left. Those that have been without an endpoint for forgetDepartedAfter are forgotten.
+// name. noteDeparture records the destinations that lost endpoints in this way, because they may
+// have none left. forgetDeparted forgets those that have had none for forgetDepartedAfter.
 func (c *Core) endListUpdate(update *listUpdate) {
 	if store := c.passivation.store; store != nil && update.complete {
 		for _, dest := range store.EndList() {
--- a/internal/core/outcome.go
+++ b/internal/core/outcome.go
@@ -71,7 +71,8 @@
 	c.finishWithAttempt(m, result)
 }
 
-// noteCompleted counts a completed attempt. A failed one also counts as a change of state.
+// noteCompleted counts a completed attempt. A failed one also counts as a change of state, see
+// StateVersion.
 func (c *Core) noteCompleted(outcome policy.Outcome) {
 	c.completedCalls++
 	switch outcome {
--- a/internal/core/packedstate.go
+++ b/internal/core/packedstate.go
@@ -10,7 +10,7 @@
 	"troutusher/policy"
 )
 
-// packedState is the learned state of a passive destination. It is encoded as CBOR (RFC 8949)
+// packedState is the learned state of a passive destination (see passivation.go). It is encoded as CBOR (RFC 8949)
 // with integer keys, and takes about 40 bytes if only latencies are known. Times are relative
 // to Now. There is no Retry-After, because a destination stays active while one is in force.
 type packedState struct {
@@ -18,6 +18,7 @@
 	Limiters []packedLimiter `cbor:"2,keyasint,omitempty"`
 }
 
+// packedLimiter holds those fields of policy.LimiterSnapshot that a passive destination keeps.
 type packedLimiter struct {
 	Endpoints    []packedEndpoint `cbor:"1,keyasint,omitempty"`
 	NominalRate  float32          `cbor:"3,keyasint,omitempty"`
@@ -27,6 +28,8 @@
 	Latency      *packedLatency   `cbor:"7,keyasint,omitempty"`
 }
 
+// packedEndpoint holds the fields of policy.EndpointSnapshot, with a hash in place of the ID. The
+// three fields Budget* hold its RecoveryBudget.
 type packedEndpoint struct {
 	Hash              uint32         `cbor:"1,keyasint"` // see endpointHash
 	Unhealthy         bool           `cbor:"2,keyasint,omitempty"`
--- a/internal/core/passivation.go
+++ b/internal/core/passivation.go
@@ -66,8 +66,8 @@
 	}
 }
 
-// activate activates a passive destination. It adds the endpoints of the destination, and
-// queues the policy event that reports them ahead of all later ones.
+// activate activates a passive destination. It adds the endpoints of the destination, and queues
+// the policy event that reports them. Events that refer to the endpoints are queued after it.
 func (c *Core) activate(dest int) {
 	if !c.isPassive(dest) {
 		return
@@ -82,7 +82,7 @@
 		stored := &endpoints[i]
 		member := memberFromStore(dest, stored)
 		update := c.updateEndpoint(&member)
-		if c.listUpdate != nil && c.listUpdate.complete && stored.Unconfirmed {
+		if c.listUpdate != nil && c.listUpdate.complete && stored.Unconfirmed { // not named by the list so far
 			c.listUpdate.unnamed[stored.ID] = true
 		}
 		numbers[endpointHash(stored.ID, stored.HostPort)] = update.Endpoint
@@ -195,7 +195,8 @@
 }
 
 // hasUnhealthyEndpoint reports whether the snapshot of a destination contains an unhealthy
-// endpoint. The destination is then included in state snapshots, so that a restart knows it.
+// endpoint. State snapshots include such a destination, so that the process that runs after a restart
+// knows of the unhealthy endpoint.
 func hasUnhealthyEndpoint(snapshot *policy.Snapshot) bool {
 	for i := range snapshot.Limiters {
 		if slices.ContainsFunc(snapshot.Limiters[i].Endpoints, isUnhealthy) {
--- a/internal/core/record.go
+++ b/internal/core/record.go
@@ -32,14 +32,15 @@
 	Notice  string `json:"notice,omitempty"`
 	RetryMS int64  `json:"retry_ms,omitempty"`
 	// For RecordAccepted after a compaction: the state of the message, which combines its
-	// earlier records. This is the number of attempts, the first attempt that may have run, and
-	// the attempt that has no outcome yet.
+	// earlier records. The fields hold the number of attempts, the time and zone of the first
+	// attempt that may have run, and the time and zone of the attempt that has no outcome yet.
 	Attempts           int   `json:"tries,omitempty"`
 	FirstUncertainAt   int64 `json:"doubt,omitempty"`
 	FirstUncertainZone int   `json:"doubt_in,omitempty"`
 	OpenAttemptAt      int64 `json:"out,omitempty"`
 	OpenAttemptZone    int   `json:"out_in,omitempty"`
 
+	// For RecordAccepted: the body of the message. It is written after the JSON, as it is.
 	Body []byte `json:"-"`
 }
 
--- a/internal/core/recoverymetrics.go
+++ b/internal/core/recoverymetrics.go
@@ -12,7 +12,8 @@
 // identity of the endpoint. The functions below count what became of such messages, by the
 // state in which each was found, so that the sums over all relays are consistent.
 
-// recoveryState tells whether a message was recovered, and in which state.
+// recoveryState says whether this process recovered a message from the write-ahead log and, if so,
+// whether the message had attempts before and has had one since.
 type recoveryState uint8
 
 const (
--- a/internal/core/shutdown.go
+++ b/internal/core/shutdown.go
@@ -63,7 +63,7 @@
 }
 
 // acceptsDuringShutdown reports whether a message is still accepted during a shutdown. If the
-// relay rejected every message, its slots would be idle until the process is killed, while
+// relay rejected every message, its slots for calls would be idle until the process is killed, while
 // other relays carry its load. It accepts a message that can be sent at once and whose response
 // can arrive before the process is killed. A message that would have to wait for the next process
 // should rather be submitted to another relay.
--- a/internal/lifecycle/lifecycle.go
+++ b/internal/lifecycle/lifecycle.go
@@ -53,6 +53,7 @@
 func (m *Machine) State() State { return m.state }
 
 // AcceptsClients reports whether the process accepts new clients. The reply to PING depends on it.
+// A stopping process still accepts them, until its listeners are closed.
 func (m *Machine) AcceptsClients() bool { return m.state == Serving || m.state == Stopping }
 
 // Ready answers whether the process can serve clients. A draining process can.
--- a/internal/relay/effects.go
+++ b/internal/relay/effects.go
@@ -10,8 +10,8 @@
 	"troutusher/policy"
 )
 
-// errCallNotHandedOver means that the predecessor had a call in flight and did not pass
-// its connection on.
+// errCallNotHandedOver means that the predecessor, the process that handed over to this
+// one, had a call in flight and did not pass its connection on.
 var errCallNotHandedOver = errors.New("resume call: predecessor did not hand over its connection")
 
 // execute executes the core's effects in their order.
--- a/internal/relay/firstlist.go
+++ b/internal/relay/firstlist.go
@@ -20,8 +20,10 @@
 // Only tests set these variables. 0 and nil select the defaults of packages discovery
 // and membersource.
 var (
+	// watchSilenceTimeout is the time after which a watch that sends nothing is cancelled.
 	watchSilenceTimeout time.Duration
-	helperCommand       func() (*exec.Cmd, error)
+	// helperCommand returns the command of the helper process that watches etcd.
+	helperCommand func() (*exec.Cmd, error)
 )
 
 // listEvent returns the event for a list that discovery sent, which is either complete
@@ -58,7 +60,7 @@
 	case <-r.ctx.Done():
 		return
 	}
-	if r.members != nil {
+	if r.members != nil { // the merger may still hold lists that arrived before
 		r.members.AfterQueued(func() { r.post(core.Started{}) })
 		return
 	}
@@ -130,8 +132,8 @@
 // collectFirstLists waits for the first lists of discovery, at most for
 // firstListTimeout. It is called before the event loop runs: in a process that is about
 // to take over while its predecessor still serves, and in one that has no known list.
-// The result doesn't include the list in the configuration, since the predecessor's is
-// newer.
+// The result doesn't include the list in the configuration: if there is a predecessor,
+// its list is newer.
 func (r *Relay) collectFirstLists() (lists []core.EndpointListUpdated) {
 	timeout := time.NewTimer(firstListTimeout)
 	defer timeout.Stop()
--- a/internal/relay/startup.go
+++ b/internal/relay/startup.go
@@ -187,7 +187,7 @@
 // predecessor still serves.
 func (s *startup) acquireState() error {
 	s.firstLists = sync.OnceValue(s.collectFirstLists)
-	if s.members != nil { // lists come from the merger, which starts later
+	if s.members != nil { // lists come from the merger of discovery and etcd, which starts later
 		s.firstLists = func() []core.EndpointListUpdated { return nil }
 	}
 	s.incoming = &incomingHandover{relay: s.Relay, deadline: time.Now().Add(acquireTimeout), prepare: func() {
@@ -266,7 +266,7 @@
 func (s *startup) openLog() error {
 	s.stateSaver = newStateSaver(s.Relay)
 	diskLimit := int64(s.cfg.Limits.DiskMB) << 20
-	log, owed, err := wal.Open(wal.Options{
+	log, undelivered, err := wal.Open(wal.Options{
 		Dir:      s.cfg.State,
 		MaxBytes: diskLimit - s.stateSaver.diskReserve(diskLimit),
 		Logger:   s.log,
@@ -278,7 +278,7 @@
 	if err != nil {
 		return err
 	}
-	s.wal, s.recovered = log, owed
+	s.wal, s.recovered = log, undelivered
 	go log.Run()
 	s.closeLog = sync.OnceFunc(func() {
 		if err := log.Close(); err != nil {
--- a/internal/sendgate/sendgate.go
+++ b/internal/sendgate/sendgate.go
@@ -1,10 +1,10 @@
 // Package sendgate makes the final decision whether a call may be sent.
 //
-// A [Gate] holds whether calls to an endpoint may begin. A [Scope] holds the time until which
-// its endpoints have asked not to be called (Retry-After). It is a destination or, if the
-// destination's endpoints are independent routes, whose Retry-Afters do not apply to each
-// other, a single endpoint. The code that reads a Retry-After from a response must apply it
-// here before it does anything else with the response.
+// A [Gate] belongs to one endpoint and holds whether calls to it may begin. A [Scope] is a set of
+// endpoints and holds the time until which they have asked not to be called (Retry-After). The set
+// is usually all endpoints of a destination. If these are independent routes, a Retry-After of one
+// does not apply to the others, and each endpoint has a scope of its own. The code that reads a
+// Retry-After from a response must apply it here before it does anything else with the response.
 //
 // A call asks for permission twice, each time as late as possible. It asks before its first
 // byte: a drain stops the calls that have not begun by then. It asks again before its last
@@ -119,8 +119,8 @@
 
 // Permit is the permission to send one call.
 type Permit struct {
-	// SendBy is the deadline for sending the last byte; 0 for none. The call sets it right
-	// after [Gate.Acquire].
+	// SendBy is the deadline for sending the last byte, after which a repeated call would arrive
+	// too late for the dedup window; 0 for none. The call sets it right after [Gate.Acquire].
 	SendBy policy.Time
 
 	gate       *Gate
--- a/policy/admission.go
+++ b/policy/admission.go
@@ -9,7 +9,7 @@
 
 const (
 	pendingReserveDivisor = 16   // MaxPending/pendingReserveDivisor places are kept free
-	recoveredUntriedLoss  = 1e12 // over the time left in µs: more than the weight of any message
+	recoveredUntriedLoss  = 1e12 // divided by the µs to the deadline: more than any message's weight
 )
 
 // admit adds a new message to the queue of its destination, with its earlier attempts if another process
--- a/policy/aging.go
+++ b/policy/aging.go
@@ -8,7 +8,7 @@
 
 const (
 	staleSuccessRamps = 4  // ramp durations without a success after which an outage may have ended unnoticed
-	activationRate    = 10 // activations per second that count as isolated; other relays share larger bursts
+	activationRate    = 10 // activations per second up to which each one counts as isolated; see activate
 )
 
 // RestoreAfterRestart loads what an earlier process of this relay stored; shift converts its times to this
@@ -123,8 +123,8 @@
 // activate loads what Passivate returned for the destinations of endpoints that were just added. Their
 // first calls are sent one by one. An endpoint without a recent success may have had an outage
 // meanwhile, so it starts a ramp now. Its first call is sent at once, unless many destinations are
-// activated together: then each message may have reached another relay, and the relay waits for a
-// random amount of budget so that they do not all call in the same moment.
+// activated together. Then other relays may activate the same destinations for other messages, and
+// each relay waits for a random amount of budget, so that they do not all call in the same moment.
 func (e *Engine) activate(event *Event) {
 	e.loadLimiters(event.Snapshot, 0)
 	isolated := e.activations.take(e.now, 1, activationRate, activationRate)
--- a/policy/connection.go
+++ b/policy/connection.go
@@ -47,8 +47,9 @@
 	}
 }
 
-// trackConnectFailures tracks whether connections run out. A call without a connection is evidence only if
-// another call in flight at that time was answered: an endpoint that is down accepts no connection either.
+// trackConnectFailures tracks, for each kind of destination, whether endpoints run out of connections. A
+// call that gets no connection shows this only if another call in flight at that time was answered: an
+// endpoint that is down accepts no connection either.
 func (e *Engine) trackConnectFailures(call *call, outcome Outcome) {
 	endpoint := call.endpoint
 	ratio := &e.connectFailureRatios[endpoint.limiter.destination.kindIndex]
@@ -56,7 +57,7 @@
 	connectionsRanOut := answered && endpoint.connectFailedAt > call.sentAt // another call got none meanwhile
 	switch {
 	case outcome == ConnectFailed && endpoint.lastSuccessAt < call.sentAt:
-		endpoint.connectFailedAt = e.now // evidence if an answer to an earlier call follows
+		endpoint.connectFailedAt = e.now // counts only if an answer to an earlier call follows
 	case outcome == ConnectFailed || connectionsRanOut:
 		*ratio += (1 - *ratio) / connectFailureSpan
 		endpoint.connectFailedAt = 0
--- a/policy/dispatch.go
+++ b/policy/dispatch.go
@@ -125,8 +125,8 @@
 }
 
 // startCall makes a call with a destination's next message and the other messages that may share
-// it. A trial call carries only one message. If adaptive throttling drops the call, nothing is
-// sent and the limiter backs off.
+// it. A trial call, which is a call to an ejected endpoint, carries only one message. If adaptive
+// throttling drops the call, nothing is sent and the limiter backs off.
 func (e *Engine) startCall(destination *destination) {
 	endpoint := destination.nextEndpoint
 	limiter := endpoint.limiter
--- a/policy/outcome.go
+++ b/policy/outcome.go
@@ -3,10 +3,13 @@
 // The effect of an attempt's outcome on its message, its call, its endpoint and its limiter.
 
 const (
-	multiplierDecrease    = 0.75 // factor of the rate multiplier after a rejection
-	multiplierIncrease    = 1.08 // the same after a success, if the rate had held a call back
-	minRateMultiplier     = 0.5
-	unhealthyRejectionRun = 2 // rejections in a row over half an overload duration: closed, not just busy
+	multiplierDecrease = 0.75 // factor of the rate multiplier after a rejection
+	multiplierIncrease = 1.08 // the same after a success, if the rate had held a call back
+	minRateMultiplier  = 0.5
+
+	// An endpoint is unhealthy after this many rejections in a row, if they span at least half an overload
+	// duration, because it is then closed, not just busy.
+	unhealthyRejectionRun = 2
 )
 
 // startReply ends a message whose reply has begun to arrive, since it needs no further attempt.
--- a/policy/ratelimit.go
+++ b/policy/ratelimit.go
@@ -17,9 +17,9 @@
 	maxSlotShare          = 0.75 // share of the slots that one destination may use
 	maxSlotShareFailing   = 0.5  // the same while one of its endpoints is failing
 	rateReduction         = 0.5  // rate after a rejection, relative to what this relay recently sent
-	minReducedShare       = 0.5  // least rate after a rejection, relative to an even share of the limit
-	reducedRateRecovery   = 0.1  // even shares that are restored each second
-	shareExponent         = 0.75 // a relay's rate is limit/relays^shareExponent: small streams need room
+	minReducedShare       = 0.5  // least rate after a rejection, relative to an even share (limit/relays)
+	reducedRateRecovery   = 0.1  // part of an even share that a reduced rate regains per second
+	shareExponent         = 0.75 // a relay's rate is limit/relays^shareExponent: small streams have bursts
 	unlimitedCallsPerSlot = 2    // calls per second for each slot if no limit is known
 )
 
--- a/policy/recovery.go
+++ b/policy/recovery.go
@@ -7,7 +7,7 @@
 const (
 	failureScoreDecay   = 0.7 // weight of the past in an endpoint's failure score
 	unhealthyScore      = 0.6 // most calls fail; three failures in a row after only successes reach it
-	maxBackoffGrowth    = 3.0 // backoff, relative to the duration of the run of failures, with many relays
+	maxBackoffGrowth    = 3.0 // largest ratio of a backoff to the duration of the run of failures
 	recoveryBudgetShare = 1.0 // part of the recovery budget that is used
 	trialsPerMessage    = 2.0 // trial calls that all relays want, for each message submitted in the outage
 )
--- a/policy/retry.go
+++ b/policy/retry.go
@@ -7,7 +7,7 @@
 const (
 	maxAttemptNumber           = 255         // an attempt's number is one byte on the wire
 	dedupTransitTime           = Time(200e3) // for a retry's last byte to arrive; at most 1/20 of the window
-	nonIdempotentOverdueFactor = 4           // a call of non-idempotent messages gets this many times as long
+	nonIdempotentOverdueFactor = 4           // factor of the time until a non-idempotent call is overdue
 	overdueLatencyMultiple     = 4           // a call is overdue after this multiple of mean plus deviation
 )
 
@@ -67,9 +67,10 @@
 	return Time(endpoint.latency.upperBound(overdueLatencyMultiple))
 }
 
-// cancelOverdueCall cancels a call once it has been overdue while messages waited and all slots were
-// taken for as long. Until then it schedules the next check. The drawback is that nearly finished work
-// is repeated. Non-idempotent messages, which cannot be retried, get more time.
+// cancelOverdueCall cancels a call after its maximum duration, to free its slot for waiting messages. The
+// duration counts from the send of the call or from the time since when messages have waited with all
+// slots taken, whichever is later. Until then it schedules the next check. The drawback is that nearly
+// finished work is repeated. Non-idempotent messages, which cannot be retried, get more time.
 func (e *Engine) cancelOverdueCall(call *call) {
 	maxDuration := e.overdueAfter(call.endpoint) + 1
 	if call.messages[0].class.Idempotency == NonIdempotent {
--- a/policy/state.go
+++ b/policy/state.go
@@ -21,9 +21,9 @@
 	tenantQuotas         []tokenBucket
 	activations          tokenBucket // an activation that finds a token here counts as isolated; see activate
 	callsInFlight        int
-	messagesInFlight     int // messages that have not ended and have an attempt in flight
-	timerAt              Time
-	polledAt             Time
+	messagesInFlight     int             // messages that have not ended and have an attempt in flight
+	timerAt              Time            // when the timer that was requested last fires
+	polledAt             Time            // when the endpoint list was last requested; 0 for never
 	shareDivisor         float64         // a destination's rate divided by this is this relay's share
 	shedPasses           int             // passes over all pending messages so far
 	nextSendTimeCalls    int             // calls of nextSendTime, the expensive part of a step
@@ -46,7 +46,7 @@
 	queueEmptyAt  Time // when all messages that wait now are expected to have been sent
 	nextMessage   *message
 	nextEndpoint  *endpoint
-	nextPriority  float64
+	nextPriority  float64 // weight that nextMessage loses by waiting, per µs of the usual latency
 }
 
 // limiter limits the calls to a destination, or to one route of a destination with independent routes. A Retry-After
@@ -78,12 +78,12 @@
 	limiter               *limiter
 	state                 Readiness
 	callsInFlight         int
-	connections           int
+	connections           int  // open connections, as far as the engine knows
 	backoffUntil          Time // end of the backoff of an endpoint that fails but is not unhealthy
 	idleSince             Time // end of the last call
 	idleCheckScheduled    bool
-	failureScore          float64
-	unhealthy             bool // ejected until a call succeeds, then recovering until the ramp is over
+	failureScore          float64 // exponentially smoothed share of failures, 0 to 1
+	unhealthy             bool    // ejected until a call succeeds, then recovering until the ramp is over
 	firstFailureAt        Time
 	lastFailureAt         Time
 	recoveredAt           Time // start of the recovery ramp; 0 if there was no success since the last failure
@@ -91,7 +91,7 @@
 	lastSuccessAt         Time
 	recoveryBudget        tokenBucket
 	requiredTokens        float64 // tokens that the next call takes from the budget
-	connectFailedAt       Time    // when a call last found no connection; 0 once a call in flight then is answered
+	connectFailedAt       Time    // when a call last got no connection; 0 once a call in flight then has been answered
 	lastFailureSilent     bool    // the last failure was one without an answer
 	connectCost           float64 // cost of opening a connection, in calls
 	identityRejectedUntil Time
