--- a/internal/certstore/store.go
+++ b/internal/certstore/store.go
@@ -39,7 +39,8 @@
 	RevocationLists  *tlspolicy.RevocationLists // nil where no file is named
 
 	// SHA-256 hashes of the roots file and of the certificate file. They are part of the
-	// identity of stored TLS sessions, so that none is resumed after one of the files has changed.
+	// identity under which TLS sessions are cached (see tlspolicy.SessionIdentity), so that no
+	// session is resumed after one of the files has changed.
 	RootsSum, CertificateSum []byte
 }
 
--- a/internal/connlimit/admission.go
+++ b/internal/connlimit/admission.go
@@ -14,9 +14,9 @@
 func (l *Limiter) tooManyUnvalidated() bool { return l.unvalidated >= l.limits.MaxUnvalidated }
 
 // Decide says what to do with the connection at the head of the listen queue, which must not be empty.
-// Below the limits it admits the connection. At a limit it evicts another connection for it if one may
-// be evicted; else it waits or rejects the connection, see waitOrReject. With Wait it returns the time
-// by which the caller has to call Decide again.
+// Below the limits it admits the connection. At a limit it evicts another connection to make room, if
+// one may be evicted. Otherwise the new connection waits or is rejected (see waitOrReject). With Wait
+// it returns the time by which the caller has to call Decide again.
 func (l *Limiter) Decide(now Time) (Decision, Time) {
 	if now < l.admitAfter {
 		return Wait, l.admitAfter
--- a/internal/connlimit/closing.go
+++ b/internal/connlimit/closing.go
@@ -15,11 +15,11 @@
 }
 
 // Shutdown closes all connections that have no command in progress, and closes every other connection
-// after its reply. It stays in effect until CancelShutdown is called. In StateIdleSingleUse, a connection
-// is idle after exactly one request.
+// after its reply. It stays in effect until CancelShutdown is called.
 func (l *Limiter) Shutdown(now Time) {
 	l.shuttingDown = true
-	for _, state := range []State{StateUnvalidated, StateIdleSingleUse, StateIdle} { // no command in progress
+	// The states without a command in progress. StateIdleSingleUse means idle after exactly one request.
+	for _, state := range []State{StateUnvalidated, StateIdleSingleUse, StateIdle} {
 		for l.byState[state].first >= 0 {
 			l.closeSlot(SlotID(l.byState[state].first), CloseShutdown, now)
 		}
--- a/internal/connlimit/limiter.go
+++ b/internal/connlimit/limiter.go
@@ -174,7 +174,8 @@
 		return
 	}
 	l.timers.Set(uint32(id), now+l.limits.IdleTimeout)
-	// One connection is evicted for each reply, the one that has been idle longest after one request.
+	// Each reply causes at most one eviction: of the connection that has been idle longest after a
+	// single request.
 	if l.withRequests > l.limits.SingleUseEvictionThreshold {
 		if oldest, ok := l.oldestIn(StateIdleSingleUse, now, 0); ok {
 			l.closeSlot(oldest, CloseEvictSingleUse, now)
--- a/internal/connlimit/limits.go
+++ b/internal/connlimit/limits.go
@@ -35,6 +35,7 @@
 	TimerTick Time
 }
 
+// Defaults of the limits, and the lower bound of retry delays, in microseconds.
 const (
 	// Some clients take 2 s to write a command and must still be served. A client that never completes
 	// its command must get an error within 3 s of connecting.
--- a/internal/connlimit/types.go
+++ b/internal/connlimit/types.go
@@ -60,8 +60,8 @@
 	// CloseFirstCommandTimeout means that no command was begun within FirstCommandTimeout. The
 	// protocol allows closing a connection without a pending request after 2 s.
 	CloseFirstCommandTimeout CloseReason = iota + 1
-	// CloseIdleTimeout means that the client has sent no command for IdleTimeout. The same rule
-	// allows it.
+	// CloseIdleTimeout means that the client has sent no command for IdleTimeout. The rule about 2 s
+	// without a pending request allows this too.
 	CloseIdleTimeout
 	// CloseCommandTimeout means that a command was begun and not completed in time. The protocol
 	// requires an error reply or a close within 3 s of connecting.
@@ -75,10 +75,11 @@
 	// CloseEvictSingleUse means that clients hold nearly as many connections as they can open, and that
 	// this one has made a single request. The server may close a connection between requests.
 	CloseEvictSingleUse
-	// CloseEvictIdle means that the slot is needed and this connection has been idle longest. The same
-	// rule allows it.
+	// CloseEvictIdle means that the slot is needed and this connection has been idle longest. The
+	// server may close a connection between requests.
 	CloseEvictIdle
-	// CloseShutdown means that the server shuts down or drains. The same rule allows it.
+	// CloseShutdown means that the server shuts down or drains. The server may close a connection
+	// between requests.
 	CloseShutdown
 	closeReasonCount
 )
@@ -103,9 +104,9 @@
 }
 
 // CloseAction tells the caller to close a connection. The caller first checks whether the connection
-// has input that it has not reported yet. If so, it reports that input and closes the connection only
-// after the reply. With CloseCommandTimeout and CloseEvictInvalid the connection ends, whatever it is
-// doing.
+// has input that was not reported to the limiter yet. If so, the caller reports that input and closes
+// the connection only after the reply. With CloseCommandTimeout and CloseEvictInvalid the connection
+// ends, whatever it is doing.
 type CloseAction struct {
 	Slot   SlotID
 	Reason CloseReason
--- a/internal/console/server.go
+++ b/internal/console/server.go
@@ -22,9 +22,9 @@
 	// the connection that has been open longest without sending a command.
 	maxConns = 12
 
-	readTimeout    = 15 * time.Second // from a connection's start to the end of its command
-	writeTimeout   = 2 * time.Second
-	acceptInterval = 50 * time.Millisecond // pause after a failed accept
+	readTimeout      = 15 * time.Second // from a connection's start to the end of its command
+	writeTimeout     = 2 * time.Second
+	acceptRetryDelay = 50 * time.Millisecond // pause after a failed accept
 )
 
 // Server accepts the console's connections, reads a command from each and replies to it.
@@ -62,7 +62,7 @@
 		}
 		if err != nil { // usually no free file descriptor
 			s.logger.Warn("console connection could not be accepted; accepting is paused briefly", "err", err)
-			time.Sleep(acceptInterval)
+			time.Sleep(acceptRetryDelay)
 			continue
 		}
 		if !s.admit(conn) {
--- a/internal/handover/outgoing.go
+++ b/internal/handover/outgoing.go
@@ -78,9 +78,9 @@
 	case LockRegained:
 		return o.lockRegained()
 	case LockUnavailable:
-		// The successor lives although the connection to it is lost. If it has not
-		// claimed ownership, it notices the lost connection and releases the lock; if it
-		// has, it is the owner.
+		// The successor lives although the connection to it is lost. If the successor has
+		// not claimed ownership, it notices the lost connection and releases the lock; if it
+		// has, it is the owner. Either way this process keeps trying the lock.
 		if o.mayHaveSuccessor() {
 			return TryLock
 		}
--- a/internal/handover/transfer/packet.go
+++ b/internal/handover/transfer/packet.go
@@ -27,7 +27,7 @@
 	PacketHello     = 'H' // a hello; each side sends one
 	PacketRequest   = 'T' // the successor is ready to take over
 	PacketReject    = 'N' // the predecessor cannot hand over now
-	PacketPart      = 'p' // the first part of a body that continues in the next packet
+	PacketPart      = 'p' // a part of a body that continues in the next packet
 	PacketState     = 'S' // a State
 	PacketListeners = 'L' // the listeners' descriptors
 	PacketClients   = 'C' // []respserver.ConnSnapshot, with one descriptor each
@@ -58,14 +58,15 @@
 	PID     int `json:"pid"`
 }
 
-// State is the state that is handed over, without the parts that have descriptors.
+// State is the state that is handed over, except for the parts that consist of file
+// descriptors (listeners, clients, calls and the lock), which have packets of their own.
 type State struct {
 	Core *core.HandoverState `json:"core"`
 	// ClockOrigin is the reading of the system's monotonic clock, in microseconds, at
 	// time 0 of the predecessor's core clock.
 	ClockOrigin int64 `json:"mono"`
-	// ClientsPausedAt is when the predecessor stopped reading from clients, on the
-	// system's monotonic clock; 0 if the predecessor didn't send it.
+	// ClientsPausedAt is when the predecessor stopped reading from clients, in microseconds
+	// on the system's monotonic clock; 0 if the predecessor didn't send it.
 	ClientsPausedAt int64 `json:"frozen,omitempty"`
 	// DiscoveryAddr is the discovery address from which the endpoint list was received.
 	DiscoveryAddr string `json:"agent,omitempty"`
--- a/internal/resp/reader.go
+++ b/internal/resp/reader.go
@@ -17,7 +17,7 @@
 	MaxArgs         = 16
 	MaxArgBytes     = 4 << 10  // maximum of every argument except the last
 	MaxBodyBytes    = 64 << 10 // maximum of the last argument
-	MaxSkippedBytes = 1 << 20  // longer arguments are an error; shorter ones, if too long, are skipped
+	MaxSkippedBytes = 1 << 20  // an argument over its maximum is skipped up to this size; a longer one is an error
 	maxHeaderBytes  = 32
 	maxKeptBuffer   = 8 << 10 // largest buffer that a reader keeps for its next command
 	minBuffer       = 256
--- a/internal/respserver/conn.go
+++ b/internal/respserver/conn.go
@@ -24,13 +24,13 @@
 // connections need at a time is in connBuffers.
 type conn struct {
 	fd              int32  // 0 or -1 when the slot is empty
-	sequence        uint32 // number of the slot's last command, also across connections
+	sequence        uint32 // number of the slot's last command; a new connection in the slot continues the count
 	mode            connMode
 	errorCount      uint8 // error replies so far
 	readable        bool  // unread input may be waiting in the socket
 	peerClosed      bool  // the client has closed, or the connection broke
 	inReadyQueue    bool
-	awaitingMemory  bool
+	awaitingMemory  bool           // waits in Server.memoryWaiters
 	draining        bool           // the limiter has asked for its close
 	closeAfterWrite bool           // close after the current reply
 	memory          int32          // bytes held for its commands
--- a/internal/respserver/handover.go
+++ b/internal/respserver/handover.go
@@ -17,9 +17,10 @@
 }
 
 // Export returns the listeners and connections of a paused server, or nil if the server has ended.
-// It leaves out connections that are being closed and connections in the middle of a command that
-// is too long to be kept. It returns at most maxConns connections: those with a command in progress
-// come first, then those that have made a request, then those that have sent any valid command.
+// It leaves out connections that are being closed, and connections in the middle of a command that
+// has an argument over the size limit, since the bytes of such a command are not kept. It returns at
+// most maxConns connections: those with a command or a reply in progress come first, then those that
+// have made a request, then those that have sent any valid command, then the others.
 func (s *Server) Export(maxConns int) (listenerFDs []int, conns []ConnSnapshot) {
 	finished := make(chan struct{})
 	s.runOnLoop(func() {
--- a/internal/respserver/poller_linux.go
+++ b/internal/respserver/poller_linux.go
@@ -17,7 +17,7 @@
 	eventEdgeTriggered = 1 << 31
 	eventsAll          = eventReadable | eventWritable | syscall.EPOLLRDHUP | eventEdgeTriggered
 
-	eventsPerWait = 256
+	eventsPerWait = 256      // maximum number of events that one poll or wait returns
 	wakeSlot      = -1 << 31 // slot number of the eventfd's events; no listener or connection has it
 	// runtimePollProbeTimeout is how long the runtime's poller may take to report a test event.
 	runtimePollProbeTimeout = 200 * time.Millisecond
--- a/internal/respserver/read.go
+++ b/internal/respserver/read.go
@@ -135,7 +135,7 @@
 		c.reader = s.takeReader()
 	}
 	n, complete, err := c.reader.Feed(input)
-	inSync := err == nil || errors.Is(err, resp.ErrTooLong)
+	inSync := err == nil || errors.Is(err, resp.ErrTooLong) // it is known where the next command begins
 	if rest := input[n:]; len(rest) > 0 && inSync {
 		if !owned {
 			rest = append([]byte(nil), rest...)
--- a/internal/respserver/server.go
+++ b/internal/respserver/server.go
@@ -120,8 +120,9 @@
 	busy bool // the last turn had events
 	// tasksOnly means that the poller was woken for tasks. The next turn then reads no client input:
 	// client sockets are only served after a turn in which the runtime could poll the sockets of
-	// endpoints too. Otherwise, on one core, this goroutine, the one that replies and the log could
-	// keep each other running forever and accept messages while no endpoint's socket is polled.
+	// endpoints too. Otherwise three goroutines could keep each other running forever on one core: this
+	// one, and the two that send replies (those of the relay's event loop and of the write-ahead log).
+	// The relay would then accept messages while no endpoint's socket is polled.
 	tasksOnly bool
 }
 
@@ -160,7 +161,7 @@
 }
 
 // handleEvents records events in their connections and listeners. While events fill the poller's
-// buffer it polls for more, so that the times since when connections are readable are not too late.
+// buffer it polls for more, so that the recorded times at which connections became readable are not too late.
 // It reports whether there was any event of a client.
 func (s *Server) handleEvents(events []syscall.EpollEvent) (found bool) {
 	now := s.now()
--- a/internal/respserver/shutdown.go
+++ b/internal/respserver/shutdown.go
@@ -50,8 +50,8 @@
 	}
 	inProgress := false
 	s.forEachConn(func(slot uint32, c *conn) {
-		silent := s.limiter.State(connlimit.SlotID(slot)) == connlimit.StateUnvalidated
-		isNew := silent && now-c.readyAt < shutdownGrace.Microseconds()
+		unvalidated := s.limiter.State(connlimit.SlotID(slot)) == connlimit.StateUnvalidated
+		isNew := unvalidated && now-c.readyAt < shutdownGrace.Microseconds()
 		inProgress = inProgress || isNew || c.mode != modeReading || c.reader != nil
 	})
 	return inProgress
--- a/internal/tlsdial/conn.go
+++ b/internal/tlsdial/conn.go
@@ -22,7 +22,7 @@
 	records    *recordTracker
 	raw        net.Conn
 	endpoint   *Endpoint
-	generation uint64    // of the rule's files that the identity was verified with
+	generation uint64    // rule.generation of the files that the identity was verified with
 	validUntil time.Time // when the first of the verified certificates expires
 }
 
--- a/internal/tlsdial/dialer.go
+++ b/internal/tlsdial/dialer.go
@@ -24,9 +24,9 @@
 
 const (
 	reloadInterval  = time.Second
-	busyRetryDelay  = 100 * time.Millisecond // after the budget did not grant a scheduled handshake
-	warningInterval = 24 * time.Hour
-	reportingMargin = 500 * time.Millisecond // from the end of a handshake until it is reported
+	busyRetryDelay  = 100 * time.Millisecond // until a scheduled handshake that could not begin is tried again
+	warningInterval = 24 * time.Hour         // between two warnings that the same item expires
+	reportingMargin = 500 * time.Millisecond // allowance for reporting the result after a handshake has ended
 )
 
 // Options holds the settings of a Dialer.
@@ -42,8 +42,9 @@
 	OnRejected func(endpoint uint64, wait time.Duration)
 }
 
-// Dialer opens all TLS connections to endpoints, and accounts for them. Its methods are
-// safe for concurrent use, except Run and ReloadFiles, which only one goroutine may call.
+// Dialer opens all TLS connections to endpoints. It keeps the trust state of the endpoints,
+// the handshake budget and the sessions for resumption. Its methods are safe for concurrent
+// use, except Run and ReloadFiles, which only one goroutine may call.
 type Dialer struct {
 	options          Options
 	handshakeTimeout time.Duration
@@ -56,7 +57,7 @@
 	sessions     *tlspolicy.SessionCache[*tls.ClientSessionState]
 	sessionKey   []byte // encrypts stored sessions; nil where sessions are not stored
 	endpoints    map[uint64]*Endpoint
-	lastWarnings map[string]time.Time // of each expiry warning, by rule and expiring item
+	lastWarnings map[string]time.Time // when the last expiry warning was logged, by rule and expiring item
 	counts       Counts
 }
 
@@ -64,7 +65,7 @@
 // destinations must prove, with the current content of its files.
 type rule struct {
 	settings       *operatorconfig.TLSRule
-	policy         tlspolicy.Rule // without Roots; those come from files
+	policy         tlspolicy.Rule // its Roots are not set; verify takes them from files
 	files          *certstore.Store
 	generation     atomic.Uint64 // incremented when the files change
 	earliestExpiry atomic.Int64  // of the certificates verified under the rule, in Unix seconds; 0 before the first
--- a/internal/tlsdial/endpoint.go
+++ b/internal/tlsdial/endpoint.go
@@ -24,11 +24,14 @@
 // trustKey returns the endpoint's key in the trust tracker and in the handshake budget.
 func (e *Endpoint) trustKey() int { return int(e.number) }
 
-// Endpoint registers an endpoint of a destination. It returns nil for a destination
-// without TLS. retryHandshake is called on the retry schedule while the endpoint is
-// rejected, which means that the relay did not accept the endpoint's identity, or the
-// endpoint not the relay's: retryHandshake has to call Acquire with scheduled set and begin a
-// handshake, and reports whether it began one.
+// Endpoint registers an endpoint of a destination. number identifies the endpoint in
+// Options.OnRejected and in logs. flavor is the kind of the destination, from the endpoint
+// list; a TLS rule can apply to a flavor. Endpoint returns nil for a destination without TLS.
+//
+// An endpoint is rejected while the relay does not accept the endpoint's identity, or the
+// endpoint does not accept the relay's. During that time retryHandshake is called on the
+// retry schedule: it has to call Acquire with scheduled set and begin a handshake, and
+// reports whether it began one.
 func (d *Dialer) Endpoint(number uint64, dest int, flavor string, retryHandshake func() bool) *Endpoint {
 	if d == nil {
 		return nil
@@ -111,7 +114,8 @@
 	e *Endpoint, rejection *tlspolicy.IdentityError, scheduled bool, now time.Time,
 ) (time.Time, error) {
 	may, retryAt := d.trust.MayRetry(e.trustKey(), now)
-	// A message cannot change why the endpoint is rejected, so it causes no handshake.
+	// A message does not change the reason for the rejection, so a call starts no handshake with
+	// a rejected endpoint. Only the retry schedule does.
 	if !scheduled {
 		wait := max(retryAt.Sub(now), busyRetryDelay)
 		d.options.OnRejected(e.number, wait+d.handshakeTimeout+reportingMargin)
--- a/internal/tlsdial/expiry.go
+++ b/internal/tlsdial/expiry.go
@@ -14,9 +14,9 @@
 	}
 }
 
-// warnExpiring logs a warning if the item that what names expires soon, at the time end. It
-// logs each item of a rule at most once in warningInterval. With a zero end it does nothing.
-// The caller holds mu.
+// warnExpiring logs a warning if an item of a rule expires soon. what is the item's name in
+// the log, and end is when it expires; a zero end means that there is no such item. A warning
+// about the same item is logged at most once in warningInterval. The caller holds mu.
 func (d *Dialer) warnExpiring(r *rule, what string, end time.Time) {
 	if end.IsZero() {
 		return
@@ -37,7 +37,7 @@
 
 // DaysLeft calls f with the name of each rule and the number of days until the first of
 // its certificates expires: the relay's own one, or one that was verified under the rule. A
-// rule without any is left out.
+// rule without any such certificate is left out.
 func (d *Dialer) DaysLeft(f func(name string, days float64)) {
 	now := d.options.Clock()
 	for _, r := range d.rules {
--- a/internal/tlsdial/handshake.go
+++ b/internal/tlsdial/handshake.go
@@ -209,7 +209,9 @@
 	case !ok:
 		cause = tlspolicy.NoCommonParameters
 	case h.certificateRequested && cause == tlspolicy.NoCommonParameters:
-		cause = tlspolicy.ClientCertificateRejected // RFC 5246 section 7.4.6: the alert for a missing certificate
+		// With TLS 1.2 an endpoint may report a missing client certificate by the alert
+		// handshake_failure (RFC 5246 section 7.4.6).
+		cause = tlspolicy.ClientCertificateRejected
 	}
 	return &tlspolicy.IdentityError{Cause: cause, Rule: h.permit.endpoint.rule.settings.Name, Err: err}
 }
--- a/internal/tlsdial/ticketcache.go
+++ b/internal/tlsdial/ticketcache.go
@@ -19,7 +19,7 @@
 
 	mu         sync.Mutex
 	toOffer    *tls.ClientSessionState // nil after it was offered
-	offered    *tls.ClientSessionState
+	offered    *tls.ClientSessionState // the session that Get returned; nil before that and after commit
 	validUntil time.Time               // when the endpoint's verification expires; zero until commit records it
 	received   *tls.ClientSessionState // the newest session received before commit
 	onReceived func()                  // called when received is set
@@ -64,10 +64,10 @@
 }
 
 // commit records that the endpoint's identity was verified, and stores the session that was
-// received before. Sessions that arrive later are stored by Put.
-// If there is none and reusable is set, it stores the offered session again: a TLS 1.2
-// session that was resumed remains valid if the endpoint sends no new one (RFC 5077
-// section 3.3). The caller holds the dialer's mu.
+// received before. If none was received and reusable is set, commit stores the offered
+// session again: a TLS 1.2 session that was resumed remains valid if the endpoint sends no
+// new one (RFC 5077 section 3.3). Put stores the sessions that arrive later. The caller
+// holds the dialer's mu.
 func (t *ticketCache) commit(validUntil time.Time, reusable bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/internal/tlspolicy/budget.go
+++ b/internal/tlspolicy/budget.go
@@ -20,14 +20,15 @@
 	handshakeKindCount
 )
 
-// costSmoothing is the divisor by which the expected cost moves towards a measured cost.
+// costSmoothing is the divisor in the smoothing of the expected cost: each measured cost moves
+// the expected one by the difference between the two, divided by costSmoothing.
 const costSmoothing = 8
 
 // HandshakeLimits holds the settings of a HandshakeBudget.
 type HandshakeLimits struct {
 	Share       float64          // of one core's CPU time, for handshakes
 	Burst       time.Duration    // CPU time that may be used at once
-	Cost        [2]time.Duration // CPU time in the relay, full and resumed, until it is measured
+	Cost        [2]time.Duration // by HandshakeKind: CPU time in the relay that is expected until it is measured
 	MaxParallel int              // handshakes in flight with one endpoint
 }
 
@@ -67,7 +68,7 @@
 	refilledAt   time.Time
 	available    time.Duration                     // CPU time; negative if a handshake took more than expected
 	cost         [handshakeKindCount]time.Duration // expected CPU time
-	inFlightWith map[int]int                       // handshakes in flight by endpoint; 0 has no entry
+	inFlightWith map[int]int                       // handshakes in flight by endpoint, without zero entries
 	inFlight     int
 }
 
@@ -101,10 +102,11 @@
 }
 
 // Reserve requests CPU time for a handshake with an endpoint, which the caller identifies by
-// a number of its choice. An endpoint that is warming up, as package policy has determined,
-// has one handshake in flight at a time, so that later handshakes can resume its session,
-// and calls can use its connection. If the request is not granted, retryAt is when to ask
-// again; zero means after another handshake with the endpoint has ended.
+// a number of its choice. With warmingUp, the endpoint has at most one handshake in flight, so
+// that later handshakes can resume the session of the first one, and calls can use the
+// connection that it opens; package policy determines which endpoints are warming up. If the
+// request is not granted, retryAt is when to ask again; zero means after another handshake
+// with the endpoint has ended.
 func (b *HandshakeBudget) Reserve(
 	endpoint int, kind HandshakeKind, warmingUp bool, now time.Time,
 ) (r Reservation, ok bool, retryAt time.Time) {
--- a/internal/tlspolicy/failure.go
+++ b/internal/tlspolicy/failure.go
@@ -9,7 +9,7 @@
 // Causes, in the order in which they are checked.
 const (
 	NoCertificate FailureCause = iota + 1 // the endpoint presented none
-	WeakKey                               // RSA under 2048 bits, a curve under 256, or an obsolete kind
+	WeakKey                               // RSA under 2048 bits, a curve under 256 bits, or an unsupported kind of key
 	NotYetValid                           // the leaf or an issuer (RFC 5280 section 4.1.2.5)
 	Expired
 	NameMismatch  // the name is not a subject alternative name of the leaf (RFC 6125 section 6)
--- a/internal/tlspolicy/rule.go
+++ b/internal/tlspolicy/rule.go
@@ -55,7 +55,7 @@
 
 // SettingError reports an invalid setting of a rule.
 type SettingError struct {
-	Key     string // in the operator's file
+	Key     string // name of the setting in the operator's file
 	Problem string
 }
 
@@ -181,7 +181,8 @@
 			"none of the %d keys in the chain is pinned; the pin of the leaf's key is %s",
 			len(chain), PinOf(chain[0])))
 	}
-	for i, c := range chain[:len(chain)-1] { // a root is removed from the settings, not revoked
+	// The root is not checked: to revoke it, operators remove it from the settings.
+	for i, c := range chain[:len(chain)-1] {
 		isLeaf, issuer := i == 0, chain[i+1]
 		status := evidence.status(c, issuer, isLeaf, now)
 		switch {
--- a/internal/tlspolicy/selector.go
+++ b/internal/tlspolicy/selector.go
@@ -5,9 +5,9 @@
 // The operator's settings determine the identity that a destination must prove. A rule
 // that names the destination's number takes precedence over one that names its flavour,
 // which is the kind of destination that the endpoint list states. A list can therefore move
-// a destination out of a rule that names only its flavour, by stating another one. So
-// operators name a destination whose identity matters by its number, which no list can
-// affect.
+// a destination out of a rule that names only its flavour, by stating another flavour for it.
+// So operators name a destination whose identity matters by its number: no list can change
+// which rule then applies.
 
 // RuleTarget is the set of destinations that one rule applies to.
 type RuleTarget struct {
@@ -18,8 +18,8 @@
 
 // RuleSelector finds the rule that applies to a destination.
 type RuleSelector struct {
-	byDestination map[int]int // indexes of the rules
-	byFlavor      map[string]int
+	byDestination map[int]int    // index of the rule that names a destination's number
+	byFlavor      map[string]int // index of the rule that names a flavour
 }
 
 // NewRuleSelector returns a selector for the rules with these targets. It returns an error
--- a/internal/tlspolicy/trust.go
+++ b/internal/tlspolicy/trust.go
@@ -25,7 +25,7 @@
 type trustState struct {
 	failure       *IdentityError // of the last rejection; nil unless the endpoint is rejected
 	rejectedSince time.Time      // the time of the first rejection since the last verification
-	retryAt       time.Time
+	retryAt       time.Time      // when the next scheduled handshake may begin
 	backoff       time.Duration
 	retrying      bool      // a scheduled handshake is in flight
 	validUntil    time.Time // when the last verification expires; zero unless the endpoint is verified
@@ -125,7 +125,8 @@
 	return message
 }
 
-// validityFailures returns 1 for a certificate outside its validity period, else 0.
+// validityFailures returns 1 if the identity was rejected because a certificate is outside its
+// validity period, else 0.
 func validityFailures(f *IdentityError) int {
 	if f.Cause == Expired || f.Cause == NotYetValid {
 		return 1
@@ -154,7 +155,7 @@
 }
 
 // RecordInconclusive records that a handshake ended without a verdict, as by a reset or a
-// timeout. The trust state does not change.
+// timeout. The endpoint stays rejected or verified, if it was.
 func (t *TrustTracker) RecordInconclusive(key int) { t.state(key).retrying = false }
 
 // Remove removes an endpoint.
--- a/internal/upstream/call.go
+++ b/internal/upstream/call.go
@@ -26,11 +26,11 @@
 	// SendBy is the latest time, by the pool's clock, at which the last byte may be
 	// written; after it the call is not sent. 0 means no limit.
 	SendBy policy.Time
-	// WarmingUp reports that the endpoint is warming up: its TLS connections are opened
-	// one at a time. The endpoint's TLS settings can give a handshake a cost, which counts
-	// against the rate of calls that the endpoint may get while it warms up (see
-	// ChargesHandshakes in package tlsdial). In that case only calls with MayConnect open
-	// connections to it.
+	// WarmingUp reports that the endpoint is warming up, which means that it recovers from
+	// an outage and gets calls at a limited rate. Its TLS connections are then opened one at
+	// a time. The endpoint's TLS settings can also give a handshake a cost, which counts
+	// against that rate (see ChargesHandshakes in package tlsdial). If they do, only calls
+	// with MayConnect open connections to the endpoint.
 	WarmingUp bool
 	// MayConnect reports that the policy has charged the handshake for a new connection
 	// against the endpoint's rate, so that this call may open one.
@@ -53,7 +53,7 @@
 
 	mu        sync.Mutex
 	conn      *poolConn // nil until the last byte is written
-	suspended bool
+	suspended bool      // the call waits for a value from resumeHere
 	// resumeHere is nil unless InFlight.Suspend has asked the call to suspend. The channel
 	// then receives true if the call continues in this process, and false if another
 	// process has adopted it.
@@ -214,13 +214,14 @@
 		_ = conn.recordAlert(result.Err)
 		if result.Outcome != policy.Delivered && (result.Err != nil || result.Malformed) {
 			// The connection is closed before the result is reported. The message may be sent
-			// again as soon as it is, and while this connection is open, the endpoint counts
-			// this call and the new one as two copies of the message.
+			// again as soon as the result is known, and if this connection were still open
+			// then, the endpoint would count this call and the new one as two copies of the
+			// message.
 			conn.discard()
 			discarded = true
 		}
-		// With status 200 this happens before the header and the body are read. Reading them
-		// is limited by responseReadTimeout, which started at the first byte.
+		// With status 200 the result is reported before the header and the body are read.
+		// responseReadTimeout, which started at the first byte, bounds the time for reading them.
 		report(result)
 	})
 	switch ended := !unwatch(); {
--- a/internal/upstream/endpoint.go
+++ b/internal/upstream/endpoint.go
@@ -13,7 +13,7 @@
 // Endpoint is an endpoint whose connections are kept in a [Pool].
 type Endpoint struct {
 	pool    *Pool
-	gate    *sendgate.Gate
+	gate    *sendgate.Gate // decides whether calls may be sent
 	address string
 	dial    func(ctx context.Context, address string) (net.Conn, error)
 	peer    *tlsdial.Endpoint // nil if the endpoint does not use TLS
--- a/internal/upstream/health.go
+++ b/internal/upstream/health.go
@@ -17,6 +17,8 @@
 	ctx, cancel := context.WithTimeout(ctx, healthCheckTimeout)
 	defer cancel()
 	result := e.checkHealth(ctx, cancel)
+	// The check ended without a response when its time was over. If the send gate stopped it, it was
+	// not sent, and that result stays.
 	if ctx.Err() != nil && result.Status == 0 && !sendgate.IsRefusal(result.Err) {
 		result.Outcome = policy.TimedOut
 	}
--- a/internal/upstream/inflight.go
+++ b/internal/upstream/inflight.go
@@ -133,7 +133,7 @@
 	c.conn = conn
 	switch {
 	case c.resumeHere == nil:
-	case conn.tls != nil:
+	case conn.tls != nil: // a call over TLS cannot be suspended, so it ends in this process
 		c.resumeHere = nil
 	default:
 		conn.expireReadsAt(pastDeadline)
--- a/internal/upstream/pool.go
+++ b/internal/upstream/pool.go
@@ -17,8 +17,9 @@
 	// An endpoint that sends extra bytes after a response sends them with it or
 	// immediately after it; the delay makes sure that they are noticed first.
 	reuseDelay = 5 * time.Millisecond
-	// defaultStaleCheckDelay is how long a call waits before its last byte, so that a
-	// connection that its endpoint has closed is recognised in time.
+	// defaultStaleCheckDelay is how long a call waits before it writes its last byte. If the
+	// endpoint has closed the connection, the bytes written before cause a reset, which
+	// arrives during this wait, so that the call is not sent.
 	defaultStaleCheckDelay = 3 * time.Millisecond
 	// maxIdleMargin is the upper limit of the margin for short keep-alive times; see
 	// [IdleMargin].
--- a/internal/upstream/response.go
+++ b/internal/upstream/response.go
@@ -123,7 +123,7 @@
 }
 
 // applyRetryAfter closes the send gate for the Retry-After time of a response and returns
-// that time. It applies as soon as the head is read, even if the rest of the response
+// that time. The time applies as soon as the head is read, even if the rest of the response
 // turns out to be malformed.
 func (e *Endpoint) applyRetryAfter(status int, head http.Header) policy.Time {
 	if status != http.StatusTooManyRequests {
@@ -175,8 +175,10 @@
 	return policy.Time(seconds * 1e6), nil
 }
 
-// parseLoad parses a load report such as "x0=0.4,x1=25". Invalid values are skipped, and
-// without fields the whole header is ignored.
+// parseLoad parses a load report such as "x0=0.4,x1=25": x0 is the unused share of the rate
+// limit, and x1 the rate limit in calls per second. Invalid values are skipped.
+// If fields is empty, which means that the endpoint's load reports are not used, the whole
+// header is ignored.
 func parseLoad(header string, fields []string) (load policy.LoadReport) {
 	if len(fields) == 0 {
 		return load
--- a/internal/upstream/tlsconn.go
+++ b/internal/upstream/tlsconn.go
@@ -32,7 +32,7 @@
 // retryHandshake starts a handshake with an endpoint that gets no calls, because the relay
 // rejected the endpoint's certificate or the endpoint rejected the relay's. The TLS dialer
 // calls it at the times of its retry schedule. As with an endpoint that is warming up, only
-// one handshake at a time is in flight. It reports whether it started a handshake.
+// one handshake at a time is in flight. The result reports whether a handshake was started.
 func (e *Endpoint) retryHandshake() bool {
 	e.pool.mu.Lock()
 	e.connecting++
--- a/internal/upstream/tlswait.go
+++ b/internal/upstream/tlswait.go
@@ -59,9 +59,10 @@
 
 // acquireTLS returns an idle connection, or waits until one becomes free or is opened. In
 // each round it checks the pool, starts a handshake if one is needed and allowed, and waits
-// until a connection changes, its handshake ends or the budget allows one. The error is a
-// handshakeBudgetError, a *tlsdial.RejectedError or errConnectNotAllowed if the connection
-// failed for a reason that says nothing about the endpoint's health.
+// for one of three events: the endpoint's connections change, the handshake that this call
+// started ends, or the handshake budget may allow one. The error is a handshakeBudgetError, a
+// *tlsdial.RejectedError or errConnectNotAllowed if the call got no connection for a reason
+// that says nothing about the endpoint's health.
 func (e *Endpoint) acquireTLS(ctx context.Context, request *connRequest) (*poolConn, error) {
 	timer := time.NewTimer(noRetry)
 	defer timer.Stop()
@@ -193,6 +194,6 @@
 		if w.connecting != nil { // a handshake is under way: the endpoint is slow
 			return ctx.Err()
 		}
-		return handshakeBudgetError{}
+		return handshakeBudgetError{} // this call had no handshake under way
 	}
 }
--- a/internal/upstream/upstream.go
+++ b/internal/upstream/upstream.go
@@ -61,7 +61,7 @@
 	Elapsed           policy.Time
 	Load              policy.LoadReport
 	Status            int  // status code of the response; 0 without a response
-	Malformed         bool // a response arrived that cannot be trusted
+	Malformed         bool // a response began to arrive, but it is incomplete or invalid
 	Err               error
 }
 
