--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -18,7 +18,7 @@
 	"troutusher/policy"
 )
 
-// FileEnvVar names the environment variable that names the configuration file.
+// FileEnvVar is the name of the environment variable that contains the path of the configuration file.
 const FileEnvVar = "ROUTER_CONFIG"
 
 // Config is the configuration of a relay.
@@ -28,20 +28,20 @@
 	Discovery string // host:port of the discovery agent
 	Console   string // host:port for operators; empty for none
 	State     string // the state directory, whose files survive a restart
-	Seed      uint64
+	Seed      uint64 // of this relay's random number generators
 	Limits    Limits
 	KnownList *core.EndpointList // the endpoint list in the platform's file, possibly outdated; may be nil
 
 	Policy         policy.Settings
 	ClientSettings operatorconfig.Clients // the zero value if there is no operator's file
 
-	PolicyStatePeriod time.Duration        // interval of writing the policy's state; 0 to not write it
-	Passivation       idlestore.Limits     // when idle destinations are moved to the compact idle store
-	MaxListBytes      int                  // maximum size of an endpoint list
-	Etcd              *operatorconfig.Etcd // nil if etcd is not used
-	TracesPerSecond   int                  // maximum number of messages per second with a complete trace in the log
-	TLSRules          []operatorconfig.TLSRule
-	Handshakes        operatorconfig.Handshakes
+	PolicyStatePeriod time.Duration             // interval of writing the policy's state; 0 to not write it
+	Passivation       idlestore.Limits          // when idle destinations are moved to the compact idle store
+	MaxListBytes      int                       // maximum size of an endpoint list
+	Etcd              *operatorconfig.Etcd      // nil if etcd is not used
+	TracesPerSecond   int                       // maximum number of messages per second that the log traces completely
+	TLSRules          []operatorconfig.TLSRule  // which destinations are called over TLS, and how
+	Handshakes        operatorconfig.Handshakes // settings for all TLS handshakes
 
 	// The policy uses indices instead of names. These maps contain the index of each name in
 	// the list of the settings that defines it.
--- a/internal/discovery/notices.go
+++ b/internal/discovery/notices.go
@@ -17,11 +17,11 @@
 const (
 	noticeConns    = 2
 	maxNoticeBatch = 64
-	// Doubles with each failure in a row. It is short because a kept connection may have gone silent:
-	// the second attempt then begins soon enough for the notice to arrive in time.
+	// The timeout doubles with each failure in a row. It starts short because a kept-alive connection
+	// may have gone silent: the second attempt then begins soon enough for the notice to arrive in time.
 	minNoticeTimeout = 200 * time.Millisecond
 	maxNoticeTimeout = 2 * time.Second
-	minNoticeBackoff = 50 * time.Millisecond // doubles with each failure in a row
+	minNoticeBackoff = 50 * time.Millisecond // the backoff doubles with each failure in a row
 	maxNoticeBackoff = 500 * time.Millisecond
 	maxReplyBytes    = 4 << 20 // reply bytes that are read and discarded so that the connection can be reused
 )
--- a/internal/idlestore/record.go
+++ b/internal/idlestore/record.go
@@ -64,8 +64,8 @@
 }
 
 // replaceRecord replaces the contents of a record, which moves the record, and returns the
-// new record. It updates the tables only for the endpoints of the old record: the caller
-// adds and removes the others.
+// new record. In the tables it only changes the positions of the endpoints of the old record. The
+// caller adds the endpoints that only the new record has, and removes those that it lacks.
 func (s *Store) replaceRecord(r record, state, endpoints []byte) record {
 	current, offset := &s.chunks[s.current], r.at.offset()
 	if r.at.chunk() == s.current && offset+r.size == len(current.data) {
--- a/internal/idlestore/table.go
+++ b/internal/idlestore/table.go
@@ -1,8 +1,9 @@
 package idlestore
 
 // table is a hash table of positions, with open addressing and linear probing. A hash can
-// have several positions and a position several hashes, so the caller must compare the
-// record at a position with the key that it looks up.
+// have several positions, because keys can have the same hash, so the caller must compare the
+// record at a position with the key that it looks up. A position can have several hashes,
+// because a record can contain several endpoints.
 //
 // The table is divided into parts by the upper bits of the hash. Each part grows on its
 // own, by a quarter at a time, so that an insertion moves at most one small part and few
--- a/internal/membership/apply.go
+++ b/internal/membership/apply.go
@@ -7,7 +7,7 @@
 
 // Apply applies an update to the view. It rejects an update whose revision is out of date or whose
 // base list is not known. Otherwise it records the unreadable entries, then the drains, then the
-// listed members, and last the removals, as far as they need no confirmation.
+// listed members, and last the removals that need no confirmation. It holds the other removals.
 func (v *View) Apply(now Time, u *Update) Verdict {
 	v.now = max(v.now, now)
 	t := &v.sources[u.Source]
--- a/internal/membership/doc.go
+++ b/internal/membership/doc.go
@@ -11,8 +11,9 @@
 //     states otherwise in a later update. No other source can revoke them.
 //   - The endpoints of a silent source remain in the view as last known. A silent source only
 //     loses its precedence over fresh sources.
-//   - An update must not remove more than a limited share of its source's endpoints. Removals
-//     beyond that are held until a complete list, read after a resync request, confirms them.
+//   - Within a time window, a source can remove only a limited share of its endpoints. Removals
+//     beyond that are held: the endpoints stay until a complete list that was read after a resync
+//     request confirms the removals.
 //     Drains are not limited, and neither are removals of endpoints that were draining.
 //   - Entries with the same id are the same endpoint, whichever source lists them. So are
 //     entries of different sources with the same address and destination; the endpoint then has
--- a/internal/membership/entry.go
+++ b/internal/membership/entry.go
@@ -12,7 +12,7 @@
 	revision     int64  // revision of the update that last changed the entry
 	updateNumber int64  // number of that update, since a source may restart its revisions
 	removedAt    Time   // set if the entry is removed
-	held         bool   // the source has removed it, but the removal has to be confirmed
+	held         bool   // the source has removed it, but it stays listed until a resync confirms the removal
 	unreadable   bool   // its value cannot be decoded, and a warning was given
 	viewID       string // the endpoint's id in the view
 	visitedBy    uint64 // number of the last walk that visited the entry
@@ -43,7 +43,7 @@
 	return newest
 }
 
-// newer reports whether a is newer than b: whether a later update stated it. Within one update,
+// newer reports whether the state of a comes from a later update than that of b. Within one update,
 // listed entries are newer than removed ones, and a higher id is newer than a lower one.
 func newer(a, b *entry) bool {
 	if a.updateNumber != b.updateNumber {
@@ -58,19 +58,19 @@
 // sourceTracker is the state of one source.
 type sourceTracker struct {
 	epoch        string
-	formerEpochs []string
+	formerEpochs []string // the oldest first; updates of these epochs are outdated
 	revision     int64
-	updates      int64 // number of accepted updates
-	known        bool  // a complete list was accepted or imported
-	lastHeard    Time  // time of its last update or heartbeat
-	fresh        bool  // it was heard within its StaleAfter
-	listedCount  int
+	updates      int64             // number of accepted updates
+	known        bool              // a complete list was accepted or imported
+	lastHeard    Time              // time of its last update or heartbeat
+	fresh        bool              // it was heard within its StaleAfter
+	listedCount  int               // number of entries that the source lists
 	entries      map[string]*entry // by the source's own id
 
 	// Removals in the current window.
-	windowStart    Time
-	windowBase     int // the highest listedCount in the window
-	windowRemovals int // unannounced removals in the window
+	windowStart    Time // 0 if there is no window
+	windowBase     int  // the highest listedCount in the window
+	windowRemovals int  // unannounced removals in the window
 
 	resyncRequested bool
 }
--- a/internal/membership/merge.go
+++ b/internal/membership/merge.go
@@ -6,7 +6,9 @@
 // one is used. It also returns the source that decided the phase, -1 for none. If no source lists
 // the endpoint, or one has removed it, the member's phase is Removed and ok is false.
 func (v *View) mergedMember(id string) (m Member, decidedBy int, ok bool) {
-	var first, fresh, rated *entry // among the entries that list it
+	// Of the entries that list the endpoint: the first one, the first one of a fresh source, and the
+	// one that gives the rate.
+	var first, fresh, rated *entry
 	highestRank := 0
 	decidedBy = -1
 	for i := range v.sources {
@@ -48,8 +50,9 @@
 }
 
 // sourceEntry returns the entry of a source for one of the view's endpoints, nil if there is none,
-// and the rank of its phase. If the source has two entries for the endpoint, the one whose id is
-// the view's describes the endpoint, and the higher rank of the two phases counts.
+// and the rank of its phase. The source can have two entries for the endpoint: its newest one, and one
+// whose id is the endpoint's id in the view. Then the latter is returned, unless only the newest one
+// is listed, and the rank is the higher one of the two phases.
 func (v *View) sourceEntry(viewID string, source int) (e *entry, rank int) {
 	e = newestEntry(v.byViewID[viewID], source)
 	if e == nil {
@@ -67,9 +70,9 @@
 	return e, rank
 }
 
-// reevaluate merges one of the view's endpoints again and, if it differs from its published state,
-// schedules its publication: drains, removals and lowered rates for the next step, other changes
-// in the queue of endpoints that come up.
+// reevaluate merges one of the view's endpoints again. If the result differs from the published state,
+// it schedules the publication: drains, removals and lowered rates are published in the next step,
+// and other changes join pendingUps, of which each step publishes a limited number.
 func (v *View) reevaluate(id string) {
 	m, decidedBy, ok := v.mergedMember(id)
 	p := v.published[id]
--- a/internal/membership/provenance.go
+++ b/internal/membership/provenance.go
@@ -13,7 +13,7 @@
 	Revision     int64   `json:"revision"`         // revision of the update that last changed the record
 	LastHeardAgo Time    `json:"heard_ago_us"`     // time since the source was last heard
 	Stale        bool    `json:"stale,omitempty"`  // the source has been silent for longer than its StaleAfter
-	Held         bool    `json:"held,omitempty"`   // removed by the source, but still listed until a resync confirms it
+	Held         bool    `json:"held,omitempty"`   // removed by the source; listed until a resync confirms the removal
 	Unreadable   bool    `json:"spoilt,omitempty"` // the last value that the source sent for it cannot be decoded
 }
 
--- a/internal/membership/publish.go
+++ b/internal/membership/publish.go
@@ -116,7 +116,7 @@
 }
 
 // forgetPublished deletes the published state of an endpoint that is not in the view, unless its
-// flaps still count.
+// flaps can still delay its return.
 func (v *View) forgetPublished(id string, p *publishedMember) {
 	if v.now >= p.lastDownAt+max(v.settings.HoldDown, v.settings.FlapWindow) {
 		delete(v.published, id)
--- a/internal/membership/state.go
+++ b/internal/membership/state.go
@@ -5,8 +5,8 @@
 	"slices"
 )
 
-// State is the state that is saved across restarts: the last list of each source. Its times are
-// ages, so that the processes need not share a clock.
+// State is the state that is saved across restarts: the last list of each source. It contains ages
+// instead of times, because the process that saves it and the one that loads it need not share a clock.
 type State struct {
 	Sources []SourceState `json:"sources"`
 }
@@ -26,7 +26,7 @@
 	Revision     int64 `json:"revision"`
 	UpdateNumber int64 `json:"word"` // number of the update that last changed the entry
 	RemovedAgo   Time  `json:"removed_ago_us,omitempty"`
-	Held         bool  `json:"held,omitempty"` // the source removed it, but the removal has to be confirmed
+	Held         bool  `json:"held,omitempty"` // removed by the source; listed until a resync confirms the removal
 }
 
 // Export returns the state to save. now is the time from which its ages count.
@@ -56,7 +56,7 @@
 }
 
 // Import loads the state of an earlier process into an empty view. It loads only sources that are
-// configured under the same name. They are stale until they are heard. Draining entries stay
+// configured under the same name. These sources are stale until they are heard. Draining entries stay
 // draining, and entries removed less than RemovalRetention ago stay removed. Invalid entries are
 // skipped.
 func (v *View) Import(now Time, state *State) {
@@ -78,33 +78,33 @@
 	t.known = true
 	t.lastHeard = v.now - v.settings.Sources[source].StaleAfter - 1
 	for i := range imported.Entries {
-		exported := &imported.Entries[i]
-		if exported.ID == "" || t.entries[exported.ID] != nil || !v.importable(exported) {
+		saved := &imported.Entries[i]
+		if saved.ID == "" || t.entries[saved.ID] != nil || !v.importable(saved) {
 			continue
 		}
-		number := min(exported.UpdateNumber, imported.Updates)
-		e := &entry{source: source, revision: exported.Revision, updateNumber: number}
-		t.entries[exported.ID] = e
-		if exported.Phase == Removed {
-			e.removedAt = v.now - exported.RemovedAgo
+		number := min(saved.UpdateNumber, imported.Updates)
+		e := &entry{source: source, revision: saved.Revision, updateNumber: number}
+		t.entries[saved.ID] = e
+		if saved.Phase == Removed {
+			e.removedAt = v.now - saved.RemovedAgo
 			v.removals = append(v.removals, removal{e, e.removedAt})
 		} else {
 			t.listedCount++
-			e.held = exported.Held
+			e.held = saved.Held
 			t.resyncRequested = t.resyncRequested || e.held
 		}
-		v.updateEntry(e, exported.Member)
+		v.updateEntry(e, saved.Member)
 	}
 }
 
-// importable reports whether an entry has a known phase and, if it is removed, whether the removal
+// importable reports whether a saved entry has a known phase and, if it is removed, whether the removal
 // has not expired.
-func (v *View) importable(exported *EntryState) bool {
-	switch exported.Phase {
+func (v *View) importable(saved *EntryState) bool {
+	switch saved.Phase {
 	case Up, Draining:
 		return true
 	case Removed:
-		return exported.RemovedAgo >= 0 && exported.RemovedAgo < v.settings.RemovalRetention
+		return saved.RemovedAgo >= 0 && saved.RemovedAgo < v.settings.RemovalRetention
 	}
 	return false
 }
--- a/internal/membership/update.go
+++ b/internal/membership/update.go
@@ -3,7 +3,7 @@
 // Update is an update from a source: its complete list, or changes to it.
 type Update struct {
 	Source        int      `json:"-"`     // index into Settings.Sources; set by the caller of Apply
-	Epoch         string   `json:"epoch"` // names the sequence that Revision belongs to, as of one address or cluster
+	Epoch         string   `json:"epoch"` // identifies the sequence of revisions: that of one address or cluster
 	Revision      int64    `json:"revision"`
 	Complete      bool     `json:"whole,omitempty"`   // Members are the source's whole list; else they are changes
 	Resync        bool     `json:"anew,omitempty"`    // a complete list that was read after the view requested a resync
@@ -20,7 +20,7 @@
 	Accepted       Verdict = iota + 1
 	Outdated               // not newer than the known revision, or of a former epoch
 	ResyncRequired         // a change to a list that is not known: the complete list is needed
-	RemovalsHeld           // accepted, except for removals that have to be confirmed
+	RemovalsHeld           // accepted, except for removals that a resync has to confirm
 )
 
 // String returns the verdict's name in logs.
@@ -31,7 +31,7 @@
 // Change is the new state of an endpoint in the view.
 type Change struct {
 	Member
-	DecidedBy int // the source that decided the phase
+	DecidedBy int // index of the source that decided the phase; -1 for none
 }
 
 // Warning is a message to the operator.
--- a/internal/membersource/helper.go
+++ b/internal/membersource/helper.go
@@ -37,7 +37,7 @@
 	Heartbeat bool               `json:"alive"`
 }
 
-// kitCommand returns the command of the kit program in the directory of this program.
+// kitCommand returns the command of troutusher-kit, the helperProgram, in the directory of this program.
 func kitCommand() (*exec.Cmd, error) {
 	self, err := os.Executable()
 	if err != nil {
--- a/internal/membersource/merger.go
+++ b/internal/membersource/merger.go
@@ -1,6 +1,6 @@
 // Package membersource merges the endpoint lists of discovery's registry and of etcd for a relay.
 // A Merger applies the updates of both to a membership.View, publishes the changes of the view,
-// saves it to disk, and runs the helper process that watches etcd.
+// saves the view to disk, and runs the helper process that watches etcd.
 //
 // A separate process watches etcd because the client libraries of etcd would enlarge every relay.
 // Package membership decides which updates to accept.
@@ -37,13 +37,14 @@
 	Log            *slog.Logger
 	OnChange       func(*core.EndpointList) // called with each change, in order
 	ResyncRegistry func()                   // must cause a fetch of the registry's complete list
-	// HelperCommand returns the command of the helper process that watches etcd; nil for the kit
-	// program in the directory of this program.
+	// HelperCommand returns the command of the helper process that watches etcd. nil selects the
+	// program troutusher-kit in the directory of this program.
 	HelperCommand func() (*exec.Cmd, error)
 }
 
-// sourceEvent is an update of a source; or a heartbeat of it, if update is nil; or a callback, to be
-// called when all events queued before it have been published.
+// sourceEvent is a queued event. With a callback it asks for a call of that function once all events
+// queued before it have been published. Otherwise it is an update of a source or, if update is nil, a
+// heartbeat of the source.
 type sourceEvent struct {
 	source   int
 	update   *membership.Update
@@ -56,12 +57,12 @@
 	queue          *mailbox.Mailbox[sourceEvent]
 	etcdResync     chan struct{} // holds a value while a resync request waits to be sent to the helper
 	startedAt      time.Time
-	path           string
-	etcd, registry int // indexes of the view's sources
+	path           string // of the members file
+	etcd, registry int    // indexes of the view's sources
 
 	// Used only by Restore and then by Run's goroutine.
 	view             *membership.View
-	registryRevision int64
+	registryRevision int64  // revision of the registry's latest list; all published lists carry it
 	resyncRequested  []bool // by source: the view wants its complete list read again
 	resyncEpoch      string // the registry's epoch when its resync was last requested
 	missingBaseEpoch string // the registry's last epoch in which a change came without the list that it changes
--- a/internal/metrics/metrics.go
+++ b/internal/metrics/metrics.go
@@ -45,9 +45,9 @@
 	NotSent             = "not_sent"
 	FirstAttempts       = "firsts"
 	FirstAttemptDelayMS = "first_ms" // sum over first attempts of the time since the message arrived, in ms
-	GivenUp             = "given_up" // messages that ended undelivered and were not handed back
-	HealthChecks        = "probed"
-	Untraced            = "untold" // messages that are not traced from their submission on
+	GivenUp             = "given_up" // messages that ended undelivered and were not handed back (see HandedBackPrefix)
+	HealthChecks        = "probed"   // health checks of the destination's endpoints
+	Untraced            = "untold"   // messages that are not traced from their submission on
 	// HandedBackPrefix is followed by a reason. The count is of messages that were rejected or handed
 	// back for that reason, so that submitting them again does no harm.
 	HandedBackPrefix = "back_"
@@ -73,9 +73,9 @@
 
 // Recorder holds the counts of the current second.
 type Recorder struct {
-	started       bool  // Flush has been called, which sets second
-	second        int64 // the current second, in Unix time
-	byDestination map[int]map[string]int64
+	started       bool                     // Flush has been called, which sets second
+	second        int64                    // the current second, in Unix time
+	byDestination map[int]map[string]int64 // by destination, then by the name of the count
 }
 
 // NewRecorder returns a recorder whose counts are all zero.
--- a/internal/msgtrace/msgtrace.go
+++ b/internal/msgtrace/msgtrace.go
@@ -16,7 +16,7 @@
 	Delivered        = "delivered" // the endpoint accepted the message, which ended it
 	EndpointFinished = "over"      // the endpoint replied 410: message already withdrawn or expired, nothing more to do
 	AttemptFailed    = "attempt"   // an attempt ended in any other way
-	Ended            = "ended"     // the policy ended the message: it was handed back or given up
+	Ended            = "ended"     // the policy ended the message: handed back (safe to submit again) or given up
 	NoticeDelivered  = "told"      // the platform has received the notice that the message ended
 	Recovered        = "resumed"   // a new process recovered the message from an earlier one
 )
--- a/internal/operatorconfig/clients.go
+++ b/internal/operatorconfig/clients.go
@@ -16,7 +16,7 @@
 
 const (
 	maxListenAddresses = 64
-	minClientIdleS     = 2 // smallest IdleTimeoutS: it closes no connection sooner after its last request
+	minClientIdleS     = 2 // minimum of IdleTimeoutS, which closes no connection sooner after its last request
 	maxClientIdleS     = 86400
 	maxMemoryMB        = 1 << 20
 )
--- a/internal/policystate/schedule.go
+++ b/internal/policystate/schedule.go
@@ -17,7 +17,7 @@
 }
 
 const (
-	minWriteInterval  = 250e3                 // µs between two writes
+	minWriteInterval  = 250e3                 // µs from a write to the next one after an urgent change
 	maxBytesPerSecond = 8 << 10               // on average
 	maxBurstBytes     = 8 * maxBytesPerSecond // capacity of the token bucket
 	microsPerSecond   = 1e6
--- a/internal/source/registry/judge.go
+++ b/internal/source/registry/judge.go
@@ -1,7 +1,7 @@
 package registry
 
-// maxOlderLists is the number of consecutive complete lists with an older revision of which the
-// last one is accepted: the registry is then assumed to have restarted its revisions.
+// maxOlderLists is how many complete lists in a row must be older than the known revision for the
+// last of them to be accepted: the registry is then assumed to have restarted its revisions.
 const maxOlderLists = 3
 
 // Verdict says how to treat a received list.
--- a/internal/source/registry/scheduler.go
+++ b/internal/source/registry/scheduler.go
@@ -37,8 +37,8 @@
 	longTimeout  = 2500 * time.Millisecond // in a large fleet: a call may be queued in the registry for 2 s
 )
 
-// The relay counts as notified of a change NotifiedAfter the last byte of its watch, even if the
-// watch fell silent and missed the change: from then on the relay must obey a drain. The next
+// Once NotifiedAfter has passed since the last byte of its watch, the relay counts as notified of a
+// change, even if the watch fell silent and missed it: from then on it must obey a drain. The next
 // call's response therefore has to begin before that. The worst case, for a fleet of any size,
 // is SilenceTimeout + minDelay + maxSilentSpread + shortTimeout after the last byte, 5.6 s.
 const (
@@ -76,12 +76,12 @@
 // Scheduler schedules the calls of one relay to one registry.
 type Scheduler struct {
 	rng        *rand.Rand
-	baseSpread time.Duration
+	baseSpread time.Duration // longest random delay without failures; grows with the fleet
 
 	// Calls.
 	delayNext       bool // the next call is delayed
-	failures        int  // consecutive ones
-	rejections      int  // consecutive ones among the failures
+	failures        int  // consecutive failed calls
+	rejections      int  // number of rejections among these failures
 	watchFellSilent bool // the last call was a watch that fell silent
 	// The last call was unanswered, or was the first failure and its response was unusable. The
 	// relay may have missed a drain, so the next call must not be delayed for long.
@@ -142,8 +142,8 @@
 	return s.baseSpread << min(failures, maxDoublings)
 }
 
-// CallEnded records the outcome and the duration of a call. A watch that ended sooner than this
-// relay would call again after a failure counts as a failure too.
+// CallEnded records the outcome and the duration of a call. A served watch counts as a failure if it
+// lasted no longer than the current spread, the longest random delay before the next call.
 func (s *Scheduler) CallEnded(call Call, outcome Outcome, took time.Duration) {
 	unusable := outcome == Malformed || outcome == RevisionUnknown
 	switch {
--- a/internal/timerwheel/wheel.go
+++ b/internal/timerwheel/wheel.go
@@ -20,7 +20,7 @@
 	currentTick int64  // the last processed tick; while workList is not empty, the tick being processed
 	nodes       []node // by timer number
 	lists       [listCount]list
-	occupied    [levelCount]uint64 // for each level, a bit for each slot that may hold a timer
+	occupied    [levelCount]uint64 // for each level, a bit for each slot; Cancel leaves the bit of an emptied slot set
 	count       int                // number of timers that are set
 }
 
--- a/internal/tomlfile/lines.go
+++ b/internal/tomlfile/lines.go
@@ -35,6 +35,7 @@
 
 func (f *lineFinder) addTable(node *unstable.Node) {
 	f.table = dottedKey(node)
+	// A table within an array, such as a.b where a is an array, belongs to the array's last table.
 	if array, rest, ok := strings.Cut(f.table, "."); ok && f.arraySizes[array] > 0 {
 		f.table = arrayKey(array, f.arraySizes[array]-1) + "." + rest
 	}
--- a/internal/tomlfile/tomlfile.go
+++ b/internal/tomlfile/tomlfile.go
@@ -41,7 +41,7 @@
 }
 
 // Decode decodes a TOML text into a struct. A key without a field in the struct is an error.
-// The returned error joins one *Error for each problem. file is the file's name in them.
+// The returned error joins one *Error for each problem. file is the file's name in these errors.
 func Decode(file string, text []byte, into any) (*Checker, error) {
 	if err := checkSize(file, text); err != nil {
 		return nil, err
--- a/internal/wal/append.go
+++ b/internal/wal/append.go
@@ -7,14 +7,14 @@
 	"troutusher/internal/core"
 )
 
-// How Options.MaxBytes is divided. The log and a compacted copy of it always fit into it
-// together.
+// How Options.MaxBytes is divided. The log and a compacted copy of it, which exist at the
+// same time during a compaction, together never exceed it.
 const (
-	roundingReserve = 16 << 10 // never used, because file systems round file sizes up
-	// pendingReserve is space for the later records of accepted messages. Records that
+	roundingReserve = 16 << 10 // bytes that are never used, because file systems round file sizes up
+	// pendingReserve is the space in bytes for the later records of accepted messages. Records that
 	// accept a message cannot use it.
 	pendingReserve = 64 << 10
-	minCompactSize = 1 << 20 // a shorter log is compacted only to make room
+	minCompactSize = 1 << 20 // bytes; a shorter log is compacted only to make room
 	compactFactor  = 4       // the log is compacted at this multiple of the size of the pending records
 )
 
--- a/internal/wal/log.go
+++ b/internal/wal/log.go
@@ -54,8 +54,9 @@
 	Dir string
 	// MaxBytes is the maximum disk space of the log together with a compacted copy of it.
 	MaxBytes int64
-	// InFlight reports whether a message still has an attempt in flight, taken over from an
-	// earlier process, whose outcome will be submitted. If InFlight is nil, no message has one.
+	// InFlight reports whether an attempt of a message that an earlier process started is still in
+	// flight. The outcome of such an attempt will be submitted. A nil InFlight means
+	// that no attempt is in flight.
 	InFlight func(id string) bool
 	Logger   *slog.Logger
 }
--- a/internal/wire/action.go
+++ b/internal/wire/action.go
@@ -17,7 +17,7 @@
 	ActCancel  = 120 // cancel an attempt
 )
 
-const actionSize = 24
+const actionSize = 24 // bytes
 
 // Action is one record to encode. Its Code determines which of the other fields are used.
 type Action struct {
@@ -26,9 +26,9 @@
 	Attempt  uint8
 	On       bool   // of an ActListen: subscribe; if false, unsubscribe
 	Ticket   uint32 // identifies a message
-	After    uint32 // the Retry-After of an ActRefuse, the delay of an ActRemind
+	After    uint32 // the Retry-After of an ActRefuse, the delay of an ActRemind; in µs
 	Endpoint uint64
-	At       uint64 // of an ActDeliver: when the attempt times out
+	At       uint64 // of an ActDeliver: when the attempt times out, in µs
 	Token    uint64 // of an ActRemind: returned in its EvAlarm
 	Text     string // of an ActLog or ActBug
 }
--- a/internal/wire/event.go
+++ b/internal/wire/event.go
@@ -41,8 +41,8 @@
 )
 
 const (
-	eventSize    = 48
-	entrySize    = 24
+	eventSize    = 48 // bytes
+	entrySize    = 24 // bytes
 	maxList      = 15 // highest valid list number
 	maxReadiness = 2
 )
@@ -62,9 +62,9 @@
 type Event struct {
 	Code     uint8
 	Relay    uint16
-	Kind     uint8
+	Kind     uint8 // of an EvSync: one of the Sync constants
 	Sheet    uint8 // number of a list of endpoints
-	Status   uint8
+	Status   uint8 // of an EvResolved or EvHealth: one of the Status constants
 	Attempt  uint8
 	Settled  bool // of an EvResolved: the attempt finished its message
 	Class    uint16
@@ -72,10 +72,10 @@
 	Dest     uint16
 	Ticket   uint32 // identifies a message
 	Tenant   uint32
-	Grace    uint32 // time left until the message's deadline
-	Estimate uint32 // estimated cost of a message
+	Grace    uint32 // time left until the message's deadline, in µs
+	Estimate uint32 // estimated cost of a message, in µs
 	Note     uint32 // of an EvResolved: the Retry-After in ms of StatusFull, the reason of StatusMoot
-	Took     uint32 // latency of an attempt or a health check
+	Took     uint32 // latency of an attempt or a health check, in µs
 	Endpoint uint64
 	Subject  uint64     // key of a message
 	Token    uint64     // the seed of an EvUp, the list version of an EvSync, the timer's token of an EvAlarm
@@ -85,7 +85,8 @@
 	Entries  []Entry
 }
 
-// DecodeEvents decodes the records and the tail of a frame's body.
+// DecodeEvents decodes a frame's body: count records of eventSize, then the tail, which holds the texts
+// and the lists of endpoints that records refer to.
 func DecodeEvents(body []byte, count int) ([]Event, error) {
 	if count < 0 || count > len(body)/eventSize {
 		return nil, fmt.Errorf("batch body: %d records do not fit in %d bytes", count, len(body))
