--- a/cmd/troutusher-kit/members.go
+++ b/cmd/troutusher-kit/members.go
@@ -24,14 +24,14 @@
 // Run prints each endpoint with the phase (such as up or draining) that each source states for it,
 // and the revision of the source's list in which it last changed that phase.
 func (c *membersCommand) Run(stdout io.Writer) error {
-	state, lines, err := c.read()
+	state, endpoints, err := c.read()
 	if err != nil {
 		return err
 	}
 	if c.JSON {
 		encoder := json.NewEncoder(stdout)
-		for i := range lines {
-			if err := encoder.Encode(lines[i]); err != nil {
+		for i := range endpoints {
+			if err := encoder.Encode(endpoints[i]); err != nil {
 				return err
 			}
 		}
@@ -41,7 +41,7 @@
 		printf(stdout, "%s: %d entries, revision %d of %s\n",
 			source.Name, len(source.Entries), source.Revision, source.Epoch)
 	}
-	_, err = io.WriteString(stdout, membersTable(lines))
+	_, err = io.WriteString(stdout, membersTable(endpoints))
 	return err
 }
 
@@ -74,14 +74,14 @@
 }
 
 // membersTable returns a table with a row for each endpoint.
-func membersTable(lines []membership.Provenance) string {
+func membersTable(endpoints []membership.Provenance) string {
 	table := texttable.New()
 	table.Rowf("id\taddress\tdest\tphase\tby\tsaid")
-	for _, line := range lines {
+	for _, endpoint := range endpoints {
 		var records []string
-		for _, record := range line.Records {
+		for _, record := range endpoint.Records {
 			text := fmt.Sprintf("%s %s@%d", record.Source, record.Phase, record.Revision)
-			if record.ID != line.ID {
+			if record.ID != endpoint.ID {
 				text += " as " + record.ID
 			}
 			if record.Held {
@@ -90,7 +90,8 @@
 			records = append(records, text)
 		}
 		table.Rowf("%s\t%s\t%d\t%s\t%s\t%s",
-			line.ID, line.HostPort, line.Dest, line.Phase, line.DecidedBy, strings.Join(records, ", "))
+			endpoint.ID, endpoint.HostPort, endpoint.Dest, endpoint.Phase, endpoint.DecidedBy,
+			strings.Join(records, ", "))
 	}
 	return table.String()
 }
--- a/cmd/troutusher-kit/publish.go
+++ b/cmd/troutusher-kit/publish.go
@@ -18,7 +18,8 @@
 )
 
 // publishCommand is "troutusher publish", with which operators change the endpoints, rates and
-// drains that relays read from etcd.
+// drains that relays read from etcd. A drain is a key that marks an endpoint as draining: relays begin
+// no new calls to it.
 type publishCommand struct {
 	List    publishList    `cmd:"" help:"Make endpoints and rates what a file says. Drains stay as they are."`
 	Drain   publishDrain   `cmd:"" help:"Have endpoints drain, whatever else is said of them."`
--- a/cmd/troutusher-kit/put.go
+++ b/cmd/troutusher-kit/put.go
@@ -80,7 +80,8 @@
 	return fmt.Sprintf("%x", id)
 }
 
-// fields returns the message's fields in the form of the command's fields argument.
+// fields returns the command's fields argument: the message's class (c), portal (t), time to its
+// deadline in ms (d), destination (dest) and idempotency key (k).
 func (p *putFlags) fields() string {
 	fields := fmt.Sprintf("c=%s,t=%s,d=%d,dest=%d", p.class, p.portal, p.deadline.Milliseconds(), p.dest)
 	if p.key != "" {
--- a/cmd/troutusher-kit/tls.go
+++ b/cmd/troutusher-kit/tls.go
@@ -185,7 +185,7 @@
 func (c *tlsProbe) handshake(stdout io.Writer, endpoint *tlsdial.Endpoint, ordinal string) error {
 	ctx, cancel := context.WithTimeout(context.Background(), c.Timeout)
 	defer cancel()
-	permit, _, err := endpoint.Acquire(false, false)
+	permit, _, err := endpoint.Acquire(false, false) // not warming up, and not a handshake of a retry schedule
 	if err != nil {
 		return err
 	}
--- a/internal/emulator/endpoint/calls.go
+++ b/internal/emulator/endpoint/calls.go
@@ -54,8 +54,7 @@
 }
 
 // ReceiveCall tells the model that the last byte of a call has arrived. The model rejects the call if
-// its message is unknown or the platform's rules do not allow it, and otherwise sends it to the
-// endpoint.
+// its message is unknown or the model's Rules do not allow it, and otherwise sends it to the endpoint.
 func (m *Model) ReceiveCall(now Time, id ConnID, message, key string, timeout Time) {
 	m.Advance(now)
 	conn := m.conns[id]
@@ -92,7 +91,7 @@
 	}
 }
 
-// rejectedByRules rejects a call that the platform's rules do not allow, and reports whether it did.
+// rejectedByRules rejects a call that the model's Rules do not allow, and reports whether it did.
 func (m *Model) rejectedByRules(c *call) bool {
 	switch {
 	case c.message.Finished:
--- a/internal/emulator/endpoint/faults.go
+++ b/internal/emulator/endpoint/faults.go
@@ -6,9 +6,9 @@
 	"troutusher/internal/event"
 )
 
-// InjectFault makes a fault active at an endpoint: it records an outage that the fault causes, stops the
-// endpoint if the fault does that, and updates its speed and listeners. To end the fault, pass the same
-// pointer to ClearFault.
+// InjectFault makes a fault active at an endpoint. It records an outage if the fault causes one, stops
+// the endpoint if the fault is a Crash, a PlannedStop or a Blackhole, and updates the endpoint's speed and
+// listeners. To end the fault, pass the same pointer to ClearFault.
 func (m *Model) InjectFault(now Time, endpoint int, fault *Fault) {
 	m.Advance(now)
 	e := m.endpoints[endpoint]
--- a/internal/emulator/endpoint/h1/listener.go
+++ b/internal/emulator/endpoint/h1/listener.go
@@ -17,7 +17,7 @@
 	reopenTimeout      = 2 * time.Second // for listening again on a port that was closed
 	reopenRetryDelay   = 2 * time.Millisecond
 	backlogDialTimeout = 150 * time.Millisecond
-	acceptingBacklog   = 128
+	acceptingBacklog   = 128 // length of the backlog of a listener that was unresponsive and accepts again
 )
 
 // relayListener accepts the connections of one relay to one endpoint. The server's mu guards it.
--- a/internal/emulator/endpoint/h1/server.go
+++ b/internal/emulator/endpoint/h1/server.go
@@ -46,7 +46,7 @@
 	listeners [][]*relayListener                   // by endpoint and relay
 	effects   []endpoint.Effect
 	timerLag  *hdrhistogram.Histogram // in µs
-	err       error
+	err       error                   // joined errors of listeners, see TimerLag
 }
 
 // New starts a server for a model. Each endpoint gets one listener for each relay. After New, the
--- a/internal/emulator/endpoint/model.go
+++ b/internal/emulator/endpoint/model.go
@@ -12,7 +12,7 @@
 	Finished    bool // its outcome is settled; no further calls are allowed
 }
 
-// Rules are the platform's limits, which apply at every destination.
+// Rules are the limits on the calls of relays that apply at every destination alike.
 type Rules struct {
 	Relays      int
 	MaxInFlight int // calls that a relay may have in flight; 0 for no limit
@@ -66,7 +66,7 @@
 	workDoneAt        Time    // time up to which workDone is computed
 	speed             float64 // work that each call in service receives per µs
 	completionVersion int     // completion timers of an older version are ignored
-	activeOutages     int
+	activeOutages     int     // number of active faults that cause an outage
 	warmingUp         bool
 	recoveredAt       Time
 	collapsed         bool         // it was overloaded while it warmed up, and never serves again
--- a/internal/emulator/endpoint/ratelimit.go
+++ b/internal/emulator/endpoint/ratelimit.go
@@ -7,7 +7,7 @@
 // rateLimiter enforces a RateLimit.
 type rateLimiter struct {
 	RateLimit
-	tokens       float64 // TokenBucket: number of calls admitted without delay
+	tokens       float64 // TokenBucket: number of calls that may be admitted at once
 	refilledAt   Time
 	windowNumber int64   // FixedWindow: number of the current window, counted from time 0
 	usedInWindow float64 // FixedWindow: calls counted in the current window
--- a/internal/emulator/endpoint/service.go
+++ b/internal/emulator/endpoint/service.go
@@ -29,9 +29,10 @@
 	return seededrand.Float64(m.seed, uint64(c.message.Number), uint64(c.attempt), purpose)
 }
 
-// arrive handles a call that has reached its endpoint after the network delay. The call is dropped if
-// the endpoint is down or the caller has cancelled it. It then counts towards an overload, which can
-// make the endpoint collapse. If it is neither rejected nor fails quickly, it is put into service.
+// arrive handles a call that has reached its endpoint after the network delay. It drops the call if the
+// endpoint is down or the caller has cancelled the call. Any other call counts towards an overload, and
+// is dropped if it makes the endpoint collapse. Unless the call is then rejected or fails quickly, it is
+// put into service.
 func (m *Model) arrive(c *call) {
 	e := c.endpoint
 	if c.final {
@@ -78,8 +79,8 @@
 	return true
 }
 
-// failedQuickly decides whether a call is among the errorShare that gets an error response, and
-// reports so. Half of the failed calls take effect.
+// failedQuickly draws whether a call fails, with the probability errorShare, and reports whether it does.
+// A call that fails gets an error response after errorDelay. Half of the failed calls take effect.
 func (m *Model) failedQuickly(c *call) bool {
 	if m.draw(c, drawError) >= c.endpoint.errorShare() {
 		return false
--- a/internal/emulator/etcd/store.go
+++ b/internal/emulator/etcd/store.go
@@ -33,9 +33,9 @@
 // Lease is a granted lease.
 type Lease struct {
 	ID        int64
-	TTL       int64 // seconds
-	ExpiresAt int64 // Unix time in microseconds
-	keys      map[string]bool
+	TTL       int64           // seconds
+	ExpiresAt int64           // Unix time in microseconds
+	keys      map[string]bool // keys attached to the lease
 }
 
 // Store is the replicated state of a cluster. It is not safe for concurrent use.
--- a/internal/emulator/etcd/watch.go
+++ b/internal/emulator/etcd/watch.go
@@ -25,7 +25,7 @@
 type watchStream struct {
 	*Member
 	etcdserverpb.Watch_WatchServer
-	number  int // counts the streams of this member, from 1
+	number  int // position among the streams that the member has served, from 1
 	watches []*watch
 	nextID  int64
 }
--- a/internal/emulator/registry/agent.go
+++ b/internal/emulator/registry/agent.go
@@ -15,7 +15,7 @@
 	oldAddressLinger  = 1500 * time.Millisecond // time until a former address closes its connections
 	readHeaderTimeout = 10 * time.Second
 	maxHeaderBytes    = 16 << 10
-	maxHistory        = 4096 // changes
+	maxHistory        = 4096 // number of changes that an agent keeps for watches
 )
 
 // agent is the server of the registry that one relay calls.
@@ -24,7 +24,7 @@
 	relay  int
 
 	mu          sync.Mutex
-	members     []Member
+	members     []Member // by number of the endpoint, including removed ones
 	revision    int64
 	history     []revisionChange // latest changes, oldest first; a watch can start at any of them
 	silenced    int              // number of active faults that keep it from answering
--- a/internal/emulator/registry/registry.go
+++ b/internal/emulator/registry/registry.go
@@ -50,7 +50,7 @@
 	StaticMembers []Member                 // further members of each complete list, which never change
 	Delay         time.Duration            // minimum time until an update reaches an agent
 	DelaySpread   time.Duration            // maximum random time that is added to Delay
-	Seed          uint64
+	Seed          uint64                   // of the random delays
 	Clock         func() event.Time
 	Emit          func(event.Event) // called for each update sent and each notice received
 }
--- a/internal/emulator/registry/watch.go
+++ b/internal/emulator/registry/watch.go
@@ -13,6 +13,7 @@
 // keepaliveInterval is the interval at which a watch sends an empty line.
 const keepaliveInterval = 2 * time.Second
 
+// phaseStatus maps a phase to the Status of the event that reports it.
 var phaseStatus = map[Phase]int{
 	PhaseUp:       event.UpdateUp,
 	PhaseDraining: event.UpdateDraining,
@@ -158,6 +159,8 @@
 	if a.silenced != 0 {
 		return nil, nil, a.changed
 	}
+	// A new watch gets the complete list if the history does not reach back to its revision, or if this
+	// agent has not reached the revision.
 	if first && (w.from < a.oldestRevision() || w.from > a.revision) {
 		list := a.fullList()
 		update, phases = &list, a.allPhases()
--- a/internal/event/event.go
+++ b/internal/event/event.go
@@ -1,8 +1,8 @@
 // Package event defines the events that a rehearsal records: submissions, calls and their ends,
-// health checks, notices, outages. Emulators and the load generator emit events, the runner sorts
-// them, and the checker and the reports read them. All of these packages import this one; it holds
-// only the types and imports none of them. No event depends on a particular client front end or
-// protocol. All times are microseconds since the rehearsal began, whichever clock measured them.
+// health checks, notices, outages. Emulators and the load generator emit events, the runner puts
+// them into one order, and the checker and the reports read them. All of these packages import this
+// one; it holds only the types and imports none of them. No event depends on a particular client front
+// end or protocol. All times are microseconds since the rehearsal began, whichever clock measured them.
 package event
 
 // Time is a point in time, in microseconds since the rehearsal began, or a duration in microseconds.
@@ -28,7 +28,7 @@
 	TookEffect          // the call took effect: Call
 	HealthCheckReceived // an endpoint received a health check: Relay, Endpoint
 	HealthCheckAnswered // the endpoint answered a health check: Relay, Endpoint, Status
-	NoticeReceived      // the platform received a relay's notice that a message ended: ID, Relay, Status, Wait
+	NoticeReceived      // the registry received a relay's notice that a message ended: ID, Relay, Status, Wait
 	EndpointUpdateSent  // the registry sent an endpoint's phase to a relay: Relay, Endpoint, Status (UpdateUp ...)
 	OutageBegan         // an outage of an endpoint began: Endpoint, Status (1: unreachable, it records no calls)
 	OutageEnded         // the outage ended: Endpoint
@@ -114,11 +114,11 @@
 	Kind     Kind
 	Relay    int
 	Endpoint int
-	Message  int // the message's number in the plan, from 0
-	Call     uint64
-	Status   int
-	Wait     Time // Retry-After
-	Left     Time // Submitted: time left to deliver the message
+	Message  int    // the message's number in the plan, from 0
+	Call     uint64 // the call's number
+	Status   int    // its meaning depends on Kind
+	Wait     Time   // the Retry-After of a reply, response or notice; 0 for none
+	Left     Time   // Submitted: time left to deliver the message
 	ID       string
 	Text     string
 	Calls    []int // Collapsed: number of calls that made up the overload, by relay
--- a/internal/logstats/logstats.go
+++ b/internal/logstats/logstats.go
@@ -18,7 +18,7 @@
 
 const (
 	maxCount          = 1 << 40 // a higher count for one second means that the log is damaged
-	maxSecondSpan     = 1 << 17 // maximum distance from the first second: bounds the memory if a clock is wrong
+	maxSecondSpan     = 1 << 17 // maximum distance from the first second read, in s; bounds memory if a clock is wrong
 	maxPolicyMessages = 1000    // maximum number of different policy messages that a report keeps
 )
 
@@ -32,7 +32,7 @@
 // errNoLogs is returned for a folder in which no file *.log has a readable line.
 var errNoLogs = errors.New("no readable log")
 
-// Counts maps the name of a count of a relay's metrics, as in package metrics, to its sum.
+// Counts maps names of counts, which package metrics defines, to sums of these counts.
 type Counts map[string]int64
 
 func (c Counts) addAll(other Counts) {
@@ -69,13 +69,13 @@
 	FirstSecond, LastSecond int64       // the first and the last second with counts, in Unix time
 	Starts                  []time.Time // when relays became ready, in ascending order
 	Destinations            []int       // in ascending order
-	DiscoveryCalls          Counts      // by how the calls ended; "calls" counts all of them
+	DiscoveryCalls          Counts      // number of ended calls, by how they ended; "calls" counts all of them
 	ListRevisions           []ListRevision
 	LongestStep             time.Duration  // the longest step of any relay's event loop
 	LongestStepAt           string         // the relay and the second of the longest step
 	PolicyMessages          map[string]int // number of relays whose policy logged a message, by message
 
-	baseSecond int64 // the first second that was read; valid once bySecond has an entry
+	baseSecond int64 // the second of the first metrics line that was read; valid once bySecond has an entry
 	bySecond   map[int64]map[int]Counts
 	byRelay    map[string]map[int]Counts
 }
@@ -101,7 +101,8 @@
 	return sum
 }
 
-// MedianAndMaxPerRelay returns the median and the maximum over all relays of a destination's count.
+// MedianAndMaxPerRelay compares the relays: it sums the count called name for one destination over the
+// seconds of each relay, and returns the median and the maximum of these sums.
 func (r *Report) MedianAndMaxPerRelay(dest int, name string) (median, maximum int64) {
 	counts := make([]int64, 0, len(r.Relays))
 	for _, relay := range r.Relays {
--- a/internal/logstats/messagetrace.go
+++ b/internal/logstats/messagetrace.go
@@ -29,7 +29,7 @@
 	Text      string
 	Fields    string // the line's other fields, in the line's order
 	OfMessage bool   // the line is about the message, not about the relay's process
-	line      int    // the line's number over all logs
+	line      int    // number of the line, counted over all logs; orders events of the same time
 }
 
 // MessageTrace holds the log lines of all relays about one message.
--- a/internal/logstats/outcomes.go
+++ b/internal/logstats/outcomes.go
@@ -22,9 +22,9 @@
 	// noticeGrace is the time after a message's deadline within which a notice is not late. A notice
 	// is a relay's report to the platform that a message ended undelivered.
 	noticeGrace = 300 * time.Millisecond
-	// restartNoticeGrace extends deadlines after a relay's start: an earlier deadline of a message
-	// that was pending at the start is moved to this time after the start. Together with noticeGrace,
-	// a notice may be delivered up to 1.5 s after the start.
+	// restartNoticeGrace is the shortest time that a message has left when its relay starts again. If
+	// the deadline of a message that was pending at the start is earlier, it counts as this long after
+	// the start. Together with noticeGrace, a notice may be delivered up to 1.5 s after the start.
 	restartNoticeGrace = 1500*time.Millisecond - noticeGrace
 )
 
@@ -32,7 +32,8 @@
 type Outcome string
 
 // Outcomes of messages. The first four are correct, the next three mean that the logs do not show
-// whether the relay was at fault, and the others are faults.
+// whether the relay was at fault, and the others are faults. FinishedAtEndpoint means that the endpoint
+// replied with status 410, because it knew that the message had been withdrawn or had expired.
 const (
 	DeliveredInTime    Outcome = "delivered within its time"
 	FinishedAtEndpoint Outcome = "over at its endpoint, which had heard so (410)"
@@ -62,17 +63,18 @@
 }
 
 // messageHistory summarizes the log lines about one message. Relays log every line about a message only
-// if it is traced, which they choose by sampling; about other messages they log only failures.
+// if it is traced, which they choose by sampling. About other messages they log only failed attempts,
+// ends without a delivery, notices and recoveries.
 type messageHistory struct {
 	relay               string // the relay of the last line that was read
 	firstSeen, deadline time.Time
 	deliveredAt         time.Time // the last delivery
 	noticedAt           time.Time // the first notice
 	recoveredAt         time.Time // the last recovery
-	deliveries, endings int
-	withdrawn           bool
-	finishedAtEndpoint  bool
-	traced              bool // traced from its acceptance on, or since a restarted relay recovered it
+	deliveries, endings int       // endings: how often the relay handed the message back or gave it up
+	withdrawn           bool      // the client closed its connection before the reply
+	finishedAtEndpoint  bool      // an endpoint replied that the message had already ended
+	traced              bool      // traced from its acceptance on, or since a restarted relay recovered it
 }
 
 // hasEnd reports whether the logs show how the message ended.
@@ -148,24 +150,24 @@
 }
 
 // addLine adds a line of a relay's log to the histories.
-func (o *Outcomes) addLine(relay string, line *logLine) {
-	process := o.relays[relay]
-	if process == nil {
-		process = &relayHistory{}
-		o.relays[relay] = process
+func (o *Outcomes) addLine(relayName string, line *logLine) {
+	relay := o.relays[relayName]
+	if relay == nil {
+		relay = &relayHistory{}
+		o.relays[relayName] = relay
 	}
-	if line.time.After(process.lastLine) {
-		process.lastLine = line.time
+	if line.time.After(relay.lastLine) {
+		relay.lastLine = line.time
 	}
 	switch line.text {
 	case msgtrace.Ready:
-		process.starts = append(process.starts, processStart{line.time, line.fields["log"] == "none"})
+		relay.starts = append(relay.starts, processStart{line.time, line.fields["log"] == "none"})
 	case metrics.LogText:
 		o.addUntraced(line)
 	case msgtrace.Accepted, msgtrace.Withdrawn, msgtrace.Delivered, msgtrace.EndpointFinished,
 		msgtrace.AttemptFailed, msgtrace.Ended, msgtrace.NoticeDelivered, msgtrace.Recovered:
 		if message := o.history(line); message != nil {
-			message.relay = relay
+			message.relay = relayName
 			o.addToHistory(message, line)
 		}
 	} // lines about rejected messages are ignored, since these messages were never accepted
@@ -235,11 +237,11 @@
 
 // outcomeOf determines the outcome of one message.
 func (o *Outcomes) outcomeOf(message *messageHistory) Outcome {
-	process := o.relays[message.relay]
+	relay := o.relays[message.relay]
 	switch {
 	case message.deliveries+message.endings > 1 && message.recoveredAt.IsZero():
 		return EndedTwice // after a recovery, an end that the write-ahead log does not have may be repeated
-	case message.deliveries > 0 && process.delay(message, message.deliveredAt) > 0:
+	case message.deliveries > 0 && relay.delay(message, message.deliveredAt) > 0:
 		return DeliveredLate
 	case message.deliveries > 0:
 		return DeliveredInTime
@@ -248,20 +250,20 @@
 	case message.withdrawn:
 		return ClientWithdrew
 	case !message.noticedAt.IsZero():
-		delay := process.delay(message, message.noticedAt)
+		delay := relay.delay(message, message.noticedAt)
 		o.LatestNotice = max(o.LatestNotice, delay)
 		if delay > noticeGrace {
 			return NoticeLate
 		}
 		return NoticeInTime
 	}
-	return o.outcomeWithoutNotice(message, process)
+	return o.outcomeWithoutNotice(message, relay)
 }
 
 // outcomeWithoutNotice determines the outcome of a message for which the logs show neither an end at an
 // endpoint, nor a withdrawal, nor a notice.
-func (o *Outcomes) outcomeWithoutNotice(message *messageHistory, process *relayHistory) Outcome {
-	for _, start := range process.starts {
+func (o *Outcomes) outcomeWithoutNotice(message *messageHistory, relay *relayHistory) Outcome {
+	for _, start := range relay.starts {
 		if start.at.After(message.firstSeen) && message.recoveredAt.Before(start.at) {
 			if start.withoutLog {
 				return StateLost
@@ -270,10 +272,11 @@
 		}
 	}
 	noticeDue := message.deadline.Add(noticeGrace)
-	logEndsBefore := process.lastLine.Before(noticeDue)
+	logEndsBefore := relay.lastLine.Before(noticeDue)
 	switch {
 	case message.deadline.IsZero(),
-		logEndsBefore && process.lastLine.Before(o.endOfLogs().Add(-relayEventWindow)):
+		// The log ends more than relayEventWindow before the latest line of all logs.
+		logEndsBefore && relay.lastLine.Before(o.endOfLogs().Add(-relayEventWindow)):
 		return LogEndsEarly
 	case logEndsBefore:
 		return PendingAtEnd
@@ -299,9 +302,9 @@
 
 // endOfLogs returns the time of the latest line of all logs.
 func (o *Outcomes) endOfLogs() (last time.Time) {
-	for _, process := range o.relays {
-		if process.lastLine.After(last) {
-			last = process.lastLine
+	for _, relay := range o.relays {
+		if relay.lastLine.After(last) {
+			last = relay.lastLine
 		}
 	}
 	return last
--- a/internal/logstats/report.go
+++ b/internal/logstats/report.go
@@ -18,7 +18,7 @@
 	format func(Counts) string
 }
 
-// countColumn returns the column of one count of the metrics, by its name.
+// countColumn returns a column that shows one count. name is the count's name in package metrics.
 func countColumn(title, name string) column {
 	return column{title, func(c Counts) string { return fmt.Sprint(c[name]) }}
 }
@@ -31,6 +31,9 @@
 	return fmt.Sprintf("%.*f", digits, float64(a)/float64(b))
 }
 
+// columns are the columns of the tables of destinations and of seconds, after the first one. "full" are
+// calls that an endpoint rejected, "late" are calls that timed out, and "refused" are messages that the
+// relays rejected or handed back. "held-ms" is the mean delay of first attempts in ms.
 var columns = []column{
 	countColumn("in", metrics.Submitted),
 	countColumn("taken", metrics.Accepted),
@@ -84,6 +87,7 @@
 }
 
 // secondRows returns the rows of the table of seconds: the head, and a row for each second with counts.
+// The seconds are numbered from the report's first one.
 // The counts are those of one destination, or the sums over all of them if dest is nil.
 func (r *Report) secondRows(dest *int) [][]string {
 	rows := [][]string{headCells("second")}
--- a/internal/logstats/restarts.go
+++ b/internal/logstats/restarts.go
@@ -26,8 +26,8 @@
 	Unroutable int64  // untried messages before their deadline whose destination had no endpoint in the list
 	Attempted  int64  // untried messages attempted since the recovery
 	Delivered  int64  // untried messages attempted and delivered since the recovery
-	HandedBack Counts // untried messages handed back to their clients without a call, by reason
-	GivenUp    Counts // untried messages given up without a call, by reason
+	HandedBack Counts // untried messages returned to clients, to be submitted again, without a call; by reason
+	GivenUp    Counts // untried messages that the relay gave up without a call; by reason
 
 	input *inputSummary
 }
--- a/internal/rehearsal/checker/calls.go
+++ b/internal/rehearsal/checker/calls.go
@@ -60,8 +60,8 @@
 
 // handleCall records a call that has arrived in full, and checks it in this order: whether its message
 // exists, whether the endpoint serves the message's destination, whether the call began after the drain
-// grace, whether a Retry-After applies and, unless the client got no reply to its submission, whether it
-// breaks RuleAtMostOnce or RuleOrdering.
+// grace, whether a Retry-After applies, and whether it breaks RuleAtMostOnce or RuleOrdering. The last
+// check is left out if the client got no reply to its submission.
 func (c *Checker) handleCall(e *event.Event) {
 	received := c.calls[e.Call]
 	if received == nil {
@@ -104,8 +104,9 @@
 	}
 }
 
-// checkAtMostOnce checks a call against the earlier calls of its message, under the same ID or under
-// an earlier ID whose client got a reply.
+// checkAtMostOnce checks a call against the earlier calls of its message: against those in flight for the
+// same submission, and against the earliest call that may have run, for whichever submission of the
+// message. Submissions to which the client got no reply are left out.
 func (c *Checker) checkAtMostOnce(s *submission, received *call) {
 	for _, earlier := range s.calls {
 		if earlier.inFlight() {
@@ -162,7 +163,7 @@
 		return
 	}
 	delete(c.calls, e.Call)
-	ended.endedAt, ended.status = max(c.now, 1), e.Status
+	ended.endedAt, ended.status = max(c.now, 1), e.Status // a time of 0 would mean that the call is in flight
 	if e.Status == event.StatusDelivered {
 		if s := ended.submission; s != nil && s.state != noReply {
 			s.delivered = true // it counts once the client has been told that the message is accepted
--- a/internal/rehearsal/checker/config.go
+++ b/internal/rehearsal/checker/config.go
@@ -62,8 +62,8 @@
 	// RetryAfterGrace is how long after a Retry-After response calls are still tolerated, because
 	// they may already have been on their way.
 	RetryAfterGrace Time
-	// InformedShareLimit is the share of the calls in an overload of a recovering endpoint that makes
-	// the overload a violation, if relays that had seen the endpoint fail sent that share or more.
+	// InformedShareLimit is the share, from 0 to 1, of the calls that overloaded a recovering endpoint.
+	// If relays that had seen the endpoint fail sent at least this share, the overload is a violation.
 	InformedShareLimit float64
 	// MaxEndedUnattempted is the share of the messages counted in RestartCounts.Unattempted that may
 	// end without an attempt.
--- a/internal/rehearsal/checker/routes.go
+++ b/internal/rehearsal/checker/routes.go
@@ -15,8 +15,8 @@
 	endpoints   int            // number of endpoints
 	retryAfters [][]retryAfter // by relay
 	failing     map[int]bool   // endpoints with a current outage
-	// untracedOutages counts the outages, since all endpoints were last up, in which the endpoint is
-	// unreachable. Calls to it then leave no trace in the record.
+	// untracedOutages counts the outages in which an endpoint is unreachable, so that calls to it leave
+	// no trace in the record. The count starts anew when an outage begins while all endpoints are up.
 	untracedOutages int
 	// failureSeen says for each relay whether it saw a failure in the current or the latest outage.
 	failureSeen []bool
@@ -100,8 +100,9 @@
 	}
 }
 
-// assumeFailureObserved assumes that a relay sees a destination fail if it is given a message for the
-// destination while all of its endpoints fail and its calls leave no trace in the record.
+// assumeFailureObserved is called when a client submits a message for a destination to a relay. It
+// assumes that the relay sees a route of the destination fail if all endpoints of the route fail and
+// calls to some of them leave no trace in the record.
 func (c *Checker) assumeFailureObserved(relay, destination int) {
 	for _, route := range c.routes {
 		if route.destination == destination && route.untracedOutages > 0 && len(route.failing) == route.endpoints {
@@ -110,7 +111,8 @@
 	}
 }
 
-// handleOverload checks which relays overloaded a recovering endpoint.
+// handleOverload handles the collapse of a recovering endpoint under overload. It is a violation if relays
+// that had seen the endpoint fail sent at least the share InformedShareLimit of the calls.
 func (c *Checker) handleOverload(e *event.Event) {
 	route := c.route(e.Endpoint)
 	calls, informed := 0, 0
--- a/internal/rehearsal/checker/submissions.go
+++ b/internal/rehearsal/checker/submissions.go
@@ -25,7 +25,7 @@
 	submittedAt Time
 	deadline    Time
 	state       submissionState
-	answeredAt  Time
+	answeredAt  Time // when the client got the reply, or gave up waiting for one
 	delivered   bool
 	notice      int // one of event.Notice..., or noNotice
 	calls       []*call
--- a/internal/rehearsal/idlebench/clients.go
+++ b/internal/rehearsal/idlebench/clients.go
@@ -19,8 +19,8 @@
 )
 
 const (
-	openConcurrency         = 64
-	maxConnectionsPerSource = 10_000 // per source address, which has few more ports
+	openConcurrency         = 64     // idle connections that are opened at the same time
+	maxConnectionsPerSource = 10_000 // connections per source address, so that its ports suffice
 	openTimeout             = 5 * time.Second
 	replyTimeout            = 5 * time.Second
 	redialDelay             = 5 * time.Millisecond // of an active client whose dial failed
--- a/internal/rehearsal/loadgen/command.go
+++ b/internal/rehearsal/loadgen/command.go
@@ -14,8 +14,10 @@
 // fieldsCapacity is the number of bytes that is enough for the fields of most submissions.
 const fieldsCapacity = 160
 
-// appendSubmission appends the command that submits a message. retryField is the field that
-// states why the client submits the message again; it is empty in the first submission.
+// appendSubmission appends the command that submits a message. Its fields are the class (c), the
+// portal, which is a tenant of the relays (t), the time left in ms (d), the idempotency key (k), the
+// destination (dest), and retryField. That one states why the client submits the message again; it
+// is empty in the first submission.
 func appendSubmission(
 	buffer []byte, plan *scenario.Plan, arrival *scenario.Arrival, id string, left event.Time, retryField, body string,
 ) []byte {
--- a/internal/rehearsal/loadgen/loadgen.go
+++ b/internal/rehearsal/loadgen/loadgen.go
@@ -25,7 +25,7 @@
 	maxLatencyMicros  = 600_000_000 // upper bound of the histograms of the messages' latencies
 	histogramDigits   = 3           // significant decimal digits
 	minConnections    = 8           // lowest limit of connections to one relay, however few sockets it has
-	socketsPerClient  = 3           // sockets of a relay for each connection that the driver may open to it
+	socketsPerClient  = 3           // the driver may open one connection to a relay for this many of its sockets
 )
 
 // Config is the configuration of a Driver.
@@ -42,7 +42,7 @@
 	config   Config
 	pools    []*pool      // by index of the relay
 	body     string       // of every message
-	unserved atomic.Int64 // result of UnservedRequests
+	unserved atomic.Int64 // requests to which no relay replied, see UnservedRequests
 
 	// background counts the goroutines that submit messages. They end when ctx is canceled.
 	background sync.WaitGroup
@@ -55,10 +55,10 @@
 	pending     int                    // messages without a final outcome
 	done        chan struct{}          // closed once pending is 0
 	relayStates []relayState
-	lastRelay   int // picked last; modulo the number of relays it is the index
+	lastRelay   int // its remainder modulo the number of relays is the index of the relay picked last
 
 	// Histograms in µs. The latencies are measured from a message's planned arrival.
-	lateness        *hdrhistogram.Histogram // of the first submissions behind their planned times
+	lateness        *hdrhistogram.Histogram // how far behind their planned times messages were first submitted
 	replyLatency    *hdrhistogram.Histogram // to the reply to its first submission
 	deliveryLatency *hdrhistogram.Histogram // to its delivery
 }
--- a/internal/rehearsal/loadgen/submission.go
+++ b/internal/rehearsal/loadgen/submission.go
@@ -146,9 +146,10 @@
 }
 
 // handleNoReply handles a submission that got no reply: it closes the connection, emits an event, and
-// the client submits the message again. If the relay closed the connection, the event's Status is 1 if
-// the submission was the first request on it, because a relay with too many clients may do that. conn
-// is nil if it is already closed.
+// the client submits the message again. If the relay closed the connection, the event's Status says
+// whether the submission was the first request on it (1) or not (0). The checker needs this, because a
+// relay with too many clients may close a connection at its first request, but not later. conn is nil
+// if it is already closed.
 func (d *Driver) handleNoReply(s *submission, conn *conn, written bool, err error, now event.Time) {
 	if conn != nil {
 		d.pools[s.relay].discard(conn)
--- a/internal/rehearsal/replay/write.go
+++ b/internal/rehearsal/replay/write.go
@@ -32,7 +32,7 @@
 )
 
 // Environment says where a rehearsal was recorded. It is not checked on a replay, but can explain
-// differences in the service.
+// differences in the service ratio.
 type Environment struct {
 	Release string `json:"release"`
 	Go      string `json:"go"`
--- a/internal/rehearsal/report/build.go
+++ b/internal/rehearsal/report/build.go
@@ -74,7 +74,7 @@
 		DeliveryLatency:  quantiles(o.DeliveryLatency),
 		Lateness:         Lateness{milliseconds(o.DriverLateness), milliseconds(o.EmulatorLateness), s.MaxLatenessMS},
 		MemoryKB:         append([]int{}, o.MemoryKB...),
-		UnservedRequests: o.UnservedRequests, // to relays
+		UnservedRequests: o.UnservedRequests, // requests of clients to which no relay replied
 		// How many messages restarted relays recovered unattempted, and how many of these were
 		// attempted afterwards or ended without an attempt.
 		Restarts: RestartCounts{o.Restarts.Unattempted, o.Restarts.Attempted, o.Restarts.Ended},
@@ -200,7 +200,8 @@
 	return worst
 }
 
-// addFaults adds the plan's faults, with the partners and relays that they affected.
+// addFaults adds the plan's faults, with the partners and relays that they affected. As everywhere in
+// the report, partners are indexes from 0 and relays are numbered from 1.
 func (r *Report) addFaults(o *runner.Outcome) {
 	r.Faults = []Fault{}
 	for _, planned := range o.Plan.Faults {
--- a/internal/rehearsal/report/compare.go
+++ b/internal/rehearsal/report/compare.go
@@ -10,7 +10,8 @@
 )
 
 // Compare writes how a report differs from an earlier one, and whether the difference of the
-// service ratios is larger than the noise of the runs.
+// service ratios is larger than the noise: the scatter of the service ratios between runs of the
+// same plan.
 func Compare(w io.Writer, before, after *Report) error {
 	b := &strings.Builder{}
 	fmt.Fprintf(b, "before: %s, seed %d, release %s; after: %s, seed %d, release %s\n", before.Scenario, before.Seed,
--- a/internal/rehearsal/report/htmltimeline.go
+++ b/internal/rehearsal/report/htmltimeline.go
@@ -52,7 +52,7 @@
 type chart struct {
 	*Report
 	*strings.Builder
-	seconds float64
+	seconds float64 // length of the time axis
 }
 
 // xOf returns the x coordinate of a time in seconds.
--- a/internal/rehearsal/report/report.go
+++ b/internal/rehearsal/report/report.go
@@ -23,20 +23,20 @@
 	Environment      replay.Environment `json:"environment"`
 	Verdict          string             `json:"verdict"` // passed, failed or void
 	Reasons          []string           `json:"reasons"` // why the verdict is not passed
-	MinService       float64            `json:"floor"`
+	MinService       float64            `json:"floor"`   // the rehearsal fails if the service ratio is lower
 	Service          Service            `json:"service"`
 	WorstWindow      Window             `json:"worst_10_s"`
 	Classes          []Group            `json:"classes"`
 	Portals          []Group            `json:"portals"`
 	Partners         []Partner          `json:"partners"`
 	Rules            []RuleResult       `json:"rules"`
-	RelayFailures    []string           `json:"crashes"`
+	RelayFailures    []string           `json:"crashes"`     // crashes and other failures of relays
 	ReplyLatency     Quantiles          `json:"answers_ms"`  // from the planned arrival to the first reply
 	DeliveryLatency  Quantiles          `json:"delivery_ms"` // from the planned arrival to the delivery
 	Lateness         Lateness           `json:"late_ms"`
-	MemoryKB         []int              `json:"relay_memory_kb"`
+	MemoryKB         []int              `json:"relay_memory_kb"` // peak resident memory, by relay
 	Restarts         RestartCounts      `json:"untried_at_restart"`
-	UnservedRequests int                `json:"door"` // connection refused, reset or closed without a reply
+	UnservedRequests int                `json:"door"` // requests of clients without a reply, see runner.Outcome
 	Seconds          []Second           `json:"seconds"`
 	Faults           []Fault            `json:"faults"`
 	Runs             []float64          `json:"runs"` // service ratio of each run of the plan; one or more
--- a/internal/rehearsal/runner/members.go
+++ b/internal/rehearsal/runner/members.go
@@ -71,9 +71,9 @@
 	return fmt.Sprintf("s-%08x", hash.Sum32())
 }
 
-// unusedDestinations returns members for destinations that are listed in addition to the partners
+// idleDestinationMembers returns members for destinations that are listed in addition to the partners
 // but get no messages. Nothing listens at their addresses.
-func unusedDestinations(plan *scenario.Plan) (members []registry.Member) {
+func idleDestinationMembers(plan *scenario.Plan) (members []registry.Member) {
 	zones := plan.Scenario.Relays.Zones
 	for i := range plan.Scenario.Discovery.IdleDestinations {
 		members = append(members, registry.Member{
--- a/internal/rehearsal/runner/process.go
+++ b/internal/rehearsal/runner/process.go
@@ -26,8 +26,8 @@
 	errExitZero = errors.New("exit status 0") // of a process that is expected to run
 )
 
-// spawner starts processes from one OS thread that lives as long as the rehearsal. With a
-// parent-death signal, the kernel kills a process when the thread that started it exits.
+// spawner starts processes from one OS thread that lives as long as the rehearsal. The processes have
+// a parent-death signal, with which the kernel kills them when the thread that started them exits.
 type spawner struct {
 	work chan func()
 	done chan struct{}
--- a/internal/rehearsal/runner/relay.go
+++ b/internal/rehearsal/runner/relay.go
@@ -29,10 +29,10 @@
 // managedRelay is one relay of a rehearsal, across restarts and upgrades of its process.
 type managedRelay struct {
 	index    int
-	command  []string
-	env      []string
-	dir      string
-	listen   string
+	command  []string // program and arguments
+	env      []string // additional environment variables, as name=value
+	dir      string   // folder of its configuration, state and log
+	listen   string   // address at which it serves clients
 	plan     *scenario.Plan
 	registry *registry.Registry
 	spawner  *spawner
@@ -40,8 +40,8 @@
 
 	mu      sync.Mutex    // held while a process is started or stopped
 	current *relayProcess // nil before the first start
-	starts  uint64
-	peakKB  int // highest resident memory measured in any of its processes
+	starts  uint64        // number of calls of launch; each process gets another seed
+	peakKB  int           // highest resident memory measured in any of its processes
 }
 
 // newRelay chooses the address of a relay, creates its state folder and writes its configuration.
--- a/internal/rehearsal/runner/runner.go
+++ b/internal/rehearsal/runner/runner.go
@@ -54,9 +54,9 @@
 	Plan             *scenario.Plan
 	Start            event.Time // when the plan started
 	End              event.Time
-	Results          []loadgen.Result // by number of the message in the plan
+	Results          []loadgen.Result // in the order of the plan's messages
 	Violations       []checker.Violation
-	Restarts         checker.RestartCounts   // what became of the messages that restarted relays recovered
+	Restarts         checker.RestartCounts   // counts of the messages that restarted relays recovered
 	RelayFailures    []string                // crashes and other failures of relays
 	RehearsalErrors  []string                // failures of emulators, load generator or runner; they make the run void
 	Calls            []CallCounts            // by partner
@@ -165,7 +165,7 @@
 	r.registry, err = registry.New(registry.Config{
 		Relays: plan.Scenario.Relays.Count, Seed: plan.Seed, Clock: r.now, Emit: r.events.emit,
 		Delay: milliseconds(discovery.DelayMS), DelaySpread: milliseconds(discovery.SpreadMS),
-		StaticMembers: unusedDestinations(plan),
+		StaticMembers: idleDestinationMembers(plan),
 		Members: func(relay int) []registry.Member {
 			return listMembers(plan, func(endpoint int) string { return r.endpointServer.Addr(endpoint, relay) })
 		},
@@ -301,9 +301,9 @@
 	loops.Add(2)
 	go func() { defer loops.Done(); r.playFaults(ctx) }()
 	go func() { defer loops.Done(); r.reportProgress(ctx) }()
-	arrivals, stop := context.WithTimeout(ctx, startDelay+r.maxDuration())
-	defer stop()
-	r.driver.Run(arrivals)
+	driverCtx, stopDriver := context.WithTimeout(ctx, startDelay+r.maxDuration())
+	defer stopDriver()
+	r.driver.Run(driverCtx)
 	cancel()
 	loops.Wait()
 	r.background.Wait()
--- a/internal/rehearsal/runner/tls.go
+++ b/internal/rehearsal/runner/tls.go
@@ -57,7 +57,8 @@
 
 // newTLSIdentities issues the certificates and writes the relays' operator's file to a folder.
 // It returns nil if the relays need no operator's file: no partner is reached over TLS, and the
-// scenario leaves the number of active destinations at its default.
+// scenario leaves the number of active destinations at its default, see
+// scenario.Relays.MaxActiveDestinations.
 func newTLSIdentities(plan *scenario.Plan, dir string) (*tlsIdentities, error) {
 	m := &identityMaker{plan: plan, identities: &tlsIdentities{
 		operatorPath: filepath.Join(dir, "operator.toml"), current: make([]*h1.TLSIdentity, len(plan.Endpoints)),
--- a/internal/rehearsal/scenario/fault.go
+++ b/internal/rehearsal/scenario/fault.go
@@ -11,16 +11,16 @@
 // Fault is one [[fault]] table of the file: what fails, when and for how long.
 type Fault struct {
 	Kind          string   `toml:"kind"`
-	Partner       string   `toml:"partner"`
-	Partners      []string `toml:"partners"`
-	Relay         int      `toml:"relay"` // numbered from 1; 0 for all relays
+	Partner       string   `toml:"partner"`  // name of a partner or of a [[partner]] table, or "*" for all
+	Partners      []string `toml:"partners"` // further ones
+	Relay         int      `toml:"relay"`    // numbered from 1; 0 for all relays
 	StartS        float64  `toml:"at_s"`
 	DurationS     float64  `toml:"length_s"`
 	EndpointShare float64  `toml:"part"`  // fraction of each partner's endpoints; at least one is affected
 	Magnitude     float64  `toml:"size"`  // depends on the kind: seconds, a factor or a number of connections
 	Share         float64  `toml:"share"` // fraction of the calls or messages that are affected
-	Class         string   `toml:"class"`
-	Variant       string   `toml:"form"`
+	Class         string   `toml:"class"` // name of the message class that is affected
+	Variant       string   `toml:"form"`  // of the kind: the process that is killed, or the defect of responses
 }
 
 // Kinds of fault, besides those of the endpoint emulator and of TLS.
--- a/internal/rehearsal/scenario/plan.go
+++ b/internal/rehearsal/scenario/plan.go
@@ -33,14 +33,14 @@
 // Arrival is one message that a client submits.
 type Arrival struct {
 	At          event.Time `json:"at_us"`
-	Class       int        `json:"class"`
-	Portal      int        `json:"portal"`
-	Destination int        `json:"dest"`
+	Class       int        `json:"class"`  // index in Scenario.Classes
+	Portal      int        `json:"portal"` // index in Scenario.Portals
+	Destination int        `json:"dest"`   // number of the destination, from 1
 	Key         string     `json:"key,omitempty"`
 	OrderingKey uint64     `json:"-"` // for ordered classes; no protocol carries it yet
 }
 
-// PlannedFault is a fault with the endpoints or relays that it affects.
+// PlannedFault is a fault with the endpoints or relays that it affects. Fault explains the other fields.
 type PlannedFault struct {
 	Kind      string     `json:"kind"`
 	At        event.Time `json:"at_us"`
@@ -49,7 +49,7 @@
 	Relays    []int      `json:"relays,omitempty"` // from 0
 	Magnitude float64    `json:"size,omitempty"`
 	Share     float64    `json:"share,omitempty"`
-	Class     int        `json:"class,omitempty"`
+	Class     int        `json:"class,omitempty"` // index in Scenario.Classes
 	Variant   string     `json:"form,omitempty"`
 }
 
@@ -66,7 +66,7 @@
 
 const (
 	maxKeyBytes  = 64
-	maxMagnitude = 1000.0
+	maxMagnitude = 1000.0 // of a fault, in the unit that its kind has, see Fault.Magnitude
 )
 
 // Microseconds converts milliseconds to microseconds, the unit of times in a plan.
@@ -157,8 +157,8 @@
 	return spec
 }
 
-// classMix returns the fraction of all messages that goes to one partner of a table in a class,
-// indexed by table and class.
+// classMix returns, indexed by table and class, the fraction of all messages that belong to the class
+// and go to one partner of the table.
 func (s *Scenario) classMix() [][]float64 {
 	classShares := 0.0
 	for _, class := range s.Classes {
@@ -242,15 +242,15 @@
 	if n := p.Scenario.Relays.MaxInFlight; n > 0 {
 		return n
 	}
-	busy := 0.0
+	callsInFlight := 0.0 // on average, of all relays
 	for i := range p.Specs {
 		spec := &p.Specs[i]
 		for class, part := range spec.ClassMix {
 			callTime := float64(spec.ServiceTimes[class].Mean + 2*spec.OneWayDelay)
-			busy += part * p.Scenario.Traffic.RatePerS * callTime / 1e6
+			callsInFlight += part * p.Scenario.Traffic.RatePerS * callTime / 1e6
 		}
 	}
-	return max(3, int(math.Ceil(2*busy/float64(p.Scenario.Relays.Count))))
+	return max(3, int(math.Ceil(2*callsInFlight/float64(p.Scenario.Relays.Count))))
 }
 
 // MaxPending returns the number of messages that may be pending at a relay: the scenario's
--- a/internal/rehearsal/scenario/scenario.go
+++ b/internal/rehearsal/scenario/scenario.go
@@ -23,8 +23,8 @@
 	About         string    `toml:"about"`
 	Seed          uint64    `toml:"seed"`
 	LengthS       float64   `toml:"length_s"` // period in which messages arrive
-	MinService    float64   `toml:"floor"`    // the rehearsal fails if the service, 0 to 1, is lower
-	MaxLatenessMS float64   `toml:"late_ms"`  // the run is void if the kit's lateness exceeds it at the 99th percentile
+	MinService    float64   `toml:"floor"`    // the rehearsal fails if the service ratio, 0 to 1, is lower
+	MaxLatenessMS float64   `toml:"late_ms"`  // above this lateness the run is void, see report.Lateness
 	Relays        Relays    `toml:"relays"`
 	Clients       Clients   `toml:"clients"`
 	Discovery     Discovery `toml:"discovery"`
@@ -40,8 +40,8 @@
 type Relays struct {
 	Count            int      `toml:"count"`
 	Zones            []string `toml:"halls"` // assigned to relays and endpoints round robin
-	MaxInFlight      int      `toml:"slots"` // 0: twice the calls that the traffic keeps in flight
-	MaxPending       int      `toml:"held"`  // 0: the messages of ten seconds
+	MaxInFlight      int      `toml:"slots"` // calls that a relay may have in flight; 0: see Plan.MaxInFlight
+	MaxPending       int      `toml:"held"`  // messages that may be pending at a relay; 0: see Plan.MaxPending
 	MaxAttempts      int      `toml:"max_attempts"`
 	MemoryMB         int      `toml:"memory_mb"`
 	Sockets          int      `toml:"sockets"`
@@ -78,7 +78,7 @@
 type Rules struct {
 	DrainGraceMS      float64 `toml:"drain_grace_ms"`   // calls may begin for this long after a drain was announced
 	OverloadFactor    float64 `toml:"fall_multiple"`    // a warming-up endpoint collapses above this times its capacity
-	OverloadWindowMS  float64 `toml:"fall_ms"`          // period over which these calls are counted
+	OverloadWindowMS  float64 `toml:"fall_ms"`          // period over which calls are counted for that
 	WarmUpShare       float64 `toml:"cold_share"`       // fraction of the capacity that is left right after an outage
 	WarmUpMS          float64 `toml:"cold_ms"`          // time after an outage until the capacity is full again
 	DeadlineSlackMS   float64 `toml:"end_slack_ms"`     // a message may still end this long after its deadline
@@ -96,7 +96,7 @@
 	From       float64 `toml:"from"`        // ramp: rate factor at the beginning
 	To         float64 `toml:"to"`          // ramp: rate factor at the end; rush: rate factor at the peak
 	BurstShare float64 `toml:"clump_share"` // fraction of messages that come in bursts for one partner
-	BurstSize  int     `toml:"clump_size"`
+	BurstSize  int     `toml:"clump_size"`  // messages in a burst
 }
 
 // Traffic shapes.
@@ -128,9 +128,9 @@
 	LatencyObjectiveMS float64 `toml:"aim_ms"`
 	DeadlineMS         float64 `toml:"deadline_ms"`
 	Weight             float64 `toml:"worth"`
-	LateWeight         float64 `toml:"late_worth"` // fraction of the weight that is left at the deadline
-	Idempotency        string  `toml:"repeat"`     // safe, keyed or unsafe
-	DedupWindowMS      float64 `toml:"key_window_ms"`
+	LateWeight         float64 `toml:"late_worth"`    // fraction of the weight that is left at the deadline
+	Idempotency        string  `toml:"repeat"`        // safe, keyed or unsafe
+	DedupWindowMS      float64 `toml:"key_window_ms"` // keyed: partners drop repeats of a key for this long
 	// The checker judges ordering, but no protocol has a field for the ordering key yet.
 	// A file therefore cannot set these two; tests do.
 	Ordered             bool    `toml:"-"`
@@ -160,8 +160,8 @@
 	CapacityPerS   float64            `toml:"capacity_per_s"` // of one warmed-up endpoint
 	QueueLimit     int                `toml:"queue"`
 	ServiceMS      map[string]float64 `toml:"service_ms"`
-	Distribution   string             `toml:"dist"` // fixed, exp or lognormal
-	CV             float64            `toml:"cv"`
+	Distribution   string             `toml:"dist"`  // fixed, exp or lognormal
+	CV             float64            `toml:"cv"`    // coefficient of variation of the service times
 	Limit          string             `toml:"limit"` // none, rate or window
 	LimitPerS      float64            `toml:"limit_per_s"`
 	LimitBurst     float64            `toml:"limit_depth"`
@@ -174,7 +174,7 @@
 	OneWayDelayMS  float64            `toml:"one_way_ms"`
 	WarmUpShare    float64            `toml:"cold_share"`
 	WarmUpMS       float64            `toml:"cold_ms"`
-	DedupWindowMS  float64            `toml:"key_memory_ms"`
+	DedupWindowMS  float64            `toml:"key_memory_ms"` // 0: the longest DedupWindowMS of a class
 	ErrorShare     float64            `toml:"errors"`
 	Cancel         string             `toml:"cancel"` // none, queued or all
 	TLS            *TLS               `toml:"tls,omitempty"`
@@ -187,7 +187,7 @@
 	HandshakeDelayMS      float64 `toml:"delay_ms"`    // added to the duration of a handshake
 	FullHandshakeCost     float64 `toml:"full_weight"` // load of a full handshake on the partner, in calls; 0 for none
 	ResumedHandshakeCost  float64 `toml:"resumed"`     // load of a resumed handshake, in calls
-	DeclaredHandshakeCost float64 `toml:"told_weight"` // handshake cost in the relays' configuration
+	DeclaredHandshakeCost float64 `toml:"told_weight"` // load of a handshake, in calls, in the operator's file
 	DisableResumption     bool    `toml:"no_sessions"` // the partner resumes no sessions
 	RequireClientCert     bool    `toml:"wants_ours"`  // the relays must present a client certificate
 	// HandshakeCPUShare is the fraction of one core that the relays may spend on handshakes;
--- a/internal/rehearsal/scenario/validate.go
+++ b/internal/rehearsal/scenario/validate.go
@@ -35,7 +35,8 @@
 	value, min, max float64
 }
 
-// checkBounds checks numbers whose keys are given without a common prefix.
+// checkBounds checks numbers. prefix is the beginning that all their keys have in common, which
+// numberBounds.key leaves out.
 func (v *validator) checkBounds(prefix string, numbers []numberBounds) {
 	for _, number := range numbers {
 		v.checkRange(prefix+number.key, number.value, number.min, number.max)
--- a/internal/testca/testca.go
+++ b/internal/testca/testca.go
@@ -1,7 +1,7 @@
 // Package testca issues throw-away certificate authorities and certificates for
 // rehearsals and tests, and for trying out the settings.
 //
-// Its certificates are not fit for production, since it stores the private keys in the
+// The certificates are not fit for production, because their private keys are stored in the
 // same folder. The relay does not link the package.
 package testca
 
@@ -132,8 +132,9 @@
 }
 
 // Issue issues a certificate for key, or for a new key if key is nil. It is signed by
-// parent, or self-signed if parent is nil. Before the changes, the certificate is for both
-// servers and clients, and valid from an hour ago for two hours.
+// parent, or self-signed if parent is nil. By default, the certificate is for both servers
+// and clients, and valid from an hour ago for two hours; the functions in changes, applied
+// before it is signed, can change this.
 func Issue(parent *Issued, name string, key crypto.Signer, changes ...func(*x509.Certificate)) (*Issued, error) {
 	if key == nil {
 		var err error
