--- a/internal/emulator/endpoint/h1/listener.go
+++ b/internal/emulator/endpoint/h1/listener.go
@@ -16,8 +16,8 @@
 	acceptRetryDelay   = 5 * time.Millisecond
 	reopenTimeout      = 2 * time.Second // for listening again on a port that was closed
 	reopenRetryDelay   = 2 * time.Millisecond
-	backlogDialTimeout = 150 * time.Millisecond
-	acceptingBacklog   = 128 // length of the backlog of a listener that was unresponsive and accepts again
+	backlogDialTimeout = 150 * time.Millisecond // limit of a dial that finds out whether the backlog is full
+	acceptingBacklog   = 128                    // of a listener that is no longer unresponsive
 )
 
 // relayListener accepts the connections of one relay to one endpoint. The server's mu guards it.
--- a/internal/emulator/endpoint/model.go
+++ b/internal/emulator/endpoint/model.go
@@ -68,7 +68,7 @@
 	completionVersion int     // completion timers of an older version are ignored
 	activeOutages     int     // number of active faults that cause an outage
 	warmingUp         bool
-	recoveredAt       Time
+	recoveredAt       Time         // when the last outage or planned stop ended
 	collapsed         bool         // it was overloaded while it warmed up, and never serves again
 	group             *warmUpGroup // the endpoints that collapse together with it
 	limiter           *rateLimiter
--- a/internal/emulator/etcd/store.go
+++ b/internal/emulator/etcd/store.go
@@ -62,11 +62,11 @@
 // getAt returns a key at a revision, and false if the key does not exist at that revision.
 func (s *Store) getAt(key string, revision int64) (Version, bool) {
 	versions := s.versions[key]
-	after := versionsUpTo(versions, revision)
-	if after == 0 || versions[after-1].Deleted {
+	count := versionsUpTo(versions, revision)
+	if count == 0 || versions[count-1].Deleted {
 		return Version{}, false
 	}
-	return versions[after-1], true
+	return versions[count-1], true
 }
 
 // versionsUpTo returns the number of versions up to and including a revision.
--- a/internal/logstats/outcomes.go
+++ b/internal/logstats/outcomes.go
@@ -84,14 +84,14 @@
 
 // relayHistory summarizes the log lines about a relay's processes.
 type relayHistory struct {
-	starts   []processStart
-	lastLine time.Time // latest time of any line
+	starts     []processStart
+	lastLineAt time.Time // latest time of any line
 }
 
 // processStart is a start of a relay's process.
 type processStart struct {
-	at         time.Time
-	withoutLog bool // the process found no write-ahead log
+	at                   time.Time
+	withoutWriteAheadLog bool // the process found no write-ahead log
 }
 
 // Outcomes holds the outcomes of all messages that the logs are about.
@@ -156,8 +156,8 @@
 		relay = &relayHistory{}
 		o.relays[relayName] = relay
 	}
-	if line.time.After(relay.lastLine) {
-		relay.lastLine = line.time
+	if line.time.After(relay.lastLineAt) {
+		relay.lastLineAt = line.time
 	}
 	switch line.text {
 	case msgtrace.Ready:
@@ -265,18 +265,18 @@
 func (o *Outcomes) outcomeWithoutNotice(message *messageHistory, relay *relayHistory) Outcome {
 	for _, start := range relay.starts {
 		if start.at.After(message.firstSeen) && message.recoveredAt.Before(start.at) {
-			if start.withoutLog {
+			if start.withoutWriteAheadLog {
 				return StateLost
 			}
 			return NotRecovered
 		}
 	}
 	noticeDue := message.deadline.Add(noticeGrace)
-	logEndsBefore := relay.lastLine.Before(noticeDue)
+	logEndsBefore := relay.lastLineAt.Before(noticeDue)
 	switch {
 	case message.deadline.IsZero(),
 		// The log ends more than relayEventWindow before the latest line of all logs.
-		logEndsBefore && relay.lastLine.Before(o.endOfLogs().Add(-relayEventWindow)):
+		logEndsBefore && relay.lastLineAt.Before(o.endOfLogs().Add(-relayEventWindow)):
 		return LogEndsEarly
 	case logEndsBefore:
 		return PendingAtEnd
@@ -303,8 +303,8 @@
 // endOfLogs returns the time of the latest line of all logs.
 func (o *Outcomes) endOfLogs() (last time.Time) {
 	for _, relay := range o.relays {
-		if relay.lastLine.After(last) {
-			last = relay.lastLine
+		if relay.lastLineAt.After(last) {
+			last = relay.lastLineAt
 		}
 	}
 	return last
--- a/internal/rehearsal/checker/routes.go
+++ b/internal/rehearsal/checker/routes.go
@@ -111,8 +111,8 @@
 	}
 }
 
-// handleOverload handles the collapse of a recovering endpoint under overload. It is a violation if relays
-// that had seen the endpoint fail sent at least the share InformedShareLimit of the calls.
+// handleOverload handles the collapse of a recovering endpoint under overload. The collapse is a violation
+// if relays that had seen the endpoint fail sent at least the share InformedShareLimit of the calls.
 func (c *Checker) handleOverload(e *event.Event) {
 	route := c.route(e.Endpoint)
 	calls, informed := 0, 0
--- a/internal/rehearsal/idlebench/clients.go
+++ b/internal/rehearsal/idlebench/clients.go
@@ -30,7 +30,7 @@
 	burstReplyTimeout = 20 * time.Second
 
 	idleBufferSize  = 16 // enough to read a PONG
-	burstBufferSize = 64
+	burstBufferSize = 64 // enough to read the reply to a submission
 
 	replyOK   = "+OK"
 	replyBusy = "-BUSY"
--- a/internal/rehearsal/idlebench/idlebench.go
+++ b/internal/rehearsal/idlebench/idlebench.go
@@ -75,7 +75,7 @@
 
 const (
 	maxLatencyMicros = 60 * int64(time.Second/time.Microsecond)
-	histogramDigits  = 3
+	histogramDigits  = 3 // significant decimal digits
 
 	spareDescriptors = 400     // file descriptors of this process in addition to its connections
 	endpointRate     = 100_000 // capacity, in calls per second, that the registry states for the endpoint
--- a/internal/rehearsal/loadgen/balancer.go
+++ b/internal/rehearsal/loadgen/balancer.go
@@ -9,7 +9,7 @@
 // one relay.
 type relayState struct {
 	down       bool
-	detectedAt event.Time // when the load balancer detects that the relay is down; it uses the relay until then
+	detectedAt event.Time // when the load balancer detects that the relay is down, and stops using it
 }
 
 // RelayDown informs the load balancer that a relay has ended or is shutting down. The load
--- a/internal/rehearsal/loadgen/command.go
+++ b/internal/rehearsal/loadgen/command.go
@@ -16,8 +16,8 @@
 
 // appendSubmission appends the command that submits a message. Its fields are the class (c), the
 // portal, which is a tenant of the relays (t), the time left in ms (d), the idempotency key (k), the
-// destination (dest), and retryField. That one states why the client submits the message again; it
-// is empty in the first submission.
+// destination (dest), and retryField. retryField states why the client submits the message again,
+// and is empty in the first submission.
 func appendSubmission(
 	buffer []byte, plan *scenario.Plan, arrival *scenario.Arrival, id string, left event.Time, retryField, body string,
 ) []byte {
--- a/internal/rehearsal/loadgen/flood.go
+++ b/internal/rehearsal/loadgen/flood.go
@@ -25,7 +25,7 @@
 
 const (
 	reconnectDelay   = 5 * time.Millisecond // keeps dials that are refused at once from becoming a busy loop
-	slowSendInterval = time.Second
+	slowSendInterval = time.Second          // between two bytes of FloodSlowWrites
 	floodDialTimeout = time.Second
 	pingCommand      = "*1\r\n$4\r\nPING\r\n"
 )
@@ -96,8 +96,8 @@
 	}
 }
 
-// runFloodConnection does on one connection what the kind of flood does. It returns once the
-// connection is closed.
+// runFloodConnection sends on one connection the input of its kind of flood, if any. It returns
+// once the connection is closed.
 func runFloodConnection(ctx context.Context, kind FloodKind, conn net.Conn, input int) {
 	switch kind {
 	case FloodPing:
--- a/internal/rehearsal/loadgen/pool.go
+++ b/internal/rehearsal/loadgen/pool.go
@@ -15,7 +15,7 @@
 )
 
 const (
-	maxReplyBytes   = 512
+	maxReplyBytes   = 512 // of a line, and of a bulk string
 	replyBufferSize = 512
 )
 
--- a/internal/rehearsal/loadgen/submission.go
+++ b/internal/rehearsal/loadgen/submission.go
@@ -167,8 +167,9 @@
 	d.resubmit(s.message, s.attempt, afterNoReply, 0)
 }
 
-// handleReply handles the reply to a submission: the relay accepted the message, was busy, in which case
-// the client may submit it again, or replied with an error, which ends the message as Failed.
+// handleReply handles the reply to a submission. If the relay accepted the message, the message stays
+// pending until an endpoint gets it or a notice arrives. If the relay was busy, the client may submit
+// the message again. Any other error ends the message as Failed.
 func (d *Driver) handleReply(s *submission, reply string, now event.Time) {
 	switch retryAfterText, busy := strings.CutPrefix(reply, "-BUSY"); {
 	case reply != "" && reply[0] != '-':
--- a/internal/rehearsal/runner/runner.go
+++ b/internal/rehearsal/runner/runner.go
@@ -42,7 +42,8 @@
 	ReplaceRelay func(relay int, target RelayTarget) RelayTarget
 }
 
-// RelayTarget holds the address of a relay and that of its discovery service.
+// RelayTarget holds the address of a relay and that of its discovery service, which is the emulated
+// registry's agent for the relay.
 type RelayTarget struct {
 	Listen     string
 	Discovery  string
--- a/internal/rehearsal/runner/tls.go
+++ b/internal/rehearsal/runner/tls.go
@@ -18,7 +18,7 @@
 // tlsIdentities holds the TLS identities that partners' endpoints present to relays. The certificates
 // are generated for one rehearsal.
 type tlsIdentities struct {
-	operatorPath string // path of the operator's file, by which relays trust the certificates
+	operatorPath string // path of the operator's file, which makes relays trust the certificates
 
 	mu      sync.Mutex
 	current []*h1.TLSIdentity            // by endpoint; nil without TLS
--- a/internal/rehearsal/scenario/validate.go
+++ b/internal/rehearsal/scenario/validate.go
@@ -44,9 +44,9 @@
 }
 
 // checkOneOf checks that a string is one of the allowed ones.
-func (v *validator) checkOneOf(key, word string, allowed ...string) {
-	if !slices.Contains(allowed, word) {
-		v.errorf(key, "%q, want one of %s", word, strings.Join(allowed, ", "))
+func (v *validator) checkOneOf(key, value string, allowed ...string) {
+	if !slices.Contains(allowed, value) {
+		v.errorf(key, "%q, want one of %s", value, strings.Join(allowed, ", "))
 	}
 }
 
