--- a/internal/config/limits.go
+++ b/internal/config/limits.go
@@ -95,8 +95,8 @@
 // Otherwise the endpoints get the largest of three numbers, but at most half of the descriptors,
 // even if the concurrent calls need more than half:
 //   - a quarter of the descriptors
-//   - one for each concurrent call, because each call in flight needs a connection of its own,
-//     and spareEndpointConns
+//   - one for each concurrent call, plus spareEndpointConns. Each call in flight needs a
+//     connection of its own.
 //   - two for each concurrent call, but at most 2/5 of the descriptors. With two, a connection
 //     can stay open and idle after its call. If all descriptors of the endpoints are in use, a
 //     call that needs a new connection must first close an idle one to another endpoint.
@@ -113,8 +113,8 @@
 
 // ConnLimits returns the limits for admitting and evicting connections of clients: the
 // defaults of package connlimit, except where the operator has set a value. An unvalidated
-// connection has not sent a valid command yet. SingleUseEvictionThreshold is the number of
-// connections with a request above which idle connections with only one request are evicted.
+// connection has not sent a valid command yet. If more than SingleUseEvictionThreshold
+// connections have sent a request, idle connections that have sent exactly one are evicted.
 func (c *Config) ConnLimits() connlimit.Limits {
 	maxConns, _ := c.DescriptorBudget()
 	limits := connlimit.DefaultLimits(maxConns, c.Limits.Sockets)
--- a/internal/connlimit/closing.go
+++ b/internal/connlimit/closing.go
@@ -45,7 +45,10 @@
 			}
 		case StateIdleSingleUse, StateIdle:
 			l.closeSlot(id, CloseIdleTimeout, now)
-		case StateReadingCommand, StateDraining: // draining: a command that arrived before the close is incomplete
+		case StateReadingCommand, StateDraining:
+			// A command was not read completely in time. While a connection is draining, a timeout runs only
+			// for reading a command that arrived before the close. Unlike most close reasons,
+			// CloseCommandTimeout makes the caller close the connection without waiting for a reply.
 			l.closeSlot(id, CloseCommandTimeout, now)
 		}
 	}
--- a/internal/core/attempt.go
+++ b/internal/core/attempt.go
@@ -23,9 +23,10 @@
 	Timeout   policy.Time // maximum duration
 	SendBy    policy.Time // deadline for sending the last byte; 0 for none
 	WarmingUp bool        // the endpoint recovers from an outage: connections to it are opened one at a time
-	// MayConnect is set if the policy has charged the cost of a new connection (see
-	// Settings.ConnectionCost) for this call. While the endpoint is warming up and connections
-	// to it cost something, only such a call may open one, and still only one at a time.
+	// MayConnect is set if the policy, when it admitted this call, also counted the load that a
+	// new connection puts on the destination (see Settings.ConnectionCost). While the
+	// endpoint is warming up and connections to it cost something, only such a call may open
+	// one, and still only one at a time.
 	MayConnect bool
 	Handle     any // for use by the driver
 
@@ -36,7 +37,8 @@
 	sentAt           policy.Time    // see SentAt
 }
 
-// SentAt returns the time at which the attempt was started. It is logged and sent after that.
+// SentAt returns the time at which the attempt was started. The attempt is written to the
+// write-ahead log and then sent, both after that time.
 func (c *Call) SentAt() policy.Time { return c.sentAt }
 
 // sendOrDefer starts the attempt that an action of the policy asks for. In two cases it stores the
--- a/internal/core/snapshot.go
+++ b/internal/core/snapshot.go
@@ -42,7 +42,8 @@
 func (c *Core) CompletedCalls() uint64 { return c.completedCalls }
 
 // EndpointList returns the endpoint list that the core had when the snapshot was made. Endpoints
-// that were draining or removed at that time have the phase Draining in the returned list.
+// that were draining at that time have the phase Draining in the returned list, and so have
+// removed ones, which it contains only if they had a Retry-After in force or an open call.
 func (s *StateSnapshot) EndpointList() *EndpointList {
 	return &EndpointList{Revision: s.Revision, Complete: !s.Partial, Members: membersOf(s.Members)}
 }
@@ -57,10 +58,10 @@
 	}
 }
 
-// RestoreState takes over the learned state of an earlier process. The endpoint list must have
-// been applied before. State is restored only for endpoints with the same id, address and
-// destination as in the snapshot. shift is added to the snapshot's times to convert them to
-// this core's clock.
+// RestoreState takes over the learned state of an earlier process. The caller must have passed
+// the endpoint list to the core before, but the core need not have applied all of it. State is
+// restored only for endpoints with the same id, address and destination as in the snapshot.
+// shift is added to the snapshot's times to convert them to this core's clock.
 //
 // A list is applied in batches, over several steps, and state can be restored only for endpoints
 // of active destinations. RestoreState therefore first applies the rest of the list, activates the
@@ -94,8 +95,8 @@
 // hasIndependentRoutes). Endpoints that are unknown here, or have another address or destination
 // now, get the number 0, which no endpoint has.
 func (c *Core) translateSnapshot(snapshot *policy.Snapshot, members []HandoverMember, shift policy.Time) {
-	// A member's ID is its name in the endpoint list. What the policy calls the ID of an
-	// endpoint is the number that a core has assigned to it.
+	// A member's ID is its name in the endpoint list. The policy's EndpointID is something else:
+	// the number that a core has assigned to the endpoint.
 	newNumbers := map[policy.EndpointID]policy.EndpointID{} // by number in the snapshot
 	for i := range members {
 		member := &members[i]
--- a/internal/operatorconfig/tuning.go
+++ b/internal/operatorconfig/tuning.go
@@ -13,8 +13,9 @@
 // follow one message. Its section in the file is called stories.
 type Traces struct {
 	// PerSecond is the maximum number of messages per second that are traced from their
-	// submission on, through all steps; -1 for none. Of the other messages the log contains
-	// only failed attempts, ends without delivery, and recoveries after a restart.
+	// submission on, through all steps; -1 for none. For all other messages the log contains
+	// only three events: an attempt failed, the message ended without being delivered, or it
+	// was recovered after a restart.
 	PerSecond int `toml:"per_second"`
 }
 
--- a/internal/rehearsal/runner/events.go
+++ b/internal/rehearsal/runner/events.go
@@ -46,8 +46,8 @@
 	}
 }
 
-// record makes an event's time not earlier than the last one, passes the event to the checker and
-// counts it.
+// record passes an event to the checker and counts it. If the event's time is earlier than that of
+// the event recorded before it, record first sets it to that event's time.
 func (c *eventCollector) record(e *event.Event) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/relay/reload.go
+++ b/internal/relay/reload.go
@@ -18,7 +18,8 @@
 }
 
 // watchReloads reads the configuration at each request until ctx is cancelled. It
-// ignores a configuration that cannot be read or is invalid. requests is r.reload.
+// ignores a configuration that cannot be read or is invalid. The caller passes
+// r.reload as requests, and loadNewConfig uses the Load of that same value.
 func (r *Relay) watchReloads(ctx context.Context, requests ReloadRequests) {
 	for {
 		select {
--- a/internal/tlsdial/sessionfile.go
+++ b/internal/tlsdial/sessionfile.go
@@ -28,8 +28,8 @@
 //	magic and version   5 bytes   "TRSS" 1
 //	salt                32 bytes  for the derivation of the key, HKDF-SHA-256 (RFC 5869)
 //	nonce               24 bytes
-//	ciphertext          the rest      of JSON, XChaCha20-Poly1305; the header is
-//	                                  the additional authenticated data
+//	ciphertext          the rest  JSON encrypted with XChaCha20-Poly1305; the fields
+//	                              before it are the additional authenticated data
 //
 // A file that is damaged, of another version or encrypted with another key is ignored.
 // The only consequence is that the next handshakes are full ones.
@@ -258,8 +258,8 @@
 }
 
 // restoreSession caches one stored session, unless it is malformed, has expired (which
-// PutUntil checks) or allows early data. This package does not store sessions that do:
-// crypto/tls sets EarlyData only on QUIC connections.
+// PutUntil checks) or allows early data. The check for early data is a precaution: this package
+// stores no sessions that allow it, because crypto/tls sets EarlyData only on QUIC connections.
 func (d *Dialer) restoreSession(stored *storedSession, now time.Time) {
 	if len(stored.IdentitySum) != sha256.Size {
 		return
--- a/internal/upstream/tlsconn.go
+++ b/internal/upstream/tlsconn.go
@@ -12,8 +12,8 @@
 // TLS connections. A handshake belongs to its endpoint, not to the call that started it:
 // it continues after that call has ended, and a waiting call takes the first connection
 // that becomes free, whichever call opened it. So a waiting call can use a connection that
-// another call releases, instead of one more connection, and the end of a call never closes
-// a connection during its handshake.
+// another call releases, without waiting for a new one to be opened, and the end of a call
+// never closes a connection during its handshake.
 
 const (
 	// postHandshakeWait is the time for reading a TLS post-handshake message.
@@ -48,7 +48,7 @@
 //
 // There are three results:
 //   - opened is not nil: a goroutine connects and performs the handshake. It sends its result
-//     to opened within the permit's timeout.
+//     to opened within the timeout of the permit that the TLS dialer gave for the handshake.
 //   - err is not nil: the endpoint is rejected, or the pool is full.
 //   - Both are nil: the TLS dialer's handshake budget, which bounds the CPU time of handshakes
 //     and the number in flight with one endpoint, allows none now. budgetAt is when to try
@@ -95,9 +95,9 @@
 }
 
 // addIdleTLSLocked adds a new connection to the idle ones, or closes it if the endpoint was
-// closed meanwhile. A call may use the connection immediately: during reuseDelay a connection
-// waits for extra bytes that the endpoint may send after a response, and no response has
-// come over this connection yet. The caller must hold the pool's lock.
+// closed meanwhile. After a response, a connection is not reused for reuseDelay, because the
+// endpoint may send extra bytes. No response has come over this connection yet, so a call may
+// use it immediately. The caller must hold the pool's lock.
 func (e *Endpoint) addIdleTLSLocked(conn *tlsdial.Conn) {
 	c := newPoolConn(e, conn)
 	c.tls = conn
@@ -109,8 +109,9 @@
 	e.pool.idle = append(e.pool.idle, c)
 }
 
-// handshake connects to the endpoint and performs the TLS handshake. Either way it uses up the
-// permit: Handshake completes the permit's reservation, and Release does so if connecting fails.
+// handshake connects to the endpoint and performs the TLS handshake. It uses up the permit, also
+// if it fails: permit.Handshake completes the permit's reservation of CPU time in the handshake
+// budget, and permit.Release does so if connecting fails.
 func (e *Endpoint) handshake(ctx context.Context, permit *tlsdial.Permit) (*tlsdial.Conn, error) {
 	raw, err := e.dial(ctx, e.address)
 	if err != nil {
