--- a/internal/emulator/registry/notices.go
+++ b/internal/emulator/registry/notices.go
@@ -21,7 +21,7 @@
 // notice reports how an undelivered message ended: the relay gave it up, or handed it back to the
 // client, which may submit it again after RetryMS.
 type notice struct {
-	Message string `json:"message"`
+	Message string `json:"message"` // the ID of the message
 	Outcome string `json:"outcome"`
 	RetryMS int64  `json:"retry_in_ms"`
 }
--- a/internal/membership/settings.go
+++ b/internal/membership/settings.go
@@ -15,8 +15,9 @@
 // Settings are the parameters of the merge.
 type Settings struct {
 	Sources []Source // in order of precedence
-	// Within RemovalWindow a source may remove the share MaxRemovalShare of the endpoints that it
-	// lists, and in any case MinRemovalLimit endpoints. Further removals are held.
+	// MaxRemovalShare is the share of its listed endpoints that a source may remove within RemovalWindow.
+	// If that is less than MinRemovalLimit endpoints, the source may remove MinRemovalLimit. Removals
+	// beyond the limit are held: the endpoints stay listed until a resync of the source confirms the removals.
 	MaxRemovalShare float64
 	MinRemovalLimit int
 	RemovalWindow   Time
@@ -25,7 +26,7 @@
 	MaxFlaps         int
 	FlapWindow       Time
 	HoldDown         Time
-	MaxUpsPerStep    int  // maximum number of endpoints that one step publishes as up
+	MaxUpsPerStep    int  // maximum number of endpoints that one call of View.Step publishes as up
 	RemovalRetention Time // how long a removal overrides the other sources
 }
 
--- a/internal/membersource/helper.go
+++ b/internal/membersource/helper.go
@@ -25,19 +25,20 @@
 	helperSubcommand = "follow"
 	resyncCommand    = "anew\n" // makes the helper read the complete list again
 
-	minHelperBackoff   = 200 * time.Millisecond // doubles each time the helper ends
+	minHelperBackoff   = 200 * time.Millisecond // the backoff starts at this and doubles each time the helper ends
 	maxHelperBackoff   = 5 * time.Second
 	stableHelperRun    = 10 * time.Second // after a longer run the backoff starts again at its minimum
 	maxHelperLineBytes = 256 << 20        // longest line, which holds one update
 )
 
-// helperMessage is one line of the helper's output: an update of etcd's endpoints, or a heartbeat.
+// helperMessage is one line of the helper's output: an update of the endpoint list in etcd, or a heartbeat.
 type helperMessage struct {
 	Update    *membership.Update `json:"word"`
 	Heartbeat bool               `json:"alive"`
 }
 
-// kitCommand returns the command of troutusher-kit, the helperProgram, in the directory of this program.
+// kitCommand returns the command that starts the helper process. Its program, helperProgram, is expected in
+// the directory of the running program.
 func kitCommand() (*exec.Cmd, error) {
 	self, err := os.Executable()
 	if err != nil {
@@ -96,7 +97,7 @@
 	readErr := m.readHelper(output)
 	cancel()
 	_ = cmd.Process.Kill() // fails only if the helper has ended already
-	waitErr := cmd.Wait()  // also closes the helper's input, so that forwardResyncs ends
+	waitErr := cmd.Wait()  // also closes the helper's input, which ends a write that blocks forwardResyncs
 	<-forwarding
 	return errors.Join(readErr, waitErr)
 }
--- a/internal/membersource/merger.go
+++ b/internal/membersource/merger.go
@@ -1,4 +1,4 @@
-// Package membersource merges the endpoint lists of discovery's registry and of etcd for a relay.
+// Package membersource merges two endpoint lists for a relay: that of the discovery registry and that in etcd.
 // A Merger applies the updates of both to a membership.View, publishes the changes of the view,
 // saves the view to disk, and runs the helper process that watches etcd.
 //
@@ -62,10 +62,12 @@
 
 	// Used only by Restore and then by Run's goroutine.
 	view             *membership.View
-	registryRevision int64  // revision of the registry's latest list; all published lists carry it
-	resyncRequested  []bool // by source: the view wants its complete list read again
+	registryRevision int64  // revision of the registry's latest list; lists published for either source carry it
+	resyncRequested  []bool // by source: the view wants the source's complete list read again
 	resyncEpoch      string // the registry's epoch when its resync was last requested
-	missingBaseEpoch string // the registry's last epoch in which a change came without the list that it changes
+	// An update can be a change to an earlier list, its base, of the same epoch. missingBaseEpoch is the last
+	// epoch in which the registry sent a change whose base the view does not have.
+	missingBaseEpoch string
 	unsaved          bool
 	saveNow          bool // a drain or a removal was published
 	lastSaved        time.Time
@@ -99,10 +101,10 @@
 	return m, err
 }
 
-// now returns the time on the view's clock, which starts with the Merger.
+// now returns the time on the view's clock, which starts at 1 with the Merger: the view uses 0 for no time.
 func (m *Merger) now() membership.Time { return 1 + time.Since(m.startedAt).Microseconds() }
 
-// RegistryList queues a list of the registry, complete or a change.
+// RegistryList queues an update from the registry: its complete list, or the members that changed.
 func (m *Merger) RegistryList(epoch string, list *core.EndpointList) {
 	m.enqueue(m.registry, &membership.Update{
 		Epoch: epoch, Revision: list.Revision, Complete: list.Complete, Members: list.Members,
@@ -187,13 +189,15 @@
 	u.Source = source
 	if source == m.registry {
 		m.registryRevision = u.Revision
+		// A resync starts a new epoch: a complete list of the epoch in which it was requested does not answer it.
 		u.Resync = u.Complete && m.resyncRequested[source] && u.Epoch != m.resyncEpoch
 	}
 	m.unsaved = true
 	verdict := m.view.Apply(m.now(), u)
 	if verdict == membership.ResyncRequired && source == m.registry && u.Epoch != m.missingBaseEpoch {
-		// The update changes the list that the event loop started with, but the view knows that list
-		// under another epoch. So fetch the complete list instead, once per epoch.
+		// The watch of the registry continues from the list that the relay's event loop started with, and the
+		// update is a change to that list. But the view knows the list under another epoch, so it cannot apply
+		// the change. So fetch the complete list instead, once per epoch.
 		m.missingBaseEpoch = u.Epoch
 		m.options.ResyncRegistry()
 	}
@@ -227,8 +231,9 @@
 	}
 }
 
-// requestResyncs causes a resync of each source whose removals have to be confirmed, once for each
-// request of the view.
+// requestResyncs causes a resync of each source for which the view requests one, once for each request. The
+// view requests it when a source removes more endpoints than the limit: it holds the removals until a complete
+// list that was read afterwards confirms them.
 func (m *Merger) requestResyncs() {
 	for _, source := range []int{m.etcd, m.registry} {
 		requested := m.view.ResyncRequested(source)
--- a/internal/operatorconfig/handshakes.go
+++ b/internal/operatorconfig/handshakes.go
@@ -18,7 +18,7 @@
 	maxSessionCacheSize     = 1 << 16
 )
 
-// Handshakes contains the settings for TLS handshakes, which all endpoints share.
+// Handshakes contains the settings for TLS handshakes. The same settings apply to all endpoints.
 type Handshakes struct {
 	// CPUShare is the share of one core that handshakes may use, above 0 and at most 1.
 	CPUShare float64 `toml:"share"`
@@ -38,8 +38,9 @@
 }
 
 // Limits returns the limits of the handshake budget, which limits the processor time and the
-// number of concurrent handshakes. The assumed cost of a handshake is at most the burst,
-// because the budget could never pay for a larger one.
+// number of concurrent handshakes. The budget expects a cost for each kind of handshake, full or
+// resumed, until it has measured one. Limits reduces an expected cost above the burst to the burst,
+// because the budget could never pay for a handshake that costs more than the burst.
 func (h *Handshakes) Limits() tlspolicy.HandshakeLimits {
 	limits := tlspolicy.DefaultHandshakeLimits()
 	limits.Share = cmp.Or(h.CPUShare, limits.Share)
--- a/internal/respserver/listener.go
+++ b/internal/respserver/listener.go
@@ -23,7 +23,9 @@
 	backlogPoll    int // epoll set with only this listener, to check its queue without accepting
 	mayHaveBacklog bool
 	closed         bool
-	backlogSince   connlimit.Time // when the queue was first seen non-empty after it had been empty
+	// backlogSince is when the queue was first seen non-empty after it had been empty. It starts as the
+	// earliest time at which a connection can have been queued.
+	backlogSince connlimit.Time
 }
 
 // listenerSlot returns the slot number of a listener's events in the poller.
@@ -56,8 +58,8 @@
 	addr  string
 }
 
-// openListeners opens a listener for each address, or reuses the inherited one that has it. With
-// DeferListen it only binds the addresses that have no inherited listener.
+// openListeners opens a listener for each address, or reuses an inherited listener that has this
+// address. With DeferListen it only binds the addresses that have no inherited listener.
 func (s *Server) openListeners(addrs []string) error {
 	inherited := s.options.InheritedListeners
 	for i, addr := range addrs {
@@ -82,8 +84,9 @@
 	return nil
 }
 
-// unreadSince returns the earliest time at which unread input of inherited sockets can have arrived.
-// If that is not known, it assumes the longest time that a client waits for a reply.
+// unreadSince returns the earliest time at which unread input of inherited sockets can have arrived, or
+// connections can have been queued at them. If that is not known, it returns the time that lies as far
+// back as the longest time that a client waits for a reply.
 func (s *Server) unreadSince() connlimit.Time {
 	if s.options.UnreadSince.IsZero() {
 		return s.now() - clientReplyTimeout.Microseconds()
@@ -131,7 +134,7 @@
 	}
 	if tcpAddr.Zone != "" && tcpAddr.IP.To4() == nil {
 		// Link-local addresses are not bound ahead, since socketAddress does not convert their zone.
-		// Listening at once only makes early clients wait.
+		// Listening at once has no other effect than that clients which connect early wait.
 		return s.listen(index, addr)
 	}
 	fd, err := bindSocket(tcpAddr)
@@ -186,7 +189,7 @@
 }
 
 // Listen listens on the addresses that New bound because of DeferListen. The caller calls it when
-// everything that replies depend on is ready.
+// the server can reply: everything that it needs for that is ready.
 func (s *Server) Listen() error {
 	for len(s.boundAddrs) > 0 {
 		bound := s.boundAddrs[0]
@@ -239,7 +242,7 @@
 		controlErr := raw.Control(func(fd uintptr) {
 			l.fd = int(fd)
 			err = errors.Join(
-				setInheritedOptions(l.fd), // an inherited listener may lack them
+				setInheritedOptions(l.fd), // the previous process may not have set them on a listener that it passed on
 				s.poller.add(l.fd, slot, eventReadable|eventEdgeTriggered),
 				(&poller{fd: l.backlogPoll}).add(l.fd, slot, eventReadable))
 		})
--- a/internal/tlsdial/conn.go
+++ b/internal/tlsdial/conn.go
@@ -8,8 +8,8 @@
 	"time"
 )
 
-// rejectionWait is how long a handshake waits for an endpoint that asked for the relay's
-// certificate to reject it.
+// rejectionWait is how long a handshake waits for a rejection of the relay's certificate, if the
+// endpoint asked for the certificate.
 const rejectionWait = 100 * time.Millisecond
 
 var errUnexpectedData = errors.New("endpoint sent application data before the first call")
@@ -22,7 +22,7 @@
 	records    *recordTracker
 	raw        net.Conn
 	endpoint   *Endpoint
-	generation uint64    // rule.generation of the files that the identity was verified with
+	generation uint64    // rule.generation when the identity was verified with the TLS rule's files
 	validUntil time.Time // when the first of the verified certificates expires
 }
 
@@ -40,10 +40,11 @@
 }
 
 // AtRecordBoundary reports whether every TLS record that was begun has been read
-// completely. The unread rest of a record may be the alert that closes the connection.
+// completely. If not, the connection may be about to close: the unread rest of the record may be
+// the alert that closes it.
 func (c *Conn) AtRecordBoundary() bool { return c.records.headerRead == 0 && c.records.bodyLeft == 0 }
 
-// awaitRejection waits for an endpoint that asked for the relay's certificate to reject it.
+// awaitRejection waits for a rejection of the relay's certificate by an endpoint that asked for it.
 // In TLS 1.3 the handshake completes on this side before the endpoint has verified the
 // certificate (RFC 8446 section 4.4.2.4). A new session ticket means that the endpoint has
 // accepted the certificate, and ends the wait.
--- a/internal/upstream/endpoint.go
+++ b/internal/upstream/endpoint.go
@@ -27,8 +27,9 @@
 	connecting  int           // number of connections being opened
 }
 
-// HoldUntil stops calls from being sent before the given time of the pool's clock, to this
-// endpoint and to all that share its scope. It never shortens a hold that is in force.
+// HoldUntil stops calls from being sent before the given time of the pool's clock. The hold applies
+// to this endpoint and to all endpoints whose gates share its [sendgate.Scope]. It never shortens
+// a hold that is in force.
 func (e *Endpoint) HoldUntil(until policy.Time) { e.gate.HoldUntil(e.pool.now(), until) }
 
 // RetryAfter returns the remaining time for which no call may be sent; 0 for none.
@@ -82,10 +83,11 @@
 }
 
 // takeIdleLocked returns the most recently used idle connection that can be reused, and
-// closes the unusable ones that it finds on the way. If it returns none, usableAt is when
-// a connection whose last call ended less than reuseDelay ago can be reused; zero if there
-// is none. unusable is the number of connections that broke before any call had used them.
-// The caller must hold the pool's lock.
+// closes the idle connections that it finds broken or expired on the way. Connections whose
+// last call ended less than reuseDelay ago cannot be reused yet; reuseDelay gives the reason.
+// If it returns no connection, usableAt is when such a connection can be reused; zero if there
+// is no such connection. unusable is the number of closed connections that broke before any
+// call had used them. The caller must hold the pool's lock.
 func (e *Endpoint) takeIdleLocked(now time.Time) (conn *poolConn, usableAt time.Time, unusable int) {
 	p := e.pool
 	for i := len(p.idle) - 1; i >= 0; i-- {
--- a/policy/destinations.go
+++ b/policy/destinations.go
@@ -40,7 +40,7 @@
 	e.destinations = without(e.destinations, dropped)
 }
 
-// markDirty makes the current step choose the destination's next message again.
+// markDirty makes the current step of the engine choose anew which message the destination sends next.
 func (e *Engine) markDirty(destination *destination) {
 	if !destination.dirty {
 		destination.dirty = true
@@ -54,8 +54,8 @@
 	return &limiter{destination: destination, window: 1, rateMultiplier: 1, history: history}
 }
 
-// addEndpoint adds the endpoint of a list entry to the limiter of its destination, or to a limiter of its own if the
-// destination has independent routes.
+// addEndpoint adds the endpoint of a list entry to the limiter of its destination. If the destination has
+// independent routes (DestinationKind.IndependentRoutes), each endpoint is a route with its own limiter.
 func (e *Engine) addEndpoint(update *EndpointUpdate) *endpoint {
 	destination := e.destinationFor(update.Destination)
 	if update.Kind >= 0 && update.Kind < len(e.settings.DestinationKinds) {
@@ -82,7 +82,8 @@
 	}
 }
 
-// countCall counts a new call in flight, and raises the endpoint's connections to what its calls need.
+// countCall counts a new call in flight, and raises the assumed number of the endpoint's connections to
+// the number that its calls need.
 func (e *Engine) countCall(destination *destination, endpoint *endpoint) {
 	e.callsInFlight++
 	destination.callsInFlight++
--- a/policy/endpoints.go
+++ b/policy/endpoints.go
@@ -17,6 +17,7 @@
 		listed[event.Updates[i].Endpoint] = true
 		e.updateEndpoint(&event.Updates[i])
 	}
+	// A snapshot is what Passivate returned for the destinations in the update; activate loads it.
 	if event.Snapshot != nil {
 		e.activate(event)
 	}
@@ -62,8 +63,9 @@
 	e.markDirty(limiter.destination)
 }
 
-// removeEndpoint removes an endpoint; its calls in flight still count. A route with a Retry-After in force
-// stays known until that is over, so that the Retry-After still holds if the route returns to the list.
+// removeEndpoint removes an endpoint; its calls in flight still count. If the endpoint is an independent
+// route with a Retry-After in force, its entry in Engine.endpoints stays until the Retry-After is over, so
+// that the Retry-After still holds if the endpoint returns to the list.
 func (e *Engine) removeEndpoint(removed *endpoint) {
 	removed.state = Gone
 	limiter := removed.limiter
@@ -81,9 +83,9 @@
 	removed.detach()
 }
 
-// rejectIdentity records that an endpoint failed to prove its identity, or has proved it again.
-// Messages that cannot wait for the next proof are rejected now, with a Retry-After. No message is sent
-// only to try whether the proof succeeds.
+// rejectIdentity records until when an endpoint's identity counts as rejected: for event.RetryAfter after
+// a failed proof, and no longer once the endpoint has proved it again. Messages that cannot wait for the
+// next proof are rejected now, with a Retry-After. No message is sent merely to test the proof.
 func (e *Engine) rejectIdentity(event *Event) {
 	endpoint := e.endpoints[event.Endpoint]
 	if endpoint == nil {
@@ -105,7 +107,7 @@
 }
 
 // identityRetryAt returns the earliest time at which an endpoint of a destination may prove its
-// identity; 0 if some endpoint needs no proof now, or if there is no endpoint.
+// identity; 0 if some endpoint need not wait for that now, or if there is no endpoint.
 func (e *Engine) identityRetryAt(destination *destination) Time {
 	at := Time(math.MaxInt64)
 	for _, limiter := range destination.limiters {
